--- a/ryepier/sidecar/host.py
+++ b/ryepier/sidecar/host.py
@@ -51,6 +51,7 @@
     cost_us: int = 0
     retried: bool = False
     passes_errors: bool = False  # an upstream's 4xx is its final answer, and passed on
+    due_us: int = 0  # when the sidecar has to give its answer; 0 = no such time
     answer_type: bytes = b""  # the media type that the client takes, where its front asked
     left: Callable[[], bool] = stays  # looks whether its client has gone, also where the loop has not come to see it
 
@@ -192,12 +193,16 @@
 class Request:
     ident: int
     call: Call
-    due_us: int
     reply: Callable[[Answer], None]
     attempts: list[Attempt] = field(default_factory=list)
     timer: Timer | None = None
     over: bool = False  # it has had its final answer, or the client has gone
 
+    @property
+    def due_us(self) -> int:
+        """When its answer is due."""
+        return self.call.due_us
+
 
 @dataclass(slots=True)
 class _Unserved:
@@ -255,7 +260,8 @@
         due_us = call.arrived_us + max(1, call.deadline_us - ANSWER_MARGIN_US)
         if self.ends_us:
             due_us = min(due_us, self.ends_us)
-        request = Request(self.last_ident, call, due_us, reply)
+        call.due_us = due_us
+        request = Request(self.last_ident, call, reply)
         self.requests[request.ident] = request
         # hazard: whatever becomes of the module's own timers, no client is left without an answer
         request.timer = self._at(due_us + BACKSTOP_US, self._overdue, request)
@@ -306,6 +312,7 @@
             if request.timer is not None and request.due_us > at_us:
                 request.timer.cancel()
                 request.timer = self._at(at_us, self._overdue, request)
+                request.call.due_us = at_us
 
     @property
     def busy(self) -> bool:
--- a/ryepier/sidecar/upstreams.py
+++ b/ryepier/sidecar/upstreams.py
@@ -11,7 +11,7 @@
 
 from ryepier.balancer.interface import Outcome
 from ryepier.sidecar import system
-from ryepier.sidecar.host import Call, Result, clock_us, stays
+from ryepier.sidecar.host import Call, Result, clock_us
 
 log = logging.getLogger(__name__)
 
@@ -27,12 +27,12 @@
 Address = tuple[str, int]
 
 
-def request_head(call: Call, address: Address, timeout_us: int) -> bytes:
-    """The head of an attempt: the client's own, with the time that the sidecar will wait."""
+def request_head(call: Call, address: Address, time_left_us: int) -> bytes:
+    """The head of an attempt: the client's own, with the time that is left for its answer."""
     host = f"[{address[0]}]" if ":" in address[0] else address[0]
     lines = [b"%s %s HTTP/1.1\r\nHost: %s:%d" % (call.method, call.target, host.encode(), address[1])]
     lines.extend([b"%s: %s" % header for header in call.headers])
-    lines.append(b"X-Deadline-Ms: %d" % max(1, timeout_us // 1000))
+    lines.append(b"X-Deadline-Ms: %d" % max(1, time_left_us // 1000))
     if call.method != b"GET" or call.body:
         lines.append(b"Content-Length: %d" % len(call.body))
     return b"\r\n".join(lines) + b"\r\n\r\n"
@@ -42,19 +42,12 @@
     """One attempt: it has a connection, or waits until its connection is up."""
 
     def __init__(
-        self,
-        data: bytes,
-        ended: Callable[[Result], None],
-        ident: bytes = b"",
-        passes_errors: bool = False,
-        latest_us: int = 0,
-        left: Callable[[], bool] = stays,
+        self, call: Call, address: Address, ends_us: int, ended: Callable[[Result], None], latest_us: int = 0
     ) -> None:
-        self.data = data
+        self.call = call
+        self.address = address
+        self.ends_us = ends_us  # when its time-out ends it
         self.latest_us = latest_us  # it must not be written later; 0 = no such time
-        self.passes_errors = passes_errors
-        self.left = left  # whether its client has
-        self.ident = ident  # of the request, for the log
         self.ended = ended
         self.connection: Connection | None = None
         self.begun = False  # some of it has been written
@@ -66,6 +59,19 @@
         """Hazard: part of it may wait here until its upstream reads on; it runs once the last byte is there."""
         return self.begun and (self.connection is None or not self.connection.unsent)
 
+    def time_left_us(self) -> int:
+        """How long an answer that is begun now may take: its own time-out, and what its client has left."""
+        return min(self.ends_us, self.call.due_us or self.ends_us) - clock_us()
+
+    def expired(self) -> bool:
+        """Whether it is too late to write it."""
+        return self.time_left_us() <= 0 or 0 < self.latest_us <= clock_us()
+
+    def request(self) -> bytes:
+        """The request as it is to be written now. Hazard: its connection may have taken long to come up, and the
+        upstream must not be given time that the client does not have."""
+        return request_head(self.call, self.address, self.time_left_us()) + self.call.body
+
     def give_up(self) -> None:
         """Nothing more comes of it. A connection that has carried it is closed; one still coming up stays."""
         self.given_up = True
@@ -109,7 +115,7 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.set_write_buffer_limits(high=0)  # so that we are told whether all has been written
-        late = self.attempt is not None and 0 < self.attempt.latest_us <= clock_us()
+        late = self.attempt is not None and self.attempt.expired()
         if self.forgotten or late:  # hazard: what drains gets nothing new, however long ago the attempt began
             attempt, self.attempt = self.attempt, None
             if self.forgotten:
@@ -118,7 +124,7 @@
                 self.pool.put_idle(self)
             if attempt is not None:
                 attempt.end(Result(Outcome.CONNECT_FAILED))
-        elif self.attempt is not None and self.attempt.left():
+        elif self.attempt is not None and self.attempt.call.left():
             attempt, self.attempt = self.attempt, None
             self.pool.put_idle(self)
             attempt.end(Result(Outcome.NOT_SENT))
@@ -157,7 +163,7 @@
         self.body = bytearray()
         self.received = 0
         self.head_done = False
-        self.transport.write(attempt.data)
+        self.transport.write(attempt.request())
         if self.transport.is_closing():  # the write failed: the connection had broken before
             self.unsent = True
 
@@ -221,7 +227,7 @@
             self.close()
         if self.status == 200 or (
             self.attempt is not None
-            and self.attempt.passes_errors
+            and self.attempt.call.passes_errors
             and 400 <= self.status < 500
             and self.status not in TRY_LATER
         ):
@@ -239,7 +245,7 @@
             self.pool.learn(self.idle_us, broke=outcome is Outcome.RESET and self.received == 0)
         result = Result(outcome)
         if outcome is Outcome.RESET and attempt is not None:
-            ident = attempt.ident.decode()
+            ident = attempt.call.ident.decode()
             log.info(
                 "request %s: upstream %d reset, idle for %d ms before, %d bytes received",
                 ident,
@@ -309,15 +315,8 @@
         ended: Callable[[Result], None],
         latest_us: int = 0,
     ) -> Attempt:
-        attempt = Attempt(
-            request_head(call, address, timeout_us) + call.body,
-            ended,
-            call.ident,
-            call.passes_errors,
-            latest_us,
-            call.left,
-        )
         now_us = clock_us()
+        attempt = Attempt(call, address, now_us + timeout_us, ended, latest_us)
         while idle := self.idle.get(upstream):
             connection = idle[0]
             idle_us = now_us - connection.idle_since_us
--- a/tests/net.py
+++ b/tests/net.py
@@ -19,6 +19,7 @@
 from ryepier.sidecar.config import Config
 
 PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
+ATTEMPT_TIMEOUT_US = 60_000_000  # longer than any test takes
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
--- /dev/null
+++ b/tests/test_passed_deadline.py
@@ -0,0 +1,136 @@
+"""The deadline passed to an upstream is at most what the client has left when the request is written."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import time
+from typing import Any
+
+import pytest
+
+from ryepier.balancer.interface import RequestClass
+from ryepier.sidecar.upstreams import Attempt, Pool
+from tests.net import OK, HeldDials, Sidecar, Upstream, answering, request, run, sidecar, status, until
+
+DEADLINE_MS = 3_000
+SLACK_MS = 150
+HELD_S = 0.6
+
+
+class DeadlineRecorder:
+    """An upstream that notes, for each request, the deadline passed to it and the time its client had left."""
+
+    def __init__(self) -> None:
+        self.upstream = Upstream(self.serve)
+        self.sent_at = 0.0
+        self.passed_ms: list[int] = []
+        self.left_ms: list[float] = []
+
+    async def serve(
+        self, upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        head = upstream.requests[number][0].lower()
+        self.passed_ms.append(int(head.partition(b"x-deadline-ms:")[2].split(b"\r\n")[0]))
+        self.left_ms.append(DEADLINE_MS - 1_000 * (time.monotonic() - self.sent_at))
+        writer.write(OK)
+
+    async def ask(self, sidecar: Sidecar) -> int:
+        self.sent_at = time.monotonic()
+        return status(await sidecar.ask(request("pay", deadline_ms=DEADLINE_MS)))
+
+
+def test_a_connection_that_comes_up_late_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+    held = HeldDials()
+
+    async def test() -> None:
+        recorder = DeadlineRecorder()
+        async with sidecar(recorder.upstream) as it:
+            held.hold(recorder.upstream, monkeypatch)
+            answer = asyncio.create_task(recorder.ask(it))
+            await until(lambda: held.begun == 1)
+            await asyncio.sleep(HELD_S)
+            held.let.set()
+            assert await answer == 200
+        assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
+
+    run(test)
+
+
+def test_a_wait_for_a_descriptor_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+    make_room = Pool.make_room
+
+    async def late(pool: Pool, attempt: Attempt) -> bool:
+        await asyncio.sleep(HELD_S)
+        return await make_room(pool, attempt)
+
+    monkeypatch.setattr(Pool, "make_room", late)
+
+    async def test() -> None:
+        recorder = DeadlineRecorder()
+        async with sidecar(recorder.upstream) as it:
+            assert await recorder.ask(it) == 200
+        assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
+
+    run(test)
+
+
+def block_loop_after_dial(upstream: Upstream, blocked_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Hold up the whole loop between the connection's coming up and the write."""
+    connect = asyncio.SelectorEventLoop.sock_connect
+
+    async def blocking(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
+        await connect(loop, sock, address)
+        if address[1] == upstream.port:
+            time.sleep(blocked_s)
+
+    monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", blocking)
+
+
+def test_a_loop_held_up_before_the_write_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        recorder = DeadlineRecorder()
+        async with sidecar(recorder.upstream) as it:
+            block_loop_after_dial(recorder.upstream, HELD_S, monkeypatch)
+            assert await recorder.ask(it) == 200
+        assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
+
+    run(test)
+
+
+def test_an_attempt_with_no_time_left_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        upstream = Upstream(answering(OK))
+        classes = [RequestClass("pay", aim_us=200_000, deadline_us=400_000, effect="at_most_once")]
+        async with sidecar(upstream, classes=classes) as it:
+            block_loop_after_dial(upstream, HELD_S, monkeypatch)
+            assert status(await it.ask(request("pay", deadline_ms=400))) == 503
+            assert upstream.requests == []
+            monkeypatch.undo()
+            await asyncio.sleep(0.5)  # until the buffer of the sidecar's admission is over
+            assert status(await it.ask(request("pay", deadline_ms=400))) == 200
+        assert len(upstream.requests) == 1
+
+    run(test)
+
+
+def test_a_shutdown_shortens_the_deadline_of_an_attempt_that_is_written_after_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    held = HeldDials()
+
+    async def test() -> None:
+        recorder = DeadlineRecorder()
+        classes = [RequestClass("pay", aim_us=1_000_000, deadline_us=20_000_000, late_worth=0.5, effect="at_most_once")]
+        async with sidecar(recorder.upstream, classes=classes) as it:
+            held.hold(recorder.upstream, monkeypatch)
+            answer = asyncio.create_task(it.ask(request("pay", deadline_ms=20_000)))
+            await until(lambda: held.begun == 1)
+            it.stop.set()
+            await asyncio.sleep(HELD_S)
+            held.let.set()
+            assert status(await answer) == 200
+            await it.task
+        assert recorder.passed_ms[0] <= 3_600 - 1_000 * HELD_S + SLACK_MS  # the process ends 3.6 s after SIGTERM
+
+    run(test)
