--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -6,10 +6,11 @@
 import enum
 import hashlib
 import http
+import itertools
 import logging
 import re
 import socket
-from collections.abc import Mapping, Sequence
+from collections.abc import Iterator, Mapping, Sequence
 from typing import Protocol
 from urllib.parse import quote
 
@@ -35,6 +36,7 @@
 SWEEP_S = 0.1
 ACCEPTS_A_TURN = 16  # hazard: hundreds of connections at once would keep what is open waiting
 NO_ROOM_S = 0.05
+PARTIAL_RETRY_AFTER_US = 250_000  # a client whose request came in part is told to stay away for so long
 MOST_DIGITS = 9
 OWN_HEADERS = frozenset(
     (  # of this connection, or written anew for each attempt
@@ -248,17 +250,16 @@
 }  # an open request has its own deadline
 
 
-# who makes room: (state, for how long it has been in it without a byte, whether half a request may have come).
-# Hazard: who has just connected is about to ask; half a request that stands still is given up before that one
-LEAST_USE = (
-    (State.ENDING, 0.0, True),
+# Which connections make room for a new one, in this order: (state, for how long it has been in it without a byte,
+# whether part of a request has come). A client that has just connected is about to send its request; where none of
+# these is left, new connections wait in the listener's queue.
+MAKES_ROOM = (
+    (State.ENDING, 0.0, False),
     (State.FRESH, FIRST_COMES_S, False),
-    (State.IDLE, 2.0, True),
+    (State.IDLE, 2.0, False),
     (State.FRESH, FIRST_COMES_S, True),
-    (State.FRESH, 0.0, False),
-    (State.IDLE, 0.0, True),
-    (State.FRESH, 0.0, True),
-    (State.READING, 0.0, True),
+    (State.READING, FIRST_COMES_S, True),
+    (State.IDLE, 0.0, False),
 )
 
 
@@ -472,6 +473,15 @@
         if self.transport is not None:
             self.transport.abort()
 
+    def request_is_partial(self) -> bool:
+        """Whether part of a request has come, or had when its connection began to end: such a client may still send
+        the rest, and a close before it has read its answer would reset the connection."""
+        return self.size > 0 and not self.whole
+
+    def reject(self) -> None:
+        """Give the final answer to a request that has come in part only, and end its connection."""
+        self.write(503, b"", retry_after(self.server.partial_retry_after_us), last=True)
+
     def overdue(self) -> None:
         """Its state has lasted too long."""
         if self.state in (State.FRESH, State.READING) and self.size:
@@ -503,6 +513,10 @@
         self.dialect = dialect or Catalogue(settings)
         self.seen = SeenIds(max(kind.deadline_us for kind in settings.classes) / 1e6)
         self.most_clients = most_clients
+        # its class is not known yet
+        self.partial_retry_after_us = min(PARTIAL_RETRY_AFTER_US, settings.max_retry_after_us)
+        if not settings.retry_after:
+            self.partial_retry_after_us = 0
         # each in the order in which its state began, so that the oldest is found at once
         self.clients: dict[State, dict[Client, None]] = {state: {} for state in State}
         self.coming: set[asyncio.Task[object]] = set()
@@ -571,26 +585,37 @@
             self.loop.add_reader(self.sock, self.accept)
 
     def make_room(self) -> bool:
-        """Of the connections with no request open the one goes that has been of no use for longest, half a
-        request that still comes last. Hazard: without a bound no descriptor would be left for upstreams and
-        discovery."""
+        """Close the connection without an open request that has been of no use for longest. Returns whether there is
+        room now; clients whose requests have come in part are rejected, and make room once they have read that.
+
+        Without a bound no descriptor would be left for upstreams and discovery.
+        """
         now = system.monotonic()
-        for state, age_s, half in LEAST_USE:
-            for client in self.clients[state]:
-                if client.since > now - age_s:
-                    break
-                if (
-                    client.transport is not None
-                    and (half or client.size == 0)
-                    and client.flushed()
-                    and client.heard <= now - age_s
-                    and (state is State.ENDING or client.quiet())
-                ):
-                    client.close()
-                    self.remove(client)
-                    return True
+        for state, age_s, partial in MAKES_ROOM:
+            replaceable = self.replaceable(state, now - age_s, partial)
+            if partial:
+                for client in list(itertools.islice(replaceable, ACCEPTS_A_TURN)):
+                    client.reject()
+            elif (idle := next(replaceable, None)) is not None:
+                idle.close()
+                self.remove(idle)
+                return True
         return False
 
+    def replaceable(self, state: State, since: float, partial: bool) -> Iterator[Client]:
+        """The clients in a state since then or earlier, without a byte since then, that may make room."""
+        for client in self.clients[state]:
+            if client.since > since:
+                return
+            if (
+                client.transport is not None
+                and client.request_is_partial() is partial
+                and client.flushed()
+                and client.heard <= since
+                and (state is State.ENDING or client.quiet())
+            ):
+                yield client
+
     def move(self, client: Client, state: State) -> None:
         """Its state changes."""
         if client in self.clients[client.state]:
@@ -643,4 +668,4 @@
         for state in (State.FRESH, State.READING):
             for client in list(self.clients[state]):
                 if client.transport is not None:
-                    client.write(503, b"", last=True)
+                    client.reject()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -284,3 +284,90 @@
             discovery.stop()
 
     run(test)
+
+
+async def answer_in_pieces(sidecar: Program, pause_s: float) -> bytes:
+    """The first line of the answer to a request sent in two pieces; empty if its connection ended without one."""
+    reader, writer = await sidecar.connect()
+    data = request("pay", body=b"0123456789")
+    writer.write(data[:-5])
+    await asyncio.sleep(pause_s)
+    with contextlib.suppress(ConnectionError):
+        writer.write(data[-5:])
+        await writer.drain()
+    try:
+        return (await read_message(reader))[0].partition(b"\r\n")[0]
+    except (asyncio.IncompleteReadError, ConnectionError):
+        return b""
+    finally:
+        writer.close()
+
+
+def test_each_request_in_pieces_gets_an_answer_though_more_clients_come_than_there_are_descriptors(
+    tmp_path: Path,
+) -> None:
+    async def test() -> None:
+        upstream, port = Upstream(answering(OK)), free_port()
+        async with program(tmp_path, upstream, port) as sidecar:
+            async with asyncio.timeout(PATIENCE_S):
+                answers = await asyncio.gather(
+                    *(answer_in_pieces(sidecar, 0.05 + 0.25 * number / 399) for number in range(400))
+                )
+            assert set(answers) <= {b"HTTP/1.1 200 OK", b"HTTP/1.1 503 Service Unavailable"}
+            assert answers.count(b"HTTP/1.1 200 OK") > 200
+
+    run(test)
+
+
+def test_clients_whose_requests_stay_partial_are_answered_and_cost_nobody_a_connection(tmp_path: Path) -> None:
+    """512 clients send part of a request and connect anew as fast as they are closed."""
+
+    async def test() -> None:
+        upstream, port, over = Upstream(answering(OK)), free_port(), asyncio.Event()
+        ends: list[bytes] = []
+
+        async def keep_sending_part(sidecar: Program) -> None:
+            while not over.is_set():
+                reader, writer = await sidecar.connect()
+                writer.write(request("pay", body=b"0123456789")[:-5])
+                try:
+                    ends.append((await reader.read()).partition(b"\r\n")[0])
+                except ConnectionError:
+                    ends.append(b"reset")
+                writer.close()
+
+        async with program(tmp_path, upstream, port) as sidecar:
+            clients = [asyncio.create_task(keep_sending_part(sidecar)) for _ in range(2 * LIMIT)]
+            await asyncio.sleep(1.0)
+            async with asyncio.timeout(PATIENCE_S):
+                answers = {await sidecar.ask() for _ in range(5)}
+            over.set()
+            async with asyncio.timeout(PATIENCE_S):
+                await asyncio.gather(*clients)
+            assert answers == {b"HTTP/1.1 200 OK"}
+            assert set(ends) <= {b"HTTP/1.1 503 Service Unavailable", b"HTTP/1.1 408 Request Timeout"}
+
+    run(test)
+
+
+def test_a_partial_request_that_makes_room_is_answered_and_told_when_to_come_back() -> None:
+    async def test() -> None:
+        upstream = Upstream(answering(OK))
+        async with net_sidecar(upstream) as it:
+            data, partial = request("pay", body=b"0123456789"), list[Streams]()
+            for _ in range(100):  # as many as it takes
+                partial.append(await it.connect())
+                partial[-1][1].write(data[:-5])
+            await asyncio.sleep(FIRST_COMES_S + 0.1)
+            _, newcomer = await it.connect()
+            async with asyncio.timeout(PATIENCE_S):
+                head, _ = await read_message(partial[0][0])
+            assert head.startswith(b"HTTP/1.1 503 ")
+            assert b"Connection: close\r\n" in head and b"Retry-After: 0.250\r\n" in head
+            partial[0][1].write(data[-5:])  # while its connection lingers: no reset
+            assert await partial[0][0].read() == b""
+            for _, writer in partial:
+                writer.close()
+            newcomer.close()
+
+    run(test)
