--- a/ryepier/assembly/parts.py
+++ b/ryepier/assembly/parts.py
@@ -65,7 +65,10 @@
         plan.report_ms / 1000,
     )
     sidecar = forwarder.Sidecar(
-        ready, host.planned, [kind.aim_us for kind in config.settings.classes], len(config.settings.tenants)
+        ready,
+        host.planned,
+        [kind.latency_objective_us for kind in config.settings.classes],
+        len(config.settings.tenants),
     )
     made = forwarder.Forwarder(settings, sidecar, machine(f"{config.seed} {settings.name}"))
     host.observe(made)
@@ -136,7 +139,7 @@
         slices.watch_s,
         slices.hold_s * 1_000_000,
         Path(slices.cache) if slices.cache else None,
-        not config.settings.list_on_request,
+        not config.settings.polls_endpoints,
         config.seed,
     )
 
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -11,11 +11,14 @@
 from ryepier.balancer import interface as api
 
 MAX_SLOTS = 8  # no upstream gets more from one sidecar, however quick its answers
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
-INSTANT_FAULTS = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
-ANSWERED = (api.Outcome.OK, api.Outcome.SPOILT)  # it has done the work, and its time tells of its load
+NEVER_RAN = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+INSTANT_FAULTS = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR, api.Outcome.RESET)
+ANSWERED = (
+    api.Outcome.OK,
+    api.Outcome.MALFORMED_RESPONSE,
+)  # it has done the work, and its time tells of its load
 # hazard: an upstream failing a part would lose them all
-REISSUED = (*INSTANT_FAULTS, api.Outcome.SPOILT, api.Outcome.TIMEOUT)
+REISSUED = (*INSTANT_FAULTS, api.Outcome.MALFORMED_RESPONSE, api.Outcome.TIMEOUT)
 FAULT_MEMORY = 4  # attempts that make up an upstream's share of faults
 FAULT_SHARE = 0.35  # two faults in three attempts, where all is well; more is by chance where all fail a part
 FLEET_MEMORY = 64  # attempts that make up the share of faults at all upstreams together
@@ -161,14 +164,16 @@
         self.servers: dict[int, Server] = {}  # the ready ones, in the order listed
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
-        self.mean_latency_us = [c.aim_us / 4 for c in settings.classes]  # by class; at first a guess
+        self.mean_latency_us = [
+            c.latency_objective_us / 4 for c in settings.classes
+        ]  # by class; at first a guess
         self.mean_cost_us = 0.0  # of requests that tell theirs,
         self.costs_seen = 0  # and how many of late have
         self.pools = [Pool(now_us), Pool(now_us)]  # drawn from in this order; the second may stay empty
         self.usual_memory_us = max(settings.warm_up_us, RATE_MEMORY_US)
         self.retry_budget = MAX_RETRY_BUDGET  # reissues in hand
         self.last_shortage_us = 0  # when a request last found no free slot; tells of a shortage for two aims
-        self.shortage_memory_us = 2 * max(c.aim_us for c in settings.classes)
+        self.shortage_memory_us = 2 * max(c.latency_objective_us for c in settings.classes)
         self.allowed_per_s = max(1.0, sum(t.allowance_per_s for t in settings.tenants))
         self.tenant_seen = [0.0 for _ in settings.tenants]  # arrivals of each, the old ones fading
         self.unsent_share = 0.0  # share of arrivals that found no free slot, the old ones fading
@@ -176,11 +181,11 @@
         self.next_log_us = now_us
         self.wakeups: list[tuple[int, str, int, int]] = []  # (when, what, request, attempt); a heap
         self.planned_ejections_apply = False  # whether the plan's ejections are carried out
-        self.class_admit: list[float] = []  # as planned; empty = all are let in
+        self.class_admission: list[float] = []  # as planned; empty = all are let in
         # by kind, share of an arrival let in and not come
         self.admission_credits: dict[tuple[str, int], float] = {}
-        self.storm = api.StormUpdated()  # as last told; this one damps nothing
-        self.tenant_worth: list[float] = []  # as planned; empty = judged by what is seen here
+        self.storm = api.RetryStormUpdated()  # as last told; this one damps nothing
+        self.tenant_weight: list[float] = []  # as planned; empty = judged by what is seen here
         self.armed_us = self.list_failures = 0  # armed: the next timer already asked for; 0 = none
         self.ask_list_us = 0  # when the list is asked for next; 0 = not, as it is subscribed to
         self.unheard_us: int | None = None  # since when a call, or a watch that broke, has brought nothing
@@ -199,7 +204,7 @@
             if self.armed_us <= now_us:  # hazard: a stale timer that armed another would never die out
                 self.armed_us = 0
             self.run_due()
-        elif isinstance(event, api.RequestGone) and event.request in self.requests:
+        elif isinstance(event, api.ClientDisconnected) and event.request in self.requests:
             self.close(self.requests[event.request])
         elif isinstance(event, api.StreamStarted) and event.request in self.requests:
             self.requests[event.request].streaming = True
@@ -207,7 +212,7 @@
             self.on_list(event)
         elif isinstance(event, api.PlanUpdated):
             self.on_plan(event)
-        elif isinstance(event, api.StormUpdated):
+        elif isinstance(event, api.RetryStormUpdated):
             self.storm = event
         self.fill_from_buffer()
         self.arm()
@@ -242,13 +247,13 @@
         """Whether the planned limit of its class and, in a retry storm, the admitted share of repeated tries
         let a request in. First tries are never turned away because of a storm."""
         index, storm = event.class_index, self.storm
-        if index < len(self.class_admit) and not self.admits_share("class", index, self.class_admit[index]):
+        if index < len(self.class_admission) and not self.admits_share("class", index, self.class_admission[index]):
             return False
-        if not storm.active or event.tries == 0:
+        if not storm.active or event.retry_number == 0:
             return True
-        share = storm.admit[min(event.tries, len(storm.admit) - 1)] if storm.admit else 1.0
-        if event.tenant < len(storm.tenant_admit):
-            share *= storm.tenant_admit[event.tenant]
+        share = storm.admission[min(event.retry_number, len(storm.admission) - 1)] if storm.admission else 1.0
+        if event.tenant < len(storm.tenant_admission):
+            share *= storm.tenant_admission[event.tenant]
         return self.admits_share("try", event.tenant, share)
 
     def admits_share(self, kind: str, index: int, share: float) -> bool:
@@ -299,18 +304,24 @@
         """The worth of a slot's time given to this request. What is beyond its tenant's share counts less.
         Without a plan the share is judged among the tenants seen here, as a sidecar does not know the total
         rates."""
-        s, worth = self.settings, self.class_of(request).worth
-        if not s.worth_by_work:
-            worth /= self.mean_latency_us[request.event.class_index]
-        if request.event.tenant < len(self.tenant_worth):
-            worth *= s.over_share_worth + (1.0 - s.over_share_worth) * self.tenant_worth[request.event.tenant]
+        s, priority_weight = self.settings, self.class_of(request).priority_weight
+        if not s.weight_by_work:
+            priority_weight /= self.mean_latency_us[request.event.class_index]
+        if request.event.tenant < len(self.tenant_weight):
+            priority_weight *= (
+                s.over_quota_weight + (1.0 - s.over_quota_weight) * self.tenant_weight[request.event.tenant]
+            )
         elif request.event.tenant < len(s.tenants):
             allowed = s.tenants[request.event.tenant].allowance_per_s / self.allowed_per_s
             seen = self.tenant_seen[request.event.tenant] / sum(self.tenant_seen)
-            worth *= s.over_share_worth + (1.0 - s.over_share_worth) * min(1.0, allowed / seen)
+            priority_weight *= s.over_quota_weight + (1.0 - s.over_quota_weight) * min(1.0, allowed / seen)
         elif s.tenants:  # a tenant that is not known has no share
-            worth *= s.over_share_worth
-        return worth * RETRY_WORTH**request.event.tries if self.storm.active else worth
+            priority_weight *= s.over_quota_weight
+        return (
+            priority_weight * RETRY_WORTH**request.event.retry_number
+            if self.storm.active
+            else priority_weight
+        )
 
     def class_of(self, request: Request) -> api.RequestClass:
         """The settings of a request's class."""
@@ -319,12 +330,12 @@
     def half_aim_us(self, class_index: int) -> int:
         """Half of a class's latency target (us): the longest wait in the buffer, and the latency that counts
         as slow. The other half is left for another attempt."""
-        return self.settings.classes[class_index].aim_us // 2
+        return self.settings.classes[class_index].latency_objective_us // 2
 
     def useful_until_us(self, request: Request) -> int:
         """The time (us) after which an answer has no worth."""
         kind = self.class_of(request)
-        late = kind.deadline_us if kind.late_worth > 0 else kind.aim_us
+        late = kind.deadline_us if kind.late_weight > 0 else kind.latency_objective_us
         return min(request.event.due_us, request.arrived_us + late)
 
     def latest_start_us(self, request: Request) -> int:
@@ -349,27 +360,30 @@
         is harmless, failed otherwise."""
         kind = self.class_of(request)
         harmless = (
-            kind.effect == "idempotent"
+            kind.effect == api.Effect.IDEMPOTENT
             or request.first_that_may_have_run() is None
-            or (kind.effect == "deduplicated" and kind.group == "all")
+            or (
+                kind.effect == api.Effect.IDEMPOTENCY_KEY
+                and kind.idempotency_scope == api.IdempotencyScope.ALL
+            )
         )
         self.close(request)
         ident = request.event.request
         advice_us = self.retry_after_us(request) if self.settings.retry_after else 0
-        self.actions.append(api.Refuse(ident, advice_us) if harmless else api.Fail(ident))
+        self.actions.append(api.Reject(ident, advice_us) if harmless else api.Fail(ident))
 
     def retry_after_us(self, request: Request) -> int:
         """How long a refused client should stay away (us): about one answer's time, or, in a retry storm, a
         random time within the planned window, so that refused clients do not return together."""
         storm, longest_us = self.storm, self.settings.max_retry_after_us
-        if not storm.active or not storm.wait_us:
+        if not storm.active or not storm.retry_after_us:
             after_us = self.mean_latency_us[request.event.class_index] * (0.5 + self.random.random())
             return int(min(after_us, longest_us))
         # hazard: cold ones open with what is asked of them; who is told to stay away for long asks less, and
         # they would open later: so this refusal stands for one more, as the usual advice would have brought
         self.note_demand()
-        window_us = storm.wait_us[min(request.event.tries, len(storm.wait_us) - 1)]
-        if storm.whole_seconds and longest_us >= SECOND_US:
+        window_us = storm.retry_after_us[min(request.event.retry_number, len(storm.retry_after_us) - 1)]
+        if storm.retry_after_in_seconds and longest_us >= SECOND_US:
             # hazard: rounded, all of one second's refusals would come back in the same moment
             most = min(longest_us, max(window_us, 2 * SECOND_US)) // SECOND_US
             return SECOND_US * self.random.randint(1, most)
@@ -390,7 +404,7 @@
         if self.now_us < server.ejected_until_us or (cold and server.slow_start_credit < 0.0):
             return 0
         slots = 1 if cold else max(1, int(server.window))
-        return min(slots, server.advice.most_slots) if server.advice.most_slots > 0 else slots
+        return min(slots, server.advice.concurrency_limit) if server.advice.concurrency_limit > 0 else slots
 
     def judge(self, attempt: Attempt, elapsed_us: int, class_index: int) -> None:
         """Update an upstream's window, latency ratio and ejection, and its pool's admission, from an ended
@@ -399,12 +413,14 @@
         slow_us = self.half_aim_us(class_index)
         # hazard: what spoils answers and breaks connections may do so on all upstreams alike, and one such
         # fault would shut each of them; only turning work away tells at once of the upstream itself
-        fault = outcome in INSTANT_FAULTS or outcome is api.Outcome.SPOILT
+        fault = outcome in INSTANT_FAULTS or outcome is api.Outcome.MALFORMED_RESPONSE
         server.fault_share += (float(fault) - server.fault_share) / FAULT_MEMORY
         pool.fault_share += (float(fault) - pool.fault_share) / FLEET_MEMORY
         fleet_allowance = min(FLEET_FAULT_FACTOR * pool.fault_share, MAX_FLEET_FAULT_ALLOWANCE)
-        faulty = outcome is api.Outcome.FULL or (fault and server.fault_share > FAULT_SHARE + fleet_allowance)
-        if fault and not faulty and outcome is not api.Outcome.SPOILT:
+        faulty = outcome is api.Outcome.REJECTED or (
+            fault and server.fault_share > FAULT_SHARE + fleet_allowance
+        )
+        if fault and not faulty and outcome is not api.Outcome.MALFORMED_RESPONSE:
             return  # and its time tells nothing
         load = min(2.0, elapsed_us / slow_us) if outcome in ANSWERED else 2.0
         latency_ratio = MAX_LATENCY_RATIO if faulty else elapsed_us / self.mean_latency_us[class_index]
@@ -418,7 +434,7 @@
             pool.cold_overcommit = min(max(overcommit, 1.0 / COLD_SAFETY_FACTOR), most)
         # hazard: a heavy request times out wherever it goes; each repeat would count as one more slow answer
         tells_of_pool = not cold and not attempt.after_timeout
-        if tells_of_pool and outcome in (*ANSWERED, api.Outcome.TIMEOUT, api.Outcome.FULL):
+        if tells_of_pool and outcome in (*ANSWERED, api.Outcome.TIMEOUT, api.Outcome.REJECTED):
             # hazard: a light sidecar never fills its slots; they hold nothing back when all are slow; draws
             # are thinned, at once as queues stay for seconds, but not for one slow answer among quick ones
             pool.load += (load - pool.load) / 8
@@ -471,7 +487,7 @@
         s, age_us = self.settings, self.now_us - server.entry.started_us
         if server.entry.started_us == 0 or age_us >= s.warm_up_us:
             return 1.0
-        return s.cold_share + (1.0 - s.cold_share) * max(0, age_us) / s.warm_up_us
+        return s.initial_capacity_share + (1.0 - s.initial_capacity_share) * max(0, age_us) / s.warm_up_us
 
     def count_cold(self, pool: Pool) -> None:
         """Find the cold upstreams of a pool and the total size of the warm ones."""
@@ -615,24 +631,32 @@
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
-        if request.outstanding() > 0 and not self.settings.second_copies:
+        if request.outstanding() > 0 and not self.settings.hedging:
             return False
         first, kind = request.first_that_may_have_run(), self.class_of(request)
-        if first is None or kind.effect == "idempotent":
+        if first is None or kind.effect == api.Effect.IDEMPOTENT:
             return True
-        return kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.memory_us
+        return (
+            kind.effect == api.Effect.IDEMPOTENCY_KEY
+            and self.now_us - first.sent_us < kind.idempotency_window_us
+        )
 
     def bound_to(self, request: Request) -> Attempt | None:
         """The attempt whose group another one must stay in (rule 2: only there are its repeats dropped); None
         if any upstream will do."""
         first, kind = request.first_that_may_have_run(), self.class_of(request)
-        return first if kind.effect == "deduplicated" and kind.group != "all" else None
+        return (
+            first
+            if kind.effect == api.Effect.IDEMPOTENCY_KEY
+            and kind.idempotency_scope != api.IdempotencyScope.ALL
+            else None
+        )
 
     def in_group(self, first: Attempt, server: Server) -> bool:
         """Whether an upstream drops the repeats of an attempt."""
-        if self.settings.classes[first.class_index].group == "zone":
+        if self.settings.classes[first.class_index].idempotency_scope == api.IdempotencyScope.ZONE:
             return first.entry.zone == server.entry.zone
-        return first.entry.cell == server.entry.cell
+        return first.entry.failure_domain == server.entry.failure_domain
 
     def send(self, request: Request, server: Server) -> None:
         """Start an attempt at an upstream; takes a slot, and credit from the budget that applies."""
@@ -649,7 +673,7 @@
         )
         pool.subset[server] = None
         # one budget for all that is sent again: in a storm a client's own retry earns none
-        earns = RETRY_BUDGET_RATIO if not self.storm.active or request.event.tries == 0 else 0.0
+        earns = RETRY_BUDGET_RATIO if not self.storm.active or request.event.retry_number == 0 else 0.0
         self.retry_budget = min(
             MAX_RETRY_BUDGET, self.retry_budget + (earns if not request.attempts else -1.0)
         )
@@ -662,7 +686,7 @@
         self.wake(overdue_us, "overdue", request.event.request, len(request.attempts) - 1)
         timeout_us = self.timeout_us(request)
         self.actions.append(api.Send(request.event.request, server.entry.id, timeout_us, latest_us))
-        if self.settings.second_copies and self.class_of(request).effect != "at_most_once":
+        if self.settings.hedging and self.class_of(request).effect != api.Effect.NON_IDEMPOTENT:
             index = request.event.class_index  # soon enough to be back in time, late enough to be seldom
             after_us = min(int(2 * self.mean_latency_us[index]), self.half_aim_us(index))
             self.wake(self.now_us + after_us, "copy", request.event.request)
@@ -671,12 +695,16 @@
         """The latest time (us) to write a repeat (rule 2), 0 if there is none: a connection may take long to
         come up, and upstreams remember for a limited time what they are to drop."""
         first, kind = request.first_that_may_have_run(), self.class_of(request)
-        return first.sent_us + kind.memory_us if first is not None and kind.effect == "deduplicated" else 0
+        return (
+            first.sent_us + kind.idempotency_window_us
+            if first is not None and kind.effect == api.Effect.IDEMPOTENCY_KEY
+            else 0
+        )
 
     def overdue_after_us(self, class_index: int) -> int:
         """How long an attempt may go unanswered before it counts as overdue (us): the class's latency target.
         With less, attempts that an overload slows down would be taken for lost."""
-        return self.settings.classes[class_index].aim_us
+        return self.settings.classes[class_index].latency_objective_us
 
     def on_overdue(self, attempt: Attempt) -> None:
         """Count an attempt that is unanswered for longer than an answer takes.
@@ -714,7 +742,7 @@
             headroom = server.queue_headroom
             server.queue_headroom = min(headroom + 1, MAX_QUEUE_HEADROOM) if quick else max(headroom - 1, 0)
             server.rejection_share[index] -= server.rejection_share[index] / FAULT_MEMORY
-        if attempt.ended is not api.Outcome.FULL:
+        if attempt.ended is not api.Outcome.REJECTED:
             return False
         server.rejection_share[index] += (1.0 - server.rejection_share[index]) / FAULT_MEMORY
         server.queue_headroom -= 1
@@ -745,8 +773,8 @@
         follow, a multiple of the class's mean latency."""
         left_us = max(1, self.useful_until_us(request) - self.now_us)
         if (
-            self.settings.second_copies
-            or self.class_of(request).effect == "at_most_once"
+            self.settings.hedging
+            or self.class_of(request).effect == api.Effect.NON_IDEMPOTENT
             or self.retry_budget < 1
         ):
             return left_us
@@ -854,8 +882,8 @@
         advice = {one.upstream: one for one in event.advice}
         for ident, server in self.servers.items():
             server.advice = advice.get(ident) or api.Advice(ident)
-        self.tenant_worth = event.tenant_worth
-        self.class_admit = event.class_admit
+        self.tenant_weight = event.tenant_weight
+        self.class_admission = event.class_admission
         self.count_planned_ejections()
 
     def count_planned_ejections(self) -> None:
@@ -866,7 +894,7 @@
 
     def longest_call_gap_us(self) -> int:
         """The longest time (us) from a call for the list, or the last word of a watch, to the next call."""
-        settings_us = self.settings.ask_within_us // 2 or TOLD_US
+        settings_us = self.settings.max_poll_interval_us // 2 or TOLD_US
         return min(TOLD_US - LIST_CALL_US, settings_us)
 
     def next_call_us(self) -> int:
@@ -888,7 +916,7 @@
 
     def ask_list_at(self, at_us: int) -> None:
         """Schedule a call for the list at `at_us`, if lists come on request."""
-        if self.settings.list_on_request:
+        if self.settings.polls_endpoints:
             self.ask_list_us = at_us
             self.wake(at_us, "list", 0)
 
--- a/ryepier/balancer/interface.py
+++ b/ryepier/balancer/interface.py
@@ -16,11 +16,11 @@
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen; never ran
+    REJECTED = "rejected"  # rejected unseen; never ran
     TIMEOUT = "timeout"  # no answer in time; may have run or be running
     CONNECT_FAILED = "connect_failed"  # no connection; never ran
     RESET = "reset"  # the connection broke; may have run
-    SPOILT = "spoilt"  # an answer that can't be read; has run
+    MALFORMED_RESPONSE = "malformed_response"  # an answer that can't be read; has run
     CANCELLED = "cancelled"  # cancelled by us; may have run
     NOT_SENT = "not_sent"  # the sidecar could not send it; never ran
 
@@ -28,7 +28,7 @@
 class UpstreamState(enum.Enum):
     """What the upstream list says of one upstream."""
 
-    GONE = "gone"
+    REMOVED = "removed"
     READY = "ready"
     DRAINING = "draining"
 
@@ -42,8 +42,20 @@
     FAILED = "failed"  # a call failed or the subscription broke; the list stays as it was
 
 
-EFFECTS = ("idempotent", "deduplicated", "at_most_once")
-GROUPS = ("all", "zone", "cell")
+class Effect(enum.StrEnum):
+    """What a repeat of a request does; the values are those of the settings."""
+
+    IDEMPOTENT = "idempotent"  # may be repeated anywhere
+    IDEMPOTENCY_KEY = "deduplicated"  # may be repeated where its key is remembered
+    NON_IDEMPOTENT = "at_most_once"  # must not be repeated once it may have run
+
+
+class IdempotencyScope(enum.StrEnum):
+    """Which upstreams drop each other's repeats of a request with an idempotency key."""
+
+    ALL = "all"
+    ZONE = "zone"
+    FAILURE_DOMAIN = "cell"
 
 
 def _require(condition: bool, expected: str, got: object) -> None:
@@ -56,26 +68,46 @@
     """One class of requests."""
 
     name: str
-    aim_us: int  # an answer within this earns the full worth
+    latency_objective_us: int  # an answer within this earns the full worth
     deadline_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth left for an answer after the aim
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    effect: str = "idempotent"
-    group: str = "all"  # deduplicated: which upstreams drop each other's repeats
-    memory_us: int = 0  # deduplicated: how long they remember a request
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # share of the worth left for an answer after the aim
+    latency_objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    effect: Effect = Effect.IDEMPOTENT
+    idempotency_scope: IdempotencyScope = (
+        IdempotencyScope.ALL
+    )  # deduplicated: which upstreams drop each other's repeats
+    idempotency_window_us: int = 0  # deduplicated: how long they remember a request
     stream: bool = False
 
     def __post_init__(self) -> None:
         """Raise ValueError for a value that is out of range."""
-        _require(self.aim_us > 0, "a request class aim_us above 0", self.aim_us)
+        _require(
+            self.latency_objective_us > 0,
+            "a request class latency_objective_us above 0",
+            self.latency_objective_us,
+        )
         _require(self.deadline_us > 0, "a request class deadline_us above 0", self.deadline_us)
-        _require(self.worth >= 0, "a request class worth of 0 or more", self.worth)
-        _require(0 <= self.late_worth <= 1, "a late_worth from 0 to 1", self.late_worth)
-        _require(self.aim_stretch >= 0, "an aim_stretch of 0 or more", self.aim_stretch)
-        _require(self.effect in EFFECTS, f"an effect out of {', '.join(EFFECTS)}", self.effect)
-        _require(self.group in GROUPS, f"a group out of {', '.join(GROUPS)}", self.group)
-        _require(self.memory_us >= 0, "a memory_us of 0 or more", self.memory_us)
+        _require(
+            self.priority_weight >= 0, "a request class priority_weight of 0 or more", self.priority_weight
+        )
+        _require(0 <= self.late_weight <= 1, "a late_weight from 0 to 1", self.late_weight)
+        _require(
+            self.latency_objective_stretch >= 0,
+            "a latency_objective_stretch of 0 or more",
+            self.latency_objective_stretch,
+        )
+        _require(self.effect in list(Effect), f"an effect out of {', '.join(Effect)}", self.effect)
+        _require(
+            self.idempotency_scope in list(IdempotencyScope),
+            f"an idempotency_scope out of {', '.join(IdempotencyScope)}",
+            self.idempotency_scope,
+        )
+        _require(
+            self.idempotency_window_us >= 0,
+            "an idempotency_window_us of 0 or more",
+            self.idempotency_window_us,
+        )
 
 
 @dataclass(slots=True)
@@ -98,8 +130,8 @@
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
+    over_quota_weight: float = 1.0
+    weight_by_work: bool = False
     instances: int = 1
     self_index: int = 0
     zone: int = 0
@@ -110,13 +142,13 @@
     retry_after: bool = True  # clients are told how long to stay away
     cancel: bool = False
     probes: bool = False
-    second_copies: bool = False  # two attempts of a request may be out together
-    list_on_request: bool = False  # upstream changes come only after Subscribe or FetchList
-    ask_within_us: int = 0  # without a subscription, the list must be asked for this often
-    cold_share: float = 1.0  # an upstream boots at this share of its capacity or more
+    hedging: bool = False  # two attempts of a request may be out together
+    polls_endpoints: bool = False  # upstream changes come only after Subscribe or FetchList
+    max_poll_interval_us: int = 0  # without a subscription, the list must be asked for this often
+    initial_capacity_share: float = 1.0  # an upstream boots at this share of its capacity or more
     warm_up_us: int = 0  # and is warm after this
     overload_factor: float = 1.0  # a cold upstream falls over at this multiple of its capacity
-    fall_us: int = 0  # sustained for this long
+    overload_window_us: int = 0  # sustained for this long
     cross_zone_fee: float = 0.0
     report_names: list[str] = field(default_factory=list)
     weighted: bool = False  # the list's weights speak of size
@@ -126,18 +158,22 @@
         _require(len(self.classes) > 0, "at least one request class", self.classes)
         _require(self.instances >= 1, "an instances of 1 or more", self.instances)
         _require(self.self_index >= 0, "a self_index of 0 or more", self.self_index)
-        _require(0 <= self.over_share_worth <= 1, "an over_share_worth from 0 to 1", self.over_share_worth)
+        _require(0 <= self.over_quota_weight <= 1, "an over_quota_weight from 0 to 1", self.over_quota_weight)
         _require(self.max_attempts >= 1, "a max_attempts of 1 or more", self.max_attempts)
-        _require(0 < self.cold_share <= 1, "a cold_share above 0, at most 1", self.cold_share)
+        _require(
+            0 < self.initial_capacity_share <= 1,
+            "an initial_capacity_share above 0, at most 1",
+            self.initial_capacity_share,
+        )
         _require(self.overload_factor > 0, "an overload_factor above 0", self.overload_factor)
         for name in (
             "zone",
             "tick_us",
             "max_retry_after_us",
             "connect_timeout_us",
-            "ask_within_us",
+            "max_poll_interval_us",
             "warm_up_us",
-            "fall_us",
+            "overload_window_us",
             "cross_zone_fee",
         ):
             _require(getattr(self, name) >= 0, f"a {name} of 0 or more", getattr(self, name))
@@ -151,7 +187,7 @@
     state: UpstreamState = UpstreamState.READY
     zone: int = 0
     kind: int = 0
-    cell: int = 0
+    failure_domain: int = 0
     weight: float = 1.0
     started_us: int = 0  # its most recent start; 0 = long ago
 
@@ -180,12 +216,12 @@
     key: int = 0  # 0 = none
     cost_us: int = 0  # expected work on a standard core; 0 = not known
     retried: bool = False  # the client sends it again
-    tries: int = 0  # as far as it can be told, how many of its client's tries were turned away before
+    retry_number: int = 0  # as far as it can be told, how many of its client's tries were turned away before
     write: bool = False
 
 
 @dataclass(slots=True)
-class RequestGone:
+class ClientDisconnected:
     """The client has quit; no answer is owed any more."""
 
     request: int
@@ -245,7 +281,7 @@
 
     upstream: int
     weight: float = 1.0  # its slots count so much in the draw
-    most_slots: int = 0  # no more are opened; 0 = no limit of the plan's
+    concurrency_limit: int = 0  # no more are opened; 0 = no limit of the plan's
     ejected: bool = False  # nothing new while others are there
 
 
@@ -255,32 +291,34 @@
     without. It bounds and informs: which upstream gets a request is still decided here."""
 
     advice: list[Advice] = field(default_factory=list)
-    tenant_worth: list[float] = field(
+    tenant_weight: list[float] = field(
         default_factory=list
     )  # by tenant: 1 = within its share over all sidecars
-    class_admit: list[float] = field(
+    class_admission: list[float] = field(
         default_factory=list
     )  # by class: the share of arrivals let in; empty = all
 
 
 @dataclass(slots=True)
-class StormUpdated:
+class RetryStormUpdated:
     """Whether clients' retries are a storm, and how to take them, in place of what was said before. Lists are
     by `RequestArrived.tries`, their last entry for all beyond; first tries are always let in."""
 
     active: bool = False
-    admit: list[float] = field(default_factory=list)  # the share of arrivals let in
-    wait_us: list[int] = field(default_factory=list)  # what is turned away is told to come back within it
-    tenant_admit: list[float] = field(default_factory=list)  # by tenant, of its later tries; empty = all
-    whole_seconds: bool = False  # clients read no parts of a second
+    admission: list[float] = field(default_factory=list)  # the share of arrivals let in
+    retry_after_us: list[int] = field(
+        default_factory=list
+    )  # what is turned away is told to come back within it
+    tenant_admission: list[float] = field(default_factory=list)  # by tenant, of its later tries; empty = all
+    retry_after_in_seconds: bool = False  # clients read no parts of a second
 
 
 Event = (
     UpstreamsUpdated
     | PlanUpdated
-    | StormUpdated
+    | RetryStormUpdated
     | RequestArrived
-    | RequestGone
+    | ClientDisconnected
     | AttemptEnded
     | StreamStarted
     | ProbeEnded
@@ -303,7 +341,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final answer: not done, and trying again is harmless."""
 
     request: int
@@ -362,7 +400,7 @@
 
 
 @dataclass(slots=True)
-class TellPeer:
+class SendToPeer:
     """Send a message to another sidecar, or to all."""
 
     payload: bytes
@@ -376,4 +414,6 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | TellPeer | Log
+Action = (
+    Send | Reject | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | SendToPeer | Log
+)
--- a/ryepier/balancer/wire.py
+++ b/ryepier/balancer/wire.py
@@ -30,14 +30,14 @@
 _OUTCOMES = {
     0: api.Outcome.OK,
     5: api.Outcome.ERROR,
-    11: api.Outcome.FULL,
+    11: api.Outcome.REJECTED,
     110: api.Outcome.TIMEOUT,
     111: api.Outcome.CONNECT_FAILED,
     104: api.Outcome.RESET,
     125: api.Outcome.CANCELLED,
     114: api.Outcome.NOT_SENT,
 }
-_STATES = {0: api.UpstreamState.GONE, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
+_STATES = {0: api.UpstreamState.REMOVED, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
 _LIST_KINDS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
 # Load report values: the wire's names and ours; a name not known here is kept as it is.
 _REPORT_NAMES = {
@@ -214,7 +214,7 @@
     30: _datagram,
     40: _stopped,
     50: lambda frame: api.TimerFired(frame.fields(_U32)[0]),
-    60: lambda frame: api.RequestGone(frame.fields(_U32)[0]),
+    60: lambda frame: api.ClientDisconnected(frame.fields(_U32)[0]),
     70: _accept,
     80: _members,
     90: _health,
@@ -240,7 +240,7 @@
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
     api.Send: lambda i, a: _send(i, a.request, a.upstream, a.timeout_us),
-    api.Refuse: lambda i, a: _refuse(i, a.request, a.retry_after_us),
+    api.Reject: lambda i, a: _refuse(i, a.request, a.retry_after_us),
     api.Fail: lambda i, a: _fail(i, a.request),
     api.Cancel: lambda i, a: _cancel(i, a.request, a.attempt),
     api.Probe: lambda i, a: _probe(i, a.upstream),
@@ -248,7 +248,7 @@
     api.Subscribe: lambda i, a: _subscribe(i, int(a.active)),
     api.FetchList: lambda i, a: _fetch(i),
     api.CloseIdle: lambda i, a: _close(i, a.upstream),
-    api.TellPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
+    api.SendToPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
     api.Log: lambda i, a: _text(_text_log, i, a.text),
     InternalError: lambda i, a: _text(_text_error, i, a.text),
 }
@@ -306,14 +306,16 @@
 def _class(options: _Options, at: str) -> api.RequestClass:
     return api.RequestClass(
         name=options.text(at + "name"),
-        aim_us=options.whole(at + "aim"),
+        latency_objective_us=options.whole(at + "aim"),
         deadline_us=options.whole(at + "deadline"),
-        worth=options.number(at + "worth"),
-        late_worth=options.number(at + "late-worth", "0"),
-        aim_stretch=options.number(at + "aim-stretch", "0"),
-        effect=options.choice(at + "effect", api.EFFECTS),
-        group=options.choice(at + "group", api.GROUPS, "all"),
-        memory_us=options.whole(at + "memory-span", "0"),
+        priority_weight=options.number(at + "worth"),
+        late_weight=options.number(at + "late-worth", "0"),
+        latency_objective_stretch=options.number(at + "aim-stretch", "0"),
+        effect=api.Effect(options.choice(at + "effect", tuple(api.Effect))),
+        idempotency_scope=api.IdempotencyScope(
+            options.choice(at + "group", tuple(api.IdempotencyScope), "all")
+        ),
+        idempotency_window_us=options.whole(at + "memory-span", "0"),
         stream=options.flag(at + "stream", "false"),
     )
 
@@ -344,8 +346,8 @@
         return api.Settings(
             classes=[_class(o, f"request-classes.{i}.") for i in range(o.whole("request-classes.count"))],
             tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.whole("accounts.count", "0"))],
-            over_share_worth=o.number("over-share-worth", "1"),
-            worth_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
+            over_quota_weight=o.number("over-share-worth", "1"),
+            weight_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
             instances=o.whole("instances"),
             self_index=o.whole("self-index", "0"),
             zone=o.whole("locality", "0"),
@@ -356,13 +358,13 @@
             retry_after=o.flag("bounds.retry-after"),
             cancel=o.flag("bounds.cancel"),
             probes=o.flag("bounds.probes"),
-            second_copies=o.flag("bounds.second-copies"),
-            list_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            ask_within_us=o.whole("invariants.ask-within", "0"),
-            cold_share=o.number("invariants.cold-share"),
+            hedging=o.flag("bounds.second-copies"),
+            polls_endpoints=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
+            max_poll_interval_us=o.whole("invariants.ask-within", "0"),
+            initial_capacity_share=o.number("invariants.cold-share"),
             warm_up_us=o.whole("invariants.warm-up"),
             overload_factor=o.number("invariants.overload-factor"),
-            fall_us=o.whole("invariants.fall"),
+            overload_window_us=o.whole("invariants.fall"),
             cross_zone_fee=o.number("fees.cross-zone", "0"),
             report_names=[
                 _REPORT_NAMES.get(name, name) for name in o.text("report.names", "").split(",") if name
--- a/ryepier/check/model.py
+++ b/ryepier/check/model.py
@@ -27,17 +27,31 @@
 MOST_SETTLING = 200  # timers after all is over
 
 CLASSES = {
-    "once": api.RequestClass("once", AIM_US, DEADLINE_US, worth=2.0, late_worth=0.5, effect="at_most_once"),
-    "ask": api.RequestClass("ask", AIM_US, DEADLINE_US, late_worth=0.5),
+    "once": api.RequestClass(
+        "once", AIM_US, DEADLINE_US, priority_weight=2.0, late_weight=0.5, effect=api.Effect.NON_IDEMPOTENT
+    ),
+    "ask": api.RequestClass("ask", AIM_US, DEADLINE_US, late_weight=0.5),
     "cell": api.RequestClass(
-        "cell", AIM_US, DEADLINE_US, late_worth=0.5, effect="deduplicated", group="cell", memory_us=MEMORY_US
+        "cell",
+        AIM_US,
+        DEADLINE_US,
+        late_weight=0.5,
+        effect=api.Effect.IDEMPOTENCY_KEY,
+        idempotency_scope=api.IdempotencyScope.FAILURE_DOMAIN,
+        idempotency_window_us=MEMORY_US,
     ),
     "all": api.RequestClass(
-        "all", AIM_US, DEADLINE_US, late_worth=0.5, effect="deduplicated", group="all", memory_us=MEMORY_US
+        "all",
+        AIM_US,
+        DEADLINE_US,
+        late_weight=0.5,
+        effect=api.Effect.IDEMPOTENCY_KEY,
+        idempotency_scope=api.IdempotencyScope.ALL,
+        idempotency_window_us=MEMORY_US,
     ),
 }
-OUTCOMES = {"ok": api.Outcome.OK, "error": api.Outcome.ERROR, "full": api.Outcome.FULL, "reset": api.Outcome.RESET}
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+OUTCOMES = {"ok": api.Outcome.OK, "error": api.Outcome.ERROR, "full": api.Outcome.REJECTED, "reset": api.Outcome.RESET}
+NEVER_RAN = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
@@ -258,11 +272,13 @@
             self.breach("drain", f"attempt {sent.number} to converter {sent.upstream}, which is to get nothing new")
 
     def repeatable(self, kind: api.RequestClass, earlier: Sent, later: Sent) -> bool:
-        if kind.effect == "idempotent":
+        if kind.effect == api.Effect.IDEMPOTENT:
             return True
-        if kind.effect == "at_most_once" or later.at_us - earlier.at_us >= kind.memory_us:
+        if kind.effect == api.Effect.NON_IDEMPOTENT or later.at_us - earlier.at_us >= kind.idempotency_window_us:
             return False
-        return kind.group == "all" or self.model.cell(earlier.upstream) == self.model.cell(later.upstream)
+        return kind.idempotency_scope == api.IdempotencyScope.ALL or self.model.cell(
+            earlier.upstream
+        ) == self.model.cell(later.upstream)
 
     def replied(self, number: int, answer: Answer) -> None:
         client = self.clients[number]
@@ -273,7 +289,9 @@
             self.breach("answers", f"request {number} is answered though its client has gone")
         client.answers.append(answer)
         harmless = (
-            client.kind.effect == "idempotent" or client.kind.group == "all" and (client.kind.effect == "deduplicated")
+            client.kind.effect == api.Effect.IDEMPOTENT
+            or client.kind.idempotency_scope == api.IdempotencyScope.ALL
+            and (client.kind.effect == api.Effect.IDEMPOTENCY_KEY)
         )
         if answer.verdict is Verdict.REFUSED and not harmless and any(one.may_have_run() for one in client.sent):
             self.breach("refused", f"request {number} is refused, and an attempt may have run")
@@ -367,7 +385,7 @@
         self.change(step.index, api.UpstreamState.DRAINING)
 
     def _gone(self, step: Step) -> None:
-        self.change(step.index, api.UpstreamState.GONE)
+        self.change(step.index, api.UpstreamState.REMOVED)
 
     def _back(self, step: Step) -> None:
         """Under the same id, and cold: a new process."""
@@ -375,7 +393,7 @@
 
     def _unlist(self, step: Step) -> None:
         """A whole list without it."""
-        self.note(step.index, api.UpstreamState.GONE)
+        self.note(step.index, api.UpstreamState.REMOVED)
         self.tell_list(
             api.ListKind.FULL, [upstream for upstream, state in self.states.items() if state is api.UpstreamState.READY]
         )
@@ -391,7 +409,8 @@
 
     def tell_list(self, kind: api.ListKind, upstreams: list[int]) -> None:
         entries = [
-            api.Upstream(upstream, self.states[upstream], cell=self.model.cell(upstream)) for upstream in upstreams
+            api.Upstream(upstream, self.states[upstream], failure_domain=self.model.cell(upstream))
+            for upstream in upstreams
         ]
         addresses = {
             upstream: ("", upstream)
--- a/ryepier/check/plants.py
+++ b/ryepier/check/plants.py
@@ -69,7 +69,7 @@
 
 def careless_resend() -> None:
     """What was reset is taken for never run."""
-    never_ran = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.RESET)
+    never_ran = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.RESET)
 
     def first_not_reset(self: Request) -> Attempt | None:
         return next((attempt for attempt in self.attempts if attempt.ended not in never_ran), None)
@@ -88,11 +88,11 @@
 
     def may_send_later(self: Balancer, request: Request) -> bool:
         kind = self.class_of(request)
-        had, kind.memory_us = kind.memory_us, kind.memory_us * 100
+        had, kind.idempotency_window_us = kind.idempotency_window_us, kind.idempotency_window_us * 100
         try:
             return may_send(self, request)
         finally:
-            kind.memory_us = had
+            kind.idempotency_window_us = had
 
     Balancer.may_send = may_send_later  # type: ignore[method-assign]
 
@@ -153,7 +153,7 @@
     carry_out = Host._carry_out
 
     def refuse(self: Host, action: api.Action) -> None:
-        carry_out(self, api.Refuse(action.request) if isinstance(action, api.Fail) else action)
+        carry_out(self, api.Reject(action.request) if isinstance(action, api.Fail) else action)
 
     Host._carry_out = refuse  # type: ignore[method-assign]
 
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -86,7 +86,7 @@
                         "host": host,
                         "port": port,
                         "state": entry.state.value,
-                        "cell": entry.cell,
+                        "cell": entry.failure_domain,
                     }
                 ),
                 flush=True,
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -116,7 +116,7 @@
         self.hop = hop
         chain = world.chain
         aim_us = chain.same_aim_us or AIM_A_HOP_US * (chain.depth - hop)
-        kind = api.RequestClass("work", aim_us, chain.deadline_us, late_worth=0.5, effect=chain.effect)
+        kind = api.RequestClass("work", aim_us, chain.deadline_us, late_weight=0.5, effect=api.Effect(chain.effect))
         settings = api.Settings([kind], instances=chain.instances, max_attempts=4, max_retry_after_us=500_000)
         self.host = Host(settings, seed, self, world.clock)
         entries = [api.Upstream(number + 1) for number in range(chain.instances)]
--- a/ryepier/experiments/storms/planted.py
+++ b/ryepier/experiments/storms/planted.py
@@ -19,7 +19,10 @@
         storm = self.storm
         if not storm.active:
             return usual(self, request)
-        return min(storm.wait_us[min(request.event.tries, len(storm.wait_us) - 1)], self.settings.max_retry_after_us)
+        return min(
+            storm.retry_after_us[min(request.event.retry_number, len(storm.retry_after_us) - 1)],
+            self.settings.max_retry_after_us,
+        )
 
     Balancer.retry_after_us = all_alike  # type: ignore[method-assign]
 
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -5,7 +5,7 @@
 import os
 from collections.abc import Callable, Sequence
 
-from ryepier.balancer.interface import Settings
+from ryepier.balancer.interface import Effect, Settings
 from ryepier.conf import operators as conf
 from ryepier.graphql import answers
 from ryepier.graphql.classify import ClassRule, FieldRule, Table
@@ -175,7 +175,7 @@
         head = b"Content-Type: %s\r\n" % call.answer_type
         if answer.verdict is Verdict.REFUSED:
             return 503, answers.refused(answer.retry_after_us), head + retry_after(answer.retry_after_us)
-        harmless = self.settings.classes[call.class_index].effect == "idempotent"
+        harmless = self.settings.classes[call.class_index].effect == Effect.IDEMPOTENT
         return 500, answers.failed(harmless), head
 
     def rejected(self, target: bytes, reject: RequestError) -> Reply:
--- a/ryepier/plan/report.py
+++ b/ryepier/plan/report.py
@@ -11,7 +11,7 @@
 from ryepier.balancer.interface import Outcome
 from ryepier.plan.messages import TIME_BUCKETS, Report, Seen, Term, bucket_of
 
-BAD = frozenset((Outcome.ERROR, Outcome.RESET, Outcome.SPOILT, Outcome.TIMEOUT, Outcome.CONNECT_FAILED))
+BAD = frozenset((Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.TIMEOUT, Outcome.CONNECT_FAILED))
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
         if outcome is Outcome.OK:
             notes.served += 1
             notes.times[bucket_of(elapsed_us)] += 1
-        elif outcome is Outcome.FULL:
+        elif outcome is Outcome.REJECTED:
             notes.full += 1
         elif outcome in BAD and not counted:
             notes.bad += 1
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -30,7 +30,7 @@
 MOST_WAITS = 5  # doublings of that pause while what comes can't be read
 FIRST_LIST_S = 0.3  # its agent answers at once, if it answers at all
 LONGEST_LIST = 4 * 1024 * 1024  # 10,000 entries with room to spare
-STATES = {"active": UpstreamState.READY, "leaving": UpstreamState.DRAINING, "left": UpstreamState.GONE}
+STATES = {"active": UpstreamState.READY, "leaving": UpstreamState.DRAINING, "left": UpstreamState.REMOVED}
 Address = tuple[str, int]
 Listener = Callable[[UpstreamsUpdated, dict[int, Address]], None]
 
@@ -68,7 +68,7 @@
             self.idents = {uid: ident for uid, ident in self.idents.items() if uid in listed}
             self.heard = {uid: heard for uid, heard in self.heard.items() if uid in listed}
         for line in lines["targets"]:
-            if STATES[line["state"]] is UpstreamState.GONE:
+            if STATES[line["state"]] is UpstreamState.REMOVED:
                 self.idents.pop(line["uid"], None)
                 self.heard.pop(line["uid"], None)
         event = UpstreamsUpdated(kind, entries, int(lines["rev"]))
@@ -96,7 +96,7 @@
             state=STATES[line["state"]],
             zone=self.zones.index(line["az"]) if line["az"] in self.zones else len(self.zones),
             kind=self.kinds.index(line["model"]) if line["model"] in self.kinds else len(self.kinds),
-            cell=int(line["pod_group"]),
+            failure_domain=int(line["pod_group"]),
             weight=float(line["capacity_hint"]),
             # hazard: by a calendar that is behind, it has not started yet, and would count as cold for as long
             started_us=min(boot_ms * 1000 + self.to_clock_us, self.heard[uid][1]) if boot_ms else 0,
--- a/ryepier/sidecar/host.py
+++ b/ryepier/sidecar/host.py
@@ -282,7 +282,7 @@
             if self.recogniser is not None:
                 self.recogniser.unserved(request.call)
             self._finish(request)
-            self._tell(api.RequestGone(ident))
+            self._tell(api.ClientDisconnected(ident))
 
     def list_changed(self, event: api.UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         """Discovery has spoken; `addresses` has those of the entries of the event."""
@@ -301,7 +301,7 @@
         """There is new advice for the module."""
         self._tell(event)
 
-    def stormed(self, event: api.StormUpdated) -> None:
+    def stormed(self, event: api.RetryStormUpdated) -> None:
         """There is a new word on clients' retries."""
         self._tell(event)
 
@@ -351,7 +351,7 @@
             request = self.requests.get(getattr(event, "request", 0))
             if request is not None and not request.over:
                 self._answer(request.ident, Answer(Verdict.FAILED))
-                self.events.append(api.RequestGone(request.ident))
+                self.events.append(api.ClientDisconnected(request.ident))
             return
         for action in actions:
             try:
@@ -362,7 +362,7 @@
     def _carry_out(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._send(action)
-        elif isinstance(action, api.Refuse):
+        elif isinstance(action, api.Reject):
             self._answer(action.request, Answer(Verdict.REFUSED, retry_after_us=action.retry_after_us))
         elif isinstance(action, api.Fail):
             self._answer(action.request, Answer(Verdict.FAILED))
@@ -394,7 +394,7 @@
         if not request.over:
             log.warning("a request was overdue")
             self._answer(request.ident, Answer(Verdict.FAILED))
-            self._tell(api.RequestGone(request.ident))
+            self._tell(api.ClientDisconnected(request.ident))
 
     def _answer(self, ident: int, answer: Answer) -> None:
         """The one place of final answers."""
--- a/ryepier/sidecar/parts.py
+++ b/ryepier/sidecar/parts.py
@@ -81,7 +81,7 @@
         config.discovery,
         Directory(config.zones, config.kinds),
         host.list_changed,
-        pushed=not config.settings.list_on_request,
+        pushed=not config.settings.polls_endpoints,
         known=config.known,
     )
 
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from ryepier.balancer.interface import Settings
+from ryepier.balancer.interface import Effect, Settings
 from ryepier.sidecar import system
 from ryepier.sidecar.host import Answer, Call, Host, Verdict, clock_us
 
@@ -165,11 +165,11 @@
         if not IDENT.fullmatch(found.get(b"x-request-id", b"")):
             raise RequestError(400, "no X-Request-Id")
         kind = self.settings.classes[index]
-        if method != (b"GET" if kind.effect == "idempotent" else b"POST"):
+        if method != (b"GET" if kind.effect == Effect.IDEMPOTENT else b"POST"):
             raise RequestError(400, "not the method of this class")
         if method == b"GET" and body:
             raise RequestError(400, "a GET has no body")
-        if kind.effect == "deduplicated":
+        if kind.effect == Effect.IDEMPOTENCY_KEY:
             if not IDENT.fullmatch(found.get(b"idempotency-key", b"")):
                 raise RequestError(400, "no Idempotency-Key")
         elif b"idempotency-key" in found:
--- a/ryepier/sidecar/upstreams.py
+++ b/ryepier/sidecar/upstreams.py
@@ -220,7 +220,7 @@
             self.finish_complete()
         elif spoilt or self.received > (LONGEST_ANSWER if self.head_done else LONGEST_HEAD):
             self.close()  # hazard: an answer without end would fill the memory
-            self.finish(Outcome.SPOILT)
+            self.finish(Outcome.MALFORMED_RESPONSE)
 
     def finish_complete(self) -> None:
         if self.closed or self.unsent:  # hazard: the rest of this request would be read as the next one
@@ -232,9 +232,9 @@
             and self.status not in TRY_LATER
         ):
             # hazard: what comes before the request is out whole was not made for it
-            outcome = Outcome.SPOILT if self.unsent else Outcome.OK
+            outcome = Outcome.MALFORMED_RESPONSE if self.unsent else Outcome.OK
         elif self.status in (503, 504) and self.not_run:
-            outcome = Outcome.FULL
+            outcome = Outcome.REJECTED
         else:
             outcome = Outcome.ERROR
         self.finish(outcome)
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -68,15 +68,15 @@
     def settings(self, index: int) -> api.Settings:
         """What sidecar `index` is set to."""
         return api.Settings(
-            classes=[api.RequestClass("read", self.aim_us, self.deadline_us, late_worth=0.3)],
+            classes=[api.RequestClass("read", self.aim_us, self.deadline_us, late_weight=0.3)],
             instances=self.sidecars,
             self_index=index,
             max_attempts=self.most_attempts,
             max_retry_after_us=2 * SECOND_US,
             warm_up_us=self.warm_up_us,
-            cold_share=self.cold_share,
+            initial_capacity_share=self.cold_share,
             overload_factor=self.overload_factor,
-            fall_us=self.fall_us,
+            overload_window_us=self.fall_us,
         )
 
 
@@ -166,10 +166,10 @@
         elif isinstance(action, api.SetTimer):
             timer = api.TimerFired(action.token)
             self.at(max(action.at_us, self.now_us), lambda: self.tell(sidecar, timer))
-        elif isinstance(action, api.Refuse | api.Fail):
+        elif isinstance(action, api.Reject | api.Fail):
             request = self.requests[action.request]
             request.ended_us = self.now_us
-            request.refused = isinstance(action, api.Refuse)
+            request.refused = isinstance(action, api.Reject)
         elif isinstance(action, api.CloseIdle):
             self.pool(sidecar, action.upstream).close_idle(self.now_us, self.now_us)
 
@@ -194,7 +194,7 @@
         if request.ended_us:
             return
         request.ended_us = self.now_us
-        self.tell(request.sidecar, api.RequestGone(ident))
+        self.tell(request.sidecar, api.ClientDisconnected(ident))
 
     # Attempts
 
@@ -215,7 +215,7 @@
             return
         self.pool(sidecar, converter.ident).take(self.now_us)
         if not converter.receive(job):
-            self.at(self.now_us + REFUSED_DIAL_US, lambda: self.end(job, converter, api.Outcome.FULL))
+            self.at(self.now_us + REFUSED_DIAL_US, lambda: self.end(job, converter, api.Outcome.REJECTED))
             return
         if send.timeout_us:
             self.at(self.now_us + send.timeout_us, lambda: self.end(job, converter, api.Outcome.TIMEOUT))
@@ -241,7 +241,7 @@
             return
         job.abandoned = True
         if outcome is not api.Outcome.CONNECT_FAILED:
-            reusable = outcome in (api.Outcome.OK, api.Outcome.FULL)
+            reusable = outcome in (api.Outcome.OK, api.Outcome.REJECTED)
             self.pool(job.sidecar, converter.ident).give_back(self.now_us, reusable)
         request = self.requests[job.request]
         final = outcome is api.Outcome.OK and not request.ended_us
@@ -277,7 +277,7 @@
 
     def tell_gone(self, chosen: list[Converter]) -> None:
         """Discovery says so."""
-        gone = [self.entry(converter, api.UpstreamState.GONE) for converter in chosen]
+        gone = [self.entry(converter, api.UpstreamState.REMOVED) for converter in chosen]
         self.tell_all(api.UpstreamsUpdated(api.ListKind.DELTA, gone))
 
     def come_back(self, chosen: list[Converter]) -> None:
--- a/ryepier/slices/listing.py
+++ b/ryepier/slices/listing.py
@@ -14,7 +14,7 @@
 from ryepier.balancer.interface import Upstream, UpstreamState
 from ryepier.slices.merge import Verdict, is_address
 
-READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
+READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 
 MOST_FLAPS = 5  # the time that it must be ready for doubles with each flap, up to 32 times
 CALM_US = 60_000_000  # ready for so long, earlier flaps are forgotten
@@ -92,7 +92,7 @@
         self.waiting.discard(identity)
         if known is None:
             return None
-        known.told = GONE
+        known.told = REMOVED
         if not is_address(identity):  # an address may come back as another process, a pod's uid never
             self.departed[identity] = known
         while len(self.departed) > MOST_DEPARTED:
--- a/ryepier/slices/source.py
+++ b/ryepier/slices/source.py
@@ -171,7 +171,7 @@
         now_us = self.clock_us()
         entries = self.listing.update(now_us, self.merger.changes(now_us))
         if first:
-            self.tell(ListKind.FULL, [one for one in self.listing.whole() if one[0].state is not UpstreamState.GONE])
+            self.tell(ListKind.FULL, [one for one in self.listing.whole() if one[0].state is not UpstreamState.REMOVED])
         elif entries:
             self.tell(ListKind.DELTA, entries)
         if self.merger.alarmed and not self.alarmed:
--- a/ryepier/storm/detect.py
+++ b/ryepier/storm/detect.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-from ryepier.balancer.interface import StormUpdated
+from ryepier.balancer.interface import RetryStormUpdated
 
 TRIES = 5  # first tries, and later ones by their number; the last stands for all beyond
 FAST_US = 1_000_000  # memory of what goes on now
@@ -93,7 +93,7 @@
     def was_refused(self, tries: int) -> None:
         self.counts.refused_first += int(tries == 0)
 
-    def tick(self, now_us: int) -> tuple[StormUpdated, Evidence, bool]:
+    def tick(self, now_us: int) -> tuple[RetryStormUpdated, Evidence, bool]:
         """What the module is told now, why, and whether a storm has just opened or closed."""
         self._fade(now_us)
         evidence = self._evidence(now_us)
@@ -111,7 +111,7 @@
         else:
             self.active = now_us - self.surged_us >= AFTER_SURGE_US and self._opens(evidence)
             self.calm_since_us = None
-        return self._told() if self.active else StormUpdated(), evidence, was != self.active
+        return self._told() if self.active else RetryStormUpdated(), evidence, was != self.active
 
     def _fade(self, now_us: int) -> None:
         since_us = max(1, now_us - self.ticked_us)
@@ -166,13 +166,13 @@
         elif now_us - self.calm_since_us >= CLOSES_AFTER_US:
             self.active = False
 
-    def _told(self) -> StormUpdated:
+    def _told(self) -> RetryStormUpdated:
         admit = [self.admitted**number for number in range(TRIES)]
         # those outside come back within the time that it takes to serve as many at the rate of now
         outside = max(0.0, sum(self.rates) - self.served) * FAST_US / 1e6
         window_us = min(LONGEST_WINDOW_US, 1e6 * outside / max(GROWTH * self.served, LEAST_RATE))
         waits = [int(min(self.longest_wait_us, max(LEAST_WINDOW_US, window_us) * 2**number)) for number in range(TRIES)]
-        return StormUpdated(True, admit, waits, self._tenant_admit(), self.whole_seconds)
+        return RetryStormUpdated(True, admit, waits, self._tenant_admit(), self.whole_seconds)
 
     def _tenant_admit(self) -> list[float]:
         """Of each tenant's later tries: one whose demand is beyond its share does not come back at others' cost."""
--- a/ryepier/storm/guard.py
+++ b/ryepier/storm/guard.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from ryepier.balancer.interface import Outcome, StormUpdated
+from ryepier.balancer.interface import Outcome, RetryStormUpdated
 from ryepier.storm.detect import Detector
 from ryepier.storm.sketch import Unserved, fingerprint
 
@@ -46,12 +46,14 @@
 class Guard:
     """Recognises tries and observes ends for a host; see `ryepier.sidecar.host`."""
 
-    def __init__(self, detector: Detector, told: Callable[[StormUpdated], None], clock_us: Callable[[], int]) -> None:
+    def __init__(
+        self, detector: Detector, told: Callable[[RetryStormUpdated], None], clock_us: Callable[[], int]
+    ) -> None:
         self.detector = detector
         self.told = told
         self.clock_us = clock_us
         self.unserved_of_late = Unserved(clock_us())
-        self.last = StormUpdated()
+        self.last = RetryStormUpdated()
         self.task: asyncio.Task[None] | None = None
 
     # As the host's recogniser
--- a/tests/net.py
+++ b/tests/net.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from ryepier.balancer.interface import RequestClass, Settings
+from ryepier.balancer.interface import Effect, IdempotencyScope, RequestClass, Settings
 from ryepier.sidecar.__main__ import serve
 from ryepier.sidecar.config import Config
 
@@ -28,16 +28,18 @@
 
 def classes() -> list[RequestClass]:
     return [
-        RequestClass("read", aim_us=1_000_000, deadline_us=20_000_000, late_worth=0.5),
-        RequestClass("pay", aim_us=1_000_000, deadline_us=20_000_000, late_worth=0.5, effect="at_most_once"),
+        RequestClass("read", latency_objective_us=1_000_000, deadline_us=20_000_000, late_weight=0.5),
+        RequestClass(
+            "pay", latency_objective_us=1_000_000, deadline_us=20_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT
+        ),
         RequestClass(
             "mark",
-            aim_us=1_000_000,
+            latency_objective_us=1_000_000,
             deadline_us=20_000_000,
-            late_worth=0.5,
-            effect="deduplicated",
-            group="cell",
-            memory_us=20_000_000,
+            late_weight=0.5,
+            effect=Effect.IDEMPOTENCY_KEY,
+            idempotency_scope=IdempotencyScope.FAILURE_DOMAIN,
+            idempotency_window_us=20_000_000,
         ),
     ]
 
@@ -290,8 +292,8 @@
         "max_attempts": 4,
         "connect_timeout_us": 10_000_000,
         "max_retry_after_us": 1_000_000,
-        "list_on_request": discovery is not None,
-        "ask_within_us": 10_000_000,
+        "polls_endpoints": discovery is not None,
+        "max_poll_interval_us": 10_000_000,
     }
     known = known or listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     port, stop, reload = free_port(), asyncio.Event(), asyncio.Event()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,8 +15,8 @@
 
 def light_world(seed: int) -> World:
     """One sidecar with little traffic before upstreams that are never busy."""
-    read = RequestClass("read", aim_us=AIM_US, deadline_us=1_500_000, late_worth=0.3)
-    world = World(settings(classes=[read], second_copies=False, warm_up_us=0), seed)
+    read = RequestClass("read", latency_objective_us=AIM_US, deadline_us=1_500_000, late_weight=0.3)
+    world = World(settings(classes=[read], hedging=False, warm_up_us=0), seed)
     world.tell_list(upstreams(12))
     return world
 
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -7,13 +7,13 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.interface import (
     AttemptEnded,
+    ClientDisconnected,
     Fail,
     Outcome,
     PeerMessage,
     ProbeEnded,
     RequestArrived,
     RequestClass,
-    RequestGone,
     StreamStarted,
     Tenant,
     TimerFired,
@@ -28,7 +28,7 @@
     world.tell_list(upstreams(3))
     for event in (
         AttemptEnded(77, 0, 100, Outcome.OK, 5, True),
-        RequestGone(77),
+        ClientDisconnected(77),
         TimerFired(123456),
         StreamStarted(77, 0, 100, 5),
         ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
@@ -46,10 +46,10 @@
     world.quit(request)
     assert world.end(request, 0, Outcome.ERROR) == []
     assert world.tell(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
-    assert world.tell(RequestGone(request)) == []
+    assert world.tell(ClientDisconnected(request)) == []
     served = world.arrive(0)
     world.end(served, 0, Outcome.OK)
-    assert world.tell(RequestGone(served)) == []
+    assert world.tell(ClientDisconnected(served)) == []
 
 
 def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
@@ -83,15 +83,15 @@
 @pytest.mark.parametrize(
     ("make", "words"),
     [
-        (lambda: RequestClass("x", 0, 10), "aim_us above 0"),
+        (lambda: RequestClass("x", 0, 10), "latency_objective_us above 0"),
         (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
-        (lambda: RequestClass("x", 10, 10, effect="maybe"), "idempotent, deduplicated, at_most_once"),
-        (lambda: RequestClass("x", 10, 10, group="planet"), "all, zone, cell"),
-        (lambda: RequestClass("x", 10, 10, late_worth=2), "late_worth from 0 to 1"),
+        (lambda: RequestClass("x", 10, 10, effect="maybe"), "idempotent, deduplicated, at_most_once"),  # type: ignore[arg-type]
+        (lambda: RequestClass("x", 10, 10, idempotency_scope="planet"), "all, zone, cell"),  # type: ignore[arg-type]
+        (lambda: RequestClass("x", 10, 10, late_weight=2), "late_weight from 0 to 1"),
         (lambda: Tenant("t", -1), "allowance_per_s of 0 or more"),
         (lambda: settings(max_attempts=-1), "max_attempts of 1 or more"),
         (lambda: settings(instances=0), "instances of 1 or more"),
-        (lambda: settings(cold_share=0), "cold_share above 0"),
+        (lambda: settings(initial_capacity_share=0), "initial_capacity_share above 0"),
         (lambda: settings(warm_up_us=-5), "warm_up_us of 0 or more"),
         (lambda: settings(classes=[]), "at least one request class"),
     ],
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -18,6 +18,7 @@
 from ryepier.balancer.interface import (
     Advice,
     AttemptEnded,
+    Effect,
     Event,
     ListKind,
     Outcome,
@@ -76,13 +77,13 @@
         self.case = case
         self.dice = random.Random(case.seed)
         self.config: Settings = settings(
-            classes=[RequestClass("read", 600_000, 1_500_000, effect="at_most_once")],
+            classes=[RequestClass("read", 600_000, 1_500_000, effect=Effect.NON_IDEMPOTENT)],
             instances=case.sidecars,
-            second_copies=False,
-            cold_share=0.12,
+            hedging=False,
+            initial_capacity_share=0.12,
             warm_up_us=20_000_000,
             overload_factor=4.0,
-            fall_us=3_000_000,
+            overload_window_us=3_000_000,
         )
         self.now_us = START_US
         self.balancers = [Balancer(self.config, case.seed * 100 + n, START_US) for n in range(case.sidecars)]
@@ -114,7 +115,7 @@
     def warmth(self, converter: Converter, at_us: int) -> float:
         if converter.started_us == 0 or at_us >= converter.started_us + self.config.warm_up_us:
             return 1.0
-        share = self.config.cold_share
+        share = self.config.initial_capacity_share
         return share + (1 - share) * (at_us - converter.started_us) / self.config.warm_up_us
 
     def serve(self, sidecar: int, send: Send) -> None:
@@ -125,7 +126,7 @@
         end_us = free_us + int(cost_us / self.warmth(converter, at_us))
         how, until_us = Outcome.OK, at_us + send.timeout_us
         if free_us > at_us + QUEUE_US:
-            how, end_us = Outcome.FULL, at_us + 1_000
+            how, end_us = Outcome.REJECTED, at_us + 1_000
         else:
             heapq.heapreplace(converter.free_us, end_us)
             if end_us > until_us:
@@ -183,15 +184,15 @@
         for at_us, cost in converter.got:
             window.append((at_us, cost))
             work += cost
-            while window[0][0] <= at_us - self.config.fall_us:
+            while window[0][0] <= at_us - self.config.overload_window_us:
                 work -= window.popleft()[1]
             # a window ends with each request; no capacity is counted that came only after its start
-            start_us = max(converter.started_us, at_us - self.config.fall_us)
+            start_us = max(converter.started_us, at_us - self.config.overload_window_us)
             allowed = (
                 self.config.overload_factor
                 * self.warmth(converter, start_us)
                 * CAPACITY
-                * self.config.fall_us
+                * self.config.overload_window_us
                 / 1_000_000
             )
             worst = max(worst, work / (allowed + 2 * allowed**0.5 + 2))
@@ -256,7 +257,7 @@
 
 def fails_then_starts_again() -> World:
     """It could not be reached for seconds, and then is listed with a new start, 5 s ago."""
-    world = World(settings(second_copies=False))
+    world = World(settings(hedging=False))
     world.tell_list(upstreams(4))
     for _ in range(400):
         request = world.arrive(PAY)
@@ -288,7 +289,7 @@
 
 
 def test_a_plans_advice_outlasts_a_start() -> None:
-    world = World(settings(second_copies=False))
+    world = World(settings(hedging=False))
     world.tell_list(upstreams(4))
     world.tell(PlanUpdated([Advice(AGAIN, ejected=True)]))
     world.tell_list([Upstream(AGAIN, started_us=world.now_us - 5_000_000)], ListKind.DELTA)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 
 def light_world(**changes: object) -> World:
     """One of forty sidecars: it uses a few of 30 upstreams, and gets 20 requests a second."""
-    world = World(settings(second_copies=False, instances=40, overload_factor=4.0, **changes))
+    world = World(settings(hedging=False, instances=40, overload_factor=4.0, **changes))
     world.tell_list(upstreams(30))
     serve(world, 100)
     return world
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize(("sidecars", "longest_us"), [(3, 260_000), (40, 2_010_000)])
 def test_sidecars_whose_list_calls_failed_together_come_again_one_by_one(sidecars: int, longest_us: int) -> None:
-    config = settings(list_on_request=True, ask_within_us=10_000_000, instances=sidecars)
+    config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
     asked = sorted(first_asks_us(World(config, seed)) for seed in range(40))
     assert asked[-1] <= longest_us
     quarter = longest_us // 4
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from ryepier.balancer.interface import RequestClass
+from ryepier.balancer.interface import Effect, RequestClass
 from ryepier.sidecar import system
 from ryepier.sidecar.host import Call, Host, Result
 from tests.net import (
@@ -38,8 +38,8 @@
 LATE_S = 0.3  # for so long a loop is held
 REST_S = 1.0  # longer than a converter that failed rests
 KINDS = [
-    RequestClass("pay", 10_000_000, 20_000_000, late_worth=0.5, effect="at_most_once"),
-    RequestClass("read", 10_000_000, 20_000_000, late_worth=0.5),
+    RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT),
+    RequestClass("read", 10_000_000, 20_000_000, late_weight=0.5),
 ]
 
 
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -19,7 +19,7 @@
 
 
 def asking_world() -> World:
-    world = World(settings(list_on_request=True, ask_within_us=10_000_000))
+    world = World(settings(polls_endpoints=True, max_poll_interval_us=10_000_000))
     world.tell_list(upstreams(4), ListKind.CACHED)
     return world
 
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -97,7 +97,7 @@
     converters = [Converter(n, 4, 4) for n in range(3)]
     chooser = choosers.RandomChoice(1, converters)
     chooser.handle(0, api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(n) for n in range(3)]))
-    gone = [api.Upstream(n, api.UpstreamState.GONE) for n in (0, 2)]
+    gone = [api.Upstream(n, api.UpstreamState.REMOVED) for n in (0, 2)]
     chooser.handle(0, api.UpstreamsUpdated(api.ListKind.DELTA, gone))
     assert chooser.handle(0, api.RequestArrived(7, 10)) == [api.Send(7, 1)]
 
@@ -212,17 +212,17 @@
 @pytest.mark.parametrize("weight", [0.0, -1.0, math.inf, math.nan])
 def test_a_weight_that_says_nothing_counts_as_the_usual_one(weight: float) -> None:
     entries = [api.Upstream(n, weight=weight if n == 3 else 1.0) for n in range(4)]
-    sent = share_by_upstream(settings(second_copies=False, weighted=True), entries)
+    sent = share_by_upstream(settings(hedging=False, weighted=True), entries)
     assert sum(sent.values()) == 200 and min(sent.get(n, 0) for n in range(4)) >= 10
 
 
 def test_an_upstream_that_is_listed_twice_gets_one_part() -> None:
     entries = [api.Upstream(n) for n in (0, 1, 2, 3, 3, 3)]
-    sent = share_by_upstream(settings(second_copies=False), entries)
+    sent = share_by_upstream(settings(hedging=False), entries)
     assert sum(sent.values()) == 200 and 10 <= sent[3] <= 100
 
 
 def test_an_index_beyond_the_instances_changes_no_decision() -> None:
     entries = [api.Upstream(n) for n in range(8)]
-    known, beyond = (settings(second_copies=False, instances=3, self_index=index) for index in (0, 99))
+    known, beyond = (settings(hedging=False, instances=3, self_index=index) for index in (0, 99))
     assert share_by_upstream(known, entries) == share_by_upstream(beyond, entries)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from ryepier.balancer.interface import Outcome, RequestClass, Tenant
+from ryepier.balancer.interface import Effect, IdempotencyScope, Outcome, RequestClass, Tenant
 from ryepier.sidecar import system
 from ryepier.sidecar.host import Answer, Call, Host, Result
 from ryepier.sidecar.server import Client, Server, State
@@ -43,7 +43,7 @@
     until,
 )
 
-SHORT = [RequestClass("pay", aim_us=200_000, deadline_us=400_000, effect="at_most_once")]
+SHORT = [RequestClass("pay", latency_objective_us=200_000, deadline_us=400_000, effect=Effect.NON_IDEMPOTENT)]
 
 
 def taken(monkeypatch: pytest.MonkeyPatch) -> list[Call]:
@@ -82,7 +82,7 @@
 def test_what_comes_whole_after_a_stop_is_answered_before_the_kill_and_not_by_its_own_time() -> None:
     async def test() -> None:
         upstream = Upstream(silent)
-        kinds = [RequestClass("pay", 1_000_000, 2_000_000, late_worth=0.5, effect="at_most_once")]
+        kinds = [RequestClass("pay", 1_000_000, 2_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT)]
         async with sidecar(upstream, classes=kinds) as it:
             whole = request("pay", body=b"ab", deadline_ms=2_000)
             reader, writer = await it.connect()
@@ -216,7 +216,13 @@
 ) -> None:
     kinds = [
         RequestClass(
-            "mark", 2_000_000, 6_000_000, late_worth=0.5, effect="deduplicated", group="cell", memory_us=600_000
+            "mark",
+            2_000_000,
+            6_000_000,
+            late_weight=0.5,
+            effect=Effect.IDEMPOTENCY_KEY,
+            idempotency_scope=IdempotencyScope.FAILURE_DOMAIN,
+            idempotency_window_us=600_000,
         )
     ]
     held = HeldDials()
@@ -230,7 +236,7 @@
             raise ConnectionResetError
 
         one, other = Upstream(script), Upstream(script)
-        async with sidecar(one, other, classes=kinds, second_copies=False) as it:
+        async with sidecar(one, other, classes=kinds, hedging=False) as it:
             answer = asyncio.create_task(it.ask(request("mark", deadline_ms=6_000)))
             await until(lambda: held.begun == 1)
             await asyncio.sleep(0.7)
@@ -248,7 +254,7 @@
 
     async def test() -> None:
         upstream = Upstream(answering(OK))
-        async with sidecar(upstream, discovery=discovery, list_on_request=False) as it:
+        async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as it:
             await discovery.watched()
             held.hold(upstream, monkeypatch)
             answer = asyncio.create_task(it.ask(request("pay")))
@@ -321,7 +327,7 @@
     async def test() -> None:
         old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
         await new.start()
-        async with sidecar(old, discovery=discovery, list_on_request=False) as it:
+        async with sidecar(old, discovery=discovery, polls_endpoints=False) as it:
             await discovery.watched()
             first = listing(entry("u0", old.port, "leaving"), rev=2, full=False)
             second = listing(entry('\u00fc}"\\', new.port), rev=3, full=False)
@@ -353,7 +359,7 @@
 def test_a_list_that_is_cut_off_or_none_leaves_the_last_sound_one_and_is_asked_for_anew(spoilt: bytes) -> None:
     async def test() -> None:
         upstream, discovery = Upstream(answering(OK)), Discovery()
-        async with sidecar(upstream, discovery=discovery, list_on_request=False) as it:
+        async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as it:
             await discovery.watched()
             discovery.piece(spoilt)
             await discovery.writers[-1].drain()
@@ -369,7 +375,7 @@
 def test_a_list_that_stays_unreadable_is_asked_for_with_growing_pauses() -> None:
     async def test() -> None:
         discovery = Discovery(first={"rev": 1, "all": True, "targets": [{"uid": "u0"}]})
-        async with sidecar(Upstream(answering(OK)), discovery=discovery, list_on_request=False) as it:
+        async with sidecar(Upstream(answering(OK)), discovery=discovery, polls_endpoints=False) as it:
             await until(lambda: len(discovery.calls) == 3)
             began = asyncio.get_running_loop().time()
             await until(lambda: len(discovery.calls) == 4)
@@ -401,7 +407,7 @@
             let.set()
 
         task = asyncio.create_task(early())
-        async with sidecar(discovery=discovery, known=known, list_on_request=False) as it:
+        async with sidecar(discovery=discovery, known=known, polls_endpoints=False) as it:
             assert status(await it.ask(request())) == 200
         await task
         assert not old.requests and len(new.requests) == 1
@@ -414,7 +420,7 @@
 def test_with_its_agent_silent_a_sidecar_starts_with_the_list_it_knows() -> None:
     async def test() -> None:
         discovery = Discovery()  # it takes the call and says nothing
-        async with sidecar(Upstream(answering(OK)), discovery=discovery, list_on_request=False) as it:
+        async with sidecar(Upstream(answering(OK)), discovery=discovery, polls_endpoints=False) as it:
             assert status(await it.ask(request())) == 200
 
     run(test)
@@ -427,7 +433,7 @@
         await second.start()
         second.first = listing(entry("u1", new.port), rev=1)
         path = configuration(tmp_path, discovery=f"127.0.0.1:{second.port}")
-        async with sidecar(old, discovery=first, path=str(path), list_on_request=False) as it:
+        async with sidecar(old, discovery=first, path=str(path), polls_endpoints=False) as it:
             await first.watched()
             first.line(listing(entry("u0", old.port), rev=900))
             first.stop()  # both in one turn of the loop
@@ -458,7 +464,7 @@
         let = asyncio.Event()
 
         upstream = Upstream(holding(let))  # one slot
-        kinds = [RequestClass("pay", 10_000_000, 20_000_000, late_worth=0.5, effect="at_most_once")]
+        kinds = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT)]
         async with sidecar(upstream, classes=kinds) as it:
             first = asyncio.create_task(it.ask(request("pay", "1")))
             await until(lambda: len(upstream.requests) == 1)
@@ -502,7 +508,9 @@
 
 def test_an_answer_that_comes_in_the_turn_of_its_attempts_time_out_is_the_answer() -> None:
     async def test() -> None:
-        kinds = [RequestClass("read", aim_us=400_000, deadline_us=20_000_000, late_worth=0.5)]  # times out after 0.4 s
+        kinds = [
+            RequestClass("read", latency_objective_us=400_000, deadline_us=20_000_000, late_weight=0.5)
+        ]  # times out after 0.4 s
 
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -512,7 +520,7 @@
             writer.write(OK)
 
         upstream = Upstream(script)
-        async with sidecar(upstream, classes=kinds, second_copies=False) as it:
+        async with sidecar(upstream, classes=kinds, hedging=False) as it:
             assert status(await it.ask(request())) == 200
         assert len(upstream.requests) == 1  # the attempt was not given up, and nothing was sent again
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -220,7 +220,7 @@
     assert follower.offer(0, plan, LISTED) == "" and follower.class_admit(0) == plan.class_admit
     assert 0.5 < follower.class_admit(15 * S)[0] < 1.0 and follower.class_admit(60 * S) == []
     made = balancer(4)
-    admitted = sends(made, 4, PlanUpdated(class_admit=[0.5]))
+    admitted = sends(made, 4, PlanUpdated(class_admission=[0.5]))
     assert len(admitted) == 2
 
 
@@ -352,7 +352,7 @@
 
 
 def balancer(count: int) -> Balancer:
-    settings = Settings(classes=[RequestClass("read", aim_us=S, deadline_us=10 * S)], max_attempts=2)
+    settings = Settings(classes=[RequestClass("read", latency_objective_us=S, deadline_us=10 * S)], max_attempts=2)
     made = Balancer(settings, seed=3, now_us=1)
     made.handle(1, UpstreamsUpdated(ListKind.FULL, [Upstream(i) for i in range(count)]))
     return made
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -54,7 +54,7 @@
     config: Config = load(str(configuration(tmp_path)))
     assert (config.seed, config.sockets, config.idle_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
-    assert config.settings.zone == 1 and config.settings.list_on_request and config.settings.weighted
+    assert config.settings.zone == 1 and config.settings.polls_endpoints and config.settings.weighted
     assert config.settings.report_names == ["in_flight", "queued"]
     assert [kind.effect for kind in config.settings.classes] == ["at_most_once"]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,6 +11,8 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.interface import (
     AttemptEnded,
+    Effect,
+    IdempotencyScope,
     ListKind,
     Outcome,
     RequestArrived,
@@ -39,13 +41,13 @@
 
 CONFIGS = st.fixed_dictionaries(
     {
-        "second_copies": st.booleans(),
-        "list_on_request": st.booleans(),
+        "hedging": st.booleans(),
+        "polls_endpoints": st.booleans(),
         "cancel": st.booleans(),
         "max_attempts": st.integers(1, 5),
         "instances": st.integers(1, 8),
         "retry_after": st.booleans(),
-        "ask_within_us": st.sampled_from([0, 10_000_000]),
+        "max_poll_interval_us": st.sampled_from([0, 10_000_000]),
         "probes": st.booleans(),
         "report_names": st.sampled_from([[], ["utilization"], ["in_flight", "queued", "latency_ms"]]),
     }
@@ -55,8 +57,17 @@
 def many_classes() -> list[RequestClass]:
     return [
         *classes(),
-        RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", memory_us=400_000),
-        RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True),
+        RequestClass(
+            "zoned",
+            200_000,
+            900_000,
+            effect=Effect.IDEMPOTENCY_KEY,
+            idempotency_scope=IdempotencyScope.ZONE,
+            idempotency_window_us=400_000,
+        ),
+        RequestClass(
+            "feed", 200_000, 900_000, effect=Effect.IDEMPOTENCY_KEY, idempotency_window_us=9_000_000, stream=True
+        ),
     ]
 
 
@@ -76,7 +87,7 @@
     elif what == "full":
         assert isinstance(extra, ListKind)
         world.tell_list(upstreams(number), extra)
-    elif what == "fail" and world.settings.list_on_request:
+    elif what == "fail" and world.settings.polls_endpoints:
         world.tell(UpstreamsUpdated(ListKind.FAILED))
     elif what == "quit" and world.owed:
         ident = list(world.owed)[number % len(world.owed)]
@@ -137,9 +148,9 @@
 def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
-            "second_copies": seed % 2 == 0,
-            "list_on_request": seed % 3 == 0,
-            "ask_within_us": 10_000_000,
+            "hedging": seed % 2 == 0,
+            "polls_endpoints": seed % 3 == 0,
+            "max_poll_interval_us": 10_000_000,
             "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3],
             "probes": seed % 4 == 0,
         }
@@ -147,7 +158,7 @@
 
 
 def pushed_share(skew: list[int], outcome: Outcome, cost_us: int = 0) -> float:
-    """The most work that sidecars together send one cold upstream in any `fall_us`, over its budget there.
+    """The most work that sidecars together send one cold upstream in any `overload_window_us`, over its budget there.
 
     The upstream is new among nine of one core, which serve in turn and turn away what would wait over 300 ms;
     requests take 40 ms of a warm one. Each sidecar gets `skew` requests a tick of 4 ms: up to 26 times what
@@ -157,7 +168,9 @@
     listed = [Upstream(1, started_us=START_US), *[Upstream(n) for n in range(2, 11)]]
 
     def warmth(at_us: int) -> float:
-        return config.cold_share + (1 - config.cold_share) * (at_us - START_US) / config.warm_up_us
+        return (
+            config.initial_capacity_share + (1 - config.initial_capacity_share) * (at_us - START_US) / config.warm_up_us
+        )
 
     free_us = {entry.id: START_US for entry in listed}
     sent: list[int] = []
@@ -189,7 +202,7 @@
                     ready_us = max(free_us[action.upstream], now_us) + int(40_000 / slower)
                     how = outcome if action.upstream == 1 else Outcome.OK
                     if how is not Outcome.OK or ready_us > now_us + 300_000:
-                        ready_us, how = now_us + 4_000, Outcome.FULL if how is Outcome.OK else how
+                        ready_us, how = now_us + 4_000, Outcome.REJECTED if how is Outcome.OK else how
                     else:
                         free_us[action.upstream] = ready_us
                     ends.append((ready_us, number, action.request, action.upstream, nth, how, now_us))
@@ -198,12 +211,12 @@
         now_us += 4_000
     worst = 0.0
     for start in sent:
-        pushed = 40_000 * sum(1 for at in sent if start <= at < start + config.fall_us)
-        worst = max(worst, pushed / (config.overload_factor * warmth(start) * config.fall_us))
+        pushed = 40_000 * sum(1 for at in sent if start <= at < start + config.overload_window_us)
+        worst = max(worst, pushed / (config.overload_factor * warmth(start) * config.overload_window_us))
     return worst
 
 
 def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
-        for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED):
+        for outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.CONNECT_FAILED):
             assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ryepier.balancer.balancer import MAX_SLOTS, Balancer
-from ryepier.balancer.interface import AttemptEnded, Event, Outcome, RequestClass
+from ryepier.balancer.interface import AttemptEnded, Effect, Event, Outcome, RequestClass
 from ryepier.sidecar import server, system
 from ryepier.sidecar import upstreams as pool_of
 from ryepier.sidecar.host import Call, Result, clock_us
@@ -334,7 +334,7 @@
             async with sidecar(upstream) as it:
                 assert status(await it.ask(request("pay"))) == 500
                 assert status(await it.ask(request("pay"))) == 200
-        assert outcomes == [Outcome.SPOILT, Outcome.OK] and upstream.connections == 2
+        assert outcomes == [Outcome.MALFORMED_RESPONSE, Outcome.OK] and upstream.connections == 2
 
     run(test)
 
@@ -382,7 +382,9 @@
             await until(lambda: bool(results))
         peer.close()
         await until(lambda: bool(results))
-        assert [result.outcome for result in results] == [Outcome.SPOILT if early else Outcome.CONNECT_FAILED]
+        assert [result.outcome for result in results] == [
+            Outcome.MALFORMED_RESPONSE if early else Outcome.CONNECT_FAILED
+        ]
         assert pool.idle == {} and pool.connections == {} and connection.closed
         pool.sweeper.cancel()
 
@@ -633,7 +635,7 @@
     async def test() -> None:
         old, new, discovery = Upstream(answering(OK)), Upstream(answering(OK)), Discovery()
         await new.start()
-        async with sidecar(old, discovery=discovery, list_on_request=False) as it:
+        async with sidecar(old, discovery=discovery, polls_endpoints=False) as it:
             await discovery.watched()
             for _ in range(2):
                 discovery.writers[-1].transport.abort()
@@ -803,7 +805,9 @@
 
 
 QUICK = [
-    RequestClass(name, aim_us=200_000, deadline_us=600_000_000, late_worth=0.5, effect="at_most_once")
+    RequestClass(
+        name, latency_objective_us=200_000, deadline_us=600_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT
+    )
     for name in ("pay", "order")
 ]
 
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -34,7 +34,7 @@
 from ryepier.slices.source import Settings, SliceSource
 from tests.net import OK, PATIENCE_S, configuration, free_port, read_message, request, until
 
-READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
+READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 PORTS = [{"name": "http", "port": 80, "protocol": "TCP"}]
 
 
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -9,7 +9,7 @@
 from ryepier.slices.listing import CALM_US, RESTART_US, Listing, Rules
 from ryepier.slices.merge import Verdict
 
-READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
+READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 SETTLE_US = 1_000_000
 SECOND = 1_000_000
 
@@ -70,7 +70,7 @@
     made = listing()
     made.update(0, {"p1": verdict(), "10.0.0.9:80": verdict("10.0.0.9:80")})
     made.whole()
-    assert told(made, 1, **{"p1": None, "10.0.0.9:80": None}) == {1: GONE, 2: GONE}
+    assert told(made, 1, **{"p1": None, "10.0.0.9:80": None}) == {1: REMOVED, 2: REMOVED}
     back = {
         entry.id: entry.started_us
         for entry, _ in made.update(2, {"p1": verdict(), "10.0.0.9:80": verdict("10.0.0.9:80")})
@@ -90,9 +90,9 @@
 def test_cells_are_never_shared_by_chance() -> None:
     by_node, by_itself = listing("node"), listing()
     changes = {name: verdict(name, node=node) for name, node in (("p1", "n1"), ("p2", "n1"), ("p3", ""), ("p4", ""))}
-    cells = [entry.cell for entry, _ in by_node.update(0, changes)]
+    cells = [entry.failure_domain for entry, _ in by_node.update(0, changes)]
     assert cells[0] == cells[1] and len(set(cells)) == 3
-    assert len({entry.cell for entry, _ in by_itself.update(0, changes)}) == 4
+    assert len({entry.failure_domain for entry, _ in by_itself.update(0, changes)}) == 4
 
 
 def test_a_changed_address_is_told() -> None:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -13,7 +13,7 @@
     ListKind,
     Log,
     Outcome,
-    Refuse,
+    Reject,
     Tenant,
     Upstream,
     UpstreamState,
@@ -58,7 +58,7 @@
     assert world.answer(taken[-1]) is None
     last = world.arrive(READ)
     answer = world.answer(last)
-    assert isinstance(answer, Refuse) and answer.retry_after_us > 0
+    assert isinstance(answer, Reject) and answer.retry_after_us > 0
 
 
 def test_the_waiting_request_takes_the_first_slot_that_frees() -> None:
@@ -73,16 +73,16 @@
     world = ready_world()
     waiting = fill(world)[-1]
     world.advance(200_000)
-    assert isinstance(world.answer(waiting), Refuse)
+    assert isinstance(world.answer(waiting), Reject)
 
 
 def test_a_request_too_near_its_due_time_is_refused_unsent() -> None:
     world = ready_world()
     request = world.arrive(READ, patience_us=1_000)
-    assert isinstance(world.answer(request), Refuse) and not world.sends(request)
+    assert isinstance(world.answer(request), Reject) and not world.sends(request)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize("class_index", [READ, PAY, MARK])
 def test_what_never_ran_is_reissued_elsewhere(outcome: Outcome, class_index: int) -> None:
     world = ready_world()
@@ -120,7 +120,7 @@
     world.tell_list([])
     request = world.arrive(READ)
     world.advance(400_000)
-    assert isinstance(world.answer(request), Refuse)
+    assert isinstance(world.answer(request), Reject)
     world.tell_list([Upstream(5)])
     assert world.sends(world.arrive(READ))
 
@@ -145,7 +145,7 @@
 
 def test_drained_upstreams_get_nothing() -> None:
     world = ready_world(2)
-    world.tell_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
+    world.tell_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.REMOVED)])
     request = world.arrive(READ)
     world.advance(1_000_000)
     assert not world.sends(request)
@@ -155,7 +155,7 @@
     world: World,
     steps: int,
     bad: int | None = None,
-    fault: Outcome = Outcome.FULL,
+    fault: Outcome = Outcome.REJECTED,
     class_index: int = READ,
     took_us: int = 10_000,
 ) -> None:
@@ -177,7 +177,7 @@
     return len(taken)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
 def test_an_upstream_that_fails_at_once_does_not_draw_more(outcome: Outcome) -> None:
     world = ready_world(5)
     churn(world, 200, 100, outcome)
@@ -221,7 +221,7 @@
         world.advance(1_000)
         for ident, owed in list(world.owed.items()):
             for attempt in owed.out():
-                world.end(ident, attempt, Outcome.FULL)
+                world.end(ident, attempt, Outcome.REJECTED)
     world.advance(10_000_000)
     assert len(world.timers) == 0
 
@@ -244,15 +244,15 @@
     world = ready_world()
     cheap = fill(world)[-1]
     dear = world.arrive(PAY)
-    assert isinstance(world.answer(cheap), Refuse) and world.answer(dear) is None
+    assert isinstance(world.answer(cheap), Reject) and world.answer(dear) is None
     late = world.arrive(READ)
-    assert isinstance(world.answer(late), Refuse)
+    assert isinstance(world.answer(late), Reject)
     world.end(world.sends()[0].request, 0, Outcome.OK)
     assert world.sends(dear)
 
 
 def test_a_tenant_beyond_its_share_yields_the_buffer() -> None:
-    world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_share_worth=0.1)
+    world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         world.arrive(READ, tenant=0)
     holder = world.balancer.buffer
@@ -262,7 +262,7 @@
 
 
 def test_a_tenant_that_is_not_known_has_no_share_and_yields_the_buffer() -> None:
-    world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_share_worth=0.1)
+    world = ready_world(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         world.arrive(READ, tenant=2)
     holder = world.balancer.buffer
@@ -281,9 +281,9 @@
     assert world.answer(request) is None and world.owed[request].answers == 1
 
 
-@pytest.mark.parametrize(("class_index", "second_copies"), [(PAY, True), (READ, False)])
-def test_no_copy_where_none_is_allowed(class_index: int, second_copies: bool) -> None:
-    world = ready_world(second_copies=second_copies)
+@pytest.mark.parametrize(("class_index", "hedging"), [(PAY, True), (READ, False)])
+def test_no_copy_where_none_is_allowed(class_index: int, hedging: bool) -> None:
+    world = ready_world(hedging=hedging)
     request = world.arrive(class_index)
     world.advance(250_000)
     assert len(world.sends(request)) == 1
@@ -360,7 +360,7 @@
 
 
 def test_when_every_attempt_fails_not_all_are_repeated() -> None:
-    world = ready_world(40, second_copies=False)
+    world = ready_world(40, hedging=False)
     errors = 0
     for _ in range(60):
         request = world.arrive(READ)
@@ -385,7 +385,7 @@
 
 
 def test_an_upstream_slower_than_the_others_is_drawn_less() -> None:
-    world = ready_world(4, second_copies=False)
+    world = ready_world(4, hedging=False)
     for _ in range(200):
         request = world.arrive(READ)
         slow = world.sends(request)[0].upstream == 100
@@ -399,7 +399,7 @@
     for n in range(50):
         world.tell_list([Upstream(1000 + n)], ListKind.DELTA)
         churn(world, 5)
-        world.tell_list([Upstream(1000 + n, UpstreamState.GONE)], ListKind.DELTA)
+        world.tell_list([Upstream(1000 + n, UpstreamState.REMOVED)], ListKind.DELTA)
     assert len(world.balancer.servers) == 4 and len(world.balancer.pools[0].subset) <= 4
 
 
@@ -462,7 +462,7 @@
 
 
 def test_a_request_known_to_be_heavy_is_not_timed_out_early() -> None:
-    world = ready_world(second_copies=False)
+    world = ready_world(hedging=False)
     churn(world, 50)
     light, heavy = world.arrive(READ, cost_us=10_000), world.arrive(READ, cost_us=200_000)
     assert world.sends(light)[0].timeout_us < 200_000 < 800_000 <= world.sends(heavy)[0].timeout_us
@@ -493,7 +493,7 @@
 def test_log_lines_are_few_on_the_worst_day() -> None:
     world = ready_world(50)
     begin_us = world.now_us
-    for fault in (Outcome.FULL, Outcome.OK, Outcome.FULL, Outcome.OK):
+    for fault in (Outcome.REJECTED, Outcome.OK, Outcome.REJECTED, Outcome.OK):
         for _ in range(30):
             churn_all(world, fault)
     assert 1 <= len(log_lines(world)) <= 1 + (world.now_us - begin_us) / 1_000_000
@@ -509,9 +509,9 @@
             world.end(ident, attempt, outcome)
 
 
-@pytest.mark.parametrize("second_copies", [True, False])
-def test_after_an_outage_that_every_answer_outlasted_requests_are_tried_again(second_copies: bool) -> None:
-    world = ready_world(2, second_copies=second_copies)
+@pytest.mark.parametrize("hedging", [True, False])
+def test_after_an_outage_that_every_answer_outlasted_requests_are_tried_again(hedging: bool) -> None:
+    world = ready_world(2, hedging=hedging)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
             world.arrive(class_index)
@@ -527,7 +527,7 @@
     return sum(1 for _ in range(count) if not world.sends(world.arrive(PAY)))
 
 
-@pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.SPOILT, Outcome.ERROR])
+@pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.ERROR])
 def test_a_fault_that_strikes_all_upstreams_alike_shuts_none(fault: Outcome) -> None:
     world = ready_world(6)
     for outcome in (Outcome.OK, fault):
@@ -538,9 +538,9 @@
     assert refused_of(world, 6) == 0
 
 
-@pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.SPOILT, Outcome.ERROR])
+@pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.ERROR])
 def test_a_part_of_the_attempts_failing_everywhere_rests_hardly_any_upstream(fault: Outcome) -> None:
-    world, chance = ready_world(9, second_copies=False), random.Random(5)
+    world, chance = ready_world(9, hedging=False), random.Random(5)
     for _ in range(500):
         requests = [world.arrive(PAY) for _ in range(6)]
         world.advance(60_000)
@@ -550,7 +550,7 @@
 
 
 def test_an_upstream_that_always_fails_rests_even_where_all_others_fail_a_part() -> None:
-    world, chance = ready_world(9, second_copies=False), random.Random(5)
+    world, chance = ready_world(9, hedging=False), random.Random(5)
     for _ in range(3000):
         request = world.arrive(PAY)
         world.advance(20_000)
@@ -578,7 +578,7 @@
 
 def test_a_class_that_an_upstream_never_answers_is_seldom_sent_there_and_the_others_are() -> None:
     kinds = classes()
-    kinds[PAY] = replace(kinds[PAY], late_worth=0.5)  # so that it is waited for to its deadline
+    kinds[PAY] = replace(kinds[PAY], late_weight=0.5)  # so that it is waited for to its deadline
     world = ready_world(classes=kinds)
     deaf = min(world.known)
 
@@ -595,7 +595,7 @@
 
 
 def test_an_upstream_slow_to_all_frees_no_more_than_one_slot() -> None:
-    world = ready_world(1, second_copies=False)
+    world = ready_world(1, hedging=False)
     for _ in range(40):  # requests that meet open slots
         both = [world.arrive(READ), world.arrive(READ)]
         world.advance(10_000)
@@ -604,7 +604,7 @@
                 world.end(request, 0, Outcome.OK)
     slots = len(fill(world)) - 1
     kind = world.settings.classes[READ]
-    world.advance(kind.aim_us - 1)
+    world.advance(kind.latency_objective_us - 1)
     assert len(fill(world)) == 1
     sent = len(world.sends())
     world.advance(1)
@@ -613,14 +613,14 @@
 
 
 def test_an_upstream_that_turns_one_class_away_keeps_its_part_of_the_others() -> None:
-    world = ready_world(second_copies=False)
+    world = ready_world(hedging=False)
     for _ in range(400):
         for request in (world.arrive(PAY), world.arrive(READ)):
             world.advance(10_000)
             for number, send in enumerate(world.sends(request)):  # a reissue follows what was turned away
                 turned = send.upstream == 100 and world.owed[request].event.class_index == PAY
                 if world.owed[request].tries[number].outcome is None:
-                    world.end(request, number, Outcome.FULL if turned else Outcome.OK)
+                    world.end(request, number, Outcome.REJECTED if turned else Outcome.OK)
         world.advance(10_000)
     late = world.sends()[-400:]
     there = [world.owed[send.request].event.class_index for send in late if send.upstream == 100]
@@ -631,7 +631,7 @@
 def test_an_upstream_that_turns_a_part_away_keeps_its_slots_if_it_is_quick_with_the_rest(
     took_us: int, keeps: bool
 ) -> None:
-    world, chance = ready_world(second_copies=False), random.Random(5)
+    world, chance = ready_world(hedging=False), random.Random(5)
     for _ in range(400):
         requests = [world.arrive(PAY) for _ in range(4)]
         world.advance(took_us)
@@ -639,26 +639,26 @@
             sent = world.sends(request)
             if sent and world.owed[request].tries[0].outcome is None:
                 turned = sent[0].upstream == 100 and chance.random() < 0.3
-                world.end(request, 0, Outcome.FULL if turned else Outcome.OK)
+                world.end(request, 0, Outcome.REJECTED if turned else Outcome.OK)
         world.advance(2_000_000 if took_us < 100_000 else 0)
     rested = any(action.upstream == 100 for action in world.log if isinstance(action, CloseIdle))
     assert rested is not keeps
 
 
 def test_an_upstream_that_turns_all_classes_away_rests() -> None:
-    world = ready_world(second_copies=False)
+    world = ready_world(hedging=False)
     for number in range(400):
         request = world.arrive(PAY if number % 2 else READ)
         world.advance(10_000)
         for attempt, send in enumerate(world.sends(request)):
             if world.owed[request].tries[attempt].outcome is None:
-                world.end(request, attempt, Outcome.FULL if send.upstream == 100 else Outcome.OK)
+                world.end(request, attempt, Outcome.REJECTED if send.upstream == 100 else Outcome.OK)
     assert sum(1 for send in world.sends()[-200:] if send.upstream == 100) < 200 / 4 / 5
 
 
 def test_a_few_slow_answers_in_the_first_second_thin_a_busy_sidecar_no_more_than_later() -> None:
     def sent_after_slow_answers(busy_us: int) -> int:
-        world = ready_world(9, second_copies=False)
+        world = ready_world(9, hedging=False)
         end_us = world.now_us + busy_us
         while world.now_us < end_us:
             requests = [world.arrive(PAY) for _ in range(3)]
@@ -676,7 +676,7 @@
 
 
 def test_a_sidecar_that_was_thinned_in_a_surge_lets_in_again_once_answers_are_quick() -> None:
-    world = ready_world(9, second_copies=False)
+    world = ready_world(9, hedging=False)
 
     def play(arrivals: int, answer_us: int) -> int:
         """So many arrivals at once, and an answer to each that was sent; how many were."""
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from ryepier.assembly.parts import parts_for
-from ryepier.balancer.interface import Outcome, Refuse, StormUpdated, Tenant
+from ryepier.balancer.interface import Outcome, Reject, RetryStormUpdated, Tenant
 from ryepier.conf import operators
 from ryepier.sidecar.__main__ import serve
 from ryepier.sidecar.config import load
@@ -81,7 +81,7 @@
         self.detector = Detector(0, shares or [1.0], 8_000_000, whole)
         self.now_us = 0
         self.changes: list[tuple[float, bool, Evidence]] = []
-        self.told = StormUpdated()
+        self.told = RetryStormUpdated()
 
     def run(
         self,
@@ -91,7 +91,7 @@
         served: float | None = None,
         tenant: int = 0,
         refused_first: float = 0.0,
-    ) -> StormUpdated:
+    ) -> RetryStormUpdated:
         served = first + later if served is None else served
         for _ in range(int(seconds * 1e6 / TICK_US)):
             for tries, rate in ((0, first), (1, later)):
@@ -113,7 +113,7 @@
     one.run(30, 100)
     one.run(5, 100, 200, served=0)
     told = one.run(3, 100, 300, served=150, refused_first=50)
-    assert told.active and told.admit[0] == 1.0 and told.admit[2] < told.admit[1] < 0.2
+    assert told.active and told.admission[0] == 1.0 and told.admission[2] < told.admission[1] < 0.2
     evidence = one.changes[0][2]
     assert "retries" in str(evidence) and evidence.later_share > 0.3
     assert "an outage over" in str(one.detector.tick(one.now_us + TICK_US)[1])
@@ -149,8 +149,8 @@
     early = one.run(2, 100, 300, served=40, refused_first=60)
     late = one.run(2, 100, 300, served=200)
     assert early.active and late.active
-    assert late.admit[1] > early.admit[1] and late.wait_us[0] < early.wait_us[0]
-    assert early.wait_us == sorted(early.wait_us) and max(early.wait_us) <= 8_000_000
+    assert late.admission[1] > early.admission[1] and late.retry_after_us[0] < early.retry_after_us[0]
+    assert early.retry_after_us == sorted(early.retry_after_us) and max(early.retry_after_us) <= 8_000_000
 
 
 def test_a_tenant_that_storms_beyond_its_share_has_its_own_retries_held_back() -> None:
@@ -160,7 +160,7 @@
         for _ in range(10):
             one.detector.arrived(0, 0)
         told = one.run(0.2, 50, 400, served=80, tenant=1)
-    assert told.active and told.tenant_admit[1] < 0.6 and told.tenant_admit[0] == 1.0
+    assert told.active and told.tenant_admission[1] < 0.6 and told.tenant_admission[0] == 1.0
 
 
 def test_next_to_no_traffic_is_never_a_storm() -> None:
@@ -181,28 +181,28 @@
 
 def test_first_tries_are_let_in_and_later_ones_by_their_share_with_final_answers_at_once() -> None:
     world = stormy()
-    world.tell(StormUpdated(True, [1.0, 0.25, 0.0], [1_000_000] * 3))
+    world.tell(RetryStormUpdated(True, [1.0, 0.25, 0.0], [1_000_000] * 3))
     firsts = [world.arrive(READ) for _ in range(3)]
     assert all(world.sends(one) for one in firsts)
     for one in firsts:
         world.end(one, 0, Outcome.OK)
-    second = [world.arrive(READ, tries=1) for _ in range(8)]
+    second = [world.arrive(READ, retry_number=1) for _ in range(8)]
     assert sum(bool(world.sends(one)) for one in second) == 2
-    third = world.arrive(READ, tries=7)
+    third = world.arrive(READ, retry_number=7)
     answer = world.answer(third)
-    assert isinstance(answer, Refuse) and 100_000 <= answer.retry_after_us <= 1_000_000
-    world.tell(StormUpdated())
-    assert world.sends(world.arrive(READ, tries=7))
+    assert isinstance(answer, Reject) and 100_000 <= answer.retry_after_us <= 1_000_000
+    world.tell(RetryStormUpdated())
+    assert world.sends(world.arrive(READ, retry_number=7))
 
 
 def test_refused_clients_are_spread_over_the_window_also_in_whole_seconds() -> None:
     for whole in (False, True):
         world = stormy()
-        world.tell(StormUpdated(True, [1.0, 0.0], [4_000_000, 8_000_000], whole_seconds=whole))
+        world.tell(RetryStormUpdated(True, [1.0, 0.0], [4_000_000, 8_000_000], retry_after_in_seconds=whole))
         after = []
         for _ in range(200):
-            answer = world.answer(world.arrive(READ, tries=1))
-            assert isinstance(answer, Refuse)
+            answer = world.answer(world.arrive(READ, retry_number=1))
+            assert isinstance(answer, Reject)
             after.append(answer.retry_after_us)
         assert max(after) <= 8_000_000 and max(after) - min(after) > 5_000_000
         most = max(sum(a <= at < a + 1_000_000 for at in after) for a in range(0, 9_000_000, 1_000_000))
@@ -212,12 +212,12 @@
 
 def test_in_a_storm_a_clients_retry_earns_no_reissue() -> None:
     def reissued(tries: int) -> int:
-        world = World(settings(max_retry_after_us=8_000_000, second_copies=False))
+        world = World(settings(max_retry_after_us=8_000_000, hedging=False))
         world.tell_list(upstreams(40))
-        world.tell(StormUpdated(True, [1.0, 1.0], [1_000_000] * 2))
+        world.tell(RetryStormUpdated(True, [1.0, 1.0], [1_000_000] * 2))
         count = 0
         for _ in range(60):
-            request = world.arrive(READ, tries=tries)
+            request = world.arrive(READ, retry_number=tries)
             for number in range(len(world.sends(request))):
                 world.end(request, number, Outcome.RESET)
             count += max(0, len(world.sends(request)) - 1)
@@ -229,10 +229,10 @@
 
 def test_only_later_tries_of_the_tenant_that_storms_are_held_back() -> None:
     world = stormy(tenants=[Tenant("a", 10.0), Tenant("b", 10.0)])
-    world.tell(StormUpdated(True, [1.0, 1.0], [1_000_000] * 2, tenant_admit=[1.0, 0.0]))
-    assert world.sends(world.arrive(READ, tries=1, tenant=0))
-    assert not world.sends(world.arrive(READ, tries=1, tenant=1))
-    assert world.sends(world.arrive(READ, tries=0, tenant=1))
+    world.tell(RetryStormUpdated(True, [1.0, 1.0], [1_000_000] * 2, tenant_admission=[1.0, 0.0]))
+    assert world.sends(world.arrive(READ, retry_number=1, tenant=0))
+    assert not world.sends(world.arrive(READ, retry_number=1, tenant=1))
+    assert world.sends(world.arrive(READ, retry_number=0, tenant=1))
 
 
 # A whole sidecar
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -150,7 +150,7 @@
 
 def follow(agent: Faulty, pushed: bool, heard: Callable[[UpstreamsUpdated], None]) -> Discovery:
     """A sidecar's module and its list, of a fleet so large that its calls are spread over as long as they may be."""
-    config = settings(list_on_request=not pushed, ask_within_us=10_000_000, instances=1_600)
+    config = settings(polls_endpoints=not pushed, max_poll_interval_us=10_000_000, instances=1_600)
     host = Host(config, 1, Pool(60_000_000, 200_000, most=10))
     host.balancer.random = Latest()
 
@@ -256,7 +256,7 @@
     `outages` say from when on (s) calls are refused, silent or reset; the last one has to be `up`."""
 
     def __init__(self, sidecars: int, calls_per_s: float, outages: list[tuple[float, str]]) -> None:
-        config = settings(list_on_request=True, ask_within_us=10_000_000, instances=sidecars)
+        config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
         self.now_us = START_US
         self.serving_us = int(1e6 / calls_per_s)
         self.outages = outages
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,7 +31,7 @@
     ),
     ("28 0300", wire.InstanceStopped()),
     ("32 0300 4d000000", api.TimerFired(77)),
-    ("3c 0300 192b6f0e", api.RequestGone(OTHER)),
+    ("3c 0300 192b6f0e", api.ClientDisconnected(OTHER)),
     (
         "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
         api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True),
@@ -44,10 +44,10 @@
 ACTIONS: list[tuple[str, wire.Reply]] = [
     ("14 0300 c4913a5d 074a1203 80380100", api.Send(TICKET, FIRST, 80000)),
     ("5a 0300 192b6f0e", api.Fail(OTHER)),
-    ("32 0300 ffffffff 0400 68692037", api.TellPeer(b"hi 7")),
+    ("32 0300 ffffffff 0400 68692037", api.SendToPeer(b"hi 7")),
     ("46 0300 01", api.Subscribe()),
     ("6e 0300 f211902c", api.CloseIdle(SECOND)),
-    ("28 0300 192b6f0e 90d00300", api.Refuse(OTHER, 250000)),
+    ("28 0300 192b6f0e 90d00300", api.Reject(OTHER, 250000)),
     ("1e 0300 7afd870000000000 4d000000", api.SetTimer(8912250, 77)),
     ("50 0300 f211902c", api.Probe(SECOND)),
     ("78 0300 1100 74776f2073657276657273206b6e6f776e", api.Log("two servers known")),
@@ -95,7 +95,11 @@
 def test_the_documented_frames() -> None:
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
     events = list(wire.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
-    assert [(i, type(e).__name__) for i, e in events] == [(3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
+    assert [(i, type(e).__name__) for i, e in events] == [
+        (3, "RequestArrived"),
+        (3, "TimerFired"),
+        (5, "ClientDisconnected"),
+    ]
     records = [
         wire.encode(3, ACTIONS[0][1]),
         wire.encode(3, ACTIONS[6][1]),
@@ -167,9 +171,12 @@
     settings = wire.parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
     assert settings == wire.parse_settings(OPTIONS)
     assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
-    assert settings.classes[2].memory_us == 1_200_000 and settings.classes[2].group == "cell"
-    assert settings.tenants[1].allowance_per_s == 152.0 and settings.ask_within_us == 10_000_000
-    assert settings.list_on_request and settings.second_copies and not settings.probes
+    assert (
+        settings.classes[2].idempotency_window_us == 1_200_000
+        and settings.classes[2].idempotency_scope == api.IdempotencyScope.FAILURE_DOMAIN
+    )
+    assert settings.tenants[1].allowance_per_s == 152.0 and settings.max_poll_interval_us == 10_000_000
+    assert settings.polls_endpoints and settings.hedging and not settings.probes
 
 
 def test_report_names_are_translated_and_unknown_ones_kept() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -14,16 +14,18 @@
     Action,
     AttemptEnded,
     Cancel,
+    ClientDisconnected,
+    Effect,
     Event,
     Fail,
     FetchList,
+    IdempotencyScope,
     ListKind,
     Outcome,
     Probe,
-    Refuse,
+    Reject,
     RequestArrived,
     RequestClass,
-    RequestGone,
     Send,
     SetTimer,
     Settings,
@@ -35,22 +37,26 @@
     UpstreamsUpdated,
 )
 
-NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
+NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 START_US = 1_000_000_000
 
 
 def classes() -> list[RequestClass]:
     return [
-        RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
-        RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once"),
+        RequestClass(
+            "read", latency_objective_us=300_000, deadline_us=1_500_000, effect=Effect.IDEMPOTENT, late_weight=0.3
+        ),
+        RequestClass(
+            "pay", latency_objective_us=300_000, deadline_us=600_000, priority_weight=5, effect=Effect.NON_IDEMPOTENT
+        ),
         RequestClass(
             "mark",
-            aim_us=400_000,
+            latency_objective_us=400_000,
             deadline_us=2_000_000,
-            worth=3,
-            effect="deduplicated",
-            group="cell",
-            memory_us=1_200_000,
+            priority_weight=3,
+            effect=Effect.IDEMPOTENCY_KEY,
+            idempotency_scope=IdempotencyScope.FAILURE_DOMAIN,
+            idempotency_window_us=1_200_000,
         ),
     ]
 
@@ -64,11 +70,11 @@
         "cancel": True,
         "max_retry_after_us": 1_000_000,
         "connect_timeout_us": 150_000,
-        "second_copies": True,
-        "cold_share": 0.2,
+        "hedging": True,
+        "initial_capacity_share": 0.2,
         "warm_up_us": 20_000_000,
         "overload_factor": 2.5,
-        "fall_us": 1_000_000,
+        "overload_window_us": 1_000_000,
     }
     values.update(changes)
     return Settings(**values)  # type: ignore[arg-type]
@@ -76,14 +82,14 @@
 
 def upstreams(count: int, **changes: Any) -> list[Upstream]:
     """`count` ready upstreams, two to a cell and to a zone."""
-    return [Upstream(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
+    return [Upstream(100 + i, zone=i // 2, failure_domain=i // 2, **changes) for i in range(count)]
 
 
 @dataclass
 class Try:
     upstream: int
     zone: int
-    cell: int
+    failure_domain: int
     sent_us: int
     ends_us: int
     outcome: Outcome | None = None
@@ -165,7 +171,7 @@
     def quit(self, request: int) -> None:
         self.owed[request].closed = True
         self.owed[request].answers = 1
-        self.tell(RequestGone(request))
+        self.tell(ClientDisconnected(request))
 
     def advance(self, by_us: int) -> None:
         """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
@@ -200,7 +206,7 @@
     def check(self, action: Action) -> None:
         if isinstance(action, Send):
             self.check_send(action)
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             self.check_answer(action)
         elif isinstance(action, Cancel):
             assert self.settings.cancel, "a cancel where none is allowed"
@@ -211,7 +217,7 @@
         elif isinstance(action, Probe):
             assert self.settings.probes, "a probe where none is allowed"
         else:
-            assert not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request
+            assert not isinstance(action, Subscribe | FetchList) or self.settings.polls_endpoints
 
     def check_send(self, send: Send) -> None:
         owed = self.owed[send.request]
@@ -220,27 +226,34 @@
         assert not owed.closed, "rule 1: a send after the end"
         assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
         assert send.upstream not in self.refused_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.second_copies or not owed.out(), "rule 2: two attempts out together"
+        assert self.settings.hedging or not owed.out(), "rule 2: two attempts out together"
         for earlier in owed.may_have_run():
-            assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
-            if kind.effect == "deduplicated":
-                assert self.now_us - earlier.sent_us <= kind.memory_us, "rule 2: past the memory"
-                assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
-                assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
+            assert kind.effect != Effect.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
+            if kind.effect == Effect.IDEMPOTENCY_KEY:
+                assert self.now_us - earlier.sent_us <= kind.idempotency_window_us, "rule 2: past the memory"
+                assert (
+                    kind.idempotency_scope != IdempotencyScope.FAILURE_DOMAIN
+                    or entry.failure_domain == earlier.failure_domain
+                ), "rule 2: outside the cell"
+                assert kind.idempotency_scope != IdempotencyScope.ZONE or entry.zone == earlier.zone, (
+                    "rule 2: outside the zone"
+                )
         ends_us = owed.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(Try(send.upstream, entry.zone, entry.cell, self.now_us, ends_us))
+        owed.tries.append(Try(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_us))
 
-    def check_answer(self, answer: Refuse | Fail) -> None:
+    def check_answer(self, answer: Reject | Fail) -> None:
         owed = self.owed[answer.request]
         kind = self.settings.classes[owed.event.class_index]
         assert not owed.closed, "rule 1: a second answer"
         owed.closed = True
         owed.answers += 1
-        if isinstance(answer, Refuse):
+        if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            harmless = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
+            harmless = kind.effect == Effect.IDEMPOTENT or (
+                kind.effect == Effect.IDEMPOTENCY_KEY and kind.idempotency_scope == IdempotencyScope.ALL
+            )
             assert harmless or not owed.may_have_run(), "rule 2: a refusal of what may have run"
 
     # What tests look at
@@ -250,6 +263,6 @@
 
     def answer(self, request: int) -> Action | None:
         for action in self.log:
-            if isinstance(action, Refuse | Fail) and action.request == request:
+            if isinstance(action, Reject | Fail) and action.request == request:
                 return action
         return None
