--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -12,8 +12,7 @@
 
 @dataclass(slots=True)
 class AdmissionRate:
-    """The share of selections in one pool that may take a slot: it falls while answers are slow all over, as
-    slots hold nothing back at a sidecar with little traffic."""
+    """The share of selections in one pool that may take a slot: it falls while all answers are slow."""
 
     rates_updated_us: int
     rate: float = 1.0
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -58,7 +58,7 @@
         self.retries = RetryPolicy(settings, self.estimates, self.random)
         self.outliers = OutlierDetector(settings, self.estimates, self.random)
         self.feedback = AttemptFeedback(self.estimates, self.outliers)
-        self.selector = Selector(self.membership, self.retries, self.estimates, self.random)
+        self.selector = Selector(self.membership, self.retries, self.outliers, self.estimates, self.random)
         self.polling = EndpointPoller(settings, self.random)
         self.last_shortage_us = 0  # when a request last found no free slot
         self.shortage_us = 2 * max(one.latency_objective_us for one in settings.classes)
@@ -68,8 +68,7 @@
         self.schedule_poll(now_us)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Take in one event and return the actions to carry out, in order. `now_us` must not go back; an
-        event that names an unknown request or attempt has no effect of its own."""
+        """Take in one event and return the actions to carry out, in order; `now_us` must not go back."""
         self.now_us = now_us
         match event:
             case api.AttemptEnded():
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -27,8 +27,7 @@
         self.last_contact_us = None
 
     def on_failure(self, now_us: int, silent_us: int) -> int:
-        """Record that a poll failed or the watch broke, after `silent_us` without contact where that is
-        known. Returns when to poll again (us)."""
+        """Record a failed poll or watch, `silent_us` after the last contact. Returns when to poll (us)."""
         self.failures += 1
         if self.last_contact_us is None:
             self.last_contact_us = now_us - silent_us
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -27,6 +27,7 @@
     settings: Settings
     estimates: RequestEstimates
     random: Random
+    last_ejection_us: int = 0  # until when an upstream is ejected for a class, at most
 
     def observe_fault(self, attempt: Attempt) -> FaultVerdict:
         """Count whether an attempt failed at once or had a malformed response. One such fault may strike all
@@ -72,6 +73,7 @@
                 usual_us = request_class.latency_objective_us * (0.5 + self.random.random())
                 ejection_us = int(usual_us * 2 ** (health.timeout_streak - 1))
                 health.ejected_until_us = now_us + ejection_us
+                self.last_ejection_us = max(self.last_ejection_us, health.ejected_until_us)
         self.presume_lost(attempt)
 
     def presume_lost(self, attempt: Attempt) -> None:
@@ -126,8 +128,9 @@
         upstream.queue_headroom = max(upstream.queue_headroom, 0)
         return has_headroom
 
-    @staticmethod
-    def class_ejections_apply(upstreams: Iterable[TrackedUpstream], class_index: int, now_us: int) -> bool:
+    def class_ejections_apply(self, listed: Iterable[TrackedUpstream], index: int, now_us: int) -> bool:
         """Return whether ejections for a class apply: not if most upstreams would be ejected."""
-        ejected = [now_us < upstream.by_class[class_index].ejected_until_us for upstream in upstreams]
+        if now_us >= self.last_ejection_us:
+            return True
+        ejected = [now_us < upstream.by_class[index].ejected_until_us for upstream in listed]
         return sum(ejected) <= tuning.MAX_EJECTED_SHARE * len(ejected)
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -27,6 +27,7 @@
 
     membership: Membership
     retries: RetryPolicy
+    outliers: OutlierDetector
     estimates: RequestEstimates
     random: Random
 
@@ -35,8 +36,8 @@
         request goes to the other zones only if this one has no slot for it or does not admit it."""
         if not self.retries.may_send(request, now_us):
             return None
-        listed, class_index = self.membership.by_id.values(), request.event.class_index
-        ejections_apply = OutlierDetector.class_ejections_apply(listed, class_index, now_us)
+        listed = self.membership.by_id.values()
+        ejections_apply = self.outliers.class_ejections_apply(listed, request.event.class_index, now_us)
         for pool in self.membership.pools:
             candidates = self._candidates_of_pool(pool, request, ejections_apply, now_us)
             if candidates:
@@ -80,9 +81,9 @@
         unanswered and rejected attempts, and the plan; if there are any, only those not tried before."""
         index, bound = request.event.class_index, self.retries.bound_to(request)
         planned_ejections_apply = self.membership.planned_ejections_apply
-        found = []
+        found, concurrency_limit = [], self.concurrency_limit
         for upstream in upstreams:
-            slots = self.concurrency_limit(upstream, now_us) - upstream.in_flight
+            slots = concurrency_limit(upstream, now_us) - upstream.in_flight
             if slots <= 0 or (bound is not None and not self.retries.in_scope(bound, upstream)):
                 continue
             health, advice = upstream.by_class[index], upstream.advice
@@ -102,7 +103,7 @@
         if now_us < upstream.ejected_until_us:
             return 0
         limit = max(1, int(upstream.concurrency.limit))
-        if upstream.pool.slow_start.is_warming(upstream.entry, now_us):
+        if upstream.entry.started_us and upstream.pool.slow_start.is_warming(upstream.entry, now_us):
             if upstream.slow_start_credit < 0.0:
                 return 0
             limit = 1
--- a/ryepier/balancer/upstream.py
+++ b/ryepier/balancer/upstream.py
@@ -14,8 +14,7 @@
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 ANSWERED = (Outcome.OK, Outcome.MALFORMED_RESPONSE)  # did the work, and their latency shows the load
-FAST_FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
-FAULTS = (*FAST_FAULTS, Outcome.MALFORMED_RESPONSE)
+FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED_RESPONSE)
 
 
 @dataclass(slots=True)
--- a/ryepier/experiments/load_spread/plants.py
+++ b/ryepier/experiments/load_spread/plants.py
@@ -69,7 +69,7 @@
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         """Start with a selector that takes the first."""
         super().__init__(settings, seed, now_us)
-        self.selector = FirstFreeSelector(self.membership, self.retries, self.estimates, self.random)
+        self.selector = FirstFreeSelector(self.membership, self.retries, self.outliers, self.estimates, self.random)
 
 
 class ExpellingSubset(Subset):
