--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.net import PATIENCE_S, SETTINGS, Discovery, Upstream, configuration, numbers, read_message, request
+from tests.network_peers import PATIENCE_S, SETTINGS, Discovery, Upstream, configuration, numbers, read_message, request
 
 ROOT = Path(__file__).resolve().parent.parent
 LATEST_S = 0.5  # an answer that comes so long after the request's time, or later, is none
@@ -149,7 +149,7 @@
 
 
 class SidecarProcess:
-    """A sidecar in a process of its own, with a mistake of `tests/planted_sidecars.py` if one is named."""
+    """A sidecar in a process of its own, with a mistake of `tests/seeded_sidecar_faults.py` if one is named."""
 
     def __init__(
         self,
@@ -172,7 +172,7 @@
 
     async def start(self) -> None:
         """Start it and wait until it takes connections."""
-        module = ["tests.planted_sidecars", self.mistake] if self.mistake else ["ryepier.sidecar"]
+        module = ["tests.seeded_sidecar_faults", self.mistake] if self.mistake else ["ryepier.sidecar"]
         self.process = subprocess.Popen(
             [sys.executable, "-B", "-m", *module],
             cwd=ROOT,
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -37,8 +37,7 @@
     Refused,
     Result,
 )
-
-from .maintenance_world import request
+from tests.maintenance_world import request
 
 OBSERVERS = 3  # so that a late look is not always refused as one that its observer has surpassed
 
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -1,4 +1,4 @@
-"""Sidecars with one mistake put in on purpose: `python -m tests.planted_sidecars MISTAKE`.
+"""Sidecars with one mistake put in on purpose: `python -m tests.seeded_sidecar_faults MISTAKE`.
 
 Each mistake breaks one path that a check of `tests/acceptance.py` guards, so that the check is seen to fail.
 """
--- a/tests/sim_trace.py
+++ b/tests/sim_trace.py
@@ -17,7 +17,7 @@
 from ryepier.sidecar.config import load
 from ryepier.sidecar.serving import serve
 from ryepier.sim.run import SimLoop, simulate
-from tests.net import SETTINGS, configuration, listing, read_message
+from tests.network_peers import SETTINGS, configuration, listing, read_message
 
 CLASSES = [
     {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "at_most_once", "worth": 10.0},
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,7 +5,7 @@
 import random
 
 from ryepier.balancer.interface import Outcome, RequestClass
-from tests.world import World, settings, upstreams
+from tests.balancer_harness import World, settings, upstreams
 
 WORK_US = 100_000  # mean of the exponential work of a request: a third of the slow time
 AIM_US = 600_000
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -18,7 +18,7 @@
     Upstream,
     UpstreamState,
 )
-from tests.world import World, classes, settings, upstreams
+from tests.balancer_harness import World, classes, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
 
--- a/tests/test_balancer_misuse.py
+++ b/tests/test_balancer_misuse.py
@@ -20,7 +20,7 @@
     UpstreamsUpdated,
 )
 from ryepier.balancer.interface import ListKind as Kind
-from tests.world import START_US, World, settings, upstreams
+from tests.balancer_harness import START_US, World, settings, upstreams
 
 
 def test_events_about_what_is_unknown_change_nothing() -> None:
--- a/tests/test_chunked_requests.py
+++ b/tests/test_chunked_requests.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.net import OK, Upstream, answering, is_rejected, read_message, request, run, sidecar, status
+from tests.network_peers import OK, Upstream, answering, is_rejected, read_message, request, run, sidecar, status
 
 LENGTH = b"Content-Length: 0"
 CHUNKED = b"Transfer-Encoding: chunked"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,7 +13,7 @@
 from ryepier.emulator.records import History, Lateness
 from ryepier.experiments import catalogue, planted
 from ryepier.experiments.core import contract, report
-from tests.test_judge import GOOD, WORLD
+from tests.test_experiment_judge import GOOD, WORLD
 
 
 def invoke(*arguments: str) -> Result:
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -18,7 +18,7 @@
 from ryepier.sidecar import system
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
-from tests.net import (
+from tests.network_peers import (
     NOT_RUN,
     OK,
     HeldDials,
@@ -33,7 +33,7 @@
     status,
     until,
 )
-from tests.test_moments import taken
+from tests.test_race_conditions import taken
 
 GONE_S = 0.15  # an attempt may still begin for 0.1 s
 LATE_S = 0.3  # for so long a loop is held
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,7 +20,7 @@
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
 from ryepier.sidecar.server import FIRST_REQUEST_S
-from tests.net import (
+from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
     OK,
     PATIENCE_S,
@@ -39,7 +39,7 @@
     status,
     until,
 )
-from tests.net import sidecar as net_sidecar
+from tests.network_peers import sidecar as net_sidecar
 
 ROOT = Path(__file__).resolve().parent.parent
 LIMIT = 256  # descriptors, the least that a sidecar is given
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -17,7 +17,7 @@
 from ryepier.emulator.records import NEVER, Life, Try
 from ryepier.emulator.rig import note_held, waited_for_core_us
 from ryepier.experiments.core.worlds import load
-from tests.net import OK, Upstream, answering, run, until
+from tests.network_peers import OK, Upstream, answering, run, until
 
 DEADLINE_S = 0.2
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,7 +21,7 @@
 from ryepier.emulator.world import Clients, Converters, Fault, RequestClass, Sidecars, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.judge import judge
-from tests.net import PATIENCE_S, read_message
+from tests.network_peers import PATIENCE_S, read_message
 
 CLASSES = [
     RequestClass(name="read", share=0.4, work_ms=(2.0, 4.0), aim_ms=200.0, deadline_ms=1500.0),
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -22,8 +22,8 @@
 from ryepier.sidecar.discovery import SILENCE_TIMEOUT_S, DiscoveryClient
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.endpoint_registry import EndpointRegistry
-from tests.net import entry, free_port, listing, read_message, run
-from tests.world import START_US, settings
+from tests.balancer_harness import START_US, settings
+from tests.network_peers import entry, free_port, listing, read_message, run
 
 TOLD_S = 6.0
 # how long a call waits at a discovery that is reachable, where lists are asked for. Real ones wait for up to 2 s, but
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -15,7 +15,7 @@
 )
 from ryepier.sidecar import system
 from ryepier.sidecar.endpoint_registry import EndpointRegistry
-from tests.world import START_US, World, settings, upstreams
+from tests.balancer_harness import START_US, World, settings, upstreams
 
 
 def asking_world() -> World:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -26,7 +26,7 @@
     SidecarProcess,
     unanswered,
 )
-from tests.net import OK, Upstream, entry, listing
+from tests.network_peers import OK, Upstream, entry, listing
 
 TROUBLES = ("reload", "drain", "kill", "pieces")
 STOPPED_TROUBLES = ("reload", "drain", "kill")
@@ -41,7 +41,7 @@
 WARM_REQUESTS = 3
 LEAST_REQUESTS, LEAST_SERVED = 10, 5  # of an order: with fewer the check says nothing
 
-# A mistake of tests/planted_sidecars.py, and an order in which it leaves a request with no answer
+# A mistake of tests/seeded_sidecar_faults.py, and an order in which it leaves a request with no answer
 PLANTED = [
     ("forget_open_on_reload", ("drain", "reload", "pieces", "kill")),
     ("forget_open_on_drain", ("pieces", "drain", "kill", "reload")),
--- a/tests/test_fleet_effects.py
+++ b/tests/test_fleet_effects.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ryepier.balancer.interface import ListKind, Outcome, Subscribe, Upstream, UpstreamsUpdated
-from tests.world import World, settings, upstreams
+from tests.balancer_harness import World, settings, upstreams
 
 PAY = 1
 COLD = range(1, 31)
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -15,8 +15,8 @@
 from ryepier.sidecar.config import Config, load
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.serving import serve
-from tests.net import NOT_RUN, OK, PATIENCE_S, SETTINGS, answering, configuration, free_port, request, until
-from tests.net import Upstream as Peer
+from tests.network_peers import NOT_RUN, OK, PATIENCE_S, SETTINGS, answering, configuration, free_port, request, until
+from tests.network_peers import Upstream as Peer
 
 CLASSES = [
     {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "at_most_once", "worth": 10.0},
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -13,7 +13,7 @@
 from ryepier.sim.fleet.connections import ConnectionCounter, ConnectionPool
 from ryepier.sim.fleet.converter import Converter, Job
 from ryepier.sim.fleet.world import SECOND_US, START_US, FleetPlan, FleetWorld, Outage
-from tests.world import World, settings
+from tests.balancer_harness import World, settings
 
 PLAN = FleetPlan(sidecars=30, converters=20, load=0.5, duration_us=6 * SECOND_US)
 
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -14,8 +14,7 @@
 from ryepier.maintenance.commands import BeginDrain, Command, ReleaseLease
 from ryepier.maintenance.fleet import Action, FencingTokens, FleetCall, FleetError, FleetReply, SocketFleet
 from ryepier.maintenance.results import Begun, Granted, Refused, Released, Result
-
-from .net import free_port, until
+from tests.network_peers import free_port, until
 
 GRANTED = Granted("l1", "agent-1", 7, ("a",))
 STEPS = ["drain", "in-flight", "stop", "remove", "start", "list"]
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -8,8 +8,7 @@
 
 from ryepier.maintenance import agreement
 from ryepier.maintenance.agreement import AgreementError, Converter, Replica
-
-from .maintenance_world import TEXT, small_agreement
+from tests.maintenance_world import TEXT, small_agreement
 
 
 def problems(data: bytes) -> list[str]:
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -39,8 +39,7 @@
     Released,
 )
 from ryepier.maintenance.tables import GIVER, LEASES, RECEIVER, LeaseState
-
-from .maintenance_world import TEXT, Region, north, request, small_agreement
+from tests.maintenance_world import TEXT, Region, north, request, small_agreement
 
 
 def test_a_lease_is_charged_until_its_converter_has_been_seen_ready_and_warm() -> None:
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -23,9 +23,8 @@
 from ryepier.maintenance.results import Credited, Debited, Observed, Refused, Result
 from ryepier.maintenance.state import Seen
 from ryepier.maintenance.transport import Connection
-
-from .maintenance_world import small_agreement
-from .net import PATIENCE_S, free_port
+from tests.maintenance_world import small_agreement
+from tests.network_peers import PATIENCE_S, free_port
 
 SEEN = Seen(ready=True, warmth=1000, as_of=0)
 TRANSFER = Transfer("north", "south", 1, "convert", 1000)
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -23,8 +23,7 @@
 )
 from ryepier.maintenance.replication.planted import ForgetVoteStorage
 from ryepier.maintenance.results import Advanced, Result
-
-from .maintenance_world import small_agreement
+from tests.maintenance_world import small_agreement
 
 MEMBERS = ("north-0", "north-1", "north-2")
 IDENTITY = storage.Identity("north", "north-0", MEMBERS)
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -37,10 +37,9 @@
 from ryepier.maintenance.settings import addresses_of
 from ryepier.maintenance.status import Planning
 from ryepier.maintenance.transport import MAX_FRAME_BYTES, Connection, TransportError, encode
-
-from .maintenance_world import SERVICE, converters_text, request
-from .maintenance_world import north as north_ledger
-from .net import free_port
+from tests.maintenance_world import SERVICE, converters_text, request
+from tests.maintenance_world import north as north_ledger
+from tests.network_peers import free_port
 
 WITHIN_S = 30.0  # no test waits for it on purpose: it ends one that hangs
 REPLICAS = ("north-0", "north-1", "north-2")
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -31,9 +31,8 @@
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.planted import PLANTED_LEDGERS
 from ryepier.maintenance.results import Acknowledged, Credited, Debited, Refused
-
-from .maintenance_cluster import Cluster
-from .maintenance_world import SERVICE, TEXT, converters_text, regions_text, request, small_agreement
+from tests.maintenance_cluster import Cluster
+from tests.maintenance_world import SERVICE, TEXT, converters_text, regions_text, request, small_agreement
 
 WEST = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
 THREE = ("north", "south", "west")
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -16,8 +16,7 @@
 from ryepier.maintenance.problem import AGING_MS, Held, Job, Problem, Window, problem_of
 from ryepier.maintenance.results import Granted
 from ryepier.maintenance.scheduler import make_schedule
-
-from .maintenance_world import north, request
+from tests.maintenance_world import north, request
 
 CONVERTERS = {
     f"c{i}": Converter(f"c{i}", "convert", "north", f"z{i % 2}", 2000 if i % 6 == 5 else 1000) for i in range(24)
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -12,7 +12,7 @@
 from ryepier.balancer.interface import Effect, RequestClass
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
-from tests.net import OK, HeldDials, Sidecar, Upstream, answering, request, run, sidecar, status, until
+from tests.network_peers import OK, HeldDials, Sidecar, Upstream, answering, request, run, sidecar, status, until
 
 DEADLINE_MS = 3_000
 SLACK_MS = 150
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -15,7 +15,7 @@
 from ryepier.plan import forwarder, planner
 from ryepier.plan.follow import Rules
 from ryepier.plan.messages import LONGEST, VERSION, Frames, Hello, Message, Refusal, Report, encode
-from tests.net import PATIENCE_S, free_port, until
+from tests.network_peers import PATIENCE_S, free_port, until
 
 RULES = Rules(fleet=2, least_window_ms=100)
 IDENTS = {f"c{i}": i for i in range(6)}
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under arbitrary legal event sequences; tests/world.py checks every action."""
+"""The four rules under arbitrary legal event sequences; tests/balancer_harness.py checks every action."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from tests.world import START_US, World, classes, settings, upstreams
+from tests.balancer_harness import START_US, World, classes, settings, upstreams
 
 FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -23,7 +23,7 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer
 from ryepier.sidecar.server import Server
-from tests.net import (
+from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
     OK,
     PATIENCE_S,
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -19,8 +19,8 @@
 from ryepier.storm import sketch
 from ryepier.storm.detect import CLOSES_AFTER_US, Detector, Evidence
 from ryepier.storm.sketch import AGE_US, NOTED, Unserved, fingerprint
-from tests.net import OK, configuration, entry, listing, read_message, request
-from tests.world import World, settings, upstreams
+from tests.balancer_harness import World, settings, upstreams
+from tests.network_peers import OK, configuration, entry, listing, read_message, request
 
 TICK_US = 200_000
 READ = 0
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -31,7 +31,7 @@
     SidecarProcess,
     spans_without_service,
 )
-from tests.net import OK, Upstream, entry, listing
+from tests.network_peers import OK, Upstream, entry, listing
 
 CONVERTERS = 3  # before and after
 WORK_S = 0.02  # of a converter
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -19,7 +19,7 @@
 from ryepier.sidecar.system import clock_us
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 from ryepier.sidecar.upstream_connection import ConnectionState, UpstreamConnection
-from tests.net import (
+from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
     NOT_RUN,
     OK,
--- a/tests/test_sidecar_components.py
+++ b/tests/test_sidecar_components.py
@@ -11,8 +11,8 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.server import Server
 from ryepier.sidecar.serving import serve
-from tests.net import OK, Sidecar, answering, configuration, free_port, request, until
-from tests.net import Upstream as Peer
+from tests.network_peers import OK, Sidecar, answering, configuration, free_port, request, until
+from tests.network_peers import Upstream as Peer
 
 
 class Fixed:
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -20,7 +20,18 @@
 
 from ryepier.balancer.settings_parser import SettingsError
 from ryepier.sidecar.config import Config, flatten, load
-from tests.net import OK, PATIENCE_S, SETTINGS, Upstream, configuration, entry, holding, listing, read_message, request
+from tests.network_peers import (
+    OK,
+    PATIENCE_S,
+    SETTINGS,
+    Upstream,
+    configuration,
+    entry,
+    holding,
+    listing,
+    read_message,
+    request,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -12,7 +12,7 @@
 from ryepier.balancer import simulator_protocol as protocol
 from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.settings_parser import parse_settings
-from tests.options import OPTIONS
+from tests.simulator_options import OPTIONS
 
 LIST = (
     "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -32,7 +32,7 @@
 from ryepier.slices.listing import Rules
 from ryepier.slices.reflect import Apply, Call, Failure, Reflector, Replace, Wait
 from ryepier.slices.source import Settings, SliceSource
-from tests.net import OK, PATIENCE_S, configuration, free_port, read_message, request, until
+from tests.network_peers import OK, PATIENCE_S, configuration, free_port, read_message, request, until
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 PORTS = [{"name": "http", "port": 80, "protocol": "TCP"}]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -33,7 +33,7 @@
     UpstreamsUpdated,
 )
 from ryepier.balancer.slow_start import SlowStart
-from tests.world import START_US, World, settings, upstreams
+from tests.balancer_harness import START_US, World, settings, upstreams
 
 CONVERTERS = 12
 CORES = 2
