--- a/ryepier/assembly/parts.py
+++ b/ryepier/assembly/parts.py
@@ -14,7 +14,7 @@
 
 from ryepier.conf import operators as conf
 from ryepier.conf.operators import Operators
-from ryepier.plan import follow, forwarder
+from ryepier.plan import forwarder, plan_follower
 from ryepier.plan.machine import Machine
 from ryepier.sidecar import config as platform
 from ryepier.sidecar import system
@@ -24,7 +24,7 @@
 from ryepier.sidecar.system import clock_us
 
 if TYPE_CHECKING:
-    from ryepier.plan.planner import Server
+    from ryepier.plan.planner_server import PlannerServer
     from ryepier.slices.source import Settings
 
 log = logging.getLogger(__name__)
@@ -39,10 +39,10 @@
     return Machine(clock_us, lambda: system.unix_ns() // 1000, Random(seed))
 
 
-def trust_rules(operators: Operators) -> follow.Rules:
+def trust_rules(operators: Operators) -> plan_follower.TrustRules:
     """The operators' [trust] as the plan's own rules."""
     trust = operators.trust
-    return follow.Rules(
+    return plan_follower.TrustRules(
         trust.fleet,
         trust.least_reporters,
         trust.least_window_ms,
@@ -185,15 +185,15 @@
     return parts
 
 
-def make_planner(operators: Operators, seed: int) -> Server:
+def make_planner(operators: Operators, seed: int) -> PlannerServer:
     """A planner, not started. Raises AssemblyError."""
-    from ryepier.plan import planner
+    from ryepier.plan import planner_server
 
     own = operators.planner
     folder = Path(own.snapshots) if own.snapshots else None
     if folder is not None and not folder.is_dir():
         raise AssemblyError(f"planner.snapshots: no folder {folder}")
-    settings = planner.Settings(
+    settings = planner_server.Settings(
         own.name,
         parse_address(own.listen),
         {name: parse_address(text) for name, text in own.peers.items()},
@@ -203,4 +203,4 @@
         own.most_forwarders,
         folder,
     )
-    return planner.Server(settings, machine(f"{seed} {own.name}"))
+    return planner_server.PlannerServer(settings, machine(f"{seed} {own.name}"))
--- a/ryepier/commands/plan.py
+++ b/ryepier/commands/plan.py
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from ryepier.plan.messages import VERSION, Entry, Frames, Hello, Plan, ProtocolError, encode
+from ryepier.plan.messages import VERSION, ConverterAdvice, FrameDecoder, Hello, Plan, ProtocolError, encode
 from ryepier.sidecar.config import parse_address
 
 WITHIN_S = 3.0
@@ -24,7 +24,7 @@
         reader, writer = await asyncio.open_connection(*address)
         try:
             writer.write(encode(Hello(VERSION, READER, time.time_ns() // 1000)))
-            frames = Frames()
+            frames = FrameDecoder()
             while data := await reader.read(65_536):
                 for message in frames.feed(data):
                     if isinstance(message, Plan):
@@ -58,11 +58,11 @@
         sys.exit(2)
 
 
-def describe(entry: Entry) -> str:
-    if entry.rests:
-        return f"rests, {entry.trial:.1%} of the forwarders may try it: {entry.why}"
-    cap = f", at most {entry.cap} out a forwarder" if entry.cap else ""
-    return f"weight {entry.weight:.2f}{cap}: {entry.why}"
+def describe(entry: ConverterAdvice) -> str:
+    if entry.ejected:
+        return f"rests, {entry.trial_share:.1%} of the forwarders may try it: {entry.reason}"
+    concurrency_limit = f", at most {entry.concurrency_limit} out a forwarder" if entry.concurrency_limit else ""
+    return f"weight {entry.weight:.2f}{concurrency_limit}: {entry.reason}"
 
 
 def heading(plan: Plan) -> str:
@@ -100,7 +100,7 @@
     before, after = read(old), read(new)
     print(f"- {heading(before)}\n+ {heading(after)}")
     for uid in sorted(before.entries.keys() | after.entries.keys()):
-        one, other = before.entries.get(uid, Entry()), after.entries.get(uid, Entry())
+        one, other = before.entries.get(uid, ConverterAdvice()), after.entries.get(uid, ConverterAdvice())
         if one != other:
             print(f"{uid}\n  - {describe(one)}\n  + {describe(other)}")
 
--- a/ryepier/commands/planner.py
+++ b/ryepier/commands/planner.py
@@ -14,10 +14,10 @@
 from ryepier.assembly.parts import AssemblyError, make_planner
 from ryepier.commands.config import read_operators_file
 from ryepier.logs import structured
-from ryepier.plan.planner import Server
+from ryepier.plan.planner_server import PlannerServer
 
 
-async def serve(server: Server) -> None:
+async def serve(server: PlannerServer) -> None:
     """Run a planner until SIGTERM or SIGINT."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/ryepier/experiments/planners/planner_reconnect.py
+++ b/ryepier/experiments/planners/planner_reconnect.py
@@ -16,9 +16,9 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments import planted
 from ryepier.experiments.core.contract import Claim, Measured, Scale
-from ryepier.plan.follow import Rules
-from ryepier.plan.forwarder import LONGEST_AGAIN_S, Forwarder, Settings, Sidecar
-from ryepier.plan.messages import Beat, Term, encode
+from ryepier.plan.forwarder import MAX_BACKOFF_S, Forwarder, Settings, Sidecar
+from ryepier.plan.messages import Heartbeat, Term, encode
+from ryepier.plan.plan_follower import TrustRules
 
 SIZES = {"small": (50, 500), "full": (50, 1000)}
 DOWN_S = (0.05, 2.0)
@@ -44,7 +44,7 @@
     async def beat(self, writer: asyncio.StreamWriter) -> None:
         """Whoever says nothing is taken to hang, and left."""
         while True:
-            writer.write(encode(Beat(Term(1, "a"), True, 0)))
+            writer.write(encode(Heartbeat(Term(1, "a"), True, 0)))
             await asyncio.sleep(BEAT_S)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -74,7 +74,7 @@
     await planner.listen()
     made = [
         Forwarder(
-            Settings(f"f{i}", [("127.0.0.1", planner.port)], Rules(fleet=size), report_s=BEAT_S),
+            Settings(f"f{i}", [("127.0.0.1", planner.port)], TrustRules(fleet=size), report_s=BEAT_S),
             Sidecar(dict, lambda event: None, [100_000], 1),
             machine(f"{seed} f{i}"),
         )
@@ -122,7 +122,7 @@
             figures |= {f"{name}_{size}_down_{down_s:g}s": value for name, value in row.items()}
             claims.append(Claim(f"share of {size} that came back after {down_s:g} s away", row["back"], "==", 1.0))
         claims += [
-            Claim(f"time until all {size} are back (s)", row["back_after_s"], "<=", LONGEST_AGAIN_S + 0.5),
+            Claim(f"time until all {size} are back (s)", row["back_after_s"], "<=", MAX_BACKOFF_S + 0.5),
             Claim(f"greatest share of {size} that came within {WINDOW_S:g} s", row["peak_share"], "<=", 0.3),
         ]
     return claims, figures
--- a/ryepier/experiments/planners/planner_scale.py
+++ b/ryepier/experiments/planners/planner_scale.py
@@ -19,7 +19,7 @@
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.emulator.rig import PLANNER, TICKS_PER_S, RigError, find_network
 from ryepier.experiments.core.contract import Claim, Measured, Scale
-from ryepier.plan.messages import VERSION, Frames, Hello, Plan, Report, Seen, encode
+from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
 
 SIZES = (50, 200, 1000)
 CONVERTERS = 100
@@ -36,7 +36,7 @@
     def __init__(self, index: int, random: np.random.Generator, whole: bool) -> None:
         self.name = f"f{index}"
         mine = random.choice(CONVERTERS, size=CONVERTERS if whole else IN_USE, replace=False)
-        self.seen = {f"c-{uid:04x}": Seen() for uid in mine}
+        self.seen = {f"c-{uid:04x}": ConverterCounters() for uid in mine}
         self.random = random
         self.number = 0
         self.bytes_in = self.bytes_out = self.plans = 0
@@ -45,14 +45,14 @@
         self.number += 1
         for uid, old in self.seen.items():
             count = int(self.random.poisson(2.0))
-            self.seen[uid] = Seen(
-                old.sends + count, old.served + count, old.bad, old.full, (0, 0, 0, 0, 0, old.served + count)
+            self.seen[uid] = ConverterCounters(
+                old.attempts + count, old.served + count, old.failed, old.rejected, (0, 0, 0, 0, 0, old.served + count)
             )
         return encode(Report(self.number, CONVERTERS, self.seen, {}, [self.number * 10], [self.number * 10], 0))
 
     async def run(self, address: tuple[str, int]) -> None:
         reader, writer = await asyncio.open_connection(*address)
-        frames = Frames()
+        frames = FrameDecoder()
 
         async def read() -> None:
             while data := await reader.read(65_536):
--- a/ryepier/experiments/scale/gauged_planner.py
+++ b/ryepier/experiments/scale/gauged_planner.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ryepier.experiments import planted
-from ryepier.plan.planner import Server
+from ryepier.plan.planner_server import PlannerServer
 
 WRITE_S = 0.1
 
@@ -48,16 +48,16 @@
         self.counts: Counter[str] = Counter()
 
     def install(self) -> None:
-        usual, gauging = Server.tick, self
+        usual, gauging = PlannerServer.tick, self
 
-        def tick_gauged(self: Server, now_us: int, tick: int) -> None:
+        def tick_gauged(self: PlannerServer, now_us: int, tick: int) -> None:
             gauging.counts = self.counts
             begun_s = time.thread_time()
             usual(self, now_us, tick)
             gauging.tick_cpu_s += time.thread_time() - begun_s
             gauging.ticks = tick
 
-        Server.tick = tick_gauged  # type: ignore[method-assign]
+        PlannerServer.tick = tick_gauged  # type: ignore[method-assign]
         # a thread of its own: a planner that is late tells how late only if something else speaks for it
         threading.Thread(target=self.write, daemon=True).start()
 
--- a/ryepier/experiments/scale/hollow_forwarders.py
+++ b/ryepier/experiments/scale/hollow_forwarders.py
@@ -22,8 +22,8 @@
 from ryepier.emulator import draws
 from ryepier.experiments.scale import hollow
 from ryepier.plan import forwarder
-from ryepier.plan.follow import Rules
-from ryepier.plan.messages import Evidence, Message, Plan, bucket_of, encode
+from ryepier.plan.messages import Message, Plan, PlanBasis, encode, latency_bucket
+from ryepier.plan.plan_follower import TrustRules
 from ryepier.sidecar.system import clock_us
 
 CALLS_PER_S = 369.0  # of one sidecar, at the size to design for
@@ -82,11 +82,11 @@
         self.hung = ""
         self.hung_us = 0
         self.avoids_after_s: float | None = None
-        self.evidence = Evidence()
+        self.evidence = PlanBasis()
         self.token = 0
         self.out: list[tuple[str, int]] = []  # whom the calls went to that are out, each with its token
         self.filled_s = time.monotonic()
-        settings = forwarder.Settings(f"f{index}", [setup.planner], Rules(fleet=setup.least_fleet))
+        settings = forwarder.Settings(f"f{index}", [setup.planner], TrustRules(fleet=setup.least_fleet))
         sidecar = forwarder.Sidecar(lambda: self.idents, self.planned, [10 * ANSWER_US], 1)
         super().__init__(settings, sidecar, machine(f"{setup.seed} f{index}"))
         self.use(converters_of(index, setup.in_use))
@@ -94,15 +94,15 @@
     def use(self, numbers: range) -> None:
         """From now on its calls go to these."""
         self.idents = {uid(number): number for number in numbers}
-        self.learn_names()
+        self.refresh_uids()
         served = int(CALLS_PER_S / len(numbers) * DAY_S)
         for name in self.idents.keys() - self.reporter.notes.keys():
             self.token += 1
-            self.reporter.sent(clock_us(), name, self.token, 0)
-            self.reporter.ended(name, self.token, Outcome.OK, ANSWER_US)
+            self.reporter.on_attempt_started(clock_us(), name, self.token, 0)
+            self.reporter.on_attempt_ended(name, self.token, Outcome.OK, ANSWER_US)
             notes = self.reporter.notes[name]
-            notes.sends = notes.served = served
-            notes.times[bucket_of(ANSWER_US)] = served
+            notes.attempts = notes.served = served
+            notes.latencies[latency_bucket(ANSWER_US)] = served
 
     def planned(self, event: PlanUpdated) -> None:
         number = self.idents.get(self.hung)
@@ -119,40 +119,40 @@
     def offer(self, plan: Plan) -> None:
         self.counts.took(plan)
         self.evidence = plan.evidence
-        super().offer(plan)
+        super().on_plan(plan)
 
     def write_reports(self) -> None:
         begun_s = time.thread_time()
         self.make_up(time.monotonic())
         self.counts.made_up_s += time.thread_time() - begun_s
-        super().write_reports()
+        super().send_reports()
 
     def make_up(self, now_s: float) -> None:
         """The calls since the last report: most straight into the notes, those still out by the usual way."""
         passed_s, self.filled_s = now_s - self.filled_s, now_s
-        bucket, names = bucket_of(ANSWER_US), list(self.idents)
+        bucket, names = latency_bucket(ANSWER_US), list(self.idents)
         counts = self.random.poisson(CALLS_PER_S * passed_s / len(names), len(names)).tolist()
         for name, count in zip(names, counts, strict=True):
             if not count:
                 continue
             notes = self.reporter.notes[name]
-            notes.sends += count
+            notes.attempts += count
             notes.changed = True
             if name == self.hung:
-                notes.bad += count
+                notes.failed += count
                 continue
             fast = count // 3
             notes.served += count
-            notes.times[bucket] += count - fast
-            notes.times[bucket - 1] += fast
+            notes.latencies[bucket] += count - fast
+            notes.latencies[bucket - 1] += fast
         for name, token in self.out:
-            self.reporter.ended(name, token, Outcome.OK, ANSWER_US)
+            self.reporter.on_attempt_ended(name, token, Outcome.OK, ANSWER_US)
         drawn = [names[number] for number in self.random.integers(len(names), size=OUT).tolist()]
         self.out = [(name, self.token + 1 + place) for place, name in enumerate(drawn) if name != self.hung]
         self.token += OUT
         now_us = clock_us()
         for name, token in self.out:
-            self.reporter.sent(now_us, name, token, 0)
+            self.reporter.on_attempt_started(now_us, name, token, 0)
 
 
 class Worker:
@@ -166,19 +166,19 @@
 
     def count_bytes(self) -> None:
         """Of all that the forwarders of this process write and read."""
-        counts, receive = self.counts, forwarder.Link.data_received
+        counts, receive = self.counts, forwarder.PlannerConnection.data_received
 
         def encode_counted(message: Message) -> bytes:
             data = encode(message)
             counts.bytes_out += len(data)
             return data
 
-        def receive_counted(self: forwarder.Link, data: bytes) -> None:
+        def receive_counted(self: forwarder.PlannerConnection, data: bytes) -> None:
             counts.bytes_in += len(data)
             receive(self, data)
 
         setattr(forwarder, "encode", encode_counted)  # noqa: B010
-        forwarder.Link.data_received = receive_counted  # type: ignore[method-assign]
+        forwarder.PlannerConnection.data_received = receive_counted  # type: ignore[method-assign]
 
     def grow(self, fleet: int) -> dict[str, Any]:
         """This process's share of a fleet of so many."""
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/scale_control.py
@@ -29,7 +29,7 @@
 from ryepier.experiments.scale import gauged_planner, hollow, slopes
 from ryepier.experiments.scale.gauged_planner import Gauge
 from ryepier.experiments.scale.hollow_forwarders import Setup, uid
-from ryepier.plan.planner import TICK_S
+from ryepier.plan.planner_server import TICK_S
 
 DESIGN_FLEET = 1600
 DESIGN_PLANNERS = 7
--- a/ryepier/experiments/storms/planted.py
+++ b/ryepier/experiments/storms/planted.py
@@ -10,7 +10,7 @@
 from ryepier.balancer.interface import RetryStormUpdated
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.balancer.upstream import PendingRequest
-from ryepier.plan.merge import Evidence
+from ryepier.plan.evidence import Evidence
 
 
 def no_spread() -> None:
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -1,6 +1,6 @@
-"""A forwarder's connections to its planners: reports go out, plans come in, and the module gets its advice.
+"""Forwarder: sends reports to planners, receives plans, and advises the decision module.
 
-Nothing here is waited for by a request. Without planners the sidecar is what it was: advice fades and is gone.
+No request waits for it. Without planners the advice fades out, and the sidecar decides alone.
 """
 
 from __future__ import annotations
@@ -11,242 +11,261 @@
 from dataclasses import dataclass
 
 from ryepier.balancer.interface import Outcome, PlanUpdated
-from ryepier.plan.follow import Follower, Rules
 from ryepier.plan.machine import Machine
 from ryepier.plan.messages import (
     VERSION,
-    Beat,
-    Frames,
+    FrameDecoder,
+    Heartbeat,
     Hello,
     Message,
     Plan,
     ProtocolError,
-    Refusal,
+    Rejection,
     Report,
     Term,
     encode,
 )
-from ryepier.plan.report import Reporter
+from ryepier.plan.plan_follower import PlanFollower, PlanRejection, TrustRules
+from ryepier.plan.reporter import Reporter
 
 log = logging.getLogger(__name__)
 
-ADVICE_S = 0.25  # how often advice is worked out anew, as it fades with time
-SILENT_US = 3_000_000  # a planner that says nothing for so long, a dozen beats, hangs: its connection is given up
-DIAL_S = 1.0
-FIRST_AGAIN_S = 0.2
-LONGEST_AGAIN_S = 5.0
-MOST_UNREAD = 256 * 1024
+ADVICE_INTERVAL_S = 0.25  # advice fades with time
+SILENCE_TIMEOUT_US = 3_000_000  # a dozen heartbeats: the planner hangs, and its connection is closed
+DIAL_TIMEOUT_S = 1.0
+FIRST_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
+MAX_UNREAD_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a forwarder is told of its planners."""
+    """Settings of a forwarder."""
 
     name: str
     planners: list[tuple[str, int]]
-    rules: Rules
+    rules: TrustRules
     report_s: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Sidecar:
-    """What a forwarder needs of its sidecar."""
+    """The parts of a sidecar that a forwarder needs."""
 
-    idents: Callable[[], Mapping[str, int]]  # the ready converters, uid to the module's number
-    planned: Callable[[PlanUpdated], None]
-    silent_us: list[int]  # by class
+    upstream_ids: Callable[[], Mapping[str, int]]  # of the ready converters, by uid
+    publish: Callable[[PlanUpdated], None]
+    unanswered_after_us: list[int]  # by class
     tenants: int
 
 
-class Link(asyncio.Protocol):
+class PlannerConnection(asyncio.Protocol):
     """The connection to one planner."""
 
     def __init__(self, forwarder: Forwarder) -> None:
+        """Prepare a connection."""
         self.forwarder = forwarder
         self.transport: asyncio.Transport | None = None
-        self.frames = Frames()
-        self.heard_us = forwarder.machine.clock_us()
-        self.whole = True  # it has to be told all there is
+        self.frames = FrameDecoder()
+        self.last_received_us = forwarder.machine.clock_us()
+        self.needs_complete_report = True
         self.retry_s = 0.0
-        self.lost = asyncio.get_running_loop().create_future()
+        self.closed = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send a hello."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.forwarder.links[self] = None
-        transport.write(encode(Hello(VERSION, self.forwarder.settings.name, self.forwarder.boot)))
+        transport.write(encode(Hello(VERSION, self.forwarder.settings.name, self.forwarder.incarnation)))
 
     def data_received(self, data: bytes) -> None:
-        self.heard_us = self.forwarder.machine.clock_us()
+        """Handle the messages that are complete."""
+        self.last_received_us = self.forwarder.machine.clock_us()
         try:
             for message in self.frames.feed(data):
-                self.take(message)
+                self.on_message(message)
         except ProtocolError as error:
-            log.warning("a planner can't be understood: %s", error)
+            log.warning("message of a planner rejected: %s", error)
             self.abort()
 
-    def take(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
+        """Handle a message. Raises ProtocolError for one that is not allowed."""
         if isinstance(message, Plan):
-            self.forwarder.offer(message)
-        elif isinstance(message, Refusal):
-            log.warning("a planner refuses: %s", message.why)
+            self.forwarder.on_plan(message)
+        elif isinstance(message, Rejection):
+            log.warning("connection rejected by a planner: %s", message.reason)
             self.retry_s = message.retry_ms / 1000
             self.abort()
-        elif not isinstance(message, Beat):
+        elif not isinstance(message, Heartbeat):
             raise ProtocolError(f"a {type(message).__name__.lower()} from a planner")
 
-    def tell(self, report: Report) -> bool:
-        """Whether it was written; one that does not read gets no more, and all of it once it does."""
+    def send_report(self, report: Report) -> bool:
+        """Send a report. Returns whether it was sent: a planner that does not read gets a complete one later."""
         if self.transport is None or self.transport.is_closing():
             return False
-        if self.transport.get_write_buffer_size() > MOST_UNREAD:
-            self.whole = True
+        if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
+            self.needs_complete_report = True
             return False
         self.transport.write(encode(report))
-        self.whole = False
+        self.needs_complete_report = False
         return True
 
     def abort(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Leave the forwarder."""
         self.forwarder.links.pop(self, None)
-        if not self.lost.done():
-            self.lost.set_result(None)
+        if not self.closed.done():
+            self.closed.set_result(None)
 
 
 class Forwarder:
-    """The part of a sidecar that reports and follows; `Host` tells it of sends and ends as its observer."""
+    """Reports the sidecar's attempts and follows plans; an observer of the dispatcher."""
 
     def __init__(self, settings: Settings, sidecar: Sidecar, machine: Machine) -> None:
+        """Prepare a forwarder; `start` connects it."""
         self.settings = settings
         self.sidecar = sidecar
         self.machine = machine
-        self.boot = machine.unix_us()
-        self.reporter = Reporter(sidecar.silent_us, sidecar.tenants)
-        self.follower = Follower(settings.name, settings.rules)
-        self.links: dict[Link, None] = {}  # in the order of their coming, which a set has not
+        self.incarnation = machine.unix_us()
+        self.reporter = Reporter(sidecar.unanswered_after_us, sidecar.tenants)
+        self.follower = PlanFollower(settings.name, settings.rules)
+        self.links: dict[PlannerConnection, None] = {}  # ordered, unlike a set
         self.tasks: list[asyncio.Task[None]] = []
-        self.told = PlanUpdated()
-        self.names: dict[int, str] = {}
-        self.refused_logged = ""
-        self.followed = Term()  # as logged
+        self.last_event = PlanUpdated()
+        self.uids: dict[int, str] = {}
+        self.last_rejection: PlanRejection | None = None
+        self.followed_term = Term()
 
-    # What the host observes
+    # Observer of the dispatcher
 
     def on_request(self, tenant: int, class_index: int) -> None:
-        self.reporter.arrived(tenant, class_index)
+        """Count an accepted request."""
+        self.reporter.on_request(tenant, class_index)
 
     def on_rejection(self) -> None:
-        self.reporter.was_refused()
+        """Count a rejected request."""
+        self.reporter.on_rejection()
 
     def on_attempt_started(self, upstream: int, token: int, class_index: int) -> None:
-        uid = self.names.get(upstream)
+        """Count an attempt."""
+        uid = self.uids.get(upstream)
         if uid is None:
-            self.learn_names()
-            uid = self.names.get(upstream)
+            self.refresh_uids()
+            uid = self.uids.get(upstream)
         if uid is not None:
-            self.reporter.sent(self.machine.clock_us(), uid, token, class_index)
+            self.reporter.on_attempt_started(self.machine.clock_us(), uid, token, class_index)
 
     def on_attempt_ended(self, upstream: int, token: int, outcome: Outcome, elapsed_us: int) -> None:
-        uid = self.names.get(upstream)
+        """Count the end of an attempt."""
+        uid = self.uids.get(upstream)
         if uid is not None:
-            self.reporter.ended(uid, token, outcome, elapsed_us)
+            self.reporter.on_attempt_ended(uid, token, outcome, elapsed_us)
 
-    def learn_names(self) -> None:
-        """Names of converters that have left stay until nothing is out to them."""
-        idents = self.sidecar.idents()
-        self.reporter.keep(set(idents))
-        self.names = {ident: uid for ident, uid in self.names.items() if uid in self.reporter.notes}
-        self.names |= {ident: uid for uid, ident in idents.items()}
+    def refresh_uids(self) -> None:
+        """Update the uids; those of unlisted converters stay until no attempt is in flight to them."""
+        upstream_ids = self.sidecar.upstream_ids()
+        self.reporter.retain(set(upstream_ids))
+        self.uids = {upstream_id: uid for upstream_id, uid in self.uids.items() if uid in self.reporter.notes}
+        self.uids |= {upstream_id: uid for uid, upstream_id in upstream_ids.items()}
 
     # The connections
 
     def start(self) -> None:
+        """Connect to the planners, report and advise from now on."""
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(self.keep(address)) for address in self.settings.planners]
-        self.tasks += [loop.create_task(self.report()), loop.create_task(self.advise())]
+        self.tasks = [loop.create_task(self.maintain_connection(address)) for address in self.settings.planners]
+        self.tasks += [loop.create_task(self.run_reports()), loop.create_task(self.run_advice())]
 
     def stop(self) -> None:
+        """Close the connections."""
         for task in self.tasks:
             task.cancel()
         for link in list(self.links):
             link.abort()
 
-    async def keep(self, address: tuple[str, int]) -> None:
-        """A connection to one planner. Hazard: all forwarders lose theirs at one moment when a planner dies; so each
-        waits a random while, from nothing up to a bound that doubles."""
+    async def maintain_connection(self, address: tuple[str, int]) -> None:
+        """Keep a connection to a planner open, with backoff and full jitter: all forwarders lose theirs at the
+        same moment when a planner fails."""
         loop = asyncio.get_running_loop()
-        bound_s = FIRST_AGAIN_S
+        bound_s = FIRST_BACKOFF_S
         while True:
-            link: Link | None = None
+            link: PlannerConnection | None = None
             try:
-                async with asyncio.timeout(DIAL_S):
-                    _, link = await loop.create_connection(lambda: Link(self), *address)
+                async with asyncio.timeout(DIAL_TIMEOUT_S):
+                    _, link = await loop.create_connection(lambda: PlannerConnection(self), *address)
             except OSError:
                 pass
             if link is not None:
-                bound_s = FIRST_AGAIN_S
-                await self.until_lost(link)
-            least_s = link.retry_s if link is not None else 0.0
-            await asyncio.sleep(least_s + self.draw_s(bound_s))
-            bound_s = min(LONGEST_AGAIN_S, 2 * bound_s)
-
-    def draw_s(self, bound_s: float) -> float:
+                bound_s = FIRST_BACKOFF_S
+                await self.wait_until_closed(link)
+            min_s = link.retry_s if link is not None else 0.0
+            await asyncio.sleep(min_s + self.jitter_s(bound_s))
+            bound_s = min(MAX_BACKOFF_S, 2 * bound_s)
+
+    def jitter_s(self, bound_s: float) -> float:
+        """Return a random time up to a bound."""
         return bound_s * self.machine.random.random()
 
-    async def until_lost(self, link: Link) -> None:
-        """Hazard: a planner that hangs leaves its connection open for ever."""
-        while not link.lost.done():
-            await asyncio.wait([link.lost], timeout=SILENT_US / 2e6)
-            if self.machine.clock_us() > link.heard_us + SILENT_US:
+    async def wait_until_closed(self, link: PlannerConnection) -> None:
+        """Wait for the end of a connection, and close one whose planner hangs."""
+        while not link.closed.done():
+            await asyncio.wait([link.closed], timeout=SILENCE_TIMEOUT_US / 2e6)
+            if self.machine.clock_us() > link.last_received_us + SILENCE_TIMEOUT_US:
                 link.abort()
 
-    async def report(self) -> None:
-        await asyncio.sleep(self.draw_s(self.settings.report_s))  # not all forwarders at one moment
+    async def run_reports(self) -> None:
+        """Send reports forever."""
+        await asyncio.sleep(self.jitter_s(self.settings.report_s))  # not all forwarders at the same moment
         while True:
-            self.learn_names()
-            self.write_reports()
+            self.refresh_uids()
+            self.send_reports()
             await asyncio.sleep(self.settings.report_s)
 
-    def write_reports(self) -> None:
+    def send_reports(self) -> None:
+        """Send a report to each connected planner."""
         links = list(self.links)
         if not links:
             return
         now_us, follower = self.machine.clock_us(), self.follower
-        listed = len(self.sidecar.idents())
-        whole = any(link.whole for link in links)
-        report = self.reporter.report(now_us, listed, follower.term, follower.age_ms(now_us), whole)
+        listed = len(self.sidecar.upstream_ids())
+        needs_complete_report = any(link.needs_complete_report for link in links)
+        report = self.reporter.report(now_us, listed, follower.term, follower.age_ms(now_us), needs_complete_report)
         for link in links:
-            if not link.tell(report):
-                link.whole = True
+            if not link.send_report(report):
+                link.needs_complete_report = True
 
     # Plans
 
-    def offer(self, plan: Plan) -> None:
-        why = self.follower.offer(self.machine.clock_us(), plan, set(self.sidecar.idents()))
-        if why and why != self.refused_logged:
-            log.warning("a plan of %s, epoch %d, is refused: %s", plan.term.planner, plan.term.epoch, why)
-        elif not why and plan.term != self.followed:
-            self.followed = plan.term
-            log.info("follows the plans of %s, epoch %d", plan.term.planner, plan.term.epoch)
-        self.refused_logged = why
-        if not why:
-            self.tell_module()
-
-    async def advise(self) -> None:
+    def on_plan(self, plan: Plan) -> None:
+        """Follow a plan if it is accepted."""
+        rejection = self.follower.accept_plan(self.machine.clock_us(), plan, set(self.sidecar.upstream_ids()))
+        if rejection and rejection != self.last_rejection:
+            log.warning("plan of %s, epoch %d, rejected: %s", plan.term.planner, plan.term.epoch, rejection)
+        elif not rejection and plan.term != self.followed_term:
+            self.followed_term = plan.term
+            log.info("following plans of %s, epoch %d", plan.term.planner, plan.term.epoch)
+        self.last_rejection = rejection
+        if not rejection:
+            self.publish_advice()
+
+    async def run_advice(self) -> None:
+        """Advise forever."""
         while True:
-            await asyncio.sleep(ADVICE_S)
-            self.tell_module()
+            await asyncio.sleep(ADVICE_INTERVAL_S)
+            self.publish_advice()
 
-    def tell_module(self) -> None:
+    def publish_advice(self) -> None:
+        """Advise the decision module, if the advice has changed."""
         now_us = self.machine.clock_us()
         event = PlanUpdated(
-            self.follower.advice(now_us, dict(self.sidecar.idents())),
-            self.follower.tenant_worth(now_us),
-            self.follower.class_admit(now_us),
+            self.follower.advice(now_us, dict(self.sidecar.upstream_ids())),
+            self.follower.tenant_weight(now_us),
+            self.follower.class_admission(now_us),
         )
-        if event != self.told:
-            self.told = event
-            self.sidecar.planned(event)
+        if event != self.last_event:
+            self.last_event = event
+            self.sidecar.publish(event)
--- a/ryepier/plan/machine.py
+++ b/ryepier/plan/machine.py
@@ -1,4 +1,4 @@
-"""What a planner or a forwarder takes from its machine, handed in so that a simulation can stand in."""
+"""Clocks and randomness of a planner or a forwarder, passed in so that a simulation can replace them."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """Clocks in microseconds, and chance."""
+    """Clocks in microseconds, and a source of randomness."""
 
-    clock_us: Callable[[], int]  # steady: it only goes on
-    unix_us: Callable[[], int]  # by the calendar: it may be set
+    clock_us: Callable[[], int]  # monotonic
+    unix_us: Callable[[], int]  # wall clock: it may be set
     random: Random
--- a/ryepier/plan/messages.py
+++ b/ryepier/plan/messages.py
@@ -1,7 +1,7 @@
-"""What forwarders and planners say to each other. The protocol is written out in docs/design/planners.md.
+"""Messages between forwarders and planners. The protocol is described in docs/design/planners.md.
 
 Each message is one MessagePack map with the key `type`, behind its length as four bytes, highest first. Unknown keys
-are skipped, so a newer side may say more; an unknown type or version is an error. Pure: bytes in, messages out.
+are skipped, so a newer side may send more; an unknown type or version is an error. Pure: bytes in, messages out.
 """
 
 from __future__ import annotations
@@ -10,26 +10,28 @@
 
 import msgspec
 
+from ryepier.errors import RyepierError
+
 VERSION = 1
-LONGEST = 1024 * 1024  # bytes of one message: a plan for 10,000 converters is about a third of it
-MOST_CONVERTERS = 20_000
-TIME_BUCKETS = 16  # of answers, by powers of two from 1 ms: the last holds all from 16 s on
-LONGEST_NAME = 200
+MAX_MESSAGE_BYTES = 1024 * 1024  # bytes of one message: a plan for 10,000 converters is about a third of it
+MAX_CONVERTERS = 20_000
+LATENCY_BUCKETS = 16  # of answers, by powers of two from 1 ms: the last holds all from 16 s on
+MAX_NAME_LENGTH = 200
 LENGTH_BYTES = 4
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=LONGEST_NAME)]
-Whole = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
-Part = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
+Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 
 
-class ProtocolError(Exception):
-    """The other side said what can't be read; its connection is of no further use."""
+class ProtocolError(RyepierError):
+    """A message that can't be read or is not allowed; its connection is closed."""
 
 
 class Term(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Who leads: of two terms the greater one goes before the other; no two planners share one."""
+    """A term of leadership: the greater of two supersedes the other; no two planners share one."""
 
-    epoch: Whole = 0
+    epoch: Count = 0
     planner: str = ""
 
 
@@ -38,116 +40,121 @@
 
     version: int
     name: Name
-    boot: Whole  # of this process life: its counters begin at 0 with a new one
-    peer: bool = False  # it is a planner
+    incarnation: Count = msgspec.field(name="boot")  # its counters begin at 0 with a new one
+    is_peer: bool = msgspec.field(name="peer", default=False)  # a planner
 
 
-def bucket_of(answer_us: int) -> int:
-    """The bucket of an answer's time: 0 up to 1 ms, then one for each doubling."""
-    return min(TIME_BUCKETS - 1, (answer_us // 1000).bit_length())
+def latency_bucket(latency_us: int) -> int:
+    """Return the bucket of a latency: 0 up to 1 ms, then one for each doubling."""
+    return min(LATENCY_BUCKETS - 1, (latency_us // 1000).bit_length())
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True):
-    """What a forwarder saw of one converter since its start: counters that only grow, so that a report that comes
-    twice, late or out of order does no harm."""
+class ConverterCounters(msgspec.Struct, frozen=True, array_like=True):
+    """A forwarder's counters of one converter since its start. They only grow, so reports may arrive twice or late."""
 
-    sends: Whole = 0
-    served: Whole = 0
-    bad: Whole = 0  # errors, resets, spoilt answers, failed connections, time-outs and silences
-    full: Whole = 0  # turned away
-    times: tuple[Whole, ...] = ()  # of what was served, by bucket (`bucket_of`); trailing zeros may be left out
+    attempts: Count = 0
+    served: Count = 0
+    failed: Count = 0  # errors, resets, malformed responses, failed connections, timeouts and unanswered attempts
+    rejected: Count = 0
+    latencies: tuple[Count, ...] = ()  # served, by `latency_bucket`; trailing zeros may be omitted
 
 
 class Report(msgspec.Struct, tag="report", tag_field="type", frozen=True):
-    """What changed at a forwarder since the last report that was written."""
-
-    number: Whole  # grows by one with each
-    listed: Whole  # converters that it knows as ready
-    seen: dict[Name, Seen]  # by the converter's uid; only those whose counters moved
-    outstanding: dict[Name, Whole]  # sends that are out, where there are any
-    arrivals: list[Whole]  # by tenant, since its start
-    class_arrivals: list[Whole]  # by class, since its start
-    refused: Whole  # since its start
-    term: Term = Term()  # the highest that it has seen in a sound plan
-    plan_age_ms: Whole = 0  # since it took the last sound plan of that term
-
-
-class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """What a plan says of one converter."""
-
-    weight: Part = 1.0
-    cap: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0  # outstanding sends of one forwarder; 0 = no cap
-    rests: bool = False
-    trial: Part = 1.0  # while it rests: the share of the forwarders that may try it
-    why: Annotated[str, msgspec.Meta(max_length=LONGEST_NAME)] = ""
+    """Changes at a forwarder since its last report."""
+
+    number: Count  # grows by one with each
+    listed: Count  # converters that it knows as ready
+    # by the converter's uid, where the counters have changed
+    counters: dict[Name, ConverterCounters] = msgspec.field(name="seen")
+    outstanding: dict[Name, Count]  # attempts in flight, where there are any
+    arrivals: list[Count]  # by tenant, since its start
+    class_arrivals: list[Count]  # by class, since its start
+    rejections: Count = msgspec.field(name="refused")  # since its start
+    term: Term = Term()  # the highest of an accepted plan
+    plan_age_ms: Count = 0  # since it accepted the last plan of that term
+
+
+class ConverterAdvice(msgspec.Struct, frozen=True, array_like=True):
+    """A plan's advice on one converter."""
+
+    weight: Share = 1.0
+    concurrency_limit: Annotated[int, msgspec.Meta(ge=0, le=1000)] = (
+        0  # attempts in flight of one forwarder; 0 = no limit
+    )
+    ejected: bool = False
+    trial_share: Share = 1.0  # while ejected: the share of the forwarders that may try it
+    reason: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)] = ""
 
 
-class Evidence(msgspec.Struct, frozen=True, array_like=True):
-    """What a plan rests on."""
+class PlanBasis(msgspec.Struct, frozen=True, array_like=True):
+    """The evidence behind a plan."""
 
-    forwarders: Whole = 0  # that reported within the window
-    window_ms: Whole = 0  # for how long reports have been gathered, at most the planner's memory
-    covered: Whole = 0  # converters that were seen within it
-    listed: Whole = 0  # converters that the forwarders know, by the greatest of their counts
-    attempts: Whole = 0  # ended within it
+    forwarders: Count = 0  # that reported within the window
+    window_ms: Count = 0  # for how long reports were collected, at most the planner's memory
+    covered: Count = 0  # converters reported within it
+    listed: Count = 0  # converters listed at the forwarders, the greatest of their counts
+    attempts: Count = 0  # ended within it
 
 
 class Plan(msgspec.Struct, tag="plan", tag_field="type", frozen=True):
-    """Advice for every forwarder alike; converters that it does not name go without."""
+    """Advice for all forwarders; converters that it does not name are treated as usual."""
 
     term: Term
-    number: Whole  # grows within a term
-    evidence: Evidence
-    entries: dict[Name, Entry]  # only those that are not as usual
-    valid_ms: Whole  # from its arrival on it is followed in full for so long
-    fade_ms: Whole  # and then fades over so long
-    tenant_worth: list[Part] = []
-    class_admit: list[Part] = []  # by class, the share of the arrivals that is let in; empty: all
+    number: Count  # grows within a term
+    evidence: PlanBasis
+    entries: dict[Name, ConverterAdvice]  # converters that are not treated as usual
+    valid_ms: Count  # from its arrival on it is followed fully this long
+    fade_ms: Count  # and then fades out over this long
+    tenant_weight: list[Share] = msgspec.field(name="tenant_worth", default_factory=list)
+    class_admission: list[Share] = msgspec.field(
+        name="class_admit", default_factory=list
+    )  # by class, the share of arrivals to admit; empty: all
 
 
-class Beat(msgspec.Struct, tag="beat", tag_field="type", frozen=True):
-    """A planner's sign of life to its peers."""
+class Heartbeat(msgspec.Struct, tag="beat", tag_field="type", frozen=True):
+    """Heartbeat that a planner sends to its peers and forwarders."""
 
     term: Term  # the highest that it knows
-    leads: bool
-    forwarders: Whole  # that report to it
+    is_leader: bool = msgspec.field(name="leads")
+    forwarders: Count  # that report to it
 
 
-class Refusal(msgspec.Struct, tag="refusal", tag_field="type", frozen=True):
-    """Why the other side is not served; the connection closes behind it. `retry_ms`: not to come back sooner."""
+class Rejection(msgspec.Struct, tag="refusal", tag_field="type", frozen=True):
+    """Reason why a connection is rejected; it closes after it. Retry after `retry_ms` at the earliest."""
 
-    why: str
-    retry_ms: Whole = 0
+    reason: str = msgspec.field(name="why")
+    retry_ms: Count = 0
 
 
-Message = Hello | Report | Plan | Beat | Refusal
+Message = Hello | Report | Plan | Heartbeat | Rejection
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
 def encode(message: Message) -> bytes:
-    """One frame. Raises ProtocolError where the message is longer than the other side would take."""
+    """Return one frame. Raises ProtocolError for a message that is too long."""
     body = _encoder.encode(message)
-    if len(body) > LONGEST:
-        raise ProtocolError(f"a message of {len(body)} bytes; {LONGEST} are allowed")
+    if len(body) > MAX_MESSAGE_BYTES:
+        raise ProtocolError(f"a message of {len(body)} bytes; {MAX_MESSAGE_BYTES} are allowed")
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
-class Frames:
-    """Puts messages together from bytes as they come, in whatever pieces."""
+class FrameDecoder:
+    """Decodes messages from bytes that arrive in pieces."""
 
     def __init__(self) -> None:
+        """Start before the first frame."""
         self.pending = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are whole by now. Raises ProtocolError on what can't be one."""
+        """Return the messages that are complete now. Raises ProtocolError."""
         self.pending += data
         messages: list[Message] = []
         while len(self.pending) >= LENGTH_BYTES:
             size = int.from_bytes(self.pending[:LENGTH_BYTES], "big")
-            if size > LONGEST:
-                raise ProtocolError(f"a message of {size} bytes; {LONGEST} are allowed")
+            if size > MAX_MESSAGE_BYTES:
+                raise ProtocolError(f"a message of {size} bytes; {MAX_MESSAGE_BYTES} are allowed")
             if len(self.pending) < LENGTH_BYTES + size:
                 break
             body = bytes(self.pending[LENGTH_BYTES : LENGTH_BYTES + size])
@@ -157,7 +164,7 @@
 
 
 def decode(body: bytes) -> Message:
-    """One message without its length. Raises ProtocolError."""
+    """Return the message of one frame without its length. Raises ProtocolError."""
     try:
         message = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -165,8 +172,12 @@
     if isinstance(message, Hello) and message.version != VERSION:
         raise ProtocolError(f"version {message.version}; this side speaks {VERSION}")
     count = (
-        len(message.seen) if isinstance(message, Report) else len(message.entries) if isinstance(message, Plan) else 0
+        len(message.counters)
+        if isinstance(message, Report)
+        else len(message.entries)
+        if isinstance(message, Plan)
+        else 0
     )
-    if count > MOST_CONVERTERS:
-        raise ProtocolError(f"{count} converters in one message; {MOST_CONVERTERS} are allowed")
+    if count > MAX_CONVERTERS:
+        raise ProtocolError(f"{count} converters in one message; {MAX_CONVERTERS} are allowed")
     return message
--- /dev/null
+++ b/ryepier/plan/plan_follower.py
@@ -0,0 +1,160 @@
+"""A forwarder's side of a plan: which plans are accepted, and how far the last one is still followed.
+
+Pure. The rules of acceptance, each with its reason, are in docs/design/planners.md. A plan's age runs from its arrival
+here, so the clocks of two machines are never compared.
+"""
+
+from __future__ import annotations
+
+import enum
+import zlib
+from collections import Counter
+from dataclasses import dataclass
+
+from ryepier.balancer.interface import Advice
+from ryepier.plan.messages import Plan, Term
+
+MIN_WEIGHT = 1 / 64  # no converter that is not ejected is kept from all traffic by its weight
+FADE_SPREAD = 0.25  # forwarders' fades differ by up to this share, so that they do not start anew together
+TRIAL_PLANS = 4  # plans for which the same forwarders may try an ejected converter, so that a response can arrive
+MAX_CONCURRENCY = 8  # what a concurrency limit fades to: the decision module's own maximum
+
+
+@dataclass(frozen=True, slots=True)
+class TrustRules:
+    """What a plan must satisfy to be accepted; set by the operators."""
+
+    fleet: int  # approximate number of forwarders
+    min_reporters: float = 0.5  # share of the fleet that must have reported
+    min_window_ms: int = 1000  # over which reports must have been collected
+    min_covered: float = 0.5  # share of the listed converters that must have been reported
+    max_ejected: float = 0.4  # share of the listed converters that a plan may eject
+    min_weight: float = 0.4  # share of the listed converters' weights that must remain
+
+
+class PlanRejection(enum.StrEnum):
+    """Why a plan is rejected."""
+
+    OLDER_TERM = "an older term"
+    NOT_NEWER = "not newer"
+    NO_TERM = "no term"
+    FEW_REPORTERS = "too few forwarders reported"
+    SHORT_WINDOW = "evidence of too short a time"
+    FEW_CONVERTERS = "too few converters reported"
+    MANY_EJECTIONS = "too many converters ejected"
+    LITTLE_WEIGHT = "too little weight remains"
+
+
+def stable_share(*parts: str) -> float:
+    """Return a number from 0 to 1 that is always the same for the same words and differs for others."""
+    return zlib.crc32("\0".join(parts).encode()) / 2**32
+
+
+class PlanFollower:
+    """One forwarder's view of the plans that arrive, from any planner."""
+
+    def __init__(self, name: str, rules: TrustRules) -> None:
+        """Start without a plan; `name` is the forwarder's."""
+        self.name = name
+        self.rules = rules
+        self.term = Term()  # the highest of an accepted plan
+        self.plan: Plan | None = None  # the last accepted one
+        self.accepted_us = 0
+        self.rejections: Counter[PlanRejection] = Counter()
+        self.fade_factor = 1.0 + FADE_SPREAD * (2.0 * stable_share(name, "fade") - 1.0)
+
+    def accept_plan(self, now_us: int, plan: Plan, listed: set[str]) -> PlanRejection | None:
+        """Accept a plan, or return why not. `listed` are the uids of the ready converters."""
+        rejection = self.rejection_reason(plan, listed)
+        if rejection is not None:
+            self.rejections[rejection] += 1
+            return rejection
+        self.term, self.plan, self.accepted_us = plan.term, plan, now_us
+        return None
+
+    def rejection_reason(self, plan: Plan, listed: set[str]) -> PlanRejection | None:
+        """Return the first rule that a plan breaks."""
+        is_newer = self.plan is None or plan.term != self.term or plan.number > self.plan.number
+        if plan.term < self.term:
+            return PlanRejection.OLDER_TERM
+        if not is_newer:
+            return PlanRejection.NOT_NEWER
+        if plan.term.epoch == 0 or not plan.term.planner:
+            return PlanRejection.NO_TERM
+        return self._lacking_evidence(plan, len(listed)) or self._excessive_advice(plan, listed)
+
+    def _lacking_evidence(self, plan: Plan, listed: int) -> PlanRejection | None:
+        rules, evidence = self.rules, plan.evidence
+        if evidence.forwarders < rules.min_reporters * rules.fleet:
+            return PlanRejection.FEW_REPORTERS
+        if evidence.window_ms < rules.min_window_ms:
+            return PlanRejection.SHORT_WINDOW
+        if evidence.covered < rules.min_covered * listed:
+            return PlanRejection.FEW_CONVERTERS
+        return None
+
+    def _excessive_advice(self, plan: Plan, listed: set[str]) -> PlanRejection | None:
+        known = [entry for uid, entry in plan.entries.items() if uid in listed]
+        if sum(entry.ejected for entry in known) > self.rules.max_ejected * len(listed):
+            return PlanRejection.MANY_EJECTIONS
+        remaining = len(listed) - len(known) + sum(entry.weight for entry in known if not entry.ejected)
+        if listed and remaining < self.rules.min_weight * len(listed):
+            return PlanRejection.LITTLE_WEIGHT
+        return None
+
+    def confidence(self, now_us: int) -> float:
+        """Return 1 while the plan is valid, then linearly down to 0, over a time that differs between forwarders."""
+        if self.plan is None:
+            return 0.0
+        over_ms = (now_us - self.accepted_us) / 1000 - self.plan.valid_ms
+        if over_ms <= 0:
+            return 1.0
+        return max(0.0, 1.0 - over_ms / max(1.0, self.plan.fade_ms * self.fade_factor))
+
+    def age_ms(self, now_us: int) -> int:
+        """Return the age of the current plan; 0 without one."""
+        return (now_us - self.accepted_us) // 1000 if self.plan is not None else 0
+
+    def advice(self, now_us: int, upstream_ids: dict[str, int]) -> list[Advice]:
+        """Return the current advice on the listed converters; `upstream_ids` has their numbers by uid."""
+        confidence, plan = self.confidence(now_us), self.plan
+        if plan is None or confidence == 0.0:
+            return []
+        found = []
+        for uid, entry in plan.entries.items():
+            upstream_id = upstream_ids.get(uid)
+            if upstream_id is None:
+                continue  # not listed by discovery: a plan adds no converter
+            # each forwarder has its own turn to try, and its own moment of the fade to end an ejection
+            ejected = (
+                entry.ejected
+                and not self.is_on_trial(uid, plan, entry.trial_share)
+                and stable_share(self.name, uid) < confidence
+            )
+            weight = max(MIN_WEIGHT, entry.weight + (1.0 - entry.weight) * (1.0 - confidence))
+            concurrency_limit = (
+                round(entry.concurrency_limit + (MAX_CONCURRENCY - entry.concurrency_limit) * (1.0 - confidence))
+                if 0 < entry.concurrency_limit < MAX_CONCURRENCY
+                else 0
+            )
+            if entry.ejected and not ejected:
+                concurrency_limit = 1  # a trial is one request at a time
+            found.append(Advice(upstream_id, weight, concurrency_limit, ejected))
+        return found
+
+    def is_on_trial(self, uid: str, plan: Plan, trial_share: float) -> bool:
+        """Return whether it is this forwarder's turn to try an ejected converter; the turn moves on every few plans."""
+        return stable_share(self.name, uid, str(plan.number // TRIAL_PLANS)) < trial_share
+
+    def class_admission(self, now_us: int) -> list[float]:
+        """Return the share of arrivals to admit by class; it fades out, as the total rate becomes unknown."""
+        confidence = self.confidence(now_us)
+        if self.plan is None or confidence == 0.0:
+            return []
+        return [1.0 - (1.0 - share) * confidence for share in self.plan.class_admission]
+
+    def tenant_weight(self, now_us: int) -> list[float]:
+        """Return by tenant how much of its requests is within its quota; nothing once the plan is not valid."""
+        if self.plan is None or self.confidence(now_us) < 1.0:
+            return []  # old rates are worse than those observed here
+        return list(self.plan.tenant_weight)
--- a/ryepier/plan/snapshot.py
+++ b/ryepier/plan/snapshot.py
@@ -1,8 +1,8 @@
-"""What a planner keeps over a restart: its highest term, and which converters rest. Evidence is not kept: it comes
-anew with the forwarders' whole reports within a second.
+"""Snapshot of a planner: its highest term, and the converters' statuses.
 
-The file is one MessagePack list behind a line that holds a version and a checksum. It is replaced as a whole, so a
-reader finds the old one or the new one; a torn, foreign or old one is refused, and the planner starts without.
+Evidence is not stored: it is rebuilt from the forwarders' complete reports within a second. The file is one MessagePack
+list behind a line that holds a version and a checksum. It is replaced atomically; a torn, foreign or old one is
+rejected, and the planner starts without.
 """
 
 from __future__ import annotations
@@ -13,73 +13,80 @@
 
 import msgspec
 
-from ryepier.plan.compute import Judged, State
+from ryepier.errors import RyepierError
 from ryepier.plan.messages import Term
+from ryepier.plan.plan_computation import ConverterState, ConverterStatus
 
 MAGIC = b"ryepier-plan-1"
-LONGEST = 16 * 1024 * 1024
-NAME = "planner.snapshot"
+MAX_BYTES = 16 * 1024 * 1024
+FILE_NAME = "planner.snapshot"
 
 
-class SnapshotError(Exception):
-    """A snapshot that is not to be trusted; says why."""
+class SnapshotError(RyepierError):
+    """A snapshot that must not be used, with the reason."""
 
 
-class Kept(msgspec.Struct, frozen=True):
-    """The content. `judged`: uid to state, for how long it has been so (us), and its step."""
+class Snapshot(msgspec.Struct, frozen=True):
+    """The content; `statuses` by uid: the state, for how long (us), and the step of the recovery."""
 
     saved_ms: int  # Unix time
     term: Term
-    judged: dict[str, tuple[State, int, int]]
+    statuses: dict[str, tuple[ConverterState, int, int]] = msgspec.field(name="judged")
 
-    def revive(self, now_us: int) -> dict[str, Judged]:
-        """What was judged, on a new clock."""
-        return {uid: Judged(state, now_us - for_us, step) for uid, (state, for_us, step) in self.judged.items()}
+    def restore(self, now_us: int) -> dict[str, ConverterStatus]:
+        """Return the statuses on a new clock."""
+        return {
+            uid: ConverterStatus(state, now_us - for_us, step) for uid, (state, for_us, step) in self.statuses.items()
+        }
 
 
-def keep(now_us: int, unix_ms: int, term: Term, judged: dict[str, Judged]) -> Kept:
-    return Kept(unix_ms, term, {uid: (one.state, now_us - one.since_us, one.step) for uid, one in judged.items()})
+def take(now_us: int, unix_ms: int, term: Term, statuses: dict[str, ConverterStatus]) -> Snapshot:
+    """Return a snapshot of the current statuses."""
+    return Snapshot(
+        unix_ms, term, {uid: (status.state, now_us - status.since_us, status.step) for uid, status in statuses.items()}
+    )
 
 
-def encode(kept: Kept) -> bytes:
-    body = msgspec.msgpack.encode(kept)
+def encode(snapshot: Snapshot) -> bytes:
+    """Return the content of the file."""
+    body = msgspec.msgpack.encode(snapshot)
     return b"%s %08x %d\n" % (MAGIC, zlib.crc32(body), len(body)) + body
 
 
-def decode(data: bytes, unix_ms: int, oldest_ms: int) -> Kept:
-    """The content of a snapshot that is whole and at most `oldest_ms` old. Raises SnapshotError."""
+def decode(data: bytes, unix_ms: int, max_age_ms: int) -> Snapshot:
+    """Return a snapshot that is intact and at most `max_age_ms` old. Raises SnapshotError."""
     head, newline, body = data.partition(b"\n")
     if not newline or not head.startswith(MAGIC + b" "):
         raise SnapshotError("not a snapshot of this version")
     if head != b"%s %08x %d" % (MAGIC, zlib.crc32(body), len(body)):
         raise SnapshotError("torn or altered")
     try:
-        kept = msgspec.msgpack.decode(body, type=Kept)
+        snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as error:
         raise SnapshotError(f"unreadable: {error}") from None
-    age_ms = unix_ms - kept.saved_ms
-    if not 0 <= age_ms <= oldest_ms:
-        raise SnapshotError(f"{age_ms / 1000:.1f} s old; at most {oldest_ms / 1000:.0f} s are trusted")
-    return kept
+    age_ms = unix_ms - snapshot.saved_ms
+    if not 0 <= age_ms <= max_age_ms:
+        raise SnapshotError(f"{age_ms / 1000:.1f} s old; at most {max_age_ms / 1000:.0f} s are trusted")
+    return snapshot
 
 
-def save(folder: Path, kept: Kept) -> None:
+def save(folder: Path, snapshot: Snapshot) -> None:
     """Replace the snapshot in `folder`. Raises OSError."""
-    new = folder / (NAME + ".new")
+    new = folder / (FILE_NAME + ".new")
     with open(new, "wb") as file:
-        file.write(encode(kept))
+        file.write(encode(snapshot))
         file.flush()
         os.fsync(file.fileno())
-    os.replace(new, folder / NAME)
+    os.replace(new, folder / FILE_NAME)
 
 
-def load(folder: Path, unix_ms: int, oldest_ms: int) -> Kept | None:
-    """The snapshot in `folder`, or None where there is none. Raises SnapshotError and OSError."""
+def load(folder: Path, unix_ms: int, max_age_ms: int) -> Snapshot | None:
+    """Return the snapshot in `folder`, or None without one. Raises SnapshotError and OSError."""
     try:
-        with open(folder / NAME, "rb") as file:
-            data = file.read(LONGEST + 1)
+        with open(folder / FILE_NAME, "rb") as file:
+            data = file.read(MAX_BYTES + 1)
     except FileNotFoundError:
         return None
-    if len(data) > LONGEST:
+    if len(data) > MAX_BYTES:
         raise SnapshotError("longer than any snapshot")
-    return decode(data, unix_ms, oldest_ms)
+    return decode(data, unix_ms, max_age_ms)
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -26,28 +26,28 @@
     UpstreamsUpdated,
 )
 from ryepier.plan import snapshot
-from ryepier.plan.compute import Judged, Planner
-from ryepier.plan.follow import Follower, Rules
-from ryepier.plan.lead import SUSPECT_US, Leadership
-from ryepier.plan.merge import Evidence, Forwarder
+from ryepier.plan.evidence import Evidence, ForwarderStats
+from ryepier.plan.leadership import SUSPECT_US, Leadership
 from ryepier.plan.messages import (
-    LONGEST,
+    MAX_MESSAGE_BYTES,
     VERSION,
-    Beat,
-    Entry,
-    Frames,
+    ConverterAdvice,
+    ConverterCounters,
+    FrameDecoder,
+    Heartbeat,
     Hello,
     Plan,
     ProtocolError,
     Report,
-    Seen,
     Term,
     encode,
 )
-from ryepier.plan.messages import Evidence as Basis
-from ryepier.plan.report import Reporter
+from ryepier.plan.messages import PlanBasis as Basis
+from ryepier.plan.plan_computation import ConverterState, ConverterStatus, Planner
+from ryepier.plan.plan_follower import PlanFollower, TrustRules
+from ryepier.plan.reporter import Reporter
 
-RULES = Rules(fleet=10)
+RULES = TrustRules(fleet=10)
 LISTED = {f"c{i}" for i in range(10)}
 S = 1_000_000
 
@@ -59,15 +59,15 @@
     planner: str = "a",
     covered: int = 10,
     window_ms: int = 2000,
-    entries: dict[str, Entry] | None = None,
+    entries: dict[str, ConverterAdvice] | None = None,
 ) -> Plan:
     return Plan(
         Term(epoch, planner), number, Basis(forwarders, window_ms, covered, 10, 99), entries or {}, 2000, 30_000
     )
 
 
-def resting(count: int) -> dict[str, Entry]:
-    return {f"c{i}": Entry(rests=True, trial=0.0) for i in range(count)}
+def resting(count: int) -> dict[str, ConverterAdvice]:
+    return {f"c{i}": ConverterAdvice(ejected=True, trial_share=0.0) for i in range(count)}
 
 
 # The wire
@@ -75,25 +75,25 @@
 
 @given(st.binary(max_size=300), st.integers(1, 20))
 def test_bytes_of_any_kind_are_messages_or_a_protocol_error(data: bytes, piece: int) -> None:
-    frames = Frames()
+    frames = FrameDecoder()
     try:
         for at in range(0, len(data), piece):
             frames.feed(data[at : at + piece])
     except ProtocolError:
         pass
-    good = encode(Beat(Term(3, "a"), True, 5))
-    assert Frames().feed(good + good[:5]) == [Beat(Term(3, "a"), True, 5)]
+    good = encode(Heartbeat(Term(3, "a"), True, 5))
+    assert FrameDecoder().feed(good + good[:5]) == [Heartbeat(Term(3, "a"), True, 5)]
 
 
 def test_what_goes_past_the_limits_is_an_error_and_unknown_keys_are_not() -> None:
     with pytest.raises(ProtocolError, match="bytes"):
-        Frames().feed((LONGEST + 1).to_bytes(4, "big"))
+        FrameDecoder().feed((MAX_MESSAGE_BYTES + 1).to_bytes(4, "big"))
     with pytest.raises(ProtocolError, match="version"):
-        Frames().feed(encode(Hello(VERSION + 1, "f", 1)))
+        FrameDecoder().feed(encode(Hello(VERSION + 1, "f", 1)))
     with pytest.raises(ProtocolError):
-        Frames().feed(encode(msgspec.structs.replace(a_plan(), entries={"c": Entry(weight=2.0)})))
+        FrameDecoder().feed(encode(msgspec.structs.replace(a_plan(), entries={"c": ConverterAdvice(weight=2.0)})))
     newer = msgspec.msgpack.encode({"type": "beat", "term": [1, "a"], "leads": True, "forwarders": 1, "mood": "good"})
-    assert Frames().feed(len(newer).to_bytes(4, "big") + newer) == [Beat(Term(1, "a"), True, 1)]
+    assert FrameDecoder().feed(len(newer).to_bytes(4, "big") + newer) == [Heartbeat(Term(1, "a"), True, 1)]
 
 
 # Reports and their merge
@@ -101,24 +101,29 @@
 
 def test_a_report_holds_what_changed_and_silence_counts_before_the_attempt_ends() -> None:
     reporter = Reporter([100], 1)
-    reporter.sent(0, "a", 1, 0)
-    reporter.sent(0, "b", 2, 0)
-    reporter.ended("b", 2, Outcome.OK, 2_500)
+    reporter.on_attempt_started(0, "a", 1, 0)
+    reporter.on_attempt_started(0, "b", 2, 0)
+    reporter.on_attempt_ended("b", 2, Outcome.OK, 2_500)
     first = reporter.report(99, 2, Term(), 0)
-    assert first.seen == {"a": Seen(1), "b": Seen(1, 1, 0, 0, (0, 0, 1))} and first.outstanding == {"a": 1}
-    assert reporter.report(100, 2, Term(), 0).seen == {"a": Seen(1, bad=1)}
-    reporter.ended("a", 1, Outcome.TIMEOUT, 900)  # counted already
-    assert reporter.report(200, 2, Term(), 0).seen == {"a": Seen(1, bad=1)}
-    reporter.keep({"b"})
-    assert reporter.report(300, 1, Term(), 0, whole=True).seen == {"b": Seen(1, 1, 0, 0, (0, 0, 1))}
+    assert first.counters == {
+        "a": ConverterCounters(1),
+        "b": ConverterCounters(1, 1, 0, 0, (0, 0, 1)),
+    } and first.outstanding == {"a": 1}
+    assert reporter.report(100, 2, Term(), 0).counters == {"a": ConverterCounters(1, failed=1)}
+    reporter.on_attempt_ended("a", 1, Outcome.TIMEOUT, 900)  # counted already
+    assert reporter.report(200, 2, Term(), 0).counters == {"a": ConverterCounters(1, failed=1)}
+    reporter.retain({"b"})
+    assert reporter.report(300, 1, Term(), 0, complete=True).counters == {"b": ConverterCounters(1, 1, 0, 0, (0, 0, 1))}
 
 
 def growing(counts: list[int]) -> list[Report]:
     total, reports = 0, []
     for number, count in enumerate(counts, 1):
         total += count
-        other = Seen(number, times=(0,) * (number % 4) + (number,))
-        reports.append(Report(number, 10, {"c": Seen(total, total), f"d{number % 3}": other}, {}, [], [], 0))
+        other = ConverterCounters(number, latencies=(0,) * (number % 4) + (number,))
+        reports.append(
+            Report(number, 10, {"c": ConverterCounters(total, total), f"d{number % 3}": other}, {}, [], [], 0)
+        )
     return reports
 
 
@@ -137,9 +142,9 @@
     evidence = Evidence(0)
     first, second = growing([5, 5])
     assert evidence.merge(0, "f", 7, first) and evidence.merge(1, "f", 7, second)
-    assert evidence.forwarders["f"].cells["c"].recent.served == pytest.approx(5, rel=0.01)  # the first is no news
+    assert evidence.forwarders["f"].converters["c"].recent.served == pytest.approx(5, rel=0.01)  # the first is no news
     assert not evidence.merge(2, "f", 6, second)
-    assert evidence.merge(3, "f", 8, first) and evidence.totals()["f"]["c"] == Seen(5, 5)
+    assert evidence.merge(3, "f", 8, first) and evidence.totals()["f"]["c"] == ConverterCounters(5, 5)
 
 
 # Judging
@@ -155,12 +160,14 @@
         evidence.merge(now_us, name, 1, Report(1, 10, {}, {}, [], [], 0))
         known = evidence.forwarders[name]
     seen = {}
-    for uid, (served, bad) in cells.items():
-        old = known.cells[uid].seen if uid in known.cells else Seen()
+    for uid, (served, failed) in cells.items():
+        old = known.converters[uid].counters if uid in known.converters else ConverterCounters()
         slow = uid in slower
-        counts = [*old.times, *[0] * (8 - len(old.times))]
+        counts = [*old.latencies, *[0] * (8 - len(old.latencies))]
         counts[7 if slow else 5] += served
-        seen[uid] = Seen(old.sends + served + bad, old.served + served, old.bad + bad, 0, tuple(counts))
+        seen[uid] = ConverterCounters(
+            old.attempts + served + failed, old.served + served, old.failed + failed, 0, tuple(counts)
+        )
     evidence.merge(now_us, name, 1, Report(known.number + 1, 10, seen, {}, [], [10 * known.number], 0))
 
 
@@ -190,14 +197,14 @@
     planner, evidence = Planner(RULES, []), Evidence(0)
     well(evidence, 2 * S, {"c3": (0, 2)})
     [(uid, entry)] = plan_at(planner, evidence, 2 * S).entries.items()
-    assert uid == "c3" and entry.rests and entry.trial == 0.2 and "seen by 10 of 10" in entry.why
+    assert uid == "c3" and entry.ejected and entry.trial_share == 0.2 and "seen by 10 of 10" in entry.reason
     at_us, found = 2 * S, []
     for _ in range(40):
         at_us += S // 2
         saw(evidence, at_us, "f0", {"c3": (2, 0)})
         well(evidence, at_us, {"c3": (0, 0)})
-        entry = plan_at(planner, evidence, at_us).entries.get("c3", Entry())
-        found.append("rests" if entry.rests else entry.weight)
+        entry = plan_at(planner, evidence, at_us).entries.get("c3", ConverterAdvice())
+        found.append("rests" if entry.ejected else entry.weight)
     assert list(dict.fromkeys(found)) == ["rests", 0.25, 0.5, 1.0]
 
 
@@ -207,7 +214,7 @@
         saw(evidence, 2 * S, f"f{index}", dict.fromkeys(LISTED, (6, 0)), ("c3",))
         saw(evidence, 2 * S, f"f{index}", {"c4": (1, 0)}, ("c4",))
     [(uid, entry)] = plan_at(planner, evidence, 2 * S).entries.items()
-    assert uid == "c3" and entry.weight == 0.25 and entry.cap == 1 and "96 ms" in entry.why
+    assert uid == "c3" and entry.weight == 0.25 and entry.concurrency_limit == 1 and "96 ms" in entry.reason
 
 
 def test_a_classes_limit_over_all_forwarders_is_shared_out_evenly_and_fades() -> None:
@@ -215,10 +222,10 @@
     for at_us in (2 * S, 2 * S + 1):
         well(evidence, at_us, {}, names=5)  # 5 forwarders, 10 more arrivals each: 100 within 2 s are 50 a second
     plan = plan_at(planner, evidence, 2 * S + 1)
-    assert plan.class_admit == [pytest.approx(0.5, rel=0.01)]
-    follower = Follower("f", RULES)
-    assert follower.offer(0, plan, LISTED) == "" and follower.class_admit(0) == plan.class_admit
-    assert 0.5 < follower.class_admit(15 * S)[0] < 1.0 and follower.class_admit(60 * S) == []
+    assert plan.class_admission == [pytest.approx(0.5, rel=0.01)]
+    follower = PlanFollower("f", RULES)
+    assert follower.accept_plan(0, plan, LISTED) is None and follower.class_admission(0) == plan.class_admission
+    assert 0.5 < follower.class_admission(15 * S)[0] < 1.0 and follower.class_admission(60 * S) == []
     made = balancer(4)
     admitted = sends(made, 4, PlanUpdated(class_admission=[0.5]))
     assert len(admitted) == 2
@@ -228,7 +235,7 @@
     planner, evidence = Planner(RULES, []), Evidence(0)
     well(evidence, 2 * S, {})
     saw(evidence, 2 * S, "f0", dict.fromkeys(LISTED, (0, 50)))
-    assert plan_at(planner, evidence, 2 * S).entries == {} and planner.liars == {"f0"}
+    assert plan_at(planner, evidence, 2 * S).entries == {} and planner.outlier_reporters == {"f0"}
 
 
 def test_a_few_forwarders_that_shout_do_not_outweigh_the_others() -> None:
@@ -242,7 +249,7 @@
 def test_where_much_of_the_fleet_is_bad_none_rests() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     well(evidence, 2 * S, {f"c{i}": (0, 3) for i in range(5)})
-    assert plan_at(planner, evidence, 2 * S).entries == {} and planner.fleet_trouble
+    assert plan_at(planner, evidence, 2 * S).entries == {} and planner.fleet_is_failing
 
 
 def test_what_planners_make_of_any_evidence_is_sound_to_forwarders() -> None:
@@ -259,8 +266,8 @@
             saw(evidence, 2 * S, f"f{index}", cells)
         plan = planner.plan(2 * S, evidence, Term(1, "a"), 1)
         if plan is not None:
-            [came] = Frames().feed(encode(plan))
-            assert isinstance(came, Plan) and Follower("f", RULES).offer(0, came, LISTED) == ""
+            [came] = FrameDecoder().feed(encode(plan))
+            assert isinstance(came, Plan) and PlanFollower("f", RULES).accept_plan(0, came, LISTED) is None
 
     check()
 
@@ -274,23 +281,23 @@
         (a_plan(forwarders=4), "too few forwarders"),
         (a_plan(forwarders=0, covered=0, window_ms=0), "too few forwarders"),  # built from nothing
         (a_plan(window_ms=999), "evidence of too short a time"),
-        (a_plan(covered=4), "too few converters seen"),
-        (a_plan(entries=resting(5)), "too many converters at rest"),
-        (a_plan(entries=dict.fromkeys(LISTED, Entry(weight=0.0))), "too little weight"),
+        (a_plan(covered=4), "too few converters reported"),
+        (a_plan(entries=resting(5)), "too many converters ejected"),
+        (a_plan(entries=dict.fromkeys(LISTED, ConverterAdvice(weight=0.0))), "too little weight"),
         (a_plan(epoch=0), "no term"),
         (a_plan(planner=""), "no term"),
     ],
 )
 def test_an_unsound_plan_is_refused_and_the_last_sound_one_stays(plan: Plan, why: str) -> None:
-    follower = Follower("f", RULES)
-    assert follower.offer(0, a_plan(entries=resting(1)), LISTED) == ""
+    follower = PlanFollower("f", RULES)
+    assert follower.accept_plan(0, a_plan(entries=resting(1)), LISTED) is None
     newer = msgspec.structs.replace(plan, term=Term(plan.term.epoch * 5, plan.term.planner))
-    assert follower.offer(1, newer, LISTED).startswith(why if plan.term.epoch else "an older term")
+    assert str(follower.accept_plan(1, newer, LISTED)).startswith(why if plan.term.epoch else "an older term")
     assert follower.plan is not None and list(follower.plan.entries) == ["c0"]
 
 
 def test_terms_only_go_up_and_numbers_within_them() -> None:
-    follower = Follower("f", RULES)
+    follower = PlanFollower("f", RULES)
     order = [
         (2, "a", 5, ""),
         (2, "a", 5, "not newer"),
@@ -301,28 +308,33 @@
         (3, "a", 1, ""),
     ]
     for epoch, planner, number, expected in order:
-        assert follower.offer(0, a_plan(epoch, number, planner=planner), LISTED) == expected
+        assert follower.accept_plan(0, a_plan(epoch, number, planner=planner), LISTED) == (expected or None)
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 3), st.sampled_from("ab"), st.integers(0, 4), st.integers(0, 10)), max_size=30)
 )
 def test_whatever_plans_come_those_followed_only_go_up(offers: list[tuple[int, str, int, int]]) -> None:
-    follower, followed = Follower("f", RULES), []
+    follower, followed = PlanFollower("f", RULES), []
     for epoch, planner, number, forwarders in offers:
-        if not follower.offer(0, a_plan(epoch, number, forwarders, planner), LISTED):
+        if not follower.accept_plan(0, a_plan(epoch, number, forwarders, planner), LISTED):
             followed.append((epoch, planner, number))
             assert forwarders >= 5
     assert all(one < other for one, other in zip(followed, followed[1:], strict=False))
 
 
 def test_a_plan_fades_to_nothing_and_forwarders_leave_a_rest_one_after_another() -> None:
-    followers = [Follower(f"f{i}", Rules(fleet=1)) for i in range(200)]
-    plan = a_plan(entries={"c1": Entry(rests=True, trial=0.0), "c2": Entry(weight=0.5, cap=2)})
+    followers = [PlanFollower(f"f{i}", TrustRules(fleet=1)) for i in range(200)]
+    plan = a_plan(
+        entries={
+            "c1": ConverterAdvice(ejected=True, trial_share=0.0),
+            "c2": ConverterAdvice(weight=0.5, concurrency_limit=2),
+        }
+    )
     idents = {uid: int(uid[1:]) for uid in LISTED}
     left, weights = [], []
     for follower in followers:
-        assert follower.offer(0, plan, LISTED) == ""
+        assert follower.accept_plan(0, plan, LISTED) is None
     for second in range(0, 45, 2):
         advice = [{one.upstream: one for one in f.advice(second * S, idents)} for f in followers]
         left.append(sum(not one.get(1, Advice(1)).ejected for one in advice))
@@ -335,16 +347,21 @@
 def test_a_few_forwarders_at_a_time_try_what_rests_and_in_the_end_all_had_their_turn() -> None:
     tried: set[str] = set()
     for number in range(1, 400):
-        plan = a_plan(number=number, entries={"c1": Entry(rests=True, trial=0.1)})
-        names = {f"f{i}" for i in range(50) if Follower(f"f{i}", RULES).tries("c1", plan, 0.1)}
+        plan = a_plan(number=number, entries={"c1": ConverterAdvice(ejected=True, trial_share=0.1)})
+        names = {f"f{i}" for i in range(50) if PlanFollower(f"f{i}", RULES).is_on_trial("c1", plan, 0.1)}
         assert len(names) < 20
         tried |= names
     assert len(tried) == 50
 
 
 def test_a_plan_brings_in_nobody_that_discovery_has_not_named() -> None:
-    follower = Follower("f", RULES)
-    assert follower.offer(0, a_plan(entries={"c99": Entry(weight=0.5), "c1": Entry(weight=0.5)}), LISTED) == ""
+    follower = PlanFollower("f", RULES)
+    assert (
+        follower.accept_plan(
+            0, a_plan(entries={"c99": ConverterAdvice(weight=0.5), "c1": ConverterAdvice(weight=0.5)}), LISTED
+        )
+        is None
+    )
     assert [one.upstream for one in follower.advice(0, {"c1": 4})] == [4]
 
 
@@ -381,50 +398,63 @@
 # Leading
 
 
-def witnesses(term: Term, taken_us: int, count: int = 10) -> dict[str, Forwarder]:
-    return {f"f{i}": Forwarder(1, 0, taken_us, 1, term=term, plan_taken_us=taken_us) for i in range(count)}
+def witnesses(term: Term, taken_us: int, count: int = 10) -> dict[str, ForwarderStats]:
+    return {f"f{i}": ForwarderStats(1, 0, taken_us, 1, term=term, plan_accepted_us=taken_us) for i in range(count)}
 
 
 def test_forwarders_that_have_no_plan_are_no_witnesses_of_a_leader() -> None:
     first = Leadership("a", 0, 0)
-    assert first.tick(SUSPECT_US, witnesses(Term(), SUSPECT_US), sound=True)
+    assert first.tick(SUSPECT_US, witnesses(Term(), SUSPECT_US), has_enough_evidence=True)
 
 
 def test_the_first_takes_over_and_the_second_waits_for_its_turn() -> None:
     first, second = Leadership("a", 0, 0), Leadership("b", 1, 0)
-    assert not first.tick(SUSPECT_US, {}, sound=False)  # it has nothing to say
-    assert first.tick(SUSPECT_US, {}, sound=True) and first.term == Term(1, "a")
-    assert not second.tick(SUSPECT_US, {}, sound=True)
-    second.beat(SUSPECT_US, Beat(first.highest, True, 10))
-    assert not second.tick(2 * SUSPECT_US, {}, sound=True)
-    assert second.tick(3 * SUSPECT_US, {}, sound=True) and second.term == Term(2, "b")
+    assert not first.tick(SUSPECT_US, {}, has_enough_evidence=False)  # it has nothing to say
+    assert first.tick(SUSPECT_US, {}, has_enough_evidence=True) and first.term == Term(1, "a")
+    assert not second.tick(SUSPECT_US, {}, has_enough_evidence=True)
+    second.on_heartbeat(SUSPECT_US, Heartbeat(first.highest_term, True, 10))
+    assert not second.tick(2 * SUSPECT_US, {}, has_enough_evidence=True)
+    assert second.tick(3 * SUSPECT_US, {}, has_enough_evidence=True) and second.term == Term(2, "b")
 
 
 def test_a_cut_between_planners_changes_nothing_while_forwarders_hear_the_leader() -> None:
     second = Leadership("b", 1, 0)
     for at_us in range(0, 60 * S, S // 4):
-        assert not second.tick(at_us, witnesses(Term(1, "a"), at_us), sound=True)
-    assert not second.tick(60 * S - S // 4 + 2 * SUSPECT_US - 1, witnesses(Term(1, "a"), 59 * S), sound=True)
-    assert second.tick(60 * S + 4 * SUSPECT_US, witnesses(Term(1, "a"), 59 * S), sound=True)
+        assert not second.tick(at_us, witnesses(Term(1, "a"), at_us), has_enough_evidence=True)
+    assert not second.tick(
+        60 * S - S // 4 + 2 * SUSPECT_US - 1, witnesses(Term(1, "a"), 59 * S), has_enough_evidence=True
+    )
+    assert second.tick(60 * S + 4 * SUSPECT_US, witnesses(Term(1, "a"), 59 * S), has_enough_evidence=True)
 
 
 def test_of_two_leaders_the_lesser_steps_down_when_a_forwarder_tells_of_the_greater() -> None:
     lesser = Leadership("a", 0, 0)
-    assert lesser.tick(SUSPECT_US, {}, sound=True)
-    assert not lesser.tick(SUSPECT_US + 1, witnesses(Term(1, "b"), SUSPECT_US), sound=True)
-    assert lesser.highest == Term(1, "b")
+    assert lesser.tick(SUSPECT_US, {}, has_enough_evidence=True)
+    assert not lesser.tick(SUSPECT_US + 1, witnesses(Term(1, "b"), SUSPECT_US), has_enough_evidence=True)
+    assert lesser.highest_term == Term(1, "b")
 
 
 # Snapshots
 
 
 def test_a_snapshot_comes_back_whole_or_not_at_all(tmp_path: Path) -> None:
-    kept = snapshot.keep(5 * S, 1000, Term(4, "a"), {"c1": Judged("rests", 3 * S), "c2": Judged("returns", 4 * S, 1)})
+    kept = snapshot.take(
+        5 * S,
+        1000,
+        Term(4, "a"),
+        {
+            "c1": ConverterStatus(ConverterState.EJECTED, 3 * S),
+            "c2": ConverterStatus(ConverterState.RECOVERING, 4 * S, 1),
+        },
+    )
     snapshot.save(tmp_path, kept)
     got = snapshot.load(tmp_path, 2000, 60_000)
     assert got == kept and got is not None
-    assert got.revive(100 * S) == {"c1": Judged("rests", 98 * S), "c2": Judged("returns", 99 * S, 1)}
-    whole = (tmp_path / snapshot.NAME).read_bytes()
+    assert got.restore(100 * S) == {
+        "c1": ConverterStatus(ConverterState.EJECTED, 98 * S),
+        "c2": ConverterStatus(ConverterState.RECOVERING, 99 * S, 1),
+    }
+    whole = (tmp_path / snapshot.FILE_NAME).read_bytes()
     for cut in range(len(whole)):
         with pytest.raises(snapshot.SnapshotError):
             snapshot.decode(whole[:cut], 2000, 60_000)
@@ -437,7 +467,7 @@
 
 
 def test_the_rules_that_planners_keep_to_are_the_forwarders_own() -> None:
-    strict = dataclasses.replace(RULES, most_resting=0.0)
+    strict = dataclasses.replace(RULES, max_ejected=0.0)
     planner, evidence = Planner(strict, []), Evidence(0)
     well(evidence, 2 * S, {"c3": (0, 2)})
     assert plan_at(planner, evidence, 2 * S).entries == {}
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -12,12 +12,12 @@
 
 from ryepier.assembly.parts import machine
 from ryepier.balancer.interface import Outcome, PlanUpdated
-from ryepier.plan import forwarder, planner
-from ryepier.plan.follow import Rules
-from ryepier.plan.messages import LONGEST, VERSION, Frames, Hello, Message, Refusal, Report, encode
+from ryepier.plan import forwarder, planner_server
+from ryepier.plan.messages import MAX_MESSAGE_BYTES, VERSION, FrameDecoder, Hello, Message, Rejection, Report, encode
+from ryepier.plan.plan_follower import TrustRules
 from tests.network_peers import PATIENCE_S, free_port, until
 
-RULES = Rules(fleet=2, least_window_ms=100)
+RULES = TrustRules(fleet=2, min_window_ms=100)
 IDENTS = {f"c{i}": i for i in range(6)}
 
 
@@ -32,9 +32,11 @@
 @asynccontextmanager
 async def a_planner(
     port: int, name: str = "a", peers: dict[str, int] | None = None, most: int = 10
-) -> AsyncIterator[planner.Server]:
+) -> AsyncIterator[planner_server.PlannerServer]:
     others = {peer: ("127.0.0.1", at) for peer, at in (peers or {}).items()}
-    server = planner.Server(planner.Settings(name, ("127.0.0.1", port), others, RULES, [], [], most), machine(name))
+    server = planner_server.PlannerServer(
+        planner_server.Settings(name, ("127.0.0.1", port), others, RULES, [], [], most), machine(name)
+    )
     stop = asyncio.Event()
     task = asyncio.create_task(server.run(stop))
     try:
@@ -111,16 +113,16 @@
                 assert "c3: rests" in await command("plan", "explain", "c3", f"127.0.0.1:{ports[0]}")
                 shown = json.loads(await command("plan", "show", f"127.0.0.1:{ports[0]}", "--json"))
                 assert list(shown["entries"]) == ["c3"] and shown["term"][1] == "a"
-                assert not second.leadership.leads
+                assert not second.leadership.is_leader
             async with sidecars(*ports) as made:
                 await until(lambda: all(one.forwarder.follower.term.planner == "b" for one in made))
-                assert second.leadership.highest.epoch >= 2
+                assert second.leadership.highest_term.epoch >= 2
 
     run(test)
 
 
 def test_a_planner_that_hangs_is_left_and_reports_do_not_pile_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(forwarder, "SILENT_US", 200_000)
+    monkeypatch.setattr(forwarder, "SILENCE_TIMEOUT_US", 200_000)
 
     async def test() -> None:
         calls = 0
@@ -146,7 +148,7 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     async with asyncio.timeout(PATIENCE_S):
-        said = Frames().feed(await reader.read())
+        said = FrameDecoder().feed(await reader.read())
     writer.close()
     return said
 
@@ -155,7 +157,7 @@
     "data",
     [
         b"GET / HTTP/1.1\r\n\r\n",
-        (LONGEST + 1).to_bytes(4, "big"),
+        (MAX_MESSAGE_BYTES + 1).to_bytes(4, "big"),
         encode(Hello(VERSION + 1, "f", 1)),
         encode(Report(1, 1, {}, {}, [], [], 0)),
         encode(Hello(VERSION, "f", 1)) * 2,
@@ -168,8 +170,8 @@
         async with a_planner(port) as server:
             await until(lambda: server.counts is not None)
             await asyncio.sleep(0.05)
-            said = [message for message in await answers(port, data) if isinstance(message, Refusal)]
-            assert len(said) == 1 and said[0].why
+            said = [message for message in await answers(port, data) if isinstance(message, Rejection)]
+            assert len(said) == 1 and said[0].reason
             await until(lambda: not server.links)
 
     run(test)
@@ -181,6 +183,8 @@
         async with a_planner(port, most=0):
             await asyncio.sleep(0.05)
             said = await answers(port, encode(Hello(VERSION, "f", 1)))
-            assert [message.retry_ms for message in said if isinstance(message, Refusal)] == [planner.BUSY_RETRY_MS]
+            assert [message.retry_ms for message in said if isinstance(message, Rejection)] == [
+                planner_server.BUSY_RETRY_MS
+            ]
 
     run(test)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -30,7 +30,7 @@
 from ryepier.experiments.scale.scale_call import REQUEST, Target
 from ryepier.experiments.scale.scale_control import Look, Sample
 from ryepier.plan.messages import Report, Term, encode
-from ryepier.plan.planner import Server
+from ryepier.plan.planner_server import PlannerServer
 from ryepier.sidecar import config, system
 
 SIZES = (50, 100, 200, 400)
@@ -61,12 +61,12 @@
 
 def test_a_hollow_forwarder_reports_the_calls_of_its_sidecar() -> None:
     one = hollow()
-    before = report(one).seen
+    before = report(one).counters
     one.make_up(one.filled_s + 10.0)
-    after = report(one).seen
-    made = sum(after[name].sends - before[name].sends for name in after)
+    after = report(one).counters
+    made = sum(after[name].attempts - before[name].attempts for name in after)
     assert made == pytest.approx(10 * CALLS_PER_S, rel=0.1)
-    assert all(seen.bad == 0 and sum(seen.times) == seen.served for seen in after.values())
+    assert all(seen.failed == 0 and sum(seen.latencies) == seen.served for seen in after.values())
 
 
 def test_a_report_takes_as_much_of_the_wire_after_a_day_as_at_the_start() -> None:
@@ -81,18 +81,18 @@
 def test_what_hangs_is_reported_as_bad_and_nothing_else_is() -> None:
     one = hollow()
     one.hang(uid(0))
-    before = report(one).seen
+    before = report(one).counters
     one.make_up(one.filled_s + 2.0)
-    after = report(one).seen
-    assert after[uid(0)].bad > 0 and after[uid(0)].served == before[uid(0)].served
-    assert {name for name, seen in after.items() if seen.bad} == {uid(0)}
+    after = report(one).counters
+    assert after[uid(0)].failed > 0 and after[uid(0)].served == before[uid(0)].served
+    assert {name for name, seen in after.items() if seen.failed} == {uid(0)}
 
 
 def test_a_planted_forwarder_reports_of_all_converters() -> None:
     one = hollow()
     one.use(range(200))
     one.make_up(one.filled_s + 100.0)
-    assert len(report(one).seen) == 200
+    assert len(report(one).counters) == 200
 
 
 # scale-control: figures and claims
@@ -180,9 +180,9 @@
 
 @pytest.fixture
 def the_usual_tick() -> Iterator[None]:
-    usual = Server.tick
+    usual = PlannerServer.tick
     yield
-    Server.tick = usual  # type: ignore[method-assign]
+    PlannerServer.tick = usual  # type: ignore[method-assign]
 
 
 @pytest.mark.usefixtures("the_usual_tick")
@@ -190,10 +190,10 @@
     class Ticking:
         counts = {"reports": 7, "plans": 2}
 
-    monkeypatch.setattr(Server, "tick", lambda self, now_us, tick: sum(range(100_000)))
+    monkeypatch.setattr(PlannerServer, "tick", lambda self, now_us, tick: sum(range(100_000)))
     gauging = gauged_planner.Gauging(tmp_path / "gauge")
     gauging.install()
-    Server.tick(Ticking(), 0, 3)  # type: ignore[arg-type]
+    PlannerServer.tick(Ticking(), 0, 3)  # type: ignore[arg-type]
     for _ in range(100):
         try:
             gauge = gauged_planner.read(gauging.path)
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -112,7 +112,7 @@
     )
     history = simulated.play(small, 1, tmp_path)
     assert judge.judge(small, history) == []
-    followed = [path.name for path in tmp_path.glob("sidecar-*.log") if "follows the plans of" in path.read_text()]
+    followed = [path.name for path in tmp_path.glob("sidecar-*.log") if "following plans of" in path.read_text()]
     assert len(followed) == 6
     assert "leads, epoch" in (tmp_path / "planner-1.log").read_text()  # the other took over
 
