--- a/ryepier/experiments/planners/planning.py
+++ b/ryepier/experiments/planners/planning.py
@@ -92,7 +92,7 @@
     after = figures.service(run.orders, figures.between(fault.at_s + fault.down_s + 2.0, run.world.duration_s))
     told = sum(notice.state == "leaving" for notice in run.history.told)
     return [
-        Claim("forwarders that followed a plan", _files_with(run, "follows the plans"), "==", run.world.sidecars.count),
+        Claim("forwarders that followed a plan", _files_with(run, "following plans"), "==", run.world.sidecars.count),
         Claim("service lost while all planners are away (points)", 100 * (before - during), "<=", 2.0),
         Claim("service lost once they are back (points)", 100 * (before - after), "<=", 2.0),
         Claim("drains told of", told, ">=", run.world.sidecars.count),
@@ -103,7 +103,7 @@
 
 
 def _kill_claims(run: Run) -> list[Claim]:
-    second = "follows the plans of planner-1"
+    second = "following plans of planner-1"
     fault = _fault(run, "surge")
     end_s = fault.at_s + fault.for_s
     return [
@@ -130,9 +130,9 @@
     fault = _fault(run, "planner-hang")
     resumed_s = fault.at_s + fault.for_s
     steps_down = _logs_with(run, "planner-0.log", "follows, epoch")
-    back = _files_with(run, "follows the plans of planner-0, epoch 1")
-    forth = _files_with(run, "follows the plans of planner-1, epoch 2")
-    lines = _logs_with(run, "sidecar-*.log", "follows the plans")
+    back = _files_with(run, "following plans of planner-0, epoch 1")
+    forth = _files_with(run, "following plans of planner-1, epoch 2")
+    lines = _logs_with(run, "sidecar-*.log", "following plans")
     return [
         Claim("forwarders that went over to the other planner", forth, "==", run.world.sidecars.count),
         Claim("changes of planner, over two a forwarder", len(lines) - back - forth, "==", 0),
@@ -163,7 +163,7 @@
     taken = len(
         {
             line["file"]
-            for line in _logs_with(run, "sidecar-*.log", "follows the plans")
+            for line in _logs_with(run, "sidecar-*.log", "following plans")
             if "epoch 10000" in str(line["message"])
         }
     )
@@ -191,7 +191,7 @@
     # each gets about ten a second; one that rests by plan gets a trial now and then
     gap_s = max(longest_gap_s(run, uid, 3.0) for uid in lied_of)
     return [
-        Claim("forwarders that follow a plan", _files_with(run, "follows the plans"), "==", run.world.sidecars.count),
+        Claim("forwarders that follow a plan", _files_with(run, "following plans"), "==", run.world.sidecars.count),
         Claim("longest time that a converter lied about had no request (s)", gap_s, "<=", 1.0),
         Claim("service", figures.service(run.orders), ">=", 0.98),
     ]
