--- a/ryepier/assembly/parts.py
+++ b/ryepier/assembly/parts.py
@@ -82,14 +82,14 @@
     operators: Operators, config: platform.Config, host: RequestDispatcher, source: EndpointSource
 ) -> Companion:
     """The guard against retry storms, as the host's recogniser and one of its observers."""
-    from ryepier.storm.detect import Detector
-    from ryepier.storm.guard import Guard
+    from ryepier.storm.retry_storm_guard import RetryStormGuard
+    from ryepier.storm.storm_detector import RetryStormDetector
 
     settings = config.settings
     shares = [tenant.share or tenant.allowance_per_s for tenant in settings.tenants]
     whole = sum(shares) or 1.0
-    made = Guard(
-        Detector(
+    made = RetryStormGuard(
+        RetryStormDetector(
             clock_us(), [share / whole for share in shares], settings.max_retry_after_us, operators.storm.whole_seconds
         ),
         host.on_retry_storm,
--- a/ryepier/experiments/storms/planted.py
+++ b/ryepier/experiments/storms/planted.py
@@ -10,7 +10,6 @@
 from ryepier.balancer.interface import RetryStormUpdated
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.balancer.upstream import PendingRequest
-from ryepier.plan.evidence import Evidence
 
 
 def no_spread() -> None:
@@ -30,15 +29,15 @@
 
 def jumpy() -> None:
     """Any retries are taken for a storm."""
-    from ryepier.storm.detect import Detector, Evidence
+    from ryepier.storm.storm_detector import RetryStormDetector, StormEvidence
 
-    Detector._opens = lambda self, evidence: evidence.later_share > 0  # type: ignore[method-assign]
+    RetryStormDetector._should_open = lambda self, evidence: evidence.retry_share > 0  # type: ignore[method-assign]
 
-    def unjudged(self: Detector, now_us: int) -> Evidence:
+    def unjudged(self: RetryStormDetector, now_us: int) -> StormEvidence:
         offered = sum(self.rates)
-        return Evidence(offered, self.served, sum(self.rates[1:]) / max(1.0, offered), 0.0, None)
+        return StormEvidence(offered, self.served, sum(self.rates[1:]) / max(1.0, offered), 0.0, None)
 
-    Detector._evidence = unjudged  # type: ignore[method-assign]
+    RetryStormDetector._evidence = unjudged  # type: ignore[method-assign]
 
 
 PLANTS: dict[str, Callable[[], None]] = {
--- a/ryepier/storm/__init__.py
+++ b/ryepier/storm/__init__.py
@@ -1,5 +1,5 @@
-"""Retry storms: clients that come back all at once after an outage, noticed and damped.
+"""Retry storms: clients that all retry after an outage, detected and damped.
 
-Pure: `sketch` (which requests come again) and `detect` (whether it is a storm, and what to let in); `guard` ties them
-to a sidecar. What is refused is decided by the decision module; here are the shares and times that it goes by.
+Pure: `failed_request_sketch` (which requests are retries) and `storm_detector` (whether there is a storm, and how
+many retries to admit); `retry_storm_guard` connects them to a sidecar. The decision module rejects by these shares and times.
 """
--- /dev/null
+++ b/ryepier/storm/failed_request_sketch.py
@@ -0,0 +1,88 @@
+"""Recognition of retries in bounded memory: a count-min sketch in two generations.
+
+Pure. A request that was not served is added by a hash of what makes it the same request; a later arrival with that hash
+is a retry. Served requests are never added, so that a repeated query is no retry.
+
+Errors go one way: a first attempt may be taken for a retry if all its columns were filled by others. With
+`GENERATION_SIZE` hashes in a generation a column is filled with probability 1 - exp(-GENERATION_SIZE / WIDTH) = 0.086,
+and all four of one of the two generations with at most 2 * 0.086**4 = 0.011%. A generation ends by its size or age, so
+the bound holds at any rate: with more rejections the memory is shorter, not less exact.
+"""
+
+from __future__ import annotations
+
+import hashlib
+
+ROWS = 4
+WIDTH = 1 << 16  # columns per row, a byte each: 512 KB in total
+GENERATION_SIZE = 5_900  # hashes
+GENERATION_US = 10_000_000
+MAX_COUNT = 255
+
+
+def fingerprint(*parts: bytes) -> bytes:
+    """Return a hash of what the attempts of a request share; it covers the lengths of the parts."""
+    state = hashlib.blake2b(digest_size=4 * ROWS)
+    for part in parts:
+        state.update(len(part).to_bytes(4, "big"))
+        state.update(part)
+    return state.digest()
+
+
+class _Generation:
+    def __init__(self, now_us: int) -> None:
+        self.rows = [bytearray(WIDTH) for _ in range(ROWS)]
+        self.since_us = now_us
+        self.count = 0
+
+    def minimum_count(self, columns: list[int]) -> int:
+        return min(row[column] for row, column in zip(self.rows, columns, strict=True))
+
+    def add(self, columns: list[int]) -> None:
+        """Add one; only the smallest counters grow, as the others are too high already."""
+        minimum = self.minimum_count(columns)
+        if minimum < MAX_COUNT:
+            for row, column in zip(self.rows, columns, strict=True):
+                row[column] = max(row[column], minimum + 1)
+        self.count += 1
+
+
+def _columns(digest: bytes) -> list[int]:
+    return [int.from_bytes(digest[i : i + 4], "big") % WIDTH for i in range(0, 4 * ROWS, 4)]
+
+
+class FailedRequestSketch:
+    """How often a request has recently failed: within 10 to 20 s, less if very many do."""
+
+    def __init__(self, now_us: int) -> None:
+        """Start empty at `now_us` (microseconds)."""
+        self.current = _Generation(now_us)
+        self.previous: _Generation | None = None
+
+    @property
+    def empty(self) -> bool:
+        """Whether nothing was added, and each request is a first attempt."""
+        return not self.current.count and self.previous is None
+
+    def add(self, now_us: int, digest: bytes) -> None:
+        """Add a request that was not served."""
+        if now_us - self.current.since_us >= GENERATION_US or self.current.count >= GENERATION_SIZE:
+            self._rotate(now_us)
+        self.current.add(_columns(digest))
+
+    def retry_number(self, now_us: int, digest: bytes) -> int:
+        """Return how many earlier attempts of a request were not served: 0 for a first one."""
+        if now_us - self.current.since_us >= GENERATION_US:
+            self._rotate(now_us)
+        if self.empty:
+            return 0
+        columns = _columns(digest)
+        return self.current.minimum_count(columns) + (
+            self.previous.minimum_count(columns) if self.previous is not None else 0
+        )
+
+    def _rotate(self, now_us: int) -> None:
+        # Without new requests, the previous generation must not count for as long again.
+        is_recent = now_us - self.current.since_us < 2 * GENERATION_US and self.current.count
+        self.previous = self.current if is_recent else None
+        self.current = _Generation(now_us)
--- /dev/null
+++ b/ryepier/storm/storm_detector.py
@@ -0,0 +1,199 @@
+"""Detection of retry storms: how many retries to admit, and when the others may come back.
+
+Pure: counts and times in, `RetryStormUpdated` out. Rates are per second; times are whole microseconds.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+
+from ryepier.balancer.interface import RetryStormUpdated
+
+ATTEMPT_NUMBERS = 5  # 0 for first attempts, then the retries by number; the last one stands for all beyond
+RECENT_MEMORY_US = 1_000_000
+USUAL_MEMORY_US = 60_000_000
+MIN_USUAL_US = 4_000_000  # observed before usual rates count as known
+MIN_RATE = 4.0  # arrivals per second below which there is no storm
+OPENING_RETRY_SHARE = 0.3  # of the arrivals
+OPENING_UNSERVED_SHARE = 0.15  # share of the arrivals that are not served
+CLOSING_RETRY_SHARE = 0.1
+CLOSING_UNSERVED_SHARE = 0.05
+CALM_US = 2_000_000  # before a storm is over, to avoid oscillation
+SURGE_RATIO = 1.5  # times the usual first attempts: the demand is real, and fewer retries would not help
+AFTER_SURGE_US = 5 * RECENT_MEMORY_US  # rejections of a surge still cause retries, and the rates still decay
+OUTAGE_SERVED_SHARE = 0.3  # share served below which there is an outage
+RECENT_OUTAGE_US = 30_000_000
+MAX_FIRST_REJECTIONS = 0.3  # share of first attempts rejected, above which fewer retries are admitted
+DECREASE, INCREASE, INCREASE_STEP = 0.8, 1.25, 0.02  # changes of the admitted share per tick
+MIN_ADMISSION = 0.05  # if first attempts are rejected for another reason, admitting none does not help
+RECOVERY_FACTOR = 2.0  # of the service by the time of the retries
+MIN_WINDOW_US = 200_000
+MAX_WINDOW_US = 30_000_000
+
+
+@dataclass(frozen=True, slots=True)
+class StormEvidence:
+    """Why there is a storm, or none."""
+
+    demand: float  # arrivals per second
+    served: float
+    retry_share: float  # of the arrivals
+    surge: float  # first attempts relative to the usual rate; 0 = not known
+    outage_ended_us: int | None  # time since its end; None: no recent one
+
+    def __str__(self) -> str:
+        """Render the evidence for the log."""
+        usual = f"first tries {self.surge:.2f} of the usual" if self.surge else "nothing known as usual"
+        ended = "" if self.outage_ended_us is None else f", an outage over {self.outage_ended_us / 1e6:.1f} s ago"
+        return (
+            f"{self.demand:.0f} a second come, {self.served:.0f} served, {self.retry_share:.0%} are retries, "
+            f"{usual}{ended}"
+        )
+
+
+@dataclass(slots=True)
+class _Counts:
+    """Counts since the last tick."""
+
+    retry_number: list[int] = field(default_factory=lambda: [0] * ATTEMPT_NUMBERS)
+    tenants: dict[int, int] = field(default_factory=dict)
+    served: int = 0
+    first_rejections: int = 0
+
+
+class RetryStormDetector:
+    """One sidecar's view of retries: notified of each arrival and each end, polled by `tick`."""
+
+    def __init__(
+        self, now_us: int, tenant_shares: list[float], max_retry_after_us: int, retry_after_in_seconds: bool
+    ) -> None:
+        """Start at `now_us`; `tenant_shares` are the tenants' quotas, summing up to 1."""
+        self.tenant_shares = tenant_shares
+        self.max_retry_after_us = max_retry_after_us
+        self.retry_after_in_seconds = retry_after_in_seconds
+        self.counts = _Counts()
+        self.started_us = self.last_tick_us = now_us
+        self.rates = [0.0] * ATTEMPT_NUMBERS
+        self.tenants: dict[int, float] = {}
+        self.served = 0.0
+        self.first_rejections = 0.0
+        self.admission = 1.0  # share of first retries to admit; for each further one a power of it
+        self.usual_first = 0.0
+        self.usual_known_us = 0  # for how long usual rates were observed
+        self.in_outage = False
+        self.outage_ended_us: int | None = None
+        self.active = False
+        self.calm_since_us: int | None = None
+        self.last_surge_us = now_us - AFTER_SURGE_US  # when first attempts last exceeded the usual rate by far
+
+    def on_request(self, retry_number: int, tenant: int) -> None:
+        """Count an arrival."""
+        self.counts.retry_number[min(retry_number, ATTEMPT_NUMBERS - 1)] += 1
+        self.counts.tenants[tenant] = self.counts.tenants.get(tenant, 0) + 1
+
+    def on_served(self) -> None:
+        """Count a served request."""
+        self.counts.served += 1
+
+    def on_unserved(self, retry_number: int) -> None:
+        """Count a request that was not served."""
+        self.counts.first_rejections += int(retry_number == 0)
+
+    def tick(self, now_us: int) -> tuple[RetryStormUpdated, StormEvidence, bool]:
+        """Return the current event, its evidence, and whether a storm has just begun or ended."""
+        self._update_rates(now_us)
+        evidence = self._evidence(now_us)
+        if evidence.surge > SURGE_RATIO:
+            self.last_surge_us = now_us
+        was = self.active
+        if not was:
+            self.admission = 1.0
+        elif self.first_rejections > MAX_FIRST_REJECTIONS * self.rates[0]:
+            self.admission = max(MIN_ADMISSION, self.admission * DECREASE)
+        else:
+            self.admission = min(1.0, self.admission * INCREASE + INCREASE_STEP)
+        if self.active:
+            self._update_calm(now_us, evidence)
+        else:
+            self.active = now_us - self.last_surge_us >= AFTER_SURGE_US and self._should_open(evidence)
+            self.calm_since_us = None
+        return self._event() if self.active else RetryStormUpdated(), evidence, was != self.active
+
+    def _update_rates(self, now_us: int) -> None:
+        since_us = max(1, now_us - self.last_tick_us)
+        self.last_tick_us = now_us
+        counts, self.counts = self.counts, _Counts()
+        decay = math.exp(-since_us / RECENT_MEMORY_US)
+        for number, count in enumerate(counts.retry_number):
+            self.rates[number] += (count * 1e6 / since_us - self.rates[number]) * (1 - decay)
+        for tenant in self.tenants.keys() | counts.tenants.keys():
+            rate = self.tenants.get(tenant, 0.0)
+            self.tenants[tenant] = rate + (counts.tenants.get(tenant, 0) * 1e6 / since_us - rate) * (1 - decay)
+        self.served += (counts.served * 1e6 / since_us - self.served) * (1 - decay)
+        self.first_rejections += (counts.first_rejections * 1e6 / since_us - self.first_rejections) * (1 - decay)
+        demand = sum(self.rates)
+        in_outage = demand >= MIN_RATE and self.served < OUTAGE_SERVED_SHARE * demand
+        if self.in_outage and not in_outage:
+            self.outage_ended_us = now_us
+        self.in_outage = in_outage
+        if not in_outage and not self.active:
+            # Rates of an outage or a storm are not usual: averaged, they would excuse the next one, and so would a
+            # surge soon after the start, when little is known.
+            usual_known_us = (
+                USUAL_MEMORY_US if now_us - self.last_surge_us < AFTER_SURGE_US else self.usual_known_us + since_us
+            )
+            slow = since_us / min(USUAL_MEMORY_US, usual_known_us)
+            self.usual_first += (counts.retry_number[0] * 1e6 / since_us - self.usual_first) * slow
+            self.usual_known_us += since_us
+
+    def _evidence(self, now_us: int) -> StormEvidence:
+        demand = sum(self.rates)
+        retries = sum(self.rates[1:]) / demand if demand > 0 else 0.0
+        surge = (
+            self.rates[0] / self.usual_first if self.usual_known_us >= MIN_USUAL_US and self.usual_first > 0 else 0.0
+        )
+        ended = None
+        if self.outage_ended_us is not None and now_us - self.outage_ended_us < RECENT_OUTAGE_US:
+            ended = now_us - self.outage_ended_us
+        return StormEvidence(demand, self.served, retries, surge, ended)
+
+    @staticmethod
+    def _unserved(evidence: StormEvidence) -> float:
+        return 1.0 - min(1.0, evidence.served / evidence.demand) if evidence.demand > 0 else 0.0
+
+    def _should_open(self, evidence: StormEvidence) -> bool:
+        if evidence.demand < MIN_RATE:
+            return False
+        return evidence.retry_share >= OPENING_RETRY_SHARE and self._unserved(evidence) >= OPENING_UNSERVED_SHARE
+
+    def _update_calm(self, now_us: int, evidence: StormEvidence) -> None:
+        is_calm = evidence.retry_share <= CLOSING_RETRY_SHARE or self._unserved(evidence) <= CLOSING_UNSERVED_SHARE
+        is_calm |= evidence.surge > SURGE_RATIO or evidence.demand < MIN_RATE
+        if not is_calm:
+            self.calm_since_us = None
+        elif self.calm_since_us is None:
+            self.calm_since_us = now_us
+        elif now_us - self.calm_since_us >= CALM_US:
+            self.active = False
+
+    def _event(self) -> RetryStormUpdated:
+        admission = [self.admission**number for number in range(ATTEMPT_NUMBERS)]
+        # rejected clients come back within the time that it takes to serve as many at the current rate
+        outside = max(0.0, sum(self.rates) - self.served) * RECENT_MEMORY_US / 1e6
+        window_us = min(MAX_WINDOW_US, 1e6 * outside / max(RECOVERY_FACTOR * self.served, MIN_RATE))
+        windows_us = [
+            int(min(self.max_retry_after_us, max(MIN_WINDOW_US, window_us) * 2**number))
+            for number in range(ATTEMPT_NUMBERS)
+        ]
+        return RetryStormUpdated(True, admission, windows_us, self._tenant_admission(), self.retry_after_in_seconds)
+
+    def _tenant_admission(self) -> list[float]:
+        """Return by tenant the share of retries to admit: less for one whose demand exceeds its quota."""
+        if len(self.tenant_shares) < 2:
+            return []
+        demand = sum(self.rates)
+        return [
+            min(1.0, share * demand / self.tenants[index]) if self.tenants.get(index, 0.0) > 0 else 1.0
+            for index, share in enumerate(self.tenant_shares)
+        ]
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -16,9 +16,9 @@
 from ryepier.sidecar.config import load
 from ryepier.sidecar.serving import serve
 from ryepier.sim.run import SimLoop, simulate
-from ryepier.storm import sketch
-from ryepier.storm.detect import CLOSES_AFTER_US, Detector, Evidence
-from ryepier.storm.sketch import AGE_US, NOTED, Unserved, fingerprint
+from ryepier.storm import failed_request_sketch
+from ryepier.storm.failed_request_sketch import GENERATION_SIZE, GENERATION_US, FailedRequestSketch, fingerprint
+from ryepier.storm.storm_detector import CALM_US, RetryStormDetector, StormEvidence
 from tests.balancer_harness import World, settings, upstreams
 from tests.network_peers import OK, configuration, entry, listing, read_message, request
 
@@ -31,42 +31,45 @@
 
 
 def test_only_what_was_turned_away_comes_again() -> None:
-    seen = Unserved(0)
-    assert seen.tries(0, name(1)) == 0
-    assert seen.tries(0, name(1)) == 0  # asked twice and served: no retry
-    seen.note(0, name(1))
-    seen.note(1, name(1))
-    assert (seen.tries(2, name(1)), seen.tries(2, name(2))) == (2, 0)
+    seen = FailedRequestSketch(0)
+    assert seen.retry_number(0, name(1)) == 0
+    assert seen.retry_number(0, name(1)) == 0  # asked twice and served: no retry
+    seen.add(0, name(1))
+    seen.add(1, name(1))
+    assert (seen.retry_number(2, name(1)), seen.retry_number(2, name(2))) == (2, 0)
 
 
 def test_it_is_forgotten_after_ten_to_twenty_seconds() -> None:
-    seen = Unserved(0)
-    seen.note(0, name(1))
-    assert seen.tries(AGE_US - 1, name(1)) == 1
-    assert seen.tries(AGE_US + 1, name(1)) == 1
-    assert seen.tries(2 * AGE_US + 2, name(1)) == 0
-    late = Unserved(0)
-    late.note(0, name(1))
-    assert late.tries(5 * AGE_US, name(1)) == 0
+    seen = FailedRequestSketch(0)
+    seen.add(0, name(1))
+    assert seen.retry_number(GENERATION_US - 1, name(1)) == 1
+    assert seen.retry_number(GENERATION_US + 1, name(1)) == 1
+    assert seen.retry_number(2 * GENERATION_US + 2, name(1)) == 0
+    late = FailedRequestSketch(0)
+    late.add(0, name(1))
+    assert late.retry_number(5 * GENERATION_US, name(1)) == 0
 
 
 def test_a_first_try_is_taken_for_a_later_one_less_often_than_stated_however_many_are_refused() -> None:
-    seen = Unserved(0)
-    for number in range(10 * NOTED):
-        seen.note(number, name(number))
-    wrong = sum(seen.tries(10 * NOTED, name(10**9 + number)) > 0 for number in range(50_000))
+    seen = FailedRequestSketch(0)
+    for number in range(10 * GENERATION_SIZE):
+        seen.add(number, name(number))
+    wrong = sum(seen.retry_number(10 * GENERATION_SIZE, name(10**9 + number)) > 0 for number in range(50_000))
     assert wrong / 50_000 < 3 * 0.00011
-    assert seen.tries(10 * NOTED, name(10 * NOTED - 1)) == 1
-    assert sum(len(row) for one in (seen.young, seen.old) if one for row in one.rows) == 2 * sketch.ROWS * sketch.WIDTH
+    assert seen.retry_number(10 * GENERATION_SIZE, name(10 * GENERATION_SIZE - 1)) == 1
+    assert (
+        sum(len(row) for one in (seen.current, seen.previous) if one for row in one.rows)
+        == 2 * failed_request_sketch.ROWS * failed_request_sketch.WIDTH
+    )
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=60))
 def test_a_try_is_never_counted_lower_than_it_is(steps: list[tuple[int, bool]]) -> None:
-    seen, counts = Unserved(0), dict.fromkeys(range(6), 0)
+    seen, counts = FailedRequestSketch(0), dict.fromkeys(range(6), 0)
     for number, unserved in steps:
-        assert seen.tries(1, name(number)) >= counts[number]
+        assert seen.retry_number(1, name(number)) >= counts[number]
         if unserved:
-            seen.note(1, name(number))
+            seen.add(1, name(number))
             counts[number] += 1
 
 
@@ -78,9 +81,9 @@
     """Feeds a detector with so many arrivals and ends a second."""
 
     def __init__(self, shares: list[float] | None = None, whole: bool = False) -> None:
-        self.detector = Detector(0, shares or [1.0], 8_000_000, whole)
+        self.detector = RetryStormDetector(0, shares or [1.0], 8_000_000, whole)
         self.now_us = 0
-        self.changes: list[tuple[float, bool, Evidence]] = []
+        self.changes: list[tuple[float, bool, StormEvidence]] = []
         self.told = RetryStormUpdated()
 
     def run(
@@ -96,11 +99,11 @@
         for _ in range(int(seconds * 1e6 / TICK_US)):
             for tries, rate in ((0, first), (1, later)):
                 for _ in range(int(rate * TICK_US / 1e6)):
-                    self.detector.arrived(tries, tenant)
+                    self.detector.on_request(tries, tenant)
             for _ in range(int(served * TICK_US / 1e6)):
-                self.detector.was_served()
+                self.detector.on_served()
             for _ in range(int(refused_first * TICK_US / 1e6)):
-                self.detector.was_refused(0)
+                self.detector.on_unserved(0)
             self.now_us += TICK_US
             self.told, evidence, changed = self.detector.tick(self.now_us)
             if changed:
@@ -115,9 +118,9 @@
     told = one.run(3, 100, 300, served=150, refused_first=50)
     assert told.active and told.admission[0] == 1.0 and told.admission[2] < told.admission[1] < 0.2
     evidence = one.changes[0][2]
-    assert "retries" in str(evidence) and evidence.later_share > 0.3
+    assert "retries" in str(evidence) and evidence.retry_share > 0.3
     assert "an outage over" in str(one.detector.tick(one.now_us + TICK_US)[1])
-    one.run(CLOSES_AFTER_US / 1e6 + 6, 100)
+    one.run(CALM_US / 1e6 + 6, 100)
     assert [active for _, active, _ in one.changes] == [True, False] and not one.told.active
 
 
@@ -158,7 +161,7 @@
     one.run(30, 100)
     for _ in range(25):
         for _ in range(10):
-            one.detector.arrived(0, 0)
+            one.detector.on_request(0, 0)
         told = one.run(0.2, 50, 400, served=80, tenant=1)
     assert told.active and told.tenant_admission[1] < 0.6 and told.tenant_admission[0] == 1.0
 
@@ -166,7 +169,7 @@
 def test_next_to_no_traffic_is_never_a_storm() -> None:
     one = Sidecar()
     one.run(30, 5)
-    one.detector.arrived(1, 0)
+    one.detector.on_request(1, 0)
     assert one.run(10, 0).active is False and one.changes == []
 
 
