--- a/ryepier/plan/__init__.py
+++ b/ryepier/plan/__init__.py
@@ -1,5 +1,5 @@
-"""Planners gather what many forwarders see and hand out plans; forwarders follow the last sound one, and fade from it.
+"""Planners collect the reports of many forwarders and send plans; forwarders follow the last accepted one, which fades.
 
-Pure: `messages` (the wire's types), `report` and `follow` (a forwarder's part), `merge`, `compute` and `lead` (a
-planner's). I/O: `forwarder`, `planner`, `snapshot`.
+Pure: `messages` (the protocol), `reporter` and `plan_follower` (of a forwarder), `evidence`, `plan_computation` and
+`leadership` (of a planner). I/O: `forwarder`, `planner_server`, `snapshot`.
 """
