--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,8 @@
-# `make demo` and `make test` set up all they need, in .venv-dev, and do those two things.
+# `make demo`, `make test` and `make format` set up all they need, in .venv-dev.
 VENV = .venv-dev
 PYTHON = python3
 
-.PHONY: demo test setup clean sites
+.PHONY: demo test format setup clean sites
 
 demo: setup
 	$(VENV)/bin/ryepier demo
@@ -10,6 +10,10 @@
 test: setup
 	PATH="$(CURDIR)/$(VENV)/bin:$$PATH" sh tests/check.sh
 
+format: setup
+	$(VENV)/bin/ruff check --quiet --fix --exit-zero .
+	$(VENV)/bin/ruff format .
+
 setup: $(VENV)/.done
 
 $(VENV)/.done: pyproject.toml
--- a/ryepier/balancer/simulator_adapter.py
+++ b/ryepier/balancer/simulator_adapter.py
@@ -47,7 +47,8 @@
                 try:
                     actions = self.instances[instance].handle(now_us, event)
                     records.extend([protocol.encode(instance, action) for action in actions])
-                except Exception as error:  # reported to the simulator, which counts it
+                # Reported to the simulator, which counts it.
+                except Exception as error:  # noqa: BLE001
                     text = f"{type(error).__name__}: {error}"
                     records.append(protocol.encode(instance, protocol.InternalError(text)))
         return protocol.reply(records)
--- a/ryepier/check/model.py
+++ b/ryepier/check/model.py
@@ -292,9 +292,8 @@
         if client.gone:
             self.breach("answers", f"request {number} is answered though its client has gone")
         client.answers.append(answer)
-        harmless = (
-            client.kind.effect == api.Effect.IDEMPOTENT
-            or client.kind.idempotency_scope == api.IdempotencyScope.ALL
+        harmless = client.kind.effect == api.Effect.IDEMPOTENT or (
+            client.kind.idempotency_scope == api.IdempotencyScope.ALL
             and (client.kind.effect == api.Effect.IDEMPOTENCY_KEY)
         )
         if answer.outcome is FinalOutcome.REJECTED and not harmless and any(one.may_have_run() for one in client.sent):
--- a/ryepier/conf/check.py
+++ b/ryepier/conf/check.py
@@ -121,7 +121,7 @@
         header = _TABLE.match(line) if depth == 0 else None
         if header is not None:
             names = tuple(part.strip(" \"'") for part in header[2].split("."))
-            table = _numbered(names[:-1], counts) + (names[-1],)
+            table = (*_numbered(names[:-1], counts), names[-1])
             if header[1] == "[[":
                 counts[table] = counts.get(table, -1) + 1
                 table += (counts[table],)
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -238,7 +238,7 @@
             assert one.task is not None
             try:
                 await one.task
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001
                 loop.failures.append(f"{one.owner} ended by itself: {error!r}")
         lives = [life for one in sidecars for life in one.lives_from(clock.zero_us)]
         return join(list(records), lives, happenings)
--- a/ryepier/experiments/load_spread/processes_figures.py
+++ b/ryepier/experiments/load_spread/processes_figures.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import itertools
 import math
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
@@ -63,7 +64,7 @@
     """Executions begun at each of these converters, a list for each window between two edges (s)."""
     counts = [Counter[str]() for _ in edges_s[1:]]
     for attempt in attempts:
-        for window, (begin_s, end_s) in enumerate(zip(edges_s, edges_s[1:], strict=False)):
+        for window, (begin_s, end_s) in enumerate(itertools.pairwise(edges_s)):
             if attempt.run_us != NEVER and begin_s * 1e6 <= attempt.run_us < end_s * 1e6:
                 counts[window][attempt.uid] += 1
     return [[count[uid] for uid in uids] for count in counts]
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 from collections.abc import Mapping
 from dataclasses import replace
 from pathlib import Path
@@ -62,7 +63,7 @@
 def moves(outcome: Outcome) -> int:
     """How often polls saw an allowance change."""
     seen = [allowances(outcome, region) for region in REGIONS]
-    return sum(before != after for one in seen for before, after in zip(one, one[1:], strict=False))
+    return sum(before != after for one in seen for before, after in itertools.pairwise(one))
 
 
 def claims(outcome: Outcome) -> list[Claim]:
--- a/ryepier/experiments/planners/planning.py
+++ b/ryepier/experiments/planners/planning.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import json
 from collections import Counter
 from collections.abc import Mapping
@@ -183,7 +184,7 @@
     """Between two attempts at a converter, from a moment of the run to the end of its arrivals."""
     times = [since_s, *(a.last_us / 1e6 for a in run.history.attempts if a.uid == uid and a.last_us > since_s * 1e6)]
     times.append(max(times[-1], run.world.duration_s))
-    return max(late - early for early, late in zip(times, times[1:], strict=False))
+    return max(late - early for early, late in itertools.pairwise(times))
 
 
 def _liar_claims(run: Run) -> list[Claim]:
--- a/ryepier/experiments/simulation/hunt.py
+++ b/ryepier/experiments/simulation/hunt.py
@@ -193,7 +193,8 @@
         history = simulated.play(world, seed)
     except (StuckError, SimulationError) as error:
         return Find(seed, world, {"failed": 1}, str(error), plant), None
-    except Exception as error:  # hazard: of the emulator's own; one world must not end the hunt
+    # Of the emulator's own; one world must not end the hunt.
+    except Exception as error:  # noqa: BLE001
         return Find(seed, world, {"failed": 1}, f"the emulator: {error!r}", plant), None
     breaches = judge.judge(world, history)
     if not breaches:
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -99,7 +99,8 @@
                 await self.loop.sock_connect(sock, address)
             made = connection
             await self.loop.create_connection(lambda: made, sock=sock)
-        except Exception as error:  # refused, unreachable, no descriptor, timed out; or an unusable address
+        # Refused, unreachable, no descriptor, timed out; or an unusable address.
+        except Exception as error:  # noqa: BLE001
             if not isinstance(error, OSError):
                 log.warning("connection to upstream %d failed: %r", upstream, error)
             if connection is not None:
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -59,7 +59,8 @@
             return
         try:
             event, addresses = self.registry.apply(self.known, ListKind.CACHED)
-        except Exception as error:  # a cached list that can't be read must not keep the sidecar from a new one
+        # A cached list that can't be read must not keep the sidecar from a new one.
+        except Exception as error:  # noqa: BLE001
             log.warning("cached endpoint list is malformed: %r", error)
             return
         self.version = event.version
--- a/ryepier/sidecar/endpoint_watch.py
+++ b/ryepier/sidecar/endpoint_watch.py
@@ -58,7 +58,8 @@
         self.client.on_data()
         try:
             self.parser.feed_data(data)
-        except Exception as error:  # whatever a message breaks, the last valid list stays and a new watch is opened
+        # Whatever a message breaks, the last valid list stays and a new watch is opened.
+        except Exception as error:  # noqa: BLE001
             log.warning("endpoint watch is malformed: %r", error)
             self.client.malformed_watches += 1
             self.fail()
--- a/ryepier/slices/client.py
+++ b/ryepier/slices/client.py
@@ -143,7 +143,7 @@
         self.heard()
         try:
             self.parser.feed_data(data)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             self.failure = error
             self.finish()
 
--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import json
 import os
 import signal
@@ -254,7 +255,7 @@
         ident = f"{sidecar.name}-{next(numbers)}"
         data = request(kind, ident, body, deadline_ms=int(DEADLINE_S * 1000))
         edges = [0, *cuts, len(data)]
-        pieces = [data[begin:end] for begin, end in zip(edges, edges[1:], strict=False)]
+        pieces = [data[begin:end] for begin, end in itertools.pairwise(edges)]
         reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.port)
         exchange = Exchange(ClientRequest(sidecar.name, ident), pieces, reader, writer)
         exchange.send_next()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    "at_size, grows, budget, share",
+    ("at_size", "grows", "budget", "share"),
     [
         (100.0, 100.0, 50.0, 0.5),
         (100.0, 50.0, 75.0, 0.5),
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, text",
+    ("value", "text"),
     [
         (0.0, "0"),
         (0.00065432, "0.00065"),
@@ -147,7 +147,7 @@
     (run / "result.json").write_text(json.dumps(result | {"plant": "spin"}))
     assert CliRunner().invoke(main, ["experiment", "keep", str(run), "--kept", str(folder)]).exit_code == 2
     (folder / "scale-x-3.json").write_bytes((folder / "scale-x-2.json").read_bytes())
-    with pytest.raises(CapacityError, match="holds scale-x-2.json"):
+    with pytest.raises(CapacityError, match=r"holds scale-x-2\.json"):
         capacity.read_kept(folder)
 
 
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -236,7 +236,7 @@
     ],
 )
 def test_a_table_that_would_repeat_what_is_unsafe_is_refused(change: dict[str, Any]) -> None:
-    with pytest.raises(ValueError, match="class|key"):
+    with pytest.raises(ValueError, match=r"class|key"):
         Table(
             **{"classes": CLASSES, "queries": {}, "mutations": {}, "query_class": "lookup", "mutation_class": "convert"}
             | change
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize(
-    "listing, why",
+    ("listing", "why"),
     [
         (f"{A}test_bad\n", "is not `test, cause, issue`"),
         (f"{A}test_bad, a cause\n", "is not `test, cause, issue`"),
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -182,11 +182,11 @@
     assert 0 < to_struck <= to_all / 9 * len(uids) * 1.3
 
 
-@pytest.mark.parametrize("zone, zoned", [("d", True), ("a", False)])
+@pytest.mark.parametrize(("zone", "zoned"), [("d", True), ("a", False)])
 def test_a_cut_needs_a_zone_of_the_world_and_sidecars_in_zones(zone: str, zoned: bool) -> None:
     cut = Fault(kind="zone-cut", at_s=1.0, for_s=1.0, zone=zone)
+    world = a_world()
     with pytest.raises(ValueError, match="zone: expected one of a, b, c, and sidecars that are zoned"):
-        world = a_world()
         msgspec.structs.replace(world, sidecars=msgspec.structs.replace(world.sidecars, zoned=zoned), faults=[cut])
 
 
@@ -226,12 +226,12 @@
     assert held == spread.Occupancy(2, 1.5)
 
 
-@pytest.mark.parametrize("total_gb, free_gb, fits", [(24, 16, True), (24, 5, False), (12, 12, False)])
+@pytest.mark.parametrize(("total_gb", "free_gb", "fits"), [(24, 16, True), (24, 5, False), (12, 12, False)])
 def test_a_fleet_that_the_machine_cannot_bear_is_refused(total_gb: int, free_gb: int, fits: bool) -> None:
     world = msgspec.structs.replace(a_world(), sidecars=Sidecars(count=processes_worlds.FULL_SIDECARS))
     machine = Machine(total_gb * 10**9, free_gb * 10**9, 1024)
     if fits:
         processes_machine.check(world, machine)
         return
-    with pytest.raises(InsufficientResourcesError, match="200 sidecars need 8.. GB.*--scale small"):
+    with pytest.raises(InsufficientResourcesError, match=r"200 sidecars need 8.. GB.*--scale small"):
         processes_machine.check(world, machine)
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -391,7 +391,7 @@
 def test_nobody_answers_is_said_within_its_time(north: Coordinators) -> None:
     async def test() -> None:
         started = time.monotonic()
-        with pytest.raises(CallError, match="no answer of region north within 0.5 s"):
+        with pytest.raises(CallError, match=r"no answer of region north within 0\.5 s"):
             await north.client().status(0.5)
         assert time.monotonic() - started < WITHIN_S
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import dataclasses
+import itertools
 from pathlib import Path
 from typing import Any
 
@@ -320,7 +321,7 @@
         if not follower.accept_plan(0, a_plan(epoch, number, forwarders, planner), LISTED):
             followed.append((epoch, planner, number))
             assert forwarders >= 5
-    assert all(one < other for one, other in zip(followed, followed[1:], strict=False))
+    assert all(one < other for one, other in itertools.pairwise(followed))
 
 
 def test_a_plan_fades_to_nothing_and_forwarders_leave_a_rest_one_after_another() -> None:
@@ -340,7 +341,7 @@
         left.append(sum(not one.get(1, Advice(1)).ejected for one in advice))
         weights.append(sum(one.get(2, Advice(2)).weight for one in advice) / 200)
     assert left[0] == left[1] == 0 and left[-1] == 200
-    assert max(b - a for a, b in zip(left, left[1:], strict=False)) < 40  # no step: never a fifth at once
+    assert max(b - a for a, b in itertools.pairwise(left)) < 40  # no step: never a fifth at once
     assert weights == sorted(weights) and weights[0] == 0.5 and weights[-1] == 1.0
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Iterator
 from pathlib import Path
-from typing import Any
+from typing import Any, ClassVar
 
 import msgspec
 import pytest
@@ -188,7 +188,7 @@
 @pytest.mark.usefixtures("the_usual_tick")
 def test_a_gauged_planner_tells_what_it_did(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     class Ticking:
-        counts = {"reports": 7, "plans": 2}
+        counts: ClassVar = {"reports": 7, "plans": 2}
 
     monkeypatch.setattr(PlannerServer, "tick", lambda self, now_us, tick: sum(range(100_000)))
     gauging = gauged_planner.Gauging(tmp_path / "gauge")
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -60,7 +60,7 @@
     followed(script)
 
 
-@pytest.mark.parametrize("keeps_revisions, whole", [(True, False), (False, True)])
+@pytest.mark.parametrize(("keeps_revisions", "whole"), [(True, False), (False, True)])
 def test_a_watch_that_broke_is_told_what_it_missed(keeps_revisions: bool, whole: bool) -> None:
     async def script(desk: Desk, sidecars: Sidecars) -> None:
         wrote, calls = desk.bytes, len(desk.calls_us)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -175,7 +175,7 @@
 
     with pytest.raises(StuckError, match="nothing is due"):
         simulate(1, nothing_due)
-    with pytest.raises(StuckError, match="does not end.*again"):
+    with pytest.raises(StuckError, match=r"does not end.*again"):
         simulate(1, one_instant)
     with pytest.raises(SimulationError, match=r"1.000000 s.*ZeroDivisionError"):
         simulate(1, fails)
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -117,7 +117,7 @@
     start = [power_on(), bytes.fromhex(LIST), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
     told = serve(batch(start) + batch([arrival]))
-    size, count = struct.unpack_from("<II", told)
+    size, _count = struct.unpack_from("<II", told)
     code, instance, ticket, upstream = struct.unpack_from("<BHII", told, 8 + size + 8)
     assert (code, instance, ticket) == (20, 3, TICKET) and upstream in (FIRST, SECOND)
 
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    "sizes, values",
+    ("sizes", "values"),
     [
         ((1, 2, 3), (1.0, 2.0, 3.0)),
         ((1, 2, 3, 3), (1.0, 2.0, 3.0, 3.0)),
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    "needs, machine, why",
+    ("needs", "machine", "why"),
     [
         (Needs(9, GB), Machine(24 * GB, 15 * GB, 1024), "9 processes"),
         (Needs(8, 11 * GB), Machine(64 * GB, 60 * GB, 1024), "at most 10.0 GB"),
