--- a/ryepier/assembly/parts.py
+++ b/ryepier/assembly/parts.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from ryepier.plan.planner_server import PlannerServer
-    from ryepier.slices.source import Settings
+    from ryepier.slices.slice_source import Settings
 
 log = logging.getLogger(__name__)
 
@@ -102,7 +102,7 @@
 
 def make_slice_source(operators: Operators, config: platform.Config, host: RequestDispatcher) -> EndpointSource:
     """The EndpointSlices that the operators' file names, in place of the platform's discovery."""
-    from ryepier.slices.source import SliceSource  # with TLS and all: only where it is used
+    from ryepier.slices.slice_source import SliceSource  # with TLS and all: only where it is used
 
     settings = source_settings(operators.slices, config)
     log.info(
@@ -115,7 +115,7 @@
 
 def namespace_of(slices: conf.Slices) -> str:
     """As named, or else the pod's own. Raises AccessError."""
-    from ryepier.slices.client import POD, AccessError
+    from ryepier.slices.api_client import POD, AccessError
 
     if slices.namespace:
         return slices.namespace
@@ -127,14 +127,14 @@
 
 def source_settings(slices: conf.Slices, config: platform.Config) -> Settings:
     """What a sidecar's source is told. Raises AccessError."""
-    from ryepier.slices.client import find_access
-    from ryepier.slices.listing import Rules
-    from ryepier.slices.source import Settings
+    from ryepier.slices.api_client import find_access
+    from ryepier.slices.endpoint_listing import ListingRules
+    from ryepier.slices.slice_source import Settings
 
     access = find_access(
         slices.server, slices.token_file, slices.ca_file, slices.client_cert_file, slices.client_key_file
     )
-    rules = Rules(config.zones, len(config.kinds), slices.cell, slices.settle_ms * 1000)
+    rules = ListingRules(config.zones, len(config.kinds), slices.cell, slices.settle_ms * 1000)
     return Settings(
         access,
         namespace_of(slices),
@@ -154,7 +154,7 @@
     if operators.plan.planners and not (operators.plan.name or config.name):
         raise AssemblyError("a forwarder needs a name: none in the platform's configuration, and no plan.name")
     if operators.slices.service:
-        from ryepier.slices.client import AccessError
+        from ryepier.slices.api_client import AccessError
 
         try:
             source_settings(operators.slices, config)
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -18,11 +18,11 @@
 from ryepier.commands.config import read_operators_file
 from ryepier.logs import structured
 from ryepier.sidecar.system import clock_us
-from ryepier.slices.client import AccessError, find_access, make_client
-from ryepier.slices.listing import Rules
-from ryepier.slices.merge import RANKS, Merger, Verdict, Word
-from ryepier.slices.reflect import Apply, Delete, Replace
-from ryepier.slices.source import Settings, SliceSource
+from ryepier.slices.api_client import AccessError, find_access, make_client
+from ryepier.slices.endpoint_listing import ListingRules
+from ryepier.slices.endpoint_slice_merger import RISKS, EndpointObservation, EndpointSliceMerger, MergedEndpoint
+from ryepier.slices.reflector import Apply, Delete, Replace
+from ryepier.slices.slice_source import Settings, SliceSource
 
 RULE_TEXTS = {
     1: "all slices that hold it say the same",
@@ -49,7 +49,7 @@
             access,
             namespace_of(slices),
             name,
-            Rules([], 0, slices.cell, slices.settle_ms * 1000),
+            ListingRules([], 0, slices.cell, slices.settle_ms * 1000),
             slices.port,
             slices.watch_s,
             slices.hold_s * 1_000_000,
@@ -95,9 +95,9 @@
             print(f"{event.version:6} {event.kind.value:6} {entry.state.value:9} {host}:{port} {uid}", flush=True)
 
 
-async def read_once(settings: Settings) -> Merger:
+async def read_once(settings: Settings) -> EndpointSliceMerger:
     """The slices as one list has them. Raises TimeoutError."""
-    merger = Merger(settings.port)
+    merger = EndpointSliceMerger(settings.port)
     listed = asyncio.Event()
 
     def take(news: list[Replace | Apply | Delete]) -> None:
@@ -125,11 +125,11 @@
     return merger
 
 
-def wanted(merger: Merger, text: str) -> list[Verdict]:
+def wanted(merger: EndpointSliceMerger, text: str) -> list[MergedEndpoint]:
     """The converters that a person may mean: by pod uid, by address, or by address and port."""
     return [
         verdict
-        for identity, verdict in merger.verdicts(0).items()
+        for identity, verdict in merger.endpoints(0).items()
         if text
         in (
             identity,
@@ -140,7 +140,7 @@
     ]
 
 
-def describe_word(word: Word) -> str:
+def describe_word(word: EndpointObservation) -> str:
     places = [
         text
         for text in (
@@ -150,7 +150,7 @@
         )
         if text
     ]
-    return f"  {word.slice_name}, generation {word.generation}: {RANKS[word.rank]}" + (
+    return f"  {word.slice_name}, generation {word.generation}: {RISKS[word.risk]}" + (
         f" ({'; '.join(places)})" if places else ""
     )
 
@@ -206,7 +206,7 @@
             f"{host}:{port} {verdict.identity}: {verdict.state.value}, by rule {verdict.rule}: "
             f"{RULE_TEXTS[verdict.rule]}"
         )
-        for word in merger.words[verdict.identity].values():
+        for word in merger.observations[verdict.identity].values():
             print(describe_word(word))
     if not found:
         print(f"ryepier slices: no slice of {settings.namespace}/{settings.service} holds {address}", file=sys.stderr)
--- a/ryepier/experiments/slices/churn_follower.py
+++ b/ryepier/experiments/slices/churn_follower.py
@@ -16,10 +16,10 @@
 from ryepier.balancer.interface import RequestClass, Settings, UpstreamsUpdated
 from ryepier.experiments import planted
 from ryepier.sidecar.system import clock_us
-from ryepier.slices.client import Access
-from ryepier.slices.listing import Rules
-from ryepier.slices.source import Settings as SourceSettings
-from ryepier.slices.source import SliceSource
+from ryepier.slices.api_client import Access
+from ryepier.slices.endpoint_listing import ListingRules
+from ryepier.slices.slice_source import Settings as SourceSettings
+from ryepier.slices.slice_source import SliceSource
 
 
 def memory_kib(what: str) -> int:
@@ -42,7 +42,7 @@
             heard.extend((addresses[entry.id][0], entry.state.value, at_us) for entry in event.upstreams)
         listed.set()
 
-    settings = SourceSettings(Access("127.0.0.1", port, False), "default", service, Rules(["a"], 0))
+    settings = SourceSettings(Access("127.0.0.1", port, False), "default", service, ListingRules(["a"], 0))
     source = SliceSource(settings, listener, clock_us)
     source.start()
     await listed.wait()
--- a/ryepier/experiments/slices/planted.py
+++ b/ryepier/experiments/slices/planted.py
@@ -8,22 +8,26 @@
 from collections.abc import Callable
 
 from ryepier.balancer import interface as api
-from ryepier.slices import merge
-from ryepier.slices.listing import _Known
-from ryepier.slices.merge import Merger, Word
-from ryepier.slices.reflect import Reflector, Wait
+from ryepier.slices import endpoint_slice_merger
+from ryepier.slices.endpoint_listing import _ListedEndpoint
+from ryepier.slices.endpoint_slice_merger import EndpointObservation, EndpointSliceMerger
+from ryepier.slices.reflector import Reflector, Wait
 
 
 def last_writer() -> None:
     """Of several slices the word that came last counts, and no end is remembered."""
 
-    def decide(self: Merger, identity: str, said: list[Word]) -> merge.Verdict:
-        last = said[-1]
-        state = api.UpstreamState.DRAINING if last.rank else api.UpstreamState.READY
-        return merge.Verdict(identity, last.address, last.zone, last.node, state, False, 1, (last.slice_name,))
+    def decide(
+        self: EndpointSliceMerger, identity: str, reported: list[EndpointObservation]
+    ) -> endpoint_slice_merger.MergedEndpoint:
+        last = reported[-1]
+        state = api.UpstreamState.DRAINING if last.risk else api.UpstreamState.READY
+        return endpoint_slice_merger.MergedEndpoint(
+            identity, last.address, last.zone, last.node, state, False, 1, (last.slice_name,)
+        )
 
-    Merger._decide = decide  # type: ignore[method-assign]
-    _Known.due_us = lambda self, settle_us: self.ready_us  # type: ignore[method-assign]
+    EndpointSliceMerger._merge = decide  # type: ignore[method-assign]
+    _ListedEndpoint.publish_at_us = lambda self, settle_us: self.ready_since_us  # type: ignore[method-assign]
 
 
 def never_again() -> None:
@@ -33,13 +37,13 @@
 
 def whole_list() -> None:
     """Each change has the whole list decided anew."""
-    changes = Merger.changes
+    changes = EndpointSliceMerger.changes
 
-    def all_changes(self: Merger, now_us: int) -> dict[str, merge.Verdict | None]:
-        self.dirty |= self.words.keys()
+    def all_changes(self: EndpointSliceMerger, now_us: int) -> dict[str, endpoint_slice_merger.MergedEndpoint | None]:
+        self.changed |= self.observations.keys()
         return changes(self, now_us)
 
-    Merger.changes = all_changes  # type: ignore[method-assign]
+    EndpointSliceMerger.changes = all_changes  # type: ignore[method-assign]
 
 
 PLANTS: dict[str, Callable[[], None]] = {
--- /dev/null
+++ b/ryepier/slices/api_client.py
@@ -0,0 +1,340 @@
+"""Client of a Kubernetes API server: HTTP/1.1 over TCP or TLS, one call per connection."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import socket
+import ssl
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from random import Random
+from urllib.parse import urlsplit
+
+import httptools
+
+from ryepier.errors import RyepierError
+from ryepier.slices import api_objects, reflector
+from ryepier.slices.reflector import Apply, Call, Delete, Failure, Problem, Reflector, Replace, Wait
+
+log = logging.getLogger(__name__)
+
+CONNECT_TIMEOUT_S = 3.0  # with TLS
+LIST_TIMEOUT_S = 20.0  # for one page
+WATCH_GRACE_S = 5.0  # after its regular end, before a silent watch counts as hung
+MAX_LINE_BYTES = 4 * 1024 * 1024  # one slice has at most 1,000 endpoints
+MAX_PAGE_BYTES = 32 * 1024 * 1024
+MAX_ERROR_BYTES = 64 * 1024
+KEEPALIVE_S = (5, 2, 3)  # idle, between probes, probes: an unreachable machine is noticed after 11 s
+POD = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # of a pod
+
+
+class AccessError(RyepierError, ValueError):
+    """The settings of the API server are wrong."""
+
+
+@dataclass(frozen=True, slots=True)
+class Access:
+    """Address of the API server, and the credentials."""
+
+    host: str
+    port: int
+    tls: bool
+    prefix: str = ""  # of each path, as behind a proxy
+    token: Path | None = None  # read for each call: the cluster rotates it every hour
+    authority: Path | None = None
+    certificate: Path | None = None
+    key: Path | None = None
+
+
+def find_access(server: str, token: str = "", authority: str = "", certificate: str = "", key: str = "") -> Access:
+    """Return the access of the settings; with an empty `server`, that of the pod. Raises AccessError."""
+    if not server:
+        host, port = os.environ.get("KUBERNETES_SERVICE_HOST", ""), os.environ.get("KUBERNETES_SERVICE_PORT", "")
+        if not host or not port.isdecimal():
+            raise AccessError("no server is named, and KUBERNETES_SERVICE_HOST and _PORT are not set")
+        return Access(
+            host,
+            int(port),
+            True,
+            "",
+            Path(token or POD / "token"),
+            Path(authority or POD / "ca.crt"),
+            Path(certificate) if certificate else None,
+            Path(key) if key else None,
+        )
+    try:
+        url = urlsplit(server)
+        port_number = url.port
+    except ValueError as error:
+        raise AccessError(f"server {server!r}: {error}") from None
+    if url.scheme not in ("http", "https") or not url.hostname or url.query or url.fragment or url.username:
+        raise AccessError(f"server {server!r}: expected http://host:port or https://host:port")
+    if bool(certificate) != bool(key):
+        raise AccessError("a client certificate and its key go together")
+    tls = url.scheme == "https"
+    return Access(
+        url.hostname,
+        port_number or (443 if tls else 80),
+        tls,
+        url.path.rstrip("/"),
+        *(Path(name) if name else None for name in (token, authority, certificate, key)),
+    )
+
+
+def tls_context(access: Access) -> ssl.SSLContext | None:
+    """Return the TLS context; made for each call, as certificates are rotated. Raises OSError."""
+    if not access.tls:
+        return None
+    context = ssl.create_default_context(cafile=str(access.authority) if access.authority else None)
+    if access.certificate is not None:
+        context.load_cert_chain(str(access.certificate), str(access.key))
+    return context
+
+
+def request_head(access: Access, target: str) -> bytes:
+    """Return the head of a request. Raises OSError or ValueError if there is no valid token."""
+    host = f"[{access.host}]" if ":" in access.host else access.host
+    lines = [
+        f"GET {access.prefix}{target} HTTP/1.1",
+        f"Host: {host}:{access.port}",
+        "Accept: application/json",
+        "User-Agent: ryepier",
+    ]
+    if access.token is not None:
+        token = access.token.read_text(encoding="ascii").strip()
+        if not token or not token.isprintable():
+            raise ValueError(f"{access.token} holds no token")
+        lines.append(f"Authorization: Bearer {token}")
+    return "\r\n".join([*lines, "", ""]).encode("ascii")
+
+
+class ResponseReader(asyncio.Protocol):
+    """Reads the response to one call: each line of a watch at once, anything else when it is complete."""
+
+    def __init__(self, kind: str, on_line: Callable[[bytes], None], on_data: Callable[[], None]) -> None:
+        """Notify `on_line` of each line of a watch, and `on_data` of any bytes."""
+        self.kind = kind
+        self.on_line = on_line
+        self.on_data = on_data
+        self.parser = httptools.HttpResponseParser(self)
+        self.transport: asyncio.Transport | None = None
+        self.body = bytearray()
+        self.status = 0
+        self.retry_after_s: int | None = None
+        self.is_complete = False
+        self.failure: Exception | None = None
+        self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Turn on keep-alive probes."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+        sock: socket.socket | None = transport.get_extra_info("socket")
+        if sock is not None and sock.family in (socket.AF_INET, socket.AF_INET6):
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+            for option, value in zip(
+                (socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL, socket.TCP_KEEPCNT), KEEPALIVE_S, strict=True
+            ):
+                sock.setsockopt(socket.IPPROTO_TCP, option, value)
+
+    def data_received(self, data: bytes) -> None:
+        """Read bytes of the response."""
+        if self.done.done():
+            return
+        self.on_data()
+        try:
+            self.parser.feed_data(data)
+        except Exception as error:  # noqa: BLE001
+            self.failure = error
+            self.finish()
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Read a header."""
+        if name.lower() == b"retry-after" and value.strip().isdigit():
+            self.retry_after_s = int(value)
+
+    def on_headers_complete(self) -> None:
+        """Note the status."""
+        self.status = self.parser.get_status_code()
+
+    def on_body(self, data: bytes) -> None:
+        """Read part of the body."""
+        self.body += data
+        if self.status != 200:
+            if len(self.body) > MAX_ERROR_BYTES:
+                raise ValueError("the error's text is too long")
+        elif self.kind == "list":
+            if len(self.body) > MAX_PAGE_BYTES:
+                raise ValueError("the page is too long")
+        else:
+            self.read_lines(len(data))
+
+    def read_lines(self, new: int) -> None:
+        """Read the complete lines; only the `new` last bytes can hold a line's end."""
+        if self.body.find(b"\n", len(self.body) - new) >= 0:
+            *lines, remainder = bytes(self.body).split(b"\n")
+            self.body = bytearray(remainder)
+            for line in lines:
+                if line.strip():
+                    self.on_line(line)
+        if len(self.body) > MAX_LINE_BYTES:
+            raise ValueError("a line without end")
+
+    def on_message_complete(self) -> None:
+        """Note the end of the response."""
+        self.is_complete = True
+        self.finish()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Note the end of the connection."""
+        self.failure = self.failure or error
+        self.finish()
+
+    def finish(self) -> None:
+        """Close the connection."""
+        if not self.done.done():
+            self.done.set_result(None)
+        if self.transport is not None:
+            self.transport.abort()
+
+
+class ApiClient:
+    """Executes the actions of a reflector, until it is cancelled."""
+
+    def __init__(
+        self,
+        access: Access,
+        reflector: Reflector,
+        on_changes: Callable[[list[Replace | Apply | Delete]], None],
+        on_failure: Callable[[], None],
+        clock_us: Callable[[], int],
+    ) -> None:
+        """Notify `on_changes` of all changes of a piece of input, and `on_failure` of failed calls."""
+        self.access = access
+        self.reflector = reflector
+        self.on_changes = on_changes
+        self.on_failure = on_failure
+        self.clock_us = clock_us
+        self.next_steps: list[Call | Wait] = []
+        self.changes: list[Replace | Apply | Delete] = []
+        self.is_flush_scheduled = False
+        self.last_received_us = 0
+        self.problems = 0
+
+    async def run(self) -> None:
+        """Call forever."""
+        self.execute(self.reflector.start(self.clock_us()))
+        while True:
+            step = self.next_steps.pop()
+            if isinstance(step, Wait):
+                self.on_failure()
+                await asyncio.sleep(max(0.0, (step.until_us - self.clock_us()) / 1e6))
+                self.execute(self.reflector.on_wake(self.clock_us()))
+            else:
+                await self.call(step)
+
+    def execute(self, actions: list[reflector.Action]) -> None:
+        """Execute actions of the reflector."""
+        for action in actions:
+            if isinstance(action, Call | Wait):
+                self.next_steps.append(action)
+            elif isinstance(action, Problem):
+                self.problems += 1
+                log.warning("EndpointSlices: %s", action.reason)
+            else:
+                self.changes.append(action)
+        if self.changes and not self.is_flush_scheduled:
+            # changes that arrive in one piece are passed on together
+            self.is_flush_scheduled = True
+            asyncio.get_running_loop().call_soon(self.flush)
+
+    def flush(self) -> None:
+        """Pass on the changes."""
+        self.is_flush_scheduled = False
+        changes, self.changes = self.changes, []
+        self.on_changes(changes)
+
+    async def call(self, call: Call) -> None:
+        """Make one call, and execute the actions that follow."""
+        response = ResponseReader(call.kind, self.read_line, self.on_data)
+        self.on_data()
+        try:
+            # files of a token or certificate are small and local; a thread for them would cost more than it saves
+            head, context = request_head(self.access, call.target), tls_context(self.access)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await asyncio.get_running_loop().create_connection(
+                    lambda: response, self.access.host, self.access.port, ssl=context
+                )
+            assert response.transport is not None
+            response.transport.write(head)
+            await self.wait_until_done(call, response)
+        except TimeoutError:
+            response.failure = TimeoutError("no answer in time")
+        except (OSError, ValueError) as error:
+            response.failure = error
+        finally:
+            response.finish()
+        if not self.next_steps:
+            self.execute(self.on_end(call, response))
+
+    async def wait_until_done(self, call: Call, response: ResponseReader) -> None:
+        """Wait for the end of a response. Raises TimeoutError for a slow page or a silent watch."""
+        if call.kind == "list":
+            async with asyncio.timeout(LIST_TIMEOUT_S):
+                await response.done
+            return
+        limit_us = int((self.reflector.watch_s + WATCH_GRACE_S) * 1e6)
+        while not response.done.done():
+            remaining_us = self.last_received_us + limit_us - self.clock_us()
+            if remaining_us <= 0:
+                raise TimeoutError
+            await asyncio.wait([response.done], timeout=remaining_us / 1e6)
+
+    def on_data(self) -> None:
+        """Record that bytes have arrived."""
+        self.last_received_us = self.clock_us()
+
+    def read_line(self, line: bytes) -> None:
+        """Handle a line of a watch."""
+        if not self.next_steps:  # an error event ends a watch
+            self.execute(self.reflector.on_event(self.clock_us(), api_objects.read_event(line)))
+
+    def on_end(self, call: Call, response: ResponseReader) -> list[reflector.Action]:
+        """Return the actions that follow a call."""
+        now_us = self.clock_us()
+        if response.failure is None and response.is_complete and response.status == 200:
+            if call.kind == "watch":
+                # an end within a line loses nothing: the next watch begins at the last complete one
+                return self.reflector.on_watch_end(now_us)
+            try:
+                return self.reflector.on_page(now_us, api_objects.read_list(bytes(response.body)))
+            except api_objects.SliceError as error:
+                return self.reflector.on_failure(now_us, Failure(str(error)))
+        if response.failure is None and response.status not in (0, 200):
+            status = api_objects.read_status(bytes(response.body))
+            return self.reflector.on_failure(
+                now_us, Failure(status.message or status.reason or "refused", response.status, response.retry_after_s)
+            )
+        reason = (
+            str(response.failure) or type(response.failure).__name__
+            if response.failure
+            else "the connection ended early"
+        )
+        return self.reflector.on_failure(now_us, Failure(reason))
+
+
+def make_client(
+    access: Access,
+    namespace: str,
+    service: str,
+    watch_s: int,
+    seed: int,
+    on_changes: Callable[[list[Replace | Apply | Delete]], None],
+    on_failure: Callable[[], None],
+    clock_us: Callable[[], int],
+) -> ApiClient:
+    """Return a client that follows one service's slices."""
+    return ApiClient(access, Reflector(namespace, service, Random(seed), watch_s), on_changes, on_failure, clock_us)
--- a/ryepier/slices/objects.py
+++ b/ryepier/slices/api_objects.py
@@ -1,6 +1,6 @@
-"""EndpointSlices of discovery.k8s.io/v1 and the events of a watch, as the published API has them.
+"""EndpointSlices of discovery.k8s.io/v1 and the events of a watch, as published.
 
-Pure: JSON in, structs out. Unknown fields are skipped, as the API asks of its clients; optional ones may be null.
+Pure: JSON in, structs out. Unknown fields are skipped, as the API requires; optional ones may be null.
 """
 
 from __future__ import annotations
@@ -9,15 +9,17 @@
 
 import msgspec
 
+from ryepier.errors import RyepierError
+
 EVENTS = ("ADDED", "MODIFIED", "DELETED", "BOOKMARK", "ERROR")
 
 
-class SliceError(Exception):
-    """Something that is no EndpointSlice, no list of them, or no event of a watch."""
+class SliceError(RyepierError):
+    """Input that is no EndpointSlice, no list of them, or no event of a watch."""
 
 
 class Conditions(msgspec.Struct, frozen=True):
-    """Each may be unset; the properties read that as the API says."""
+    """Conditions of an endpoint. Each may be unset; the properties apply the API's defaults."""
 
     ready: bool | None = None
     serving: bool | None = None
@@ -25,19 +27,22 @@
 
     @property
     def is_ready(self) -> bool:
+        """Ready, or unset."""
         return self.ready is not False
 
     @property
     def is_serving(self) -> bool:
+        """Serving; if unset, ready."""
         return self.is_ready if self.serving is None else self.serving
 
     @property
     def is_terminating(self) -> bool:
+        """Terminating."""
         return self.terminating is True
 
 
 class Reference(msgspec.Struct, frozen=True):
-    """What an endpoint stands for: usually a pod, by the uid of its one life."""
+    """The object behind an endpoint: usually a pod."""
 
     uid: str | None = None
     name: str | None = None
@@ -45,15 +50,21 @@
 
 
 class ForZone(msgspec.Struct, frozen=True):
+    """A zone of a hint."""
+
     name: str
 
 
 class Hints(msgspec.Struct, frozen=True, rename="camel"):
+    """Routing hints of an endpoint."""
+
     for_zones: list[ForZone] | None = None
 
 
 class Endpoint(msgspec.Struct, frozen=True, rename="camel"):
-    addresses: list[str]  # the API: all alike, clients use the first
+    """One endpoint of a slice."""
+
+    addresses: list[str]  # interchangeable; clients use the first
     conditions: Conditions | None = None
     target_ref: Reference | None = None
     node_name: str | None = None
@@ -62,18 +73,22 @@
 
     @property
     def for_zones(self) -> tuple[str, ...]:
-        """The zones that the cluster would have served from here."""
+        """The zones to serve from this endpoint, by the hints."""
         found = self.hints.for_zones if self.hints is not None else None
         return tuple(zone.name for zone in found or ())
 
 
 class Port(msgspec.Struct, frozen=True):
+    """One port of a slice's endpoints."""
+
     port: int | None = None
     name: str | None = None
     protocol: str | None = None
 
 
 class Metadata(msgspec.Struct, frozen=True, rename="camel"):
+    """Metadata of a slice."""
+
     name: str
     uid: str = ""
     generation: int = 0  # grows with each change of the content
@@ -91,6 +106,8 @@
 
 
 class ListMetadata(msgspec.Struct, frozen=True, rename={"resource_version": "resourceVersion", "more": "continue"}):
+    """Metadata of a page."""
+
     resource_version: str = ""
     more: str | None = None  # the token for the next page
 
@@ -103,7 +120,7 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What the API says of a call that failed."""
+    """The API's description of a failed call."""
 
     code: int = 0
     reason: str = ""
@@ -111,7 +128,7 @@
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """One line of a watch: exactly one of the two further fields is set, but for a bookmark, which has neither."""
+    """One event of a watch: with a slice, or a status for an error; a bookmark has neither."""
 
     kind: str
     slice: Slice | None = None
@@ -129,13 +146,13 @@
 
 
 def read_list(data: bytes) -> SliceList:
-    """A page. Raises SliceError."""
+    """Return a page. Raises SliceError."""
     page: SliceList = _read(data, SliceList)
     return page
 
 
 def read_status(data: bytes) -> Status:
-    """What a call that failed says of itself; an empty one where it says nothing that can be read."""
+    """Return the status of a failed call; an empty one if it can't be read."""
     try:
         status: Status = _read(data, Status)
     except SliceError:
@@ -144,7 +161,7 @@
 
 
 def read_event(line: bytes) -> WatchEvent:
-    """One line of a watch. Raises SliceError."""
+    """Return the event of one line. Raises SliceError."""
     raw = _read(line, _Raw)
     if raw.type not in EVENTS:
         raise SliceError(f"unknown event {raw.type!r}")
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -27,11 +27,11 @@
 from ryepier.sidecar.config import load
 from ryepier.sidecar.serving import serve
 from ryepier.sidecar.system import clock_us
-from ryepier.slices import client, objects, reflect, source
-from ryepier.slices.client import Access, AccessError, find_access
-from ryepier.slices.listing import Rules
-from ryepier.slices.reflect import Apply, Call, Failure, Reflector, Replace, Wait
-from ryepier.slices.source import Settings, SliceSource
+from ryepier.slices import api_client, api_objects, reflector, slice_source
+from ryepier.slices.api_client import Access, AccessError, find_access
+from ryepier.slices.endpoint_listing import ListingRules
+from ryepier.slices.reflector import Apply, Call, Failure, Reflector, Replace, Wait
+from ryepier.slices.slice_source import Settings, SliceSource
 from tests.network_peers import OK, PATIENCE_S, configuration, free_port, read_message, request, until
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
@@ -81,7 +81,7 @@
             access or Access("127.0.0.1", self.port, False),
             "default",
             "convert",
-            Rules([], 0, settle_us=50_000),
+            ListingRules([], 0, settle_us=50_000),
             **more,
         )
         self.source = SliceSource(settings, self.heard, clock_us)
@@ -117,7 +117,7 @@
 
 
 def test_pages_changes_and_both_address_families_become_one_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reflect, "PAGE", 2)
+    monkeypatch.setattr(reflector, "PAGE_SIZE", 2)
 
     async def test() -> None:
         async with a_world() as world:
@@ -136,14 +136,14 @@
                 )
             )
             assert ("fd00::7", 80) in {
-                known.verdict.address for known in (world.source.listing.known.values() if world.source else ())
+                known.endpoint.address for known in (world.source.listing.known.values() if world.source else ())
             }
 
     run(test)
 
 
 def test_a_watch_that_is_torn_in_the_middle_of_a_line_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reflect, "FIRST_BACKOFF_US", 1000)
+    monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
 
     async def test() -> None:
         async with a_world() as world:
@@ -176,8 +176,8 @@
 def test_a_server_that_comes_back_compacted_is_listed_anew_and_what_went_meanwhile_is_gone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(reflect, "FIRST_BACKOFF_US", 1000)
-    monkeypatch.setattr(reflect, "LONGEST_BACKOFF_US", 50_000)
+    monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
+    monkeypatch.setattr(reflector, "MAX_BACKOFF_US", 50_000)
 
     async def test() -> None:
         async with a_world() as world:
@@ -197,8 +197,8 @@
 
 
 def test_a_silent_watch_is_given_up_and_another_asked_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client, "GRACE_S", -0.7)
-    monkeypatch.setattr(reflect, "FIRST_BACKOFF_US", 1000)
+    monkeypatch.setattr(api_client, "WATCH_GRACE_S", -0.7)
+    monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
 
     async def test() -> None:
         async with a_world() as world:
@@ -216,37 +216,37 @@
 
 
 def test_a_busy_server_is_left_alone_for_as_long_as_it_asks() -> None:
-    reflector = Reflector("default", "convert", Random(1))
-    reflector.begin(0)
-    [_, wait] = reflector.failed(0, Failure("busy", 429, retry_after_s=3))
+    made = Reflector("default", "convert", Random(1))
+    made.start(0)
+    [_, wait] = made.on_failure(0, Failure("busy", 429, retry_after_s=3))
     assert isinstance(wait, Wait) and 3_100_000 <= wait.until_us <= 3_200_000
-    [_, wait] = reflector.failed(0, Failure("busy", 429, retry_after_s=86_400))
-    assert isinstance(wait, Wait) and wait.until_us <= reflect.LONGEST_ADVICE_US + 400_000
+    [_, wait] = made.on_failure(0, Failure("busy", 429, retry_after_s=86_400))
+    assert isinstance(wait, Wait) and wait.until_us <= reflector.MAX_RETRY_AFTER_US + 400_000
 
 
 def test_backoff_doubles_is_spread_and_bounded() -> None:
     waits = []
     for seed in range(50):
-        reflector = Reflector("default", "convert", Random(seed))
+        made = Reflector("default", "convert", Random(seed))
         for _ in range(12):
-            last = [one.until_us for one in reflector.failed(0, Failure("refused")) if isinstance(one, Wait)]
+            last = [one.until_us for one in made.on_failure(0, Failure("refused")) if isinstance(one, Wait)]
         waits += last
-    assert min(waits) >= 0.5 * reflect.LONGEST_BACKOFF_US and max(waits) <= reflect.LONGEST_BACKOFF_US
-    assert max(waits) - min(waits) > 0.4 * reflect.LONGEST_BACKOFF_US
+    assert min(waits) >= 0.5 * reflector.MAX_BACKOFF_US and max(waits) <= reflector.MAX_BACKOFF_US
+    assert max(waits) - min(waits) > 0.4 * reflector.MAX_BACKOFF_US
 
 
 def test_a_server_away_for_ten_minutes_is_asked_a_bounded_number_of_times_and_then_listed_at_once() -> None:
     reflector = Reflector("default", "convert", Random(1))
     reflector.version = "5"
     now_us = calls = 0
-    reflector.begin(0)
+    reflector.start(0)
     while now_us < 600_000_000:
         calls += 1
-        [now_us] = [one.until_us for one in reflector.failed(now_us, Failure("refused")) if isinstance(one, Wait)]
-        [call] = reflector.woken(now_us)
+        [now_us] = [one.until_us for one in reflector.on_failure(now_us, Failure("refused")) if isinstance(one, Wait)]
+        [call] = reflector.on_wake(now_us)
         assert isinstance(call, Call) and "resourceVersion=5" in call.target
     assert 60 <= calls <= 130
-    assert [one for one in reflector.failed(now_us, Failure("gone", 410)) if isinstance(one, Call)]
+    assert [one for one in reflector.on_failure(now_us, Failure("gone", 410)) if isinstance(one, Call)]
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 400), max_size=6), st.booleans())
@@ -259,12 +259,14 @@
         data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
         if not sound:
             data = rubbish
-        answer = client.Answer("watch", lines.append, lambda: None)
+        answer = api_client.ResponseReader("watch", lines.append, lambda: None)
         edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
         for begin, end in itertools.pairwise(edges):
             answer.data_received(data[begin:end])
         assert not sound or (
-            answer.complete and answer.failure is None and lines == [line for line in body.split(b"\n") if line.strip()]
+            answer.is_complete
+            and answer.failure is None
+            and lines == [line for line in body.split(b"\n") if line.strip()]
         )
 
     asyncio.run(test())
@@ -272,40 +274,40 @@
 
 def test_a_page_that_has_expired_is_followed_by_the_whole_list_in_one_and_never_by_a_loop() -> None:
     reflector = Reflector("default", "convert", Random(1))
-    reflector.begin(0)
-    [more] = reflector.page(
+    reflector.start(0)
+    [more] = reflector.on_page(
         0,
-        objects.read_list(
+        api_objects.read_list(
             b'{"metadata":{"resourceVersion":"5","continue":"abc"},"items":[{"metadata":{"name":"s"},"addressType":"IPv4"}]}'
         ),
     )
     assert isinstance(more, Call) and "continue=abc" in more.target
-    [_, whole] = reflector.failed(1, Failure("expired", 410))
+    [_, whole] = reflector.on_failure(1, Failure("expired", 410))
     assert isinstance(whole, Call) and "limit" not in whole.target and "continue" not in whole.target
-    assert any(isinstance(one, Wait) for one in reflector.failed(2, Failure("expired", 410)))
-    [replace, watch] = reflector.page(3, objects.read_list(b'{"metadata":{"resourceVersion":"9"},"items":[]}'))
+    assert any(isinstance(one, Wait) for one in reflector.on_failure(2, Failure("expired", 410)))
+    [replace, watch] = reflector.on_page(3, api_objects.read_list(b'{"metadata":{"resourceVersion":"9"},"items":[]}'))
     assert replace == Replace([]) and isinstance(watch, Call) and "resourceVersion=9" in watch.target
 
 
 def test_a_watch_goes_on_from_its_last_bookmark_and_an_error_event_from_its_last_event() -> None:
-    read = objects.read_event
+    read = api_objects.read_event
     reflector = Reflector("default", "convert", Random(1))
     reflector.version = "5"
-    reflector.begin(0)
+    reflector.start(0)
     line = b'{"type":"ADDED","object":{"metadata":{"name":"s","resourceVersion":"6"},"addressType":"IPv4"}}'
-    assert isinstance(reflector.event(1, read(line))[0], Apply)
-    assert reflector.event(2, read(b'{"type":"BOOKMARK","object":{"metadata":{"resourceVersion":"8"}}}')) == []
-    [call] = reflector.ended(10_000_000)
+    assert isinstance(reflector.on_event(1, read(line))[0], Apply)
+    assert reflector.on_event(2, read(b'{"type":"BOOKMARK","object":{"metadata":{"resourceVersion":"8"}}}')) == []
+    [call] = reflector.on_watch_end(10_000_000)
     assert isinstance(call, Call) and "resourceVersion=8" in call.target
-    [_, wait] = reflector.event(10_000_001, read(b'{"type":"ERROR","object":{"code":500,"message":"etcd"}}'))
+    [_, wait] = reflector.on_event(10_000_001, read(b'{"type":"ERROR","object":{"code":500,"message":"etcd"}}'))
     assert isinstance(wait, Wait)
-    assert "resourceVersion=8" in reflector.woken(wait.until_us)[0].target  # type: ignore[union-attr]
+    assert "resourceVersion=8" in reflector.on_wake(wait.until_us)[0].target  # type: ignore[union-attr]
 
 
 def test_tls_with_a_client_certificate_and_a_token_that_changes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(reflect, "FIRST_BACKOFF_US", 1000)
+    monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
     authority = trustme.CA()
     authority.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
     own = authority.issue_cert("sidecar@example.org")
@@ -353,7 +355,7 @@
             made = world.follow(
                 find_access(f"https://127.0.0.1:{world.port}", "", str(tmp_path / "ca.pem")), pushed=False
             )
-            await until(lambda: made.client.troubles > 0)
+            await until(lambda: made.client.problems > 0)
             assert world.api.calls == [] and {event.kind for event in world.events} == {ListKind.FAILED}
 
     run(test)
@@ -386,7 +388,7 @@
         world.port = server.sockets[0].getsockname()[1]
         made = world.follow()
         await until(lambda: calls >= 2)
-        assert made.client.troubles >= 1 and world.events == []
+        assert made.client.problems >= 1 and world.events == []
         made.stop()
         server.close()
 
@@ -396,7 +398,7 @@
 def test_a_sidecar_that_starts_while_the_server_is_away_has_the_list_as_written_down(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(source, "CACHE_EVERY_S", 0.01)
+    monkeypatch.setattr(slice_source, "CACHE_INTERVAL_S", 0.01)
     cache = tmp_path / "list.json"
 
     async def test() -> None:
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from ryepier.balancer.interface import UpstreamState
-from ryepier.slices.listing import CALM_US, RESTART_US, Listing, Rules
-from ryepier.slices.merge import Verdict
+from ryepier.slices.endpoint_listing import CALM_US, RESTART_US, EndpointListing, ListingRules
+from ryepier.slices.endpoint_slice_merger import MergedEndpoint
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 SETTLE_US = 1_000_000
@@ -16,15 +16,15 @@
 
 def verdict(
     identity: str = "p1", ready: bool = True, node: str = "", address: str = "10.0.0.1", ends: bool = False
-) -> Verdict:
-    return Verdict(identity, (address, 80), "a", node, READY if ready else DRAINING, ends, 1, ("s1",))
+) -> MergedEndpoint:
+    return MergedEndpoint(identity, (address, 80), "a", node, READY if ready else DRAINING, ends, 1, ("s1",))
 
 
-def listing(cell_by: str = "endpoint") -> Listing:
-    return Listing(Rules(["a"], 3, "node" if cell_by == "node" else "endpoint", SETTLE_US))
+def listing(cell_by: str = "endpoint") -> EndpointListing:
+    return EndpointListing(ListingRules(["a"], 3, "node" if cell_by == "node" else "endpoint", SETTLE_US))
 
 
-def told(made: Listing, now_us: int, **changes: Verdict | None) -> dict[int, UpstreamState]:
+def told(made: EndpointListing, now_us: int, **changes: MergedEndpoint | None) -> dict[int, UpstreamState]:
     return {entry.id: entry.state for entry, _ in made.update(now_us, changes)}
 
 
@@ -57,7 +57,7 @@
 def test_what_comes_later_is_fresh_and_so_is_one_that_was_away_for_long() -> None:
     made = listing()
     told(made, 0, old=verdict("old"))
-    made.whole()
+    made.complete_list()
     [(entry, _)] = made.update(5, {"new": verdict("new")})
     assert entry.started_us == 5
     made.update(10, {"old": verdict("old", ready=False)})
@@ -69,7 +69,7 @@
 def test_a_move_between_slices_is_no_restart_but_an_address_that_comes_back_is_another() -> None:
     made = listing()
     made.update(0, {"p1": verdict(), "10.0.0.9:80": verdict("10.0.0.9:80")})
-    made.whole()
+    made.complete_list()
     assert told(made, 1, **{"p1": None, "10.0.0.9:80": None}) == {1: REMOVED, 2: REMOVED}
     back = {
         entry.id: entry.started_us
@@ -121,6 +121,6 @@
         new = None if word == "gone" else verdict(identity, word == "ready", ends=word == "ends")
         for entry, _ in made.update(now_us, {identity: new}):
             held[entry.id] = entry.state
-        for name, ident in made.idents().items():
+        for name, ident in made.upstream_ids().items():
             assert held[ident] is not READY or said[name] == "ready"
         assert sum(state is READY for state in held.values()) <= sum(word == "ready" for word in said.values())
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from ryepier.balancer.interface import UpstreamState
-from ryepier.slices.merge import HOLD_US, Merger
-from ryepier.slices.objects import Slice, SliceError, read_event, read_list
+from ryepier.slices.api_objects import Slice, SliceError, read_event, read_list
+from ryepier.slices.endpoint_slice_merger import HOLD_US, EndpointSliceMerger
 
 READY, DRAINING = UpstreamState.READY, UpstreamState.DRAINING
 
@@ -34,8 +34,8 @@
     return found
 
 
-def states(merger: Merger, now_us: int = 0) -> dict[str, UpstreamState]:
-    return {identity: verdict.state for identity, verdict in merger.verdicts(now_us).items()}
+def states(merger: EndpointSliceMerger, now_us: int = 0) -> dict[str, UpstreamState]:
+    return {identity: verdict.state for identity, verdict in merger.endpoints(now_us).items()}
 
 
 @pytest.mark.parametrize(
@@ -52,64 +52,64 @@
     ],
 )
 def test_conditions_are_read_as_the_api_says(conditions: dict[str, Any], state: UpstreamState) -> None:
-    merger = Merger()
+    merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint(**conditions)))
     assert states(merger) == {"p1": state}
 
 
 def test_one_address_in_two_slices_with_states_that_differ_is_safe() -> None:
-    merger = Merger()
+    merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint("", ready=True)))
     merger.apply(a_slice(endpoint("", ready=True, terminating=True), name="s2", uid="u2"))
-    [verdict] = merger.verdicts(0).values()
-    assert (verdict.state, verdict.rule, verdict.said_by) == (DRAINING, 4, ("s1", "s2"))
+    [verdict] = merger.endpoints(0).values()
+    assert (verdict.state, verdict.rule, verdict.source_slices) == (DRAINING, 4, ("s1", "s2"))
 
 
 def test_a_slice_made_anew_while_its_endpoint_drains_does_not_bring_it_back() -> None:
-    merger = Merger()
+    merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint(ready=True), generation=3))
     merger.apply(a_slice(endpoint(terminating=True), generation=4))
     merger.delete(a_slice(endpoint(terminating=True), generation=4))
     merger.apply(a_slice(endpoint(ready=True), endpoint("p2", "10.0.0.2"), uid="u9"))
     assert not merger.apply(a_slice(endpoint(ready=True), generation=9))  # the old object, come late
     assert states(merger) == {"p1": DRAINING, "p2": READY}
-    assert merger.verdicts(0)["p1"].rule == 3
+    assert merger.endpoints(0)["p1"].rule == 3
 
 
 def test_an_address_that_a_new_pod_gets_within_a_second_is_another_converter() -> None:
-    merger = Merger()
+    merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint("p1", terminating=True)))
     merger.apply(a_slice(endpoint("p2", ready=True), generation=2))
     assert states(merger) == {"p2": READY}
 
 
 def test_without_a_pod_an_address_may_be_used_again_once_no_slice_holds_the_old_word() -> None:
-    merger = Merger()
+    merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint("", terminating=True)))
     merger.apply(a_slice(endpoint("", ready=True), generation=2))
     assert states(merger) == {"10.0.0.1:80": READY}
 
 
 def test_a_list_that_is_suddenly_empty_is_held_and_then_believed() -> None:
-    merger = Merger()
+    merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint(), endpoint("p2", "10.0.0.2")))
     assert states(merger) == {"p1": READY, "p2": READY}
     merger.delete(a_slice(endpoint(terminating=True)))
-    assert states(merger, 5) == {"p1": DRAINING, "p2": READY} and merger.alarmed
+    assert states(merger, 5) == {"p1": DRAINING, "p2": READY} and merger.is_retained
     assert states(merger, 5 + HOLD_US) == {}
 
 
 def test_ports_are_chosen_by_name_and_a_slice_without_it_is_told_of() -> None:
-    merger = Merger("other")
+    merger = EndpointSliceMerger("other")
     merger.apply(a_slice(endpoint()))
-    assert merger.verdicts(0)["p1"].address == ("10.0.0.1", 81)
-    merger = Merger("none")
+    assert merger.endpoints(0)["p1"].address == ("10.0.0.1", 81)
+    merger = EndpointSliceMerger("none")
     merger.apply(a_slice(endpoint()))
-    assert merger.verdicts(0) == {} and merger.skipped == {"s1": "no port 'none'"}
+    assert merger.endpoints(0) == {} and merger.skipped == {"s1": "no port 'none'"}
 
 
 def test_a_rolling_update_of_a_thousand_in_slices_of_a_hundred_ends_with_the_new_ones_and_no_end_taken_back() -> None:
-    merger, size = Merger(), 100
+    merger, size = EndpointSliceMerger(), 100
     slices = [
         [endpoint(f"old{i}", f"10.0.{i // 250}.{i % 250}") for i in range(first, first + size)]
         for first in range(0, 10 * size, size)
@@ -155,7 +155,7 @@
                 for number, each in enumerate(pods, 1)
             ]
         )
-    straight, mixed = Merger(), Merger()
+    straight, mixed = EndpointSliceMerger(), EndpointSliceMerger()
     for stream in streams:
         for one in stream:
             straight.apply(one)
@@ -168,12 +168,12 @@
             for e in one.endpoints or []
             if e.target_ref and e.conditions and e.conditions.terminating
         }
-        assert all(mixed.verdicts(0)[pod].state is DRAINING for pod in ended & mixed.verdicts(0).keys())
+        assert all(mixed.endpoints(0)[pod].state is DRAINING for pod in ended & mixed.endpoints(0).keys())
     mixed.replace([stream[-1] for stream in streams])
     # a list that was empty on the way is held for a while (rule 6); after that all is one
     for merger in (mixed, straight):
-        merger.verdicts(0)
-    assert mixed.verdicts(HOLD_US) == straight.verdicts(HOLD_US)
+        merger.endpoints(0)
+    assert mixed.endpoints(HOLD_US) == straight.endpoints(HOLD_US)
 
 
 @given(
