--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -10,7 +10,7 @@
 from ryepier.graphql import answers
 from ryepier.graphql.classify import ClassRule, FieldRule, Table
 from ryepier.graphql.errors import GraphqlError
-from ryepier.graphql.request import JSON_TYPE, RESPONSE_TYPE, Asked, Reader, response_type
+from ryepier.graphql.request import JSON_TYPE, RESPONSE_TYPE, ParsedRequest, Reader, response_type
 from ryepier.sidecar.components import FrontEnd
 from ryepier.sidecar.config import Config, parse_address
 from ryepier.sidecar.dispatcher import RequestDispatcher
@@ -44,7 +44,7 @@
         b"x-cost-hint",
     )
 )
-# of this connection, or said anew: what the client says of class and key is not what the operation is
+# headers of this connection, or written anew: class and key follow from the operation
 OWN_HEADERS = frozenset(
     (
         b"host",
@@ -69,9 +69,10 @@
 
 
 class GraphqlRequestError(RequestError):
-    """A request that is not taken, in GraphQL's words."""
+    """A request that is not accepted, with a GraphQL error."""
 
     def __init__(self, error: GraphqlError, answer_type: str) -> None:
+        """Take over an error, for a client that accepts `answer_type`."""
         super().__init__(error.status, error.text, keeps_connection=True)
         self.code = error.code
         self.allow = error.allow
@@ -95,26 +96,27 @@
 
 
 class GraphqlDialect:
-    """Reads GraphQL requests; every path, or one with all below it left to others."""
+    """Reads GraphQL requests over HTTP."""
 
     def __init__(self, settings: Settings, reader: Reader) -> None:
+        """Read requests of the settings' classes."""
         self.settings = settings
         self.reader = reader
         self.classes = {kind.name: index for index, kind in enumerate(settings.classes)}
         self.tenants = TenantIndex(settings)
 
     def parse(self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes) -> ClientRequest:
-        """Raises RequestError."""
+        """Return the request. Raises RequestError."""
         found = parse_headers(headers, SINGLE_HEADERS)
         answer_type = RESPONSE_TYPE
         try:
             answer_type = response_type(found.get(b"accept", b"").decode("latin-1"))
-            asked = self._ask(method, target, found, body)
+            parsed = self._parse_query(method, target, found, body)
         except GraphqlError as error:
             raise GraphqlRequestError(error, answer_type) from None
-        return self._call(target, headers, found, asked, answer_type)
+        return self._client_request(target, headers, found, parsed, answer_type)
 
-    def _ask(self, method: bytes, target: bytes, found: dict[bytes, bytes], body: bytes) -> Asked:
+    def _parse_query(self, method: bytes, target: bytes, found: dict[bytes, bytes], body: bytes) -> ParsedRequest:
         if method == b"GET":
             if body:
                 raise GraphqlError(400, "BAD_REQUEST", "a GET has no body")
@@ -128,21 +130,23 @@
             raise GraphqlError(415, "UNSUPPORTED_MEDIA_TYPE", "no encoded bodies")
         return self.reader.post(found.get(b"content-type", b"").decode("latin-1"), body)
 
-    def _call(
+    def _client_request(
         self,
         target: bytes,
         headers: list[tuple[bytes, bytes]],
         found: dict[bytes, bytes],
-        asked: Asked,
+        parsed: ParsedRequest,
         answer_type: str,
     ) -> ClientRequest:
-        meant = asked.meaning
+        meant = parsed.meaning
         index = self.classes[meant.class_name]
         kind = self.settings.classes[index]
         ident = found.get(b"x-request-id") or os.urandom(NEW_IDENT_BYTES).hex().encode()
         if not IDENTIFIER.fullmatch(ident):
             raise RequestError(400, "no X-Request-Id that can be used")
-        asked_us = 1000 * parse_integer(found[b"x-deadline-ms"], "X-Deadline-Ms") if b"x-deadline-ms" in found else 0
+        requested_us = (
+            1000 * parse_integer(found[b"x-deadline-ms"], "X-Deadline-Ms") if b"x-deadline-ms" in found else 0
+        )
         cost, key = found.get(b"x-cost-hint"), found.get(b"x-key")
         onward = [(name, value) for name, value in headers if name.lower() not in OWN_HEADERS]
         onward += [
@@ -156,9 +160,9 @@
             b"POST",
             target.partition(b"?")[0],
             onward,
-            asked.body,
+            parsed.body,
             clock_us(),
-            deadline_us=min(asked_us or meant.deadline_us or kind.deadline_us, kind.deadline_us),
+            deadline_us=min(requested_us or meant.deadline_us or kind.deadline_us, kind.deadline_us),
             class_index=index,
             request_id=ident,
             tenant=self.tenants.find(found),
@@ -170,17 +174,20 @@
         )
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
-        """What a converter said goes on as it is, with its errors."""
+        """Return the response; a converter's own is passed on unchanged, with its errors."""
         if answer.outcome is FinalOutcome.SERVED:
             kind = answer.content_type or request.accepted_type
             return Response(answer.status, answer.body, b"Content-Type: %s\r\n" % kind)
         head = b"Content-Type: %s\r\n" % request.accepted_type
         if answer.outcome is FinalOutcome.REJECTED:
-            return Response(503, answers.refused(answer.retry_after_us), head + retry_after(answer.retry_after_us))
+            return Response(
+                503, answers.rejected_body(answer.retry_after_us), head + retry_after(answer.retry_after_us)
+            )
         harmless = self.settings.classes[request.class_index].effect == Effect.IDEMPOTENT
-        return Response(500, answers.failed(harmless), head)
+        return Response(500, answers.failed_body(harmless), head)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
+        """Return the response to a request that was not accepted, as GraphQL words errors."""
         if not isinstance(error, GraphqlRequestError):
             error = GraphqlRequestError(GraphqlError(error.status, "BAD_REQUEST", str(error)), RESPONSE_TYPE)
         head = f"Content-Type: {error.answer_type}\r\n"
@@ -193,25 +200,30 @@
     """Two dialects on one listener: one path is GraphQL's, all else the platform's."""
 
     def __init__(self, path: bytes, graphql: Dialect, plain: Dialect) -> None:
+        """Use `graphql` on `path`, and `plain` elsewhere."""
         self.path = path
         self.graphql = graphql
         self.plain = plain
 
-    def of(self, target: bytes) -> Dialect:
+    def dialect_of(self, target: bytes) -> Dialect:
+        """Return the dialect of a target."""
         return self.graphql if target.partition(b"?")[0] == self.path else self.plain
 
     def parse(self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes) -> ClientRequest:
-        return self.of(target).parse(method, target, headers, body)
+        """Return the request. Raises RequestError."""
+        return self.dialect_of(target).parse(method, target, headers, body)
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
+        """Return the response to an accepted request."""
         return (self.graphql if request.accepted_type else self.plain).render(request, answer)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
-        return self.of(target).render_error(target, error)
+        """Return the response to a request that was not accepted."""
+        return self.dialect_of(target).render_error(target, error)
 
 
 def make_fronts(settings: conf.Graphql) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
-    """The platform's front, which GraphQL may share, and one of its own; all readers are one."""
+    """Return the platform's front end, which GraphQL may share, and one of its own; they share one reader."""
     readers: list[Reader] = []
 
     def dialect(config: Config) -> GraphqlDialect:
@@ -222,16 +234,16 @@
     def shared(config: Config, host: RequestDispatcher) -> FrontEnd:
         plain = PlatformDialect(config.settings)
         both = ByPath(settings.path.encode(), dialect(config), plain) if settings.path else plain
-        return Server(host, config.settings, config.listen, most_clients(config, settings), both)
+        return Server(host, config.settings, config.listen, max_clients(config, settings), both)
 
     def own(config: Config, host: RequestDispatcher) -> FrontEnd:
         return Server(
-            host, config.settings, parse_address(settings.listen), most_clients(config, settings), dialect(config)
+            host, config.settings, parse_address(settings.listen), max_clients(config, settings), dialect(config)
         )
 
     return (shared, own) if settings.listen else (shared,)
 
 
-def most_clients(config: Config, settings: conf.Graphql) -> int:
-    """Half of the descriptors is for clients, of both fronts together."""
+def max_clients(config: Config, settings: conf.Graphql) -> int:
+    """Return how many clients each front end may have: half of the descriptors, of both together."""
     return config.sockets // (4 if settings.listen else 2)
--- a/ryepier/graphql/answers.py
+++ b/ryepier/graphql/answers.py
@@ -6,17 +6,17 @@
 
 
 def error_body(code: str, text: str, **more: object) -> bytes:
-    """A request that failed before or without an execution: errors, and no data."""
+    """Return a body with one error and no data."""
     return json.dumps({"errors": [{"message": text, "extensions": {"code": code, **more}}]}).encode()
 
 
-def refused(retry_after_us: int) -> bytes:
-    """It did not run, and may be sent again."""
+def rejected_body(retry_after_us: int) -> bytes:
+    """Return the body for a rejected request: it did not run, and may be retried."""
     more = {"retryAfterMs": retry_after_us // 1000} if retry_after_us else {}
     return error_body("OVERLOADED", "not done: too much to do; it may be sent again", mayHaveRun=False, **more)
 
 
-def failed(harmless: bool) -> bytes:
-    """It failed, and nobody can say what it did."""
+def failed_body(harmless: bool) -> bytes:
+    """Return the body for a failed request: it may have run."""
     text = "failed; it may be sent again" if harmless else "failed; it may have run, so it was not sent again"
     return error_body("UPSTREAM_FAILED", text, mayHaveRun=True)
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -29,7 +29,7 @@
 )
 from graphql import value_from_ast_untyped as read_value
 
-from ryepier.graphql.errors import bad
+from ryepier.graphql.errors import bad_request
 
 MOST_TOKENS = 4_000
 MOST_DEPTH = 40
@@ -61,22 +61,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
+    """A document of GraphQL, as far as its operations matter."""
+
     operations: tuple[Operation, ...]
 
     def choose(self, name: str | None) -> Operation:
-        """The one that a server would execute. Raises GraphqlError."""
+        """Return the operation that a server would execute. Raises GraphqlError."""
         if not name:
             if len(self.operations) != 1:
-                raise bad("the document has several operations, and no operationName says which", "OPERATION_NAME")
+                raise bad_request(
+                    "the document has several operations, and no operationName says which", "OPERATION_NAME"
+                )
             return self.operations[0]
         for operation in self.operations:
             if operation.name == name:
                 return operation
-        raise bad("the document has no operation of that name", "OPERATION_NAME")
+        raise bad_request("the document has no operation of that name", "OPERATION_NAME")
 
 
 def check_bounds(text: str) -> None:
-    """Raises GraphqlError where it is too large to be worth reading, or no GraphQL at all."""
+    """Raise GraphqlError for a text that is too large, or no GraphQL at all."""
     lexer = Lexer(Source(text))
     depth = tokens = 0
     try:
@@ -84,23 +88,23 @@
             tokens += 1
             depth += (kind in OPENING) - (kind in CLOSING)
             if tokens > MOST_TOKENS:
-                raise bad(f"the document has more than {MOST_TOKENS} tokens", "DOCUMENT_TOO_LARGE")
+                raise bad_request(f"the document has more than {MOST_TOKENS} tokens", "DOCUMENT_TOO_LARGE")
             if depth > MOST_DEPTH:
-                raise bad(f"the document is nested more than {MOST_DEPTH} deep", "DOCUMENT_TOO_DEEP")
+                raise bad_request(f"the document is nested more than {MOST_DEPTH} deep", "DOCUMENT_TOO_DEEP")
     except GraphQLError as error:
-        raise bad(f"not GraphQL: {error.message}", "GRAPHQL_PARSE_FAILED") from None
+        raise bad_request(f"not GraphQL: {error.message}", "GRAPHQL_PARSE_FAILED") from None
 
 
 def read_document(text: str) -> Document:
     """Raises GraphqlError."""
     if text.startswith("\ufeff"):
         # the language allows a byte order mark, but not every server skips it: they would not see what is seen here
-        raise bad("the document begins with a byte order mark", "GRAPHQL_PARSE_FAILED")
+        raise bad_request("the document begins with a byte order mark", "GRAPHQL_PARSE_FAILED")
     check_bounds(text)
     try:
         tree = parse(text, no_location=True)
     except (GraphQLError, RecursionError) as error:
-        raise bad(f"not GraphQL: {getattr(error, 'message', 'too deep')}", "GRAPHQL_PARSE_FAILED") from None
+        raise bad_request(f"not GraphQL: {getattr(error, 'message', 'too deep')}", "GRAPHQL_PARSE_FAILED") from None
     return _Reader(tree).document()
 
 
@@ -111,18 +115,18 @@
         self.fragments: dict[str, FragmentDefinitionNode] = {}
         for node in others:
             if not isinstance(node, FragmentDefinitionNode):
-                raise bad("the document defines types, which is nothing to execute", "NOT_EXECUTABLE")
+                raise bad_request("the document defines types, which is nothing to execute", "NOT_EXECUTABLE")
             if node.name.value in self.fragments:
-                raise bad(f"two fragments are called {node.name.value}", "GRAPHQL_VALIDATION_FAILED")
+                raise bad_request(f"two fragments are called {node.name.value}", "GRAPHQL_VALIDATION_FAILED")
             self.fragments[node.name.value] = node
 
     def document(self) -> Document:
         if not self.operations:
-            raise bad("the document has no operation", "NOT_EXECUTABLE")
+            raise bad_request("the document has no operation", "NOT_EXECUTABLE")
         names = [node.name.value if node.name else "" for node in self.operations]
         if len(set(names)) < len(names) or ("" in names and len(names) > 1):
             # servers differ in which of two they take
-            raise bad("operations of one document need names that differ", "GRAPHQL_VALIDATION_FAILED")
+            raise bad_request("operations of one document need names that differ", "GRAPHQL_VALIDATION_FAILED")
         return Document(tuple(self.operation(node, name) for node, name in zip(self.operations, names, strict=True)))
 
     def operation(self, node: OperationDefinitionNode, name: str) -> Operation:
@@ -146,7 +150,7 @@
             here = guards + tuple(one for one in node.directives or () if one.name.value in ("skip", "include"))
             if isinstance(node, FieldNode):
                 if len(fields) >= MOST_ROOT_FIELDS:
-                    raise bad(f"more than {MOST_ROOT_FIELDS} fields at the top", "DOCUMENT_TOO_LARGE")
+                    raise bad_request(f"more than {MOST_ROOT_FIELDS} fields at the top", "DOCUMENT_TOO_LARGE")
                 fields.append(
                     RootField(node.name.value, {one.name.value: one.value for one in node.arguments or ()}, here)
                 )
@@ -157,28 +161,28 @@
                 continue
             name = node.name.value  # type: ignore[attr-defined]
             if name in within:
-                raise bad(f"fragment {name} holds itself", "GRAPHQL_VALIDATION_FAILED")
+                raise bad_request(f"fragment {name} holds itself", "GRAPHQL_VALIDATION_FAILED")
             if name not in self.fragments:
-                raise bad(f"there is no fragment {name}", "GRAPHQL_VALIDATION_FAILED")
+                raise bad_request(f"there is no fragment {name}", "GRAPHQL_VALIDATION_FAILED")
             self.collect(self.fragments[name].selection_set, here, within | {name}, fields)
 
 
 @dataclass(slots=True)
 class Documents:
-    """Documents as read, by the hash of their text, so that a usual one costs next to nothing."""
+    """Cache of parsed documents by the hash of their text."""
 
-    most: int = CACHED
-    most_bytes: int = CACHED_BYTES
+    max_documents: int = CACHED
+    max_bytes: int = CACHED_BYTES
     known: OrderedDict[bytes, tuple[Document, int]] = field(default_factory=OrderedDict)
     size: int = 0
     misses: int = 0
 
     def read(self, text: str) -> Document:
-        """Raises GraphqlError; what could not be read is not kept."""
+        """Return the document of a text. Raises GraphqlError; only valid documents are cached."""
         try:
             data = text.encode()
         except UnicodeEncodeError:
-            raise bad("the document holds half a character", "GRAPHQL_PARSE_FAILED") from None
+            raise bad_request("the document holds half a character", "GRAPHQL_PARSE_FAILED") from None
         key = hashlib.blake2b(data, digest_size=16).digest()
         if key in self.known:
             self.known.move_to_end(key)
@@ -187,19 +191,19 @@
         document = read_document(text)
         self.known[key] = document, len(data)
         self.size += len(data)
-        while len(self.known) > self.most or self.size > self.most_bytes:
+        while len(self.known) > self.max_documents or self.size > self.max_bytes:
             _, (_, freed) = self.known.popitem(last=False)
             self.size -= freed
         return document
 
 
 def variable_value(node: ValueNode, variables: Mapping[str, Any]) -> Any:
-    """A value as it is executed; None where it is a variable that is not given."""
+    """Return a value as it is executed; None for a variable that is not given."""
     return variables.get(node.name.value) if isinstance(node, VariableNode) else read_value(node, dict(variables))
 
 
 def is_reached(field_: RootField, variables: Mapping[str, Any]) -> bool:
-    """Whether it is executed, as far as that is certain: what can't be told counts as executed."""
+    """Return whether a field is executed; an uncertain one counts as executed."""
     for guard in field_.guards:
         condition = next((one.value for one in guard.arguments or () if one.name.value == "if"), None)
         value = variable_value(condition, variables) if condition is not None else None
--- a/ryepier/graphql/persisted.py
+++ b/ryepier/graphql/persisted.py
@@ -7,19 +7,20 @@
 from collections.abc import Mapping
 from typing import Any
 
-from ryepier.graphql.errors import GraphqlError, bad
+from ryepier.graphql.errors import GraphqlError, bad_request
 
-MOST = 1_000
-MOST_BYTES = 4_000_000
+MAX_QUERIES = 1_000
+MAX_BYTES = 4_000_000
 VERSION = 1
 
 
 class Persisted:
-    """Texts by hash. A text is checked against its hash when it comes, so one hash never stands for two texts."""
+    """Cache of texts by hash. A text is checked against its hash, so one hash never stands for two texts."""
 
-    def __init__(self, most: int = MOST, most_bytes: int = MOST_BYTES) -> None:
-        self.most = most
-        self.most_bytes = most_bytes
+    def __init__(self, max_queries: int = MAX_QUERIES, max_bytes: int = MAX_BYTES) -> None:
+        """Start empty."""
+        self.max_queries = max_queries
+        self.max_bytes = max_bytes
         self.texts: OrderedDict[str, str] = OrderedDict()
         self.size = 0
 
@@ -30,7 +31,7 @@
             return text
         wanted = named.get("sha256Hash") if isinstance(named, Mapping) else None
         if not isinstance(wanted, str) or not isinstance(named, Mapping) or named.get("version") != VERSION:
-            raise bad("persistedQuery: expected version 1 and a sha256Hash")
+            raise bad_request("persistedQuery: expected version 1 and a sha256Hash")
         if text is None:
             if wanted not in self.texts:
                 # the published answer, at which clients send hash and text together
@@ -38,7 +39,7 @@
             self.texts.move_to_end(wanted)
             return self.texts[wanted]
         if hashlib.sha256(text.encode(errors="surrogatepass")).hexdigest() != wanted:
-            raise bad("provided sha does not match query", "PERSISTED_QUERY_HASH_MISMATCH")
+            raise bad_request("provided sha does not match query", "PERSISTED_QUERY_HASH_MISMATCH")
         return text
 
     def keep(self, text: str, extensions: Mapping[str, Any]) -> None:
@@ -48,6 +49,6 @@
             return
         self.texts[named["sha256Hash"]] = text
         self.size += len(text)
-        while len(self.texts) > self.most or self.size > self.most_bytes:
+        while len(self.texts) > self.max_queries or self.size > self.max_bytes:
             _, old = self.texts.popitem(last=False)
             self.size -= len(old)
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -12,9 +12,9 @@
 from typing import Any
 from urllib.parse import parse_qsl
 
-from ryepier.graphql.classify import Meaning, Table, meaning, refuse_by_method
+from ryepier.graphql.classify import Meaning, Table, meaning, reject_by_method
 from ryepier.graphql.document import Documents, Operation
-from ryepier.graphql.errors import GraphqlError, bad
+from ryepier.graphql.errors import GraphqlError, bad_request
 from ryepier.graphql.persisted import Persisted
 
 KEYS = ("query", "operationName", "variables", "extensions")
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ParsedRequest:
     """A whole HTTP request: what it means, and the body that goes to a converter as a POST."""
 
     meaning: Meaning
@@ -74,45 +74,45 @@
             raise GraphqlError(415, "UNSUPPORTED_MEDIA_TYPE", "a POST has to be UTF-8")
 
 
-def _refuse_twice(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) < len(pairs):
-        raise bad("a key stands twice in one object, and servers differ in which they take")
+        raise bad_request("a key stands twice in one object, and servers differ in which they take")
     return found
 
 
-def _refuse_constant(name: str) -> Any:
-    raise bad(f"{name} is no JSON")
+def _reject_constant(name: str) -> Any:
+    raise bad_request(f"{name} is no JSON")
 
 
 def read_json(data: bytes | str) -> Any:
     """Strictly. Raises GraphqlError."""
     try:
         text = data.decode("utf-8") if isinstance(data, bytes) else data
-        return json.loads(text, object_pairs_hook=_refuse_twice, parse_constant=_refuse_constant)
+        return json.loads(text, object_pairs_hook=_reject_duplicates, parse_constant=_reject_constant)
     except UnicodeDecodeError:
-        raise bad("the body is not UTF-8") from None
+        raise bad_request("the body is not UTF-8") from None
     except (ValueError, RecursionError) as error:
-        raise bad(f"the body is not JSON: {error}") from None
+        raise bad_request(f"the body is not JSON: {error}") from None
 
 
 def read_parameters(found: Any) -> Parameters:
     """One object as a request has it. Raises GraphqlError."""
     if not isinstance(found, dict):
-        raise bad("expected an object with a query")
+        raise bad_request("expected an object with a query")
     for key in found:
         if key not in KEYS and key.lower() in (known.lower() for known in KEYS):
-            raise bad(f"{key!r}: a key in other letters, which some servers take for the same")
+            raise bad_request(f"{key!r}: a key in other letters, which some servers take for the same")
     query, name = found.get("query"), found.get("operationName")
     if query is not None and not isinstance(query, str):
-        raise bad("query: expected a text")
+        raise bad_request("query: expected a text")
     if name is not None and not isinstance(name, str):
-        raise bad("operationName: expected a text")
+        raise bad_request("operationName: expected a text")
     objects = []
     for key in ("variables", "extensions"):
         value = found.get(key)
         if value is not None and not isinstance(value, dict):
-            raise bad(f"{key}: expected an object")
+            raise bad_request(f"{key}: expected an object")
         objects.append(value or {})
     return Parameters(query, name, *objects)
 
@@ -122,9 +122,9 @@
     try:
         pairs = parse_qsl(query_string, keep_blank_values=True, strict_parsing=True, errors="strict", max_num_fields=50)
     except ValueError as error:
-        raise bad(f"the query string can't be read: {error}") from None
+        raise bad_request(f"the query string can't be read: {error}") from None
     found: dict[str, Any] = {}
-    for key, value in _refuse_twice(pairs).items():
+    for key, value in _reject_duplicates(pairs).items():
         found[key] = read_json(value) if key in ("variables", "extensions") and value else value
     if found.get("variables") == "":
         del found["variables"]
@@ -136,21 +136,22 @@
 class Reader:
     """Reads the requests of one front; keeps the documents that it has read."""
 
-    def __init__(self, table: Table, most_batch: int = MOST_BATCH) -> None:
+    def __init__(self, table: Table, max_batch: int = MOST_BATCH) -> None:
+        """Start with empty caches."""
         self.table = table
-        self.most_batch = most_batch
+        self.max_batch = max_batch
         self.documents = Documents()
         self.persisted = Persisted()
 
-    def get(self, query_string: str) -> Asked:
+    def get(self, query_string: str) -> ParsedRequest:
         """Raises GraphqlError."""
         parameters = read_get(query_string)
         text, operation = self._operation(parameters)
         meant = meaning(self.table, [(operation, parameters.variables)])
-        refuse_by_method("GET", meant)
-        return Asked(meant, _body(parameters, text))
+        reject_by_method("GET", meant)
+        return ParsedRequest(meant, _body(parameters, text))
 
-    def post(self, content_type: str, body: bytes) -> Asked:
+    def post(self, content_type: str, body: bytes) -> ParsedRequest:
         """Raises GraphqlError."""
         check_content_type(content_type)
         found = read_json(body)
@@ -160,11 +161,11 @@
         text, operation = self._operation(parameters)
         meant = meaning(self.table, [(operation, parameters.variables)])
         # what was checked goes on byte by byte, unless its document has to be put in
-        return Asked(meant, body if parameters.query is not None else _body(parameters, text))
+        return ParsedRequest(meant, body if parameters.query is not None else _body(parameters, text))
 
-    def _batch(self, found: Sequence[Any], body: bytes) -> Asked:
-        if not 0 < len(found) <= self.most_batch:
-            raise bad(f"a batch has 1 to {self.most_batch} operations, not {len(found)}", "BATCH_SIZE")
+    def _batch(self, found: Sequence[Any], body: bytes) -> ParsedRequest:
+        if not 0 < len(found) <= self.max_batch:
+            raise bad_request(f"a batch has 1 to {self.max_batch} operations, not {len(found)}", "BATCH_SIZE")
         parts = [read_parameters(one) for one in found]
         read = [self._operation(part) for part in parts]
         meant = meaning(
@@ -176,15 +177,15 @@
                 meant, class_name=self.table.mutation_class, key="", effect=self.table.effect(self.table.mutation_class)
             )
         if all(part.query is not None for part in parts):
-            return Asked(meant, body)
-        return Asked(
+            return ParsedRequest(meant, body)
+        return ParsedRequest(
             meant, b"[" + b",".join(_body(part, text) for part, (text, _) in zip(parts, read, strict=True)) + b"]"
         )
 
     def _operation(self, parameters: Parameters) -> tuple[str, Operation]:
         text = self.persisted.resolve(parameters.query, parameters.extensions)
         if text is None:
-            raise bad("there is no query", "QUERY_MISSING")
+            raise bad_request("there is no query", "QUERY_MISSING")
         operation = self.documents.read(text).choose(parameters.operation_name)
         self.persisted.keep(text, parameters.extensions)
         return text, operation
@@ -202,4 +203,4 @@
     try:
         return json.dumps(found, ensure_ascii=False, separators=(",", ":")).encode()
     except UnicodeEncodeError:
-        raise bad("half a character") from None
+        raise bad_request("half a character") from None
--- a/ryepier/logs/structured.py
+++ b/ryepier/logs/structured.py
@@ -1,5 +1,5 @@
-"""Log records as JSON lines. Built on the standard library's logging: records that nobody wants cost a level check,
-and the rate limit comes before any formatting, so what is dropped is never rendered."""
+"""Log records as JSON lines, on the standard library's logging. The rate limit comes before the formatting, so dropped
+records are never rendered."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 class JsonLines(logging.Formatter):
-    """One JSON object a record: time (UTC, ISO 8601), level, logger, message, the caller's own fields."""
+    """One JSON object per record: time (UTC, ISO 8601), level, logger, message, the caller's own fields."""
 
     def format(self, record: logging.LogRecord) -> str:
+        """Return the line of a record."""
         line: dict[str, object] = {
             "time": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -17,7 +17,7 @@
 from ryepier.graphql.document import MOST_DEPTH, Documents
 from ryepier.graphql.errors import GraphqlError
 from ryepier.graphql.persisted import Persisted
-from ryepier.graphql.request import Asked, Reader, response_type
+from ryepier.graphql.request import ParsedRequest, Reader, response_type
 
 CLASSES = {
     name: ClassRule(name, effect)
@@ -39,11 +39,11 @@
 JSON = "application/json"
 
 
-def post(query: Any, reader: Reader | None = None, **more: Any) -> Asked:
+def post(query: Any, reader: Reader | None = None, **more: Any) -> ParsedRequest:
     return (reader or Reader(TABLE)).post(JSON, json.dumps({"query": query, **more}).encode())
 
 
-def raw(body: bytes | str) -> Asked:
+def raw(body: bytes | str) -> ParsedRequest:
     return Reader(TABLE).post(JSON, body if isinstance(body, bytes) else body.encode())
 
 
@@ -185,7 +185,7 @@
     asked = reader.post(JSON, json.dumps({"extensions": extensions("{ a }"), "variables": {"v": 1.5}}).encode())
     assert asked.meaning.effect == "idempotent" and json.loads(asked.body)["query"] == "{ a }"
     assert json.loads(asked.body)["variables"] == {"v": 1.5}
-    small = Persisted(most=2)
+    small = Persisted(max_queries=2)
     for text in ("{ a }", "{ b }", "{ c }"):
         small.keep(text, extensions(text))
     assert len(small.texts) == 2 and small.size == 10
@@ -193,7 +193,7 @@
 
 
 def test_documents_are_kept_within_bounds() -> None:
-    documents = Documents(most=3, most_bytes=100)
+    documents = Documents(max_documents=3, max_bytes=100)
     for number in range(10):
         documents.read(f"{{ a{number} }}")
     documents.read("{ a9 }")
