--- a/ryepier/check/reached.py
+++ b/ryepier/check/reached.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import dis
+import importlib
 import inspect
 import sys
 from collections.abc import Callable, Iterator
@@ -10,39 +11,26 @@
 from types import CodeType, FrameType, ModuleType
 from typing import Any
 
-from ryepier.balancer import (
-    admission,
-    balancer,
-    concurrency,
-    endpoint_polling,
-    estimates,
-    feedback,
-    membership,
-    outlier_detection,
-    pool,
-    retries,
-    selection,
-    slow_start,
-    subsetting,
-    upstream,
-)
 from ryepier.sidecar import dispatcher
 
+DECISIONS = (
+    "admission",
+    "balancer",
+    "concurrency",
+    "endpoint_polling",
+    "estimates",
+    "feedback",
+    "membership",
+    "outlier_detection",
+    "pool",
+    "retries",
+    "selection",
+    "slow_start",
+    "subsetting",
+    "upstream",
+)
 WATCHED: tuple[ModuleType, ...] = (
-    admission,
-    balancer,
-    concurrency,
-    endpoint_polling,
-    estimates,
-    feedback,
-    membership,
-    outlier_detection,
-    pool,
-    retries,
-    selection,
-    slow_start,
-    subsetting,
-    upstream,
+    *(importlib.import_module(f"ryepier.balancer.{name}") for name in DECISIONS),
     dispatcher,
 )
 Lines = dict[str, set[int]]
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -15,6 +15,7 @@
 from ryepier.sidecar.config import Config, parse_address
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.request_parsing import (
+    HOP_HEADERS,
     IDENTIFIER,
     Dialect,
     PlatformDialect,
@@ -45,26 +46,7 @@
     )
 )
 # headers of this connection, or written anew: class and key follow from the operation
-OWN_HEADERS = frozenset(
-    (
-        b"host",
-        b"connection",
-        b"keep-alive",
-        b"proxy-connection",
-        b"te",
-        b"trailer",
-        b"upgrade",
-        b"expect",
-        b"content-length",
-        b"transfer-encoding",
-        b"content-type",
-        b"content-encoding",
-        b"x-deadline-ms",
-        b"x-request-id",
-        b"x-class",
-        b"idempotency-key",
-    )
-)
+OWN_HEADERS = HOP_HEADERS | {b"content-type", b"content-encoding", b"x-request-id", b"x-class", b"idempotency-key"}
 NEW_IDENT_BYTES = 12  # of chance: no two requests of a fleet share one
 
 
