--- /dev/null
+++ b/tests/test_bad_input.py
@@ -0,0 +1,229 @@
+"""Bad input of clients, and clients that send slowly or stay idle."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from ryepier.balancer.interface import RequestClass
+from ryepier.sidecar import client_connection, request_ids, system
+from tests.network_peers import (
+    OK,
+    Upstream,
+    answering,
+    is_rejected,
+    read_message,
+    request,
+    run,
+    sidecar,
+    status,
+    until,
+)
+
+BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+
+
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (b"noise\r\n\r\n", 400),
+        (request("read").replace(b"read", b"gone"), 404),
+        (request("read").replace(b"X-Class: read", b"X-Class: pay"), 404),
+        (request("read").replace(b"X-Class: read\r\n", b""), 404),
+        (request("read").replace(b"/read/it", b"read/it"), 400),
+        (request("read", extra="X-Class: read\r\n"), 400),
+        (request("read", extra="X-Request-Id: 2\r\n"), 400),
+        (request("read", extra="X-Deadline-Ms: 15000\r\n"), 400),
+        (request("read", ident="a b"), 400),
+        (request("read", extra="X-Note: \xe4\r\n"), 400),
+        (request("read", extra="Content-Length: 2\r\n") + b"ab", 400),
+        (request("read").replace(b"HTTP/1.1", b"HTTP/2.0"), 400),
+        (b"GET /read\r\n\r\n", 400),
+        (request("read", extra="Connection: upgrade\r\nUpgrade: h2c\r\n"), 400),
+        (b"CONNECT read:1 HTTP/1.1\r\nHost: x\r\n\r\n", 400),
+        (request("pay", extra="Idempotency-Key: k\r\n"), 400),
+        (request("read", deadline_ms=10**12), 400),
+        (request("pay", extra="Content-Length: 0\r\n"), 400),
+        (request("pay").replace(b"Content-Length: 0", b"Content-Length: +4") + b"abcd", 400),
+        (request("pay", body=b"abcd").replace(b"Length: 4", b"Length: 2"), 400),  # what follows is no request
+        (request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),  # at once, at its head
+        (request("read", ident=""), 400),
+        (request("read", deadline_ms="soon"), 400),
+        (request("read", deadline_ms=-5), 400),
+        (request("mark").replace(b"Idempotency-Key", b"Other"), 400),
+        (request("pay").replace(b"POST", b"GET"), 400),
+        (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),  # beside a length
+        (request("pay").replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
+        (request("pay", body=b"x" * 70_000), 413),
+        (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
+    ],
+)
+def test_input_that_is_not_taken_gets_an_error_and_the_end_of_its_connection(data: bytes, expected: int) -> None:
+    run(lambda: is_rejected(data, expected))
+
+
+def test_of_pipelined_requests_the_first_is_served_and_the_next_turned_away() -> None:
+    async def test() -> None:
+        upstream = Upstream(answering(OK))
+        async with sidecar(upstream) as it:
+            reader, writer = await it.connect()
+            writer.write(request(ident="1") + request(ident="2"))
+            answers = await reader.read()
+            writer.close()
+        assert [part[:3] for part in answers.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
+        assert len(upstream.requests) == 1
+
+    run(test)
+
+
+def test_the_id_of_another_open_request_does_not_go_out_again() -> None:
+    async def test() -> None:
+        held = asyncio.Event()
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            await held.wait()
+            writer.write(OK)
+
+        upstreams = [Upstream(script), Upstream(script)]
+        async with sidecar(*upstreams) as it:
+            reader, writer = await it.connect()
+            writer.write(request("pay", "7"))
+            await until(lambda: any(upstream.requests for upstream in upstreams))
+            assert status(await it.ask(request("mark", "7"))) == 409
+            held.set()
+            assert status(await read_message(reader)) == 200
+            assert status(await it.ask(request("mark", "7"))) == 409  # nor soon after
+            writer.close()
+        assert sum(len(upstream.requests) for upstream in upstreams) == 1
+
+    run(test)
+
+
+def test_ids_are_forgotten_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    now = 0.0
+    monkeypatch.setattr(system, "monotonic", lambda: now)
+    seen = request_ids.RecentRequestIds(period_s=4.0)
+    for number in range(1000):
+        now = number / 10
+        assert seen.add(b"%d" % number) and not seen.add(b"%d" % max(0, number - 30))
+    assert len(seen.current) + len(seen.previous) < 100
+    assert seen.add(b"1")
+
+
+@pytest.mark.parametrize("part", [b"", b"POST /pay HT", request("pay", body=b"abc")[:-1]])
+def test_a_client_that_says_nothing_or_half_of_it_is_ended_in_time(
+    part: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setitem(client_connection.STATE_TIMEOUTS_S, client_connection.ClientState.NEW, 0.2)
+
+    async def test() -> None:
+        async with sidecar(Upstream(answering(OK))) as it:
+            reader, writer = await it.connect()
+            writer.write(part)
+            answer = await reader.read()
+            assert answer.startswith(b"HTTP/1.1 408 ") if part else answer == b""
+            writer.close()
+
+    run(test)
+
+
+def test_a_peer_whose_first_request_drips_is_ended_within_three_seconds() -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(answering(OK))) as it:
+            reader, writer = await it.connect()
+            began = asyncio.get_running_loop().time()
+            answer = asyncio.create_task(reader.read())
+            for byte in request("pay", body=b"x" * 1_000):
+                writer.write(bytes([byte]))
+                await asyncio.wait([answer], timeout=0.1)
+                if answer.done():
+                    break
+            assert (await answer).startswith(b"HTTP/1.1 408 ")
+            assert asyncio.get_running_loop().time() - began < 3.0
+            writer.close()
+
+    run(test)
+
+
+def test_a_long_time_is_cut_to_that_of_the_class() -> None:
+    async def test() -> None:
+        upstream = Upstream(answering(OK))
+        async with sidecar(upstream, classes=[RequestClass("read", 100_000, 5_000_000)]) as it:
+            assert status(await it.ask(request(deadline_ms=999_999_999))) == 200
+        head = upstream.requests[0][0]
+        assert int(head.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0]) <= 5_000
+
+    run(test)
+
+
+def test_what_comes_behind_an_error_is_not_read_on() -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(answering(OK))) as it:
+            reader, writer = await it.connect()
+            writer.write(request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"))
+            assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 413 ")
+            sent = 0
+            try:
+                while True:  # until it is cut off
+                    writer.write(b"x" * 65_536)
+                    sent += 65_536
+                    await writer.drain()
+            except ConnectionError:
+                pass
+            assert sent < 30_000_000  # what fits into the buffers of both ends
+
+    run(test)
+
+
+def test_in_a_crowd_the_first_answer_on_a_connection_is_its_last() -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
+            first = await it.connect()
+            first[1].write(request())
+            assert b"Connection: close" not in (await read_message(first[0]))[0]
+            silent_ones = [await it.connect() for _ in range(60)]
+            assert b"Connection: close" in (await it.ask(request()))[0]
+            first[1].write(request())  # one that is in use stays
+            assert b"Connection: close" not in (await read_message(first[0]))[0]
+            for _, writer in (first, *silent_ones):
+                writer.close()
+
+    run(test)
+
+
+def test_the_connection_used_last_stays_when_room_is_made() -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
+            first = await it.connect()
+            others = [await it.connect() for _ in range(90)]
+
+            async def use(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+                writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+                assert status(await read_message(reader)) == 200
+
+            for each in (*others, first):
+                await use(*each)
+            for _ in range(30):
+                others.append(await it.connect())
+                await use(*others[-1])
+            assert await others[0][0].read() == b""
+            await use(*first)
+            for _, writer in (first, *others):
+                writer.close()
+
+    run(test)
+
+
+def test_many_idle_clients_make_room_for_new_ones() -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
+            idle = [await it.connect() for _ in range(150)]
+            assert status(await it.ask(request())) == 200
+            assert await idle[0][0].read() == b""
+            for _, writer in idle:
+                writer.close()
+
+    run(test)
--- /dev/null
+++ b/tests/test_configuration_reload.py
@@ -0,0 +1,72 @@
+"""A new configuration moves the watch and keeps what is open."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from tests.network_peers import (
+    OK,
+    PATIENCE_S,
+    Discovery,
+    Upstream,
+    answering,
+    configuration,
+    entry,
+    listing,
+    read_message,
+    request,
+    run,
+    sidecar,
+    status,
+    until,
+)
+
+BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+
+
+def test_a_new_configuration_moves_the_watch_and_keeps_what_is_open(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    async def test() -> None:
+        held = asyncio.Event()
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            await held.wait()
+            writer.write(OK)
+
+        old, new, first, second = Upstream(script), Upstream(answering(OK)), Discovery(), Discovery()
+        await new.start()
+        await second.start()
+        path = tmp_path / "config.json"
+        path.write_text("{")
+        async with sidecar(old, discovery=first, path=str(path)) as it:
+            await first.watched()
+            first.line(listing(entry("u0", old.port), rev=900))
+            reader, writer = await it.connect()
+            writer.write(request("pay"))
+            await until(lambda: len(old.requests) == 1)
+            it.reload.set()
+            await until(lambda: "configuration not reloaded" in caplog.text)  # the old one stays
+            assert len(first.calls) == 1
+            configuration(tmp_path, discovery=f"127.0.0.1:{second.port}")
+            it.reload.set()
+            await second.watched()
+            assert b"since=0 " in second.calls[0]
+            second.line(listing(entry("u1", new.port), rev=3))
+            async with asyncio.timeout(PATIENCE_S):
+                while not new.requests:
+                    await it.ask(request(ident="2"))
+            it.reload.set()  # the same address: nothing to do
+            held.set()
+            assert status(await read_message(reader)) == 200
+            writer.close()
+            assert (len(first.calls), len(second.calls)) == (1, 1)
+        new.stop()
+        second.stop()
+
+    run(test)
--- /dev/null
+++ b/tests/test_request_outcomes.py
@@ -0,0 +1,161 @@
+"""Final answers by the outcomes of attempts, over loopback sockets."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import pytest
+
+from ryepier.balancer.balancer import Balancer
+from ryepier.balancer.interface import Event
+from tests.network_peers import (
+    NOT_RUN,
+    OK,
+    Upstream,
+    answering,
+    entry,
+    listing,
+    request,
+    run,
+    sidecar,
+    silent,
+    status,
+    until,
+)
+
+BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+
+ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
+
+
+def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
+    async def test() -> None:
+        upstream = Upstream(
+            answering(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
+        )
+        async with sidecar(upstream) as it:
+            head, body = await it.ask(request("mark", "77", b"\x00body\r\n"))
+        assert status((head, body)) == 200 and body == b"\x00\xff\r\n\r\n" and b"Content-Type: a/b" in head
+        seen, sent = upstream.requests[0]
+        assert seen.startswith(b"POST /mark/it?x=1 HTTP/1.1\r\n") and sent == b"\x00body\r\n"
+        assert b"X-Request-Id: 77\r\n" in seen and b"Idempotency-Key: k\r\n" in seen
+        deadline_ms = int(seen.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0])
+        assert 0 < deadline_ms <= 15_000
+
+    run(test)
+
+
+@pytest.mark.parametrize(
+    ("first", "expected", "attempts"),
+    [
+        (NOT_RUN, 200, 2),  # never ran: an unsafe request may go again
+        (ERROR, 500, 1),
+        (BARE_503, 500, 1),  # it may have run; passing it on would be a refusal
+        (b"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", 200, 2),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 500, 1),
+        (b"", 500, 1),
+        (b"noise\r\n\r\n", 500, 1),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"x" * 70_000, 500, 1),
+        (b"HTTP/1.1 200 OK\r\nX-Endless: " + b"x" * 1_100_000, 500, 1),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200, 1),
+    ],
+)
+def test_an_unsafe_request_is_repeated_only_if_it_never_ran(first: bytes, expected: int, attempts: int) -> None:
+    async def test() -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            if total() > 1:
+                writer.write(OK)
+                return
+            if first:
+                writer.write(first)
+                await writer.drain()
+            if first.startswith(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r") or not first:
+                writer.close()
+
+        upstreams = [Upstream(script), Upstream(script)]
+
+        def total() -> int:
+            return sum(len(upstream.requests) for upstream in upstreams)
+
+        async with sidecar(*upstreams) as it:
+            answer = await it.ask(request("pay", body=b"b"))
+        assert (status(answer), total()) == (expected, attempts)
+
+    run(test)
+
+
+def test_a_refusal_tells_when_to_come_back_and_a_failed_connection_never_ran() -> None:
+    async def test() -> None:
+        gone = Upstream(silent)
+        await gone.start()
+        gone.stop()
+        known = listing(entry("u0", gone.port))
+        async with sidecar(known=known) as it:
+            answer = await it.ask(request("pay"))
+        assert status(answer) == 503
+        assert 0.0 < float(answer[0].split(b"Retry-After: ")[1].split(b"\r\n")[0]) <= 1.0
+
+    run(test)
+
+
+def test_a_silent_upstream_costs_the_answer_and_not_the_deadline() -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(silent)) as it:
+            started = asyncio.get_running_loop().time()
+            answer = await it.ask(request("pay", deadline_ms=400))
+            took = asyncio.get_running_loop().time() - started
+        assert status(answer) == 500 and took >= 0.3
+
+    run(test)
+
+
+def test_a_module_that_stumbles_or_forgets_leaves_nobody_without_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    handle = Balancer.handle
+
+    def stumbling(self: Balancer, now_us: int, event: Event) -> list[Any]:
+        if getattr(event, "key", 0):
+            raise RuntimeError("stumbled")
+        if getattr(event, "retried", False):
+            return []
+        return handle(self, now_us, event)
+
+    monkeypatch.setattr(Balancer, "handle", stumbling)
+
+    async def test() -> None:
+        async with sidecar(Upstream(answering(OK))) as it:
+            assert status(await it.ask(request(ident="1", extra="X-Key: 5\r\n"))) == 500
+            assert status(await it.ask(request(ident="2", deadline_ms=300, extra="X-Retry: 1\r\n"))) == 500
+            assert status(await it.ask(request(ident="3"))) == 200
+
+    run(test)
+
+
+def test_nothing_is_sent_again_for_a_client_that_has_gone() -> None:
+    async def test() -> None:
+        held = asyncio.Event()
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            if number == 0:
+                await held.wait()
+                writer.write(NOT_RUN)
+            else:
+                writer.write(OK)
+
+        upstream = Upstream(script)
+        async with sidecar(upstream) as it:
+            _, writer = await it.connect()
+            writer.write(request())
+            await until(lambda: len(upstream.requests) == 1)
+            writer.close()
+            await writer.wait_closed()
+            await asyncio.sleep(0.05)
+            held.set()
+            assert status(await it.ask(request(ident="2"))) == 200
+        assert [b"X-Request-Id: 2\r\n" in head for head, _ in upstream.requests] == [False, True]
+
+    run(test)
--- /dev/null
+++ b/tests/test_unanswered_attempts.py
@@ -0,0 +1,91 @@
+"""Upstreams that leave some requests without an answer."""
+
+from __future__ import annotations
+
+import asyncio
+
+from ryepier.balancer.interface import Effect, RequestClass
+from ryepier.balancer.tuning import MAX_CONCURRENCY
+from tests.network_peers import (
+    OK,
+    PATIENCE_S,
+    Upstream,
+    read_message,
+    request,
+    run,
+    sidecar,
+    silent,
+    status,
+    until,
+)
+
+BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+
+
+QUICK = [
+    RequestClass(
+        name, latency_objective_us=200_000, deadline_us=600_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT
+    )
+    for name in ("pay", "order")
+]
+
+
+def test_requests_that_are_never_answered_don_t_keep_the_slots_of_an_upstream_that_answers_others() -> None:
+    async def test() -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            if upstream.requests[number][1] == b"lost":
+                await silent(upstream, number, reader, writer)
+            await asyncio.sleep(0.02)  # so that requests meet, and slots are opened
+            writer.write(OK)
+
+        upstream = Upstream(script)
+
+        def lost() -> int:
+            return sum(1 for _, body in upstream.requests if body == b"lost")
+
+        async with sidecar(upstream, classes=QUICK) as it, asyncio.timeout(PATIENCE_S):
+            while {
+                status(answer)
+                for answer in await asyncio.gather(*(it.ask(request("pay", body=b"b")) for _ in range(6)))
+            } != {200}:
+                pass
+            held = []
+            while (before := lost()) <= MAX_CONCURRENCY:  # until there is one more than there are slots
+                reader, writer = await it.connect()
+                writer.write(request("pay", body=b"lost", deadline_ms=600_000))
+                answer = asyncio.create_task(read_message(reader))
+                while not answer.done() and lost() == before:
+                    await asyncio.sleep(0.005)
+                held.append((answer, writer))
+                for _ in range(3):
+                    await it.ask(request("pay", body=b"b"))
+            while status(await it.ask(request("pay", body=b"b"))) != 200:
+                pass
+            for answer, writer in held:
+                answer.cancel()
+                writer.close()
+
+    run(test)
+
+
+def test_a_request_that_is_never_answered_does_not_keep_the_only_slot_of_an_upstream() -> None:
+    async def test() -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            if number == 0:
+                await silent(upstream, number, reader, writer)
+            writer.write(OK)
+
+        upstream = Upstream(script)
+        async with sidecar(upstream, classes=QUICK) as it, asyncio.timeout(PATIENCE_S):
+            _, writer = await it.connect()
+            writer.write(request("pay", deadline_ms=600_000))
+            await until(lambda: len(upstream.requests) == 1)
+            while status(await it.ask(request("pay"))) != 200:
+                await asyncio.sleep(0.01)
+            writer.close()
+
+    run(test)
--- /dev/null
+++ b/tests/test_upstream_connections.py
@@ -0,0 +1,250 @@
+"""Connections to upstreams: reuse, bounds, malformed responses."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from functools import partial
+from typing import Any
+
+import pytest
+
+from ryepier.balancer.balancer import Balancer
+from ryepier.balancer.interface import AttemptEnded, Event, Outcome
+from ryepier.sidecar import connection_pool
+from ryepier.sidecar.connection_pool import ConnectionPool
+from ryepier.sidecar.requests import AttemptResult, ClientRequest
+from ryepier.sidecar.system import clock_us
+from ryepier.sidecar.upstream_attempt import UpstreamAttempt
+from ryepier.sidecar.upstream_connection import ConnectionState, UpstreamConnection
+from tests.network_peers import (
+    ATTEMPT_TIMEOUT_US,
+    OK,
+    PATIENCE_S,
+    Discovery,
+    Upstream,
+    answering,
+    entry,
+    listing,
+    read_message,
+    request,
+    run,
+    sidecar,
+    silent,
+    status,
+    until,
+)
+
+BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+
+
+def test_a_connection_is_used_again_but_not_after_more_than_an_answer_or_its_end(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(connection_pool, "LATE_RESPONSE_US", 0)  # requests come one right after the other
+
+    async def test() -> None:
+        more, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
+        upstream = Upstream(answering(OK, more, OK, closing, OK))
+        async with sidecar(upstream) as it:
+            for number in range(5):
+                assert (await it.ask(request(ident=str(number))))[1] == b"done"
+        assert upstream.connections == 3
+
+    run(test)
+
+
+def test_a_connection_goes_by_upstream_and_not_by_address(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connection_pool, "LATE_RESPONSE_US", 0)  # requests come one right after the other
+
+    async def test() -> None:
+        held, discovery = asyncio.Event(), Discovery()
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            if number == 1:
+                await held.wait()
+            writer.write(OK)
+
+        upstream = Upstream(script)
+        async with sidecar(upstream, discovery=discovery) as it:
+            await discovery.watched()
+            assert status(await it.ask(request())) == 200
+            reader, writer = await it.connect()
+            writer.write(request())
+            await until(lambda: len(upstream.requests) == 2)
+            # another comes to the address of the one that leaves, and then the old one has gone
+            discovery.line(
+                listing(entry("u0", upstream.port, "leaving"), entry("new", upstream.port), rev=2, full=False)
+            )
+            async with asyncio.timeout(PATIENCE_S):
+                while len(upstream.requests) < 3:
+                    await it.ask(request())
+            assert upstream.connections == 2
+            discovery.line(listing(entry("u0", upstream.port, "left"), rev=3, full=False))
+            held.set()
+            assert status(await read_message(reader)) == 200
+            for _ in range(3):  # the old one's connection does not come back, the new one's stays
+                assert status(await it.ask(request())) == 200
+            assert upstream.connections == 2
+            writer.close()
+
+    run(test)
+
+
+def test_connections_to_upstreams_are_bounded() -> None:
+    async def test() -> None:
+        pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=2), list[AttemptResult]()
+        upstreams = [Upstream(answering(OK)), Upstream(silent), Upstream(silent)]
+        for upstream in upstreams:
+            await upstream.start()
+        call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+
+        def begin(number: int) -> UpstreamAttempt:
+            return pool.start(number, ("127.0.0.1", upstreams[number].port), call, ATTEMPT_TIMEOUT_US, results.append)
+
+        begin(0)
+        await until(lambda: len(results) == 1)
+        assert results[0].outcome is Outcome.OK and len(pool.idle[0]) == 1
+        open_ones = [begin(1), begin(2)]  # the idle one makes room
+        await until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
+        assert pool.idle == {}
+        begin(0)
+        await until(lambda: len(results) == 2)
+        assert results[1].outcome is Outcome.CONNECT_FAILED
+        for attempt in open_ones:
+            attempt.cancel()
+        begin(0).cancel()  # before its dial began
+        await until(lambda: not pool.dials and pool.connections == {})
+        assert len(upstreams[0].requests) == 1
+        for upstream in upstreams:
+            upstream.stop()
+        pool.sweeper.cancel()
+
+    run(test)
+
+
+def test_connections_idle_for_as_long_as_others_that_broke_are_not_used() -> None:
+    async def test() -> None:
+        pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
+        for _ in range(30):
+            assert pool.is_trusted(200_000) and pool.is_trusted(20_000)
+            pool.observe_reuse(200_000, broke=False)
+            pool.observe_reuse(20_000, broke=False)
+        for _ in range(3):
+            pool.observe_reuse(200_000, broke=True)
+        assert not pool.is_trusted(210_000) and pool.is_trusted(20_000) and pool.is_trusted(2_000_000)
+        await until(lambda: pool.is_trusted(200_000))  # they are tried again in time
+        pool.sweeper.cancel()
+
+    async def over_sockets() -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(OK)
+            await read_message(reader)  # whatever comes next on it breaks it
+            writer.transport.abort()
+            raise ConnectionResetError
+
+        def ended(count: int) -> bool:
+            return len(results) == count
+
+        upstream, results = Upstream(script), list[AttemptResult]()
+        await upstream.start()
+        pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
+        call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+        for number in range(80):
+            pool.start(1, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
+            await until(partial(ended, number + 1))
+        assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30  # else each second one
+        upstream.stop()
+        pool.sweeper.cancel()
+
+    run(test)
+    run(over_sockets)
+
+
+@pytest.mark.parametrize(
+    "first",
+    [
+        b"\x01noise\r\n\r\n",
+        b"HTTP/1.1 101 Switch\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
+        b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 40_000,
+        b"HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" * 9000,
+    ],
+)
+def test_a_spoilt_answer_may_have_run_and_shuts_nothing(first: bytes) -> None:
+    async def test() -> None:
+        outcomes = list[Outcome]()
+        handle = Balancer.handle
+
+        def watched(self: Balancer, now_us: int, event: Event) -> list[Any]:
+            if isinstance(event, AttemptEnded):
+                outcomes.append(event.outcome)
+            return handle(self, now_us, event)
+
+        upstream = Upstream(answering(first, OK))
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(Balancer, "handle", watched)
+            async with sidecar(upstream) as it:
+                assert status(await it.ask(request("pay"))) == 500
+                assert status(await it.ask(request("pay"))) == 200
+        assert outcomes == [Outcome.MALFORMED_RESPONSE, Outcome.OK] and upstream.connections == 2
+
+    run(test)
+
+
+def test_an_idle_connection_is_closed_before_the_upstream_would() -> None:
+    async def test() -> None:
+        ended = asyncio.Event()
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(OK)
+            if not await reader.read(1):
+                ended.set()
+            raise ConnectionResetError
+
+        async with sidecar(Upstream(script), idle_us=400_000) as it:
+            await it.ask(request())
+            await ended.wait()
+
+    run(test)
+
+
+@pytest.mark.parametrize("early", [b"", OK])
+def test_a_request_that_was_not_written_whole_never_ran_and_its_connection_ends(early: bytes) -> None:
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=10), list[AttemptResult]()
+        with socket.socket() as listener:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            listener.bind(("127.0.0.1", 0))
+            listener.listen()
+            sock, peer = socket.socket(), None
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            sock.connect(listener.getsockname())
+            sock.setblocking(False)
+            peer, _ = listener.accept()
+        connection = UpstreamConnection(pool, 1, sock)
+        call = ClientRequest(b"POST", b"/pay", [], b"x" * 1_000_000, 0, 0, 1)
+        connection.attempt = UpstreamAttempt(call, ("127.0.0.1", 1), clock_us() + ATTEMPT_TIMEOUT_US, results.append)
+        await loop.create_connection(lambda: connection, sock=sock)
+        assert connection.partly_written
+        if early:
+            peer.sendall(early)
+            await until(lambda: bool(results))
+        peer.close()
+        await until(lambda: bool(results))
+        assert [result.outcome for result in results] == [
+            Outcome.MALFORMED_RESPONSE if early else Outcome.CONNECT_FAILED
+        ]
+        assert pool.idle == {} and pool.connections == {} and connection.state is not ConnectionState.OPEN
+        pool.sweeper.cancel()
+
+    run(test)
