--- a/ryepier/check/plants.py
+++ b/ryepier/check/seeded_faults.py
@@ -163,7 +163,7 @@
     RequestDispatcher._execute = refuse  # type: ignore[method-assign]
 
 
-PLANTS: dict[str, tuple[str, Callable[[], None]]] = {  # by name: the rule that breaks, and the mistake
+SEEDED_FAULTS: dict[str, tuple[str, Callable[[], None]]] = {  # by name: the rule that breaks, and the mistake
     "second-answer": ("answers", second_answer),
     "lost-answer": ("in time", lost_answer),
     "held-answer": ("at once", held_answer),
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -14,7 +14,7 @@
 from ryepier.check import explore, reached, trace
 from ryepier.check.model import CLASSES, Model, Step
 from ryepier.check.models import MODELS
-from ryepier.check.plants import PLANTS
+from ryepier.check.seeded_faults import SEEDED_FAULTS
 
 MOST_TRACED = 4000  # paths that the report of lines follows: tracing is slow
 
@@ -41,7 +41,7 @@
             f"{model.name:16} {model.converters} converters, requests {', '.join(model.requests)}, "
             f"{model.attempts} attempts, {model.changes} changes of the list, {model.leaves} clients leave{bound}"
         )
-    print(f"plants: {', '.join(PLANTS)}")
+    print(f"plants: {', '.join(SEEDED_FAULTS)}")
 
 
 def chosen(name: str, converters: int, requests: str, depth: int) -> Model:
@@ -73,7 +73,9 @@
 @click.option("--converters", type=click.IntRange(0, 4), default=0, help="In place of the model's.")
 @click.option("--requests", default="", help="Their classes, with commas between, in place of the model's.")
 @click.option("--depth", type=click.IntRange(0, 200), default=0, help="Steps; by default the model's, or to the end.")
-@click.option("--plant", type=click.Choice(list(PLANTS)), help="A mistake put in on purpose, to see that it is found.")
+@click.option(
+    "--plant", type=click.Choice(list(SEEDED_FAULTS)), help="A mistake put in on purpose, to see that it is found."
+)
 @click.option("--processes", type=click.IntRange(1, 256), default=None, help="By default as many as there are cores.")
 @click.option("--keep", type=click.Path(path_type=Path, dir_okay=False), help="Go on from this file, and keep it up.")
 @click.option("--most-s", type=float, default=float("inf"), help="Stop after so many seconds.")
@@ -91,7 +93,7 @@
 ) -> None:
     """Explore MODEL; exit 1 if a rule breaks, with the shortest path to it."""
     one = chosen(model, converters, requests, depth)
-    mistake = PLANTS[plant][1] if plant else None
+    mistake = SEEDED_FAULTS[plant][1] if plant else None
     try:
         outcome = explore.explore(one, processes, mistake, keep, most_s, tell)
     except (OSError, msgspec.MsgspecError, ValueError) as error:
@@ -124,7 +126,7 @@
         model = msgspec.convert(kept.model, Model)
         steps = [Step(*step) for step in kept.path]
         if kept.plant:
-            PLANTS[kept.plant][1]()
+            SEEDED_FAULTS[kept.plant][1]()
         print("\n".join(trace.chart(model, steps)))
     except (OSError, msgspec.MsgspecError, KeyError, IndexError, AttributeError) as error:
         print(f"ryepier check trace: {path}: {error!r}", file=sys.stderr)
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -17,7 +17,7 @@
 from ryepier.experiments.core import contract, report
 from ryepier.experiments.scale import capacity as table
 from ryepier.experiments.scale import capacity_rows
-from ryepier.experiments.scale.hollow import InsufficientResourcesError
+from ryepier.experiments.scale.lightweight import InsufficientResourcesError
 
 ALL: dict[str, contract.Experiment | contract.Measured] = {**EXPERIMENTS, **MEASURED}
 
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -13,7 +13,7 @@
 
 from ryepier.emulator import simulated
 from ryepier.emulator.rig import RigError
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core import worlds as shipped
 from ryepier.experiments.simulation import hunt as search
@@ -23,8 +23,8 @@
 
 
 def check_plant(plant: str) -> None:
-    if plant and plant not in planted.PLANTS:
-        raise click.BadParameter(f"unknown plant {plant!r}; known: {', '.join(sorted(planted.PLANTS))}")
+    if plant and plant not in seeded_faults.SEEDED_FAULTS:
+        raise click.BadParameter(f"unknown plant {plant!r}; known: {', '.join(sorted(seeded_faults.SEEDED_FAULTS))}")
 
 
 def read_find(path: Path) -> search.Find:
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -18,7 +18,7 @@
 from ryepier.emulator import rig, simulated
 from ryepier.emulator.records import History
 from ryepier.emulator.world import World
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
 
 Scale = Literal["small", "full"]
@@ -119,12 +119,14 @@
 
 def make_cast(experiment: Experiment, plant: str) -> rig.Cast:
     """Who plays, with the experiment's own mistakes and the planted one."""
-    cast = rig.Cast(odd_sidecars={index: planted.command(name) for index, name in experiment.odd_sidecars.items()})
+    cast = rig.Cast(
+        odd_sidecars={index: seeded_faults.command(name) for index, name in experiment.odd_sidecars.items()}
+    )
     if experiment.planner_restart:
-        cast = dataclasses.replace(cast, planner_restart=planted.command(experiment.planner_restart))
-    if plant in planted.PLANNERS_PLANTS:
-        return dataclasses.replace(cast, planner_command=planted.command(plant))
-    return dataclasses.replace(cast, sidecar_command=planted.command(plant)) if plant else cast
+        cast = dataclasses.replace(cast, planner_restart=seeded_faults.command(experiment.planner_restart))
+    if plant in seeded_faults.PLANNER_FAULTS:
+        return dataclasses.replace(cast, planner_command=seeded_faults.command(plant))
+    return dataclasses.replace(cast, sidecar_command=seeded_faults.command(plant)) if plant else cast
 
 
 def perform(
@@ -180,7 +182,7 @@
 
     def play(world: World, seed: int, folder: Path, paired: bool) -> History:
         if plant and not paired:
-            planted.PLANTS[plant]()
+            seeded_faults.SEEDED_FAULTS[plant]()
         return simulated.play(world, seed, folder)
 
     return play
--- a/ryepier/experiments/graphql/graphql_front.py
+++ b/ryepier/experiments/graphql/graphql_front.py
@@ -11,7 +11,7 @@
 from ryepier.emulator import rig
 from ryepier.emulator.records import NEVER
 from ryepier.emulator.world import World
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run, Scale
 from ryepier.experiments.core.worlds import load
@@ -114,7 +114,7 @@
 
 def perform_cost(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
     """Plain, GraphQL's usual documents, and documents that are never the same; all with the same command."""
-    cast = rig.Cast(sidecar_command=planted.command(plant) if plant else rig.FORWARDER)
+    cast = rig.Cast(sidecar_command=seeded_faults.command(plant) if plant else rig.FORWARDER)
     got = {
         kind: cpu_us(
             _cost_world(kind), seed, folder / kind, cast if kind == "usual" else rig.Cast(sidecar_command=rig.FORWARDER)
--- a/ryepier/experiments/graphql/planted.py
+++ b/ryepier/experiments/graphql/seeded_faults.py
@@ -29,7 +29,7 @@
     document.Documents.read = lambda self, text: document.read_document(text)  # type: ignore[method-assign]
 
 
-PLANTS: dict[str, Callable[[], None]] = {
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "first-word": first_word,
     "forgetful": forgetful,
 }
--- a/ryepier/experiments/load_spread/plays.py
+++ b/ryepier/experiments/load_spread/plays.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from ryepier.experiments.load_spread import plants
+from ryepier.experiments.load_spread import seeded_faults
 from ryepier.sim.fleet.converter import Converter
 from ryepier.sim.fleet.world import SECOND_US, START_US, FleetPlan, FleetWorld
 
@@ -52,7 +52,7 @@
 
 def play(task: Task) -> Played:
     """Play one in this process."""
-    world = FleetWorld(task.plan, task.seed, plants.FACTORIES[task.plant])
+    world = FleetWorld(task.plan, task.seed, seeded_faults.FACTORIES[task.plant])
     world.play(task.begin_us)
     begin_us, end_us = START_US + task.begin_us, world.now_us
     came = [request for request in world.requests if request.arrived_us >= begin_us]
--- a/ryepier/experiments/load_spread/processes_machine.py
+++ b/ryepier/experiments/load_spread/processes_machine.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ryepier.emulator.world import World
-from ryepier.experiments.scale.hollow import MOST_OF_MEMORY, InsufficientResourcesError, Machine, this_machine
+from ryepier.experiments.scale.lightweight import MOST_OF_MEMORY, InsufficientResourcesError, Machine, this_machine
 
 SIDECAR_BYTES = 36 * 2**20  # resident, as measured in runs of seconds, and some room
 EMULATOR_BYTES = 300 * 2**20  # each of its processes: the draws, and the records of a run
--- a/ryepier/experiments/load_spread/processes_planted.py
+++ b/ryepier/experiments/load_spread/processes_seeded_faults.py
@@ -1,4 +1,4 @@
-"""Mistakes put in on purpose that spoil how evenly a fleet spreads its load; see `ryepier.experiments.planted`."""
+"""Seeded faults that spoil how evenly a fleet spreads its load; see `ryepier.experiments.seeded_faults`."""
 
 from __future__ import annotations
 
@@ -33,4 +33,4 @@
     Selector.free_slots = first_free  # type: ignore[method-assign]
 
 
-PLANTS: dict[str, Callable[[], None]] = {"same-seed": same_seed, "same-order": same_order}
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {"same-seed": same_seed, "same-order": same_order}
--- a/ryepier/experiments/maintenance/fleet_rig.py
+++ b/ryepier/experiments/maintenance/fleet_rig.py
@@ -15,7 +15,7 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.rig import Cast, Rig
 from ryepier.emulator.world import World
-from ryepier.experiments.maintenance import planted_coordinator
+from ryepier.experiments.maintenance import seeded_coordinator
 from ryepier.experiments.maintenance.agent_process import AgentPlan
 from ryepier.experiments.maintenance.agreement_text import (
     REGIONS,
@@ -154,7 +154,7 @@
         region = name.partition("-")[0]
         number = [one for each in REGIONS for one in replica_names(each)].index(name)
         host, port = self.plan.discovery_address(number % self.world.sidecars.count)
-        command = [*planted_coordinator.command(self.scenario.plant), "--agreement"]
+        command = [*seeded_coordinator.command(self.scenario.plant), "--agreement"]
         command += [
             str(self.region_agreements[region]),
             "--region",
--- a/ryepier/experiments/maintenance/planted_coordinator.py
+++ b/ryepier/experiments/maintenance/seeded_coordinator.py
@@ -1,6 +1,6 @@
 """A coordinator with one mistake put in on purpose.
 
-`python -m ryepier.experiments.maintenance.planted_coordinator PLANT ARGUMENTS` is otherwise one that
+`python -m ryepier.experiments.maintenance.seeded_coordinator PLANT ARGUMENTS` is otherwise one that
 `ryepier maintenance serve ARGUMENTS` starts.
 """
 
@@ -10,14 +10,14 @@
 import sys
 
 from ryepier.maintenance import coordinator
-from ryepier.maintenance.planted import PLANTED_LEDGERS
-from ryepier.maintenance.replication.planted import ForgetGrantStorage, ForgetVoteStorage, VoteTwiceReplica
+from ryepier.maintenance.replication.seeded_faults import ForgetGrantStorage, ForgetVoteStorage, VoteTwiceReplica
+from ryepier.maintenance.seeded_faults import FAULTY_LEDGERS
 from ryepier.maintenance.settings import CoordinatorParts
 
-PLANTS = {
-    "cold-counts": CoordinatorParts(ledger=PLANTED_LEDGERS["cold-counts"]),
-    "double-credit": CoordinatorParts(ledger=PLANTED_LEDGERS["double-credit"]),
-    "borrow": CoordinatorParts(ledger=PLANTED_LEDGERS["borrow"]),
+SEEDED_FAULTS = {
+    "cold-counts": CoordinatorParts(ledger=FAULTY_LEDGERS["cold-counts"]),
+    "double-credit": CoordinatorParts(ledger=FAULTY_LEDGERS["double-credit"]),
+    "borrow": CoordinatorParts(ledger=FAULTY_LEDGERS["borrow"]),
     "forget-grant": CoordinatorParts(storage=ForgetGrantStorage),
     "vote-twice": CoordinatorParts(replica=VoteTwiceReplica, storage=ForgetVoteStorage),
 }
@@ -27,13 +27,13 @@
     """How to start a coordinator with this mistake; without one, as operators do."""
     if not plant:
         return [sys.executable, "-B", "-m", "ryepier", "maintenance", "serve"]
-    return [sys.executable, "-B", "-m", "ryepier.experiments.maintenance.planted_coordinator", plant]
+    return [sys.executable, "-B", "-m", "ryepier.experiments.maintenance.seeded_coordinator", plant]
 
 
 def main() -> None:
     """Put the mistake in and serve."""
     plant, *arguments = sys.argv[1:]
-    coordinator.USUAL_PARTS = PLANTS[plant]
+    coordinator.USUAL_PARTS = SEEDED_FAULTS[plant]
     # the command line lies above this floor, so it is started as a person would start it
     sys.argv = ["ryepier", "maintenance", "serve", *arguments]
     runpy.run_module("ryepier", run_name="__main__")
--- a/ryepier/experiments/planners/planner_reconnect.py
+++ b/ryepier/experiments/planners/planner_reconnect.py
@@ -14,7 +14,7 @@
 
 from ryepier.assembly.parts import machine
 from ryepier.emulator.process import monotonic_us
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.plan.forwarder import MAX_BACKOFF_S, Forwarder, Settings, Sidecar
 from ryepier.plan.messages import Heartbeat, Term, encode
@@ -113,7 +113,7 @@
 def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
     """Each size and each time away."""
     if plant:
-        planted.PLANTS[plant]()
+        seeded_faults.SEEDED_FAULTS[plant]()
     figures: dict[str, float] = {}
     claims = []
     for size in SIZES[scale]:
--- a/ryepier/experiments/planners/planted.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -91,7 +91,7 @@
 
 
 OF_PLANNERS = frozenset(("amnesiac", "credulous", "recount"))  # all others are a sidecar's
-PLANTS: dict[str, Callable[[], None]] = {
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "trust-any": trust_any,
     "trust-none": trust_none,
     "amnesiac": amnesiac,
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -11,7 +11,7 @@
 
 from ryepier.emulator.discovery import Registry
 from ryepier.emulator.process import monotonic_us
-from ryepier.experiments.scale.hollow_sidecar import KINDS, ZONES
+from ryepier.experiments.scale.lightweight_sidecar import KINDS, ZONES
 
 FIRST_REVISION = 1_000_000
 GENERATION = 10_000  # revisions; a discovery that comes back with nothing kept counts from so much less
--- a/ryepier/experiments/scale/gauged_planner.py
+++ b/ryepier/experiments/scale/gauged_planner.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.plan.planner_server import PlannerServer
 
 WRITE_S = 0.1
@@ -76,7 +76,7 @@
     path, plant, *arguments = sys.argv[1:]
     Gauging(Path(path)).install()
     if plant:
-        planted.PLANTS[plant]()
+        seeded_faults.SEEDED_FAULTS[plant]()
     sys.argv = ["ryepier", "planner", *arguments]
     runpy.run_module("ryepier", run_name="__main__")
 
--- a/ryepier/experiments/scale/hollow.py
+++ b/ryepier/experiments/scale/lightweight.py
@@ -1,4 +1,4 @@
-"""Hollow processes: the real code of a role without its requests, hundreds to a process, as far as a machine can spare.
+"""Lightweight processes: the real code of a role without its requests, hundreds per process, as the machine allows.
 
 A child is a module of its own: it prints one JSON object a line, the first when it is up, then one for each line it is
 told. Its last line on standard input ends it.
--- a/ryepier/experiments/scale/hollow_converters.py
+++ b/ryepier/experiments/scale/lightweight_converters.py
@@ -1,7 +1,7 @@
 """A process that stands for all converters and for discovery, for `scale-call`: each call is answered at once.
 
-`python -m ryepier.experiments.scale.hollow_converters SETUP`, with a `Setup` as JSON, prints a line once it listens.
-All entries of a list have the one address: a sidecar knows its upstreams by their names.
+`python -m ryepier.experiments.scale.lightweight_converters SETUP`, with a `Setup` as JSON, prints a line once it
+listens. All entries of a list have the one address: a sidecar knows its upstreams by their names.
 """
 
 from __future__ import annotations
--- a/ryepier/experiments/scale/hollow_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -1,8 +1,8 @@
-"""A process of hollow forwarders, for `scale-control`: the real part that reports and follows, its calls made up.
+"""A process of lightweight forwarders, for `scale-control`: the real part that reports and follows, its calls made up.
 
-`python -m ryepier.experiments.scale.hollow_forwarders SETUP`, with a `Setup` as JSON; then a line for each thing to do,
-as `hollow.Child` has it. A forwarder's counters begin at a day's age, as those of one that has been in service: small
-numbers would take less of the wire.
+`python -m ryepier.experiments.scale.lightweight_forwarders SETUP`, with a `Setup` as JSON; then a line per command, as
+`lightweight.Child` has it. A forwarder's counters begin at a day's age, as in service: small numbers would take fewer
+bytes.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ryepier.assembly.parts import machine
 from ryepier.balancer.interface import Outcome, PlanUpdated
 from ryepier.emulator import draws
-from ryepier.experiments.scale import hollow
+from ryepier.experiments.scale import lightweight
 from ryepier.plan import forwarder
 from ryepier.plan.messages import Message, Plan, PlanBasis, encode, latency_bucket
 from ryepier.plan.plan_follower import TrustRules
@@ -71,7 +71,7 @@
         self.plan_bytes += self.sizes[key]
 
 
-class Hollow(forwarder.Forwarder):
+class LightweightForwarder(forwarder.Forwarder):
     """One forwarder, whose calls are counted into its notes just before each report."""
 
     def __init__(self, index: int, setup: Setup, counts: Counts) -> None:
@@ -161,7 +161,7 @@
     def __init__(self, setup: Setup) -> None:
         self.setup = setup
         self.counts = Counts()
-        self.hollows: list[Hollow] = []
+        self.processes: list[LightweightForwarder] = []
         self.count_bytes()
 
     def count_bytes(self) -> None:
@@ -182,34 +182,34 @@
 
     def grow(self, fleet: int) -> dict[str, Any]:
         """This process's share of a fleet of so many."""
-        for index in range(self.setup.worker + len(self.hollows) * self.setup.workers, fleet, self.setup.workers):
-            made = Hollow(index, self.setup, self.counts)
+        for index in range(self.setup.worker + len(self.processes) * self.setup.workers, fleet, self.setup.workers):
+            made = LightweightForwarder(index, self.setup, self.counts)
             made.start()
-            self.hollows.append(made)
+            self.processes.append(made)
         if self.setup.whole:
-            for each in self.hollows:
+            for each in self.processes:
                 each.use(range(fleet))
         return {}
 
     def hang(self, name: str) -> dict[str, Any]:
-        for each in self.hollows:
+        for each in self.processes:
             each.hang(name)
         return {}
 
     def sample(self) -> dict[str, Any]:
-        used, counts = hollow.own_usage(), self.counts
-        users = [each for each in self.hollows if each.hung in each.idents]
+        used, counts = lightweight.own_usage(), self.counts
+        users = [each for each in self.processes if each.hung in each.idents]
         return {
             "at_s": time.monotonic(),
             "cpu_s": used.cpu_s - counts.made_up_s,
             "resident": used.resident_bytes,
-            "count": len(self.hollows),
-            "connected": sum(bool(each.links) for each in self.hollows),
+            "count": len(self.processes),
+            "connected": sum(bool(each.links) for each in self.processes),
             "bytes_out": counts.bytes_out,
             "bytes_in": counts.bytes_in,
             "plan_bytes": counts.plan_bytes,
             "plans": counts.plans,
-            "reporters": max((each.evidence.forwarders for each in self.hollows), default=0),
+            "reporters": max((each.evidence.forwarders for each in self.processes), default=0),
             "users": len(users),
             "avoids_after_s": [each.avoids_after_s for each in users if each.avoids_after_s is not None],
         }
--- a/ryepier/experiments/scale/hollow_sidecar.py
+++ b/ryepier/experiments/scale/lightweight_sidecar.py
@@ -1,8 +1,8 @@
-"""Hollow sidecars, hundreds to a process: the list's side of real ones, module and watch and all, without requests.
+"""Lightweight sidecars, hundreds per process: decision module and watch of real ones, without requests.
 
-`python -m ryepier.experiments.scale.hollow_sidecar HOST PORT SEED [PLANT]`; what it is told, a line each: `start` so
-many, `until` all have a version of the list, `usage`, `memory`, `late`. See ryepier.experiments.scale.hollow for the
-form.
+`python -m ryepier.experiments.scale.lightweight_sidecar HOST PORT SEED [FAULT]`; commands, a line each: `start` a
+number, `until` all have a version of the list, `usage`, `memory`, `late`. See ryepier.experiments.scale.lightweight for
+the form.
 """
 
 from __future__ import annotations
@@ -149,9 +149,9 @@
     # the log costs a sidecar what it costs, so it is written here too, as far as its limit lets it
     host, port, seed, *plants = sys.argv[1:]
     if any(plants):
-        from ryepier.experiments import planted  # heavy: only where it is used
+        from ryepier.experiments import seeded_faults  # heavy: only where it is used
 
-        planted.PLANTS[plants[0]]()
+        seeded_faults.SEEDED_FAULTS[plants[0]]()
     with open(os.devnull, "w", encoding="utf-8") as nowhere:
         logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=nowhere)
         logging.getLogger().handlers[0].addFilter(RateLimitFilter())
--- a/ryepier/experiments/scale/list_parts.py
+++ b/ryepier/experiments/scale/list_parts.py
@@ -10,7 +10,7 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.interface import Settings
 from ryepier.experiments.scale.fleet_list import Entry, Listing
-from ryepier.experiments.scale.hollow_sidecar import CLASSES, KINDS, ZONES
+from ryepier.experiments.scale.lightweight_sidecar import CLASSES, KINDS, ZONES
 from ryepier.sidecar.endpoint_registry import EndpointRegistry
 from ryepier.sidecar.json_stream import JsonStreamDecoder
 from ryepier.sidecar.system import clock_us
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -32,12 +32,12 @@
 from ryepier.emulator.process import CONVERTER_PORT, DISCOVERY_PORT, SIDECAR_PORT, monotonic_us
 from ryepier.emulator.rig import SIDECAR, RigError, find_network
 from ryepier.emulator.world import World
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.planners.planner_scale import until_up
-from ryepier.experiments.scale import hollow, slopes
-from ryepier.experiments.scale.hollow_converters import Setup, listing
+from ryepier.experiments.scale import lightweight, slopes
+from ryepier.experiments.scale.lightweight_converters import Setup, listing
 from ryepier.experiments.scale.scale_control import finite, pace
 
 KNOWN = (30, 150, 400, 1600)
@@ -307,7 +307,7 @@
     sidecars = []
     for known in PROFILED:
         out = play.folder / f"profile-{known}"
-        module = planted.command(plant)[2:] if plant else list(SIDECAR[2:])
+        module = seeded_faults.command(plant)[2:] if plant else list(SIDECAR[2:])
         command = [sys.executable, "-B", "-m", "cProfile", "-o", str(out), *module]
         sidecars.append(await stack.enter_async_context(play.sidecar(known, command)))
     await asyncio.gather(
@@ -363,10 +363,10 @@
     async with AsyncExitStack() as stack:
         setup = Setup(play.converters, {known: play.agent(known) for known in KNOWN})
         child = await stack.enter_async_context(
-            hollow.child("ryepier.experiments.scale.hollow_converters", [msgspec.json.encode(setup).decode()])
+            lightweight.child("ryepier.experiments.scale.lightweight_converters", [msgspec.json.encode(setup).decode()])
         )
         await child.hear()
-        command = planted.command(plant) if plant else SIDECAR
+        command = seeded_faults.command(plant) if plant else SIDECAR
         found: dict[str, float] = {}
         gc.collect()
         gc.freeze()  # a collection through all that this process holds would make its calls late
@@ -419,9 +419,9 @@
 
 def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
     """The whole of it, with how busy the machine was."""
-    hollow.check(hollow.Needs(4, BYTES_NEEDED, 3 * MOST_LINES), hollow.this_machine())
+    lightweight.check(lightweight.Needs(4, BYTES_NEEDED, 3 * MOST_LINES), lightweight.this_machine())
     if plant:
-        planted.PLANTS[plant]()  # into this process too, where the module runs alone
+        seeded_faults.SEEDED_FAULTS[plant]()  # into this process too, where the module runs alone
     found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
     found |= {f"module_us_a_call_{known}_known": module_us_a_call(known, seed) for known in KNOWN}
     found |= asyncio.run(measure(seed, scale, folder, plant))
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/scale_control.py
@@ -23,12 +23,12 @@
 
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.emulator.rig import find_network
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.experiments.planners.planner_scale import until_up
-from ryepier.experiments.scale import gauged_planner, hollow, slopes
+from ryepier.experiments.scale import gauged_planner, lightweight, slopes
 from ryepier.experiments.scale.gauged_planner import Gauge
-from ryepier.experiments.scale.hollow_forwarders import Setup, uid
+from ryepier.experiments.scale.lightweight_forwarders import Setup, uid
 from ryepier.plan.planner_server import TICK_S
 
 DESIGN_FLEET = 1600
@@ -80,7 +80,7 @@
 class Look(msgspec.Struct, frozen=True):
     """At the planner: what it has used, done, and waited for."""
 
-    used: hollow.Usage
+    used: lightweight.Usage
     gauge: Gauge
     waited_s: float  # for a core
 
@@ -169,7 +169,7 @@
     def look(self) -> Look:
         """Raises OSError or msgspec.MsgspecError where it has ended or not ticked yet."""
         waited_ns = int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1])
-        return Look(hollow.usage(self.pid), gauged_planner.read(self.gauge), waited_ns / 1e9)
+        return Look(lightweight.usage(self.pid), gauged_planner.read(self.gauge), waited_ns / 1e9)
 
 
 @asynccontextmanager
@@ -178,7 +178,7 @@
     address = f"127.{find_network()}.254.1", PLANNER_PORT
     config, gauge = folder / f"planner-{fleet}.toml", folder / f"planner-{fleet}.gauge"
     config.write_text(f'[trust]\nfleet = {fleet}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
-    own = plant if plant in planted.PLANNERS_PLANTS else ""
+    own = plant if plant in seeded_faults.PLANNER_FAULTS else ""
     with open(folder / f"planner-{fleet}.log", "wb") as log:
         process = subprocess.Popen(
             [
@@ -206,7 +206,7 @@
 class Fleet:
     """One planner and the processes of forwarders."""
 
-    def __init__(self, planner: PlannerProcess, workers: Sequence[hollow.Child], scale: Scale) -> None:
+    def __init__(self, planner: PlannerProcess, workers: Sequence[lightweight.Child], scale: Scale) -> None:
         self.planner = planner
         self.workers = workers
         self.scale: Scale = scale
@@ -254,7 +254,9 @@
         for number in range(WORKERS[scale]):
             setup = Setup(planner.address, number, WORKERS[scale], in_use, seed, sizes[0], plant == "whole-reports")
             child = await stack.enter_async_context(
-                hollow.child("ryepier.experiments.scale.hollow_forwarders", [msgspec.json.encode(setup).decode()])
+                lightweight.child(
+                    "ryepier.experiments.scale.lightweight_forwarders", [msgspec.json.encode(setup).decode()]
+                )
             )
             workers.append(child)
         for child in workers:
@@ -332,7 +334,7 @@
     """Each number of converters in use, one after another."""
     plan = PLANTED_SIZES if plant else SIZES[scale]
     most = max(max(sizes) for sizes in plan.values())
-    hollow.check(hollow.Needs(WORKERS[scale] + 2, BYTES_NEEDED, most), hollow.this_machine())
+    lightweight.check(lightweight.Needs(WORKERS[scale] + 2, BYTES_NEEDED, most), lightweight.this_machine())
     claims: list[Claim] = []
     found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
     for in_use, sizes in plan.items():
--- a/ryepier/experiments/scale/scale_depth.py
+++ b/ryepier/experiments/scale/scale_depth.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ryepier.balancer.tuning import MAX_RETRY_BUDGET, RETRY_BUDGET_RATIO
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.experiments.scale import slopes
 from ryepier.experiments.scale.chains import Chain, Seen, play
@@ -113,7 +113,7 @@
 def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
     """All runs, one after another, in this process; a mistake that is planted stays in it."""
     if plant:
-        planted.PLANTS[plant]()
+        seeded_faults.SEEDED_FAULTS[plant]()
     rows = {name: row(chain, play(chain)) for name, chain in runs(seed, scale).items()}
     return claims_of(rows), summary(rows)
 
--- a/ryepier/experiments/scale/scale_fail.py
+++ b/ryepier/experiments/scale/scale_fail.py
@@ -18,9 +18,9 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.rig import RigError, find_network
 from ryepier.experiments.core.contract import Claim, Measured, Scale
-from ryepier.experiments.scale import hollow, slopes
+from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
-from ryepier.experiments.scale.hollow import Child, Needs
+from ryepier.experiments.scale.lightweight import Child, Needs
 from ryepier.experiments.scale.scale_list import (
     BUDGET_CORES,
     CONVERTER_BYTES,
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Hollow sidecars of several processes, all at one discovery."""
+    """LightweightForwarder sidecars of several processes, all at one discovery."""
 
     desk: Desk
     children: Sequence[Child]
@@ -80,7 +80,7 @@
         """So many converters drain, told one by one or all in one message; then others take their places."""
         desk, listing = self.desk, self.desk.listing
         chosen = listing.pick(changes)
-        before, wrote, own = await self.ask("usage"), desk.bytes, hollow.own_usage()
+        before, wrote, own = await self.ask("usage"), desk.bytes, lightweight.own_usage()
         begun_us = monotonic_us()
         for entry in chosen if singly else ():
             listing.change([entry], "leaving")
@@ -91,7 +91,7 @@
             desk.tell_all()
         said = await self.settled()
         found = {
-            "stand_in_cpu_s": hollow.own_usage().since(own),
+            "stand_in_cpu_s": lightweight.own_usage().since(own),
             "bytes": (desk.bytes - wrote) / self.count,
             "last_s": (max(one["last_us"] for one in said) - begun_us) / 1e6,
             "cpu_ms": 1000
@@ -119,7 +119,7 @@
         async with AsyncExitStack() as stack:
             children = [
                 await stack.enter_async_context(
-                    hollow.child(MODULE, [host, str(PORT), str(seed * PROCESSES + i), plant])
+                    lightweight.child(MODULE, [host, str(PORT), str(seed * PROCESSES + i), plant])
                 )
                 for i in range(PROCESSES)
             ]
@@ -207,8 +207,8 @@
 
 
 def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
-    """Raises hollow.InsufficientResourcesError."""
-    hollow.check(needs(scale), hollow.this_machine())
+    """Raises lightweight.InsufficientResourcesError."""
+    lightweight.check(needs(scale), lightweight.this_machine())
     found = {"load_average": os.getloadavg()[0]} | asyncio.run(play(seed, scale, plant))
     found |= calculated(found, scale)
     return claims(found), found
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/scale_list.py
@@ -21,9 +21,9 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.rig import RigError, find_network
 from ryepier.experiments.core.contract import Claim, Measured, Scale
-from ryepier.experiments.scale import hollow, list_parts, slopes, usage
+from ryepier.experiments.scale import lightweight, list_parts, slopes, usage
 from ryepier.experiments.scale.fleet_list import Desk, Listing
-from ryepier.experiments.scale.hollow import Child, Needs
+from ryepier.experiments.scale.lightweight import Child, Needs
 from ryepier.sidecar.discovery import WATCH_RETRY_S
 
 KNOWN = (30, 150, 400, 800, 1600)  # converters that a sidecar knows
@@ -46,14 +46,14 @@
 SIDECAR_BYTES = 200_000
 CONVERTER_BYTES = 3_000
 MB = 1e6
-MODULE = "ryepier.experiments.scale.hollow_sidecar"
+MODULE = "ryepier.experiments.scale.lightweight_sidecar"
 BUDGET_CORES, BUDGET_MB, BUDGET_BYTES_PER_S, IN_FORCE_S = 0.022, 64.0, 3000.0, 6.0
 Figures = dict[str, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Hollow sidecars of one process and the discovery that they follow."""
+    """LightweightForwarder sidecars of one process and the discovery that they follow."""
 
     known: int
     count: int
@@ -96,7 +96,7 @@
     desk = Desk(Listing(known, seed), (host, PORT + index), keeps_revisions=plant != "no-revisions")
     await desk.open()
     try:
-        async with hollow.child(MODULE, [host, str(PORT + index), str(seed)]) as child:
+        async with lightweight.child(MODULE, [host, str(PORT + index), str(seed)]) as child:
             yield Group(known, count, desk, child)
     finally:
         desk.close()
@@ -226,14 +226,14 @@
     desk.listing.forget()
     desk.calls_us.clear()
     desk.bytes = 0
-    own = hollow.own_usage()
+    own = lightweight.own_usage()
     await desk.open()
     back_us, version = monotonic_us(), desk.listing.registry.rev
     said = await asyncio.gather(*(child.ask("until", version=version, within_s=BACK_WITHIN_S) for child in children))
     calls_s = (np.sort(desk.calls_us) - back_us) / 1e6
     inside = np.searchsorted(calls_s, calls_s + WINDOW_US / 1e6) - np.arange(len(calls_s))
     back_cpu_s = sum(late["cpu_s"] - early["cpu_s"] for early, late in zip(away, said, strict=True))
-    stand_in_s = hollow.own_usage().since(own)
+    stand_in_s = lightweight.own_usage().since(own)
     away_s = [late["cpu_s"] - early["cpu_s"] for early, late in zip(before, away, strict=True)]
     return {
         "back": sum(one["have"] for one in said) / count,
@@ -258,7 +258,7 @@
     try:
         async with AsyncExitStack() as stack:
             children = [
-                await stack.enter_async_context(hollow.child(MODULE, [host, str(PORT), str(seed + i)]))
+                await stack.enter_async_context(lightweight.child(MODULE, [host, str(PORT), str(seed + i)]))
                 for i in range(FLEET_PROCESSES)
             ]
             for child in children:
@@ -333,8 +333,8 @@
 
 
 def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
-    """Both parts. Raises hollow.InsufficientResourcesError."""
-    hollow.check(needs(scale), hollow.this_machine())
+    """Both parts. Raises lightweight.InsufficientResourcesError."""
+    lightweight.check(needs(scale), lightweight.this_machine())
     busy = {"load_average": os.getloadavg()[0]}
     rows = asyncio.run(by_known(seed, scale, plant))
     fleets = asyncio.run(by_fleet(seed, scale, plant))
--- a/ryepier/experiments/scale/planted.py
+++ b/ryepier/experiments/scale/seeded_faults.py
@@ -36,7 +36,7 @@
     RetryPolicy.charge = charge_nothing  # type: ignore[method-assign]
 
 
-PLANTS: dict[str, Callable[[], None]] = {
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "scan": scan,
     "no-budget": no_budget,
 }
--- a/ryepier/experiments/simulation/fidelity.py
+++ b/ryepier/experiments/simulation/fidelity.py
@@ -11,7 +11,7 @@
 from ryepier.emulator import rig, simulated
 from ryepier.emulator.records import History
 from ryepier.emulator.world import Fault, World
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.experiments.core.worlds import load
@@ -55,7 +55,7 @@
         world = load(name)
         real = seen(world, rig.play(world, seed, folder / name))
         if plant:
-            planted.PLANTS[plant]()
+            seeded_faults.SEEDED_FAULTS[plant]()
         virtual = seen(world, simulated.play(world, seed))
         found |= {f"{name}_{key}_sockets": value for key, value in real.items()}
         found |= {f"{name}_{key}_sim": value for key, value in virtual.items()}
--- a/ryepier/experiments/simulation/hunt.py
+++ b/ryepier/experiments/simulation/hunt.py
@@ -30,7 +30,7 @@
     Warmth,
     World,
 )
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import judge
 from ryepier.experiments.simulation.coverage import Coverage, cover
 from ryepier.sim.loop import StuckError
@@ -221,7 +221,7 @@
 
 def plant_in_process(plant: str) -> None:
     if plant:
-        planted.PLANTS[plant]()
+        seeded_faults.SEEDED_FAULTS[plant]()
 
 
 def leaning(coverage: Coverage) -> dict[str, float]:
--- a/ryepier/experiments/simulation/planted.py
+++ b/ryepier/experiments/simulation/seeded_faults.py
@@ -74,7 +74,7 @@
     DiscoveryClient.on_list = without_drains  # type: ignore[method-assign]
 
 
-PLANTS: dict[str, Callable[[], None]] = {
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "answer-twice": answer_twice,
     "keep-after-time-out": keep_after_time_out,
     "forget-drain": forget_drain,
--- a/ryepier/experiments/slices/churn_follower.py
+++ b/ryepier/experiments/slices/churn_follower.py
@@ -14,7 +14,7 @@
 
 from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.interface import RequestClass, Settings, UpstreamsUpdated
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.sidecar.system import clock_us
 from ryepier.slices.api_client import Access
 from ryepier.slices.endpoint_listing import ListingRules
@@ -66,7 +66,7 @@
 def main() -> None:
     port, service, plant = sys.argv[1:]
     if plant:
-        planted.PLANTS[plant]()
+        seeded_faults.SEEDED_FAULTS[plant]()
     asyncio.run(follow(int(port), service))
 
 
--- a/ryepier/experiments/slices/planted.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -46,7 +46,7 @@
     EndpointSliceMerger.changes = all_changes  # type: ignore[method-assign]
 
 
-PLANTS: dict[str, Callable[[], None]] = {
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "last-writer": last_writer,
     "never-again": never_again,
     "whole-list": whole_list,
--- a/ryepier/experiments/storms/planted.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -40,7 +40,7 @@
     RetryStormDetector._evidence = unjudged  # type: ignore[method-assign]
 
 
-PLANTS: dict[str, Callable[[], None]] = {
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "no-spread": no_spread,
     "jumpy": jumpy,
 }
--- a/ryepier/maintenance/planted.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -101,7 +101,7 @@
         return self.capacity(service).allowance
 
 
-PLANTED_LEDGERS: dict[str, type[Ledger]] = {
+FAULTY_LEDGERS: dict[str, type[Ledger]] = {
     "cold-counts": ColdCountsLedger,
     "expiry-frees": ExpiryFreesLedger,
     "double-credit": DoubleCreditLedger,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 
 from ryepier.cli import main
 from ryepier.emulator.records import History, Lateness
-from ryepier.experiments import catalogue, planted
+from ryepier.experiments import catalogue, seeded_faults
 from ryepier.experiments.core import contract, report
 from tests.test_experiment_judge import GOOD, WORLD
 
@@ -35,15 +35,24 @@
 
 
 def test_no_two_folders_plant_a_mistake_under_one_name() -> None:
-    folders = [module for module in vars(planted).values() if inspect.ismodule(module) and hasattr(module, "PLANTS")]
-    names = [name for module in folders for name in module.PLANTS]
-    assert len(folders) >= 7 and sorted(names) == sorted(planted.PLANTS)
+    folders = [
+        module
+        for module in vars(seeded_faults).values()
+        if inspect.ismodule(module) and hasattr(module, "SEEDED_FAULTS")
+    ]
+    names = [name for module in folders for name in module.SEEDED_FAULTS]
+    assert len(folders) >= 7 and sorted(names) == sorted(seeded_faults.SEEDED_FAULTS)
 
 
 def test_experiments_are_listed_with_plants_that_exist() -> None:
     listed = json.loads(invoke("experiment", "list", "--json").stdout)
     assert {"steady", "release", "hang", "surge", "sidecar-kill", "breaking-point"} <= {e["name"] for e in listed}
-    assert all(plant in planted.PLANTS for e in listed if e["name"] in catalogue.EXPERIMENTS for plant in e["plants"])
+    assert all(
+        plant in seeded_faults.SEEDED_FAULTS
+        for e in listed
+        if e["name"] in catalogue.EXPERIMENTS
+        for plant in e["plants"]
+    )
     assert invoke("experiment", "run", "steady", "--plant", "nonsense").exit_code == 2
 
 
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -15,7 +15,7 @@
 from ryepier.experiments.core.contract import Run, on_time
 from ryepier.experiments.load_spread import processes, processes_machine, processes_worlds
 from ryepier.experiments.load_spread import processes_figures as spread
-from ryepier.experiments.scale.hollow import InsufficientResourcesError, Machine
+from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine
 
 SEED = 31
 SETTLED_S = 1.0
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -106,7 +106,7 @@
 
 
 def test_the_pure_half_has_no_clock_chance_or_io() -> None:
-    pure = "agreement capacity commands escrow judge ledger limits placement planted problem profile results"
+    pure = "agreement capacity commands escrow judge ledger limits placement seeded_faults problem profile results"
     for name in (*pure.split(), "scheduler", "state", "submission", "tables"):
         assert agreement.__file__
         text = (Path(agreement.__file__).parent / f"{name}.py").read_text()
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -21,7 +21,7 @@
     Message,
     VoteResponse,
 )
-from ryepier.maintenance.replication.planted import ForgetVoteStorage
+from ryepier.maintenance.replication.seeded_faults import ForgetVoteStorage
 from ryepier.maintenance.results import Advanced, Result
 from tests.maintenance_world import small_agreement
 
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -29,8 +29,8 @@
 )
 from ryepier.maintenance.judge import Change
 from ryepier.maintenance.ledger import Ledger
-from ryepier.maintenance.planted import PLANTED_LEDGERS
 from ryepier.maintenance.results import Acknowledged, Credited, Debited, Refused
+from ryepier.maintenance.seeded_faults import FAULTY_LEDGERS
 from tests.maintenance_cluster import Cluster
 from tests.maintenance_world import SERVICE, TEXT, converters_text, regions_text, request, small_agreement
 
@@ -221,9 +221,9 @@
 )
 
 
-@pytest.mark.parametrize("name", PLANTED_LEDGERS)
+@pytest.mark.parametrize("name", FAULTY_LEDGERS)
 def test_drawn_runs_find_each_planted_mistake(name: str) -> None:
-    machine = type("PlantedRegions", (Regions,), {"ledger_type": PLANTED_LEDGERS[name]})
+    machine = type("PlantedRegions", (Regions,), {"ledger_type": FAULTY_LEDGERS[name]})
     few = settings(TestRegions.settings, max_examples=2000, phases=[Phase.generate], report_multiple_bugs=False)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(machine, settings=few)
@@ -314,12 +314,12 @@
 }
 
 
-@pytest.mark.parametrize("name", PLANTED_LEDGERS)
+@pytest.mark.parametrize("name", FAULTY_LEDGERS)
 def test_each_planted_mistake_breaks_the_rule_where_the_ledger_keeps_it(name: str) -> None:
     sound = Cluster(small_agreement())
     RUNS[name](sound)
     assert sound.breaches == []
-    planted = Cluster(small_agreement(), PLANTED_LEDGERS[name])
+    planted = Cluster(small_agreement(), FAULTY_LEDGERS[name])
     RUNS[name](planted)
     assert planted.breaches, f"the judge did not see {name}"
 
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -12,7 +12,7 @@
 from ryepier.check.canonical import digester
 from ryepier.check.model import Model, Step, walk
 from ryepier.check.models import MODELS
-from ryepier.check.plants import PLANTS
+from ryepier.check.seeded_faults import SEEDED_FAULTS
 from ryepier.cli import main
 
 ARRIVE = Step("arrive", 0)
@@ -25,7 +25,7 @@
 
 
 def in_a_process(plant: str, model: Model) -> explore.Outcome:
-    return explore.explore(model, processes=2, plant=PLANTS[plant][1])
+    return explore.explore(model, processes=2, plant=SEEDED_FAULTS[plant][1])
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
 )
 def test_each_planted_mistake_breaks_its_rule(plant: str, model: Model) -> None:
     outcome = in_a_process(plant, model)
-    assert outcome.breach is not None and outcome.breach.rule == PLANTS[plant][0]
+    assert outcome.breach is not None and outcome.breach.rule == SEEDED_FAULTS[plant][0]
     assert explore.explore(model, processes=2).breach is None
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -30,8 +30,8 @@
     RequestVote,
     VoteResponse,
 )
-from ryepier.maintenance.replication.planted import ForgetGrantStorage, VoteTwiceReplica
 from ryepier.maintenance.replication.roles import Role
+from ryepier.maintenance.replication.seeded_faults import ForgetGrantStorage, VoteTwiceReplica
 
 NAMES = ("a", "b", "c", "d", "e")
 ACTIONS = (
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,15 +18,21 @@
 from ryepier.balancer.interface import Action, AttemptEnded, Effect, Event, Outcome
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.emulator.rig import find_network
-from ryepier.experiments import planted
+from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim
 from ryepier.experiments.scale import gauged_planner, scale_call, scale_control, scale_depth
 from ryepier.experiments.scale.chains import Chain, play
 from ryepier.experiments.scale.gauged_planner import Gauge
-from ryepier.experiments.scale.hollow import Usage
-from ryepier.experiments.scale.hollow_converters import ANSWER, Setup, listing, serve
-from ryepier.experiments.scale.hollow_forwarders import CALLS_PER_S, Counts, Hollow, converters_of, uid
-from ryepier.experiments.scale.hollow_forwarders import Setup as ForwardersSetup
+from ryepier.experiments.scale.lightweight import Usage
+from ryepier.experiments.scale.lightweight_converters import ANSWER, Setup, listing, serve
+from ryepier.experiments.scale.lightweight_forwarders import (
+    CALLS_PER_S,
+    Counts,
+    LightweightForwarder,
+    converters_of,
+    uid,
+)
+from ryepier.experiments.scale.lightweight_forwarders import Setup as ForwardersSetup
 from ryepier.experiments.scale.scale_call import REQUEST, Target
 from ryepier.experiments.scale.scale_control import Look, Sample
 from ryepier.plan.messages import Report, Term, encode
@@ -43,11 +49,11 @@
 # scale-control: what a hollow forwarder reports
 
 
-def hollow(index: int = 0, in_use: int = 30) -> Hollow:
-    return Hollow(index, ForwardersSetup(("127.0.0.1", 1), 0, 1, in_use, 1, 10), Counts())
+def lightweight_forwarder(index: int = 0, in_use: int = 30) -> LightweightForwarder:
+    return LightweightForwarder(index, ForwardersSetup(("127.0.0.1", 1), 0, 1, in_use, 1, 10), Counts())
 
 
-def report(one: Hollow, number: int = 1) -> Report:
+def report(one: LightweightForwarder, number: int = 1) -> Report:
     return one.reporter.report(one.machine.clock_us(), len(one.idents), Term(number, "a"), 0)
 
 
@@ -60,7 +66,7 @@
 
 
 def test_a_hollow_forwarder_reports_the_calls_of_its_sidecar() -> None:
-    one = hollow()
+    one = lightweight_forwarder()
     before = report(one).counters
     one.make_up(one.filled_s + 10.0)
     after = report(one).counters
@@ -70,7 +76,7 @@
 
 
 def test_a_report_takes_as_much_of_the_wire_after_a_day_as_at_the_start() -> None:
-    one = hollow()
+    one = lightweight_forwarder()
     lengths = []
     for hour in range(1, 25, 6):
         one.make_up(one.filled_s + hour * 3600.0)
@@ -79,7 +85,7 @@
 
 
 def test_what_hangs_is_reported_as_bad_and_nothing_else_is() -> None:
-    one = hollow()
+    one = lightweight_forwarder()
     one.hang(uid(0))
     before = report(one).counters
     one.make_up(one.filled_s + 2.0)
@@ -89,7 +95,7 @@
 
 
 def test_a_planted_forwarder_reports_of_all_converters() -> None:
-    one = hollow()
+    one = lightweight_forwarder()
     one.use(range(200))
     one.make_up(one.filled_s + 100.0)
     assert len(report(one).counters) == 200
@@ -362,7 +368,7 @@
 
 def test_without_a_budget_attempts_go_beyond_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryPolicy, "charge", RetryPolicy.charge)  # put back at the end
-    planted.PLANTS["no-budget"]()
+    seeded_faults.SEEDED_FAULTS["no-budget"]()
     one = chain(1, 0.5, calls=300)
     assert scale_depth.row(one, play(one))["over_bound"] > 1.0
 
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -12,7 +12,7 @@
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.scale import list_parts, scale_list
 from ryepier.experiments.scale.fleet_list import Desk, Listing
-from ryepier.experiments.scale.hollow_sidecar import Sidecars
+from ryepier.experiments.scale.lightweight_sidecar import Sidecars
 
 KNOWN, COUNT = 40, 3
 
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -14,8 +14,8 @@
 from ryepier.cli import main
 from ryepier.commands import experiment
 from ryepier.experiments.core.contract import Measured
-from ryepier.experiments.scale import hollow, slopes
-from ryepier.experiments.scale.hollow import InsufficientResourcesError, Machine, Needs
+from ryepier.experiments.scale import lightweight, slopes
+from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine, Needs
 
 SIZES = (30, 150, 400, 800, 1600)
 GB = 10**9
@@ -69,8 +69,8 @@
 
 
 def test_a_machine_is_read() -> None:
-    assert hollow.read_machine(MEMINFO, 1024) == Machine(24_576_000_000, 15_360_000_000, 1024)
-    assert hollow.this_machine().total_bytes > hollow.this_machine().available_bytes > 0
+    assert lightweight.read_machine(MEMINFO, 1024) == Machine(24_576_000_000, 15_360_000_000, 1024)
+    assert lightweight.this_machine().total_bytes > lightweight.this_machine().available_bytes > 0
 
 
 @pytest.mark.parametrize(
@@ -85,11 +85,11 @@
 )
 def test_what_the_machine_cannot_spare_is_refused(needs: Needs, machine: Machine, why: str) -> None:
     with pytest.raises(InsufficientResourcesError, match=why):
-        hollow.check(needs, machine)
+        lightweight.check(needs, machine)
 
 
 def test_what_it_can_spare_is_let_through() -> None:
-    hollow.check(Needs(8, 10 * GB, sockets=400), Machine(24 * GB, 15 * GB, 1024))
+    lightweight.check(Needs(8, 10 * GB, sockets=400), Machine(24 * GB, 15 * GB, 1024))
 
 
 def test_an_experiment_that_asks_too_much_is_misuse(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
@@ -102,10 +102,10 @@
 
 
 def test_a_process_reads_its_own_use() -> None:
-    before = hollow.own_usage()
+    before = lightweight.own_usage()
     kept = bytes(range(256)) * 200_000
     total = sum(kept)
-    after, by_pid = hollow.own_usage(), hollow.usage(os.getpid())
+    after, by_pid = lightweight.own_usage(), lightweight.usage(os.getpid())
     assert total and after.since(before) > 0.0
     assert after.resident_bytes - before.resident_bytes > 40_000_000
     assert abs(by_pid.cpu_s - after.cpu_s) < 0.5
