--- a/ryepier/assembly/parts.py
+++ b/ryepier/assembly/parts.py
@@ -12,8 +12,8 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from ryepier.conf import operators as conf
-from ryepier.conf.operators import Operators
+from ryepier.conf import operator_settings as conf
+from ryepier.conf.operator_settings import OperatorSettings
 from ryepier.plan import forwarder, plan_follower
 from ryepier.plan.machine import Machine
 from ryepier.sidecar import config as platform
@@ -39,21 +39,21 @@
     return Machine(clock_us, lambda: system.unix_ns() // 1000, Random(seed))
 
 
-def trust_rules(operators: Operators) -> plan_follower.TrustRules:
+def acceptance_rules(operators: OperatorSettings) -> plan_follower.AcceptanceRules:
     """The operators' [trust] as the plan's own rules."""
-    trust = operators.trust
-    return plan_follower.TrustRules(
-        trust.fleet,
-        trust.least_reporters,
-        trust.least_window_ms,
-        trust.least_covered,
-        trust.most_resting,
-        trust.least_weight,
+    acceptance = operators.acceptance
+    return plan_follower.AcceptanceRules(
+        acceptance.fleet,
+        acceptance.min_reporters,
+        acceptance.min_window_ms,
+        acceptance.min_covered,
+        acceptance.max_ejected,
+        acceptance.min_weight,
     )
 
 
 def make_forwarder(
-    operators: Operators, config: platform.Config, host: RequestDispatcher, source: EndpointSource
+    operators: OperatorSettings, config: platform.Config, host: RequestDispatcher, source: EndpointSource
 ) -> Companion:
     """The part that reports to planners and follows their plans, as the host's observer."""
 
@@ -64,7 +64,7 @@
     settings = forwarder.Settings(
         plan.name or config.name,
         [parse_address(text) for text in plan.planners],
-        trust_rules(operators),
+        acceptance_rules(operators),
         plan.report_ms / 1000,
     )
     sidecar = forwarder.Sidecar(
@@ -79,7 +79,7 @@
 
 
 def make_guard(
-    operators: Operators, config: platform.Config, host: RequestDispatcher, source: EndpointSource
+    operators: OperatorSettings, config: platform.Config, host: RequestDispatcher, source: EndpointSource
 ) -> Companion:
     """The guard against retry storms, as the host's recogniser and one of its observers."""
     from ryepier.storm.retry_storm_guard import RetryStormGuard
@@ -90,7 +90,10 @@
     whole = sum(shares) or 1.0
     made = RetryStormGuard(
         RetryStormDetector(
-            clock_us(), [share / whole for share in shares], settings.max_retry_after_us, operators.storm.whole_seconds
+            clock_us(),
+            [share / whole for share in shares],
+            settings.max_retry_after_us,
+            operators.storm.rounds_to_seconds,
         ),
         host.on_retry_storm,
         clock_us,
@@ -100,7 +103,7 @@
     return made
 
 
-def make_slice_source(operators: Operators, config: platform.Config, host: RequestDispatcher) -> EndpointSource:
+def make_slice_source(operators: OperatorSettings, config: platform.Config, host: RequestDispatcher) -> EndpointSource:
     """The EndpointSlices that the operators' file names, in place of the platform's discovery."""
     from ryepier.slices.slice_source import SliceSource  # with TLS and all: only where it is used
 
@@ -113,7 +116,7 @@
     return SliceSource(settings, host.on_endpoints, clock_us)
 
 
-def namespace_of(slices: conf.Slices) -> str:
+def namespace_of(slices: conf.EndpointSliceSettings) -> str:
     """As named, or else the pod's own. Raises AccessError."""
     from ryepier.slices.api_client import POD, AccessError
 
@@ -125,7 +128,7 @@
         raise AccessError("slices.namespace is not set, and this is no pod that would tell") from None
 
 
-def source_settings(slices: conf.Slices, config: platform.Config) -> Settings:
+def source_settings(slices: conf.EndpointSliceSettings, config: platform.Config) -> Settings:
     """What a sidecar's source is told. Raises AccessError."""
     from ryepier.slices.api_client import find_access
     from ryepier.slices.endpoint_listing import ListingRules
@@ -134,7 +137,7 @@
     access = find_access(
         slices.server, slices.token_file, slices.ca_file, slices.client_cert_file, slices.client_key_file
     )
-    rules = ListingRules(config.zones, len(config.kinds), slices.cell, slices.settle_ms * 1000)
+    rules = ListingRules(config.zones, len(config.kinds), slices.failure_domain, slices.settle_ms * 1000)
     return Settings(
         access,
         namespace_of(slices),
@@ -149,7 +152,7 @@
     )
 
 
-def check(operators: Operators, config: platform.Config) -> None:
+def check(operators: OperatorSettings, config: platform.Config) -> None:
     """Raises AssemblyError where the operators' file asks for what can't be had."""
     if operators.plan.planners and not (operators.plan.name or config.name):
         raise AssemblyError("a forwarder needs a name: none in the platform's configuration, and no plan.name")
@@ -169,7 +172,7 @@
             raise AssemblyError(f"graphql: {error}") from None
 
 
-def parts_for(operators: Operators) -> Components:
+def parts_for(operators: OperatorSettings) -> Components:
     """The platform's parts, and what the operators' file adds to them or puts in their place."""
     parts = PLATFORM
     if operators.slices.service:
@@ -185,7 +188,7 @@
     return parts
 
 
-def make_planner(operators: Operators, seed: int) -> PlannerServer:
+def make_planner(operators: OperatorSettings, seed: int) -> PlannerServer:
     """A planner, not started. Raises AssemblyError."""
     from ryepier.plan import planner_server
 
@@ -197,10 +200,10 @@
         own.name,
         parse_address(own.listen),
         {name: parse_address(text) for name, text in own.peers.items()},
-        trust_rules(operators),
+        acceptance_rules(operators),
         own.tenant_shares,
         own.class_limits,
-        own.most_forwarders,
+        own.max_forwarders,
         folder,
     )
     return planner_server.PlannerServer(settings, machine(f"{seed} {own.name}"))
--- a/ryepier/commands/config.py
+++ b/ryepier/commands/config.py
@@ -10,8 +10,8 @@
 
 import click
 
-from ryepier.conf import operators
-from ryepier.conf.check import ConfigurationError, Problem
+from ryepier.conf import operator_settings
+from ryepier.conf.toml_schema import ConfigurationError, Problem
 from ryepier.emulator import world
 
 
@@ -30,15 +30,16 @@
         complain(path, [Problem("", 0, f"can't be read: {error}")])
 
 
-def read_operators_file(path: Path | None, environment: Mapping[str, str]) -> operators.Operators:
+def read_operators_file(path: Path | None, environment: Mapping[str, str]) -> operator_settings.OperatorSettings:
     """The operators' settings; without a file the defaults and the environment. Ends with 2 on a mistake."""
     # of the environment only names that are a table's are ours: others may share the prefix
     tables = tuple(
-        f"{operators.ENVIRONMENT_PREFIX}{table.upper()}__" for table in operators.Operators.__struct_encode_fields__
+        f"{operator_settings.ENVIRONMENT_PREFIX}{table.upper()}__"
+        for table in operator_settings.OperatorSettings.__struct_encode_fields__
     )
     ours = {name: value for name, value in environment.items() if name.startswith(tables)}
     try:
-        return operators.parse(read_text(path) if path is not None else "", ours)
+        return operator_settings.parse(read_text(path) if path is not None else "", ours)
     except ConfigurationError as error:
         complain(path or "environment", error.problems)
 
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ryepier.commands.config import complain
-from ryepier.conf.operators import Logging
+from ryepier.conf.operator_settings import LoggingSettings
 from ryepier.logs import structured
 from ryepier.maintenance import agreement as agreements
 from ryepier.maintenance.agreement import Agreement, AgreementError, show_units
@@ -58,7 +58,7 @@
     path: Path, region: str, replica: str, folder: Path, discovery: str | None, freeze_s: float, bootstrap: bool
 ) -> None:
     """Run one coordinator until SIGTERM."""
-    structured.set_up(Logging(format="json", lines_per_s=LOG_LINES_PER_S))
+    structured.set_up(LoggingSettings(format="json", lines_per_s=LOG_LINES_PER_S))
     agreement = _read_agreement(path, region)
     try:
         settings = CoordinatorSettings(
--- a/ryepier/conf/operators.py
+++ b/ryepier/conf/operator_settings.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from ryepier.conf import check
+from ryepier.conf import toml_schema
 
 ENVIRONMENT_PREFIX = "RYEPIER_"
 MOST_LINES_A_SECOND = 1000  # more would make the log the sidecar's main work
 
 
-class Logging(msgspec.Struct, kw_only=True, frozen=True):
+class LoggingSettings(msgspec.Struct, kw_only=True, frozen=True):
     """How the sidecar writes its log, to standard error."""
 
     format: Literal["plain", "json"] = "plain"
@@ -26,18 +26,29 @@
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 
-class Trust(msgspec.Struct, kw_only=True, frozen=True):
-    """What a plan must rest on; the same for forwarders, who hold plans to it, and planners, who keep to it."""
-
-    fleet: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1  # forwarders there are, about
-    least_reporters: Share = 0.5
-    least_window_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 1000
-    least_covered: Share = 0.5
-    most_resting: Share = 0.4
-    least_weight: Share = 0.4
-
-
-class Plan(msgspec.Struct, kw_only=True, frozen=True):
+class PlanAcceptanceSettings(
+    msgspec.Struct,
+    kw_only=True,
+    frozen=True,
+    rename={
+        "min_reporters": "least_reporters",
+        "min_window_ms": "least_window_ms",
+        "min_covered": "least_covered",
+        "max_ejected": "most_resting",
+        "min_weight": "least_weight",
+    },
+):
+    """What a plan must satisfy: forwarders reject others, and planners send no others."""
+
+    fleet: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1  # approximate number of forwarders
+    min_reporters: Share = 0.5
+    min_window_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 1000
+    min_covered: Share = 0.5
+    max_ejected: Share = 0.4
+    min_weight: Share = 0.4
+
+
+class ForwarderSettings(msgspec.Struct, kw_only=True, frozen=True):
     """A sidecar as a forwarder: whose plans it follows. Without planners it follows none."""
 
     planners: list[Address] = msgspec.field(default_factory=list)
@@ -45,7 +56,7 @@
     name: str = ""  # by default the platform's
 
 
-class Planner(msgspec.Struct, kw_only=True, frozen=True):
+class PlannerSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"max_forwarders": "most_forwarders"}):
     """A planner, as `ryepier planner` starts it."""
 
     name: Name = "planner"
@@ -53,7 +64,7 @@
     peers: dict[Name, Address] = msgspec.field(default_factory=dict)
     tenant_shares: list[Share] = msgspec.field(default_factory=list)  # in the order of the platform's accounts
     class_limits: list[Annotated[float, msgspec.Meta(ge=0)]] = msgspec.field(default_factory=list)  # a second
-    most_forwarders: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = 2000
+    max_forwarders: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = 2000
     snapshots: str = ""  # the folder; empty: none are kept
 
     def __post_init__(self) -> None:
@@ -65,7 +76,7 @@
 ClusterName = Annotated[str, msgspec.Meta(pattern=r"^([a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?)?$")]
 
 
-class Slices(msgspec.Struct, kw_only=True, frozen=True):
+class EndpointSliceSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"failure_domain": "cell"}):
     """A Kubernetes service whose EndpointSlices are the list of converters, in place of the platform's discovery."""
 
     service: ClusterName = ""
@@ -76,7 +87,7 @@
     ca_file: str = ""
     client_cert_file: str = ""
     client_key_file: str = ""
-    cell: Literal["endpoint", "node"] = "endpoint"
+    failure_domain: Literal["endpoint", "node"] = "endpoint"
     watch_s: Annotated[int, msgspec.Meta(ge=5, le=600)] = 60
     settle_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 3000
     hold_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = 30
@@ -99,14 +110,14 @@
     deadline_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0  # where the client names none; 0 = the class's
 
 
-class Graphql(msgspec.Struct, kw_only=True, frozen=True):
+class GraphqlSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"max_batch": "most_batch"}):
     """A front for GraphQL over HTTP; off unless it has a path or a listener."""
 
     path: Annotated[str, msgspec.Meta(pattern=r"^(/[!-~]*)?$")] = ""  # on the platform's own listener
     listen: Annotated[str, msgspec.Meta(pattern=r"^([^:/\s]+:[0-9]{1,5})?$")] = ""  # or on one of its own
     queries: str = ""  # the class of queries that the table does not name
     mutations: str = ""  # and of mutations
-    most_batch: Annotated[int, msgspec.Meta(ge=1, le=100)] = 20
+    max_batch: Annotated[int, msgspec.Meta(ge=1, le=100)] = 20
     fields: list[GraphqlField] = msgspec.field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -123,25 +134,25 @@
         return bool(self.path or self.listen)
 
 
-class Storm(msgspec.Struct, kw_only=True, frozen=True):
+class RetryGuardSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"rounds_to_seconds": "whole_seconds"}):
     """The guard against retry storms."""
 
     enabled: bool = False
-    whole_seconds: bool = False  # Retry-After in whole seconds, for clients that read nothing else
+    rounds_to_seconds: bool = False  # Retry-After in whole seconds, for clients that read nothing else
 
 
-class Operators(msgspec.Struct, kw_only=True, frozen=True):
+class OperatorSettings(msgspec.Struct, kw_only=True, frozen=True):
     """The whole file; every table may be left out."""
 
-    logging: Logging = msgspec.field(default_factory=Logging)
-    plan: Plan = msgspec.field(default_factory=Plan)
-    planner: Planner = msgspec.field(default_factory=Planner)
-    graphql: Graphql = msgspec.field(default_factory=Graphql)
-    slices: Slices = msgspec.field(default_factory=Slices)
-    storm: Storm = msgspec.field(default_factory=Storm)
-    trust: Trust = msgspec.field(default_factory=Trust)
+    logging: LoggingSettings = msgspec.field(default_factory=LoggingSettings)
+    plan: ForwarderSettings = msgspec.field(default_factory=ForwarderSettings)
+    planner: PlannerSettings = msgspec.field(default_factory=PlannerSettings)
+    graphql: GraphqlSettings = msgspec.field(default_factory=GraphqlSettings)
+    slices: EndpointSliceSettings = msgspec.field(default_factory=EndpointSliceSettings)
+    storm: RetryGuardSettings = msgspec.field(default_factory=RetryGuardSettings)
+    acceptance: PlanAcceptanceSettings = msgspec.field(name="trust", default_factory=PlanAcceptanceSettings)
 
 
-def parse(text: str, environment: Mapping[str, str]) -> Operators:
-    """The settings of a file's text, overridden by `RYEPIER_TABLE__KEY` variables; raises check.ConfigurationError."""
-    return check.parse(text, Operators, environment, ENVIRONMENT_PREFIX)
+def parse(text: str, environment: Mapping[str, str]) -> OperatorSettings:
+    """Return the settings of a file's text, overridden by `RYEPIER_TABLE__KEY` variables; raises ConfigurationError."""
+    return toml_schema.parse(text, OperatorSettings, environment, ENVIRONMENT_PREFIX)
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -14,7 +14,7 @@
 from typing import Any, TextIO
 
 from ryepier.assembly import parts as assembly
-from ryepier.conf import operators
+from ryepier.conf import operator_settings
 from ryepier.emulator import clients, converters, discovery, files, timeline
 from ryepier.emulator.process import Clock, Plan, monotonic_us
 from ryepier.emulator.records import NEVER, Happening, History, Life, join
@@ -161,7 +161,7 @@
 
 
 class Planner(Process):
-    def __init__(self, loop: SimLoop, index: int, settings: operators.Operators, seed: int) -> None:
+    def __init__(self, loop: SimLoop, index: int, settings: operator_settings.OperatorSettings, seed: int) -> None:
         super().__init__(loop, "planner", index)
         self.settings = settings
         self.seed = seed
@@ -188,7 +188,7 @@
             path.write_text(text)
             config, parts = platform.load(str(path)), PLATFORM
             if files.has_operators_file(self.world):
-                said = operators.parse(files.operators_text(plan), files.operators_environment(plan, index))
+                said = operator_settings.parse(files.operators_text(plan), files.operators_environment(plan, index))
                 assembly.check(said, config)
                 parts = assembly.parts_for(said)
             made.append(Sidecar(loop, index, config, parts))
@@ -200,7 +200,7 @@
             snapshots = self.folder / f"snapshots-{index}"
             snapshots.mkdir(exist_ok=True)
             text = files.planner_text(plan, index, snapshots if self.world.planners.snapshots else None)
-            made.append(Planner(loop, index, operators.parse(text, {}), self.seed))
+            made.append(Planner(loop, index, operator_settings.parse(text, {}), self.seed))
         return made
 
     async def play(self, loop: SimLoop) -> History:
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ryepier.conf import check
+from ryepier.conf import toml_schema
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NotNegative = Annotated[float, msgspec.Meta(ge=0)]
@@ -287,5 +287,5 @@
 
 
 def parse(text: str) -> World:
-    """The world that a file's text describes; raises check.ConfigurationError with all its mistakes."""
-    return check.parse(text, World)
+    """The world that a file's text describes; raises toml_schema.ConfigurationError with all its mistakes."""
+    return toml_schema.parse(text, World)
--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ryepier.conf.operators import Logging
+from ryepier.conf.operator_settings import LoggingSettings
 from ryepier.logs import structured
 from ryepier.maintenance import agreement as agreements
 from ryepier.maintenance.agent import Agent, AgentSettings
@@ -34,7 +34,7 @@
 def main() -> None:
     """Work until it is killed."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AgentPlan)
-    structured.set_up(Logging(format="json", lines_per_s=LOG_LINES_PER_S))
+    structured.set_up(LoggingSettings(format="json", lines_per_s=LOG_LINES_PER_S))
     agreement = agreements.parse(Path(plan.agreement).read_bytes())
     client = RegionClient(plan.region, addresses_of(agreement, plan.region), plan.name, "agent")
     settings = AgentSettings(plan.name, plan.drain_grace_s, plan.work_s)
--- a/ryepier/experiments/planners/planner_reconnect.py
+++ b/ryepier/experiments/planners/planner_reconnect.py
@@ -18,7 +18,7 @@
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.plan.forwarder import MAX_BACKOFF_S, Forwarder, Settings, Sidecar
 from ryepier.plan.messages import Heartbeat, Term, encode
-from ryepier.plan.plan_follower import TrustRules
+from ryepier.plan.plan_follower import AcceptanceRules
 
 SIZES = {"small": (50, 500), "full": (50, 1000)}
 DOWN_S = (0.05, 2.0)
@@ -74,7 +74,7 @@
     await planner.listen()
     made = [
         Forwarder(
-            Settings(f"f{i}", [("127.0.0.1", planner.port)], TrustRules(fleet=size), report_s=BEAT_S),
+            Settings(f"f{i}", [("127.0.0.1", planner.port)], AcceptanceRules(fleet=size), report_s=BEAT_S),
             Sidecar(dict, lambda event: None, [100_000], 1),
             machine(f"{seed} f{i}"),
         )
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -23,7 +23,7 @@
 from ryepier.experiments.scale import lightweight
 from ryepier.plan import forwarder
 from ryepier.plan.messages import Message, Plan, PlanBasis, encode, latency_bucket
-from ryepier.plan.plan_follower import TrustRules
+from ryepier.plan.plan_follower import AcceptanceRules
 from ryepier.sidecar.system import clock_us
 
 CALLS_PER_S = 369.0  # of one sidecar, at the size to design for
@@ -86,7 +86,7 @@
         self.token = 0
         self.out: list[tuple[str, int]] = []  # whom the calls went to that are out, each with its token
         self.filled_s = time.monotonic()
-        settings = forwarder.Settings(f"f{index}", [setup.planner], TrustRules(fleet=setup.least_fleet))
+        settings = forwarder.Settings(f"f{index}", [setup.planner], AcceptanceRules(fleet=setup.least_fleet))
         sidecar = forwarder.Sidecar(lambda: self.idents, self.planned, [10 * ANSWER_US], 1)
         super().__init__(settings, sidecar, machine(f"{setup.seed} f{index}"))
         self.use(converters_of(index, setup.in_use))
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 
 from ryepier.balancer.interface import Effect, Settings
-from ryepier.conf import operators as conf
+from ryepier.conf import operator_settings as conf
 from ryepier.graphql import answers
 from ryepier.graphql.classify import ClassRule, FieldRule, Table
 from ryepier.graphql.errors import GraphqlError
@@ -61,7 +61,7 @@
         self.answer_type = answer_type
 
 
-def make_table(settings: conf.Graphql, platform: Settings) -> Table:
+def make_table(settings: conf.GraphqlSettings, platform: Settings) -> Table:
     """The operators' table over the platform's classes. Raises ValueError where they don't go together."""
     rules: dict[str, dict[str, FieldRule]] = {"query": {}, "mutation": {}}
     for one in settings.fields:
@@ -204,13 +204,13 @@
         return self.dialect_of(target).render_error(target, error)
 
 
-def make_fronts(settings: conf.Graphql) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
+def make_fronts(settings: conf.GraphqlSettings) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
     """Return the platform's front end, which GraphQL may share, and one of its own; they share one reader."""
     readers: list[Reader] = []
 
     def dialect(config: Config) -> GraphqlDialect:
         if not readers:
-            readers.append(Reader(make_table(settings, config.settings), settings.most_batch))
+            readers.append(Reader(make_table(settings, config.settings), settings.max_batch))
         return GraphqlDialect(config.settings, readers[0])
 
     def shared(config: Config, host: RequestDispatcher) -> FrontEnd:
@@ -226,6 +226,6 @@
     return (shared, own) if settings.listen else (shared,)
 
 
-def max_clients(config: Config, settings: conf.Graphql) -> int:
+def max_clients(config: Config, settings: conf.GraphqlSettings) -> int:
     """Return how many clients each front end may have: half of the descriptors, of both together."""
     return config.sockets // (4 if settings.listen else 2)
--- a/ryepier/logs/structured.py
+++ b/ryepier/logs/structured.py
@@ -8,7 +8,7 @@
 import sys
 from datetime import UTC, datetime
 
-from ryepier.conf.operators import Logging
+from ryepier.conf.operator_settings import LoggingSettings
 from ryepier.sidecar.logs import RateLimitFilter
 
 # what every record has; the rest was put in by the caller with `extra` and belongs in the line
@@ -32,7 +32,7 @@
         return json.dumps(line, default=str, ensure_ascii=False)
 
 
-def set_up(settings: Logging) -> None:
+def set_up(settings: LoggingSettings) -> None:
     """Send the root logger's records to standard error as the operators want them."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonLines() if settings.format == "json" else logging.Formatter("%(levelname)s %(message)s"))
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -25,7 +25,7 @@
     Term,
     encode,
 )
-from ryepier.plan.plan_follower import PlanFollower, PlanRejection, TrustRules
+from ryepier.plan.plan_follower import AcceptanceRules, PlanFollower, PlanRejection
 from ryepier.plan.reporter import Reporter
 
 log = logging.getLogger(__name__)
@@ -44,7 +44,7 @@
 
     name: str
     planners: list[tuple[str, int]]
-    rules: TrustRules
+    rules: AcceptanceRules
     report_s: float = 0.5
 
 
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -12,7 +12,7 @@
 
 from ryepier.plan.evidence import RECENT_MEMORY_US, DecayingCounts, Evidence, ForwarderStats
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterAdvice, Plan, PlanBasis, Term
-from ryepier.plan.plan_follower import TrustRules
+from ryepier.plan.plan_follower import AcceptanceRules
 
 MIN_FAILURES = 2.0  # recent failed attempts at a converter: fewer may be chance
 FAILING_SHARE = 0.5  # of its recent attempts: below it, a part of the requests may fail by itself
@@ -88,7 +88,9 @@
 class Planner:
     """Keeps the converters' statuses and computes plans."""
 
-    def __init__(self, rules: TrustRules, tenant_shares: list[float], class_limits: list[float] | None = None) -> None:
+    def __init__(
+        self, rules: AcceptanceRules, tenant_shares: list[float], class_limits: list[float] | None = None
+    ) -> None:
         """Start without statuses. `class_limits` are arrivals per second over all forwarders; 0 is no limit."""
         self.rules = rules
         self.class_limits = class_limits or []
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrustRules:
+class AcceptanceRules:
     """What a plan must satisfy to be accepted; set by the operators."""
 
     fleet: int  # approximate number of forwarders
@@ -53,7 +53,7 @@
 class PlanFollower:
     """One forwarder's view of the plans that arrive, from any planner."""
 
-    def __init__(self, name: str, rules: TrustRules) -> None:
+    def __init__(self, name: str, rules: AcceptanceRules) -> None:
         """Start without a plan; `name` is the forwarder's."""
         self.name = name
         self.rules = rules
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -24,7 +24,7 @@
     encode,
 )
 from ryepier.plan.plan_computation import Planner
-from ryepier.plan.plan_follower import TrustRules
+from ryepier.plan.plan_follower import AcceptanceRules
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
     name: str
     listen: tuple[str, int]
     peers: dict[str, tuple[str, int]]  # the other planners, by name
-    rules: TrustRules
+    rules: AcceptanceRules
     tenant_shares: list[float]
     class_limits: list[float]
     max_forwarders: int
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -10,7 +10,7 @@
 
 from ryepier.assembly.parts import parts_for
 from ryepier.balancer.interface import ListKind, Upstream, UpstreamsUpdated
-from ryepier.conf import operators
+from ryepier.conf import operator_settings
 from ryepier.sidecar import components
 from ryepier.sidecar.config import Config, load
 from ryepier.sidecar.dispatcher import RequestDispatcher
@@ -88,7 +88,7 @@
         peer = Peer(script)
         await peer.start()
         config = load(str(configuration(folder, known=None, settings=SETTINGS | {"request-classes": CLASSES})))
-        made = parts_for(operators.parse(table, {}))
+        made = parts_for(operator_settings.parse(table, {}))
         port = config.listen[1]
         stop = asyncio.Event()
         task = asyncio.create_task(
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from ryepier.conf import operators
-from ryepier.conf.check import ConfigurationError
+from ryepier.conf import operator_settings
+from ryepier.conf.toml_schema import ConfigurationError
 from ryepier.emulator import world
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -17,7 +17,7 @@
 
 def problems(text: str, **environment: str) -> list[str]:
     with pytest.raises(ConfigurationError) as caught:
-        operators.parse(text, environment)
+        operator_settings.parse(text, environment)
     return [str(problem) for problem in caught.value.problems]
 
 
@@ -47,7 +47,7 @@
 
 
 def test_the_environment_goes_before_the_file_and_is_checked_like_it() -> None:
-    got = operators.parse(
+    got = operator_settings.parse(
         '[logging]\nformat = "plain"\nlevel = "debug"\n',
         {"RYEPIER_LOGGING__FORMAT": "json", "RYEPIER_LOGGING__LINES_PER_S": "7", "HOME": "/"},
     )
@@ -57,8 +57,25 @@
 
 def test_the_file_that_is_shipped_holds_the_defaults_and_every_key() -> None:
     text = (ROOT / "deploy" / "ryepier.toml").read_text()
-    assert operators.parse(text, {}) == operators.Operators()
-    assert tomllib.loads(text)["logging"].keys() == set(operators.Logging.__struct_fields__)
+    assert operator_settings.parse(text, {}) == operator_settings.OperatorSettings()
+    assert tomllib.loads(text)["logging"].keys() == set(operator_settings.LoggingSettings.__struct_fields__)
+
+
+def test_keys_of_the_file_set_the_fields_that_are_named_otherwise() -> None:
+    """The names in the file are the operators' page's, whatever the fields are called."""
+    got = operator_settings.parse(
+        "[trust]\nleast_reporters = 0.1\nleast_window_ms = 2\nleast_covered = 0.3\n"
+        "most_resting = 0.6\nleast_weight = 0.7\n"
+        "[planner]\nmost_forwarders = 8\n[graphql]\nmost_batch = 9\n"
+        '[slices]\ncell = "node"\n[storm]\nwhole_seconds = true\n',
+        {"RYEPIER_PLANNER__MOST_FORWARDERS": "7"},
+    )
+    rules = got.acceptance
+    assert (rules.min_reporters, rules.min_window_ms, rules.min_covered) == (0.1, 2, 0.3)
+    assert (rules.max_ejected, rules.min_weight) == (0.6, 0.7)
+    assert (got.planner.max_forwarders, got.graphql.max_batch) == (7, 9)
+    assert (got.slices.failure_domain, got.storm.rounds_to_seconds) == ("node", True)
+    assert problems("[trust]\nmin_reporters = 0.1\n")[0].startswith("line 2: trust.min_reporters: unknown key")
 
 
 def test_a_world_with_a_mistake_in_line_40_is_told_of_it() -> None:
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -45,10 +45,10 @@
 )
 from ryepier.plan.messages import PlanBasis as Basis
 from ryepier.plan.plan_computation import ConverterState, ConverterStatus, Planner
-from ryepier.plan.plan_follower import PlanFollower, TrustRules
+from ryepier.plan.plan_follower import AcceptanceRules, PlanFollower
 from ryepier.plan.reporter import Reporter
 
-RULES = TrustRules(fleet=10)
+RULES = AcceptanceRules(fleet=10)
 LISTED = {f"c{i}" for i in range(10)}
 S = 1_000_000
 
@@ -325,7 +325,7 @@
 
 
 def test_a_plan_fades_to_nothing_and_forwarders_leave_a_rest_one_after_another() -> None:
-    followers = [PlanFollower(f"f{i}", TrustRules(fleet=1)) for i in range(200)]
+    followers = [PlanFollower(f"f{i}", AcceptanceRules(fleet=1)) for i in range(200)]
     plan = a_plan(
         entries={
             "c1": ConverterAdvice(ejected=True, trial_share=0.0),
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -14,10 +14,10 @@
 from ryepier.balancer.interface import Outcome, PlanUpdated
 from ryepier.plan import forwarder, planner_server
 from ryepier.plan.messages import MAX_MESSAGE_BYTES, VERSION, FrameDecoder, Hello, Message, Rejection, Report, encode
-from ryepier.plan.plan_follower import TrustRules
+from ryepier.plan.plan_follower import AcceptanceRules
 from tests.network_peers import PATIENCE_S, free_port, until
 
-RULES = TrustRules(fleet=2, min_window_ms=100)
+RULES = AcceptanceRules(fleet=2, min_window_ms=100)
 IDENTS = {f"c{i}": i for i in range(6)}
 
 
