--- /dev/null
+++ b/ryepier/assembly/endpoint_slices.py
@@ -0,0 +1,72 @@
+"""Create the source of endpoints that follows Kubernetes EndpointSlices.
+
+The TLS and HTTP libraries are imported where they are used, so that sidecars without slices do not load them.
+"""
+
+from __future__ import annotations
+
+import logging
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from ryepier.conf.operator_settings import EndpointSliceSettings, OperatorSettings
+from ryepier.sidecar import config as platform
+from ryepier.sidecar.components import EndpointSource
+from ryepier.sidecar.dispatcher import RequestDispatcher
+from ryepier.sidecar.system import clock_us
+
+if TYPE_CHECKING:
+    from ryepier.slices.slice_source import Settings
+
+log = logging.getLogger(__name__)
+
+
+def make_slice_source(
+    operators: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher
+) -> EndpointSource:
+    """Create the source that replaces the platform's discovery."""
+    from ryepier.slices.slice_source import SliceSource  # with TLS and all: only where it is used
+
+    settings = source_settings(operators.slices, config)
+    log.info(
+        "the list comes from the EndpointSlices of %s/%s; the platform's discovery is not asked",
+        settings.namespace,
+        settings.service,
+    )
+    return SliceSource(settings, dispatcher.on_endpoints, clock_us)
+
+
+def resolve_namespace(slices: EndpointSliceSettings) -> str:
+    """Return the configured namespace, by default the pod's. Raises AccessError outside a pod."""
+    from ryepier.slices.api_client import POD, AccessError
+
+    if slices.namespace:
+        return slices.namespace
+    try:
+        return (POD / "namespace").read_text(encoding="ascii").strip()
+    except OSError:
+        raise AccessError("slices.namespace is not set, and this is no pod that would tell") from None
+
+
+def source_settings(slices: EndpointSliceSettings, config: platform.Config) -> Settings:
+    """Convert the operators' settings into those of the source. Raises AccessError."""
+    from ryepier.slices.api_client import find_access
+    from ryepier.slices.endpoint_listing import ListingRules
+    from ryepier.slices.slice_source import Settings
+
+    access = find_access(
+        slices.server, slices.token_file, slices.ca_file, slices.client_cert_file, slices.client_key_file
+    )
+    rules = ListingRules(config.zones, len(config.kinds), slices.failure_domain, slices.settle_ms * 1000)
+    return Settings(
+        access,
+        resolve_namespace(slices),
+        slices.service,
+        rules,
+        slices.port,
+        slices.watch_s,
+        slices.hold_s * 1_000_000,
+        Path(slices.cache) if slices.cache else None,
+        not config.settings.polls_endpoints,
+        config.seed,
+    )
--- a/ryepier/commands/planner.py
+++ b/ryepier/commands/planner.py
@@ -11,7 +11,8 @@
 
 import click
 
-from ryepier.assembly.parts import AssemblyError, make_planner
+from ryepier.assembly.errors import AssemblyError
+from ryepier.assembly.planning import make_planner
 from ryepier.commands.config import read_operators_file
 from ryepier.logs import structured
 from ryepier.plan.planner_server import PlannerServer
--- a/ryepier/commands/run.py
+++ b/ryepier/commands/run.py
@@ -9,7 +9,8 @@
 
 import click
 
-from ryepier.assembly.parts import AssemblyError, check, parts_for
+from ryepier.assembly.errors import AssemblyError
+from ryepier.assembly.sidecar import check_settings, select_components
 from ryepier.commands.config import read_operators_file
 from ryepier.logs import structured
 from ryepier.sidecar import config as platform
@@ -37,8 +38,8 @@
         print(f"ryepier run: {platform_path}: {error!r}", file=sys.stderr)
         sys.exit(2)
     try:
-        check(operators, settings)
+        check_settings(operators, settings)
     except AssemblyError as error:
         print(f"ryepier run: {error}", file=sys.stderr)
         sys.exit(2)
-    asyncio.run(run_sidecar(settings, parts_for(operators)))
+    asyncio.run(run_sidecar(settings, select_components(operators)))
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -13,7 +13,7 @@
 
 import click
 
-from ryepier.assembly.parts import namespace_of
+from ryepier.assembly.endpoint_slices import resolve_namespace
 from ryepier.balancer.interface import UpstreamsUpdated
 from ryepier.commands.config import read_operators_file
 from ryepier.logs import structured
@@ -47,7 +47,7 @@
         )
         return Settings(
             access,
-            namespace_of(slices),
+            resolve_namespace(slices),
             name,
             ListingRules([], 0, slices.failure_domain, slices.settle_ms * 1000),
             slices.port,
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -1,4 +1,4 @@
-"""The operators' file (`deploy/ryepier.toml`): what they set beside the platform's own configuration."""
+"""The operators' settings (`deploy/ryepier.toml`), in addition to the platform's configuration."""
 
 from __future__ import annotations
 
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -1,7 +1,7 @@
 """TOML text into a checked msgspec struct, or every problem in it at once, each with its key and line.
 
 Pure: takes text and gives structs. msgspec stops at its first error, so tables are walked here and only the single
-values are left to it; that way one pass over a file tells a person all that is wrong with it.
+values are left to it; that way one pass over a file reports all that is wrong with it.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     text: str
 
     def __str__(self) -> str:
-        """The problem as one line: where, which key, what."""
+        """Return the problem as one line: line, key, text."""
         place = f"line {self.line}: " if self.line else ""
         return f"{place}{self.key}: {self.text}" if self.key else f"{place}{self.text}"
 
@@ -50,8 +50,8 @@
 
 
 def parse(text: str, schema: type[T], environment: Mapping[str, str] | None = None, prefix: str = "") -> T:
-    """The struct that `text` describes. Variables of `environment` named `prefix` and the key's parts joined by
-    two underscores (`RYEPIER_LOGGING__FORMAT`) go before the file. Raises ConfigurationError."""
+    """Return the struct that `text` describes. Variables of `environment` named `prefix` and the key's parts joined by
+    two underscores (`RYEPIER_LOGGING__FORMAT`) override the file. Raises ConfigurationError."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -60,16 +60,16 @@
     problems: list[Problem] = []
     if environment is not None:
         problems += _override(data, environment, prefix)
-    walk = _Walk(KeyLines(text))
-    result = walk.struct(schema, data, ())
-    problems += walk.problems
+    reader = _SchemaReader(KeyLines(text))
+    result = reader.struct(schema, data, ())
+    problems += reader.problems
     if problems or not isinstance(result, schema):
         raise ConfigurationError(problems)
     return result
 
 
 def spell(path: Path) -> str:
-    """A key's path as people write it: `faults[2].at_s`."""
+    """Return a key's path as it is written: `faults[2].at_s`."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
@@ -131,8 +131,8 @@
         if key is not None:
             path = table + tuple(part.strip(" \"'") for part in key[1].split("."))
             lines.setdefault(path, number)
-        rest = (key[2] if key is not None else line).split("#")[0]
-        depth = max(0, depth + rest.count("[") - rest.count("]"))
+        remainder = (key[2] if key is not None else line).split("#")[0]
+        depth = max(0, depth + remainder.count("[") - remainder.count("]"))
     return lines
 
 
@@ -146,7 +146,7 @@
     return path
 
 
-class _Walk:
+class _SchemaReader:
     """One pass over the tables; what is wrong is collected, and nothing is raised."""
 
     def __init__(self, lines: KeyLines) -> None:
@@ -163,7 +163,7 @@
         fields = {field.encode_name: field for field in msgspec.structs.fields(schema)}
         before = len(self.problems)
         for key in data.keys() - fields.keys():
-            self.problem((*path, key), f"unknown key{_offer(key, list(fields))}")
+            self.problem((*path, key), f"unknown key{_suggestion(key, list(fields))}")
         values: dict[str, Any] = {}
         for key, field in fields.items():
             if key in data:
@@ -189,16 +189,16 @@
         try:
             return msgspec.convert(data, schema)
         except msgspec.ValidationError as error:
-            self.problem(path, f"{_plain(str(error))}, got {data!r}")
+            self.problem(path, f"{_message_without_path(str(error))}, got {data!r}")
             return None
 
 
-def _offer(key: str, known: list[str]) -> str:
+def _suggestion(key: str, known: list[str]) -> str:
     close = difflib.get_close_matches(key, known, n=1, cutoff=CLOSE_ENOUGH)
     return f"; did you mean {close[0]!r}?" if close else f"; known here: {', '.join(sorted(known))}"
 
 
-def _plain(text: str) -> str:
-    """msgspec's own words without the path, which is told already."""
+def _message_without_path(text: str) -> str:
+    """msgspec's own words without the path, which the problem has already."""
     text = text.split(" - at `")[0]
     return text[:1].lower() + text[1:]
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -13,7 +13,8 @@
 from pathlib import Path
 from typing import Any, TextIO
 
-from ryepier.assembly import parts as assembly
+from ryepier.assembly import planning
+from ryepier.assembly import sidecar as assembly
 from ryepier.conf import operator_settings
 from ryepier.emulator import clients, converters, discovery, files, timeline
 from ryepier.emulator.process import Clock, Plan, monotonic_us
@@ -167,7 +168,7 @@
         self.seed = seed
 
     async def work(self) -> None:
-        made = assembly.make_planner(self.settings, self.seed * 1000 + len(self.lives))
+        made = planning.make_planner(self.settings, self.seed * 1000 + len(self.lives))
         await made.run(self.stop)
 
 
@@ -189,8 +190,8 @@
             config, parts = platform.load(str(path)), PLATFORM
             if files.has_operators_file(self.world):
                 said = operator_settings.parse(files.operators_text(plan), files.operators_environment(plan, index))
-                assembly.check(said, config)
-                parts = assembly.parts_for(said)
+                assembly.check_settings(said, config)
+                parts = assembly.select_components(said)
             made.append(Sidecar(loop, index, config, parts))
         return made
 
--- a/ryepier/experiments/planners/planner_reconnect.py
+++ b/ryepier/experiments/planners/planner_reconnect.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from ryepier.assembly.parts import machine
+from ryepier.assembly.planning import make_machine
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Measured, Scale
@@ -76,7 +76,7 @@
         Forwarder(
             Settings(f"f{i}", [("127.0.0.1", planner.port)], AcceptanceRules(fleet=size), report_s=BEAT_S),
             Sidecar(dict, lambda event: None, [100_000], 1),
-            machine(f"{seed} f{i}"),
+            make_machine(f"{seed} f{i}"),
         )
         for i in range(size)
     ]
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ryepier.assembly.parts import machine
+from ryepier.assembly.planning import make_machine
 from ryepier.balancer.interface import Outcome, PlanUpdated
 from ryepier.emulator import draws
 from ryepier.experiments.scale import lightweight
@@ -88,7 +88,7 @@
         self.filled_s = time.monotonic()
         settings = forwarder.Settings(f"f{index}", [setup.planner], AcceptanceRules(fleet=setup.least_fleet))
         sidecar = forwarder.Sidecar(lambda: self.idents, self.planned, [10 * ANSWER_US], 1)
-        super().__init__(settings, sidecar, machine(f"{setup.seed} f{index}"))
+        super().__init__(settings, sidecar, make_machine(f"{setup.seed} f{index}"))
         self.use(converters_of(index, setup.in_use))
 
     def use(self, numbers: range) -> None:
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ryepier.assembly.parts import parts_for
+from ryepier.assembly.sidecar import select_components
 from ryepier.balancer.interface import ListKind, Upstream, UpstreamsUpdated
 from ryepier.conf import operator_settings
 from ryepier.sidecar import components
@@ -88,7 +88,7 @@
         peer = Peer(script)
         await peer.start()
         config = load(str(configuration(folder, known=None, settings=SETTINGS | {"request-classes": CLASSES})))
-        made = parts_for(operator_settings.parse(table, {}))
+        made = select_components(operator_settings.parse(table, {}))
         port = config.listen[1]
         stop = asyncio.Event()
         task = asyncio.create_task(
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from ryepier.assembly.parts import machine
+from ryepier.assembly.planning import make_machine
 from ryepier.balancer.interface import Outcome, PlanUpdated
 from ryepier.plan import forwarder, planner_server
 from ryepier.plan.messages import MAX_MESSAGE_BYTES, VERSION, FrameDecoder, Hello, Message, Rejection, Report, encode
@@ -35,7 +35,7 @@
 ) -> AsyncIterator[planner_server.PlannerServer]:
     others = {peer: ("127.0.0.1", at) for peer, at in (peers or {}).items()}
     server = planner_server.PlannerServer(
-        planner_server.Settings(name, ("127.0.0.1", port), others, RULES, [], [], most), machine(name)
+        planner_server.Settings(name, ("127.0.0.1", port), others, RULES, [], [], most), make_machine(name)
     )
     stop = asyncio.Event()
     task = asyncio.create_task(server.run(stop))
@@ -54,7 +54,7 @@
         self.forwarder = forwarder.Forwarder(
             forwarder.Settings(name, [("127.0.0.1", port) for port in ports], RULES, report_s=0.1),
             forwarder.Sidecar(lambda: IDENTS, self.plans.append, [50_000], 1),
-            machine(name),
+            make_machine(name),
         )
         self.task: asyncio.Task[None] | None = None
 
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryepier.assembly.parts import parts_for
+from ryepier.assembly.sidecar import select_components
 from ryepier.balancer.interface import Outcome, Reject, RetryStormUpdated, Tenant
 from ryepier.conf import operator_settings
 from ryepier.sidecar.config import load
@@ -251,7 +251,7 @@
 
     async def main(loop: SimLoop) -> list[int]:
         config = load(str(configuration(tmp_path, known=listing(entry("c1", 9000)))))
-        parts = parts_for(operator_settings.parse("[storm]\nenabled = true\n", {}))
+        parts = select_components(operator_settings.parse("[storm]\nenabled = true\n", {}))
         converter = await asyncio.start_server(convert, "127.0.0.1", 9000)
         stop = asyncio.Event()
         serving = asyncio.create_task(serve(config, stop, asyncio.Event(), parts))
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -20,7 +20,7 @@
 from kubernetes import client as kubernetes
 from kubernetes import watch as kubernetes_watch
 
-from ryepier.assembly.parts import parts_for
+from ryepier.assembly.sidecar import select_components
 from ryepier.balancer.interface import ListKind, UpstreamState, UpstreamsUpdated
 from ryepier.conf import operator_settings
 from ryepier.emulator.apiserver import SERVICE_LABEL, ApiServer, Store
@@ -556,7 +556,7 @@
             config = load(str(configuration(tmp_path, known=None)))
             text = f'[slices]\nservice = "convert"\nnamespace = "default"\nserver = "http://127.0.0.1:{world.port}"\n'
             stop = asyncio.Event()
-            parts = parts_for(operator_settings.parse(text, {}))
+            parts = select_components(operator_settings.parse(text, {}))
             serving = asyncio.create_task(serve(config, stop, asyncio.Event(), parts))
             await until(lambda: any("watch=true" in call for call in world.api.calls))
             reader, writer = await asyncio.open_connection(*config.listen)
