--- a/ryepier/commands/config.py
+++ b/ryepier/commands/config.py
@@ -11,7 +11,8 @@
 import click
 
 from ryepier.conf import operator_settings
-from ryepier.conf.toml_schema import ConfigurationError, Problem
+from ryepier.conf.key_lines import Problem
+from ryepier.conf.toml_schema import ConfigurationError
 from ryepier.emulator import world
 
 
--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -15,7 +15,8 @@
 import msgspec
 
 from ryepier.conf import toml_schema
-from ryepier.conf.toml_schema import ConfigurationError, Problem
+from ryepier.conf.key_lines import KeyLines, Path, Problem, spell
+from ryepier.conf.toml_schema import ConfigurationError
 
 UNITS = 1000  # of capacity in a size of 1
 LONGEST_FILE = 4 * 1024 * 1024  # bytes
@@ -180,7 +181,7 @@
         tables = toml_schema.parse(text, AgreementTables)
     except ConfigurationError as error:
         raise AgreementError(error.problems) from None
-    checker = _Checker(tables, toml_schema.KeyLines(text))
+    checker = _Checker(tables, KeyLines(text))
     checker.check_names()
     checker.check_decimals()
     if not checker.problems:  # amounts are worth comparing only where every name is known
@@ -228,12 +229,12 @@
 class _Checker:
     """What the tables must hold together; problems are collected, and nothing is raised."""
 
-    def __init__(self, tables: AgreementTables, lines: toml_schema.KeyLines) -> None:
+    def __init__(self, tables: AgreementTables, lines: KeyLines) -> None:
         self.tables = tables
         self.lines = lines
         self.problems: list[Problem] = []
 
-    def problem(self, path: toml_schema.Path, text: str) -> None:
+    def problem(self, path: Path, text: str) -> None:
         self.problems.append(self.lines.problem(path, text))
 
     def check_names(self) -> None:
@@ -244,7 +245,7 @@
         self._unique((("converters", i, "name"), one.name) for i, one in enumerate(tables.converters))
         self._check_replicas()
         for i, service in enumerate(tables.services):
-            at: toml_schema.Path = ("services", i, "regions")
+            at: Path = ("services", i, "regions")
             self._unique(((*at, j, "region"), one.region) for j, one in enumerate(service.regions))
             for j, one in enumerate(service.regions):
                 self._known((*at, j, "region"), one.region, regions, "region")
@@ -253,10 +254,10 @@
             self._known(("converters", i, "region"), converter.region, regions, "region")
 
     def _check_replicas(self) -> None:
-        names: list[tuple[toml_schema.Path, str]] = []
-        addresses: list[tuple[toml_schema.Path, str]] = []
+        names: list[tuple[Path, str]] = []
+        addresses: list[tuple[Path, str]] = []
         for i, region in enumerate(self.tables.regions):
-            at: toml_schema.Path = ("regions", i, "replicas")
+            at: Path = ("regions", i, "replicas")
             if len(region.replicas) < LEAST_REPLICAS:
                 self.problem(at, f"{len(region.replicas)} replicas; a region needs at least {LEAST_REPLICAS}")
             for j, replica in enumerate(region.replicas):
@@ -265,21 +266,21 @@
         self._unique(names)
         self._unique(addresses)
 
-    def _unique(self, names: Iterable[tuple[toml_schema.Path, str]]) -> set[str]:
-        first: dict[str, toml_schema.Path] = {}
+    def _unique(self, names: Iterable[tuple[Path, str]]) -> set[str]:
+        first: dict[str, Path] = {}
         for path, name in names:
             if name in first:
-                self.problem(path, f"{name!r} is named before, at {toml_schema.spell(first[name])}")
+                self.problem(path, f"{name!r} is named before, at {spell(first[name])}")
             first.setdefault(name, path)
         return set(first)
 
-    def _known(self, path: toml_schema.Path, name: str, known: set[str], what: str) -> None:
+    def _known(self, path: Path, name: str, known: set[str], what: str) -> None:
         if name not in known:
             self.problem(path, f"unknown {what} {name!r}; known are {', '.join(sorted(known)) or 'none'}")
 
     def check_decimals(self) -> None:
         """Amounts are whole thousandths (which also refuses `nan`)."""
-        amounts: list[tuple[toml_schema.Path, float]] = []
+        amounts: list[tuple[Path, float]] = []
         for i, service in enumerate(self.tables.services):
             amounts.append((("services", i, "least"), service.least))
             amounts.append((("services", i, "least_part"), service.least_part))
@@ -308,7 +309,7 @@
 
     def _check_regions(self, number: int, table: ServiceTable, service: Service, agreement: Agreement) -> None:
         for j, one in enumerate(table.regions):
-            at: toml_schema.Path = ("services", number, "regions", j)
+            at: Path = ("services", number, "regions", j)
             left = agreement.may_be_out_in(service.name, one.region)
             if left < 0:
                 self.problem((*at, "least"), _asks_too_much(service, agreement, one.region, -left))
