--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -8,7 +8,7 @@
 from ryepier.balancer.interface import Effect, Settings
 from ryepier.conf import operator_settings as conf
 from ryepier.graphql import answers
-from ryepier.graphql.classify import ClassRule, FieldRule, Table
+from ryepier.graphql.classify import ClassRule, FieldRule, Meaning, Table
 from ryepier.graphql.errors import GraphqlError
 from ryepier.graphql.request import JSON_TYPE, RESPONSE_TYPE, ParsedRequest, Reader, response_type
 from ryepier.sidecar.components import FrontEnd
@@ -123,30 +123,20 @@
         meant = parsed.meaning
         index = self.classes[meant.class_name]
         kind = self.settings.classes[index]
-        ident = found.get(b"x-request-id") or os.urandom(NEW_IDENT_BYTES).hex().encode()
-        if not IDENTIFIER.fullmatch(ident):
-            raise RequestError(400, "no X-Request-Id that can be used")
+        request_id = self._request_id(found)
         requested_us = (
             1000 * parse_integer(found[b"x-deadline-ms"], "X-Deadline-Ms") if b"x-deadline-ms" in found else 0
         )
         cost, key = found.get(b"x-cost-hint"), found.get(b"x-key")
-        onward = [(name, value) for name, value in headers if name.lower() not in OWN_HEADERS]
-        onward += [
-            (b"Content-Type", JSON_TYPE.encode()),
-            (b"X-Request-Id", ident),
-            (b"X-Class", meant.class_name.encode()),
-        ]
-        if meant.key:
-            onward.append((b"Idempotency-Key", meant.key.encode()))
         return ClientRequest(
             b"POST",
             target.partition(b"?")[0],
-            onward,
+            self._forwarded_headers(headers, request_id, meant),
             parsed.body,
             clock_us(),
             deadline_us=min(requested_us or meant.deadline_us or kind.deadline_us, kind.deadline_us),
             class_index=index,
-            request_id=ident,
+            request_id=request_id,
             tenant=self.tenants.find(found),
             key=stable_hash(key) if key else 0,
             cost_us=parse_integer(cost, "X-Cost-Hint") if cost else meant.cost_us,
@@ -155,6 +145,29 @@
             accepted_type=answer_type.encode(),
         )
 
+    @staticmethod
+    def _request_id(found: dict[bytes, bytes]) -> bytes:
+        """Return the client's request id, or a new one where it sent none. Raises RequestError."""
+        request_id = found.get(b"x-request-id") or os.urandom(NEW_IDENT_BYTES).hex().encode()
+        if not IDENTIFIER.fullmatch(request_id):
+            raise RequestError(400, "no X-Request-Id that can be used")
+        return request_id
+
+    @staticmethod
+    def _forwarded_headers(
+        headers: list[tuple[bytes, bytes]], request_id: bytes, meaning: Meaning
+    ) -> list[tuple[bytes, bytes]]:
+        """Return the client's headers without those set here, followed by the sidecar's own."""
+        forwarded = [(name, value) for name, value in headers if name.lower() not in OWN_HEADERS]
+        forwarded += [
+            (b"Content-Type", JSON_TYPE.encode()),
+            (b"X-Request-Id", request_id),
+            (b"X-Class", meaning.class_name.encode()),
+        ]
+        if meaning.key:
+            forwarded.append((b"Idempotency-Key", meaning.key.encode()))
+        return forwarded
+
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
         """Return the response; a converter's own is passed on unchanged, with its errors."""
         if answer.outcome is FinalOutcome.SERVED:
