--- a/ryepier/cli.py
+++ b/ryepier/cli.py
@@ -24,12 +24,14 @@
 
 
 class Commands(click.Group):
-    """Hazard: with every module imported a sidecar would start with the plotting libraries in its memory."""
+    """Import a command's module when it is called, so that a sidecar does not load the plotting libraries."""
 
     def list_commands(self, context: click.Context) -> list[str]:
+        """Return the names of all commands."""
         return sorted(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """Import and return a command, or None if there is none of that name."""
         if name not in COMMANDS:
             return None
         command = getattr(importlib.import_module(f"ryepier.commands.{name}"), name)
@@ -37,6 +39,7 @@
         return command
 
     def format_commands(self, context: click.Context, formatter: click.HelpFormatter) -> None:
+        """Write the list of commands without importing them."""
         with formatter.section("Commands"):
             formatter.write_dl(sorted(COMMANDS.items()))
 
