--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -21,8 +21,6 @@
     until,
 )
 
-BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-
 
 @pytest.mark.parametrize(
     ("data", "expected"),
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -24,8 +24,6 @@
     until,
 )
 
-BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-
 
 def test_a_new_configuration_moves_the_watch_and_keeps_what_is_open(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -19,8 +19,6 @@
     status,
 )
 
-BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-
 
 def test_the_list_as_known_is_used_at_once_and_changes_as_soon_as_they_come() -> None:
     async def test() -> None:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -14,8 +14,6 @@
     until,
 )
 
-BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-
 
 def test_when_told_to_stop_it_serves_what_is_open_and_what_still_comes() -> None:
     async def test() -> None:
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -19,9 +19,6 @@
     until,
 )
 
-BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-
-
 QUICK = [
     RequestClass(
         name, latency_objective_us=200_000, deadline_us=600_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -35,8 +35,6 @@
     until,
 )
 
-BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-
 
 def test_a_connection_is_used_again_but_not_after_more_than_an_answer_or_its_end(
     monkeypatch: pytest.MonkeyPatch,
