--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -20,7 +20,6 @@
 KEYS = ("query", "operationName", "variables", "extensions")
 JSON_TYPE, RESPONSE_TYPE = "application/json", "application/graphql-response+json"
 MOST_BATCH = 20
-MOST_JSON_DEPTH = 64
 
 
 @dataclass(frozen=True, slots=True)
