--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -6,7 +6,7 @@
 
 import enum
 import heapq
-import random
+from random import Random
 from typing import NamedTuple
 
 from ryepier.balancer import interface as api
@@ -47,7 +47,7 @@
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         """Start without upstreams at `now_us` (microseconds on the clock of the later events)."""
         self.settings = settings
-        self.random = random.Random(seed)
+        self.random = Random(seed)
         self.now_us = now_us
         self.actions: list[api.Action] = []
         self.requests: dict[int, PendingRequest] = {}
