--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -56,8 +56,8 @@
         self.membership = Membership(settings, self.random, now_us)
         self.admission = AdmissionControl(settings, self.estimates)
         self.retries = RetryPolicy(settings, self.estimates, self.random)
-        self.outliers = OutlierDetector(settings, self.estimates, self.random)
-        self.feedback = AttemptFeedback(self.estimates, self.outliers)
+        self.outliers = OutlierDetector(settings, self.estimates, self.membership, self.random)
+        self.feedback = AttemptFeedback(self.estimates, self.outliers, self.membership)
         self.selector = Selector(self.membership, self.retries, self.outliers, self.estimates, self.random)
         self.polling = EndpointPoller(settings, self.random)
         self.last_shortage_us = 0  # when a request last found no free slot
@@ -185,7 +185,8 @@
 
     def send(self, request: PendingRequest, upstream: TrackedUpstream) -> None:
         """Start an attempt at an upstream; takes a slot, and credit from the budget that applies."""
-        pool, event = upstream.pool, request.event
+        event = request.event
+        pool = self.membership.pool_of(upstream)
         if pool.slow_start.is_warming(upstream.entry, self.now_us):
             upstream.slow_start_credit -= self.estimates.relative_cost(event)
         else:
@@ -237,14 +238,16 @@
 
     def learn_from(self, attempt: Attempt, elapsed_us: int) -> None:
         """Update what is known of an upstream from an attempt that ended after `elapsed_us`."""
-        upstream, slow_us = attempt.upstream, self.estimates.slow_us[attempt.class_index]
+        upstream = attempt.upstream
+        pool = self.membership.pool_of(upstream)
+        slow_us = self.estimates.slow_us[attempt.class_index]
         slots_needed = attempt.sent_us <= self.last_shortage_us + 4 * slow_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
             if upstream.concurrency.limit < 0.5:  # another takes its place; it may rejoin later
-                self.close_idle(upstream.pool.subset.leave(upstream))
+                self.close_idle(pool.subset.leave(upstream))
             self.log_ejection(upstream)
         if attempt.outcome in ANSWERED:
-            self.add_slow_start_credit(upstream.pool, 1.0)
+            self.add_slow_start_credit(pool, 1.0)
 
     def count_demand(self) -> None:
         """Add to admission and slow-start credit for one arriving or repeated request."""
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -5,6 +5,7 @@
 from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
 from ryepier.balancer.events import Outcome
+from ryepier.balancer.membership import Membership
 from ryepier.balancer.outlier_detection import FaultVerdict, OutlierDetector
 from ryepier.balancer.upstream import ANSWERED, Attempt
 
@@ -17,6 +18,7 @@
 
     estimates: RequestEstimates
     outliers: OutlierDetector
+    membership: Membership
 
     def observe(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
         """Free the slot of an attempt and learn from it; `slots_needed` if it was sent in a shortage. Returns
@@ -38,6 +40,7 @@
 
     def _adapt(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
         upstream, index = attempt.upstream, attempt.class_index
+        pool = self.membership.pool_of(upstream)
         verdict = self.outliers.observe_fault(attempt)
         if verdict is FaultVerdict.TOLERATED:
             return False
@@ -47,11 +50,11 @@
         ratio = max_ratio if faulty else elapsed_us / self.estimates.mean_latency_us[index]
         ratio = min(max(ratio, 0.1), max_ratio)
         upstream.latency_ratio += (ratio - upstream.latency_ratio) / tuning.LATENCY_RATIO_MEMORY
-        if upstream.pool.slow_start.is_warming(upstream.entry, now_us):
-            upstream.pool.slow_start.adapt_overcommit(load)
+        if pool.slow_start.is_warming(upstream.entry, now_us):
+            pool.slow_start.adapt_overcommit(load)
         # An expensive request times out wherever it goes; each retry would count as one more slow answer.
         elif not attempt.follows_timeout and attempt.outcome in SHOWS_LOAD:
-            upstream.pool.admission.observe(load)
+            pool.admission.observe(load)
         upstream.concurrency.update(load, faulty, slots_needed)
         if upstream.concurrency.limit < 1.0:
             self.outliers.eject(upstream, index, elapsed_us, now_us)
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -8,6 +8,10 @@
 from ryepier.balancer.settings import Settings
 from ryepier.balancer.upstream import ClassHealth, TrackedUpstream
 
+# Indexes of the pools
+LOCAL_POOL = 0
+REMOTE_POOL = 1
+
 
 class Membership:
     """The ready upstreams, their pools and subsets."""
@@ -17,13 +21,17 @@
         self.settings = settings
         self.random = random
         self.by_id: dict[int, TrackedUpstream] = {}  # in the order listed
-        # in the order of selection; the second stays empty unless traffic between zones has a price
+        # in the order of selection; the remote one stays empty unless traffic between zones has a price
         self.pools = [UpstreamPool(settings, now_us), UpstreamPool(settings, now_us)]
         self.planned_ejections_apply = False
 
+    def pool_of(self, upstream: TrackedUpstream) -> UpstreamPool:
+        """Return the pool of an upstream."""
+        return self.pools[upstream.pool_index]
+
     def in_pool(self, pool: UpstreamPool) -> list[TrackedUpstream]:
         """Return the ready upstreams of a pool, in the order listed."""
-        return [upstream for upstream in self.by_id.values() if upstream.pool is pool]
+        return [upstream for upstream in self.by_id.values() if self.pool_of(upstream) is pool]
 
     def update(self, event: UpstreamsUpdated, now_us: int) -> list[TrackedUpstream]:
         """Apply a new or changed list. Returns the upstreams that have left their subsets."""
@@ -43,7 +51,7 @@
             upstream.concurrency.growing_fast |= event.kind is ListKind.CACHED
             upstream.entry = entry
         for upstream in started:
-            if upstream.pool.slow_start.is_warming(upstream.entry, now_us):
+            if self.pool_of(upstream).slow_start.is_warming(upstream.entry, now_us):
                 # All sidecars learn of it within moments: no burst of first attempts.
                 upstream.slow_start_credit = -self.random.random()
         removed: list[TrackedUpstream] = []
@@ -51,9 +59,8 @@
             removed += self.refresh_warming(pool, now_us)
             members = pool.subset.members
             pool.subset.members = {up: None for up in members if self.by_id.get(up.entry.id) is up}
-            warm = [
-                up for up in started if up.pool is pool and not pool.slow_start.is_warming(up.entry, now_us)
-            ]
+            started_in_pool = [upstream for upstream in started if self.pool_of(upstream) is pool]
+            warm = [up for up in started_in_pool if not pool.slow_start.is_warming(up.entry, now_us)]
             removed += self._offer_places(pool, warm)
         self._count_planned_ejections()
         return removed
@@ -72,11 +79,12 @@
     def _add(self, entry: Upstream) -> TrackedUpstream:
         """Add an upstream that is new or has restarted, without measurements: the former process's faults
         would keep the new one ejected. The plan's advice is about the machine and stays."""
-        away = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
+        in_other_zone = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
+        pool_index = REMOTE_POOL if in_other_zone else LOCAL_POOL
         former = self.by_id.get(entry.id)
         advice = former.advice if former is not None else Advice(entry.id)
         health = [ClassHealth() for _ in self.settings.classes]
-        self.by_id[entry.id] = TrackedUpstream(entry, self.pools[int(away)], health, advice)
+        self.by_id[entry.id] = TrackedUpstream(entry, pool_index, health, advice)
         return self.by_id[entry.id]
 
     def _offer_places(self, pool: UpstreamPool, newcomers: list[TrackedUpstream]) -> list[TrackedUpstream]:
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -8,6 +8,7 @@
 from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
 from ryepier.balancer.events import Outcome
+from ryepier.balancer.membership import Membership
 from ryepier.balancer.settings import Settings
 from ryepier.balancer.upstream import ANSWERED, FAULTS, Attempt, TrackedUpstream
 
@@ -26,13 +27,15 @@
 
     settings: Settings
     estimates: RequestEstimates
+    membership: Membership
     random: Random
     last_ejection_us: int = 0  # until when an upstream is ejected for a class, at most
 
     def observe_fault(self, attempt: Attempt) -> FaultVerdict:
         """Count whether an attempt failed at once or had a malformed response. One such fault may strike all
         upstreams alike, and must not eject them; only a rejection shows the upstream's own state at once."""
-        upstream, pool, outcome = attempt.upstream, attempt.upstream.pool, attempt.outcome
+        upstream, outcome = attempt.upstream, attempt.outcome
+        pool = self.membership.pool_of(upstream)
         is_fault = outcome in FAULTS
         upstream.fault_share += (float(is_fault) - upstream.fault_share) / tuning.FAULT_MEMORY
         pool.fault_share += (float(is_fault) - pool.fault_share) / tuning.POOL_FAULT_MEMORY
@@ -87,7 +90,7 @@
         upstream = attempt.upstream
         proven = attempt.overtaken >= tuning.MAX_OVERTAKEN
         lost = [other for other in upstream.outstanding if other.presumed_lost]
-        pool_is_fast = upstream.pool.admission.load < tuning.TARGET_LOAD
+        pool_is_fast = self.membership.pool_of(upstream).admission.load < tuning.TARGET_LOAD
         suspected = pool_is_fast and all(other.overtaken >= tuning.MAX_OVERTAKEN for other in lost)
         if attempt.overdue and (proven or suspected) and len(lost) < max(1, int(upstream.concurrency.limit)):
             attempt.presumed_lost = True
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -65,7 +65,7 @@
             others = [
                 up
                 for up in self.membership.by_id.values()
-                if up.pool is pool and up not in subset and up not in barred
+                if self.membership.pool_of(up) is pool and up not in subset and up not in barred
             ]
             found = self.free_slots(request, others, ejections_apply, now_us) or found
         return found
@@ -81,9 +81,9 @@
         unanswered and rejected attempts, and the plan; if there are any, only those not tried before."""
         index, bound = request.event.class_index, self.retries.bound_to(request)
         planned_ejections_apply = self.membership.planned_ejections_apply
-        found, concurrency_limit = [], self.concurrency_limit
+        found = []
         for upstream in upstreams:
-            slots = concurrency_limit(upstream, now_us) - upstream.in_flight
+            slots = self.concurrency_limit(upstream, now_us) - upstream.in_flight
             if slots <= 0 or (bound is not None and not self.retries.in_scope(bound, upstream)):
                 continue
             health, advice = upstream.by_class[index], upstream.advice
@@ -97,13 +97,13 @@
         tried = [attempt.upstream for attempt in request.attempts]
         return [candidate for candidate in found if candidate.upstream not in tried] or found
 
-    @staticmethod
-    def concurrency_limit(upstream: TrackedUpstream, now_us: int) -> int:
+    def concurrency_limit(self, upstream: TrackedUpstream, now_us: int) -> int:
         """Return an upstream's current limit, with ejection, slow start and the plan's cap applied."""
         if now_us < upstream.ejected_until_us:
             return 0
         limit = max(1, int(upstream.concurrency.limit))
-        if upstream.entry.started_us and upstream.pool.slow_start.is_warming(upstream.entry, now_us):
+        slow_start = self.membership.pool_of(upstream).slow_start
+        if upstream.entry.started_us and slow_start.is_warming(upstream.entry, now_us):
             if upstream.slow_start_credit < 0.0:
                 return 0
             limit = 1
--- a/ryepier/balancer/upstream.py
+++ b/ryepier/balancer/upstream.py
@@ -3,15 +3,11 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
 from ryepier.balancer.concurrency import ConcurrencyLimit
 from ryepier.balancer.events import Advice, Outcome, RequestArrived, Upstream
 from ryepier.balancer.settings import RequestClass
 
-if TYPE_CHECKING:
-    from ryepier.balancer.pool import UpstreamPool
-
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 ANSWERED = (Outcome.OK, Outcome.MALFORMED_RESPONSE)  # did the work, and their latency shows the load
 FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED_RESPONSE)
@@ -32,7 +28,7 @@
     """What this sidecar knows of one ready upstream; new ones have one open slot and no measurements."""
 
     entry: Upstream
-    pool: UpstreamPool
+    pool_index: int  # of its pool in the membership
     by_class: list[ClassHealth]
     advice: Advice  # of the current plan
     in_flight: int = 0  # slots taken by attempts; one that is presumed lost takes none
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -73,7 +73,7 @@
             tuple(self.left(health.ejected_until_us) for health in one.by_class),
             one.queue_headroom,
             one.concurrency.growing_fast,
-            one in one.pool.subset.members,
+            one in self.world.host.balancer.membership.pool_of(one).subset.members,
             len(one.outstanding),
         )
 
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -102,7 +102,7 @@
         now_us: int,
     ) -> list[Candidate]:
         listed = self.membership.by_id.values()
-        warming = [one for one in listed if one.pool.slow_start.is_warming(one.entry, now_us)]
+        warming = [one for one in listed if self.membership.pool_of(one).slow_start.is_warming(one.entry, now_us)]
         if warming:
             return [Candidate(warming[-1], 1.0)]
         return free_slots(self, request, upstreams, ejections_apply, now_us)
