--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -29,7 +29,7 @@
 
 
 def demo_claims(run: Run) -> list[Claim]:
-    return [Claim("service", figures.service(run.orders), ">=", 0.9)]
+    return [Claim("service", figures.service_level(run.operations), ">=", 0.9)]
 
 
 def describe(counts: Counter[str]) -> str:
@@ -80,7 +80,7 @@
     )
     try:
         with live_summary("demo", world.duration_s) as watcher:
-            claims = contract.perform(DEMO, seed, "small", folder, watcher=watcher)
+            claims = contract.run_experiment(DEMO, seed, "small", folder, watcher=watcher)
     except (RigError, OSError) as error:
         print(f"ryepier demo: {error}", file=sys.stderr)
         sys.exit(1)
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -13,13 +13,13 @@
 import msgspec
 
 from ryepier.emulator.rig import RigError
-from ryepier.experiments.catalogue import EXPERIMENTS, MEASURED
+from ryepier.experiments.catalogue import BENCHMARKS, EXPERIMENTS
 from ryepier.experiments.core import contract, report
 from ryepier.experiments.scale import capacity as table
 from ryepier.experiments.scale import capacity_rows
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError
 
-ALL: dict[str, contract.Experiment | contract.Measured] = {**EXPERIMENTS, **MEASURED}
+ALL: dict[str, contract.Experiment | contract.Benchmark] = {**EXPERIMENTS, **BENCHMARKS}
 
 
 @click.group()
@@ -32,15 +32,20 @@
 def list_all(as_json: bool) -> None:
     """What there is, with the mistakes that can be planted in each."""
     if as_json:
-        print(json.dumps([{"name": e.name, "about": e.about, "plants": list(e.plants)} for e in ALL.values()]))
+        print(
+            json.dumps([{"name": e.name, "about": e.question, "plants": list(e.seeded_faults)} for e in ALL.values()])
+        )
         return
     for one in ALL.values():
-        print(f"{one.name:16} {one.about}" + (f" (plants: {', '.join(one.plants)})" if one.plants else ""))
+        print(
+            f"{one.name:16} {one.question}"
+            + (f" (plants: {', '.join(one.seeded_faults)})" if one.seeded_faults else "")
+        )
 
 
-def _checked_plant(one: contract.Experiment | contract.Measured, plant: str) -> str:
-    if plant and plant not in one.plants:
-        raise click.BadParameter(f"{one.name} has {', '.join(one.plants) or 'none'}", param_hint="--plant")
+def _checked_plant(one: contract.Experiment | contract.Benchmark, plant: str) -> str:
+    if plant and plant not in one.seeded_faults:
+        raise click.BadParameter(f"{one.name} has {', '.join(one.seeded_faults) or 'none'}", param_hint="--plant")
     return plant
 
 
@@ -64,13 +69,13 @@
     _checked_plant(one, plant)
     folder = folder or Path("out") / f"{name}-{seed}{'-' + plant if plant else ''}"
     size = cast(contract.Scale, scale)
-    if isinstance(one, contract.Measured):
+    if isinstance(one, contract.Benchmark):
         if backend == "sim":
             raise click.BadParameter(f"{name} measures a part by itself", param_hint="--backend")
-        claims = _failing_clearly(lambda: contract.perform_measured(one, seed, size, folder, plant))
+        claims = _failing_clearly(lambda: contract.run_benchmark(one, seed, size, folder, plant))
     else:
         claims = _failing_clearly(
-            lambda: contract.perform(one, seed, size, folder, plant, backend=cast(contract.Backend, backend))
+            lambda: contract.run_experiment(one, seed, size, folder, plant, backend=cast(contract.Backend, backend))
         )
         for happening in report.happenings(folder):
             print(f"{happening.at_us / 1e6:8.3f} s  {happening.text}", file=sys.stderr)
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -60,7 +60,7 @@
         except (rig.RigError, OSError) as error:
             print(f"ryepier load: {error}", file=sys.stderr)
             sys.exit(1)
-    shown = figures.summary(world, history, figures.orders(world, history.tries))
+    shown = figures.summary(world, history, figures.operations(world, history.tries))
     kept = {
         name: value for name, value in shown.items() if name not in ("waste", "sidecar_most_mib", "attempts_per_try")
     }
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -54,14 +54,14 @@
         print(f"ryepier sim: {name}: {error}", file=sys.stderr)
         sys.exit(2)
     breaches = Counter(breach.rule for breach in judge.judge(world, history))
-    orders = figures.orders(world, history.tries)
+    orders = figures.operations(world, history.tries)
     print(
         json.dumps(
             {
                 "world": name,
                 "seed": seed,
                 "trace": search.trace_of(history),
-                "service": figures.service(orders),
+                "service": figures.service_level(orders),
                 "tries": len(history.tries),
                 "attempts": len(history.attempts),
                 "breaches": breaches,
--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ryepier.experiments.core.contract import Experiment, Measured
+from ryepier.experiments.core.contract import Benchmark, Experiment
 from ryepier.experiments.faults import experiments as faults
 from ryepier.experiments.graphql import graphql_front
 from ryepier.experiments.load_spread import even, returned
@@ -25,7 +25,7 @@
         *load_spread_processes.EXPERIMENTS,
     )
 }
-MEASURED: dict[str, Measured] = {
+BENCHMARKS: dict[str, Benchmark] = {
     one.name: one
     for one in (
         *scale_call.EXPERIMENTS,
@@ -33,8 +33,8 @@
         *scale_depth.EXPERIMENTS,
         *planner_scale.EXPERIMENTS,
         *planner_reconnect.EXPERIMENTS,
-        *slicing.MEASURED,
-        *graphql_front.MEASURED,
+        *slicing.BENCHMARKS,
+        *graphql_front.BENCHMARKS,
         *fidelity.EXPERIMENTS,
         *scale_list.EXPERIMENTS,
         *scale_fail.EXPERIMENTS,
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -45,7 +45,7 @@
         return f"{'holds' if self.holds else 'FAILS'}  {self.name}: {self.value:.4g} {self.op} {self.bound:g}"
 
 
-class Result(msgspec.Struct):
+class Result(msgspec.Struct, rename={"seeded_fault": "plant"}):
     """The content of result.json."""
 
     name: str
@@ -54,7 +54,7 @@
     claims: list[dict[str, object]]
     figures: dict[str, float]
     versions: dict[str, str]
-    plant: str = ""
+    seeded_fault: str = ""
     backend: Backend = "sockets"
 
 
@@ -65,10 +65,10 @@
     world: World
     seed: int
     history: History
-    orders: list[figures.Order]
+    operations: list[figures.Operation]
     breaches: list[judge.Breach]
     folder: Path
-    other: Run | None = None  # the paired one
+    control: Run | None = None  # the paired one
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,128 +76,132 @@
     """A named world and what is claimed of it."""
 
     name: str
-    about: str
+    question: str
     world: Callable[[Scale], World]
     claims: Callable[[Run], list[Claim]]
-    plants: Sequence[str]  # mistakes that make at least one claim fail
-    more_figures: Callable[[Run], Mapping[str, float]] = lambda run: {}
+    seeded_faults: Sequence[str]  # mistakes that make at least one claim fail
+    extra_figures: Callable[[Run], Mapping[str, float]] = lambda run: {}
     rules: Sequence[str] = tuple(judge.RULES)  # those that must hold in it
-    measured_until: Callable[[Run], float] | None = None  # seconds that count; by default the whole run
-    planner_restart: str = ""  # a planner that was killed comes back with this mistake
-    odd_sidecars: Mapping[int, str] = field(default_factory=dict)  # sidecars with a mistake of their own, by index
-    paired: Callable[[World], World] | None = None  # played too, on the same seed, to compare with
+    valid_until_s: Callable[[Run], float] | None = None  # seconds that count; by default the whole run
+    restarted_planner_fault: str = ""  # a planner that was killed comes back with this mistake
+    sidecar_faults: Mapping[int, str] = field(default_factory=dict)  # sidecars with a mistake of their own, by index
+    control_world: Callable[[World], World] | None = None  # played too, on the same seed, to compare with
     cores: int = 0  # run on so many only; 0 = all there are
     measures_cpu: bool = False  # which virtual time has none of
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
+class Benchmark:
     """An experiment without a world: it measures a part by itself, and leaves no history."""
 
     name: str
-    about: str
-    measure: Callable[[int, Scale, Path, str], tuple[list[Claim], Mapping[str, float]]]  # seed, scale, folder, plant
-    plants: Sequence[str]
+    question: str
+    measure: Callable[
+        [int, Scale, Path, str], tuple[list[Claim], Mapping[str, float]]
+    ]  # seed, scale, folder, seeded_fault
+    seeded_faults: Sequence[str]
 
 
-def versions() -> dict[str, str]:
+def library_versions() -> dict[str, str]:
     found = {"python": platform.python_version(), "cores": str(os.cpu_count())}
     return found | {name: metadata.version(name) for name in LIBRARIES}
 
 
-def on_time(run: Run, measured_until: Callable[[Run], float] | None) -> Claim:
+def lateness_claim(run: Run, valid_until_s: Callable[[Run], float] | None) -> Claim:
     """The emulator kept up; otherwise the run is void, as it would have measured the rig."""
     bound_ms = run.world.rig.lateness_ms
-    if measured_until is None:
+    if valid_until_s is None:
         worst_us = max((late.p999_us for late in run.history.lateness), default=0)
         return Claim("the emulator's lateness (99.9%, ms)", worst_us / 1000, "<=", bound_ms)
-    until_s = int(measured_until(run))
+    until_s = int(valid_until_s(run))
     seconds = [late.most_by_second_us[:until_s] for late in run.history.lateness]
     worst_us = max(map(max, filter(None, seconds)), default=0)
     return Claim(f"the emulator's lateness (most in the first {until_s} s, ms)", worst_us / 1000, "<=", bound_ms)
 
 
-def make_cast(experiment: Experiment, plant: str) -> rig.Cast:
+def _make_cast(experiment: Experiment, seeded_fault: str) -> rig.Cast:
     """Who plays, with the experiment's own mistakes and the planted one."""
     cast = rig.Cast(
-        odd_sidecars={index: seeded_faults.command(name) for index, name in experiment.odd_sidecars.items()}
+        odd_sidecars={index: seeded_faults.command(name) for index, name in experiment.sidecar_faults.items()}
     )
-    if experiment.planner_restart:
-        cast = dataclasses.replace(cast, planner_restart=seeded_faults.command(experiment.planner_restart))
-    if plant in seeded_faults.PLANNER_FAULTS:
-        return dataclasses.replace(cast, planner_command=seeded_faults.command(plant))
-    return dataclasses.replace(cast, sidecar_command=seeded_faults.command(plant)) if plant else cast
+    if experiment.restarted_planner_fault:
+        cast = dataclasses.replace(cast, planner_restart=seeded_faults.command(experiment.restarted_planner_fault))
+    if seeded_fault in seeded_faults.PLANNER_FAULTS:
+        return dataclasses.replace(cast, planner_command=seeded_faults.command(seeded_fault))
+    return dataclasses.replace(cast, sidecar_command=seeded_faults.command(seeded_fault)) if seeded_fault else cast
 
 
-def perform(
+def run_experiment(
     experiment: Experiment,
     seed: int,
     scale: Scale,
     folder: Path,
-    plant: str = "",
+    seeded_fault: str = "",
     watcher: rig.Watcher | None = None,
     backend: Backend = "sockets",
 ) -> list[Claim]:
     """Play it, judge it, and write all that came out into `folder`. Raises rig.RigError where the rig failed."""
     world = experiment.world(scale)
-    play = _simulating(experiment, plant) if backend == "sim" else _on_sockets(experiment, plant, watcher)
-    other = None
-    if experiment.paired is not None:
-        other = _seen(experiment.paired(world), seed, folder / "paired", play, paired=True)
-    run = dataclasses.replace(_seen(world, seed, folder, play, paired=False), other=other)
+    run_trial = (
+        _simulating(experiment, seeded_fault) if backend == "sim" else _on_sockets(experiment, seeded_fault, watcher)
+    )
+    control = None
+    if experiment.control_world is not None:
+        control = _observe(experiment.control_world(world), seed, folder / "paired", run_trial, is_control=True)
+    run = dataclasses.replace(_observe(world, seed, folder, run_trial, is_control=False), control=control)
     counts = Counter(breach.rule for breach in run.breaches)
-    claims = [on_time(run, experiment.measured_until)]
+    claims = [lateness_claim(run, experiment.valid_until_s)]
     claims += [Claim(f"rule {rule}: breaches", counts[rule], "==", 0) for rule in experiment.rules]
     claims += experiment.claims(run)
-    found = {**figures.summary(world, run.history, run.orders), **experiment.more_figures(run)}
-    result = make_result(experiment.name, seed, scale, claims, found, plant)
+    found = {**figures.summary(world, run.history, run.operations), **experiment.extra_figures(run)}
+    result = make_result(experiment.name, seed, scale, claims, found, seeded_fault)
     result.backend = backend
     save(folder, run, result)
     return claims
 
 
-Play = Callable[[World, int, Path, bool], History]  # the last: whether it is the paired run
+Trial = Callable[[World, int, Path, bool], History]  # the last: whether it is the paired run
 
 
-def _on_sockets(experiment: Experiment, plant: str, watcher: rig.Watcher | None) -> Play:
-    def play(world: World, seed: int, folder: Path, paired: bool) -> History:
-        cast = make_cast(experiment, plant)
-        if paired:
+def _on_sockets(experiment: Experiment, seeded_fault: str, watcher: rig.Watcher | None) -> Trial:
+    def run_trial(world: World, seed: int, folder: Path, is_control: bool) -> History:
+        cast = _make_cast(experiment, seeded_fault)
+        if is_control:
             cast = dataclasses.replace(cast, sidecar_command=None)
-        had = os.sched_getaffinity(0)
+        affinity = os.sched_getaffinity(0)
         if experiment.cores:
-            os.sched_setaffinity(0, set(sorted(had)[: experiment.cores]))  # the run's processes inherit it
+            os.sched_setaffinity(0, set(sorted(affinity)[: experiment.cores]))  # the run's processes inherit it
         try:
             return rig.play(world, seed, folder, cast, watcher)
         finally:
-            os.sched_setaffinity(0, had)
+            os.sched_setaffinity(0, affinity)
 
-    return play
+    return run_trial
 
 
-def _simulating(experiment: Experiment, plant: str) -> Play:
+def _simulating(experiment: Experiment, seeded_fault: str) -> Trial:
     """Raises rig.RigError where that would say nothing. A mistake is put into this very process, and stays."""
-    if experiment.measures_cpu or experiment.odd_sidecars or experiment.planner_restart:
+    if experiment.measures_cpu or experiment.sidecar_faults or experiment.restarted_planner_fault:
         raise rig.RigError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
 
-    def play(world: World, seed: int, folder: Path, paired: bool) -> History:
-        if plant and not paired:
-            seeded_faults.SEEDED_FAULTS[plant]()
+    def run_trial(world: World, seed: int, folder: Path, is_control: bool) -> History:
+        if seeded_fault and not is_control:
+            seeded_faults.SEEDED_FAULTS[seeded_fault]()
         return simulated.play(world, seed, folder)
 
-    return play
+    return run_trial
 
 
-def perform_measured(experiment: Measured, seed: int, scale: Scale, folder: Path, plant: str = "") -> list[Claim]:
+def run_benchmark(experiment: Benchmark, seed: int, scale: Scale, folder: Path, seeded_fault: str = "") -> list[Claim]:
     """Measure, and write the result into `folder`. Raises rig.RigError where it could not be done."""
     folder.mkdir(parents=True, exist_ok=True)
-    claims, found = experiment.measure(seed, scale, folder, plant)
-    save_result(folder, make_result(experiment.name, seed, scale, claims, found, plant))
+    claims, found = experiment.measure(seed, scale, folder, seeded_fault)
+    save_result(folder, make_result(experiment.name, seed, scale, claims, found, seeded_fault))
     return claims
 
 
 def make_result(
-    name: str, seed: int, scale: Scale, claims: list[Claim], found: Mapping[str, float], plant: str
+    name: str, seed: int, scale: Scale, claims: list[Claim], found: Mapping[str, float], seeded_fault: str
 ) -> Result:
     return Result(
         name,
@@ -205,14 +209,14 @@
         scale,
         [msgspec.to_builtins(claim) | {"holds": claim.holds} for claim in claims],
         dict(found),
-        versions(),
-        plant,
+        library_versions(),
+        seeded_fault,
     )
 
 
-def _seen(world: World, seed: int, folder: Path, play: Play, paired: bool) -> Run:
-    history = play(world, seed, folder, paired)
-    return Run(world, seed, history, figures.orders(world, history.tries), judge.judge(world, history), folder)
+def _observe(world: World, seed: int, folder: Path, run_trial: Trial, is_control: bool) -> Run:
+    history = run_trial(world, seed, folder, is_control)
+    return Run(world, seed, history, figures.operations(world, history.tries), judge.judge(world, history), folder)
 
 
 def save(folder: Path, run: Run, result: Result) -> None:
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class Operation:
     """What a client wanted once: its first try and the retries that belong to it."""
 
     first: Try
@@ -26,7 +26,7 @@
     tries: int
 
 
-def orders(world: World, tries: Iterable[Try]) -> list[Order]:
+def operations(world: World, tries: Iterable[Try]) -> list[Operation]:
     """Each first try with what became of it, by the time at which it was due."""
     groups: dict[int, list[Try]] = {}
     for item in tries:
@@ -40,11 +40,11 @@
         earned = 0.0
         if latency_us is not None and latency_us <= kind.deadline_ms * 1000:
             earned = kind.worth * (1.0 if latency_us <= kind.aim_ms * 1000 else kind.late_worth)
-        found.append(Order(first, kind.worth, earned, latency_us, len(group)))
+        found.append(Operation(first, kind.worth, earned, latency_us, len(group)))
     return sorted(found, key=lambda order: order.first.planned_us)
 
 
-def service(found: Iterable[Order], keep: Callable[[Try], bool] = lambda item: True) -> float:
+def service_level(found: Iterable[Operation], keep: Callable[[Try], bool] = lambda item: True) -> float:
     """The worth earned over the worth asked for, of those whose first try `keep` holds; 1 where there are none."""
     asked = earned = 0.0
     for order in found:
@@ -54,12 +54,12 @@
     return earned / asked if asked else 1.0
 
 
-def between(begin_s: float, end_s: float) -> Callable[[Try], bool]:
+def due_between(begin_s: float, end_s: float) -> Callable[[Try], bool]:
     """First tries that were due in this part of the run."""
     return lambda item: begin_s * 1e6 <= item.planned_us < end_s * 1e6
 
 
-def histogram(found: Iterable[Order]) -> HdrHistogram:
+def latency_histogram(found: Iterable[Operation]) -> HdrHistogram:
     """The latencies of all that were served, in microseconds, to three digits."""
     result = HdrHistogram(1, LONGEST_US, 3)
     for order in found:
@@ -68,7 +68,7 @@
     return result
 
 
-def waste(history: History) -> float:
+def wasted_work_share(history: History) -> float:
     """The share of the converters' work that gave no client an answer."""
     served = {item.ident for item in history.tries if item.ending == "served"}
     ran = [attempt for attempt in history.attempts if attempt.run_us != NEVER]
@@ -77,41 +77,41 @@
     return lost / total if total else 0.0
 
 
-def advised(tries: Iterable[Try]) -> float:
+def retry_after_share(tries: Iterable[Try]) -> float:
     """The share of refusals that told when to come back; 1 where there were none."""
     refused = [item for item in tries if item.ending == "refused"]
     return sum(item.retry_after_us > 0 for item in refused) / len(refused) if refused else 1.0
 
 
-def cpu_us(life: Life, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
+def cpu_used_us(life: Life, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
     """CPU that a life of a sidecar used between its first and last sample in a part of the run."""
     inside = [cpu for at_us, cpu, _ in life.samples if begin_us <= at_us <= end_us]
     return inside[-1] - inside[0] if inside else 0
 
 
-def most_mib(lives: Iterable[Life]) -> float:
+def max_resident_mib(lives: Iterable[Life]) -> float:
     """The most that any sidecar held resident."""
     return max((kib for life in lives for _, _, kib in life.samples), default=0) / 1024
 
 
-def attempts_between(attempts: Iterable[Attempt], uids: set[str], begin_s: float, end_s: float) -> tuple[int, int]:
+def count_attempts(attempts: Iterable[Attempt], uids: set[str], begin_s: float, end_s: float) -> tuple[int, int]:
     """How many attempts came to these converters in a part of the run, and to all."""
     inside = [a.uid for a in attempts if begin_s * 1e6 <= a.last_us < end_s * 1e6]
     return sum(uid in uids for uid in inside), len(inside)
 
 
-def summary(world: World, history: History, found: list[Order]) -> dict[str, float]:
+def summary(world: World, history: History, found: list[Operation]) -> dict[str, float]:
     """The figures that every experiment reports."""
-    latencies = histogram(found)
+    latencies = latency_histogram(found)
     endings = Counter(item.ending for item in history.tries)
     tries = max(1, len(history.tries))
     result = {
         "orders": float(len(found)),
-        "service": service(found),
+        "service": service_level(found),
         "tries_per_order": len(history.tries) / max(1, len(found)),
         "attempts_per_try": len(history.attempts) / tries,
-        "waste": waste(history),
-        "sidecar_most_mib": most_mib(history.lives),
+        "waste": wasted_work_share(history),
+        "sidecar_most_mib": max_resident_mib(history.lives),
         "emulator_p999_late_ms": max((late.p999_us for late in history.lateness), default=0) / 1000,
     }
     result |= {
@@ -120,7 +120,7 @@
     }
     result |= {f"share_{ending}": count / tries for ending, count in sorted(endings.items())}
     result |= {
-        f"service_{kind.name}": service(found, lambda item, i=i: item.request_class == i)  # type: ignore[misc]
+        f"service_{kind.name}": service_level(found, lambda item, i=i: item.request_class == i)  # type: ignore[misc]
         for i, kind in enumerate(world.classes)
     }
     return result
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -38,7 +38,7 @@
     history = msgspec.msgpack.decode((folder / contract.HISTORY).read_bytes(), type=History)
     world = msgspec.json.decode((folder / contract.WORLD).read_bytes(), type=World)
     breaches = msgspec.json.decode((folder / contract.BREACHES).read_bytes(), type=list[Breach])
-    orders = figures.orders(world, history.tries)
+    orders = figures.operations(world, history.tries)
     template = jinja2.Environment(autoescape=True).from_string(
         resources.files("ryepier.experiments.core").joinpath("report.html").read_text()
     )
@@ -103,7 +103,7 @@
     return np.arange(0.0, world.duration_s + WINDOW_S, WINDOW_S)
 
 
-def _outcomes(world: World, history: History, orders: list[figures.Order]) -> str:
+def _outcomes(world: World, history: History, orders: list[figures.Operation]) -> str:
     figure, axes = _axes(world)
     edges = _windows(world)
     first = np.histogram([o.first.planned_us / 1e6 for o in orders], edges)[0] / WINDOW_S
@@ -119,15 +119,15 @@
     return _svg(figure)
 
 
-def _latencies(world: World, orders: list[figures.Order]) -> str:
+def _latencies(world: World, orders: list[figures.Operation]) -> str:
     figure, axes = _axes(world)
     edges = _windows(world)
-    groups: dict[int, list[figures.Order]] = {}
+    groups: dict[int, list[figures.Operation]] = {}
     for order in orders:
         groups.setdefault(int(order.first.planned_us / 1e6 / WINDOW_S), []).append(order)
     for name, percentile in CURVES:
         values = [
-            figures.histogram(groups.get(i, [])).get_value_at_percentile(percentile) / 1000
+            figures.latency_histogram(groups.get(i, [])).get_value_at_percentile(percentile) / 1000
             for i in range(len(edges) - 1)
         ]
         axes.plot(edges[:-1], values, linewidth=1.0, label=name)
@@ -137,9 +137,9 @@
     return _svg(figure)
 
 
-def _percentiles(orders: list[figures.Order]) -> str:
+def _percentiles(orders: list[figures.Operation]) -> str:
     figure, axes = _axes()
-    histogram: HdrHistogram = figures.histogram(orders)
+    histogram: HdrHistogram = figures.latency_histogram(orders)
     shares = 1.0 - np.logspace(0, -4, 200)
     axes.plot(1.0 / (1.0 - shares), [histogram.get_value_at_percentile(100 * s) / 1000 for s in shares])
     axes.set_xscale("log")
--- a/ryepier/experiments/faults/experiments.py
+++ b/ryepier/experiments/faults/experiments.py
@@ -48,9 +48,9 @@
 def _steady_claims(run: Run) -> list[Claim]:
     tries, attempts = run.history.tries, run.history.attempts
     return [
-        Claim("service", figures.service(run.orders), ">=", 0.98),
+        Claim("service", figures.service_level(run.operations), ">=", 0.98),
         Claim("attempts a try", len(attempts) / max(1, len(tries)), "<=", 1.01),
-        Claim("waste", figures.waste(run.history), "<=", 0.01),
+        Claim("waste", figures.wasted_work_share(run.history), "<=", 0.01),
     ]
 
 
@@ -63,11 +63,11 @@
     fresh = {step.uid for step in steps if step.verb is Verb.START}
     reached = {attempt.uid for attempt in run.history.attempts} & fresh
     told = sum(notice.state == "leaving" for notice in run.history.told)
-    during = figures.between(fault.at_s, fault.at_s + fault.for_s)
+    during = figures.due_between(fault.at_s, fault.at_s + fault.for_s)
     return [
         Claim("drains told of", told, ">=", len(fresh) * run.world.sidecars.count * 0.9),
         Claim("share of fresh converters in use", len(reached) / max(1, len(fresh)), ">=", 1.0),
-        Claim("service during the release", figures.service(run.orders, during), ">=", 0.95),
+        Claim("service during the release", figures.service_level(run.operations, during), ">=", 0.95),
     ]
 
 
@@ -83,18 +83,18 @@
 def _hang_claims(run: Run) -> list[Claim]:
     fault = _fault(run.world, "hang")
     middle_s, end_s = fault.at_s + fault.for_s / 2, fault.at_s + fault.for_s
-    to_hung, to_all = figures.attempts_between(run.history.attempts, _hung(run), middle_s, end_s)
+    to_hung, to_all = figures.count_attempts(run.history.attempts, _hung(run), middle_s, end_s)
     return [
         Claim("share of attempts to hung converters, second half", to_hung / max(1, to_all), "<=", 0.03),
         Claim(
             "service in the second half of the hang",
-            figures.service(run.orders, figures.between(middle_s, end_s)),
+            figures.service_level(run.operations, figures.due_between(middle_s, end_s)),
             ">=",
             0.90,
         ),
         Claim(
             "service from 2 s after the hang",
-            figures.service(run.orders, figures.between(end_s + 2.0, run.world.duration_s)),
+            figures.service_level(run.operations, figures.due_between(end_s + 2.0, run.world.duration_s)),
             ">=",
             0.95,
         ),
@@ -108,15 +108,25 @@
     fault = _fault(run.world, "surge")
     end_s = fault.at_s + fault.for_s
     return [
-        Claim("service before the surge", figures.service(run.orders, figures.between(0.5, fault.at_s)), ">=", 0.97),
-        Claim("service during the surge", figures.service(run.orders, figures.between(fault.at_s, end_s)), ">=", 0.55),
+        Claim(
+            "service before the surge",
+            figures.service_level(run.operations, figures.due_between(0.5, fault.at_s)),
+            ">=",
+            0.97,
+        ),
+        Claim(
+            "service during the surge",
+            figures.service_level(run.operations, figures.due_between(fault.at_s, end_s)),
+            ">=",
+            0.55,
+        ),
         Claim(
             "service from 2 s after the surge",
-            figures.service(run.orders, figures.between(end_s + 2.0, run.world.duration_s)),
+            figures.service_level(run.operations, figures.due_between(end_s + 2.0, run.world.duration_s)),
             ">=",
             0.95,
         ),
-        Claim("share of refusals with Retry-After", figures.advised(run.history.tries), ">=", 0.99),
+        Claim("share of refusals with Retry-After", figures.retry_after_share(run.history.tries), ">=", 0.99),
     ]
 
 
@@ -128,20 +138,20 @@
     killed = {life.sidecar for life in run.history.lives if life.killed}
     back = [life for life in run.history.lives if life.begun_us > 0]
     up_s = max(((life.up_us - life.begun_us) / 1e6 for life in back), default=float("inf"))
-    after = figures.between(fault.at_s + fault.down_s + 2.0, run.world.duration_s)
+    after = figures.due_between(fault.at_s + fault.down_s + 2.0, run.world.duration_s)
     return [
         Claim("sidecars killed", len(killed), ">=", 1),
         Claim("sidecars started again", len(back), "==", len(killed)),
         Claim("time to come up (s)", up_s, "<=", 2.0),
         Claim(
             "service of the others' clients",
-            figures.service(run.orders, lambda item: item.sidecar not in killed),
+            figures.service_level(run.operations, lambda item: item.sidecar not in killed),
             ">=",
             0.97,
         ),
         Claim(
             "service of its own clients, 2 s after its start",
-            figures.service(run.orders, lambda item: item.sidecar in killed and after(item)),
+            figures.service_level(run.operations, lambda item: item.sidecar in killed and after(item)),
             ">=",
             0.97,
         ),
@@ -156,8 +166,8 @@
     edges = np.arange(0.0, run.world.duration_s, WINDOW_S)
     rows = []
     for begin_s in edges:
-        inside = [order for order in run.orders if figures.between(begin_s, begin_s + WINDOW_S)(order.first)]
-        rows.append((len(inside) / WINDOW_S, figures.service(inside), float(begin_s)))
+        inside = [order for order in run.operations if figures.due_between(begin_s, begin_s + WINDOW_S)(order.first)]
+        rows.append((len(inside) / WINDOW_S, figures.service_level(inside), float(begin_s)))
     return rows
 
 
@@ -285,7 +295,7 @@
         ("spin",),
         _breaking_figures,
         _SAFE_RULES,
-        measured_until=lambda run: breaking_point(run)[1],
+        valid_until_s=lambda run: breaking_point(run)[1],
         measures_cpu=True,
     ),
     Experiment(
--- a/ryepier/experiments/graphql/graphql_front.py
+++ b/ryepier/experiments/graphql/graphql_front.py
@@ -13,7 +13,7 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.graphql.query_resets import LEAST_SENT_AGAIN, query_resets
 
@@ -69,12 +69,12 @@
 def _resets_claims(run: Run) -> list[Claim]:
     got, resets = _resets_figures(run), query_resets(run)
     least = 100_000 if run.world.duration_s >= FULL_LENGTH_S else 5_000
-    queries = [order for order in run.orders if run.world.classes[order.first.request_class].effect == "idempotent"]
+    queries = [order for order in run.operations if run.world.classes[order.first.request_class].effect == "idempotent"]
     return [
         Claim("requests", got["requests"], ">=", least),
         Claim("share of requests that were reset after they were sent", got["reset_share"], ">=", LEAST_RESETS),
         Claim("mutations that ran twice", got["duplicated_mutations"], "==", 0),
-        Claim("service of queries", figures.service(queries), ">=", 0.98),
+        Claim("service of queries", figures.service_level(queries), ">=", 0.98),
         Claim(
             "resets of queries, with retries to spare, that were sent again",
             resets.share_sent_again,
@@ -145,8 +145,8 @@
         _resets_figures,
     ),
 )
-MEASURED = (
-    Measured(
+BENCHMARKS = (
+    Benchmark(
         "graphql-cost",
         "CPU of a request: plain, GraphQL with known and with new documents",
         perform_cost,
--- a/ryepier/experiments/load_spread/even.py
+++ b/ryepier/experiments/load_spread/even.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.load_spread import measures
 from ryepier.experiments.load_spread.plays import Played, Task, perform
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan
@@ -83,7 +83,7 @@
     return claims, figures
 
 
-EXPERIMENT = Measured(
+EXPERIMENT = Benchmark(
     "load-spread",
     "hundreds of sidecars that each see little of the load, in virtual time",
     measure,
--- a/ryepier/experiments/load_spread/processes.py
+++ b/ryepier/experiments/load_spread/processes.py
@@ -109,14 +109,14 @@
 
 def service_beside(run: Run, killed: set[int]) -> float:
     """Of clients whose sidecars lived through the run."""
-    return figures.service(run.orders, lambda item: item.sidecar not in killed)
+    return figures.service_level(run.operations, lambda item: item.sidecar not in killed)
 
 
 def service_when_back(run: Run) -> float:
     """Of clients of the restarted sidecars, once these are up."""
     back_us = {life.sidecar: life.up_us + BACK_US for life in run.history.lives if life.begun_us > 0}
     never_us = run.world.duration_s * 1e6
-    return figures.service(run.orders, lambda item: item.planned_us >= back_us.get(item.sidecar, never_us))
+    return figures.service_level(run.operations, lambda item: item.planned_us >= back_us.get(item.sidecar, never_us))
 
 
 def kill_figures(run: Run) -> Mapping[str, float]:
@@ -176,11 +176,13 @@
         "variation_ratio_lists_apart": apart.ratio,
         "across_cut_first_half": across_cut(run, worlds.CUT_AT_S, worlds.CUT_AT_S + worlds.CUT_FOR_S / 2),
         "across_cut_second_half": across_cut(run, worlds.CUT_AT_S + worlds.CUT_FOR_S / 2, cut_end_s),
-        "service_lists_apart": figures.service(
-            run.orders, figures.between(worlds.LISTS_AT_S, worlds.LISTS_AT_S + worlds.LISTS_FOR_S)
+        "service_lists_apart": figures.service_level(
+            run.operations, figures.due_between(worlds.LISTS_AT_S, worlds.LISTS_AT_S + worlds.LISTS_FOR_S)
+        ),
+        "service_cut": figures.service_level(run.operations, figures.due_between(worlds.CUT_AT_S, cut_end_s)),
+        "service_after": figures.service_level(
+            run.operations, figures.due_between(cut_end_s + 1.0, run.world.duration_s)
         ),
-        "service_cut": figures.service(run.orders, figures.between(worlds.CUT_AT_S, cut_end_s)),
-        "service_after": figures.service(run.orders, figures.between(cut_end_s + 1.0, run.world.duration_s)),
     }
 
 
--- a/ryepier/experiments/load_spread/returned.py
+++ b/ryepier/experiments/load_spread/returned.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.load_spread import measures
 from ryepier.experiments.load_spread.plays import Played, Task, perform
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan, Outage
@@ -62,7 +62,7 @@
     return claims, figures
 
 
-EXPERIMENT = Measured(
+EXPERIMENT = Benchmark(
     "load-spread-return",
     "a fifth of the converters vanishes and comes back, cold and warm, in virtual time",
     measure,
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS
@@ -99,7 +99,7 @@
     }
 
 
-EXPERIMENT = Measured(
+EXPERIMENT = Benchmark(
     "maintenance-cut",
     "regions cut off from each other in the middle of transfers, frames late and doubled",
     perform,
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from ryepier.emulator.process import monotonic_us
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS, replica_names
@@ -177,7 +177,7 @@
     return claims(outcome), outcomes.common_figures(outcome) | grants
 
 
-EXPERIMENT = Measured(
+EXPERIMENT = Benchmark(
     "maintenance-kill",
     "leaders and a whole region of coordinators killed, a torn file, an empty disk",
     perform,
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -108,14 +108,14 @@
 def common_claims(outcome: Outcome) -> list[Claim]:
     """The one rule, the sidecars' rules, and that the emulator kept up."""
     found = judge.judge(outcome.world, outcome.history)
-    orders = figures.orders(outcome.world, outcome.history.tries)
+    orders = figures.operations(outcome.world, outcome.history.tries)
     run = contract.Run(outcome.world, outcome.seed, outcome.history, orders, found, outcome.folder)
     counts = Counter(breach.rule for breach in found)
-    claims = [contract.on_time(run, None)]
+    claims = [contract.lateness_claim(run, None)]
     claims += [Claim(f"rule {rule}: breaches", counts[rule], "==", 0) for rule in RULES]
     rule_breaches = list(breaches(outcome.agreement, changes(outcome.outages)))
     claims.append(Claim("breaches of the agreed capacity", len(rule_breaches), "==", 0))
-    claims.append(Claim("requests served", figures.service(orders), ">=", 0.98))
+    claims.append(Claim("requests served", figures.service_level(orders), ">=", 0.98))
     return claims
 
 
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -9,7 +9,7 @@
 
 from ryepier.emulator import draws
 from ryepier.emulator.world import World
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS, region_converters
@@ -140,6 +140,6 @@
     return claims(outcome, planned), outcomes.common_figures(outcome)
 
 
-EXPERIMENT = Measured(
+EXPERIMENT = Benchmark(
     "maintenance-overlap", "30 requests for windows that overlap, some that can't fit", perform, ("cold-counts",)
 )
--- a/ryepier/experiments/planners/planner_reconnect.py
+++ b/ryepier/experiments/planners/planner_reconnect.py
@@ -15,7 +15,7 @@
 from ryepier.assembly.planning import make_machine
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.plan.forwarder import MAX_BACKOFF_S, Forwarder, Settings, Sidecar
 from ryepier.plan.messages import Heartbeat, Term, encode
 from ryepier.plan.plan_follower import AcceptanceRules
@@ -129,5 +129,5 @@
 
 
 EXPERIMENTS = (
-    Measured("planner-reconnect", "how forwarders' connections come back after a planner's death", perform, ("herd",)),
+    Benchmark("planner-reconnect", "how forwarders' connections come back after a planner's death", perform, ("herd",)),
 )
--- a/ryepier/experiments/planners/planner_scale.py
+++ b/ryepier/experiments/planners/planner_scale.py
@@ -18,7 +18,7 @@
 from ryepier.emulator import draws
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.emulator.rig import PLANNER, TICKS_PER_S, RigError, find_network
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
 
 SIZES = (50, 200, 1000)
@@ -150,7 +150,7 @@
 
 
 EXPERIMENTS = (
-    Measured(
+    Benchmark(
         "planner-scale",
         "a planner's CPU and bytes at 50, 200 and 1,000 simulated forwarders",
         perform,
--- a/ryepier/experiments/planners/planning.py
+++ b/ryepier/experiments/planners/planning.py
@@ -88,9 +88,11 @@
 
 def _loss_claims(run: Run) -> list[Claim]:
     fault = _fault(run, "planner-kill")
-    before = figures.service(run.orders, figures.between(1.0, fault.at_s))
-    during = figures.service(run.orders, figures.between(fault.at_s, fault.at_s + fault.down_s))
-    after = figures.service(run.orders, figures.between(fault.at_s + fault.down_s + 2.0, run.world.duration_s))
+    before = figures.service_level(run.operations, figures.due_between(1.0, fault.at_s))
+    during = figures.service_level(run.operations, figures.due_between(fault.at_s, fault.at_s + fault.down_s))
+    after = figures.service_level(
+        run.operations, figures.due_between(fault.at_s + fault.down_s + 2.0, run.world.duration_s)
+    )
     told = sum(notice.state == "leaving" for notice in run.history.told)
     return [
         Claim("forwarders that followed a plan", _files_with(run, "following plans"), "==", run.world.sidecars.count),
@@ -114,10 +116,15 @@
             ">=",
             0.95 * run.world.sidecars.count,
         ),
-        Claim("service during the surge", figures.service(run.orders, figures.between(fault.at_s, end_s)), ">=", 0.55),
+        Claim(
+            "service during the surge",
+            figures.service_level(run.operations, figures.due_between(fault.at_s, end_s)),
+            ">=",
+            0.55,
+        ),
         Claim(
             "service from 2 s after the surge",
-            figures.service(run.orders, figures.between(end_s + 2.0, run.world.duration_s)),
+            figures.service_level(run.operations, figures.due_between(end_s + 2.0, run.world.duration_s)),
             ">=",
             0.95,
         ),
@@ -140,13 +147,13 @@
         Claim("the planner that hung stepped down", len(steps_down), ">=", 1),
         Claim(
             "service from the stall on",
-            figures.service(run.orders, figures.between(fault.at_s, run.world.duration_s)),
+            figures.service_level(run.operations, figures.due_between(fault.at_s, run.world.duration_s)),
             ">=",
             0.97,
         ),
         Claim(
             "service once it is back",
-            figures.service(run.orders, figures.between(resumed_s, run.world.duration_s)),
+            figures.service_level(run.operations, figures.due_between(resumed_s, run.world.duration_s)),
             ">=",
             0.97,
         ),
@@ -159,7 +166,7 @@
 def _empty_claims(run: Run) -> list[Claim]:
     kill = _fault(run, "planner-kill")
     begin_s, end_s = kill.at_s + kill.down_s + 1.0, run.world.duration_s
-    hung, whole = figures.attempts_between(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
+    hung, whole = figures.count_attempts(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
     refused = _files_with(run, "is refused: too few forwarders reported")
     taken = len(
         {
@@ -194,7 +201,7 @@
     return [
         Claim("forwarders that follow a plan", _files_with(run, "following plans"), "==", run.world.sidecars.count),
         Claim("longest time that a converter lied about had no request (s)", gap_s, "<=", 1.0),
-        Claim("service", figures.service(run.orders), ">=", 0.98),
+        Claim("service", figures.service_level(run.operations), ">=", 0.98),
     ]
 
 
@@ -219,7 +226,7 @@
 def _restart_claims(run: Run) -> list[Claim]:
     kill = _fault(run, "planner-kill")
     begin_s, end_s = kill.at_s + kill.down_s, run.world.duration_s - 1.0
-    hung, whole = figures.attempts_between(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
+    hung, whole = figures.count_attempts(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
     return [
         Claim("time to sound plans after the restart (s)", sound_again_s(run), "<=", 2.0),
         Claim("share of attempts to hung converters from the restart on", hung / max(1, whole), "<=", 0.02),
@@ -248,14 +255,16 @@
 
 
 def _gain_figures(run: Run, kind: str = "hang") -> Mapping[str, float]:
-    assert run.other is not None
+    assert run.control is not None
     fault = _fault(run, kind)
     end_s = fault.at_s + fault.for_s
     result = {}
-    for name, one in (("with", run), ("without", run.other)):
+    for name, one in (("with", run), ("without", run.control)):
         result[f"avoided_after_s_{name}"] = avoided_after_s(one, kind)
-        result[f"service_in_the_{kind}_{name}"] = figures.service(one.orders, figures.between(fault.at_s, end_s))
-        struck, _ = figures.attempts_between(one.history.attempts, struck_uids(one, (kind,)), fault.at_s, end_s)
+        result[f"service_in_the_{kind}_{name}"] = figures.service_level(
+            one.operations, figures.due_between(fault.at_s, end_s)
+        )
+        struck, _ = figures.count_attempts(one.history.attempts, struck_uids(one, (kind,)), fault.at_s, end_s)
         result[f"attempts_to_struck_{name}"] = struck
     return result
 
@@ -294,7 +303,7 @@
         Claim("worth lost in the hang, with planners over without", lost_with / max(1e-6, lost_without), "<=", 0.8),
         Claim(
             "breaches of rules without planners",
-            sum(Counter(breach.rule for breach in run.other.breaches).values()) if run.other else 0,
+            sum(Counter(breach.rule for breach in run.control.breaches).values()) if run.control else 0,
             "==",
             0,
         ),
@@ -329,7 +338,7 @@
         lambda scale: load("planner-empty"),
         _empty_claims,
         ("trust-any",),
-        planner_restart="amnesiac",
+        restarted_planner_fault="amnesiac",
     ),
     Experiment(
         "planner-liar",
@@ -337,7 +346,7 @@
         lambda scale: load("planner-liar"),
         _liar_claims,
         ("credulous",),
-        odd_sidecars=dict.fromkeys(range(LIARS), "liar"),
+        sidecar_faults=dict.fromkeys(range(LIARS), "liar"),
     ),
     Experiment(
         "planner-restart",
@@ -353,7 +362,7 @@
         _gain_claims,
         ("trust-none",),
         _gain_figures,
-        paired=without_planners,
+        control_world=without_planners,
     ),
     Experiment(
         "planner-slow",
@@ -362,6 +371,6 @@
         _slow_claims,
         ("trust-none",),
         _slow_figures,
-        paired=without_planners,
+        control_world=without_planners,
     ),
 )
--- a/ryepier/experiments/scale/capacity.py
+++ b/ryepier/experiments/scale/capacity.py
@@ -192,7 +192,7 @@
             found.append(msgspec.json.decode(path.read_bytes(), type=Kept))
         except (OSError, msgspec.MsgspecError) as error:
             raise CapacityError(f"{path}: {error}") from None
-        if found[-1].plant:
+        if found[-1].seeded_fault:
             raise CapacityError(f"{path}: of a run with a planted mistake")
         if path.name != kept_name(found[-1]):
             raise CapacityError(f"{path}: holds {kept_name(found[-1])}")
@@ -209,7 +209,7 @@
         result = msgspec.json.decode((run / RESULT).read_bytes(), type=Result)
     except (OSError, msgspec.MsgspecError) as error:
         raise CapacityError(f"{run}: no readable run: {error}") from None
-    if result.plant:
+    if result.seeded_fault:
         raise CapacityError(f"{run}: of a run with a planted mistake")
     kept = Kept(**{name: getattr(result, name) for name in Result.__struct_fields__}, date=date)
     path = folder / kept_name(kept)
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -33,7 +33,7 @@
 from ryepier.emulator.rig import SIDECAR, RigError, find_network
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.planners.planner_scale import until_up
 from ryepier.experiments.scale import lightweight, slopes
@@ -431,5 +431,7 @@
 
 
 EXPERIMENTS = (
-    Measured("scale-call", "CPU and added time of a call through a sidecar that knows 30 to 1,600", perform, ("scan",)),
+    Benchmark(
+        "scale-call", "CPU and added time of a call through a sidecar that knows 30 to 1,600", perform, ("scan",)
+    ),
 )
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/scale_control.py
@@ -24,7 +24,7 @@
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.emulator.rig import find_network
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.planners.planner_scale import until_up
 from ryepier.experiments.scale import gauged_planner, lightweight, slopes
 from ryepier.experiments.scale.gauged_planner import Gauge
@@ -346,7 +346,7 @@
 
 
 EXPERIMENTS = (
-    Measured(
+    Benchmark(
         "scale-control",
         "one planner as up to 1,600 hollow forwarders report to it",
         perform,
--- a/ryepier/experiments/scale/scale_depth.py
+++ b/ryepier/experiments/scale/scale_depth.py
@@ -15,7 +15,7 @@
 
 from ryepier.balancer.tuning import MAX_RETRY_BUDGET, RETRY_BUDGET_RATIO
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.scale import slopes
 from ryepier.experiments.scale.chains import Chain, Seen, play
 
@@ -119,7 +119,7 @@
 
 
 EXPERIMENTS = (
-    Measured(
+    Benchmark(
         "scale-depth",
         "attempts at the last of up to 11 services that call each other, while it fails",
         perform,
--- a/ryepier/experiments/scale/scale_fail.py
+++ b/ryepier/experiments/scale/scale_fail.py
@@ -17,7 +17,7 @@
 
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.rig import RigError, find_network
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight import Child, Needs
@@ -215,7 +215,7 @@
 
 
 EXPERIMENTS = (
-    Measured(
+    Benchmark(
         "scale-fail", "the loss of a rack, a zone, a region: the list's messages, CPU and time", perform, ("deaf",)
     ),
 )
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/scale_list.py
@@ -20,7 +20,7 @@
 
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.rig import RigError, find_network
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.scale import lightweight, list_parts, slopes, usage
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight import Child, Needs
@@ -347,7 +347,7 @@
 
 
 EXPERIMENTS = (
-    Measured(
+    Benchmark(
         "scale-list", "the list in a sidecar and at discovery, up to 1,600 known converters", perform, ("no-revisions",)
     ),
 )
--- a/ryepier/experiments/simulation/fidelity.py
+++ b/ryepier/experiments/simulation/fidelity.py
@@ -13,7 +13,7 @@
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Scale
 from ryepier.experiments.core.worlds import load
 
 ALIKE = ("steady", "release", "hang", "surge", "sidecar-kill")  # breaking-point measures CPU, of which there is none
@@ -30,10 +30,10 @@
 
 def seen(world: World, history: History) -> dict[str, float]:
     """What is compared of a run."""
-    orders = figures.orders(world, history.tries)
-    latencies = figures.histogram(orders)
+    orders = figures.operations(world, history.tries)
+    latencies = figures.latency_histogram(orders)
     return {
-        "service": figures.service(orders),
+        "service": figures.service_level(orders),
         "p50_ms": latencies.get_value_at_percentile(50) / 1000,
         "p99_ms": latencies.get_value_at_percentile(99) / 1000,
         "attempts_per_try": len(history.attempts) / max(1, len(history.tries)),
@@ -111,11 +111,11 @@
 
 
 EXPERIMENTS = (
-    Measured(
+    Benchmark(
         "sim-agreement",
         "five worlds on sockets and in simulation, figures beside each other",
         compare,
         ("blind", "hold"),
     ),
-    Measured("sim-speed", "simulated seconds a second at 5, 50 and 500 sidecars (full: 3,000 too)", measure_speed, ()),
+    Benchmark("sim-speed", "simulated seconds a second at 5, 50 and 500 sidecars (full: 3,000 too)", measure_speed, ()),
 )
--- a/ryepier/experiments/slices/slicing.py
+++ b/ryepier/experiments/slices/slicing.py
@@ -19,7 +19,7 @@
 from ryepier.emulator.timeline import Verb
 from ryepier.emulator.world import Fault
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import load
 
 SIZES = (1_000, 10_000)
@@ -49,7 +49,7 @@
     ended = {notice.uid for notice in run.history.told if notice.state == "leaving"}
     told = {(notice.sidecar, notice.uid) for notice in run.history.told if notice.state == "leaving"}
     reached = {attempt.uid for attempt in run.history.attempts} & early
-    during = figures.between(fault.at_s, fault.at_s + fault.for_s)
+    during = figures.due_between(fault.at_s, fault.at_s + fault.for_s)
     return [
         Claim("converters seen terminating", len(ended), ">=", 200),
         Claim("terminations told to a sidecar", len(told), ">=", 0.95 * len(fresh) * run.world.sidecars.count),
@@ -59,7 +59,7 @@
             ">=",
             0.95,
         ),
-        Claim("service during the release", figures.service(run.orders, during), ">=", 0.97),
+        Claim("service during the release", figures.service_level(run.operations, during), ">=", 0.97),
     ]
 
 
@@ -82,16 +82,16 @@
 def _outage_claims(run: Run) -> list[Claim]:
     fault = _fault(run, "discovery-down")
     end_s, again_s = fault.at_s + fault.for_s, back_in_step_s(run)
-    after = figures.between(min(end_s + again_s + 0.5, run.world.duration_s - 1.0), run.world.duration_s)
+    after = figures.due_between(min(end_s + again_s + 0.5, run.world.duration_s - 1.0), run.world.duration_s)
     return [
         Claim(
             "service while the API server is away",
-            figures.service(run.orders, figures.between(fault.at_s, end_s)),
+            figures.service_level(run.operations, figures.due_between(fault.at_s, end_s)),
             ">=",
             0.97,
         ),
         Claim("time until all sidecars have the new list (s)", again_s, "<=", 11.0),
-        Claim("service from then on", figures.service(run.orders, after), ">=", 0.98),
+        Claim("service from then on", figures.service_level(run.operations, after), ">=", 0.98),
         Claim(
             "share of attempts to converters that are gone, from then on",
             _to_the_gone(run, end_s + again_s + 0.5),
@@ -252,8 +252,8 @@
         ("never-again",),
     ),
 )
-MEASURED = (
-    Measured(
+BENCHMARKS = (
+    Benchmark(
         "slices-churn",
         "time from a change to the module's event at 1,000 and 10,000 endpoints",
         perform_churn,
--- a/ryepier/experiments/storms/retry_storms.py
+++ b/ryepier/experiments/storms/retry_storms.py
@@ -53,7 +53,9 @@
     rest of the run where that never comes."""
     _, end_s = outage_s(run)
     edges = np.arange(end_s, run.world.duration_s - WINDOW_S, WINDOW_S / 2)
-    served = [figures.service(run.orders, figures.between(at_s, at_s + WINDOW_S)) >= WELL for at_s in edges]
+    served = [
+        figures.service_level(run.operations, figures.due_between(at_s, at_s + WINDOW_S)) >= WELL for at_s in edges
+    ]
     for index, at_s in enumerate(edges):
         if all(served[index:]):
             return float(at_s - end_s)
@@ -91,20 +93,22 @@
 
 
 def _storm_figures(run: Run) -> Mapping[str, float]:
-    assert run.other is not None
+    assert run.control is not None
     result = {
         "storms_opened": float(opened(run)),
         "advice_alike": advice_alike(run),
-        "advice_alike_without": advice_alike(run.other),
+        "advice_alike_without": advice_alike(run.control),
     }
-    for name, one in (("with", run), ("without", run.other)):
+    for name, one in (("with", run), ("without", run.control)):
         result[f"back_after_s_{name}"] = back_after_s(one)
         result[f"refused_first_{name}"] = refused_share(one, later=False)
         result[f"refused_later_{name}"] = refused_share(one, later=True)
-        result[f"service_{name}"] = figures.service(one.orders)
+        result[f"service_{name}"] = figures.service_level(one.operations)
         result[f"tries_{name}"] = len(one.history.tries)
         _, end_s = outage_s(one)
-        result[f"service_after_{name}"] = figures.service(one.orders, figures.between(end_s, one.world.duration_s))
+        result[f"service_after_{name}"] = figures.service_level(
+            one.operations, figures.due_between(end_s, one.world.duration_s)
+        )
     result["recovery_ratio"] = max(WINDOW_S / 2, result["back_after_s_with"]) / max(
         WINDOW_S / 2, result["back_after_s_without"]
     )
@@ -114,9 +118,9 @@
 def _storm_claims(run: Run) -> list[Claim]:
     got = _storm_figures(run)
     begin_s, end_s = outage_s(run)
-    before = figures.between(1.0, begin_s - 3.0)  # what comes later may be lost to the outage
+    before = figures.due_between(1.0, begin_s - 3.0)  # what comes later may be lost to the outage
     return [
-        Claim("service before the outage", figures.service(run.orders, before), ">=", 0.97),
+        Claim("service before the outage", figures.service_level(run.operations, before), ">=", 0.97),
         Claim(
             "time until service is back (s)",
             got["back_after_s_with"],
@@ -163,9 +167,9 @@
 
 def _again_claims(run: Run) -> list[Claim]:
     second = run.world.faults[-1]
-    out = figures.between(second.at_s + second.for_s, over_s(second) - 3.0)
+    out = figures.due_between(second.at_s + second.for_s, over_s(second) - 3.0)
     return [
-        Claim("service in the second outage", figures.service(run.orders, out), "<=", 1.0 - LEAST_LOST),
+        Claim("service in the second outage", figures.service_level(run.operations, out), "<=", 1.0 - LEAST_LOST),
         *_storm_claims(run),
     ]
 
@@ -204,16 +208,16 @@
 
 
 def _one_claims(run: Run) -> list[Claim]:
-    assert run.other is not None
+    assert run.control is not None
 
     def others(item: Try) -> bool:
         return item.sidecar != STRUCK
 
-    lost = figures.service(run.other.orders, others) - figures.service(run.orders, others)
+    lost = figures.service_level(run.control.operations, others) - figures.service_level(run.operations, others)
     return [
         Claim("the struck sidecar's guard opened", f"sidecar-{STRUCK}.log" in _opened_at(run), "==", 1),
         Claim("other guards that opened", len(_opened_at(run) - {f"sidecar-{STRUCK}.log"}), "==", 0),
-        Claim("service of the others", figures.service(run.orders, others), ">=", 0.97),
+        Claim("service of the others", figures.service_level(run.operations, others), ">=", 0.97),
         Claim("service of the others lost to the guard (points)", 100 * lost, "<=", 0.5),
         Claim("time until service is back (s)", back_after_s(run), "<=", BACK_WITHIN_S[False]),
         Claim("share of refusals of one moment told the same", advice_alike(run), "<=", 0.5),
@@ -224,11 +228,11 @@
 
 
 def _surge_claims(run: Run) -> list[Claim]:
-    assert run.other is not None
+    assert run.control is not None
     fault = _fault(run, "surge")
-    during = figures.between(fault.at_s, fault.at_s + fault.for_s)
-    lost = figures.service(run.other.orders, during) - figures.service(run.orders, during)
-    whole = figures.service(run.other.orders) - figures.service(run.orders)
+    during = figures.due_between(fault.at_s, fault.at_s + fault.for_s)
+    lost = figures.service_level(run.control.operations, during) - figures.service_level(run.operations, during)
+    whole = figures.service_level(run.control.operations) - figures.service_level(run.operations)
     return [
         Claim("times that a guard took the surge for a storm", opened(run), "==", 0),
         Claim("service in the surge lost to the guard (points)", 100 * lost, "<=", 2.0),
@@ -253,7 +257,7 @@
         _storm_claims,
         ("no-spread",),
         _storm_figures,
-        paired=without_guard,
+        control_world=without_guard,
     )
 
 
@@ -266,7 +270,7 @@
         _again_claims,
         ("no-spread",),
         _storm_figures,
-        paired=without_guard,
+        control_world=without_guard,
     ),
     Experiment(
         "retry-storm-blind",
@@ -275,7 +279,7 @@
         _storm_claims,
         ("no-spread",),
         _storm_figures,
-        paired=without_guard,
+        control_world=without_guard,
     ),
     Experiment(
         "retry-storm-one",
@@ -283,7 +287,7 @@
         _one_world,
         _one_claims,
         ("no-spread",),
-        paired=without_guard,
+        control_world=without_guard,
     ),
     Experiment(
         "real-surge",
@@ -291,6 +295,6 @@
         lambda scale: load("real-surge"),
         _surge_claims,
         ("jumpy",),
-        paired=without_guard,
+        control_world=without_guard,
     ),
 )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from ryepier.cli import main
-from ryepier.experiments.catalogue import MEASURED
+from ryepier.experiments.catalogue import BENCHMARKS
 from ryepier.experiments.scale import capacity, capacity_rows
 from ryepier.experiments.scale.capacity import CapacityError, Kept, Plan, Row, on_line
 from ryepier.experiments.scale.capacity_rows import ROWS
@@ -153,7 +153,7 @@
 
 def test_every_row_names_an_experiment_that_exists_or_says_how_it_would_be_measured() -> None:
     measured = {row.experiment for row in ROWS if row.work is not None}
-    assert measured <= MEASURED.keys()
+    assert measured <= BENCHMARKS.keys()
     assert all(row.note for row in ROWS if row.work is None or not row.mechanism)
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -277,7 +277,7 @@
     assert judge(world, history) == []
     assert sum(life.killed for life in history.lives) == 1 and len(history.lives) == 3
     assert {"served", "left"} <= {item.ending for item in history.tries}
-    assert figures.service(figures.orders(world, history.tries), figures.between(0.0, 0.9)) > 0.8
+    assert figures.service_level(figures.operations(world, history.tries), figures.due_between(0.0, 0.9)) > 0.8
     texts = [happening.text for happening in history.happenings]
     assert "c-0006: release start" in texts and "sidecar 1: kill" in texts
     config = json.loads((tmp_path / "sidecar-0.json").read_text())
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -21,7 +21,7 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import catalogue, seeded_faults
 from ryepier.experiments.core import contract, judge, report
-from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Run
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError
 
 RECORDED = Path(__file__).parent / "fixtures" / "experiments_interface.json"
@@ -44,10 +44,10 @@
 def run_without_traffic(experiment: Experiment, folder: Path) -> Run:
     world = experiment.world("small")
     run = empty_run(world, folder)
-    if experiment.paired is None:
+    if experiment.control_world is None:
         return run
-    other = empty_run(experiment.paired(world), folder)
-    return Run(run.world, run.seed, run.history, run.orders, run.breaches, run.folder, other)
+    other = empty_run(experiment.control_world(world), folder)
+    return Run(run.world, run.seed, run.history, run.operations, run.breaches, run.folder, other)
 
 
 def claim_names(experiment: Experiment, folder: Path) -> list[str]:
@@ -86,8 +86,8 @@
 def test_experiments_keep_their_names_and_seeded_faults(name: str) -> None:
     one = command.ALL[name]
     before = recorded()["experiments"][name]
-    assert list(one.plants) == before["seeded_faults"]
-    assert isinstance(one, Measured) == before["measured"]
+    assert list(one.seeded_faults) == before["seeded_faults"]
+    assert isinstance(one, Benchmark) == before["measured"]
 
 
 @pytest.mark.parametrize("name", sorted(recorded()["claims"]))
@@ -133,10 +133,10 @@
 
 
 def test_a_result_is_written_with_the_recorded_fields(tmp_path: Path) -> None:
-    stub = Measured(
+    stub = Benchmark(
         "stub", "", lambda seed, scale, folder, plant: ([Claim("one", 1.0, "<=", 2.0)], {"figure": 3.0}), ()
     )
-    contract.perform_measured(stub, 1, "small", tmp_path)
+    contract.run_benchmark(stub, 1, "small", tmp_path)
     written = json.loads((tmp_path / "result.json").read_text())
     assert list(written) == recorded()["result"]["fields"]
     assert list(written["claims"][0]) == recorded()["result"]["claim_fields"]
@@ -161,7 +161,7 @@
     ],
 )
 def test_exit_codes(measure: Any, exit_code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(command.ALL, "scale-depth", Measured("scale-depth", "", measure, ("no-budget",)))
+    monkeypatch.setitem(command.ALL, "scale-depth", Benchmark("scale-depth", "", measure, ("no-budget",)))
     arguments = ["experiment", "run", "scale-depth", "--out", str(tmp_path)]
     assert CliRunner().invoke(cli.main, arguments).exit_code == exit_code
 
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -12,7 +12,7 @@
 from ryepier.emulator.timeline import Verb, Who
 from ryepier.emulator.world import Clients, Converters, Discovery, Fault, RequestClass, Rig, Sidecars, World
 from ryepier.experiments.core import figures, judge
-from ryepier.experiments.core.contract import Run, on_time
+from ryepier.experiments.core.contract import Run, lateness_claim
 from ryepier.experiments.load_spread import processes, processes_machine, processes_worlds
 from ryepier.experiments.load_spread import processes_figures as spread
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine
@@ -55,9 +55,9 @@
     all the same. Fails where every one was void: the test has then shown nothing."""
     for _ in range(MOST_PLAYS):
         history = rig.play(world, SEED, folder)
-        orders, breaches = figures.orders(world, history.tries), judge.judge(world, history)
+        orders, breaches = figures.operations(world, history.tries), judge.judge(world, history)
         run = Run(world, SEED, history, orders, breaches, folder)
-        late = on_time(run, None)
+        late = lateness_claim(run, None)
         if late.holds:
             return run
         broken = [breach for breach in breaches if breach.rule in TIMELESS]
@@ -80,7 +80,7 @@
 
 def service(run: Run, begin_s: float) -> float:
     """From a moment on."""
-    return figures.service(run.orders, figures.between(begin_s, run.world.duration_s))
+    return figures.service_level(run.operations, figures.due_between(begin_s, run.world.duration_s))
 
 
 def test_a_third_of_the_sidecars_killed_and_started_again_at_once(tmp_path: Path) -> None:
@@ -100,7 +100,7 @@
     run = play(a_world(Fault(kind="sidecar-hang", at_s=1.2, for_s=1.0, index=0)), tmp_path)
     assert len(run.history.lives[0].stalls) == 1
     assert_well(run, 0.9)
-    assert figures.service(run.orders, lambda item: item.sidecar != 0) >= 0.95
+    assert figures.service_level(run.operations, lambda item: item.sidecar != 0) >= 0.95
     assert service(run, 2.7) >= 0.95
 
 
@@ -178,7 +178,7 @@
     assert service(run, after_s) >= 0.95
     struck = {step.index for step in timeline.build(run.world, SEED).steps if step.who is Who.CONVERTER}
     uids = {f"c-{index:04x}" for index in struck}
-    to_struck, to_all = figures.attempts_between(run.history.attempts, uids, after_s, run.world.duration_s)
+    to_struck, to_all = figures.count_attempts(run.history.attempts, uids, after_s, run.world.duration_s)
     assert 0 < to_struck <= to_all / 9 * len(uids) * 1.3
 
 
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -13,7 +13,7 @@
 
 from ryepier.cli import main
 from ryepier.commands import experiment
-from ryepier.experiments.core.contract import Measured
+from ryepier.experiments.core.contract import Benchmark
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine, Needs
 
@@ -96,7 +96,7 @@
     def ask(*_: object) -> NoReturn:
         raise InsufficientResourcesError("9 processes asked for, at most 8 may be")
 
-    monkeypatch.setitem(experiment.ALL, "planner-scale", Measured("planner-scale", "", ask, ()))
+    monkeypatch.setitem(experiment.ALL, "planner-scale", Benchmark("planner-scale", "", ask, ()))
     got = CliRunner().invoke(main, ["experiment", "run", "planner-scale", "--out", str(tmp_path)])
     assert got.exit_code == 2 and "9 processes" in got.stderr
 
