--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -90,15 +90,31 @@
     measures_cpu: bool = False  # which virtual time has none of
 
 
+@dataclass(frozen=True, slots=True)
+class TrialConfig:
+    """How to run a benchmark once."""
+
+    seed: int
+    scale: Scale
+    folder: Path  # for whatever its processes write
+    seeded_fault: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class Measurement:
+    """The result of one trial of a benchmark."""
+
+    claims: list[Claim]
+    figures: Mapping[str, float]
+
+
 @dataclass(frozen=True, slots=True)
 class Benchmark:
     """An experiment without a world: it measures a part by itself, and leaves no history."""
 
     name: str
     question: str
-    measure: Callable[
-        [int, Scale, Path, str], tuple[list[Claim], Mapping[str, float]]
-    ]  # seed, scale, folder, seeded_fault
+    measure: Callable[[TrialConfig], Measurement]
     seeded_faults: Sequence[str]
 
 
@@ -195,9 +211,9 @@
 def run_benchmark(experiment: Benchmark, seed: int, scale: Scale, folder: Path, seeded_fault: str = "") -> list[Claim]:
     """Measure, and write the result into `folder`. Raises rig.RigError where it could not be done."""
     folder.mkdir(parents=True, exist_ok=True)
-    claims, found = experiment.measure(seed, scale, folder, seeded_fault)
-    save_result(folder, make_result(experiment.name, seed, scale, claims, found, seeded_fault))
-    return claims
+    measured = experiment.measure(TrialConfig(seed, scale, folder, seeded_fault))
+    save_result(folder, make_result(experiment.name, seed, scale, measured.claims, measured.figures, seeded_fault))
+    return measured.claims
 
 
 def make_result(
--- a/ryepier/experiments/graphql/graphql_front.py
+++ b/ryepier/experiments/graphql/graphql_front.py
@@ -13,7 +13,7 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Run, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.graphql.query_resets import LEAST_SENT_AGAIN, query_resets
 
@@ -112,12 +112,15 @@
     return (samples[-1][1] - samples[0][1]) / max(1, came)
 
 
-def perform_cost(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform_cost(trial: TrialConfig) -> Measurement:
     """Plain, GraphQL's usual documents, and documents that are never the same; all with the same command."""
-    cast = rig.Cast(sidecar_command=seeded_faults.command(plant) if plant else rig.FORWARDER)
+    cast = rig.Cast(sidecar_command=seeded_faults.command(trial.seeded_fault) if trial.seeded_fault else rig.FORWARDER)
     got = {
         kind: cpu_us(
-            _cost_world(kind), seed, folder / kind, cast if kind == "usual" else rig.Cast(sidecar_command=rig.FORWARDER)
+            _cost_world(kind),
+            trial.seed,
+            trial.folder / kind,
+            cast if kind == "usual" else rig.Cast(sidecar_command=rig.FORWARDER),
         )
         for kind in ("no", "usual", "unique")
     }
@@ -126,13 +129,16 @@
         Claim("CPU of a request, GraphQL with usual documents over plain HTTP", usual, "<=", 1.3),
         Claim("CPU of a request, GraphQL with new documents over plain HTTP", unique, "<=", 3.0),
     ]
-    return claims, {
-        "plain_us": got["no"],
-        "usual_us": got["usual"],
-        "unique_us": got["unique"],
-        "usual_ratio": usual,
-        "unique_ratio": unique,
-    }
+    return Measurement(
+        claims,
+        {
+            "plain_us": got["no"],
+            "usual_us": got["usual"],
+            "unique_us": got["unique"],
+            "usual_ratio": usual,
+            "unique_ratio": unique,
+        },
+    )
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/load_spread/even.py
+++ b/ryepier/experiments/load_spread/even.py
@@ -2,10 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from pathlib import Path
-
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.load_spread import measures
 from ryepier.experiments.load_spread.plays import Played, Task, perform
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan
@@ -64,23 +61,23 @@
     }
 
 
-def measure(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def measure(trial: TrialConfig) -> Measurement:
     """Each load with the balancer, or the planted mistake, and with the draw as it was."""
     tasks = [
-        Task(plan, seed, how, int(plan.duration_us * COUNTED_FROM))
-        for plan in PLANS[scale].values()
-        for how in (plant, BEFORE)
+        Task(plan, trial.seed, how, int(plan.duration_us * COUNTED_FROM))
+        for plan in PLANS[trial.scale].values()
+        for how in (trial.seeded_fault, BEFORE)
     ]
     played = perform(tasks)
     claims: list[Claim] = []
     figures: dict[str, float] = {}
-    for number, (load, plan) in enumerate(PLANS[scale].items()):
+    for number, (load, plan) in enumerate(PLANS[trial.scale].items()):
         now, before = played[2 * number], played[2 * number + 1]
         claims += _claims(load, now, before)
         figures |= _figures(load, now, plan.sidecars)
         figures[f"{load}_p99_over_before"] = now.p99_ms / before.p99_ms
         figures |= _figures(f"{load}_before", before, plan.sidecars)
-    return claims, figures
+    return Measurement(claims, figures)
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/load_spread/returned.py
+++ b/ryepier/experiments/load_spread/returned.py
@@ -2,12 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from pathlib import Path
-
 import numpy as np
 
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.load_spread import measures
 from ryepier.experiments.load_spread.plays import Played, Task, perform
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan, Outage
@@ -43,10 +40,10 @@
     return [float(share) for share in counts[returned] / counts[~returned].mean()]
 
 
-def measure(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def measure(trial: TrialConfig) -> Measurement:
     """With slow start and without."""
-    plans = {name: plan(scale, warm_up_us) for name, warm_up_us in WARM_UPS_US.items()}
-    tasks = [Task(one, seed, plant, one.duration_us - SEEN_US) for one in plans.values()]
+    plans = {name: plan(trial.scale, warm_up_us) for name, warm_up_us in WARM_UPS_US.items()}
+    tasks = [Task(one, trial.seed, trial.seeded_fault, one.duration_us - SEEN_US) for one in plans.values()]
     claims: list[Claim] = []
     figures: dict[str, float] = {}
     for name, played in zip(plans, perform(tasks), strict=True):
@@ -59,7 +56,7 @@
         ]
         key = name.replace(" ", "_")
         figures |= {f"{key}_least_share": min(found), f"{key}_most_share": max(found), f"{key}_mean_share": mean}
-    return claims, figures
+    return Measurement(claims, figures)
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 import itertools
-from collections.abc import Mapping
 from dataclasses import replace
-from pathlib import Path
 
 import msgspec
 
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS
@@ -86,17 +84,21 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Play it once. Raises RigError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
-    planned = [requests_of(one) for one in draw_requests(world, seed) if one.fits]
-    scenario = Scenario(MAY_BE_OUT, LEAST_PART, planned, cut_and_heal, plant, relayed=True)
-    rig = MaintenanceRig(world, seed, folder, scenario)
+    planned = [requests_of(one) for one in draw_requests(world, trial.seed) if one.fits]
+    scenario = Scenario(MAY_BE_OUT, LEAST_PART, planned, cut_and_heal, trial.seeded_fault, relayed=True)
+    rig = MaintenanceRig(world, trial.seed, trial.folder, scenario)
     outcome = outcomes.play(rig)
-    return claims(outcome), outcomes.common_figures(outcome) | {
-        "frames_doubled": float(sum(relay.doubled for relay in rig.relays)),
-        "allowance_changes_seen": float(moves(outcome)),
-    }
+    return Measurement(
+        claims(outcome),
+        outcomes.common_figures(outcome)
+        | {
+            "frames_doubled": float(sum(relay.doubled for relay in rig.relays)),
+            "allowance_changes_seen": float(moves(outcome)),
+        },
+    )
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -4,13 +4,12 @@
 
 import asyncio
 import shutil
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Awaitable, Callable
 from dataclasses import replace
 from functools import partial
-from pathlib import Path
 
 from ryepier.emulator.process import monotonic_us
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS, replica_names
@@ -166,15 +165,17 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Play it once. Raises RigError."""
     world = load("maintenance")
-    planned = [replace(one, deadline_in_ms=DEADLINE_MS) for one in draw_requests(world, seed) if one.fits]
+    planned = [replace(one, deadline_in_ms=DEADLINE_MS) for one in draw_requests(world, trial.seed) if one.fits]
     outcome = outcomes.play(
-        MaintenanceRig(world, seed, folder, Scenario(MAY_BE_OUT, LEAST_PART, planned, strike, plant))
+        MaintenanceRig(
+            world, trial.seed, trial.folder, Scenario(MAY_BE_OUT, LEAST_PART, planned, strike, trial.seeded_fault)
+        )
     )
     grants = {f"next_grant_{number}_s": value for number, value in enumerate(next_grant_s(outcome))}
-    return claims(outcome), outcomes.common_figures(outcome) | grants
+    return Measurement(claims(outcome), outcomes.common_figures(outcome) | grants)
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
-from pathlib import Path
+from collections.abc import Sequence
 
 import numpy as np
 
 from ryepier.emulator import draws
 from ryepier.emulator.world import World
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS, region_converters
@@ -132,12 +131,16 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Play it once. Raises RigError."""
     world = load("maintenance")
-    planned = draw_requests(world, seed)
-    outcome = outcomes.play(MaintenanceRig(world, seed, folder, Scenario(MAY_BE_OUT, LEAST_PART, planned, plant=plant)))
-    return claims(outcome, planned), outcomes.common_figures(outcome)
+    planned = draw_requests(world, trial.seed)
+    outcome = outcomes.play(
+        MaintenanceRig(
+            world, trial.seed, trial.folder, Scenario(MAY_BE_OUT, LEAST_PART, planned, plant=trial.seeded_fault)
+        )
+    )
+    return Measurement(claims(outcome, planned), outcomes.common_figures(outcome))
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/planners/planner_reconnect.py
+++ b/ryepier/experiments/planners/planner_reconnect.py
@@ -7,15 +7,13 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Mapping
-from pathlib import Path
 
 import numpy as np
 
 from ryepier.assembly.planning import make_machine
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
 from ryepier.plan.forwarder import MAX_BACKOFF_S, Forwarder, Settings, Sidecar
 from ryepier.plan.messages import Heartbeat, Term, encode
 from ryepier.plan.plan_follower import AcceptanceRules
@@ -110,22 +108,22 @@
         pass  # how many came is what is measured
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Each size and each time away."""
-    if plant:
-        seeded_faults.SEEDED_FAULTS[plant]()
+    if trial.seeded_fault:
+        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
     figures: dict[str, float] = {}
     claims = []
-    for size in SIZES[scale]:
+    for size in SIZES[trial.scale]:
         for down_s in DOWN_S:
-            row = asyncio.run(come_back(size, down_s, seed))
+            row = asyncio.run(come_back(size, down_s, trial.seed))
             figures |= {f"{name}_{size}_down_{down_s:g}s": value for name, value in row.items()}
             claims.append(Claim(f"share of {size} that came back after {down_s:g} s away", row["back"], "==", 1.0))
         claims += [
             Claim(f"time until all {size} are back (s)", row["back_after_s"], "<=", MAX_BACKOFF_S + 0.5),
             Claim(f"greatest share of {size} that came within {WINDOW_S:g} s", row["peak_share"], "<=", 0.3),
         ]
-    return claims, figures
+    return Measurement(claims, figures)
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/planners/planner_scale.py
+++ b/ryepier/experiments/planners/planner_scale.py
@@ -10,7 +10,7 @@
 import os
 import subprocess
 import time
-from collections.abc import Mapping, Sequence
+from collections.abc import Sequence
 from pathlib import Path
 
 import numpy as np
@@ -18,7 +18,7 @@
 from ryepier.emulator import draws
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.emulator.rig import PLANNER, TICKS_PER_S, RigError, find_network
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
 
 SIZES = (50, 200, 1000)
@@ -133,9 +133,12 @@
         process.wait()
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """All sizes, one after another."""
-    rows = {count: one_size(count, seed, scale, folder, plant == "whole-reports") for count in SIZES}
+    rows = {
+        count: one_size(count, trial.seed, trial.scale, trial.folder, trial.seeded_fault == "whole-reports")
+        for count in SIZES
+    }
     figures = {f"{name}_{count}": value for count, row in rows.items() for name, value in row.items()}
     most, few = rows[SIZES[-1]], rows[SIZES[-2]]
     growth = most["cores"] / max(1e-3, few["cores"]) / (SIZES[-1] / SIZES[-2])
@@ -146,7 +149,7 @@
         Claim("bytes a second to a planner, a forwarder", most["bytes_in_per_s"] / SIZES[-1], "<=", 1500),
         Claim("plans a second that each of 1,000 forwarders gets", most["plans_per_s_a_forwarder"], ">=", 1.5),
     ]
-    return claims, figures
+    return Measurement(claims, figures)
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -33,7 +33,7 @@
 from ryepier.emulator.rig import SIDECAR, RigError, find_network
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.planners.planner_scale import until_up
 from ryepier.experiments.scale import lightweight, slopes
@@ -417,17 +417,17 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """The whole of it, with how busy the machine was."""
     lightweight.check(lightweight.Needs(4, BYTES_NEEDED, 3 * MOST_LINES), lightweight.this_machine())
-    if plant:
-        seeded_faults.SEEDED_FAULTS[plant]()  # into this process too, where the module runs alone
+    if trial.seeded_fault:
+        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # into this process too, where the module runs alone
     found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
-    found |= {f"module_us_a_call_{known}_known": module_us_a_call(known, seed) for known in KNOWN}
-    found |= asyncio.run(measure(seed, scale, folder, plant))
+    found |= {f"module_us_a_call_{known}_known": module_us_a_call(known, trial.seed) for known in KNOWN}
+    found |= asyncio.run(measure(trial.seed, trial.scale, trial.folder, trial.seeded_fault))
     found |= {"load_average_after": os.getloadavg()[0], "pace_after": pace()}
     found |= summary(found)
-    return claims_of(found), finite(found)
+    return Measurement(claims_of(found), finite(found))
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/scale_control.py
@@ -24,7 +24,7 @@
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.emulator.rig import find_network
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.planners.planner_scale import until_up
 from ryepier.experiments.scale import gauged_planner, lightweight, slopes
 from ryepier.experiments.scale.gauged_planner import Gauge
@@ -330,19 +330,19 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Each number of converters in use, one after another."""
-    plan = PLANTED_SIZES if plant else SIZES[scale]
+    plan = PLANTED_SIZES if trial.seeded_fault else SIZES[trial.scale]
     most = max(max(sizes) for sizes in plan.values())
-    lightweight.check(lightweight.Needs(WORKERS[scale] + 2, BYTES_NEEDED, most), lightweight.this_machine())
+    lightweight.check(lightweight.Needs(WORKERS[trial.scale] + 2, BYTES_NEEDED, most), lightweight.this_machine())
     claims: list[Claim] = []
     found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
     for in_use, sizes in plan.items():
-        rows, whole = asyncio.run(one_fleet(in_use, sizes, seed, scale, folder, plant))
+        rows, whole = asyncio.run(one_fleet(in_use, sizes, trial.seed, trial.scale, trial.folder, trial.seeded_fault))
         found |= figures_of(in_use, rows, whole)
         claims += claims_of(in_use, rows, whole)
     found |= {"load_average_after": os.getloadavg()[0], "pace_after": pace()}
-    return claims, finite(found)
+    return Measurement(claims, finite(found))
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/scale/scale_depth.py
+++ b/ryepier/experiments/scale/scale_depth.py
@@ -9,13 +9,12 @@
 
 import math
 from collections.abc import Mapping
-from pathlib import Path
 
 import msgspec
 
 from ryepier.balancer.tuning import MAX_RETRY_BUDGET, RETRY_BUDGET_RATIO
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.scale import slopes
 from ryepier.experiments.scale.chains import Chain, Seen, play
 
@@ -110,12 +109,12 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """All runs, one after another, in this process; a mistake that is planted stays in it."""
-    if plant:
-        seeded_faults.SEEDED_FAULTS[plant]()
-    rows = {name: row(chain, play(chain)) for name, chain in runs(seed, scale).items()}
-    return claims_of(rows), summary(rows)
+    if trial.seeded_fault:
+        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
+    rows = {name: row(chain, play(chain)) for name, chain in runs(trial.seed, trial.scale).items()}
+    return Measurement(claims_of(rows), summary(rows))
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/scale/scale_fail.py
+++ b/ryepier/experiments/scale/scale_fail.py
@@ -12,12 +12,11 @@
 from collections.abc import AsyncIterator, Mapping, Sequence
 from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
-from pathlib import Path
 from typing import Any
 
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.rig import RigError, find_network
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight import Child, Needs
@@ -206,12 +205,12 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Raises lightweight.InsufficientResourcesError."""
-    lightweight.check(needs(scale), lightweight.this_machine())
-    found = {"load_average": os.getloadavg()[0]} | asyncio.run(play(seed, scale, plant))
-    found |= calculated(found, scale)
-    return claims(found), found
+    lightweight.check(needs(trial.scale), lightweight.this_machine())
+    found = {"load_average": os.getloadavg()[0]} | asyncio.run(play(trial.seed, trial.scale, trial.seeded_fault))
+    found |= calculated(found, trial.scale)
+    return Measurement(claims(found), found)
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/scale_list.py
@@ -13,14 +13,13 @@
 from collections.abc import AsyncIterator, Mapping, Sequence
 from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
-from pathlib import Path
 from typing import Any
 
 import numpy as np
 
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.rig import RigError, find_network
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.scale import lightweight, list_parts, slopes, usage
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight import Child, Needs
@@ -332,18 +331,18 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Both parts. Raises lightweight.InsufficientResourcesError."""
-    lightweight.check(needs(scale), lightweight.this_machine())
+    lightweight.check(needs(trial.scale), lightweight.this_machine())
     busy = {"load_average": os.getloadavg()[0]}
-    rows = asyncio.run(by_known(seed, scale, plant))
-    fleets = asyncio.run(by_fleet(seed, scale, plant))
+    rows = asyncio.run(by_known(trial.seed, trial.scale, trial.seeded_fault))
+    fleets = asyncio.run(by_fleet(trial.seed, trial.scale, trial.seeded_fault))
     found = derived(rows, base_bytes() / MB)
     for known, row in rows.items():
-        row |= list_parts.measure(known, seed)
+        row |= list_parts.measure(known, trial.seed)
     figures = {f"{name}_{known}": value for known, row in rows.items() for name, value in row.items()}
     figures |= {f"fleet_{name}_{count}": value for count, row in fleets.items() for name, value in row.items()}
-    return claims(rows, fleets, found), figures | found | busy
+    return Measurement(claims(rows, fleets, found), figures | found | busy)
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/simulation/fidelity.py
+++ b/ryepier/experiments/simulation/fidelity.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Mapping
-from pathlib import Path
 
 import msgspec
 
@@ -13,7 +11,7 @@
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
-from ryepier.experiments.core.contract import Benchmark, Claim, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
 from ryepier.experiments.core.worlds import load
 
 ALIKE = ("steady", "release", "hang", "surge", "sidecar-kill")  # breaking-point measures CPU, of which there is none
@@ -47,16 +45,16 @@
     return high / low if low else float("inf")
 
 
-def compare(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def compare(trial: TrialConfig) -> Measurement:
     """Each world on both backends, on the same seed."""
     found: dict[str, float] = {}
     claims = []
     for name in ALIKE:
         world = load(name)
-        real = seen(world, rig.play(world, seed, folder / name))
-        if plant:
-            seeded_faults.SEEDED_FAULTS[plant]()
-        virtual = seen(world, simulated.play(world, seed))
+        real = seen(world, rig.play(world, trial.seed, trial.folder / name))
+        if trial.seeded_fault:
+            seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
+        virtual = seen(world, simulated.play(world, trial.seed))
         found |= {f"{name}_{key}_sockets": value for key, value in real.items()}
         found |= {f"{name}_{key}_sim": value for key, value in virtual.items()}
         points = SURGE_POINTS if name == "surge" else SERVICE_POINTS
@@ -72,7 +70,7 @@
             ),
             Claim(f"{name}: breaches, both", real["breaches"] + virtual["breaches"], "==", 0),
         ]
-    return claims, found
+    return Measurement(claims, found)
 
 
 def speed_world(sidecars: int, lasts_s: float) -> World:
@@ -88,14 +86,14 @@
     )
 
 
-def measure_speed(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def measure_speed(trial: TrialConfig) -> Measurement:
     """Simulated seconds a second on one core, at each size of the fleet."""
     found: dict[str, float] = {}
     claims = []
-    for sidecars in (*SIDECARS, QUIET) if scale == "full" else SIDECARS:
-        world = speed_world(sidecars, LASTS_S[scale])
+    for sidecars in (*SIDECARS, QUIET) if trial.scale == "full" else SIDECARS:
+        world = speed_world(sidecars, LASTS_S[trial.scale])
         begun = time.monotonic()
-        history = simulated.play(world, seed)
+        history = simulated.play(world, trial.seed)
         speed = world.duration_s / (time.monotonic() - begun)
         got = seen(world, history)
         found |= {f"speed_{sidecars}": speed, **{f"{key}_{sidecars}": value for key, value in got.items()}}
@@ -107,7 +105,7 @@
             claims.append(
                 Claim(f"simulated seconds a second with {sidecars} sidecars", speed, ">=", LEAST_SPEED[sidecars])
             )
-    return claims, found
+    return Measurement(claims, found)
 
 
 EXPERIMENTS = (
--- a/ryepier/experiments/slices/slicing.py
+++ b/ryepier/experiments/slices/slicing.py
@@ -7,8 +7,6 @@
 import subprocess
 import sys
 import time
-from collections.abc import Mapping
-from pathlib import Path
 
 import numpy as np
 
@@ -19,7 +17,7 @@
 from ryepier.emulator.timeline import Verb
 from ryepier.emulator.world import Fault
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Run, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 
 SIZES = (1_000, 10_000)
@@ -217,9 +215,9 @@
     }
 
 
-def perform_churn(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform_churn(trial: TrialConfig) -> Measurement:
     """Both sizes, one after another."""
-    rows = {size: asyncio.run(churn(size, seed, scale, plant)) for size in SIZES}
+    rows = {size: asyncio.run(churn(size, trial.seed, trial.scale, trial.seeded_fault)) for size in SIZES}
     found = {f"{name}_{size}": value for size, row in rows.items() for name, value in row.items()}
     few, many = (rows[size] for size in SIZES)
     found["p50_growth"] = many["p50_ms"] / few["p50_ms"]
@@ -233,7 +231,7 @@
         Claim("growth of a change's CPU from 1,000 to 10,000 (linear would be 10)", found["cpu_growth"], "<=", 3.0),
         Claim("resident memory at 10,000 endpoints (MB)", many["resident_mb"], "<=", 120),
     ]
-    return claims, found
+    return Measurement(claims, found)
 
 
 EXPERIMENTS = (
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -21,7 +21,7 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import catalogue, seeded_faults
 from ryepier.experiments.core import contract, judge, report
-from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Run
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, TrialConfig
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError
 
 RECORDED = Path(__file__).parent / "fixtures" / "experiments_interface.json"
@@ -126,16 +126,14 @@
 def measuring(value: float) -> Any:
     """A measurement with one claim, which holds for values up to 2."""
 
-    def measure(seed: int, scale: str, folder: Path, plant: str) -> Any:
-        return [Claim("one", value, "<=", 2.0)], {"figure": 3.0}
+    def measure(trial: TrialConfig) -> Measurement:
+        return Measurement([Claim("one", value, "<=", 2.0)], {"figure": 3.0})
 
     return measure
 
 
 def test_a_result_is_written_with_the_recorded_fields(tmp_path: Path) -> None:
-    stub = Benchmark(
-        "stub", "", lambda seed, scale, folder, plant: ([Claim("one", 1.0, "<=", 2.0)], {"figure": 3.0}), ()
-    )
+    stub = Benchmark("stub", "", measuring(1.0), ())
     contract.run_benchmark(stub, 1, "small", tmp_path)
     written = json.loads((tmp_path / "result.json").read_text())
     assert list(written) == recorded()["result"]["fields"]
@@ -144,7 +142,7 @@
 
 
 def raising(error: Exception) -> Any:
-    def measure(seed: int, scale: str, folder: Path, plant: str) -> Any:
+    def measure(trial: TrialConfig) -> Measurement:
         raise error
 
     return measure
