--- a/ryepier/experiments/graphql/graphql_front.py
+++ b/ryepier/experiments/graphql/graphql_front.py
@@ -13,7 +13,7 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.graphql.query_resets import LEAST_SENT_AGAIN, query_resets
 
@@ -69,12 +69,12 @@
 def _resets_claims(run: Run) -> list[Claim]:
     got, resets = _resets_figures(run), query_resets(run)
     least = 100_000 if run.world.duration_s >= FULL_LENGTH_S else 5_000
-    queries = [order for order in run.orders if run.world.classes[order.first.request_class].effect == "idempotent"]
+    queries = [order for order in run.operations if run.world.classes[order.first.request_class].effect == "idempotent"]
     return [
         Claim("requests", got["requests"], ">=", least),
         Claim("share of requests that were reset after they were sent", got["reset_share"], ">=", LEAST_RESETS),
         Claim("mutations that ran twice", got["duplicated_mutations"], "==", 0),
-        Claim("service of queries", figures.service(queries), ">=", 0.98),
+        Claim("service of queries", figures.service_level(queries), ">=", 0.98),
         Claim(
             "resets of queries, with retries to spare, that were sent again",
             resets.share_sent_again,
@@ -112,12 +112,15 @@
     return (samples[-1][1] - samples[0][1]) / max(1, came)
 
 
-def perform_cost(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform_cost(trial: TrialConfig) -> Measurement:
     """Plain, GraphQL's usual documents, and documents that are never the same; all with the same command."""
-    cast = rig.Cast(sidecar_command=seeded_faults.command(plant) if plant else rig.FORWARDER)
+    cast = rig.Cast(sidecar_command=seeded_faults.command(trial.seeded_fault) if trial.seeded_fault else rig.FORWARDER)
     got = {
         kind: cpu_us(
-            _cost_world(kind), seed, folder / kind, cast if kind == "usual" else rig.Cast(sidecar_command=rig.FORWARDER)
+            _cost_world(kind),
+            trial.seed,
+            trial.folder / kind,
+            cast if kind == "usual" else rig.Cast(sidecar_command=rig.FORWARDER),
         )
         for kind in ("no", "usual", "unique")
     }
@@ -126,13 +129,16 @@
         Claim("CPU of a request, GraphQL with usual documents over plain HTTP", usual, "<=", 1.3),
         Claim("CPU of a request, GraphQL with new documents over plain HTTP", unique, "<=", 3.0),
     ]
-    return claims, {
-        "plain_us": got["no"],
-        "usual_us": got["usual"],
-        "unique_us": got["unique"],
-        "usual_ratio": usual,
-        "unique_ratio": unique,
-    }
+    return Measurement(
+        claims,
+        {
+            "plain_us": got["no"],
+            "usual_us": got["usual"],
+            "unique_us": got["unique"],
+            "usual_ratio": usual,
+            "unique_ratio": unique,
+        },
+    )
 
 
 EXPERIMENTS = (
@@ -145,8 +151,8 @@
         _resets_figures,
     ),
 )
-MEASURED = (
-    Measured(
+BENCHMARKS = (
+    Benchmark(
         "graphql-cost",
         "CPU of a request: plain, GraphQL with known and with new documents",
         perform_cost,
--- a/ryepier/experiments/slices/slicing.py
+++ b/ryepier/experiments/slices/slicing.py
@@ -7,8 +7,6 @@
 import subprocess
 import sys
 import time
-from collections.abc import Mapping
-from pathlib import Path
 
 import numpy as np
 
@@ -19,7 +17,7 @@
 from ryepier.emulator.timeline import Verb
 from ryepier.emulator.world import Fault
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 
 SIZES = (1_000, 10_000)
@@ -49,7 +47,7 @@
     ended = {notice.uid for notice in run.history.told if notice.state == "leaving"}
     told = {(notice.sidecar, notice.uid) for notice in run.history.told if notice.state == "leaving"}
     reached = {attempt.uid for attempt in run.history.attempts} & early
-    during = figures.between(fault.at_s, fault.at_s + fault.for_s)
+    during = figures.due_between(fault.at_s, fault.at_s + fault.for_s)
     return [
         Claim("converters seen terminating", len(ended), ">=", 200),
         Claim("terminations told to a sidecar", len(told), ">=", 0.95 * len(fresh) * run.world.sidecars.count),
@@ -59,7 +57,7 @@
             ">=",
             0.95,
         ),
-        Claim("service during the release", figures.service(run.orders, during), ">=", 0.97),
+        Claim("service during the release", figures.service_level(run.operations, during), ">=", 0.97),
     ]
 
 
@@ -82,16 +80,16 @@
 def _outage_claims(run: Run) -> list[Claim]:
     fault = _fault(run, "discovery-down")
     end_s, again_s = fault.at_s + fault.for_s, back_in_step_s(run)
-    after = figures.between(min(end_s + again_s + 0.5, run.world.duration_s - 1.0), run.world.duration_s)
+    after = figures.due_between(min(end_s + again_s + 0.5, run.world.duration_s - 1.0), run.world.duration_s)
     return [
         Claim(
             "service while the API server is away",
-            figures.service(run.orders, figures.between(fault.at_s, end_s)),
+            figures.service_level(run.operations, figures.due_between(fault.at_s, end_s)),
             ">=",
             0.97,
         ),
         Claim("time until all sidecars have the new list (s)", again_s, "<=", 11.0),
-        Claim("service from then on", figures.service(run.orders, after), ">=", 0.98),
+        Claim("service from then on", figures.service_level(run.operations, after), ">=", 0.98),
         Claim(
             "share of attempts to converters that are gone, from then on",
             _to_the_gone(run, end_s + again_s + 0.5),
@@ -217,9 +215,9 @@
     }
 
 
-def perform_churn(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform_churn(trial: TrialConfig) -> Measurement:
     """Both sizes, one after another."""
-    rows = {size: asyncio.run(churn(size, seed, scale, plant)) for size in SIZES}
+    rows = {size: asyncio.run(churn(size, trial.seed, trial.scale, trial.seeded_fault)) for size in SIZES}
     found = {f"{name}_{size}": value for size, row in rows.items() for name, value in row.items()}
     few, many = (rows[size] for size in SIZES)
     found["p50_growth"] = many["p50_ms"] / few["p50_ms"]
@@ -233,7 +231,7 @@
         Claim("growth of a change's CPU from 1,000 to 10,000 (linear would be 10)", found["cpu_growth"], "<=", 3.0),
         Claim("resident memory at 10,000 endpoints (MB)", many["resident_mb"], "<=", 120),
     ]
-    return claims, found
+    return Measurement(claims, found)
 
 
 EXPERIMENTS = (
@@ -252,8 +250,8 @@
         ("never-again",),
     ),
 )
-MEASURED = (
-    Measured(
+BENCHMARKS = (
+    Benchmark(
         "slices-churn",
         "time from a change to the module's event at 1,000 and 10,000 endpoints",
         perform_churn,
