--- /dev/null
+++ b/tests/maintenance_fixtures.py
@@ -0,0 +1,200 @@
+"""Writes all that the maintenance coordinators store or send, as named hex lines, for tests/fixtures.
+
+The fixtures were written by revision f922cf1, before its types were renamed; this script has the present names.
+Run: python -m tests.maintenance_fixtures > tests/fixtures/maintenance_formats.hex
+"""
+
+from __future__ import annotations
+
+import tempfile
+from pathlib import Path
+
+import msgspec
+
+from ryepier.maintenance import agreement, api, commands, fleet, results, transport
+from ryepier.maintenance.commands import Command, Priority, Request, Sighting, Standing, Transfer
+from ryepier.maintenance.ledger import Ledger
+from ryepier.maintenance.replication import messages, storage
+from ryepier.maintenance.replication.core import Ready
+from ryepier.maintenance.replication.messages import Entry, HardState
+
+FOLDER = Path(__file__).parent / "fixtures"
+AGREEMENT = agreement.parse((FOLDER / "maintenance_agreement.toml").read_bytes())
+REGION = "north"
+IDENTITY = storage.Identity("north", "north-0", ("north-0", "north-1", "north-2"))
+HERE = tuple(one.name for one in AGREEMENT.converters_of("convert", REGION))
+
+
+def request(name: str, converters: tuple[str, ...], **changes: object) -> Request:
+    """A request of the fixtures' region."""
+    fields: dict[str, object] = {
+        "name": name,
+        "region": REGION,
+        "service": "convert",
+        "converters": converters,
+        "at_once": 1,
+        "duration_ms": 10_000,
+        "earliest_ms": 0,
+        "deadline_ms": 100_000,
+    }
+    return Request(**{**fields, **changes})  # type: ignore[arg-type]
+
+
+def observation(sequence: int, as_of: int, *sightings: Sighting) -> Command:
+    """What north-0 has observed."""
+    return commands.RecordObservation("north-0", sequence, as_of, sightings)
+
+
+def ready(*names: str) -> tuple[Sighting, ...]:
+    """These converters, ready and warm."""
+    return tuple(Sighting(name, True, commands.FULL_WARMTH) for name in names)
+
+
+def log() -> list[Command]:
+    """Every command, so that the ledger ends with a lease in each state that an open one can have."""
+    outward = Transfer("north", "south", 1, "convert", 250)
+    return [
+        commands.SubmitRequest(request("early", ("n00",))),
+        commands.GrantLease("too-early", "early", "agent-1", ("n00",)),  # nothing has been observed yet
+        observation(1, 2, *ready(*HERE, "p0", "p1")),
+        commands.AdvanceTime(1_500),
+        commands.GrantLease("l1", "early", "agent-1", ("n00",)),
+        commands.TakeOverLease("l1", "agent-2", 1),
+        commands.BeginDrain("l1", 1),
+        commands.BeginDrain("l1", 2),
+        commands.ReleaseLease("l1", 2),
+        observation(2, 9, *ready("n00")),
+        commands.SubmitRequest(request("zone", (), zone="z0", at_once=3, priority=Priority.URGENT)),
+        commands.SubmitRequest(request("pair", ("n10", "n11"), at_once=2, priority=Priority.CONVENIENT)),
+        commands.CreditTransfer(Transfer("south", "north", 1, "convert", 500)),
+        commands.CreditTransfer(Transfer("south", "north", 3, "convert", 500)),
+        commands.CreditTransfer(Transfer("south", "north", 3, "convert", 500)),
+        commands.DebitTransfer(outward),
+        commands.AcknowledgeTransfer(outward),
+        commands.DebitTransfer(Transfer("north", "south", 2, "convert", 250)),
+        commands.DebitTransfer(Transfer("north", "south", 3, "convert", 9_000)),
+        commands.GrantLease("l2", "zone", "agent-1", ("n00",)),
+        commands.BeginDrain("l2", 3),
+        commands.GrantLease("l3", "zone", "agent-1", ("n01",)),
+        commands.BeginDrain("l3", 4),
+        commands.ReleaseLease("l3", 4),
+        commands.GrantLease("l4", "pair", "agent-1", ("n10",)),
+        commands.CallOff("l4"),
+        commands.GrantLease("l5", "pair", "agent-1", ("n11",)),
+        commands.RecordStanding("south", 7, {"convert": Standing(0, 1_000), "print": Standing()}),
+        commands.RecordStanding("south", 6, {}),
+        commands.SubmitRequest(request("missed", ("p0",), service="print", duration_ms=100, deadline_ms=3_000)),
+        commands.CancelRequest("early"),
+        commands.CancelRequest("nobody"),
+        commands.CancelRequest("pair"),
+        commands.AdvanceTime(4_000),
+        observation(3, 34, *ready("n10", "n11")),
+        commands.GrantLease("l6", "zone", "agent-1", ("n02",)),
+        observation(4, 36, Sighting("n12", False, 0), Sighting("n11", True, 400)),
+        observation(4, 37, *ready("n12")),
+        observation(5, 38, *ready("n12", "n11")),
+        commands.SubmitRequest(request("open", ("n11",), earliest_ms=5_000)),
+        commands.GrantLease("l7", "open", "agent-1", ("n11",)),
+    ]
+
+
+def applied_log() -> tuple[Ledger, list[results.Result]]:
+    """The ledger after the log, and what applying each entry gave."""
+    ledger = Ledger(AGREEMENT, REGION)
+    return ledger, [ledger.apply(index, command) for index, command in enumerate(log(), 1)]
+
+
+def state_file() -> bytes:
+    """The file of a replica: first an entry that a later leader has replaced, then the log."""
+    entries = tuple(Entry(3, commands.encode(command)) for command in log())
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        storage.create(folder, IDENTITY)
+        file = storage.FileStorage(folder, IDENTITY)
+        file.save(Ready(HardState(1, "north-1"), 1, (Entry(1, b""), Entry(1, b"replaced")), (), ()))
+        file.save(Ready(HardState(2, "", 2), 0, (), (), ()))
+        file.save(Ready(HardState(3, "north-0"), 2, entries, (), ()))
+        file.close()
+        return file.path.read_bytes()
+
+
+def replica_frames() -> list[api.Frame]:
+    """Between the coordinators of a region."""
+    return [
+        api.PeerHello(api.VERSION, "north", "north-0", AGREEMENT.digest),
+        messages.RequestVote(3, 9, 2),
+        messages.VoteResponse(3, True),
+        messages.AppendEntries(3, 9, 2, (Entry(3, b""), Entry(3, commands.encode(log()[3]))), 9),
+        messages.AppendEntries(3, 11, 3, (), 11),
+        messages.AppendResponse(3, False, 4),
+        messages.RecoveryRequest(2**62 + 1),
+        messages.RecoveryResponse(2**62 + 1, 3),
+    ]
+
+
+def call_frames() -> list[api.Frame]:
+    """From operators, agents and other regions, and the answers."""
+    greetings: list[api.Frame] = [
+        api.ClientHello(api.VERSION, "north", "someone", kind) for kind in ("operator", "agent", "region")
+    ]
+    calls: list[api.Frame] = [
+        api.CommandCall(1, commands.encode(log()[0])),
+        api.LeaseCall(2, "l1"),
+        api.StatusCall(3),
+    ]
+    applied: list[api.Frame] = [api.CommandReply(number, result) for number, result in enumerate(applied_log()[1], 1)]
+    further: list[api.Frame] = [
+        api.CommandReply(98, results.AlreadyApplied(4)),
+        api.NoWindowReply(99),
+        status(),
+        api.NotLeaderReply(100, "north-1"),
+        api.NotLeaderReply(101, ""),
+        api.UncertainReply(102),
+        api.Refusal("version 2; this side speaks 1"),
+    ]
+    return [*greetings, *calls, *applied, *further]
+
+
+def status() -> api.StatusReply:
+    """What `ryepier maintenance list --json` prints."""
+    return api.StatusReply(
+        number=7,
+        region="north",
+        leader="north-2",
+        term=3,
+        applied=41,
+        now_ms=4_000,
+        requests=(
+            api.RequestStatus("zone", "convert", ("n00", "n01"), 100_000, 4_500, ""),
+            api.RequestStatus("open", "convert", ("n02",), 100_000, -1, "waits until 9 ms"),
+        ),
+        leases=(api.LeaseStatus("l2", "zone", "agent-1", 3, "draining", ("n00", "n01"), ("n00",)),),
+        capacities=(api.CapacityStatus("convert", 4_000, 1_000, 1_000, 2_500),),
+    )
+
+
+def fleet_messages() -> list[fleet.FleetCall | fleet.FleetReply]:
+    """Between an agent and the tooling that carries its steps out."""
+    actions: tuple[fleet.Action, ...] = ("drain", "remove", "list", "stop", "start", "in-flight")
+    calls: list[fleet.FleetCall | fleet.FleetReply] = [
+        fleet.FleetCall(action, "n00", 3, "n00.1" if action == "list" else "") for action in actions
+    ]
+    return [*calls, fleet.FleetReply(), fleet.FleetReply("token 3 is old", 4, "n00.1")]
+
+
+def formats() -> dict[str, bytes]:
+    """All fixtures by name."""
+    found = {f"log/{index}": commands.encode(command) for index, command in enumerate(log(), 1)}
+    found["snapshot"] = applied_log()[0].snapshot()
+    found["state-file"] = state_file()
+    for number, frame in enumerate([*replica_frames(), *call_frames()]):
+        found[f"frame/{number}"] = transport.encode(frame)
+    for number, message in enumerate(fleet_messages()):
+        found[f"fleet/{number}"] = msgspec.msgpack.encode(message)
+    found["status-json"] = msgspec.json.encode(status())
+    return found
+
+
+if __name__ == "__main__":
+    for name, data in formats().items():
+        print(name, data.hex())
