--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -18,7 +18,7 @@
 from ryepier.conf.operator_settings import LoggingSettings
 from ryepier.logs import structured
 from ryepier.maintenance import agreement as agreements
-from ryepier.maintenance.agreement import Agreement, AgreementError, show_units
+from ryepier.maintenance.agreement import Agreement, AgreementError, format_units
 from ryepier.maintenance.api import StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import CancelRequest, Command, Priority, Request, SubmitRequest
@@ -26,11 +26,11 @@
 from ryepier.maintenance.node import FatalError
 from ryepier.maintenance.placement import FREEZE_MS
 from ryepier.maintenance.replication.storage import StorageError
-from ryepier.maintenance.results import Refused
+from ryepier.maintenance.results import Rejected
 from ryepier.maintenance.settings import CoordinatorSettings, addresses_of
 from ryepier.maintenance.transport import parse_address
 
-CALL_WITHIN_S = 10.0
+CALL_TIMEOUT_S = 10.0
 LOG_LINES_PER_S = 50
 MS_PER_S = 1000
 
@@ -114,7 +114,7 @@
     """Hand in a request for windows under NAME. The same one again is accepted again."""
 
     async def hand_in(client: RegionClient) -> str:
-        now_ms = (await client.status(CALL_WITHIN_S)).now_ms
+        now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
         wanted = {
             "name": name,
             "region": region,
@@ -151,14 +151,14 @@
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
 def list_(path: Path, region: str, as_json: bool) -> None:
     """Show a region's requests, leases and capacities, and why a request waits."""
-    status = _call(path, region, lambda client: client.status(CALL_WITHIN_S))
+    status = _call(path, region, lambda client: client.status(CALL_TIMEOUT_S))
     print(msgspec.json.encode(status).decode() if as_json else _describe(status))
 
 
 async def _commit(client: RegionClient, command: Command) -> str:
     """Commit a command; what came of it, in a line. Ends with 1 where it is refused."""
-    result = await client.command(command, CALL_WITHIN_S)
-    if isinstance(result, Refused):
+    result = await client.command(command, CALL_TIMEOUT_S)
+    if isinstance(result, Rejected):
         _end(result.reason, 1)
     return type(result).__name__.lower()
 
@@ -198,14 +198,15 @@
     lines = [f"region {status.region}, led by {status.leader} in term {status.term}, at {status.now_ms / MS_PER_S:g} s"]
     for capacity in status.capacities:
         lines.append(
-            f"service {capacity.service}: {show_units(capacity.in_force)} in force, {show_units(capacity.out)} out, "
-            f"{show_units(capacity.lost)} lost, allowance {show_units(capacity.allowance)}"
+            f"service {capacity.service}: {format_units(capacity.available)} in force, "
+            f"{format_units(capacity.unavailable)} out, {format_units(capacity.lost)} lost, "
+            f"allowance {format_units(capacity.allowance)}"
         )
     for one in status.requests:
         start = f"next window at {one.starts_ms / MS_PER_S:g} s" if one.starts_ms >= 0 else "no window"
         lines.append(f"request {one.name}: {len(one.remaining)} to do, {start}{': ' if one.reason else ''}{one.reason}")
     for lease in status.leases:
-        lines.append(f"lease {lease.name}: {lease.state}, token {lease.token}, {', '.join(lease.out)} out")
+        lines.append(f"lease {lease.name}: {lease.state}, token {lease.token}, {', '.join(lease.unavailable)} out")
     return "\n".join(lines)
 
 
--- a/ryepier/experiments/maintenance/agreement_text.py
+++ b/ryepier/experiments/maintenance/agreement_text.py
@@ -33,17 +33,19 @@
     return {first_uid(place): zone for place, zone in enumerate(zones)}
 
 
-def agreement_text(world: World, network: int, may_be_out: int, least_part: int, relayed_for: str | None = None) -> str:
+def agreement_text(
+    world: World, network: int, max_unavailable: int, min_allowance: int, relayed_for: str | None = None
+) -> str:
     """The agreement as a file: so many converters may be out globally, half of them by each region.
 
-    A region keeps at least `least_part`. Where the file is `relayed_for` a region, it reaches the others by relays.
+    A region keeps at least `min_allowance`. Where the file is `relayed_for` a region, it reaches the others by relays.
     """
     count = world.converter_count
-    half = may_be_out // len(REGIONS)
-    lines = [f'[[services]]\nname = "{SERVICE}"\nleast = {count - may_be_out}\nleast_part = {least_part}']
+    half = max_unavailable // len(REGIONS)
+    lines = [f'[[services]]\nname = "{SERVICE}"\nleast = {count - max_unavailable}\nleast_part = {min_allowance}']
     lines.append(f"warm_up_s = {world.warmth.warm_up_s}")
     for region in REGIONS:
-        least = len(region_converters(world, region)) - may_be_out + 1
+        least = len(region_converters(world, region)) - max_unavailable + 1
         lines.append(f'[[services.regions]]\nregion = "{region}"\nleast = {least}\nallowance = {half}')
     for region in REGIONS:
         lines.append(f'[[regions]]\nname = "{region}"')
--- a/ryepier/experiments/maintenance/best_plan.py
+++ b/ryepier/experiments/maintenance/best_plan.py
@@ -19,11 +19,11 @@
     the best; where the solver ran out of time the bound is still one."""
 
     fits: frozenset[str]
-    worth: int
+    value: int
     bound: int
 
 
-def best_plan(problem: Problem, worth: Callable[[Job], int]) -> BestPlan:
+def best_plan(problem: Problem, value: Callable[[Job], int]) -> BestPlan:
     """The plan whose requests have the greatest worth together."""
     from ortools.sat.python import cp_model
 
@@ -31,7 +31,7 @@
     present = {job.request.name: model.new_bool_var(job.request.name) for job in problem.jobs}
     intervals = []  # of (interval, converter, request)
     for job in problem.jobs:
-        desired = problem.desired_ms(job)
+        desired = problem.desired_start_ms(job)
         latest = job.request.deadline_ms - job.length_ms
         if latest < desired:
             model.add(present[job.request.name] == 0)
@@ -42,25 +42,25 @@
                 start, job.length_ms, present[job.request.name], converter.name
             )
             intervals.append((interval, converter, job.request.name))
-    for held in problem.held:
+    for held in problem.active_leases:
         for converter in held.converters:
             interval = model.new_fixed_size_interval_var(problem.now_ms, held.until_ms - problem.now_ms, converter.name)
             intervals.append((interval, converter, held.request))
     for limit in problem.limits:
-        counted = [(interval, converter) for interval, converter, _ in intervals if limit.counts(converter)]
-        lost = sum(value for name, value in problem.lost.items() if limit.counts(problem.converters[name]))
+        counted = [(interval, converter) for interval, converter, _ in intervals if limit.applies_to(converter)]
+        lost = sum(value for name, value in problem.lost.items() if limit.applies_to(problem.converters[name]))
         demands = [converter.size - problem.lost.get(converter.name, 0) for _, converter in counted]
         model.add_cumulative([interval for interval, _ in counted], demands, max(0, limit.bound - lost))
     for job in problem.jobs:
         own = [interval for interval, _, request in intervals if request == job.request.name]
-        model.add_cumulative(own, [1] * len(own), job.request.at_once)
-    model.maximize(sum(worth(job) * present[job.request.name] for job in problem.jobs))
+        model.add_cumulative(own, [1] * len(own), job.request.max_unavailable)
+    model.maximize(sum(value(job) * present[job.request.name] for job in problem.jobs))
     solver = cp_model.CpSolver()
     solver.parameters.num_workers = 1
     solver.parameters.random_seed = 1
     solver.parameters.max_deterministic_time = WORK_LIMIT
     status = solver.solve(model)
     if status not in (cp_model.OPTIMAL, cp_model.FEASIBLE):
-        return BestPlan(frozenset(), 0, sum(map(worth, problem.jobs)))
+        return BestPlan(frozenset(), 0, sum(map(value, problem.jobs)))
     fits = frozenset(name for name, literal in present.items() if solver.value(literal))
     return BestPlan(fits, round(solver.objective_value), int(solver.best_objective_bound))
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -18,15 +18,15 @@
 from ryepier.experiments.maintenance.overlap import FITTING, draw_requests
 from ryepier.maintenance.results import Accepted
 
-MAY_BE_OUT = 8
-LEAST_PART = 1  # so that much is lent
+MAX_UNAVAILABLE = 8
+MIN_ALLOWANCE = 1  # so that much is lent
 DEADLINE_MS = 60_000
 DURATION_S = 32.0
 NORTH_FROM_S, SOUTH_FROM_S = 0.0, 3.0  # north wants more than its part at first, then both do
 HAND_IN_OVER_S = 1.0
 WHILE_CUT_S = 9.0
 CUT_AT_S, HEALED_AT_S = 5.0, 25.0
-LEAST_MOVES = 2  # changes of an allowance that polls saw
+MIN_ALLOWANCE_CHANGES = 2  # changes of an allowance that polls saw
 
 
 def requests_of(planned: PlannedRequest) -> PlannedRequest:
@@ -71,10 +71,10 @@
     accepted = [one for one in outcome.observed.submitted if isinstance(one.result, Accepted)]
     done = [one for one in accepted if outcomes.done_us(outcome, one.request.converters) < FOREVER_US]
     last = sum(allowances(outcome, region)[-1] for region in REGIONS)
-    whole = outcome.agreement.may_be_out(accepted[0].request.service)
+    whole = outcome.agreement.max_unavailable(accepted[0].request.service)
     return [
         *outcomes.common_claims(outcome),
-        Claim("changes of an allowance seen", moves(outcome), ">=", LEAST_MOVES),
+        Claim("changes of an allowance seen", moves(outcome), ">=", MIN_ALLOWANCE_CHANGES),
         *(
             Claim(f"windows that {region} began while cut off", windows_while_cut(outcome, region), ">=", 1)
             for region in REGIONS
@@ -90,7 +90,7 @@
     """Play it once. Raises RigError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
     planned = [requests_of(one) for one in draw_requests(world, seed) if one.fits]
-    scenario = Scenario(MAY_BE_OUT, LEAST_PART, planned, cut_and_heal, plant, relayed=True)
+    scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, cut_and_heal, plant, relayed=True)
     rig = MaintenanceRig(world, seed, folder, scenario)
     outcome = outcomes.play(rig)
     return claims(outcome), outcomes.common_figures(outcome) | {
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -91,7 +91,7 @@
         """Know each converter's present life."""
         super().__init__(plan, clock, timeline)
         self.present = {instance.uid: instance for instance in self.instances}
-        self.lives = dict.fromkeys(self.present, 0)
+        self.incarnations = dict.fromkeys(self.present, 0)
         self.running = set(self.present)
         self.control = ControlServer(
             control_address(plan, "converters"),
@@ -117,9 +117,9 @@
         name = call.converter
         if name not in self.running:
             old = self.present[name]
-            self.lives[name] += 1
+            self.incarnations[name] += 1
             index = old.index + self.plan.world.converter_count
-            new = Instance(index, f"{name}.{self.lives[name]}", old.machine, self.clock.now_us())
+            new = Instance(index, f"{name}.{self.incarnations[name]}", old.machine, self.clock.now_us())
             await self.start_one(new)
             self.present[name] = new
             self.running.add(name)
--- a/ryepier/experiments/maintenance/fleet_rig.py
+++ b/ryepier/experiments/maintenance/fleet_rig.py
@@ -37,9 +37,9 @@
 
 ROLE_MODULE = "ryepier.experiments.maintenance.fleet_process"
 AGENT_MODULE = "ryepier.experiments.maintenance.agent_process"
-CALL_WITHIN_S = 12.0
+CALL_TIMEOUT_S = 12.0
 POLL_EVERY_S = 0.25
-POLL_WITHIN_S = 1.0
+POLL_TIMEOUT_S = 1.0
 WORK_S = 0.5
 FREEZE_S = 0.5  # of a run of seconds, where operators' plans are of hours
 POLLS = "polls.json"
@@ -52,7 +52,7 @@
     name: str
     region: str
     converters: tuple[str, ...]
-    at_once: int
+    max_unavailable: int
     duration_ms: int
     at_s: float
     earliest_in_ms: int
@@ -85,8 +85,8 @@
 class Scenario:
     """What is played beside the world's own load."""
 
-    may_be_out: int
-    least_part: int  # that a region never lends
+    max_unavailable: int
+    min_allowance: int  # that a region never lends
     requests: Sequence[PlannedRequest]
     faults: Callable[[MaintenanceRig], Awaitable[None]] | None = None
     plant: str = ""
@@ -127,7 +127,7 @@
         scenario = self.scenario
         path = self.folder / f"{name}.toml"
         path.write_text(
-            agreement_text(self.world, self.plan.network, scenario.may_be_out, scenario.least_part, relayed_for)
+            agreement_text(self.world, self.plan.network, scenario.max_unavailable, scenario.min_allowance, relayed_for)
         )
         return path
 
@@ -264,19 +264,19 @@
         mine = [one for one in self.scenario.requests if one.region == region]
         for planned in sorted(mine, key=lambda one: one.at_s):
             await self.until(planned.at_s)
-            now_ms = (await client.status(CALL_WITHIN_S)).now_ms
+            now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
             request = Request(
                 name=planned.name,
                 region=region,
                 service=SERVICE,
                 converters=planned.converters,
-                at_once=planned.at_once,
+                max_unavailable=planned.max_unavailable,
                 duration_ms=planned.duration_ms,
                 earliest_ms=now_ms + planned.earliest_in_ms,
                 deadline_ms=now_ms + planned.deadline_in_ms,
                 priority=planned.priority,
             )
-            result = await client.command(SubmitRequest(request), CALL_WITHIN_S)
+            result = await client.command(SubmitRequest(request), CALL_TIMEOUT_S)
             self.observed.submitted.append(Submitted(request, now_ms, monotonic_us(), result))
         client.close()
 
@@ -286,7 +286,7 @@
         while True:
             asked_us = monotonic_us()
             try:
-                status = await client.status(POLL_WITHIN_S)
+                status = await client.status(POLL_TIMEOUT_S)
             except CallError:
                 continue
             self.observed.polls.append(Poll(region, asked_us, monotonic_us(), status))
@@ -296,7 +296,7 @@
         """Who leads a region now."""
         client = self.client(region)
         try:
-            return (await client.status(CALL_WITHIN_S)).leader
+            return (await client.status(CALL_TIMEOUT_S)).leader
         finally:
             client.close()
 
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -23,8 +23,8 @@
 from ryepier.maintenance.results import Accepted
 from ryepier.maintenance.tables import LeaseState
 
-MAY_BE_OUT = 6
-LEAST_PART = 2
+MAX_UNAVAILABLE = 6
+MIN_ALLOWANCE = 2
 DEADLINE_MS = 60_000  # of all: here the faults are the subject
 NEXT_GRANT_WITHIN_S = 5.0
 KILLED_AT = (LeaseState.GRANTED, LeaseState.DRAINING, LeaseState.RETURNING)
@@ -33,7 +33,7 @@
 DOWN_S = 0.5
 REGION_KILL_S = 4.0
 EMPTY_DISK_S = 9.0
-STATE_WITHIN_S = 3.0  # for a lease to reach the state at which its leader is to be killed
+STATE_TIMEOUT_S = 3.0  # for a lease to reach the state at which its leader is to be killed
 TORN_WRITE = b"\0\0\1\x2c\x77\x77"
 FAULTS = len(KILLED_AT) + 2
 
@@ -72,10 +72,10 @@
 async def _leader_when(rig: MaintenanceRig, region: str, holds: Callable[[StatusReply], bool]) -> str:
     """Who leads once something holds, or when that has taken too long."""
     client = rig.client(region)
-    ends_us = monotonic_us() + int(STATE_WITHIN_S * 1e6)
+    ends_us = monotonic_us() + int(STATE_TIMEOUT_S * 1e6)
     try:
         while True:
-            status = await client.status(STATE_WITHIN_S)
+            status = await client.status(STATE_TIMEOUT_S)
             if holds(status) or monotonic_us() > ends_us:
                 return status.leader
             await asyncio.sleep(0.01)
@@ -94,7 +94,7 @@
         file.write(TORN_WRITE)
     for name in names:
         rig.start_coordinator(name)
-    await _until_majority_listens(rig, "south")
+    await _wait_for_majority(rig, "south")
     rig.observed.majority_back_us.append(("south", monotonic_us()))
     await rig.until(EMPTY_DISK_S)
     leader = await rig.leader("south")
@@ -105,7 +105,7 @@
     rig.start_coordinator(emptied)
 
 
-async def _until_majority_listens(rig: MaintenanceRig, region: str) -> None:
+async def _wait_for_majority(rig: MaintenanceRig, region: str) -> None:
     """Until a majority of a region's coordinators takes connections."""
     addresses = rig.addresses(region)
     listening: set[str] = set()
@@ -171,7 +171,7 @@
     world = load("maintenance")
     planned = [replace(one, deadline_in_ms=DEADLINE_MS) for one in draw_requests(world, seed) if one.fits]
     outcome = outcomes.play(
-        MaintenanceRig(world, seed, folder, Scenario(MAY_BE_OUT, LEAST_PART, planned, strike, plant))
+        MaintenanceRig(world, seed, folder, Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, strike, plant))
     )
     grants = {f"next_grant_{number}_s": value for number, value in enumerate(next_grant_s(outcome))}
     return claims(outcome), outcomes.common_figures(outcome) | grants
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -19,7 +19,7 @@
 from ryepier.experiments.maintenance.fleet_process import JournalLine
 from ryepier.experiments.maintenance.fleet_rig import MaintenanceRig, Observed, Poll
 from ryepier.maintenance.agreement import Agreement
-from ryepier.maintenance.judge import FULL, Change, breaches
+from ryepier.maintenance.judge import FULL_SIZE, Change, breaches
 from ryepier.maintenance.replication.roles import Role
 from ryepier.maintenance.results import Granted
 
@@ -100,7 +100,7 @@
 def changes(found: Sequence[Outage]) -> Iterator[Change]:
     """Outages as the judge of the rule takes them."""
     for one in found:
-        yield Change(one.begun_us // 1000, one.converter, FULL, planned=True)
+        yield Change(one.begun_us // 1000, one.converter, FULL_SIZE, planned=True)
         if one.warm_us < FOREVER_US:
             yield Change(-(-one.warm_us // 1000), one.converter, 0, planned=True)
 
@@ -155,7 +155,7 @@
     """Polls whose leases did not hold a converter that was out, by its own journal, all the while."""
     missing = []
     for poll in outcome.observed.polls:
-        held = {name for lease in poll.status.leases for name in lease.out}
+        held = {name for lease in poll.status.leases for name in lease.unavailable}
         for one in outcome.outages:
             here = outcome.agreement.converters[one.converter].region == poll.region
             if here and one.begun_us < poll.asked_us and poll.told_us < one.warm_us and one.converter not in held:
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -21,10 +21,10 @@
 from ryepier.maintenance.problem import Job, Problem
 from ryepier.maintenance.results import Accepted
 
-MAY_BE_OUT = 8
-LEAST_PART = 3  # of 4: with less, the region that asks first would get most
+MAX_UNAVAILABLE = 8
+MIN_ALLOWANCE = 3  # of 4: with less, the region that asks first would get most
 FITTING = 12  # requests a region, of one converter each
-LEAST_UTILISATION = 0.8
+MIN_UTILISATION = 0.8
 DURATION_MS = 2_500  # of one converter; what an agent needs is less, so that its report may be a little late
 LAST_HAND_IN_S = 5.0
 DEADLINES_MS = (15_000, 17_000)  # from the earliest start on
@@ -40,7 +40,7 @@
         random.shuffle(converters)
         for number, converter in enumerate(converters[:FITTING]):
             planned.append(_drawn(random, f"{region}-{number}", region, (converter,)))
-        planned += _misfits(region, converters)
+        planned += _invalid_requests(region, converters)
     return planned
 
 
@@ -50,7 +50,7 @@
         name=name,
         region=region,
         converters=converters,
-        at_once=1,
+        max_unavailable=1,
         duration_ms=DURATION_MS,
         at_s=float(random.choice([0.0, random.uniform(0.0, LAST_HAND_IN_S)])),
         earliest_in_ms=int(random.uniform(0, 2_000)),
@@ -59,19 +59,19 @@
     )
 
 
-def _misfits(region: str, converters: Sequence[str]) -> list[PlannedRequest]:
+def _invalid_requests(region: str, converters: Sequence[str]) -> list[PlannedRequest]:
     """Requests that have to be refused: too little time, a converter of another request, an unknown one."""
 
-    def misfit(name: str, named: tuple[str, ...], deadline_ms: int) -> PlannedRequest:
+    def invalid_request(name: str, named: tuple[str, ...], deadline_ms: int) -> PlannedRequest:
         at_s = LAST_HAND_IN_S
         return PlannedRequest(
             f"{region}-{name}", region, named, 1, DURATION_MS, at_s, 0, deadline_ms, Priority.URGENT, fits=False
         )
 
     return [
-        misfit("no-time", (converters[0],), NEAR_DEADLINE_MS),
-        misfit("twice", (converters[1], converters[1]), DEADLINES_MS[1]),
-        misfit("unknown", ("c-none",), DEADLINES_MS[1]),
+        invalid_request("no-time", (converters[0],), NEAR_DEADLINE_MS),
+        invalid_request("twice", (converters[1], converters[1]), DEADLINES_MS[1]),
+        invalid_request("unknown", ("c-none",), DEADLINES_MS[1]),
     ]
 
 
@@ -93,7 +93,7 @@
     best = done = 0
     for region in REGIONS:
         problem = _problem(outcome, region)
-        best += best_plan(problem, Job.work).worth
+        best += best_plan(problem, Job.work).value
         jobs = {job.request.name: job for job in problem.jobs}
         for one in outcome.observed.submitted:
             if one.request.name in jobs and _in_time(outcome, one):
@@ -126,7 +126,7 @@
         Claim("requests handed in", len(outcome.observed.submitted), "==", len(planned)),
         Claim("requests accepted, all that fit", len(accepted), "==", FITTING * len(REGIONS)),
         Claim("requests that fit and were late", len(late(outcome)), "==", 0),
-        Claim("work done in time over the best plan's", utilisation(outcome), ">=", LEAST_UTILISATION),
+        Claim("work done in time over the best plan's", utilisation(outcome), ">=", MIN_UTILISATION),
         Claim("polls in which a converter that was out was under no lease", len(outcomes.forgotten(outcome)), "==", 0),
         Claim("converters that two leases had at once", len(outcomes.granted_twice(outcome)), "==", 0),
     ]
@@ -136,7 +136,9 @@
     """Play it once. Raises RigError."""
     world = load("maintenance")
     planned = draw_requests(world, seed)
-    outcome = outcomes.play(MaintenanceRig(world, seed, folder, Scenario(MAY_BE_OUT, LEAST_PART, planned, plant=plant)))
+    outcome = outcomes.play(
+        MaintenanceRig(world, seed, folder, Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, plant=plant))
+    )
     return claims(outcome, planned), outcomes.common_figures(outcome)
 
 
--- a/ryepier/experiments/maintenance/seeded_coordinator.py
+++ b/ryepier/experiments/maintenance/seeded_coordinator.py
@@ -12,14 +12,14 @@
 from ryepier.maintenance import coordinator
 from ryepier.maintenance.replication.seeded_faults import ForgetGrantStorage, ForgetVoteStorage, VoteTwiceReplica
 from ryepier.maintenance.seeded_faults import FAULTY_LEDGERS
-from ryepier.maintenance.settings import CoordinatorParts
+from ryepier.maintenance.settings import CoordinatorComponents
 
 SEEDED_FAULTS = {
-    "cold-counts": CoordinatorParts(ledger=FAULTY_LEDGERS["cold-counts"]),
-    "double-credit": CoordinatorParts(ledger=FAULTY_LEDGERS["double-credit"]),
-    "borrow": CoordinatorParts(ledger=FAULTY_LEDGERS["borrow"]),
-    "forget-grant": CoordinatorParts(storage=ForgetGrantStorage),
-    "vote-twice": CoordinatorParts(replica=VoteTwiceReplica, storage=ForgetVoteStorage),
+    "cold-counts": CoordinatorComponents(ledger=FAULTY_LEDGERS["cold-counts"]),
+    "double-credit": CoordinatorComponents(ledger=FAULTY_LEDGERS["double-credit"]),
+    "borrow": CoordinatorComponents(ledger=FAULTY_LEDGERS["borrow"]),
+    "forget-grant": CoordinatorComponents(storage=ForgetGrantStorage),
+    "vote-twice": CoordinatorComponents(replica=VoteTwiceReplica, storage=ForgetVoteStorage),
 }
 
 
@@ -33,7 +33,7 @@
 def main() -> None:
     """Put the mistake in and serve."""
     plant, *arguments = sys.argv[1:]
-    coordinator.USUAL_PARTS = SEEDED_FAULTS[plant]
+    coordinator.DEFAULT_COMPONENTS = SEEDED_FAULTS[plant]
     # the command line lies above this floor, so it is started as a person would start it
     sys.argv = ["ryepier", "maintenance", "serve", *arguments]
     runpy.run_module("ryepier", run_name="__main__")
--- a/ryepier/maintenance/agent.py
+++ b/ryepier/maintenance/agent.py
@@ -13,18 +13,18 @@
 from dataclasses import dataclass
 
 from ryepier.maintenance.client import CallError, RegionClient
-from ryepier.maintenance.commands import BeginDrain, ReleaseLease
+from ryepier.maintenance.commands import ReleaseLease, StartDrain
 from ryepier.maintenance.fleet import Fleet, FleetError
-from ryepier.maintenance.results import Begun, Granted, Refused
+from ryepier.maintenance.results import DrainStarted, Granted, Rejected
 from ryepier.maintenance.tables import LeaseState
 
 log = logging.getLogger(__name__)
 
-CALL_WITHIN_S = 10.0
-POLL_S = 0.2  # without a window that is due
-RETRY_S = 0.5
+CALL_TIMEOUT_S = 10.0
+POLL_INTERVAL_S = 0.2  # without a window that is due
+RETRY_DELAY_S = 0.5
 IN_FLIGHT_POLL_S = 0.1
-IN_FLIGHT_WITHIN_S = 10.0
+DRAIN_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,13 +32,13 @@
     """How an agent works.
 
     `drain_grace_s` is how long sidecars may go on sending to a converter that was listed as draining. `work_s` stands
-    for the maintenance itself. At most `at_once` windows are carried out together.
+    for the maintenance itself. At most `max_concurrent_leases` windows are carried out together.
     """
 
     name: str
     drain_grace_s: float = 0.5
     work_s: float = 0.5
-    at_once: int = 8
+    max_concurrent_leases: int = 8
 
 
 class Agent:
@@ -49,59 +49,59 @@
         self.settings = settings
         self.client = client
         self.fleet = fleet
-        self.life = uuid.uuid4().hex[:8]
-        self.asked = 0
-        self.open: set[str] = set()
+        self.incarnation = uuid.uuid4().hex[:8]
+        self.next_lease_number = 0
+        self.active_leases: set[str] = set()
 
     async def run(self) -> None:
         """Take windows for ever; first those that an earlier life of this agent has left open."""
         async with asyncio.TaskGroup() as group:
-            for left in await self._left_open():
+            for left in await self._resume_open_leases():
                 self._begin(group, left)
             while True:
-                lease = await self._next_lease()
+                lease = await self._acquire_lease()
                 if lease is None:
-                    await asyncio.sleep(POLL_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 else:
                     self._begin(group, lease)
 
     def _begin(self, group: asyncio.TaskGroup, lease: Granted) -> None:
         """Carry a window out beside the others."""
-        self.open.add(lease.lease)
-        group.create_task(self._carry_out(lease))
+        self.active_leases.add(lease.lease)
+        group.create_task(self._process_ready(lease))
 
-    async def _left_open(self) -> list[Granted]:
+    async def _resume_open_leases(self) -> list[Granted]:
         """Leases of this agent's name that are not settled."""
         while True:
             try:
-                status = await self.client.status(CALL_WITHIN_S)
+                status = await self.client.status(CALL_TIMEOUT_S)
             except CallError as error:
                 log.warning("no status: %s", error)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             unsettled = (LeaseState.GRANTED, LeaseState.DRAINING)
             mine = [one for one in status.leases if one.agent == self.settings.name and one.state in unsettled]
             return [Granted(one.name, one.agent, one.token, one.converters) for one in mine]
 
-    async def _next_lease(self) -> Granted | None:
+    async def _acquire_lease(self) -> Granted | None:
         """Ask for a window; under the same name until it is known what became of it."""
-        if len(self.open) >= self.settings.at_once:
+        if len(self.active_leases) >= self.settings.max_concurrent_leases:
             return None
-        name = f"{self.settings.name}-{self.life}-{self.asked}"
+        name = f"{self.settings.name}-{self.incarnation}-{self.next_lease_number}"
         try:
-            result = await self.client.take_lease(name, CALL_WITHIN_S)
+            result = await self.client.acquire_lease(name, CALL_TIMEOUT_S)
         except CallError as error:
             log.warning("no lease: %s", error)
             return None
         if result is None:
             return None
-        self.asked += 1
+        self.next_lease_number += 1
         if isinstance(result, Granted):
             return result
-        log.info("no lease: %s", result.reason if isinstance(result, Refused) else result)
+        log.info("no lease: %s", result.reason if isinstance(result, Rejected) else result)
         return None
 
-    async def _carry_out(self, lease: Granted) -> None:
+    async def _process_ready(self, lease: Granted) -> None:
         """One window, from its drain to its report."""
         log.info("window begins", extra={"lease": lease.lease, "token": lease.token, "converters": lease.converters})
         try:
@@ -112,14 +112,14 @@
         except FleetError as error:
             log.warning("window is left: %s", error, extra={"lease": lease.lease, "token": lease.token})
         finally:
-            self.open.discard(lease.lease)
+            self.active_leases.discard(lease.lease)
 
     async def _begin_drain(self, lease: Granted) -> bool:
         """Whether the coordinators have committed that the drain begins."""
-        result = await self._until_told(
-            lambda: self.client.command(BeginDrain(lease.lease, lease.token), CALL_WITHIN_S)
+        result = await self._retry_until_acknowledged(
+            lambda: self.client.command(StartDrain(lease.lease, lease.token), CALL_TIMEOUT_S)
         )
-        if isinstance(result, Begun):
+        if isinstance(result, DrainStarted):
             return True
         log.info("window was called off: %s", result, extra={"lease": lease.lease})
         return False
@@ -127,36 +127,36 @@
     async def _release(self, lease: Granted) -> None:
         """Report that the work is done."""
         command = ReleaseLease(lease.lease, lease.token)
-        result = await self._until_told(lambda: self.client.command(command, CALL_WITHIN_S))
-        if isinstance(result, Refused):
+        result = await self._retry_until_acknowledged(lambda: self.client.command(command, CALL_TIMEOUT_S))
+        if isinstance(result, Rejected):
             log.info("report is refused: %s", result.reason, extra={"lease": lease.lease})
 
     @staticmethod
-    async def _until_told(call: Callable[[], Awaitable[object]]) -> object:
+    async def _retry_until_acknowledged(call: Callable[[], Awaitable[object]]) -> object:
         """Ask until a leader has answered; all that is asked so may be asked twice."""
         while True:
             try:
                 return await call()
             except CallError as error:
                 log.warning("no answer: %s", error)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def _maintain(self, converter: str, token: int) -> None:
         """Drain, down, work, up. Raises FleetError, and then leaves it as it is."""
         await self.fleet.do("drain", converter, token)
         await asyncio.sleep(self.settings.drain_grace_s)
-        await self._until_idle(converter, token)
+        await self._wait_until_idle(converter, token)
         await self.fleet.do("stop", converter, token)
         await self.fleet.do("remove", converter, token)
         await asyncio.sleep(self.settings.work_s)
         started = await self.fleet.do("start", converter, token)
         await self.fleet.do("list", converter, token, started.uid)
 
-    async def _until_idle(self, converter: str, token: int) -> None:
+    async def _wait_until_idle(self, converter: str, token: int) -> None:
         """Wait for the answers in flight. Raises FleetError where they do not end."""
         try:
-            async with asyncio.timeout(IN_FLIGHT_WITHIN_S):
+            async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 while (await self.fleet.do("in-flight", converter, token)).in_flight > 0:
                     await asyncio.sleep(IN_FLIGHT_POLL_S)
         except TimeoutError:
-            raise FleetError(f"{converter} has requests in flight after {IN_FLIGHT_WITHIN_S:g} s") from None
+            raise FleetError(f"{converter} has requests in flight after {DRAIN_TIMEOUT_S:g} s") from None
--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -18,9 +18,9 @@
 from ryepier.conf.key_lines import KeyLines, Path, Problem, spell
 from ryepier.conf.toml_schema import ConfigurationError
 
-UNITS = 1000  # of capacity in a size of 1
-LONGEST_FILE = 4 * 1024 * 1024  # bytes
-LEAST_REPLICAS = 3  # of a region: a majority must survive the loss of one
+UNITS_PER_SIZE = 1000  # of capacity in a size of 1
+MAX_FILE_BYTES = 4 * 1024 * 1024  # bytes
+MIN_REPLICAS = 3  # of a region: a majority must survive the loss of one
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$")]
 Address = Annotated[str, msgspec.Meta(pattern=r"^[^:/\s]+:[0-9]{1,5}$")]  # host:port
@@ -50,7 +50,7 @@
     """One `[[services.regions]]` table: what a service keeps in a region, and what the region may first take out."""
 
     region: Name
-    least: Amount = 0.0
+    min_available: Amount = msgspec.field(name="least", default=0.0)
     allowance: Amount = 0.0
 
 
@@ -58,9 +58,11 @@
     """One `[[services]]` table of the file."""
 
     name: Name
-    least: Amount
+    min_available: Amount = msgspec.field(name="least")
     survives: Literal["", "zone"] = ""
-    least_part: Amount = 0.0  # of the allowances: what a region keeps when it gives
+    min_allowance: Amount = msgspec.field(
+        name="least_part", default=0.0
+    )  # of the allowances: what a region keeps when it gives
     warm_up_s: Annotated[float, msgspec.Meta(ge=0, le=3600)] = 0.0
     regions: list[ServiceRegionTable]
 
@@ -104,10 +106,10 @@
     """What is agreed of a service; capacities in thousandths."""
 
     name: str
-    least: int
-    least_by_region: Mapping[str, int]
-    survives_zone: bool
-    least_part: int
+    min_available: int
+    min_available_by_region: Mapping[str, int]
+    tolerates_zone_loss: bool
+    min_allowance: int
     warm_up_ms: int
     allowances: Mapping[str, int]  # the initial ones, by region
 
@@ -151,28 +153,28 @@
             sums[one.region, one.zone] += one.size
         return dict(sums)
 
-    def may_be_out(self, service: str) -> int:
+    def max_unavailable(self, service: str) -> int:
         """What may be out of a service over all regions; the initial allowances add up to this."""
         agreed = self.services[service]
-        return self.capacity(service) - agreed.least - self._reserve(agreed, None)
+        return self.capacity(service) - agreed.min_available - self._reserve(agreed, None)
 
-    def may_be_out_in(self, service: str, region: str) -> int:
+    def max_unavailable_in(self, service: str, region: str) -> int:
         """The same in one region, by the region's own least capacity."""
         agreed = self.services[service]
-        least = agreed.least_by_region.get(region, 0)
+        least = agreed.min_available_by_region.get(region, 0)
         return self.capacity(service, region) - least - self._reserve(agreed, region)
 
     def _reserve(self, agreed: Service, region: str | None) -> int:
         """The capacity of the largest zone where its loss must be survived."""
-        if not agreed.survives_zone:
+        if not agreed.tolerates_zone_loss:
             return 0
         return max(self.zone_capacities(agreed.name, region).values(), default=0)
 
 
 def parse(data: bytes) -> Agreement:
     """The agreement in a TOML file's bytes. Raises AgreementError."""
-    if len(data) > LONGEST_FILE:
-        raise AgreementError([Problem("", 0, f"{len(data)} bytes; {LONGEST_FILE} are allowed")])
+    if len(data) > MAX_FILE_BYTES:
+        raise AgreementError([Problem("", 0, f"{len(data)} bytes; {MAX_FILE_BYTES} are allowed")])
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
@@ -181,7 +183,7 @@
         tables = toml_schema.parse(text, AgreementTables)
     except ConfigurationError as error:
         raise AgreementError(error.problems) from None
-    checker = _Checker(tables, KeyLines(text))
+    checker = _AgreementValidator(tables, KeyLines(text))
     checker.check_names()
     checker.check_decimals()
     if not checker.problems:  # amounts are worth comparing only where every name is known
@@ -192,14 +194,14 @@
     raise AgreementError(checker.problems)
 
 
-def load_units(amount: float) -> int:
+def to_units(amount: float) -> int:
     """An amount of the file in thousandths; what has more decimals is refused before."""
-    return round(amount * UNITS)
+    return round(amount * UNITS_PER_SIZE)
 
 
-def show_units(units: int) -> str:
+def format_units(units: int) -> str:
     """An amount in thousandths as people write it: `2.5`."""
-    return f"{units / UNITS:g}"
+    return f"{units / UNITS_PER_SIZE:g}"
 
 
 def _build(tables: AgreementTables, digest: str) -> Agreement:
@@ -208,7 +210,7 @@
         for one in tables.regions
     }
     converters = {
-        one.name: Converter(one.name, one.service, one.region, one.zone, load_units(one.size))
+        one.name: Converter(one.name, one.service, one.region, one.zone, to_units(one.size))
         for one in tables.converters
     }
     return Agreement({one.name: _service(one) for one in tables.services}, regions, converters, digest)
@@ -217,16 +219,16 @@
 def _service(table: ServiceTable) -> Service:
     return Service(
         name=table.name,
-        least=load_units(table.least),
-        least_by_region={one.region: load_units(one.least) for one in table.regions},
-        survives_zone=table.survives == "zone",
-        least_part=load_units(table.least_part),
+        min_available=to_units(table.min_available),
+        min_available_by_region={one.region: to_units(one.min_available) for one in table.regions},
+        tolerates_zone_loss=table.survives == "zone",
+        min_allowance=to_units(table.min_allowance),
         warm_up_ms=round(table.warm_up_s * 1000),
-        allowances={one.region: load_units(one.allowance) for one in table.regions},
+        allowances={one.region: to_units(one.allowance) for one in table.regions},
     )
 
 
-class _Checker:
+class _AgreementValidator:
     """What the tables must hold together; problems are collected, and nothing is raised."""
 
     def __init__(self, tables: AgreementTables, lines: KeyLines) -> None:
@@ -258,8 +260,8 @@
         addresses: list[tuple[Path, str]] = []
         for i, region in enumerate(self.tables.regions):
             at: Path = ("regions", i, "replicas")
-            if len(region.replicas) < LEAST_REPLICAS:
-                self.problem(at, f"{len(region.replicas)} replicas; a region needs at least {LEAST_REPLICAS}")
+            if len(region.replicas) < MIN_REPLICAS:
+                self.problem(at, f"{len(region.replicas)} replicas; a region needs at least {MIN_REPLICAS}")
             for j, replica in enumerate(region.replicas):
                 names.append(((*at, j, "name"), replica.name))
                 addresses.append(((*at, j, "address"), replica.address))
@@ -282,11 +284,11 @@
         """Amounts are whole thousandths (which also refuses `nan`)."""
         amounts: list[tuple[Path, float]] = []
         for i, service in enumerate(self.tables.services):
-            amounts.append((("services", i, "least"), service.least))
-            amounts.append((("services", i, "least_part"), service.least_part))
+            amounts.append((("services", i, "least"), service.min_available))
+            amounts.append((("services", i, "least_part"), service.min_allowance))
             amounts.append((("services", i, "warm_up_s"), service.warm_up_s))
             for j, one in enumerate(service.regions):
-                amounts.append((("services", i, "regions", j, "least"), one.least))
+                amounts.append((("services", i, "regions", j, "least"), one.min_available))
                 amounts.append((("services", i, "regions", j, "allowance"), one.allowance))
         amounts += [(("converters", i, "size"), one.size) for i, one in enumerate(self.tables.converters)]
         for path, amount in amounts:
@@ -297,24 +299,26 @@
         """No service asks for more than there is, and its allowances add up to what may be out."""
         for i, table in enumerate(self.tables.services):
             service = agreement.services[table.name]
-            left = agreement.may_be_out(service.name)
+            left = agreement.max_unavailable(service.name)
             if left < 0:
-                self.problem(("services", i, "least"), _asks_too_much(service, agreement, None, -left))
+                self.problem(("services", i, "least"), _describe_excess(service, agreement, None, -left))
                 continue
             self._check_regions(i, table, service, agreement)
             given = sum(service.allowances.values())
             if given != left:
-                text = f"allowances of {service.name!r} add up to {show_units(given)}; {show_units(left)} may be out"
+                text = (
+                    f"allowances of {service.name!r} add up to {format_units(given)}; {format_units(left)} may be out"
+                )
                 self.problem(("services", i, "regions"), text)
 
     def _check_regions(self, number: int, table: ServiceTable, service: Service, agreement: Agreement) -> None:
         for j, one in enumerate(table.regions):
             at: Path = ("services", number, "regions", j)
-            left = agreement.may_be_out_in(service.name, one.region)
+            left = agreement.max_unavailable_in(service.name, one.region)
             if left < 0:
-                self.problem((*at, "least"), _asks_too_much(service, agreement, one.region, -left))
-            if service.allowances[one.region] < service.least_part:
-                text = f"{one.allowance:g} is less than the service's least_part, {table.least_part:g}"
+                self.problem((*at, "least"), _describe_excess(service, agreement, one.region, -left))
+            if service.allowances[one.region] < service.min_allowance:
+                text = f"{one.allowance:g} is less than the service's least_part, {table.min_allowance:g}"
                 self.problem((*at, "allowance"), text)
         listed = {one.region for one in table.regions}
         for region in agreement.regions:
@@ -322,12 +326,12 @@
                 self.problem(("services", number, "regions"), f"region {region!r} has its converters and is missing")
 
 
-def _asks_too_much(service: Service, agreement: Agreement, region: str | None, over: int) -> str:
+def _describe_excess(service: Service, agreement: Agreement, region: str | None, over: int) -> str:
     where = f" in {region!r}" if region else ""
-    least = service.least_by_region[region] if region else service.least
+    least = service.min_available_by_region[region] if region else service.min_available
     there = agreement.capacity(service.name, region)
-    zone = " less its largest zone" if service.survives_zone else ""
+    zone = " less its largest zone" if service.tolerates_zone_loss else ""
     return (
-        f"{service.name!r} asks for {show_units(least)}{where}; there are {show_units(there)}{zone}: "
-        f"{show_units(over)} too much"
+        f"{service.name!r} asks for {format_units(least)}{where}; there are {format_units(there)}{zone}: "
+        f"{format_units(over)} too much"
     )
--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ryepier.maintenance.commands import Name, Whole
+from ryepier.maintenance.commands import Name, NonNegative
 from ryepier.maintenance.replication.messages import Message as ReplicaMessage
 from ryepier.maintenance.results import Result
 
@@ -33,7 +33,7 @@
     kind: ClientKind
 
 
-class Refusal(msgspec.Struct, tag="refusal", frozen=True):
+class Rejection(msgspec.Struct, tag="refusal", frozen=True):
     """Why the other side is not served; the connection closes behind it."""
 
     reason: Text
@@ -42,34 +42,34 @@
 class CommandCall(msgspec.Struct, tag="command-call", frozen=True):
     """Commit this command; the reply comes after the commit."""
 
-    number: Whole
+    number: NonNegative
     command: bytes
 
 
 class LeaseCall(msgspec.Struct, tag="lease-call", frozen=True):
     """An agent asks for a window that is due, under a name of its own; the same name again is the same lease."""
 
-    number: Whole
+    number: NonNegative
     lease: Name
 
 
 class StatusCall(msgspec.Struct, tag="status-call", frozen=True):
     """What the leader knows."""
 
-    number: Whole
+    number: NonNegative
 
 
 class CommandReply(msgspec.Struct, tag="command-reply", frozen=True):
     """What applying the committed command gave."""
 
-    number: Whole
+    number: NonNegative
     result: Result
 
 
 class NoWindowReply(msgspec.Struct, tag="no-window-reply", frozen=True):
     """No window is due for an agent."""
 
-    number: Whole
+    number: NonNegative
 
 
 class RequestStatus(msgspec.Struct, frozen=True):
@@ -92,15 +92,15 @@
     token: int
     state: str
     converters: tuple[str, ...]
-    out: tuple[str, ...]
+    unavailable: tuple[str, ...] = msgspec.field(name="out")
 
 
 class CapacityStatus(msgspec.Struct, frozen=True):
     """A service's capacity in the region, in thousandths."""
 
     service: str
-    in_force: int
-    out: int
+    available: int = msgspec.field(name="in_force")
+    unavailable: int = msgspec.field(name="out")
     lost: int
     allowance: int
 
@@ -108,7 +108,7 @@
 class StatusReply(msgspec.Struct, tag="status-reply", frozen=True):
     """The state of a region as its leader has applied it."""
 
-    number: Whole
+    number: NonNegative
     region: str
     leader: str
     term: int
@@ -122,16 +122,16 @@
 class NotLeaderReply(msgspec.Struct, tag="not-leader-reply", frozen=True):
     """Nothing was done here; `leader` may be asked, or is empty."""
 
-    number: Whole
+    number: NonNegative
     leader: str
 
 
 class UncertainReply(msgspec.Struct, tag="uncertain-reply", frozen=True):
     """The replica lost its lead before the command was committed; another leader may commit it yet."""
 
-    number: Whole
+    number: NonNegative
 
 
 Call = CommandCall | LeaseCall | StatusCall
 Reply = CommandReply | NoWindowReply | StatusReply | NotLeaderReply | UncertainReply
-Frame = PeerHello | ClientHello | Refusal | Call | Reply | ReplicaMessage
+Frame = PeerHello | ClientHello | Rejection | Call | Reply | ReplicaMessage
--- a/ryepier/maintenance/client.py
+++ b/ryepier/maintenance/client.py
@@ -16,7 +16,7 @@
     LeaseCall,
     NotLeaderReply,
     NoWindowReply,
-    Refusal,
+    Rejection,
     Reply,
     StatusCall,
     StatusReply,
@@ -26,8 +26,8 @@
 from ryepier.maintenance.results import Result
 from ryepier.maintenance.transport import Connection, TransportError
 
-TRY_S = 2.0  # for one replica to answer
-PAUSE_S = 0.1  # before the next one is asked
+ATTEMPT_TIMEOUT_S = 2.0  # for one replica to answer
+RETRY_DELAY_S = 0.1  # before the next one is asked
 
 MakeCall = Callable[[int], Call]  # from the call's number
 
@@ -48,26 +48,26 @@
         self.number = 0
         self.lock = asyncio.Lock()
 
-    async def command(self, command: Command, within_s: float) -> Result:
+    async def command(self, command: Command, timeout_s: float) -> Result:
         """Commit a command. Raises CallError."""
         data = commands.encode(command)
-        reply = await self._call(lambda number: CommandCall(number, data), within_s)
+        reply = await self._call(lambda number: CommandCall(number, data), timeout_s)
         if not isinstance(reply, CommandReply):
             raise CallError(f"answered a command with {type(reply).__name__}")
         return reply.result
 
-    async def take_lease(self, lease: str, within_s: float) -> Result | None:
+    async def acquire_lease(self, lease: str, timeout_s: float) -> Result | None:
         """Ask for a window that is due; None where there is none. Raises CallError."""
-        reply = await self._call(lambda number: LeaseCall(number, lease), within_s)
+        reply = await self._call(lambda number: LeaseCall(number, lease), timeout_s)
         if isinstance(reply, NoWindowReply):
             return None
         if not isinstance(reply, CommandReply):
             raise CallError(f"answered a request for a lease with {type(reply).__name__}")
         return reply.result
 
-    async def status(self, within_s: float) -> StatusReply:
+    async def status(self, timeout_s: float) -> StatusReply:
         """The region's state. Raises CallError."""
-        reply = await self._call(StatusCall, within_s)
+        reply = await self._call(StatusCall, timeout_s)
         if not isinstance(reply, StatusReply):
             raise CallError(f"answered a request for the status with {type(reply).__name__}")
         return reply
@@ -78,30 +78,30 @@
             self.connection.close()
             self.connection = None
 
-    async def _call(self, make: MakeCall, within_s: float) -> Reply:
+    async def _call(self, make: MakeCall, timeout_s: float) -> Reply:
         """Ask until a leader has answered."""
         last = "no replica was asked"
         try:
-            async with asyncio.timeout(within_s), self.lock:
+            async with asyncio.timeout(timeout_s), self.lock:
                 while True:
                     try:
-                        reply = await self._ask(make)
+                        reply = await self._request_once(make)
                     except (OSError, EOFError, TimeoutError, TransportError) as error:
                         last = f"{self.target}: {type(error).__name__}: {error}"
-                        self._go_on_to("")
+                        self._switch_target("")
                     else:
                         if not isinstance(reply, NotLeaderReply | UncertainReply):
                             return reply
                         last = f"{self.target} does not lead"
-                        self._go_on_to(reply.leader if isinstance(reply, NotLeaderReply) else "")
-                    await asyncio.sleep(PAUSE_S)
+                        self._switch_target(reply.leader if isinstance(reply, NotLeaderReply) else "")
+                    await asyncio.sleep(RETRY_DELAY_S)
         except TimeoutError:
             self.close()
-            raise CallError(f"no answer of region {self.hello.region} within {within_s:g} s; last {last}") from None
+            raise CallError(f"no answer of region {self.hello.region} within {timeout_s:g} s; last {last}") from None
 
-    async def _ask(self, make: MakeCall) -> Reply:
+    async def _request_once(self, make: MakeCall) -> Reply:
         """Ask the present target once. Raises CallError where it refuses this caller."""
-        async with asyncio.timeout(TRY_S):
+        async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
             if self.connection is None:
                 self.connection = await Connection.dial(self.replicas[self.target], self.hello)
             self.number += 1
@@ -109,12 +109,12 @@
             self.connection.send(call)
             while True:
                 frame = await self.connection.receive()
-                if isinstance(frame, Refusal):
+                if isinstance(frame, Rejection):
                     raise CallError(f"{self.target}: {frame.reason}")
                 if isinstance(frame, Reply) and frame.number == self.number:
                     return frame
 
-    def _go_on_to(self, leader: str) -> None:
+    def _switch_target(self, leader: str) -> None:
         """Turn to the leader that was named, or else to the next replica."""
         if leader == self.target:
             return
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-LONGEST_COMMAND = 1024 * 1024  # bytes
-MOST_NAMES = 10_000  # of converters in one command
+MAX_COMMAND_BYTES = 1024 * 1024  # bytes
+MAX_NAMES = 10_000  # of converters in one command
 FULL_WARMTH = 1000  # thousandths: a converter that is warm
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._#/-]{0,199}$")]
-Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MOST_NAMES)]
-Whole = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
+Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_NAMES)]
+NonNegative = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 Positive = Annotated[int, msgspec.Meta(ge=1, le=2**53)]
 Warmth = Annotated[int, msgspec.Meta(ge=0, le=FULL_WARMTH)]
 
@@ -45,14 +45,14 @@
     service: Name
     converters: Names = ()
     zone: str = ""
-    at_once: Positive  # converters out at the same time, at most
+    max_unavailable: Positive = msgspec.field(name="at_once")  # converters out at the same time, at most
     duration_ms: Positive  # of one converter, from the drain until it is up again; warming up comes on top
-    earliest_ms: Whole
-    deadline_ms: Whole
+    earliest_ms: NonNegative
+    deadline_ms: NonNegative
     priority: Priority = Priority.NORMAL
 
 
-class Sighting(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ConverterObservation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A converter as an observer saw it; warmth in thousandths."""
 
     converter: Name
@@ -70,11 +70,11 @@
     amount: Positive  # thousandths
 
 
-class Standing(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class CapacityNeed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What a region tells its peers of a service, in thousandths."""
 
-    deficit: Whole = 0  # by which its leases and losses exceed its allowance
-    shortage: Whole = 0  # by which what its requests want at once exceeds its allowance
+    deficit: NonNegative = 0  # by which its leases and losses exceed its allowance
+    shortage: NonNegative = 0  # by which what its requests want at once exceeds its allowance
 
 
 class SubmitRequest(msgspec.Struct, tag="submit-request", tag_field="type", frozen=True, forbid_unknown_fields=True):
@@ -106,7 +106,7 @@
     token: Positive
 
 
-class BeginDrain(msgspec.Struct, tag="begin-drain", tag_field="type", frozen=True, forbid_unknown_fields=True):
+class StartDrain(msgspec.Struct, tag="begin-drain", tag_field="type", frozen=True, forbid_unknown_fields=True):
     """The holder is about to drain; it does nothing before this is committed."""
 
     lease: Name
@@ -120,7 +120,7 @@
     token: Positive
 
 
-class CallOff(msgspec.Struct, tag="call-off", tag_field="type", frozen=True, forbid_unknown_fields=True):
+class RevokeLease(msgspec.Struct, tag="call-off", tag_field="type", frozen=True, forbid_unknown_fields=True):
     """Take back a lease whose drain has not begun; its token is void at once."""
 
     lease: Name
@@ -134,16 +134,20 @@
 
     observer: Name
     sequence: Positive
-    as_of: Whole
-    sightings: Annotated[tuple[Sighting, ...], msgspec.Meta(max_length=MOST_NAMES)]
+    as_of: NonNegative
+    observations: Annotated[tuple[ConverterObservation, ...], msgspec.Meta(max_length=MAX_NAMES)] = msgspec.field(
+        name="sightings"
+    )
 
 
-class RecordStanding(msgspec.Struct, tag="record-standing", tag_field="type", frozen=True, forbid_unknown_fields=True):
+class RecordCapacityNeeds(
+    msgspec.Struct, tag="record-standing", tag_field="type", frozen=True, forbid_unknown_fields=True
+):
     """What a peer region told of itself; of two the one with the higher number counts."""
 
     region: Name
     number: Positive  # the peer's log index
-    standings: dict[Name, Standing]  # by service
+    needs: dict[Name, CapacityNeed] = msgspec.field(name="standings")  # by service
 
 
 class DebitTransfer(msgspec.Struct, tag="debit-transfer", tag_field="type", frozen=True, forbid_unknown_fields=True):
@@ -169,7 +173,7 @@
 class AdvanceTime(msgspec.Struct, tag="advance-time", tag_field="type", frozen=True, forbid_unknown_fields=True):
     """The leader's own time. Only scheduling looks at it; no lease ends by it."""
 
-    now_ms: Whole
+    now_ms: NonNegative
 
 
 Command = (
@@ -177,11 +181,11 @@
     | CancelRequest
     | GrantLease
     | TakeOverLease
-    | BeginDrain
+    | StartDrain
     | ReleaseLease
-    | CallOff
+    | RevokeLease
     | RecordObservation
-    | RecordStanding
+    | RecordCapacityNeeds
     | DebitTransfer
     | CreditTransfer
     | AcknowledgeTransfer
@@ -195,15 +199,15 @@
 def encode(command: Command) -> bytes:
     """The bytes of a command. Raises CommandError where it is too long."""
     data = _encoder.encode(command)
-    if len(data) > LONGEST_COMMAND:
-        raise CommandError(f"a command of {len(data)} bytes; {LONGEST_COMMAND} are allowed")
+    if len(data) > MAX_COMMAND_BYTES:
+        raise CommandError(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are allowed")
     return data
 
 
 def decode(data: bytes) -> Command:
     """The command in `data`. Raises CommandError."""
-    if len(data) > LONGEST_COMMAND:
-        raise CommandError(f"a command of {len(data)} bytes; {LONGEST_COMMAND} are allowed")
+    if len(data) > MAX_COMMAND_BYTES:
+        raise CommandError(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are allowed")
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -10,48 +10,48 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from ryepier.maintenance.leader import LeaderJobs
-from ryepier.maintenance.node import FatalError, Node, open_disk
+from ryepier.maintenance.leader import LeaderTasks
+from ryepier.maintenance.node import FatalError, Node, open_storage
 from ryepier.maintenance.peers import PeerConnections
 from ryepier.maintenance.region_clock import RegionClock
 from ryepier.maintenance.region_link import RegionLink
 from ryepier.maintenance.replication.core import ReplicaSettings
 from ryepier.maintenance.server import Server
-from ryepier.maintenance.settings import CoordinatorParts, CoordinatorSettings
-from ryepier.maintenance.status import Planning
+from ryepier.maintenance.settings import CoordinatorComponents, CoordinatorSettings
+from ryepier.maintenance.status import Planner
 
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
 BACKLOG = 256
 
-USUAL_PARTS = CoordinatorParts()
+DEFAULT_COMPONENTS = CoordinatorComponents()
 
 
 class Coordinator:
     """One replica on its sockets."""
 
-    def __init__(self, settings: CoordinatorSettings, parts: CoordinatorParts | None = None) -> None:
+    def __init__(self, settings: CoordinatorSettings, parts: CoordinatorComponents | None = None) -> None:
         """Open the disk; by default with the usual parts.
 
         Raises StorageError, KeyError for an unknown region, ValueError for an unknown replica.
         """
         self.settings = settings
         self.peers = PeerConnections(settings)
-        self.node = self._make_node(parts or USUAL_PARTS)
+        self.node = self._make_node(parts or DEFAULT_COMPONENTS)
         self.clock = RegionClock(self.node.replica, self.node.ledger)
-        self.planning = Planning(self.node.ledger, settings.freeze_ms)
+        self.planning = Planner(self.node.ledger, settings.freeze_ms)
         self.stop = asyncio.Event()
         self.fatal: FatalError | None = None
 
-    def _make_node(self, parts: CoordinatorParts) -> Node:
+    def _make_node(self, parts: CoordinatorComponents) -> Node:
         """The replica with its disk and an empty ledger."""
         settings = self.settings
         ledger = parts.ledger(settings.agreement, settings.region)
         members = tuple(settings.addresses)
         if settings.replica not in members:
             raise ValueError(f"region {settings.region!r} has no replica {settings.replica!r}")
-        disk = open_disk(settings.folder, settings.identity, settings.bootstrap, parts.storage)
+        disk = open_storage(settings.folder, settings.identity, settings.bootstrap, parts.storage)
         replica = parts.replica(ReplicaSettings(settings.replica, members, settings.seed), disk.state)
         return Node(replica, disk.storage, ledger, self.peers.send)
 
@@ -61,9 +61,9 @@
         server = Server(self.settings, self.node, self.planning, self.clock, self._fail)
         listener = await asyncio.start_server(server.serve, *address, backlog=BACKLOG)
         log.info("coordinator is up", extra={"region": self.settings.region, "replica": self.settings.replica})
-        tasks = [asyncio.create_task(job) for job in self._jobs()]
+        tasks = [asyncio.create_task(job) for job in self._background_tasks()]
         for task in tasks:
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._on_task_done)
         await self.stop.wait()
         listener.close()
         for task in tasks:
@@ -72,17 +72,17 @@
         if self.fatal is not None:
             raise self.fatal
 
-    def _jobs(self) -> list[Coroutine[Any, Any, None]]:
+    def _background_tasks(self) -> list[Coroutine[Any, Any, None]]:
         """All that goes on beside the connections that are served."""
-        leader = LeaderJobs(self.settings, self.node, self.planning, self.clock)
+        leader = LeaderTasks(self.settings, self.node, self.planning, self.clock)
         agreement, region = self.settings.agreement, self.settings.region
         links = [RegionLink(agreement, region, other) for other in agreement.regions if other != region]
         return [
             self._tick(),
             leader.advance(),
-            leader.look(),
+            leader.observe(),
             *(self.peers.keep(name) for name in self.node.replica.settings.peers),
-            *(leader.trade_with(link) for link in links),
+            *(leader.exchange_with(link) for link in links),
         ]
 
     async def _tick(self) -> None:
@@ -91,7 +91,7 @@
             await asyncio.sleep(TICK_S)
             self.node.tick()
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         """A job of this process runs until the end; one that raises ends it all."""
         if not task.cancelled() and (error := task.exception()) is not None:
             self._fail(error)
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from ryepier.maintenance.agreement import show_units
-from ryepier.maintenance.commands import Standing, Transfer
+from ryepier.maintenance.agreement import format_units
+from ryepier.maintenance.commands import CapacityNeed, Transfer
 from ryepier.maintenance.tables import GIVER, RECEIVER, TransferEvent, TransferState
 
 
@@ -48,7 +48,7 @@
         """How far a transfer of this region has come."""
         if transfer.number >= self.next_number(transfer.receiver):
             return TransferState.UNKNOWN
-        return TransferState.DEBITED if self._pending_like(transfer) else TransferState.ACKNOWLEDGED
+        return TransferState.DEBITED if self._pending_match(transfer) else TransferState.ACKNOWLEDGED
 
     def receiver_state(self, transfer: Transfer) -> TransferState:
         """Whether a transfer to this region was credited."""
@@ -59,16 +59,16 @@
     def debit(self, transfer: Transfer, spare: int) -> str | None:
         """Take the amount away, once; gives the reason where that is refused."""
         before = self.giver_state(transfer)
-        if before is TransferState.DEBITED and self._pending_like(transfer) != transfer:
-            return f"transfer {show_transfer(transfer)} was debited with another content"
+        if before is TransferState.DEBITED and self._pending_match(transfer) != transfer:
+            return f"transfer {format_transfer(transfer)} was debited with another content"
         if before is not TransferState.UNKNOWN:
             return None
         number = self.next_number(transfer.receiver)
         if transfer.number != number:
-            return f"transfer {show_transfer(transfer)}: the next number to {transfer.receiver!r} is {number}"
+            return f"transfer {format_transfer(transfer)}: the next number to {transfer.receiver!r} is {number}"
         if transfer.amount > spare:
-            over = show_units(transfer.amount - max(0, spare))
-            return f"transfer {show_transfer(transfer)} takes {over} more of {transfer.service!r} than can be spared"
+            over = format_units(transfer.amount - max(0, spare))
+            return f"transfer {format_transfer(transfer)} takes {over} more of {transfer.service!r} than can be spared"
         assert GIVER.after(before, TransferEvent.DEBIT) is TransferState.DEBITED
         self.allowances[transfer.service] -= transfer.amount
         self.last_sent[transfer.receiver] = transfer.number
@@ -85,25 +85,25 @@
         """Stop sending the transfer; gives the reason where that is refused."""
         before = self.giver_state(transfer)
         if GIVER.after(before, TransferEvent.ACKNOWLEDGE) is None:
-            return f"transfer {show_transfer(transfer)} was never debited"
-        if before is TransferState.DEBITED and self._pending_like(transfer) != transfer:
-            return f"transfer {show_transfer(transfer)} was debited with another content"
+            return f"transfer {format_transfer(transfer)} was never debited"
+        if before is TransferState.DEBITED and self._pending_match(transfer) != transfer:
+            return f"transfer {format_transfer(transfer)} was debited with another content"
         self.pending = [one for one in self.pending if one != transfer]
         return None
 
-    def _pending_like(self, transfer: Transfer) -> Transfer | None:
+    def _pending_match(self, transfer: Transfer) -> Transfer | None:
         """The pending transfer of the same identity."""
         same = (one for one in self.pending if (one.receiver, one.number) == (transfer.receiver, transfer.number))
         return next(same, None)
 
 
-def show_transfer(transfer: Transfer) -> str:
+def format_transfer(transfer: Transfer) -> str:
     """The identity of a transfer as people read it."""
     return f"{transfer.giver}->{transfer.receiver}#{transfer.number}"
 
 
 def rebalance(
-    region: str, escrow: Escrow, spare: Mapping[str, int], peers: Mapping[str, Mapping[str, Standing]]
+    region: str, escrow: Escrow, spare: Mapping[str, int], peers: Mapping[str, Mapping[str, CapacityNeed]]
 ) -> list[Transfer]:
     """Transfers that this region should debit: what it can spare, to peers that told of a need.
 
@@ -115,9 +115,9 @@
     numbers = {peer: escrow.next_number(peer) for peer in peers}
     busy = {(one.receiver, one.service) for one in escrow.pending}
     needs = [
-        (standing.deficit, max(standing.deficit, standing.shortage), peer, service)
-        for peer, standings in peers.items()
-        for service, standing in standings.items()
+        (need.deficit, max(need.deficit, need.shortage), peer, service)
+        for peer, needs in peers.items()
+        for service, need in needs.items()
         if (peer, service) not in busy
     ]
     for _, need, peer, service in sorted(needs, key=lambda one: (-one[0], -one[1], one[2:])):
--- a/ryepier/maintenance/fleet.py
+++ b/ryepier/maintenance/fleet.py
@@ -13,7 +13,7 @@
 
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 64 * 1024
-STEP_WITHIN_S = 10.0
+STEP_TIMEOUT_S = 10.0
 
 Action = Literal["drain", "remove", "list", "stop", "start", "in-flight"]
 
@@ -80,8 +80,8 @@
     async def do(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
         """Do one step over a connection of its own. Raises FleetError."""
         try:
-            async with asyncio.timeout(STEP_WITHIN_S):
-                reply = await self._ask(self.addresses[action], FleetCall(action, converter, token, uid))
+            async with asyncio.timeout(STEP_TIMEOUT_S):
+                reply = await self._request(self.addresses[action], FleetCall(action, converter, token, uid))
         except (OSError, EOFError, TimeoutError, msgspec.MsgspecError, ValueError) as error:
             raise FleetError(f"{action} {converter}: {type(error).__name__}: {error}") from None
         if reply.refusal:
@@ -89,7 +89,7 @@
         return reply
 
     @staticmethod
-    async def _ask(address: tuple[str, int], call: FleetCall) -> FleetReply:
+    async def _request(address: tuple[str, int], call: FleetCall) -> FleetReply:
         """One call and its reply."""
         reader, writer = await asyncio.open_connection(*address)
         try:
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -11,7 +11,7 @@
 
 from ryepier.maintenance.agreement import Agreement
 
-FULL = 1000  # thousandths of a converter
+FULL_SIZE = 1000  # thousandths of a converter
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,13 +35,15 @@
     at_ms: int
     service: str
     region: str
-    left: int  # thousandths, after the loss of the largest zone where that must be survived
-    least: int
+    available: int  # thousandths, after the loss of the largest zone where that must be survived
+    min_available: int
 
     def __str__(self) -> str:
         """One line."""
         where = f" in {self.region}" if self.region else ""
-        return f"{self.at_ms} ms: {self.service}{where}: {self.left} left, {self.least} agreed (thousandths)"
+        return (
+            f"{self.at_ms} ms: {self.service}{where}: {self.available} left, {self.min_available} agreed (thousandths)"
+        )
 
 
 class Judge:
@@ -55,21 +57,21 @@
 
     def apply(self, change: Change) -> list[Breach]:
         """Note a change; gives where windows alone have now taken out more than the agreement leaves."""
-        self._note(change)
+        self._record(change)
         if not (change.planned and change.missing):
             return []
         return self._check(change, {})
 
-    def grant_while_under(self, change: Change, known_after_ms: int, *, globally: bool = True) -> list[Breach]:
+    def check_grant(self, change: Change, known_after_ms: int, *, globally: bool = True) -> list[Breach]:
         """Where a window that begins now takes out what losses leave no room for. Losses count once they have
         lasted for `known_after_ms`. The change must not have been noted before."""
         lost = {
             name: missing for name, (missing, since) in self._lost.items() if since + known_after_ms <= change.at_ms
         }
-        self._note(change)
+        self._record(change)
         return [one for one in self._check(change, lost) if globally or one.region]
 
-    def _note(self, change: Change) -> None:
+    def _record(self, change: Change) -> None:
         if change.planned:
             self._planned.discard(change.converter)
             if change.missing:
@@ -84,29 +86,31 @@
         converter = self.agreement.converters[change.converter]
         service = self.agreement.services[converter.service]
         amounts = [
-            ("", service.least, self._left(service.name, None, lost)),
+            ("", service.min_available, self._available_capacity(service.name, None, lost)),
             (
                 converter.region,
-                service.least_by_region.get(converter.region, 0),
-                self._left(service.name, converter.region, lost),
+                service.min_available_by_region.get(converter.region, 0),
+                self._available_capacity(service.name, converter.region, lost),
             ),
         ]
         return [
-            Breach(change.at_ms, service.name, region, left, least) for region, least, left in amounts if left < least
+            Breach(change.at_ms, service.name, region, available, min_available)
+            for region, min_available, available in amounts
+            if available < min_available
         ]
 
-    def _left(self, service: str, region: str | None, lost: dict[str, int]) -> int:
+    def _available_capacity(self, service: str, region: str | None, lost: dict[str, int]) -> int:
         """What is left of a service, in a region or of all."""
         zones: dict[tuple[str, str], int] = {}
         for one in self.agreement.converters.values():
             if one.service != service or region not in (None, one.region):
                 continue
-            there = 0 if one.name in self._planned else FULL - lost.get(one.name, 0)
+            there = 0 if one.name in self._planned else FULL_SIZE - lost.get(one.name, 0)
             zone = (one.region, one.zone)
-            zones[zone] = zones.get(zone, 0) + one.size * there // FULL
-        left = sum(zones.values())
-        survives = self.agreement.services[service].survives_zone
-        return left - max(zones.values(), default=0) if survives else left
+            zones[zone] = zones.get(zone, 0) + one.size * there // FULL_SIZE
+        available = sum(zones.values())
+        survives = self.agreement.services[service].tolerates_zone_loss
+        return available - max(zones.values(), default=0) if survives else available
 
 
 def breaches(agreement: Agreement, changes: Iterable[Change]) -> Iterator[Breach]:
@@ -116,12 +120,12 @@
         yield from judge.apply(change)
 
 
-def late_grants(agreement: Agreement, changes: Iterable[Change], known_after_ms: int) -> Iterator[Breach]:
+def grants_during_shortage(agreement: Agreement, changes: Iterable[Change], known_after_ms: int) -> Iterator[Breach]:
     """Every window that began while the agreement was breached or would be with it, by losses that were known."""
     judge = Judge(agreement)
     for change in sorted(changes, key=_by_time):
         if change.planned and change.missing:
-            yield from judge.grant_while_under(change, known_after_ms)
+            yield from judge.check_grant(change, known_after_ms)
         else:
             judge.apply(change)
 
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -14,20 +14,20 @@
 from ryepier.maintenance.region_link import RegionLink
 from ryepier.maintenance.replication.core import NotLeaderError
 from ryepier.maintenance.settings import CoordinatorSettings
-from ryepier.maintenance.status import Planning
+from ryepier.maintenance.status import Planner
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY_S = 0.3
-LISTING_WITHIN_S = 1.0
-ADVANCE_EVERY_S = 0.5
+OBSERVE_INTERVAL_S = 0.3
+LISTING_TIMEOUT_S = 1.0
+ADVANCE_INTERVAL_S = 0.5
 IDLE_ADVANCE_MS = 10_000  # without a request: each step of the time is an entry in the log
 
 
-class LeaderJobs:
+class LeaderTasks:
     """Runs on every replica; only the leader's commands count."""
 
-    def __init__(self, settings: CoordinatorSettings, node: Node, planning: Planning, clock: RegionClock) -> None:
+    def __init__(self, settings: CoordinatorSettings, node: Node, planning: Planner, clock: RegionClock) -> None:
         """Work with these parts."""
         self.settings = settings
         self.node = node
@@ -39,7 +39,7 @@
     async def advance(self) -> None:
         """Let the region's time go on, by this leader's own clock from where the last one left it."""
         while True:
-            await asyncio.sleep(ADVANCE_EVERY_S)
+            await asyncio.sleep(ADVANCE_INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
                 continue
             now_ms = self.clock.now_ms()
@@ -47,36 +47,36 @@
             if not idle or now_ms >= self.ledger.now_ms + IDLE_ADVANCE_MS:
                 await self._try_propose(AdvanceTime(now_ms))
 
-    async def look(self) -> None:
+    async def observe(self) -> None:
         """Look at the converters; the leader records what has changed."""
         if self.settings.discovery is None:
             return
         reachable = True
         while True:
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(OBSERVE_INTERVAL_S)
             as_of, region_ms = self.ledger.applied, self.ledger.now_ms
             try:
-                listing = await fetch_listing(self.settings.discovery, LISTING_WITHIN_S)
+                listing = await fetch_listing(self.settings.discovery, LISTING_TIMEOUT_S)
             except ListingError as error:
                 if reachable:
                     log.warning("no listing: %s", error)
                 reachable = False
                 continue
             reachable = True
-            looks = self.tracker.look(monotonic_ms(), region_ms, listing)
-            for converter in self.planning.doubtful(looks):
-                self.tracker.doubt(converter, monotonic_ms(), region_ms)
+            probes = self.tracker.observe(monotonic_ms(), region_ms, listing)
+            for converter in self.planning.probes_to_restart(probes):
+                self.tracker.restart_warm_up(converter, monotonic_ms(), region_ms)
             if self.node.replica.has_committed_in_term:
-                observation = self.planning.observation(self.settings.replica, as_of, looks)
+                observation = self.planning.observation(self.settings.replica, as_of, probes)
                 if observation is not None:
                     await self._try_propose(observation)
 
-    async def trade_with(self, link: RegionLink) -> None:
+    async def exchange_with(self, link: RegionLink) -> None:
         """Tell another region where this one stands, and move allowances."""
         while True:
-            await asyncio.sleep(link.EVERY_S)
+            await asyncio.sleep(link.INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
-                link.forget()
+                link.reset()
                 continue
             for command in link.commands_due(self.ledger):
                 await self._try_propose(command)
--- a/ryepier/maintenance/limits.py
+++ b/ryepier/maintenance/limits.py
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """The capacity of `service` out or lost, but for converters in `without_zone`, is at most `bound`."""
+    """The capacity of `service` out or lost, but for converters in `excluded_zone`, is at most `bound`."""
 
     name: str
     service: str
     bound: int  # thousandths; below zero where more is lost elsewhere than this region may take out
-    without_zone: str | None = None
+    excluded_zone: str | None = None
 
-    def counts(self, converter: Converter) -> bool:
+    def applies_to(self, converter: Converter) -> bool:
         """Whether a converter of the region comes under this limit."""
-        return converter.service == self.service and converter.zone != self.without_zone
+        return converter.service == self.service and converter.zone != self.excluded_zone
 
 
 def allowance_limit(service: str, region: str, bound: int) -> Limit:
@@ -34,9 +34,9 @@
     """What the least capacity that is agreed for the region leaves."""
     agreed = agreement.services[service]
     capacity = agreement.capacity(service, region)
-    left = capacity - agreed.least_by_region.get(region, 0)
+    left = capacity - agreed.min_available_by_region.get(region, 0)
     name = f"the least capacity of {service!r} in {region!r}"
-    if not agreed.survives_zone:
+    if not agreed.tolerates_zone_loss:
         return (Limit(name, service, left),)
     zones = agreement.zone_capacities(service, region)
     return tuple(
--- a/ryepier/maintenance/node.py
+++ b/ryepier/maintenance/node.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingProposal:
     """A command that was proposed in a term and waits for its commit."""
 
     term: int
@@ -46,28 +46,28 @@
         self.disk = disk
         self.ledger = ledger
         self.send = send
-        self.pending: dict[int, Pending] = {}
+        self.pending: dict[int, PendingProposal] = {}
         self.failed = False
-        self.known_leadership = (replica.role, replica.term)
+        self.logged_leadership = (replica.role, replica.term)
 
     def tick(self) -> None:
         """Some time has gone by."""
         self.replica.tick()
-        self._carry_out()
+        self._process_ready()
 
     def receive(self, sender: str, message: Message) -> None:
         """A peer's message. Raises ProtocolError where no peer can have sent it."""
         try:
             self.replica.receive(sender, message)
         finally:
-            self._carry_out()
+            self._process_ready()
 
     async def propose(self, command: Command) -> Result:
         """Commit a command and return what applying it gave. Raises NotLeaderError, DeposedError."""
         index = self.replica.propose(commands.encode(command))
         result: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
-        self.pending[index] = Pending(self.replica.term, result)
-        self._carry_out()
+        self.pending[index] = PendingProposal(self.replica.term, result)
+        self._process_ready()
         return await result
 
     def close(self) -> None:
@@ -75,7 +75,7 @@
         self._fail_pending()
         self.disk.close()
 
-    def _carry_out(self) -> None:
+    def _process_ready(self) -> None:
         """Disk, then messages, then the ledger. Raises FatalError; nothing is done after one."""
         if self.failed:
             raise FatalError("this replica has failed before")
@@ -89,7 +89,7 @@
         except (OSError, storage.StorageError, CommandError) as error:
             self.failed = True
             raise FatalError(str(error)) from error
-        self._note_leadership()
+        self._log_leadership()
 
     def _apply(self, item: CommittedEntry) -> None:
         """Apply a committed entry, and answer whoever proposed it here."""
@@ -102,7 +102,7 @@
         self._answer(waiting, result if ours else None)
 
     @staticmethod
-    def _answer(waiting: Pending | None, result: Result | None) -> None:
+    def _answer(waiting: PendingProposal | None, result: Result | None) -> None:
         """Give the result, or say that another leader's entry has taken the place."""
         if waiting is None or waiting.result.done():
             return
@@ -111,12 +111,12 @@
         else:
             waiting.result.set_result(result)
 
-    def _note_leadership(self) -> None:
+    def _log_leadership(self) -> None:
         """Log changes, and fail what a replica proposed that leads no more."""
         leadership = (self.replica.role, self.replica.term)
-        if leadership == self.known_leadership:
+        if leadership == self.logged_leadership:
             return
-        self.known_leadership = leadership
+        self.logged_leadership = leadership
         log.info(
             "%s in term %d", self.replica.role.value, self.replica.term, extra={"replica": self.replica.settings.name}
         )
@@ -130,7 +130,7 @@
             self._answer(one, None)
 
 
-class UnwrittenStorage:
+class LazyStorage:
     """The disk of a replica that came back empty: the file is made with the first state that has to be kept."""
 
     def __init__(self, folder: Path, identity: storage.Identity) -> None:
@@ -155,19 +155,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenedDisk:
+class OpenedStorage:
     """A replica's disk and what it held; `state` is None where it is empty though the region is not new."""
 
     storage: storage.Storage
     state: DurableState | None
 
 
-def open_disk(
+def open_storage(
     folder: Path,
     identity: storage.Identity,
     bootstrap: bool,
     file_type: type[storage.FileStorage] = storage.FileStorage,
-) -> OpenedDisk:
+) -> OpenedStorage:
     """Open a replica's disk; `bootstrap` says that the region starts for the first time.
 
     Raises StorageError where the file can't be used, and where a region is to be bootstrapped over a file.
@@ -176,8 +176,8 @@
         storage.create(folder, identity)
     elif not storage.exists(folder):
         log.warning("%s is empty: this replica does not vote until the others have brought it up to date", folder)
-        return OpenedDisk(UnwrittenStorage(folder, identity), None)
+        return OpenedStorage(LazyStorage(folder, identity), None)
     file = file_type(folder, identity)
-    if file.cut_bytes:
-        log.warning("%s: %d bytes of an unfinished write were cut off", file.path, file.cut_bytes)
-    return OpenedDisk(file, file.state)
+    if file.truncated_bytes:
+        log.warning("%s: %d bytes of an unfinished write were cut off", file.path, file.truncated_bytes)
+    return OpenedStorage(file, file.state)
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from ryepier.maintenance.commands import FULL_WARMTH, Sighting
+from ryepier.maintenance.commands import FULL_WARMTH, ConverterObservation
 
 MAX_HEAD_BYTES = 8192
 MAX_LISTING_BYTES = 8 * 1024 * 1024
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedConverter:
     """A process life of a converter in discovery's list."""
 
     uid: str
@@ -36,20 +36,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """A converter as this observer sees it; `life_began_ms` is the region's time at which its life was first seen."""
+class WarmthProbe:
+    """A converter as observed here; `incarnation_began_ms` is the region's time when its process was first observed."""
 
-    sighting: Sighting
-    life_began_ms: int
+    observation: ConverterObservation
+    incarnation_began_ms: int
 
 
 @dataclass(slots=True)
-class _Life:
+class _Incarnation:
     """The life of a converter that is listed as ready: when it was first seen, by the own clock and the region's."""
 
     uid: str
-    since_ms: int
-    since_region_ms: int
+    began_ms: int
+    began_region_ms: int
 
 
 class WarmthTracker:
@@ -58,40 +58,40 @@
     def __init__(self, warm_up_ms: Mapping[str, int]) -> None:
         """Know each converter's time to warm up, in milliseconds."""
         self.warm_up_ms = warm_up_ms
-        self.lives: dict[str, _Life] = {}
-        self.seen_down: set[str] = set()
+        self.incarnations: dict[str, _Incarnation] = {}
+        self.observed_down: set[str] = set()
 
-    def look(self, now_ms: int, region_ms: int, listing: list[Listed]) -> tuple[Look, ...]:
+    def observe(self, now_ms: int, region_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
         """What the listing shows of each known converter; `region_ms` is the region's own time, from its log.
 
         One that was up already when this observer first looked may be warm or cold: it is left out until it has been
         listed for the whole of its time to warm up.
         """
         ready = {one.converter: one.uid for one in listing if one.ready}
-        looks = []
+        probes = []
         for converter, warm_up_ms in self.warm_up_ms.items():
             uid = ready.get(converter)
             if uid is None:
-                self.lives.pop(converter, None)
-                self.seen_down.add(converter)
-                looks.append(Look(Sighting(converter, False, 0), region_ms))
+                self.incarnations.pop(converter, None)
+                self.observed_down.add(converter)
+                probes.append(WarmthProbe(ConverterObservation(converter, False, 0), region_ms))
                 continue
-            life = self.lives.get(converter)
-            if life is None or life.uid != uid:
-                if life is not None:
-                    self.seen_down.add(converter)
-                life = self.lives[converter] = _Life(uid, now_ms, region_ms)
-            warmth = _warmth(now_ms - life.since_ms, warm_up_ms)
-            if warmth == FULL_WARMTH or converter in self.seen_down:
-                looks.append(Look(Sighting(converter, True, warmth), life.since_region_ms))
-        return tuple(looks)
-
-    def doubt(self, converter: str, now_ms: int, region_ms: int) -> None:
+            incarnation = self.incarnations.get(converter)
+            if incarnation is None or incarnation.uid != uid:
+                if incarnation is not None:
+                    self.observed_down.add(converter)
+                incarnation = self.incarnations[converter] = _Incarnation(uid, now_ms, region_ms)
+            warmth = _warmth(now_ms - incarnation.began_ms, warm_up_ms)
+            if warmth == FULL_WARMTH or converter in self.observed_down:
+                probes.append(WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.began_region_ms))
+        return tuple(probes)
+
+    def restart_warm_up(self, converter: str, now_ms: int, region_ms: int) -> None:
         """Count the present life of a converter anew from now on, as cold."""
-        life = self.lives.get(converter)
-        if life is not None:
-            self.seen_down.add(converter)
-            self.lives[converter] = _Life(life.uid, now_ms, region_ms)
+        incarnation = self.incarnations.get(converter)
+        if incarnation is not None:
+            self.observed_down.add(converter)
+            self.incarnations[converter] = _Incarnation(incarnation.uid, now_ms, region_ms)
 
 
 def _warmth(age_ms: int, warm_up_ms: int) -> int:
@@ -101,13 +101,13 @@
     return age_ms * FULL_WARMTH // warm_up_ms
 
 
-async def fetch_listing(address: tuple[str, int], within_s: float) -> list[Listed]:
+async def fetch_listing(address: tuple[str, int], timeout_s: float) -> list[ListedConverter]:
     """Discovery's whole list. Raises ListingError."""
     try:
-        async with asyncio.timeout(within_s):
+        async with asyncio.timeout(timeout_s):
             body = await _get(address, "/discovery/hosts")
         targets = json.loads(body)["targets"]
-        return [Listed(str(one["uid"]), one["state"] == LISTED_READY) for one in targets]
+        return [ListedConverter(str(one["uid"]), one["state"] == LISTED_READY) for one in targets]
     except (OSError, EOFError, TimeoutError, asyncio.LimitOverrunError, ValueError, KeyError, TypeError) as error:
         raise ListingError(f"{address[0]}:{address[1]}: {type(error).__name__}: {error}") from None
 
--- a/ryepier/maintenance/peers.py
+++ b/ryepier/maintenance/peers.py
@@ -6,7 +6,7 @@
 import contextlib
 import logging
 
-from ryepier.maintenance.api import VERSION, PeerHello, Refusal
+from ryepier.maintenance.api import VERSION, PeerHello, Rejection
 from ryepier.maintenance.replication.messages import Message as ReplicaMessage
 from ryepier.maintenance.settings import CoordinatorSettings
 from ryepier.maintenance.transport import Connection, TransportError
@@ -48,5 +48,5 @@
     async def _read_refusal(name: str, connection: Connection) -> None:
         """Until the peer ends the connection; it sends nothing but a refusal on it."""
         frame = await connection.receive()
-        reason = frame.reason if isinstance(frame, Refusal) else f"a {type(frame).__name__} out of turn"
+        reason = frame.reason if isinstance(frame, Rejection) else f"a {type(frame).__name__} out of turn"
         log.warning("peer %s refuses: %s", name, reason)
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -12,7 +12,7 @@
 from ryepier.maintenance.tables import LeaseState
 
 AGING_MS = 600_000  # a request that could have started goes up one priority for each of these
-LEAST_HELD_MS = 1_000  # for which a lease that should be over is taken to go on
+MIN_REMAINING_LEASE_MS = 1_000  # for which a lease that should be over is taken to go on
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class ActiveLease:
     """What an open lease has out, until about `until_ms`."""
 
     lease: str
@@ -58,10 +58,10 @@
     limits: tuple[Limit, ...]
     lost: Mapping[str, int] = field(default_factory=dict)  # by converter under no lease, thousandths
     converters: Mapping[str, Converter] = field(default_factory=dict)  # of the region
-    held: tuple[Held, ...] = ()
+    active_leases: tuple[ActiveLease, ...] = ()
     previous: tuple[Window, ...] = ()  # the last schedule's
 
-    def desired_ms(self, job: Job) -> int:
+    def desired_start_ms(self, job: Job) -> int:
         """When a request would begin if nothing were in its way."""
         return max(self.now_ms, job.request.earliest_ms)
 
@@ -71,18 +71,18 @@
         return max(0, job.request.priority - max(0, waited_ms) // AGING_MS)
 
 
-def problem_of(ledger: Ledger, previous: Sequence[Window] = ()) -> Problem:
+def build_problem(ledger: Ledger, previous: Sequence[Window] = ()) -> Problem:
     """The problem that a ledger poses now."""
-    out = ledger.view.out_converters()
+    out = ledger.view.leased_converters()
     everything = ledger.agreement.converters
     here = {name: one for name, one in everything.items() if one.region == ledger.region}
     requests = {record.request.name: record.request for record in ledger.state.requests.values()}
     held = []
     for lease in ledger.open_leases():
         request = requests[lease.request]
-        until = lease.granted_ms + _length(ledger, request) if lease.state is not LeaseState.CALLED_OFF else 0
-        until = max(until, ledger.now_ms + LEAST_HELD_MS)
-        held.append(Held(lease.name, request.name, tuple(everything[name] for name in lease.out), until))
+        until = lease.granted_ms + _length(ledger, request) if lease.state is not LeaseState.REVOKED else 0
+        until = max(until, ledger.now_ms + MIN_REMAINING_LEASE_MS)
+        held.append(ActiveLease(lease.name, request.name, tuple(everything[name] for name in lease.unavailable), until))
     jobs = []
     for record in ledger.open_requests():
         left = tuple(everything[name] for name in record.remaining() if name not in out)
@@ -94,7 +94,7 @@
         limits=tuple(limit for service in ledger.agreement.services for limit in ledger.limits(service)),
         lost={name: ledger.view.lost(one) for name, one in here.items() if name not in out},
         converters=here,
-        held=tuple(held),
+        active_leases=tuple(held),
         previous=tuple(previous),
     )
 
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -10,11 +10,11 @@
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import (
     AcknowledgeTransfer,
+    CapacityNeed,
     Command,
     CreditTransfer,
     DebitTransfer,
-    RecordStanding,
-    Standing,
+    RecordCapacityNeeds,
 )
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.results import Credited
@@ -28,8 +28,8 @@
 class RegionLink:
     """One direction: from this region's leader to another region's coordinators."""
 
-    EVERY_S: ClassVar[float] = 0.5
-    WITHIN_S: ClassVar[float] = 2.0
+    INTERVAL_S: ClassVar[float] = 0.5
+    TIMEOUT_S: ClassVar[float] = 2.0
 
     def __init__(self, agreement: Agreement, region: str, other: str) -> None:
         """Know the other region's replicas; nothing is opened yet."""
@@ -38,11 +38,11 @@
         addresses = {one.name: parse_address(one.address) for one in agreement.regions[other].replicas}
         self.client = RegionClient(other, addresses, region, KIND)
         self.reachable = True
-        self.told: dict[str, Standing] | None = None
+        self.last_reported: dict[str, CapacityNeed] | None = None
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Another leader may have told something else meanwhile."""
-        self.told = None
+        self.last_reported = None
 
     def commands_due(self, ledger: Ledger) -> list[Command]:
         """Debits that this region should commit for the other, before they are sent."""
@@ -53,27 +53,27 @@
         pending = [one for one in ledger.pending_transfers() if one.receiver == self.other]
         due: list[Command] = []
         try:
-            await self._tell_standings(ledger)
+            await self._report_needs(ledger)
             for transfer in pending:
-                result = await self.client.command(CreditTransfer(transfer), self.WITHIN_S)
+                result = await self.client.command(CreditTransfer(transfer), self.TIMEOUT_S)
                 if isinstance(result, Credited):
                     due.append(AcknowledgeTransfer(transfer))
         except CallError as error:
-            self._note_reachable(False, str(error))
+            self._log_reachability(False, str(error))
         else:
-            self._note_reachable(True, "")
+            self._log_reachability(True, "")
         return due
 
-    async def _tell_standings(self, ledger: Ledger) -> None:
+    async def _report_needs(self, ledger: Ledger) -> None:
         """Tell them where they have changed: each telling is an entry in the other region's log. Raises CallError."""
-        standings = ledger.standings()
-        if standings == self.told:
+        needs = ledger.needs()
+        if needs == self.last_reported:
             return
-        self.told = None  # until it is known that they have come
-        await self.client.command(RecordStanding(self.region, max(1, ledger.applied), standings), self.WITHIN_S)
-        self.told = standings
+        self.last_reported = None  # until it is known that they have come
+        await self.client.command(RecordCapacityNeeds(self.region, max(1, ledger.applied), needs), self.TIMEOUT_S)
+        self.last_reported = needs
 
-    def _note_reachable(self, reachable: bool, reason: str) -> None:
+    def _log_reachability(self, reachable: bool, reason: str) -> None:
         """Log a change, not every try."""
         if reachable != self.reachable:
             log.warning("region %s: %s", self.other, reason or "is reached again")
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -100,7 +100,7 @@
         except BaseException:
             os.close(self.descriptor)
             raise
-        self.cut_bytes = reader.size - reader.offset
+        self.truncated_bytes = reader.size - reader.offset
         self.offset = reader.offset
 
     def _open_locked(self) -> int:
--- a/ryepier/maintenance/results.py
+++ b/ryepier/maintenance/results.py
@@ -14,10 +14,10 @@
 
 
 class Cancelled(msgspec.Struct, tag="cancelled", tag_field="type", frozen=True):
-    """The request gets no further leases; `called_off` names those that were taken back."""
+    """The request gets no further leases; `revoked` names those that were taken back."""
 
     request: str
-    called_off: tuple[str, ...] = ()
+    revoked: tuple[str, ...] = msgspec.field(name="called_off", default=())
 
 
 class Granted(msgspec.Struct, tag="granted", tag_field="type", frozen=True):
@@ -29,30 +29,30 @@
     converters: tuple[str, ...]
 
 
-class Begun(msgspec.Struct, tag="begun", tag_field="type", frozen=True):
+class DrainStarted(msgspec.Struct, tag="begun", tag_field="type", frozen=True):
     """The holder may drain."""
 
     lease: str
 
 
 class Released(msgspec.Struct, tag="released", tag_field="type", frozen=True):
-    """The holder is done; `waiting` names converters that have not been seen ready and warm since."""
+    """The holder is done; `unavailable` names converters that have not been seen ready and warm since."""
 
     lease: str
-    waiting: tuple[str, ...]
+    unavailable: tuple[str, ...] = msgspec.field(name="waiting")
 
 
-class CalledOff(msgspec.Struct, tag="called-off", tag_field="type", frozen=True):
+class LeaseRevoked(msgspec.Struct, tag="called-off", tag_field="type", frozen=True):
     """The lease was taken back before its drain began."""
 
     lease: str
 
 
 class Observed(msgspec.Struct, tag="observed", tag_field="type", frozen=True):
-    """The observation counts; it closed the leases `closed`, and a loss called off those in `called_off`."""
+    """The observation counts; it closed the leases `closed`, and a loss called off those in `revoked`."""
 
     closed: tuple[str, ...] = ()
-    called_off: tuple[str, ...] = ()
+    revoked: tuple[str, ...] = msgspec.field(name="called_off", default=())
 
 
 class Debited(msgspec.Struct, tag="debited", tag_field="type", frozen=True):
@@ -86,7 +86,7 @@
     index: int
 
 
-class Refused(msgspec.Struct, tag="refused", tag_field="type", frozen=True):
+class Rejected(msgspec.Struct, tag="refused", tag_field="type", frozen=True):
     """Nothing was changed; one line that names what is in the way."""
 
     reason: str
@@ -96,14 +96,14 @@
     Accepted
     | Cancelled
     | Granted
-    | Begun
+    | DrainStarted
     | Released
-    | CalledOff
+    | LeaseRevoked
     | Observed
     | Debited
     | Credited
     | Acknowledged
     | Advanced
     | AlreadyApplied
-    | Refused
+    | Rejected
 )
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -7,26 +7,26 @@
 from ryepier.maintenance.commands import Transfer
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.results import Result
-from ryepier.maintenance.state import Seen
+from ryepier.maintenance.state import ObservedState
 
 
-class ColdCountsView(CapacityView):
+class IgnoreWarmUpView(CapacityView):
     """A converter that is ready counts as whole, however cold."""
 
-    def is_back(self, seen: Seen) -> bool:
+    def is_recovered(self, seen: ObservedState) -> bool:
         """Ready is enough."""
         return seen.ready
 
     def lost(self, converter: Converter) -> int:
         """Nothing is missing of a cold one."""
-        seen = self.state.seen.get(converter.name)
+        seen = self.state.observed.get(converter.name)
         return 0 if seen is not None and seen.ready else converter.size
 
 
-class ColdCountsLedger(Ledger):
+class IgnoreWarmUpLedger(Ledger):
     """Back is warm."""
 
-    view_type = ColdCountsView
+    view_type = IgnoreWarmUpView
 
 
 class ExpiryFreesLedger(Ledger):
@@ -53,7 +53,7 @@
 
     def allowance_bound(self, service: str) -> int:
         """All that may be out globally."""
-        return self.agreement.may_be_out(service)
+        return self.agreement.max_unavailable(service)
 
 
 class BorrowLedger(Ledger):
@@ -87,27 +87,27 @@
     view_type = IgnoreLossView
 
 
-class StaleLookLedger(Ledger):
+class StaleObservationLedger(Ledger):
     """A look that was begun before the release ends a lease."""
 
-    def _bring_back(self, converter: str, seen: Seen) -> list[str]:
-        return super()._bring_back(converter, Seen(seen.ready, seen.warmth, self.state.applied))
+    def _mark_recovered(self, converter: str, seen: ObservedState) -> list[str]:
+        return super()._mark_recovered(converter, ObservedState(seen.ready, seen.warmth, self.state.applied))
 
 
 class OverdrawLedger(Ledger):
     """A region gives away what its leases have out."""
 
-    def _spared(self, service: str) -> int:
+    def _transferable(self, service: str) -> int:
         return self.capacity(service).allowance
 
 
 FAULTY_LEDGERS: dict[str, type[Ledger]] = {
-    "cold-counts": ColdCountsLedger,
+    "cold-counts": IgnoreWarmUpLedger,
     "expiry-frees": ExpiryFreesLedger,
     "double-credit": DoubleCreditLedger,
     "borrow": BorrowLedger,
     "forget-grant": ForgetGrantLedger,
     "ignore-loss": IgnoreLossLedger,
-    "stale-look": StaleLookLedger,
+    "stale-look": StaleObservationLedger,
     "overdraw": OverdrawLedger,
 }
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -20,20 +20,20 @@
     NotLeaderReply,
     NoWindowReply,
     PeerHello,
-    Refusal,
+    Rejection,
     Reply,
     StatusCall,
     UncertainReply,
 )
 from ryepier.maintenance.commands import (
-    BeginDrain,
     CancelRequest,
     Command,
     CommandError,
     CreditTransfer,
     GrantLease,
-    RecordStanding,
+    RecordCapacityNeeds,
     ReleaseLease,
+    StartDrain,
     SubmitRequest,
     TakeOverLease,
 )
@@ -42,18 +42,18 @@
 from ryepier.maintenance.replication.core import NotLeaderError, ProtocolError
 from ryepier.maintenance.replication.messages import Message as ReplicaMessage
 from ryepier.maintenance.settings import CoordinatorSettings
-from ryepier.maintenance.status import Planning, status_of
+from ryepier.maintenance.status import Planner, status_of
 from ryepier.maintenance.transport import Connection, TransportError
 
 log = logging.getLogger(__name__)
 
-HELLO_WITHIN_S = 3.0
+HELLO_TIMEOUT_S = 3.0
 MAX_CALLS_PER_CONNECTION = 64  # that wait for their commit
 
 ALLOWED_COMMANDS: dict[ClientKind, tuple[type[Command], ...]] = {
     "operator": (SubmitRequest, CancelRequest),
-    "agent": (TakeOverLease, BeginDrain, ReleaseLease),
-    "region": (RecordStanding, CreditTransfer),
+    "agent": (TakeOverLease, StartDrain, ReleaseLease),
+    "region": (RecordCapacityNeeds, CreditTransfer),
 }
 
 
@@ -64,7 +64,7 @@
         self,
         settings: CoordinatorSettings,
         node: Node,
-        planning: Planning,
+        planning: Planner,
         clock: RegionClock,
         fail: Callable[[BaseException], None],
     ) -> None:
@@ -84,7 +84,7 @@
         except (TransportError, ProtocolError) as error:
             log.info("a connection is refused: %s", error)
             with contextlib.suppress(OSError):
-                connection.send(Refusal(str(error)[:1000]))
+                connection.send(Rejection(str(error)[:1000]))
         except FatalError as error:
             self.fail(error)
         except (OSError, EOFError, asyncio.CancelledError):
@@ -95,10 +95,10 @@
     async def _serve_connection(self, connection: Connection) -> None:
         """Greeting first. Raises TransportError, ProtocolError on what is refused."""
         try:
-            async with asyncio.timeout(HELLO_WITHIN_S):
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
                 hello = await connection.receive()
         except TimeoutError:
-            raise TransportError(f"no greeting within {HELLO_WITHIN_S:g} s") from None
+            raise TransportError(f"no greeting within {HELLO_TIMEOUT_S:g} s") from None
         if isinstance(hello, PeerHello):
             self._check_peer(hello)
             await self._serve_peer(hello.replica, connection)
@@ -161,7 +161,7 @@
         except DeposedError:
             reply = UncertainReply(call.number)
         except CommandError as error:
-            reply = Refusal(str(error)[:1000])
+            reply = Rejection(str(error)[:1000])
         except FatalError as error:
             self.fail(error)
             return
@@ -169,7 +169,7 @@
             slots.release()
         with contextlib.suppress(OSError):
             connection.send(reply)
-        if isinstance(reply, Refusal):
+        if isinstance(reply, Rejection):
             connection.close()
 
     async def _answer(self, hello: ClientHello, call: Call) -> Reply:
--- a/ryepier/maintenance/settings.py
+++ b/ryepier/maintenance/settings.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoordinatorParts:
+class CoordinatorComponents:
     """The classes that a coordinator is made of; experiments put in ones with a mistake."""
 
     replica: type[Replica] = Replica
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ryepier.maintenance.commands import Request, Standing
+from ryepier.maintenance.commands import CapacityNeed, Request
 from ryepier.maintenance.escrow import Escrow
 from ryepier.maintenance.tables import LeaseState
 
@@ -29,11 +29,13 @@
     agent: str
     token: int
     converters: tuple[str, ...]
-    out: list[str]  # of them, those that have not been seen ready and warm again
+    unavailable: list[str] = msgspec.field(name="out")  # of them, those that have not been seen ready and warm again
     granted_ms: int  # the region's time
     state: LeaseState = LeaseState.GRANTED
-    settled_index: int = 0  # of the release or call-off: only what was seen after it counts
-    replaced_token: int = 0  # the token before the last take-over
+    released_index: int = msgspec.field(
+        name="settled_index", default=0
+    )  # of the release or call-off: only what was seen after it counts
+    previous_token: int = msgspec.field(name="replaced_token", default=0)  # the token before the last take-over
 
 
 class RequestRecord(msgspec.Struct):
@@ -51,7 +53,7 @@
         return [name for name in self.converters if name not in self.done]
 
 
-class Seen(msgspec.Struct, frozen=True):
+class ObservedState(msgspec.Struct, frozen=True):
     """The last that was seen of a converter."""
 
     ready: bool
@@ -59,11 +61,11 @@
     as_of: int  # log index
 
 
-class Peer(msgspec.Struct, frozen=True):
+class PeerRegion(msgspec.Struct, frozen=True):
     """The last that another region told of itself."""
 
     number: int
-    standings: dict[str, Standing]
+    needs: dict[str, CapacityNeed] = msgspec.field(name="standings")
 
 
 class LedgerState(msgspec.Struct):
@@ -76,11 +78,11 @@
     now_ms: int = 0
     last_token: int = 0
     requests: dict[str, RequestRecord] = {}
-    finished: dict[str, Request] = {}  # the last ones, oldest first
+    completed: dict[str, Request] = msgspec.field(name="finished", default_factory=dict)  # the last ones, oldest first
     leases: dict[str, Lease] = {}  # the open ones
     observers: dict[str, int] = {}  # the last sequence of each
-    seen: dict[str, Seen] = {}  # by converter
-    peers: dict[str, Peer] = {}
+    observed: dict[str, ObservedState] = msgspec.field(name="seen", default_factory=dict)  # by converter
+    peers: dict[str, PeerRegion] = {}
 
 
 def encode(state: LedgerState) -> bytes:
--- a/ryepier/maintenance/status.py
+++ b/ryepier/maintenance/status.py
@@ -7,18 +7,18 @@
 from ryepier.maintenance.api import CapacityStatus, LeaseStatus, RequestStatus, StatusReply
 from ryepier.maintenance.commands import FULL_WARMTH, RecordObservation
 from ryepier.maintenance.ledger import Ledger
-from ryepier.maintenance.observer import Look
+from ryepier.maintenance.observer import WarmthProbe
 from ryepier.maintenance.placement import FREEZE_MS, Schedule
-from ryepier.maintenance.problem import Window, problem_of
+from ryepier.maintenance.problem import Window, build_problem
 from ryepier.maintenance.replication.core import Replica
 from ryepier.maintenance.scheduler import make_schedule
 from ryepier.maintenance.state import Lease
 from ryepier.maintenance.tables import LeaseState
 
-AWAITING_SIGHT = (LeaseState.RETURNING, LeaseState.CALLED_OFF)
+AWAITING_RECOVERY = (LeaseState.RETURNING, LeaseState.REVOKED)
 
 
-class Planning:
+class Planner:
     """The schedule of a ledger, made anew when the ledger has changed."""
 
     def __init__(self, ledger: Ledger, freeze_ms: int = FREEZE_MS) -> None:
@@ -26,68 +26,68 @@
         self.ledger = ledger
         self.freeze_ms = freeze_ms
         self.schedule = Schedule((), (), ())
-        self.made_at = -1
+        self.scheduled_index = -1
 
-    def present_schedule(self) -> Schedule:
+    def current_schedule(self) -> Schedule:
         """The schedule as of the last command."""
-        if self.made_at != self.ledger.applied:
-            self.made_at = self.ledger.applied
+        if self.scheduled_index != self.ledger.applied:
+            self.scheduled_index = self.ledger.applied
             frozen_until_ms = self.ledger.now_ms + self.freeze_ms
             fixed = [one for one in self.schedule.windows if one.start_ms < frozen_until_ms]
-            self.schedule = make_schedule(problem_of(self.ledger, fixed))
+            self.schedule = make_schedule(build_problem(self.ledger, fixed))
         return self.schedule
 
     def due_window(self) -> Window | None:
         """A window that may begin now."""
-        due = (one for one in self.present_schedule().windows if one.start_ms <= self.ledger.now_ms)
+        due = (one for one in self.current_schedule().windows if one.start_ms <= self.ledger.now_ms)
         return next(due, None)
 
-    def observation(self, observer: str, as_of: int, looks: Iterable[Look]) -> RecordObservation | None:
+    def observation(self, observer: str, as_of: int, probes: Iterable[WarmthProbe]) -> RecordObservation | None:
         """What of a look is worth a command: what differs, and what may end a lease."""
-        telling = tuple(one.sighting for one in looks if self._tells(one))
+        telling = tuple(one.observation for one in probes if self._is_reportable(one))
         if not telling:
             return None
         return RecordObservation(observer, as_of + 1, as_of, telling)
 
-    def doubtful(self, looks: Iterable[Look]) -> list[str]:
+    def probes_to_restart(self, probes: Iterable[WarmthProbe]) -> list[str]:
         """Converters whose maintenance is done, but whose life seems to be the one from before it.
 
         Either the listing is late, or this observer has not known the region's time for long. Both are over once the
         life has been listed for a whole time to warm up from now on.
         """
         found = []
-        for look in looks:
-            lease = self._lease_of(look.sighting.converter)
-            if lease is None or lease.state is not LeaseState.RETURNING or not look.sighting.ready:
+        for probe in probes:
+            lease = self._lease_on(probe.observation.converter)
+            if lease is None or lease.state is not LeaseState.RETURNING or not probe.observation.ready:
                 continue
-            if look.life_began_ms < lease.granted_ms:
-                found.append(look.sighting.converter)
+            if probe.incarnation_began_ms < lease.granted_ms:
+                found.append(probe.observation.converter)
         return found
 
-    def _tells(self, look: Look) -> bool:
+    def _is_reportable(self, probe: WarmthProbe) -> bool:
         """Whether a look is news."""
-        sighting = look.sighting
-        lease = self._lease_of(sighting.converter)
-        if lease is not None and sighting.ready:
-            if lease.state is not LeaseState.CALLED_OFF and look.life_began_ms < lease.granted_ms:
+        observation = probe.observation
+        lease = self._lease_on(observation.converter)
+        if lease is not None and observation.ready:
+            if lease.state is not LeaseState.REVOKED and probe.incarnation_began_ms < lease.granted_ms:
                 return False
-            if lease.state in AWAITING_SIGHT and sighting.warmth == FULL_WARMTH:
+            if lease.state in AWAITING_RECOVERY and observation.warmth == FULL_WARMTH:
                 return True
-        seen = self.ledger.state.seen.get(sighting.converter)
-        return seen is None or (seen.ready, seen.warmth) != (sighting.ready, sighting.warmth)
+        seen = self.ledger.state.observed.get(observation.converter)
+        return seen is None or (seen.ready, seen.warmth) != (observation.ready, observation.warmth)
 
-    def _lease_of(self, converter: str) -> Lease | None:
+    def _lease_on(self, converter: str) -> Lease | None:
         """The open lease that has a converter out."""
         for lease in self.ledger.state.leases.values():
-            if converter in lease.out:
+            if converter in lease.unavailable:
                 return lease
         return None
 
     def request_statuses(self) -> tuple[RequestStatus, ...]:
         """The open requests with what the schedule says of each."""
-        schedule = self.present_schedule()
-        reasons = {one.request: one.reason for one in schedule.waiting}
-        reasons |= {one.request: one.reason for one in schedule.misfits}
+        schedule = self.current_schedule()
+        reasons = {one.request: one.reason for one in schedule.delayed_requests}
+        reasons |= {one.request: one.reason for one in schedule.unplaced_requests}
         starts: dict[str, int] = {}
         for window in schedule.windows:
             starts[window.request] = min(window.start_ms, starts.get(window.request, window.start_ms))
@@ -104,7 +104,7 @@
         )
 
 
-def status_of(number: int, now_ms: int, replica: Replica, planning: Planning) -> StatusReply:
+def status_of(number: int, now_ms: int, replica: Replica, planning: Planner) -> StatusReply:
     """The region's state as its leader has applied it, at the region's time `now_ms`."""
     ledger = planning.ledger
     return StatusReply(
@@ -117,7 +117,13 @@
         requests=planning.request_statuses(),
         leases=tuple(
             LeaseStatus(
-                lease.name, lease.request, lease.agent, lease.token, lease.state, lease.converters, tuple(lease.out)
+                lease.name,
+                lease.request,
+                lease.agent,
+                lease.token,
+                lease.state,
+                lease.converters,
+                tuple(lease.unavailable),
             )
             for lease in ledger.open_leases()
         ),
@@ -128,4 +134,4 @@
 def _capacity_status(ledger: Ledger, service: str) -> CapacityStatus:
     """A service's figures."""
     capacity = ledger.capacity(service)
-    return CapacityStatus(service, capacity.in_force, capacity.out, capacity.lost, capacity.allowance)
+    return CapacityStatus(service, capacity.available, capacity.unavailable, capacity.lost, capacity.allowance)
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from ryepier.maintenance.agreement import Agreement, Service, show_units
+from ryepier.maintenance.agreement import Agreement, Service, format_units
 from ryepier.maintenance.commands import Request
 from ryepier.maintenance.state import LedgerState
 
-MOST_OPEN_REQUESTS = 5_000
+MAX_OPEN_REQUESTS = 5_000
 
 
-def named_converters(agreement: Agreement, request: Request) -> tuple[str, ...]:
+def requested_converters(agreement: Agreement, request: Request) -> tuple[str, ...]:
     """The converters that a request names, by name or by their zone."""
     if request.converters:
         return request.converters
@@ -17,7 +17,9 @@
     return tuple(one.name for one in here if one.zone == request.zone)
 
 
-def why_refused(agreement: Agreement, state: LedgerState, request: Request, converters: tuple[str, ...]) -> str | None:
+def rejection_reason(
+    agreement: Agreement, state: LedgerState, request: Request, converters: tuple[str, ...]
+) -> str | None:
     """The first thing that is wrong with a new request for `converters`, in one line; None: it can be taken."""
     if request.region != state.region:
         return f"it is for region {request.region!r}; this is {state.region!r}"
@@ -27,17 +29,17 @@
         return "names either converters or a zone"
     if not converters:
         return f"service {request.service!r} has no converter in zone {request.zone!r}"
-    if len(state.requests) >= MOST_OPEN_REQUESTS:
-        return f"{MOST_OPEN_REQUESTS} requests are open, the most there may be"
+    if len(state.requests) >= MAX_OPEN_REQUESTS:
+        return f"{MAX_OPEN_REQUESTS} requests are open, the most there may be"
     service = agreement.services[request.service]
     return (
-        _wrong_converter(agreement, state, request, converters)
-        or _too_little_time(state, service, request, converters)
-        or _too_large(agreement, request, converters)
+        _invalid_converter(agreement, state, request, converters)
+        or _insufficient_time(state, service, request, converters)
+        or _oversized_converter(agreement, request, converters)
     )
 
 
-def _wrong_converter(
+def _invalid_converter(
     agreement: Agreement, state: LedgerState, request: Request, converters: tuple[str, ...]
 ) -> str | None:
     holders = {name: record.request.name for record in state.requests.values() for name in record.remaining()}
@@ -54,10 +56,12 @@
     return None
 
 
-def _too_little_time(state: LedgerState, service: Service, request: Request, converters: tuple[str, ...]) -> str | None:
+def _insufficient_time(
+    state: LedgerState, service: Service, request: Request, converters: tuple[str, ...]
+) -> str | None:
     if request.deadline_ms <= state.now_ms:
         return f"its deadline is gone by {state.now_ms - request.deadline_ms} ms"
-    rounds = -(-len(converters) // request.at_once)
+    rounds = -(-len(converters) // request.max_unavailable)
     needed_ms = rounds * (request.duration_ms + service.warm_up_ms)
     has_ms = request.deadline_ms - max(request.earliest_ms, state.now_ms)
     if needed_ms <= has_ms:
@@ -65,14 +69,16 @@
     return f"needs {needed_ms} ms for {rounds} rounds and has {has_ms} ms, {needed_ms - has_ms} ms too little"
 
 
-def _too_large(agreement: Agreement, request: Request, converters: tuple[str, ...]) -> str | None:
+def _oversized_converter(agreement: Agreement, request: Request, converters: tuple[str, ...]) -> str | None:
     """A converter that may not go out whatever else is in."""
-    most = min(agreement.may_be_out(request.service), agreement.may_be_out_in(request.service, request.region))
+    most = min(
+        agreement.max_unavailable(request.service), agreement.max_unavailable_in(request.service, request.region)
+    )
     for name in converters:
         size = agreement.converters[name].size
         if size > most:
             return (
-                f"converter {name!r} takes {show_units(size)} of {request.service!r} and at most {show_units(most)} "
-                f"may be out, {show_units(size - most)} too much"
+                f"converter {name!r} takes {format_units(size)} of {request.service!r} and at most "
+                f"{format_units(most)} may be out, {format_units(size - most)} too much"
             )
     return None
--- a/ryepier/maintenance/tables.py
+++ b/ryepier/maintenance/tables.py
@@ -38,7 +38,7 @@
     GRANTED = "granted"  # the drain has not begun
     DRAINING = "draining"  # the holder may have converters down
     RETURNING = "returning"  # the holder is done; converters have yet to be seen ready and warm
-    CALLED_OFF = "called-off"  # taken back before the drain; converters have yet to be seen ready and warm
+    REVOKED = "called-off"  # taken back before the drain; converters have yet to be seen ready and warm
     CLOSED = "closed"
 
 
@@ -48,8 +48,8 @@
     BEGIN = "begin"
     TAKE_OVER = "take over"
     RELEASE = "release"
-    CALL_OFF = "call off"
-    ALL_BACK = "all seen ready and warm"
+    REVOKE = "call off"
+    ALL_RECOVERED = "all seen ready and warm"
 
 
 LEASES = StateTable(
@@ -57,14 +57,14 @@
     {
         (LeaseState.GRANTED, LeaseEvent.BEGIN): LeaseState.DRAINING,
         (LeaseState.GRANTED, LeaseEvent.TAKE_OVER): LeaseState.GRANTED,
-        (LeaseState.GRANTED, LeaseEvent.CALL_OFF): LeaseState.CALLED_OFF,
+        (LeaseState.GRANTED, LeaseEvent.REVOKE): LeaseState.REVOKED,
         (LeaseState.DRAINING, LeaseEvent.BEGIN): LeaseState.DRAINING,
         (LeaseState.DRAINING, LeaseEvent.TAKE_OVER): LeaseState.DRAINING,
         (LeaseState.DRAINING, LeaseEvent.RELEASE): LeaseState.RETURNING,
         (LeaseState.RETURNING, LeaseEvent.RELEASE): LeaseState.RETURNING,
-        (LeaseState.RETURNING, LeaseEvent.ALL_BACK): LeaseState.CLOSED,
-        (LeaseState.CALLED_OFF, LeaseEvent.CALL_OFF): LeaseState.CALLED_OFF,
-        (LeaseState.CALLED_OFF, LeaseEvent.ALL_BACK): LeaseState.CLOSED,
+        (LeaseState.RETURNING, LeaseEvent.ALL_RECOVERED): LeaseState.CLOSED,
+        (LeaseState.REVOKED, LeaseEvent.REVOKE): LeaseState.REVOKED,
+        (LeaseState.REVOKED, LeaseEvent.ALL_RECOVERED): LeaseState.CLOSED,
     },
 )
 
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -12,15 +12,15 @@
 from ryepier.maintenance.commands import (
     FULL_WARMTH,
     AcknowledgeTransfer,
-    BeginDrain,
     Command,
+    ConverterObservation,
     CreditTransfer,
     DebitTransfer,
     GrantLease,
+    RecordCapacityNeeds,
     RecordObservation,
-    RecordStanding,
     ReleaseLease,
-    Sighting,
+    StartDrain,
     SubmitRequest,
     TakeOverLease,
     Transfer,
@@ -28,13 +28,13 @@
 from ryepier.maintenance.judge import Breach, Change, Judge
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.results import (
-    Begun,
-    CalledOff,
     Cancelled,
     Credited,
+    DrainStarted,
     Granted,
+    LeaseRevoked,
     Observed,
-    Refused,
+    Rejected,
     Result,
 )
 from tests.maintenance_world import request
@@ -74,7 +74,7 @@
 
 
 @dataclass
-class Look:
+class WarmthProbe:
     """What an observer saw and has not reported yet."""
 
     region: str
@@ -101,7 +101,7 @@
         self.truth = {name: Truth() for name in agreement.converters}
         self.agents: list[Agent] = []
         self.network: list[Message] = []
-        self.looks: list[Look] = []
+        self.probes: list[WarmthProbe] = []
         self.sequence = 0
         self.time = 0
         self.rule = Judge(agreement)
@@ -125,8 +125,8 @@
         replica.log.append((index, data))
         result = replica.ledger.apply(index, commands.decode(data))
         if isinstance(result, Observed | Cancelled):
-            self._void(result.called_off)
-        if isinstance(result, CalledOff):
+            self._void(result.revoked)
+        if isinstance(result, LeaseRevoked):
             self._void((result.lease,))
         return result
 
@@ -143,8 +143,8 @@
 
     # leases and converters
 
-    def submit(self, region: str, name: str, converters: tuple[str, ...], at_once: int) -> Result:
-        one = request(name, region=region, converters=converters, at_once=at_once, deadline_ms=10**9)
+    def submit(self, region: str, name: str, converters: tuple[str, ...], max_unavailable: int) -> Result:
+        one = request(name, region=region, converters=converters, max_unavailable=max_unavailable, deadline_ms=10**9)
         return self.apply(region, SubmitRequest(one))
 
     def grant(self, region: str, lease: str, request_name: str, converters: tuple[str, ...]) -> Result:
@@ -157,9 +157,9 @@
         return result
 
     def begin(self, agent: Agent) -> None:
-        result = self.apply(agent.region, BeginDrain(agent.lease, agent.token))
-        assert not (agent.void and isinstance(result, Begun)), "a void token began a drain"
-        if isinstance(result, Begun) and not agent.drained:
+        result = self.apply(agent.region, StartDrain(agent.lease, agent.token))
+        assert not (agent.void and isinstance(result, DrainStarted)), "a void token began a drain"
+        if isinstance(result, DrainStarted) and not agent.drained:
             agent.drained = True
             for name in agent.converters:
                 self.truth[name].up = False
@@ -174,7 +174,7 @@
     def release(self, agent: Agent) -> None:
         if agent.brought_up or agent.void:
             result = self.apply(agent.region, ReleaseLease(agent.lease, agent.token))
-            agent.released = not isinstance(result, Refused)
+            agent.released = not isinstance(result, Rejected)
             assert not (agent.void and agent.released), "a void token released a lease"
 
     def take_over(self, agent: Agent) -> None:
@@ -230,25 +230,25 @@
 
     def look(self, region: str) -> None:
         self.sequence += 1
-        sightings = tuple(
-            Sighting(name, self.truth[name].up, self.truth[name].warmth if self.truth[name].up else 0)
+        observations = tuple(
+            ConverterObservation(name, self.truth[name].up, self.truth[name].warmth if self.truth[name].up else 0)
             for name, one in self.agreement.converters.items()
             if one.region == region
         )
         observer = f"watch-{self.sequence % OBSERVERS}"
-        command = RecordObservation(observer, self.sequence, self.ledger(region).applied, sightings)
-        self.looks.append(Look(region, command))
+        command = RecordObservation(observer, self.sequence, self.ledger(region).applied, observations)
+        self.probes.append(WarmthProbe(region, command))
 
     def report(self, number: int, *, keep: bool = False) -> None:
         """One of the looks reaches its region's log."""
-        look = self.looks[number] if keep else self.looks.pop(number)
+        look = self.probes[number] if keep else self.probes.pop(number)
         if not isinstance(self.apply(look.region, look.command), Observed):
             return
-        for sighting in look.command.sightings:
-            if self.told_as_of.get(sighting.converter, 0) <= look.command.as_of:
-                self.told_as_of[sighting.converter] = look.command.as_of
-                missing = FULL_WARMTH - sighting.warmth if sighting.ready else FULL_WARMTH
-                self.known[look.region].apply(Change(self._tick(), sighting.converter, missing, planned=False))
+        for observation in look.command.observations:
+            if self.told_as_of.get(observation.converter, 0) <= look.command.as_of:
+                self.told_as_of[observation.converter] = look.command.as_of
+                missing = FULL_WARMTH - observation.warmth if observation.ready else FULL_WARMTH
+                self.known[look.region].apply(Change(self._tick(), observation.converter, missing, planned=False))
 
     # transfers
 
@@ -269,8 +269,8 @@
         """The region's standing goes out with its transfers."""
         self.send_transfers(region)
         ledger = self.ledger(region)
-        standing = RecordStanding(region, ledger.applied, ledger.standings())
-        self.network += [Message(other, standing) for other in self.replicas if other != region]
+        need = RecordCapacityNeeds(region, ledger.applied, ledger.needs())
+        self.network += [Message(other, need) for other in self.replicas if other != region]
 
     def deliver(self, number: int, *, keep: bool = False) -> None:
         message = self.network[number] if keep else self.network.pop(number)
@@ -309,6 +309,6 @@
         own = self.agreement.converters[name].region
         for region, known in self.known.items():
             if region == own and missing:
-                self.breaches += known.grant_while_under(change, 0)
+                self.breaches += known.check_grant(change, 0)
             else:
                 known.apply(change)
--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ryepier.maintenance import agreement, api, commands, fleet, results, transport
-from ryepier.maintenance.commands import Command, Priority, Request, Sighting, Standing, Transfer
+from ryepier.maintenance.commands import CapacityNeed, Command, ConverterObservation, Priority, Request, Transfer
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.replication import messages, storage
 from ryepier.maintenance.replication.core import Ready
@@ -32,7 +32,7 @@
         "region": REGION,
         "service": "convert",
         "converters": converters,
-        "at_once": 1,
+        "max_unavailable": 1,
         "duration_ms": 10_000,
         "earliest_ms": 0,
         "deadline_ms": 100_000,
@@ -40,14 +40,14 @@
     return Request(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-def observation(sequence: int, as_of: int, *sightings: Sighting) -> Command:
+def observation(sequence: int, as_of: int, *observations: ConverterObservation) -> Command:
     """What north-0 has observed."""
-    return commands.RecordObservation("north-0", sequence, as_of, sightings)
+    return commands.RecordObservation("north-0", sequence, as_of, observations)
 
 
-def ready(*names: str) -> tuple[Sighting, ...]:
+def ready(*names: str) -> tuple[ConverterObservation, ...]:
     """These converters, ready and warm."""
-    return tuple(Sighting(name, True, commands.FULL_WARMTH) for name in names)
+    return tuple(ConverterObservation(name, True, commands.FULL_WARMTH) for name in names)
 
 
 def log() -> list[Command]:
@@ -60,12 +60,12 @@
         commands.AdvanceTime(1_500),
         commands.GrantLease("l1", "early", "agent-1", ("n00",)),
         commands.TakeOverLease("l1", "agent-2", 1),
-        commands.BeginDrain("l1", 1),
-        commands.BeginDrain("l1", 2),
+        commands.StartDrain("l1", 1),
+        commands.StartDrain("l1", 2),
         commands.ReleaseLease("l1", 2),
         observation(2, 9, *ready("n00")),
-        commands.SubmitRequest(request("zone", (), zone="z0", at_once=3, priority=Priority.URGENT)),
-        commands.SubmitRequest(request("pair", ("n10", "n11"), at_once=2, priority=Priority.CONVENIENT)),
+        commands.SubmitRequest(request("zone", (), zone="z0", max_unavailable=3, priority=Priority.URGENT)),
+        commands.SubmitRequest(request("pair", ("n10", "n11"), max_unavailable=2, priority=Priority.CONVENIENT)),
         commands.CreditTransfer(Transfer("south", "north", 1, "convert", 500)),
         commands.CreditTransfer(Transfer("south", "north", 3, "convert", 500)),
         commands.CreditTransfer(Transfer("south", "north", 3, "convert", 500)),
@@ -74,15 +74,15 @@
         commands.DebitTransfer(Transfer("north", "south", 2, "convert", 250)),
         commands.DebitTransfer(Transfer("north", "south", 3, "convert", 9_000)),
         commands.GrantLease("l2", "zone", "agent-1", ("n00",)),
-        commands.BeginDrain("l2", 3),
+        commands.StartDrain("l2", 3),
         commands.GrantLease("l3", "zone", "agent-1", ("n01",)),
-        commands.BeginDrain("l3", 4),
+        commands.StartDrain("l3", 4),
         commands.ReleaseLease("l3", 4),
         commands.GrantLease("l4", "pair", "agent-1", ("n10",)),
-        commands.CallOff("l4"),
+        commands.RevokeLease("l4"),
         commands.GrantLease("l5", "pair", "agent-1", ("n11",)),
-        commands.RecordStanding("south", 7, {"convert": Standing(0, 1_000), "print": Standing()}),
-        commands.RecordStanding("south", 6, {}),
+        commands.RecordCapacityNeeds("south", 7, {"convert": CapacityNeed(0, 1_000), "print": CapacityNeed()}),
+        commands.RecordCapacityNeeds("south", 6, {}),
         commands.SubmitRequest(request("missed", ("p0",), service="print", duration_ms=100, deadline_ms=3_000)),
         commands.CancelRequest("early"),
         commands.CancelRequest("nobody"),
@@ -90,7 +90,7 @@
         commands.AdvanceTime(4_000),
         observation(3, 34, *ready("n10", "n11")),
         commands.GrantLease("l6", "zone", "agent-1", ("n02",)),
-        observation(4, 36, Sighting("n12", False, 0), Sighting("n11", True, 400)),
+        observation(4, 36, ConverterObservation("n12", False, 0), ConverterObservation("n11", True, 400)),
         observation(4, 37, *ready("n12")),
         observation(5, 38, *ready("n12", "n11")),
         commands.SubmitRequest(request("open", ("n11",), earliest_ms=5_000)),
@@ -150,7 +150,7 @@
         api.NotLeaderReply(100, "north-1"),
         api.NotLeaderReply(101, ""),
         api.UncertainReply(102),
-        api.Refusal("version 2; this side speaks 1"),
+        api.Rejection("version 2; this side speaks 1"),
     ]
     return [*greetings, *calls, *applied, *further]
 
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -6,14 +6,14 @@
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.commands import (
     FULL_WARMTH,
-    BeginDrain,
     Command,
+    ConverterObservation,
     GrantLease,
     Priority,
     RecordObservation,
     ReleaseLease,
     Request,
-    Sighting,
+    StartDrain,
     SubmitRequest,
 )
 from ryepier.maintenance.ledger import Ledger
@@ -67,7 +67,7 @@
         "region": "north",
         "service": "convert",
         "converters": ("n00",),
-        "at_once": 1,
+        "max_unavailable": 1,
         "duration_ms": 10_000,
         "earliest_ms": 0,
         "deadline_ms": 100_000,
@@ -87,8 +87,8 @@
 
     def see(self, *names: str, ready: bool = True, warmth: int = FULL_WARMTH, as_of: int | None = None) -> Result:
         heard = self.ledger.applied if as_of is None else as_of
-        sightings = tuple(Sighting(name, ready, warmth) for name in names)
-        return self.apply(RecordObservation("watch", self.ledger.applied + 1, heard, sightings))
+        observations = tuple(ConverterObservation(name, ready, warmth) for name in names)
+        return self.apply(RecordObservation("watch", self.ledger.applied + 1, heard, observations))
 
     def see_all(self) -> Result:
         region = self.ledger.region
@@ -99,13 +99,13 @@
 
     def hold(self, name: str, *converters: str) -> Granted:
         """A new request with a lease on all its converters."""
-        self.apply(SubmitRequest(request(name, converters=converters, at_once=len(converters))))
+        self.apply(SubmitRequest(request(name, converters=converters, max_unavailable=len(converters))))
         result = self.grant(f"{name}/1", name, *converters)
         assert isinstance(result, Granted), result
         return result
 
     def drain_and_release(self, granted: Granted) -> None:
-        self.apply(BeginDrain(granted.lease, granted.token))
+        self.apply(StartDrain(granted.lease, granted.token))
         self.apply(ReleaseLease(granted.lease, granted.token))
 
 
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -11,9 +11,9 @@
 from ryepier.maintenance.agent import Agent, AgentSettings
 from ryepier.maintenance.api import LeaseStatus, StatusReply
 from ryepier.maintenance.client import CallError
-from ryepier.maintenance.commands import BeginDrain, Command, ReleaseLease
+from ryepier.maintenance.commands import Command, ReleaseLease, StartDrain
 from ryepier.maintenance.fleet import Action, FencingTokens, FleetCall, FleetError, FleetReply, SocketFleet
-from ryepier.maintenance.results import Begun, Granted, Refused, Released, Result
+from ryepier.maintenance.results import DrainStarted, Granted, Rejected, Released, Result
 from tests.network_peers import free_port, until
 
 GRANTED = Granted("l1", "agent-1", 7, ("a",))
@@ -31,17 +31,17 @@
     asked: list[str] = field(default_factory=list)
     lost_answers: int = 0
 
-    async def status(self, within_s: float) -> StatusReply:
+    async def status(self, timeout_s: float) -> StatusReply:
         return StatusReply(1, "north", "north-0", 1, 1, 0, (), self.open, ())
 
-    async def take_lease(self, lease: str, within_s: float) -> Result | None:
+    async def acquire_lease(self, lease: str, timeout_s: float) -> Result | None:
         self.asked.append(lease)
         if self.lost_answers:
             self.lost_answers -= 1
             raise CallError("no answer")
         return self.leases.pop() if self.leases else None
 
-    async def command(self, command: Command, within_s: float) -> Result:
+    async def command(self, command: Command, timeout_s: float) -> Result:
         self.commands.append(command)
         told = self.answers.get(type(command))
         if told:
@@ -49,7 +49,7 @@
             if isinstance(answer, CallError):
                 raise answer
             return answer
-        return Begun("l1") if isinstance(command, BeginDrain) else Released("l1", ("a",))
+        return DrainStarted("l1") if isinstance(command, StartDrain) else Released("l1", ("a",))
 
 
 @dataclass
@@ -102,26 +102,26 @@
     assert fleet.actions() == ["drain", *["in-flight"] * 3, "stop", "remove", "start", "list"]
     assert {step[1:3] for step in fleet.steps} == {("a", 7)} and fleet.steps[-1][3] == "a.1"
     assert fleet.stopped_s - fleet.drained_s >= 0.3
-    assert region.commands == [BeginDrain("l1", 7), ReleaseLease("l1", 7)]
+    assert region.commands == [StartDrain("l1", 7), ReleaseLease("l1", 7)]
 
 
 def test_nothing_is_drained_before_the_beginning_is_committed() -> None:
-    region, fleet = Coordinators(answers={BeginDrain: [CallError("no answer")]}), Converters()
+    region, fleet = Coordinators(answers={StartDrain: [CallError("no answer")]}), Converters()
     play(region, fleet, released(region))
-    assert region.commands[:2] == [BeginDrain("l1", 7)] * 2 and fleet.actions() == STEPS
+    assert region.commands[:2] == [StartDrain("l1", 7)] * 2 and fleet.actions() == STEPS
 
 
 def test_a_lease_that_was_called_off_is_left() -> None:
-    region, fleet = Coordinators(answers={BeginDrain: [Refused("lease 'l1' is called-off")]}), Converters()
+    region, fleet = Coordinators(answers={StartDrain: [Rejected("lease 'l1' is called-off")]}), Converters()
     play(region, fleet, lambda: len(region.asked) >= 3)
-    assert fleet.steps == [] and region.commands == [BeginDrain("l1", 7)]
+    assert fleet.steps == [] and region.commands == [StartDrain("l1", 7)]
 
 
 @pytest.mark.parametrize("refused", ["drain", "stop", "start"])
 def test_a_step_that_is_refused_ends_the_window_without_a_report(refused: str) -> None:
     region, fleet = Coordinators(), Converters(refuse=refused)
     play(region, fleet, lambda: len(region.asked) >= 5)
-    assert refused not in fleet.actions() and region.commands == [BeginDrain("l1", 7)]
+    assert refused not in fleet.actions() and region.commands == [StartDrain("l1", 7)]
 
 
 def test_a_lease_whose_answer_was_lost_is_asked_for_under_the_same_name() -> None:
@@ -137,7 +137,7 @@
     left = (lease("b", "agent-1", "draining"), lease("c", "agent-2", "draining"), lease("d", "agent-1", "returning"))
     region, fleet = Coordinators(leases=[], open=left), Converters()
     play(region, fleet, released(region))
-    assert region.commands == [BeginDrain("b", 9), ReleaseLease("b", 9)]
+    assert region.commands == [StartDrain("b", 9), ReleaseLease("b", 9)]
     assert {step[1:3] for step in fleet.steps} == {("b", 9)}
 
 
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -24,19 +24,24 @@
 def test_the_file_is_read_in_whole_thousandths() -> None:
     agreed = small_agreement()
     service = agreed.services["convert"]
-    assert (service.least, service.least_part, service.warm_up_ms, service.survives_zone) == (8000, 500, 2000, False)
-    assert service.least_by_region == {"north": 2000, "south": 2000}
+    assert (service.min_available, service.min_allowance, service.warm_up_ms, service.tolerates_zone_loss) == (
+        8000,
+        500,
+        2000,
+        False,
+    )
+    assert service.min_available_by_region == {"north": 2000, "south": 2000}
     assert agreed.regions["south"].replicas[2] == Replica("south-2", "127.0.0.1:7512")
     assert agreed.converters["n10"] == Converter("n10", "convert", "north", "z1", 1000)
-    assert agreed.may_be_out("convert") == 4000 == sum(service.allowances.values())
-    assert agreed.may_be_out_in("convert", "north") == 4000
+    assert agreed.max_unavailable("convert") == 4000 == sum(service.allowances.values())
+    assert agreed.max_unavailable_in("convert", "north") == 4000
     assert agreed.digest != agreement.parse((TEXT + "# more").encode()).digest
 
 
 def test_surviving_a_zone_keeps_the_largest_one_back() -> None:
     text = TEXT.replace("least = 8\n", 'least = 6\nsurvives = "zone"\n').replace("allowance = 2", "allowance = 1.5")
     agreed = agreement.parse(text.encode())
-    assert agreed.may_be_out("convert") == 3000 and agreed.may_be_out_in("convert", "north") == 1000
+    assert agreed.max_unavailable("convert") == 3000 and agreed.max_unavailable_in("convert", "north") == 1000
 
 
 @pytest.mark.parametrize(
@@ -98,7 +103,7 @@
         (b"\xff", "line 1: not UTF-8"),
         (b"a = \n", "line 1: not TOML"),
         (b"", "services: is missing"),
-        (b"#" * (agreement.LONGEST_FILE + 1), "4194304 are allowed"),
+        (b"#" * (agreement.MAX_FILE_BYTES + 1), "4194304 are allowed"),
     ],
 )
 def test_what_is_no_agreement_is_told_in_a_line(data: bytes, told: str) -> None:
--- a/tests/test_maintenance_compatibility.py
+++ b/tests/test_maintenance_compatibility.py
@@ -63,7 +63,7 @@
     (tmp_path / storage.FILE_NAME).write_bytes(WRITTEN["state-file"])
     file = storage.FileStorage(tmp_path, IDENTITY)
     file.close()
-    assert file.path.read_bytes() == WRITTEN["state-file"] and file.cut_bytes == 0
+    assert file.path.read_bytes() == WRITTEN["state-file"] and file.truncated_bytes == 0
     assert file.state.hard_state == HardState(3, "north-0")
     assert file.state.entries[0].command == b""
     assert [entry.command for entry in file.state.entries[1:]] == written("log")
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -9,19 +9,19 @@
 from ryepier.maintenance.commands import (
     AcknowledgeTransfer,
     AdvanceTime,
-    BeginDrain,
-    CallOff,
     CancelRequest,
+    CapacityNeed,
     Command,
     CommandError,
+    ConverterObservation,
     CreditTransfer,
     DebitTransfer,
     GrantLease,
+    RecordCapacityNeeds,
     RecordObservation,
-    RecordStanding,
     ReleaseLease,
-    Sighting,
-    Standing,
+    RevokeLease,
+    StartDrain,
     SubmitRequest,
     TakeOverLease,
     Transfer,
@@ -31,11 +31,11 @@
     Accepted,
     Advanced,
     AlreadyApplied,
-    CalledOff,
     Cancelled,
     Granted,
+    LeaseRevoked,
     Observed,
-    Refused,
+    Rejected,
     Released,
 )
 from ryepier.maintenance.tables import GIVER, LEASES, RECEIVER, LeaseState
@@ -45,9 +45,9 @@
 def test_a_lease_is_charged_until_its_converter_has_been_seen_ready_and_warm() -> None:
     region = north()
     granted = region.hold("r1", "n00")
-    assert region.ledger.capacity("convert").out == 1000
+    assert region.ledger.capacity("convert").unavailable == 1000
     region.see("n00")  # still up: the drain has not begun, or not reached it
-    region.apply(BeginDrain("r1/1", granted.token))
+    region.apply(StartDrain("r1/1", granted.token))
     region.apply(AdvanceTime(10_000_000))
     region.see("n00")
     before_release = region.ledger.applied
@@ -55,9 +55,9 @@
     region.see("n00", as_of=before_release)  # seen before the holder was done: it may have gone down since
     region.see("n00", ready=False)
     region.see("n00", warmth=999)
-    assert region.ledger.capacity("convert").out == 1000
+    assert region.ledger.capacity("convert").unavailable == 1000
     assert region.see("n00") == Observed(("r1/1",))
-    assert region.ledger.capacity("convert").out == 0 and region.ledger.open_leases() == []
+    assert region.ledger.capacity("convert").unavailable == 0 and region.ledger.open_leases() == []
     assert region.apply(SubmitRequest(request("r1"))) == Accepted("r1"), "a finished request is known"
 
 
@@ -65,13 +65,13 @@
     region = north()
     first = region.hold("r1", "n00")
     assert region.grant("r1/1", "r1", "n00") == first
-    assert isinstance(region.grant("r1/1", "r1", "n00", agent="agent-2"), Refused)
+    assert isinstance(region.grant("r1/1", "r1", "n00", agent="agent-2"), Rejected)
     taken = region.ledger.snapshot()
-    assert region.ledger.apply(3, CallOff("r1/1")) == AlreadyApplied(3) and region.ledger.snapshot() == taken
+    assert region.ledger.apply(3, RevokeLease("r1/1")) == AlreadyApplied(3) and region.ledger.snapshot() == taken
     region.drain_and_release(first)
-    assert isinstance(region.grant("r1/1", "r1", "n00"), Refused)
+    assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
     region.see("n00")
-    assert isinstance(region.grant("r1/1", "r1", "n00"), Refused)
+    assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
 def test_tokens_grow_and_an_old_one_is_refused() -> None:
@@ -81,45 +81,45 @@
     assert isinstance(second, Granted) and second.token > first.token
     assert region.apply(TakeOverLease("r1/1", "agent-2", first.token)) == second, "told twice"
     for command in (
-        BeginDrain("r1/1", first.token),
+        StartDrain("r1/1", first.token),
         ReleaseLease("r1/1", first.token),
         TakeOverLease("r1/1", "agent-3", first.token),
     ):
         result = region.apply(command)
-        assert isinstance(result, Refused) and f"token {first.token}" in result.reason
-    assert region.ledger.token_of("n00") == second.token
+        assert isinstance(result, Rejected) and f"token {first.token}" in result.reason
+    assert region.ledger.fencing_token("n00") == second.token
     region.drain_and_release(second)
-    assert region.ledger.token_of("n00") == 0
+    assert region.ledger.fencing_token("n00") == 0
     assert region.hold("r2", "n01").token > second.token
 
 
 def test_a_called_off_lease_is_charged_until_a_later_look_and_can_be_granted_anew() -> None:
     region = north()
     granted = region.hold("r1", "n00")
-    assert region.apply(CallOff("r1/1")) == CalledOff("r1/1")
-    assert isinstance(region.apply(BeginDrain("r1/1", granted.token)), Refused)
-    assert region.ledger.capacity("convert").out == 1000
+    assert region.apply(RevokeLease("r1/1")) == LeaseRevoked("r1/1")
+    assert isinstance(region.apply(StartDrain("r1/1", granted.token)), Rejected)
+    assert region.ledger.capacity("convert").unavailable == 1000
     assert region.see("n00") == Observed(("r1/1",))
     assert isinstance(region.grant("r1/2", "r1", "n00"), Granted)
-    region.apply(BeginDrain("r1/2", granted.token + 1))
-    result = region.apply(CallOff("r1/2"))
-    assert isinstance(result, Refused) and "draining" in result.reason
+    region.apply(StartDrain("r1/2", granted.token + 1))
+    result = region.apply(RevokeLease("r1/2"))
+    assert isinstance(result, Rejected) and "draining" in result.reason
 
 
 def test_losses_are_charged_first_and_call_off_drains_that_have_not_begun() -> None:
     region = north()
     begun = region.hold("r1", "n00")
-    region.apply(BeginDrain("r1/1", begun.token))
+    region.apply(StartDrain("r1/1", begun.token))
     region.hold("r2", "n01")
     region.apply(SubmitRequest(request("r3", converters=("n02",))))
     assert region.see("n10", ready=False) == Observed((), ("r2/1",))
-    assert region.ledger.is_under_agreement("convert")
+    assert region.ledger.is_below_agreement("convert")
     assert region.ledger.capacity("convert").lost == 1000
     region.see("n10", warmth=500)  # back, and cold
     assert region.ledger.capacity("convert").lost == 500
     region.see("n01")  # the called-off one is free: 1 out, 0.5 lost, 2 allowed
     result = region.grant("r3/1", "r3", "n02")
-    assert isinstance(result, Refused) and "0.5 too much" in result.reason and "allowance" in result.reason
+    assert isinstance(result, Rejected) and "0.5 too much" in result.reason and "allowance" in result.reason
     region.see("n10")
     assert isinstance(region.grant("r3/1", "r3", "n02"), Granted)
 
@@ -127,18 +127,18 @@
 def test_converters_that_were_never_seen_are_not_counted_on() -> None:
     region = Region(Ledger(small_agreement(), "north"))
     region.apply(SubmitRequest(request()))
-    assert isinstance(region.grant("r1/1", "r1", "n00"), Refused)
+    assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
 def test_a_deficit_elsewhere_stops_grants_here_until_it_is_told_to_be_over() -> None:
     region = north()
     region.hold("r1", "n00")
-    told = region.apply(RecordStanding("south", 5, {"convert": Standing(deficit=2000)}))
+    told = region.apply(RecordCapacityNeeds("south", 5, {"convert": CapacityNeed(deficit=2000)}))
     assert told == Observed((), ("r1/1",))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
-    assert isinstance(region.grant("r2/1", "r2", "n01"), Refused)
-    assert isinstance(region.apply(RecordStanding("south", 4, {})), Refused), "an older word"
-    region.apply(RecordStanding("south", 6, {}))
+    assert isinstance(region.grant("r2/1", "r2", "n01"), Rejected)
+    assert isinstance(region.apply(RecordCapacityNeeds("south", 4, {})), Rejected), "an older word"
+    region.apply(RecordCapacityNeeds("south", 6, {}))
     assert isinstance(region.grant("r2/1", "r2", "n01"), Granted)
 
 
@@ -151,7 +151,7 @@
     region.apply(CreditTransfer(Transfer("south", "north", 1, "convert", 1000)))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     result = region.grant("r2/1", "r2", "n01")
-    assert isinstance(result, Refused) and "without zone 'z1'" in result.reason
+    assert isinstance(result, Rejected) and "without zone 'z1'" in result.reason
     region.hold("r3", "n10")
 
 
@@ -159,7 +159,7 @@
     region = north()
     granted = region.hold("r1", "n00")
     region.hold("r2", "n01")
-    region.apply(BeginDrain("r1/1", granted.token))
+    region.apply(StartDrain("r1/1", granted.token))
     assert region.apply(CancelRequest("r1")) == Cancelled("r1")
     assert region.apply(CancelRequest("r2")) == Cancelled("r2", ("r2/1",))
     assert region.ledger.open_requests() == [] and len(region.ledger.open_leases()) == 2
@@ -173,7 +173,7 @@
     region.apply(SubmitRequest(request()))
     assert region.apply(AdvanceTime(100_001)) == Advanced(100_001, ("r1",))
     assert region.apply(AdvanceTime(5)) == Advanced(100_001)
-    assert isinstance(region.grant("r1/1", "r1", "n00"), Refused)
+    assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
 @pytest.mark.parametrize(
@@ -199,7 +199,7 @@
     region.apply(SubmitRequest(request("held", converters=("n12",))))
     before = region.ledger.snapshot()
     result = region.apply(SubmitRequest(request(**{"name": "r1", **changes})))  # type: ignore[arg-type]
-    assert isinstance(result, Refused) and told in result.reason and "\n" not in result.reason
+    assert isinstance(result, Rejected) and told in result.reason and "\n" not in result.reason
     region.ledger.state.applied -= 1
     assert region.ledger.snapshot() == before
 
@@ -211,7 +211,7 @@
     text = text.replace("least = 9.5", "least = 11.5").replace("allowance = 2", "allowance = 1")
     region = Region(Ledger(agreement.parse(text.encode()), "north"))
     result = region.apply(SubmitRequest(request()))
-    assert isinstance(result, Refused) and "takes 2.5 of 'convert' and at most 2 may be out, 0.5 too" in result.reason
+    assert isinstance(result, Rejected) and "takes 2.5 of 'convert' and at most 2 may be out, 0.5 too" in result.reason
 
 
 @pytest.mark.parametrize(
@@ -222,14 +222,14 @@
         (GrantLease("l", "held", "a", ()), "names no converter"),
         (GrantLease("l", "held", "a", ("n11", "n11")), "or one twice"),
         (GrantLease("l", "held", "a", ("n11", "n12")), "2 converters of request 'held' would be out and 1 may"),
-        (CallOff("l"), "lease 'l' is not open"),
+        (RevokeLease("l"), "lease 'l' is not open"),
         (CancelRequest("nobody"), "'nobody' is unknown"),
         (RecordObservation("watch", 1, 0, ()), "1 was recorded before"),
         (RecordObservation("other", 1, 99, ()), "log index 99, which was not there"),
-        (RecordObservation("other", 1, 0, (Sighting("s00", True, 0),)), "'s00' is none of region 'north'"),
-        (RecordStanding("north", 1, {}), "no other region"),
-        (RecordStanding("west", 1, {}), "no other region"),
-        (RecordStanding("south", 1, {"print": Standing()}), "unknown service 'print'"),
+        (RecordObservation("other", 1, 0, (ConverterObservation("s00", True, 0),)), "'s00' is none of region 'north'"),
+        (RecordCapacityNeeds("north", 1, {}), "no other region"),
+        (RecordCapacityNeeds("west", 1, {}), "no other region"),
+        (RecordCapacityNeeds("south", 1, {"print": CapacityNeed()}), "unknown service 'print'"),
         (DebitTransfer(Transfer("south", "north", 1, "convert", 1)), "a matter of region 'south'"),
         (DebitTransfer(Transfer("north", "west", 1, "convert", 1)), "'west' is no other region"),
         (DebitTransfer(Transfer("north", "north", 1, "convert", 1)), "'north' is no other region"),
@@ -247,7 +247,7 @@
     region.apply(SubmitRequest(request("held", converters=("n11", "n12"))))
     before = region.ledger.snapshot()
     result = region.apply(commands.decode(commands.encode(command)))
-    assert isinstance(result, Refused) and told in result.reason and "\n" not in result.reason
+    assert isinstance(result, Rejected) and told in result.reason and "\n" not in result.reason
     region.ledger.state.applied -= 1
     assert region.ledger.snapshot() == before
 
@@ -257,7 +257,7 @@
     [
         b"",
         b"\xc1",
-        b"x" * (commands.LONGEST_COMMAND + 1),
+        b"x" * (commands.MAX_COMMAND_BYTES + 1),
         commands.encode(AdvanceTime(1)).replace(b"advance-time", b"advance-tame"),
         msgspec.msgpack.encode({"type": "advance-time", "now_ms": -1}),
         msgspec.msgpack.encode({"type": "advance-time", "now_ms": 1, "more": 2}),
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -15,18 +15,18 @@
     Command,
     CreditTransfer,
     DebitTransfer,
-    RecordStanding,
+    RecordCapacityNeeds,
     Transfer,
 )
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.region_link import RegionLink
-from ryepier.maintenance.results import Credited, Debited, Observed, Refused, Result
-from ryepier.maintenance.state import Seen
+from ryepier.maintenance.results import Credited, Debited, Observed, Rejected, Result
+from ryepier.maintenance.state import ObservedState
 from ryepier.maintenance.transport import Connection
 from tests.maintenance_world import small_agreement
 from tests.network_peers import PATIENCE_S, free_port
 
-SEEN = Seen(ready=True, warmth=1000, as_of=0)
+SEEN = ObservedState(ready=True, warmth=1000, as_of=0)
 TRANSFER = Transfer("north", "south", 1, "convert", 1000)
 
 
@@ -38,13 +38,13 @@
     refuses: bool = False
     commands: list[Command] = field(default_factory=list)
 
-    async def command(self, command: Command, within_s: float) -> Result:
+    async def command(self, command: Command, timeout_s: float) -> Result:
         if self.away:
             self.away -= 1
             raise CallError("no answer")
         self.commands.append(command)
         if isinstance(command, CreditTransfer):
-            return Refused("no") if self.refuses else Credited(command.transfer)
+            return Rejected("no") if self.refuses else Credited(command.transfer)
         return Observed()
 
 
@@ -57,7 +57,7 @@
 def ledger_with_transfer() -> Ledger:
     ledger = Ledger(small_agreement(), "north")
     for one in ledger.agreement.converters_of("convert", "north"):
-        ledger.state.seen[one.name] = SEEN
+        ledger.state.observed[one.name] = SEEN
     assert ledger.apply(1, DebitTransfer(TRANSFER)) == Debited(TRANSFER)
     return ledger
 
@@ -71,10 +71,10 @@
     link = link_to(south)
     for _ in range(3):
         exchange(link, ledger)
-    assert sum(isinstance(one, RecordStanding) for one in south.commands) == 1
-    link.forget()
+    assert sum(isinstance(one, RecordCapacityNeeds) for one in south.commands) == 1
+    link.reset()
     exchange(link, ledger)
-    assert sum(isinstance(one, RecordStanding) for one in south.commands) == 2
+    assert sum(isinstance(one, RecordCapacityNeeds) for one in south.commands) == 2
 
 
 def test_a_transfer_is_sent_until_its_acknowledgement_is_committed() -> None:
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -10,7 +10,7 @@
 
 from ryepier.maintenance.commands import AdvanceTime
 from ryepier.maintenance.ledger import Ledger
-from ryepier.maintenance.node import DeposedError, FatalError, Node, open_disk
+from ryepier.maintenance.node import DeposedError, FatalError, Node, open_storage
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.replication.core import DurableState, NotLeaderError, Ready, Replica, ReplicaSettings
 from ryepier.maintenance.replication.messages import (
@@ -117,21 +117,21 @@
 
 
 def test_an_empty_disk_stays_empty_until_there_is_something_to_keep(tmp_path: Path) -> None:
-    disk = open_disk(tmp_path / "a", IDENTITY, bootstrap=False)
+    disk = open_storage(tmp_path / "a", IDENTITY, bootstrap=False)
     assert disk.state is None
     disk.storage.save(Ready(None, 0, (), (), ()))
     assert not storage.exists(tmp_path / "a")
     disk.storage.save(Ready(HardState(5, "", 5), 0, (), (), ()))
     disk.storage.close()
-    again = open_disk(tmp_path / "a", IDENTITY, bootstrap=False)
+    again = open_storage(tmp_path / "a", IDENTITY, bootstrap=False)
     assert again.state == DurableState(HardState(5, "", 5))
     again.storage.close()
 
 
 def test_the_planted_storage_forgets_the_vote(tmp_path: Path) -> None:
-    disk = open_disk(tmp_path, IDENTITY, bootstrap=True, file_type=ForgetVoteStorage)
+    disk = open_storage(tmp_path, IDENTITY, bootstrap=True, file_type=ForgetVoteStorage)
     disk.storage.save(Ready(HardState(5, "north-1"), 1, (Entry(5, b"kept"),), (), ()))
     disk.storage.close()
-    again = open_disk(tmp_path, IDENTITY, bootstrap=False)
+    again = open_storage(tmp_path, IDENTITY, bootstrap=False)
     assert again.state == DurableState(HardState(), (Entry(5, b"kept"),))
     again.storage.close()
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -16,32 +16,32 @@
 import pytest
 
 from ryepier.maintenance import agreement as agreements
-from ryepier.maintenance.api import VERSION, ClientHello, Frame, PeerHello, Refusal, StatusReply
+from ryepier.maintenance.api import VERSION, ClientHello, Frame, PeerHello, Rejection, StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import (
     AdvanceTime,
-    BeginDrain,
     Command,
+    ConverterObservation,
     DebitTransfer,
     GrantLease,
     ReleaseLease,
     Request,
-    Sighting,
+    StartDrain,
     SubmitRequest,
     Transfer,
 )
-from ryepier.maintenance.observer import Listed, WarmthTracker
+from ryepier.maintenance.observer import ListedConverter, WarmthTracker
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.replication.messages import AppendEntries, RequestVote
-from ryepier.maintenance.results import Accepted, Begun, Granted, Refused, Released, Result
+from ryepier.maintenance.results import Accepted, DrainStarted, Granted, Rejected, Released, Result
 from ryepier.maintenance.settings import addresses_of
-from ryepier.maintenance.status import Planning
+from ryepier.maintenance.status import Planner
 from ryepier.maintenance.transport import MAX_FRAME_BYTES, Connection, TransportError, encode
 from tests.maintenance_world import SERVICE, converters_text, request
 from tests.maintenance_world import north as north_ledger
 from tests.network_peers import free_port
 
-WITHIN_S = 30.0  # no test waits for it on purpose: it ends one that hangs
+TIMEOUT_S = 30.0  # no test waits for it on purpose: it ends one that hangs
 REPLICAS = ("north-0", "north-1", "north-2")
 
 
@@ -131,10 +131,10 @@
         return client
 
     async def command(self, command: Command, kind: str = "agent") -> Result:
-        return await self.client(kind=kind).command(command, WITHIN_S)
+        return await self.client(kind=kind).command(command, TIMEOUT_S)
 
     async def status(self) -> StatusReply:
-        return await self.client().status(WITHIN_S)
+        return await self.client().status(TIMEOUT_S)
 
     async def leader(self) -> str:
         return (await self.status()).leader
@@ -145,17 +145,17 @@
     async def grant(self, lease: str) -> Granted:
         """Ask until a window is due."""
         client = self.client()
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
-                result = await client.take_lease(lease, WITHIN_S)
+                result = await client.acquire_lease(lease, TIMEOUT_S)
                 if isinstance(result, Granted):
                     return result
                 await asyncio.sleep(0.1)
 
     async def until(self, holds: Callable[[StatusReply], bool]) -> StatusReply:
         client = self.client()
-        async with asyncio.timeout(WITHIN_S):
-            while not holds(status := await client.status(WITHIN_S)):
+        async with asyncio.timeout(TIMEOUT_S):
+            while not holds(status := await client.status(TIMEOUT_S)):
                 await asyncio.sleep(0.1)
         return status
 
@@ -171,7 +171,7 @@
 
 def run(north: Coordinators, test: Callable[[], Awaitable[None]]) -> None:
     async def limited() -> None:
-        async with asyncio.timeout(2 * WITHIN_S):
+        async with asyncio.timeout(2 * TIMEOUT_S):
             await north.listing.start()
             north.start_all("--bootstrap")
             try:
@@ -188,7 +188,7 @@
 
 
 def out(status: StatusReply) -> list[str]:
-    return sorted(name for lease in status.leases for name in lease.out)
+    return sorted(name for lease in status.leases for name in lease.unavailable)
 
 
 def test_a_lease_outlives_its_leader_and_the_death_of_all_and_ends_only_by_what_is_seen(north: Coordinators) -> None:
@@ -197,7 +197,7 @@
         granted = await north.grant("l1")
         north.kill(await north.leader())
         assert out(await north.status()) == ["n00"]
-        assert await north.command(BeginDrain("l1", granted.token)) == Begun("l1")
+        assert await north.command(StartDrain("l1", granted.token)) == DrainStarted("l1")
         north.kill(*(name for name in REPLICAS if north.processes[name].poll() is None))
         north.start_all()
         status = await north.status()
@@ -220,16 +220,16 @@
         old = await north.leader()
         others = tuple(name for name in REPLICAS if name != old)
         north.signal(old, signal.SIGSTOP)
-        waiting = asyncio.create_task(north.client(old).take_lease("stale", 1.5))  # written to it while it stands
+        waiting = asyncio.create_task(north.client(old).acquire_lease("stale", 1.5))  # written to it while it stands
         granted = None
         client = north.client(*others)
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not isinstance(granted, Granted):
-                granted = await client.take_lease("l1", WITHIN_S)
+                granted = await client.acquire_lease("l1", TIMEOUT_S)
                 await asyncio.sleep(0.1)
         with pytest.raises(CallError):
             await waiting
-        late = asyncio.create_task(north.client(old).take_lease("late", 5.0))
+        late = asyncio.create_task(north.client(old).acquire_lease("late", 5.0))
         await asyncio.sleep(0.3)
         north.signal(old, signal.SIGCONT)
         with pytest.raises(CallError):  # it says that it does not lead, for as long as it is asked
@@ -256,7 +256,7 @@
         acknowledged, _ = storage.ACKNOWLEDGED.unpack_from(whole, len(storage.FILE_TYPE))
         north.file(two).write_bytes(whole[: acknowledged - 5])  # a write that was not acknowledged may be behind it
         process = north.start(two)
-        assert process.wait(WITHIN_S) == 2
+        assert process.wait(TIMEOUT_S) == 2
         assert "bytes were acknowledged" in north.log(two).read_text().splitlines()[-1]
 
     run(north, test)
@@ -284,7 +284,7 @@
 
 
 async def _until_voter_again(north: Coordinators, replica: str) -> None:
-    async with asyncio.timeout(WITHIN_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while "follower in term" not in north.log(replica).read_text().partition("learner in term")[2]:
             await asyncio.sleep(0.1)
 
@@ -293,10 +293,10 @@
     async def test() -> None:
         await north.submit(a_request())
         north.kill("north-0", "north-1")
-        assert north.start("north-0", "--bootstrap").wait(WITHIN_S) == 2
+        assert north.start("north-0", "--bootstrap").wait(TIMEOUT_S) == 2
         assert "exists already" in north.log("north-0").read_text().splitlines()[-1]
         shutil.copy(north.file("north-1"), north.file("north-0"))
-        assert north.start("north-0").wait(WITHIN_S) == 2
+        assert north.start("north-0").wait(TIMEOUT_S) == 2
         assert "belongs to replica north-1 of region north" in north.log("north-0").read_text().splitlines()[-1]
 
     run(north, test)
@@ -308,8 +308,8 @@
         connection = Connection(*await asyncio.open_connection(*north.addresses[await north.leader()]))
         try:
             connection.writer.write(b"".join(encode(frame) for frame in frames) + raw)
-            said = await asyncio.wait_for(connection.receive(), WITHIN_S)
-            assert isinstance(said, Refusal)
+            said = await asyncio.wait_for(connection.receive(), TIMEOUT_S)
+            assert isinstance(said, Rejection)
             return said.reason
         finally:
             connection.close()
@@ -385,7 +385,7 @@
 
 def test_a_frame_that_is_too_long_is_not_sent() -> None:
     with pytest.raises(TransportError, match="are allowed"):
-        encode(Refusal("x" * (MAX_FRAME_BYTES + 1)))
+        encode(Rejection("x" * (MAX_FRAME_BYTES + 1)))
 
 
 def test_nobody_answers_is_said_within_its_time(north: Coordinators) -> None:
@@ -393,7 +393,7 @@
         started = time.monotonic()
         with pytest.raises(CallError, match=r"no answer of region north within 0\.5 s"):
             await north.client().status(0.5)
-        assert time.monotonic() - started < WITHIN_S
+        assert time.monotonic() - started < TIMEOUT_S
 
     asyncio.run(test())
 
@@ -401,7 +401,7 @@
 def test_refusals_have_a_line(north: Coordinators) -> None:
     async def test() -> None:
         refused = await north.submit(a_request("r1", "n00", "n00"))
-        assert isinstance(refused, Refused) and "named twice" in refused.reason
+        assert isinstance(refused, Rejected) and "named twice" in refused.reason
 
     run(north, test)
 
@@ -410,8 +410,8 @@
 
 
 def looks_of(tracker: WarmthTracker, now_ms: int, *uids: str, region_ms: int = 0) -> dict[str, tuple[bool, int]]:
-    looks = tracker.look(now_ms, region_ms, [Listed(uid, True) for uid in uids])
-    return {one.sighting.converter: (one.sighting.ready, one.sighting.warmth) for one in looks}
+    probes = tracker.observe(now_ms, region_ms, [ListedConverter(uid, True) for uid in uids])
+    return {one.observation.converter: (one.observation.ready, one.observation.warmth) for one in probes}
 
 
 def test_a_converter_of_unknown_age_is_left_out_until_it_must_be_warm() -> None:
@@ -435,17 +435,21 @@
     region = north_ledger()
     granted = region.hold("r1", "n00")
     region.apply(AdvanceTime(5_000))
-    planning = Planning(region.ledger)
+    planning = Planner(region.ledger)
     tracker = WarmthTracker({"n00": 2000})
-    region.apply(BeginDrain("r1/1", granted.token))
+    region.apply(StartDrain("r1/1", granted.token))
     region.ledger.state.leases["r1/1"].granted_ms = 5_000
-    tracker.look(0, 4_000, [Listed("n00", True)])  # from before the grant
+    tracker.observe(0, 4_000, [ListedConverter("n00", True)])  # from before the grant
     region.apply(ReleaseLease("r1/1", granted.token))
-    looks = tracker.look(3_000, 5_000, [Listed("n00", True)])
-    assert planning.observation("x", region.ledger.applied, looks) is None
-    assert planning.doubtful(looks) == ["n00"]
-    tracker.doubt("n00", 3_000, 5_000)
-    early = planning.observation("x", region.ledger.applied, tracker.look(4_999, 5_000, [Listed("n00", True)]))
-    assert early is not None and early.sightings[0].warmth < 1000
-    told = planning.observation("x", region.ledger.applied, tracker.look(5_000, 5_000, [Listed("n00", True)]))
-    assert told is not None and told.sightings == (Sighting("n00", True, 1000),)
+    probes = tracker.observe(3_000, 5_000, [ListedConverter("n00", True)])
+    assert planning.observation("x", region.ledger.applied, probes) is None
+    assert planning.probes_to_restart(probes) == ["n00"]
+    tracker.restart_warm_up("n00", 3_000, 5_000)
+    early = planning.observation(
+        "x", region.ledger.applied, tracker.observe(4_999, 5_000, [ListedConverter("n00", True)])
+    )
+    assert early is not None and early.observations[0].warmth < 1000
+    told = planning.observation(
+        "x", region.ledger.applied, tracker.observe(5_000, 5_000, [ListedConverter("n00", True)])
+    )
+    assert told is not None and told.observations == (ConverterObservation("n00", True, 1000),)
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -20,16 +20,16 @@
 from ryepier.maintenance.commands import (
     AcknowledgeTransfer,
     AdvanceTime,
-    CallOff,
     CancelRequest,
     CreditTransfer,
     DebitTransfer,
+    RevokeLease,
     SubmitRequest,
     Transfer,
 )
 from ryepier.maintenance.judge import Change
 from ryepier.maintenance.ledger import Ledger
-from ryepier.maintenance.results import Acknowledged, Credited, Debited, Refused
+from ryepier.maintenance.results import Acknowledged, Credited, Debited, Rejected
 from ryepier.maintenance.seeded_faults import FAULTY_LEDGERS
 from tests.maintenance_cluster import Cluster
 from tests.maintenance_world import SERVICE, TEXT, converters_text, regions_text, request, small_agreement
@@ -63,24 +63,24 @@
         regions = list(self.cluster.replicas)
         return regions[pick % len(regions)]
 
-    @rule(where=PICK, first=PICK, count=st.integers(1, 4), at_once=st.integers(1, 4))
-    def submit_and_grant(self, where: int, first: int, count: int, at_once: int) -> None:
+    @rule(where=PICK, first=PICK, count=st.integers(1, 4), max_unavailable=st.integers(1, 4))
+    def submit_and_grant(self, where: int, first: int, count: int, max_unavailable: int) -> None:
         region = self.region(where)
         held = {name for one in self.cluster.ledger(region).open_requests() for name in one.remaining()}
         here = [one.name for one in self.cluster.agreement.converters_of("convert", region) if one.name not in held]
         names = tuple(here[(first + i) % len(here)] for i in range(min(count, len(here))))
         self.names += 1
-        self.cluster.submit(region, f"r{self.names}", names, at_once)
-        self.cluster.grant(region, f"l{self.names}", f"r{self.names}", names[:at_once])
+        self.cluster.submit(region, f"r{self.names}", names, max_unavailable)
+        self.cluster.grant(region, f"l{self.names}", f"r{self.names}", names[:max_unavailable])
 
     @rule(where=PICK, which=PICK, count=st.integers(1, 4))
     def grant(self, where: int, which: int, count: int) -> None:
         ledger = self.cluster.ledger(self.region(where))
-        out = {name for lease in ledger.open_leases() for name in lease.out}
+        out = {name for lease in ledger.open_leases() for name in lease.unavailable}
         requests = [one for one in ledger.open_requests() if set(one.remaining()) - out]
         if requests:
             record = requests[which % len(requests)]
-            room = record.request.at_once - len(out & set(record.converters))
+            room = record.request.max_unavailable - len(out & set(record.converters))
             names = [name for name in record.remaining() if name not in out][: max(1, min(count, room))]
             self.names += 1
             self.cluster.grant(ledger.region, f"l{self.names}", record.request.name, tuple(names))
@@ -143,11 +143,11 @@
         if now:
             self.cluster.report(-1)
 
-    @precondition(lambda self: self.cluster.looks)
+    @precondition(lambda self: self.cluster.probes)
     @rule(which=PICK, keep=st.booleans())
     def report(self, which: int, keep: bool) -> None:
         """Most often the oldest look that is on its way."""
-        self.cluster.report(max(0, which - 20) % len(self.cluster.looks), keep=keep)
+        self.cluster.report(max(0, which - 20) % len(self.cluster.probes), keep=keep)
 
     @rule(where=PICK, to=PICK, amount=st.integers(1, 4), now=st.booleans())
     def give(self, where: int, to: int, amount: int, now: bool) -> None:
@@ -183,7 +183,7 @@
         region = self.region(where)
         if leases := self.cluster.ledger(region).open_leases():
             lease = leases[which % len(leases)]
-            self.cluster.apply(region, CallOff(lease.name) if kind == "call-off" else CancelRequest(lease.request))
+            self.cluster.apply(region, RevokeLease(lease.name) if kind == "call-off" else CancelRequest(lease.request))
 
     @rule(where=PICK)
     def advance(self, where: int) -> None:
@@ -207,7 +207,7 @@
 
     @invariant()
     def allowances_add_up(self) -> None:
-        assert self.cluster.whole() == self.cluster.agreement.may_be_out("convert")
+        assert self.cluster.whole() == self.cluster.agreement.max_unavailable("convert")
 
 
 TestRegions = Regions.TestCase
@@ -329,12 +329,14 @@
     taken = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
     assert list(judge.breaches(agreed, taken)) == []
     found = list(judge.breaches(agreed, [*taken, Change(9, "s02", 100, planned=True)]))
-    assert [(one.at_ms, one.region, one.left) for one in found] == [(9, "", 7000)], "cold is missing as a whole"
+    assert [(one.at_ms, one.region, one.available) for one in found] == [(9, "", 7000)], "cold is missing as a whole"
     back = [*taken, Change(9, "s02", 1000, planned=True), Change(9, "n00", 0, planned=True)]
     assert list(judge.breaches(agreed, back)) == []
     loss = Change(2, "n02", 600, planned=False)
-    assert list(judge.late_grants(agreed, [*taken, loss], 1)) and not list(judge.breaches(agreed, [*taken, loss]))
-    assert not list(judge.late_grants(agreed, [*taken, loss], 6000)), "not known for long enough"
+    assert list(judge.grants_during_shortage(agreed, [*taken, loss], 1)) and not list(
+        judge.breaches(agreed, [*taken, loss])
+    )
+    assert not list(judge.grants_during_shortage(agreed, [*taken, loss], 6000)), "not known for long enough"
     survives = AGREEMENTS[3]
     regional = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "n02"))]
     assert [one.region for one in judge.breaches(survives, regional)] == ["north"]
@@ -366,7 +368,7 @@
     other = Transfer("south", "north", 1, "convert", 700)
     for command in (DebitTransfer(other), AcknowledgeTransfer(other)):
         result = cluster.apply("south", command)
-        assert isinstance(result, Refused) and "another content" in result.reason
+        assert isinstance(result, Rejected) and "another content" in result.reason
     assert cluster.whole() == 4000
 
 
@@ -389,11 +391,11 @@
 def test_a_request_far_ahead_draws_no_allowance_yet() -> None:
     cluster = Cluster(small_agreement())
     ledger = cluster.ledger("north")
-    far = request("far", converters=("n00", "n01", "n02"), at_once=3, earliest_ms=10**6, deadline_ms=10**9)
+    far = request("far", converters=("n00", "n01", "n02"), max_unavailable=3, earliest_ms=10**6, deadline_ms=10**9)
     cluster.apply("north", SubmitRequest(far))
-    assert ledger.standings()["convert"].shortage == 0
+    assert ledger.needs()["convert"].shortage == 0
     cluster.apply("north", AdvanceTime(500_000))
-    assert ledger.standings()["convert"].shortage == 1000
+    assert ledger.needs()["convert"].shortage == 1000
 
 
 def test_a_region_that_wants_its_part_itself_gives_none_and_a_deficit_goes_before_a_shortage() -> None:
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -10,10 +10,10 @@
 
 from ryepier.experiments.maintenance.best_plan import best_plan
 from ryepier.maintenance.agreement import Converter
-from ryepier.maintenance.commands import AdvanceTime, BeginDrain, Priority, SubmitRequest
+from ryepier.maintenance.commands import AdvanceTime, Priority, StartDrain, SubmitRequest
 from ryepier.maintenance.limits import Limit
 from ryepier.maintenance.placement import FREEZE_MS, Schedule
-from ryepier.maintenance.problem import AGING_MS, Held, Job, Problem, Window, problem_of
+from ryepier.maintenance.problem import AGING_MS, ActiveLease, Job, Problem, Window, build_problem
 from ryepier.maintenance.results import Granted
 from ryepier.maintenance.scheduler import make_schedule
 from tests.maintenance_world import north, request
@@ -26,7 +26,7 @@
 def job(
     name: str,
     *converters: str,
-    at_once: int = 1,
+    max_unavailable: int = 1,
     length: int = 10,
     earliest: int = 0,
     deadline: int = 1000,
@@ -36,7 +36,7 @@
     asked = request(
         name,
         converters=converters,
-        at_once=at_once,
+        max_unavailable=max_unavailable,
         duration_ms=length,
         earliest_ms=earliest,
         deadline_ms=deadline,
@@ -64,7 +64,7 @@
 
 
 def test_a_later_request_takes_a_gap_and_moves_nobody() -> None:
-    large = job("large", "c0", "c1", at_once=2, deadline=300)
+    large = job("large", "c0", "c1", max_unavailable=2, deadline=300)
     first = job("first", "c2", deadline=100)
     small = job("small", "c3", deadline=900, length=5)
     bound = problem(first, large, small, bound=2000)
@@ -74,32 +74,32 @@
 
 
 def test_no_more_of_a_request_are_out_at_once_than_it_says() -> None:
-    schedule = make_schedule(problem(job("r", "c0", "c1", "c2", "c3", at_once=2), bound=9000))
+    schedule = make_schedule(problem(job("r", "c0", "c1", "c2", "c3", max_unavailable=2), bound=9000))
     assert schedule.windows == (Window("r", ("c0", "c1"), 0, 10), Window("r", ("c2", "c3"), 10, 20))
 
 
 def test_who_waits_is_told_the_limit_and_the_window_before_it() -> None:
     schedule = make_schedule(problem(job("a", "c0", deadline=100), job("b", "c1")))
-    (waiting,) = schedule.waiting
-    assert (waiting.request, waiting.limit, waiting.behind) == ("b", "the allowance", "window a")
+    (waiting,) = schedule.delayed_requests
+    assert (waiting.request, waiting.limit, waiting.blocked_by) == ("b", "the allowance", "window a")
     assert waiting.reason == "waits until 10 ms for the allowance, behind window a"
-    held = replace(problem(job("b", "c1")), held=(Held("l1", "a", (CONVERTERS["c0"],), 40),))
+    held = replace(problem(job("b", "c1")), active_leases=(ActiveLease("l1", "a", (CONVERTERS["c0"],), 40),))
     schedule = make_schedule(held)
-    assert starts(schedule) == {"b": [40]} and schedule.waiting[0].behind == "lease l1"
+    assert starts(schedule) == {"b": [40]} and schedule.delayed_requests[0].blocked_by == "lease l1"
 
 
 def test_what_can_not_fit_says_so_and_by_how_much() -> None:
-    (misfit,) = make_schedule(problem(job("big", "c5"))).misfits
-    assert misfit.too_much == 1000 and "the allowance: taking 'c5' out is 1 too much" in misfit.reason
+    (unplaced,) = make_schedule(problem(job("big", "c5"))).unplaced_requests
+    assert unplaced.excess == 1000 and "the allowance: taking 'c5' out is 1 too much" in unplaced.reason
     schedule = make_schedule(
         problem(job("a", "c0", deadline=20), job("b", "c1", deadline=20), job("c", "c2", deadline=25))
     )
-    (misfit,) = schedule.misfits
-    assert (misfit.request, misfit.late_ms) == ("c", 5)
-    assert misfit.reason.startswith("would end 5 ms after its deadline; waits until 20 ms for the allowance")
+    (unplaced,) = schedule.unplaced_requests
+    assert (unplaced.request, unplaced.late_ms) == ("c", 5)
+    assert unplaced.reason.startswith("would end 5 ms after its deadline; waits until 20 ms for the allowance")
     lost = replace(problem(job("a", "c0")), lost={"c1": 600})
-    (misfit,) = make_schedule(lost).misfits
-    assert misfit.too_much == 600 and "while 0.6 is lost" in misfit.reason
+    (unplaced,) = make_schedule(lost).unplaced_requests
+    assert unplaced.excess == 600 and "while 0.6 is lost" in unplaced.reason
 
 
 def test_a_misfit_takes_no_place_from_others() -> None:
@@ -132,19 +132,19 @@
 def test_a_ledger_grants_what_its_schedule_opens_now() -> None:
     region = north()
     for name, converters in (("a", ("n00", "n01")), ("b", ("n02",)), ("c", ("n10", "n11"))):
-        region.apply(SubmitRequest(request(name, converters=converters, at_once=2)))
+        region.apply(SubmitRequest(request(name, converters=converters, max_unavailable=2)))
     region.apply(AdvanceTime(50))
-    schedule = make_schedule(problem_of(region.ledger))
+    schedule = make_schedule(build_problem(region.ledger))
     now = [window for window in schedule.windows if window.start_ms == 50]
     assert now == [Window("a", ("n00", "n01"), 50, 12_050)]
-    assert [one.request for one in schedule.waiting] == ["b", "c"]
+    assert [one.request for one in schedule.delayed_requests] == ["b", "c"]
     granted = region.grant("a/1", "a", *now[0].converters)
     assert isinstance(granted, Granted)
-    again = make_schedule(problem_of(region.ledger, schedule.windows))
+    again = make_schedule(build_problem(region.ledger, schedule.windows))
     assert starts(again) == {"b": [12_050], "c": [12_050, 24_050]}
-    region.apply(BeginDrain("a/1", granted.token))
+    region.apply(StartDrain("a/1", granted.token))
     region.apply(AdvanceTime(20_000))  # the lease is late: it stays charged, and the others are not given up
-    assert starts(make_schedule(problem_of(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
+    assert starts(make_schedule(build_problem(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
 
 
 def drawn_problem(seed: int, most_jobs: int = 12, priorities: int = 3) -> Problem:
@@ -161,7 +161,7 @@
             job(
                 f"r{len(jobs)}",
                 *mine,
-                at_once=draw.randint(1, count),
+                max_unavailable=draw.randint(1, count),
                 length=length,
                 earliest=earliest,
                 deadline=earliest + least + draw.randint(0, 50),
@@ -174,11 +174,11 @@
         Limit("the least capacity without zone z1", "convert", 3000, "z1"),
     )
     held = (
-        (Held("l", "gone", (CONVERTERS["c0"],), 15),)
+        (ActiveLease("l", "gone", (CONVERTERS["c0"],), 15),)
         if all(one != "c0" for j in jobs for one in j.request.converters)
         else ()
     )
-    return Problem(now_ms=0, jobs=tuple(jobs), limits=limits, converters=CONVERTERS, held=held)
+    return Problem(now_ms=0, jobs=tuple(jobs), limits=limits, converters=CONVERTERS, active_leases=held)
 
 
 def check_schedule(one: Problem, schedule: Schedule) -> None:
@@ -187,16 +187,19 @@
     for at in [0, *(window.start_ms for window in schedule.windows)]:
         running = [window for window in schedule.windows if window.start_ms <= at < window.end_ms]
         out = [CONVERTERS[name] for window in running for name in window.converters]
-        out += [converter for held in one.held if at < held.until_ms for converter in held.converters]
+        out += [converter for held in one.active_leases if at < held.until_ms for converter in held.converters]
         for limit in one.limits:
-            assert sum(each.size for each in out if limit.counts(each)) <= limit.bound
+            assert sum(each.size for each in out if limit.applies_to(each)) <= limit.bound
         for name, each in jobs.items():
-            assert sum(len(window.converters) for window in running if window.request == name) <= each.request.at_once
-    misfits = {misfit.request for misfit in schedule.misfits}
+            assert (
+                sum(len(window.converters) for window in running if window.request == name)
+                <= each.request.max_unavailable
+            )
+    unplaced_requests = {unplaced.request for unplaced in schedule.unplaced_requests}
     for name, each in jobs.items():
         windows = [window for window in schedule.windows if window.request == name]
         placed = [converter for window in windows for converter in window.converters]
-        assert sorted(placed) == ([] if name in misfits else sorted(each.request.converters))
+        assert sorted(placed) == ([] if name in unplaced_requests else sorted(each.request.converters))
         assert all(each.request.earliest_ms <= w.start_ms and w.end_ms <= each.request.deadline_ms for w in windows)
 
 
@@ -214,10 +217,10 @@
     worst = 1.0
     for seed in range(25):
         one = drawn_problem(seed, most_jobs=9, priorities=1)
-        misfits = {misfit.request for misfit in make_schedule(one).misfits}
+        unplaced_requests = {unplaced.request for unplaced in make_schedule(one).unplaced_requests}
         plan = best_plan(one, Job.work)
-        proven += plan.bound == plan.worth
-        mine = sum(each.work() for each in one.jobs if each.request.name not in misfits)
+        proven += plan.bound == plan.value
+        mine = sum(each.work() for each in one.jobs if each.request.name not in unplaced_requests)
         assert mine <= plan.bound, f"seed {seed}: better than the best"
         got, best, worst = got + mine, best + plan.bound, min(worst, mine / plan.bound)
     print(f"work: {got / best:.3f} of the best plans' together, {worst:.3f} at worst; {proven} of 25 proven best")
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -55,7 +55,7 @@
     name: str
     disk: DurableState | None
     replica: Replica | None = None
-    lives: int = 0
+    incarnations: int = 0
 
 
 @dataclass
@@ -83,8 +83,8 @@
         member = self.members[name]
         if member.replica is not None:
             return
-        member.lives += 1
-        seed = hash((self.seed, NAMES.index(name), member.lives))
+        member.incarnations += 1
+        seed = hash((self.seed, NAMES.index(name), member.incarnations))
         member.replica = self.kind(ReplicaSettings(name, NAMES[: self.size], seed), member.disk)
 
     def carry_out(self, member: Member, saved: bool = True) -> None:
