--- a/ryepier/maintenance/capacity.py
+++ b/ryepier/maintenance/capacity.py
@@ -64,7 +64,7 @@
             if limit.applies_to(converter)
         )
 
-    def over(self, service: str, out: set[str]) -> str | None:
+    def first_exceeded_limit(self, service: str, out: set[str]) -> str | None:
         """The first limit that is exceeded when the converters in `out` are out, in one line; None: all hold."""
         for limit in self.limits(service):
             charge = self.charge(limit, out)
--- /dev/null
+++ b/ryepier/maintenance/ledger_context.py
@@ -0,0 +1,84 @@
+"""What the handlers of a ledger's commands share: the state, its view, and the changes that end leases and requests."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ryepier.maintenance.agreement import Agreement
+from ryepier.maintenance.capacity import CapacityView
+from ryepier.maintenance.state import Lease, LedgerState, RequestRecord
+from ryepier.maintenance.tables import LeaseState
+
+MAX_COMPLETED_REQUESTS = 10_000  # kept so that a repeated submission is recognized
+
+
+@dataclass(frozen=True, slots=True)
+class LedgerContext:
+    """One region's agreement, state and capacity view. Only `Ledger.apply` leads to methods that change state."""
+
+    agreement: Agreement
+    region: str
+    state: LedgerState
+    view: CapacityView
+
+    def leases_of(self, request: str) -> list[Lease]:
+        """Return the open leases of a request, oldest first."""
+        return [lease for lease in self.state.leases.values() if lease.request == request]
+
+    def is_below_agreement(self, service: str) -> bool:
+        """Return whether less capacity is available than agreed, as far as this region knows."""
+        return self.view.first_exceeded_limit(service, self.view.leased_converters()) is not None
+
+    def next_token(self) -> int:
+        """Issue a fencing token, higher than every one before it."""
+        self.state.last_token += 1
+        return self.state.last_token
+
+    def end_holding(self, lease: Lease, after: LeaseState) -> None:
+        """End the agent's right to take converters down; only later observations can then close the lease."""
+        if lease.state is not after:
+            lease.released_index = self.state.applied
+        lease.state = after
+
+    def revoke(self, lease: Lease) -> None:
+        """Revoke a lease whose drain has not started."""
+        self.end_holding(lease, LeaseState.REVOKED)
+
+    def revoke_below_agreement(self) -> tuple[str, ...]:
+        """Revoke every lease that has not started its drain, of services below the agreement; return their names."""
+        revoked = []
+        for service in self.agreement.services:
+            granted = self._granted_leases(service)
+            if granted and self.is_below_agreement(service):
+                for lease in granted:
+                    self.revoke(lease)
+                    revoked.append(lease.name)
+        return tuple(revoked)
+
+    def _granted_leases(self, service: str) -> list[Lease]:
+        """Return the leases of a service whose drain has not started."""
+        return [
+            lease
+            for lease in self.state.leases.values()
+            if lease.state is LeaseState.GRANTED and self.state.requests[lease.request].request.service == service
+        ]
+
+    def close(self, lease: Lease) -> None:
+        """Close a lease; its converters are charged no longer."""
+        lease.state = LeaseState.CLOSED
+        del self.state.leases[lease.name]
+        self.complete_if_finished(self.state.requests[lease.request])
+
+    def complete_if_finished(self, record: RequestRecord, *, missed: bool = False) -> bool:
+        """Move a request to the completed ones when nothing is left to do for it, and return whether that was so.
+
+        `missed` says that its deadline has passed.
+        """
+        name = record.request.name
+        if self.leases_of(name) or not (record.cancelled or missed or not record.remaining()):
+            return False
+        del self.state.requests[name]
+        self.state.completed[name] = record.request
+        if len(self.state.completed) > MAX_COMPLETED_REQUESTS:
+            del self.state.completed[next(iter(self.state.completed))]
+        return True
--- /dev/null
+++ b/ryepier/maintenance/observation_commands.py
@@ -0,0 +1,80 @@
+"""Commands that record what is observed: the region's own converters, and the needs that other regions report."""
+
+from __future__ import annotations
+
+from ryepier.maintenance.commands import RecordCapacityNeeds, RecordObservation
+from ryepier.maintenance.ledger_context import LedgerContext
+from ryepier.maintenance.results import Observed, Rejected, Result
+from ryepier.maintenance.state import Lease, ObservedState, PeerRegion
+from ryepier.maintenance.tables import LEASES, LeaseEvent, LeaseState
+
+
+class ObservationCommands:
+    """Applies observations; they alone close leases."""
+
+    def __init__(self, context: LedgerContext) -> None:
+        """Apply commands to the state in `context`."""
+        self.context = context
+        self.state = context.state
+
+    def observe(self, command: RecordObservation) -> Result:
+        """Record an observation, close leases whose converters have recovered, and revoke leases where too much is
+        lost. An observation that began before a lease was released does not close it."""
+        reason = self._observation_rejection(command)
+        if reason:
+            return Rejected(f"observation {command.sequence} of {command.observer!r}: {reason}")
+        self.state.observers[command.observer] = command.sequence
+        closed: list[str] = []
+        for observation in command.observations:
+            observed = ObservedState(observation.ready, observation.warmth, command.as_of)
+            last = self.state.observed.get(observation.converter)
+            if last is None or last.as_of <= observed.as_of:
+                self.state.observed[observation.converter] = observed
+                closed += self.mark_recovered(observation.converter, observed)
+        return Observed(tuple(closed), self.context.revoke_below_agreement())
+
+    def _observation_rejection(self, command: RecordObservation) -> str | None:
+        """Return why an observation cannot be recorded, in one line; None where it can."""
+        last = self.state.observers.get(command.observer, 0)
+        if command.sequence <= last:
+            return f"{last} was recorded before"
+        if command.as_of >= self.state.applied:
+            return f"it says that it came after log index {command.as_of}, which was not there"
+        for observation in command.observations:
+            converter = self.context.agreement.converters.get(observation.converter)
+            if converter is None or converter.region != self.context.region:
+                return f"converter {observation.converter!r} is none of region {self.context.region!r}"
+        return None
+
+    def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
+        """Take a converter that was observed ready and warm out of its lease; return the names of leases it closes."""
+        closed = []
+        for lease in list(self.state.leases.values()):
+            after = LEASES.after(lease.state, LeaseEvent.ALL_RECOVERED)
+            if converter not in lease.unavailable or after is None:
+                continue
+            if self.context.view.is_recovered(observed) and observed.as_of >= lease.released_index:
+                self._return_converter(lease, converter)
+                if not lease.unavailable:
+                    closed.append(lease.name)
+                    self.context.close(lease)
+        return closed
+
+    def _return_converter(self, lease: Lease, converter: str) -> None:
+        """Charge a converter to its lease no longer; it counts as maintained unless the lease was revoked."""
+        lease.unavailable.remove(converter)
+        if lease.state is LeaseState.RETURNING:
+            self.state.requests[lease.request].done.append(converter)
+
+    def record_needs(self, command: RecordCapacityNeeds) -> Result:
+        """Record what another region needs; an older report is rejected."""
+        if command.region == self.context.region or command.region not in self.context.agreement.regions:
+            return Rejected(f"standing of {command.region!r}: it is no other region")
+        unknown = sorted(set(command.needs) - set(self.context.agreement.services))
+        if unknown:
+            return Rejected(f"standing of {command.region!r}: unknown service {unknown[0]!r}")
+        last = self.state.peers.get(command.region)
+        if last is not None and command.number <= last.number:
+            return Rejected(f"standing of {command.region!r}: number {last.number} was recorded before")
+        self.state.peers[command.region] = PeerRegion(command.number, command.needs)
+        return Observed((), self.context.revoke_below_agreement())
--- /dev/null
+++ b/ryepier/maintenance/request_commands.py
@@ -0,0 +1,63 @@
+"""Commands on requests: submit, cancel, and the passing of time, by which requests miss their deadlines."""
+
+from __future__ import annotations
+
+from ryepier.maintenance import submission
+from ryepier.maintenance.commands import CancelRequest, Request, SubmitRequest
+from ryepier.maintenance.ledger_context import LedgerContext
+from ryepier.maintenance.results import Accepted, Advanced, Cancelled, Rejected, Result
+from ryepier.maintenance.state import RequestRecord
+from ryepier.maintenance.tables import LeaseState
+
+
+class RequestCommands:
+    """Applies the commands that open and end requests."""
+
+    def __init__(self, context: LedgerContext) -> None:
+        """Apply commands to the state in `context`."""
+        self.context = context
+        self.state = context.state
+
+    def submit(self, command: SubmitRequest) -> Result:
+        """Open a request. The same one again is accepted again; another one under its name is rejected."""
+        request = command.request
+        known = self._known_request(request.name)
+        if known is not None:
+            if known == request:
+                return Accepted(request.name)
+            return Rejected(f"request {request.name!r} is there with other content")
+        converters = submission.requested_converters(self.context.agreement, request)
+        reason = submission.rejection_reason(self.context.agreement, self.state, request, converters)
+        if reason:
+            return Rejected(f"request {request.name!r}: {reason}")
+        self.state.requests[request.name] = RequestRecord(request, converters, self.state.now_ms)
+        return Accepted(request.name)
+
+    def _known_request(self, name: str) -> Request | None:
+        """Return the request of this name, open or completed."""
+        record = self.state.requests.get(name)
+        return record.request if record else self.state.completed.get(name)
+
+    def cancel(self, command: CancelRequest) -> Result:
+        """Grant a request no further leases, and revoke those whose drain has not started."""
+        name = command.request
+        record = self.state.requests.get(name)
+        if record is None:
+            known = name in self.state.completed
+            return Cancelled(name) if known else Rejected(f"request {name!r} is unknown")
+        record.cancelled = True
+        granted = [lease for lease in self.context.leases_of(name) if lease.state is LeaseState.GRANTED]
+        for lease in granted:
+            self.context.revoke(lease)
+        self.context.complete_if_finished(record)
+        return Cancelled(name, tuple(lease.name for lease in granted))
+
+    def advance_time(self, now_ms: int) -> Result:
+        """Set the region's time, which never goes back, and give up requests whose deadline has passed."""
+        self.state.now_ms = max(self.state.now_ms, now_ms)
+        missed = []
+        for record in list(self.state.requests.values()):
+            late = record.request.deadline_ms < self.state.now_ms
+            if late and self.context.complete_if_finished(record, missed=True):
+                missed.append(record.request.name)
+        return Advanced(self.state.now_ms, tuple(missed))
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -6,8 +6,11 @@
 from ryepier.maintenance.capacity import CapacityView
 from ryepier.maintenance.commands import Transfer
 from ryepier.maintenance.ledger import Ledger
+from ryepier.maintenance.observation_commands import ObservationCommands
+from ryepier.maintenance.request_commands import RequestCommands
 from ryepier.maintenance.results import Result
 from ryepier.maintenance.state import ObservedState
+from ryepier.maintenance.transfer_commands import TransferCommands
 
 
 class IgnoreWarmUpView(CapacityView):
@@ -29,25 +32,39 @@
     view_type = IgnoreWarmUpView
 
 
-class ExpiryFreesLedger(Ledger):
-    """A lease ends when its time has run out."""
+class ExpiringLeases(RequestCommands):
+    """Closes a lease when its duration has passed."""
 
-    def _advance(self, now_ms: int) -> Result:
-        result = super()._advance(now_ms)
+    def advance_time(self, now_ms: int) -> Result:
+        """Close the leases that have lasted as long as their request said."""
+        result = super().advance_time(now_ms)
         for lease in list(self.state.leases.values()):
             request = self.state.requests[lease.request].request
             if lease.granted_ms + request.duration_ms <= self.state.now_ms:
-                self._close(lease)
+                self.context.close(lease)
         return result
 
 
-class DoubleCreditLedger(Ledger):
-    """A transfer that comes twice is counted twice."""
+class ExpiryFreesLedger(Ledger):
+    """A lease ends when its time has run out."""
 
-    def _is_credited(self, transfer: Transfer) -> bool:
+    request_commands_type = ExpiringLeases
+
+
+class RepeatedCredits(TransferCommands):
+    """Counts a transfer as often as it arrives."""
+
+    def is_credited(self, transfer: Transfer) -> bool:
+        """Recognize no transfer."""
         return False
 
 
+class DoubleCreditLedger(Ledger):
+    """A transfer that arrives twice is counted twice."""
+
+    transfer_commands_type = RepeatedCredits
+
+
 class BorrowView(CapacityView):
     """The other regions' allowances are taken for the region's own."""
 
@@ -87,18 +104,33 @@
     view_type = IgnoreLossView
 
 
+class StaleObservations(ObservationCommands):
+    """Takes every observation for a present one."""
+
+    def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
+        """Date the observation at the command's own index."""
+        present = ObservedState(observed.ready, observed.warmth, self.state.applied)
+        return super().mark_recovered(converter, present)
+
+
 class StaleObservationLedger(Ledger):
-    """A look that was begun before the release ends a lease."""
+    """An observation that began before the release closes a lease."""
+
+    observation_commands_type = StaleObservations
+
+
+class Overdraw(TransferCommands):
+    """Gives the whole allowance away."""
 
-    def _mark_recovered(self, converter: str, seen: ObservedState) -> list[str]:
-        return super()._mark_recovered(converter, ObservedState(seen.ready, seen.warmth, self.state.applied))
+    def transferable(self, service: str) -> int:
+        """Ignore what is out, lost or to be kept."""
+        return self.context.view.capacity(service).allowance
 
 
 class OverdrawLedger(Ledger):
     """A region gives away what its leases have out."""
 
-    def _transferable(self, service: str) -> int:
-        return self.capacity(service).allowance
+    transfer_commands_type = Overdraw
 
 
 FAULTY_LEDGERS: dict[str, type[Ledger]] = {
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -84,6 +84,10 @@
     observed: dict[str, ObservedState] = msgspec.field(name="seen", default_factory=dict)  # by converter
     peers: dict[str, PeerRegion] = {}
 
+    def open_requests(self) -> list[RequestRecord]:
+        """Return the requests that may get leases, oldest first."""
+        return [record for record in self.requests.values() if not record.cancelled]
+
 
 def encode(state: LedgerState) -> bytes:
     """The snapshot of a state."""
--- a/ryepier/maintenance/tables.py
+++ b/ryepier/maintenance/tables.py
@@ -45,7 +45,7 @@
 class LeaseEvent(enum.StrEnum):
     """What happens to a lease."""
 
-    BEGIN = "begin"
+    START_DRAIN = "begin"
     TAKE_OVER = "take over"
     RELEASE = "release"
     REVOKE = "call off"
@@ -55,10 +55,10 @@
 LEASES = StateTable(
     "Lease",
     {
-        (LeaseState.GRANTED, LeaseEvent.BEGIN): LeaseState.DRAINING,
+        (LeaseState.GRANTED, LeaseEvent.START_DRAIN): LeaseState.DRAINING,
         (LeaseState.GRANTED, LeaseEvent.TAKE_OVER): LeaseState.GRANTED,
         (LeaseState.GRANTED, LeaseEvent.REVOKE): LeaseState.REVOKED,
-        (LeaseState.DRAINING, LeaseEvent.BEGIN): LeaseState.DRAINING,
+        (LeaseState.DRAINING, LeaseEvent.START_DRAIN): LeaseState.DRAINING,
         (LeaseState.DRAINING, LeaseEvent.TAKE_OVER): LeaseState.DRAINING,
         (LeaseState.DRAINING, LeaseEvent.RELEASE): LeaseState.RETURNING,
         (LeaseState.RETURNING, LeaseEvent.RELEASE): LeaseState.RETURNING,
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -111,8 +111,12 @@
 
 
 def test_the_pure_half_has_no_clock_chance_or_io() -> None:
-    pure = "agreement capacity commands escrow judge ledger limits placement seeded_faults problem profile results"
-    for name in (*pure.split(), "scheduler", "state", "submission", "tables"):
+    pure = (
+        "agreement capacity commands escrow judge lease_commands ledger ledger_context limits observation_commands "
+        "placement problem profile request_commands results scheduler seeded_faults state submission tables "
+        "transfer_commands"
+    )
+    for name in pure.split():
         assert agreement.__file__
         text = (Path(agreement.__file__).parent / f"{name}.py").read_text()
         for module in ("time", "random", "os", "socket", "asyncio", "pathlib", "threading"):
