--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -15,7 +15,7 @@
 from ryepier.maintenance.peers import PeerConnections
 from ryepier.maintenance.region_clock import RegionClock
 from ryepier.maintenance.region_link import RegionLink
-from ryepier.maintenance.replication.core import ReplicaSettings
+from ryepier.maintenance.replication.model import ReplicaSettings
 from ryepier.maintenance.server import Server
 from ryepier.maintenance.settings import CoordinatorComponents, CoordinatorSettings
 from ryepier.maintenance.status import Planner
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -12,7 +12,7 @@
 from ryepier.maintenance.observer import ListingError, WarmthTracker, fetch_listing
 from ryepier.maintenance.region_clock import RegionClock, monotonic_ms
 from ryepier.maintenance.region_link import RegionLink
-from ryepier.maintenance.replication.core import NotLeaderError
+from ryepier.maintenance.replication.errors import NotLeaderError
 from ryepier.maintenance.settings import CoordinatorSettings
 from ryepier.maintenance.status import Planner
 
--- a/ryepier/maintenance/node.py
+++ b/ryepier/maintenance/node.py
@@ -12,8 +12,9 @@
 from ryepier.maintenance.commands import Command, CommandError
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.replication import storage
-from ryepier.maintenance.replication.core import CommittedEntry, DurableState, Ready, Replica
+from ryepier.maintenance.replication.core import Replica
 from ryepier.maintenance.replication.messages import Message
+from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready
 from ryepier.maintenance.results import Result
 
 log = logging.getLogger(__name__)
--- /dev/null
+++ b/ryepier/maintenance/replication/candidate.py
@@ -0,0 +1,45 @@
+"""The candidate's part: stand for election, and count the votes."""
+
+from __future__ import annotations
+
+from ryepier.maintenance.replication.leader import Leader
+from ryepier.maintenance.replication.messages import NOBODY, RequestVote, VoteResponse
+from ryepier.maintenance.replication.replica_state import ReplicaState
+from ryepier.maintenance.replication.roles import Event, Role
+
+
+class Candidate:
+    """What a replica does when no leader is heard of."""
+
+    def __init__(self, state: ReplicaState, leader: Leader) -> None:
+        """Work on `state`; `leader` takes over once an election is won."""
+        self.state = state
+        self.leader = leader
+        self.votes: set[str] = set()
+
+    def on_election_timeout(self) -> None:
+        """Begin a term and ask for votes; a learner waits on."""
+        state = self.state
+        state.restart_election_timer()
+        state.leader = NOBODY
+        if state.role is Role.LEARNER:
+            return
+        state.change_role(Event.ELECTION_TIMEOUT)
+        state.set_hard_state(state.term + 1, state.settings.name, state.hard_state.recovered_at_term)
+        self.votes = {state.settings.name}
+        request = RequestVote(state.term, state.last_index, state.term_at(state.last_index))
+        for peer in state.settings.peers:
+            state.send(peer, request)
+        self._lead_with_majority()
+
+    def on_vote_response(self, sender: str, response: VoteResponse) -> None:
+        """Count a vote of this term."""
+        if self.state.role is Role.CANDIDATE and response.granted:
+            self.votes.add(sender)
+            self._lead_with_majority()
+
+    def _lead_with_majority(self) -> None:
+        """Become the leader once a majority has voted for this replica."""
+        if len(self.votes) >= self.state.settings.majority:
+            self.state.change_role(Event.MAJORITY_VOTED)
+            self.leader.start_term()
--- /dev/null
+++ b/ryepier/maintenance/replication/follower.py
@@ -0,0 +1,102 @@
+"""The follower's part: answer requests for votes, and take the leader's entries."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from ryepier.maintenance.replication.errors import ProtocolError
+from ryepier.maintenance.replication.messages import (
+    NOBODY,
+    AppendEntries,
+    AppendResponse,
+    Entry,
+    RequestVote,
+    VoteResponse,
+)
+from ryepier.maintenance.replication.recovery import Recovery
+from ryepier.maintenance.replication.replica_state import ReplicaState
+from ryepier.maintenance.replication.roles import Event, Role
+
+
+class Follower:
+    """Answers candidates and leaders, in whatever role the replica is."""
+
+    def __init__(self, state: ReplicaState, recovery: Recovery) -> None:
+        """Work on `state`; `recovery` learns of entries that are stored."""
+        self.state = state
+        self.recovery = recovery
+
+    def on_request_vote(self, candidate: str, request: RequestVote) -> None:
+        """Vote at most once a term, and only for a log that is at least as up to date as the own one."""
+        state = self.state
+        if state.role is Role.LEARNER:
+            return
+        granted = request.term == state.term and self.may_vote_for(candidate) and self._is_up_to_date(request)
+        if granted:
+            state.set_hard_state(state.term, candidate, state.hard_state.recovered_at_term)
+            state.restart_election_timer()
+        state.send(candidate, VoteResponse(state.term, granted))
+
+    def may_vote_for(self, candidate: str) -> bool:
+        """Return whether the vote of this term is still free, or was this candidate's already."""
+        return self.state.hard_state.voted_for in (NOBODY, candidate)
+
+    def _is_up_to_date(self, request: RequestVote) -> bool:
+        """Return whether the candidate's log is at least as up to date as this one."""
+        last_index = self.state.last_index
+        last_term = self.state.term_at(last_index)
+        if request.last_log_term != last_term:
+            return request.last_log_term > last_term
+        return request.last_log_index >= last_index
+
+    def on_append_entries(self, sender: str, message: AppendEntries) -> None:
+        """Take a leader's entries where the log before them agrees. Raises ProtocolError for a second leader."""
+        state = self.state
+        if message.term < state.term:
+            state.send(sender, AppendResponse(state.term, False, state.last_index))
+            return
+        if state.role is Role.LEADER:
+            raise ProtocolError(f"{sender} claims to lead term {state.term}, which this replica leads")
+        state.change_role(Event.LEADER_HEARD)
+        state.leader = sender
+        state.restart_election_timer()
+        if not self._agrees_at(message.previous_index, message.previous_term):
+            state.send(sender, AppendResponse(state.term, False, self._last_possible_agreement(message)))
+            return
+        self._store_entries(message.previous_index, message.entries)
+        match_index = message.previous_index + len(message.entries)
+        state.commit_index = max(state.commit_index, min(message.commit_index, match_index))
+        self.recovery.become_voter_if_caught_up()
+        state.send(sender, AppendResponse(state.term, True, match_index))
+
+    def _agrees_at(self, index: int, term: int) -> bool:
+        """Return whether this log has an entry of that term at that index."""
+        return index <= self.state.last_index and self.state.term_at(index) == term
+
+    def _last_possible_agreement(self, message: AppendEntries) -> int:
+        """Return the index from which the leader should search on: before all own entries of the differing term."""
+        state = self.state
+        if message.previous_index > state.last_index:
+            return state.last_index
+        index = message.previous_index
+        differing_term = state.term_at(index)
+        while index > state.commit_index and state.term_at(index) == differing_term:
+            index -= 1
+        return index
+
+    def _store_entries(self, previous_index: int, entries: Sequence[Entry]) -> None:
+        """Append what is new; remove what conflicts, with all that follows it.
+
+        Entries that agree stay, so that a repeated or late message removes nothing. Raises ProtocolError where a
+        committed entry would be replaced.
+        """
+        state = self.state
+        for offset, entry in enumerate(entries):
+            index = previous_index + 1 + offset
+            if index <= state.last_index and state.term_at(index) == entry.term:
+                continue
+            if index <= state.commit_index:
+                raise ProtocolError(f"entry {index} is committed and cannot be replaced")
+            del state.log[index - 1 :]
+            state.append(*entries[offset:])
+            return
--- /dev/null
+++ b/ryepier/maintenance/replication/leader.py
@@ -0,0 +1,118 @@
+"""The leader's part: replicate the log, count acknowledgements, commit, and step down without a quorum."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ryepier.maintenance.replication.errors import NotLeaderError
+from ryepier.maintenance.replication.messages import NOBODY, AppendEntries, AppendResponse, Entry
+from ryepier.maintenance.replication.replica_state import ReplicaState
+from ryepier.maintenance.replication.roles import Event, Role
+
+NO_OP = b""
+MAX_ENTRIES_PER_MESSAGE = 64
+MAX_BYTES_PER_MESSAGE = 512 * 1024  # of commands; a single larger one is sent alone
+
+
+@dataclass(slots=True)
+class PeerProgress:
+    """How far a leader knows a peer's log to agree with its own."""
+
+    next_index: int
+    match_index: int = 0
+
+
+class Leader:
+    """What a replica does while it leads."""
+
+    def __init__(self, state: ReplicaState) -> None:
+        """Work on `state`; nothing is done before `start_term`."""
+        self.state = state
+        self.progress: dict[str, PeerProgress] = {}
+        self.responded: set[str] = set()  # peers that have answered since the last check of the quorum
+
+    def start_term(self) -> None:
+        """Lead the present term, and append its no-op entry."""
+        state = self.state
+        state.leader = state.settings.name
+        self.progress = {peer: PeerProgress(state.last_index + 1) for peer in state.settings.peers}
+        self.responded = set()
+        state.elapsed_ticks = 0
+        # entries of earlier terms can only be committed by one of this term behind them
+        self._append_and_replicate(NO_OP)
+
+    def propose(self, command: bytes) -> int:
+        """Append a command and return its index. Raises NotLeaderError where this replica does not lead."""
+        if self.state.role is not Role.LEADER:
+            raise NotLeaderError(self.state.leader)
+        return self._append_and_replicate(command)
+
+    def _append_and_replicate(self, command: bytes) -> int:
+        """Append one entry of this term and send it to all peers; return its index."""
+        index = self.state.append(Entry(self.state.term, command))
+        self._replicate_to_all()
+        self._advance_commit_index()
+        return index
+
+    def tick(self) -> None:
+        """Send heartbeats, and step down where no majority has answered for two election timeouts."""
+        state = self.state
+        if state.elapsed_ticks % state.settings.heartbeat_ticks == 0:
+            self._replicate_to_all()
+        if state.elapsed_ticks < 2 * state.settings.election_ticks:
+            return
+        state.elapsed_ticks = 0
+        if len(self.responded) + 1 < state.settings.majority:
+            state.change_role(Event.QUORUM_SILENT)
+            state.leader = NOBODY
+            state.restart_election_timer()
+        self.responded = set()
+
+    def _replicate_to_all(self) -> None:
+        """Send each peer the entries that it lacks, or a heartbeat."""
+        for peer in self.state.settings.peers:
+            self._replicate_to(peer)
+
+    def _replicate_to(self, peer: str) -> None:
+        """Send one peer the next entries that it lacks."""
+        state = self.state
+        previous = self.progress[peer].next_index - 1
+        entries = self._batch_after(previous)
+        state.send(peer, AppendEntries(state.term, previous, state.term_at(previous), entries, state.commit_index))
+
+    def _batch_after(self, index: int) -> tuple[Entry, ...]:
+        """Return as many entries behind an index as fit one message."""
+        batch: list[Entry] = []
+        size = 0
+        for entry in self.state.log[index : index + MAX_ENTRIES_PER_MESSAGE]:
+            size += len(entry.command)
+            if batch and size > MAX_BYTES_PER_MESSAGE:
+                break
+            batch.append(entry)
+        return tuple(batch)
+
+    def on_append_response(self, sender: str, response: AppendResponse) -> None:
+        """Record how far a peer's log agrees, and commit what a majority has."""
+        if self.state.role is not Role.LEADER:
+            return
+        self.responded.add(sender)
+        progress = self.progress[sender]
+        if not response.success:
+            lower = min(progress.next_index - 1, response.match_index + 1)
+            progress.next_index = max(progress.match_index + 1, lower)
+            self._replicate_to(sender)
+            return
+        progress.match_index = max(progress.match_index, response.match_index)
+        progress.next_index = max(progress.next_index, progress.match_index + 1)
+        self._advance_commit_index()
+        if response.match_index == progress.match_index < self.state.last_index:
+            progress.next_index = progress.match_index + 1
+            self._replicate_to(sender)
+
+    def _advance_commit_index(self) -> None:
+        """Commit up to the last index that a majority has, if its entry is of this term."""
+        state = self.state
+        matches = sorted([state.last_index, *(progress.match_index for progress in self.progress.values())])
+        majority_index = matches[-state.settings.majority]
+        if majority_index > state.commit_index and state.term_at(majority_index) == state.term:
+            state.commit_index = majority_index
--- /dev/null
+++ b/ryepier/maintenance/replication/replica_state.py
@@ -0,0 +1,108 @@
+"""The state that all roles of a replica share: term, vote, log, role, election timer, and the output not yet taken."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+
+from ryepier.maintenance.replication.messages import NOBODY, Entry, Envelope, HardState, Message
+from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready, ReplicaSettings
+from ryepier.maintenance.replication.roles import TRANSITIONS, Event, Role
+
+
+@dataclass(slots=True)
+class _Output:
+    """What has accumulated since the last `Ready`."""
+
+    hard_state_changed: bool = False
+    first_index: int = 0
+    messages: list[Envelope] = field(default_factory=list)
+
+
+class ReplicaState:
+    """The state of one replica; each change that has to be durable or sent is noted for the next `Ready`."""
+
+    def __init__(self, settings: ReplicaSettings, durable: DurableState | None) -> None:
+        """Start from what the disk holds; None: the disk is empty although the region exists already."""
+        self.settings = settings
+        self.random = random.Random(settings.seed)
+        self.hard_state = durable.hard_state if durable is not None else HardState()
+        self.log: list[Entry] = list(durable.entries) if durable is not None else []
+        self.role = _initial_role(durable)
+        self.leader = NOBODY
+        self.commit_index = 0
+        self.applied_index = 0
+        self.elapsed_ticks = 0
+        self.timeout_ticks = 0
+        self.output = _Output()
+
+    @property
+    def term(self) -> int:
+        """The highest term that this replica has taken part in."""
+        return self.hard_state.term
+
+    @property
+    def last_index(self) -> int:
+        """The index of the last entry, 0 for an empty log."""
+        return len(self.log)
+
+    def term_at(self, index: int) -> int:
+        """Return the term of an entry, 0 before the first."""
+        return self.log[index - 1].term if index > 0 else 0
+
+    def change_role(self, event: Event) -> None:
+        """Follow the table of transitions. Raises KeyError for an event that the role does not list."""
+        self.role = TRANSITIONS[self.role, event]
+
+    def set_hard_state(self, term: int, voted_for: str, recovered_at_term: int) -> None:
+        """Change what the disk must hold before the next message is sent."""
+        self.hard_state = HardState(term, voted_for, recovered_at_term)
+        self.output.hard_state_changed = True
+
+    def enter_higher_term(self, term: int) -> None:
+        """Enter a term that another member has begun."""
+        self.set_hard_state(term, NOBODY, self.hard_state.recovered_at_term)
+        self.change_role(Event.HIGHER_TERM)
+        self.leader = NOBODY
+
+    def restart_election_timer(self) -> None:
+        """Draw the next election timeout, in ticks."""
+        base = self.settings.election_ticks
+        self.timeout_ticks = self.random.randint(base, 2 * base - 1)
+        self.elapsed_ticks = 0
+
+    def append(self, *entries: Entry) -> int:
+        """Append to the log, to be stored; return the last index."""
+        self._mark_unstored(self.last_index + 1)
+        self.log.extend(entries)
+        return self.last_index
+
+    def _mark_unstored(self, index: int) -> None:
+        """Note that the log has to be written from this index on."""
+        self.output.first_index = min(self.output.first_index or index, index)
+
+    def send(self, receiver: str, message: Message) -> None:
+        """Send a message once everything that it depends on is stored."""
+        self.output.messages.append(Envelope(receiver, message))
+
+    def take_ready(self) -> Ready:
+        """Return all that has to be done since the last call."""
+        output, self.output = self.output, _Output()
+        committed = tuple(
+            CommittedEntry(index, self.log[index - 1]) for index in range(self.applied_index + 1, self.commit_index + 1)
+        )
+        self.applied_index = self.commit_index
+        return Ready(
+            hard_state=self.hard_state if output.hard_state_changed else None,
+            first_index=output.first_index,
+            entries=tuple(self.log[output.first_index - 1 :]) if output.first_index else (),
+            messages=tuple(output.messages),
+            committed=committed,
+        )
+
+
+def _initial_role(durable: DurableState | None) -> Role:
+    """Return the role that the disk allows."""
+    if durable is None:
+        return Role.RECOVERING
+    return Role.LEARNER if durable.hard_state.recovered_at_term > 0 else Role.FOLLOWER
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from ryepier.maintenance.replication.core import DurableState, Ready
 from ryepier.maintenance.replication.messages import Entry, HardState
+from ryepier.maintenance.replication.model import DurableState, Ready
 
 FILE_NAME = "replica.log"
 FILE_TYPE = b"RYELOG01"
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -39,7 +39,7 @@
 )
 from ryepier.maintenance.node import DeposedError, FatalError, Node
 from ryepier.maintenance.region_clock import RegionClock
-from ryepier.maintenance.replication.core import NotLeaderError, ProtocolError
+from ryepier.maintenance.replication.errors import NotLeaderError, ProtocolError
 from ryepier.maintenance.replication.messages import Message as ReplicaMessage
 from ryepier.maintenance.settings import CoordinatorSettings
 from ryepier.maintenance.status import Planner, status_of
--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -15,8 +15,8 @@
 from ryepier.maintenance.commands import CapacityNeed, Command, ConverterObservation, Priority, Request, Transfer
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.replication import messages, storage
-from ryepier.maintenance.replication.core import Ready
 from ryepier.maintenance.replication.messages import Entry, HardState
+from ryepier.maintenance.replication.model import Ready
 
 FOLDER = Path(__file__).parent / "fixtures"
 AGREEMENT = agreement.parse((FOLDER / "maintenance_agreement.toml").read_bytes())
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -12,7 +12,8 @@
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.node import DeposedError, FatalError, Node, open_storage
 from ryepier.maintenance.replication import storage
-from ryepier.maintenance.replication.core import DurableState, NotLeaderError, Ready, Replica, ReplicaSettings
+from ryepier.maintenance.replication.core import Replica
+from ryepier.maintenance.replication.errors import NotLeaderError
 from ryepier.maintenance.replication.messages import (
     AppendEntries,
     AppendResponse,
@@ -21,6 +22,7 @@
     Message,
     VoteResponse,
 )
+from ryepier.maintenance.replication.model import DurableState, Ready, ReplicaSettings
 from ryepier.maintenance.replication.seeded_faults import ForgetVoteStorage
 from ryepier.maintenance.results import Advanced, Result
 from tests.maintenance_world import small_agreement
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -12,15 +12,8 @@
 from hypothesis import strategies as st
 
 from ryepier.maintenance.replication import storage
-from ryepier.maintenance.replication.core import (
-    CommittedEntry,
-    DurableState,
-    NotLeaderError,
-    ProtocolError,
-    Ready,
-    Replica,
-    ReplicaSettings,
-)
+from ryepier.maintenance.replication.core import Replica
+from ryepier.maintenance.replication.errors import NotLeaderError, ProtocolError
 from ryepier.maintenance.replication.messages import (
     AppendEntries,
     AppendResponse,
@@ -30,6 +23,7 @@
     RequestVote,
     VoteResponse,
 )
+from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready, ReplicaSettings
 from ryepier.maintenance.replication.roles import Role
 from ryepier.maintenance.replication.seeded_faults import ForgetGrantStorage, VoteTwiceReplica
 
