--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from ryepier.maintenance.replication.core import DurableState, Ready
 from ryepier.maintenance.replication.messages import Entry, HardState
+from ryepier.maintenance.replication.model import DurableState, Ready
 
 FILE_NAME = "replica.log"
 FILE_TYPE = b"RYELOG01"
@@ -100,7 +100,7 @@
         except BaseException:
             os.close(self.descriptor)
             raise
-        self.cut_bytes = reader.size - reader.offset
+        self.truncated_bytes = reader.size - reader.offset
         self.offset = reader.offset
 
     def _open_locked(self) -> int:
--- a/ryepier/maintenance/tables.py
+++ b/ryepier/maintenance/tables.py
@@ -38,33 +38,33 @@
     GRANTED = "granted"  # the drain has not begun
     DRAINING = "draining"  # the holder may have converters down
     RETURNING = "returning"  # the holder is done; converters have yet to be seen ready and warm
-    CALLED_OFF = "called-off"  # taken back before the drain; converters have yet to be seen ready and warm
+    REVOKED = "called-off"  # taken back before the drain; converters have yet to be seen ready and warm
     CLOSED = "closed"
 
 
 class LeaseEvent(enum.StrEnum):
     """What happens to a lease."""
 
-    BEGIN = "begin"
+    START_DRAIN = "begin"
     TAKE_OVER = "take over"
     RELEASE = "release"
-    CALL_OFF = "call off"
-    ALL_BACK = "all seen ready and warm"
+    REVOKE = "call off"
+    ALL_RECOVERED = "all seen ready and warm"
 
 
 LEASES = StateTable(
     "Lease",
     {
-        (LeaseState.GRANTED, LeaseEvent.BEGIN): LeaseState.DRAINING,
+        (LeaseState.GRANTED, LeaseEvent.START_DRAIN): LeaseState.DRAINING,
         (LeaseState.GRANTED, LeaseEvent.TAKE_OVER): LeaseState.GRANTED,
-        (LeaseState.GRANTED, LeaseEvent.CALL_OFF): LeaseState.CALLED_OFF,
-        (LeaseState.DRAINING, LeaseEvent.BEGIN): LeaseState.DRAINING,
+        (LeaseState.GRANTED, LeaseEvent.REVOKE): LeaseState.REVOKED,
+        (LeaseState.DRAINING, LeaseEvent.START_DRAIN): LeaseState.DRAINING,
         (LeaseState.DRAINING, LeaseEvent.TAKE_OVER): LeaseState.DRAINING,
         (LeaseState.DRAINING, LeaseEvent.RELEASE): LeaseState.RETURNING,
         (LeaseState.RETURNING, LeaseEvent.RELEASE): LeaseState.RETURNING,
-        (LeaseState.RETURNING, LeaseEvent.ALL_BACK): LeaseState.CLOSED,
-        (LeaseState.CALLED_OFF, LeaseEvent.CALL_OFF): LeaseState.CALLED_OFF,
-        (LeaseState.CALLED_OFF, LeaseEvent.ALL_BACK): LeaseState.CLOSED,
+        (LeaseState.RETURNING, LeaseEvent.ALL_RECOVERED): LeaseState.CLOSED,
+        (LeaseState.REVOKED, LeaseEvent.REVOKE): LeaseState.REVOKED,
+        (LeaseState.REVOKED, LeaseEvent.ALL_RECOVERED): LeaseState.CLOSED,
     },
 )
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -12,15 +12,8 @@
 from hypothesis import strategies as st
 
 from ryepier.maintenance.replication import storage
-from ryepier.maintenance.replication.core import (
-    CommittedEntry,
-    DurableState,
-    NotLeaderError,
-    ProtocolError,
-    Ready,
-    Replica,
-    ReplicaSettings,
-)
+from ryepier.maintenance.replication.core import Replica
+from ryepier.maintenance.replication.errors import NotLeaderError, ProtocolError
 from ryepier.maintenance.replication.messages import (
     AppendEntries,
     AppendResponse,
@@ -30,6 +23,7 @@
     RequestVote,
     VoteResponse,
 )
+from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready, ReplicaSettings
 from ryepier.maintenance.replication.roles import Role
 from ryepier.maintenance.replication.seeded_faults import ForgetGrantStorage, VoteTwiceReplica
 
@@ -55,7 +49,7 @@
     name: str
     disk: DurableState | None
     replica: Replica | None = None
-    lives: int = 0
+    incarnations: int = 0
 
 
 @dataclass
@@ -83,8 +77,8 @@
         member = self.members[name]
         if member.replica is not None:
             return
-        member.lives += 1
-        seed = hash((self.seed, NAMES.index(name), member.lives))
+        member.incarnations += 1
+        seed = hash((self.seed, NAMES.index(name), member.incarnations))
         member.replica = self.kind(ReplicaSettings(name, NAMES[: self.size], seed), member.disk)
 
     def carry_out(self, member: Member, saved: bool = True) -> None:
