--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -5,8 +5,9 @@
 import asyncio
 import itertools
 import json
+import os
 import socket
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -20,6 +21,9 @@
 
 PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
 ATTEMPT_TIMEOUT_US = 60_000_000  # longer than any test takes
+FIRST_PORT = 10_000
+PORTS_PER_WORKER = 700
+MAX_WORKERS = 32
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -180,10 +184,31 @@
             writer.transport.abort()
 
 
+def worker_ports() -> Iterator[int]:
+    """Yield the ports of this test process in turn, from a range that no other worker of the run has.
+
+    The ranges lie below the system's ephemeral ports, which outgoing connections take.
+    """
+    worker = os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")
+    first = FIRST_PORT + int(worker) % MAX_WORKERS * PORTS_PER_WORKER
+    for offset in itertools.count(os.getpid()):
+        yield first + offset % PORTS_PER_WORKER
+
+
+PORTS = worker_ports()
+
+
 def free_port() -> int:
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return int(sock.getsockname()[1])
+    """Return a loopback port that nothing listens on and that no other worker hands out."""
+    for port in itertools.islice(PORTS, PORTS_PER_WORKER):
+        with socket.socket() as sock:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            try:
+                sock.bind(("127.0.0.1", port))
+            except OSError:
+                continue
+            return port
+    raise OSError("no free port in this worker's range")
 
 
 SETTINGS: dict[str, Any] = {
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -14,6 +14,8 @@
 
 from tests.test_simulator_protocol import EMPTY, LIST, batch, power_on
 
+pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the tree
+
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -41,6 +41,8 @@
 )
 from tests.network_peers import sidecar as net_sidecar
 
+pytestmark = pytest.mark.alone
+
 ROOT = Path(__file__).resolve().parent.parent
 LIMIT = 256  # descriptors, the least that a sidecar is given
 TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -28,6 +28,8 @@
 )
 from tests.network_peers import OK, Upstream, entry, listing
 
+pytestmark = pytest.mark.alone
+
 TROUBLES = ("reload", "drain", "kill", "pieces")
 STOPPED_TROUBLES = ("reload", "drain", "kill")
 BODY = b"a file in two halves"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -185,9 +185,16 @@
 
 
 def test_the_test_command_is_the_one_that_reads_it() -> None:
-    """The whole run, which CI calls, takes its verdict from pytest alone and asks it for all tests."""
+    """The whole run, which CI calls, takes its verdict from pytest alone and asks it for all tests, in two groups."""
     assert "make --no-print-directory test" in (HERE.parent / ".ci/run").read_text().splitlines()
-    assert "python -m pytest" in (HERE / "check.sh").read_text().splitlines()
+    lines = (HERE / "check.sh").read_text().splitlines()
+    first = lines.index("status=0")
+    assert lines[first:] == [
+        "status=0",
+        'python -m pytest -m "not alone" --numprocesses "$workers" --dist loadgroup --durations 20 || status=$?',
+        "python -m pytest -m alone --durations 10 || status=$?",
+        'exit "$status"',
+    ]
 
 
 def test_unknown_parametrised_id_ends_at_its_bracket() -> None:
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -17,6 +17,8 @@
 from ryepier.experiments.load_spread import processes_figures as spread
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine
 
+pytestmark = pytest.mark.alone
+
 SEED = 31
 SETTLED_S = 1.0
 MOST_PLAYS = 3  # a run that is void is played again
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -33,6 +33,8 @@
 )
 from tests.network_peers import OK, Upstream, entry, listing
 
+pytestmark = pytest.mark.xdist_group("service_after_lists")  # one play serves all its tests
+
 CONVERTERS = 3  # before and after
 WORK_S = 0.02  # of a converter
 REQUEST_EVERY_S = 0.1
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -33,6 +33,8 @@
     request,
 )
 
+pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the tree
+
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
