--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -17,8 +17,10 @@
 from ryepier.commands.config import complain
 from ryepier.conf.operator_settings import LoggingSettings
 from ryepier.logs import structured
-from ryepier.maintenance import agreement as agreements
-from ryepier.maintenance.agreement import Agreement, AgreementError, format_units
+from ryepier.maintenance import agreement_file
+from ryepier.maintenance.address import parse_address
+from ryepier.maintenance.agreement import Agreement, format_units
+from ryepier.maintenance.agreement_file import AgreementError
 from ryepier.maintenance.api import StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import CancelRequest, Command, Priority, Request, SubmitRequest
@@ -28,7 +30,6 @@
 from ryepier.maintenance.replication.storage import StorageError
 from ryepier.maintenance.results import Rejected
 from ryepier.maintenance.settings import CoordinatorSettings, addresses_of
-from ryepier.maintenance.transport import parse_address
 
 CALL_TIMEOUT_S = 10.0
 LOG_LINES_PER_S = 50
@@ -183,7 +184,7 @@
 def _read_agreement(path: Path, region: str) -> Agreement:
     """The agreement in a file; ends with 2 on a mistake or where it has no such region."""
     try:
-        agreement = agreements.parse(path.read_bytes())
+        agreement = agreement_file.parse(path.read_bytes())
     except OSError as error:
         _end(f"{path}: {error.strerror}", 2)
     except AgreementError as error:
--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -10,7 +10,7 @@
 
 from ryepier.conf.operator_settings import LoggingSettings
 from ryepier.logs import structured
-from ryepier.maintenance import agreement as agreements
+from ryepier.maintenance import agreement_file
 from ryepier.maintenance.agent import Agent, AgentSettings
 from ryepier.maintenance.client import RegionClient
 from ryepier.maintenance.fleet import SocketFleet
@@ -35,7 +35,7 @@
     """Work until it is killed."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AgentPlan)
     structured.set_up(LoggingSettings(format="json", lines_per_s=LOG_LINES_PER_S))
-    agreement = agreements.parse(Path(plan.agreement).read_bytes())
+    agreement = agreement_file.parse(Path(plan.agreement).read_bytes())
     client = RegionClient(plan.region, addresses_of(agreement, plan.region), plan.name, "agent")
     settings = AgentSettings(plan.name, plan.drain_grace_s, plan.work_s)
     agent = Agent(settings, client, SocketFleet(plan.discovery, plan.converters))
--- a/ryepier/experiments/maintenance/fleet_rig.py
+++ b/ryepier/experiments/maintenance/fleet_rig.py
@@ -26,14 +26,14 @@
 )
 from ryepier.experiments.maintenance.fleet_process import JOURNAL_SUFFIX, JournalLine, control_address
 from ryepier.experiments.maintenance.relay import Relay
-from ryepier.maintenance import agreement as agreements
+from ryepier.maintenance import agreement_file
+from ryepier.maintenance.address import parse_address
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.api import StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import Priority, Request, SubmitRequest
 from ryepier.maintenance.results import Result
 from ryepier.maintenance.settings import addresses_of
-from ryepier.maintenance.transport import parse_address
 
 ROLE_MODULE = "ryepier.experiments.maintenance.fleet_process"
 AGENT_MODULE = "ryepier.experiments.maintenance.agent_process"
@@ -116,7 +116,7 @@
         self.relays: list[Relay] = []
         folder.mkdir(parents=True, exist_ok=True)
         self.agreement_path = self.write_agreement("agreement", None)
-        self.agreement: Agreement = agreements.parse(self.agreement_path.read_bytes())
+        self.agreement: Agreement = agreement_file.parse(self.agreement_path.read_bytes())
         self.region_agreements = {
             region: self.write_agreement(f"agreement-{region}", region if scenario.relayed else None)
             for region in REGIONS
--- a/ryepier/maintenance/limits.py
+++ b/ryepier/maintenance/limits.py
@@ -1,7 +1,7 @@
-"""What bounds the capacity that a region may have out, as limits that ledger and scheduler share.
+"""The limits on capacity that a region may have out, shared by ledger and scheduler.
 
-Each limit bounds a sum over the region's converters of one service. Where the loss of a zone must be survived there is
-one limit for each zone: what is out of all other zones has to leave the least capacity without that zone.
+Each limit bounds a sum over the region's converters of one service. Where the loss of a zone must be tolerated there is
+one limit for each zone: what is out of all other zones has to leave the minimum without that zone.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
     excluded_zone: str | None = None
 
     def applies_to(self, converter: Converter) -> bool:
-        """Whether a converter of the region comes under this limit."""
+        """Return whether a converter of the region is charged to this limit."""
         return converter.service == self.service and converter.zone != self.excluded_zone
 
 
 def allowance_limit(service: str, region: str, bound: int) -> Limit:
-    """The region's part of what may be out globally."""
+    """Return the limit on the region's part of what may be out globally."""
     return Limit(f"the allowance of {region!r} for {service!r}", service, bound)
 
 
 def region_limits(agreement: Agreement, region: str, service: str) -> tuple[Limit, ...]:
-    """What the least capacity that is agreed for the region leaves."""
+    """Return the limits that the region's own minimum sets."""
     agreed = agreement.services[service]
-    capacity = agreement.capacity(service, region)
-    left = capacity - agreed.min_available_by_region.get(region, 0)
+    max_unavailable = agreement.capacity(service, region) - agreed.min_available_by_region.get(region, 0)
     name = f"the least capacity of {service!r} in {region!r}"
     if not agreed.tolerates_zone_loss:
-        return (Limit(name, service, left),)
+        return (Limit(name, service, max_unavailable),)
     zones = agreement.zone_capacities(service, region)
     return tuple(
-        Limit(f"{name} without zone {zone!r}", service, left - size, zone) for (_, zone), size in sorted(zones.items())
+        Limit(f"{name} without zone {zone.name!r}", service, max_unavailable - size, zone.name)
+        for zone, size in sorted(zones.items())
     )
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -5,6 +5,7 @@
 import logging
 from typing import ClassVar
 
+from ryepier.maintenance.address import parse_address
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.api import ClientKind
 from ryepier.maintenance.client import CallError, RegionClient
@@ -18,7 +19,6 @@
 )
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.results import Credited
-from ryepier.maintenance.transport import parse_address
 
 log = logging.getLogger(__name__)
 
--- a/ryepier/maintenance/settings.py
+++ b/ryepier/maintenance/settings.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from ryepier.maintenance.address import parse_address
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.placement import FREEZE_MS
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.replication.core import Replica
-from ryepier.maintenance.transport import parse_address
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/maintenance/transport.py
+++ b/ryepier/maintenance/transport.py
@@ -67,11 +67,3 @@
     def close(self) -> None:
         """End it; what was sent before still goes out."""
         self.writer.close()
-
-
-def parse_address(text: str) -> tuple[str, int]:
-    """`host:port` in its parts. Raises ValueError."""
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"{text!r} is not host:port")
-    return host, int(port)
--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ryepier.maintenance import agreement, api, commands, fleet, results, transport
+from ryepier.maintenance import agreement_file, api, commands, fleet, results, transport
 from ryepier.maintenance.commands import CapacityNeed, Command, ConverterObservation, Priority, Request, Transfer
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.replication import messages, storage
@@ -19,7 +19,7 @@
 from ryepier.maintenance.replication.model import Ready
 
 FOLDER = Path(__file__).parent / "fixtures"
-AGREEMENT = agreement.parse((FOLDER / "maintenance_agreement.toml").read_bytes())
+AGREEMENT = agreement_file.parse((FOLDER / "maintenance_agreement.toml").read_bytes())
 REGION = "north"
 IDENTITY = storage.Identity("north", "north-0", ("north-0", "north-1", "north-2"))
 HERE = tuple(one.name for one in AGREEMENT.converters_of("convert", REGION))
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ryepier.maintenance import agreement
+from ryepier.maintenance import agreement_file
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.commands import (
     FULL_WARMTH,
@@ -58,7 +58,7 @@
 
 
 def small_agreement() -> Agreement:
-    return agreement.parse(TEXT.encode())
+    return agreement_file.parse(TEXT.encode())
 
 
 def request(name: str = "r1", **changes: object) -> Request:
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -6,14 +6,15 @@
 
 import pytest
 
-from ryepier.maintenance import agreement
-from ryepier.maintenance.agreement import AgreementError, Converter, Replica
+from ryepier.maintenance import agreement_file
+from ryepier.maintenance.agreement import Converter, Replica
+from ryepier.maintenance.agreement_file import AgreementError
 from tests.maintenance_world import TEXT, small_agreement
 
 
 def problems(data: bytes) -> list[str]:
     with pytest.raises(AgreementError) as caught:
-        agreement.parse(data)
+        agreement_file.parse(data)
     return [str(problem) for problem in caught.value.problems]
 
 
@@ -35,12 +36,12 @@
     assert agreed.converters["n10"] == Converter("n10", "convert", "north", "z1", 1000)
     assert agreed.max_unavailable("convert") == 4000 == sum(service.allowances.values())
     assert agreed.max_unavailable_in("convert", "north") == 4000
-    assert agreed.digest != agreement.parse((TEXT + "# more").encode()).digest
+    assert agreed.digest != agreement_file.parse((TEXT + "# more").encode()).digest
 
 
 def test_surviving_a_zone_keeps_the_largest_one_back() -> None:
     text = TEXT.replace("least = 8\n", 'least = 6\nsurvives = "zone"\n').replace("allowance = 2", "allowance = 1.5")
-    agreed = agreement.parse(text.encode())
+    agreed = agreement_file.parse(text.encode())
     assert agreed.max_unavailable("convert") == 3000 and agreed.max_unavailable_in("convert", "north") == 1000
 
 
@@ -103,7 +104,7 @@
         (b"\xff", "line 1: not UTF-8"),
         (b"a = \n", "line 1: not TOML"),
         (b"", "services: is missing"),
-        (b"#" * (agreement.MAX_FILE_BYTES + 1), "4194304 are allowed"),
+        (b"#" * (agreement_file.MAX_FILE_BYTES + 1), "4194304 are allowed"),
     ],
 )
 def test_what_is_no_agreement_is_told_in_a_line(data: bytes, told: str) -> None:
@@ -112,12 +113,12 @@
 
 def test_the_pure_half_has_no_clock_chance_or_io() -> None:
     pure = (
-        "agreement capacity commands escrow judge lease_commands ledger ledger_context limits observation_commands "
-        "placement problem profile request_commands results scheduler seeded_faults state submission tables "
-        "transfer_commands"
+        "agreement agreement_file agreement_tables agreement_validation capacity commands escrow judge lease_commands "
+        "ledger ledger_context limits observation_commands placement problem profile request_commands results "
+        "scheduler seeded_faults state submission tables transfer_commands"
     )
     for name in pure.split():
-        assert agreement.__file__
-        text = (Path(agreement.__file__).parent / f"{name}.py").read_text()
+        assert agreement_file.__file__
+        text = (Path(agreement_file.__file__).parent / f"{name}.py").read_text()
         for module in ("time", "random", "os", "socket", "asyncio", "pathlib", "threading"):
             assert f"import {module}\n" not in text and f"from {module} import" not in text, f"{name} imports {module}"
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from ryepier.maintenance import agreement, commands, state
+from ryepier.maintenance import agreement_file, commands, state
 from ryepier.maintenance.commands import (
     AcknowledgeTransfer,
     AdvanceTime,
@@ -145,7 +145,7 @@
 def test_survives_zone_keeps_the_agreement_with_the_largest_zone_lost() -> None:
     text = TEXT.replace("least = 8\n", 'least = 7\nsurvives = "zone"\n')
     text = text.replace("allowance = 2", "allowance = 1")
-    region = Region(Ledger(agreement.parse(text.encode()), "north"))
+    region = Region(Ledger(agreement_file.parse(text.encode()), "north"))
     region.see_all()
     region.hold("r1", "n00")  # zone 0 has 2 left, so losing zone 1 leaves 2
     region.apply(CreditTransfer(Transfer("south", "north", 1, "convert", 1000)))
@@ -206,10 +206,10 @@
 
 def test_a_converter_that_can_never_be_out_is_told_with_the_amount() -> None:
     text = TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
-    region = Region(Ledger(agreement.parse(text.encode()), "north"))
+    region = Region(Ledger(agreement_file.parse(text.encode()), "north"))
     assert region.apply(SubmitRequest(request())) == Accepted("r1")
     text = text.replace("least = 9.5", "least = 11.5").replace("allowance = 2", "allowance = 1")
-    region = Region(Ledger(agreement.parse(text.encode()), "north"))
+    region = Region(Ledger(agreement_file.parse(text.encode()), "north"))
     result = region.apply(SubmitRequest(request()))
     assert isinstance(result, Rejected) and "takes 2.5 of 'convert' and at most 2 may be out, 0.5 too" in result.reason
 
@@ -273,7 +273,7 @@
     agreed = small_agreement()
     taken = north().ledger.snapshot()
     assert Ledger.restore(agreed, "north", taken).snapshot() == taken
-    other = agreement.parse(TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
+    other = agreement_file.parse(TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
     for where, region, data, told in (
         (agreed, "north", taken[:-1], "torn or altered"),
         (agreed, "north", taken[:-1] + b"\x00", "torn or altered"),
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ryepier.maintenance import agreement as agreements
+from ryepier.maintenance import agreement_file
 from ryepier.maintenance.api import VERSION, ClientHello, Frame, PeerHello, Rejection, StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import (
@@ -86,7 +86,7 @@
         self.folder = folder
         self.path = folder / "agreement.toml"
         self.path.write_text(agreement_text(ports))
-        self.agreement = agreements.parse(self.path.read_bytes())
+        self.agreement = agreement_file.parse(self.path.read_bytes())
         self.addresses = addresses_of(self.agreement, "north")
         self.listing = Listing(ports[6], {name: name for name in ("n00", "n01", "n02", "n10", "n11", "n12")})
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -16,7 +16,7 @@
     run_state_machine_as_test,
 )
 
-from ryepier.maintenance import agreement, judge
+from ryepier.maintenance import agreement_file, judge
 from ryepier.maintenance.commands import (
     AcknowledgeTransfer,
     AdvanceTime,
@@ -42,7 +42,7 @@
     TEXT.replace("least = 2", "least = 4"),
     TEXT.replace("least = 8\n", 'least = 5\nsurvives = "zone"\n').replace("least = 2", "least = 1"),
 )
-AGREEMENTS = tuple(agreement.parse(text.encode()) for text in TEXTS)
+AGREEMENTS = tuple(agreement_file.parse(text.encode()) for text in TEXTS)
 PICK = st.integers(0, 30)
 THROUGH = ("look after", "look late", "no look")  # a whole drain at once
 STEPS = ("begin", "bring_up", "release", "take_over", *THROUGH, *THROUGH)
