--- a/ryepier/experiments/simulation/seeded_faults.py
+++ b/ryepier/experiments/simulation/seeded_faults.py
@@ -41,7 +41,7 @@
 
     def cancel_and_keep(self: UpstreamAttempt) -> None:
         connection, written = self.connection, self.written
-        if connection is None or not written:
+        if not isinstance(connection, UpstreamConnection) or not written:
             cancel(self)
             return
         self.cancelled, self.connection, connection.attempt = True, None, None
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -140,6 +140,10 @@
         age = idle_us.bit_length()
         self.break_shares[age] += (float(broke) - self.break_shares[age]) / REUSE_MEMORY
 
+    def add(self, connection: UpstreamConnection) -> None:
+        """Add a connection that is about to be dialled."""
+        self.connections.setdefault(connection.upstream, set()).add(connection)
+
     def put_idle(self, connection: UpstreamConnection) -> None:
         """Keep a connection for later attempts."""
         connection.idle_since_us = clock_us()
@@ -161,6 +165,15 @@
         if not group:
             self.connections.pop(connection.upstream, None)
 
+    def on_closing(self, connection: UpstreamConnection) -> None:
+        """Record that a removed connection keeps its descriptor until `on_closed`."""
+        self.closing.add(connection)
+
+    def on_closed(self, connection: UpstreamConnection) -> None:
+        """Remove a connection whose descriptor is free before the loop's next turn."""
+        self.remove(connection)
+        self.closing.discard(connection)
+
     def close_idle(self, upstream: int) -> None:
         """Close the idle connections to an upstream."""
         for connection in self.idle.get(upstream, [])[:]:
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -121,6 +121,10 @@
 
     # Notifications of the watch
 
+    def is_current(self, watch: EndpointWatch) -> bool:
+        """Return whether a watch was not replaced by another."""
+        return watch is self.watch
+
     def on_data(self) -> None:
         """Record that bytes have arrived."""
         self.last_received_at = system.monotonic()
@@ -142,6 +146,10 @@
         self.listener(event, addresses)
         self.first_list.set()
 
+    def on_malformed(self) -> None:
+        """Count a watch whose bytes could not be read."""
+        self.malformed_watches += 1
+
     def on_watch_ended(self, watch: EndpointWatch) -> None:
         """Open the watch again after a pause where changes are pushed; else notify of the failure."""
         if watch is not self.watch:
--- a/ryepier/sidecar/endpoint_watch.py
+++ b/ryepier/sidecar/endpoint_watch.py
@@ -6,14 +6,12 @@
 import enum
 import http
 import logging
-from typing import TYPE_CHECKING
+from typing import Any, Protocol
 
 import httptools
 
 from ryepier.sidecar.json_stream import JsonStreamDecoder
-
-if TYPE_CHECKING:
-    from ryepier.sidecar.discovery import DiscoveryClient
+from ryepier.sidecar.requests import Address
 
 log = logging.getLogger(__name__)
 
@@ -27,10 +25,38 @@
     FAILED = enum.auto()
 
 
+class WatchClient(Protocol):
+    """The client that keeps a watch and is notified of its progress."""
+
+    address: Address  # of discovery
+    version: int  # of the endpoint list; 0 = none yet
+
+    def is_current(self, watch: EndpointWatch) -> bool:
+        """Return whether a watch was not replaced by another."""
+
+    def on_data(self) -> None:
+        """Record that bytes have arrived."""
+
+    def on_complete_message(self) -> None:
+        """Record that a message is complete."""
+
+    def on_unchanged(self) -> None:
+        """Record that there is nothing newer than the current version."""
+
+    def on_list(self, message: Any) -> None:
+        """Apply a list or changes. Raises an error of any kind on a malformed message."""
+
+    def on_malformed(self) -> None:
+        """Record that what arrived could not be read; `on_watch_ended` follows."""
+
+    def on_watch_ended(self, watch: EndpointWatch) -> None:
+        """Record that a watch has failed."""
+
+
 class EndpointWatch(asyncio.Protocol):
     """A watch of the endpoint list."""
 
-    def __init__(self, client: DiscoveryClient) -> None:
+    def __init__(self, client: WatchClient) -> None:
         """Prepare a watch; its connection is opened by the client."""
         self.client = client
         self.parser = httptools.HttpResponseParser(self)
@@ -42,7 +68,7 @@
         """Send the call."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self is not self.client.watch:  # it was replaced while its connection came up
+        if not self.client.is_current(self):  # it was replaced while its connection came up
             transport.abort()
             return
         self.state = WatchState.WAITING
@@ -61,7 +87,7 @@
         # Whatever a message breaks, the last valid list stays and a new watch is opened.
         except Exception as error:  # noqa: BLE001
             log.warning("endpoint watch is malformed: %r", error)
-            self.client.malformed_watches += 1
+            self.client.on_malformed()
             self.fail()
 
     # Callbacks of the parser
--- a/ryepier/sidecar/upstream_attempt.py
+++ b/ryepier/sidecar/upstream_attempt.py
@@ -3,14 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ryepier.sidecar.requests import Address, AttemptResult, ClientRequest
 from ryepier.sidecar.system import clock_us
 
-if TYPE_CHECKING:
-    from ryepier.sidecar.upstream_connection import UpstreamConnection
-
 
 def request_head(request: ClientRequest, address: Address, remaining_us: int) -> bytes:
     """Return the head of an attempt: the client's own, with the time that remains for the response."""
@@ -23,6 +20,16 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
+class AttemptConnection(Protocol):
+    """The connection of an attempt, as far as the attempt needs it."""
+
+    attempt: UpstreamAttempt | None
+    partly_written: bool  # part of the request waits in the process
+
+    def close(self) -> None:
+        """Close the connection at once."""
+
+
 class UpstreamAttempt:
     """An attempt that has a connection, or waits until its connection is up."""
 
@@ -40,7 +47,7 @@
         self.timeout_at_us = timeout_at_us
         self.latest_write_us = latest_write_us
         self.on_end = on_end
-        self.connection: UpstreamConnection | None = None
+        self.connection: AttemptConnection | None = None
         self.write_started = False
         self.cancelled = False
         self.upstream_removed = False  # before its connection was dialled
--- a/ryepier/sidecar/upstream_connection.py
+++ b/ryepier/sidecar/upstream_connection.py
@@ -7,7 +7,7 @@
 import http
 import logging
 import socket
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import httptools
 
@@ -16,9 +16,6 @@
 from ryepier.sidecar.requests import AttemptResult
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 
-if TYPE_CHECKING:
-    from ryepier.sidecar.connection_pool import ConnectionPool
-
 log = logging.getLogger(__name__)
 
 MAX_BODY_BYTES = 64 * 1024
@@ -115,10 +112,32 @@
         self.keeps_alive = self.parser.should_keep_alive()
 
 
+class ConnectionOwner(Protocol):
+    """The pool that a connection belongs to, as far as the connection needs it."""
+
+    def add(self, connection: UpstreamConnection) -> None:
+        """Add a connection that is about to be dialled."""
+
+    def put_idle(self, connection: UpstreamConnection) -> None:
+        """Keep a connection for later attempts."""
+
+    def observe_reuse(self, idle_us: int, broke: bool) -> None:
+        """Record whether a connection broke that had been idle for this long."""
+
+    def remove(self, connection: UpstreamConnection) -> None:
+        """Remove a connection."""
+
+    def on_closing(self, connection: UpstreamConnection) -> None:
+        """Record that a removed connection keeps its descriptor until `on_closed`."""
+
+    def on_closed(self, connection: UpstreamConnection) -> None:
+        """Remove a connection whose descriptor is free before the loop's next turn."""
+
+
 class UpstreamConnection(asyncio.Protocol):
     """A connection to an upstream."""
 
-    def __init__(self, pool: ConnectionPool, upstream: int, sock: socket.socket) -> None:
+    def __init__(self, pool: ConnectionOwner, upstream: int, sock: socket.socket) -> None:
         """Join the pool; the socket is dialled later."""
         self.pool = pool
         self.upstream = upstream
@@ -131,7 +150,7 @@
         self.partly_written = False  # part of the request waits in the process
         self.idle_since_us = 0
         self.idle_us = 0  # how long it was idle before the current attempt
-        pool.connections.setdefault(upstream, set()).add(self)
+        pool.add(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the waiting attempt, if it may still be sent."""
@@ -257,8 +276,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Leave the pool and end the attempt."""
         self.state = ConnectionState.CLOSED
-        self.pool.remove(self)
-        self.pool.closing.discard(self)  # its descriptor is free before the loop's next turn
+        self.pool.on_closed(self)
         if self.attempt is not None:
             # What was written completely may have run; anything less has not.
             self._finish(Outcome.CONNECT_FAILED if self.partly_written else Outcome.RESET)
@@ -271,7 +289,7 @@
         if self.transport is not None:
             if self.state is not ConnectionState.CLOSED:
                 self.state = ConnectionState.CLOSING
-                self.pool.closing.add(self)
+                self.pool.on_closing(self)
             self.transport.abort()
         else:
             self.state = ConnectionState.CLOSED
