--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
-from ryepier.emulator.rig import RigError, Watcher
+from ryepier.emulator.harness import HarnessError, Watcher
 from ryepier.experiments.core import contract, figures, report
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.core.worlds import load
@@ -81,7 +81,7 @@
     try:
         with live_summary("demo", world.duration_s) as watcher:
             claims = contract.perform(DEMO, seed, "small", folder, watcher=watcher)
-    except (RigError, OSError) as error:
+    except (HarnessError, OSError) as error:
         print(f"ryepier demo: {error}", file=sys.stderr)
         sys.exit(1)
     for happening in report.happenings(folder):
--- a/ryepier/commands/emulate.py
+++ b/ryepier/commands/emulate.py
@@ -9,7 +9,7 @@
 import click
 
 from ryepier.commands.config import read_world_file
-from ryepier.emulator import rig
+from ryepier.emulator import harness
 
 
 @click.command()
@@ -24,15 +24,15 @@
     """
     world = read_world_file(path)
     folder = folder or Path(tempfile.mkdtemp(prefix="ryepier-"))
-    cast = rig.Cast(sidecar_command=(), clients=False)
+    cast = harness.RoleAssignment(sidecar_command=(), clients=False)
     print(f"stand-ins for {world.duration_s:.0f} s; sidecars' configurations: {folder}/sidecar-*.json")
     sys.stdout.flush()
     try:
-        history = rig.play(world, seed, folder, cast)
-    except (rig.RigError, OSError) as error:
+        history = harness.play(world, seed, folder, cast)
+    except (harness.HarnessError, OSError) as error:
         print(f"ryepier emulate: {error}", file=sys.stderr)
         sys.exit(1)
-    ran = sum(attempt.run_us >= 0 for attempt in history.attempts)
-    for happening in history.happenings:
+    ran = sum(attempt.started_us >= 0 for attempt in history.converter_attempts)
+    for happening in history.events:
         print(f"{happening.at_us / 1e6:8.3f} s  {happening.text}")
-    print(f"{len(history.attempts)} attempts came, {ran} ran")
+    print(f"{len(history.converter_attempts)} attempts came, {ran} ran")
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 
-from ryepier.emulator.rig import RigError
+from ryepier.emulator.harness import HarnessError
 from ryepier.experiments.catalogue import EXPERIMENTS, MEASURED
 from ryepier.experiments.core import contract, report
 from ryepier.experiments.scale import capacity as table
@@ -90,7 +90,7 @@
     except InsufficientResourcesError as error:
         print(f"ryepier experiment: {error}", file=sys.stderr)
         sys.exit(2)
-    except (RigError, OSError) as error:
+    except (HarnessError, OSError) as error:
         print(f"ryepier experiment: {error}", file=sys.stderr)
         sys.exit(1)
 
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -13,7 +13,7 @@
 
 from ryepier.commands.config import read_world_file
 from ryepier.commands.demo import live_summary
-from ryepier.emulator import rig
+from ryepier.emulator import harness
 from ryepier.emulator.world import World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.worlds import load as load_world
@@ -52,15 +52,15 @@
         world = with_load(read_world_file(path) if path is not None else load_world("demo"), rate, seconds)
     except ValueError as error:
         raise click.UsageError(str(error)) from None
-    cast = rig.Cast(sidecar_command=(), stand_ins=False, targets=(address,))
+    cast = harness.RoleAssignment(sidecar_command=(), stand_ins=False, targets=(address,))
     with tempfile.TemporaryDirectory(prefix="ryepier-") as folder:
         try:
             with live_summary("load", world.duration_s) as watcher:
-                history = rig.play(world, seed, Path(folder), cast, watcher)
-        except (rig.RigError, OSError) as error:
+                history = harness.play(world, seed, Path(folder), cast, watcher)
+        except (harness.HarnessError, OSError) as error:
             print(f"ryepier load: {error}", file=sys.stderr)
             sys.exit(1)
-    shown = figures.summary(world, history, figures.orders(world, history.tries))
+    shown = figures.summary(world, history, figures.orders(world, history.client_attempts))
     kept = {
         name: value for name, value in shown.items() if name not in ("waste", "sidecar_most_mib", "attempts_per_try")
     }
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ryepier.emulator import simulated
-from ryepier.emulator.rig import RigError
+from ryepier.emulator.harness import HarnessError
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core import worlds as shipped
@@ -50,11 +50,11 @@
     try:
         world = shipped.load(name)
         history = simulated.play(world, seed)
-    except (FileNotFoundError, RigError) as error:
+    except (FileNotFoundError, HarnessError) as error:
         print(f"ryepier sim: {name}: {error}", file=sys.stderr)
         sys.exit(2)
     breaches = Counter(breach.rule for breach in judge.judge(world, history))
-    orders = figures.orders(world, history.tries)
+    orders = figures.orders(world, history.client_attempts)
     print(
         json.dumps(
             {
@@ -62,8 +62,8 @@
                 "seed": seed,
                 "trace": search.trace_of(history),
                 "service": figures.service(orders),
-                "tries": len(history.tries),
-                "attempts": len(history.attempts),
+                "tries": len(history.client_attempts),
+                "attempts": len(history.converter_attempts),
                 "breaches": breaches,
                 "simulated_s_a_second": world.duration_s / (time.monotonic() - begun),
             }
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -13,7 +13,7 @@
 
 from ryepier.emulator import draws, graphql
 from ryepier.emulator.process import Clock, LatenessMeter, Plan, say
-from ryepier.emulator.records import NEVER, Ending, RoleRecords, Try
+from ryepier.emulator.records import NEVER, ClientAttempt, Ending, RoleRecords
 from ryepier.emulator.timeline import Timeline
 from ryepier.emulator.world import RequestClass, World
 from ryepier.sidecar import system
@@ -46,7 +46,11 @@
         return True
     if kind.effect == "idempotent":
         return True
-    return kind.effect == "deduplicated" and kind.group == "all" and now_us - first_sent_us < kind.memory_ms * 1000
+    return (
+        kind.effect == "deduplicated"
+        and kind.group == "all"
+        and now_us - first_sent_us < kind.idempotency_window_ms * 1000
+    )
 
 
 class Line(asyncio.Protocol):
@@ -65,7 +69,7 @@
         self.body = b""
         self.whole = self.keeps = False
         self.heard = False
-        self.last: Try | None = None
+        self.last: ClientAttempt | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -78,7 +82,7 @@
     def data_received(self, data: bytes) -> None:
         if self.flight is None:
             if self.last is not None:
-                self.last.extra_bytes += len(data)
+                self.last.trailing_bytes += len(data)
             self.close()
             return
         self.heard = True
@@ -112,7 +116,7 @@
         if status == 200:
             try:
                 body = flight.host.read_body(self.body)
-                item.answer_for, item.answer_by = body.made_for, body.made_by
+                item.response_request_id, item.responder_uid = body.made_for, body.made_by
             except msgspec.DecodeError:
                 pass  # the judge finds no converter that made it
         self.flight = None
@@ -145,9 +149,9 @@
         if flight is None:
             return
         item, now_us = flight.item, flight.host.clock.now_us()
-        item.crossed = not self.heard and self.answered > 0
+        item.may_be_unread = not self.heard and self.answered > 0
         if (
-            item.crossed
+            item.may_be_unread
             and not flight.again
             and may_retry(flight.host.world.classes[item.request_class], "broken", item.sent_us, now_us)
         ):
@@ -171,7 +175,7 @@
 class Flight:
     """One try on its way."""
 
-    def __init__(self, host: Host, target: Target, item: Try, closes: bool) -> None:
+    def __init__(self, host: Host, target: Target, item: ClientAttempt, closes: bool) -> None:
         self.host = host
         self.target = target
         self.item = item
@@ -237,7 +241,7 @@
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
         self.plan = plan
-        self.processes = 1 if simulated else plan.world.rig.client_processes
+        self.processes = 1 if simulated else plan.world.harness.client_processes
         self.tells = not simulated  # a rig listens
         self.world: World = plan.world
         self.clock = clock
@@ -297,10 +301,10 @@
         ident = f"{self.plan.seed & 0xFFFF:04x}-{index:06x}-0"
         self.counts["offered"] += 1
         self.send(
-            Try(
-                first=index,
+            ClientAttempt(
+                arrival=index,
                 number=0,
-                ident=ident,
+                request_id=ident,
                 key=f"k{index:x}" if kind.effect == "deduplicated" else "",
                 request_class=kind_index,
                 tenant=int(drawn.tenant[index]),
@@ -310,20 +314,20 @@
                 sent_us=NEVER,
                 deadline_us=int(kind.deadline_ms * 1000 * drawn.patience[index]),
                 ended_us=NEVER,
-                ending="timeout",
+                outcome="timeout",
             )
         )
 
-    def send(self, item: Try) -> None:
-        self.records.tries.append(item)
+    def send(self, item: ClientAttempt) -> None:
+        self.records.client_attempts.append(item)
         self.open += 1
         closes = self.random.random() < self.world.clients.closes_after
         Flight(self, self.targets[item.sidecar], item, closes).start()
 
-    def patience_us(self, item: Try) -> int:
+    def patience_us(self, item: ClientAttempt) -> int:
         """How long this client reads: past its time, so that late answers are seen, or shorter if it goes away."""
-        if self.random.random() < self.world.clients.leaves:
-            return int(self.world.classes[item.request_class].aim_ms * 1000 * self.random.random())
+        if self.random.random() < self.world.clients.disconnect_share:
+            return int(self.world.classes[item.request_class].objective_ms * 1000 * self.random.random())
         return item.deadline_us + SLACK_US
 
     def read_body(self, data: bytes) -> Body:
@@ -339,11 +343,11 @@
         item, kind = flight.item, self.world.classes[flight.item.request_class]
         name = kind.name.encode()
         left_ms = max(1, (item.sent_us + item.deadline_us - self.clock.now_us()) // 1000)
-        hint = int(self.arrivals.hint_us[item.first])
+        hint = int(self.arrivals.hint_us[item.arrival])
         lines = [
-            b"%s /%s/%d HTTP/1.1" % (b"GET" if kind.effect == "idempotent" else b"POST", name, item.first),
+            b"%s /%s/%d HTTP/1.1" % (b"GET" if kind.effect == "idempotent" else b"POST", name, item.arrival),
             b"Host: " + flight.target.host,
-            b"X-Request-Id: " + item.ident.encode(),
+            b"X-Request-Id: " + item.request_id.encode(),
             b"X-Class: " + name,
             b"X-Tenant: " + self.world.tenants[item.tenant].name.encode(),
             b"X-Deadline-Ms: %d" % left_ms,
@@ -355,7 +359,7 @@
             lines.append(b"X-Cost-Hint: %d" % hint)
         if item.number and self.world.clients.marks_retries:
             lines.append(b"X-Retry: 1")
-        body = b"" if kind.effect == "idempotent" else b"file=%d" % item.first
+        body = b"" if kind.effect == "idempotent" else b"file=%d" % item.arrival
         if body:
             lines.append(b"Content-Length: %d" % len(body))
         return b"\r\n".join(lines) + b"\r\n\r\n" + body
@@ -364,12 +368,12 @@
         item, kind = flight.item, self.world.classes[flight.item.request_class]
         left_ms = max(1, (item.sent_us + item.deadline_us - self.clock.now_us()) // 1000)
         method, target, body = graphql.request(
-            kind, item.first, item.ident, item.key, self.world.clients.graphql == "unique"
+            kind, item.arrival, item.request_id, item.key, self.world.clients.graphql == "unique"
         )
         lines = [
             method + b" " + target + b" HTTP/1.1",
             b"Host: " + flight.target.host,
-            b"X-Request-Id: " + item.ident.encode(),
+            b"X-Request-Id: " + item.request_id.encode(),
             b"X-Deadline-Ms: %d" % left_ms,
             b"X-Tenant: " + self.world.tenants[item.tenant].name.encode(),
             b"X-Work-Us: %d" % item.work_us,
@@ -380,7 +384,7 @@
 
     def ended(self, flight: Flight, ending: Ending) -> None:
         item, now_us = flight.item, self.clock.now_us()
-        item.ending, item.ended_us = ending, now_us
+        item.outcome, item.ended_us = ending, now_us
         if item.sent_us == NEVER:
             item.sent_us = now_us
         self.open -= 1
@@ -393,27 +397,27 @@
         if left_us > 0:
             self.clock.handle_at(now_us + wait_us, self.retry, item, left_us)
 
-    def wait_us(self, item: Try) -> int:
+    def wait_us(self, item: ClientAttempt) -> int:
         clients = self.world.clients
         wait_us = clients.wait_ms * 1000
         if clients.backoff == "none":
             wait_us = 0.0
         elif clients.backoff == "exponential":
             wait_us *= BACKOFF_GROWTH**item.number * (0.5 + self.random.random())
-        if clients.honours_retry_after and zlib.crc32(b"obeys %d" % item.first) < clients.obedient * 2**32:
+        if clients.honours_retry_after and zlib.crc32(b"obeys %d" % item.arrival) < clients.obedient * 2**32:
             wait_us = max(wait_us, item.retry_after_us)
         return int(min(wait_us, LONGEST_WAIT_US))
 
-    def retry(self, old: Try, left_us: int) -> None:
+    def retry(self, old: ClientAttempt, left_us: int) -> None:
         kind = self.world.classes[old.request_class]
         patient_us = int(kind.deadline_ms * 1000 * self.random.uniform(*self.world.clients.patience))
         number = old.number + 1
         self.counts["retries"] += 1
         self.send(
-            Try(
-                first=old.first,
+            ClientAttempt(
+                arrival=old.arrival,
                 number=number,
-                ident=f"{old.ident.rpartition('-')[0]}-{number}",
+                request_id=f"{old.request_id.rpartition('-')[0]}-{number}",
                 key=old.key,
                 request_class=old.request_class,
                 tenant=old.tenant,
@@ -423,6 +427,6 @@
                 sent_us=NEVER,
                 deadline_us=min(patient_us, left_us),
                 ended_us=NEVER,
-                ending="timeout",
+                outcome="timeout",
             )
         )
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -12,8 +12,15 @@
 
 from ryepier.emulator import draws, graphql, machine
 from ryepier.emulator.process import Clock, LatenessMeter, Plan
-from ryepier.emulator.records import NEVER, Attempt, AttemptEnding, ConnectionLife, Happening, RoleRecords
-from ryepier.emulator.timeline import Instance, Step, Timeline, Verb, Who
+from ryepier.emulator.records import (
+    NEVER,
+    AttemptEnding,
+    ConnectionRecord,
+    ConverterAttempt,
+    RecordedEvent,
+    RoleRecords,
+)
+from ryepier.emulator.timeline import FaultAction, Instance, Step, TargetKind, Timeline
 from ryepier.sidecar import system
 
 log = logging.getLogger(__name__)
@@ -41,10 +48,10 @@
         self.server = server
         self.crowded = crowded
         self.transport: asyncio.Transport | None = None
-        self.attempt: Attempt | None = None
+        self.attempt: ConverterAttempt | None = None
         self.heard_us = 0
         self.severed = False  # a fault between it and its client has swallowed something
-        self.life = ConnectionLife(server.instance.uid, NEVER)
+        self.life = ConnectionRecord(server.instance.uid, NEVER)
         self.reset()
 
     def reset(self) -> None:
@@ -126,7 +133,7 @@
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             attempt.ended_us = self.server.clock.now_us()
-            attempt.ending, attempt.status, attempt.not_run = ending, status, not_run
+            attempt.outcome, attempt.status, attempt.not_run = ending, status, not_run
 
     def eof_received(self) -> None:
         self.end_attempt("closed")
@@ -160,7 +167,7 @@
         self.lines: dict[Line, None] = {}  # in the order of their coming, which a set has not
         self.server: asyncio.Server | None = None
         self.blocked: list[socket.socket] = []
-        self.open: dict[int, tuple[Line, Attempt]] = {}  # by token
+        self.open: dict[int, tuple[Line, ConverterAttempt]] = {}  # by token
         self.last_token = 0
         self.timer: asyncio.TimerHandle | None = None
         self.timer_us = NEVER
@@ -182,7 +189,11 @@
     def severs(self, line: Line) -> bool:
         """Whether the line's request comes from beyond the present cut between zones: neither it nor its answer
         gets through."""
-        if self.fault != "zone-cut" or line.attempt is None or not self.strikes(line.attempt.ident.encode("latin-1")):
+        if (
+            self.fault != "zone-cut"
+            or line.attempt is None
+            or not self.strikes(line.attempt.request_id.encode("latin-1"))
+        ):
             return False
         line.severed = True
         return True
@@ -213,8 +224,10 @@
                 return
         key = headers.get(b"idempotency-key", b"").decode("latin-1")
         work_us = int(headers.get(b"x-work-us", b"1000"))
-        attempt = Attempt(ident, key, self.instance.uid, self.instance.machine.pod, first_us, now_us, work_us=work_us)
-        self.host.records.attempts.append(attempt)
+        attempt = ConverterAttempt(
+            ident, key, self.instance.uid, self.instance.machine.pod, first_us, now_us, work_us=work_us
+        )
+        self.host.records.converter_attempts.append(attempt)
         line.end_attempt("closed")  # hazard: a second request on a busy connection must not lose the first's record
         line.attempt = attempt
         if self.fault == "cut" or self.severs(line):
@@ -228,7 +241,7 @@
             return
         self.last_token += 1
         self.open[self.last_token] = (line, attempt)
-        memory_us = int(kind.memory_ms * 1000) if kind is not None else 0
+        memory_us = int(kind.idempotency_window_ms * 1000) if kind is not None else 0
         self.carry_out(
             self.machine.arrived(now_us, machine.Work(self.last_token, key if memory_us else "", work_us, memory_us))
         )
@@ -238,23 +251,23 @@
     def carry_out(self, actions: list[machine.Action]) -> None:
         for action in actions:
             if isinstance(action, machine.FellOver):
-                self.host.records.fallen.append((self.clock.now_us(), self.instance.uid))
+                self.host.records.overload_crashes.append((self.clock.now_us(), self.instance.uid))
                 self.host.happened(f"{self.instance.uid} is pushed over")
                 self.stop()
                 return
             line, attempt = self.open[action.token]
             if isinstance(action, machine.Began):
-                attempt.run_us = self.clock.now_us()
+                attempt.started_us = self.clock.now_us()
                 continue
             del self.open[action.token]
             if isinstance(action, machine.Done) and action.executed:
-                attempt.run_ended_us = self.clock.now_us()
+                attempt.finished_us = self.clock.now_us()
             if line.attempt is not attempt:
                 continue  # its connection has gone or carries another
             if isinstance(action, machine.TurnedAway):
                 self.reply(line, 503, b"", not_run=True)
             else:
-                self.reply(line, 200, self.result(attempt.ident))
+                self.reply(line, 200, self.result(attempt.request_id))
         self.host.answer_repeats(self.machine.memory)
         self.arm()
 
@@ -266,7 +279,7 @@
         if self.fault in ("hang", "cut") or self.severs(line):
             return
         assert line.attempt is not None
-        struck = self.strikes(line.attempt.ident.encode("latin-1"))
+        struck = self.strikes(line.attempt.request_id.encode("latin-1"))
         data = answer(status, body, self.machine.report(self.clock.now_us()), not_run)
         if self.fault == "reset-after" and struck:
             line.end_attempt("reset")
@@ -296,15 +309,15 @@
 
     async def take(self, step: Step) -> None:
         """One step of the timeline."""
-        if step.verb is Verb.DRAIN:
+        if step.action is FaultAction.DRAIN:
             self.machine.draining = True
-        elif step.verb is Verb.STOP:
+        elif step.action is FaultAction.STOP:
             self.stop()
         elif self.machine.fallen:
             return
-        elif step.verb is Verb.BEGIN:
+        elif step.action is FaultAction.BEGIN:
             self.begin(step)
-        elif step.verb is Verb.END:
+        elif step.action is FaultAction.END:
             await self.end(step)
 
     def begin(self, step: Step) -> None:
@@ -388,10 +401,10 @@
         self.clock = clock
         self.records = RoleRecords(f"converters {plan.index}")
         self.meter = LatenessMeter(clock)
-        processes = 1 if simulated else plan.world.rig.converter_processes
+        processes = 1 if simulated else plan.world.harness.converter_processes
         self.instances = [i for i in timeline.instances if i.machine.pod % processes == plan.index]
         mine = {instance.index for instance in self.instances}
-        self.steps = [step for step in timeline.steps if step.who is Who.CONVERTER and step.index in mine]
+        self.steps = [step for step in timeline.steps if step.target is TargetKind.CONVERTER and step.index in mine]
         self.fillers = 0 if simulated else FILLERS  # in simulation a listener's queue may have no place at all
         self.memories: dict[int, machine.PodMemory] = {}
         self.servers: dict[int, Server] = {}
@@ -404,7 +417,7 @@
         return self.sidecars[int(ident.split(b"-")[1], 16)]
 
     def happened(self, text: str) -> None:
-        self.records.happenings.append(Happening(self.clock.now_us(), text))
+        self.records.events.append(RecordedEvent(self.clock.now_us(), text))
 
     async def start(self) -> None:
         for instance in self.instances:
@@ -423,12 +436,12 @@
         for step in self.steps:
             await asyncio.sleep(max(0.0, (step.at_us - self.clock.now_us()) / 1e6))
             self.meter.note(step.at_us)
-            if step.verb is Verb.START:
+            if step.action is FaultAction.START:
                 await self.start_one(by_index[step.index])
             elif step.index in self.servers:
                 await self.servers[step.index].take(step)
             uid = by_index[step.index].uid
-            self.happened(f"{uid}: {step.fault} {step.verb.value}")
+            self.happened(f"{uid}: {step.fault} {step.action.value}")
         await asyncio.sleep(max(0.0, (self.plan.end_us - self.clock.now_us()) / 1e6))
         sweeping.cancel()
         for server in self.servers.values():
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -8,9 +8,9 @@
 from urllib.parse import parse_qs, urlsplit
 
 from ryepier.emulator.process import Clock, LatenessMeter, Plan
-from ryepier.emulator.records import Happening, RoleRecords, Told
+from ryepier.emulator.records import EndpointNotice, RecordedEvent, RoleRecords
 from ryepier.emulator.slices import SlicesAgent
-from ryepier.emulator.timeline import Instance, Step, Timeline, Verb, Who
+from ryepier.emulator.timeline import FaultAction, Instance, Step, TargetKind, Timeline
 from ryepier.sidecar import system
 
 RANK = {"active": 0, "leaving": 1, "left": 2}  # a converter's states, none of which comes back
@@ -139,7 +139,7 @@
         told = {entry["uid"]: entry["state"] for entry in lines["targets"]}
         if lines["all"]:
             told |= {uid: "left" for uid, entry in self.registry.targets.items() if entry["state"] == "left"}
-        self.host.records.told += [Told(self.sidecar, uid, state, now_us) for uid, state in told.items()]
+        self.host.records.notices += [EndpointNotice(self.sidecar, uid, state, now_us) for uid, state in told.items()]
 
     def heartbeat(self) -> None:
         if not self.silent:
@@ -147,22 +147,22 @@
                 writer.write(b"1\r\n\n\r\n")
 
     async def take(self, step: Step, entry: dict[str, Any] | None) -> None:
-        if step.verb is Verb.TELL and entry is not None:
+        if step.action is FaultAction.NOTIFY and entry is not None:
             if self.silent or self.holds or self.server is None:
                 self.late.append(entry)
             elif self.registry.change(entry):
                 self.tell_all()
-        elif step.verb is Verb.SILENCE:
+        elif step.action is FaultAction.MUTE:
             self.silent = True
-        elif step.verb is Verb.HOLD:
+        elif step.action is FaultAction.FREEZE_LIST:
             self.holds = True
-        elif step.verb is Verb.DOWN and self.server is not None:
+        elif step.action is FaultAction.DOWN and self.server is not None:
             self.server.close()
             self.server = None
             self.end_connections()
-        elif step.verb is Verb.BREAK:
+        elif step.action is FaultAction.BREAK_WATCHES:
             self.end_connections()
-        elif step.verb in (Verb.SPEAK, Verb.UP):
+        elif step.action in (FaultAction.RESUME_UPDATES, FaultAction.UP):
             self.silent = self.holds = False
             for late in self.late:
                 self.registry.change(late)
@@ -202,14 +202,14 @@
         unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
         by_uid = {instance.uid: instance for instance in self.timeline.instances}
         beating = asyncio.create_task(self.beat())
-        for step in [step for step in self.timeline.steps if step.who is Who.DISCOVERY]:
+        for step in [step for step in self.timeline.steps if step.target is TargetKind.DISCOVERY]:
             await asyncio.sleep(max(0.0, (step.at_us - self.clock.now_us()) / 1e6))
             self.meter.note(step.at_us)
             entry = target(self.plan, by_uid[step.uid], step.state, unix_zero_ms) if step.uid else None
             await self.agents[step.index].take(step, entry)
-            if step.verb is not Verb.TELL:
-                self.records.happenings.append(
-                    Happening(self.clock.now_us(), f"discovery of sidecar {step.index}: {step.verb.value}")
+            if step.action is not FaultAction.NOTIFY:
+                self.records.events.append(
+                    RecordedEvent(self.clock.now_us(), f"discovery of sidecar {step.index}: {step.action.value}")
                 )
         await asyncio.sleep(max(0.0, (self.plan.end_us - self.clock.now_us()) / 1e6))
         beating.cancel()
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -68,7 +68,7 @@
     """Which of `count` things a fault strikes: its own index, or a drawn part of at least one."""
     if fault.index is not None:
         return [fault.index % count]
-    most = max(1, round(fault.part * count))
+    most = max(1, round(fault.target_share * count))
     return sorted(int(i) for i in random.choice(count, size=min(most, count), replace=False))
 
 
--- a/ryepier/emulator/files.py
+++ b/ryepier/emulator/files.py
@@ -20,13 +20,13 @@
     classes = [
         {
             "name": kind.name,
-            "aim": whole_us(kind.aim_ms),
+            "aim": whole_us(kind.objective_ms),
             "deadline": whole_us(kind.deadline_ms),
-            "worth": kind.worth,
-            "late-worth": kind.late_worth,
+            "worth": kind.priority_weight,
+            "late-worth": kind.late_weight,
             "effect": kind.effect,
             "group": kind.group,
-            "memory-span": whole_us(kind.memory_ms),
+            "memory-span": whole_us(kind.idempotency_window_ms),
             "stream": False,
         }
         for kind in world.classes
@@ -63,9 +63,9 @@
         },
         "invariants": {
             "ask-within": 2_500_000,
-            "cold-share": warmth.cold_share,
+            "cold-share": warmth.initial_capacity_share,
             "drain-grace": whole_us(sidecars.drain_grace_ms),
-            "fall": round(warmth.fall_s * 1e6),
+            "fall": round(warmth.overload_window_s * 1e6),
             "overload-factor": warmth.overload_factor,
             "warm-up": round(warmth.warm_up_s * 1e6),
         },
--- a/ryepier/emulator/rig.py
+++ b/ryepier/emulator/harness.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from ryepier.emulator import files, timeline
-from ryepier.emulator.process import CONVERTER_PORT, HELD_US, Clock, Plan, monotonic_us
-from ryepier.emulator.records import NEVER, Happening, History, Life, RoleRecords, join
-from ryepier.emulator.timeline import Step, Timeline, Verb, Who
+from ryepier.emulator.process import CONVERTER_PORT, CPU_WAIT_THRESHOLD_US, Clock, Plan, monotonic_us
+from ryepier.emulator.records import NEVER, History, Incarnation, RecordedEvent, RoleRecords, join
+from ryepier.emulator.timeline import FaultAction, Step, TargetKind, Timeline
 from ryepier.emulator.world import SIMULATED_FAULTS, World
 
 SIDECAR = (sys.executable, "-B", "-m", "ryepier.sidecar")
@@ -42,7 +42,7 @@
 PAGE_KIB = os.sysconf("SC_PAGE_SIZE") // 1024
 
 
-class RigError(Exception):
+class HarnessError(Exception):
     """The emulator itself could not do its part; says nothing about the sidecar."""
 
 
@@ -58,8 +58,8 @@
                 return network
             except OSError as error:
                 if error.errno != errno.EADDRINUSE:
-                    raise RigError(f"no loopback address can be had: {error}") from error
-    raise RigError("every loopback network is in use")
+                    raise HarnessError(f"no loopback address can be had: {error}") from error
+    raise HarnessError("every loopback network is in use")
 
 
 @dataclass(slots=True)
@@ -79,19 +79,19 @@
     config: Path
     log: Path
     process: subprocess.Popen[bytes] | None = None
-    lives: list[Life] = field(default_factory=list)
+    lives: list[Incarnation] = field(default_factory=list)
 
 
 Watcher = Callable[[float, Counter[str]], None]  # seconds of the run, and the clients' counts so far
 
 
 @dataclass(frozen=True, slots=True)
-class Cast:
+class RoleAssignment:
     """Who takes part in a run; by default all that the world names."""
 
     sidecar_command: Sequence[str] | None = None  # by default the sidecar or, with planners, the forwarder; empty:
     # their configurations are written, and others start them
-    odd_sidecars: Mapping[int, Sequence[str]] = field(default_factory=dict)  # some that are started otherwise
+    sidecar_overrides: Mapping[int, Sequence[str]] = field(default_factory=dict)  # some that are started otherwise
     planner_command: Sequence[str] = PLANNER
     planner_restart: Sequence[str] = PLANNER  # once it was killed
     clients: bool = True
@@ -100,27 +100,27 @@
     role_module: str = "ryepier.emulator.role"  # the program of the emulator's own processes
 
 
-class Rig:
+class Harness:
     """One run."""
 
     def __init__(
-        self, world: World, seed: int, folder: Path, cast: Cast | None = None, watcher: Watcher | None = None
+        self, world: World, seed: int, folder: Path, cast: RoleAssignment | None = None, watcher: Watcher | None = None
     ) -> None:
         self.world = world
         self.folder = folder
-        self.cast = cast or Cast()
+        self.cast = cast or RoleAssignment()
         only_simulated = {fault.kind for fault in world.faults} & SIMULATED_FAULTS
         if only_simulated:
-            raise RigError(f"only in simulation: {', '.join(sorted(only_simulated))}")
+            raise HarnessError(f"only in simulation: {', '.join(sorted(only_simulated))}")
         if world.sidecars.count > MOST_SIDECARS:
-            raise RigError(f"at most {MOST_SIDECARS} sidecars on sockets, a process each; more in simulation")
+            raise HarnessError(f"at most {MOST_SIDECARS} sidecars on sockets, a process each; more in simulation")
         with_file = files.has_operators_file(world)
         command = self.cast.sidecar_command
         if command is None:
             command = FORWARDER if with_file else SIDECAR
         more = ("--config", str(folder / OPERATORS)) if with_file else ()
         self.sidecar_command = (*command, *more) if command else ()
-        self.odd_sidecars = {index: (*odd, *more) for index, odd in self.cast.odd_sidecars.items()}
+        self.odd_sidecars = {index: (*odd, *more) for index, odd in self.cast.sidecar_overrides.items()}
         self.planners: list[subprocess.Popen[bytes]] = []
         self.plan = Plan(world, seed, find_network(), role="rig", targets=list(self.cast.targets))
         self.timeline: Timeline = timeline.build(world, seed)
@@ -128,12 +128,12 @@
         self.clock = Clock()
         self.roles: list[Role] = []
         self.sidecars: list[Sidecar] = []
-        self.happenings: list[Happening] = []
+        self.happenings: list[RecordedEvent] = []
         self.counts: dict[str, Counter[str]] = {}
         self.restarts = asyncio.Semaphore(max(1, int(RESTARTS_A_CORE * len(os.sched_getaffinity(0)))))
 
     async def play(self) -> History:
-        """The whole run; whatever comes, no process is left behind. Raises RigError."""
+        """The whole run; whatever comes, no process is left behind. Raises HarnessError."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for old in self.folder.glob("*.log"):  # of an earlier run
             old.unlink()
@@ -162,7 +162,7 @@
     # Starting
 
     async def start_roles(self) -> None:
-        rig = self.world.rig
+        rig = self.world.harness
         names = []
         if self.cast.stand_ins:
             names += [("discovery", 0)] if self.world.sidecars.count else []
@@ -190,7 +190,7 @@
             assert started.process.stdout is not None
             line = await started.process.stdout.readline()
             if not line:
-                raise RigError(f"the emulator's {started.name} did not come up")
+                raise HarnessError(f"the emulator's {started.name} did not come up")
 
     def write_configurations(self) -> None:
         if not self.cast.stand_ins:
@@ -223,7 +223,7 @@
             environment |= files.operators_environment(self.plan, sidecar.index)
             command = self.odd_sidecars.get(sidecar.index, self.sidecar_command)
             sidecar.process = subprocess.Popen(command, env=environment, stdout=log, stderr=log)
-        sidecar.lives.append(Life(sidecar.index, monotonic_us(), -1))
+        sidecar.lives.append(Incarnation(sidecar.index, monotonic_us(), -1))
 
     async def start_in_turn(self, sidecar: Sidecar, places: asyncio.Semaphore) -> None:
         """Its start, as soon as there is a place, if it is not up by then."""
@@ -240,19 +240,19 @@
             if life.killed:
                 return  # by a fault that overlaps its start
             if sidecar.process is None or sidecar.process.poll() is not None:
-                raise RigError(f"sidecar {sidecar.index} ended at its start: see {sidecar.log}")
+                raise HarnessError(f"sidecar {sidecar.index} ended at its start: see {sidecar.log}")
             try:
                 reader, writer = await asyncio.open_connection(*self.plan.sidecar_address(sidecar.index))
                 writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 line = await reader.readline()
                 writer.close()
                 if b" 200 " in line:
-                    life.up_us = monotonic_us()
+                    life.ready_us = monotonic_us()
                     return
             except OSError:
                 pass
             await asyncio.sleep(poll_s)
-        raise RigError(f"sidecar {sidecar.index} was not up within {UP_WITHIN_S:.0f} s: see {sidecar.log}")
+        raise HarnessError(f"sidecar {sidecar.index} was not up within {UP_WITHIN_S:.0f} s: see {sidecar.log}")
 
     def begin(self) -> None:
         self.clock.zero_us = monotonic_us() + int(BEGIN_AFTER_S * 1e6)
@@ -285,7 +285,7 @@
                 pid = sidecar.process.pid
                 waited_us = waited_for_core_us(pid)
                 if waited_us is not None:
-                    note_held(sidecar.lives[-1], waited_us - last.get(pid, waited_us), monotonic_us())
+                    record_cpu_wait(sidecar.lives[-1], waited_us - last.get(pid, waited_us), monotonic_us())
                     last[pid] = waited_us
             await asyncio.sleep(HELD_SAMPLE_S)
 
@@ -312,41 +312,43 @@
 
     async def carry_out_steps(self, starts: asyncio.TaskGroup) -> None:
         """Each at its time."""
-        for step in [step for step in self.timeline.steps if step.who in (Who.SIDECAR, Who.PLANNER)]:
+        for step in [step for step in self.timeline.steps if step.target in (TargetKind.SIDECAR, TargetKind.PLANNER)]:
             await asyncio.sleep(max(0.0, (step.at_us - self.clock.now_us()) / 1e6))
-            self.happenings.append(Happening(self.clock.now_us(), f"{step.who.value} {step.index}: {step.verb.value}"))
-            if step.who is Who.PLANNER:
+            self.happenings.append(
+                RecordedEvent(self.clock.now_us(), f"{step.target.value} {step.index}: {step.action.value}")
+            )
+            if step.target is TargetKind.PLANNER:
                 self.step_planner(step)
             elif self.sidecar_command:
-                self.step_sidecar(self.sidecars[step.index], step.verb, starts)
+                self.step_sidecar(self.sidecars[step.index], step.action, starts)
 
-    def step_sidecar(self, sidecar: Sidecar, verb: Verb, starts: asyncio.TaskGroup) -> None:
-        if sidecar.process is None or (verb is Verb.RESTART) is not sidecar.lives[-1].killed:
+    def step_sidecar(self, sidecar: Sidecar, verb: FaultAction, starts: asyncio.TaskGroup) -> None:
+        if sidecar.process is None or (verb is FaultAction.RESTART) is not sidecar.lives[-1].killed:
             return  # two faults that overlap: it is down already, or up again
-        if verb is Verb.KILL:
+        if verb is FaultAction.KILL:
             self.take_sample(sidecar)
             sidecar.lives[-1].killed, sidecar.lives[-1].ended_us = True, monotonic_us()
-            sidecar.lives[-1].go_on(monotonic_us())
+            sidecar.lives[-1].end_suspension(monotonic_us())
             sidecar.process.kill()
             sidecar.process.wait()
-        elif verb is Verb.RESTART:
+        elif verb is FaultAction.RESTART:
             starts.create_task(self.start_in_turn(sidecar, self.restarts))
-        elif verb is Verb.STALL:
+        elif verb is FaultAction.SUSPEND:
             sidecar.process.send_signal(signal.SIGSTOP)
-            sidecar.lives[-1].stalls.append((monotonic_us(), NEVER))
-        elif verb is Verb.RESUME:
+            sidecar.lives[-1].suspensions.append((monotonic_us(), NEVER))
+        elif verb is FaultAction.RESUME:
             sidecar.process.send_signal(signal.SIGCONT)
-            sidecar.lives[-1].go_on(monotonic_us())
+            sidecar.lives[-1].end_suspension(monotonic_us())
 
     def step_planner(self, step: Step) -> None:
         process = self.planners[step.index]
-        if step.verb is Verb.KILL:
+        if step.action is FaultAction.KILL:
             process.kill()
             process.wait()
-        elif step.verb is Verb.RESTART and process.poll() is not None:
+        elif step.action is FaultAction.RESTART and process.poll() is not None:
             self.planners[step.index] = self.start_planner(step.index, self.cast.planner_restart)
         else:
-            process.send_signal(signal.SIGSTOP if step.verb is Verb.STALL else signal.SIGCONT)
+            process.send_signal(signal.SIGSTOP if step.action is FaultAction.SUSPEND else signal.SIGCONT)
 
     # The end
 
@@ -362,7 +364,7 @@
             while sidecar.process.poll() is None and monotonic_us() < ends:
                 await asyncio.sleep(0.02)
             life = sidecar.lives[-1]
-            life.go_on(monotonic_us())
+            life.end_suspension(monotonic_us())
             life.ended_us, life.crashed = monotonic_us(), sidecar.process.poll() != 0
 
     async def kill_all(self) -> None:
@@ -382,13 +384,13 @@
         parts = []
         for role in self.roles:
             if role.process.returncode != 0 or not role.records.exists():
-                raise RigError(f"the emulator's {role.name} ended with {role.process.returncode}")
+                raise HarnessError(f"the emulator's {role.name} ended with {role.process.returncode}")
             parts.append(msgspec.msgpack.decode(role.records.read_bytes(), type=RoleRecords))
         lives = [self.on_the_runs_clock(life) for sidecar in self.sidecars for life in sidecar.lives]
         return join(parts, lives, self.happenings)
 
-    def on_the_runs_clock(self, life: Life) -> Life:
-        return life.moved(self.clock.zero_us)
+    def on_the_runs_clock(self, life: Incarnation) -> Incarnation:
+        return life.relative_to(self.clock.zero_us)
 
 
 def waited_for_core_us(pid: int) -> int | None:
@@ -400,12 +402,14 @@
         return None
 
 
-def note_held(life: Life, waited_us: int, now_us: int) -> None:
+def record_cpu_wait(life: Incarnation, waited_us: int, now_us: int) -> None:
     """Keep a span in which a sidecar waited for a core for so long that its answers may be late for it."""
-    if waited_us >= HELD_US:
-        life.held.append((now_us - waited_us, now_us))
+    if waited_us >= CPU_WAIT_THRESHOLD_US:
+        life.cpu_waits.append((now_us - waited_us, now_us))
 
 
-def play(world: World, seed: int, folder: Path, cast: Cast | None = None, watcher: Watcher | None = None) -> History:
-    """Play a world once and return what all sides saw. Raises RigError where the emulator failed."""
-    return asyncio.run(Rig(world, seed, folder, cast, watcher).play())
+def play(
+    world: World, seed: int, folder: Path, cast: RoleAssignment | None = None, watcher: Watcher | None = None
+) -> History:
+    """Play a world once and return what all sides saw. Raises HarnessError where the emulator failed."""
+    return asyncio.run(Harness(world, seed, folder, cast, watcher).play())
--- a/ryepier/emulator/machine.py
+++ b/ryepier/emulator/machine.py
@@ -123,7 +123,10 @@
         warm_up_us = self.warmth.warm_up_s * 1e6
         if self.started_us is None or now_us >= self.started_us + warm_up_us:
             return 1.0
-        return self.warmth.cold_share + (1.0 - self.warmth.cold_share) * max(0, now_us - self.started_us) / warm_up_us
+        return (
+            self.warmth.initial_capacity_share
+            + (1.0 - self.warmth.initial_capacity_share) * max(0, now_us - self.started_us) / warm_up_us
+        )
 
     def arrived(self, now_us: int, work: Work) -> list[Action]:
         """A request has come whole."""
@@ -136,7 +139,7 @@
         if known is not None:
             known.repeats.append((self, work.token))
             return actions
-        if self.draining or len(self.waiting) >= self.drawn.group.waiting_room + self.free_cores():
+        if self.draining or len(self.waiting) >= self.drawn.group.queue_limit + self.free_cores():
             return [*actions, TurnedAway(work.token)]
         if work.key:
             self.memory.add(now_us, work.key, work.memory_us)
@@ -159,7 +162,7 @@
         share = self.warm_share(now_us)
         if self.fallen or share >= 1.0:
             return False
-        span_us = int(self.warmth.fall_s * 1e6)
+        span_us = int(self.warmth.overload_window_s * 1e6)
         self.pressure.append((now_us, work_us))
         self.pressure_us += work_us
         while self.pressure[0][0] <= now_us - span_us:
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -15,7 +15,7 @@
 
 LONGEST_LATE_US = 60_000_000
 TICK_S = 0.02
-HELD_US = 50_000  # a process that is late by so much was held up: every time limit has as much slack
+CPU_WAIT_THRESHOLD_US = 50_000  # a process that is late by so much was held up: every time limit has as much slack
 CONVERTER_PORT = 9000
 DISCOVERY_PORT = 8500
 SIDECAR_PORT = 9000
@@ -94,7 +94,7 @@
             planned_us = self.clock.now_us() + int(TICK_S * 1e6)
             await asyncio.sleep(TICK_S)
             self.note(planned_us)
-            if self.clock.now_us() - planned_us >= HELD_US:
+            if self.clock.now_us() - planned_us >= CPU_WAIT_THRESHOLD_US:
                 self.held.append((planned_us, self.clock.now_us()))
 
     def result(self, role: str) -> Lateness:
--- a/ryepier/emulator/records.py
+++ b/ryepier/emulator/records.py
@@ -15,12 +15,12 @@
 AttemptEnding = Literal["answered", "closed", "reset", "open"]
 
 
-class Try(msgspec.Struct, array_like=True):
+class ClientAttempt(msgspec.Struct, array_like=True):
     """One request as a client sent it. `first` numbers the first try that it belongs to."""
 
-    first: int
+    arrival: int
     number: int  # 0 = the first try, 1 = its first retry, ...
-    ident: str
+    request_id: str
     key: str
     request_class: int
     tenant: int
@@ -30,34 +30,36 @@
     sent_us: int
     deadline_us: int  # how long the client waits, from sent_us
     ended_us: int  # the answer's last byte, or when the client stopped waiting
-    ending: Ending
+    outcome: Ending
     status: int = 0  # of the answer; 0 = none
     retry_after_us: int = 0
-    answer_for: str = ""  # the request that the served body says it is for
-    answer_by: str = ""  # and the converter that it says made it
-    extra_bytes: int = 0  # that came after its answer without a further request
-    crossed: bool = False  # its kept connection ended before anything came: the close may have crossed the request
+    response_request_id: str = ""  # the request that the served body says it is for
+    responder_uid: str = ""  # and the converter that it says made it
+    trailing_bytes: int = 0  # that came after its answer without a further request
+    may_be_unread: bool = (
+        False  # its kept connection ended before anything came: the close may have crossed the request
+    )
 
 
-class Attempt(msgspec.Struct, array_like=True):
+class ConverterAttempt(msgspec.Struct, array_like=True):
     """One request as a converter received it, whole."""
 
-    ident: str
+    request_id: str
     key: str
     uid: str
     pod: int
-    first_us: int  # its first byte
-    last_us: int  # its last byte
+    first_byte_us: int  # its first byte
+    received_us: int  # its last byte
     ended_us: int = NEVER  # answered whole, or the connection ended
-    ending: AttemptEnding = "open"
+    outcome: AttemptEnding = "open"
     status: int = 0
     not_run: bool = False
-    run_us: int = NEVER  # its execution began
-    run_ended_us: int = NEVER  # and was complete
+    started_us: int = NEVER  # its execution began
+    finished_us: int = NEVER  # and was complete
     work_us: int = 0
 
 
-class ConnectionLife(msgspec.Struct, array_like=True):
+class ConnectionRecord(msgspec.Struct, array_like=True):
     """One connection to a converter, as that saw it."""
 
     uid: str
@@ -65,7 +67,7 @@
     closed_us: int = NEVER  # still open at the end
 
 
-class Told(msgspec.Struct, array_like=True):
+class EndpointNotice(msgspec.Struct, array_like=True):
     """A state of a converter, written to a sidecar's watch."""
 
     sidecar: int
@@ -74,41 +76,43 @@
     at_us: int
 
 
-class Life(msgspec.Struct, array_like=True):
+class Incarnation(msgspec.Struct, array_like=True):
     """One process life of a sidecar, and what it used of the machine."""
 
     sidecar: int
-    begun_us: int  # its process was started
-    up_us: int  # it answered /up with 200 first
+    started_us: int  # its process was started
+    ready_us: int  # it answered /up with 200 first
     ended_us: int = NEVER  # it was killed or stopped
     killed: bool = False
     crashed: bool = False  # it ended by itself, or badly
     samples: list[tuple[int, int, int]] = []  # (at_us, CPU microseconds so far, resident KiB)
-    stalls: list[tuple[int, int]] = []  # from when to when it stood still
-    held: list[tuple[int, int]] = []  # from when to when it was ready to run and the machine gave it no core
+    suspensions: list[tuple[int, int]] = []  # from when to when it stood still
+    cpu_waits: list[tuple[int, int]] = []  # from when to when it was ready to run and the machine gave it no core
 
-    def go_on(self, at_us: int) -> None:
+    def end_suspension(self, at_us: int) -> None:
         """Whatever made it stand still is over, or its life is."""
-        self.stalls = [(begun_us, at_us if ended_us == NEVER else ended_us) for begun_us, ended_us in self.stalls]
+        self.suspensions = [
+            (begun_us, at_us if ended_us == NEVER else ended_us) for begun_us, ended_us in self.suspensions
+        ]
 
-    def moved(self, zero_us: int) -> Life:
+    def relative_to(self, zero_us: int) -> Incarnation:
         """The same, counted from `zero_us`."""
         return msgspec.structs.replace(
             self,
-            begun_us=self.begun_us - zero_us,
-            up_us=self.up_us - zero_us,
+            started_us=self.started_us - zero_us,
+            ready_us=self.ready_us - zero_us,
             ended_us=self.ended_us - zero_us,
             samples=[(at_us - zero_us, cpu_us, kib) for at_us, cpu_us, kib in self.samples],
-            stalls=[(begun_us - zero_us, ended_us - zero_us) for begun_us, ended_us in self.stalls],
-            held=[(begun_us - zero_us, ended_us - zero_us) for begun_us, ended_us in self.held],
+            suspensions=[(begun_us - zero_us, ended_us - zero_us) for begun_us, ended_us in self.suspensions],
+            cpu_waits=[(begun_us - zero_us, ended_us - zero_us) for begun_us, ended_us in self.cpu_waits],
         )
 
-    def stalled(self, begin_us: int, end_us: int) -> bool:
+    def was_suspended(self, begin_us: int, end_us: int) -> bool:
         """Whether it stood still at any moment between the two."""
-        return any(begun_us < end_us and ended_us > begin_us for begun_us, ended_us in self.stalls)
+        return any(begun_us < end_us and ended_us > begin_us for begun_us, ended_us in self.suspensions)
 
 
-class Happening(msgspec.Struct, array_like=True):
+class RecordedEvent(msgspec.Struct, array_like=True):
     """Something that was done to the world."""
 
     at_us: int
@@ -122,46 +126,48 @@
     steps: int
     median_us: int
     p999_us: int
-    most_us: int
-    most_by_second_us: list[int] = []
-    held: list[tuple[int, int]] = []  # from when to when its event loop should have turned and did not
+    max_us: int
+    max_by_second_us: list[int] = []
+    stalls: list[tuple[int, int]] = []  # from when to when its event loop should have turned and did not
 
 
 class RoleRecords(msgspec.Struct):
     """All that one process saw."""
 
     role: str
-    tries: list[Try] = []
-    attempts: list[Attempt] = []
-    connections: list[ConnectionLife] = []
-    told: list[Told] = []
-    happenings: list[Happening] = []
-    fallen: list[tuple[int, str]] = []  # (when, uid): converters that were pushed over
+    client_attempts: list[ClientAttempt] = msgspec.field(name="tries", default_factory=list)
+    converter_attempts: list[ConverterAttempt] = msgspec.field(name="attempts", default_factory=list)
+    connections: list[ConnectionRecord] = []
+    notices: list[EndpointNotice] = msgspec.field(name="told", default_factory=list)
+    events: list[RecordedEvent] = msgspec.field(name="happenings", default_factory=list)
+    overload_crashes: list[tuple[int, str]] = msgspec.field(
+        name="fallen", default_factory=list
+    )  # (when, uid): converters that were pushed over
     lateness: Lateness | None = None
 
 
 class History(msgspec.Struct):
     """A whole run, from all sides."""
 
-    tries: list[Try]
-    attempts: list[Attempt]
-    told: list[Told]
-    lives: list[Life]
-    happenings: list[Happening]
-    fallen: list[tuple[int, str]]
+    client_attempts: list[ClientAttempt] = msgspec.field(name="tries")
+    converter_attempts: list[ConverterAttempt] = msgspec.field(name="attempts")
+    notices: list[EndpointNotice] = msgspec.field(name="told")
+    incarnations: list[Incarnation] = msgspec.field(name="lives")
+    events: list[RecordedEvent] = msgspec.field(name="happenings")
+    overload_crashes: list[tuple[int, str]] = msgspec.field(name="fallen")
     lateness: list[Lateness]
-    connections: list[ConnectionLife] = []  # to converters, by the time of their coming up
+    connections: list[ConnectionRecord] = []  # to converters, by the time of their coming up
 
 
-def join(parts: list[RoleRecords], lives: list[Life], happenings: list[Happening]) -> History:
+def join(parts: list[RoleRecords], lives: list[Incarnation], happenings: list[RecordedEvent]) -> History:
     """The run from the records of its processes, each kind in the order of time."""
     return History(
-        tries=sorted((t for part in parts for t in part.tries), key=lambda t: t.sent_us),
-        attempts=sorted((a for part in parts for a in part.attempts), key=lambda a: a.last_us),
-        told=sorted((t for part in parts for t in part.told), key=lambda t: t.at_us),
-        lives=lives,
-        happenings=sorted([h for part in parts for h in part.happenings] + happenings, key=lambda h: h.at_us),
-        fallen=sorted(f for part in parts for f in part.fallen),
+        client_attempts=sorted((t for part in parts for t in part.client_attempts), key=lambda t: t.sent_us),
+        converter_attempts=sorted((a for part in parts for a in part.converter_attempts), key=lambda a: a.received_us),
+        notices=sorted((t for part in parts for t in part.notices), key=lambda t: t.at_us),
+        incarnations=lives,
+        events=sorted([h for part in parts for h in part.events] + happenings, key=lambda h: h.at_us),
+        overload_crashes=sorted(f for part in parts for f in part.overload_crashes),
         lateness=[part.lateness for part in parts if part.lateness is not None],
         connections=sorted((c for part in parts for c in part.connections), key=lambda c: c.opened_us),
     )
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -17,11 +17,11 @@
 from ryepier.assembly import sidecar as assembly
 from ryepier.conf import operator_settings
 from ryepier.emulator import clients, converters, discovery, files, timeline
+from ryepier.emulator.harness import BEGIN_AFTER_S, HarnessError
 from ryepier.emulator.process import Clock, Plan, monotonic_us
-from ryepier.emulator.records import NEVER, Happening, History, Life, join
-from ryepier.emulator.rig import BEGIN_AFTER_S, RigError
+from ryepier.emulator.records import NEVER, History, Incarnation, RecordedEvent, join
 from ryepier.emulator.role import Part
-from ryepier.emulator.timeline import Step, Verb, Who
+from ryepier.emulator.timeline import FaultAction, Step, TargetKind
 from ryepier.emulator.world import World
 from ryepier.logs.structured import JsonLines
 from ryepier.sidecar import config as platform
@@ -91,7 +91,7 @@
         self.kind = kind
         self.index = index
         self.stop = asyncio.Event()  # of its present life
-        self.lives: list[Life] = []
+        self.lives: list[Incarnation] = []
         self.clocks = Clocks()
         self.task: asyncio.Task[None] | None = None
 
@@ -105,7 +105,7 @@
 
     def start(self) -> None:
         now_us = monotonic_us()
-        self.lives.append(Life(self.index, now_us, now_us))
+        self.lives.append(Incarnation(self.index, now_us, now_us))
         self.stop = asyncio.Event()
         if self.clocks != Clocks():
             self.loop.clocks[self.owner] = self.clocks
@@ -115,40 +115,40 @@
 
     def kill(self) -> None:
         self.loop.kill(self.owner)
-        self.lives[-1].go_on(monotonic_us())
+        self.lives[-1].end_suspension(monotonic_us())
         self.lives[-1].killed, self.lives[-1].ended_us = True, monotonic_us()
 
     def take(self, step: Step) -> None:
         """What the timeline does to it."""
         life = self.lives[-1]
-        if step.verb is Verb.KILL:
+        if step.action is FaultAction.KILL:
             if not life.killed:
                 self.kill()
-        elif step.verb is Verb.RESTART:
+        elif step.action is FaultAction.RESTART:
             if life.killed:
                 self.start()
         elif life.killed:
             return  # it is down, and there is nothing to do it to
-        elif step.verb is Verb.STALL:
+        elif step.action is FaultAction.SUSPEND:
             self.loop.freeze(self.owner)
-            life.stalls.append((monotonic_us(), NEVER))
-        elif step.verb is Verb.RESUME:
+            life.suspensions.append((monotonic_us(), NEVER))
+        elif step.action is FaultAction.RESUME:
             self.loop.thaw(self.owner)
-            life.go_on(monotonic_us())
+            life.end_suspension(monotonic_us())
         else:
             self.loop.clocks[self.owner] = self.clocks
-            if step.verb is Verb.JUMP:
+            if step.action is FaultAction.SET_CALENDAR:
                 self.loop.jump(self.owner, step.factor)
             else:
-                self.loop.set_rate(self.owner, step.factor if step.verb is Verb.DRIFT else 1.0)
+                self.loop.set_rate(self.owner, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
-    def lives_from(self, zero_us: int) -> list[Life]:
+    def lives_from(self, zero_us: int) -> list[Incarnation]:
         """On the run's clock."""
         for life in self.lives:
-            life.go_on(monotonic_us())
+            life.end_suspension(monotonic_us())
             if life.ended_us == NEVER:
                 life.ended_us = monotonic_us()
-        return [life.moved(zero_us) for life in self.lives]
+        return [life.relative_to(zero_us) for life in self.lives]
 
 
 class Sidecar(Process):
@@ -177,7 +177,7 @@
 
     def __init__(self, world: World, seed: int, folder: Path) -> None:
         if world.sidecars.count == 0:
-            raise RigError("not simulated: a world without sidecars")
+            raise HarnessError("not simulated: a world without sidecars")
         self.world = world
         self.seed = seed
         self.folder = folder
@@ -223,9 +223,9 @@
         await asyncio.sleep(START_S)
         clock.zero_us = monotonic_us() + int(BEGIN_AFTER_S * 1e6)
         ticking = [asyncio.create_task(host.meter.tick()) for host in hosts]
-        happenings: list[Happening] = []
+        happenings: list[RecordedEvent] = []
         stepping = asyncio.create_task(
-            self.steps(built, {Who.SIDECAR: sidecars, Who.PLANNER: planners}, clock, happenings)
+            self.steps(built, {TargetKind.SIDECAR: sidecars, TargetKind.PLANNER: planners}, clock, happenings)
         )
         records = await asyncio.gather(*(host.run() for host in hosts))
         await stepping
@@ -245,20 +245,26 @@
         return join(list(records), lives, happenings)
 
     async def steps(
-        self, built: timeline.Timeline, processes: dict[Who, list[Any]], clock: Clock, happenings: list[Happening]
+        self,
+        built: timeline.Timeline,
+        processes: dict[TargetKind, list[Any]],
+        clock: Clock,
+        happenings: list[RecordedEvent],
     ) -> None:
         """Those that are done to sidecars and planners."""
         for step in built.steps:
-            if step.who in processes:
+            if step.target in processes:
                 await asyncio.sleep(max(0.0, (step.at_us - clock.now_us()) / 1e6))
-                happenings.append(Happening(clock.now_us(), f"{step.who.value} {step.index}: {step.verb.value}"))
-                process: Process = processes[step.who][step.index]
+                happenings.append(
+                    RecordedEvent(clock.now_us(), f"{step.target.value} {step.index}: {step.action.value}")
+                )
+                process: Process = processes[step.target][step.index]
                 process.take(step)
 
 
 def play(world: World, seed: int, folder: Path | None = None) -> History:
-    """With a folder the processes' logs are kept there. Raises RigError for a world that can't be simulated, and what
-    `simulate` raises where a run fails."""
+    """With a folder the processes' logs are kept there. Raises HarnessError for a world that can't be simulated, and
+    what `simulate` raises where a run fails."""
     with contextlib.ExitStack() as stack:
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -11,8 +11,8 @@
 
 from ryepier.emulator.apiserver import SERVICE_LABEL, ApiServer, Object, Store
 from ryepier.emulator.process import CONVERTER_PORT, Clock, Plan
-from ryepier.emulator.records import RoleRecords, Told
-from ryepier.emulator.timeline import Step, Verb
+from ryepier.emulator.records import EndpointNotice, RoleRecords
+from ryepier.emulator.timeline import FaultAction, Step
 
 NAMESPACE, SERVICE = "default", "converters"
 PORTS = [{"name": "http", "port": CONVERTER_PORT, "protocol": "TCP"}]
@@ -102,7 +102,7 @@
         self.host = host
         self.sidecar = sidecar
         settings = host.plan.world.discovery
-        self.mess = settings.mess
+        self.mess = settings.conflict_share
         self.cluster = Cluster(Store(), settings.slice_size)
         for entry in listing["targets"]:
             self.cluster.change(entry)
@@ -112,19 +112,19 @@
         await self.api.listen(*self.host.plan.discovery_address(self.sidecar))
 
     async def take(self, step: Step, entry: dict[str, Any] | None) -> None:
-        if step.verb is Verb.TELL and entry is not None:
+        if step.action is FaultAction.NOTIFY and entry is not None:
             self.cluster.change(entry, self.mess_of(entry))
-        elif step.verb is Verb.SILENCE:
+        elif step.action is FaultAction.MUTE:
             self.api.faults.silent = True
-        elif step.verb is Verb.SPEAK:
+        elif step.action is FaultAction.RESUME_UPDATES:
             self.api.faults.silent = False
-        elif step.verb is Verb.DOWN:
+        elif step.action is FaultAction.DOWN:
             self.api.close()
-        elif step.verb is Verb.UP:
+        elif step.action is FaultAction.UP:
             self.cluster.store.compact()  # away for so long, it keeps nothing of before
             if self.api.server is None:  # else two faults overlapped, and it is up again already
                 await self.listen()
-        elif step.verb is Verb.BREAK:
+        elif step.action is FaultAction.BREAK_WATCHES:
             self.api.end_connections()
         self.api.changed()
 
@@ -145,7 +145,7 @@
             told |= {
                 each["targetRef"]["uid"]: "leaving" for each in one["endpoints"] if each["conditions"]["terminating"]
             }
-        self.host.records.told += [Told(self.sidecar, uid, state, now_us) for uid, state in told.items()]
+        self.host.records.notices += [EndpointNotice(self.sidecar, uid, state, now_us) for uid, state in told.items()]
 
     def heartbeat(self) -> None:
         """Bookmarks go out by themselves."""
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -13,7 +13,7 @@
 from ryepier.emulator.world import Fault, World
 
 
-class Verb(enum.Enum):
+class FaultAction(enum.Enum):
     """What is done to one converter, sidecar or discovery agent."""
 
     BEGIN = "begin"  # a converter: a fault sets in
@@ -23,20 +23,20 @@
     START = "start"  # a converter's process comes up, cold
     KILL = "kill"  # a sidecar or planner: SIGKILL
     RESTART = "restart"  # it is started again
-    STALL = "stall"  # a sidecar or planner: it stands still, its connections open
+    SUSPEND = "stall"  # a sidecar or planner: it stands still, its connections open
     RESUME = "resume"
-    JUMP = "jump"  # a sidecar: its calendar is set forward or back
-    DRIFT = "drift"  # its clocks go faster or slower
-    TELL = "tell"  # an agent writes a change to its sidecar
-    SILENCE = "silence"  # an agent says nothing, not even heartbeats
-    HOLD = "hold"  # an agent keeps changes back, and goes on as if there were none
-    SPEAK = "speak"
+    SET_CALENDAR = "jump"  # a sidecar: its calendar is set forward or back
+    SET_CLOCK_RATE = "drift"  # its clocks go faster or slower
+    NOTIFY = "tell"  # an agent writes a change to its sidecar
+    MUTE = "silence"  # an agent says nothing, not even heartbeats
+    FREEZE_LIST = "hold"  # an agent keeps changes back, and goes on as if there were none
+    RESUME_UPDATES = "speak"
     DOWN = "down"  # an agent refuses connections and ends the open ones
     UP = "up"
-    BREAK = "break"  # an agent ends the open watches
+    BREAK_WATCHES = "break"  # an agent ends the open watches
 
 
-class Who(enum.Enum):
+class TargetKind(enum.Enum):
     CONVERTER = "converter"
     SIDECAR = "sidecar"
     DISCOVERY = "discovery"
@@ -48,9 +48,9 @@
     """One thing that is done, to the `index`-th of its kind."""
 
     at_us: int
-    who: Who
+    target: TargetKind
     index: int
-    verb: Verb
+    action: FaultAction
     fault: str = ""  # the kind of fault that brings it about
     factor: float = 1.0  # JUMP: seconds
     share: float = 1.0
@@ -92,7 +92,7 @@
         self.instances = [Instance(m.index, f"c-{m.index:04x}", m, None) for m in draws.machines(world, seed)]
         self.places = [[instance] for instance in self.instances]  # who follows whom
 
-    def step(self, at_us: int, who: Who, index: int, verb: Verb, fault: Fault, uid: str = "") -> None:
+    def step(self, at_us: int, who: TargetKind, index: int, verb: FaultAction, fault: Fault, uid: str = "") -> None:
         via = None if fault.via is None else frozenset((fault.via,))
         self.steps.append(Step(at_us, who, index, verb, fault.kind, fault.factor, fault.share, uid, via=via))
 
@@ -105,25 +105,36 @@
             elif fault.kind == "release":
                 self.release(fault)
             elif fault.kind == "sidecar-kill":
-                self.kill(fault, Who.SIDECAR, self.world.sidecars.count)
+                self.kill(fault, TargetKind.SIDECAR, self.world.sidecars.count)
             elif fault.kind == "planner-kill":
-                self.kill(fault, Who.PLANNER, self.world.planners.count)
+                self.kill(fault, TargetKind.PLANNER, self.world.planners.count)
             elif fault.kind == "planner-hang":
-                self.span(fault, Who.PLANNER, self.world.planners.count, Verb.STALL, Verb.RESUME)
+                self.span(fault, TargetKind.PLANNER, self.world.planners.count, FaultAction.SUSPEND, FaultAction.RESUME)
             elif fault.kind == "sidecar-hang":
-                self.span(fault, Who.SIDECAR, self.world.sidecars.count, Verb.STALL, Verb.RESUME)
+                self.span(fault, TargetKind.SIDECAR, self.world.sidecars.count, FaultAction.SUSPEND, FaultAction.RESUME)
             elif fault.kind == "clock-drift":
-                self.span(fault, Who.SIDECAR, self.world.sidecars.count, Verb.DRIFT, Verb.END)
+                self.span(
+                    fault, TargetKind.SIDECAR, self.world.sidecars.count, FaultAction.SET_CLOCK_RATE, FaultAction.END
+                )
             elif fault.kind == "clock-jump":
                 for index in draws.struck(self.world.sidecars.count, fault, self.random):
-                    self.steps.append(Step(us(fault.at_s), Who.SIDECAR, index, Verb.JUMP, fault.kind, fault.jump_s))
+                    self.steps.append(
+                        Step(
+                            us(fault.at_s),
+                            TargetKind.SIDECAR,
+                            index,
+                            FaultAction.SET_CALENDAR,
+                            fault.kind,
+                            fault.jump_s,
+                        )
+                    )
             elif fault.kind in ("discovery-down", "discovery-silent", "discovery-stale", "watch-break"):
                 self.strike_discovery(fault)
             # surges and tails are in the arrivals as drawn
         self.steps.sort(key=lambda step: step.at_us)
         return Timeline(self.instances, self.steps)
 
-    def span(self, fault: Fault, who: Who, count: int, begin: Verb, end: Verb) -> None:
+    def span(self, fault: Fault, who: TargetKind, count: int, begin: FaultAction, end: FaultAction) -> None:
         for index in draws.struck(count, fault, self.random):
             self.step(us(fault.at_s), who, index, begin, fault)
             self.step(us(fault.at_s + fault.for_s), who, index, end, fault)
@@ -132,8 +143,8 @@
         """Whoever is there then in the places that are drawn."""
         for place in draws.struck(self.world.converter_count, fault, self.random):
             index = self.at_place(place, us(fault.at_s)).index
-            self.step(us(fault.at_s), Who.CONVERTER, index, Verb.BEGIN, fault)
-            self.step(us(fault.at_s + fault.for_s), Who.CONVERTER, index, Verb.END, fault)
+            self.step(us(fault.at_s), TargetKind.CONVERTER, index, FaultAction.BEGIN, fault)
+            self.step(us(fault.at_s + fault.for_s), TargetKind.CONVERTER, index, FaultAction.END, fault)
 
     def cut_zone(self, fault: Fault) -> None:
         """Converters and sidecars of one zone, and those of the others, do not reach each other."""
@@ -142,8 +153,8 @@
         for place in range(self.world.converter_count):
             instance = self.at_place(place, us(fault.at_s))
             via = frozenset(sidecars) - inside if instance.machine.group.zone == fault.zone else inside
-            for at_s, verb in ((fault.at_s, Verb.BEGIN), (fault.at_s + fault.for_s, Verb.END)):
-                self.steps.append(Step(us(at_s), Who.CONVERTER, instance.index, verb, fault.kind, via=via))
+            for at_s, verb in ((fault.at_s, FaultAction.BEGIN), (fault.at_s + fault.for_s, FaultAction.END)):
+                self.steps.append(Step(us(at_s), TargetKind.CONVERTER, instance.index, verb, fault.kind, via=via))
 
     def at_place(self, place: int, at_us: int) -> Instance:
         """The last that came up there by then."""
@@ -163,9 +174,9 @@
             new = Instance(len(self.instances), f"c-{len(self.instances):04x}", old.machine, start_us)
             self.instances.append(new)
             self.places[place].append(new)
-            self.step(at_us, Who.CONVERTER, old.index, Verb.DRAIN, fault, old.uid)
-            self.step(stop_us, Who.CONVERTER, old.index, Verb.STOP, fault, old.uid)
-            self.step(start_us, Who.CONVERTER, new.index, Verb.START, fault, new.uid)
+            self.step(at_us, TargetKind.CONVERTER, old.index, FaultAction.DRAIN, fault, old.uid)
+            self.step(stop_us, TargetKind.CONVERTER, old.index, FaultAction.STOP, fault, old.uid)
+            self.step(start_us, TargetKind.CONVERTER, new.index, FaultAction.START, fault, new.uid)
             self.tell(fault, old, "leaving", at_us)
             self.tell(fault, old, "left", stop_us)
             self.tell(fault, new, "active", start_us)
@@ -175,25 +186,33 @@
         for sidecar in range(self.world.sidecars.count):
             late_us = int(self.notices.uniform(*self.world.discovery.late_ms) * 1000)
             self.steps.append(
-                Step(since_us + late_us, Who.DISCOVERY, sidecar, Verb.TELL, fault.kind, uid=instance.uid, state=state)
+                Step(
+                    since_us + late_us,
+                    TargetKind.DISCOVERY,
+                    sidecar,
+                    FaultAction.NOTIFY,
+                    fault.kind,
+                    uid=instance.uid,
+                    state=state,
+                )
             )
 
-    def kill(self, fault: Fault, who: Who, count: int) -> None:
+    def kill(self, fault: Fault, who: TargetKind, count: int) -> None:
         for index in draws.struck(count, fault, self.random):
-            self.step(us(fault.at_s), who, index, Verb.KILL, fault)
-            self.step(us(fault.at_s + fault.down_s), who, index, Verb.RESTART, fault)
+            self.step(us(fault.at_s), who, index, FaultAction.KILL, fault)
+            self.step(us(fault.at_s + fault.down_s), who, index, FaultAction.RESTART, fault)
 
     def strike_discovery(self, fault: Fault) -> None:
         verbs = {
-            "discovery-down": (Verb.DOWN, Verb.UP),
-            "discovery-silent": (Verb.SILENCE, Verb.SPEAK),
-            "discovery-stale": (Verb.HOLD, Verb.SPEAK),
-            "watch-break": (Verb.BREAK, None),
+            "discovery-down": (FaultAction.DOWN, FaultAction.UP),
+            "discovery-silent": (FaultAction.MUTE, FaultAction.RESUME_UPDATES),
+            "discovery-stale": (FaultAction.FREEZE_LIST, FaultAction.RESUME_UPDATES),
+            "watch-break": (FaultAction.BREAK_WATCHES, None),
         }[fault.kind]
         for index in draws.struck(max(1, self.world.sidecars.count), fault, self.random):
-            self.step(us(fault.at_s), Who.DISCOVERY, index, verbs[0], fault)
+            self.step(us(fault.at_s), TargetKind.DISCOVERY, index, verbs[0], fault)
             if verbs[1] is not None:
-                self.step(us(fault.at_s + fault.for_s), Who.DISCOVERY, index, verbs[1], fault)
+                self.step(us(fault.at_s + fault.for_s), TargetKind.DISCOVERY, index, verbs[1], fault)
 
 
 def build(world: World, seed: int) -> Timeline:
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -35,7 +35,9 @@
     zone: str = "a"
     cores: Count = 3
     speed: Range = (1.0, 1.0)  # work done by one core a second, in standard cores
-    waiting_room: Annotated[int, msgspec.Meta(ge=0)] = 24  # requests that may wait; further ones are turned away
+    queue_limit: Annotated[int, msgspec.Meta(ge=0)] = msgspec.field(
+        name="waiting_room", default=24
+    )  # requests that may wait; further ones are turned away
     connections: Count = 256  # that it holds; further ones are turned away
     handshake_ms: NotNegative = 0.3  # work that a new connection costs, before its first request
     pod_size: Count = 3  # converters that drop each other's repeats
@@ -48,10 +50,10 @@
 class Warmth(msgspec.Struct, kw_only=True, frozen=True):
     """How converters start: cold, and over when pushed."""
 
-    cold_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.12
+    initial_capacity_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="cold_share", default=0.12)
     warm_up_s: NotNegative = 5.5
     overload_factor: Positive = 4.0
-    fall_s: Positive = 0.75
+    overload_window_s: Positive = msgspec.field(name="fall_s", default=0.75)
 
 
 class Reports(msgspec.Struct, kw_only=True, frozen=True):
@@ -70,19 +72,19 @@
     name: str
     share: Share
     work_ms: Range  # of a standard core
-    aim_ms: Positive
+    objective_ms: Positive = msgspec.field(name="aim_ms")
     deadline_ms: Positive
-    worth: NotNegative = 1.0
-    late_worth: Share = 0.0
+    priority_weight: NotNegative = msgspec.field(name="worth", default=1.0)
+    late_weight: Share = msgspec.field(name="late_worth", default=0.0)
     effect: Literal["idempotent", "deduplicated", "at_most_once"] = "idempotent"
     group: Literal["all", "zone", "cell"] = "all"
-    memory_ms: NotNegative = 0.0
+    idempotency_window_ms: NotNegative = msgspec.field(name="memory_ms", default=0.0)
 
     def __post_init__(self) -> None:
         _ordered("work_ms", self.work_ms, above_zero=True)
-        if self.deadline_ms < self.aim_ms:
+        if self.deadline_ms < self.objective_ms:
             raise ValueError("deadline_ms: expected no less than aim_ms")
-        if self.effect == "deduplicated" and self.memory_ms == 0:
+        if self.effect == "deduplicated" and self.idempotency_window_ms == 0:
             raise ValueError("memory_ms: expected above 0 where the effect is deduplicated")
 
 
@@ -110,7 +112,9 @@
     closes_after: NotNegative = 0.0  # share of requests after which the client closes its connection
     graphql: Literal["no", "usual", "unique"] = "no"  # they speak GraphQL, each class a field of its own; the same
     # few documents, as programs send them, or each request one that nobody sent before
-    leaves: Share = 0.0  # share of tries whose client goes away within the aim, answered or not
+    disconnect_share: Share = msgspec.field(
+        name="leaves", default=0.0
+    )  # share of tries whose client goes away within the aim, answered or not
 
     def __post_init__(self) -> None:
         _ordered("patience", self.patience, above_zero=True)
@@ -145,7 +149,9 @@
     heartbeat_s: Positive = 2.0
     slice_size: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0  # the list comes as EndpointSlices of so many
     # endpoints, from an API server for each sidecar; 0 = from the platform's agents
-    mess: Share = 0.0  # of the drains come with slices that contradict each other
+    conflict_share: Share = msgspec.field(
+        name="mess", default=0.0
+    )  # of the drains come with slices that contradict each other
     watch_s: Annotated[int, msgspec.Meta(ge=5)] = 60  # slices: how long the sidecars ask for a watch to last
 
     def __post_init__(self) -> None:
@@ -196,7 +202,9 @@
     kind: FaultKind
     at_s: NotNegative
     for_s: NotNegative = 0.0
-    part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0  # of the converters, or of the sidecars; at least one
+    target_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(
+        name="part", default=1.0
+    )  # of the converters, or of the sidecars; at least one
     factor: Positive = 1.0  # the rate, or the work, is multiplied by it; a slow converter's speed is divided by it
     share: Share = 1.0  # of the requests that it strikes
     tenant: str = ""
@@ -209,7 +217,7 @@
     jump_s: float = 0.0  # clock-jump: by what a sidecar's calendar is set forward, or back
 
 
-class Rig(msgspec.Struct, kw_only=True, frozen=True):
+class HarnessSettings(msgspec.Struct, kw_only=True, frozen=True):
     """The emulator's own processes and the bound on its lateness."""
 
     converter_processes: Count = 2
@@ -232,7 +240,7 @@
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     faults: list[Fault] = msgspec.field(default_factory=list)
     planners: Planners = msgspec.field(default_factory=Planners)
-    rig: Rig = msgspec.field(default_factory=Rig)
+    harness: HarnessSettings = msgspec.field(name="rig", default_factory=HarnessSettings)
 
     def __post_init__(self) -> None:
         for what in (self.converters, self.classes, self.tenants):
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ryepier.emulator import rig, simulated
+from ryepier.emulator import harness, simulated
 from ryepier.emulator.records import History
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
@@ -107,20 +107,20 @@
 
 def on_time(run: Run, measured_until: Callable[[Run], float] | None) -> Claim:
     """The emulator kept up; otherwise the run is void, as it would have measured the rig."""
-    bound_ms = run.world.rig.lateness_ms
+    bound_ms = run.world.harness.lateness_ms
     if measured_until is None:
         worst_us = max((late.p999_us for late in run.history.lateness), default=0)
         return Claim("the emulator's lateness (99.9%, ms)", worst_us / 1000, "<=", bound_ms)
     until_s = int(measured_until(run))
-    seconds = [late.most_by_second_us[:until_s] for late in run.history.lateness]
+    seconds = [late.max_by_second_us[:until_s] for late in run.history.lateness]
     worst_us = max(map(max, filter(None, seconds)), default=0)
     return Claim(f"the emulator's lateness (most in the first {until_s} s, ms)", worst_us / 1000, "<=", bound_ms)
 
 
-def make_cast(experiment: Experiment, plant: str) -> rig.Cast:
+def make_cast(experiment: Experiment, plant: str) -> harness.RoleAssignment:
     """Who plays, with the experiment's own mistakes and the planted one."""
-    cast = rig.Cast(
-        odd_sidecars={index: seeded_faults.command(name) for index, name in experiment.odd_sidecars.items()}
+    cast = harness.RoleAssignment(
+        sidecar_overrides={index: seeded_faults.command(name) for index, name in experiment.odd_sidecars.items()}
     )
     if experiment.planner_restart:
         cast = dataclasses.replace(cast, planner_restart=seeded_faults.command(experiment.planner_restart))
@@ -135,10 +135,10 @@
     scale: Scale,
     folder: Path,
     plant: str = "",
-    watcher: rig.Watcher | None = None,
+    watcher: harness.Watcher | None = None,
     backend: Backend = "sockets",
 ) -> list[Claim]:
-    """Play it, judge it, and write all that came out into `folder`. Raises rig.RigError where the rig failed."""
+    """Play it, judge it, and write all that came out into `folder`. Raises HarnessError where the rig failed."""
     world = experiment.world(scale)
     play = _simulating(experiment, plant) if backend == "sim" else _on_sockets(experiment, plant, watcher)
     other = None
@@ -159,7 +159,7 @@
 Play = Callable[[World, int, Path, bool], History]  # the last: whether it is the paired run
 
 
-def _on_sockets(experiment: Experiment, plant: str, watcher: rig.Watcher | None) -> Play:
+def _on_sockets(experiment: Experiment, plant: str, watcher: harness.Watcher | None) -> Play:
     def play(world: World, seed: int, folder: Path, paired: bool) -> History:
         cast = make_cast(experiment, plant)
         if paired:
@@ -168,7 +168,7 @@
         if experiment.cores:
             os.sched_setaffinity(0, set(sorted(had)[: experiment.cores]))  # the run's processes inherit it
         try:
-            return rig.play(world, seed, folder, cast, watcher)
+            return harness.play(world, seed, folder, cast, watcher)
         finally:
             os.sched_setaffinity(0, had)
 
@@ -176,9 +176,9 @@
 
 
 def _simulating(experiment: Experiment, plant: str) -> Play:
-    """Raises rig.RigError where that would say nothing. A mistake is put into this very process, and stays."""
+    """Raises harness.HarnessError where that would say nothing. A mistake is put into this very process, and stays."""
     if experiment.measures_cpu or experiment.odd_sidecars or experiment.planner_restart:
-        raise rig.RigError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
+        raise harness.HarnessError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
 
     def play(world: World, seed: int, folder: Path, paired: bool) -> History:
         if plant and not paired:
@@ -189,7 +189,7 @@
 
 
 def perform_measured(experiment: Measured, seed: int, scale: Scale, folder: Path, plant: str = "") -> list[Claim]:
-    """Measure, and write the result into `folder`. Raises rig.RigError where it could not be done."""
+    """Measure, and write the result into `folder`. Raises harness.HarnessError where it could not be done."""
     folder.mkdir(parents=True, exist_ok=True)
     claims, found = experiment.measure(seed, scale, folder, plant)
     save_result(folder, make_result(experiment.name, seed, scale, claims, found, plant))
@@ -212,7 +212,9 @@
 
 def _seen(world: World, seed: int, folder: Path, play: Play, paired: bool) -> Run:
     history = play(world, seed, folder, paired)
-    return Run(world, seed, history, figures.orders(world, history.tries), judge.judge(world, history), folder)
+    return Run(
+        world, seed, history, figures.orders(world, history.client_attempts), judge.judge(world, history), folder
+    )
 
 
 def save(folder: Path, run: Run, result: Result) -> None:
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ryepier.emulator.records import NEVER, Attempt, History, Life, Try
+from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, History, Incarnation
 from ryepier.emulator.world import World
 
 LONGEST_US = 60_000_000
@@ -19,32 +19,32 @@
 class Order:
     """What a client wanted once: its first try and the retries that belong to it."""
 
-    first: Try
+    first: ClientAttempt
     worth: float
     earned: float
     latency_us: int | None  # from when the first try was due to the served answer
     tries: int
 
 
-def orders(world: World, tries: Iterable[Try]) -> list[Order]:
+def orders(world: World, tries: Iterable[ClientAttempt]) -> list[Order]:
     """Each first try with what became of it, by the time at which it was due."""
-    groups: dict[int, list[Try]] = {}
+    groups: dict[int, list[ClientAttempt]] = {}
     for item in tries:
-        groups.setdefault(item.first, []).append(item)
+        groups.setdefault(item.arrival, []).append(item)
     found = []
     for group in groups.values():
         first = min(group, key=lambda item: item.number)
         kind = world.classes[first.request_class]
-        ends = [item.ended_us for item in group if item.ending == "served"]
+        ends = [item.ended_us for item in group if item.outcome == "served"]
         latency_us = min(ends) - first.planned_us if ends else None
         earned = 0.0
         if latency_us is not None and latency_us <= kind.deadline_ms * 1000:
-            earned = kind.worth * (1.0 if latency_us <= kind.aim_ms * 1000 else kind.late_worth)
-        found.append(Order(first, kind.worth, earned, latency_us, len(group)))
+            earned = kind.priority_weight * (1.0 if latency_us <= kind.objective_ms * 1000 else kind.late_weight)
+        found.append(Order(first, kind.priority_weight, earned, latency_us, len(group)))
     return sorted(found, key=lambda order: order.first.planned_us)
 
 
-def service(found: Iterable[Order], keep: Callable[[Try], bool] = lambda item: True) -> float:
+def service(found: Iterable[Order], keep: Callable[[ClientAttempt], bool] = lambda item: True) -> float:
     """The worth earned over the worth asked for, of those whose first try `keep` holds; 1 where there are none."""
     asked = earned = 0.0
     for order in found:
@@ -54,7 +54,7 @@
     return earned / asked if asked else 1.0
 
 
-def between(begin_s: float, end_s: float) -> Callable[[Try], bool]:
+def between(begin_s: float, end_s: float) -> Callable[[ClientAttempt], bool]:
     """First tries that were due in this part of the run."""
     return lambda item: begin_s * 1e6 <= item.planned_us < end_s * 1e6
 
@@ -70,48 +70,50 @@
 
 def waste(history: History) -> float:
     """The share of the converters' work that gave no client an answer."""
-    served = {item.ident for item in history.tries if item.ending == "served"}
-    ran = [attempt for attempt in history.attempts if attempt.run_us != NEVER]
+    served = {item.request_id for item in history.client_attempts if item.outcome == "served"}
+    ran = [attempt for attempt in history.converter_attempts if attempt.started_us != NEVER]
     total = sum(attempt.work_us for attempt in ran)
-    lost = sum(attempt.work_us for attempt in ran if attempt.ident not in served)
+    lost = sum(attempt.work_us for attempt in ran if attempt.request_id not in served)
     return lost / total if total else 0.0
 
 
-def advised(tries: Iterable[Try]) -> float:
+def advised(tries: Iterable[ClientAttempt]) -> float:
     """The share of refusals that told when to come back; 1 where there were none."""
-    refused = [item for item in tries if item.ending == "refused"]
+    refused = [item for item in tries if item.outcome == "refused"]
     return sum(item.retry_after_us > 0 for item in refused) / len(refused) if refused else 1.0
 
 
-def cpu_us(life: Life, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
+def cpu_us(life: Incarnation, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
     """CPU that a life of a sidecar used between its first and last sample in a part of the run."""
     inside = [cpu for at_us, cpu, _ in life.samples if begin_us <= at_us <= end_us]
     return inside[-1] - inside[0] if inside else 0
 
 
-def most_mib(lives: Iterable[Life]) -> float:
+def most_mib(lives: Iterable[Incarnation]) -> float:
     """The most that any sidecar held resident."""
     return max((kib for life in lives for _, _, kib in life.samples), default=0) / 1024
 
 
-def attempts_between(attempts: Iterable[Attempt], uids: set[str], begin_s: float, end_s: float) -> tuple[int, int]:
+def attempts_between(
+    attempts: Iterable[ConverterAttempt], uids: set[str], begin_s: float, end_s: float
+) -> tuple[int, int]:
     """How many attempts came to these converters in a part of the run, and to all."""
-    inside = [a.uid for a in attempts if begin_s * 1e6 <= a.last_us < end_s * 1e6]
+    inside = [a.uid for a in attempts if begin_s * 1e6 <= a.received_us < end_s * 1e6]
     return sum(uid in uids for uid in inside), len(inside)
 
 
 def summary(world: World, history: History, found: list[Order]) -> dict[str, float]:
     """The figures that every experiment reports."""
     latencies = histogram(found)
-    endings = Counter(item.ending for item in history.tries)
-    tries = max(1, len(history.tries))
+    endings = Counter(item.outcome for item in history.client_attempts)
+    tries = max(1, len(history.client_attempts))
     result = {
         "orders": float(len(found)),
         "service": service(found),
-        "tries_per_order": len(history.tries) / max(1, len(found)),
-        "attempts_per_try": len(history.attempts) / tries,
+        "tries_per_order": len(history.client_attempts) / max(1, len(found)),
+        "attempts_per_try": len(history.converter_attempts) / tries,
         "waste": waste(history),
-        "sidecar_most_mib": most_mib(history.lives),
+        "sidecar_most_mib": most_mib(history.incarnations),
         "emulator_p999_late_ms": max((late.p999_us for late in history.lateness), default=0) / 1000,
     }
     result |= {
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -16,7 +16,7 @@
 from matplotlib.figure import Figure
 from numpy.typing import NDArray
 
-from ryepier.emulator.records import Happening, History
+from ryepier.emulator.records import History, RecordedEvent
 from ryepier.emulator.world import World
 from ryepier.experiments.core import contract, figures
 from ryepier.experiments.core.judge import RULES, Breach
@@ -38,7 +38,7 @@
     history = msgspec.msgpack.decode((folder / contract.HISTORY).read_bytes(), type=History)
     world = msgspec.json.decode((folder / contract.WORLD).read_bytes(), type=World)
     breaches = msgspec.json.decode((folder / contract.BREACHES).read_bytes(), type=list[Breach])
-    orders = figures.orders(world, history.tries)
+    orders = figures.orders(world, history.client_attempts)
     template = jinja2.Environment(autoescape=True).from_string(
         resources.files("ryepier.experiments.core").joinpath("report.html").read_text()
     )
@@ -50,7 +50,7 @@
             breaches=breaches[:MOST_BREACHES],
             breach_count=len(breaches),
             rules=RULES,
-            happenings=history.happenings[:MOST_HAPPENINGS],
+            happenings=history.events[:MOST_HAPPENINGS],
             lateness=history.lateness,
             plots=[
                 (title, markupsafe.Markup(svg))
@@ -67,9 +67,9 @@
     return path
 
 
-def happenings(folder: Path) -> list[Happening]:
+def happenings(folder: Path) -> list[RecordedEvent]:
     """What was done to the world in the run in `folder`. Raises as `write` does."""
-    return msgspec.msgpack.decode((folder / contract.HISTORY).read_bytes(), type=History).happenings
+    return msgspec.msgpack.decode((folder / contract.HISTORY).read_bytes(), type=History).events
 
 
 def _svg(figure: Figure) -> str:
@@ -111,7 +111,7 @@
     axes.plot(edges[:-1], first, color="black", linewidth=1.0, label="first tries")
     axes.plot(edges[:-1], earned, color="tab:green", linewidth=1.0, label="served within the aim")
     for ending in ("refused", "failed", "timeout", "broken", "unreachable"):
-        times = [item.ended_us / 1e6 for item in history.tries if item.ending == ending]
+        times = [item.ended_us / 1e6 for item in history.client_attempts if item.outcome == ending]
         if times:
             axes.plot(edges[:-1], np.histogram(times, edges)[0] / WINDOW_S, linewidth=1.0, label=ending)
     axes.set_ylabel("a second")
@@ -151,10 +151,10 @@
 def _attempts(world: World, history: History) -> str:
     figure, axes = _axes(world)
     edges = _windows(world)
-    uids = sorted({attempt.uid for attempt in history.attempts})
+    uids = sorted({attempt.uid for attempt in history.converter_attempts})
     times: dict[str, list[float]] = {uid: [] for uid in uids}
-    for attempt in history.attempts:
-        times[attempt.uid].append(attempt.last_us / 1e6)
+    for attempt in history.converter_attempts:
+        times[attempt.uid].append(attempt.received_us / 1e6)
     if uids:
         rows = np.array([np.histogram(times[uid], edges)[0] / WINDOW_S for uid in uids])
         image = axes.imshow(rows, aspect="auto", origin="lower", extent=(0.0, float(edges[-1]), -0.5, len(uids) - 0.5))
@@ -166,7 +166,7 @@
 def _machines(history: History) -> str:
     figure, axes = _axes()
     memory = axes.twinx()
-    for life in history.lives:
+    for life in history.incarnations:
         if len(life.samples) < 2:
             continue
         at, cpu, kib = (np.array(column, dtype=np.float64) for column in zip(*life.samples, strict=True))
--- a/ryepier/experiments/faults/experiments.py
+++ b/ryepier/experiments/faults/experiments.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from ryepier.emulator import draws, timeline
-from ryepier.emulator.timeline import Verb, Who
+from ryepier.emulator.timeline import FaultAction, TargetKind
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
@@ -34,7 +34,7 @@
         faults=[
             replace(fault, at_s=fault.at_s * FULL_LENGTH, for_s=fault.for_s * FULL_LENGTH) for fault in world.faults
         ],
-        rig=replace(world.rig, client_processes=2, converter_processes=3),
+        harness=replace(world.harness, client_processes=2, converter_processes=3),
     )
 
 
@@ -46,7 +46,7 @@
 
 
 def _steady_claims(run: Run) -> list[Claim]:
-    tries, attempts = run.history.tries, run.history.attempts
+    tries, attempts = run.history.client_attempts, run.history.converter_attempts
     return [
         Claim("service", figures.service(run.orders), ">=", 0.98),
         Claim("attempts a try", len(attempts) / max(1, len(tries)), "<=", 1.01),
@@ -60,9 +60,9 @@
 def _release_claims(run: Run) -> list[Claim]:
     fault = _fault(run.world, "release")
     steps = timeline.build(run.world, run.seed).steps
-    fresh = {step.uid for step in steps if step.verb is Verb.START}
-    reached = {attempt.uid for attempt in run.history.attempts} & fresh
-    told = sum(notice.state == "leaving" for notice in run.history.told)
+    fresh = {step.uid for step in steps if step.action is FaultAction.START}
+    reached = {attempt.uid for attempt in run.history.converter_attempts} & fresh
+    told = sum(notice.state == "leaving" for notice in run.history.notices)
     during = figures.between(fault.at_s, fault.at_s + fault.for_s)
     return [
         Claim("drains told of", told, ">=", len(fresh) * run.world.sidecars.count * 0.9),
@@ -76,14 +76,14 @@
 
 def _hung(run: Run) -> set[str]:
     built = timeline.build(run.world, run.seed)
-    struck = {step.index for step in built.steps if step.who is Who.CONVERTER and step.fault == "hang"}
+    struck = {step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault == "hang"}
     return {instance.uid for instance in built.instances if instance.index in struck}
 
 
 def _hang_claims(run: Run) -> list[Claim]:
     fault = _fault(run.world, "hang")
     middle_s, end_s = fault.at_s + fault.for_s / 2, fault.at_s + fault.for_s
-    to_hung, to_all = figures.attempts_between(run.history.attempts, _hung(run), middle_s, end_s)
+    to_hung, to_all = figures.attempts_between(run.history.converter_attempts, _hung(run), middle_s, end_s)
     return [
         Claim("share of attempts to hung converters, second half", to_hung / max(1, to_all), "<=", 0.03),
         Claim(
@@ -116,7 +116,7 @@
             ">=",
             0.95,
         ),
-        Claim("share of refusals with Retry-After", figures.advised(run.history.tries), ">=", 0.99),
+        Claim("share of refusals with Retry-After", figures.advised(run.history.client_attempts), ">=", 0.99),
     ]
 
 
@@ -125,9 +125,9 @@
 
 def _kill_claims(run: Run) -> list[Claim]:
     fault = _fault(run.world, "sidecar-kill")
-    killed = {life.sidecar for life in run.history.lives if life.killed}
-    back = [life for life in run.history.lives if life.begun_us > 0]
-    up_s = max(((life.up_us - life.begun_us) / 1e6 for life in back), default=float("inf"))
+    killed = {life.sidecar for life in run.history.incarnations if life.killed}
+    back = [life for life in run.history.incarnations if life.started_us > 0]
+    up_s = max(((life.ready_us - life.started_us) / 1e6 for life in back), default=float("inf"))
     after = figures.between(fault.at_s + fault.down_s + 2.0, run.world.duration_s)
     return [
         Claim("sidecars killed", len(killed), ">=", 1),
@@ -172,10 +172,12 @@
 
 def cpu_us_a_request(run: Run, begin_s: float, end_s: float) -> float:
     """CPU of the sidecar over the tries that came in a part of the run."""
-    samples = [(at_us, cpu) for at_us, cpu, _ in run.history.lives[0].samples if begin_s * 1e6 <= at_us <= end_s * 1e6]
+    samples = [
+        (at_us, cpu) for at_us, cpu, _ in run.history.incarnations[0].samples if begin_s * 1e6 <= at_us <= end_s * 1e6
+    ]
     if len(samples) < 2:
         return float("inf")
-    came = sum(samples[0][0] <= item.sent_us < samples[-1][0] for item in run.history.tries)
+    came = sum(samples[0][0] <= item.sent_us < samples[-1][0] for item in run.history.client_attempts)
     return (samples[-1][1] - samples[0][1]) / max(1, came)
 
 
@@ -227,7 +229,7 @@
 
 
 def _ceiling_figures(run: Run) -> Mapping[str, float]:
-    served = sum(item.ending == "served" for item in run.history.tries)
+    served = sum(item.outcome == "served" for item in run.history.client_attempts)
     return {"served_per_s": served / run.world.duration_s}
 
 
--- a/ryepier/experiments/graphql/graphql_front.py
+++ b/ryepier/experiments/graphql/graphql_front.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ryepier.emulator import rig
+from ryepier.emulator import harness
 from ryepier.emulator.records import NEVER
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
@@ -35,30 +35,30 @@
         clients=replace(world.clients, rate_per_s=FULL_RATE),
         faults=[replace(fault, for_s=fault.for_s * stretch) for fault in world.faults],
         sidecars=replace(world.sidecars, count=3),
-        rig=replace(world.rig, client_processes=2, converter_processes=3),
+        harness=replace(world.harness, client_processes=2, converter_processes=3),
     )
 
 
 def _effects(run: Run) -> dict[str, str]:
     """By request id the effect of its class."""
-    return {item.ident: run.world.classes[item.request_class].effect for item in run.history.tries}
+    return {item.request_id: run.world.classes[item.request_class].effect for item in run.history.client_attempts}
 
 
 def duplicated_mutations(run: Run) -> int:
     """Operations that must run at most once and ran more often, as converters counted them by the operation's id."""
     effects = _effects(run)
-    runs = Counter(attempt.ident for attempt in run.history.attempts if attempt.run_us != NEVER)
+    runs = Counter(attempt.request_id for attempt in run.history.converter_attempts if attempt.started_us != NEVER)
     return sum(count > 1 and effects.get(ident) == "at_most_once" for ident, count in runs.items())
 
 
 def _resets_figures(run: Run) -> Mapping[str, float]:
-    effects, attempts = _effects(run), run.history.attempts
-    reset = {attempt.ident for attempt in attempts if attempt.ending == "reset"}
-    served = {item.ident for item in run.history.tries if item.ending == "served"}
+    effects, attempts = _effects(run), run.history.converter_attempts
+    reset = {attempt.request_id for attempt in attempts if attempt.outcome == "reset"}
+    served = {item.request_id for item in run.history.client_attempts if item.outcome == "served"}
     asked_again = [ident for ident in reset if effects.get(ident) == "idempotent"]
     return {
-        "requests": len(run.history.tries),
-        "reset_share": len(reset) / max(1, len(run.history.tries)),
+        "requests": len(run.history.client_attempts),
+        "reset_share": len(reset) / max(1, len(run.history.client_attempts)),
         "duplicated_mutations": duplicated_mutations(run),
         "queries_reset": len(asked_again),
         "queries_reset_and_served": sum(ident in served for ident in asked_again) / max(1, len(asked_again)),
@@ -99,25 +99,30 @@
     )
 
 
-def cpu_us(world: World, seed: int, folder: Path, cast: rig.Cast) -> float:
+def cpu_us(world: World, seed: int, folder: Path, cast: harness.RoleAssignment) -> float:
     """CPU of the sidecar for one request, over the middle of a run."""
-    history = rig.play(world, seed, folder, cast)
+    history = harness.play(world, seed, folder, cast)
     samples = [
-        (at_us, cpu) for at_us, cpu, _ in history.lives[0].samples if COST_FROM_S * 1e6 <= at_us <= COST_TO_S * 1e6
+        (at_us, cpu)
+        for at_us, cpu, _ in history.incarnations[0].samples
+        if COST_FROM_S * 1e6 <= at_us <= COST_TO_S * 1e6
     ]
-    came = sum(samples[0][0] <= item.sent_us < samples[-1][0] for item in history.tries)
-    served = sum(item.ending == "served" for item in history.tries)
-    if len(samples) < 2 or served < 0.98 * len(history.tries):
-        raise rig.RigError("a run that served too little says nothing of what serving costs")
+    came = sum(samples[0][0] <= item.sent_us < samples[-1][0] for item in history.client_attempts)
+    served = sum(item.outcome == "served" for item in history.client_attempts)
+    if len(samples) < 2 or served < 0.98 * len(history.client_attempts):
+        raise harness.HarnessError("a run that served too little says nothing of what serving costs")
     return (samples[-1][1] - samples[0][1]) / max(1, came)
 
 
 def perform_cost(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
     """Plain, GraphQL's usual documents, and documents that are never the same; all with the same command."""
-    cast = rig.Cast(sidecar_command=seeded_faults.command(plant) if plant else rig.FORWARDER)
+    cast = harness.RoleAssignment(sidecar_command=seeded_faults.command(plant) if plant else harness.FORWARDER)
     got = {
         kind: cpu_us(
-            _cost_world(kind), seed, folder / kind, cast if kind == "usual" else rig.Cast(sidecar_command=rig.FORWARDER)
+            _cost_world(kind),
+            seed,
+            folder / kind,
+            cast if kind == "usual" else harness.RoleAssignment(sidecar_command=harness.FORWARDER),
         )
         for kind in ("no", "usual", "unique")
     }
--- a/ryepier/experiments/graphql/query_resets.py
+++ b/ryepier/experiments/graphql/query_resets.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ryepier.emulator.records import NEVER, Attempt
+from ryepier.emulator.records import NEVER, ConverterAttempt
 from ryepier.experiments.core.contract import Run
 
 # The least budget of retries that a sidecar may have; a smaller one sends less again and fails the claim.
@@ -87,13 +87,13 @@
 def query_resets(run: Run) -> QueryResets:
     """Count the resets of queries, beside the budgets. A sidecar decides at some moment between a reset and what its
     converters or its client see next, so a retry was to be had if there was one all that time."""
-    tries = {item.ident: item for item in run.history.tries}
-    attempts: dict[str, list[Attempt]] = defaultdict(list)
-    for attempt in run.history.attempts:
-        if attempt.ident in tries:
-            attempts[attempt.ident].append(attempt)
+    tries = {item.request_id: item for item in run.history.client_attempts}
+    attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
+    for attempt in run.history.converter_attempts:
+        if attempt.request_id in tries:
+            attempts[attempt.request_id].append(attempt)
     budgets = Budgets(
-        (attempt.first_us, tries[ident].sidecar, number > 0)
+        (attempt.first_byte_us, tries[ident].sidecar, number > 0)
         for ident, sent in attempts.items()
         for number, attempt in enumerate(sent)
     )
@@ -102,21 +102,21 @@
     for ident in queries:
         sent, item = attempts[ident], tries[ident]
         for number, attempt in enumerate(sent[: run.world.sidecars.max_attempts - 1]):
-            if attempt.ending != "reset":
+            if attempt.outcome != "reset":
                 continue
             again = number + 1 < len(sent)
-            until_us = sent[number + 1].first_us if again else item.ended_us
+            until_us = sent[number + 1].first_byte_us if again else item.ended_us
             least = budgets.least(item.sidecar, attempt.ended_us, until_us)
             with_retry += least >= 1.0
             with_spare += least >= SPARE_BUDGET
             sent_again += again and least >= SPARE_BUDGET
-    again_queries = [ident for ident in queries if any(one.ending == "reset" for one in attempts[ident][:-1])]
+    again_queries = [ident for ident in queries if any(one.outcome == "reset" for one in attempts[ident][:-1])]
     return QueryResets(
         attempts=sum(len(attempts[ident]) for ident in queries),
-        resets=sum(one.ending == "reset" for ident in queries for one in attempts[ident]),
+        resets=sum(one.outcome == "reset" for ident in queries for one in attempts[ident]),
         with_retry=with_retry,
         with_spare=with_spare,
         sent_again=sent_again,
         queries_again=len(again_queries),
-        queries_served=sum(tries[ident].ending == "served" for ident in again_queries),
+        queries_served=sum(tries[ident].outcome == "served" for ident in again_queries),
     )
--- a/ryepier/experiments/load_spread/processes.py
+++ b/ryepier/experiments/load_spread/processes.py
@@ -7,7 +7,7 @@
 import numpy as np
 
 from ryepier.emulator import timeline
-from ryepier.emulator.timeline import Who
+from ryepier.emulator.timeline import TargetKind
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.load_spread import processes_figures as spread
@@ -25,14 +25,14 @@
 def steady_uids(run: Run) -> list[str]:
     """Converters that are there, warm, through the whole run."""
     built = timeline.build(run.world, run.seed)
-    replaced = {step.index for step in built.steps if step.who is Who.CONVERTER and step.fault == "release"}
+    replaced = {step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault == "release"}
     return spread.steady_uids(built.instances, replaced)
 
 
 def starts(run: Run, begin_s: float, end_s: float, window_s: float) -> list[list[int]]:
     """At the converters that are there all along, in windows of about this length."""
     edges_s = np.linspace(begin_s, end_s, max(1, round((end_s - begin_s) / window_s)) + 1)
-    return spread.starts(run.history.attempts, steady_uids(run), edges_s.tolist())
+    return spread.starts(run.history.converter_attempts, steady_uids(run), edges_s.tolist())
 
 
 def evenness(run: Run, begin_s: float, end_s: float, window_s: float = WINDOW_S) -> spread.Evenness:
@@ -56,7 +56,7 @@
 
 def bursts(run: Run, begin_s: float = worlds.SETTLED_S) -> spread.Bursts:
     """At the converters that are there all along, from a moment to the end."""
-    return spread.bursts(run.history.attempts, zones(run, steady_uids(run)), begin_s, run.world.duration_s)
+    return spread.bursts(run.history.converter_attempts, zones(run, steady_uids(run)), begin_s, run.world.duration_s)
 
 
 def herd_claims(found: spread.Bursts) -> list[Claim]:
@@ -76,7 +76,7 @@
     """Of a part of the run, and of the whole: what the converters' journals tell."""
     even = evenness(run, begin_s, end_s, window_s)
     burst = bursts(run)
-    connected, placed = spread.connections(run.history.connections), spread.places(run.history.attempts)
+    connected, placed = spread.connections(run.history.connections), spread.places(run.history.converter_attempts)
     return {
         "variation": even.variation,
         "variation_by_chance": even.by_chance,
@@ -103,7 +103,7 @@
 
 def even_again_s(run: Run) -> float:
     """When a fleet a third of which was restarted is to be even again: so long after the last of them was up."""
-    last_up_s = max(life.up_us for life in run.history.lives) / 1e6
+    last_up_s = max(life.ready_us for life in run.history.incarnations) / 1e6
     return min(last_up_s + worlds.BACK_WITHIN_S, run.world.duration_s - WINDOW_S)
 
 
@@ -114,7 +114,7 @@
 
 def service_when_back(run: Run) -> float:
     """Of clients of the restarted sidecars, once these are up."""
-    back_us = {life.sidecar: life.up_us + BACK_US for life in run.history.lives if life.begun_us > 0}
+    back_us = {life.sidecar: life.ready_us + BACK_US for life in run.history.incarnations if life.started_us > 0}
     never_us = run.world.duration_s * 1e6
     return figures.service(run.orders, lambda item: item.planned_us >= back_us.get(item.sidecar, never_us))
 
@@ -122,17 +122,17 @@
 def kill_figures(run: Run) -> Mapping[str, float]:
     """Evenness before and after, and how soon the restarted were up."""
     before = evenness(run, 1.0, worlds.KILL_AT_S)
-    back = [life for life in run.history.lives if life.begun_us > 0]
+    back = [life for life in run.history.incarnations if life.started_us > 0]
     return even_figures(run, even_again_s(run), run.world.duration_s) | {
         "variation_ratio_before": before.ratio,
-        "up_after_s": max(((life.up_us - life.begun_us) / 1e6 for life in back), default=float("inf")),
+        "up_after_s": max(((life.ready_us - life.started_us) / 1e6 for life in back), default=float("inf")),
     }
 
 
 def kill_claims(run: Run) -> list[Claim]:
     """Nothing lost, no herd."""
-    killed = {life.sidecar for life in run.history.lives if life.killed}
-    back = [life for life in run.history.lives if life.begun_us > 0]
+    killed = {life.sidecar for life in run.history.incarnations if life.killed}
+    back = [life for life in run.history.incarnations if life.started_us > 0]
     return [
         Claim("sidecars killed at once", len(killed), ">=", run.world.sidecars.count / 3),
         Claim("sidecars started again", len(back), "==", len(killed)),
@@ -149,7 +149,7 @@
     """The share of the replacements that were sent work."""
     built = timeline.build(run.world, run.seed)
     fresh = {one.uid for one in built.instances if one.start_us is not None}
-    used = {attempt.uid for attempt in run.history.attempts} & fresh
+    used = {attempt.uid for attempt in run.history.converter_attempts} & fresh
     return len(used) / max(1, len(fresh))
 
 
@@ -158,11 +158,11 @@
     cut_off = next(fault.zone for fault in run.world.faults if fault.kind == "zone-cut")
     instances = timeline.build(run.world, run.seed).instances
     zone_of = {one.uid: one.machine.group.zone for one in instances}
-    sidecar_of = {item.ident: item.sidecar for item in run.history.tries}
+    sidecar_of = {item.request_id: item.sidecar for item in run.history.client_attempts}
     inside = crossing = 0
-    for attempt in run.history.attempts:
-        if begin_s * 1e6 <= attempt.last_us < end_s * 1e6 and attempt.ident in sidecar_of:
-            zone = run.world.zones[run.world.sidecar_zone(sidecar_of[attempt.ident])]
+    for attempt in run.history.converter_attempts:
+        if begin_s * 1e6 <= attempt.received_us < end_s * 1e6 and attempt.request_id in sidecar_of:
+            zone = run.world.zones[run.world.sidecar_zone(sidecar_of[attempt.request_id])]
             inside += 1
             crossing += (zone == cut_off) != (zone_of[attempt.uid] == cut_off)
     return crossing / max(1, inside)
--- a/ryepier/experiments/load_spread/processes_figures.py
+++ b/ryepier/experiments/load_spread/processes_figures.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from ryepier.emulator.records import NEVER, Attempt, ConnectionLife, History
+from ryepier.emulator.records import NEVER, ConnectionRecord, ConverterAttempt, History
 from ryepier.emulator.timeline import Instance
 from ryepier.experiments.load_spread.measures import RARE, poisson_quantile
 
@@ -55,17 +55,17 @@
     mean: float  # of each converter's most
 
 
-def received(attempts: Iterable[Attempt]) -> list[Attempt]:
+def received(attempts: Iterable[ConverterAttempt]) -> list[ConverterAttempt]:
     """Those that reached their converter: run there, or turned away by it."""
-    return [attempt for attempt in attempts if attempt.run_us != NEVER or attempt.not_run]
+    return [attempt for attempt in attempts if attempt.started_us != NEVER or attempt.not_run]
 
 
-def starts(attempts: Iterable[Attempt], uids: Sequence[str], edges_s: Sequence[float]) -> list[list[int]]:
+def starts(attempts: Iterable[ConverterAttempt], uids: Sequence[str], edges_s: Sequence[float]) -> list[list[int]]:
     """Executions begun at each of these converters, a list for each window between two edges (s)."""
     counts = [Counter[str]() for _ in edges_s[1:]]
     for attempt in attempts:
         for window, (begin_s, end_s) in enumerate(itertools.pairwise(edges_s)):
-            if attempt.run_us != NEVER and begin_s * 1e6 <= attempt.run_us < end_s * 1e6:
+            if attempt.started_us != NEVER and begin_s * 1e6 <= attempt.started_us < end_s * 1e6:
                 counts[window][attempt.uid] += 1
     return [[count[uid] for uid in uids] for count in counts]
 
@@ -88,7 +88,7 @@
     )
 
 
-def bursts(attempts: Iterable[Attempt], zone_of: Mapping[str, str], begin_s: float, end_s: float) -> Bursts:
+def bursts(attempts: Iterable[ConverterAttempt], zone_of: Mapping[str, str], begin_s: float, end_s: float) -> Bursts:
     """Of what reached these converters in a part of the run. The rate that a window is judged by is that of its zone's
     converters in the same second, and no less than that of all over the whole part: a cut between zones moves load from
     one to another, which is no herd."""
@@ -96,7 +96,7 @@
     found: Counter[tuple[str, int]] = Counter()
     by_second: Counter[tuple[str, int]] = Counter()
     for attempt in received(attempts):
-        window = (attempt.last_us - int(begin_s * 1e6)) // BURST_US
+        window = (attempt.received_us - int(begin_s * 1e6)) // BURST_US
         if attempt.uid in zone_of and 0 <= window < windows:
             found[attempt.uid, window] += 1
             by_second[zone_of[attempt.uid], window * BURST_US // RATE_US] += 1
@@ -135,15 +135,15 @@
     return Occupancy(max(most, default=0), sum(most) / max(1, len(most)))
 
 
-def connections(lives: Iterable[ConnectionLife]) -> Occupancy:
+def connections(lives: Iterable[ConnectionRecord]) -> Occupancy:
     """Connections that converters held at once."""
     return occupancy((life.uid, life.opened_us, life.closed_us) for life in lives)
 
 
-def places(attempts: Iterable[Attempt]) -> Occupancy:
+def places(attempts: Iterable[ConverterAttempt]) -> Occupancy:
     """Requests that converters had in work at once."""
-    ran = [attempt for attempt in attempts if attempt.run_us != NEVER]
-    return occupancy((attempt.uid, attempt.run_us, attempt.run_ended_us) for attempt in ran)
+    ran = [attempt for attempt in attempts if attempt.started_us != NEVER]
+    return occupancy((attempt.uid, attempt.started_us, attempt.finished_us) for attempt in ran)
 
 
 def steady_uids(instances: Iterable[Instance], struck: Iterable[int]) -> list[str]:
@@ -154,11 +154,11 @@
 
 def served_in_the_end(history: History) -> float:
     """The share of first tries that they or a retry of theirs had served."""
-    wanted = {item.first for item in history.tries}
-    served = {item.first for item in history.tries if item.ending == "served"}
+    wanted = {item.arrival for item in history.client_attempts}
+    served = {item.arrival for item in history.client_attempts if item.outcome == "served"}
     return len(served) / max(1, len(wanted))
 
 
 def refused(history: History) -> float:
     """The share of tries that were refused."""
-    return sum(item.ending == "refused" for item in history.tries) / max(1, len(history.tries))
+    return sum(item.outcome == "refused" for item in history.client_attempts) / max(1, len(history.client_attempts))
--- a/ryepier/experiments/load_spread/processes_machine.py
+++ b/ryepier/experiments/load_spread/processes_machine.py
@@ -11,7 +11,7 @@
 
 def needed_bytes(world: World) -> int:
     """What a world's processes hold together, at most."""
-    roles = 1 + world.rig.converter_processes + world.rig.client_processes
+    roles = 1 + world.harness.converter_processes + world.harness.client_processes
     return world.sidecars.count * SIDECAR_BYTES + roles * EMULATOR_BYTES
 
 
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -87,7 +87,7 @@
 
 
 def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
-    """Play it once. Raises RigError."""
+    """Play it once. Raises HarnessError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
     planned = [requests_of(one) for one in draw_requests(world, seed) if one.fits]
     scenario = Scenario(MAY_BE_OUT, LEAST_PART, planned, cut_and_heal, plant, relayed=True)
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -16,7 +16,7 @@
 from ryepier.emulator import converters, discovery, draws, role
 from ryepier.emulator.process import Clock, Plan, monotonic_us
 from ryepier.emulator.slices import SlicesAgent
-from ryepier.emulator.timeline import Instance, Step, Timeline, Verb, Who
+from ryepier.emulator.timeline import FaultAction, Instance, Step, TargetKind, Timeline
 from ryepier.maintenance.fleet import FencingTokens, FleetCall, FleetReply, read_message, write_message
 from ryepier.sidecar import system
 
@@ -176,7 +176,7 @@
         """Each sidecar's agent hears of it at a time of its own; returns once all have."""
         unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
         entry = discovery.target(self.plan, instance, state, unix_zero_ms)
-        step = Step(self.clock.now_us(), Who.DISCOVERY, 0, Verb.TELL, uid=instance.uid, state=state)
+        step = Step(self.clock.now_us(), TargetKind.DISCOVERY, 0, FaultAction.NOTIFY, uid=instance.uid, state=state)
         low, high = self.plan.world.discovery.late_ms
 
         async def tell(agent: discovery.Agent | SlicesAgent, late_ms: float) -> None:
--- a/ryepier/experiments/maintenance/fleet_rig.py
+++ b/ryepier/experiments/maintenance/fleet_rig.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
+from ryepier.emulator.harness import Harness, RoleAssignment
 from ryepier.emulator.process import monotonic_us
-from ryepier.emulator.rig import Cast, Rig
 from ryepier.emulator.world import World
 from ryepier.experiments.maintenance import seeded_coordinator
 from ryepier.experiments.maintenance.agent_process import AgentPlan
@@ -102,12 +102,12 @@
     majority_back_us: list[tuple[str, int]] = field(default_factory=list)  # region, when
 
 
-class MaintenanceRig(Rig):
+class MaintenanceRig(Harness):
     """One run of a scenario."""
 
     def __init__(self, world: World, seed: int, folder: Path, scenario: Scenario) -> None:
         """Prepare; nothing is started yet."""
-        super().__init__(world, seed, folder, Cast(role_module=ROLE_MODULE))
+        super().__init__(world, seed, folder, RoleAssignment(role_module=ROLE_MODULE))
         self.scenario = scenario
         self.observed = Observed()
         self.coordinators: dict[str, subprocess.Popen[bytes]] = {}
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -167,7 +167,7 @@
 
 
 def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
-    """Play it once. Raises RigError."""
+    """Play it once. Raises HarnessError."""
     world = load("maintenance")
     planned = [replace(one, deadline_in_ms=DEADLINE_MS) for one in draw_requests(world, seed) if one.fits]
     outcome = outcomes.play(
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -108,7 +108,7 @@
 def common_claims(outcome: Outcome) -> list[Claim]:
     """The one rule, the sidecars' rules, and that the emulator kept up."""
     found = judge.judge(outcome.world, outcome.history)
-    orders = figures.orders(outcome.world, outcome.history.tries)
+    orders = figures.orders(outcome.world, outcome.history.client_attempts)
     run = contract.Run(outcome.world, outcome.seed, outcome.history, orders, found, outcome.folder)
     counts = Counter(breach.rule for breach in found)
     claims = [contract.on_time(run, None)]
@@ -223,7 +223,7 @@
 
 
 def play(rig: MaintenanceRig) -> Outcome:
-    """Play, and gather what there is after the run. Raises RigError."""
+    """Play, and gather what there is after the run. Raises HarnessError."""
     history = asyncio.run(rig.play())
     return Outcome(
         rig.world,
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -133,7 +133,7 @@
 
 
 def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
-    """Play it once. Raises RigError."""
+    """Play it once. Raises HarnessError."""
     world = load("maintenance")
     planned = draw_requests(world, seed)
     outcome = outcomes.play(MaintenanceRig(world, seed, folder, Scenario(MAY_BE_OUT, LEAST_PART, planned, plant=plant)))
--- a/ryepier/experiments/planners/planner_scale.py
+++ b/ryepier/experiments/planners/planner_scale.py
@@ -16,8 +16,8 @@
 import numpy as np
 
 from ryepier.emulator import draws
+from ryepier.emulator.harness import PLANNER, TICKS_PER_S, HarnessError, find_network
 from ryepier.emulator.process import PLANNER_PORT
-from ryepier.emulator.rig import PLANNER, TICKS_PER_S, RigError, find_network
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
 
@@ -79,7 +79,7 @@
 
 
 async def until_up(process: subprocess.Popen[bytes], address: tuple[str, int], who: str = "the planner") -> None:
-    """Until it takes connections. Raises RigError that names `who` did not come up."""
+    """Until it takes connections. Raises HarnessError that names `who` did not come up."""
     ends = time.monotonic() + UP_WITHIN_S
     while time.monotonic() < ends and process.poll() is None:
         try:
@@ -88,7 +88,7 @@
             return
         except OSError:
             await asyncio.sleep(0.05)
-    raise RigError(f"{who} did not come up")
+    raise HarnessError(f"{who} did not come up")
 
 
 async def measure(
--- a/ryepier/experiments/planners/planning.py
+++ b/ryepier/experiments/planners/planning.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ryepier.emulator import timeline
-from ryepier.emulator.timeline import Who
+from ryepier.emulator.timeline import TargetKind
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
@@ -60,7 +60,7 @@
 def struck_uids(run: Run, kinds: tuple[str, ...]) -> set[str]:
     """The converters that faults of these kinds strike."""
     built = timeline.build(run.world, run.seed)
-    struck = {step.index for step in built.steps if step.who is Who.CONVERTER and step.fault in kinds}
+    struck = {step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault in kinds}
     return {instance.uid for instance in built.instances if instance.index in struck}
 
 
@@ -91,7 +91,7 @@
     before = figures.service(run.orders, figures.between(1.0, fault.at_s))
     during = figures.service(run.orders, figures.between(fault.at_s, fault.at_s + fault.down_s))
     after = figures.service(run.orders, figures.between(fault.at_s + fault.down_s + 2.0, run.world.duration_s))
-    told = sum(notice.state == "leaving" for notice in run.history.told)
+    told = sum(notice.state == "leaving" for notice in run.history.notices)
     return [
         Claim("forwarders that followed a plan", _files_with(run, "following plans"), "==", run.world.sidecars.count),
         Claim("service lost while all planners are away (points)", 100 * (before - during), "<=", 2.0),
@@ -159,7 +159,7 @@
 def _empty_claims(run: Run) -> list[Claim]:
     kill = _fault(run, "planner-kill")
     begin_s, end_s = kill.at_s + kill.down_s + 1.0, run.world.duration_s
-    hung, whole = figures.attempts_between(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
+    hung, whole = figures.attempts_between(run.history.converter_attempts, struck_uids(run, ("hang",)), begin_s, end_s)
     refused = _files_with(run, "is refused: too few forwarders reported")
     taken = len(
         {
@@ -182,7 +182,14 @@
 
 def longest_gap_s(run: Run, uid: str, since_s: float) -> float:
     """Between two attempts at a converter, from a moment of the run to the end of its arrivals."""
-    times = [since_s, *(a.last_us / 1e6 for a in run.history.attempts if a.uid == uid and a.last_us > since_s * 1e6)]
+    times = [
+        since_s,
+        *(
+            a.received_us / 1e6
+            for a in run.history.converter_attempts
+            if a.uid == uid and a.received_us > since_s * 1e6
+        ),
+    ]
     times.append(max(times[-1], run.world.duration_s))
     return max(late - early for early, late in itertools.pairwise(times))
 
@@ -219,7 +226,7 @@
 def _restart_claims(run: Run) -> list[Claim]:
     kill = _fault(run, "planner-kill")
     begin_s, end_s = kill.at_s + kill.down_s, run.world.duration_s - 1.0
-    hung, whole = figures.attempts_between(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
+    hung, whole = figures.attempts_between(run.history.converter_attempts, struck_uids(run, ("hang",)), begin_s, end_s)
     return [
         Claim("time to sound plans after the restart (s)", sound_again_s(run), "<=", 2.0),
         Claim("share of attempts to hung converters from the restart on", hung / max(1, whole), "<=", 0.02),
@@ -233,11 +240,11 @@
 def avoided_after_s(run: Run, kind: str) -> float:
     """Seconds from a fault until 95% of the forwarders avoid the converters struck; its length where they never do."""
     fault, uids = _fault(run, kind), struck_uids(run, (kind,))
-    sidecar_of = {item.ident: item.sidecar for item in run.history.tries}
+    sidecar_of = {item.request_id: item.sidecar for item in run.history.client_attempts}
     times: dict[int, list[float]] = {index: [] for index in range(run.world.sidecars.count)}
-    for attempt in run.history.attempts:
-        if attempt.uid in uids and attempt.ident in sidecar_of:
-            times[sidecar_of[attempt.ident]].append(attempt.last_us / 1e6 - fault.at_s)
+    for attempt in run.history.converter_attempts:
+        if attempt.uid in uids and attempt.request_id in sidecar_of:
+            times[sidecar_of[attempt.request_id]].append(attempt.received_us / 1e6 - fault.at_s)
     at_s = 0.0
     while at_s + AVOID_WINDOW_S <= fault.for_s:
         avoiding = sum(sum(at_s <= t < at_s + AVOID_WINDOW_S for t in seen) <= AVOID_MOST for seen in times.values())
@@ -255,7 +262,9 @@
     for name, one in (("with", run), ("without", run.other)):
         result[f"avoided_after_s_{name}"] = avoided_after_s(one, kind)
         result[f"service_in_the_{kind}_{name}"] = figures.service(one.orders, figures.between(fault.at_s, end_s))
-        struck, _ = figures.attempts_between(one.history.attempts, struck_uids(one, (kind,)), fault.at_s, end_s)
+        struck, _ = figures.attempts_between(
+            one.history.converter_attempts, struck_uids(one, (kind,)), fault.at_s, end_s
+        )
         result[f"attempts_to_struck_{name}"] = struck
     return result
 
--- a/ryepier/experiments/scale/lightweight.py
+++ b/ryepier/experiments/scale/lightweight.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ryepier.emulator.rig import PAGE_KIB, TICKS_PER_S, RigError
+from ryepier.emulator.harness import PAGE_KIB, TICKS_PER_S, HarnessError
 from ryepier.experiments.scale.usage import Usage as Usage
 from ryepier.experiments.scale.usage import own_usage as own_usage
 
@@ -30,7 +30,7 @@
 MEMINFO = "/proc/meminfo"
 
 
-class InsufficientResourcesError(RigError):
+class InsufficientResourcesError(HarnessError):
     """The machine can't spare what a test needs, or the test asks for more than any may; nothing was started."""
 
 
@@ -100,15 +100,15 @@
         return self.process.pid
 
     async def hear(self) -> Any:
-        """The next object that it prints. Raises RigError where it ended or says nothing in time."""
+        """The next object that it prints. Raises HarnessError where it ended or says nothing in time."""
         assert self.process.stdout is not None
         try:
             async with asyncio.timeout(ANSWERS_WITHIN_S):
                 line = await self.process.stdout.readline()
         except TimeoutError:
-            raise RigError("a hollow process says nothing") from None
+            raise HarnessError("a hollow process says nothing") from None
         if not line:
-            raise RigError("a hollow process has ended")
+            raise HarnessError("a hollow process has ended")
         return json.loads(line)
 
     async def ask(self, what: str, **more: Any) -> Any:
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -29,8 +29,8 @@
 from ryepier.balancer import interface as api
 from ryepier.balancer.balancer import Balancer
 from ryepier.emulator import draws, files
+from ryepier.emulator.harness import SIDECAR, HarnessError, find_network
 from ryepier.emulator.process import CONVERTER_PORT, DISCOVERY_PORT, SIDECAR_PORT, monotonic_us
-from ryepier.emulator.rig import SIDECAR, RigError, find_network
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Measured, Scale
@@ -224,7 +224,7 @@
 
     @asynccontextmanager
     async def sidecar(self, known: int, command: Sequence[str]) -> AsyncIterator[Sidecar]:
-        """One that is up. Raises RigError where it does not come up."""
+        """One that is up. Raises HarnessError where it does not come up."""
         listen = f"127.{self.network}.253.{KNOWN.index(known) + 1}", SIDECAR_PORT
         config = self.folder / f"sidecar-{known}.json"
         config.write_text(settings_of(self.seed, known, listen, self.agent(known), self.converters))
@@ -322,7 +322,7 @@
     ends = loop.time() + ENDS_WITHIN_S
     while any(sidecar.process.poll() is None for sidecar in sidecars):
         if loop.time() > ends:
-            raise RigError("a sidecar under a profile does not end")
+            raise HarnessError("a sidecar under a profile does not end")
         await asyncio.sleep(0.05)
     for sidecar in sidecars:
         for function, us in top_functions(play.folder / f"profile-{sidecar.known}", len(sidecar.target.took_us)):
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/scale_control.py
@@ -21,8 +21,8 @@
 
 import msgspec
 
+from ryepier.emulator.harness import find_network
 from ryepier.emulator.process import PLANNER_PORT
-from ryepier.emulator.rig import find_network
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.experiments.planners.planner_scale import until_up
@@ -174,7 +174,7 @@
 
 @asynccontextmanager
 async def planner_process(folder: Path, fleet: int, plant: str) -> AsyncIterator[PlannerProcess]:
-    """One planner, up. Raises RigError where it does not come up."""
+    """One planner, up. Raises HarnessError where it does not come up."""
     address = f"127.{find_network()}.254.1", PLANNER_PORT
     config, gauge = folder / f"planner-{fleet}.toml", folder / f"planner-{fleet}.gauge"
     config.write_text(f'[trust]\nfleet = {fleet}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
--- a/ryepier/experiments/scale/scale_fail.py
+++ b/ryepier/experiments/scale/scale_fail.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
+from ryepier.emulator.harness import HarnessError, find_network
 from ryepier.emulator.process import monotonic_us
-from ryepier.emulator.rig import RigError, find_network
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
@@ -65,10 +65,10 @@
         return list(await asyncio.gather(*(child.ask(what, **more) for child in self.children)))
 
     async def settled(self) -> list[Any]:
-        """Once all have the list as it is. Raises RigError where they do not."""
+        """Once all have the list as it is. Raises HarnessError where they do not."""
         said = await self.ask("until", version=self.desk.listing.registry.rev, within_s=TOLD_WITHIN_S)
         if (have := sum(one["have"] for one in said)) < self.count:
-            raise RigError(f"{have} of {self.count} hollow sidecars have the list")
+            raise HarnessError(f"{have} of {self.count} hollow sidecars have the list")
         return said
 
     async def grow(self, count: int) -> None:
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/scale_list.py
@@ -18,8 +18,8 @@
 
 import numpy as np
 
+from ryepier.emulator.harness import HarnessError, find_network
 from ryepier.emulator.process import monotonic_us
-from ryepier.emulator.rig import RigError, find_network
 from ryepier.experiments.core.contract import Claim, Measured, Scale
 from ryepier.experiments.scale import lightweight, list_parts, slopes, usage
 from ryepier.experiments.scale.fleet_list import Desk, Listing
@@ -61,10 +61,10 @@
     child: Child
 
     async def settled(self, version: int) -> Any:
-        """Once all have it. Raises RigError where they do not: then nothing else would mean anything."""
+        """Once all have it. Raises HarnessError where they do not: then nothing else would mean anything."""
         said = await self.child.ask("until", version=version, within_s=TOLD_WITHIN_S)
         if said["have"] < self.count:
-            raise RigError(f"{said['have']} of {self.count} hollow sidecars have the list")
+            raise HarnessError(f"{said['have']} of {self.count} hollow sidecars have the list")
         return said
 
     async def cost(self, version: int, before: Any, bytes_before: int) -> tuple[float, float]:
@@ -110,7 +110,7 @@
     cpu_s, data = await one.cost(one.desk.listing.registry.rev, before, wrote)
     after = await one.child.ask("memory")
     if after["known"] != one.count * one.known:
-        raise RigError(f"{after['known']} converters known, not {one.count * one.known}")
+        raise HarnessError(f"{after['known']} converters known, not {one.count * one.known}")
     return {
         "list_bytes": data,
         "start_cpu_ms": cpu_s * 1000,
@@ -275,7 +275,7 @@
                     )
                 )
                 if sum(one["have"] for one in said) < count:
-                    raise RigError(f"{count} hollow sidecars did not come up")
+                    raise HarnessError(f"{count} hollow sidecars did not come up")
                 rows[count] = await outage(count, desk, children)
     finally:
         desk.close()
--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 
 from ryepier.emulator import timeline
-from ryepier.emulator.records import NEVER, Attempt, History, Try
-from ryepier.emulator.timeline import Step, Verb, Who
+from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, History
+from ryepier.emulator.timeline import FaultAction, Step, TargetKind
 from ryepier.emulator.world import World
 
 STATES = ("not sent", "arriving", "queued", "running", "run", "between", "late")
@@ -61,43 +61,53 @@
 
 def strike_of(step: Step) -> str:
     """What a step is called in the table."""
-    if step.verb is Verb.TELL:
+    if step.action is FaultAction.NOTIFY:
         return f"told {step.state}"
     return (
         step.fault
-        if step.verb in (Verb.BEGIN, Verb.STALL, Verb.KILL, Verb.DRIFT, Verb.JUMP, Verb.DOWN, Verb.SILENCE, Verb.BREAK)
-        else f"{step.fault}: {step.verb.value}"
+        if step.action
+        in (
+            FaultAction.BEGIN,
+            FaultAction.SUSPEND,
+            FaultAction.KILL,
+            FaultAction.SET_CLOCK_RATE,
+            FaultAction.SET_CALENDAR,
+            FaultAction.DOWN,
+            FaultAction.MUTE,
+            FaultAction.BREAK_WATCHES,
+        )
+        else f"{step.fault}: {step.action.value}"
     )
 
 
-def state_at(item: Try, attempts: list[Attempt], at_us: int) -> tuple[str, str]:
+def state_at(item: ClientAttempt, attempts: list[ConverterAttempt], at_us: int) -> tuple[str, str]:
     """The state of a request, and the converter that has to do with it (empty: none)."""
-    begun = [one for one in attempts if one.first_us <= at_us]
+    begun = [one for one in attempts if one.first_byte_us <= at_us]
     if at_us >= item.ended_us:
         still = [one for one in begun if one.ended_us == NEVER or one.ended_us > at_us]
         return ("late", still[-1].uid) if still else ("", "")
     if not begun:
         return "not sent", ""
     last = begun[-1]
-    if at_us < last.last_us:
+    if at_us < last.received_us:
         return "arriving", last.uid
     over = last.ended_us != NEVER and last.ended_us <= at_us
     if over and last.status != 200:
         return "between", ""
-    if over or (last.run_ended_us != NEVER and last.run_ended_us <= at_us):
+    if over or (last.finished_us != NEVER and last.finished_us <= at_us):
         return "run", last.uid
-    if last.run_us != NEVER and last.run_us <= at_us:
+    if last.started_us != NEVER and last.started_us <= at_us:
         return "running", last.uid
     return "queued", last.uid
 
 
-def meets(step: Step, uid: str, item: Try, state: str, at: str) -> bool:
+def meets(step: Step, uid: str, item: ClientAttempt, state: str, at: str) -> bool:
     """Whether a step has to do with a request; `uid` is the converter that it strikes."""
-    if step.who is Who.CONVERTER:
+    if step.target is TargetKind.CONVERTER:
         return at == uid or state in ("not sent", "between")
-    if step.who is Who.PLANNER:
+    if step.target is TargetKind.PLANNER:
         return True
-    if step.verb is Verb.TELL and at and at != step.uid:
+    if step.action is FaultAction.NOTIFY and at and at != step.uid:
         return False
     return item.sidecar == step.index
 
@@ -106,17 +116,17 @@
     """The meetings of one run."""
     built = timeline.build(world, seed)
     uids = {instance.index: instance.uid for instance in built.instances}
-    by_ident: dict[str, list[Attempt]] = defaultdict(list)
-    for attempt in history.attempts:
-        by_ident[attempt.ident].append(attempt)
-    sent = [item.sent_us for item in history.tries]
+    by_ident: dict[str, list[ConverterAttempt]] = defaultdict(list)
+    for attempt in history.converter_attempts:
+        by_ident[attempt.request_id].append(attempt)
+    sent = [item.sent_us for item in history.client_attempts]
     longest_us = int(2000 * max(kind.deadline_ms for kind in world.classes))
     found = Coverage()
     for step in built.steps:
         strike = strike_of(step)
         first = bisect.bisect_left(sent, step.at_us - longest_us)
-        for item in history.tries[first : bisect.bisect_right(sent, step.at_us)]:
-            state, at = state_at(item, by_ident.get(item.ident, []), step.at_us)
+        for item in history.client_attempts[first : bisect.bisect_right(sent, step.at_us)]:
+            state, at = state_at(item, by_ident.get(item.request_id, []), step.at_us)
             if state and meets(step, uids.get(step.index, ""), item, state, at):
                 found.cells[strike, state] += 1
     return found
--- a/ryepier/experiments/simulation/fidelity.py
+++ b/ryepier/experiments/simulation/fidelity.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ryepier.emulator import rig, simulated
+from ryepier.emulator import harness, simulated
 from ryepier.emulator.records import History
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments import seeded_faults
@@ -30,14 +30,14 @@
 
 def seen(world: World, history: History) -> dict[str, float]:
     """What is compared of a run."""
-    orders = figures.orders(world, history.tries)
+    orders = figures.orders(world, history.client_attempts)
     latencies = figures.histogram(orders)
     return {
         "service": figures.service(orders),
         "p50_ms": latencies.get_value_at_percentile(50) / 1000,
         "p99_ms": latencies.get_value_at_percentile(99) / 1000,
-        "attempts_per_try": len(history.attempts) / max(1, len(history.tries)),
-        "tries": len(history.tries),
+        "attempts_per_try": len(history.converter_attempts) / max(1, len(history.client_attempts)),
+        "tries": len(history.client_attempts),
         "breaches": len(judge.judge(world, history)),
     }
 
@@ -53,7 +53,7 @@
     claims = []
     for name in ALIKE:
         world = load(name)
-        real = seen(world, rig.play(world, seed, folder / name))
+        real = seen(world, harness.play(world, seed, folder / name))
         if plant:
             seeded_faults.SEEDED_FAULTS[plant]()
         virtual = seen(world, simulated.play(world, seed))
--- a/ryepier/experiments/simulation/hunt.py
+++ b/ryepier/experiments/simulation/hunt.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from ryepier.emulator import draws, simulated
-from ryepier.emulator.records import History, Try
+from ryepier.emulator.records import ClientAttempt, History
 from ryepier.emulator.world import (
     Clients,
     Converters,
@@ -38,21 +38,27 @@
 
 LENGTH_S = 5.0
 CLASSES = [
-    RequestClass(name="look", share=0.4, work_ms=(5.0, 15.0), aim_ms=150.0, deadline_ms=700.0, late_worth=0.5),
+    RequestClass(name="look", share=0.4, work_ms=(5.0, 15.0), objective_ms=150.0, deadline_ms=700.0, late_weight=0.5),
     RequestClass(
-        name="pay", share=0.35, work_ms=(5.0, 25.0), aim_ms=150.0, deadline_ms=800.0, worth=3.0, effect="at_most_once"
+        name="pay",
+        share=0.35,
+        work_ms=(5.0, 25.0),
+        objective_ms=150.0,
+        deadline_ms=800.0,
+        priority_weight=3.0,
+        effect="at_most_once",
     ),
     RequestClass(
         name="mark",
         share=0.25,
         work_ms=(10.0, 40.0),
-        aim_ms=200.0,
+        objective_ms=200.0,
         deadline_ms=900.0,
-        worth=5.0,
-        late_worth=0.5,
+        priority_weight=5.0,
+        late_weight=0.5,
         effect="deduplicated",
         group="cell",
-        memory_ms=500.0,
+        idempotency_window_ms=500.0,
     ),
 ]
 # with how often each is drawn: what matters only together with another comes more often
@@ -139,7 +145,7 @@
         },
         Clients,
     )
-    warmth = Warmth(cold_share=float(random.uniform(0.1, 0.5)), warm_up_s=float(random.uniform(0.5, 4.0)))
+    warmth = Warmth(initial_capacity_share=float(random.uniform(0.1, 0.5)), warm_up_s=float(random.uniform(0.5, 4.0)))
     planners = Planners(count=int(random.choice([0, 1, 2], p=[0.75, 0.1, 0.15])), snapshots=False)
     sidecars = int(random.integers(2 if planners.count else 1, 4))
     kinds = {
@@ -176,7 +182,7 @@
             late_ms=(0.0, float(random.uniform(50, 900))),
             heartbeat_s=1.0,
             slice_size=int(random.integers(1, 6)) if slices else 0,
-            mess=float(random.choice([0.0, 0.5])) if slices else 0.0,
+            conflict_share=float(random.choice([0.0, 0.5])) if slices else 0.0,
             watch_s=5,
         ),
     )
@@ -279,24 +285,24 @@
 
 def story(history: History, ident: str) -> list[str]:
     """What became of one request, a line an event, by those who saw it."""
-    item: Try | None = next((one for one in history.tries if one.ident == ident), None)
+    item: ClientAttempt | None = next((one for one in history.client_attempts if one.request_id == ident), None)
     lines: list[tuple[int, str]] = []
     if item is not None:
         lines.append(
             (item.sent_us, f"client sends {ident} to sidecar {item.sidecar}, and waits {item.deadline_us // 1000} ms")
         )
-        lines.append((item.ended_us, f"client: {item.ending}" + (f", status {item.status}" if item.status else "")))
-    for attempt in history.attempts:
-        if attempt.ident == ident:
-            lines.append((attempt.first_us, f"{attempt.uid}: its first byte"))
-            lines.append((attempt.last_us, f"{attempt.uid}: whole"))
-            if attempt.run_us >= 0:
-                lines.append((attempt.run_us, f"{attempt.uid}: runs it"))
-            lines.append((attempt.ended_us, f"{attempt.uid}: {attempt.ending}"))
+        lines.append((item.ended_us, f"client: {item.outcome}" + (f", status {item.status}" if item.status else "")))
+    for attempt in history.converter_attempts:
+        if attempt.request_id == ident:
+            lines.append((attempt.first_byte_us, f"{attempt.uid}: its first byte"))
+            lines.append((attempt.received_us, f"{attempt.uid}: whole"))
+            if attempt.started_us >= 0:
+                lines.append((attempt.started_us, f"{attempt.uid}: runs it"))
+            lines.append((attempt.ended_us, f"{attempt.uid}: {attempt.outcome}"))
             if item is not None:
                 lines += [
                     (told.at_us, f"sidecar {told.sidecar} is told: {told.uid} {told.state}")
-                    for told in history.told
+                    for told in history.notices
                     if told.uid == attempt.uid and told.sidecar == item.sidecar and told.state != "active"
                 ]
     return [f"{at_us / 1e6:10.6f} s  {text}" for at_us, text in sorted(set(lines))]
--- a/ryepier/experiments/slices/slicing.py
+++ b/ryepier/experiments/slices/slicing.py
@@ -14,9 +14,9 @@
 
 from ryepier.emulator import timeline
 from ryepier.emulator.apiserver import SERVICE_LABEL, ApiServer, Object, Store
+from ryepier.emulator.harness import HarnessError
 from ryepier.emulator.process import monotonic_us
-from ryepier.emulator.rig import RigError
-from ryepier.emulator.timeline import Verb
+from ryepier.emulator.timeline import FaultAction
 from ryepier.emulator.world import Fault
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run, Scale
@@ -42,13 +42,15 @@
 def _drain_claims(run: Run) -> list[Claim]:
     fault = _fault(run, "release")
     steps = timeline.build(run.world, run.seed).steps
-    fresh = {step.uid for step in steps if step.verb is Verb.START}
+    fresh = {step.uid for step in steps if step.action is FaultAction.START}
     early = {
-        step.uid for step in steps if step.verb is Verb.START and step.at_us < (run.world.duration_s - WARM_BY_S) * 1e6
+        step.uid
+        for step in steps
+        if step.action is FaultAction.START and step.at_us < (run.world.duration_s - WARM_BY_S) * 1e6
     }
-    ended = {notice.uid for notice in run.history.told if notice.state == "leaving"}
-    told = {(notice.sidecar, notice.uid) for notice in run.history.told if notice.state == "leaving"}
-    reached = {attempt.uid for attempt in run.history.attempts} & early
+    ended = {notice.uid for notice in run.history.notices if notice.state == "leaving"}
+    told = {(notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == "leaving"}
+    reached = {attempt.uid for attempt in run.history.converter_attempts} & early
     during = figures.between(fault.at_s, fault.at_s + fault.for_s)
     return [
         Claim("converters seen terminating", len(ended), ">=", 200),
@@ -71,7 +73,7 @@
     fault = _fault(run, "discovery-down")
     back_us = (fault.at_s + fault.for_s) * 1e6
     first: dict[int, int] = {}
-    for notice in run.history.told:
+    for notice in run.history.notices:
         if notice.at_us >= back_us and notice.sidecar not in first:
             first[notice.sidecar] = notice.at_us
     if len(first) < run.world.sidecars.count:
@@ -104,10 +106,12 @@
 def _to_the_gone(run: Run, since_s: float) -> float:
     """Of the attempts that reached anything; one to an address where nobody listens is seen by nobody."""
     steps = timeline.build(run.world, run.seed).steps
-    drained = {step.uid: step.at_us for step in steps if step.verb is Verb.DRAIN}
-    came = [attempt for attempt in run.history.attempts if attempt.first_us > since_s * 1e6]
+    drained = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
+    came = [attempt for attempt in run.history.converter_attempts if attempt.first_byte_us > since_s * 1e6]
     late_us = run.world.discovery.late_ms[1] * 1000 + run.world.sidecars.drain_grace_ms * 1000
-    return sum(attempt.first_us > drained.get(attempt.uid, 1 << 60) + late_us for attempt in came) / max(1, len(came))
+    return sum(attempt.first_byte_us > drained.get(attempt.uid, 1 << 60) + late_us for attempt in came) / max(
+        1, len(came)
+    )
 
 
 # slices-churn: what a change costs as the list grows
@@ -186,7 +190,7 @@
         async with asyncio.timeout(UP_WITHIN_S):
             line = await child.stdout.readline()
         if not line:
-            raise RigError("the follower ended at its start")
+            raise HarnessError("the follower ended at its start")
         count = CHANGES[scale]
         begin = time.monotonic()
         for turn in range(count):
@@ -197,7 +201,7 @@
         child.stdin.write(b"stop\n")
         said = json.loads(await child.stdout.readline())
     except TimeoutError:
-        raise RigError("the follower had no list in time") from None
+        raise HarnessError("the follower had no list in time") from None
     finally:
         if child.returncode is None:
             child.kill()
@@ -206,7 +210,7 @@
     heard = {(host, state): at_us for host, state, at_us in said["heard"]}
     late_us = [heard[what] - at_us for what, at_us in world.changed_us.items() if what in heard]
     if not late_us:
-        raise RigError("the follower heard of nothing")
+        raise HarnessError("the follower heard of nothing")
     return {
         "told": len(late_us) / len(world.changed_us),
         "p50_ms": float(np.percentile(late_us, 50)) / 1000,
--- a/ryepier/experiments/storms/retry_storms.py
+++ b/ryepier/experiments/storms/retry_storms.py
@@ -8,7 +8,7 @@
 import msgspec
 import numpy as np
 
-from ryepier.emulator.records import Try
+from ryepier.emulator.records import ClientAttempt
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
@@ -65,17 +65,19 @@
     _, end_s = outage_s(run)
     until_s = end_s + max(2.0, back_after_s(run))
     chosen = [
-        item for item in run.history.tries if (item.number > 0) is later and end_s * 1e6 <= item.sent_us < until_s * 1e6
+        item
+        for item in run.history.client_attempts
+        if (item.number > 0) is later and end_s * 1e6 <= item.sent_us < until_s * 1e6
     ]
-    return sum(item.ending == "refused" for item in chosen) / max(1, len(chosen))
+    return sum(item.outcome == "refused" for item in chosen) / max(1, len(chosen))
 
 
 def advice_alike(run: Run) -> float:
     """Of refusals that went by one word of the guard, the greatest share told to stay away equally long; the mean over
     the run. 1 is a herd."""
-    groups: dict[tuple[int, int, int], list[Try]] = {}
-    for item in run.history.tries:
-        if item.ending == "refused" and item.retry_after_us:
+    groups: dict[tuple[int, int, int], list[ClientAttempt]] = {}
+    for item in run.history.client_attempts:
+        if item.outcome == "refused" and item.retry_after_us:
             groups.setdefault((item.sidecar, item.ended_us // TICK_US, min(item.number, 1)), []).append(item)
     shares = [
         max(Counter(item.retry_after_us // BIN_US for item in group).values()) / len(group)
@@ -102,7 +104,7 @@
         result[f"refused_first_{name}"] = refused_share(one, later=False)
         result[f"refused_later_{name}"] = refused_share(one, later=True)
         result[f"service_{name}"] = figures.service(one.orders)
-        result[f"tries_{name}"] = len(one.history.tries)
+        result[f"tries_{name}"] = len(one.history.client_attempts)
         _, end_s = outage_s(one)
         result[f"service_after_{name}"] = figures.service(one.orders, figures.between(end_s, one.world.duration_s))
     result["recovery_ratio"] = max(WINDOW_S / 2, result["back_after_s_with"]) / max(
@@ -206,7 +208,7 @@
 def _one_claims(run: Run) -> list[Claim]:
     assert run.other is not None
 
-    def others(item: Try) -> bool:
+    def others(item: ClientAttempt) -> bool:
         return item.sidecar != STRUCK
 
     lost = figures.service(run.other.orders, others) - figures.service(run.orders, others)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -64,7 +64,9 @@
 
 def test_a_report_holds_the_claims_and_needs_nothing_from_elsewhere(tmp_path: Path) -> None:
     made = GOOD["served"]()
-    history = History(made.tries, made.attempts, [], made.lives, [], [], [Lateness("clients", 1, 1, 1, 1)])
+    history = History(
+        made.client_attempts, made.converter_attempts, [], made.incarnations, [], [], [Lateness("clients", 1, 1, 1, 1)]
+    )
     run = contract.Run(WORLD, 1, history, [], [], tmp_path)
     claim = {"name": "service", "value": 0.5, "op": ">=", "bound": 0.9, "holds": False}
     contract.save(tmp_path, run, contract.Result("hand", 1, "small", [claim], {}, {}))
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -13,9 +13,9 @@
 import pytest
 
 from ryepier.emulator import clients, timeline
-from ryepier.emulator.process import HELD_US, Clock, LatenessMeter, Plan, monotonic_us
-from ryepier.emulator.records import NEVER, Life, Try
-from ryepier.emulator.rig import note_held, waited_for_core_us
+from ryepier.emulator.harness import record_cpu_wait, waited_for_core_us
+from ryepier.emulator.process import CPU_WAIT_THRESHOLD_US, Clock, LatenessMeter, Plan, monotonic_us
+from ryepier.emulator.records import NEVER, ClientAttempt, Incarnation
 from ryepier.experiments.core.worlds import load
 from tests.network_peers import OK, Upstream, answering, run, until
 
@@ -31,9 +31,9 @@
     return clients.Host(plan, clock, timeline.build(world, 1))
 
 
-def a_try(sent_us: int = NEVER) -> Try:
+def a_try(sent_us: int = NEVER) -> ClientAttempt:
     """A first request of the class that must not run twice."""
-    return Try(0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, sent_us, int(DEADLINE_S * 1e6), NEVER, "timeout")
+    return ClientAttempt(0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, sent_us, int(DEADLINE_S * 1e6), NEVER, "timeout")
 
 
 def test_a_request_that_was_sent_is_not_called_unreachable_though_its_time_ran_out_as_it_connected(
@@ -54,7 +54,7 @@
         host.send(item)
         await until(lambda: item.ended_us != NEVER)
         await asyncio.sleep(0.1)  # what was written has come
-        assert len(upstream.requests) == 1 and item.ending == "served"
+        assert len(upstream.requests) == 1 and item.outcome == "served"
         upstream.stop()
 
     run(test)
@@ -68,7 +68,7 @@
             item = a_try()
             host.send(item)
             await until(lambda: item.ended_us != NEVER)
-        assert item.ending == "unreachable"
+        assert item.outcome == "unreachable"
 
     run(test)
 
@@ -83,18 +83,18 @@
         time.sleep(0.3)
         await asyncio.sleep(0.05)
         ticking.cancel()
-        begun_us, ended_us = meter.result("clients 0").held[0]
+        begun_us, ended_us = meter.result("clients 0").stalls[0]
         assert begun_us < 50_000 and ended_us > 290_000
 
     run(test)
 
 
 def test_the_rig_notes_when_a_sidecar_waited_for_a_core_for_long() -> None:
-    life = Life(0, 0, 0)
-    note_held(life, HELD_US - 1, 1_000_000)
-    assert life.held == []
-    note_held(life, 2 * HELD_US, 2_000_000)
-    assert life.held == [(2_000_000 - 2 * HELD_US, 2_000_000)]
+    life = Incarnation(0, 0, 0)
+    record_cpu_wait(life, CPU_WAIT_THRESHOLD_US - 1, 1_000_000)
+    assert life.cpu_waits == []
+    record_cpu_wait(life, 2 * CPU_WAIT_THRESHOLD_US, 2_000_000)
+    assert life.cpu_waits == [(2_000_000 - 2 * CPU_WAIT_THRESHOLD_US, 2_000_000)]
 
 
 def test_a_process_that_has_ended_waits_for_nothing() -> None:
--- a/tests/test_emulated_machine.py
+++ b/tests/test_emulated_machine.py
@@ -10,13 +10,13 @@
 from ryepier.emulator.machine import Action, Began, Converter, Done, FellOver, PodMemory, TurnedAway, Work
 from ryepier.emulator.world import Converters, Reports, Warmth
 
-WARMTH = Warmth(cold_share=0.25, warm_up_s=4.0, overload_factor=2.0, fall_s=1.0)
+WARMTH = Warmth(initial_capacity_share=0.25, warm_up_s=4.0, overload_factor=2.0, overload_window_s=1.0)
 
 
 def converter(
-    memory: PodMemory | None = None, started_us: int | None = None, cores: int = 1, waiting_room: int = 2
+    memory: PodMemory | None = None, started_us: int | None = None, cores: int = 1, queue_limit: int = 2
 ) -> Converter:
-    group = Converters(count=1, cores=cores, waiting_room=waiting_room)
+    group = Converters(count=1, cores=cores, queue_limit=queue_limit)
     return Converter(
         Machine(0, group, 1.0, 1),
         WARMTH,
@@ -36,7 +36,7 @@
 
 
 def test_it_runs_what_its_cores_hold_keeps_what_its_room_holds_and_turns_away_the_rest() -> None:
-    one = converter(cores=1, waiting_room=2)
+    one = converter(cores=1, queue_limit=2)
     got = [one.arrived(0, Work(token, "", 1000)) for token in range(4)]
     assert got == [[Began(0)], [], [], [TurnedAway(3)]]
     assert one.advance(999) == [] and one.advance(1000) == [Done(0, True), Began(1)]
@@ -70,7 +70,7 @@
 
 
 def test_a_cold_one_is_slower_and_falls_over_when_pushed_but_a_warm_one_does_not() -> None:
-    cold, warm = converter(started_us=0, waiting_room=99), converter(waiting_room=99)
+    cold, warm = converter(started_us=0, queue_limit=99), converter(queue_limit=99)
     cold.arrived(0, Work(0, "", 1000))
     assert cold.next_us == 4000  # at a quarter of its capacity
     fell = [FellOver() in cold.arrived(1, Work(token, "", 100_000)) for token in range(1, 8)]
@@ -103,7 +103,7 @@
     arrivals: list[tuple[int, str, int]], cores: int, room: int
 ) -> None:
     memory, now_us, actions = PodMemory(), 0, list[Action]()
-    pod = [converter(memory, cores=cores, waiting_room=room) for _ in range(2)]
+    pod = [converter(memory, cores=cores, queue_limit=room) for _ in range(2)]
     span_us = 10**9
     for token, (gap_us, key, work_us) in enumerate(arrivals):
         now_us += gap_us
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,27 +14,29 @@
 
 from ryepier.emulator import clients, converters, discovery, draws, timeline
 from ryepier.emulator.clients import may_retry
+from ryepier.emulator.harness import HarnessError, RoleAssignment, find_network, play
 from ryepier.emulator.process import Clock, Plan, monotonic_us
-from ryepier.emulator.records import NEVER, Attempt, Try
-from ryepier.emulator.rig import Cast, RigError, find_network, play
-from ryepier.emulator.timeline import Step, Verb, Who
+from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt
+from ryepier.emulator.timeline import FaultAction, Step, TargetKind
 from ryepier.emulator.world import Clients, Converters, Fault, RequestClass, Sidecars, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.judge import judge
 from tests.network_peers import PATIENCE_S, read_message
 
 CLASSES = [
-    RequestClass(name="read", share=0.4, work_ms=(2.0, 4.0), aim_ms=200.0, deadline_ms=1500.0),
-    RequestClass(name="file", share=0.3, work_ms=(2.0, 4.0), aim_ms=200.0, deadline_ms=1500.0, effect="at_most_once"),
+    RequestClass(name="read", share=0.4, work_ms=(2.0, 4.0), objective_ms=200.0, deadline_ms=1500.0),
+    RequestClass(
+        name="file", share=0.3, work_ms=(2.0, 4.0), objective_ms=200.0, deadline_ms=1500.0, effect="at_most_once"
+    ),
     RequestClass(
         name="batch",
         share=0.3,
         work_ms=(2.0, 4.0),
-        aim_ms=200.0,
+        objective_ms=200.0,
         deadline_ms=1500.0,
         effect="deduplicated",
         group="cell",
-        memory_ms=600.0,
+        idempotency_window_ms=600.0,
     ),
 ]
 
@@ -43,7 +45,7 @@
     return World(
         name="test",
         duration_s=duration_s,
-        converters=[Converters(count=6, waiting_room=1, cores=1)],
+        converters=[Converters(count=6, queue_limit=1, cores=1)],
         classes=CLASSES,
         clients=msgspec.convert({"rate_per_s": 120.0} | clients, Clients),
         sidecars=Sidecars(count=sidecars),
@@ -54,7 +56,7 @@
 def test_a_try_that_was_sent_is_not_unreachable_though_its_dial_runs_out_of_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play() -> tuple[clients.Flight, Try]:
+    async def play() -> tuple[clients.Flight, ClientAttempt]:
         plan = Plan(a_world(), 1, find_network(), "clients")
         server = await asyncio.start_server(lambda reader, writer: None, *plan.sidecar_address(0))
         loop = asyncio.get_running_loop()
@@ -67,7 +69,7 @@
 
         monkeypatch.setattr(loop, "create_connection", connect_and_linger)
         host = clients.Host(plan, Clock(), timeline.build(plan.world, 1), simulated=True)
-        item = Try(0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, NEVER, 50_000, NEVER, "timeout")
+        item = ClientAttempt(0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, NEVER, 50_000, NEVER, "timeout")
         flight = clients.Flight(host, host.targets[0], item, closes=True)
         flight.start()
         await asyncio.sleep(0.1)
@@ -84,7 +86,9 @@
     plan = Plan(a_world(), 1, find_network(), "converters")
     plan = msgspec.structs.replace(
         plan,
-        world=msgspec.structs.replace(plan.world, rig=msgspec.structs.replace(plan.world.rig, converter_processes=1)),
+        world=msgspec.structs.replace(
+            plan.world, harness=msgspec.structs.replace(plan.world.harness, converter_processes=1)
+        ),
     )
     clock = Clock()
     clock.zero_us = monotonic_us()
@@ -135,12 +139,12 @@
     asyncio.run(limited())
 
 
-def attempts(server: converters.Server) -> list[Attempt]:
-    return server.host.records.attempts
+def attempts(server: converters.Server) -> list[ConverterAttempt]:
+    return server.host.records.converter_attempts
 
 
 def begin(server: converters.Server, kind: str, share: float = 1.0) -> None:
-    server.begin(Step(0, Who.CONVERTER, 0, Verb.BEGIN, kind, share=share))
+    server.begin(Step(0, TargetKind.CONVERTER, 0, FaultAction.BEGIN, kind, share=share))
 
 
 def test_a_converter_answers_by_the_protocols_table() -> None:
@@ -157,7 +161,7 @@
             server.machine.draining = True
             assert await ask(server, message("drains")) == "503 not run"
             assert [answer.split()[0] for answer in await asyncio.gather(*busy)] == ["200", "200"]
-            seen = {a.ident: (a.ending, a.status, a.not_run, a.run_us >= 0) for a in attempts(server)}
+            seen = {a.request_id: (a.outcome, a.status, a.not_run, a.started_us >= 0) for a in attempts(server)}
         assert seen["7"] == seen["b0"] == ("answered", 200, False, True)
         assert seen["full"] == seen["drains"] == ("answered", 503, True, False)
         assert len(seen) == 5
@@ -181,9 +185,9 @@
         async with one_converter() as server:
             begin(server, fault)
             assert await ask(server, message("1"), wait_s=0.3) == outcome
-            found = [a for a in attempts(server) if a.ident == "1"]
-            assert [a.run_us >= 0 for a in found] == ([ran] if counted else [])
-            await server.end(Step(0, Who.CONVERTER, 0, Verb.END, fault))
+            found = [a for a in attempts(server) if a.request_id == "1"]
+            assert [a.started_us >= 0 for a in found] == ([ran] if counted else [])
+            await server.end(Step(0, TargetKind.CONVERTER, 0, FaultAction.END, fault))
             assert (await ask(server, message("2"))).startswith("200")
 
     run(test)
@@ -211,7 +215,7 @@
             assert await ask(server, message("1", work_us=100_000), wait_s=0.03) == "nothing"
             await asyncio.sleep(0.2)
             [attempt] = attempts(server)
-            assert attempt.ending == "closed" and attempt.ended_us < attempt.run_ended_us
+            assert attempt.outcome == "closed" and attempt.ended_us < attempt.finished_us
 
     run(test)
 
@@ -228,7 +232,7 @@
 
 
 def test_a_seed_gives_the_same_run_and_a_further_fault_leaves_the_arrivals_as_they_were() -> None:
-    plain, faulty = a_world(), a_world(Fault(kind="hang", at_s=1.0, for_s=0.5, part=0.2))
+    plain, faulty = a_world(), a_world(Fault(kind="hang", at_s=1.0, for_s=0.5, target_share=0.2))
     one, other = draws.arrivals(plain, 5), draws.arrivals(faulty, 5)
     assert (one.at_us == other.at_us).all() and (one.work_us == other.work_us).all()
     assert timeline.build(faulty, 5) == timeline.build(faulty, 5)
@@ -265,25 +269,25 @@
 
 def test_a_small_world_with_its_faults_keeps_all_rules(tmp_path: Path) -> None:
     world = a_world(
-        Fault(kind="release", at_s=0.2, for_s=1.0, part=0.3, drain_s=0.8, down_s=0.1),
+        Fault(kind="release", at_s=0.2, for_s=1.0, target_share=0.3, drain_s=0.8, down_s=0.1),
         Fault(kind="sidecar-kill", at_s=1.0, down_s=0.2, index=1),
         Fault(kind="watch-break", at_s=0.6),
-        Fault(kind="reset-after", at_s=0.3, for_s=0.6, part=0.2, share=0.5),
+        Fault(kind="reset-after", at_s=0.3, for_s=0.6, target_share=0.2, share=0.5),
         Fault(kind="slow", at_s=1.2, for_s=0.4, factor=40.0),
         leaves=0.5,
         closes_after=0.1,
     )
     history = play(world, 3, tmp_path)
     assert judge(world, history) == []
-    assert sum(life.killed for life in history.lives) == 1 and len(history.lives) == 3
-    assert {"served", "left"} <= {item.ending for item in history.tries}
-    assert figures.service(figures.orders(world, history.tries), figures.between(0.0, 0.9)) > 0.8
-    texts = [happening.text for happening in history.happenings]
+    assert sum(life.killed for life in history.incarnations) == 1 and len(history.incarnations) == 3
+    assert {"served", "left"} <= {item.outcome for item in history.client_attempts}
+    assert figures.service(figures.orders(world, history.client_attempts), figures.between(0.0, 0.9)) > 0.8
+    texts = [happening.text for happening in history.events]
     assert "c-0006: release start" in texts and "sidecar 1: kill" in texts
     config = json.loads((tmp_path / "sidecar-0.json").read_text())
     assert config["settings"]["request-classes"][1]["effect"] == "at_most_once"
 
 
 def test_a_sidecar_that_does_not_come_up_is_an_error_and_nothing_is_left_running(tmp_path: Path) -> None:
-    with pytest.raises(RigError, match="sidecar 0 ended at its start"):
-        play(a_world(sidecars=1), 1, tmp_path, Cast(sidecar_command=["false"]))
+    with pytest.raises(HarnessError, match="sidecar 0 ended at its start"):
+        play(a_world(sidecars=1), 1, tmp_path, RoleAssignment(sidecar_command=["false"]))
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ryepier.emulator.records import Attempt, History, Lateness, Life, Told, Try
+from ryepier.emulator.records import ClientAttempt, ConverterAttempt, EndpointNotice, History, Incarnation, Lateness
 from ryepier.emulator.world import Clients, Converters, RequestClass, Sidecars, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.judge import RULES, judge
@@ -17,26 +17,26 @@
     duration_s=10.0,
     converters=[Converters(count=4, pod_size=2)],
     classes=[
-        RequestClass(name="read", share=0.4, work_ms=(1.0, 1.0), aim_ms=100.0, deadline_ms=1000.0),
+        RequestClass(name="read", share=0.4, work_ms=(1.0, 1.0), objective_ms=100.0, deadline_ms=1000.0),
         RequestClass(
             name="file",
             share=0.3,
             work_ms=(1.0, 1.0),
-            aim_ms=100.0,
+            objective_ms=100.0,
             deadline_ms=1000.0,
-            worth=3.0,
-            late_worth=0.5,
+            priority_weight=3.0,
+            late_weight=0.5,
             effect="at_most_once",
         ),
         RequestClass(
             name="batch",
             share=0.3,
             work_ms=(1.0, 1.0),
-            aim_ms=100.0,
+            objective_ms=100.0,
             deadline_ms=1000.0,
             effect="deduplicated",
             group="cell",
-            memory_ms=300.0,
+            idempotency_window_ms=300.0,
         ),
     ],
     clients=Clients(rate_per_s=10.0),
@@ -48,18 +48,18 @@
 
 def a_try(
     kind: int = FILE, ident: str = "r-0", sent_ms: int = 0, ended_ms: int = 30, ending: Any = "served", **more: Any
-) -> Try:
+) -> ClientAttempt:
     values: dict[str, Any] = {
-        "first": 1,
+        "arrival": 1,
         "number": 0,
         "sidecar": 0,
-        "answer_for": ident,
-        "answer_by": "c1",
+        "response_request_id": ident,
+        "responder_uid": "c1",
         "status": 200 if ending == "served" else 503,
     }
     values |= more
-    return Try(
-        ident=ident,
+    return ClientAttempt(
+        request_id=ident,
         key="k" if kind == BATCH else "",
         request_class=kind,
         tenant=0,
@@ -68,7 +68,7 @@
         sent_us=sent_ms * MS,
         deadline_us=1000 * MS,
         ended_us=ended_ms * MS,
-        ending=ending,
+        outcome=ending,
         **values,
     )
 
@@ -83,8 +83,8 @@
     status: int = 200,
     not_run: bool = False,
     pod: int = 1,
-) -> Attempt:
-    return Attempt(
+) -> ConverterAttempt:
+    return ConverterAttempt(
         ident,
         "",
         uid,
@@ -101,32 +101,32 @@
     )
 
 
-def turned_away(**more: Any) -> Attempt:
+def turned_away(**more: Any) -> ConverterAttempt:
     return an_attempt(**({"ran": False, "status": 503, "not_run": True} | more))
 
 
-def a_history(tries: list[Try], attempts: list[Attempt], **more: Any) -> History:
+def a_history(tries: list[ClientAttempt], attempts: list[ConverterAttempt], **more: Any) -> History:
     values: dict[str, Any] = {
-        "told": [],
-        "lives": [Life(0, -500 * MS, -400 * MS), Life(1, -500 * MS, -400 * MS)],
-        "happenings": [],
-        "fallen": [],
+        "notices": [],
+        "incarnations": [Incarnation(0, -500 * MS, -400 * MS), Incarnation(1, -500 * MS, -400 * MS)],
+        "events": [],
+        "overload_crashes": [],
         "lateness": [],
     }
-    return History(tries=tries, attempts=attempts, **(values | more))
+    return History(client_attempts=tries, converter_attempts=attempts, **(values | more))
 
 
 def a_lateness(role: str, held: tuple[int, int]) -> Lateness:
-    return Lateness(role, 1000, 100, 1000, held[1] - held[0], held=[held])
+    return Lateness(role, 1000, 100, 1000, held[1] - held[0], stalls=[held])
 
 
 def breached(history: History) -> set[str]:
     return {breach.rule for breach in judge(WORLD, history)}
 
 
-LEFT = [Told(0, "c1", "leaving", 1000 * MS)]
+LEFT = [EndpointNotice(0, "c1", "leaving", 1000 * MS)]
 
-STOOD = Life(0, -500 * MS, -400 * MS, stalls=[(500 * MS, 900 * MS)])
+STOOD = Incarnation(0, -500 * MS, -400 * MS, suspensions=[(500 * MS, 900 * MS)])
 
 GOOD: dict[str, Callable[[], History]] = {
     "served": lambda: a_history([a_try()], [an_attempt()]),
@@ -149,31 +149,31 @@
         [an_attempt(uid="c3", pod=2, ended_ms=100, ending="closed", status=0), an_attempt(at_ms=101, ended_ms=199)],
     ),
     "sent within the grace of a drain": lambda: a_history(
-        [a_try(sent_ms=1540, ended_ms=1570)], [an_attempt(at_ms=1549, ended_ms=1569)], told=LEFT
+        [a_try(sent_ms=1540, ended_ms=1570)], [an_attempt(at_ms=1549, ended_ms=1569)], notices=LEFT
     ),
     "the other sidecar has not been told yet": lambda: a_history(
-        [a_try(sent_ms=1900, ended_ms=1930, sidecar=1)], [an_attempt(at_ms=1901, ended_ms=1929)], told=LEFT
+        [a_try(sent_ms=1900, ended_ms=1930, sidecar=1)], [an_attempt(at_ms=1901, ended_ms=1929)], notices=LEFT
     ),
     "a new life of the sidecar has not been told yet": lambda: a_history(
         [a_try(sent_ms=3900, ended_ms=3930)],
         [an_attempt(at_ms=3901, ended_ms=3929)],
-        told=LEFT,
-        lives=[Life(0, 0, 1, 2000 * MS, True), Life(0, 3000 * MS, 3001 * MS)],
+        notices=LEFT,
+        incarnations=[Incarnation(0, 0, 1, 2000 * MS, True), Incarnation(0, 3000 * MS, 3001 * MS)],
     ),
     "lost with a killed sidecar": lambda: a_history(
         [a_try(ending="broken", ended_ms=30)],
         [an_attempt(ended_ms=31, ending="closed", status=0)],
-        lives=[Life(0, 0, 1, 29 * MS, True)],
+        incarnations=[Incarnation(0, 0, 1, 29 * MS, True)],
     ),
-    "its sidecar stood still": lambda: a_history([a_try(ending="timeout", ended_ms=1100)], [], lives=[STOOD]),
+    "its sidecar stood still": lambda: a_history([a_try(ending="timeout", ended_ms=1100)], [], incarnations=[STOOD]),
     "told while it stood still, and sent within the grace from then on": lambda: a_history(
         [a_try(sent_ms=3000, ended_ms=3030)],
         [an_attempt(at_ms=3001, ended_ms=3029)],
-        told=LEFT,
-        lives=[Life(0, -500 * MS, -400 * MS, stalls=[(900 * MS, 2600 * MS)])],
+        notices=LEFT,
+        incarnations=[Incarnation(0, -500 * MS, -400 * MS, suspensions=[(900 * MS, 2600 * MS)])],
     ),
     "the close of a kept connection crossed it, and nobody saw it": lambda: a_history(
-        [a_try(ending="broken", crossed=True)], []
+        [a_try(ending="broken", may_be_unread=True)], []
     ),
     "the client went away": lambda: a_history(
         [a_try(ending="left", ended_ms=30)], [an_attempt(ended_ms=31, ending="closed", status=0)]
@@ -187,7 +187,7 @@
         lambda: a_history(
             [a_try(ending="timeout", ended_ms=1100)],
             [],
-            lives=[Life(0, -500 * MS, -400 * MS, held=[(600 * MS, 1200 * MS)])],
+            incarnations=[Incarnation(0, -500 * MS, -400 * MS, cpu_waits=[(600 * MS, 1200 * MS)])],
         ),
     ),
     "answered in time, but its client held up": (
@@ -207,27 +207,27 @@
         lambda: a_history(
             [a_try(ending="timeout", ended_ms=1100)],
             [],
-            lives=[Life(0, -500 * MS, -400 * MS, held=[(1050 * MS, 1200 * MS)])],
+            incarnations=[Incarnation(0, -500 * MS, -400 * MS, cpu_waits=[(1050 * MS, 1200 * MS)])],
         ),
     ),
     "answered too late": ({"unanswered"}, lambda: a_history([a_try(ended_ms=1060)], [an_attempt(ended_ms=1059)])),
     "the connection ended": ({"broken"}, lambda: a_history([a_try(ending="broken")], [an_attempt()])),
     "never answered, long after its sidecar stood still": (
         {"unanswered"},
-        lambda: a_history([a_try(sent_ms=1000, ending="timeout", ended_ms=2100)], [], lives=[STOOD]),
+        lambda: a_history([a_try(sent_ms=1000, ending="timeout", ended_ms=2100)], [], incarnations=[STOOD]),
     ),
     "sent long after it stood still to one that drains": (
         {"drain"},
         lambda: a_history(
             [a_try(sent_ms=3000, ended_ms=3030)],
             [an_attempt(at_ms=3001, ended_ms=3029)],
-            told=LEFT,
-            lives=[Life(0, -500 * MS, -400 * MS, stalls=[(900 * MS, 2400 * MS)])],
+            notices=LEFT,
+            incarnations=[Incarnation(0, -500 * MS, -400 * MS, suspensions=[(900 * MS, 2400 * MS)])],
         ),
     ),
     "a kept connection ended though a converter had the request": (
         {"broken"},
-        lambda: a_history([a_try(ending="broken", crossed=True)], [an_attempt()]),
+        lambda: a_history([a_try(ending="broken", may_be_unread=True)], [an_attempt()]),
     ),
     "a refusal held though all its attempts were seen": (
         {"held"},
@@ -236,8 +236,8 @@
             [turned_away(uid=f"c{i}", at_ms=4 * i, ended_ms=4 * i + 2) for i in range(4)],
         ),
     ),
-    "two answers": ({"second-answer"}, lambda: a_history([a_try(extra_bytes=9)], [an_attempt()])),
-    "another's answer": ({"forged"}, lambda: a_history([a_try(answer_for="r-9")], [an_attempt()])),
+    "two answers": ({"second-answer"}, lambda: a_history([a_try(trailing_bytes=9)], [an_attempt()])),
+    "another's answer": ({"forged"}, lambda: a_history([a_try(response_request_id="r-9")], [an_attempt()])),
     "an answer that nobody made": ({"forged"}, lambda: a_history([a_try()], [])),
     "a request that nobody sent": ({"invented"}, lambda: a_history([a_try()], [an_attempt(), an_attempt("x")])),
     "run twice over a retry": (
@@ -289,24 +289,26 @@
     ),
     "sent after the grace of a drain": (
         {"drain"},
-        lambda: a_history([a_try(sent_ms=1540, ended_ms=1590)], [an_attempt(at_ms=1551, ended_ms=1589)], told=LEFT),
+        lambda: a_history([a_try(sent_ms=1540, ended_ms=1590)], [an_attempt(at_ms=1551, ended_ms=1589)], notices=LEFT),
     ),
     "sent to one that is gone": (
         {"drain"},
         lambda: a_history(
             [a_try(sent_ms=4000, ended_ms=4030)],
             [an_attempt(at_ms=4001, ended_ms=4029)],
-            told=[Told(0, "c1", "left", 1000 * MS)],
+            notices=[EndpointNotice(0, "c1", "left", 1000 * MS)],
         ),
     ),
     "a refusal held till near its time": (
         {"held"},
         lambda: a_history([a_try(ending="refused", ended_ms=960)], [turned_away(ended_ms=3)]),
     ),
-    "a cold one pushed over": ({"cold"}, lambda: a_history([a_try()], [an_attempt()], fallen=[(5, "c2")])),
+    "a cold one pushed over": ({"cold"}, lambda: a_history([a_try()], [an_attempt()], overload_crashes=[(5, "c2")])),
     "a crash": (
         {"crash"},
-        lambda: a_history([a_try()], [an_attempt()], lives=[Life(0, -500 * MS, -400 * MS, 5000 * MS, False, True)]),
+        lambda: a_history(
+            [a_try()], [an_attempt()], incarnations=[Incarnation(0, -500 * MS, -400 * MS, 5000 * MS, False, True)]
+        ),
     ),
 }
 
@@ -320,7 +322,7 @@
 def test_a_bad_history_is_caught_by_its_rule(name: str) -> None:
     rules, history = BAD[name]
     made = history()
-    for attempt in made.attempts:
+    for attempt in made.converter_attempts:
         if attempt.ended_us == 0:
             attempt.ended_us = -1
     assert breached(made) == rules
@@ -334,8 +336,8 @@
     tries = [
         a_try(ending="refused", ended_ms=4),
         a_try(ident="r-1", number=1, sent_ms=0, ended_ms=150),
-        a_try(ident="s-0", first=2, ended_ms=100),
-        a_try(ident="t-0", first=3, ending="failed", ended_ms=9),
+        a_try(ident="s-0", arrival=2, ended_ms=100),
+        a_try(ident="t-0", arrival=3, ending="failed", ended_ms=9),
     ]
     found = figures.orders(WORLD, tries)
     assert sorted((order.earned, order.tries) for order in found) == [(0.0, 1), (1.5, 2), (3.0, 1)]
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from ryepier.emulator import rig, timeline
-from ryepier.emulator.records import NEVER, Attempt
-from ryepier.emulator.timeline import Verb, Who
-from ryepier.emulator.world import Clients, Converters, Discovery, Fault, RequestClass, Rig, Sidecars, World
+from ryepier.emulator import harness, timeline
+from ryepier.emulator.records import NEVER, ConverterAttempt
+from ryepier.emulator.timeline import FaultAction, TargetKind
+from ryepier.emulator.world import Clients, Converters, Discovery, Fault, HarnessSettings, RequestClass, Sidecars, World
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core.contract import Run, on_time
 from ryepier.experiments.load_spread import processes, processes_machine, processes_worlds
@@ -32,7 +32,7 @@
     return World(
         name="test",
         duration_s=duration_s,
-        converters=[Converters(count=3, zone=zone, cores=2, waiting_room=8) for zone in "abc"],
+        converters=[Converters(count=3, zone=zone, cores=2, queue_limit=8) for zone in "abc"],
         classes=[
             a_class("read", 0.5),
             a_class("file", 0.25, effect="at_most_once"),
@@ -41,7 +41,7 @@
         clients=Clients(rate_per_s=180.0),
         sidecars=Sidecars(count=sidecars, skew=0.6, zoned=True),
         discovery=Discovery(late_ms=(50.0, 300.0)),
-        rig=Rig(converter_processes=1),
+        harness=HarnessSettings(converter_processes=1),
         faults=list(faults),
     )
 
@@ -54,8 +54,8 @@
     """One run. One in which the machine fell behind is void and is played again; the rules without times hold in it
     all the same. Fails where every one was void: the test has then shown nothing."""
     for _ in range(MOST_PLAYS):
-        history = rig.play(world, SEED, folder)
-        orders, breaches = figures.orders(world, history.tries), judge.judge(world, history)
+        history = harness.play(world, SEED, folder)
+        orders, breaches = figures.orders(world, history.client_attempts), judge.judge(world, history)
         run = Run(world, SEED, history, orders, breaches, folder)
         late = on_time(run, None)
         if late.holds:
@@ -84,21 +84,21 @@
 
 
 def test_a_third_of_the_sidecars_killed_and_started_again_at_once(tmp_path: Path) -> None:
-    fault = Fault(kind="sidecar-kill", at_s=1.2, part=0.34, down_s=0.4)
+    fault = Fault(kind="sidecar-kill", at_s=1.2, target_share=0.34, down_s=0.4)
     run = play(a_world(fault, sidecars=18, duration_s=4.6), tmp_path)
-    lives = run.history.lives
+    lives = run.history.incarnations
     killed = {life.sidecar for life in lives if life.killed}
     assert len(killed) == 6 and len(lives) == 24 and not any(life.crashed for life in lives)
     assert_safe(run)
     # what the others' clients get; those of the killed lose what they ask for until the machine has started these
     assert processes.service_beside(run, killed) >= 0.97
-    up_s = max(life.up_us for life in lives) / 1e6
+    up_s = max(life.ready_us for life in lives) / 1e6
     assert service(run, up_s + 0.3) >= 0.95
 
 
 def test_the_busiest_sidecar_stopped_and_resumed(tmp_path: Path) -> None:
     run = play(a_world(Fault(kind="sidecar-hang", at_s=1.2, for_s=1.0, index=0)), tmp_path)
-    assert len(run.history.lives[0].stalls) == 1
+    assert len(run.history.incarnations[0].suspensions) == 1
     assert_well(run, 0.9)
     assert figures.service(run.orders, lambda item: item.sidecar != 0) >= 0.95
     assert service(run, 2.7) >= 0.95
@@ -107,7 +107,7 @@
 def told_at_us(run: Run, uid: str, state: str) -> dict[int, int]:
     """When each sidecar was told first."""
     found: dict[int, int] = {}
-    for notice in run.history.told:
+    for notice in run.history.notices:
         if notice.uid == uid and notice.state == state:
             found.setdefault(notice.sidecar, notice.at_us)
     return found
@@ -116,13 +116,13 @@
 def replaced(run: Run) -> tuple[list[str], list[str]]:
     """The converters that left, and those that came."""
     built = timeline.build(run.world, run.seed)
-    left = [step.uid for step in built.steps if step.who is Who.CONVERTER and step.verb is Verb.STOP]
+    left = [step.uid for step in built.steps if step.target is TargetKind.CONVERTER and step.action is FaultAction.STOP]
     return left, [one.uid for one in built.instances if one.start_us is not None]
 
 
 def test_discovery_away_while_converters_change(tmp_path: Path) -> None:
     away = Fault(kind="discovery-down", at_s=0.9, for_s=1.8)
-    change = Fault(kind="release", at_s=1.2, for_s=0.6, part=0.34, drain_s=0.4, down_s=0.3)
+    change = Fault(kind="release", at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
     run = play(a_world(away, change, duration_s=5.0), tmp_path)
     assert_well(run, 0.9)
     left, came = replaced(run)
@@ -130,20 +130,20 @@
     for uid in left:
         told = told_at_us(run, uid, "left")
         assert len(told) == 12 and min(told.values()) >= back_us
-    assert set(came) <= {attempt.uid for attempt in run.history.attempts}
+    assert set(came) <= {attempt.uid for attempt in run.history.converter_attempts}
     assert service(run, 4.0) >= 0.95
 
 
 def test_lists_of_two_ages_in_the_halves_of_the_fleet(tmp_path: Path) -> None:
-    stale = Fault(kind="discovery-stale", at_s=0.9, for_s=2.1, part=0.5)
-    change = Fault(kind="release", at_s=1.2, for_s=0.6, part=0.34, drain_s=0.4, down_s=0.3)
+    stale = Fault(kind="discovery-stale", at_s=0.9, for_s=2.1, target_share=0.5)
+    change = Fault(kind="release", at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
     run = play(a_world(stale, change, duration_s=4.4), tmp_path)
     assert_well(run, 0.9)
     left, came = replaced(run)
     for uid in left:
         told = told_at_us(run, uid, "left")
         assert len(told) == 12 and sum(at_us >= 3.0e6 for at_us in told.values()) == 6
-    assert set(came) <= {attempt.uid for attempt in run.history.attempts}
+    assert set(came) <= {attempt.uid for attempt in run.history.converter_attempts}
     assert service(run, SETTLED_S) >= 0.95
 
 
@@ -151,23 +151,25 @@
     cut = Fault(kind="zone-cut", at_s=1.0, for_s=1.6, zone="c")
     run = play(a_world(cut, duration_s=4.6), tmp_path)
     assert_well(run, 0.8)
-    assert not any(ran_across(run, attempt) for attempt in run.history.attempts if 1.2e6 < attempt.last_us < 2.5e6)
+    assert not any(
+        ran_across(run, attempt) for attempt in run.history.converter_attempts if 1.2e6 < attempt.received_us < 2.5e6
+    )
     # by draws over all it would be 0.43: the sidecars of the zone have 0.29 of the traffic
     assert processes.across_cut(run, 1.8, 2.6) < 0.43
     assert service(run, 3.6) >= 0.95
 
 
-def ran_across(run: Run, attempt: Attempt) -> bool:
+def ran_across(run: Run, attempt: ConverterAttempt) -> bool:
     """Whether a request came through the cut."""
-    sidecar = next(item.sidecar for item in run.history.tries if item.ident == attempt.ident)
+    sidecar = next(item.sidecar for item in run.history.client_attempts if item.request_id == attempt.request_id)
     zone_of = {one.uid: one.machine.group.zone for one in timeline.build(run.world, run.seed).instances}
-    return attempt.run_us != NEVER and ("abc"[sidecar % 3] == "c") != (zone_of[attempt.uid] == "c")
+    return attempt.started_us != NEVER and ("abc"[sidecar % 3] == "c") != (zone_of[attempt.uid] == "c")
 
 
 @pytest.mark.parametrize(
     ("fault", "after_s"),
     [
-        (Fault(kind="refuse", at_s=1.2, for_s=1.0, part=0.34), 2.7),
+        (Fault(kind="refuse", at_s=1.2, for_s=1.0, target_share=0.34), 2.7),
         (Fault(kind="slow", at_s=1.0, for_s=3.5, index=0, factor=2.0), SETTLED_S),
     ],
     ids=["a third of the converters lost and back", "one converter twice as slow"],
@@ -176,9 +178,9 @@
     run = play(a_world(fault), tmp_path)
     assert_well(run, 0.9)
     assert service(run, after_s) >= 0.95
-    struck = {step.index for step in timeline.build(run.world, SEED).steps if step.who is Who.CONVERTER}
+    struck = {step.index for step in timeline.build(run.world, SEED).steps if step.target is TargetKind.CONVERTER}
     uids = {f"c-{index:04x}" for index in struck}
-    to_struck, to_all = figures.attempts_between(run.history.attempts, uids, after_s, run.world.duration_s)
+    to_struck, to_all = figures.attempts_between(run.history.converter_attempts, uids, after_s, run.world.duration_s)
     assert 0 < to_struck <= to_all / 9 * len(uids) * 1.3
 
 
@@ -207,8 +209,8 @@
     assert uneven.most_to_mean == 3.0 and uneven.least_to_mean == 0.0 and uneven.ratio > 17
 
 
-def attempt(uid: str, at_us: int) -> Attempt:
-    return Attempt("r", "", uid, 1, at_us, at_us, run_us=at_us, run_ended_us=at_us + 100)
+def attempt(uid: str, at_us: int) -> ConverterAttempt:
+    return ConverterAttempt("r", "", uid, 1, at_us, at_us, started_us=at_us, finished_us=at_us + 100)
 
 
 def test_a_burst_at_one_converter_is_a_herd_and_an_even_stream_is_none() -> None:
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ryepier.emulator.rig import find_network
+from ryepier.emulator.harness import find_network
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.scale import list_parts, scale_list
 from ryepier.experiments.scale.fleet_list import Desk, Listing
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -15,8 +15,8 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.cli import main
 from ryepier.emulator import simulated
-from ryepier.emulator.records import Attempt, Try
-from ryepier.emulator.rig import Rig, RigError
+from ryepier.emulator.harness import Harness, HarnessError
+from ryepier.emulator.records import ClientAttempt, ConverterAttempt
 from ryepier.emulator.world import Fault
 from ryepier.experiments.core import judge
 from ryepier.experiments.core.worlds import load
@@ -87,20 +87,20 @@
 
 def test_the_story_of_a_request_is_told_from_all_sides() -> None:
     history = simulated.play(hunt.draw_world(1), 1)
-    item = next(one for one in history.tries if one.ending == "served")
-    lines = hunt.story(history, item.ident)
+    item = next(one for one in history.client_attempts if one.outcome == "served")
+    lines = hunt.story(history, item.request_id)
     assert "client sends" in lines[0] and "served, status 200" in lines[-1]
     assert any("runs it" in line for line in lines)
 
 
 def test_what_a_backend_can_not_do_is_refused_by_name(tmp_path: Path) -> None:
-    with pytest.raises(RigError, match="without sidecars"):
+    with pytest.raises(HarnessError, match="without sidecars"):
         simulated.play(load("ceiling"), 1)
     got = CliRunner().invoke(main, ["experiment", "run", "breaking-point", "--backend", "sim", "--out", str(tmp_path)])
     assert got.exit_code == 1 and "measures CPU" in got.stderr
     world = msgspec.structs.replace(load("steady"), faults=[Fault(kind="clock-jump", at_s=1.0, jump_s=5.0)])
-    with pytest.raises(RigError, match="only in simulation: clock-jump"):
-        Rig(world, 1, tmp_path)
+    with pytest.raises(HarnessError, match="only in simulation: clock-jump"):
+        Harness(world, 1, tmp_path)
 
 
 def test_planners_and_operators_files_play_in_simulation_and_what_was_logged_is_kept(tmp_path: Path) -> None:
@@ -131,20 +131,20 @@
     world = msgspec.structs.replace(world, faults=[Fault(kind="sidecar-hang", at_s=3.0, for_s=2.0, index=0)])
     history = simulated.play(world, 1)
     assert judge.judge(world, history) == []
-    mine = [item for item in history.tries if item.sidecar == 0]
-    assert not any(3_100_000 < item.ended_us < 4_900_000 and item.ending == "served" for item in mine)
-    assert sum(item.ending == "served" for item in mine if item.sent_us > 6_000_000) > 100
+    mine = [item for item in history.client_attempts if item.sidecar == 0]
+    assert not any(3_100_000 < item.ended_us < 4_900_000 and item.outcome == "served" for item in mine)
+    assert sum(item.outcome == "served" for item in mine if item.sent_us > 6_000_000) > 100
 
 
 def test_a_sidecar_that_is_killed_loses_what_it_held_and_nothing_else_and_comes_back() -> None:
     world = load("sidecar-kill")
     history = simulated.play(world, 1)
     assert judge.judge(world, history) == []
-    [killed] = [life for life in history.lives if life.killed]
-    mine = [item for item in history.tries if item.sidecar == killed.sidecar]
-    assert any(item.ending in ("broken", "unreachable") for item in mine)
-    assert any(item.ending == "served" and item.sent_us > killed.ended_us + 2_000_000 for item in mine)
-    assert all(item.ending != "broken" for item in history.tries if item.sidecar != killed.sidecar)
+    [killed] = [life for life in history.incarnations if life.killed]
+    mine = [item for item in history.client_attempts if item.sidecar == killed.sidecar]
+    assert any(item.outcome in ("broken", "unreachable") for item in mine)
+    assert any(item.outcome == "served" and item.sent_us > killed.ended_us + 2_000_000 for item in mine)
+    assert all(item.outcome != "broken" for item in history.client_attempts if item.sidecar != killed.sidecar)
 
 
 def test_a_world_that_comes_with_the_project_runs_in_simulation() -> None:
@@ -158,10 +158,10 @@
 
 
 def test_the_state_of_a_request_follows_from_what_was_seen_of_it() -> None:
-    item = Try(
-        first=1,
+    item = ClientAttempt(
+        arrival=1,
         number=0,
-        ident="a",
+        request_id="a",
         key="",
         request_class=0,
         tenant=0,
@@ -171,22 +171,24 @@
         sent_us=0,
         deadline_us=10**6,
         ended_us=900,
-        ending="served",
+        outcome="served",
     )
-    failed = Attempt("a", "", "c1", 1, first_us=100, last_us=150, ended_us=300, ending="answered", status=503)
-    late = Attempt("a", "", "c3", 1, first_us=450, last_us=450, ended_us=1000, ending="closed")
-    well = Attempt(
+    failed = ConverterAttempt(
+        "a", "", "c1", 1, first_byte_us=100, received_us=150, ended_us=300, outcome="answered", status=503
+    )
+    late = ConverterAttempt("a", "", "c3", 1, first_byte_us=450, received_us=450, ended_us=1000, outcome="closed")
+    well = ConverterAttempt(
         "a",
         "",
         "c2",
         2,
-        first_us=500,
-        last_us=550,
+        first_byte_us=500,
+        received_us=550,
         ended_us=800,
-        ending="answered",
+        outcome="answered",
         status=200,
-        run_us=600,
-        run_ended_us=700,
+        started_us=600,
+        finished_us=700,
     )
     states = {
         at_us: coverage.state_at(item, [failed, late, well], at_us)
