--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -166,7 +166,7 @@
 
 
 def perform(trial: TrialConfig) -> Measurement:
-    """Play it once. Raises RigError."""
+    """Play it once. Raises HarnessError."""
     world = load("maintenance")
     planned = [replace(one, deadline_in_ms=DEADLINE_MS) for one in draw_requests(world, trial.seed) if one.fits]
     outcome = outcomes.play(
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -132,7 +132,7 @@
 
 
 def perform(trial: TrialConfig) -> Measurement:
-    """Play it once. Raises RigError."""
+    """Play it once. Raises HarnessError."""
     world = load("maintenance")
     planned = draw_requests(world, trial.seed)
     outcome = outcomes.play(
