--- a/ryepier/cli.py
+++ b/ryepier/cli.py
@@ -6,25 +6,25 @@
 
 import click
 
-# name of the command: what it does, for the list of all; its module has the function of the same name
+# by name, the text in the list of commands; the module of that name defines the command of that name
 COMMANDS = {
-    "check": "Explore all that can become of a few requests at a few converters.",
+    "check": "Explore every order of events of a few requests at a few converters.",
     "config": "Check configuration files.",
-    "demo": "Play a small world for under 30 s and write a report of it.",
-    "emulate": "Run the stand-ins of a world file alone.",
-    "experiment": "Play named experiments and judge them.",
+    "demo": "Run a small world for under 30 s and write a report of it.",
+    "emulate": "Run the converters and the discovery of a world file alone.",
+    "experiment": "Run named experiments and check their claims.",
     "load": "Send requests to a sidecar as its application would.",
     "maintenance": "Plan maintenance windows across regions.",
-    "plan": "Show what planners say, and why.",
+    "plan": "Show the plans of planners and the reasons behind them.",
     "planner": "Run one planner until SIGTERM.",
-    "sim": "Play worlds under virtual time, and search for faults.",
-    "slices": "Follow a service's EndpointSlices, and tell why a converter is listed as it is.",
+    "sim": "Run worlds under virtual time, and search for rule violations.",
+    "slices": "Follow a service's EndpointSlices, and explain the state of a converter.",
     "run": "Run one sidecar until SIGTERM.",
 }
 
 
 class Commands(click.Group):
-    """Import a command's module when it is called, so that a sidecar does not load the plotting libraries."""
+    """Imports a command's module when it is called, so that a sidecar does not load the plotting libraries."""
 
     def list_commands(self, context: click.Context) -> list[str]:
         """Return the names of all commands."""
@@ -47,7 +47,7 @@
 @click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="ryepier")
 def main() -> None:
-    """A sidecar balancer, and the world to try it in.
+    """A sidecar balancer, and an emulated fleet to test it in.
 
-    Exit codes: 0 well, 1 what was asked for does not hold, 2 misuse.
+    Exit codes: 0 success, 1 a claim does not hold or the work failed, 2 misuse.
     """
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -5,6 +5,7 @@
 import json
 import resource
 import sys
+from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
 
@@ -15,37 +16,39 @@
 from ryepier.check.model import CLASSES, Model, Step
 from ryepier.check.models import MODELS
 from ryepier.check.seeded_faults import SEEDED_FAULTS
+from ryepier.commands.exits import ExitCode, fail
 
-MOST_TRACED = 4000  # paths that the report of lines follows: tracing is slow
+MAX_TRACED_PATHS = 4000  # for the report of lines, as tracing is slow
+KIB_PER_MB = 1024
 
 
-class Kept(msgspec.Struct):
-    """A path in a file."""
+class SavedPath(msgspec.Struct, rename={"seeded_fault": "plant"}):
+    """The file that `check run --out` writes: a path through a model to a violation."""
 
     model: dict[str, object]
     path: list[tuple[str, int, str, tuple[int, ...]]]
-    plant: str = ""
+    seeded_fault: str = ""
 
 
 @click.group()
 def check() -> None:
-    """Explore all that can become of a few requests at a few converters."""
+    """Explore every order of events of a few requests at a few converters."""
 
 
 @check.command("list")
 def list_all() -> None:
-    """The models and the mistakes that can be planted."""
+    """List the models and the seeded faults."""
     for model in MODELS.values():
         bound = f", {model.depth} steps" if model.depth else ""
         print(
             f"{model.name:16} {model.converters} converters, requests {', '.join(model.requests)}, "
-            f"{model.attempts} attempts, {model.changes} changes of the list, {model.leaves} clients leave{bound}"
+            f"{model.attempts} attempts, {model.changes} changes of the list, {model.leaves} client disconnects{bound}"
         )
-    print(f"plants: {', '.join(SEEDED_FAULTS)}")
+    print(f"seeded faults: {', '.join(SEEDED_FAULTS)}")
 
 
-def chosen(name: str, converters: int, requests: str, depth: int) -> Model:
-    """A model of the project, or a variant of it."""
+def select_model(name: str, converters: int, requests: str, depth: int) -> Model:
+    """Return a model by its name, with whatever is given (not 0 or empty) instead of its own."""
     model = MODELS[name]
     if converters:
         model = replace(model, converters=converters, cells=())
@@ -60,7 +63,8 @@
     return replace(model, depth=depth) if depth else model
 
 
-def tell(outcome: explore.Outcome) -> None:
+def print_progress(outcome: explore.Outcome) -> None:
+    """Print the counts so far to standard error."""
     print(
         f"depth {outcome.depth}: {outcome.states} states, {outcome.transitions} transitions, "
         f"{outcome.ends} ends, {outcome.seconds:.1f} s",
@@ -70,91 +74,111 @@
 
 @check.command()
 @click.argument("model", type=click.Choice(list(MODELS)))
-@click.option("--converters", type=click.IntRange(0, 4), default=0, help="In place of the model's.")
-@click.option("--requests", default="", help="Their classes, with commas between, in place of the model's.")
-@click.option("--depth", type=click.IntRange(0, 200), default=0, help="Steps; by default the model's, or to the end.")
+@click.option("--converters", type=click.IntRange(0, 4), default=0, help="Instead of the model's number.")
+@click.option("--requests", default="", help="Request classes, separated by commas, instead of the model's.")
+@click.option("--depth", type=click.IntRange(0, 200), default=0, help="Steps; by default the model's, or no limit.")
 @click.option(
-    "--plant", type=click.Choice(list(SEEDED_FAULTS)), help="A mistake put in on purpose, to see that it is found."
+    "--plant",
+    "seeded_fault",
+    type=click.Choice(list(SEEDED_FAULTS)),
+    help="Run with this seeded fault, to check that it is found.",
 )
-@click.option("--processes", type=click.IntRange(1, 256), default=None, help="By default as many as there are cores.")
-@click.option("--keep", type=click.Path(path_type=Path, dir_okay=False), help="Go on from this file, and keep it up.")
-@click.option("--most-s", type=float, default=float("inf"), help="Stop after so many seconds.")
-@click.option("--out", type=click.Path(path_type=Path, dir_okay=False), help="For the path to a breach, as JSON.")
+@click.option("--processes", type=click.IntRange(1, 256), default=None, help="By default one per core.")
+@click.option(
+    "--keep",
+    "checkpoint",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="Continue from this file, and keep it up to date.",
+)
+@click.option("--most-s", "max_s", type=float, default=float("inf"), help="Stop after this many seconds.")
+@click.option("--out", type=click.Path(path_type=Path, dir_okay=False), help="Save the path to a violation, as JSON.")
 def run(
     model: str,
     converters: int,
     requests: str,
     depth: int,
-    plant: str | None,
+    seeded_fault: str | None,
     processes: int | None,
-    keep: Path | None,
-    most_s: float,
+    checkpoint: Path | None,
+    max_s: float,
     out: Path | None,
 ) -> None:
-    """Explore MODEL; exit 1 if a rule breaks, with the shortest path to it."""
-    one = chosen(model, converters, requests, depth)
-    mistake = SEEDED_FAULTS[plant][1] if plant else None
+    """Explore MODEL; exit with 1 if a rule is broken, with the shortest path to that."""
+    selected = select_model(model, converters, requests, depth)
+    install_fault = SEEDED_FAULTS[seeded_fault][1] if seeded_fault else None
     try:
-        outcome = explore.explore(one, processes, mistake, keep, most_s, tell)
+        outcome = explore.explore(selected, processes, install_fault, checkpoint, max_s, print_progress)
     except (OSError, msgspec.MsgspecError, ValueError) as error:
-        print(f"ryepier check: {keep}: {error}", file=sys.stderr)
-        sys.exit(2)
-    largest = max(resource.getrusage(who).ru_maxrss for who in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN))
-    print(
-        f"{one.name}: {outcome.states} states, {outcome.transitions} transitions, {outcome.ends} ends, depth "
-        f"{outcome.depth}, {outcome.seconds:.1f} s, at most {largest // 1024} MB a process; "
-        f"{'explored whole' if outcome.whole else 'not explored whole'}"
-    )
+        fail("check", f"{checkpoint}: {error}", ExitCode.MISUSE)
+    _print_outcome(selected, outcome)
     if outcome.breach is None:
         return
-    print(f"BREAKS {outcome.breach.rule}: {outcome.breach.text}; {len(outcome.path)} steps")
     if out is not None:
-        path = [(step.what, step.index, step.how, step.picks) for step in outcome.path]
-        out.write_bytes(msgspec.json.encode(Kept(msgspec.to_builtins(one), path, plant or "")))
-    if mistake is not None:
-        mistake()
-    print("\n".join(trace.chart(one, outcome.path)))
-    sys.exit(1)
+        _save_path(out, selected, outcome, seeded_fault or "")
+    _print_chart(selected, outcome, install_fault)
+    sys.exit(ExitCode.FAILURE)
+
+
+def _print_outcome(model: Model, outcome: explore.Outcome) -> None:
+    largest_kib = max(resource.getrusage(scope).ru_maxrss for scope in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN))
+    print(
+        f"{model.name}: {outcome.states} states, {outcome.transitions} transitions, {outcome.ends} ends, depth "
+        f"{outcome.depth}, {outcome.seconds:.1f} s, at most {largest_kib // KIB_PER_MB} MB per process; "
+        f"{'explored whole' if outcome.whole else 'not explored whole'}"
+    )
+    if outcome.breach is not None:
+        print(f"BREAKS {outcome.breach.rule}: {outcome.breach.text}; {len(outcome.path)} steps")
+
+
+def _save_path(out: Path, model: Model, outcome: explore.Outcome, seeded_fault: str) -> None:
+    path = [(step.what, step.index, step.how, step.picks) for step in outcome.path]
+    out.write_bytes(msgspec.json.encode(SavedPath(msgspec.to_builtins(model), path, seeded_fault)))
+
+
+def _print_chart(model: Model, outcome: explore.Outcome, install_fault: Callable[[], None] | None) -> None:
+    """Replay the path to the violation in this process, with the seeded fault that led to it."""
+    if install_fault is not None:
+        install_fault()
+    print("\n".join(trace.chart(model, outcome.path)))
 
 
 @check.command("trace")
 @click.argument("path", type=click.Path(path_type=Path, dir_okay=False))
 def show(path: Path) -> None:
-    """The chart of a path that was kept by `check run --out`."""
+    """Print the chart of a path that `check run --out` saved."""
     try:
-        kept = msgspec.json.decode(path.read_bytes(), type=Kept)
-        model = msgspec.convert(kept.model, Model)
-        steps = [Step(*step) for step in kept.path]
-        if kept.plant:
-            SEEDED_FAULTS[kept.plant][1]()
+        saved = msgspec.json.decode(path.read_bytes(), type=SavedPath)
+        model = msgspec.convert(saved.model, Model)
+        steps = [Step(*step) for step in saved.path]
+        if saved.seeded_fault:
+            SEEDED_FAULTS[saved.seeded_fault][1]()
         print("\n".join(trace.chart(model, steps)))
     except (OSError, msgspec.MsgspecError, KeyError, IndexError, AttributeError) as error:
-        print(f"ryepier check trace: {path}: {error!r}", file=sys.stderr)
-        sys.exit(2)
+        fail("check trace", f"{path}: {error!r}", ExitCode.MISUSE)
 
 
 @check.command()
 @click.argument("names", nargs=-1, type=click.Choice(list(MODELS)))
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print the lines as JSON.")
 def lines(names: tuple[str, ...], as_json: bool) -> None:
-    """Which lines of the module and the host the first paths of models do not reach."""
-    with reached.recorded() as seen:
+    """List the lines of the decision modules that the first paths of the models do not reach."""
+    with reached.recorded() as executed:
         for name in names or tuple(MODELS):
-            follow(MODELS[name])
-    found = reached.unreached(seen)
+            expand_breadth_first(MODELS[name])
+    unreached = reached.unreached(executed)
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(unreached))
         return
-    for where, missing in found:
-        print(f"{where}: {', '.join(map(str, missing))}")
+    for function, missing in unreached:
+        print(f"{function}: {', '.join(map(str, missing))}")
 
 
-def follow(model: Model) -> None:
-    """Expand paths breadth first in this process, as many as tracing bears."""
+def expand_breadth_first(model: Model) -> None:
+    """Expand the first `MAX_TRACED_PATHS` paths of a model in this process."""
     frontier: list[explore.Steps] = [()]
-    seen: set[bytes] = set()
+    visited: set[bytes] = set()
     for path in frontier:
         for digest, longer in explore.expand(model, path).children:
-            if digest not in seen and len(frontier) < MOST_TRACED:
-                seen.add(digest)
+            if digest not in visited and len(frontier) < MAX_TRACED_PATHS:
+                visited.add(digest)
                 frontier.append(longer)
--- /dev/null
+++ b/ryepier/commands/console.py
@@ -0,0 +1,66 @@
+"""What several commands print: client counts while a load runs, the events of a run, its claims."""
+
+from __future__ import annotations
+
+import sys
+from collections import Counter
+from collections.abc import Iterable, Iterator, Sequence
+from contextlib import contextmanager
+
+from rich.console import Console
+from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
+
+from ryepier.commands.exits import ExitCode
+from ryepier.emulator.records import Happening
+from ryepier.emulator.rig import Watcher
+from ryepier.experiments.core.contract import Claim
+
+PLAIN_INTERVAL_S = 2.0
+ALWAYS_SHOWN = ("offered", "served")
+COUNT_NAMES = (*ALWAYS_SHOWN, "refused", "failed", "timeout", "broken", "unreachable", "retries", "open")
+
+
+def describe_counts(counts: Counter[str]) -> str:
+    """Return the clients' counts in one line, without those that are zero."""
+    return "  ".join(f"{name} {counts[name]}" for name in COUNT_NAMES if counts[name] or name in ALWAYS_SHOWN)
+
+
+@contextmanager
+def live_summary(title: str, duration_s: float) -> Iterator[Watcher]:
+    """Show the clients' counts on standard error: a progress bar on a terminal, a line every 2 s elsewhere."""
+    console = Console(stderr=True)
+    if not console.is_terminal:
+        yield _make_line_printer()
+        return
+    columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn(), TextColumn("{task.fields[counts]}"))
+    with Progress(*columns, console=console) as progress:
+        task = progress.add_task(title, total=duration_s, counts="")
+
+        def show(at_s: float, counts: Counter[str]) -> None:
+            completed_s = min(max(0.0, at_s), duration_s)
+            progress.update(task, completed=completed_s, counts=describe_counts(counts))
+
+        yield show
+
+
+def _make_line_printer() -> Watcher:
+    last_printed_s = -PLAIN_INTERVAL_S
+
+    def print_line(at_s: float, counts: Counter[str]) -> None:
+        nonlocal last_printed_s
+        if at_s >= last_printed_s + PLAIN_INTERVAL_S:
+            last_printed_s = at_s
+            print(f"{at_s:5.1f} s  {describe_counts(counts)}", file=sys.stderr)
+
+    return print_line
+
+
+def format_events(events: Iterable[Happening]) -> list[str]:
+    """Return a line for each event of a run, with its time in seconds."""
+    return [f"{event.at_us / 1e6:8.3f} s  {event.text}" for event in events]
+
+
+def exit_with_claims(claims: Sequence[Claim]) -> None:
+    """Exit with 1 if a claim does not hold; return otherwise."""
+    if not all(claim.holds for claim in claims):
+        sys.exit(ExitCode.FAILURE)
--- a/ryepier/commands/emulate.py
+++ b/ryepier/commands/emulate.py
@@ -1,4 +1,4 @@
-"""`ryepier emulate`: the stand-ins of a world alone, to point a sidecar at."""
+"""`ryepier emulate`: the emulated converters and discovery of a world, without sidecars or clients."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 import click
 
 from ryepier.commands.config import read_world_file
+from ryepier.commands.console import format_events
+from ryepier.commands.exits import ExitCode, fail
 from ryepier.emulator import rig
 
 
 @click.command()
 @click.argument("path", metavar="WORLD", type=click.Path(path_type=Path))
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
-@click.option("--out", "folder", type=click.Path(path_type=Path), help="Where the sidecars' configurations go.")
+@click.option("--out", "folder", type=click.Path(path_type=Path), help="Folder for the sidecars' configurations.")
 def emulate(path: Path, seed: int, folder: Path | None) -> None:
-    """Run the converters and the discovery of the world file WORLD until its time is over.
+    """Run the converters and the discovery of the world file WORLD for its duration.
 
-    For each sidecar that the world has, a platform configuration is written; start it with
-    `ryepier run --platform FILE`.
+    Writes a platform configuration for each sidecar of the world; start one with `ryepier run --platform FILE`.
     """
     world = read_world_file(path)
     folder = folder or Path(tempfile.mkdtemp(prefix="ryepier-"))
-    cast = rig.Cast(sidecar_command=(), clients=False)
-    print(f"stand-ins for {world.duration_s:.0f} s; sidecars' configurations: {folder}/sidecar-*.json")
+    print(f"emulating for {world.duration_s:.0f} s; the sidecars' configurations: {folder}/sidecar-*.json")
     sys.stdout.flush()
+    roles = rig.Cast(sidecar_command=(), clients=False)
     try:
-        history = rig.play(world, seed, folder, cast)
+        history = rig.play(world, seed, folder, roles)
     except (rig.RigError, OSError) as error:
-        print(f"ryepier emulate: {error}", file=sys.stderr)
-        sys.exit(1)
-    ran = sum(attempt.run_us >= 0 for attempt in history.attempts)
-    for happening in history.happenings:
-        print(f"{happening.at_us / 1e6:8.3f} s  {happening.text}")
-    print(f"{len(history.attempts)} attempts came, {ran} ran")
+        fail("emulate", error, ExitCode.FAILURE)
+    executed = sum(attempt.run_us >= 0 for attempt in history.attempts)
+    for line in format_events(history.happenings):
+        print(line)
+    print(f"{len(history.attempts)} attempts received, {executed} executed")
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -1,10 +1,9 @@
-"""`ryepier load`: an open-loop load against an address."""
+"""`ryepier load`: an open-loop load on a sidecar of this machine."""
 
 from __future__ import annotations
 
 import ipaddress
 import json
-import sys
 import tempfile
 from pathlib import Path
 
@@ -12,35 +11,63 @@
 import msgspec
 
 from ryepier.commands.config import read_world_file
-from ryepier.commands.demo import live_summary
+from ryepier.commands.console import live_summary
+from ryepier.commands.exits import ExitCode, fail
 from ryepier.emulator import rig
+from ryepier.emulator.records import History
 from ryepier.emulator.world import World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.worlds import load as load_world
 from ryepier.sidecar.config import parse_address
 
+MAX_PORT = 65_535
+# without converters and sidecars of its own, the emulator has no data for these
+UNKNOWN_FIGURES = frozenset(("waste", "sidecar_most_mib", "attempts_per_try"))
 
-def checked_address(context: click.Context, parameter: click.Parameter, text: str) -> tuple[str, int]:
-    """Load goes to this machine only: an address elsewhere may be somebody's service."""
+
+def parse_loopback_address(context: click.Context, parameter: click.Parameter, text: str) -> tuple[str, int]:
+    """Return the host and port of a loopback address; any other could be somebody's service."""
     try:
         host, port = parse_address(text)
-        if not ipaddress.ip_address(host).is_loopback or not 0 < port < 65_536:
+        if not ipaddress.ip_address(host).is_loopback or not 0 < port <= MAX_PORT:
             raise ValueError(f"expected a loopback address with a port, got {text!r}")
     except ValueError as error:
         raise click.BadParameter(str(error)) from None
     return host, port
 
 
-def with_load(world: World, rate: float | None, seconds: float | None) -> World:
-    """The world with another rate and length, and without faults, which need stand-ins."""
-    clients = world.clients if rate is None else msgspec.structs.replace(world.clients, rate_per_s=rate)
-    return msgspec.structs.replace(world, clients=clients, duration_s=seconds or world.duration_s, faults=[])
+def make_load_world(path: Path | None, rate_per_s: float | None, duration_s: float | None) -> World:
+    """Return the world of a file, or the demo's, with another rate and duration and without faults.
+
+    Faults strike emulated converters, of which a load has none. Raises click.UsageError for values out of range.
+    """
+    try:
+        world = read_world_file(path) if path is not None else load_world("demo")
+        clients = world.clients
+        if rate_per_s is not None:
+            clients = msgspec.structs.replace(clients, rate_per_s=rate_per_s)
+        return msgspec.structs.replace(world, clients=clients, duration_s=duration_s or world.duration_s, faults=[])
+    except ValueError as error:
+        raise click.UsageError(str(error)) from None
+
+
+def run_load(world: World, address: tuple[str, int], seed: int) -> History:
+    """Send the world's requests to the address and return the clients' records; exit with 1 if that fails."""
+    roles = rig.Cast(sidecar_command=(), stand_ins=False, targets=(address,))
+    with tempfile.TemporaryDirectory(prefix="ryepier-") as folder:
+        try:
+            with live_summary("load", world.duration_s) as watcher:
+                return rig.play(world, seed, Path(folder), roles, watcher)
+        except (rig.RigError, OSError) as error:
+            fail("load", error, ExitCode.FAILURE)
 
 
 @click.command()
-@click.argument("address", metavar="HOST:PORT", callback=checked_address)
-@click.option("--world", "path", type=click.Path(path_type=Path), help="Classes and clients; by default the demo's.")
-@click.option("--rate", type=click.FloatRange(0.1, 20_000), help="First tries a second.")
+@click.argument("address", metavar="HOST:PORT", callback=parse_loopback_address)
+@click.option(
+    "--world", "path", type=click.Path(path_type=Path), help="Request classes and clients; by default the demo's."
+)
+@click.option("--rate", type=click.FloatRange(0.1, 20_000), help="First attempts per second.")
 @click.option("--seconds", type=click.FloatRange(0.5, 3600))
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON.")
@@ -48,24 +75,12 @@
     address: tuple[str, int], path: Path | None, rate: float | None, seconds: float | None, seed: int, as_json: bool
 ) -> None:
     """Send requests to a sidecar at HOST:PORT as its application would."""
-    try:
-        world = with_load(read_world_file(path) if path is not None else load_world("demo"), rate, seconds)
-    except ValueError as error:
-        raise click.UsageError(str(error)) from None
-    cast = rig.Cast(sidecar_command=(), stand_ins=False, targets=(address,))
-    with tempfile.TemporaryDirectory(prefix="ryepier-") as folder:
-        try:
-            with live_summary("load", world.duration_s) as watcher:
-                history = rig.play(world, seed, Path(folder), cast, watcher)
-        except (rig.RigError, OSError) as error:
-            print(f"ryepier load: {error}", file=sys.stderr)
-            sys.exit(1)
-    shown = figures.summary(world, history, figures.operations(world, history.tries))
-    kept = {
-        name: value for name, value in shown.items() if name not in ("waste", "sidecar_most_mib", "attempts_per_try")
-    }
+    world = make_load_world(path, rate, seconds)
+    history = run_load(world, address, seed)
+    summary = figures.summary(world, history, figures.operations(world, history.tries))
+    known = {name: value for name, value in summary.items() if name not in UNKNOWN_FIGURES}
     if as_json:
-        print(json.dumps(kept))
-    else:
-        for name, value in kept.items():
-            print(f"{name:28} {value:.4g}")
+        print(json.dumps(known))
+        return
+    for name, value in known.items():
+        print(f"{name:28} {value:.4g}")
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -14,7 +14,7 @@
 import click
 import msgspec
 
-from ryepier.commands.config import complain
+from ryepier.commands.config import fail_with_problems
 from ryepier.conf.operator_settings import LoggingSettings
 from ryepier.logs import structured
 from ryepier.maintenance import agreement as agreements
@@ -187,7 +187,7 @@
     except OSError as error:
         _end(f"{path}: {error.strerror}", 2)
     except AgreementError as error:
-        complain(path, error.problems)
+        fail_with_problems(path, error.problems)
     if region not in agreement.regions:
         _end(f"{path}: no region {region!r}; there are {', '.join(agreement.regions)}", 2)
     return agreement
--- a/ryepier/commands/plan.py
+++ b/ryepier/commands/plan.py
@@ -1,41 +1,46 @@
-"""`ryepier plan`: what a planner says now, what changed between two plans, and why a converter is as it is."""
+"""`ryepier plan`: show the current plan of a planner, compare two plans, explain a converter's weight."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import sys
 import time
 from pathlib import Path
 
 import click
 import msgspec
 
+from ryepier.commands.exits import ExitCode, fail
 from ryepier.plan.messages import VERSION, ConverterAdvice, FrameDecoder, Hello, Plan, ProtocolError, encode
 from ryepier.sidecar.config import parse_address
 
-WITHIN_S = 3.0
-READER = "a reader"  # reports nothing, and so counts for nothing as a forwarder
+FETCH_TIMEOUT_S = 3.0
+READ_BYTES = 65_536
+CLIENT_NAME = "a reader"  # sends no load reports, so planners do not count it as a forwarder
 
 
 async def fetch(address: tuple[str, int]) -> Plan:
-    """The plan in force at a planner. Raises OSError, TimeoutError and ProtocolError."""
-    async with asyncio.timeout(WITHIN_S):
+    """Return the first plan that a planner sends. Raises OSError, TimeoutError and ProtocolError."""
+    async with asyncio.timeout(FETCH_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*address)
         try:
-            writer.write(encode(Hello(VERSION, READER, time.time_ns() // 1000)))
-            frames = FrameDecoder()
-            while data := await reader.read(65_536):
-                for message in frames.feed(data):
-                    if isinstance(message, Plan):
-                        return message
+            writer.write(encode(Hello(VERSION, CLIENT_NAME, time.time_ns() // 1000)))
+            return await _read_plan(reader)
         finally:
             writer.close()
+
+
+async def _read_plan(reader: asyncio.StreamReader) -> Plan:
+    frames = FrameDecoder()
+    while data := await reader.read(READ_BYTES):
+        for message in frames.feed(data):
+            if isinstance(message, Plan):
+                return message
     raise ProtocolError("the planner closed the connection")
 
 
-def fetched(text: str) -> Plan:
-    """The plan of the planner at host:port; ends with 1 where there is none."""
+def fetch_or_exit(text: str) -> Plan:
+    """Return the plan of the planner at `host:port`; exit with 1 if it sends none."""
     try:
         address = parse_address(text)
     except ValueError as error:
@@ -43,74 +48,80 @@
     try:
         return asyncio.run(fetch(address))
     except TimeoutError:
-        print(f"ryepier plan: {text} hands out no plan: it follows, or its evidence is not enough", file=sys.stderr)
+        reason = f"{text} sends no plan: it is not the leader, or it has too few load reports"
+        fail("plan", reason, ExitCode.FAILURE)
     except (OSError, ProtocolError) as error:
-        print(f"ryepier plan: {text}: {error}", file=sys.stderr)
-    sys.exit(1)
+        fail("plan", f"{text}: {error}", ExitCode.FAILURE)
 
 
-def read(path: Path) -> Plan:
-    """A plan that `show --json` wrote; ends with 2 on what is none."""
+def read_or_exit(path: Path) -> Plan:
+    """Return a plan that `show --json` wrote; exit with 2 if the file holds none."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Plan)
     except (OSError, msgspec.MsgspecError) as error:
-        print(f"ryepier plan: {path}: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail("plan", f"{path}: {error}", ExitCode.MISUSE)
 
 
-def describe(entry: ConverterAdvice) -> str:
-    if entry.ejected:
-        return f"rests, {entry.trial_share:.1%} of the forwarders may try it: {entry.reason}"
-    concurrency_limit = f", at most {entry.concurrency_limit} out a forwarder" if entry.concurrency_limit else ""
-    return f"weight {entry.weight:.2f}{concurrency_limit}: {entry.reason}"
+def describe(advice: ConverterAdvice) -> str:
+    """Return what a plan advises for a converter, and why, in one line."""
+    if advice.ejected:
+        return f"ejected, {advice.trial_share:.1%} of the forwarders may probe it: {advice.reason}"
+    limit = advice.concurrency_limit
+    limit_text = f", at most {limit} in flight per forwarder" if limit else ""
+    return f"weight {advice.weight:.2f}{limit_text}: {advice.reason}"
 
 
-def heading(plan: Plan) -> str:
-    basis = plan.evidence
+def describe_plan(plan: Plan) -> str:
+    """Return a plan's number, its leader's term and the evidence behind it in one line."""
+    evidence = plan.evidence
     return (
-        f"plan {plan.number} of {plan.term.planner}, epoch {plan.term.epoch}; {basis.forwarders} forwarders, "
-        f"{basis.attempts} attempts in {basis.window_ms} ms, {basis.covered} of {basis.listed} converters seen"
+        f"plan {plan.number} of {plan.term.planner}, epoch {plan.term.epoch}; {evidence.forwarders} forwarders, "
+        f"{evidence.attempts} attempts in {evidence.window_ms} ms, "
+        f"{evidence.covered} of {evidence.listed} converters observed"
     )
 
 
 @click.group()
 def plan() -> None:
-    """Show what planners say, and why."""
+    """Show the plans of planners and the reasons behind them."""
 
 
 @plan.command()
 @click.argument("planner", metavar="HOST:PORT")
-@click.option("--json", "as_json", is_flag=True, help="For programs, and for `diff`.")
+@click.option("--json", "as_json", is_flag=True, help="Print the plan as JSON, for programs and for `diff`.")
 def show(planner: str, as_json: bool) -> None:
-    """The plan in force at a planner."""
-    found = fetched(planner)
+    """Print the current plan of a planner."""
+    current = fetch_or_exit(planner)
     if as_json:
-        print(json.dumps(msgspec.to_builtins(found)))
+        print(json.dumps(msgspec.to_builtins(current)))
         return
-    print(heading(found))
-    for uid, entry in sorted(found.entries.items()):
-        print(f"{uid:24} {describe(entry)}")
+    print(describe_plan(current))
+    for uid, advice in sorted(current.entries.items()):
+        print(f"{uid:24} {describe(advice)}")
 
 
 @plan.command()
 @click.argument("old", type=click.Path(path_type=Path))
 @click.argument("new", type=click.Path(path_type=Path))
 def diff(old: Path, new: Path) -> None:
-    """What changed between two plans that `show --json` wrote."""
-    before, after = read(old), read(new)
-    print(f"- {heading(before)}\n+ {heading(after)}")
+    """Print the differences of two plans that `show --json` wrote."""
+    before = read_or_exit(old)
+    after = read_or_exit(new)
+    print(f"- {describe_plan(before)}\n+ {describe_plan(after)}")
+    unlisted = ConverterAdvice()
     for uid in sorted(before.entries.keys() | after.entries.keys()):
-        one, other = before.entries.get(uid, ConverterAdvice()), after.entries.get(uid, ConverterAdvice())
-        if one != other:
-            print(f"{uid}\n  - {describe(one)}\n  + {describe(other)}")
+        advice_before = before.entries.get(uid, unlisted)
+        advice_after = after.entries.get(uid, unlisted)
+        if advice_before != advice_after:
+            print(f"{uid}\n  - {describe(advice_before)}\n  + {describe(advice_after)}")
 
 
 @plan.command()
 @click.argument("converter")
 @click.argument("planner", metavar="HOST:PORT")
 def explain(converter: str, planner: str) -> None:
-    """Why a converter has the weight that it has."""
-    found = fetched(planner)
-    print(heading(found))
-    entry = found.entries.get(converter)
-    print(f"{converter}: {describe(entry) if entry is not None else 'as usual, nothing is said of it'}")
+    """Print why a converter has its weight."""
+    current = fetch_or_exit(planner)
+    print(describe_plan(current))
+    advice = current.entries.get(converter)
+    print(f"{converter}: {describe(advice) if advice is not None else 'not in the plan, so its weight is the default'}")
--- a/ryepier/commands/planner.py
+++ b/ryepier/commands/planner.py
@@ -5,8 +5,6 @@
 import asyncio
 import os
 import random
-import signal
-import sys
 from pathlib import Path
 
 import click
@@ -14,16 +12,15 @@
 from ryepier.assembly.errors import AssemblyError
 from ryepier.assembly.planning import make_planner
 from ryepier.commands.config import read_operators_file
+from ryepier.commands.exits import ExitCode, fail
+from ryepier.commands.signals import make_stop_event
 from ryepier.logs import structured
 from ryepier.plan.planner_server import PlannerServer
 
 
 async def serve(server: PlannerServer) -> None:
-    """Run a planner until SIGTERM or SIGINT."""
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    await server.run(stop)
+    """Run a planner until SIGTERM or SIGINT. Raises OSError if it can't listen."""
+    await server.run(make_stop_event())
 
 
 @click.command()
@@ -35,10 +32,8 @@
     try:
         server = make_planner(operators, random.getrandbits(64))
     except AssemblyError as error:
-        print(f"ryepier planner: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail("planner", error, ExitCode.MISUSE)
     try:
         asyncio.run(serve(server))
     except OSError as error:
-        print(f"ryepier planner: {operators.planner.listen}: {error}", file=sys.stderr)
-        sys.exit(1)
+        fail("planner", f"{operators.planner.listen}: {error}", ExitCode.FAILURE)
--- a/ryepier/commands/run.py
+++ b/ryepier/commands/run.py
@@ -1,10 +1,9 @@
-"""`ryepier run`: one sidecar, as the platform starts it, with the operators' file beside it."""
+"""`ryepier run`: one sidecar, configured by the platform's file and the operators' file."""
 
 from __future__ import annotations
 
 import asyncio
 import os
-import sys
 from pathlib import Path
 
 import click
@@ -12,6 +11,7 @@
 from ryepier.assembly.errors import AssemblyError
 from ryepier.assembly.sidecar import check_settings, select_components
 from ryepier.commands.config import read_operators_file
+from ryepier.commands.exits import ExitCode, fail
 from ryepier.logs import structured
 from ryepier.sidecar import config as platform
 from ryepier.sidecar.__main__ import run as run_sidecar
@@ -26,7 +26,7 @@
     envvar="BALANCER_CONFIG",
     required=True,
     type=click.Path(),
-    help="The platform's configuration (JSON); by default what BALANCER_CONFIG names.",
+    help="The platform's configuration (JSON); by default the file that BALANCER_CONFIG names.",
 )
 def run(path: Path | None, platform_path: str) -> None:
     """Run one sidecar until SIGTERM."""
@@ -35,11 +35,9 @@
     try:
         settings = platform.load(platform_path)
     except CONFIG_ERRORS as error:
-        print(f"ryepier run: {platform_path}: {error!r}", file=sys.stderr)
-        sys.exit(2)
+        fail("run", f"{platform_path}: {error!r}", ExitCode.MISUSE)
     try:
         check_settings(operators, settings)
     except AssemblyError as error:
-        print(f"ryepier run: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail("run", error, ExitCode.MISUSE)
     asyncio.run(run_sidecar(settings, select_components(operators)))
--- /dev/null
+++ b/ryepier/commands/signals.py
@@ -0,0 +1,15 @@
+"""Termination signals of commands that run until they are stopped."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+
+
+def make_stop_event() -> asyncio.Event:
+    """Return an event that SIGTERM or SIGINT sets. Call it from a running event loop."""
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    return stop
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -1,4 +1,4 @@
-"""`ryepier sim`: worlds in simulation, a search for what breaks a rule, and its replay."""
+"""`ryepier sim`: run worlds in simulation, search for rule violations, and replay what was found."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 import click
 import msgspec
 
+from ryepier.commands.exits import ExitCode, fail
 from ryepier.emulator import simulated
 from ryepier.emulator.rig import RigError
 from ryepier.experiments import seeded_faults
@@ -19,96 +20,90 @@
 from ryepier.experiments.simulation import hunt as search
 from ryepier.experiments.simulation.coverage import LEGEND, Coverage
 
-plant_option = click.option("--plant", default="", help="A mistake put in on purpose, to see that it is found.")
+SMALLER_SUFFIX = ".small.json"
 
 
-def check_plant(plant: str) -> None:
-    if plant and plant not in seeded_faults.SEEDED_FAULTS:
-        raise click.BadParameter(f"unknown plant {plant!r}; known: {', '.join(sorted(seeded_faults.SEEDED_FAULTS))}")
+def _check_seeded_fault(name: str) -> None:
+    if name and name not in seeded_faults.SEEDED_FAULTS:
+        known = ", ".join(sorted(seeded_faults.SEEDED_FAULTS))
+        raise click.BadParameter(f"unknown seeded fault {name!r}; known: {known}")
 
 
 def read_find(path: Path) -> search.Find:
-    """Ends with 2 on what is none."""
+    """Return the find in a file; exit with 2 if it holds none."""
     try:
         return search.load(path)
     except (OSError, msgspec.MsgspecError) as error:
-        print(f"ryepier sim: {path}: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail("sim", f"{path}: {error}", ExitCode.MISUSE)
 
 
 @click.group()
 def sim() -> None:
-    """Play worlds under virtual time, and search for faults."""
+    """Run worlds under virtual time, and search for rule violations."""
 
 
 @sim.command()
 @click.argument("name")
 @click.option("--seed", default=1, show_default=True)
 def run(name: str, seed: int) -> None:
-    """Play the world of an experiment in simulation."""
-    begun = time.monotonic()
+    """Run the world of an experiment in simulation; exit with 1 if a rule is broken."""
+    begun_s = time.monotonic()
     try:
         world = shipped.load(name)
         history = simulated.play(world, seed)
     except (FileNotFoundError, RigError) as error:
-        print(f"ryepier sim: {name}: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail("sim", f"{name}: {error}", ExitCode.MISUSE)
     breaches = Counter(breach.rule for breach in judge.judge(world, history))
-    orders = figures.operations(world, history.tries)
-    print(
-        json.dumps(
-            {
-                "world": name,
-                "seed": seed,
-                "trace": search.trace_of(history),
-                "service": figures.service_level(orders),
-                "tries": len(history.tries),
-                "attempts": len(history.attempts),
-                "breaches": breaches,
-                "simulated_s_a_second": world.duration_s / (time.monotonic() - begun),
-            }
-        )
-    )
-    sys.exit(1 if breaches else 0)
+    summary = {
+        "world": name,
+        "seed": seed,
+        "trace": search.trace_of(history),
+        "service": figures.service_level(figures.operations(world, history.tries)),
+        "tries": len(history.tries),
+        "attempts": len(history.attempts),
+        "breaches": breaches,
+        "simulated_s_a_second": world.duration_s / (time.monotonic() - begun_s),
+    }
+    print(json.dumps(summary))
+    sys.exit(ExitCode.FAILURE if breaches else ExitCode.SUCCESS)
 
 
 @sim.command()
-@click.option("--seeds", default=100, show_default=True, help="How many worlds.")
+@click.option("--seeds", default=100, show_default=True, help="Number of worlds.")
 @click.option("--first", default=0, show_default=True, help="The first seed.")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("found"), show_default=True)
-@plant_option
-def hunt(seeds: int, first: int, out: Path, plant: str) -> None:
-    """Draw worlds from seeds, play them on all cores, and keep what broke a rule."""
-    check_plant(plant)
-    begun, finds, coverage = time.monotonic(), 0, Coverage()
+@click.option("--plant", "seeded_fault", default="", help="Run with this seeded fault, to check that it is found.")
+def hunt(seeds: int, first: int, out: Path, seeded_fault: str) -> None:
+    """Draw worlds from seeds, run them on all cores, and save those that break a rule."""
+    _check_seeded_fault(seeded_fault)
+    begun_s = time.monotonic()
+    find_count, coverage = 0, Coverage()
     out.mkdir(parents=True, exist_ok=True)
-    for number, played in enumerate(search.hunt(range(first, first + seeds), plant)):
-        coverage.add(played.coverage)
-        find = played.find
-        if find is not None:
-            finds += 1
-            path = out / f"find-{plant + '-' if plant else ''}{find.seed}.json"
-            search.save(find, path)
-            print(f"{path}: world {number + 1}: {find.first}", flush=True)
-    took_s = time.monotonic() - begun
+    prefix = f"find-{seeded_fault}-" if seeded_fault else "find-"
+    for number, result in enumerate(search.hunt(range(first, first + seeds), seeded_fault)):
+        coverage.add(result.coverage)
+        if result.find is None:
+            continue
+        find_count += 1
+        path = out / f"{prefix}{result.find.seed}.json"
+        search.save(result.find, path)
+        print(f"{path}: world {number + 1}: {result.find.first}", flush=True)
+    elapsed_s = time.monotonic() - begun_s
     (out / "coverage.json").write_text(json.dumps(coverage.as_lists()))
     print_table(coverage)
-    rate = seeds * search.LENGTH_S / took_s
-    print(f"{seeds} worlds, {finds} that broke a rule, {rate:.0f} simulated seconds a second")
-    sys.exit(1 if finds else 0)
+    rate = seeds * search.LENGTH_S / elapsed_s
+    print(f"{seeds} worlds, {find_count} that broke a rule, {rate:.0f} simulated seconds per second")
+    sys.exit(ExitCode.FAILURE if find_count else ExitCode.SUCCESS)
 
 
 def print_table(coverage: Coverage) -> None:
-    """How often what struck met which state."""
+    """Print how often each fault struck a request in each state, and what the states mean."""
     rows = coverage.rows()
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     for row in rows:
-        print(
-            "  ".join(
-                text.ljust(width) if column == 0 else text.rjust(width)
-                for column, (text, width) in enumerate(zip(row, widths, strict=True))
-            )
-        )
+        label = row[0].ljust(widths[0])
+        counts = [text.rjust(width) for text, width in zip(row[1:], widths[1:], strict=True)]
+        print("  ".join([label, *counts]))
     for state, meaning in LEGEND.items():
         print(f"{state}: {meaning}")
 
@@ -116,7 +111,7 @@
 @sim.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def replay(path: Path) -> None:
-    """Play a find again, and tell the story of its first breach."""
+    """Run a find again, and print what happened to the request of its first violation."""
     find = read_find(path)
     search.plant_in_process(find.plant)
     again, history = search.play(find.world, find.seed, find.plant)
@@ -124,21 +119,21 @@
         print("no rule is broken any more")
         return
     print(again.first)
-    print(f"trace {again.trace}: {'the same' if again.trace == find.trace else 'not the same as when it was found'}")
-    for word in again.first.replace(":", " ").replace(",", " ").split():
-        if history is not None and word.count("-") == 2:
-            print("\n".join(search.story(history, word)))
-            break
-    sys.exit(1)
+    comparison = "the same" if again.trace == find.trace else "differs from the one that was saved"
+    print(f"trace {again.trace}: {comparison}")
+    request_id = search.request_in(again.first)
+    if history is not None and request_id is not None:
+        print("\n".join(search.story(history, request_id)))
+    sys.exit(ExitCode.FAILURE)
 
 
 @sim.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def shrink(path: Path) -> None:
-    """Cut a find down to the few faults that matter, and keep it beside."""
+    """Reduce a find to the few faults that matter, and save that beside it."""
     find = read_find(path)
     search.plant_in_process(find.plant)
     smaller = search.shrink(find)
-    out = path.with_suffix(".small.json")
+    out = path.with_suffix(SMALLER_SUFFIX)
     search.save(smaller, out)
     print(f"{out}: {len(find.world.faults)} faults before, {len(smaller.world.faults)} now: {smaller.first}")
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -1,4 +1,4 @@
-"""`ryepier slices`: a service's EndpointSlices as a sidecar would read them."""
+"""`ryepier slices`: a service's EndpointSlices as a sidecar reads them."""
 
 from __future__ import annotations
 
@@ -6,9 +6,7 @@
 import json
 import os
 import random
-import signal
 import sys
-from collections.abc import Callable
 from pathlib import Path
 
 import click
@@ -16,6 +14,8 @@
 from ryepier.assembly.endpoint_slices import resolve_namespace
 from ryepier.balancer.interface import UpstreamsUpdated
 from ryepier.commands.config import read_operators_file
+from ryepier.commands.exits import ExitCode, fail
+from ryepier.commands.signals import make_stop_event
 from ryepier.logs import structured
 from ryepier.sidecar.system import clock_us
 from ryepier.slices.api_client import AccessError, find_access, make_client
@@ -25,16 +25,16 @@
 from ryepier.slices.slice_source import Settings, SliceSource
 
 RULE_TEXTS = {
-    1: "all slices that hold it say the same",
-    3: "it was seen terminating, and a pod never comes back from that",
-    4: "the slices differ, and the safest word counts",
-    6: "all slices vanished at once, so the last list is held",
+    1: "all slices that list it agree",
+    3: "it was observed terminating, and a pod never returns from that",
+    4: "the slices differ, and the most cautious one counts",
+    6: "all slices vanished at once, so the last list is kept",
 }
-WITHIN_S = 30.0
+LIST_TIMEOUT_S = 30.0
 
 
-def reading_settings(path: Path | None, service: str) -> Settings:
-    """What a command that only reads is told; ends with 2 where the settings are not enough."""
+def make_settings(path: Path | None, service: str) -> Settings:
+    """Return the settings of a read-only client; exit with 2 if they are incomplete or wrong."""
     operators = read_operators_file(path, os.environ)
     structured.set_up(operators.logging)
     slices = operators.slices
@@ -56,54 +56,56 @@
             seed=random.getrandbits(32),
         )
     except AccessError as error:
-        print(f"ryepier slices: {error}", file=sys.stderr)
-        sys.exit(2)
+        fail("slices", error, ExitCode.MISUSE)
 
 
-async def until_stopped(start: Callable[[], object]) -> None:
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    kept = start()
-    await stop.wait()
-    del kept
-
-
-def print_event(
-    event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]], idents: dict[int, str], as_json: bool
-) -> None:
-    """One line for each entry."""
+def format_event(
+    event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]], uids: dict[int, str], as_json: bool
+) -> list[str]:
+    """Return one line for each upstream of an update of the list."""
+    lines = []
     for entry in event.upstreams:
         host, port = addresses[entry.id]
-        uid = idents.get(entry.id, "")
-        if as_json:
-            print(
-                json.dumps(
-                    {
-                        "list": event.kind.value,
-                        "version": event.version,
-                        "uid": uid,
-                        "host": host,
-                        "port": port,
-                        "state": entry.state.value,
-                        "cell": entry.failure_domain,
-                    }
-                ),
-                flush=True,
-            )
-        else:
-            print(f"{event.version:6} {event.kind.value:6} {entry.state.value:9} {host}:{port} {uid}", flush=True)
+        uid = uids.get(entry.id, "")
+        if not as_json:
+            lines.append(f"{event.version:6} {event.kind.value:6} {entry.state.value:9} {host}:{port} {uid}")
+            continue
+        fields = {
+            "list": event.kind.value,
+            "version": event.version,
+            "uid": uid,
+            "host": host,
+            "port": port,
+            "state": entry.state.value,
+            "cell": entry.failure_domain,
+        }
+        lines.append(json.dumps(fields))
+    return lines
+
+
+async def follow(settings: Settings, as_json: bool) -> None:
+    """Print every update of the list until SIGTERM or SIGINT."""
+    stop = make_stop_event()
+
+    def on_update(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+        uids = {upstream_id: uid for uid, upstream_id in source.upstream_ids().items()}
+        for line in format_event(event, addresses, uids, as_json):
+            print(line, flush=True)
+
+    source = SliceSource(settings, on_update, clock_us)
+    source.start()
+    await stop.wait()
 
 
 async def read_once(settings: Settings) -> EndpointSliceMerger:
-    """The slices as one list has them. Raises TimeoutError."""
+    """Return the merged slices of one complete list. Raises TimeoutError."""
     merger = EndpointSliceMerger(settings.port)
     listed = asyncio.Event()
 
-    def take(news: list[Replace | Apply | Delete]) -> None:
-        for one in news:
-            if isinstance(one, Replace):
-                merger.replace(one.slices)
+    def on_changes(changes: list[Replace | Apply | Delete]) -> None:
+        for change in changes:
+            if isinstance(change, Replace):
+                merger.replace(change.slices)
                 listed.set()
 
     client = make_client(
@@ -112,77 +114,67 @@
         settings.service,
         settings.watch_s,
         settings.seed,
-        take,
+        on_changes,
         lambda: None,
         clock_us,
     )
-    following = asyncio.create_task(client.run())
+    reading = asyncio.create_task(client.run())
     try:
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(LIST_TIMEOUT_S):
             await listed.wait()
     finally:
-        following.cancel()
+        reading.cancel()
     return merger
 
 
-def wanted(merger: EndpointSliceMerger, text: str) -> list[MergedEndpoint]:
-    """The converters that a person may mean: by pod uid, by address, or by address and port."""
-    return [
-        verdict
-        for identity, verdict in merger.endpoints(0).items()
-        if text
-        in (
-            identity,
-            verdict.address[0],
-            f"{verdict.address[0]}:{verdict.address[1]}",
-            f"[{verdict.address[0]}]:{verdict.address[1]}",
-        )
-    ]
-
-
-def describe_word(word: EndpointObservation) -> str:
-    places = [
-        text
-        for text in (
-            word.node and f"node {word.node}",
-            word.zone and f"zone {word.zone}",
-            ",".join(word.for_zones) and f"hinted for {', '.join(word.for_zones)}",
-        )
-        if text
-    ]
-    return f"  {word.slice_name}, generation {word.generation}: {RISKS[word.risk]}" + (
-        f" ({'; '.join(places)})" if places else ""
+def find_endpoints(merger: EndpointSliceMerger, text: str) -> list[MergedEndpoint]:
+    """Return the endpoints with this pod uid, address, or address and port."""
+    found = []
+    for identity, endpoint in merger.endpoints(0).items():
+        host, port = endpoint.address
+        if text in (identity, host, f"{host}:{port}", f"[{host}]:{port}"):
+            found.append(endpoint)
+    return found
+
+
+def describe_observation(observation: EndpointObservation) -> str:
+    """Return what one slice reports of an endpoint, in one line."""
+    places = []
+    if observation.node:
+        places.append(f"node {observation.node}")
+    if observation.zone:
+        places.append(f"zone {observation.zone}")
+    if observation.for_zones:
+        places.append(f"hinted for {', '.join(observation.for_zones)}")
+    place_text = f" ({'; '.join(places)})" if places else ""
+    return f"  {observation.slice_name}, generation {observation.generation}: {RISKS[observation.risk]}{place_text}"
+
+
+def describe_endpoint(endpoint: MergedEndpoint) -> str:
+    """Return the merged state of an endpoint and the rule behind it, in one line."""
+    host, port = endpoint.address
+    return (
+        f"{host}:{port} {endpoint.identity}: {endpoint.state.value}, by rule {endpoint.rule}: "
+        f"{RULE_TEXTS[endpoint.rule]}"
     )
 
 
 @click.group()
 def slices() -> None:
-    """Follow a service's EndpointSlices, and tell why a converter is listed as it is."""
+    """Follow a service's EndpointSlices, and explain the state of a converter."""
 
 
 config_option = click.option("--config", "path", type=click.Path(path_type=Path), help="The operators' file (TOML).")
-service_option = click.option("--service", default="", help="In place of slices.service of the operators' file.")
+service_option = click.option("--service", default="", help="Instead of slices.service of the operators' file.")
 
 
 @slices.command()
 @config_option
 @service_option
-@click.option("--json", "as_json", is_flag=True, help="One object a line.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
 def watch(path: Path | None, service: str, as_json: bool) -> None:
-    """Print what a sidecar's module would be told, from now until SIGTERM."""
-    settings = reading_settings(path, service)
-
-    def start() -> SliceSource:
-        source: SliceSource
-
-        def listener(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
-            print_event(event, addresses, {ident: uid for uid, ident in source.upstream_ids().items()}, as_json)
-
-        source = SliceSource(settings, listener, clock_us)
-        source.start()
-        return source
-
-    asyncio.run(until_stopped(start))
+    """Print the upstream list that a sidecar would use, and each change of it, until SIGTERM."""
+    asyncio.run(follow(make_settings(path, service), as_json))
 
 
 @slices.command()
@@ -190,24 +182,19 @@
 @config_option
 @service_option
 def explain(address: str, path: Path | None, service: str) -> None:
-    """Which slices say what of ADDRESS (an address, address:port or a pod's uid), and which rule decides."""
-    settings = reading_settings(path, service)
+    """Print what each slice reports of ADDRESS (an address, address:port or a pod's uid), and which rule decides."""
+    settings = make_settings(path, service)
     try:
         merger = asyncio.run(read_once(settings))
     except TimeoutError:
-        print(f"ryepier slices: no list within {WITHIN_S:.0f} s", file=sys.stderr)
-        sys.exit(1)
-    for name, why in sorted(merger.skipped.items()):
-        print(f"slice {name} can't be used: {why}", file=sys.stderr)
-    found = wanted(merger, address)
-    for verdict in found:
-        host, port = verdict.address
-        print(
-            f"{host}:{port} {verdict.identity}: {verdict.state.value}, by rule {verdict.rule}: "
-            f"{RULE_TEXTS[verdict.rule]}"
-        )
-        for word in merger.observations[verdict.identity].values():
-            print(describe_word(word))
-    if not found:
-        print(f"ryepier slices: no slice of {settings.namespace}/{settings.service} holds {address}", file=sys.stderr)
-        sys.exit(1)
+        fail("slices", f"no list within {LIST_TIMEOUT_S:.0f} s", ExitCode.FAILURE)
+    for name, reason in sorted(merger.skipped.items()):
+        print(f"slice {name} can't be used: {reason}", file=sys.stderr)
+    endpoints = find_endpoints(merger, address)
+    if not endpoints:
+        reason = f"no slice of {settings.namespace}/{settings.service} lists {address}"
+        fail("slices", reason, ExitCode.FAILURE)
+    for endpoint in endpoints:
+        print(describe_endpoint(endpoint))
+        for observation in merger.observations[endpoint.identity].values():
+            print(describe_observation(observation))
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -9,6 +9,7 @@
 from collections import Counter
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 from importlib import metadata
 from pathlib import Path
 from typing import Literal
@@ -22,7 +23,15 @@
 from ryepier.experiments.core import figures, judge
 
 Scale = Literal["small", "full"]
-Backend = Literal["sockets", "sim"]
+
+
+class Backend(StrEnum):
+    """Where an experiment's world runs."""
+
+    SOCKETS = "sockets"
+    SIM = "sim"  # one process under virtual time
+
+
 Operator = Literal["<=", ">=", "=="]
 OPERATORS: dict[str, Callable[[float, float], bool]] = {"<=": operator.le, ">=": operator.ge, "==": operator.eq}
 LIBRARIES = ("httptools", "numpy", "msgspec", "hdrhistogram")
@@ -55,7 +64,7 @@
     figures: dict[str, float]
     versions: dict[str, str]
     seeded_fault: str = ""
-    backend: Backend = "sockets"
+    backend: Backend = Backend.SOCKETS
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,13 +163,14 @@
     folder: Path,
     seeded_fault: str = "",
     watcher: rig.Watcher | None = None,
-    backend: Backend = "sockets",
+    backend: Backend = Backend.SOCKETS,
 ) -> list[Claim]:
     """Play it, judge it, and write all that came out into `folder`. Raises rig.RigError where the rig failed."""
     world = experiment.world(scale)
-    run_trial = (
-        _simulating(experiment, seeded_fault) if backend == "sim" else _on_sockets(experiment, seeded_fault, watcher)
-    )
+    if backend is Backend.SIM:
+        run_trial = _simulating(experiment, seeded_fault)
+    else:
+        run_trial = _on_sockets(experiment, seeded_fault, watcher)
     control = None
     if experiment.control_world is not None:
         control = _observe(experiment.control_world(world), seed, folder / "paired", run_trial, is_control=True)
@@ -216,6 +226,12 @@
     return measured.claims
 
 
+def as_fields(claim: Claim) -> dict[str, object]:
+    """Return a claim as the fields that it has in result.json."""
+    fields: dict[str, object] = msgspec.to_builtins(claim)
+    return fields | {"holds": claim.holds}
+
+
 def make_result(
     name: str, seed: int, scale: Scale, claims: list[Claim], found: Mapping[str, float], seeded_fault: str
 ) -> Result:
@@ -223,7 +239,7 @@
         name,
         seed,
         scale,
-        [msgspec.to_builtins(claim) | {"holds": claim.holds} for claim in claims],
+        [as_fields(claim) for claim in claims],
         dict(found),
         library_versions(),
         seeded_fault,
--- a/ryepier/experiments/simulation/hunt.py
+++ b/ryepier/experiments/simulation/hunt.py
@@ -302,6 +302,12 @@
     return [f"{at_us / 1e6:10.6f} s  {text}" for at_us, text in sorted(set(lines))]
 
 
+def request_in(text: str) -> str | None:
+    """Return the first request id in a violation's text, if there is one."""
+    words = text.replace(":", " ").replace(",", " ").split()
+    return next((word for word in words if word.count("-") == 2), None)
+
+
 def save(find: Find, path: Path) -> None:
     path.write_bytes(msgspec.json.format(msgspec.json.encode(find), indent=1))
 
