--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -9,20 +9,29 @@
 from collections import Counter
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 from importlib import metadata
 from pathlib import Path
 from typing import Literal
 
 import msgspec
 
-from ryepier.emulator import rig, simulated
+from ryepier.emulator import harness, simulated
 from ryepier.emulator.records import History
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
 
 Scale = Literal["small", "full"]
-Backend = Literal["sockets", "sim"]
+
+
+class Backend(StrEnum):
+    """Where an experiment's world runs."""
+
+    SOCKETS = "sockets"
+    SIM = "sim"  # one process under virtual time
+
+
 Operator = Literal["<=", ">=", "=="]
 OPERATORS: dict[str, Callable[[float, float], bool]] = {"<=": operator.le, ">=": operator.ge, "==": operator.eq}
 LIBRARIES = ("httptools", "numpy", "msgspec", "hdrhistogram")
@@ -55,7 +64,7 @@
     figures: dict[str, float]
     versions: dict[str, str]
     seeded_fault: str = ""
-    backend: Backend = "sockets"
+    backend: Backend = Backend.SOCKETS
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,20 +134,20 @@
 
 def lateness_claim(run: Run, valid_until_s: Callable[[Run], float] | None) -> Claim:
     """The emulator kept up; otherwise the run is void, as it would have measured the rig."""
-    bound_ms = run.world.rig.lateness_ms
+    bound_ms = run.world.harness.lateness_ms
     if valid_until_s is None:
         worst_us = max((late.p999_us for late in run.history.lateness), default=0)
         return Claim("the emulator's lateness (99.9%, ms)", worst_us / 1000, "<=", bound_ms)
     until_s = int(valid_until_s(run))
-    seconds = [late.most_by_second_us[:until_s] for late in run.history.lateness]
+    seconds = [late.max_by_second_us[:until_s] for late in run.history.lateness]
     worst_us = max(map(max, filter(None, seconds)), default=0)
     return Claim(f"the emulator's lateness (most in the first {until_s} s, ms)", worst_us / 1000, "<=", bound_ms)
 
 
-def _make_cast(experiment: Experiment, seeded_fault: str) -> rig.Cast:
+def _make_cast(experiment: Experiment, seeded_fault: str) -> harness.RoleAssignment:
     """Who plays, with the experiment's own mistakes and the planted one."""
-    cast = rig.Cast(
-        odd_sidecars={index: seeded_faults.command(name) for index, name in experiment.sidecar_faults.items()}
+    cast = harness.RoleAssignment(
+        sidecar_overrides={index: seeded_faults.command(name) for index, name in experiment.sidecar_faults.items()}
     )
     if experiment.restarted_planner_fault:
         cast = dataclasses.replace(cast, planner_restart=seeded_faults.command(experiment.restarted_planner_fault))
@@ -153,14 +162,15 @@
     scale: Scale,
     folder: Path,
     seeded_fault: str = "",
-    watcher: rig.Watcher | None = None,
-    backend: Backend = "sockets",
+    watcher: harness.Watcher | None = None,
+    backend: Backend = Backend.SOCKETS,
 ) -> list[Claim]:
-    """Play it, judge it, and write all that came out into `folder`. Raises rig.RigError where the rig failed."""
+    """Play it, judge it, and write all that came out into `folder`. Raises HarnessError where the rig failed."""
     world = experiment.world(scale)
-    run_trial = (
-        _simulating(experiment, seeded_fault) if backend == "sim" else _on_sockets(experiment, seeded_fault, watcher)
-    )
+    if backend is Backend.SIM:
+        run_trial = _simulating(experiment, seeded_fault)
+    else:
+        run_trial = _on_sockets(experiment, seeded_fault, watcher)
     control = None
     if experiment.control_world is not None:
         control = _observe(experiment.control_world(world), seed, folder / "paired", run_trial, is_control=True)
@@ -179,7 +189,7 @@
 Trial = Callable[[World, int, Path, bool], History]  # the last: whether it is the paired run
 
 
-def _on_sockets(experiment: Experiment, seeded_fault: str, watcher: rig.Watcher | None) -> Trial:
+def _on_sockets(experiment: Experiment, seeded_fault: str, watcher: harness.Watcher | None) -> Trial:
     def run_trial(world: World, seed: int, folder: Path, is_control: bool) -> History:
         cast = _make_cast(experiment, seeded_fault)
         if is_control:
@@ -188,7 +198,7 @@
         if experiment.cores:
             os.sched_setaffinity(0, set(sorted(affinity)[: experiment.cores]))  # the run's processes inherit it
         try:
-            return rig.play(world, seed, folder, cast, watcher)
+            return harness.play(world, seed, folder, cast, watcher)
         finally:
             os.sched_setaffinity(0, affinity)
 
@@ -196,9 +206,9 @@
 
 
 def _simulating(experiment: Experiment, seeded_fault: str) -> Trial:
-    """Raises rig.RigError where that would say nothing. A mistake is put into this very process, and stays."""
+    """Raises harness.HarnessError where that would say nothing. A mistake is put into this very process, and stays."""
     if experiment.measures_cpu or experiment.sidecar_faults or experiment.restarted_planner_fault:
-        raise rig.RigError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
+        raise harness.HarnessError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
 
     def run_trial(world: World, seed: int, folder: Path, is_control: bool) -> History:
         if seeded_fault and not is_control:
@@ -209,13 +219,19 @@
 
 
 def run_benchmark(experiment: Benchmark, seed: int, scale: Scale, folder: Path, seeded_fault: str = "") -> list[Claim]:
-    """Measure, and write the result into `folder`. Raises rig.RigError where it could not be done."""
+    """Measure, and write the result into `folder`. Raises harness.HarnessError where it could not be done."""
     folder.mkdir(parents=True, exist_ok=True)
     measured = experiment.measure(TrialConfig(seed, scale, folder, seeded_fault))
     save_result(folder, make_result(experiment.name, seed, scale, measured.claims, measured.figures, seeded_fault))
     return measured.claims
 
 
+def as_fields(claim: Claim) -> dict[str, object]:
+    """Return a claim as the fields that it has in result.json."""
+    fields: dict[str, object] = msgspec.to_builtins(claim)
+    return fields | {"holds": claim.holds}
+
+
 def make_result(
     name: str, seed: int, scale: Scale, claims: list[Claim], found: Mapping[str, float], seeded_fault: str
 ) -> Result:
@@ -223,7 +239,7 @@
         name,
         seed,
         scale,
-        [msgspec.to_builtins(claim) | {"holds": claim.holds} for claim in claims],
+        [as_fields(claim) for claim in claims],
         dict(found),
         library_versions(),
         seeded_fault,
@@ -232,7 +248,9 @@
 
 def _observe(world: World, seed: int, folder: Path, run_trial: Trial, is_control: bool) -> Run:
     history = run_trial(world, seed, folder, is_control)
-    return Run(world, seed, history, figures.operations(world, history.tries), judge.judge(world, history), folder)
+    return Run(
+        world, seed, history, figures.operations(world, history.client_attempts), judge.judge(world, history), folder
+    )
 
 
 def save(folder: Path, run: Run, result: Result) -> None:
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -85,7 +85,7 @@
 
 
 def perform(trial: TrialConfig) -> Measurement:
-    """Play it once. Raises RigError."""
+    """Play it once. Raises HarnessError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
     planned = [requests_of(one) for one in draw_requests(world, trial.seed) if one.fits]
     scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, cut_and_heal, trial.seeded_fault, relayed=True)
