--- a/ryepier/commands/console.py
+++ b/ryepier/commands/console.py
@@ -12,7 +12,7 @@
 
 from ryepier.commands.exits import ExitCode
 from ryepier.emulator.harness import Watcher
-from ryepier.emulator.records import Happening
+from ryepier.emulator.records import RecordedEvent
 from ryepier.experiments.core.contract import Claim
 
 PLAIN_INTERVAL_S = 2.0
@@ -55,7 +55,7 @@
     return print_line
 
 
-def format_events(events: Iterable[Happening]) -> list[str]:
+def format_events(events: Iterable[RecordedEvent]) -> list[str]:
     """Return a line for each event of a run, with its time in seconds."""
     return [f"{event.at_us / 1e6:8.3f} s  {event.text}" for event in events]
 
--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -49,7 +49,7 @@
             claims = contract.run_experiment(DEMO, seed, "small", folder, watcher=watcher)
     except (HarnessError, OSError) as error:
         fail("demo", error, ExitCode.FAILURE)
-    for line in format_events(report.events(folder)):
+    for line in format_events(report.happenings(folder)):
         print(line, file=sys.stderr)
     for claim in claims:
         print(claim)
--- a/ryepier/commands/emulate.py
+++ b/ryepier/commands/emulate.py
@@ -32,7 +32,7 @@
         history = harness.play(world, seed, folder, roles)
     except (harness.HarnessError, OSError) as error:
         fail("emulate", error, ExitCode.FAILURE)
-    executed = sum(attempt.run_us >= 0 for attempt in history.converter_attempts)
+    executed = sum(attempt.started_us >= 0 for attempt in history.converter_attempts)
     for line in format_events(history.events):
         print(line)
     print(f"{len(history.converter_attempts)} attempts received, {executed} executed")
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -92,7 +92,7 @@
 
 
 def _write_report(folder: Path) -> None:
-    for line in format_events(report.events(folder)):
+    for line in format_events(report.happenings(folder)):
         print(line, file=sys.stderr)
     print(f"report: {report.write(folder)}", file=sys.stderr)
 
