--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -11,8 +11,8 @@
 from ryepier.commands.exits import ExitCode, fail
 from ryepier.emulator.rig import RigError
 from ryepier.emulator.world import World
-from ryepier.experiments.core import contract, figures, report
-from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core import figures, report, runner
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 
 
@@ -46,7 +46,7 @@
     )
     try:
         with live_summary("demo", world.duration_s) as watcher:
-            claims = contract.run_experiment(DEMO, seed, "small", folder, watcher=watcher)
+            claims = runner.run_experiment(DEMO, TrialConfig(seed, "small", folder), watcher)
     except (RigError, OSError) as error:
         fail("demo", error, ExitCode.FAILURE)
     for line in format_events(report.happenings(folder)):
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -16,7 +16,7 @@
 from ryepier.commands.exits import ExitCode, fail
 from ryepier.emulator.rig import RigError
 from ryepier.experiments.catalogue import BENCHMARKS, EXPERIMENTS
-from ryepier.experiments.core import contract, report
+from ryepier.experiments.core import contract, report, runner
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError
 
@@ -85,10 +85,10 @@
 
 def _run(one: Experiment | Benchmark, trial: contract.TrialConfig, backend: contract.Backend) -> list[Claim]:
     if isinstance(one, Experiment):
-        return contract.run_experiment(one, trial.seed, trial.scale, trial.folder, trial.seeded_fault, backend=backend)
+        return runner.run_experiment(one, trial, backend=backend)
     if backend is contract.Backend.SIM:
         raise click.BadParameter(f"{one.name} has no world that could be simulated", param_hint="--backend")
-    return contract.run_benchmark(one, trial.seed, trial.scale, trial.folder, trial.seeded_fault)
+    return runner.run_benchmark(one, trial)
 
 
 def _write_report(folder: Path) -> None:
@@ -99,7 +99,7 @@
 
 def _print_claims(claims: Sequence[Claim], as_json: bool) -> None:
     if as_json:
-        print(json.dumps([contract.as_fields(claim) for claim in claims]))
+        print(json.dumps([claim.as_fields() for claim in claims]))
         return
     for claim in claims:
         print(claim)
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -1,4 +1,7 @@
-"""What a run was worth and what it cost, from the clients' and the converters' notes. Pure."""
+"""Figures of a run, computed from the clients' and the converters' records: service level, latencies, waste, costs.
+
+Pure: records in, numbers out.
+"""
 
 from __future__ import annotations
 
@@ -9,99 +12,139 @@
 from hdrh.histogram import HdrHistogram
 
 from ryepier.emulator.records import NEVER, Attempt, History, Life, Try
-from ryepier.emulator.world import World
+from ryepier.emulator.world import RequestClass, World
 
-LONGEST_US = 60_000_000
+MAX_LATENCY_US = 60_000_000
+LATENCY_DIGITS = 3  # significant digits of the histogram
 PERCENTILES = (50.0, 99.0, 99.9)
+US_PER_S = 1_000_000
+US_PER_MS = 1000
+KIB_PER_MIB = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """What a client wanted once: its first try and the retries that belong to it."""
+    """One operation of a client: its first attempt with the retries that belong to it."""
 
     first: Try
-    worth: float
-    earned: float
-    latency_us: int | None  # from when the first try was due to the served answer
-    tries: int
+    weight: float  # priority weight of its class
+    earned: float  # the part of the weight that it is worth, by when it was served; 0 if too late or never
+    latency_us: int | None  # from the time when the first attempt was due to the served answer; None: not served
+    attempts: int
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptCounts:
+    """Attempts in a part of a run: those at chosen converters, and those at all."""
+
+    at_chosen: int
+    total: int
+
+    @property
+    def share(self) -> float:
+        """Return the share of the attempts that went to the chosen converters."""
+        return self.at_chosen / max(1, self.total)
 
 
 def operations(world: World, tries: Iterable[Try]) -> list[Operation]:
-    """Each first try with what became of it, by the time at which it was due."""
+    """Group the clients' attempts into operations, in the order in which they were due."""
     groups: dict[int, list[Try]] = {}
     for item in tries:
         groups.setdefault(item.first, []).append(item)
-    found = []
-    for group in groups.values():
-        first = min(group, key=lambda item: item.number)
-        kind = world.classes[first.request_class]
-        ends = [item.ended_us for item in group if item.ending == "served"]
-        latency_us = min(ends) - first.planned_us if ends else None
-        earned = 0.0
-        if latency_us is not None and latency_us <= kind.deadline_ms * 1000:
-            earned = kind.worth * (1.0 if latency_us <= kind.aim_ms * 1000 else kind.late_worth)
-        found.append(Operation(first, kind.worth, earned, latency_us, len(group)))
-    return sorted(found, key=lambda order: order.first.planned_us)
+    found = [_make_operation(world.classes, group) for group in groups.values()]
+    return sorted(found, key=lambda operation: operation.first.planned_us)
+
+
+def _make_operation(classes: list[RequestClass], attempts: list[Try]) -> Operation:
+    first = min(attempts, key=lambda item: item.number)
+    request_class = classes[first.request_class]
+    served_us = [item.ended_us for item in attempts if item.ending == "served"]
+    latency_us = min(served_us) - first.planned_us if served_us else None
+    earned = _earned_weight(request_class, latency_us)
+    return Operation(first, request_class.worth, earned, latency_us, len(attempts))
+
+
+def _earned_weight(request_class: RequestClass, latency_us: int | None) -> float:
+    """Return the weight within the latency objective, a part of it until the deadline, 0 later."""
+    if latency_us is None or latency_us > request_class.deadline_ms * US_PER_MS:
+        return 0.0
+    if latency_us <= request_class.aim_ms * US_PER_MS:
+        return request_class.worth
+    return request_class.worth * request_class.late_worth
 
 
 def service_level(found: Iterable[Operation], keep: Callable[[Try], bool] = lambda item: True) -> float:
-    """The worth earned over the worth asked for, of those whose first try `keep` holds; 1 where there are none."""
-    asked = earned = 0.0
-    for order in found:
-        if keep(order.first):
-            asked += order.worth
-            earned += order.earned
-    return earned / asked if asked else 1.0
+    """Return the earned share of the weight of those operations whose first attempt `keep` selects; 1 if none."""
+    offered = earned = 0.0
+    for operation in found:
+        if keep(operation.first):
+            offered += operation.weight
+            earned += operation.earned
+    return earned / offered if offered else 1.0
 
 
 def due_between(begin_s: float, end_s: float) -> Callable[[Try], bool]:
-    """First tries that were due in this part of the run."""
-    return lambda item: begin_s * 1e6 <= item.planned_us < end_s * 1e6
+    """Return a filter for first attempts that were due in this part of the run, its end excluded."""
+    return lambda item: begin_s * US_PER_S <= item.planned_us < end_s * US_PER_S
 
 
 def latency_histogram(found: Iterable[Operation]) -> HdrHistogram:
-    """The latencies of all that were served, in microseconds, to three digits."""
-    result = HdrHistogram(1, LONGEST_US, 3)
-    for order in found:
-        if order.latency_us is not None:
-            result.record_value(min(max(1, order.latency_us), LONGEST_US))
-    return result
+    """Return the latencies of all served operations, in microseconds; longer ones count as `MAX_LATENCY_US`."""
+    histogram = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
+    for operation in found:
+        if operation.latency_us is not None:
+            histogram.record_value(min(max(1, operation.latency_us), MAX_LATENCY_US))
+    return histogram
 
 
 def wasted_work_share(history: History) -> float:
-    """The share of the converters' work that gave no client an answer."""
+    """Return the share of the converters' work after which no client had an answer."""
     served = {item.ident for item in history.tries if item.ending == "served"}
-    ran = [attempt for attempt in history.attempts if attempt.run_us != NEVER]
-    total = sum(attempt.work_us for attempt in ran)
-    lost = sum(attempt.work_us for attempt in ran if attempt.ident not in served)
-    return lost / total if total else 0.0
+    executed = [attempt for attempt in history.attempts if attempt.run_us != NEVER]
+    total_us = sum(attempt.work_us for attempt in executed)
+    wasted_us = sum(attempt.work_us for attempt in executed if attempt.ident not in served)
+    return wasted_us / total_us if total_us else 0.0
 
 
 def retry_after_share(tries: Iterable[Try]) -> float:
-    """The share of refusals that told when to come back; 1 where there were none."""
-    refused = [item for item in tries if item.ending == "refused"]
-    return sum(item.retry_after_us > 0 for item in refused) / len(refused) if refused else 1.0
+    """Return the share of rejections with a Retry-After; 1 if there were no rejections."""
+    rejected = [item for item in tries if item.ending == "refused"]
+    return sum(item.retry_after_us > 0 for item in rejected) / len(rejected) if rejected else 1.0
 
 
 def cpu_used_us(life: Life, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
-    """CPU that a life of a sidecar used between its first and last sample in a part of the run."""
-    inside = [cpu for at_us, cpu, _ in life.samples if begin_us <= at_us <= end_us]
+    """Return a sidecar's CPU time between its first and last sample in a part of the run."""
+    inside = [cpu_us for at_us, cpu_us, _ in life.samples if begin_us <= at_us <= end_us]
     return inside[-1] - inside[0] if inside else 0
 
 
+def cpu_us_per_request(history: History, sidecar: int, begin_s: float, end_s: float) -> float | None:
+    """Return a sidecar's CPU time per request sent in a part of the run; None with fewer than two samples there."""
+    samples = [
+        (at_us, cpu_us)
+        for at_us, cpu_us, _ in history.lives[sidecar].samples
+        if begin_s * US_PER_S <= at_us <= end_s * US_PER_S
+    ]
+    if len(samples) < 2:
+        return None
+    (begin_us, cpu_before_us), (end_us, cpu_after_us) = samples[0], samples[-1]
+    requests = sum(begin_us <= item.sent_us < end_us for item in history.tries)
+    return (cpu_after_us - cpu_before_us) / max(1, requests)
+
+
 def max_resident_mib(lives: Iterable[Life]) -> float:
-    """The most that any sidecar held resident."""
-    return max((kib for life in lives for _, _, kib in life.samples), default=0) / 1024
+    """Return the largest resident memory of any sidecar."""
+    return max((kib for life in lives for _, _, kib in life.samples), default=0) / KIB_PER_MIB
 
 
-def count_attempts(attempts: Iterable[Attempt], uids: set[str], begin_s: float, end_s: float) -> tuple[int, int]:
-    """How many attempts came to these converters in a part of the run, and to all."""
-    inside = [a.uid for a in attempts if begin_s * 1e6 <= a.last_us < end_s * 1e6]
-    return sum(uid in uids for uid in inside), len(inside)
+def count_attempts(attempts: Iterable[Attempt], uids: set[str], begin_s: float, end_s: float) -> AttemptCounts:
+    """Count the attempts received in a part of the run, at converters with these uids and at all."""
+    received_by = [item.uid for item in attempts if begin_s * US_PER_S <= item.last_us < end_s * US_PER_S]
+    return AttemptCounts(sum(uid in uids for uid in received_by), len(received_by))
 
 
 def summary(world: World, history: History, found: list[Operation]) -> dict[str, float]:
-    """The figures that every experiment reports."""
+    """Return the figures that every experiment reports."""
     latencies = latency_histogram(found)
     endings = Counter(item.ending for item in history.tries)
     tries = max(1, len(history.tries))
@@ -112,15 +155,13 @@
         "attempts_per_try": len(history.attempts) / tries,
         "waste": wasted_work_share(history),
         "sidecar_most_mib": max_resident_mib(history.lives),
-        "emulator_p999_late_ms": max((late.p999_us for late in history.lateness), default=0) / 1000,
-    }
-    result |= {
-        f"latency_p{percentile:g}_ms": latencies.get_value_at_percentile(percentile) / 1000
-        for percentile in PERCENTILES
-    }
-    result |= {f"share_{ending}": count / tries for ending, count in sorted(endings.items())}
-    result |= {
-        f"service_{kind.name}": service_level(found, lambda item, i=i: item.request_class == i)  # type: ignore[misc]
-        for i, kind in enumerate(world.classes)
+        "emulator_p999_late_ms": max((late.p999_us for late in history.lateness), default=0) / US_PER_MS,
     }
+    for percentile in PERCENTILES:
+        result[f"latency_p{percentile:g}_ms"] = latencies.get_value_at_percentile(percentile) / US_PER_MS
+    for ending, count in sorted(endings.items()):
+        result[f"share_{ending}"] = count / tries
+    for index, request_class in enumerate(world.classes):
+        of_class = [operation for operation in found if operation.first.request_class == index]
+        result[f"service_{request_class.name}"] = service_level(of_class)
     return result
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -1,8 +1,10 @@
-"""One HTML file for a run: claims, figures, plots and what happened; it needs no network to be opened."""
+"""Writes a run's report: one HTML file with claims, figures, plots and events, which needs no network to be opened."""
 
 from __future__ import annotations
 
 import io
+from collections import defaultdict
+from dataclasses import dataclass
 from importlib import resources
 from pathlib import Path
 
@@ -11,168 +13,217 @@
 import matplotlib
 import msgspec
 import numpy as np
-from hdrh.histogram import HdrHistogram
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 from numpy.typing import NDArray
 
 from ryepier.emulator.records import Happening, History
-from ryepier.emulator.world import World
+from ryepier.emulator.world import Fault, World
 from ryepier.experiments.core import contract, figures
 from ryepier.experiments.core.judge import RULES, Breach
 
 matplotlib.use("svg")
 
 REPORT = "report.html"
-WINDOW_S = 0.5
-MOST_BREACHES = 50  # listed in the report; breaches.json has all
-MOST_HAPPENINGS = 200
+WINDOW_S = 0.5  # of the curves over time
+MAX_LISTED_BREACHES = 50  # breaches.json has all
+MAX_LISTED_EVENTS = 200
 SIZE_IN = (9.0, 2.6)
-CURVES = (("median", 50.0), ("99%", 99.0), ("99.9%", 99.9))
+LINE_WIDTH = 1.0
+SMALL_FONT = 7
+MIN_SHADED_S = 0.05  # a fault without a duration is drawn as a line
+LATENCY_CURVES = (("median", 50.0), ("99%", 99.0), ("99.9%", 99.9))
+TAIL_TICKS = {1: "0%", 10: "90%", 100: "99%", 1000: "99.9%", 10000: "99.99%"}  # by 1 / (1 - share)
+PLOTTED_ENDINGS = ("refused", "failed", "timeout", "broken", "unreachable")
+US_PER_S = 1e6
+US_PER_MS = 1000
+
+
+@dataclass(frozen=True, slots=True)
+class _SavedRun:
+    result: contract.Result
+    history: History
+    world: World
+    breaches: list[Breach]
+    operations: list[figures.Operation]
 
 
 def write(folder: Path) -> Path:
-    """Write the report of the run in `folder` beside its files and return its path. Raises OSError and
-    msgspec.MsgspecError where these are missing or can't be read."""
-    result = msgspec.json.decode((folder / contract.RESULT).read_bytes(), type=contract.Result)
-    history = msgspec.msgpack.decode((folder / contract.HISTORY).read_bytes(), type=History)
-    world = msgspec.json.decode((folder / contract.WORLD).read_bytes(), type=World)
-    breaches = msgspec.json.decode((folder / contract.BREACHES).read_bytes(), type=list[Breach])
-    orders = figures.operations(world, history.tries)
-    template = jinja2.Environment(autoescape=True).from_string(
-        resources.files("ryepier.experiments.core").joinpath("report.html").read_text()
-    )
-    path = folder / REPORT
-    path.write_text(
-        template.render(
-            result=result,
-            world=world,
-            breaches=breaches[:MOST_BREACHES],
-            breach_count=len(breaches),
+    """Write the report of the run in a folder beside its files, and return its path.
+
+    Raises OSError and msgspec.MsgspecError if the run's files are missing or unreadable.
+    """
+    run = _read(folder)
+    template = resources.files("ryepier.experiments.core").joinpath("report.html").read_text()
+    text = (
+        jinja2.Environment(autoescape=True)
+        .from_string(template)
+        .render(
+            result=run.result,
+            world=run.world,
+            breaches=run.breaches[:MAX_LISTED_BREACHES],
+            breach_count=len(run.breaches),
             rules=RULES,
-            happenings=history.happenings[:MOST_HAPPENINGS],
-            lateness=history.lateness,
-            plots=[
-                (title, markupsafe.Markup(svg))
-                for title, svg in (
-                    ("Offered and what became of it", _outcomes(world, history, orders)),
-                    ("Latency of what was served", _latencies(world, orders)),
-                    ("Latency by percentile", _percentiles(orders)),
-                    ("Attempts a converter", _attempts(world, history)),
-                    ("CPU and memory of the sidecars", _machines(history)),
-                )
-            ],
+            events=run.history.happenings[:MAX_LISTED_EVENTS],
+            lateness=run.history.lateness,
+            plots=[(title, markupsafe.Markup(svg)) for title, svg in _plot_all(run).items()],
         )
     )
+    path = folder / REPORT
+    path.write_text(text)
     return path
 
 
 def happenings(folder: Path) -> list[Happening]:
-    """What was done to the world in the run in `folder`. Raises as `write` does."""
-    return msgspec.msgpack.decode((folder / contract.HISTORY).read_bytes(), type=History).happenings
+    """Return the events of the run in a folder: faults, drains, restarts. Raises as `write` does."""
+    return _read_history(folder).happenings
 
 
-def _svg(figure: Figure) -> str:
+def _read(folder: Path) -> _SavedRun:
+    result = msgspec.json.decode((folder / contract.RESULT).read_bytes(), type=contract.Result)
+    history = _read_history(folder)
+    world = msgspec.json.decode((folder / contract.WORLD).read_bytes(), type=World)
+    breaches = msgspec.json.decode((folder / contract.BREACHES).read_bytes(), type=list[Breach])
+    return _SavedRun(result, history, world, breaches, figures.operations(world, history.tries))
+
+
+def _read_history(folder: Path) -> History:
+    return msgspec.msgpack.decode((folder / contract.HISTORY).read_bytes(), type=History)
+
+
+def _plot_all(run: _SavedRun) -> dict[str, str]:
+    """Return the plots as SVG, by their titles."""
+    return {
+        "Offered load and outcomes": _plot_outcomes(run),
+        "Latency of served operations": _plot_latencies(run),
+        "Latency by percentile": _plot_percentiles(run.operations),
+        "Attempts per converter": _plot_attempts(run),
+        "CPU and memory of the sidecars": _plot_resources(run.history),
+    }
+
+
+def _to_svg(figure: Figure) -> str:
+    """Return a figure as an SVG element, without the XML prolog that HTML does not allow."""
     text = io.StringIO()
     figure.tight_layout()
     figure.savefig(text, format="svg", metadata={"Date": None})
-    whole = text.getvalue()
-    return whole[whole.index("<svg") :]
+    document = text.getvalue()
+    return document[document.index("<svg") :]
 
 
-def _axes(world: World | None = None) -> tuple[Figure, Axes]:
+def _make_axes(world: World | None = None) -> tuple[Figure, Axes]:
+    """Return an empty plot; with a world, one over its time with its faults shaded."""
     figure = Figure(figsize=SIZE_IN)
     axes = figure.add_subplot()
     axes.grid(alpha=0.3)
     if world is not None:
         axes.set_xlabel("seconds of the run")
         for fault in world.faults:
-            axes.axvspan(
-                fault.at_s,
-                fault.at_s + max(fault.for_s, fault.down_s if "kill" in fault.kind else 0.05),
-                alpha=0.12,
-                color="tab:red",
-            )
-            axes.annotate(
-                fault.kind, (fault.at_s, 1.0), xycoords=("data", "axes fraction"), fontsize=7, rotation=20, va="bottom"
-            )
+            _shade_fault(axes, fault)
     return figure, axes
 
 
-def _windows(world: World) -> NDArray[np.float64]:
+def _shade_fault(axes: Axes, fault: Fault) -> None:
+    down_s = fault.down_s if "kill" in fault.kind else MIN_SHADED_S
+    axes.axvspan(fault.at_s, fault.at_s + max(fault.for_s, down_s), alpha=0.12, color="tab:red")
+    axes.annotate(
+        fault.kind,
+        (fault.at_s, 1.0),
+        xycoords=("data", "axes fraction"),
+        fontsize=SMALL_FONT,
+        rotation=20,
+        va="bottom",
+    )
+
+
+def _window_edges(world: World) -> NDArray[np.float64]:
     return np.arange(0.0, world.duration_s + WINDOW_S, WINDOW_S)
 
 
-def _outcomes(world: World, history: History, orders: list[figures.Operation]) -> str:
-    figure, axes = _axes(world)
-    edges = _windows(world)
-    first = np.histogram([o.first.planned_us / 1e6 for o in orders], edges)[0] / WINDOW_S
-    earned = np.histogram([o.first.planned_us / 1e6 for o in orders if o.earned >= o.worth > 0], edges)[0] / WINDOW_S
-    axes.plot(edges[:-1], first, color="black", linewidth=1.0, label="first tries")
-    axes.plot(edges[:-1], earned, color="tab:green", linewidth=1.0, label="served within the aim")
-    for ending in ("refused", "failed", "timeout", "broken", "unreachable"):
-        times = [item.ended_us / 1e6 for item in history.tries if item.ending == ending]
-        if times:
-            axes.plot(edges[:-1], np.histogram(times, edges)[0] / WINDOW_S, linewidth=1.0, label=ending)
-    axes.set_ylabel("a second")
-    axes.legend(fontsize=7, ncols=4)
-    return _svg(figure)
-
-
-def _latencies(world: World, orders: list[figures.Operation]) -> str:
-    figure, axes = _axes(world)
-    edges = _windows(world)
-    groups: dict[int, list[figures.Operation]] = {}
-    for order in orders:
-        groups.setdefault(int(order.first.planned_us / 1e6 / WINDOW_S), []).append(order)
-    for name, percentile in CURVES:
-        values = [
-            figures.latency_histogram(groups.get(i, [])).get_value_at_percentile(percentile) / 1000
-            for i in range(len(edges) - 1)
-        ]
-        axes.plot(edges[:-1], values, linewidth=1.0, label=name)
+def _rate_per_s(times_us: list[int], edges_s: NDArray[np.float64]) -> NDArray[np.float64]:
+    """Return events per second in each window."""
+    counts: NDArray[np.int64] = np.histogram([at_us / US_PER_S for at_us in times_us], edges_s)[0]
+    return counts / WINDOW_S
+
+
+def _plot_outcomes(run: _SavedRun) -> str:
+    figure, axes = _make_axes(run.world)
+    edges_s = _window_edges(run.world)
+    due_us = [operation.first.planned_us for operation in run.operations]
+    on_time_us = [
+        operation.first.planned_us for operation in run.operations if operation.earned >= operation.weight > 0
+    ]
+    begins_s = edges_s[:-1]
+    axes.plot(begins_s, _rate_per_s(due_us, edges_s), color="black", linewidth=LINE_WIDTH, label="first attempts")
+    axes.plot(
+        begins_s,
+        _rate_per_s(on_time_us, edges_s),
+        color="tab:green",
+        linewidth=LINE_WIDTH,
+        label="served within the latency objective",
+    )
+    for ending in PLOTTED_ENDINGS:
+        times_us = [item.ended_us for item in run.history.tries if item.ending == ending]
+        if times_us:
+            axes.plot(begins_s, _rate_per_s(times_us, edges_s), linewidth=LINE_WIDTH, label=ending)
+    axes.set_ylabel("per second")
+    axes.legend(fontsize=SMALL_FONT, ncols=4)
+    return _to_svg(figure)
+
+
+def _plot_latencies(run: _SavedRun) -> str:
+    figure, axes = _make_axes(run.world)
+    begins_s = _window_edges(run.world)[:-1]
+    by_window: dict[int, list[figures.Operation]] = defaultdict(list)
+    for operation in run.operations:
+        by_window[int(operation.first.planned_us / US_PER_S / WINDOW_S)].append(operation)
+    histograms = [figures.latency_histogram(by_window[window]) for window in range(len(begins_s))]
+    for label, percentile in LATENCY_CURVES:
+        latencies_ms = [histogram.get_value_at_percentile(percentile) / US_PER_MS for histogram in histograms]
+        axes.plot(begins_s, latencies_ms, linewidth=LINE_WIDTH, label=label)
     axes.set_ylabel("ms")
     axes.set_yscale("symlog", linthresh=1.0)
-    axes.legend(fontsize=7)
-    return _svg(figure)
+    axes.legend(fontsize=SMALL_FONT)
+    return _to_svg(figure)
 
 
-def _percentiles(orders: list[figures.Operation]) -> str:
-    figure, axes = _axes()
-    histogram: HdrHistogram = figures.latency_histogram(orders)
-    shares = 1.0 - np.logspace(0, -4, 200)
-    axes.plot(1.0 / (1.0 - shares), [histogram.get_value_at_percentile(100 * s) / 1000 for s in shares])
+def _plot_percentiles(operations: list[figures.Operation]) -> str:
+    figure, axes = _make_axes()
+    histogram = figures.latency_histogram(operations)
+    tails = np.logspace(0, -4, 200)
+    axes.plot(1.0 / tails, [histogram.get_value_at_percentile(100 * (1.0 - tail)) / US_PER_MS for tail in tails])
     axes.set_xscale("log")
-    axes.set_xticks([1, 10, 100, 1000, 10000], ["0%", "90%", "99%", "99.9%", "99.99%"])
+    axes.set_xticks(list(TAIL_TICKS), list(TAIL_TICKS.values()))
+    axes.set_xlabel("percentile")
     axes.set_ylabel("ms")
-    return _svg(figure)
-
-
-def _attempts(world: World, history: History) -> str:
-    figure, axes = _axes(world)
-    edges = _windows(world)
-    uids = sorted({attempt.uid for attempt in history.attempts})
-    times: dict[str, list[float]] = {uid: [] for uid in uids}
-    for attempt in history.attempts:
-        times[attempt.uid].append(attempt.last_us / 1e6)
-    if uids:
-        rows = np.array([np.histogram(times[uid], edges)[0] / WINDOW_S for uid in uids])
-        image = axes.imshow(rows, aspect="auto", origin="lower", extent=(0.0, float(edges[-1]), -0.5, len(uids) - 0.5))
-        figure.colorbar(image, label="a second")
+    return _to_svg(figure)
+
+
+def _plot_attempts(run: _SavedRun) -> str:
+    figure, axes = _make_axes(run.world)
+    edges_s = _window_edges(run.world)
+    times_us: dict[str, list[int]] = defaultdict(list)
+    for attempt in run.history.attempts:
+        times_us[attempt.uid].append(attempt.last_us)
+    if times_us:
+        rows = np.array([_rate_per_s(times_us[uid], edges_s) for uid in sorted(times_us)])
+        extent = (0.0, float(edges_s[-1]), -0.5, len(rows) - 0.5)
+        image = axes.imshow(rows, aspect="auto", origin="lower", extent=extent)
+        figure.colorbar(image, label="attempts per second")
     axes.set_ylabel("converter")
-    return _svg(figure)
+    return _to_svg(figure)
 
 
-def _machines(history: History) -> str:
-    figure, axes = _axes()
-    memory = axes.twinx()
+def _plot_resources(history: History) -> str:
+    figure, axes = _make_axes()
+    memory_axes = axes.twinx()
     for life in history.lives:
         if len(life.samples) < 2:
             continue
-        at, cpu, kib = (np.array(column, dtype=np.float64) for column in zip(*life.samples, strict=True))
-        axes.plot(at[1:] / 1e6, np.diff(cpu) / np.diff(at), linewidth=0.8)
-        memory.plot(at / 1e6, kib / 1024, linewidth=0.8, linestyle=":")
+        at_us, cpu_us, kib = (np.array(column, dtype=np.float64) for column in zip(*life.samples, strict=True))
+        axes.plot(at_us[1:] / US_PER_S, np.diff(cpu_us) / np.diff(at_us), linewidth=0.8)
+        memory_axes.plot(at_us / US_PER_S, kib / figures.KIB_PER_MIB, linewidth=0.8, linestyle=":")
     axes.set_xlabel("seconds of the run")
     axes.set_ylabel("cores (solid)")
-    memory.set_ylabel("MiB (dotted)")
-    return _svg(figure)
+    memory_axes.set_ylabel("MiB (dotted)")
+    return _to_svg(figure)
--- /dev/null
+++ b/ryepier/experiments/core/runner.py
@@ -0,0 +1,201 @@
+"""Runs experiments and benchmarks, checks their claims, and writes their results."""
+
+from __future__ import annotations
+
+import dataclasses
+import os
+import platform
+from collections import Counter
+from collections.abc import Callable, Iterator, Mapping, Sequence
+from contextlib import contextmanager
+from importlib import metadata
+from pathlib import Path
+
+import msgspec
+
+from ryepier.emulator import rig, simulated
+from ryepier.emulator.records import History
+from ryepier.emulator.world import World
+from ryepier.experiments import seeded_faults
+from ryepier.experiments.core import contract, figures, judge
+from ryepier.experiments.core.contract import (
+    Backend,
+    Benchmark,
+    Claim,
+    Experiment,
+    Result,
+    Run,
+    TrialConfig,
+)
+
+LIBRARIES = ("httptools", "numpy", "msgspec", "hdrhistogram")
+CONTROL_FOLDER = "paired"  # of the control run, within the folder of the run
+US_PER_MS = 1000
+
+RunWorld = Callable[[World, Path, bool], History]  # the last: whether it is the control run
+
+
+def run_experiment(
+    experiment: Experiment,
+    trial: TrialConfig,
+    watcher: rig.Watcher | None = None,
+    backend: Backend = Backend.SOCKETS,
+) -> list[Claim]:
+    """Run an experiment's world, write all results into the trial's folder, and return the claims.
+
+    Raises rig.RigError if the emulator failed or the experiment can't run on the backend.
+    """
+    world = experiment.world(trial.scale)
+    if backend is Backend.SIM:
+        run_world = _on_virtual_time(experiment, trial)
+    else:
+        run_world = _on_sockets(experiment, trial, watcher)
+    control = None
+    if experiment.control_world is not None:
+        control_world = experiment.control_world(world)
+        folder = trial.folder / CONTROL_FOLDER
+        control = _observe(control_world, trial.seed, folder, run_world(control_world, folder, True))
+    history = run_world(world, trial.folder, False)
+    run = dataclasses.replace(_observe(world, trial.seed, trial.folder, history), control=control)
+    claims = _check_claims(experiment, run)
+    measured = {**figures.summary(world, run.history, run.operations), **experiment.extra_figures(run)}
+    save_run(run, _make_result(experiment.name, trial, claims, measured, backend))
+    return claims
+
+
+def run_benchmark(benchmark: Benchmark, trial: TrialConfig) -> list[Claim]:
+    """Run a benchmark, write its result into the trial's folder, and return the claims.
+
+    Raises rig.RigError if it could not be run.
+    """
+    trial.folder.mkdir(parents=True, exist_ok=True)
+    measured = benchmark.measure(trial)
+    result = _make_result(benchmark.name, trial, measured.claims, measured.figures, Backend.SOCKETS)
+    save_result(trial.folder, result)
+    return measured.claims
+
+
+def lateness_claim(run: Run, valid_until_s: Callable[[Run], float] | None) -> Claim:
+    """Return the claim that the emulator was on time; where it fails, the run is void.
+
+    With `valid_until_s` it covers only the part of the run up to there.
+    """
+    bound_ms = run.world.rig.lateness_ms
+    lateness = run.history.lateness
+    if valid_until_s is None:
+        worst_us = max((late.p999_us for late in lateness), default=0)
+        return Claim("the emulator's lateness (99.9%, ms)", worst_us / US_PER_MS, "<=", bound_ms)
+    until_s = int(valid_until_s(run))
+    worst_us = max((late_us for late in lateness for late_us in late.most_by_second_us[:until_s]), default=0)
+    name = f"the emulator's lateness (most in the first {until_s} s, ms)"
+    return Claim(name, worst_us / US_PER_MS, "<=", bound_ms)
+
+
+def save_run(run: Run, result: Result) -> None:
+    """Write the result, the history, the world and the breaches into the run's folder."""
+    save_result(run.folder, result)
+    (run.folder / contract.HISTORY).write_bytes(msgspec.msgpack.encode(run.history))
+    (run.folder / contract.WORLD).write_bytes(msgspec.json.encode(run.world))
+    (run.folder / contract.BREACHES).write_bytes(msgspec.json.format(msgspec.json.encode(run.breaches), indent=1))
+
+
+def save_result(folder: Path, result: Result) -> None:
+    """Write result.json."""
+    (folder / contract.RESULT).write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=2))
+
+
+def library_versions() -> dict[str, str]:
+    """Return the versions of Python and of the libraries that figures depend on, and the number of cores."""
+    versions = {"python": platform.python_version(), "cores": str(os.cpu_count())}
+    return versions | {name: metadata.version(name) for name in LIBRARIES}
+
+
+def _check_claims(experiment: Experiment, run: Run) -> list[Claim]:
+    """Return the claims on the emulator, then on the judge's rules, then the experiment's own."""
+    counts = Counter(breach.rule for breach in run.breaches)
+    return [
+        lateness_claim(run, experiment.valid_until_s),
+        *(Claim(f"rule {rule}: breaches", counts[rule], "==", 0) for rule in experiment.rules),
+        *experiment.claims(run),
+    ]
+
+
+def _observe(world: World, seed: int, folder: Path, history: History) -> Run:
+    return Run(
+        world,
+        seed,
+        history,
+        operations=figures.operations(world, history.tries),
+        breaches=judge.judge(world, history),
+        folder=folder,
+    )
+
+
+def _make_result(
+    name: str, trial: TrialConfig, claims: Sequence[Claim], measured: Mapping[str, float], backend: Backend
+) -> Result:
+    return Result(
+        name,
+        trial.seed,
+        trial.scale,
+        claims=[claim.as_fields() for claim in claims],
+        figures=dict(measured),
+        versions=library_versions(),
+        seeded_fault=trial.seeded_fault,
+        backend=backend,
+    )
+
+
+def _on_sockets(experiment: Experiment, trial: TrialConfig, watcher: rig.Watcher | None) -> RunWorld:
+    """Return a function that runs a world on real sockets; the control run has no seeded fault in its sidecars."""
+
+    def run_world(world: World, folder: Path, is_control: bool) -> History:
+        cast = _make_cast(experiment, trial.seeded_fault)
+        if is_control:
+            cast = dataclasses.replace(cast, sidecar_command=None)
+        with _limited_to_cores(experiment.cores):
+            return rig.play(world, trial.seed, folder, cast, watcher)
+
+    return run_world
+
+
+def _make_cast(experiment: Experiment, seeded_fault: str) -> rig.Cast:
+    """Return the commands of the run's processes, with the experiment's own faults and the seeded one."""
+    cast = rig.Cast(
+        odd_sidecars={index: seeded_faults.command(name) for index, name in experiment.sidecar_faults.items()}
+    )
+    if experiment.restarted_planner_fault:
+        cast = dataclasses.replace(cast, planner_restart=seeded_faults.command(experiment.restarted_planner_fault))
+    if seeded_fault in seeded_faults.PLANNER_FAULTS:
+        return dataclasses.replace(cast, planner_command=seeded_faults.command(seeded_fault))
+    if seeded_fault:
+        return dataclasses.replace(cast, sidecar_command=seeded_faults.command(seeded_fault))
+    return cast
+
+
+@contextmanager
+def _limited_to_cores(count: int) -> Iterator[None]:
+    """Limit this process and those that it starts to `count` cores; 0 for no limit."""
+    allowed = os.sched_getaffinity(0)
+    if count:
+        os.sched_setaffinity(0, set(sorted(allowed)[:count]))
+    try:
+        yield
+    finally:
+        os.sched_setaffinity(0, allowed)
+
+
+def _on_virtual_time(experiment: Experiment, trial: TrialConfig) -> RunWorld:
+    """Return a function that runs a world in this process; a seeded fault stays in the process.
+
+    Raises rig.RigError for an experiment that measures CPU or has processes with faults of their own.
+    """
+    if experiment.measures_cpu or experiment.sidecar_faults or experiment.restarted_planner_fault:
+        raise rig.RigError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
+
+    def run_world(world: World, folder: Path, is_control: bool) -> History:
+        if trial.seeded_fault and not is_control:
+            seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
+        return simulated.play(world, trial.seed, folder)
+
+    return run_world
--- a/ryepier/experiments/core/worlds.py
+++ b/ryepier/experiments/core/worlds.py
@@ -5,9 +5,14 @@
 from importlib import resources
 
 from ryepier.emulator import world as worlds
-from ryepier.emulator.world import World
+from ryepier.emulator.world import Fault, World
 
 
 def load(name: str) -> World:
-    """A world by the name of its file, without the ending."""
+    """Return the world of the file with this name, without its suffix. Raises FileNotFoundError."""
     return worlds.parse(resources.files("ryepier.worlds").joinpath(f"{name}.toml").read_text())
+
+
+def fault_of_kind(world: World, kind: str) -> Fault:
+    """Return the world's first fault of a kind. Raises StopIteration if it has none."""
+    return next(fault for fault in world.faults if fault.kind == kind)
--- a/ryepier/experiments/faults/experiments.py
+++ b/ryepier/experiments/faults/experiments.py
@@ -9,10 +9,10 @@
 
 from ryepier.emulator import draws, timeline
 from ryepier.emulator.timeline import Verb, Who
-from ryepier.emulator.world import Fault, World
+from ryepier.emulator.world import World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
-from ryepier.experiments.core.worlds import load
+from ryepier.experiments.core.worlds import fault_of_kind, load
 
 FULL_FLEET = 3  # `full` has so many times the converters, sidecars and traffic of `small`
 FULL_LENGTH = 2  # and lasts so many times as long, its faults later and longer alike
@@ -38,10 +38,6 @@
     )
 
 
-def _fault(world: World, kind: str) -> Fault:
-    return next(fault for fault in world.faults if fault.kind == kind)
-
-
 # steady: nothing goes wrong
 
 
@@ -58,7 +54,7 @@
 
 
 def _release_claims(run: Run) -> list[Claim]:
-    fault = _fault(run.world, "release")
+    fault = fault_of_kind(run.world, "release")
     steps = timeline.build(run.world, run.seed).steps
     fresh = {step.uid for step in steps if step.verb is Verb.START}
     reached = {attempt.uid for attempt in run.history.attempts} & fresh
@@ -81,11 +77,11 @@
 
 
 def _hang_claims(run: Run) -> list[Claim]:
-    fault = _fault(run.world, "hang")
+    fault = fault_of_kind(run.world, "hang")
     middle_s, end_s = fault.at_s + fault.for_s / 2, fault.at_s + fault.for_s
-    to_hung, to_all = figures.count_attempts(run.history.attempts, _hung(run), middle_s, end_s)
+    to_hung = figures.count_attempts(run.history.attempts, _hung(run), middle_s, end_s)
     return [
-        Claim("share of attempts to hung converters, second half", to_hung / max(1, to_all), "<=", 0.03),
+        Claim("share of attempts to hung converters, second half", to_hung.share, "<=", 0.03),
         Claim(
             "service in the second half of the hang",
             figures.service_level(run.operations, figures.due_between(middle_s, end_s)),
@@ -105,7 +101,7 @@
 
 
 def _surge_claims(run: Run) -> list[Claim]:
-    fault = _fault(run.world, "surge")
+    fault = fault_of_kind(run.world, "surge")
     end_s = fault.at_s + fault.for_s
     return [
         Claim(
@@ -134,7 +130,7 @@
 
 
 def _kill_claims(run: Run) -> list[Claim]:
-    fault = _fault(run.world, "sidecar-kill")
+    fault = fault_of_kind(run.world, "sidecar-kill")
     killed = {life.sidecar for life in run.history.lives if life.killed}
     back = [life for life in run.history.lives if life.begun_us > 0]
     up_s = max(((life.up_us - life.begun_us) / 1e6 for life in back), default=float("inf"))
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -14,7 +14,7 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.records import History
 from ryepier.emulator.world import World
-from ryepier.experiments.core import contract, figures, judge
+from ryepier.experiments.core import contract, figures, judge, runner
 from ryepier.experiments.core.contract import Claim
 from ryepier.experiments.maintenance.fleet_process import JournalLine
 from ryepier.experiments.maintenance.fleet_rig import MaintenanceRig, Observed, Poll
@@ -111,7 +111,7 @@
     orders = figures.operations(outcome.world, outcome.history.tries)
     run = contract.Run(outcome.world, outcome.seed, outcome.history, orders, found, outcome.folder)
     counts = Counter(breach.rule for breach in found)
-    claims = [contract.lateness_claim(run, None)]
+    claims = [runner.lateness_claim(run, None)]
     claims += [Claim(f"rule {rule}: breaches", counts[rule], "==", 0) for rule in RULES]
     rule_breaches = list(breaches(outcome.agreement, changes(outcome.outages)))
     claims.append(Claim("breaches of the agreed capacity", len(rule_breaches), "==", 0))
--- a/ryepier/experiments/planners/planning.py
+++ b/ryepier/experiments/planners/planning.py
@@ -13,10 +13,10 @@
 
 from ryepier.emulator import timeline
 from ryepier.emulator.timeline import Who
-from ryepier.emulator.world import Fault, World
+from ryepier.emulator.world import World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
-from ryepier.experiments.core.worlds import load
+from ryepier.experiments.core.worlds import fault_of_kind, load
 
 AVOID_STEP_S = 0.1
 AVOID_WINDOW_S = 1.5  # a forwarder avoids the hung converters from when on it sends them next to nothing for so long
@@ -53,10 +53,6 @@
     return len({line["file"] for line in _logs_with(run, "sidecar-*.log", text)})
 
 
-def _fault(run: Run, kind: str) -> Fault:
-    return next(fault for fault in run.world.faults if fault.kind == kind)
-
-
 def struck_uids(run: Run, kinds: tuple[str, ...]) -> set[str]:
     """The converters that faults of these kinds strike."""
     built = timeline.build(run.world, run.seed)
@@ -87,7 +83,7 @@
 
 
 def _loss_claims(run: Run) -> list[Claim]:
-    fault = _fault(run, "planner-kill")
+    fault = fault_of_kind(run.world, "planner-kill")
     before = figures.service_level(run.operations, figures.due_between(1.0, fault.at_s))
     during = figures.service_level(run.operations, figures.due_between(fault.at_s, fault.at_s + fault.down_s))
     after = figures.service_level(
@@ -107,7 +103,7 @@
 
 def _kill_claims(run: Run) -> list[Claim]:
     second = "following plans of planner-1"
-    fault = _fault(run, "surge")
+    fault = fault_of_kind(run.world, "surge")
     end_s = fault.at_s + fault.for_s
     return [
         Claim(
@@ -135,7 +131,7 @@
 
 
 def _hang_claims(run: Run) -> list[Claim]:
-    fault = _fault(run, "planner-hang")
+    fault = fault_of_kind(run.world, "planner-hang")
     resumed_s = fault.at_s + fault.for_s
     steps_down = _logs_with(run, "planner-0.log", "follows, epoch")
     back = _files_with(run, "following plans of planner-0, epoch 1")
@@ -164,9 +160,9 @@
 
 
 def _empty_claims(run: Run) -> list[Claim]:
-    kill = _fault(run, "planner-kill")
+    kill = fault_of_kind(run.world, "planner-kill")
     begin_s, end_s = kill.at_s + kill.down_s + 1.0, run.world.duration_s
-    hung, whole = figures.count_attempts(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
+    to_hung = figures.count_attempts(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
     refused = _files_with(run, "is refused: too few forwarders reported")
     taken = len(
         {
@@ -178,7 +174,7 @@
     return [
         Claim("forwarders that refused the empty plan", refused, "==", run.world.sidecars.count),
         Claim("forwarders that took it", taken, "==", 0),
-        Claim("share of attempts to hung converters after it came", hung / max(1, whole), "<=", 0.02),
+        Claim("share of attempts to hung converters after it came", to_hung.share, "<=", 0.02),
     ]
 
 
@@ -224,12 +220,12 @@
 
 
 def _restart_claims(run: Run) -> list[Claim]:
-    kill = _fault(run, "planner-kill")
+    kill = fault_of_kind(run.world, "planner-kill")
     begin_s, end_s = kill.at_s + kill.down_s, run.world.duration_s - 1.0
-    hung, whole = figures.count_attempts(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
+    to_hung = figures.count_attempts(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
     return [
         Claim("time to sound plans after the restart (s)", sound_again_s(run), "<=", 2.0),
-        Claim("share of attempts to hung converters from the restart on", hung / max(1, whole), "<=", 0.02),
+        Claim("share of attempts to hung converters from the restart on", to_hung.share, "<=", 0.02),
         Claim("forwarders that followed again", _files_with(run, "epoch 2"), "==", run.world.sidecars.count),
     ]
 
@@ -239,7 +235,7 @@
 
 def avoided_after_s(run: Run, kind: str) -> float:
     """Seconds from a fault until 95% of the forwarders avoid the converters struck; its length where they never do."""
-    fault, uids = _fault(run, kind), struck_uids(run, (kind,))
+    fault, uids = fault_of_kind(run.world, kind), struck_uids(run, (kind,))
     sidecar_of = {item.ident: item.sidecar for item in run.history.tries}
     times: dict[int, list[float]] = {index: [] for index in range(run.world.sidecars.count)}
     for attempt in run.history.attempts:
@@ -256,7 +252,7 @@
 
 def _gain_figures(run: Run, kind: str = "hang") -> Mapping[str, float]:
     assert run.control is not None
-    fault = _fault(run, kind)
+    fault = fault_of_kind(run.world, kind)
     end_s = fault.at_s + fault.for_s
     result = {}
     for name, one in (("with", run), ("without", run.control)):
@@ -264,8 +260,8 @@
         result[f"service_in_the_{kind}_{name}"] = figures.service_level(
             one.operations, figures.due_between(fault.at_s, end_s)
         )
-        struck, _ = figures.count_attempts(one.history.attempts, struck_uids(one, (kind,)), fault.at_s, end_s)
-        result[f"attempts_to_struck_{name}"] = struck
+        struck = figures.count_attempts(one.history.attempts, struck_uids(one, (kind,)), fault.at_s, end_s)
+        result[f"attempts_to_struck_{name}"] = struck.at_chosen
     return result
 
 
--- a/ryepier/experiments/slices/slicing.py
+++ b/ryepier/experiments/slices/slicing.py
@@ -15,10 +15,9 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.emulator.rig import RigError
 from ryepier.emulator.timeline import Verb
-from ryepier.emulator.world import Fault
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
-from ryepier.experiments.core.worlds import load
+from ryepier.experiments.core.worlds import fault_of_kind, load
 
 SIZES = (1_000, 10_000)
 SLICE_SIZE = 100
@@ -30,15 +29,11 @@
 WARM_BY_S = 6.0  # a fresh converter is warm after that, and has had requests if it ever will
 
 
-def _fault(run: Run, kind: str) -> Fault:
-    return next(fault for fault in run.world.faults if fault.kind == kind)
-
-
 # slices-drain: every converter is replaced, and a third of the drains comes with a mess
 
 
 def _drain_claims(run: Run) -> list[Claim]:
-    fault = _fault(run, "release")
+    fault = fault_of_kind(run.world, "release")
     steps = timeline.build(run.world, run.seed).steps
     fresh = {step.uid for step in steps if step.verb is Verb.START}
     early = {
@@ -66,7 +61,7 @@
 
 def back_in_step_s(run: Run) -> float:
     """Seconds from the server's return until the last sidecar had a whole list; infinite where one never had."""
-    fault = _fault(run, "discovery-down")
+    fault = fault_of_kind(run.world, "discovery-down")
     back_us = (fault.at_s + fault.for_s) * 1e6
     first: dict[int, int] = {}
     for notice in run.history.told:
@@ -78,7 +73,7 @@
 
 
 def _outage_claims(run: Run) -> list[Claim]:
-    fault = _fault(run, "discovery-down")
+    fault = fault_of_kind(run.world, "discovery-down")
     end_s, again_s = fault.at_s + fault.for_s, back_in_step_s(run)
     after = figures.due_between(min(end_s + again_s + 0.5, run.world.duration_s - 1.0), run.world.duration_s)
     return [
--- a/ryepier/experiments/storms/retry_storms.py
+++ b/ryepier/experiments/storms/retry_storms.py
@@ -12,7 +12,7 @@
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
-from ryepier.experiments.core.worlds import load
+from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.planners.planning import log_lines
 
 WINDOW_S = 1.0
@@ -33,10 +33,6 @@
     return msgspec.structs.replace(world, sidecars=msgspec.structs.replace(world.sidecars, storm=False))
 
 
-def _fault(run: Run, kind: str) -> Fault:
-    return next(fault for fault in run.world.faults if fault.kind == kind)
-
-
 def over_s(fault: Fault) -> float:
     """When an outage is over: what was struck is up again."""
     return fault.at_s + fault.for_s + (fault.drain_s + fault.down_s if fault.kind == "release" else 0.0)
@@ -229,7 +225,7 @@
 
 def _surge_claims(run: Run) -> list[Claim]:
     assert run.control is not None
-    fault = _fault(run, "surge")
+    fault = fault_of_kind(run.world, "surge")
     during = figures.due_between(fault.at_s, fault.at_s + fault.for_s)
     lost = figures.service_level(run.control.operations, during) - figures.service_level(run.operations, during)
     whole = figures.service_level(run.control.operations) - figures.service_level(run.operations)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 from ryepier.cli import main
 from ryepier.emulator.records import History, Lateness
 from ryepier.experiments import catalogue, seeded_faults
-from ryepier.experiments.core import contract, report
+from ryepier.experiments.core import contract, report, runner
 from tests.test_experiment_judge import GOOD, WORLD
 
 
@@ -67,7 +67,7 @@
     history = History(made.tries, made.attempts, [], made.lives, [], [], [Lateness("clients", 1, 1, 1, 1)])
     run = contract.Run(WORLD, 1, history, [], [], tmp_path)
     claim = {"name": "service", "value": 0.5, "op": ">=", "bound": 0.9, "holds": False}
-    contract.save(tmp_path, run, contract.Result("hand", 1, "small", [claim], {}, {}))
+    runner.save_run(run, contract.Result("hand", 1, "small", [claim], {}, {}))
     assert invoke("experiment", "report", str(tmp_path)).exit_code == 0
     text = (tmp_path / report.REPORT).read_text()
     assert "FAILS" in text and text.count("<svg") == 5
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -20,7 +20,7 @@
 from ryepier.emulator.rig import RigError
 from ryepier.emulator.world import World
 from ryepier.experiments import catalogue, seeded_faults
-from ryepier.experiments.core import contract, judge, report
+from ryepier.experiments.core import contract, judge, report, runner
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, TrialConfig
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError
 
@@ -134,7 +134,7 @@
 
 def test_a_result_is_written_with_the_recorded_fields(tmp_path: Path) -> None:
     stub = Benchmark("stub", "", measuring(1.0), ())
-    contract.run_benchmark(stub, 1, "small", tmp_path)
+    runner.run_benchmark(stub, TrialConfig(1, "small", tmp_path))
     written = json.loads((tmp_path / "result.json").read_text())
     assert list(written) == recorded()["result"]["fields"]
     assert list(written["claims"][0]) == recorded()["result"]["claim_fields"]
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -338,5 +338,5 @@
         a_try(ident="t-0", first=3, ending="failed", ended_ms=9),
     ]
     found = figures.operations(WORLD, tries)
-    assert sorted((order.earned, order.tries) for order in found) == [(0.0, 1), (1.5, 2), (3.0, 1)]
+    assert sorted((operation.earned, operation.attempts) for operation in found) == [(0.0, 1), (1.5, 2), (3.0, 1)]
     assert figures.service_level(found) == pytest.approx(0.5)
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -12,7 +12,8 @@
 from ryepier.emulator.timeline import Verb, Who
 from ryepier.emulator.world import Clients, Converters, Discovery, Fault, RequestClass, Rig, Sidecars, World
 from ryepier.experiments.core import figures, judge
-from ryepier.experiments.core.contract import Run, lateness_claim
+from ryepier.experiments.core.contract import Run
+from ryepier.experiments.core.runner import lateness_claim
 from ryepier.experiments.load_spread import processes, processes_machine, processes_worlds
 from ryepier.experiments.load_spread import processes_figures as spread
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine
@@ -178,8 +179,8 @@
     assert service(run, after_s) >= 0.95
     struck = {step.index for step in timeline.build(run.world, SEED).steps if step.who is Who.CONVERTER}
     uids = {f"c-{index:04x}" for index in struck}
-    to_struck, to_all = figures.count_attempts(run.history.attempts, uids, after_s, run.world.duration_s)
-    assert 0 < to_struck <= to_all / 9 * len(uids) * 1.3
+    counts = figures.count_attempts(run.history.attempts, uids, after_s, run.world.duration_s)
+    assert 0 < counts.at_chosen <= counts.total / 9 * len(uids) * 1.3
 
 
 @pytest.mark.parametrize(("zone", "zoned"), [("d", True), ("a", False)])
