--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -9,7 +9,7 @@
 
 from ryepier.commands.console import exit_with_claims, format_events, live_summary
 from ryepier.commands.exits import ExitCode, fail
-from ryepier.emulator.rig import RigError
+from ryepier.emulator.harness import HarnessError
 from ryepier.emulator.world import World
 from ryepier.experiments.core import figures, report, runner
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale, TrialConfig
@@ -47,9 +47,9 @@
     try:
         with live_summary("demo", world.duration_s) as watcher:
             claims = runner.run_experiment(DEMO, TrialConfig(seed, "small", folder), watcher)
-    except (RigError, OSError) as error:
+    except (HarnessError, OSError) as error:
         fail("demo", error, ExitCode.FAILURE)
-    for line in format_events(report.happenings(folder)):
+    for line in format_events(report.events(folder)):
         print(line, file=sys.stderr)
     for claim in claims:
         print(claim)
--- a/ryepier/commands/emulate.py
+++ b/ryepier/commands/emulate.py
@@ -11,7 +11,7 @@
 from ryepier.commands.config import read_world_file
 from ryepier.commands.console import format_events
 from ryepier.commands.exits import ExitCode, fail
-from ryepier.emulator import rig
+from ryepier.emulator import harness
 
 
 @click.command()
@@ -27,12 +27,12 @@
     folder = folder or Path(tempfile.mkdtemp(prefix="ryepier-"))
     print(f"emulating for {world.duration_s:.0f} s; the sidecars' configurations: {folder}/sidecar-*.json")
     sys.stdout.flush()
-    roles = rig.Cast(sidecar_command=(), clients=False)
+    roles = harness.RoleAssignment(sidecar_command=(), clients=False)
     try:
-        history = rig.play(world, seed, folder, roles)
-    except (rig.RigError, OSError) as error:
+        history = harness.play(world, seed, folder, roles)
+    except (harness.HarnessError, OSError) as error:
         fail("emulate", error, ExitCode.FAILURE)
-    executed = sum(attempt.run_us >= 0 for attempt in history.attempts)
-    for line in format_events(history.happenings):
+    executed = sum(attempt.started_us >= 0 for attempt in history.converter_attempts)
+    for line in format_events(history.events):
         print(line)
-    print(f"{len(history.attempts)} attempts received, {executed} executed")
+    print(f"{len(history.converter_attempts)} attempts received, {executed} executed")
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -14,7 +14,7 @@
 from ryepier.commands import capacity as capacity_commands
 from ryepier.commands.console import exit_with_claims, format_events
 from ryepier.commands.exits import ExitCode, fail
-from ryepier.emulator.rig import RigError
+from ryepier.emulator.harness import HarnessError
 from ryepier.experiments.catalogue import BENCHMARKS, EXPERIMENTS
 from ryepier.experiments.core import contract, report, runner
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment
@@ -69,7 +69,7 @@
         claims = _run(one, trial, contract.Backend(backend))
     except InsufficientResourcesError as error:
         fail("experiment", error, ExitCode.MISUSE)
-    except (RigError, OSError) as error:
+    except (HarnessError, OSError) as error:
         fail("experiment", error, ExitCode.FAILURE)
     if isinstance(one, Experiment):
         _write_report(folder)
@@ -92,7 +92,7 @@
 
 
 def _write_report(folder: Path) -> None:
-    for line in format_events(report.happenings(folder)):
+    for line in format_events(report.events(folder)):
         print(line, file=sys.stderr)
     print(f"report: {report.write(folder)}", file=sys.stderr)
 
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -13,7 +13,7 @@
 from ryepier.commands.config import read_world_file
 from ryepier.commands.console import live_summary
 from ryepier.commands.exits import ExitCode, fail
-from ryepier.emulator import rig
+from ryepier.emulator import harness
 from ryepier.emulator.records import History
 from ryepier.emulator.world import World
 from ryepier.experiments.core import figures
@@ -53,12 +53,12 @@
 
 def run_load(world: World, address: tuple[str, int], seed: int) -> History:
     """Send the world's requests to the address and return the clients' records; exit with 1 if that fails."""
-    roles = rig.Cast(sidecar_command=(), stand_ins=False, targets=(address,))
+    roles = harness.RoleAssignment(sidecar_command=(), stand_ins=False, targets=(address,))
     with tempfile.TemporaryDirectory(prefix="ryepier-") as folder:
         try:
             with live_summary("load", world.duration_s) as watcher:
-                return rig.play(world, seed, Path(folder), roles, watcher)
-        except (rig.RigError, OSError) as error:
+                return harness.play(world, seed, Path(folder), roles, watcher)
+        except (harness.HarnessError, OSError) as error:
             fail("load", error, ExitCode.FAILURE)
 
 
@@ -77,7 +77,7 @@
     """Send requests to a sidecar at HOST:PORT as its application would."""
     world = make_load_world(path, rate, seconds)
     history = run_load(world, address, seed)
-    summary = figures.summary(world, history, figures.operations(world, history.tries))
+    summary = figures.summary(world, history, figures.operations(world, history.client_attempts))
     known = {name: value for name, value in summary.items() if name not in UNKNOWN_FIGURES}
     if as_json:
         print(json.dumps(known))
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -13,7 +13,7 @@
 
 from ryepier.commands.exits import ExitCode, fail
 from ryepier.emulator import simulated
-from ryepier.emulator.rig import RigError
+from ryepier.emulator.harness import HarnessError
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core import worlds as shipped
@@ -51,16 +51,16 @@
     try:
         world = shipped.load(name)
         history = simulated.play(world, seed)
-    except (FileNotFoundError, RigError) as error:
+    except (FileNotFoundError, HarnessError) as error:
         fail("sim", f"{name}: {error}", ExitCode.MISUSE)
     breaches = Counter(breach.rule for breach in judge.judge(world, history))
     summary = {
         "world": name,
         "seed": seed,
         "trace": search.trace_of(history),
-        "service": figures.service_level(figures.operations(world, history.tries)),
-        "tries": len(history.tries),
-        "attempts": len(history.attempts),
+        "service": figures.service_level(figures.operations(world, history.client_attempts)),
+        "tries": len(history.client_attempts),
+        "attempts": len(history.converter_attempts),
         "breaches": breaches,
         "simulated_s_a_second": world.duration_s / (time.monotonic() - begun_s),
     }
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ryepier.emulator import draws
-from ryepier.emulator.records import NEVER, Attempt, History, Life, Told, Try
+from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, EndpointNotice, History, Incarnation
 from ryepier.emulator.world import RequestClass, World
 
 TIME_LIMIT_SLACK_US = 50_000  # added to every time limit on sockets
@@ -47,12 +47,12 @@
     text: str
 
 
-def may_have_run(attempt: Attempt) -> bool:
+def may_have_run(attempt: ConverterAttempt) -> bool:
     """Return whether a converter may have executed an attempt.
 
     By the protocol only a complete 503 or 504 that says so proves that it did not.
     """
-    return not (attempt.ending == "answered" and attempt.not_run)
+    return not (attempt.outcome == "answered" and attempt.not_run)
 
 
 def judge(world: World, history: History) -> list[Breach]:
@@ -71,12 +71,12 @@
     def __init__(self, world: World, history: History) -> None:
         self.world = world
         self.history = history
-        self.tries = {item.ident: item for item in history.tries}
-        self.attempts: dict[str, list[Attempt]] = defaultdict(list)  # by request id, in the order of arrival
-        for attempt in history.attempts:
-            self.attempts[attempt.ident].append(attempt)
-        self.lives: dict[int, list[Life]] = defaultdict(list)
-        for life in history.lives:
+        self.tries = {item.request_id: item for item in history.client_attempts}
+        self.attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)  # by request id, in the order of arrival
+        for attempt in history.converter_attempts:
+            self.attempts[attempt.request_id].append(attempt)
+        self.lives: dict[int, list[Incarnation]] = defaultdict(list)
+        for life in history.incarnations:
             self.lives[life.sidecar].append(life)
         worst_lateness_us = max((late.p999_us for late in history.lateness), default=0)
         self.skew_us = max(MIN_CLOCK_SKEW_US, SKEW_PER_LATENESS * worst_lateness_us)
@@ -84,7 +84,7 @@
         self.breaches: list[Breach] = []
 
     def check_all(self) -> list[Breach]:
-        for item in self.history.tries:
+        for item in self.history.client_attempts:
             self._check_final_answer(item)
             self._check_retries(item)
         self._check_invented()
@@ -97,63 +97,67 @@
     def _add(self, rule: str, at_us: int, text: str) -> None:
         self.breaches.append(Breach(rule, at_us, text))
 
-    def _class_of(self, item: Try) -> RequestClass:
+    def _class_of(self, item: ClientAttempt) -> RequestClass:
         return self.world.classes[item.request_class]
 
-    def _due_us(self, item: Try) -> int:
+    def _due_us(self, item: ClientAttempt) -> int:
         return item.sent_us + item.deadline_us
 
     # Final answers
 
-    def _check_final_answer(self, item: Try) -> None:
+    def _check_final_answer(self, item: ClientAttempt) -> None:
         if not self._sidecar_ran_throughout(item):
             return  # its client retries what a killed sidecar held, and a stalled one can't keep deadlines
         self._check_in_time(item)
-        if item.extra_bytes:
-            self._add("second-answer", item.ended_us, f"{item.ident}: {item.extra_bytes} more bytes")
-        if item.ending == "served" and not self._was_answered_by_converter(item):
-            self._add("forged", item.ended_us, f"{item.ident}: for {item.answer_for!r} by {item.answer_by!r}")
-        if item.ending in ("refused", "failed") and not self._was_given_up_at_once(item):
+        if item.trailing_bytes:
+            self._add("second-answer", item.ended_us, f"{item.request_id}: {item.trailing_bytes} more bytes")
+        if item.outcome == "served" and not self._was_answered_by_converter(item):
+            self._add(
+                "forged",
+                item.ended_us,
+                f"{item.request_id}: for {item.response_request_id!r} by {item.responder_uid!r}",
+            )
+        if item.outcome in ("refused", "failed") and not self._was_given_up_at_once(item):
             elapsed_ms = (item.ended_us - item.sent_us) // US_PER_MS
-            self._add("held", item.ended_us, f"{item.ident} {item.ending} after {elapsed_ms} ms")
-        if item.ending == "refused" and not _is_harmless_to_repeat(self._class_of(item)):
+            self._add("held", item.ended_us, f"{item.request_id} {item.outcome} after {elapsed_ms} ms")
+        if item.outcome == "refused" and not _is_harmless_to_repeat(self._class_of(item)):
             self._check_rejection(item)
 
-    def _sidecar_ran_throughout(self, item: Try) -> bool:
+    def _sidecar_ran_throughout(self, item: ClientAttempt) -> bool:
         """Return whether the request's sidecar lived from its sending to its end, without a stall."""
         lives = self.lives[item.sidecar]
-        if any(life.stalled(item.sent_us - TIME_LIMIT_SLACK_US, item.ended_us) for life in lives):
+        if any(life.was_suspended(item.sent_us - TIME_LIMIT_SLACK_US, item.ended_us) for life in lives):
             return False
         return not lives or any(
-            life.begun_us <= item.sent_us
+            life.started_us <= item.sent_us
             and (life.ended_us == NEVER or not life.killed or life.ended_us > item.ended_us)
             for life in lives
         )
 
-    def _check_in_time(self, item: Try) -> None:
+    def _check_in_time(self, item: ClientAttempt) -> None:
         due_us = self._due_us(item) + TIME_LIMIT_SLACK_US
-        is_late = item.ending in ("served", "refused", "failed") and item.ended_us > due_us
-        text = f"{item.ident} by sidecar {item.sidecar}"
-        if item.ending == "timeout" or is_late:
+        is_late = item.outcome in ("served", "refused", "failed") and item.ended_us > due_us
+        text = f"{item.request_id} by sidecar {item.sidecar}"
+        if item.outcome == "timeout" or is_late:
             rule = "held-up" if self._was_suspended(item) else "unanswered"
             self._add(rule, due_us, text)
-        elif item.ending == "broken" and not (item.crossed and item.ident not in self.attempts):
+        elif item.outcome == "broken" and not (item.may_be_unread and item.request_id not in self.attempts):
             self._add("broken", item.ended_us, text)
 
-    def _was_suspended(self, item: Try) -> bool:
+    def _was_suspended(self, item: ClientAttempt) -> bool:
         """Return whether the machine kept the client's or the sidecar's process from running before the deadline."""
-        client_role = f"clients {item.first % self.world.rig.client_processes}"
-        spans = [span for late in self.history.lateness if late.role == client_role for span in late.held]
-        spans += [span for life in self.lives[item.sidecar] for span in life.held]
+        client_role = f"clients {item.arrival % self.world.harness.client_processes}"
+        spans = [span for late in self.history.lateness if late.role == client_role for span in late.stalls]
+        spans += [span for life in self.lives[item.sidecar] for span in life.cpu_waits]
         due_us = self._due_us(item) + TIME_LIMIT_SLACK_US
         return any(begun_us < due_us and ended_us > item.sent_us for begun_us, ended_us in spans)
 
-    def _was_answered_by_converter(self, item: Try) -> bool:
-        return item.answer_for == item.ident and any(
-            attempt.uid == item.answer_by and attempt.status == 200 for attempt in self.attempts[item.ident]
+    def _was_answered_by_converter(self, item: ClientAttempt) -> bool:
+        return item.response_request_id == item.request_id and any(
+            attempt.uid == item.responder_uid and attempt.status == 200 for attempt in self.attempts[item.request_id]
         )
 
-    def _was_given_up_at_once(self, item: Try) -> bool:
+    def _was_given_up_at_once(self, item: ClientAttempt) -> bool:
         """Return whether only attempts and their waits lie before the answer.
 
         Attempts whose connection never came up are known to nobody but the sidecar; before each attempt a request
@@ -162,40 +166,40 @@
         # a converter sees the end of an abandoned attempt a little after the client sees its answer
         ends_us = [
             item.ended_us if attempt.ended_us == NEVER else min(attempt.ended_us, item.ended_us)
-            for attempt in self.attempts[item.ident]
+            for attempt in self.attempts[item.request_id]
         ]
         last_event_us = max([item.sent_us, *ends_us])
         sidecars = self.world.sidecars
         unseen = max(0, sidecars.max_attempts - len(ends_us))
-        wait_ms = max(1, unseen) * self._class_of(item).aim_ms / 2
+        wait_ms = max(1, unseen) * self._class_of(item).objective_ms / 2
         dial_ms = unseen * sidecars.dial_timeout_ms
         return item.ended_us - last_event_us <= (wait_ms + dial_ms) * US_PER_MS + TIME_LIMIT_SLACK_US
 
-    def _check_rejection(self, item: Try) -> None:
-        for attempt in self.attempts[item.ident]:
-            if may_have_run(attempt) and attempt.last_us < item.ended_us:
-                self._add("refused-after-run", item.ended_us, f"{item.ident}: {attempt.uid} had it")
+    def _check_rejection(self, item: ClientAttempt) -> None:
+        for attempt in self.attempts[item.request_id]:
+            if may_have_run(attempt) and attempt.received_us < item.ended_us:
+                self._add("refused-after-run", item.ended_us, f"{item.request_id}: {attempt.uid} had it")
                 return
 
     # Attempts
 
-    def _check_retries(self, item: Try) -> None:
+    def _check_retries(self, item: ClientAttempt) -> None:
         """Check that the attempts of a request were one at a time, and repeated only where that is allowed."""
-        attempts = self.attempts.get(item.ident, [])
+        attempts = self.attempts.get(item.request_id, [])
         for number, later in enumerate(attempts):
             for earlier in attempts[:number]:
-                if earlier.ended_us == NEVER or later.last_us < earlier.ended_us - self.skew_us:
-                    self._add("together", later.last_us, f"{item.ident}: {earlier.uid} and {later.uid}")
+                if earlier.ended_us == NEVER or later.received_us < earlier.ended_us - self.skew_us:
+                    self._add("together", later.received_us, f"{item.request_id}: {earlier.uid} and {later.uid}")
                 elif may_have_run(earlier) and not self._may_repeat(item, earlier, later):
-                    self._add("unsafe-resend", later.last_us, f"{item.ident}: {earlier.uid}, then {later.uid}")
+                    self._add("unsafe-resend", later.received_us, f"{item.request_id}: {earlier.uid}, then {later.uid}")
 
-    def _may_repeat(self, item: Try, earlier: Attempt, later: Attempt) -> bool:
+    def _may_repeat(self, item: ClientAttempt, earlier: ConverterAttempt, later: ConverterAttempt) -> bool:
         """Return whether an attempt may follow one that may have run."""
         request_class = self._class_of(item)
         if request_class.effect == "idempotent":
             return True
-        memory_us = request_class.memory_ms * US_PER_MS + TIME_LIMIT_SLACK_US
-        if request_class.effect == "at_most_once" or later.last_us - earlier.last_us > memory_us:
+        memory_us = request_class.idempotency_window_ms * US_PER_MS + TIME_LIMIT_SLACK_US
+        if request_class.effect == "at_most_once" or later.received_us - earlier.received_us > memory_us:
             return False
         if request_class.group == "cell":
             return earlier.pod == later.pod
@@ -204,39 +208,39 @@
     def _check_invented(self) -> None:
         for ident, attempts in self.attempts.items():
             if ident not in self.tries:
-                self._add("invented", attempts[0].last_us, f"{ident} at {attempts[0].uid}")
+                self._add("invented", attempts[0].received_us, f"{ident} at {attempts[0].uid}")
 
     def _check_executions(self) -> None:
         """Check at-most-once over all retries of a client, as a rejection promised that nothing had run."""
-        executions: dict[int, list[Attempt]] = defaultdict(list)  # by first attempt
-        for attempt in self.history.attempts:
-            item = self.tries.get(attempt.ident)
-            if item is not None and attempt.run_us != NEVER and self._class_of(item).effect == "at_most_once":
-                executions[item.first].append(attempt)
+        executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by first attempt
+        for attempt in self.history.converter_attempts:
+            item = self.tries.get(attempt.request_id)
+            if item is not None and attempt.started_us != NEVER and self._class_of(item).effect == "at_most_once":
+                executions[item.arrival].append(attempt)
         for attempts in executions.values():
             if len(attempts) > 1:
-                text = " and ".join(f"{attempt.ident} at {attempt.uid}" for attempt in attempts)
-                self._add("run-twice", attempts[1].run_us, text)
+                text = " and ".join(f"{attempt.request_id} at {attempt.uid}" for attempt in attempts)
+                self._add("run-twice", attempts[1].started_us, text)
 
     # Endpoint list and processes
 
     def _check_drains(self) -> None:
         """Check that draining converters get nothing new, each life of a sidecar by its own notifications."""
-        notified_us = self._withdrawal_times(self.history.told)
+        notified_us = self._withdrawal_times(self.history.notices)
         grace_us = self.world.sidecars.drain_grace_ms * US_PER_MS + TIME_LIMIT_SLACK_US
-        for attempt in self.history.attempts:
-            item = self.tries.get(attempt.ident)
+        for attempt in self.history.converter_attempts:
+            item = self.tries.get(attempt.request_id)
             if item is None or (item.sidecar, attempt.uid) not in notified_us:
                 continue
-            life_begun_us = self._life_begun_us(item.sidecar, attempt.first_us)
+            life_begun_us = self._life_begun_us(item.sidecar, attempt.first_byte_us)
             times_us = [at_us for at_us in notified_us[item.sidecar, attempt.uid] if at_us >= life_begun_us]
-            if times_us and attempt.first_us > self._must_act_by_us(item.sidecar, min(times_us), grace_us):
-                late_ms = (attempt.first_us - min(times_us)) // US_PER_MS
-                text = f"{attempt.ident} to {attempt.uid}, {late_ms} ms after sidecar {item.sidecar} was told"
-                self._add("drain", attempt.first_us, text)
+            if times_us and attempt.first_byte_us > self._must_act_by_us(item.sidecar, min(times_us), grace_us):
+                late_ms = (attempt.first_byte_us - min(times_us)) // US_PER_MS
+                text = f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {item.sidecar} was told"
+                self._add("drain", attempt.first_byte_us, text)
 
     @staticmethod
-    def _withdrawal_times(notifications: Sequence[Told]) -> dict[tuple[int, str], list[int]]:
+    def _withdrawal_times(notifications: Sequence[EndpointNotice]) -> dict[tuple[int, str], list[int]]:
         """Return when each sidecar was notified that a converter drains or is gone, by sidecar and uid."""
         times_us: dict[tuple[int, str], list[int]] = defaultdict(list)
         for notification in notifications:
@@ -246,22 +250,22 @@
 
     def _life_begun_us(self, sidecar: int, at_us: int) -> int:
         """Return when the sidecar's process that ran at a time was started."""
-        return max((life.begun_us for life in self.lives[sidecar] if life.begun_us <= at_us), default=0)
+        return max((life.started_us for life in self.lives[sidecar] if life.started_us <= at_us), default=0)
 
     def _must_act_by_us(self, sidecar: int, notified_us: int, grace_us: float) -> float:
         """Return when a notification must be in effect: a stalled sidecar reads it only after the stall."""
         until_us = notified_us + grace_us
         for life in self.lives[sidecar]:
-            for begun_us, ended_us in life.stalls:
+            for begun_us, ended_us in life.suspensions:
                 if begun_us < until_us and ended_us > notified_us:
                     until_us = max(until_us, ended_us + grace_us)
         return until_us
 
     def _check_overloads(self) -> None:
-        for at_us, uid in self.history.fallen:
+        for at_us, uid in self.history.overload_crashes:
             self._add("cold", at_us, f"{uid} was pushed over")
 
     def _check_crashes(self) -> None:
-        for life in self.history.lives:
+        for life in self.history.incarnations:
             if life.crashed:
                 self._add("crash", life.ended_us, f"sidecar {life.sidecar} ended by itself")
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -17,7 +17,7 @@
 from matplotlib.figure import Figure
 from numpy.typing import NDArray
 
-from ryepier.emulator.records import Happening, History
+from ryepier.emulator.records import History, RecordedEvent
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments.core import contract, figures
 from ryepier.experiments.core.judge import RULES, Breach
@@ -64,7 +64,7 @@
             breaches=run.breaches[:MAX_LISTED_BREACHES],
             breach_count=len(run.breaches),
             rules=RULES,
-            events=run.history.happenings[:MAX_LISTED_EVENTS],
+            events=run.history.events[:MAX_LISTED_EVENTS],
             lateness=run.history.lateness,
             plots=[(title, markupsafe.Markup(svg)) for title, svg in _plot_all(run).items()],
         )
@@ -74,9 +74,9 @@
     return path
 
 
-def happenings(folder: Path) -> list[Happening]:
+def events(folder: Path) -> list[RecordedEvent]:
     """Return the events of the run in a folder: faults, drains, restarts. Raises as `write` does."""
-    return _read_history(folder).happenings
+    return _read_history(folder).events
 
 
 def _read(folder: Path) -> _SavedRun:
@@ -84,7 +84,7 @@
     history = _read_history(folder)
     world = msgspec.json.decode((folder / contract.WORLD).read_bytes(), type=World)
     breaches = msgspec.json.decode((folder / contract.BREACHES).read_bytes(), type=list[Breach])
-    return _SavedRun(result, history, world, breaches, figures.operations(world, history.tries))
+    return _SavedRun(result, history, world, breaches, figures.operations(world, history.client_attempts))
 
 
 def _read_history(folder: Path) -> History:
@@ -163,7 +163,7 @@
         label="served within the latency objective",
     )
     for ending in PLOTTED_ENDINGS:
-        times_us = [item.ended_us for item in run.history.tries if item.ending == ending]
+        times_us = [item.ended_us for item in run.history.client_attempts if item.outcome == ending]
         if times_us:
             axes.plot(begins_s, _rate_per_s(times_us, edges_s), linewidth=LINE_WIDTH, label=ending)
     axes.set_ylabel("per second")
@@ -203,8 +203,8 @@
     figure, axes = _make_axes(run.world)
     edges_s = _window_edges(run.world)
     times_us: dict[str, list[int]] = defaultdict(list)
-    for attempt in run.history.attempts:
-        times_us[attempt.uid].append(attempt.last_us)
+    for attempt in run.history.converter_attempts:
+        times_us[attempt.uid].append(attempt.received_us)
     if times_us:
         rows = np.array([_rate_per_s(times_us[uid], edges_s) for uid in sorted(times_us)])
         extent = (0.0, float(edges_s[-1]), -0.5, len(rows) - 0.5)
@@ -217,7 +217,7 @@
 def _plot_resources(history: History) -> str:
     figure, axes = _make_axes()
     memory_axes = axes.twinx()
-    for life in history.lives:
+    for life in history.incarnations:
         if len(life.samples) < 2:
             continue
         at_us, cpu_us, kib = (np.array(column, dtype=np.float64) for column in zip(*life.samples, strict=True))
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ryepier.emulator import rig, simulated
+from ryepier.emulator import harness, simulated
 from ryepier.emulator.records import History
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
@@ -38,12 +38,12 @@
 def run_experiment(
     experiment: Experiment,
     trial: TrialConfig,
-    watcher: rig.Watcher | None = None,
+    watcher: harness.Watcher | None = None,
     backend: Backend = Backend.SOCKETS,
 ) -> list[Claim]:
     """Run an experiment's world, write all results into the trial's folder, and return the claims.
 
-    Raises rig.RigError if the emulator failed or the experiment can't run on the backend.
+    Raises harness.HarnessError if the emulator failed or the experiment can't run on the backend.
     """
     world = experiment.world(trial.scale)
     if backend is Backend.SIM:
@@ -66,7 +66,7 @@
 def run_benchmark(benchmark: Benchmark, trial: TrialConfig) -> list[Claim]:
     """Run a benchmark, write its result into the trial's folder, and return the claims.
 
-    Raises rig.RigError if it could not be run.
+    Raises harness.HarnessError if it could not be run.
     """
     trial.folder.mkdir(parents=True, exist_ok=True)
     measured = benchmark.measure(trial)
@@ -80,13 +80,13 @@
 
     With `valid_until_s` it covers only the part of the run up to there.
     """
-    bound_ms = run.world.rig.lateness_ms
+    bound_ms = run.world.harness.lateness_ms
     lateness = run.history.lateness
     if valid_until_s is None:
         worst_us = max((late.p999_us for late in lateness), default=0)
         return Claim("the emulator's lateness (99.9%, ms)", worst_us / US_PER_MS, "<=", bound_ms)
     until_s = int(valid_until_s(run))
-    worst_us = max((late_us for late in lateness for late_us in late.most_by_second_us[:until_s]), default=0)
+    worst_us = max((late_us for late in lateness for late_us in late.max_by_second_us[:until_s]), default=0)
     name = f"the emulator's lateness (most in the first {until_s} s, ms)"
     return Claim(name, worst_us / US_PER_MS, "<=", bound_ms)
 
@@ -125,7 +125,7 @@
         world,
         seed,
         history,
-        operations=figures.operations(world, history.tries),
+        operations=figures.operations(world, history.client_attempts),
         breaches=judge.judge(world, history),
         folder=folder,
     )
@@ -146,31 +146,31 @@
     )
 
 
-def _on_sockets(experiment: Experiment, trial: TrialConfig, watcher: rig.Watcher | None) -> RunWorld:
+def _on_sockets(experiment: Experiment, trial: TrialConfig, watcher: harness.Watcher | None) -> RunWorld:
     """Return a function that runs a world on real sockets; the control run has no seeded fault in its sidecars."""
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
-        cast = _make_cast(experiment, trial.seeded_fault)
+        roles = _make_cast(experiment, trial.seeded_fault)
         if is_control:
-            cast = dataclasses.replace(cast, sidecar_command=None)
+            roles = dataclasses.replace(roles, sidecar_command=None)
         with _limited_to_cores(experiment.cores):
-            return rig.play(world, trial.seed, folder, cast, watcher)
+            return harness.play(world, trial.seed, folder, roles, watcher)
 
     return run_world
 
 
-def _make_cast(experiment: Experiment, seeded_fault: str) -> rig.Cast:
+def _make_cast(experiment: Experiment, seeded_fault: str) -> harness.RoleAssignment:
     """Return the commands of the run's processes, with the experiment's own faults and the seeded one."""
-    cast = rig.Cast(
-        odd_sidecars={index: seeded_faults.command(name) for index, name in experiment.sidecar_faults.items()}
+    roles = harness.RoleAssignment(
+        sidecar_overrides={index: seeded_faults.command(name) for index, name in experiment.sidecar_faults.items()}
     )
     if experiment.restarted_planner_fault:
-        cast = dataclasses.replace(cast, planner_restart=seeded_faults.command(experiment.restarted_planner_fault))
+        roles = dataclasses.replace(roles, planner_restart=seeded_faults.command(experiment.restarted_planner_fault))
     if seeded_fault in seeded_faults.PLANNER_FAULTS:
-        return dataclasses.replace(cast, planner_command=seeded_faults.command(seeded_fault))
+        return dataclasses.replace(roles, planner_command=seeded_faults.command(seeded_fault))
     if seeded_fault:
-        return dataclasses.replace(cast, sidecar_command=seeded_faults.command(seeded_fault))
-    return cast
+        return dataclasses.replace(roles, sidecar_command=seeded_faults.command(seeded_fault))
+    return roles
 
 
 @contextmanager
@@ -188,10 +188,10 @@
 def _on_virtual_time(experiment: Experiment, trial: TrialConfig) -> RunWorld:
     """Return a function that runs a world in this process; a seeded fault stays in the process.
 
-    Raises rig.RigError for an experiment that measures CPU or has processes with faults of their own.
+    Raises harness.HarnessError for an experiment that measures CPU or has processes with faults of their own.
     """
     if experiment.measures_cpu or experiment.sidecar_faults or experiment.restarted_planner_fault:
-        raise rig.RigError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
+        raise harness.HarnessError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
         if trial.seeded_fault and not is_control:
--- a/ryepier/experiments/planners/planning.py
+++ b/ryepier/experiments/planners/planning.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ryepier.emulator import timeline
-from ryepier.emulator.timeline import Who
+from ryepier.emulator.timeline import TargetKind
 from ryepier.emulator.world import World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
@@ -56,7 +56,7 @@
 def struck_uids(run: Run, kinds: tuple[str, ...]) -> set[str]:
     """The converters that faults of these kinds strike."""
     built = timeline.build(run.world, run.seed)
-    struck = {step.index for step in built.steps if step.who is Who.CONVERTER and step.fault in kinds}
+    struck = {step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault in kinds}
     return {instance.uid for instance in built.instances if instance.index in struck}
 
 
@@ -89,7 +89,7 @@
     after = figures.service_level(
         run.operations, figures.due_between(fault.at_s + fault.down_s + 2.0, run.world.duration_s)
     )
-    told = sum(notice.state == "leaving" for notice in run.history.told)
+    told = sum(notice.state == "leaving" for notice in run.history.notices)
     return [
         Claim("forwarders that followed a plan", _files_with(run, "following plans"), "==", run.world.sidecars.count),
         Claim("service lost while all planners are away (points)", 100 * (before - during), "<=", 2.0),
@@ -162,7 +162,7 @@
 def _empty_claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, "planner-kill")
     begin_s, end_s = kill.at_s + kill.down_s + 1.0, run.world.duration_s
-    to_hung = figures.count_attempts(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
+    to_hung = figures.count_attempts(run.history.converter_attempts, struck_uids(run, ("hang",)), begin_s, end_s)
     refused = _files_with(run, "is refused: too few forwarders reported")
     taken = len(
         {
@@ -185,7 +185,14 @@
 
 def longest_gap_s(run: Run, uid: str, since_s: float) -> float:
     """Between two attempts at a converter, from a moment of the run to the end of its arrivals."""
-    times = [since_s, *(a.last_us / 1e6 for a in run.history.attempts if a.uid == uid and a.last_us > since_s * 1e6)]
+    times = [
+        since_s,
+        *(
+            a.received_us / 1e6
+            for a in run.history.converter_attempts
+            if a.uid == uid and a.received_us > since_s * 1e6
+        ),
+    ]
     times.append(max(times[-1], run.world.duration_s))
     return max(late - early for early, late in itertools.pairwise(times))
 
@@ -222,7 +229,7 @@
 def _restart_claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, "planner-kill")
     begin_s, end_s = kill.at_s + kill.down_s, run.world.duration_s - 1.0
-    to_hung = figures.count_attempts(run.history.attempts, struck_uids(run, ("hang",)), begin_s, end_s)
+    to_hung = figures.count_attempts(run.history.converter_attempts, struck_uids(run, ("hang",)), begin_s, end_s)
     return [
         Claim("time to sound plans after the restart (s)", sound_again_s(run), "<=", 2.0),
         Claim("share of attempts to hung converters from the restart on", to_hung.share, "<=", 0.02),
@@ -236,11 +243,11 @@
 def avoided_after_s(run: Run, kind: str) -> float:
     """Seconds from a fault until 95% of the forwarders avoid the converters struck; its length where they never do."""
     fault, uids = fault_of_kind(run.world, kind), struck_uids(run, (kind,))
-    sidecar_of = {item.ident: item.sidecar for item in run.history.tries}
+    sidecar_of = {item.request_id: item.sidecar for item in run.history.client_attempts}
     times: dict[int, list[float]] = {index: [] for index in range(run.world.sidecars.count)}
-    for attempt in run.history.attempts:
-        if attempt.uid in uids and attempt.ident in sidecar_of:
-            times[sidecar_of[attempt.ident]].append(attempt.last_us / 1e6 - fault.at_s)
+    for attempt in run.history.converter_attempts:
+        if attempt.uid in uids and attempt.request_id in sidecar_of:
+            times[sidecar_of[attempt.request_id]].append(attempt.received_us / 1e6 - fault.at_s)
     at_s = 0.0
     while at_s + AVOID_WINDOW_S <= fault.for_s:
         avoiding = sum(sum(at_s <= t < at_s + AVOID_WINDOW_S for t in seen) <= AVOID_MOST for seen in times.values())
@@ -260,7 +267,7 @@
         result[f"service_in_the_{kind}_{name}"] = figures.service_level(
             one.operations, figures.due_between(fault.at_s, end_s)
         )
-        struck = figures.count_attempts(one.history.attempts, struck_uids(one, (kind,)), fault.at_s, end_s)
+        struck = figures.count_attempts(one.history.converter_attempts, struck_uids(one, (kind,)), fault.at_s, end_s)
         result[f"attempts_to_struck_{name}"] = struck.at_chosen
     return result
 
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -16,8 +16,8 @@
 
 from ryepier import cli
 from ryepier.commands import experiment as command
-from ryepier.emulator.records import History, Life
-from ryepier.emulator.rig import RigError
+from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.records import History, Incarnation
 from ryepier.emulator.world import World
 from ryepier.experiments import catalogue, seeded_faults
 from ryepier.experiments.core import contract, judge, report, runner
@@ -35,7 +35,7 @@
 
 def empty_run(world: World, folder: Path) -> Run:
     lives = [
-        Life(sidecar, 0, 0, samples=[(1_000_000, 0, 1000), (2_000_000, 1000, 1000)])
+        Incarnation(sidecar, 0, 0, samples=[(1_000_000, 0, 1000), (2_000_000, 1000, 1000)])
         for sidecar in range(world.sidecars.count)
     ]
     return Run(world, 1, History([], [], [], lives, [], [], []), [], [], folder)
@@ -153,7 +153,7 @@
     [
         (measuring(1.0), 0),
         (measuring(3.0), 1),
-        (raising(RigError("no network")), 1),
+        (raising(HarnessError("no network")), 1),
         (raising(OSError("no disk")), 1),
         (raising(InsufficientResourcesError("no memory")), 2),
     ],
