--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -92,7 +92,7 @@
     (out / "coverage.json").write_text(json.dumps(coverage.as_lists()))
     print_table(coverage)
     rate = seeds * search.LENGTH_S / elapsed_s
-    print(f"{seeds} worlds, {find_count} that broke a rule, {rate:.0f} simulated seconds per second")
+    print(f"{seeds} worlds, {find_count} that broke a rule, {rate:.0f} simulated seconds a second")
     sys.exit(ExitCode.FAILURE if find_count else ExitCode.SUCCESS)
 
 
@@ -119,7 +119,7 @@
         print("no rule is broken any more")
         return
     print(again.first)
-    comparison = "the same" if again.trace == find.trace else "differs from the one that was saved"
+    comparison = "the same" if again.trace == find.trace else "not the same as when it was found"
     print(f"trace {again.trace}: {comparison}")
     request_id = search.request_in(again.first)
     if history is not None and request_id is not None:
