--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -335,6 +335,8 @@
         self.server.change_state(self, ClientState.CLOSING)
         if self.transport is not None:
             self.transport.abort()
+            # The transport closes the socket a turn later; a request that arrived until then would be lost in a reset.
+            self.sock.close()
 
     def on_state_timeout(self) -> None:
         """End a state that has lasted too long."""
