--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -15,7 +15,7 @@
 
 from ryepier.balancer import upstream
 from ryepier.balancer.tuning import MAX_OVERTAKEN
-from ryepier.check.model import Model, World
+from ryepier.check.model import Model, ModelState
 from ryepier.sidecar import dispatcher
 
 Rename = dict[int, int]
@@ -28,7 +28,7 @@
     for order in itertools.permutations(ids):
         cells: dict[int, int] = {}
         if all(
-            cells.setdefault(model.cell(old), model.cell(new)) == model.cell(new)
+            cells.setdefault(model.failure_domain(old), model.failure_domain(new)) == model.failure_domain(new)
             for old, new in zip(ids, order, strict=True)
         ) and len(set(cells.values())) == len(cells):
             yield dict(zip(ids, order, strict=True))
@@ -37,7 +37,7 @@
 class _View:
     """One world under one renaming."""
 
-    def __init__(self, world: World, rename: Rename) -> None:
+    def __init__(self, world: ModelState, rename: Rename) -> None:
         self.world = world
         self.now_us = world.timers.now_us
         self.rename = rename
@@ -131,13 +131,13 @@
         )
 
 
-def digest(world: World, ways: list[Rename]) -> bytes:
+def digest(world: ModelState, ways: list[Rename]) -> bytes:
     """The same for worlds that are the same."""
     texts = (repr(_View(world, rename).whole()) for rename in ways)
     return hashlib.blake2b(min(texts).encode(), digest_size=12).digest()
 
 
-Digest = Callable[[World], bytes]
+Digest = Callable[[ModelState], bytes]
 
 
 @functools.cache
--- a/ryepier/check/reached.py
+++ b/ryepier/check/line_coverage.py
@@ -59,7 +59,7 @@
 
 
 @contextmanager
-def recorded() -> Iterator[Lines]:
+def record_lines() -> Iterator[Lines]:
     """The lines that run meanwhile, by file."""
     files = {str(module.__file__) for module in WATCHED}
     seen: Lines = {name: set() for name in files}
--- a/ryepier/check/model.py
+++ b/ryepier/check/model.py
@@ -62,33 +62,33 @@
     name: str
     converters: int
     requests: tuple[str, ...]  # the class of each, in the order of their coming
-    cells: tuple[int, ...] = ()  # of each converter; by default each in its own
-    attempts: int = 3
-    changes: int = 0
-    leaves: int = 0
+    failure_domains: tuple[int, ...] = ()  # of each converter; by default each in its own
+    max_attempts: int = 3
+    list_changes: int = 0
+    client_disconnects: int = 0
     outcomes: tuple[str, ...] = tuple(OUTCOMES)
-    dials: bool = False  # whether a connection has to come up first, and may fail
+    connects_first: bool = False  # whether a connection has to come up first, and may fail
     depth: int = 0  # steps; 0 = to the end
 
-    def cell(self, upstream: int) -> int:
-        return self.cells[upstream - 1] if self.cells else upstream
+    def failure_domain(self, upstream: int) -> int:
+        return self.failure_domains[upstream - 1] if self.failure_domains else upstream
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
     """One thing that the environment does. `picks` are the module's draws while it reacts."""
 
-    what: str
+    action: str
     index: int = 0  # of a request, flight or converter
-    how: str = ""
-    picks: tuple[int, ...] = ()
+    detail: str = ""
+    draws: tuple[int, ...] = ()
 
     def __str__(self) -> str:
-        text = " ".join(str(part) for part in (self.what, self.index, self.how) if part != "")
-        return text + (f" (draws {', '.join(map(str, self.picks))})" if self.picks else "")
+        text = " ".join(str(part) for part in (self.action, self.index, self.detail) if part != "")
+        return text + (f" (draws {', '.join(map(str, self.draws))})" if self.draws else "")
 
 
-class Undecided(BaseException):
+class UndecidedDraw(BaseException):
     """The module draws among so many, and the path does not say what comes. Not an `Exception`, as the host goes on
     after those."""
 
@@ -109,7 +109,7 @@
             return [population[0]]
         pick = next(self.picks, None)
         if pick is None:
-            raise Undecided(len(population))
+            raise UndecidedDraw(len(population))
         return [population[pick]]
 
     def random(self) -> float:
@@ -178,7 +178,7 @@
 
 
 @dataclass(slots=True)
-class Breach:
+class Violation:
     rule: str
     text: str
 
@@ -199,13 +199,13 @@
         return self.ident > 0 and not self.gone and not self.answers
 
 
-class World:
+class ModelState:
     """The host, the module and their environment after a path. As the host's upstreams it sees each attempt."""
 
     def __init__(self, model: Model) -> None:
         self.model = model
         self.timers = Timers()
-        self.breaches: list[Breach] = []
+        self.violations: list[Violation] = []
         self.clients = [Client(CLASSES[name]) for name in model.requests]
         self.flights: list[Sent] = []
         self.states = dict.fromkeys(range(1, model.converters + 1), api.UpstreamState.READY)
@@ -214,7 +214,7 @@
         self.arriving: Client | None = None
         names = list(CLASSES)
         self.classes = [names.index(name) for name in model.requests]
-        settings = api.Settings(list(CLASSES.values()), max_attempts=model.attempts, max_retry_after_us=500_000)
+        settings = api.Settings(list(CLASSES.values()), max_attempts=model.max_attempts, max_retry_after_us=500_000)
         self.chance = Chance()
         with self.clock():
             self.host = RequestDispatcher(settings, 1, self, self.timers)
@@ -246,7 +246,12 @@
     ) -> Sent:
         client = self.clients[int(request.request_id)]
         sent = Sent(
-            len(self.flights), int(request.request_id), upstream, on_end, self.timers.now_us, not self.model.dials
+            len(self.flights),
+            int(request.request_id),
+            upstream,
+            on_end,
+            self.timers.now_us,
+            not self.model.connects_first,
         )
         self.flights.append(sent)
         self.events.append(f"attempt {sent.number} of request {sent.request} -> converter {upstream}")
@@ -265,44 +270,44 @@
     def look_at_send(self, client: Client, sent: Sent) -> None:
         for earlier in client.sent:
             if not earlier.over:
-                self.breach("together", f"attempt {sent.number} while {earlier.number} is out")
+                self.violate("together", f"attempt {sent.number} while {earlier.number} is out")
             elif earlier.may_have_run() and not self.repeatable(client.kind, earlier, sent):
-                self.breach("resend", f"attempt {sent.number} after {earlier.number}, which may have run")
-        if len(client.sent) >= self.model.attempts:
-            self.breach("attempts", f"attempt {len(client.sent) + 1} of at most {self.model.attempts}")
+                self.violate("resend", f"attempt {sent.number} after {earlier.number}, which may have run")
+        if len(client.sent) >= self.model.max_attempts:
+            self.violate("attempts", f"attempt {len(client.sent) + 1} of at most {self.model.max_attempts}")
         if client.gone or client.answers:
-            self.breach("resend", f"attempt {sent.number} of a request that is over")
+            self.violate("resend", f"attempt {sent.number} of a request that is over")
         if self.states[sent.upstream] is not api.UpstreamState.READY:  # stricter than the 500 ms that it may take
-            self.breach("drain", f"attempt {sent.number} to converter {sent.upstream}, which is to get nothing new")
+            self.violate("drain", f"attempt {sent.number} to converter {sent.upstream}, which is to get nothing new")
 
     def repeatable(self, kind: api.RequestClass, earlier: Sent, later: Sent) -> bool:
         if kind.effect == api.Effect.IDEMPOTENT:
             return True
         if kind.effect == api.Effect.NON_IDEMPOTENT or later.at_us - earlier.at_us >= kind.idempotency_window_us:
             return False
-        return kind.idempotency_scope == api.IdempotencyScope.ALL or self.model.cell(
+        return kind.idempotency_scope == api.IdempotencyScope.ALL or self.model.failure_domain(
             earlier.upstream
-        ) == self.model.cell(later.upstream)
+        ) == self.model.failure_domain(later.upstream)
 
     def replied(self, number: int, answer: FinalAnswer) -> None:
         client = self.clients[number]
         self.events.append(f"request {number} <- {answer.outcome.value}")
         if client.answers:
-            self.breach("answers", f"request {number} has a second answer")
+            self.violate("answers", f"request {number} has a second answer")
         if client.gone:
-            self.breach("answers", f"request {number} is answered though its client has gone")
+            self.violate("answers", f"request {number} is answered though its client has gone")
         client.answers.append(answer)
         harmless = client.kind.effect == api.Effect.IDEMPOTENT or (
             client.kind.idempotency_scope == api.IdempotencyScope.ALL
             and (client.kind.effect == api.Effect.IDEMPOTENCY_KEY)
         )
         if answer.outcome is FinalOutcome.REJECTED and not harmless and any(one.may_have_run() for one in client.sent):
-            self.breach("refused", f"request {number} is refused, and an attempt may have run")
+            self.violate("refused", f"request {number} is refused, and an attempt may have run")
         if answer.outcome is FinalOutcome.SERVED and not any(one.outcome is api.Outcome.OK for one in client.sent):
-            self.breach("answers", f"request {number} is served, and no converter did it")
+            self.violate("answers", f"request {number} is served, and no converter did it")
 
-    def breach(self, rule: str, text: str) -> None:
-        self.breaches.append(Breach(rule, text))
+    def violate(self, rule: str, text: str) -> None:
+        self.violations.append(Violation(rule, text))
 
     # Steps
 
@@ -312,7 +317,7 @@
         coming = next((i for i, client in enumerate(self.clients) if client.ident == 0), None)
         if coming is not None:
             found.append(Step("arrive", coming))
-        if self.gone < self.model.leaves:
+        if self.gone < self.model.client_disconnects:
             found += [Step("leave", i) for i, client in enumerate(self.clients) if client.waits]
         out = [sent for sent in self.flights if not sent.over]
         for sent in out:
@@ -322,7 +327,7 @@
                 found.append(Step("fail", sent.number))
             else:
                 found += [Step("answer", sent.number, how) for how in self.model.outcomes]
-        if self.changes < self.model.changes:
+        if self.changes < self.model.list_changes:
             found += self.list_steps()
         if coming is None and not out and not any(client.waits for client in self.clients):
             return []
@@ -346,9 +351,9 @@
 
     def do(self, step: Step) -> None:
         """Raises Undecided where the module draws more than the step says."""
-        self.chance.picks = iter(step.picks)
+        self.chance.picks = iter(step.draws)
         with self.clock():
-            getattr(self, f"_{step.what}")(step)
+            getattr(self, f"_{step.action}")(step)
         self.look()
 
     def _arrive(self, step: Step) -> None:
@@ -378,7 +383,7 @@
         self.end(step.index, api.Outcome.CONNECT_FAILED)
 
     def _answer(self, step: Step) -> None:
-        self.end(step.index, OUTCOMES[step.how])
+        self.end(step.index, OUTCOMES[step.detail])
 
     def end(self, number: int, outcome: api.Outcome) -> None:
         sent = self.flights[number]
@@ -414,7 +419,7 @@
 
     def tell_list(self, kind: api.ListKind, upstreams: list[int]) -> None:
         entries = [
-            api.Upstream(upstream, self.states[upstream], failure_domain=self.model.cell(upstream))
+            api.Upstream(upstream, self.states[upstream], failure_domain=self.model.failure_domain(upstream))
             for upstream in upstreams
         ]
         addresses = {
@@ -440,19 +445,19 @@
         for upstream in balancer.membership.by_id.values():
             in_flight = sum(not attempt.presumed_lost for attempt in upstream.outstanding)
             if upstream.in_flight != in_flight:
-                self.breach(
+                self.violate(
                     "slots",
                     f"converter {upstream.entry.id}: {upstream.in_flight} slots taken, {in_flight} attempts out",
                 )
         for number, client in enumerate(self.clients):
             if client.waits and self.timers.now_us > client.due_us + SLACK_US:
-                self.breach("in time", f"request {number} has no answer, and its time is out")
+                self.violate("in time", f"request {number} has no answer, and its time is out")
             request = self.host.requests.get(client.ident)
             given_up = client.ident not in balancer.requests or balancer.requests[client.ident].done
             if client.waits and given_up:
-                self.breach("at once", f"request {number} was given up, and its client was told nothing")
+                self.violate("at once", f"request {number} was given up, and its client was told nothing")
             if request is None and any(not sent.over for sent in client.sent):
-                self.breach("leak", f"request {number} is forgotten with an attempt out")
+                self.violate("leak", f"request {number} is forgotten with an attempt out")
 
     def settle(self) -> None:
         """All is over: let time pass, and see that nothing is left."""
@@ -464,7 +469,7 @@
             with self.clock():
                 self.timers.fire()
         else:
-            self.breach("leak", "timers without an end")
+            self.violate("leak", "timers without an end")
         balancer = self.host.balancer
         left = [
             name
@@ -478,12 +483,12 @@
             if what
         ]
         if left:
-            self.breach("leak", f"left once all is over: {', '.join(left)}")
+            self.violate("leak", f"left once all is over: {', '.join(left)}")
 
 
-def walk(model: Model, path: Sequence[Step]) -> World:
+def replay(model: Model, path: Sequence[Step]) -> ModelState:
     """The world after a path. Raises Undecided from its last step."""
-    world = World(model)
+    world = ModelState(model)
     for step in path:
         world.do(step)
     return world
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -43,7 +43,7 @@
     RequestDispatcher._on_overdue = lambda self, opened: None  # type: ignore[method-assign]
 
 
-def held_answer() -> None:
+def delayed_answer() -> None:
     """A refusal waits for the client's time."""
     give = RequestDispatcher._answer
 
@@ -82,7 +82,7 @@
     PendingRequest.first_that_may_have_run = first_not_reset  # type: ignore[method-assign]
 
 
-def any_cell() -> None:
+def any_failure_domain() -> None:
     """A keyed class is sent again anywhere."""
     RetryPolicy.in_scope = lambda self, first, upstream: True  # type: ignore[method-assign]
 
@@ -166,10 +166,10 @@
 SEEDED_FAULTS: dict[str, tuple[str, Callable[[], None]]] = {  # by name: the rule that breaks, and the mistake
     "second-answer": ("answers", second_answer),
     "lost-answer": ("in time", lost_answer),
-    "held-answer": ("at once", held_answer),
+    "held-answer": ("at once", delayed_answer),
     "two-at-once": ("together", two_at_once),
     "careless-resend": ("resend", careless_resend),
-    "any-cell": ("resend", any_cell),
+    "any-cell": ("resend", any_failure_domain),
     "long-memory": ("resend", long_memory),
     "deaf": ("drain", deaf),
     "freed-twice": ("slots", freed_twice),
--- a/ryepier/check/trace.py
+++ b/ryepier/check/trace.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ryepier.balancer import balancer
-from ryepier.check.model import Model, Step, World
+from ryepier.check.model import Model, ModelState, Step
 
 DECISIONS = Path(balancer.__file__).parent
 COLUMN = 22
@@ -33,7 +33,7 @@
     """A world whose module says which of its lines decide."""
 
     def __init__(self, model: Model) -> None:
-        self.world = World(model)
+        self.world = ModelState(model)
         self.lines: list[str] = []
         self.wrap(self.world.host.balancer, "send")
         self.wrap(self.world.host.balancer, "finish")
@@ -56,13 +56,13 @@
     begun_us = world.timers.now_us
     for step in path:
         seen, decided = len(world.events), len(watched.lines)
-        breaches = len(world.breaches)
+        breaches = len(world.violations)
         world.do(step)
         lines.append(f"{(world.timers.now_us - begun_us) / 1000:8.1f} ms  {step}")
         lines += [f"{'':{COLUMN}}{text}" for text in world.events[seen:]]
         lines += [f"{'':{COLUMN}}    {text}" for text in watched.lines[decided:]]
-        lines += [f"{'':{COLUMN}}BREAKS {breach.rule}: {breach.text}" for breach in world.breaches[breaches:]]
-    if settle and not world.breaches and not world.steps():
+        lines += [f"{'':{COLUMN}}BREAKS {breach.rule}: {breach.text}" for breach in world.violations[breaches:]]
+    if settle and not world.violations and not world.steps():
         world.settle()
-        lines += [f"{'':{COLUMN}}BREAKS {breach.rule}: {breach.text}" for breach in world.breaches]
+        lines += [f"{'':{COLUMN}}BREAKS {breach.rule}: {breach.text}" for breach in world.violations]
     return lines
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -12,8 +12,9 @@
 import click
 import msgspec
 
-from ryepier.check import explore, reached, trace
-from ryepier.check.model import CLASSES, Model, Step
+from ryepier.check import explore, line_coverage, trace
+from ryepier.check.formats import RecordedPath, decode_model, decode_step, encode_model, encode_step
+from ryepier.check.model import CLASSES, Model
 from ryepier.check.models import MODELS
 from ryepier.check.seeded_faults import SEEDED_FAULTS
 from ryepier.commands.exits import ExitCode, fail
@@ -22,14 +23,6 @@
 KIB_PER_MB = 1024
 
 
-class SavedPath(msgspec.Struct, rename={"seeded_fault": "plant"}):
-    """The file that `check run --out` writes: a path through a model to a violation."""
-
-    model: dict[str, object]
-    path: list[tuple[str, int, str, tuple[int, ...]]]
-    seeded_fault: str = ""
-
-
 @click.group()
 def check() -> None:
     """Explore every order of events of a few requests at a few converters."""
@@ -42,16 +35,17 @@
         bound = f", {model.depth} steps" if model.depth else ""
         print(
             f"{model.name:16} {model.converters} converters, requests {', '.join(model.requests)}, "
-            f"{model.attempts} attempts, {model.changes} changes of the list, {model.leaves} client disconnects{bound}"
+            f"{model.max_attempts} attempts, {model.list_changes} changes of the list, "
+            f"{model.client_disconnects} clients leave{bound}"
         )
-    print(f"seeded faults: {', '.join(SEEDED_FAULTS)}")
+    print(f"plants: {', '.join(SEEDED_FAULTS)}")
 
 
 def select_model(name: str, converters: int, requests: str, depth: int) -> Model:
     """Return a model by its name, with whatever is given (not 0 or empty) instead of its own."""
     model = MODELS[name]
     if converters:
-        model = replace(model, converters=converters, cells=())
+        model = replace(model, converters=converters, failure_domains=())
     if requests:
         classes = tuple(requests.split(","))
         unknown = set(classes) - CLASSES.keys()
@@ -63,7 +57,7 @@
     return replace(model, depth=depth) if depth else model
 
 
-def print_progress(outcome: explore.Outcome) -> None:
+def print_progress(outcome: explore.Exploration) -> None:
     """Print the counts so far to standard error."""
     print(
         f"depth {outcome.depth}: {outcome.states} states, {outcome.transitions} transitions, "
@@ -111,7 +105,7 @@
     except (OSError, msgspec.MsgspecError, ValueError) as error:
         fail("check", f"{checkpoint}: {error}", ExitCode.MISUSE)
     _print_outcome(selected, outcome)
-    if outcome.breach is None:
+    if outcome.violation is None:
         return
     if out is not None:
         _save_path(out, selected, outcome, seeded_fault or "")
@@ -119,23 +113,23 @@
     sys.exit(ExitCode.FAILURE)
 
 
-def _print_outcome(model: Model, outcome: explore.Outcome) -> None:
+def _print_outcome(model: Model, outcome: explore.Exploration) -> None:
     largest_kib = max(resource.getrusage(scope).ru_maxrss for scope in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN))
     print(
         f"{model.name}: {outcome.states} states, {outcome.transitions} transitions, {outcome.ends} ends, depth "
-        f"{outcome.depth}, {outcome.seconds:.1f} s, at most {largest_kib // KIB_PER_MB} MB per process; "
-        f"{'explored whole' if outcome.whole else 'not explored whole'}"
+        f"{outcome.depth}, {outcome.seconds:.1f} s, at most {largest_kib // KIB_PER_MB} MB a process; "
+        f"{'explored whole' if outcome.complete else 'not explored whole'}"
     )
-    if outcome.breach is not None:
-        print(f"BREAKS {outcome.breach.rule}: {outcome.breach.text}; {len(outcome.path)} steps")
+    if outcome.violation is not None:
+        print(f"BREAKS {outcome.violation.rule}: {outcome.violation.text}; {len(outcome.path)} steps")
 
 
-def _save_path(out: Path, model: Model, outcome: explore.Outcome, seeded_fault: str) -> None:
-    path = [(step.what, step.index, step.how, step.picks) for step in outcome.path]
-    out.write_bytes(msgspec.json.encode(SavedPath(msgspec.to_builtins(model), path, seeded_fault)))
+def _save_path(out: Path, model: Model, outcome: explore.Exploration, seeded_fault: str) -> None:
+    path = [encode_step(step) for step in outcome.path]
+    out.write_bytes(msgspec.json.encode(RecordedPath(encode_model(model), path, seeded_fault)))
 
 
-def _print_chart(model: Model, outcome: explore.Outcome, install_fault: Callable[[], None] | None) -> None:
+def _print_chart(model: Model, outcome: explore.Exploration, install_fault: Callable[[], None] | None) -> None:
     """Replay the path to the violation in this process, with the seeded fault that led to it."""
     if install_fault is not None:
         install_fault()
@@ -147,9 +141,9 @@
 def show(path: Path) -> None:
     """Print the chart of a path that `check run --out` saved."""
     try:
-        saved = msgspec.json.decode(path.read_bytes(), type=SavedPath)
-        model = msgspec.convert(saved.model, Model)
-        steps = [Step(*step) for step in saved.path]
+        saved = msgspec.json.decode(path.read_bytes(), type=RecordedPath)
+        model = decode_model(saved.model)
+        steps = [decode_step(step) for step in saved.path]
         if saved.seeded_fault:
             SEEDED_FAULTS[saved.seeded_fault][1]()
         print("\n".join(trace.chart(model, steps)))
@@ -162,10 +156,10 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the lines as JSON.")
 def lines(names: tuple[str, ...], as_json: bool) -> None:
     """List the lines of the decision modules that the first paths of the models do not reach."""
-    with reached.recorded() as executed:
+    with line_coverage.record_lines() as executed:
         for name in names or tuple(MODELS):
             expand_breadth_first(MODELS[name])
-    unreached = reached.unreached(executed)
+    unreached = line_coverage.unreached(executed)
     if as_json:
         print(json.dumps(unreached))
         return
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -130,15 +130,15 @@
         elif life.killed:
             return  # it is down, and there is nothing to do it to
         elif step.action is FaultAction.SUSPEND:
-            self.loop.freeze(self.owner)
+            self.loop.suspend(self.owner)
             life.suspensions.append((monotonic_us(), NEVER))
         elif step.action is FaultAction.RESUME:
-            self.loop.thaw(self.owner)
+            self.loop.resume(self.owner)
             life.end_suspension(monotonic_us())
         else:
             self.loop.clocks[self.owner] = self.clocks
             if step.action is FaultAction.SET_CALENDAR:
-                self.loop.jump(self.owner, step.factor)
+                self.loop.shift_calendar(self.owner, step.factor)
             else:
                 self.loop.set_rate(self.owner, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -14,7 +14,7 @@
 from ryepier.balancer.selection import Candidate, Selector
 from ryepier.balancer.upstream import Attempt as SentAttempt
 from ryepier.balancer.upstream import PendingRequest, TrackedUpstream
-from ryepier.check.seeded_faults import held_answer
+from ryepier.check.seeded_faults import delayed_answer
 from ryepier.sidecar import endpoint_registry
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.dispatcher import RequestDispatcher
@@ -142,7 +142,7 @@
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "twice": twice,
     "deaf": deaf,
-    "hold": held_answer,
+    "hold": delayed_answer,
     "lose": lose,
     "blind": blind,
     "crowd": crowd,
--- a/ryepier/experiments/load_spread/plays.py
+++ b/ryepier/experiments/load_spread/plays.py
@@ -63,8 +63,8 @@
         begin_us,
         end_us,
         [converter.started_us > 0 for converter in world.converters],
-        sum(request.refused for request in came) / len(came),
-        sum(time_us > task.plan.aim_us for time_us in times_us) / len(came),
+        sum(request.rejected for request in came) / len(came),
+        sum(time_us > task.plan.objective_us for time_us in times_us) / len(came),
         float(np.percentile(times_us, 99)) / 1000,
         sum(counter.mean_open(begin_us, end_us) for counter in counters),
         sum(counter.opened for counter in counters) * SECOND_US / (end_us - begin_us),
@@ -84,10 +84,10 @@
         if at_us < converter.started_us:
             continue
         window.append(at_us)
-        while window[0] <= at_us - plan.fall_us:
+        while window[0] <= at_us - plan.overload_window_us:
             window.popleft()
-        start_us = max(converter.started_us, at_us - plan.fall_us)
+        start_us = max(converter.started_us, at_us - plan.overload_window_us)
         capacity = plan.warmth(start_us - converter.started_us) * plan.places * SECOND_US / plan.work_us
-        allowed = plan.overload_factor * capacity * plan.fall_us / SECOND_US
+        allowed = plan.overload_factor * capacity * plan.overload_window_us / SECOND_US
         worst = max(worst, len(window) / (allowed + 2 * allowed**0.5 + 2))
     return worst
--- a/ryepier/experiments/load_spread/returned.py
+++ b/ryepier/experiments/load_spread/returned.py
@@ -25,9 +25,9 @@
         sidecars,
         converters,
         load=0.5,
-        duration_us=outage.back_us + warm_up_us + SEEN_US,
+        duration_us=outage.restart_us + warm_up_us + SEEN_US,
         warm_up_us=warm_up_us,
-        cold_share=0.2,
+        initial_capacity_share=0.2,
         outages=(outage,),
     )
 
--- a/ryepier/experiments/simulation/hunt.py
+++ b/ryepier/experiments/simulation/hunt.py
@@ -33,7 +33,7 @@
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import judge
 from ryepier.experiments.simulation.coverage import Coverage, cover
-from ryepier.sim.loop import StuckError
+from ryepier.sim.loop import NoProgressError
 from ryepier.sim.run import SimulationError
 
 LENGTH_S = 5.0
@@ -197,7 +197,7 @@
     """One run: what broke, if anything, and what was seen, unless the run itself failed."""
     try:
         history = simulated.play(world, seed)
-    except (StuckError, SimulationError) as error:
+    except (NoProgressError, SimulationError) as error:
         return Find(seed, world, {"failed": 1}, str(error), plant), None
     # Of the emulator's own; one world must not end the hunt.
     except Exception as error:  # noqa: BLE001
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -11,7 +11,7 @@
 
     open: int = 0
     opened: int = 0
-    most_open: int = 0
+    max_open: int = 0
     open_us: int = 0  # connections times microseconds
     changed_us: int = 0
 
@@ -21,13 +21,13 @@
         self.changed_us = now_us
         self.open += by
         self.opened += max(0, by)
-        self.most_open = max(self.most_open, self.open)
+        self.max_open = max(self.max_open, self.open)
 
     def restart_counts(self, now_us: int) -> None:
         """Count from `now_us` on; what is open stays open."""
         self.change(now_us, 0)
         self.open_us = self.opened = 0
-        self.most_open = self.open
+        self.max_open = self.open
 
     def mean_open(self, since_us: int, now_us: int) -> float:
         """The mean of open connections since the counts were restarted."""
--- a/ryepier/sim/fleet/converter.py
+++ b/ryepier/sim/fleet/converter.py
@@ -32,7 +32,7 @@
     working: list[Job] = field(default_factory=list)
     queue: deque[Job] = field(default_factory=deque)
     received_us: list[int] = field(default_factory=list)  # when each request came, also those turned away
-    turned_away: int = 0
+    rejected: int = 0
     connections: ConnectionCounter = field(default_factory=ConnectionCounter)
 
     @property
@@ -44,7 +44,7 @@
         """Take a request in; False if it is turned away as the queue is full."""
         self.received_us.append(job.received_us)
         if len(self.working) >= self.places and len(self.queue) >= self.queue_limit:
-            self.turned_away += 1
+            self.rejected += 1
             return False
         self.queue.append(job)
         return True
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -24,8 +24,8 @@
 
     converters: int
     at_us: int
-    told_after_us: int
-    back_us: int
+    notice_delay_us: int
+    restart_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,14 +40,14 @@
     places: int = 4
     work_us: int = 100_000  # mean of the exponential work of a request
     queue_limit: int = 32  # requests waiting at a converter; more are turned away
-    aim_us: int = 600_000
+    objective_us: int = 600_000
     deadline_us: int = 1_500_000
     idle_us: int = 5_000_000  # a connection idle for so long is closed
-    most_attempts: int = 3
+    max_attempts: int = 3
     warm_up_us: int = 0
-    cold_share: float = 1.0
+    initial_capacity_share: float = 1.0
     overload_factor: float = 4.0
-    fall_us: int = 1_000_000
+    overload_window_us: int = 1_000_000
     outages: tuple[Outage, ...] = ()
 
     def rate_per_s(self) -> float:
@@ -63,20 +63,20 @@
         """The share of its speed that a converter has so long after its start."""
         if age_us >= self.warm_up_us:
             return 1.0
-        return self.cold_share + (1.0 - self.cold_share) * age_us / self.warm_up_us
+        return self.initial_capacity_share + (1.0 - self.initial_capacity_share) * age_us / self.warm_up_us
 
     def settings(self, index: int) -> api.Settings:
         """What sidecar `index` is set to."""
         return api.Settings(
-            classes=[api.RequestClass("read", self.aim_us, self.deadline_us, late_weight=0.3)],
+            classes=[api.RequestClass("read", self.objective_us, self.deadline_us, late_weight=0.3)],
             instances=self.sidecars,
             self_index=index,
-            max_attempts=self.most_attempts,
+            max_attempts=self.max_attempts,
             max_retry_after_us=2 * SECOND_US,
             warm_up_us=self.warm_up_us,
-            initial_capacity_share=self.cold_share,
+            initial_capacity_share=self.initial_capacity_share,
             overload_factor=self.overload_factor,
-            overload_window_us=self.fall_us,
+            overload_window_us=self.overload_window_us,
         )
 
 
@@ -90,7 +90,7 @@
     jobs: list[Job] = field(default_factory=list)
     ended_us: int = 0  # 0 = it is open
     served: bool = False
-    refused: bool = False
+    rejected: bool = False
 
 
 class FleetWorld:
@@ -121,7 +121,7 @@
     def play(self, count_from_us: int = 0) -> None:
         """Run the whole plan; connections are counted from `count_from_us` (from the start) on."""
         for index, rate_per_s in enumerate(self.plan.rates_per_s()):
-            self.tell(index, self.full_list())
+            self.deliver(index, self.full_list())
             self.schedule_arrival(index, rate_per_s)
         for outage in self.plan.outages:
             self.schedule_outage(outage)
@@ -149,15 +149,15 @@
         """All converters that are up."""
         return api.UpstreamsUpdated(api.ListKind.FULL, [self.entry(one) for one in self.converters if one.up])
 
-    def tell(self, sidecar: int, event: api.Event) -> None:
+    def deliver(self, sidecar: int, event: api.Event) -> None:
         """Hand an event to a sidecar and carry out what it decides."""
         for action in self.sidecars[sidecar].handle(self.now_us, event):
             self.carry_out(sidecar, action)
 
-    def tell_all(self, event: api.Event) -> None:
+    def broadcast(self, event: api.Event) -> None:
         """Hand an event to all sidecars."""
         for index in range(len(self.sidecars)):
-            self.tell(index, event)
+            self.deliver(index, event)
 
     def carry_out(self, sidecar: int, action: api.Action) -> None:
         """What a sidecar would do on sockets."""
@@ -165,11 +165,11 @@
             self.send(sidecar, action)
         elif isinstance(action, api.SetTimer):
             timer = api.TimerFired(action.token)
-            self.at(max(action.at_us, self.now_us), lambda: self.tell(sidecar, timer))
+            self.at(max(action.at_us, self.now_us), lambda: self.deliver(sidecar, timer))
         elif isinstance(action, api.Reject | api.Fail):
             request = self.requests[action.request]
             request.ended_us = self.now_us
-            request.refused = isinstance(action, api.Reject)
+            request.rejected = isinstance(action, api.Reject)
         elif isinstance(action, api.CloseIdle):
             self.pool(sidecar, action.upstream).close_idle(self.now_us, self.now_us)
 
@@ -186,7 +186,7 @@
         self.requests.append(Request(sidecar, self.now_us, work_us))
         due_us = self.now_us + self.plan.deadline_us
         self.at(due_us, lambda: self.give_up(ident))
-        self.tell(sidecar, api.RequestArrived(ident, due_us))
+        self.deliver(sidecar, api.RequestArrived(ident, due_us))
 
     def give_up(self, ident: int) -> None:
         """The client waits no longer."""
@@ -194,7 +194,7 @@
         if request.ended_us:
             return
         request.ended_us = self.now_us
-        self.tell(request.sidecar, api.ClientDisconnected(ident))
+        self.deliver(request.sidecar, api.ClientDisconnected(ident))
 
     # Attempts
 
@@ -249,7 +249,7 @@
             request.ended_us, request.served = self.now_us, True
         elapsed_us = self.now_us - job.received_us
         ended = api.AttemptEnded(job.request, job.attempt, converter.ident, outcome, elapsed_us, final)
-        self.tell(job.sidecar, ended)
+        self.deliver(job.sidecar, ended)
 
     # Converters
 
@@ -263,8 +263,8 @@
         """Random converters go down together, are told gone, and come back."""
         chosen = self.random.sample(self.converters, outage.converters)
         self.at(START_US + outage.at_us, lambda: self.go_down(chosen))
-        self.at(START_US + outage.at_us + outage.told_after_us, lambda: self.tell_gone(chosen))
-        self.at(START_US + outage.back_us, lambda: self.come_back(chosen))
+        self.at(START_US + outage.at_us + outage.notice_delay_us, lambda: self.announce_removal(chosen))
+        self.at(START_US + outage.restart_us, lambda: self.restart(chosen))
 
     def go_down(self, chosen: list[Converter]) -> None:
         """Connections to them break."""
@@ -275,16 +275,16 @@
                 if ident == converter.ident:
                     pool.close_idle(self.now_us, self.now_us)
 
-    def tell_gone(self, chosen: list[Converter]) -> None:
+    def announce_removal(self, chosen: list[Converter]) -> None:
         """Discovery says so."""
         gone = [self.entry(converter, api.UpstreamState.REMOVED) for converter in chosen]
-        self.tell_all(api.UpstreamsUpdated(api.ListKind.DELTA, gone))
+        self.broadcast(api.UpstreamsUpdated(api.ListKind.DELTA, gone))
 
-    def come_back(self, chosen: list[Converter]) -> None:
+    def restart(self, chosen: list[Converter]) -> None:
         """New processes are up and listed."""
         for converter in chosen:
             converter.up, converter.started_us = True, self.now_us
-        self.tell_all(api.UpstreamsUpdated(api.ListKind.DELTA, [self.entry(converter) for converter in chosen]))
+        self.broadcast(api.UpstreamsUpdated(api.ListKind.DELTA, [self.entry(converter) for converter in chosen]))
 
     def close_idle(self) -> None:
         """Connections that were idle for long are closed."""
--- a/ryepier/sim/loop.py
+++ b/ryepier/sim/loop.py
@@ -14,7 +14,7 @@
 MOST_TURNS = 100_000  # at one instant: a loop that never ends
 
 
-class StuckError(Exception):
+class NoProgressError(Exception):
     """Nothing is due any more, or one instant never ends; says where."""
 
 
@@ -52,13 +52,13 @@
         asyncio.BaseEventLoop.call_at(self, when_s, callback, *args, context=context)
 
     def pass_time(self, timeout: float | None) -> None:
-        """asyncio would wait for so long. Raises StuckError."""
+        """asyncio would wait for so long. Raises NoProgressError."""
         if timeout is None:
-            raise StuckError(f"at {self.now_s:.6f} s nothing is due any more, and the run is not over")
+            raise NoProgressError(f"at {self.now_s:.6f} s nothing is due any more, and the run is not over")
         if timeout <= 0:
             self.turns += 1
             if self.turns > MOST_TURNS:
-                raise StuckError(f"the instant {self.now_s:.6f} s does not end: {self._ready_names()}")
+                raise NoProgressError(f"the instant {self.now_s:.6f} s does not end: {self._ready_names()}")
             return
         self.turns = 0
         scheduled: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
--- a/ryepier/sim/network.py
+++ b/ryepier/sim/network.py
@@ -20,7 +20,7 @@
 from ryepier.sim.process import OWNER
 
 Address = tuple[str, int]
-WINDOW = 64 * 1024
+RECEIVE_WINDOW_BYTES = 64 * 1024
 HIGH_WATER = 64 * 1024  # asyncio's own
 SEGMENT = 1460
 APART_S = 1e-9
@@ -61,8 +61,8 @@
     def push(self) -> None:
         """Send what the window allows, in segments that end anywhere."""
         random = self.network.random
-        while self.waiting and self.flying + self.unread < WINDOW:
-            most = min(len(self.waiting), SEGMENT, WINDOW - self.flying - self.unread)
+        while self.waiting and self.flying + self.unread < RECEIVE_WINDOW_BYTES:
+            most = min(len(self.waiting), SEGMENT, RECEIVE_WINDOW_BYTES - self.flying - self.unread)
             size = most if random.random() >= self.network.split else random.randint(1, most)
             segment = bytes(self.waiting[:size])
             del self.waiting[:size]
@@ -389,7 +389,7 @@
     def link(self, source: str, target: str) -> Link:
         return self.links.setdefault((source, target), Link())
 
-    def cut(self, source: str, target: str) -> None:
+    def partition(self, source: str, target: str) -> None:
         """Nothing passes from one host to the other until it is healed."""
         self.link(source, target).cut = True
 
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -10,7 +10,7 @@
 from typing import Any, TypeVar, cast
 
 from ryepier.sidecar import system
-from ryepier.sim.loop import StuckError, VirtualLoop
+from ryepier.sim.loop import NoProgressError, VirtualLoop
 from ryepier.sim.network import Address, Factory, Network, SimServer, SimSocket, SimTransport
 from ryepier.sim.process import OWNER, Clocks, Frozen
 
@@ -50,7 +50,7 @@
                 handle.cancel()
         self.network.kill(owner)
 
-    def freeze(self, owner: str) -> None:
+    def suspend(self, owner: str) -> None:
         """It stands still, as on SIGSTOP: what comes for it waits in the kernel's buffers, and time goes on."""
         frozen = self.frozen.setdefault(owner, Frozen())
         ready: Any = self._ready  # type: ignore[attr-defined]
@@ -59,7 +59,7 @@
             frozen.ready.append(handle)
         frozen.timers += self._take_timers(owner)
 
-    def thaw(self, owner: str) -> None:
+    def resume(self, owner: str) -> None:
         """It goes on with all that has become due; one that was killed meanwhile does not."""
         frozen = self.frozen.pop(owner, None)
         if frozen is None:
@@ -77,7 +77,7 @@
             handle._when = clocks.when(own_s)
         self._put_timers(timers)
 
-    def jump(self, owner: str, by_s: float) -> None:
+    def shift_calendar(self, owner: str, by_s: float) -> None:
         """Its calendar is set forward, or back."""
         self.clocks.setdefault(owner, Clocks()).calendar_s += by_s
 
@@ -192,8 +192,11 @@
 
 
 def simulate(seed: int, main: Callable[[SimLoop], Awaitable[T]]) -> T:
-    """Run to its end what `main` makes. Raises whatever it raises, StuckError where it never ends, and SimulationError
-    where a callback or a task failed that nobody waited for."""
+    """Run the coroutine that `main` returns to its end, and return its result.
+
+    Raises whatever it raises, NoProgressError if it never ends, and SimulationError if a callback or a task failed that
+    no other code awaited.
+    """
     loop = SimLoop(seed)
     before = system.monotonic_ns, system.unix_ns, system.tcp_socket, system.listen
     system.monotonic_ns = lambda: round(loop.time() * 1e9)
@@ -210,7 +213,7 @@
         system.monotonic_ns, system.unix_ns, system.tcp_socket, system.listen = before
         for task in asyncio.all_tasks(loop):
             task.cancel()
-        with contextlib.suppress(StuckError):
+        with contextlib.suppress(NoProgressError):
             loop.run_until_complete(asyncio.sleep(0))
         asyncio.set_event_loop(None)
         loop.close()
--- a/tests/test_emulator_formats.py
+++ b/tests/test_emulator_formats.py
@@ -91,7 +91,16 @@
     suspensions=[(8, 9)],
     cpu_waits=[(10, 11)],
 )
-MODEL = Model("m", 1, ("once",), cells=(1,), attempts=1, leaves=1, outcomes=("reset",), dials=True)
+MODEL = Model(
+    "m",
+    1,
+    ("once",),
+    failure_domains=(1,),
+    max_attempts=1,
+    client_disconnects=1,
+    outcomes=("reset",),
+    connects_first=True,
+)
 
 
 def fixture_bytes(name: str) -> bytes:
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -55,17 +55,17 @@
     due_us = world.now_us - world.plan.deadline_us
     assert all(request.ended_us for request in world.requests if request.arrived_us < due_us)
     assert all(len(converter.working) <= converter.places for converter in world.converters)
-    assert sum(request.refused for request in world.requests) > 0
+    assert sum(request.rejected for request in world.requests) > 0
 
 
 def test_converters_that_vanish_get_nothing_until_they_are_back() -> None:
-    outage = Outage(converters=4, at_us=SECOND_US, told_after_us=SECOND_US // 2, back_us=3 * SECOND_US)
+    outage = Outage(converters=4, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
     plan = FleetPlan(sidecars=10, converters=10, load=0.3, duration_us=5 * SECOND_US, outages=(outage,))
     world = FleetWorld(plan, 5, choosers.make_random)
     world.play()
     back = [converter for converter in world.converters if converter.started_us]
     assert len(back) == 4
-    away = (START_US + outage.at_us, START_US + outage.back_us)
+    away = (START_US + outage.at_us, START_US + outage.restart_us)
     assert all(not away[0] < at_us < away[1] for converter in back for at_us in converter.received_us)
     assert all(converter.received_us[-1] > away[1] for converter in back)
 
@@ -75,7 +75,7 @@
     jobs = [Job(0, n, 0, 10, n) for n in range(3)]
     assert converter.receive(jobs[0]) and converter.begin_next() is jobs[0]
     assert converter.receive(jobs[1]) and not converter.receive(jobs[2])
-    assert (converter.load, converter.turned_away, converter.begin_next()) == (2, 1, None)
+    assert (converter.load, converter.rejected, converter.begin_next()) == (2, 1, None)
     assert converter.stop() == jobs[:2] and converter.load == 0
 
 
@@ -89,7 +89,7 @@
     pool.take(20)  # on the idle one
     pool.give_back(30, reusable=True)
     pool.close_idle(50, idle_before_us=30)
-    assert (counter.opened, counter.most_open, counter.open) == (2, 2, 0)
+    assert (counter.opened, counter.max_open, counter.open) == (2, 2, 0)
     assert counter.mean_open(0, 100) == pytest.approx((2 * 10 + 1 * 40) / 100)
 
 
@@ -133,15 +133,15 @@
 
 def shares_of_returned(warm_up_us: int, seed: int) -> list[float]:
     """What each converter that is back gets in the 5 s from its last warm-up on, over the mean of the others."""
-    outage = Outage(converters=10, at_us=SECOND_US, told_after_us=SECOND_US // 2, back_us=3 * SECOND_US)
-    begin_us = outage.back_us + warm_up_us
+    outage = Outage(converters=10, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
+    begin_us = outage.restart_us + warm_up_us
     plan = FleetPlan(
         sidecars=150,
         converters=50,
         load=0.5,
         duration_us=begin_us + 5 * SECOND_US,
         warm_up_us=warm_up_us,
-        cold_share=0.2,
+        initial_capacity_share=0.2,
         outages=(outage,),
     )
     world = FleetWorld(plan, seed)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -14,8 +14,8 @@
 import pytest
 
 from ryepier.sidecar import system
-from ryepier.sim.loop import StuckError
-from ryepier.sim.network import WINDOW
+from ryepier.sim.loop import NoProgressError
+from ryepier.sim.network import RECEIVE_WINDOW_BYTES
 from ryepier.sim.process import OWNER
 from ryepier.sim.run import SimLoop, SimulationError, simulate
 
@@ -77,14 +77,14 @@
 
             async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, unread: bool = unread) -> None:
                 if not unread:
-                    await reader.readexactly(2 * WINDOW)
+                    await reader.readexactly(2 * RECEIVE_WINDOW_BYTES)
                 reading(writer).pause_reading()
                 await asyncio.sleep(1.0)
                 writer.transport.abort()
 
             server = await asyncio.start_server(serve, *ADDRESS)
             reader, writer = await asyncio.open_connection(*ADDRESS)
-            writer.write(b"x" * 2 * WINDOW)
+            writer.write(b"x" * 2 * RECEIVE_WINDOW_BYTES)
             try:
                 seen.append("end" if await reader.read() == b"" else "bytes")
             except ConnectionResetError:
@@ -115,7 +115,7 @@
         await dial()
         sock.close()
         loop.network.listen(ADDRESS, 5)
-        loop.network.cut("127.0.0.1", ADDRESS[0])
+        loop.network.partition("127.0.0.1", ADDRESS[0])
         await dial()
         loop.network.heal("127.0.0.1", ADDRESS[0])
         await dial()
@@ -130,7 +130,7 @@
             writer.write(await reader.readexactly(4))
 
         reader, writer = await served(serve)
-        loop.network.cut(ADDRESS[0], "127.0.0.1")
+        loop.network.partition(ADDRESS[0], "127.0.0.1")
         writer.write(b"ping")
         loop.call_later(30.0, loop.network.heal, ADDRESS[0], "127.0.0.1")
         return (await reader.readexactly(4), loop.time())[::-1]
@@ -145,17 +145,17 @@
             reading(writer).pause_reading()
             await asyncio.sleep(100)
             reading(writer).resume_reading()
-            await reader.readexactly(10 * WINDOW)
+            await reader.readexactly(10 * RECEIVE_WINDOW_BYTES)
 
         _, writer = await served(serve)
-        writer.write(b"x" * 10 * WINDOW)
+        writer.write(b"x" * 10 * RECEIVE_WINDOW_BYTES)
         await asyncio.sleep(10)
         left = writer.transport.get_write_buffer_size()
         await writer.drain()
         return left, loop.time() >= 100
 
     left, waited = simulate(1, main)
-    assert left == 9 * WINDOW and waited
+    assert left == 9 * RECEIVE_WINDOW_BYTES and waited
 
 
 def test_a_run_that_never_ends_or_fails_where_nobody_looks_says_so() -> None:
@@ -173,9 +173,9 @@
         loop.call_later(1, lambda: 1 // 0)
         await asyncio.sleep(2)
 
-    with pytest.raises(StuckError, match="nothing is due"):
+    with pytest.raises(NoProgressError, match="nothing is due"):
         simulate(1, nothing_due)
-    with pytest.raises(StuckError, match=r"does not end.*again"):
+    with pytest.raises(NoProgressError, match=r"does not end.*again"):
         simulate(1, one_instant)
     with pytest.raises(SimulationError, match=r"1.000000 s.*ZeroDivisionError"):
         simulate(1, fails)
@@ -236,12 +236,12 @@
 
         started(loop, "one", work())
         await asyncio.sleep(0.7)
-        loop.freeze("one")
+        loop.suspend("one")
         _, writer = await asyncio.open_connection(*ADDRESS)  # the kernel takes it all the same
         writer.write(b"hello\n")
         await asyncio.sleep(2.3)
         assert seen == [(0.5, "timer 0")]
-        loop.thaw("one")
+        loop.resume("one")
         await asyncio.sleep(1.0)
         return seen
 
@@ -258,9 +258,9 @@
 
         started(loop, "one", work())
         await asyncio.sleep(0.5)
-        loop.freeze("one")
+        loop.suspend("one")
         loop.kill("one")
-        loop.thaw("one")
+        loop.resume("one")
         await asyncio.sleep(2.0)
         return seen
 
@@ -298,7 +298,7 @@
 
         started(loop, "one", work())
         await asyncio.sleep(0.5)
-        loop.jump("one", -3600.0)
+        loop.shift_calendar("one", -3600.0)
         await asyncio.sleep(2.0)
         assert round((system.unix_ns() - begun_ns) / 1e9, 3) == 2.5
         return seen
