--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -21,7 +21,7 @@
 from ryepier.maintenance.address import parse_address
 from ryepier.maintenance.agreement import Agreement, format_units
 from ryepier.maintenance.agreement_file import AgreementError
-from ryepier.maintenance.api import StatusReply
+from ryepier.maintenance.api import ClientKind, StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import CancelRequest, Command, Priority, Request, SubmitRequest
 from ryepier.maintenance.coordinator import Coordinator
@@ -169,7 +169,7 @@
     agreement = _read_agreement(path, region)
 
     async def call() -> T:
-        client = RegionClient(region, addresses_of(agreement, region), getpass.getuser(), "operator")
+        client = RegionClient(region, addresses_of(agreement, region), getpass.getuser(), ClientKind.OPERATOR)
         try:
             return await use(client)
         finally:
--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -11,7 +11,9 @@
 from ryepier.conf.operator_settings import LoggingSettings
 from ryepier.logs import structured
 from ryepier.maintenance import agreement_file
+from ryepier.maintenance.address import Address
 from ryepier.maintenance.agent import Agent, AgentSettings
+from ryepier.maintenance.api import ClientKind
 from ryepier.maintenance.client import RegionClient
 from ryepier.maintenance.fleet import SocketFleet
 from ryepier.maintenance.settings import addresses_of
@@ -25,8 +27,8 @@
     agreement: str
     region: str
     name: str
-    discovery: tuple[str, int]
-    converters: tuple[str, int]
+    discovery: Address
+    converters: Address
     work_s: float
     drain_grace_s: float
 
@@ -36,7 +38,7 @@
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AgentPlan)
     structured.set_up(LoggingSettings(format="json", lines_per_s=LOG_LINES_PER_S))
     agreement = agreement_file.parse(Path(plan.agreement).read_bytes())
-    client = RegionClient(plan.region, addresses_of(agreement, plan.region), plan.name, "agent")
+    client = RegionClient(plan.region, addresses_of(agreement, plan.region), plan.name, ClientKind.AGENT)
     settings = AgentSettings(plan.name, plan.drain_grace_s, plan.work_s)
     agent = Agent(settings, client, SocketFleet(plan.discovery, plan.converters))
     asyncio.run(agent.run())
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -17,6 +17,7 @@
 from ryepier.emulator.process import Clock, Plan, monotonic_us
 from ryepier.emulator.slices import SlicesAgent
 from ryepier.emulator.timeline import Instance, Step, Timeline, Verb, Who
+from ryepier.maintenance.address import Address
 from ryepier.maintenance.fleet import FencingTokens, FleetCall, FleetReply, read_message, write_message
 from ryepier.sidecar import system
 
@@ -34,9 +35,9 @@
     token: int
 
 
-def control_address(plan: Plan, part: str) -> tuple[str, int]:
+def control_address(plan: Plan, part: str) -> Address:
     """Where agents reach `discovery` or `converters`."""
-    return f"127.{plan.network}.251.{1 if part == 'discovery' else 2}", CONTROL_PORT
+    return Address(f"127.{plan.network}.251.{1 if part == 'discovery' else 2}", CONTROL_PORT)
 
 
 def first_uid(place: int) -> str:
@@ -71,7 +72,7 @@
 
     async def _answer(self, call: FleetCall) -> FleetReply:
         """Do it, unless its token is old."""
-        refusal = self.tokens.refusal(call)
+        refusal = self.tokens.rejection(call)
         if refusal:
             self.note("refused", call)
             return FleetReply(refusal)
--- a/ryepier/experiments/maintenance/fleet_rig.py
+++ b/ryepier/experiments/maintenance/fleet_rig.py
@@ -29,11 +29,11 @@
 from ryepier.maintenance import agreement_file
 from ryepier.maintenance.address import parse_address
 from ryepier.maintenance.agreement import Agreement
-from ryepier.maintenance.api import StatusReply
+from ryepier.maintenance.api import ClientKind, StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import Priority, Request, SubmitRequest
 from ryepier.maintenance.results import Result
-from ryepier.maintenance.settings import addresses_of
+from ryepier.maintenance.settings import Addresses, addresses_of
 
 ROLE_MODULE = "ryepier.experiments.maintenance.fleet_process"
 AGENT_MODULE = "ryepier.experiments.maintenance.agent_process"
@@ -250,13 +250,13 @@
         """Wait for a moment of the run."""
         await asyncio.sleep(max(0.0, run_s - self.clock.now_us() / 1e6))
 
-    def addresses(self, region: str) -> dict[str, tuple[str, int]]:
+    def addresses(self, region: str) -> Addresses:
         """A region's coordinators."""
         return addresses_of(self.agreement, region)
 
     def client(self, region: str) -> RegionClient:
         """A caller of a region's coordinators."""
-        return RegionClient(region, self.addresses(region), "operator", "operator")
+        return RegionClient(region, self.addresses(region), "operator", ClientKind.OPERATOR)
 
     async def hand_in(self, region: str) -> None:
         """The requests of a region, each at its time."""
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -21,7 +21,7 @@
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.judge import FULL_SIZE, Change, breaches
 from ryepier.maintenance.replication.roles import Role
-from ryepier.maintenance.results import Granted
+from ryepier.maintenance.server import LEASE_GRANTED
 
 RULES = (
     "unanswered",
@@ -205,7 +205,7 @@
     found = []
     for name in replicas:
         for line in log_lines(outcome.folder / f"{name}.log"):
-            if line.get("message") == "lease" and str(line.get("result", "")).startswith(Granted.__name__):
+            if line.get("message") == LEASE_GRANTED:
                 written = datetime.fromisoformat(str(line["time"]))
                 found.append(round(written.timestamp() * 1e6) - calendar_ahead_us)
     return sorted(found)
--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -1,20 +1,34 @@
-"""What goes over a coordinator's port, beside the replicas' own messages: greetings, calls and replies."""
+"""The frames on a coordinator's port beside the replicas' own messages: greetings, calls and replies.
+
+Tags and keys on the wire are fixed: a field with another name here maps to its key by `name=`, a class by its tag.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated, Literal
+import enum
+from typing import Annotated
 
 import msgspec
 
 from ryepier.maintenance.commands import Name, NonNegative
 from ryepier.maintenance.replication.messages import Message as ReplicaMessage
 from ryepier.maintenance.results import Result
+from ryepier.maintenance.tables import LeaseState
 
 VERSION = 1
-ClientKind = Literal["operator", "agent", "region"]
+NO_START_MS = -1  # of a request without a scheduled window
+
 Text = Annotated[str, msgspec.Meta(max_length=2000)]
 
 
+class ClientKind(enum.StrEnum):
+    """Who calls a coordinator; decides which commands it may give."""
+
+    OPERATOR = "operator"
+    AGENT = "agent"
+    REGION = "region"
+
+
 class PeerHello(msgspec.Struct, tag="peer-hello", frozen=True):
     """The first frame between two replicas of one region; both must hold the same agreement."""
 
@@ -25,7 +39,7 @@
 
 
 class ClientHello(msgspec.Struct, tag="client-hello", frozen=True):
-    """The first frame of anybody else; `region` is the one that is meant."""
+    """The first frame of any other caller; `region` is the one that it wants to reach."""
 
     version: int
     region: Name
@@ -34,53 +48,56 @@
 
 
 class Rejection(msgspec.Struct, tag="refusal", frozen=True):
-    """Why the other side is not served; the connection closes behind it."""
+    """The other side is not served, for this reason; the connection closes after this frame."""
 
     reason: Text
 
 
-class CommandCall(msgspec.Struct, tag="command-call", frozen=True):
-    """Commit this command; the reply comes after the commit."""
+class _Numbered(msgspec.Struct, frozen=True):
+    """A call, or the reply to the call of the same number on the same connection."""
 
     number: NonNegative
+
+
+class CommandCall(_Numbered, tag="command-call", frozen=True):
+    """Commit this command; the reply follows the commit."""
+
     command: bytes
 
 
-class LeaseCall(msgspec.Struct, tag="lease-call", frozen=True):
-    """An agent asks for a window that is due, under a name of its own; the same name again is the same lease."""
+class LeaseCall(_Numbered, tag="lease-call", frozen=True):
+    """An agent asks for a window that is due, under a name that it chooses; the same name is the same lease."""
 
-    number: NonNegative
     lease: Name
 
 
-class StatusCall(msgspec.Struct, tag="status-call", frozen=True):
-    """What the leader knows."""
+class StatusCall(_Numbered, tag="status-call", frozen=True):
+    """Report the region's state."""
 
-    number: NonNegative
 
+class CommandReply(_Numbered, tag="command-reply", frozen=True):
+    """The result of applying the committed command."""
 
-class CommandReply(msgspec.Struct, tag="command-reply", frozen=True):
-    """What applying the committed command gave."""
-
-    number: NonNegative
     result: Result
 
 
-class NoWindowReply(msgspec.Struct, tag="no-window-reply", frozen=True):
-    """No window is due for an agent."""
-
-    number: NonNegative
+class NoWindowReply(_Numbered, tag="no-window-reply", frozen=True):
+    """No window is due."""
 
 
 class RequestStatus(msgspec.Struct, frozen=True):
-    """An open request. `starts_ms` is the region's time of its next window, -1 without one."""
+    """An open request.
+
+    `starts_ms` is the region's time of its next window, NO_START_MS without one. `reason` says why the request waits or
+    does not fit; empty where neither.
+    """
 
     name: str
     service: str
     remaining: tuple[str, ...]
     deadline_ms: int
     starts_ms: int
-    reason: str  # why it waits, or does not fit; empty where neither
+    reason: str
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
@@ -90,7 +107,7 @@
     request: str
     agent: str
     token: int
-    state: str
+    state: LeaseState
     converters: tuple[str, ...]
     unavailable: tuple[str, ...] = msgspec.field(name="out")
 
@@ -105,10 +122,9 @@
     allowance: int
 
 
-class StatusReply(msgspec.Struct, tag="status-reply", frozen=True):
+class StatusReply(_Numbered, tag="status-reply", frozen=True):
     """The state of a region as its leader has applied it."""
 
-    number: NonNegative
     region: str
     leader: str
     term: int
@@ -119,17 +135,14 @@
     capacities: tuple[CapacityStatus, ...]
 
 
-class NotLeaderReply(msgspec.Struct, tag="not-leader-reply", frozen=True):
-    """Nothing was done here; `leader` may be asked, or is empty."""
+class NotLeaderReply(_Numbered, tag="not-leader-reply", frozen=True):
+    """Nothing was done here; ask `leader`, where it is not empty."""
 
-    number: NonNegative
     leader: str
 
 
-class UncertainReply(msgspec.Struct, tag="uncertain-reply", frozen=True):
-    """The replica lost its lead before the command was committed; another leader may commit it yet."""
-
-    number: NonNegative
+class UncertainReply(_Numbered, tag="uncertain-reply", frozen=True):
+    """The replica lost its leadership before the command was committed; another leader may still commit it."""
 
 
 Call = CommandCall | LeaseCall | StatusCall
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -1,7 +1,8 @@
-"""What a region's log of decisions holds: one command an entry. Pure: bytes in, commands out.
+"""The commands in a region's log, one an entry. Pure: bytes in, commands out.
 
 A command is one MessagePack map; `type` names it. Unknown types and unknown keys are errors: a replica that skipped
-part of a command would go on with another state than its peers, so it has to refuse it.
+part of a command would diverge from its peers. Names of types and keys on the wire are fixed: a field with another name
+here maps to its key by `name=`, a class by its tag.
 """
 
 from __future__ import annotations
@@ -11,7 +12,9 @@
 
 import msgspec
 
-MAX_COMMAND_BYTES = 1024 * 1024  # bytes
+from ryepier.errors import RyepierError
+
+MAX_COMMAND_BYTES = 1024 * 1024
 MAX_NAMES = 10_000  # of converters in one command
 FULL_WARMTH = 1000  # thousandths: a converter that is warm
 
@@ -22,12 +25,12 @@
 Warmth = Annotated[int, msgspec.Meta(ge=0, le=FULL_WARMTH)]
 
 
-class CommandError(Exception):
-    """Bytes that are no command, or a command that is too long."""
+class CommandError(RyepierError):
+    """Bytes that are not a command, or a command that is too long."""
 
 
 class Priority(enum.IntEnum):
-    """Of requests: the lower value goes first."""
+    """The priority of a request: the lower value goes first."""
 
     URGENT = 0
     NORMAL = 1
@@ -35,7 +38,7 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Work that operators want done; times are the region's own, in milliseconds.
+    """Maintenance that operators request; times are the region's own, in milliseconds.
 
     The converters are named one by one, or are all that the service has in `zone`.
     """
@@ -45,8 +48,8 @@
     service: Name
     converters: Names = ()
     zone: str = ""
-    max_unavailable: Positive = msgspec.field(name="at_once")  # converters out at the same time, at most
-    duration_ms: Positive  # of one converter, from the drain until it is up again; warming up comes on top
+    max_unavailable: Positive = msgspec.field(name="at_once")  # converters out at the same time
+    duration_ms: Positive  # of one converter, from the drain until it is up again, without its warm-up
     earliest_ms: NonNegative
     deadline_ms: NonNegative
     priority: Priority = Priority.NORMAL
@@ -60,8 +63,14 @@
     warmth: Warmth
 
 
+ConverterObservations = Annotated[tuple[ConverterObservation, ...], msgspec.Meta(max_length=MAX_NAMES)]
+
+
 class Transfer(msgspec.Struct, frozen=True, order=True, forbid_unknown_fields=True):
-    """An amount of allowance on its way. Giver, receiver and number are its identity; numbers go 1, 2, 3, ..."""
+    """An amount of allowance that one region gives another.
+
+    Giver, receiver and number identify it; numbers go 1, 2, 3, ... for each receiver.
+    """
 
     giver: Name
     receiver: Name
@@ -71,26 +80,26 @@
 
 
 class CapacityNeed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a region tells its peers of a service, in thousandths."""
+    """How much of a service's capacity a region lacks, in thousandths, as it reports to the other regions."""
 
     deficit: NonNegative = 0  # by which its leases and losses exceed its allowance
-    shortage: NonNegative = 0  # by which what its requests want at once exceeds its allowance
+    shortage: NonNegative = 0  # by which all that its requests want together exceeds its allowance
 
 
 class SubmitRequest(msgspec.Struct, tag="submit-request", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """A new request. The same one again is accepted again."""
+    """Open a request. The same one again is accepted again."""
 
     request: Request
 
 
 class CancelRequest(msgspec.Struct, tag="cancel-request", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """No further leases for a request; drains that have not begun are called off, others are finished."""
+    """Grant a request no further leases; drains that have not started are revoked, others are finished."""
 
     request: Name
 
 
 class GrantLease(msgspec.Struct, tag="grant-lease", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Ask for the right to have converters of a request out. `lease` is chosen by who asks, and used once."""
+    """Grant the right to take converters of a request down. The caller chooses `lease`, and uses it once."""
 
     lease: Name
     request: Name
@@ -107,21 +116,21 @@
 
 
 class StartDrain(msgspec.Struct, tag="begin-drain", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """The holder is about to drain; it does nothing before this is committed."""
+    """Start the drain of a lease's converters; the agent does nothing before this is committed."""
 
     lease: Name
     token: Positive
 
 
 class ReleaseLease(msgspec.Struct, tag="release-lease", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """The holder is done; the capacity stays charged until each converter has been seen ready and warm."""
+    """Report that the maintenance is done; converters stay charged until each is observed ready and warm."""
 
     lease: Name
     token: Positive
 
 
 class RevokeLease(msgspec.Struct, tag="call-off", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Take back a lease whose drain has not begun; its token is void at once."""
+    """Revoke a lease whose drain has not started; its token is invalid at once."""
 
     lease: Name
 
@@ -129,21 +138,22 @@
 class RecordObservation(
     msgspec.Struct, tag="record-observation", tag_field="type", frozen=True, forbid_unknown_fields=True
 ):
-    """What an observer saw. `sequence` grows with each of its looks; `as_of` is the highest log index that it had
-    heard of before it looked, so that what was seen before a lease was released can't end that lease."""
+    """Record an observation of converters.
+
+    `sequence` grows with each observation of an observer. `as_of` is the highest log index that the observer had
+    applied before it began, so that what was observed before a lease was released cannot close that lease.
+    """
 
     observer: Name
     sequence: Positive
     as_of: NonNegative
-    observations: Annotated[tuple[ConverterObservation, ...], msgspec.Meta(max_length=MAX_NAMES)] = msgspec.field(
-        name="sightings"
-    )
+    observations: ConverterObservations = msgspec.field(name="sightings")
 
 
 class RecordCapacityNeeds(
     msgspec.Struct, tag="record-standing", tag_field="type", frozen=True, forbid_unknown_fields=True
 ):
-    """What a peer region told of itself; of two the one with the higher number counts."""
+    """Record what another region reported of itself; of two reports the one with the higher number counts."""
 
     region: Name
     number: Positive  # the peer's log index
@@ -165,13 +175,13 @@
 class AcknowledgeTransfer(
     msgspec.Struct, tag="acknowledge-transfer", tag_field="type", frozen=True, forbid_unknown_fields=True
 ):
-    """At the giver: the receiver has committed the credit; it need not be sent again."""
+    """At the giver: stop sending a transfer whose credit the receiver has committed."""
 
     transfer: Transfer
 
 
 class AdvanceTime(msgspec.Struct, tag="advance-time", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """The leader's own time. Only scheduling looks at it; no lease ends by it."""
+    """Set the region's time by the leader's clock. Only scheduling uses it; no lease ends by it."""
 
     now_ms: NonNegative
 
@@ -197,18 +207,22 @@
 
 
 def encode(command: Command) -> bytes:
-    """The bytes of a command. Raises CommandError where it is too long."""
+    """Return the bytes of a command. Raises CommandError where it is too long."""
     data = _encoder.encode(command)
-    if len(data) > MAX_COMMAND_BYTES:
-        raise CommandError(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are allowed")
+    _check_length(data)
     return data
 
 
 def decode(data: bytes) -> Command:
-    """The command in `data`. Raises CommandError."""
-    if len(data) > MAX_COMMAND_BYTES:
-        raise CommandError(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are allowed")
+    """Return the command in `data`. Raises CommandError."""
+    _check_length(data)
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise CommandError(f"unreadable command: {error}") from None
+
+
+def _check_length(data: bytes) -> None:
+    """Raise CommandError where a command is too long."""
+    if len(data) > MAX_COMMAND_BYTES:
+        raise CommandError(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are allowed")
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -1,12 +1,13 @@
 """Escrow: what may be out globally, divided into one allowance a region, and how allowances move.
 
-The giver debits before anything is sent, so a transfer on its way is in nobody's allowance: the allowances of all
-regions never add up to more than the whole, in whatever order, how often or how late messages come.
+The giver debits before anything is sent, so a transfer in transit is in no region's allowance: the allowances of all
+regions never add up to more than the total, in whatever order, how often or how late messages arrive.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from typing import NamedTuple
 
 import msgspec
 
@@ -16,48 +17,52 @@
 
 
 class ReceivedNumbers(msgspec.Struct):
-    """The numbers of transfers that were credited from one giver, kept short."""
+    """The numbers of the transfers that were credited from one giver: 1 to `up_to`, and those in `above`."""
 
-    up_to: int = 0  # all from 1 to this
-    above: list[int] = []  # and these
+    up_to: int = 0
+    above: list[int] = []
 
     def has(self, number: int) -> bool:
-        """Whether the transfer with this number was credited."""
+        """Return whether the transfer with this number was credited."""
         return number <= self.up_to or number in self.above
 
     def add(self, number: int) -> None:
-        """Note a number as credited."""
+        """Record a number as credited."""
         self.above = sorted({*self.above, number})
         while self.above and self.above[0] <= self.up_to + 1:
             self.up_to = max(self.up_to, self.above.pop(0))
 
 
 class Escrow(msgspec.Struct):
-    """One region's side of the escrow."""
+    """One region's side of the escrow.
 
-    allowances: dict[str, int]  # by service, thousandths
-    last_sent: dict[str, int] = {}  # by receiver, the highest number
-    pending: list[Transfer] = []  # debited and not acknowledged, to be sent again
-    received: dict[str, ReceivedNumbers] = {}  # by giver
+    `allowances` are by service, in thousandths; `last_sent` is the highest number by receiver; `pending` holds the
+    transfers that were debited and not acknowledged, to be sent again; `received` is by giver.
+    """
+
+    allowances: dict[str, int]
+    last_sent: dict[str, int] = {}
+    pending: list[Transfer] = []
+    received: dict[str, ReceivedNumbers] = {}
 
     def next_number(self, receiver: str) -> int:
-        """The number that the next transfer to `receiver` must have."""
+        """Return the number that the next transfer to `receiver` must have."""
         return self.last_sent.get(receiver, 0) + 1
 
     def giver_state(self, transfer: Transfer) -> TransferState:
-        """How far a transfer of this region has come."""
+        """Return the state of a transfer that this region gives."""
         if transfer.number >= self.next_number(transfer.receiver):
             return TransferState.UNKNOWN
         return TransferState.DEBITED if self._pending_match(transfer) else TransferState.ACKNOWLEDGED
 
     def receiver_state(self, transfer: Transfer) -> TransferState:
-        """Whether a transfer to this region was credited."""
+        """Return the state of a transfer that this region receives."""
         numbers = self.received.get(transfer.giver)
         credited = numbers is not None and numbers.has(transfer.number)
         return TransferState.CREDITED if credited else TransferState.UNKNOWN
 
     def debit(self, transfer: Transfer, spare: int) -> str | None:
-        """Take the amount away, once; gives the reason where that is refused."""
+        """Take the amount away, once, where `spare` covers it; return the reason where that is rejected."""
         before = self.giver_state(transfer)
         if before is TransferState.DEBITED and self._pending_match(transfer) != transfer:
             return f"transfer {format_transfer(transfer)} was debited with another content"
@@ -67,8 +72,9 @@
         if transfer.number != number:
             return f"transfer {format_transfer(transfer)}: the next number to {transfer.receiver!r} is {number}"
         if transfer.amount > spare:
-            over = format_units(transfer.amount - max(0, spare))
-            return f"transfer {format_transfer(transfer)} takes {over} more of {transfer.service!r} than can be spared"
+            excess = format_units(transfer.amount - max(0, spare))
+            name = format_transfer(transfer)
+            return f"transfer {name} takes {excess} more of {transfer.service!r} than can be spared"
         assert GIVER.after(before, TransferEvent.DEBIT) is TransferState.DEBITED
         self.allowances[transfer.service] -= transfer.amount
         self.last_sent[transfer.receiver] = transfer.number
@@ -82,7 +88,7 @@
         self.allowances[transfer.service] += transfer.amount
 
     def acknowledge(self, transfer: Transfer) -> str | None:
-        """Stop sending the transfer; gives the reason where that is refused."""
+        """Stop sending the transfer; return the reason where that is rejected."""
         before = self.giver_state(transfer)
         if GIVER.after(before, TransferEvent.ACKNOWLEDGE) is None:
             return f"transfer {format_transfer(transfer)} was never debited"
@@ -92,38 +98,47 @@
         return None
 
     def _pending_match(self, transfer: Transfer) -> Transfer | None:
-        """The pending transfer of the same identity."""
+        """Return the pending transfer of the same identity."""
         same = (one for one in self.pending if (one.receiver, one.number) == (transfer.receiver, transfer.number))
         return next(same, None)
 
 
+class _PeerNeed(NamedTuple):
+    """What one peer needs of one service. Deficits go before shortages, the greater before the smaller."""
+
+    negative_deficit: int
+    negative_need: int
+    peer: str
+    service: str
+
+
 def format_transfer(transfer: Transfer) -> str:
-    """The identity of a transfer as people read it."""
+    """Return the identity of a transfer for messages."""
     return f"{transfer.giver}->{transfer.receiver}#{transfer.number}"
 
 
 def rebalance(
     region: str, escrow: Escrow, spare: Mapping[str, int], peers: Mapping[str, Mapping[str, CapacityNeed]]
 ) -> list[Transfer]:
-    """Transfers that this region should debit: what it can spare, to peers that told of a need.
+    """Return the transfers that this region should debit for the needs of its peers.
 
-    `spare` by service is what its own leases, losses, requests and least part leave; `peers` by region and service.
-    Deficits go before shortages, the greater before the smaller. A peer that has one on its way gets no second.
+    `spare` by service is what its own leases, losses, requests and minimum allowance leave; `peers` is by region and
+    service. A peer with a transfer of a service in transit gets no second one.
     """
     transfers = []
-    left = dict(spare)
+    remaining = dict(spare)
     numbers = {peer: escrow.next_number(peer) for peer in peers}
-    busy = {(one.receiver, one.service) for one in escrow.pending}
+    in_transit = {(transfer.receiver, transfer.service) for transfer in escrow.pending}
     needs = [
-        (need.deficit, max(need.deficit, need.shortage), peer, service)
-        for peer, needs in peers.items()
-        for service, need in needs.items()
-        if (peer, service) not in busy
+        _PeerNeed(-need.deficit, -max(need.deficit, need.shortage), peer, service)
+        for peer, by_service in peers.items()
+        for service, need in by_service.items()
+        if (peer, service) not in in_transit
     ]
-    for _, need, peer, service in sorted(needs, key=lambda one: (-one[0], -one[1], one[2:])):
-        amount = min(need, left.get(service, 0))
+    for _, negative_need, peer, service in sorted(needs):
+        amount = min(-negative_need, remaining.get(service, 0))
         if amount > 0:
             transfers.append(Transfer(region, peer, numbers[peer], service, amount))
             numbers[peer] += 1
-            left[service] -= amount
+            remaining[service] -= amount
     return transfers
--- a/ryepier/maintenance/fleet.py
+++ b/ryepier/maintenance/fleet.py
@@ -1,29 +1,45 @@
-"""What an agent does to converters, over a socket of the operators' tooling: every step carries a fencing token.
+"""The steps that an agent does to converters, over a socket of the operators' tooling: each has a fencing token.
 
-The far end keeps the highest token that it has seen of each converter and refuses a lower one, so that an agent that
-was stopped and goes on with an old lease does nothing.
+The far end keeps the highest token that it has seen of each converter and rejects a lower one, so that an agent that
+was stopped and goes on with an old lease changes nothing.
 """
 
 from __future__ import annotations
 
 import asyncio
-from typing import Literal, Protocol
+import enum
+from typing import Protocol
 
 import msgspec
 
+from ryepier.errors import RyepierError
+from ryepier.maintenance.address import Address
+
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 64 * 1024
 STEP_TIMEOUT_S = 10.0
 
-Action = Literal["drain", "remove", "list", "stop", "start", "in-flight"]
 
+class Action(enum.StrEnum):
+    """A step on one converter, as it is sent."""
+
+    DRAIN = "drain"
+    REMOVE = "remove"
+    LIST = "list"
+    STOP = "stop"
+    START = "start"
+    IN_FLIGHT = "in-flight"
+
+
+DISCOVERY_ACTIONS = (Action.DRAIN, Action.REMOVE, Action.LIST)  # the others go to the converters' processes
 
-class FleetError(Exception):
-    """A step that was not done; a line that says why."""
+
+class FleetError(RyepierError):
+    """A step that was not done, with the reason in one line."""
 
 
 class FleetCall(msgspec.Struct, frozen=True):
-    """One step for one converter; `uid` names its new life where that is listed."""
+    """One step on one converter; `uid` names its new incarnation where that is listed."""
 
     action: Action
     converter: str
@@ -32,10 +48,12 @@
 
 
 class FleetReply(msgspec.Struct, frozen=True):
-    """Whether it was done. `in_flight` counts the requests that the converter has not answered; `uid` is the life
-    that was started."""
+    """The outcome of a step; it was done where `rejection` is empty.
+
+    `in_flight` counts the requests that the converter has not answered; `uid` is the incarnation that was started.
+    """
 
-    refusal: str = ""
+    rejection: str = msgspec.field(name="refusal", default="")
     in_flight: int = 0
     uid: str = ""
 
@@ -43,19 +61,19 @@
 class Fleet(Protocol):
     """The tooling that an agent uses."""
 
-    async def do(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
-        """Do one step. Raises FleetError where it was refused or its outcome is unknown."""
+    async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
+        """Do one step. Raises FleetError where it was rejected or its outcome is unknown."""
 
 
 class FencingTokens:
     """The highest token that was seen of each converter."""
 
     def __init__(self) -> None:
-        """Nothing has been seen."""
+        """Begin without any token."""
         self.highest: dict[str, int] = {}
 
-    def refusal(self, call: FleetCall) -> str:
-        """Why a call is refused; empty where it may be done."""
+    def rejection(self, call: FleetCall) -> str:
+        """Return why a call is rejected; empty where it may be done."""
         highest = self.highest.get(call.converter, 0)
         if call.token < highest:
             return f"token {call.token} for {call.converter} is old; {highest} was seen"
@@ -66,31 +84,24 @@
 class SocketFleet:
     """The tooling at the far end of sockets: one for discovery's list, one for the converters' processes."""
 
-    def __init__(self, discovery: tuple[str, int], converters: tuple[str, int]) -> None:
+    def __init__(self, discovery: Address, converters: Address) -> None:
         """Know where both listen."""
-        self.addresses: dict[Action, tuple[str, int]] = {
-            "drain": discovery,
-            "remove": discovery,
-            "list": discovery,
-            "stop": converters,
-            "start": converters,
-            "in-flight": converters,
-        }
-
-    async def do(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
+        self.addresses = {action: discovery if action in DISCOVERY_ACTIONS else converters for action in Action}
+
+    async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
         """Do one step over a connection of its own. Raises FleetError."""
         try:
             async with asyncio.timeout(STEP_TIMEOUT_S):
                 reply = await self._request(self.addresses[action], FleetCall(action, converter, token, uid))
         except (OSError, EOFError, TimeoutError, msgspec.MsgspecError, ValueError) as error:
             raise FleetError(f"{action} {converter}: {type(error).__name__}: {error}") from None
-        if reply.refusal:
-            raise FleetError(f"{action} {converter}: {reply.refusal}")
+        if reply.rejection:
+            raise FleetError(f"{action} {converter}: {reply.rejection}")
         return reply
 
     @staticmethod
-    async def _request(address: tuple[str, int], call: FleetCall) -> FleetReply:
-        """One call and its reply."""
+    async def _request(address: Address, call: FleetCall) -> FleetReply:
+        """Send one call and return its reply."""
         reader, writer = await asyncio.open_connection(*address)
         try:
             write_message(writer, call)
@@ -100,14 +111,14 @@
 
 
 def write_message(writer: asyncio.StreamWriter, message: FleetCall | FleetReply) -> None:
-    """One message with its length."""
+    """Write one message with its length."""
     body = msgspec.msgpack.encode(message)
     writer.write(len(body).to_bytes(LENGTH_BYTES, "big") + body)
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """One message without its length. Raises ValueError where it is too long, and OSError, EOFError."""
-    size = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
-    if size > MAX_FRAME_BYTES:
-        raise ValueError(f"a message of {size} bytes; {MAX_FRAME_BYTES} are allowed")
-    return await reader.readexactly(size)
+    """Read one message without its length. Raises ValueError where it is too long, and OSError, EOFError."""
+    length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
+    if length > MAX_FRAME_BYTES:
+        raise ValueError(f"a message of {length} bytes; {MAX_FRAME_BYTES} are allowed")
+    return await reader.readexactly(length)
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -1,4 +1,4 @@
-"""What a leader does by itself: lets the region's time go on, looks at converters, trades with the other regions."""
+"""The leader's background tasks: advance the region's time, observe converters, exchange with other regions."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.commands import AdvanceTime, Command
+from ryepier.maintenance.discovery_listing import ListingError, fetch_listing
 from ryepier.maintenance.node import DeposedError, Node
-from ryepier.maintenance.observer import ListingError, WarmthTracker, fetch_listing
+from ryepier.maintenance.observer import ListedConverter, WarmthTracker
+from ryepier.maintenance.planner import Planner
 from ryepier.maintenance.region_clock import RegionClock, monotonic_ms
 from ryepier.maintenance.region_link import RegionLink
 from ryepier.maintenance.replication.errors import NotLeaderError
 from ryepier.maintenance.settings import CoordinatorSettings
-from ryepier.maintenance.status import Planner
 
 log = logging.getLogger(__name__)
 
@@ -25,19 +26,20 @@
 
 
 class LeaderTasks:
-    """Runs on every replica; only the leader's commands count."""
+    """Tasks that run on every replica, each until it is cancelled; only the leader commits commands."""
 
-    def __init__(self, settings: CoordinatorSettings, node: Node, planning: Planner, clock: RegionClock) -> None:
+    def __init__(self, settings: CoordinatorSettings, node: Node, planner: Planner, clock: RegionClock) -> None:
         """Work with these parts."""
         self.settings = settings
         self.node = node
         self.ledger = node.ledger
-        self.planning = planning
+        self.planner = planner
         self.clock = clock
         self.tracker = WarmthTracker(_warm_up_times(settings.agreement, settings.region))
+        self.listing_available = True
 
-    async def advance(self) -> None:
-        """Let the region's time go on, by this leader's own clock from where the last one left it."""
+    async def advance_time(self) -> None:
+        """Advance the region's time by this leader's clock, from where the last leader left it."""
         while True:
             await asyncio.sleep(ADVANCE_INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
@@ -48,31 +50,34 @@
                 await self._try_propose(AdvanceTime(now_ms))
 
     async def observe(self) -> None:
-        """Look at the converters; the leader records what has changed."""
+        """Observe the converters; the leader records what has changed."""
         if self.settings.discovery is None:
             return
-        reachable = True
         while True:
             await asyncio.sleep(OBSERVE_INTERVAL_S)
             as_of, region_ms = self.ledger.applied, self.ledger.now_ms
             try:
                 listing = await fetch_listing(self.settings.discovery, LISTING_TIMEOUT_S)
             except ListingError as error:
-                if reachable:
+                if self.listing_available:
                     log.warning("no listing: %s", error)
-                reachable = False
+                self.listing_available = False
                 continue
-            reachable = True
-            probes = self.tracker.observe(monotonic_ms(), region_ms, listing)
-            for converter in self.planning.probes_to_restart(probes):
-                self.tracker.restart_warm_up(converter, monotonic_ms(), region_ms)
-            if self.node.replica.has_committed_in_term:
-                observation = self.planning.observation(self.settings.replica, as_of, probes)
-                if observation is not None:
-                    await self._try_propose(observation)
+            self.listing_available = True
+            await self._record(listing, as_of, region_ms)
+
+    async def _record(self, listing: list[ListedConverter], as_of: int, region_ms: int) -> None:
+        """Record what a listing shows, begun when `as_of` was applied and the region's time was `region_ms`."""
+        probes = self.tracker.observe(monotonic_ms(), region_ms, listing)
+        for converter in self.planner.converters_to_restart(probes):
+            self.tracker.restart_warm_up(converter, monotonic_ms(), region_ms)
+        if self.node.replica.has_committed_in_term:
+            command = self.planner.observation(self.settings.replica, as_of, probes)
+            if command is not None:
+                await self._try_propose(command)
 
     async def exchange_with(self, link: RegionLink) -> None:
-        """Tell another region where this one stands, and move allowances."""
+        """Report this region's needs to another one, and move allowances."""
         while True:
             await asyncio.sleep(link.INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
@@ -84,15 +89,15 @@
                 await self._try_propose(command)
 
     async def _try_propose(self, command: Command) -> None:
-        """Propose; a replica that does not lead any more leaves it to the one that does."""
+        """Propose a command; a replica that does not lead any more leaves it to the one that does."""
         with contextlib.suppress(NotLeaderError, DeposedError):
             await self.node.propose(command)
 
 
 def _warm_up_times(agreement: Agreement, region: str) -> dict[str, int]:
-    """Each converter of the region, with its time to warm up in milliseconds."""
+    """Return the warm-up time of each converter of a region, in milliseconds."""
     return {
-        one.name: agreement.services[one.service].warm_up_ms
-        for one in agreement.converters.values()
-        if one.region == region
+        converter.name: agreement.services[converter.service].warm_up_ms
+        for converter in agreement.converters.values()
+        if converter.region == region
     }
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -1,37 +1,27 @@
-"""How coordinators see converters: as discovery lists them, and warm only by the coordinator's own clock.
+"""How coordinators observe converters: as discovery lists them, and warm only by the coordinator's own clock.
 
-A converter's process life has a uid: the converter's name, and for every later life a dot and more. What a listing
-says of time is not used: two machines' clocks are never compared.
+Each incarnation of a converter (one run of its process) has a uid: the converter's name, followed by a dot and more for
+every later one. Times in a listing are not used: two machines' clocks are never compared.
 """
 
 from __future__ import annotations
 
-import asyncio
-import json
 from collections.abc import Mapping
 from dataclasses import dataclass
 
 from ryepier.maintenance.commands import FULL_WARMTH, ConverterObservation
 
-MAX_HEAD_BYTES = 8192
-MAX_LISTING_BYTES = 8 * 1024 * 1024
-LISTED_READY = "active"
-
-
-class ListingError(Exception):
-    """Discovery did not answer with a listing."""
-
 
 @dataclass(frozen=True, slots=True)
 class ListedConverter:
-    """A process life of a converter in discovery's list."""
+    """An incarnation of a converter in discovery's list."""
 
     uid: str
     ready: bool
 
     @property
     def converter(self) -> str:
-        """The converter whose life it is."""
+        """The converter that it is an incarnation of."""
         return self.uid.partition(".")[0]
 
 
@@ -45,7 +35,7 @@
 
 @dataclass(slots=True)
 class _Incarnation:
-    """The life of a converter that is listed as ready: when it was first seen, by the own clock and the region's."""
+    """An incarnation that is listed as ready: when it was first observed, by this process's clock and the region's."""
 
     uid: str
     began_ms: int
@@ -53,41 +43,50 @@
 
 
 class WarmthTracker:
-    """Turns listings into sightings. Pure: times are given, on one clock of the caller's."""
+    """Turns listings into probes. Pure: the caller gives the times, of one clock, in milliseconds."""
 
     def __init__(self, warm_up_ms: Mapping[str, int]) -> None:
-        """Know each converter's time to warm up, in milliseconds."""
+        """Track these converters, each with its warm-up time in milliseconds."""
         self.warm_up_ms = warm_up_ms
         self.incarnations: dict[str, _Incarnation] = {}
         self.observed_down: set[str] = set()
 
     def observe(self, now_ms: int, region_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
-        """What the listing shows of each known converter; `region_ms` is the region's own time, from its log.
+        """Return what the listing shows of each converter; `region_ms` is the region's own time, from its log.
 
-        One that was up already when this observer first looked may be warm or cold: it is left out until it has been
-        listed for the whole of its time to warm up.
+        A converter that was up already at the first observation may be warm or not: it is left out until it has been
+        listed for all of its warm-up time.
         """
         ready = {one.converter: one.uid for one in listing if one.ready}
         probes = []
-        for converter, warm_up_ms in self.warm_up_ms.items():
+        for converter in self.warm_up_ms:
             uid = ready.get(converter)
             if uid is None:
-                self.incarnations.pop(converter, None)
-                self.observed_down.add(converter)
-                probes.append(WarmthProbe(ConverterObservation(converter, False, 0), region_ms))
+                probes.append(self._probe_down(converter, region_ms))
                 continue
-            incarnation = self.incarnations.get(converter)
-            if incarnation is None or incarnation.uid != uid:
-                if incarnation is not None:
-                    self.observed_down.add(converter)
-                incarnation = self.incarnations[converter] = _Incarnation(uid, now_ms, region_ms)
-            warmth = _warmth(now_ms - incarnation.began_ms, warm_up_ms)
-            if warmth == FULL_WARMTH or converter in self.observed_down:
-                probes.append(WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.began_region_ms))
+            probe = self._probe_up(converter, uid, now_ms, region_ms)
+            if probe.observation.warmth == FULL_WARMTH or converter in self.observed_down:
+                probes.append(probe)
         return tuple(probes)
 
+    def _probe_down(self, converter: str, region_ms: int) -> WarmthProbe:
+        """Record that a converter is not listed as ready."""
+        self.incarnations.pop(converter, None)
+        self.observed_down.add(converter)
+        return WarmthProbe(ConverterObservation(converter, False, 0), region_ms)
+
+    def _probe_up(self, converter: str, uid: str, now_ms: int, region_ms: int) -> WarmthProbe:
+        """Record the incarnation that is listed as ready."""
+        incarnation = self.incarnations.get(converter)
+        if incarnation is None or incarnation.uid != uid:
+            if incarnation is not None:
+                self.observed_down.add(converter)
+            incarnation = self.incarnations[converter] = _Incarnation(uid, now_ms, region_ms)
+        warmth = _warmth(now_ms - incarnation.began_ms, self.warm_up_ms[converter])
+        return WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.began_region_ms)
+
     def restart_warm_up(self, converter: str, now_ms: int, region_ms: int) -> None:
-        """Count the present life of a converter anew from now on, as cold."""
+        """Count the warm-up of a converter's present incarnation from now on."""
         incarnation = self.incarnations.get(converter)
         if incarnation is not None:
             self.observed_down.add(converter)
@@ -95,36 +94,7 @@
 
 
 def _warmth(age_ms: int, warm_up_ms: int) -> int:
-    """Warmth in thousandths, rising evenly and rounded down."""
+    """Return the warmth in thousandths, rising evenly and rounded down."""
     if age_ms >= warm_up_ms:
         return FULL_WARMTH
     return age_ms * FULL_WARMTH // warm_up_ms
-
-
-async def fetch_listing(address: tuple[str, int], timeout_s: float) -> list[ListedConverter]:
-    """Discovery's whole list. Raises ListingError."""
-    try:
-        async with asyncio.timeout(timeout_s):
-            body = await _get(address, "/discovery/hosts")
-        targets = json.loads(body)["targets"]
-        return [ListedConverter(str(one["uid"]), one["state"] == LISTED_READY) for one in targets]
-    except (OSError, EOFError, TimeoutError, asyncio.LimitOverrunError, ValueError, KeyError, TypeError) as error:
-        raise ListingError(f"{address[0]}:{address[1]}: {type(error).__name__}: {error}") from None
-
-
-async def _get(address: tuple[str, int], path: str) -> bytes:
-    """The body of one HTTP answer. Raises OSError, EOFError, ValueError."""
-    reader, writer = await asyncio.open_connection(*address, limit=MAX_HEAD_BYTES)
-    try:
-        writer.write(f"GET {path} HTTP/1.1\r\nHost: {address[0]}\r\n\r\n".encode())
-        head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-        status = head[0].split(" ")[1:2]
-        if status != ["200"]:
-            raise ValueError(f"answered {head[0]!r}")
-        fields = dict(line.lower().split(":", 1) for line in head[1:] if ":" in line)
-        size = int(fields["content-length"])
-        if size > MAX_LISTING_BYTES:
-            raise ValueError(f"a listing of {size} bytes; {MAX_LISTING_BYTES} are allowed")
-        return await reader.readexactly(size)
-    finally:
-        writer.close()
--- a/ryepier/maintenance/peers.py
+++ b/ryepier/maintenance/peers.py
@@ -13,40 +13,40 @@
 
 log = logging.getLogger(__name__)
 
-REDIAL_S = 0.2
+REDIAL_DELAY_S = 0.2
 
 
 class PeerConnections:
-    """One dialled connection to each peer; what peers send comes over connections that they dial."""
+    """One outgoing connection to each peer; their messages arrive over connections that they open."""
 
     def __init__(self, settings: CoordinatorSettings) -> None:
-        """Nothing is opened yet."""
+        """Know the peers' addresses; nothing is opened yet."""
         self.addresses = settings.addresses
         self.hello = PeerHello(VERSION, settings.region, settings.replica, settings.agreement.digest)
-        self.open: dict[str, Connection] = {}
+        self.connections: dict[str, Connection] = {}
 
     def send(self, peer: str, message: ReplicaMessage) -> None:
-        """Send, or drop it where the peer is away: it will be sent again."""
-        connection = self.open.get(peer)
+        """Send a message, or drop it where the peer is not connected: the replica sends it again."""
+        connection = self.connections.get(peer)
         if connection is not None:
             connection.send(message)
 
-    async def keep(self, name: str) -> None:
-        """Hold a connection to a peer that carries this replica's messages to it."""
+    async def keep_connected(self, peer: str) -> None:
+        """Keep a connection open that carries this replica's messages to a peer; runs until it is cancelled."""
         while True:
             with contextlib.suppress(OSError, EOFError, TransportError):
-                connection = await Connection.dial(self.addresses[name], self.hello)
-                self.open[name] = connection
+                connection = await Connection.dial(self.addresses[peer], self.hello)
+                self.connections[peer] = connection
                 try:
-                    await self._read_refusal(name, connection)
+                    await self._read_rejection(peer, connection)
                 finally:
-                    self.open.pop(name, None)
+                    self.connections.pop(peer, None)
                     connection.close()
-            await asyncio.sleep(REDIAL_S)
+            await asyncio.sleep(REDIAL_DELAY_S)
 
     @staticmethod
-    async def _read_refusal(name: str, connection: Connection) -> None:
-        """Until the peer ends the connection; it sends nothing but a refusal on it."""
+    async def _read_rejection(peer: str, connection: Connection) -> None:
+        """Wait until the peer closes the connection; it sends nothing but a rejection on it."""
         frame = await connection.receive()
-        reason = frame.reason if isinstance(frame, Rejection) else f"a {type(frame).__name__} out of turn"
-        log.warning("peer %s refuses: %s", name, reason)
+        reason = frame.reason if isinstance(frame, Rejection) else f"unexpected {type(frame).__name__}"
+        log.warning("peer %s rejects this replica: %s", peer, reason)
--- /dev/null
+++ b/ryepier/maintenance/planner.py
@@ -0,0 +1,84 @@
+"""What the leader derives from its ledger: the schedule, the next due window, and which observations to record."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from ryepier.maintenance.commands import FULL_WARMTH, RecordObservation
+from ryepier.maintenance.ledger import Ledger
+from ryepier.maintenance.observer import WarmthProbe
+from ryepier.maintenance.placement import FREEZE_MS
+from ryepier.maintenance.problem import Window, build_problem
+from ryepier.maintenance.schedule import Schedule
+from ryepier.maintenance.scheduler import make_schedule
+from ryepier.maintenance.state import Lease
+from ryepier.maintenance.tables import LeaseState
+
+AWAITING_RECOVERY = (LeaseState.RETURNING, LeaseState.REVOKED)
+NOT_SCHEDULED = -1
+
+
+class Planner:
+    """The schedule of a ledger, computed again when the ledger has changed."""
+
+    def __init__(self, ledger: Ledger, freeze_ms: int = FREEZE_MS) -> None:
+        """Read from `ledger`, which goes on changing; planned windows that start within `freeze_ms` are not moved."""
+        self.ledger = ledger
+        self.freeze_ms = freeze_ms
+        self.schedule = Schedule()
+        self.scheduled_index = NOT_SCHEDULED
+
+    def current_schedule(self) -> Schedule:
+        """Return the schedule as of the last command."""
+        if self.scheduled_index != self.ledger.applied:
+            self.scheduled_index = self.ledger.applied
+            frozen_until_ms = self.ledger.now_ms + self.freeze_ms
+            frozen = [window for window in self.schedule.windows if window.start_ms < frozen_until_ms]
+            self.schedule = make_schedule(build_problem(self.ledger, frozen))
+        return self.schedule
+
+    def due_window(self) -> Window | None:
+        """Return a window that may start now."""
+        windows = self.current_schedule().windows
+        return next((window for window in windows if window.start_ms <= self.ledger.now_ms), None)
+
+    def observation(self, observer: str, as_of: int, probes: Iterable[WarmthProbe]) -> RecordObservation | None:
+        """Return the command for the probes that differ from the ledger or may close a lease; None without any."""
+        observations = tuple(probe.observation for probe in probes if self._is_reportable(probe))
+        if not observations:
+            return None
+        return RecordObservation(observer, as_of + 1, as_of, observations)
+
+    def converters_to_restart(self, probes: Iterable[WarmthProbe]) -> list[str]:
+        """Return converters whose maintenance is done, but whose incarnation seems to be the one from before it.
+
+        Either the listing is late, or this observer has not known the region's time for long. Both are over once the
+        incarnation has been listed for a whole warm-up from now on.
+        """
+        found = []
+        for probe in probes:
+            lease = self._lease_on(probe.observation.converter)
+            if lease is None or lease.state is not LeaseState.RETURNING or not probe.observation.ready:
+                continue
+            if probe.incarnation_began_ms < lease.granted_ms:
+                found.append(probe.observation.converter)
+        return found
+
+    def _is_reportable(self, probe: WarmthProbe) -> bool:
+        """Return whether a probe has to be recorded."""
+        observation = probe.observation
+        lease = self._lease_on(observation.converter)
+        if lease is not None and observation.ready:
+            if lease.state is not LeaseState.REVOKED and probe.incarnation_began_ms < lease.granted_ms:
+                return False
+            if lease.state in AWAITING_RECOVERY and observation.warmth == FULL_WARMTH:
+                return True
+        observed = self.ledger.state.observed.get(observation.converter)
+        if observed is None:
+            return True
+        return (observed.ready, observed.warmth) != (observation.ready, observation.warmth)
+
+    def _lease_on(self, converter: str) -> Lease | None:
+        """Return the open lease that has a converter out."""
+        leases = self.ledger.state.leases.values()
+        return next((lease for lease in leases if converter in lease.unavailable), None)
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -1,4 +1,4 @@
-"""What a schedule rests on: requests, limits, losses, what leases hold, and the last schedule's windows."""
+"""The input of the scheduler: requests, limits, losses, active leases, and the windows of the previous schedule."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 from ryepier.maintenance.commands import Request
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.limits import Limit
+from ryepier.maintenance.state import Lease
 from ryepier.maintenance.tables import LeaseState
 
-AGING_MS = 600_000  # a request that could have started goes up one priority for each of these
-MIN_REMAINING_LEASE_MS = 1_000  # for which a lease that should be over is taken to go on
+AGING_MS = 600_000  # a request that could have started rises one priority for each of these
+MIN_REMAINING_LEASE_MS = 1_000  # how long an overdue lease is assumed to go on
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,21 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """What is left to place of a request."""
+    """The part of a request that remains to be placed."""
 
     request: Request
     converters: tuple[Converter, ...]
-    length_ms: int  # of one converter, with warming up
+    length_ms: int  # of one converter, with its warm-up
     submitted_ms: int = 0
 
     def work(self) -> int:
-        """Capacity times time that the request takes out, in thousandths of a size times ms."""
+        """Return capacity times time that the request takes out, in thousandths of a size times ms."""
         return sum(converter.size for converter in self.converters) * self.length_ms
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveLease:
-    """What an open lease has out, until about `until_ms`."""
+    """The converters that an open lease has out, until about `until_ms`."""
 
     lease: str
     request: str
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """All that a schedule rests on."""
+    """Everything that a schedule depends on. Times are the region's, in milliseconds."""
 
     now_ms: int
     jobs: tuple[Job, ...]
@@ -59,45 +60,54 @@
     lost: Mapping[str, int] = field(default_factory=dict)  # by converter under no lease, thousandths
     converters: Mapping[str, Converter] = field(default_factory=dict)  # of the region
     active_leases: tuple[ActiveLease, ...] = ()
-    previous: tuple[Window, ...] = ()  # the last schedule's
+    previous: tuple[Window, ...] = ()  # of the last schedule
 
     def desired_start_ms(self, job: Job) -> int:
-        """When a request would begin if nothing were in its way."""
+        """Return when a request would start if nothing delayed it."""
         return max(self.now_ms, job.request.earliest_ms)
 
     def priority(self, job: Job) -> int:
-        """A request's priority, raised by the time that it has waited."""
+        """Return a request's priority, raised by the time that it has waited."""
         waited_ms = self.now_ms - max(job.submitted_ms, job.request.earliest_ms)
         return max(0, job.request.priority - max(0, waited_ms) // AGING_MS)
 
 
 def build_problem(ledger: Ledger, previous: Sequence[Window] = ()) -> Problem:
-    """The problem that a ledger poses now."""
-    out = ledger.view.leased_converters()
-    everything = ledger.agreement.converters
-    here = {name: one for name, one in everything.items() if one.region == ledger.region}
-    requests = {record.request.name: record.request for record in ledger.state.requests.values()}
-    held = []
-    for lease in ledger.open_leases():
-        request = requests[lease.request]
-        until = lease.granted_ms + _length(ledger, request) if lease.state is not LeaseState.REVOKED else 0
-        until = max(until, ledger.now_ms + MIN_REMAINING_LEASE_MS)
-        held.append(ActiveLease(lease.name, request.name, tuple(everything[name] for name in lease.unavailable), until))
-    jobs = []
-    for record in ledger.open_requests():
-        left = tuple(everything[name] for name in record.remaining() if name not in out)
-        if left:
-            jobs.append(Job(record.request, left, _length(ledger, record.request), record.submitted_ms))
+    """Return the problem that a ledger poses now."""
+    leased = ledger.view.leased_converters()
+    here = {name: one for name, one in ledger.agreement.converters.items() if one.region == ledger.region}
     return Problem(
         now_ms=ledger.now_ms,
-        jobs=tuple(jobs),
+        jobs=_jobs(ledger, leased),
         limits=tuple(limit for service in ledger.agreement.services for limit in ledger.limits(service)),
-        lost={name: ledger.view.lost(one) for name, one in here.items() if name not in out},
+        lost={name: ledger.view.lost(one) for name, one in here.items() if name not in leased},
         converters=here,
-        active_leases=tuple(held),
+        active_leases=tuple(_active_lease(ledger, lease) for lease in ledger.open_leases()),
         previous=tuple(previous),
     )
 
 
-def _length(ledger: Ledger, request: Request) -> int:
+def _jobs(ledger: Ledger, leased: set[str]) -> tuple[Job, ...]:
+    """Return what remains to be placed of the open requests."""
+    jobs = []
+    for record in ledger.open_requests():
+        names = [name for name in record.remaining() if name not in leased]
+        if names:
+            converters = tuple(ledger.agreement.converters[name] for name in names)
+            jobs.append(Job(record.request, converters, _length_ms(ledger, record.request), record.submitted_ms))
+    return tuple(jobs)
+
+
+def _active_lease(ledger: Ledger, lease: Lease) -> ActiveLease:
+    """Return what a lease has out, with its expected end. A revoked one has taken nothing down."""
+    request = ledger.state.requests[lease.request].request
+    until_ms = ledger.now_ms + MIN_REMAINING_LEASE_MS
+    if lease.state is not LeaseState.REVOKED:
+        until_ms = max(until_ms, lease.granted_ms + _length_ms(ledger, request))
+    converters = tuple(ledger.agreement.converters[name] for name in lease.unavailable)
+    return ActiveLease(lease.name, request.name, converters, until_ms)
+
+
+def _length_ms(ledger: Ledger, request: Request) -> int:
+    """Return how long one converter of a request is out, with its warm-up."""
     return request.duration_ms + ledger.agreement.services[request.service].warm_up_ms
--- a/ryepier/maintenance/profile.py
+++ b/ryepier/maintenance/profile.py
@@ -1,4 +1,4 @@
-"""How much of one limit is taken at each time: a step function with the search for a gap in it."""
+"""How much of one limit is used at each time: a step function with a search for gaps."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
     """A level over time, from 0 on, that intervals raise. Times in milliseconds."""
 
     def __init__(self, level: int) -> None:
-        """`level` at all times."""
+        """Begin at `level` for all times."""
         self._times = [0]
         self._levels = [level]
 
     def add(self, start_ms: int, end_ms: int, amount: int) -> None:
-        """Raise the level by `amount` from `start_ms` until before `end_ms`; a negative amount takes it back."""
+        """Raise the level by `amount` from `start_ms` until before `end_ms`; a negative amount lowers it."""
         first = self._split(start_ms)
         last = self._split(end_ms)
         for i in range(first, last):
             self._levels[i] += amount
 
-    def earliest(self, from_ms: int, duration_ms: int, highest: int) -> int | None:
-        """The first time from `from_ms` on at which the level stays at most `highest` for a duration; None: never."""
+    def earliest(self, from_ms: int, duration_ms: int, max_level: int) -> int | None:
+        """Return the first time from `from_ms` on from which the level stays within `max_level` for a duration.
+
+        None: there is no such time.
+        """
         start = from_ms
         i = bisect_right(self._times, start) - 1
         while i < len(self._times) and self._times[i] < start + duration_ms:
-            if self._levels[i] > highest:
+            if self._levels[i] > max_level:
                 if i + 1 == len(self._times):
                     return None
                 start = self._times[i + 1]
@@ -33,7 +36,7 @@
         return start
 
     def _split(self, at_ms: int) -> int:
-        """The position of the step that begins at a time, made where there is none."""
+        """Return the position of the step that begins at a time; insert it where there is none."""
         i = bisect_right(self._times, at_ms) - 1
         if self._times[i] == at_ms:
             return i
--- a/ryepier/maintenance/replication/messages.py
+++ b/ryepier/maintenance/replication/messages.py
@@ -1,4 +1,4 @@
-"""What the replicas of one region say to one another, and the state that each of them keeps on disk."""
+"""The messages between the replicas of one region, and the state that each of them stores."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log. An empty command is the no-op that each leader begins its term with."""
+    """One entry of the log. An empty command is the no-op entry with which each leader begins its term."""
 
     term: Term
     command: bytes
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a replica must have on disk before it answers anything that depends on it.
+    """What a replica must have on disk before it sends anything that depends on it.
 
-    `recovered_at_term` is above 0 while the replica has lost its disk and may not vote yet: a term above every one that
-    it may have voted or answered in before.
+    `recovered_at_term` is above 0 while the replica has lost its disk and may not vote yet: a term above every one in
+    which it may have voted or answered before.
     """
 
     term: Term = 0
@@ -31,7 +31,7 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, tag="request-vote"):
-    """A candidate asks for a vote; it tells how far its log goes."""
+    """Request a vote; the last entry shows how up to date the candidate's log is."""
 
     term: Term
     last_log_index: Index
@@ -46,7 +46,7 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, tag="append-entries"):
-    """Entries from the leader, behind the one that it names; without entries it is a heartbeat."""
+    """Append entries behind the one that is named; without entries it is a heartbeat."""
 
     term: Term
     previous_index: Index
@@ -58,8 +58,8 @@
 class AppendResponse(msgspec.Struct, frozen=True, tag="append-response"):
     """The answer to `AppendEntries`.
 
-    `match_index` is the last index up to which the log is the leader's, where `success`; else an index beyond which
-    the leader need not look for agreement.
+    `match_index` is the last index up to which the log agrees with the leader's, where `success`; else an index beyond
+    which the leader need not search for agreement.
     """
 
     term: Term
@@ -68,13 +68,13 @@
 
 
 class RecoveryRequest(msgspec.Struct, frozen=True, tag="recovery-request"):
-    """A replica that came back with an empty disk asks for the term; `nonce` belongs to this life of it alone."""
+    """Request the term of another member, after the loss of a disk; `nonce` identifies the sender's incarnation."""
 
     nonce: int
 
 
 class RecoveryResponse(msgspec.Struct, frozen=True, tag="recovery-response"):
-    """The answer to `RecoveryRequest`: the term that this member has on disk."""
+    """The answer to `RecoveryRequest`: the term that this member has stored."""
 
     nonce: int
     term: Term
@@ -84,7 +84,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message and the member that it goes to."""
+    """A message and the member that receives it."""
 
     receiver: str
     message: Message
--- a/ryepier/maintenance/replication/roles.py
+++ b/ryepier/maintenance/replication/roles.py
@@ -15,7 +15,7 @@
 
 
 class Role(Enum):
-    """What a replica may do."""
+    """The role of a replica. The values are logged."""
 
     RECOVERING = "recovering"
     LEARNER = "learner"
@@ -25,14 +25,14 @@
 
 
 class Event(Enum):
-    """What can change a replica's role."""
+    """An event that can change a replica's role."""
 
-    ALL_MEMBERS_ANSWERED = "every other member has told its term"
+    ALL_MEMBERS_ANSWERED = "every other member has answered with its term"
     CAUGHT_UP = "the log holds an entry of a leader that was elected without this replica"
-    ELECTION_TIMEOUT = "no leader was heard for an election timeout"
+    ELECTION_TIMEOUT = "no leader has sent entries for an election timeout"
     MAJORITY_VOTED = "a majority has voted for this replica"
     LEADER_HEARD = "a leader of the same term has sent entries"
-    HIGHER_TERM = "a message of a higher term has come"
+    HIGHER_TERM = "a message of a higher term has arrived"
     QUORUM_SILENT = "no majority has answered this leader for an election timeout"
 
 
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -4,10 +4,10 @@
     12 bytes  how far the file has been acknowledged: offset (8), CRC-32 of it (4)
     records   length (4), CRC-32 of the length (4), CRC-32 of the content (4), content
 
-All numbers are big-endian. The first record says whose file it is. A record is on disk (fsync) before `save` returns,
-and only then is the acknowledged offset moved behind it. So when the file is opened again, what lies behind that offset
-and is incomplete is a write that was never acknowledged and is cut off; all else that does not match was altered, and
-the file is refused. The offset itself reaches the disk with the next record at the latest: after a loss of power it may
+All numbers are big-endian. The first record identifies the replica. A record is on disk (fsync) before `save` returns,
+and only then is the acknowledged offset moved behind it. So when the file is opened again, an incomplete record behind
+that offset is a write that was never acknowledged, and is truncated; all else that does not match was altered, and the
+file is rejected. The offset itself reaches the disk with the next record at the latest: after a loss of power it may
 lag, but never runs ahead.
 """
 
@@ -22,6 +22,7 @@
 
 import msgspec
 
+from ryepier.errors import RyepierError
 from ryepier.maintenance.replication.messages import Entry, HardState
 from ryepier.maintenance.replication.model import DurableState, Ready
 
@@ -29,16 +30,18 @@
 FILE_TYPE = b"RYELOG01"
 ACKNOWLEDGED = struct.Struct(">QI")
 RECORD_HEAD = struct.Struct(">III")
+OFFSET_BYTES = 8
+LENGTH_BYTES = 4
 RECORDS_OFFSET = len(FILE_TYPE) + ACKNOWLEDGED.size
 MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 
-class StorageError(Exception):
-    """A replica's file cannot be used; the message names it and says why."""
+class StorageError(RyepierError):
+    """A replica's file cannot be used; the message names it and the reason."""
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Whose file it is. The members are fixed, so a file of other members is another region's."""
+    """The replica that a file belongs to. Members are fixed, so a file of other members is another region's."""
 
     region: str
     replica: str
@@ -46,7 +49,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One atomic change: a new hard state, and the log from `first_index` on (0: as it was)."""
+    """One atomic change: a new hard state, and the log from `first_index` on (0: unchanged)."""
 
     hard_state: HardState | None
     first_index: int
@@ -54,22 +57,22 @@
 
 
 class Storage(Protocol):
-    """Where a replica keeps what a `Ready` says must be durable."""
+    """Stores what a `Ready` requires to be durable."""
 
     def save(self, ready: Ready) -> None:
-        """Return only once it is on disk."""
+        """Store what is to be durable, and return once it is on disk. Raises OSError, StorageError."""
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Close the file."""
 
 
 def exists(folder: Path) -> bool:
-    """Whether a replica has kept its state here before."""
+    """Return whether a replica has stored its state here before."""
     return (folder / FILE_NAME).exists()
 
 
 def create(folder: Path, identity: Identity) -> None:
-    """Write the file of a replica that knows nothing yet. Raises StorageError where one exists."""
+    """Write the file of a replica without any entry. Raises StorageError where one exists."""
     path = folder / FILE_NAME
     if path.exists():
         raise StorageError(f"{path}: exists already")
@@ -104,7 +107,7 @@
         self.offset = reader.offset
 
     def _open_locked(self) -> int:
-        """Open for this process alone."""
+        """Open the file for this process alone."""
         try:
             descriptor = os.open(self.path, os.O_RDWR | os.O_CLOEXEC)
         except OSError as error:
@@ -117,11 +120,11 @@
         return descriptor
 
     def _read_all(self) -> bytes:
-        """The whole file."""
+        """Return the whole file."""
         return self.path.read_bytes()
 
     def save(self, ready: Ready) -> None:
-        """Write what a `Ready` wants durable; it is on disk when this returns."""
+        """Write what a `Ready` requires to be durable; it is on disk when this returns."""
         if not ready.must_store:
             return
         content = msgspec.msgpack.encode(Record(ready.hard_state, ready.first_index, ready.entries))
@@ -132,22 +135,22 @@
         self._write_at(_encode_acknowledged(self.offset), len(FILE_TYPE))
 
     def _write_at(self, data: bytes, offset: int) -> None:
-        """Write all of it."""
+        """Write all of `data`."""
         while data:
             written = os.pwrite(self.descriptor, data, offset)
             data = data[written:]
             offset += written
 
     def close(self) -> None:
-        """Let go of the file and its lock."""
+        """Close the file and release its lock."""
         os.close(self.descriptor)
 
 
 class _Reader:
-    """Goes through a file once."""
+    """Reads a file once, from its start."""
 
     def __init__(self, path: Path, data: bytes, identity: Identity) -> None:
-        """Read for this replica."""
+        """Read the file of the replica `identity`."""
         self.path = path
         self.data = data
         self.size = len(data)
@@ -156,7 +159,7 @@
         self.acknowledged = 0
 
     def read(self) -> DurableState:
-        """The state after the last whole record; `offset` then stands behind it."""
+        """Return the state after the last complete record; `offset` is then behind it. Raises StorageError."""
         self._read_acknowledged()
         self._check_identity()
         hard_state = HardState()
@@ -179,11 +182,11 @@
         if self.size < RECORDS_OFFSET:
             raise StorageError(f"{self.path}: ends within its head")
         self.acknowledged, checksum = ACKNOWLEDGED.unpack_from(self.data, len(FILE_TYPE))
-        if checksum != zlib.crc32(self.data[len(FILE_TYPE) : len(FILE_TYPE) + 8]):
+        if checksum != zlib.crc32(self.data[len(FILE_TYPE) : len(FILE_TYPE) + OFFSET_BYTES]):
             raise StorageError(f"{self.path}: the acknowledged offset does not match its checksum")
 
     def _check_identity(self) -> None:
-        """Refuse another replica's file."""
+        """Raise StorageError for another replica's file."""
         content = self._next_content()
         if content is None:
             raise StorageError(f"{self.path}: ends before it says whose it is")
@@ -195,14 +198,17 @@
             raise StorageError(f"{self.path}: belongs to {_describe(found)}, not to {_describe(self.identity)}")
 
     def _next_content(self) -> bytes | None:
-        """The next record's content; None at the end, or at a torn write that was never acknowledged."""
+        """Return the next record's content; None at the end, or at a torn write that was never acknowledged."""
         head_end = self.offset + RECORD_HEAD.size
         if head_end > self.size:
             return None
         length, length_checksum, checksum = RECORD_HEAD.unpack_from(self.data, self.offset)
         if self._is_unwritten():
             return None
-        if length_checksum != zlib.crc32(self.data[self.offset : self.offset + 4]) or length > MAX_RECORD_BYTES:
+        if (
+            length_checksum != zlib.crc32(self.data[self.offset : self.offset + LENGTH_BYTES])
+            or length > MAX_RECORD_BYTES
+        ):
             raise self._unreadable("length")
         content = self.data[head_end : head_end + length]
         if len(content) < length:
@@ -213,15 +219,15 @@
         return content
 
     def _is_unwritten(self) -> bool:
-        """Whether only zeros follow, as where the file had grown before its content reached the disk."""
+        """Return whether only zeros follow, as where the file had grown before its content reached the disk."""
         return self.offset >= self.acknowledged and not any(self.data[self.offset :])
 
     def _unreadable(self, part: str) -> StorageError:
-        """A record that does not match its checksum is no unfinished write: that would have ended early."""
+        """Return the error for a record that does not match its checksum: an unfinished write would be shorter."""
         return StorageError(f"{self.path}: the {part} of the record at byte {self.offset} does not match its checksum")
 
     def _decode(self, content: bytes) -> Record:
-        """A record whose checksum holds."""
+        """Return a record whose checksum matches."""
         try:
             return msgspec.msgpack.decode(content, type=Record)
         except msgspec.DecodeError as error:
@@ -229,20 +235,20 @@
 
 
 def _encode_record(content: bytes) -> bytes:
-    """A record with its lengths and checksums."""
+    """Return a record with its lengths and checksums. Raises StorageError where it is too long."""
     if len(content) > MAX_RECORD_BYTES:
         raise StorageError(f"a record of {len(content)} bytes is over the limit of {MAX_RECORD_BYTES}")
-    length = len(content).to_bytes(4, "big")
+    length = len(content).to_bytes(LENGTH_BYTES, "big")
     return RECORD_HEAD.pack(len(content), zlib.crc32(length), zlib.crc32(content)) + content
 
 
 def _encode_acknowledged(offset: int) -> bytes:
-    """The acknowledged offset with its checksum."""
-    return ACKNOWLEDGED.pack(offset, zlib.crc32(offset.to_bytes(8, "big")))
+    """Return the acknowledged offset with its checksum."""
+    return ACKNOWLEDGED.pack(offset, zlib.crc32(offset.to_bytes(OFFSET_BYTES, "big")))
 
 
 def _describe(identity: Identity) -> str:
-    """An identity for a message."""
+    """Describe an identity for messages."""
     return f"replica {identity.replica} of region {identity.region} ({', '.join(identity.members)})"
 
 
--- a/ryepier/maintenance/results.py
+++ b/ryepier/maintenance/results.py
@@ -1,4 +1,7 @@
-"""What applying a command gave. A refused command has changed nothing."""
+"""The results of applying commands. A rejected command has changed nothing.
+
+Tags and keys on the wire are fixed: a field with another name here maps to its key by `name=`, a class by its tag.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class Cancelled(msgspec.Struct, tag="cancelled", tag_field="type", frozen=True):
-    """The request gets no further leases; `revoked` names those that were taken back."""
+    """The request gets no further leases; `revoked` names those that were revoked."""
 
     request: str
     revoked: tuple[str, ...] = msgspec.field(name="called_off", default=())
@@ -30,26 +33,26 @@
 
 
 class DrainStarted(msgspec.Struct, tag="begun", tag_field="type", frozen=True):
-    """The holder may drain."""
+    """The agent may drain."""
 
     lease: str
 
 
 class Released(msgspec.Struct, tag="released", tag_field="type", frozen=True):
-    """The holder is done; `unavailable` names converters that have not been seen ready and warm since."""
+    """The maintenance is done; `unavailable` names converters that have not been observed ready and warm since."""
 
     lease: str
     unavailable: tuple[str, ...] = msgspec.field(name="waiting")
 
 
 class LeaseRevoked(msgspec.Struct, tag="called-off", tag_field="type", frozen=True):
-    """The lease was taken back before its drain began."""
+    """The lease was revoked before its drain started."""
 
     lease: str
 
 
 class Observed(msgspec.Struct, tag="observed", tag_field="type", frozen=True):
-    """The observation counts; it closed the leases `closed`, and a loss called off those in `revoked`."""
+    """The observation was recorded. It closed the leases `closed`; those in `revoked` were revoked for a loss."""
 
     closed: tuple[str, ...] = ()
     revoked: tuple[str, ...] = msgspec.field(name="called_off", default=())
@@ -62,7 +65,7 @@
 
 
 class Credited(msgspec.Struct, tag="credited", tag_field="type", frozen=True):
-    """The receiver has counted the transfer, now or before; the giver may be told."""
+    """The receiver has counted the transfer, now or before; the giver may acknowledge it."""
 
     transfer: Transfer
 
@@ -87,7 +90,7 @@
 
 
 class Rejected(msgspec.Struct, tag="refused", tag_field="type", frozen=True):
-    """Nothing was changed; one line that names what is in the way."""
+    """Nothing was changed; `reason` is one line that names the obstacle."""
 
     reason: str
 
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Ledgers with one mistake each, put in on purpose: a test or experiment must fail with it, or it proves nothing."""
+"""Ledgers with one seeded fault each, which the tests and experiments have to detect."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class IgnoreWarmUpView(CapacityView):
-    """A converter that is ready counts as whole, however cold."""
+    """A converter that is ready counts at its full size before its warm-up has ended."""
 
-    def is_recovered(self, seen: ObservedState) -> bool:
-        """Ready is enough."""
-        return seen.ready
+    def is_recovered(self, observed: ObservedState) -> bool:
+        """Ignore the warmth."""
+        return observed.ready
 
     def lost(self, converter: Converter) -> int:
-        """Nothing is missing of a cold one."""
-        seen = self.state.observed.get(converter.name)
-        return 0 if seen is not None and seen.ready else converter.size
+        """Count nothing as missing of a converter that warms up."""
+        observed = self.state.observed.get(converter.name)
+        return 0 if observed is not None and observed.ready else converter.size
 
 
 class IgnoreWarmUpLedger(Ledger):
-    """Back is warm."""
+    """A lease is closed before its converter is warm."""
 
     view_type = IgnoreWarmUpView
 
@@ -66,40 +66,40 @@
 
 
 class BorrowView(CapacityView):
-    """The other regions' allowances are taken for the region's own."""
+    """The other regions' allowances count as the region's own."""
 
     def allowance_bound(self, service: str) -> int:
-        """All that may be out globally."""
+        """Return all that may be out globally."""
         return self.agreement.max_unavailable(service)
 
 
 class BorrowLedger(Ledger):
-    """A region that is cut off goes on with the whole."""
+    """A region that is partitioned uses the allowances of all regions."""
 
     view_type = BorrowView
 
 
 class ForgetGrantLedger(Ledger):
-    """Leases are not in the snapshot."""
+    """Leases are lost with a restart."""
 
     @classmethod
     def restore(cls, agreement: Agreement, region: str, snapshot: bytes) -> Ledger:
-        """All but the leases."""
+        """Restore everything but the leases."""
         ledger = super().restore(agreement, region, snapshot)
         ledger.state.leases.clear()
         return ledger
 
 
 class IgnoreLossView(CapacityView):
-    """What nobody planned is not charged."""
+    """Losses are not charged."""
 
     def lost(self, converter: Converter) -> int:
-        """Nothing is ever lost."""
+        """Return 0."""
         return 0
 
 
 class IgnoreLossLedger(Ledger):
-    """Losses do not count."""
+    """Leases are granted in spite of losses."""
 
     view_type = IgnoreLossView
 
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -1,4 +1,4 @@
-"""Who connects to a coordinator: peers with their messages, and callers, who are answered only after a commit."""
+"""Serves a coordinator's connections: peers with their messages, and callers, who are answered only after a commit."""
 
 from __future__ import annotations
 
@@ -7,53 +7,30 @@
 import logging
 from collections.abc import Callable
 
-from ryepier.maintenance import commands
-from ryepier.maintenance.api import (
-    VERSION,
-    Call,
-    ClientHello,
-    ClientKind,
-    CommandCall,
-    CommandReply,
-    Frame,
-    LeaseCall,
-    NotLeaderReply,
-    NoWindowReply,
-    PeerHello,
-    Rejection,
-    Reply,
-    StatusCall,
-    UncertainReply,
-)
-from ryepier.maintenance.commands import (
-    CancelRequest,
-    Command,
-    CommandError,
-    CreditTransfer,
-    GrantLease,
-    RecordCapacityNeeds,
-    ReleaseLease,
-    StartDrain,
-    SubmitRequest,
-    TakeOverLease,
-)
+from ryepier.maintenance import api, commands
+from ryepier.maintenance.api import Call, ClientHello, ClientKind, Frame, PeerHello, Rejection, Reply
+from ryepier.maintenance.commands import Command, CommandError, GrantLease
 from ryepier.maintenance.node import DeposedError, FatalError, Node
+from ryepier.maintenance.planner import Planner
 from ryepier.maintenance.region_clock import RegionClock
 from ryepier.maintenance.replication.errors import NotLeaderError, ProtocolError
 from ryepier.maintenance.replication.messages import Message as ReplicaMessage
+from ryepier.maintenance.results import Granted, Rejected
 from ryepier.maintenance.settings import CoordinatorSettings
-from ryepier.maintenance.status import Planner, status_of
+from ryepier.maintenance.status import status_of
 from ryepier.maintenance.transport import Connection, TransportError
 
 log = logging.getLogger(__name__)
 
 HELLO_TIMEOUT_S = 3.0
-MAX_CALLS_PER_CONNECTION = 64  # that wait for their commit
+MAX_CALLS_PER_CONNECTION = 64  # that await their commit
+MAX_REASON_LENGTH = 1000  # characters
+LEASE_GRANTED = "lease granted"  # in the log
 
 ALLOWED_COMMANDS: dict[ClientKind, tuple[type[Command], ...]] = {
-    "operator": (SubmitRequest, CancelRequest),
-    "agent": (TakeOverLease, StartDrain, ReleaseLease),
-    "region": (RecordCapacityNeeds, CreditTransfer),
+    ClientKind.OPERATOR: (commands.SubmitRequest, commands.CancelRequest),
+    ClientKind.AGENT: (commands.TakeOverLease, commands.StartDrain, commands.ReleaseLease),
+    ClientKind.REGION: (commands.RecordCapacityNeeds, commands.CreditTransfer),
 }
 
 
@@ -64,36 +41,36 @@
         self,
         settings: CoordinatorSettings,
         node: Node,
-        planning: Planner,
+        planner: Planner,
         clock: RegionClock,
         fail: Callable[[BaseException], None],
     ) -> None:
-        """Answer from these parts; `fail` is told of what must end the process."""
+        """Answer from these parts; `fail` is called with errors that must end the process."""
         self.settings = settings
         self.node = node
-        self.planning = planning
+        self.planner = planner
         self.clock = clock
         self.fail = fail
-        self.granting = asyncio.Lock()
+        self.grant_lock = asyncio.Lock()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, to its end."""
+        """Serve one connection to its end."""
         connection = Connection(reader, writer)
         try:
             await self._serve_connection(connection)
         except (TransportError, ProtocolError) as error:
-            log.info("a connection is refused: %s", error)
+            log.info("connection rejected: %s", error)
             with contextlib.suppress(OSError):
-                connection.send(Rejection(str(error)[:1000]))
+                connection.send(_rejection(error))
         except FatalError as error:
             self.fail(error)
         except (OSError, EOFError, asyncio.CancelledError):
-            pass  # the other side has gone, or this process ends
+            pass  # the other side has disconnected, or this process ends
         finally:
             connection.close()
 
     async def _serve_connection(self, connection: Connection) -> None:
-        """Greeting first. Raises TransportError, ProtocolError on what is refused."""
+        """Take the greeting, then serve its kind of caller. Raises TransportError, ProtocolError for a rejection."""
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
                 hello = await connection.receive()
@@ -103,27 +80,23 @@
             self._check_peer(hello)
             await self._serve_peer(hello.replica, connection)
         elif isinstance(hello, ClientHello):
-            self._check_client(hello)
+            self._check_version_and_region(hello.version, hello.region)
             await self._serve_client(hello, connection)
         else:
             raise TransportError(f"a {type(hello).__name__} before any greeting")
 
     def _check_peer(self, hello: PeerHello) -> None:
-        """Refuse whoever is no member of this region's log under the same agreement."""
+        """Raise TransportError unless a peer is a member of this region's log under the same agreement."""
         self._check_version_and_region(hello.version, hello.region)
         if hello.replica not in self.node.replica.settings.peers:
             raise TransportError(f"{hello.replica!r} is not another replica of region {self.settings.region!r}")
         if hello.agreement != self.settings.agreement.digest:
             raise TransportError(f"replica {hello.replica!r} holds another agreement")
 
-    def _check_client(self, hello: ClientHello) -> None:
-        """Refuse who means another region."""
-        self._check_version_and_region(hello.version, hello.region)
-
     def _check_version_and_region(self, version: int, region: str) -> None:
-        """What every greeting has to agree on."""
-        if version != VERSION:
-            raise TransportError(f"version {version}; this side speaks {VERSION}")
+        """Raise TransportError for a greeting of another version, or to another region."""
+        if version != api.VERSION:
+            raise TransportError(f"version {version}; this side speaks {api.VERSION}")
         if region != self.settings.region:
             raise TransportError(f"region {region!r} is meant; this is {self.settings.region!r}")
 
@@ -136,7 +109,7 @@
             self.node.receive(name, frame)
 
     async def _serve_client(self, hello: ClientHello, connection: Connection) -> None:
-        """Answer calls; several may wait for their commit at a time."""
+        """Answer calls; several may await their commit at a time."""
         slots = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
         tasks: set[asyncio.Task[None]] = set()
         try:
@@ -149,19 +122,19 @@
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
         finally:
-            for task in tasks:  # what was proposed is committed all the same; nobody is left to be told
+            for task in tasks:  # what was proposed is committed all the same
                 task.cancel()
 
     async def _reply(self, hello: ClientHello, connection: Connection, call: Call, slots: asyncio.Semaphore) -> None:
-        """Answer one call."""
+        """Answer one call, then free its slot."""
         try:
             reply: Frame = await self._answer(hello, call)
         except NotLeaderError as error:
-            reply = NotLeaderReply(call.number, error.leader)
+            reply = api.NotLeaderReply(call.number, error.leader)
         except DeposedError:
-            reply = UncertainReply(call.number)
+            reply = api.UncertainReply(call.number)
         except CommandError as error:
-            reply = Rejection(str(error)[:1000])
+            reply = _rejection(error)
         except FatalError as error:
             self.fail(error)
             return
@@ -173,38 +146,51 @@
             connection.close()
 
     async def _answer(self, hello: ClientHello, call: Call) -> Reply:
-        """The reply of a leader. Raises NotLeaderError, DeposedError, CommandError."""
+        """Return the reply of a leader. Raises NotLeaderError, DeposedError, CommandError."""
         replica = self.node.replica
-        if not replica.has_committed_in_term:  # a leader that has only just been elected may not know all yet
+        if not replica.has_committed_in_term:  # a leader that was just elected may not know of all commits yet
             raise NotLeaderError("" if replica.is_leader else replica.leader)
-        if isinstance(call, StatusCall):
-            return status_of(call.number, self.clock.now_ms(), replica, self.planning)
-        if isinstance(call, LeaseCall):
+        if isinstance(call, api.StatusCall):
+            return status_of(call.number, self.clock.now_ms(), replica, self.planner)
+        if isinstance(call, api.LeaseCall):
             return await self._grant(hello, call)
         command = self._allowed_command(hello.kind, call)
-        return CommandReply(call.number, await self.node.propose(command))
+        return api.CommandReply(call.number, await self.node.propose(command))
 
     @staticmethod
-    def _allowed_command(kind: ClientKind, call: CommandCall) -> Command:
-        """The command, if such a caller may give it. Raises CommandError."""
+    def _allowed_command(kind: ClientKind, call: api.CommandCall) -> Command:
+        """Return the command of a call. Raises CommandError where such a caller may not give it."""
         command = commands.decode(call.command)
         if not isinstance(command, ALLOWED_COMMANDS[kind]):
-            raise CommandError(f"a caller of kind {kind!r} may not give {type(command).__name__}")
+            raise CommandError(f"a caller of kind {kind.value!r} may not give {type(command).__name__}")
         return command
 
-    async def _grant(self, hello: ClientHello, call: LeaseCall) -> Reply:
-        """Give an agent a window that is due. The ledger decides, when the command is applied."""
-        if hello.kind != "agent":
-            raise CommandError(f"a caller of kind {hello.kind!r} takes no leases")
-        async with self.granting:  # the next one has to see what this one took
-            known = self.planning.ledger.state.leases.get(call.lease)
-            if known is not None:
-                command = GrantLease(known.name, known.request, hello.name, known.converters)
-            else:
-                window = self.planning.due_window()
-                if window is None:
-                    return NoWindowReply(call.number)
-                command = GrantLease(call.lease, window.request, hello.name, window.converters)
+    async def _grant(self, hello: ClientHello, call: api.LeaseCall) -> Reply:
+        """Grant an agent a window that is due. The ledger decides, when the command is applied."""
+        if hello.kind is not ClientKind.AGENT:
+            raise CommandError(f"a caller of kind {hello.kind.value!r} takes no leases")
+        async with self.grant_lock:  # the next call has to see what this one took
+            command = self._grant_command(hello.name, call.lease)
+            if command is None:
+                return api.NoWindowReply(call.number)
             result = await self.node.propose(command)
-        log.info("lease", extra={"lease": call.lease, "agent": hello.name, "result": str(result)})
-        return CommandReply(call.number, result)
+        fields = {"lease": call.lease, "agent": hello.name}
+        if isinstance(result, Granted):
+            log.info(LEASE_GRANTED, extra={**fields, "token": result.token, "converters": result.converters})
+        else:
+            reason = result.reason if isinstance(result, Rejected) else str(result)
+            log.info("lease not granted: %s", reason, extra=fields)
+        return api.CommandReply(call.number, result)
+
+    def _grant_command(self, agent: str, lease: str) -> GrantLease | None:
+        """Return the command that grants a due window, or again the open lease of this name; None: none is due."""
+        known = self.planner.ledger.state.leases.get(lease)
+        if known is not None:
+            return GrantLease(known.name, known.request, agent, known.converters)
+        window = self.planner.due_window()
+        return None if window is None else GrantLease(lease, window.request, agent, window.converters)
+
+
+def _rejection(error: Exception) -> Rejection:
+    """Return the frame that tells a caller of an error."""
+    return Rejection(str(error)[:MAX_REASON_LENGTH])
--- a/ryepier/maintenance/settings.py
+++ b/ryepier/maintenance/settings.py
@@ -1,23 +1,27 @@
-"""What a coordinator is told, and the classes that it is made of."""
+"""The settings of a coordinator, and the classes that it is made of."""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
 
-from ryepier.maintenance.address import parse_address
+from ryepier.maintenance.address import Address, parse_address
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.placement import FREEZE_MS
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.replication.core import Replica
 
+Addresses = Mapping[str, Address]  # by replica
+
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorSettings:
-    """What a coordinator is told. `discovery` is asked for the converters; None: nobody is seen.
+    """The settings of one coordinator.
 
-    Planned windows that start within `freeze_ms` are not moved by new requests.
+    `discovery` lists the converters; without it none is observed. Planned windows that start within `freeze_ms` are
+    not moved by new requests.
     """
 
     agreement: Agreement
@@ -26,29 +30,29 @@
     folder: Path
     seed: int
     bootstrap: bool = False
-    discovery: tuple[str, int] | None = None
+    discovery: Address | None = None
     freeze_ms: int = FREEZE_MS
 
     @property
-    def addresses(self) -> dict[str, tuple[str, int]]:
+    def addresses(self) -> Addresses:
         """All replicas of the region."""
         return addresses_of(self.agreement, self.region)
 
     @property
     def identity(self) -> storage.Identity:
-        """Whose disk it is."""
+        """The replica that the files in `folder` belong to."""
         return storage.Identity(self.region, self.replica, tuple(self.addresses))
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorComponents:
-    """The classes that a coordinator is made of; experiments put in ones with a mistake."""
+    """The classes that a coordinator is made of; experiments substitute ones with a seeded fault."""
 
     replica: type[Replica] = Replica
     storage: type[storage.FileStorage] = storage.FileStorage
     ledger: type[Ledger] = Ledger
 
 
-def addresses_of(agreement: Agreement, region: str) -> dict[str, tuple[str, int]]:
-    """The replicas of a region, by name. Raises KeyError, ValueError."""
-    return {one.name: parse_address(one.address) for one in agreement.regions[region].replicas}
+def addresses_of(agreement: Agreement, region: str) -> Addresses:
+    """Return the addresses of a region's replicas. Raises KeyError, ValueError."""
+    return {replica.name: parse_address(replica.address) for replica in agreement.regions[region].replicas}
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -1,4 +1,4 @@
-"""Whether a new request can be taken; what can never fit is told at once, and by how much."""
+"""Whether a new request can be accepted; what can never fit is rejected at once, with the amount that is missing."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 MAX_OPEN_REQUESTS = 5_000
 
+Converters = tuple[str, ...]
 
-def requested_converters(agreement: Agreement, request: Request) -> tuple[str, ...]:
-    """The converters that a request names, by name or by their zone."""
+
+def requested_converters(agreement: Agreement, request: Request) -> Converters:
+    """Return the converters that a request names, by name or by their zone."""
     if request.converters:
         return request.converters
     here = agreement.converters_of(request.service, request.region)
-    return tuple(one.name for one in here if one.zone == request.zone)
+    return tuple(converter.name for converter in here if converter.zone == request.zone)
 
 
-def rejection_reason(
-    agreement: Agreement, state: LedgerState, request: Request, converters: tuple[str, ...]
-) -> str | None:
-    """The first thing that is wrong with a new request for `converters`, in one line; None: it can be taken."""
+def rejection_reason(agreement: Agreement, state: LedgerState, request: Request, converters: Converters) -> str | None:
+    """Return the first reason to reject a new request for `converters`, in one line; None: it can be accepted."""
     if request.region != state.region:
         return f"it is for region {request.region!r}; this is {state.region!r}"
     if request.service not in agreement.services:
@@ -40,9 +40,10 @@
 
 
 def _invalid_converter(
-    agreement: Agreement, state: LedgerState, request: Request, converters: tuple[str, ...]
+    agreement: Agreement, state: LedgerState, request: Request, converters: Converters
 ) -> str | None:
-    holders = {name: record.request.name for record in state.requests.values() for name in record.remaining()}
+    """Describe the first converter that is unknown, named twice, or in another open request."""
+    requests = {name: record.request.name for record in state.requests.values() for name in record.remaining()}
     named: set[str] = set()
     for name in converters:
         converter = agreement.converters.get(name)
@@ -50,15 +51,14 @@
             return f"converter {name!r} is none of service {request.service!r} in region {request.region!r}"
         if name in named:
             return f"converter {name!r} is named twice"
-        if name in holders:
-            return f"converter {name!r} is in request {holders[name]!r}"
+        if name in requests:
+            return f"converter {name!r} is in request {requests[name]!r}"
         named.add(name)
     return None
 
 
-def _insufficient_time(
-    state: LedgerState, service: Service, request: Request, converters: tuple[str, ...]
-) -> str | None:
+def _insufficient_time(state: LedgerState, service: Service, request: Request, converters: Converters) -> str | None:
+    """Describe by how much the time until the deadline is too short, were nothing else out."""
     if request.deadline_ms <= state.now_ms:
         return f"its deadline is gone by {state.now_ms - request.deadline_ms} ms"
     rounds = -(-len(converters) // request.max_unavailable)
@@ -69,16 +69,16 @@
     return f"needs {needed_ms} ms for {rounds} rounds and has {has_ms} ms, {needed_ms - has_ms} ms too little"
 
 
-def _oversized_converter(agreement: Agreement, request: Request, converters: tuple[str, ...]) -> str | None:
-    """A converter that may not go out whatever else is in."""
-    most = min(
+def _oversized_converter(agreement: Agreement, request: Request, converters: Converters) -> str | None:
+    """Describe the first converter that exceeds what may be out even with nothing else out."""
+    max_unavailable = min(
         agreement.max_unavailable(request.service), agreement.max_unavailable_in(request.service, request.region)
     )
     for name in converters:
         size = agreement.converters[name].size
-        if size > most:
+        if size > max_unavailable:
             return (
                 f"converter {name!r} takes {format_units(size)} of {request.service!r} and at most "
-                f"{format_units(most)} may be out, {format_units(size - most)} too much"
+                f"{format_units(max_unavailable)} may be out, {format_units(size - max_unavailable)} too much"
             )
     return None
--- a/ryepier/maintenance/tables.py
+++ b/ryepier/maintenance/tables.py
@@ -1,6 +1,7 @@
 """The state machines of leases and transfers: every state, event and next state in one place.
 
-`print(LEASES)` shows a table; an event that a state does not list is refused there.
+`print(LEASES)` shows a table; an event that a state does not list is rejected in it. Values of the enums are stored
+and sent.
 """
 
 from __future__ import annotations
@@ -16,34 +17,34 @@
 
 @dataclass(frozen=True)
 class StateTable(Generic[State, Event]):
-    """A state machine as (state, event) to next state."""
+    """A state machine as a map from state and event to the next state."""
 
     title: str
     transitions: Mapping[tuple[State, Event], State]
 
     def after(self, state: State, event: Event) -> State | None:
-        """The next state, or None where the event is refused."""
+        """Return the next state, or None where the event is rejected."""
         return self.transitions.get((state, event))
 
     def __str__(self) -> str:
-        """The table as Markdown, one line a transition."""
+        """Return the table as Markdown, one line a transition."""
         lines = [f"{self.title}", "", "| state | event | next state |", "| --- | --- | --- |"]
         lines += [f"| {state} | {event} | {after} |" for (state, event), after in self.transitions.items()]
         return "\n".join(lines)
 
 
 class LeaseState(enum.StrEnum):
-    """Of a lease. In all states but `closed` its converters that have not come back are charged as out."""
+    """The state of a lease. In all but `closed`, its converters that have not recovered are charged as out."""
 
-    GRANTED = "granted"  # the drain has not begun
-    DRAINING = "draining"  # the holder may have converters down
-    RETURNING = "returning"  # the holder is done; converters have yet to be seen ready and warm
-    REVOKED = "called-off"  # taken back before the drain; converters have yet to be seen ready and warm
+    GRANTED = "granted"  # the drain has not started
+    DRAINING = "draining"  # the agent may have converters down
+    RETURNING = "returning"  # the agent is done; converters have yet to be observed ready and warm
+    REVOKED = "called-off"  # before the drain; converters have yet to be observed ready and warm
     CLOSED = "closed"
 
 
 class LeaseEvent(enum.StrEnum):
-    """What happens to a lease."""
+    """An event in the life of a lease."""
 
     START_DRAIN = "begin"
     TAKE_OVER = "take over"
@@ -70,16 +71,16 @@
 
 
 class TransferState(enum.StrEnum):
-    """Of a transfer, as one of its two sides knows it."""
+    """The state of a transfer, as one of its two sides knows it."""
 
     UNKNOWN = "unknown"
-    DEBITED = "debited"  # giver: taken from its allowance; sent until it is acknowledged
+    DEBITED = "debited"  # giver: taken from its allowance; sent until acknowledged
     ACKNOWLEDGED = "acknowledged"  # giver: the receiver has committed the credit
     CREDITED = "credited"  # receiver: added to its allowance
 
 
 class TransferEvent(enum.StrEnum):
-    """What happens to a transfer on one of its sides."""
+    """An event of a transfer on one of its sides."""
 
     DEBIT = "debit"
     SEND = "send"
--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -17,6 +17,7 @@
 from ryepier.maintenance.replication import messages, storage
 from ryepier.maintenance.replication.messages import Entry, HardState
 from ryepier.maintenance.replication.model import Ready
+from ryepier.maintenance.tables import LeaseState
 
 FOLDER = Path(__file__).parent / "fixtures"
 AGREEMENT = agreement_file.parse((FOLDER / "maintenance_agreement.toml").read_bytes())
@@ -134,9 +135,7 @@
 
 def call_frames() -> list[api.Frame]:
     """From operators, agents and other regions, and the answers."""
-    greetings: list[api.Frame] = [
-        api.ClientHello(api.VERSION, "north", "someone", kind) for kind in ("operator", "agent", "region")
-    ]
+    greetings: list[api.Frame] = [api.ClientHello(api.VERSION, "north", "someone", kind) for kind in api.ClientKind]
     calls: list[api.Frame] = [
         api.CommandCall(1, commands.encode(log()[0])),
         api.LeaseCall(2, "l1"),
@@ -168,16 +167,15 @@
             api.RequestStatus("zone", "convert", ("n00", "n01"), 100_000, 4_500, ""),
             api.RequestStatus("open", "convert", ("n02",), 100_000, -1, "waits until 9 ms"),
         ),
-        leases=(api.LeaseStatus("l2", "zone", "agent-1", 3, "draining", ("n00", "n01"), ("n00",)),),
+        leases=(api.LeaseStatus("l2", "zone", "agent-1", 3, LeaseState.DRAINING, ("n00", "n01"), ("n00",)),),
         capacities=(api.CapacityStatus("convert", 4_000, 1_000, 1_000, 2_500),),
     )
 
 
 def fleet_messages() -> list[fleet.FleetCall | fleet.FleetReply]:
     """Between an agent and the tooling that carries its steps out."""
-    actions: tuple[fleet.Action, ...] = ("drain", "remove", "list", "stop", "start", "in-flight")
     calls: list[fleet.FleetCall | fleet.FleetReply] = [
-        fleet.FleetCall(action, "n00", 3, "n00.1" if action == "list" else "") for action in actions
+        fleet.FleetCall(action, "n00", 3, "n00.1" if action is fleet.Action.LIST else "") for action in fleet.Action
     ]
     return [*calls, fleet.FleetReply(), fleet.FleetReply("token 3 is old", 4, "n00.1")]
 
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -8,12 +8,14 @@
 
 import pytest
 
+from ryepier.maintenance.address import Address
 from ryepier.maintenance.agent import Agent, AgentSettings
 from ryepier.maintenance.api import LeaseStatus, StatusReply
 from ryepier.maintenance.client import CallError
 from ryepier.maintenance.commands import Command, ReleaseLease, StartDrain
 from ryepier.maintenance.fleet import Action, FencingTokens, FleetCall, FleetError, FleetReply, SocketFleet
 from ryepier.maintenance.results import DrainStarted, Granted, Rejected, Released, Result
+from ryepier.maintenance.tables import LeaseState
 from tests.network_peers import free_port, until
 
 GRANTED = Granted("l1", "agent-1", 7, ("a",))
@@ -62,7 +64,7 @@
     drained_s: float = 0.0
     stopped_s: float = 0.0
 
-    async def do(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
+    async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
         now_s = asyncio.get_running_loop().time()
         if action == self.refuse:
             raise FleetError("token 7 for a is old; 8 was seen")
@@ -131,10 +133,11 @@
 
 
 def test_an_agent_that_starts_again_goes_on_with_its_own_leases_alone() -> None:
-    def lease(name: str, agent: str, state: str) -> LeaseStatus:
+    def lease(name: str, agent: str, state: LeaseState) -> LeaseStatus:
         return LeaseStatus(name, "r1", agent, 9, state, (name,), (name,))
 
-    left = (lease("b", "agent-1", "draining"), lease("c", "agent-2", "draining"), lease("d", "agent-1", "returning"))
+    draining, returning = LeaseState.DRAINING, LeaseState.RETURNING
+    left = (lease("b", "agent-1", draining), lease("c", "agent-2", draining), lease("d", "agent-1", returning))
     region, fleet = Coordinators(leases=[], open=left), Converters()
     play(region, fleet, released(region))
     assert region.commands == [StartDrain("b", 9), ReleaseLease("b", 9)]
@@ -143,14 +146,14 @@
 
 def test_an_old_token_is_refused_and_the_same_or_a_newer_one_is_not() -> None:
     tokens = FencingTokens()
-    assert tokens.refusal(FleetCall("drain", "a", 5)) == ""
-    assert tokens.refusal(FleetCall("stop", "a", 5)) == ""
-    assert tokens.refusal(FleetCall("drain", "b", 1)) == ""
-    assert tokens.refusal(FleetCall("stop", "a", 6)) == ""
-    assert tokens.refusal(FleetCall("start", "a", 5)) == "token 5 for a is old; 6 was seen"
+    assert tokens.rejection(FleetCall(Action.DRAIN, "a", 5)) == ""
+    assert tokens.rejection(FleetCall(Action.STOP, "a", 5)) == ""
+    assert tokens.rejection(FleetCall(Action.DRAIN, "b", 1)) == ""
+    assert tokens.rejection(FleetCall(Action.STOP, "a", 6)) == ""
+    assert tokens.rejection(FleetCall(Action.START, "a", 5)) == "token 5 for a is old; 6 was seen"
 
 
 def test_a_step_whose_far_end_is_away_says_so() -> None:
-    address = ("127.0.0.1", free_port())
+    address = Address("127.0.0.1", free_port())
     with pytest.raises(FleetError, match="stop a: ConnectionRefusedError"):
-        asyncio.run(SocketFleet(address, address).do("stop", "a", 1))
+        asyncio.run(SocketFleet(address, address).perform(Action.STOP, "a", 1))
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -8,7 +8,8 @@
 import pytest
 
 from ryepier.experiments.maintenance.relay import Relay
-from ryepier.maintenance.api import VERSION, ClientHello, StatusCall
+from ryepier.maintenance.address import Address
+from ryepier.maintenance.api import VERSION, ClientHello, ClientKind, StatusCall
 from ryepier.maintenance.client import CallError
 from ryepier.maintenance.commands import (
     AcknowledgeTransfer,
@@ -104,11 +105,11 @@
             except (OSError, EOFError):
                 writer.close()
 
-        target, listen = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
+        target, listen = Address("127.0.0.1", free_port()), Address("127.0.0.1", free_port())
         server = await asyncio.start_server(serve, *target)
         relay = Relay(listen, target, seed=1)
         await relay.start()
-        hello = ClientHello(VERSION, "south", "north", "region")
+        hello = ClientHello(VERSION, "south", "north", ClientKind.REGION)
         connection = await Connection.dial(listen, hello)
         for number in range(20):
             connection.send(StatusCall(number))
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -10,7 +10,8 @@
 
 from ryepier.maintenance.commands import AdvanceTime
 from ryepier.maintenance.ledger import Ledger
-from ryepier.maintenance.node import DeposedError, FatalError, Node, open_storage
+from ryepier.maintenance.node import DeposedError, FatalError, Node
+from ryepier.maintenance.replica_disk import open_storage
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.replication.core import Replica
 from ryepier.maintenance.replication.errors import NotLeaderError
--- a/tests/test_maintenance_outcome.py
+++ b/tests/test_maintenance_outcome.py
@@ -80,8 +80,8 @@
 def test_grants_are_read_from_the_leaders_logs_on_the_monotonic_clock(tmp_path: Path) -> None:
     now = datetime.now(UTC)
     lines = [
-        {"time": now.isoformat(), "message": "lease", "result": "Granted(lease='l1')"},
-        {"time": now.isoformat(), "message": "lease", "result": "Refused(reason='no')"},
+        {"time": now.isoformat(), "message": "lease granted", "lease": "l1"},
+        {"time": now.isoformat(), "message": "lease not granted: no", "lease": "l2"},
     ]
     (tmp_path / "north-0.log").write_text("\n".join(json.dumps(line) for line in lines))
     (granted_us,) = grants_us(SimpleNamespace(folder=tmp_path), ["north-0"])  # type: ignore[arg-type]
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -16,7 +16,7 @@
 import pytest
 
 from ryepier.maintenance import agreement_file
-from ryepier.maintenance.api import VERSION, ClientHello, Frame, PeerHello, Rejection, StatusReply
+from ryepier.maintenance.api import VERSION, ClientHello, ClientKind, Frame, PeerHello, Rejection, StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import (
     AdvanceTime,
@@ -31,11 +31,11 @@
     Transfer,
 )
 from ryepier.maintenance.observer import ListedConverter, WarmthTracker
+from ryepier.maintenance.planner import Planner
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.replication.messages import AppendEntries, RequestVote
 from ryepier.maintenance.results import Accepted, DrainStarted, Granted, Rejected, Released, Result
 from ryepier.maintenance.settings import addresses_of
-from ryepier.maintenance.status import Planner
 from ryepier.maintenance.transport import MAX_FRAME_BYTES, Connection, TransportError, encode
 from tests.maintenance_world import SERVICE, converters_text, request
 from tests.maintenance_world import north as north_ledger
@@ -124,13 +124,13 @@
                 process.kill()
                 process.wait()
 
-    def client(self, *replicas: str, kind: str = "agent") -> RegionClient:
+    def client(self, *replicas: str, kind: ClientKind = ClientKind.AGENT) -> RegionClient:
         addresses = {name: self.addresses[name] for name in replicas or REPLICAS}
-        client = RegionClient("north", addresses, "agent-1", kind)  # type: ignore[arg-type]
+        client = RegionClient("north", addresses, "agent-1", kind)
         self.clients.append(client)
         return client
 
-    async def command(self, command: Command, kind: str = "agent") -> Result:
+    async def command(self, command: Command, kind: ClientKind = ClientKind.AGENT) -> Result:
         return await self.client(kind=kind).command(command, TIMEOUT_S)
 
     async def status(self) -> StatusReply:
@@ -140,7 +140,7 @@
         return (await self.status()).leader
 
     async def submit(self, wanted: Request) -> Result:
-        return await self.command(SubmitRequest(wanted), kind="operator")
+        return await self.command(SubmitRequest(wanted), kind=ClientKind.OPERATOR)
 
     async def grant(self, lease: str) -> Granted:
         """Ask until a window is due."""
@@ -321,13 +321,15 @@
         peer = next(name for name in REPLICAS if name != leader)
         greeting = PeerHello(VERSION, "north", peer, digest)
         before = await north.status()
-        assert "this is 'north'" in await refusal(ClientHello(VERSION, "south", "x", "agent"))
+        assert "this is 'north'" in await refusal(ClientHello(VERSION, "south", "x", ClientKind.AGENT))
         assert "this is 'north'" in await refusal(PeerHello(VERSION, "south", "south-0", digest))
         assert "not another replica" in await refusal(PeerHello(VERSION, "north", "south-0", digest))
         assert "another agreement" in await refusal(PeerHello(VERSION, "north", peer, "0" * 64))
-        assert "version 2" in await refusal(ClientHello(2, "north", "x", "agent"))
+        assert "version 2" in await refusal(ClientHello(2, "north", "x", ClientKind.AGENT))
         assert "before any greeting" in await refusal(RequestVote(1, 0, 0))
-        assert "out of turn" in await refusal(ClientHello(VERSION, "north", "x", "agent"), RequestVote(1, 0, 0))
+        assert "out of turn" in await refusal(
+            ClientHello(VERSION, "north", "x", ClientKind.AGENT), RequestVote(1, 0, 0)
+        )
         assert "claims to lead term" in await refusal(greeting, AppendEntries(before.term, 0, 0, (), 0))
         assert f"{MAX_FRAME_BYTES} are allowed" in await refusal(raw=(MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
         assert "unreadable frame" in await refusal(raw=b"\0\0\0\1\xc1")
@@ -341,12 +343,12 @@
 @pytest.mark.parametrize(
     ("kind", "command"),
     [
-        ("operator", GrantLease("l1", "r1", "x", ("n00",))),
-        ("agent", DebitTransfer(Transfer("north", "south", 1, "convert", 1000))),
-        ("region", SubmitRequest(a_request("r9", "n02"))),
+        (ClientKind.OPERATOR, GrantLease("l1", "r1", "x", ("n00",))),
+        (ClientKind.AGENT, DebitTransfer(Transfer("north", "south", 1, "convert", 1000))),
+        (ClientKind.REGION, SubmitRequest(a_request("r9", "n02"))),
     ],
 )
-def test_a_caller_gives_only_the_commands_of_its_kind(north: Coordinators, kind: str, command: Command) -> None:
+def test_a_caller_gives_only_the_commands_of_its_kind(north: Coordinators, kind: ClientKind, command: Command) -> None:
     async def test() -> None:
         with pytest.raises(CallError, match="may not give"):
             await north.command(command, kind=kind)
@@ -443,7 +445,7 @@
     region.apply(ReleaseLease("r1/1", granted.token))
     probes = tracker.observe(3_000, 5_000, [ListedConverter("n00", True)])
     assert planning.observation("x", region.ledger.applied, probes) is None
-    assert planning.probes_to_restart(probes) == ["n00"]
+    assert planning.converters_to_restart(probes) == ["n00"]
     tracker.restart_warm_up("n00", 3_000, 5_000)
     early = planning.observation(
         "x", region.ledger.applied, tracker.observe(4_999, 5_000, [ListedConverter("n00", True)])
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -12,9 +12,10 @@
 from ryepier.maintenance.agreement import Converter
 from ryepier.maintenance.commands import AdvanceTime, Priority, StartDrain, SubmitRequest
 from ryepier.maintenance.limits import Limit
-from ryepier.maintenance.placement import FREEZE_MS, Schedule
+from ryepier.maintenance.placement import FREEZE_MS
 from ryepier.maintenance.problem import AGING_MS, ActiveLease, Job, Problem, Window, build_problem
 from ryepier.maintenance.results import Granted
+from ryepier.maintenance.schedule import Schedule
 from ryepier.maintenance.scheduler import make_schedule
 from tests.maintenance_world import north, request
 
