--- a/ryepier/experiments/graphql/graphql_front.py
+++ b/ryepier/experiments/graphql/graphql_front.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from ryepier.emulator import rig
+from ryepier.emulator import harness
 from ryepier.emulator.records import NEVER
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.graphql.query_resets import LEAST_SENT_AGAIN, query_resets
 
@@ -35,30 +35,30 @@
         clients=replace(world.clients, rate_per_s=FULL_RATE),
         faults=[replace(fault, for_s=fault.for_s * stretch) for fault in world.faults],
         sidecars=replace(world.sidecars, count=3),
-        rig=replace(world.rig, client_processes=2, converter_processes=3),
+        harness=replace(world.harness, client_processes=2, converter_processes=3),
     )
 
 
 def _effects(run: Run) -> dict[str, str]:
     """By request id the effect of its class."""
-    return {item.ident: run.world.classes[item.request_class].effect for item in run.history.tries}
+    return {item.request_id: run.world.classes[item.request_class].effect for item in run.history.client_attempts}
 
 
 def duplicated_mutations(run: Run) -> int:
     """Operations that must run at most once and ran more often, as converters counted them by the operation's id."""
     effects = _effects(run)
-    runs = Counter(attempt.ident for attempt in run.history.attempts if attempt.run_us != NEVER)
+    runs = Counter(attempt.request_id for attempt in run.history.converter_attempts if attempt.started_us != NEVER)
     return sum(count > 1 and effects.get(ident) == "at_most_once" for ident, count in runs.items())
 
 
 def _resets_figures(run: Run) -> Mapping[str, float]:
-    effects, attempts = _effects(run), run.history.attempts
-    reset = {attempt.ident for attempt in attempts if attempt.ending == "reset"}
-    served = {item.ident for item in run.history.tries if item.ending == "served"}
+    effects, attempts = _effects(run), run.history.converter_attempts
+    reset = {attempt.request_id for attempt in attempts if attempt.outcome == "reset"}
+    served = {item.request_id for item in run.history.client_attempts if item.outcome == "served"}
     asked_again = [ident for ident in reset if effects.get(ident) == "idempotent"]
     return {
-        "requests": len(run.history.tries),
-        "reset_share": len(reset) / max(1, len(run.history.tries)),
+        "requests": len(run.history.client_attempts),
+        "reset_share": len(reset) / max(1, len(run.history.client_attempts)),
         "duplicated_mutations": duplicated_mutations(run),
         "queries_reset": len(asked_again),
         "queries_reset_and_served": sum(ident in served for ident in asked_again) / max(1, len(asked_again)),
@@ -69,12 +69,12 @@
 def _resets_claims(run: Run) -> list[Claim]:
     got, resets = _resets_figures(run), query_resets(run)
     least = 100_000 if run.world.duration_s >= FULL_LENGTH_S else 5_000
-    queries = [order for order in run.orders if run.world.classes[order.first.request_class].effect == "idempotent"]
+    queries = [order for order in run.operations if run.world.classes[order.first.request_class].effect == "idempotent"]
     return [
         Claim("requests", got["requests"], ">=", least),
         Claim("share of requests that were reset after they were sent", got["reset_share"], ">=", LEAST_RESETS),
         Claim("mutations that ran twice", got["duplicated_mutations"], "==", 0),
-        Claim("service of queries", figures.service(queries), ">=", 0.98),
+        Claim("service of queries", figures.service_level(queries), ">=", 0.98),
         Claim(
             "resets of queries, with retries to spare, that were sent again",
             resets.share_sent_again,
@@ -99,25 +99,32 @@
     )
 
 
-def cpu_us(world: World, seed: int, folder: Path, cast: rig.Cast) -> float:
+def cpu_us(world: World, seed: int, folder: Path, cast: harness.RoleAssignment) -> float:
     """CPU of the sidecar for one request, over the middle of a run."""
-    history = rig.play(world, seed, folder, cast)
+    history = harness.play(world, seed, folder, cast)
     samples = [
-        (at_us, cpu) for at_us, cpu, _ in history.lives[0].samples if COST_FROM_S * 1e6 <= at_us <= COST_TO_S * 1e6
+        (at_us, cpu)
+        for at_us, cpu, _ in history.incarnations[0].samples
+        if COST_FROM_S * 1e6 <= at_us <= COST_TO_S * 1e6
     ]
-    came = sum(samples[0][0] <= item.sent_us < samples[-1][0] for item in history.tries)
-    served = sum(item.ending == "served" for item in history.tries)
-    if len(samples) < 2 or served < 0.98 * len(history.tries):
-        raise rig.RigError("a run that served too little says nothing of what serving costs")
+    came = sum(samples[0][0] <= item.sent_us < samples[-1][0] for item in history.client_attempts)
+    served = sum(item.outcome == "served" for item in history.client_attempts)
+    if len(samples) < 2 or served < 0.98 * len(history.client_attempts):
+        raise harness.HarnessError("a run that served too little says nothing of what serving costs")
     return (samples[-1][1] - samples[0][1]) / max(1, came)
 
 
-def perform_cost(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform_cost(trial: TrialConfig) -> Measurement:
     """Plain, GraphQL's usual documents, and documents that are never the same; all with the same command."""
-    cast = rig.Cast(sidecar_command=seeded_faults.command(plant) if plant else rig.FORWARDER)
+    cast = harness.RoleAssignment(
+        sidecar_command=seeded_faults.command(trial.seeded_fault) if trial.seeded_fault else harness.FORWARDER
+    )
     got = {
         kind: cpu_us(
-            _cost_world(kind), seed, folder / kind, cast if kind == "usual" else rig.Cast(sidecar_command=rig.FORWARDER)
+            _cost_world(kind),
+            trial.seed,
+            trial.folder / kind,
+            cast if kind == "usual" else harness.RoleAssignment(sidecar_command=harness.FORWARDER),
         )
         for kind in ("no", "usual", "unique")
     }
@@ -126,13 +133,16 @@
         Claim("CPU of a request, GraphQL with usual documents over plain HTTP", usual, "<=", 1.3),
         Claim("CPU of a request, GraphQL with new documents over plain HTTP", unique, "<=", 3.0),
     ]
-    return claims, {
-        "plain_us": got["no"],
-        "usual_us": got["usual"],
-        "unique_us": got["unique"],
-        "usual_ratio": usual,
-        "unique_ratio": unique,
-    }
+    return Measurement(
+        claims,
+        {
+            "plain_us": got["no"],
+            "usual_us": got["usual"],
+            "unique_us": got["unique"],
+            "usual_ratio": usual,
+            "unique_ratio": unique,
+        },
+    )
 
 
 EXPERIMENTS = (
@@ -145,8 +155,8 @@
         _resets_figures,
     ),
 )
-MEASURED = (
-    Measured(
+BENCHMARKS = (
+    Benchmark(
         "graphql-cost",
         "CPU of a request: plain, GraphQL with known and with new documents",
         perform_cost,
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 import itertools
-from collections.abc import Mapping
 from dataclasses import replace
-from pathlib import Path
 
 import msgspec
 
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS
@@ -86,20 +84,24 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
-    """Play it once. Raises RigError."""
+def perform(trial: TrialConfig) -> Measurement:
+    """Play it once. Raises HarnessError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
-    planned = [requests_of(one) for one in draw_requests(world, seed) if one.fits]
-    scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, cut_and_heal, plant, relayed=True)
-    rig = MaintenanceRig(world, seed, folder, scenario)
+    planned = [requests_of(one) for one in draw_requests(world, trial.seed) if one.fits]
+    scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, cut_and_heal, trial.seeded_fault, relayed=True)
+    rig = MaintenanceRig(world, trial.seed, trial.folder, scenario)
     outcome = outcomes.play(rig)
-    return claims(outcome), outcomes.common_figures(outcome) | {
-        "frames_doubled": float(sum(relay.doubled for relay in rig.relays)),
-        "allowance_changes_seen": float(moves(outcome)),
-    }
+    return Measurement(
+        claims(outcome),
+        outcomes.common_figures(outcome)
+        | {
+            "frames_doubled": float(sum(relay.doubled for relay in rig.relays)),
+            "allowance_changes_seen": float(moves(outcome)),
+        },
+    )
 
 
-EXPERIMENT = Measured(
+EXPERIMENT = Benchmark(
     "maintenance-cut",
     "regions cut off from each other in the middle of transfers, frames late and doubled",
     perform,
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -29,11 +29,11 @@
 from ryepier.balancer import interface as api
 from ryepier.balancer.balancer import Balancer
 from ryepier.emulator import draws, files
+from ryepier.emulator.harness import SIDECAR, HarnessError, find_network
 from ryepier.emulator.process import CONVERTER_PORT, DISCOVERY_PORT, SIDECAR_PORT, monotonic_us
-from ryepier.emulator.rig import SIDECAR, RigError, find_network
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.planners.planner_scale import until_up
 from ryepier.experiments.scale import lightweight, slopes
@@ -224,7 +224,7 @@
 
     @asynccontextmanager
     async def sidecar(self, known: int, command: Sequence[str]) -> AsyncIterator[Sidecar]:
-        """One that is up. Raises RigError where it does not come up."""
+        """One that is up. Raises HarnessError where it does not come up."""
         listen = f"127.{self.network}.253.{KNOWN.index(known) + 1}", SIDECAR_PORT
         config = self.folder / f"sidecar-{known}.json"
         config.write_text(settings_of(self.seed, known, listen, self.agent(known), self.converters))
@@ -322,7 +322,7 @@
     ends = loop.time() + ENDS_WITHIN_S
     while any(sidecar.process.poll() is None for sidecar in sidecars):
         if loop.time() > ends:
-            raise RigError("a sidecar under a profile does not end")
+            raise HarnessError("a sidecar under a profile does not end")
         await asyncio.sleep(0.05)
     for sidecar in sidecars:
         for function, us in top_functions(play.folder / f"profile-{sidecar.known}", len(sidecar.target.took_us)):
@@ -417,19 +417,21 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """The whole of it, with how busy the machine was."""
     lightweight.check(lightweight.Needs(4, BYTES_NEEDED, 3 * MOST_LINES), lightweight.this_machine())
-    if plant:
-        seeded_faults.SEEDED_FAULTS[plant]()  # into this process too, where the module runs alone
+    if trial.seeded_fault:
+        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # into this process too, where the module runs alone
     found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
-    found |= {f"module_us_a_call_{known}_known": module_us_a_call(known, seed) for known in KNOWN}
-    found |= asyncio.run(measure(seed, scale, folder, plant))
+    found |= {f"module_us_a_call_{known}_known": module_us_a_call(known, trial.seed) for known in KNOWN}
+    found |= asyncio.run(measure(trial.seed, trial.scale, trial.folder, trial.seeded_fault))
     found |= {"load_average_after": os.getloadavg()[0], "pace_after": pace()}
     found |= summary(found)
-    return claims_of(found), finite(found)
+    return Measurement(claims_of(found), finite(found))
 
 
 EXPERIMENTS = (
-    Measured("scale-call", "CPU and added time of a call through a sidecar that knows 30 to 1,600", perform, ("scan",)),
+    Benchmark(
+        "scale-call", "CPU and added time of a call through a sidecar that knows 30 to 1,600", perform, ("scan",)
+    ),
 )
--- a/ryepier/experiments/scale/scale_fail.py
+++ b/ryepier/experiments/scale/scale_fail.py
@@ -12,12 +12,11 @@
 from collections.abc import AsyncIterator, Mapping, Sequence
 from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
-from pathlib import Path
 from typing import Any
 
+from ryepier.emulator.harness import HarnessError, find_network
 from ryepier.emulator.process import monotonic_us
-from ryepier.emulator.rig import RigError, find_network
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight import Child, Needs
@@ -65,10 +64,10 @@
         return list(await asyncio.gather(*(child.ask(what, **more) for child in self.children)))
 
     async def settled(self) -> list[Any]:
-        """Once all have the list as it is. Raises RigError where they do not."""
+        """Once all have the list as it is. Raises HarnessError where they do not."""
         said = await self.ask("until", version=self.desk.listing.registry.rev, within_s=TOLD_WITHIN_S)
         if (have := sum(one["have"] for one in said)) < self.count:
-            raise RigError(f"{have} of {self.count} hollow sidecars have the list")
+            raise HarnessError(f"{have} of {self.count} hollow sidecars have the list")
         return said
 
     async def grow(self, count: int) -> None:
@@ -206,16 +205,16 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Raises lightweight.InsufficientResourcesError."""
-    lightweight.check(needs(scale), lightweight.this_machine())
-    found = {"load_average": os.getloadavg()[0]} | asyncio.run(play(seed, scale, plant))
-    found |= calculated(found, scale)
-    return claims(found), found
+    lightweight.check(needs(trial.scale), lightweight.this_machine())
+    found = {"load_average": os.getloadavg()[0]} | asyncio.run(play(trial.seed, trial.scale, trial.seeded_fault))
+    found |= calculated(found, trial.scale)
+    return Measurement(claims(found), found)
 
 
 EXPERIMENTS = (
-    Measured(
+    Benchmark(
         "scale-fail", "the loss of a rack, a zone, a region: the list's messages, CPU and time", perform, ("deaf",)
     ),
 )
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/scale_list.py
@@ -13,14 +13,13 @@
 from collections.abc import AsyncIterator, Mapping, Sequence
 from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
-from pathlib import Path
 from typing import Any
 
 import numpy as np
 
+from ryepier.emulator.harness import HarnessError, find_network
 from ryepier.emulator.process import monotonic_us
-from ryepier.emulator.rig import RigError, find_network
-from ryepier.experiments.core.contract import Claim, Measured, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.scale import lightweight, list_parts, slopes, usage
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight import Child, Needs
@@ -61,10 +60,10 @@
     child: Child
 
     async def settled(self, version: int) -> Any:
-        """Once all have it. Raises RigError where they do not: then nothing else would mean anything."""
+        """Once all have it. Raises HarnessError where they do not: then nothing else would mean anything."""
         said = await self.child.ask("until", version=version, within_s=TOLD_WITHIN_S)
         if said["have"] < self.count:
-            raise RigError(f"{said['have']} of {self.count} hollow sidecars have the list")
+            raise HarnessError(f"{said['have']} of {self.count} hollow sidecars have the list")
         return said
 
     async def cost(self, version: int, before: Any, bytes_before: int) -> tuple[float, float]:
@@ -110,7 +109,7 @@
     cpu_s, data = await one.cost(one.desk.listing.registry.rev, before, wrote)
     after = await one.child.ask("memory")
     if after["known"] != one.count * one.known:
-        raise RigError(f"{after['known']} converters known, not {one.count * one.known}")
+        raise HarnessError(f"{after['known']} converters known, not {one.count * one.known}")
     return {
         "list_bytes": data,
         "start_cpu_ms": cpu_s * 1000,
@@ -275,7 +274,7 @@
                     )
                 )
                 if sum(one["have"] for one in said) < count:
-                    raise RigError(f"{count} hollow sidecars did not come up")
+                    raise HarnessError(f"{count} hollow sidecars did not come up")
                 rows[count] = await outage(count, desk, children)
     finally:
         desk.close()
@@ -332,22 +331,22 @@
     ]
 
 
-def perform(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform(trial: TrialConfig) -> Measurement:
     """Both parts. Raises lightweight.InsufficientResourcesError."""
-    lightweight.check(needs(scale), lightweight.this_machine())
+    lightweight.check(needs(trial.scale), lightweight.this_machine())
     busy = {"load_average": os.getloadavg()[0]}
-    rows = asyncio.run(by_known(seed, scale, plant))
-    fleets = asyncio.run(by_fleet(seed, scale, plant))
+    rows = asyncio.run(by_known(trial.seed, trial.scale, trial.seeded_fault))
+    fleets = asyncio.run(by_fleet(trial.seed, trial.scale, trial.seeded_fault))
     found = derived(rows, base_bytes() / MB)
     for known, row in rows.items():
-        row |= list_parts.measure(known, seed)
+        row |= list_parts.measure(known, trial.seed)
     figures = {f"{name}_{known}": value for known, row in rows.items() for name, value in row.items()}
     figures |= {f"fleet_{name}_{count}": value for count, row in fleets.items() for name, value in row.items()}
-    return claims(rows, fleets, found), figures | found | busy
+    return Measurement(claims(rows, fleets, found), figures | found | busy)
 
 
 EXPERIMENTS = (
-    Measured(
+    Benchmark(
         "scale-list", "the list in a sidecar and at discovery, up to 1,600 known converters", perform, ("no-revisions",)
     ),
 )
--- a/ryepier/experiments/slices/slicing.py
+++ b/ryepier/experiments/slices/slicing.py
@@ -7,19 +7,17 @@
 import subprocess
 import sys
 import time
-from collections.abc import Mapping
-from pathlib import Path
 
 import numpy as np
 
 from ryepier.emulator import timeline
 from ryepier.emulator.apiserver import SERVICE_LABEL, ApiServer, Object, Store
+from ryepier.emulator.harness import HarnessError
 from ryepier.emulator.process import monotonic_us
-from ryepier.emulator.rig import RigError
-from ryepier.emulator.timeline import Verb
+from ryepier.emulator.timeline import FaultAction
 from ryepier.emulator.world import Fault
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.contract import Claim, Experiment, Measured, Run, Scale
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 
 SIZES = (1_000, 10_000)
@@ -42,14 +40,16 @@
 def _drain_claims(run: Run) -> list[Claim]:
     fault = _fault(run, "release")
     steps = timeline.build(run.world, run.seed).steps
-    fresh = {step.uid for step in steps if step.verb is Verb.START}
+    fresh = {step.uid for step in steps if step.action is FaultAction.START}
     early = {
-        step.uid for step in steps if step.verb is Verb.START and step.at_us < (run.world.duration_s - WARM_BY_S) * 1e6
+        step.uid
+        for step in steps
+        if step.action is FaultAction.START and step.at_us < (run.world.duration_s - WARM_BY_S) * 1e6
     }
-    ended = {notice.uid for notice in run.history.told if notice.state == "leaving"}
-    told = {(notice.sidecar, notice.uid) for notice in run.history.told if notice.state == "leaving"}
-    reached = {attempt.uid for attempt in run.history.attempts} & early
-    during = figures.between(fault.at_s, fault.at_s + fault.for_s)
+    ended = {notice.uid for notice in run.history.notices if notice.state == "leaving"}
+    told = {(notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == "leaving"}
+    reached = {attempt.uid for attempt in run.history.converter_attempts} & early
+    during = figures.due_between(fault.at_s, fault.at_s + fault.for_s)
     return [
         Claim("converters seen terminating", len(ended), ">=", 200),
         Claim("terminations told to a sidecar", len(told), ">=", 0.95 * len(fresh) * run.world.sidecars.count),
@@ -59,7 +59,7 @@
             ">=",
             0.95,
         ),
-        Claim("service during the release", figures.service(run.orders, during), ">=", 0.97),
+        Claim("service during the release", figures.service_level(run.operations, during), ">=", 0.97),
     ]
 
 
@@ -71,7 +71,7 @@
     fault = _fault(run, "discovery-down")
     back_us = (fault.at_s + fault.for_s) * 1e6
     first: dict[int, int] = {}
-    for notice in run.history.told:
+    for notice in run.history.notices:
         if notice.at_us >= back_us and notice.sidecar not in first:
             first[notice.sidecar] = notice.at_us
     if len(first) < run.world.sidecars.count:
@@ -82,16 +82,16 @@
 def _outage_claims(run: Run) -> list[Claim]:
     fault = _fault(run, "discovery-down")
     end_s, again_s = fault.at_s + fault.for_s, back_in_step_s(run)
-    after = figures.between(min(end_s + again_s + 0.5, run.world.duration_s - 1.0), run.world.duration_s)
+    after = figures.due_between(min(end_s + again_s + 0.5, run.world.duration_s - 1.0), run.world.duration_s)
     return [
         Claim(
             "service while the API server is away",
-            figures.service(run.orders, figures.between(fault.at_s, end_s)),
+            figures.service_level(run.operations, figures.due_between(fault.at_s, end_s)),
             ">=",
             0.97,
         ),
         Claim("time until all sidecars have the new list (s)", again_s, "<=", 11.0),
-        Claim("service from then on", figures.service(run.orders, after), ">=", 0.98),
+        Claim("service from then on", figures.service_level(run.operations, after), ">=", 0.98),
         Claim(
             "share of attempts to converters that are gone, from then on",
             _to_the_gone(run, end_s + again_s + 0.5),
@@ -104,10 +104,12 @@
 def _to_the_gone(run: Run, since_s: float) -> float:
     """Of the attempts that reached anything; one to an address where nobody listens is seen by nobody."""
     steps = timeline.build(run.world, run.seed).steps
-    drained = {step.uid: step.at_us for step in steps if step.verb is Verb.DRAIN}
-    came = [attempt for attempt in run.history.attempts if attempt.first_us > since_s * 1e6]
+    drained = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
+    came = [attempt for attempt in run.history.converter_attempts if attempt.first_byte_us > since_s * 1e6]
     late_us = run.world.discovery.late_ms[1] * 1000 + run.world.sidecars.drain_grace_ms * 1000
-    return sum(attempt.first_us > drained.get(attempt.uid, 1 << 60) + late_us for attempt in came) / max(1, len(came))
+    return sum(attempt.first_byte_us > drained.get(attempt.uid, 1 << 60) + late_us for attempt in came) / max(
+        1, len(came)
+    )
 
 
 # slices-churn: what a change costs as the list grows
@@ -186,7 +188,7 @@
         async with asyncio.timeout(UP_WITHIN_S):
             line = await child.stdout.readline()
         if not line:
-            raise RigError("the follower ended at its start")
+            raise HarnessError("the follower ended at its start")
         count = CHANGES[scale]
         begin = time.monotonic()
         for turn in range(count):
@@ -197,7 +199,7 @@
         child.stdin.write(b"stop\n")
         said = json.loads(await child.stdout.readline())
     except TimeoutError:
-        raise RigError("the follower had no list in time") from None
+        raise HarnessError("the follower had no list in time") from None
     finally:
         if child.returncode is None:
             child.kill()
@@ -206,7 +208,7 @@
     heard = {(host, state): at_us for host, state, at_us in said["heard"]}
     late_us = [heard[what] - at_us for what, at_us in world.changed_us.items() if what in heard]
     if not late_us:
-        raise RigError("the follower heard of nothing")
+        raise HarnessError("the follower heard of nothing")
     return {
         "told": len(late_us) / len(world.changed_us),
         "p50_ms": float(np.percentile(late_us, 50)) / 1000,
@@ -217,9 +219,9 @@
     }
 
 
-def perform_churn(seed: int, scale: Scale, folder: Path, plant: str) -> tuple[list[Claim], Mapping[str, float]]:
+def perform_churn(trial: TrialConfig) -> Measurement:
     """Both sizes, one after another."""
-    rows = {size: asyncio.run(churn(size, seed, scale, plant)) for size in SIZES}
+    rows = {size: asyncio.run(churn(size, trial.seed, trial.scale, trial.seeded_fault)) for size in SIZES}
     found = {f"{name}_{size}": value for size, row in rows.items() for name, value in row.items()}
     few, many = (rows[size] for size in SIZES)
     found["p50_growth"] = many["p50_ms"] / few["p50_ms"]
@@ -233,7 +235,7 @@
         Claim("growth of a change's CPU from 1,000 to 10,000 (linear would be 10)", found["cpu_growth"], "<=", 3.0),
         Claim("resident memory at 10,000 endpoints (MB)", many["resident_mb"], "<=", 120),
     ]
-    return claims, found
+    return Measurement(claims, found)
 
 
 EXPERIMENTS = (
@@ -252,8 +254,8 @@
         ("never-again",),
     ),
 )
-MEASURED = (
-    Measured(
+BENCHMARKS = (
+    Benchmark(
         "slices-churn",
         "time from a change to the module's event at 1,000 and 10,000 endpoints",
         perform_churn,
