--- a/ryepier/maintenance/agent.py
+++ b/ryepier/maintenance/agent.py
@@ -80,8 +80,8 @@
                 log.warning("status unavailable: %s", error)
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            held = [one for one in status.leases if one.agent == self.settings.name and one.state in HELD_STATES]
-            return [Granted(one.name, one.agent, one.token, one.converters) for one in held]
+            mine = [one for one in status.leases if one.agent == self.settings.name and one.state in HELD_STATES]
+            return [Granted(one.name, one.agent, one.token, one.converters) for one in mine]
 
     async def _acquire_lease(self) -> Granted | None:
         """Ask for a lease; retry under the same name until its outcome is known. None: there is none now."""
--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Agreement:
-    """A checked agreement. `digest` (SHA-256 of the file, hexadecimal) tells two files apart."""
+    """A checked agreement. `digest` (SHA-256 of the file, hexadecimal) identifies the file."""
 
     services: Mapping[str, Service]
     regions: Mapping[str, Region]
--- a/ryepier/maintenance/agreement_file.py
+++ b/ryepier/maintenance/agreement_file.py
@@ -21,8 +21,12 @@
 
 def parse(data: bytes) -> Agreement:
     """Return the agreement in a TOML file's bytes. Raises AgreementError."""
-    tables, lines = _read_tables(data)
-    validator = AgreementValidator(tables, lines)
+    text = _decode(data)
+    try:
+        tables = toml_schema.parse(text, AgreementTables)
+    except ConfigurationError as error:
+        raise AgreementError(error.problems) from None
+    validator = AgreementValidator(tables, KeyLines(text))
     validator.check_names()
     validator.check_decimals()
     if not validator.problems:  # amounts can be compared only where every name is known
@@ -33,19 +37,15 @@
     raise AgreementError(validator.problems)
 
 
-def _read_tables(data: bytes) -> tuple[AgreementTables, KeyLines]:
-    """Return the tables of a file, and where its keys stand. Raises AgreementError."""
+def _decode(data: bytes) -> str:
+    """Return the text of a file. Raises AgreementError where it is too long or not UTF-8."""
     if len(data) > MAX_FILE_BYTES:
         raise AgreementError([Problem("", 0, f"{len(data)} bytes; {MAX_FILE_BYTES} are allowed")])
     try:
-        text = data.decode()
+        return data.decode()
     except UnicodeDecodeError as error:
         line = data[: error.start].count(b"\n") + 1
         raise AgreementError([Problem("", line, "not UTF-8")]) from None
-    try:
-        return toml_schema.parse(text, AgreementTables), KeyLines(text)
-    except ConfigurationError as error:
-        raise AgreementError(error.problems) from None
 
 
 def _build(tables: AgreementTables, digest: str) -> Agreement:
--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -88,7 +88,7 @@
 class RequestStatus(msgspec.Struct, frozen=True):
     """An open request.
 
-    `starts_ms` is the region's time of its next window, NO_START_MS without one. `reason` says why the request waits or
+    `starts_ms` is the region's time of its next window, NO_START_MS without one. `reason` is why the request waits or
     does not fit; empty where neither.
     """
 
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -120,5 +120,5 @@
 
 
 def _granted(lease: Lease) -> Granted:
-    """Return the result that tells an agent of its lease."""
+    """Return the result by which an agent receives its lease."""
     return Granted(lease.name, lease.agent, lease.token, lease.converters)
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -72,7 +72,7 @@
     def complete_if_finished(self, record: RequestRecord, *, missed: bool = False) -> bool:
         """Move a request to the completed ones when nothing is left to do for it, and return whether that was so.
 
-        `missed` says that its deadline has passed.
+        `missed`: its deadline has passed.
         """
         name = record.request.name
         if self.leases_of(name) or not (record.cancelled or missed or not record.remaining()):
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -155,8 +155,8 @@
 
     def _place_job(self, job: Job, frozen: Iterable[Placement]) -> None:
         """Place all of a request, or note it as unplaced and leave only what is frozen."""
-        kept = list(frozen)
-        placements = list(kept)
+        frozen_placements = list(frozen)
+        placements = list(frozen_placements)
         names = {one.converter.name for one in placements}
         desired_ms = self.problem.desired_start_ms(job)
         unplaced: UnplacedRequest | None = None
@@ -175,21 +175,21 @@
                 unplaced = self._misses_deadline(job, late_ms, delayed)
             placements.append(self._place(job, converter, start_ms))
         if unplaced is not None:
-            self._give_up(unplaced, placements, kept)
+            self._give_up(unplaced, placements, frozen_placements)
             return
         self._by_request[job.request.name] = placements
         if delayed is not None:
             self.delayed_requests.append(delayed)
 
-    def _give_up(self, unplaced: UnplacedRequest, placements: list[Placement], kept: list[Placement]) -> None:
-        """Note a request as unplaced and undo its placements but for those that are kept, which come first."""
+    def _give_up(self, unplaced: UnplacedRequest, placements: list[Placement], frozen: list[Placement]) -> None:
+        """Note a request as unplaced and undo its placements but for the frozen ones, which come first."""
         self.unplaced_requests.append(unplaced)
-        for placement in placements[len(kept) :]:
+        for placement in placements[len(frozen) :]:
             self._undo(placement)
-        self._by_request[unplaced.request] = kept
+        self._by_request[unplaced.request] = frozen
 
     def _earliest(self, job: Job, converter: Converter, from_ms: int) -> int | None:
-        """Return the first time from which every limit holds until a converter is back; None: there is none."""
+        """Return the first time from which every limit holds until a converter has recovered; None: there is none."""
         searches = [
             _GapSearch(self._usage[limit], limit.bound - self._added_charge(converter))
             for limit in self._limits_of(converter)
--- a/ryepier/maintenance/replica_disk.py
+++ b/ryepier/maintenance/replica_disk.py
@@ -50,7 +50,7 @@
     bootstrap: bool,
     file_type: type[storage.FileStorage] = storage.FileStorage,
 ) -> OpenedStorage:
-    """Open a replica's disk; `bootstrap` says that the region starts for the first time.
+    """Open a replica's disk; `bootstrap`: the region starts for the first time.
 
     Raises StorageError where the file cannot be used, and where a region is to be bootstrapped over a file.
     """
--- a/ryepier/maintenance/replication/candidate.py
+++ b/ryepier/maintenance/replication/candidate.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from ryepier.maintenance.replication.leader import Leader
-from ryepier.maintenance.replication.messages import NOBODY, RequestVote, VoteResponse
+from ryepier.maintenance.replication.messages import NO_MEMBER, RequestVote, VoteResponse
 from ryepier.maintenance.replication.replica_state import ReplicaState
 from ryepier.maintenance.replication.roles import Event, Role
 
 
 class Candidate:
-    """What a replica does when no leader is heard of."""
+    """What a replica does without a leader."""
 
     def __init__(self, state: ReplicaState, leader: Leader) -> None:
         """Work on `state`; `leader` takes over once an election is won."""
@@ -21,7 +21,7 @@
         """Begin a term and ask for votes; a learner waits on."""
         state = self.state
         state.restart_election_timer()
-        state.leader = NOBODY
+        state.leader = NO_MEMBER
         if state.role is Role.LEARNER:
             return
         state.change_role(Event.ELECTION_TIMEOUT)
--- a/ryepier/maintenance/replication/follower.py
+++ b/ryepier/maintenance/replication/follower.py
@@ -6,7 +6,7 @@
 
 from ryepier.maintenance.replication.errors import ProtocolError
 from ryepier.maintenance.replication.messages import (
-    NOBODY,
+    NO_MEMBER,
     AppendEntries,
     AppendResponse,
     Entry,
@@ -39,7 +39,7 @@
 
     def may_vote_for(self, candidate: str) -> bool:
         """Return whether the vote of this term is still free, or was this candidate's already."""
-        return self.state.hard_state.voted_for in (NOBODY, candidate)
+        return self.state.hard_state.voted_for in (NO_MEMBER, candidate)
 
     def _is_up_to_date(self, request: RequestVote) -> bool:
         """Return whether the candidate's log is at least as up to date as this one."""
--- a/ryepier/maintenance/replication/leader.py
+++ b/ryepier/maintenance/replication/leader.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ryepier.maintenance.replication.errors import NotLeaderError
-from ryepier.maintenance.replication.messages import NOBODY, AppendEntries, AppendResponse, Entry
+from ryepier.maintenance.replication.messages import NO_MEMBER, AppendEntries, AppendResponse, Entry
 from ryepier.maintenance.replication.replica_state import ReplicaState
 from ryepier.maintenance.replication.roles import Event, Role
 
@@ -64,7 +64,7 @@
         state.elapsed_ticks = 0
         if len(self.responded) + 1 < state.settings.majority:
             state.change_role(Event.QUORUM_SILENT)
-            state.leader = NOBODY
+            state.leader = NO_MEMBER
             state.restart_election_timer()
         self.responded = set()
 
--- a/ryepier/maintenance/replication/messages.py
+++ b/ryepier/maintenance/replication/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-NOBODY = ""
+NO_MEMBER = ""  # in place of a member's name
 Term = Annotated[int, msgspec.Meta(ge=0, lt=2**62)]
 Index = Annotated[int, msgspec.Meta(ge=0, lt=2**62)]
 
@@ -26,7 +26,7 @@
     """
 
     term: Term = 0
-    voted_for: str = NOBODY
+    voted_for: str = NO_MEMBER
     recovered_at_term: Term = 0
 
 
--- a/ryepier/maintenance/replication/recovery.py
+++ b/ryepier/maintenance/replication/recovery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ryepier.maintenance.replication.messages import NOBODY, RecoveryRequest, RecoveryResponse
+from ryepier.maintenance.replication.messages import NO_MEMBER, RecoveryRequest, RecoveryResponse
 from ryepier.maintenance.replication.replica_state import ReplicaState
 from ryepier.maintenance.replication.roles import Event, Role
 
@@ -35,7 +35,7 @@
             return
         highest = max(self.terms.values())
         state.change_role(Event.ALL_MEMBERS_ANSWERED)
-        state.set_hard_state(highest + 1, NOBODY, highest + 1)
+        state.set_hard_state(highest + 1, NO_MEMBER, highest + 1)
         state.restart_election_timer()
 
     def become_voter_if_caught_up(self) -> None:
--- a/ryepier/maintenance/replication/replica_state.py
+++ b/ryepier/maintenance/replication/replica_state.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from ryepier.maintenance.replication.messages import NOBODY, Entry, Envelope, HardState, Message
+from ryepier.maintenance.replication.messages import NO_MEMBER, Entry, Envelope, HardState, Message
 from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready, ReplicaSettings
 from ryepier.maintenance.replication.roles import TRANSITIONS, Event, Role
 
@@ -29,7 +29,7 @@
         self.hard_state = durable.hard_state if durable is not None else HardState()
         self.log: list[Entry] = list(durable.entries) if durable is not None else []
         self.role = _initial_role(durable)
-        self.leader = NOBODY
+        self.leader = NO_MEMBER
         self.commit_index = 0
         self.applied_index = 0
         self.elapsed_ticks = 0
@@ -61,9 +61,9 @@
 
     def enter_higher_term(self, term: int) -> None:
         """Enter a term that another member has begun."""
-        self.set_hard_state(term, NOBODY, self.hard_state.recovered_at_term)
+        self.set_hard_state(term, NO_MEMBER, self.hard_state.recovered_at_term)
         self.change_role(Event.HIGHER_TERM)
-        self.leader = NOBODY
+        self.leader = NO_MEMBER
 
     def restart_election_timer(self) -> None:
         """Draw the next election timeout, in ticks."""
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -36,7 +36,7 @@
     """Closes a lease when its duration has passed."""
 
     def advance_time(self, now_ms: int) -> Result:
-        """Close the leases that have lasted as long as their request said."""
+        """Close the leases that have lasted for their request's duration."""
         result = super().advance_time(now_ms)
         for lease in list(self.state.leases.values()):
             request = self.state.requests[lease.request].request
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -192,5 +192,5 @@
 
 
 def _rejection(error: Exception) -> Rejection:
-    """Return the frame that tells a caller of an error."""
+    """Return the frame that reports an error to a caller."""
     return Rejection(str(error)[:MAX_REASON_LENGTH])
