--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ryepier.experiments.core.contract import Benchmark, Experiment
-from ryepier.experiments.faults import experiments as faults
+from ryepier.experiments.faults import breaking_point, ceiling, hang, release, sidecar_kill, steady, surge
 from ryepier.experiments.graphql import graphql_front
 from ryepier.experiments.load_spread import even, returned
 from ryepier.experiments.load_spread import processes as load_spread_processes
@@ -17,7 +17,13 @@
 EXPERIMENTS: dict[str, Experiment] = {
     experiment.name: experiment
     for experiment in (
-        *faults.EXPERIMENTS,
+        steady.EXPERIMENT,
+        release.EXPERIMENT,
+        hang.EXPERIMENT,
+        surge.EXPERIMENT,
+        sidecar_kill.EXPERIMENT,
+        breaking_point.EXPERIMENT,
+        ceiling.EXPERIMENT,
         *planning.EXPERIMENTS,
         *slicing.EXPERIMENTS,
         *graphql_front.EXPERIMENTS,
--- /dev/null
+++ b/ryepier/experiments/core/logs.py
@@ -0,0 +1,31 @@
+"""Reads the JSON logs that the processes of a run wrote into its folder."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+SIDECAR_LOGS = "sidecar-*.log"
+PLANNER_LOGS = "planner-*.log"
+
+
+def log_lines(folder: Path, pattern: str) -> list[dict[str, object]]:
+    """Return the JSON lines of the logs that match a pattern, with the log's name as `file`; skip other lines."""
+    lines = []
+    for path in sorted(folder.glob(pattern)):
+        for text in path.read_text(errors="replace").splitlines():
+            try:
+                lines.append(json.loads(text) | {"file": path.name})
+            except ValueError:
+                continue
+    return lines
+
+
+def lines_with(folder: Path, pattern: str, text: str) -> list[dict[str, object]]:
+    """Return the log lines whose message contains a text."""
+    return [line for line in log_lines(folder, pattern) if text in str(line.get("message"))]
+
+
+def files_with(folder: Path, pattern: str, text: str) -> set[str]:
+    """Return the names of the logs with a line whose message contains a text."""
+    return {str(line["file"]) for line in lines_with(folder, pattern, text)}
--- /dev/null
+++ b/ryepier/experiments/core/phases.py
@@ -0,0 +1,47 @@
+"""Parts of a run relative to the faults of its world, and the converters that the faults strike, remove or add."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ryepier.emulator import timeline
+from ryepier.emulator.records import ClientAttempt
+from ryepier.emulator.timeline import FaultAction, TargetKind
+from ryepier.emulator.world import Fault, World
+from ryepier.experiments.core import figures
+from ryepier.experiments.core.contract import Run
+
+RECOVERY_S = 2.0  # after a fault, before the service counts again
+
+
+def end_s(fault: Fault) -> float:
+    """Return when a fault ends, in seconds of the run."""
+    return fault.at_s + fault.for_s
+
+
+def during(fault: Fault) -> Callable[[ClientAttempt], bool]:
+    """Return a filter for first attempts due while a fault lasts."""
+    return figures.due_between(fault.at_s, end_s(fault))
+
+
+def from_time(begin_s: float, world: World) -> Callable[[ClientAttempt], bool]:
+    """Return a filter for first attempts due from a time to the end of the run."""
+    return figures.due_between(begin_s, world.duration_s)
+
+
+def after_recovery(fault: Fault, world: World) -> Callable[[ClientAttempt], bool]:
+    """Return a filter for first attempts due from `RECOVERY_S` after a fault to the end of the run."""
+    return from_time(end_s(fault) + RECOVERY_S, world)
+
+
+def struck_uids(run: Run, kinds: tuple[str, ...]) -> set[str]:
+    """Return the uids of the converters that faults of these kinds strike."""
+    built = timeline.build(run.world, run.seed)
+    indices = {step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault in kinds}
+    return {instance.uid for instance in built.instances if instance.index in indices}
+
+
+def started_uids(run: Run, until_us: float = float("inf")) -> set[str]:
+    """Return the uids of the converters that start during the run, before a time."""
+    steps = timeline.build(run.world, run.seed).steps
+    return {step.uid for step in steps if step.action is FaultAction.START and step.at_us < until_us}
--- /dev/null
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -0,0 +1,131 @@
+"""`breaking-point`: how many requests per second does one sidecar serve on one core?
+
+The load on a single sidecar rises until its service falls for two windows in a row. Claims: the rate at that point, the
+CPU time per request up to it, and answers in time before it; the rules of safety hold beyond it too.
+"""
+
+from __future__ import annotations
+
+import itertools
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+import msgspec
+import numpy as np
+
+from ryepier.emulator import draws
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import load
+from ryepier.experiments.faults.scaling import FULL_DURATION_FACTOR
+
+WINDOW_S = 1.0
+MIN_SERVICE = 0.95  # in a window; below it the load is too high
+SETTLED_S = 1.0  # after the start
+MIN_REQUESTS_PER_S = 2000
+MAX_CPU_US_PER_REQUEST = 450
+US_PER_S = 1e6
+RULES_ON_TIME = ("unanswered", "held-up", "broken")
+# Without a free core a sidecar can't answer in time, but must keep all other rules.
+RULES_OF_SAFETY = (
+    "second-answer",
+    "forged",
+    "invented",
+    "run-twice",
+    "refused-after-run",
+    "unsafe-resend",
+    "together",
+    "drain",
+    "cold",
+    "crash",
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Window:
+    """One window of the run."""
+
+    begin_s: float
+    offered_per_s: float
+    service: float
+
+    @property
+    def is_overloaded(self) -> bool:
+        """Return whether the service is below the bound."""
+        return self.service < MIN_SERVICE
+
+
+@dataclass(frozen=True, slots=True)
+class BreakingPoint:
+    """The last window before the overload."""
+
+    offered_per_s: float
+    end_s: float
+
+
+def _world(scale: Scale) -> World:
+    world = load("breaking-point")
+    if scale == "small":
+        return world
+    return msgspec.structs.replace(world, duration_s=world.duration_s * FULL_DURATION_FACTOR)
+
+
+def split_into_windows(run: Run) -> list[Window]:
+    """Return the offered rate and the service of each window of the run."""
+    windows = []
+    for begin_s in np.arange(0.0, run.world.duration_s, WINDOW_S).tolist():
+        is_inside = figures.due_between(begin_s, begin_s + WINDOW_S)
+        inside = [operation for operation in run.operations if is_inside(operation.first)]
+        windows.append(Window(begin_s, len(inside) / WINDOW_S, figures.service_level(inside)))
+    return windows
+
+
+def find_breaking_point(run: Run) -> BreakingPoint:
+    """Return the last window before two overloaded ones; the last of the run if there are none."""
+    windows = split_into_windows(run)
+    for window, (following, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
+        if following.is_overloaded and second.is_overloaded:
+            return BreakingPoint(window.offered_per_s, window.begin_s + WINDOW_S)
+    return BreakingPoint(windows[-1].offered_per_s, run.world.duration_s)
+
+
+def cpu_us_per_request(run: Run, end_s: float) -> float:
+    """Return the sidecar's CPU time per request until a time; infinite without samples."""
+    cpu_us = figures.cpu_us_per_request(run.history, 0, SETTLED_S, end_s)
+    return float("inf") if cpu_us is None else cpu_us
+
+
+def _figures(run: Run) -> Mapping[str, float]:
+    point = find_breaking_point(run)
+    end_us = np.array([int(point.end_s * US_PER_S)], dtype=np.int64)
+    return {
+        "breaking_point_per_s": point.offered_per_s,
+        "breaking_point_at_s": point.end_s,
+        "planned_rate_there_per_s": float(draws.offered_per_s(run.world, end_us)[0]),
+        "cpu_us_a_request": cpu_us_per_request(run, point.end_s),
+    }
+
+
+def _claims(run: Run) -> list[Claim]:
+    point = find_breaking_point(run)
+    late_before = sum(breach.at_us < point.end_s * US_PER_S for breach in run.breaches if breach.rule in RULES_ON_TIME)
+    cpu_us = cpu_us_per_request(run, point.end_s)
+    return [
+        Claim("requests a second for one sidecar core", point.offered_per_s, ">=", MIN_REQUESTS_PER_S),
+        Claim("CPU a request up to there (us)", cpu_us, "<=", MAX_CPU_US_PER_REQUEST),
+        Claim("breaches of answers in time before it", late_before, "==", 0),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="breaking-point",
+    question="load raised until one sidecar's core is not enough",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("spin",),
+    extra_figures=_figures,
+    rules=RULES_OF_SAFETY,
+    valid_until_s=lambda run: find_breaking_point(run).end_s,
+    measures_cpu=True,
+)
--- /dev/null
+++ b/ryepier/experiments/faults/ceiling.py
@@ -0,0 +1,46 @@
+"""`ceiling`: what rate can the emulator itself offer and serve?
+
+Clients send to the emulated converters without a sidecar between, on four cores. Claim: the emulator serves more than
+any experiment asks of it, so that none of them measures the emulator.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import load
+
+CORES = 4
+MIN_SERVED_PER_S = 5000
+
+
+def _world(scale: Scale) -> World:
+    return load("ceiling")
+
+
+def _served_per_s(run: Run) -> float:
+    served = sum(item.outcome == "served" for item in run.history.client_attempts)
+    return served / run.world.duration_s
+
+
+def _figures(run: Run) -> Mapping[str, float]:
+    return {"served_per_s": _served_per_s(run)}
+
+
+def _claims(run: Run) -> list[Claim]:
+    return [Claim("requests served a second without a sidecar", _served_per_s(run), ">=", MIN_SERVED_PER_S)]
+
+
+EXPERIMENT = Experiment(
+    name="ceiling",
+    question="what the emulator offers and serves by itself, on four cores",
+    world=_world,
+    claims=_claims,
+    seeded_faults=(),
+    extra_figures=_figures,
+    rules=("invented", "forged", "run-twice"),
+    cores=CORES,
+    measures_cpu=True,
+)
--- /dev/null
+++ b/ryepier/experiments/faults/hang.py
@@ -0,0 +1,45 @@
+"""`hang`: are converters that accept requests and never answer ejected, and restored afterwards?
+
+A sixth of the converters hangs for some seconds. Claims on its second half: hardly any attempts go to the hung ones and
+the service is back; and after it the service is as before.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import fault_of_kind, load
+from ryepier.experiments.faults.scaling import scaled
+
+MAX_SHARE_TO_HUNG = 0.03  # probes included
+MIN_SERVICE_DURING = 0.90
+MIN_SERVICE_AFTER = 0.95
+
+
+def _world(scale: Scale) -> World:
+    return scaled(load("hang"), scale)
+
+
+def _claims(run: Run) -> list[Claim]:
+    hang = fault_of_kind(run.world, "hang")
+    middle_s = hang.at_s + hang.for_s / 2
+    end_s = phases.end_s(hang)
+    hung = phases.struck_uids(run, ("hang",))
+    to_hung = figures.count_attempts(run.history.converter_attempts, hung, middle_s, end_s)
+    service_during = figures.service_level(run.operations, figures.due_between(middle_s, end_s))
+    service_after = figures.service_level(run.operations, phases.after_recovery(hang, run.world))
+    return [
+        Claim("share of attempts to hung converters, second half", to_hung.share, "<=", MAX_SHARE_TO_HUNG),
+        Claim("service in the second half of the hang", service_during, ">=", MIN_SERVICE_DURING),
+        Claim("service from 2 s after the hang", service_after, ">=", MIN_SERVICE_AFTER),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="hang",
+    question="a sixth of the converters takes requests and answers none",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("blind",),
+)
--- /dev/null
+++ b/ryepier/experiments/faults/release.py
@@ -0,0 +1,42 @@
+"""`release`: does a rolling release of all converters go unnoticed by the clients?
+
+All converters drain, end and are replaced by cold ones in turn, while discovery watches break. Claims: sidecars are
+notified of nearly every drain, every new converter is put to use, and the service stays high throughout.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import fault_of_kind, load
+from ryepier.experiments.faults.scaling import scaled
+
+MIN_NOTIFIED_SHARE = 0.9  # of the drains, at each sidecar: a broken watch may miss one
+MIN_SERVICE = 0.95
+
+
+def _world(scale: Scale) -> World:
+    return scaled(load("release"), scale)
+
+
+def _claims(run: Run) -> list[Claim]:
+    release = fault_of_kind(run.world, "release")
+    started = phases.started_uids(run)
+    used = {attempt.uid for attempt in run.history.converter_attempts} & started
+    drains = sum(notice.state == "leaving" for notice in run.history.notices)
+    service = figures.service_level(run.operations, phases.during(release))
+    return [
+        Claim("drains told of", drains, ">=", len(started) * run.world.sidecars.count * MIN_NOTIFIED_SHARE),
+        Claim("share of fresh converters in use", len(used) / max(1, len(started)), ">=", 1.0),
+        Claim("service during the release", service, ">=", MIN_SERVICE),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="release",
+    question="all converters are replaced in turn while watches break",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("deaf", "crowd"),
+)
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Mistakes of a sidecar that the experiments on faults find.
+"""Seeded faults of a sidecar that the experiments of this package detect.
 
-Each is a function to be called in a process of its own, as it stays.
+Each function installs its fault in the whole process for good, so call it in a process of its own.
 """
 
 from __future__ import annotations
@@ -22,15 +22,16 @@
 from ryepier.sidecar.system import clock_us
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 
-EVERY_TWICE = 40  # requests; one of so many goes to a second converter too
-EVERY_LOST = 150  # answers; one of so many is never written
-SPIN_US = 400  # more than a request costs a sidecar that is well
-LATE_S = 5.0
+DUPLICATION_INTERVAL = 40  # requests; the last of so many goes to a second converter too
+LOSS_INTERVAL = 150  # answers; the last of so many is never written
+SPIN_US = 400  # more than a request usually costs
+START_DELAY_S = 5.0
 
 
-def twice() -> None:
-    """One request in many is sent to two converters at once."""
-    start, count = ConnectionPool.start, 0
+def send_twice() -> None:
+    """Send one request in many to two converters at once."""
+    start = ConnectionPool.start
+    count = 0
 
     def start_twice(
         self: ConnectionPool,
@@ -43,8 +44,8 @@
     ) -> UpstreamAttempt:
         nonlocal count
         count += 1
-        others = [line for line in self.connections if line != upstream]
-        if count % EVERY_TWICE == 0 and others:
+        others = [known for known in self.connections if known != upstream]
+        if count % DUPLICATION_INTERVAL == 0 and others:
             peer = next(iter(self.connections[others[0]])).sock.getpeername()
             start(self, others[0], peer, request, timeout_us, lambda result: None)
         return start(self, upstream, address, request, timeout_us, on_end, latest_write_us)
@@ -52,28 +53,29 @@
     ConnectionPool.start = start_twice  # type: ignore[method-assign]
 
 
-def deaf() -> None:
-    """A converter that drains is taken for ready."""
+def ignore_draining() -> None:
+    """Treat a draining converter as ready."""
     endpoint_registry.STATES["leaving"] = api.UpstreamState.READY
 
 
-def lose() -> None:
-    """One answer in many is never written."""
-    give, count = RequestDispatcher._answer, 0
+def lose_answers() -> None:
+    """Never write one answer in many."""
+    give = RequestDispatcher._answer
+    count = 0
 
     def answer_most(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
         nonlocal count
         count += 1
         request = self.requests.get(ident)
-        if count % EVERY_LOST == 0 and request is not None:
+        if count % LOSS_INTERVAL == 0 and request is not None:
             request.reply = lambda final: None
         give(self, ident, answer)
 
     RequestDispatcher._answer = answer_most  # type: ignore[method-assign]
 
 
-def blind() -> None:
-    """Silence and time-outs tell it nothing of a converter."""
+def ignore_silence() -> None:
+    """Learn nothing about a converter from its silence or timeouts."""
     adapt = AttemptFeedback._adapt
 
     def adapt_to_answers(
@@ -90,11 +92,11 @@
     OutlierDetector.on_overdue = forget_overdue  # type: ignore[method-assign]
 
 
-def crowd() -> None:
-    """A fresh converter gets all there is."""
+def prefer_warming() -> None:
+    """Send everything to the newest converter that is warming up."""
     free_slots = Selector.free_slots
 
-    def youngest(
+    def newest_warming(
         self: Selector,
         request: PendingRequest,
         upstreams: Iterable[TrackedUpstream],
@@ -107,11 +109,11 @@
             return [Candidate(warming[-1], 1.0)]
         return free_slots(self, request, upstreams, ejections_apply, now_us)
 
-    Selector.free_slots = youngest  # type: ignore[method-assign]
+    Selector.free_slots = newest_warming  # type: ignore[method-assign]
 
 
-def no_advice() -> None:
-    """Refusals do not say when to come back."""
+def omit_retry_after() -> None:
+    """Reject without a Retry-After."""
     give = RequestDispatcher._answer
 
     def answer_without(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
@@ -121,8 +123,8 @@
     RequestDispatcher._answer = answer_without  # type: ignore[method-assign]
 
 
-def spin() -> None:
-    """Each request costs far more CPU than it needs."""
+def waste_cpu() -> None:
+    """Spend far more CPU on each request than it needs."""
     on_request = RequestDispatcher.on_request
 
     def accept_slowly(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
@@ -134,19 +136,19 @@
     RequestDispatcher.on_request = accept_slowly  # type: ignore[method-assign]
 
 
-def late_start() -> None:
-    """It takes long to come up."""
-    time.sleep(LATE_S)
+def start_late() -> None:
+    """Take long to come up."""
+    time.sleep(START_DELAY_S)
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    "twice": twice,
-    "deaf": deaf,
+    "twice": send_twice,
+    "deaf": ignore_draining,
     "hold": held_answer,
-    "lose": lose,
-    "blind": blind,
-    "crowd": crowd,
-    "no-advice": no_advice,
-    "spin": spin,
-    "late-start": late_start,
+    "lose": lose_answers,
+    "blind": ignore_silence,
+    "crowd": prefer_warming,
+    "no-advice": omit_retry_after,
+    "spin": waste_cpu,
+    "late-start": start_late,
 }
--- /dev/null
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -0,0 +1,55 @@
+"""`sidecar-kill`: does a sidecar that dies come back fast, and do the others' clients notice nothing?
+
+One sidecar is killed and started again. Claims: it is up within two seconds, its clients are served again soon, and the
+clients of the other sidecars are served throughout.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.records import ClientAttempt
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import fault_of_kind, load
+from ryepier.experiments.faults.scaling import scaled
+
+MAX_START_S = 2.0
+MIN_SERVICE = 0.97
+US_PER_S = 1e6
+
+
+def _world(scale: Scale) -> World:
+    return scaled(load("sidecar-kill"), scale)
+
+
+def _claims(run: Run) -> list[Claim]:
+    kill = fault_of_kind(run.world, "sidecar-kill")
+    killed = {life.sidecar for life in run.history.incarnations if life.killed}
+    restarted = [life for life in run.history.incarnations if life.started_us > 0]
+    start_s = max(((life.ready_us - life.started_us) / US_PER_S for life in restarted), default=float("inf"))
+    is_after = phases.from_time(kill.at_s + kill.down_s + phases.RECOVERY_S, run.world)
+
+    def is_of_others(item: ClientAttempt) -> bool:
+        return item.sidecar not in killed
+
+    def is_of_killed_after(item: ClientAttempt) -> bool:
+        return item.sidecar in killed and is_after(item)
+
+    service_of_others = figures.service_level(run.operations, is_of_others)
+    service_of_killed = figures.service_level(run.operations, is_of_killed_after)
+    return [
+        Claim("sidecars killed", len(killed), ">=", 1),
+        Claim("sidecars started again", len(restarted), "==", len(killed)),
+        Claim("time to come up (s)", start_s, "<=", MAX_START_S),
+        Claim("service of the others' clients", service_of_others, ">=", MIN_SERVICE),
+        Claim("service of its own clients, 2 s after its start", service_of_killed, ">=", MIN_SERVICE),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="sidecar-kill",
+    question="a sidecar is killed and started again",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("late-start",),
+)
--- /dev/null
+++ b/ryepier/experiments/faults/steady.py
@@ -0,0 +1,40 @@
+"""`steady`: what does a fleet serve, and at what cost, while nothing goes wrong?
+
+Converters and sidecars take a constant load, about half of what they can serve. Claims: nearly all operations are
+served within their latency objective, retries are rare, and converters do next to no work in vain.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import load
+from ryepier.experiments.faults.scaling import scaled
+
+MIN_SERVICE = 0.98
+MAX_ATTEMPTS_PER_REQUEST = 1.01
+MAX_WASTED_SHARE = 0.01
+
+
+def _world(scale: Scale) -> World:
+    return scaled(load("steady"), scale)
+
+
+def _claims(run: Run) -> list[Claim]:
+    requests = len(run.history.client_attempts)
+    attempts = len(run.history.converter_attempts)
+    return [
+        Claim("service", figures.service_level(run.operations), ">=", MIN_SERVICE),
+        Claim("attempts a try", attempts / max(1, requests), "<=", MAX_ATTEMPTS_PER_REQUEST),
+        Claim("waste", figures.wasted_work_share(run.history), "<=", MAX_WASTED_SHARE),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="steady",
+    question="a fleet in which nothing goes wrong",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("twice", "lose"),
+)
--- /dev/null
+++ b/ryepier/experiments/faults/surge.py
@@ -0,0 +1,54 @@
+"""`surge`: is an overload shed early, with advice on when to retry, and over soon after?
+
+For 9.6 s the clients send 2.3 times the usual traffic, more than the converters can serve. Claims: the service before,
+during and after the surge, and rejections that carry a Retry-After.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import fault_of_kind, load
+from ryepier.experiments.faults.scaling import scaled
+
+SETTLED_S = 0.5  # after the start
+MIN_SERVICE_BEFORE = 0.97
+MIN_SERVICE_DURING = 0.55
+MIN_SERVICE_AFTER = 0.95
+MIN_ADVISED_SHARE = 0.99
+
+
+def _world(scale: Scale) -> World:
+    return scaled(load("surge"), scale)
+
+
+def surge_claims(run: Run) -> list[Claim]:
+    """Return the claims on the service during and after the surge of a run's world."""
+    surge = fault_of_kind(run.world, "surge")
+    during = figures.service_level(run.operations, phases.during(surge))
+    after = figures.service_level(run.operations, phases.after_recovery(surge, run.world))
+    return [
+        Claim("service during the surge", during, ">=", MIN_SERVICE_DURING),
+        Claim("service from 2 s after the surge", after, ">=", MIN_SERVICE_AFTER),
+    ]
+
+
+def _claims(run: Run) -> list[Claim]:
+    surge = fault_of_kind(run.world, "surge")
+    before = figures.service_level(run.operations, figures.due_between(SETTLED_S, surge.at_s))
+    advised = figures.retry_after_share(run.history.client_attempts)
+    return [
+        Claim("service before the surge", before, ">=", MIN_SERVICE_BEFORE),
+        *surge_claims(run),
+        Claim("share of refusals with Retry-After", advised, ">=", MIN_ADVISED_SHARE),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="surge",
+    question="2.3 times the traffic for 9.6 s, more than the fleet can do",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("hold", "no-advice"),
+)
