--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -93,7 +93,9 @@
     def observe_placement(self, sent: bool) -> bool:
         """Count whether an arrival was sent at once. Returns whether the sidecar is overloaded."""
         self.unsent_share += (float(not sent) - self.unsent_share) / tuning.TENANT_MEMORY
-        return self.unsent_share > (tuning.OVERLOAD_ENDS if self.overloaded else tuning.OVERLOAD_BEGINS)
+        return self.unsent_share > (
+            tuning.OVERLOAD_END_SHARE if self.overloaded else tuning.OVERLOAD_START_SHARE
+        )
 
     def admits(self, event: RequestArrived) -> bool:
         """Return whether the plan's limit of its class and, in a storm, that of retries admit a request."""
@@ -123,7 +125,7 @@
             weight *= self._over_quota(min(1.0, allowed / arrived))
         elif settings.tenants:  # a tenant that is not known has no quota
             weight *= settings.over_quota_weight
-        return weight * tuning.RETRY_PRIORITY**event.retry_number if self.storm.active else weight
+        return weight * tuning.RETRY_PRIORITY_FACTOR**event.retry_number if self.storm.active else weight
 
     def _over_quota(self, within: float) -> float:
         """Return the weight of a tenant of whose requests the share `within` is inside its quota."""
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -254,7 +254,7 @@
         for pool in self.membership.pools:
             pool.admission.add_credit()
             # If all upstreams are warming, nothing else gives them traffic.
-            self.add_slow_start_credit(pool, tuning.ADMITTED_CREDIT * pool.admission.rate)
+            self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.rate)
 
     def add_slow_start_credit(self, pool: UpstreamPool, served: float) -> None:
         """Give the warming upstreams of a pool credit for `served` requests (rule 4)."""
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -13,9 +13,9 @@
         """Start before the first poll."""
         self.instances = settings.instances
         self.random = random
-        max_interval_us = settings.max_poll_interval_us // 2 or tuning.CHANGE_DEADLINE_US
+        max_interval_us = settings.max_poll_interval_us // 2 or tuning.MAX_LIST_STALENESS_US
         # the longest time from the start of a poll, or the last contact of a watch, to the next poll
-        self.max_gap_us = min(tuning.CHANGE_DEADLINE_US - tuning.POLL_US, max_interval_us)
+        self.max_gap_us = min(tuning.MAX_LIST_STALENESS_US - tuning.MAX_POLL_DURATION_US, max_interval_us)
         self.next_poll_us = 0  # 0: none is due, as a watch is open
         self.last_contact_us: int | None = None  # before polls failed or the watch broke; None while it holds
         self.failures = 0  # in a row
@@ -46,7 +46,7 @@
         latest_us = max(now_us, last_contact_us + self.max_gap_us)
         if self.spread_us >= self.max_gap_us // 2:
             return latest_us
-        first_us = max(tuning.FIRST_POLL_BACKOFF_US, tuning.POLL_INTERVAL_US * self.instances)
+        first_us = max(tuning.MIN_POLL_BACKOFF_US, tuning.FLEET_POLL_INTERVAL_US * self.instances)
         backoff_us = first_us * 2 ** min(self.failures - 1, tuning.MAX_BACKOFF_DOUBLINGS)
         self.spread_us = min(backoff_us, latest_us - now_us)
         return now_us + int(self.spread_us * self.random.random())
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -88,10 +88,10 @@
         Known limit: an upstream that serves by priority may still work on it, and gets up to twice the slots.
         """
         upstream = attempt.upstream
-        proven = attempt.overtaken >= tuning.MAX_OVERTAKEN
+        proven = attempt.overtaken >= tuning.LOST_ATTEMPT_OVERTAKES
         lost = [other for other in upstream.outstanding if other.presumed_lost]
         pool_is_fast = self.membership.pool_of(upstream).admission.load < tuning.TARGET_LOAD
-        suspected = pool_is_fast and all(other.overtaken >= tuning.MAX_OVERTAKEN for other in lost)
+        suspected = pool_is_fast and all(other.overtaken >= tuning.LOST_ATTEMPT_OVERTAKES for other in lost)
         if attempt.overdue and (proven or suspected) and len(lost) < max(1, int(upstream.concurrency.limit)):
             attempt.presumed_lost = True
             upstream.in_flight -= 1
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -10,7 +10,7 @@
 from ryepier.balancer.outlier_detection import OutlierDetector
 from ryepier.balancer.pool import UpstreamPool
 from ryepier.balancer.retries import RetryPolicy
-from ryepier.balancer.tuning import MAX_WARMING_COST, REJECTION_TOLERANCE, UNANSWERED_TOLERANCE
+from ryepier.balancer.tuning import MAX_COST_WHILE_WARMING, REJECTION_TOLERANCE, UNANSWERED_TOLERANCE
 from ryepier.balancer.upstream import PendingRequest, TrackedUpstream
 
 
@@ -53,7 +53,7 @@
         give it to them, so it is not thinned. An expensive request, however, would be the work of many."""
         slow_start, subset = pool.slow_start, pool.subset.members
         warming = {up: None for up in slow_start.warming if slow_start.is_warming(up.entry, now_us)}
-        too_expensive = self.estimates.relative_cost(request.event) > MAX_WARMING_COST
+        too_expensive = self.estimates.relative_cost(request.event) > MAX_COST_WHILE_WARMING
         barred = warming if too_expensive and len(warming) < len(self.membership.by_id) else {}
         usable = [] if barred else [*warming]
         if pool.admission.credit < 1.0:
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -26,9 +26,9 @@
         self.warm_size = 0.0  # sizes of the other upstreams of the pool together
         # answers per second, and a tenth of the requests admitted, for a warm upstream of size 1:
         self.throughput = 0.0  # recently
-        self.usual_throughput = 0.0  # over the time of a warm-up
-        self.usual_memory_us = max(settings.warm_up_us, tuning.RATE_MEMORY_US)
-        self.usual_weight = 0.0  # share of that time that has been observed, smoothed alike
+        self.long_term_throughput = 0.0  # over the time of a warm-up
+        self.long_term_memory_us = max(settings.warm_up_us, tuning.RATE_MEMORY_US)
+        self.observed_share = 0.0  # share of that time that has been observed, smoothed alike
         self.updated_us = now_us
         self.overcommit = 1.0  # multiple of the guaranteed capacity that warming upstreams get
 
@@ -70,18 +70,18 @@
         throughput = served / max(self.warm_size + sum(shares), tuning.MIN_CONCURRENCY)
         credit = throughput
         if in_shortage:
-            usual = self.usual_throughput / max(self.usual_weight, tuning.MIN_USUAL_WEIGHT)
+            usual = self.long_term_throughput / max(self.observed_share, tuning.MIN_OBSERVED_SHARE)
             credit += since_us / tuning.SECOND_US * max(0.0, usual - self.throughput)
         for upstream, share in zip(self.warming, shares, strict=True):
             earned = min(upstream.slow_start_credit + credit * share, tuning.MAX_SLOW_START_CREDIT)
             upstream.slow_start_credit = max(upstream.slow_start_credit, earned)
-        memory_us = self.usual_memory_us
+        memory_us = self.long_term_memory_us
         self.throughput = decayed_rate(self.throughput, throughput, since_us, tuning.RATE_MEMORY_US)
-        self.usual_throughput = decayed_rate(self.usual_throughput, throughput, since_us, memory_us)
-        self.usual_weight = 1.0 - (1.0 - self.usual_weight) * math.exp(-since_us / memory_us)
+        self.long_term_throughput = decayed_rate(self.long_term_throughput, throughput, since_us, memory_us)
+        self.observed_share = 1.0 - (1.0 - self.observed_share) * math.exp(-since_us / memory_us)
 
     def adapt_overcommit(self, load: float) -> None:
         """Adapt the overcommit to the load that an answer shows: most can do more than is guaranteed."""
-        maximum = max(1.0, tuning.MAX_WARMING_OVERCOMMIT * self.settings.overload_factor)
-        overcommit = self.overcommit * (1.0 + tuning.WARMING_GAIN * (tuning.TARGET_LOAD - load))
+        maximum = max(1.0, tuning.MAX_OVERCOMMIT_SHARE * self.settings.overload_factor)
+        overcommit = self.overcommit * (1.0 + tuning.OVERCOMMIT_GAIN * (tuning.TARGET_LOAD - load))
         self.overcommit = min(max(overcommit, 1.0 / tuning.WARMING_SAFETY_FACTOR), maximum)
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -16,7 +16,7 @@
     @staticmethod
     def wanted_size(send_rate: float) -> int:
         """Return how many upstreams a sidecar needs at this rate of attempts per second."""
-        return tuning.MIN_SUBSET_SIZE + int(send_rate / tuning.SENDS_PER_SUBSET_MEMBER)
+        return tuning.MIN_SUBSET_SIZE + int(send_rate / tuning.ATTEMPT_RATE_PER_MEMBER)
 
     def leave(self, upstream: TrackedUpstream) -> list[TrackedUpstream]:
         """Remove an upstream. Returns it if it was a member, as its idle connections may be closed."""
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ryepier.balancer import upstream
-from ryepier.balancer.tuning import MAX_OVERTAKEN
+from ryepier.balancer.tuning import LOST_ATTEMPT_OVERTAKES
 from ryepier.check.model import Model, World
 from ryepier.sidecar import dispatcher
 
@@ -54,7 +54,7 @@
         return (
             self.rename[one.entry.id],
             max(-OLDEST_US, one.sent_us - self.now_us),
-            min(one.overtaken, MAX_OVERTAKEN),
+            min(one.overtaken, LOST_ATTEMPT_OVERTAKES),
             one.overtaken_in_class,
             one.overdue,
             one.presumed_lost,
