--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -31,7 +31,8 @@
 
     def count_attempt(self, now_us: int) -> None:
         """Update the rates with one attempt."""
-        since_us, self.rates_updated_us = now_us - self.rates_updated_us, now_us
+        since_us = now_us - self.rates_updated_us
+        self.rates_updated_us = now_us
         self.send_rate = decayed_rate(self.send_rate, 1.0, since_us, tuning.RATE_MEMORY_US)
         self.burst_rate = decayed_rate(self.burst_rate, 1.0, since_us, tuning.BURST_MEMORY_US)
 
@@ -40,16 +41,20 @@
         return self.load > tuning.TARGET_LOAD
 
     def observe(self, load: float) -> None:
-        """Adapt to the load that one answer shows: at once if queues stay for seconds, but not for one slow
-        answer among quick ones."""
+        """Adapt to the load that one answer shows.
+
+        Admission falls at once while queues stay, but not for one slow answer among quick ones.
+        """
         self.load += (load - self.load) / tuning.LOAD_MEMORY
+        is_quick = load < tuning.TARGET_LOAD
+        if not is_quick and not self.is_overloaded():
+            return
         # By the long memory alone, a start or a burst would be thinned as if answers were few.
-        rates = self.send_rate, self.burst_rate
-        sends_per_s = min(rates) if load < tuning.TARGET_LOAD else max(rates)
-        changes = load < tuning.TARGET_LOAD or self.is_overloaded()
-        gain = tuning.ADMISSION_GAIN / max(1.0, sends_per_s) if changes else 0.0
-        self.rate *= max(0.3, 1.0 + gain * (tuning.TARGET_LOAD - load))
-        self.rate = min(1.0, max(self.rate, tuning.MIN_ADMISSION_RATE))
+        rates = (self.send_rate, self.burst_rate)
+        sends_per_s = min(rates) if is_quick else max(rates)
+        gain = tuning.ADMISSION_GAIN / max(1.0, sends_per_s)
+        factor = max(tuning.MIN_ADMISSION_FACTOR, 1.0 + gain * (tuning.TARGET_LOAD - load))
+        self.rate = min(1.0, max(self.rate * factor, tuning.MIN_ADMISSION_RATE))
 
 
 class EvenSampler:
@@ -78,7 +83,7 @@
         self.tenant_weight: Sequence[float] = ()  # by tenant, as planned; empty: judged by what arrives here
         self.class_sampler = EvenSampler()
         self.retry_sampler = EvenSampler()  # by tenant
-        self.tenant_arrivals = [0.0 for _ in settings.tenants]  # of each, the old ones fading
+        self.tenant_arrivals = [0.0 for _ in settings.tenants]  # decaying counts
         self.allowed_per_s = max(1.0, sum(tenant.allowance_per_s for tenant in settings.tenants))
         self.unsent_share = 0.0  # moving average of arrivals that found no slot
         self.overloaded = False  # as last logged
@@ -92,41 +97,60 @@
 
     def observe_placement(self, sent: bool) -> bool:
         """Count whether an arrival was sent at once. Returns whether the sidecar is overloaded."""
-        self.unsent_share += (float(not sent) - self.unsent_share) / tuning.TENANT_MEMORY
-        return self.unsent_share > (
-            tuning.OVERLOAD_END_SHARE if self.overloaded else tuning.OVERLOAD_START_SHARE
-        )
+        self.unsent_share += (float(not sent) - self.unsent_share) / tuning.PLACEMENT_MEMORY
+        threshold = tuning.OVERLOAD_END_SHARE if self.overloaded else tuning.OVERLOAD_START_SHARE
+        return self.unsent_share > threshold
 
     def admits(self, event: RequestArrived) -> bool:
-        """Return whether the plan's limit of its class and, in a storm, that of retries admit a request."""
-        index, storm = event.class_index, self.storm
+        """Return whether a request is admitted by the plan's limit of its class and, in a storm, of
+        retries."""
+        index = event.class_index
         limits = self.class_admission
         if index < len(limits) and not self.class_sampler.admits(index, limits[index]):
             return False
-        if not storm.active or event.retry_number == 0:
+        if not self.storm.active or event.retry_number == 0:
             return True
-        share = storm.admission[min(event.retry_number, len(storm.admission) - 1)] if storm.admission else 1.0
+        return self.retry_sampler.admits(event.tenant, self._retry_admission(event))
+
+    def _retry_admission(self, event: RequestArrived) -> float:
+        """Return the share of retries like this one to admit in the current storm."""
+        storm = self.storm
+        share = 1.0
+        if storm.admission:
+            share = storm.admission[min(event.retry_number, len(storm.admission) - 1)]
         if event.tenant < len(storm.tenant_admission):
             share *= storm.tenant_admission[event.tenant]
-        return self.retry_sampler.admits(event.tenant, share)
+        return share
 
     def priority(self, request: PendingRequest) -> float:
-        """Return the priority weight per slot time of a request, less where its tenant exceeds its quota: as
-        planned, or else among the tenants that arrive here, as a sidecar does not know the total rates."""
-        settings, event = self.settings, request.event
+        """Return the priority weight per slot time of a request; it is less for a tenant over its quota, and
+        in a storm for a retry."""
+        event = request.event
         weight = request.request_class.priority_weight
-        if not settings.weight_by_work:
+        if not self.settings.weight_by_work:
             weight /= self.estimates.mean_latency_us[event.class_index]
-        if event.tenant < len(self.tenant_weight):
-            weight *= self._over_quota(self.tenant_weight[event.tenant])
-        elif event.tenant < len(settings.tenants):
-            allowed = settings.tenants[event.tenant].allowance_per_s / self.allowed_per_s
-            arrived = self.tenant_arrivals[event.tenant] / sum(self.tenant_arrivals)
-            weight *= self._over_quota(min(1.0, allowed / arrived))
-        elif settings.tenants:  # a tenant that is not known has no quota
-            weight *= settings.over_quota_weight
-        return weight * tuning.RETRY_PRIORITY_FACTOR**event.retry_number if self.storm.active else weight
-
-    def _over_quota(self, within: float) -> float:
-        """Return the weight of a tenant of whose requests the share `within` is inside its quota."""
-        return self.settings.over_quota_weight + (1.0 - self.settings.over_quota_weight) * within
+        if self.tenant_weight or self.settings.tenants:
+            weight *= self._tenant_factor(event.tenant)
+        if self.storm.active:
+            weight *= tuning.RETRY_PRIORITY_FACTOR**event.retry_number
+        return weight
+
+    def _tenant_factor(self, tenant: int) -> float:
+        """Return the factor (over_quota_weight to 1) of a tenant's priority.
+
+        Its quota is judged as planned. Without a plan it is judged among the tenants that arrive here, as a
+        sidecar does not know the total rates.
+        """
+        if tenant < len(self.tenant_weight):
+            return self._weight_at_share(self.tenant_weight[tenant])
+        if tenant < len(self.settings.tenants):
+            allowed_share = self.settings.tenants[tenant].allowance_per_s / self.allowed_per_s
+            arrived_share = self.tenant_arrivals[tenant] / sum(self.tenant_arrivals)
+            return self._weight_at_share(min(1.0, allowed_share / arrived_share))
+        # An unknown tenant has no quota.
+        return self.settings.over_quota_weight if self.settings.tenants else 1.0
+
+    def _weight_at_share(self, share_within_quota: float) -> float:
+        """Return the weight of a tenant with this share of its requests inside its quota."""
+        over_quota_weight = self.settings.over_quota_weight
+        return over_quota_weight + (1.0 - over_quota_weight) * share_within_quota
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -60,11 +60,11 @@
         self.feedback = AttemptFeedback(self.estimates, self.outliers, self.membership)
         self.selector = Selector(self.membership, self.retries, self.outliers, self.estimates, self.random)
         self.polling = EndpointPoller(settings, self.random)
-        self.last_shortage_us = 0  # when a request last found no free slot
-        self.shortage_us = 2 * max(one.latency_objective_us for one in settings.classes)
+        self.last_shortage_us = 0  # when a request last found no free slot; 0 = never
+        self.shortage_us = 2 * max(one.latency_objective_us for one in settings.classes)  # how long it lasts
         self.next_log_us = now_us
         self.wake_ups: list[WakeUp] = []  # a heap
-        self.armed_us = 0  # the next timer already requested; 0: none
+        self.armed_us = 0  # the next timer already requested; 0 = none
         self.schedule_poll(now_us)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
@@ -106,14 +106,11 @@
             # Warming upstreams get traffic by the demand, also by what is rejected.
             self.count_demand()
             self.finish(request)
-        overloaded = self.admission.observe_placement(sent=bool(request.attempts))
-        changed = overloaded != self.admission.overloaded
-        if changed and self.log("overload begins" if overloaded else "overload ends"):
-            self.admission.overloaded = overloaded
+        self.log_overload(self.admission.observe_placement(sent=bool(request.attempts)))
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        """Update what is known of the upstream, free the slot, and retry the request or give its final
-        answer. Unknown and repeated ends are ignored."""
+        """Free the slot, update the measurements, and retry the request or give its final answer. Unknown and
+        repeated ends are ignored."""
         request = self.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -121,7 +118,7 @@
         if attempt.outcome is not None:
             return
         attempt.outcome = event.outcome
-        self.learn_from(attempt, event.elapsed_us)
+        self.observe_attempt(attempt, event.elapsed_us)
         if event.final or request.done:
             self.close(request)
         elif request.in_flight() == 0:
@@ -164,27 +161,39 @@
             self.send(request, upstream)
             return
         self.last_shortage_us = self.now_us
-        priority = self.admission.priority  # without it many cheap requests would keep the others out
-        outranks = self.buffer is None or priority(request) > priority(self.buffer)
-        if outranks and self.retries.may_send(request, self.now_us):
-            if self.buffer is not None:
-                self.finish(self.buffer)
-            self.buffer = request
-            until_us = min(self.now_us + self.estimates.slow_us[request.event.class_index], latest_us)
-            self.wake_at(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
+        if self.outranks_buffer(request) and self.retries.may_send(request, self.now_us):
+            self.put_into_buffer(request, latest_us)
         else:
             self.finish(request)
 
+    def outranks_buffer(self, request: PendingRequest) -> bool:
+        """Return whether a request may take the buffer; without priorities, many cheap requests would keep
+        the others out of it."""
+        if self.buffer is None:
+            return True
+        return self.admission.priority(request) > self.admission.priority(self.buffer)
+
+    def put_into_buffer(self, request: PendingRequest, latest_us: int) -> None:
+        """Keep a request in the buffer, not beyond `latest_us`; the one that it replaces gets its answer."""
+        if self.buffer is not None:
+            self.finish(self.buffer)
+        self.buffer = request
+        until_us = min(self.now_us + self.estimates.slow_us[request.event.class_index], latest_us)
+        self.wake_at(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
+
     def fill_from_buffer(self) -> None:
         """Send the buffered request if a slot is free for it."""
         request = self.buffer
-        upstream = self.selector.select(request, self.now_us) if request is not None else None
-        if request is not None and upstream is not None:
+        if request is None:
+            return
+        upstream = self.selector.select(request, self.now_us)
+        if upstream is not None:
             self.buffer = None
             self.send(request, upstream)
 
     def send(self, request: PendingRequest, upstream: TrackedUpstream) -> None:
-        """Start an attempt at an upstream; takes a slot, and credit from the budget that applies."""
+        """Start an attempt at an upstream: take a slot, use the credits that apply and schedule what
+        follows."""
         event = request.event
         pool = self.membership.pool_of(upstream)
         if pool.slow_start.is_warming(upstream.entry, self.now_us):
@@ -195,8 +204,8 @@
         pool.subset.members[upstream] = None
         self.retries.charge(request, self.admission.storm.active)
         latest_write_us = self.retries.latest_write_us(request)
-        timed_out = any(one.outcome is api.Outcome.TIMEOUT for one in request.attempts)
-        attempt = Attempt(upstream, upstream.entry, event.class_index, self.now_us, timed_out)
+        follows_timeout = any(one.outcome is api.Outcome.TIMEOUT for one in request.attempts)
+        attempt = Attempt(upstream, upstream.entry, event.class_index, self.now_us, follows_timeout)
         upstream.in_flight += 1
         upstream.outstanding.append(attempt)
         request.attempts.append(attempt)
@@ -219,14 +228,15 @@
         """Give a request its one final answer: rejected where repeating is safe, failed otherwise."""
         may_reject = self.retries.may_reject(request)
         self.close(request)
-        retry_after_us, storm = 0, self.admission.storm
+        storm = self.admission.storm
+        retry_after_us = 0
         if self.settings.retry_after:
             if storm.active and storm.retry_after_us:
-                # Clients that stay away demand less: this counts for the retry that they would have made.
+                # Clients that wait demand less: this counts for the retry that they would have made.
                 self.count_demand()
             retry_after_us = self.retries.retry_after_us(request, storm)
-        ident = request.event.request
-        self.actions.append(api.Reject(ident, retry_after_us) if may_reject else api.Fail(ident))
+        request_id = request.event.request
+        self.actions.append(api.Reject(request_id, retry_after_us) if may_reject else api.Fail(request_id))
 
     def close(self, request: PendingRequest) -> None:
         """Give a request no further attempts, and forget it once none of its attempts is in flight."""
@@ -236,14 +246,16 @@
         if request.in_flight() == 0:
             self.requests.pop(request.event.request, None)
 
-    def learn_from(self, attempt: Attempt, elapsed_us: int) -> None:
-        """Update what is known of an upstream from an attempt that ended after `elapsed_us`."""
+    def observe_attempt(self, attempt: Attempt, elapsed_us: int) -> None:
+        """Update the measurements of an upstream and its pool with an attempt that ended after
+        `elapsed_us`."""
         upstream = attempt.upstream
         pool = self.membership.pool_of(upstream)
         slow_us = self.estimates.slow_us[attempt.class_index]
-        slots_needed = attempt.sent_us <= self.last_shortage_us + 4 * slow_us
+        needed_until_us = self.last_shortage_us + tuning.SHORTAGE_MEMORY_FACTOR * slow_us
+        slots_needed = attempt.sent_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
-            if upstream.concurrency.limit < 0.5:  # another takes its place; it may rejoin later
+            if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # it may rejoin later
                 self.close_idle(pool.subset.leave(upstream))
             self.log_ejection(upstream)
         if attempt.outcome in ANSWERED:
@@ -260,8 +272,8 @@
         """Give the warming upstreams of a pool credit for `served` requests (rule 4)."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
-        since_us = self.now_us - self.last_shortage_us
-        in_shortage = self.last_shortage_us > 0 and since_us <= self.shortage_us
+        shortage_ends_us = self.last_shortage_us + self.shortage_us
+        in_shortage = self.last_shortage_us > 0 and self.now_us <= shortage_ends_us
         pool.slow_start.add_credit(served, in_shortage, self.now_us)
 
     def schedule_poll(self, at_us: int) -> None:
@@ -300,27 +312,40 @@
         """Request a timer at the next wake-up, or, for a buffered request, at the next end of an ejection."""
         next_us = self.wake_ups[0].at_us if self.wake_ups else 0
         if self.buffer is not None:
-            index = self.buffer.event.class_index
-            for upstream in self.membership.by_id.values():
-                end_us = max(upstream.ejected_until_us, upstream.by_class[index].ejected_until_us)
-                if end_us > self.now_us and (next_us == 0 or end_us < next_us):
-                    next_us = end_us
+            ends_us = self.ejection_ends_us(self.buffer.event.class_index)
+            next_us = min([next_us, *ends_us] if next_us else ends_us, default=0)
         if next_us and (self.armed_us == 0 or next_us < self.armed_us):
             self.armed_us = next_us
             self.actions.append(api.SetTimer(next_us, 0))
 
+    def ejection_ends_us(self, class_index: int) -> list[int]:
+        """Return when the current ejections that apply to a class end."""
+        ends_us = [
+            max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
+            for upstream in self.membership.by_id.values()
+        ]
+        return [end_us for end_us in ends_us if end_us > self.now_us]
+
     def log(self, text: str) -> bool:
-        """Emit a log line unless one was emitted within `LOG_INTERVAL_US`. Returns whether it was; the caller
-        logs a change later if it lasts."""
+        """Emit a log line unless one was emitted within `LOG_INTERVAL_US`. Returns whether it was emitted; if
+        not, the caller logs the change later if it lasts."""
         if self.now_us < self.next_log_us:
             return False
         self.next_log_us = self.now_us + tuning.LOG_INTERVAL_US
         self.actions.append(api.Log(text))
         return True
 
+    def log_overload(self, overloaded: bool) -> None:
+        """Log that an overload of the sidecar has begun or ended."""
+        if overloaded == self.admission.overloaded:
+            return
+        if self.log("overload begins" if overloaded else "overload ends"):
+            self.admission.overloaded = overloaded
+
     def log_ejection(self, upstream: TrackedUpstream) -> None:
         """Log that an upstream is ejected or restored."""
-        ejected = upstream.concurrency.limit < (1.0 if upstream.logged_ejected else 0.25)
+        threshold = tuning.RESTORED_LIMIT if upstream.logged_ejected else tuning.EJECTED_LIMIT
+        ejected = upstream.concurrency.limit < threshold
         if ejected == upstream.logged_ejected:
             return
         if self.log(f"upstream {upstream.entry.id} {'ejected' if ejected else 'restored'}"):
--- a/ryepier/balancer/concurrency.py
+++ b/ryepier/balancer/concurrency.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ryepier.balancer.tuning import CONCURRENCY_GROWTH, MAX_CONCURRENCY, MIN_CONCURRENCY, TARGET_LOAD
+from ryepier.balancer import tuning
 
 
 @dataclass(slots=True)
@@ -13,14 +13,17 @@
     growing_fast: bool = False  # until its first slow answer or fault
 
     def update(self, load: float, faulty: bool, needed: bool) -> None:
-        """Adjust the limit after an attempt. `load` is its latency relative to the slow one; without a recent
-        shortage slots are not `needed`, and would choke the upstream in the next burst."""
+        """Adjust the limit after an attempt.
+
+        `load` is its latency relative to the slow one. Slots are `needed` if there was a shortage recently;
+        without one, a higher limit would choke the upstream in the next burst.
+        """
         # An expensive request is slow by itself: many answers count together, each for a little.
-        step = CONCURRENCY_GROWTH * (TARGET_LOAD - load) / max(self.limit, 1.0)
+        step = tuning.CONCURRENCY_GROWTH * (tuning.TARGET_LOAD - load) / max(self.limit, 1.0)
         self.growing_fast = self.growing_fast and step > 0.0 and not faulty
         if self.growing_fast:
             # At the usual growth a sidecar that starts in a busy hour would reject a third of its requests.
-            step = 1.0 - load / TARGET_LOAD
+            step = 1.0 - load / tuning.TARGET_LOAD
         if faulty:
             # An upstream that fails at once frees its slots at once and would be selected ever more often.
             self.limit /= 2
@@ -29,4 +32,4 @@
             self.limit = max(self.limit * (1.0 + step), min(self.limit, 1.0))
         elif self.limit < 1.0 or needed:
             self.limit += min(self.limit, step)
-        self.limit = min(max(self.limit, MIN_CONCURRENCY), float(MAX_CONCURRENCY))
+        self.limit = min(max(self.limit, tuning.MIN_CONCURRENCY), float(tuning.MAX_CONCURRENCY))
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -1,4 +1,4 @@
-"""Polling of the endpoint list: when the next poll is due (rule 3)."""
+"""Polling: when the endpoint list is polled next (rule 3)."""
 
 from random import Random
 
@@ -14,12 +14,13 @@
         self.instances = settings.instances
         self.random = random
         max_interval_us = settings.max_poll_interval_us // 2 or tuning.MAX_LIST_STALENESS_US
-        # the longest time from the start of a poll, or the last contact of a watch, to the next poll
-        self.max_gap_us = min(tuning.MAX_LIST_STALENESS_US - tuning.MAX_POLL_DURATION_US, max_interval_us)
-        self.next_poll_us = 0  # 0: none is due, as a watch is open
+        latest_start_us = tuning.MAX_LIST_STALENESS_US - tuning.MAX_POLL_DURATION_US
+        # from the start of a poll, or the last contact of a watch, to the next poll
+        self.max_gap_us = min(latest_start_us, max_interval_us)
+        self.next_poll_us = 0  # 0 = none is due, as a watch is open
         self.last_contact_us: int | None = None  # before polls failed or the watch broke; None while it holds
         self.failures = 0  # in a row
-        self.spread_us = 0  # over how long the next poll was last drawn; 0: not since the last list
+        self.spread_us = 0  # the span over which the next poll was last drawn; 0 = not since the last list
 
     def on_list(self) -> None:
         """Record that a current list has arrived."""
@@ -39,10 +40,13 @@
         return now_us + self.max_gap_us
 
     def _backoff_until_us(self, now_us: int, last_contact_us: int) -> int:
-        """Full jitter over a span that grows with the fleet and doubles with each failure: all sidecars fail
-        together, and discovery serves few polls at once. It counts from the start of the failed poll, as that
-        may be given up late. Once polls are spread over half the longest gap they keep their places; drawn
-        anew, they would come twice as often, most of them soon after a recovery."""
+        """Return when to poll after a failure: full jitter over a span that doubles with each failure.
+
+        All sidecars fail together, and discovery serves few polls at once, so the span grows with the fleet.
+        It ends a fixed time after the start of the failed poll, which may have been abandoned late. Once
+        polls are spread over half the longest gap they keep their places: drawn anew, they would come twice
+        as often, most of them soon after a recovery.
+        """
         latest_us = max(now_us, last_contact_us + self.max_gap_us)
         if self.spread_us >= self.max_gap_us // 2:
             return latest_us
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -1,4 +1,4 @@
-"""What an ended attempt shows of its upstream and of the pool."""
+"""Feedback: what an ended attempt shows of its upstream and of the pool."""
 
 from dataclasses import dataclass
 
@@ -21,41 +21,57 @@
     membership: Membership
 
     def observe(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
-        """Free the slot of an attempt and learn from it; `slots_needed` if it was sent in a shortage. Returns
-        whether the upstream's limit was adapted."""
+        """Free the slot of an attempt and update the measurements with it; `slots_needed` if it was sent in a
+        shortage. Returns whether the upstream's limit was adapted."""
         upstream = attempt.upstream
         upstream.in_flight -= int(not attempt.presumed_lost)
         earlier = upstream.outstanding[: upstream.outstanding.index(attempt)]
         upstream.outstanding.remove(attempt)
+        is_answered = attempt.outcome in ANSWERED
         timed_out = attempt.outcome is Outcome.TIMEOUT
-        # Judged by what others overtook, one that leaves some requests unanswered would lose its slots.
-        lost = timed_out and (attempt.presumed_lost or attempt.overtaken > 0)
-        counts = not lost and not self.outliers.rejected_with_headroom(attempt, elapsed_us)
-        adapted = counts and self._adapt(attempt, elapsed_us, slots_needed, now_us)
-        if attempt.outcome in ANSWERED:
+        # Judged by attempts that others overtook, an upstream that leaves some unanswered would lose its
+        # slots.
+        is_lost = timed_out and (attempt.presumed_lost or attempt.overtaken > 0)
+        adapted = False
+        if not is_lost and not self.outliers.rejected_with_headroom(attempt, elapsed_us):
+            adapted = self._adapt(attempt, elapsed_us, slots_needed, now_us)
+        if is_answered:
             self.outliers.on_answer(attempt, earlier)
-        if attempt.outcome in ANSWERED or (timed_out and not lost):
+        if is_answered or (timed_out and not is_lost):
             self.estimates.observe_latency(attempt.class_index, elapsed_us)
         return adapted
 
     def _adapt(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
-        upstream, index = attempt.upstream, attempt.class_index
+        """Adapt the limits to an attempt, unless it is a tolerated fault. Returns whether they were
+        adapted."""
+        upstream = attempt.upstream
         pool = self.membership.pool_of(upstream)
         verdict = self.outliers.observe_fault(attempt)
         if verdict is FaultVerdict.TOLERATED:
             return False
-        faulty, answered = verdict is FaultVerdict.FAULTY, attempt.outcome in ANSWERED
-        max_load, max_ratio = tuning.MAX_LOAD, tuning.MAX_LATENCY_RATIO
-        load = min(max_load, elapsed_us / self.estimates.slow_us[index]) if answered else max_load
-        ratio = max_ratio if faulty else elapsed_us / self.estimates.mean_latency_us[index]
-        ratio = min(max(ratio, 0.1), max_ratio)
+        is_faulty = verdict is FaultVerdict.FAULTY
+        load = self._load_of(attempt, elapsed_us)
+        ratio = self._latency_ratio_of(attempt, elapsed_us, is_faulty)
         upstream.latency_ratio += (ratio - upstream.latency_ratio) / tuning.LATENCY_RATIO_MEMORY
         if pool.slow_start.is_warming(upstream.entry, now_us):
             pool.slow_start.adapt_overcommit(load)
-        # An expensive request times out wherever it goes; each retry would count as one more slow answer.
+        # An expensive request times out wherever it is sent; each retry would count as one more slow answer.
         elif not attempt.follows_timeout and attempt.outcome in SHOWS_LOAD:
             pool.admission.observe(load)
-        upstream.concurrency.update(load, faulty, slots_needed)
+        upstream.concurrency.update(load, is_faulty, slots_needed)
         if upstream.concurrency.limit < 1.0:
-            self.outliers.eject(upstream, index, elapsed_us, now_us)
+            self.outliers.eject(upstream, attempt.class_index, elapsed_us, now_us)
         return True
+
+    def _load_of(self, attempt: Attempt, elapsed_us: int) -> float:
+        """Return an attempt's latency relative to the slow one, at most `MAX_LOAD`."""
+        if attempt.outcome not in ANSWERED:
+            return tuning.MAX_LOAD
+        return min(tuning.MAX_LOAD, elapsed_us / self.estimates.slow_us[attempt.class_index])
+
+    def _latency_ratio_of(self, attempt: Attempt, elapsed_us: int, is_faulty: bool) -> float:
+        """Return an attempt's latency relative to the mean of its class, within bounds."""
+        if is_faulty:
+            return tuning.MAX_LATENCY_RATIO
+        ratio = elapsed_us / self.estimates.mean_latency_us[attempt.class_index]
+        return min(max(ratio, tuning.MIN_LATENCY_RATIO), tuning.MAX_LATENCY_RATIO)
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -1,4 +1,4 @@
-"""Which upstreams are listed and ready, and what the plan advises on them."""
+"""Membership: the upstreams that are listed and ready, with the plan's advice on them."""
 
 from random import Random
 
@@ -39,46 +39,60 @@
             self.by_id = {
                 entry.id: self.by_id[entry.id] for entry in event.upstreams if entry.id in self.by_id
             }
-        started = []
-        for entry in event.upstreams:
-            if entry.state is not UpstreamState.READY:
-                self.by_id.pop(entry.id, None)  # rule 3: nothing new from the moment of the notification
-                continue
-            upstream = self.by_id.get(entry.id)
-            if upstream is None or upstream.entry.started_us != entry.started_us:
-                upstream = self._add(entry)
-                started.append(upstream)
-            upstream.concurrency.growing_fast |= event.kind is ListKind.CACHED
-            upstream.entry = entry
+        started = self._apply_entries(event)
         for upstream in started:
             if self.pool_of(upstream).slow_start.is_warming(upstream.entry, now_us):
-                # All sidecars learn of it within moments: no burst of first attempts.
+                # All sidecars are notified of it within moments, and must not try it in one burst.
                 upstream.slow_start_credit = -self.random.random()
         removed: list[TrackedUpstream] = []
         for pool in self.pools:
             removed += self.refresh_warming(pool, now_us)
             members = pool.subset.members
-            pool.subset.members = {up: None for up in members if self.by_id.get(up.entry.id) is up}
+            pool.subset.members = {upstream: None for upstream in members if self._is_listed(upstream)}
             started_in_pool = [upstream for upstream in started if self.pool_of(upstream) is pool]
             warm = [up for up in started_in_pool if not pool.slow_start.is_warming(up.entry, now_us)]
             removed += self._offer_places(pool, warm)
         self._count_planned_ejections()
         return removed
 
+    def _apply_entries(self, event: UpstreamsUpdated) -> list[TrackedUpstream]:
+        """Add, update and remove the upstreams of an event. Returns those that are new or have restarted."""
+        started = []
+        for entry in event.upstreams:
+            if entry.state is not UpstreamState.READY:
+                self.by_id.pop(entry.id, None)  # rule 3: no new request from the moment of the notification
+                continue
+            upstream = self.by_id.get(entry.id)
+            if upstream is None or upstream.entry.started_us != entry.started_us:
+                upstream = self._add(entry)
+                started.append(upstream)
+            upstream.concurrency.growing_fast |= event.kind is ListKind.CACHED
+            upstream.entry = entry
+        return started
+
+    def _is_listed(self, upstream: TrackedUpstream) -> bool:
+        """Return whether an upstream is listed and has not been replaced by a restarted one."""
+        return self.by_id.get(upstream.entry.id) is upstream
+
     def refresh_warming(self, pool: UpstreamPool, now_us: int) -> list[TrackedUpstream]:
-        """Find a pool's warming upstreams; warm ones may join the subset. Returns those that have left it."""
-        return self._offer_places(pool, pool.slow_start.refresh(self.in_pool(pool), now_us))
+        """Find a pool's warming upstreams, and let those that have become warm join its subset. Returns the
+        upstreams that have left it."""
+        warmed = pool.slow_start.refresh(self.in_pool(pool), now_us)
+        return self._offer_places(pool, warmed)
 
     def apply_plan(self, event: PlanUpdated) -> None:
-        """Replace the plan's advice, for listed upstreams only: it brings back none that was removed."""
+        """Replace the plan's advice on the listed upstreams; a plan can't bring back one that was removed."""
         advice = {one.upstream: one for one in event.advice}
         for upstream_id, upstream in self.by_id.items():
             upstream.advice = advice.get(upstream_id) or Advice(upstream_id)
         self._count_planned_ejections()
 
     def _add(self, entry: Upstream) -> TrackedUpstream:
-        """Add an upstream that is new or has restarted, without measurements: the former process's faults
-        would keep the new one ejected. The plan's advice is about the machine and stays."""
+        """Add an upstream that is new or has restarted.
+
+        It starts without measurements, as the faults of the former process would keep the new one ejected.
+        The plan's advice concerns the machine and stays.
+        """
         in_other_zone = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
         pool_index = REMOTE_POOL if in_other_zone else LOCAL_POOL
         former = self.by_id.get(entry.id)
@@ -88,7 +102,9 @@
         return self.by_id[entry.id]
 
     def _offer_places(self, pool: UpstreamPool, newcomers: list[TrackedUpstream]) -> list[TrackedUpstream]:
-        newcomers = [upstream for upstream in newcomers if self.by_id.get(upstream.entry.id) is upstream]
+        """Offer places in a pool's subset to those newcomers that are still listed. Returns the upstreams
+        that have left it."""
+        newcomers = [upstream for upstream in newcomers if self._is_listed(upstream)]
         if not newcomers:
             return []
         wanted = pool.subset.wanted_size(pool.admission.send_rate)
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: faults, timeout streaks and rejected classes, and the ejections that follow."""
+"""Outlier detection: upstreams that fail, hang or reject a class, and their ejection."""
 
 import enum
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 from ryepier.balancer.events import Outcome
 from ryepier.balancer.membership import Membership
 from ryepier.balancer.settings import Settings
-from ryepier.balancer.upstream import ANSWERED, FAULTS, Attempt, TrackedUpstream
+from ryepier.balancer.upstream import ANSWERED, FAULTS, Attempt, ClassHealth, TrackedUpstream
 
 
 class FaultVerdict(enum.Enum):
@@ -29,18 +29,22 @@
     estimates: RequestEstimates
     membership: Membership
     random: Random
-    last_ejection_us: int = 0  # until when an upstream is ejected for a class, at most
+    last_ejection_ends_us: int = 0  # the latest end of an ejection for a class
 
     def observe_fault(self, attempt: Attempt) -> FaultVerdict:
-        """Count whether an attempt failed at once or had a malformed response. One such fault may strike all
-        upstreams alike, and must not eject them; only a rejection shows the upstream's own state at once."""
-        upstream, outcome = attempt.upstream, attempt.outcome
+        """Count whether an attempt failed at once or had a malformed response.
+
+        Such a fault may strike all upstreams alike, and must not eject them. Only a rejection shows the state
+        of the upstream itself at once.
+        """
+        upstream = attempt.upstream
+        outcome = attempt.outcome
         pool = self.membership.pool_of(upstream)
         is_fault = outcome in FAULTS
         upstream.fault_share += (float(is_fault) - upstream.fault_share) / tuning.FAULT_MEMORY
         pool.fault_share += (float(is_fault) - pool.fault_share) / tuning.POOL_FAULT_MEMORY
-        allowance = min(tuning.POOL_FAULT_FACTOR * pool.fault_share, tuning.MAX_POOL_FAULT_ALLOWANCE)
-        exceeds_chance = is_fault and upstream.fault_share > tuning.MAX_FAULT_SHARE + allowance
+        pool_allowance = min(tuning.POOL_FAULT_FACTOR * pool.fault_share, tuning.MAX_POOL_FAULT_ALLOWANCE)
+        exceeds_chance = is_fault and upstream.fault_share > tuning.MAX_FAULT_SHARE + pool_allowance
         if outcome is Outcome.REJECTED or exceeds_chance:
             return FaultVerdict.FAULTY
         if is_fault and outcome is not Outcome.MALFORMED_RESPONSE:
@@ -51,51 +55,71 @@
         """Eject an upstream whose limit is below one slot, until its next attempt is due."""
         slow_us = self.estimates.slow_us[class_index]
         # Beside answers of seconds, short ejections would leave a choked upstream crowded.
-        usual_us = min(self.estimates.mean_latency_us[class_index], slow_us)
-        busy_us = max(usual_us, min(elapsed_us, 2 * slow_us))
-        ejection_us = busy_us * (1.0 / upstream.concurrency.limit - 1.0) * (0.5 + self.random.random())
+        mean_us = min(self.estimates.mean_latency_us[class_index], slow_us)
+        latency_us = max(mean_us, min(elapsed_us, 2 * slow_us))
+        latencies = 1.0 / upstream.concurrency.limit - 1.0
+        ejection_us = latency_us * latencies * self._jitter()
         upstream.ejected_until_us = now_us + int(ejection_us)
 
+    def _jitter(self) -> float:
+        """Return a random factor from 0.5 to 1.5: the sidecars must not try an ejected upstream together."""
+        return 0.5 + self.random.random()
+
     def on_overdue(self, attempt: Attempt, now_us: int) -> None:
-        """Count an attempt that is unanswered after its latency objective: any earlier, attempts that an
-        overload slows down would be presumed lost.
+        """Count an attempt that is unanswered after its latency objective.
+
+        Any earlier, attempts that an overload slows down would be presumed lost. An upstream may leave some
+        requests unanswered for ever, or all of a class, and serve the others well. So it is selected less for
+        that class, and ejected for it after several in a row.
 
-        An upstream may leave some requests unanswered for ever, or all of a class, and serve the others well.
-        So it is selected less for that class, and ejected for it after several in a row. Known limit: a class
-        that is slow and rare by nature also moves to other upstreams after late answers.
+        Known limit: a class that is slow and rare by nature also moves to other upstreams after late answers.
         """
-        index, request_class = attempt.class_index, self.settings.classes[attempt.class_index]
+        request_class = self.settings.classes[attempt.class_index]
         if attempt.outcome is not None or request_class.stream:
             return
         attempt.overdue = True
-        health = attempt.upstream.by_class[index]
+        health = attempt.upstream.by_class[attempt.class_index]
         health.unanswered_share += (1.0 - health.unanswered_share) / tuning.UNANSWERED_MEMORY
         if not attempt.overtaken_in_class:
-            health.timeout_streak = min(health.timeout_streak + 1, tuning.MAX_TIMEOUT_STREAK)
-            if health.timeout_streak >= tuning.EJECTION_TIMEOUT_STREAK:
-                usual_us = request_class.latency_objective_us * (0.5 + self.random.random())
-                ejection_us = int(usual_us * 2 ** (health.timeout_streak - 1))
-                health.ejected_until_us = now_us + ejection_us
-                self.last_ejection_us = max(self.last_ejection_us, health.ejected_until_us)
+            self._extend_timeout_streak(health, request_class.latency_objective_us, now_us)
         self.presume_lost(attempt)
 
+    def _extend_timeout_streak(self, health: ClassHealth, latency_objective_us: int, now_us: int) -> None:
+        """Count one more unanswered attempt in a row; a long streak ejects the upstream for the class."""
+        health.timeout_streak = min(health.timeout_streak + 1, tuning.MAX_TIMEOUT_STREAK)
+        if health.timeout_streak < tuning.EJECTION_TIMEOUT_STREAK:
+            return
+        first_ejection_us = latency_objective_us * self._jitter()
+        ejection_us = int(first_ejection_us * 2 ** (health.timeout_streak - 1))
+        health.ejected_until_us = now_us + ejection_us
+        self.last_ejection_ends_us = max(self.last_ejection_ends_us, health.ejected_until_us)
+
     def presume_lost(self, attempt: Attempt) -> None:
         """Free the slot of an overdue attempt if it is presumed lost.
 
         Otherwise requests that are never answered would hold all slots. The attempt stays in flight, as its
-        answer may still be of use. It is presumed lost if its upstream has answered enough later attempts;
-        as nothing overtakes what holds the only slot, one per upstream also while the pool answers fast.
+        answer may still be of use. It is presumed lost if its upstream has answered enough later attempts. As
+        nothing overtakes what holds the only slot, one attempt per upstream is also presumed lost while the
+        pool answers fast.
+
         Known limit: an upstream that serves by priority may still work on it, and gets up to twice the slots.
         """
         upstream = attempt.upstream
-        proven = attempt.overtaken >= tuning.LOST_ATTEMPT_OVERTAKES
         lost = [other for other in upstream.outstanding if other.presumed_lost]
+        max_lost = max(1, int(upstream.concurrency.limit))
+        if not attempt.overdue or len(lost) >= max_lost:
+            return
         pool_is_fast = self.membership.pool_of(upstream).admission.load < tuning.TARGET_LOAD
-        suspected = pool_is_fast and all(other.overtaken >= tuning.LOST_ATTEMPT_OVERTAKES for other in lost)
-        if attempt.overdue and (proven or suspected) and len(lost) < max(1, int(upstream.concurrency.limit)):
+        may_be_lost = pool_is_fast and all(map(self._is_overtaken, lost))
+        if self._is_overtaken(attempt) or may_be_lost:
             attempt.presumed_lost = True
             upstream.in_flight -= 1
 
+    @staticmethod
+    def _is_overtaken(attempt: Attempt) -> bool:
+        """Return whether so many later attempts were answered that this one is lost rather than queued."""
+        return attempt.overtaken >= tuning.LOST_ATTEMPT_OVERTAKES
+
     def on_answer(self, attempt: Attempt, earlier: Iterable[Attempt]) -> None:
         """Record that an attempt was answered before the `earlier` ones at the same upstream."""
         index = attempt.class_index
@@ -109,31 +133,29 @@
                 self.presume_lost(other)
 
     def rejected_with_headroom(self, attempt: Attempt, elapsed_us: int) -> bool:
-        """Return whether an attempt was rejected by an upstream whose queue is not full.
+        """Record an ended attempt. Returns whether it was rejected by an upstream whose queue is not full.
 
         What a full upstream accepts waits in its queue, so its answers are slow. One that rejects a class
         and answers the others quickly has headroom: it keeps its slots, and only the class is selected less.
         One that rejects more than it answers quickly counts as full.
         """
-        upstream, health = attempt.upstream, attempt.upstream.by_class[attempt.class_index]
+        upstream = attempt.upstream
+        health = upstream.by_class[attempt.class_index]
         if attempt.outcome in ANSWERED:
-            quick = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_us[attempt.class_index]
-            headroom = upstream.queue_headroom
-            upstream.queue_headroom = (
-                min(headroom + 1, tuning.MAX_QUEUE_HEADROOM) if quick else max(headroom - 1, 0)
-            )
+            is_quick = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_us[attempt.class_index]
+            headroom = upstream.queue_headroom + (1 if is_quick else -1)
+            upstream.queue_headroom = min(max(headroom, 0), tuning.MAX_QUEUE_HEADROOM)
             health.rejection_share -= health.rejection_share / tuning.FAULT_MEMORY
         if attempt.outcome is not Outcome.REJECTED:
             return False
         health.rejection_share += (1.0 - health.rejection_share) / tuning.FAULT_MEMORY
-        upstream.queue_headroom -= 1
-        has_headroom = upstream.queue_headroom >= 0
-        upstream.queue_headroom = max(upstream.queue_headroom, 0)
+        has_headroom = upstream.queue_headroom > 0
+        upstream.queue_headroom = max(upstream.queue_headroom - 1, 0)
         return has_headroom
 
     def class_ejections_apply(self, listed: Iterable[TrackedUpstream], index: int, now_us: int) -> bool:
         """Return whether ejections for a class apply: not if most upstreams would be ejected."""
-        if now_us >= self.last_ejection_us:
+        if now_us >= self.last_ejection_ends_us:
             return True
         ejected = [now_us < upstream.by_class[index].ejected_until_us for upstream in listed]
         return sum(ejected) <= tuning.MAX_EJECTED_SHARE * len(ejected)
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -1,4 +1,4 @@
-"""Rules for further attempts: idempotency, the retry budget, timeouts, hedging and Retry-After."""
+"""Retries: whether and when a request may have another attempt, or its client come back."""
 
 from dataclasses import dataclass
 from random import Random
@@ -30,17 +30,22 @@
             return False
         if request.in_flight() > 0 and not self.settings.hedging:
             return False
-        first, request_class = request.first_that_may_have_run(), request.request_class
+        request_class = request.request_class
+        first = request.first_that_may_have_run()
         if first is None or request_class.effect is Effect.IDEMPOTENT:
             return True
-        remembered = now_us - first.sent_us < request_class.idempotency_window_us
-        return request_class.effect is Effect.IDEMPOTENCY_KEY and remembered
+        if request_class.effect is Effect.NON_IDEMPOTENT:
+            return False
+        return now_us - first.sent_us < request_class.idempotency_window_us
 
     def bound_to(self, request: PendingRequest) -> Attempt | None:
         """Return the attempt in whose idempotency scope another one must stay, if any."""
-        first, request_class = request.first_that_may_have_run(), request.request_class
-        keyed = request_class.effect is Effect.IDEMPOTENCY_KEY
-        return first if keyed and request_class.idempotency_scope is not IdempotencyScope.ALL else None
+        request_class = request.request_class
+        if request_class.effect is not Effect.IDEMPOTENCY_KEY:
+            return None
+        if request_class.idempotency_scope is IdempotencyScope.ALL:
+            return None
+        return request.first_that_may_have_run()
 
     def in_scope(self, first: Attempt, upstream: TrackedUpstream) -> bool:
         """Return whether an upstream drops the repeats of an attempt."""
@@ -50,38 +55,49 @@
 
     def latest_write_us(self, request: PendingRequest) -> int:
         """Return the latest time (us) to write a repeat whose key is remembered; 0 if there is none."""
-        first, request_class = request.first_that_may_have_run(), request.request_class
+        request_class = request.request_class
+        first = request.first_that_may_have_run()
         if first is None or request_class.effect is not Effect.IDEMPOTENCY_KEY:
             return 0
         return first.sent_us + request_class.idempotency_window_us
 
     def may_reject(self, request: PendingRequest) -> bool:
         """Return whether the client may safely repeat a request that has had no successful response."""
-        effect, scope = request.request_class.effect, request.request_class.idempotency_scope
-        if effect is Effect.IDEMPOTENT or request.first_that_may_have_run() is None:
+        request_class = request.request_class
+        if request_class.effect is Effect.IDEMPOTENT or request.first_that_may_have_run() is None:
             return True
-        return effect is Effect.IDEMPOTENCY_KEY and scope is IdempotencyScope.ALL
+        if request_class.effect is Effect.NON_IDEMPOTENT:
+            return False
+        return request_class.idempotency_scope is IdempotencyScope.ALL
 
     def may_retry(self, request: PendingRequest, outcome: Outcome, now_us: int) -> bool:
         """Return whether a request may be retried; the budget bounds the load of retries in an outage."""
         return outcome in RETRIED and self.may_send(request, now_us) and self.budget >= 1.0
 
     def charge(self, request: PendingRequest, in_storm: bool) -> None:
-        """Count an attempt that is about to be sent: a first one earns part of a retry, unless it is a
-        client's own retry in a storm; a later one uses one."""
-        earned = tuning.RETRY_BUDGET_RATIO if not in_storm or request.event.retry_number == 0 else 0.0
-        self.budget = min(tuning.MAX_RETRY_BUDGET, self.budget + (earned if not request.attempts else -1.0))
+        """Count an attempt that is about to be sent.
+
+        A first one earns part of a retry, unless it is a client's own retry in a storm. A later one uses one.
+        """
+        is_client_retry = request.event.retry_number > 0
+        if request.attempts:
+            self.budget -= 1.0
+        elif not (in_storm and is_client_retry):
+            self.budget = min(tuning.MAX_RETRY_BUDGET, self.budget + tuning.RETRY_BUDGET_RATIO)
 
     def useful_until_us(self, request: PendingRequest) -> int:
         """Return the time (us) after which an answer has no value."""
         request_class = request.request_class
-        late = request_class.late_weight > 0
-        useful_us = request_class.deadline_us if late else request_class.latency_objective_us
+        late_has_value = request_class.late_weight > 0
+        useful_us = request_class.deadline_us if late_has_value else request_class.latency_objective_us
         return min(request.event.due_us, request.arrived_us + useful_us)
 
     def latest_start_us(self, request: PendingRequest) -> int:
-        """Return the latest time (us) to start an attempt whose answer can be expected in time. At most half
-        the latency objective is reserved: after an outage that raised the mean, nothing would be retried."""
+        """Return the latest time (us) to start an attempt whose answer can be expected in time.
+
+        At most half the latency objective is reserved for the answer. Otherwise nothing would be retried
+        after an outage that raised the mean.
+        """
         index = request.event.class_index
         answer_us = min(self.estimates.mean_latency_us[index], self.estimates.slow_us[index])
         return self.useful_until_us(request) - int(answer_us)
@@ -90,32 +106,37 @@
         """Return how long to wait for the next attempt (us): while its answer is useful, or, if a retry may
         follow, a multiple of the class's mean latency."""
         useful_us = max(1, self.useful_until_us(request) - now_us)
-        unsafe = request.request_class.effect is Effect.NON_IDEMPOTENT
-        if self.settings.hedging or unsafe or self.budget < 1:
+        is_unsafe = request.request_class.effect is Effect.NON_IDEMPOTENT
+        if self.settings.hedging or is_unsafe or self.budget < 1:
             return useful_us
-        index, hint_us = request.event.class_index, request.event.cost_us
-        usual_us = int(tuning.ATTEMPT_TIMEOUT_FACTOR * self.estimates.mean_latency_us[index])
-        return min(
-            useful_us, max(usual_us, self.estimates.slow_us[index], tuning.ATTEMPT_TIMEOUT_FACTOR * hint_us)
+        event = request.event
+        timeout_us = max(
+            int(tuning.ATTEMPT_TIMEOUT_FACTOR * self.estimates.mean_latency_us[event.class_index]),
+            self.estimates.slow_us[event.class_index],
+            tuning.ATTEMPT_TIMEOUT_FACTOR * event.cost_us,
         )
+        return min(useful_us, timeout_us)
 
     def hedge_delay_us(self, request: PendingRequest) -> int | None:
         """Return how long after an attempt to hedge it (us); None if the request must not be hedged."""
         if not self.settings.hedging or request.request_class.effect is Effect.NON_IDEMPOTENT:
             return None
         index = request.event.class_index
-        usual_us = int(tuning.HEDGE_DELAY_FACTOR * self.estimates.mean_latency_us[index])
-        return min(usual_us, self.estimates.slow_us[index])
+        delay_us = int(tuning.HEDGE_DELAY_FACTOR * self.estimates.mean_latency_us[index])
+        return min(delay_us, self.estimates.slow_us[index])
 
     def retry_after_us(self, request: PendingRequest, storm: RetryStormUpdated) -> int:
-        """Return how long a rejected client should stay away (us), spread in a retry storm."""
+        """Return how long a rejected client should wait before its retry (us); in a storm, spread over the
+        window for its retry."""
         max_us = self.settings.max_retry_after_us
         if not storm.active or not storm.retry_after_us:
             mean_us = self.estimates.mean_latency_us[request.event.class_index]
             return int(min(mean_us * (0.5 + self.random.random()), max_us))
-        window_us = storm.retry_after_us[min(request.event.retry_number, len(storm.retry_after_us) - 1)]
+        last_index = len(storm.retry_after_us) - 1
+        window_us = storm.retry_after_us[min(request.event.retry_number, last_index)]
         if storm.retry_after_in_seconds and max_us >= tuning.SECOND_US:
             # Rounded, all clients rejected within one second would return at the same moment.
             max_s = min(max_us, max(window_us, 2 * tuning.SECOND_US)) // tuning.SECOND_US
             return tuning.SECOND_US * self.random.randint(1, max_s)
-        return int(min(window_us * self.random.uniform(tuning.MIN_RETRY_AFTER_SHARE, 1), max_us))
+        wait_us = window_us * self.random.uniform(tuning.MIN_RETRY_AFTER_SHARE, 1)
+        return int(min(wait_us, max_us))
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -1,17 +1,17 @@
-"""Weighted random selection among the upstreams that have a free slot."""
+"""Selection: a weighted random choice among the upstreams that have a free slot."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from random import Random
 from typing import NamedTuple
 
+from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
 from ryepier.balancer.membership import Membership
 from ryepier.balancer.outlier_detection import OutlierDetector
 from ryepier.balancer.pool import UpstreamPool
 from ryepier.balancer.retries import RetryPolicy
-from ryepier.balancer.tuning import MAX_COST_WHILE_WARMING, REJECTION_TOLERANCE, UNANSWERED_TOLERANCE
-from ryepier.balancer.upstream import PendingRequest, TrackedUpstream
+from ryepier.balancer.upstream import ClassHealth, PendingRequest, TrackedUpstream
 
 
 class Candidate(NamedTuple):
@@ -32,8 +32,11 @@
     random: Random
 
     def select(self, request: PendingRequest, now_us: int) -> TrackedUpstream | None:
-        """Return an upstream with a free slot, at random, or None. The subset comes first, then any other; a
-        request goes to the other zones only if this one has no slot for it or does not admit it."""
+        """Return an upstream with a free slot, at random, or None.
+
+        The subset comes first, then any other upstream. A request goes to the other zones only if this one
+        has no slot for it or does not admit it.
+        """
         if not self.retries.may_send(request, now_us):
             return None
         listed = self.membership.by_id.values()
@@ -48,24 +51,29 @@
     def _candidates_of_pool(
         self, pool: UpstreamPool, request: PendingRequest, ejections_apply: bool, now_us: int
     ) -> list[Candidate]:
-        """Warming upstreams are candidates also outside the subset: one that no sidecar uses would be idle
-        while it warms up. Their share is small, limited by their credit, and all sidecars together have to
-        give it to them, so it is not thinned. An expensive request, however, would be the work of many."""
-        slow_start, subset = pool.slow_start, pool.subset.members
+        """Return the upstreams of a pool with a free slot for a request, as far as the pool admits it.
+
+        Warming upstreams are candidates also outside the subset, as one that no sidecar uses would be idle
+        while it warms up. Their traffic is limited by their credit, which all sidecars together have to use
+        up, so it is not subject to admission. An expensive request, however, would be the work of many.
+        """
+        slow_start = pool.slow_start
+        subset = pool.subset.members
         warming = {up: None for up in slow_start.warming if slow_start.is_warming(up.entry, now_us)}
-        too_expensive = self.estimates.relative_cost(request.event) > MAX_COST_WHILE_WARMING
-        barred = warming if too_expensive and len(warming) < len(self.membership.by_id) else {}
-        usable = [] if barred else [*warming]
+        is_expensive = self.estimates.relative_cost(request.event) > tuning.MAX_COST_WHILE_WARMING
+        all_are_warming = len(warming) >= len(self.membership.by_id)
+        excluded = warming if is_expensive and not all_are_warming else {}
+        usable_warming = [] if excluded else [*warming]
         if pool.admission.credit < 1.0:
-            return self.free_slots(request, usable, ejections_apply, now_us)
-        warm = [up for up in subset if up not in warming]
-        found = self.free_slots(request, [*warm, *usable], ejections_apply, now_us)
+            return self.free_slots(request, usable_warming, ejections_apply, now_us)
+        warm_members = [up for up in subset if up not in warming]
+        found = self.free_slots(request, [*warm_members, *usable_warming], ejections_apply, now_us)
         if not found or len(subset) < pool.subset.wanted_size(pool.admission.send_rate):
             # Sidecars that are connected to every upstream would exhaust the upstreams' connections.
             others = [
-                up
-                for up in self.membership.by_id.values()
-                if self.membership.pool_of(up) is pool and up not in subset and up not in barred
+                upstream
+                for upstream in self.membership.in_pool(pool)
+                if upstream not in subset and upstream not in excluded
             ]
             found = self.free_slots(request, others, ejections_apply, now_us) or found
         return found
@@ -77,28 +85,37 @@
         ejections_apply: bool,
         now_us: int,
     ) -> list[Candidate]:
-        """Return the upstreams with a free slot for a request, weighted by their free slots, latency,
-        unanswered and rejected attempts, and the plan; if there are any, only those not tried before."""
-        index, bound = request.event.class_index, self.retries.bound_to(request)
+        """Return the upstreams with a free slot for a request, each with its weight; if there are any that
+        the request has not tried before, only those."""
+        class_index = request.event.class_index
+        bound = self.retries.bound_to(request)
         planned_ejections_apply = self.membership.planned_ejections_apply
         found = []
         for upstream in upstreams:
             slots = self.concurrency_limit(upstream, now_us) - upstream.in_flight
             if slots <= 0 or (bound is not None and not self.retries.in_scope(bound, upstream)):
                 continue
-            health, advice = upstream.by_class[index], upstream.advice
-            ejected = ejections_apply and now_us < health.ejected_until_us
-            if ejected or (planned_ejections_apply and advice.ejected):
+            health = upstream.by_class[class_index]
+            if ejections_apply and now_us < health.ejected_until_us:
                 continue
-            unanswered = 1.0 + health.unanswered_share / UNANSWERED_TOLERANCE
-            weight = slots / (upstream.latency_ratio * unanswered) ** 2
-            weight *= advice.weight
-            found.append(Candidate(upstream, weight / (1.0 + health.rejection_share / REJECTION_TOLERANCE)))
+            if planned_ejections_apply and upstream.advice.ejected:
+                continue
+            found.append(Candidate(upstream, self._weight(upstream, health, slots)))
         tried = [attempt.upstream for attempt in request.attempts]
         return [candidate for candidate in found if candidate.upstream not in tried] or found
 
+    @staticmethod
+    def _weight(upstream: TrackedUpstream, health: ClassHealth, slots: int) -> float:
+        """Return the weight of an upstream by its free slots, latency, unanswered and rejected attempts of
+        the class, and the plan."""
+        unanswered = 1.0 + health.unanswered_share / tuning.UNANSWERED_TOLERANCE
+        rejections = 1.0 + health.rejection_share / tuning.REJECTION_TOLERANCE
+        weight = slots / (upstream.latency_ratio * unanswered) ** 2
+        return weight * upstream.advice.weight / rejections
+
     def concurrency_limit(self, upstream: TrackedUpstream, now_us: int) -> int:
-        """Return an upstream's current limit, with ejection, slow start and the plan's cap applied."""
+        """Return how many attempts an upstream may have in flight now, with ejection, slow start and the
+        plan's cap applied."""
         if now_us < upstream.ejected_until_us:
             return 0
         limit = max(1, int(upstream.concurrency.limit))
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the warm-up progress of upstreams and the requests that they may get meanwhile (rule 4)."""
+"""Slow start: the requests that an upstream may get while it warms up (rule 4)."""
 
 import math
 
@@ -13,10 +13,11 @@
     """The warming upstreams of one pool, and the credit that they share.
 
     Credit grows with the throughput that this sidecar sees for a warm upstream of size 1, times an upstream's
-    share; over all sidecars that stays within what the pool serves, however high the demand. In a shortage
-    the usual throughput counts where it is higher: while many upstreams are warming, the few warm ones are
-    overloaded, and by what they serve then the others would stay unused. As a mean over time, its sum over
-    the sidecars does not exceed what a warm upstream has served.
+    share. Over all sidecars that stays within what the pool serves, however high the demand.
+
+    In a shortage the long-term throughput counts where it is higher. While many upstreams are warming, the
+    few warm ones are overloaded; by what they serve then, the others would stay unused. Being a mean over
+    time, the sum of it over the sidecars does not exceed what a warm upstream has served.
     """
 
     def __init__(self, settings: Settings, now_us: int) -> None:
@@ -24,17 +25,18 @@
         self.settings = settings
         self.warming: list[TrackedUpstream] = []
         self.warm_size = 0.0  # sizes of the other upstreams of the pool together
-        # answers per second, and a tenth of the requests admitted, for a warm upstream of size 1:
-        self.throughput = 0.0  # recently
+        # Throughputs are credited requests per second, for a warm upstream of size 1.
+        self.recent_throughput = 0.0
         self.long_term_throughput = 0.0  # over the time of a warm-up
         self.long_term_memory_us = max(settings.warm_up_us, tuning.RATE_MEMORY_US)
-        self.observed_share = 0.0  # share of that time that has been observed, smoothed alike
+        self.observed_share = 0.0  # of that time, smoothed like the throughput
         self.updated_us = now_us
         self.overcommit = 1.0  # multiple of the guaranteed capacity that warming upstreams get
 
     def progress(self, entry: Upstream, now_us: int) -> float:
         """Return the share of its capacity (0 to 1) that an upstream has by the slowest allowed warm-up."""
-        age_us, settings = now_us - entry.started_us, self.settings
+        settings = self.settings
+        age_us = now_us - entry.started_us
         if entry.started_us == 0 or age_us >= settings.warm_up_us:
             return 1.0
         initial = settings.initial_capacity_share
@@ -49,14 +51,16 @@
         return entry.weight if self.settings.weighted and 0.0 < entry.weight < math.inf else 1.0
 
     def share(self, upstream: TrackedUpstream, now_us: int) -> float:
-        """Return the share of a warm upstream's traffic (of size 1) that a warming one gets."""
-        return self.size(upstream.entry) * min(1.0, self.progress(upstream.entry, now_us) * self.overcommit)
+        """Return the traffic that a warming upstream gets, relative to a warm one of size 1."""
+        progress = self.progress(upstream.entry, now_us)
+        return self.size(upstream.entry) * min(1.0, progress * self.overcommit)
 
     def refresh(self, listed: list[TrackedUpstream], now_us: int) -> list[TrackedUpstream]:
         """Find the warming ones among the pool's upstreams. Returns those that have become warm."""
         warmed = [upstream for upstream in self.warming if not self.is_warming(upstream.entry, now_us)]
         self.warming = [upstream for upstream in listed if self.is_warming(upstream.entry, now_us)]
-        self.warm_size = sum(self.size(up.entry) for up in listed if not self.is_warming(up.entry, now_us))
+        warm = [upstream for upstream in listed if not self.is_warming(upstream.entry, now_us)]
+        self.warm_size = sum(self.size(upstream.entry) for upstream in warm)
         return warmed
 
     def is_outdated(self, now_us: int) -> bool:
@@ -65,23 +69,34 @@
 
     def add_credit(self, served: float, in_shortage: bool, now_us: int) -> None:
         """Share out the credit for `served` requests; `in_shortage` if requests recently found no slot."""
-        since_us, self.updated_us = now_us - self.updated_us, now_us
+        since_us = now_us - self.updated_us
+        self.updated_us = now_us
         shares = [self.share(upstream, now_us) for upstream in self.warming]
         throughput = served / max(self.warm_size + sum(shares), tuning.MIN_CONCURRENCY)
         credit = throughput
         if in_shortage:
-            usual = self.long_term_throughput / max(self.observed_share, tuning.MIN_OBSERVED_SHARE)
-            credit += since_us / tuning.SECOND_US * max(0.0, usual - self.throughput)
+            observed_share = max(self.observed_share, tuning.MIN_OBSERVED_SHARE)
+            missing_throughput = self.long_term_throughput / observed_share - self.recent_throughput
+            credit += since_us / tuning.SECOND_US * max(0.0, missing_throughput)
         for upstream, share in zip(self.warming, shares, strict=True):
             earned = min(upstream.slow_start_credit + credit * share, tuning.MAX_SLOW_START_CREDIT)
             upstream.slow_start_credit = max(upstream.slow_start_credit, earned)
+        self._observe_throughput(throughput, since_us)
+
+    def _observe_throughput(self, throughput: float, since_us: int) -> None:
+        """Update the averages with what was served since `since_us` ago."""
         memory_us = self.long_term_memory_us
-        self.throughput = decayed_rate(self.throughput, throughput, since_us, tuning.RATE_MEMORY_US)
+        self.recent_throughput = decayed_rate(
+            self.recent_throughput, throughput, since_us, tuning.RATE_MEMORY_US
+        )
         self.long_term_throughput = decayed_rate(self.long_term_throughput, throughput, since_us, memory_us)
         self.observed_share = 1.0 - (1.0 - self.observed_share) * math.exp(-since_us / memory_us)
 
     def adapt_overcommit(self, load: float) -> None:
-        """Adapt the overcommit to the load that an answer shows: most can do more than is guaranteed."""
+        """Adapt the overcommit to the load that an answer shows.
+
+        Most upstreams can do more than is guaranteed while they warm up.
+        """
         maximum = max(1.0, tuning.MAX_OVERCOMMIT_SHARE * self.settings.overload_factor)
         overcommit = self.overcommit * (1.0 + tuning.OVERCOMMIT_GAIN * (tuning.TARGET_LOAD - load))
-        self.overcommit = min(max(overcommit, 1.0 / tuning.WARMING_SAFETY_FACTOR), maximum)
+        self.overcommit = min(max(overcommit, tuning.MIN_OVERCOMMIT), maximum)
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -29,13 +29,14 @@
         self, newcomers: list[TrackedUpstream], listed: int, wanted: int, random: Random
     ) -> list[TrackedUpstream]:
         """Give newcomers, just listed or just warm, the chance of a place that they would have had from the
-        start (reservoir sampling among the `listed` upstreams). Returns the upstreams that have left.
+        start. Returns the upstreams that have left.
 
-        Each takes the place of a random member. A full subset would otherwise never take in an upstream that
-        returns; and one that stayed in each subset that used it while warming up would then be crowded.
+        This is reservoir sampling among the `listed` upstreams: a newcomer takes the place of a random
+        member. A full subset would otherwise never take in an upstream that returns. One that stayed in each
+        subset that used it while warming up would be crowded afterwards.
         """
         if not newcomers or not self.members:
-            return []  # nothing was sent yet: places are taken as selections need them
+            return []  # before the first attempt, places are taken as selections need them
         replaceable = [upstream for upstream in self.members if upstream not in newcomers]
         random.shuffle(replaceable)
         places = max(wanted, len(replaceable))
