--- a/ryepier/assembly/endpoint_slices.py
+++ b/ryepier/assembly/endpoint_slices.py
@@ -38,12 +38,12 @@
 
 def resolve_namespace(slices: EndpointSliceSettings) -> str:
     """Return the configured namespace, by default the pod's. Raises AccessError outside a pod."""
-    from ryepier.slices.api_client import POD, AccessError
+    from ryepier.slices.api_client import SERVICE_ACCOUNT_FOLDER, AccessError
 
     if slices.namespace:
         return slices.namespace
     try:
-        return (POD / "namespace").read_text(encoding="ascii").strip()
+        return (SERVICE_ACCOUNT_FOLDER / "namespace").read_text(encoding="ascii").strip()
     except OSError:
         raise AccessError("slices.namespace is not set, and this is no pod that would tell") from None
 
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -10,7 +10,7 @@
 from ryepier.conf import toml_schema
 
 ENVIRONMENT_PREFIX = "RYEPIER_"
-MOST_LINES_A_SECOND = 1000  # more would make the log the sidecar's main work
+MAX_LINES_PER_SECOND = 1000  # more would make the log the sidecar's main work
 
 
 class LoggingSettings(msgspec.Struct, kw_only=True, frozen=True):
@@ -18,7 +18,7 @@
 
     format: Literal["plain", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    lines_per_s: Annotated[int, msgspec.Meta(ge=1, le=MOST_LINES_A_SECOND)] = 5
+    lines_per_s: Annotated[int, msgspec.Meta(ge=1, le=MAX_LINES_PER_SECOND)] = 5
 
 
 Address = Annotated[str, msgspec.Meta(pattern=r"^[^:/\s]+:[0-9]{1,5}$")]  # host:port
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -20,7 +20,7 @@
 T = TypeVar("T", bound=msgspec.Struct)
 
 ENV_SEPARATOR = "__"  # between the parts of a key in the name of an environment variable
-CLOSE_ENOUGH = 0.6  # similarity from which a known key is offered for an unknown one: difflib's own default
+MIN_SIMILARITY = 0.6  # similarity from which a known key is offered for an unknown one: difflib's own default
 _TOML_PLACE = re.compile(r"\(at line (\d+), column \d+\)")
 
 
@@ -120,7 +120,7 @@
 
 
 def _suggestion(key: str, known: list[str]) -> str:
-    close = difflib.get_close_matches(key, known, n=1, cutoff=CLOSE_ENOUGH)
+    close = difflib.get_close_matches(key, known, n=1, cutoff=MIN_SIMILARITY)
     return f"; did you mean {close[0]!r}?" if close else f"; known here: {', '.join(sorted(known))}"
 
 
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -47,7 +47,7 @@
 )
 # headers of this connection, or written anew: class and key follow from the operation
 OWN_HEADERS = HOP_HEADERS | {b"content-type", b"content-encoding", b"x-request-id", b"x-class", b"idempotency-key"}
-NEW_IDENT_BYTES = 12  # of chance: no two requests of a fleet share one
+NEW_REQUEST_ID_BYTES = 12  # of chance: no two requests of a fleet share one
 
 
 class GraphqlRequestError(RequestError):
@@ -148,7 +148,7 @@
     @staticmethod
     def _request_id(found: dict[bytes, bytes]) -> bytes:
         """Return the client's request id, or a new one where it sent none. Raises RequestError."""
-        request_id = found.get(b"x-request-id") or os.urandom(NEW_IDENT_BYTES).hex().encode()
+        request_id = found.get(b"x-request-id") or os.urandom(NEW_REQUEST_ID_BYTES).hex().encode()
         if not IDENTIFIER.fullmatch(request_id):
             raise RequestError(400, "no X-Request-Id that can be used")
         return request_id
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -12,10 +12,10 @@
 
 from ryepier.balancer.interface import Effect
 from ryepier.graphql.document import Operation, RootField, is_reached, variable_value
-from ryepier.graphql.errors import GraphqlError, bad_request
+from ryepier.graphql.errors import GraphqlError, malformed_request
 
 BY_STRICTNESS = list(Effect)  # each stricter than the one before
-LONGEST_KEY = 128
+MAX_KEY_LENGTH = 128
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     for operation, given in operations:
         variables = {**operation.defaults, **given}
         if operation.kind == "subscription":
-            raise bad_request("subscriptions are not served here", "SUBSCRIPTIONS_NOT_SUPPORTED")
+            raise malformed_request("subscriptions are not served here", "SUBSCRIPTIONS_NOT_SUPPORTED")
         mutates |= operation.kind == "mutation"
         reached = [one for one in operation.fields if is_reached(one, variables)]
         found += [_field(table, operation.kind, one, variables) for one in reached]
@@ -137,7 +137,7 @@
 def _key(value: Any) -> str:
     """As a header can carry it; empty, which is no key, for whatever can't name one run beyond doubt."""
     text = str(value) if isinstance(value, str | int) and not isinstance(value, bool) else ""
-    return text if len(text) <= LONGEST_KEY and all("!" <= letter <= "~" for letter in text) else ""
+    return text if len(text) <= MAX_KEY_LENGTH and all("!" <= letter <= "~" for letter in text) else ""
 
 
 def reject_by_method(method: str, meant: Meaning) -> None:
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -29,13 +29,13 @@
 )
 from graphql import value_from_ast_untyped as read_value
 
-from ryepier.graphql.errors import bad_request
+from ryepier.graphql.errors import malformed_request
 
-MOST_TOKENS = 4_000
-MOST_DEPTH = 40
-MOST_ROOT_FIELDS = 200  # after fragments are put in: they multiply
-CACHED = 500  # documents; a service has some dozens
-CACHED_BYTES = 2_000_000  # of their texts together
+MAX_TOKENS = 4_000
+MAX_DEPTH = 40
+MAX_ROOT_FIELDS = 200  # after fragments are put in: they multiply
+MAX_CACHED_DOCUMENTS = 500  # documents; a service has some dozens
+MAX_CACHED_BYTES = 2_000_000  # of their texts together
 OPENING = frozenset((TokenKind.BRACE_L, TokenKind.BRACKET_L, TokenKind.PAREN_L))
 CLOSING = frozenset((TokenKind.BRACE_R, TokenKind.BRACKET_R, TokenKind.PAREN_R))
 
@@ -69,14 +69,14 @@
         """Return the operation that a server would execute. Raises GraphqlError."""
         if not name:
             if len(self.operations) != 1:
-                raise bad_request(
+                raise malformed_request(
                     "the document has several operations, and no operationName says which", "OPERATION_NAME"
                 )
             return self.operations[0]
         for operation in self.operations:
             if operation.name == name:
                 return operation
-        raise bad_request("the document has no operation of that name", "OPERATION_NAME")
+        raise malformed_request("the document has no operation of that name", "OPERATION_NAME")
 
 
 def check_bounds(text: str) -> None:
@@ -87,24 +87,26 @@
         while (kind := lexer.advance().kind) is not TokenKind.EOF:
             tokens += 1
             depth += (kind in OPENING) - (kind in CLOSING)
-            if tokens > MOST_TOKENS:
-                raise bad_request(f"the document has more than {MOST_TOKENS} tokens", "DOCUMENT_TOO_LARGE")
-            if depth > MOST_DEPTH:
-                raise bad_request(f"the document is nested more than {MOST_DEPTH} deep", "DOCUMENT_TOO_DEEP")
+            if tokens > MAX_TOKENS:
+                raise malformed_request(f"the document has more than {MAX_TOKENS} tokens", "DOCUMENT_TOO_LARGE")
+            if depth > MAX_DEPTH:
+                raise malformed_request(f"the document is nested more than {MAX_DEPTH} deep", "DOCUMENT_TOO_DEEP")
     except GraphQLError as error:
-        raise bad_request(f"not GraphQL: {error.message}", "GRAPHQL_PARSE_FAILED") from None
+        raise malformed_request(f"not GraphQL: {error.message}", "GRAPHQL_PARSE_FAILED") from None
 
 
 def read_document(text: str) -> Document:
     """Raises GraphqlError."""
     if text.startswith("\ufeff"):
         # the language allows a byte order mark, but not every server skips it: they would not see what is seen here
-        raise bad_request("the document begins with a byte order mark", "GRAPHQL_PARSE_FAILED")
+        raise malformed_request("the document begins with a byte order mark", "GRAPHQL_PARSE_FAILED")
     check_bounds(text)
     try:
         tree = parse(text, no_location=True)
     except (GraphQLError, RecursionError) as error:
-        raise bad_request(f"not GraphQL: {getattr(error, 'message', 'too deep')}", "GRAPHQL_PARSE_FAILED") from None
+        raise malformed_request(
+            f"not GraphQL: {getattr(error, 'message', 'too deep')}", "GRAPHQL_PARSE_FAILED"
+        ) from None
     return _Reader(tree).document()
 
 
@@ -115,18 +117,18 @@
         self.fragments: dict[str, FragmentDefinitionNode] = {}
         for node in others:
             if not isinstance(node, FragmentDefinitionNode):
-                raise bad_request("the document defines types, which is nothing to execute", "NOT_EXECUTABLE")
+                raise malformed_request("the document defines types, which is nothing to execute", "NOT_EXECUTABLE")
             if node.name.value in self.fragments:
-                raise bad_request(f"two fragments are called {node.name.value}", "GRAPHQL_VALIDATION_FAILED")
+                raise malformed_request(f"two fragments are called {node.name.value}", "GRAPHQL_VALIDATION_FAILED")
             self.fragments[node.name.value] = node
 
     def document(self) -> Document:
         if not self.operations:
-            raise bad_request("the document has no operation", "NOT_EXECUTABLE")
+            raise malformed_request("the document has no operation", "NOT_EXECUTABLE")
         names = [node.name.value if node.name else "" for node in self.operations]
         if len(set(names)) < len(names) or ("" in names and len(names) > 1):
             # servers differ in which of two they take
-            raise bad_request("operations of one document need names that differ", "GRAPHQL_VALIDATION_FAILED")
+            raise malformed_request("operations of one document need names that differ", "GRAPHQL_VALIDATION_FAILED")
         return Document(tuple(self.operation(node, name) for node, name in zip(self.operations, names, strict=True)))
 
     def operation(self, node: OperationDefinitionNode, name: str) -> Operation:
@@ -149,8 +151,8 @@
         for node in selected.selections:
             here = guards + tuple(one for one in node.directives or () if one.name.value in ("skip", "include"))
             if isinstance(node, FieldNode):
-                if len(fields) >= MOST_ROOT_FIELDS:
-                    raise bad_request(f"more than {MOST_ROOT_FIELDS} fields at the top", "DOCUMENT_TOO_LARGE")
+                if len(fields) >= MAX_ROOT_FIELDS:
+                    raise malformed_request(f"more than {MAX_ROOT_FIELDS} fields at the top", "DOCUMENT_TOO_LARGE")
                 fields.append(
                     RootField(node.name.value, {one.name.value: one.value for one in node.arguments or ()}, here)
                 )
@@ -161,9 +163,9 @@
                 continue
             name = node.name.value  # type: ignore[attr-defined]
             if name in within:
-                raise bad_request(f"fragment {name} holds itself", "GRAPHQL_VALIDATION_FAILED")
+                raise malformed_request(f"fragment {name} holds itself", "GRAPHQL_VALIDATION_FAILED")
             if name not in self.fragments:
-                raise bad_request(f"there is no fragment {name}", "GRAPHQL_VALIDATION_FAILED")
+                raise malformed_request(f"there is no fragment {name}", "GRAPHQL_VALIDATION_FAILED")
             self.collect(self.fragments[name].selection_set, here, within | {name}, fields)
 
 
@@ -171,8 +173,8 @@
 class Documents:
     """Cache of parsed documents by the hash of their text."""
 
-    max_documents: int = CACHED
-    max_bytes: int = CACHED_BYTES
+    max_documents: int = MAX_CACHED_DOCUMENTS
+    max_bytes: int = MAX_CACHED_BYTES
     known: OrderedDict[bytes, tuple[Document, int]] = field(default_factory=OrderedDict)
     size: int = 0
     misses: int = 0
@@ -182,7 +184,7 @@
         try:
             data = text.encode()
         except UnicodeEncodeError:
-            raise bad_request("the document holds half a character", "GRAPHQL_PARSE_FAILED") from None
+            raise malformed_request("the document holds half a character", "GRAPHQL_PARSE_FAILED") from None
         key = hashlib.blake2b(data, digest_size=16).digest()
         if key in self.known:
             self.known.move_to_end(key)
--- a/ryepier/graphql/errors.py
+++ b/ryepier/graphql/errors.py
@@ -17,6 +17,6 @@
         self.allow = allow
 
 
-def bad_request(text: str, code: str = "BAD_REQUEST") -> GraphqlError:
+def malformed_request(text: str, code: str = "BAD_REQUEST") -> GraphqlError:
     """Return an error with status 400."""
     return GraphqlError(400, code, text)
--- a/ryepier/graphql/persisted.py
+++ b/ryepier/graphql/persisted.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from ryepier.graphql.errors import GraphqlError, bad_request
+from ryepier.graphql.errors import GraphqlError, malformed_request
 
 MAX_QUERIES = 1_000
 MAX_BYTES = 4_000_000
@@ -31,7 +31,7 @@
             return text
         wanted = named.get("sha256Hash") if isinstance(named, Mapping) else None
         if not isinstance(wanted, str) or not isinstance(named, Mapping) or named.get("version") != VERSION:
-            raise bad_request("persistedQuery: expected version 1 and a sha256Hash")
+            raise malformed_request("persistedQuery: expected version 1 and a sha256Hash")
         if text is None:
             if wanted not in self.texts:
                 # the published answer, at which clients send hash and text together
@@ -39,7 +39,7 @@
             self.texts.move_to_end(wanted)
             return self.texts[wanted]
         if hashlib.sha256(text.encode(errors="surrogatepass")).hexdigest() != wanted:
-            raise bad_request("provided sha does not match query", "PERSISTED_QUERY_HASH_MISMATCH")
+            raise malformed_request("provided sha does not match query", "PERSISTED_QUERY_HASH_MISMATCH")
         return text
 
     def keep(self, text: str, extensions: Mapping[str, Any]) -> None:
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -14,12 +14,12 @@
 
 from ryepier.graphql.classify import Meaning, Table, meaning, reject_by_method
 from ryepier.graphql.document import Documents, Operation
-from ryepier.graphql.errors import GraphqlError, bad_request
+from ryepier.graphql.errors import GraphqlError, malformed_request
 from ryepier.graphql.persisted import Persisted
 
 KEYS = ("query", "operationName", "variables", "extensions")
 JSON_TYPE, RESPONSE_TYPE = "application/json", "application/graphql-response+json"
-MOST_BATCH = 20
+MAX_BATCH = 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,12 +76,12 @@
 def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) < len(pairs):
-        raise bad_request("a key stands twice in one object, and servers differ in which they take")
+        raise malformed_request("a key stands twice in one object, and servers differ in which they take")
     return found
 
 
 def _reject_constant(name: str) -> Any:
-    raise bad_request(f"{name} is no JSON")
+    raise malformed_request(f"{name} is no JSON")
 
 
 def read_json(data: bytes | str) -> Any:
@@ -90,28 +90,28 @@
         text = data.decode("utf-8") if isinstance(data, bytes) else data
         return json.loads(text, object_pairs_hook=_reject_duplicates, parse_constant=_reject_constant)
     except UnicodeDecodeError:
-        raise bad_request("the body is not UTF-8") from None
+        raise malformed_request("the body is not UTF-8") from None
     except (ValueError, RecursionError) as error:
-        raise bad_request(f"the body is not JSON: {error}") from None
+        raise malformed_request(f"the body is not JSON: {error}") from None
 
 
 def read_parameters(found: Any) -> Parameters:
     """One object as a request has it. Raises GraphqlError."""
     if not isinstance(found, dict):
-        raise bad_request("expected an object with a query")
+        raise malformed_request("expected an object with a query")
     for key in found:
         if key not in KEYS and key.lower() in (known.lower() for known in KEYS):
-            raise bad_request(f"{key!r}: a key in other letters, which some servers take for the same")
+            raise malformed_request(f"{key!r}: a key in other letters, which some servers take for the same")
     query, name = found.get("query"), found.get("operationName")
     if query is not None and not isinstance(query, str):
-        raise bad_request("query: expected a text")
+        raise malformed_request("query: expected a text")
     if name is not None and not isinstance(name, str):
-        raise bad_request("operationName: expected a text")
+        raise malformed_request("operationName: expected a text")
     objects = []
     for key in ("variables", "extensions"):
         value = found.get(key)
         if value is not None and not isinstance(value, dict):
-            raise bad_request(f"{key}: expected an object")
+            raise malformed_request(f"{key}: expected an object")
         objects.append(value or {})
     return Parameters(query, name, *objects)
 
@@ -121,7 +121,7 @@
     try:
         pairs = parse_qsl(query_string, keep_blank_values=True, strict_parsing=True, errors="strict", max_num_fields=50)
     except ValueError as error:
-        raise bad_request(f"the query string can't be read: {error}") from None
+        raise malformed_request(f"the query string can't be read: {error}") from None
     found: dict[str, Any] = {}
     for key, value in _reject_duplicates(pairs).items():
         found[key] = read_json(value) if key in ("variables", "extensions") and value else value
@@ -135,7 +135,7 @@
 class Reader:
     """Reads the requests of one front; keeps the documents that it has read."""
 
-    def __init__(self, table: Table, max_batch: int = MOST_BATCH) -> None:
+    def __init__(self, table: Table, max_batch: int = MAX_BATCH) -> None:
         """Start with empty caches."""
         self.table = table
         self.max_batch = max_batch
@@ -164,7 +164,7 @@
 
     def _batch(self, found: Sequence[Any], body: bytes) -> ParsedRequest:
         if not 0 < len(found) <= self.max_batch:
-            raise bad_request(f"a batch has 1 to {self.max_batch} operations, not {len(found)}", "BATCH_SIZE")
+            raise malformed_request(f"a batch has 1 to {self.max_batch} operations, not {len(found)}", "BATCH_SIZE")
         parts = [read_parameters(one) for one in found]
         read = [self._operation(part) for part in parts]
         meant = meaning(
@@ -184,7 +184,7 @@
     def _operation(self, parameters: Parameters) -> tuple[str, Operation]:
         text = self.persisted.resolve(parameters.query, parameters.extensions)
         if text is None:
-            raise bad_request("there is no query", "QUERY_MISSING")
+            raise malformed_request("there is no query", "QUERY_MISSING")
         operation = self.documents.read(text).choose(parameters.operation_name)
         self.persisted.keep(text, parameters.extensions)
         return text, operation
@@ -202,4 +202,4 @@
     try:
         return json.dumps(found, ensure_ascii=False, separators=(",", ":")).encode()
     except UnicodeEncodeError:
-        raise bad_request("half a character") from None
+        raise malformed_request("half a character") from None
--- a/ryepier/plan/evidence.py
+++ b/ryepier/plan/evidence.py
@@ -13,9 +13,9 @@
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterCounters, Report, Term
 
 RECENT_MEMORY_US = 2_000_000  # recent counts decay to a third within it
-ACTIVE_US = 3_000_000  # a forwarder without a report for longer does not count
+REPORT_TIMEOUT_US = 3_000_000  # a forwarder without a report for longer does not count
 EXPIRY_US = 60_000_000  # and is dropped after this, as are converters without attempts
-NEGLIGIBLE = 0.01
+MIN_COUNT = 0.01
 
 
 @dataclass(slots=True)
@@ -163,12 +163,14 @@
 
     def active(self, now_us: int) -> dict[str, ForwarderStats]:
         """Return the forwarders with recent reports, their recent counts decayed until now."""
-        found = {name: known for name, known in self.forwarders.items() if known.last_report_us > now_us - ACTIVE_US}
+        found = {
+            name: known for name, known in self.forwarders.items() if known.last_report_us > now_us - REPORT_TIMEOUT_US
+        }
         for known in found.values():
             for stats in known.converters.values():
                 at_us = stats.recent.at_us
                 stats.recent.fade(now_us)
-                if stats.recent.served + stats.recent.failed + stats.recent.rejected < NEGLIGIBLE:
+                if stats.recent.served + stats.recent.failed + stats.recent.rejected < MIN_COUNT:
                     stats.recent.at_us = at_us  # without new counts it goes on ageing
         return found
 
--- a/ryepier/plan/leadership.py
+++ b/ryepier/plan/leadership.py
@@ -12,8 +12,8 @@
 from ryepier.plan.evidence import ForwarderStats
 from ryepier.plan.messages import Heartbeat, Term
 
-SUSPECT_US = 1_000_000  # without a sign of the leader, four heartbeats: it counts as failed
-WITNESSES = 0.5  # share of the active forwarders that must follow its plans for it to count as alive
+LEADER_TIMEOUT_US = 1_000_000  # without a sign of the leader, four heartbeats: it counts as failed
+MIN_FOLLOWER_SHARE = 0.5  # share of the active forwarders that must follow its plans for it to count as alive
 
 
 @dataclass(slots=True)
@@ -55,14 +55,14 @@
         if self.is_leader:
             return True
         following = sum(
-            forwarder.term == self.highest_term and now_us - forwarder.plan_accepted_us < SUSPECT_US
+            forwarder.term == self.highest_term and now_us - forwarder.plan_accepted_us < LEADER_TIMEOUT_US
             for forwarder in forwarders.values()
         )
         # A partition between planners does not mean that the leader has failed, while forwarders follow it.
         other_may_lead = self.highest_term.epoch > 0 and self.highest_term.planner != self.name
-        if other_may_lead and forwarders and following >= WITNESSES * len(forwarders):
+        if other_may_lead and forwarders and following >= MIN_FOLLOWER_SHARE * len(forwarders):
             self.last_sign_us = max(self.last_sign_us, now_us)
-        if has_enough_evidence and now_us >= self.last_sign_us + SUSPECT_US * (1 + self.rank):
+        if has_enough_evidence and now_us >= self.last_sign_us + LEADER_TIMEOUT_US * (1 + self.rank):
             self.highest_term = Term(self.highest_term.epoch + 1, self.name)
             self.is_leader = True
         return self.is_leader
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -18,11 +18,11 @@
 FAILING_SHARE = 0.5  # of its recent attempts: below it, a part of the requests may fail by itself
 HEALTHY_SHARE = 0.25
 MIN_WITNESSES = 2  # forwarders that must have seen it: one alone may be broken itself
-WITNESS_FAILURES = 0.5  # recent failures from which a forwarder is a witness against a converter
+MIN_WITNESS_FAILURES = 0.5  # recent failures from which a forwarder is a witness against a converter
 MAX_REPORT_WEIGHT = 3.0  # attempts of one forwarder at one converter that count
 OUTLIER_SHARE = 0.5  # a forwarder with this share of failures, at converters healthy for others, is an outlier
-OUTLIER_CONVERTERS = 3
-TRIALS = 2  # forwarders that may try an ejected converter at a time: enough to see it recover
+MIN_OUTLIER_CONVERTERS = 3
+MAX_TRIAL_FORWARDERS = 2  # forwarders that may try an ejected converter at a time: enough to see it recover
 MIN_EJECTION_US = 1_000_000
 RECOVERY_STEP_US = 2_000_000
 RECOVERY_WEIGHTS = (0.25, 0.5)  # of its usual weight, one after the other
@@ -31,9 +31,9 @@
 VERY_SLOW_RATIO = 3.0  # from here on each forwarder sends one request at a time
 MIN_WEIGHT = 0.2
 OVERLOAD_REJECTIONS = 0.02  # share of arrivals rejected from which tenants' quotas matter
-VALID_MS = 2_000  # the time of four plans: a lost one costs nothing
-FADE_MS = 30_000  # a planner is restarted within this time
-EXPIRY_MEMORIES = 15  # times the memory of recent counts, until an unlisted converter's status is dropped
+PLAN_VALIDITY_MS = 2_000  # the time of four plans: a lost one costs nothing
+PLAN_FADE_MS = 30_000  # a planner is restarted within this time
+STATUS_EXPIRY_FACTOR = 15  # times the memory of recent counts, until an unlisted converter's status is dropped
 
 
 class ConverterState(enum.StrEnum):
@@ -134,7 +134,14 @@
         self._update_statuses(now_us, totals, basis)
         entries = self._entries(totals, len(active))
         return Plan(
-            term, number, basis, entries, VALID_MS, FADE_MS, self._tenant_weights(active), self._class_admission(active)
+            term,
+            number,
+            basis,
+            entries,
+            PLAN_VALIDITY_MS,
+            PLAN_FADE_MS,
+            self._tenant_weights(active),
+            self._class_admission(active),
         )
 
     def ejected(self) -> set[str]:
@@ -156,8 +163,8 @@
                     for index, count in enumerate(recent.latencies):
                         if count:
                             total.latencies[index] += count * weight
-                total.witnesses += recent.failed >= WITNESS_FAILURES
-                total.reporters += recent.served + recent.failed >= WITNESS_FAILURES
+                total.witnesses += recent.failed >= MIN_WITNESS_FAILURES
+                total.reporters += recent.served + recent.failed >= MIN_WITNESS_FAILURES
         return totals
 
     def _find_outlier_reporters(self, active: dict[str, ForwarderStats]) -> set[str]:
@@ -174,12 +181,12 @@
     @staticmethod
     def _is_outlier_reporter(forwarder: ForwarderStats, all_totals: dict[str, ConverterTotals]) -> bool:
         recent_by_uid = {uid: stats.recent for uid, stats in forwarder.converters.items()}
-        failing = {uid: recent for uid, recent in recent_by_uid.items() if recent.failed >= WITNESS_FAILURES}
+        failing = {uid: recent for uid, recent in recent_by_uid.items() if recent.failed >= MIN_WITNESS_FAILURES}
         own = ConverterTotals(
             sum(recent.served for recent in recent_by_uid.values()),
             sum(recent.failed for recent in recent_by_uid.values()),
         )
-        if len(failing) < OUTLIER_CONVERTERS or own.failure_share < OUTLIER_SHARE:
+        if len(failing) < MIN_OUTLIER_CONVERTERS or own.failure_share < OUTLIER_SHARE:
             return False
         others = ConverterTotals(
             sum(all_totals[uid].served - recent.served * report_weight(recent) for uid, recent in failing.items()),
@@ -200,7 +207,7 @@
         # If much of the fleet fails, it is the load or the network: ejections would overload the others.
         self.fleet_is_failing = len(self.ejected() | failing) > self.rules.max_ejected * max(1, basis.listed)
         for uid in list(self.statuses):
-            if uid not in totals and now_us > self.statuses[uid].since_us + EXPIRY_MEMORIES * RECENT_MEMORY_US:
+            if uid not in totals and now_us > self.statuses[uid].since_us + STATUS_EXPIRY_FACTOR * RECENT_MEMORY_US:
                 del self.statuses[uid]  # no forwarder lists it any more
         for uid, status in list(self.statuses.items()):
             if uid in failing:
@@ -228,7 +235,7 @@
         entries = self._slow_entries(totals)
         if self.fleet_is_failing:
             return entries
-        trial_share = min(1.0, TRIALS / max(1, forwarders))
+        trial_share = min(1.0, MAX_TRIAL_FORWARDERS / max(1, forwarders))
         for uid, status in self.statuses.items():
             total = totals.get(uid, ConverterTotals())
             if status.state is ConverterState.EJECTED:
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -29,9 +29,9 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.25  # of heartbeats and of the election
-PLAN_TICKS = 2  # between two plans
-SNAPSHOT_TICKS = 4
-EXPIRY_TICKS = 40
+TICKS_PER_PLAN = 2  # between two plans
+TICKS_PER_SNAPSHOT = 4
+TICKS_PER_EXPIRY = 40
 MAX_UNREAD_BYTES = 512 * 1024  # of one connection: it hangs, and would fill the memory
 HELLO_TIMEOUT_S = 3.0
 MIN_REPORT_INTERVAL_US = 100_000  # earlier reports are dropped: the next one has their counters
@@ -244,11 +244,11 @@
         heartbeat = encode(Heartbeat(self.leadership.highest_term, is_leader, len(active)))
         for link in list(self.links):
             link.write(heartbeat)
-        if is_leader or tick % PLAN_TICKS == 0:
-            self.publish_plan(now_us, due=tick % PLAN_TICKS == 0)
-        if tick % SNAPSHOT_TICKS == 0:
+        if is_leader or tick % TICKS_PER_PLAN == 0:
+            self.publish_plan(now_us, due=tick % TICKS_PER_PLAN == 0)
+        if tick % TICKS_PER_SNAPSHOT == 0:
             self.save()
-        if tick % EXPIRY_TICKS == 0:
+        if tick % TICKS_PER_EXPIRY == 0:
             self.evidence.expire(now_us)
 
     def publish_plan(self, now_us: int, due: bool) -> None:
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -30,7 +30,7 @@
 log = logging.getLogger(__name__)
 
 ANSWER_MARGIN_US = 10_000  # an answer is sent this long before the client's deadline, to arrive in time
-BACKSTOP_US = 5_000  # after the module's deadline for a request follows the dispatcher's own
+BACKSTOP_DELAY_US = 5_000  # after the module's deadline for a request follows the dispatcher's own
 
 
 class Timer(Protocol):
@@ -142,7 +142,7 @@
         request.due_us = min(due_us, self.shutdown_at_us) if self.shutdown_at_us else due_us
         opened = self.requests[self.last_ident] = OpenRequest(self.last_ident, request, reply)
         # Whatever becomes of the module's own timers, no client is left without an answer.
-        opened.timer = self._call_at(request.due_us + BACKSTOP_US, self._on_overdue, opened)
+        opened.timer = self._call_at(request.due_us + BACKSTOP_DELAY_US, self._on_overdue, opened)
         if self.observer is not None:
             self.observer.on_request(request.tenant, request.class_index)
         retry_number = self.retry_detector.retry_number(request) if self.retry_detector is not None else 0
--- a/ryepier/sidecar/graceful_shutdown.py
+++ b/ryepier/sidecar/graceful_shutdown.py
@@ -10,10 +10,10 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.system import clock_us
 
-ARRIVALS_S = 0.5  # after SIGTERM new connections arrive for up to 0.4 s
+ARRIVAL_WINDOW_S = 0.5  # after SIGTERM new connections arrive for up to 0.4 s
 # SIGKILL comes, at the soonest, this long after SIGTERM, or after the longest deadline where that is shorter, and
 MAX_COUNTED_DEADLINE_S = 3.0
-KILL_DELAY_S = 0.7  # this much later
+MIN_KILL_DELAY_S = 0.7  # this much later
 KILL_MARGIN_S = 0.1  # the last answers are sent this long before it
 POLL_INTERVAL_S = 0.01
 
@@ -23,10 +23,10 @@
     request open, has lost it."""
     loop = asyncio.get_running_loop()
     max_deadline_s = max(request_class.deadline_us for request_class in dispatcher.settings.classes) / 1e6
-    remaining_s = min(max_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S - KILL_MARGIN_S
+    remaining_s = min(max_deadline_s, MAX_COUNTED_DEADLINE_S) + MIN_KILL_DELAY_S - KILL_MARGIN_S
     last_at = loop.time() + remaining_s
     dispatcher.set_shutdown_time(clock_us() + int(1e6 * remaining_s))
-    listening_until = loop.time() + ARRIVALS_S
+    listening_until = loop.time() + ARRIVAL_WINDOW_S
     while loop.time() < listening_until:
         await close_idle(front_ends)
     for front_end in front_ends:
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_REQUEST_S = 0.25  # a client that connects sends its request at once; later none is on its way
+FIRST_REQUEST_GRACE_S = 0.25  # a client that connects sends its request at once; later none is on its way
 SWEEP_INTERVAL_S = 0.1
 LISTEN_BACKLOG = 1024
 ACCEPTS_PER_TURN = 16  # hundreds of new connections in one turn would delay the open ones
@@ -39,10 +39,10 @@
 # new connections wait in the listener's queue.
 EVICTIONS = (
     Eviction(ClientState.CLOSING, 0.0, partial=False),
-    Eviction(ClientState.NEW, FIRST_REQUEST_S, partial=False),
+    Eviction(ClientState.NEW, FIRST_REQUEST_GRACE_S, partial=False),
     Eviction(ClientState.IDLE, 2.0, partial=False),
-    Eviction(ClientState.NEW, FIRST_REQUEST_S, partial=True),
-    Eviction(ClientState.READING, FIRST_REQUEST_S, partial=True),
+    Eviction(ClientState.NEW, FIRST_REQUEST_GRACE_S, partial=True),
+    Eviction(ClientState.READING, FIRST_REQUEST_GRACE_S, partial=True),
     Eviction(ClientState.IDLE, 0.0, partial=False),
 )
 
@@ -206,7 +206,7 @@
         """Let each response from now on be the last of its connection, and close idle connections, but for those whose
         first request may be on its way."""
         self.is_stopping = True
-        first_request_by = system.monotonic() - FIRST_REQUEST_S
+        first_request_by = system.monotonic() - FIRST_REQUEST_GRACE_S
         for state in (ClientState.IDLE, ClientState.NEW):
             for client in list(self.clients[state]):
                 awaits_request = state is ClientState.NEW and client.state_since > first_request_by
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -28,7 +28,7 @@
 MAX_PAGE_BYTES = 32 * 1024 * 1024
 MAX_ERROR_BYTES = 64 * 1024
 KEEPALIVE_S = (5, 2, 3)  # idle, between probes, probes: an unreachable machine is noticed after 11 s
-POD = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # of a pod
+SERVICE_ACCOUNT_FOLDER = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # of a pod
 
 
 class AccessError(RyepierError, ValueError):
@@ -60,8 +60,8 @@
             int(port),
             True,
             "",
-            Path(token or POD / "token"),
-            Path(authority or POD / "ca.crt"),
+            Path(token or SERVICE_ACCOUNT_FOLDER / "token"),
+            Path(authority or SERVICE_ACCOUNT_FOLDER / "ca.crt"),
             Path(certificate) if certificate else None,
             Path(key) if key else None,
         )
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -16,10 +16,10 @@
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 
-MAX_FLAPS = 5  # doublings of the delay
-CALM_US = 60_000_000  # of readiness, after which earlier flaps do not count
-RESTART_US = 2_000_000  # a container that was not ready for less can't have restarted
-MAX_REMOVED = 20_000  # identities remembered, so that a move between slices is no restart
+MAX_DELAY_DOUBLINGS = 5  # doublings of the delay
+FLAP_RESET_US = 60_000_000  # of readiness, after which earlier flaps do not count
+MIN_RESTART_US = 2_000_000  # a container that was not ready for less can't have restarted
+MAX_REMEMBERED_IDENTITIES = 20_000  # identities remembered, so that a move between slices is no restart
 
 FailureDomainBy = Literal["endpoint", "node"]
 Entry = tuple[Upstream, tuple[str, int]]  # with its address
@@ -50,7 +50,7 @@
 
     def publish_at_us(self, settle_us: int) -> int:
         """Return when an endpoint that is ready again may be published."""
-        return self.ready_since_us + (settle_us << min(self.flaps - 1, MAX_FLAPS))
+        return self.ready_since_us + (settle_us << min(self.flaps - 1, MAX_DELAY_DOUBLINGS))
 
 
 class EndpointListing:
@@ -99,7 +99,7 @@
         known.published = REMOVED
         if not is_address(identity):  # an address may be reused by another process, a pod's uid never
             self.removed[identity] = known
-        while len(self.removed) > MAX_REMOVED:
+        while len(self.removed) > MAX_REMEMBERED_IDENTITIES:
             self.removed.popitem(last=False)
         return self._entry(known)
 
@@ -139,11 +139,11 @@
 
     def _on_ready_again(self, now_us: int, identity: str, known: _ListedEndpoint) -> None:
         """Note an endpoint that is ready again: it has to last before it is published."""
-        if known.ready_since_us and now_us - known.ready_since_us > CALM_US:
+        if known.ready_since_us and now_us - known.ready_since_us > FLAP_RESET_US:
             known.flaps = 0
         known.flaps += 1
         known.ready_since_us = now_us
-        if now_us - known.unready_since_us >= RESTART_US:
+        if now_us - known.unready_since_us >= MIN_RESTART_US:
             known.started_us = now_us
         self.waiting.add(identity)
 
--- a/ryepier/slices/endpoint_slice_merger.py
+++ b/ryepier/slices/endpoint_slice_merger.py
@@ -21,7 +21,7 @@
 
 MAX_TERMINATED = 50_000  # uids remembered as terminating: a day of releases
 MAX_DELETED_SLICES = 10_000  # uids remembered
-HOLD_US = 30_000_000  # for which an empty list is not applied
+EMPTY_LIST_HOLD_US = 30_000_000  # for which an empty list is not applied
 ADDRESS_TYPES = ("IPv4", "IPv6")  # FQDN is deprecated, and resolving a name would delay a request
 RISKS = ("ready", "not ready", "not serving", "terminating")
 
@@ -95,7 +95,7 @@
 class EndpointSliceMerger:
     """The slices of one service, and the endpoints merged from them."""
 
-    def __init__(self, port_name: str = "", hold_us: int = HOLD_US) -> None:
+    def __init__(self, port_name: str = "", hold_us: int = EMPTY_LIST_HOLD_US) -> None:
         """Start without slices. `port_name` is that of a slice's port; empty: its first."""
         self.port_name = port_name
         self.hold_us = hold_us
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -21,7 +21,7 @@
 
 CACHE_VERSION = 1
 CACHE_INTERVAL_S = 5.0  # at least, between two writes
-MAX_LOGGED = 20  # entries of one change
+MAX_LOGGED_ENTRIES = 20  # entries of one change
 
 Listener = Callable[[UpstreamsUpdated, dict[int, tuple[str, int]]], None]
 
@@ -215,9 +215,10 @@
         self.version += 1
         if entries:
             names = " ".join(
-                f"{entry.id}={address[0]}:{address[1]}:{entry.state.value}" for entry, address in entries[:MAX_LOGGED]
+                f"{entry.id}={address[0]}:{address[1]}:{entry.state.value}"
+                for entry, address in entries[:MAX_LOGGED_ENTRIES]
             )
-            more = f" and {len(entries) - MAX_LOGGED} more" if len(entries) > MAX_LOGGED else ""
+            more = f" and {len(entries) - MAX_LOGGED_ENTRIES} more" if len(entries) > MAX_LOGGED_ENTRIES else ""
             log.info("endpoint list %d applied (%s): %s%s", self.version, kind.value, names, more)
         upstreams: list[Upstream] = [entry for entry, _ in entries]
         self.listener(
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -12,16 +12,16 @@
 
 ATTEMPT_NUMBERS = 5  # 0 for first attempts, then the retries by number; the last one stands for all beyond
 RECENT_MEMORY_US = 1_000_000
-USUAL_MEMORY_US = 60_000_000
-MIN_USUAL_US = 4_000_000  # observed before usual rates count as known
+BASELINE_MEMORY_US = 60_000_000
+MIN_BASELINE_US = 4_000_000  # observed before usual rates count as known
 MIN_RATE = 4.0  # arrivals per second below which there is no storm
 OPENING_RETRY_SHARE = 0.3  # of the arrivals
 OPENING_UNSERVED_SHARE = 0.15  # share of the arrivals that are not served
 CLOSING_RETRY_SHARE = 0.1
 CLOSING_UNSERVED_SHARE = 0.05
-CALM_US = 2_000_000  # before a storm is over, to avoid oscillation
+MIN_CALM_US = 2_000_000  # before a storm is over, to avoid oscillation
 SURGE_RATIO = 1.5  # times the usual first attempts: the demand is real, and fewer retries would not help
-AFTER_SURGE_US = 5 * RECENT_MEMORY_US  # rejections of a surge still cause retries, and the rates still decay
+SURGE_AFTERMATH_US = 5 * RECENT_MEMORY_US  # rejections of a surge still cause retries, and the rates still decay
 OUTAGE_SERVED_SHARE = 0.3  # share served below which there is an outage
 RECENT_OUTAGE_US = 30_000_000
 MAX_FIRST_REJECTIONS = 0.3  # share of first attempts rejected, above which fewer retries are admitted
@@ -79,13 +79,13 @@
         self.served = 0.0
         self.first_rejections = 0.0
         self.admission = 1.0  # share of first retries to admit; for each further one a power of it
-        self.usual_first = 0.0
-        self.usual_known_us = 0  # for how long usual rates were observed
+        self.baseline_rate = 0.0
+        self.baseline_observed_us = 0  # for how long usual rates were observed
         self.in_outage = False
         self.outage_ended_us: int | None = None
         self.active = False
         self.calm_since_us: int | None = None
-        self.last_surge_us = now_us - AFTER_SURGE_US  # when first attempts last exceeded the usual rate by far
+        self.last_surge_us = now_us - SURGE_AFTERMATH_US  # when first attempts last exceeded the usual rate by far
 
     def on_request(self, retry_number: int, tenant: int) -> None:
         """Count an arrival."""
@@ -116,7 +116,7 @@
         if self.active:
             self._update_calm(now_us, evidence)
         else:
-            self.active = now_us - self.last_surge_us >= AFTER_SURGE_US and self._should_open(evidence)
+            self.active = now_us - self.last_surge_us >= SURGE_AFTERMATH_US and self._should_open(evidence)
             self.calm_since_us = None
         return self._event() if self.active else RetryStormUpdated(), evidence, was != self.active
 
@@ -140,18 +140,22 @@
         if not in_outage and not self.active:
             # Rates of an outage or a storm are not usual: averaged, they would excuse the next one, and so would a
             # surge soon after the start, when little is known.
-            usual_known_us = (
-                USUAL_MEMORY_US if now_us - self.last_surge_us < AFTER_SURGE_US else self.usual_known_us + since_us
+            baseline_observed_us = (
+                BASELINE_MEMORY_US
+                if now_us - self.last_surge_us < SURGE_AFTERMATH_US
+                else self.baseline_observed_us + since_us
             )
-            slow = since_us / min(USUAL_MEMORY_US, usual_known_us)
-            self.usual_first += (counts.retry_number[0] * 1e6 / since_us - self.usual_first) * slow
-            self.usual_known_us += since_us
+            slow = since_us / min(BASELINE_MEMORY_US, baseline_observed_us)
+            self.baseline_rate += (counts.retry_number[0] * 1e6 / since_us - self.baseline_rate) * slow
+            self.baseline_observed_us += since_us
 
     def _evidence(self, now_us: int) -> StormEvidence:
         demand = sum(self.rates)
         retries = sum(self.rates[1:]) / demand if demand > 0 else 0.0
         surge = (
-            self.rates[0] / self.usual_first if self.usual_known_us >= MIN_USUAL_US and self.usual_first > 0 else 0.0
+            self.rates[0] / self.baseline_rate
+            if self.baseline_observed_us >= MIN_BASELINE_US and self.baseline_rate > 0
+            else 0.0
         )
         ended = None
         if self.outage_ended_us is not None and now_us - self.outage_ended_us < RECENT_OUTAGE_US:
@@ -174,7 +178,7 @@
             self.calm_since_us = None
         elif self.calm_since_us is None:
             self.calm_since_us = now_us
-        elif now_us - self.calm_since_us >= CALM_US:
+        elif now_us - self.calm_since_us >= MIN_CALM_US:
             self.active = False
 
     def _event(self) -> RetryStormUpdated:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,7 @@
 from ryepier.sidecar import system
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
-from ryepier.sidecar.server import FIRST_REQUEST_S
+from ryepier.sidecar.server import FIRST_REQUEST_GRACE_S
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
     OK,
@@ -120,7 +120,7 @@
                 halves.append(await it.connect())
                 halves[-1][1].write(data[:-5])
                 await asyncio.sleep(0.002)
-            await asyncio.sleep(FIRST_REQUEST_S + 0.1)
+            await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
             halves[5][1].write(data[-5:-4])  # this one still comes
             reader, asker = await it.connect()
             others = [await it.connect() for _ in range(20)]
@@ -360,7 +360,7 @@
             for _ in range(100):  # as many as it takes
                 partial.append(await it.connect())
                 partial[-1][1].write(data[:-5])
-            await asyncio.sleep(FIRST_REQUEST_S + 0.1)
+            await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
             _, newcomer = await it.connect()
             async with asyncio.timeout(PATIENCE_S):
                 head, _ = await read_message(partial[0][0])
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from ryepier.graphql.classify import ClassRule, FieldRule, Table
-from ryepier.graphql.document import MOST_DEPTH, Documents
+from ryepier.graphql.document import MAX_DEPTH, Documents
 from ryepier.graphql.errors import GraphqlError
 from ryepier.graphql.persisted import Persisted
 from ryepier.graphql.request import ParsedRequest, Reader, response_type
@@ -152,7 +152,7 @@
     assert refusal(post, nested).code == "DOCUMENT_TOO_DEEP"
     assert refusal(post, "{" * 65_000).code == "DOCUMENT_TOO_DEEP"
     assert refusal(post, "{ " + "a " * 30_000 + "}").code == "DOCUMENT_TOO_LARGE"
-    assert post("{" + "a{" * (MOST_DEPTH - 1) + "b" + "}" * MOST_DEPTH).meaning.effect == "idempotent"
+    assert post("{" + "a{" * (MAX_DEPTH - 1) + "b" + "}" * MAX_DEPTH).meaning.effect == "idempotent"
     bomb = " ".join(f"fragment F{i} on Q {{ ...F{i + 1} ...F{i + 1} }}" for i in range(20))
     assert refusal(post, f"{{ ...F0 }} {bomb} fragment F20 on Q {{ a }}").code == "DOCUMENT_TOO_LARGE"
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -28,7 +28,7 @@
 )
 from ryepier.plan import snapshot
 from ryepier.plan.evidence import Evidence, ForwarderStats
-from ryepier.plan.leadership import SUSPECT_US, Leadership
+from ryepier.plan.leadership import LEADER_TIMEOUT_US, Leadership
 from ryepier.plan.messages import (
     MAX_MESSAGE_BYTES,
     VERSION,
@@ -405,17 +405,17 @@
 
 def test_forwarders_that_have_no_plan_are_no_witnesses_of_a_leader() -> None:
     first = Leadership("a", 0, 0)
-    assert first.tick(SUSPECT_US, witnesses(Term(), SUSPECT_US), has_enough_evidence=True)
+    assert first.tick(LEADER_TIMEOUT_US, witnesses(Term(), LEADER_TIMEOUT_US), has_enough_evidence=True)
 
 
 def test_the_first_takes_over_and_the_second_waits_for_its_turn() -> None:
     first, second = Leadership("a", 0, 0), Leadership("b", 1, 0)
-    assert not first.tick(SUSPECT_US, {}, has_enough_evidence=False)  # it has nothing to say
-    assert first.tick(SUSPECT_US, {}, has_enough_evidence=True) and first.term == Term(1, "a")
-    assert not second.tick(SUSPECT_US, {}, has_enough_evidence=True)
-    second.on_heartbeat(SUSPECT_US, Heartbeat(first.highest_term, True, 10))
-    assert not second.tick(2 * SUSPECT_US, {}, has_enough_evidence=True)
-    assert second.tick(3 * SUSPECT_US, {}, has_enough_evidence=True) and second.term == Term(2, "b")
+    assert not first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=False)  # it has nothing to say
+    assert first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and first.term == Term(1, "a")
+    assert not second.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
+    second.on_heartbeat(LEADER_TIMEOUT_US, Heartbeat(first.highest_term, True, 10))
+    assert not second.tick(2 * LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
+    assert second.tick(3 * LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and second.term == Term(2, "b")
 
 
 def test_a_cut_between_planners_changes_nothing_while_forwarders_hear_the_leader() -> None:
@@ -423,15 +423,15 @@
     for at_us in range(0, 60 * S, S // 4):
         assert not second.tick(at_us, witnesses(Term(1, "a"), at_us), has_enough_evidence=True)
     assert not second.tick(
-        60 * S - S // 4 + 2 * SUSPECT_US - 1, witnesses(Term(1, "a"), 59 * S), has_enough_evidence=True
+        60 * S - S // 4 + 2 * LEADER_TIMEOUT_US - 1, witnesses(Term(1, "a"), 59 * S), has_enough_evidence=True
     )
-    assert second.tick(60 * S + 4 * SUSPECT_US, witnesses(Term(1, "a"), 59 * S), has_enough_evidence=True)
+    assert second.tick(60 * S + 4 * LEADER_TIMEOUT_US, witnesses(Term(1, "a"), 59 * S), has_enough_evidence=True)
 
 
 def test_of_two_leaders_the_lesser_steps_down_when_a_forwarder_tells_of_the_greater() -> None:
     lesser = Leadership("a", 0, 0)
-    assert lesser.tick(SUSPECT_US, {}, has_enough_evidence=True)
-    assert not lesser.tick(SUSPECT_US + 1, witnesses(Term(1, "b"), SUSPECT_US), has_enough_evidence=True)
+    assert lesser.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
+    assert not lesser.tick(LEADER_TIMEOUT_US + 1, witnesses(Term(1, "b"), LEADER_TIMEOUT_US), has_enough_evidence=True)
     assert lesser.highest_term == Term(1, "b")
 
 
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -18,7 +18,7 @@
 from ryepier.sim.run import SimLoop, simulate
 from ryepier.storm import failed_request_sketch
 from ryepier.storm.failed_request_sketch import GENERATION_SIZE, GENERATION_US, FailedRequestSketch, fingerprint
-from ryepier.storm.storm_detector import CALM_US, RetryStormDetector, StormEvidence
+from ryepier.storm.storm_detector import MIN_CALM_US, RetryStormDetector, StormEvidence
 from tests.balancer_harness import World, settings, upstreams
 from tests.network_peers import OK, configuration, entry, listing, read_message, request
 
@@ -120,7 +120,7 @@
     evidence = one.changes[0][2]
     assert "retries" in str(evidence) and evidence.retry_share > 0.3
     assert "an outage over" in str(one.detector.tick(one.now_us + TICK_US)[1])
-    one.run(CALM_US / 1e6 + 6, 100)
+    one.run(MIN_CALM_US / 1e6 + 6, 100)
     assert [active for _, active, _ in one.changes] == [True, False] and not one.told.active
 
 
@@ -137,12 +137,12 @@
 def test_a_second_outage_right_after_the_first_is_a_storm_again_and_is_never_usual() -> None:
     one = Sidecar()
     one.run(30, 100)
-    usual = one.detector.usual_first
+    usual = one.detector.baseline_rate
     for _ in range(2):
         one.run(5, 100, 250, served=0)
         one.run(8, 100)
     assert [active for _, active, _ in one.changes] == [True, False, True, False]
-    assert one.detector.usual_first == pytest.approx(usual, rel=0.05)
+    assert one.detector.baseline_rate == pytest.approx(usual, rel=0.05)
 
 
 def test_what_recovers_lets_more_in_and_calls_the_others_back_sooner() -> None:
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from ryepier.balancer.interface import UpstreamState
-from ryepier.slices.endpoint_listing import CALM_US, RESTART_US, EndpointListing, ListingRules
+from ryepier.slices.endpoint_listing import FLAP_RESET_US, MIN_RESTART_US, EndpointListing, ListingRules
 from ryepier.slices.endpoint_slice_merger import MergedEndpoint
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
@@ -40,9 +40,9 @@
         assert told(made, now_us + wait_us) == {}
         assert told(made, now_us + 1 + wait_us) == {1: READY}
         now_us += 1 + wait_us
-    assert told(made, now_us + CALM_US + 1, p1=verdict(ready=False)) == {1: DRAINING}
-    told(made, now_us + CALM_US + 2, p1=verdict())
-    assert made.next_us == now_us + CALM_US + 2 + SETTLE_US  # calm for a minute: forgotten
+    assert told(made, now_us + FLAP_RESET_US + 1, p1=verdict(ready=False)) == {1: DRAINING}
+    told(made, now_us + FLAP_RESET_US + 2, p1=verdict())
+    assert made.next_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # calm for a minute: forgotten
 
 
 def test_one_that_drains_while_it_settles_is_never_told_of_as_ready() -> None:
@@ -61,9 +61,9 @@
     [(entry, _)] = made.update(5, {"new": verdict("new")})
     assert entry.started_us == 5
     made.update(10, {"old": verdict("old", ready=False)})
-    made.update(10 + RESTART_US, {"old": verdict("old")})
-    [(entry, _)] = made.update(10 + RESTART_US + SETTLE_US, {})
-    assert entry.started_us == 10 + RESTART_US
+    made.update(10 + MIN_RESTART_US, {"old": verdict("old")})
+    [(entry, _)] = made.update(10 + MIN_RESTART_US + SETTLE_US, {})
+    assert entry.started_us == 10 + MIN_RESTART_US
 
 
 def test_a_move_between_slices_is_no_restart_but_an_address_that_comes_back_is_another() -> None:
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -12,7 +12,7 @@
 
 from ryepier.balancer.interface import UpstreamState
 from ryepier.slices.api_objects import Slice, SliceError, read_event, read_list
-from ryepier.slices.endpoint_slice_merger import HOLD_US, EndpointSliceMerger
+from ryepier.slices.endpoint_slice_merger import EMPTY_LIST_HOLD_US, EndpointSliceMerger
 
 READY, DRAINING = UpstreamState.READY, UpstreamState.DRAINING
 
@@ -96,7 +96,7 @@
     assert states(merger) == {"p1": READY, "p2": READY}
     merger.delete(a_slice(endpoint(terminating=True)))
     assert states(merger, 5) == {"p1": DRAINING, "p2": READY} and merger.is_retained
-    assert states(merger, 5 + HOLD_US) == {}
+    assert states(merger, 5 + EMPTY_LIST_HOLD_US) == {}
 
 
 def test_ports_are_chosen_by_name_and_a_slice_without_it_is_told_of() -> None:
@@ -173,7 +173,7 @@
     # a list that was empty on the way is held for a while (rule 6); after that all is one
     for merger in (mixed, straight):
         merger.endpoints(0)
-    assert mixed.endpoints(HOLD_US) == straight.endpoints(HOLD_US)
+    assert mixed.endpoints(EMPTY_LIST_HOLD_US) == straight.endpoints(EMPTY_LIST_HOLD_US)
 
 
 @given(
