--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -20,7 +20,7 @@
 T = TypeVar("T", bound=msgspec.Struct)
 
 ENV_SEPARATOR = "__"  # between the parts of a key in the name of an environment variable
-MIN_SIMILARITY = 0.6  # similarity from which a known key is offered for an unknown one: difflib's own default
+MIN_SIMILARITY = 0.6  # from which a known key is suggested for an unknown one; as in difflib
 _TOML_PLACE = re.compile(r"\(at line (\d+), column \d+\)")
 
 
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -47,7 +47,7 @@
 )
 # headers of this connection, or written anew: class and key follow from the operation
 OWN_HEADERS = HOP_HEADERS | {b"content-type", b"content-encoding", b"x-request-id", b"x-class", b"idempotency-key"}
-NEW_REQUEST_ID_BYTES = 12  # of chance: no two requests of a fleet share one
+NEW_REQUEST_ID_BYTES = 12  # random: no two requests of a fleet share an id
 
 
 class GraphqlRequestError(RequestError):
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -15,7 +15,7 @@
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
 BY_STRICTNESS = list(Effect)  # each stricter than the one before
-MAX_KEY_LENGTH = 128
+MAX_KEY_LENGTH = 128  # characters
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -31,10 +31,10 @@
 
 from ryepier.graphql.errors import malformed_request
 
-MAX_TOKENS = 4_000
-MAX_DEPTH = 40
-MAX_ROOT_FIELDS = 200  # after fragments are put in: they multiply
-MAX_CACHED_DOCUMENTS = 500  # documents; a service has some dozens
+MAX_TOKENS = 4_000  # of a document
+MAX_DEPTH = 40  # of nested brackets
+MAX_ROOT_FIELDS = 200  # of an operation, fragments expanded, as these multiply
+MAX_CACHED_DOCUMENTS = 500  # a service has some dozens
 MAX_CACHED_BYTES = 2_000_000  # of their texts together
 OPENING = frozenset((TokenKind.BRACE_L, TokenKind.BRACKET_L, TokenKind.PAREN_L))
 CLOSING = frozenset((TokenKind.BRACE_R, TokenKind.BRACKET_R, TokenKind.PAREN_R))
--- a/ryepier/graphql/persisted.py
+++ b/ryepier/graphql/persisted.py
@@ -10,8 +10,8 @@
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
 MAX_QUERIES = 1_000
-MAX_BYTES = 4_000_000
-VERSION = 1
+MAX_BYTES = 4_000_000  # of their texts together
+VERSION = 1  # of the protocol for persisted queries
 
 
 class Persisted:
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -19,7 +19,7 @@
 
 KEYS = ("query", "operationName", "variables", "extensions")
 JSON_TYPE, RESPONSE_TYPE = "application/json", "application/graphql-response+json"
-MAX_BATCH = 20
+MAX_BATCH = 20  # operations of one request
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/plan/evidence.py
+++ b/ryepier/plan/evidence.py
@@ -12,10 +12,10 @@
 
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterCounters, Report, Term
 
-RECENT_MEMORY_US = 2_000_000  # recent counts decay to a third within it
+RECENT_MEMORY_US = 2_000_000  # in which recent counts decay to 1/e
 REPORT_TIMEOUT_US = 3_000_000  # a forwarder without a report for longer does not count
-EXPIRY_US = 60_000_000  # and is dropped after this, as are converters without attempts
-MIN_COUNT = 0.01
+EXPIRY_US = 60_000_000  # after which it is dropped, as are converters without attempts
+MIN_COUNT = 0.01  # a decayed count below it is dropped
 
 
 @dataclass(slots=True)
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -35,7 +35,7 @@
 DIAL_TIMEOUT_S = 1.0
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
-MAX_UNREAD_BYTES = 256 * 1024
+MAX_UNREAD_BYTES = 256 * 1024  # of reports; the planner hangs, and they would fill the memory
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/plan/leadership.py
+++ b/ryepier/plan/leadership.py
@@ -12,8 +12,8 @@
 from ryepier.plan.evidence import ForwarderStats
 from ryepier.plan.messages import Heartbeat, Term
 
-LEADER_TIMEOUT_US = 1_000_000  # without a sign of the leader, four heartbeats: it counts as failed
-MIN_FOLLOWER_SHARE = 0.5  # share of the active forwarders that must follow its plans for it to count as alive
+LEADER_TIMEOUT_US = 1_000_000  # without a heartbeat of the leader: four intervals
+MIN_FOLLOWER_SHARE = 0.5  # of the active forwarders: if fewer follow its plans, the leader counts as failed
 
 
 @dataclass(slots=True)
--- a/ryepier/plan/messages.py
+++ b/ryepier/plan/messages.py
@@ -13,12 +13,11 @@
 from ryepier.errors import RyepierError
 
 VERSION = 1
-MAX_MESSAGE_BYTES = 1024 * 1024  # bytes of one message: a plan for 10,000 converters is about a third of it
+MAX_MESSAGE_BYTES = 1024 * 1024  # a plan for 10,000 converters is about a third of it
 MAX_CONVERTERS = 20_000
-LATENCY_BUCKETS = 16  # of answers, by powers of two from 1 ms: the last holds all from 16 s on
-MAX_NAME_LENGTH = 200
-LENGTH_BYTES = 4
-
+LATENCY_BUCKETS = 16  # by powers of two from 1 ms; the last holds all from 16 s on
+MAX_NAME_LENGTH = 200  # characters
+LENGTH_BYTES = 4  # in front of each message
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -14,24 +14,24 @@
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterAdvice, Plan, PlanBasis, Term
 from ryepier.plan.plan_follower import AcceptanceRules
 
-MIN_FAILURES = 2.0  # recent failed attempts at a converter: fewer may be chance
-FAILING_SHARE = 0.5  # of its recent attempts: below it, a part of the requests may fail by itself
-HEALTHY_SHARE = 0.25
-MIN_WITNESSES = 2  # forwarders that must have seen it: one alone may be broken itself
+MIN_FAILURES = 2.0  # recent failed attempts at a converter; fewer may be chance
+FAILING_SHARE = 0.5  # of its recent attempts; below it, some requests may fail by themselves
+HEALTHY_SHARE = 0.25  # of its recent attempts
+MIN_WITNESSES = 2  # forwarders that must have observed it; one alone may be faulty itself
 MIN_WITNESS_FAILURES = 0.5  # recent failures from which a forwarder is a witness against a converter
 MAX_REPORT_WEIGHT = 3.0  # attempts of one forwarder at one converter that count
-OUTLIER_SHARE = 0.5  # a forwarder with this share of failures, at converters healthy for others, is an outlier
-MIN_OUTLIER_CONVERTERS = 3
-MAX_TRIAL_FORWARDERS = 2  # forwarders that may try an ejected converter at a time: enough to see it recover
+OUTLIER_SHARE = 0.5  # of failures at converters that are healthy for others, from which a forwarder is an outlier
+MIN_OUTLIER_CONVERTERS = 3  # such converters, from which a forwarder is an outlier
+MAX_TRIAL_FORWARDERS = 2  # that may try an ejected converter at a time
 MIN_EJECTION_US = 1_000_000
-RECOVERY_STEP_US = 2_000_000
+RECOVERY_STEP_US = 2_000_000  # time at each recovery weight
 RECOVERY_WEIGHTS = (0.25, 0.5)  # of its usual weight, one after the other
 MIN_RESPONSES = 5.0  # recent responses that make a converter's typical latency
-SLOW_RATIO = 2.0  # times the median of all converters; machines differ by less
-VERY_SLOW_RATIO = 3.0  # from here on each forwarder sends one request at a time
-MIN_WEIGHT = 0.2
-OVERLOAD_REJECTIONS = 0.02  # share of arrivals rejected from which tenants' quotas matter
-PLAN_VALIDITY_MS = 2_000  # the time of four plans: a lost one costs nothing
+SLOW_RATIO = 2.0  # times the median latency of all converters
+VERY_SLOW_RATIO = 3.0  # times the median; from here on each forwarder sends one request at a time
+MIN_WEIGHT = 0.2  # of a slow converter
+OVERLOAD_REJECTIONS = 0.02  # share of arrivals rejected, from which tenants' quotas matter
+PLAN_VALIDITY_MS = 2_000  # four plan intervals
 PLAN_FADE_MS = 30_000  # a planner is restarted within this time
 STATUS_EXPIRY_FACTOR = 15  # times the memory of recent counts, until an unlisted converter's status is dropped
 
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -14,10 +14,10 @@
 from ryepier.balancer.interface import Advice
 from ryepier.plan.messages import Plan, Term
 
-MIN_WEIGHT = 1 / 64  # no converter that is not ejected is kept from all traffic by its weight
-FADE_SPREAD = 0.25  # forwarders' fades differ by up to this share, so that they do not start anew together
+MIN_WEIGHT = 1 / 64  # of a converter that is not ejected, so that its recovery shows
+FADE_SPREAD = 0.25  # of the fade: forwarders' fades differ by up to this share, so that they do not end together
 TRIAL_PLANS = 4  # plans for which the same forwarders may try an ejected converter, so that a response can arrive
-MAX_CONCURRENCY = 8  # what a concurrency limit fades to: the decision module's own maximum
+MAX_CONCURRENCY = 8  # attempts in flight that a concurrency limit fades to: the decision module's own maximum
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -28,15 +28,15 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.25  # of heartbeats and of the election
-TICKS_PER_PLAN = 2  # between two plans
+TICK_S = 0.25  # between two heartbeats
+TICKS_PER_PLAN = 2
 TICKS_PER_SNAPSHOT = 4
-TICKS_PER_EXPIRY = 40
-MAX_UNREAD_BYTES = 512 * 1024  # of one connection: it hangs, and would fill the memory
-HELLO_TIMEOUT_S = 3.0
+TICKS_PER_EXPIRY = 40  # between two removals of expired evidence
+MAX_UNREAD_BYTES = 512 * 1024  # of one connection; its peer hangs, and would fill the memory
+HELLO_TIMEOUT_S = 3.0  # from the connection to its first message
 MIN_REPORT_INTERVAL_US = 100_000  # earlier reports are dropped: the next one has their counters
-PEER_RETRY_S = 0.3
-BUSY_RETRY_MS = 5_000
+PEER_RETRY_S = 0.3  # between two connections to a peer
+BUSY_RETRY_MS = 5_000  # for a forwarder that is rejected because there are too many
 MAX_SNAPSHOT_AGE_MS = 120_000  # older ejections are obsolete
 
 
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -16,13 +16,13 @@
 
 log = logging.getLogger(__name__)
 
-LATE_RESPONSE_US = 30_000  # a second response may arrive this late, and would be taken for the next request's
+LATE_RESPONSE_US = 30_000  # by which a second response to the last request may arrive
 IDLE_MARGIN_US = 300_000  # an upstream may close a connection while a request is on its way to it
 REUSE_MEMORY = 16  # reuses in the moving average of connections that broke
 MAX_BREAK_SHARE = 0.15  # of reuses: a lost request costs about ten new connections
-BREAK_DECAY = 0.99  # per connection passed over, so that such connections are tried again
+BREAK_DECAY = 0.99  # per connection that is not reused, so that such connections are tried again
 SWEEP_INTERVAL_S = 0.1
-FIRST_SWEEP_S = 1.0
+FIRST_SWEEP_S = 1.0  # after the start
 
 
 class ConnectionPool:
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -20,12 +20,12 @@
 # Whatever fails, in whatever order, the next call begins within MAX_CALL_GAP_S of the last valid message, or of the
 # call's start where none came: a change must be known 6 s after discovery has it and can be reached, and 2 s of these
 # are left to the next call (docs/design.md).
-SILENCE_TIMEOUT_S = 2.5  # an empty line comes every 2 s, also without changes; a call's turn takes no longer
-MESSAGE_TIMEOUT_S = 4.0  # from the last valid message to an object's last byte: as long as a call may take
+SILENCE_TIMEOUT_S = 2.5  # an empty line comes every 2 s, also without changes
+MESSAGE_TIMEOUT_S = 4.0  # from the last valid message to an object's last byte
 MAX_CALL_GAP_S = 4.0
 WATCH_RETRY_S = 0.1  # a local agent answers at no cost; sooner would spin while it is away
 MAX_RETRY_DOUBLINGS = 5  # while what arrives is malformed
-FIRST_LIST_TIMEOUT_S = 0.3  # the agent answers at once, if at all
+FIRST_LIST_TIMEOUT_S = 0.3  # a local agent answers at once, if at all
 Listener = Callable[[UpstreamsUpdated, dict[int, Address]], None]
 
 
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -29,8 +29,8 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_MARGIN_US = 10_000  # an answer is sent this long before the client's deadline, to arrive in time
-BACKSTOP_DELAY_US = 5_000  # after the module's deadline for a request follows the dispatcher's own
+ANSWER_MARGIN_US = 10_000  # from an answer to the client's deadline, so that it arrives in time
+BACKSTOP_DELAY_US = 5_000  # from the decision module's deadline for a request to the dispatcher's own
 
 
 class Timer(Protocol):
--- a/ryepier/sidecar/graceful_shutdown.py
+++ b/ryepier/sidecar/graceful_shutdown.py
@@ -10,11 +10,12 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.system import clock_us
 
-ARRIVAL_WINDOW_S = 0.5  # after SIGTERM new connections arrive for up to 0.4 s
-# SIGKILL comes, at the soonest, this long after SIGTERM, or after the longest deadline where that is shorter, and
+ARRIVAL_WINDOW_S = 0.5  # new connections arrive for up to 0.4 s after SIGTERM
+# SIGKILL follows SIGTERM after the longest deadline of a class, of which at most MAX_COUNTED_DEADLINE_S count, and
+# MIN_KILL_DELAY_S, at the earliest.
 MAX_COUNTED_DEADLINE_S = 3.0
-MIN_KILL_DELAY_S = 0.7  # this much later
-KILL_MARGIN_S = 0.1  # the last answers are sent this long before it
+MIN_KILL_DELAY_S = 0.7
+KILL_MARGIN_S = 0.1  # from the last answers to SIGKILL
 POLL_INTERVAL_S = 0.01
 
 
--- a/ryepier/sidecar/logs.py
+++ b/ryepier/sidecar/logs.py
@@ -5,7 +5,7 @@
 import logging
 import time
 
-LINES_PER_SECOND = 5
+LINES_PER_SECOND = 5  # by default
 
 
 class RateLimitFilter(logging.Filter):
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -13,9 +13,8 @@
 from ryepier.sidecar.requests import ClientRequest, FinalAnswer, FinalOutcome, Header
 from ryepier.sidecar.system import clock_us
 
-MAX_DIGITS = 9
-LATIN_1_SIZE = 256
-# headers of this connection, or written anew for each attempt
+MAX_DIGITS = 9  # of a header's integer
+LATIN_1_SIZE = 256  # characters
 HOP_HEADERS = frozenset(
     (
         b"host",
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -19,12 +19,12 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_REQUEST_GRACE_S = 0.25  # a client that connects sends its request at once; later none is on its way
+FIRST_REQUEST_GRACE_S = 0.25  # a client that connects sends its request at once
 SWEEP_INTERVAL_S = 0.1
 LISTEN_BACKLOG = 1024
-ACCEPTS_PER_TURN = 16  # hundreds of new connections in one turn would delay the open ones
-ACCEPT_PAUSE_S = 0.05
-PARTIAL_RETRY_AFTER_US = 250_000  # for a rejected request that has arrived in part: its class is not known
+ACCEPTS_PER_TURN = 16  # connections; hundreds in one turn would delay the open ones
+ACCEPT_PAUSE_S = 0.05  # without capacity
+PARTIAL_RETRY_AFTER_US = 250_000  # for a rejected request that has arrived in part, whose class is not known
 
 
 class Eviction(NamedTuple):
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -21,14 +21,17 @@
 
 log = logging.getLogger(__name__)
 
-CONNECT_TIMEOUT_S = 3.0  # with TLS
-LIST_TIMEOUT_S = 20.0  # for one page
+CONNECT_TIMEOUT_S = 3.0  # TLS included
+LIST_TIMEOUT_S = 20.0  # of one page
 WATCH_GRACE_S = 5.0  # after its regular end, before a silent watch counts as hung
 MAX_LINE_BYTES = 4 * 1024 * 1024  # one slice has at most 1,000 endpoints
 MAX_PAGE_BYTES = 32 * 1024 * 1024
-MAX_ERROR_BYTES = 64 * 1024
-KEEPALIVE_S = (5, 2, 3)  # idle, between probes, probes: an unreachable machine is noticed after 11 s
-SERVICE_ACCOUNT_FOLDER = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # of a pod
+MAX_ERROR_BYTES = 64 * 1024  # of the body of a failed call
+# TCP keep-alive: an unreachable machine is noticed after 11 s
+KEEPALIVE_IDLE_S = 5
+KEEPALIVE_INTERVAL_S = 2
+KEEPALIVE_PROBES = 3
+SERVICE_ACCOUNT_FOLDER = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # as Kubernetes mounts it into a pod
 
 
 class AccessError(RyepierError, ValueError):
@@ -135,10 +138,9 @@
         sock: socket.socket | None = transport.get_extra_info("socket")
         if sock is not None and sock.family in (socket.AF_INET, socket.AF_INET6):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            for option, value in zip(
-                (socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL, socket.TCP_KEEPCNT), KEEPALIVE_S, strict=True
-            ):
-                sock.setsockopt(socket.IPPROTO_TCP, option, value)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
     def data_received(self, data: bytes) -> None:
         """Read bytes of the response."""
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -16,7 +16,7 @@
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 
-MAX_DELAY_DOUBLINGS = 5  # doublings of the delay
+MAX_DELAY_DOUBLINGS = 5  # one for each flap
 FLAP_RESET_US = 60_000_000  # of readiness, after which earlier flaps do not count
 MIN_RESTART_US = 2_000_000  # a container that was not ready for less can't have restarted
 MAX_REMEMBERED_IDENTITIES = 20_000  # identities remembered, so that a move between slices is no restart
--- a/ryepier/slices/reflector.py
+++ b/ryepier/slices/reflector.py
@@ -17,7 +17,7 @@
 from ryepier.slices.api_objects import Slice, SliceList, WatchEvent
 
 SERVICE_LABEL = "kubernetes.io/service-name"
-PAGE_SIZE = 50  # slices: of 100 endpoints each, about 2 MB
+PAGE_SIZE = 50  # slices, of 100 endpoints each: about 2 MB
 FIRST_BACKOFF_US = 200_000
 MAX_BACKOFF_US = 10_000_000
 MAX_RETRY_AFTER_US = 60_000_000  # of a Retry-After
--- a/ryepier/storm/failed_request_sketch.py
+++ b/ryepier/storm/failed_request_sketch.py
@@ -13,11 +13,11 @@
 
 import hashlib
 
-ROWS = 4
+ROWS = 4  # hash functions
 WIDTH = 1 << 16  # columns per row, a byte each: 512 KB in total
-GENERATION_SIZE = 5_900  # hashes
-GENERATION_US = 10_000_000
-MAX_COUNT = 255
+GENERATION_SIZE = 5_900  # hashes in a generation; the older of two is dropped
+GENERATION_US = 10_000_000  # at most, for one generation
+MAX_COUNT = 255  # of a column, which is one byte
 
 
 def fingerprint(*parts: bytes) -> bytes:
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.2
+TICK_S = 0.2  # between two evaluations
 
 
 class Request(Protocol):
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -11,25 +11,27 @@
 from ryepier.balancer.interface import RetryStormUpdated
 
 ATTEMPT_NUMBERS = 5  # 0 for first attempts, then the retries by number; the last one stands for all beyond
-RECENT_MEMORY_US = 1_000_000
-BASELINE_MEMORY_US = 60_000_000
-MIN_BASELINE_US = 4_000_000  # observed before usual rates count as known
+RECENT_MEMORY_US = 1_000_000  # of the recent rates
+BASELINE_MEMORY_US = 60_000_000  # of the baseline rate
+MIN_BASELINE_US = 4_000_000  # of observation before the baseline rate is known
 MIN_RATE = 4.0  # arrivals per second below which there is no storm
-OPENING_RETRY_SHARE = 0.3  # of the arrivals
-OPENING_UNSERVED_SHARE = 0.15  # share of the arrivals that are not served
-CLOSING_RETRY_SHARE = 0.1
-CLOSING_UNSERVED_SHARE = 0.05
-MIN_CALM_US = 2_000_000  # before a storm is over, to avoid oscillation
-SURGE_RATIO = 1.5  # times the usual first attempts: the demand is real, and fewer retries would not help
+OPENING_RETRY_SHARE = 0.3  # of the arrivals, at which a storm begins
+OPENING_UNSERVED_SHARE = 0.15  # of the arrivals, at which a storm begins
+CLOSING_RETRY_SHARE = 0.1  # of the arrivals, at which it may end
+CLOSING_UNSERVED_SHARE = 0.05  # of the arrivals, at which it may end
+MIN_CALM_US = 2_000_000  # before a storm ends, to avoid oscillation
+SURGE_RATIO = 1.5  # times the baseline: the demand is real, and fewer retries would not help
 SURGE_AFTERMATH_US = 5 * RECENT_MEMORY_US  # rejections of a surge still cause retries, and the rates still decay
-OUTAGE_SERVED_SHARE = 0.3  # share served below which there is an outage
-RECENT_OUTAGE_US = 30_000_000
-MAX_FIRST_REJECTIONS = 0.3  # share of first attempts rejected, above which fewer retries are admitted
-DECREASE, INCREASE, INCREASE_STEP = 0.8, 1.25, 0.02  # changes of the admitted share per tick
-MIN_ADMISSION = 0.05  # if first attempts are rejected for another reason, admitting none does not help
-RECOVERY_FACTOR = 2.0  # of the service by the time of the retries
-MIN_WINDOW_US = 200_000
-MAX_WINDOW_US = 30_000_000
+OUTAGE_SERVED_SHARE = 0.3  # of the arrivals; with fewer served there is an outage
+RECENT_OUTAGE_US = 30_000_000  # for which an outage is named as evidence
+MAX_FIRST_REJECTIONS = 0.3  # of the first attempts, above which fewer retries are admitted
+ADMISSION_DECREASE = 0.8  # factor of the admitted share per tick
+ADMISSION_INCREASE = 1.25  # the same
+ADMISSION_INCREASE_STEP = 0.02  # in addition, of all retries
+MIN_ADMISSION = 0.05  # of the retries: if first attempts are rejected for another reason, admitting none does not help
+RECOVERY_FACTOR = 2.0  # of the rate of service by the time of the retries
+MIN_WINDOW_US = 200_000  # of Retry-After
+MAX_WINDOW_US = 30_000_000  # of Retry-After
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,9 +112,9 @@
         if not was:
             self.admission = 1.0
         elif self.first_rejections > MAX_FIRST_REJECTIONS * self.rates[0]:
-            self.admission = max(MIN_ADMISSION, self.admission * DECREASE)
+            self.admission = max(MIN_ADMISSION, self.admission * ADMISSION_DECREASE)
         else:
-            self.admission = min(1.0, self.admission * INCREASE + INCREASE_STEP)
+            self.admission = min(1.0, self.admission * ADMISSION_INCREASE + ADMISSION_INCREASE_STEP)
         if self.active:
             self._update_calm(now_us, evidence)
         else:
