--- a/ryepier/experiments/maintenance/best_plan.py
+++ b/ryepier/experiments/maintenance/best_plan.py
@@ -18,7 +18,7 @@
     """Which requests end by their deadline, and the worth that no plan exceeds. Where the two are equal the plan is
     the best; where the solver ran out of time the bound is still one."""
 
-    fits: frozenset[str]
+    feasible: frozenset[str]
     value: int
     bound: int
 
@@ -62,5 +62,5 @@
     status = solver.solve(model)
     if status not in (cp_model.OPTIMAL, cp_model.FEASIBLE):
         return BestPlan(frozenset(), 0, sum(map(value, problem.jobs)))
-    fits = frozenset(name for name, literal in present.items() if solver.value(literal))
-    return BestPlan(fits, round(solver.objective_value), int(solver.best_objective_bound))
+    feasible = frozenset(name for name, literal in present.items() if solver.value(literal))
+    return BestPlan(feasible, round(solver.objective_value), int(solver.best_objective_bound))
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -154,12 +154,12 @@
     async def drain(self, call: FleetCall) -> FleetReply:
         """List it as draining."""
         self.control.note("drain", call)
-        await self._tell_all(self.present[call.converter], "leaving")
+        await self._notify_all(self.present[call.converter], "leaving")
         return FleetReply()
 
     async def remove(self, call: FleetCall) -> FleetReply:
         """List it as gone."""
-        await self._tell_all(self.present[call.converter], "left")
+        await self._notify_all(self.present[call.converter], "left")
         return FleetReply()
 
     async def list_one(self, call: FleetCall) -> FleetReply:
@@ -169,22 +169,22 @@
         place = old.index % self.plan.world.converter_count
         index = place + life * self.plan.world.converter_count
         new = self.present[call.converter] = Instance(index, call.uid, old.machine, self.clock.now_us())
-        await self._tell_all(new, "active")
+        await self._notify_all(new, "active")
         self.control.note("list", call)
         return FleetReply()
 
-    async def _tell_all(self, instance: Instance, state: str) -> None:
+    async def _notify_all(self, instance: Instance, state: str) -> None:
         """Each sidecar's agent hears of it at a time of its own; returns once all have."""
         unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
         entry = discovery.target(self.plan, instance, state, unix_zero_ms)
         step = Step(self.clock.now_us(), TargetKind.DISCOVERY, 0, FaultAction.NOTIFY, uid=instance.uid, state=state)
         low, high = self.plan.world.discovery.late_ms
 
-        async def tell(agent: discovery.Agent | SlicesAgent, late_ms: float) -> None:
-            await asyncio.sleep(late_ms / 1000)
+        async def notify(agent: discovery.Agent | SlicesAgent, delay_ms: float) -> None:
+            await asyncio.sleep(delay_ms / 1000)
             await agent.take(step, entry)
 
-        await asyncio.gather(*(tell(agent, float(self.random.uniform(low, high))) for agent in self.agents))
+        await asyncio.gather(*(notify(agent, float(self.random.uniform(low, high))) for agent in self.agents))
 
 
 def main() -> None:
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -13,9 +13,9 @@
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS, replica_names
-from ryepier.experiments.maintenance.fleet_rig import MaintenanceRig, Scenario
+from ryepier.experiments.maintenance.maintenance_harness import MaintenanceHarness, Scenario
 from ryepier.experiments.maintenance.outcome import FOREVER_US, Outcome
-from ryepier.experiments.maintenance.overlap import FITTING, draw_requests
+from ryepier.experiments.maintenance.overlap import VALID_PER_REGION, draw_requests
 from ryepier.maintenance.api import StatusReply
 from ryepier.maintenance.client import CallError
 from ryepier.maintenance.replication import storage
@@ -25,28 +25,28 @@
 MAX_UNAVAILABLE = 6
 MIN_ALLOWANCE = 2
 DEADLINE_MS = 60_000  # of all: here the faults are the subject
-NEXT_GRANT_WITHIN_S = 5.0
-KILLED_AT = (LeaseState.GRANTED, LeaseState.DRAINING, LeaseState.RETURNING)
+MAX_NEXT_GRANT_S = 5.0
+KILL_STATES = (LeaseState.GRANTED, LeaseState.DRAINING, LeaseState.RETURNING)
 FIRST_KILL_S = 2.0
-BETWEEN_KILLS_S = 2.5
+KILL_INTERVAL_S = 2.5
 DOWN_S = 0.5
 REGION_KILL_S = 4.0
 EMPTY_DISK_S = 9.0
 STATE_TIMEOUT_S = 3.0  # for a lease to reach the state at which its leader is to be killed
 TORN_WRITE = b"\0\0\1\x2c\x77\x77"
-FAULTS = len(KILLED_AT) + 2
+FAULTS = len(KILL_STATES) + 2
 
 
-async def kill_leaders(rig: MaintenanceRig) -> None:
+async def kill_leaders(harness: MaintenanceHarness) -> None:
     """North: the leader is killed as soon as it says that a lease is in this state, for each state."""
-    await rig.until(FIRST_KILL_S)
-    for state in KILLED_AT:
-        leader = await _leader_when(rig, "north", partial(_has_lease_in, state))
-        rig.kill_coordinators(leader)
-        rig.observed.majority_back_us.append(("north", monotonic_us()))  # the two others are a majority
+    await harness.until(FIRST_KILL_S)
+    for state in KILL_STATES:
+        leader = await _leader_when(harness, "north", partial(_has_lease_in, state))
+        harness.kill_coordinators(leader)
+        harness.record.majority_restored_us.append(("north", monotonic_us()))  # the two others are a majority
         await asyncio.sleep(DOWN_S)
-        rig.start_coordinator(leader)
-        await asyncio.sleep(BETWEEN_KILLS_S)
+        harness.start_coordinator(leader)
+        await asyncio.sleep(KILL_INTERVAL_S)
 
 
 def _has_lease_in(state: LeaseState, status: StatusReply) -> bool:
@@ -68,9 +68,9 @@
         return known is not None and bool(draining - known)
 
 
-async def _leader_when(rig: MaintenanceRig, region: str, holds: Callable[[StatusReply], bool]) -> str:
+async def _leader_when(harness: MaintenanceHarness, region: str, holds: Callable[[StatusReply], bool]) -> str:
     """Who leads once something holds, or when that has taken too long."""
-    client = rig.client(region)
+    client = harness.client(region)
     ends_us = monotonic_us() + int(STATE_TIMEOUT_S * 1e6)
     try:
         while True:
@@ -82,31 +82,31 @@
         client.close()
 
 
-async def kill_region(rig: MaintenanceRig) -> None:
+async def kill_region(harness: MaintenanceHarness) -> None:
     """South: all are killed at once; one comes back with a torn file. Later one comes back with an empty disk."""
-    await rig.until(REGION_KILL_S)
+    await harness.until(REGION_KILL_S)
     names = replica_names("south")
     # a window has only just begun, so that it is open still when the region is back
-    await _leader_when(rig, "south", NewDrain())
-    rig.kill_coordinators(*names)
-    with (rig.coordinator_folder(names[0]) / storage.FILE_NAME).open("ab") as file:
+    await _leader_when(harness, "south", NewDrain())
+    harness.kill_coordinators(*names)
+    with (harness.coordinator_folder(names[0]) / storage.FILE_NAME).open("ab") as file:
         file.write(TORN_WRITE)
     for name in names:
-        rig.start_coordinator(name)
-    await _wait_for_majority(rig, "south")
-    rig.observed.majority_back_us.append(("south", monotonic_us()))
-    await rig.until(EMPTY_DISK_S)
-    leader = await rig.leader("south")
+        harness.start_coordinator(name)
+    await _wait_for_majority(harness, "south")
+    harness.record.majority_restored_us.append(("south", monotonic_us()))
+    await harness.until(EMPTY_DISK_S)
+    leader = await harness.leader("south")
     emptied = next(name for name in names if name != leader)
-    rig.kill_coordinators(emptied)
-    shutil.rmtree(rig.coordinator_folder(emptied))
-    rig.observed.majority_back_us.append(("south", monotonic_us()))
-    rig.start_coordinator(emptied)
+    harness.kill_coordinators(emptied)
+    shutil.rmtree(harness.coordinator_folder(emptied))
+    harness.record.majority_restored_us.append(("south", monotonic_us()))
+    harness.start_coordinator(emptied)
 
 
-async def _wait_for_majority(rig: MaintenanceRig, region: str) -> None:
+async def _wait_for_majority(harness: MaintenanceHarness, region: str) -> None:
     """Until a majority of a region's coordinators takes connections."""
-    addresses = rig.addresses(region)
+    addresses = harness.addresses(region)
     listening: set[str] = set()
     while len(listening) <= len(addresses) // 2:
         for name, address in addresses.items():
@@ -119,15 +119,15 @@
         await asyncio.sleep(0.02)
 
 
-async def strike(rig: MaintenanceRig) -> None:
+async def inject_faults(harness: MaintenanceHarness) -> None:
     """All faults, both regions at once."""
-    parts: tuple[Callable[[MaintenanceRig], Awaitable[None]], ...] = (kill_leaders, kill_region)
+    parts: tuple[Callable[[MaintenanceHarness], Awaitable[None]], ...] = (kill_leaders, kill_region)
 
-    async def carry_out(part: Callable[[MaintenanceRig], Awaitable[None]]) -> None:
+    async def carry_out(part: Callable[[MaintenanceHarness], Awaitable[None]]) -> None:
         try:
-            await part(rig)
+            await part(harness)
         except CallError as error:  # no leader is there to be killed: the claim on the number of faults tells
-            rig.notes.append(str(error))
+            harness.notes.append(str(error))
 
     await asyncio.gather(*(carry_out(part) for part in parts))
 
@@ -135,46 +135,51 @@
 def next_grant_s(outcome: Outcome) -> list[float]:
     """From each moment at which a majority was back to the region's next grant, where requests still waited then."""
     found = []
-    for region, back_us in outcome.observed.majority_back_us:
-        later = [at_us for at_us in outcomes.grants_us(outcome, replica_names(region)) if at_us > back_us]
-        if later:
-            found.append((later[0] - back_us) / 1e6)
+    for region, back_us in outcome.record.majority_restored_us:
+        delayed_writes = [at_us for at_us in outcomes.grants_us(outcome, replica_names(region)) if at_us > back_us]
+        if delayed_writes:
+            found.append((delayed_writes[0] - back_us) / 1e6)
     return found
 
 
 def claims(outcome: Outcome) -> list[Claim]:
     """What is claimed beyond the one rule."""
-    accepted = [one for one in outcome.observed.submitted if isinstance(one.result, Accepted)]
+    accepted = [one for one in outcome.record.submitted if isinstance(one.result, Accepted)]
     done = [one for one in accepted if outcomes.done_us(outcome, one.request.converters) < FOREVER_US]
     elections = [outcomes.elections_by_term(outcome, replica_names(region)) for region in REGIONS]
     return [
         *outcomes.common_claims(outcome),
-        Claim("faults carried out", len(outcome.observed.majority_back_us), "==", FAULTS),
+        Claim("faults carried out", len(outcome.record.majority_restored_us), "==", FAULTS),
         Claim("leaders of one term, most", max(max(one.values(), default=0) for one in elections), "==", 1),
         Claim(
             "elections in a term that the replica had been in",
-            sum(outcomes.second_votes(outcome, replica_names(region)) for region in REGIONS),
+            sum(outcomes.repeated_candidacies(outcome, replica_names(region)) for region in REGIONS),
             "==",
             0,
         ),
-        Claim("polls in which a converter that was out was under no lease", len(outcomes.forgotten(outcome)), "==", 0),
-        Claim("converters that two leases had at once", len(outcomes.granted_twice(outcome)), "==", 0),
-        Claim("requests accepted", len(accepted), "==", FITTING * len(REGIONS)),
-        Claim("of them done by the end", len(done), "==", FITTING * len(REGIONS)),
-        Claim("next grant after a majority is back (s)", max(next_grant_s(outcome)), "<=", NEXT_GRANT_WITHIN_S),
+        Claim(
+            "polls in which a converter that was out was under no lease",
+            len(outcomes.unleased_outages(outcome)),
+            "==",
+            0,
+        ),
+        Claim("converters that two leases had at once", len(outcomes.doubly_leased_outages(outcome)), "==", 0),
+        Claim("requests accepted", len(accepted), "==", VALID_PER_REGION * len(REGIONS)),
+        Claim("of them done by the end", len(done), "==", VALID_PER_REGION * len(REGIONS)),
+        Claim("next grant after a majority is back (s)", max(next_grant_s(outcome)), "<=", MAX_NEXT_GRANT_S),
     ]
 
 
 def perform(trial: TrialConfig) -> Measurement:
     """Play it once. Raises HarnessError."""
     world = load("maintenance")
-    planned = [replace(one, deadline_in_ms=DEADLINE_MS) for one in draw_requests(world, trial.seed) if one.fits]
+    planned = [replace(one, deadline_in_ms=DEADLINE_MS) for one in draw_requests(world, trial.seed) if one.valid]
     outcome = outcomes.play(
-        MaintenanceRig(
+        MaintenanceHarness(
             world,
             trial.seed,
             trial.folder,
-            Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, strike, trial.seeded_fault),
+            Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, inject_faults, trial.seeded_fault),
         )
     )
     grants = {f"next_grant_{number}_s": value for number, value in enumerate(next_grant_s(outcome))}
--- a/ryepier/experiments/maintenance/fleet_rig.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -38,7 +38,7 @@
 ROLE_MODULE = "ryepier.experiments.maintenance.fleet_process"
 AGENT_MODULE = "ryepier.experiments.maintenance.agent_process"
 CALL_TIMEOUT_S = 12.0
-POLL_EVERY_S = 0.25
+POLL_INTERVAL_S = 0.25
 POLL_TIMEOUT_S = 1.0
 WORK_S = 0.5
 FREEZE_S = 0.5  # of a run of seconds, where operators' plans are of hours
@@ -58,11 +58,11 @@
     earliest_in_ms: int
     deadline_in_ms: int
     priority: Priority
-    fits: bool = True
+    valid: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Submitted:
+class SubmittedRequest:
     """A request as it was handed in, and what was said of it."""
 
     request: Request
@@ -73,11 +73,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """What a region's leader said at a moment; `asked_us` is before and `told_us` after the answer."""
+    """What a region's leader said at a moment; `sent_us` is before and `received_us` after the answer."""
 
     region: str
-    asked_us: int
-    told_us: int
+    sent_us: int
+    received_us: int
     status: StatusReply
 
 
@@ -88,28 +88,28 @@
     max_unavailable: int
     min_allowance: int  # that a region never lends
     requests: Sequence[PlannedRequest]
-    faults: Callable[[MaintenanceRig], Awaitable[None]] | None = None
-    plant: str = ""
+    faults: Callable[[MaintenanceHarness], Awaitable[None]] | None = None
+    seeded_fault: str = ""
     relayed: bool = False  # the regions reach one another by relays
 
 
 @dataclass(slots=True)
-class Observed:
+class HarnessRecord:
     """What the rig saw of the coordinators, times on the machine's monotonic clock."""
 
-    submitted: list[Submitted] = field(default_factory=list)
+    submitted: list[SubmittedRequest] = field(default_factory=list)
     polls: list[Poll] = field(default_factory=list)
-    majority_back_us: list[tuple[str, int]] = field(default_factory=list)  # region, when
+    majority_restored_us: list[tuple[str, int]] = field(default_factory=list)  # region, when
 
 
-class MaintenanceRig(Harness):
+class MaintenanceHarness(Harness):
     """One run of a scenario."""
 
     def __init__(self, world: World, seed: int, folder: Path, scenario: Scenario) -> None:
         """Prepare; nothing is started yet."""
         super().__init__(world, seed, folder, RoleAssignment(role_module=ROLE_MODULE))
         self.scenario = scenario
-        self.observed = Observed()
+        self.record = HarnessRecord()
         self.coordinators: dict[str, subprocess.Popen[bytes]] = {}
         self.notes: list[str] = []  # what a scenario's faults met
         self.agents: dict[str, subprocess.Popen[bytes]] = {}
@@ -154,7 +154,7 @@
         region = name.partition("-")[0]
         number = [one for each in REGIONS for one in replica_names(each)].index(name)
         host, port = self.plan.discovery_address(number % self.world.sidecars.count)
-        command = [*seeded_coordinator.command(self.scenario.plant), "--agreement"]
+        command = [*seeded_coordinator.command(self.scenario.seeded_fault), "--agreement"]
         command += [
             str(self.region_agreements[region]),
             "--region",
@@ -200,7 +200,7 @@
     async def kill_all(self) -> None:
         """Leave no process behind."""
         self.end_maintenance()
-        (self.folder / POLLS).write_bytes(msgspec.json.encode(self.observed.polls))
+        (self.folder / POLLS).write_bytes(msgspec.json.encode(self.record.polls))
         await super().kill_all()
 
     def end_maintenance(self) -> None:
@@ -221,10 +221,10 @@
         async with asyncio.TaskGroup() as group:
             polling = [group.create_task(self.poll(region)) for region in REGIONS]
             group.create_task(super().steps())
-            handing_in = [group.create_task(self.hand_in(region)) for region in REGIONS]
+            submitting = [group.create_task(self.submit_requests(region)) for region in REGIONS]
             if self.scenario.faults is not None:
-                group.create_task(self._strike(self.scenario.faults))
-            await asyncio.gather(*handing_in)
+                group.create_task(self._inject_faults(self.scenario.faults))
+            await asyncio.gather(*submitting)
             await self.until(self.world.duration_s)
             for task in polling:
                 task.cancel()
@@ -242,7 +242,7 @@
                 await relay.start()
                 self.relays.append(relay)
 
-    async def _strike(self, faults: Callable[[MaintenanceRig], Awaitable[None]]) -> None:
+    async def _inject_faults(self, faults: Callable[[MaintenanceHarness], Awaitable[None]]) -> None:
         """Carry the scenario's faults out."""
         await faults(self)
 
@@ -258,7 +258,7 @@
         """A caller of a region's coordinators."""
         return RegionClient(region, self.addresses(region), "operator", ClientKind.OPERATOR)
 
-    async def hand_in(self, region: str) -> None:
+    async def submit_requests(self, region: str) -> None:
         """The requests of a region, each at its time."""
         client = self.client(region)
         mine = [one for one in self.scenario.requests if one.region == region]
@@ -277,20 +277,20 @@
                 priority=planned.priority,
             )
             result = await client.command(SubmitRequest(request), CALL_TIMEOUT_S)
-            self.observed.submitted.append(Submitted(request, now_ms, monotonic_us(), result))
+            self.record.submitted.append(SubmittedRequest(request, now_ms, monotonic_us(), result))
         client.close()
 
     async def poll(self, region: str) -> None:
         """Ask a region's leader again and again what it knows."""
         client = self.client(region)
         while True:
-            asked_us = monotonic_us()
+            sent_us = monotonic_us()
             try:
                 status = await client.status(POLL_TIMEOUT_S)
             except CallError:
                 continue
-            self.observed.polls.append(Poll(region, asked_us, monotonic_us(), status))
-            await asyncio.sleep(POLL_EVERY_S)
+            self.record.polls.append(Poll(region, sent_us, monotonic_us(), status))
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def leader(self, region: str) -> str:
         """Who leads a region now."""
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -17,7 +17,7 @@
 from ryepier.experiments.core import contract, figures, judge, runner
 from ryepier.experiments.core.contract import Claim
 from ryepier.experiments.maintenance.fleet_process import JournalLine
-from ryepier.experiments.maintenance.fleet_rig import MaintenanceRig, Observed, Poll
+from ryepier.experiments.maintenance.maintenance_harness import HarnessRecord, MaintenanceHarness, Poll
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.judge import FULL_SIZE, Change, breaches
 from ryepier.maintenance.replication.roles import Role
@@ -37,7 +37,7 @@
 )
 FOREVER_US = 10**18
 IN_TERM = " in term "  # between role and term, in the log of a coordinator
-LEADS = f"{Role.LEADER.value}{IN_TERM}"
+LEADER_IN_TERM = f"{Role.LEADER.value}{IN_TERM}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
     """A converter that a window had out: from its drain until it was warm again."""
 
     converter: str
-    begun_us: int
+    began_us: int
     warm_us: int  # FOREVER_US where it did not come back
     tokens: frozenset[int]
 
@@ -59,7 +59,7 @@
     folder: Path
     agreement: Agreement
     history: History
-    observed: Observed
+    record: HarnessRecord
     journal: Sequence[JournalLine]
     zero_us: int
 
@@ -80,27 +80,27 @@
 
 def _outages_of(converter: str, lines: Sequence[JournalLine], warm_up_us: int) -> Iterator[Outage]:
     """One converter's."""
-    begun_us: int | None = None
+    began_us: int | None = None
     warm_us = FOREVER_US
     tokens: set[int] = set()
     for line in lines:
-        if begun_us is not None and line.at_us >= warm_us:
-            yield Outage(converter, begun_us, warm_us, frozenset(tokens))
-            begun_us, warm_us, tokens = None, FOREVER_US, set()
+        if began_us is not None and line.at_us >= warm_us:
+            yield Outage(converter, began_us, warm_us, frozenset(tokens))
+            began_us, warm_us, tokens = None, FOREVER_US, set()
         if line.action in ("drain", "stop"):
-            begun_us = line.at_us if begun_us is None else begun_us
+            began_us = line.at_us if began_us is None else began_us
             warm_us = FOREVER_US if line.action == "stop" else warm_us
             tokens.add(line.token)
         elif line.action == "start":
             warm_us = line.at_us + warm_up_us
-    if begun_us is not None:
-        yield Outage(converter, begun_us, warm_us, frozenset(tokens))
+    if began_us is not None:
+        yield Outage(converter, began_us, warm_us, frozenset(tokens))
 
 
 def changes(found: Sequence[Outage]) -> Iterator[Change]:
     """Outages as the judge of the rule takes them."""
     for one in found:
-        yield Change(one.begun_us // 1000, one.converter, FULL_SIZE, planned=True)
+        yield Change(one.began_us // 1000, one.converter, FULL_SIZE, planned=True)
         if one.warm_us < FOREVER_US:
             yield Change(-(-one.warm_us // 1000), one.converter, 0, planned=True)
 
@@ -122,20 +122,20 @@
 def common_figures(outcome: Outcome) -> dict[str, float]:
     """Figures that all runs show."""
     found = outcome.outages
-    lengths = sorted((one.warm_us - one.begun_us) / 1e6 for one in found if one.warm_us < FOREVER_US)
+    lengths = sorted((one.warm_us - one.began_us) / 1e6 for one in found if one.warm_us < FOREVER_US)
     return {
         "outages": float(len(found)),
         "outages_that_did_not_end": float(sum(one.warm_us == FOREVER_US for one in found)),
         "longest_outage_s": lengths[-1] if lengths else 0.0,
         "median_outage_s": lengths[len(lengths) // 2] if lengths else 0.0,
-        "most_out_at_once": float(_most_at_once(found)),
-        "polls": float(len(outcome.observed.polls)),
+        "most_out_at_once": float(_max_concurrent_outages(found)),
+        "polls": float(len(outcome.record.polls)),
     }
 
 
-def _most_at_once(found: Sequence[Outage]) -> int:
+def _max_concurrent_outages(found: Sequence[Outage]) -> int:
     """The greatest number of converters that were out together."""
-    edges = sorted([(one.begun_us, 1) for one in found] + [(one.warm_us, -1) for one in found])
+    edges = sorted([(one.began_us, 1) for one in found] + [(one.warm_us, -1) for one in found])
     most = now = 0
     for _, step in edges:
         now += step
@@ -146,24 +146,24 @@
 def done_us(outcome: Outcome, converters: Sequence[str]) -> int:
     """When the last of these converters was warm again after its first outage; FOREVER_US where one never was."""
     first: dict[str, int] = {}
-    for one in sorted(outcome.outages, key=lambda one: one.begun_us):
+    for one in sorted(outcome.outages, key=lambda one: one.began_us):
         first.setdefault(one.converter, one.warm_us)
     return max(first.get(name, FOREVER_US) for name in converters)
 
 
-def forgotten(outcome: Outcome) -> list[tuple[Poll, str]]:
+def unleased_outages(outcome: Outcome) -> list[tuple[Poll, str]]:
     """Polls whose leases did not hold a converter that was out, by its own journal, all the while."""
     missing = []
-    for poll in outcome.observed.polls:
+    for poll in outcome.record.polls:
         held = {name for lease in poll.status.leases for name in lease.unavailable}
         for one in outcome.outages:
             here = outcome.agreement.converters[one.converter].region == poll.region
-            if here and one.begun_us < poll.asked_us and poll.told_us < one.warm_us and one.converter not in held:
+            if here and one.began_us < poll.sent_us and poll.received_us < one.warm_us and one.converter not in held:
                 missing.append((poll, one.converter))
     return missing
 
 
-def granted_twice(outcome: Outcome) -> list[Outage]:
+def doubly_leased_outages(outcome: Outcome) -> list[Outage]:
     """Outages in which more than one lease had the same converter."""
     return [one for one in outcome.outages if len(one.tokens) > 1]
 
@@ -174,12 +174,12 @@
     for name in replicas:
         for line in log_lines(outcome.folder / f"{name}.log"):
             message = str(line.get("message", ""))
-            if message.startswith(LEADS):
-                elections[int(message.removeprefix(LEADS))] += 1
+            if message.startswith(LEADER_IN_TERM):
+                elections[int(message.removeprefix(LEADER_IN_TERM))] += 1
     return elections
 
 
-def second_votes(outcome: Outcome, replicas: Sequence[str]) -> int:
+def repeated_candidacies(outcome: Outcome, replicas: Sequence[str]) -> int:
     """How often a replica stood for election in a term that it had been in before: each stands by voting for itself."""
     found = 0
     for name in replicas:
@@ -193,10 +193,10 @@
     return found
 
 
-def window_begins_us(outcome: Outcome, region: str) -> list[int]:
+def window_starts_us(outcome: Outcome, region: str) -> list[int]:
     """When a region's windows began, by the first drain of each."""
     here = outcome.agreement.converters
-    return sorted(one.begun_us for one in outcome.outages if here[one.converter].region == region)
+    return sorted(one.began_us for one in outcome.outages if here[one.converter].region == region)
 
 
 def grants_us(outcome: Outcome, replicas: Sequence[str]) -> list[int]:
@@ -222,16 +222,16 @@
             yield line
 
 
-def play(rig: MaintenanceRig) -> Outcome:
+def play(harness: MaintenanceHarness) -> Outcome:
     """Play, and gather what there is after the run. Raises HarnessError."""
-    history = asyncio.run(rig.play())
+    history = asyncio.run(harness.play())
     return Outcome(
-        rig.world,
-        rig.plan.seed,
-        rig.folder,
-        rig.agreement,
+        harness.world,
+        harness.plan.seed,
+        harness.folder,
+        harness.agreement,
         history,
-        rig.observed,
-        rig.journal(),
-        rig.clock.zero_us,
+        harness.record,
+        harness.journal(),
+        harness.clock.zero_us,
     )
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -13,7 +13,12 @@
 from ryepier.experiments.maintenance import outcome as outcomes
 from ryepier.experiments.maintenance.agreement_text import REGIONS, region_converters
 from ryepier.experiments.maintenance.best_plan import best_plan
-from ryepier.experiments.maintenance.fleet_rig import MaintenanceRig, PlannedRequest, Scenario, Submitted
+from ryepier.experiments.maintenance.maintenance_harness import (
+    MaintenanceHarness,
+    PlannedRequest,
+    Scenario,
+    SubmittedRequest,
+)
 from ryepier.experiments.maintenance.outcome import Outcome
 from ryepier.maintenance.commands import Priority
 from ryepier.maintenance.ledger import Ledger
@@ -22,11 +27,11 @@
 
 MAX_UNAVAILABLE = 8
 MIN_ALLOWANCE = 3  # of 4: with less, the region that asks first would get most
-FITTING = 12  # requests a region, of one converter each
+VALID_PER_REGION = 12  # requests a region, of one converter each
 MIN_UTILISATION = 0.8
 DURATION_MS = 2_500  # of one converter; what an agent needs is less, so that its report may be a little late
-LAST_HAND_IN_S = 5.0
-DEADLINES_MS = (15_000, 17_000)  # from the earliest start on
+LAST_SUBMISSION_S = 5.0
+DEADLINE_RANGE_MS = (15_000, 17_000)  # from the earliest start on
 NEAR_DEADLINE_MS = 3_000  # less than one window takes
 
 
@@ -37,13 +42,13 @@
     for region in REGIONS:
         converters = region_converters(world, region)
         random.shuffle(converters)
-        for number, converter in enumerate(converters[:FITTING]):
-            planned.append(_drawn(random, f"{region}-{number}", region, (converter,)))
+        for number, converter in enumerate(converters[:VALID_PER_REGION]):
+            planned.append(_draw_request(random, f"{region}-{number}", region, (converter,)))
         planned += _invalid_requests(region, converters)
     return planned
 
 
-def _drawn(random: np.random.Generator, name: str, region: str, converters: tuple[str, ...]) -> PlannedRequest:
+def _draw_request(random: np.random.Generator, name: str, region: str, converters: tuple[str, ...]) -> PlannedRequest:
     """A request that fits."""
     return PlannedRequest(
         name=name,
@@ -51,9 +56,9 @@
         converters=converters,
         max_unavailable=1,
         duration_ms=DURATION_MS,
-        at_s=float(random.choice([0.0, random.uniform(0.0, LAST_HAND_IN_S)])),
+        at_s=float(random.choice([0.0, random.uniform(0.0, LAST_SUBMISSION_S)])),
         earliest_in_ms=int(random.uniform(0, 2_000)),
-        deadline_in_ms=int(random.uniform(*DEADLINES_MS)),
+        deadline_in_ms=int(random.uniform(*DEADLINE_RANGE_MS)),
         priority=Priority(int(random.integers(0, len(Priority)))),
     )
 
@@ -62,26 +67,26 @@
     """Requests that have to be refused: too little time, a converter of another request, an unknown one."""
 
     def invalid_request(name: str, named: tuple[str, ...], deadline_ms: int) -> PlannedRequest:
-        at_s = LAST_HAND_IN_S
+        at_s = LAST_SUBMISSION_S
         return PlannedRequest(
-            f"{region}-{name}", region, named, 1, DURATION_MS, at_s, 0, deadline_ms, Priority.URGENT, fits=False
+            f"{region}-{name}", region, named, 1, DURATION_MS, at_s, 0, deadline_ms, Priority.URGENT, valid=False
         )
 
     return [
         invalid_request("no-time", (converters[0],), NEAR_DEADLINE_MS),
-        invalid_request("twice", (converters[1], converters[1]), DEADLINES_MS[1]),
-        invalid_request("unknown", ("c-none",), DEADLINES_MS[1]),
+        invalid_request("twice", (converters[1], converters[1]), DEADLINE_RANGE_MS[1]),
+        invalid_request("unknown", ("c-none",), DEADLINE_RANGE_MS[1]),
     ]
 
 
-def late(outcome: Outcome) -> list[Submitted]:
+def late_requests(outcome: Outcome) -> list[SubmittedRequest]:
     """Accepted requests whose converters were not all warm again by the deadline."""
     return [
-        one for one in outcome.observed.submitted if isinstance(one.result, Accepted) and not _in_time(outcome, one)
+        one for one in outcome.record.submitted if isinstance(one.result, Accepted) and not _met_deadline(outcome, one)
     ]
 
 
-def _in_time(outcome: Outcome, one: Submitted) -> bool:
+def _met_deadline(outcome: Outcome, one: SubmittedRequest) -> bool:
     """Whether it was done by its deadline, which counts from when it was handed in."""
     deadline_us = one.at_us + (one.request.deadline_ms - one.region_now_ms) * 1000
     return outcomes.done_us(outcome, one.request.converters) <= deadline_us
@@ -94,8 +99,8 @@
         problem = _problem(outcome, region)
         best += best_plan(problem, Job.work).value
         jobs = {job.request.name: job for job in problem.jobs}
-        for one in outcome.observed.submitted:
-            if one.request.name in jobs and _in_time(outcome, one):
+        for one in outcome.record.submitted:
+            if one.request.name in jobs and _met_deadline(outcome, one):
                 done += jobs[one.request.name].work()
     return done / best
 
@@ -105,7 +110,7 @@
     ledger = Ledger(outcome.agreement, region)
     everything = outcome.agreement.converters
     jobs = []
-    for one in outcome.observed.submitted:
+    for one in outcome.record.submitted:
         if one.request.region == region and isinstance(one.result, Accepted):
             length_ms = one.request.duration_ms + outcome.agreement.services[one.request.service].warm_up_ms
             jobs.append(Job(one.request, tuple(everything[name] for name in one.request.converters), length_ms))
@@ -119,15 +124,20 @@
 
 def claims(outcome: Outcome, planned: Sequence[PlannedRequest]) -> list[Claim]:
     """What is claimed beyond the one rule."""
-    accepted = [one for one in outcome.observed.submitted if isinstance(one.result, Accepted)]
+    accepted = [one for one in outcome.record.submitted if isinstance(one.result, Accepted)]
     return [
         *outcomes.common_claims(outcome),
-        Claim("requests handed in", len(outcome.observed.submitted), "==", len(planned)),
-        Claim("requests accepted, all that fit", len(accepted), "==", FITTING * len(REGIONS)),
-        Claim("requests that fit and were late", len(late(outcome)), "==", 0),
+        Claim("requests handed in", len(outcome.record.submitted), "==", len(planned)),
+        Claim("requests accepted, all that fit", len(accepted), "==", VALID_PER_REGION * len(REGIONS)),
+        Claim("requests that fit and were late", len(late_requests(outcome)), "==", 0),
         Claim("work done in time over the best plan's", utilisation(outcome), ">=", MIN_UTILISATION),
-        Claim("polls in which a converter that was out was under no lease", len(outcomes.forgotten(outcome)), "==", 0),
-        Claim("converters that two leases had at once", len(outcomes.granted_twice(outcome)), "==", 0),
+        Claim(
+            "polls in which a converter that was out was under no lease",
+            len(outcomes.unleased_outages(outcome)),
+            "==",
+            0,
+        ),
+        Claim("converters that two leases had at once", len(outcomes.doubly_leased_outages(outcome)), "==", 0),
     ]
 
 
@@ -136,8 +146,11 @@
     world = load("maintenance")
     planned = draw_requests(world, trial.seed)
     outcome = outcomes.play(
-        MaintenanceRig(
-            world, trial.seed, trial.folder, Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, plant=trial.seeded_fault)
+        MaintenanceHarness(
+            world,
+            trial.seed,
+            trial.folder,
+            Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, seeded_fault=trial.seeded_fault),
         )
     )
     return Measurement(claims(outcome, planned), outcomes.common_figures(outcome))
--- a/ryepier/experiments/maintenance/relay.py
+++ b/ryepier/experiments/maintenance/relay.py
@@ -10,8 +10,8 @@
 from ryepier.maintenance.transport import LENGTH_BYTES, MAX_FRAME_BYTES
 
 DELAY_S = (0.0, 0.25)
-DOUBLED = 0.8  # share of frames that come again
-AGAIN_S = (0.0, 1.5)  # after the first
+DUPLICATED_FRACTION = 0.8  # share of frames that come again
+DUPLICATE_DELAY_S = (0.0, 1.5)  # after the first
 
 
 class Relay:
@@ -26,29 +26,29 @@
         self.listen = listen
         self.target = target
         self.random = random.Random(seed)
-        self.is_cut = False
+        self.is_partitioned = False
         self.writers: set[asyncio.StreamWriter] = set()
-        self.later: set[asyncio.Task[None]] = set()
-        self.doubled = 0
+        self.delayed_writes: set[asyncio.Task[None]] = set()
+        self.duplicated = 0
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Listen."""
         self.server = await asyncio.start_server(self._serve, *self.listen)
 
-    def cut(self) -> None:
+    def partition(self) -> None:
         """End all connections, and accept no further ones until `heal`."""
-        self.is_cut = True
+        self.is_partitioned = True
         for writer in list(self.writers):
             writer.transport.abort()
 
     def heal(self) -> None:
         """Carry frames again."""
-        self.is_cut = False
+        self.is_partitioned = False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One caller's connection."""
-        if self.is_cut:
+        if self.is_partitioned:
             writer.transport.abort()
             return
         try:
@@ -56,11 +56,11 @@
         except OSError:
             writer.transport.abort()
             return
-        with self._open(writer, far_writer):
+        with self._track(writer, far_writer):
             await asyncio.gather(self._carry_calls(reader, far_writer), self._carry_replies(far_reader, writer))
 
     @contextmanager
-    def _open(self, *writers: asyncio.StreamWriter) -> Iterator[None]:
+    def _track(self, *writers: asyncio.StreamWriter) -> Iterator[None]:
         """Know both ends for as long as they are open."""
         self.writers.update(writers)
         try:
@@ -79,15 +79,15 @@
             frame = await read_frame(reader)
             delay_s = self.random.uniform(*DELAY_S)
             self._send_later(writer, frame, delay_s)
-            if self.random.random() < DOUBLED:
-                self.doubled += 1
-                self._send_later(writer, frame, delay_s + self.random.uniform(*AGAIN_S))
+            if self.random.random() < DUPLICATED_FRACTION:
+                self.duplicated += 1
+                self._send_later(writer, frame, delay_s + self.random.uniform(*DUPLICATE_DELAY_S))
 
     def _send_later(self, writer: asyncio.StreamWriter, frame: bytes, delay_s: float) -> None:
         """Write a frame after a while, unless the connection has ended."""
         task = asyncio.create_task(_write_after(writer, frame, delay_s))
-        self.later.add(task)
-        task.add_done_callback(self.later.discard)
+        self.delayed_writes.add(task)
+        task.add_done_callback(self.delayed_writes.discard)
 
     @staticmethod
     async def _carry_replies(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/ryepier/experiments/maintenance/seeded_coordinator.py
+++ b/ryepier/experiments/maintenance/seeded_coordinator.py
@@ -23,17 +23,17 @@
 }
 
 
-def command(plant: str) -> list[str]:
+def command(seeded_fault: str) -> list[str]:
     """How to start a coordinator with this mistake; without one, as operators do."""
-    if not plant:
+    if not seeded_fault:
         return [sys.executable, "-B", "-m", "ryepier", "maintenance", "serve"]
-    return [sys.executable, "-B", "-m", "ryepier.experiments.maintenance.seeded_coordinator", plant]
+    return [sys.executable, "-B", "-m", "ryepier.experiments.maintenance.seeded_coordinator", seeded_fault]
 
 
 def main() -> None:
     """Put the mistake in and serve."""
-    plant, *arguments = sys.argv[1:]
-    coordinator.DEFAULT_COMPONENTS = SEEDED_FAULTS[plant]
+    seeded_fault, *arguments = sys.argv[1:]
+    coordinator.DEFAULT_COMPONENTS = SEEDED_FAULTS[seeded_fault]
     # the command line lies above this floor, so it is started as a person would start it
     sys.argv = ["ryepier", "maintenance", "serve", *arguments]
     runpy.run_module("ryepier", run_name="__main__")
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -114,12 +114,12 @@
         for number in range(20):
             connection.send(StatusCall(number))
         async with asyncio.timeout(PATIENCE_S):
-            while len(received) < 21 + relay.doubled or relay.doubled == 0:
+            while len(received) < 21 + relay.duplicated or relay.duplicated == 0:
                 await asyncio.sleep(0.05)
         assert received[0] == hello
         assert {one.number for one in received[1:] if isinstance(one, StatusCall)} == set(range(20))
         assert received[1:21] != [StatusCall(number) for number in range(20)], "in another order"
-        relay.cut()
+        relay.partition()
         with pytest.raises((OSError, EOFError)):
             await connection.receive()
         refused = await Connection.dial(listen, hello)
--- a/tests/test_maintenance_outcome.py
+++ b/tests/test_maintenance_outcome.py
@@ -17,7 +17,7 @@
     elections_by_term,
     grants_us,
     outages,
-    second_votes,
+    repeated_candidacies,
 )
 
 WARM_UP_US = 1000
@@ -47,7 +47,7 @@
 def test_an_outage_lasts_from_the_drain_until_a_life_is_warm(
     steps: list[tuple[int, str, int]], found: list[tuple[int, int, set[int]]]
 ) -> None:
-    expected = [Outage("a", begun_us, warm_us, frozenset(tokens)) for begun_us, warm_us, tokens in found]
+    expected = [Outage("a", began_us, warm_us, frozenset(tokens)) for began_us, warm_us, tokens in found]
     assert list(outages(journal(*steps), WARM_UP_US)) == expected
 
 
@@ -65,9 +65,9 @@
         "follower in term 3",
         "candidate in term 4",
     )
-    assert second_votes(outcome_with_log(tmp_path, *usual), ["north-0"]) == 0  # type: ignore[arg-type]
+    assert repeated_candidacies(outcome_with_log(tmp_path, *usual), ["north-0"]) == 0  # type: ignore[arg-type]
     again = outcome_with_log(tmp_path, *usual, "coordinator is up", "candidate in term 1")
-    assert second_votes(again, ["north-0"]) == 1  # type: ignore[arg-type]
+    assert repeated_candidacies(again, ["north-0"]) == 1  # type: ignore[arg-type]
 
 
 def test_elections_are_counted_by_term(tmp_path: Path) -> None:
