--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -12,7 +12,7 @@
 from ryepier.experiments.scale import scale_call, scale_control, scale_depth, scale_fail, scale_list
 from ryepier.experiments.simulation import fidelity
 from ryepier.experiments.slices import slicing
-from ryepier.experiments.storms import retry_storms
+from ryepier.experiments.storms import after_outage, one_sidecar, real_surge
 
 EXPERIMENTS: dict[str, Experiment] = {
     experiment.name: experiment
@@ -27,7 +27,9 @@
         *planning.EXPERIMENTS,
         *slicing.EXPERIMENTS,
         *graphql_front.EXPERIMENTS,
-        *retry_storms.EXPERIMENTS,
+        *after_outage.EXPERIMENTS,
+        one_sidecar.EXPERIMENT,
+        real_surge.EXPERIMENT,
         *load_spread_processes.EXPERIMENTS,
     )
 }
--- /dev/null
+++ b/ryepier/experiments/storms/after_outage.py
@@ -0,0 +1,133 @@
+"""`retry-storm` and its variants: does the service recover from an outage although clients retry?
+
+All converters are out for 5, 15 or 30 s, twice, or without discovery; clients back off and heed Retry-After, half of
+them do, or none. The same seed runs with the sidecars' storm guards and without. Claims: every guard detects the storm,
+the service is back in time, retries are rejected before first attempts, clients are told different times to return, and
+the guard costs next to no service afterwards.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.storms import measures, worlds
+from ryepier.experiments.storms.outage import end_of_fault_s, find_outage, service_after
+from ryepier.experiments.storms.worlds import SHORT_OUTAGE_S, ClientBehavior
+
+OUTAGES_S = (SHORT_OUTAGE_S, 15.0, 30.0)
+LONG_OUTAGE_S = 15.0
+MAX_RECOVERY_S = 8.0
+MAX_RECOVERY_AFTER_LONG_OUTAGE_S = 12.0
+SETTLED_S = 1.0  # after the start
+BEFORE_OUTAGE_S = 3.0  # operations that begin later may be lost to the outage
+MIN_SERVICE_BEFORE = 0.97
+MAX_FIRST_OVER_RETRY = 1.0
+MAX_UNIFORMITY = 0.5
+MAX_LOST_POINTS = 2.0
+MIN_LOST_IN_OUTAGE = 0.3  # of the service, without which there was no outage
+MIN_SHARE = 1e-6  # in place of zero as a divisor
+
+BEHAVIORS = {
+    "": ("clients back off and heed Retry-After", ClientBehavior("exponential", 1.0)),
+    "-mixed": ("half of the clients heed Retry-After", ClientBehavior("exponential", 0.5)),
+    "-rude": ("clients come back at once whatever they are told", ClientBehavior("none", 0.0)),
+}
+
+
+def _figures(run: Run) -> Mapping[str, float]:
+    assert run.control is not None
+    result = {
+        "storms_opened": float(measures.count_detections(run)),
+        "advice_alike": measures.advice_uniformity(run),
+        "advice_alike_without": measures.advice_uniformity(run.control),
+    }
+    result |= _figures_of_one(run, "with")
+    result |= _figures_of_one(run.control, "without")
+    recovery_with_s = max(measures.WINDOW_STEP_S, result["back_after_s_with"])
+    recovery_without_s = max(measures.WINDOW_STEP_S, result["back_after_s_without"])
+    result["recovery_ratio"] = recovery_with_s / recovery_without_s
+    return result
+
+
+def _figures_of_one(run: Run, guard: str) -> dict[str, float]:
+    return {
+        f"back_after_s_{guard}": measures.recovery_s(run),
+        f"refused_first_{guard}": measures.rejected_share(run, retries=False),
+        f"refused_later_{guard}": measures.rejected_share(run, retries=True),
+        f"service_{guard}": figures.service_level(run.operations),
+        f"tries_{guard}": len(run.history.client_attempts),
+        f"service_after_{guard}": service_after(run),
+    }
+
+
+def _claims(run: Run) -> list[Claim]:
+    measured = _figures(run)
+    outage = find_outage(run.world)
+    is_before = figures.due_between(SETTLED_S, outage.begin_s - BEFORE_OUTAGE_S)
+    is_long = outage.duration_s >= LONG_OUTAGE_S
+    max_recovery_s = MAX_RECOVERY_AFTER_LONG_OUTAGE_S if is_long else MAX_RECOVERY_S
+    first_over_retry = measured["refused_first_with"] / max(MIN_SHARE, measured["refused_later_with"])
+    lost_points = 100 * (measured["service_after_without"] - measured["service_after_with"])
+    return [
+        Claim("service before the outage", figures.service_level(run.operations, is_before), ">=", MIN_SERVICE_BEFORE),
+        Claim("time until service is back (s)", measured["back_after_s_with"], "<=", max_recovery_s),
+        Claim("sidecars' guards that opened", measured["storms_opened"], ">=", run.world.sidecars.count),
+        Claim("share refused of first tries over that of later ones", first_over_retry, "<=", MAX_FIRST_OVER_RETRY),
+        Claim("share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_UNIFORMITY),
+        Claim("service after the outage lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
+    ]
+
+
+def _claims_of_two_outages(run: Run) -> list[Claim]:
+    second = run.world.faults[-1]
+    is_in_outage = figures.due_between(phases.end_s(second), end_of_fault_s(second) - BEFORE_OUTAGE_S)
+    service = figures.service_level(run.operations, is_in_outage)
+    return [Claim("service in the second outage", service, "<=", 1.0 - MIN_LOST_IN_OUTAGE), *_claims(run)]
+
+
+def _make_experiment(
+    name: str,
+    question: str,
+    world: Callable[[Scale], World],
+    claims: Callable[[Run], list[Claim]] = _claims,
+) -> Experiment:
+    return Experiment(
+        name=name,
+        question=question,
+        world=world,
+        claims=claims,
+        seeded_faults=("no-spread",),
+        extra_figures=_figures,
+        control_world=worlds.without_guard,
+    )
+
+
+def _make_variant(outage_s: float, suffix: str) -> Experiment:
+    about, behavior = BEHAVIORS[suffix]
+    is_short = outage_s == SHORT_OUTAGE_S
+    length = "" if is_short else f"-{outage_s:.0f}s"
+    full = f" (full: {worlds.FULL_OUTAGE_S:.0f} s)" if is_short else ""
+    return _make_experiment(
+        f"retry-storm{suffix}{length}",
+        f"all converters out for {outage_s:.0f} s{full}, {about}",
+        worlds.outage(behavior, outage_s),
+    )
+
+
+EXPERIMENTS = (
+    *(_make_variant(outage_s, suffix) for outage_s in OUTAGES_S for suffix in BEHAVIORS),
+    _make_experiment(
+        "retry-storm-again",
+        "all converters out for 5 s, and once more 5 s after they are back",
+        worlds.two_outages,
+        _claims_of_two_outages,
+    ),
+    _make_experiment(
+        "retry-storm-blind",
+        "converters refuse for 5 s, and discovery is away from before that on",
+        worlds.outage_without_discovery,
+    ),
+)
--- /dev/null
+++ b/ryepier/experiments/storms/measures.py
@@ -0,0 +1,80 @@
+"""How a run recovers from an outage, whom it rejects meanwhile, and what the sidecars' storm guards did."""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+
+import numpy as np
+
+from ryepier.emulator.records import ClientAttempt
+from ryepier.experiments.core import figures
+from ryepier.experiments.core.contract import Run
+from ryepier.experiments.core.logs import SIDECAR_LOGS, files_with, lines_with
+from ryepier.experiments.storms.outage import find_outage
+
+WINDOW_S = 1.0
+WINDOW_STEP_S = WINDOW_S / 2
+MIN_SERVICE = 0.95  # in a window, to count as recovered
+MIN_OBSERVED_S = 2.0  # of rejections after the outage
+ADVICE_PERIOD_US = 200_000  # rejections in one such period follow one update of the guard
+ADVICE_BIN_US = 50_000  # Retry-After times in one bin count as the same
+MIN_GROUP_SIZE = 20  # rejections in a period, for their share to mean anything
+STORM_DETECTED = "a retry storm opens"  # in a sidecar's log
+US_PER_S = 1e6
+
+
+def recovery_s(run: Run) -> float:
+    """Return the time from the outage's end until every later window is served well.
+
+    Retries count for the window of their operation's first attempt. If that never happens, return the time to the end
+    of the run.
+    """
+    end_s = find_outage(run.world).end_s
+    begins_s = np.arange(end_s, run.world.duration_s - WINDOW_S, WINDOW_STEP_S).tolist()
+    recovered_at_s = run.world.duration_s
+    for begin_s in reversed(begins_s):
+        is_inside = figures.due_between(begin_s, begin_s + WINDOW_S)
+        if figures.service_level(run.operations, is_inside) < MIN_SERVICE:
+            break
+        recovered_at_s = begin_s
+    return float(recovered_at_s - end_s)
+
+
+def rejected_share(run: Run, retries: bool) -> float:
+    """Return the rejected share of the first attempts, or of the retries, from the outage's end to the recovery."""
+    begin_s = find_outage(run.world).end_s
+    end_s = begin_s + max(MIN_OBSERVED_S, recovery_s(run))
+    outcomes = [
+        item.outcome
+        for item in run.history.client_attempts
+        if (item.number > 0) is retries and begin_s * US_PER_S <= item.sent_us < end_s * US_PER_S
+    ]
+    return outcomes.count("refused") / max(1, len(outcomes))
+
+
+def advice_uniformity(run: Run) -> float:
+    """Return how alike the Retry-After times of one moment are: 1 makes all clients return together.
+
+    Groups rejections by sidecar, period, and first attempt or retry; the largest share of a group in one bin, on
+    average over the groups.
+    """
+    groups: dict[tuple[int, int, bool], list[ClientAttempt]] = defaultdict(list)
+    for item in run.history.client_attempts:
+        if item.outcome == "refused" and item.retry_after_us:
+            groups[item.sidecar, item.ended_us // ADVICE_PERIOD_US, item.number > 0].append(item)
+    shares = []
+    for group in groups.values():
+        if len(group) >= MIN_GROUP_SIZE:
+            bins = Counter(item.retry_after_us // ADVICE_BIN_US for item in group)
+            shares.append(max(bins.values()) / len(group))
+    return float(np.mean(shares)) if shares else 1.0
+
+
+def count_detections(run: Run) -> int:
+    """Return how often a sidecar's guard detected a retry storm."""
+    return len(lines_with(run.folder, SIDECAR_LOGS, STORM_DETECTED))
+
+
+def logs_with_detection(run: Run) -> set[str]:
+    """Return the names of the logs of the sidecars whose guard detected a retry storm."""
+    return files_with(run.folder, SIDECAR_LOGS, STORM_DETECTED)
--- /dev/null
+++ b/ryepier/experiments/storms/one_sidecar.py
@@ -0,0 +1,46 @@
+"""`retry-storm-one`: does the guard act at the sidecar that is struck, and nowhere else?
+
+For five seconds converters reject what one of three sidecars forwards. Claims: only that sidecar's guard detects a
+storm, the clients of the others lose next to nothing, and the service recovers.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.records import ClientAttempt
+from ryepier.experiments.core import figures
+from ryepier.experiments.core.contract import Claim, Experiment, Run
+from ryepier.experiments.storms import measures, worlds
+from ryepier.experiments.storms.after_outage import MAX_RECOVERY_S, MAX_UNIFORMITY
+
+STRUCK_LOG = f"sidecar-{worlds.STRUCK_SIDECAR}.log"
+MIN_SERVICE = 0.97
+MAX_LOST_POINTS = 0.5
+
+
+def _is_of_others(item: ClientAttempt) -> bool:
+    return item.sidecar != worlds.STRUCK_SIDECAR
+
+
+def _claims(run: Run) -> list[Claim]:
+    assert run.control is not None
+    logs = measures.logs_with_detection(run)
+    service = figures.service_level(run.operations, _is_of_others)
+    lost_points = 100 * (figures.service_level(run.control.operations, _is_of_others) - service)
+    return [
+        Claim("the struck sidecar's guard opened", STRUCK_LOG in logs, "==", 1),
+        Claim("other guards that opened", len(logs - {STRUCK_LOG}), "==", 0),
+        Claim("service of the others", service, ">=", MIN_SERVICE),
+        Claim("service of the others lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
+        Claim("time until service is back (s)", measures.recovery_s(run), "<=", MAX_RECOVERY_S),
+        Claim("share of refusals of one moment told the same", measures.advice_uniformity(run), "<=", MAX_UNIFORMITY),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="retry-storm-one",
+    question="converters turn away for 5 s what comes by one of three sidecars",
+    world=worlds.rejections_for_one_sidecar,
+    claims=_claims,
+    seeded_faults=("no-spread",),
+    control_world=worlds.without_guard,
+)
--- /dev/null
+++ b/ryepier/experiments/storms/real_surge.py
@@ -0,0 +1,43 @@
+"""`real-surge`: is a surge of first attempts told apart from a storm of retries?
+
+The clients' own traffic rises, with no outage before. The same seed runs with the sidecars' storm guards and without.
+Claims: no guard detects a storm, and the guard costs next to no service.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import fault_of_kind, load
+from ryepier.experiments.storms import measures, worlds
+
+MAX_LOST_POINTS = 2.0
+
+
+def _world(scale: Scale) -> World:
+    return load("real-surge")
+
+
+def _claims(run: Run) -> list[Claim]:
+    assert run.control is not None
+    is_in_surge = phases.during(fault_of_kind(run.world, "surge"))
+    in_surge = figures.service_level(run.operations, is_in_surge)
+    lost_in_surge = 100 * (figures.service_level(run.control.operations, is_in_surge) - in_surge)
+    overall = figures.service_level(run.operations)
+    lost_overall = 100 * (figures.service_level(run.control.operations) - overall)
+    return [
+        Claim("times that a guard took the surge for a storm", measures.count_detections(run), "==", 0),
+        Claim("service in the surge lost to the guard (points)", lost_in_surge, "<=", MAX_LOST_POINTS),
+        Claim("service lost to the guard (points)", lost_overall, "<=", MAX_LOST_POINTS),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="real-surge",
+    question="first tries in a surge are not damped as a storm",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("jumpy",),
+    control_world=worlds.without_guard,
+)
