--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -42,9 +42,9 @@
         bound = f", {model.depth} steps" if model.depth else ""
         print(
             f"{model.name:16} {model.converters} converters, requests {', '.join(model.requests)}, "
-            f"{model.attempts} attempts, {model.changes} changes of the list, {model.leaves} client disconnects{bound}"
+            f"{model.attempts} attempts, {model.changes} changes of the list, {model.leaves} clients leave{bound}"
         )
-    print(f"seeded faults: {', '.join(SEEDED_FAULTS)}")
+    print(f"plants: {', '.join(SEEDED_FAULTS)}")
 
 
 def select_model(name: str, converters: int, requests: str, depth: int) -> Model:
@@ -123,7 +123,7 @@
     largest_kib = max(resource.getrusage(scope).ru_maxrss for scope in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN))
     print(
         f"{model.name}: {outcome.states} states, {outcome.transitions} transitions, {outcome.ends} ends, depth "
-        f"{outcome.depth}, {outcome.seconds:.1f} s, at most {largest_kib // KIB_PER_MB} MB per process; "
+        f"{outcome.depth}, {outcome.seconds:.1f} s, at most {largest_kib // KIB_PER_MB} MB a process; "
         f"{'explored whole' if outcome.whole else 'not explored whole'}"
     )
     if outcome.breach is not None:
