--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -8,7 +8,8 @@
 from ryepier.experiments.load_spread import even, returned
 from ryepier.experiments.load_spread import processes as load_spread_processes
 from ryepier.experiments.maintenance import cut, kill, overlap
-from ryepier.experiments.planners import planner_reconnect, planner_scale, planning
+from ryepier.experiments.planners import benefit, failover, false_reports, loss, reconnection, restart
+from ryepier.experiments.planners import scale as planner_scale
 from ryepier.experiments.scale import scale_call, scale_control, scale_depth, scale_fail, scale_list
 from ryepier.experiments.simulation import fidelity
 from ryepier.experiments.slices import slicing
@@ -24,7 +25,11 @@
         sidecar_kill.EXPERIMENT,
         breaking_point.EXPERIMENT,
         ceiling.EXPERIMENT,
-        *planning.EXPERIMENTS,
+        loss.EXPERIMENT,
+        *failover.EXPERIMENTS,
+        *restart.EXPERIMENTS,
+        false_reports.EXPERIMENT,
+        *benefit.EXPERIMENTS,
         *slicing.EXPERIMENTS,
         *graphql_front.EXPERIMENTS,
         *after_outage.EXPERIMENTS,
@@ -39,8 +44,8 @@
         *scale_call.EXPERIMENTS,
         *scale_control.EXPERIMENTS,
         *scale_depth.EXPERIMENTS,
-        *planner_scale.EXPERIMENTS,
-        *planner_reconnect.EXPERIMENTS,
+        planner_scale.EXPERIMENT,
+        reconnection.EXPERIMENT,
         *slicing.BENCHMARKS,
         *graphql_front.BENCHMARKS,
         *fidelity.EXPERIMENTS,
--- a/ryepier/experiments/planners/__init__.py
+++ b/ryepier/experiments/planners/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on planners and the forwarders that follow them, and their planted mistakes."""
+"""Experiments on forwarders and planners: planners lost, killed or without a memory, and what planners gain."""
--- /dev/null
+++ b/ryepier/experiments/planners/failover.py
@@ -0,0 +1,72 @@
+"""`planner-kill` and `planner-hang`: do the forwarders change over to the other planner, and only when they must?
+
+The leading planner is killed in a surge, or stalls for 5 s with its connections open. Claims: the forwarders change
+over once, and once more when the one that stalled is replaced; the one that stalled steps down; the service stays.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.logs import lines_with
+from ryepier.experiments.core.worlds import fault_of_kind, load
+from ryepier.experiments.faults.surge import surge_claims
+from ryepier.experiments.planners.followers import count_changes_of_planner, count_followers_of
+
+FIRST_PLANNER_LOG = "planner-0.log"
+STEPPED_DOWN = "follows, epoch"
+MIN_CHANGED_SHARE = 0.95  # of the forwarders, in a surge
+MIN_SERVICE = 0.97
+
+
+def _world_of_kill(scale: Scale) -> World:
+    return load("planner-kill")
+
+
+def _world_of_hang(scale: Scale) -> World:
+    return load("planner-hang")
+
+
+def _claims_of_kill(run: Run) -> list[Claim]:
+    changed = count_followers_of(run, "planner-1")
+    min_changed = MIN_CHANGED_SHARE * run.world.sidecars.count
+    return [
+        Claim("forwarders that went over to the other planner", changed, ">=", min_changed),
+        *surge_claims(run),
+    ]
+
+
+def _claims_of_hang(run: Run) -> list[Claim]:
+    hang = fault_of_kind(run.world, "planner-hang")
+    followed_first = count_followers_of(run, "planner-0, epoch 1")
+    followed_second = count_followers_of(run, "planner-1, epoch 2")
+    further_changes = count_changes_of_planner(run) - followed_first - followed_second
+    steps_down = len(lines_with(run.folder, FIRST_PLANNER_LOG, STEPPED_DOWN))
+    from_hang = figures.service_level(run.operations, phases.from_time(hang.at_s, run.world))
+    from_resumption = figures.service_level(run.operations, phases.from_time(phases.end_s(hang), run.world))
+    return [
+        Claim("forwarders that went over to the other planner", followed_second, "==", run.world.sidecars.count),
+        Claim("changes of planner, over two a forwarder", further_changes, "==", 0),
+        Claim("the planner that hung stepped down", steps_down, ">=", 1),
+        Claim("service from the stall on", from_hang, ">=", MIN_SERVICE),
+        Claim("service once it is back", from_resumption, ">=", MIN_SERVICE),
+    ]
+
+
+EXPERIMENTS = (
+    Experiment(
+        name="planner-kill",
+        question="the planner that leads is killed in a surge of 2.3 times",
+        world=_world_of_kill,
+        claims=_claims_of_kill,
+        seeded_faults=("lose",),
+    ),
+    Experiment(
+        name="planner-hang",
+        question="the planner that leads stalls for 5 s with its connections open",
+        world=_world_of_hang,
+        claims=_claims_of_hang,
+        seeded_faults=("trust-none",),
+    ),
+)
--- /dev/null
+++ b/ryepier/experiments/planners/false_reports.py
@@ -0,0 +1,60 @@
+"""`planner-liar`: can a few forwarders with false reports have healthy converters ejected everywhere?
+
+Three forwarders report that nearly all requests to a sixth of the converters fail. Claims: all forwarders follow plans,
+none of those converters is without requests for long, and the service stays.
+"""
+
+from __future__ import annotations
+
+import itertools
+
+from ryepier.emulator import timeline
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import load
+from ryepier.experiments.planners.followers import count_followers
+from ryepier.experiments.planners.seeded_faults import FALSELY_REPORTED_INTERVAL
+
+LIARS = 3
+SETTLED_S = 3.0  # after the start
+MAX_GAP_S = 1.0  # without false reports each has about ten requests per second
+MIN_SERVICE = 0.98
+US_PER_S = 1e6
+
+
+def _world(scale: Scale) -> World:
+    return load("planner-liar")
+
+
+def longest_gap_s(run: Run, uid: str, since_s: float) -> float:
+    """Return the longest time without an attempt at a converter, from a time to the end of the run's arrivals."""
+    arrivals_s = [
+        attempt.received_us / US_PER_S
+        for attempt in run.history.converter_attempts
+        if attempt.uid == uid and attempt.received_us > since_s * US_PER_S
+    ]
+    times_s = [since_s, *arrivals_s]
+    times_s.append(max(times_s[-1], run.world.duration_s))
+    return max(later - earlier for earlier, later in itertools.pairwise(times_s))
+
+
+def _claims(run: Run) -> list[Claim]:
+    instances = timeline.build(run.world, run.seed).instances
+    falsely_reported = {one.uid for one in instances if one.index % FALSELY_REPORTED_INTERVAL == 0}
+    gap_s = max(longest_gap_s(run, uid, SETTLED_S) for uid in falsely_reported)
+    return [
+        Claim("forwarders that follow a plan", count_followers(run), "==", run.world.sidecars.count),
+        Claim("longest time that a converter lied about had no request (s)", gap_s, "<=", MAX_GAP_S),
+        Claim("service", figures.service_level(run.operations), ">=", MIN_SERVICE),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="planner-liar",
+    question="three forwarders tell planners tall tales of converters that are well",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("credulous",),
+    sidecar_faults=dict.fromkeys(range(LIARS), "liar"),
+)
--- /dev/null
+++ b/ryepier/experiments/planners/loss.py
@@ -0,0 +1,41 @@
+"""`planner-loss`: what does a fleet lose while it has no planner at all?
+
+All planners are away for 12 s (full scale: 60 s) while converters are released. Claims: every forwarder followed a plan
+before, drains are still noticed, and next to no service is lost while they are away or once they are back.
+"""
+
+from __future__ import annotations
+
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run
+from ryepier.experiments.core.worlds import fault_of_kind
+from ryepier.experiments.planners import worlds
+from ryepier.experiments.planners.followers import count_followers
+
+SETTLED_S = 1.0  # after the start
+MAX_LOST_POINTS = 2.0
+
+
+def _claims(run: Run) -> list[Claim]:
+    kill = fault_of_kind(run.world, "planner-kill")
+    back_s = kill.at_s + kill.down_s
+    before = figures.service_level(run.operations, figures.due_between(SETTLED_S, kill.at_s))
+    during = figures.service_level(run.operations, figures.due_between(kill.at_s, back_s))
+    after = figures.service_level(run.operations, phases.from_time(back_s + phases.RECOVERY_S, run.world))
+    drains = sum(notice.state == "leaving" for notice in run.history.notices)
+    sidecars = run.world.sidecars.count
+    return [
+        Claim("forwarders that followed a plan", count_followers(run), "==", sidecars),
+        Claim("service lost while all planners are away (points)", 100 * (before - during), "<=", MAX_LOST_POINTS),
+        Claim("service lost once they are back (points)", 100 * (before - after), "<=", MAX_LOST_POINTS),
+        Claim("drains told of", drains, ">=", sidecars),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="planner-loss",
+    question="all planners away for 12 s (full: 60 s) while converters are released",
+    world=worlds.loss,
+    claims=_claims,
+    seeded_faults=("deaf",),
+)
--- /dev/null
+++ b/ryepier/experiments/planners/restart.py
@@ -0,0 +1,101 @@
+"""`planner-empty` and `planner-restart`: what do planners know that have just started?
+
+Both planners die while converters hang, and come back without a memory, sure of themselves all the same, or with their
+snapshots. Claims: no forwarder follows a plan without evidence, sound plans are back within two seconds, and hardly any
+attempts go to the hung converters.
+"""
+
+from __future__ import annotations
+
+from datetime import datetime
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.logs import PLANNER_LOGS, SIDECAR_LOGS, lines_with, log_lines
+from ryepier.experiments.core.worlds import fault_of_kind, load
+from ryepier.experiments.planners.followers import FOLLOWING, count_sidecars_that_logged
+
+REJECTED = "is refused: too few forwarders reported"
+EPOCH_OF_EMPTY_PLANNER = "epoch 10000"  # the begin of the number that the fault `amnesiac` claims
+ARRIVAL_S = 1.0  # of the empty plans, after the start
+END_MARGIN_S = 1.0
+MAX_SHARE_TO_HUNG = 0.02
+MAX_RESTART_S = 2.0
+
+
+def _world_of_empty(scale: Scale) -> World:
+    return load("planner-empty")
+
+
+def _world_of_restart(scale: Scale) -> World:
+    return load("planner-restart")
+
+
+def _share_to_hung(run: Run, begin_s: float, end_s: float) -> float:
+    hung = phases.struck_uids(run, ("hang",))
+    return figures.count_attempts(run.history.converter_attempts, hung, begin_s, end_s).share
+
+
+def _count_followers_of_empty_plan(run: Run) -> int:
+    lines = lines_with(run.folder, SIDECAR_LOGS, FOLLOWING)
+    return len({line["file"] for line in lines if EPOCH_OF_EMPTY_PLANNER in str(line["message"])})
+
+
+def _claims_of_empty(run: Run) -> list[Claim]:
+    kill = fault_of_kind(run.world, "planner-kill")
+    arrived_s = kill.at_s + kill.down_s + ARRIVAL_S
+    rejected = count_sidecars_that_logged(run, REJECTED)
+    to_hung = _share_to_hung(run, arrived_s, run.world.duration_s)
+    return [
+        Claim("forwarders that refused the empty plan", rejected, "==", run.world.sidecars.count),
+        Claim("forwarders that took it", _count_followers_of_empty_plan(run), "==", 0),
+        Claim("share of attempts to hung converters after it came", to_hung, "<=", MAX_SHARE_TO_HUNG),
+    ]
+
+
+def restart_to_plan_s(run: Run) -> float:
+    """Return the shortest time from a planner's restart to its first plan; infinite if none led again."""
+    shortest_s = float("inf")
+    for path in sorted(run.folder.glob(PLANNER_LOGS)):
+        started_at: datetime | None = None
+        starts = 0
+        for line in log_lines(run.folder, path.name):
+            message, at = str(line["message"]), datetime.fromisoformat(str(line["time"]))
+            if message.endswith("is up"):
+                started_at = at
+                starts += 1
+            elif message.startswith("leads") and starts > 1 and started_at is not None:
+                shortest_s = min(shortest_s, (at - started_at).total_seconds())
+    return shortest_s
+
+
+def _claims_of_restart(run: Run) -> list[Claim]:
+    kill = fault_of_kind(run.world, "planner-kill")
+    restarted_s = kill.at_s + kill.down_s
+    to_hung = _share_to_hung(run, restarted_s, run.world.duration_s - END_MARGIN_S)
+    followed_again = count_sidecars_that_logged(run, "epoch 2")
+    return [
+        Claim("time to sound plans after the restart (s)", restart_to_plan_s(run), "<=", MAX_RESTART_S),
+        Claim("share of attempts to hung converters from the restart on", to_hung, "<=", MAX_SHARE_TO_HUNG),
+        Claim("forwarders that followed again", followed_again, "==", run.world.sidecars.count),
+    ]
+
+
+EXPERIMENTS = (
+    Experiment(
+        name="planner-empty",
+        question="planners come back with nothing in mind while converters hang",
+        world=_world_of_empty,
+        claims=_claims_of_empty,
+        seeded_faults=("trust-any",),
+        restarted_planner_fault="amnesiac",
+    ),
+    Experiment(
+        name="planner-restart",
+        question="both planners die and come back with their snapshots while converters hang",
+        world=_world_of_restart,
+        claims=_claims_of_restart,
+        seeded_faults=("trust-none",),
+    ),
+)
--- /dev/null
+++ b/ryepier/experiments/planners/scale.py
@@ -0,0 +1,207 @@
+"""`planner-scale`: how do a planner's CPU time and traffic grow with the number of forwarders?
+
+One planner process at 50, 200 and 1,000 forwarders. These are connections of this process that speak the protocol and
+report on a small part of the converters each. Claims: the planner's CPU time at 1,000, growth that is close to linear,
+the traffic per forwarder, and plans at the usual rate.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import subprocess
+import time
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+import numpy as np
+
+from ryepier.emulator import draws
+from ryepier.emulator.harness import PLANNER, find_network
+from ryepier.emulator.process import PLANNER_PORT
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
+from ryepier.experiments.core.processes import wait_until_listening
+from ryepier.experiments.core.usage import usage
+from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
+
+FLEET_SIZES = (50, 200, 1000)  # forwarders
+CONVERTERS = 100
+REPORTED_CONVERTERS = 12  # by one forwarder, as a sidecar uses few at once
+REPORT_INTERVAL_S = 0.5
+ATTEMPTS_PER_REPORT = 2.0  # the mean, for each converter
+WARM_UP_S = 3.0
+MEASURED_S = {"small": 5.0, "full": 30.0}
+READ_BYTES = 65_536
+WHOLE_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
+MAX_CORES = 0.9
+MAX_GROWTH_OVER_LINEAR = 1.4
+MAX_BYTES_PER_S_PER_FORWARDER = 1500
+MIN_PLANS_PER_S = 1.5
+MIN_CORES = 1e-3  # in place of zero as a divisor
+
+
+class SimulatedForwarder:
+    """One forwarder's connection: sends reports whose counters grow, and counts what it receives."""
+
+    def __init__(self, index: int, random: np.random.Generator, reports_all: bool) -> None:
+        """Choose the converters to report on."""
+        self.name = f"f{index}"
+        count = CONVERTERS if reports_all else REPORTED_CONVERTERS
+        chosen = random.choice(CONVERTERS, size=count, replace=False)
+        self.counters = {f"c-{uid:04x}": ConverterCounters() for uid in chosen}
+        self.random = random
+        self.number = 0
+        self.bytes_in = 0
+        self.bytes_out = 0
+        self.plans = 0
+
+    def make_report(self) -> bytes:
+        """Return the next report, encoded."""
+        self.number += 1
+        for uid, counters in self.counters.items():
+            count = int(self.random.poisson(ATTEMPTS_PER_REPORT))
+            served = counters.served + count
+            self.counters[uid] = ConverterCounters(
+                counters.attempts + count, served, counters.failed, counters.rejected, (0, 0, 0, 0, 0, served)
+            )
+        arrivals = [self.number * 10]
+        return encode(Report(self.number, CONVERTERS, self.counters, {}, arrivals, arrivals, 0))
+
+    async def run(self, address: tuple[str, int]) -> None:
+        """Connect and report until cancelled."""
+        reader, writer = await asyncio.open_connection(*address)
+        receiving = asyncio.create_task(self._receive(reader))
+        try:
+            writer.write(encode(Hello(VERSION, self.name, 1)))
+            await asyncio.sleep(REPORT_INTERVAL_S * self.random.random())
+            while True:
+                report = self.make_report()
+                self.bytes_out += len(report)
+                writer.write(report)
+                await asyncio.sleep(REPORT_INTERVAL_S)
+        finally:
+            receiving.cancel()
+            writer.close()
+
+    async def _receive(self, reader: asyncio.StreamReader) -> None:
+        frames = FrameDecoder()
+        while data := await reader.read(READ_BYTES):
+            self.bytes_in += len(data)
+            self.plans += sum(isinstance(message, Plan) for message in frames.feed(data))
+
+
+@dataclass(frozen=True, slots=True)
+class Reading:
+    """Totals of a fleet and its planner at one time."""
+
+    at_s: float
+    planner_cpu_s: float
+    bytes_to_planner: int
+    bytes_from_planner: int
+    plans: int
+
+
+def read_totals(pid: int, forwarders: Sequence[SimulatedForwarder]) -> Reading:
+    """Return the totals now."""
+    return Reading(
+        planner_cpu_s=usage(pid).cpu_s,
+        at_s=time.monotonic(),
+        bytes_to_planner=sum(forwarder.bytes_out for forwarder in forwarders),
+        bytes_from_planner=sum(forwarder.bytes_in for forwarder in forwarders),
+        plans=sum(forwarder.plans for forwarder in forwarders),
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class Rates:
+    """What a planner uses and sends per second with a fleet of one size."""
+
+    cores: float
+    bytes_in_per_s: float
+    bytes_out_per_s: float
+    plans_per_s_per_forwarder: float
+
+    @classmethod
+    def between(cls, before: Reading, after: Reading, fleet_size: int) -> Rates:
+        """Return the rates between two readings."""
+        elapsed_s = after.at_s - before.at_s
+        return cls(
+            (after.planner_cpu_s - before.planner_cpu_s) / elapsed_s,
+            (after.bytes_to_planner - before.bytes_to_planner) / elapsed_s,
+            (after.bytes_from_planner - before.bytes_from_planner) / elapsed_s,
+            (after.plans - before.plans) / elapsed_s / fleet_size,
+        )
+
+    def as_figures(self, fleet_size: int) -> dict[str, float]:
+        """Return the figures of result.json."""
+        return {
+            f"cores_{fleet_size}": self.cores,
+            f"bytes_in_per_s_{fleet_size}": self.bytes_in_per_s,
+            f"bytes_out_per_s_{fleet_size}": self.bytes_out_per_s,
+            f"plans_per_s_a_forwarder_{fleet_size}": self.plans_per_s_per_forwarder,
+        }
+
+
+async def _measure_planner(
+    process: subprocess.Popen[bytes], address: tuple[str, int], fleet_size: int, trial: TrialConfig
+) -> Rates:
+    await wait_until_listening(process, address, "the planner")
+    reports_all = trial.seeded_fault == WHOLE_REPORTS
+    forwarders = [
+        SimulatedForwarder(index, draws.stream(trial.seed, f"forwarder {index}"), reports_all)
+        for index in range(fleet_size)
+    ]
+    tasks = [asyncio.create_task(forwarder.run(address)) for forwarder in forwarders]
+    try:
+        await asyncio.sleep(WARM_UP_S)
+        before = read_totals(process.pid, forwarders)
+        await asyncio.sleep(MEASURED_S[trial.scale])
+        after = read_totals(process.pid, forwarders)
+    finally:
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+    return Rates.between(before, after, fleet_size)
+
+
+def measure_fleet(fleet_size: int, trial: TrialConfig) -> Rates:
+    """Start a planner, run a fleet of one size against it, and return the planner's rates."""
+    address = f"127.{find_network()}.254.1", PLANNER_PORT
+    config = trial.folder / f"planner-{fleet_size}.toml"
+    config.write_text(f'[trust]\nfleet = {fleet_size}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
+    with open(trial.folder / f"planner-{fleet_size}.log", "wb") as log:
+        process = subprocess.Popen([*PLANNER, "--config", str(config)], stdout=log, stderr=log, env=os.environ)
+    try:
+        return asyncio.run(_measure_planner(process, address, fleet_size, trial))
+    finally:
+        process.kill()
+        process.wait()
+
+
+def measure(trial: TrialConfig) -> Measurement:
+    """Measure all sizes, one after another."""
+    rates = {size: measure_fleet(size, trial) for size in FLEET_SIZES}
+    figures: dict[str, float] = {}
+    for size, rate in rates.items():
+        figures |= rate.as_figures(size)
+    middle, largest = FLEET_SIZES[-2:]
+    at_largest = rates[largest]
+    growth = at_largest.cores / max(MIN_CORES, rates[middle].cores) / (largest / middle)
+    figures["cores_growth_200_to_1000_over_linear"] = growth
+    bytes_per_s = at_largest.bytes_in_per_s / largest
+    plans_per_s = at_largest.plans_per_s_per_forwarder
+    claims = [
+        Claim("planner's cores at 1,000 forwarders", at_largest.cores, "<=", MAX_CORES),
+        Claim("growth of its CPU from 200 to 1,000 over linear", growth, "<=", MAX_GROWTH_OVER_LINEAR),
+        Claim("bytes a second to a planner, a forwarder", bytes_per_s, "<=", MAX_BYTES_PER_S_PER_FORWARDER),
+        Claim("plans a second that each of 1,000 forwarders gets", plans_per_s, ">=", MIN_PLANS_PER_S),
+    ]
+    return Measurement(claims, figures)
+
+
+EXPERIMENT = Benchmark(
+    name="planner-scale",
+    question="a planner's CPU and bytes at 50, 200 and 1,000 simulated forwarders",
+    measure=measure,
+    seeded_faults=(WHOLE_REPORTS,),
+)
--- /dev/null
+++ b/ryepier/experiments/planners/worlds.py
@@ -0,0 +1,38 @@
+"""The worlds of the experiments on planners that differ from their files."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ryepier.emulator.world import Fault, World
+from ryepier.experiments.core.contract import Scale
+from ryepier.experiments.core.worlds import fault_of_kind, load
+
+FULL_LOSS_S = 60.0  # without planners, at full scale
+
+
+def without_planners(world: World) -> World:
+    """Return the same world with sidecars that share nothing."""
+    faults = [fault for fault in world.faults if not fault.kind.startswith("planner")]
+    return msgspec.structs.replace(world, planners=msgspec.structs.replace(world.planners, count=0), faults=faults)
+
+
+def loss(scale: Scale) -> World:
+    """Return the world in which all planners are away for a while, at full scale for `FULL_LOSS_S`."""
+    world = load("planner-loss")
+    if scale == "small":
+        return world
+    small_loss_s = fault_of_kind(world, "planner-kill").down_s
+    return msgspec.structs.replace(
+        world,
+        duration_s=world.duration_s - small_loss_s + FULL_LOSS_S,
+        faults=[_lengthened(fault) for fault in world.faults],
+    )
+
+
+def _lengthened(fault: Fault) -> Fault:
+    if fault.kind == "planner-kill":
+        return msgspec.structs.replace(fault, down_s=FULL_LOSS_S)
+    if fault.kind == "release":
+        return msgspec.structs.replace(fault, for_s=FULL_LOSS_S)
+    return fault
--- a/ryepier/experiments/scale/lightweight.py
+++ b/ryepier/experiments/scale/lightweight.py
@@ -17,9 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ryepier.emulator.harness import PAGE_KIB, TICKS_PER_S, HarnessError
-from ryepier.experiments.scale.usage import Usage as Usage
-from ryepier.experiments.scale.usage import own_usage as own_usage
+from ryepier.emulator.harness import HarnessError
 
 MOST_PROCESSES = 8
 MOST_BYTES = 10 * 10**9
@@ -83,12 +81,6 @@
         )
 
 
-def usage(pid: int) -> Usage:
-    """Of another process; its CPU to a tick, 10 ms as a rule. Raises OSError where there is none."""
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return Usage((int(fields[11]) + int(fields[12])) / TICKS_PER_S, int(fields[21]) * PAGE_KIB * 1024)
-
-
 class Child:
     """A hollow process, spoken to by lines."""
 
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -20,7 +20,7 @@
 from ryepier.assembly.planning import make_machine
 from ryepier.balancer.interface import Outcome, PlanUpdated
 from ryepier.emulator import draws
-from ryepier.experiments.scale import lightweight
+from ryepier.experiments.core.usage import own_usage
 from ryepier.plan import forwarder
 from ryepier.plan.messages import Message, Plan, PlanBasis, encode, latency_bucket
 from ryepier.plan.plan_follower import AcceptanceRules
@@ -197,7 +197,7 @@
         return {}
 
     def sample(self) -> dict[str, Any]:
-        used, counts = lightweight.own_usage(), self.counts
+        used, counts = own_usage(), self.counts
         users = [each for each in self.processes if each.hung in each.idents]
         return {
             "at_s": time.monotonic(),
--- a/ryepier/experiments/scale/lightweight_sidecar.py
+++ b/ryepier/experiments/scale/lightweight_sidecar.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from ryepier.balancer.interface import RequestClass, Settings, UpstreamsUpdated
-from ryepier.experiments.scale.usage import own_usage
+from ryepier.experiments.core.usage import own_usage
 from ryepier.sidecar.components import discovery_source
 from ryepier.sidecar.config import Config
 from ryepier.sidecar.connection_pool import ConnectionPool
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -34,8 +34,8 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.worlds import load
-from ryepier.experiments.planners.planner_scale import until_up
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.lightweight_converters import Setup, listing
 from ryepier.experiments.scale.scale_control import finite, pace
@@ -233,7 +233,7 @@
                 command, env=os.environ | {"BALANCER_CONFIG": str(config)}, stdout=log, stderr=log
             )
         try:
-            await until_up(process, listen, "a sidecar")
+            await wait_until_listening(process, listen, "a sidecar")
             yield Sidecar(known, process, Target(listen, REQUEST))
         finally:
             if process.poll() is None:
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/scale_control.py
@@ -25,7 +25,8 @@
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.experiments.planners.planner_scale import until_up
+from ryepier.experiments.core.processes import wait_until_listening
+from ryepier.experiments.core.usage import Usage, usage
 from ryepier.experiments.scale import gauged_planner, lightweight, slopes
 from ryepier.experiments.scale.gauged_planner import Gauge
 from ryepier.experiments.scale.lightweight_forwarders import Setup, uid
@@ -80,7 +81,7 @@
 class Look(msgspec.Struct, frozen=True):
     """At the planner: what it has used, done, and waited for."""
 
-    used: lightweight.Usage
+    used: Usage
     gauge: Gauge
     waited_s: float  # for a core
 
@@ -169,7 +170,7 @@
     def look(self) -> Look:
         """Raises OSError or msgspec.MsgspecError where it has ended or not ticked yet."""
         waited_ns = int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1])
-        return Look(lightweight.usage(self.pid), gauged_planner.read(self.gauge), waited_ns / 1e9)
+        return Look(usage(self.pid), gauged_planner.read(self.gauge), waited_ns / 1e9)
 
 
 @asynccontextmanager
@@ -196,7 +197,7 @@
             env=os.environ,
         )
     try:
-        await until_up(process, address)
+        await wait_until_listening(process, address, "the planner")
         yield PlannerProcess(process.pid, address, gauge)
     finally:
         process.kill()
--- a/ryepier/experiments/scale/scale_fail.py
+++ b/ryepier/experiments/scale/scale_fail.py
@@ -17,6 +17,7 @@
 from ryepier.emulator.harness import HarnessError, find_network
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.core.usage import own_usage
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight import Child, Needs
@@ -79,7 +80,7 @@
         """So many converters drain, told one by one or all in one message; then others take their places."""
         desk, listing = self.desk, self.desk.listing
         chosen = listing.pick(changes)
-        before, wrote, own = await self.ask("usage"), desk.bytes, lightweight.own_usage()
+        before, wrote, own = await self.ask("usage"), desk.bytes, own_usage()
         begun_us = monotonic_us()
         for entry in chosen if singly else ():
             listing.change([entry], "leaving")
@@ -90,7 +91,7 @@
             desk.tell_all()
         said = await self.settled()
         found = {
-            "stand_in_cpu_s": lightweight.own_usage().since(own),
+            "stand_in_cpu_s": own_usage().since(own),
             "bytes": (desk.bytes - wrote) / self.count,
             "last_s": (max(one["last_us"] for one in said) - begun_us) / 1e6,
             "cpu_ms": 1000
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/scale_list.py
@@ -20,7 +20,8 @@
 from ryepier.emulator.harness import HarnessError, find_network
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.experiments.scale import lightweight, list_parts, slopes, usage
+from ryepier.experiments.core.usage import own_usage, resident_bytes
+from ryepier.experiments.scale import lightweight, list_parts, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight import Child, Needs
 from ryepier.sidecar.discovery import WATCH_RETRY_S
@@ -84,7 +85,7 @@
     """Resident memory of a sidecar's program before it has any list."""
     code = "import ryepier.sidecar.__main__; print(open('/proc/self/status').read())"
     said = subprocess.run([sys.executable, "-B", "-c", code], capture_output=True, text=True, check=True, timeout=20)
-    return float(usage.resident_bytes(said.stdout))
+    return float(resident_bytes(said.stdout))
 
 
 # One sidecar's cost, by the converters that it knows
@@ -225,14 +226,14 @@
     desk.listing.forget()
     desk.calls_us.clear()
     desk.bytes = 0
-    own = lightweight.own_usage()
+    own = own_usage()
     await desk.open()
     back_us, version = monotonic_us(), desk.listing.registry.rev
     said = await asyncio.gather(*(child.ask("until", version=version, within_s=BACK_WITHIN_S) for child in children))
     calls_s = (np.sort(desk.calls_us) - back_us) / 1e6
     inside = np.searchsorted(calls_s, calls_s + WINDOW_US / 1e6) - np.arange(len(calls_s))
     back_cpu_s = sum(late["cpu_s"] - early["cpu_s"] for early, late in zip(away, said, strict=True))
-    stand_in_s = lightweight.own_usage().since(own)
+    stand_in_s = own_usage().since(own)
     away_s = [late["cpu_s"] - early["cpu_s"] for early, late in zip(before, away, strict=True)]
     return {
         "back": sum(one["have"] for one in said) / count,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,10 +20,10 @@
 from ryepier.emulator.harness import find_network
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim
+from ryepier.experiments.core.usage import Usage
 from ryepier.experiments.scale import gauged_planner, scale_call, scale_control, scale_depth
 from ryepier.experiments.scale.chains import Chain, play
 from ryepier.experiments.scale.gauged_planner import Gauge
-from ryepier.experiments.scale.lightweight import Usage
 from ryepier.experiments.scale.lightweight_converters import ANSWER, Setup, listing, serve
 from ryepier.experiments.scale.lightweight_forwarders import (
     CALLS_PER_S,
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -14,6 +14,7 @@
 from ryepier.cli import main
 from ryepier.commands import experiment
 from ryepier.experiments.core.contract import Benchmark
+from ryepier.experiments.core.usage import own_usage, usage
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine, Needs
 
@@ -102,10 +103,10 @@
 
 
 def test_a_process_reads_its_own_use() -> None:
-    before = lightweight.own_usage()
+    before = own_usage()
     kept = bytes(range(256)) * 200_000
     total = sum(kept)
-    after, by_pid = lightweight.own_usage(), lightweight.usage(os.getpid())
+    after, by_pid = own_usage(), usage(os.getpid())
     assert total and after.since(before) > 0.0
     assert after.resident_bytes - before.resident_bytes > 40_000_000
     assert abs(by_pid.cpu_s - after.cpu_s) < 0.5
