--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -8,11 +8,12 @@
 from ryepier.experiments.load_spread import even, returned
 from ryepier.experiments.load_spread import processes as load_spread_processes
 from ryepier.experiments.maintenance import cut, kill, overlap
-from ryepier.experiments.planners import planner_reconnect, planner_scale, planning
+from ryepier.experiments.planners import benefit, failover, false_reports, loss, reconnection, restart
+from ryepier.experiments.planners import scale as planner_scale
 from ryepier.experiments.scale import scale_call, scale_control, scale_depth, scale_fail, scale_list
 from ryepier.experiments.simulation import fidelity
 from ryepier.experiments.slices import slicing
-from ryepier.experiments.storms import retry_storms
+from ryepier.experiments.storms import after_outage, one_sidecar, real_surge
 
 EXPERIMENTS: dict[str, Experiment] = {
     experiment.name: experiment
@@ -24,10 +25,16 @@
         sidecar_kill.EXPERIMENT,
         breaking_point.EXPERIMENT,
         ceiling.EXPERIMENT,
-        *planning.EXPERIMENTS,
+        loss.EXPERIMENT,
+        *failover.EXPERIMENTS,
+        *restart.EXPERIMENTS,
+        false_reports.EXPERIMENT,
+        *benefit.EXPERIMENTS,
         *slicing.EXPERIMENTS,
         *graphql_front.EXPERIMENTS,
-        *retry_storms.EXPERIMENTS,
+        *after_outage.EXPERIMENTS,
+        one_sidecar.EXPERIMENT,
+        real_surge.EXPERIMENT,
         *load_spread_processes.EXPERIMENTS,
     )
 }
@@ -37,8 +44,8 @@
         *scale_call.EXPERIMENTS,
         *scale_control.EXPERIMENTS,
         *scale_depth.EXPERIMENTS,
-        *planner_scale.EXPERIMENTS,
-        *planner_reconnect.EXPERIMENTS,
+        planner_scale.EXPERIMENT,
+        reconnection.EXPERIMENT,
         *slicing.BENCHMARKS,
         *graphql_front.BENCHMARKS,
         *fidelity.EXPERIMENTS,
