--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -22,7 +22,7 @@
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer
-from ryepier.sidecar.server import FIRST_REQUEST_S, Server
+from ryepier.sidecar.server import FIRST_REQUEST_GRACE_S, Server
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
     OK,
@@ -599,7 +599,7 @@
             await until(lambda: server.connection_count() == 0)
             with socket.create_connection(("127.0.0.1", it.port), timeout=PATIENCE_S) as client:
                 await until(lambda: any(each.transport is not None for each in server.clients[ClientState.NEW]))
-                await asyncio.sleep(FIRST_REQUEST_S)  # from now on it may be evicted
+                await asyncio.sleep(FIRST_REQUEST_GRACE_S)  # from now on it may be evicted
                 assert server.free_capacity()
                 client.sendall(request("pay", body=b"0123456789")[:-5])  # before the loop's next turn
                 await asyncio.sleep(0.05)
