--- a/ryepier/balancer/interface.py
+++ b/ryepier/balancer/interface.py
@@ -38,7 +38,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from ryepier.balancer.settings import Effect, IdempotencyScope, RequestClass, Settings, Tenant
+from ryepier.balancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings, Tenant
 
 __all__ = [
     "Action",
@@ -47,10 +47,10 @@
     "Cancel",
     "ClientDisconnected",
     "CloseIdle",
-    "Effect",
     "Event",
     "Fail",
     "FetchList",
+    "Idempotency",
     "IdempotencyScope",
     "ListKind",
     "Log",
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -6,7 +6,7 @@
 from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
 from ryepier.balancer.events import Outcome, RetryStormUpdated
-from ryepier.balancer.settings import Effect, IdempotencyScope, Settings
+from ryepier.balancer.settings import Idempotency, IdempotencyScope, Settings
 from ryepier.balancer.upstream import FAULTS, Attempt, PendingRequest, TrackedUpstream
 
 # An upstream that fails some of its requests would otherwise lose them all.
@@ -32,16 +32,16 @@
             return False
         request_class = request.request_class
         first = request.first_that_may_have_run()
-        if first is None or request_class.effect is Effect.IDEMPOTENT:
+        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if request_class.effect is Effect.NON_IDEMPOTENT:
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
         return now_us - first.sent_us < request_class.idempotency_window_us
 
     def bound_to(self, request: PendingRequest) -> Attempt | None:
         """Return the attempt in whose idempotency scope another one must stay, if any."""
         request_class = request.request_class
-        if request_class.effect is not Effect.IDEMPOTENCY_KEY:
+        if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return None
         if request_class.idempotency_scope is IdempotencyScope.ALL:
             return None
@@ -57,16 +57,16 @@
         """Return the latest time (us) to write a repeat whose key is remembered; 0 if there is none."""
         request_class = request.request_class
         first = request.first_that_may_have_run()
-        if first is None or request_class.effect is not Effect.IDEMPOTENCY_KEY:
+        if first is None or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return 0
         return first.sent_us + request_class.idempotency_window_us
 
     def may_reject(self, request: PendingRequest) -> bool:
         """Return whether the client may safely repeat a request that has had no successful response."""
         request_class = request.request_class
-        if request_class.effect is Effect.IDEMPOTENT or request.first_that_may_have_run() is None:
+        if request_class.idempotency is Idempotency.IDEMPOTENT or request.first_that_may_have_run() is None:
             return True
-        if request_class.effect is Effect.NON_IDEMPOTENT:
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
         return request_class.idempotency_scope is IdempotencyScope.ALL
 
@@ -106,7 +106,7 @@
         """Return how long to wait for the next attempt (us): while its answer is useful, or, if a retry may
         follow, a multiple of the class's mean latency."""
         useful_us = max(1, self.useful_until_us(request) - now_us)
-        is_unsafe = request.request_class.effect is Effect.NON_IDEMPOTENT
+        is_unsafe = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         if self.settings.hedging or is_unsafe or self.budget < 1:
             return useful_us
         event = request.event
@@ -119,7 +119,7 @@
 
     def hedge_delay_us(self, request: PendingRequest) -> int | None:
         """Return how long after an attempt to hedge it (us); None if the request must not be hedged."""
-        if not self.settings.hedging or request.request_class.effect is Effect.NON_IDEMPOTENT:
+        if not self.settings.hedging or request.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return None
         index = request.event.class_index
         delay_us = int(tuning.HEDGE_DELAY_FACTOR * self.estimates.mean_latency_us[index])
--- a/ryepier/balancer/settings.py
+++ b/ryepier/balancer/settings.py
@@ -9,20 +9,20 @@
 from dataclasses import dataclass, field
 
 
-class Effect(enum.StrEnum):
-    """What a repeat of a request does; the values are those of the settings."""
+class Idempotency(enum.Enum):
+    """Whether and where a request that may have run may be sent again, from the least strict on."""
 
-    IDEMPOTENT = "idempotent"  # may be repeated anywhere
-    IDEMPOTENCY_KEY = "deduplicated"  # may be repeated where its key is remembered
-    NON_IDEMPOTENT = "at_most_once"  # must not be repeated once it may have run
+    IDEMPOTENT = "idempotent"  # anywhere
+    IDEMPOTENCY_KEY = "idempotency_key"  # where its key is remembered
+    NON_IDEMPOTENT = "non_idempotent"  # nowhere
 
 
-class IdempotencyScope(enum.StrEnum):
+class IdempotencyScope(enum.Enum):
     """Which upstreams drop each other's repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
-    FAILURE_DOMAIN = "cell"
+    FAILURE_DOMAIN = "failure_domain"
 
 
 def _require(condition: bool, expected: str, got: object) -> None:
@@ -40,7 +40,7 @@
     priority_weight: float = 1.0
     late_weight: float = 0.0  # share of the priority weight of a later response
     latency_objective_stretch: float = 0.0  # the objective grows by this multiple of the request's work
-    effect: Effect = Effect.IDEMPOTENT
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
     idempotency_window_us: int = 0  # how long upstreams remember an idempotency key
     stream: bool = False
@@ -62,12 +62,12 @@
             "a latency_objective_stretch of 0 or more",
             self.latency_objective_stretch,
         )
-        _require(self.effect in list(Effect), f"an effect out of {', '.join(Effect)}", self.effect)
-        scopes = list(IdempotencyScope)
-        expected = f"an idempotency_scope out of {', '.join(scopes)}"
-        _require(self.idempotency_scope in scopes, expected, self.idempotency_scope)
-        self.effect = Effect(self.effect)
-        self.idempotency_scope = IdempotencyScope(self.idempotency_scope)
+        _require(isinstance(self.idempotency, Idempotency), "an Idempotency", self.idempotency)
+        _require(
+            isinstance(self.idempotency_scope, IdempotencyScope),
+            "an IdempotencyScope",
+            self.idempotency_scope,
+        )
         _require(
             self.idempotency_window_us >= 0,
             "an idempotency_window_us of 0 or more",
--- a/ryepier/balancer/settings_parser.py
+++ b/ryepier/balancer/settings_parser.py
@@ -7,7 +7,17 @@
 from ryepier.balancer import interface as api
 from ryepier.errors import RyepierError
 
-# Load report values: the wire's names and ours; a name not known here is kept as it is.
+_IDEMPOTENCY = {
+    "idempotent": api.Idempotency.IDEMPOTENT,
+    "deduplicated": api.Idempotency.IDEMPOTENCY_KEY,
+    "at_most_once": api.Idempotency.NON_IDEMPOTENT,
+}
+_SCOPES = {
+    "all": api.IdempotencyScope.ALL,
+    "zone": api.IdempotencyScope.ZONE,
+    "cell": api.IdempotencyScope.FAILURE_DOMAIN,
+}
+# Load report values; one that is not listed keeps its name.
 _REPORT_NAMES = {
     "rif": "in_flight",
     "q": "queued",
@@ -68,10 +78,8 @@
         priority_weight=options.number(at + "worth"),
         late_weight=options.number(at + "late-worth", "0"),
         latency_objective_stretch=options.number(at + "aim-stretch", "0"),
-        effect=api.Effect(options.choice(at + "effect", tuple(api.Effect))),
-        idempotency_scope=api.IdempotencyScope(
-            options.choice(at + "group", tuple(api.IdempotencyScope), "all")
-        ),
+        idempotency=_IDEMPOTENCY[options.choice(at + "effect", tuple(_IDEMPOTENCY))],
+        idempotency_scope=_SCOPES[options.choice(at + "group", tuple(_SCOPES), "all")],
         idempotency_window_us=options.integer(at + "memory-span", "0"),
         stream=options.flag(at + "stream", "false"),
     )
--- a/ryepier/check/model.py
+++ b/ryepier/check/model.py
@@ -29,7 +29,7 @@
 
 CLASSES = {
     "once": api.RequestClass(
-        "once", AIM_US, DEADLINE_US, priority_weight=2.0, late_weight=0.5, effect=api.Effect.NON_IDEMPOTENT
+        "once", AIM_US, DEADLINE_US, priority_weight=2.0, late_weight=0.5, idempotency=api.Idempotency.NON_IDEMPOTENT
     ),
     "ask": api.RequestClass("ask", AIM_US, DEADLINE_US, late_weight=0.5),
     "cell": api.RequestClass(
@@ -37,7 +37,7 @@
         AIM_US,
         DEADLINE_US,
         late_weight=0.5,
-        effect=api.Effect.IDEMPOTENCY_KEY,
+        idempotency=api.Idempotency.IDEMPOTENCY_KEY,
         idempotency_scope=api.IdempotencyScope.FAILURE_DOMAIN,
         idempotency_window_us=MEMORY_US,
     ),
@@ -46,7 +46,7 @@
         AIM_US,
         DEADLINE_US,
         late_weight=0.5,
-        effect=api.Effect.IDEMPOTENCY_KEY,
+        idempotency=api.Idempotency.IDEMPOTENCY_KEY,
         idempotency_scope=api.IdempotencyScope.ALL,
         idempotency_window_us=MEMORY_US,
     ),
@@ -281,9 +281,12 @@
             self.violate("drain", f"attempt {sent.number} to converter {sent.upstream}, which is to get nothing new")
 
     def repeatable(self, kind: api.RequestClass, earlier: Sent, later: Sent) -> bool:
-        if kind.effect == api.Effect.IDEMPOTENT:
+        if kind.idempotency == api.Idempotency.IDEMPOTENT:
             return True
-        if kind.effect == api.Effect.NON_IDEMPOTENT or later.at_us - earlier.at_us >= kind.idempotency_window_us:
+        if (
+            kind.idempotency == api.Idempotency.NON_IDEMPOTENT
+            or later.at_us - earlier.at_us >= kind.idempotency_window_us
+        ):
             return False
         return kind.idempotency_scope == api.IdempotencyScope.ALL or self.model.failure_domain(
             earlier.upstream
@@ -297,9 +300,9 @@
         if client.gone:
             self.violate("answers", f"request {number} is answered though its client has gone")
         client.answers.append(answer)
-        harmless = client.kind.effect == api.Effect.IDEMPOTENT or (
+        harmless = client.kind.idempotency == api.Idempotency.IDEMPOTENT or (
             client.kind.idempotency_scope == api.IdempotencyScope.ALL
-            and (client.kind.effect == api.Effect.IDEMPOTENCY_KEY)
+            and (client.kind.idempotency == api.Idempotency.IDEMPOTENCY_KEY)
         )
         if answer.outcome is FinalOutcome.REJECTED and not harmless and any(one.may_have_run() for one in client.sent):
             self.violate("refused", f"request {number} is refused, and an attempt may have run")
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -36,7 +36,7 @@
     calls: int
     rate_per_s: float
     seed: int
-    effect: str = "idempotent"
+    idempotency: api.Idempotency = api.Idempotency.IDEMPOTENT
     deadline_us: int = DEADLINE_US
     same_aim_us: int = 0  # of every hop's class, however much lies below it; 0 = by the hops
     instances: int = 3
@@ -117,7 +117,7 @@
         self.hop = hop
         chain = world.chain
         aim_us = chain.same_aim_us or AIM_A_HOP_US * (chain.depth - hop)
-        kind = api.RequestClass("work", aim_us, chain.deadline_us, late_weight=0.5, effect=api.Effect(chain.effect))
+        kind = api.RequestClass("work", aim_us, chain.deadline_us, late_weight=0.5, idempotency=chain.idempotency)
         settings = api.Settings([kind], instances=chain.instances, max_attempts=4, max_retry_after_us=500_000)
         self.host = RequestDispatcher(settings, seed, self, world.clock)
         entries = [api.Upstream(number + 1) for number in range(chain.instances)]
--- a/ryepier/experiments/scale/scale_depth.py
+++ b/ryepier/experiments/scale/scale_depth.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from ryepier.balancer.interface import Idempotency
 from ryepier.balancer.tuning import MAX_RETRY_BUDGET, RETRY_BUDGET_RATIO
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
@@ -66,7 +67,7 @@
     }
     deepest = chain_of(DEPTHS[-1], 0.5, seed, scale)
     return found | {
-        "unsafe_11_deep_0.5_failing": msgspec.structs.replace(deepest, effect="at_most_once"),
+        "unsafe_11_deep_0.5_failing": msgspec.structs.replace(deepest, idempotency=Idempotency.NON_IDEMPOTENT),
         "same_aim_11_deep_0.5_failing": msgspec.structs.replace(deepest, same_aim_us=SAME_AIM_US),
         "short_11_deep_0.5_failing": msgspec.structs.replace(deepest, deadline_us=SHORT_US),
     }
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -5,7 +5,7 @@
 import os
 from collections.abc import Callable, Sequence
 
-from ryepier.balancer.interface import Effect, Settings
+from ryepier.balancer.interface import Idempotency, Settings
 from ryepier.conf import operator_settings as conf
 from ryepier.graphql import answers
 from ryepier.graphql.classify import ClassRule, FieldRule, Meaning, Table
@@ -69,7 +69,7 @@
             one.request_class, one.key, int(one.cost_ms * 1000), int(one.deadline_ms * 1000)
         )
     return Table(
-        {kind.name: ClassRule(kind.name, kind.effect) for kind in platform.classes},
+        {kind.name: ClassRule(kind.name, kind.idempotency) for kind in platform.classes},
         rules["query"],
         rules["mutation"],
         settings.queries,
@@ -178,7 +178,7 @@
             return Response(
                 503, answers.rejected_body(answer.retry_after_us), head + retry_after(answer.retry_after_us)
             )
-        harmless = self.settings.classes[request.class_index].effect == Effect.IDEMPOTENT
+        harmless = self.settings.classes[request.class_index].idempotency == Idempotency.IDEMPOTENT
         return Response(500, answers.failed_body(harmless), head)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ryepier.balancer.interface import Effect
+from ryepier.balancer.interface import Idempotency
 from ryepier.graphql.document import Operation, RootField, is_reached, variable_value
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
-BY_STRICTNESS = list(Effect)  # each stricter than the one before
+BY_STRICTNESS = list(Idempotency)  # each stricter than the one before
 MAX_KEY_LENGTH = 128  # characters
 
 
@@ -23,7 +23,7 @@
     """A class of the platform, as far as it matters here."""
 
     name: str
-    effect: str  # of `Effect`
+    idempotency: Idempotency
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,29 +53,29 @@
                 self._check(f"{what} {name}", rule)
         self._check("queries", FieldRule(self.query_class))
         self._check("mutations", FieldRule(self.mutation_class))
-        if self.effect(self.query_class) == Effect.IDEMPOTENCY_KEY:
+        if self.idempotency(self.query_class) is Idempotency.IDEMPOTENCY_KEY:
             raise ValueError(f"queries: class {self.query_class!r} needs a key, which nothing would name")
-        if self.effect(self.mutation_class) != Effect.NON_IDEMPOTENT:
+        if self.idempotency(self.mutation_class) is not Idempotency.NON_IDEMPOTENT:
             raise ValueError(
                 f"mutations: class {self.mutation_class!r} may run again, "
                 "and nothing is known of a mutation that is not in the table"
             )
         for name, rule in self.mutations.items():
-            if self.effect(rule.class_name) == Effect.IDEMPOTENT:
+            if self.idempotency(rule.class_name) is Idempotency.IDEMPOTENT:
                 raise ValueError(f"mutation {name}: class {rule.class_name!r} is for what is harmless to repeat")
 
     def _check(self, where: str, rule: FieldRule) -> None:
         if rule.class_name not in self.classes:
             raise ValueError(f"{where}: there is no class {rule.class_name!r}")
-        if (self.effect(rule.class_name) == Effect.IDEMPOTENCY_KEY) != bool(rule.key) and where not in (
+        if (self.idempotency(rule.class_name) is Idempotency.IDEMPOTENCY_KEY) != bool(rule.key) and where not in (
             "queries",
             "mutations",
         ):
             raise ValueError(f"{where}: a key goes with a class that is deduplicated, and the other way round")
 
-    def effect(self, class_name: str) -> str:
-        """Return the effect of a class."""
-        return self.classes[class_name].effect
+    def idempotency(self, class_name: str) -> Idempotency:
+        """Return whether a request of a class may be sent again."""
+        return self.classes[class_name].idempotency
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     """Of a whole HTTP request."""
 
     class_name: str
-    effect: str  # of `Effect`
+    idempotency: Idempotency
     key: str = ""  # where it is deduplicated
     cost_us: int = 0
     deadline_us: int = 0  # the longest of its fields'; 0 = the class's
@@ -106,21 +106,26 @@
         found += [_field(table, operation.kind, one, variables) for one in reached]
         if not reached:  # everything was skipped; it is still an operation of its kind
             found.append((FieldRule(table.mutation_class if operation.kind == "mutation" else table.query_class), ""))
-    strictest = max(found, key=lambda pair: BY_STRICTNESS.index(Effect(table.effect(pair[0].class_name))))
+    strictest = max(found, key=lambda pair: BY_STRICTNESS.index(table.idempotency(pair[0].class_name)))
     rule, key = strictest
     cost_us = sum(one.cost_us for one, _ in found) if all(one.cost_us for one, _ in found) else 0
     deadline_us = max(one.deadline_us for one, _ in found) if all(one.deadline_us for one, _ in found) else 0
-    effect = table.effect(rule.class_name)
-    if effect == Effect.IDEMPOTENCY_KEY and (not key or _started(table, found) > 1):
+    idempotency = table.idempotency(rule.class_name)
+    if idempotency is Idempotency.IDEMPOTENCY_KEY and (not key or _started(table, found) > 1):
         # one key can't stand for two runs
-        rule, key, effect = FieldRule(table.mutation_class), "", table.effect(table.mutation_class)
+        rule, key, idempotency = FieldRule(table.mutation_class), "", table.idempotency(table.mutation_class)
     return Meaning(
-        rule.class_name, effect, key if effect == Effect.IDEMPOTENCY_KEY else "", cost_us, deadline_us, mutates
+        rule.class_name,
+        idempotency,
+        key if idempotency is Idempotency.IDEMPOTENCY_KEY else "",
+        cost_us,
+        deadline_us,
+        mutates,
     )
 
 
 def _started(table: Table, found: list[tuple[FieldRule, str]]) -> int:
-    return sum(table.effect(rule.class_name) != Effect.IDEMPOTENT for rule, _ in found)
+    return sum(table.idempotency(rule.class_name) is not Idempotency.IDEMPOTENT for rule, _ in found)
 
 
 def _field(table: Table, kind: str, field: RootField, variables: Mapping[str, Any]) -> tuple[FieldRule, str]:
@@ -142,5 +147,5 @@
 
 def reject_by_method(method: str, meant: Meaning) -> None:
     """Raises GraphqlError: what a GET carries may be repeated by anything on its way."""
-    if method == "GET" and (meant.mutates or meant.effect != Effect.IDEMPOTENT):
+    if method == "GET" and (meant.mutates or meant.idempotency is not Idempotency.IDEMPOTENT):
         raise GraphqlError(405, "METHOD_NOT_ALLOWED", "a GET may only ask, not change anything: use POST", "POST")
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -12,6 +12,7 @@
 from typing import Any
 from urllib.parse import parse_qsl
 
+from ryepier.balancer.interface import Idempotency
 from ryepier.graphql.classify import Meaning, Table, meaning, reject_by_method
 from ryepier.graphql.document import Documents, Operation
 from ryepier.graphql.errors import GraphqlError, malformed_request
@@ -170,10 +171,13 @@
         meant = meaning(
             self.table, [(operation, part.variables) for part, (_, operation) in zip(parts, read, strict=True)]
         )
-        if meant.effect == "deduplicated":
+        if meant.idempotency is Idempotency.IDEMPOTENCY_KEY:
             # a key stands for one run, not for all that came with it
             meant = replace(
-                meant, class_name=self.table.mutation_class, key="", effect=self.table.effect(self.table.mutation_class)
+                meant,
+                class_name=self.table.mutation_class,
+                key="",
+                idempotency=self.table.idempotency(self.table.mutation_class),
             )
         if all(part.query is not None for part in parts):
             return ParsedRequest(meant, body)
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple, Protocol
 from urllib.parse import quote
 
-from ryepier.balancer.interface import Effect, Settings
+from ryepier.balancer.interface import Idempotency, Settings
 from ryepier.errors import RyepierError
 from ryepier.sidecar.requests import ClientRequest, FinalAnswer, FinalOutcome, Header
 from ryepier.sidecar.system import clock_us
@@ -152,8 +152,8 @@
         if not IDENTIFIER.fullmatch(found.get(b"x-request-id", b"")):
             raise RequestError(400, "no X-Request-Id")
         request_class = self.settings.classes[index]
-        self._check_method(request_class.effect, method, body)
-        self._check_idempotency_key(request_class.effect, found)
+        self._check_method(request_class.idempotency, method, body)
+        self._check_idempotency_key(request_class.idempotency, found)
         key = found.get(b"x-key")
         cost = found.get(b"x-cost-hint")
         deadline_us = 1000 * parse_integer(found.get(b"x-deadline-ms", b""), "X-Deadline-Ms")
@@ -181,15 +181,15 @@
         return index
 
     @staticmethod
-    def _check_method(effect: Effect, method: bytes, body: bytes) -> None:
-        if method != (b"GET" if effect is Effect.IDEMPOTENT else b"POST"):
+    def _check_method(idempotency: Idempotency, method: bytes, body: bytes) -> None:
+        if method != (b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"):
             raise RequestError(400, "not the method of this class")
         if method == b"GET" and body:
             raise RequestError(400, "a GET has no body")
 
     @staticmethod
-    def _check_idempotency_key(effect: Effect, found: Mapping[bytes, bytes]) -> None:
-        if effect is Effect.IDEMPOTENCY_KEY:
+    def _check_idempotency_key(idempotency: Idempotency, found: Mapping[bytes, bytes]) -> None:
+        if idempotency is Idempotency.IDEMPOTENCY_KEY:
             if not IDENTIFIER.fullmatch(found.get(b"idempotency-key", b"")):
                 raise RequestError(400, "no Idempotency-Key")
         elif b"idempotency-key" in found:
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -15,10 +15,10 @@
     AttemptEnded,
     Cancel,
     ClientDisconnected,
-    Effect,
     Event,
     Fail,
     FetchList,
+    Idempotency,
     IdempotencyScope,
     ListKind,
     Outcome,
@@ -44,17 +44,25 @@
 def classes() -> list[RequestClass]:
     return [
         RequestClass(
-            "read", latency_objective_us=300_000, deadline_us=1_500_000, effect=Effect.IDEMPOTENT, late_weight=0.3
+            "read",
+            latency_objective_us=300_000,
+            deadline_us=1_500_000,
+            idempotency=Idempotency.IDEMPOTENT,
+            late_weight=0.3,
         ),
         RequestClass(
-            "pay", latency_objective_us=300_000, deadline_us=600_000, priority_weight=5, effect=Effect.NON_IDEMPOTENT
+            "pay",
+            latency_objective_us=300_000,
+            deadline_us=600_000,
+            priority_weight=5,
+            idempotency=Idempotency.NON_IDEMPOTENT,
         ),
         RequestClass(
             "mark",
             latency_objective_us=400_000,
             deadline_us=2_000_000,
             priority_weight=3,
-            effect=Effect.IDEMPOTENCY_KEY,
+            idempotency=Idempotency.IDEMPOTENCY_KEY,
             idempotency_scope=IdempotencyScope.FAILURE_DOMAIN,
             idempotency_window_us=1_200_000,
         ),
@@ -228,8 +236,8 @@
         assert send.upstream not in self.refused_us, "rule 3: a send to a draining or gone upstream"
         assert self.settings.hedging or not owed.out(), "rule 2: two attempts out together"
         for earlier in owed.may_have_run():
-            assert kind.effect != Effect.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
-            if kind.effect == Effect.IDEMPOTENCY_KEY:
+            assert kind.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
+            if kind.idempotency == Idempotency.IDEMPOTENCY_KEY:
                 assert self.now_us - earlier.sent_us <= kind.idempotency_window_us, "rule 2: past the memory"
                 assert (
                     kind.idempotency_scope != IdempotencyScope.FAILURE_DOMAIN
@@ -251,8 +259,8 @@
         owed.answers += 1
         if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            harmless = kind.effect == Effect.IDEMPOTENT or (
-                kind.effect == Effect.IDEMPOTENCY_KEY and kind.idempotency_scope == IdempotencyScope.ALL
+            harmless = kind.idempotency == Idempotency.IDEMPOTENT or (
+                kind.idempotency == Idempotency.IDEMPOTENCY_KEY and kind.idempotency_scope == IdempotencyScope.ALL
             )
             assert harmless or not owed.may_have_run(), "rule 2: a refusal of what may have run"
 
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from ryepier.balancer.interface import Effect, IdempotencyScope, RequestClass, Settings
+from ryepier.balancer.interface import Idempotency, IdempotencyScope, RequestClass, Settings
 from ryepier.sidecar.config import Config
 from ryepier.sidecar.serving import serve
 
@@ -34,14 +34,18 @@
     return [
         RequestClass("read", latency_objective_us=1_000_000, deadline_us=20_000_000, late_weight=0.5),
         RequestClass(
-            "pay", latency_objective_us=1_000_000, deadline_us=20_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT
+            "pay",
+            latency_objective_us=1_000_000,
+            deadline_us=20_000_000,
+            late_weight=0.5,
+            idempotency=Idempotency.NON_IDEMPOTENT,
         ),
         RequestClass(
             "mark",
             latency_objective_us=1_000_000,
             deadline_us=20_000_000,
             late_weight=0.5,
-            effect=Effect.IDEMPOTENCY_KEY,
+            idempotency=Idempotency.IDEMPOTENCY_KEY,
             idempotency_scope=IdempotencyScope.FAILURE_DOMAIN,
             idempotency_window_us=20_000_000,
         ),
--- a/tests/test_balancer_misuse.py
+++ b/tests/test_balancer_misuse.py
@@ -85,8 +85,8 @@
     [
         (lambda: RequestClass("x", 0, 10), "latency_objective_us above 0"),
         (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
-        (lambda: RequestClass("x", 10, 10, effect="maybe"), "idempotent, deduplicated, at_most_once"),  # type: ignore[arg-type]
-        (lambda: RequestClass("x", 10, 10, idempotency_scope="planet"), "all, zone, cell"),  # type: ignore[arg-type]
+        (lambda: RequestClass("x", 10, 10, idempotency="maybe"), "expected an Idempotency, got 'maybe'"),  # type: ignore[arg-type]
+        (lambda: RequestClass("x", 10, 10, idempotency_scope="planet"), "expected an IdempotencyScope, got 'planet'"),  # type: ignore[arg-type]
         (lambda: RequestClass("x", 10, 10, late_weight=2), "late_weight from 0 to 1"),
         (lambda: Tenant("t", -1), "allowance_per_s of 0 or more"),
         (lambda: settings(max_attempts=-1), "max_attempts of 1 or more"),
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from ryepier.balancer.interface import Effect, RequestClass
+from ryepier.balancer.interface import Idempotency, RequestClass
 from ryepier.sidecar import system
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
@@ -39,7 +39,7 @@
 LATE_S = 0.3  # for so long a loop is held
 REST_S = 1.0  # longer than a converter that failed rests
 KINDS = [
-    RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT),
+    RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT),
     RequestClass("read", 10_000_000, 20_000_000, late_weight=0.5),
 ]
 
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -13,6 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from ryepier.balancer.interface import Idempotency
 from ryepier.graphql.classify import ClassRule, FieldRule, Table
 from ryepier.graphql.document import MAX_DEPTH, Documents
 from ryepier.graphql.errors import GraphqlError
@@ -20,12 +21,12 @@
 from ryepier.graphql.request import ParsedRequest, Reader, response_type
 
 CLASSES = {
-    name: ClassRule(name, effect)
-    for name, effect in (
-        ("lookup", "idempotent"),
-        ("report", "idempotent"),
-        ("batch", "deduplicated"),
-        ("convert", "at_most_once"),
+    name: ClassRule(name, idempotency)
+    for name, idempotency in (
+        ("lookup", Idempotency.IDEMPOTENT),
+        ("report", Idempotency.IDEMPOTENT),
+        ("batch", Idempotency.IDEMPOTENCY_KEY),
+        ("convert", Idempotency.NON_IDEMPOTENT),
     )
 }
 TABLE = Table(
@@ -78,33 +79,43 @@
 )
 def test_a_mutation_is_never_run_again_whatever_hides_it(query: str, name: str | None) -> None:
     meant = post(query, operationName=name).meaning
-    assert (meant.class_name, meant.effect, meant.mutates) == ("convert", "at_most_once", True)
+    assert (meant.class_name, meant.idempotency, meant.mutates) == ("convert", Idempotency.NON_IDEMPOTENT, True)
 
 
 def test_a_mutation_with_the_key_that_the_table_names_may_be_repeated_with_it() -> None:
     assert post('mutation { batch(id: "b-1") { id } }').meaning.key == "b-1"
     meant = post('mutation($i: ID = "dflt") { batch(id: $i) }', variables={"i": 17}).meaning
-    assert (meant.class_name, meant.effect, meant.key, meant.cost_us) == ("batch", "deduplicated", "17", 9000)
+    assert (meant.class_name, meant.idempotency, meant.key, meant.cost_us) == (
+        "batch",
+        Idempotency.IDEMPOTENCY_KEY,
+        "17",
+        9000,
+    )
     assert post('mutation($i: ID = "dflt") { batch(id: $i) }').meaning.key == "dflt"
     both = 'mutation($no: Boolean!) { batch(id: "1") convert @include(if: $no) }'
     meant = post(both, variables={"no": False}).meaning
-    assert (meant.effect, meant.key) == ("deduplicated", "1")
-    assert post(both).meaning.effect == "at_most_once"
+    assert (meant.idempotency, meant.key) == (Idempotency.IDEMPOTENCY_KEY, "1")
+    assert post(both).meaning.idempotency == Idempotency.NON_IDEMPOTENT
 
 
 def test_queries_are_harmless_and_the_table_names_their_class_and_cost() -> None:
     assert post("{ a b c }").meaning.class_name == "lookup"
     meant = post("query { one: report two: report }").meaning
-    assert (meant.class_name, meant.effect, meant.cost_us, meant.deadline_us) == ("report", "idempotent", 10_000, 70)
+    assert (meant.class_name, meant.idempotency, meant.cost_us, meant.deadline_us) == (
+        "report",
+        Idempotency.IDEMPOTENT,
+        10_000,
+        70,
+    )
     assert post("query { report other }").meaning.deadline_us == 0
-    assert post("query Q { a } " + MUTATION, operationName="Q").meaning.effect == "idempotent"
+    assert post("query Q { a } " + MUTATION, operationName="Q").meaning.idempotency == Idempotency.IDEMPOTENT
 
 
 def test_a_batch_takes_the_class_of_its_strictest_part_and_goes_on_whole() -> None:
     body = json.dumps([{"query": "{ a }"}, {"query": 'mutation { batch(id: "1") }'}]).encode()
     asked = raw(body)
-    assert (asked.meaning.effect, asked.meaning.key, asked.body) == ("at_most_once", "", body)
-    assert raw('[{"query": "{ a }"}, {"query": "{ b }"}]').meaning.effect == "idempotent"
+    assert (asked.meaning.idempotency, asked.meaning.key, asked.body) == (Idempotency.NON_IDEMPOTENT, "", body)
+    assert raw('[{"query": "{ a }"}, {"query": "{ b }"}]').meaning.idempotency == Idempotency.IDEMPOTENT
     assert refusal(raw, json.dumps([{"query": "{ a }"}] * 1000)).code == "BATCH_SIZE"
     assert refusal(raw, "[]").code == "BATCH_SIZE" and refusal(raw, "[1]").status == 400
 
@@ -152,7 +163,7 @@
     assert refusal(post, nested).code == "DOCUMENT_TOO_DEEP"
     assert refusal(post, "{" * 65_000).code == "DOCUMENT_TOO_DEEP"
     assert refusal(post, "{ " + "a " * 30_000 + "}").code == "DOCUMENT_TOO_LARGE"
-    assert post("{" + "a{" * (MAX_DEPTH - 1) + "b" + "}" * MAX_DEPTH).meaning.effect == "idempotent"
+    assert post("{" + "a{" * (MAX_DEPTH - 1) + "b" + "}" * MAX_DEPTH).meaning.idempotency == Idempotency.IDEMPOTENT
     bomb = " ".join(f"fragment F{i} on Q {{ ...F{i + 1} ...F{i + 1} }}" for i in range(20))
     assert refusal(post, f"{{ ...F0 }} {bomb} fragment F20 on Q {{ a }}").code == "DOCUMENT_TOO_LARGE"
 
@@ -183,7 +194,7 @@
     assert refusal(post, MUTATION, reader, extensions=extensions("{ a }")).code == "PERSISTED_QUERY_HASH_MISMATCH"
     post("{ a }", reader, extensions=extensions("{ a }"))
     asked = reader.post(JSON, json.dumps({"extensions": extensions("{ a }"), "variables": {"v": 1.5}}).encode())
-    assert asked.meaning.effect == "idempotent" and json.loads(asked.body)["query"] == "{ a }"
+    assert asked.meaning.idempotency == Idempotency.IDEMPOTENT and json.loads(asked.body)["query"] == "{ a }"
     assert json.loads(asked.body)["variables"] == {"v": 1.5}
     small = Persisted(max_queries=2)
     for text in ("{ a }", "{ b }", "{ c }"):
@@ -279,8 +290,8 @@
     meant = post(text, operationName=name, variables={"v": value}).meaning
     assert seen == [made[chosen % len(made)][0]]
     assert meant.mutates == (seen == ["mutation"])
-    assert (meant.effect == "idempotent") == (seen == ["query"])
-    assert meant.effect != "deduplicated" or (meant.key and text.count("batch") >= 1)
+    assert (meant.idempotency == Idempotency.IDEMPOTENT) == (seen == ["query"])
+    assert meant.idempotency != Idempotency.IDEMPOTENCY_KEY or (meant.key and text.count("batch") >= 1)
 
 
 @given(st.binary(max_size=300) | st.text(max_size=200).map(lambda text: json.dumps({"query": text}).encode()))
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ryepier.balancer.interface import Effect, RequestClass
+from ryepier.balancer.interface import Idempotency, RequestClass
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 from tests.network_peers import OK, HeldDials, Sidecar, Upstream, answering, request, run, sidecar, status, until
@@ -102,7 +102,11 @@
 def test_an_attempt_with_no_time_left_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         upstream = Upstream(answering(OK))
-        classes = [RequestClass("pay", latency_objective_us=200_000, deadline_us=400_000, effect=Effect.NON_IDEMPOTENT)]
+        classes = [
+            RequestClass(
+                "pay", latency_objective_us=200_000, deadline_us=400_000, idempotency=Idempotency.NON_IDEMPOTENT
+            )
+        ]
         async with sidecar(upstream, classes=classes) as it:
             block_loop_after_dial(upstream, HELD_S, monkeypatch)
             assert status(await it.ask(request("pay", deadline_ms=400))) == 503
@@ -128,7 +132,7 @@
                 latency_objective_us=1_000_000,
                 deadline_us=20_000_000,
                 late_weight=0.5,
-                effect=Effect.NON_IDEMPOTENT,
+                idempotency=Idempotency.NON_IDEMPOTENT,
             )
         ]
         async with sidecar(recorder.upstream, classes=classes) as it:
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -11,7 +11,7 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.interface import (
     AttemptEnded,
-    Effect,
+    Idempotency,
     IdempotencyScope,
     ListKind,
     Outcome,
@@ -61,12 +61,17 @@
             "zoned",
             200_000,
             900_000,
-            effect=Effect.IDEMPOTENCY_KEY,
+            idempotency=Idempotency.IDEMPOTENCY_KEY,
             idempotency_scope=IdempotencyScope.ZONE,
             idempotency_window_us=400_000,
         ),
         RequestClass(
-            "feed", 200_000, 900_000, effect=Effect.IDEMPOTENCY_KEY, idempotency_window_us=9_000_000, stream=True
+            "feed",
+            200_000,
+            900_000,
+            idempotency=Idempotency.IDEMPOTENCY_KEY,
+            idempotency_window_us=9_000_000,
+            stream=True,
         ),
     ]
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from ryepier.balancer.interface import Effect, IdempotencyScope, Outcome, RequestClass, Tenant
+from ryepier.balancer.interface import Idempotency, IdempotencyScope, Outcome, RequestClass, Tenant
 from ryepier.sidecar import system
 from ryepier.sidecar.client_connection import ClientConnection, ClientState
 from ryepier.sidecar.connection_pool import ConnectionPool
@@ -45,7 +45,7 @@
     until,
 )
 
-SHORT = [RequestClass("pay", latency_objective_us=200_000, deadline_us=400_000, effect=Effect.NON_IDEMPOTENT)]
+SHORT = [RequestClass("pay", latency_objective_us=200_000, deadline_us=400_000, idempotency=Idempotency.NON_IDEMPOTENT)]
 
 
 def taken(monkeypatch: pytest.MonkeyPatch) -> list[ClientRequest]:
@@ -84,7 +84,7 @@
 def test_what_comes_whole_after_a_stop_is_answered_before_the_kill_and_not_by_its_own_time() -> None:
     async def test() -> None:
         upstream = Upstream(silent)
-        kinds = [RequestClass("pay", 1_000_000, 2_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT)]
+        kinds = [RequestClass("pay", 1_000_000, 2_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
         async with sidecar(upstream, classes=kinds) as it:
             whole = request("pay", body=b"ab", deadline_ms=2_000)
             reader, writer = await it.connect()
@@ -222,7 +222,7 @@
             2_000_000,
             6_000_000,
             late_weight=0.5,
-            effect=Effect.IDEMPOTENCY_KEY,
+            idempotency=Idempotency.IDEMPOTENCY_KEY,
             idempotency_scope=IdempotencyScope.FAILURE_DOMAIN,
             idempotency_window_us=600_000,
         )
@@ -466,7 +466,7 @@
         let = asyncio.Event()
 
         upstream = Upstream(holding(let))  # one slot
-        kinds = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT)]
+        kinds = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
         async with sidecar(upstream, classes=kinds) as it:
             first = asyncio.create_task(it.ask(request("pay", "1")))
             await until(lambda: len(upstream.requests) == 1)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ryepier.balancer.balancer import Balancer
-from ryepier.balancer.interface import Action, AttemptEnded, Effect, Event, Outcome
+from ryepier.balancer.interface import Action, AttemptEnded, Event, Idempotency, Outcome
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.emulator.harness import find_network
 from ryepier.experiments import seeded_faults
@@ -280,7 +280,7 @@
     path = tmp_path / "sidecar.json"
     path.write_text(scale_call.settings_of(1, 400, ("127.1.2.3", 9000), ("127.1.2.4", 8500), ("127.1.2.5", 9000)))
     read = config.load(str(path))
-    assert len(read.known["targets"]) == 400 and read.settings.classes[0].effect == Effect.IDEMPOTENT
+    assert len(read.known["targets"]) == 400 and read.settings.classes[0].idempotency == Idempotency.IDEMPOTENT
     assert read.known == listing(400, ("127.1.2.5", 9000))
 
 
@@ -362,7 +362,7 @@
 
 
 def test_a_class_that_is_never_sent_twice_is_not() -> None:
-    seen = play(chain(3, 0.5, effect=Effect.NON_IDEMPOTENT))
+    seen = play(chain(3, 0.5, idempotency=Idempotency.NON_IDEMPOTENT))
     assert seen.attempts[-1] <= 60 and seen.served < 60
 
 
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -18,6 +18,7 @@
 
 import pytest
 
+from ryepier.balancer.interface import Idempotency
 from ryepier.balancer.settings_parser import SettingsError
 from ryepier.sidecar.config import Config, flatten, load
 from tests.network_peers import (
@@ -69,7 +70,7 @@
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
     assert config.settings.zone == 1 and config.settings.polls_endpoints and config.settings.weighted
     assert config.settings.report_names == ["in_flight", "queued"]
-    assert [kind.effect for kind in config.settings.classes] == ["at_most_once"]
+    assert [kind.idempotency for kind in config.settings.classes] == [Idempotency.NON_IDEMPOTENT]
 
 
 def test_nested_settings_become_pairs() -> None:
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -172,7 +172,9 @@
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
     settings = parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
     assert settings == parse_settings(OPTIONS)
-    assert [c.effect for c in settings.classes] == ["idempotent", "at_most_once", "deduplicated"]
+    assert [c.idempotency for c in settings.classes] == list(
+        map(api.Idempotency, ["idempotent", "non_idempotent", "idempotency_key"])
+    )
     assert (
         settings.classes[2].idempotency_window_us == 1_200_000
         and settings.classes[2].idempotency_scope == api.IdempotencyScope.FAILURE_DOMAIN
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,8 +18,8 @@
 from ryepier.balancer.interface import (
     Advice,
     AttemptEnded,
-    Effect,
     Event,
+    Idempotency,
     ListKind,
     Outcome,
     PlanUpdated,
@@ -78,7 +78,7 @@
         self.case = case
         self.dice = random.Random(case.seed)
         self.config: Settings = settings(
-            classes=[RequestClass("read", 600_000, 1_500_000, effect=Effect.NON_IDEMPOTENT)],
+            classes=[RequestClass("read", 600_000, 1_500_000, idempotency=Idempotency.NON_IDEMPOTENT)],
             instances=case.sidecars,
             hedging=False,
             initial_capacity_share=0.12,
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ryepier.balancer.interface import Effect, RequestClass
+from ryepier.balancer.interface import Idempotency, RequestClass
 from ryepier.balancer.tuning import MAX_CONCURRENCY
 from tests.network_peers import (
     OK,
@@ -21,7 +21,11 @@
 
 QUICK = [
     RequestClass(
-        name, latency_objective_us=200_000, deadline_us=600_000_000, late_weight=0.5, effect=Effect.NON_IDEMPOTENT
+        name,
+        latency_objective_us=200_000,
+        deadline_us=600_000_000,
+        late_weight=0.5,
+        idempotency=Idempotency.NON_IDEMPOTENT,
     )
     for name in ("pay", "order")
 ]
