--- a/tests/test_emulator_formats.py
+++ b/tests/test_emulator_formats.py
@@ -15,6 +15,7 @@
 from ryepier.check.model import Model
 from ryepier.cli import main
 from ryepier.emulator.records import (
+    AttemptOutcome,
     ClientAttempt,
     ConnectionRecord,
     ConverterAttempt,
@@ -23,6 +24,7 @@
     Incarnation,
     Lateness,
     RecordedEvent,
+    RequestOutcome,
     RoleRecords,
 )
 from ryepier.emulator.world import World
@@ -46,7 +48,7 @@
             sent_us=6,
             deadline_us=7,
             ended_us=8,
-            outcome="served",
+            outcome=RequestOutcome.SERVED,
             status=200,
             retry_after_us=9,
             response_request_id="0001-000001-0",
@@ -64,7 +66,7 @@
             first_byte_us=2,
             received_us=3,
             ended_us=4,
-            outcome="answered",
+            outcome=AttemptOutcome.ANSWERED,
             status=200,
             not_run=False,
             started_us=5,
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -16,7 +16,7 @@
 
 from ryepier import cli
 from ryepier.commands import experiment as command
-from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.records import History, Incarnation
 from ryepier.emulator.world import World
 from ryepier.experiments import catalogue, seeded_faults
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ryepier.emulator.records import ClientAttempt, ConverterAttempt, EndpointNotice, History, Incarnation, Lateness
-from ryepier.emulator.world import Clients, Converters, RequestClass, Sidecars, World
+from ryepier.emulator.world import Clients, Converters, DeduplicationScope, Effect, RequestClass, Sidecars, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.judge import RULES, judge
 
@@ -26,7 +26,7 @@
             deadline_ms=1000.0,
             priority_weight=3.0,
             late_weight=0.5,
-            effect="at_most_once",
+            effect=Effect.AT_MOST_ONCE,
         ),
         RequestClass(
             name="batch",
@@ -34,8 +34,8 @@
             work_ms=(1.0, 1.0),
             objective_ms=100.0,
             deadline_ms=1000.0,
-            effect="deduplicated",
-            group="cell",
+            effect=Effect.DEDUPLICATED,
+            scope=DeduplicationScope.CELL,
             idempotency_window_ms=300.0,
         ),
     ],
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -10,7 +10,17 @@
 from ryepier.emulator import harness, timeline
 from ryepier.emulator.records import NEVER, ConverterAttempt
 from ryepier.emulator.timeline import FaultAction, TargetKind
-from ryepier.emulator.world import Clients, Converters, Discovery, Fault, HarnessSettings, RequestClass, Sidecars, World
+from ryepier.emulator.world import (
+    Clients,
+    Converters,
+    Discovery,
+    Fault,
+    FaultKind,
+    HarnessSettings,
+    RequestClass,
+    Sidecars,
+    World,
+)
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core.contract import Run
 from ryepier.experiments.core.runner import lateness_claim
@@ -87,7 +97,7 @@
 
 
 def test_a_third_of_the_sidecars_killed_and_started_again_at_once(tmp_path: Path) -> None:
-    fault = Fault(kind="sidecar-kill", at_s=1.2, target_share=0.34, down_s=0.4)
+    fault = Fault(kind=FaultKind.SIDECAR_KILL, at_s=1.2, target_share=0.34, down_s=0.4)
     run = play(a_world(fault, sidecars=18, duration_s=4.6), tmp_path)
     lives = run.history.incarnations
     killed = {life.sidecar for life in lives if life.killed}
@@ -100,7 +110,7 @@
 
 
 def test_the_busiest_sidecar_stopped_and_resumed(tmp_path: Path) -> None:
-    run = play(a_world(Fault(kind="sidecar-hang", at_s=1.2, for_s=1.0, index=0)), tmp_path)
+    run = play(a_world(Fault(kind=FaultKind.SIDECAR_HANG, at_s=1.2, for_s=1.0, index=0)), tmp_path)
     assert len(run.history.incarnations[0].suspensions) == 1
     assert_well(run, 0.9)
     assert figures.service_level(run.operations, lambda item: item.sidecar != 0) >= 0.95
@@ -124,8 +134,8 @@
 
 
 def test_discovery_away_while_converters_change(tmp_path: Path) -> None:
-    away = Fault(kind="discovery-down", at_s=0.9, for_s=1.8)
-    change = Fault(kind="release", at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
+    away = Fault(kind=FaultKind.DISCOVERY_DOWN, at_s=0.9, for_s=1.8)
+    change = Fault(kind=FaultKind.RELEASE, at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
     run = play(a_world(away, change, duration_s=5.0), tmp_path)
     assert_well(run, 0.9)
     left, came = replaced(run)
@@ -138,8 +148,8 @@
 
 
 def test_lists_of_two_ages_in_the_halves_of_the_fleet(tmp_path: Path) -> None:
-    stale = Fault(kind="discovery-stale", at_s=0.9, for_s=2.1, target_share=0.5)
-    change = Fault(kind="release", at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
+    stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=0.9, for_s=2.1, target_share=0.5)
+    change = Fault(kind=FaultKind.RELEASE, at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
     run = play(a_world(stale, change, duration_s=4.4), tmp_path)
     assert_well(run, 0.9)
     left, came = replaced(run)
@@ -151,7 +161,7 @@
 
 
 def test_a_zone_cut_from_the_others(tmp_path: Path) -> None:
-    cut = Fault(kind="zone-cut", at_s=1.0, for_s=1.6, zone="c")
+    cut = Fault(kind=FaultKind.ZONE_CUT, at_s=1.0, for_s=1.6, zone="c")
     run = play(a_world(cut, duration_s=4.6), tmp_path)
     assert_well(run, 0.8)
     assert not any(
@@ -172,8 +182,8 @@
 @pytest.mark.parametrize(
     ("fault", "after_s"),
     [
-        (Fault(kind="refuse", at_s=1.2, for_s=1.0, target_share=0.34), 2.7),
-        (Fault(kind="slow", at_s=1.0, for_s=3.5, index=0, factor=2.0), SETTLED_S),
+        (Fault(kind=FaultKind.REFUSE, at_s=1.2, for_s=1.0, target_share=0.34), 2.7),
+        (Fault(kind=FaultKind.SLOW, at_s=1.0, for_s=3.5, index=0, factor=2.0), SETTLED_S),
     ],
     ids=["a third of the converters lost and back", "one converter twice as slow"],
 )
@@ -189,14 +199,14 @@
 
 @pytest.mark.parametrize(("zone", "zoned"), [("d", True), ("a", False)])
 def test_a_cut_needs_a_zone_of_the_world_and_sidecars_in_zones(zone: str, zoned: bool) -> None:
-    cut = Fault(kind="zone-cut", at_s=1.0, for_s=1.0, zone=zone)
+    cut = Fault(kind=FaultKind.ZONE_CUT, at_s=1.0, for_s=1.0, zone=zone)
     world = a_world()
     with pytest.raises(ValueError, match="zone: expected one of a, b, c, and sidecars that are zoned"):
         msgspec.structs.replace(world, sidecars=msgspec.structs.replace(world.sidecars, zoned=zoned), faults=[cut])
 
 
 def test_agents_with_an_old_list_need_the_platforms_form_of_it() -> None:
-    stale = Fault(kind="discovery-stale", at_s=1.0, for_s=1.0)
+    stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=1.0, for_s=1.0)
     with pytest.raises(ValueError, match="only where the list comes from the platform's agents"):
         msgspec.structs.replace(a_world(), discovery=Discovery(slice_size=10), faults=[stale])
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.interface import Action, AttemptEnded, Effect, Event, Outcome
 from ryepier.balancer.retries import RetryPolicy
-from ryepier.emulator.harness import find_network
+from ryepier.emulator.loopback import find_network
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim
 from ryepier.experiments.scale import gauged_planner, scale_call, scale_control, scale_depth
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ryepier.emulator.harness import find_network
+from ryepier.emulator.loopback import find_network
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.scale import list_parts, scale_list
 from ryepier.experiments.scale.fleet_list import Desk, Listing
@@ -42,7 +42,7 @@
 
 def test_a_listing_is_drawn_from_its_seed() -> None:
     one, same, other = Listing(KNOWN, 1), Listing(KNOWN, 1), Listing(KNOWN, 2)
-    assert one.registry.whole() == same.registry.whole() != other.registry.whole()
+    assert one.registry.full_list() == same.registry.full_list() != other.registry.full_list()
     assert len({entry["uid"] for entry in one.present()}) == KNOWN
 
 
@@ -106,5 +106,5 @@
 
 
 def test_a_list_in_pieces_is_the_same_list() -> None:
-    data = list_parts.encode(Listing(KNOWN, 1).registry.whole())
+    data = list_parts.encode(Listing(KNOWN, 1).registry.full_list())
     assert list_parts.cut(data, 100) == list_parts.cut(data, len(data))
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -15,9 +15,10 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.cli import main
 from ryepier.emulator import simulated
-from ryepier.emulator.harness import Harness, HarnessError
-from ryepier.emulator.records import ClientAttempt, ConverterAttempt
-from ryepier.emulator.world import Fault
+from ryepier.emulator.errors import HarnessError
+from ryepier.emulator.harness import Harness
+from ryepier.emulator.records import AttemptOutcome, ClientAttempt, ConverterAttempt, RequestOutcome
+from ryepier.emulator.world import Fault, FaultKind
 from ryepier.experiments.core import judge
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.simulation import coverage, hunt
@@ -98,7 +99,7 @@
         simulated.play(load("ceiling"), 1)
     got = CliRunner().invoke(main, ["experiment", "run", "breaking-point", "--backend", "sim", "--out", str(tmp_path)])
     assert got.exit_code == 1 and "measures CPU" in got.stderr
-    world = msgspec.structs.replace(load("steady"), faults=[Fault(kind="clock-jump", at_s=1.0, jump_s=5.0)])
+    world = msgspec.structs.replace(load("steady"), faults=[Fault(kind=FaultKind.CLOCK_JUMP, at_s=1.0, jump_s=5.0)])
     with pytest.raises(HarnessError, match="only in simulation: clock-jump"):
         Harness(world, 1, tmp_path)
 
@@ -128,7 +129,7 @@
 
 def test_a_sidecar_that_stands_still_breaks_no_rule_and_serves_again_afterwards() -> None:
     world = load("sidecar-kill")
-    world = msgspec.structs.replace(world, faults=[Fault(kind="sidecar-hang", at_s=3.0, for_s=2.0, index=0)])
+    world = msgspec.structs.replace(world, faults=[Fault(kind=FaultKind.SIDECAR_HANG, at_s=3.0, for_s=2.0, index=0)])
     history = simulated.play(world, 1)
     assert judge.judge(world, history) == []
     mine = [item for item in history.client_attempts if item.sidecar == 0]
@@ -171,12 +172,14 @@
         sent_us=0,
         deadline_us=10**6,
         ended_us=900,
-        outcome="served",
+        outcome=RequestOutcome.SERVED,
     )
     failed = ConverterAttempt(
-        "a", "", "c1", 1, first_byte_us=100, received_us=150, ended_us=300, outcome="answered", status=503
+        "a", "", "c1", 1, first_byte_us=100, received_us=150, ended_us=300, outcome=AttemptOutcome.ANSWERED, status=503
+    )
+    late = ConverterAttempt(
+        "a", "", "c3", 1, first_byte_us=450, received_us=450, ended_us=1000, outcome=AttemptOutcome.CLOSED
     )
-    late = ConverterAttempt("a", "", "c3", 1, first_byte_us=450, received_us=450, ended_us=1000, outcome="closed")
     well = ConverterAttempt(
         "a",
         "",
@@ -185,7 +188,7 @@
         first_byte_us=500,
         received_us=550,
         ended_us=800,
-        outcome="answered",
+        outcome=AttemptOutcome.ANSWERED,
         status=200,
         started_us=600,
         finished_us=700,
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -23,7 +23,8 @@
 from ryepier.assembly.sidecar import select_components
 from ryepier.balancer.interface import ListKind, UpstreamState, UpstreamsUpdated
 from ryepier.conf import operator_settings
-from ryepier.emulator.apiserver import SERVICE_LABEL, ApiServer, Store
+from ryepier.emulator.api_server import ApiServer
+from ryepier.emulator.api_store import SERVICE_LABEL, Store
 from ryepier.sidecar.config import load
 from ryepier.sidecar.serving import serve
 from ryepier.sidecar.system import clock_us
@@ -74,7 +75,7 @@
 
     def put(self, name: str, *pods: str, draining: str = "", family: str = "IPv4") -> None:
         self.store.put("default", name, content(*pods, draining=draining, family=family), {SERVICE_LABEL: "convert"})
-        self.api.changed()
+        self.api.on_change()
 
     def follow(self, access: Access | None = None, **more: Any) -> SliceSource:
         settings = Settings(
@@ -469,7 +470,7 @@
             world.put("s1", "p1", draining="p1")
             world.put("s9", "p9")
             world.store.delete("default", "s0")
-            world.api.changed()
+            world.api.on_change()
             assert await following == [("MODIFIED", "s1"), ("ADDED", "s9"), ("DELETED", "s0")]
             world.store.compact()
             with pytest.raises(kubernetes.ApiException) as error:
