--- a/ryepier/experiments/scale/lightweight.py
+++ b/ryepier/experiments/scale/lightweight.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.errors import HarnessError
 
 MOST_PROCESSES = 8
 MOST_BYTES = 10 * 10**9
