--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -12,7 +12,8 @@
 from ryepier.experiments.planners import scale as planner_scale
 from ryepier.experiments.scale import scale_call, scale_control, scale_depth, scale_fail, scale_list
 from ryepier.experiments.simulation import fidelity
-from ryepier.experiments.slices import slicing
+from ryepier.experiments.slices import churn, drain
+from ryepier.experiments.slices import outage as slices_outage
 from ryepier.experiments.storms import after_outage, one_sidecar, real_surge
 
 EXPERIMENTS: dict[str, Experiment] = {
@@ -30,7 +31,8 @@
         *restart.EXPERIMENTS,
         false_reports.EXPERIMENT,
         *benefit.EXPERIMENTS,
-        *slicing.EXPERIMENTS,
+        drain.EXPERIMENT,
+        slices_outage.EXPERIMENT,
         *graphql_front.EXPERIMENTS,
         *after_outage.EXPERIMENTS,
         one_sidecar.EXPERIMENT,
@@ -46,7 +48,7 @@
         *scale_depth.EXPERIMENTS,
         planner_scale.EXPERIMENT,
         reconnection.EXPERIMENT,
-        *slicing.BENCHMARKS,
+        churn.EXPERIMENT,
         *graphql_front.BENCHMARKS,
         *fidelity.EXPERIMENTS,
         *scale_list.EXPERIMENTS,
--- /dev/null
+++ b/ryepier/experiments/slices/churn.py
@@ -0,0 +1,240 @@
+"""`slices-churn`: what does one change of a service cost a sidecar as the list grows?
+
+An API server replaces pods one after another, at 1,000 and at 10,000 endpoints; a process of its own follows the slices
+and hands each update to a decision module. Claims: every change arrives, within a bound on the 99th percentile, at a
+CPU time that grows much less than the list, and in bounded memory.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import subprocess
+import sys
+import time
+from dataclasses import dataclass
+
+import msgspec
+import numpy as np
+
+from ryepier.emulator.apiserver import SERVICE_LABEL, ApiServer, Object, Store
+from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.process import monotonic_us
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.slices.follower_process import UP, FollowerReport
+
+SIZES = (1_000, 10_000)  # endpoints
+SLICE_SIZE = 100
+CHANGES = {"small": 150, "full": 1_500}
+CHANGE_INTERVAL_S = 0.04
+START_TIMEOUT_S = 20.0
+TAIL_S = 0.5  # after the last change, for its update to arrive
+MAX_LINE_BYTES = 64 * 1024 * 1024
+NAMESPACE = "default"
+SERVICE = "convert"
+NODES = 50
+MAX_P99_MS = {1_000: 30, 10_000: 60}
+MAX_CPU_GROWTH = 3.0
+MAX_RESIDENT_MB = 120
+US_PER_MS = 1000
+KIB_PER_MB = 1024
+
+
+def address_of(pod: int) -> str:
+    """Return a pod's address."""
+    return f"10.{pod >> 16 & 255}.{pod >> 8 & 255}.{pod & 255}"
+
+
+def make_endpoint(pod: int, terminating: bool = False) -> Object:
+    """Return a pod's entry in an EndpointSlice."""
+    return {
+        "addresses": [address_of(pod)],
+        "nodeName": f"node-{pod % NODES}",
+        "zone": "a",
+        "conditions": {"ready": not terminating, "serving": True, "terminating": terminating},
+        "targetRef": {"kind": "Pod", "namespace": NAMESPACE, "name": f"convert-{pod}", "uid": f"pod-{pod}"},
+    }
+
+
+@dataclass(frozen=True, slots=True)
+class Change:
+    """A state that a pod's address takes."""
+
+    host: str
+    state: str
+
+
+class ChangingService:
+    """A service whose pods are replaced one after another, with the time of each change."""
+
+    def __init__(self, size: int, seed: int) -> None:
+        """Store the slices of so many pods."""
+        self.store = Store()
+        self.changed_us: dict[Change, int] = {}
+        self._random = np.random.default_rng(seed)
+        self._next_pod = size
+        self._slices = [
+            [make_endpoint(first + offset) for offset in range(SLICE_SIZE)] for first in range(0, size, SLICE_SIZE)
+        ]
+        for index in range(len(self._slices)):
+            self._store_slice(index)
+
+    def change(self, number: int) -> None:
+        """Make the next change: by turns a pod of a slice terminates, or the one that terminated is replaced."""
+        index = number // 2 % len(self._slices)
+        if number % 2 == 0:
+            self._terminate_one(index)
+        else:
+            self._replace_last(index)
+        self._store_slice(index)
+
+    def _terminate_one(self, index: int) -> None:
+        endpoints = self._slices[index]
+        endpoint = endpoints.pop(int(self._random.integers(SLICE_SIZE - 1)))
+        pod = int(endpoint["targetRef"]["uid"].rpartition("-")[2])
+        endpoints.append(make_endpoint(pod, terminating=True))
+        self.changed_us[Change(address_of(pod), "draining")] = monotonic_us()
+
+    def _replace_last(self, index: int) -> None:
+        pod = self._next_pod
+        self._next_pod += 1
+        self._slices[index] = [*self._slices[index][:-1], make_endpoint(pod)]
+        self.changed_us[Change(address_of(pod), "ready")] = monotonic_us()
+
+    def _store_slice(self, index: int) -> None:
+        content = {
+            "addressType": "IPv4",
+            "endpoints": self._slices[index],
+            "ports": [{"name": "http", "port": 80, "protocol": "TCP"}],
+        }
+        self.store.put(NAMESPACE, f"{SERVICE}-{index:04d}", content, {SERVICE_LABEL: SERVICE})
+
+
+async def _start_follower(port: int, seeded_fault: str) -> asyncio.subprocess.Process:
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-B",
+        "-m",
+        "ryepier.experiments.slices.follower_process",
+        str(port),
+        SERVICE,
+        seeded_fault,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        limit=MAX_LINE_BYTES,
+    )
+
+
+async def _make_changes(service: ChangingService, server: ApiServer, scale: Scale) -> None:
+    begin_s = time.monotonic()
+    for number in range(CHANGES[scale]):
+        await asyncio.sleep(max(0.0, begin_s + number * CHANGE_INTERVAL_S - time.monotonic()))
+        service.change(number)
+        server.changed()
+    await asyncio.sleep(TAIL_S)
+
+
+async def _follow_changes(
+    process: asyncio.subprocess.Process, service: ChangingService, server: ApiServer, scale: Scale
+) -> FollowerReport:
+    """Make the changes while a follower runs, and return its report. Raises HarnessError."""
+    assert process.stdout is not None
+    assert process.stdin is not None
+    try:
+        async with asyncio.timeout(START_TIMEOUT_S):
+            line = await process.stdout.readline()
+    except TimeoutError:
+        raise HarnessError("the follower had no list in time") from None
+    if line != UP:
+        raise HarnessError("the follower ended at its start")
+    await _make_changes(service, server, scale)
+    process.stdin.write(b"stop\n")
+    return msgspec.json.decode(await process.stdout.readline(), type=FollowerReport)
+
+
+@dataclass(frozen=True, slots=True)
+class ChurnCost:
+    """What changes cost a follower at one size of the list."""
+
+    arrived_share: float
+    p50_ms: float
+    p99_ms: float
+    resident_mb: float
+    peak_mb: float
+    cpu_ms_per_change: float
+
+    def as_figures(self, size: int) -> dict[str, float]:
+        """Return the figures of result.json."""
+        return {
+            f"told_{size}": self.arrived_share,
+            f"p50_ms_{size}": self.p50_ms,
+            f"p99_ms_{size}": self.p99_ms,
+            f"resident_mb_{size}": self.resident_mb,
+            f"peak_mb_{size}": self.peak_mb,
+            f"cpu_ms_a_change_{size}": self.cpu_ms_per_change,
+        }
+
+
+def _summarize(report: FollowerReport, changed_us: dict[Change, int]) -> ChurnCost:
+    """Return the delays from each change to its update, and the costs. Raises HarnessError if no update arrived."""
+    arrived_us = {Change(update.host, update.state): update.at_us for update in report.updates}
+    delays_us = [arrived_us[change] - at_us for change, at_us in changed_us.items() if change in arrived_us]
+    if not delays_us:
+        raise HarnessError("the follower heard of nothing")
+    return ChurnCost(
+        len(delays_us) / len(changed_us),
+        float(np.percentile(delays_us, 50)) / US_PER_MS,
+        float(np.percentile(delays_us, 99)) / US_PER_MS,
+        report.resident_kib / KIB_PER_MB,
+        report.peak_kib / KIB_PER_MB,
+        report.cpu_us / US_PER_MS / len(changed_us),
+    )
+
+
+async def measure_size(size: int, trial: TrialConfig) -> ChurnCost:
+    """Return what changes cost at one size of the list. Raises HarnessError."""
+    service = ChangingService(size, trial.seed)
+    server = ApiServer(service.store)
+    port = await server.listen("127.0.0.1", 0)
+    process = await _start_follower(port, trial.seeded_fault)
+    try:
+        report = await _follow_changes(process, service, server, trial.scale)
+    finally:
+        if process.returncode is None:
+            process.kill()
+        await process.wait()
+        server.close()
+    return _summarize(report, service.changed_us)
+
+
+def measure(trial: TrialConfig) -> Measurement:
+    """Measure both sizes, one after another."""
+    costs = {size: asyncio.run(measure_size(size, trial)) for size in SIZES}
+    figures: dict[str, float] = {}
+    for size, cost in costs.items():
+        figures |= cost.as_figures(size)
+    small, large = (costs[size] for size in SIZES)
+    figures["p50_growth"] = large.p50_ms / small.p50_ms
+    cpu_growth = large.cpu_ms_per_change / small.cpu_ms_per_change
+    figures["cpu_growth"] = cpu_growth
+    growth_name = "growth of a change's CPU from 1,000 to 10,000 (linear would be 10)"
+    claims = [
+        *(
+            Claim(f"share of changes that the module heard of, {size}", cost.arrived_share, ">=", 1.0)
+            for size, cost in costs.items()
+        ),
+        *(
+            Claim(f"from change to module event, p99 at {size:,} endpoints (ms)", cost.p99_ms, "<=", MAX_P99_MS[size])
+            for size, cost in costs.items()
+        ),
+        Claim(growth_name, cpu_growth, "<=", MAX_CPU_GROWTH),
+        Claim("resident memory at 10,000 endpoints (MB)", large.resident_mb, "<=", MAX_RESIDENT_MB),
+    ]
+    return Measurement(claims, figures)
+
+
+EXPERIMENT = Benchmark(
+    name="slices-churn",
+    question="time from a change to the module's event at 1,000 and 10,000 endpoints",
+    measure=measure,
+    seeded_faults=("whole-list",),
+)
--- /dev/null
+++ b/ryepier/experiments/slices/drain.py
@@ -0,0 +1,49 @@
+"""`slices-drain`: are drains noticed although EndpointSlices contradict each other?
+
+Every converter of the service is replaced; a third of the drains come with slices that disagree. Claims: sidecars are
+notified of nearly every termination, new converters are put to use, and the service stays high.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import fault_of_kind, load
+
+WARM_UP_S = 6.0  # a converter that started this long before the end is warm, and has had requests if it ever will
+MIN_TERMINATING = 200  # of 204 converters
+MIN_NOTIFIED_SHARE = 0.95
+MIN_USED_SHARE = 0.95
+MIN_SERVICE = 0.97
+US_PER_S = 1e6
+
+
+def _world(scale: Scale) -> World:
+    return load("slices-drain")
+
+
+def _claims(run: Run) -> list[Claim]:
+    terminating = {notice.uid for notice in run.history.notices if notice.state == "leaving"}
+    notified = {(notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == "leaving"}
+    min_notified = MIN_NOTIFIED_SHARE * len(phases.started_uids(run)) * run.world.sidecars.count
+    started_early = phases.started_uids(run, until_us=(run.world.duration_s - WARM_UP_S) * US_PER_S)
+    used = {attempt.uid for attempt in run.history.converter_attempts} & started_early
+    used_share = len(used) / max(1, len(started_early))
+    used_name = f"share in use of the converters that came up {WARM_UP_S:g} s before the end"
+    service = figures.service_level(run.operations, phases.during(fault_of_kind(run.world, "release")))
+    return [
+        Claim("converters seen terminating", len(terminating), ">=", MIN_TERMINATING),
+        Claim("terminations told to a sidecar", len(notified), ">=", min_notified),
+        Claim(used_name, used_share, ">=", MIN_USED_SHARE),
+        Claim("service during the release", service, ">=", MIN_SERVICE),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="slices-drain",
+    question="204 converters are replaced; a third of the drains come with contradicting slices",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("last-writer",),
+)
--- /dev/null
+++ b/ryepier/experiments/slices/follower_process.py
@@ -0,0 +1,85 @@
+"""A process that follows a service's slices and hands each list to a decision module, for `slices-churn`.
+
+`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has the list. A
+line on its standard input ends it; it then prints one JSON object, a `FollowerReport`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+import time
+from pathlib import Path
+
+import msgspec
+
+from ryepier.balancer.balancer import Balancer
+from ryepier.balancer.interface import RequestClass, Settings, UpstreamsUpdated
+from ryepier.experiments import seeded_faults
+from ryepier.experiments.core.usage import OWN_STATUS, status_kib
+from ryepier.sidecar.system import clock_us
+from ryepier.slices.api_client import Access
+from ryepier.slices.endpoint_listing import ListingRules
+from ryepier.slices.slice_source import Settings as SourceSettings
+from ryepier.slices.slice_source import SliceSource
+
+UP = b"up\n"
+LATENCY_OBJECTIVE_US = 100_000
+DEADLINE_US = 1_000_000
+
+
+class Update(msgspec.Struct, array_like=True, frozen=True):
+    """One upstream of an update, and when the decision module had handled it."""
+
+    host: str
+    state: str
+    at_us: int
+
+
+class FollowerReport(msgspec.Struct, frozen=True):
+    """What the decision module was given since the first list, and what the process used for it."""
+
+    updates: list[Update]
+    resident_kib: int
+    peak_kib: int
+    cpu_us: int
+
+
+async def follow(port: int, service: str) -> FollowerReport:
+    """Follow a service until a line arrives on standard input."""
+    balancer = Balancer(Settings([RequestClass("convert", LATENCY_OBJECTIVE_US, DEADLINE_US)]), 1, clock_us())
+    updates: list[Update] = []
+    listed = asyncio.Event()
+
+    def on_update(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+        balancer.handle(clock_us(), event)
+        at_us = clock_us()
+        if listed.is_set():
+            updates.extend(Update(addresses[entry.id][0], entry.state.value, at_us) for entry in event.upstreams)
+        listed.set()
+
+    settings = SourceSettings(Access("127.0.0.1", port, False), "default", service, ListingRules(["a"], 0))
+    source = SliceSource(settings, on_update, clock_us)
+    source.start()
+    await listed.wait()
+    sys.stdout.buffer.write(UP)
+    sys.stdout.flush()
+    begun_s = time.process_time()
+    await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
+    source.stop()
+    status = Path(OWN_STATUS).read_text()
+    cpu_us = int((time.process_time() - begun_s) * 1e6)
+    return FollowerReport(updates, status_kib(status, "VmRSS"), status_kib(status, "VmHWM"), cpu_us)
+
+
+def main() -> None:
+    """Install the seeded fault, if one is named, and follow the service."""
+    port, service, seeded_fault = sys.argv[1:]
+    if seeded_fault:
+        seeded_faults.SEEDED_FAULTS[seeded_fault]()
+    report = asyncio.run(follow(int(port), service))
+    sys.stdout.buffer.write(msgspec.json.encode(report) + b"\n")
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/ryepier/experiments/slices/outage.py
@@ -0,0 +1,79 @@
+"""`slices-outage`: does a fleet keep serving while the API server is away, and catch up when it returns?
+
+The API server is away for 10 s and returns without its earlier revisions, while converters are replaced. Claims: the
+service stays high meanwhile, all sidecars soon have the new list, and from then on nothing goes to removed converters.
+"""
+
+from __future__ import annotations
+
+from ryepier.emulator import timeline
+from ryepier.emulator.timeline import FaultAction
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import fault_of_kind, load
+
+LIST_MARGIN_S = 0.5  # after the last sidecar had its list
+MIN_OBSERVED_S = 1.0  # of the end of the run, however late the list came
+MIN_SERVICE_DURING = 0.97
+MIN_SERVICE_AFTER = 0.98
+MAX_CATCH_UP_S = 11.0
+MAX_SHARE_TO_REMOVED = 0.0
+NEVER_US = 1 << 60
+US_PER_S = 1e6
+US_PER_MS = 1000
+
+
+def _world(scale: Scale) -> World:
+    return load("slices-outage")
+
+
+def catch_up_s(run: Run) -> float:
+    """Return the time from the server's return until the last sidecar had a list; infinite if one never had."""
+    returned_us = phases.end_s(fault_of_kind(run.world, "discovery-down")) * US_PER_S
+    first_notice_us: dict[int, int] = {}
+    for notice in run.history.notices:
+        if notice.at_us >= returned_us:
+            first_notice_us.setdefault(notice.sidecar, notice.at_us)
+    if len(first_notice_us) < run.world.sidecars.count:
+        return float("inf")
+    return (max(first_notice_us.values()) - returned_us) / US_PER_S
+
+
+def share_to_removed(run: Run, since_s: float) -> float:
+    """Return the share of attempts from a time that came to drained converters, after discovery and the grace period.
+
+    Nobody records an attempt at an address where nothing listens any more.
+    """
+    steps = timeline.build(run.world, run.seed).steps
+    drained_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
+    attempts = [a for a in run.history.converter_attempts if a.first_byte_us > since_s * US_PER_S]
+    allowed_us = (run.world.discovery.late_ms[1] + run.world.sidecars.drain_grace_ms) * US_PER_MS
+    late = sum(a.first_byte_us > drained_us.get(a.uid, NEVER_US) + allowed_us for a in attempts)
+    return late / max(1, len(attempts))
+
+
+def _claims(run: Run) -> list[Claim]:
+    outage = fault_of_kind(run.world, "discovery-down")
+    caught_up_s = catch_up_s(run)
+    up_to_date_s = phases.end_s(outage) + caught_up_s + LIST_MARGIN_S
+    after_s = min(up_to_date_s, run.world.duration_s - MIN_OBSERVED_S)
+    service_during = figures.service_level(run.operations, phases.during(outage))
+    service_after = figures.service_level(run.operations, phases.from_time(after_s, run.world))
+    to_removed = share_to_removed(run, up_to_date_s)
+    to_removed_name = "share of attempts to converters that are gone, from then on"
+    return [
+        Claim("service while the API server is away", service_during, ">=", MIN_SERVICE_DURING),
+        Claim("time until all sidecars have the new list (s)", caught_up_s, "<=", MAX_CATCH_UP_S),
+        Claim("service from then on", service_after, ">=", MIN_SERVICE_AFTER),
+        Claim(to_removed_name, to_removed, "<=", MAX_SHARE_TO_REMOVED),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="slices-outage",
+    question="the API server is away for 10 s and comes back compacted, converters going meanwhile",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("never-again",),
+)
--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Mistakes in what a sidecar makes of EndpointSlices.
+"""Seeded faults in how a sidecar reads EndpointSlices.
 
-Each is a function to be called in a process of its own, as it stays.
+Each function installs its fault in the whole process for good, so call it in a process of its own.
 """
 
 from __future__ import annotations
@@ -13,11 +13,13 @@
 from ryepier.slices.endpoint_slice_merger import EndpointObservation, EndpointSliceMerger
 from ryepier.slices.reflector import Reflector, Wait
 
+NEVER_US = 10**12
 
-def last_writer() -> None:
-    """Of several slices the word that came last counts, and no end is remembered."""
 
-    def decide(
+def believe_last_slice() -> None:
+    """Believe the slice that came last, and forget terminations."""
+
+    def last_observation(
         self: EndpointSliceMerger, identity: str, reported: list[EndpointObservation]
     ) -> endpoint_slice_merger.MergedEndpoint:
         last = reported[-1]
@@ -26,17 +28,17 @@
             identity, last.address, last.zone, last.node, state, False, 1, (last.slice_name,)
         )
 
-    EndpointSliceMerger._merge = decide  # type: ignore[method-assign]
+    EndpointSliceMerger._merge = last_observation  # type: ignore[method-assign]
     _ListedEndpoint.publish_at_us = lambda self, settle_us: self.ready_since_us  # type: ignore[method-assign]
 
 
-def never_again() -> None:
-    """A list that is not kept any more is not asked for anew."""
-    Reflector._expired = lambda self, now_us: [Wait(now_us + 10**12)]  # type: ignore[method-assign]
+def never_list_again() -> None:
+    """Never list again when the server has dropped the revision of a watch."""
+    Reflector._expired = lambda self, now_us: [Wait(now_us + NEVER_US)]  # type: ignore[method-assign]
 
 
-def whole_list() -> None:
-    """Each change has the whole list decided anew."""
+def merge_everything() -> None:
+    """Merge the whole list again at each change."""
     changes = EndpointSliceMerger.changes
 
     def all_changes(self: EndpointSliceMerger, now_us: int) -> dict[str, endpoint_slice_merger.MergedEndpoint | None]:
@@ -47,7 +49,7 @@
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    "last-writer": last_writer,
-    "never-again": never_again,
-    "whole-list": whole_list,
+    "last-writer": believe_last_slice,
+    "never-again": never_list_again,
+    "whole-list": merge_everything,
 }
