--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -4,7 +4,7 @@
 
 from ryepier.experiments.core.contract import Benchmark, Experiment
 from ryepier.experiments.faults import breaking_point, ceiling, hang, release, sidecar_kill, steady, surge
-from ryepier.experiments.graphql import graphql_front
+from ryepier.experiments.graphql import cost, resets
 from ryepier.experiments.load_spread import even, returned
 from ryepier.experiments.load_spread import processes as load_spread_processes
 from ryepier.experiments.maintenance import cut, kill, overlap
@@ -33,7 +33,7 @@
         *benefit.EXPERIMENTS,
         drain.EXPERIMENT,
         slices_outage.EXPERIMENT,
-        *graphql_front.EXPERIMENTS,
+        resets.EXPERIMENT,
         *after_outage.EXPERIMENTS,
         one_sidecar.EXPERIMENT,
         real_surge.EXPERIMENT,
@@ -49,7 +49,7 @@
         planner_scale.EXPERIMENT,
         reconnection.EXPERIMENT,
         churn.EXPERIMENT,
-        *graphql_front.BENCHMARKS,
+        cost.EXPERIMENT,
         *fidelity.EXPERIMENTS,
         *scale_list.EXPERIMENTS,
         *scale_fail.EXPERIMENTS,
--- a/ryepier/experiments/graphql/__init__.py
+++ b/ryepier/experiments/graphql/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on the GraphQL front, and their planted mistakes."""
+"""Experiments on the GraphQL front, and the seeded faults that they detect."""
--- /dev/null
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -0,0 +1,156 @@
+"""What happens to queries whose attempts are reset, given each sidecar's retry budget."""
+
+from __future__ import annotations
+
+import bisect
+from collections import defaultdict
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from dataclasses import dataclass
+
+from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt
+from ryepier.experiments.core.contract import Run
+from ryepier.experiments.core.quantiles import binomial_quantile
+
+# the smallest retry budget that a sidecar may have; a smaller one retries less and fails the claim
+BUDGET_RATIO = 0.2  # retries that a first attempt earns
+MAX_BUDGET = 5.0  # retries
+SPARE_BUDGET = 2.0  # retries: one is available even if another is in transit between the two processes
+MIN_RETRIED_SHARE = 0.98  # of the resets with a spare budget; attempts that never arrived are in no converter's records
+QUANTILE = 0.001  # one run in a thousand falls below the bound by chance
+
+
+@dataclass(frozen=True, slots=True)
+class QueryResets:
+    """Counts of the queries whose attempts were reset."""
+
+    attempts: int  # of queries
+    resets: int  # of those
+    with_retry: int  # of the resets: the query had attempts left, and its sidecar's budget a retry
+    with_spare: int  # of those: the budget was `SPARE_BUDGET` or more
+    retried: int  # of those
+    retried_queries: int  # queries with a further attempt after a reset
+    served_queries: int  # of those
+
+    @property
+    def retried_share(self) -> float:
+        """Return the retried share of the resets at which a retry was certainly available."""
+        return self.retried / max(1, self.with_spare)
+
+    @property
+    def served_share(self) -> float:
+        """Return the served share of the queries that were retried."""
+        return self.served_queries / max(1, self.retried_queries)
+
+    @property
+    def min_served_share(self) -> float:
+        """Return the share that two further attempts serve, except with a probability of `QUANTILE`.
+
+        By the run's own share of resets. The second further attempt is made only as often as a reset found a retry in
+        the budget; a third is not counted on.
+        """
+        reset_share = self.resets / max(1, self.attempts)
+        second_attempt_share = reset_share * self.with_retry / max(1, self.resets)
+        chance = (1.0 - reset_share) * (1.0 + second_attempt_share)
+        return binomial_quantile(self.retried_queries, chance, QUANTILE) / max(1, self.retried_queries)
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class SentAttempt:
+    """One attempt of a sidecar, as a converter received it."""
+
+    at_us: int
+    sidecar: int
+    is_retry: bool
+
+
+class RetryBudgets:
+    """Each sidecar's retry budget over a run, from the attempts that converters received.
+
+    A first attempt earns a share of a retry, a retry costs one, and a budget never exceeds `MAX_BUDGET`.
+    """
+
+    def __init__(self, attempts: Iterable[SentAttempt]) -> None:
+        """Compute all budgets."""
+        self._times_us: dict[int, list[int]] = defaultdict(lambda: [NEVER])
+        self._budgets: dict[int, list[float]] = defaultdict(lambda: [MAX_BUDGET])
+        for attempt in sorted(attempts):
+            change = -1.0 if attempt.is_retry else BUDGET_RATIO
+            budgets = self._budgets[attempt.sidecar]
+            budgets.append(min(MAX_BUDGET, budgets[-1] + change))
+            self._times_us[attempt.sidecar].append(attempt.at_us)
+
+    def lowest(self, sidecar: int, from_us: int, until_us: int) -> float:
+        """Return the lowest budget from one time until just before another."""
+        times_us = self._times_us[sidecar]
+        first = bisect.bisect_right(times_us, from_us) - 1
+        end = max(first + 1, bisect.bisect_left(times_us, until_us))
+        return min(self._budgets[sidecar][first:end])
+
+
+def find_query_resets(run: Run) -> QueryResets:
+    """Count the resets of queries, with the retry budget at each.
+
+    A sidecar decides at some time between a reset and the next event that its converters or its client see, so a retry
+    was available only if there was one all that time.
+    """
+    requests = {item.request_id: item for item in run.history.client_attempts}
+    attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
+    for attempt in run.history.converter_attempts:
+        if attempt.request_id in requests:
+            attempts[attempt.request_id].append(attempt)
+    budgets = RetryBudgets(
+        SentAttempt(attempt.first_byte_us, requests[request_id].sidecar, number > 0)
+        for request_id, sent in attempts.items()
+        for number, attempt in enumerate(sent)
+    )
+    queries = [
+        request_id
+        for request_id in attempts
+        if run.world.classes[requests[request_id].request_class].effect == "idempotent"
+    ]
+    max_attempts = run.world.sidecars.max_attempts
+    resets = [
+        reset
+        for request_id in queries
+        for reset in _find_resets(requests[request_id], attempts[request_id], budgets, max_attempts)
+    ]
+    return _count(queries, requests, attempts, resets)
+
+
+@dataclass(frozen=True, slots=True)
+class _Reset:
+    """A reset that left its query an attempt."""
+
+    lowest_budget: float  # until the query was retried or given up
+    was_retried: bool
+
+
+def _find_resets(
+    request: ClientAttempt, sent: Sequence[ConverterAttempt], budgets: RetryBudgets, max_attempts: int
+) -> Iterator[_Reset]:
+    """Yield the resets of one query that left it an attempt."""
+    for number, attempt in enumerate(sent[: max_attempts - 1]):
+        if attempt.outcome != "reset":
+            continue
+        was_retried = number + 1 < len(sent)
+        until_us = sent[number + 1].first_byte_us if was_retried else request.ended_us
+        yield _Reset(budgets.lowest(request.sidecar, attempt.ended_us, until_us), was_retried)
+
+
+def _count(
+    queries: Sequence[str],
+    requests: Mapping[str, ClientAttempt],
+    attempts: Mapping[str, Sequence[ConverterAttempt]],
+    resets: Sequence[_Reset],
+) -> QueryResets:
+    spare = [reset for reset in resets if reset.lowest_budget >= SPARE_BUDGET]
+    retried = [query for query in queries if any(attempt.outcome == "reset" for attempt in attempts[query][:-1])]
+    return QueryResets(
+        attempts=sum(len(attempts[query]) for query in queries),
+        resets=sum(attempt.outcome == "reset" for query in queries for attempt in attempts[query]),
+        with_retry=sum(reset.lowest_budget >= 1.0 for reset in resets),
+        with_spare=len(spare),
+        retried=sum(reset.was_retried for reset in spare),
+        retried_queries=len(retried),
+        served_queries=sum(requests[query].outcome == "served" for query in retried),
+    )
--- /dev/null
+++ b/ryepier/experiments/graphql/resets.py
@@ -0,0 +1,105 @@
+"""`graphql-resets`: does no mutation run twice, and are queries retried, while connections are reset?
+
+Clients send queries and mutations in many spellings of GraphQL; converters reset connections before and after they have
+run a request. Claims: enough requests and resets to mean anything, no mutation that ran twice, the service of queries,
+and queries retried as far as the retry budget allows, of which nearly all are served (a quantile of the binomial
+distribution at the run's own share of resets).
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Mapping
+
+import msgspec
+
+from ryepier.emulator.records import NEVER
+from ryepier.emulator.world import World
+from ryepier.experiments.core import figures
+from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
+from ryepier.experiments.core.worlds import load
+from ryepier.experiments.graphql.reset_queries import MIN_RETRIED_SHARE, find_query_resets
+
+WORLD = "graphql-resets"
+FULL_RATE_PER_S = 2000.0
+FULL_DURATION_S = 52.0
+FULL_SIDECARS = 3
+MIN_REQUESTS = 5_000
+MIN_REQUESTS_AT_FULL_SCALE = 100_000
+MIN_RESET_SHARE = 0.05  # of the requests
+MIN_SERVICE_OF_QUERIES = 0.98
+
+
+def _world(scale: Scale) -> World:
+    world = load(WORLD)
+    if scale == "small":
+        return world
+    replace = msgspec.structs.replace
+    stretch = FULL_DURATION_S / world.duration_s
+    return replace(
+        world,
+        duration_s=FULL_DURATION_S,
+        clients=replace(world.clients, rate_per_s=FULL_RATE_PER_S),
+        faults=[replace(fault, for_s=fault.for_s * stretch) for fault in world.faults],
+        sidecars=replace(world.sidecars, count=FULL_SIDECARS),
+        harness=replace(world.harness, client_processes=2, converter_processes=3),
+    )
+
+
+def _effects(run: Run) -> dict[str, str]:
+    """Return the effect of each request's class by the request's id."""
+    return {item.request_id: run.world.classes[item.request_class].effect for item in run.history.client_attempts}
+
+
+def count_duplicated_mutations(run: Run) -> int:
+    """Return how many requests that must run at most once ran more often, by the converters' records."""
+    effects = _effects(run)
+    executions = Counter(
+        attempt.request_id for attempt in run.history.converter_attempts if attempt.started_us != NEVER
+    )
+    return sum(count > 1 and effects.get(request_id) == "at_most_once" for request_id, count in executions.items())
+
+
+def _figures(run: Run) -> Mapping[str, float]:
+    effects = _effects(run)
+    requests = len(run.history.client_attempts)
+    reset = {attempt.request_id for attempt in run.history.converter_attempts if attempt.outcome == "reset"}
+    served = {item.request_id for item in run.history.client_attempts if item.outcome == "served"}
+    queries = [request_id for request_id in reset if effects.get(request_id) == "idempotent"]
+    return {
+        "requests": requests,
+        "reset_share": len(reset) / max(1, requests),
+        "duplicated_mutations": count_duplicated_mutations(run),
+        "queries_reset": len(queries),
+        "queries_reset_and_served": sum(query in served for query in queries) / max(1, len(queries)),
+        "mutations_reset": sum(effects.get(request_id) == "at_most_once" for request_id in reset),
+    }
+
+
+def _claims(run: Run) -> list[Claim]:
+    measured = _figures(run)
+    resets = find_query_resets(run)
+    is_full_scale = run.world.duration_s >= FULL_DURATION_S
+    min_requests = MIN_REQUESTS_AT_FULL_SCALE if is_full_scale else MIN_REQUESTS
+    classes = run.world.classes
+    queries = [one for one in run.operations if classes[one.first.request_class].effect == "idempotent"]
+    retried_name = "resets of queries, with retries to spare, that were sent again"
+    served_name = "queries sent again after a reset that were served"
+    return [
+        Claim("requests", measured["requests"], ">=", min_requests),
+        Claim("share of requests that were reset after they were sent", measured["reset_share"], ">=", MIN_RESET_SHARE),
+        Claim("mutations that ran twice", measured["duplicated_mutations"], "==", 0),
+        Claim("service of queries", figures.service_level(queries), ">=", MIN_SERVICE_OF_QUERIES),
+        Claim(retried_name, resets.retried_share, ">=", MIN_RETRIED_SHARE),
+        Claim(served_name, resets.served_share, ">=", resets.min_served_share),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="graphql-resets",
+    question="mutations in many guises while converters reset what they have run",
+    world=_world,
+    claims=_claims,
+    seeded_faults=("first-word",),
+    extra_figures=_figures,
+)
--- a/ryepier/experiments/graphql/seeded_faults.py
+++ b/ryepier/experiments/graphql/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Mistakes in what the GraphQL front makes of a document.
+"""Seeded faults in how the GraphQL front reads a document.
 
-Each is a function to be called in a process of its own, as it stays.
+Each function installs its fault in the whole process for good, so call it in a process of its own.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from dataclasses import replace
 
 
-def first_word() -> None:
-    """A document's first word tells what it does."""
+def classify_by_first_word() -> None:
+    """Take a document for a mutation only if that is its first word."""
     from ryepier.graphql.document import Document, Documents
 
     read = Documents.read
@@ -22,14 +22,14 @@
     Documents.read = read_first_word  # type: ignore[method-assign]
 
 
-def forgetful() -> None:
-    """A document is read anew each time."""
+def read_every_time() -> None:
+    """Read a document again each time, without the cache."""
     from ryepier.graphql import document
 
     document.Documents.read = lambda self, text: document.read_document(text)  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    "first-word": first_word,
-    "forgetful": forgetful,
+    "first-word": classify_by_first_word,
+    "forgetful": read_every_time,
 }
--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -8,6 +8,8 @@
 
 import numpy as np
 
+from ryepier.experiments.core.quantiles import poisson_quantile
+
 RARE = 1e-4  # a Poisson stream passes its own quantile in one of 10,000 windows
 
 
@@ -50,17 +52,6 @@
     return np.asarray(rows, dtype=np.int64)
 
 
-def poisson_quantile(mean: float, beyond: float) -> int:
-    """The least count that a Poisson variable of this mean exceeds with a probability of at most `beyond`."""
-    count, term = 0, math.exp(-mean)
-    left = 1.0 - term
-    while left > beyond:
-        count += 1
-        term *= mean / count
-        left -= term
-    return count
-
-
 @dataclass(frozen=True, slots=True)
 class RareWindows:
     """Windows whose count is rare for a Poisson stream, and how many of them chance allows."""
--- a/ryepier/experiments/load_spread/processes_figures.py
+++ b/ryepier/experiments/load_spread/processes_figures.py
@@ -14,7 +14,8 @@
 
 from ryepier.emulator.records import NEVER, ConnectionRecord, ConverterAttempt, History
 from ryepier.emulator.timeline import Instance
-from ryepier.experiments.load_spread.measures import RARE, poisson_quantile
+from ryepier.experiments.core.quantiles import poisson_quantile
+from ryepier.experiments.load_spread.measures import RARE
 
 BURST_US = 100_000
 RATE_US = 1_000_000  # the rate that a burst is judged by is taken as even for so long
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -14,38 +14,38 @@
 from ryepier.balancer.upstream import PendingRequest
 from ryepier.emulator import simulated
 from ryepier.experiments.core.contract import Run
+from ryepier.experiments.core.quantiles import binomial_quantile
 from ryepier.experiments.core.worlds import load
-from ryepier.experiments.graphql.query_resets import (
+from ryepier.experiments.graphql.reset_queries import (
     BUDGET_RATIO,
-    LEAST_SENT_AGAIN,
+    MIN_RETRIED_SHARE,
     QueryResets,
-    binomial_quantile,
-    query_resets,
+    find_query_resets,
 )
 
 SHORT_S = 4.0
 SKIPPED = 10  # one query in so many is not sent again by the sidecar that forgets some
 
 
-def played() -> QueryResets:
-    """A short simulated play, with what it shows of resets."""
+def simulate_resets() -> QueryResets:
+    """Simulate a short run, and return its resets."""
     world = msgspec.structs.replace(load("graphql-resets"), duration_s=SHORT_S)
-    return query_resets(Run(world, 1, simulated.play(world, 1), [], [], Path()))
+    return find_query_resets(Run(world, 1, simulated.play(world, 1), [], [], Path()))
 
 
 def claims_hold(resets: QueryResets) -> bool:
-    return resets.share_sent_again >= LEAST_SENT_AGAIN and resets.share_served >= resets.least_served
+    return resets.retried_share >= MIN_RETRIED_SHARE and resets.served_share >= resets.min_served_share
 
 
 def test_the_sidecar_sends_queries_again_as_far_as_its_budget_goes() -> None:
-    resets = played()
+    resets = simulate_resets()
     assert resets.with_spare >= 100
     assert claims_hold(resets)
 
 
 def test_a_sidecar_that_sends_no_reset_query_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(retries, "RETRIED", tuple(one for one in retries.RETRIED if one is not Outcome.RESET))
-    assert played().share_sent_again == 0
+    assert simulate_resets().retried_share == 0
 
 
 def test_a_sidecar_that_sends_only_some_reset_queries_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -55,20 +55,20 @@
         return may_send(self, request, now_us) and not (request.attempts and request.event.request % SKIPPED == 0)
 
     monkeypatch.setattr(RetryPolicy, "may_send", may_send_most)
-    assert not claims_hold(played())
+    assert not claims_hold(simulate_resets())
 
 
 def test_a_sidecar_whose_budget_of_retries_is_smaller_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(tuning, "RETRY_BUDGET_RATIO", BUDGET_RATIO / 2)
-    assert not claims_hold(played())
+    assert not claims_hold(simulate_resets())
 
 
 def test_answers_that_are_lost_after_a_second_attempt_are_found() -> None:
     well = QueryResets(
-        attempts=1000, resets=200, with_retry=200, with_spare=200, sent_again=200, queries_again=200, queries_served=190
+        attempts=1000, resets=200, with_retry=200, with_spare=200, retried=200, retried_queries=200, served_queries=190
     )
     assert claims_hold(well)
-    assert not claims_hold(dataclasses.replace(well, queries_served=180))
+    assert not claims_hold(dataclasses.replace(well, served_queries=180))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -8,6 +8,7 @@
 import pytest
 
 from ryepier.balancer import interface as api
+from ryepier.experiments.core.quantiles import poisson_quantile
 from ryepier.experiments.load_spread import measures, plays, returned
 from ryepier.sim.fleet import choosers
 from ryepier.sim.fleet.connections import ConnectionCounter, ConnectionPool
@@ -107,7 +108,7 @@
     def passed(count: int) -> float:
         return 1.0 - sum(math.exp(-mean) * mean**k / math.factorial(k) for k in range(count + 1))
 
-    found = measures.poisson_quantile(mean, beyond)
+    found = poisson_quantile(mean, beyond)
     assert passed(found) <= beyond < passed(found - 1)
 
 
