--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -18,7 +18,7 @@
 from ryepier.experiments.catalogue import BENCHMARKS, EXPERIMENTS
 from ryepier.experiments.core import contract, report, runner
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment
-from ryepier.experiments.scale.lightweight import InsufficientResourcesError
+from ryepier.experiments.core.machine import InsufficientResourcesError
 
 ALL: dict[str, Experiment | Benchmark] = {**EXPERIMENTS, **BENCHMARKS}
 
--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -5,8 +5,11 @@
 from ryepier.experiments.core.contract import Benchmark, Experiment
 from ryepier.experiments.faults import breaking_point, ceiling, hang, release, sidecar_kill, steady, surge
 from ryepier.experiments.graphql import cost, resets
-from ryepier.experiments.load_spread import even, returned
-from ryepier.experiments.load_spread import processes as load_spread_processes
+from ryepier.experiments.load_spread import returning
+from ryepier.experiments.load_spread import steady as load_spread
+from ryepier.experiments.load_spread.processes import kill as load_spread_kill
+from ryepier.experiments.load_spread.processes import lists
+from ryepier.experiments.load_spread.processes import steady as load_spread_processes
 from ryepier.experiments.maintenance import cut, kill, overlap
 from ryepier.experiments.planners import benefit, failover, false_reports, loss, reconnection, restart
 from ryepier.experiments.planners import scale as planner_scale
@@ -38,6 +41,8 @@
         one_sidecar.EXPERIMENT,
         real_surge.EXPERIMENT,
         *load_spread_processes.EXPERIMENTS,
+        load_spread_kill.EXPERIMENT,
+        lists.EXPERIMENT,
     )
 }
 BENCHMARKS: dict[str, Benchmark] = {
@@ -53,8 +58,8 @@
         *fidelity.EXPERIMENTS,
         *scale_list.EXPERIMENTS,
         *scale_fail.EXPERIMENTS,
-        even.EXPERIMENT,
-        returned.EXPERIMENT,
+        load_spread.EXPERIMENT,
+        returning.EXPERIMENT,
         overlap.EXPERIMENT,
         kill.EXPERIMENT,
         cut.EXPERIMENT,
--- a/ryepier/experiments/load_spread/__init__.py
+++ b/ryepier/experiments/load_spread/__init__.py
@@ -1,1 +1,1 @@
-"""How evenly a fleet of sidecars, each of which sees little of the load, spreads it over the converters."""
+"""Experiments on how evenly sidecars spread their load over converters when each of them sees little of it."""
--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -1,4 +1,4 @@
-"""How even a load is, judged beside chance, from the times at which converters received requests."""
+"""How even a load is, relative to chance, from the times at which converters received requests."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 from ryepier.experiments.core.quantiles import poisson_quantile
 
-RARE = 1e-4  # a Poisson stream passes its own quantile in one of 10,000 windows
+RARE = 1e-4  # a Poisson stream exceeds its own quantile in one of 10,000 windows
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """What converters received in one span of time."""
+    """What the converters received in one span of time."""
 
-    mean: float  # requests a converter
+    mean: float  # requests per converter
     variation: float  # standard deviation over the mean
-    most: float  # over the mean
-    least: float
+    highest: float  # over the mean
+    lowest: float  # over the mean
 
     @property
     def by_chance(self) -> float:
-        """The variation of as many independent draws over all converters."""
+        """Return the variation of as many independent draws over all converters."""
         return 1.0 / math.sqrt(self.mean)
 
     @property
     def over_chance(self) -> float:
-        """The variation over that by chance: 1 is even."""
+        """Return the variation relative to that by chance: 1 is even."""
         return self.variation / self.by_chance
 
 
-def spread(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int) -> Spread:
-    """The spread over converters from `begin_us` to before `end_us`. Raises ValueError where nothing was received."""
+def measure_spread(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int) -> Spread:
+    """Return the spread over converters between two times. Raises ValueError if nothing was received."""
     counts = counts_in_windows(received_us, begin_us, end_us, end_us - begin_us)[:, 0]
     mean = float(counts.mean())
     if mean == 0:
@@ -45,7 +45,7 @@
 def counts_in_windows(
     received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, window_us: int
 ) -> np.ndarray[tuple[int, int], np.dtype[np.int64]]:
-    """Requests by converter and window; a last part shorter than a window is left out."""
+    """Return the requests by converter and window; a rest shorter than a window is left out."""
     windows = (end_us - begin_us) // window_us
     edges = begin_us + window_us * np.arange(windows + 1, dtype=np.int64)
     rows = [np.diff(np.searchsorted(np.asarray(times, dtype=np.int64), edges)) for times in received_us]
@@ -61,14 +61,14 @@
 
 
 def crowded_windows(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, window_us: int) -> RareWindows:
-    """Windows with more than a Poisson stream of the fleet's mean gives once in 10,000, and how many chance allows."""
+    """Count the windows with more than a Poisson stream of the fleet's mean has in one of 10,000 windows."""
     counts = counts_in_windows(received_us, begin_us, end_us, window_us)
     limit = poisson_quantile(float(counts.mean()), RARE)
     return RareWindows(int((counts > limit).sum()), poisson_quantile(counts.size * RARE, RARE))
 
 
 def empty_windows(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, expected: float) -> RareWindows:
-    """Windows of a converter without a request where `expected` are to be, and the quantile of how many."""
+    """Count the windows of a converter without a request, of the length in which `expected` are due on average."""
     total = int(counts_in_windows(received_us, begin_us, end_us, end_us - begin_us).sum())
     window_us = min(end_us - begin_us, math.ceil(expected * len(received_us) * (end_us - begin_us) / max(1, total)))
     counts = counts_in_windows(received_us, begin_us, end_us, window_us)
--- /dev/null
+++ b/ryepier/experiments/load_spread/processes/__init__.py
@@ -0,0 +1,1 @@
+"""Experiments on how evenly a fleet of real sidecar processes spreads its load."""
--- /dev/null
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -0,0 +1,188 @@
+"""How even a load was, how sudden, and how many connections it took, from the converters' records.
+
+Pure. Evenness is relative to chance: for independent draws the counts of a window are Poisson, with a variation of
+mean**-0.5. Bursts are counted against the Poisson quantile of a window of 100 ms.
+"""
+
+from __future__ import annotations
+
+import itertools
+import math
+from collections import Counter, defaultdict
+from collections.abc import Iterable, Mapping, Sequence
+from dataclasses import dataclass
+
+from ryepier.emulator.records import NEVER, ConnectionRecord, ConverterAttempt, History
+from ryepier.emulator.timeline import Instance
+from ryepier.experiments.core.quantiles import poisson_quantile
+from ryepier.experiments.load_spread.measures import RARE
+
+BURST_US = 100_000
+RATE_PERIOD_US = 1_000_000  # over which the rate that a burst is compared with is taken as even
+FALSE_ALARM_CHANCE = 1e-3  # that a fleet of independent draws fails a bound
+US_PER_S = 1e6
+
+
+@dataclass(frozen=True, slots=True)
+class Evenness:
+    """How evenly executions started at some converters, over windows of equal length."""
+
+    variation: float  # standard deviation over mean of a window's counts, pooled over the windows
+    by_chance: float  # the same for independent draws
+    highest_to_mean: float  # of the converters' totals
+    lowest_to_mean: float
+
+    @property
+    def ratio(self) -> float:
+        """Return the variation relative to chance."""
+        return self.variation / self.by_chance
+
+
+@dataclass(frozen=True, slots=True)
+class Bursts:
+    """Attempts received in windows of 100 ms, one for each converter."""
+
+    windows: int
+    highest: int  # attempts in one window
+    worst: float  # the highest over what a Poisson stream exceeds in one of 1,000 such runs
+    rare: int  # windows with more than a Poisson stream has in one of 10,000
+    rare_by_chance: int  # as many as chance has in all but one of 1,000 runs
+
+
+@dataclass(frozen=True, slots=True)
+class Occupancy:
+    """How many of something converters held at once."""
+
+    highest: int  # at any converter
+    mean: float  # of the converters' highest
+
+
+@dataclass(frozen=True, slots=True)
+class Span:
+    """A time for which a converter held something, in microseconds; `end_us` may be NEVER."""
+
+    uid: str
+    begin_us: int
+    end_us: int
+
+
+def was_received(attempt: ConverterAttempt) -> bool:
+    """Return whether an attempt reached its converter, which executed or rejected it."""
+    return attempt.started_us != NEVER or attempt.not_run
+
+
+def count_starts(
+    attempts: Iterable[ConverterAttempt], uids: Sequence[str], edges_s: Sequence[float]
+) -> list[list[int]]:
+    """Return the executions started at each of these converters, a list for each window between two edges."""
+    counts = [Counter[str]() for _ in edges_s[1:]]
+    for attempt in attempts:
+        for window, (begin_s, end_s) in enumerate(itertools.pairwise(edges_s)):
+            if attempt.started_us != NEVER and begin_s * US_PER_S <= attempt.started_us < end_s * US_PER_S:
+                counts[window][attempt.uid] += 1
+    return [[count[uid] for uid in uids] for count in counts]
+
+
+def measure_evenness(counts: Sequence[Sequence[int]]) -> Evenness:
+    """Return the evenness of counts by window and converter; needs two converters, and a start in each window."""
+    means = [sum(window) / len(window) for window in counts]
+    dispersions = [_dispersion(window, mean) for window, mean in zip(counts, means, strict=True)]
+    by_chance = (sum(means) / len(means)) ** -0.5
+    totals = [sum(of_converter) for of_converter in zip(*counts, strict=True)]
+    mean_total = sum(totals) / len(totals)
+    return Evenness(
+        variation=math.sqrt(sum(dispersions) / len(dispersions)) * by_chance,
+        by_chance=by_chance,
+        highest_to_mean=max(totals) / mean_total,
+        lowest_to_mean=min(totals) / mean_total,
+    )
+
+
+def _dispersion(counts: Sequence[int], mean: float) -> float:
+    """Return the variance over the mean: 1 for a Poisson variable."""
+    return sum((count - mean) ** 2 for count in counts) / (len(counts) - 1) / mean
+
+
+def measure_bursts(
+    attempts: Iterable[ConverterAttempt], zone_of: Mapping[str, str], begin_s: float, end_s: float
+) -> Bursts:
+    """Return the bursts at the converters of `zone_of` in a part of the run.
+
+    A window is compared with the rate of its zone's converters in the same second, but no less than that of all over
+    the whole part: a cut between zones moves load from one to another, which is no burst.
+    """
+    windows_per_converter = int((end_s - begin_s) * US_PER_S) // BURST_US
+    by_window: Counter[tuple[str, int]] = Counter()
+    by_second: Counter[tuple[str, int]] = Counter()
+    for attempt in attempts:
+        window = (attempt.received_us - int(begin_s * US_PER_S)) // BURST_US
+        if was_received(attempt) and attempt.uid in zone_of and 0 <= window < windows_per_converter:
+            by_window[attempt.uid, window] += 1
+            by_second[zone_of[attempt.uid], window * BURST_US // RATE_PERIOD_US] += 1
+    zone_sizes = Counter(zone_of.values())
+    windows = windows_per_converter * len(zone_of)
+    overall_mean = sum(by_window.values()) / max(1, windows)
+    worst, rare = 0.0, 0
+    for (uid, window), received in by_window.items():
+        zone = zone_of[uid]
+        in_second = by_second[zone, window * BURST_US // RATE_PERIOD_US]
+        mean = max(overall_mean, in_second / zone_sizes[zone] / (RATE_PERIOD_US // BURST_US))
+        worst = max(worst, received / poisson_quantile(mean, FALSE_ALARM_CHANCE / windows))
+        rare += received > poisson_quantile(mean, RARE)
+    rare_by_chance = poisson_quantile(windows * RARE, FALSE_ALARM_CHANCE)
+    return Bursts(windows, max(by_window.values(), default=0), worst, rare, rare_by_chance)
+
+
+def count_idle_windows(counts: Sequence[Sequence[int]]) -> int:
+    """Return the number of windows, by converter, without a start."""
+    return sum(count == 0 for window in counts for count in window)
+
+
+def measure_occupancy(spans: Iterable[Span]) -> Occupancy:
+    """Return how many of these spans overlap at each converter."""
+    changes: dict[str, list[tuple[int, int]]] = defaultdict(list)
+    for span in spans:
+        changes[span.uid].append((span.begin_us, 1))
+        if span.end_us != NEVER:
+            changes[span.uid].append((span.end_us, -1))
+    highest = [_highest_sum(of_converter) for of_converter in changes.values()]
+    return Occupancy(max(highest, default=0), sum(highest) / max(1, len(highest)))
+
+
+def _highest_sum(changes: list[tuple[int, int]]) -> int:
+    """Return the highest count after changes by time; at the same time ends come first."""
+    count = highest = 0
+    for _, change in sorted(changes):
+        count += change
+        highest = max(highest, count)
+    return highest
+
+
+def connection_occupancy(connections: Iterable[ConnectionRecord]) -> Occupancy:
+    """Return how many connections converters held at once."""
+    return measure_occupancy(Span(record.uid, record.opened_us, record.closed_us) for record in connections)
+
+
+def execution_occupancy(attempts: Iterable[ConverterAttempt]) -> Occupancy:
+    """Return how many requests converters executed at once."""
+    executed = [attempt for attempt in attempts if attempt.started_us != NEVER]
+    return measure_occupancy(Span(attempt.uid, attempt.started_us, attempt.finished_us) for attempt in executed)
+
+
+def steady_uids(instances: Iterable[Instance], struck: Iterable[int]) -> list[str]:
+    """Return the converters that were there, warm, from the begin, without those at these indices."""
+    excluded = set(struck)
+    return [one.uid for one in instances if one.start_us is None and one.index not in excluded]
+
+
+def served_operations_share(history: History) -> float:
+    """Return the share of operations that an attempt or a retry had served, however late."""
+    operations = {item.arrival for item in history.client_attempts}
+    served = {item.arrival for item in history.client_attempts if item.outcome == "served"}
+    return len(served) / max(1, len(operations))
+
+
+def rejected_share(history: History) -> float:
+    """Return the share of the clients' attempts that were rejected."""
+    rejected = sum(item.outcome == "refused" for item in history.client_attempts)
+    return rejected / max(1, len(history.client_attempts))
--- /dev/null
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -0,0 +1,68 @@
+"""The worlds of the experiments on fleets of real sidecar processes."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ryepier.emulator.world import Fault, World
+from ryepier.experiments.core.contract import Scale
+from ryepier.experiments.core.worlds import load
+from ryepier.experiments.load_spread.processes.memory import check_here
+
+BASE = "load-spread-processes"
+FULL_SIDECARS = 200
+FULL_CONVERTERS_PER_ZONE = 20
+FULL_RATE_PER_S = 600.0
+SETTLED_S = 2.0  # after the start: connections are open by then
+RECOVERY_S = 5.0  # after a fault, until the load is to be even again
+
+LIGHT_FACTOR = 0.1  # of half load: a twentieth of what the converters can do
+LIGHT_DURATION_S = 20.0
+
+KILL_AT_S = 3.0
+KILL_DOWN_S = 1.0
+KILL_DURATION_S = 20.0
+KILLED_SHARE = 0.34
+
+STALE_AT_S = 2.0
+STALE_FOR_S = 5.0
+STALE_SHARE = 0.5
+RELEASE = Fault(kind="release", at_s=STALE_AT_S + 0.5, for_s=2.0, target_share=0.2, drain_s=1.0, down_s=0.5)
+CUT_AT_S = 8.0
+CUT_FOR_S = 3.0
+CUT_END_S = CUT_AT_S + CUT_FOR_S
+CUT_ZONE = "c"
+LISTS_DURATION_S = 21.0
+
+
+def fleet(scale: Scale, load_factor: float = 1.0) -> World:
+    """Return the fleet of a scale, without faults. Raises InsufficientResourcesError."""
+    world, replace = load(BASE), msgspec.structs.replace
+    rate_per_s = world.clients.rate_per_s if scale == "small" else FULL_RATE_PER_S
+    world = replace(world, clients=replace(world.clients, rate_per_s=rate_per_s * load_factor))
+    if scale == "full":
+        world = replace(
+            world,
+            converters=[replace(group, count=FULL_CONVERTERS_PER_ZONE) for group in world.converters],
+            sidecars=replace(world.sidecars, count=FULL_SIDECARS),
+            harness=replace(world.harness, converter_processes=3, client_processes=2),
+        )
+    return check_here(world)
+
+
+def lightly_loaded(scale: Scale) -> World:
+    """Return the fleet at a twentieth of its capacity; most sidecars see less than a request per second."""
+    return msgspec.structs.replace(fleet(scale, LIGHT_FACTOR), duration_s=LIGHT_DURATION_S)
+
+
+def with_kill(scale: Scale) -> World:
+    """Return the fleet with a third of the sidecars killed at once, and started again together."""
+    kill = Fault(kind="sidecar-kill", at_s=KILL_AT_S, target_share=KILLED_SHARE, down_s=KILL_DOWN_S)
+    return msgspec.structs.replace(fleet(scale), duration_s=KILL_DURATION_S, faults=[kill])
+
+
+def with_differing_lists(scale: Scale) -> World:
+    """Return the fleet with old lists at half of the sidecars during a release, and a zone cut off later."""
+    stale = Fault(kind="discovery-stale", at_s=STALE_AT_S, for_s=STALE_FOR_S, target_share=STALE_SHARE)
+    cut = Fault(kind="zone-cut", at_s=CUT_AT_S, for_s=CUT_FOR_S, zone=CUT_ZONE)
+    return msgspec.structs.replace(fleet(scale), duration_s=LISTS_DURATION_S, faults=[stale, RELEASE, cut])
--- /dev/null
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -0,0 +1,73 @@
+"""`load-spread-kill`: is the load even again after a third of the sidecars died at once?
+
+A third of sixty sidecars (full scale: 200) is killed and started again together. Claims: the others' clients and, once
+they are up, those of the restarted sidecars are served, and the restarted ones do not all send to the same converters.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from ryepier.emulator.records import Incarnation
+from ryepier.experiments.core import figures
+from ryepier.experiments.core.contract import Claim, Experiment, Run
+from ryepier.experiments.load_spread.processes import fleets, measures
+
+BEFORE_FROM_S = 1.0
+RETRY_US = 1_000_000  # after a restart, for clients whose earlier attempts reached nobody
+MIN_SERVICE = 0.97
+US_PER_S = 1e6
+
+
+def restarted(run: Run) -> list[Incarnation]:
+    """Return the incarnations that began during the run."""
+    return [life for life in run.history.incarnations if life.started_us > 0]
+
+
+def even_again_s(run: Run) -> float:
+    """Return when the load is to be even again, counted from when the last sidecar was up."""
+    last_ready_s = max(life.ready_us for life in run.history.incarnations) / US_PER_S
+    return min(last_ready_s + fleets.RECOVERY_S, run.world.duration_s - measures.EVENNESS_WINDOW_S)
+
+
+def service_of_others(run: Run, killed: set[int]) -> float:
+    """Return the service of clients whose sidecars lived through the run."""
+    return figures.service_level(run.operations, lambda item: item.sidecar not in killed)
+
+
+def service_of_restarted(run: Run) -> float:
+    """Return the service of clients of the restarted sidecars, once these are up."""
+    ready_us = {life.sidecar: life.ready_us + RETRY_US for life in restarted(run)}
+    never_us = run.world.duration_s * US_PER_S
+    return figures.service_level(run.operations, lambda item: item.planned_us >= ready_us.get(item.sidecar, never_us))
+
+
+def _figures(run: Run) -> Mapping[str, float]:
+    before = measures.measure_evenness(run, BEFORE_FROM_S, fleets.KILL_AT_S)
+    start_times_s = [(life.ready_us - life.started_us) / US_PER_S for life in restarted(run)]
+    return measures.spread_figures(run, even_again_s(run), run.world.duration_s) | {
+        "variation_ratio_before": before.ratio,
+        "up_after_s": max(start_times_s, default=float("inf")),
+    }
+
+
+def _claims(run: Run) -> list[Claim]:
+    killed = {life.sidecar for life in run.history.incarnations if life.killed}
+    min_killed = run.world.sidecars.count / 3
+    return [
+        Claim("sidecars killed at once", len(killed), ">=", min_killed),
+        Claim("sidecars started again", len(restarted(run)), "==", len(killed)),
+        Claim("service of the others' clients", service_of_others(run, killed), ">=", MIN_SERVICE),
+        Claim("service of their own, 1 s after their start", service_of_restarted(run), ">=", MIN_SERVICE),
+        *measures.burst_claims(measures.measure_bursts(run)),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="load-spread-kill",
+    question="a third of 60 sidecars (full: 200) killed and started again at once",
+    world=fleets.with_kill,
+    claims=_claims,
+    seeded_faults=("same-seed",),
+    extra_figures=_figures,
+)
--- /dev/null
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -0,0 +1,91 @@
+"""`load-spread-lists`: is the load even while the sidecars' endpoint lists differ, and after a zone was cut off?
+
+Half of the sidecars keeps an old list while converters are replaced; later one zone is cut off from the others for 3 s.
+Claims: replacements are used, nothing is lost, the load is about as even as by chance while the lists differ, and no
+bursts.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from ryepier.emulator import timeline
+from ryepier.experiments.core import figures, phases
+from ryepier.experiments.core.contract import Claim, Experiment, Run
+from ryepier.experiments.core.worlds import fault_of_kind
+from ryepier.experiments.load_spread.processes import fleets, measures
+
+DIFFERING_AFTER_S = 2.0  # after the first lists are stale, the release is under way
+AFTER_CUT_S = 1.0
+MIN_SERVED_SHARE = 0.9
+MIN_SERVICE = 0.95
+MAX_UNEVENNESS = 1.5  # relative to chance, while the lists differ
+STALE_END_S = fleets.STALE_AT_S + fleets.STALE_FOR_S
+CUT_MIDDLE_S = fleets.CUT_AT_S + fleets.CUT_FOR_S / 2
+US_PER_S = 1e6
+
+
+def share_of_replacements_used(run: Run) -> float:
+    """Return the share of the replacement converters that received an attempt."""
+    instances = timeline.build(run.world, run.seed).instances
+    replacements = {one.uid for one in instances if one.start_us is not None}
+    used = {attempt.uid for attempt in run.history.converter_attempts} & replacements
+    return len(used) / max(1, len(replacements))
+
+
+def share_across_cut(run: Run, begin_s: float, end_s: float) -> float:
+    """Return the share of attempts in a part of the run that went from one side of the cut to the other."""
+    cut_zone = fault_of_kind(run.world, "zone-cut").zone
+    instances = timeline.build(run.world, run.seed).instances
+    zone_of = {one.uid: one.machine.group.zone for one in instances}
+    sidecar_of = {item.request_id: item.sidecar for item in run.history.client_attempts}
+    total = crossing = 0
+    for attempt in run.history.converter_attempts:
+        is_inside = begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S
+        if is_inside and attempt.request_id in sidecar_of:
+            sidecar = sidecar_of[attempt.request_id]
+            sidecar_zone = run.world.zones[run.world.sidecar_zone(sidecar)]
+            total += 1
+            crossing += (sidecar_zone == cut_zone) != (zone_of[attempt.uid] == cut_zone)
+    return crossing / max(1, total)
+
+
+def _service_between(run: Run, begin_s: float, end_s: float) -> float:
+    return figures.service_level(run.operations, figures.due_between(begin_s, end_s))
+
+
+def _figures(run: Run) -> Mapping[str, float]:
+    differing = measures.measure_evenness(run, fleets.STALE_AT_S + DIFFERING_AFTER_S, STALE_END_S)
+    is_after = phases.from_time(fleets.CUT_END_S + AFTER_CUT_S, run.world)
+    return measures.spread_figures(run, fleets.CUT_END_S + fleets.RECOVERY_S, run.world.duration_s) | {
+        "variation_ratio_lists_apart": differing.ratio,
+        "across_cut_first_half": share_across_cut(run, fleets.CUT_AT_S, CUT_MIDDLE_S),
+        "across_cut_second_half": share_across_cut(run, CUT_MIDDLE_S, fleets.CUT_END_S),
+        "service_lists_apart": _service_between(run, fleets.STALE_AT_S, STALE_END_S),
+        "service_cut": _service_between(run, fleets.CUT_AT_S, fleets.CUT_END_S),
+        "service_after": figures.service_level(run.operations, is_after),
+    }
+
+
+def _claims(run: Run) -> list[Claim]:
+    measured = _figures(run)
+    unevenness = measured["variation_ratio_lists_apart"]
+    return [
+        Claim("share of replacements in use", share_of_replacements_used(run), "==", 1.0),
+        Claim("first tries served in the end", measured["served_in_the_end"], ">=", MIN_SERVED_SHARE),
+        Claim("service while the lists differ", measured["service_lists_apart"], ">=", MIN_SERVICE),
+        Claim("service from 1 s after the cut", measured["service_after"], ">=", MIN_SERVICE),
+        Claim("variation while the lists differ, over by chance", unevenness, "<=", MAX_UNEVENNESS),
+        *measures.burst_claims(measures.measure_bursts(run)),
+    ]
+
+
+EXPERIMENT = Experiment(
+    name="load-spread-lists",
+    question="lists of two ages in the halves of a fleet while converters are replaced, "
+    "then a zone cut from the others",
+    world=fleets.with_differing_lists,
+    claims=_claims,
+    seeded_faults=("same-order",),
+    extra_figures=_figures,
+)
--- /dev/null
+++ b/ryepier/experiments/load_spread/processes/measures.py
@@ -0,0 +1,82 @@
+"""Evenness and bursts of a run at the converters that are there, and warm, all along."""
+
+from __future__ import annotations
+
+import numpy as np
+
+from ryepier.emulator import timeline
+from ryepier.emulator.timeline import TargetKind
+from ryepier.experiments.core.contract import Claim, Run
+from ryepier.experiments.load_spread.processes import figures
+from ryepier.experiments.load_spread.processes.fleets import SETTLED_S
+
+EVENNESS_WINDOW_S = 4.0
+MAX_BURST = 1.0  # relative to a Poisson stream's highest in a run
+
+
+def steady_uids(run: Run) -> list[str]:
+    """Return the converters that no release replaces."""
+    built = timeline.build(run.world, run.seed)
+    replaced = {step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault == "release"}
+    return figures.steady_uids(built.instances, replaced)
+
+
+def count_starts(run: Run, begin_s: float, end_s: float, window_s: float) -> list[list[int]]:
+    """Return the starts at the steady converters, in windows of about this length."""
+    windows = max(1, round((end_s - begin_s) / window_s))
+    edges_s = np.linspace(begin_s, end_s, windows + 1).tolist()
+    return figures.count_starts(run.history.converter_attempts, steady_uids(run), edges_s)
+
+
+def measure_evenness(run: Run, begin_s: float, end_s: float, window_s: float = EVENNESS_WINDOW_S) -> figures.Evenness:
+    """Return the evenness of a part of the run."""
+    return figures.measure_evenness(count_starts(run, begin_s, end_s, window_s))
+
+
+def zones_of(run: Run, uids: list[str]) -> dict[str, str]:
+    """Return the zone of each of these converters."""
+    instances = timeline.build(run.world, run.seed).instances
+    return {one.uid: one.machine.group.zone for one in instances if one.uid in uids}
+
+
+def measure_bursts(run: Run, begin_s: float = SETTLED_S) -> figures.Bursts:
+    """Return the bursts at the steady converters, from a time to the end of the run."""
+    zones = zones_of(run, steady_uids(run))
+    return figures.measure_bursts(run.history.converter_attempts, zones, begin_s, run.world.duration_s)
+
+
+def burst_claims(bursts: figures.Bursts) -> list[Claim]:
+    """Return the claims that at no time many sidecars sent to the same converter."""
+    worst_name = "most starts in 100 ms at a converter, beside a Poisson stream's in a run"
+    rare_name = "windows of 100 ms with more than a Poisson stream gives once in 10,000"
+    return [
+        Claim(worst_name, bursts.worst, "<=", MAX_BURST),
+        Claim(rare_name, bursts.rare, "<=", bursts.rare_by_chance),
+    ]
+
+
+def spread_figures(run: Run, begin_s: float, end_s: float, window_s: float = EVENNESS_WINDOW_S) -> dict[str, float]:
+    """Return the figures of result.json: evenness of a part of the run, bursts and occupancy of the whole."""
+    evenness = measure_evenness(run, begin_s, end_s, window_s)
+    bursts = measure_bursts(run)
+    connections = figures.connection_occupancy(run.history.connections)
+    executions = figures.execution_occupancy(run.history.converter_attempts)
+    return {
+        "variation": evenness.variation,
+        "variation_by_chance": evenness.by_chance,
+        "variation_ratio": evenness.ratio,
+        "most_to_mean": evenness.highest_to_mean,
+        "least_to_mean": evenness.lowest_to_mean,
+        "burst_windows": bursts.windows,
+        "burst_most": bursts.highest,
+        "burst_worst": bursts.worst,
+        "burst_beyond": bursts.rare,
+        "burst_beyond_by_chance": bursts.rare_by_chance,
+        "connections_most": connections.highest,
+        "connections_mean": connections.mean,
+        "connections_opened": len(run.history.connections),
+        "places_most": executions.highest,
+        "places_mean": executions.mean,
+        "refused": figures.rejected_share(run.history),
+        "served_in_the_end": figures.served_operations_share(run.history),
+    }
--- /dev/null
+++ b/ryepier/experiments/load_spread/processes/seeded_faults.py
@@ -0,0 +1,39 @@
+"""Seeded faults of how a sidecar process spreads its load.
+
+Each function installs its fault in the whole process for good, so call it in a process of its own.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+from collections.abc import Callable
+from typing import Any
+
+from ryepier.balancer.balancer import Balancer
+from ryepier.balancer.selection import Selector
+
+COMMON_SEED = 7
+
+
+def draw_alike() -> None:
+    """Let all sidecars draw the same numbers: one seed, and the same index among the instances."""
+    begin = Balancer.__init__
+
+    def begin_alike(self: Balancer, settings: Any, seed: int, now_us: int) -> None:
+        alike = {"self_index": 0} if hasattr(settings, "self_index") else {}
+        begin(self, dataclasses.replace(settings, **alike), COMMON_SEED, now_us)
+
+    Balancer.__init__ = begin_alike  # type: ignore[method-assign]
+
+
+def select_first() -> None:
+    """Let all sidecars select the first free converter of the list."""
+    free_slots = Selector.free_slots
+
+    def first_free(self: Selector, *arguments: Any, **options: Any) -> Any:
+        return sorted(free_slots(self, *arguments, **options), key=lambda candidate: candidate.upstream.entry.id)[:1]
+
+    Selector.free_slots = first_free  # type: ignore[method-assign]
+
+
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {"same-seed": draw_alike, "same-order": select_first}
--- /dev/null
+++ b/ryepier/experiments/load_spread/processes/steady.py
@@ -0,0 +1,59 @@
+"""`load-spread-processes`, also `-light`: how even is the load of real sidecars that each see little of it?
+
+Sixty sidecars (full scale: 200) at half of the converters' capacity, or at a twentieth; nothing fails. Claims: no
+converter is without a start for as long as twelve are expected, next to nothing is rejected, and no bursts.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from ryepier.experiments.core.contract import Claim, Experiment, Run
+from ryepier.experiments.load_spread.processes import figures, fleets, measures
+
+LIGHT_WINDOW_S = 6.0  # of evenness, where starts are few
+EXPECTED_STARTS = 12  # in a window that is practically never empty by chance
+MAX_REJECTED_SHARE = 0.005
+
+
+def count_idle_windows(run: Run) -> int:
+    """Return the number of windows without a start at a converter, of the length in which 12 are expected."""
+    window_s = EXPECTED_STARTS * run.world.converter_count / run.world.clients.rate_per_s
+    end_s = run.world.duration_s
+    windows = int((end_s - fleets.SETTLED_S) / window_s)
+    begin_s = end_s - windows * window_s
+    return figures.count_idle_windows(measures.count_starts(run, begin_s, end_s, window_s))
+
+
+def _claims(run: Run) -> list[Claim]:
+    rejected = figures.rejected_share(run.history)
+    return [
+        Claim("windows without a start in which 12 are to be expected", count_idle_windows(run), "==", 0),
+        Claim("refused", rejected, "<=", MAX_REJECTED_SHARE),
+        *measures.burst_claims(measures.measure_bursts(run)),
+    ]
+
+
+def _figures(run: Run, window_s: float = measures.EVENNESS_WINDOW_S) -> Mapping[str, float]:
+    spread = measures.spread_figures(run, fleets.SETTLED_S, run.world.duration_s, window_s)
+    return spread | {"idle_windows": count_idle_windows(run)}
+
+
+EXPERIMENTS = (
+    Experiment(
+        name="load-spread-processes",
+        question="60 sidecars (full: 200) that each see little of the load, at half of what the converters can do",
+        world=fleets.fleet,
+        claims=_claims,
+        seeded_faults=("same-order", "same-seed"),
+        extra_figures=_figures,
+    ),
+    Experiment(
+        name="load-spread-processes-light",
+        question="the same at a twentieth of what the converters can do",
+        world=fleets.lightly_loaded,
+        claims=_claims,
+        seeded_faults=("same-order",),
+        extra_figures=lambda run: _figures(run, LIGHT_WINDOW_S),
+    ),
+)
--- /dev/null
+++ b/ryepier/experiments/load_spread/returning.py
@@ -0,0 +1,93 @@
+"""`load-spread-return`: do converters that were away get their part of the load again, without a rush?
+
+In a simulated fleet at half load a fifth of the converters vanishes at 2 s and is back at 4 s, cold or warm at once.
+Claims on the seconds after the slow start: those that are back receive about as much on average as the others, and none
+that warms up ever more than it can take.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import numpy as np
+
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.load_spread import measures
+from ryepier.experiments.load_spread.trials import FleetOutcome, FleetTrial, run_trials
+from ryepier.sim.fleet.world import SECOND_US, FleetPlan, Outage
+
+MIN_SHARE = 0.7  # of the mean of the converters that never were away
+MAX_SHARE = 1 / MIN_SHARE
+MEASURED_US = 5 * SECOND_US  # after the slow start
+WARM_UPS_US = {"cold": 4 * SECOND_US, "warm at once": 0}
+AWAY_SHARE = 0.2  # of the converters
+LEFT_US = 2 * SECOND_US
+NOTICE_DELAY_US = SECOND_US // 2
+BACK_US = 4 * SECOND_US
+INITIAL_CAPACITY_SHARE = 0.2
+
+
+@dataclass(frozen=True, slots=True)
+class FleetSize:
+    """The size of a fleet."""
+
+    sidecars: int
+    converters: int
+
+
+SIZES: dict[Scale, FleetSize] = {"small": FleetSize(150, 50), "full": FleetSize(300, 100)}
+
+
+def make_plan(scale: Scale, warm_up_us: int) -> FleetPlan:
+    """Return a fleet whose converters need a time to warm up, a part of which is away for a while."""
+    size = SIZES[scale]
+    outage = Outage(int(AWAY_SHARE * size.converters), LEFT_US, NOTICE_DELAY_US, BACK_US)
+    return FleetPlan(
+        size.sidecars,
+        size.converters,
+        load=0.5,
+        duration_us=outage.restart_us + warm_up_us + MEASURED_US,
+        warm_up_us=warm_up_us,
+        initial_capacity_share=INITIAL_CAPACITY_SHARE,
+        outages=(outage,),
+    )
+
+
+def shares_of_returned(outcome: FleetOutcome) -> list[float]:
+    """Return what each converter that is back received, over the mean of those that never were away."""
+    span_us = outcome.end_us - outcome.begin_us
+    counts = measures.counts_in_windows(outcome.received_us, outcome.begin_us, outcome.end_us, span_us)[:, 0]
+    returned = np.asarray(outcome.returned)
+    return [float(share) for share in counts[returned] / counts[~returned].mean()]
+
+
+def measure(trial: TrialConfig) -> Measurement:
+    """Run the fleet with slow start and without."""
+    plans = {name: make_plan(trial.scale, warm_up_us) for name, warm_up_us in WARM_UPS_US.items()}
+    outcomes = run_trials(
+        [FleetTrial(plan, trial.seed, trial.seeded_fault, plan.duration_us - MEASURED_US) for plan in plans.values()]
+    )
+    claims: list[Claim] = []
+    figures: dict[str, float] = {}
+    for name, outcome in zip(plans, outcomes, strict=True):
+        shares = shares_of_returned(outcome)
+        mean = sum(shares) / len(shares)
+        cold_name = f"{name}: most sent to one that is back, over what it may get"
+        claims += [
+            Claim(f"{name}: share of those back, the mean", mean, ">=", MIN_SHARE),
+            Claim(f"{name}: share of those back, the mean, no rush", mean, "<=", MAX_SHARE),
+            Claim(cold_name, outcome.worst_cold_window, "<=", 1.0),
+        ]
+        key = name.replace(" ", "_")
+        figures[f"{key}_least_share"] = min(shares)
+        figures[f"{key}_most_share"] = max(shares)
+        figures[f"{key}_mean_share"] = mean
+    return Measurement(claims, figures)
+
+
+EXPERIMENT = Benchmark(
+    name="load-spread-return",
+    question="a fifth of the converters vanishes and comes back, cold and warm, in virtual time",
+    measure=measure,
+    seeded_faults=("forget-returned", "rush-returned"),
+)
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Balancers with one mistake in how they choose, to show that a claim of the load-spread experiments can fail."""
+"""Balancers with one seeded fault in how they choose, which the experiments on simulated fleets detect."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class ClosedSubset(Subset):
-    """A full subset that stays as it is, whoever comes."""
+    """A full subset that never admits a newcomer."""
 
     def offer_places(
         self, newcomers: list[TrackedUpstream], listed: int, wanted: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Give nobody a place."""
+        """Return no upstream."""
         return []
 
 
 class EarlyAdmissionRate(AdmissionRate):
-    """Admission that falls from a lower mean latency on."""
+    """Admission that sheds load from a lower mean latency on."""
 
     def is_overloaded(self) -> bool:
         """Return whether the load is over the earlier bound."""
@@ -36,11 +36,11 @@
 
 
 class PrivateSubsets(Balancer):
-    """The balancer before this was mended: subsets take in nobody; each retry of an expensive request counts as an
-    answer of a slow pool; and admission falls from a lower mean on."""
+    """The earlier balancer: its subsets admit no newcomers, each retry of an expensive request counts as an answer of a
+    slow pool, and it sheds load from a lower mean latency on."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Start with the earlier subsets and admission."""
+        """Use the earlier subsets and admission."""
         super().__init__(settings, seed, now_us)
         for pool in self.membership.pools:
             pool.subset = ClosedSubset()
@@ -53,62 +53,62 @@
 
 
 class FirstFreeSelector(Selector):
-    """Takes the converters in the order of the list."""
+    """Selects the first free converter of the list."""
 
     def free_slots(
         self, request: PendingRequest, upstreams: Iterable[TrackedUpstream], ejections_apply: bool, now_us: int
     ) -> list[Candidate]:
-        """Return only the first that is free."""
+        """Return only the first free converter."""
         found = super().free_slots(request, upstreams, ejections_apply, now_us)
         return sorted(found, key=lambda candidate: candidate.upstream.entry.id)[:1]
 
 
 class SameOrder(Balancer):
-    """All sidecars take the converters in the order of the list."""
+    """All sidecars select the converters in the order of the list."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Start with a selector that takes the first."""
+        """Use the selector of the first free converter."""
         super().__init__(settings, seed, now_us)
         self.selector = FirstFreeSelector(self.membership, self.retries, self.outliers, self.estimates, self.random)
 
 
 class ExpellingSubset(Subset):
-    """A subset that newcomers leave."""
+    """A subset that removes newcomers."""
 
     def offer_places(
         self, newcomers: list[TrackedUpstream], listed: int, wanted: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Take away each newcomer's place."""
+        """Remove each newcomer, and return those removed."""
         return [removed for upstream in newcomers for removed in self.leave(upstream)]
 
 
 class ForgetReturned(Balancer):
-    """Converters that come back leave all subsets."""
+    """Converters that return are removed from all subsets."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Start with such subsets."""
+        """Use such subsets."""
         super().__init__(settings, seed, now_us)
         for pool in self.membership.pools:
             pool.subset = ExpellingSubset()
 
 
 class WelcomingSubset(Subset):
-    """A subset that takes in each newcomer."""
+    """A subset that admits every newcomer."""
 
     def offer_places(
         self, newcomers: list[TrackedUpstream], listed: int, wanted: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Give each newcomer a place, once there are members."""
+        """Admit each newcomer, once there are members."""
         for upstream in newcomers if self.members else []:
             self.members[upstream] = None
         return []
 
 
 class RushReturned(Balancer):
-    """All sidecars take in all converters that come back."""
+    """All sidecars admit all converters that return."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Start with such subsets."""
+        """Use such subsets."""
         super().__init__(settings, seed, now_us)
         for pool in self.membership.pools:
             pool.subset = WelcomingSubset()
@@ -128,4 +128,4 @@
     "forget-returned": _factory(ForgetReturned),
     "rush-returned": _factory(RushReturned),
 }
-"""By the mistake's name; the empty one is the balancer as it is."""
+"""By the seeded fault's name; the empty name is the balancer as it is."""
--- /dev/null
+++ b/ryepier/experiments/load_spread/steady.py
@@ -0,0 +1,91 @@
+"""`load-spread`: how even is the load of hundreds of sidecars that each see little of it?
+
+A simulated fleet at half of the converters' capacity and at a twentieth; the same seeds run with the balancer as it is
+and with its earlier subsets. Claims: no more crowded or empty windows than a Poisson stream has, next to no rejections,
+and no more than a quarter more connections than with the earlier subsets.
+"""
+
+from __future__ import annotations
+
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.load_spread import measures
+from ryepier.experiments.load_spread.trials import FleetOutcome, FleetTrial, run_trials
+from ryepier.sim.fleet.world import SECOND_US, FleetPlan
+
+CROWDED_WINDOW_US = 100_000
+EXPECTED_PER_WINDOW = 12.0  # requests, with which an empty window is rare
+MAX_REJECTED_SHARE = 0.005
+MAX_CONNECTIONS_RATIO = 1.25
+WARM_UP_SHARE = 1 / 3  # of the run, until the subsets have filled
+CONTROL = "private-subsets"
+PLANS: dict[Scale, dict[str, FleetPlan]] = {
+    "small": {
+        "half": FleetPlan(sidecars=150, converters=50, load=0.5, duration_us=12 * SECOND_US),
+        "twentieth": FleetPlan(sidecars=200, converters=100, load=0.05, duration_us=24 * SECOND_US),
+    },
+    "full": {
+        "half": FleetPlan(sidecars=300, converters=100, load=0.5, duration_us=15 * SECOND_US),
+        "twentieth": FleetPlan(sidecars=400, converters=200, load=0.05, duration_us=24 * SECOND_US),
+    },
+}
+
+
+def _rare_claim(name: str, windows: measures.RareWindows) -> Claim:
+    return Claim(name, windows.found, "<=", windows.allowed)
+
+
+def _claims(load: str, treatment: FleetOutcome, control: FleetOutcome) -> list[Claim]:
+    span = (treatment.begin_us, treatment.end_us)
+    crowded = measures.crowded_windows(treatment.received_us, *span, CROWDED_WINDOW_US)
+    empty = measures.empty_windows(treatment.received_us, *span, EXPECTED_PER_WINDOW)
+    connections = treatment.connections / control.connections
+    connections_name = f"{load}: connections over those without the mending"
+    return [
+        _rare_claim(f"{load}: windows of 100 ms above the Poisson quantile", crowded),
+        _rare_claim(f"{load}: windows without a request where 12 are expected", empty),
+        Claim(f"{load}: refused", treatment.rejected_share, "<=", MAX_REJECTED_SHARE),
+        Claim(connections_name, connections, "<=", MAX_CONNECTIONS_RATIO),
+    ]
+
+
+def _figures(load: str, outcome: FleetOutcome, sidecars: int) -> dict[str, float]:
+    spread = measures.measure_spread(outcome.received_us, outcome.begin_us, outcome.end_us)
+    return {
+        f"{load}_variation": spread.variation,
+        f"{load}_over_chance": spread.over_chance,
+        f"{load}_most": spread.highest,
+        f"{load}_least": spread.lowest,
+        f"{load}_refused": outcome.rejected_share,
+        f"{load}_late": outcome.late_share,
+        f"{load}_p99_ms": outcome.p99_ms,
+        f"{load}_connections_a_sidecar": outcome.connections / sidecars,
+        f"{load}_opened_per_s_a_sidecar": outcome.opened_per_s / sidecars,
+    }
+
+
+def measure(trial: TrialConfig) -> Measurement:
+    """Run each load with the balancer, or a seeded fault of it, and with the control."""
+    plans = PLANS[trial.scale]
+    outcomes = run_trials(
+        [
+            FleetTrial(plan, trial.seed, balancer, int(plan.duration_us * WARM_UP_SHARE))
+            for plan in plans.values()
+            for balancer in (trial.seeded_fault, CONTROL)
+        ]
+    )
+    claims: list[Claim] = []
+    figures: dict[str, float] = {}
+    for (load, plan), treatment, control in zip(plans.items(), outcomes[::2], outcomes[1::2], strict=True):
+        claims += _claims(load, treatment, control)
+        figures |= _figures(load, treatment, plan.sidecars)
+        figures[f"{load}_p99_over_before"] = treatment.p99_ms / control.p99_ms
+        figures |= _figures(f"{load}_before", control, plan.sidecars)
+    return Measurement(claims, figures)
+
+
+EXPERIMENT = Benchmark(
+    name="load-spread",
+    question="hundreds of sidecars that each see little of the load, in virtual time",
+    measure=measure,
+    seeded_faults=(CONTROL, "same-order"),
+)
--- /dev/null
+++ b/ryepier/experiments/load_spread/trials.py
@@ -0,0 +1,101 @@
+"""Runs simulated fleets in worker processes, and summarizes each as its converters recorded it."""
+
+from __future__ import annotations
+
+import multiprocessing
+from collections import deque
+from collections.abc import Sequence
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
+
+import numpy as np
+
+from ryepier.experiments.load_spread import seeded_faults
+from ryepier.sim.fleet.converter import Converter
+from ryepier.sim.fleet.world import SECOND_US, START_US, FleetPlan, FleetWorld
+
+MAX_WORKERS = 4
+US_PER_MS = 1000
+
+
+@dataclass(frozen=True, slots=True)
+class FleetTrial:
+    """One run of a simulated fleet. Times are in microseconds from the plan's start."""
+
+    plan: FleetPlan
+    seed: int
+    balancer: str  # a name of `seeded_faults.FACTORIES`
+    begin_us: int  # what happens from here to the end counts
+
+
+@dataclass(frozen=True, slots=True)
+class FleetOutcome:
+    """What a fleet's converters and clients recorded."""
+
+    received_us: list[list[int]]  # by converter, on the world's clock
+    begin_us: int
+    end_us: int
+    returned: list[bool]  # by converter: whether it was away and is back
+    rejected_share: float  # of the requests
+    late_share: float  # of the requests, answered after the latency objective
+    p99_ms: float  # of the answered requests
+    connections: float  # open at all converters, the mean over time
+    opened_per_s: float  # connections
+    worst_cold_window: float  # load of a converter that is warming up over what it may get; it crashes above 1
+
+
+def run_trials(trials: Sequence[FleetTrial]) -> list[FleetOutcome]:
+    """Run trials in worker processes, and return their outcomes in the same order."""
+    context = multiprocessing.get_context("spawn")
+    with ProcessPoolExecutor(min(MAX_WORKERS, len(trials)), mp_context=context) as pool:
+        return list(pool.map(run_trial, trials))
+
+
+def run_trial(trial: FleetTrial) -> FleetOutcome:
+    """Run one trial in this process."""
+    world = FleetWorld(trial.plan, trial.seed, seeded_faults.FACTORIES[trial.balancer])
+    world.play(trial.begin_us)
+    begin_us, end_us = START_US + trial.begin_us, world.now_us
+    requests = [request for request in world.requests if request.arrived_us >= begin_us]
+    latencies_us = [request.ended_us - request.arrived_us for request in requests if request.served]
+    counters = [converter.connections for converter in world.converters]
+    restarted = [converter for converter in world.converters if converter.started_us]
+    return FleetOutcome(
+        received_us=[converter.received_us for converter in world.converters],
+        begin_us=begin_us,
+        end_us=end_us,
+        returned=[converter.started_us > 0 for converter in world.converters],
+        rejected_share=sum(request.rejected for request in requests) / len(requests),
+        late_share=sum(latency_us > trial.plan.objective_us for latency_us in latencies_us) / len(requests),
+        p99_ms=float(np.percentile(latencies_us, 99)) / US_PER_MS,
+        connections=sum(counter.mean_open(begin_us, end_us) for counter in counters),
+        opened_per_s=sum(counter.opened for counter in counters) * SECOND_US / (end_us - begin_us),
+        worst_cold_window=max((worst_cold_window(trial.plan, one) for one in restarted), default=0.0),
+    )
+
+
+def worst_cold_window(plan: FleetPlan, converter: Converter) -> float:
+    """Return the largest load of any overload window since a converter's start, over the allowed load.
+
+    Allowed is the load that overloads it at the window's start, and two standard deviations of its count and two
+    requests more, as in the tests of slow start.
+    """
+    window: deque[int] = deque()
+    worst = 0.0
+    for at_us in converter.received_us:
+        if at_us < converter.started_us:
+            continue
+        window.append(at_us)
+        while window[0] <= at_us - plan.overload_window_us:
+            window.popleft()
+        begin_us = max(converter.started_us, at_us - plan.overload_window_us)
+        worst = max(worst, len(window) / _allowed_requests(plan, begin_us - converter.started_us))
+    return worst
+
+
+def _allowed_requests(plan: FleetPlan, age_us: int) -> float:
+    """Return how many requests a converter of an age may receive in one overload window."""
+    capacity_per_s = plan.warmth(age_us) * plan.places * SECOND_US / plan.work_us
+    overload = plan.overload_factor * capacity_per_s * plan.overload_window_us / SECOND_US
+    allowed: float = overload + 2 * overload**0.5 + 2
+    return allowed
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -34,6 +34,7 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.scale import lightweight, slopes
@@ -419,7 +420,7 @@
 
 def perform(trial: TrialConfig) -> Measurement:
     """The whole of it, with how busy the machine was."""
-    lightweight.check(lightweight.Needs(4, BYTES_NEEDED, 3 * MOST_LINES), lightweight.this_machine())
+    check_needs(Needs(4, BYTES_NEEDED, 3 * MOST_LINES), this_machine())
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # into this process too, where the module runs alone
     found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/scale_control.py
@@ -25,6 +25,7 @@
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.usage import Usage, usage
 from ryepier.experiments.scale import gauged_planner, lightweight, slopes
@@ -335,7 +336,7 @@
     """Each number of converters in use, one after another."""
     plan = PLANTED_SIZES if trial.seeded_fault else SIZES[trial.scale]
     most = max(max(sizes) for sizes in plan.values())
-    lightweight.check(lightweight.Needs(WORKERS[trial.scale] + 2, BYTES_NEEDED, most), lightweight.this_machine())
+    check_needs(Needs(WORKERS[trial.scale] + 2, BYTES_NEEDED, most), this_machine())
     claims: list[Claim] = []
     found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
     for in_use, sizes in plan.items():
--- a/ryepier/experiments/scale/scale_fail.py
+++ b/ryepier/experiments/scale/scale_fail.py
@@ -17,10 +17,11 @@
 from ryepier.emulator.harness import HarnessError, find_network
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.usage import own_usage
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
-from ryepier.experiments.scale.lightweight import Child, Needs
+from ryepier.experiments.scale.lightweight import Child
 from ryepier.experiments.scale.scale_list import (
     BUDGET_CORES,
     CONVERTER_BYTES,
@@ -207,8 +208,8 @@
 
 
 def perform(trial: TrialConfig) -> Measurement:
-    """Raises lightweight.InsufficientResourcesError."""
-    lightweight.check(needs(trial.scale), lightweight.this_machine())
+    """Raises InsufficientResourcesError."""
+    check_needs(needs(trial.scale), this_machine())
     found = {"load_average": os.getloadavg()[0]} | asyncio.run(play(trial.seed, trial.scale, trial.seeded_fault))
     found |= calculated(found, trial.scale)
     return Measurement(claims(found), found)
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/scale_list.py
@@ -20,10 +20,11 @@
 from ryepier.emulator.harness import HarnessError, find_network
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.usage import own_usage, resident_bytes
 from ryepier.experiments.scale import lightweight, list_parts, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
-from ryepier.experiments.scale.lightweight import Child, Needs
+from ryepier.experiments.scale.lightweight import Child
 from ryepier.sidecar.discovery import WATCH_RETRY_S
 
 KNOWN = (30, 150, 400, 800, 1600)  # converters that a sidecar knows
@@ -333,8 +334,8 @@
 
 
 def perform(trial: TrialConfig) -> Measurement:
-    """Both parts. Raises lightweight.InsufficientResourcesError."""
-    lightweight.check(needs(trial.scale), lightweight.this_machine())
+    """Both parts. Raises InsufficientResourcesError."""
+    check_needs(needs(trial.scale), this_machine())
     busy = {"load_average": os.getloadavg()[0]}
     rows = asyncio.run(by_known(trial.seed, trial.scale, trial.seeded_fault))
     fleets = asyncio.run(by_fleet(trial.seed, trial.scale, trial.seeded_fault))
--- a/ryepier/experiments/seeded_faults.py
+++ b/ryepier/experiments/seeded_faults.py
@@ -13,7 +13,7 @@
 
 from ryepier.experiments.faults import seeded_faults as faults
 from ryepier.experiments.graphql import seeded_faults as graphql
-from ryepier.experiments.load_spread import processes_seeded_faults as load_spread
+from ryepier.experiments.load_spread.processes import seeded_faults as load_spread
 from ryepier.experiments.planners import seeded_faults as planners
 from ryepier.experiments.scale import seeded_faults as scale
 from ryepier.experiments.simulation import seeded_faults as simulation
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -22,7 +22,7 @@
 from ryepier.experiments import catalogue, seeded_faults
 from ryepier.experiments.core import contract, judge, report, runner
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, TrialConfig
-from ryepier.experiments.scale.lightweight import InsufficientResourcesError
+from ryepier.experiments.core.machine import InsufficientResourcesError
 
 RECORDED = Path(__file__).parent / "fixtures" / "experiments_interface.json"
 NEEDS_TRAFFIC = {"load-spread-lists"}  # its claims divide by the number of requests
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -9,7 +9,7 @@
 
 from ryepier.balancer import interface as api
 from ryepier.experiments.core.quantiles import poisson_quantile
-from ryepier.experiments.load_spread import measures, plays, returned
+from ryepier.experiments.load_spread import measures, returning, trials
 from ryepier.sim.fleet import choosers
 from ryepier.sim.fleet.connections import ConnectionCounter, ConnectionPool
 from ryepier.sim.fleet.converter import Converter, Job
@@ -26,7 +26,7 @@
 def test_random_choice_spreads_by_chance_and_all_is_served() -> None:
     world = FleetWorld(PLAN, 1, choosers.make_random)
     world.play()
-    found = measures.spread(received(world), START_US, world.now_us)
+    found = measures.measure_spread(received(world), START_US, world.now_us)
     assert 0.5 < found.over_chance < 1.5  # 20 converters: the deviation itself is off by a sixth
     ended = [request for request in world.requests if request.ended_us]
     assert len(ended) > 0.95 * len(world.requests)
@@ -126,7 +126,7 @@
 
 def test_nothing_received_is_an_error() -> None:
     with pytest.raises(ValueError, match="nothing was received"):
-        measures.spread([[], []], 0, 10)
+        measures.measure_spread([[], []], 0, 10)
 
 
 # Converters that come back
@@ -167,11 +167,11 @@
 SMALL = FleetPlan(sidecars=60, converters=20, load=0.5, duration_us=5 * SECOND_US)
 
 
-def played(plant: str, plan: FleetPlan = SMALL, begin_us: int = 2 * SECOND_US) -> plays.Played:
-    return plays.play(plays.Task(plan, 1, plant, begin_us))
+def played(plant: str, plan: FleetPlan = SMALL, begin_us: int = 2 * SECOND_US) -> trials.FleetOutcome:
+    return trials.run_trial(trials.FleetTrial(plan, 1, plant, begin_us))
 
 
-def crowded(one: plays.Played) -> measures.RareWindows:
+def crowded(one: trials.FleetOutcome) -> measures.RareWindows:
     return measures.crowded_windows(one.received_us, one.begin_us, one.end_us, SECOND_US // 10)
 
 
@@ -184,16 +184,16 @@
 def test_the_balancer_as_it_was_refuses_more_at_half_load() -> None:
     plan = FleetPlan(sidecars=120, converters=30, load=0.5, duration_us=11 * SECOND_US)
     now, before = (played(plant, plan, 5 * SECOND_US) for plant in ("", "private-subsets"))
-    assert now.refused <= 0.005 < before.refused
+    assert now.rejected_share <= 0.005 < before.rejected_share
 
 
 @pytest.mark.parametrize(
     ("plant", "low", "high"), [("", 0.7, 1.43), ("forget-returned", 0, 0.7), ("rush-returned", 1.43, 9)]
 )
 def test_those_that_are_back_are_neither_forgotten_nor_rushed(plant: str, low: float, high: float) -> None:
-    plan = returned.plan("small", 0)
-    one = played(plant, plan, plan.duration_us - returned.SEEN_US)
-    shares = returned.shares(one)
+    plan = returning.make_plan("small", 0)
+    one = played(plant, plan, plan.duration_us - returning.MEASURED_US)
+    shares = returning.shares_of_returned(one)
     assert low <= sum(shares) / len(shares) <= high
     assert one.worst_cold_window <= 1.0
 
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -13,10 +13,11 @@
 from ryepier.emulator.world import Clients, Converters, Discovery, Fault, HarnessSettings, RequestClass, Sidecars, World
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core.contract import Run
+from ryepier.experiments.core.machine import InsufficientResourcesError, Machine
 from ryepier.experiments.core.runner import lateness_claim
-from ryepier.experiments.load_spread import processes, processes_machine, processes_worlds
-from ryepier.experiments.load_spread import processes_figures as spread
-from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine
+from ryepier.experiments.load_spread.processes import figures as spread
+from ryepier.experiments.load_spread.processes import fleets, kill, lists, measures, memory
+from ryepier.experiments.load_spread.processes.figures import Span
 
 pytestmark = pytest.mark.alone
 
@@ -70,14 +71,14 @@
 
 def assert_well(run: Run, served: float) -> None:
     """No rule broken, nothing lost, no herd."""
-    assert spread.served_in_the_end(run.history) >= served
+    assert spread.served_operations_share(run.history) >= served
     assert_safe(run)
 
 
 def assert_safe(run: Run) -> None:
     """No rule broken, no herd."""
     assert not run.breaches, run.breaches[:5]
-    failing = [claim for claim in processes.herd_claims(processes.bursts(run, SETTLED_S)) if not claim.holds]
+    failing = [claim for claim in measures.burst_claims(measures.measure_bursts(run, SETTLED_S)) if not claim.holds]
     assert not failing, failing
 
 
@@ -94,7 +95,7 @@
     assert len(killed) == 6 and len(lives) == 24 and not any(life.crashed for life in lives)
     assert_safe(run)
     # what the others' clients get; those of the killed lose what they ask for until the machine has started these
-    assert processes.service_beside(run, killed) >= 0.97
+    assert kill.service_of_others(run, killed) >= 0.97
     up_s = max(life.ready_us for life in lives) / 1e6
     assert service(run, up_s + 0.3) >= 0.95
 
@@ -158,7 +159,7 @@
         ran_across(run, attempt) for attempt in run.history.converter_attempts if 1.2e6 < attempt.received_us < 2.5e6
     )
     # by draws over all it would be 0.43: the sidecars of the zone have 0.29 of the traffic
-    assert processes.across_cut(run, 1.8, 2.6) < 0.43
+    assert lists.share_across_cut(run, 1.8, 2.6) < 0.43
     assert service(run, 3.6) >= 0.95
 
 
@@ -205,11 +206,11 @@
 
 
 def test_evenness_stands_beside_chance() -> None:
-    even = spread.evenness([[100, 110, 90], [100, 90, 110]])
+    even = spread.measure_evenness([[100, 110, 90], [100, 90, 110]])
     assert even.by_chance == pytest.approx(0.1) and even.variation == pytest.approx(0.1)
-    assert even.ratio == pytest.approx(1.0) and even.most_to_mean == even.least_to_mean == 1.0
-    uneven = spread.evenness([[300, 0, 0]])
-    assert uneven.most_to_mean == 3.0 and uneven.least_to_mean == 0.0 and uneven.ratio > 17
+    assert even.ratio == pytest.approx(1.0) and even.highest_to_mean == even.lowest_to_mean == 1.0
+    uneven = spread.measure_evenness([[300, 0, 0]])
+    assert uneven.highest_to_mean == 3.0 and uneven.lowest_to_mean == 0.0 and uneven.ratio > 17
 
 
 def attempt(uid: str, at_us: int) -> ConverterAttempt:
@@ -219,24 +220,24 @@
 def test_a_burst_at_one_converter_is_a_herd_and_an_even_stream_is_none() -> None:
     zones = {"one": "a", "two": "a"}
     stream = [attempt(uid, at_us) for uid in zones for at_us in range(0, 10_000_000, 50_000)]
-    calm = spread.bursts(stream, zones, 0.0, 10.0)
-    assert (calm.windows, calm.most, calm.beyond) == (200, 2, 0) and calm.worst < 0.3
-    herd = spread.bursts(stream + [attempt("one", 5_000_000 + i) for i in range(20)], zones, 0.0, 10.0)
-    assert herd.most == 22 and herd.worst > 1.0 and herd.beyond == 1
-    assert not all(claim.holds for claim in processes.herd_claims(herd))
+    calm = spread.measure_bursts(stream, zones, 0.0, 10.0)
+    assert (calm.windows, calm.highest, calm.rare) == (200, 2, 0) and calm.worst < 0.3
+    herd = spread.measure_bursts(stream + [attempt("one", 5_000_000 + i) for i in range(20)], zones, 0.0, 10.0)
+    assert herd.highest == 22 and herd.worst > 1.0 and herd.rare == 1
+    assert not all(claim.holds for claim in measures.burst_claims(herd))
 
 
 def test_what_was_held_at_once_is_counted_from_spans() -> None:
-    held = spread.occupancy([("one", 0, 10), ("one", 5, NEVER), ("one", 10, 20), ("two", 3, 4)])
+    held = spread.measure_occupancy([Span("one", 0, 10), Span("one", 5, NEVER), Span("one", 10, 20), Span("two", 3, 4)])
     assert held == spread.Occupancy(2, 1.5)
 
 
 @pytest.mark.parametrize(("total_gb", "free_gb", "fits"), [(24, 16, True), (24, 5, False), (12, 12, False)])
 def test_a_fleet_that_the_machine_cannot_bear_is_refused(total_gb: int, free_gb: int, fits: bool) -> None:
-    world = msgspec.structs.replace(a_world(), sidecars=Sidecars(count=processes_worlds.FULL_SIDECARS))
+    world = msgspec.structs.replace(a_world(), sidecars=Sidecars(count=fleets.FULL_SIDECARS))
     machine = Machine(total_gb * 10**9, free_gb * 10**9, 1024)
     if fits:
-        processes_machine.check(world, machine)
+        memory.check(world, machine)
         return
     with pytest.raises(InsufficientResourcesError, match=r"200 sidecars need 8.. GB.*--scale small"):
-        processes_machine.check(world, machine)
+        memory.check(world, machine)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -14,9 +14,16 @@
 from ryepier.cli import main
 from ryepier.commands import experiment
 from ryepier.experiments.core.contract import Benchmark
+from ryepier.experiments.core.machine import (
+    InsufficientResourcesError,
+    Machine,
+    Needs,
+    check_needs,
+    read_machine,
+    this_machine,
+)
 from ryepier.experiments.core.usage import own_usage, usage
-from ryepier.experiments.scale import lightweight, slopes
-from ryepier.experiments.scale.lightweight import InsufficientResourcesError, Machine, Needs
+from ryepier.experiments.scale import slopes
 
 SIZES = (30, 150, 400, 800, 1600)
 GB = 10**9
@@ -70,8 +77,8 @@
 
 
 def test_a_machine_is_read() -> None:
-    assert lightweight.read_machine(MEMINFO, 1024) == Machine(24_576_000_000, 15_360_000_000, 1024)
-    assert lightweight.this_machine().total_bytes > lightweight.this_machine().available_bytes > 0
+    assert read_machine(MEMINFO, 1024) == Machine(24_576_000_000, 15_360_000_000, 1024)
+    assert this_machine().total_bytes > this_machine().available_bytes > 0
 
 
 @pytest.mark.parametrize(
@@ -86,11 +93,11 @@
 )
 def test_what_the_machine_cannot_spare_is_refused(needs: Needs, machine: Machine, why: str) -> None:
     with pytest.raises(InsufficientResourcesError, match=why):
-        lightweight.check(needs, machine)
+        check_needs(needs, machine)
 
 
 def test_what_it_can_spare_is_let_through() -> None:
-    lightweight.check(Needs(8, 10 * GB, sockets=400), Machine(24 * GB, 15 * GB, 1024))
+    check_needs(Needs(8, 10 * GB, sockets=400), Machine(24 * GB, 15 * GB, 1024))
 
 
 def test_an_experiment_that_asks_too_much_is_misuse(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
