--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -4,15 +4,19 @@
 
 from ryepier.experiments.core.contract import Benchmark, Experiment
 from ryepier.experiments.faults import breaking_point, ceiling, hang, release, sidecar_kill, steady, surge
-from ryepier.experiments.graphql import graphql_front
-from ryepier.experiments.load_spread import even, returned
-from ryepier.experiments.load_spread import processes as load_spread_processes
+from ryepier.experiments.graphql import cost, resets
+from ryepier.experiments.load_spread import returning
+from ryepier.experiments.load_spread import steady as load_spread
+from ryepier.experiments.load_spread.processes import kill as load_spread_kill
+from ryepier.experiments.load_spread.processes import lists
+from ryepier.experiments.load_spread.processes import steady as load_spread_processes
 from ryepier.experiments.maintenance import cut, kill, overlap
 from ryepier.experiments.planners import benefit, failover, false_reports, loss, reconnection, restart
 from ryepier.experiments.planners import scale as planner_scale
 from ryepier.experiments.scale import scale_call, scale_control, scale_depth, scale_fail, scale_list
 from ryepier.experiments.simulation import fidelity
-from ryepier.experiments.slices import slicing
+from ryepier.experiments.slices import churn, drain
+from ryepier.experiments.slices import outage as slices_outage
 from ryepier.experiments.storms import after_outage, one_sidecar, real_surge
 
 EXPERIMENTS: dict[str, Experiment] = {
@@ -30,12 +34,15 @@
         *restart.EXPERIMENTS,
         false_reports.EXPERIMENT,
         *benefit.EXPERIMENTS,
-        *slicing.EXPERIMENTS,
-        *graphql_front.EXPERIMENTS,
+        drain.EXPERIMENT,
+        slices_outage.EXPERIMENT,
+        resets.EXPERIMENT,
         *after_outage.EXPERIMENTS,
         one_sidecar.EXPERIMENT,
         real_surge.EXPERIMENT,
         *load_spread_processes.EXPERIMENTS,
+        load_spread_kill.EXPERIMENT,
+        lists.EXPERIMENT,
     )
 }
 BENCHMARKS: dict[str, Benchmark] = {
@@ -46,13 +53,13 @@
         *scale_depth.EXPERIMENTS,
         planner_scale.EXPERIMENT,
         reconnection.EXPERIMENT,
-        *slicing.BENCHMARKS,
-        *graphql_front.BENCHMARKS,
+        churn.EXPERIMENT,
+        cost.EXPERIMENT,
         *fidelity.EXPERIMENTS,
         *scale_list.EXPERIMENTS,
         *scale_fail.EXPERIMENTS,
-        even.EXPERIMENT,
-        returned.EXPERIMENT,
+        load_spread.EXPERIMENT,
+        returning.EXPERIMENT,
         overlap.EXPERIMENT,
         kill.EXPERIMENT,
         cut.EXPERIMENT,
