--- a/ryepier/balancer/settings_parser.py
+++ b/ryepier/balancer/settings_parser.py
@@ -7,6 +7,11 @@
 from ryepier.balancer import interface as api
 from ryepier.errors import RyepierError
 
+# Paths that a sidecar reads beside those of `Settings`
+ZONES_PATH = "areas"  # names, by index
+KINDS_PATH = "kinds"  # names, by index
+IDLE_TIMEOUT_PATH = "bounds.conn-idle"  # us: upstreams close a connection that has been idle for this long
+
 _IDEMPOTENCY = {
     "idempotent": api.Idempotency.IDEMPOTENT,
     "deduplicated": api.Idempotency.IDEMPOTENCY_KEY,
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -239,7 +239,7 @@
         is_leader = self.leadership.tick(now_us, active, has_enough_evidence)
         if is_leader != self.was_leader:  # it may have stepped down between two ticks, on a heartbeat
             self.was_leader = is_leader
-            log.info("%s, epoch %d", "leads" if is_leader else "follows", self.leadership.highest_term.epoch)
+            log.info("leads, epoch %d" if is_leader else "follows, epoch %d", self.leadership.highest_term.epoch)
             self.number, self.last_plan = 0, None
         heartbeat = encode(Heartbeat(self.leadership.highest_term, is_leader, len(active)))
         for link in list(self.links):
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -14,7 +14,7 @@
 from ryepier.sidecar import system
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.request_ids import RecentRequestIds
-from ryepier.sidecar.request_parsing import Dialect, RequestError, Response, retry_after
+from ryepier.sidecar.request_parsing import READINESS_PATH, Dialect, RequestError, Response, retry_after
 from ryepier.sidecar.requests import ClientRequest, FinalAnswer, Header
 
 log = logging.getLogger(__name__)
@@ -249,7 +249,7 @@
             raise RequestError(400, "not HTTP/1.1")
         if not self.parser.should_keep_alive():
             self.closes_after_response = True
-        if reader.target == b"/up" and method == b"GET":
+        if reader.target == READINESS_PATH and method == b"GET":
             self.write(Response(200 if self.server.is_ready else 503))
             return
         request = self.server.dialect.parse(method, reader.target, reader.headers, bytes(reader.body))
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -18,6 +18,12 @@
 STATES = {"active": UpstreamState.READY, "leaving": UpstreamState.DRAINING, "left": UpstreamState.REMOVED}
 
 
+def watch_request(address: Address, version: int) -> bytes:
+    """Return the call for changes of the list since `version`; 0 = for the complete list first."""
+    host, port = address
+    return b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (version, host.encode(), port)
+
+
 def parse_endpoint(text: str) -> Address:
     """Return the address of `IPv4:port`. Raises ValueError: a name would be looked up, and a port out of range would
     let each attempt run into its timeout."""
@@ -35,7 +41,7 @@
 
 
 class EndpointRegistry:
-    """Turns discovery's entries into the module's."""
+    """Converts discovery's entries to those of the decision module."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         """Start empty, with the names of zones and kinds of the settings."""
--- a/ryepier/sidecar/endpoint_watch.py
+++ b/ryepier/sidecar/endpoint_watch.py
@@ -10,6 +10,7 @@
 
 import httptools
 
+from ryepier.sidecar.endpoint_registry import watch_request
 from ryepier.sidecar.json_stream import JsonStreamDecoder
 from ryepier.sidecar.requests import Address
 
@@ -72,12 +73,8 @@
             transport.abort()
             return
         self.state = WatchState.WAITING
-        host, port = self.client.address
         log.info("endpoint watch opened since version %d", self.client.version)
-        transport.write(
-            b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n"
-            % (self.client.version, host.encode(), port)
-        )
+        transport.write(watch_request(self.client.address, self.client.version))
 
     def data_received(self, data: bytes) -> None:
         """Read bytes of the stream."""
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -13,6 +13,19 @@
 from ryepier.sidecar.requests import ClientRequest, FinalAnswer, FinalOutcome, Header
 from ryepier.sidecar.system import clock_us
 
+# Names of the platform's protocol for HTTP
+READINESS_PATH = b"/up"
+CLASS_HEADER = b"x-class"
+COST_HEADER = b"x-cost-hint"
+DEADLINE_HEADER = b"x-deadline-ms"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+KEY_HEADER = b"x-key"
+NOT_RUN_HEADER = b"x-not-run"  # of a response: 1 = the request was rejected before it ran
+REQUEST_ID_HEADER = b"x-request-id"
+RETRY_HEADER = b"x-retry"
+TENANT_HEADER = b"x-tenant"
+DEADLINE_LINE = b"X-Deadline-Ms: %d"  # header of an attempt
+
 MAX_DIGITS = 9  # of a header's integer
 LATIN_1_SIZE = 256  # characters
 HOP_HEADERS = frozenset(
@@ -27,7 +40,7 @@
         b"expect",
         b"content-length",
         b"transfer-encoding",
-        b"x-deadline-ms",
+        DEADLINE_HEADER,
     )
 )
 # headers that must not be repeated: the upstream might go by the other one
@@ -35,21 +48,21 @@
     (
         b"host",
         b"content-length",
-        b"x-request-id",
-        b"x-class",
-        b"x-tenant",
-        b"x-key",
-        b"x-deadline-ms",
-        b"x-retry",
-        b"x-cost-hint",
+        REQUEST_ID_HEADER,
+        CLASS_HEADER,
+        TENANT_HEADER,
+        KEY_HEADER,
+        DEADLINE_HEADER,
+        RETRY_HEADER,
+        COST_HEADER,
         b"x-extras",
-        b"idempotency-key",
+        IDEMPOTENCY_KEY_HEADER,
     )
 )
 IDENTIFIER = re.compile(rb"[!-~]{1,128}")
 HEADER_VALUE = re.compile(rb"[\t -~]*")
 NAME_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
-NAME_HEADERS = frozenset((b"x-class", b"x-tenant"))  # their values are names of the settings, in any language
+NAME_HEADERS = frozenset((CLASS_HEADER, TENANT_HEADER))  # their values are names of the settings, in any language
 
 
 class Response(NamedTuple):
@@ -132,7 +145,7 @@
     def find(self, headers: Mapping[bytes, bytes]) -> int:
         """Return the index of a request's tenant. A request without a known tenant must not count against a known
         one: its index is one beyond."""
-        return self.indexes.get(headers.get(b"x-tenant", b""), self.unknown)
+        return self.indexes.get(headers.get(TENANT_HEADER, b""), self.unknown)
 
 
 class PlatformDialect:
@@ -149,14 +162,14 @@
         close on it would cost their connections and the requests behind."""
         found = parse_headers(headers, SINGLE_HEADERS)
         index = self._class_index(target, found)
-        if not IDENTIFIER.fullmatch(found.get(b"x-request-id", b"")):
+        if not IDENTIFIER.fullmatch(found.get(REQUEST_ID_HEADER, b"")):
             raise RequestError(400, "no X-Request-Id")
         request_class = self.settings.classes[index]
         self._check_method(request_class.idempotency, method, body)
         self._check_idempotency_key(request_class.idempotency, found)
-        key = found.get(b"x-key")
-        cost = found.get(b"x-cost-hint")
-        deadline_us = 1000 * parse_integer(found.get(b"x-deadline-ms", b""), "X-Deadline-Ms")
+        key = found.get(KEY_HEADER)
+        cost = found.get(COST_HEADER)
+        deadline_us = 1000 * parse_integer(found.get(DEADLINE_HEADER, b""), "X-Deadline-Ms")
         return ClientRequest(
             method,
             target,
@@ -165,18 +178,18 @@
             clock_us(),
             deadline_us=min(deadline_us, request_class.deadline_us),  # bounds how long a request stays open
             class_index=index,
-            request_id=found[b"x-request-id"],
+            request_id=found[REQUEST_ID_HEADER],
             tenant=self.tenants.find(found),
             key=stable_hash(key) if key else 0,
             cost_us=parse_integer(cost, "X-Cost-Hint") if cost else 0,
-            retried=found.get(b"x-retry") == b"1",
+            retried=found.get(RETRY_HEADER) == b"1",
         )
 
     def _class_index(self, target: bytes, found: Mapping[bytes, bytes]) -> int:
         path = target.partition(b"?")[0]
         name = path[1:].split(b"/")[0]
         index = self.classes.get(name) if path.startswith(b"/") and b"#" not in target else None
-        if index is None or self.classes.get(found.get(b"x-class", b"")) != index:
+        if index is None or self.classes.get(found.get(CLASS_HEADER, b"")) != index:
             raise RequestError(404, "unknown class")
         return index
 
@@ -190,9 +203,9 @@
     @staticmethod
     def _check_idempotency_key(idempotency: Idempotency, found: Mapping[bytes, bytes]) -> None:
         if idempotency is Idempotency.IDEMPOTENCY_KEY:
-            if not IDENTIFIER.fullmatch(found.get(b"idempotency-key", b"")):
+            if not IDENTIFIER.fullmatch(found.get(IDEMPOTENCY_KEY_HEADER, b"")):
                 raise RequestError(400, "no Idempotency-Key")
-        elif b"idempotency-key" in found:
+        elif IDEMPOTENCY_KEY_HEADER in found:
             raise RequestError(400, "an Idempotency-Key, but not for this class")
 
     @staticmethod
--- a/ryepier/sidecar/upstream_attempt.py
+++ b/ryepier/sidecar/upstream_attempt.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from ryepier.sidecar.request_parsing import DEADLINE_LINE
 from ryepier.sidecar.requests import Address, AttemptResult, ClientRequest
 from ryepier.sidecar.system import clock_us
 
@@ -14,7 +15,7 @@
     host = f"[{address[0]}]" if ":" in address[0] else address[0]
     lines = [b"%s %s HTTP/1.1\r\nHost: %s:%d" % (request.method, request.target, host.encode(), address[1])]
     lines.extend([b"%s: %s" % header for header in request.headers])
-    lines.append(b"X-Deadline-Ms: %d" % max(1, remaining_us // 1000))
+    lines.append(DEADLINE_LINE % max(1, remaining_us // 1000))
     if request.method != b"GET" or request.body:
         lines.append(b"Content-Length: %d" % len(request.body))
     return b"\r\n".join(lines) + b"\r\n\r\n"
--- a/ryepier/sidecar/upstream_connection.py
+++ b/ryepier/sidecar/upstream_connection.py
@@ -13,6 +13,7 @@
 
 from ryepier.balancer.interface import Outcome
 from ryepier.errors import RyepierError
+from ryepier.sidecar.request_parsing import NOT_RUN_HEADER
 from ryepier.sidecar.requests import AttemptResult
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 
@@ -82,7 +83,7 @@
         name = name.lower()
         if name == b"content-length" and int(value) > MAX_BODY_BYTES:
             raise ResponseTooLongError
-        if name == b"x-not-run":
+        if name == NOT_RUN_HEADER:
             self.not_run = value.strip() == b"1"
         elif name == b"content-type":
             self.content_type = value
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -318,7 +318,8 @@
         if response.failure is None and response.status not in (0, 200):
             status = api_objects.read_status(bytes(response.body))
             return self.reflector.on_failure(
-                now_us, Failure(status.message or status.reason or "refused", response.status, response.retry_after_s)
+                now_us,
+                Failure(status.message or status.reason or "no reason given", response.status, response.retry_after_s),
             )
         reason = (
             str(response.failure) or type(response.failure).__name__
--- a/ryepier/slices/api_objects.py
+++ b/ryepier/slices/api_objects.py
@@ -14,6 +14,9 @@
 EVENTS = ("ADDED", "MODIFIED", "DELETED", "BOOKMARK", "ERROR")
 
 
+SERVICE_LABEL = "kubernetes.io/service-name"
+
+
 class SliceError(RyepierError):
     """Input that is no EndpointSlice, no list of them, or no event of a watch."""
 
@@ -145,6 +148,27 @@
     metadata: ListMetadata
 
 
+def list_query(service: str, page_size: int | None, more: str) -> dict[str, str]:
+    """Return the query of a list of a service's slices; `more` is the token of a further page, None no page size."""
+    query = {"labelSelector": f"{SERVICE_LABEL}={service}"}
+    if page_size is not None:
+        query["limit"] = str(page_size)
+    if more:
+        query["continue"] = more
+    return query
+
+
+def watch_query(service: str, version: str, timeout_s: int) -> dict[str, str]:
+    """Return the query of a watch of a service's slices since a resource version."""
+    return {
+        "labelSelector": f"{SERVICE_LABEL}={service}",
+        "watch": "true",
+        "allowWatchBookmarks": "true",
+        "resourceVersion": version,
+        "timeoutSeconds": str(timeout_s),
+    }
+
+
 def read_list(data: bytes) -> SliceList:
     """Return a page. Raises SliceError."""
     page: SliceList = _read(data, SliceList)
--- a/ryepier/slices/reflector.py
+++ b/ryepier/slices/reflector.py
@@ -14,9 +14,8 @@
 from typing import Literal
 from urllib.parse import quote, urlencode
 
-from ryepier.slices.api_objects import Slice, SliceList, WatchEvent
+from ryepier.slices.api_objects import Slice, SliceList, WatchEvent, list_query, watch_query
 
-SERVICE_LABEL = "kubernetes.io/service-name"
 PAGE_SIZE = 50  # slices, of 100 endpoints each: about 2 MB
 FIRST_BACKOFF_US = 200_000
 MAX_BACKOFF_US = 10_000_000
@@ -86,7 +85,7 @@
     def __init__(self, namespace: str, service: str, random: Random, watch_s: int = 60) -> None:
         """Prepare to follow a service; a watch lasts `watch_s` seconds."""
         self.path = f"/apis/discovery.k8s.io/v1/namespaces/{quote(namespace, safe='')}/endpointslices"
-        self.selector = f"{SERVICE_LABEL}={service}"
+        self.service = service
         self.random = random
         self.watch_s = watch_s
         self.version = ""  # of the next watch; empty: list first
@@ -167,19 +166,9 @@
         return [Problem(f"{status}{failure.reason}; retry in {backoff_us / 1e6:.1f} s"), Wait(now_us + backoff_us)]
 
     def _list(self, more: str = "") -> Call:
-        query = {"labelSelector": self.selector}
-        if self.uses_pages:
-            query["limit"] = str(PAGE_SIZE)
-        if more:
-            query["continue"] = more
+        query = list_query(self.service, PAGE_SIZE if self.uses_pages else None, more)
         return Call(f"{self.path}?{urlencode(query)}", "list")
 
     def _watch(self) -> Call:
-        query = {
-            "labelSelector": self.selector,
-            "watch": "true",
-            "allowWatchBookmarks": "true",
-            "resourceVersion": self.version,
-            "timeoutSeconds": str(self.watch_s),
-        }
+        query = watch_query(self.service, self.version, self.watch_s)
         return Call(f"{self.path}?{urlencode(query)}", "watch")
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -6,6 +6,7 @@
 import graphlib
 import importlib
 import re
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -68,3 +69,61 @@
 def test_an_import_for_type_checking_counts() -> None:
     text = "if TYPE_CHECKING:\n    from ryepier.balancer import events\nfrom ryepier.errors import RyepierError"
     assert imported_modules(text) == {"ryepier.balancer.events", "ryepier.errors"}
+
+
+EDGE_PACKAGES = ("balancer", "sidecar", "plan", "storm", "slices", "graphql", "conf")
+EDGE_ROWS = re.findall(r"^\| `([^`]+)` \| [^|]+ \| `(\w+\.\w+)` \|$", PAGE.split("## Names at the edge")[1], re.M)
+
+
+def string_literals(text: str) -> Iterator[str]:
+    """Yield the strings of a module in lower case, also bytes and the parts of f-strings; not the docstrings."""
+    tree = ast.parse(text)
+    documented = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
+    docstrings = {
+        id(node.body[0].value)
+        for node in ast.walk(tree)
+        if isinstance(node, documented) and isinstance(node.body[0], ast.Expr)
+    }
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Constant) and id(node) not in docstrings:
+            if isinstance(node.value, str):
+                yield node.value.lower()
+            elif isinstance(node.value, bytes):
+                yield node.value.decode("latin-1").lower()
+
+
+def edge_names_in(text: str) -> set[str]:
+    """Return the names of the table that a module holds as a string, or as a part of a path, query or header."""
+    found = set()
+    for literal in string_literals(text):
+        found.add(literal)
+        found |= set(re.split(r"[.?&=: ]", literal)) if "=" in literal or " " not in literal else set()
+        found |= set(re.findall(r"^[\w-]+(?=: )", literal))
+    return found & {name for name, _ in EDGE_ROWS}
+
+
+def test_each_name_of_the_edge_is_mapped_where_the_table_says() -> None:
+    assert len(EDGE_ROWS) >= 70 and len(set(EDGE_ROWS)) == len(EDGE_ROWS)
+    missing = [
+        (name, module)
+        for name, module in EDGE_ROWS
+        if name not in edge_names_in(MODULES[f"ryepier.{module}"].read_text())
+    ]
+    assert missing == []
+
+
+def test_no_other_module_holds_a_name_of_the_edge() -> None:
+    mapped = {(f"ryepier.{module}", name) for name, module in EDGE_ROWS}
+    found = {
+        (module, name)
+        for module, path in MODULES.items()
+        if module.split(".")[1:2] and module.split(".")[1] in EDGE_PACKAGES
+        for name in edge_names_in(path.read_text())
+    }
+    assert found - mapped == set()
+
+
+def test_a_name_of_the_edge_is_found_in_any_string() -> None:
+    assert edge_names_in('read(raw, f"settings.bounds.conn-idle", x)') == {"conn-idle"}
+    assert edge_names_in('x = b"X-Deadline-Ms: %d"') == {"x-deadline-ms"}
+    assert edge_names_in('"""aim"""\nx = "the aim of it"') == set()
