--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -20,7 +20,16 @@
 from pathlib import Path
 from typing import Any
 
-from tests.network_peers import PATIENCE_S, SETTINGS, Discovery, Upstream, configuration, numbers, read_message, request
+from tests.network_peers import (
+    HANG_TIMEOUT_S,
+    SETTINGS,
+    Discovery,
+    Upstream,
+    read_message,
+    request,
+    request_numbers,
+    write_configuration,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 LATEST_S = 0.5  # an answer that comes so long after the request's time, or later, is none
@@ -164,7 +173,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         self.name = name
         self.mistake = mistake
-        self.path = configuration(
+        self.path = write_configuration(
             folder, name=name, discovery=f"127.0.0.1:{agent.port}", known=known, settings=settings
         )
         self.port = int(json.loads(self.path.read_text())["listen"].split(":")[1])
@@ -180,7 +189,7 @@
             env=os.environ | {"BALANCER_CONFIG": str(self.path)},
             stderr=self.log,
         )
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
                 try:
                     (await asyncio.open_connection("127.0.0.1", self.port))[1].close()
@@ -206,7 +215,7 @@
     async def ended(self) -> int:
         """Its exit code, once it has ended."""
         assert self.process is not None
-        return await asyncio.to_thread(self.process.wait, PATIENCE_S)
+        return await asyncio.to_thread(self.process.wait, HANG_TIMEOUT_S)
 
     def kill(self) -> None:
         """End it in any case."""
@@ -252,7 +261,7 @@
 
     async def begin(self, sidecar: SidecarProcess, kind: str, cuts: Sequence[int] = (), body: bytes = b"") -> Exchange:
         """Send the first piece of a request that is cut at these places; all of it if there are none."""
-        ident = f"{sidecar.name}-{next(numbers)}"
+        ident = f"{sidecar.name}-{next(request_numbers)}"
         data = request(kind, ident, body, deadline_ms=int(DEADLINE_S * 1000))
         edges = [0, *cuts, len(data)]
         pieces = [data[begin:end] for begin, end in itertools.pairwise(edges)]
@@ -268,7 +277,7 @@
             exchange.send_next()
         self.answers.append(asyncio.create_task(exchange.answer()))
 
-    async def ask(self, sidecar: SidecarProcess, kind: str) -> None:
+    async def fetch(self, sidecar: SidecarProcess, kind: str) -> None:
         """Send a whole request."""
         self.finish(await self.begin(sidecar, kind))
 
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -19,7 +19,7 @@
 from ryepier.sidecar.config import Config
 from ryepier.sidecar.serving import serve
 
-PATIENCE_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
+HANG_TIMEOUT_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
 ATTEMPT_TIMEOUT_US = 60_000_000  # longer than any test takes
 FIRST_PORT = 10_000
 PORTS_PER_WORKER = 700
@@ -30,7 +30,7 @@
 Script = Callable[["Upstream", int, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def classes() -> list[RequestClass]:
+def request_classes() -> list[RequestClass]:
     return [
         RequestClass("read", latency_objective_us=1_000_000, deadline_us=20_000_000, late_weight=0.5),
         RequestClass(
@@ -93,7 +93,7 @@
             self.server.close()
 
 
-def answering(*answers: bytes) -> Script:
+def respond_in_turn(*answers: bytes) -> Script:
     """Gives these answers in turn, the last one ever after; an empty one breaks the connection."""
 
     async def script(
@@ -109,24 +109,26 @@
     return script
 
 
-async def silent(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def never_respond(
+    upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     await reader.read()
     raise ConnectionResetError
 
 
-def holding(let: asyncio.Event) -> Script:
+def respond_after(released: asyncio.Event) -> Script:
     """Answers once it is let."""
 
     async def script(
         upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        await let.wait()
+        await released.wait()
         writer.write(OK)
 
     return script
 
 
-def entry(uid: str, port: int, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
+def endpoint_entry(uid: str, port: int, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -139,7 +141,7 @@
     }
 
 
-def listing(*entries: dict[str, Any], rev: int = 1, full: bool = True) -> dict[str, Any]:
+def endpoint_list(*entries: dict[str, Any], rev: int = 1, full: bool = True) -> dict[str, Any]:
     return {"rev": rev, "all": full, "targets": list(entries)}
 
 
@@ -170,7 +172,7 @@
 
     async def watched(self) -> None:
         """Until there is a new watch."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             await self.called.wait()
         self.called.clear()
 
@@ -245,7 +247,7 @@
 }
 
 
-def configuration(folder: Path, **changes: Any) -> Path:
+def write_configuration(folder: Path, **changes: Any) -> Path:
     path = folder / "config.json"
     whole = {
         "name": "n0",
@@ -254,13 +256,13 @@
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": SETTINGS,
-        "known": listing(entry("u", 1)),
+        "known": endpoint_list(endpoint_entry("u", 1)),
     }
     path.write_text(json.dumps(whole | changes))
     return path
 
 
-numbers = itertools.count(1000)
+request_numbers = itertools.count(1000)
 
 
 def request(
@@ -268,7 +270,7 @@
 ) -> bytes:
     """A request as the application sends it, with an id of its own if none is given."""
     method = "GET" if kind == "read" else "POST"
-    ident = str(next(numbers)) if ident is None else ident
+    ident = str(next(request_numbers)) if ident is None else ident
     key = "Idempotency-Key: k\r\n" if kind == "mark" else ""
     length = "" if kind == "read" else f"Content-Length: {len(body)}\r\n"
     return (
@@ -289,12 +291,12 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def ask(self, data: bytes) -> tuple[bytes, bytes]:
+    async def fetch(self, data: bytes) -> tuple[bytes, bytes]:
         """One request on a connection of its own; head and body of the answer."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 return await read_message(reader)
         finally:
             writer.close()
@@ -312,19 +314,19 @@
     """A sidecar whose known list holds these upstreams."""
     for upstream in upstreams:
         await upstream.start()
-    agent = None if discovery is not None else Discovery(first=listing(rev=1, full=False))
+    agent = None if discovery is not None else Discovery(first=endpoint_list(rev=1, full=False))
     for each in (discovery, agent):
         if each is not None:
             await each.start()
     values: dict[str, Any] = {
-        "classes": classes(),
+        "classes": request_classes(),
         "max_attempts": 4,
         "connect_timeout_us": 10_000_000,
         "max_retry_after_us": 1_000_000,
         "polls_endpoints": discovery is not None,
         "max_poll_interval_us": 10_000_000,
     }
-    known = known or listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+    known = known or endpoint_list(*(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     port, stop, reload = free_port(), asyncio.Event(), asyncio.Event()
     config = Config(
         listen=("127.0.0.1", port),
@@ -340,7 +342,7 @@
     )
     task = asyncio.create_task(serve(config, stop, reload))
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
                 try:
                     _, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -360,24 +362,24 @@
                 each.stop()
 
 
-def status(answer: tuple[bytes, bytes]) -> int:
+def status_of(answer: tuple[bytes, bytes]) -> int:
     return int(answer[0].split(b" ")[1])
 
 
-def run(test: Callable[[], Awaitable[None]]) -> None:
+def run_async(test: Callable[[], Awaitable[None]]) -> None:
     """One test, with a bound on its time."""
 
     async def limited() -> None:
-        async with asyncio.timeout(3 * PATIENCE_S):
+        async with asyncio.timeout(3 * HANG_TIMEOUT_S):
             await test()
 
     asyncio.run(limited())
 
 
-async def is_rejected(data: bytes, expected: int) -> None:
+async def check_rejected(data: bytes, expected: int) -> None:
     """Check that such bytes get an error of this status and the end of their connection, that nothing of them goes on,
     and that the sidecar serves after it."""
-    upstream = Upstream(answering(OK))
+    upstream = Upstream(respond_in_turn(OK))
     async with sidecar(upstream) as it:
         reader, writer = await it.connect()
         writer.write(data)
@@ -385,31 +387,31 @@
         writer.close()
         assert int(answer.split(b" ")[1]) == expected and b"Connection: close" in answer
         assert upstream.requests == []
-        assert status(await it.ask(request())) == 200
+        assert status_of(await it.fetch(request())) == 200
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until it holds."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(HANG_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 @dataclass
-class HeldDials:
+class DelayedConnections:
     """Connections to an upstream that come up once they are let."""
 
-    let: asyncio.Event = field(default_factory=asyncio.Event)
-    begun: int = 0
+    released: asyncio.Event = field(default_factory=asyncio.Event)
+    started: int = 0
 
-    def hold(self, upstream: Upstream, patch: pytest.MonkeyPatch) -> None:
+    def delay(self, upstream: Upstream, patch: pytest.MonkeyPatch) -> None:
         """From now on, those that are not up yet."""
         connect = asyncio.SelectorEventLoop.sock_connect
 
         async def late(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
             if address[1] == upstream.port:
-                self.begun += 1
-                await self.let.wait()
+                self.started += 1
+                await self.released.wait()
             await connect(loop, sock, address)
 
         patch.setattr(asyncio.SelectorEventLoop, "sock_connect", late)
--- a/tests/sim_trace.py
+++ b/tests/sim_trace.py
@@ -17,7 +17,7 @@
 from ryepier.sidecar.config import load
 from ryepier.sidecar.serving import serve
 from ryepier.sim.run import SimLoop, simulate
-from tests.network_peers import SETTINGS, configuration, listing, read_message
+from tests.network_peers import SETTINGS, endpoint_list, read_message, write_configuration
 
 CLASSES = [
     {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "at_most_once", "worth": 10.0},
@@ -50,7 +50,7 @@
         self.served = 0
         self.config = load(
             str(
-                configuration(
+                write_configuration(
                     folder, known=None, settings=SETTINGS | {"request-classes": CLASSES, "registry-mode": "pushed"}
                 )
             )
@@ -76,10 +76,10 @@
     async def discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        first = listing(*(target(number) for number in range(1, 5)))
+        first = endpoint_list(*(target(number) for number in range(1, 5)))
         for after_s, lines in (
             (0.0, first),
-            (1.0, listing(target(2, "leaving"), rev=2, full=False)),
+            (1.0, endpoint_list(target(2, "leaving"), rev=2, full=False)),
             (2.0, None),
             (4.0, None),
         ):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,14 +11,14 @@
 from tests.network_peers import (
     OK,
     Upstream,
-    answering,
-    is_rejected,
+    check_rejected,
     read_message,
     request,
-    run,
+    respond_in_turn,
+    run_async,
     sidecar,
-    status,
-    until,
+    status_of,
+    wait_until,
 )
 
 
@@ -58,12 +58,12 @@
     ],
 )
 def test_input_that_is_not_taken_gets_an_error_and_the_end_of_its_connection(data: bytes, expected: int) -> None:
-    run(lambda: is_rejected(data, expected))
+    run_async(lambda: check_rejected(data, expected))
 
 
 def test_of_pipelined_requests_the_first_is_served_and_the_next_turned_away() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as it:
             reader, writer = await it.connect()
             writer.write(request(ident="1") + request(ident="2"))
@@ -72,7 +72,7 @@
         assert [part[:3] for part in answers.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
         assert len(upstream.requests) == 1
 
-    run(test)
+    run_async(test)
 
 
 def test_the_id_of_another_open_request_does_not_go_out_again() -> None:
@@ -89,15 +89,15 @@
         async with sidecar(*upstreams) as it:
             reader, writer = await it.connect()
             writer.write(request("pay", "7"))
-            await until(lambda: any(upstream.requests for upstream in upstreams))
-            assert status(await it.ask(request("mark", "7"))) == 409
+            await wait_until(lambda: any(upstream.requests for upstream in upstreams))
+            assert status_of(await it.fetch(request("mark", "7"))) == 409
             held.set()
-            assert status(await read_message(reader)) == 200
-            assert status(await it.ask(request("mark", "7"))) == 409  # nor soon after
+            assert status_of(await read_message(reader)) == 200
+            assert status_of(await it.fetch(request("mark", "7"))) == 409  # nor soon after
             writer.close()
         assert sum(len(upstream.requests) for upstream in upstreams) == 1
 
-    run(test)
+    run_async(test)
 
 
 def test_ids_are_forgotten_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -118,19 +118,19 @@
     monkeypatch.setitem(client_connection.STATE_TIMEOUTS_S, client_connection.ClientState.NEW, 0.2)
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:
             reader, writer = await it.connect()
             writer.write(part)
             answer = await reader.read()
             assert answer.startswith(b"HTTP/1.1 408 ") if part else answer == b""
             writer.close()
 
-    run(test)
+    run_async(test)
 
 
 def test_a_peer_whose_first_request_drips_is_ended_within_three_seconds() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:
             reader, writer = await it.connect()
             began = asyncio.get_running_loop().time()
             answer = asyncio.create_task(reader.read())
@@ -143,23 +143,23 @@
             assert asyncio.get_running_loop().time() - began < 3.0
             writer.close()
 
-    run(test)
+    run_async(test)
 
 
 def test_a_long_time_is_cut_to_that_of_the_class() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream, classes=[RequestClass("read", 100_000, 5_000_000)]) as it:
-            assert status(await it.ask(request(deadline_ms=999_999_999))) == 200
+            assert status_of(await it.fetch(request(deadline_ms=999_999_999))) == 200
         head = upstream.requests[0][0]
         assert int(head.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0]) <= 5_000
 
-    run(test)
+    run_async(test)
 
 
 def test_what_comes_behind_an_error_is_not_read_on() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:
             reader, writer = await it.connect()
             writer.write(request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"))
             assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 413 ")
@@ -173,34 +173,34 @@
                 pass
             assert sent < 30_000_000  # what fits into the buffers of both ends
 
-    run(test)
+    run_async(test)
 
 
 def test_in_a_crowd_the_first_answer_on_a_connection_is_its_last() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
             first = await it.connect()
             first[1].write(request())
             assert b"Connection: close" not in (await read_message(first[0]))[0]
             silent_ones = [await it.connect() for _ in range(60)]
-            assert b"Connection: close" in (await it.ask(request()))[0]
+            assert b"Connection: close" in (await it.fetch(request()))[0]
             first[1].write(request())  # one that is in use stays
             assert b"Connection: close" not in (await read_message(first[0]))[0]
             for _, writer in (first, *silent_ones):
                 writer.close()
 
-    run(test)
+    run_async(test)
 
 
 def test_the_connection_used_last_stays_when_room_is_made() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
             first = await it.connect()
             others = [await it.connect() for _ in range(90)]
 
             async def use(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-                assert status(await read_message(reader)) == 200
+                assert status_of(await read_message(reader)) == 200
 
             for each in (*others, first):
                 await use(*each)
@@ -212,16 +212,16 @@
             for _, writer in (first, *others):
                 writer.close()
 
-    run(test)
+    run_async(test)
 
 
 def test_many_idle_clients_make_room_for_new_ones() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:  # 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
             idle = [await it.connect() for _ in range(150)]
-            assert status(await it.ask(request())) == 200
+            assert status_of(await it.fetch(request())) == 200
             assert await idle[0][0].read() == b""
             for _, writer in idle:
                 writer.close()
 
-    run(test)
+    run_async(test)
--- a/tests/test_chunked_requests.py
+++ b/tests/test_chunked_requests.py
@@ -6,7 +6,17 @@
 
 import pytest
 
-from tests.network_peers import OK, Upstream, answering, is_rejected, read_message, request, run, sidecar, status
+from tests.network_peers import (
+    OK,
+    Upstream,
+    check_rejected,
+    read_message,
+    request,
+    respond_in_turn,
+    run_async,
+    sidecar,
+    status_of,
+)
 
 LENGTH = b"Content-Length: 0"
 CHUNKED = b"Transfer-Encoding: chunked"
@@ -32,12 +42,12 @@
 @pytest.mark.parametrize("coding", [CHUNKED, b"transfer-encoding:  Chunked "])
 def test_a_request_in_chunks_goes_on_with_its_length(framed: bytes, body: bytes, coding: bytes) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as it:
             reader, writer = await it.connect()
             for ident in ("1", "2"):  # the next request on the connection begins where the chunks end
                 writer.write(chunked(framed, ident, coding))
-                assert status(await read_message(reader)) == 200
+                assert status_of(await read_message(reader)) == 200
             writer.close()
         for head, sent in upstream.requests:
             assert sent == body and b"Content-Length: %d\r\n" % len(body) in head
@@ -45,22 +55,22 @@
             assert b"X-Class: pay\r\n" in head
         assert [b"X-Request-Id: %d\r\n" % n in head for n, (head, _) in enumerate(upstream.requests, 1)] == [True] * 2
 
-    run(test)
+    run_async(test)
 
 
 def test_chunks_may_come_byte_by_byte() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as it:
             reader, writer = await it.connect()
             for byte in chunked(b"3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-Note: t\r\n\r\n"):
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
-            assert status(await read_message(reader)) == 200
+            assert status_of(await read_message(reader)) == 200
             writer.close()
         assert [body for _, body in upstream.requests] == [b"abcde"]
 
-    run(test)
+    run_async(test)
 
 
 MOST_BYTES = 1 << 20  # more than any request may take
@@ -91,17 +101,17 @@
     ],
 )
 def test_other_codings_and_broken_chunks_get_an_error_and_the_end(data: bytes, expected: int) -> None:
-    run(lambda: is_rejected(data, expected))
+    run_async(lambda: check_rejected(data, expected))
 
 
 def test_a_request_in_chunks_is_served_whatever_version_comes_behind_it() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as it:
             reader, writer = await it.connect()
             writer.write(chunked(b"0\r\n\r\n") + request("pay", "2").replace(b"HTTP/1.1", b"HTTP/1.0"))
-            assert status(await read_message(reader)) == 200
+            assert status_of(await read_message(reader)) == 200
             writer.close()
         assert len(upstream.requests) == 1
 
-    run(test)
+    run_async(test)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -21,17 +21,17 @@
 from tests.network_peers import (
     NOT_RUN,
     OK,
-    HeldDials,
+    DelayedConnections,
     Sidecar,
     Upstream,
-    entry,
-    listing,
+    endpoint_entry,
+    endpoint_list,
     read_message,
     request,
-    run,
+    run_async,
     sidecar,
-    status,
-    until,
+    status_of,
+    wait_until,
 )
 from tests.test_race_conditions import taken
 
@@ -49,7 +49,7 @@
     """Keeps its requests while it is told to, and counts attempts by their first bytes."""
 
     keeps: bool = True
-    begun: int = 0
+    started: int = 0
     kept: list[asyncio.StreamWriter] = field(default_factory=list)
     first: socket.socket | None = None  # of the client whose request it keeps
 
@@ -57,7 +57,7 @@
         self.connections += 1
         try:
             while byte := await reader.read(1):
-                self.begun += 1
+                self.started += 1
                 head, body = await read_message(reader)
                 self.requests.append((byte + head, body))
                 await self.script(self, len(self.requests) - 1, reader, writer)
@@ -132,24 +132,24 @@
 async def nothing_more(it: Sidecar, converter: Converter, *idents: int) -> None:
     """Another's request goes through, and it alone."""
     await asyncio.sleep(0.05)
-    assert status(await it.ask(request("pay", "99"))) == 200
+    assert status_of(await it.fetch(request("pay", "99"))) == 200
     await asyncio.sleep(0.05)
-    assert converter.idents() == [*idents, 99] and converter.begun == len(idents) + 1
+    assert converter.idents() == [*idents, 99] and converter.started == len(idents) + 1
 
 
 async def idle_connection(it: Sidecar, converter: Converter, patch: pytest.MonkeyPatch) -> None:
     """One comes to be that the next attempt but one goes out on at once: its own client left while it came up."""
-    held = HeldDials()
+    held = DelayedConnections()
     with patch.context() as patched:
-        held.hold(converter, patched)
+        held.delay(converter, patched)
         sock = connected(it, request("pay", "0"))
-        await until(lambda: held.begun == 1)
+        await wait_until(lambda: held.started == 1)
         sock.close()
         await asyncio.sleep(0.05)
         first = connected(it, request("pay", "1"))
-        await until(lambda: held.begun == 2)
-        held.let.set()
-        await until(lambda: len(converter.kept) == 1)
+        await wait_until(lambda: held.started == 2)
+        held.released.set()
+        await wait_until(lambda: len(converter.kept) == 1)
     first.setblocking(False)
     converter.first = first
     await asyncio.sleep(0.05)  # what has come up just now is not used yet
@@ -159,7 +159,7 @@
 async def waiting(it: Sidecar, converter: Converter, calls: list[ClientRequest]) -> socket.socket:
     """Request 1 has the only slot, and request 2 the buffer place."""
     sock = connected(it, request("pay", "2"))
-    await until(lambda: b"2" in [call.request_id for call in calls])
+    await wait_until(lambda: b"2" in [call.request_id for call in calls])
     assert converter.idents() == [1]
     return sock
 
@@ -184,7 +184,7 @@
             await nothing_more(it, converter, 1)
             sock.close()
 
-    run(test)
+    run_async(test)
 
 
 def test_nothing_is_sent_for_a_client_whose_reading_is_paused(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -200,27 +200,27 @@
                 converter.answer(OK)  # it is there still, and its end could not be seen
                 await nothing_more(it, converter, 1)
 
-    run(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("leave", LEAVES)
 def test_nothing_is_sent_by_a_dial_for_a_client_seen_to_go(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    held = HeldDials()
+    held = DelayedConnections()
 
     async def test() -> None:
         converter = Converter(by_hand)
         async with sidecar(converter, classes=KINDS) as it:
-            held.hold(converter, monkeypatch)
+            held.delay(converter, monkeypatch)
             sock = connected(it, request("pay", "2"))
-            await until(lambda: held.begun == 1)
+            await wait_until(lambda: held.started == 1)
             leave(sock)
             await asyncio.sleep(GONE_S)
-            held.let.set()
+            held.released.set()
             await asyncio.sleep(GONE_S)
-            assert converter.connections == 1 and converter.begun == 0
+            assert converter.connections == 1 and converter.started == 0
             sock.close()
 
-    run(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("leave", LEAVES)
@@ -238,16 +238,16 @@
         converter = Converter(by_hand)
         async with sidecar(converter, classes=KINDS) as it:
             sock = connected(it, request("pay", "1"))
-            await until(lambda: len(converter.kept) == 1)
+            await wait_until(lambda: len(converter.kept) == 1)
             converter.answer(NOT_RUN)
-            await until(lambda: ended == [0])
-            assert converter.begun == 1  # it rests before the reissue
+            await wait_until(lambda: ended == [0])
+            assert converter.started == 1  # it rests before the reissue
             leave(sock)
             await asyncio.sleep(REST_S)
             await nothing_more(it, converter, 1)
             sock.close()
 
-    run(test)
+    run_async(test)
 
 
 def test_what_is_written_in_part_is_not_written_on_for_a_client_that_has_gone(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -265,12 +265,12 @@
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # it holds no whole request
             listener.bind(("127.0.0.1", 0))
             listener.listen()
-            known = listing(entry("u0", listener.getsockname()[1]))
+            known = endpoint_list(endpoint_entry("u0", listener.getsockname()[1]))
             async with sidecar(known=known, classes=KINDS) as it:
                 sock = connected(it, request("pay", "2", body=b"x" * 64_000))
                 converter = await asyncio.to_thread(lambda: listener.accept()[0])
                 # hazard: the sidecar shares this loop, so to wait for its bytes here would keep it from writing them
-                await until(lambda: bool(select.select([converter], [], [], 0)[0]))
+                await wait_until(lambda: bool(select.select([converter], [], [], 0)[0]))
                 sock.close()
                 await asyncio.sleep(GONE_S)
                 converter.settimeout(1)
@@ -280,7 +280,7 @@
                 assert 0 < got < 64_000
                 converter.close()
 
-    run(test)
+    run_async(test)
 
 
 # A late loop: the client's end waits to be read when its request's turn comes
@@ -303,7 +303,7 @@
             await nothing_more(it, converter, 1)
             sock.close()
 
-    run(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("leave", LEAVES)
@@ -313,21 +313,21 @@
         both = Converter(by_hand, keeps=False), Converter(by_hand, keeps=False)
         async with sidecar(*both, classes=KINDS) as it:
             while not all(converter.requests for converter in both):  # so that each has an idle connection
-                assert status(await it.ask(request("pay"))) == 200
+                assert status_of(await it.fetch(request("pay"))) == 200
             await asyncio.sleep(0.05)
-            before = sum(converter.begun for converter in both)
+            before = sum(converter.started for converter in both)
             for converter in both:
                 converter.keeps = True
             sock = connected(it, request("pay", "1"))
-            await until(lambda: any(converter.kept for converter in both))
+            await wait_until(lambda: any(converter.kept for converter in both))
             failing = next(converter for converter in both if converter.kept)
             steps = [lambda: leave(sock), lambda: failing.answer(NOT_RUN)]
             late(*(steps[::-1] if failure_first else steps))
             await asyncio.sleep(0.1)
-            assert sum(converter.begun for converter in both) == before + 1
+            assert sum(converter.started for converter in both) == before + 1
             sock.close()
 
-    run(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(("leave", "behind"), ENDS)
@@ -348,10 +348,10 @@
             sock = connected(it, request("pay", "2"))
             await went.wait()
             await asyncio.sleep(0.1)
-            assert converter.begun == 0
+            assert converter.started == 0
             sock.close()
 
-    run(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(("leave", "behind"), ENDS)
@@ -362,7 +362,7 @@
     async def test() -> None:
         converter = Converter(by_hand, keeps=False)
         async with sidecar(converter, classes=KINDS) as it:
-            assert status(await it.ask(request("pay", "1"))) == 200
+            assert status_of(await it.fetch(request("pay", "1"))) == 200
             sock = connected(it)
             await asyncio.sleep(0.05 if kept else 0.0)
             more = request("pay", "5", body=b"x" * behind) if behind else b""
@@ -370,7 +370,7 @@
             await nothing_more(it, converter, 1)
             sock.close()
 
-    run(test)
+    run_async(test)
 
 
 # What they are told, and who is not one of them
@@ -386,13 +386,13 @@
             sock = await waiting(it, converter, calls)
             late(lambda: sock.sendall(request("pay", "3")), lambda: converter.answer(OK))
             reader, writer = await asyncio.open_connection(sock=sock)
-            assert status(await read_message(reader)) == 200
-            assert status(await read_message(reader)) == 400  # one request at a time
+            assert status_of(await read_message(reader)) == 200
+            assert status_of(await read_message(reader)) == 400  # one request at a time
             assert await reader.read() == b""
             writer.close()
             await nothing_more(it, converter, 1, 2)
 
-    run(test)
+    run_async(test)
 
 
 def test_a_client_that_ends_its_sending_has_gone_and_its_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -412,4 +412,4 @@
             converter.answer(OK)
             await nothing_more(it, converter, 1)
 
-    run(test)
+    run_async(test)
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -8,20 +8,20 @@
 import pytest
 
 from tests.network_peers import (
+    HANG_TIMEOUT_S,
     OK,
-    PATIENCE_S,
     Discovery,
     Upstream,
-    answering,
-    configuration,
-    entry,
-    listing,
+    endpoint_entry,
+    endpoint_list,
     read_message,
     request,
-    run,
+    respond_in_turn,
+    run_async,
     sidecar,
-    status,
-    until,
+    status_of,
+    wait_until,
+    write_configuration,
 )
 
 
@@ -37,34 +37,34 @@
             await held.wait()
             writer.write(OK)
 
-        old, new, first, second = Upstream(script), Upstream(answering(OK)), Discovery(), Discovery()
+        old, new, first, second = Upstream(script), Upstream(respond_in_turn(OK)), Discovery(), Discovery()
         await new.start()
         await second.start()
         path = tmp_path / "config.json"
         path.write_text("{")
         async with sidecar(old, discovery=first, path=str(path)) as it:
             await first.watched()
-            first.line(listing(entry("u0", old.port), rev=900))
+            first.line(endpoint_list(endpoint_entry("u0", old.port), rev=900))
             reader, writer = await it.connect()
             writer.write(request("pay"))
-            await until(lambda: len(old.requests) == 1)
+            await wait_until(lambda: len(old.requests) == 1)
             it.reload.set()
-            await until(lambda: "configuration not reloaded" in caplog.text)  # the old one stays
+            await wait_until(lambda: "configuration not reloaded" in caplog.text)  # the old one stays
             assert len(first.calls) == 1
-            configuration(tmp_path, discovery=f"127.0.0.1:{second.port}")
+            write_configuration(tmp_path, discovery=f"127.0.0.1:{second.port}")
             it.reload.set()
             await second.watched()
             assert b"since=0 " in second.calls[0]
-            second.line(listing(entry("u1", new.port), rev=3))
-            async with asyncio.timeout(PATIENCE_S):
+            second.line(endpoint_list(endpoint_entry("u1", new.port), rev=3))
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 while not new.requests:
-                    await it.ask(request(ident="2"))
+                    await it.fetch(request(ident="2"))
             it.reload.set()  # the same address: nothing to do
             held.set()
-            assert status(await read_message(reader)) == 200
+            assert status_of(await read_message(reader)) == 200
             writer.close()
             assert (len(first.calls), len(second.calls)) == (1, 1)
         new.stop()
         second.stop()
 
-    run(test)
+    run_async(test)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,22 +22,22 @@
 from ryepier.sidecar.server import FIRST_REQUEST_GRACE_S
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
+    HANG_TIMEOUT_S,
     OK,
-    PATIENCE_S,
     SETTINGS,
+    DelayedConnections,
     Discovery,
-    HeldDials,
     Upstream,
-    answering,
-    configuration,
-    entry,
+    endpoint_entry,
+    endpoint_list,
     free_port,
-    listing,
     read_message,
     request,
-    run,
-    status,
-    until,
+    respond_in_turn,
+    run_async,
+    status_of,
+    wait_until,
+    write_configuration,
 )
 from tests.network_peers import sidecar as net_sidecar
 
@@ -62,17 +62,17 @@
 
         monkeypatch.setattr(system, "tcp_socket", counting)
         pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=8), list[AttemptResult]()
-        upstreams = [Upstream(answering(OK)), Upstream(answering(OK))]
+        upstreams = [Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK))]
         call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for number, upstream in enumerate(upstreams):
             await upstream.start()
             for _ in range(8):  # all at once
                 pool.start(number, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
-            await until(lambda number=number: len(results) == 8 * (number + 1))  # type: ignore[misc]
+            await wait_until(lambda number=number: len(results) == 8 * (number + 1))  # type: ignore[misc]
         assert {result.outcome for result in results} == {Outcome.OK}
         assert most == 8
         pool.start(0, ("127.0.0.1", upstreams[0].port), call, ATTEMPT_TIMEOUT_US, results.append).cancel()
-        await until(lambda: not pool.dials)
+        await wait_until(lambda: not pool.dials)
         assert len(pool.idle[1]) == 8  # for one given up none makes room
         given_up = [
             pool.start(0, ("127.0.0.1", upstreams[0].port), call, ATTEMPT_TIMEOUT_US, results.append) for _ in range(8)
@@ -81,39 +81,39 @@
         for attempt in given_up[:4]:
             attempt.cancel()
         pool.remove_upstream(0)
-        await until(lambda: len(results) == 20 and not pool.dials)
+        await wait_until(lambda: len(results) == 20 and not pool.dials)
         assert {result.outcome for result in results[16:]} == {Outcome.CONNECT_FAILED}
         assert len(upstreams[0].requests) == 8
         for upstream in upstreams:
             upstream.stop()
         pool.sweeper.cancel()
 
-    run(test)
+    run_async(test)
 
 
 def test_dials_that_do_not_come_up_are_within_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        upstream, held = Upstream(answering(OK)), HeldDials()
+        upstream, held = Upstream(respond_in_turn(OK)), DelayedConnections()
         await upstream.start()
-        held.hold(upstream, monkeypatch)
+        held.delay(upstream, monkeypatch)
         pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=8), list[AttemptResult]()
         call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for number in range(12):  # a converter each
             pool.start(number, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
-        await until(lambda: len(results) == 4)
-        assert held.begun == 8 and {result.outcome for result in results} == {Outcome.CONNECT_FAILED}
-        held.let.set()
-        await until(lambda: len(results) == 12)
+        await wait_until(lambda: len(results) == 4)
+        assert held.started == 8 and {result.outcome for result in results} == {Outcome.CONNECT_FAILED}
+        held.released.set()
+        await wait_until(lambda: len(results) == 12)
         assert {result.outcome for result in results[4:]} == {Outcome.OK}
         upstream.stop()
         pool.sweeper.cancel()
 
-    run(test)
+    run_async(test)
 
 
 def test_half_requests_that_stand_still_make_room_before_one_that_has_just_connected() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         async with net_sidecar(upstream) as it:
             data, halves = request("pay", body=b"0123456789"), list[Streams]()
             for _ in range(95):  # of the 100 that it takes
@@ -127,13 +127,13 @@
             await asyncio.sleep(0.1)
             asker.write(request("pay"))
             halves[5][1].write(data[-4:])
-            async with asyncio.timeout(PATIENCE_S):
-                assert status(await read_message(reader)) == 200
-                assert status(await read_message(halves[5][0])) == 200
+            async with asyncio.timeout(HANG_TIMEOUT_S):
+                assert status_of(await read_message(reader)) == 200
+                assert status_of(await read_message(halves[5][0])) == 200
             for _, writer in (*halves, *others):
                 writer.close()
 
-    run(test)
+    run_async(test)
 
 
 def has_ended(writer: asyncio.StreamWriter) -> bool:
@@ -171,7 +171,7 @@
                 return reader, writer
             writer.close()
 
-    async def ask(self) -> bytes:
+    async def fetch(self) -> bytes:
         """The first line of the answer to a request on a connection of its own."""
         reader, writer = await self.connect_until_open()
         writer.write(request("pay"))
@@ -189,7 +189,7 @@
     pay = {"name": "pay", "aim": 15_000_000, "deadline": 15_000_000, "effect": "at_most_once", "worth": 10.0}
     invariants = SETTINGS["invariants"] | {"ask-within": 5_000_000}
     bounds = SETTINGS["bounds"] | {"conn-idle": 30_000_000}
-    path = configuration(
+    path = write_configuration(
         folder,
         listen=f"127.0.0.1:{port}",
         discovery=f"127.0.0.1:{discovery_port}",
@@ -212,7 +212,7 @@
     found = Program(process.pid, port)
     watching = asyncio.create_task(found.watch_descriptors())
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
                 try:
                     (await found.connect())[1].close()
@@ -232,7 +232,7 @@
 
 
 def converters(upstream: Upstream, rev: int) -> dict[str, object]:
-    return listing(*(entry(f"u{number}", upstream.port) for number in range(100)), rev=rev)
+    return endpoint_list(*(endpoint_entry(f"u{number}", upstream.port) for number in range(100)), rev=rev)
 
 
 async def fill(sidecar: Program, kind: str, count: int) -> list[Streams]:
@@ -298,13 +298,13 @@
             if kind == "open":
                 let.set()
                 await clients
-            async with asyncio.timeout(PATIENCE_S):
-                assert {await sidecar.ask() for _ in range(5)} == {b"HTTP/1.1 200 OK"}
+            async with asyncio.timeout(HANG_TIMEOUT_S):
+                assert {await sidecar.fetch() for _ in range(5)} == {b"HTTP/1.1 200 OK"}
             let.set()
             await clients
             discovery.stop()
 
-    run(test)
+    run_async(test)
 
 
 async def answer_in_pieces(sidecar: Program, pause_s: float) -> bytes:
@@ -328,23 +328,23 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        upstream, port = Upstream(answering(OK)), free_port()
+        upstream, port = Upstream(respond_in_turn(OK)), free_port()
         async with program(tmp_path, upstream, port) as sidecar:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 answers = await asyncio.gather(
                     *(answer_in_pieces(sidecar, 0.05 + 0.25 * number / 399) for number in range(400))
                 )
             assert set(answers) <= {b"HTTP/1.1 200 OK", b"HTTP/1.1 503 Service Unavailable"}
             assert answers.count(b"HTTP/1.1 200 OK") > 200
 
-    run(test)
+    run_async(test)
 
 
 def test_clients_whose_requests_stay_partial_are_answered_and_cost_nobody_a_connection(tmp_path: Path) -> None:
     """512 clients send part of a request and connect anew as fast as they are closed."""
 
     async def test() -> None:
-        upstream, port, over = Upstream(answering(OK)), free_port(), asyncio.Event()
+        upstream, port, over = Upstream(respond_in_turn(OK)), free_port(), asyncio.Event()
         ends: list[bytes] = []
 
         async def keep_sending_part(sidecar: Program) -> None:
@@ -360,21 +360,21 @@
         async with program(tmp_path, upstream, port) as sidecar:
             clients = [asyncio.create_task(keep_sending_part(sidecar)) for _ in range(2 * LIMIT)]
             await asyncio.sleep(1.0)
-            async with asyncio.timeout(PATIENCE_S):
-                answers = {await sidecar.ask() for _ in range(5)}
+            async with asyncio.timeout(HANG_TIMEOUT_S):
+                answers = {await sidecar.fetch() for _ in range(5)}
             over.set()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 await asyncio.gather(*clients)
             assert answers == {b"HTTP/1.1 200 OK"}
             assert set(ends) <= {b"HTTP/1.1 503 Service Unavailable", b"HTTP/1.1 408 Request Timeout"}
             assert b"HTTP/1.1 503 Service Unavailable" in ends
 
-    run(test)
+    run_async(test)
 
 
 def test_a_partial_request_that_makes_room_is_answered_and_told_when_to_come_back() -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         async with net_sidecar(upstream) as it:
             data, partial = request("pay", body=b"0123456789"), list[Streams]()
             for _ in range(100):  # as many as it takes
@@ -382,7 +382,7 @@
                 partial[-1][1].write(data[:-5])
             await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
             _, newcomer = await it.connect()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 head, _ = await read_message(partial[0][0])
             assert head.startswith(b"HTTP/1.1 503 ")
             assert b"Connection: close\r\n" in head and b"Retry-After: 0.250\r\n" in head
@@ -392,4 +392,4 @@
                 writer.close()
             newcomer.close()
 
-    run(test)
+    run_async(test)
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -18,7 +18,7 @@
 from ryepier.emulator.records import NEVER, ClientAttempt, Incarnation, RequestOutcome
 from ryepier.emulator.sidecar_processes import record_cpu_wait
 from ryepier.experiments.core.worlds import load
-from tests.network_peers import OK, Upstream, answering, run, until
+from tests.network_peers import OK, Upstream, respond_in_turn, run_async, wait_until
 
 DEADLINE_S = 0.2
 
@@ -49,18 +49,18 @@
         time.sleep(DEADLINE_S + 0.1)  # the whole process is held up: its next turn has the time-out, too
 
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         await upstream.start()
         host = a_client(("127.0.0.1", upstream.port))
         monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", held_up)
         item = a_try()
         host.send(item)
-        await until(lambda: item.ended_us != NEVER)
+        await wait_until(lambda: item.ended_us != NEVER)
         await asyncio.sleep(0.1)  # what was written has come
         assert len(upstream.requests) == 1 and item.outcome == "served"
         upstream.stop()
 
-    run(test)
+    run_async(test)
 
 
 def test_where_nobody_listens_a_request_is_unreachable() -> None:
@@ -70,10 +70,10 @@
             host = a_client(sock.getsockname())
             item = a_try()
             host.send(item)
-            await until(lambda: item.ended_us != NEVER)
+            await wait_until(lambda: item.ended_us != NEVER)
         assert item.outcome == "unreachable"
 
-    run(test)
+    run_async(test)
 
 
 def test_a_process_notes_when_it_was_held_up() -> None:
@@ -89,7 +89,7 @@
         begun_us, ended_us = meter.result("clients 0").stalls[0]
         assert begun_us < 50_000 and ended_us > 290_000
 
-    run(test)
+    run_async(test)
 
 
 def test_the_rig_notes_when_a_sidecar_waited_for_a_core_for_long() -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -35,7 +35,7 @@
 )
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.judge import judge
-from tests.network_peers import PATIENCE_S, read_message
+from tests.network_peers import HANG_TIMEOUT_S, read_message
 
 CLASSES = [
     RequestClass(name="read", share=0.4, work_ms=(2.0, 4.0), objective_ms=200.0, deadline_ms=1500.0),
@@ -121,7 +121,7 @@
     return (head + (f"Idempotency-Key: {key}\r\n" if key else "") + "\r\nbody").encode()
 
 
-async def ask(server: ConverterServer, data: bytes, wait_s: float = PATIENCE_S) -> str:
+async def ask(server: ConverterServer, data: bytes, wait_s: float = HANG_TIMEOUT_S) -> str:
     """The status and body of the answer, or how there was none."""
     address = server.owner.plan.converter_address(0)
     writer = None
@@ -147,7 +147,7 @@
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
     async def limited() -> None:
-        async with asyncio.timeout(3 * PATIENCE_S):
+        async with asyncio.timeout(3 * HANG_TIMEOUT_S):
             await test()
 
     asyncio.run(limited())
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -23,7 +23,7 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.endpoint_registry import EndpointRegistry
 from tests.balancer_harness import START_US, settings
-from tests.network_peers import entry, free_port, listing, read_message, run
+from tests.network_peers import endpoint_entry, endpoint_list, free_port, read_message, run_async
 
 TOLD_S = 6.0
 # how long a call waits at a discovery that is reachable, where lists are asked for. Real ones wait for up to 2 s, but
@@ -35,8 +35,8 @@
 REFUSAL = b"HTTP/1.1 503 Service Unavailable\r\n"
 CLOSED_PORT = free_port()
 
-OLD = listing(entry("u0", 9000), rev=1)
-NEW = listing(entry("u0", 9000, "leaving"), rev=2, full=False)
+OLD = endpoint_list(endpoint_entry("u0", 9000), rev=1)
+NEW = endpoint_list(endpoint_entry("u0", 9000, "leaving"), rev=2, full=False)
 WHOLE = json.dumps(NEW).encode() + b"\n"
 
 
@@ -206,7 +206,7 @@
         late = [(round(took_s, 2), *case) for took_s, case in worst if took_s >= WITHIN_S]
         assert not late, f"{len(late)} of {len(CASES)}: {late[:6]}"
 
-    run(test)
+    run_async(test)
 
 
 def test_a_sound_watch_that_has_nothing_to_tell_is_never_cut(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -227,7 +227,7 @@
         cases = list(itertools.product((True, False), (WHOLE, b"")))  # one that is new, and nothing
         assert await asyncio.gather(*(calls(*case) for case in cases)) == [1] * len(cases)
 
-    run(test)
+    run_async(test)
 
 
 # A fleet, in virtual time
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -26,7 +26,7 @@
     SidecarProcess,
     unanswered,
 )
-from tests.network_peers import OK, Upstream, entry, listing
+from tests.network_peers import OK, Upstream, endpoint_entry, endpoint_list
 
 pytestmark = pytest.mark.alone
 
@@ -84,16 +84,16 @@
         for agent in self.agents:
             agent.stop()
 
-    def listing(self) -> dict[str, Any]:
-        return listing(
-            entry("steady", self.steady.port),
-            entry(f"draining-{self.generation}", self.draining.port, self.state),
-            entry(f"dying-{self.generation}", self.dying.port),
+    def endpoint_list(self) -> dict[str, Any]:
+        return endpoint_list(
+            endpoint_entry("steady", self.steady.port),
+            endpoint_entry(f"draining-{self.generation}", self.draining.port, self.state),
+            endpoint_entry(f"dying-{self.generation}", self.dying.port),
             rev=self.revision,
         )
 
     async def new_agent(self) -> None:
-        self.agent = Agent(first=self.listing())
+        self.agent = Agent(first=self.endpoint_list())
         self.agents.append(self.agent)
         await self.agent.start()
 
@@ -106,7 +106,7 @@
         self.generation += 1
         self.revision += 1
         self.state = "active"
-        self.agent.first = self.listing()
+        self.agent.first = self.endpoint_list()
         self.agent.line(self.agent.first)
         for converter in old:
             converter.vanish()
@@ -116,13 +116,13 @@
         """Until each converter has had some requests, so that the sidecar sends several at once."""
         async with asyncio.timeout(PLAY_S):
             while min(len(self.draining.requests), len(self.dying.requests)) < WARM_REQUESTS:
-                await self.application.ask(sidecar, "read")
+                await self.application.fetch(sidecar, "read")
                 await asyncio.sleep(STEP_S / 2)
 
     async def burst(self, sidecar: SidecarProcess) -> None:
         """A whole request of each kind, twice."""
         for kind in KINDS * 2:
-            await self.application.ask(sidecar, kind)
+            await self.application.fetch(sidecar, kind)
 
     async def reload(self, sidecar: SidecarProcess) -> None:
         await self.new_agent()
@@ -131,7 +131,7 @@
     async def drain(self, sidecar: SidecarProcess) -> None:
         self.state = "leaving"
         self.revision += 1
-        self.agent.first = self.listing()
+        self.agent.first = self.endpoint_list()
         if self.agent.writers:  # else its first word tells it
             self.agent.line(self.agent.first)
 
@@ -195,7 +195,7 @@
     """All orders one after another, with one sidecar; what its application saw. Only the last may end it."""
     world = World()
     await world.start()
-    sidecar = SidecarProcess(folder, "sidecar", world.agent, world.listing(), mistake)
+    sidecar = SidecarProcess(folder, "sidecar", world.agent, world.endpoint_list(), mistake)
     try:
         await sidecar.start()
         await world.warm(sidecar)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -9,9 +9,9 @@
     Upstream,
     read_message,
     request,
-    run,
+    run_async,
     sidecar,
-    until,
+    wait_until,
 )
 
 
@@ -36,12 +36,12 @@
             await read_message(idle_reader)
             reader, writer = await it.connect()
             writer.write(request(ident="1"))
-            await until(lambda: total() == 1)
+            await wait_until(lambda: total() == 1)
             it.stop.set()
             assert await idle_reader.read() == b""
             late_reader, late_writer = await it.connect()
             late_writer.write(request(ident="2"))
-            await until(lambda: total() == 2)
+            await wait_until(lambda: total() == 2)
             held.set()
             for each in (reader, late_reader):
                 head, body = await read(each)
@@ -55,4 +55,4 @@
         head, _, body = whole.partition(b"\r\n\r\n")
         return head, body
 
-    run(test)
+    run_async(test)
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -15,7 +15,17 @@
 from ryepier.sidecar.config import Config, load
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.serving import serve
-from tests.network_peers import NOT_RUN, OK, PATIENCE_S, SETTINGS, answering, configuration, free_port, request, until
+from tests.network_peers import (
+    HANG_TIMEOUT_S,
+    NOT_RUN,
+    OK,
+    SETTINGS,
+    free_port,
+    request,
+    respond_in_turn,
+    wait_until,
+    write_configuration,
+)
 from tests.network_peers import Upstream as Peer
 
 CLASSES = [
@@ -66,7 +76,7 @@
     def __init__(self, port: int) -> None:
         self.port = port
 
-    async def ask(self, data: bytes) -> tuple[int, dict[str, str], Any]:
+    async def fetch(self, data: bytes) -> tuple[int, dict[str, str], Any]:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(data)
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
@@ -87,7 +97,7 @@
     async def play() -> None:
         peer = Peer(script)
         await peer.start()
-        config = load(str(configuration(folder, known=None, settings=SETTINGS | {"request-classes": CLASSES})))
+        config = load(str(write_configuration(folder, known=None, settings=SETTINGS | {"request-classes": CLASSES})))
         made = select_components(operator_settings.parse(table, {}))
         port = config.listen[1]
         stop = asyncio.Event()
@@ -99,7 +109,7 @@
                 components.Components(lambda config, host: Fixed(host, peer.port if reachable else 0), made.front_ends),
             )
         )
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
                 try:
                     _, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -121,15 +131,15 @@
 
 def test_a_query_is_sent_again_after_a_reset_and_a_mutation_is_not(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
-        status, _, body = await front.ask(http(MUTATION))
+        status, _, body = await front.fetch(http(MUTATION))
         assert status == 500 and len(peer.requests) == 1
         assert body["errors"][0]["extensions"] == {"code": "UPSTREAM_FAILED", "mayHaveRun": True}
         assert "data" not in body
-        status, headers, body = await front.ask(http(QUERY))
+        status, headers, body = await front.fetch(http(QUERY))
         assert (status, body, len(peer.requests)) == (200, {"data": {"status": 1}}, 3)
         assert headers["content-type"] == "application/graphql-response+json"
 
-    with_front(tmp_path, answering(b"", b"", reply(200, '{"data":{"status":1}}')), test)
+    with_front(tmp_path, respond_in_turn(b"", b"", reply(200, '{"data":{"status":1}}')), test)
 
 
 def test_what_a_converter_says_is_passed_on_with_its_errors_and_never_asked_again(tmp_path: Path) -> None:
@@ -137,36 +147,36 @@
     refused = '{"errors":[{"message":"no such field"}]}'
 
     async def test(front: Front, peer: Peer) -> None:
-        assert (await front.ask(http(QUERY)))[::2] == (200, json.loads(partial))
-        assert (await front.ask(http(QUERY)))[::2] == (400, json.loads(refused))
+        assert (await front.fetch(http(QUERY)))[::2] == (200, json.loads(partial))
+        assert (await front.fetch(http(QUERY)))[::2] == (400, json.loads(refused))
         assert len(peer.requests) == 2
 
-    with_front(tmp_path, answering(reply(200, partial), reply(400, refused)), test)
+    with_front(tmp_path, respond_in_turn(reply(200, partial), reply(400, refused)), test)
 
 
 def test_a_refusal_tells_when_to_come_back_at_once_and_in_graphql(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
         begun = asyncio.get_running_loop().time()
-        status, headers, body = await front.ask(http(MUTATION, Accept="application/json"))
+        status, headers, body = await front.fetch(http(MUTATION, Accept="application/json"))
         assert status == 503 and body["errors"][0]["extensions"]["code"] == "OVERLOADED"
         assert headers["content-type"] == "application/json" and body["errors"][0]["extensions"]["mayHaveRun"] is False
         assert asyncio.get_running_loop().time() - begun < 1.0
 
-    with_front(tmp_path, answering(NOT_RUN), test)
+    with_front(tmp_path, respond_in_turn(NOT_RUN), test)
 
 
 def test_the_converter_gets_what_was_judged_and_the_front_says_class_and_id(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
-        await front.ask(http(QUERY, X_Class="pay", Idempotency_Key="k", X_Request_Id="r1"))
+        await front.fetch(http(QUERY, X_Class="pay", Idempotency_Key="k", X_Request_Id="r1"))
         head, body = peer.requests[0]
         assert b"X-Class: look\r\n" in head and b"X-Request-Id: r1\r\n" in head and b"Idempotency-Key" not in head
         assert json.loads(body) == {"query": QUERY}
-        await front.ask(http("", "GET", "/graphql?query=%7Bstatus%7D"))
+        await front.fetch(http("", "GET", "/graphql?query=%7Bstatus%7D"))
         head, body = peer.requests[1]
         assert head.startswith(b"POST /graphql HTTP/1.1\r\n") and json.loads(body) == {"query": "{status}"}
         assert b"X-Request-Id: " in head
 
-    with_front(tmp_path, answering(reply(200, "{}")), test)
+    with_front(tmp_path, respond_in_turn(reply(200, "{}")), test)
 
 
 NOT_TAKEN = [
@@ -185,27 +195,27 @@
 def test_what_is_not_taken_is_answered_in_graphql_and_reaches_nobody(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
         for data, status, code in NOT_TAKEN:
-            got, headers, body = await front.ask(data)
+            got, headers, body = await front.fetch(data)
             assert (got, body["errors"][0]["extensions"]["code"]) == (status, code)
             assert status != 405 or "POST" in headers["allow"]
         assert peer.requests == []
 
-    with_front(tmp_path, answering(OK), test)
+    with_front(tmp_path, respond_in_turn(OK), test)
 
 
 def test_plain_requests_go_on_beside_it_and_a_listener_of_its_own_takes_any_path(tmp_path: Path) -> None:
     own = free_port()
 
     async def test(front: Front, peer: Peer) -> None:
-        status, _, _ = await front.ask(request("pay", body=b"b", deadline_ms=1000))
+        status, _, _ = await front.fetch(request("pay", body=b"b", deadline_ms=1000))
         assert status == 200 and peer.requests[0][0].startswith(b"POST /pay/it")
-        status, _, _ = await Front(own).ask(http(QUERY, target="/any"))
+        status, _, _ = await Front(own).fetch(http(QUERY, target="/any"))
         assert status == 200 and peer.requests[1][0].startswith(b"POST /any HTTP")
-        status, _, _ = await front.ask(http(QUERY))
+        status, _, _ = await front.fetch(http(QUERY))
         assert status == 404
 
     table = TABLE.replace('path = "/graphql"', f'listen = "127.0.0.1:{own}"')
-    with_front(tmp_path, answering(reply(200, "{}")), test, table)
+    with_front(tmp_path, respond_in_turn(reply(200, "{}")), test, table)
 
 
 def test_a_connection_outlives_what_was_refused_for_its_content(tmp_path: Path) -> None:
@@ -217,6 +227,6 @@
             assert head.split()[1] == status and b"Connection: close" not in head
             await reader.readexactly(int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0]))
         writer.close()
-        await until(lambda: len(peer.requests) == 1)
+        await wait_until(lambda: len(peer.requests) == 1)
 
-    with_front(tmp_path, answering(reply(200, "{}")), test)
+    with_front(tmp_path, respond_in_turn(reply(200, "{}")), test)
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -16,7 +16,7 @@
 from ryepier.maintenance.fleet import Action, FencingTokens, FleetCall, FleetError, FleetReply, SocketFleet
 from ryepier.maintenance.results import DrainStarted, Granted, Rejected, Released, Result
 from ryepier.maintenance.tables import LeaseState
-from tests.network_peers import free_port, until
+from tests.network_peers import free_port, wait_until
 
 GRANTED = Granted("l1", "agent-1", 7, ("a",))
 STEPS = ["drain", "in-flight", "stop", "remove", "start", "list"]
@@ -87,7 +87,7 @@
         settings = AgentSettings("agent-1", drain_grace_s=0.3, work_s=0.0)
         agent = asyncio.create_task(Agent(settings, region, fleet).run())  # type: ignore[arg-type]
         try:
-            await until(ended)
+            await wait_until(ended)
         finally:
             agent.cancel()
 
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -25,7 +25,7 @@
 from ryepier.maintenance.state import ObservedState
 from ryepier.maintenance.transport import Connection
 from tests.maintenance_world import small_agreement
-from tests.network_peers import PATIENCE_S, free_port
+from tests.network_peers import HANG_TIMEOUT_S, free_port
 
 SEEN = ObservedState(ready=True, warmth=1000, as_of=0)
 TRANSFER = Transfer("north", "south", 1, "convert", 1000)
@@ -113,7 +113,7 @@
         connection = await Connection.dial(listen, hello)
         for number in range(20):
             connection.send(StatusCall(number))
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while len(received) < 21 + relay.duplicated or relay.duplicated == 0:
                 await asyncio.sleep(0.05)
         assert received[0] == hello
@@ -128,7 +128,7 @@
         relay.heal()
         count = len(received)
         again = await Connection.dial(listen, hello)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while len(received) == count:
                 await asyncio.sleep(0.05)
         again.close()
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -12,7 +12,18 @@
 from ryepier.balancer.interface import Idempotency, RequestClass
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
-from tests.network_peers import OK, HeldDials, Sidecar, Upstream, answering, request, run, sidecar, status, until
+from tests.network_peers import (
+    OK,
+    DelayedConnections,
+    Sidecar,
+    Upstream,
+    request,
+    respond_in_turn,
+    run_async,
+    sidecar,
+    status_of,
+    wait_until,
+)
 
 DEADLINE_MS = 3_000
 SLACK_MS = 150
@@ -36,26 +47,26 @@
         self.left_ms.append(DEADLINE_MS - 1_000 * (time.monotonic() - self.sent_at))
         writer.write(OK)
 
-    async def ask(self, sidecar: Sidecar) -> int:
+    async def fetch(self, sidecar: Sidecar) -> int:
         self.sent_at = time.monotonic()
-        return status(await sidecar.ask(request("pay", deadline_ms=DEADLINE_MS)))
+        return status_of(await sidecar.fetch(request("pay", deadline_ms=DEADLINE_MS)))
 
 
 def test_a_connection_that_comes_up_late_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
-    held = HeldDials()
+    held = DelayedConnections()
 
     async def test() -> None:
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as it:
-            held.hold(recorder.upstream, monkeypatch)
-            answer = asyncio.create_task(recorder.ask(it))
-            await until(lambda: held.begun == 1)
+            held.delay(recorder.upstream, monkeypatch)
+            answer = asyncio.create_task(recorder.fetch(it))
+            await wait_until(lambda: held.started == 1)
             await asyncio.sleep(HELD_S)
-            held.let.set()
+            held.released.set()
             assert await answer == 200
         assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
 
-    run(test)
+    run_async(test)
 
 
 def test_a_wait_for_a_descriptor_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -70,10 +81,10 @@
     async def test() -> None:
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as it:
-            assert await recorder.ask(it) == 200
+            assert await recorder.fetch(it) == 200
         assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
 
-    run(test)
+    run_async(test)
 
 
 def block_loop_after_dial(upstream: Upstream, blocked_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -93,15 +104,15 @@
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as it:
             block_loop_after_dial(recorder.upstream, HELD_S, monkeypatch)
-            assert await recorder.ask(it) == 200
+            assert await recorder.fetch(it) == 200
         assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
 
-    run(test)
+    run_async(test)
 
 
 def test_an_attempt_with_no_time_left_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        upstream = Upstream(answering(OK))
+        upstream = Upstream(respond_in_turn(OK))
         classes = [
             RequestClass(
                 "pay", latency_objective_us=200_000, deadline_us=400_000, idempotency=Idempotency.NON_IDEMPOTENT
@@ -109,20 +120,20 @@
         ]
         async with sidecar(upstream, classes=classes) as it:
             block_loop_after_dial(upstream, HELD_S, monkeypatch)
-            assert status(await it.ask(request("pay", deadline_ms=400))) == 503
+            assert status_of(await it.fetch(request("pay", deadline_ms=400))) == 503
             assert upstream.requests == []
             monkeypatch.undo()
             await asyncio.sleep(0.5)  # until the buffer of the sidecar's admission is over
-            assert status(await it.ask(request("pay", deadline_ms=400))) == 200
+            assert status_of(await it.fetch(request("pay", deadline_ms=400))) == 200
         assert len(upstream.requests) == 1
 
-    run(test)
+    run_async(test)
 
 
 def test_a_shutdown_shortens_the_deadline_of_an_attempt_that_is_written_after_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = HeldDials()
+    held = DelayedConnections()
 
     async def test() -> None:
         recorder = DeadlineRecorder()
@@ -136,14 +147,14 @@
             )
         ]
         async with sidecar(recorder.upstream, classes=classes) as it:
-            held.hold(recorder.upstream, monkeypatch)
-            answer = asyncio.create_task(it.ask(request("pay", deadline_ms=20_000)))
-            await until(lambda: held.begun == 1)
+            held.delay(recorder.upstream, monkeypatch)
+            answer = asyncio.create_task(it.fetch(request("pay", deadline_ms=20_000)))
+            await wait_until(lambda: held.started == 1)
             it.stop.set()
             await asyncio.sleep(HELD_S)
-            held.let.set()
-            assert status(await answer) == 200
+            held.released.set()
+            assert status_of(await answer) == 200
             await it.task
         assert recorder.passed_ms[0] <= 3_600 - 1_000 * HELD_S + SLACK_MS  # the process ends 3.6 s after SIGTERM
 
-    run(test)
+    run_async(test)
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -15,7 +15,7 @@
 from ryepier.plan import forwarder, planner_server
 from ryepier.plan.messages import MAX_MESSAGE_BYTES, VERSION, FrameDecoder, Hello, Message, Rejection, Report, encode
 from ryepier.plan.plan_follower import AcceptanceRules
-from tests.network_peers import PATIENCE_S, free_port, until
+from tests.network_peers import HANG_TIMEOUT_S, free_port, wait_until
 
 RULES = AcceptanceRules(fleet=2, min_window_ms=100)
 IDENTS = {f"c{i}": i for i in range(6)}
@@ -23,7 +23,7 @@
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
     async def limited() -> None:
-        async with asyncio.timeout(3 * PATIENCE_S):
+        async with asyncio.timeout(3 * HANG_TIMEOUT_S):
             await test()
 
     asyncio.run(limited())
@@ -108,14 +108,16 @@
         ports = [free_port(), free_port()]
         async with a_planner(ports[1], "b", {"a": ports[0]}) as second:
             async with a_planner(ports[0], "a", {"b": ports[1]}), sidecars(*ports) as made:
-                await until(lambda: sum(one.rests() == {3} for one in made) >= 3)  # the others try it at their turn
+                await wait_until(
+                    lambda: sum(one.rests() == {3} for one in made) >= 3
+                )  # the others try it at their turn
                 assert all(one.forwarder.follower.term.planner == "a" for one in made)
                 assert "c3: ejected" in await command("plan", "explain", "c3", f"127.0.0.1:{ports[0]}")
                 shown = json.loads(await command("plan", "show", f"127.0.0.1:{ports[0]}", "--json"))
                 assert list(shown["entries"]) == ["c3"] and shown["term"][1] == "a"
                 assert not second.leadership.is_leader
             async with sidecars(*ports) as made:
-                await until(lambda: all(one.forwarder.follower.term.planner == "b" for one in made))
+                await wait_until(lambda: all(one.forwarder.follower.term.planner == "b" for one in made))
                 assert second.leadership.highest_term.epoch >= 2
 
     run(test)
@@ -130,12 +132,12 @@
         async def hang(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal calls
             calls += 1
-            await asyncio.sleep(PATIENCE_S)
+            await asyncio.sleep(HANG_TIMEOUT_S)
 
         server = await asyncio.start_server(hang, "127.0.0.1", 0)
         one = Sidecar("f", server.sockets[0].getsockname()[1])
         one.start()
-        await until(lambda: calls >= 3)
+        await wait_until(lambda: calls >= 3)
         assert len(one.forwarder.links) <= 1 and one.plans == []
         one.stop()
         server.close()
@@ -147,7 +149,7 @@
     """What a planner says to these bytes before it closes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(HANG_TIMEOUT_S):
         said = FrameDecoder().feed(await reader.read())
     writer.close()
     return said
@@ -168,11 +170,11 @@
     async def test() -> None:
         port = free_port()
         async with a_planner(port) as server:
-            await until(lambda: server.counts is not None)
+            await wait_until(lambda: server.counts is not None)
             await asyncio.sleep(0.05)
             said = [message for message in await answers(port, data) if isinstance(message, Rejection)]
             assert len(said) == 1 and said[0].reason
-            await until(lambda: not server.links)
+            await wait_until(lambda: not server.links)
 
     run(test)
 
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -13,15 +13,15 @@
     NOT_RUN,
     OK,
     Upstream,
-    answering,
-    entry,
-    listing,
+    endpoint_entry,
+    endpoint_list,
+    never_respond,
     request,
-    run,
+    respond_in_turn,
+    run_async,
     sidecar,
-    silent,
-    status,
-    until,
+    status_of,
+    wait_until,
 )
 
 BARE_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -32,18 +32,18 @@
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
     async def test() -> None:
         upstream = Upstream(
-            answering(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
+            respond_in_turn(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
         )
         async with sidecar(upstream) as it:
-            head, body = await it.ask(request("mark", "77", b"\x00body\r\n"))
-        assert status((head, body)) == 200 and body == b"\x00\xff\r\n\r\n" and b"Content-Type: a/b" in head
+            head, body = await it.fetch(request("mark", "77", b"\x00body\r\n"))
+        assert status_of((head, body)) == 200 and body == b"\x00\xff\r\n\r\n" and b"Content-Type: a/b" in head
         seen, sent = upstream.requests[0]
         assert seen.startswith(b"POST /mark/it?x=1 HTTP/1.1\r\n") and sent == b"\x00body\r\n"
         assert b"X-Request-Id: 77\r\n" in seen and b"Idempotency-Key: k\r\n" in seen
         deadline_ms = int(seen.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0])
         assert 0 < deadline_ms <= 15_000
 
-    run(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize(
@@ -81,35 +81,35 @@
             return sum(len(upstream.requests) for upstream in upstreams)
 
         async with sidecar(*upstreams) as it:
-            answer = await it.ask(request("pay", body=b"b"))
-        assert (status(answer), total()) == (expected, attempts)
+            answer = await it.fetch(request("pay", body=b"b"))
+        assert (status_of(answer), total()) == (expected, attempts)
 
-    run(test)
+    run_async(test)
 
 
 def test_a_refusal_tells_when_to_come_back_and_a_failed_connection_never_ran() -> None:
     async def test() -> None:
-        gone = Upstream(silent)
+        gone = Upstream(never_respond)
         await gone.start()
         gone.stop()
-        known = listing(entry("u0", gone.port))
+        known = endpoint_list(endpoint_entry("u0", gone.port))
         async with sidecar(known=known) as it:
-            answer = await it.ask(request("pay"))
-        assert status(answer) == 503
+            answer = await it.fetch(request("pay"))
+        assert status_of(answer) == 503
         assert 0.0 < float(answer[0].split(b"Retry-After: ")[1].split(b"\r\n")[0]) <= 1.0
 
-    run(test)
+    run_async(test)
 
 
 def test_a_silent_upstream_costs_the_answer_and_not_the_deadline() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(silent)) as it:
+        async with sidecar(Upstream(never_respond)) as it:
             started = asyncio.get_running_loop().time()
-            answer = await it.ask(request("pay", deadline_ms=400))
+            answer = await it.fetch(request("pay", deadline_ms=400))
             took = asyncio.get_running_loop().time() - started
-        assert status(answer) == 500 and took >= 0.3
+        assert status_of(answer) == 500 and took >= 0.3
 
-    run(test)
+    run_async(test)
 
 
 def test_a_module_that_stumbles_or_forgets_leaves_nobody_without_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -125,12 +125,12 @@
     monkeypatch.setattr(Balancer, "handle", stumbling)
 
     async def test() -> None:
-        async with sidecar(Upstream(answering(OK))) as it:
-            assert status(await it.ask(request(ident="1", extra="X-Key: 5\r\n"))) == 500
-            assert status(await it.ask(request(ident="2", deadline_ms=300, extra="X-Retry: 1\r\n"))) == 500
-            assert status(await it.ask(request(ident="3"))) == 200
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:
+            assert status_of(await it.fetch(request(ident="1", extra="X-Key: 5\r\n"))) == 500
+            assert status_of(await it.fetch(request(ident="2", deadline_ms=300, extra="X-Retry: 1\r\n"))) == 500
+            assert status_of(await it.fetch(request(ident="3"))) == 200
 
-    run(test)
+    run_async(test)
 
 
 def test_nothing_is_sent_again_for_a_client_that_has_gone() -> None:
@@ -150,12 +150,12 @@
         async with sidecar(upstream) as it:
             _, writer = await it.connect()
             writer.write(request())
-            await until(lambda: len(upstream.requests) == 1)
+            await wait_until(lambda: len(upstream.requests) == 1)
             writer.close()
             await writer.wait_closed()
             await asyncio.sleep(0.05)
             held.set()
-            assert status(await it.ask(request(ident="2"))) == 200
+            assert status_of(await it.fetch(request(ident="2"))) == 200
         assert [b"X-Request-Id: 2\r\n" in head for head, _ in upstream.requests] == [False, True]
 
-    run(test)
+    run_async(test)
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -20,7 +20,7 @@
 from ryepier.storm.failed_request_sketch import GENERATION_SIZE, GENERATION_US, FailedRequestSketch, fingerprint
 from ryepier.storm.storm_detector import MIN_CALM_US, RetryStormDetector, StormEvidence
 from tests.balancer_harness import World, settings, upstreams
-from tests.network_peers import OK, configuration, entry, listing, read_message, request
+from tests.network_peers import OK, endpoint_entry, endpoint_list, read_message, request, write_configuration
 
 TICK_US = 200_000
 READ = 0
@@ -250,7 +250,7 @@
                 writer.write(OK)
 
     async def main(loop: SimLoop) -> list[int]:
-        config = load(str(configuration(tmp_path, known=listing(entry("c1", 9000)))))
+        config = load(str(write_configuration(tmp_path, known=endpoint_list(endpoint_entry("c1", 9000)))))
         parts = select_components(operator_settings.parse("[storm]\nenabled = true\n", {}))
         converter = await asyncio.start_server(convert, "127.0.0.1", 9000)
         stop = asyncio.Event()
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -31,7 +31,7 @@
     SidecarProcess,
     spans_without_service,
 )
-from tests.network_peers import OK, Upstream, entry, listing
+from tests.network_peers import OK, Upstream, endpoint_entry, endpoint_list
 
 pytestmark = pytest.mark.xdist_group("service_after_lists")  # one play serves all its tests
 
@@ -102,19 +102,19 @@
         self.paused: set[str] = set()  # sidecars that get no requests
 
     def first_list(self) -> dict[str, Any]:
-        return listing(*(entry(f"old-{i}", converter.port) for i, converter in enumerate(self.old)))
+        return endpoint_list(*(endpoint_entry(f"old-{i}", converter.port) for i, converter in enumerate(self.old)))
 
     def replaced(self, boot_ms: int = 0) -> dict[str, Any]:
         """The whole list after the change; it names nothing that has gone."""
-        return listing(*self.fresh(boot_ms), rev=2)
+        return endpoint_list(*self.fresh(boot_ms), rev=2)
 
     def change(self, boot_ms: int = 0) -> dict[str, Any]:
         """The change alone."""
-        gone = [entry(f"old-{i}", converter.port, "leaving") for i, converter in enumerate(self.old)]
-        return listing(*gone, *self.fresh(boot_ms), rev=2, full=False)
+        gone = [endpoint_entry(f"old-{i}", converter.port, "leaving") for i, converter in enumerate(self.old)]
+        return endpoint_list(*gone, *self.fresh(boot_ms), rev=2, full=False)
 
     def fresh(self, boot_ms: int) -> list[dict[str, Any]]:
-        return [entry(f"new-{i}", converter.port, boot_ms=boot_ms) for i, converter in enumerate(self.new)]
+        return [endpoint_entry(f"new-{i}", converter.port, boot_ms=boot_ms) for i, converter in enumerate(self.new)]
 
     async def new_agent(self, first: dict[str, Any]) -> Agent:
         agent = Agent(first=first)
@@ -158,7 +158,7 @@
         number = 0
         while True:
             if member.process.name not in self.paused:
-                await self.application.ask(member.process, KINDS[number % len(KINDS)])
+                await self.application.fetch(member.process, KINDS[number % len(KINDS)])
                 number += 1
             await asyncio.sleep(REQUEST_EVERY_S)
 
--- a/tests/test_sidecar_components.py
+++ b/tests/test_sidecar_components.py
@@ -11,7 +11,7 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.server import Server
 from ryepier.sidecar.serving import serve
-from tests.network_peers import OK, Sidecar, answering, configuration, free_port, request, until
+from tests.network_peers import OK, Sidecar, free_port, request, respond_in_turn, wait_until, write_configuration
 from tests.network_peers import Upstream as Peer
 
 
@@ -44,9 +44,9 @@
 
 def test_a_source_and_two_fronts_share_one_host(tmp_path: Path) -> None:
     async def test() -> None:
-        peer = Peer(answering(OK))
+        peer = Peer(respond_in_turn(OK))
         await peer.start()
-        path = configuration(tmp_path, known=None)
+        path = write_configuration(tmp_path, known=None)
         config = load(str(path))
         further, made, hosts = free_port(), [], []
 
@@ -62,13 +62,13 @@
         task = asyncio.create_task(
             serve(config, stop, reload, components.Components(source, (components.http_front_end, front)))
         )
-        await until(lambda: len(hosts) == 1)
+        await wait_until(lambda: len(hosts) == 1)
         for port in (config.listen[1], further):
             sidecar = Sidecar(port, stop, reload, task)
-            head, _ = await sidecar.ask(request("pay", body=b"b", deadline_ms=1000))
+            head, _ = await sidecar.fetch(request("pay", body=b"b", deadline_ms=1000))
             assert head.startswith(b"HTTP/1.1 200 ")
         reload.set()
-        await until(lambda: made[0].reloads == [("127.0.0.1", 1)])
+        await wait_until(lambda: made[0].reloads == [("127.0.0.1", 1)])
         stop.set()
         await task
         peer.stop()
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -22,16 +22,16 @@
 from ryepier.balancer.settings_parser import SettingsError
 from ryepier.sidecar.config import Config, flatten, load
 from tests.network_peers import (
+    HANG_TIMEOUT_S,
     OK,
-    PATIENCE_S,
     SETTINGS,
     Upstream,
-    configuration,
-    entry,
-    holding,
-    listing,
+    endpoint_entry,
+    endpoint_list,
     read_message,
     request,
+    respond_after,
+    write_configuration,
 )
 
 pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the tree
@@ -55,7 +55,7 @@
 
 
 def test_the_build_compiles_the_sources(tmp_path: Path) -> None:
-    with program(configuration(tmp_path)):  # which builds first
+    with program(write_configuration(tmp_path)):  # which builds first
         for source in (
             ROOT / "ryepier" / "__init__.py",
             *(ROOT / "ryepier" / "sidecar").glob("*.py"),
@@ -65,7 +65,7 @@
 
 
 def test_settings_are_read_by_their_names_on_the_simulators_wire(tmp_path: Path) -> None:
-    config: Config = load(str(configuration(tmp_path)))
+    config: Config = load(str(write_configuration(tmp_path)))
     assert (config.seed, config.sockets, config.idle_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
     assert config.settings.zone == 1 and config.settings.polls_endpoints and config.settings.weighted
@@ -79,16 +79,16 @@
 
 
 def test_the_program_is_ready_lives_through_sighup_and_ends_with_0_on_sigterm(tmp_path: Path) -> None:
-    path = configuration(tmp_path)
+    path = write_configuration(tmp_path)
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
     with program(path) as process:
 
         def up() -> bytes:
-            ends = time.monotonic() + PATIENCE_S
+            ends = time.monotonic() + HANG_TIMEOUT_S
             while time.monotonic() < ends:
                 assert process.poll() is None
                 try:
-                    with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as sock:
+                    with socket.create_connection(("127.0.0.1", port), timeout=HANG_TIMEOUT_S) as sock:
                         sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                         return sock.recv(100)
                 except ConnectionRefusedError:
@@ -101,7 +101,7 @@
             assert up().startswith(b"HTTP/1.1 200 ")
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE_S) == 0
+        assert process.wait(HANG_TIMEOUT_S) == 0
 
 
 def test_sigterm_under_load_leaves_nothing_that_ran_without_its_answer(tmp_path: Path) -> None:
@@ -130,12 +130,12 @@
         upstreams = [Upstream(slow) for _ in range(4)]
         for upstream in upstreams:
             await upstream.start()
-        known = listing(*(entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
-        path = configuration(tmp_path, known=known)
+        known = endpoint_list(*(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+        path = write_configuration(tmp_path, known=known)
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         stopped, answered = asyncio.Event(), set[str]()
         with program(path) as process:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 while True:
                     try:
                         (await asyncio.open_connection("127.0.0.1", port))[1].close()
@@ -148,7 +148,7 @@
                     await asyncio.sleep(0.5)
                     stopped.set()
                     process.send_signal(signal.SIGTERM)
-                assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
+                assert await asyncio.to_thread(process.wait, HANG_TIMEOUT_S) == 0
         for upstream in upstreams:
             upstream.stop()
         ran = {
@@ -163,8 +163,8 @@
 
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
 def test_a_configuration_that_can_not_be_read_ends_it_with_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
-    with program(configuration(tmp_path, **changes)) as process:
-        _, errors = process.communicate(timeout=PATIENCE_S)
+    with program(write_configuration(tmp_path, **changes)) as process:
+        _, errors = process.communicate(timeout=HANG_TIMEOUT_S)
         assert process.returncode == 2 and len(errors.splitlines()) == 1
 
 
@@ -184,18 +184,18 @@
 )
 def test_a_wrong_setting_is_told_by_its_key(tmp_path: Path, changes: dict[str, Any], key: str) -> None:
     with pytest.raises((ValueError, SettingsError), match=key):
-        load(str(configuration(tmp_path, **changes)))
+        load(str(write_configuration(tmp_path, **changes)))
 
 
 def test_a_second_sigterm_and_a_sighup_while_it_ends_take_nothing_from_what_is_open(tmp_path: Path) -> None:
     async def test() -> None:
         let = asyncio.Event()
-        upstream = Upstream(holding(let))
+        upstream = Upstream(respond_after(let))
         await upstream.start()
-        path = configuration(tmp_path, known=listing(entry("u", upstream.port)))
+        path = write_configuration(tmp_path, known=endpoint_list(endpoint_entry("u", upstream.port)))
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         with program(path) as process:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 while True:
                     try:
                         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -211,7 +211,7 @@
                 let.set()
                 assert (await reader.read()).endswith(b"done")
                 writer.close()
-                assert await asyncio.to_thread(process.wait, PATIENCE_S) == 0
+                assert await asyncio.to_thread(process.wait, HANG_TIMEOUT_S) == 0
         upstream.stop()
 
     asyncio.run(test())
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -33,7 +33,7 @@
 from ryepier.slices.endpoint_listing import ListingRules
 from ryepier.slices.reflector import Apply, Call, Failure, Reflector, Replace, Wait
 from ryepier.slices.slice_source import Settings, SliceSource
-from tests.network_peers import OK, PATIENCE_S, configuration, free_port, read_message, request, until
+from tests.network_peers import HANG_TIMEOUT_S, OK, free_port, read_message, request, wait_until, write_configuration
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 PORTS = [{"name": "http", "port": 80, "protocol": "TCP"}]
@@ -41,7 +41,7 @@
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
     async def limited() -> None:
-        async with asyncio.timeout(4 * PATIENCE_S):
+        async with asyncio.timeout(4 * HANG_TIMEOUT_S):
             await test()
 
     asyncio.run(limited())
@@ -126,12 +126,12 @@
                 world.put(f"s{index}", f"p{index}")
             world.store.put("default", "another", content("p99"), {SERVICE_LABEL: "other"})
             world.follow()
-            await until(lambda: len(world.states()) == 5)
+            await wait_until(lambda: len(world.states()) == 5)
             assert [event.kind for event in world.events] == [ListKind.FULL]
             assert sum("continue=" in call for call in world.api.calls) == 2
             world.put("s1", "p1", draining="p1")
             world.put("six", "p7", family="IPv6")
-            await until(
+            await wait_until(
                 lambda: (
                     world.states() == {"p0": READY, "p1": DRAINING, "p2": READY, "p3": READY, "p4": READY, "p7": READY}
                 )
@@ -150,13 +150,13 @@
         async with a_world() as world:
             world.put("s1", "p1")
             world.follow()
-            await until(lambda: world.states() == {"p1": READY})
+            await wait_until(lambda: world.states() == {"p1": READY})
             world.api.faults.torn = True
             world.put("s1", "p1", draining="p1")
-            await until(lambda: sum("watch=true" in call for call in world.api.calls) >= 3)
+            await wait_until(lambda: sum("watch=true" in call for call in world.api.calls) >= 3)
             assert world.states() == {"p1": READY}  # half a line says nothing yet
             world.api.faults.torn = False
-            await until(lambda: world.states() == {"p1": DRAINING})
+            await wait_until(lambda: world.states() == {"p1": DRAINING})
 
     run(test)
 
@@ -167,9 +167,9 @@
             world.api.faults.pieces, world.api.faults.pause_s = 7, 0.0
             world.put("s1", "p1", "p2")
             world.follow()
-            await until(lambda: len(world.states()) == 2)
+            await wait_until(lambda: len(world.states()) == 2)
             world.put("s1", "p1", "p2", draining="p2")
-            await until(lambda: world.states() == {"p1": READY, "p2": DRAINING})
+            await wait_until(lambda: world.states() == {"p1": READY, "p2": DRAINING})
 
     run(test)
 
@@ -185,14 +185,14 @@
             world.put("s1", "p1", "p2")
             world.put("s2", "p3")
             world.follow()
-            await until(lambda: len(world.states()) == 3)
+            await wait_until(lambda: len(world.states()) == 3)
             world.api.close()
             world.put("s1", "p2", draining="p2")
             world.store.delete("default", "s2")
             world.store.compact()
             assert world.states() == {"p1": READY, "p2": READY, "p3": READY}  # the last list holds
             await world.api.listen("127.0.0.1", world.port)
-            await until(lambda: world.states() == {"p2": DRAINING})
+            await wait_until(lambda: world.states() == {"p2": DRAINING})
 
     run(test)
 
@@ -205,13 +205,13 @@
         async with a_world() as world:
             world.put("s1", "p1")
             world.follow(watch_s=1)
-            await until(lambda: world.states() == {"p1": READY})
+            await wait_until(lambda: world.states() == {"p1": READY})
             world.api.faults.silent = True
             world.put("s1", "p1", draining="p1")
             calls = len(world.api.calls)
-            await until(lambda: len(world.api.calls) > calls)
+            await wait_until(lambda: len(world.api.calls) > calls)
             world.api.faults.silent = False
-            await until(lambda: world.states() == {"p1": DRAINING})
+            await wait_until(lambda: world.states() == {"p1": DRAINING})
 
     run(test)
 
@@ -333,14 +333,14 @@
                 str(tmp_path / "key.pem"),
             )
             world.follow(access)
-            await until(lambda: world.states() == {"p1": READY})
+            await wait_until(lambda: world.states() == {"p1": READY})
             world.api.token = "second"
             world.api.end_connections()
             world.put("s1", "p1", draining="p1")
             await asyncio.sleep(0.1)
             assert world.states() == {"p1": READY}  # the old token is refused
             token.write_text("second\n")
-            await until(lambda: world.states() == {"p1": DRAINING})
+            await wait_until(lambda: world.states() == {"p1": DRAINING})
 
     run(test)
 
@@ -356,7 +356,7 @@
             made = world.follow(
                 find_access(f"https://127.0.0.1:{world.port}", "", str(tmp_path / "ca.pem")), pushed=False
             )
-            await until(lambda: made.client.problems > 0)
+            await wait_until(lambda: made.client.problems > 0)
             assert world.api.calls == [] and {event.kind for event in world.events} == {ListKind.FAILED}
 
     run(test)
@@ -388,7 +388,7 @@
         world = World()
         world.port = server.sockets[0].getsockname()[1]
         made = world.follow()
-        await until(lambda: calls >= 2)
+        await wait_until(lambda: calls >= 2)
         assert made.client.problems >= 1 and world.events == []
         made.stop()
         server.close()
@@ -407,7 +407,7 @@
             world.put("s1", "p1", "p2", draining="p2")
             world.follow(cache=cache).stop()
             world.follow(cache=cache)
-            await until(cache.exists)
+            await wait_until(cache.exists)
         away = World()
         away.port = free_port()
         away.follow(cache=cache)
@@ -429,9 +429,9 @@
         async with a_world() as world:
             for index in range(5):
                 world.put(f"s{index}", f"p{index}")
-            configuration = kubernetes.Configuration()
-            configuration.host = f"http://127.0.0.1:{world.port}"
-            api: Any = kubernetes.DiscoveryV1Api(kubernetes.ApiClient(configuration))
+            write_configuration = kubernetes.Configuration()
+            write_configuration.host = f"http://127.0.0.1:{world.port}"
+            api: Any = kubernetes.DiscoveryV1Api(kubernetes.ApiClient(write_configuration))
             selector = f"{SERVICE_LABEL}=convert"
 
             def list_all() -> tuple[list[Any], str]:
@@ -554,12 +554,12 @@
             made["endpoints"][0]["addresses"] = ["::1"]
             made["ports"] = [{"name": "http", "port": port}]
             world.store.put("default", "s1", made, {SERVICE_LABEL: "convert"})
-            config = load(str(configuration(tmp_path, known=None)))
+            config = load(str(write_configuration(tmp_path, known=None)))
             text = f'[slices]\nservice = "convert"\nnamespace = "default"\nserver = "http://127.0.0.1:{world.port}"\n'
             stop = asyncio.Event()
             parts = select_components(operator_settings.parse(text, {}))
             serving = asyncio.create_task(serve(config, stop, asyncio.Event(), parts))
-            await until(lambda: any("watch=true" in call for call in world.api.calls))
+            await wait_until(lambda: any("watch=true" in call for call in world.api.calls))
             reader, writer = await asyncio.open_connection(*config.listen)
             writer.write(request("pay", body=b"b", deadline_ms=1000))
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -7,16 +7,16 @@
 from ryepier.balancer.interface import Idempotency, RequestClass
 from ryepier.balancer.tuning import MAX_CONCURRENCY
 from tests.network_peers import (
+    HANG_TIMEOUT_S,
     OK,
-    PATIENCE_S,
     Upstream,
+    never_respond,
     read_message,
     request,
-    run,
+    run_async,
     sidecar,
-    silent,
-    status,
-    until,
+    status_of,
+    wait_until,
 )
 
 QUICK = [
@@ -37,7 +37,7 @@
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             if upstream.requests[number][1] == b"lost":
-                await silent(upstream, number, reader, writer)
+                await never_respond(upstream, number, reader, writer)
             await asyncio.sleep(0.02)  # so that requests meet, and slots are opened
             writer.write(OK)
 
@@ -46,10 +46,10 @@
         def lost() -> int:
             return sum(1 for _, body in upstream.requests if body == b"lost")
 
-        async with sidecar(upstream, classes=QUICK) as it, asyncio.timeout(PATIENCE_S):
+        async with sidecar(upstream, classes=QUICK) as it, asyncio.timeout(HANG_TIMEOUT_S):
             while {
-                status(answer)
-                for answer in await asyncio.gather(*(it.ask(request("pay", body=b"b")) for _ in range(6)))
+                status_of(answer)
+                for answer in await asyncio.gather(*(it.fetch(request("pay", body=b"b")) for _ in range(6)))
             } != {200}:
                 pass
             held = []
@@ -61,14 +61,14 @@
                     await asyncio.sleep(0.005)
                 held.append((answer, writer))
                 for _ in range(3):
-                    await it.ask(request("pay", body=b"b"))
-            while status(await it.ask(request("pay", body=b"b"))) != 200:
+                    await it.fetch(request("pay", body=b"b"))
+            while status_of(await it.fetch(request("pay", body=b"b"))) != 200:
                 pass
             for answer, writer in held:
                 answer.cancel()
                 writer.close()
 
-    run(test)
+    run_async(test)
 
 
 def test_a_request_that_is_never_answered_does_not_keep_the_only_slot_of_an_upstream() -> None:
@@ -77,16 +77,16 @@
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             if number == 0:
-                await silent(upstream, number, reader, writer)
+                await never_respond(upstream, number, reader, writer)
             writer.write(OK)
 
         upstream = Upstream(script)
-        async with sidecar(upstream, classes=QUICK) as it, asyncio.timeout(PATIENCE_S):
+        async with sidecar(upstream, classes=QUICK) as it, asyncio.timeout(HANG_TIMEOUT_S):
             _, writer = await it.connect()
             writer.write(request("pay", deadline_ms=600_000))
-            await until(lambda: len(upstream.requests) == 1)
-            while status(await it.ask(request("pay"))) != 200:
+            await wait_until(lambda: len(upstream.requests) == 1)
+            while status_of(await it.fetch(request("pay"))) != 200:
                 await asyncio.sleep(0.01)
             writer.close()
 
-    run(test)
+    run_async(test)
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -19,20 +19,20 @@
 from ryepier.sidecar.upstream_connection import ConnectionState, UpstreamConnection
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
+    HANG_TIMEOUT_S,
     OK,
-    PATIENCE_S,
     Discovery,
     Upstream,
-    answering,
-    entry,
-    listing,
+    endpoint_entry,
+    endpoint_list,
+    never_respond,
     read_message,
     request,
-    run,
+    respond_in_turn,
+    run_async,
     sidecar,
-    silent,
-    status,
-    until,
+    status_of,
+    wait_until,
 )
 
 
@@ -43,13 +43,13 @@
 
     async def test() -> None:
         more, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
-        upstream = Upstream(answering(OK, more, OK, closing, OK))
+        upstream = Upstream(respond_in_turn(OK, more, OK, closing, OK))
         async with sidecar(upstream) as it:
             for number in range(5):
-                assert (await it.ask(request(ident=str(number))))[1] == b"done"
+                assert (await it.fetch(request(ident=str(number))))[1] == b"done"
         assert upstream.connections == 3
 
-    run(test)
+    run_async(test)
 
 
 def test_a_connection_goes_by_upstream_and_not_by_address(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -68,33 +68,38 @@
         upstream = Upstream(script)
         async with sidecar(upstream, discovery=discovery) as it:
             await discovery.watched()
-            assert status(await it.ask(request())) == 200
+            assert status_of(await it.fetch(request())) == 200
             reader, writer = await it.connect()
             writer.write(request())
-            await until(lambda: len(upstream.requests) == 2)
+            await wait_until(lambda: len(upstream.requests) == 2)
             # another comes to the address of the one that leaves, and then the old one has gone
             discovery.line(
-                listing(entry("u0", upstream.port, "leaving"), entry("new", upstream.port), rev=2, full=False)
+                endpoint_list(
+                    endpoint_entry("u0", upstream.port, "leaving"),
+                    endpoint_entry("new", upstream.port),
+                    rev=2,
+                    full=False,
+                )
             )
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 while len(upstream.requests) < 3:
-                    await it.ask(request())
+                    await it.fetch(request())
             assert upstream.connections == 2
-            discovery.line(listing(entry("u0", upstream.port, "left"), rev=3, full=False))
+            discovery.line(endpoint_list(endpoint_entry("u0", upstream.port, "left"), rev=3, full=False))
             held.set()
-            assert status(await read_message(reader)) == 200
+            assert status_of(await read_message(reader)) == 200
             for _ in range(3):  # the old one's connection does not come back, the new one's stays
-                assert status(await it.ask(request())) == 200
+                assert status_of(await it.fetch(request())) == 200
             assert upstream.connections == 2
             writer.close()
 
-    run(test)
+    run_async(test)
 
 
 def test_connections_to_upstreams_are_bounded() -> None:
     async def test() -> None:
         pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=2), list[AttemptResult]()
-        upstreams = [Upstream(answering(OK)), Upstream(silent), Upstream(silent)]
+        upstreams = [Upstream(respond_in_turn(OK)), Upstream(never_respond), Upstream(never_respond)]
         for upstream in upstreams:
             await upstream.start()
         call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
@@ -103,24 +108,24 @@
             return pool.start(number, ("127.0.0.1", upstreams[number].port), call, ATTEMPT_TIMEOUT_US, results.append)
 
         begin(0)
-        await until(lambda: len(results) == 1)
+        await wait_until(lambda: len(results) == 1)
         assert results[0].outcome is Outcome.OK and len(pool.idle[0]) == 1
         open_ones = [begin(1), begin(2)]  # the idle one makes room
-        await until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
+        await wait_until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
         assert pool.idle == {}
         begin(0)
-        await until(lambda: len(results) == 2)
+        await wait_until(lambda: len(results) == 2)
         assert results[1].outcome is Outcome.CONNECT_FAILED
         for attempt in open_ones:
             attempt.cancel()
         begin(0).cancel()  # before its dial began
-        await until(lambda: not pool.dials and pool.connections == {})
+        await wait_until(lambda: not pool.dials and pool.connections == {})
         assert len(upstreams[0].requests) == 1
         for upstream in upstreams:
             upstream.stop()
         pool.sweeper.cancel()
 
-    run(test)
+    run_async(test)
 
 
 def test_connections_idle_for_as_long_as_others_that_broke_are_not_used() -> None:
@@ -133,7 +138,7 @@
         for _ in range(3):
             pool.observe_reuse(200_000, broke=True)
         assert not pool.is_trusted(210_000) and pool.is_trusted(20_000) and pool.is_trusted(2_000_000)
-        await until(lambda: pool.is_trusted(200_000))  # they are tried again in time
+        await wait_until(lambda: pool.is_trusted(200_000))  # they are tried again in time
         pool.sweeper.cancel()
 
     async def over_sockets() -> None:
@@ -154,13 +159,13 @@
         call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for number in range(80):
             pool.start(1, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
-            await until(partial(ended, number + 1))
+            await wait_until(partial(ended, number + 1))
         assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30  # else each second one
         upstream.stop()
         pool.sweeper.cancel()
 
-    run(test)
-    run(over_sockets)
+    run_async(test)
+    run_async(over_sockets)
 
 
 @pytest.mark.parametrize(
@@ -185,15 +190,15 @@
                 outcomes.append(event.outcome)
             return handle(self, now_us, event)
 
-        upstream = Upstream(answering(first, OK))
+        upstream = Upstream(respond_in_turn(first, OK))
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Balancer, "handle", watched)
             async with sidecar(upstream) as it:
-                assert status(await it.ask(request("pay"))) == 500
-                assert status(await it.ask(request("pay"))) == 200
+                assert status_of(await it.fetch(request("pay"))) == 500
+                assert status_of(await it.fetch(request("pay"))) == 200
         assert outcomes == [Outcome.MALFORMED_RESPONSE, Outcome.OK] and upstream.connections == 2
 
-    run(test)
+    run_async(test)
 
 
 def test_an_idle_connection_is_closed_before_the_upstream_would() -> None:
@@ -209,10 +214,10 @@
             raise ConnectionResetError
 
         async with sidecar(Upstream(script), idle_us=400_000) as it:
-            await it.ask(request())
+            await it.fetch(request())
             await ended.wait()
 
-    run(test)
+    run_async(test)
 
 
 @pytest.mark.parametrize("early", [b"", OK])
@@ -236,13 +241,13 @@
         assert connection.partly_written
         if early:
             peer.sendall(early)
-            await until(lambda: bool(results))
+            await wait_until(lambda: bool(results))
         peer.close()
-        await until(lambda: bool(results))
+        await wait_until(lambda: bool(results))
         assert [result.outcome for result in results] == [
             Outcome.MALFORMED_RESPONSE if early else Outcome.CONNECT_FAILED
         ]
         assert pool.idle == {} and pool.connections == {} and connection.state is not ConnectionState.OPEN
         pool.sweeper.cancel()
 
-    run(test)
+    run_async(test)
