--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -41,7 +41,7 @@
 START_US = 1_000_000_000
 
 
-def classes() -> list[RequestClass]:
+def request_classes() -> list[RequestClass]:
     return [
         RequestClass(
             "read",
@@ -71,7 +71,7 @@
 
 def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
-        "classes": classes(),
+        "classes": request_classes(),
         "instances": 3,
         "tick_us": 4000,
         "max_attempts": 4,
@@ -94,7 +94,7 @@
 
 
 @dataclass
-class Try:
+class TrackedAttempt:
     upstream: int
     zone: int
     failure_domain: int
@@ -104,82 +104,84 @@
 
 
 @dataclass
-class Owed:
+class TrackedRequest:
     event: RequestArrived
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[TrackedAttempt] = field(default_factory=list)
     answers: int = 0
     closed: bool = False
     stream: bool = False
 
-    def may_have_run(self) -> list[Try]:
-        return [t for t in self.tries if t.outcome not in NEVER_RAN]
+    def may_have_run(self) -> list[TrackedAttempt]:
+        return [t for t in self.attempts if t.outcome not in NEVER_RAN]
 
-    def out(self) -> list[int]:
-        return [n for n, t in enumerate(self.tries) if t.outcome is None]
+    def in_flight(self) -> list[int]:
+        return [n for n, t in enumerate(self.attempts) if t.outcome is None]
 
 
-class World:
+class BalancerHarness:
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
-        self.owed: dict[int, Owed] = {}
+        self.requests: dict[int, TrackedRequest] = {}
         self.known: dict[int, Upstream] = {}
-        self.refused_us: dict[int, int] = {}  # upstreams told draining or gone: since when
+        self.unavailable_since_us: dict[int, int] = {}  # upstreams told draining or gone: since when
         self.timers: list[tuple[int, int]] = []
-        self.log: list[Action] = []
+        self.actions: list[Action] = []
         self.next_id = 1
 
     # Events
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
-        self.log.extend(actions)
+        self.actions.extend(actions)
         return actions
 
-    def tell_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
+    def update_upstreams(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
         for entry in entries:
             self.known[entry.id] = entry
             if entry.state is UpstreamState.READY:
-                self.refused_us.pop(entry.id, None)
+                self.unavailable_since_us.pop(entry.id, None)
             else:
-                self.refused_us.setdefault(entry.id, self.now_us)
+                self.unavailable_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
             for ident in self.known.keys() - {e.id for e in entries}:
-                self.refused_us.setdefault(ident, self.now_us)
-        return self.tell(UpstreamsUpdated(kind, entries))
+                self.unavailable_since_us.setdefault(ident, self.now_us)
+        return self.handle(UpstreamsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
         ident = self.next_id
         self.next_id += 1
         patience = patience_us or self.settings.classes[class_index].deadline_us
         event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.owed[ident] = Owed(event)
-        self.tell(event)
+        self.requests[ident] = TrackedRequest(event)
+        self.handle(event)
         return ident
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        owed = self.owed[request]
-        this = owed.tries[attempt]
+        requests = self.requests[request]
+        this = requests.attempts[attempt]
         assert this.outcome is None
         this.outcome = outcome
-        if (outcome is Outcome.OK or owed.stream) and not owed.closed:
-            owed.closed = True
-            owed.answers += 1
-        return self.tell(
-            AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us, owed.closed, **fields)
+        if (outcome is Outcome.OK or requests.stream) and not requests.closed:
+            requests.closed = True
+            requests.answers += 1
+        return self.handle(
+            AttemptEnded(
+                request, attempt, this.upstream, outcome, self.now_us - this.sent_us, requests.closed, **fields
+            )
         )
 
     def begin_stream(self, request: int, attempt: int) -> None:
-        self.owed[request].stream = True
-        self.tell(StreamStarted(request, attempt, self.owed[request].tries[attempt].upstream))
+        self.requests[request].stream = True
+        self.handle(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
-    def quit(self, request: int) -> None:
-        self.owed[request].closed = True
-        self.owed[request].answers = 1
-        self.tell(ClientDisconnected(request))
+    def disconnect_client(self, request: int) -> None:
+        self.requests[request].closed = True
+        self.requests[request].answers = 1
+        self.handle(ClientDisconnected(request))
 
     def advance(self, by_us: int) -> None:
         """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
@@ -188,9 +190,9 @@
             due = [(at, 1, token, 0) for at, token in self.timers]
             due += [
                 (t.ends_us, 0, ident, n)
-                for ident, owed in self.owed.items()
-                if not owed.stream
-                for n, t in enumerate(owed.tries)
+                for ident, requests in self.requests.items()
+                if not requests.stream
+                for n, t in enumerate(requests.attempts)
                 if t.outcome is None
             ]
             due = [d for d in due if d[0] <= end_us]
@@ -202,12 +204,12 @@
                 self.end(first, second, Outcome.TIMEOUT)
             else:
                 self.timers.remove((at, first))
-                self.tell(TimerFired(first))
+                self.handle(TimerFired(first))
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
-        for ident, owed in self.owed.items():
-            overdue = self.now_us > owed.event.due_us + slack_us and not owed.stream
-            assert not overdue or owed.answers == 1, f"rule 1: request {ident} is unanswered past due"
+        for ident, requests in self.requests.items():
+            overdue = self.now_us > requests.event.due_us + slack_us and not requests.stream
+            assert not overdue or requests.answers == 1, f"rule 1: request {ident} is unanswered past due"
 
     # Checks
 
@@ -218,7 +220,7 @@
             self.check_answer(action)
         elif isinstance(action, Cancel):
             assert self.settings.cancel, "a cancel where none is allowed"
-            assert action.attempt < len(self.owed[action.request].tries), "a cancel of no attempt"
+            assert action.attempt < len(self.requests[action.request].attempts), "a cancel of no attempt"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
@@ -228,14 +230,14 @@
             assert not isinstance(action, Subscribe | FetchList) or self.settings.polls_endpoints
 
     def check_send(self, send: Send) -> None:
-        owed = self.owed[send.request]
+        requests = self.requests[send.request]
         entry = self.known[send.upstream]
-        kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a send after the end"
-        assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.upstream not in self.refused_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.hedging or not owed.out(), "rule 2: two attempts out together"
-        for earlier in owed.may_have_run():
+        kind = self.settings.classes[requests.event.class_index]
+        assert not requests.closed, "rule 1: a send after the end"
+        assert len(requests.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or gone upstream"
+        assert self.settings.hedging or not requests.in_flight(), "rule 2: two attempts out together"
+        for earlier in requests.may_have_run():
             assert kind.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
             if kind.idempotency == Idempotency.IDEMPOTENCY_KEY:
                 assert self.now_us - earlier.sent_us <= kind.idempotency_window_us, "rule 2: past the memory"
@@ -246,31 +248,31 @@
                 assert kind.idempotency_scope != IdempotencyScope.ZONE or entry.zone == earlier.zone, (
                     "rule 2: outside the zone"
                 )
-        ends_us = owed.event.due_us
+        ends_us = requests.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        owed.tries.append(Try(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_us))
+        requests.attempts.append(TrackedAttempt(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_us))
 
     def check_answer(self, answer: Reject | Fail) -> None:
-        owed = self.owed[answer.request]
-        kind = self.settings.classes[owed.event.class_index]
-        assert not owed.closed, "rule 1: a second answer"
-        owed.closed = True
-        owed.answers += 1
+        requests = self.requests[answer.request]
+        kind = self.settings.classes[requests.event.class_index]
+        assert not requests.closed, "rule 1: a second answer"
+        requests.closed = True
+        requests.answers += 1
         if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
             harmless = kind.idempotency == Idempotency.IDEMPOTENT or (
                 kind.idempotency == Idempotency.IDEMPOTENCY_KEY and kind.idempotency_scope == IdempotencyScope.ALL
             )
-            assert harmless or not owed.may_have_run(), "rule 2: a refusal of what may have run"
+            assert harmless or not requests.may_have_run(), "rule 2: a refusal of what may have run"
 
     # What tests look at
 
     def sends(self, request: int | None = None) -> list[Send]:
-        return [a for a in self.log if isinstance(a, Send) and request in (None, a.request)]
+        return [a for a in self.actions if isinstance(a, Send) and request in (None, a.request)]
 
     def answer(self, request: int) -> Action | None:
-        for action in self.log:
+        for action in self.actions:
             if isinstance(action, Reject | Fail) and action.request == request:
                 return action
         return None
--- a/tests/test_balancer_misuse.py
+++ b/tests/test_balancer_misuse.py
@@ -20,12 +20,12 @@
     UpstreamsUpdated,
 )
 from ryepier.balancer.interface import ListKind as Kind
-from tests.balancer_harness import START_US, World, settings, upstreams
+from tests.balancer_harness import START_US, BalancerHarness, settings, upstreams
 
 
 def test_events_about_what_is_unknown_change_nothing() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
+    harness = BalancerHarness()
+    harness.update_upstreams(upstreams(3))
     for event in (
         AttemptEnded(77, 0, 100, Outcome.OK, 5, True),
         ClientDisconnected(77),
@@ -35,38 +35,38 @@
         PeerMessage(1, b"hi"),
         UpstreamsUpdated(Kind.FAILED),
     ):
-        assert world.tell(event) == []
-    assert world.sends(world.arrive(0))
+        assert harness.handle(event) == []
+    assert harness.sends(harness.arrive(0))
 
 
 def test_outcomes_after_the_answer_and_gone_after_the_end_are_ignored() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    world.quit(request)
-    assert world.end(request, 0, Outcome.ERROR) == []
-    assert world.tell(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
-    assert world.tell(ClientDisconnected(request)) == []
-    served = world.arrive(0)
-    world.end(served, 0, Outcome.OK)
-    assert world.tell(ClientDisconnected(served)) == []
+    harness = BalancerHarness()
+    harness.update_upstreams(upstreams(3))
+    request = harness.arrive(0)
+    harness.disconnect_client(request)
+    assert harness.end(request, 0, Outcome.ERROR) == []
+    assert harness.handle(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
+    assert harness.handle(ClientDisconnected(request)) == []
+    served = harness.arrive(0)
+    harness.end(served, 0, Outcome.OK)
+    assert harness.handle(ClientDisconnected(served)) == []
 
 
 def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
-    world = World()
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    assert world.tell(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
+    harness = BalancerHarness()
+    harness.update_upstreams(upstreams(3))
+    request = harness.arrive(0)
+    assert harness.handle(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
 def test_a_stream_that_breaks_is_not_sent_again() -> None:
-    world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
-    world.tell_list(upstreams(3))
-    request = world.arrive(0)
-    world.begin_stream(request, 0)
-    world.advance(3_000_000)
-    world.end(request, 0, Outcome.RESET)
-    assert len(world.sends(request)) == 1 and not isinstance(world.answer(request), Fail)
+    harness = BalancerHarness(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
+    harness.update_upstreams(upstreams(3))
+    request = harness.arrive(0)
+    harness.begin_stream(request, 0)
+    harness.advance(3_000_000)
+    harness.end(request, 0, Outcome.RESET)
+    assert len(harness.sends(request)) == 1 and not isinstance(harness.answer(request), Fail)
 
 
 def test_the_same_events_and_seed_give_the_same_actions() -> None:
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -13,30 +13,30 @@
 from ryepier.sim.fleet.connections import ConnectionCounter, ConnectionPool
 from ryepier.sim.fleet.converter import Converter, Job
 from ryepier.sim.fleet.world import SECOND_US, START_US, FleetPlan, FleetWorld, Outage
-from tests.balancer_harness import World, settings
+from tests.balancer_harness import BalancerHarness, settings
 
 PLAN = FleetPlan(sidecars=30, converters=20, load=0.5, duration_us=6 * SECOND_US)
 
 
-def received(world: FleetWorld) -> list[list[int]]:
-    return [converter.received_us for converter in world.converters]
+def received(harness: FleetWorld) -> list[list[int]]:
+    return [converter.received_us for converter in harness.converters]
 
 
 def test_random_choice_spreads_by_chance_and_all_is_served() -> None:
-    world = FleetWorld(PLAN, 1, choosers.make_random)
-    world.play()
-    found = measures.spread(received(world), START_US, world.now_us)
+    harness = FleetWorld(PLAN, 1, choosers.make_random)
+    harness.play()
+    found = measures.spread(received(harness), START_US, harness.now_us)
     assert 0.5 < found.over_chance < 1.5  # 20 converters: the deviation itself is off by a sixth
-    ended = [request for request in world.requests if request.ended_us]
-    assert len(ended) > 0.95 * len(world.requests)
+    ended = [request for request in harness.requests if request.ended_us]
+    assert len(ended) > 0.95 * len(harness.requests)
     assert sum(request.served for request in ended) > 0.98 * len(ended)
 
 
 def test_the_shortest_queue_keeps_answers_quicker_than_random_choice() -> None:
     def mean_us(factory: choosers.ChooserFactory) -> float:
-        world = FleetWorld(PLAN, 2, factory)
-        world.play()
-        times = [one.ended_us - one.arrived_us for one in world.requests if one.served]
+        harness = FleetWorld(PLAN, 2, factory)
+        harness.play()
+        times = [one.ended_us - one.arrived_us for one in harness.requests if one.served]
         return sum(times) / len(times)
 
     assert mean_us(choosers.make_shortest) < mean_us(choosers.make_random)
@@ -50,20 +50,20 @@
 
 
 def test_all_that_comes_is_ended_once_and_work_is_bounded_by_the_places() -> None:
-    world = FleetWorld(FleetPlan(sidecars=20, converters=5, load=3.0, duration_us=4 * SECOND_US), 4)
-    world.play()
-    due_us = world.now_us - world.plan.deadline_us
-    assert all(request.ended_us for request in world.requests if request.arrived_us < due_us)
-    assert all(len(converter.working) <= converter.places for converter in world.converters)
-    assert sum(request.rejected for request in world.requests) > 0
+    harness = FleetWorld(FleetPlan(sidecars=20, converters=5, load=3.0, duration_us=4 * SECOND_US), 4)
+    harness.play()
+    due_us = harness.now_us - harness.plan.deadline_us
+    assert all(request.ended_us for request in harness.requests if request.arrived_us < due_us)
+    assert all(len(converter.working) <= converter.places for converter in harness.converters)
+    assert sum(request.rejected for request in harness.requests) > 0
 
 
 def test_converters_that_vanish_get_nothing_until_they_are_back() -> None:
     outage = Outage(converters=4, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
     plan = FleetPlan(sidecars=10, converters=10, load=0.3, duration_us=5 * SECOND_US, outages=(outage,))
-    world = FleetWorld(plan, 5, choosers.make_random)
-    world.play()
-    back = [converter for converter in world.converters if converter.started_us]
+    harness = FleetWorld(plan, 5, choosers.make_random)
+    harness.play()
+    back = [converter for converter in harness.converters if converter.started_us]
     assert len(back) == 4
     away = (START_US + outage.at_us, START_US + outage.restart_us)
     assert all(not away[0] < at_us < away[1] for converter in back for at_us in converter.received_us)
@@ -144,10 +144,10 @@
         initial_capacity_share=0.2,
         outages=(outage,),
     )
-    world = FleetWorld(plan, seed)
-    world.play()
-    counts = measures.counts_in_windows(received(world), START_US + begin_us, world.now_us, 5 * SECOND_US)[:, 0]
-    back = [bool(converter.started_us) for converter in world.converters]
+    harness = FleetWorld(plan, seed)
+    harness.play()
+    counts = measures.counts_in_windows(received(harness), START_US + begin_us, harness.now_us, 5 * SECOND_US)[:, 0]
+    back = [bool(converter.started_us) for converter in harness.converters]
     others = [count for count, is_back in zip(counts, back, strict=True) if not is_back]
     mean = sum(others) / len(others)
     return [count / mean for count, is_back in zip(counts, back, strict=True) if is_back]
@@ -199,14 +199,14 @@
 
 def share_by_upstream(config: api.Settings, entries: list[api.Upstream]) -> dict[int, int]:
     """Sends by upstream, of requests answered one after another."""
-    world = World(config)
-    world.tell_list([api.Upstream(entry.id) for entry in entries[:2]])
-    world.tell_list(entries, api.ListKind.DELTA)
+    harness = BalancerHarness(config)
+    harness.update_upstreams([api.Upstream(entry.id) for entry in entries[:2]])
+    harness.update_upstreams(entries, api.ListKind.DELTA)
     for _ in range(200):
-        request = world.arrive()
-        world.advance(10_000)
-        world.end(request, 0, api.Outcome.OK)
-    return dict(Counter(send.upstream for send in world.sends()))
+        request = harness.arrive()
+        harness.advance(10_000)
+        harness.end(request, 0, api.Outcome.OK)
+    return dict(Counter(send.upstream for send in harness.sends()))
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, math.inf, math.nan])
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -23,7 +23,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from tests.balancer_harness import START_US, World, classes, settings, upstreams
+from tests.balancer_harness import START_US, BalancerHarness, request_classes, settings, upstreams
 
 FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
 
@@ -56,7 +56,7 @@
 
 def many_classes() -> list[RequestClass]:
     return [
-        *classes(),
+        *request_classes(),
         RequestClass(
             "zoned",
             200_000,
@@ -76,41 +76,41 @@
     ]
 
 
-def play(world: World, step: tuple[str, int, object]) -> None:
+def play(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
     what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in world.owed.items() for n in owed.out()]
+    open_attempts = [(ident, n) for ident, tracked in harness.requests.items() for n in tracked.in_flight()]
     if what == "arrive":
         assert isinstance(extra, int)
-        world.arrive(number, patience_us=extra)
+        harness.arrive(number, patience_us=extra)
     elif what == "advance":
-        world.advance(number)
+        harness.advance(number)
     elif what in ("list", "restart"):
-        started = world.now_us - extra if isinstance(extra, int) else 0
+        started = harness.now_us - extra if isinstance(extra, int) else 0
         state = extra if isinstance(extra, UpstreamState) else UpstreamState.READY
         entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started)
-        world.tell_list([entry], ListKind.DELTA)
+        harness.update_upstreams([entry], ListKind.DELTA)
     elif what == "full":
         assert isinstance(extra, ListKind)
-        world.tell_list(upstreams(number), extra)
-    elif what == "fail" and world.settings.polls_endpoints:
-        world.tell(UpstreamsUpdated(ListKind.FAILED))
-    elif what == "quit" and world.owed:
-        ident = list(world.owed)[number % len(world.owed)]
-        if not world.owed[ident].closed:
-            world.quit(ident)
-    elif what == "end" and open_tries:
+        harness.update_upstreams(upstreams(number), extra)
+    elif what == "fail" and harness.settings.polls_endpoints:
+        harness.handle(UpstreamsUpdated(ListKind.FAILED))
+    elif what == "quit" and harness.requests:
+        ident = list(harness.requests)[number % len(harness.requests)]
+        if not harness.requests[ident].closed:
+            harness.disconnect_client(ident)
+    elif what == "end" and open_attempts:
         assert isinstance(extra, Outcome)
-        world.end(*open_tries[number % len(open_tries)], extra)
+        harness.end(*open_attempts[number % len(open_attempts)], extra)
     elif what == "stream":
         streams = [
             (i, n)
-            for i, n in open_tries
-            if world.settings.classes[world.owed[i].event.class_index].stream
-            and not world.owed[i].stream
-            and not world.owed[i].closed
+            for i, n in open_attempts
+            if harness.settings.classes[harness.requests[i].event.class_index].stream
+            and not harness.requests[i].stream
+            and not harness.requests[i].closed
         ]
         if streams:
-            world.begin_stream(*streams[number % len(streams)])
+            harness.begin_stream(*streams[number % len(streams)])
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
@@ -118,18 +118,18 @@
 def test_no_rule_is_broken_whatever_happens(
     config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
-    world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+    harness = BalancerHarness(settings(classes=many_classes(), **config), seed)
+    harness.update_upstreams(upstreams(6), ListKind.CACHED)
     for step in steps:
-        play(world, step)
-    world.advance(5_000_000)  # everything is answered by its due time
+        play(harness, step)
+    harness.advance(5_000_000)  # everything is answered by its due time
 
 
 def busy_day(config: dict[str, object], seed: int) -> list[object]:
     """Heavy use with every kind of fault, so that slots run out and requests wait and are reissued."""
     dice = random.Random(seed)
-    world = World(settings(classes=many_classes(), **config), seed)
-    world.tell_list(upstreams(6), ListKind.CACHED)
+    harness = BalancerHarness(settings(classes=many_classes(), **config), seed)
+    harness.update_upstreams(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
         kind = dice.choices(
             ["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"], [50, 40, 10, 1, 1, 1, 1, 1]
@@ -145,9 +145,9 @@
         elif kind in ("list", "restart"):
             number = dice.randrange(8)
             extra = dice.choice(list(UpstreamState)) if kind == "list" else dice.randrange(30_000_000)
-        play(world, (kind, number, extra))
-    world.advance(5_000_000)
-    return list(world.log)
+        play(harness, (kind, number, extra))
+    harness.advance(5_000_000)
+    return list(harness.actions)
 
 
 def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -19,7 +19,7 @@
 from ryepier.storm import failed_request_sketch
 from ryepier.storm.failed_request_sketch import GENERATION_SIZE, GENERATION_US, FailedRequestSketch, fingerprint
 from ryepier.storm.storm_detector import MIN_CALM_US, RetryStormDetector, StormEvidence
-from tests.balancer_harness import World, settings, upstreams
+from tests.balancer_harness import BalancerHarness, settings, upstreams
 from tests.network_peers import OK, endpoint_entry, endpoint_list, read_message, request, write_configuration
 
 TICK_US = 200_000
@@ -176,35 +176,35 @@
 # The module
 
 
-def stormy(**changes: object) -> World:
-    world = World(settings(max_retry_after_us=8_000_000, **changes))
-    world.tell_list(upstreams(3))
-    return world
+def stormy(**changes: object) -> BalancerHarness:
+    harness = BalancerHarness(settings(max_retry_after_us=8_000_000, **changes))
+    harness.update_upstreams(upstreams(3))
+    return harness
 
 
 def test_first_tries_are_let_in_and_later_ones_by_their_share_with_final_answers_at_once() -> None:
-    world = stormy()
-    world.tell(RetryStormUpdated(True, [1.0, 0.25, 0.0], [1_000_000] * 3))
-    firsts = [world.arrive(READ) for _ in range(3)]
-    assert all(world.sends(one) for one in firsts)
+    harness = stormy()
+    harness.handle(RetryStormUpdated(True, [1.0, 0.25, 0.0], [1_000_000] * 3))
+    firsts = [harness.arrive(READ) for _ in range(3)]
+    assert all(harness.sends(one) for one in firsts)
     for one in firsts:
-        world.end(one, 0, Outcome.OK)
-    second = [world.arrive(READ, retry_number=1) for _ in range(8)]
-    assert sum(bool(world.sends(one)) for one in second) == 2
-    third = world.arrive(READ, retry_number=7)
-    answer = world.answer(third)
+        harness.end(one, 0, Outcome.OK)
+    second = [harness.arrive(READ, retry_number=1) for _ in range(8)]
+    assert sum(bool(harness.sends(one)) for one in second) == 2
+    third = harness.arrive(READ, retry_number=7)
+    answer = harness.answer(third)
     assert isinstance(answer, Reject) and 100_000 <= answer.retry_after_us <= 1_000_000
-    world.tell(RetryStormUpdated())
-    assert world.sends(world.arrive(READ, retry_number=7))
+    harness.handle(RetryStormUpdated())
+    assert harness.sends(harness.arrive(READ, retry_number=7))
 
 
 def test_refused_clients_are_spread_over_the_window_also_in_whole_seconds() -> None:
     for whole in (False, True):
-        world = stormy()
-        world.tell(RetryStormUpdated(True, [1.0, 0.0], [4_000_000, 8_000_000], retry_after_in_seconds=whole))
+        harness = stormy()
+        harness.handle(RetryStormUpdated(True, [1.0, 0.0], [4_000_000, 8_000_000], retry_after_in_seconds=whole))
         after = []
         for _ in range(200):
-            answer = world.answer(world.arrive(READ, retry_number=1))
+            answer = harness.answer(harness.arrive(READ, retry_number=1))
             assert isinstance(answer, Reject)
             after.append(answer.retry_after_us)
         assert max(after) <= 8_000_000 and max(after) - min(after) > 5_000_000
@@ -215,27 +215,27 @@
 
 def test_in_a_storm_a_clients_retry_earns_no_reissue() -> None:
     def reissued(tries: int) -> int:
-        world = World(settings(max_retry_after_us=8_000_000, hedging=False))
-        world.tell_list(upstreams(40))
-        world.tell(RetryStormUpdated(True, [1.0, 1.0], [1_000_000] * 2))
+        harness = BalancerHarness(settings(max_retry_after_us=8_000_000, hedging=False))
+        harness.update_upstreams(upstreams(40))
+        harness.handle(RetryStormUpdated(True, [1.0, 1.0], [1_000_000] * 2))
         count = 0
         for _ in range(60):
-            request = world.arrive(READ, retry_number=tries)
-            for number in range(len(world.sends(request))):
-                world.end(request, number, Outcome.RESET)
-            count += max(0, len(world.sends(request)) - 1)
-            world.advance(1_000_000)
+            request = harness.arrive(READ, retry_number=tries)
+            for number in range(len(harness.sends(request))):
+                harness.end(request, number, Outcome.RESET)
+            count += max(0, len(harness.sends(request)) - 1)
+            harness.advance(1_000_000)
         return count
 
     assert reissued(1) <= 6 < 12 <= reissued(0)
 
 
 def test_only_later_tries_of_the_tenant_that_storms_are_held_back() -> None:
-    world = stormy(tenants=[Tenant("a", 10.0), Tenant("b", 10.0)])
-    world.tell(RetryStormUpdated(True, [1.0, 1.0], [1_000_000] * 2, tenant_admission=[1.0, 0.0]))
-    assert world.sends(world.arrive(READ, retry_number=1, tenant=0))
-    assert not world.sends(world.arrive(READ, retry_number=1, tenant=1))
-    assert world.sends(world.arrive(READ, retry_number=0, tenant=1))
+    harness = stormy(tenants=[Tenant("a", 10.0), Tenant("b", 10.0)])
+    harness.handle(RetryStormUpdated(True, [1.0, 1.0], [1_000_000] * 2, tenant_admission=[1.0, 0.0]))
+    assert harness.sends(harness.arrive(READ, retry_number=1, tenant=0))
+    assert not harness.sends(harness.arrive(READ, retry_number=1, tenant=1))
+    assert harness.sends(harness.arrive(READ, retry_number=0, tenant=1))
 
 
 # A whole sidecar
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -33,7 +33,7 @@
     UpstreamsUpdated,
 )
 from ryepier.balancer.slow_start import SlowStart
-from tests.balancer_harness import START_US, World, settings, upstreams
+from tests.balancer_harness import START_US, BalancerHarness, settings, upstreams
 
 CONVERTERS = 12
 CORES = 2
@@ -136,12 +136,12 @@
         ended = AttemptEnded(send.request, 0, send.upstream, how, end_us - at_us, how is Outcome.OK)
         self.later(end_us, sidecar, ended)
 
-    def tell_list(self) -> None:
+    def update_upstreams(self) -> None:
         listed = [Upstream(n + 1, started_us=c.started_us) for n, c in enumerate(self.converters)]
         for number in range(len(self.balancers)):
-            self.tell(number, UpstreamsUpdated(ListKind.FULL, listed))
+            self.handle(number, UpstreamsUpdated(ListKind.FULL, listed))
 
-    def tell(self, sidecar: int, event: Event) -> None:
+    def handle(self, sidecar: int, event: Event) -> None:
         for action in self.balancers[sidecar].handle(self.now_us, event):
             if isinstance(action, Send):
                 self.serve(sidecar, action)
@@ -155,7 +155,7 @@
             if isinstance(event, RequestArrived):
                 self.arrived += 1
                 self.arrive(sidecar)
-            self.tell(sidecar, event)
+            self.handle(sidecar, event)
         self.now_us = until_us
 
     def start_cold(self) -> None:
@@ -165,10 +165,10 @@
             self.rates = [moved[n] for n in range(len(self.rates))]
         for converter in self.converters[: self.case.cold]:
             converter.started_us, converter.free_us = self.now_us, [self.now_us] * CORES
-        self.tell_list()
+        self.update_upstreams()
 
     def play(self) -> None:
-        self.tell_list()
+        self.update_upstreams()
         for sidecar in range(len(self.balancers)):
             self.arrive(sidecar)
         self.run(START_US + CALM_US)
@@ -256,32 +256,32 @@
 AGAIN = 100  # the upstream that starts again under its id
 
 
-def fails_then_starts_again() -> World:
+def fails_then_starts_again() -> BalancerHarness:
     """It could not be reached for seconds, and then is listed with a new start, 5 s ago."""
-    world = World(settings(hedging=False))
-    world.tell_list(upstreams(4))
+    harness = BalancerHarness(settings(hedging=False))
+    harness.update_upstreams(upstreams(4))
     for _ in range(400):
-        request = world.arrive(PAY)
-        sent = world.sends(request)
-        world.advance(5_000)
+        request = harness.arrive(PAY)
+        sent = harness.sends(request)
+        harness.advance(5_000)
         for nth, send in enumerate(sent[-1:]):
             failed = send.upstream == AGAIN
-            world.end(request, nth, Outcome.CONNECT_FAILED if failed else Outcome.OK)
-        world.advance(5_000)
-    world.tell_list([Upstream(AGAIN, started_us=world.now_us - 5_000_000)], ListKind.DELTA)
-    return world
+            harness.end(request, nth, Outcome.CONNECT_FAILED if failed else Outcome.OK)
+        harness.advance(5_000)
+    harness.update_upstreams([Upstream(AGAIN, started_us=harness.now_us - 5_000_000)], ListKind.DELTA)
+    return harness
 
 
-def sent_again(world: World) -> int:
-    before = len(world.sends())
+def sent_again(harness: BalancerHarness) -> int:
+    before = len(harness.sends())
     for _ in range(40):
-        request = world.arrive(PAY)
-        world.advance(10_000)
-        for send in world.sends(request)[-1:]:
-            assert send.upstream in world.known
-            world.end(request, len(world.owed[request].tries) - 1, Outcome.OK)
-        world.advance(10_000)
-    return sum(1 for send in world.sends()[before:] if send.upstream == AGAIN)
+        request = harness.arrive(PAY)
+        harness.advance(10_000)
+        for send in harness.sends(request)[-1:]:
+            assert send.upstream in harness.known
+            harness.end(request, len(harness.requests[request].attempts) - 1, Outcome.OK)
+        harness.advance(10_000)
+    return sum(1 for send in harness.sends()[before:] if send.upstream == AGAIN)
 
 
 def test_what_an_upstream_did_before_it_started_again_is_forgotten() -> None:
@@ -290,8 +290,8 @@
 
 
 def test_a_plans_advice_outlasts_a_start() -> None:
-    world = World(settings(hedging=False))
-    world.tell_list(upstreams(4))
-    world.tell(PlanUpdated([Advice(AGAIN, ejected=True)]))
-    world.tell_list([Upstream(AGAIN, started_us=world.now_us - 5_000_000)], ListKind.DELTA)
-    assert sent_again(world) == 0
+    harness = BalancerHarness(settings(hedging=False))
+    harness.update_upstreams(upstreams(4))
+    harness.handle(PlanUpdated([Advice(AGAIN, ejected=True)]))
+    harness.update_upstreams([Upstream(AGAIN, started_us=harness.now_us - 5_000_000)], ListKind.DELTA)
+    assert sent_again(harness) == 0
