--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -1,4 +1,4 @@
-"""One agent as a process: `python -m ryepier.experiments.maintenance.agent_process PLAN`, with its plan as JSON."""
+"""One agent as a process: `python -m ryepier.experiments.maintenance.agent_process PLAN`, with its plan in JSON."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AgentPlan(msgspec.Struct, frozen=True):
-    """What an agent is told."""
+    """The settings of an agent process."""
 
     agreement: str
     region: str
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Work until it is killed."""
+    """Run the agent until the process is killed."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AgentPlan)
     structured.set_up(LoggingSettings(format="json", lines_per_s=LOG_LINES_PER_S))
     agreement = agreement_file.parse(Path(plan.agreement).read_bytes())
--- a/ryepier/experiments/maintenance/agreement_text.py
+++ b/ryepier/experiments/maintenance/agreement_text.py
@@ -1,4 +1,4 @@
-"""The agreement that the experiments' regions hold, for the converters of their world."""
+"""Writes the agreement of the experiments' regions, for the converters of their world."""
 
 from __future__ import annotations
 
@@ -6,29 +6,31 @@
 from ryepier.experiments.maintenance.fleet_process import first_uid
 
 SERVICE = "convert"
-REGIONS = {"north": ("n1", "n2"), "south": ("s1", "s2")}  # with their zones
+NORTH, SOUTH = "north", "south"
+REGIONS = {NORTH: ("n1", "n2"), SOUTH: ("s1", "s2")}  # with their zones
 REPLICAS = 3
 PORT = 7500
+COORDINATOR_SUBNET, RELAY_SUBNET = 250, 249
 
 
 def coordinator_address(network: int, region: str, replica: int, relayed: bool = False) -> str:
-    """Where a coordinator listens, or the relay before it."""
-    subnet = 249 if relayed else 250
+    """Return the address of a coordinator, or of the relay before it, as `host:port`."""
+    subnet = RELAY_SUBNET if relayed else COORDINATOR_SUBNET
     return f"127.{network}.{subnet}.{10 * (list(REGIONS).index(region) + 1) + replica}:{PORT}"
 
 
 def replica_names(region: str) -> list[str]:
-    """A region's coordinators."""
+    """Return the names of a region's coordinators."""
     return [f"{region}-{number}" for number in range(REPLICAS)]
 
 
 def region_converters(world: World, region: str) -> list[str]:
-    """The converters of a region's zones."""
+    """Return the converters of a region's zones."""
     return [name for name, zone in converter_zones(world).items() if zone in REGIONS[region]]
 
 
 def converter_zones(world: World) -> dict[str, str]:
-    """Each converter with its zone, in the order of the world."""
+    """Return the zone of each converter, in the order of the world."""
     zones = [group.zone for group in world.converters for _ in range(group.count)]
     return {first_uid(place): zone for place, zone in enumerate(zones)}
 
@@ -36,27 +38,45 @@
 def agreement_text(
     world: World, network: int, max_unavailable: int, min_allowance: int, relayed_for: str | None = None
 ) -> str:
-    """The agreement as a file: so many converters may be out globally, half of them by each region.
+    """Return the agreement file: `max_unavailable` converters may be out globally, half of them by each region.
 
-    A region keeps at least `min_allowance`. Where the file is `relayed_for` a region, it reaches the others by relays.
+    A region keeps `min_allowance` when it lends. The file that is `relayed_for` a region has the relays' addresses for
+    the other regions.
     """
-    count = world.converter_count
-    half = max_unavailable // len(REGIONS)
-    lines = [f'[[services]]\nname = "{SERVICE}"\nleast = {count - max_unavailable}\nleast_part = {min_allowance}']
-    lines.append(f"warm_up_s = {world.warmth.warm_up_s}")
+    tables = [_service_table(world, max_unavailable, min_allowance)]
+    tables += [_service_region_table(world, region, max_unavailable) for region in REGIONS]
     for region in REGIONS:
-        least = len(region_converters(world, region)) - max_unavailable + 1
-        lines.append(f'[[services.regions]]\nregion = "{region}"\nleast = {least}\nallowance = {half}')
+        tables.append(f'[[regions]]\nname = "{region}"')
+        relayed = relayed_for not in (None, region)
+        tables += [_replica_table(network, region, number, relayed) for number in range(REPLICAS)]
+    zones = converter_zones(world)
     for region in REGIONS:
-        lines.append(f'[[regions]]\nname = "{region}"')
-        for number, name in enumerate(replica_names(region)):
-            relayed = relayed_for not in (None, region)
-            address = coordinator_address(network, region, number, relayed)
-            lines.append(f'[[regions.replicas]]\nname = "{name}"\naddress = "{address}"')
-    for region in REGIONS:
-        zones = converter_zones(world)
-        for name in region_converters(world, region):
-            lines.append(
-                f'[[converters]]\nname = "{name}"\nservice = "{SERVICE}"\nregion = "{region}"\nzone = "{zones[name]}"'
-            )
-    return "\n".join(lines) + "\n"
+        tables += [_converter_table(name, region, zones[name]) for name in region_converters(world, region)]
+    return "\n".join(tables) + "\n"
+
+
+def _service_table(world: World, max_unavailable: int, min_allowance: int) -> str:
+    """Return the table of the service."""
+    min_available = world.converter_count - max_unavailable
+    return (
+        f'[[services]]\nname = "{SERVICE}"\nleast = {min_available}\nleast_part = {min_allowance}\n'
+        f"warm_up_s = {world.warmth.warm_up_s}"
+    )
+
+
+def _service_region_table(world: World, region: str, max_unavailable: int) -> str:
+    """Return the table of the service in a region; its own minimum leaves one converter less than all regions may."""
+    min_available = len(region_converters(world, region)) - max_unavailable + 1
+    allowance = max_unavailable // len(REGIONS)
+    return f'[[services.regions]]\nregion = "{region}"\nleast = {min_available}\nallowance = {allowance}'
+
+
+def _replica_table(network: int, region: str, number: int, relayed: bool) -> str:
+    """Return the table of a coordinator."""
+    address = coordinator_address(network, region, number, relayed)
+    return f'[[regions.replicas]]\nname = "{replica_names(region)[number]}"\naddress = "{address}"'
+
+
+def _converter_table(name: str, region: str, zone: str) -> str:
+    """Return the table of a converter."""
+    return f'[[converters]]\nname = "{name}"\nservice = "{SERVICE}"\nregion = "{region}"\nzone = "{zone}"'
--- a/ryepier/experiments/maintenance/best_plan.py
+++ b/ryepier/experiments/maintenance/best_plan.py
@@ -1,66 +1,96 @@
-"""The best maintenance plan there is, by CP-SAT: what the scheduler's plan is measured against.
+"""The best maintenance plan there is, by CP-SAT: what the scheduler's plan is compared with.
 
-OR-Tools is in the development extra only, so it is imported where a plan is asked for.
+OR-Tools is in the development extra only, so it is imported where a plan is requested.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Any
 
+from ryepier.maintenance.agreement import Converter
 from ryepier.maintenance.problem import Job, Problem
 
-WORK_LIMIT = 1.0  # of the solver's own deterministic seconds: the same plan on a slow machine
+MAX_SOLVER_TIME = 1.0  # in the solver's deterministic seconds: the same plan on a slow machine
 
 
 @dataclass(frozen=True, slots=True)
 class BestPlan:
-    """Which requests end by their deadline, and the worth that no plan exceeds. Where the two are equal the plan is
-    the best; where the solver ran out of time the bound is still one."""
+    """The requests that end by their deadline, their total value, and a bound that no plan exceeds.
+
+    Where the two are equal the plan is optimal; where the solver ran out of time the bound still holds.
+    """
 
     feasible: frozenset[str]
     value: int
     bound: int
 
 
+@dataclass(frozen=True, slots=True)
+class _Outage:
+    """An interval variable of the model: one converter out for a request."""
+
+    interval: Any
+    converter: Converter
+    request: str
+
+
 def best_plan(problem: Problem, value: Callable[[Job], int]) -> BestPlan:
-    """The plan whose requests have the greatest worth together."""
+    """Return the plan whose requests have the greatest total value."""
     from ortools.sat.python import cp_model
 
     model = cp_model.CpModel()
     present = {job.request.name: model.new_bool_var(job.request.name) for job in problem.jobs}
-    intervals = []  # of (interval, converter, request)
-    for job in problem.jobs:
-        desired = problem.desired_start_ms(job)
-        latest = job.request.deadline_ms - job.length_ms
-        if latest < desired:
-            model.add(present[job.request.name] == 0)
-            continue
-        for converter in job.converters:
-            start = model.new_int_var(desired, latest, converter.name)
-            interval = model.new_optional_fixed_size_interval_var(
-                start, job.length_ms, present[job.request.name], converter.name
-            )
-            intervals.append((interval, converter, job.request.name))
-    for held in problem.active_leases:
-        for converter in held.converters:
-            interval = model.new_fixed_size_interval_var(problem.now_ms, held.until_ms - problem.now_ms, converter.name)
-            intervals.append((interval, converter, held.request))
-    for limit in problem.limits:
-        counted = [(interval, converter) for interval, converter, _ in intervals if limit.applies_to(converter)]
-        lost = sum(value for name, value in problem.lost.items() if limit.applies_to(problem.converters[name]))
-        demands = [converter.size - problem.lost.get(converter.name, 0) for _, converter in counted]
-        model.add_cumulative([interval for interval, _ in counted], demands, max(0, limit.bound - lost))
-    for job in problem.jobs:
-        own = [interval for interval, _, request in intervals if request == job.request.name]
-        model.add_cumulative(own, [1] * len(own), job.request.max_unavailable)
+    outages = [outage for job in problem.jobs for outage in _job_outages(model, problem, job, present)]
+    outages += _lease_outages(model, problem)
+    _add_limits(model, problem, outages)
     model.maximize(sum(value(job) * present[job.request.name] for job in problem.jobs))
     solver = cp_model.CpSolver()
     solver.parameters.num_workers = 1
     solver.parameters.random_seed = 1
-    solver.parameters.max_deterministic_time = WORK_LIMIT
+    solver.parameters.max_deterministic_time = MAX_SOLVER_TIME
     status = solver.solve(model)
     if status not in (cp_model.OPTIMAL, cp_model.FEASIBLE):
         return BestPlan(frozenset(), 0, sum(map(value, problem.jobs)))
     feasible = frozenset(name for name, literal in present.items() if solver.value(literal))
     return BestPlan(feasible, round(solver.objective_value), int(solver.best_objective_bound))
+
+
+def _job_outages(model: Any, problem: Problem, job: Job, present: dict[str, Any]) -> list[_Outage]:
+    """Add the optional intervals of a request; exclude a request that cannot end by its deadline."""
+    name = job.request.name
+    desired_ms = problem.desired_start_ms(job)
+    latest_ms = job.request.deadline_ms - job.length_ms
+    if latest_ms < desired_ms:
+        model.add(present[name] == 0)
+        return []
+    outages = []
+    for converter in job.converters:
+        start = model.new_int_var(desired_ms, latest_ms, converter.name)
+        interval = model.new_optional_fixed_size_interval_var(start, job.length_ms, present[name], converter.name)
+        outages.append(_Outage(interval, converter, name))
+    return outages
+
+
+def _lease_outages(model: Any, problem: Problem) -> list[_Outage]:
+    """Add the fixed intervals of the active leases."""
+    outages = []
+    for lease in problem.active_leases:
+        for converter in lease.converters:
+            length_ms = lease.until_ms - problem.now_ms
+            interval = model.new_fixed_size_interval_var(problem.now_ms, length_ms, converter.name)
+            outages.append(_Outage(interval, converter, lease.request))
+    return outages
+
+
+def _add_limits(model: Any, problem: Problem, outages: list[_Outage]) -> None:
+    """Bound the capacity that is out under each limit, and the converters of each request."""
+    for limit in problem.limits:
+        charged = [outage for outage in outages if limit.applies_to(outage.converter)]
+        lost = sum(amount for name, amount in problem.lost.items() if limit.applies_to(problem.converters[name]))
+        demands = [outage.converter.size - problem.lost.get(outage.converter.name, 0) for outage in charged]
+        model.add_cumulative([outage.interval for outage in charged], demands, max(0, limit.bound - lost))
+    for job in problem.jobs:
+        own = [outage.interval for outage in outages if outage.request == job.request.name]
+        model.add_cumulative(own, [1] * len(own), job.request.max_unavailable)
--- /dev/null
+++ b/ryepier/experiments/maintenance/coordinator_logs.py
@@ -0,0 +1,76 @@
+"""What the logs of a region's coordinators show: elections, candidacies, and grants."""
+
+from __future__ import annotations
+
+import json
+import time
+from collections import Counter
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+from datetime import datetime
+from pathlib import Path
+
+from ryepier.emulator.process import monotonic_us
+from ryepier.maintenance.replication.roles import Role
+from ryepier.maintenance.server import LEASE_GRANTED
+
+IN_TERM = " in term "  # between role and term
+
+
+@dataclass(frozen=True, slots=True)
+class LogRecord:
+    """One record of a process's log; `time` is in ISO 8601, empty where the record has none."""
+
+    message: str
+    time: str
+
+
+def read_records(path: Path) -> Iterator[LogRecord]:
+    """Yield the records of a log; other lines are skipped."""
+    for text in path.read_text(errors="replace").splitlines():
+        try:
+            line = json.loads(text)
+        except ValueError:
+            continue
+        if isinstance(line, dict):
+            yield LogRecord(str(line.get("message", "")), str(line.get("time", "")))
+
+
+def elections_by_term(logs: list[Path]) -> Mapping[int, int]:
+    """Return how often replicas of one region became the leader of each term; more than once is a fault."""
+    leader_in_term = f"{Role.LEADER.value}{IN_TERM}"
+    elections: Counter[int] = Counter()
+    for log in logs:
+        for record in read_records(log):
+            if record.message.startswith(leader_in_term):
+                elections[int(record.message.removeprefix(leader_in_term))] += 1
+    return elections
+
+
+def repeated_candidacies(logs: list[Path]) -> int:
+    """Return how often a replica was a candidate in a term that it had been in before.
+
+    Each candidate votes for itself, so such a candidacy is a second vote.
+    """
+    found = 0
+    for log in logs:
+        highest = 0
+        for record in read_records(log):
+            role, separator, term = record.message.partition(IN_TERM)
+            if not separator or not term.isdecimal():
+                continue
+            found += role == Role.CANDIDATE.value and int(term) <= highest
+            highest = max(highest, int(term))
+    return found
+
+
+def grants_us(logs: list[Path]) -> list[int]:
+    """Return when leaders of one region granted leases, on the machine's monotonic clock."""
+    calendar_offset_us = time.time_ns() // 1000 - monotonic_us()
+    found = []
+    for log in logs:
+        for record in read_records(log):
+            if record.message == LEASE_GRANTED:
+                written = datetime.fromisoformat(record.time)
+                found.append(round(written.timestamp() * 1e6) - calendar_offset_us)
+    return sorted(found)
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -1,7 +1,7 @@
-"""The emulator's discovery and converters, with a socket by which agents take converters down and up at will.
+"""The emulator's discovery and converters, with a control socket by which agents stop and start converters.
 
-Started by the rig as `python -m ryepier.experiments.maintenance.fleet_process PLAN OUT`. Each step that is done goes
-into a journal beside OUT, which the experiments judge by.
+The harness starts it as `python -m ryepier.experiments.maintenance.fleet_process PLAN OUT`. Each step that is done is
+written to a journal beside OUT, from which the experiments derive their claims.
 """
 
 from __future__ import annotations
@@ -18,16 +18,26 @@
 from ryepier.emulator.slices import SlicesAgent
 from ryepier.emulator.timeline import FaultAction, Instance, Step, TargetKind, Timeline
 from ryepier.maintenance.address import Address
-from ryepier.maintenance.fleet import FencingTokens, FleetCall, FleetReply, read_message, write_message
+from ryepier.maintenance.fleet import (
+    Action,
+    FencingTokens,
+    FleetCall,
+    FleetReply,
+    read_message,
+    write_message,
+)
 from ryepier.sidecar import system
 
 CONTROL_PORT = 7600
+CONTROL_SUBNET = 251
+DISCOVERY_HOST, CONVERTERS_HOST = 1, 2  # in that subnet
+REJECTED = "refused"  # in the journal, in place of an action
 JOURNAL_SUFFIX = ".journal"
 Handler = Callable[[FleetCall], Awaitable[FleetReply]]
 
 
 class JournalLine(msgspec.Struct, frozen=True):
-    """A step that was done to a converter; `at_us` on the clock that all processes of the machine share."""
+    """A step on a converter, done or rejected; `at_us` on the machine's monotonic clock."""
 
     at_us: int
     action: str
@@ -35,33 +45,38 @@
     token: int
 
 
-def control_address(plan: Plan, part: str) -> Address:
-    """Where agents reach `discovery` or `converters`."""
-    return Address(f"127.{plan.network}.251.{1 if part == 'discovery' else 2}", CONTROL_PORT)
+def discovery_control_address(plan: Plan) -> Address:
+    """Return the address at which agents reach discovery."""
+    return Address(f"127.{plan.network}.{CONTROL_SUBNET}.{DISCOVERY_HOST}", CONTROL_PORT)
+
+
+def converters_control_address(plan: Plan) -> Address:
+    """Return the address at which agents reach the converters' processes."""
+    return Address(f"127.{plan.network}.{CONTROL_SUBNET}.{CONVERTERS_HOST}", CONTROL_PORT)
 
 
 def first_uid(place: int) -> str:
-    """The uid of a converter's first life, which is its name."""
+    """Return the uid of a converter's first incarnation, which is its name."""
     return f"c-{place:04x}"
 
 
 class ControlServer:
-    """Takes agents' calls, refuses old tokens, and keeps the journal."""
+    """Serves agents' calls, rejects old tokens, and writes the journal."""
 
-    def __init__(self, address: tuple[str, int], journal: Path, handlers: dict[str, Handler]) -> None:
-        """Serve these actions."""
+    def __init__(self, address: Address, journal: Path, handlers: dict[Action, Handler]) -> None:
+        """Serve the actions that have a handler."""
         self.address = address
         self.journal = journal
         self.handlers = handlers
         self.tokens = FencingTokens()
 
     async def start(self) -> None:
-        """Listen."""
+        """Begin the journal and listen. Raises OSError."""
         self.journal.write_bytes(b"")
         await asyncio.start_server(self._serve, *self.address)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One call."""
+        """Serve the one call of a connection."""
         try:
             call = msgspec.msgpack.decode(await read_message(reader), type=FleetCall)
             write_message(writer, await self._answer(call))
@@ -71,110 +86,110 @@
             writer.close()
 
     async def _answer(self, call: FleetCall) -> FleetReply:
-        """Do it, unless its token is old."""
-        refusal = self.tokens.rejection(call)
-        if refusal:
-            self.note("refused", call)
-            return FleetReply(refusal)
+        """Carry a call out, unless its token is old."""
+        rejection = self.tokens.rejection(call)
+        if rejection:
+            self.record(REJECTED, call)
+            return FleetReply(rejection)
         return await self.handlers[call.action](call)
 
-    def note(self, action: str, call: FleetCall) -> None:
-        """Write a step down."""
+    def record(self, action: str, call: FleetCall) -> None:
+        """Write a step to the journal."""
         line = JournalLine(monotonic_us(), action, call.converter, call.token)
         with self.journal.open("ab") as file:
             file.write(msgspec.json.encode(line) + b"\n")
 
 
 class ControlledConverters(converters.Host):
-    """Converters that are stopped and started by agents."""
+    """Converters that agents stop and start."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Know each converter's present life."""
+        """Begin with the first incarnation of each converter."""
         super().__init__(plan, clock, timeline)
-        self.present = {instance.uid: instance for instance in self.instances}
-        self.incarnations = dict.fromkeys(self.present, 0)
-        self.running = set(self.present)
+        self.current = {instance.uid: instance for instance in self.instances}
+        self.incarnations = dict.fromkeys(self.current, 0)
+        self.running = set(self.current)
         self.control = ControlServer(
-            control_address(plan, "converters"),
+            converters_control_address(plan),
             Path(sys.argv[2] + JOURNAL_SUFFIX),
-            {"stop": self.stop_one, "start": self.start_again, "in-flight": self.in_flight},
+            {Action.STOP: self.stop_one, Action.START: self.start_next, Action.IN_FLIGHT: self.count_in_flight},
         )
 
     async def start(self) -> None:
-        """Come up, with the control socket."""
+        """Start, with the control socket. Raises OSError."""
         await super().start()
         await self.control.start()
 
     async def stop_one(self, call: FleetCall) -> FleetReply:
-        """End the process of a converter."""
+        """Stop a converter that is running."""
         if call.converter in self.running:
             self.running.discard(call.converter)
-            self.servers[self.present[call.converter].index].stop()
-            self.control.note("stop", call)
+            self.servers[self.current[call.converter].index].stop()
+            self.control.record(Action.STOP, call)
         return FleetReply()
 
-    async def start_again(self, call: FleetCall) -> FleetReply:
-        """Start its next life, cold, at an address of its own."""
+    async def start_next(self, call: FleetCall) -> FleetReply:
+        """Start a stopped converter's next incarnation, not warmed up, at an address of its own."""
         name = call.converter
         if name not in self.running:
-            old = self.present[name]
+            old = self.current[name]
             self.incarnations[name] += 1
             index = old.index + self.plan.world.converter_count
             new = Instance(index, f"{name}.{self.incarnations[name]}", old.machine, self.clock.now_us())
             await self.start_one(new)
-            self.present[name] = new
+            self.current[name] = new
             self.running.add(name)
-            self.control.note("start", call)
-        return FleetReply(uid=self.present[name].uid)
+            self.control.record(Action.START, call)
+        return FleetReply(uid=self.current[name].uid)
 
-    async def in_flight(self, call: FleetCall) -> FleetReply:
-        """How many requests it has not answered."""
-        return FleetReply(in_flight=len(self.servers[self.present[call.converter].index].open))
+    async def count_in_flight(self, call: FleetCall) -> FleetReply:
+        """Reply with the number of requests that a converter has not answered."""
+        return FleetReply(in_flight=len(self.servers[self.current[call.converter].index].open))
 
 
 class ControlledDiscovery(discovery.Host):
-    """Discovery that lists converters as agents say."""
+    """Discovery that lists converters as agents request."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Know each converter's present life."""
+        """Begin with the first incarnation of each converter."""
         super().__init__(plan, clock, timeline)
-        self.present = {instance.uid: instance for instance in timeline.instances}
+        self.current = {instance.uid: instance for instance in timeline.instances}
         self.random = draws.stream(plan.seed, "maintenance notices")
         self.control = ControlServer(
-            control_address(plan, "discovery"),
+            discovery_control_address(plan),
             Path(sys.argv[2] + JOURNAL_SUFFIX),
-            {"drain": self.drain, "remove": self.remove, "list": self.list_one},
+            {Action.DRAIN: self.drain, Action.REMOVE: self.remove, Action.LIST: self.list_one},
         )
 
     async def start(self) -> None:
-        """Come up, with the control socket."""
+        """Start, with the control socket. Raises OSError."""
         await super().start()
         await self.control.start()
 
     async def drain(self, call: FleetCall) -> FleetReply:
-        """List it as draining."""
-        self.control.note("drain", call)
-        await self._notify_all(self.present[call.converter], "leaving")
+        """List a converter as draining."""
+        self.control.record(Action.DRAIN, call)
+        await self._notify_all(self.current[call.converter], "leaving")
         return FleetReply()
 
     async def remove(self, call: FleetCall) -> FleetReply:
-        """List it as gone."""
-        await self._notify_all(self.present[call.converter], "left")
+        """Remove a converter from the list."""
+        await self._notify_all(self.current[call.converter], "left")
         return FleetReply()
 
     async def list_one(self, call: FleetCall) -> FleetReply:
-        """List its new life as ready."""
-        old = self.present[call.converter]
-        life = int(call.uid.rpartition(".")[2])
+        """List a converter's new incarnation as ready."""
+        old = self.current[call.converter]
+        number = int(call.uid.rpartition(".")[2])
         place = old.index % self.plan.world.converter_count
-        index = place + life * self.plan.world.converter_count
-        new = self.present[call.converter] = Instance(index, call.uid, old.machine, self.clock.now_us())
+        index = place + number * self.plan.world.converter_count
+        new = self.current[call.converter] = Instance(index, call.uid, old.machine, self.clock.now_us())
         await self._notify_all(new, "active")
-        self.control.note("list", call)
+        self.control.record(Action.LIST, call)
         return FleetReply()
 
     async def _notify_all(self, instance: Instance, state: str) -> None:
-        """Each sidecar's agent hears of it at a time of its own; returns once all have."""
+        """Notify each sidecar's agent after a delay of its own; return once all are notified."""
         unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
         entry = discovery.target(self.plan, instance, state, unix_zero_ms)
         step = Step(self.clock.now_us(), TargetKind.DISCOVERY, 0, FaultAction.NOTIFY, uid=instance.uid, state=state)
@@ -188,7 +203,7 @@
 
 
 def main() -> None:
-    """One process of the emulator."""
+    """Run one process of the emulator."""
     role.ROLES["converters"] = ControlledConverters
     role.ROLES["discovery"] = ControlledDiscovery
     role.main()
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -1,4 +1,4 @@
-"""Plays a world with maintenance windows: coordinators of two regions, an agent for each, requests and faults."""
+"""Runs a world with maintenance windows: coordinators of two regions, an agent for each, requests and faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,12 @@
     coordinator_address,
     replica_names,
 )
-from ryepier.experiments.maintenance.fleet_process import JOURNAL_SUFFIX, JournalLine, control_address
+from ryepier.experiments.maintenance.fleet_process import (
+    JOURNAL_SUFFIX,
+    JournalLine,
+    converters_control_address,
+    discovery_control_address,
+)
 from ryepier.experiments.maintenance.relay import Relay
 from ryepier.maintenance import agreement_file
 from ryepier.maintenance.address import parse_address
@@ -45,9 +50,12 @@
 POLLS = "polls.json"
 
 
+Faults = Callable[["MaintenanceHarness"], Awaitable[None]]
+
+
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """A request that operators will hand in `at_s` into the run; its times count from then."""
+    """A request that operators submit `at_s` into the run; its times count from then. Invalid ones are rejected."""
 
     name: str
     region: str
@@ -63,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmittedRequest:
-    """A request as it was handed in, and what was said of it."""
+    """A request as it was submitted at `at_us`, and its result."""
 
     request: Request
     region_now_ms: int
@@ -73,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """What a region's leader said at a moment; `sent_us` is before and `received_us` after the answer."""
+    """The status that a region's leader reported between `sent_us` and `received_us`."""
 
     region: str
     sent_us: int
@@ -83,35 +91,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What is played beside the world's own load."""
+    """What runs beside the world's own load."""
 
     max_unavailable: int
-    min_allowance: int  # that a region never lends
+    min_allowance: int  # that a region keeps
     requests: Sequence[PlannedRequest]
-    faults: Callable[[MaintenanceHarness], Awaitable[None]] | None = None
+    faults: Faults | None = None
     seeded_fault: str = ""
-    relayed: bool = False  # the regions reach one another by relays
+    relayed: bool = False  # the regions reach one another through relays
+
+
+@dataclass(frozen=True, slots=True)
+class MajorityRestored:
+    """From `at_us` on a majority of a region's coordinators was up, after a fault."""
+
+    region: str
+    at_us: int
 
 
 @dataclass(slots=True)
 class HarnessRecord:
-    """What the rig saw of the coordinators, times on the machine's monotonic clock."""
+    """What the harness observed of the coordinators, times on the machine's monotonic clock."""
 
     submitted: list[SubmittedRequest] = field(default_factory=list)
     polls: list[Poll] = field(default_factory=list)
-    majority_restored_us: list[tuple[str, int]] = field(default_factory=list)  # region, when
+    majorities_restored: list[MajorityRestored] = field(default_factory=list)
 
 
 class MaintenanceHarness(Harness):
     """One run of a scenario."""
 
     def __init__(self, world: World, seed: int, folder: Path, scenario: Scenario) -> None:
-        """Prepare; nothing is started yet."""
+        """Write the agreements; nothing is started yet."""
         super().__init__(world, seed, folder, RoleAssignment(role_module=ROLE_MODULE))
         self.scenario = scenario
         self.record = HarnessRecord()
         self.coordinators: dict[str, subprocess.Popen[bytes]] = {}
-        self.notes: list[str] = []  # what a scenario's faults met
+        self.fault_errors: list[str] = []  # faults that could not be injected
         self.agents: dict[str, subprocess.Popen[bytes]] = {}
         self.relays: list[Relay] = []
         folder.mkdir(parents=True, exist_ok=True)
@@ -123,7 +139,7 @@
         }
 
     def write_agreement(self, name: str, relayed_for: str | None) -> Path:
-        """One file of the agreement."""
+        """Write one file of the agreement and return its path."""
         scenario = self.scenario
         path = self.folder / f"{name}.toml"
         path.write_text(
@@ -131,10 +147,8 @@
         )
         return path
 
-    # Processes
-
     def start_planners(self) -> None:
-        """Start what decides beside the sidecars: here the coordinators, each with an empty log."""
+        """Start the coordinators beside the planners, each with an empty log."""
         super().start_planners()
         for region in REGIONS:
             for name in replica_names(region):
@@ -142,40 +156,29 @@
                 self.start_coordinator(name, bootstrap=True)
 
     def coordinator_folder(self, name: str) -> Path:
-        """Where a coordinator keeps its log."""
+        """Return the folder in which a coordinator stores its log."""
         return self.folder / name
 
     def coordinator_log(self, name: str) -> Path:
-        """What a coordinator has written to its standard error."""
+        """Return the path of what a coordinator writes to its standard error."""
         return self.folder / f"{name}.log"
 
     def start_coordinator(self, name: str, bootstrap: bool = False) -> None:
-        """Start a coordinator; it looks at the converters by a sidecar's agent of its own."""
+        """Start a coordinator; it observes the converters through a sidecar's agent of its own."""
         region = name.partition("-")[0]
         number = [one for each in REGIONS for one in replica_names(each)].index(name)
         host, port = self.plan.discovery_address(number % self.world.sidecars.count)
-        command = [*seeded_coordinator.command(self.scenario.seeded_fault), "--agreement"]
-        command += [
-            str(self.region_agreements[region]),
-            "--region",
-            region,
-            "--replica",
-            name,
-            "--folder",
-            str(self.coordinator_folder(name)),
-        ]
-        command += [
-            "--discovery",
-            f"{host}:{port}",
-            "--freeze-s",
-            str(FREEZE_S),
-            *(["--bootstrap"] if bootstrap else []),
-        ]
+        command = seeded_coordinator.command(self.scenario.seeded_fault)
+        command += ["--agreement", str(self.region_agreements[region]), "--region", region, "--replica", name]
+        command += ["--folder", str(self.coordinator_folder(name)), "--discovery", f"{host}:{port}"]
+        command += ["--freeze-s", str(FREEZE_S)]
+        if bootstrap:
+            command.append("--bootstrap")
         with self.coordinator_log(name).open("ab") as log:
             self.coordinators[name] = subprocess.Popen(command, stdout=log, stderr=log)
 
     def kill_coordinators(self, *names: str) -> None:
-        """SIGKILL."""
+        """Kill coordinators with SIGKILL and wait for their end."""
         for name in names:
             self.coordinators[name].kill()
             self.coordinators[name].wait()
@@ -186,8 +189,8 @@
             agreement=str(self.agreement_path),
             region=region,
             name=f"agent-{region}",
-            discovery=control_address(self.plan, "discovery"),
-            converters=control_address(self.plan, "converters"),
+            discovery=discovery_control_address(self.plan),
+            converters=converters_control_address(self.plan),
             work_s=WORK_S,
             drain_grace_s=self.world.sidecars.drain_grace_ms / 1000,
         )
@@ -198,7 +201,7 @@
             self.agents[region] = subprocess.Popen(command, stdout=log, stderr=log)
 
     async def kill_all(self) -> None:
-        """Leave no process behind."""
+        """End all processes, and write the polls."""
         self.end_maintenance()
         (self.folder / POLLS).write_bytes(msgspec.json.encode(self.record.polls))
         await super().kill_all()
@@ -210,10 +213,8 @@
                 process.kill()
                 process.wait()
 
-    # While it runs
-
     async def steps(self) -> None:
-        """The world's own steps, the agents, the requests and the faults, until the world's end."""
+        """Run the world's own steps, the agents, the requests and the faults, until the world's end."""
         for region in REGIONS:
             self.start_agent(region)
         if self.scenario.relayed:
@@ -223,7 +224,7 @@
             group.create_task(super().steps())
             submitting = [group.create_task(self.submit_requests(region)) for region in REGIONS]
             if self.scenario.faults is not None:
-                group.create_task(self._inject_faults(self.scenario.faults))
+                group.create_task(_inject(self, self.scenario.faults))
             await asyncio.gather(*submitting)
             await self.until(self.world.duration_s)
             for task in polling:
@@ -231,7 +232,7 @@
         self.end_maintenance()
 
     async def start_relays(self) -> None:
-        """A relay before each coordinator."""
+        """Start a relay before each coordinator."""
         for region in REGIONS:
             for number, _ in enumerate(replica_names(region)):
                 listen, target = (
@@ -242,24 +243,20 @@
                 await relay.start()
                 self.relays.append(relay)
 
-    async def _inject_faults(self, faults: Callable[[MaintenanceHarness], Awaitable[None]]) -> None:
-        """Carry the scenario's faults out."""
-        await faults(self)
-
     async def until(self, run_s: float) -> None:
-        """Wait for a moment of the run."""
+        """Wait until `run_s` seconds into the run."""
         await asyncio.sleep(max(0.0, run_s - self.clock.now_us() / 1e6))
 
     def addresses(self, region: str) -> Addresses:
-        """A region's coordinators."""
+        """Return the addresses of a region's coordinators."""
         return addresses_of(self.agreement, region)
 
     def client(self, region: str) -> RegionClient:
-        """A caller of a region's coordinators."""
+        """Return a client of a region's coordinators; the caller closes it."""
         return RegionClient(region, self.addresses(region), "operator", ClientKind.OPERATOR)
 
     async def submit_requests(self, region: str) -> None:
-        """The requests of a region, each at its time."""
+        """Submit the requests of a region, each at its time. Raises CallError."""
         client = self.client(region)
         mine = [one for one in self.scenario.requests if one.region == region]
         for planned in sorted(mine, key=lambda one: one.at_s):
@@ -281,7 +278,7 @@
         client.close()
 
     async def poll(self, region: str) -> None:
-        """Ask a region's leader again and again what it knows."""
+        """Request a region's status again and again, until cancelled."""
         client = self.client(region)
         while True:
             sent_us = monotonic_us()
@@ -293,19 +290,22 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def leader(self, region: str) -> str:
-        """Who leads a region now."""
+        """Return a region's present leader. Raises CallError."""
         client = self.client(region)
         try:
             return (await client.status(CALL_TIMEOUT_S)).leader
         finally:
             client.close()
 
-    # The end
-
     def journal(self) -> list[JournalLine]:
-        """What was done to converters, in the order of time, on the machine's monotonic clock."""
+        """Return the steps on converters in the order of time."""
         lines: list[JournalLine] = []
         for name in ("discovery-0", "converters-0"):
             path = self.folder / f"{name}.records{JOURNAL_SUFFIX}"
             lines += [msgspec.json.decode(line, type=JournalLine) for line in path.read_bytes().splitlines()]
         return sorted(lines, key=lambda line: line.at_us)
+
+
+async def _inject(harness: MaintenanceHarness, faults: Faults) -> None:
+    """Inject a scenario's faults."""
+    await faults(harness)
--- a/ryepier/experiments/maintenance/relay.py
+++ b/ryepier/experiments/maintenance/relay.py
@@ -1,4 +1,4 @@
-"""A relay between regions that can cut, delay, double and reorder frames."""
+"""A relay between regions that can partition them, and delay, duplicate and reorder frames."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
+from ryepier.maintenance.address import Address
 from ryepier.maintenance.transport import LENGTH_BYTES, MAX_FRAME_BYTES
 
 DELAY_S = (0.0, 0.25)
-DUPLICATED_FRACTION = 0.8  # share of frames that come again
+DUPLICATED_FRACTION = 0.8  # of the frames
 DUPLICATE_DELAY_S = (0.0, 1.5)  # after the first
 
 
 class Relay:
-    """Stands before one coordinator, for callers of another region.
+    """Relays the connections of callers in another region to one coordinator.
 
-    The first frame of a connection, its greeting, and those that answer go through as they are: a caller has one call
-    out at a time, so only calls can overtake one another.
+    The first frame of a connection, its greeting, and replies are relayed as they are: a caller has one call out at a
+    time, so only calls can overtake one another.
     """
 
-    def __init__(self, listen: tuple[str, int], target: tuple[str, int], seed: int) -> None:
-        """Nothing is listened on yet."""
+    def __init__(self, listen: Address, target: Address, seed: int) -> None:
+        """Relay from `listen` to `target`; nothing is opened yet."""
         self.listen = listen
         self.target = target
         self.random = random.Random(seed)
@@ -33,21 +34,21 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen. Raises OSError."""
         self.server = await asyncio.start_server(self._serve, *self.listen)
 
     def partition(self) -> None:
-        """End all connections, and accept no further ones until `heal`."""
+        """Abort all connections, and accept none until `heal`."""
         self.is_partitioned = True
         for writer in list(self.writers):
             writer.transport.abort()
 
     def heal(self) -> None:
-        """Carry frames again."""
+        """Accept connections again."""
         self.is_partitioned = False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One caller's connection."""
+        """Relay one caller's connection."""
         if self.is_partitioned:
             writer.transport.abort()
             return
@@ -57,11 +58,11 @@
             writer.transport.abort()
             return
         with self._track(writer, far_writer):
-            await asyncio.gather(self._carry_calls(reader, far_writer), self._carry_replies(far_reader, writer))
+            await asyncio.gather(self._relay_calls(reader, far_writer), self._relay_replies(far_reader, writer))
 
     @contextmanager
     def _track(self, *writers: asyncio.StreamWriter) -> Iterator[None]:
-        """Know both ends for as long as they are open."""
+        """Track both ends while they are open, and close both once one has ended."""
         self.writers.update(writers)
         try:
             yield
@@ -72,8 +73,8 @@
             for writer in writers:
                 writer.close()
 
-    async def _carry_calls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Late, and some again later still."""
+    async def _relay_calls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Relay the greeting at once, calls delayed, and some of them a second time."""
         writer.write(await read_frame(reader))
         while True:
             frame = await read_frame(reader)
@@ -84,29 +85,29 @@
                 self._send_later(writer, frame, delay_s + self.random.uniform(*DUPLICATE_DELAY_S))
 
     def _send_later(self, writer: asyncio.StreamWriter, frame: bytes, delay_s: float) -> None:
-        """Write a frame after a while, unless the connection has ended."""
+        """Write a frame after a delay, unless the connection has closed by then."""
         task = asyncio.create_task(_write_after(writer, frame, delay_s))
         self.delayed_writes.add(task)
         task.add_done_callback(self.delayed_writes.discard)
 
     @staticmethod
-    async def _carry_replies(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """As they come."""
+    async def _relay_replies(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Relay replies as they arrive."""
         while True:
             writer.write(await read_frame(reader))
 
 
 async def _write_after(writer: asyncio.StreamWriter, frame: bytes, delay_s: float) -> None:
-    """Write a frame after a while."""
+    """Write a frame after a delay, unless the connection has closed by then."""
     await asyncio.sleep(delay_s)
     if not writer.is_closing():
         writer.write(frame)
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
-    """One frame with its length. Raises EOFError, OSError."""
+    """Return one frame with its length. Raises EOFError, OSError."""
     head = await reader.readexactly(LENGTH_BYTES)
-    size = int.from_bytes(head, "big")
-    if size > MAX_FRAME_BYTES:
-        raise EOFError(f"a frame of {size} bytes")
-    return head + await reader.readexactly(size)
+    length = int.from_bytes(head, "big")
+    if length > MAX_FRAME_BYTES:
+        raise EOFError(f"a frame of {length} bytes")
+    return head + await reader.readexactly(length)
--- a/ryepier/experiments/maintenance/seeded_coordinator.py
+++ b/ryepier/experiments/maintenance/seeded_coordinator.py
@@ -1,6 +1,6 @@
-"""A coordinator with one mistake put in on purpose.
+"""A coordinator with one seeded fault.
 
-`python -m ryepier.experiments.maintenance.seeded_coordinator PLANT ARGUMENTS` is otherwise one that
+`python -m ryepier.experiments.maintenance.seeded_coordinator FAULT ARGUMENTS` is otherwise one that
 `ryepier maintenance serve ARGUMENTS` starts.
 """
 
@@ -14,6 +14,7 @@
 from ryepier.maintenance.seeded_faults import FAULTY_LEDGERS
 from ryepier.maintenance.settings import CoordinatorComponents
 
+MODULE = "ryepier.experiments.maintenance.seeded_coordinator"
 SEEDED_FAULTS = {
     "cold-counts": CoordinatorComponents(ledger=FAULTY_LEDGERS["cold-counts"]),
     "double-credit": CoordinatorComponents(ledger=FAULTY_LEDGERS["double-credit"]),
@@ -24,17 +25,17 @@
 
 
 def command(seeded_fault: str) -> list[str]:
-    """How to start a coordinator with this mistake; without one, as operators do."""
+    """Return the command line that starts a coordinator with this fault; without one, as operators do."""
     if not seeded_fault:
         return [sys.executable, "-B", "-m", "ryepier", "maintenance", "serve"]
-    return [sys.executable, "-B", "-m", "ryepier.experiments.maintenance.seeded_coordinator", seeded_fault]
+    return [sys.executable, "-B", "-m", MODULE, seeded_fault]
 
 
 def main() -> None:
-    """Put the mistake in and serve."""
+    """Install the fault and serve."""
     seeded_fault, *arguments = sys.argv[1:]
     coordinator.DEFAULT_COMPONENTS = SEEDED_FAULTS[seeded_fault]
-    # the command line lies above this floor, so it is started as a person would start it
+    # the command line is a layer above this one, so it is started as a program
     sys.argv = ["ryepier", "maintenance", "serve", *arguments]
     runpy.run_module("ryepier", run_name="__main__")
 
