--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -1,4 +1,4 @@
-"""Several regions' ledgers, the converters as they really are, agents, and messages that are late, doubled and lost.
+"""Several regions' ledgers, the actual state of converters, agents, and messages that are late, repeated and lost.
 
 Nothing here asks a ledger whether the rule holds: grants and what became of the converters go to the judge.
 """
@@ -39,43 +39,43 @@
 )
 from tests.maintenance_world import request
 
-OBSERVERS = 3  # so that a late look is not always refused as one that its observer has surpassed
+OBSERVERS = 3  # so that a late observation is not always rejected as older than its observer's last
 
 
 @dataclass
-class Truth:
-    """A converter as it is."""
+class ActualConverter:
+    """The actual state of a converter."""
 
     up: bool = True
     warmth: int = FULL_WARMTH
-    planned: bool = False  # a lease has it and it has not come back
+    planned: bool = False  # a lease has it and it has not recovered
 
 
 @dataclass
 class Agent:
-    """Who holds a lease, or held it."""
+    """An agent that has a lease, or had it."""
 
     region: str
     lease: str
     token: int
     converters: tuple[str, ...]
-    drained: bool = False
-    brought_up: bool = False
+    drain_started: bool = False
+    restarted: bool = False
     released: bool = False
-    void: bool = False  # its lease was called off or taken over: it must get nothing more
+    superseded: bool = False  # its lease was revoked or taken over: its commands must be rejected
 
 
 @dataclass
 class Message:
-    """A command on its way to another region."""
+    """A command in transit to another region."""
 
     to: str
     command: Command
 
 
 @dataclass
-class WarmthProbe:
-    """What an observer saw and has not reported yet."""
+class PendingObservation:
+    """An observation that is not recorded yet."""
 
     region: str
     command: RecordObservation
@@ -88,29 +88,31 @@
     ledger: Ledger
     log: list[tuple[int, bytes]] = field(default_factory=list)
     snapshot: bytes = b""
-    kept_from: int = 0  # entries of the log that come after the snapshot
+    entries_before_snapshot: int = 0  # entries of the log that come after the snapshot
 
 
 class Cluster:
-    """All of it; `breaches` are what the judge found."""
+    """All regions; `breaches` are what the judges found."""
 
     def __init__(self, agreement: Agreement, ledger_type: type[Ledger] = Ledger) -> None:
         self.agreement = agreement
         self.ledger_type = ledger_type
         self.replicas = {name: Replica(ledger_type(agreement, name)) for name in agreement.regions}
-        self.truth = {name: Truth() for name in agreement.converters}
+        self.actual = {name: ActualConverter() for name in agreement.converters}
         self.agents: list[Agent] = []
         self.network: list[Message] = []
-        self.probes: list[WarmthProbe] = []
+        self.pending_observations: list[PendingObservation] = []
         self.sequence = 0
         self.time = 0
-        self.rule = Judge(agreement)
-        self.known = {name: Judge(agreement) for name in agreement.regions}  # with the losses that a region was told
-        self.told_as_of: dict[str, int] = {}
+        self.agreement_judge = Judge(agreement)
+        self.region_judges = {
+            name: Judge(agreement) for name in agreement.regions
+        }  # with the losses that a region has recorded
+        self.recorded_as_of: dict[str, int] = {}
         self.breaches: list[Breach] = []
         for name in agreement.regions:
             self.checkpoint(name)
-            self.look(name)
+            self.observe(name)
             self.report(0)
 
     # the replicated log
@@ -125,20 +127,20 @@
         replica.log.append((index, data))
         result = replica.ledger.apply(index, commands.decode(data))
         if isinstance(result, Observed | Cancelled):
-            self._void(result.revoked)
+            self._revoke(result.revoked)
         if isinstance(result, LeaseRevoked):
-            self._void((result.lease,))
+            self._revoke((result.lease,))
         return result
 
     def checkpoint(self, region: str) -> None:
         replica = self.replicas[region]
         replica.snapshot = replica.ledger.snapshot()
-        replica.kept_from = len(replica.log)
+        replica.entries_before_snapshot = len(replica.log)
 
     def restart(self, region: str) -> None:
         replica = self.replicas[region]
         replica.ledger = self.ledger_type.restore(self.agreement, region, replica.snapshot)
-        for index, data in replica.log[replica.kept_from :]:
+        for index, data in replica.log[replica.entries_before_snapshot :]:
             replica.ledger.apply(index, commands.decode(data))
 
     # leases and converters
@@ -152,41 +154,43 @@
         if isinstance(result, Granted) and not any(one.lease == lease and one.region == region for one in self.agents):
             self.agents.append(Agent(region, lease, result.token, converters))
             for name in converters:
-                self.truth[name].planned = True
+                self.actual[name].planned = True
                 self._change(name, FULL_WARMTH, planned=True)
         return result
 
     def begin(self, agent: Agent) -> None:
         result = self.apply(agent.region, StartDrain(agent.lease, agent.token))
-        assert not (agent.void and isinstance(result, DrainStarted)), "a void token began a drain"
-        if isinstance(result, DrainStarted) and not agent.drained:
-            agent.drained = True
+        assert not (agent.superseded and isinstance(result, DrainStarted)), "a void token began a drain"
+        if isinstance(result, DrainStarted) and not agent.drain_started:
+            agent.drain_started = True
             for name in agent.converters:
-                self.truth[name].up = False
+                self.actual[name].up = False
 
-    def bring_up(self, agent: Agent) -> None:
-        """The converters come back, cold."""
-        if agent.drained and not agent.brought_up:
-            agent.brought_up = True
+    def restart_converters(self, agent: Agent) -> None:
+        """Start the converters of a lease again, not warmed up."""
+        if agent.drain_started and not agent.restarted:
+            agent.restarted = True
             for name in agent.converters:
-                self.truth[name].up, self.truth[name].warmth = True, 0
+                self.actual[name].up, self.actual[name].warmth = True, 0
 
     def release(self, agent: Agent) -> None:
-        if agent.brought_up or agent.void:
+        if agent.restarted or agent.superseded:
             result = self.apply(agent.region, ReleaseLease(agent.lease, agent.token))
             agent.released = not isinstance(result, Rejected)
-            assert not (agent.void and agent.released), "a void token released a lease"
+            assert not (agent.superseded and agent.released), "a void token released a lease"
 
     def take_over(self, agent: Agent) -> None:
         result = self.apply(agent.region, TakeOverLease(agent.lease, f"agent-{len(self.agents)}", agent.token))
         if isinstance(result, Granted):
-            assert result.token > agent.token and not agent.void
-            agent.void = True
-            after = Agent(agent.region, agent.lease, result.token, agent.converters, agent.drained, agent.brought_up)
+            assert result.token > agent.token and not agent.superseded
+            agent.superseded = True
+            after = Agent(
+                agent.region, agent.lease, result.token, agent.converters, agent.drain_started, agent.restarted
+            )
             self.agents.append(after)
 
-    def hold(self, region: str, name: str, *converters: str) -> Agent | None:
-        """A request and a lease on all of its converters, drained where it is granted."""
+    def request_and_grant(self, region: str, name: str, *converters: str) -> Agent | None:
+        """Submit a request and a lease on all of its converters, and start its drain where it is granted."""
         self.submit(region, name, converters, len(converters))
         if not isinstance(self.grant(region, f"{name}/1", name, converters), Granted):
             return None
@@ -194,61 +198,63 @@
         return self.agents[-1]
 
     def lose(self, name: str) -> None:
-        if not self.truth[name].planned:
-            self.truth[name].up, self.truth[name].warmth = False, 0
+        if not self.actual[name].planned:
+            self.actual[name].up, self.actual[name].warmth = False, 0
             self._change(name, FULL_WARMTH, planned=False)
 
-    def return_cold(self, name: str) -> None:
-        """A converter that was lost, and not by a window, is up again."""
-        if not self.truth[name].planned:
-            self.truth[name].up = True
+    def restart_lost(self, name: str) -> None:
+        """Start a converter that was lost, and not by a window, again."""
+        if not self.actual[name].planned:
+            self.actual[name].up = True
 
-    def warm(self, name: str) -> None:
-        truth = self.truth[name]
-        if truth.up:
-            truth.warmth = FULL_WARMTH
+    def finish_warm_up(self, name: str) -> None:
+        actual = self.actual[name]
+        if actual.up:
+            actual.warmth = FULL_WARMTH
             self._change(name, 0, planned=False)
-            if truth.planned and any(one.brought_up for one in self._holders(name)):
-                truth.planned = False
+            if actual.planned and any(one.restarted for one in self._lease_agents(name)):
+                actual.planned = False
                 self._change(name, 0, planned=True)
 
-    def _holders(self, name: str) -> list[Agent]:
-        """The agent of the last lease of a converter, and its predecessors."""
+    def _lease_agents(self, name: str) -> list[Agent]:
+        """Return the agent of a converter's last lease, and those that it has taken it over from."""
         having = [one for one in self.agents if name in one.converters]
         return [one for one in having if one.lease == having[-1].lease]
 
-    def _void(self, leases: tuple[str, ...]) -> None:
+    def _revoke(self, leases: tuple[str, ...]) -> None:
         for agent in self.agents:
-            if agent.lease in leases and not agent.void:
-                agent.void = True
-                assert not agent.drained, "a drain that had begun was called off"
+            if agent.lease in leases and not agent.superseded:
+                agent.superseded = True
+                assert not agent.drain_started, "a drain that had begun was called off"
                 for name in agent.converters:
-                    self.truth[name].planned = False
+                    self.actual[name].planned = False
                     self._change(name, 0, planned=True)
 
     # observers
 
-    def look(self, region: str) -> None:
+    def observe(self, region: str) -> None:
         self.sequence += 1
         observations = tuple(
-            ConverterObservation(name, self.truth[name].up, self.truth[name].warmth if self.truth[name].up else 0)
+            ConverterObservation(name, self.actual[name].up, self.actual[name].warmth if self.actual[name].up else 0)
             for name, one in self.agreement.converters.items()
             if one.region == region
         )
         observer = f"watch-{self.sequence % OBSERVERS}"
         command = RecordObservation(observer, self.sequence, self.ledger(region).applied, observations)
-        self.probes.append(WarmthProbe(region, command))
+        self.pending_observations.append(PendingObservation(region, command))
 
     def report(self, number: int, *, keep: bool = False) -> None:
-        """One of the looks reaches its region's log."""
-        look = self.probes[number] if keep else self.probes.pop(number)
-        if not isinstance(self.apply(look.region, look.command), Observed):
+        """Record one of the pending observations in its region's log."""
+        pending = self.pending_observations[number] if keep else self.pending_observations.pop(number)
+        if not isinstance(self.apply(pending.region, pending.command), Observed):
             return
-        for observation in look.command.observations:
-            if self.told_as_of.get(observation.converter, 0) <= look.command.as_of:
-                self.told_as_of[observation.converter] = look.command.as_of
+        for observation in pending.command.observations:
+            if self.recorded_as_of.get(observation.converter, 0) <= pending.command.as_of:
+                self.recorded_as_of[observation.converter] = pending.command.as_of
                 missing = FULL_WARMTH - observation.warmth if observation.ready else FULL_WARMTH
-                self.known[look.region].apply(Change(self._tick(), observation.converter, missing, planned=False))
+                self.region_judges[pending.region].apply(
+                    Change(self._tick(), observation.converter, missing, planned=False)
+                )
 
     # transfers
 
@@ -261,12 +267,12 @@
             self.apply(region, DebitTransfer(transfer))
 
     def send_transfers(self, region: str) -> None:
-        """All that is pending goes out, again."""
+        """Send all pending transfers, again."""
         pending = self.ledger(region).pending_transfers()
         self.network += [Message(one.receiver, CreditTransfer(one)) for one in pending]
 
     def send(self, region: str) -> None:
-        """The region's standing goes out with its transfers."""
+        """Send the region's needs with its transfers."""
         self.send_transfers(region)
         ledger = self.ledger(region)
         need = RecordCapacityNeeds(region, ledger.applied, ledger.needs())
@@ -279,19 +285,19 @@
             self.network.append(Message(result.transfer.giver, AcknowledgeTransfer(result.transfer)))
 
     def deliver_all(self) -> None:
-        """Until nothing is on its way; the latest go first."""
+        """Deliver until nothing is in transit, the latest first."""
         while self.network:
             self.deliver(-1)
 
-    def whole(self) -> int:
-        """The allowances of all regions, and what is on its way between them."""
-        on_its_way = sum(
+    def total_allowance(self) -> int:
+        """Return the allowances of all regions with what is in transit between them."""
+        in_transit = sum(
             one.amount
             for replica in self.replicas.values()
             for one in replica.ledger.pending_transfers()
             if not self._was_credited(one)
         )
-        return on_its_way + sum(one.ledger.capacity("convert").allowance for one in self.replicas.values())
+        return in_transit + sum(one.ledger.capacity("convert").allowance for one in self.replicas.values())
 
     def _was_credited(self, transfer: Transfer) -> bool:
         numbers = self.ledger(transfer.receiver).state.escrow.received.get(transfer.giver)
@@ -303,11 +309,11 @@
 
     def _change(self, name: str, missing: int, *, planned: bool) -> None:
         change = Change(self._tick(), name, missing, planned)
-        self.breaches += self.rule.apply(change)
+        self.breaches += self.agreement_judge.apply(change)
         if not planned:
             return
         own = self.agreement.converters[name].region
-        for region, known in self.known.items():
+        for region, known in self.region_judges.items():
             if region == own and missing:
                 self.breaches += known.check_grant(change, 0)
             else:
--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -1,4 +1,4 @@
-"""Writes all that the maintenance coordinators store or send, as named hex lines, for tests/fixtures.
+"""Writes everything that maintenance coordinators store or send, as named hex lines, for tests/fixtures.
 
 The fixtures were written by revision f922cf1, before its types were renamed; this script has the present names.
 Run: python -m tests.maintenance_fixtures > tests/fixtures/maintenance_formats.hex
@@ -27,7 +27,7 @@
 
 
 def request(name: str, converters: tuple[str, ...], **changes: object) -> Request:
-    """A request of the fixtures' region."""
+    """Return a request of the fixtures' region."""
     fields: dict[str, object] = {
         "name": name,
         "region": REGION,
@@ -42,18 +42,22 @@
 
 
 def observation(sequence: int, as_of: int, *observations: ConverterObservation) -> Command:
-    """What north-0 has observed."""
+    """Return an observation by north-0."""
     return commands.RecordObservation("north-0", sequence, as_of, observations)
 
 
 def ready(*names: str) -> tuple[ConverterObservation, ...]:
-    """These converters, ready and warm."""
+    """Return observations of these converters as ready and warm."""
     return tuple(ConverterObservation(name, True, commands.FULL_WARMTH) for name in names)
 
 
 def log() -> list[Command]:
-    """Every command, so that the ledger ends with a lease in each state that an open one can have."""
-    outward = Transfer("north", "south", 1, "convert", 250)
+    """Return every command, so that the ledger ends with a lease in each state that an open one can have."""
+    return [*closed_lease_entries(), *transfer_entries(), *open_lease_entries(), *loss_entries()]
+
+
+def closed_lease_entries() -> list[Command]:
+    """Return the log of a lease from its request to its end."""
     return [
         commands.SubmitRequest(request("early", ("n00",))),
         commands.GrantLease("too-early", "early", "agent-1", ("n00",)),  # nothing has been observed yet
@@ -67,6 +71,13 @@
         observation(2, 9, *ready("n00")),
         commands.SubmitRequest(request("zone", (), zone="z0", max_unavailable=3, priority=Priority.URGENT)),
         commands.SubmitRequest(request("pair", ("n10", "n11"), max_unavailable=2, priority=Priority.CONVENIENT)),
+    ]
+
+
+def transfer_entries() -> list[Command]:
+    """Return transfers that arrive out of order and repeatedly, that are acknowledged, pending, and rejected."""
+    outward = Transfer("north", "south", 1, "convert", 250)
+    return [
         commands.CreditTransfer(Transfer("south", "north", 1, "convert", 500)),
         commands.CreditTransfer(Transfer("south", "north", 3, "convert", 500)),
         commands.CreditTransfer(Transfer("south", "north", 3, "convert", 500)),
@@ -74,6 +85,12 @@
         commands.AcknowledgeTransfer(outward),
         commands.DebitTransfer(Transfer("north", "south", 2, "convert", 250)),
         commands.DebitTransfer(Transfer("north", "south", 3, "convert", 9_000)),
+    ]
+
+
+def open_lease_entries() -> list[Command]:
+    """Return leases that are granted, draining, returning and revoked, and requests that are cancelled and missed."""
+    return [
         commands.GrantLease("l2", "zone", "agent-1", ("n00",)),
         commands.StartDrain("l2", 3),
         commands.GrantLease("l3", "zone", "agent-1", ("n01",)),
@@ -89,6 +106,12 @@
         commands.CancelRequest("nobody"),
         commands.CancelRequest("pair"),
         commands.AdvanceTime(4_000),
+    ]
+
+
+def loss_entries() -> list[Command]:
+    """Return observations that close leases, and of a loss that revokes one."""
+    return [
         observation(3, 34, *ready("n10", "n11")),
         commands.GrantLease("l6", "zone", "agent-1", ("n02",)),
         observation(4, 36, ConverterObservation("n12", False, 0), ConverterObservation("n11", True, 400)),
@@ -99,14 +122,22 @@
     ]
 
 
-def applied_log() -> tuple[Ledger, list[results.Result]]:
-    """The ledger after the log, and what applying each entry gave."""
+def results_of_log() -> list[results.Result]:
+    """Return the result of each entry of the log."""
+    ledger = Ledger(AGREEMENT, REGION)
+    return [ledger.apply(index, command) for index, command in enumerate(log(), 1)]
+
+
+def snapshot() -> bytes:
+    """Return the snapshot after the log."""
     ledger = Ledger(AGREEMENT, REGION)
-    return ledger, [ledger.apply(index, command) for index, command in enumerate(log(), 1)]
+    for index, command in enumerate(log(), 1):
+        ledger.apply(index, command)
+    return ledger.snapshot()
 
 
 def state_file() -> bytes:
-    """The file of a replica: first an entry that a later leader has replaced, then the log."""
+    """Return the file of a replica: first an entry that a later leader has replaced, then the log."""
     entries = tuple(Entry(3, commands.encode(command)) for command in log())
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -120,7 +151,7 @@
 
 
 def replica_frames() -> list[api.Frame]:
-    """Between the coordinators of a region."""
+    """Return the frames between the coordinators of a region."""
     return [
         api.PeerHello(api.VERSION, "north", "north-0", AGREEMENT.digest),
         messages.RequestVote(3, 9, 2),
@@ -134,14 +165,14 @@
 
 
 def call_frames() -> list[api.Frame]:
-    """From operators, agents and other regions, and the answers."""
+    """Return the frames from operators, agents and other regions, and the answers."""
     greetings: list[api.Frame] = [api.ClientHello(api.VERSION, "north", "someone", kind) for kind in api.ClientKind]
     calls: list[api.Frame] = [
         api.CommandCall(1, commands.encode(log()[0])),
         api.LeaseCall(2, "l1"),
         api.StatusCall(3),
     ]
-    applied: list[api.Frame] = [api.CommandReply(number, result) for number, result in enumerate(applied_log()[1], 1)]
+    applied: list[api.Frame] = [api.CommandReply(number, result) for number, result in enumerate(results_of_log(), 1)]
     further: list[api.Frame] = [
         api.CommandReply(98, results.AlreadyApplied(4)),
         api.NoWindowReply(99),
@@ -155,7 +186,7 @@
 
 
 def status() -> api.StatusReply:
-    """What `ryepier maintenance list --json` prints."""
+    """Return the status that `ryepier maintenance list --json` prints."""
     return api.StatusReply(
         number=7,
         region="north",
@@ -173,7 +204,7 @@
 
 
 def fleet_messages() -> list[fleet.FleetCall | fleet.FleetReply]:
-    """Between an agent and the tooling that carries its steps out."""
+    """Return the messages between an agent and the tooling that carries its steps out."""
     calls: list[fleet.FleetCall | fleet.FleetReply] = [
         fleet.FleetCall(action, "n00", 3, "n00.1" if action is fleet.Action.LIST else "") for action in fleet.Action
     ]
@@ -181,9 +212,9 @@
 
 
 def formats() -> dict[str, bytes]:
-    """All fixtures by name."""
+    """Return all fixtures by name."""
     found = {f"log/{index}": commands.encode(command) for index, command in enumerate(log(), 1)}
-    found["snapshot"] = applied_log()[0].snapshot()
+    found["snapshot"] = snapshot()
     found["state-file"] = state_file()
     for number, frame in enumerate([*replica_frames(), *call_frames()]):
         found[f"frame/{number}"] = transport.encode(frame)
--- /dev/null
+++ b/tests/maintenance_processes.py
@@ -0,0 +1,144 @@
+"""The coordinators of one region as processes, with a stub of discovery."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import subprocess
+import sys
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from ryepier.maintenance import agreement_file
+from ryepier.maintenance.api import ClientKind, StatusReply
+from ryepier.maintenance.client import RegionClient
+from ryepier.maintenance.commands import (
+    Command,
+    Request,
+    SubmitRequest,
+)
+from ryepier.maintenance.replication import storage
+from ryepier.maintenance.results import Granted, Result
+from ryepier.maintenance.settings import addresses_of
+from tests.maintenance_world import SERVICE, converters_text
+from tests.network_peers import free_port
+
+TIMEOUT_S = 30.0  # no test waits for it on purpose: it ends one that hangs
+REPLICAS = ("north-0", "north-1", "north-2")
+
+
+def agreement_text(ports: list[int]) -> str:
+    lines = []
+    for number, region in enumerate(("north", "south")):
+        lines.append(f'[[regions]]\nname = "{region}"')
+        for i in range(3):
+            port = ports[3 * number + i]
+            lines.append(f'[[regions.replicas]]\nname = "{region}-{i}"\naddress = "127.0.0.1:{port}"')
+    return SERVICE + "\n".join(lines) + "\n" + converters_text()
+
+
+@dataclass
+class Listing:
+    """A stub of discovery: lists the converters in `uids`."""
+
+    port: int
+    uids: dict[str, str] = field(default_factory=dict)
+    server: asyncio.Server | None = None
+
+    async def start(self) -> None:
+        self.server = await asyncio.start_server(self.answer, "127.0.0.1", self.port)
+
+    async def answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            await reader.readuntil(b"\r\n\r\n")
+            targets = [{"uid": uid, "state": "active"} for uid in self.uids.values()]
+            body = json.dumps({"rev": 1, "all": True, "targets": targets}).encode()
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+        except (OSError, EOFError):
+            pass
+        finally:
+            writer.close()
+
+
+class Coordinators:
+    """The processes of region north; those of south do not run."""
+
+    def __init__(self, folder: Path) -> None:
+        ports = [free_port() for _ in range(7)]
+        self.folder = folder
+        self.path = folder / "agreement.toml"
+        self.path.write_text(agreement_text(ports))
+        self.agreement = agreement_file.parse(self.path.read_bytes())
+        self.addresses = addresses_of(self.agreement, "north")
+        self.listing = Listing(ports[6], {name: name for name in ("n00", "n01", "n02", "n10", "n11", "n12")})
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        self.clients: list[RegionClient] = []
+
+    def start(self, replica: str, *more: str) -> subprocess.Popen[bytes]:
+        command = [sys.executable, "-B", "-m", "ryepier", "maintenance", "serve", "--agreement", str(self.path)]
+        command += ["--region", "north", "--replica", replica, "--folder", str(self.folder / replica)]
+        command += ["--discovery", f"127.0.0.1:{self.listing.port}", *more]
+        with self.log(replica).open("ab") as log:
+            process = self.processes[replica] = subprocess.Popen(command, stdout=log, stderr=log)
+        return process
+
+    def start_all(self, *more: str) -> None:
+        for replica in REPLICAS:
+            self.start(replica, *more)
+
+    def log(self, replica: str) -> Path:
+        return self.folder / f"{replica}.log"
+
+    def file(self, replica: str) -> Path:
+        return self.folder / replica / storage.FILE_NAME
+
+    def kill(self, *replicas: str) -> None:
+        for replica in replicas:
+            self.processes[replica].kill()
+            self.processes[replica].wait()
+
+    def signal(self, replica: str, number: signal.Signals) -> None:
+        self.processes[replica].send_signal(number)
+
+    def close(self) -> None:
+        for process in self.processes.values():
+            if process.poll() is None:
+                process.kill()
+                process.wait()
+
+    def client(self, *replicas: str, kind: ClientKind = ClientKind.AGENT) -> RegionClient:
+        addresses = {name: self.addresses[name] for name in replicas or REPLICAS}
+        client = RegionClient("north", addresses, "agent-1", kind)
+        self.clients.append(client)
+        return client
+
+    async def command(self, command: Command, kind: ClientKind = ClientKind.AGENT) -> Result:
+        return await self.client(kind=kind).command(command, TIMEOUT_S)
+
+    async def status(self) -> StatusReply:
+        return await self.client().status(TIMEOUT_S)
+
+    async def leader(self) -> str:
+        return (await self.status()).leader
+
+    async def submit(self, wanted: Request) -> Result:
+        return await self.command(SubmitRequest(wanted), kind=ClientKind.OPERATOR)
+
+    async def grant(self, lease: str) -> Granted:
+        """Request a lease until a window is due."""
+        client = self.client()
+        async with asyncio.timeout(TIMEOUT_S):
+            while True:
+                result = await client.acquire_lease(lease, TIMEOUT_S)
+                if isinstance(result, Granted):
+                    return result
+                await asyncio.sleep(0.1)
+
+    async def until(self, holds: Callable[[StatusReply], bool]) -> StatusReply:
+        client = self.client()
+        async with asyncio.timeout(TIMEOUT_S):
+            while not holds(status := await client.status(TIMEOUT_S)):
+                await asyncio.sleep(0.1)
+        return status
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -1,4 +1,4 @@
-"""A small agreement and what its tests share."""
+"""A small agreement, and what its tests share."""
 
 from __future__ import annotations
 
@@ -56,6 +56,16 @@
 
 TEXT = SERVICE + regions_text() + converters_text()  # 12 converters of size 1: n00..n02, n10..n12, s00..s12
 
+WEST = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
+THREE = ("north", "south", "west")
+TEXTS = (
+    TEXT,
+    SERVICE.replace("least = 8", "least = 12") + WEST + regions_text(THREE) + converters_text(THREE),
+    TEXT.replace("least = 2", "least = 4"),
+    TEXT.replace("least = 8\n", 'least = 5\nsurvives = "zone"\n').replace("least = 2", "least = 1"),
+)
+AGREEMENTS = tuple(agreement_file.parse(text.encode()) for text in TEXTS)
+
 
 def small_agreement() -> Agreement:
     return agreement_file.parse(TEXT.encode())
@@ -77,7 +87,7 @@
 
 
 class Region:
-    """A ledger with its log's next index, and an observer that has heard of all of it."""
+    """A ledger with its log's next index, and an observer that is up to date."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -85,20 +95,20 @@
     def apply(self, command: Command) -> Result:
         return self.ledger.apply(self.ledger.applied + 1, command)
 
-    def see(self, *names: str, ready: bool = True, warmth: int = FULL_WARMTH, as_of: int | None = None) -> Result:
-        heard = self.ledger.applied if as_of is None else as_of
+    def observe(self, *names: str, ready: bool = True, warmth: int = FULL_WARMTH, as_of: int | None = None) -> Result:
+        observed_as_of = self.ledger.applied if as_of is None else as_of
         observations = tuple(ConverterObservation(name, ready, warmth) for name in names)
-        return self.apply(RecordObservation("watch", self.ledger.applied + 1, heard, observations))
+        return self.apply(RecordObservation("watch", self.ledger.applied + 1, observed_as_of, observations))
 
-    def see_all(self) -> Result:
+    def observe_all(self) -> Result:
         region = self.ledger.region
-        return self.see(*[one.name for one in self.ledger.agreement.converters.values() if one.region == region])
+        return self.observe(*[one.name for one in self.ledger.agreement.converters.values() if one.region == region])
 
     def grant(self, lease: str, request_name: str, *converters: str, agent: str = "agent-1") -> Result:
         return self.apply(GrantLease(lease, request_name, agent, converters))
 
-    def hold(self, name: str, *converters: str) -> Granted:
-        """A new request with a lease on all its converters."""
+    def request_and_grant(self, name: str, *converters: str) -> Granted:
+        """Submit a request and grant a lease on all its converters."""
         self.apply(SubmitRequest(request(name, converters=converters, max_unavailable=len(converters))))
         result = self.grant(f"{name}/1", name, *converters)
         assert isinstance(result, Granted), result
@@ -110,7 +120,7 @@
 
 
 def north(ledger_type: type[Ledger] = Ledger) -> Region:
-    """Region north with all its converters seen ready and warm."""
+    """Return region north with all its converters observed ready and warm."""
     region = Region(ledger_type(small_agreement(), "north"))
-    region.see_all()
+    region.observe_all()
     return region
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -1,4 +1,4 @@
-"""The agent's steps in their order, under its token alone; what it leaves, resumes and never begins."""
+"""The agent's steps in their order, only under its token; what it abandons, resumes and never starts."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 @dataclass
 class Coordinators:
-    """Stands for a region: grants once, and answers commands as told."""
+    """A stub of a region: grants once, and answers commands as planned."""
 
     leases: list[Granted] = field(default_factory=lambda: [GRANTED])
     open: tuple[LeaseStatus, ...] = ()
     answers: dict[type, list[Result | CallError]] = field(default_factory=dict)
     commands: list[Command] = field(default_factory=list)
-    asked: list[str] = field(default_factory=list)
+    requested_names: list[str] = field(default_factory=list)
     lost_answers: int = 0
 
     async def status(self, timeout_s: float) -> StatusReply:
         return StatusReply(1, "north", "north-0", 1, 1, 0, (), self.open, ())
 
     async def acquire_lease(self, lease: str, timeout_s: float) -> Result | None:
-        self.asked.append(lease)
+        self.requested_names.append(lease)
         if self.lost_answers:
             self.lost_answers -= 1
             raise CallError("no answer")
@@ -45,9 +45,9 @@
 
     async def command(self, command: Command, timeout_s: float) -> Result:
         self.commands.append(command)
-        told = self.answers.get(type(command))
-        if told:
-            answer = told.pop(0)
+        planned_answers = self.answers.get(type(command))
+        if planned_answers:
+            answer = planned_answers.pop(0)
             if isinstance(answer, CallError):
                 raise answer
             return answer
@@ -56,9 +56,9 @@
 
 @dataclass
 class Converters:
-    """Stands for the far end: notes the steps, and refuses one if told."""
+    """A stub of the fleet: records the steps, and rejects one action."""
 
-    refuse: str = ""
+    rejected_action: str = ""
     busy: int = 0
     steps: list[tuple[str, str, int, str]] = field(default_factory=list)
     drained_s: float = 0.0
@@ -66,7 +66,7 @@
 
     async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
         now_s = asyncio.get_running_loop().time()
-        if action == self.refuse:
+        if action == self.rejected_action:
             raise FleetError("token 7 for a is old; 8 was seen")
         self.steps.append((action, converter, token, uid))
         if action == "drain":
@@ -98,7 +98,7 @@
     return lambda: any(isinstance(one, ReleaseLease) for one in region.commands)
 
 
-def test_a_window_goes_step_by_step_under_its_token() -> None:
+def test_a_lease_is_carried_out_step_by_step_under_its_token() -> None:
     region, fleet = Coordinators(), Converters(busy=2)
     play(region, fleet, released(region))
     assert fleet.actions() == ["drain", *["in-flight"] * 3, "stop", "remove", "start", "list"]
@@ -107,44 +107,44 @@
     assert region.commands == [StartDrain("l1", 7), ReleaseLease("l1", 7)]
 
 
-def test_nothing_is_drained_before_the_beginning_is_committed() -> None:
+def test_nothing_is_drained_before_the_start_of_the_drain_is_committed() -> None:
     region, fleet = Coordinators(answers={StartDrain: [CallError("no answer")]}), Converters()
     play(region, fleet, released(region))
     assert region.commands[:2] == [StartDrain("l1", 7)] * 2 and fleet.actions() == STEPS
 
 
-def test_a_lease_that_was_called_off_is_left() -> None:
+def test_a_revoked_lease_is_not_carried_out() -> None:
     region, fleet = Coordinators(answers={StartDrain: [Rejected("lease 'l1' is called-off")]}), Converters()
-    play(region, fleet, lambda: len(region.asked) >= 3)
+    play(region, fleet, lambda: len(region.requested_names) >= 3)
     assert fleet.steps == [] and region.commands == [StartDrain("l1", 7)]
 
 
-@pytest.mark.parametrize("refused", ["drain", "stop", "start"])
-def test_a_step_that_is_refused_ends_the_window_without_a_report(refused: str) -> None:
-    region, fleet = Coordinators(), Converters(refuse=refused)
-    play(region, fleet, lambda: len(region.asked) >= 5)
-    assert refused not in fleet.actions() and region.commands == [StartDrain("l1", 7)]
+@pytest.mark.parametrize("rejected", ["drain", "stop", "start"])
+def test_a_rejected_step_abandons_the_maintenance_without_a_release(rejected: str) -> None:
+    region, fleet = Coordinators(), Converters(rejected_action=rejected)
+    play(region, fleet, lambda: len(region.requested_names) >= 5)
+    assert rejected not in fleet.actions() and region.commands == [StartDrain("l1", 7)]
 
 
-def test_a_lease_whose_answer_was_lost_is_asked_for_under_the_same_name() -> None:
+def test_a_lease_whose_answer_was_lost_is_requested_again_under_the_same_name() -> None:
     region, fleet = Coordinators(lost_answers=2), Converters()
     play(region, fleet, released(region))
-    assert len(set(region.asked[:3])) == 1 and region.asked[3:4] != region.asked[:1]
+    assert len(set(region.requested_names[:3])) == 1 and region.requested_names[3:4] != region.requested_names[:1]
 
 
-def test_an_agent_that_starts_again_goes_on_with_its_own_leases_alone() -> None:
+def test_a_restarted_agent_resumes_its_own_leases_only() -> None:
     def lease(name: str, agent: str, state: LeaseState) -> LeaseStatus:
         return LeaseStatus(name, "r1", agent, 9, state, (name,), (name,))
 
     draining, returning = LeaseState.DRAINING, LeaseState.RETURNING
-    left = (lease("b", "agent-1", draining), lease("c", "agent-2", draining), lease("d", "agent-1", returning))
-    region, fleet = Coordinators(leases=[], open=left), Converters()
+    open_leases = (lease("b", "agent-1", draining), lease("c", "agent-2", draining), lease("d", "agent-1", returning))
+    region, fleet = Coordinators(leases=[], open=open_leases), Converters()
     play(region, fleet, released(region))
     assert region.commands == [StartDrain("b", 9), ReleaseLease("b", 9)]
     assert {step[1:3] for step in fleet.steps} == {("b", 9)}
 
 
-def test_an_old_token_is_refused_and_the_same_or_a_newer_one_is_not() -> None:
+def test_an_old_fencing_token_is_rejected_and_the_same_or_a_newer_one_is_not() -> None:
     tokens = FencingTokens()
     assert tokens.rejection(FleetCall(Action.DRAIN, "a", 5)) == ""
     assert tokens.rejection(FleetCall(Action.STOP, "a", 5)) == ""
@@ -153,7 +153,7 @@
     assert tokens.rejection(FleetCall(Action.START, "a", 5)) == "token 5 for a is old; 6 was seen"
 
 
-def test_a_step_whose_far_end_is_away_says_so() -> None:
+def test_a_step_without_a_far_end_fails_with_the_reason() -> None:
     address = Address("127.0.0.1", free_port())
     with pytest.raises(FleetError, match="stop a: ConnectionRefusedError"):
         asyncio.run(SocketFleet(address, address).perform(Action.STOP, "a", 1))
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -1,4 +1,4 @@
-"""The agreement file: what it says, and every mistake by its key and line."""
+"""The agreement file: its contents, and every error with its key and line."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return text[: text.index(what)].count("\n") + 1
 
 
-def test_the_file_is_read_in_whole_thousandths() -> None:
+def test_amounts_of_the_file_are_read_in_thousandths() -> None:
     agreed = small_agreement()
     service = agreed.services["convert"]
     assert (service.min_available, service.min_allowance, service.warm_up_ms, service.tolerates_zone_loss) == (
@@ -39,14 +39,14 @@
     assert agreed.digest != agreement_file.parse((TEXT + "# more").encode()).digest
 
 
-def test_surviving_a_zone_keeps_the_largest_one_back() -> None:
+def test_tolerating_a_zone_loss_reserves_the_largest_zone() -> None:
     text = TEXT.replace("least = 8\n", 'least = 6\nsurvives = "zone"\n').replace("allowance = 2", "allowance = 1.5")
     agreed = agreement_file.parse(text.encode())
     assert agreed.max_unavailable("convert") == 3000 and agreed.max_unavailable_in("convert", "north") == 1000
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "key", "told"),
+    ("old", "new", "key", "message"),
     [
         ("least = 8", "least = 12.5", "services[0].least", "asks for 12.5; there are 12: 0.5 too much"),
         ("least = 8", "least = 7", "services[0].regions", "add up to 4; 5 may be out"),
@@ -72,11 +72,11 @@
         ('service = "convert"', 'service = "print"', "converters[0].service", "unknown service 'print'"),
     ],
 )
-def test_a_mistake_is_told_by_key_and_line(old: str, new: str, key: str, told: str) -> None:
+def test_an_error_is_reported_with_its_key_and_line(old: str, new: str, key: str, message: str) -> None:
     text = TEXT.replace(old, new, 1)
     assert text != TEXT
     found = problems(text.encode())
-    assert any(f" {key}: " in one and told in one and one.startswith("line ") for one in found), found
+    assert any(f" {key}: " in one and message in one and one.startswith("line ") for one in found), found
     assert all("\n" not in one for one in found)
 
 
@@ -89,7 +89,7 @@
     )
 
 
-def test_a_region_with_too_few_replicas_or_without_its_part_is_named() -> None:
+def test_a_region_with_too_few_replicas_or_without_its_table_is_named() -> None:
     last = '[[regions.replicas]]\nname = "north-2"\naddress = "127.0.0.1:7502"\n'
     assert "2 replicas; a region needs at least 3" in problems(TEXT.replace(last, "").encode())[0]
     part = '[[services.regions]]\nregion = "south"\nleast = 2\nallowance = 2\n'
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "told"),
+    ("data", "message"),
     [
         (b"\xff", "line 1: not UTF-8"),
         (b"a = \n", "line 1: not TOML"),
@@ -107,11 +107,11 @@
         (b"#" * (agreement_file.MAX_FILE_BYTES + 1), "4194304 are allowed"),
     ],
 )
-def test_what_is_no_agreement_is_told_in_a_line(data: bytes, told: str) -> None:
-    assert any(told in one for one in problems(data))
+def test_bytes_that_are_not_an_agreement_are_rejected_in_one_line(data: bytes, message: str) -> None:
+    assert any(message in one for one in problems(data))
 
 
-def test_the_pure_half_has_no_clock_chance_or_io() -> None:
+def test_the_pure_modules_import_no_clock_randomness_or_io() -> None:
     pure = (
         "agreement agreement_file agreement_tables agreement_validation capacity commands escrow judge lease_commands "
         "ledger ledger_context limits observation_commands placement problem profile request_commands results "
--- a/tests/test_maintenance_compatibility.py
+++ b/tests/test_maintenance_compatibility.py
@@ -59,7 +59,7 @@
     assert state.encode(restored.state) == WRITTEN["snapshot"]
 
 
-def test_an_earlier_state_file_is_read_and_its_log_applied(tmp_path: Path) -> None:
+def test_an_earlier_state_file_is_read_with_its_log(tmp_path: Path) -> None:
     (tmp_path / storage.FILE_NAME).write_bytes(WRITTEN["state-file"])
     file = storage.FileStorage(tmp_path, IDENTITY)
     file.close()
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -1,4 +1,4 @@
-"""One region's ledger: leases, fencing tokens, losses, limits, and what it refuses."""
+"""One region's ledger: leases, fencing tokens, losses, limits, and what it rejects."""
 
 from __future__ import annotations
 
@@ -42,41 +42,41 @@
 from tests.maintenance_world import TEXT, Region, north, request, small_agreement
 
 
-def test_a_lease_is_charged_until_its_converter_has_been_seen_ready_and_warm() -> None:
+def test_a_lease_is_charged_until_its_converter_is_observed_ready_and_warm() -> None:
     region = north()
-    granted = region.hold("r1", "n00")
+    granted = region.request_and_grant("r1", "n00")
     assert region.ledger.capacity("convert").unavailable == 1000
-    region.see("n00")  # still up: the drain has not begun, or not reached it
+    region.observe("n00")  # still up: the drain has not begun, or not reached it
     region.apply(StartDrain("r1/1", granted.token))
     region.apply(AdvanceTime(10_000_000))
-    region.see("n00")
+    region.observe("n00")
     before_release = region.ledger.applied
     assert region.apply(ReleaseLease("r1/1", granted.token)) == Released("r1/1", ("n00",))
-    region.see("n00", as_of=before_release)  # seen before the holder was done: it may have gone down since
-    region.see("n00", ready=False)
-    region.see("n00", warmth=999)
+    region.observe("n00", as_of=before_release)  # seen before the holder was done: it may have gone down since
+    region.observe("n00", ready=False)
+    region.observe("n00", warmth=999)
     assert region.ledger.capacity("convert").unavailable == 1000
-    assert region.see("n00") == Observed(("r1/1",))
+    assert region.observe("n00") == Observed(("r1/1",))
     assert region.ledger.capacity("convert").unavailable == 0 and region.ledger.open_leases() == []
     assert region.apply(SubmitRequest(request("r1"))) == Accepted("r1"), "a finished request is known"
 
 
-def test_a_grant_repeated_is_the_same_grant_and_an_index_is_applied_once() -> None:
+def test_a_repeated_grant_returns_the_same_lease_and_an_index_is_applied_once() -> None:
     region = north()
-    first = region.hold("r1", "n00")
+    first = region.request_and_grant("r1", "n00")
     assert region.grant("r1/1", "r1", "n00") == first
     assert isinstance(region.grant("r1/1", "r1", "n00", agent="agent-2"), Rejected)
     taken = region.ledger.snapshot()
     assert region.ledger.apply(3, RevokeLease("r1/1")) == AlreadyApplied(3) and region.ledger.snapshot() == taken
     region.drain_and_release(first)
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
-    region.see("n00")
+    region.observe("n00")
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
-def test_tokens_grow_and_an_old_one_is_refused() -> None:
+def test_fencing_tokens_grow_and_an_old_one_is_rejected() -> None:
     region = north()
-    first = region.hold("r1", "n00")
+    first = region.request_and_grant("r1", "n00")
     second = region.apply(TakeOverLease("r1/1", "agent-2", first.token))
     assert isinstance(second, Granted) and second.token > first.token
     assert region.apply(TakeOverLease("r1/1", "agent-2", first.token)) == second, "told twice"
@@ -90,51 +90,51 @@
     assert region.ledger.fencing_token("n00") == second.token
     region.drain_and_release(second)
     assert region.ledger.fencing_token("n00") == 0
-    assert region.hold("r2", "n01").token > second.token
+    assert region.request_and_grant("r2", "n01").token > second.token
 
 
-def test_a_called_off_lease_is_charged_until_a_later_look_and_can_be_granted_anew() -> None:
+def test_a_revoked_lease_is_charged_until_a_later_observation_and_can_be_granted_again() -> None:
     region = north()
-    granted = region.hold("r1", "n00")
+    granted = region.request_and_grant("r1", "n00")
     assert region.apply(RevokeLease("r1/1")) == LeaseRevoked("r1/1")
     assert isinstance(region.apply(StartDrain("r1/1", granted.token)), Rejected)
     assert region.ledger.capacity("convert").unavailable == 1000
-    assert region.see("n00") == Observed(("r1/1",))
+    assert region.observe("n00") == Observed(("r1/1",))
     assert isinstance(region.grant("r1/2", "r1", "n00"), Granted)
     region.apply(StartDrain("r1/2", granted.token + 1))
     result = region.apply(RevokeLease("r1/2"))
     assert isinstance(result, Rejected) and "draining" in result.reason
 
 
-def test_losses_are_charged_first_and_call_off_drains_that_have_not_begun() -> None:
+def test_losses_are_charged_first_and_revoke_leases_whose_drain_has_not_started() -> None:
     region = north()
-    begun = region.hold("r1", "n00")
+    begun = region.request_and_grant("r1", "n00")
     region.apply(StartDrain("r1/1", begun.token))
-    region.hold("r2", "n01")
+    region.request_and_grant("r2", "n01")
     region.apply(SubmitRequest(request("r3", converters=("n02",))))
-    assert region.see("n10", ready=False) == Observed((), ("r2/1",))
+    assert region.observe("n10", ready=False) == Observed((), ("r2/1",))
     assert region.ledger.is_below_agreement("convert")
     assert region.ledger.capacity("convert").lost == 1000
-    region.see("n10", warmth=500)  # back, and cold
+    region.observe("n10", warmth=500)  # back, and cold
     assert region.ledger.capacity("convert").lost == 500
-    region.see("n01")  # the called-off one is free: 1 out, 0.5 lost, 2 allowed
+    region.observe("n01")  # the called-off one is free: 1 out, 0.5 lost, 2 allowed
     result = region.grant("r3/1", "r3", "n02")
     assert isinstance(result, Rejected) and "0.5 too much" in result.reason and "allowance" in result.reason
-    region.see("n10")
+    region.observe("n10")
     assert isinstance(region.grant("r3/1", "r3", "n02"), Granted)
 
 
-def test_converters_that_were_never_seen_are_not_counted_on() -> None:
+def test_unobserved_converters_count_as_unavailable() -> None:
     region = Region(Ledger(small_agreement(), "north"))
     region.apply(SubmitRequest(request()))
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
-def test_a_deficit_elsewhere_stops_grants_here_until_it_is_told_to_be_over() -> None:
+def test_a_deficit_in_another_region_blocks_grants_until_it_is_reported_as_over() -> None:
     region = north()
-    region.hold("r1", "n00")
-    told = region.apply(RecordCapacityNeeds("south", 5, {"convert": CapacityNeed(deficit=2000)}))
-    assert told == Observed((), ("r1/1",))
+    region.request_and_grant("r1", "n00")
+    message = region.apply(RecordCapacityNeeds("south", 5, {"convert": CapacityNeed(deficit=2000)}))
+    assert message == Observed((), ("r1/1",))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     assert isinstance(region.grant("r2/1", "r2", "n01"), Rejected)
     assert isinstance(region.apply(RecordCapacityNeeds("south", 4, {})), Rejected), "an older word"
@@ -142,33 +142,33 @@
     assert isinstance(region.grant("r2/1", "r2", "n01"), Granted)
 
 
-def test_survives_zone_keeps_the_agreement_with_the_largest_zone_lost() -> None:
+def test_zone_loss_tolerance_keeps_the_agreement_with_the_largest_zone_lost() -> None:
     text = TEXT.replace("least = 8\n", 'least = 7\nsurvives = "zone"\n')
     text = text.replace("allowance = 2", "allowance = 1")
     region = Region(Ledger(agreement_file.parse(text.encode()), "north"))
-    region.see_all()
-    region.hold("r1", "n00")  # zone 0 has 2 left, so losing zone 1 leaves 2
+    region.observe_all()
+    region.request_and_grant("r1", "n00")  # zone 0 has 2 left, so losing zone 1 leaves 2
     region.apply(CreditTransfer(Transfer("south", "north", 1, "convert", 1000)))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     result = region.grant("r2/1", "r2", "n01")
     assert isinstance(result, Rejected) and "without zone 'z1'" in result.reason
-    region.hold("r3", "n10")
+    region.request_and_grant("r3", "n10")
 
 
-def test_cancelling_calls_off_what_has_not_begun_and_lets_the_rest_end() -> None:
+def test_cancelling_revokes_leases_before_their_drain_and_lets_the_others_finish() -> None:
     region = north()
-    granted = region.hold("r1", "n00")
-    region.hold("r2", "n01")
+    granted = region.request_and_grant("r1", "n00")
+    region.request_and_grant("r2", "n01")
     region.apply(StartDrain("r1/1", granted.token))
     assert region.apply(CancelRequest("r1")) == Cancelled("r1")
     assert region.apply(CancelRequest("r2")) == Cancelled("r2", ("r2/1",))
     assert region.ledger.open_requests() == [] and len(region.ledger.open_leases()) == 2
     region.apply(ReleaseLease("r1/1", granted.token))
-    assert region.see("n00", "n01") == Observed(("r1/1", "r2/1"))
+    assert region.observe("n00", "n01") == Observed(("r1/1", "r2/1"))
     assert isinstance(region.apply(CancelRequest("r1")), Cancelled)
 
 
-def test_a_request_that_missed_its_deadline_is_put_away_and_time_only_goes_on() -> None:
+def test_a_request_that_missed_its_deadline_is_completed_and_time_never_goes_back() -> None:
     region = north()
     region.apply(SubmitRequest(request()))
     assert region.apply(AdvanceTime(100_001)) == Advanced(100_001, ("r1",))
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "told"),
+    ("changes", "message"),
     [
         ({"service": "print"}, "unknown service 'print'"),
         ({"region": "south"}, "for region 'south'"),
@@ -194,17 +194,19 @@
         ({"name": "held"}, "is there with other content"),
     ],
 )
-def test_a_bad_request_is_refused_in_a_line_and_changes_nothing(changes: dict[str, object], told: str) -> None:
+def test_an_invalid_request_is_rejected_in_one_line_and_changes_nothing(
+    changes: dict[str, object], message: str
+) -> None:
     region = north()
     region.apply(SubmitRequest(request("held", converters=("n12",))))
     before = region.ledger.snapshot()
     result = region.apply(SubmitRequest(request(**{"name": "r1", **changes})))  # type: ignore[arg-type]
-    assert isinstance(result, Rejected) and told in result.reason and "\n" not in result.reason
+    assert isinstance(result, Rejected) and message in result.reason and "\n" not in result.reason
     region.ledger.state.applied -= 1
     assert region.ledger.snapshot() == before
 
 
-def test_a_converter_that_can_never_be_out_is_told_with_the_amount() -> None:
+def test_a_converter_too_large_to_be_out_is_rejected_with_the_amount() -> None:
     text = TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
     region = Region(Ledger(agreement_file.parse(text.encode()), "north"))
     assert region.apply(SubmitRequest(request())) == Accepted("r1")
@@ -215,7 +217,7 @@
 
 
 @pytest.mark.parametrize(
-    ("command", "told"),
+    ("command", "message"),
     [
         (GrantLease("l", "nobody", "a", ("n00",)), "request 'nobody' is not open"),
         (GrantLease("l", "held", "a", ("n00",)), "'n00' is not to be done"),
@@ -242,12 +244,12 @@
         (AcknowledgeTransfer(Transfer("north", "south", 1, "convert", 1)), "never debited"),
     ],
 )
-def test_a_bad_command_is_refused_in_a_line_and_changes_nothing(command: Command, told: str) -> None:
+def test_an_invalid_command_is_rejected_in_one_line_and_changes_nothing(command: Command, message: str) -> None:
     region = north()
     region.apply(SubmitRequest(request("held", converters=("n11", "n12"))))
     before = region.ledger.snapshot()
     result = region.apply(commands.decode(commands.encode(command)))
-    assert isinstance(result, Rejected) and told in result.reason and "\n" not in result.reason
+    assert isinstance(result, Rejected) and message in result.reason and "\n" not in result.reason
     region.ledger.state.applied -= 1
     assert region.ledger.snapshot() == before
 
@@ -264,24 +266,24 @@
         msgspec.msgpack.encode({"type": "call-off", "lease": "two\nlines"}),
     ],
 )
-def test_bytes_that_are_no_command_are_refused(data: bytes) -> None:
+def test_bytes_that_are_not_a_command_are_rejected(data: bytes) -> None:
     with pytest.raises(CommandError):
         commands.decode(data)
 
 
-def test_a_snapshot_that_is_torn_altered_or_foreign_is_refused() -> None:
+def test_a_snapshot_that_is_torn_altered_or_foreign_is_rejected() -> None:
     agreed = small_agreement()
     taken = north().ledger.snapshot()
     assert Ledger.restore(agreed, "north", taken).snapshot() == taken
     other = agreement_file.parse(TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
-    for where, region, data, told in (
+    for where, region, data, message in (
         (agreed, "north", taken[:-1], "torn or altered"),
         (agreed, "north", taken[:-1] + b"\x00", "torn or altered"),
         (agreed, "north", b"hello", "not a snapshot"),
         (agreed, "south", taken, "of region 'north', not of 'south'"),
         (other, "north", taken, "another agreement"),
     ):
-        with pytest.raises(state.SnapshotError, match=told):
+        with pytest.raises(state.SnapshotError, match=message):
             Ledger.restore(where, region, data)
 
 
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -1,8 +1,9 @@
-"""Between regions: what is told and sent again, and the relay that experiments put between them."""
+"""Between regions: what is reported and sent again, and the relay that experiments put between them."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
 import pytest
@@ -27,29 +28,29 @@
 from tests.maintenance_world import small_agreement
 from tests.network_peers import PATIENCE_S, free_port
 
-SEEN = ObservedState(ready=True, warmth=1000, as_of=0)
+READY_AND_WARM = ObservedState(ready=True, warmth=1000, as_of=0)
 TRANSFER = Transfer("north", "south", 1, "convert", 1000)
 
 
 @dataclass
-class South:
-    """Stands for the other region; `away` calls fail first."""
+class StubRegion:
+    """A stub of the other region; the first `failing_calls` fail."""
 
-    away: int = 0
-    refuses: bool = False
+    failing_calls: int = 0
+    rejects: bool = False
     commands: list[Command] = field(default_factory=list)
 
     async def command(self, command: Command, timeout_s: float) -> Result:
-        if self.away:
-            self.away -= 1
+        if self.failing_calls:
+            self.failing_calls -= 1
             raise CallError("no answer")
         self.commands.append(command)
         if isinstance(command, CreditTransfer):
-            return Rejected("no") if self.refuses else Credited(command.transfer)
+            return Rejected("no") if self.rejects else Credited(command.transfer)
         return Observed()
 
 
-def link_to(south: South) -> RegionLink:
+def link_to(south: StubRegion) -> RegionLink:
     link = RegionLink(small_agreement(), "north", "south")
     link.client = south  # type: ignore[assignment]
     return link
@@ -58,7 +59,7 @@
 def ledger_with_transfer() -> Ledger:
     ledger = Ledger(small_agreement(), "north")
     for one in ledger.agreement.converters_of("convert", "north"):
-        ledger.state.observed[one.name] = SEEN
+        ledger.state.observed[one.name] = READY_AND_WARM
     assert ledger.apply(1, DebitTransfer(TRANSFER)) == Debited(TRANSFER)
     return ledger
 
@@ -67,8 +68,8 @@
     return asyncio.run(link.exchange(ledger))
 
 
-def test_a_standing_is_told_again_only_when_it_changes_or_another_leader_may_have_told() -> None:
-    south, ledger = South(), ledger_with_transfer()
+def test_needs_are_reported_again_only_after_a_change_or_another_leader() -> None:
+    south, ledger = StubRegion(), ledger_with_transfer()
     link = link_to(south)
     for _ in range(3):
         exchange(link, ledger)
@@ -79,7 +80,7 @@
 
 
 def test_a_transfer_is_sent_until_its_acknowledgement_is_committed() -> None:
-    south, ledger = South(away=1), ledger_with_transfer()
+    south, ledger = StubRegion(failing_calls=1), ledger_with_transfer()
     link = link_to(south)
     assert exchange(link, ledger) == []
     for _ in range(2):
@@ -89,48 +90,67 @@
     assert sum(isinstance(one, CreditTransfer) for one in south.commands) == 2
 
 
-def test_a_transfer_that_is_refused_is_not_acknowledged() -> None:
-    assert exchange(link_to(South(refuses=True)), ledger_with_transfer()) == []
+def test_a_transfer_that_is_rejected_is_not_acknowledged() -> None:
+    assert exchange(link_to(StubRegion(rejects=True)), ledger_with_transfer()) == []
 
 
-def test_a_relay_doubles_calls_and_carries_nothing_while_it_is_cut() -> None:
-    async def test() -> None:
-        received: list[object] = []
+@dataclass
+class Recorder:
+    """A coordinator's far end that records the frames of all connections."""
+
+    received: list[object] = field(default_factory=list)
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        connection = Connection(reader, writer)
+        try:
+            while True:
+                self.received.append(await connection.receive())
+        except (OSError, EOFError):
+            writer.close()
+
+    async def wait_for(self, holds: Callable[[], bool]) -> None:
+        async with asyncio.timeout(PATIENCE_S):
+            while not holds():
+                await asyncio.sleep(0.05)
+
+
+HELLO = ClientHello(VERSION, "south", "north", ClientKind.REGION)
 
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            connection = Connection(reader, writer)
-            try:
-                while True:
-                    received.append(await connection.receive())
-            except (OSError, EOFError):
-                writer.close()
 
+async def check_duplicated_calls(relay: Relay, recorder: Recorder) -> Connection:
+    connection = await Connection.dial(relay.listen, HELLO)
+    for number in range(20):
+        connection.send(StatusCall(number))
+    received = recorder.received
+    await recorder.wait_for(lambda: len(received) >= 21 + relay.duplicated and relay.duplicated > 0)
+    assert received[0] == HELLO
+    assert {one.number for one in received[1:] if isinstance(one, StatusCall)} == set(range(20))
+    assert received[1:21] != [StatusCall(number) for number in range(20)], "in another order"
+    return connection
+
+
+async def check_partition(relay: Relay, connection: Connection) -> None:
+    relay.partition()
+    with pytest.raises((OSError, EOFError)):
+        await connection.receive()
+    rejected = await Connection.dial(relay.listen, HELLO)
+    with pytest.raises((OSError, EOFError)):
+        await rejected.receive()
+
+
+def test_a_relay_duplicates_calls_and_relays_nothing_while_partitioned() -> None:
+    async def test() -> None:
+        recorder = Recorder()
         target, listen = Address("127.0.0.1", free_port()), Address("127.0.0.1", free_port())
-        server = await asyncio.start_server(serve, *target)
+        server = await asyncio.start_server(recorder.serve, *target)
         relay = Relay(listen, target, seed=1)
         await relay.start()
-        hello = ClientHello(VERSION, "south", "north", ClientKind.REGION)
-        connection = await Connection.dial(listen, hello)
-        for number in range(20):
-            connection.send(StatusCall(number))
-        async with asyncio.timeout(PATIENCE_S):
-            while len(received) < 21 + relay.duplicated or relay.duplicated == 0:
-                await asyncio.sleep(0.05)
-        assert received[0] == hello
-        assert {one.number for one in received[1:] if isinstance(one, StatusCall)} == set(range(20))
-        assert received[1:21] != [StatusCall(number) for number in range(20)], "in another order"
-        relay.partition()
-        with pytest.raises((OSError, EOFError)):
-            await connection.receive()
-        refused = await Connection.dial(listen, hello)
-        with pytest.raises((OSError, EOFError)):
-            await refused.receive()
+        connection = await check_duplicated_calls(relay, recorder)
+        await check_partition(relay, connection)
         relay.heal()
-        count = len(received)
-        again = await Connection.dial(listen, hello)
-        async with asyncio.timeout(PATIENCE_S):
-            while len(received) == count:
-                await asyncio.sleep(0.05)
+        count = len(recorder.received)
+        again = await Connection.dial(listen, HELLO)
+        await recorder.wait_for(lambda: len(recorder.received) != count)
         again.close()
         server.close()
 
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -1,4 +1,4 @@
-"""A replica with its disk and ledger: nothing is said or applied before it is stored; whoever waits is told truly."""
+"""A replica with its disk and ledger: nothing is sent or applied before it is stored; proposals get their result."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass
 class Disk:
-    """Notes what is stored, or fails."""
+    """A stub that records what is stored, or fails."""
 
     saved: list[Ready] = field(default_factory=list)
     full: bool = False
@@ -50,76 +50,76 @@
 
 
 @dataclass
-class Made:
-    """A node and what it did."""
+class NodeUnderTest:
+    """A node, what it stored and what it sent."""
 
     node: Node
     disk: Disk
     sent: list[Message]
 
 
-def make(state: DurableState | None = None) -> Made:
+def start_node(state: DurableState | None = None) -> NodeUnderTest:
     sent: list[Message] = []
     disk = Disk()
     replica = Replica(ReplicaSettings("north-0", MEMBERS, 1), state or DurableState())
     node = Node(replica, disk, Ledger(small_agreement(), "north"), lambda peer, message: sent.append(message))
-    return Made(node, disk, sent)
+    return NodeUnderTest(node, disk, sent)
 
 
-def leading() -> Made:
-    made = make()
-    while made.node.replica.term == 0:
-        made.node.tick()
-    made.node.receive("north-1", VoteResponse(1, True))
-    made.node.receive("north-1", AppendResponse(1, True, 1))
-    return made
+def leading() -> NodeUnderTest:
+    started = start_node()
+    while started.node.replica.term == 0:
+        started.node.tick()
+    started.node.receive("north-1", VoteResponse(1, True))
+    started.node.receive("north-1", AppendResponse(1, True, 1))
+    return started
 
 
 def test_a_command_is_answered_once_a_majority_has_it() -> None:
     async def test() -> Result:
-        made = leading()
-        answer = asyncio.create_task(made.node.propose(AdvanceTime(500)))
+        started = leading()
+        answer = asyncio.create_task(started.node.propose(AdvanceTime(500)))
         await asyncio.sleep(0)
-        assert made.disk.saved[-1].entries[-1].command and not answer.done() and made.node.ledger.now_ms == 0
-        made.node.receive("north-2", AppendResponse(1, True, 2))
+        assert started.disk.saved[-1].entries[-1].command and not answer.done() and started.node.ledger.now_ms == 0
+        started.node.receive("north-2", AppendResponse(1, True, 2))
         return await answer
 
     assert asyncio.run(test()) == Advanced(500)
 
 
-def test_who_waits_at_a_deposed_leader_is_told_that_it_is_uncertain() -> None:
+def test_a_proposal_at_a_deposed_leader_fails_as_uncertain() -> None:
     async def test() -> None:
-        made = leading()
-        answer = asyncio.create_task(made.node.propose(AdvanceTime(500)))
+        started = leading()
+        answer = asyncio.create_task(started.node.propose(AdvanceTime(500)))
         await asyncio.sleep(0)
-        made.node.receive("north-2", AppendEntries(2, 1, 1, (Entry(2, b""),), 2))
+        started.node.receive("north-2", AppendEntries(2, 1, 1, (Entry(2, b""),), 2))
         with pytest.raises(DeposedError):
             await answer
         with pytest.raises(NotLeaderError):
-            await made.node.propose(AdvanceTime(600))
-        assert made.node.ledger.now_ms == 0
+            await started.node.propose(AdvanceTime(600))
+        assert started.node.ledger.now_ms == 0
 
     asyncio.run(test())
 
 
-def test_a_disk_that_fails_ends_the_replica_before_anything_is_said() -> None:
-    made = make(DurableState(HardState(1)))
-    made.disk.full = True
+def test_a_disk_that_fails_stops_the_replica_before_anything_is_sent() -> None:
+    started = start_node(DurableState(HardState(1)))
+    started.disk.full = True
     with pytest.raises(FatalError, match="No space left"):
-        made.node.receive("north-1", AppendEntries(1, 0, 0, (Entry(1, b""),), 0))
-    made.disk.full = False
+        started.node.receive("north-1", AppendEntries(1, 0, 0, (Entry(1, b""),), 0))
+    started.disk.full = False
     with pytest.raises(FatalError, match="has failed before"):
-        made.node.tick()
-    assert made.sent == []
+        started.node.tick()
+    assert started.sent == []
 
 
-def test_a_log_of_a_version_that_knows_more_commands_ends_the_replica() -> None:
-    made = make(DurableState(HardState(1)))
+def test_a_log_with_an_unknown_command_stops_the_replica() -> None:
+    started = start_node(DurableState(HardState(1)))
     with pytest.raises(FatalError, match="unreadable command"):
-        made.node.receive("north-1", AppendEntries(1, 0, 0, (Entry(1, b"\x81\xa4type\xa3new"),), 1))
+        started.node.receive("north-1", AppendEntries(1, 0, 0, (Entry(1, b"\x81\xa4type\xa3new"),), 1))
 
 
-def test_an_empty_disk_stays_empty_until_there_is_something_to_keep(tmp_path: Path) -> None:
+def test_an_empty_disk_has_no_file_until_there_is_something_to_store(tmp_path: Path) -> None:
     disk = open_storage(tmp_path / "a", IDENTITY, bootstrap=False)
     assert disk.state is None
     disk.storage.save(Ready(None, 0, (), (), ()))
@@ -131,7 +131,7 @@
     again.storage.close()
 
 
-def test_the_planted_storage_forgets_the_vote(tmp_path: Path) -> None:
+def test_the_storage_with_a_seeded_fault_loses_the_vote(tmp_path: Path) -> None:
     disk = open_storage(tmp_path, IDENTITY, bootstrap=True, file_type=ForgetVoteStorage)
     disk.storage.save(Ready(HardState(5, "north-1"), 1, (Entry(5, b"kept"),), (), ()))
     disk.storage.close()
--- a/tests/test_maintenance_outcome.py
+++ b/tests/test_maintenance_outcome.py
@@ -1,4 +1,4 @@
-"""What the experiments make of journals and logs: outages, and votes given twice."""
+"""What the experiments derive from journals and logs: outages, elections, repeated candidacies, grants."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
         ),
         ([(10, "refused", 1), (20, "list", 1)], []),
     ],
-    ids=["whole", "not back", "down again while cold", "again once warm", "nothing done"],
+    ids=["whole", "not recovered", "down again before it is warm", "again once warm", "nothing done"],
 )
-def test_an_outage_lasts_from_the_drain_until_a_life_is_warm(
+def test_an_outage_lasts_from_the_drain_until_an_incarnation_is_warm(
     steps: list[tuple[int, str, int]], found: list[tuple[int, int, set[int]]]
 ) -> None:
     expected = [Outage("a", began_us, warm_us, frozenset(tokens)) for began_us, warm_us, tokens in found]
@@ -57,7 +57,7 @@
     return SimpleNamespace(folder=folder)
 
 
-def test_standing_in_a_term_again_is_a_second_vote(tmp_path: Path) -> None:
+def test_a_repeated_candidacy_in_a_term_is_counted(tmp_path: Path) -> None:
     usual = (
         "candidate in term 1",
         "leader in term 1",
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: order, backfill, reasons, stability, and how far it is from the best plan there is."""
+"""The scheduler: order, backfill, reasons, stability, and its distance from the best plan."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     priority: Priority = Priority.NORMAL,
     submitted: int = 0,
 ) -> Job:
-    asked = request(
+    submitted_request = request(
         name,
         converters=converters,
         max_unavailable=max_unavailable,
@@ -43,7 +43,7 @@
         deadline_ms=deadline,
         priority=priority,
     )
-    return Job(asked, tuple(CONVERTERS[one] for one in converters), length, submitted)
+    return Job(submitted_request, tuple(CONVERTERS[one] for one in converters), length, submitted)
 
 
 def problem(*jobs: Job, bound: int = 1000, now: int = 0) -> Problem:
@@ -58,13 +58,13 @@
     return found
 
 
-def test_the_earliest_deadline_goes_first_and_the_urgent_before_it() -> None:
+def test_the_earliest_deadline_goes_first_and_urgent_requests_before_it() -> None:
     late, soon = job("late", "c0", deadline=900), job("soon", "c1", deadline=300)
     urgent = job("urgent", "c2", deadline=950, priority=Priority.URGENT)
     assert starts(make_schedule(problem(late, soon, urgent))) == {"urgent": [0], "soon": [10], "late": [20]}
 
 
-def test_a_later_request_takes_a_gap_and_moves_nobody() -> None:
+def test_a_later_request_takes_a_gap_and_moves_no_other() -> None:
     large = job("large", "c0", "c1", max_unavailable=2, deadline=300)
     first = job("first", "c2", deadline=100)
     small = job("small", "c3", deadline=900, length=5)
@@ -74,22 +74,22 @@
     assert starts(make_schedule(waits)) == {"first": [0], "large": [10], "small": [0]}, "it fits beside the first"
 
 
-def test_no_more_of_a_request_are_out_at_once_than_it_says() -> None:
+def test_a_request_limits_its_concurrent_outages() -> None:
     schedule = make_schedule(problem(job("r", "c0", "c1", "c2", "c3", max_unavailable=2), bound=9000))
     assert schedule.windows == (Window("r", ("c0", "c1"), 0, 10), Window("r", ("c2", "c3"), 10, 20))
 
 
-def test_who_waits_is_told_the_limit_and_the_window_before_it() -> None:
+def test_a_delayed_request_names_the_limit_and_the_window_that_block_it() -> None:
     schedule = make_schedule(problem(job("a", "c0", deadline=100), job("b", "c1")))
     (waiting,) = schedule.delayed_requests
     assert (waiting.request, waiting.limit, waiting.blocked_by) == ("b", "the allowance", "window a")
     assert waiting.reason == "waits until 10 ms for the allowance, behind window a"
-    held = replace(problem(job("b", "c1")), active_leases=(ActiveLease("l1", "a", (CONVERTERS["c0"],), 40),))
-    schedule = make_schedule(held)
+    with_lease = replace(problem(job("b", "c1")), active_leases=(ActiveLease("l1", "a", (CONVERTERS["c0"],), 40),))
+    schedule = make_schedule(with_lease)
     assert starts(schedule) == {"b": [40]} and schedule.delayed_requests[0].blocked_by == "lease l1"
 
 
-def test_what_can_not_fit_says_so_and_by_how_much() -> None:
+def test_an_unplaced_request_has_the_amount_that_is_missing() -> None:
     (unplaced,) = make_schedule(problem(job("big", "c5"))).unplaced_requests
     assert unplaced.excess == 1000 and "the allowance: taking 'c5' out is 1 too much" in unplaced.reason
     schedule = make_schedule(
@@ -103,7 +103,7 @@
     assert unplaced.excess == 600 and "while 0.6 is lost" in unplaced.reason
 
 
-def test_a_misfit_takes_no_place_from_others() -> None:
+def test_an_unplaced_request_takes_no_capacity_from_others() -> None:
     schedule = make_schedule(problem(job("half", "c0", "c1", deadline=15), job("other", "c2", deadline=20)))
     assert starts(schedule) == {"other": [0]}
 
@@ -130,7 +130,7 @@
     assert starts(early)["old"] == [AGING_MS], "a gap before them is free"
 
 
-def test_a_ledger_grants_what_its_schedule_opens_now() -> None:
+def test_a_ledger_grants_the_windows_that_are_due() -> None:
     region = north()
     for name, converters in (("a", ("n00", "n01")), ("b", ("n02",)), ("c", ("n10", "n11"))):
         region.apply(SubmitRequest(request(name, converters=converters, max_unavailable=2)))
@@ -148,16 +148,16 @@
     assert starts(make_schedule(build_problem(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
 
 
-def drawn_problem(seed: int, most_jobs: int = 12, priorities: int = 3) -> Problem:
+def drawn_problem(seed: int, max_jobs: int = 12, priorities: int = 3) -> Problem:
     draw = random.Random(seed)
     names = list(CONVERTERS)
     draw.shuffle(names)
     jobs: list[Job] = []
-    while names and len(jobs) < most_jobs:
+    while names and len(jobs) < max_jobs:
         count = draw.randint(1, min(3, len(names)))
         mine, names = names[:count], names[count:]
         length, earliest = draw.randint(5, 20), draw.randint(0, 40)
-        least = length * count
+        min_length = length * count
         jobs.append(
             job(
                 f"r{len(jobs)}",
@@ -165,7 +165,7 @@
                 max_unavailable=draw.randint(1, count),
                 length=length,
                 earliest=earliest,
-                deadline=earliest + least + draw.randint(0, 50),
+                deadline=earliest + min_length + draw.randint(0, 50),
                 priority=Priority(draw.randrange(priorities)),
             )
         )
@@ -174,21 +174,26 @@
         Limit("the least capacity without zone z0", "convert", 3000, "z0"),
         Limit("the least capacity without zone z1", "convert", 3000, "z1"),
     )
-    held = (
+    with_lease = (
         (ActiveLease("l", "gone", (CONVERTERS["c0"],), 15),)
         if all(one != "c0" for j in jobs for one in j.request.converters)
         else ()
     )
-    return Problem(now_ms=0, jobs=tuple(jobs), limits=limits, converters=CONVERTERS, active_leases=held)
+    return Problem(now_ms=0, jobs=tuple(jobs), limits=limits, converters=CONVERTERS, active_leases=with_lease)
 
 
 def check_schedule(one: Problem, schedule: Schedule) -> None:
-    """The plan keeps every limit at each of its instants, and each request's own terms."""
+    """Check that a plan keeps every limit at each of its instants, and each request's own terms."""
     jobs = {each.request.name: each for each in one.jobs}
     for at in [0, *(window.start_ms for window in schedule.windows)]:
         running = [window for window in schedule.windows if window.start_ms <= at < window.end_ms]
         out = [CONVERTERS[name] for window in running for name in window.converters]
-        out += [converter for held in one.active_leases if at < held.until_ms for converter in held.converters]
+        out += [
+            converter
+            for with_lease in one.active_leases
+            if at < with_lease.until_ms
+            for converter in with_lease.converters
+        ]
         for limit in one.limits:
             assert sum(each.size for each in out if limit.applies_to(each)) <= limit.bound
         for name, each in jobs.items():
@@ -217,7 +222,7 @@
     got = best = proven = 0
     worst = 1.0
     for seed in range(25):
-        one = drawn_problem(seed, most_jobs=9, priorities=1)
+        one = drawn_problem(seed, max_jobs=9, priorities=1)
         unplaced_requests = {unplaced.request for unplaced in make_schedule(one).unplaced_requests}
         plan = best_plan(one, Job.work)
         proven += plan.bound == plan.value
--- /dev/null
+++ b/tests/test_maintenance_transfers.py
@@ -0,0 +1,86 @@
+"""Allowances between regions: transfers in any order, and how needs draw them."""
+
+from __future__ import annotations
+
+from ryepier.maintenance.commands import (
+    AcknowledgeTransfer,
+    AdvanceTime,
+    CreditTransfer,
+    DebitTransfer,
+    SubmitRequest,
+    Transfer,
+)
+from ryepier.maintenance.results import Acknowledged, Credited, Debited, Rejected
+from tests.maintenance_cluster import Cluster
+from tests.maintenance_world import AGREEMENTS, request, small_agreement
+
+
+def test_transfers_that_arrive_late_twice_and_in_any_order_are_counted_once() -> None:
+    cluster = Cluster(small_agreement())
+    south, north = cluster.ledger("south"), cluster.ledger("north")
+    transfers = [Transfer("south", "north", number, "convert", 500) for number in (1, 2, 3)]
+    for transfer in transfers:
+        assert cluster.apply("south", DebitTransfer(transfer)) == Debited(transfer)
+        assert cluster.apply("south", DebitTransfer(transfer)) == Debited(transfer)
+    for transfer in (transfers[2], transfers[0], transfers[2], transfers[1], transfers[0]):
+        assert cluster.apply("north", CreditTransfer(transfer)) == Credited(transfer)
+        cluster.restart("north")
+    north = cluster.ledger("north")
+    assert north.capacity("convert").allowance == 3500 and south.capacity("convert").allowance == 500
+    assert south.pending_transfers() == transfers, "sent until acknowledged, whatever the time"
+    for transfer in reversed(transfers):
+        assert cluster.apply("south", AcknowledgeTransfer(transfer)) == Acknowledged(transfer)
+        assert cluster.apply("south", AcknowledgeTransfer(transfer)) == Acknowledged(transfer)
+    assert south.pending_transfers() == []
+    assert cluster.apply("south", DebitTransfer(transfers[0])) == Acknowledged(transfers[0])
+
+
+def test_a_transfer_with_another_content_is_rejected() -> None:
+    cluster = Cluster(small_agreement())
+    cluster.debit("south", "north", 500)
+    other = Transfer("south", "north", 1, "convert", 700)
+    for command in (DebitTransfer(other), AcknowledgeTransfer(other)):
+        result = cluster.apply("south", command)
+        assert isinstance(result, Rejected) and "another content" in result.reason
+    assert cluster.total_allowance() == 4000
+
+
+def test_rebalancing_follows_requests_and_keeps_each_regions_minimum_allowance() -> None:
+    cluster = Cluster(small_agreement())
+    cluster.submit("north", "r1", ("n00", "n01", "n02", "n10"), 4)
+    cluster.send("north")
+    cluster.deliver_all()
+    cluster.rebalance("south")
+    assert cluster.ledger("south").capacity("convert").allowance == 500
+    cluster.rebalance("south")
+    assert len(cluster.ledger("south").pending_transfers()) == 1, "no second one while the first is in transit"
+    cluster.send("south")
+    cluster.deliver_all()
+    assert cluster.ledger("north").capacity("convert").allowance == 3500
+    assert cluster.ledger("south").pending_transfers() == [] and cluster.total_allowance() == 4000
+    assert cluster.ledger("north").transfers_due() == []
+
+
+def test_a_request_beyond_the_horizon_draws_no_allowance_yet() -> None:
+    cluster = Cluster(small_agreement())
+    ledger = cluster.ledger("north")
+    far = request("far", converters=("n00", "n01", "n02"), max_unavailable=3, earliest_ms=10**6, deadline_ms=10**9)
+    cluster.apply("north", SubmitRequest(far))
+    assert ledger.needs()["convert"].shortage == 0
+    cluster.apply("north", AdvanceTime(500_000))
+    assert ledger.needs()["convert"].shortage == 1000
+
+
+def test_a_region_that_needs_its_allowance_gives_none_and_deficits_go_before_shortages() -> None:
+    cluster = Cluster(AGREEMENTS[1])
+    cluster.submit("north", "r1", ("n00", "n01", "n02"), 3)
+    for name in ("w00", "w01", "w02"):
+        cluster.lose(name)
+    cluster.observe("west")
+    cluster.report(0)
+    for region in ("north", "west"):
+        cluster.send(region)
+    cluster.deliver_all()
+    assert cluster.ledger("north").transfers_due() == []
+    due = [(one.receiver, one.amount) for one in cluster.ledger("south").transfers_due()]
+    assert due == [("west", 1000), ("north", 500)]
