--- a/ryepier/experiments/graphql/seeded_faults.py
+++ b/ryepier/experiments/graphql/seeded_faults.py
@@ -11,12 +11,14 @@
 
 def classify_by_first_word() -> None:
     """Take a document for a mutation only if that is its first word."""
+    from graphql import OperationType
+
     from ryepier.graphql.document import Document, Documents
 
     read = Documents.read
 
     def read_first_word(self: Documents, text: str) -> Document:
-        kind = "mutation" if text.startswith("mutation") else "query"
+        kind = OperationType.MUTATION if text.startswith("mutation") else OperationType.QUERY
         return Document(tuple(replace(one, kind=kind) for one in read(self, text).operations))
 
     Documents.read = read_first_word  # type: ignore[method-assign]
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -1,14 +1,16 @@
-"""What operations mean for a request: its class, and whether it may run again.
+"""Classification of operations: the class of their request, and whether it may run again.
 
-Pure. Whatever is not known to be harmless is unsafe: a class counts as harmless only for queries, a key only for a
-request that starts one thing.
+Pure. Whatever is not known to be idempotent is unsafe: a class counts as idempotent only for queries, and a key only
+for a request that starts one operation.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
+
+from graphql import OperationType
 
 from ryepier.balancer.interface import Idempotency
 from ryepier.graphql.document import Operation, RootField, is_reached, variable_value
@@ -38,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """The operators' table. Raises ValueError where it would have something unsafe repeated."""
+    """The operators' table. Raises ValueError if it would let an unsafe operation be repeated."""
 
     classes: Mapping[str, ClassRule]
     queries: Mapping[str, FieldRule]
@@ -80,40 +82,57 @@
 
 @dataclass(frozen=True, slots=True)
 class Meaning:
-    """Of a whole HTTP request."""
+    """How a complete HTTP request is treated."""
 
     class_name: str
     idempotency: Idempotency
-    key: str = ""  # where it is deduplicated
+    key: str = ""  # of the one operation that it starts; empty without an idempotency key
     cost_us: int = 0
     deadline_us: int = 0  # the longest of its fields'; 0 = the class's
     mutates: bool = False
 
 
-def meaning(table: Table, operations: Sequence[tuple[Operation, Mapping[str, Any]]]) -> Meaning:
-    """Of one operation, or of a batch, each with its variables: the strictest class of all its fields.
+class OperationCall(NamedTuple):
+    """An operation with the variables that a request gives it."""
+
+    operation: Operation
+    variables: Mapping[str, Any]
+
+
+class FieldCall(NamedTuple):
+    """A field of an operation with its rule and its idempotency key; without a key it is empty."""
 
-    A batch goes out whole and has one answer, so one part that must not run twice holds for all of it. Raises
-    GraphqlError."""
-    found: list[tuple[FieldRule, str]] = []
+    rule: FieldRule
+    key: str
+
+
+def meaning(table: Table, calls: Sequence[OperationCall]) -> Meaning:
+    """Return the meaning of an operation, or of a batch: the strictest class of all its fields.
+
+    A batch is forwarded as one request and has one answer, so a part that must not run twice decides for all of it.
+    Raises GraphqlError."""
+    found: list[FieldCall] = []
     mutates = False
-    for operation, given in operations:
+    for operation, given in calls:
         variables = {**operation.defaults, **given}
-        if operation.kind == "subscription":
+        if operation.kind is OperationType.SUBSCRIPTION:
             raise malformed_request("subscriptions are not served here", "SUBSCRIPTIONS_NOT_SUPPORTED")
-        mutates |= operation.kind == "mutation"
+        is_mutation = operation.kind is OperationType.MUTATION
+        mutates |= is_mutation
         reached = [one for one in operation.fields if is_reached(one, variables)]
-        found += [_field(table, operation.kind, one, variables) for one in reached]
+        found += [_field(table, is_mutation, field, variables) for field in reached]
         if not reached:  # everything was skipped; it is still an operation of its kind
-            found.append((FieldRule(table.mutation_class if operation.kind == "mutation" else table.query_class), ""))
-    strictest = max(found, key=lambda pair: BY_STRICTNESS.index(table.idempotency(pair[0].class_name)))
-    rule, key = strictest
-    cost_us = sum(one.cost_us for one, _ in found) if all(one.cost_us for one, _ in found) else 0
-    deadline_us = max(one.deadline_us for one, _ in found) if all(one.deadline_us for one, _ in found) else 0
+            found.append(FieldCall(FieldRule(table.mutation_class if is_mutation else table.query_class), ""))
+    rule, key = max(found, key=lambda call: BY_STRICTNESS.index(table.idempotency(call.rule.class_name)))
+    costs_us = [call.rule.cost_us for call in found]
+    deadlines_us = [call.rule.deadline_us for call in found]
+    cost_us = sum(costs_us) if all(costs_us) else 0
+    deadline_us = max(deadlines_us) if all(deadlines_us) else 0
     idempotency = table.idempotency(rule.class_name)
     if idempotency is Idempotency.IDEMPOTENCY_KEY and (not key or _started(table, found) > 1):
         # one key can't stand for two runs
-        rule, key, idempotency = FieldRule(table.mutation_class), "", table.idempotency(table.mutation_class)
+        rule = FieldRule(table.mutation_class)
+        idempotency = table.idempotency(table.mutation_class)
     return Meaning(
         rule.class_name,
         idempotency,
@@ -124,28 +143,28 @@
     )
 
 
-def _started(table: Table, found: list[tuple[FieldRule, str]]) -> int:
-    return sum(table.idempotency(rule.class_name) is not Idempotency.IDEMPOTENT for rule, _ in found)
+def _started(table: Table, found: list[FieldCall]) -> int:
+    return sum(table.idempotency(call.rule.class_name) is not Idempotency.IDEMPOTENT for call in found)
 
 
-def _field(table: Table, kind: str, field: RootField, variables: Mapping[str, Any]) -> tuple[FieldRule, str]:
-    rules, otherwise = (
-        (table.mutations, table.mutation_class) if kind == "mutation" else (table.queries, table.query_class)
-    )
+def _field(table: Table, is_mutation: bool, field: RootField, variables: Mapping[str, Any]) -> FieldCall:
+    rules = table.mutations if is_mutation else table.queries
     rule = rules.get(field.name)
     if rule is None:
-        return FieldRule(otherwise), ""
+        return FieldCall(FieldRule(table.mutation_class if is_mutation else table.query_class), "")
     argument = field.arguments.get(rule.key) if rule.key else None
-    return rule, _key(variable_value(argument, variables)) if argument is not None else ""
+    if argument is None:
+        return FieldCall(rule, "")
+    return FieldCall(rule, _key(variable_value(argument, variables)))
 
 
 def _key(value: Any) -> str:
-    """As a header can carry it; empty, which is no key, for whatever can't name one run beyond doubt."""
+    """Return a value as a header can carry it; empty, which is no key, if it can't identify one run."""
     text = str(value) if isinstance(value, str | int) and not isinstance(value, bool) else ""
     return text if len(text) <= MAX_KEY_LENGTH and all("!" <= letter <= "~" for letter in text) else ""
 
 
-def reject_by_method(method: str, meant: Meaning) -> None:
-    """Raises GraphqlError: what a GET carries may be repeated by anything on its way."""
-    if method == "GET" and (meant.mutates or meant.idempotency is not Idempotency.IDEMPOTENT):
+def check_get(meant: Meaning) -> None:
+    """Raise GraphqlError unless a GET may carry an operation: anything on its way may repeat it."""
+    if meant.mutates or meant.idempotency is not Idempotency.IDEMPOTENT:
         raise GraphqlError(405, "METHOD_NOT_ALLOWED", "a GET may only ask, not change anything: use POST", "POST")
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from graphql import (
     DirectiveNode,
@@ -20,6 +20,7 @@
     GraphQLError,
     Lexer,
     OperationDefinitionNode,
+    OperationType,
     SelectionSetNode,
     Source,
     TokenKind,
@@ -40,6 +41,11 @@
 CLOSING = frozenset((TokenKind.BRACE_R, TokenKind.BRACKET_R, TokenKind.PAREN_R))
 
 
+INCLUDE = "include"  # directives that decide whether a field is executed
+SKIP = "skip"
+CONDITION = "if"  # their argument
+
+
 @dataclass(frozen=True, slots=True)
 class RootField:
     """One field at the top of an operation; a field under two aliases is two."""
@@ -51,9 +57,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One operation of a document, with its fragments put in."""
+    """One operation of a document, with its fragments expanded."""
 
-    kind: str  # query, mutation, subscription
+    kind: OperationType
     name: str
     fields: tuple[RootField, ...]
     defaults: Mapping[str, Any]  # of its variables
@@ -96,7 +102,7 @@
 
 
 def read_document(text: str) -> Document:
-    """Raises GraphqlError."""
+    """Return the document of a text. Raises GraphqlError."""
     if text.startswith("\ufeff"):
         # the language allows a byte order mark, but not every server skips it: they would not see what is seen here
         raise malformed_request("the document begins with a byte order mark", "GRAPHQL_PARSE_FAILED")
@@ -138,7 +144,7 @@
         for variable in node.variable_definitions or ():
             if variable.default_value is not None:
                 defaults[variable.variable.name.value] = read_value(variable.default_value)
-        return Operation(node.operation.value, name, tuple(fields), defaults)
+        return Operation(node.operation, name, tuple(fields), defaults)
 
     def collect(
         self,
@@ -147,9 +153,9 @@
         within: frozenset[str],
         fields: list[RootField],
     ) -> None:
-        """The root fields of a selection, with every fragment put in where it is named."""
+        """Add the root fields of a selection, with every fragment expanded."""
         for node in selected.selections:
-            here = guards + tuple(one for one in node.directives or () if one.name.value in ("skip", "include"))
+            here = guards + tuple(one for one in node.directives or () if one.name.value in (SKIP, INCLUDE))
             if isinstance(node, FieldNode):
                 if len(fields) >= MAX_ROOT_FIELDS:
                     raise malformed_request(f"more than {MAX_ROOT_FIELDS} fields at the top", "DOCUMENT_TOO_LARGE")
@@ -169,13 +175,20 @@
             self.collect(self.fragments[name].selection_set, here, within | {name}, fields)
 
 
+class CachedDocument(NamedTuple):
+    """A parsed document with the size of its text."""
+
+    document: Document
+    size_bytes: int
+
+
 @dataclass(slots=True)
 class Documents:
     """Cache of parsed documents by the hash of their text."""
 
     max_documents: int = MAX_CACHED_DOCUMENTS
     max_bytes: int = MAX_CACHED_BYTES
-    known: OrderedDict[bytes, tuple[Document, int]] = field(default_factory=OrderedDict)
+    known: OrderedDict[bytes, CachedDocument] = field(default_factory=OrderedDict)
     size: int = 0
     misses: int = 0
 
@@ -188,14 +201,14 @@
         key = hashlib.blake2b(data, digest_size=16).digest()
         if key in self.known:
             self.known.move_to_end(key)
-            return self.known[key][0]
+            return self.known[key].document
         self.misses += 1
         document = read_document(text)
-        self.known[key] = document, len(data)
+        self.known[key] = CachedDocument(document, len(data))
         self.size += len(data)
         while len(self.known) > self.max_documents or self.size > self.max_bytes:
-            _, (_, freed) = self.known.popitem(last=False)
-            self.size -= freed
+            _, oldest = self.known.popitem(last=False)
+            self.size -= oldest.size_bytes
         return document
 
 
@@ -207,8 +220,8 @@
 def is_reached(field_: RootField, variables: Mapping[str, Any]) -> bool:
     """Return whether a field is executed; an uncertain one counts as executed."""
     for guard in field_.guards:
-        condition = next((one.value for one in guard.arguments or () if one.name.value == "if"), None)
+        condition = next((one.value for one in guard.arguments or () if one.name.value == CONDITION), None)
         value = variable_value(condition, variables) if condition is not None else None
-        if value is (guard.name.value == "skip"):
+        if value is (guard.name.value == SKIP):
             return False
     return True
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -1,7 +1,7 @@
-"""GraphQL over HTTP, as requests have it: bytes in, checked operations and the body that goes on out.
+"""Reading of GraphQL requests over HTTP: bytes in, checked operations and the body to forward out.
 
-Pure. What two readers might read differently is refused: a key twice, a key in other letters, numbers that JSON does
-not have. So what is judged here is what the converter executes.
+Pure. What two readers might read differently is rejected: a repeated key, a key in other letters, numbers that JSON
+does not have. So what is classified here is what the converter executes.
 """
 
 from __future__ import annotations
@@ -9,15 +9,17 @@
 import json
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qsl
 
 from ryepier.balancer.interface import Idempotency
-from ryepier.graphql.classify import Meaning, Table, meaning, reject_by_method
+from ryepier.graphql.classify import Meaning, OperationCall, Table, check_get, meaning
 from ryepier.graphql.document import Documents, Operation
 from ryepier.graphql.errors import GraphqlError, malformed_request
 from ryepier.graphql.persisted import Persisted
 
+JsonObject = dict[str, Any]
+
 KEYS = ("query", "operationName", "variables", "extensions")
 JSON_TYPE, RESPONSE_TYPE = "application/json", "application/graphql-response+json"
 MAX_BATCH = 20  # operations of one request
@@ -35,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """A whole HTTP request: what it means, and the body that goes to a converter as a POST."""
+    """A complete HTTP request: its classification, and the body to forward as a POST."""
 
     meaning: Meaning
     body: bytes
 
 
 def response_type(accept: str) -> str:
-    """The media type to answer in, by the Accept header. Raises GraphqlError."""
+    """Return the media type of the response, by the Accept header. Raises GraphqlError."""
     if not accept.strip():
         return RESPONSE_TYPE
     best, best_weight = "", 0.0
@@ -65,7 +67,7 @@
 
 
 def check_content_type(value: str) -> None:
-    """Raises GraphqlError."""
+    """Raise GraphqlError unless a content type is JSON in UTF-8."""
     name, *parameters = (piece.strip().lower() for piece in value.split(";"))
     if name != JSON_TYPE:
         raise GraphqlError(415, "UNSUPPORTED_MEDIA_TYPE", f"a POST has to be {JSON_TYPE}")
@@ -74,7 +76,7 @@
             raise GraphqlError(415, "UNSUPPORTED_MEDIA_TYPE", "a POST has to be UTF-8")
 
 
-def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> JsonObject:
     found = dict(pairs)
     if len(found) < len(pairs):
         raise malformed_request("a key stands twice in one object, and servers differ in which they take")
@@ -86,7 +88,7 @@
 
 
 def read_json(data: bytes | str) -> Any:
-    """Strictly. Raises GraphqlError."""
+    """Return the value of a JSON text, strictly read. Raises GraphqlError."""
     try:
         text = data.decode("utf-8") if isinstance(data, bytes) else data
         return json.loads(text, object_pairs_hook=_reject_duplicates, parse_constant=_reject_constant)
@@ -97,7 +99,7 @@
 
 
 def read_parameters(found: Any) -> Parameters:
-    """One object as a request has it. Raises GraphqlError."""
+    """Return the parameters of one operation from its JSON object. Raises GraphqlError."""
     if not isinstance(found, dict):
         raise malformed_request("expected an object with a query")
     for key in found:
@@ -118,7 +120,7 @@
 
 
 def read_get(query_string: str) -> Parameters:
-    """A GET's parameters. Raises GraphqlError."""
+    """Return the parameters of a GET. Raises GraphqlError."""
     try:
         pairs = parse_qsl(query_string, keep_blank_values=True, strict_parsing=True, errors="strict", max_num_fields=50)
     except ValueError as error:
@@ -133,8 +135,15 @@
     return read_parameters(found)
 
 
+class ReadOperation(NamedTuple):
+    """The text of a document and the operation that is chosen from it."""
+
+    text: str
+    operation: Operation
+
+
 class Reader:
-    """Reads the requests of one front; keeps the documents that it has read."""
+    """Reads the requests of one front end; caches the documents that it has read."""
 
     def __init__(self, table: Table, max_batch: int = MAX_BATCH) -> None:
         """Start with empty caches."""
@@ -144,23 +153,23 @@
         self.persisted = Persisted()
 
     def get(self, query_string: str) -> ParsedRequest:
-        """Raises GraphqlError."""
+        """Read a GET. Raises GraphqlError."""
         parameters = read_get(query_string)
         text, operation = self._operation(parameters)
-        meant = meaning(self.table, [(operation, parameters.variables)])
-        reject_by_method("GET", meant)
+        meant = meaning(self.table, [OperationCall(operation, parameters.variables)])
+        check_get(meant)
         return ParsedRequest(meant, _body(parameters, text))
 
     def post(self, content_type: str, body: bytes) -> ParsedRequest:
-        """Raises GraphqlError."""
+        """Read a POST. Raises GraphqlError."""
         check_content_type(content_type)
         found = read_json(body)
         if isinstance(found, list):
             return self._batch(found, body)
         parameters = read_parameters(found)
         text, operation = self._operation(parameters)
-        meant = meaning(self.table, [(operation, parameters.variables)])
-        # what was checked goes on byte by byte, unless its document has to be put in
+        meant = meaning(self.table, [OperationCall(operation, parameters.variables)])
+        # The body is forwarded as it was checked, unless its document has to be inserted.
         return ParsedRequest(meant, body if parameters.query is not None else _body(parameters, text))
 
     def _batch(self, found: Sequence[Any], body: bytes) -> ParsedRequest:
@@ -168,11 +177,10 @@
             raise malformed_request(f"a batch has 1 to {self.max_batch} operations, not {len(found)}", "BATCH_SIZE")
         parts = [read_parameters(one) for one in found]
         read = [self._operation(part) for part in parts]
-        meant = meaning(
-            self.table, [(operation, part.variables) for part, (_, operation) in zip(parts, read, strict=True)]
-        )
+        calls = [OperationCall(one.operation, part.variables) for part, one in zip(parts, read, strict=True)]
+        meant = meaning(self.table, calls)
         if meant.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            # a key stands for one run, not for all that came with it
+            # A key identifies one run, not a whole batch.
             meant = replace(
                 meant,
                 class_name=self.table.mutation_class,
@@ -181,21 +189,20 @@
             )
         if all(part.query is not None for part in parts):
             return ParsedRequest(meant, body)
-        return ParsedRequest(
-            meant, b"[" + b",".join(_body(part, text) for part, (text, _) in zip(parts, read, strict=True)) + b"]"
-        )
+        bodies = [_body(part, one.text) for part, one in zip(parts, read, strict=True)]
+        return ParsedRequest(meant, b"[" + b",".join(bodies) + b"]")
 
-    def _operation(self, parameters: Parameters) -> tuple[str, Operation]:
+    def _operation(self, parameters: Parameters) -> ReadOperation:
         text = self.persisted.resolve(parameters.query, parameters.extensions)
         if text is None:
             raise malformed_request("there is no query", "QUERY_MISSING")
         operation = self.documents.read(text).choose(parameters.operation_name)
         self.persisted.keep(text, parameters.extensions)
-        return text, operation
+        return ReadOperation(text, operation)
 
 
 def _body(parameters: Parameters, text: str) -> bytes:
-    """A POST's body with the same meaning."""
+    """Return the body of a POST with the same meaning."""
     found: dict[str, Any] = {"query": text}
     if parameters.operation_name is not None:
         found["operationName"] = parameters.operation_name
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -16,6 +16,9 @@
 TICK_S = 0.2  # between two evaluations
 
 
+Header = tuple[bytes, bytes]  # name, value
+
+
 class Request(Protocol):
     """What the attempts of one request have in common."""
 
@@ -24,7 +27,7 @@
         """Path and query."""
 
     @property
-    def headers(self) -> Sequence[tuple[bytes, bytes]]:
+    def headers(self) -> Sequence[Header]:
         """Names and values."""
 
     @property
@@ -109,9 +112,9 @@
         """Report each change of the detector's event, forever."""
         while True:
             await asyncio.sleep(TICK_S)
-            event, evidence, changed = self.detector.tick(self.clock_us())
-            if changed:
-                log.warning("a retry storm %s: %s", "opens" if event.active else "is over", evidence)
-            if event != self.last_event:
-                self.last_event = event
-                self.publish(event)
+            report = self.detector.tick(self.clock_us())
+            if report.changed:
+                log.warning("a retry storm %s: %s", "opens" if report.event.active else "is over", report.evidence)
+            if report.event != self.last_event:
+                self.last_event = report.event
+                self.publish(report.event)
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -54,6 +54,15 @@
         )
 
 
+@dataclass(frozen=True, slots=True)
+class StormReport:
+    """The result of one tick."""
+
+    event: RetryStormUpdated
+    evidence: StormEvidence
+    changed: bool  # a storm has just begun or ended
+
+
 @dataclass(slots=True)
 class _Counts:
     """Counts since the last tick."""
@@ -102,14 +111,14 @@
         """Count a request that was not served."""
         self.counts.first_rejections += int(retry_number == 0)
 
-    def tick(self, now_us: int) -> tuple[RetryStormUpdated, StormEvidence, bool]:
-        """Return the current event, its evidence, and whether a storm has just begun or ended."""
+    def tick(self, now_us: int) -> StormReport:
+        """Update the rates and return whether there is a storm."""
         self._update_rates(now_us)
         evidence = self._evidence(now_us)
         if evidence.surge > SURGE_RATIO:
             self.last_surge_us = now_us
-        was = self.active
-        if not was:
+        was_active = self.active
+        if not was_active:
             self.admission = 1.0
         elif self.first_rejections > MAX_FIRST_REJECTIONS * self.rates[0]:
             self.admission = max(MIN_ADMISSION, self.admission * ADMISSION_DECREASE)
@@ -120,7 +129,8 @@
         else:
             self.active = now_us - self.last_surge_us >= SURGE_AFTERMATH_US and self._should_open(evidence)
             self.calm_since_us = None
-        return self._event() if self.active else RetryStormUpdated(), evidence, was != self.active
+        event = self._event() if self.active else RetryStormUpdated()
+        return StormReport(event, evidence, changed=self.active != was_active)
 
     def _update_rates(self, now_us: int) -> None:
         since_us = max(1, now_us - self.last_tick_us)
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -105,9 +105,10 @@
             for _ in range(int(refused_first * TICK_US / 1e6)):
                 self.detector.on_unserved(0)
             self.now_us += TICK_US
-            self.told, evidence, changed = self.detector.tick(self.now_us)
-            if changed:
-                self.changes.append((self.now_us / 1e6, self.told.active, evidence))
+            report = self.detector.tick(self.now_us)
+            self.told = report.event
+            if report.changed:
+                self.changes.append((self.now_us / 1e6, self.told.active, report.evidence))
         return self.told
 
 
@@ -119,7 +120,7 @@
     assert told.active and told.admission[0] == 1.0 and told.admission[2] < told.admission[1] < 0.2
     evidence = one.changes[0][2]
     assert "retries" in str(evidence) and evidence.retry_share > 0.3
-    assert "an outage over" in str(one.detector.tick(one.now_us + TICK_US)[1])
+    assert "an outage over" in str(one.detector.tick(one.now_us + TICK_US).evidence)
     one.run(MIN_CALM_US / 1e6 + 6, 100)
     assert [active for _, active, _ in one.changes] == [True, False] and not one.told.active
 
