--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -9,7 +9,7 @@
 import struct
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 from ryepier.balancer import interface as api
 from ryepier.errors import RyepierError
@@ -72,6 +72,13 @@
 Reply = api.Action | InternalError
 
 
+class InstanceRecord(NamedTuple):
+    """A record with the number of the instance that it is for."""
+
+    instance: int
+    record: Record
+
+
 class Decoder:
     """Reads batches; remembers the numbered upstream lists, which events refer to."""
 
@@ -81,8 +88,8 @@
         self.data = b""
         self.at = 0
 
-    def batch(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
-        """The (instance, event) pairs of a batch's body, in order."""
+    def batch(self, data: bytes, count: int) -> Iterator[InstanceRecord]:
+        """Yield the records of a batch's body, in order. Raises ProtocolError."""
         self.data, self.at = data, 0
         for index in range(count):
             start = self.at
@@ -98,7 +105,7 @@
                 event = reader(self)
             except (ProtocolError, UnicodeDecodeError) as error:
                 raise ProtocolError(f"record {index} at byte {start}: {error}") from error
-            yield instance, event
+            yield InstanceRecord(instance, event)
         if self.at != len(data):
             raise ProtocolError(f"{len(data) - self.at} bytes left over after {count} records")
 
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -15,7 +15,7 @@
 from ryepier.commands.config import fail_with_problems
 from ryepier.commands.exits import ExitCode, fail
 from ryepier.commands.signals import make_stop_event
-from ryepier.conf.operator_settings import LoggingSettings
+from ryepier.conf.operator_settings import LogFormat, LoggingSettings
 from ryepier.logs import structured
 from ryepier.maintenance import agreement_file
 from ryepier.maintenance.address import parse_address
@@ -62,7 +62,7 @@
     path: Path, region: str, replica: str, folder: Path, discovery: str | None, freeze_s: float, bootstrap: bool
 ) -> None:
     """Run one coordinator until SIGTERM."""
-    structured.set_up(LoggingSettings(format="json", lines_per_s=LOG_LINES_PER_S))
+    structured.set_up(LoggingSettings(format=LogFormat.JSON, lines_per_s=LOG_LINES_PER_S))
     agreement = _read_agreement(path, region)
     try:
         settings = CoordinatorSettings(
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import enum
 from collections.abc import Mapping
 from typing import Annotated, Literal
 
@@ -13,10 +14,24 @@
 MAX_LINES_PER_SECOND = 1000  # more would make the log the sidecar's main work
 
 
+class LogFormat(enum.Enum):
+    """How a log record is written."""
+
+    PLAIN = "plain"
+    JSON = "json"  # one object per line
+
+
+class FailureDomainBy(enum.Enum):
+    """Which endpoints of a slice drop each other's repeats of a request."""
+
+    ENDPOINT = "endpoint"  # none: each is on its own
+    NODE = "node"  # those on one node
+
+
 class LoggingSettings(msgspec.Struct, kw_only=True, frozen=True):
     """How the sidecar writes its log, to standard error."""
 
-    format: Literal["plain", "json"] = "plain"
+    format: LogFormat = LogFormat.PLAIN
     level: Literal["debug", "info", "warning", "error"] = "info"
     lines_per_s: Annotated[int, msgspec.Meta(ge=1, le=MAX_LINES_PER_SECOND)] = 5
 
@@ -87,7 +102,7 @@
     ca_file: str = ""
     client_cert_file: str = ""
     client_key_file: str = ""
-    failure_domain: Literal["endpoint", "node"] = "endpoint"
+    failure_domain: FailureDomainBy = FailureDomainBy.ENDPOINT
     watch_s: Annotated[int, msgspec.Meta(ge=5, le=600)] = 60
     settle_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 3000
     hold_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = 30
--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ryepier.conf.operator_settings import LoggingSettings
+from ryepier.conf.operator_settings import LogFormat, LoggingSettings
 from ryepier.logs import structured
 from ryepier.maintenance import agreement_file
 from ryepier.maintenance.address import Address
@@ -36,7 +36,7 @@
 def main() -> None:
     """Work until it is killed."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AgentPlan)
-    structured.set_up(LoggingSettings(format="json", lines_per_s=LOG_LINES_PER_S))
+    structured.set_up(LoggingSettings(format=LogFormat.JSON, lines_per_s=LOG_LINES_PER_S))
     agreement = agreement_file.parse(Path(plan.agreement).read_bytes())
     client = RegionClient(plan.region, addresses_of(agreement, plan.region), plan.name, ClientKind.AGENT)
     settings = AgentSettings(plan.name, plan.drain_grace_s, plan.work_s)
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -27,7 +27,7 @@
     retry_after,
     stable_hash,
 )
-from ryepier.sidecar.requests import ClientRequest, FinalAnswer, FinalOutcome
+from ryepier.sidecar.requests import ClientRequest, FinalAnswer, FinalOutcome, Header
 from ryepier.sidecar.server import Server
 from ryepier.sidecar.system import clock_us
 
@@ -87,7 +87,7 @@
         self.classes = {kind.name: index for index, kind in enumerate(settings.classes)}
         self.tenants = TenantIndex(settings)
 
-    def parse(self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes) -> ClientRequest:
+    def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Return the request. Raises RequestError."""
         found = parse_headers(headers, SINGLE_HEADERS)
         answer_type = RESPONSE_TYPE
@@ -115,7 +115,7 @@
     def _client_request(
         self,
         target: bytes,
-        headers: list[tuple[bytes, bytes]],
+        headers: list[Header],
         found: dict[bytes, bytes],
         parsed: ParsedRequest,
         answer_type: str,
@@ -154,9 +154,7 @@
         return request_id
 
     @staticmethod
-    def _forwarded_headers(
-        headers: list[tuple[bytes, bytes]], request_id: bytes, meaning: Meaning
-    ) -> list[tuple[bytes, bytes]]:
+    def _forwarded_headers(headers: list[Header], request_id: bytes, meaning: Meaning) -> list[Header]:
         """Return the client's headers without those set here, followed by the sidecar's own."""
         forwarded = [(name, value) for name, value in headers if name.lower() not in OWN_HEADERS]
         forwarded += [
@@ -204,7 +202,7 @@
         """Return the dialect of a target."""
         return self.graphql if target.partition(b"?")[0] == self.path else self.plain
 
-    def parse(self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes) -> ClientRequest:
+    def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Return the request. Raises RequestError."""
         return self.dialect_of(target).parse(method, target, headers, body)
 
--- a/ryepier/logs/structured.py
+++ b/ryepier/logs/structured.py
@@ -8,7 +8,7 @@
 import sys
 from datetime import UTC, datetime
 
-from ryepier.conf.operator_settings import LoggingSettings
+from ryepier.conf.operator_settings import LogFormat, LoggingSettings
 from ryepier.sidecar.logs import RateLimitFilter
 
 # what every record has; the rest was put in by the caller with `extra` and belongs in the line
@@ -35,7 +35,9 @@
 def set_up(settings: LoggingSettings) -> None:
     """Send the root logger's records to standard error as the operators want them."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(JsonLines() if settings.format == "json" else logging.Formatter("%(levelname)s %(message)s"))
+    handler.setFormatter(
+        JsonLines() if settings.format is LogFormat.JSON else logging.Formatter("%(levelname)s %(message)s")
+    )
     handler.addFilter(RateLimitFilter(settings.lines_per_s))
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/ryepier/sidecar/config.py
+++ b/ryepier/sidecar/config.py
@@ -9,6 +9,7 @@
 
 from ryepier.balancer import settings_parser
 from ryepier.balancer.interface import Settings
+from ryepier.sidecar.system import Address
 
 T = TypeVar("T")
 
@@ -17,8 +18,8 @@
 class Config:
     """The configuration of one sidecar."""
 
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    listen: Address
+    discovery: Address
     seed: int
     sockets: int  # file descriptors that it may hold
     settings: Settings
@@ -31,7 +32,7 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested settings as the path=value pairs of the simulator's first message."""
+    """Return nested settings as the path=value pairs of the simulator's first message."""
     if isinstance(value, Mapping):
         items = list(value.items())
     elif isinstance(value, list) and (not value or isinstance(value[0], Mapping)):
@@ -46,8 +47,8 @@
     return pairs
 
 
-def parse_address(text: str) -> tuple[str, int]:
-    """The two parts of `host:port`."""
+def parse_address(text: str) -> Address:
+    """Return the parts of `host:port`. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal():
         raise ValueError(f"expected host:port, got {text!r}")
@@ -55,7 +56,7 @@
 
 
 def read(raw: Any, path: str, make: Callable[[Any], T]) -> T:
-    """The value at a path, as what it should be; raises ValueError that names the path."""
+    """Return the value at a path, converted by `make`. Raises ValueError, naming the path."""
     value = raw
     for key in path.split("."):
         if not isinstance(value, Mapping) or key not in value:
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -99,16 +99,22 @@
                 await self.loop.sock_connect(sock, address)
             made = connection
             await self.loop.create_connection(lambda: made, sock=sock)
-        # Refused, unreachable, no descriptor, timed out; or an unusable address.
+        # Rejected, unreachable, no descriptor, or timed out.
+        except OSError:
+            self._on_dial_failed(connection, attempt)
+        # Boundary: whatever goes wrong, the attempt ends and its descriptor is free.
         except Exception as error:  # noqa: BLE001
-            if not isinstance(error, OSError):
-                log.warning("connection to upstream %d failed: %r", upstream, error)
-            if connection is not None:
-                connection.attempt = None
-                connection.sock.close()
-                self.remove(connection)
-            if not attempt.cancelled and not attempt.write_started:
-                attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
+            log.warning("connection to upstream %d failed: %r", upstream, error)
+            self._on_dial_failed(connection, attempt)
+
+    def _on_dial_failed(self, connection: UpstreamConnection | None, attempt: UpstreamAttempt) -> None:
+        """Remove a connection that did not come up, and end its attempt."""
+        if connection is not None:
+            connection.attempt = None
+            connection.sock.close()
+            self.remove(connection)
+        if not attempt.cancelled and not attempt.write_started:
+            attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     async def free_capacity(self, attempt: UpstreamAttempt) -> bool:
         """Return whether one more connection may be opened; an idle one is closed for it. Without a bound, silent
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -11,7 +11,7 @@
 from ryepier.balancer.interface import ListKind, UpstreamsUpdated
 from ryepier.sidecar import system
 from ryepier.sidecar.config import Config
-from ryepier.sidecar.endpoint_registry import EndpointRegistry
+from ryepier.sidecar.endpoint_registry import EndpointListError, EndpointRegistry
 from ryepier.sidecar.endpoint_watch import EndpointWatch
 from ryepier.sidecar.requests import Address
 
@@ -59,9 +59,8 @@
             return
         try:
             event, addresses = self.registry.apply(self.known, ListKind.CACHED)
-        # A cached list that can't be read must not keep the sidecar from a new one.
-        except Exception as error:  # noqa: BLE001
-            log.warning("cached endpoint list is malformed: %r", error)
+        except EndpointListError as error:  # the sidecar starts without it, and waits for a new one
+            log.warning("cached endpoint list is malformed: %s", error)
             return
         self.version = event.version
         self.listener(event, addresses)
@@ -139,7 +138,7 @@
             self.listener(UpstreamsUpdated(ListKind.DELTA, [], self.version), {})
 
     def on_list(self, message: Any) -> None:
-        """Apply a list or changes. Raises what `EndpointRegistry.apply` raises."""
+        """Apply a list or changes. Raises EndpointListError."""
         event, addresses = self.registry.apply(message)
         self.version = event.version
         self.malformed_watches = 0
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -7,6 +7,7 @@
 from typing import Any, NamedTuple
 
 from ryepier.balancer.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
+from ryepier.errors import RyepierError
 from ryepier.sidecar import system
 from ryepier.sidecar.config import parse_address
 from ryepier.sidecar.requests import Address
@@ -33,6 +34,24 @@
     return str(ipaddress.IPv4Address(host)), port
 
 
+class EndpointListError(RyepierError):
+    """A message of discovery that can't be read."""
+
+
+class EndpointUpdate(NamedTuple):
+    """An endpoint list or changes to it, with the addresses of the entries by their numbers."""
+
+    event: UpstreamsUpdated
+    addresses: dict[int, Address]
+
+
+class ListedEndpoint(NamedTuple):
+    """An entry of the list with its address."""
+
+    upstream: Upstream
+    address: Address
+
+
 class Incarnation(NamedTuple):
     """A start of an endpoint."""
 
@@ -52,37 +71,39 @@
         self.last_id = 0
         self.unix_to_clock_us = clock_us() - system.unix_ns() // 1000  # fixed at the start
 
-    def apply(self, message: Any, kind: ListKind | None = None) -> tuple[UpstreamsUpdated, dict[int, Address]]:
-        """Return the event for one list, with the addresses of its entries. Raises KeyError, TypeError, ValueError or
-        AttributeError for a malformed message."""
+    def apply(self, message: Any, kind: ListKind | None = None) -> EndpointUpdate:
+        """Return the event for one list, with the addresses of its entries. Raises EndpointListError."""
+        try:
+            return self._apply(message, kind)
+        except (LookupError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
+            raise EndpointListError(f"{type(error).__name__}: {error}") from error
+
+    def _apply(self, message: Any, kind: ListKind | None) -> EndpointUpdate:
         if kind is None:
             kind = ListKind.FULL if message["all"] else ListKind.DELTA
-        entries, addresses = [], {}
-        for target in message["targets"]:
-            entry, address = self._entry(target)
-            entries.append(entry)
-            addresses[entry.id] = address
+        listed = [self._entry(target) for target in message["targets"]]
         if kind is not ListKind.DELTA:
             self._keep_only({target["uid"] for target in message["targets"]})
         for target in message["targets"]:
             if STATES[target["state"]] is UpstreamState.REMOVED:
                 self.upstream_ids.pop(target["uid"], None)
                 self.incarnations.pop(target["uid"], None)
-        event = UpstreamsUpdated(kind, entries, int(message["rev"]))
-        listed = zip(message["targets"], entries, strict=True)
+        upstreams = [endpoint.upstream for endpoint in listed]
+        event = UpstreamsUpdated(kind, upstreams, int(message["rev"]))
+        numbered = zip(message["targets"], upstreams, strict=True)
         log.info(
             "endpoint list %d applied (%s): %s",
             event.version,
             kind.value,
-            " ".join(f"{target['uid']}={entry.id}:{entry.state.value}" for target, entry in listed),
+            " ".join(f"{target['uid']}={entry.id}:{entry.state.value}" for target, entry in numbered),
         )
-        return event, addresses
+        return EndpointUpdate(event, {endpoint.upstream.id: endpoint.address for endpoint in listed})
 
     def _keep_only(self, listed: set[str]) -> None:
         self.upstream_ids = {uid: ident for uid, ident in self.upstream_ids.items() if uid in listed}
         self.incarnations = {uid: start for uid, start in self.incarnations.items() if uid in listed}
 
-    def _entry(self, target: Any) -> tuple[Upstream, Address]:
+    def _entry(self, target: Any) -> ListedEndpoint:
         uid = target["uid"]
         if uid not in self.upstream_ids:
             self.last_id += 1
@@ -102,7 +123,7 @@
             weight=float(target["capacity_hint"]),
             started_us=started_us,
         )
-        return entry, parse_endpoint(target["endpoint"])
+        return ListedEndpoint(entry, parse_endpoint(target["endpoint"]))
 
 
 def index_of(name: str, names: list[str]) -> int:
--- a/ryepier/sidecar/endpoint_watch.py
+++ b/ryepier/sidecar/endpoint_watch.py
@@ -45,7 +45,7 @@
         """Record that there is nothing newer than the current version."""
 
     def on_list(self, message: Any) -> None:
-        """Apply a list or changes. Raises an error of any kind on a malformed message."""
+        """Apply a list or changes. Raises EndpointListError."""
 
     def on_malformed(self) -> None:
         """Record that what arrived could not be read; `on_watch_ended` follows."""
@@ -81,9 +81,9 @@
         self.client.on_data()
         try:
             self.parser.feed_data(data)
-        # Whatever a message breaks, the last valid list stays and a new watch is opened.
-        except Exception as error:  # noqa: BLE001
-            log.warning("endpoint watch is malformed: %r", error)
+        # Also for an error of a callback below: the last valid list stays, and a new watch is opened.
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            log.warning("endpoint watch is malformed: %r", error.__context__ or error)
             self.client.on_malformed()
             self.fail()
 
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -8,8 +8,8 @@
 from typing import Protocol
 
 from ryepier.balancer import interface as api
+from ryepier.sidecar.system import Address as Address
 
-Address = tuple[str, int]
 Header = tuple[bytes, bytes]
 
 
--- a/ryepier/sidecar/system.py
+++ b/ryepier/sidecar/system.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host, port
 
 
 def _tcp_socket(family: int) -> socket.socket:
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -17,10 +17,12 @@
 
 from ryepier.errors import RyepierError
 from ryepier.slices import api_objects, reflector
-from ryepier.slices.reflector import Apply, Call, Delete, Failure, Problem, Reflector, Replace, Wait
+from ryepier.slices.reflector import Apply, Call, CallKind, Delete, Failure, Problem, Reflector, Replace, Wait
 
 log = logging.getLogger(__name__)
 
+HTTP = "http"  # schemes
+HTTPS = "https"
 CONNECT_TIMEOUT_S = 3.0  # TLS included
 LIST_TIMEOUT_S = 20.0  # of one page
 WATCH_GRACE_S = 5.0  # after its regular end, before a silent watch counts as hung
@@ -73,11 +75,11 @@
         port_number = url.port
     except ValueError as error:
         raise AccessError(f"server {server!r}: {error}") from None
-    if url.scheme not in ("http", "https") or not url.hostname or url.query or url.fragment or url.username:
+    if url.scheme not in (HTTP, HTTPS) or not url.hostname or url.query or url.fragment or url.username:
         raise AccessError(f"server {server!r}: expected http://host:port or https://host:port")
     if bool(certificate) != bool(key):
         raise AccessError("a client certificate and its key go together")
-    tls = url.scheme == "https"
+    tls = url.scheme == HTTPS
     return Access(
         url.hostname,
         port_number or (443 if tls else 80),
@@ -117,7 +119,7 @@
 class ResponseReader(asyncio.Protocol):
     """Reads the response to one call: each line of a watch at once, anything else when it is complete."""
 
-    def __init__(self, kind: str, on_line: Callable[[bytes], None], on_data: Callable[[], None]) -> None:
+    def __init__(self, kind: CallKind, on_line: Callable[[bytes], None], on_data: Callable[[], None]) -> None:
         """Notify `on_line` of each line of a watch, and `on_data` of any bytes."""
         self.kind = kind
         self.on_line = on_line
@@ -149,7 +151,7 @@
         self.on_data()
         try:
             self.parser.feed_data(data)
-        except Exception as error:  # noqa: BLE001
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:  # also those of the callbacks below
             self.failure = error
             self.finish()
 
@@ -168,7 +170,7 @@
         if self.status != 200:
             if len(self.body) > MAX_ERROR_BYTES:
                 raise ValueError("the error's text is too long")
-        elif self.kind == "list":
+        elif self.kind is CallKind.LIST:
             if len(self.body) > MAX_PAGE_BYTES:
                 raise ValueError("the page is too long")
         else:
@@ -284,7 +286,7 @@
 
     async def wait_until_done(self, call: Call, response: ResponseReader) -> None:
         """Wait for the end of a response. Raises TimeoutError for a slow page or a silent watch."""
-        if call.kind == "list":
+        if call.kind is CallKind.LIST:
             async with asyncio.timeout(LIST_TIMEOUT_S):
                 await response.done
             return
@@ -308,7 +310,7 @@
         """Return the actions that follow a call."""
         now_us = self.clock_us()
         if response.failure is None and response.is_complete and response.status == 200:
-            if call.kind == "watch":
+            if call.kind is CallKind.WATCH:
                 # an end within a line loses nothing: the next watch begins at the last complete one
                 return self.reflector.on_watch_end(now_us)
             try:
--- a/ryepier/slices/api_objects.py
+++ b/ryepier/slices/api_objects.py
@@ -5,16 +5,24 @@
 
 from __future__ import annotations
 
+import enum
 from typing import Any
 
 import msgspec
 
 from ryepier.errors import RyepierError
 
-EVENTS = ("ADDED", "MODIFIED", "DELETED", "BOOKMARK", "ERROR")
+SERVICE_LABEL = "kubernetes.io/service-name"
 
 
-SERVICE_LABEL = "kubernetes.io/service-name"
+class EventKind(enum.Enum):
+    """Kind of an event of a watch."""
+
+    ADDED = "ADDED"
+    MODIFIED = "MODIFIED"
+    DELETED = "DELETED"
+    BOOKMARK = "BOOKMARK"
+    ERROR = "ERROR"
 
 
 class SliceError(RyepierError):
@@ -133,7 +141,7 @@
 class WatchEvent(msgspec.Struct, frozen=True):
     """One event of a watch: with a slice, or a status for an error; a bookmark has neither."""
 
-    kind: str
+    kind: EventKind
     slice: Slice | None = None
     status: Status | None = None
     resource_version: str = ""
@@ -187,14 +195,16 @@
 def read_event(line: bytes) -> WatchEvent:
     """Return the event of one line. Raises SliceError."""
     raw = _read(line, _Raw)
-    if raw.type not in EVENTS:
-        raise SliceError(f"unknown event {raw.type!r}")
-    if raw.type == "ERROR":
-        return WatchEvent(raw.type, status=_read(raw.object, Status))
-    if raw.type == "BOOKMARK":
-        return WatchEvent(raw.type, resource_version=_read(raw.object, _Bookmark).metadata.resource_version)
+    try:
+        kind = EventKind(raw.type)
+    except ValueError:
+        raise SliceError(f"unknown event {raw.type!r}") from None
+    if kind is EventKind.ERROR:
+        return WatchEvent(kind, status=_read(raw.object, Status))
+    if kind is EventKind.BOOKMARK:
+        return WatchEvent(kind, resource_version=_read(raw.object, _Bookmark).metadata.resource_version)
     found = _read(raw.object, Slice)
-    return WatchEvent(raw.type, found, resource_version=found.metadata.resource_version)
+    return WatchEvent(kind, found, resource_version=found.metadata.resource_version)
 
 
 def _read(data: Any, kind: Any) -> Any:
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -9,9 +9,10 @@
 from collections import OrderedDict
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Literal
+from typing import NamedTuple
 
 from ryepier.balancer.interface import Upstream, UpstreamState
+from ryepier.conf.operator_settings import FailureDomainBy
 from ryepier.slices.endpoint_slice_merger import MergedEndpoint, is_address
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
@@ -21,9 +22,12 @@
 MIN_RESTART_US = 2_000_000  # a container that was not ready for less can't have restarted
 MAX_REMEMBERED_IDENTITIES = 20_000  # identities remembered, so that a move between slices is no restart
 
-FailureDomainBy = Literal["endpoint", "node"]
-Entry = tuple[Upstream, tuple[str, int]]  # with its address
-Entries = list[Entry]
+
+class ListedEntry(NamedTuple):
+    """An entry of the list to publish, with its address."""
+
+    upstream: Upstream
+    address: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +36,7 @@
 
     zones: list[str]
     unknown_kind: int  # slices don't have a converter's kind
-    failure_domain_by: FailureDomainBy = "endpoint"  # what drops repeats together
+    failure_domain_by: FailureDomainBy = FailureDomainBy.ENDPOINT
     settle_us: int = 3_000_000  # of readiness, before an endpoint that was not ready is published
 
 
@@ -66,7 +70,7 @@
         self.last_id = 0
         self.listed = False  # a complete list has been published
 
-    def update(self, now_us: int, changes: Mapping[str, MergedEndpoint | None]) -> Entries:
+    def update(self, now_us: int, changes: Mapping[str, MergedEndpoint | None]) -> list[ListedEntry]:
         """Apply changes of the merger. Returns the entries to publish."""
         entries = []
         for identity, endpoint in changes.items():
@@ -75,7 +79,7 @@
                 entries.append(entry)
         return entries + self._settled(now_us)
 
-    def complete_list(self) -> Entries:
+    def complete_list(self) -> list[ListedEntry]:
         """Return all entries. From now on, a new endpoint counts as started just now."""
         self.listed = True
         return [self._entry(known) for known in self.known.values()]
@@ -91,7 +95,7 @@
         """Return the number of each listed identity."""
         return {identity: known.upstream_id for identity, known in self.known.items()}
 
-    def _remove(self, identity: str) -> Entry | None:
+    def _remove(self, identity: str) -> ListedEntry | None:
         known = self.known.pop(identity, None)
         self.waiting.discard(identity)
         if known is None:
@@ -103,7 +107,7 @@
             self.removed.popitem(last=False)
         return self._entry(known)
 
-    def _change(self, now_us: int, identity: str, endpoint: MergedEndpoint) -> Entry | None:
+    def _change(self, now_us: int, identity: str, endpoint: MergedEndpoint) -> ListedEntry | None:
         known = self.known.get(identity)
         if known is None:
             return self._add(now_us, identity, endpoint)
@@ -121,7 +125,7 @@
             return None
         return self._entry(known) if known.published is READY else None
 
-    def _add(self, now_us: int, identity: str, endpoint: MergedEndpoint) -> Entry:
+    def _add(self, now_us: int, identity: str, endpoint: MergedEndpoint) -> ListedEntry:
         known = self.removed.pop(identity, None)
         if known is None:
             self.last_id += 1
@@ -147,7 +151,7 @@
             known.started_us = now_us
         self.waiting.add(identity)
 
-    def _settled(self, now_us: int) -> Entries:
+    def _settled(self, now_us: int) -> list[ListedEntry]:
         settled = []
         for identity in [
             one for one in sorted(self.waiting) if self.known[one].publish_at_us(self.rules.settle_us) <= now_us
@@ -158,23 +162,24 @@
             settled.append(self._entry(known))
         return settled
 
-    def _entry(self, known: _ListedEndpoint) -> Entry:
-        zones, endpoint = self.rules.zones, known.endpoint
+    def _entry(self, known: _ListedEndpoint) -> ListedEntry:
+        zones = self.rules.zones
+        endpoint = known.endpoint
         zone = zones.index(endpoint.zone) if endpoint.zone in zones else len(zones)
-        return Upstream(
-            known.upstream_id,
-            known.published,
-            zone,
-            self.rules.unknown_kind,
-            self._failure_domain(known),
-            1.0,
-            known.started_us,
-        ), endpoint.address
+        upstream = Upstream(
+            id=known.upstream_id,
+            state=known.published,
+            zone=zone,
+            kind=self.rules.unknown_kind,
+            failure_domain=self._failure_domain(known),
+            started_us=known.started_us,
+        )
+        return ListedEntry(upstream, endpoint.address)
 
     def _failure_domain(self, known: _ListedEndpoint) -> int:
         """Return the failure domain. Two converters wrongly in one would let a request run twice: without a node each
         has its own, with a number that no node has."""
         node = known.endpoint.node
-        if self.rules.failure_domain_by == "endpoint" or not node:
+        if self.rules.failure_domain_by is FailureDomainBy.ENDPOINT or not node:
             return -known.upstream_id
         return self.failure_domains.setdefault(node, len(self.failure_domains))
--- a/ryepier/slices/reflector.py
+++ b/ryepier/slices/reflector.py
@@ -9,12 +9,12 @@
 
 from __future__ import annotations
 
+import enum
 from dataclasses import dataclass
 from random import Random
-from typing import Literal
 from urllib.parse import quote, urlencode
 
-from ryepier.slices.api_objects import Slice, SliceList, WatchEvent, list_query, watch_query
+from ryepier.slices.api_objects import EventKind, Slice, SliceList, WatchEvent, list_query, watch_query
 
 PAGE_SIZE = 50  # slices, of 100 endpoints each: about 2 MB
 FIRST_BACKOFF_US = 200_000
@@ -24,12 +24,19 @@
 HTTP_GONE = 410
 
 
+class CallKind(enum.Enum):
+    """How the response to a call is read."""
+
+    LIST = enum.auto()  # one page, complete
+    WATCH = enum.auto()  # event by event, as they arrive
+
+
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A GET to send; `kind` determines how its response is read."""
+    """A GET to send."""
 
     target: str
-    kind: Literal["list", "watch"]
+    kind: CallKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +131,7 @@
         self.version = event.resource_version or self.version
         if event.slice is None:
             return []
-        return [Delete(event.slice) if event.kind == "DELETED" else Apply(event.slice)]
+        return [Delete(event.slice) if event.kind is EventKind.DELETED else Apply(event.slice)]
 
     def on_watch_end(self, now_us: int) -> list[Action]:
         """Take in the regular end of a watch."""
@@ -167,8 +174,8 @@
 
     def _list(self, more: str = "") -> Call:
         query = list_query(self.service, PAGE_SIZE if self.uses_pages else None, more)
-        return Call(f"{self.path}?{urlencode(query)}", "list")
+        return Call(f"{self.path}?{urlencode(query)}", CallKind.LIST)
 
     def _watch(self) -> Call:
         query = watch_query(self.service, self.version, self.watch_s)
-        return Call(f"{self.path}?{urlencode(query)}", "watch")
+        return Call(f"{self.path}?{urlencode(query)}", CallKind.WATCH)
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -13,7 +13,7 @@
 
 from ryepier.balancer.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
 from ryepier.slices.api_client import Access, make_client
-from ryepier.slices.endpoint_listing import EndpointListing, Entries, ListingRules
+from ryepier.slices.endpoint_listing import EndpointListing, ListedEntry, ListingRules
 from ryepier.slices.endpoint_slice_merger import EndpointSliceMerger, MergedEndpoint
 from ryepier.slices.reflector import Apply, Delete, Replace
 
@@ -210,7 +210,7 @@
             delay_s = max(0, min(due) - self.clock_us() + 1) / 1e6
             self.timer = asyncio.get_running_loop().call_later(delay_s, self.update)
 
-    def publish(self, kind: ListKind, entries: Entries) -> None:
+    def publish(self, kind: ListKind, entries: list[ListedEntry]) -> None:
         """Notify the listener, and schedule a write of the cached list."""
         self.version += 1
         if entries:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ryepier.conf.operator_settings import LoggingSettings
+from ryepier.conf.operator_settings import LogFormat, LoggingSettings
 from ryepier.logs import structured
 
 
@@ -32,7 +32,7 @@
 def test_a_json_line_holds_the_message_and_the_fields_of_its_request(
     root: logging.Logger, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    structured.set_up(LoggingSettings(format="json"))
+    structured.set_up(LoggingSettings(format=LogFormat.JSON))
     logging.getLogger("ryepier.sidecar.dispatcher").info("%s", "request \u00fc refused", extra={"request": "77"})
     line = json.loads(capsys.readouterr().err)
     assert line["message"] == "request ü refused" and line["request"] == "77"
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -51,7 +51,8 @@
         '[logging]\nformat = "plain"\nlevel = "debug"\n',
         {"RYEPIER_LOGGING__FORMAT": "json", "RYEPIER_LOGGING__LINES_PER_S": "7", "HOME": "/"},
     )
-    assert (got.logging.format, got.logging.level, got.logging.lines_per_s) == ("json", "debug", 7)
+    assert got.logging.format is operator_settings.LogFormat.JSON
+    assert (got.logging.level, got.logging.lines_per_s) == ("debug", 7)
     assert "logging.format" in problems("", RYEPIER_LOGGING__FORMAT="loud")[0]
 
 
@@ -74,7 +75,8 @@
     assert (rules.min_reporters, rules.min_window_ms, rules.min_covered) == (0.1, 2, 0.3)
     assert (rules.max_ejected, rules.min_weight) == (0.6, 0.7)
     assert (got.planner.max_forwarders, got.graphql.max_batch) == (7, 9)
-    assert (got.slices.failure_domain, got.storm.rounds_to_seconds) == ("node", True)
+    assert got.slices.failure_domain is operator_settings.FailureDomainBy.NODE
+    assert got.storm.rounds_to_seconds is True
     assert problems("[trust]\nmin_reporters = 0.1\n")[0].startswith("line 2: trust.min_reporters: unknown key")
 
 
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -260,7 +260,7 @@
         data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
         if not sound:
             data = rubbish
-        answer = api_client.ResponseReader("watch", lines.append, lambda: None)
+        answer = api_client.ResponseReader(reflector.CallKind.WATCH, lines.append, lambda: None)
         edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
         for begin, end in itertools.pairwise(edges):
             answer.data_received(data[begin:end])
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -6,6 +6,7 @@
 from hypothesis import strategies as st
 
 from ryepier.balancer.interface import UpstreamState
+from ryepier.conf.operator_settings import FailureDomainBy
 from ryepier.slices.endpoint_listing import FLAP_RESET_US, MIN_RESTART_US, EndpointListing, ListingRules
 from ryepier.slices.endpoint_slice_merger import MergedEndpoint
 
@@ -21,7 +22,7 @@
 
 
 def listing(cell_by: str = "endpoint") -> EndpointListing:
-    return EndpointListing(ListingRules(["a"], 3, "node" if cell_by == "node" else "endpoint", SETTLE_US))
+    return EndpointListing(ListingRules(["a"], 3, FailureDomainBy(cell_by), SETTLE_US))
 
 
 def told(made: EndpointListing, now_us: int, **changes: MergedEndpoint | None) -> dict[int, UpstreamState]:
