--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -117,7 +117,7 @@
 
     @staticmethod
     def _is_overtaken(attempt: Attempt) -> bool:
-        """Return whether so many later attempts were answered that this one is lost rather than queued."""
+        """Return whether enough later attempts were answered for this one to be lost rather than queued."""
         return attempt.overtaken >= tuning.LOST_ATTEMPT_OVERTAKES
 
     def on_answer(self, attempt: Attempt, earlier: Iterable[Attempt]) -> None:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -127,3 +127,33 @@
     assert edge_names_in('read(raw, f"settings.bounds.conn-idle", x)') == {"conn-idle"}
     assert edge_names_in('x = b"X-Deadline-Ms: %d"') == {"x-deadline-ms"}
     assert edge_names_in('"""aim"""\nx = "the aim of it"') == set()
+
+
+BOUNDARIES = set(re.findall(r"^\| `([\w.]+:[\w.]+)` \|", PAGE.split("## Error boundaries")[1].split("\n## ")[0], re.M))
+
+
+def functions_that_catch_everything(module: str, text: str) -> Iterator[str]:
+    """Yield the functions with a handler of Exception, BaseException or of anything."""
+
+    def walk(node: ast.AST, path: tuple[str, ...]) -> Iterator[str]:
+        for child in ast.iter_child_nodes(node):
+            if isinstance(child, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
+                yield from walk(child, (*path, child.name))
+                continue
+            if isinstance(child, ast.ExceptHandler):
+                caught = ast.unparse(child.type) if child.type is not None else "BaseException"
+                if re.search(r"\b(Base)?Exception\b", caught):
+                    yield f"{module.removeprefix('ryepier.')}:{'.'.join(path)}"
+            yield from walk(child, path)
+
+    return walk(ast.parse(text), ())
+
+
+def test_errors_of_any_kind_are_caught_at_the_named_boundaries_only() -> None:
+    found = {
+        name
+        for module, path in MODULES.items()
+        if module.split(".")[1:2] and module.split(".")[1] in EDGE_PACKAGES
+        for name in functions_that_catch_everything(module, path.read_text())
+    }
+    assert found == BOUNDARIES
