--- a/ryepier/sim/__init__.py
+++ b/ryepier/sim/__init__.py
@@ -1,4 +1,5 @@
-"""The sidecar's own network code under virtual time: an event loop, and a network in memory. One seed, one run.
+"""The sidecar's own network code under virtual time: an event loop and a network in memory. Each seed gives one run.
 
-`loop` has the clock, `network` what TCP does, and `run` puts them in the place of the machine's.
+`loop` is the clock, `link`, `sockets`, `transport` and `network` are the network, `process` a simulated process, and
+`run` puts them in place of the machine's.
 """
--- a/ryepier/sim/fleet/__init__.py
+++ b/ryepier/sim/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""A fleet of balancers before model converters, in virtual time and without sockets.
+"""A fleet of balancers and model converters in virtual time, without sockets.
 
-`world` has the plan and the event loop, `converter` the model of a converter and its journal, `connections` the
-connections that sidecars keep, and `choosers` the reference choices to compare a balancer with.
+`world` is the plan and the event loop, `converter` the model of a converter, `connections` the connections that
+sidecars hold, and `choosers` the reference choices that a balancer is compared with.
 """
--- a/ryepier/sim/fleet/choosers.py
+++ b/ryepier/sim/fleet/choosers.py
@@ -1,4 +1,4 @@
-"""Who decides for a sidecar: the balancer, or a reference that shows what another choice would give."""
+"""What decides for a sidecar: the balancer, or a reference policy to compare it with."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
     """Takes events and gives actions, as `Balancer` does."""
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """The actions that the event calls for."""
+        """Return the actions that the event calls for."""
         ...
 
 
 ChooserFactory = Callable[[api.Settings, int, int, Sequence[Converter]], Chooser]
-"""Makes a chooser of its settings, seed, the time (us) and the converters, which a balancer must not look at."""
+"""Makes a chooser from settings, a seed, the time in microseconds and the converters, which a balancer must ignore."""
 
 
 def make_balancer(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> Chooser:
-    """The decision module of this tree."""
+    """Return the project's own balancer."""
     return Balancer(settings, seed, now_us)
 
 
 class _Reference:
-    """Sends each request once, to a ready converter; refuses nothing."""
+    """Sends each request once, to a ready converter, and rejects none."""
 
     def __init__(self, seed: int, converters: Sequence[Converter]) -> None:
-        """Start with no converter known."""
+        """Start with an empty endpoint list."""
         self.random = random.Random(seed)
         self.converters = {converter.ident: converter for converter in converters}
         self.ready: list[int] = []
 
     def choose(self) -> int:
-        """The converter of the next request."""
+        """Return the converter for the next request."""
         raise NotImplementedError
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Arrivals are sent, lists are kept, all else is ignored."""
+        """Send arrivals, apply changes of the list, and ignore everything else."""
         if isinstance(event, api.UpstreamsUpdated):
             known = set() if event.kind is api.ListKind.FULL else set(self.ready)
             for entry in event.upstreams:
@@ -56,26 +56,26 @@
 
 
 class RandomChoice(_Reference):
-    """A random converter out of all."""
+    """Chooses uniformly at random."""
 
     def choose(self) -> int:
-        """Any, with equal chances."""
+        """Return any ready converter with equal probability."""
         return self.random.choice(self.ready)
 
 
 class ShortestQueue(_Reference):
-    """The converter with the least in work and waiting, which no real sidecar can know."""
+    """Chooses the converter with the fewest requests, which no real sidecar can know."""
 
     def choose(self) -> int:
-        """One of the shortest, at random."""
+        """Return one of the least loaded converters at random."""
         return min(self.ready, key=lambda ident: (self.converters[ident].load, self.random.random()))
 
 
 def make_random(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> Chooser:
-    """A `RandomChoice`."""
+    """Return a `RandomChoice`."""
     return RandomChoice(seed, converters)
 
 
 def make_shortest(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> Chooser:
-    """A `ShortestQueue`."""
+    """Return a `ShortestQueue`."""
     return ShortestQueue(seed, converters)
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -1,4 +1,4 @@
-"""The connections that one sidecar keeps to one converter, as the converter sees them."""
+"""The connections from one sidecar to one converter, as the converter observes them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     changed_us: int = 0
 
     def change(self, now_us: int, by: int) -> None:
-        """`by` connections were opened or, where negative, closed at `now_us`."""
+        """Record that `by` connections were opened at `now_us`, or closed if it is negative."""
         self.open_us += self.open * (now_us - self.changed_us)
         self.changed_us = now_us
         self.open += by
@@ -24,13 +24,13 @@
         self.max_open = max(self.max_open, self.open)
 
     def restart_counts(self, now_us: int) -> None:
-        """Count from `now_us` on; what is open stays open."""
+        """Restart the counts at `now_us`; open connections stay open."""
         self.change(now_us, 0)
         self.open_us = self.opened = 0
         self.max_open = self.open
 
     def mean_open(self, since_us: int, now_us: int) -> float:
-        """The mean of open connections since the counts were restarted."""
+        """Return the mean number of open connections since the counts were restarted."""
         return (self.open_us + self.open * (now_us - self.changed_us)) / max(1, now_us - since_us)
 
 
@@ -43,7 +43,7 @@
     busy: int = 0
 
     def take(self, now_us: int) -> None:
-        """A request begins: on an idle connection, else on a new one."""
+        """Begin a request on an idle connection, or on a new one."""
         if self.idle_since_us:
             self.idle_since_us.pop(0)
         else:
@@ -51,7 +51,7 @@
         self.busy += 1
 
     def give_back(self, now_us: int, reusable: bool) -> None:
-        """A request has ended; its connection is kept where an answer came on it."""
+        """End a request; its connection becomes idle if it was answered, and is closed otherwise."""
         self.busy -= 1
         if reusable:
             self.idle_since_us.append(now_us)
@@ -60,6 +60,6 @@
 
     def close_idle(self, now_us: int, idle_before_us: int) -> None:
         """Close the connections that have been idle since `idle_before_us` or longer."""
-        kept = [since_us for since_us in self.idle_since_us if since_us > idle_before_us]
-        self.counter.change(now_us, len(kept) - len(self.idle_since_us))
-        self.idle_since_us = kept
+        remaining = [since_us for since_us in self.idle_since_us if since_us > idle_before_us]
+        self.counter.change(now_us, len(remaining) - len(self.idle_since_us))
+        self.idle_since_us = remaining
--- a/ryepier/sim/fleet/converter.py
+++ b/ryepier/sim/fleet/converter.py
@@ -1,4 +1,4 @@
-"""A model converter: places that work in parallel, a first-come queue before them, and a journal."""
+"""A model converter: parallel workers, a first-come queue before them, and counts."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
     attempt: int
     work_us: int  # on a warm converter
     received_us: int
-    abandoned: bool = False  # its sidecar waits no longer
+    abandoned: bool = False  # the sidecar has given up on it
 
 
 @dataclass(slots=True)
 class Converter:
-    """A converter and what it has written down."""
+    """A converter and its counts."""
 
     ident: int
     places: int
     queue_limit: int
     up: bool = True
-    started_us: int = 0  # its last start; 0 = long ago
+    started_us: int = 0  # its last start; 0 = warm
     working: list[Job] = field(default_factory=list)
     queue: deque[Job] = field(default_factory=deque)
-    received_us: list[int] = field(default_factory=list)  # when each request came, also those turned away
+    received_us: list[int] = field(default_factory=list)  # when each request arrived, rejected ones included
     rejected: int = 0
     connections: ConnectionCounter = field(default_factory=ConnectionCounter)
 
     @property
     def load(self) -> int:
-        """Requests in work and waiting."""
+        """The number of requests that run or wait."""
         return len(self.working) + len(self.queue)
 
     def receive(self, job: Job) -> bool:
-        """Take a request in; False if it is turned away as the queue is full."""
+        """Queue a request, and return whether there was capacity for it."""
         self.received_us.append(job.received_us)
         if len(self.working) >= self.places and len(self.queue) >= self.queue_limit:
             self.rejected += 1
@@ -50,7 +50,7 @@
         return True
 
     def begin_next(self) -> Job | None:
-        """The next job to begin on a free place, if there are both. Abandoned ones are dropped."""
+        """Start and return the next job if a worker is free; abandoned jobs are dropped."""
         while self.queue and len(self.working) < self.places:
             job = self.queue.popleft()
             if not job.abandoned:
@@ -59,7 +59,7 @@
         return None
 
     def stop(self) -> list[Job]:
-        """Go down; all that was in work or waiting is lost, and returned."""
+        """Go down, and return the jobs that are lost."""
         lost = [*self.working, *self.queue]
         self.working.clear()
         self.queue.clear()
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -1,4 +1,4 @@
-"""The plan of a fleet and its event loop. One seed, one run."""
+"""The plan of a fleet and its event loop. Each seed gives one run."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 SECOND_US = 1_000_000
 START_US = 1_000 * SECOND_US  # so that no converter's start is before 0
-REFUSED_DIAL_US = 200  # a connection to a converter that is down
+REFUSED_CONNECTION_US = 200  # until a connection to a converter that is down, or a full one, fails
 IDLE_CHECK_US = SECOND_US
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """Converters that vanish together and come back as new processes."""
+    """Converters that go down together and restart as new processes."""
 
     converters: int
     at_us: int
@@ -30,19 +30,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """A fleet, its load and what happens to it. Times are in microseconds from the start."""
+    """A fleet, its load and its outages. Times are microseconds since the start."""
 
     sidecars: int
     converters: int
-    load: float  # share of all converters' capacity that is asked for
+    load: float  # offered load as a share of the capacity of all converters
     duration_us: int
-    rate_exponent: float = 0.6  # the n-th busiest sidecar's rate goes by n to the minus this
+    rate_exponent: float = 0.6  # of a Zipf distribution of the load over the sidecars
     places: int = 4
-    work_us: int = 100_000  # mean of the exponential work of a request
-    queue_limit: int = 32  # requests waiting at a converter; more are turned away
+    work_us: int = 100_000  # mean of the exponentially distributed work of a request
+    queue_limit: int = 32  # requests that may wait at a converter; further ones are rejected
     objective_us: int = 600_000
     deadline_us: int = 1_500_000
-    idle_us: int = 5_000_000  # a connection idle for so long is closed
+    idle_us: int = 5_000_000  # after which an idle connection is closed
     max_attempts: int = 3
     warm_up_us: int = 0
     initial_capacity_share: float = 1.0
@@ -51,22 +51,22 @@
     outages: tuple[Outage, ...] = ()
 
     def rate_per_s(self) -> float:
-        """Requests a second of the whole fleet."""
+        """Return the requests per second of the whole fleet."""
         return self.load * self.converters * self.places * SECOND_US / self.work_us
 
     def rates_per_s(self) -> list[float]:
-        """Requests a second of each sidecar."""
+        """Return the requests per second of each sidecar."""
         parts = [(rank + 1) ** -self.rate_exponent for rank in range(self.sidecars)]
         return [self.rate_per_s() * part / sum(parts) for part in parts]
 
     def warmth(self, age_us: int) -> float:
-        """The share of its speed that a converter has so long after its start."""
+        """Return the share of its full speed that a converter has `age_us` after its start."""
         if age_us >= self.warm_up_us:
             return 1.0
         return self.initial_capacity_share + (1.0 - self.initial_capacity_share) * age_us / self.warm_up_us
 
     def settings(self, index: int) -> api.Settings:
-        """What sidecar `index` is set to."""
+        """Return the settings of a sidecar."""
         return api.Settings(
             classes=[api.RequestClass("read", self.objective_us, self.deadline_us, late_weight=0.3)],
             instances=self.sidecars,
@@ -82,22 +82,22 @@
 
 @dataclass(slots=True)
 class Request:
-    """One client's request, as the client sees it."""
+    """One client's request, as the client observes it."""
 
     sidecar: int
     arrived_us: int
     work_us: int
     jobs: list[Job] = field(default_factory=list)
-    ended_us: int = 0  # 0 = it is open
+    ended_us: int = 0  # 0 = in flight
     served: bool = False
     rejected: bool = False
 
 
 class FleetWorld:
-    """Plays a plan."""
+    """Runs a plan."""
 
     def __init__(self, plan: FleetPlan, seed: int, factory: ChooserFactory = make_balancer) -> None:
-        """Set up the fleet at the plan's start; nothing has happened yet."""
+        """Set up the fleet as it is when the plan starts."""
         self.plan = plan
         self.factory = factory
         self.random = random.Random(seed)
@@ -114,12 +114,12 @@
         self._number = 0
 
     def at(self, at_us: int, action: Callable[[], None]) -> None:
-        """Do something at a moment, after all that was set for the same moment before."""
+        """Schedule an action, after those scheduled earlier for the same time."""
         self._number += 1
         heapq.heappush(self._events, (at_us, self._number, action))
 
     def play(self, count_from_us: int = 0) -> None:
-        """Run the whole plan; connections are counted from `count_from_us` (from the start) on."""
+        """Run the whole plan; connections are counted from `count_from_us` after the start."""
         for index, rate_per_s in enumerate(self.plan.rates_per_s()):
             self.deliver(index, self.full_list())
             self.schedule_arrival(index, rate_per_s)
@@ -134,7 +134,7 @@
         self.now_us = end_us
 
     def restart_counts(self) -> None:
-        """Connections are counted from now on."""
+        """Restart the counts of connections."""
         self.counted_from_us = self.now_us
         for converter in self.converters:
             converter.connections.restart_counts(self.now_us)
@@ -142,25 +142,25 @@
     # Sidecars
 
     def entry(self, converter: Converter, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
-        """The converter as discovery lists it."""
+        """Return the converter's entry in the endpoint list."""
         return api.Upstream(converter.ident, state, started_us=converter.started_us)
 
     def full_list(self) -> api.UpstreamsUpdated:
-        """All converters that are up."""
+        """Return the full endpoint list."""
         return api.UpstreamsUpdated(api.ListKind.FULL, [self.entry(one) for one in self.converters if one.up])
 
     def deliver(self, sidecar: int, event: api.Event) -> None:
-        """Hand an event to a sidecar and carry out what it decides."""
+        """Deliver an event to a sidecar, and carry out its actions."""
         for action in self.sidecars[sidecar].handle(self.now_us, event):
             self.carry_out(sidecar, action)
 
     def broadcast(self, event: api.Event) -> None:
-        """Hand an event to all sidecars."""
+        """Deliver an event to all sidecars."""
         for index in range(len(self.sidecars)):
             self.deliver(index, event)
 
     def carry_out(self, sidecar: int, action: api.Action) -> None:
-        """What a sidecar would do on sockets."""
+        """Carry out an action as a sidecar does on sockets."""
         if isinstance(action, api.Send):
             self.send(sidecar, action)
         elif isinstance(action, api.SetTimer):
@@ -174,13 +174,13 @@
             self.pool(sidecar, action.upstream).close_idle(self.now_us, self.now_us)
 
     def schedule_arrival(self, sidecar: int, rate_per_s: float) -> None:
-        """The next request of a sidecar's clients, which come as a Poisson stream."""
+        """Schedule the next request of a sidecar's clients, whose arrivals are a Poisson process."""
         gap_us = max(1, int(self.random.expovariate(rate_per_s) * SECOND_US))
         work_us = max(1, int(self.random.expovariate(1.0) * self.plan.work_us))
         self.at(self.now_us + gap_us, lambda: self.arrive(sidecar, rate_per_s, work_us))
 
     def arrive(self, sidecar: int, rate_per_s: float, work_us: int) -> None:
-        """A request comes to a sidecar."""
+        """Handle the arrival of a request at a sidecar."""
         self.schedule_arrival(sidecar, rate_per_s)
         ident = len(self.requests)
         self.requests.append(Request(sidecar, self.now_us, work_us))
@@ -189,7 +189,7 @@
         self.deliver(sidecar, api.RequestArrived(ident, due_us))
 
     def give_up(self, ident: int) -> None:
-        """The client waits no longer."""
+        """Disconnect the client, if it still waits."""
         request = self.requests[ident]
         if request.ended_us:
             return
@@ -199,36 +199,36 @@
     # Attempts
 
     def pool(self, sidecar: int, converter: int) -> ConnectionPool:
-        """The connections between the two."""
+        """Return the connections between a sidecar and a converter."""
         key = (sidecar, converter)
         if key not in self.pools:
             self.pools[key] = ConnectionPool(self.converters[converter].connections)
         return self.pools[key]
 
     def send(self, sidecar: int, send: api.Send) -> None:
-        """An attempt goes out."""
+        """Send an attempt."""
         request, converter = self.requests[send.request], self.converters[send.upstream]
         job = Job(sidecar, send.request, len(request.jobs), request.work_us, self.now_us)
         request.jobs.append(job)
         if not converter.up:
-            self.at(self.now_us + REFUSED_DIAL_US, lambda: self.end(job, converter, api.Outcome.CONNECT_FAILED))
+            self.at(self.now_us + REFUSED_CONNECTION_US, lambda: self.end(job, converter, api.Outcome.CONNECT_FAILED))
             return
         self.pool(sidecar, converter.ident).take(self.now_us)
         if not converter.receive(job):
-            self.at(self.now_us + REFUSED_DIAL_US, lambda: self.end(job, converter, api.Outcome.REJECTED))
+            self.at(self.now_us + REFUSED_CONNECTION_US, lambda: self.end(job, converter, api.Outcome.REJECTED))
             return
         if send.timeout_us:
             self.at(self.now_us + send.timeout_us, lambda: self.end(job, converter, api.Outcome.TIMEOUT))
         self.begin(converter)
 
     def begin(self, converter: Converter) -> None:
-        """Start what the free places can take."""
+        """Start queued jobs on the free workers."""
         while (job := converter.begin_next()) is not None:
             work_us = int(job.work_us / self.warmth(converter))
             self.at(self.now_us + work_us, lambda job=job: self.work_done(job, converter))  # type: ignore[misc]
 
     def work_done(self, job: Job, converter: Converter) -> None:
-        """A place is free again."""
+        """Finish a job, and start the next."""
         if job not in converter.working:
             return  # lost in an outage
         converter.working.remove(job)
@@ -236,7 +236,7 @@
         self.begin(converter)
 
     def end(self, job: Job, converter: Converter, outcome: api.Outcome) -> None:
-        """An attempt has ended for its sidecar; later ends of the same attempt are nothing."""
+        """End an attempt for its sidecar; later ends of the same attempt are ignored."""
         if job.abandoned:
             return
         job.abandoned = True
@@ -254,20 +254,20 @@
     # Converters
 
     def warmth(self, converter: Converter) -> float:
-        """The share of its speed that a converter has after its start."""
+        """Return the share of its full speed that a converter has now."""
         if converter.started_us == 0:
             return 1.0
         return self.plan.warmth(self.now_us - converter.started_us)
 
     def schedule_outage(self, outage: Outage) -> None:
-        """Random converters go down together, are told gone, and come back."""
+        """Schedule an outage of random converters."""
         chosen = self.random.sample(self.converters, outage.converters)
         self.at(START_US + outage.at_us, lambda: self.go_down(chosen))
         self.at(START_US + outage.at_us + outage.notice_delay_us, lambda: self.announce_removal(chosen))
         self.at(START_US + outage.restart_us, lambda: self.restart(chosen))
 
     def go_down(self, chosen: list[Converter]) -> None:
-        """Connections to them break."""
+        """Stop converters, and break the connections to them."""
         for converter in chosen:
             for job in converter.stop():
                 self.end(job, converter, api.Outcome.RESET)
@@ -276,18 +276,18 @@
                     pool.close_idle(self.now_us, self.now_us)
 
     def announce_removal(self, chosen: list[Converter]) -> None:
-        """Discovery says so."""
-        gone = [self.entry(converter, api.UpstreamState.REMOVED) for converter in chosen]
-        self.broadcast(api.UpstreamsUpdated(api.ListKind.DELTA, gone))
+        """Remove converters from the endpoint list."""
+        removed = [self.entry(converter, api.UpstreamState.REMOVED) for converter in chosen]
+        self.broadcast(api.UpstreamsUpdated(api.ListKind.DELTA, removed))
 
     def restart(self, chosen: list[Converter]) -> None:
-        """New processes are up and listed."""
+        """Start new processes of converters, and list them."""
         for converter in chosen:
             converter.up, converter.started_us = True, self.now_us
         self.broadcast(api.UpstreamsUpdated(api.ListKind.DELTA, [self.entry(converter) for converter in chosen]))
 
     def close_idle(self) -> None:
-        """Connections that were idle for long are closed."""
+        """Close idle connections, and schedule the next check."""
         for pool in self.pools.values():
             if pool.idle_since_us:
                 pool.close_idle(self.now_us, self.now_us - self.plan.idle_us)
--- a/ryepier/sim/loop.py
+++ b/ryepier/sim/loop.py
@@ -1,8 +1,6 @@
-"""An asyncio event loop whose time jumps to whatever is due next.
+"""An asyncio event loop under virtual time, which advances to whatever is due next.
 
-asyncio's own loop runs on it unchanged: only its clock, and the selector that would wait, are replaced. Options
-weighed: looptime patches a running loop's clock for tests and has no network; a loop of our own would have to repeat
-asyncio's scheduling, which is just what is to be run.
+asyncio's own loop runs on it unchanged; only its clock, and the selector that would wait, are replaced.
 """
 
 from __future__ import annotations
@@ -11,21 +9,25 @@
 import contextvars
 from typing import Any
 
-MOST_TURNS = 100_000  # at one instant: a loop that never ends
+from ryepier.errors import RyepierError
 
+MAX_TURNS = 100_000  # of the loop at one instant
+CLOCK_RESOLUTION_S = 1e-9
+MAX_NAMED_HANDLES = 3  # in an error
 
-class NoProgressError(Exception):
-    """Nothing is due any more, or one instant never ends; says where."""
 
+class NoProgressError(RyepierError):
+    """Nothing is scheduled any more although the run is not over, or one instant never ends."""
 
-class _Selector:
-    """Waits for nothing: no descriptor is ever watched, so all that is left is time."""
+
+class _VirtualSelector:
+    """A selector without descriptors: waiting advances the virtual time."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
 
     def select(self, timeout: float | None) -> list[Any]:
-        self.loop.pass_time(timeout)
+        self.loop.advance(timeout)
         return []
 
     def close(self) -> None:
@@ -33,52 +35,55 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Time is seconds from 0; it stands still while anything is to be done."""
+    """An event loop whose time, in seconds from 0, stands still while anything can run."""
 
     def __init__(self) -> None:
+        """Start at 0."""
         super().__init__()
-        self._selector = _Selector(self)
-        self._clock_resolution = 1e-9
+        self._selector = _VirtualSelector(self)
+        self._clock_resolution = CLOCK_RESOLUTION_S
         self.now_s = 0.0
-        self.turns = 0
-        self.failures: list[str] = []
-        self.set_exception_handler(self._failed)
+        self.failures: list[str] = []  # exceptions that no code handled
+        self._turns = 0
+        self.set_exception_handler(self._record_failure)
 
     def time(self) -> float:
+        """Return the virtual time."""
         return self.now_s
 
     def at_run_time(self, when_s: float, callback: Any, *args: Any, context: contextvars.Context) -> None:
-        """By the run's own clock, whoever's code runs."""
+        """Schedule a callback by the run's own clock, whatever clock the running process has."""
         asyncio.BaseEventLoop.call_at(self, when_s, callback, *args, context=context)
 
-    def pass_time(self, timeout: float | None) -> None:
-        """asyncio would wait for so long. Raises NoProgressError."""
+    def advance(self, timeout: float | None) -> None:
+        """Advance the time in place of waiting for `timeout` seconds. Raises NoProgressError."""
         if timeout is None:
             raise NoProgressError(f"at {self.now_s:.6f} s nothing is due any more, and the run is not over")
         if timeout <= 0:
-            self.turns += 1
-            if self.turns > MOST_TURNS:
+            self._turns += 1
+            if self._turns > MAX_TURNS:
                 raise NoProgressError(f"the instant {self.now_s:.6f} s does not end: {self._ready_names()}")
             return
-        self.turns = 0
+        self._turns = 0
         scheduled: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
-        # to the timer itself, as a sum of waits would be off by a rounding, and the timer not due
+        # take the timer's own time, as a sum of timeouts would be off by a rounding error
         self.now_s = max(self.now_s, scheduled[0].when()) if scheduled else self.now_s + timeout
 
     def _ready_names(self) -> str:
-        return ", ".join(repr(handle) for handle in list(self._ready)[:3])  # type: ignore[attr-defined]
+        ready = list(self._ready)[:MAX_NAMED_HANDLES]  # type: ignore[attr-defined]
+        return ", ".join(repr(handle) for handle in ready)
 
-    def _failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """An exception that nobody awaits: the run has failed, and says where."""
+    def _record_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Record an exception that no code awaits, which fails the run."""
         error = context.get("exception")
-        # without an exception it is about a task of a process that was killed
+        # a context without an exception is about a task of a killed process
         if error is not None and not isinstance(error, asyncio.CancelledError):
             self.failures.append(f"{self.now_s:.6f} s: {context.get('message')}: {error!r}")
 
-    # What asyncio's base leaves open
+    # What asyncio's base class leaves to its subclasses
 
     def _process_events(self, event_list: list[Any]) -> None:
         pass
 
     def _write_to_self(self) -> None:
-        pass  # there is one thread, and nothing to wake
+        pass  # one thread, with no selector to wake
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine with virtual time and the network in memory in the place of the machine's."""
+"""Runs a coroutine with virtual time and the simulated network in place of the machine's."""
 
 from __future__ import annotations
 
@@ -6,69 +6,88 @@
 import contextlib
 import contextvars
 import heapq
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterator
+from dataclasses import dataclass
 from typing import Any, TypeVar, cast
 
+from ryepier.errors import RyepierError
 from ryepier.sidecar import system
 from ryepier.sim.loop import NoProgressError, VirtualLoop
-from ryepier.sim.network import Address, Factory, Network, SimServer, SimSocket, SimTransport
-from ryepier.sim.process import OWNER, Clocks, Frozen
+from ryepier.sim.network import Network, SimServer
+from ryepier.sim.process import OWNER, Clocks, Suspended
+from ryepier.sim.sockets import SimSocket
+from ryepier.sim.transport import SimTransport
 
 T = TypeVar("T")
-UNIX_ZERO_NS = 1_800_000_000 * 1_000_000_000  # of every run
+ProtocolFactory = Callable[[], asyncio.BaseProtocol]
+UNIX_EPOCH_NS = 1_800_000_000 * 1_000_000_000  # the wall clock when a run begins
+DEFAULT_BACKLOG = 100  # asyncio's
 
 
-def owner_of(handle: Any) -> str:
-    """The process that a callback belongs to."""
+class SimulationError(RyepierError):
+    """A callback or a task failed that no code awaited."""
+
+
+def _owner_of(handle: Any) -> str:
+    """Return the process that a callback belongs to."""
     owner: str = handle._context.get(OWNER, "")
     return owner
 
 
+@dataclass(frozen=True, slots=True)
+class _Connection:
+    """A transport and the protocol that it was made for."""
+
+    transport: SimTransport
+    protocol: asyncio.BaseProtocol
+
+
 class SimLoop(VirtualLoop):
-    """Virtual time, and connections through the network in memory."""
+    """Virtual time, connections through the simulated network, and processes that can be killed or suspended."""
 
     def __init__(self, seed: int) -> None:
+        """Start without processes; the seed is that of the network."""
         super().__init__()
         self.network = Network(self, seed)
-        self.readers: dict[int, SimSocket] = {}
-        self.dead: set[str] = set()  # processes that were killed
-        # hazard: what a dead task holds would be let go whenever memory is collected, its `finally`s would run, and two
-        # runs would differ
-        self.graves: list[set[asyncio.Task[Any]]] = []
-        self.frozen: dict[str, Frozen] = {}
-        self.clocks: dict[str, Clocks] = {}  # of processes whose clocks are not the run's
+        self.clocks: dict[str, Clocks] = {}  # of processes whose clocks differ from the run's
+        self._readers: dict[int, SimSocket] = {}
+        self._dead: set[str] = set()  # killed processes
+        # Tasks of killed processes are kept: collecting them would run their `finally` blocks at a time that depends on
+        # the garbage collector, and runs would differ.
+        self._dead_tasks: list[set[asyncio.Task[Any]]] = []
+        self._suspended: dict[str, Suspended] = {}
 
     # Processes
 
     def kill(self, owner: str) -> None:
-        """Nothing of a process runs from now on: no callback, no timer, no task."""
-        self.frozen.pop(owner, None)
-        self.dead.add(owner)
-        self.graves.append(asyncio.all_tasks(self))
+        """End a process: none of its callbacks, timers and tasks runs again."""
+        self._suspended.pop(owner, None)
+        self._dead.add(owner)
+        self._dead_tasks.append(asyncio.all_tasks(self))
         for handle in [*self._scheduled, *self._ready]:  # type: ignore[attr-defined]
-            if owner_of(handle) == owner:
+            if _owner_of(handle) == owner:
                 handle.cancel()
         self.network.kill(owner)
 
     def suspend(self, owner: str) -> None:
-        """It stands still, as on SIGSTOP: what comes for it waits in the kernel's buffers, and time goes on."""
-        frozen = self.frozen.setdefault(owner, Frozen())
+        """Suspend a process, as SIGSTOP does: data for it stays in the kernel's buffers, and time passes."""
+        suspended = self._suspended.setdefault(owner, Suspended())
         ready: Any = self._ready  # type: ignore[attr-defined]
-        for handle in [handle for handle in ready if owner_of(handle) == owner]:
+        for handle in [handle for handle in ready if _owner_of(handle) == owner]:
             ready.remove(handle)
-            frozen.ready.append(handle)
-        frozen.timers += self._take_timers(owner)
+            suspended.ready.append(handle)
+        suspended.timers += self._take_timers(owner)
 
     def resume(self, owner: str) -> None:
-        """It goes on with all that has become due; one that was killed meanwhile does not."""
-        frozen = self.frozen.pop(owner, None)
-        if frozen is None:
+        """Resume a process with everything that has become due; does nothing if it was killed meanwhile."""
+        suspended = self._suspended.pop(owner, None)
+        if suspended is None:
             return
-        self._ready.extend(frozen.ready)  # type: ignore[attr-defined]
-        self._put_timers(frozen.timers)
+        self._ready.extend(suspended.ready)  # type: ignore[attr-defined]
+        self._put_timers(suspended.timers)
 
     def set_rate(self, owner: str, rate: float) -> None:
-        """Its steady clock goes so many times as fast as the run's from now on."""
+        """Let a process's clocks run at `rate` times the speed of the run's from now on."""
         clocks = self.clocks.setdefault(owner, Clocks())
         timers = self._take_timers(owner)
         due = [clocks.own(handle._when) for handle in timers]
@@ -78,19 +97,20 @@
         self._put_timers(timers)
 
     def shift_calendar(self, owner: str, by_s: float) -> None:
-        """Its calendar is set forward, or back."""
+        """Set a process's wall clock forward or back."""
         self.clocks.setdefault(owner, Clocks()).calendar_s += by_s
 
     def _take_timers(self, owner: str) -> list[Any]:
+        """Remove a process's timers from the schedule, and return them by their times."""
         scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
-        mine = [handle for handle in scheduled if owner_of(handle) == owner and not handle._cancelled]
-        if mine:
-            taken = set(map(id, mine))
-            scheduled[:] = [handle for handle in scheduled if id(handle) not in taken]
+        taken = [handle for handle in scheduled if _owner_of(handle) == owner and not handle._cancelled]
+        if taken:
+            ids = set(map(id, taken))
+            scheduled[:] = [handle for handle in scheduled if id(handle) not in ids]
             heapq.heapify(scheduled)
-            for handle in mine:
-                handle._scheduled = False  # its loop need not count it should it be cancelled
-        return sorted(mine, key=lambda handle: float(handle._when))
+            for handle in taken:
+                handle._scheduled = False  # so that asyncio does not count it if it is cancelled
+        return sorted(taken, key=lambda handle: float(handle._when))
 
     def _put_timers(self, timers: list[Any]) -> None:
         scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
@@ -99,45 +119,55 @@
                 heapq.heappush(scheduled, handle)
                 handle._scheduled = True
 
+    # Clocks and callbacks, by the process whose code runs
+
+    def _current_clocks(self) -> Clocks | None:
+        return self.clocks.get(OWNER.get()) if self.clocks else None
+
     def time(self) -> float:
-        clocks = self.clocks.get(OWNER.get()) if self.clocks else None
+        """Return the monotonic clock of the running process."""
+        clocks = self._current_clocks()
         return self.now_s if clocks is None else clocks.own(self.now_s)
 
     def unix_s(self) -> float:
-        """Seconds since the run's beginning by the calendar of whose code runs."""
-        clocks = self.clocks.get(OWNER.get()) if self.clocks else None
+        """Return the seconds since the run began by the wall clock of the running process."""
+        clocks = self._current_clocks()
         return self.now_s if clocks is None else clocks.own(self.now_s) + clocks.calendar_s
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:  # type: ignore[override]
-        if self.is_closed():  # the run is over, and what a killed process held is let go of
+        """Schedule a callback as asyncio does; those of killed or suspended processes are held back."""
+        if self.is_closed():  # the run is over, and objects of a killed process are being collected
             return asyncio.Handle(callback, args, self, context)
         handle = super().call_soon(callback, *args, context=context)
-        owner = owner_of(handle) if self.dead or self.frozen else ""
-        if owner in self.dead:
+        owner = _owner_of(handle) if self._dead or self._suspended else ""
+        if owner in self._dead:
             handle.cancel()
-        elif owner in self.frozen:
+        elif owner in self._suspended:
             self._ready.pop()  # type: ignore[attr-defined]
-            self.frozen[owner].ready.append(handle)
+            self._suspended[owner].ready.append(handle)
         return handle
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        clocks = self.clocks.get(OWNER.get()) if self.clocks else None
+        """Schedule a callback by the clock of the running process."""
+        clocks = self._current_clocks()
         if clocks is not None:
             when = clocks.when(when)
         handle = super().call_at(when, callback, *args, context=context)
-        if self.dead and owner_of(handle) in self.dead:
+        if self._dead and _owner_of(handle) in self._dead:
             handle.cancel()
         return handle
 
-    # asyncio declares these far more widely than anything here calls them
+    # Connections; asyncio declares the parameters far more widely than any caller here uses them
 
     async def sock_connect(self, sock: Any, address: Any) -> None:
+        """Connect a socket through the simulated network."""
         await self.network.connect(sock, address)
 
-    async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
-        sock = more.get("sock")
+    async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
+        """Connect through the simulated network."""
+        sock = options.get("sock")
         if sock is None:
             sock = SimSocket(self.network)
             try:
@@ -147,48 +177,67 @@
                 raise
         return await self._connected(sock, protocol_factory)
 
-    async def connect_accepted_socket(self, protocol_factory: Any, sock: Any, **more: Any) -> Any:
+    async def connect_accepted_socket(self, protocol_factory: Any, sock: Any, **options: Any) -> Any:
+        """Make a connection of an accepted socket."""
         return await self._connected(sock, protocol_factory)
 
-    async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
-        sock = self.network.listen((host, port or 0), more.get("backlog", 100))
+    async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
+        """Listen on the simulated network."""
+        sock = self.network.listen((host, port or 0), options.get("backlog", DEFAULT_BACKLOG))
 
         def accept() -> None:
             while sock.pending:
-                self._transport(sock.accept()[0], protocol_factory)
+                self._make_connection(sock.accept()[0], protocol_factory)
 
         sock.on_readable, sock.context = accept, contextvars.copy_context()
         return SimServer(sock)
 
-    def _transport(self, sock: SimSocket, factory: Factory) -> tuple[SimTransport, asyncio.BaseProtocol]:
-        """As asyncio does it: the protocol hears of its connection at the loop's next turn."""
+    def _make_connection(self, sock: SimSocket, factory: ProtocolFactory) -> _Connection:
+        """Make a transport; as with asyncio, `connection_made` is called at the loop's next turn."""
         protocol = factory()
         transport = SimTransport(sock, protocol)
         self.call_soon(transport.start)
-        return transport, protocol
+        return _Connection(transport, protocol)
 
-    async def _connected(self, sock: SimSocket, factory: Factory) -> tuple[SimTransport, asyncio.BaseProtocol]:
-        made = self._transport(sock, factory)
+    async def _connected(self, sock: SimSocket, factory: ProtocolFactory) -> Any:
+        made = self._make_connection(sock, factory)
         await asyncio.sleep(0)
-        return made
+        return made.transport, made.protocol
 
-    # Listeners that are read by hand, as the sidecar's front does
+    # Listeners that are read directly, as by the sidecar's front
 
     def add_reader(self, fd: Any, callback: Any, *args: Any) -> None:  # type: ignore[override]
-        def ready() -> None:
-            if id(fd) in self.readers and fd.pending:
+        """Call back whenever a listening socket has pending connections."""
+
+        def on_readable() -> None:
+            if id(fd) in self._readers and fd.pending:
                 callback(*args)
-                if fd.pending:  # what was not taken is still there at the next turn
-                    self.call_soon(ready)
+                if fd.pending:  # the callback may leave some for the next turn
+                    self.call_soon(on_readable)
 
-        self.readers[id(fd)] = fd
-        fd.on_readable, fd.context = ready, contextvars.copy_context()
+        self._readers[id(fd)] = fd
+        fd.on_readable, fd.context = on_readable, contextvars.copy_context()
         if fd.pending:
-            self.call_soon(ready)
+            self.call_soon(on_readable)
 
     def remove_reader(self, fd: Any) -> bool:
+        """Stop calling back for a listening socket, and return whether there was a callback."""
         fd.on_readable = None
-        return self.readers.pop(id(fd), None) is not None
+        return self._readers.pop(id(fd), None) is not None
+
+
+@contextlib.contextmanager
+def _replace_system(loop: SimLoop) -> Iterator[None]:
+    """Put the loop's clocks and network in place of the machine's."""
+    originals = system.monotonic_ns, system.unix_ns, system.tcp_socket, system.listen
+    system.monotonic_ns = lambda: round(loop.time() * 1e9)
+    system.unix_ns = lambda: UNIX_EPOCH_NS + round(loop.unix_s() * 1e9)
+    system.tcp_socket = cast(Any, lambda family: SimSocket(loop.network))
+    system.listen = cast(Any, loop.network.listen)
+    try:
+        yield
+    finally:
+        system.monotonic_ns, system.unix_ns, system.tcp_socket, system.listen = originals
 
 
 def simulate(seed: int, main: Callable[[SimLoop], Awaitable[T]]) -> T:
@@ -198,29 +247,22 @@
     no other code awaited.
     """
     loop = SimLoop(seed)
-    before = system.monotonic_ns, system.unix_ns, system.tcp_socket, system.listen
-    system.monotonic_ns = lambda: round(loop.time() * 1e9)
-    system.unix_ns = lambda: UNIX_ZERO_NS + round(loop.unix_s() * 1e9)
-    system.tcp_socket = cast(Any, lambda family: SimSocket(loop.network))
-    system.listen = cast(Any, loop.network.listen)
     try:
-        asyncio.set_event_loop(loop)
-        result = loop.run_until_complete(asyncio.ensure_future(main(loop), loop=loop))
-        if loop.failures:
-            raise SimulationError("; ".join(loop.failures))
-        return result
+        with _replace_system(loop):
+            asyncio.set_event_loop(loop)
+            result = loop.run_until_complete(asyncio.ensure_future(main(loop), loop=loop))
+            if loop.failures:
+                raise SimulationError("; ".join(loop.failures))
+            return result
     finally:
-        system.monotonic_ns, system.unix_ns, system.tcp_socket, system.listen = before
-        for task in asyncio.all_tasks(loop):
-            task.cancel()
-        with contextlib.suppress(NoProgressError):
-            loop.run_until_complete(asyncio.sleep(0))
-        asyncio.set_event_loop(None)
-        loop.close()
-
-
-class SimulationError(Exception):
-    """Something failed in a run that nobody waited for."""
+        _close(loop)
 
 
-__all__ = ["Address", "SimLoop", "SimulationError", "simulate"]
+def _close(loop: SimLoop) -> None:
+    """Cancel what is left, and close the loop."""
+    for task in asyncio.all_tasks(loop):
+        task.cancel()
+    with contextlib.suppress(NoProgressError):
+        loop.run_until_complete(asyncio.sleep(0))
+    asyncio.set_event_loop(None)
+    loop.close()
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -14,8 +14,8 @@
 import pytest
 
 from ryepier.sidecar import system
+from ryepier.sim.link import RECEIVE_WINDOW_BYTES
 from ryepier.sim.loop import NoProgressError
-from ryepier.sim.network import RECEIVE_WINDOW_BYTES
 from ryepier.sim.process import OWNER
 from ryepier.sim.run import SimLoop, SimulationError, simulate
 
@@ -51,7 +51,7 @@
 
 def test_bytes_come_whole_and_in_order_however_they_are_cut_and_half_a_close_leaves_the_other_half() -> None:
     async def main(loop: SimLoop) -> tuple[bytes, bytes]:
-        loop.network.split = 1.0
+        loop.network.split_share = 1.0
         got = b""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
