--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,13 +1,13 @@
-"""A stand-in for the sidecar around a Balancer: carries out its actions and checks the contract.
+"""Takes the sidecar's place around a Balancer: executes its actions and checks each against the contract.
 
-It is no simulator: tests say what happens and when. Every action is checked against the four rules as
-the contract words them, from records kept here and not from the module's own.
+A test decides what happens and when; the harness simulates neither upstreams nor clients. It checks the rules of the
+contract from its own records and not from the balancer's state.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.interface import (
@@ -39,9 +39,11 @@
 
 NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 START_US = 1_000_000_000
+OVERDUE_TICKS = 4  # an answer may be so much later than its request's due time
 
 
 def request_classes() -> list[RequestClass]:
+    """Return a class of each kind: idempotent, non-idempotent, and with an idempotency key."""
     return [
         RequestClass(
             "read",
@@ -70,6 +72,7 @@
 
 
 def settings(**changes: object) -> Settings:
+    """Return the settings of one sidecar, with some changed."""
     values: dict[str, object] = {
         "classes": request_classes(),
         "instances": 3,
@@ -89,12 +92,14 @@
 
 
 def upstreams(count: int, **changes: Any) -> list[Upstream]:
-    """`count` ready upstreams, two to a cell and to a zone."""
+    """Return `count` ready upstreams, two in each failure domain and zone."""
     return [Upstream(100 + i, zone=i // 2, failure_domain=i // 2, **changes) for i in range(count)]
 
 
 @dataclass
 class TrackedAttempt:
+    """An attempt that the balancer has sent; times are in microseconds of the harness's clock."""
+
     upstream: int
     zone: int
     failure_domain: int
@@ -105,6 +110,8 @@
 
 @dataclass
 class TrackedRequest:
+    """A request that has arrived, with its attempts in the order in which they were sent."""
+
     event: RequestArrived
     attempts: list[TrackedAttempt] = field(default_factory=list)
     answers: int = 0
@@ -112,27 +119,42 @@
     stream: bool = False
 
     def may_have_run(self) -> list[TrackedAttempt]:
-        return [t for t in self.attempts if t.outcome not in NEVER_RAN]
+        """Return the attempts whose upstream may have executed the request."""
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
     def in_flight(self) -> list[int]:
-        return [n for n, t in enumerate(self.attempts) if t.outcome is None]
+        """Return the numbers of the attempts that have not ended."""
+        return [number for number, attempt in enumerate(self.attempts) if attempt.outcome is None]
+
+
+class Deadline(NamedTuple):
+    """Something that falls due as the clock moves. At the same instant time-outs come before timers."""
+
+    at_us: int
+    is_timer: bool
+    ident: int
+    """The timer's token, or the request's id."""
+    attempt: int = 0
 
 
 class BalancerHarness:
+    """A Balancer with its clock, its timers and the records to check it against."""
+
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.requests: dict[int, TrackedRequest] = {}
         self.known: dict[int, Upstream] = {}
-        self.unavailable_since_us: dict[int, int] = {}  # upstreams told draining or gone: since when
-        self.timers: list[tuple[int, int]] = []
+        self.unavailable_since_us: dict[int, int] = {}  # by upstream, once reported draining or removed
+        self.timers: list[Deadline] = []
         self.actions: list[Action] = []
         self.next_id = 1
 
     # Events
 
     def handle(self, event: Event) -> list[Action]:
+        """Send an event to the balancer, and check and record its actions."""
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
@@ -140,6 +162,7 @@
         return actions
 
     def update_upstreams(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
+        """Send an endpoint list."""
         for entry in entries:
             self.known[entry.id] = entry
             if entry.state is UpstreamState.READY:
@@ -152,6 +175,7 @@
         return self.handle(UpstreamsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
+        """Send a new request, which is due after `patience_us` or its class's deadline; return its id."""
         ident = self.next_id
         self.next_id += 1
         patience = patience_us or self.settings.classes[class_index].deadline_us
@@ -161,24 +185,25 @@
         return ident
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        requests = self.requests[request]
-        this = requests.attempts[attempt]
+        """End an attempt now, with further fields of the event."""
+        tracked = self.requests[request]
+        this = tracked.attempts[attempt]
         assert this.outcome is None
         this.outcome = outcome
-        if (outcome is Outcome.OK or requests.stream) and not requests.closed:
-            requests.closed = True
-            requests.answers += 1
+        if (outcome is Outcome.OK or tracked.stream) and not tracked.closed:
+            tracked.closed = True
+            tracked.answers += 1
         return self.handle(
-            AttemptEnded(
-                request, attempt, this.upstream, outcome, self.now_us - this.sent_us, requests.closed, **fields
-            )
+            AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us, tracked.closed, **fields)
         )
 
     def begin_stream(self, request: int, attempt: int) -> None:
+        """Start the response's stream: from now on the request has no time-out."""
         self.requests[request].stream = True
         self.handle(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
     def disconnect_client(self, request: int) -> None:
+        """Let the client of an open request disconnect."""
         self.requests[request].closed = True
         self.requests[request].answers = 1
         self.handle(ClientDisconnected(request))
@@ -186,34 +211,36 @@
     def advance(self, by_us: int) -> None:
         """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
         end_us = self.now_us + by_us
-        while True:
-            due = [(at, 1, token, 0) for at, token in self.timers]
-            due += [
-                (t.ends_us, 0, ident, n)
-                for ident, requests in self.requests.items()
-                if not requests.stream
-                for n, t in enumerate(requests.attempts)
-                if t.outcome is None
-            ]
-            due = [d for d in due if d[0] <= end_us]
-            if not due:
-                break
-            at, kind, first, second = min(due)
-            self.now_us = max(self.now_us, at)
-            if kind == 0:
-                self.end(first, second, Outcome.TIMEOUT)
+        while due := [deadline for deadline in self._deadlines() if deadline.at_us <= end_us]:
+            first = min(due)
+            self.now_us = max(self.now_us, first.at_us)
+            if first.is_timer:
+                self.timers.remove(first)
+                self.handle(TimerFired(first.ident))
             else:
-                self.timers.remove((at, first))
-                self.handle(TimerFired(first))
+                self.end(first.ident, first.attempt, Outcome.TIMEOUT)
         self.now_us = end_us
-        slack_us = 4 * self.settings.tick_us
-        for ident, requests in self.requests.items():
-            overdue = self.now_us > requests.event.due_us + slack_us and not requests.stream
-            assert not overdue or requests.answers == 1, f"rule 1: request {ident} is unanswered past due"
+        self._check_none_is_overdue()
+
+    def _deadlines(self) -> list[Deadline]:
+        time_outs = [
+            Deadline(tracked.attempts[number].ends_us, False, ident, number)
+            for ident, tracked in self.requests.items()
+            if not tracked.stream
+            for number in tracked.in_flight()
+        ]
+        return self.timers + time_outs
 
     # Checks
 
+    def _check_none_is_overdue(self) -> None:
+        slack_us = OVERDUE_TICKS * self.settings.tick_us
+        for ident, tracked in self.requests.items():
+            overdue = self.now_us > tracked.event.due_us + slack_us and not tracked.stream
+            assert not overdue or tracked.answers == 1, f"rule 1: request {ident} is unanswered past due"
+
     def check(self, action: Action) -> None:
+        """Check an action against the contract, and record what it starts."""
         if isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, Reject | Fail):
@@ -223,55 +250,60 @@
             assert action.attempt < len(self.requests[action.request].attempts), "a cancel of no attempt"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
-            self.timers.append((action.at_us, action.token))
+            self.timers.append(Deadline(action.at_us, True, action.token))
         elif isinstance(action, Probe):
             assert self.settings.probes, "a probe where none is allowed"
         else:
             assert not isinstance(action, Subscribe | FetchList) or self.settings.polls_endpoints
 
     def check_send(self, send: Send) -> None:
-        requests = self.requests[send.request]
+        """Check an attempt against the rules, and record it."""
+        tracked = self.requests[send.request]
         entry = self.known[send.upstream]
-        kind = self.settings.classes[requests.event.class_index]
-        assert not requests.closed, "rule 1: a send after the end"
-        assert len(requests.attempts) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or gone upstream"
-        assert self.settings.hedging or not requests.in_flight(), "rule 2: two attempts out together"
-        for earlier in requests.may_have_run():
-            assert kind.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: an unsafe request sent again"
-            if kind.idempotency == Idempotency.IDEMPOTENCY_KEY:
-                assert self.now_us - earlier.sent_us <= kind.idempotency_window_us, "rule 2: past the memory"
-                assert (
-                    kind.idempotency_scope != IdempotencyScope.FAILURE_DOMAIN
-                    or entry.failure_domain == earlier.failure_domain
-                ), "rule 2: outside the cell"
-                assert kind.idempotency_scope != IdempotencyScope.ZONE or entry.zone == earlier.zone, (
-                    "rule 2: outside the zone"
-                )
-        ends_us = requests.event.due_us
+        assert not tracked.closed, "rule 1: a send after the end"
+        assert len(tracked.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or removed upstream"
+        assert self.settings.hedging or not tracked.in_flight(), "rule 2: two attempts in flight together"
+        for earlier in tracked.may_have_run():
+            self._check_repeat(tracked, earlier, entry)
+        ends_us = tracked.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
-        requests.attempts.append(TrackedAttempt(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_us))
+        tracked.attempts.append(TrackedAttempt(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_us))
+
+    def _check_repeat(self, tracked: TrackedRequest, earlier: TrackedAttempt, entry: Upstream) -> None:
+        kind = self.settings.classes[tracked.event.class_index]
+        assert kind.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: a non-idempotent request sent again"
+        if kind.idempotency != Idempotency.IDEMPOTENCY_KEY:
+            return
+        assert self.now_us - earlier.sent_us <= kind.idempotency_window_us, "rule 2: past the idempotency window"
+        if kind.idempotency_scope == IdempotencyScope.FAILURE_DOMAIN:
+            assert entry.failure_domain == earlier.failure_domain, "rule 2: outside the failure domain"
+        if kind.idempotency_scope == IdempotencyScope.ZONE:
+            assert entry.zone == earlier.zone, "rule 2: outside the zone"
 
     def check_answer(self, answer: Reject | Fail) -> None:
-        requests = self.requests[answer.request]
-        kind = self.settings.classes[requests.event.class_index]
-        assert not requests.closed, "rule 1: a second answer"
-        requests.closed = True
-        requests.answers += 1
+        """Check a final answer, and close its request."""
+        tracked = self.requests[answer.request]
+        kind = self.settings.classes[tracked.event.class_index]
+        assert not tracked.closed, "rule 1: a second answer"
+        tracked.closed = True
+        tracked.answers += 1
         if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
             harmless = kind.idempotency == Idempotency.IDEMPOTENT or (
                 kind.idempotency == Idempotency.IDEMPOTENCY_KEY and kind.idempotency_scope == IdempotencyScope.ALL
             )
-            assert harmless or not requests.may_have_run(), "rule 2: a refusal of what may have run"
+            assert harmless or not tracked.may_have_run(), "rule 2: a rejection of what may have run"
 
-    # What tests look at
+    # Results
 
     def sends(self, request: int | None = None) -> list[Send]:
-        return [a for a in self.actions if isinstance(a, Send) and request in (None, a.request)]
+        """Return the attempts so far, of one request or of all."""
+        return [action for action in self.actions if isinstance(action, Send) and request in (None, action.request)]
 
     def answer(self, request: int) -> Action | None:
+        """Return the rejection or failure of a request, if there is one."""
         for action in self.actions:
             if isinstance(action, Reject | Fail) and action.request == request:
                 return action
--- a/tests/simulator_options.py
+++ b/tests/simulator_options.py
@@ -1,4 +1,4 @@
-"""The start-up settings of one instance, as they stand on the wire."""
+"""Start-up settings of one instance in the simulator's protocol: a `key=value` on each line."""
 
 OPTIONS = """\
 accounts.count=2
