--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -14,11 +14,11 @@
 from ryepier.commands import capacity as capacity_commands
 from ryepier.commands.console import exit_with_claims, format_events
 from ryepier.commands.exits import ExitCode, fail
-from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.errors import HarnessError
 from ryepier.experiments.catalogue import BENCHMARKS, EXPERIMENTS
 from ryepier.experiments.core import contract, report, runner
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment
-from ryepier.experiments.scale.lightweight import InsufficientResourcesError
+from ryepier.experiments.core.machine import InsufficientResourcesError
 
 ALL: dict[str, Experiment | Benchmark] = {**EXPERIMENTS, **BENCHMARKS}
 
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -16,7 +16,7 @@
 from ryepier.emulator import converters, discovery, draws, role
 from ryepier.emulator.process import Clock, Plan, monotonic_us
 from ryepier.emulator.slices import SlicesAgent
-from ryepier.emulator.timeline import FaultAction, Instance, Step, TargetKind, Timeline
+from ryepier.emulator.timeline import FaultAction, Instance, ListState, Step, TargetKind, Timeline
 from ryepier.maintenance.address import Address
 from ryepier.maintenance.fleet import (
     Action,
@@ -144,7 +144,7 @@
 
     async def count_in_flight(self, call: FleetCall) -> FleetReply:
         """Reply with the number of requests that a converter has not answered."""
-        return FleetReply(in_flight=len(self.servers[self.current[call.converter].index].open))
+        return FleetReply(in_flight=len(self.servers[self.current[call.converter].index].in_flight))
 
 
 class ControlledDiscovery(discovery.Host):
@@ -169,12 +169,12 @@
     async def drain(self, call: FleetCall) -> FleetReply:
         """List a converter as draining."""
         self.control.record(Action.DRAIN, call)
-        await self._notify_all(self.current[call.converter], "leaving")
+        await self._notify_all(self.current[call.converter], ListState.LEAVING)
         return FleetReply()
 
     async def remove(self, call: FleetCall) -> FleetReply:
         """Remove a converter from the list."""
-        await self._notify_all(self.current[call.converter], "left")
+        await self._notify_all(self.current[call.converter], ListState.LEFT)
         return FleetReply()
 
     async def list_one(self, call: FleetCall) -> FleetReply:
@@ -184,20 +184,20 @@
         place = old.index % self.plan.world.converter_count
         index = place + number * self.plan.world.converter_count
         new = self.current[call.converter] = Instance(index, call.uid, old.machine, self.clock.now_us())
-        await self._notify_all(new, "active")
+        await self._notify_all(new, ListState.ACTIVE)
         self.control.record(Action.LIST, call)
         return FleetReply()
 
-    async def _notify_all(self, instance: Instance, state: str) -> None:
+    async def _notify_all(self, instance: Instance, state: ListState) -> None:
         """Notify each sidecar's agent after a delay of its own; return once all are notified."""
         unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
-        entry = discovery.target(self.plan, instance, state, unix_zero_ms)
+        entry = discovery.list_entry(self.plan, instance, state, unix_zero_ms)
         step = Step(self.clock.now_us(), TargetKind.DISCOVERY, 0, FaultAction.NOTIFY, uid=instance.uid, state=state)
         low, high = self.plan.world.discovery.late_ms
 
         async def notify(agent: discovery.Agent | SlicesAgent, delay_ms: float) -> None:
             await asyncio.sleep(delay_ms / 1000)
-            await agent.take(step, entry)
+            await agent.apply(step, entry)
 
         await asyncio.gather(*(notify(agent, float(self.random.uniform(low, high))) for agent in self.agents))
 
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -213,7 +213,7 @@
                 process.kill()
                 process.wait()
 
-    async def steps(self) -> None:
+    async def run_schedule(self) -> None:
         """Run the world's own steps, the agents, the requests and the faults, until the world's end."""
         for region in REGIONS:
             self.start_agent(region)
@@ -221,7 +221,7 @@
             await self.start_relays()
         async with asyncio.TaskGroup() as group:
             polling = [group.create_task(self.poll(region)) for region in REGIONS]
-            group.create_task(super().steps())
+            group.create_task(super().run_schedule())
             submitting = [group.create_task(self.submit_requests(region)) for region in REGIONS]
             if self.scenario.faults is not None:
                 group.create_task(_inject(self, self.scenario.faults))
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -29,11 +29,14 @@
 from ryepier.balancer import interface as api
 from ryepier.balancer.balancer import Balancer
 from ryepier.emulator import draws, files
-from ryepier.emulator.harness import SIDECAR, HarnessError, find_network
+from ryepier.emulator.errors import HarnessError
+from ryepier.emulator.harness import SIDECAR
+from ryepier.emulator.loopback import find_network
 from ryepier.emulator.process import CONVERTER_PORT, DISCOVERY_PORT, SIDECAR_PORT, monotonic_us
-from ryepier.emulator.world import World
+from ryepier.emulator.world import Effect, World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.scale import lightweight, slopes
@@ -179,7 +182,7 @@
         world,
         sidecars=msgspec.structs.replace(world.sidecars, count=1),
         clients=msgspec.structs.replace(world.clients, rate_per_s=float(DESIGN_PER_S)),
-        classes=[msgspec.structs.replace(world.classes[0], share=1.0, effect="idempotent")],
+        classes=[msgspec.structs.replace(world.classes[0], share=1.0, effect=Effect.IDEMPOTENT)],
     )
     settings = files.sidecar_settings(world, 0)
     settings["bounds"]["conn-idle"] = 60_000_000  # else connections would be made anew, which is another cost
@@ -419,7 +422,7 @@
 
 def perform(trial: TrialConfig) -> Measurement:
     """The whole of it, with how busy the machine was."""
-    lightweight.check(lightweight.Needs(4, BYTES_NEEDED, 3 * MOST_LINES), lightweight.this_machine())
+    check_needs(Needs(4, BYTES_NEEDED, 3 * MOST_LINES), this_machine())
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # into this process too, where the module runs alone
     found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ryepier.emulator.world import Fault, World
+from ryepier.emulator.world import Fault, FaultKind, World
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.storms.outage import end_of_fault_s
@@ -65,8 +65,8 @@
     """Return the world in which converters refuse connections, and discovery is away from before that to the end."""
     base = load(BASE)
     first = base.faults[0]
-    refuse = Fault(kind="refuse", at_s=first.at_s, for_s=first.down_s)
-    away = Fault(kind="discovery-down", at_s=first.at_s - DISCOVERY_LEAD_S, for_s=base.duration_s - first.at_s)
+    refuse = Fault(kind=FaultKind.REFUSE, at_s=first.at_s, for_s=first.down_s)
+    away = Fault(kind=FaultKind.DISCOVERY_DOWN, at_s=first.at_s - DISCOVERY_LEAD_S, for_s=base.duration_s - first.at_s)
     return msgspec.structs.replace(base, faults=[refuse, away])
 
 
@@ -74,5 +74,5 @@
     """Return the world in which converters reject what `STRUCK_SIDECAR` forwards."""
     base = load(BASE)
     first = base.faults[0]
-    fault = Fault(kind="turn-away", at_s=first.at_s, for_s=first.down_s, via=STRUCK_SIDECAR)
+    fault = Fault(kind=FaultKind.TURN_AWAY, at_s=first.at_s, for_s=first.down_s, via=STRUCK_SIDECAR)
     return msgspec.structs.replace(base, faults=[fault])
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -16,13 +16,13 @@
 
 from ryepier import cli
 from ryepier.commands import experiment as command
-from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.records import History, Incarnation
 from ryepier.emulator.world import World
 from ryepier.experiments import catalogue, seeded_faults
 from ryepier.experiments.core import contract, judge, report, runner
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, TrialConfig
-from ryepier.experiments.scale.lightweight import InsufficientResourcesError
+from ryepier.experiments.core.machine import InsufficientResourcesError
 
 RECORDED = Path(__file__).parent / "fixtures" / "experiments_interface.json"
 NEEDS_TRAFFIC = {"load-spread-lists"}  # its claims divide by the number of requests
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -26,7 +26,7 @@
 from ryepier.maintenance.state import ObservedState
 from ryepier.maintenance.transport import Connection
 from tests.maintenance_world import small_agreement
-from tests.network_peers import PATIENCE_S, free_port
+from tests.network_peers import HANG_TIMEOUT_S, free_port
 
 READY_AND_WARM = ObservedState(ready=True, warmth=1000, as_of=0)
 TRANSFER = Transfer("north", "south", 1, "convert", 1000)
@@ -109,7 +109,7 @@
             writer.close()
 
     async def wait_for(self, holds: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while not holds():
                 await asyncio.sleep(0.05)
 
