--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -1,8 +1,9 @@
-"""When two worlds are the same: all that decides what may come next, with times counted from now, under every renaming
-of converters that are alike.
+"""When two states are equal: everything that decides what may come next, with times relative to now, under every
+renaming of converters that are alike.
 
-What the module has learnt (latency ratios, loads, fault shares) is left out: it says which converter is the likelier,
-and every converter that may be drawn is drawn anyway. What it opens and closes by it (slots, ejections) is kept.
+What the balancer has learned (latency ratios, loads, failure shares) is left out: it decides which converter is more
+likely, and every converter that may be drawn is explored anyway. What it opens and closes by it, slots and ejections,
+is part of a state.
 """
 
 from __future__ import annotations
@@ -15,132 +16,148 @@
 
 from ryepier.balancer import upstream
 from ryepier.balancer.tuning import LOST_ATTEMPT_OVERTAKES
-from ryepier.check.model import Model, ModelState
+from ryepier.check.model import Model
+from ryepier.check.observations import SentAttempt
+from ryepier.check.state import ModelState
 from ryepier.sidecar import dispatcher
 
-Rename = dict[int, int]
-OLDEST_US = 300_000  # longer ago than any deadline or memory of a key: it makes no difference any more
+Renaming = dict[int, int]
+Digest = Callable[[ModelState], bytes]
+
+MAX_AGE_US = 300_000  # longer than any deadline or idempotency window: beyond it, ages make no difference
+DIGEST_BYTES = 12
 
 
-def renamings(model: Model) -> Iterator[Rename]:
-    """Of converters onto each other: those of one cell stay together."""
+def renamings(model: Model) -> Iterator[Renaming]:
+    """Yield the permutations of the converters that keep those of a failure domain together."""
     ids = range(1, model.converters + 1)
     for order in itertools.permutations(ids):
-        cells: dict[int, int] = {}
-        if all(
-            cells.setdefault(model.failure_domain(old), model.failure_domain(new)) == model.failure_domain(new)
+        domains: dict[int, int] = {}
+        is_consistent = all(
+            domains.setdefault(model.failure_domain(old), model.failure_domain(new)) == model.failure_domain(new)
             for old, new in zip(ids, order, strict=True)
-        ) and len(set(cells.values())) == len(cells):
+        )
+        if is_consistent and len(set(domains.values())) == len(domains):
             yield dict(zip(ids, order, strict=True))
 
 
 class _View:
-    """One world under one renaming."""
+    """A state under one renaming, as nested tuples. Their form is part of checkpoints, through the digests."""
 
-    def __init__(self, world: ModelState, rename: Rename) -> None:
-        self.world = world
-        self.now_us = world.timers.now_us
-        self.rename = rename
+    def __init__(self, state: ModelState, renaming: Renaming) -> None:
+        self.state = state
+        self.now_us = state.timers.now_us
+        self.renaming = renaming
 
-    def left(self, at_us: int) -> int:
-        """How long until then; what has passed has passed."""
+    def remaining(self, at_us: int) -> int:
+        """Return the time until then; -1 for all times in the past."""
         return max(-1, at_us - self.now_us)
 
-    def buffered_until_us(self, one: upstream.PendingRequest) -> int:
-        return one.arrived_us + self.world.host.balancer.estimates.slow_us[one.event.class_index]
+    def age(self, at_us: int) -> int:
+        """Return the time since then as a negative number, up to a limit."""
+        return max(-MAX_AGE_US, at_us - self.now_us)
 
-    def attempt(self, one: upstream.Attempt) -> tuple[Any, ...]:
-        ended = one.outcome.value if one.outcome is not None else ""
+    def buffered_until_us(self, request: upstream.PendingRequest) -> int:
+        balancer = self.state.dispatcher.balancer
+        return request.arrived_us + balancer.estimates.slow_us[request.event.class_index]
+
+    def attempt(self, attempt: upstream.Attempt) -> tuple[Any, ...]:
         return (
-            self.rename[one.entry.id],
-            max(-OLDEST_US, one.sent_us - self.now_us),
-            min(one.overtaken, LOST_ATTEMPT_OVERTAKES),
-            one.overtaken_in_class,
-            one.overdue,
-            one.presumed_lost,
-            ended,
+            self.renaming[attempt.entry.id],
+            self.age(attempt.sent_us),
+            min(attempt.overtaken, LOST_ATTEMPT_OVERTAKES),
+            attempt.overtaken_in_class,
+            attempt.overdue,
+            attempt.presumed_lost,
+            attempt.outcome.value if attempt.outcome is not None else "",
         )
 
-    def server(self, one: upstream.TrackedUpstream) -> tuple[Any, ...]:
+    def tracked_upstream(self, tracked: upstream.TrackedUpstream) -> tuple[Any, ...]:
         return (
-            self.rename[one.entry.id],
-            one.entry.state.value,
-            one.in_flight,
-            int(one.concurrency.limit),
-            one.concurrency.limit < 1.0,
-            self.left(one.ejected_until_us),
-            tuple(health.timeout_streak for health in one.by_class),
-            tuple(self.left(health.ejected_until_us) for health in one.by_class),
-            one.queue_headroom,
-            one.concurrency.growing_fast,
-            one in self.world.host.balancer.membership.pool_of(one).subset.members,
-            len(one.outstanding),
+            self.renaming[tracked.entry.id],
+            tracked.entry.state.value,
+            tracked.in_flight,
+            int(tracked.concurrency.limit),
+            tracked.concurrency.limit < 1.0,
+            self.remaining(tracked.ejected_until_us),
+            tuple(health.timeout_streak for health in tracked.by_class),
+            tuple(self.remaining(health.ejected_until_us) for health in tracked.by_class),
+            tracked.queue_headroom,
+            tracked.concurrency.growing_fast,
+            tracked in self.state.dispatcher.balancer.membership.pool_of(tracked).subset.members,
+            len(tracked.outstanding),
         )
 
-    def asked(self, one: upstream.PendingRequest) -> tuple[Any, ...]:
+    def pending_request(self, request: upstream.PendingRequest) -> tuple[Any, ...]:
         return (
-            one.event.request,
-            self.left(one.event.due_us),
-            self.left(self.buffered_until_us(one)),
-            tuple(map(self.attempt, one.attempts)),
-            one.done,
+            request.event.request,
+            self.remaining(request.event.due_us),
+            self.remaining(self.buffered_until_us(request)),
+            tuple(map(self.attempt, request.attempts)),
+            request.done,
         )
 
-    def held(self, one: dispatcher.OpenRequest) -> tuple[Any, ...]:
+    def open_request(self, request: dispatcher.OpenRequest) -> tuple[Any, ...]:
         return (
-            one.ident,
-            one.closed,
-            self.left(one.due_us),
-            tuple((self.rename[a.upstream], a.ended) for a in one.attempts),
+            request.ident,
+            request.closed,
+            self.remaining(request.due_us),
+            tuple((self.renaming[attempt.upstream], attempt.ended) for attempt in request.attempts),
         )
 
-    def whole(self) -> tuple[Any, ...]:
-        world, balancer = self.world, self.world.host.balancer
-        flights = [
-            (
-                sent.request,
-                self.rename[sent.upstream],
-                sent.written,
-                sent.over,
-                sent.outcome.value if sent.outcome is not None else "",
-                max(-OLDEST_US, sent.at_us - self.now_us),
-            )
-            for sent in world.flights
-        ]
-        clients = [
-            (client.ident, client.gone, len(client.answers), self.left(client.due_us)) for client in world.clients
-        ]
-        timers = sorted(
-            (self.left(at_us), timer.what.__name__) for at_us, _, timer in world.timers.heap if not timer.cancelled
+    def sent_attempt(self, sent: SentAttempt) -> tuple[Any, ...]:
+        return (
+            sent.request,
+            self.renaming[sent.upstream],
+            sent.written,
+            sent.over,
+            sent.outcome.value if sent.outcome is not None else "",
+            self.age(sent.at_us),
         )
+
+    def environment(self) -> tuple[Any, ...]:
+        state = self.state
         return (
-            flights,
-            clients,
-            timers,
-            world.changes,
-            world.gone,
-            sorted((self.rename[upstream], state.value) for upstream, state in world.states.items()),
-            sorted(map(self.server, balancer.membership.by_id.values())),
-            [self.asked(one) for _, one in sorted(balancer.requests.items())],
-            [self.held(one) for _, one in sorted(world.host.requests.items())],
+            [self.sent_attempt(sent) for sent in state.attempts],
+            [
+                (client.ident, client.disconnected, len(client.answers), self.remaining(client.due_us))
+                for client in state.clients
+            ],
+            sorted(
+                (self.remaining(at_us), timer.callback.__name__)
+                for at_us, _, timer in state.timers.heap
+                if not timer.cancelled
+            ),
+            state.list_changes,
+            state.client_disconnects,
+            sorted((self.renaming[ident], listed.value) for ident, listed in state.states.items()),
+        )
+
+    def code_under_test(self) -> tuple[Any, ...]:
+        balancer = self.state.dispatcher.balancer
+        return (
+            sorted(map(self.tracked_upstream, balancer.membership.by_id.values())),
+            [self.pending_request(request) for _, request in sorted(balancer.requests.items())],
+            [self.open_request(request) for _, request in sorted(self.state.dispatcher.requests.items())],
             balancer.buffer.event.request if balancer.buffer is not None else 0,
-            sorted((self.left(due.at_us), due.kind.value, due.request, due.attempt) for due in balancer.wake_ups),
-            self.left(balancer.armed_us),
+            sorted((self.remaining(due.at_us), due.kind.value, due.request, due.attempt) for due in balancer.wake_ups),
+            self.remaining(balancer.armed_us),
             int(balancer.retries.budget),
             [int(2 * pool.admission.credit) for pool in balancer.membership.pools],
         )
 
+    def text(self) -> str:
+        return repr(self.environment() + self.code_under_test())
 
-def digest(world: ModelState, ways: list[Rename]) -> bytes:
-    """The same for worlds that are the same."""
-    texts = (repr(_View(world, rename).whole()) for rename in ways)
-    return hashlib.blake2b(min(texts).encode(), digest_size=12).digest()
 
-
-Digest = Callable[[ModelState], bytes]
+def digest(state: ModelState, allowed: list[Renaming]) -> bytes:
+    """Return a digest that is the same for states that are equal under one of the renamings."""
+    texts = (_View(state, renaming).text() for renaming in allowed)
+    return hashlib.blake2b(min(texts).encode(), digest_size=DIGEST_BYTES).digest()
 
 
 @functools.cache
 def digester(model: Model) -> Digest:
-    ways = list(renamings(model))
-    return lambda world: digest(world, ways)
+    """Return the function that computes the digests of a model's states."""
+    allowed = list(renamings(model))
+    return lambda state: digest(state, allowed)
--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -1,148 +1,195 @@
-"""All paths of a model, breadth first, so that what is found first is shortest. Several processes, bounded memory, and
-it goes on where it was left.
+"""Exploration of a model's state space, breadth first, so that the first violation has a shortest path.
+
+It uses several processes, bounds its memory, and can be continued from a checkpoint.
 """
 
 from __future__ import annotations
 
 import os
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from pathlib import Path
 
 import msgspec
 
 from ryepier.check.canonical import digester
+from ryepier.check.environment import UndecidedDraw
 from ryepier.check.formats import Checkpoint, decode_step, encode_step, model_signature
-from ryepier.check.model import Model, ModelState, Step, UndecidedDraw, Violation, replay
+from ryepier.check.model import Model, Step, Violation
+from ryepier.check.state import ModelState, replay
 
-CHUNK = 64  # paths that a process takes at a time
-MOST_STATES = 3_000_000  # digests kept: some 300 MB
+CHUNK_SIZE = 64  # paths that a process expands at a time
+MAX_STATES = 3_000_000  # their digests take some 300 MB
 Steps = tuple[Step, ...]
-SeededFault = Callable[[], None]
+FaultInstaller = Callable[[], None]
 
 
 @dataclass(slots=True)
 class Expansion:
-    """What one path leads to."""
+    """The successors of one path."""
 
-    children: list[tuple[bytes, Steps]] = field(default_factory=list)
+    children: list[tuple[bytes, Steps]] = field(default_factory=list)  # digest of the state, and path
     violation: Violation | None = None
-    path: Steps = ()  # to the breach
+    path: Steps = ()  # to the violation
     transitions: int = 0
-    ends: int = 0  # paths on which all is over
+    ends: int = 0  # successors in which everything has ended
 
 
 @dataclass(slots=True)
 class Exploration:
-    """What was explored, and the shortest path to a breach, if there is one."""
+    """What has been explored, and the shortest path to a violation, if there is one."""
 
     states: int = 1
     transitions: int = 0
     ends: int = 0
     depth: int = 0
     seconds: float = 0.0
-    complete: bool = False  # nothing is left to explore
+    complete: bool = False  # the whole state space
     violation: Violation | None = None
     path: Steps = ()
 
 
-def successors(model: Model, path: Steps) -> Iterable[tuple[Steps, ModelState]]:
-    """Each path that is one step longer, with its world; a step in which the module draws comes once for each draw."""
+def successors(model: Model, path: Steps) -> Iterator[tuple[Steps, ModelState]]:
+    """Yield each path that is one step longer, with its state; a step with random draws, once for each result."""
     for step in replay(model, path).steps():
-        waiting = [step]
-        while waiting:
-            one = waiting.pop()
-            world = replay(model, path)
+        pending = [step]
+        while pending:
+            candidate = pending.pop()
+            state = replay(model, path)
             try:
-                world.do(one)
+                state.do(candidate)
             except UndecidedDraw as draw:
-                waiting += [Step(one.action, one.index, one.detail, (*one.draws, pick)) for pick in range(draw.choices)]
+                pending += [replace(candidate, draws=(*candidate.draws, result)) for result in range(draw.choices)]
                 continue
-            yield (*path, one), world
+            yield (*path, candidate), state
 
 
 def expand(model: Model, path: Steps) -> Expansion:
-    """One path's successors, and the first of them that breaks a rule."""
-    found, digest = Expansion(), digester(model)
-    for longer, world in successors(model, path):
-        found.transitions += 1
-        over = not world.violations and not world.steps()
-        if over:
-            found.ends += 1
-            world.settle()
-        if world.violations:
-            found.violation, found.path = world.violations[0], longer
-            return found
-        if not over:
-            found.children.append((digest(world), longer))
-    return found
-
-
-def expand_some(model: Model, paths: list[Steps]) -> list[Expansion]:
+    """Return a path's successors, up to the first that violates a rule."""
+    expansion, digest = Expansion(), digester(model)
+    for longer, state in successors(model, path):
+        expansion.transitions += 1
+        has_ended = not state.violations and not state.steps()
+        if has_ended:
+            expansion.ends += 1
+            state.settle()
+        if state.violations:
+            expansion.violation, expansion.path = state.violations[0], longer
+            return expansion
+        if not has_ended:
+            expansion.children.append((digest(state), longer))
+    return expansion
+
+
+def _expand_all(model: Model, paths: list[Steps]) -> list[Expansion]:
     return [expand(model, path) for path in paths]
 
 
-def save(path: Path, model: Model, seen: set[bytes], frontier: list[Steps], so_far: Exploration) -> None:
-    kept = Checkpoint(
+def save(path: Path, model: Model, seen: set[bytes], frontier: list[Steps], progress: Exploration) -> None:
+    """Write a checkpoint, in place of an earlier one only once it is complete."""
+    checkpoint = Checkpoint(
         model_signature(model),
         list(seen),
-        [[encode_step(step) for step in path] for path in frontier],
-        so_far.transitions,
-        so_far.ends,
-        so_far.depth,
-        so_far.seconds,
+        [[encode_step(step) for step in steps] for steps in frontier],
+        progress.transitions,
+        progress.ends,
+        progress.depth,
+        progress.seconds,
     )
     part = path.with_name(path.name + ".part")
-    part.write_bytes(msgspec.msgpack.encode(kept))
+    part.write_bytes(msgspec.msgpack.encode(checkpoint))
     os.replace(part, path)
 
 
 def load(path: Path, model: Model) -> tuple[set[bytes], list[Steps], Exploration]:
-    """Raises OSError, msgspec.MsgspecError, and ValueError where it is of another model."""
-    kept = msgspec.msgpack.decode(path.read_bytes(), type=Checkpoint)
-    if kept.model != model_signature(model):
+    """Return the digests, the frontier and the counts of a checkpoint.
+
+    Raises OSError, msgspec.MsgspecError, and ValueError if it is of another model.
+    """
+    checkpoint = msgspec.msgpack.decode(path.read_bytes(), type=Checkpoint)
+    if checkpoint.model != model_signature(model):
         raise ValueError("it is of another model")
-    frontier = [tuple(decode_step(step) for step in one) for one in kept.frontier]
-    return set(kept.seen), frontier, Exploration(len(kept.seen), kept.transitions, kept.ends, kept.depth, kept.seconds)
+    frontier = [tuple(decode_step(step) for step in steps) for steps in checkpoint.frontier]
+    progress = Exploration(
+        len(checkpoint.seen), checkpoint.transitions, checkpoint.ends, checkpoint.depth, checkpoint.seconds
+    )
+    return set(checkpoint.seen), frontier, progress
+
+
+class _Explorer:
+    """An exploration in progress."""
+
+    def __init__(self, model: Model, checkpoint: Path | None) -> None:
+        self.model = model
+        self.checkpoint = checkpoint
+        self.seen: set[bytes] = {digester(model)(replay(model, ()))}
+        self.frontier: list[Steps] = [()]
+        self.progress = Exploration()
+        if checkpoint is not None and checkpoint.exists():
+            self.seen, self.frontier, self.progress = load(checkpoint, model)
+        self._seconds_before = self.progress.seconds
+        self._began_s = time.monotonic()
+
+    @property
+    def elapsed_s(self) -> float:
+        """The time since this process began to explore."""
+        return time.monotonic() - self._began_s
+
+    def can_continue(self) -> bool:
+        """Return whether there is a further level to explore."""
+        is_depth_reached = 0 < self.model.depth <= self.progress.depth
+        return bool(self.frontier) and self.progress.violation is None and not is_depth_reached
+
+    def explore_level(self, pool: ProcessPoolExecutor) -> None:
+        """Expand every path of the frontier; the new states become the next frontier."""
+        paths, self.frontier = self.frontier, []
+        chunks = [paths[begin : begin + CHUNK_SIZE] for begin in range(0, len(paths), CHUNK_SIZE)]
+        for expansions in pool.map(_expand_all, [self.model] * len(chunks), chunks):
+            for expansion in expansions:
+                self._add(expansion)
+        self.progress.depth += 1
+        self.progress.states = len(self.seen)
+        self.progress.seconds = self._seconds_before + self.elapsed_s
+
+    def _add(self, expansion: Expansion) -> None:
+        progress = self.progress
+        progress.transitions += expansion.transitions
+        progress.ends += expansion.ends
+        if expansion.violation is not None and progress.violation is None:
+            progress.violation, progress.path = expansion.violation, expansion.path
+        for digest, path in expansion.children:
+            if digest not in self.seen:
+                self.seen.add(digest)
+                self.frontier.append(path)
+
+    def save(self) -> None:
+        """Write the checkpoint, if one is wanted."""
+        if self.checkpoint is not None:
+            save(self.checkpoint, self.model, self.seen, self.frontier, self.progress)
 
 
 def explore(
     model: Model,
     processes: int | None = None,
-    seeded_fault: SeededFault | None = None,
+    install_fault: FaultInstaller | None = None,
     checkpoint: Path | None = None,
     max_seconds: float = float("inf"),
-    on_progress: Callable[[Exploration], None] = lambda outcome: None,
+    on_progress: Callable[[Exploration], None] = lambda progress: None,
 ) -> Exploration:
-    """Level by level, until all is explored, a rule breaks, the model's depth is reached or the time is out."""
-    seen: set[bytes] = {digester(model)(replay(model, ()))}
-    frontier: list[Steps] = [()]
-    result = Exploration()
-    if checkpoint is not None and checkpoint.exists():
-        seen, frontier, result = load(checkpoint, model)
-    before_s, begun = result.seconds, time.monotonic()
-    with ProcessPoolExecutor(processes or os.cpu_count(), initializer=seeded_fault) as pool:
-        while frontier and result.violation is None and not 0 < model.depth <= result.depth:
-            chunks = [frontier[at : at + CHUNK] for at in range(0, len(frontier), CHUNK)]
-            frontier = []
-            for found in (one for some in pool.map(expand_some, [model] * len(chunks), chunks) for one in some):
-                result.transitions += found.transitions
-                result.ends += found.ends
-                if found.violation is not None and result.violation is None:
-                    result.violation, result.path = found.violation, found.path
-                for digest, path in found.children:
-                    if digest not in seen:
-                        seen.add(digest)
-                        frontier.append(path)
-            result.depth += 1
-            result.states = len(seen)
-            result.seconds = before_s + time.monotonic() - begun
-            on_progress(result)
-            if checkpoint is not None:
-                save(checkpoint, model, seen, frontier, result)
-            if len(seen) > MOST_STATES or time.monotonic() - begun > max_seconds:
+    """Explore level by level until the state space is complete, a rule is violated, or a limit is reached.
+
+    The limits are the model's depth, `max_seconds` and `MAX_STATES`. `install_fault` is called in each process. Raises
+    what `load` raises, if there is a checkpoint to continue from.
+    """
+    explorer = _Explorer(model, checkpoint)
+    with ProcessPoolExecutor(processes or os.cpu_count(), initializer=install_fault) as pool:
+        while explorer.can_continue():
+            explorer.explore_level(pool)
+            on_progress(explorer.progress)
+            explorer.save()
+            if len(explorer.seen) > MAX_STATES or explorer.elapsed_s > max_seconds:
                 break
-    result.complete = not frontier and result.violation is None
-    return result
+    explorer.progress.complete = not explorer.frontier and explorer.progress.violation is None
+    return explorer.progress
--- a/ryepier/check/formats.py
+++ b/ryepier/check/formats.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from ryepier.check.model import Model, Step
+from ryepier.check.model import Action, Model, Step
 
-EncodedStep = tuple[str, int, str, tuple[int, ...]]
+EncodedStep = tuple[Action, int, str, tuple[int, ...]]
 MODEL_KEYS = {
     "failure_domains": "cells",
     "max_attempts": "attempts",
--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -1,4 +1,4 @@
-"""Which lines of the module and the host an exploration reaches: what no path came to is listed, not guessed."""
+"""Which lines of the code under test an exploration executes."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 import sys
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
+from dataclasses import dataclass
 from types import CodeType, FrameType, ModuleType
-from typing import Any
+from typing import Any, NamedTuple
 
 from ryepier.sidecar import dispatcher
 
-DECISIONS = (
+DECISION_MODULES = (
     "admission",
     "balancer",
     "concurrency",
@@ -29,15 +30,31 @@
     "subsetting",
     "upstream",
 )
-WATCHED: tuple[ModuleType, ...] = (
-    *(importlib.import_module(f"ryepier.balancer.{name}") for name in DECISIONS),
+MODULES: tuple[ModuleType, ...] = (
+    *(importlib.import_module(f"ryepier.balancer.{name}") for name in DECISION_MODULES),
     dispatcher,
 )
-Lines = dict[str, set[int]]
+LINE_EVENT = "line"  # of sys.settrace
+Lines = dict[str, set[int]]  # line numbers by file
+
+
+@dataclass(frozen=True, slots=True)
+class Method:
+    """A method of a class that one of the modules defines."""
+
+    name: str
+    code: CodeType
+
+
+class UnreachedFunction(NamedTuple):
+    """A function and its lines that were not executed."""
+
+    name: str
+    lines: list[int]
 
 
 def code_lines(code: CodeType) -> set[int]:
-    """Those of one function and of what is defined in it; not its `def`."""
+    """Return the lines of a function, with those of functions defined in it, and without its `def`."""
     found = {line for _, line in dis.findlinestarts(code) if line is not None and line != code.co_firstlineno}
     for constant in code.co_consts:
         if isinstance(constant, CodeType):
@@ -45,47 +62,46 @@
     return found
 
 
-def functions(module: ModuleType) -> Iterator[tuple[str, CodeType]]:
-    """All methods of the classes that a module defines."""
-    for name, kind in vars(module).items():
-        if inspect.isclass(kind) and kind.__module__ == module.__name__:
-            for method, what in vars(kind).items():
-                if (
-                    inspect.isfunction(what)
-                    and what.__module__ == module.__name__
-                    and (what.__code__.co_filename == module.__file__)
-                ):
-                    yield f"{name}.{method}", what.__code__
+def methods(module: ModuleType) -> Iterator[Method]:
+    """Yield the methods of all classes that a module defines."""
+    for class_name, found in vars(module).items():
+        if not inspect.isclass(found) or found.__module__ != module.__name__:
+            continue
+        for name, member in vars(found).items():
+            if not inspect.isfunction(member) or member.__module__ != module.__name__:
+                continue
+            if member.__code__.co_filename == module.__file__:
+                yield Method(f"{class_name}.{name}", member.__code__)
 
 
 @contextmanager
 def record_lines() -> Iterator[Lines]:
-    """The lines that run meanwhile, by file."""
-    files = {str(module.__file__) for module in WATCHED}
-    seen: Lines = {name: set() for name in files}
+    """Record the lines of the modules that are executed within the context."""
+    files = {str(module.__file__) for module in MODULES}
+    executed: Lines = {name: set() for name in files}
 
-    def local(frame: FrameType, event: str, argument: Any) -> Callable[..., Any]:
-        if event == "line":
-            seen[frame.f_code.co_filename].add(frame.f_lineno)
-        return local
+    def trace_function(frame: FrameType, event: str, argument: Any) -> Callable[..., Any]:
+        if event == LINE_EVENT:
+            executed[frame.f_code.co_filename].add(frame.f_lineno)
+        return trace_function
 
-    def begin(frame: FrameType, event: str, argument: Any) -> Callable[..., Any] | None:
-        return local if frame.f_code.co_filename in files else None
+    def trace_call(frame: FrameType, event: str, argument: Any) -> Callable[..., Any] | None:
+        return trace_function if frame.f_code.co_filename in files else None
 
-    before = sys.gettrace()
-    sys.settrace(begin)
+    original = sys.gettrace()
+    sys.settrace(trace_call)
     try:
-        yield seen
+        yield executed
     finally:
-        sys.settrace(before)
+        sys.settrace(original)
 
 
-def unreached(seen: Lines) -> list[tuple[str, list[int]]]:
-    """Each function that is not reached whole, with its lines that are not."""
+def unreached(executed: Lines) -> list[UnreachedFunction]:
+    """Return the functions of which some lines were not executed."""
     found = []
-    for module in WATCHED:
-        for name, code in functions(module):
-            missing = sorted(code_lines(code) - seen[str(module.__file__)])
+    for module in MODULES:
+        for method in methods(module):
+            missing = sorted(code_lines(method.code) - executed[str(module.__file__)])
             if missing:
-                found.append((f"{module.__name__}: {name}", missing))
+                found.append(UnreachedFunction(f"{module.__name__}: {method.name}", missing))
     return found
--- a/ryepier/check/models.py
+++ b/ryepier/check/models.py
@@ -1,4 +1,4 @@
-"""The models that come with the project."""
+"""The models that ship with the project."""
 
 from __future__ import annotations
 
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -1,25 +1,27 @@
-"""Mistakes put into the real code on purpose, one for each rule at least, to see that it is found.
+"""Seeded faults (mutants) of the code under test, at least one for each rule, to show that the checker finds them.
 
-Each is a function to be called in a process of its own, as it stays.
+Each is installed by a function that patches the code. The patch stays, so it belongs in a process of its own.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from ryepier.balancer import interface as api
 from ryepier.balancer.balancer import Balancer, WakeUp, WakeUpKind
 from ryepier.balancer.outlier_detection import OutlierDetector
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.balancer.upstream import Attempt, PendingRequest
+from ryepier.check.model import Rule
 from ryepier.sidecar.dispatcher import OpenRequest, RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, FinalAnswer, FinalOutcome
 
-HELD_BEFORE_US = 30_000  # a held refusal goes out so long before the client's time is out
+DELAYED_ANSWER_LEAD_US = 30_000  # before the deadline
 
 
 def second_answer() -> None:
-    """What ends after the client had its answer answers once more."""
+    """Answer once more when an attempt ends after the client has its answer."""
     end = RequestDispatcher._end_attempt
 
     def end_and_answer(self: RequestDispatcher, opened: OpenRequest, number: int, result: AttemptResult) -> None:
@@ -32,19 +34,19 @@
 
 
 def lost_answer() -> None:
-    """What was reset is never given up, and the host's backstop is gone."""
+    """Never give up a request whose last attempt was reset, and disable the dispatcher's deadline check."""
     finish = Balancer.finish
 
-    def finish_most(self: Balancer, request: PendingRequest) -> None:
+    def finish_unless_reset(self: Balancer, request: PendingRequest) -> None:
         if not request.attempts or request.attempts[-1].outcome is not api.Outcome.RESET:
             finish(self, request)
 
-    Balancer.finish = finish_most  # type: ignore[method-assign]
+    Balancer.finish = finish_unless_reset  # type: ignore[method-assign]
     RequestDispatcher._on_overdue = lambda self, opened: None  # type: ignore[method-assign]
 
 
 def delayed_answer() -> None:
-    """A refusal waits for the client's time."""
+    """Delay rejections until shortly before the deadline."""
     give = RequestDispatcher._answer
 
     def answer_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
@@ -52,13 +54,13 @@
         if request is None or request.closed or answer.outcome is FinalOutcome.SERVED:
             give(self, ident, answer)
         else:
-            self._call_at(request.due_us - HELD_BEFORE_US, give, self, ident, answer)
+            self._call_at(request.due_us - DELAYED_ANSWER_LEAD_US, give, self, ident, answer)
 
     RequestDispatcher._answer = answer_late  # type: ignore[method-assign]
 
 
 def two_at_once() -> None:
-    """A silent attempt brings a second one beside it."""
+    """Send a second attempt while an overdue one is in flight."""
     wake = Balancer.wake
 
     def send_when_overdue(self: Balancer, due: WakeUp) -> None:
@@ -73,7 +75,7 @@
 
 
 def careless_resend() -> None:
-    """What was reset is taken for never run."""
+    """Treat a reset attempt as one that never ran."""
     never_ran = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.RESET)
 
     def first_not_reset(self: PendingRequest) -> Attempt | None:
@@ -83,12 +85,12 @@
 
 
 def any_failure_domain() -> None:
-    """A keyed class is sent again anywhere."""
+    """Retry requests with an idempotency key in any failure domain."""
     RetryPolicy.in_scope = lambda self, first, upstream: True  # type: ignore[method-assign]
 
 
-def long_memory() -> None:
-    """A keyed class is sent again however long ago the first was."""
+def long_idempotency_window() -> None:
+    """Retry requests with an idempotency key long after its window."""
     may_send = RetryPolicy.may_send
 
     def may_send_later(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
@@ -102,20 +104,22 @@
     RetryPolicy.may_send = may_send_later  # type: ignore[method-assign]
 
 
-def deaf() -> None:
-    """A converter that drains stays in the module's list and in the host's."""
+def ignored_drain() -> None:
+    """Treat draining converters as ready."""
 
-    def hear(self: RequestDispatcher, event: api.UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+    def on_endpoints(
+        self: RequestDispatcher, event: api.UpstreamsUpdated, addresses: dict[int, tuple[str, int]]
+    ) -> None:
         for entry in event.upstreams:
             entry.state = api.UpstreamState.READY if entry.state is api.UpstreamState.DRAINING else entry.state
         changed(self, event, addresses)
 
     changed = RequestDispatcher.on_endpoints
-    RequestDispatcher.on_endpoints = hear  # type: ignore[method-assign]
+    RequestDispatcher.on_endpoints = on_endpoints  # type: ignore[method-assign]
 
 
-def freed_twice() -> None:
-    """A slot that was given up on suspicion is freed again at the attempt's end."""
+def released_twice() -> None:
+    """Release the slot of an attempt that was presumed lost a second time at its end."""
     presume_lost = OutlierDetector.presume_lost
 
     def presume_and_forget(self: OutlierDetector, attempt: Attempt) -> None:
@@ -125,13 +129,13 @@
     OutlierDetector.presume_lost = presume_and_forget  # type: ignore[method-assign]
 
 
-def never_forgotten() -> None:
-    """The host keeps a request whose client has gone."""
+def never_removed() -> None:
+    """Keep requests after their end."""
     RequestDispatcher._remove_if_done = lambda self, opened: None  # type: ignore[method-assign]
 
 
-def one_more() -> None:
-    """One attempt more than the settings allow."""
+def one_attempt_too_many() -> None:
+    """Send one attempt more than the settings allow."""
     may_send = RetryPolicy.may_send
 
     def may_send_more(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
@@ -153,27 +157,36 @@
     RequestDispatcher._send = send_more  # type: ignore[method-assign]
 
 
-def glib_refusal() -> None:
-    """Whatever is given up is refused, as if it had never run."""
+def always_rejected() -> None:
+    """Reject every request that is given up, as if it had never run."""
     carry_out = RequestDispatcher._execute
 
-    def refuse(self: RequestDispatcher, action: api.Action) -> None:
+    def reject(self: RequestDispatcher, action: api.Action) -> None:
         carry_out(self, api.Reject(action.request) if isinstance(action, api.Fail) else action)
 
-    RequestDispatcher._execute = refuse  # type: ignore[method-assign]
-
-
-SEEDED_FAULTS: dict[str, tuple[str, Callable[[], None]]] = {  # by name: the rule that breaks, and the mistake
-    "second-answer": ("answers", second_answer),
-    "lost-answer": ("in time", lost_answer),
-    "held-answer": ("at once", delayed_answer),
-    "two-at-once": ("together", two_at_once),
-    "careless-resend": ("resend", careless_resend),
-    "any-cell": ("resend", any_failure_domain),
-    "long-memory": ("resend", long_memory),
-    "deaf": ("drain", deaf),
-    "freed-twice": ("slots", freed_twice),
-    "never-forgotten": ("leak", never_forgotten),
-    "one-more": ("attempts", one_more),
-    "glib-refusal": ("refused", glib_refusal),
+    RequestDispatcher._execute = reject  # type: ignore[method-assign]
+
+
+@dataclass(frozen=True, slots=True)
+class SeededFault:
+    """A seeded fault, and the rule that it violates."""
+
+    rule: Rule
+    install: Callable[[], None]
+
+
+SEEDED_FAULTS = {
+    "second-answer": SeededFault(Rule.ANSWERS, second_answer),
+    "lost-answer": SeededFault(Rule.IN_TIME, lost_answer),
+    "held-answer": SeededFault(Rule.AT_ONCE, delayed_answer),
+    "two-at-once": SeededFault(Rule.TOGETHER, two_at_once),
+    "careless-resend": SeededFault(Rule.RESEND, careless_resend),
+    "any-cell": SeededFault(Rule.RESEND, any_failure_domain),
+    "long-memory": SeededFault(Rule.RESEND, long_idempotency_window),
+    "deaf": SeededFault(Rule.DRAIN, ignored_drain),
+    "freed-twice": SeededFault(Rule.SLOTS, released_twice),
+    "never-forgotten": SeededFault(Rule.LEAK, never_removed),
+    "one-more": SeededFault(Rule.ATTEMPTS, one_attempt_too_many),
+    "glib-refusal": SeededFault(Rule.REFUSED, always_rejected),
 }
+"""The seeded faults, by the names that commands and files use."""
--- a/ryepier/check/trace.py
+++ b/ryepier/check/trace.py
@@ -1,4 +1,4 @@
-"""A path as people read it: a sequence chart, with the lines of code that brought about what was sent."""
+"""A path as a sequence chart, with the lines of code that caused each attempt and each end."""
 
 from __future__ import annotations
 
@@ -9,60 +9,67 @@
 from typing import Any
 
 from ryepier.balancer import balancer
-from ryepier.check.model import Model, ModelState, Step
+from ryepier.check.model import Model, Step, Violation
+from ryepier.check.state import ModelState
 
-DECISIONS = Path(balancer.__file__).parent
-COLUMN = 22
+DECISIONS_FOLDER = Path(balancer.__file__).parent
+DISPATCHER_FILE = "dispatcher.py"
+PLUMBING = ("handle", "_handle", "_dispatch")  # functions that only pass events on
+MAX_FRAMES = 3
+INDENT = " " * 22
 
 
-def who_called(depth: int) -> str:
-    """The lines of the module and the host on the stack, the innermost first."""
+def calling_lines(depth: int) -> str:
+    """Return the lines of the code under test on the stack from `depth` on, the innermost first."""
     frame: FrameType | None = sys._getframe(depth)
     found = []
     while frame is not None:
         path = Path(frame.f_code.co_filename)
-        name = path.name
-        watched = path.parent == DECISIONS or name == "dispatcher.py"
-        if watched and frame.f_code.co_name not in ("handle", "_handle", "_dispatch"):
-            found.append(f"{name}:{frame.f_lineno} {frame.f_code.co_name}")
+        is_watched = path.parent == DECISIONS_FOLDER or path.name == DISPATCHER_FILE
+        if is_watched and frame.f_code.co_name not in PLUMBING:
+            found.append(f"{path.name}:{frame.f_lineno} {frame.f_code.co_name}")
         frame = frame.f_back
-    return " < ".join(found[:3])
+    return " < ".join(found[:MAX_FRAMES])
 
 
-class _Watched:
-    """A world whose module says which of its lines decide."""
+class _TracedState:
+    """A state whose balancer records which lines decide."""
 
     def __init__(self, model: Model) -> None:
-        self.world = ModelState(model)
-        self.lines: list[str] = []
-        self.wrap(self.world.host.balancer, "send")
-        self.wrap(self.world.host.balancer, "finish")
+        self.state = ModelState(model)
+        self.decisions: list[str] = []
+        self._wrap(self.state.dispatcher.balancer, "send")
+        self._wrap(self.state.dispatcher.balancer, "finish")
 
-    def wrap(self, owner: Any, name: str) -> None:
-        real = getattr(owner, name)
+    def _wrap(self, owner: Any, name: str) -> None:
+        original = getattr(owner, name)
 
         def call(*arguments: Any) -> Any:
-            self.lines.append(f"{name} by {who_called(2)}")
-            return real(*arguments)
+            self.decisions.append(f"{name} by {calling_lines(2)}")
+            return original(*arguments)
 
         setattr(owner, name, call)
 
 
+def _violation_lines(violations: Sequence[Violation]) -> list[str]:
+    return [f"{INDENT}BREAKS {violation.rule}: {violation.text}" for violation in violations]
+
+
 def chart(model: Model, path: Sequence[Step], settle: bool = True) -> list[str]:
-    """Time, the step, what came of it, and by which lines."""
-    watched = _Watched(model)
-    world = watched.world
+    """Return lines with the time, each step, its effects, and the code that caused them."""
+    traced = _TracedState(model)
+    state = traced.state
     lines = ["", *(f"request {number} is of class {name}" for number, name in enumerate(model.requests)), ""]
-    begun_us = world.timers.now_us
+    began_us = state.timers.now_us
     for step in path:
-        seen, decided = len(world.events), len(watched.lines)
-        breaches = len(world.violations)
-        world.do(step)
-        lines.append(f"{(world.timers.now_us - begun_us) / 1000:8.1f} ms  {step}")
-        lines += [f"{'':{COLUMN}}{text}" for text in world.events[seen:]]
-        lines += [f"{'':{COLUMN}}    {text}" for text in watched.lines[decided:]]
-        lines += [f"{'':{COLUMN}}BREAKS {breach.rule}: {breach.text}" for breach in world.violations[breaches:]]
-    if settle and not world.violations and not world.steps():
-        world.settle()
-        lines += [f"{'':{COLUMN}}BREAKS {breach.rule}: {breach.text}" for breach in world.violations]
+        event_count, decision_count = len(state.events), len(traced.decisions)
+        violation_count = len(state.violations)
+        state.do(step)
+        lines.append(f"{(state.timers.now_us - began_us) / 1000:8.1f} ms  {step}")
+        lines += [f"{INDENT}{text}" for text in state.events[event_count:]]
+        lines += [f"{INDENT}    {text}" for text in traced.decisions[decision_count:]]
+        lines += _violation_lines(state.violations[violation_count:])
+    if settle and not state.violations and not state.steps():
+        state.settle()
+        lines += _violation_lines(state.violations)
     return lines
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -99,7 +99,7 @@
 ) -> None:
     """Explore MODEL; exit with 1 if a rule is broken, with the shortest path to that."""
     selected = select_model(model, converters, requests, depth)
-    install_fault = SEEDED_FAULTS[seeded_fault][1] if seeded_fault else None
+    install_fault = SEEDED_FAULTS[seeded_fault].install if seeded_fault else None
     try:
         outcome = explore.explore(selected, processes, install_fault, checkpoint, max_s, print_progress)
     except (OSError, msgspec.MsgspecError, ValueError) as error:
@@ -145,7 +145,7 @@
         model = decode_model(saved.model)
         steps = [decode_step(step) for step in saved.path]
         if saved.seeded_fault:
-            SEEDED_FAULTS[saved.seeded_fault][1]()
+            SEEDED_FAULTS[saved.seeded_fault].install()
         print("\n".join(trace.chart(model, steps)))
     except (OSError, msgspec.MsgspecError, KeyError, IndexError, AttributeError) as error:
         fail("check trace", f"{path}: {error!r}", ExitCode.MISUSE)
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -10,12 +10,13 @@
 
 from ryepier.check import explore, line_coverage, trace
 from ryepier.check.canonical import digester
-from ryepier.check.model import Model, Step, replay
+from ryepier.check.model import Action, Model, Step
 from ryepier.check.models import MODELS
 from ryepier.check.seeded_faults import SEEDED_FAULTS
+from ryepier.check.state import replay
 from ryepier.cli import main
 
-ARRIVE = Step("arrive", 0)
+ARRIVE = Step(Action.ARRIVE, 0)
 
 
 def test_a_small_model_is_explored_whole_and_keeps_all_rules() -> None:
@@ -25,7 +26,7 @@
 
 
 def in_a_process(plant: str, model: Model) -> explore.Exploration:
-    return explore.explore(model, processes=2, seeded_fault=SEEDED_FAULTS[plant][1])
+    return explore.explore(model, processes=2, install_fault=SEEDED_FAULTS[plant].install)
 
 
 @pytest.mark.parametrize(
@@ -47,18 +48,18 @@
 )
 def test_each_planted_mistake_breaks_its_rule(plant: str, model: Model) -> None:
     outcome = in_a_process(plant, model)
-    assert outcome.violation is not None and outcome.violation.rule == SEEDED_FAULTS[plant][0]
+    assert outcome.violation is not None and outcome.violation.rule == SEEDED_FAULTS[plant].rule
     assert explore.explore(model, processes=2).violation is None
 
 
 def test_a_path_leads_to_the_same_world_each_time_and_alike_converters_are_one() -> None:
     model = Model("m", 2, ("ask", "ask"), outcomes=("ok",))
     digest = digester(model)
-    paths = [[Step("arrive", 0, "", (pick,)), Step("arrive", 1)] for pick in (0, 1)]
+    paths = [[Step(Action.ARRIVE, 0, "", (pick,)), Step(Action.ARRIVE, 1)] for pick in (0, 1)]
     first, second = (digest(replay(model, path[:1])) for path in paths)
     assert first == second == digest(replay(model, paths[0][:1]))
     apart = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
-    assert digester(apart)(replay(apart, [Step("arrive", 0, "", (0,))])) != digester(apart)(replay(apart, []))
+    assert digester(apart)(replay(apart, [Step(Action.ARRIVE, 0, "", (0,))])) != digester(apart)(replay(apart, []))
 
 
 def test_an_exploration_goes_on_where_it_was_left(tmp_path: Path) -> None:
@@ -75,7 +76,7 @@
 
 
 def test_a_trace_says_which_lines_sent_what_and_a_bad_file_is_refused(tmp_path: Path) -> None:
-    lines = trace.chart(Model("m", 1, ("ask",), outcomes=("reset", "ok")), [ARRIVE, Step("answer", 0, "reset")])
+    lines = trace.chart(Model("m", 1, ("ask",), outcomes=("reset", "ok")), [ARRIVE, Step(Action.ANSWER, 0, "reset")])
     assert any("send by balancer.py:" in line and "place" in line for line in lines)
     path = tmp_path / "path.json"
     path.write_text(
@@ -87,7 +88,7 @@
 
 def test_lines_that_no_path_reaches_are_told() -> None:
     with line_coverage.record_lines() as seen:
-        replay(Model("m", 1, ("ask",)), [ARRIVE, Step("answer", 0, "ok")])
+        replay(Model("m", 1, ("ask",)), [ARRIVE, Step(Action.ANSWER, 0, "ok")])
     missing = dict(line_coverage.unreached(seen))
     assert "ryepier.sidecar.dispatcher: RequestDispatcher._on_overdue" in missing
     assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in missing  # only the observers' lines
