--- a/ryepier/maintenance/ledger.py
+++ b/ryepier/maintenance/ledger.py
@@ -43,7 +43,7 @@
 
 
 class Ledger:
-    """The state of one region; `apply` is the only way to change it."""
+    """The state of one region; `apply` is the only way to change it. Only the event loop's thread may call a ledger."""
 
     view_type: ClassVar[type[CapacityView]] = CapacityView
     request_commands_type: ClassVar[type[RequestCommands]] = RequestCommands
@@ -63,11 +63,11 @@
         self.region = ledger_state.region
         self.state = ledger_state
         self.view = self.view_type(agreement, self.region, ledger_state)
-        self.context = LedgerContext(agreement, self.region, ledger_state, self.view)
-        self.requests = self.request_commands_type(self.context)
-        self.leases = LeaseCommands(self.context)
-        self.observations = self.observation_commands_type(self.context)
-        self.transfers = self.transfer_commands_type(self.context)
+        self._context = LedgerContext(agreement, self.region, ledger_state, self.view)
+        self._request_commands = self.request_commands_type(self._context)
+        self._lease_commands = LeaseCommands(self._context)
+        self._observation_commands = self.observation_commands_type(self._context)
+        self._transfer_commands = self.transfer_commands_type(self._context)
 
     @classmethod
     def restore(cls, agreement: Agreement, region: str, snapshot: bytes) -> Ledger:
@@ -87,25 +87,25 @@
         self.state.applied = index
         match command:
             case SubmitRequest():
-                return self.requests.submit(command)
+                return self._request_commands.submit(command)
             case CancelRequest():
-                return self.requests.cancel(command)
+                return self._request_commands.cancel(command)
             case AdvanceTime():
-                return self.requests.advance_time(command.now_ms)
+                return self._request_commands.advance_time(command.now_ms)
             case GrantLease():
-                return self.leases.grant(command)
+                return self._lease_commands.grant(command)
             case TakeOverLease() | StartDrain() | ReleaseLease() | RevokeLease():
-                return self.leases.change(command)
+                return self._lease_commands.change(command)
             case RecordObservation():
-                return self.observations.observe(command)
+                return self._observation_commands.observe(command)
             case RecordCapacityNeeds():
-                return self.observations.record_needs(command)
+                return self._observation_commands.record_needs(command)
             case DebitTransfer():
-                return self.transfers.debit(command.transfer)
+                return self._transfer_commands.debit(command.transfer)
             case CreditTransfer():
-                return self.transfers.credit(command.transfer)
+                return self._transfer_commands.credit(command.transfer)
             case AcknowledgeTransfer():
-                return self.transfers.acknowledge(command.transfer)
+                return self._transfer_commands.acknowledge(command.transfer)
 
     @property
     def applied(self) -> int:
@@ -131,7 +131,7 @@
 
     def is_below_agreement(self, service: str) -> bool:
         """Return whether less capacity is available than agreed, as far as this region knows."""
-        return self.context.is_below_agreement(service)
+        return self._context.is_below_agreement(service)
 
     def open_leases(self) -> list[Lease]:
         """Return all leases that still have a converter out, oldest first. The caller must not change them."""
@@ -154,8 +154,8 @@
 
     def transfers_due(self) -> list[Transfer]:
         """Return the transfers that this region should debit for the needs that its peers reported."""
-        return self.transfers.due()
+        return self._transfer_commands.due()
 
-    def needs(self) -> dict[str, CapacityNeed]:
+    def capacity_needs(self) -> dict[str, CapacityNeed]:
         """Return what to report to the other regions, by service, under the number `applied`."""
-        return {service: self.transfers.need(service) for service in self.agreement.services}
+        return {service: self._transfer_commands.need(service) for service in self.agreement.services}
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -19,7 +19,7 @@
 
 
 class Planner:
-    """The schedule of a ledger, computed again when the ledger has changed."""
+    """The schedule of a ledger, computed again once it has changed. Only the event loop's thread may call it."""
 
     def __init__(self, ledger: Ledger, freeze_ms: int = FREEZE_MS) -> None:
         """Read from `ledger`, which goes on changing; planned windows that start within `freeze_ms` are not moved."""
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -66,7 +66,7 @@
 
         Raises CallError.
         """
-        needs = ledger.needs()
+        needs = ledger.capacity_needs()
         if needs == self.last_reported:
             return
         self.last_reported = None  # until the report is acknowledged
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -35,7 +35,7 @@
 
 
 class Server:
-    """Serves the connections of one coordinator."""
+    """Serves the connections of one coordinator, each in a task of its own."""
 
     def __init__(
         self,
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -275,7 +275,7 @@
         """Send the region's needs with its transfers."""
         self.send_transfers(region)
         ledger = self.ledger(region)
-        need = RecordCapacityNeeds(region, ledger.applied, ledger.needs())
+        need = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
         self.network += [Message(other, need) for other in self.replicas if other != region]
 
     def deliver(self, number: int, *, keep: bool = False) -> None:
--- a/tests/test_maintenance_transfers.py
+++ b/tests/test_maintenance_transfers.py
@@ -66,9 +66,9 @@
     ledger = cluster.ledger("north")
     far = request("far", converters=("n00", "n01", "n02"), max_unavailable=3, earliest_ms=10**6, deadline_ms=10**9)
     cluster.apply("north", SubmitRequest(far))
-    assert ledger.needs()["convert"].shortage == 0
+    assert ledger.capacity_needs()["convert"].shortage == 0
     cluster.apply("north", AdvanceTime(500_000))
-    assert ledger.needs()["convert"].shortage == 1000
+    assert ledger.capacity_needs()["convert"].shortage == 1000
 
 
 def test_a_region_that_needs_its_allowance_gives_none_and_deficits_go_before_shortages() -> None:
