--- /dev/null
+++ b/tests/disconnect_testbed.py
@@ -0,0 +1,180 @@
+"""A sidecar and a converter that holds its responses, and clients that disconnect in several ways."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+import struct
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import pytest
+
+from ryepier.balancer.interface import Idempotency, RequestClass
+from ryepier.sidecar.requests import ClientRequest
+from tests.network_peers import OK, Sidecar, Upstream, read_message, request, status_of, wait_until
+from tests.sidecar_probes import DelayedConnections
+
+DISCONNECT_NOTICED_S = 0.15  # no attempt begins later than 0.1 s after its client has disconnected
+SETTLE_S = 0.05  # for what is under way on loopback
+LOOP_DELAY_S = 0.3
+CLASSES = [
+    RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT),
+    RequestClass("read", 10_000_000, 20_000_000, late_weight=0.5),
+]
+
+# Ways to disconnect
+
+Disconnect = Callable[[socket.socket], None]
+
+
+def close(sock: socket.socket) -> None:
+    """Close the connection."""
+    sock.close()
+
+
+def reset(sock: socket.socket) -> None:
+    """Reset the connection."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    sock.close()
+
+
+def end_sending(sock: socket.socket) -> None:
+    """Close the sending direction only."""
+    sock.shutdown(socket.SHUT_WR)
+
+
+DISCONNECTS = [close, reset, end_sending]
+# with the number of bytes that the client sends first: the sidecar discards 65,536 of them at most
+DISCONNECTS_BEHIND_BYTES = [
+    (close, 0),
+    (reset, 0),
+    (end_sending, 0),
+    (close, 1),
+    (reset, 60_000),
+    (close, 65_536),
+    (close, 65_537),
+    (end_sending, 200_000),
+]
+
+
+def disconnect_behind_bytes(sock: socket.socket, disconnect: Disconnect, byte_count: int) -> None:
+    """Send bytes that are no request, and disconnect."""
+    sock.sendall(b"x" * byte_count)
+    disconnect(sock)
+
+
+def block_loop(*steps: Callable[[], object]) -> None:
+    """Block the event loop while the steps run, long enough for it to find all their effects in its next turn."""
+    for step in steps:
+        step()
+        time.sleep(LOOP_DELAY_S / len(steps))
+
+
+# The sidecar and its converter
+
+
+@dataclass
+class ManualConverter(Upstream):
+    """Holds its responses while `is_holding`, and counts attempts by their first byte."""
+
+    is_holding: bool = True
+    started: int = 0
+    held: list[asyncio.StreamWriter] = field(default_factory=list)
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read requests, and count each at its first byte."""
+        self.connections += 1
+        try:
+            while byte := await reader.read(1):
+                self.started += 1
+                head, body = await read_message(reader)
+                self.requests.append((byte + head, body))
+                await self.script(self, len(self.requests) - 1, reader, writer)
+        except (asyncio.IncompleteReadError, ConnectionError):
+            pass
+        finally:
+            writer.close()
+
+    def respond(self, data: bytes) -> None:
+        """Respond to the held request, even while the loop is blocked, and hold no further one."""
+        self.is_holding = False
+        os.write(self.held.pop().get_extra_info("socket").fileno(), data)
+
+    def request_ids(self) -> list[int]:
+        """Return the ids of the requests that have arrived, in their order."""
+        return [int(head.partition(b"X-Request-Id: ")[2].split()[0]) for head, _ in self.requests]
+
+
+async def hold_or_respond(
+    upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
+    """Respond at once, or leave that to `ManualConverter.respond`."""
+    assert isinstance(upstream, ManualConverter)
+    if upstream.is_holding:
+        upstream.held.append(writer)
+    else:
+        writer.write(OK)
+
+
+def manual_converter(is_holding: bool = True) -> ManualConverter:
+    """Return a converter that holds its responses, or responds at once."""
+    return ManualConverter(hold_or_respond, is_holding=is_holding)
+
+
+@dataclass
+class Testbed:
+    """A sidecar with one converter; a test's requests have numbers below 99."""
+
+    __test__ = False
+
+    sidecar: Sidecar
+    converter: ManualConverter
+    accepted: list[ClientRequest]
+    """The requests that the sidecar has accepted."""
+    monkeypatch: pytest.MonkeyPatch
+
+    def connect(self, data: bytes = b"") -> socket.socket:
+        """Connect a client that sends these bytes."""
+        sock = socket.create_connection(("127.0.0.1", self.sidecar.port))
+        sock.sendall(data)
+        return sock
+
+    async def occupy_only_slot(self) -> socket.socket:
+        """Send request 1, to which the converter holds its response, and return its client.
+
+        The sidecar has an idle connection then, on which it can send its next attempt at once: that connection was
+        opened for a client that left while it came up.
+        """
+        delayed = DelayedConnections()
+        with self.monkeypatch.context() as patch:
+            delayed.delay(self.converter, patch)
+            leaving = self.connect(request("pay", "0"))
+            await wait_until(lambda: delayed.started == 1)
+            leaving.close()
+            await asyncio.sleep(SETTLE_S)
+            client = self.connect(request("pay", "1"))
+            await wait_until(lambda: delayed.started == 2)
+            delayed.released.set()
+            await wait_until(lambda: len(self.converter.held) == 1)
+        client.setblocking(False)
+        await asyncio.sleep(SETTLE_S)  # a connection is not used in the moment in which it comes up
+        assert self.converter.connections == 2
+        return client
+
+    async def wait_in_buffer(self) -> socket.socket:
+        """Send request 2, which waits in the buffer as request 1 has the only slot, and return its client."""
+        client = self.connect(request("pay", "2"))
+        await wait_until(lambda: b"2" in [accepted.request_id for accepted in self.accepted])
+        assert self.converter.request_ids() == [1]
+        return client
+
+    async def check_only_sent(self, *request_ids: int) -> None:
+        """Check that the converter got no attempt but for these requests; a further request is served as usual."""
+        await asyncio.sleep(SETTLE_S)
+        assert status_of(await self.sidecar.fetch(request("pay", "99"))) == 200
+        await asyncio.sleep(SETTLE_S)
+        assert self.converter.request_ids() == [*request_ids, 99]
+        assert self.converter.started == len(request_ids) + 1
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -13,8 +13,6 @@
 from pathlib import Path
 from typing import Any
 
-import pytest
-
 from ryepier.balancer.interface import Idempotency, IdempotencyScope, RequestClass, Settings
 from ryepier.sidecar.config import Config
 from ryepier.sidecar.serving import serve
@@ -395,23 +393,3 @@
     async with asyncio.timeout(HANG_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
-
-
-@dataclass
-class DelayedConnections:
-    """Connections to an upstream that come up once they are let."""
-
-    released: asyncio.Event = field(default_factory=asyncio.Event)
-    started: int = 0
-
-    def delay(self, upstream: Upstream, patch: pytest.MonkeyPatch) -> None:
-        """From now on, those that are not up yet."""
-        connect = asyncio.SelectorEventLoop.sock_connect
-
-        async def late(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
-            if address[1] == upstream.port:
-                self.started += 1
-                await self.released.wait()
-            await connect(loop, sock, address)
-
-        patch.setattr(asyncio.SelectorEventLoop, "sock_connect", late)
--- /dev/null
+++ b/tests/sidecar_probes.py
@@ -0,0 +1,75 @@
+"""Hooks into a sidecar of this process: records what it takes in, and delays its connections to upstreams."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+import pytest
+
+from ryepier.sidecar.dispatcher import RequestDispatcher
+from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer
+from ryepier.sidecar.server import Server
+from tests.network_peers import Upstream
+
+
+def record_requests(monkeypatch: pytest.MonkeyPatch) -> list[ClientRequest]:
+    """Return the requests that sidecars accept from now on, as they come."""
+    requests: list[ClientRequest] = []
+    on_request = RequestDispatcher.on_request
+
+    def record(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
+        requests.append(request)
+        return on_request(self, request, reply)
+
+    monkeypatch.setattr(RequestDispatcher, "on_request", record)
+    return requests
+
+
+def record_ended_attempts(monkeypatch: pytest.MonkeyPatch) -> list[int]:
+    """Return the numbers of the attempts that end from now on, as they do."""
+    numbers: list[int] = []
+    end_attempt = RequestDispatcher._end_attempt
+
+    def record(self: RequestDispatcher, request: Any, number: int, result: AttemptResult) -> None:
+        numbers.append(number)
+        end_attempt(self, request, number, result)
+
+    monkeypatch.setattr(RequestDispatcher, "_end_attempt", record)
+    return numbers
+
+
+def record_servers(monkeypatch: pytest.MonkeyPatch) -> list[Server]:
+    """Return the servers that listen from now on, as they come."""
+    servers: list[Server] = []
+    listen = Server.listen
+
+    def record(self: Server) -> None:
+        servers.append(self)
+        listen(self)
+
+    monkeypatch.setattr(Server, "listen", record)
+    return servers
+
+
+@dataclass
+class DelayedConnections:
+    """Connections to an upstream that are established only once they are released."""
+
+    released: asyncio.Event = field(default_factory=asyncio.Event)
+    started: int = 0
+
+    def delay(self, upstream: Upstream, patch: pytest.MonkeyPatch) -> None:
+        """Delay the connections that start from now on."""
+        connect = asyncio.SelectorEventLoop.sock_connect
+
+        async def connect_after_release(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
+            if address[1] == upstream.port:
+                self.started += 1
+                await self.released.wait()
+            await connect(loop, sock, address)
+
+        patch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_after_release)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,7 +25,6 @@
     HANG_TIMEOUT_S,
     OK,
     SETTINGS,
-    DelayedConnections,
     Discovery,
     Upstream,
     endpoint_entry,
@@ -40,6 +39,7 @@
     write_configuration,
 )
 from tests.network_peers import sidecar as net_sidecar
+from tests.sidecar_probes import DelayedConnections
 
 pytestmark = pytest.mark.alone
 
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -14,7 +14,6 @@
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 from tests.network_peers import (
     OK,
-    DelayedConnections,
     Sidecar,
     Upstream,
     request,
@@ -24,6 +23,7 @@
     status_of,
     wait_until,
 )
+from tests.sidecar_probes import DelayedConnections
 
 DEADLINE_MS = 3_000
 SLACK_MS = 150
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -10,7 +10,6 @@
 import json
 import socket
 import time
-from collections.abc import Callable
 from pathlib import Path
 from urllib.parse import quote
 
@@ -20,14 +19,12 @@
 from ryepier.sidecar import system
 from ryepier.sidecar.client_connection import ClientConnection, ClientState
 from ryepier.sidecar.connection_pool import ConnectionPool
-from ryepier.sidecar.dispatcher import RequestDispatcher
-from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer
+from ryepier.sidecar.requests import AttemptResult, ClientRequest
 from ryepier.sidecar.server import FIRST_REQUEST_GRACE_S, Server
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
     HANG_TIMEOUT_S,
     OK,
-    DelayedConnections,
     Discovery,
     Sidecar,
     Upstream,
@@ -44,23 +41,11 @@
     wait_until,
     write_configuration,
 )
+from tests.sidecar_probes import DelayedConnections, record_requests, record_servers
 
 SHORT = [RequestClass("pay", latency_objective_us=200_000, deadline_us=400_000, idempotency=Idempotency.NON_IDEMPOTENT)]
 
 
-def taken(monkeypatch: pytest.MonkeyPatch) -> list[ClientRequest]:
-    """The requests that sidecars take from now on."""
-    calls: list[ClientRequest] = []
-    on_request = RequestDispatcher.on_request
-
-    def seen(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
-        calls.append(request)
-        return on_request(self, request, reply)
-
-    monkeypatch.setattr(RequestDispatcher, "on_request", seen)
-    return calls
-
-
 # The stop
 
 
@@ -462,7 +447,7 @@
 def test_a_request_that_waits_is_not_sent_once_its_client_has_left_whatever_it_sent_behind(
     behind: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    calls = taken(monkeypatch)
+    calls = record_requests(monkeypatch)
 
     async def test() -> None:
         let = asyncio.Event()
@@ -531,19 +516,6 @@
     run_async(test)
 
 
-def servers(monkeypatch: pytest.MonkeyPatch) -> list[Server]:
-    """Those that listen from now on."""
-    found: list[Server] = []
-    listen = Server.listen
-
-    def seen(self: Server) -> None:
-        found.append(self)
-        listen(self)
-
-    monkeypatch.setattr(Server, "listen", seen)
-    return found
-
-
 async def kept(it: Sidecar, made: list[Server]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
     """A connection on which a request was answered, at both ends."""
     reader, writer = await it.connect()
@@ -554,7 +526,7 @@
 
 
 def test_room_is_made_of_no_connection_on_which_a_request_has_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = servers(monkeypatch)
+    made = record_servers(monkeypatch)
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
@@ -570,7 +542,7 @@
 
 
 def test_a_request_that_crosses_the_close_of_its_connection_is_sent_nowhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = servers(monkeypatch)
+    made = record_servers(monkeypatch)
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
@@ -593,7 +565,7 @@
 
 
 def test_an_evicted_connection_ends_before_bytes_that_arrive_in_the_same_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = servers(monkeypatch)
+    made = record_servers(monkeypatch)
 
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as it:
@@ -617,7 +589,7 @@
 def test_names_that_are_not_plain_ascii_are_known_however_they_are_spelt(
     spelt: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    calls = taken(monkeypatch)
+    calls = record_requests(monkeypatch)
 
     def spell(name: str) -> bytes:
         return quote(name).encode() if spelt == "percent" else name.encode(spelt)
