--- a/ryepier/check/environment.py
+++ b/ryepier/check/environment.py
@@ -13,7 +13,7 @@
 
 
 class UndecidedDraw(BaseException):
-    """The code under test makes a random draw whose result the path does not say.
+    """The code under test makes a random draw whose result the path does not contain.
 
     Not an `Exception`, as the dispatcher continues after those.
     """
--- a/ryepier/check/invariants.py
+++ b/ryepier/check/invariants.py
@@ -100,13 +100,13 @@
 def violations_of_end(dispatcher: RequestDispatcher) -> Iterator[Violation]:
     """Yield what is still held once everything has ended and all timers have fired."""
     balancer = dispatcher.balancer
-    held = {
+    contents = {
         "the host's requests": dispatcher.requests,
         "the module's requests": balancer.requests,
         "the module's buffer": balancer.buffer,
         "slots": sum(upstream.in_flight for upstream in balancer.membership.by_id.values()),
         "timers": balancer.wake_ups,
     }
-    remaining = [name for name, content in held.items() if content]
+    remaining = [name for name, content in contents.items() if content]
     if remaining:
         yield Violation(Rule.LEAK, f"left once all is over: {', '.join(remaining)}")
--- a/ryepier/emulator/__init__.py
+++ b/ryepier/emulator/__init__.py
@@ -1,5 +1,6 @@
-"""The world that a sidecar lives in, over real loopback sockets: converters, discovery, clients and their faults.
+"""The environment of the sidecars: converters, discovery, clients and their faults, on loopback sockets or simulated.
 
-One world is one TOML file (`world.py`). Its draws and its timeline follow from the file and a seed alone, so every
-process of a run works them out for itself and needs only the moment at which the run begins.
+A scenario is a TOML file (`world`). Its random samples (`draws`) and fault schedule (`timeline`) depend only on the file
+and a seed, so every process of a run computes them for itself and only needs to know when the run begins. `harness` runs
+a world on sockets, `simulated` under virtual time.
 """
--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -140,9 +140,9 @@
             writer.close()
 
     async def _respond(self, head: list[str], writer: asyncio.StreamWriter) -> None:
-        method, _, rest_of_line = head[0].partition(" ")
+        method, _, target_and_version = head[0].partition(" ")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
-        target = rest_of_line.split(" ")[0]
+        target = target_and_version.split(" ")[0]
         self.calls.append(target)
         while self.faults.silent:
             await self._wait_for_change(self.bookmark_s)
@@ -260,12 +260,12 @@
     # Output
 
     async def _write_json(
-        self, writer: asyncio.StreamWriter, code: http.HTTPStatus, body: Object, extra_headers: str = ""
+        self, writer: asyncio.StreamWriter, code: http.HTTPStatus, body: Object, further_headers: str = ""
     ) -> None:
         data = json.dumps(body).encode()
         head = (
             f"HTTP/1.1 {code.value} {REASON_PHRASE}\r\nContent-Type: application/json\r\n"
-            f"{extra_headers}Content-Length: {len(data)}\r\n\r\n"
+            f"{further_headers}Content-Length: {len(data)}\r\n\r\n"
         )
         await self._write(writer, head.encode() + data)
 
--- a/ryepier/emulator/api_store.py
+++ b/ryepier/emulator/api_store.py
@@ -25,7 +25,7 @@
     """A call that the API answers with a Status object."""
 
     def __init__(self, code: http.HTTPStatus, reason: str, message: str) -> None:
-        """`reason` is the API's machine-readable word for the failure."""
+        """`reason` is the API's machine-readable code of the failure."""
         self.code = code
         self.status = {
             "kind": "Status",
--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -106,7 +106,7 @@
             self._finish()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the pool, and tell the request in flight."""
+        """Leave the pool, and end the request in flight."""
         if self in self.target.idle:
             self.target.idle.remove(self)
         user, self.user = self.user, None
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -111,7 +111,7 @@
             self.end(RequestOutcome.FAILED)
 
     def _record_origin(self, response: Response) -> None:
-        """Record what the body says; one that cannot be decoded is for the judge to find."""
+        """Record what the body contains; one that cannot be decoded is for the judge to find."""
         try:
             body = self.owner.codec.decode_response(response.body)
         except msgspec.DecodeError:
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -18,7 +18,7 @@
 from ryepier.emulator.timeline import Timeline
 from ryepier.emulator.world import Effect, World
 
-READ_SLACK_US = 100_000  # clients read on after their timeout for so long, so that late responses are recorded
+READ_SLACK_US = 100_000  # clients read on after their timeout, so that late responses are recorded
 SUMMARY_S = 0.5
 
 
--- /dev/null
+++ b/ryepier/emulator/converter_faults.py
@@ -0,0 +1,48 @@
+"""The fault that affects an emulated converter at present, and the requests that it affects."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Callable
+
+from ryepier.emulator.timeline import Step
+from ryepier.emulator.world import FaultKind
+
+UNRESPONSIVE = (FaultKind.HANG, FaultKind.CUT)
+
+
+class ConverterFaults:
+    """At most one fault at a time; a further one replaces it."""
+
+    def __init__(self, uid: str, sidecar_of: Callable[[bytes], int]) -> None:
+        """`sidecar_of` returns the sidecar that a request was sent to by its client."""
+        self._uid = uid.encode()
+        self._sidecar_of = sidecar_of
+        self._step: Step | None = None  # that began the fault
+
+    def begin(self, step: Step) -> None:
+        """Begin a fault in place of the present one."""
+        self._step = step
+
+    def end(self) -> FaultKind | None:
+        """End the present fault, and return its kind."""
+        step, self._step = self._step, None
+        return step.fault if step is not None else None
+
+    def is_any_of(self, *kinds: FaultKind) -> bool:
+        """Return whether the present fault is of one of these kinds."""
+        return self._step is not None and self._step.fault in kinds
+
+    @property
+    def is_unresponsive(self) -> bool:
+        """Whether the converter answers nothing at all."""
+        return self.is_any_of(*UNRESPONSIVE)
+
+    def affects(self, kind: FaultKind, request_id: bytes) -> bool:
+        """Return whether the present fault is of this kind and affects a request; the same for each of its attempts."""
+        step = self._step
+        if step is None or step.fault is not kind:
+            return False
+        if step.via is not None and self._sidecar_of(request_id) not in step.via:
+            return False
+        return zlib.crc32(request_id + self._uid) < step.share * 2**32
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -5,12 +5,12 @@
 import asyncio
 import http
 import socket
-import zlib
 from dataclasses import dataclass
 from typing import Protocol
 
 from ryepier.emulator import draws, graphql
 from ryepier.emulator.converter_connection import ConverterConnection, ReceivedRequest, encode_response
+from ryepier.emulator.converter_faults import ConverterFaults
 from ryepier.emulator.converter_model import (
     Action,
     ConverterModel,
@@ -29,7 +29,6 @@
 
 BACKLOG = 1024
 DEFAULT_WORK_US = b"1000"  # of a request without the header
-UNRESPONSIVE_FAULTS = (FaultKind.HANG, FaultKind.CUT)
 
 
 class ServerOwner(Protocol):
@@ -78,7 +77,7 @@
         self.in_flight: dict[int, _InFlight] = {}  # by token
         self._speaks_graphql = world.clients.speak_graphql
         self._window_us = {kind.name.encode(): int(kind.idempotency_window_ms * 1000) for kind in world.classes}
-        self._fault: Step | None = None  # the step that began the present fault
+        self._faults = ConverterFaults(self.uid, owner.sidecar_of)
         self._connections: dict[ConverterConnection, None] = {}  # in the order in which they were opened
         self._listener: asyncio.Server | None = None
         self._blocking: list[socket.socket] = []
@@ -102,23 +101,10 @@
 
     # Faults
 
-    def _has_fault(self, *kinds: FaultKind) -> bool:
-        return self._fault is not None and self._fault.fault in kinds
-
-    def _affects(self, kind: FaultKind, request_id: bytes) -> bool:
-        """Return whether the present fault is of this kind and affects the request; the same for each of its attempts
-        here."""
-        fault = self._fault
-        if fault is None or fault.fault is not kind:
-            return False
-        if fault.via is not None and self.owner.sidecar_of(request_id) not in fault.via:
-            return False
-        return zlib.crc32(request_id + self.uid.encode()) < fault.share * 2**32
-
     def _partitions(self, connection: ConverterConnection) -> bool:
         """Return whether a partition between zones drops the connection's request and its response."""
         attempt = connection.attempt
-        if attempt is None or not self._affects(FaultKind.ZONE_CUT, attempt.request_id.encode("latin-1")):
+        if attempt is None or not self._faults.affects(FaultKind.ZONE_CUT, attempt.request_id.encode("latin-1")):
             return False
         connection.partitioned = True
         return True
@@ -126,11 +112,11 @@
     @property
     def drops_output(self) -> bool:
         """Whether a fault keeps everything that is written from leaving."""
-        return self._has_fault(FaultKind.CUT)
+        return self._faults.is_any_of(FaultKind.CUT)
 
     def resets_before_request(self, request_id: bytes) -> bool:
         """Return whether a fault resets the connection once a request's headers have been received."""
-        return self._affects(FaultKind.RESET_BEFORE, request_id)
+        return self._faults.affects(FaultKind.RESET_BEFORE, request_id)
 
     async def apply(self, step: Step) -> None:
         """Carry out one step of the schedule."""
@@ -148,7 +134,7 @@
     def begin_fault(self, step: Step) -> None:
         """Begin a fault in place of the present one."""
         self._unblock()
-        self._fault = step
+        self._faults.begin(step)
         if step.fault is FaultKind.HANG:
             self.model.hang(self.clock.now_us())
         elif step.fault is FaultKind.SLOW:
@@ -160,8 +146,7 @@
 
     async def end_fault(self) -> None:
         """End the present fault; connections that lost data are reset."""
-        ended = self._fault.fault if self._fault is not None else None
-        self._fault = None
+        ended = self._faults.end()
         self._unblock()
         self.model.slowdown = 1.0
         if ended is FaultKind.HANG:
@@ -184,7 +169,7 @@
         """Record a new connection, and account for its handshake."""
         self.owner.records.connections.append(connection.record)
         self._connections[connection] = None
-        if not self._has_fault(*UNRESPONSIVE_FAULTS):
+        if not self._faults.is_unresponsive:
             self.carry_out(self.model.on_connection(self.clock.now_us()))
 
     def on_closed(self, connection: ConverterConnection) -> None:
@@ -193,7 +178,7 @@
 
     def on_probe(self, connection: ConverterConnection, target: bytes) -> None:
         """Answer a health check or a request for the load report."""
-        if self._has_fault(*UNRESPONSIVE_FAULTS):
+        if self._faults.is_unresponsive:
             return
         now_us = self.clock.now_us()
         report = self.model.load_report(now_us)
@@ -214,12 +199,12 @@
         attempt = self._record_attempt(request, request_id)
         connection.end_attempt(AttemptOutcome.CLOSED)  # a pipelined request must not lose the record of the one before
         connection.attempt = attempt
-        if self._has_fault(FaultKind.CUT) or self._partitions(connection):
+        if self._faults.is_any_of(FaultKind.CUT) or self._partitions(connection):
             return
         if connection.over_limit:
             self._reject(connection)
             connection.close()
-        elif self._affects(FaultKind.TURN_AWAY, request_id.encode("latin-1")):
+        elif self._faults.affects(FaultKind.TURN_AWAY, request_id.encode("latin-1")):
             self._reject(connection)
         else:
             window_us = self._window_us.get(request.headers.get(b"x-class", b""), 0)
@@ -286,15 +271,15 @@
         self, connection: ConverterConnection, status: http.HTTPStatus, body: bytes, not_run: bool = False
     ) -> None:
         """Answer the connection's request, or do what the present fault does instead."""
-        if self._has_fault(*UNRESPONSIVE_FAULTS) or self._partitions(connection):
+        if self._faults.is_unresponsive or self._partitions(connection):
             return
         assert connection.attempt is not None
         request_id = connection.attempt.request_id.encode("latin-1")
         data = encode_response(status, body, self.model.load_report(self.clock.now_us()), not_run)
-        if self._affects(FaultKind.RESET_AFTER, request_id):
+        if self._faults.affects(FaultKind.RESET_AFTER, request_id):
             connection.end_attempt(AttemptOutcome.RESET)
             connection.abort()
-        elif self._affects(FaultKind.HALF_ANSWER, request_id):
+        elif self._faults.affects(FaultKind.HALF_ANSWER, request_id):
             connection.write(data[: -max(1, len(body) // 2)])
             connection.end_attempt(AttemptOutcome.RESET)
             connection.close()
--- a/ryepier/emulator/errors.py
+++ b/ryepier/emulator/errors.py
@@ -6,4 +6,4 @@
 
 
 class HarnessError(RyepierError):
-    """The emulator itself could not do its part; says nothing about the sidecar."""
+    """The emulator itself failed, so that the run allows no conclusion about the sidecar."""
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -1,7 +1,7 @@
 """GraphQL as the emulator speaks it: the clients' documents, in several equivalent forms, and what converters read.
 
 Each request class of a world is a field of the schema. A converter identifies an operation by the variable `id`,
-whatever the headers say.
+whatever the headers contain.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from ryepier.emulator.world import Effect, RequestClass, World
 
 PATH = "/graphql"
-GET_EVERY = 3  # one query in so many is sent as a GET
-ESCAPED_EVERY = 7  # one request in so many escapes a letter of the keyword, which JSON treats as the same text
+GET_EVERY = 3  # queries; one of them is sent as a GET
+ESCAPED_EVERY = 7  # requests; one of them escapes a letter of the keyword, which JSON treats as the same text
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/emulator/sidecar_processes.py
+++ b/ryepier/emulator/sidecar_processes.py
@@ -45,7 +45,7 @@
 
 
 def record_cpu_wait(incarnation: Incarnation, waited_us: int, now_us: int) -> None:
-    """Record a span in which a sidecar waited for a core for so long that its responses may be late for it."""
+    """Record a wait for a core if it is so long that it may have delayed the sidecar's responses."""
     if waited_us >= CPU_WAIT_THRESHOLD_US:
         incarnation.cpu_waits.append((now_us - waited_us, now_us))
 
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -102,9 +102,9 @@
         uid = entry["uid"]
         outdated = make_endpoint(entry | {"state": ListState.ACTIVE})
         if conflict is Conflict.SECOND_SLICE:
-            extra = f"{EXTRA_PREFIX}-{uid}"
-            self.contents[extra] = {uid: outdated}
-            self._put(extra)
+            second = f"{EXTRA_PREFIX}-{uid}"
+            self.contents[second] = {uid: outdated}
+            self._put(second)
             return
         self.contents[name][uid] = outdated
         if conflict is Conflict.RECREATED_SLICE:
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -18,7 +18,7 @@
 
     BEGIN = "begin"  # converter: a fault begins
     END = "end"  # converter: a fault ends; sidecar: its clocks run at the normal rate again
-    DRAIN = "drain"  # converter: finish the work in hand and reject new requests
+    DRAIN = "drain"  # converter: finish the accepted requests and reject new ones
     STOP = "stop"  # converter: end the process
     START = "start"  # converter: start the process, warming up
     KILL = "kill"  # sidecar or planner: SIGKILL
