--- /dev/null
+++ b/tests/slow_start_fleet.py
@@ -0,0 +1,234 @@
+"""Model of a fleet: balancers without sockets, in front of converters of which some warm up, in virtual time.
+
+A converter serves in turn on `CORES` cores, which run at its warmth, and rejects what would wait for too long. The
+settings allow it a number of requests in a window, which follows from its capacity at the window's start;
+`Fleet.worst_window` is the part of that number, with the margin for chance, that it was sent at most.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections import deque
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from ryepier.balancer.balancer import Balancer
+from ryepier.balancer.interface import (
+    AttemptEnded,
+    Event,
+    Idempotency,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    RequestClass,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
+    Upstream,
+    UpstreamsUpdated,
+)
+from tests.balancer_harness import START_US, settings
+
+CONVERTERS = 12
+CORES = 2
+MEAN_COST_US = 100_000  # work of the mean request; a warm converter serves 20 a second
+MAX_QUEUE_US = 600_000  # a request that would wait longer is rejected
+BEFORE_STARTS_US = 8_000_000
+AFTER_STARTS_US = 8_000_000
+CAPACITY = CORES * 1_000_000 / MEAN_COST_US  # requests a second of a warm converter
+MAX_COST = 10.0  # in mean requests
+REQUEST_TIMEOUT_US = 1_500_000
+REJECTION_US = 1_000  # until a rejection arrives
+RATE_PARTS = [0.02, 0.5, 1.0, 1.0, 4.0]  # of the mean rate: sidecars differ
+
+EQUAL_HINTED = "equal, hinted"
+HEAVY_HINTED = "heavy, hinted"
+HEAVY_UNHINTED = "heavy, not hinted"
+
+
+@dataclass(frozen=True)
+class Case:
+    """What differs between runs."""
+
+    sidecars: int
+    cold: int  # converters that start together
+    costs: str = EQUAL_HINTED
+    load: float = 0.7  # rate of new requests, in parts of what all converters serve when warm
+    seed: int = 1
+    traffic_moves: bool = False  # to other sidecars, at the moment of the starts
+
+    def name(self) -> str:
+        """Return the id of the test case."""
+        moves = ", traffic moves" if self.traffic_moves else ""
+        return f"{self.sidecars} sidecars, {self.cold} cold, {self.costs}, load {self.load}{moves}"
+
+
+class Attempt(NamedTuple):
+    """An attempt that a converter got while it was cold."""
+
+    at_us: int
+    cost: float
+    """In mean requests."""
+
+
+@dataclass
+class Converter:
+    """A converter; it has always been warm if `started_us` is 0."""
+
+    started_us: int = 0
+    free_us: list[int] = field(default_factory=lambda: [0] * CORES)  # heap of the cores' next free instants
+    attempts: list[Attempt] = field(default_factory=list)
+
+
+class ScheduledEvent(NamedTuple):
+    """An event for one balancer; events of one instant keep their order."""
+
+    at_us: int
+    number: int
+    sidecar: int
+    event: Event
+
+
+class Fleet:
+    """Balancers and converters, with the queue of their events."""
+
+    def __init__(self, case: Case) -> None:
+        """Prepare a run of the case."""
+        self.case = case
+        self.random = random.Random(case.seed)
+        self.settings: Settings = settings(
+            classes=[RequestClass("read", 600_000, REQUEST_TIMEOUT_US, idempotency=Idempotency.NON_IDEMPOTENT)],
+            instances=case.sidecars,
+            hedging=False,
+            initial_capacity_share=0.12,
+            warm_up_us=20_000_000,
+            overload_factor=4.0,
+            overload_window_us=3_000_000,
+        )
+        self.now_us = START_US
+        self.balancers = [Balancer(self.settings, case.seed * 100 + n, START_US) for n in range(case.sidecars)]
+        self.converters = [Converter() for _ in range(CONVERTERS)]
+        self.queue: list[ScheduledEvent] = []
+        self.costs_us: dict[int, int] = {}  # by request
+        self.number = 0
+        parts = [self.random.choice(RATE_PARTS) for _ in range(case.sidecars)]
+        self.rates = [case.load * CONVERTERS * CAPACITY * part / sum(parts) for part in parts]
+
+    @property
+    def cold_converters(self) -> list[Converter]:
+        """Return those that start in the middle of the run."""
+        return self.converters[: self.case.cold]
+
+    # Running
+
+    def play(self) -> None:
+        """Run the whole case: some time before the starts, and some after them."""
+        self._send_list()
+        for sidecar in range(len(self.balancers)):
+            self._schedule_request(sidecar)
+        self._run_until(START_US + BEFORE_STARTS_US)
+        self._start_cold_converters()
+        self._run_until(self.now_us + AFTER_STARTS_US)
+
+    def _run_until(self, until_us: int) -> None:
+        while self.queue and self.queue[0].at_us <= until_us:
+            scheduled = heapq.heappop(self.queue)
+            self.now_us = max(self.now_us, scheduled.at_us)
+            if isinstance(scheduled.event, RequestArrived):
+                self._schedule_request(scheduled.sidecar)
+            self._handle(scheduled.sidecar, scheduled.event)
+        self.now_us = until_us
+
+    def _start_cold_converters(self) -> None:
+        if self.case.traffic_moves:  # from the busiest sidecar to the one with the least traffic, and so on
+            ranked = sorted(range(len(self.rates)), key=self.rates.__getitem__)
+            moved = {n: self.rates[other] for n, other in zip(ranked, reversed(ranked), strict=True)}
+            self.rates = [moved[n] for n in range(len(self.rates))]
+        for converter in self.cold_converters:
+            converter.started_us, converter.free_us = self.now_us, [self.now_us] * CORES
+        self._send_list()
+
+    def _send_list(self) -> None:
+        listed = [Upstream(n + 1, started_us=converter.started_us) for n, converter in enumerate(self.converters)]
+        for sidecar in range(len(self.balancers)):
+            self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, listed))
+
+    def _schedule(self, at_us: int, sidecar: int, event: Event) -> None:
+        self.number += 1
+        heapq.heappush(self.queue, ScheduledEvent(at_us, self.number, sidecar, event))
+
+    def _schedule_request(self, sidecar: int) -> None:
+        at_us = self.now_us + max(1, int(self.random.expovariate(self.rates[sidecar]) * 1_000_000))
+        cost_us = MEAN_COST_US
+        if self.case.costs != EQUAL_HINTED:
+            # Mean 1 and deviation 2, but for the cut: one request that is heavier than the margin for chance overloads
+            # a cold converter by itself, and without a hint no sidecar can know.
+            cost_us = int(MEAN_COST_US * min(self.random.lognormvariate(-0.8, 1.265), MAX_COST))
+        self.number += 1
+        self.costs_us[self.number] = cost_us
+        hint_us = 0 if self.case.costs == HEAVY_UNHINTED else cost_us
+        self._schedule(at_us, sidecar, RequestArrived(self.number, at_us + REQUEST_TIMEOUT_US, cost_us=hint_us))
+
+    def _handle(self, sidecar: int, event: Event) -> None:
+        for action in self.balancers[sidecar].handle(self.now_us, event):
+            if isinstance(action, Send):
+                self._serve(sidecar, action)
+            elif isinstance(action, SetTimer):
+                self._schedule(action.at_us, sidecar, TimerFired(action.token))
+
+    def _serve(self, sidecar: int, send: Send) -> None:
+        converter, cost_us = self.converters[send.upstream - 1], self.costs_us[send.request]
+        if converter.started_us:
+            converter.attempts.append(Attempt(self.now_us, cost_us / MEAN_COST_US))
+        begin_us = max(converter.free_us[0], self.now_us)
+        end_us = begin_us + int(cost_us / self.warmth(converter, self.now_us))
+        outcome, time_out_us = Outcome.OK, self.now_us + send.timeout_us
+        if begin_us > self.now_us + MAX_QUEUE_US:
+            outcome, end_us = Outcome.REJECTED, self.now_us + REJECTION_US
+        else:
+            heapq.heapreplace(converter.free_us, end_us)
+            if end_us > time_out_us:
+                outcome, end_us = Outcome.TIMEOUT, time_out_us
+        is_final = outcome is Outcome.OK
+        ended = AttemptEnded(send.request, 0, send.upstream, outcome, end_us - self.now_us, is_final)
+        self._schedule(end_us, sidecar, ended)
+
+    def warmth(self, converter: Converter, at_us: int) -> float:
+        """Return the part of its warm speed at which a converter runs."""
+        if converter.started_us == 0 or at_us >= converter.started_us + self.settings.warm_up_us:
+            return 1.0
+        initial = self.settings.initial_capacity_share
+        return initial + (1 - initial) * (at_us - converter.started_us) / self.settings.warm_up_us
+
+    # Results
+
+    def worst_window(self) -> float:
+        """Return the most that a cold converter was sent in a window, in parts of what the settings allow it."""
+        return max(self._worst_window_of(converter) for converter in self.cold_converters)
+
+    def _worst_window_of(self, converter: Converter) -> float:
+        window: deque[Attempt] = deque()
+        worst = work = 0.0
+        for attempt in converter.attempts:
+            window.append(attempt)
+            work += attempt.cost
+            window_start_us = attempt.at_us - self.settings.overload_window_us
+            while window[0].at_us <= window_start_us:
+                work -= window.popleft().cost
+            # The capacity at the window's start counts: what the converter gains later is not in it.
+            allowed = self._allowed_work(converter, max(converter.started_us, window_start_us))
+            worst = max(worst, work / (allowed + 2 * allowed**0.5 + 2))
+        return worst
+
+    def _allowed_work(self, converter: Converter, start_us: int) -> float:
+        window_s = self.settings.overload_window_us / 1_000_000
+        return self.settings.overload_factor * self.warmth(converter, start_us) * CAPACITY * window_s
+
+    def utilisation(self) -> float:
+        """Return the work that the cold converters were sent, in parts of what they could do."""
+        sent = sum(attempt.cost for converter in self.cold_converters for attempt in converter.attempts)
+        middle_us = self.converters[0].started_us + AFTER_STARTS_US // 2
+        possible = CAPACITY * AFTER_STARTS_US / 1_000_000 * self.warmth(self.converters[0], middle_us)
+        return sent / (possible * self.case.cold)
