--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -2,8 +2,8 @@
 
 An entry has a line for each of FIELDS, and a blank line separates entries:
 
-    test: tests/test_balancer.py::test_name[a, b]
-    command: python -m pytest tests/test_balancer.py
+    test: tests/test_selection.py::test_name[a, b]
+    command: python -m pytest tests/test_selection.py
     seed: none
     seen: TimeoutError after 20 s in 2 of 5 runs
     issue: 26
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,6 +7,7 @@
 from ryepier.balancer.interface import Advice, ListKind, Outcome, PlanUpdated, Upstream
 from ryepier.balancer.slow_start import SlowStart
 from tests.balancer_harness import BalancerHarness, settings, upstreams
+from tests.balancer_scenarios import PAY, serve_requests
 from tests.slow_start_fleet import EQUAL_HINTED, HEAVY_HINTED, HEAVY_UNHINTED, Case, Fleet
 
 CASES = [
@@ -23,7 +24,6 @@
 ]
 MIN_UTILISATION = 0.8
 
-PAY = 1  # index of the class
 RESTARTED = 100  # the upstream that starts again under its id
 STARTED_AGO_US = 5_000_000
 REQUESTS_BEFORE_RESTART = 400
@@ -115,3 +115,21 @@
     harness.handle(PlanUpdated([Advice(RESTARTED, ejected=True)]))
     restart_upstream(harness)
     assert sends_after_restart(harness) == 0
+
+
+def test_upstream_that_has_just_started_gets_little() -> None:
+    harness = BalancerHarness(settings(instances=24))
+    harness.update_upstreams(upstreams(3))
+    serve_requests(harness, 20, duration_us=20_000)
+    harness.update_upstreams([Upstream(1, started_us=harness.now_us - 1_000), *upstreams(3)])
+    serve_requests(harness, 150, duration_us=20_000)
+    to_started = sum(1 for send in harness.sends() if send.upstream == 1)
+    assert 0 < to_started <= 15  # 9 are certainly its part, and it is fast; an equal part would be 37
+
+
+def test_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
+    harness = BalancerHarness(settings(instances=400))
+    harness.update_upstreams([Upstream(1, started_us=harness.now_us - 12_000_000), *upstreams(3)])  # two thirds warm
+    serve_requests(harness, 1000, duration_us=5_000)
+    to_started = sum(1 for send in harness.sends() if send.upstream == 1)
+    assert 0 < to_started < 190  # an equal part would be 250
