--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -17,8 +17,9 @@
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core import worlds as shipped
-from ryepier.experiments.simulation import hunt as search
+from ryepier.experiments.simulation import random_worlds, search
 from ryepier.experiments.simulation.coverage import LEGEND, Coverage
+from ryepier.experiments.simulation.request_story import tell_story
 
 SMALLER_SUFFIX = ".small.json"
 
@@ -57,7 +58,7 @@
     summary = {
         "world": name,
         "seed": seed,
-        "trace": search.trace_of(history),
+        "trace": search.hash_history(history),
         "service": figures.service_level(figures.operations(world, history.client_attempts)),
         "tries": len(history.client_attempts),
         "attempts": len(history.converter_attempts),
@@ -80,18 +81,18 @@
     find_count, coverage = 0, Coverage()
     out.mkdir(parents=True, exist_ok=True)
     prefix = f"find-{seeded_fault}-" if seeded_fault else "find-"
-    for number, result in enumerate(search.hunt(range(first, first + seeds), seeded_fault)):
+    for number, result in enumerate(search.search(range(first, first + seeds), seeded_fault)):
         coverage.add(result.coverage)
         if result.find is None:
             continue
         find_count += 1
         path = out / f"{prefix}{result.find.seed}.json"
         search.save(result.find, path)
-        print(f"{path}: world {number + 1}: {result.find.first}", flush=True)
+        print(f"{path}: world {number + 1}: {result.find.first_violation}", flush=True)
     elapsed_s = time.monotonic() - begun_s
     (out / "coverage.json").write_text(json.dumps(coverage.as_lists()))
     print_table(coverage)
-    rate = seeds * search.LENGTH_S / elapsed_s
+    rate = seeds * random_worlds.DURATION_S / elapsed_s
     print(f"{seeds} worlds, {find_count} that broke a rule, {rate:.0f} simulated seconds a second")
     sys.exit(ExitCode.FAILURE if find_count else ExitCode.SUCCESS)
 
@@ -113,17 +114,18 @@
 def replay(path: Path) -> None:
     """Run a find again, and print what happened to the request of its first violation."""
     find = read_find(path)
-    search.plant_in_process(find.plant)
-    again, history = search.play(find.world, find.seed, find.plant)
+    search.install_fault(find.seeded_fault)
+    replayed = search.run_world(find.world, find.seed, find.seeded_fault)
+    again = replayed.find
     if again is None:
         print("no rule is broken any more")
         return
-    print(again.first)
-    comparison = "the same" if again.trace == find.trace else "not the same as when it was found"
-    print(f"trace {again.trace}: {comparison}")
-    request_id = search.request_in(again.first)
-    if history is not None and request_id is not None:
-        print("\n".join(search.story(history, request_id)))
+    print(again.first_violation)
+    comparison = "the same" if again.history_hash == find.history_hash else "not the same as when it was found"
+    print(f"trace {again.history_hash}: {comparison}")
+    request_id = search.request_in(again.first_violation)
+    if replayed.history is not None and request_id is not None:
+        print("\n".join(tell_story(replayed.history, request_id)))
     sys.exit(ExitCode.FAILURE)
 
 
@@ -132,8 +134,8 @@
 def shrink(path: Path) -> None:
     """Reduce a find to the few faults that matter, and save that beside it."""
     find = read_find(path)
-    search.plant_in_process(find.plant)
+    search.install_fault(find.seeded_fault)
     smaller = search.shrink(find)
     out = path.with_suffix(SMALLER_SUFFIX)
     search.save(smaller, out)
-    print(f"{out}: {len(find.world.faults)} faults before, {len(smaller.world.faults)} now: {smaller.first}")
+    print(f"{out}: {len(find.world.faults)} faults before, {len(smaller.world.faults)} now: {smaller.first_violation}")
--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -14,7 +14,7 @@
 from ryepier.experiments.planners import benefit, failover, false_reports, loss, reconnection, restart
 from ryepier.experiments.planners import scale as planner_scale
 from ryepier.experiments.scale import scale_call, scale_control, scale_depth, scale_fail, scale_list
-from ryepier.experiments.simulation import fidelity
+from ryepier.experiments.simulation import agreement, speed
 from ryepier.experiments.slices import churn, drain
 from ryepier.experiments.slices import outage as slices_outage
 from ryepier.experiments.storms import after_outage, one_sidecar, real_surge
@@ -55,7 +55,8 @@
         reconnection.EXPERIMENT,
         churn.EXPERIMENT,
         cost.EXPERIMENT,
-        *fidelity.EXPERIMENTS,
+        agreement.EXPERIMENT,
+        speed.EXPERIMENT,
         *scale_list.EXPERIMENTS,
         *scale_fail.EXPERIMENTS,
         load_spread.EXPERIMENT,
--- a/ryepier/experiments/simulation/__init__.py
+++ b/ryepier/experiments/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The search for faults in simulation, what simulation is worth, and mistakes that only it is known to find."""
+"""The search for rule violations in simulation, how well simulation agrees with sockets, and how fast it is."""
--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -1,132 +1,177 @@
-"""Which fault met which state of a request, by what all sides saw: so that it is known what was never tried.
+"""Counts which faults struck requests in which state, by the records of all sides, to show what was never tried.
 
-Pure. The states are those between a request's sending and its end; a fault meets the requests that it could harm: a
-converter's those with an attempt at it and those that wait to be sent, a sidecar's and its discovery's those that it
-holds, a planner's all.
+Pure. A fault meets the requests that it could harm: a converter's fault those with an attempt at it and those that wait
+to be sent, a fault of a sidecar or its discovery those that the sidecar holds, a planner's fault all.
 """
 
 from __future__ import annotations
 
 import bisect
 from collections import defaultdict
+from collections.abc import Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from ryepier.emulator import timeline
 from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, History
 from ryepier.emulator.timeline import FaultAction, Step, TargetKind
 from ryepier.emulator.world import World
 
-STATES = ("not sent", "arriving", "queued", "running", "run", "between", "late")
+MIN_MEETINGS = 20  # of a fault with a state, below which the pair counts as hardly tried
+DEADLINE_FACTOR = 2  # requests are looked for so many of the longest deadlines before a fault
+US_PER_MS = 1000
+
+
+class RequestState(StrEnum):
+    """Where a request is between its sending and its end."""
+
+    NOT_SENT = "not sent"
+    ARRIVING = "arriving"
+    QUEUED = "queued"
+    RUNNING = "running"
+    RUN = "run"
+    BETWEEN = "between"
+    LATE = "late"
+
+
 LEGEND = {
-    "not sent": "taken by the sidecar, no attempt at any converter yet",
-    "arriving": "partly at a converter",
-    "queued": "whole at a converter, not begun",
-    "running": "being run",
-    "run": "run or turned away, its answer on the way",
-    "between": "an attempt failed, no further one has come yet",
-    "late": "answered, while an attempt given up is still at a converter",
+    RequestState.NOT_SENT: "taken by the sidecar, no attempt at any converter yet",
+    RequestState.ARRIVING: "partly at a converter",
+    RequestState.QUEUED: "whole at a converter, not begun",
+    RequestState.RUNNING: "being run",
+    RequestState.RUN: "run or turned away, its answer on the way",
+    RequestState.BETWEEN: "an attempt failed, no further one has come yet",
+    RequestState.LATE: "answered, while an attempt given up is still at a converter",
 }
-RARE = 20  # meetings below which a pair counts as hardly tried
-Cell = tuple[str, str]  # what struck, and the state that it met
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class Meeting:
+    """A fault's action, and the state of the request that it struck."""
+
+    strike: str
+    state: RequestState
+
+
+@dataclass(frozen=True, slots=True)
+class Position:
+    """The state of a request at one time, and the converter that has it, if any."""
+
+    state: RequestState
+    uid: str = ""
 
 
 @dataclass(slots=True)
 class Coverage:
     """Counts of meetings; adds up over runs."""
 
-    cells: dict[Cell, int] = field(default_factory=lambda: defaultdict(int))
+    counts: dict[Meeting, int] = field(default_factory=lambda: defaultdict(int))
 
     def add(self, other: Coverage) -> None:
-        for cell, count in other.cells.items():
-            self.cells[cell] += count
+        """Add the counts of another run."""
+        for meeting, count in other.counts.items():
+            self.counts[meeting] += count
 
     def strikes(self) -> list[str]:
-        return sorted({strike for strike, _ in self.cells})
+        """Return the names of all actions that struck a request."""
+        return sorted({meeting.strike for meeting in self.counts})
 
-    def rare(self, strike: str) -> float:
-        """The share of the states that what struck has hardly met."""
-        return sum(self.cells.get((strike, state), 0) < RARE for state in STATES) / len(STATES)
+    def rare_share(self, strike: str) -> float:
+        """Return the share of the states that an action has hardly met."""
+        rare = sum(self.counts.get(Meeting(strike, state), 0) < MIN_MEETINGS for state in RequestState)
+        return rare / len(RequestState)
 
     def rows(self) -> list[list[str]]:
-        """A table: a line for all that struck, a column a state."""
-        head = ["", *STATES]
-        return [
-            head,
-            *([strike, *(str(self.cells.get((strike, state), 0)) for state in STATES)] for strike in self.strikes()),
-        ]
+        """Return a table with a row per action and a column per state."""
+        header = ["", *(state.value for state in RequestState)]
+        return [header, *(self._row(strike) for strike in self.strikes())]
+
+    def _row(self, strike: str) -> list[str]:
+        return [strike, *(str(self.counts.get(Meeting(strike, state), 0)) for state in RequestState)]
 
     def as_lists(self) -> list[tuple[str, str, int]]:
-        return sorted((strike, state, count) for (strike, state), count in self.cells.items())
+        """Return the counts as (strike, state, count), for coverage.json."""
+        return [(meeting.strike, meeting.state.value, count) for meeting, count in sorted(self.counts.items())]
+
+
+# actions of which a fault has one kind only, so that its name tells the action
+PLAIN_ACTIONS = frozenset(
+    (
+        FaultAction.BEGIN,
+        FaultAction.SUSPEND,
+        FaultAction.KILL,
+        FaultAction.SET_CLOCK_RATE,
+        FaultAction.SET_CALENDAR,
+        FaultAction.DOWN,
+        FaultAction.MUTE,
+        FaultAction.BREAK_WATCHES,
+    )
+)
 
 
 def strike_of(step: Step) -> str:
-    """What a step is called in the table."""
+    """Return the name of a step in the table."""
     if step.action is FaultAction.NOTIFY:
         return f"told {step.state}"
-    return (
-        step.fault
-        if step.action
-        in (
-            FaultAction.BEGIN,
-            FaultAction.SUSPEND,
-            FaultAction.KILL,
-            FaultAction.SET_CLOCK_RATE,
-            FaultAction.SET_CALENDAR,
-            FaultAction.DOWN,
-            FaultAction.MUTE,
-            FaultAction.BREAK_WATCHES,
-        )
-        else f"{step.fault}: {step.action.value}"
-    )
+    return step.fault if step.action in PLAIN_ACTIONS else f"{step.fault}: {step.action.value}"
+
+
+def position_at(request: ClientAttempt, attempts: Sequence[ConverterAttempt], at_us: int) -> Position | None:
+    """Return where a request is at a time; None if it has ended and left nothing behind."""
+    arrived = [attempt for attempt in attempts if attempt.first_byte_us <= at_us]
+    if at_us >= request.ended_us:
+        remaining = [attempt for attempt in arrived if attempt.ended_us == NEVER or attempt.ended_us > at_us]
+        return Position(RequestState.LATE, remaining[-1].uid) if remaining else None
+    if not arrived:
+        return Position(RequestState.NOT_SENT)
+    return _position_of_attempt(arrived[-1], at_us)
+
+
+def _position_of_attempt(attempt: ConverterAttempt, at_us: int) -> Position:
+    if at_us < attempt.received_us:
+        return Position(RequestState.ARRIVING, attempt.uid)
+    has_ended = _has_passed(attempt.ended_us, at_us)
+    if has_ended and attempt.status != 200:
+        return Position(RequestState.BETWEEN)
+    if has_ended or _has_passed(attempt.finished_us, at_us):
+        return Position(RequestState.RUN, attempt.uid)
+    if _has_passed(attempt.started_us, at_us):
+        return Position(RequestState.RUNNING, attempt.uid)
+    return Position(RequestState.QUEUED, attempt.uid)
+
+
+def _has_passed(event_us: int, at_us: int) -> bool:
+    return event_us != NEVER and event_us <= at_us
 
 
-def state_at(item: ClientAttempt, attempts: list[ConverterAttempt], at_us: int) -> tuple[str, str]:
-    """The state of a request, and the converter that has to do with it (empty: none)."""
-    begun = [one for one in attempts if one.first_byte_us <= at_us]
-    if at_us >= item.ended_us:
-        still = [one for one in begun if one.ended_us == NEVER or one.ended_us > at_us]
-        return ("late", still[-1].uid) if still else ("", "")
-    if not begun:
-        return "not sent", ""
-    last = begun[-1]
-    if at_us < last.received_us:
-        return "arriving", last.uid
-    over = last.ended_us != NEVER and last.ended_us <= at_us
-    if over and last.status != 200:
-        return "between", ""
-    if over or (last.finished_us != NEVER and last.finished_us <= at_us):
-        return "run", last.uid
-    if last.started_us != NEVER and last.started_us <= at_us:
-        return "running", last.uid
-    return "queued", last.uid
-
-
-def meets(step: Step, uid: str, item: ClientAttempt, state: str, at: str) -> bool:
-    """Whether a step has to do with a request; `uid` is the converter that it strikes."""
+def meets(step: Step, struck_uid: str, request: ClientAttempt, position: Position) -> bool:
+    """Return whether a step, which strikes a converter or another process, could harm a request."""
     if step.target is TargetKind.CONVERTER:
-        return at == uid or state in ("not sent", "between")
+        is_waiting = position.state in (RequestState.NOT_SENT, RequestState.BETWEEN)
+        return position.uid == struck_uid or is_waiting
     if step.target is TargetKind.PLANNER:
         return True
-    if step.action is FaultAction.NOTIFY and at and at != step.uid:
+    if step.action is FaultAction.NOTIFY and position.uid and position.uid != step.uid:
         return False
-    return item.sidecar == step.index
+    return request.sidecar == step.index
 
 
 def cover(world: World, seed: int, history: History) -> Coverage:
-    """The meetings of one run."""
+    """Count the meetings of one run."""
     built = timeline.build(world, seed)
     uids = {instance.index: instance.uid for instance in built.instances}
-    by_ident: dict[str, list[ConverterAttempt]] = defaultdict(list)
+    attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
     for attempt in history.converter_attempts:
-        by_ident[attempt.request_id].append(attempt)
-    sent = [item.sent_us for item in history.client_attempts]
-    longest_us = int(2000 * max(kind.deadline_ms for kind in world.classes))
-    found = Coverage()
+        attempts[attempt.request_id].append(attempt)
+    sent_us = [request.sent_us for request in history.client_attempts]
+    longest_us = int(DEADLINE_FACTOR * US_PER_MS * max(kind.deadline_ms for kind in world.classes))
+    coverage = Coverage()
     for step in built.steps:
         strike = strike_of(step)
-        first = bisect.bisect_left(sent, step.at_us - longest_us)
-        for item in history.client_attempts[first : bisect.bisect_right(sent, step.at_us)]:
-            state, at = state_at(item, by_ident.get(item.request_id, []), step.at_us)
-            if state and meets(step, uids.get(step.index, ""), item, state, at):
-                found.cells[strike, state] += 1
-    return found
+        begin = bisect.bisect_left(sent_us, step.at_us - longest_us)
+        end = bisect.bisect_right(sent_us, step.at_us)
+        for request in history.client_attempts[begin:end]:
+            position = position_at(request, attempts.get(request.request_id, []), step.at_us)
+            if position is not None and meets(step, uids.get(step.index, ""), request, position):
+                coverage.counts[Meeting(strike, position.state)] += 1
+    return coverage
--- /dev/null
+++ b/ryepier/experiments/simulation/search.py
@@ -0,0 +1,184 @@
+"""Searches random worlds for rule violations in simulation, and reduces what it finds to the faults that matter.
+
+A find is a file: the world, the seed and the rules that were broken. Running it again gives the same history, byte for
+byte.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import os
+from collections import Counter, defaultdict
+from collections.abc import Callable, Iterator, Mapping
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
+from pathlib import Path
+
+import msgspec
+
+from ryepier.emulator import simulated
+from ryepier.emulator.records import History
+from ryepier.emulator.world import World
+from ryepier.experiments import seeded_faults
+from ryepier.experiments.core import judge
+from ryepier.experiments.simulation.coverage import Coverage, cover
+from ryepier.experiments.simulation.random_worlds import FAULT_WEIGHTS, LOAD_FAULTS, draw_world
+from ryepier.sim.loop import NoProgressError
+from ryepier.sim.run import SimulationError
+
+ROUND_SIZE = 200  # worlds after which the weights of faults follow the coverage
+MAX_BOOST = 4.0  # added to the weight of a kind of fault that met hardly any state
+CHUNK_SIZE = 4  # worlds that a worker process takes at a time
+FAILED_RUN = "failed"  # in place of a rule
+DIGEST_BYTES = 16
+
+
+class Find(msgspec.Struct, rename={"first_violation": "first", "seeded_fault": "plant", "history_hash": "trace"}):
+    """A run that broke a rule, or failed by itself; the content of a find's file."""
+
+    seed: int
+    world: World
+    rules: dict[str, int]  # breaches by rule; `FAILED_RUN` for a run that failed
+    first_violation: str  # or the failure
+    seeded_fault: str = ""
+    history_hash: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class WorldRun:
+    """One run of a world: what it broke, if anything, and its records, unless the run failed."""
+
+    find: Find | None
+    history: History | None
+
+
+@dataclass(frozen=True, slots=True)
+class SearchResult:
+    """One world of a search: what it broke, if anything, and which faults met which states."""
+
+    find: Find | None
+    coverage: Coverage
+
+
+def hash_history(history: History) -> str:
+    """Return a hash of everything recorded."""
+    return hashlib.blake2b(msgspec.msgpack.encode(history), digest_size=DIGEST_BYTES).hexdigest()
+
+
+def run_world(world: World, seed: int, seeded_fault: str = "") -> WorldRun:
+    """Run a world in this process. The seeded fault is only recorded; `install_fault` installs it."""
+    try:
+        history = simulated.play(world, seed)
+    except (NoProgressError, SimulationError) as error:
+        return WorldRun(Find(seed, world, {FAILED_RUN: 1}, str(error), seeded_fault), None)
+    except Exception as error:  # noqa: BLE001 - an error of the emulator in one world must not end the search
+        return WorldRun(Find(seed, world, {FAILED_RUN: 1}, f"the emulator: {error!r}", seeded_fault), None)
+    breaches = judge.judge(world, history)
+    if not breaches:
+        return WorldRun(None, history)
+    first = breaches[0]
+    text = f"{first.rule} at {first.at_us / 1e6:.6f} s: {first.text}"
+    rules = dict(Counter(breach.rule for breach in breaches))
+    return WorldRun(Find(seed, world, rules, text, seeded_fault, hash_history(history)), history)
+
+
+def install_fault(seeded_fault: str) -> None:
+    """Install a seeded fault in this process, for good; do nothing for an empty name."""
+    if seeded_fault:
+        seeded_faults.SEEDED_FAULTS[seeded_fault]()
+
+
+def search(seeds: range, seeded_fault: str = "", processes: int | None = None) -> Iterator[SearchResult]:
+    """Yield the result of each seed's world in the order of the seeds, run on all cores.
+
+    After each round, faults that met few states are drawn more often; so a seed's world depends on where the search
+    began.
+    """
+    total = Coverage()
+    workers = processes or os.cpu_count()
+    with ProcessPoolExecutor(workers, initializer=install_fault, initargs=(seeded_fault,)) as pool:
+        for begin in range(0, len(seeds), ROUND_SIZE):
+            batch = seeds[begin : begin + ROUND_SIZE]
+            boosts = boosts_from(total) if begin else {}
+            arguments = (batch, [seeded_fault] * len(batch), [boosts] * len(batch))
+            for result in pool.map(_search_one, *arguments, chunksize=CHUNK_SIZE):
+                total.add(result.coverage)
+                yield result
+
+
+def _search_one(seed: int, seeded_fault: str, boosts: Mapping[str, float]) -> SearchResult:
+    world = draw_world(seed, boosts)
+    run = run_world(world, seed, seeded_fault)
+    coverage = cover(world, seed, run.history) if run.history is not None else Coverage()
+    return SearchResult(run.find, coverage)
+
+
+def boosts_from(coverage: Coverage) -> dict[str, float]:
+    """Return by kind of fault the factor of its weight, which grows with the share of states that it hardly met."""
+    strikes: dict[str, list[str]] = defaultdict(list)
+    for strike in coverage.strikes():
+        strikes[_kind_of(strike)].append(strike)
+    return {kind: 1.0 + MAX_BOOST * _rare_share(coverage, kind, strikes[kind]) for kind in FAULT_WEIGHTS}
+
+
+def _kind_of(strike: str) -> str:
+    kind = strike.partition(":")[0]
+    return "release" if kind.startswith("told") else kind
+
+
+def _rare_share(coverage: Coverage, kind: str, strikes: list[str]) -> float:
+    if not strikes:
+        return float(kind not in LOAD_FAULTS)
+    return sum(map(coverage.rare_share, strikes)) / len(strikes)
+
+
+def shrink(find: Find, breaks: Callable[[World], bool] | None = None) -> Find:
+    """Return the find with as few faults, sidecars and retries as still break one of its rules.
+
+    `breaks` decides that for a world; by default the world is run.
+    """
+
+    def breaks_same_rule(world: World) -> bool:
+        again = run_world(world, find.seed, find.seeded_fault).find
+        return again is not None and bool(again.rules.keys() & find.rules.keys())
+
+    breaks = breaks or breaks_same_rule
+    world = _drop_faults(find.world, breaks)
+    replace = msgspec.structs.replace
+    simpler_worlds = (
+        replace(world, sidecars=replace(world.sidecars, count=1)),
+        replace(world, clients=replace(world.clients, retries=0)),
+    )
+    for simpler in simpler_worlds:
+        if breaks(simpler):
+            world = simpler
+    return run_world(world, find.seed, find.seeded_fault).find or find
+
+
+def _drop_faults(world: World, breaks: Callable[[World], bool]) -> World:
+    """Drop one fault at a time for as long as the world still breaks a rule."""
+    index = 0
+    while index < len(world.faults):
+        faults = world.faults[:index] + world.faults[index + 1 :]
+        smaller = msgspec.structs.replace(world, faults=faults)
+        if breaks(smaller):
+            world, index = smaller, 0
+        else:
+            index += 1
+    return world
+
+
+def request_in(text: str) -> str | None:
+    """Return the first request id in a violation's text, if there is one."""
+    words = text.replace(":", " ").replace(",", " ").split()
+    return next((word for word in words if word.count("-") == 2), None)
+
+
+def save(find: Find, path: Path) -> None:
+    """Write a find's file."""
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(find), indent=1))
+
+
+def load(path: Path) -> Find:
+    """Return the find of a file. Raises OSError and msgspec.MsgspecError."""
+    return msgspec.json.decode(path.read_bytes(), type=Find)
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -20,26 +20,28 @@
 from ryepier.emulator.world import Fault
 from ryepier.experiments.core import judge
 from ryepier.experiments.core.worlds import load
-from ryepier.experiments.simulation import coverage, hunt
+from ryepier.experiments.simulation import coverage, random_worlds, search
+from ryepier.experiments.simulation.coverage import Meeting, Position, RequestState
+from ryepier.experiments.simulation.request_story import tell_story
 
 SEEDS = range(24)
 
 
 def test_a_short_hunt_breaks_no_rule() -> None:
-    assert [played.find.first for played in hunt.hunt(SEEDS, processes=4) if played.find is not None] == []
+    assert [one.find.first_violation for one in search.search(SEEDS, processes=4) if one.find is not None] == []
 
 
 def test_worlds_are_drawn_alike_and_with_all_kinds_of_faults() -> None:
-    worlds = [hunt.draw_world(seed) for seed in range(200)]
-    assert worlds == [hunt.draw_world(seed) for seed in range(200)]
-    assert {fault.kind for world in worlds for fault in world.faults} == set(hunt.KINDS)
+    worlds = [random_worlds.draw_world(seed) for seed in range(200)]
+    assert worlds == [random_worlds.draw_world(seed) for seed in range(200)]
+    assert {fault.kind for world in worlds for fault in world.faults} == set(random_worlds.FAULT_WEIGHTS)
 
 
 def test_a_history_is_the_same_whatever_order_hashes_give() -> None:
     """With planners, slices, GraphQL and the guard in some of them."""
     code = (
-        "from ryepier.experiments.simulation import hunt\nfrom ryepier.emulator import simulated\n"
-        "for seed in (2, 3, 9, 343): print(hunt.trace_of(simulated.play(hunt.draw_world(seed), seed)))"
+        "from ryepier.experiments.simulation import random_worlds, search\nfrom ryepier.emulator import simulated\n"
+        "for seed in (2, 3, 9, 343): print(search.hash_history(simulated.play(random_worlds.draw_world(seed), seed)))"
     )
     said = [
         subprocess.run(
@@ -55,9 +57,9 @@
 
 
 def test_a_history_is_the_same_each_time() -> None:
-    world = hunt.draw_world(5)
-    first, second = (hunt.trace_of(simulated.play(world, 5)) for _ in range(2))
-    assert first == second != hunt.trace_of(simulated.play(world, 6))
+    world = random_worlds.draw_world(5)
+    first, second = (search.hash_history(simulated.play(world, 5)) for _ in range(2))
+    assert first == second != search.hash_history(simulated.play(world, 6))
 
 
 @pytest.mark.parametrize(
@@ -69,26 +71,26 @@
     ],
 )
 def test_planted_mistakes_are_found(plant: str, seeds: range, rule: str) -> None:
-    finds = [played.find for played in hunt.hunt(seeds, plant, processes=2) if played.find is not None]
+    finds = [one.find for one in search.search(seeds, plant, processes=2) if one.find is not None]
     assert finds and all(rule in find.rules for find in finds)
 
 
 def test_a_find_is_kept_played_again_and_cut_down(tmp_path: Path) -> None:
     # in processes of their own, as a plant stays
-    find = next(played.find for played in hunt.hunt(range(4, 6), "keep-after-time-out", processes=2) if played.find)
+    find = next(one.find for one in search.search(range(4, 6), "keep-after-time-out", processes=2) if one.find)
     path = tmp_path / "find.json"
-    hunt.save(find, path)
-    assert hunt.load(path) == find
-    small = hunt.shrink(find, lambda world: any(fault == find.world.faults[0] for fault in world.faults))
+    search.save(find, path)
+    assert search.load(path) == find
+    small = search.shrink(find, lambda world: any(fault == find.world.faults[0] for fault in world.faults))
     assert small.seed == find.seed
     path.write_bytes(b"{")
     assert CliRunner().invoke(main, ["sim", "replay", str(path)]).exit_code == 2
 
 
 def test_the_story_of_a_request_is_told_from_all_sides() -> None:
-    history = simulated.play(hunt.draw_world(1), 1)
+    history = simulated.play(random_worlds.draw_world(1), 1)
     item = next(one for one in history.client_attempts if one.outcome == "served")
-    lines = hunt.story(history, item.request_id)
+    lines = tell_story(history, item.request_id)
     assert "client sends" in lines[0] and "served, status 200" in lines[-1]
     assert any("runs it" in line for line in lines)
 
@@ -122,8 +124,9 @@
         raise ZeroDivisionError("stumbled")
 
     monkeypatch.setattr(Balancer, "on_attempt_ended", stumble)
-    find, _ = hunt.play(hunt.draw_world(1), 1)
-    assert find is not None and find.rules == {"failed": 1} and "stumbled" in find.first and "sidecar" in find.first
+    find = search.run_world(random_worlds.draw_world(1), 1).find
+    assert find is not None and find.rules == {"failed": 1}
+    assert "stumbled" in find.first_violation and "sidecar" in find.first_violation
 
 
 def test_a_sidecar_that_stands_still_breaks_no_rule_and_serves_again_afterwards() -> None:
@@ -191,33 +194,33 @@
         finished_us=700,
     )
     states = {
-        at_us: coverage.state_at(item, [failed, late, well], at_us)
+        at_us: coverage.position_at(item, [failed, late, well], at_us)
         for at_us in (50, 120, 200, 400, 520, 560, 650, 750, 850, 950, 1100)
     }
     assert states == {
-        50: ("not sent", ""),
-        120: ("arriving", "c1"),
-        200: ("queued", "c1"),
-        400: ("between", ""),
-        520: ("arriving", "c2"),
-        560: ("queued", "c2"),
-        650: ("running", "c2"),
-        750: ("run", "c2"),
-        850: ("run", "c2"),
-        950: ("late", "c3"),
-        1100: ("", ""),
+        50: Position(RequestState.NOT_SENT),
+        120: Position(RequestState.ARRIVING, "c1"),
+        200: Position(RequestState.QUEUED, "c1"),
+        400: Position(RequestState.BETWEEN),
+        520: Position(RequestState.ARRIVING, "c2"),
+        560: Position(RequestState.QUEUED, "c2"),
+        650: Position(RequestState.RUNNING, "c2"),
+        750: Position(RequestState.RUN, "c2"),
+        850: Position(RequestState.RUN, "c2"),
+        950: Position(RequestState.LATE, "c3"),
+        1100: None,
     }
-    assert {state for state, _ in states.values() if state} == set(coverage.STATES)
+    assert {position.state for position in states.values() if position} == set(RequestState)
 
 
 def test_a_hunt_leans_to_what_was_hardly_tried() -> None:
     tried = coverage.Coverage()
-    for state in coverage.STATES:
-        tried.cells["hang", state] = coverage.RARE
-    lean = hunt.leaning(tried)
-    assert lean["hang"] == 1.0 and lean["slow"] == 1.0 + hunt.LEAN and lean["surge"] == 1.0
+    for state in RequestState:
+        tried.counts[Meeting("hang", state)] = coverage.MIN_MEETINGS
+    lean = search.boosts_from(tried)
+    assert lean["hang"] == 1.0 and lean["slow"] == 1.0 + search.MAX_BOOST and lean["surge"] == 1.0
     often = [
-        sum(fault.kind == "hang" for seed in range(300) for fault in hunt.draw_world(seed, weights).faults)
+        sum(fault.kind == "hang" for seed in range(300) for fault in random_worlds.draw_world(seed, weights).faults)
         for weights in ({}, lean)
     ]
     assert often[1] < often[0] / 2
