--- a/ryepier/experiments/core/machine.py
+++ b/ryepier/experiments/core/machine.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.errors import HarnessError
 
 GB = 10**9
 KIB = 1024
--- a/ryepier/experiments/core/processes.py
+++ b/ryepier/experiments/core/processes.py
@@ -6,7 +6,7 @@
 import subprocess
 import time
 
-from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.errors import HarnessError
 
 START_TIMEOUT_S = 10.0
 POLL_INTERVAL_S = 0.05
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -11,6 +11,7 @@
 import msgspec
 
 from ryepier.emulator import harness
+from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures
@@ -41,14 +42,14 @@
 def cpu_us_per_request(documents: str, seed: int, folder: Path, command: tuple[str, ...] | list[str]) -> float:
     """Run a sidecar started by a command, and return its CPU time per request in the middle of the run.
 
-    Raises harness.HarnessError if it served too little to tell.
+    Raises HarnessError if it served too little to tell.
     """
     roles = harness.RoleAssignment(sidecar_command=command)
     history = harness.play(_world(documents), seed, folder, roles)
     cpu_us = figures.cpu_us_per_request(history, 0, MEASURED_FROM_S, MEASURED_TO_S)
     served = sum(item.outcome == "served" for item in history.client_attempts)
     if cpu_us is None or served < MIN_SERVED_SHARE * len(history.client_attempts):
-        raise harness.HarnessError("a run that served too little says nothing of what serving costs")
+        raise HarnessError("a run that served too little says nothing of what serving costs")
     return cpu_us
 
 
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ryepier.emulator.world import Fault, World
+from ryepier.emulator.world import Fault, FaultKind, World
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.load_spread.processes.memory import check_here
@@ -27,7 +27,7 @@
 STALE_AT_S = 2.0
 STALE_FOR_S = 5.0
 STALE_SHARE = 0.5
-RELEASE = Fault(kind="release", at_s=STALE_AT_S + 0.5, for_s=2.0, target_share=0.2, drain_s=1.0, down_s=0.5)
+RELEASE = Fault(kind=FaultKind.RELEASE, at_s=STALE_AT_S + 0.5, for_s=2.0, target_share=0.2, drain_s=1.0, down_s=0.5)
 CUT_AT_S = 8.0
 CUT_FOR_S = 3.0
 CUT_END_S = CUT_AT_S + CUT_FOR_S
@@ -57,12 +57,12 @@
 
 def with_kill(scale: Scale) -> World:
     """Return the fleet with a third of the sidecars killed at once, and started again together."""
-    kill = Fault(kind="sidecar-kill", at_s=KILL_AT_S, target_share=KILLED_SHARE, down_s=KILL_DOWN_S)
+    kill = Fault(kind=FaultKind.SIDECAR_KILL, at_s=KILL_AT_S, target_share=KILLED_SHARE, down_s=KILL_DOWN_S)
     return msgspec.structs.replace(fleet(scale), duration_s=KILL_DURATION_S, faults=[kill])
 
 
 def with_differing_lists(scale: Scale) -> World:
     """Return the fleet with old lists at half of the sidecars during a release, and a zone cut off later."""
-    stale = Fault(kind="discovery-stale", at_s=STALE_AT_S, for_s=STALE_FOR_S, target_share=STALE_SHARE)
-    cut = Fault(kind="zone-cut", at_s=CUT_AT_S, for_s=CUT_FOR_S, zone=CUT_ZONE)
+    stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=STALE_AT_S, for_s=STALE_FOR_S, target_share=STALE_SHARE)
+    cut = Fault(kind=FaultKind.ZONE_CUT, at_s=CUT_AT_S, for_s=CUT_FOR_S, zone=CUT_ZONE)
     return msgspec.structs.replace(fleet(scale), duration_s=LISTS_DURATION_S, faults=[stale, RELEASE, cut])
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -17,7 +17,8 @@
 import numpy as np
 
 from ryepier.emulator import draws
-from ryepier.emulator.harness import PLANNER, find_network
+from ryepier.emulator.harness import PLANNER
+from ryepier.emulator.loopback import find_network
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
 from ryepier.experiments.core.processes import wait_until_listening
--- a/ryepier/experiments/scale/lightweight.py
+++ b/ryepier/experiments/scale/lightweight.py
@@ -14,7 +14,7 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.errors import HarnessError
 
 ANSWERS_WITHIN_S = 30.0
 LONGEST_LINE = 64 * 1024 * 1024
--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -113,7 +113,7 @@
     """Return the name of a step in the table."""
     if step.action is FaultAction.NOTIFY:
         return f"told {step.state}"
-    return step.fault if step.action in PLAIN_ACTIONS else f"{step.fault}: {step.action.value}"
+    return str(step.fault) if step.action in PLAIN_ACTIONS else f"{step.fault}: {step.action.value}"
 
 
 def position_at(request: ClientAttempt, attempts: Sequence[ConverterAttempt], at_us: int) -> Position | None:
--- a/ryepier/experiments/simulation/random_worlds.py
+++ b/ryepier/experiments/simulation/random_worlds.py
@@ -11,7 +11,9 @@
 from ryepier.emulator.world import (
     Clients,
     Converters,
+    DeduplicationScope,
     Discovery,
+    Effect,
     Fault,
     Planners,
     RequestClass,
@@ -31,7 +33,7 @@
         objective_ms=150.0,
         deadline_ms=800.0,
         priority_weight=3.0,
-        effect="at_most_once",
+        effect=Effect.AT_MOST_ONCE,
     ),
     RequestClass(
         name="mark",
@@ -41,8 +43,8 @@
         deadline_ms=900.0,
         priority_weight=5.0,
         late_weight=0.5,
-        effect="deduplicated",
-        group="cell",
+        effect=Effect.DEDUPLICATED,
+        scope=DeduplicationScope.CELL,
         idempotency_window_ms=500.0,
     ),
 ]
--- a/ryepier/experiments/simulation/speed.py
+++ b/ryepier/experiments/simulation/speed.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ryepier.emulator import simulated
-from ryepier.emulator.world import Fault, World
+from ryepier.emulator.world import Fault, FaultKind, World
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.simulation.run_summary import summarize
@@ -33,7 +33,7 @@
         duration_s=duration_s,
         sidecars=replace(world.sidecars, count=sidecars),
         clients=replace(world.clients, rate_per_s=RATE_PER_S, ramp_to_per_s=0.0),
-        faults=[Fault(kind="sidecar-kill", at_s=duration_s / 2, down_s=DOWN_S, index=0)],
+        faults=[Fault(kind=FaultKind.SIDECAR_KILL, at_s=duration_s / 2, down_s=DOWN_S, index=0)],
     )
 
 
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -16,8 +16,9 @@
 import msgspec
 import numpy as np
 
-from ryepier.emulator.apiserver import SERVICE_LABEL, ApiServer, Object, Store
-from ryepier.emulator.harness import HarnessError
+from ryepier.emulator.api_server import ApiServer
+from ryepier.emulator.api_store import SERVICE_LABEL, Object, Store
+from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.slices.follower_process import UP, FollowerReport
@@ -129,7 +130,7 @@
     for number in range(CHANGES[scale]):
         await asyncio.sleep(max(0.0, begin_s + number * CHANGE_INTERVAL_S - time.monotonic()))
         service.change(number)
-        server.changed()
+        server.on_change()
     await asyncio.sleep(TAIL_S)
 
 
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from ryepier.emulator.records import ClientAttempt
+from ryepier.emulator.records import ClientAttempt, RequestOutcome
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Run
 from ryepier.experiments.core.logs import SIDECAR_LOGS, files_with, lines_with
@@ -49,7 +49,7 @@
         for item in run.history.client_attempts
         if (item.number > 0) is retries and begin_s * US_PER_S <= item.sent_us < end_s * US_PER_S
     ]
-    return outcomes.count("refused") / max(1, len(outcomes))
+    return outcomes.count(RequestOutcome.REFUSED) / max(1, len(outcomes))
 
 
 def advice_uniformity(run: Run) -> float:
