--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -38,7 +38,7 @@
 @click.option("--out", "folder", type=click.Path(path_type=Path), default=Path("out/demo"), show_default=True)
 def demo(seed: int, folder: Path) -> None:
     """Run a small world for under 30 s and write a report of it."""
-    world = DEMO.world("small")
+    world = DEMO.world(Scale.SMALL)
     print(
         f"{world.converter_count} emulated converters, {world.sidecars.count} sidecars, "
         f"{world.clients.rate_per_s:.0f} requests per second for {world.duration_s:.0f} s",
@@ -46,7 +46,7 @@
     )
     try:
         with live_summary("demo", world.duration_s) as watcher:
-            claims = runner.run_experiment(DEMO, TrialConfig(seed, "small", folder), watcher)
+            claims = runner.run_experiment(DEMO, TrialConfig(seed, Scale.SMALL, folder), watcher)
     except (HarnessError, OSError) as error:
         fail("demo", error, ExitCode.FAILURE)
     for line in format_events(report.events(folder)):
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -6,7 +6,6 @@
 import sys
 from collections.abc import Sequence
 from pathlib import Path
-from typing import cast
 
 import click
 import msgspec
@@ -17,7 +16,7 @@
 from ryepier.emulator.errors import HarnessError
 from ryepier.experiments.catalogue import BENCHMARKS, EXPERIMENTS
 from ryepier.experiments.core import contract, report, runner
-from ryepier.experiments.core.contract import Benchmark, Claim, Experiment
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Scale
 from ryepier.experiments.core.machine import InsufficientResourcesError
 
 ALL: dict[str, Experiment | Benchmark] = {**EXPERIMENTS, **BENCHMARKS}
@@ -48,13 +47,15 @@
 @experiment.command()
 @click.argument("name", type=click.Choice(sorted(ALL)))
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
-@click.option("--scale", type=click.Choice(["small", "full"]), default="small", show_default=True)
+@click.option(
+    "--scale", type=click.Choice([scale.value for scale in Scale]), default=Scale.SMALL.value, show_default=True
+)
 @click.option("--out", "folder", type=click.Path(path_type=Path), help="Folder for the results; default out/NAME-SEED.")
 @click.option("--plant", "seeded_fault", default="", help="Run with this seeded fault; a claim must then fail.")
 @click.option(
     "--backend",
-    type=click.Choice(["sockets", "sim"]),
-    default="sockets",
+    type=click.Choice([backend.value for backend in contract.Backend]),
+    default=contract.Backend.SOCKETS.value,
     show_default=True,
     help="Real sockets, or one process under virtual time.",
 )
@@ -64,7 +65,7 @@
     one = ALL[name]
     _check_seeded_fault(one, seeded_fault)
     folder = folder or Path("out") / f"{name}-{seed}{'-' + seeded_fault if seeded_fault else ''}"
-    trial = contract.TrialConfig(seed, cast(contract.Scale, scale), folder, seeded_fault)
+    trial = contract.TrialConfig(seed, Scale(scale), folder, seeded_fault)
     try:
         claims = _run(one, trial, contract.Backend(backend))
     except InsufficientResourcesError as error:
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -15,7 +15,6 @@
 from ryepier.emulator.world import World
 from ryepier.experiments.core import figures, judge
 
-Scale = Literal["small", "full"]
 Operator = Literal["<=", ">=", "=="]
 OPERATORS: dict[str, Callable[[float, float], bool]] = {"<=": operator.le, ">=": operator.ge, "==": operator.eq}
 RESULT = "result.json"
@@ -24,6 +23,13 @@
 BREACHES = "breaches.json"
 
 
+class Scale(StrEnum):
+    """The size of an experiment."""
+
+    SMALL = "small"  # ends within 45 s on eight shared cores
+    FULL = "full"
+
+
 class Backend(StrEnum):
     """Where an experiment's world runs."""
 
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -11,7 +11,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, History, Incarnation
+from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, History, Incarnation, RequestOutcome
 from ryepier.emulator.world import RequestClass, World
 
 MAX_LATENCY_US = 60_000_000
@@ -58,7 +58,7 @@
 def _make_operation(classes: list[RequestClass], attempts: list[ClientAttempt]) -> Operation:
     first = min(attempts, key=lambda item: item.number)
     request_class = classes[first.request_class]
-    served_us = [item.ended_us for item in attempts if item.outcome == "served"]
+    served_us = [item.ended_us for item in attempts if item.outcome is RequestOutcome.SERVED]
     latency_us = min(served_us) - first.planned_us if served_us else None
     earned = _earned_weight(request_class, latency_us)
     return Operation(first, request_class.priority_weight, earned, latency_us, len(attempts))
@@ -99,7 +99,7 @@
 
 def wasted_work_share(history: History) -> float:
     """Return the share of the converters' work after which no client had an answer."""
-    served = {item.request_id for item in history.client_attempts if item.outcome == "served"}
+    served = {item.request_id for item in history.client_attempts if item.outcome is RequestOutcome.SERVED}
     executed = [attempt for attempt in history.converter_attempts if attempt.started_us != NEVER]
     total_us = sum(attempt.work_us for attempt in executed)
     wasted_us = sum(attempt.work_us for attempt in executed if attempt.request_id not in served)
@@ -108,7 +108,7 @@
 
 def retry_after_share(tries: Iterable[ClientAttempt]) -> float:
     """Return the share of rejections with a Retry-After; 1 if there were no rejections."""
-    rejected = [item for item in tries if item.outcome == "refused"]
+    rejected = [item for item in tries if item.outcome is RequestOutcome.REFUSED]
     return sum(item.retry_after_us > 0 for item in rejected) / len(rejected) if rejected else 1.0
 
 
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -11,8 +11,17 @@
 from dataclasses import dataclass
 
 from ryepier.emulator import draws
-from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, EndpointNotice, History, Incarnation
-from ryepier.emulator.world import RequestClass, World
+from ryepier.emulator.records import (
+    NEVER,
+    AttemptOutcome,
+    ClientAttempt,
+    ConverterAttempt,
+    EndpointNotice,
+    History,
+    Incarnation,
+    RequestOutcome,
+)
+from ryepier.emulator.world import DeduplicationScope, Effect, RequestClass, World
 
 TIME_LIMIT_SLACK_US = 50_000  # added to every time limit on sockets
 MIN_CLOCK_SKEW_US = 20_000  # between the records of two processes, however punctual they were
@@ -52,7 +61,7 @@
 
     By the protocol only a complete 503 or 504 that says so proves that it did not.
     """
-    return not (attempt.outcome == "answered" and attempt.not_run)
+    return not (attempt.outcome is AttemptOutcome.ANSWERED and attempt.not_run)
 
 
 def judge(world: World, history: History) -> list[Breach]:
@@ -61,8 +70,10 @@
 
 
 def _is_harmless_to_repeat(request_class: RequestClass) -> bool:
-    deduplicated_everywhere = request_class.effect == "deduplicated" and request_class.scope == "all"
-    return request_class.effect == "idempotent" or deduplicated_everywhere
+    deduplicated_everywhere = (
+        request_class.effect is Effect.DEDUPLICATED and request_class.scope is DeduplicationScope.ALL
+    )
+    return request_class.effect is Effect.IDEMPOTENT or deduplicated_everywhere
 
 
 class _RuleChecker:
@@ -111,16 +122,16 @@
         self._check_in_time(item)
         if item.trailing_bytes:
             self._add("second-answer", item.ended_us, f"{item.request_id}: {item.trailing_bytes} more bytes")
-        if item.outcome == "served" and not self._was_answered_by_converter(item):
+        if item.outcome is RequestOutcome.SERVED and not self._was_answered_by_converter(item):
             self._add(
                 "forged",
                 item.ended_us,
                 f"{item.request_id}: for {item.response_request_id!r} by {item.responder_uid!r}",
             )
-        if item.outcome in ("refused", "failed") and not self._was_given_up_at_once(item):
+        if item.outcome in (RequestOutcome.REFUSED, RequestOutcome.FAILED) and not self._was_given_up_at_once(item):
             elapsed_ms = (item.ended_us - item.sent_us) // US_PER_MS
             self._add("held", item.ended_us, f"{item.request_id} {item.outcome} after {elapsed_ms} ms")
-        if item.outcome == "refused" and not _is_harmless_to_repeat(self._class_of(item)):
+        if item.outcome is RequestOutcome.REFUSED and not _is_harmless_to_repeat(self._class_of(item)):
             self._check_rejection(item)
 
     def _sidecar_ran_throughout(self, item: ClientAttempt) -> bool:
@@ -136,12 +147,17 @@
 
     def _check_in_time(self, item: ClientAttempt) -> None:
         due_us = self._due_us(item) + TIME_LIMIT_SLACK_US
-        is_late = item.outcome in ("served", "refused", "failed") and item.ended_us > due_us
+        is_late = (
+            item.outcome in (RequestOutcome.SERVED, RequestOutcome.REFUSED, RequestOutcome.FAILED)
+            and item.ended_us > due_us
+        )
         text = f"{item.request_id} by sidecar {item.sidecar}"
-        if item.outcome == "timeout" or is_late:
+        if item.outcome is RequestOutcome.TIMEOUT or is_late:
             rule = "held-up" if self._was_suspended(item) else "unanswered"
             self._add(rule, due_us, text)
-        elif item.outcome == "broken" and not (item.may_be_unread and item.request_id not in self.attempts):
+        elif item.outcome is RequestOutcome.BROKEN and not (
+            item.may_be_unread and item.request_id not in self.attempts
+        ):
             self._add("broken", item.ended_us, text)
 
     def _was_suspended(self, item: ClientAttempt) -> bool:
@@ -196,14 +212,14 @@
     def _may_repeat(self, item: ClientAttempt, earlier: ConverterAttempt, later: ConverterAttempt) -> bool:
         """Return whether an attempt may follow one that may have run."""
         request_class = self._class_of(item)
-        if request_class.effect == "idempotent":
+        if request_class.effect is Effect.IDEMPOTENT:
             return True
         memory_us = request_class.idempotency_window_ms * US_PER_MS + TIME_LIMIT_SLACK_US
-        if request_class.effect == "at_most_once" or later.received_us - earlier.received_us > memory_us:
+        if request_class.effect is Effect.AT_MOST_ONCE or later.received_us - earlier.received_us > memory_us:
             return False
-        if request_class.scope == "cell":
+        if request_class.scope is DeduplicationScope.CELL:
             return earlier.pod == later.pod
-        return request_class.scope == "all" or self.zones[earlier.pod] == self.zones[later.pod]
+        return request_class.scope is DeduplicationScope.ALL or self.zones[earlier.pod] == self.zones[later.pod]
 
     def _check_invented(self) -> None:
         for ident, attempts in self.attempts.items():
@@ -215,7 +231,7 @@
         executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by first attempt
         for attempt in self.history.converter_attempts:
             item = self.tries.get(attempt.request_id)
-            if item is not None and attempt.started_us != NEVER and self._class_of(item).effect == "at_most_once":
+            if item is not None and attempt.started_us != NEVER and self._class_of(item).effect is Effect.AT_MOST_ONCE:
                 executions[item.arrival].append(attempt)
         for attempts in executions.values():
             if len(attempts) > 1:
--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -66,7 +66,7 @@
 
 def _world(scale: Scale) -> World:
     world = load("breaking-point")
-    if scale == "small":
+    if scale is Scale.SMALL:
         return world
     return msgspec.structs.replace(world, duration_s=world.duration_s * FULL_DURATION_FACTOR)
 
--- a/ryepier/experiments/faults/ceiling.py
+++ b/ryepier/experiments/faults/ceiling.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Mapping
 
+from ryepier.emulator.records import RequestOutcome
 from ryepier.emulator.world import World
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import load
@@ -21,7 +22,7 @@
 
 
 def _served_per_s(run: Run) -> float:
-    served = sum(item.outcome == "served" for item in run.history.client_attempts)
+    served = sum(item.outcome is RequestOutcome.SERVED for item in run.history.client_attempts)
     return served / run.world.duration_s
 
 
--- a/ryepier/experiments/faults/hang.py
+++ b/ryepier/experiments/faults/hang.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ryepier.emulator.world import World
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
@@ -22,10 +22,10 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    hang = fault_of_kind(run.world, "hang")
+    hang = fault_of_kind(run.world, FaultKind.HANG)
     middle_s = hang.at_s + hang.for_s / 2
     end_s = phases.end_s(hang)
-    hung = phases.struck_uids(run, ("hang",))
+    hung = phases.struck_uids(run, (FaultKind.HANG,))
     to_hung = figures.count_attempts(run.history.converter_attempts, hung, middle_s, end_s)
     service_during = figures.service_level(run.operations, figures.due_between(middle_s, end_s))
     service_after = figures.service_level(run.operations, phases.after_recovery(hang, run.world))
--- a/ryepier/experiments/faults/release.py
+++ b/ryepier/experiments/faults/release.py
@@ -6,7 +6,8 @@
 
 from __future__ import annotations
 
-from ryepier.emulator.world import World
+from ryepier.emulator.timeline import ListState
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
@@ -21,10 +22,10 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    release = fault_of_kind(run.world, "release")
+    release = fault_of_kind(run.world, FaultKind.RELEASE)
     started = phases.started_uids(run)
     used = {attempt.uid for attempt in run.history.converter_attempts} & started
-    drains = sum(notice.state == "leaving" for notice in run.history.notices)
+    drains = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
     service = figures.service_level(run.operations, phases.during(release))
     return [
         Claim("drains told of", drains, ">=", len(started) * run.world.sidecars.count * MIN_NOTIFIED_SHARE),
--- a/ryepier/experiments/faults/scaling.py
+++ b/ryepier/experiments/faults/scaling.py
@@ -13,7 +13,7 @@
 
 def scaled(world: World, scale: Scale) -> World:
     """Return the world itself for `small`, and a larger and longer one for `full`."""
-    if scale == "small":
+    if scale is Scale.SMALL:
         return world
     replace = msgspec.structs.replace
     return replace(
--- a/ryepier/experiments/faults/sidecar_kill.py
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from ryepier.emulator.records import ClientAttempt
-from ryepier.emulator.world import World
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
@@ -23,7 +23,7 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    kill = fault_of_kind(run.world, "sidecar-kill")
+    kill = fault_of_kind(run.world, FaultKind.SIDECAR_KILL)
     killed = {life.sidecar for life in run.history.incarnations if life.killed}
     restarted = [life for life in run.history.incarnations if life.started_us > 0]
     start_s = max(((life.ready_us - life.started_us) / US_PER_S for life in restarted), default=float("inf"))
--- a/ryepier/experiments/faults/surge.py
+++ b/ryepier/experiments/faults/surge.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ryepier.emulator.world import World
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
@@ -25,7 +25,7 @@
 
 def surge_claims(run: Run) -> list[Claim]:
     """Return the claims on the service during and after the surge of a run's world."""
-    surge = fault_of_kind(run.world, "surge")
+    surge = fault_of_kind(run.world, FaultKind.SURGE)
     during = figures.service_level(run.operations, phases.during(surge))
     after = figures.service_level(run.operations, phases.after_recovery(surge, run.world))
     return [
@@ -35,7 +35,7 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    surge = fault_of_kind(run.world, "surge")
+    surge = fault_of_kind(run.world, FaultKind.SURGE)
     before = figures.service_level(run.operations, figures.due_between(SETTLED_S, surge.at_s))
     advised = figures.retry_after_share(run.history.client_attempts)
     return [
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -12,6 +12,7 @@
 
 from ryepier.emulator import harness
 from ryepier.emulator.errors import HarnessError
+from ryepier.emulator.records import RequestOutcome
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures
@@ -47,7 +48,7 @@
     roles = harness.RoleAssignment(sidecar_command=command)
     history = harness.play(_world(documents), seed, folder, roles)
     cpu_us = figures.cpu_us_per_request(history, 0, MEASURED_FROM_S, MEASURED_TO_S)
-    served = sum(item.outcome == "served" for item in history.client_attempts)
+    served = sum(item.outcome is RequestOutcome.SERVED for item in history.client_attempts)
     if cpu_us is None or served < MIN_SERVED_SHARE * len(history.client_attempts):
         raise HarnessError("a run that served too little says nothing of what serving costs")
     return cpu_us
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -7,7 +7,8 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt
+from ryepier.emulator.records import NEVER, AttemptOutcome, ClientAttempt, ConverterAttempt
+from ryepier.emulator.world import Effect
 from ryepier.experiments.core.contract import Run
 from ryepier.experiments.core.quantiles import binomial_quantile
 
@@ -106,7 +107,7 @@
     queries = [
         request_id
         for request_id in attempts
-        if run.world.classes[requests[request_id].request_class].effect == "idempotent"
+        if run.world.classes[requests[request_id].request_class].effect is Effect.IDEMPOTENT
     ]
     max_attempts = run.world.sidecars.max_attempts
     resets = [
@@ -130,7 +131,7 @@
 ) -> Iterator[_Reset]:
     """Yield the resets of one query that left it an attempt."""
     for number, attempt in enumerate(sent[: max_attempts - 1]):
-        if attempt.outcome != "reset":
+        if attempt.outcome is not AttemptOutcome.RESET:
             continue
         was_retried = number + 1 < len(sent)
         until_us = sent[number + 1].first_byte_us if was_retried else request.ended_us
@@ -144,10 +145,12 @@
     resets: Sequence[_Reset],
 ) -> QueryResets:
     spare = [reset for reset in resets if reset.lowest_budget >= SPARE_BUDGET]
-    retried = [query for query in queries if any(attempt.outcome == "reset" for attempt in attempts[query][:-1])]
+    retried = [
+        query for query in queries if any(attempt.outcome is AttemptOutcome.RESET for attempt in attempts[query][:-1])
+    ]
     return QueryResets(
         attempts=sum(len(attempts[query]) for query in queries),
-        resets=sum(attempt.outcome == "reset" for query in queries for attempt in attempts[query]),
+        resets=sum(attempt.outcome is AttemptOutcome.RESET for query in queries for attempt in attempts[query]),
         with_retry=sum(reset.lowest_budget >= 1.0 for reset in resets),
         with_spare=len(spare),
         retried=sum(reset.was_retried for reset in spare),
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from ryepier.emulator.records import NEVER
-from ryepier.emulator.world import World
+from ryepier.emulator.records import NEVER, AttemptOutcome, RequestOutcome
+from ryepier.emulator.world import Effect, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import load
@@ -32,7 +32,7 @@
 
 def _world(scale: Scale) -> World:
     world = load(WORLD)
-    if scale == "small":
+    if scale is Scale.SMALL:
         return world
     replace = msgspec.structs.replace
     stretch = FULL_DURATION_S / world.duration_s
@@ -63,8 +63,10 @@
 def _figures(run: Run) -> Mapping[str, float]:
     effects = _effects(run)
     requests = len(run.history.client_attempts)
-    reset = {attempt.request_id for attempt in run.history.converter_attempts if attempt.outcome == "reset"}
-    served = {item.request_id for item in run.history.client_attempts if item.outcome == "served"}
+    reset = {
+        attempt.request_id for attempt in run.history.converter_attempts if attempt.outcome is AttemptOutcome.RESET
+    }
+    served = {item.request_id for item in run.history.client_attempts if item.outcome is RequestOutcome.SERVED}
     queries = [request_id for request_id in reset if effects.get(request_id) == "idempotent"]
     return {
         "requests": requests,
@@ -82,7 +84,7 @@
     is_full_scale = run.world.duration_s >= FULL_DURATION_S
     min_requests = MIN_REQUESTS_AT_FULL_SCALE if is_full_scale else MIN_REQUESTS
     classes = run.world.classes
-    queries = [one for one in run.operations if classes[one.first.request_class].effect == "idempotent"]
+    queries = [one for one in run.operations if classes[one.first.request_class].effect is Effect.IDEMPOTENT]
     retried_name = "resets of queries, with retries to spare, that were sent again"
     served_name = "queries sent again after a reset that were served"
     return [
--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from ryepier.emulator.records import NEVER, ConnectionRecord, ConverterAttempt, History
+from ryepier.emulator.records import NEVER, ConnectionRecord, ConverterAttempt, History, RequestOutcome
 from ryepier.emulator.timeline import Instance
 from ryepier.experiments.core.quantiles import poisson_quantile
 from ryepier.experiments.load_spread.measures import RARE
@@ -178,11 +178,11 @@
 def served_operations_share(history: History) -> float:
     """Return the share of operations that an attempt or a retry had served, however late."""
     operations = {item.arrival for item in history.client_attempts}
-    served = {item.arrival for item in history.client_attempts if item.outcome == "served"}
+    served = {item.arrival for item in history.client_attempts if item.outcome is RequestOutcome.SERVED}
     return len(served) / max(1, len(operations))
 
 
 def rejected_share(history: History) -> float:
     """Return the share of the clients' attempts that were rejected."""
-    rejected = sum(item.outcome == "refused" for item in history.client_attempts)
+    rejected = sum(item.outcome is RequestOutcome.REFUSED for item in history.client_attempts)
     return rejected / max(1, len(history.client_attempts))
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -38,9 +38,9 @@
 def fleet(scale: Scale, load_factor: float = 1.0) -> World:
     """Return the fleet of a scale, without faults. Raises InsufficientResourcesError."""
     world, replace = load(BASE), msgspec.structs.replace
-    rate_per_s = world.clients.rate_per_s if scale == "small" else FULL_RATE_PER_S
+    rate_per_s = world.clients.rate_per_s if scale is Scale.SMALL else FULL_RATE_PER_S
     world = replace(world, clients=replace(world.clients, rate_per_s=rate_per_s * load_factor))
-    if scale == "full":
+    if scale is Scale.FULL:
         world = replace(
             world,
             converters=[replace(group, count=FULL_CONVERTERS_PER_ZONE) for group in world.converters],
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -10,6 +10,7 @@
 from collections.abc import Mapping
 
 from ryepier.emulator import timeline
+from ryepier.emulator.world import FaultKind
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.core.worlds import fault_of_kind
@@ -35,7 +36,7 @@
 
 def share_across_cut(run: Run, begin_s: float, end_s: float) -> float:
     """Return the share of attempts in a part of the run that went from one side of the cut to the other."""
-    cut_zone = fault_of_kind(run.world, "zone-cut").zone
+    cut_zone = fault_of_kind(run.world, FaultKind.ZONE_CUT).zone
     instances = timeline.build(run.world, run.seed).instances
     zone_of = {one.uid: one.machine.group.zone for one in instances}
     sidecar_of = {item.request_id: item.sidecar for item in run.history.client_attempts}
--- a/ryepier/experiments/load_spread/processes/measures.py
+++ b/ryepier/experiments/load_spread/processes/measures.py
@@ -6,6 +6,7 @@
 
 from ryepier.emulator import timeline
 from ryepier.emulator.timeline import TargetKind
+from ryepier.emulator.world import FaultKind
 from ryepier.experiments.core.contract import Claim, Run
 from ryepier.experiments.load_spread.processes import figures
 from ryepier.experiments.load_spread.processes.fleets import SETTLED_S
@@ -17,7 +18,9 @@
 def steady_uids(run: Run) -> list[str]:
     """Return the converters that no release replaces."""
     built = timeline.build(run.world, run.seed)
-    replaced = {step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault == "release"}
+    replaced = {
+        step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault is FaultKind.RELEASE
+    }
     return figures.steady_uids(built.instances, replaced)
 
 
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -35,7 +35,7 @@
     converters: int
 
 
-SIZES: dict[Scale, FleetSize] = {"small": FleetSize(150, 50), "full": FleetSize(300, 100)}
+SIZES: dict[Scale, FleetSize] = {Scale.SMALL: FleetSize(150, 50), Scale.FULL: FleetSize(300, 100)}
 
 
 def make_plan(scale: Scale, warm_up_us: int) -> FleetPlan:
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -19,11 +19,11 @@
 WARM_UP_SHARE = 1 / 3  # of the run, until the subsets have filled
 CONTROL = "private-subsets"
 PLANS: dict[Scale, dict[str, FleetPlan]] = {
-    "small": {
+    Scale.SMALL: {
         "half": FleetPlan(sidecars=150, converters=50, load=0.5, duration_us=12 * SECOND_US),
         "twentieth": FleetPlan(sidecars=200, converters=100, load=0.05, duration_us=24 * SECOND_US),
     },
-    "full": {
+    Scale.FULL: {
         "half": FleetPlan(sidecars=300, converters=100, load=0.5, duration_us=15 * SECOND_US),
         "twentieth": FleetPlan(sidecars=400, converters=200, load=0.05, duration_us=24 * SECOND_US),
     },
--- a/ryepier/experiments/planners/failover.py
+++ b/ryepier/experiments/planners/failover.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ryepier.emulator.world import World
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.logs import lines_with
@@ -38,7 +38,7 @@
 
 
 def _claims_of_hang(run: Run) -> list[Claim]:
-    hang = fault_of_kind(run.world, "planner-hang")
+    hang = fault_of_kind(run.world, FaultKind.PLANNER_HANG)
     followed_first = count_followers_of(run, "planner-0, epoch 1")
     followed_second = count_followers_of(run, "planner-1, epoch 2")
     further_changes = count_changes_of_planner(run) - followed_first - followed_second
--- a/ryepier/experiments/planners/loss.py
+++ b/ryepier/experiments/planners/loss.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from ryepier.emulator.timeline import ListState
+from ryepier.emulator.world import FaultKind
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.core.worlds import fault_of_kind
@@ -17,12 +19,12 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    kill = fault_of_kind(run.world, "planner-kill")
+    kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
     back_s = kill.at_s + kill.down_s
     before = figures.service_level(run.operations, figures.due_between(SETTLED_S, kill.at_s))
     during = figures.service_level(run.operations, figures.due_between(kill.at_s, back_s))
     after = figures.service_level(run.operations, phases.from_time(back_s + phases.RECOVERY_S, run.world))
-    drains = sum(notice.state == "leaving" for notice in run.history.notices)
+    drains = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
     sidecars = run.world.sidecars.count
     return [
         Claim("forwarders that followed a plan", count_followers(run), "==", sidecars),
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -16,12 +16,12 @@
 from ryepier.assembly.planning import make_machine
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.plan.forwarder import MAX_BACKOFF_S, Forwarder, Settings, Sidecar
 from ryepier.plan.messages import Heartbeat, Term, encode
 from ryepier.plan.plan_follower import AcceptanceRules
 
-FLEET_SIZES = {"small": (50, 500), "full": (50, 1000)}  # forwarders
+FLEET_SIZES = {Scale.SMALL: (50, 500), Scale.FULL: (50, 1000)}  # forwarders
 DOWN_TIMES_S = (0.05, 2.0)
 RETURN_TIMEOUT_S = 8.0
 SETTLE_S = 1.0
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -9,7 +9,7 @@
 
 from datetime import datetime
 
-from ryepier.emulator.world import World
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.logs import PLANNER_LOGS, SIDECAR_LOGS, lines_with, log_lines
@@ -33,7 +33,7 @@
 
 
 def _share_to_hung(run: Run, begin_s: float, end_s: float) -> float:
-    hung = phases.struck_uids(run, ("hang",))
+    hung = phases.struck_uids(run, (FaultKind.HANG,))
     return figures.count_attempts(run.history.converter_attempts, hung, begin_s, end_s).share
 
 
@@ -43,7 +43,7 @@
 
 
 def _claims_of_empty(run: Run) -> list[Claim]:
-    kill = fault_of_kind(run.world, "planner-kill")
+    kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
     arrived_s = kill.at_s + kill.down_s + ARRIVAL_S
     rejected = count_sidecars_that_logged(run, REJECTED)
     to_hung = _share_to_hung(run, arrived_s, run.world.duration_s)
@@ -71,7 +71,7 @@
 
 
 def _claims_of_restart(run: Run) -> list[Claim]:
-    kill = fault_of_kind(run.world, "planner-kill")
+    kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
     restarted_s = kill.at_s + kill.down_s
     to_hung = _share_to_hung(run, restarted_s, run.world.duration_s - END_MARGIN_S)
     followed_again = count_sidecars_that_logged(run, "epoch 2")
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -20,7 +20,7 @@
 from ryepier.emulator.harness import PLANNER
 from ryepier.emulator.loopback import find_network
 from ryepier.emulator.process import PLANNER_PORT
-from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.usage import usage
 from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
@@ -31,7 +31,7 @@
 REPORT_INTERVAL_S = 0.5
 ATTEMPTS_PER_REPORT = 2.0  # the mean, for each converter
 WARM_UP_S = 3.0
-MEASURED_S = {"small": 5.0, "full": 30.0}
+MEASURED_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}
 READ_BYTES = 65_536
 WHOLE_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
 MAX_CORES = 0.9
--- a/ryepier/experiments/planners/worlds.py
+++ b/ryepier/experiments/planners/worlds.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ryepier.emulator.world import Fault, World
+from ryepier.emulator.world import Fault, FaultKind, World
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
@@ -20,9 +20,9 @@
 def loss(scale: Scale) -> World:
     """Return the world in which all planners are away for a while, at full scale for `FULL_LOSS_S`."""
     world = load("planner-loss")
-    if scale == "small":
+    if scale is Scale.SMALL:
         return world
-    small_loss_s = fault_of_kind(world, "planner-kill").down_s
+    small_loss_s = fault_of_kind(world, FaultKind.PLANNER_KILL).down_s
     return msgspec.structs.replace(
         world,
         duration_s=world.duration_s - small_loss_s + FULL_LOSS_S,
@@ -31,8 +31,8 @@
 
 
 def _lengthened(fault: Fault) -> Fault:
-    if fault.kind == "planner-kill":
+    if fault.kind is FaultKind.PLANNER_KILL:
         return msgspec.structs.replace(fault, down_s=FULL_LOSS_S)
-    if fault.kind == "release":
+    if fault.kind is FaultKind.RELEASE:
         return msgspec.structs.replace(fault, for_s=FULL_LOSS_S)
     return fault
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/scale_call.py
@@ -52,11 +52,11 @@
 # 5 s: at the small scale it has opened half of them, and the full one waits for all.
 Phase = tuple[int, float, float]
 PHASES: dict[Scale, tuple[Phase, ...]] = {
-    "small": ((DESIGN_PER_S, 2.5, 2.0), (2 * DESIGN_PER_S, 0.8, 1.2), (4 * DESIGN_PER_S, 0.8, 1.2)),
-    "full": ((DESIGN_PER_S, 15.0, 20.0), (2 * DESIGN_PER_S, 15.0, 20.0), (4 * DESIGN_PER_S, 15.0, 20.0)),
+    Scale.SMALL: ((DESIGN_PER_S, 2.5, 2.0), (2 * DESIGN_PER_S, 0.8, 1.2), (4 * DESIGN_PER_S, 0.8, 1.2)),
+    Scale.FULL: ((DESIGN_PER_S, 15.0, 20.0), (2 * DESIGN_PER_S, 15.0, 20.0), (4 * DESIGN_PER_S, 15.0, 20.0)),
 }
 PROFILED = (30, 1600)
-PROFILED_S = {"small": 2.0, "full": 20.0}
+PROFILED_S = {Scale.SMALL: 2.0, Scale.FULL: 20.0}
 PROFILED_FUNCTIONS = 8
 OURS = ("ryepier/balancer", "ryepier/sidecar")
 ENDS_WITHIN_S = 15.0
@@ -376,7 +376,7 @@
         for known in KNOWN:
             async with play.sidecar(known, command) as sidecar:
                 direct = Target(play.converters, REQUEST)
-                for phase in PHASES[scale] if known in ENDS or scale == "full" else PHASES[scale][:1]:
+                for phase in PHASES[scale] if known in ENDS or scale is Scale.FULL else PHASES[scale][:1]:
                     found |= await play_phase(play, phase, sidecar, direct)
         return found | await profile(play, scale, stack, plant)
 
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/scale_control.py
@@ -44,18 +44,18 @@
 }
 # by converters in use; with 150, one planner has no core's worth of time for more than 320 forwarders
 SIZES: dict[Scale, dict[int, tuple[int, ...]]] = {
-    "small": {30: (50, 100, 200, 400), 150: (10, 20, 40, 80)},
-    "full": {30: (100, 200, 400, 800, 1200, 1600), 150: (40, 80, 120, 160, 240, 320)},
+    Scale.SMALL: {30: (50, 100, 200, 400), 150: (10, 20, 40, 80)},
+    Scale.FULL: {30: (100, 200, 400, 800, 1200, 1600), 150: (40, 80, 120, 160, 240, 320)},
 }
 PLANTED_SIZES = {30: (25, 50, 100, 200)}  # all converters in every report of 1,600 would fill the memory
 REPORTS_PER_S = 2.0  # of a forwarder, as set by default
 TICKS_PER_S = 1.0 / TICK_S
-WORKERS = {"small": 2, "full": 4}
+WORKERS = {Scale.SMALL: 2, Scale.FULL: 4}
 BYTES_NEEDED = 1_500_000_000
 SETTLE_S = 1.0
-MEASURE_S = {"small": 2.2, "full": 10.0}
+MEASURE_S = {Scale.SMALL: 2.2, Scale.FULL: 10.0}
 CONNECTED_WITHIN_S = 6.0
-FOLLOW_WITHIN_S = {"small": 5.0, "full": 15.0}
+FOLLOW_WITHIN_S = {Scale.SMALL: 5.0, Scale.FULL: 15.0}
 LOOK_S = 0.2
 MOST_USERS = 0.95  # of those that call a hung converter, who must have left it
 MOST_WAIT = 0.5  # of the planner's time: where it waits for a core for longer, the machine is what is measured
--- a/ryepier/experiments/scale/scale_depth.py
+++ b/ryepier/experiments/scale/scale_depth.py
@@ -21,7 +21,7 @@
 
 DEPTHS = (1, 3, 7, 11)
 FAILING = (0.1, 0.5, 1.0)
-CALLS: dict[Scale, int] = {"small": 300, "full": 3000}
+CALLS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
 RATE_PER_S = 100.0
 SHORT_US = 150_000  # a deadline that 11 hops hardly leave anything of: each takes 10 ms of it for its answer
 SAME_AIM_US = 150_000  # for all hops alike, as where nobody has thought of what lies below
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/scale_list.py
@@ -29,13 +29,13 @@
 from ryepier.sidecar.discovery import WATCH_RETRY_S
 
 KNOWN = (30, 150, 400, 800, 1600)  # converters that a sidecar knows
-SIDECARS = {"small": 12, "full": 40}  # hollow ones for each of these sizes
-FLEETS = {"small": (100, 200, 400, 800), "full": (200, 400, 800, 1600)}  # that come back after an outage
-FLEET_KNOWS = {"small": 30, "full": 150}
+SIDECARS = {Scale.SMALL: 12, Scale.FULL: 40}  # hollow ones for each of these sizes
+FLEETS = {Scale.SMALL: (100, 200, 400, 800), Scale.FULL: (200, 400, 800, 1600)}  # that come back after an outage
+FLEET_KNOWS = {Scale.SMALL: 30, Scale.FULL: 150}
 FLEET_PROCESSES = 4
-CHANGES = {"small": 40, "full": 200}
+CHANGES = {Scale.SMALL: 40, Scale.FULL: 200}
 CHANGE_EVERY_S = 0.02
-IDLE_S = {"small": 3.0, "full": 10.0}
+IDLE_S = {Scale.SMALL: 3.0, Scale.FULL: 10.0}
 ZONE = 8  # one of so many converters is in a zone
 OUTAGE_S = 1.0
 BACK_WITHIN_S = 25.0  # a machine with other work takes that long to give 1,600 their turn
--- a/ryepier/experiments/simulation/request_story.py
+++ b/ryepier/experiments/simulation/request_story.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, EndpointNotice, History
+from ryepier.emulator.timeline import ListState
 
 US_PER_MS = 1000
 US_PER_S = 1e6
@@ -57,5 +58,5 @@
     return [
         Event(notice.at_us, f"sidecar {notice.sidecar} is told: {notice.uid} {notice.state}")
         for notice in notices
-        if notice.uid == uid and notice.sidecar == sidecar and notice.state != "active"
+        if notice.uid == uid and notice.sidecar == sidecar and notice.state != ListState.ACTIVE
     ]
--- a/ryepier/experiments/simulation/speed.py
+++ b/ryepier/experiments/simulation/speed.py
@@ -16,8 +16,8 @@
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.simulation.run_summary import summarize
 
-FLEET_SIZES: dict[Scale, tuple[int, ...]] = {"small": (5, 50, 500), "full": (5, 50, 500, 3000)}  # sidecars
-DURATION_S = {"small": 4.0, "full": 20.0}
+FLEET_SIZES: dict[Scale, tuple[int, ...]] = {Scale.SMALL: (5, 50, 500), Scale.FULL: (5, 50, 500, 3000)}  # sidecars
+DURATION_S = {Scale.SMALL: 4.0, Scale.FULL: 20.0}
 RATE_PER_S = 1000.0  # of all clients
 DOWN_S = 0.5  # of the killed sidecar
 MIN_SPEED = {5: 0.5, 50: 0.4, 500: 0.25}  # simulated seconds per second, by fleet size
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -25,7 +25,7 @@
 
 SIZES = (1_000, 10_000)  # endpoints
 SLICE_SIZE = 100
-CHANGES = {"small": 150, "full": 1_500}
+CHANGES = {Scale.SMALL: 150, Scale.FULL: 1_500}
 CHANGE_INTERVAL_S = 0.04
 START_TIMEOUT_S = 20.0
 TAIL_S = 0.5  # after the last change, for its update to arrive
--- a/ryepier/experiments/slices/drain.py
+++ b/ryepier/experiments/slices/drain.py
@@ -6,7 +6,8 @@
 
 from __future__ import annotations
 
-from ryepier.emulator.world import World
+from ryepier.emulator.timeline import ListState
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
@@ -24,14 +25,14 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    terminating = {notice.uid for notice in run.history.notices if notice.state == "leaving"}
-    notified = {(notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == "leaving"}
+    terminating = {notice.uid for notice in run.history.notices if notice.state == ListState.LEAVING}
+    notified = {(notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == ListState.LEAVING}
     min_notified = MIN_NOTIFIED_SHARE * len(phases.started_uids(run)) * run.world.sidecars.count
     started_early = phases.started_uids(run, until_us=(run.world.duration_s - WARM_UP_S) * US_PER_S)
     used = {attempt.uid for attempt in run.history.converter_attempts} & started_early
     used_share = len(used) / max(1, len(started_early))
     used_name = f"share in use of the converters that came up {WARM_UP_S:g} s before the end"
-    service = figures.service_level(run.operations, phases.during(fault_of_kind(run.world, "release")))
+    service = figures.service_level(run.operations, phases.during(fault_of_kind(run.world, FaultKind.RELEASE)))
     return [
         Claim("converters seen terminating", len(terminating), ">=", MIN_TERMINATING),
         Claim("terminations told to a sidecar", len(notified), ">=", min_notified),
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -8,7 +8,7 @@
 
 from ryepier.emulator import timeline
 from ryepier.emulator.timeline import FaultAction
-from ryepier.emulator.world import World
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
@@ -30,7 +30,7 @@
 
 def catch_up_s(run: Run) -> float:
     """Return the time from the server's return until the last sidecar had a list; infinite if one never had."""
-    returned_us = phases.end_s(fault_of_kind(run.world, "discovery-down")) * US_PER_S
+    returned_us = phases.end_s(fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)) * US_PER_S
     first_notice_us: dict[int, int] = {}
     for notice in run.history.notices:
         if notice.at_us >= returned_us:
@@ -54,7 +54,7 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    outage = fault_of_kind(run.world, "discovery-down")
+    outage = fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)
     caught_up_s = catch_up_s(run)
     up_to_date_s = phases.end_s(outage) + caught_up_s + LIST_MARGIN_S
     after_s = min(up_to_date_s, run.world.duration_s - MIN_OBSERVED_S)
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -60,7 +60,7 @@
     """
     groups: dict[tuple[int, int, bool], list[ClientAttempt]] = defaultdict(list)
     for item in run.history.client_attempts:
-        if item.outcome == "refused" and item.retry_after_us:
+        if item.outcome is RequestOutcome.REFUSED and item.retry_after_us:
             groups[item.sidecar, item.ended_us // ADVICE_PERIOD_US, item.number > 0].append(item)
     shares = []
     for group in groups.values():
--- a/ryepier/experiments/storms/outage.py
+++ b/ryepier/experiments/storms/outage.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ryepier.emulator.world import Fault, World
+from ryepier.emulator.world import Fault, FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Run
 
@@ -26,7 +26,7 @@
 
 def end_of_fault_s(fault: Fault) -> float:
     """Return when what a fault struck is up again."""
-    restart_s = fault.drain_s + fault.down_s if fault.kind == "release" else 0.0
+    restart_s = fault.drain_s + fault.down_s if fault.kind is FaultKind.RELEASE else 0.0
     return phases.end_s(fault) + restart_s
 
 
--- a/ryepier/experiments/storms/real_surge.py
+++ b/ryepier/experiments/storms/real_surge.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ryepier.emulator.world import World
+from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
@@ -21,7 +21,7 @@
 
 def _claims(run: Run) -> list[Claim]:
     assert run.control is not None
-    is_in_surge = phases.during(fault_of_kind(run.world, "surge"))
+    is_in_surge = phases.during(fault_of_kind(run.world, FaultKind.SURGE))
     in_surge = figures.service_level(run.operations, is_in_surge)
     lost_in_surge = 100 * (figures.service_level(run.control.operations, is_in_surge) - in_surge)
     overall = figures.service_level(run.operations)
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -42,7 +42,7 @@
         fields = msgspec.to_builtins(base.clients)
         fields |= {"backoff": behavior.backoff, "obedient": behavior.obedient_share}
         base = replace(base, clients=msgspec.convert(fields, type(base.clients)))
-        lasts_s = outage_s if scale == "small" else FULL_OUTAGE_S
+        lasts_s = outage_s if scale is Scale.SMALL else FULL_OUTAGE_S
         if lasts_s == SHORT_OUTAGE_S:
             return base
         fault = base.faults[0]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,6 +13,7 @@
 from ryepier.emulator.records import History, Lateness
 from ryepier.experiments import catalogue, seeded_faults
 from ryepier.experiments.core import contract, report, runner
+from ryepier.experiments.core.contract import Scale
 from tests.test_experiment_judge import GOOD, WORLD
 
 
@@ -59,7 +60,7 @@
 @pytest.mark.parametrize("name", sorted(catalogue.EXPERIMENTS))
 def test_each_world_can_be_built_at_both_scales(name: str) -> None:
     one = catalogue.EXPERIMENTS[name]
-    assert one.world("small").duration_s <= one.world("full").duration_s
+    assert one.world(Scale.SMALL).duration_s <= one.world(Scale.FULL).duration_s
 
 
 def test_a_report_holds_the_claims_and_needs_nothing_from_elsewhere(tmp_path: Path) -> None:
@@ -69,7 +70,7 @@
     )
     run = contract.Run(WORLD, 1, history, [], [], tmp_path)
     claim = {"name": "service", "value": 0.5, "op": ">=", "bound": 0.9, "holds": False}
-    runner.save_run(run, contract.Result("hand", 1, "small", [claim], {}, {}))
+    runner.save_run(run, contract.Result("hand", 1, Scale.SMALL, [claim], {}, {}))
     assert invoke("experiment", "report", str(tmp_path)).exit_code == 0
     text = (tmp_path / report.REPORT).read_text()
     assert "FAILS" in text and text.count("<svg") == 5
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -21,7 +21,7 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import catalogue, seeded_faults
 from ryepier.experiments.core import contract, judge, report, runner
-from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, TrialConfig
+from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
 from ryepier.experiments.core.machine import InsufficientResourcesError
 
 RECORDED = Path(__file__).parent / "fixtures" / "experiments_interface.json"
@@ -42,7 +42,7 @@
 
 
 def run_without_traffic(experiment: Experiment, folder: Path) -> Run:
-    world = experiment.world("small")
+    world = experiment.world(Scale.SMALL)
     run = empty_run(world, folder)
     if experiment.control_world is None:
         return run
@@ -71,14 +71,25 @@
     return found
 
 
-def options_of_commands() -> dict[str, list[str]]:
+def choices(group: click.Command, prefix: str = "") -> dict[str, list[str]]:
+    """The values that options and arguments may have, by the command's words and the option."""
+    found: dict[str, list[str]] = {}
+    for name, one in getattr(group, "commands", {}).items():
+        found |= choices(one, f"{prefix} {name}")
+    for parameter in group.params:
+        if isinstance(parameter.type, click.Choice):
+            found[f"{prefix} {parameter.opts[0]}"] = [str(choice) for choice in parameter.type.choices]
+    return found
+
+
+def loaded_commands() -> dict[str, click.Command]:
     group = cli.main
     assert isinstance(group, cli.Commands)
-    found: dict[str, list[str]] = {}
+    found = {}
     for name in cli.COMMANDS:
         loaded = group.get_command(click.Context(group), name)
         assert loaded is not None
-        found |= parameters(loaded, name)
+        found[name] = loaded
     return found
 
 
@@ -107,11 +118,21 @@
 
 
 def test_commands_keep_their_options() -> None:
-    now = options_of_commands()
+    now: dict[str, list[str]] = {}
+    for name, loaded in loaded_commands().items():
+        now |= parameters(loaded, name)
     for name, words in recorded()["commands"].items():
         assert set(words) <= set(now[name]), name
 
 
+def test_options_keep_the_values_that_they_may_have() -> None:
+    now: dict[str, list[str]] = {}
+    for name, loaded in loaded_commands().items():
+        now |= choices(loaded, name)
+    for option, values in recorded()["choices"].items():
+        assert set(values) <= set(now[option]), option
+
+
 def test_results_keep_their_fields_and_files() -> None:
     before = recorded()["result"]
     assert list(contract.Result.__struct_encode_fields__) == before["fields"]
@@ -134,7 +155,7 @@
 
 def test_a_result_is_written_with_the_recorded_fields(tmp_path: Path) -> None:
     stub = Benchmark("stub", "", measuring(1.0), ())
-    runner.run_benchmark(stub, TrialConfig(1, "small", tmp_path))
+    runner.run_benchmark(stub, TrialConfig(1, Scale.SMALL, tmp_path))
     written = json.loads((tmp_path / "result.json").read_text())
     assert list(written) == recorded()["result"]["fields"]
     assert list(written["claims"][0]) == recorded()["result"]["claim_fields"]
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -7,7 +7,16 @@
 
 import pytest
 
-from ryepier.emulator.records import ClientAttempt, ConverterAttempt, EndpointNotice, History, Incarnation, Lateness
+from ryepier.emulator.records import (
+    AttemptOutcome,
+    ClientAttempt,
+    ConverterAttempt,
+    EndpointNotice,
+    History,
+    Incarnation,
+    Lateness,
+    RequestOutcome,
+)
 from ryepier.emulator.world import Clients, Converters, DeduplicationScope, Effect, RequestClass, Sidecars, World
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.judge import RULES, judge
@@ -68,7 +77,7 @@
         sent_us=sent_ms * MS,
         deadline_us=1000 * MS,
         ended_us=ended_ms * MS,
-        outcome=ending,
+        outcome=RequestOutcome(ending),
         **values,
     )
 
@@ -92,7 +101,7 @@
         at_ms * MS,
         at_ms * MS,
         ended_ms * MS,
-        ending,
+        AttemptOutcome(ending),
         status,
         not_run,
         at_ms * MS if ran else -1,
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -8,6 +8,7 @@
 import pytest
 
 from ryepier.balancer import interface as api
+from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.core.quantiles import poisson_quantile
 from ryepier.experiments.load_spread import measures, returning, trials
 from ryepier.sim.fleet import choosers
@@ -191,7 +192,7 @@
     ("plant", "low", "high"), [("", 0.7, 1.43), ("forget-returned", 0, 0.7), ("rush-returned", 1.43, 9)]
 )
 def test_those_that_are_back_are_neither_forgotten_nor_rushed(plant: str, low: float, high: float) -> None:
-    plan = returning.make_plan("small", 0)
+    plan = returning.make_plan(Scale.SMALL, 0)
     one = played(plant, plan, plan.duration_us - returning.MEASURED_US)
     shares = returning.shares_of_returned(one)
     assert low <= sum(shares) / len(shares) <= high
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.emulator.loopback import find_network
 from ryepier.experiments import seeded_faults
-from ryepier.experiments.core.contract import Claim
+from ryepier.experiments.core.contract import Claim, Scale
 from ryepier.experiments.core.usage import Usage
 from ryepier.experiments.scale import gauged_planner, scale_call, scale_control, scale_depth
 from ryepier.experiments.scale.chains import Chain, play
@@ -389,6 +389,6 @@
 
 def test_the_factor_of_a_hop_is_the_logarithms_slope() -> None:
     found = scale_depth.summary(
-        {name: {"attempts_a_call": 1.1**one.depth} for name, one in scale_depth.runs(1, "small").items()}
+        {name: {"attempts_a_call": 1.1**one.depth} for name, one in scale_depth.runs(1, Scale.SMALL).items()}
     )
     assert found["factor_a_hop_0.5_failing"] == pytest.approx(1.1)
--- a/tests/test_scale_fail.py
+++ b/tests/test_scale_fail.py
@@ -21,7 +21,7 @@
             f"together_cpu_ms_{changes}": 0.02 * changes,
             f"burst_bytes_{changes}": 200.0 * changes,
         }
-    for count in FLEETS["small"]:
+    for count in FLEETS[Scale.SMALL]:
         found |= {
             f"zone_stand_in_cpu_s_{count}": 1e-5 * ZONE * count + 0.5,  # what does not grow is not the fleet's
             f"zone_together_stand_in_cpu_s_{count}": 1e-5 * count,
@@ -30,7 +30,7 @@
 
 
 def test_the_whole_fleet_follows_from_the_lines() -> None:
-    got = scale_fail.calculated(by_hand(), "small")
+    got = scale_fail.calculated(by_hand(), Scale.SMALL)
     assert got["change_cpu_us"] == pytest.approx(100.0) and got["message_us"] == pytest.approx(10.0)
     assert (got["rack_messages"], got["zone_messages"], got["region_messages"]) == (64_000, 320_000, 640_000)
     assert got["region_mb"] == pytest.approx(200 * REGION * 800 / 1e6)
@@ -42,7 +42,7 @@
 
 def test_a_change_that_is_lost_or_told_twice_fails_a_claim() -> None:
     found = by_hand() | {"rack_told_40": 1.0, "zone_told_40": 1.0, "rack_still_ready_40": 0.0}
-    found |= scale_fail.calculated(found, "small")
+    found |= scale_fail.calculated(found, Scale.SMALL)
     assert all(claim.holds for claim in scale_fail.claims(found))
     for wrong in ({"zone_told_40": 0.999}, {"zone_told_40": 1.001}, {"rack_still_ready_40": 1.0}):
         assert not all(claim.holds for claim in scale_fail.claims(found | wrong))
