--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -1,4 +1,4 @@
-"""One agent as a process: `python -m ryepier.experiments.maintenance.agent_process PLAN`, with its plan as JSON."""
+"""One agent as a process: `python -m ryepier.experiments.maintenance.agent_process PLAN`, with its plan in JSON."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ryepier.conf.operator_settings import LoggingSettings
+from ryepier.conf.operator_settings import LogFormat, LoggingSettings
 from ryepier.logs import structured
 from ryepier.maintenance import agreement_file
 from ryepier.maintenance.address import Address
@@ -22,7 +22,7 @@
 
 
 class AgentPlan(msgspec.Struct, frozen=True):
-    """What an agent is told."""
+    """The settings of an agent process."""
 
     agreement: str
     region: str
@@ -34,9 +34,9 @@
 
 
 def main() -> None:
-    """Work until it is killed."""
+    """Run the agent until the process is killed."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AgentPlan)
-    structured.set_up(LoggingSettings(format="json", lines_per_s=LOG_LINES_PER_S))
+    structured.set_up(LoggingSettings(format=LogFormat.JSON, lines_per_s=LOG_LINES_PER_S))
     agreement = agreement_file.parse(Path(plan.agreement).read_bytes())
     client = RegionClient(plan.region, addresses_of(agreement, plan.region), plan.name, ClientKind.AGENT)
     settings = AgentSettings(plan.name, plan.drain_grace_s, plan.work_s)
