--- a/ryepier/commands/capacity.py
+++ b/ryepier/commands/capacity.py
@@ -10,8 +10,11 @@
 
 from ryepier.commands.exits import ExitCode, fail
 from ryepier.experiments.core import contract
-from ryepier.experiments.scale import capacity as table
-from ryepier.experiments.scale import capacity_rows
+from ryepier.experiments.scale.capacity import page as capacity_page
+from ryepier.experiments.scale.capacity.plan import CapacityError, read_plan
+from ryepier.experiments.scale.capacity.results import keep_result, read_results
+from ryepier.experiments.scale.capacity.rows import evaluate
+from ryepier.experiments.scale.capacity.table import ROWS
 
 results_option = click.option(
     "--kept",
@@ -30,8 +33,8 @@
     """Keep the result of the run in FOLDER for the capacity page, with the day of the run."""
     try:
         written = datetime.datetime.fromtimestamp((folder / contract.RESULT).stat().st_mtime, datetime.UTC)
-        print(table.keep(folder, results_folder, written.date().isoformat()))
-    except (OSError, table.CapacityError) as error:
+        print(keep_result(folder, results_folder, written.date().isoformat()))
+    except (OSError, CapacityError) as error:
         fail("experiment keep", error, ExitCode.MISUSE)
 
 
@@ -49,23 +52,23 @@
     if check and page is None:
         raise click.BadParameter("there is no --page to check", param_hint="--check")
     try:
-        plan, results = table.read_plan(results_folder), table.read_kept(results_folder)
+        plan, results = read_plan(results_folder), read_results(results_folder)
         if as_json:
-            print(json.dumps(table.as_objects(table.work_out(capacity_rows.ROWS, results, plan))))
+            print(json.dumps([row.as_fields() for row in evaluate(ROWS, results, plan)]))
             return
-        parts = table.parts(capacity_rows.ROWS, results, plan)
+        parts = capacity_page.make_parts(ROWS, results, plan)
         if page is None:
             print("\n\n".join(parts.values()))
         else:
             _update_page(page, parts, results_folder, check)
-    except table.CapacityError as error:
+    except CapacityError as error:
         fail("experiment capacity", error, ExitCode.MISUSE)
 
 
 def _update_page(page: Path, parts: dict[str, str], results_folder: Path, check: bool) -> None:
     """Write the tables into the page, or with `check` exit with 1 if they differ. Raises CapacityError."""
     before = page.read_text(encoding="utf-8")
-    after = table.put_in(before, parts)
+    after = capacity_page.replace_parts(before, parts)
     if not check:
         page.write_text(after, encoding="utf-8")
     elif before != after:
--- /dev/null
+++ b/ryepier/experiments/scale/capacity/page.py
@@ -0,0 +1,147 @@
+"""The capacity page: tables by role, what breaks first, and the kept results behind them, as Markdown."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping, Sequence
+
+from ryepier.experiments.scale.capacity.plan import CapacityError, Plan
+from ryepier.experiments.scale.capacity.results import KeptResult
+from ryepier.experiments.scale.capacity.rows import Row, RowResult, Standing, evaluate
+from ryepier.experiments.scale.slopes import Slope, Spread
+
+BEGIN, END = "<!-- {} from here: ryepier experiment capacity -->", "<!-- {} to here -->"
+TABLES, BREAKS = "tables", "breaks"  # the page's parts
+MAX_BREAKS = 14  # listed
+HEADER = (
+    "role",
+    "what",
+    "standing",
+    "at the size",
+    "of budget",
+    "slope; sizes measured",
+    "carried by",
+    "experiment, seeds, date",
+)
+
+
+def make_parts(rows: Sequence[Row], kept: Sequence[KeptResult], plan: Plan) -> dict[str, str]:
+    """Return what the page has between its markers, by part. Raises CapacityError."""
+    results = evaluate(rows, kept, plan)
+    return {
+        TABLES: format_roles(results) + "\n\n" + format_sources(kept),
+        BREAKS: format_breaks(results),
+    }
+
+
+def replace_parts(page: str, parts: Mapping[str, str]) -> str:
+    """Return the page with its parts replaced. Raises CapacityError if it lacks a marker."""
+    for name, text in parts.items():
+        begin, end = BEGIN.format(name), END.format(name)
+        before, has_begin, rest = page.partition(begin)
+        _, has_end, after = rest.partition(end)
+        if not has_begin or not has_end:
+            raise CapacityError(f"the page has no {begin if not has_begin else end}")
+        page = f"{before}{begin}\n\n{text}\n\n{end}{after}"
+    return page
+
+
+def first_to_break(results: Sequence[RowResult]) -> list[RowResult]:
+    """Return what breaks first: what nothing carries, then by the share of the size at which it breaks."""
+    missing = [result for result in results if result.standing is Standing.MISSING]
+    breaking = [result for result in results if result.breaks_at is not None]
+    breaking.sort(key=lambda result: (result.breaks_at or 0.0, -(result.share or 0.0)))
+    return (missing + breaking)[:MAX_BREAKS]
+
+
+def format_number(value: float) -> str:
+    """Return a number with three significant digits; two below a thousandth."""
+    if value == 0 or 0.001 <= abs(value) < 1000:
+        return f"{value:.3g}"
+    if abs(value) < 0.001:
+        return f"{value:.2g}"
+    digits = len(str(int(abs(value)))) - 3
+    return f"{round(value, -digits):,.0f}"
+
+
+def format_spread(spread: Spread) -> str:
+    """Return the median, with the lowest and highest value if they differ."""
+    median, least, most = (format_number(value) for value in (spread.median, spread.least, spread.most))
+    return median if least == most else f"{median} ({least} to {most})"
+
+
+def format_fit(fitted: Sequence[Slope]) -> str:
+    """Return the sizes that lines were fitted to, and the largest relative residual."""
+    ranges = {(format_number(slope.from_size), format_number(slope.to_size)) for slope in fitted}
+    residual_percent = 100 * max(slope.relative_residual for slope in fitted)
+    return ", ".join(f"{low} to {high}" for low, high in sorted(ranges)) + f", off by {residual_percent:.2g}%"
+
+
+def format_cells(result: RowResult) -> list[str]:
+    """Return the cells of a row, without its role."""
+    row = result.row
+    if result.value is None:
+        note = row.note or f"would be by `run {row.experiment}`, three seeds"
+        return [row.resource, result.standing, note, "", "", row.mechanism, row.experiment]
+    share = "none set" if result.share is None else f"{format_number(100 * result.share)}%"
+    value = f"{format_spread(result.value)} {row.unit}".rstrip()
+    if result.is_extrapolated:
+        value += ", by calculation"
+    slope = ""
+    if result.slope is not None and row.slope is not None:
+        slope = f"{format_spread(result.slope)} {row.slope.text}; {format_fit(result.fitted)}"
+    source = f"{row.experiment}, {' '.join(map(str, result.seeds))}, {result.date}"
+    return [row.resource, result.standing, value, share, slope, row.mechanism, source]
+
+
+def format_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Return a Markdown table."""
+    return "\n".join("| " + " | ".join(row) + " |" for row in (header, ["---"] * len(header), *rows))
+
+
+def format_roles(results: Sequence[RowResult]) -> str:
+    """Return one table in the order of the rows, which names a role in its first row."""
+    rows = []
+    previous_role = ""
+    for result in results:
+        role = f"**{result.row.role}**" if result.row.role != previous_role else ""
+        rows.append([role, *format_cells(result)])
+        previous_role = result.row.role
+    return format_table(HEADER, rows)
+
+
+def format_breaks(results: Sequence[RowResult]) -> str:
+    """Return the list of what breaks first."""
+    lines = []
+    for place, result in enumerate(first_to_break(results), 1):
+        used = f"{format_number(100 * (result.share or 0.0))}% of its budget"
+        reason = "nothing carries it" if result.standing is Standing.MISSING else used
+        size = _format_breaking_size(result.breaks_at or 0.0)
+        lines.append(f"{place}. {result.row.role}, {result.row.resource}: {size} ({reason})")
+    return "\n".join(lines)
+
+
+def _format_breaking_size(share: float) -> str:
+    if share > 1:
+        return f"at {format_number(share)} times the size"
+    return f"at {format_number(100 * share)}% of the size" if share else "at any size"
+
+
+def format_sources(kept: Sequence[KeptResult]) -> str:
+    """Return the experiments behind the tables: scale, machine, and which of their claims failed."""
+    names = dict.fromkeys(result.name for result in kept)
+    if not names:
+        return "No result is kept."
+    sources = [_format_source(name, [result for result in kept if result.name == name]) for name in names]
+    return "Kept results: " + "; ".join(sources) + "."
+
+
+def _format_source(name: str, results: Sequence[KeptResult]) -> str:
+    failed = [
+        f"seed {result.seed}: {claim['name']} ({format_number(float(str(claim['value'])))})"
+        for result in results
+        for claim in result.claims
+        if not claim["holds"]
+    ]
+    scales = ", ".join(dict.fromkeys(result.scale for result in results))
+    verdict = "fails " + "; ".join(failed) if failed else "every claim holds"
+    return f"{name} ({scales}, {results[0].versions['cores']} shared cores): {verdict}"
--- /dev/null
+++ b/ryepier/experiments/scale/capacity/results.py
@@ -0,0 +1,52 @@
+"""The kept results that the capacity page rests on, one file per experiment and seed."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import msgspec
+
+from ryepier.experiments.core.contract import RESULT, Result
+from ryepier.experiments.scale.capacity.plan import PLAN, CapacityError
+
+
+class KeptResult(Result):
+    """A result that the page rests on, and the day of its run."""
+
+    date: str = ""
+
+
+def read_results(folder: Path) -> list[KeptResult]:
+    """Return all results in a folder. Raises CapacityError."""
+    return [_read_result(path) for path in sorted(folder.glob("*.json")) if path.name != PLAN]
+
+
+def _read_result(path: Path) -> KeptResult:
+    try:
+        result = msgspec.json.decode(path.read_bytes(), type=KeptResult)
+    except (OSError, msgspec.MsgspecError) as error:
+        raise CapacityError(f"{path}: {error}") from None
+    if result.seeded_fault:
+        raise CapacityError(f"{path}: of a run with a seeded fault")
+    if path.name != file_name(result):
+        raise CapacityError(f"{path}: holds {file_name(result)}")
+    return result
+
+
+def file_name(result: Result) -> str:
+    """Return the name of a kept result's file."""
+    return f"{result.name}-{result.seed}.json"
+
+
+def keep_result(run: Path, folder: Path, date: str) -> Path:
+    """Copy the result of a run into the folder of kept results, and return its path. Raises CapacityError."""
+    try:
+        result = msgspec.json.decode((run / RESULT).read_bytes(), type=Result)
+    except (OSError, msgspec.MsgspecError) as error:
+        raise CapacityError(f"{run}: no readable run: {error}") from None
+    if result.seeded_fault:
+        raise CapacityError(f"{run}: of a run with a seeded fault")
+    kept = KeptResult(**{name: getattr(result, name) for name in Result.__struct_fields__}, date=date)
+    path = folder / file_name(kept)
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(kept), indent=1) + b"\n")
+    return path
--- /dev/null
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -0,0 +1,149 @@
+"""A row of the capacity tables, and what the kept results say of it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Sequence
+from enum import StrEnum
+
+import msgspec
+
+from ryepier.experiments.scale import slopes
+from ryepier.experiments.scale.capacity.estimates import Estimate, Value
+from ryepier.experiments.scale.capacity.plan import CapacityError, Plan
+from ryepier.experiments.scale.capacity.results import KeptResult
+from ryepier.experiments.scale.slopes import Slope, Spread
+
+Budget = Callable[[Plan], float]
+
+
+class Standing(StrEnum):
+    """Whether a resource is enough at the size to design for."""
+
+    CARRIED = "carried"
+    OVER = "over"
+    MISSING = "missing"  # nothing carries it
+    NOT_MEASURED = "not measured"
+
+
+class SlopeUnit(msgspec.Struct, frozen=True):
+    """The unit in which a row's slope is shown."""
+
+    text: str
+    factor: float = 1.0  # from the figure's unit
+
+
+class Row(msgspec.Struct, frozen=True):
+    """One resource of one role."""
+
+    role: str
+    resource: str
+    unit: str
+    mechanism: str = ""  # what carries it; empty: nothing
+    experiment: str = ""
+    estimate: Estimate | None = None
+    budget: Budget | None = None
+    slope: SlopeUnit | None = None
+    note: str = ""  # how it would be measured; if nothing carries it, its design
+
+
+class RowResult(msgspec.Struct, frozen=True, rename={"is_extrapolated": "extrapolated"}):
+    """A row with what the kept results say of it."""
+
+    row: Row
+    standing: Standing
+    value: Spread | None = None
+    slope: Spread | None = None
+    fitted: Sequence[Slope] = ()  # the lines behind it, one per seed
+    share: float | None = None  # of its budget
+    breaks_at: float | None = None  # share of the size at which it uses all of its budget
+    is_extrapolated: bool = False
+    seeds: tuple[int, ...] = ()
+    date: str = ""
+
+    def as_fields(self) -> dict[str, object]:
+        """Return the fields for programs."""
+        row = self.row
+        described = {
+            "role": row.role,
+            "what": row.resource,
+            "unit": row.unit,
+            "mechanism": row.mechanism,
+            "experiment": row.experiment,
+            "note": row.note,
+        }
+        names = zip(self.__struct_fields__, self.__struct_encode_fields__, strict=True)
+        return described | {
+            encoded: msgspec.to_builtins(getattr(self, name)) for name, encoded in names if name != "row"
+        }
+
+
+class _SeedValue(msgspec.Struct, frozen=True):
+    result: KeptResult
+    value: Value
+
+
+def evaluate(rows: Sequence[Row], kept: Sequence[KeptResult], plan: Plan) -> list[RowResult]:
+    """Return what the kept results say of each row. Raises CapacityError."""
+    return [evaluate_row(row, kept, plan) for row in rows]
+
+
+def evaluate_row(row: Row, kept: Iterable[KeptResult], plan: Plan) -> RowResult:
+    """Return what the kept results say of a row. Raises CapacityError if none has the figures that it rests on."""
+    if not row.mechanism:
+        return RowResult(row, Standing.MISSING)
+    results = [result for result in kept if result.name == row.experiment]
+    if row.estimate is None or not results:
+        return RowResult(row, Standing.NOT_MEASURED)
+    by_seed = _estimate_each(row, row.estimate, results, plan)
+    values = [seed.value for seed in by_seed]
+    spread = slopes.spread([value.at_size for value in values])
+    budget = row.budget(plan) if row.budget is not None else None
+    share = spread.median / budget if budget is not None else None
+    fitted = [value.slope for value in values if value.slope is not None and row.slope is not None]
+    return RowResult(
+        row,
+        Standing.OVER if share is not None and share > 1 else Standing.CARRIED,
+        value=spread,
+        slope=_slope_spread(fitted, row.slope),
+        fitted=fitted,
+        share=share,
+        breaks_at=breaking_share(values, spread.median, budget) if budget is not None else None,
+        is_extrapolated=any(value.is_extrapolated for value in values),
+        seeds=tuple(sorted(seed.result.seed for seed in by_seed)),
+        date=max(seed.result.date for seed in by_seed),
+    )
+
+
+def _estimate_each(row: Row, estimate: Estimate, results: Sequence[KeptResult], plan: Plan) -> list[_SeedValue]:
+    """Return the value by each result; a seed may lack a figure that its run never reached."""
+    found, reason = [], ""
+    for result in results:
+        try:
+            found.append(_SeedValue(result, estimate(result.figures, plan)))
+        except (KeyError, ValueError) as error:
+            reason = str(error)
+    if not found:
+        raise CapacityError(f"{row.role}, {row.resource}: {row.experiment} has no such figure: {reason}")
+    return found
+
+
+def _slope_spread(fitted: Sequence[Slope], unit: SlopeUnit | None) -> Spread | None:
+    if unit is None or not fitted:
+        return None
+    return slopes.spread([slope.per_unit * unit.factor for slope in fitted])
+
+
+def share_at_budget(at_size: float, growing: float, budget: float, power: int = 1) -> float | None:
+    """Return the share of the size at which a budget is used up; 0 if it always is, None if it never is."""
+    if growing <= 0:
+        return 0.0 if at_size > budget else None
+    return float(max(0.0, 1.0 + (budget - at_size) / growing) ** (1 / power))
+
+
+def breaking_share(values: Sequence[Value], at_size: float, budget: float) -> float | None:
+    """Return the share of the size at which a budget is used up, by the median of the seeds."""
+    fitting = [value.fitting_share for value in values if value.fitting_share is not None]
+    if fitting:
+        return slopes.spread(fitting).median
+    growing = slopes.spread([value.growing for value in values]).median
+    return share_at_budget(at_size, growing, budget, values[0].power)
