--- a/ryepier/experiments/scale/capacity/table.py
+++ b/ryepier/experiments/scale/capacity/table.py
@@ -115,7 +115,8 @@
     return on_line("again_bytes_{}", converters, plan.sidecars * MB)(figures, plan)
 
 
-# fmt: off (a row reads as one line of a table)
+# the rows read as a table, which the formatter would break up
+# fmt: off
 LIST_ROWS = (
     Row(SIDECAR, "memory, all converters known", "MB", DIRECTORY, LIST,
         on_line("memory_bytes_{}", converters, MB, plus="base_mb"), control_mb, SlopeUnit("B a converter")),
