--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -4,10 +4,8 @@
 that is taken, and is retried through a slot (docs/design.md). Each concern has a module beside this one.
 """
 
-import enum
-import heapq
+from collections.abc import Sequence
 from random import Random
-from typing import NamedTuple
 
 from ryepier.balancer import interface as api
 from ryepier.balancer import tuning
@@ -21,24 +19,7 @@
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.balancer.selection import Selector
 from ryepier.balancer.upstream import ANSWERED, Attempt, PendingRequest, TrackedUpstream
-
-
-class WakeUpKind(enum.IntEnum):
-    """What is due at a wake-up; of several at the same time, the order in which they are carried out."""
-
-    BUFFER_TIMEOUT = enum.auto()
-    HEDGE = enum.auto()
-    ENDPOINT_POLL = enum.auto()
-    ATTEMPT_OVERDUE = enum.auto()
-
-
-class WakeUp(NamedTuple):
-    """Something to do later for a request or an attempt."""
-
-    at_us: int
-    kind: WakeUpKind
-    request: int
-    attempt: int
+from ryepier.balancer.wake_ups import WakeUp, WakeUpKind, WakeUpQueue
 
 
 class Balancer:
@@ -63,8 +44,7 @@
         self.last_shortage_us = 0  # when a request last found no free slot; 0 = never
         self.shortage_us = 2 * max(one.latency_objective_us for one in settings.classes)  # how long it lasts
         self.next_log_us = now_us
-        self.wake_ups: list[WakeUp] = []  # a heap
-        self.armed_us = 0  # the next timer already requested; 0 = none
+        self.wake_ups = WakeUpQueue()
         self.schedule_poll(now_us)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
@@ -144,10 +124,9 @@
 
     def on_timer(self) -> None:
         """Carry out all wake-ups that are due."""
-        if self.armed_us <= self.now_us:  # Re-arming on a stale timer would keep timers alive forever.
-            self.armed_us = 0
-        while self.wake_ups and self.wake_ups[0].at_us <= self.now_us:
-            self.wake(heapq.heappop(self.wake_ups))
+        self.wake_ups.on_timer(self.now_us)
+        while (due := self.wake_ups.pop_due(self.now_us)) is not None:
+            self.wake(due)
 
     def place(self, request: PendingRequest) -> None:
         """Send a request through a free slot, else keep it in the buffer, else give its final answer."""
@@ -294,7 +273,7 @@
 
     def wake_at(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
         """Schedule a wake-up at `at_us`, but not before the next microsecond."""
-        heapq.heappush(self.wake_ups, WakeUp(max(at_us, self.now_us + 1), kind, request, attempt))
+        self.wake_ups.schedule(max(at_us, self.now_us + 1), kind, request, attempt)
 
     def wake(self, due: WakeUp) -> None:
         """Carry out one wake-up."""
@@ -310,15 +289,13 @@
 
     def arm(self) -> None:
         """Request a timer at the next wake-up, or, for a buffered request, at the next end of an ejection."""
-        next_us = self.wake_ups[0].at_us if self.wake_ups else 0
-        if self.buffer is not None:
-            ends_us = self.ejection_ends_us(self.buffer.event.class_index)
-            next_us = min([next_us, *ends_us] if next_us else ends_us, default=0)
-        if next_us and (self.armed_us == 0 or next_us < self.armed_us):
-            self.armed_us = next_us
-            self.actions.append(api.SetTimer(next_us, 0))
+        buffer = self.buffer
+        ends_us = self.ejection_ends_us(buffer.event.class_index) if buffer is not None else ()
+        timer_us = self.wake_ups.timer_to_request(ends_us)
+        if timer_us is not None:
+            self.actions.append(api.SetTimer(timer_us, 0))
 
-    def ejection_ends_us(self, class_index: int) -> list[int]:
+    def ejection_ends_us(self, class_index: int) -> Sequence[int]:
         """Return when the current ejections that apply to a class end."""
         ends_us = [
             max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -31,7 +31,7 @@
 
     def in_pool(self, pool: UpstreamPool) -> list[TrackedUpstream]:
         """Return the ready upstreams of a pool, in the order listed."""
-        return [upstream for upstream in self.by_id.values() if self.pool_of(upstream) is pool]
+        return [upstream for upstream in self.by_id.values() if self.pools[upstream.pool_index] is pool]
 
     def update(self, event: UpstreamsUpdated, now_us: int) -> list[TrackedUpstream]:
         """Apply a new or changed list. Returns the upstreams that have left their subsets."""
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -70,10 +70,11 @@
         found = self.free_slots(request, [*warm_members, *usable_warming], ejections_apply, now_us)
         if not found or len(subset) < pool.subset.wanted_size(pool.admission.send_rate):
             # Sidecars that are connected to every upstream would exhaust the upstreams' connections.
+            pools = self.membership.pools
             others = [
                 upstream
-                for upstream in self.membership.in_pool(pool)
-                if upstream not in subset and upstream not in excluded
+                for upstream in self.membership.by_id.values()
+                if pools[upstream.pool_index] is pool and upstream not in subset and upstream not in excluded
             ]
             found = self.free_slots(request, others, ejections_apply, now_us) or found
         return found
@@ -119,10 +120,11 @@
         if now_us < upstream.ejected_until_us:
             return 0
         limit = max(1, int(upstream.concurrency.limit))
-        slow_start = self.membership.pool_of(upstream).slow_start
-        if upstream.entry.started_us and slow_start.is_warming(upstream.entry, now_us):
-            if upstream.slow_start_credit < 0.0:
-                return 0
-            limit = 1
+        if upstream.entry.started_us:
+            slow_start = self.membership.pool_of(upstream).slow_start
+            if slow_start.is_warming(upstream.entry, now_us):
+                if upstream.slow_start_credit < 0.0:
+                    return 0
+                limit = 1
         cap = upstream.advice.concurrency_limit
         return min(limit, cap) if cap > 0 else limit
--- /dev/null
+++ b/ryepier/balancer/wake_ups.py
@@ -0,0 +1,63 @@
+"""Wake-ups: what is due later, and the timer that is requested for the next of it."""
+
+import enum
+import heapq
+from collections.abc import Iterable
+from typing import NamedTuple
+
+
+class WakeUpKind(enum.IntEnum):
+    """What is due at a wake-up; of several at the same time, the order in which they are carried out."""
+
+    BUFFER_TIMEOUT = enum.auto()
+    HEDGE = enum.auto()
+    ENDPOINT_POLL = enum.auto()
+    ATTEMPT_OVERDUE = enum.auto()
+
+
+class WakeUp(NamedTuple):
+    """Something to do later for a request or an attempt."""
+
+    at_us: int
+    kind: WakeUpKind
+    request: int
+    attempt: int
+
+
+class WakeUpQueue:
+    """The scheduled wake-ups, the earliest first."""
+
+    def __init__(self) -> None:
+        """Start empty, without a timer."""
+        self.pending: list[WakeUp] = []  # a heap
+        self.timer_us = 0  # when the earliest timer that was requested fires; 0 = none
+
+    def schedule(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
+        """Add a wake-up at `at_us`."""
+        heapq.heappush(self.pending, WakeUp(at_us, kind, request, attempt))
+
+    def pop_due(self, now_us: int) -> WakeUp | None:
+        """Remove and return the earliest wake-up that is due, or None."""
+        if not self.pending or self.pending[0].at_us > now_us:
+            return None
+        return heapq.heappop(self.pending)
+
+    def on_timer(self, now_us: int) -> None:
+        """Record that a timer has fired; a stale one is ignored, as re-arming on it would keep timers alive
+        forever."""
+        if self.timer_us <= now_us:
+            self.timer_us = 0
+
+    def timer_to_request(self, others_us: Iterable[int]) -> int | None:
+        """Return when a timer has to be requested (us), or None if the requested one is early enough.
+
+        It fires at the next wake-up, or at the earliest of the `others_us` if that is sooner.
+        """
+        next_us = self.pending[0].at_us if self.pending else None
+        for other_us in others_us:
+            if next_us is None or other_us < next_us:
+                next_us = other_us
+        if next_us is None or 0 < self.timer_us <= next_us:
+            return None
+        self.timer_us = next_us
+        return next_us
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -140,8 +140,11 @@
             [self.pending_request(request) for _, request in sorted(balancer.requests.items())],
             [self.open_request(request) for _, request in sorted(self.state.dispatcher.requests.items())],
             balancer.buffer.event.request if balancer.buffer is not None else 0,
-            sorted((self.remaining(due.at_us), due.kind.value, due.request, due.attempt) for due in balancer.wake_ups),
-            self.remaining(balancer.armed_us),
+            sorted(
+                (self.remaining(due.at_us), due.kind.value, due.request, due.attempt)
+                for due in balancer.wake_ups.pending
+            ),
+            self.remaining(balancer.wake_ups.timer_us),
             int(balancer.retries.budget),
             [int(2 * pool.admission.credit) for pool in balancer.membership.pools],
         )
--- a/ryepier/check/invariants.py
+++ b/ryepier/check/invariants.py
@@ -105,7 +105,7 @@
         "the module's requests": balancer.requests,
         "the module's buffer": balancer.buffer,
         "slots": sum(upstream.in_flight for upstream in balancer.membership.by_id.values()),
-        "timers": balancer.wake_ups,
+        "timers": balancer.wake_ups.pending,
     }
     remaining = [name for name, content in contents.items() if content]
     if remaining:
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -9,10 +9,11 @@
 from dataclasses import dataclass
 
 from ryepier.balancer import interface as api
-from ryepier.balancer.balancer import Balancer, WakeUp, WakeUpKind
+from ryepier.balancer.balancer import Balancer
 from ryepier.balancer.outlier_detection import OutlierDetector
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.balancer.upstream import Attempt, PendingRequest
+from ryepier.balancer.wake_ups import WakeUp, WakeUpKind
 from ryepier.check.model import Rule
 from ryepier.sidecar.dispatcher import OpenRequest, RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, FinalAnswer, FinalOutcome
