--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -244,6 +244,7 @@
         """Add to admission and slow-start credit for one arriving or repeated request."""
         for pool in self.membership.pools:
             pool.admission.add_credit()
+        for pool in self.membership.pools_in_use:
             # If all upstreams are warming, nothing else gives them traffic.
             self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.rate)
 
@@ -297,11 +298,12 @@
 
     def ejection_ends_us(self, class_index: int) -> Sequence[int]:
         """Return when the current ejections that apply to a class end."""
-        ends_us = [
-            max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
-            for upstream in self.membership.by_id.values()
-        ]
-        return [end_us for end_us in ends_us if end_us > self.now_us]
+        ends_us = []
+        for upstream in self.membership.by_id.values():
+            end_us = max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
+            if end_us > self.now_us:
+                ends_us.append(end_us)
+        return ends_us
 
     def log(self, text: str) -> bool:
         """Emit a log line unless one was emitted within `LOG_INTERVAL_US`. Returns whether it was emitted; if
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -21,8 +21,9 @@
         self.settings = settings
         self.random = random
         self.by_id: dict[int, TrackedUpstream] = {}  # in the order listed
-        # in the order of selection; the remote one stays empty unless traffic between zones has a price
         self.pools = [UpstreamPool(settings, now_us), UpstreamPool(settings, now_us)]
+        # in the order of selection; the remote one has upstreams only where traffic between zones has a price
+        self.pools_in_use = self.pools if settings.cross_zone_fee > 0 else [self.pools[LOCAL_POOL]]
         self.planned_ejections_apply = False
 
     def pool_of(self, upstream: TrackedUpstream) -> UpstreamPool:
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -5,12 +5,12 @@
 from random import Random
 from typing import NamedTuple
 
-from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
 from ryepier.balancer.membership import Membership
 from ryepier.balancer.outlier_detection import OutlierDetector
 from ryepier.balancer.pool import UpstreamPool
 from ryepier.balancer.retries import RetryPolicy
+from ryepier.balancer.tuning import MAX_COST_WHILE_WARMING, REJECTION_TOLERANCE, UNANSWERED_TOLERANCE
 from ryepier.balancer.upstream import ClassHealth, PendingRequest, TrackedUpstream
 
 
@@ -41,7 +41,7 @@
             return None
         listed = self.membership.by_id.values()
         ejections_apply = self.outliers.class_ejections_apply(listed, request.event.class_index, now_us)
-        for pool in self.membership.pools:
+        for pool in self.membership.pools_in_use:
             candidates = self._candidates_of_pool(pool, request, ejections_apply, now_us)
             if candidates:
                 weights = [candidate.weight for candidate in candidates]
@@ -60,7 +60,7 @@
         slow_start = pool.slow_start
         subset = pool.subset.members
         warming = {up: None for up in slow_start.warming if slow_start.is_warming(up.entry, now_us)}
-        is_expensive = self.estimates.relative_cost(request.event) > tuning.MAX_COST_WHILE_WARMING
+        is_expensive = self.estimates.relative_cost(request.event) > MAX_COST_WHILE_WARMING
         all_are_warming = len(warming) >= len(self.membership.by_id)
         excluded = warming if is_expensive and not all_are_warming else {}
         usable_warming = [] if excluded else [*warming]
@@ -92,8 +92,9 @@
         bound = self.retries.bound_to(request)
         planned_ejections_apply = self.membership.planned_ejections_apply
         found = []
+        limit_of, weigh = self.concurrency_limit, self._weight
         for upstream in upstreams:
-            slots = self.concurrency_limit(upstream, now_us) - upstream.in_flight
+            slots = limit_of(upstream, now_us) - upstream.in_flight
             if slots <= 0 or (bound is not None and not self.retries.in_scope(bound, upstream)):
                 continue
             health = upstream.by_class[class_index]
@@ -101,7 +102,7 @@
                 continue
             if planned_ejections_apply and upstream.advice.ejected:
                 continue
-            found.append(Candidate(upstream, self._weight(upstream, health, slots)))
+            found.append(Candidate(upstream, weigh(upstream, health, slots)))
         tried = [attempt.upstream for attempt in request.attempts]
         return [candidate for candidate in found if candidate.upstream not in tried] or found
 
@@ -109,8 +110,8 @@
     def _weight(upstream: TrackedUpstream, health: ClassHealth, slots: int) -> float:
         """Return the weight of an upstream by its free slots, latency, unanswered and rejected attempts of
         the class, and the plan."""
-        unanswered = 1.0 + health.unanswered_share / tuning.UNANSWERED_TOLERANCE
-        rejections = 1.0 + health.rejection_share / tuning.REJECTION_TOLERANCE
+        unanswered = 1.0 + health.unanswered_share / UNANSWERED_TOLERANCE
+        rejections = 1.0 + health.rejection_share / REJECTION_TOLERANCE
         weight = slots / (upstream.latency_ratio * unanswered) ** 2
         return weight * upstream.advice.weight / rejections
 
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -9,7 +9,7 @@
 import struct
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import Any, NamedTuple, TypeVar
+from typing import Any, TypeVar
 
 from ryepier.balancer import interface as api
 from ryepier.errors import RyepierError
@@ -69,16 +69,10 @@
 
 
 Record = api.Event | InstanceStarted | InstanceStopped
+InstanceRecord = tuple[int, Record]  # with the number of its instance
 Reply = api.Action | InternalError
 
 
-class InstanceRecord(NamedTuple):
-    """A record with the number of the instance that it is for."""
-
-    instance: int
-    record: Record
-
-
 class Decoder:
     """Reads batches; remembers the numbered upstream lists, which events refer to."""
 
@@ -105,7 +99,7 @@
                 event = reader(self)
             except (ProtocolError, UnicodeDecodeError) as error:
                 raise ProtocolError(f"record {index} at byte {start}: {error}") from error
-            yield InstanceRecord(instance, event)
+            yield instance, event
         if self.at != len(data):
             raise ProtocolError(f"{len(data) - self.at} bytes left over after {count} records")
 
