--- a/tests/sim_trace.py
+++ b/tests/sim_trace.py
@@ -40,7 +40,7 @@
     }
 
 
-class Play:
+class Scenario:
     """One world."""
 
     def __init__(self, loop: SimLoop, seed: int, folder: Path) -> None:
@@ -57,14 +57,14 @@
         )
         self.config.listen, self.config.discovery = ("10.2.0.1", 80), DISCOVERY
 
-    def note(self, *what: object) -> None:
+    def record(self, *what: object) -> None:
         self.trace.update(repr((round(self.loop.time() * 1e9), *what)).encode())
 
-    async def convert(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_converter(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 head, body = await read_message(reader)
-                self.note("converter", number, head, body)
+                self.record("converter", number, head, body)
                 await asyncio.sleep(self.random.uniform(0.005, 0.03))
                 if number == 1 and self.random.random() < 0.2:
                     writer.transport.abort()
@@ -73,7 +73,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         first = endpoint_list(*(target(number) for number in range(1, 5)))
@@ -87,7 +87,7 @@
             data = (json.dumps(lines) if lines else "").encode() + b"\n"
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    async def ask(self, number: int) -> None:
+    async def send_request(self, number: int) -> None:
         await asyncio.sleep(0.3 + self.random.uniform(0, 3.0))
         reader, writer = await asyncio.open_connection(*self.config.listen)
         kind, method = (("look", "GET"), ("pay", "POST"))[number % 2]
@@ -99,26 +99,26 @@
             + body
         )
         head = await reader.readuntil(b"\r\n\r\n")
-        self.note("client", number, head)
+        self.record("client", number, head)
         self.served += b" 200 " in head
         writer.close()
 
     async def main(self) -> None:
         for number in range(1, 5):
-            await asyncio.start_server(functools.partial(self.convert, number), f"10.0.0.{number}", 9000)
-        await asyncio.start_server(self.discover, *DISCOVERY)
+            await asyncio.start_server(functools.partial(self.serve_converter, number), f"10.0.0.{number}", 9000)
+        await asyncio.start_server(self.serve_discovery, *DISCOVERY)
         stop = asyncio.Event()
         serving = asyncio.create_task(serve(self.config, stop, asyncio.Event()))
-        await asyncio.gather(*(self.ask(number) for number in range(REQUESTS)))
+        await asyncio.gather(*(self.send_request(number) for number in range(REQUESTS)))
         stop.set()
         await serving
 
 
 def play(seed: int, folder: Path) -> str:
-    plays: list[Play] = []
+    plays: list[Scenario] = []
 
     async def main(loop: SimLoop) -> None:
-        plays.append(Play(loop, seed, folder))
+        plays.append(Scenario(loop, seed, folder))
         await plays[0].main()
 
     simulate(seed, main)
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -39,12 +39,12 @@
     )
 
 
-def test_a_request_that_was_sent_is_not_called_unreachable_though_its_time_ran_out_as_it_connected(
+def test_a_sent_request_is_not_unreachable_when_its_timeout_expires_while_it_connects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     connect = asyncio.SelectorEventLoop.sock_connect
 
-    async def held_up(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
+    async def connect_slowly(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
         await connect(loop, sock, address)
         time.sleep(DEADLINE_S + 0.1)  # the whole process is held up: its next turn has the time-out, too
 
@@ -52,7 +52,7 @@
         upstream = Upstream(respond_in_turn(OK))
         await upstream.start()
         host = a_client(("127.0.0.1", upstream.port))
-        monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", held_up)
+        monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_slowly)
         item = a_try()
         host.send(item)
         await wait_until(lambda: item.ended_us != NEVER)
@@ -63,7 +63,7 @@
     run_async(test)
 
 
-def test_where_nobody_listens_a_request_is_unreachable() -> None:
+def test_a_request_to_an_address_without_a_listener_is_unreachable() -> None:
     async def test() -> None:
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))  # and does not listen
@@ -76,7 +76,7 @@
     run_async(test)
 
 
-def test_a_process_notes_when_it_was_held_up() -> None:
+def test_the_lateness_meter_records_stalls_of_the_event_loop() -> None:
     async def test() -> None:
         clock = Clock()
         clock.zero_us = monotonic_us()
@@ -92,15 +92,15 @@
     run_async(test)
 
 
-def test_the_rig_notes_when_a_sidecar_waited_for_a_core_for_long() -> None:
-    life = Incarnation(0, 0, 0)
-    record_cpu_wait(life, CPU_WAIT_THRESHOLD_US - 1, 1_000_000)
-    assert life.cpu_waits == []
-    record_cpu_wait(life, 2 * CPU_WAIT_THRESHOLD_US, 2_000_000)
-    assert life.cpu_waits == [(2_000_000 - 2 * CPU_WAIT_THRESHOLD_US, 2_000_000)]
+def test_long_waits_for_a_core_are_recorded() -> None:
+    incarnation = Incarnation(0, 0, 0)
+    record_cpu_wait(incarnation, CPU_WAIT_THRESHOLD_US - 1, 1_000_000)
+    assert incarnation.cpu_waits == []
+    record_cpu_wait(incarnation, 2 * CPU_WAIT_THRESHOLD_US, 2_000_000)
+    assert incarnation.cpu_waits == [(2_000_000 - 2 * CPU_WAIT_THRESHOLD_US, 2_000_000)]
 
 
-def test_a_process_that_has_ended_waits_for_nothing() -> None:
+def test_an_ended_process_has_no_wait_for_a_core() -> None:
     with subprocess.Popen(["true"]) as process:
         process.wait()
     assert waited_for_core_us(process.pid) is None
--- a/tests/test_emulated_machine.py
+++ b/tests/test_emulated_converter_model.py
@@ -36,7 +36,7 @@
     )
 
 
-def run_out(one: ConverterModel) -> list[Action]:
+def run_until_idle(one: ConverterModel) -> list[Action]:
     """All that comes until it is idle."""
     actions: list[Action] = []
     while one.next_us is not None:
@@ -44,33 +44,33 @@
     return actions
 
 
-def test_it_runs_what_its_cores_hold_keeps_what_its_room_holds_and_turns_away_the_rest() -> None:
+def test_requests_run_on_the_cores_then_queue_and_then_are_rejected() -> None:
     one = converter(cores=1, queue_limit=2)
     got = [one.on_request(0, Work(token, "", 1000)) for token in range(4)]
     assert got == [[Started(0)], [], [], [Rejected(3)]]
     assert one.advance(999) == [] and one.advance(1000) == [Done(0, True), Started(1)]
-    assert run_out(one) == [Done(1, True), Started(2), Done(2, True)]
+    assert run_until_idle(one) == [Done(1, True), Started(2), Done(2, True)]
 
 
-def test_one_that_drains_finishes_what_it_has_and_takes_nothing() -> None:
+def test_a_draining_converter_finishes_its_work_and_rejects_new_requests() -> None:
     one = converter()
     one.on_request(0, Work(1, "", 1000))
     one.draining = True
     assert one.on_request(1, Work(2, "", 1000)) == [Rejected(2)]
-    assert run_out(one) == [Done(1, True)]
+    assert run_until_idle(one) == [Done(1, True)]
 
 
-def test_a_pod_drops_repeats_within_the_span_whoever_gets_them() -> None:
+def test_a_pod_deduplicates_repeats_within_the_window_at_any_converter() -> None:
     cache = IdempotencyCache()
     first, second = converter(cache), converter(cache)
     first.on_request(0, Work(1, "k", 1000, window_us=5000))
     assert second.on_request(10, Work(1, "k", 1000, window_us=5000)) == []  # it waits for the first one's end
-    assert run_out(first) == [Done(1, True)] and cache.released == [(second, 1)]
+    assert run_until_idle(first) == [Done(1, True)] and cache.released == [(second, 1)]
     assert second.on_request(4999, Work(2, "k", 1000, window_us=5000)) == [Done(2, False)]
     assert second.on_request(5000, Work(3, "k", 1000, window_us=5000)) == [Started(3)]
 
 
-def test_a_key_whose_run_died_with_its_process_is_new_again() -> None:
+def test_a_key_whose_execution_was_lost_with_its_process_runs_again() -> None:
     cache = IdempotencyCache()
     first, second = converter(cache), converter(cache)
     first.on_request(0, Work(1, "k", 1000, window_us=5000))
@@ -78,25 +78,25 @@
     assert second.on_request(10, Work(1, "k", 1000, window_us=5000)) == [Started(1)]
 
 
-def test_a_cold_one_is_slower_and_falls_over_when_pushed_but_a_warm_one_does_not() -> None:
-    cold, warm = converter(started_us=0, queue_limit=99), converter(queue_limit=99)
-    cold.on_request(0, Work(0, "", 1000))
-    assert cold.next_us == 4000  # at a quarter of its capacity
-    fell = [Crashed() in cold.on_request(1, Work(token, "", 100_000)) for token in range(1, 8)]
-    assert fell.index(True) == 4  # the window bears 2 x 0.25 s of work, and this makes 501 ms
+def test_a_converter_that_warms_up_is_slower_and_crashes_under_overload() -> None:
+    warming_up, warm = converter(started_us=0, queue_limit=99), converter(queue_limit=99)
+    warming_up.on_request(0, Work(0, "", 1000))
+    assert warming_up.next_us == 4000  # at a quarter of its capacity
+    crashed = [Crashed() in warming_up.on_request(1, Work(token, "", 100_000)) for token in range(1, 8)]
+    assert crashed.index(True) == 4  # the window bears 2 x 0.25 s of work, and this makes 501 ms
     assert not any(Crashed() in warm.on_request(1, Work(token, "", 100_000)) for token in range(20))
 
 
-def test_one_that_hangs_goes_on_where_it_stood() -> None:
+def test_a_hang_leaves_the_remaining_service_times_unchanged() -> None:
     one = converter()
     one.on_request(0, Work(1, "", 1000))
     one.hang(400)
     assert one.next_us is None and one.on_request(500, Work(2, "", 1000)) == [] and one.advance(90_000) == []
     one.resume(100_000)
-    assert one.next_us == 100_600 and run_out(one) == [Done(1, True), Started(2), Done(2, True)]
+    assert one.next_us == 100_600 and run_until_idle(one) == [Done(1, True), Started(2), Done(2, True)]
 
 
-def test_a_handshake_is_work_that_the_next_request_waits_for() -> None:
+def test_a_handshake_delays_the_next_request() -> None:
     one = converter()
     one.on_connection(0)
     one.on_request(0, Work(1, "", 1000))
@@ -108,17 +108,17 @@
     st.integers(1, 3),
     st.integers(0, 4),
 )
-def test_each_request_ends_once_and_a_key_runs_once_in_its_span(
+def test_each_request_ends_once_and_each_key_runs_once_within_its_window(
     arrivals: list[tuple[int, str, int]], cores: int, queue_limit: int
 ) -> None:
     cache, now_us, actions = IdempotencyCache(), 0, list[Action]()
     pod = [converter(cache, cores=cores, queue_limit=queue_limit) for _ in range(2)]
-    span_us = 10**9
+    window_us = 10**9
     for token, (gap_us, key, work_us) in enumerate(arrivals):
         now_us += gap_us
-        actions += pod[token % 2].on_request(now_us, Work(token, key, work_us, span_us))
+        actions += pod[token % 2].on_request(now_us, Work(token, key, work_us, window_us))
     for one in pod:
-        actions += run_out(one)
+        actions += run_until_idle(one)
     actions += [Done(token, False) for _, token in cache.released]
     ended = [action.token for action in actions if isinstance(action, Done | Rejected)]
     assert sorted(ended) == list(range(len(arrivals)))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -67,7 +67,7 @@
     )
 
 
-def test_a_try_that_was_sent_is_not_unreachable_though_its_dial_runs_out_of_time(
+def test_a_sent_attempt_is_not_unreachable_when_its_connection_timeout_expires(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def play() -> tuple[ClientRequest, ClientAttempt]:
@@ -76,12 +76,12 @@
         loop = asyncio.get_running_loop()
         connect = loop.create_connection
 
-        async def connect_and_linger(*arguments: Any, **options: Any) -> Any:
+        async def connect_and_wait(*arguments: Any, **options: Any) -> Any:
             made = await connect(*arguments, **options)
             await asyncio.sleep(1.0)
             return made
 
-        monkeypatch.setattr(loop, "create_connection", connect_and_linger)
+        monkeypatch.setattr(loop, "create_connection", connect_and_wait)
         host = clients.Host(plan, Clock(), timeline.build(plan.world, 1), simulated=True)
         item = ClientAttempt(0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, NEVER, 50_000, NEVER, RequestOutcome.TIMEOUT)
         flight = ClientRequest(host, host.targets[0], item, closes_connection=True)
@@ -161,7 +161,7 @@
     server.begin_fault(Step(0, TargetKind.CONVERTER, 0, FaultAction.BEGIN, kind, share=share))
 
 
-def test_a_converter_answers_by_the_protocols_table() -> None:
+def test_a_converter_answers_as_the_protocol_requires() -> None:
     async def test() -> None:
         async with one_converter() as server:
             assert await ask(server, message("7")) == '200 {"for":"7","by":"c-0000"}'
@@ -194,7 +194,7 @@
         (FaultKind.HALF_ANSWER, "half", True, True),
     ],
 )
-def test_each_fault_does_what_it_says_and_ends_as_it_began(
+def test_each_converter_fault_has_its_effect_until_it_ends(
     fault: FaultKind, outcome: str, counted: bool, ran: bool
 ) -> None:
     async def test() -> None:
@@ -209,7 +209,7 @@
     run(test)
 
 
-def test_a_request_half_read_when_the_converter_dies_is_no_attempt() -> None:
+def test_a_request_received_in_part_before_a_stop_is_no_attempt() -> None:
     async def test() -> None:
         async with one_converter() as server:
             address = server.owner.plan.converter_address(0)
@@ -236,7 +236,7 @@
     run(test)
 
 
-def test_a_registry_tells_what_changed_and_states_never_go_back() -> None:
+def test_a_registry_returns_changes_and_states_only_advance() -> None:
     def entry(uid: str, state: str) -> dict[str, object]:
         return {"uid": uid, "state": state}
 
@@ -250,7 +250,7 @@
     assert registry.full_list()["targets"] == [entry("b", "active")]
 
 
-def test_a_seed_gives_the_same_run_and_a_further_fault_leaves_the_arrivals_as_they_were() -> None:
+def test_a_seed_gives_the_same_run_and_a_further_fault_leaves_the_arrivals_unchanged() -> None:
     plain, faulty = a_world(), a_world(Fault(kind=FaultKind.HANG, at_s=1.0, for_s=0.5, target_share=0.2))
     one, other = draws.arrivals(plain, 5), draws.arrivals(faulty, 5)
     assert (one.at_us == other.at_us).all() and (one.work_us == other.work_us).all()
@@ -258,7 +258,7 @@
     assert len(draws.arrivals(plain, 6)) != len(one)
 
 
-def test_a_surge_a_tail_and_a_hot_sidecar_are_in_the_arrivals() -> None:
+def test_arrivals_contain_surges_heavy_tails_and_hot_sidecars() -> None:
     surge = Fault(kind=FaultKind.SURGE, at_s=10.0, for_s=10.0, factor=3.0)
     tail = Fault(kind=FaultKind.HEAVY_TAIL, at_s=0.0, for_s=10.0, factor=20.0, share=0.1, request_class="file")
     hot = Fault(kind=FaultKind.HOT_SIDECAR, at_s=10.0, for_s=10.0, share=0.5, index=1)
@@ -282,13 +282,13 @@
         (2, RequestOutcome.FAILED, 0, False),
     ],
 )
-def test_clients_retry_what_the_protocol_lets_them(
+def test_clients_retry_what_the_protocol_allows(
     kind: int, outcome: RequestOutcome, after_ms: int, expected: bool
 ) -> None:
     assert may_retry(CLASSES[kind], outcome, 0, after_ms * 1000) is expected
 
 
-def test_a_small_world_with_its_faults_keeps_all_rules(tmp_path: Path) -> None:
+def test_a_small_world_with_faults_violates_no_rule(tmp_path: Path) -> None:
     world = a_world(
         Fault(kind=FaultKind.RELEASE, at_s=0.2, for_s=1.0, target_share=0.3, drain_s=0.8, down_s=0.1),
         Fault(kind=FaultKind.SIDECAR_KILL, at_s=1.0, down_s=0.2, index=1),
@@ -300,17 +300,17 @@
     )
     history = play(world, 3, tmp_path)
     assert judge(world, history) == []
-    assert sum(life.killed for life in history.incarnations) == 1 and len(history.incarnations) == 3
+    assert sum(incarnation.killed for incarnation in history.incarnations) == 1 and len(history.incarnations) == 3
     assert {"served", "left"} <= {item.outcome for item in history.client_attempts}
     assert (
         figures.service_level(figures.operations(world, history.client_attempts), figures.due_between(0.0, 0.9)) > 0.8
     )
-    texts = [happening.text for happening in history.events]
+    texts = [event.text for event in history.events]
     assert "c-0006: release start" in texts and "sidecar 1: kill" in texts
     config = json.loads((tmp_path / "sidecar-0.json").read_text())
     assert config["settings"]["request-classes"][1]["effect"] == "at_most_once"
 
 
-def test_a_sidecar_that_does_not_come_up_is_an_error_and_nothing_is_left_running(tmp_path: Path) -> None:
+def test_a_sidecar_that_never_becomes_ready_fails_the_run_without_leaving_processes(tmp_path: Path) -> None:
     with pytest.raises(HarnessError, match="sidecar 0 ended at its start"):
         play(a_world(sidecars=1), 1, tmp_path, RoleAssignment(sidecar_command=["false"]))
--- a/tests/test_emulator_formats.py
+++ b/tests/test_emulator_formats.py
@@ -142,12 +142,12 @@
     assert got.exit_code == 0 and got.stdout == (FIXTURES / "sim_check_list.txt").read_text()
 
 
-def test_a_kept_exploration_is_read(tmp_path: Path) -> None:
+def test_a_checkpoint_is_read(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     path.write_bytes(fixture_bytes("sim_check_checkpoint.hex"))
-    seen, frontier, outcome = explore.load(path, MODEL)
-    assert len(seen) == outcome.states and outcome.depth == 1 and len(frontier) == 1
-    explore.save(tmp_path / "again", MODEL, seen, frontier, outcome)
+    digests, frontier, outcome = explore.load(path, MODEL)
+    assert len(digests) == outcome.states and outcome.depth == 1 and len(frontier) == 1
+    explore.save(tmp_path / "again", MODEL, digests, frontier, outcome)
     assert msgspec.msgpack.decode((tmp_path / "again").read_bytes()).keys() == {
         "model",
         "seen",
@@ -157,7 +157,7 @@
         "depth",
         "seconds",
     }
-    assert explore.load(tmp_path / "again", MODEL) == (seen, frontier, outcome)
+    assert explore.load(tmp_path / "again", MODEL) == (digests, frontier, outcome)
 
 
 def check_command(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -166,12 +166,12 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def test_a_kept_path_to_a_violation_is_shown_and_written_in_the_same_form(tmp_path: Path) -> None:
-    kept = FIXTURES / "sim_check_path.json"
-    shown = check_command("trace", str(kept))
+def test_a_recorded_path_is_shown_and_written_in_the_same_form(tmp_path: Path) -> None:
+    recorded = FIXTURES / "sim_check_path.json"
+    shown = check_command("trace", str(recorded))
     assert shown.returncode == 0 and "BREAKS resend: attempt 1 after 0, which may have run" in shown.stdout
     out = tmp_path / "path.json"
     arguments = "one-once --requests once --converters 1 --plant careless-resend --processes 1 --out"
     found = check_command("run", *arguments.split(), str(out))
     assert found.returncode == 1 and "BREAKS resend" in found.stdout
-    assert out.read_bytes() == kept.read_bytes()
+    assert out.read_bytes() == recorded.read_bytes()
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -19,18 +19,18 @@
 ARRIVE = Step(Action.ARRIVE, 0)
 
 
-def test_a_small_model_is_explored_whole_and_keeps_all_rules() -> None:
+def test_a_small_model_is_explored_completely_without_violations() -> None:
     outcome = explore.explore(MODELS["quick"], processes=4)
     assert outcome.complete and outcome.violation is None
     assert outcome.states > 150 and outcome.ends > 100
 
 
-def in_a_process(plant: str, model: Model) -> explore.Exploration:
-    return explore.explore(model, processes=2, install_fault=SEEDED_FAULTS[plant].install)
+def explore_with_fault(fault_name: str, model: Model) -> explore.Exploration:
+    return explore.explore(model, processes=2, install_fault=SEEDED_FAULTS[fault_name].install)
 
 
 @pytest.mark.parametrize(
-    ("plant", "model"),
+    ("fault_name", "model"),
     [
         ("lost-answer", Model("m", 1, ("once",), max_attempts=1, outcomes=("reset",))),
         ("held-answer", Model("m", 1, ("once",), max_attempts=1, outcomes=("reset",))),
@@ -46,36 +46,38 @@
         ("second-answer", Model("m", 1, ("ask",), max_attempts=1, client_disconnects=1, outcomes=("ok",))),
     ],
 )
-def test_each_planted_mistake_breaks_its_rule(plant: str, model: Model) -> None:
-    outcome = in_a_process(plant, model)
-    assert outcome.violation is not None and outcome.violation.rule == SEEDED_FAULTS[plant].rule
+def test_each_seeded_fault_violates_its_rule(fault_name: str, model: Model) -> None:
+    outcome = explore_with_fault(fault_name, model)
+    assert outcome.violation is not None and outcome.violation.rule == SEEDED_FAULTS[fault_name].rule
     assert explore.explore(model, processes=2).violation is None
 
 
-def test_a_path_leads_to_the_same_world_each_time_and_alike_converters_are_one() -> None:
+def test_a_path_always_leads_to_the_same_state_and_equivalent_converters_are_interchangeable() -> None:
     model = Model("m", 2, ("ask", "ask"), outcomes=("ok",))
     digest = digester(model)
     paths = [[Step(Action.ARRIVE, 0, "", (pick,)), Step(Action.ARRIVE, 1)] for pick in (0, 1)]
     first, second = (digest(replay(model, path[:1])) for path in paths)
     assert first == second == digest(replay(model, paths[0][:1]))
-    apart = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
-    assert digester(apart)(replay(apart, [Step(Action.ARRIVE, 0, "", (0,))])) != digester(apart)(replay(apart, []))
+    one_domain = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
+    assert digester(one_domain)(replay(one_domain, [Step(Action.ARRIVE, 0, "", (0,))])) != digester(one_domain)(
+        replay(one_domain, [])
+    )
 
 
-def test_an_exploration_goes_on_where_it_was_left(tmp_path: Path) -> None:
-    keep = tmp_path / "kept"
+def test_an_exploration_continues_from_its_checkpoint(tmp_path: Path) -> None:
+    checkpoint = tmp_path / "kept"
     model = MODELS["quick"]
-    part = explore.explore(model, processes=2, checkpoint=keep, max_seconds=0.0)
-    assert not part.complete and keep.exists()
-    rest = explore.explore(model, processes=2, checkpoint=keep)
-    assert rest.complete and (rest.states, rest.transitions) == tuple(
+    part = explore.explore(model, processes=2, checkpoint=checkpoint, max_seconds=0.0)
+    assert not part.complete and checkpoint.exists()
+    continued = explore.explore(model, processes=2, checkpoint=checkpoint)
+    assert continued.complete and (continued.states, continued.transitions) == tuple(
         getattr(explore.explore(model, processes=2), name) for name in ("states", "transitions")
     )
     with pytest.raises(ValueError, match="another model"):
-        explore.explore(MODELS["cells"], processes=2, checkpoint=keep)
+        explore.explore(MODELS["cells"], processes=2, checkpoint=checkpoint)
 
 
-def test_a_trace_says_which_lines_sent_what_and_a_bad_file_is_refused(tmp_path: Path) -> None:
+def test_a_chart_names_the_deciding_lines_and_a_malformed_file_is_rejected(tmp_path: Path) -> None:
     lines = trace.chart(Model("m", 1, ("ask",), outcomes=("reset", "ok")), [ARRIVE, Step(Action.ANSWER, 0, "reset")])
     assert any("send by balancer.py:" in line and "place" in line for line in lines)
     path = tmp_path / "path.json"
@@ -86,10 +88,10 @@
     assert got.exit_code == 2 and "IndexError" in got.stderr
 
 
-def test_lines_that_no_path_reaches_are_told() -> None:
-    with line_coverage.record_lines() as seen:
+def test_lines_that_no_path_executes_are_listed() -> None:
+    with line_coverage.record_lines() as executed:
         replay(Model("m", 1, ("ask",)), [ARRIVE, Step(Action.ANSWER, 0, "ok")])
-    missing = dict(line_coverage.unreached(seen))
+    missing = dict(line_coverage.unreached(executed))
     assert "ryepier.sidecar.dispatcher: RequestDispatcher._on_overdue" in missing
     assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in missing  # only the observers' lines
     assert len(missing["ryepier.sidecar.dispatcher: RequestDispatcher.on_request"]) < 3
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -30,26 +30,26 @@
     return writer.transport
 
 
-async def served(serve: Serve) -> Streams:
+async def serve_and_connect(serve: Serve) -> Streams:
     """A connection to a server that does this."""
     await asyncio.start_server(serve, *ADDRESS)
     return await asyncio.open_connection(*ADDRESS)
 
 
-def test_hours_pass_at_once_and_in_order() -> None:
+def test_hours_pass_at_once_and_timers_fire_in_order() -> None:
     async def main(loop: SimLoop) -> list[float]:
-        seen: list[float] = []
+        observed: list[float] = []
         for after_s in (7200.0, 0.5, 3600.0):
-            loop.call_later(after_s, lambda: seen.append(loop.time()))
+            loop.call_later(after_s, lambda: observed.append(loop.time()))
         await asyncio.sleep(10_000)
-        return seen
+        return observed
 
     begun = time.monotonic()
     assert simulate(1, main) == [0.5, 3600.0, 7200.0]
     assert time.monotonic() - begun < 5
 
 
-def test_bytes_come_whole_and_in_order_however_they_are_cut_and_half_a_close_leaves_the_other_half() -> None:
+def test_segments_arrive_in_order_and_a_half_close_leaves_the_other_direction_open() -> None:
     async def main(loop: SimLoop) -> tuple[bytes, bytes]:
         loop.network.split_share = 1.0
         got = b""
@@ -60,19 +60,19 @@
             writer.write(b"bye" * 10)
             writer.close()
 
-        reader, writer = await served(serve)
+        reader, writer = await serve_and_connect(serve)
         for number in range(500):
             writer.write(b"%d," % number)
         writer.write_eof()
         return await reader.read(), got
 
-    said, got = simulate(3, main)
-    assert said == b"bye" * 10 and got == b"".join(b"%d," % number for number in range(500))
+    reply, got = simulate(3, main)
+    assert reply == b"bye" * 10 and got == b"".join(b"%d," % number for number in range(500))
 
 
-def test_closing_with_bytes_unread_is_a_reset_and_without_an_end() -> None:
+def test_closing_with_unread_data_is_a_reset_and_otherwise_an_end() -> None:
     async def main(loop: SimLoop) -> list[str]:
-        seen = []
+        observed = []
         for unread in (False, True):
 
             async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, unread: bool = unread) -> None:
@@ -86,60 +86,60 @@
             reader, writer = await asyncio.open_connection(*ADDRESS)
             writer.write(b"x" * 2 * RECEIVE_WINDOW_BYTES)
             try:
-                seen.append("end" if await reader.read() == b"" else "bytes")
+                observed.append("end" if await reader.read() == b"" else "bytes")
             except ConnectionResetError:
-                seen.append("reset")
+                observed.append("reset")
             server.close()
-        return seen
+        return observed
 
     assert simulate(1, main) == ["end", "reset"]
 
 
-def test_nobody_there_is_refused_and_a_full_backlog_and_a_cut_link_say_nothing() -> None:
+def test_connections_are_refused_without_a_listener_and_unanswered_with_a_full_backlog_or_a_partition() -> None:
     async def main(loop: SimLoop) -> list[str]:
-        seen = []
+        observed = []
 
-        async def dial() -> None:
+        async def connect() -> None:
             try:
                 async with asyncio.timeout(3.0):
                     await asyncio.open_connection(*ADDRESS)
-                seen.append("up")
+                observed.append("up")
             except ConnectionRefusedError:
-                seen.append("refused")
+                observed.append("refused")
             except TimeoutError:
-                seen.append("silence")
+                observed.append("silence")
 
-        await dial()
+        await connect()
         sock = loop.network.listen(ADDRESS, 1)  # nobody accepts
-        await dial()
-        await dial()
+        await connect()
+        await connect()
         sock.close()
         loop.network.listen(ADDRESS, 5)
         loop.network.partition("127.0.0.1", ADDRESS[0])
-        await dial()
+        await connect()
         loop.network.heal("127.0.0.1", ADDRESS[0])
-        await dial()
-        return seen
+        await connect()
+        return observed
 
     assert simulate(1, main) == ["refused", "up", "silence", "silence", "up"]
 
 
-def test_a_cut_link_is_silent_and_loses_nothing() -> None:
+def test_a_partition_delays_segments_and_loses_none() -> None:
     async def main(loop: SimLoop) -> tuple[float, bytes]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(await reader.readexactly(4))
 
-        reader, writer = await served(serve)
+        reader, writer = await serve_and_connect(serve)
         loop.network.partition(ADDRESS[0], "127.0.0.1")
         writer.write(b"ping")
         loop.call_later(30.0, loop.network.heal, ADDRESS[0], "127.0.0.1")
         return (await reader.readexactly(4), loop.time())[::-1]
 
-    at_s, said = simulate(1, main)
-    assert said == b"ping" and at_s >= 30.0
+    at_s, reply = simulate(1, main)
+    assert reply == b"ping" and at_s >= 30.0
 
 
-def test_one_who_does_not_read_holds_back_the_sender() -> None:
+def test_a_full_receive_window_holds_back_the_sender() -> None:
     async def main(loop: SimLoop) -> tuple[int, bool]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             reading(writer).pause_reading()
@@ -147,18 +147,18 @@
             reading(writer).resume_reading()
             await reader.readexactly(10 * RECEIVE_WINDOW_BYTES)
 
-        _, writer = await served(serve)
+        _, writer = await serve_and_connect(serve)
         writer.write(b"x" * 10 * RECEIVE_WINDOW_BYTES)
         await asyncio.sleep(10)
-        left = writer.transport.get_write_buffer_size()
+        unsent_bytes = writer.transport.get_write_buffer_size()
         await writer.drain()
-        return left, loop.time() >= 100
+        return unsent_bytes, loop.time() >= 100
 
-    left, waited = simulate(1, main)
-    assert left == 9 * RECEIVE_WINDOW_BYTES and waited
+    unsent_bytes, waited = simulate(1, main)
+    assert unsent_bytes == 9 * RECEIVE_WINDOW_BYTES and waited
 
 
-def test_a_run_that_never_ends_or_fails_where_nobody_looks_says_so() -> None:
+def test_a_run_without_progress_or_with_an_unhandled_failure_raises() -> None:
     async def nothing_due(loop: SimLoop) -> None:
         await loop.create_future()
 
@@ -199,7 +199,7 @@
     return done.stdout.splitlines()
 
 
-def test_the_real_sidecar_does_the_same_to_the_byte_in_every_process() -> None:
+def test_the_real_sidecar_behaves_identically_in_every_process() -> None:
     seeds = " ".join(map(str, range(20)))
     first, second = trace(seeds, "1"), trace(seeds, "2")
     assert first == second and len(first) == 20
@@ -221,18 +221,18 @@
     return loop.create_task(run(), context=context)
 
 
-def test_a_process_that_stands_still_keeps_its_connections_and_does_all_it_missed_once_it_goes_on() -> None:
+def test_a_suspended_process_keeps_its_connections_and_catches_up_once_resumed() -> None:
     async def main(loop: SimLoop) -> list[tuple[float, str]]:
-        seen: list[tuple[float, str]] = []
+        observed: list[tuple[float, str]] = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            seen.append((round(loop.now_s, 1), (await reader.readline()).decode().strip()))
+            observed.append((round(loop.now_s, 1), (await reader.readline()).decode().strip()))
 
         async def work() -> None:
             await asyncio.start_server(serve, *ADDRESS)
             for number in range(3):
                 await asyncio.sleep(0.5)
-                seen.append((round(loop.now_s, 1), f"timer {number}"))
+                observed.append((round(loop.now_s, 1), f"timer {number}"))
 
         started(loop, "one", work())
         await asyncio.sleep(0.7)
@@ -240,21 +240,21 @@
         _, writer = await asyncio.open_connection(*ADDRESS)  # the kernel takes it all the same
         writer.write(b"hello\n")
         await asyncio.sleep(2.3)
-        assert seen == [(0.5, "timer 0")]
+        assert observed == [(0.5, "timer 0")]
         loop.resume("one")
         await asyncio.sleep(1.0)
-        return seen
+        return observed
 
     assert sorted(simulate(1, main)) == [(0.5, "timer 0"), (3.0, "hello"), (3.0, "timer 1"), (3.5, "timer 2")]
 
 
-def test_one_that_was_killed_while_it_stood_still_does_not_go_on() -> None:
+def test_a_process_killed_while_suspended_does_not_resume() -> None:
     async def main(loop: SimLoop) -> list[str]:
-        seen: list[str] = []
+        observed: list[str] = []
 
         async def work() -> None:
             await asyncio.sleep(1.0)
-            seen.append("went on")
+            observed.append("went on")
 
         started(loop, "one", work())
         await asyncio.sleep(0.5)
@@ -262,38 +262,38 @@
         loop.kill("one")
         loop.resume("one")
         await asyncio.sleep(2.0)
-        return seen
+        return observed
 
     assert simulate(1, main) == []
 
 
-def test_a_clock_that_goes_faster_takes_its_timers_with_it_also_those_that_run() -> None:
+def test_a_faster_clock_moves_running_timers_too() -> None:
     async def main(loop: SimLoop) -> list[tuple[float, float]]:
-        seen: list[tuple[float, float]] = []
+        observed: list[tuple[float, float]] = []
 
         async def work() -> None:
             for _ in range(2):
                 await asyncio.sleep(2.0)
-                seen.append((round(loop.now_s, 3), round(system.monotonic(), 3)))
+                observed.append((round(loop.now_s, 3), round(system.monotonic(), 3)))
 
         started(loop, "one", work())
         await asyncio.sleep(1.0)
         loop.set_rate("one", 2.0)
         await asyncio.sleep(5.0)
         assert round(loop.time(), 6) == 6.0  # nobody else's
-        return seen
+        return observed
 
     assert simulate(1, main) == [(1.5, 2.0), (2.5, 4.0)]
 
 
-def test_a_calendar_that_is_set_is_that_of_one_machine_and_its_steady_clock_goes_on() -> None:
+def test_a_shifted_wall_clock_affects_one_process_and_leaves_its_monotonic_clock() -> None:
     async def main(loop: SimLoop) -> list[tuple[float, float]]:
-        seen: list[tuple[float, float]] = []
+        observed: list[tuple[float, float]] = []
         begun_ns = system.unix_ns()
 
         async def work() -> None:
             for _ in range(2):
-                seen.append((round((system.unix_ns() - begun_ns) / 1e9, 3), round(system.monotonic(), 3)))
+                observed.append((round((system.unix_ns() - begun_ns) / 1e9, 3), round(system.monotonic(), 3)))
                 await asyncio.sleep(1.0)
 
         started(loop, "one", work())
@@ -301,6 +301,6 @@
         loop.shift_calendar("one", -3600.0)
         await asyncio.sleep(2.0)
         assert round((system.unix_ns() - begun_ns) / 1e9, 3) == 2.5
-        return seen
+        return observed
 
     assert simulate(1, main) == [(0.0, 0.0), (-3599.0, 1.0)]
