--- a/tests/disconnect_testbed.py
+++ b/tests/disconnect_testbed.py
@@ -14,7 +14,7 @@
 
 from ryepier.balancer.interface import Idempotency, RequestClass
 from ryepier.sidecar.requests import ClientRequest
-from tests.network_peers import OK, Sidecar, Upstream, read_message, request, status_of, wait_until
+from tests.network_peers import OK, Message, Sidecar, Upstream, read_message, request, status_of, wait_until
 from tests.sidecar_probes import DelayedConnections
 
 DISCONNECT_NOTICED_S = 0.15  # no attempt begins later than 0.1 s after its client has disconnected
@@ -91,7 +91,7 @@
             while byte := await reader.read(1):
                 self.started += 1
                 head, body = await read_message(reader)
-                self.requests.append((byte + head, body))
+                self.requests.append(Message(byte + head, body))
                 await self.script(self, len(self.requests) - 1, reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
--- /dev/null
+++ b/tests/loopback_ports.py
@@ -0,0 +1,39 @@
+"""Free loopback ports for tests, a range of its own for each worker of pytest-xdist."""
+
+from __future__ import annotations
+
+import itertools
+import os
+import socket
+from collections.abc import Iterator
+
+FIRST_PORT = 10_000
+PORTS_PER_WORKER = 700
+MAX_WORKERS = 32
+
+
+def worker_ports() -> Iterator[int]:
+    """Yield the ports of this test process in turn, from a range that no other worker of the run has.
+
+    The ranges lie below the system's ephemeral ports, which outgoing connections take.
+    """
+    worker = os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")
+    first = FIRST_PORT + int(worker) % MAX_WORKERS * PORTS_PER_WORKER
+    for offset in itertools.count(os.getpid()):
+        yield first + offset % PORTS_PER_WORKER
+
+
+PORTS = worker_ports()
+
+
+def free_port() -> int:
+    """Return a loopback port that nothing listens on and that no other worker hands out."""
+    for port in itertools.islice(PORTS, PORTS_PER_WORKER):
+        with socket.socket() as sock:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            try:
+                sock.bind(("127.0.0.1", port))
+            except OSError:
+                continue
+            return port
+    raise OSError("no free port in this worker's range")
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -22,8 +22,8 @@
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.results import Granted, Result
 from ryepier.maintenance.settings import addresses_of
+from tests.loopback_ports import free_port
 from tests.maintenance_world import SERVICE, converters_text
-from tests.network_peers import free_port
 
 TIMEOUT_S = 30.0  # no test waits for it on purpose: it ends one that hangs
 REPLICAS = ("north-0", "north-1", "north-2")
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -1,34 +1,42 @@
-"""Peers for the real sidecar over loopback sockets: upstreams, discovery and a client that do as told."""
+"""Peers for the real sidecar over loopback sockets: scripted upstreams, discovery and clients."""
 
 from __future__ import annotations
 
 import asyncio
 import itertools
 import json
-import os
-import socket
-from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
+from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from ryepier.balancer.interface import Idempotency, IdempotencyScope, RequestClass, Settings
 from ryepier.sidecar.config import Config
 from ryepier.sidecar.serving import serve
+from tests.loopback_ports import free_port
 
 HANG_TIMEOUT_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
 ATTEMPT_TIMEOUT_US = 60_000_000  # longer than any test takes
-FIRST_PORT = 10_000
-PORTS_PER_WORKER = 700
-MAX_WORKERS = 32
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 Script = Callable[["Upstream", int, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+"""What an upstream does with a request, whose number it gets; the number counts all its requests."""
+Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+Json = dict[str, Any]
+
+
+class Message(NamedTuple):
+    """An HTTP request or response."""
+
+    head: bytes
+    """With the empty line at its end."""
+    body: bytes
 
 
 def request_classes() -> list[RequestClass]:
+    """Return a class of each kind: idempotent, non-idempotent, and with an idempotency key."""
     return [
         RequestClass("read", latency_objective_us=1_000_000, deadline_us=20_000_000, late_weight=0.5),
         RequestClass(
@@ -50,32 +58,34 @@
     ]
 
 
-async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Head and body of one message that has a Content-Length."""
+async def read_message(reader: asyncio.StreamReader) -> Message:
+    """Read one message whose body has a Content-Length. Raises IncompleteReadError if the connection ends in it."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
         name, _, value = line.partition(b":")
         if name.lower() == b"content-length":
             length = int(value)
-    return head, await reader.readexactly(length)
+    return Message(head, await reader.readexactly(length))
 
 
 @dataclass
 class Upstream:
-    """Answers its requests as `script` says, which is told the number of each; keeps what it has seen."""
+    """Handles each request by its script, and keeps all of them."""
 
     script: Script
-    requests: list[tuple[bytes, bytes]] = field(default_factory=list)
+    requests: list[Message] = field(default_factory=list)
     connections: int = 0
     port: int = 0
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Handle the requests of one connection."""
         self.connections += 1
         try:
             while True:
@@ -87,12 +97,13 @@
             writer.close()
 
     def stop(self) -> None:
+        """Stop listening; connections stay."""
         if self.server is not None:
             self.server.close()
 
 
 def respond_in_turn(*answers: bytes) -> Script:
-    """Gives these answers in turn, the last one ever after; an empty one breaks the connection."""
+    """Return a script that gives these answers in turn and repeats the last; an empty one aborts the connection."""
 
     async def script(
         upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -110,12 +121,13 @@
 async def never_respond(
     upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
+    """Script that waits for the end of the connection."""
     await reader.read()
     raise ConnectionResetError
 
 
 def respond_after(released: asyncio.Event) -> Script:
-    """Answers once it is let."""
+    """Return a script that answers once the event is set."""
 
     async def script(
         upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -126,7 +138,8 @@
     return script
 
 
-def endpoint_entry(uid: str, port: int, state: str = "active", boot_ms: int = 0) -> dict[str, Any]:
+def endpoint_entry(uid: str, port: int, state: str = "active", boot_ms: int = 0) -> Json:
+    """Return an endpoint as the list has it."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -139,15 +152,16 @@
     }
 
 
-def endpoint_list(*entries: dict[str, Any], rev: int = 1, full: bool = True) -> dict[str, Any]:
+def endpoint_list(*entries: Json, rev: int = 1, full: bool = True) -> Json:
+    """Return an endpoint list of revision `rev`: the complete one, or a change."""
     return {"rev": rev, "all": full, "targets": list(entries)}
 
 
 @dataclass
 class Discovery:
-    """Holds watches open; `line` puts a list on the newest. Each begins with `first`, if there is one."""
+    """Keeps watches open, and sends each the list `first` if there is one; `line` sends a list to the newest."""
 
-    first: dict[str, Any] | None = None
+    first: Json | None = None
     calls: list[bytes] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     called: asyncio.Event = field(default_factory=asyncio.Event)
@@ -155,10 +169,12 @@
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Keep one watch open."""
         head, _ = await read_message(reader)
         self.calls.append(head)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -169,52 +185,27 @@
         await reader.read()
 
     async def watched(self) -> None:
-        """Until there is a new watch."""
+        """Wait for a new watch."""
         async with asyncio.timeout(HANG_TIMEOUT_S):
             await self.called.wait()
         self.called.clear()
 
     def line(self, lines: object) -> None:
+        """Send a list to the newest watch."""
         self.piece(json.dumps(lines).encode() + b"\n")
 
     def piece(self, data: bytes) -> None:
-        """Bytes as they are, in a chunk of their own."""
+        """Send bytes to the newest watch, in a chunk of their own."""
         self.writers[-1].write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def stop(self) -> None:
+        """Stop listening, and abort all watches."""
         if self.server is not None:
             self.server.close()
         for writer in self.writers:
             writer.transport.abort()
 
 
-def worker_ports() -> Iterator[int]:
-    """Yield the ports of this test process in turn, from a range that no other worker of the run has.
-
-    The ranges lie below the system's ephemeral ports, which outgoing connections take.
-    """
-    worker = os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")
-    first = FIRST_PORT + int(worker) % MAX_WORKERS * PORTS_PER_WORKER
-    for offset in itertools.count(os.getpid()):
-        yield first + offset % PORTS_PER_WORKER
-
-
-PORTS = worker_ports()
-
-
-def free_port() -> int:
-    """Return a loopback port that nothing listens on and that no other worker hands out."""
-    for port in itertools.islice(PORTS, PORTS_PER_WORKER):
-        with socket.socket() as sock:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            try:
-                sock.bind(("127.0.0.1", port))
-            except OSError:
-                continue
-            return port
-    raise OSError("no free port in this worker's range")
-
-
 SETTINGS: dict[str, Any] = {
     "accounts": [],
     "areas": ["a", "b"],
@@ -246,8 +237,9 @@
 
 
 def write_configuration(folder: Path, **changes: Any) -> Path:
+    """Write the configuration of one sidecar, with some keys changed, and return its path."""
     path = folder / "config.json"
-    whole = {
+    values = {
         "name": "n0",
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": "127.0.0.1:1",
@@ -256,7 +248,7 @@
         "settings": SETTINGS,
         "known": endpoint_list(endpoint_entry("u", 1)),
     }
-    path.write_text(json.dumps(whole | changes))
+    path.write_text(json.dumps(values | changes))
     return path
 
 
@@ -266,7 +258,7 @@
 def request(
     kind: str = "read", ident: str | None = None, body: bytes = b"", deadline_ms: object = 15_000, extra: str = ""
 ) -> bytes:
-    """A request as the application sends it, with an id of its own if none is given."""
+    """Return a request as the application sends it, with an id of its own if none is given."""
     method = "GET" if kind == "read" else "POST"
     ident = str(next(request_numbers)) if ident is None else ident
     key = "Idempotency-Key: k\r\n" if kind == "mark" else ""
@@ -286,11 +278,12 @@
     reload: asyncio.Event
     task: asyncio.Task[None]
 
-    async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def connect(self) -> Streams:
+        """Open a connection."""
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def fetch(self, data: bytes) -> tuple[bytes, bytes]:
-        """One request on a connection of its own; head and body of the answer."""
+    async def fetch(self, data: bytes) -> Message:
+        """Send one request on a connection of its own, and return the response."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
@@ -300,72 +293,80 @@
             writer.close()
 
 
-@asynccontextmanager
-async def sidecar(
-    *upstreams: Upstream,
-    discovery: Discovery | None = None,
-    idle_us: int = 60_000_000,
-    known: dict[str, Any] | None = None,
-    path: str = "",
-    **changes: Any,
-) -> AsyncIterator[Sidecar]:
-    """A sidecar whose known list holds these upstreams."""
-    for upstream in upstreams:
-        await upstream.start()
-    agent = None if discovery is not None else Discovery(first=endpoint_list(rev=1, full=False))
-    for each in (discovery, agent):
-        if each is not None:
-            await each.start()
-    values: dict[str, Any] = {
+def sidecar_config(port: int, discovery_port: int, known: Json, **changes: Any) -> Config:
+    """Return a configuration; changes may be of Config's fields or of Settings'."""
+    settings: dict[str, Any] = {
         "classes": request_classes(),
         "max_attempts": 4,
         "connect_timeout_us": 10_000_000,
         "max_retry_after_us": 1_000_000,
-        "polls_endpoints": discovery is not None,
         "max_poll_interval_us": 10_000_000,
     }
-    known = known or endpoint_list(*(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
-    port, stop, reload = free_port(), asyncio.Event(), asyncio.Event()
-    config = Config(
+    values: dict[str, Any] = {"idle_us": 60_000_000, "path": ""}
+    for name, value in changes.items():
+        (values if name in values else settings)[name] = value
+    return Config(
         listen=("127.0.0.1", port),
-        discovery=("127.0.0.1", (discovery or agent or Discovery()).port),
+        discovery=("127.0.0.1", discovery_port),
         seed=1,
         sockets=200,
-        settings=Settings(**(values | changes)),
+        settings=Settings(**settings),
         zones=["a"],
         kinds=["m"],
-        idle_us=idle_us,
         known=known,
-        path=path,
+        **values,
     )
+
+
+async def wait_until_listening(port: int, task: asyncio.Task[None]) -> None:
+    """Wait until a sidecar accepts connections; it must not end before."""
+    async with asyncio.timeout(HANG_TIMEOUT_S):
+        while True:
+            try:
+                _, writer = await asyncio.open_connection("127.0.0.1", port)
+            except ConnectionRefusedError:
+                assert not task.done()
+                await asyncio.sleep(0.01)
+            else:
+                writer.close()
+                return
+
+
+@asynccontextmanager
+async def sidecar(
+    *upstreams: Upstream, discovery: Discovery | None = None, known: Json | None = None, **changes: Any
+) -> AsyncIterator[Sidecar]:
+    """Run a sidecar in this process whose configured list has these upstreams.
+
+    It polls the discovery that is given; without one it watches an agent that has nothing to send. `changes` are as in
+    `sidecar_config`.
+    """
+    agent = discovery or Discovery(first=endpoint_list(rev=1, full=False))
+    peers: list[Upstream | Discovery] = [*upstreams, agent]
+    for peer in peers:
+        await peer.start()
+    known = known or endpoint_list(*(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+    port, stop, reload = free_port(), asyncio.Event(), asyncio.Event()
+    changes = {"polls_endpoints": discovery is not None} | changes
+    config = sidecar_config(port, agent.port, known, **changes)
     task = asyncio.create_task(serve(config, stop, reload))
     try:
-        async with asyncio.timeout(HANG_TIMEOUT_S):
-            while True:
-                try:
-                    _, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.close()
-                    break
-                except ConnectionRefusedError:
-                    assert not task.done()
-                    await asyncio.sleep(0.01)
+        await wait_until_listening(port, task)
         yield Sidecar(port, stop, reload, task)
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        for upstream in upstreams:
-            upstream.stop()
-        for each in (discovery, agent):
-            if each is not None:
-                each.stop()
+        for peer in peers:
+            peer.stop()
 
 
-def status_of(answer: tuple[bytes, bytes]) -> int:
-    return int(answer[0].split(b" ")[1])
+def status_of(response: Message) -> int:
+    """Return the status of a response."""
+    return int(response.head.split(b" ")[1])
 
 
 def run_async(test: Callable[[], Awaitable[None]]) -> None:
-    """One test, with a bound on its time."""
+    """Run a test in an event loop, with a bound on its time."""
 
     async def limited() -> None:
         async with asyncio.timeout(3 * HANG_TIMEOUT_S):
@@ -375,8 +376,8 @@
 
 
 async def check_rejected(data: bytes, expected: int) -> None:
-    """Check that such bytes get an error of this status and the end of their connection, that nothing of them goes on,
-    and that the sidecar serves after it."""
+    """Check that bytes get an error of this status and the end of their connection, that nothing of them is forwarded,
+    and that the sidecar serves the next request."""
     upstream = Upstream(respond_in_turn(OK))
     async with sidecar(upstream) as it:
         reader, writer = await it.connect()
@@ -389,7 +390,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until it holds."""
+    """Wait until the condition holds."""
     async with asyncio.timeout(HANG_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,6 +20,7 @@
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
 from ryepier.sidecar.server import FIRST_REQUEST_GRACE_S
+from tests.loopback_ports import free_port
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
     HANG_TIMEOUT_S,
@@ -29,7 +30,6 @@
     Upstream,
     endpoint_entry,
     endpoint_list,
-    free_port,
     read_message,
     request,
     respond_in_turn,
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -23,7 +23,8 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.endpoint_registry import EndpointRegistry
 from tests.balancer_harness import START_US, settings
-from tests.network_peers import endpoint_entry, endpoint_list, free_port, read_message, run_async
+from tests.loopback_ports import free_port
+from tests.network_peers import endpoint_entry, endpoint_list, read_message, run_async
 
 TOLD_S = 6.0
 # how long a call waits at a discovery that is reachable, where lists are asked for. Real ones wait for up to 2 s, but
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -15,12 +15,12 @@
 from ryepier.sidecar.config import Config, load
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.serving import serve
+from tests.loopback_ports import free_port
 from tests.network_peers import (
     HANG_TIMEOUT_S,
     NOT_RUN,
     OK,
     SETTINGS,
-    free_port,
     request,
     respond_in_turn,
     wait_until,
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -16,7 +16,8 @@
 from ryepier.maintenance.fleet import Action, FencingTokens, FleetCall, FleetError, FleetReply, SocketFleet
 from ryepier.maintenance.results import DrainStarted, Granted, Rejected, Released, Result
 from ryepier.maintenance.tables import LeaseState
-from tests.network_peers import free_port, wait_until
+from tests.loopback_ports import free_port
+from tests.network_peers import wait_until
 
 GRANTED = Granted("l1", "agent-1", 7, ("a",))
 STEPS = ["drain", "in-flight", "stop", "remove", "start", "list"]
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -25,8 +25,9 @@
 from ryepier.maintenance.results import Credited, Debited, Observed, Rejected, Result
 from ryepier.maintenance.state import ObservedState
 from ryepier.maintenance.transport import Connection
+from tests.loopback_ports import free_port
 from tests.maintenance_world import small_agreement
-from tests.network_peers import HANG_TIMEOUT_S, free_port
+from tests.network_peers import HANG_TIMEOUT_S
 
 READY_AND_WARM = ObservedState(ready=True, warmth=1000, as_of=0)
 TRANSFER = Transfer("north", "south", 1, "convert", 1000)
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -15,7 +15,8 @@
 from ryepier.plan import forwarder, planner_server
 from ryepier.plan.messages import MAX_MESSAGE_BYTES, VERSION, FrameDecoder, Hello, Message, Rejection, Report, encode
 from ryepier.plan.plan_follower import AcceptanceRules
-from tests.network_peers import HANG_TIMEOUT_S, free_port, wait_until
+from tests.loopback_ports import free_port
+from tests.network_peers import HANG_TIMEOUT_S, wait_until
 
 RULES = AcceptanceRules(fleet=2, min_window_ms=100)
 IDENTS = {f"c{i}": i for i in range(6)}
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -57,8 +57,8 @@
             writer.write(request("pay", deadline_ms=20_000))
             await wait_until(lambda: len(upstream.requests) == 1)
             it.stop.set()
-            head, _ = await read_message(reader)
-            assert status_of((head, b"")) == 500 and b"Connection: close" in head
+            response = await read_message(reader)
+            assert status_of(response) == 500 and b"Connection: close" in response.head
             assert not it.task.done()  # else the process had ended with the request open
             writer.close()
             await it.task
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -35,8 +35,9 @@
             respond_in_turn(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
         )
         async with sidecar(upstream) as it:
-            head, body = await it.fetch(request("mark", "77", b"\x00body\r\n"))
-        assert status_of((head, body)) == 200 and body == b"\x00\xff\r\n\r\n" and b"Content-Type: a/b" in head
+            response = await it.fetch(request("mark", "77", b"\x00body\r\n"))
+        assert status_of(response) == 200 and response.body == b"\x00\xff\r\n\r\n"
+        assert b"Content-Type: a/b" in response.head
         seen, sent = upstream.requests[0]
         assert seen.startswith(b"POST /mark/it?x=1 HTTP/1.1\r\n") and sent == b"\x00body\r\n"
         assert b"X-Request-Id: 77\r\n" in seen and b"Idempotency-Key: k\r\n" in seen
--- a/tests/test_sidecar_components.py
+++ b/tests/test_sidecar_components.py
@@ -11,7 +11,8 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.server import Server
 from ryepier.sidecar.serving import serve
-from tests.network_peers import OK, Sidecar, free_port, request, respond_in_turn, wait_until, write_configuration
+from tests.loopback_ports import free_port
+from tests.network_peers import OK, Sidecar, request, respond_in_turn, wait_until, write_configuration
 from tests.network_peers import Upstream as Peer
 
 
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -33,7 +33,8 @@
 from ryepier.slices.endpoint_listing import ListingRules
 from ryepier.slices.reflector import Apply, Call, Failure, Reflector, Replace, Wait
 from ryepier.slices.slice_source import Settings, SliceSource
-from tests.network_peers import HANG_TIMEOUT_S, OK, free_port, read_message, request, wait_until, write_configuration
+from tests.loopback_ports import free_port
+from tests.network_peers import HANG_TIMEOUT_S, OK, read_message, request, wait_until, write_configuration
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 PORTS = [{"name": "http", "port": 80, "protocol": "TCP"}]
