--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: what a pool's answers say of its load, and what is refused for it."""
+"""Admission: load is measured by the mean of the answers' times, and shed only where that is high."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from ryepier.balancer.interface import Outcome, RequestClass
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
-WORK_US = 100_000  # mean of the exponential work of a request: a third of the slow time
-AIM_US = 600_000
+WORK_US = 100_000  # mean of the exponentially distributed work of a request: a third of what counts as slow
+LATENCY_OBJECTIVE_US = 600_000
 REQUESTS = 400
 SEEDS = range(1, 9)
 
 
 def lightly_loaded_harness(seed: int) -> BalancerHarness:
-    """One sidecar with little traffic before upstreams that are never busy."""
-    read = RequestClass("read", latency_objective_us=AIM_US, deadline_us=1_500_000, late_weight=0.3)
+    """Return a sidecar with little traffic in front of upstreams that are never busy."""
+    read = RequestClass("read", latency_objective_us=LATENCY_OBJECTIVE_US, deadline_us=1_500_000, late_weight=0.3)
     harness = BalancerHarness(settings(classes=[read], hedging=False, warm_up_us=0), seed)
     harness.update_upstreams(upstreams(12))
     return harness
@@ -31,40 +31,40 @@
         number += 1
 
 
-def unsent(harness: BalancerHarness, requests: list[int]) -> float:
-    """The share of requests that never went out."""
+def unsent_part(harness: BalancerHarness, requests: list[int]) -> float:
+    """Return the part of the requests that was never sent."""
     return sum(not harness.sends(request) for request in requests) / len(requests)
 
 
-def play(seed: int, mean_us: int) -> float:
-    """The share never sent of requests that come one after another, each served at once."""
-    harness, dice = lightly_loaded_harness(seed), random.Random(seed)
+def rejected_part(seed: int, mean_us: int) -> float:
+    """Send requests one after another, each served at once, and return the part that was never sent."""
+    harness, rng = lightly_loaded_harness(seed), random.Random(seed)
     requests = []
     for _ in range(REQUESTS):
         requests.append(harness.arrive())
-        serve(harness, requests[-1], max(1, int(dice.expovariate(1 / mean_us))))
-        harness.advance(int(dice.expovariate(4.0) * 1_000_000))
-    return unsent(harness, requests)
+        serve(harness, requests[-1], max(1, int(rng.expovariate(1 / mean_us))))
+        harness.advance(int(rng.expovariate(4.0) * 1_000_000))
+    return unsent_part(harness, requests)
 
 
-def test_some_slow_answers_thin_nothing_while_the_mean_is_below_the_target() -> None:
-    """Two in three answers take 0.3 of the slow time, the third 1.1 of it: 0.57 in the mean, the target is 0.7."""
+def test_some_slow_answers_shed_no_load_while_the_mean_is_below_the_target() -> None:
+    """Two in three answers take 0.3 of what counts as slow, the third 1.1: 0.57 in the mean, the target is 0.7."""
     harness = lightly_loaded_harness(1)
     requests = []
     for number in range(REQUESTS):
         requests.append(harness.arrive())
         serve(harness, requests[-1], 330_000 if number % 3 == 2 else 90_000)
         harness.advance(100_000)
-    assert unsent(harness, requests) == 0
+    assert unsent_part(harness, requests) == 0
 
 
-def test_a_light_sidecar_refuses_nothing_for_work_that_is_long_by_chance() -> None:
-    refused = [play(seed, WORK_US) for seed in SEEDS]
-    print("refused, by seed:", refused)
-    assert sum(refused) / len(refused) <= 0.005
+def test_sidecar_with_little_traffic_sheds_no_load_for_work_that_is_long_by_chance() -> None:
+    rejected = [rejected_part(seed, WORK_US) for seed in SEEDS]
+    print("rejected, by seed:", rejected)
+    assert sum(rejected) / len(rejected) <= 0.005
 
 
-def test_it_still_refuses_where_answers_are_slow_on_the_whole() -> None:
-    refused = [play(seed, 6 * WORK_US) for seed in SEEDS]
-    print("refused, by seed:", refused)
-    assert min(refused) >= 0.2
+def test_sidecar_with_little_traffic_sheds_load_where_answers_are_slow_in_the_mean() -> None:
+    rejected = [rejected_part(seed, 6 * WORK_US) for seed in SEEDS]
+    print("rejected, by seed:", rejected)
+    assert min(rejected) >= 0.2
--- a/tests/test_balancer_misuse.py
+++ b/tests/test_balancer_misuse.py
@@ -1,4 +1,4 @@
-"""Odd but legal events are taken calmly; direct misuse is told plainly."""
+"""Unexpected but legal events change nothing; invalid settings are reported with what was expected."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.balancer_harness import START_US, BalancerHarness, settings, upstreams
 
 
-def test_events_about_what_is_unknown_change_nothing() -> None:
+def test_events_about_unknown_objects_change_nothing() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(3))
     for event in (
@@ -39,7 +39,7 @@
     assert harness.sends(harness.arrive(0))
 
 
-def test_outcomes_after_the_answer_and_gone_after_the_end_are_ignored() -> None:
+def test_outcomes_and_disconnects_after_the_end_of_a_request_are_ignored() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(3))
     request = harness.arrive(0)
@@ -52,14 +52,14 @@
     assert harness.handle(ClientDisconnected(served)) == []
 
 
-def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
+def test_outcome_of_an_unknown_attempt_is_ignored() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(3))
     request = harness.arrive(0)
     assert harness.handle(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
-def test_a_stream_that_breaks_is_not_sent_again() -> None:
+def test_broken_stream_is_not_sent_again() -> None:
     harness = BalancerHarness(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
     harness.update_upstreams(upstreams(3))
     request = harness.arrive(0)
@@ -69,19 +69,19 @@
     assert len(harness.sends(request)) == 1 and not isinstance(harness.answer(request), Fail)
 
 
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
+def test_same_events_and_seed_give_the_same_actions() -> None:
     first, second, other = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
-    told = []
+    actions_by_balancer = []
     for balancer in (first, second, other):
         actions = balancer.handle(START_US, UpstreamsUpdated(Kind.FULL, upstreams(9)))
-        for n in range(20):
-            actions += balancer.handle(START_US, RequestArrived(n, START_US + 900_000))
-        told.append(actions)
-    assert told[0] == told[1] != told[2]
+        for number in range(20):
+            actions += balancer.handle(START_US, RequestArrived(number, START_US + 900_000))
+        actions_by_balancer.append(actions)
+    assert actions_by_balancer[0] == actions_by_balancer[1] != actions_by_balancer[2]
 
 
 @pytest.mark.parametrize(
-    ("make", "words"),
+    ("create", "expected"),
     [
         (lambda: RequestClass("x", 0, 10), "latency_objective_us above 0"),
         (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
@@ -96,7 +96,7 @@
         (lambda: settings(classes=[]), "at least one request class"),
     ],
 )
-def test_misuse_says_what_was_expected(make: object, words: str) -> None:
+def test_invalid_setting_is_reported_with_what_was_expected(create: object, expected: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
-        make()  # type: ignore[operator]
-    assert words in str(caught.value)
+        create()  # type: ignore[operator]
+    assert expected in str(caught.value)
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -1,4 +1,4 @@
-"""The upstream list: asking for it, failures, deltas, full lists, restarts."""
+"""The endpoint list in the decision module: polls and their failures, changes, complete lists, restarts."""
 
 from __future__ import annotations
 
@@ -24,79 +24,79 @@
     return harness
 
 
-def asks(harness: BalancerHarness) -> list[int]:
-    """When the world's balancer asked, seen by stepping through time."""
+def poll_positions(harness: BalancerHarness) -> list[int]:
+    """Return the positions of the polls among the actions so far."""
     return [i for i, action in enumerate(harness.actions) if isinstance(action, Subscribe)]
 
 
-def test_a_list_that_must_be_asked_for_is_subscribed_to() -> None:
+def test_list_that_must_be_polled_is_subscribed_to() -> None:
     harness = polling_harness()
     harness.advance(2_000_000)
-    assert len(asks(harness)) >= 1
+    assert len(poll_positions(harness)) >= 1
 
 
-def test_a_pushed_list_is_never_asked_for() -> None:
+def test_pushed_list_is_never_polled() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(4), ListKind.CACHED)
     harness.advance(60_000_000)
-    assert not asks(harness)
+    assert not poll_positions(harness)
 
 
-def test_a_failed_list_call_is_repeated_with_growing_waits_inside_ask_within() -> None:
+def test_failed_poll_is_repeated_with_backoff_within_the_poll_interval() -> None:
     harness = polling_harness()
     harness.advance(2_000_000)
-    waits = []
+    delays_us = []
     for _ in range(12):
-        before = len(asks(harness))
+        before = len(poll_positions(harness))
         harness.handle(UpstreamsUpdated(ListKind.FAILED))
         start_us = harness.now_us
-        while len(asks(harness)) == before:
+        while len(poll_positions(harness)) == before:
             harness.advance(10_000)
             assert harness.now_us - start_us < 10_000_000
-        waits.append(harness.now_us - start_us)
-    assert waits[0] < 500_000 and max(waits) > 1_000_000
+        delays_us.append(harness.now_us - start_us)
+    assert delays_us[0] < 500_000 and max(delays_us) > 1_000_000
 
 
-def test_a_second_failure_before_the_repeat_does_not_double_the_calls() -> None:
+def test_second_failure_before_the_next_poll_adds_no_poll() -> None:
     harness = polling_harness()
     harness.advance(2_000_000)
-    before = len(asks(harness))
+    before = len(poll_positions(harness))
     harness.handle(UpstreamsUpdated(ListKind.FAILED))
     harness.handle(UpstreamsUpdated(ListKind.FAILED))
     harness.advance(4_000_000)
     harness.update_upstreams(upstreams(4), ListKind.DELTA)
-    assert len(asks(harness)) == before + 1
+    assert len(poll_positions(harness)) == before + 1
 
 
-def test_a_call_that_is_never_answered_is_made_again_within_ask_within() -> None:
+def test_poll_that_is_never_answered_is_repeated_within_the_poll_interval() -> None:
     harness = polling_harness()
     harness.advance(10_000_000)
-    assert len(asks(harness)) >= 2
+    assert len(poll_positions(harness)) >= 2
 
 
-def test_a_delta_changes_only_what_it_names() -> None:
+def test_delta_changes_only_the_endpoints_that_it_names() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(2))
     harness.update_upstreams([Upstream(100, UpstreamState.DRAINING)], ListKind.DELTA)
     for _ in range(10):
         harness.end(harness.arrive(0), 0, Outcome.OK)
-    assert {s.upstream for s in harness.sends()} == {101}
+    assert {send.upstream for send in harness.sends()} == {101}
 
 
-def test_what_a_full_list_leaves_out_is_gone_and_may_come_back() -> None:
+def test_endpoint_missing_from_a_full_list_is_removed_and_may_be_added_again() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(2))
     harness.update_upstreams(upstreams(1))
     for _ in range(10):
         harness.end(harness.arrive(0), 0, Outcome.OK)
-    assert {s.upstream for s in harness.sends()} == {100}
+    assert {send.upstream for send in harness.sends()} == {100}
     harness.update_upstreams(upstreams(2))
     for _ in range(30):
         harness.end(harness.arrive(0), 0, Outcome.OK)
-    assert {s.upstream for s in harness.sends()} == {100, 101}
+    assert {send.upstream for send in harness.sends()} == {100, 101}
 
 
-def test_a_restart_under_the_same_id_is_cold_again() -> None:
+def test_restart_under_the_same_id_starts_slowly_again() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(3))
     harness.update_upstreams([Upstream(100, started_us=START_US)], ListKind.DELTA)
@@ -104,10 +104,10 @@
         request = harness.arrive(0)
         harness.advance(5_000)
         harness.end(request, 0, Outcome.OK)
-    assert sum(1 for s in harness.sends() if s.upstream == 100) <= 8  # an even share would be 20
+    assert sum(1 for send in harness.sends() if send.upstream == 100) <= 8  # an equal part would be 20
 
 
-def test_an_empty_list_and_an_empty_delta_are_taken_calmly() -> None:
+def test_empty_list_and_empty_delta_are_accepted() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(2))
     harness.update_upstreams([], ListKind.DELTA)
@@ -116,17 +116,17 @@
     request = harness.arrive(0)
     harness.advance(2_000_000)
     assert harness.answer(request) is not None
-    assert all(t.at_us > START_US for t in harness.actions if isinstance(t, SetTimer))
+    assert all(timer.at_us > START_US for timer in harness.actions if isinstance(timer, SetTimer))
 
 
-def test_a_start_that_lies_ahead_by_a_calendar_that_is_behind_counts_from_when_it_was_heard_of(
+def test_start_in_the_future_of_a_late_clock_counts_from_its_first_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now_s, behind_s = 1_000, 3_600
     monkeypatch.setattr(system, "monotonic_ns", lambda: now_s * 10**9)
     monkeypatch.setattr(system, "unix_ns", lambda: (10**9 + now_s - behind_s) * 10**9)
-    directory = EndpointRegistry(["a"], [])
-    line = {
+    registry = EndpointRegistry(["a"], [])
+    entry = {
         "uid": "c",
         "endpoint": "10.0.0.1:9000",
         "az": "a",
@@ -138,14 +138,14 @@
     }
 
     def started_s(known: str = "active") -> float:
-        event, _ = directory.apply({"rev": 1, "all": False, "targets": [line | {"state": known}]})
+        event, _ = registry.apply({"rev": 1, "all": False, "targets": [entry | {"state": known}]})
         return event.upstreams[0].started_us / 1e6
 
     assert started_s() == now_s
     now_s += 5
-    assert started_s() == now_s - 5  # and is not put off with each list
-    line["boot_ms"] = (10**9 + now_s - 1) * 1000  # it has started again, under its name
+    assert started_s() == now_s - 5  # later lists do not defer it
+    entry["boot_ms"] = (10**9 + now_s - 1) * 1000  # it has started again under its name
     assert started_s() == now_s
     now_s += 3
     started_s("left")
-    assert started_s() == now_s  # another life of the same name
+    assert started_s() == now_s  # another incarnation under the same name
