--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -57,11 +57,11 @@
         (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
     ],
 )
-def test_input_that_is_not_taken_gets_an_error_and_the_end_of_its_connection(data: bytes, expected: int) -> None:
+def test_invalid_input_gets_an_error_and_its_connection_closes(data: bytes, expected: int) -> None:
     run_async(lambda: check_rejected(data, expected))
 
 
-def test_of_pipelined_requests_the_first_is_served_and_the_next_turned_away() -> None:
+def test_first_of_pipelined_requests_is_served_and_the_next_rejected() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as it:
@@ -75,7 +75,7 @@
     run_async(test)
 
 
-def test_the_id_of_another_open_request_does_not_go_out_again() -> None:
+def test_id_of_another_open_request_is_not_forwarded_again() -> None:
     async def test() -> None:
         held = asyncio.Event()
 
@@ -100,7 +100,7 @@
     run_async(test)
 
 
-def test_ids_are_forgotten_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_recent_request_ids_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 0.0
     monkeypatch.setattr(system, "monotonic", lambda: now)
     seen = request_ids.RecentRequestIds(period_s=4.0)
@@ -112,9 +112,7 @@
 
 
 @pytest.mark.parametrize("part", [b"", b"POST /pay HT", request("pay", body=b"abc")[:-1]])
-def test_a_client_that_says_nothing_or_half_of_it_is_ended_in_time(
-    part: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_connection_without_a_complete_request_closes_in_time(part: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(client_connection.STATE_TIMEOUTS_S, client_connection.ClientState.NEW, 0.2)
 
     async def test() -> None:
@@ -128,7 +126,7 @@
     run_async(test)
 
 
-def test_a_peer_whose_first_request_drips_is_ended_within_three_seconds() -> None:
+def test_connection_whose_first_request_trickles_closes_within_three_seconds() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as it:
             reader, writer = await it.connect()
@@ -146,7 +144,7 @@
     run_async(test)
 
 
-def test_a_long_time_is_cut_to_that_of_the_class() -> None:
+def test_deadline_beyond_that_of_the_class_is_reduced_to_it() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream, classes=[RequestClass("read", 100_000, 5_000_000)]) as it:
@@ -157,7 +155,7 @@
     run_async(test)
 
 
-def test_what_comes_behind_an_error_is_not_read_on() -> None:
+def test_bytes_behind_an_error_are_not_read() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as it:
             reader, writer = await it.connect()
@@ -176,7 +174,7 @@
     run_async(test)
 
 
-def test_in_a_crowd_the_first_answer_on_a_connection_is_its_last() -> None:
+def test_connection_closes_after_its_first_response_when_many_are_open() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
             first = await it.connect()
@@ -192,7 +190,7 @@
     run_async(test)
 
 
-def test_the_connection_used_last_stays_when_room_is_made() -> None:
+def test_connection_used_last_is_not_evicted() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
             first = await it.connect()
@@ -215,7 +213,7 @@
     run_async(test)
 
 
-def test_many_idle_clients_make_room_for_new_ones() -> None:
+def test_idle_connections_are_evicted_for_new_ones() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
             idle = [await it.connect() for _ in range(150)]
--- a/tests/test_chunked_requests.py
+++ b/tests/test_chunked_requests.py
@@ -40,7 +40,7 @@
     ids=["empty", "one", "several", "trailers", "longest", "chunks of a byte"],
 )
 @pytest.mark.parametrize("coding", [CHUNKED, b"transfer-encoding:  Chunked "])
-def test_a_request_in_chunks_goes_on_with_its_length(framed: bytes, body: bytes, coding: bytes) -> None:
+def test_chunked_request_is_forwarded_with_its_length(framed: bytes, body: bytes, coding: bytes) -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as it:
@@ -58,7 +58,7 @@
     run_async(test)
 
 
-def test_chunks_may_come_byte_by_byte() -> None:
+def test_chunks_may_arrive_byte_by_byte() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as it:
@@ -100,11 +100,11 @@
         (chunked(TRAILERS), 413),
     ],
 )
-def test_other_codings_and_broken_chunks_get_an_error_and_the_end(data: bytes, expected: int) -> None:
+def test_other_codings_and_malformed_chunks_get_an_error_and_the_connection_closes(data: bytes, expected: int) -> None:
     run_async(lambda: check_rejected(data, expected))
 
 
-def test_a_request_in_chunks_is_served_whatever_version_comes_behind_it() -> None:
+def test_chunked_request_is_served_whatever_version_is_pipelined_behind_it() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as it:
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -25,7 +25,7 @@
 )
 
 
-def test_a_new_configuration_moves_the_watch_and_keeps_what_is_open(
+def test_new_configuration_moves_the_watch_and_keeps_open_requests(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -49,7 +49,7 @@
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-def test_connections_that_make_room_are_closed_before_new_ones_open(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_evicted_upstream_connections_close_before_new_ones_open(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         opened: list[socket.socket] = []
         most = 0
@@ -91,7 +91,7 @@
     run_async(test)
 
 
-def test_dials_that_do_not_come_up_are_within_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_being_established_count_towards_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         upstream, held = Upstream(respond_in_turn(OK)), DelayedConnections()
         await upstream.start()
@@ -111,7 +111,7 @@
     run_async(test)
 
 
-def test_half_requests_that_stand_still_make_room_before_one_that_has_just_connected() -> None:
+def test_stalled_partial_requests_are_evicted_before_a_new_connection() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with net_sidecar(upstream) as it:
@@ -269,9 +269,7 @@
 
 @pytest.mark.parametrize("kind", ["fresh", "kept", "half", "open"])
 @pytest.mark.parametrize("away", ["refused", "silent"])
-def test_the_watch_and_attempts_come_up_though_idle_clients_fill_the_descriptors(
-    tmp_path: Path, kind: str, away: str
-) -> None:
+def test_watch_and_attempts_get_descriptors_though_idle_clients_fill_them(tmp_path: Path, kind: str, away: str) -> None:
     async def test() -> None:
         full, let = asyncio.Event(), asyncio.Event()
 
@@ -324,7 +322,7 @@
         writer.close()
 
 
-def test_each_request_in_pieces_gets_an_answer_though_more_clients_come_than_there_are_descriptors(
+def test_every_request_in_pieces_is_answered_with_more_clients_than_descriptors(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -340,7 +338,7 @@
     run_async(test)
 
 
-def test_clients_whose_requests_stay_partial_are_answered_and_cost_nobody_a_connection(tmp_path: Path) -> None:
+def test_clients_whose_requests_stay_partial_are_answered_and_keep_no_other_out(tmp_path: Path) -> None:
     """512 clients send part of a request and connect anew as fast as they are closed."""
 
     async def test() -> None:
@@ -372,7 +370,7 @@
     run_async(test)
 
 
-def test_a_partial_request_that_makes_room_is_answered_and_told_when_to_come_back() -> None:
+def test_evicted_partial_request_is_answered_with_retry_after() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with net_sidecar(upstream) as it:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_the_list_as_known_is_used_at_once_and_changes_as_soon_as_they_come() -> None:
+def test_configured_list_is_used_at_once_and_changes_when_they_arrive() -> None:
     async def test() -> None:
         old, new, discovery = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK)), Discovery()
         await new.start()
@@ -49,7 +49,7 @@
     run_async(test)
 
 
-def test_a_pushed_list_is_watched_unasked_and_watched_again_after_each_break() -> None:
+def test_pushed_list_is_watched_at_the_start_and_again_after_each_break() -> None:
     async def test() -> None:
         old, new, discovery = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK)), Discovery()
         await new.start()
@@ -72,7 +72,7 @@
     run_async(test)
 
 
-def test_a_list_that_can_not_be_read_ends_the_watch_and_leaves_the_old_list() -> None:
+def test_invalid_list_ends_the_watch_and_leaves_the_old_list() -> None:
     async def test() -> None:
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
         async with sidecar(upstream, discovery=discovery) as it:
@@ -84,7 +84,7 @@
     run_async(test)
 
 
-def test_a_known_list_that_can_not_be_read_is_passed_over_and_a_new_one_asked_for() -> None:
+def test_invalid_configured_list_is_skipped_and_a_new_one_requested() -> None:
     async def test() -> None:
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
@@ -102,7 +102,7 @@
     run_async(test)
 
 
-def test_a_silent_watch_fails_and_is_asked_for_again() -> None:
+def test_silent_watch_fails_and_is_opened_again() -> None:
     async def test() -> None:
         discovery = Discovery()
         async with sidecar(Upstream(respond_in_turn(OK)), discovery=discovery):
@@ -114,7 +114,7 @@
     run_async(test)
 
 
-def test_up_says_200_only_when_there_is_an_upstream() -> None:
+def test_up_responds_200_only_if_there_is_an_upstream() -> None:
     async def test() -> None:
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         async with sidecar(known=endpoint_list()) as it:
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -193,7 +193,7 @@
 CASES += [(order, True) for order in READ_OVER_AND_OVER]  # only there the sidecar itself makes the pause
 
 
-def test_a_change_has_come_6_s_after_discovery_could_be_reached_in_every_order_of_faults(
+def test_change_arrives_within_6_s_of_discovery_being_reachable_in_every_order_of_faults(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     agents: dict[int, Faulty] = {}
@@ -210,7 +210,7 @@
     run_async(test)
 
 
-def test_a_sound_watch_that_has_nothing_to_tell_is_never_cut(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_valid_watch_without_changes_is_never_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     agents: dict[int, Faulty] = {}
     watch_dials(monkeypatch, agents)
 
@@ -337,7 +337,7 @@
 
 
 @pytest.mark.parametrize("sidecars", [200, 1_600])
-def test_a_fleet_that_starts_together_has_its_list_after_6_s(sidecars: int) -> None:
+def test_fleet_that_starts_together_has_its_list_within_6_s(sidecars: int) -> None:
     fleet = Fleet(sidecars, sidecars / 3, [(0.0, "up")])
     for who in range(sidecars):
         fleet.tell(who, TimerFired(0))
@@ -347,7 +347,7 @@
 
 @pytest.mark.parametrize("sidecars", [200, 1_600])
 @pytest.mark.parametrize("order", ORDERS)
-def test_a_change_has_come_to_a_whole_fleet_6_s_after_discovery_could_be_reached(order: str, sidecars: int) -> None:
+def test_change_arrives_at_a_whole_fleet_within_6_s_of_discovery_being_reachable(order: str, sidecars: int) -> None:
     breaks, outages, reachable_s = ORDERS[order]
     fleet = Fleet(sidecars, sidecars / 3, outages)
     for who in range(sidecars):
@@ -359,7 +359,7 @@
 
 
 @pytest.mark.parametrize("sidecars", [200, 1_600])
-def test_a_fleet_whose_calls_are_refused_calls_evenly_and_each_sidecar_once_in_4_s(sidecars: int) -> None:
+def test_fleet_whose_polls_are_rejected_polls_evenly_and_each_sidecar_once_in_4_s(sidecars: int) -> None:
     """Drawn anew after each failure, the calls would come twice as often, and most of them right at the return."""
     fleet = Fleet(sidecars, sidecars / 3, [(0.0, "refused")])
     for who in range(sidecars):
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -259,7 +259,7 @@
 
 
 @pytest.mark.parametrize("first", TROUBLES)
-def test_each_request_is_answered_in_time_in_each_order_of_troubles(
+def test_every_request_is_answered_in_time_in_each_order_of_faults(
     first: str, seen: dict[str, list[ClientRequest]]
 ) -> None:
     check_amount(seen[first], len(orders_from(first)))
@@ -267,7 +267,7 @@
 
 
 @pytest.mark.parametrize("order", stop_orders(), ids="-".join)
-def test_each_request_is_answered_in_time_when_a_stop_comes_between_its_pieces_in_each_order(
+def test_every_request_is_answered_in_time_when_shutdown_comes_between_its_pieces(
     order: tuple[str, ...], seen: dict[str, list[ClientRequest]]
 ) -> None:
     requests = seen["-".join(order)]
@@ -276,7 +276,7 @@
 
 
 @pytest.mark.parametrize(("mistake", "order"), PLANTED, ids=[mistake for mistake, _ in PLANTED])
-def test_the_check_finds_what_a_planted_mistake_leaves_unanswered(
+def test_check_finds_requests_left_unanswered_by_a_seeded_fault(
     mistake: str, order: tuple[str, ...], seen: dict[str, list[ClientRequest]]
 ) -> None:
     check_amount(seen[mistake], repeats(order))  # the rest of it works
@@ -287,6 +287,6 @@
     ("ended_s", "found"),
     [(None, True), (DEADLINE_S + LATEST_S + 0.01, True), (DEADLINE_S + LATEST_S - 0.01, False), (0.0, False)],
 )
-def test_a_request_is_unanswered_if_its_answer_comes_too_late_or_never(ended_s: float | None, found: bool) -> None:
+def test_request_counts_as_unanswered_if_its_answer_is_late_or_missing(ended_s: float | None, found: bool) -> None:
     request = ClientRequest("sidecar", "1", ended_s=ended_s)
     assert unanswered([request]) == ([request] if found else [])
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_when_told_to_stop_it_serves_what_is_open_and_what_still_comes() -> None:
+def test_shutdown_serves_open_requests_and_those_that_still_arrive() -> None:
     async def test() -> None:
         held = asyncio.Event()
 
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -52,7 +52,7 @@
         return status_of(await sidecar.fetch(request("pay", deadline_ms=DEADLINE_MS)))
 
 
-def test_a_connection_that_comes_up_late_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_late_connection_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     held = DelayedConnections()
 
     async def test() -> None:
@@ -69,7 +69,7 @@
     run_async(test)
 
 
-def test_a_wait_for_a_descriptor_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_wait_for_a_descriptor_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     free_capacity = ConnectionPool.free_capacity
 
     async def late(pool: ConnectionPool, attempt: UpstreamAttempt) -> bool:
@@ -99,7 +99,7 @@
     monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", blocking)
 
 
-def test_a_loop_held_up_before_the_write_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_blocked_loop_before_the_write_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as it:
@@ -110,7 +110,7 @@
     run_async(test)
 
 
-def test_an_attempt_with_no_time_left_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_without_time_left_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         classes = [
@@ -130,7 +130,7 @@
     run_async(test)
 
 
-def test_a_shutdown_shortens_the_deadline_of_an_attempt_that_is_written_after_it(
+def test_shutdown_shortens_the_deadline_of_a_later_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held = DelayedConnections()
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -115,7 +115,7 @@
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_no_rule_is_broken_whatever_happens(
+def test_no_rule_is_broken_by_any_sequence_of_events(
     config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
     harness = BalancerHarness(settings(classes=many_classes(), **config), seed)
@@ -150,7 +150,7 @@
     return list(harness.actions)
 
 
-def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
+def test_busy_days_break_no_rule_and_repeat_exactly() -> None:
     for seed in range(12):
         config: dict[str, object] = {
             "hedging": seed % 2 == 0,
@@ -221,7 +221,7 @@
     return worst
 
 
-def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
+def test_upstream_that_warms_up_is_not_overloaded_by_all_sidecars_together() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.CONNECT_FAILED):
             assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -49,7 +49,7 @@
 # The stop
 
 
-def test_a_stop_answers_what_is_open_however_long_its_own_time_is() -> None:
+def test_shutdown_answers_open_requests_however_late_their_deadline_is() -> None:
     async def test() -> None:
         upstream = Upstream(never_respond)
         async with sidecar(upstream) as it:
@@ -66,7 +66,7 @@
     run_async(test)
 
 
-def test_what_comes_whole_after_a_stop_is_answered_before_the_kill_and_not_by_its_own_time() -> None:
+def test_request_completed_during_shutdown_is_answered_before_the_kill() -> None:
     async def test() -> None:
         upstream = Upstream(never_respond)
         kinds = [RequestClass("pay", 1_000_000, 2_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
@@ -87,7 +87,7 @@
     run_async(test)
 
 
-def test_what_has_not_come_whole_when_the_kill_is_near_is_turned_away() -> None:
+def test_request_still_partial_shortly_before_the_kill_is_rejected() -> None:
     async def test() -> None:
         async with sidecar(Upstream(never_respond), classes=SHORT) as it:
             reader, writer = await it.connect()
@@ -101,7 +101,7 @@
     run_async(test)
 
 
-def test_a_request_on_a_connection_that_waits_to_be_taken_when_listening_stops_is_answered(
+def test_request_on_a_connection_in_the_listeners_queue_at_shutdown_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     late: list[socket.socket] = []
@@ -126,7 +126,7 @@
     run_async(test)
 
 
-def test_a_connection_that_has_just_come_up_when_told_to_stop_may_send_its_first_request(
+def test_connection_established_just_before_shutdown_may_send_its_first_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     told = asyncio.Event()
@@ -162,7 +162,7 @@
     run_async(test)
 
 
-def test_an_answer_that_its_client_has_not_read_yet_is_not_cut_short_by_a_stop(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_not_yet_read_by_its_client_is_not_truncated_by_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     listen = system.listen
 
     def narrow(address: tuple[str, int], backlog: int) -> socket.socket:
@@ -198,7 +198,7 @@
 # Connections to upstreams
 
 
-def test_a_keyed_request_is_not_written_once_its_window_is_over_however_late_its_connection(
+def test_request_with_an_idempotency_key_is_not_written_after_its_window_on_a_late_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     kinds = [
@@ -234,7 +234,7 @@
     run_async(test)
 
 
-def test_what_was_begun_before_a_drain_was_told_is_not_sent_however_late_its_connection(
+def test_attempt_started_before_a_drain_is_not_sent_on_a_late_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held, discovery = DelayedConnections(), Discovery()
@@ -255,7 +255,7 @@
     run_async(test)
 
 
-def test_what_was_begun_in_the_turn_in_which_a_drain_is_told_is_not_sent() -> None:
+def test_attempt_started_in_the_turn_of_a_drain_is_not_sent() -> None:
     async def test() -> None:
         upstream, results = Upstream(respond_in_turn(OK)), list[AttemptResult]()
         await upstream.start()
@@ -275,7 +275,7 @@
     run_async(test)
 
 
-def test_a_second_answer_some_milliseconds_late_is_not_taken_for_that_of_the_next_request() -> None:
+def test_second_response_some_milliseconds_late_is_not_taken_for_that_of_the_next_request() -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -310,7 +310,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 2, 7, 10_000])
-def test_a_list_over_several_lines_is_read_wherever_its_bytes_are_split(cut: int) -> None:
+def test_list_over_several_lines_is_read_wherever_its_bytes_are_split(cut: int) -> None:
     async def test() -> None:
         old, new, discovery = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK)), Discovery()
         await new.start()
@@ -343,7 +343,7 @@
         b"7\n",
     ],
 )
-def test_a_list_that_is_cut_off_or_none_leaves_the_last_sound_one_and_is_asked_for_anew(spoilt: bytes) -> None:
+def test_truncated_or_invalid_list_leaves_the_last_valid_one_and_starts_a_new_watch(spoilt: bytes) -> None:
     async def test() -> None:
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
         async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as it:
@@ -359,7 +359,7 @@
     run_async(test)
 
 
-def test_a_list_that_stays_unreadable_is_asked_for_with_growing_pauses() -> None:
+def test_list_that_stays_invalid_is_requested_with_backoff() -> None:
     async def test() -> None:
         discovery = Discovery(first={"rev": 1, "all": True, "targets": [{"uid": "u0"}]})
         async with sidecar(Upstream(respond_in_turn(OK)), discovery=discovery, polls_endpoints=False) as it:
@@ -372,7 +372,7 @@
     run_async(test)
 
 
-def test_nothing_is_served_by_an_old_list_while_the_agent_has_a_newer_one() -> None:
+def test_no_request_is_served_by_an_old_list_while_the_agent_has_a_newer_one() -> None:
     async def test() -> None:
         old, new = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK))
         await old.start()
@@ -406,7 +406,7 @@
     run_async(test)
 
 
-def test_with_its_agent_silent_a_sidecar_starts_with_the_list_it_knows() -> None:
+def test_sidecar_whose_agent_is_silent_starts_with_its_configured_list() -> None:
     async def test() -> None:
         discovery = Discovery()  # it takes the call and says nothing
         async with sidecar(Upstream(respond_in_turn(OK)), discovery=discovery, polls_endpoints=False) as it:
@@ -415,7 +415,7 @@
     run_async(test)
 
 
-def test_a_move_of_discovery_while_the_old_watch_dies_is_followed_from_its_own_first_version(tmp_path: Path) -> None:
+def test_new_discovery_address_is_watched_from_its_first_version_while_the_old_watch_ends(tmp_path: Path) -> None:
     async def test() -> None:
         old, new, first, second = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK)), Discovery(), Discovery()
         await new.start()
@@ -444,7 +444,7 @@
 
 
 @pytest.mark.parametrize("behind", [0, 200_000])
-def test_a_request_that_waits_is_not_sent_once_its_client_has_left_whatever_it_sent_behind(
+def test_buffered_request_is_not_sent_after_its_client_left_whatever_it_pipelined(
     behind: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     calls = record_requests(monkeypatch)
@@ -472,7 +472,9 @@
     run_async(test)
 
 
-def test_a_request_whose_client_left_while_its_connection_came_up_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_is_not_sent_if_its_client_left_while_its_connection_was_established(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     held = DelayedConnections()
 
     async def test() -> None:
@@ -495,7 +497,7 @@
 # Two events in one turn of the loop
 
 
-def test_an_answer_that_comes_in_the_turn_of_its_attempts_time_out_is_the_answer() -> None:
+def test_response_in_the_turn_of_its_attempts_time_out_is_the_answer() -> None:
     async def test() -> None:
         kinds = [
             RequestClass("read", latency_objective_us=400_000, deadline_us=20_000_000, late_weight=0.5)
@@ -525,7 +527,7 @@
     return reader, writer, next(iter(made[0].clients[ClientState.IDLE]))
 
 
-def test_room_is_made_of_no_connection_on_which_a_request_has_come(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_on_which_a_request_has_arrived_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     made = record_servers(monkeypatch)
 
     async def test() -> None:
@@ -541,7 +543,7 @@
     run_async(test)
 
 
-def test_a_request_that_crosses_the_close_of_its_connection_is_sent_nowhere(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_that_crosses_the_close_of_its_connection_is_not_forwarded(monkeypatch: pytest.MonkeyPatch) -> None:
     made = record_servers(monkeypatch)
 
     async def test() -> None:
@@ -564,7 +566,7 @@
     run_async(test)
 
 
-def test_an_evicted_connection_ends_before_bytes_that_arrive_in_the_same_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_evicted_connection_ends_before_bytes_that_arrive_in_the_same_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     made = record_servers(monkeypatch)
 
     async def test() -> None:
@@ -586,9 +588,7 @@
 
 
 @pytest.mark.parametrize("spelt", ["utf-8", "latin-1", "percent"])
-def test_names_that_are_not_plain_ascii_are_known_however_they_are_spelt(
-    spelt: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_names_beyond_ascii_are_recognised_in_every_encoding(spelt: str, monkeypatch: pytest.MonkeyPatch) -> None:
     calls = record_requests(monkeypatch)
 
     def spell(name: str) -> bytes:
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -29,7 +29,7 @@
 ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() -> None:
+def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
         upstream = Upstream(
             respond_in_turn(b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 6\r\n\r\n\x00\xff\r\n\r\n")
@@ -62,7 +62,7 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200, 1),
     ],
 )
-def test_an_unsafe_request_is_repeated_only_if_it_never_ran(first: bytes, expected: int, attempts: int) -> None:
+def test_non_idempotent_request_is_retried_only_if_it_never_ran(first: bytes, expected: int, attempts: int) -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -88,7 +88,7 @@
     run_async(test)
 
 
-def test_a_refusal_tells_when_to_come_back_and_a_failed_connection_never_ran() -> None:
+def test_rejection_has_retry_after_and_a_failed_connection_never_ran() -> None:
     async def test() -> None:
         gone = Upstream(never_respond)
         await gone.start()
@@ -102,7 +102,7 @@
     run_async(test)
 
 
-def test_a_silent_upstream_costs_the_answer_and_not_the_deadline() -> None:
+def test_request_to_a_silent_upstream_fails_at_its_deadline() -> None:
     async def test() -> None:
         async with sidecar(Upstream(never_respond)) as it:
             started = asyncio.get_running_loop().time()
@@ -113,7 +113,7 @@
     run_async(test)
 
 
-def test_a_module_that_stumbles_or_forgets_leaves_nobody_without_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_is_answered_though_the_decision_module_fails_or_forgets_it(monkeypatch: pytest.MonkeyPatch) -> None:
     handle = Balancer.handle
 
     def stumbling(self: Balancer, now_us: int, event: Event) -> list[Any]:
@@ -134,7 +134,7 @@
     run_async(test)
 
 
-def test_nothing_is_sent_again_for_a_client_that_has_gone() -> None:
+def test_request_is_not_retried_for_a_disconnected_client() -> None:
     async def test() -> None:
         held = asyncio.Event()
 
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -256,13 +256,13 @@
 
 
 @pytest.mark.parametrize("sidecar", [HEALTHY, *WAYS, *map(ASKING.format, WAYS)])
-def test_a_sidecar_serves_within_four_seconds_however_it_is_told(sidecar: str, seen: Seen) -> None:
+def test_sidecar_serves_within_four_seconds_however_its_list_arrives(sidecar: str, seen: Seen) -> None:
     assert seen.served(sidecar) >= BARREN_REQUESTS
     assert seen.barren(sidecar) == []
 
 
 @pytest.mark.parametrize("mistake", WAYS.values())
-def test_the_check_finds_a_sidecar_that_serves_nobody_by_a_planted_mistake(mistake: str, seen: Seen) -> None:
+def test_check_finds_a_sidecar_that_serves_nobody_by_a_seeded_fault(mistake: str, seen: Seen) -> None:
     assert seen.served(mistake)  # before the converters were replaced
     assert seen.barren(mistake)
 
@@ -281,7 +281,7 @@
         (503, BARREN_REQUESTS, BARREN_S, False),  # nobody else serves
     ],
 )
-def test_a_span_without_service_counts_if_it_is_long_and_others_serve(
+def test_span_without_service_counts_if_it_is_long_and_others_serve(
     others: int, refused: int, span_s: float, found: bool
 ) -> None:
     requests = requests_of("other", others, 30, span_s) + requests_of("one", 503, refused, span_s)
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -54,7 +54,7 @@
         process.communicate()
 
 
-def test_the_build_compiles_the_sources(tmp_path: Path) -> None:
+def test_build_compiles_the_sources(tmp_path: Path) -> None:
     with program(write_configuration(tmp_path)):  # which builds first
         for source in (
             ROOT / "ryepier" / "__init__.py",
@@ -64,7 +64,7 @@
             assert Path(cache_from_source(source)).exists()
 
 
-def test_settings_are_read_by_their_names_on_the_simulators_wire(tmp_path: Path) -> None:
+def test_settings_are_read_by_their_names_in_the_simulators_protocol(tmp_path: Path) -> None:
     config: Config = load(str(write_configuration(tmp_path)))
     assert (config.seed, config.sockets, config.idle_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
@@ -78,7 +78,7 @@
     assert flatten(nested) == {"a.b": "true", "a.c": "1,2", "d.count": "1", "d.0.e": "0.5", "f.count": "0"}
 
 
-def test_the_program_is_ready_lives_through_sighup_and_ends_with_0_on_sigterm(tmp_path: Path) -> None:
+def test_program_becomes_ready_survives_sighup_and_exits_0_on_sigterm(tmp_path: Path) -> None:
     path = write_configuration(tmp_path)
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
     with program(path) as process:
@@ -104,7 +104,7 @@
         assert process.wait(HANG_TIMEOUT_S) == 0
 
 
-def test_sigterm_under_load_leaves_nothing_that_ran_without_its_answer(tmp_path: Path) -> None:
+def test_sigterm_under_load_leaves_no_executed_request_without_its_answer(tmp_path: Path) -> None:
     async def slow(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.05)
         writer.write(OK)
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
-def test_a_configuration_that_can_not_be_read_ends_it_with_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_invalid_configuration_ends_the_program_with_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
     with program(write_configuration(tmp_path, **changes)) as process:
         _, errors = process.communicate(timeout=HANG_TIMEOUT_S)
         assert process.returncode == 2 and len(errors.splitlines()) == 1
@@ -182,12 +182,12 @@
         ({"settings": SETTINGS | {"instances": "x"}}, "instances"),
     ],
 )
-def test_a_wrong_setting_is_told_by_its_key(tmp_path: Path, changes: dict[str, Any], key: str) -> None:
+def test_invalid_setting_is_reported_by_its_key(tmp_path: Path, changes: dict[str, Any], key: str) -> None:
     with pytest.raises((ValueError, SettingsError), match=key):
         load(str(write_configuration(tmp_path, **changes)))
 
 
-def test_a_second_sigterm_and_a_sighup_while_it_ends_take_nothing_from_what_is_open(tmp_path: Path) -> None:
+def test_second_sigterm_and_sighup_during_shutdown_leave_open_requests_alone(tmp_path: Path) -> None:
     async def test() -> None:
         let = asyncio.Event()
         upstream = Upstream(respond_after(let))
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -94,7 +94,7 @@
     assert protocol.encode(3, action) == bytes.fromhex(text)
 
 
-def test_the_documented_frames() -> None:
+def test_documented_frames_are_read_and_written() -> None:
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
     events = list(protocol.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
@@ -113,7 +113,7 @@
     )
 
 
-def test_a_request_goes_through_the_adapter() -> None:
+def test_request_passes_through_the_adapter() -> None:
     start = [power_on(), bytes.fromhex(LIST), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
     told = serve(batch(start) + batch([arrival]))
@@ -122,7 +122,7 @@
     assert (code, instance, ticket) == (20, 3, TICKET) and upstream in (FIRST, SECOND)
 
 
-def test_a_restart_in_one_batch_forgets_everything() -> None:
+def test_restart_within_a_batch_forgets_all_state() -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
     start = [power_on(), bytes.fromhex(LIST), members]
     again = [bytes.fromhex("28 0300"), power_on(seed=10), members]
@@ -131,7 +131,7 @@
     assert told.endswith(bytes(8))  # the late outcome means nothing to the new instance
 
 
-def test_a_list_number_is_resolved_in_event_order() -> None:
+def test_list_number_is_resolved_in_event_order() -> None:
     short = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
     data = bytes.fromhex(LIST) + members + short + members
@@ -163,13 +163,13 @@
         (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
     ],
 )
-def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
+def test_malformed_input_is_reported_in_one_line(data: bytes, words: str) -> None:
     with pytest.raises(protocol.ProtocolError) as caught:
         serve(data)
     assert words in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
+def test_settings_are_read_and_unknown_keys_ignored() -> None:
     settings = parse_settings(OPTIONS + "brand-new.key=1\nfees.fleet=0.2\n")
     assert settings == parse_settings(OPTIONS)
     assert [c.idempotency for c in settings.classes] == list(
@@ -188,7 +188,7 @@
     assert settings.report_names == ["utilization", "queued", "moon"]
 
 
-def test_an_exception_in_the_decisions_is_told_as_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_decisions_is_reported_as_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> list[api.Action]:
         raise IndexError("index out of range")
 
@@ -197,7 +197,7 @@
     assert b"IndexError: index out of range" in told
 
 
-def test_instances_act_alike_in_one_process_and_in_several() -> None:
+def test_instances_act_the_same_in_one_process_and_in_several() -> None:
     def day(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
@@ -215,7 +215,7 @@
     assert together == {**day([1]), **day([2]), **day([3])}
 
 
-def test_a_class_out_of_range_is_named_and_ends_the_adapter() -> None:
+def test_class_out_of_range_is_named_and_ends_the_adapter() -> None:
     arrival = struct.pack("<BHIBIQIBQ", 70, 3, 1, 9, 0, 0, 0, 0, 9_000_000)
     with pytest.raises(protocol.ProtocolError, match="batch 1: instance 3: request class 9 of 3"):
         serve(batch([power_on()]) + batch([arrival]))
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -31,7 +31,7 @@
 ]
 
 
-def test_requests_that_are_never_answered_don_t_keep_the_slots_of_an_upstream_that_answers_others() -> None:
+def test_unanswered_requests_release_the_slots_of_an_upstream_that_answers_others() -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -71,7 +71,7 @@
     run_async(test)
 
 
-def test_a_request_that_is_never_answered_does_not_keep_the_only_slot_of_an_upstream() -> None:
+def test_unanswered_request_releases_the_only_slot_of_an_upstream() -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -36,7 +36,7 @@
 )
 
 
-def test_a_connection_is_used_again_but_not_after_more_than_an_answer_or_its_end(
+def test_connection_is_reused_unless_it_brought_surplus_bytes_or_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "LATE_RESPONSE_US", 0)  # requests come one right after the other
@@ -52,7 +52,7 @@
     run_async(test)
 
 
-def test_a_connection_goes_by_upstream_and_not_by_address(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_is_reused_by_upstream_and_not_by_address(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "LATE_RESPONSE_US", 0)  # requests come one right after the other
 
     async def test() -> None:
@@ -128,7 +128,7 @@
     run_async(test)
 
 
-def test_connections_idle_for_as_long_as_others_that_broke_are_not_used() -> None:
+def test_connections_idle_for_as_long_as_broken_ones_are_not_reused() -> None:
     async def test() -> None:
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         for _ in range(30):
@@ -180,7 +180,7 @@
         b"HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" * 9000,
     ],
 )
-def test_a_spoilt_answer_may_have_run_and_shuts_nothing(first: bytes) -> None:
+def test_malformed_response_may_have_run_and_ejects_nothing(first: bytes) -> None:
     async def test() -> None:
         outcomes = list[Outcome]()
         handle = Balancer.handle
@@ -201,7 +201,7 @@
     run_async(test)
 
 
-def test_an_idle_connection_is_closed_before_the_upstream_would() -> None:
+def test_idle_connection_is_closed_before_the_upstream_would_close_it() -> None:
     async def test() -> None:
         ended = asyncio.Event()
 
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("early", [b"", OK])
-def test_a_request_that_was_not_written_whole_never_ran_and_its_connection_ends(early: bytes) -> None:
+def test_request_not_written_completely_never_ran_and_its_connection_closes(early: bytes) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=10), list[AttemptResult]()
