--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -77,12 +77,12 @@
         ("mutation { convert @skip(if: true) }", None),
     ],
 )
-def test_a_mutation_is_never_run_again_whatever_hides_it(query: str, name: str | None) -> None:
+def test_mutation_is_never_retried_whatever_hides_it(query: str, name: str | None) -> None:
     meant = post(query, operationName=name).meaning
     assert (meant.class_name, meant.idempotency, meant.mutates) == ("convert", Idempotency.NON_IDEMPOTENT, True)
 
 
-def test_a_mutation_with_the_key_that_the_table_names_may_be_repeated_with_it() -> None:
+def test_mutation_with_the_key_that_the_table_names_may_be_retried_with_it() -> None:
     assert post('mutation { batch(id: "b-1") { id } }').meaning.key == "b-1"
     meant = post('mutation($i: ID = "dflt") { batch(id: $i) }', variables={"i": 17}).meaning
     assert (meant.class_name, meant.idempotency, meant.key, meant.cost_us) == (
@@ -98,7 +98,7 @@
     assert post(both).meaning.idempotency == Idempotency.NON_IDEMPOTENT
 
 
-def test_queries_are_harmless_and_the_table_names_their_class_and_cost() -> None:
+def test_query_is_idempotent_and_the_table_names_its_class_and_cost() -> None:
     assert post("{ a b c }").meaning.class_name == "lookup"
     meant = post("query { one: report two: report }").meaning
     assert (meant.class_name, meant.idempotency, meant.cost_us, meant.deadline_us) == (
@@ -111,7 +111,7 @@
     assert post("query Q { a } " + MUTATION, operationName="Q").meaning.idempotency == Idempotency.IDEMPOTENT
 
 
-def test_a_batch_takes_the_class_of_its_strictest_part_and_goes_on_whole() -> None:
+def test_batch_takes_the_class_of_its_strictest_part_and_is_forwarded_in_one() -> None:
     body = json.dumps([{"query": "{ a }"}, {"query": 'mutation { batch(id: "1") }'}]).encode()
     asked = raw(body)
     assert (asked.meaning.idempotency, asked.meaning.key, asked.body) == (Idempotency.NON_IDEMPOTENT, "", body)
@@ -154,11 +154,11 @@
         b'{"query": "{ a", "extensions": {"persistedQuery": {"version": 1, "sha256Hash": "00"}}}',
     ],
 )
-def test_what_can_be_read_in_two_ways_or_in_none_is_refused(body: bytes) -> None:
+def test_ambiguous_or_invalid_request_is_rejected(body: bytes) -> None:
     assert refusal(raw, body).status == 400
 
 
-def test_documents_are_bounded_before_they_are_read() -> None:
+def test_documents_are_bounded_before_they_are_parsed() -> None:
     nested = "{a" * 32_000 + "}" * 32_000
     assert refusal(post, nested).code == "DOCUMENT_TOO_DEEP"
     assert refusal(post, "{" * 65_000).code == "DOCUMENT_TOO_DEEP"
@@ -168,7 +168,7 @@
     assert refusal(post, f"{{ ...F0 }} {bomb} fragment F20 on Q {{ a }}").code == "DOCUMENT_TOO_LARGE"
 
 
-def test_a_get_may_ask_and_nothing_else() -> None:
+def test_get_request_may_only_query() -> None:
     reader = Reader(TABLE)
     asked = reader.get(
         urlencode({"query": "query Q($x: Int) { a(x: $x) }", "variables": '{"x": 1}', "operationName": "Q"})
@@ -184,7 +184,7 @@
         assert refusal(reader.get, text).status == 400
 
 
-def test_a_hash_stands_for_one_text_for_ever() -> None:
+def test_persisted_hash_stands_for_one_text_forever() -> None:
     def extensions(text: str) -> dict[str, Any]:
         return {"persistedQuery": {"version": 1, "sha256Hash": hashlib.sha256(text.encode()).hexdigest()}}
 
@@ -203,7 +203,7 @@
     assert refusal(small.resolve, None, extensions("{ a }")).code == "PERSISTED_QUERY_NOT_FOUND"
 
 
-def test_documents_are_kept_within_bounds() -> None:
+def test_document_cache_is_bounded() -> None:
     documents = Documents(max_documents=3, max_bytes=100)
     for number in range(10):
         documents.read(f"{{ a{number} }}")
@@ -223,11 +223,11 @@
         ("text/html, application/json;q=0.1", "application/json"),
     ],
 )
-def test_answers_are_in_what_the_client_takes(accept: str, kind: str) -> None:
+def test_responses_have_a_media_type_that_the_client_accepts(accept: str, kind: str) -> None:
     assert response_type(accept) == kind
 
 
-def test_types_that_are_not_spoken_are_told_of() -> None:
+def test_unsupported_media_type_is_reported() -> None:
     assert refusal(response_type, "text/html").status == 406
     assert refusal(response_type, "application/json;q=0").status == 406
     for kind in ("text/plain", "", "application/json; charset=utf-16"):
@@ -246,7 +246,7 @@
         {"mutations": {"m": FieldRule("convert", key="id")}},
     ],
 )
-def test_a_table_that_would_repeat_what_is_unsafe_is_refused(change: dict[str, Any]) -> None:
+def test_table_that_would_retry_non_idempotent_operations_is_rejected(change: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=r"class|key"):
         Table(
             **{"classes": CLASSES, "queries": {}, "mutations": {}, "query_class": "lookup", "mutation_class": "convert"}
@@ -273,7 +273,7 @@
     st.integers(0, 2),
     st.sampled_from([None, True, False, "x"]),
 )
-def test_no_mutation_is_ever_taken_for_harmless(
+def test_no_mutation_is_ever_classified_as_idempotent(
     made: list[tuple[str, str, str]], fragment: str, chosen: int, value: Any
 ) -> None:
     text = "".join(f"{filler}{kind} O{i}($v: X) {{ {inner} }} " for i, (kind, inner, filler) in enumerate(made))
@@ -295,7 +295,7 @@
 
 
 @given(st.binary(max_size=300) | st.text(max_size=200).map(lambda text: json.dumps({"query": text}).encode()))
-def test_whatever_comes_is_read_or_refused(body: bytes) -> None:
+def test_any_bytes_are_read_or_rejected(body: bytes) -> None:
     with suppress(GraphqlError):
         raw(body)
     with suppress(GraphqlError):
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -129,7 +129,7 @@
     return (f"HTTP/1.1 {status} X\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n\r\n{body}").encode()
 
 
-def test_a_query_is_sent_again_after_a_reset_and_a_mutation_is_not(tmp_path: Path) -> None:
+def test_query_is_retried_after_a_reset_and_a_mutation_is_not(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
         status, _, body = await front.fetch(http(MUTATION))
         assert status == 500 and len(peer.requests) == 1
@@ -142,7 +142,7 @@
     with_front(tmp_path, respond_in_turn(b"", b"", reply(200, '{"data":{"status":1}}')), test)
 
 
-def test_what_a_converter_says_is_passed_on_with_its_errors_and_never_asked_again(tmp_path: Path) -> None:
+def test_response_with_graphql_errors_is_forwarded_and_not_retried(tmp_path: Path) -> None:
     partial = '{"data":{"status":null},"errors":[{"message":"half"}]}'
     refused = '{"errors":[{"message":"no such field"}]}'
 
@@ -154,7 +154,7 @@
     with_front(tmp_path, respond_in_turn(reply(200, partial), reply(400, refused)), test)
 
 
-def test_a_refusal_tells_when_to_come_back_at_once_and_in_graphql(tmp_path: Path) -> None:
+def test_rejection_has_retry_after_at_once_and_in_graphql(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
         begun = asyncio.get_running_loop().time()
         status, headers, body = await front.fetch(http(MUTATION, Accept="application/json"))
@@ -165,7 +165,7 @@
     with_front(tmp_path, respond_in_turn(NOT_RUN), test)
 
 
-def test_the_converter_gets_what_was_judged_and_the_front_says_class_and_id(tmp_path: Path) -> None:
+def test_converter_gets_the_classified_bytes_with_class_and_id_of_the_front(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
         await front.fetch(http(QUERY, X_Class="pay", Idempotency_Key="k", X_Request_Id="r1"))
         head, body = peer.requests[0]
@@ -192,7 +192,7 @@
 ]
 
 
-def test_what_is_not_taken_is_answered_in_graphql_and_reaches_nobody(tmp_path: Path) -> None:
+def test_rejected_request_is_answered_in_graphql_and_reaches_no_converter(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
         for data, status, code in NOT_TAKEN:
             got, headers, body = await front.fetch(data)
@@ -203,7 +203,7 @@
     with_front(tmp_path, respond_in_turn(OK), test)
 
 
-def test_plain_requests_go_on_beside_it_and_a_listener_of_its_own_takes_any_path(tmp_path: Path) -> None:
+def test_plain_requests_are_served_beside_it_and_an_own_listener_accepts_any_path(tmp_path: Path) -> None:
     own = free_port()
 
     async def test(front: Front, peer: Peer) -> None:
@@ -218,7 +218,7 @@
     with_front(tmp_path, respond_in_turn(reply(200, "{}")), test, table)
 
 
-def test_a_connection_outlives_what_was_refused_for_its_content(tmp_path: Path) -> None:
+def test_connection_stays_open_after_a_request_rejected_for_its_content(tmp_path: Path) -> None:
     async def test(front: Front, peer: Peer) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", front.port)
         for data, status in ((http("{"), b"400"), (http(QUERY), b"200")):
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -37,18 +37,18 @@
     return resets.retried_share >= MIN_RETRIED_SHARE and resets.served_share >= resets.min_served_share
 
 
-def test_the_sidecar_sends_queries_again_as_far_as_its_budget_goes() -> None:
+def test_sidecar_retries_queries_as_far_as_its_budget_allows() -> None:
     resets = simulate_resets()
     assert resets.with_spare >= 100
     assert claims_hold(resets)
 
 
-def test_a_sidecar_that_sends_no_reset_query_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sidecar_that_retries_no_reset_query_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(retries, "RETRIED", tuple(one for one in retries.RETRIED if one is not Outcome.RESET))
     assert simulate_resets().retried_share == 0
 
 
-def test_a_sidecar_that_sends_only_some_reset_queries_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sidecar_that_retries_only_some_reset_queries_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     may_send = RetryPolicy.may_send
 
     def may_send_most(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
@@ -58,12 +58,12 @@
     assert not claims_hold(simulate_resets())
 
 
-def test_a_sidecar_whose_budget_of_retries_is_smaller_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sidecar_with_a_smaller_retry_budget_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(tuning, "RETRY_BUDGET_RATIO", BUDGET_RATIO / 2)
     assert not claims_hold(simulate_resets())
 
 
-def test_answers_that_are_lost_after_a_second_attempt_are_found() -> None:
+def test_responses_lost_after_a_second_attempt_are_detected() -> None:
     well = QueryResets(
         attempts=1000, resets=200, with_retry=200, with_spare=200, retried=200, retried_queries=200, served_queries=190
     )
@@ -82,5 +82,5 @@
         (5, 0.0, 0.9, 0),
     ],
 )
-def test_a_quantile_of_the_binomial_distribution(trials: int, chance: float, level: float, quantile: int) -> None:
+def test_quantile_of_the_binomial_distribution(trials: int, chance: float, level: float, quantile: int) -> None:
     assert binomial_quantile(trials, chance, level) == quantile
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -29,7 +29,7 @@
     return logger
 
 
-def test_a_json_line_holds_the_message_and_the_fields_of_its_request(
+def test_json_line_has_the_message_and_the_fields_of_its_request(
     root: logging.Logger, capsys: pytest.CaptureFixture[str]
 ) -> None:
     structured.set_up(LoggingSettings(format=LogFormat.JSON))
@@ -39,7 +39,7 @@
     assert (line["level"], line["logger"]) == ("info", "ryepier.sidecar.dispatcher") and line["time"].endswith("+00:00")
 
 
-def test_lines_past_the_limit_or_the_level_are_never_rendered(
+def test_lines_beyond_the_limit_or_the_level_are_never_rendered(
     root: logging.Logger, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ryepier.sidecar.logs.time.monotonic", lambda: 1000.5)
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -27,7 +27,7 @@
     return [(problem.line, problem.key) for problem in caught.value.problems]
 
 
-def test_all_mistakes_are_told_at_once_by_line_and_key() -> None:
+def test_all_mistakes_are_reported_at_once_by_line_and_key() -> None:
     found = problems('[logging]\n# a comment\nformat = "xml"\nlevle = "info"\nlines_per_s = 0\n[lgging]\n')
     assert [text.split(":")[0] for text in found] == ["line 3", "line 4", "line 5", "line 6"]
     assert "logging.format" in found[0] and "did you mean 'level'?" in found[1]
@@ -42,11 +42,11 @@
         ("[logging]\nlines_per_s = true\n", "line 2: logging.lines_per_s: expected `int`, got `bool`, got True"),
     ],
 )
-def test_what_is_no_such_file_is_told_in_a_line(text: str, told: str) -> None:
+def test_invalid_file_is_reported_in_one_line(text: str, told: str) -> None:
     assert problems(text)[0].startswith(told)
 
 
-def test_the_environment_goes_before_the_file_and_is_checked_like_it() -> None:
+def test_environment_overrides_the_file_and_is_checked_the_same() -> None:
     got = operator_settings.parse(
         '[logging]\nformat = "plain"\nlevel = "debug"\n',
         {"RYEPIER_LOGGING__FORMAT": "json", "RYEPIER_LOGGING__LINES_PER_S": "7", "HOME": "/"},
@@ -56,13 +56,13 @@
     assert "logging.format" in problems("", RYEPIER_LOGGING__FORMAT="loud")[0]
 
 
-def test_the_file_that_is_shipped_holds_the_defaults_and_every_key() -> None:
+def test_shipped_file_has_every_key_and_its_default() -> None:
     text = (ROOT / "deploy" / "ryepier.toml").read_text()
     assert operator_settings.parse(text, {}) == operator_settings.OperatorSettings()
     assert tomllib.loads(text)["logging"].keys() == set(operator_settings.LoggingSettings.__struct_fields__)
 
 
-def test_keys_of_the_file_set_the_fields_that_are_named_otherwise() -> None:
+def test_keys_of_the_file_set_fields_of_other_names() -> None:
     """The names in the file are the operators' page's, whatever the fields are called."""
     got = operator_settings.parse(
         "[trust]\nleast_reporters = 0.1\nleast_window_ms = 2\nleast_covered = 0.3\n"
@@ -80,7 +80,7 @@
     assert problems("[trust]\nmin_reporters = 0.1\n")[0].startswith("line 2: trust.min_reporters: unknown key")
 
 
-def test_a_world_with_a_mistake_in_line_40_is_told_of_it() -> None:
+def test_mistake_in_line_40_of_a_world_is_reported() -> None:
     lines = STEADY.splitlines()
     place = lines.index('effect = "deduplicated"')
     lines[place] = 'effect = "sometimes"'
@@ -98,5 +98,5 @@
         ("skew = 0.5", 'skew = 0.5\n[[faults]]\nkind = "heavy-tail"\nat_s = 1.0\n', ""),
     ],
 )
-def test_worlds_that_make_no_sense_are_refused(old: str, new: str, key: str) -> None:
+def test_invalid_worlds_are_rejected(old: str, new: str, key: str) -> None:
     assert key in [found for _, found in world_problems(STEADY.replace(old, new, 1))]
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -75,7 +75,7 @@
 
 
 @given(st.binary(max_size=300), st.integers(1, 20))
-def test_bytes_of_any_kind_are_messages_or_a_protocol_error(data: bytes, piece: int) -> None:
+def test_any_bytes_are_messages_or_a_protocol_error(data: bytes, piece: int) -> None:
     frames = FrameDecoder()
     try:
         for at in range(0, len(data), piece):
@@ -86,7 +86,7 @@
     assert FrameDecoder().feed(good + good[:5]) == [Heartbeat(Term(3, "a"), True, 5)]
 
 
-def test_what_goes_past_the_limits_is_an_error_and_unknown_keys_are_not() -> None:
+def test_value_beyond_its_limits_is_an_error_and_an_unknown_key_is_not() -> None:
     with pytest.raises(ProtocolError, match="bytes"):
         FrameDecoder().feed((MAX_MESSAGE_BYTES + 1).to_bytes(4, "big"))
     with pytest.raises(ProtocolError, match="version"):
@@ -100,7 +100,7 @@
 # Reports and their merge
 
 
-def test_a_report_holds_what_changed_and_silence_counts_before_the_attempt_ends() -> None:
+def test_report_has_the_changes_and_counts_a_late_attempt_before_it_ends() -> None:
     reporter = Reporter([100], 1)
     reporter.on_attempt_started(0, "a", 1, 0)
     reporter.on_attempt_started(0, "b", 2, 0)
@@ -129,7 +129,7 @@
 
 
 @given(st.lists(st.integers(0, 9), min_size=1, max_size=8), st.data())
-def test_neither_order_nor_repetition_of_reports_changes_what_is_merged(counts: list[int], data: Any) -> None:
+def test_merged_reports_do_not_depend_on_order_or_repetition(counts: list[int], data: Any) -> None:
     reports = growing(counts)
     straight, mixed = Evidence(0), Evidence(0)
     for report in reports:
@@ -139,7 +139,7 @@
     assert straight.totals() == mixed.totals()
 
 
-def test_an_earlier_life_of_a_forwarder_is_not_counted_and_a_new_one_begins_anew() -> None:
+def test_earlier_incarnation_of_a_forwarder_is_not_counted_and_a_new_one_starts_from_zero() -> None:
     evidence = Evidence(0)
     first, second = growing([5, 5])
     assert evidence.merge(0, "f", 7, first) and evidence.merge(1, "f", 7, second)
@@ -184,7 +184,7 @@
     return plan
 
 
-def test_a_planner_that_knows_too_little_says_nothing() -> None:
+def test_planner_with_too_few_reports_sends_no_plan() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     assert planner.plan(5 * S, evidence, Term(1, "a"), 1) is None
     well(evidence, 0, {}, names=4)
@@ -194,7 +194,7 @@
     assert plan_at(planner, evidence, S).entries == {}
 
 
-def test_a_bad_converter_rests_is_tried_and_comes_back_by_steps() -> None:
+def test_failing_converter_is_ejected_probed_and_restored_in_steps() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     well(evidence, 2 * S, {"c3": (0, 2)})
     [(uid, entry)] = plan_at(planner, evidence, 2 * S).entries.items()
@@ -209,7 +209,7 @@
     assert list(dict.fromkeys(found)) == ["rests", 0.25, 0.5, 1.0]
 
 
-def test_a_slow_converter_gets_less_by_its_median_whatever_a_few_heavy_requests_take() -> None:
+def test_slow_converter_gets_less_weight_by_its_median_despite_a_few_heavy_requests() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     for index in range(6):
         saw(evidence, 2 * S, f"f{index}", dict.fromkeys(LISTED, (6, 0)), ("c3",))
@@ -218,7 +218,7 @@
     assert uid == "c3" and entry.weight == 0.25 and entry.concurrency_limit == 1 and "96 ms" in entry.reason
 
 
-def test_a_classes_limit_over_all_forwarders_is_shared_out_evenly_and_fades() -> None:
+def test_class_limit_over_all_forwarders_is_divided_evenly_and_fades() -> None:
     planner, evidence = Planner(RULES, [], [25.0]), Evidence(0)
     for at_us in (2 * S, 2 * S + 1):
         well(evidence, at_us, {}, names=5)  # 5 forwarders, 10 more arrivals each: 100 within 2 s are 50 a second
@@ -232,14 +232,14 @@
     assert len(admitted) == 2
 
 
-def test_one_forwarder_for_whom_all_is_bad_is_not_heard() -> None:
+def test_forwarder_for_which_every_converter_fails_is_ignored() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     well(evidence, 2 * S, {})
     saw(evidence, 2 * S, "f0", dict.fromkeys(LISTED, (0, 50)))
     assert plan_at(planner, evidence, 2 * S).entries == {} and planner.outlier_reporters == {"f0"}
 
 
-def test_a_few_forwarders_that_shout_do_not_outweigh_the_others() -> None:
+def test_few_forwarders_with_many_failures_do_not_outweigh_the_others() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     well(evidence, 2 * S, {})
     for name in ("f0", "f1", "f2"):
@@ -247,13 +247,13 @@
     assert plan_at(planner, evidence, 2 * S).entries == {}
 
 
-def test_where_much_of_the_fleet_is_bad_none_rests() -> None:
+def test_no_converter_is_ejected_where_much_of_the_fleet_fails() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     well(evidence, 2 * S, {f"c{i}": (0, 3) for i in range(5)})
     assert plan_at(planner, evidence, 2 * S).entries == {} and planner.fleet_is_failing
 
 
-def test_what_planners_make_of_any_evidence_is_sound_to_forwarders() -> None:
+def test_plan_from_any_evidence_is_valid_to_forwarders() -> None:
     @given(
         st.lists(
             st.dictionaries(st.sampled_from(sorted(LISTED)), st.tuples(st.integers(0, 9), st.integers(0, 9))),
@@ -289,7 +289,7 @@
         (a_plan(planner=""), "no term"),
     ],
 )
-def test_an_unsound_plan_is_refused_and_the_last_sound_one_stays(plan: Plan, why: str) -> None:
+def test_invalid_plan_is_rejected_and_the_last_valid_one_stays(plan: Plan, why: str) -> None:
     follower = PlanFollower("f", RULES)
     assert follower.accept_plan(0, a_plan(entries=resting(1)), LISTED) is None
     newer = msgspec.structs.replace(plan, term=Term(plan.term.epoch * 5, plan.term.planner))
@@ -297,7 +297,7 @@
     assert follower.plan is not None and list(follower.plan.entries) == ["c0"]
 
 
-def test_terms_only_go_up_and_numbers_within_them() -> None:
+def test_terms_only_increase_and_so_do_numbers_within_them() -> None:
     follower = PlanFollower("f", RULES)
     order = [
         (2, "a", 5, ""),
@@ -315,7 +315,7 @@
 @given(
     st.lists(st.tuples(st.integers(0, 3), st.sampled_from("ab"), st.integers(0, 4), st.integers(0, 10)), max_size=30)
 )
-def test_whatever_plans_come_those_followed_only_go_up(offers: list[tuple[int, str, int, int]]) -> None:
+def test_applied_plans_only_increase_whatever_plans_arrive(offers: list[tuple[int, str, int, int]]) -> None:
     follower, followed = PlanFollower("f", RULES), []
     for epoch, planner, number, forwarders in offers:
         if not follower.accept_plan(0, a_plan(epoch, number, forwarders, planner), LISTED):
@@ -324,7 +324,7 @@
     assert all(one < other for one, other in itertools.pairwise(followed))
 
 
-def test_a_plan_fades_to_nothing_and_forwarders_leave_a_rest_one_after_another() -> None:
+def test_plan_fades_out_and_forwarders_end_an_ejection_one_after_another() -> None:
     followers = [PlanFollower(f"f{i}", AcceptanceRules(fleet=1)) for i in range(200)]
     plan = a_plan(
         entries={
@@ -345,7 +345,7 @@
     assert weights == sorted(weights) and weights[0] == 0.5 and weights[-1] == 1.0
 
 
-def test_a_few_forwarders_at_a_time_try_what_rests_and_in_the_end_all_had_their_turn() -> None:
+def test_few_forwarders_at_a_time_probe_an_ejected_converter_and_each_has_its_turn() -> None:
     tried: set[str] = set()
     for number in range(1, 400):
         plan = a_plan(number=number, entries={"c1": ConverterAdvice(ejected=True, trial_share=0.1)})
@@ -355,7 +355,7 @@
     assert len(tried) == 50
 
 
-def test_a_plan_brings_in_nobody_that_discovery_has_not_named() -> None:
+def test_plan_adds_no_converter_that_discovery_has_not_listed() -> None:
     follower = PlanFollower("f", RULES)
     assert (
         follower.accept_plan(
@@ -382,13 +382,13 @@
     return [action.upstream for action in actions if isinstance(action, Send)]
 
 
-def test_the_module_keeps_off_what_rests_by_plan_unless_the_plan_rests_too_many() -> None:
+def test_upstreams_ejected_by_a_plan_get_no_request_unless_it_ejects_too_many() -> None:
     assert set(sends(balancer(4), 3, PlanUpdated([Advice(0, ejected=True)]))) == {1, 2, 3}
     assert set(sends(balancer(4), 4, PlanUpdated([Advice(i, ejected=True) for i in range(3)]))) == {0, 1, 2, 3}
     assert sends(balancer(2), 2, PlanUpdated([Advice(9)])) != []
 
 
-def test_advice_does_not_outlive_the_next_plan_nor_bring_back_what_has_left() -> None:
+def test_advice_ends_with_the_next_plan_and_restores_no_removed_upstream() -> None:
     made = balancer(2)
     made.handle(2, PlanUpdated([Advice(0, ejected=True)]))
     made.handle(3, UpstreamsUpdated(ListKind.FULL, [Upstream(1)]))
@@ -403,12 +403,12 @@
     return {f"f{i}": ForwarderStats(1, 0, taken_us, 1, term=term, plan_accepted_us=taken_us) for i in range(count)}
 
 
-def test_forwarders_that_have_no_plan_are_no_witnesses_of_a_leader() -> None:
+def test_forwarder_without_a_plan_is_no_witness_of_a_leader() -> None:
     first = Leadership("a", 0, 0)
     assert first.tick(LEADER_TIMEOUT_US, witnesses(Term(), LEADER_TIMEOUT_US), has_enough_evidence=True)
 
 
-def test_the_first_takes_over_and_the_second_waits_for_its_turn() -> None:
+def test_first_planner_takes_over_and_the_second_waits_for_its_turn() -> None:
     first, second = Leadership("a", 0, 0), Leadership("b", 1, 0)
     assert not first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=False)  # it has nothing to say
     assert first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and first.term == Term(1, "a")
@@ -418,7 +418,7 @@
     assert second.tick(3 * LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and second.term == Term(2, "b")
 
 
-def test_a_cut_between_planners_changes_nothing_while_forwarders_hear_the_leader() -> None:
+def test_partition_between_planners_changes_nothing_while_forwarders_reach_the_leader() -> None:
     second = Leadership("b", 1, 0)
     for at_us in range(0, 60 * S, S // 4):
         assert not second.tick(at_us, witnesses(Term(1, "a"), at_us), has_enough_evidence=True)
@@ -428,7 +428,7 @@
     assert second.tick(60 * S + 4 * LEADER_TIMEOUT_US, witnesses(Term(1, "a"), 59 * S), has_enough_evidence=True)
 
 
-def test_of_two_leaders_the_lesser_steps_down_when_a_forwarder_tells_of_the_greater() -> None:
+def test_leader_with_the_lower_term_steps_down_when_a_forwarder_reports_the_higher() -> None:
     lesser = Leadership("a", 0, 0)
     assert lesser.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
     assert not lesser.tick(LEADER_TIMEOUT_US + 1, witnesses(Term(1, "b"), LEADER_TIMEOUT_US), has_enough_evidence=True)
@@ -438,7 +438,7 @@
 # Snapshots
 
 
-def test_a_snapshot_comes_back_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_snapshot_is_restored_completely_or_not_at_all(tmp_path: Path) -> None:
     kept = snapshot.take(
         5 * S,
         1000,
@@ -467,7 +467,7 @@
     assert snapshot.load(tmp_path / "none", 0, 0) is None
 
 
-def test_the_rules_that_planners_keep_to_are_the_forwarders_own() -> None:
+def test_planners_keep_to_the_rules_of_the_forwarders() -> None:
     strict = dataclasses.replace(RULES, max_ejected=0.0)
     planner, evidence = Planner(strict, []), Evidence(0)
     well(evidence, 2 * S, {"c3": (0, 2)})
--- a/tests/test_planner_compatibility.py
+++ b/tests/test_planner_compatibility.py
@@ -16,15 +16,15 @@
 
 
 @pytest.mark.parametrize("frame", WRITTEN[:-1], ids=range(len(WRITTEN) - 1))
-def test_an_earlier_message_is_read_and_written_alike(frame: bytes) -> None:
+def test_earlier_message_is_read_and_written_the_same(frame: bytes) -> None:
     [message] = messages.FrameDecoder().feed(frame)
     assert messages.encode(message) == frame
 
 
-def test_an_earlier_snapshot_is_read_and_written_alike() -> None:
+def test_earlier_snapshot_is_read_and_written_the_same() -> None:
     read = snapshot.decode(WRITTEN[-1], unix_ms=123457, max_age_ms=1000)
     assert snapshot.encode(read) == WRITTEN[-1]
 
 
-def test_the_same_contents_are_written_as_before() -> None:
+def test_same_contents_are_written_as_before() -> None:
     assert [*planner_fixtures.frames(), planner_fixtures.snapshot_file()] == WRITTEN
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -104,7 +104,7 @@
     return said.decode()
 
 
-def test_what_forwarders_see_rests_at_all_of_them_and_the_peer_goes_on_when_the_leader_is_gone() -> None:
+def test_failing_converter_is_ejected_at_all_forwarders_and_the_peer_continues_without_the_leader() -> None:
     async def test() -> None:
         ports = [free_port(), free_port()]
         async with a_planner(ports[1], "b", {"a": ports[0]}) as second:
@@ -124,7 +124,7 @@
     run(test)
 
 
-def test_a_planner_that_hangs_is_left_and_reports_do_not_pile_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_hanging_planner_is_left_and_reports_do_not_accumulate(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(forwarder, "SILENCE_TIMEOUT_US", 200_000)
 
     async def test() -> None:
@@ -167,7 +167,7 @@
         b"\x00\x00\x00\x01\xc1",
     ],
 )
-def test_peers_that_make_no_sense_get_a_refusal_and_the_planner_goes_on(data: bytes) -> None:
+def test_invalid_peer_gets_a_refusal_and_the_planner_continues(data: bytes) -> None:
     async def test() -> None:
         port = free_port()
         async with a_planner(port) as server:
@@ -180,7 +180,7 @@
     run(test)
 
 
-def test_one_forwarder_too_many_is_told_when_to_come_back() -> None:
+def test_forwarder_beyond_the_limit_gets_a_retry_time() -> None:
     async def test() -> None:
         port = free_port()
         async with a_planner(port, most=0):
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -30,7 +30,7 @@
     return fingerprint(b"t", str(number).encode())
 
 
-def test_only_what_was_turned_away_comes_again() -> None:
+def test_only_a_request_that_was_rejected_counts_as_retried() -> None:
     seen = FailedRequestSketch(0)
     assert seen.retry_number(0, name(1)) == 0
     assert seen.retry_number(0, name(1)) == 0  # asked twice and served: no retry
@@ -39,7 +39,7 @@
     assert (seen.retry_number(2, name(1)), seen.retry_number(2, name(2))) == (2, 0)
 
 
-def test_it_is_forgotten_after_ten_to_twenty_seconds() -> None:
+def test_failed_request_is_forgotten_after_ten_to_twenty_seconds() -> None:
     seen = FailedRequestSketch(0)
     seen.add(0, name(1))
     assert seen.retry_number(GENERATION_US - 1, name(1)) == 1
@@ -50,7 +50,7 @@
     assert late.retry_number(5 * GENERATION_US, name(1)) == 0
 
 
-def test_a_first_try_is_taken_for_a_later_one_less_often_than_stated_however_many_are_refused() -> None:
+def test_first_attempt_counts_as_a_retry_less_often_than_stated_at_any_rejection_rate() -> None:
     seen = FailedRequestSketch(0)
     for number in range(10 * GENERATION_SIZE):
         seen.add(number, name(number))
@@ -64,7 +64,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=60))
-def test_a_try_is_never_counted_lower_than_it_is(steps: list[tuple[int, bool]]) -> None:
+def test_retry_number_is_never_underestimated(steps: list[tuple[int, bool]]) -> None:
     seen, counts = FailedRequestSketch(0), dict.fromkeys(range(6), 0)
     for number, unserved in steps:
         assert seen.retry_number(1, name(number)) >= counts[number]
@@ -73,7 +73,7 @@
             counts[number] += 1
 
 
-def test_parts_of_a_fingerprint_are_told_apart() -> None:
+def test_parts_of_a_fingerprint_are_kept_apart() -> None:
     assert fingerprint(b"ab", b"c") != fingerprint(b"a", b"bc")
 
 
@@ -112,7 +112,7 @@
         return self.told
 
 
-def test_a_storm_after_an_outage_opens_once_and_closes_once_it_is_over() -> None:
+def test_storm_after_an_outage_opens_once_and_closes_when_it_is_over() -> None:
     one = Sidecar()
     one.run(30, 100)
     one.run(5, 100, 200, served=0)
@@ -125,7 +125,7 @@
     assert [active for _, active, _ in one.changes] == [True, False] and not one.told.active
 
 
-def test_a_surge_of_first_tries_is_no_storm_though_those_refused_come_again() -> None:
+def test_surge_of_first_attempts_is_no_storm_though_rejected_ones_are_retried() -> None:
     one = Sidecar()
     one.run(30, 100)
     one.run(10, 230, 150, served=150)
@@ -135,7 +135,7 @@
     assert [active for _, active, _ in one.changes] == [True]
 
 
-def test_a_second_outage_right_after_the_first_is_a_storm_again_and_is_never_usual() -> None:
+def test_second_outage_right_after_the_first_is_a_storm_again_and_not_the_usual_rate() -> None:
     one = Sidecar()
     one.run(30, 100)
     usual = one.detector.baseline_rate
@@ -146,7 +146,7 @@
     assert one.detector.baseline_rate == pytest.approx(usual, rel=0.05)
 
 
-def test_what_recovers_lets_more_in_and_calls_the_others_back_sooner() -> None:
+def test_recovering_pool_admits_more_and_shortens_retry_after() -> None:
     one = Sidecar()
     one.run(30, 100)
     one.run(5, 100, 300, served=0)
@@ -157,7 +157,7 @@
     assert early.retry_after_us == sorted(early.retry_after_us) and max(early.retry_after_us) <= 8_000_000
 
 
-def test_a_tenant_that_storms_beyond_its_share_has_its_own_retries_held_back() -> None:
+def test_retries_of_a_tenant_over_its_quota_are_limited_separately() -> None:
     one = Sidecar([0.5, 0.5])
     one.run(30, 100)
     for _ in range(25):
@@ -167,7 +167,7 @@
     assert told.active and told.tenant_admission[1] < 0.6 and told.tenant_admission[0] == 1.0
 
 
-def test_next_to_no_traffic_is_never_a_storm() -> None:
+def test_very_little_traffic_is_never_a_storm() -> None:
     one = Sidecar()
     one.run(30, 5)
     one.detector.on_request(1, 0)
@@ -183,7 +183,7 @@
     return harness
 
 
-def test_first_tries_are_let_in_and_later_ones_by_their_share_with_final_answers_at_once() -> None:
+def test_first_attempts_are_admitted_and_retries_in_part_with_final_answers_at_once() -> None:
     harness = stormy()
     harness.handle(RetryStormUpdated(True, [1.0, 0.25, 0.0], [1_000_000] * 3))
     firsts = [harness.arrive(READ) for _ in range(3)]
@@ -199,7 +199,7 @@
     assert harness.sends(harness.arrive(READ, retry_number=7))
 
 
-def test_refused_clients_are_spread_over_the_window_also_in_whole_seconds() -> None:
+def test_retry_after_is_spread_over_the_window_also_in_whole_seconds() -> None:
     for whole in (False, True):
         harness = stormy()
         harness.handle(RetryStormUpdated(True, [1.0, 0.0], [4_000_000, 8_000_000], retry_after_in_seconds=whole))
@@ -214,7 +214,7 @@
         assert not whole or all(at % 1_000_000 == 0 and at > 0 for at in after)
 
 
-def test_in_a_storm_a_clients_retry_earns_no_reissue() -> None:
+def test_retry_of_a_client_adds_nothing_to_the_retry_budget_in_a_storm() -> None:
     def reissued(tries: int) -> int:
         harness = BalancerHarness(settings(max_retry_after_us=8_000_000, hedging=False))
         harness.update_upstreams(upstreams(40))
@@ -231,7 +231,7 @@
     assert reissued(1) <= 6 < 12 <= reissued(0)
 
 
-def test_only_later_tries_of_the_tenant_that_storms_are_held_back() -> None:
+def test_only_retries_of_the_tenant_in_the_storm_are_limited() -> None:
     harness = stormy(tenants=[Tenant("a", 10.0), Tenant("b", 10.0)])
     harness.handle(RetryStormUpdated(True, [1.0, 1.0], [1_000_000] * 2, tenant_admission=[1.0, 0.0]))
     assert harness.sends(harness.arrive(READ, retry_number=1, tenant=0))
@@ -242,7 +242,9 @@
 # A whole sidecar
 
 
-def test_a_sidecar_sees_a_storm_open_and_close_over_an_outage(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_sidecar_detects_a_storm_opening_and_closing_over_an_outage(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     async def convert(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -144,7 +144,7 @@
     run(test)
 
 
-def test_a_watch_that_is_torn_in_the_middle_of_a_line_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_that_breaks_within_a_line_loses_no_event(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
 
     async def test() -> None:
@@ -162,7 +162,7 @@
     run(test)
 
 
-def test_an_answer_that_comes_in_small_pieces_is_read_all_the_same() -> None:
+def test_response_in_small_pieces_is_read() -> None:
     async def test() -> None:
         async with a_world() as world:
             world.api.faults.pieces, world.api.faults.pause_s = 7, 0.0
@@ -175,7 +175,7 @@
     run(test)
 
 
-def test_a_server_that_comes_back_compacted_is_listed_anew_and_what_went_meanwhile_is_gone(
+def test_server_compacted_during_an_outage_is_listed_again_and_removed_endpoints_are_noticed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
@@ -198,7 +198,7 @@
     run(test)
 
 
-def test_a_silent_watch_is_given_up_and_another_asked_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_watch_is_closed_and_another_opened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(api_client, "WATCH_GRACE_S", -0.7)
     monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
 
@@ -217,7 +217,7 @@
     run(test)
 
 
-def test_a_busy_server_is_left_alone_for_as_long_as_it_asks() -> None:
+def test_retry_after_of_a_busy_server_is_respected() -> None:
     made = Reflector("default", "convert", Random(1))
     made.start(0)
     [_, wait] = made.on_failure(0, Failure("busy", 429, retry_after_s=3))
@@ -237,7 +237,7 @@
     assert max(waits) - min(waits) > 0.4 * reflector.MAX_BACKOFF_US
 
 
-def test_a_server_away_for_ten_minutes_is_asked_a_bounded_number_of_times_and_then_listed_at_once() -> None:
+def test_server_away_for_ten_minutes_gets_few_requests_and_is_then_listed_at_once() -> None:
     reflector = Reflector("default", "convert", Random(1))
     reflector.version = "5"
     now_us = calls = 0
@@ -252,7 +252,7 @@
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 400), max_size=6), st.booleans())
-def test_however_a_watch_comes_in_pieces_its_lines_are_whole_and_rubbish_is_a_failure(
+def test_watch_split_at_any_byte_gives_complete_lines_and_garbage_is_an_error(
     rubbish: bytes, cuts: list[int], sound: bool
 ) -> None:
     async def test() -> None:
@@ -274,7 +274,7 @@
     asyncio.run(test())
 
 
-def test_a_page_that_has_expired_is_followed_by_the_whole_list_in_one_and_never_by_a_loop() -> None:
+def test_expired_page_is_followed_by_one_request_for_the_complete_list() -> None:
     reflector = Reflector("default", "convert", Random(1))
     reflector.start(0)
     [more] = reflector.on_page(
@@ -291,7 +291,7 @@
     assert replace == Replace([]) and isinstance(watch, Call) and "resourceVersion=9" in watch.target
 
 
-def test_a_watch_goes_on_from_its_last_bookmark_and_an_error_event_from_its_last_event() -> None:
+def test_watch_resumes_from_its_last_bookmark_and_after_an_error_from_its_last_event() -> None:
     read = api_objects.read_event
     reflector = Reflector("default", "convert", Random(1))
     reflector.version = "5"
@@ -346,7 +346,7 @@
     run(test)
 
 
-def test_a_server_of_another_authority_is_not_believed(tmp_path: Path) -> None:
+def test_server_of_another_authority_is_rejected(tmp_path: Path) -> None:
     tls = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     trustme.CA().issue_cert("127.0.0.1").configure_cert(tls)
     trustme.CA().cert_pem.write_to_path(str(tmp_path / "ca.pem"))
@@ -374,7 +374,7 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_a_server_that_makes_no_sense_is_asked_again_later(answer: bytes) -> None:
+def test_server_with_invalid_responses_is_requested_again_later(answer: bytes) -> None:
     async def test() -> None:
         calls = 0
 
@@ -397,7 +397,7 @@
     run(test)
 
 
-def test_a_sidecar_that_starts_while_the_server_is_away_has_the_list_as_written_down(
+def test_sidecar_that_starts_while_the_server_is_away_uses_the_cached_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(slice_source, "CACHE_INTERVAL_S", 0.01)
@@ -425,7 +425,7 @@
     run(test)
 
 
-def test_the_stand_in_satisfies_the_official_client_library() -> None:
+def test_emulated_api_server_satisfies_the_official_client_library() -> None:
     async def test() -> None:
         async with a_world() as world:
             for index in range(5):
@@ -491,13 +491,13 @@
         ("", "KUBERNETES_SERVICE_HOST"),
     ],
 )
-def test_a_server_that_is_none_is_told_of(server: str, text: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_address_without_a_server_is_reported(server: str, text: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("KUBERNETES_SERVICE_HOST", raising=False)
     with pytest.raises(AccessError, match=text):
         find_access(server)
 
 
-def test_explain_and_watch_tell_which_slices_say_what_and_which_rule_decides(tmp_path: Path) -> None:
+def test_explain_and_watch_print_the_states_in_each_slice_and_the_deciding_rule(tmp_path: Path) -> None:
     async def test() -> None:
         async with a_world() as world:
             world.put("s1", "p1", "p2")
@@ -546,7 +546,7 @@
     return process.returncode, said.decode()
 
 
-def test_a_sidecar_follows_slices_to_a_converter_at_an_ipv6_address(tmp_path: Path) -> None:
+def test_sidecar_follows_slices_to_a_converter_at_an_ipv6_address(tmp_path: Path) -> None:
     async def test() -> None:
         server = await asyncio.start_server(answer_all, "::1", 0)
         port = server.sockets[0].getsockname()[1]
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -29,7 +29,7 @@
     return {entry.id: entry.state for entry, _ in made.update(now_us, changes)}
 
 
-def test_one_that_flaps_drains_at_once_each_time_and_waits_twice_as_long_to_come_back() -> None:
+def test_flapping_endpoint_drains_at_once_and_waits_twice_as_long_to_become_ready() -> None:
     made = listing()
     assert told(made, 0, p1=verdict()) == {1: READY}
     now_us = SECOND
@@ -46,7 +46,7 @@
     assert made.next_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # calm for a minute: forgotten
 
 
-def test_one_that_drains_while_it_settles_is_never_told_of_as_ready() -> None:
+def test_endpoint_that_drains_while_it_settles_is_never_reported_ready() -> None:
     made = listing()
     told(made, 0, p1=verdict())
     told(made, 1, p1=verdict(ready=False))
@@ -55,7 +55,7 @@
     assert made.next_us is None and told(made, 100 * SECOND) == {}
 
 
-def test_what_comes_later_is_fresh_and_so_is_one_that_was_away_for_long() -> None:
+def test_endpoint_counts_as_started_if_it_is_new_or_was_absent_for_long() -> None:
     made = listing()
     told(made, 0, old=verdict("old"))
     made.complete_list()
@@ -67,7 +67,7 @@
     assert entry.started_us == 10 + MIN_RESTART_US
 
 
-def test_a_move_between_slices_is_no_restart_but_an_address_that_comes_back_is_another() -> None:
+def test_move_between_slices_is_no_restart_but_a_reused_address_is() -> None:
     made = listing()
     made.update(0, {"p1": verdict(), "10.0.0.9:80": verdict("10.0.0.9:80")})
     made.complete_list()
@@ -79,7 +79,7 @@
     assert back == {1: 0, 3: 2}
 
 
-def test_one_that_vanished_while_not_ready_has_to_settle_when_it_is_back() -> None:
+def test_endpoint_removed_while_not_ready_has_to_settle_when_it_returns() -> None:
     made = listing()
     told(made, 0, p1=verdict())
     told(made, 1, p1=verdict(ready=False))
@@ -88,7 +88,7 @@
     assert told(made, 3 + SETTLE_US) == {1: READY}
 
 
-def test_cells_are_never_shared_by_chance() -> None:
+def test_failure_domains_are_never_shared_by_chance() -> None:
     by_node, by_itself = listing("node"), listing()
     changes = {name: verdict(name, node=node) for name, node in (("p1", "n1"), ("p2", "n1"), ("p3", ""), ("p4", ""))}
     cells = [entry.failure_domain for entry, _ in by_node.update(0, changes)]
@@ -96,7 +96,7 @@
     assert len({entry.failure_domain for entry, _ in by_itself.update(0, changes)}) == 4
 
 
-def test_a_changed_address_is_told() -> None:
+def test_changed_address_is_reported() -> None:
     made = listing()
     told(made, 0, p1=verdict())
     [(entry, address)] = made.update(1, {"p1": verdict(address="10.0.0.7")})
@@ -113,7 +113,7 @@
         max_size=30,
     )
 )
-def test_whatever_comes_the_module_never_holds_one_for_ready_that_is_not(steps: list[tuple[int, str, str]]) -> None:
+def test_decision_module_never_counts_an_unready_endpoint_as_ready(steps: list[tuple[int, str, str]]) -> None:
     made = listing()
     now_us, said, held = 0, {}, {}
     for after_us, identity, word in steps:
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -51,13 +51,13 @@
         ({"ready": True, "terminating": False}, READY),
     ],
 )
-def test_conditions_are_read_as_the_api_says(conditions: dict[str, Any], state: UpstreamState) -> None:
+def test_conditions_are_read_as_the_api_defines_them(conditions: dict[str, Any], state: UpstreamState) -> None:
     merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint(**conditions)))
     assert states(merger) == {"p1": state}
 
 
-def test_one_address_in_two_slices_with_states_that_differ_is_safe() -> None:
+def test_address_in_two_slices_takes_the_safest_state() -> None:
     merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint("", ready=True)))
     merger.apply(a_slice(endpoint("", ready=True, terminating=True), name="s2", uid="u2"))
@@ -65,7 +65,7 @@
     assert (verdict.state, verdict.rule, verdict.source_slices) == (DRAINING, 4, ("s1", "s2"))
 
 
-def test_a_slice_made_anew_while_its_endpoint_drains_does_not_bring_it_back() -> None:
+def test_slice_created_again_while_its_endpoint_drains_does_not_restore_it() -> None:
     merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint(ready=True), generation=3))
     merger.apply(a_slice(endpoint(terminating=True), generation=4))
@@ -76,21 +76,21 @@
     assert merger.endpoints(0)["p1"].rule == 3
 
 
-def test_an_address_that_a_new_pod_gets_within_a_second_is_another_converter() -> None:
+def test_address_reused_by_a_new_pod_within_a_second_is_another_converter() -> None:
     merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint("p1", terminating=True)))
     merger.apply(a_slice(endpoint("p2", ready=True), generation=2))
     assert states(merger) == {"p2": READY}
 
 
-def test_without_a_pod_an_address_may_be_used_again_once_no_slice_holds_the_old_word() -> None:
+def test_address_without_a_pod_may_be_reused_once_no_slice_has_its_old_state() -> None:
     merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint("", terminating=True)))
     merger.apply(a_slice(endpoint("", ready=True), generation=2))
     assert states(merger) == {"10.0.0.1:80": READY}
 
 
-def test_a_list_that_is_suddenly_empty_is_held_and_then_believed() -> None:
+def test_list_that_is_suddenly_empty_is_kept_for_a_while_and_then_applied() -> None:
     merger = EndpointSliceMerger()
     merger.apply(a_slice(endpoint(), endpoint("p2", "10.0.0.2")))
     assert states(merger) == {"p1": READY, "p2": READY}
@@ -99,7 +99,7 @@
     assert states(merger, 5 + EMPTY_LIST_HOLD_US) == {}
 
 
-def test_ports_are_chosen_by_name_and_a_slice_without_it_is_told_of() -> None:
+def test_ports_are_selected_by_name_and_a_slice_without_it_is_reported() -> None:
     merger = EndpointSliceMerger("other")
     merger.apply(a_slice(endpoint()))
     assert merger.endpoints(0)["p1"].address == ("10.0.0.1", 81)
@@ -108,7 +108,7 @@
     assert merger.endpoints(0) == {} and merger.skipped == {"s1": "no port 'none'"}
 
 
-def test_a_rolling_update_of_a_thousand_in_slices_of_a_hundred_ends_with_the_new_ones_and_no_end_taken_back() -> None:
+def test_rolling_update_of_a_thousand_endpoints_ends_with_the_new_ones_and_restores_none() -> None:
     merger, size = EndpointSliceMerger(), 100
     slices = [
         [endpoint(f"old{i}", f"10.0.{i // 250}.{i % 250}") for i in range(first, first + size)]
@@ -140,7 +140,7 @@
 
 
 @given(st.lists(STREAMS, min_size=1, max_size=3), st.data())
-def test_any_interleaving_with_repeats_ends_in_the_same_list_and_no_end_is_taken_back(
+def test_any_interleaving_with_repeats_ends_in_the_same_list_and_restores_none(
     contents: list[list[list[tuple[str, bool, bool]]]], data: Any
 ) -> None:
     streams = []
@@ -189,13 +189,13 @@
         max_leaves=20,
     ).map(lambda value: json.dumps(value).encode())
 )
-def test_what_is_no_event_and_no_list_is_an_error_and_nothing_else(data: bytes) -> None:
+def test_bytes_that_are_neither_event_nor_list_raise_only_the_documented_error(data: bytes) -> None:
     for read in (read_event, read_list):
         with suppress(SliceError):
             read(data)
 
 
-def test_events_of_a_watch_are_told_apart() -> None:
+def test_events_of_a_watch_are_distinguished() -> None:
     gone = read_event(b'{"type":"ERROR","object":{"kind":"Status","code":410,"reason":"Expired"}}')
     assert gone.status is not None and gone.status.code == 410
     mark = read_event(b'{"type":"BOOKMARK","object":{"kind":"EndpointSlice","metadata":{"resourceVersion":"77"}}}')
