--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -13,7 +13,7 @@
 from ryepier.experiments.maintenance import cut, kill, overlap
 from ryepier.experiments.planners import benefit, failover, false_reports, loss, reconnection, restart
 from ryepier.experiments.planners import scale as planner_scale
-from ryepier.experiments.scale import scale_call, scale_control, scale_depth, scale_fail, scale_list
+from ryepier.experiments.scale import depth, scale_call, scale_control, scale_fail, scale_list
 from ryepier.experiments.simulation import agreement, speed
 from ryepier.experiments.slices import churn, drain
 from ryepier.experiments.slices import outage as slices_outage
@@ -50,7 +50,7 @@
     for one in (
         *scale_call.EXPERIMENTS,
         *scale_control.EXPERIMENTS,
-        *scale_depth.EXPERIMENTS,
+        depth.EXPERIMENT,
         planner_scale.EXPERIMENT,
         reconnection.EXPERIMENT,
         churn.EXPERIMENT,
--- /dev/null
+++ b/ryepier/experiments/scale/depth.py
@@ -0,0 +1,148 @@
+"""`scale-depth`: how often is the last service of a chain called while it fails in part, by the depth of the chain?
+
+Each hop's sidecars may retry a fifth of what they are asked for, which would be 1.2 to the power of the depth, 7.4 at
+11 hops. Chains of up to 11 services run in virtual time, so no figure depends on the machine; at the greatest depth the
+time left, the latency objective and the class are tightened in turn. Claims: no run is broken off, every call has an
+answer, attempts at the last service stay within the retry budgets of all hops, and an unsafe class is never retried.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+import msgspec
+
+from ryepier.balancer.interface import Idempotency
+from ryepier.balancer.tuning import MAX_RETRY_BUDGET, RETRY_BUDGET_RATIO
+from ryepier.experiments import seeded_faults
+from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
+from ryepier.experiments.scale import slopes
+from ryepier.experiments.scale.chains import Chain, ChainOutcome, run_chain
+
+DEPTHS = (1, 3, 7, 11)
+FAILING_SHARES = (0.1, 0.5, 1.0)  # of the attempts at the last service
+VARIED_FAILING_SHARE = 0.5  # of the runs with a tighter bound
+CALLS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
+RATE_PER_S = 100.0
+SHORT_DEADLINE_US = 150_000  # 11 hops hardly leave anything of it: each takes 10 ms for its answer
+SAME_OBJECTIVE_US = 150_000  # at every hop, however much lies below it
+MAX_ATTEMPTS_PER_CALL = 20  # at the last service; a run beyond is broken off, and its figure is a lower bound
+UNSAFE = "unsafe_11_deep_0.5_failing"
+US_PER_MS = 1000
+
+
+def max_attempts_per_call(chain: Chain, calls: int) -> float:
+    """Return the most attempts at the last service that the retry budgets allow, per call.
+
+    A hop's sidecars earn a part of a retry with each call, and hold a few from the start.
+    """
+    attempts = float(calls)
+    for _ in range(chain.depth):
+        attempts = (1.0 + RETRY_BUDGET_RATIO) * attempts + MAX_RETRY_BUDGET * chain.instances
+    return attempts / calls
+
+
+@dataclass(frozen=True, slots=True)
+class ChainFigures:
+    """The figures of one run."""
+
+    attempts_a_call: float  # at the last service
+    theory: float = 0.0  # the same if every hop retried all that it may
+    over_bound: float = 0.0  # the same over what the retry budgets allow
+    attempts_a_call_of_the_last_hop: float = 0.0
+    served_share: float = 0.0
+    answered_share: float = 0.0
+    longest_ms: float = 0.0
+    broken_off: float = 0.0
+
+    @classmethod
+    def of(cls, chain: Chain, outcome: ChainOutcome) -> ChainFigures:
+        """Return the figures of a run."""
+        attempts_per_call = outcome.attempts[-1] / chain.calls
+        return cls(
+            attempts_a_call=attempts_per_call,
+            theory=(1.0 + RETRY_BUDGET_RATIO) ** chain.depth,
+            over_bound=attempts_per_call / max_attempts_per_call(chain, chain.calls),
+            attempts_a_call_of_the_last_hop=outcome.attempts[-1] / max(1, outcome.calls[-1]),
+            served_share=outcome.served / chain.calls,
+            answered_share=outcome.answered / chain.calls,
+            longest_ms=outcome.longest_us / US_PER_MS,
+            broken_off=float(outcome.broken_off),
+        )
+
+
+def _run_name(depth: int, failing: float) -> str:
+    return f"{depth}_deep_{failing:g}_failing"
+
+
+def _make_chain(depth: int, failing: float, seed: int, scale: Scale) -> Chain:
+    calls = CALLS[scale]
+    return Chain(depth, failing, calls, RATE_PER_S, seed, max_attempts=MAX_ATTEMPTS_PER_CALL * calls)
+
+
+def make_chains(seed: int, scale: Scale) -> dict[str, Chain]:
+    """Return the chains by name: each depth and share of failures, and tighter bounds at the greatest depth."""
+    chains = {
+        _run_name(depth, failing): _make_chain(depth, failing, seed, scale)
+        for failing in FAILING_SHARES
+        for depth in DEPTHS
+    }
+    deepest = _make_chain(DEPTHS[-1], VARIED_FAILING_SHARE, seed, scale)
+    replace = msgspec.structs.replace
+    return chains | {
+        UNSAFE: replace(deepest, idempotency=Idempotency.NON_IDEMPOTENT),
+        "same_aim_11_deep_0.5_failing": replace(deepest, same_objective_us=SAME_OBJECTIVE_US),
+        "short_11_deep_0.5_failing": replace(deepest, deadline_us=SHORT_DEADLINE_US),
+    }
+
+
+def summarize(runs: Mapping[str, ChainFigures]) -> dict[str, float]:
+    """Return the figures of all runs, and by share of failures the factor by which a hop multiplies attempts.
+
+    The factor comes from a line through the logarithms.
+    """
+    figures: dict[str, float] = {}
+    for name, run in runs.items():
+        figures |= {f"{field}_{name}": value for field, value in dataclasses.asdict(run).items()}
+    for failing in FAILING_SHARES:
+        logarithms = [math.log(runs[_run_name(depth, failing)].attempts_a_call) for depth in DEPTHS]
+        line = slopes.fit(DEPTHS, logarithms)
+        figures[f"factor_a_hop_{failing:g}_failing"] = math.exp(line.per_unit)
+        for key, value in msgspec.to_builtins(line).items():
+            figures[f"fit_log_attempts_{failing:g}_failing_{key}"] = float(value)
+    return figures
+
+
+def make_claims(runs: Mapping[str, ChainFigures]) -> list[Claim]:
+    """Return the claims on all runs."""
+    broken_off = sum(run.broken_off for run in runs.values())
+    answered = min(run.answered_share for run in runs.values())
+    over_bound = max(run.over_bound for run in runs.values())
+    bound_name = "attempts at the last service over what the hops' budgets allow, the most of all runs"
+    unsafe_name = "attempts at the last service for a call of a class that is never sent twice"
+    return [
+        Claim("runs broken off, as attempts had no end", broken_off, "==", 0),
+        Claim("least share of calls that had an answer", answered, ">=", 1.0),
+        Claim(bound_name, over_bound, "<=", 1.0),
+        Claim(unsafe_name, runs[UNSAFE].attempts_a_call, "<=", 1.0),
+    ]
+
+
+def measure(trial: TrialConfig) -> Measurement:
+    """Run all chains in this process; a seeded fault stays in it."""
+    if trial.seeded_fault:
+        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
+    chains = make_chains(trial.seed, trial.scale)
+    runs = {name: ChainFigures.of(chain, run_chain(chain)) for name, chain in chains.items()}
+    return Measurement(make_claims(runs), summarize(runs))
+
+
+EXPERIMENT = Benchmark(
+    name="scale-depth",
+    question="attempts at the last of up to 11 services that call each other, while it fails",
+    measure=measure,
+    seeded_faults=("no-budget",),
+)
--- a/ryepier/experiments/scale/seeded_faults.py
+++ b/ryepier/experiments/scale/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Mistakes that cost more as the fleet grows.
+"""Seeded faults that cost more as the fleet grows.
 
-Each is a function to be called in a process of its own, as it stays.
+Each function installs its fault in the whole process for good, so call it in a process of its own.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 from ryepier.balancer.tuning import MAX_RETRY_BUDGET
 from ryepier.balancer.upstream import PendingRequest, TrackedUpstream
 
-SCANS = 2
+EXTRA_SCANS = 2
 
 
-def scan() -> None:
-    """Each draw goes twice more through all upstreams."""
+def scan_all_upstreams() -> None:
+    """Go through all upstreams twice more at each selection."""
     select = Selector.select
 
     def select_after_scans(self: Selector, request: PendingRequest, now_us: int) -> TrackedUpstream | None:
-        for _ in range(SCANS):
+        for _ in range(EXTRA_SCANS):
             self.free_slots(request, list(self.membership.by_id.values()), True, now_us)
         return select(self, request, now_us)
 
     Selector.select = select_after_scans  # type: ignore[method-assign]
 
 
-def no_budget() -> None:
-    """What is sent again costs nothing, and so has no bound but its time."""
+def retry_without_budget() -> None:
+    """Charge nothing for a retry, so that only time bounds retries."""
 
     def charge_nothing(self: RetryPolicy, request: PendingRequest, in_storm: bool) -> None:
         self.budget = MAX_RETRY_BUDGET
@@ -37,6 +37,6 @@
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    "scan": scan,
-    "no-budget": no_budget,
+    "scan": scan_all_upstreams,
+    "no-budget": retry_without_budget,
 }
--- a/ryepier/experiments/scale/slopes.py
+++ b/ryepier/experiments/scale/slopes.py
@@ -1,4 +1,4 @@
-"""How a figure grows with a size: a line through what was measured, how far it holds, the spread over seeds. Pure."""
+"""How a figure grows with a size: a line through measured values, its residuals, and the spread over seeds. Pure."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import msgspec
 import numpy as np
 
-FEWEST_SIZES = 4  # through two any line fits; with four a bend shows in the residuals
+MIN_SIZES = 4  # a line fits any two; with four, curvature shows in the residuals
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """What a slope says of a size."""
+    """The value of a line at a size."""
 
     value: float
-    extrapolated: bool  # the size lies outside of those measured
+    extrapolated: bool  # the size lies outside of the measured ones
 
 
 class Slope(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
     to_size: float
 
     def at(self, size: float) -> Estimate:
-        """The line's value there, and whether that is beyond what was measured."""
+        """Return the line's value at a size."""
         return Estimate(self.intercept + self.per_unit * size, not self.from_size <= size <= self.to_size)
 
 
@@ -41,11 +41,11 @@
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """The line of least squares. Raises ValueError where there are too few sizes, or what is no number."""
+    """Return the least-squares line. Raises ValueError for too few sizes, or values that are not finite."""
     if len(sizes) != len(values):
         raise ValueError(f"{len(sizes)} sizes and {len(values)} values")
-    if len(set(sizes)) < FEWEST_SIZES:
-        raise ValueError(f"a slope needs at least {FEWEST_SIZES} different sizes, not {len(set(sizes))}")
+    if len(set(sizes)) < MIN_SIZES:
+        raise ValueError(f"a slope needs at least {MIN_SIZES} different sizes, not {len(set(sizes))}")
     x, y = np.asarray(sizes, dtype=np.float64), np.asarray(values, dtype=np.float64)
     if not (np.isfinite(x).all() and np.isfinite(y).all()):
         raise ValueError("a size or a value is no finite number")
@@ -63,7 +63,7 @@
 
 
 def spread(values: Sequence[float]) -> Spread:
-    """Over seeds. Raises ValueError without any value."""
+    """Return the spread of values over seeds. Raises ValueError without any value."""
     if not values:
         raise ValueError("no value to tell the spread of")
     return Spread(float(min(values)), float(np.median(values)), float(max(values)))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,8 +21,9 @@
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Scale
 from ryepier.experiments.core.usage import Usage
-from ryepier.experiments.scale import gauged_planner, scale_call, scale_control, scale_depth
-from ryepier.experiments.scale.chains import Chain, play
+from ryepier.experiments.scale import depth, gauged_planner, scale_call, scale_control
+from ryepier.experiments.scale.chains import Chain, run_chain
+from ryepier.experiments.scale.depth import ChainFigures
 from ryepier.experiments.scale.gauged_planner import Gauge
 from ryepier.experiments.scale.lightweight_converters import ANSWER, Setup, listing, serve
 from ryepier.experiments.scale.lightweight_forwarders import (
@@ -338,57 +339,57 @@
 # scale-depth
 
 
-def chain(depth: int, share: float, **changes: Any) -> Chain:
-    return msgspec.structs.replace(Chain(depth, share, 60, 100.0, 1), **changes)
+def chain(hops: int, share: float, **changes: Any) -> Chain:
+    return msgspec.structs.replace(Chain(hops, share, 60, 100.0, 1), **changes)
 
 
 def test_a_chain_that_is_well_reaches_its_end_once_a_call() -> None:
-    seen = play(chain(7, 0.0))
-    assert seen.attempts == seen.first == [60] * 7 and seen.served == seen.answered == 60
+    outcome = run_chain(chain(7, 0.0))
+    assert outcome.attempts == outcome.calls == [60] * 7 and outcome.served == outcome.answered == 60
 
 
 def test_a_chain_is_the_same_for_the_same_seed_and_leaves_the_clock() -> None:
     before = system.monotonic_ns
-    one, same, other = play(chain(3, 0.5)), play(chain(3, 0.5)), play(chain(3, 0.5, seed=2))
+    one, same, other = (run_chain(chain(3, 0.5, seed=seed)) for seed in (1, 1, 2))
     assert one == same != other and system.monotonic_ns is before
 
 
 def test_attempts_stay_within_the_hops_budgets_and_every_call_is_answered() -> None:
-    for depth in (1, 3):
+    for hops in (1, 3):
         for share in (0.5, 1.0):
-            seen = play(chain(depth, share))
-            assert seen.answered == 60
-            assert scale_depth.row(chain(depth, share), seen)["over_bound"] <= 1.0
+            outcome = run_chain(chain(hops, share))
+            assert outcome.answered == 60
+            assert ChainFigures.of(chain(hops, share), outcome).over_bound <= 1.0
 
 
 def test_a_class_that_is_never_sent_twice_is_not() -> None:
-    seen = play(chain(3, 0.5, idempotency=Idempotency.NON_IDEMPOTENT))
-    assert seen.attempts[-1] <= 60 and seen.served < 60
+    outcome = run_chain(chain(3, 0.5, idempotency=Idempotency.NON_IDEMPOTENT))
+    assert outcome.attempts[-1] <= 60 and outcome.served < 60
 
 
 def test_without_a_budget_attempts_go_beyond_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryPolicy, "charge", RetryPolicy.charge)  # put back at the end
     seeded_faults.SEEDED_FAULTS["no-budget"]()
     one = chain(1, 0.5, calls=300)
-    assert scale_depth.row(one, play(one))["over_bound"] > 1.0
+    assert ChainFigures.of(one, run_chain(one)).over_bound > 1.0
 
 
 def test_a_chain_without_end_is_broken_off_and_fails_a_claim() -> None:
-    one = chain(1, 0.5, most_attempts=20)
-    seen = play(one)
-    assert seen.broken_off and seen.attempts[-1] == 20
-    rows = {"unsafe_11_deep_0.5_failing": scale_depth.row(one, seen)}
-    assert failing(scale_depth.claims_of(rows))
+    one = chain(1, 0.5, max_attempts=20)
+    outcome = run_chain(one)
+    assert outcome.broken_off and outcome.attempts[-1] == 20
+    runs = {depth.UNSAFE: ChainFigures.of(one, outcome)}
+    assert failing(depth.make_claims(runs))
 
 
 def test_the_bound_is_a_fifth_more_a_hop_and_what_is_in_hand() -> None:
-    assert scale_depth.bound(chain(1, 0.5), 10_000_000) == pytest.approx(1.2, rel=1e-4)
-    assert scale_depth.bound(chain(11, 0.5), 10_000_000) == pytest.approx(7.43, rel=1e-3)
-    assert scale_depth.bound(chain(1, 0.5), 10) == pytest.approx(1.2 + 1.5)
+    assert depth.max_attempts_per_call(chain(1, 0.5), 10_000_000) == pytest.approx(1.2, rel=1e-4)
+    assert depth.max_attempts_per_call(chain(11, 0.5), 10_000_000) == pytest.approx(7.43, rel=1e-3)
+    assert depth.max_attempts_per_call(chain(1, 0.5), 10) == pytest.approx(1.2 + 1.5)
 
 
 def test_the_factor_of_a_hop_is_the_logarithms_slope() -> None:
-    found = scale_depth.summary(
-        {name: {"attempts_a_call": 1.1**one.depth} for name, one in scale_depth.runs(1, Scale.SMALL).items()}
+    found = depth.summarize(
+        {name: ChainFigures(1.1**one.depth) for name, one in depth.make_chains(1, Scale.SMALL).items()}
     )
     assert found["factor_a_hop_0.5_failing"] == pytest.approx(1.1)
