--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,12 +1,13 @@
-"""Bad input of clients, and clients that send slowly or stay idle."""
+"""Invalid and unusual input of clients, and clients that send slowly or stay idle."""
 
 from __future__ import annotations
 
 import asyncio
+from urllib.parse import quote
 
 import pytest
 
-from ryepier.balancer.interface import RequestClass
+from ryepier.balancer.interface import RequestClass, Tenant
 from ryepier.sidecar import client_connection, request_ids, system
 from tests.network_peers import (
     OK,
@@ -20,6 +21,7 @@
     status_of,
     wait_until,
 )
+from tests.sidecar_probes import record_requests
 
 
 @pytest.mark.parametrize(
@@ -174,52 +176,31 @@
     run_async(test)
 
 
-def test_connection_closes_after_its_first_response_when_many_are_open() -> None:
-    async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
-            first = await it.connect()
-            first[1].write(request())
-            assert b"Connection: close" not in (await read_message(first[0]))[0]
-            silent_ones = [await it.connect() for _ in range(60)]
-            assert b"Connection: close" in (await it.fetch(request()))[0]
-            first[1].write(request())  # one that is in use stays
-            assert b"Connection: close" not in (await read_message(first[0]))[0]
-            for _, writer in (first, *silent_ones):
-                writer.close()
-
-    run_async(test)
-
-
-def test_connection_used_last_is_not_evicted() -> None:
-    async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
-            first = await it.connect()
-            others = [await it.connect() for _ in range(90)]
-
-            async def use(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-                assert status_of(await read_message(reader)) == 200
-
-            for each in (*others, first):
-                await use(*each)
-            for _ in range(30):
-                others.append(await it.connect())
-                await use(*others[-1])
-            assert await others[0][0].read() == b""
-            await use(*first)
-            for _, writer in (first, *others):
-                writer.close()
-
-    run_async(test)
+@pytest.mark.parametrize("spelt", ["utf-8", "latin-1", "percent"])
+def test_names_beyond_ascii_are_recognised_in_every_encoding(spelt: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    calls = record_requests(monkeypatch)
 
+    def spell(name: str) -> bytes:
+        return quote(name).encode() if spelt == "percent" else name.encode(spelt)
 
-def test_idle_connections_are_evicted_for_new_ones() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
-            idle = [await it.connect() for _ in range(150)]
-            assert status_of(await it.fetch(request())) == 200
-            assert await idle[0][0].read() == b""
-            for _, writer in idle:
-                writer.close()
+        kinds = [RequestClass("r\u00e9servation", 1_000_000, 5_000_000), RequestClass("plain", 1_000_000, 5_000_000)]
+        tenants = [Tenant("other", 1.0, 0.5), Tenant("caf\u00e9", 1.0, 0.5)]
+        path = quote("r\u00e9servation").encode()  # a path has no other spelling
+        async with sidecar(Upstream(respond_in_turn(OK)), classes=kinds, tenants=tenants) as it:
+            for number, tenant in enumerate((b"X-Tenant: " + spell("caf\u00e9") + b"\r\n", b"X-Tenant: who\r\n", b"")):
+                answer = await it.fetch(
+                    b"GET /"
+                    + path
+                    + b"/it HTTP/1.1\r\nHost: x\r\nX-Request-Id: %d\r\n" % number
+                    + b"X-Class: "
+                    + spell("r\u00e9servation")
+                    + b"\r\nX-Deadline-Ms: 5000\r\n"
+                    + tenant
+                    + b"\r\n"
+                )
+                assert status_of(answer) == 200
+        assert [call.class_index for call in calls] == [0, 0, 0]
+        assert [call.tenant for call in calls] == [1, 2, 2]  # one that is not known, or not named, is nobody's
 
     run_async(test)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -10,6 +10,7 @@
 
 import pytest
 
+from ryepier.balancer.interface import Idempotency, RequestClass
 from ryepier.sidecar import system
 from tests.disconnect_testbed import (
     CLASSES,
@@ -26,10 +27,13 @@
 from tests.network_peers import (
     NOT_RUN,
     OK,
+    Upstream,
     endpoint_entry,
     endpoint_list,
     read_message,
     request,
+    respond_after,
+    respond_in_turn,
     run_async,
     sidecar,
     status_of,
@@ -291,3 +295,54 @@
         await testbed.check_only_sent(1)
 
     run(steps)
+
+
+@pytest.mark.parametrize("behind", [0, 200_000])
+def test_buffered_request_is_not_sent_after_its_client_left_whatever_it_pipelined(
+    behind: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    calls = record_requests(monkeypatch)
+
+    async def test() -> None:
+        let = asyncio.Event()
+
+        upstream = Upstream(respond_after(let))  # one slot
+        kinds = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
+        async with sidecar(upstream, classes=kinds) as it:
+            first = asyncio.create_task(it.fetch(request("pay", "1")))
+            await wait_until(lambda: len(upstream.requests) == 1)
+            _, writer = await it.connect()
+            writer.write(request("pay", "2"))
+            await wait_until(lambda: b"2" in [call.request_id for call in calls])  # it waits for the slot
+            writer.write(b"x" * behind)
+            writer.write_eof()
+            await asyncio.sleep(0.2)
+            let.set()
+            assert status_of(await first) == 200
+            assert status_of(await it.fetch(request("pay", "3"))) == 200
+            writer.close()
+        assert [b"X-Request-Id: 2\r\n" in head for head, _ in upstream.requests] == [False, False]
+
+    run_async(test)
+
+
+def test_request_is_not_sent_if_its_client_left_while_its_connection_was_established(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    held = DelayedConnections()
+
+    async def test() -> None:
+        upstream = Upstream(respond_in_turn(OK))
+        async with sidecar(upstream) as it:
+            held.delay(upstream, monkeypatch)
+            _, writer = await it.connect()
+            writer.write(request("pay", "1"))
+            await wait_until(lambda: held.started == 1)
+            writer.close()
+            await writer.wait_closed()
+            await asyncio.sleep(0.1)
+            held.released.set()
+            assert status_of(await it.fetch(request("pay", "2"))) == 200
+        assert [b"X-Request-Id: 2\r\n" in head for head, _ in upstream.requests] == [True]
+
+    run_async(test)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,19 +1,37 @@
-"""Graceful shutdown: what is open and what still arrives is answered."""
+"""Graceful shutdown: open requests, and those that still arrive, are answered.
+
+The tests force an order of events that is rare otherwise: the peers' scripts hold it, or it is put between two steps of
+the sidecar.
+"""
 
 from __future__ import annotations
 
 import asyncio
+import socket
+
+import pytest
 
+from ryepier.balancer.interface import Idempotency, RequestClass
+from ryepier.sidecar import system
+from ryepier.sidecar.client_connection import ClientConnection
+from ryepier.sidecar.server import Server
 from tests.network_peers import (
     OK,
     Upstream,
+    never_respond,
     read_message,
     request,
+    respond_in_turn,
     run_async,
     sidecar,
+    status_of,
     wait_until,
 )
 
+SHORT_DEADLINE = [
+    RequestClass("pay", latency_objective_us=200_000, deadline_us=400_000, idempotency=Idempotency.NON_IDEMPOTENT)
+]
+
 
 def test_shutdown_serves_open_requests_and_those_that_still_arrive() -> None:
     async def test() -> None:
@@ -56,3 +74,149 @@
         return head, body
 
     run_async(test)
+
+
+def test_shutdown_answers_open_requests_however_late_their_deadline_is() -> None:
+    async def test() -> None:
+        upstream = Upstream(never_respond)
+        async with sidecar(upstream) as it:
+            reader, writer = await it.connect()
+            writer.write(request("pay", deadline_ms=20_000))
+            await wait_until(lambda: len(upstream.requests) == 1)
+            it.stop.set()
+            response = await read_message(reader)
+            assert status_of(response) == 500 and b"Connection: close" in response.head
+            assert not it.task.done()  # else the process had ended with the request open
+            writer.close()
+            await it.task
+
+    run_async(test)
+
+
+def test_request_completed_during_shutdown_is_answered_before_the_kill() -> None:
+    async def test() -> None:
+        upstream = Upstream(never_respond)
+        kinds = [RequestClass("pay", 1_000_000, 2_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
+        async with sidecar(upstream, classes=kinds) as it:
+            whole = request("pay", body=b"ab", deadline_ms=2_000)
+            reader, writer = await it.connect()
+            writer.write(whole[:-1])
+            loop = asyncio.get_running_loop()
+            it.stop.set()
+            stopped = loop.time()
+            await asyncio.sleep(1.5)  # so that its own time ends 0.8 s after the soonest kill
+            writer.write(whole[-1:])
+            head, _ = await read_message(reader)
+            assert b"Connection: close" in head and loop.time() - stopped < 3.2
+            writer.close()
+            await it.task
+
+    run_async(test)
+
+
+def test_request_still_partial_shortly_before_the_kill_is_rejected() -> None:
+    async def test() -> None:
+        async with sidecar(Upstream(never_respond), classes=SHORT_DEADLINE) as it:
+            reader, writer = await it.connect()
+            writer.write(request("pay", body=b"ab")[:-1])
+            it.stop.set()
+            answer = await reader.read()
+            assert answer.startswith(b"HTTP/1.1 503 ")
+            writer.close()
+            await it.task
+
+    run_async(test)
+
+
+def test_request_on_a_connection_in_the_listeners_queue_at_shutdown_is_answered(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    late: list[socket.socket] = []
+    stop_listening = Server.stop_listening
+
+    def crossed(self: Server) -> None:
+        for _ in range(40):  # more than are taken in one turn
+            late.append(socket.create_connection(self.address))
+            late[-1].sendall(request())
+        stop_listening(self)
+
+    monkeypatch.setattr(Server, "stop_listening", crossed)
+
+    async def test() -> None:
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:
+            it.stop.set()
+            await it.task
+        for sock in late:
+            assert sock.recv(100).startswith(b"HTTP/1.1 ")
+            sock.close()
+
+    run_async(test)
+
+
+def test_connection_established_just_before_shutdown_may_send_its_first_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    told = asyncio.Event()
+    close_idle = Server.close_idle
+
+    def crossed(self: Server) -> None:
+        close_idle(self)
+        told.set()
+
+    monkeypatch.setattr(Server, "close_idle", crossed)
+
+    async def test() -> None:
+        async with sidecar(Upstream(respond_in_turn(OK))) as it:
+            await asyncio.sleep(0.3)  # what came to see whether it is up is young no more
+            made = len(clients)
+            reader, writer = await it.connect()
+            await wait_until(lambda: len(clients) > made)
+            it.stop.set()
+            await told.wait()
+            writer.write(request())
+            assert status_of(await read_message(reader)) == 200
+            writer.close()
+            await it.task
+
+    clients: list[ClientConnection] = []
+    connection_made = ClientConnection.connection_made
+
+    def seen(self: ClientConnection, transport: asyncio.BaseTransport) -> None:
+        connection_made(self, transport)
+        clients.append(self)
+
+    monkeypatch.setattr(ClientConnection, "connection_made", seen)
+    run_async(test)
+
+
+def test_response_not_yet_read_by_its_client_is_not_truncated_by_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    listen = system.listen
+
+    def narrow(address: tuple[str, int], backlog: int) -> socket.socket:
+        sock = listen(address, backlog)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        return sock
+
+    monkeypatch.setattr(system, "listen", narrow)
+    size = 60_000
+
+    async def test() -> None:
+        loop = asyncio.get_running_loop()
+        upstream = Upstream(respond_in_turn(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * size))
+        async with sidecar(upstream) as it:
+            with socket.socket() as sock:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+                sock.setblocking(False)
+                await loop.sock_connect(sock, ("127.0.0.1", it.port))
+                await loop.sock_sendall(sock, request())
+                await wait_until(lambda: len(upstream.requests) == 1)
+                await asyncio.sleep(0.3)  # the answer is on its way, and more than fits
+                it.stop.set()
+                await asyncio.sleep(0.7)
+                got = b""
+                while data := await loop.sock_recv(sock, 65_536):
+                    got += data
+            assert len(got.partition(b"\r\n\r\n")[2]) == size
+            await it.task
+
+    run_async(test)
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+import time
 from typing import Any
 
 import pytest
 
 from ryepier.balancer.balancer import Balancer
-from ryepier.balancer.interface import Event
+from ryepier.balancer.interface import Event, RequestClass
 from tests.network_peers import (
     NOT_RUN,
     OK,
@@ -160,3 +161,24 @@
         assert [b"X-Request-Id: 2\r\n" in head for head, _ in upstream.requests] == [False, True]
 
     run_async(test)
+
+
+def test_response_in_the_turn_of_its_attempts_time_out_is_the_answer() -> None:
+    async def test() -> None:
+        kinds = [
+            RequestClass("read", latency_objective_us=400_000, deadline_us=20_000_000, late_weight=0.5)
+        ]  # times out after 0.4 s
+
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            await asyncio.sleep(0.2)
+            time.sleep(0.4)  # the loop hangs over the time-out: answer and timer are both due in its next turn
+            writer.write(OK)
+
+        upstream = Upstream(script)
+        async with sidecar(upstream, classes=kinds, hedging=False) as it:
+            assert status_of(await it.fetch(request())) == 200
+        assert len(upstream.requests) == 1  # the attempt was not given up, and nothing was sent again
+
+    run_async(test)
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: reuse, bounds, malformed responses."""
+"""Connections to upstreams: reuse, bounds, late connections, malformed responses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from ryepier.balancer.balancer import Balancer
-from ryepier.balancer.interface import AttemptEnded, Event, Outcome
+from ryepier.balancer.interface import AttemptEnded, Event, Idempotency, IdempotencyScope, Outcome, RequestClass
 from ryepier.sidecar import connection_pool
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
@@ -34,6 +34,7 @@
     status_of,
     wait_until,
 )
+from tests.sidecar_probes import DelayedConnections
 
 
 def test_connection_is_reused_unless_it_brought_surplus_bytes_or_ended(
@@ -251,3 +252,104 @@
         pool.sweeper.cancel()
 
     run_async(test)
+
+
+def test_request_with_an_idempotency_key_is_not_written_after_its_window_on_a_late_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    kinds = [
+        RequestClass(
+            "mark",
+            2_000_000,
+            6_000_000,
+            late_weight=0.5,
+            idempotency=Idempotency.IDEMPOTENCY_KEY,
+            idempotency_scope=IdempotencyScope.FAILURE_DOMAIN,
+            idempotency_window_us=600_000,
+        )
+    ]
+    held = DelayedConnections()
+
+    async def test() -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            held.delay(other if upstream is one else one, monkeypatch)
+            writer.transport.abort()  # it may have run, and goes again in its group
+            raise ConnectionResetError
+
+        one, other = Upstream(script), Upstream(script)
+        async with sidecar(one, other, classes=kinds, hedging=False) as it:
+            answer = asyncio.create_task(it.fetch(request("mark", deadline_ms=6_000)))
+            await wait_until(lambda: held.started == 1)
+            await asyncio.sleep(0.7)
+            held.released.set()
+            assert status_of(await answer) == 500
+            assert len(one.requests) + len(other.requests) == 1
+
+    run_async(test)
+
+
+def test_attempt_started_before_a_drain_is_not_sent_on_a_late_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    held, discovery = DelayedConnections(), Discovery()
+
+    async def test() -> None:
+        upstream = Upstream(respond_in_turn(OK))
+        async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as it:
+            await discovery.watched()
+            held.delay(upstream, monkeypatch)
+            answer = asyncio.create_task(it.fetch(request("pay")))
+            await wait_until(lambda: held.started == 1)
+            discovery.line(endpoint_list(endpoint_entry("u0", upstream.port, "leaving"), rev=2, full=False))
+            await asyncio.sleep(0.1)
+            held.released.set()
+            assert status_of(await answer) == 503
+        assert upstream.requests == []
+
+    run_async(test)
+
+
+def test_attempt_started_in_the_turn_of_a_drain_is_not_sent() -> None:
+    async def test() -> None:
+        upstream, results = Upstream(respond_in_turn(OK)), list[AttemptResult]()
+        await upstream.start()
+        pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
+        call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+        pool.start(1, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
+        pool.remove_upstream(1)  # before the dial's own first step
+        assert not results
+        await wait_until(lambda: bool(results))
+        assert results[0].outcome is Outcome.CONNECT_FAILED
+        pool.start(1, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)  # it is listed again
+        await wait_until(lambda: len(results) == 2)
+        assert results[1].outcome is Outcome.OK and len(upstream.requests) == 1
+        upstream.stop()
+        pool.sweeper.cancel()
+
+    run_async(test)
+
+
+def test_second_response_some_milliseconds_late_is_not_taken_for_that_of_the_next_request() -> None:
+    async def test() -> None:
+        async def script(
+            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(OK)
+            if number == 0:
+                await asyncio.sleep(0.005)
+                writer.write(OK.replace(b"done", b"late"))
+                await reader.read()
+                raise ConnectionResetError
+
+        upstream = Upstream(script)
+        async with sidecar(upstream) as it:
+            reader, writer = await it.connect()
+            for _ in range(2):  # the second sets out the moment the first is answered
+                writer.write(request("pay"))
+                assert (await read_message(reader))[1] == b"done"
+            writer.close()
+        assert upstream.connections == 2
+
+    run_async(test)
