--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -13,7 +13,7 @@
 from ryepier.experiments.maintenance import cut, kill, overlap
 from ryepier.experiments.planners import benefit, failover, false_reports, loss, reconnection, restart
 from ryepier.experiments.planners import scale as planner_scale
-from ryepier.experiments.scale import depth, scale_call, scale_control, scale_fail, scale_list
+from ryepier.experiments.scale import call, control, depth, endpoint_list, failure
 from ryepier.experiments.simulation import agreement, speed
 from ryepier.experiments.slices import churn, drain
 from ryepier.experiments.slices import outage as slices_outage
@@ -48,8 +48,8 @@
 BENCHMARKS: dict[str, Benchmark] = {
     one.name: one
     for one in (
-        *scale_call.EXPERIMENTS,
-        *scale_control.EXPERIMENTS,
+        call.EXPERIMENT,
+        control.EXPERIMENT,
         depth.EXPERIMENT,
         planner_scale.EXPERIMENT,
         reconnection.EXPERIMENT,
@@ -57,8 +57,8 @@
         cost.EXPERIMENT,
         agreement.EXPERIMENT,
         speed.EXPERIMENT,
-        *scale_list.EXPERIMENTS,
-        *scale_fail.EXPERIMENTS,
+        endpoint_list.EXPERIMENT,
+        failure.EXPERIMENT,
         load_spread.EXPERIMENT,
         returning.EXPERIMENT,
         overlap.EXPERIMENT,
--- a/ryepier/experiments/scale/scale_call.py
+++ b/ryepier/experiments/scale/call.py
@@ -40,8 +40,8 @@
 from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.scale import lightweight, slopes
-from ryepier.experiments.scale.lightweight_converters import Setup, listing
-from ryepier.experiments.scale.scale_control import finite, pace
+from ryepier.experiments.scale.lightweight_converters import ConvertersConfig, make_list
+from ryepier.experiments.scale.machine_load import finite_figures, load_figures
 
 KNOWN = (30, 150, 400, 1600)
 DESIGN_KNOWN = 1600
@@ -192,7 +192,7 @@
             "listen": f"{listen[0]}:{listen[1]}",
             "discovery": f"{agent[0]}:{agent[1]}",
             "seed": f"{seed * 1000 + known:x}",
-            "known": listing(known, converters),
+            "known": make_list(known, converters),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
             "settings": settings,
         }
@@ -364,11 +364,12 @@
     """All phases, then the profile."""
     play = Play(find_network(), folder, seed)
     async with AsyncExitStack() as stack:
-        setup = Setup(play.converters, {known: play.agent(known) for known in KNOWN})
-        child = await stack.enter_async_context(
-            lightweight.child("ryepier.experiments.scale.lightweight_converters", [msgspec.json.encode(setup).decode()])
+        config = ConvertersConfig(play.converters, {known: play.agent(known) for known in KNOWN})
+        encoded = msgspec.json.encode(config).decode()
+        process = await stack.enter_async_context(
+            lightweight.start_process("ryepier.experiments.scale.lightweight_converters", [encoded])
         )
-        await child.hear()
+        await process.read()
         command = seeded_faults.command(plant) if plant else SIDECAR
         found: dict[str, float] = {}
         gc.collect()
@@ -425,16 +426,17 @@
     check_needs(Needs(4, BYTES_NEEDED, 3 * MOST_LINES), this_machine())
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # into this process too, where the module runs alone
-    found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
+    found = load_figures("before")
     found |= {f"module_us_a_call_{known}_known": module_us_a_call(known, trial.seed) for known in KNOWN}
     found |= asyncio.run(measure(trial.seed, trial.scale, trial.folder, trial.seeded_fault))
-    found |= {"load_average_after": os.getloadavg()[0], "pace_after": pace()}
+    found |= load_figures("after")
     found |= summary(found)
-    return Measurement(claims_of(found), finite(found))
+    return Measurement(claims_of(found), finite_figures(found))
 
 
-EXPERIMENTS = (
-    Benchmark(
-        "scale-call", "CPU and added time of a call through a sidecar that knows 30 to 1,600", perform, ("scan",)
-    ),
+EXPERIMENT = Benchmark(
+    name="scale-call",
+    question="CPU and added time of a call through a sidecar that knows 30 to 1,600",
+    measure=perform,
+    seeded_faults=("scan",),
 )
--- a/ryepier/experiments/scale/scale_control.py
+++ b/ryepier/experiments/scale/control.py
@@ -1,6 +1,6 @@
 """`scale-control`: what the control tier costs as it stands, one planner and a fleet of hollow forwarders that grows.
 
-The planner is a process as in service that notes its own CPU (`gauged_planner`); the forwarders' real code runs
+The planner is a process as in service that notes its own CPU (`instrumented_planner`); the forwarders' real code runs
 hundreds to a process, over loopback, each reporting of made-up calls (`hollow_forwarders`). Its claims are about how
 the costs grow; what they come to beside the budgets of the size to design for is among the figures.
 """
@@ -8,11 +8,9 @@
 from __future__ import annotations
 
 import asyncio
-import math
 import os
 import subprocess
 import sys
-import time
 from collections.abc import AsyncIterator, Mapping, Sequence
 from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
@@ -28,9 +26,10 @@
 from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.usage import Usage, usage
-from ryepier.experiments.scale import gauged_planner, lightweight, slopes
-from ryepier.experiments.scale.gauged_planner import Gauge
-from ryepier.experiments.scale.lightweight_forwarders import Setup, uid
+from ryepier.experiments.scale import instrumented_planner, lightweight, slopes
+from ryepier.experiments.scale.instrumented_planner import PlannerUsage
+from ryepier.experiments.scale.lightweight_forwarders import ForwardersConfig, uid
+from ryepier.experiments.scale.machine_load import finite_figures, load_figures
 from ryepier.plan.planner_server import TICK_S
 
 DESIGN_FLEET = 1600
@@ -83,7 +82,7 @@
     """At the planner: what it has used, done, and waited for."""
 
     used: Usage
-    gauge: Gauge
+    planner: PlannerUsage
     waited_s: float  # for a core
 
 
@@ -92,7 +91,7 @@
 
     `planner_cores_needed` is what its reports and ticks would take at the rate they should come, by their CPU each: a
     planner that is late, as it is slow or the machine is busy, has fewer ticks, and by its cores would seem cheap."""
-    early, late = before.gauge, after.gauge
+    early, late = before.planner, after.planner
     ticks, reports = late.ticks - early.ticks, late.reports - early.reports
     tick_cpu_s = late.tick_cpu_s - early.tick_cpu_s
     tick_s = tick_cpu_s / max(1, ticks)
@@ -131,20 +130,6 @@
     }
 
 
-def pace() -> float:
-    """CPU seconds that a fixed piece of work takes at this moment: on a machine that others use it takes more, and so
-    does all else that is measured."""
-    begun_s, values = time.process_time(), [1.0] * 16
-    for _ in range(100_000):
-        values = [value * 0.99999 for value in values]
-    return time.process_time() - begun_s
-
-
-def finite(found: Mapping[str, float]) -> dict[str, float]:
-    """Without what never came, which a result has no number for; the claims tell of it. Pure."""
-    return {name: value for name, value in found.items() if math.isfinite(value)}
-
-
 def quantile_s(samples: Sequence[Sample], share: float) -> float:
     """Seconds until so many of those that call the hung converter avoid it; infinite where they never did. Pure."""
     users = sum(sample.users for sample in samples)
@@ -166,19 +151,19 @@
 
     pid: int
     address: tuple[str, int]
-    gauge: Path
+    usage_path: Path
 
     def look(self) -> Look:
         """Raises OSError or msgspec.MsgspecError where it has ended or not ticked yet."""
         waited_ns = int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1])
-        return Look(usage(self.pid), gauged_planner.read(self.gauge), waited_ns / 1e9)
+        return Look(usage(self.pid), instrumented_planner.read_usage(self.usage_path), waited_ns / 1e9)
 
 
 @asynccontextmanager
 async def planner_process(folder: Path, fleet: int, plant: str) -> AsyncIterator[PlannerProcess]:
     """One planner, up. Raises HarnessError where it does not come up."""
     address = f"127.{find_network()}.254.1", PLANNER_PORT
-    config, gauge = folder / f"planner-{fleet}.toml", folder / f"planner-{fleet}.gauge"
+    config, usage_path = folder / f"planner-{fleet}.toml", folder / f"planner-{fleet}.usage"
     config.write_text(f'[trust]\nfleet = {fleet}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
     own = plant if plant in seeded_faults.PLANNER_FAULTS else ""
     with open(folder / f"planner-{fleet}.log", "wb") as log:
@@ -187,8 +172,8 @@
                 sys.executable,
                 "-B",
                 "-m",
-                "ryepier.experiments.scale.gauged_planner",
-                str(gauge),
+                "ryepier.experiments.scale.instrumented_planner",
+                str(usage_path),
                 own,
                 "--config",
                 str(config),
@@ -199,7 +184,7 @@
         )
     try:
         await wait_until_listening(process, address, "the planner")
-        yield PlannerProcess(process.pid, address, gauge)
+        yield PlannerProcess(process.pid, address, usage_path)
     finally:
         process.kill()
         process.wait()
@@ -208,20 +193,22 @@
 class Fleet:
     """One planner and the processes of forwarders."""
 
-    def __init__(self, planner: PlannerProcess, workers: Sequence[lightweight.Child], scale: Scale) -> None:
+    def __init__(
+        self, planner: PlannerProcess, workers: Sequence[lightweight.LightweightProcess], scale: Scale
+    ) -> None:
         self.planner = planner
         self.workers = workers
         self.scale: Scale = scale
 
-    async def ask(self, what: str, **more: Any) -> list[Any]:
-        return list(await asyncio.gather(*(worker.ask(what, **more) for worker in self.workers)))
+    async def request(self, what: str, **more: Any) -> list[Any]:
+        return list(await asyncio.gather(*(worker.request(what, **more) for worker in self.workers)))
 
     async def samples(self) -> list[Sample]:
-        return [msgspec.convert(said, Sample) for said in await self.ask("sample")]
+        return [msgspec.convert(said, Sample) for said in await self.request("sample")]
 
     async def grow(self, size: int) -> None:
         """Until that many are connected, or it takes too long, which the figures then show."""
-        await self.ask("grow", fleet=size)
+        await self.request("grow", fleet=size)
         loop = asyncio.get_running_loop()
         ends = loop.time() + CONNECTED_WITHIN_S
         while loop.time() < ends and sum(sample.connected for sample in await self.samples()) < size:
@@ -237,7 +224,7 @@
 
     async def follow(self) -> float:
         """Let one converter hang; seconds until nearly all that call it avoid it by plan."""
-        await self.ask("hang", uid=HUNG)
+        await self.request("hang", uid=HUNG)
         found, loop = float("inf"), asyncio.get_running_loop()
         ends = loop.time() + FOLLOW_WITHIN_S[self.scale]
         while found == float("inf") and loop.time() < ends:
@@ -254,15 +241,17 @@
         planner = await stack.enter_async_context(planner_process(folder, sizes[0], plant))
         workers = []
         for number in range(WORKERS[scale]):
-            setup = Setup(planner.address, number, WORKERS[scale], in_use, seed, sizes[0], plant == "whole-reports")
+            setup = ForwardersConfig(
+                planner.address, number, WORKERS[scale], in_use, seed, sizes[0], plant == "whole-reports"
+            )
             child = await stack.enter_async_context(
-                lightweight.child(
+                lightweight.start_process(
                     "ryepier.experiments.scale.lightweight_forwarders", [msgspec.json.encode(setup).decode()]
                 )
             )
             workers.append(child)
         for child in workers:
-            await child.hear()
+            await child.read()
         fleet = Fleet(planner, workers, scale)
         empty = sum(sample.resident for sample in await fleet.samples())
         rows = {}
@@ -338,20 +327,18 @@
     most = max(max(sizes) for sizes in plan.values())
     check_needs(Needs(WORKERS[trial.scale] + 2, BYTES_NEEDED, most), this_machine())
     claims: list[Claim] = []
-    found = {"load_average_before": os.getloadavg()[0], "pace_before": pace()}
+    found = load_figures("before")
     for in_use, sizes in plan.items():
         rows, whole = asyncio.run(one_fleet(in_use, sizes, trial.seed, trial.scale, trial.folder, trial.seeded_fault))
         found |= figures_of(in_use, rows, whole)
         claims += claims_of(in_use, rows, whole)
-    found |= {"load_average_after": os.getloadavg()[0], "pace_after": pace()}
-    return Measurement(claims, finite(found))
+    found |= load_figures("after")
+    return Measurement(claims, finite_figures(found))
 
 
-EXPERIMENTS = (
-    Benchmark(
-        "scale-control",
-        "one planner as up to 1,600 hollow forwarders report to it",
-        perform,
-        ("whole-reports", "recount"),
-    ),
+EXPERIMENT = Benchmark(
+    name="scale-control",
+    question="one planner as up to 1,600 hollow forwarders report to it",
+    measure=perform,
+    seeded_faults=("whole-reports", "recount"),
 )
--- a/ryepier/experiments/scale/scale_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -23,9 +23,9 @@
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.usage import own_usage, resident_bytes
-from ryepier.experiments.scale import lightweight, list_parts, slopes
+from ryepier.experiments.scale import lightweight, list_costs, slopes
 from ryepier.experiments.scale.fleet_list import Desk, Listing
-from ryepier.experiments.scale.lightweight import Child
+from ryepier.experiments.scale.lightweight import LightweightProcess
 from ryepier.sidecar.discovery import WATCH_RETRY_S
 
 KNOWN = (30, 150, 400, 800, 1600)  # converters that a sidecar knows
@@ -60,11 +60,11 @@
     known: int
     count: int
     desk: Desk
-    child: Child
+    child: LightweightProcess
 
     async def settled(self, version: int) -> Any:
         """Once all have it. Raises HarnessError where they do not: then nothing else would mean anything."""
-        said = await self.child.ask("until", version=version, within_s=TOLD_WITHIN_S)
+        said = await self.child.request("until", version=version, within_s=TOLD_WITHIN_S)
         if said["have"] < self.count:
             raise HarnessError(f"{said['have']} of {self.count} hollow sidecars have the list")
         return said
@@ -98,7 +98,7 @@
     desk = Desk(Listing(known, seed), (host, PORT + index), keeps_revisions=plant != "no-revisions")
     await desk.open()
     try:
-        async with lightweight.child(MODULE, [host, str(PORT + index), str(seed)]) as child:
+        async with lightweight.start_process(MODULE, [host, str(PORT + index), str(seed)]) as child:
             yield Group(known, count, desk, child)
     finally:
         desk.close()
@@ -106,11 +106,11 @@
 
 async def come_up(one: Group) -> Figures:
     """The first list, and what it leaves in memory."""
-    await one.child.hear()
-    before, wrote = await one.child.ask("memory"), one.desk.bytes
-    await one.child.ask("start", count=one.count)
+    await one.child.read()
+    before, wrote = await one.child.request("memory"), one.desk.bytes
+    await one.child.request("start", count=one.count)
     cpu_s, data = await one.cost(one.desk.listing.registry.rev, before, wrote)
-    after = await one.child.ask("memory")
+    after = await one.child.request("memory")
     if after["known"] != one.count * one.known:
         raise HarnessError(f"{after['known']} converters known, not {one.count * one.known}")
     return {
@@ -123,7 +123,7 @@
 async def change_singly(one: Group, count: int) -> Figures:
     """A converter at a time drains, goes and comes back as another; each is told by itself."""
     listing = one.desk.listing
-    before, wrote = await one.child.ask("usage"), one.desk.bytes
+    before, wrote = await one.child.request("usage"), one.desk.bytes
     told_us: dict[int, int] = {}
     for turn in range(count):
         if turn % 3 == 0:
@@ -133,9 +133,9 @@
         told_us[one.desk.tell_all()] = now_us
         await asyncio.sleep(CHANGE_EVERY_S)
     cpu_s, data = await one.cost(listing.registry.rev, before, wrote)
-    heard = {int(version): at_us for version, at_us in (await one.child.ask("late"))["last_us"].items()}
+    heard = {int(version): at_us for version, at_us in (await one.child.request("late"))["last_us"].items()}
     late_ms = [(heard[version] - at_us) / 1000 for version, at_us in told_us.items() if version in heard]
-    after = await one.child.ask("usage")
+    after = await one.child.request("usage")
     return {
         "change_cpu_us": cpu_s * 1e6 / count,
         "change_bytes": data / count,
@@ -148,10 +148,10 @@
     """An eighth of the converters drains, told in one object, and is gone, told one by one; as many come."""
     listing = one.desk.listing
     chosen = listing.pick(max(1, one.known // ZONE))
-    before, wrote = await one.child.ask("usage"), one.desk.bytes
+    before, wrote = await one.child.request("usage"), one.desk.bytes
     listing.change(chosen, "leaving")
     together_s, together = await one.cost(one.desk.tell_all(), before, wrote)
-    before, wrote = await one.child.ask("usage"), one.desk.bytes
+    before, wrote = await one.child.request("usage"), one.desk.bytes
     for entry in chosen:
         listing.change([entry], "left")
         one.desk.tell_all()
@@ -171,7 +171,7 @@
     listing, desk = one.desk.listing, one.desk
     found: Figures = {}
     for name, forgets in (("break", False), ("again", True)):
-        before, wrote = await one.child.ask("usage"), desk.bytes
+        before, wrote = await one.child.request("usage"), desk.bytes
         if forgets:
             listing.forget()
         else:
@@ -185,9 +185,9 @@
 
 async def stand_idle(groups: Sequence[Group], for_s: float) -> list[Figures]:
     """All at once: nothing changes, and the watch's empty lines come."""
-    before, wrote = [await one.child.ask("usage") for one in groups], [one.desk.bytes for one in groups]
+    before, wrote = [await one.child.request("usage") for one in groups], [one.desk.bytes for one in groups]
     await asyncio.sleep(for_s)
-    after = [await one.child.ask("usage") for one in groups]
+    after = [await one.child.request("usage") for one in groups]
     return [
         {
             "idle_cores": (late["cpu_s"] - early["cpu_s"]) / one.count / for_s,
@@ -218,20 +218,22 @@
 # Discovery's, by the sidecars that come back
 
 
-async def outage(count: int, desk: Desk, children: Sequence[Child]) -> Figures:
+async def outage(count: int, desk: Desk, children: Sequence[LightweightProcess]) -> Figures:
     """Discovery is away for a moment and comes back without its revisions: calls, bytes, and how they come."""
     each = count / len(children)
-    before = [await child.ask("usage") for child in children]
+    before = [await child.request("usage") for child in children]
     desk.close()
     await asyncio.sleep(OUTAGE_S)
-    away = [await child.ask("usage") for child in children]
+    away = [await child.request("usage") for child in children]
     desk.listing.forget()
     desk.calls_us.clear()
     desk.bytes = 0
     own = own_usage()
     await desk.open()
     back_us, version = monotonic_us(), desk.listing.registry.rev
-    said = await asyncio.gather(*(child.ask("until", version=version, within_s=BACK_WITHIN_S) for child in children))
+    said = await asyncio.gather(
+        *(child.request("until", version=version, within_s=BACK_WITHIN_S) for child in children)
+    )
     calls_s = (np.sort(desk.calls_us) - back_us) / 1e6
     inside = np.searchsorted(calls_s, calls_s + WINDOW_US / 1e6) - np.arange(len(calls_s))
     back_cpu_s = sum(late["cpu_s"] - early["cpu_s"] for early, late in zip(away, said, strict=True))
@@ -260,19 +262,19 @@
     try:
         async with AsyncExitStack() as stack:
             children = [
-                await stack.enter_async_context(lightweight.child(MODULE, [host, str(PORT), str(seed + i)]))
+                await stack.enter_async_context(lightweight.start_process(MODULE, [host, str(PORT), str(seed + i)]))
                 for i in range(FLEET_PROCESSES)
             ]
             for child in children:
-                await child.hear()
+                await child.read()
             there = 0
             for count in FLEETS[scale]:
                 more = (count - there) // len(children)
-                await asyncio.gather(*(child.ask("start", count=more) for child in children))
+                await asyncio.gather(*(child.request("start", count=more) for child in children))
                 there = count
                 said = await asyncio.gather(
                     *(
-                        child.ask("until", version=desk.listing.registry.rev, within_s=BACK_WITHIN_S)
+                        child.request("until", version=desk.listing.registry.rev, within_s=BACK_WITHIN_S)
                         for child in children
                     )
                 )
@@ -342,14 +344,15 @@
     fleets = asyncio.run(by_fleet(trial.seed, trial.scale, trial.seeded_fault))
     found = derived(rows, base_bytes() / MB)
     for known, row in rows.items():
-        row |= list_parts.measure(known, trial.seed)
+        row |= list_costs.measure(known, trial.seed)
     figures = {f"{name}_{known}": value for known, row in rows.items() for name, value in row.items()}
     figures |= {f"fleet_{name}_{count}": value for count, row in fleets.items() for name, value in row.items()}
     return Measurement(claims(rows, fleets, found), figures | found | busy)
 
 
-EXPERIMENTS = (
-    Benchmark(
-        "scale-list", "the list in a sidecar and at discovery, up to 1,600 known converters", perform, ("no-revisions",)
-    ),
+EXPERIMENT = Benchmark(
+    name="scale-list",
+    question="the list in a sidecar and at discovery, up to 1,600 known converters",
+    measure=perform,
+    seeded_faults=("no-revisions",),
 )
--- a/ryepier/experiments/scale/scale_fail.py
+++ b/ryepier/experiments/scale/failure.py
@@ -21,9 +21,7 @@
 from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.usage import own_usage
 from ryepier.experiments.scale import lightweight, slopes
-from ryepier.experiments.scale.fleet_list import Desk, Listing
-from ryepier.experiments.scale.lightweight import Child
-from ryepier.experiments.scale.scale_list import (
+from ryepier.experiments.scale.endpoint_list import (
     BUDGET_CORES,
     CONVERTER_BYTES,
     IN_FORCE_S,
@@ -33,6 +31,8 @@
     SIDECAR_BYTES,
     Figures,
 )
+from ryepier.experiments.scale.fleet_list import Desk, Listing
+from ryepier.experiments.scale.lightweight import LightweightProcess
 
 KNOWN = 1600
 FLEET = 1600
@@ -59,22 +59,22 @@
     """LightweightForwarder sidecars of several processes, all at one discovery."""
 
     desk: Desk
-    children: Sequence[Child]
+    children: Sequence[LightweightProcess]
     known: int  # converters that each knows
     count: int = 0
 
-    async def ask(self, what: str, **more: Any) -> list[Any]:
-        return list(await asyncio.gather(*(child.ask(what, **more) for child in self.children)))
+    async def request(self, what: str, **more: Any) -> list[Any]:
+        return list(await asyncio.gather(*(child.request(what, **more) for child in self.children)))
 
     async def settled(self) -> list[Any]:
         """Once all have the list as it is. Raises HarnessError where they do not."""
-        said = await self.ask("until", version=self.desk.listing.registry.rev, within_s=TOLD_WITHIN_S)
+        said = await self.request("until", version=self.desk.listing.registry.rev, within_s=TOLD_WITHIN_S)
         if (have := sum(one["have"] for one in said)) < self.count:
             raise HarnessError(f"{have} of {self.count} hollow sidecars have the list")
         return said
 
     async def grow(self, count: int) -> None:
-        await self.ask("start", count=(count - self.count) // len(self.children))
+        await self.request("start", count=(count - self.count) // len(self.children))
         self.count = count
         await self.settled()
 
@@ -82,7 +82,7 @@
         """So many converters drain, told one by one or all in one message; then others take their places."""
         desk, listing = self.desk, self.desk.listing
         chosen = listing.pick(changes)
-        before, wrote, own = await self.ask("usage"), desk.bytes, own_usage()
+        before, wrote, own = await self.request("usage"), desk.bytes, own_usage()
         begun_us = monotonic_us()
         for entry in chosen if singly else ():
             listing.change([entry], "leaving")
@@ -102,7 +102,9 @@
             "told": sum(late["entries"] - early["entries"] for early, late in zip(before, said, strict=True))
             / self.count
             / changes,
-            "still_ready": sum(one["known"] for one in await self.ask("memory")) / self.count - self.known + changes,
+            "still_ready": sum(one["known"] for one in await self.request("memory")) / self.count
+            - self.known
+            + changes,
         }
         listing.change(chosen, "left")
         listing.change([listing.new() for _ in chosen])
@@ -121,12 +123,12 @@
         async with AsyncExitStack() as stack:
             children = [
                 await stack.enter_async_context(
-                    lightweight.child(MODULE, [host, str(PORT), str(seed * PROCESSES + i), plant])
+                    lightweight.start_process(MODULE, [host, str(PORT), str(seed * PROCESSES + i), plant])
                 )
                 for i in range(PROCESSES)
             ]
             for child in children:
-                await child.hear()
+                await child.read()
             yield Fleet(desk, children, known)
     finally:
         desk.close()
@@ -216,8 +218,9 @@
     return Measurement(claims(found), found)
 
 
-EXPERIMENTS = (
-    Benchmark(
-        "scale-fail", "the loss of a rack, a zone, a region: the list's messages, CPU and time", perform, ("deaf",)
-    ),
+EXPERIMENT = Benchmark(
+    name="scale-fail",
+    question="the loss of a rack, a zone, a region: the list's messages, CPU and time",
+    measure=perform,
+    seeded_faults=("deaf",),
 )
--- /dev/null
+++ b/ryepier/experiments/scale/instrumented_planner.py
@@ -0,0 +1,88 @@
+"""A planner that records the CPU time of its ticks and reports, for `scale-control`.
+
+`python -m ryepier.experiments.scale.instrumented_planner FILE SEEDED_FAULT --config CONFIG` runs like
+`ryepier planner` and keeps writing its `PlannerUsage` over FILE. The CPU time per tick and report tells what a planner
+needs even on a machine that is too busy to give it that.
+"""
+
+from __future__ import annotations
+
+import os
+import runpy
+import sys
+import threading
+import time
+from collections import Counter
+from pathlib import Path
+
+import msgspec
+
+from ryepier.experiments import seeded_faults
+from ryepier.plan.planner_server import PlannerServer
+
+WRITE_INTERVAL_S = 0.1
+
+
+class PlannerUsage(msgspec.Struct, frozen=True):
+    """What a planner has used and done since its start, in all threads."""
+
+    cpu_s: float
+    tick_cpu_s: float  # of it, in ticks: leadership, heartbeats, plans
+    ticks: int
+    reports: int  # accepted; those that came too soon cost next to nothing
+    plans: int
+
+
+def read_usage(path: Path) -> PlannerUsage:
+    """Return the usage last written. Raises OSError or msgspec.MsgspecError if there is none yet."""
+    return msgspec.json.decode(path.read_bytes(), type=PlannerUsage)
+
+
+class UsageRecorder:
+    """Records what the planner of this process uses in its ticks."""
+
+    def __init__(self, path: Path) -> None:
+        """Record into a file."""
+        self.path = path
+        self._tick_cpu_s = 0.0
+        self._ticks = 0
+        self._counts: Counter[str] = Counter()
+
+    def install(self) -> None:
+        """Measure the ticks of every planner of this process, and write the usage from a thread."""
+        run_tick = PlannerServer.tick
+        recorder = self
+
+        def measured_tick(self: PlannerServer, now_us: int, tick: int) -> None:
+            recorder._counts = self.counts
+            begun_s = time.thread_time()
+            run_tick(self, now_us, tick)
+            recorder._tick_cpu_s += time.thread_time() - begun_s
+            recorder._ticks = tick
+
+        PlannerServer.tick = measured_tick  # type: ignore[method-assign]
+        # a thread of its own, as the planner's would write late whenever the planner is late
+        threading.Thread(target=self._write_forever, daemon=True).start()
+
+    def _write_forever(self) -> None:
+        new_path = self.path.with_suffix(".new")
+        while True:
+            counts = self._counts
+            usage = PlannerUsage(time.process_time(), self._tick_cpu_s, self._ticks, counts["reports"], counts["plans"])
+            new_path.write_bytes(msgspec.json.encode(usage))
+            os.replace(new_path, self.path)
+            time.sleep(WRITE_INTERVAL_S)
+
+
+def main() -> None:
+    """Install the recorder and the seeded fault, if one is named, and run the planner."""
+    path, seeded_fault, *arguments = sys.argv[1:]
+    UsageRecorder(Path(path)).install()
+    if seeded_fault:
+        seeded_faults.SEEDED_FAULTS[seeded_fault]()
+    sys.argv = ["ryepier", "planner", *arguments]
+    runpy.run_module("ryepier", run_name="__main__")
+
+
+if __name__ == "__main__":
+    main()
--- a/ryepier/experiments/scale/lightweight.py
+++ b/ryepier/experiments/scale/lightweight.py
@@ -1,7 +1,7 @@
-"""Lightweight processes: the real code of a role without its requests, hundreds per process, as the machine allows.
+"""Lightweight processes: the real code of a role without its requests, hundreds of the role in each process.
 
-A child is a module of its own: it prints one JSON object a line, the first when it is up, then one for each line it is
-told. Its last line on standard input ends it.
+Such a process is a module of its own. It prints one JSON object per line: the first when it is up, then one for each
+line that it reads. The end of its standard input ends it.
 """
 
 from __future__ import annotations
@@ -16,25 +16,27 @@
 
 from ryepier.emulator.errors import HarnessError
 
-ANSWERS_WITHIN_S = 30.0
-LONGEST_LINE = 64 * 1024 * 1024
+ANSWER_TIMEOUT_S = 30.0
+MAX_LINE_BYTES = 64 * 1024 * 1024
 
 
-class Child:
-    """A hollow process, spoken to by lines."""
+class LightweightProcess:
+    """A lightweight process, and the exchange of lines with it."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
+        """Take over a process with pipes for its standard input and output."""
         self.process = process
 
     @property
     def pid(self) -> int:
+        """Return the process's id."""
         return self.process.pid
 
-    async def hear(self) -> Any:
-        """The next object that it prints. Raises HarnessError where it ended or says nothing in time."""
+    async def read(self) -> Any:
+        """Return the next object that it prints. Raises HarnessError if it has ended or prints nothing in time."""
         assert self.process.stdout is not None
         try:
-            async with asyncio.timeout(ANSWERS_WITHIN_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 line = await self.process.stdout.readline()
         except TimeoutError:
             raise HarnessError("a hollow process says nothing") from None
@@ -42,16 +44,16 @@
             raise HarnessError("a hollow process has ended")
         return json.loads(line)
 
-    async def ask(self, what: str, **more: Any) -> Any:
-        """Tell it one thing and hear what comes of it."""
+    async def request(self, command: str, **options: Any) -> Any:
+        """Send a command, and return its answer. Raises HarnessError as `read` does."""
         assert self.process.stdin is not None
-        self.process.stdin.write(json.dumps({"do": what, **more}).encode() + b"\n")
-        return await self.hear()
+        self.process.stdin.write(json.dumps({"do": command, **options}).encode() + b"\n")
+        return await self.read()
 
 
 @asynccontextmanager
-async def child(module: str, arguments: Sequence[str]) -> AsyncIterator[Child]:
-    """A process of that module, ended on leaving whatever it does."""
+async def start_process(module: str, arguments: Sequence[str]) -> AsyncIterator[LightweightProcess]:
+    """Run a module as a lightweight process, and kill it on leaving."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-B",
@@ -60,10 +62,10 @@
         *arguments,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
-        limit=LONGEST_LINE,
+        limit=MAX_LINE_BYTES,
     )
     try:
-        yield Child(process)
+        yield LightweightProcess(process)
     finally:
         if process.returncode is None:
             process.kill()
--- a/ryepier/experiments/scale/lightweight_converters.py
+++ b/ryepier/experiments/scale/lightweight_converters.py
@@ -1,12 +1,13 @@
-"""A process that stands for all converters and for discovery, for `scale-call`: each call is answered at once.
+"""A process that stands for all converters and for discovery, for `scale-call`; it answers each call at once.
 
-`python -m ryepier.experiments.scale.lightweight_converters SETUP`, with a `Setup` as JSON, prints a line once it
-listens. All entries of a list have the one address: a sidecar knows its upstreams by their names.
+`python -m ryepier.experiments.scale.lightweight_converters CONFIG`, with a `ConvertersConfig` as JSON, prints a line
+once it listens. All entries of a list have the same address: a sidecar tells its upstreams apart by their uids.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import sys
 from typing import Any
@@ -15,20 +16,24 @@
 
 from ryepier.sidecar import system
 
-HEARTBEAT_S = 2.0
+HEARTBEAT_INTERVAL_S = 2.0
+POD_SIZE = 3  # converters
+BACKLOG = 4096
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\ndone"
-END = b"\r\n\r\n"
+WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+HEARTBEAT = b"1\r\n\n\r\n"
+END_OF_HEAD = b"\r\n\r\n"
 
 
-class Setup(msgspec.Struct, frozen=True):
-    """What the process is told at its start."""
+class ConvertersConfig(msgspec.Struct, frozen=True):
+    """Where the process listens."""
 
     converters: tuple[str, int]
-    agents: dict[int, tuple[str, int]]  # by known converters, where their list is told
+    agents: dict[int, tuple[str, int]]  # discovery's addresses by the length of the list that is served there
 
 
-def listing(known: int, address: tuple[str, int]) -> dict[str, Any]:
-    """A list of so many, in discovery's form, all long warm."""
+def make_list(known: int, address: tuple[str, int]) -> dict[str, Any]:
+    """Return a list of so many warm converters, in discovery's format."""
     return {
         "rev": 1,
         "all": True,
@@ -38,7 +43,7 @@
                 "endpoint": f"{address[0]}:{address[1]}",
                 "az": "a",
                 "model": "mid",
-                "pod_group": number // 3,
+                "pod_group": number // POD_SIZE,
                 "state": "active",
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
@@ -49,56 +54,63 @@
 
 
 class Converter(asyncio.Protocol):
-    """A connection: an answer for each head; its calls have no body."""
+    """A connection to a converter: one answer for each request head, as the calls have no body."""
 
     def __init__(self) -> None:
-        self.transport: asyncio.Transport | None = None
-        self.pending = b""
+        """Start without data."""
+        self._transport: asyncio.Transport | None = None
+        self._pending = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport to answer on."""
         assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
+        self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        assert self.transport is not None
-        heads = (self.pending + data).split(END)
-        self.pending = heads.pop()
+        """Answer each complete head."""
+        assert self._transport is not None
+        heads = (self._pending + data).split(END_OF_HEAD)
+        self._pending = heads.pop()
         if heads:
-            self.transport.write(ANSWER * len(heads))
+            self._transport.write(ANSWER * len(heads))
 
 
-class Agent:
-    """Tells one list to whoever watches, and then that it is alive."""
+class DiscoveryAgent:
+    """Serves one list to each watch, and then heartbeats."""
 
-    def __init__(self, lines: dict[str, Any]) -> None:
-        data = json.dumps(lines).encode() + b"\n"
-        self.first = b"%x\r\n%s\r\n" % (len(data), data)
+    def __init__(self, listing: dict[str, Any]) -> None:
+        """Encode the list as one chunk."""
+        line = json.dumps(listing).encode() + b"\n"
+        self._first_chunk = b"%x\r\n%s\r\n" % (len(line), line)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection until it closes."""
         try:
-            await reader.readuntil(END)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-            writer.write(self.first)
-            while not writer.is_closing():
-                await asyncio.sleep(HEARTBEAT_S)
-                writer.write(b"1\r\n\n\r\n")
-        except (asyncio.IncompleteReadError, ConnectionError):
-            pass
+            with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
+                await reader.readuntil(END_OF_HEAD)
+                writer.write(WATCH_HEAD)
+                writer.write(self._first_chunk)
+                while not writer.is_closing():
+                    await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+                    writer.write(HEARTBEAT)
         finally:
             writer.close()
 
 
-async def serve(setup: Setup) -> None:
+async def serve(config: ConvertersConfig) -> None:
+    """Listen at all addresses until a line arrives on standard input, or its end."""
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(Converter, sock=system.listen(setup.converters, 4096))]
-    for known, address in setup.agents.items():
-        servers.append(await asyncio.start_server(Agent(listing(known, setup.converters)).serve, *address))
+    servers = [await loop.create_server(Converter, sock=system.listen(config.converters, BACKLOG))]
+    for known, address in config.agents.items():
+        agent = DiscoveryAgent(make_list(known, config.converters))
+        servers.append(await asyncio.start_server(agent.serve, *address))
     print("{}", flush=True)
     await loop.run_in_executor(None, sys.stdin.readline)
 
 
 def main() -> None:
-    asyncio.run(serve(msgspec.json.decode(sys.argv[1], type=Setup)))
+    """Serve as the first argument says."""
+    asyncio.run(serve(msgspec.json.decode(sys.argv[1], type=ConvertersConfig)))
 
 
 if __name__ == "__main__":
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -1,8 +1,8 @@
-"""A process of lightweight forwarders, for `scale-control`: the real part that reports and follows, its calls made up.
+"""Lightweight forwarders, hundreds per process, for `scale-control`: reports and plans of real ones, calls made up.
 
-`python -m ryepier.experiments.scale.lightweight_forwarders SETUP`, with a `Setup` as JSON; then a line per command, as
-`lightweight.Child` has it. A forwarder's counters begin at a day's age, as in service: small numbers would take fewer
-bytes.
+`python -m ryepier.experiments.scale.lightweight_forwarders CONFIG`, with a `ForwardersConfig` as JSON, reads a command
+per line, as `lightweight.LightweightProcess` sends them. A forwarder's counters begin with a day's age, as in service:
+smaller numbers would take fewer bytes.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 DAY_S = 86_400
 
 
-class Setup(msgspec.Struct, frozen=True):
+class ForwardersConfig(msgspec.Struct, frozen=True):
     """What the process is told at its start."""
 
     planner: tuple[str, int]
@@ -74,7 +74,7 @@
 class LightweightForwarder(forwarder.Forwarder):
     """One forwarder, whose calls are counted into its notes just before each report."""
 
-    def __init__(self, index: int, setup: Setup, counts: Counts) -> None:
+    def __init__(self, index: int, setup: ForwardersConfig, counts: Counts) -> None:
         self.index = index
         self.counts = counts
         self.random = draws.stream(setup.seed, f"forwarder {index}")
@@ -158,7 +158,7 @@
 class Worker:
     """All of one process."""
 
-    def __init__(self, setup: Setup) -> None:
+    def __init__(self, setup: ForwardersConfig) -> None:
         self.setup = setup
         self.counts = Counts()
         self.processes: list[LightweightForwarder] = []
@@ -223,7 +223,7 @@
         return self.sample()
 
 
-async def work(setup: Setup) -> None:
+async def work(setup: ForwardersConfig) -> None:
     worker, loop = Worker(setup), asyncio.get_running_loop()
     print("{}", flush=True)
     while line := await loop.run_in_executor(None, sys.stdin.readline):
@@ -233,7 +233,7 @@
 def main() -> None:
     # hazard: what hundreds of forwarders log at one moment would be a good part of the CPU that is measured
     logging.getLogger("ryepier.plan").setLevel(logging.ERROR)
-    asyncio.run(work(msgspec.json.decode(sys.argv[1], type=Setup)))
+    asyncio.run(work(msgspec.json.decode(sys.argv[1], type=ForwardersConfig)))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/ryepier/experiments/scale/machine_load.py
@@ -0,0 +1,30 @@
+"""How busy the machine was around a measurement."""
+
+from __future__ import annotations
+
+import math
+import os
+import time
+from collections.abc import Mapping
+
+TASK_VALUES = 16
+TASK_ROUNDS = 100_000
+
+
+def task_cpu_s() -> float:
+    """Return the CPU time of a fixed task now; on a machine that others use it grows, as does all that is measured."""
+    begun_s = time.process_time()
+    values = [1.0] * TASK_VALUES
+    for _ in range(TASK_ROUNDS):
+        values = [value * 0.99999 for value in values]
+    return time.process_time() - begun_s
+
+
+def load_figures(moment: str) -> dict[str, float]:
+    """Return the load average and the CPU time of the fixed task, as figures of `before` or `after`."""
+    return {f"load_average_{moment}": os.getloadavg()[0], f"pace_{moment}": task_cpu_s()}
+
+
+def finite_figures(figures: Mapping[str, float]) -> dict[str, float]:
+    """Return the figures without infinite ones, for which JSON has no number; the claims tell of them."""
+    return {name: value for name, value in figures.items() if math.isfinite(value)}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,21 +21,22 @@
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Scale
 from ryepier.experiments.core.usage import Usage
-from ryepier.experiments.scale import depth, gauged_planner, scale_call, scale_control
+from ryepier.experiments.scale import call, control, depth, instrumented_planner
+from ryepier.experiments.scale.call import REQUEST, Target
 from ryepier.experiments.scale.chains import Chain, run_chain
+from ryepier.experiments.scale.control import Look, Sample
 from ryepier.experiments.scale.depth import ChainFigures
-from ryepier.experiments.scale.gauged_planner import Gauge
-from ryepier.experiments.scale.lightweight_converters import ANSWER, Setup, listing, serve
+from ryepier.experiments.scale.instrumented_planner import PlannerUsage
+from ryepier.experiments.scale.lightweight_converters import ANSWER, ConvertersConfig, make_list, serve
 from ryepier.experiments.scale.lightweight_forwarders import (
     CALLS_PER_S,
     Counts,
+    ForwardersConfig,
     LightweightForwarder,
     converters_of,
     uid,
 )
-from ryepier.experiments.scale.lightweight_forwarders import Setup as ForwardersSetup
-from ryepier.experiments.scale.scale_call import REQUEST, Target
-from ryepier.experiments.scale.scale_control import Look, Sample
+from ryepier.experiments.scale.machine_load import finite_figures
 from ryepier.plan.messages import Report, Term, encode
 from ryepier.plan.planner_server import PlannerServer
 from ryepier.sidecar import config, system
@@ -51,7 +52,7 @@
 
 
 def lightweight_forwarder(index: int = 0, in_use: int = 30) -> LightweightForwarder:
-    return LightweightForwarder(index, ForwardersSetup(("127.0.0.1", 1), 0, 1, in_use, 1, 10), Counts())
+    return LightweightForwarder(index, ForwardersConfig(("127.0.0.1", 1), 0, 1, in_use, 1, 10), Counts())
 
 
 def report(one: LightweightForwarder, number: int = 1) -> Report:
@@ -106,13 +107,13 @@
 
 
 def look(cpu_s: float, tick_cpu_s: float, ticks: int, reports: int, waited_s: float = 0.0) -> Look:
-    return Look(Usage(cpu_s, 100_000_000), Gauge(cpu_s, tick_cpu_s, ticks, reports, ticks // 2), waited_s)
+    return Look(Usage(cpu_s, 100_000_000), PlannerUsage(cpu_s, tick_cpu_s, ticks, reports, ticks // 2), waited_s)
 
 
 def test_a_planner_that_is_late_does_not_look_cheap() -> None:
     # 100 forwarders: a tick takes 20 ms and a report 1 ms, in time and with half of both left out
-    prompt = scale_control.planner_row(100, 10.0, look(1.0, 0.0, 0, 0), look(3.8, 0.8, 40, 2000))
-    late = scale_control.planner_row(100, 10.0, look(1.0, 0.0, 0, 0), look(2.4, 0.4, 20, 1000, 5.6))
+    prompt = control.planner_row(100, 10.0, look(1.0, 0.0, 0, 0), look(3.8, 0.8, 40, 2000))
+    late = control.planner_row(100, 10.0, look(1.0, 0.0, 0, 0), look(2.4, 0.4, 20, 1000, 5.6))
     for row in (prompt, late):
         assert row["planner_cpu_ms_a_tick"] == pytest.approx(20)
         assert row["planner_cpu_us_a_report"] == pytest.approx(1000)
@@ -128,16 +129,16 @@
 def test_seven_planners_cost_seven_times_the_reports_and_beats_and_once_the_plans() -> None:
     before = [sample(), sample()]
     after = [sample(at_s=2.0, bytes_out=20_000, bytes_in=4_000, plan_bytes=3_000)] * 2
-    row = scale_control.forwarder_row(20, 2.0, before, after)
+    row = control.forwarder_row(20, 2.0, before, after)
     assert row["bytes_out_per_s"] == 1000 and row["bytes_in_per_s"] == 200
     assert row["bytes_per_s_with_seven"] == 7 * (1000 + 50) + 150
 
 
 def test_avoiding_counts_once_nearly_all_that_call_it_do() -> None:
     times = [float(number) for number in range(1, 20)]
-    assert scale_control.quantile_s([sample(users=20, avoids_after_s=times)], 0.95) == 19.0
-    assert scale_control.quantile_s([sample(users=20, avoids_after_s=times[:-1])], 0.95) == float("inf")
-    assert scale_control.quantile_s([sample()], 0.95) == float("inf")
+    assert control.quantile_s([sample(users=20, avoids_after_s=times)], 0.95) == 19.0
+    assert control.quantile_s([sample(users=20, avoids_after_s=times[:-1])], 0.95) == float("inf")
+    assert control.quantile_s([sample()], 0.95) == float("inf")
 
 
 def rows(power: float, bytes_power: float = 0.0) -> dict[int, dict[str, float]]:
@@ -162,23 +163,23 @@
 
 
 def test_a_planner_that_grows_faster_than_its_fleet_fails_a_claim() -> None:
-    assert not failing(scale_control.claims_of(30, rows(1.0), WHOLE))
-    found = failing(scale_control.claims_of(30, rows(2.0), WHOLE))
+    assert not failing(control.claims_of(30, rows(1.0), WHOLE))
+    found = failing(control.claims_of(30, rows(2.0), WHOLE))
     assert len(found) == 1 and "cores that the planner needs" in found[0]
 
 
 def test_reports_that_grow_with_the_fleet_fail_a_claim() -> None:
-    assert any("bytes out" in name for name in failing(scale_control.claims_of(30, rows(1.0, 1.0), WHOLE)))
+    assert any("bytes out" in name for name in failing(control.claims_of(30, rows(1.0, 1.0), WHOLE)))
 
 
 def test_a_planner_that_is_not_followed_or_had_no_core_fails_a_claim() -> None:
-    assert failing(scale_control.claims_of(30, rows(1.0), WHOLE | {"avoided_after_s": float("inf")}))
+    assert failing(control.claims_of(30, rows(1.0), WHOLE | {"avoided_after_s": float("inf")}))
     starved = {size: row | {"planner_wait_share": 0.9} for size, row in rows(1.0).items()}
-    assert any("too busy" in name for name in failing(scale_control.claims_of(30, starved, WHOLE)))
+    assert any("too busy" in name for name in failing(control.claims_of(30, starved, WHOLE)))
 
 
 def test_what_the_size_to_design_for_takes_is_on_the_line_and_beside_its_budget() -> None:
-    found = scale_control.figures_of(30, rows(1.0), WHOLE)
+    found = control.figures_of(30, rows(1.0), WHOLE)
     assert found["design_planner_cores_needed_30_in_use"] == pytest.approx(1.6)
     assert found["design_share_of_budget_planner_cores_needed_30_in_use"] == pytest.approx(3.2)
     assert found["design_share_of_budget_bytes_per_s_with_seven_30_in_use"] == pytest.approx(5.0)
@@ -198,26 +199,27 @@
         counts: ClassVar = {"reports": 7, "plans": 2}
 
     monkeypatch.setattr(PlannerServer, "tick", lambda self, now_us, tick: sum(range(100_000)))
-    gauging = gauged_planner.Gauging(tmp_path / "gauge")
-    gauging.install()
+    recorder = instrumented_planner.UsageRecorder(tmp_path / "gauge")
+    recorder.install()
     PlannerServer.tick(Ticking(), 0, 3)  # type: ignore[arg-type]
     for _ in range(100):
         try:
-            gauge = gauged_planner.read(gauging.path)
+            planner_usage = instrumented_planner.read_usage(recorder.path)
         except FileNotFoundError:
-            gauge = Gauge(0.0, 0.0, 0, 0, 0)
-        if gauge.ticks:
+            planner_usage = PlannerUsage(0.0, 0.0, 0, 0, 0)
+        if planner_usage.ticks:
             break
         time.sleep(0.05)
-    assert (gauge.ticks, gauge.reports, gauge.plans) == (3, 7, 2) and 0 < gauge.tick_cpu_s <= gauge.cpu_s
+    assert (planner_usage.ticks, planner_usage.reports, planner_usage.plans) == (3, 7, 2)
+    assert 0 < planner_usage.tick_cpu_s <= planner_usage.cpu_s
 
 
 # scale-call
 
 
 def test_an_answers_length_is_read_from_its_head() -> None:
-    assert scale_call.body_length(b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\nX: y") == 42
-    assert scale_call.body_length(b"HTTP/1.1 204 No Content\r\nX: y") == 0
+    assert call.body_length(b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\nX: y") == 42
+    assert call.body_length(b"HTTP/1.1 204 No Content\r\nX: y") == 0
 
 
 def target(due: int, took_us: list[int]) -> Target:
@@ -225,34 +227,34 @@
 
 
 def test_a_call_costs_by_the_answers_and_adds_to_the_direct_one() -> None:
-    row = scale_call.phase_row("x", 2.0, target(200, [1000] * 100), target(200, [400] * 200), (50_000_000, 50_000_000))
+    row = call.phase_row("x", 2.0, target(200, [1000] * 100), target(200, [400] * 200), (50_000_000, 50_000_000))
     assert row["cpu_us_a_call_x"] == 500 and row["cores_x"] == 0.025 and row["wait_share_x"] == 0.5
     assert row["answered_share_x"] == 0.5 and row["served_share_x"] == 1.0
     assert row["added_p99_ms_x"] == pytest.approx(0.6)
 
 
 def test_a_result_holds_what_is_a_number() -> None:
-    assert scale_control.finite({"a": 1.0, "b": float("inf"), "c": float("nan"), "d": -2.0}) == {"a": 1.0, "d": -2.0}
+    assert finite_figures({"a": 1.0, "b": float("inf"), "c": float("nan"), "d": -2.0}) == {"a": 1.0, "d": -2.0}
 
 
 def test_no_answer_is_told_as_endless() -> None:
-    row = scale_call.phase_row("x", 2.0, target(200, []), target(200, [400]), (50_000_000, 0))
+    row = call.phase_row("x", 2.0, target(200, []), target(200, [400]), (50_000_000, 0))
     assert row["p99_ms_x"] == float("inf") and row["served_share_x"] == 0.0
 
 
 def calls(us_a_known: float) -> dict[str, float]:
-    found = {f"cpu_us_a_call_369_per_s_{known}_known": 200 + us_a_known * known for known in scale_call.KNOWN}
-    found |= {f"module_us_a_call_{known}_known": 50 + us_a_known * known / 2 for known in scale_call.KNOWN}
+    found = {f"cpu_us_a_call_369_per_s_{known}_known": 200 + us_a_known * known for known in call.KNOWN}
+    found |= {f"module_us_a_call_{known}_known": 50 + us_a_known * known / 2 for known in call.KNOWN}
     found |= {"added_p99_ms_369_per_s_1600_known": 0.66, "served_share_369_per_s_30_known": 1.0}
-    return found | scale_call.summary(found)
+    return found | call.summary(found)
 
 
 def test_a_call_that_grows_too_fast_with_the_list_fails_a_claim() -> None:
     assert calls(0.5)["fit_cpu_us_a_call_per_unit"] == pytest.approx(0.5)
     assert calls(0.5)["fit_module_us_a_call_per_unit"] == pytest.approx(0.25)
     assert calls(0.5)["design_share_of_budget_added_p99_ms"] == pytest.approx(2.0)
-    assert not failing(scale_call.claims_of(calls(0.5)))
-    assert len(failing(scale_call.claims_of(calls(5.0)))) == 2
+    assert not failing(call.claims_of(calls(0.5)))
+    assert len(failing(call.claims_of(calls(5.0)))) == 2
 
 
 def test_the_module_alone_opens_to_its_rate_and_costs_more_with_a_longer_list(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -268,21 +270,21 @@
             served[id(self)] += isinstance(event, AttemptEnded) and event.outcome is Outcome.OK
             return super().handle(now_us, event)
 
-    monkeypatch.setattr(scale_call, "Balancer", Kept)
-    few, many = scale_call.module_us_a_call(30, 1), scale_call.module_us_a_call(400, 1)
+    monkeypatch.setattr(call, "Balancer", Kept)
+    few, many = call.module_us_a_call(30, 1), call.module_us_a_call(400, 1)
     assert many > few > 0
     opened = [len(one.membership.pools[0].subset.members) for one in made]
     assert opened[0] == 30 and 230 <= opened[1] <= 300  # 4 and one for each 1.5 calls a second
-    calls_made = scale_call.ALONE_PARTS * scale_call.ALONE_CALLS
+    calls_made = call.ALONE_PARTS * call.ALONE_CALLS
     assert all(not one.requests and served[id(one)] == calls_made for one in made)
 
 
 def test_a_sidecar_reads_the_configuration_that_it_is_given(tmp_path: Path) -> None:
     path = tmp_path / "sidecar.json"
-    path.write_text(scale_call.settings_of(1, 400, ("127.1.2.3", 9000), ("127.1.2.4", 8500), ("127.1.2.5", 9000)))
+    path.write_text(call.settings_of(1, 400, ("127.1.2.3", 9000), ("127.1.2.4", 8500), ("127.1.2.5", 9000)))
     read = config.load(str(path))
     assert len(read.known["targets"]) == 400 and read.settings.classes[0].idempotency == Idempotency.IDEMPOTENT
-    assert read.known == listing(400, ("127.1.2.5", 9000))
+    assert read.known == make_list(400, ("127.1.2.5", 9000))
 
 
 def test_stand_in_converters_answer_each_call_and_tell_their_list(
@@ -299,7 +301,7 @@
         return answer
 
     async def script() -> None:
-        serving = asyncio.create_task(serve(Setup(converters, {30: agent})))
+        serving = asyncio.create_task(serve(ConvertersConfig(converters, {30: agent})))
         async with asyncio.timeout(10):
             while "{}" not in capsys.readouterr().out:
                 await asyncio.sleep(0.01)
@@ -331,7 +333,7 @@
         )
     }
     (tmp_path / "profile").write_bytes(marshal.dumps(kept))
-    found = scale_call.top_functions(tmp_path / "profile", 1000)
+    found = call.top_functions(tmp_path / "profile", 1000)
     assert [name for name, _ in found] == ["balancer.listcomp_line_7", "host.start", "balancer.draw"]
     assert [us for _, us in found] == pytest.approx([400.0, 300.0, 200.0])
 
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -10,7 +10,7 @@
 
 from ryepier.emulator.loopback import find_network
 from ryepier.experiments.core.contract import Scale
-from ryepier.experiments.scale import list_parts, scale_list
+from ryepier.experiments.scale import endpoint_list, list_costs
 from ryepier.experiments.scale.fleet_list import Desk, Listing
 from ryepier.experiments.scale.lightweight_sidecar import Sidecars
 
@@ -21,7 +21,7 @@
     """Play a script with hollow sidecars of this very process that have the list."""
 
     async def play() -> None:
-        address = (f"127.{find_network()}.254.2", scale_list.PORT)
+        address = (f"127.{find_network()}.254.2", endpoint_list.PORT)
         desk = Desk(Listing(KNOWN, 1), address, keeps_revisions)
         await desk.open()
         try:
@@ -90,12 +90,12 @@
 
 def test_both_scales_ask_for_what_any_test_may() -> None:
     for scale in get_args(Scale):
-        needs = scale_list.needs(scale)
+        needs = endpoint_list.needs(scale)
         assert needs.processes <= 8 and needs.bytes < 4e9
 
 
 def test_a_lists_parts_are_all_timed() -> None:
-    found = list_parts.measure(KNOWN, 1)
+    found = list_costs.measure(KNOWN, 1)
     assert {name for name in found if "_list_" in name} == {
         f"alone_list_{part}_ms" for part in ("parse_one_piece", "parse", "directory", "module")
     }
@@ -106,5 +106,5 @@
 
 
 def test_a_list_in_pieces_is_the_same_list() -> None:
-    data = list_parts.encode(Listing(KNOWN, 1).registry.full_list())
-    assert list_parts.cut(data, 100) == list_parts.cut(data, len(data))
+    data = list_costs.encode(Listing(KNOWN, 1).registry.full_list())
+    assert list_costs.decode(data, 100) == list_costs.decode(data, len(data))
