--- a/ryepier/balancer/actions.py
+++ b/ryepier/balancer/actions.py
@@ -7,9 +7,11 @@
 
 from dataclasses import dataclass
 
+from ryepier.balancer.records import Record
 
-@dataclass(slots=True)
-class Send:
+
+@dataclass(slots=True, eq=False, repr=False)
+class Send(Record):
     """Start an attempt; a request's attempts are numbered 0, 1, 2 ... in the order of their sends."""
 
     request: int
@@ -18,73 +20,73 @@
     latest_us: int = 0  # must not be written later, however long its connection takes; 0 = no limit
 
 
-@dataclass(slots=True)
-class Reject:
+@dataclass(slots=True, eq=False, repr=False)
+class Reject(Record):
     """Final answer: rejected; the client may safely retry."""
 
     request: int
     retry_after_us: int = 0  # 0 = no Retry-After
 
 
-@dataclass(slots=True)
-class Fail:
+@dataclass(slots=True, eq=False, repr=False)
+class Fail(Record):
     """Final answer: failed; it may have run."""
 
     request: int
 
 
-@dataclass(slots=True)
-class Cancel:
+@dataclass(slots=True, eq=False, repr=False)
+class Cancel(Record):
     """Cancel an attempt that is in flight."""
 
     request: int
     attempt: int
 
 
-@dataclass(slots=True)
-class Probe:
+@dataclass(slots=True, eq=False, repr=False)
+class Probe(Record):
     """Send a health probe to an upstream."""
 
     upstream: int
 
 
-@dataclass(slots=True)
-class SetTimer:
+@dataclass(slots=True, eq=False, repr=False)
+class SetTimer(Record):
     """Request a timer at `at_us`."""
 
     at_us: int
     token: int = 0
 
 
-@dataclass(slots=True)
-class Subscribe:
+@dataclass(slots=True, eq=False, repr=False)
+class Subscribe(Record):
     """Begin or end the subscription to the endpoint list; where lists are polled, poll it once."""
 
     active: bool = True
 
 
-@dataclass(slots=True)
-class FetchList:
+@dataclass(slots=True, eq=False, repr=False)
+class FetchList(Record):
     """Fetch the complete endpoint list."""
 
 
-@dataclass(slots=True)
-class CloseIdle:
+@dataclass(slots=True, eq=False, repr=False)
+class CloseIdle(Record):
     """Close the idle connections to an upstream."""
 
     upstream: int
 
 
-@dataclass(slots=True)
-class SendToPeer:
+@dataclass(slots=True, eq=False, repr=False)
+class SendToPeer(Record):
     """Send a message to another sidecar, or to all."""
 
     payload: bytes
     to: int | None = None  # None = every peer
 
 
-@dataclass(slots=True)
-class Log:
+@dataclass(slots=True, eq=False, repr=False)
+class Log(Record):
     """Write a line to the log."""
 
     text: str
--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -1,7 +1,6 @@
 """Admission control: how much is admitted, from whom, and the priority of a request."""
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 
 from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates, decayed_rate
@@ -10,16 +9,17 @@
 from ryepier.balancer.upstream import PendingRequest
 
 
-@dataclass(slots=True)
 class AdmissionRate:
     """The share of selections in one pool that may take a slot: it falls while all answers are slow."""
 
-    rates_updated_us: int
-    rate: float = 1.0
-    credit: float = 1.0  # selections admitted and not yet used
-    load: float = 0.0  # moving average of the latency, relative to the slow one
-    send_rate: float = 0.0  # attempts per second
-    burst_rate: float = 0.0  # the same over the last moments only
+    def __init__(self, rates_updated_us: int) -> None:
+        """Start with full admission, without measurements, at `rates_updated_us`."""
+        self.rates_updated_us = rates_updated_us
+        self.rate = 1.0
+        self.credit = 1.0  # selections admitted and not yet used
+        self.load = 0.0  # moving average of the latency, relative to the slow one
+        self.send_rate = 0.0  # attempts per second
+        self.burst_rate = 0.0  # the same over the last moments only
 
     def add_credit(self) -> None:
         """Count one request that wants a slot."""
--- a/ryepier/balancer/concurrency.py
+++ b/ryepier/balancer/concurrency.py
@@ -1,16 +1,15 @@
 """Adaptive concurrency limit of one upstream, from the load that its answers show."""
 
-from dataclasses import dataclass
-
 from ryepier.balancer import tuning
 
 
-@dataclass(slots=True)
 class ConcurrencyLimit:
     """How many attempts may be in flight at an upstream; below 1 it is ejected between attempts."""
 
-    limit: float = 1.0
-    growing_fast: bool = False  # until its first slow answer or fault
+    def __init__(self) -> None:
+        """Start with one slot."""
+        self.limit = 1.0
+        self.growing_fast = False  # until its first slow answer or fault
 
     def update(self, load: float, faulty: bool, needed: bool) -> None:
         """Adjust the limit after an attempt.
--- a/ryepier/balancer/events.py
+++ b/ryepier/balancer/events.py
@@ -8,6 +8,8 @@
 import enum
 from dataclasses import dataclass, field
 
+from ryepier.balancer.records import Record
+
 
 class Outcome(enum.Enum):
     """How one attempt or probe ended."""
@@ -40,8 +42,8 @@
     FAILED = "failed"  # a call failed or the subscription broke; the list stays as it was
 
 
-@dataclass(slots=True)
-class Upstream:
+@dataclass(slots=True, eq=False, repr=False)
+class Upstream(Record):
     """One entry of the upstream list."""
 
     id: int
@@ -53,8 +55,8 @@
     started_us: int = 0  # its most recent start; 0 = long ago
 
 
-@dataclass(slots=True)
-class UpstreamsUpdated:
+@dataclass(slots=True, eq=False, repr=False)
+class UpstreamsUpdated(Record):
     """The upstream list, changes to it, or the failure to get it."""
 
     kind: ListKind
@@ -63,8 +65,8 @@
     silent_us: int = 0  # FAILED: time without a valid message, where that is known
 
 
-@dataclass(slots=True)
-class RequestArrived:
+@dataclass(slots=True, eq=False, repr=False)
+class RequestArrived(Record):
     """A client's request has arrived and needs a final answer."""
 
     request: int
@@ -78,15 +80,15 @@
     write: bool = False
 
 
-@dataclass(slots=True)
-class ClientDisconnected:
+@dataclass(slots=True, eq=False, repr=False)
+class ClientDisconnected(Record):
     """The client has disconnected; the request needs no answer any more."""
 
     request: int
 
 
-@dataclass(slots=True)
-class AttemptEnded:
+@dataclass(slots=True, eq=False, repr=False)
+class AttemptEnded(Record):
     """An attempt has ended after `elapsed_us`."""
 
     request: int
@@ -98,8 +100,8 @@
     report: list[float] = field(default_factory=list)  # values in the order of `report_names`
 
 
-@dataclass(slots=True)
-class StreamStarted:
+@dataclass(slots=True, eq=False, repr=False)
+class StreamStarted(Record):
     """A streamed answer has begun; the request can't be sent again."""
 
     request: int
@@ -108,8 +110,8 @@
     elapsed_us: int = 0
 
 
-@dataclass(slots=True)
-class ProbeEnded:
+@dataclass(slots=True, eq=False, repr=False)
+class ProbeEnded(Record):
     """A health probe has ended after `elapsed_us`."""
 
     upstream: int
@@ -118,23 +120,23 @@
     report: list[float] = field(default_factory=list)
 
 
-@dataclass(slots=True)
-class TimerFired:
+@dataclass(slots=True, eq=False, repr=False)
+class TimerFired(Record):
     """A timer requested by `SetTimer` has fired."""
 
     token: int
 
 
-@dataclass(slots=True)
-class PeerMessage:
+@dataclass(slots=True, eq=False, repr=False)
+class PeerMessage(Record):
     """A message from another sidecar."""
 
     sender: int
     payload: bytes
 
 
-@dataclass(slots=True)
-class Advice:
+@dataclass(slots=True, eq=False, repr=False)
+class Advice(Record):
     """A plan's advice on one upstream, scaled by the sidecar's current confidence in the plan."""
 
     upstream: int
@@ -143,8 +145,8 @@
     ejected: bool = False  # no new requests while there are others
 
 
-@dataclass(slots=True)
-class PlanUpdated:
+@dataclass(slots=True, eq=False, repr=False)
+class PlanUpdated(Record):
     """A new plan, which replaces all earlier advice. It bounds and informs the decisions; the upstream of a
     request is still selected by the sidecar. Upstreams that are not listed get no advice."""
 
@@ -155,8 +157,8 @@
     class_admission: list[float] = field(default_factory=list)
 
 
-@dataclass(slots=True)
-class RetryStormUpdated:
+@dataclass(slots=True, eq=False, repr=False)
+class RetryStormUpdated(Record):
     """Whether there is a retry storm, and how to admit retries in it; replaces earlier reports. Lists are
     indexed by `RequestArrived.retry_number`, with the last entry for all beyond; first attempts are always
     admitted."""
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -1,7 +1,5 @@
 """Feedback: what an ended attempt shows of its upstream and of the pool."""
 
-from dataclasses import dataclass
-
 from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
 from ryepier.balancer.events import Outcome
@@ -12,13 +10,16 @@
 SHOWS_LOAD = (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED)
 
 
-@dataclass(slots=True)
 class AttemptFeedback:
     """Adapts concurrency limits, ejections, slow start and admission to ended attempts."""
 
-    estimates: RequestEstimates
-    outliers: OutlierDetector
-    membership: Membership
+    def __init__(
+        self, estimates: RequestEstimates, outliers: OutlierDetector, membership: Membership
+    ) -> None:
+        """Adapt the parts of one balancer."""
+        self.estimates = estimates
+        self.outliers = outliers
+        self.membership = membership
 
     def observe(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
         """Free the slot of an attempt and update the measurements with it; `slots_needed` if it was sent in a
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -2,7 +2,6 @@
 
 import enum
 from collections.abc import Iterable
-from dataclasses import dataclass
 from random import Random
 
 from ryepier.balancer import tuning
@@ -21,15 +20,18 @@
     FAULTY = enum.auto()  # more faults than chance explains
 
 
-@dataclass(slots=True)
 class OutlierDetector:
     """Detects upstreams that fail, hang or reject a class, and ejects them; the state is the upstreams'."""
 
-    settings: Settings
-    estimates: RequestEstimates
-    membership: Membership
-    random: Random
-    last_ejection_ends_us: int = 0  # the latest end of an ejection for a class
+    def __init__(
+        self, settings: Settings, estimates: RequestEstimates, membership: Membership, random: Random
+    ) -> None:
+        """Start without ejections."""
+        self.settings = settings
+        self.estimates = estimates
+        self.membership = membership
+        self.random = random
+        self.last_ejection_ends_us = 0  # the latest end of an ejection for a class
 
     def observe_fault(self, attempt: Attempt) -> FaultVerdict:
         """Count whether an attempt failed at once or had a malformed response.
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -1,6 +1,5 @@
 """Retries: whether and when a request may have another attempt, or its client come back."""
 
-from dataclasses import dataclass
 from random import Random
 
 from ryepier.balancer import tuning
@@ -13,14 +12,15 @@
 RETRIED = (*FAULTS, Outcome.TIMEOUT)
 
 
-@dataclass(slots=True)
 class RetryPolicy:
     """Decides whether, when and where a request may have another attempt; owns the retry budget."""
 
-    settings: Settings
-    estimates: RequestEstimates
-    random: Random
-    budget: float = tuning.MAX_RETRY_BUDGET  # retries saved up
+    def __init__(self, settings: Settings, estimates: RequestEstimates, random: Random) -> None:
+        """Start with a full budget."""
+        self.settings = settings
+        self.estimates = estimates
+        self.random = random
+        self.budget = tuning.MAX_RETRY_BUDGET  # retries saved up
 
     def may_send(self, request: PendingRequest, now_us: int) -> bool:
         """Return whether another attempt is allowed now, as far as that does not depend on the upstream."""
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -1,7 +1,6 @@
 """Selection: a weighted random choice among the upstreams that have a free slot."""
 
 from collections.abc import Iterable
-from dataclasses import dataclass
 from random import Random
 from typing import NamedTuple
 
@@ -21,15 +20,23 @@
     weight: float
 
 
-@dataclass(slots=True)
 class Selector:
     """Chooses the upstream of an attempt among the listed ones, by the rules of `retries`."""
 
-    membership: Membership
-    retries: RetryPolicy
-    outliers: OutlierDetector
-    estimates: RequestEstimates
-    random: Random
+    def __init__(
+        self,
+        membership: Membership,
+        retries: RetryPolicy,
+        outliers: OutlierDetector,
+        estimates: RequestEstimates,
+        random: Random,
+    ) -> None:
+        """Select by the parts of one balancer, and draw from its generator."""
+        self.membership = membership
+        self.retries = retries
+        self.outliers = outliers
+        self.estimates = estimates
+        self.random = random
 
     def select(self, request: PendingRequest, now_us: int) -> TrackedUpstream | None:
         """Return an upstream with a free slot, at random, or None.
--- a/ryepier/balancer/settings.py
+++ b/ryepier/balancer/settings.py
@@ -8,6 +8,8 @@
 import enum
 from dataclasses import dataclass, field
 
+from ryepier.balancer.records import Record
+
 
 class Idempotency(enum.Enum):
     """Whether and where a request that may have run may be sent again, from the least strict on."""
@@ -30,8 +32,8 @@
         raise ValueError(f"expected {expected}, got {got!r}")
 
 
-@dataclass(slots=True)
-class RequestClass:
+@dataclass(slots=True, eq=False, repr=False)
+class RequestClass(Record):
     """One class of requests."""
 
     name: str
@@ -75,8 +77,8 @@
         )
 
 
-@dataclass(slots=True)
-class Tenant:
+@dataclass(slots=True, eq=False, repr=False)
+class Tenant(Record):
     """One tenant and the request rate that is within its quota, over all sidecars together."""
 
     name: str
@@ -89,8 +91,8 @@
         _require(0 <= self.share <= 1, "a tenant share from 0 to 1", self.share)
 
 
-@dataclass(slots=True)
-class Settings:
+@dataclass(slots=True, eq=False, repr=False)
+class Settings(Record):
     """Settings of the operator; the same for all sidecars but for `self_index` and `zone`."""
 
     classes: list[RequestClass]
--- a/ryepier/balancer/upstream.py
+++ b/ryepier/balancer/upstream.py
@@ -13,7 +13,7 @@
 FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED_RESPONSE)
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ClassHealth:
     """How an upstream treats one request class: it may be healthy for all classes but some."""
 
@@ -23,7 +23,7 @@
     rejection_share: float = 0.0  # moving average of the rejected attempts
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class TrackedUpstream:
     """What this sidecar knows of one ready upstream; new ones have one open slot and no measurements."""
 
@@ -42,7 +42,7 @@
     logged_ejected: bool = False
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class Attempt:
     """One attempt of a request at an upstream."""
 
@@ -58,7 +58,7 @@
     outcome: Outcome | None = None  # None while in flight
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class PendingRequest:
     """A request without a final answer, or with an attempt still in flight."""
 
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -47,7 +47,7 @@
         """Call `callback` after `delay` seconds, unless it is cancelled first."""
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TrackedAttempt:
     """An attempt of an open request."""
 
@@ -63,7 +63,7 @@
         return self.outcome is not None
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class OpenRequest:
     """A request without a final answer, or with an attempt in flight."""
 
@@ -80,7 +80,7 @@
         return self.request.due_us
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class UnservedLine:
     """Log line of a request that was not served; rendered only if it is written, as most are not in an overload."""
 
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-import ipaddress
 import logging
+import socket
 from typing import Any, NamedTuple
 
 from ryepier.balancer.interface import ListKind, Upstream, UpstreamState, UpstreamsUpdated
@@ -31,7 +31,11 @@
     host, port = parse_address(text)
     if port > MAX_PORT:
         raise ValueError(f"no port: {text!r}")
-    return str(ipaddress.IPv4Address(host)), port
+    try:
+        socket.inet_pton(socket.AF_INET, host)
+    except OSError:
+        raise ValueError(f"no IPv4 address: {host!r}") from None
+    return host, port
 
 
 class EndpointListError(RyepierError):
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -6,7 +6,6 @@
 import re
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple, Protocol
-from urllib.parse import quote
 
 from ryepier.balancer.interface import Idempotency, Settings
 from ryepier.errors import RyepierError
@@ -59,6 +58,7 @@
         IDEMPOTENCY_KEY_HEADER,
     )
 )
+UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_.-~")  # bytes of a URL
 IDENTIFIER = re.compile(rb"[!-~]{1,128}")
 HEADER_VALUE = re.compile(rb"[\t -~]*")
 NAME_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
@@ -124,11 +124,16 @@
     return found
 
 
+def percent_encode(name: str) -> bytes:
+    """Return a name as a path carries it. `urllib.parse` would take three percent of the sidecar's start."""
+    return b"".join(b"%c" % byte if byte in UNRESERVED else b"%%%02X" % byte for byte in name.encode())
+
+
 def index_by_spelling(names: Sequence[str]) -> dict[bytes, int]:
     """Return the index of each name by its spellings in a header or path: UTF-8, Latin-1, percent-encoded."""
     found = {name.encode(): index for index, name in enumerate(names)}
     for index, name in enumerate(names):
-        found.setdefault(quote(name, safe="").encode(), index)
+        found.setdefault(percent_encode(name), index)
         if all(ord(letter) < LATIN_1_SIZE for letter in name):
             found.setdefault(name.encode("latin-1"), index)
     return found
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -8,6 +8,7 @@
 from typing import Protocol
 
 from ryepier.balancer import interface as api
+from ryepier.balancer.records import Record
 from ryepier.sidecar.system import Address as Address
 
 Header = tuple[bytes, bytes]
@@ -18,8 +19,8 @@
     return False
 
 
-@dataclass(slots=True)
-class ClientRequest:
+@dataclass(slots=True, eq=False, repr=False)
+class ClientRequest(Record):
     """A request of the application, as it was read. Times are in microseconds."""
 
     method: bytes
@@ -49,8 +50,8 @@
     FAILED = "failed"
 
 
-@dataclass(slots=True)
-class FinalAnswer:
+@dataclass(slots=True, eq=False, repr=False)
+class FinalAnswer(Record):
     """The one final answer to a request."""
 
     outcome: FinalOutcome
@@ -60,8 +61,8 @@
     status: int = 200  # of the upstream's response, where it served
 
 
-@dataclass(slots=True)
-class AttemptResult:
+@dataclass(slots=True, eq=False, repr=False)
+class AttemptResult(Record):
     """How an attempt ended."""
 
     outcome: api.Outcome
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -138,6 +138,7 @@
     "actions",
     "events",
     "interface",
+    "records",
     "settings",
     "settings_parser",
     "simulator_adapter",
