--- a/ryepier/assembly/endpoint_slices.py
+++ b/ryepier/assembly/endpoint_slices.py
@@ -29,7 +29,7 @@
 
     settings = source_settings(operators.slices, config)
     log.info(
-        "the list comes from the EndpointSlices of %s/%s; the platform's discovery is not asked",
+        "EndpointSlices of %s/%s replace the platform's discovery",
         settings.namespace,
         settings.service,
     )
--- a/ryepier/balancer/actions.py
+++ b/ryepier/balancer/actions.py
@@ -90,6 +90,7 @@
     """Write a line to the log."""
 
     text: str
+    upstream: int | None = None  # that the line is about
 
 
 Action = (
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -305,13 +305,13 @@
                 ends_us.append(end_us)
         return ends_us
 
-    def log(self, text: str) -> bool:
+    def log(self, text: str, upstream: int | None = None) -> bool:
         """Emit a log line unless one was emitted within `LOG_INTERVAL_US`. Returns whether it was emitted; if
         not, the caller logs the change later if it lasts."""
         if self.now_us < self.next_log_us:
             return False
         self.next_log_us = self.now_us + tuning.LOG_INTERVAL_US
-        self.actions.append(api.Log(text))
+        self.actions.append(api.Log(text, upstream))
         return True
 
     def log_overload(self, overloaded: bool) -> None:
@@ -327,5 +327,7 @@
         ejected = upstream.concurrency.limit < threshold
         if ejected == upstream.logged_ejected:
             return
-        if self.log(f"upstream {upstream.entry.id} {'ejected' if ejected else 'restored'}"):
+        upstream_id = upstream.entry.id
+        text = f"upstream {upstream_id} ejected" if ejected else f"upstream {upstream_id} restored"
+        if self.log(text, upstream_id):
             upstream.logged_ejected = ejected
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -24,6 +24,7 @@
     Report,
     Term,
     encode,
+    term_fields,
 )
 from ryepier.plan.plan_follower import AcceptanceRules, PlanFollower, PlanRejection
 from ryepier.plan.reporter import Reporter
@@ -244,10 +245,14 @@
         """Follow a plan if it is accepted."""
         rejection = self.follower.accept_plan(self.machine.clock_us(), plan, set(self.sidecar.upstream_ids()))
         if rejection and rejection != self.last_rejection:
-            log.warning("plan of %s, epoch %d, rejected: %s", plan.term.planner, plan.term.epoch, rejection)
+            fields = term_fields(plan.term)
+            log.warning(
+                "plan of %s, epoch %d, rejected: %s", plan.term.planner, plan.term.epoch, rejection, extra=fields
+            )
         elif not rejection and plan.term != self.followed_term:
             self.followed_term = plan.term
-            log.info("following plans of %s, epoch %d", plan.term.planner, plan.term.epoch)
+            fields = term_fields(plan.term)
+            log.info("following plans of %s, epoch %d", plan.term.planner, plan.term.epoch, extra=fields)
         self.last_rejection = rejection
         if not rejection:
             self.publish_advice()
--- a/ryepier/plan/messages.py
+++ b/ryepier/plan/messages.py
@@ -34,6 +34,11 @@
     planner: str = ""
 
 
+def term_fields(term: Term) -> dict[str, str | int]:
+    """Return the fields of a log line about a term."""
+    return {"term": term.epoch, "planner": term.planner}
+
+
 class Hello(msgspec.Struct, tag="hello", tag_field="type", frozen=True):
     """The first message of a forwarder or of a planner's peer."""
 
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -22,6 +22,7 @@
     Rejection,
     Report,
     encode,
+    term_fields,
 )
 from ryepier.plan.plan_computation import Planner
 from ryepier.plan.plan_follower import AcceptanceRules
@@ -182,6 +183,7 @@
                 "snapshot of epoch %d restored, %d converters ejected or recovering",
                 restored.term.epoch,
                 len(restored.statuses),
+                extra=term_fields(restored.term),
             )
 
     def forwarders(self) -> int:
@@ -239,7 +241,9 @@
         is_leader = self.leadership.tick(now_us, active, has_enough_evidence)
         if is_leader != self.was_leader:  # it may have stepped down between two ticks, on a heartbeat
             self.was_leader = is_leader
-            log.info("leads, epoch %d" if is_leader else "follows, epoch %d", self.leadership.highest_term.epoch)
+            term = self.leadership.highest_term
+            line = "leads, epoch %d" if is_leader else "follows, epoch %d"
+            log.info(line, term.epoch, extra=term_fields(term))
             self.number, self.last_plan = 0, None
         heartbeat = encode(Heartbeat(self.leadership.highest_term, is_leader, len(active)))
         for link in list(self.links):
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -104,7 +104,7 @@
             self._on_dial_failed(connection, attempt)
         # Boundary: whatever goes wrong, the attempt ends and its descriptor is free.
         except Exception as error:  # noqa: BLE001
-            log.warning("connection to upstream %d failed: %r", upstream, error)
+            log.warning("connection to upstream %d failed: %r", upstream, error, extra={"upstream": upstream})
             self._on_dial_failed(connection, attempt)
 
     def _on_dial_failed(self, connection: UpstreamConnection | None, attempt: UpstreamAttempt) -> None:
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -260,7 +260,7 @@
             case api.Subscribe():
                 self.subscribe(action.active)
             case api.Log():
-                log.info("%s", action.text)
+                log.info("%s", action.text, extra={} if action.upstream is None else {"upstream": action.upstream})
             case _:
                 log.warning("action %s is not supported", type(action).__name__)
 
@@ -298,7 +298,12 @@
 
     def _log_unserved(self, opened: OpenRequest, answer: FinalAnswer) -> None:
         line = UnservedLine(opened, answer.outcome, clock_us() - opened.request.arrived_us)
-        log.info("%s", line, extra={"request": line.request_id, "outcome": answer.outcome.value})
+        fields = {
+            "request": line.request_id,
+            "outcome": answer.outcome.value,
+            "upstreams": [attempt.upstream for attempt in opened.attempts],
+        }
+        log.info("%s", line, extra=fields)
 
     def _close(self, opened: OpenRequest) -> None:
         """Record that a request needs no answer any more, and cancel what has not been written yet."""
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -100,6 +100,7 @@
             event.version,
             kind.value,
             " ".join(f"{target['uid']}={entry.id}:{entry.state.value}" for target, entry in numbered),
+            extra={"version": event.version},
         )
         return EndpointUpdate(event, {endpoint.upstream.id: endpoint.address for endpoint in listed})
 
--- a/ryepier/sidecar/endpoint_watch.py
+++ b/ryepier/sidecar/endpoint_watch.py
@@ -73,7 +73,8 @@
             transport.abort()
             return
         self.state = WatchState.WAITING
-        log.info("endpoint watch opened since version %d", self.client.version)
+        version = self.client.version
+        log.info("endpoint watch opened since version %d", version, extra={"version": version})
         transport.write(watch_request(self.client.address, self.client.version))
 
     def data_received(self, data: bytes) -> None:
--- a/ryepier/sidecar/upstream_connection.py
+++ b/ryepier/sidecar/upstream_connection.py
@@ -267,7 +267,7 @@
             self.upstream,
             self.idle_us // 1000,
             received_bytes,
-            extra={"request": request_id},
+            extra={"request": request_id, "upstream": self.upstream},
         )
 
     def eof_received(self) -> None:
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -219,7 +219,8 @@
                 for entry, address in entries[:MAX_LOGGED_ENTRIES]
             )
             more = f" and {len(entries) - MAX_LOGGED_ENTRIES} more" if len(entries) > MAX_LOGGED_ENTRIES else ""
-            log.info("endpoint list %d applied (%s): %s%s", self.version, kind.value, names, more)
+            fields = {"version": self.version}
+            log.info("endpoint list %d applied (%s): %s", self.version, kind.value, names + more, extra=fields)
         upstreams: list[Upstream] = [entry for entry, _ in entries]
         self.listener(
             UpstreamsUpdated(kind, upstreams, self.version), {entry.id: address for entry, address in entries}
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -114,7 +114,8 @@
             await asyncio.sleep(TICK_S)
             report = self.detector.tick(self.clock_us())
             if report.changed:
-                log.warning("a retry storm %s: %s", "opens" if report.event.active else "is over", report.evidence)
+                line = "a retry storm opens: %s" if report.event.active else "a retry storm is over: %s"
+                log.warning(line, report.evidence)
             if report.event != self.last_event:
                 self.last_event = report.event
                 self.publish(report.event)
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -46,11 +46,11 @@
 
     def __str__(self) -> str:
         """Render the evidence for the log."""
-        usual = f"first tries {self.surge:.2f} of the usual" if self.surge else "nothing known as usual"
+        surge = f"first attempts at {self.surge:.2f} of the baseline" if self.surge else "baseline not known"
         ended = "" if self.outage_ended_us is None else f", an outage over {self.outage_ended_us / 1e6:.1f} s ago"
         return (
-            f"{self.demand:.0f} a second come, {self.served:.0f} served, {self.retry_share:.0%} are retries, "
-            f"{usual}{ended}"
+            f"{self.demand:.0f} arrivals per second, {self.served:.0f} served, {self.retry_share:.0%} are retries, "
+            f"{surge}{ended}"
         )
 
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -157,3 +157,54 @@
         for name in functions_that_catch_everything(module, path.read_text())
     }
     assert found == BOUNDARIES
+
+
+LOG_PAGE = (ROOT / "docs" / "operate" / "logs.md").read_text()
+LOG_ROWS = set(re.findall(r"^\| `([^`]+)` \| (\w+) \|", LOG_PAGE, re.M))
+LOG_LEVELS = {"debug": "debug", "info": "info", "warning": "warning", "error": "error", "exception": "error"}
+LOG_PACKAGES = (*EDGE_PACKAGES, "assembly", "fronts", "logs")
+
+
+def texts_of(argument: ast.expr, function: ast.AST) -> set[str]:
+    """Return the texts that an argument may be: a literal, one of two, or a variable that was set to one of these."""
+    if isinstance(argument, ast.Constant):
+        return {str(argument.value)}
+    if isinstance(argument, ast.JoinedStr):
+        parts = [str(part.value) if isinstance(part, ast.Constant) else "{}" for part in argument.values]
+        return {"".join(parts)}
+    if isinstance(argument, ast.IfExp):
+        return texts_of(argument.body, function) | texts_of(argument.orelse, function)
+    assert isinstance(argument, ast.Name), ast.unparse(argument)
+    assigned = [node.value for node in ast.walk(function) if isinstance(node, ast.Assign)]
+    targets = [node.targets[0] for node in ast.walk(function) if isinstance(node, ast.Assign)]
+    values = [value for value, target in zip(assigned, targets, strict=True) if ast.unparse(target) == argument.id]
+    return set().union(*(texts_of(value, function) for value in values))
+
+
+def log_lines(text: str) -> set[tuple[str, str]]:
+    """Return the lines that a module logs, each with its level: of `log`, and of the balancer's own `self.log`."""
+    found = set()
+    for function in ast.walk(ast.parse(text)):
+        if not isinstance(function, ast.FunctionDef | ast.AsyncFunctionDef):
+            continue
+        for call in ast.walk(function):
+            if not isinstance(call, ast.Call) or not isinstance(call.func, ast.Attribute):
+                continue
+            owner = ast.unparse(call.func)
+            level = "info" if owner == "self.log" else LOG_LEVELS.get(owner.removeprefix("log."), "")
+            if owner == "self.log" or (owner.startswith("log.") and level):
+                found |= {(line, level) for line in texts_of(call.args[0], function)}
+    return found
+
+
+def test_the_page_of_log_lines_has_each_line_with_its_level() -> None:
+    # "%s" alone passes on a line of the decision module or an `UnservedLine`, which the page has too.
+    unserved = ("request {} {} after {} of {} ms: {}", "info")
+    logged = {unserved} | {
+        line
+        for module, path in MODULES.items()
+        if module.split(".")[1:2] and module.split(".")[1] in LOG_PACKAGES
+        for line in log_lines(path.read_text())
+    }
+    assert "UnservedLine" in MODULES["ryepier.sidecar.dispatcher"].read_text()
+    assert logged - {("%s", "info")} == LOG_ROWS
