--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -126,7 +126,9 @@
 
     def time(self) -> float:
         """Return the monotonic clock of the running process."""
-        clocks = self._current_clocks()
+        if not self.clocks:
+            return self.now_s
+        clocks = self.clocks.get(OWNER.get())
         return self.now_s if clocks is None else clocks.own(self.now_s)
 
     def unix_s(self) -> float:
