--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -29,6 +29,7 @@
     "slow_start",
     "subsetting",
     "upstream",
+    "wake_ups",
 )
 MODULES: tuple[ModuleType, ...] = (
     *(importlib.import_module(f"ryepier.balancer.{name}") for name in DECISION_MODULES),
