--- a/ryepier/worlds/__init__.py
+++ b/ryepier/worlds/__init__.py
@@ -1,1 +1,1 @@
-"""World files that experiments and the demo play, one TOML file each."""
+"""World files of the experiments and the demo, one TOML file each."""
