--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -24,7 +24,7 @@
 from ryepier.experiments.core.machine import Needs, check_needs, this_machine
 from ryepier.experiments.core.usage import own_usage, resident_bytes
 from ryepier.experiments.scale import lightweight, list_costs, slopes
-from ryepier.experiments.scale.fleet_list import Desk, Listing
+from ryepier.experiments.scale.fleet_list import Listing, WatchServer
 from ryepier.experiments.scale.lightweight import LightweightProcess
 from ryepier.sidecar.discovery import WATCH_RETRY_S
 
@@ -59,7 +59,7 @@
 
     known: int
     count: int
-    desk: Desk
+    server: WatchServer
     child: LightweightProcess
 
     async def settled(self, version: int) -> Any:
@@ -72,7 +72,7 @@
     async def cost(self, version: int, before: Any, bytes_before: int) -> tuple[float, float]:
         """CPU seconds and bytes a sidecar since then, once all have the version."""
         said = await self.settled(version)
-        return (said["cpu_s"] - before["cpu_s"]) / self.count, (self.desk.bytes - bytes_before) / self.count
+        return (said["cpu_s"] - before["cpu_s"]) / self.count, (self.server.bytes - bytes_before) / self.count
 
 
 def needs(scale: Scale) -> Needs:
@@ -95,21 +95,21 @@
 
 @asynccontextmanager
 async def group(host: str, index: int, known: int, count: int, seed: int, plant: str) -> AsyncIterator[Group]:
-    desk = Desk(Listing(known, seed), (host, PORT + index), keeps_revisions=plant != "no-revisions")
-    await desk.open()
+    server = WatchServer(Listing(known, seed), (host, PORT + index), keeps_revisions=plant != "no-revisions")
+    await server.open()
     try:
         async with lightweight.start_process(MODULE, [host, str(PORT + index), str(seed)]) as child:
-            yield Group(known, count, desk, child)
+            yield Group(known, count, server, child)
     finally:
-        desk.close()
+        server.close()
 
 
 async def come_up(one: Group) -> Figures:
     """The first list, and what it leaves in memory."""
     await one.child.read()
-    before, wrote = await one.child.request("memory"), one.desk.bytes
+    before, wrote = await one.child.request("memory"), one.server.bytes
     await one.child.request("start", count=one.count)
-    cpu_s, data = await one.cost(one.desk.listing.registry.rev, before, wrote)
+    cpu_s, data = await one.cost(one.server.listing.registry.rev, before, wrote)
     after = await one.child.request("memory")
     if after["known"] != one.count * one.known:
         raise HarnessError(f"{after['known']} converters known, not {one.count * one.known}")
@@ -122,15 +122,15 @@
 
 async def change_singly(one: Group, count: int) -> Figures:
     """A converter at a time drains, goes and comes back as another; each is told by itself."""
-    listing = one.desk.listing
-    before, wrote = await one.child.request("usage"), one.desk.bytes
+    listing = one.server.listing
+    before, wrote = await one.child.request("usage"), one.server.bytes
     told_us: dict[int, int] = {}
     for turn in range(count):
         if turn % 3 == 0:
             leaving = listing.pick(1)
         listing.change([listing.new()] if turn % 3 == 2 else leaving, ("leaving", "left", "")[turn % 3])
         now_us = monotonic_us()
-        told_us[one.desk.tell_all()] = now_us
+        told_us[one.server.send_changes_to_all()] = now_us
         await asyncio.sleep(CHANGE_EVERY_S)
     cpu_s, data = await one.cost(listing.registry.rev, before, wrote)
     heard = {int(version): at_us for version, at_us in (await one.child.request("late"))["last_us"].items()}
@@ -146,18 +146,18 @@
 
 async def zone_goes(one: Group) -> Figures:
     """An eighth of the converters drains, told in one object, and is gone, told one by one; as many come."""
-    listing = one.desk.listing
+    listing = one.server.listing
     chosen = listing.pick(max(1, one.known // ZONE))
-    before, wrote = await one.child.request("usage"), one.desk.bytes
+    before, wrote = await one.child.request("usage"), one.server.bytes
     listing.change(chosen, "leaving")
-    together_s, together = await one.cost(one.desk.tell_all(), before, wrote)
-    before, wrote = await one.child.request("usage"), one.desk.bytes
+    together_s, together = await one.cost(one.server.send_changes_to_all(), before, wrote)
+    before, wrote = await one.child.request("usage"), one.server.bytes
     for entry in chosen:
         listing.change([entry], "left")
-        one.desk.tell_all()
+        one.server.send_changes_to_all()
     singly_s, singly = await one.cost(listing.registry.rev, before, wrote)
     listing.change([listing.new() for _ in chosen])
-    await one.settled(one.desk.tell_all())
+    await one.settled(one.server.send_changes_to_all())
     return {
         "zone_together_cpu_ms": together_s * 1000,
         "zone_together_bytes": together,
@@ -168,16 +168,16 @@
 
 async def come_again(one: Group) -> Figures:
     """All watches break with nothing missed but one change; then discovery comes back without its revisions."""
-    listing, desk = one.desk.listing, one.desk
+    listing, server = one.server.listing, one.server
     found: Figures = {}
     for name, forgets in (("break", False), ("again", True)):
-        before, wrote = await one.child.request("usage"), desk.bytes
+        before, wrote = await one.child.request("usage"), server.bytes
         if forgets:
-            listing.forget()
+            listing.lose_revisions()
         else:
             listing.change([listing.new()])
-        desk.encoded.clear()
-        desk.cut()
+        server.forget_encoded()
+        server.abort_all()
         cpu_s, found[f"{name}_bytes"] = await one.cost(listing.registry.rev, before, wrote)
         found[f"{name}_cpu_ms"] = cpu_s * 1000
     return found
@@ -185,13 +185,13 @@
 
 async def stand_idle(groups: Sequence[Group], for_s: float) -> list[Figures]:
     """All at once: nothing changes, and the watch's empty lines come."""
-    before, wrote = [await one.child.request("usage") for one in groups], [one.desk.bytes for one in groups]
+    before, wrote = [await one.child.request("usage") for one in groups], [one.server.bytes for one in groups]
     await asyncio.sleep(for_s)
     after = [await one.child.request("usage") for one in groups]
     return [
         {
             "idle_cores": (late["cpu_s"] - early["cpu_s"]) / one.count / for_s,
-            "idle_bytes_per_s": (one.desk.bytes - data) / one.count / for_s,
+            "idle_bytes_per_s": (one.server.bytes - data) / one.count / for_s,
         }
         for one, early, late, data in zip(groups, before, after, wrote, strict=True)
     ]
@@ -218,31 +218,31 @@
 # Discovery's, by the sidecars that come back
 
 
-async def outage(count: int, desk: Desk, children: Sequence[LightweightProcess]) -> Figures:
+async def outage(count: int, server: WatchServer, children: Sequence[LightweightProcess]) -> Figures:
     """Discovery is away for a moment and comes back without its revisions: calls, bytes, and how they come."""
     each = count / len(children)
     before = [await child.request("usage") for child in children]
-    desk.close()
+    server.close()
     await asyncio.sleep(OUTAGE_S)
     away = [await child.request("usage") for child in children]
-    desk.listing.forget()
-    desk.calls_us.clear()
-    desk.bytes = 0
+    server.listing.lose_revisions()
+    server.calls_us.clear()
+    server.bytes = 0
     own = own_usage()
-    await desk.open()
-    back_us, version = monotonic_us(), desk.listing.registry.rev
+    await server.open()
+    back_us, version = monotonic_us(), server.listing.registry.rev
     said = await asyncio.gather(
         *(child.request("until", version=version, within_s=BACK_WITHIN_S) for child in children)
     )
-    calls_s = (np.sort(desk.calls_us) - back_us) / 1e6
+    calls_s = (np.sort(server.calls_us) - back_us) / 1e6
     inside = np.searchsorted(calls_s, calls_s + WINDOW_US / 1e6) - np.arange(len(calls_s))
     back_cpu_s = sum(late["cpu_s"] - early["cpu_s"] for early, late in zip(away, said, strict=True))
     stand_in_s = own_usage().since(own)
     away_s = [late["cpu_s"] - early["cpu_s"] for early, late in zip(before, away, strict=True)]
     return {
         "back": sum(one["have"] for one in said) / count,
-        "calls": float(len(desk.calls_us)),
-        "bytes": float(desk.bytes),
+        "calls": float(len(server.calls_us)),
+        "bytes": float(server.bytes),
         "stand_in_cpu_s": stand_in_s,
         "cpu_ms": 1000 * back_cpu_s / count,
         # as if each sidecar had a core: its next dial, discovery's writing to all, and its own list
@@ -256,8 +256,8 @@
 async def by_fleet(seed: int, scale: Scale, plant: str) -> dict[int, Figures]:
     """One fleet that grows, an outage at each size."""
     host = f"127.{find_network()}.254.2"
-    desk = Desk(Listing(FLEET_KNOWS[scale], seed), (host, PORT), keeps_revisions=plant != "no-revisions")
-    await desk.open()
+    server = WatchServer(Listing(FLEET_KNOWS[scale], seed), (host, PORT), keeps_revisions=plant != "no-revisions")
+    await server.open()
     rows: dict[int, Figures] = {}
     try:
         async with AsyncExitStack() as stack:
@@ -274,15 +274,15 @@
                 there = count
                 said = await asyncio.gather(
                     *(
-                        child.request("until", version=desk.listing.registry.rev, within_s=BACK_WITHIN_S)
+                        child.request("until", version=server.listing.registry.rev, within_s=BACK_WITHIN_S)
                         for child in children
                     )
                 )
                 if sum(one["have"] for one in said) < count:
                     raise HarnessError(f"{count} hollow sidecars did not come up")
-                rows[count] = await outage(count, desk, children)
+                rows[count] = await outage(count, server, children)
     finally:
-        desk.close()
+        server.close()
     return rows
 
 
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -31,7 +31,7 @@
     SIDECAR_BYTES,
     Figures,
 )
-from ryepier.experiments.scale.fleet_list import Desk, Listing
+from ryepier.experiments.scale.fleet_list import Listing, WatchServer
 from ryepier.experiments.scale.lightweight import LightweightProcess
 
 KNOWN = 1600
@@ -58,7 +58,7 @@
 class Fleet:
     """LightweightForwarder sidecars of several processes, all at one discovery."""
 
-    desk: Desk
+    server: WatchServer
     children: Sequence[LightweightProcess]
     known: int  # converters that each knows
     count: int = 0
@@ -68,7 +68,7 @@
 
     async def settled(self) -> list[Any]:
         """Once all have the list as it is. Raises HarnessError where they do not."""
-        said = await self.request("until", version=self.desk.listing.registry.rev, within_s=TOLD_WITHIN_S)
+        said = await self.request("until", version=self.server.listing.registry.rev, within_s=TOLD_WITHIN_S)
         if (have := sum(one["have"] for one in said)) < self.count:
             raise HarnessError(f"{have} of {self.count} hollow sidecars have the list")
         return said
@@ -80,21 +80,21 @@
 
     async def lose(self, changes: int, singly: bool = True) -> Figures:
         """So many converters drain, told one by one or all in one message; then others take their places."""
-        desk, listing = self.desk, self.desk.listing
+        server, listing = self.server, self.server.listing
         chosen = listing.pick(changes)
-        before, wrote, own = await self.request("usage"), desk.bytes, own_usage()
+        before, wrote, own = await self.request("usage"), server.bytes, own_usage()
         begun_us = monotonic_us()
         for entry in chosen if singly else ():
             listing.change([entry], "leaving")
-            desk.tell_all()
+            server.send_changes_to_all()
             await asyncio.sleep(0)
         if not singly:
             listing.change(chosen, "leaving")
-            desk.tell_all()
+            server.send_changes_to_all()
         said = await self.settled()
         found = {
             "stand_in_cpu_s": own_usage().since(own),
-            "bytes": (desk.bytes - wrote) / self.count,
+            "bytes": (server.bytes - wrote) / self.count,
             "last_s": (max(one["last_us"] for one in said) - begun_us) / 1e6,
             "cpu_ms": 1000
             * sum(late["cpu_s"] - early["cpu_s"] for early, late in zip(before, said, strict=True))
@@ -108,7 +108,7 @@
         }
         listing.change(chosen, "left")
         listing.change([listing.new() for _ in chosen])
-        desk.tell_all()
+        server.send_changes_to_all()
         await self.settled()
         return found
 
@@ -117,8 +117,8 @@
 async def fleet_of(known: int, seed: int, plant: str) -> AsyncIterator[Fleet]:
     """Processes that are up, without a sidecar yet."""
     host = f"127.{find_network()}.254.2"
-    desk = Desk(Listing(known, seed), (host, PORT))
-    await desk.open()
+    server = WatchServer(Listing(known, seed), (host, PORT))
+    await server.open()
     try:
         async with AsyncExitStack() as stack:
             children = [
@@ -129,9 +129,9 @@
             ]
             for child in children:
                 await child.read()
-            yield Fleet(desk, children, known)
+            yield Fleet(server, children, known)
     finally:
-        desk.close()
+        server.close()
 
 
 async def play(seed: int, scale: Scale, plant: str) -> Figures:
--- a/ryepier/experiments/scale/lightweight_sidecar.py
+++ b/ryepier/experiments/scale/lightweight_sidecar.py
@@ -1,8 +1,8 @@
-"""Lightweight sidecars, hundreds per process: decision module and watch of real ones, without requests.
+"""Lightweight sidecars, hundreds per process: the decision module and the watch of real ones, without requests.
 
-`python -m ryepier.experiments.scale.lightweight_sidecar HOST PORT SEED [FAULT]`; commands, a line each: `start` a
-number, `until` all have a version of the list, `usage`, `memory`, `late`. See ryepier.experiments.scale.lightweight for
-the form.
+`python -m ryepier.experiments.scale.lightweight_sidecar HOST PORT SEED [SEEDED_FAULT]` reads a command per line, as
+`lightweight.LightweightProcess` sends them: `start` a number of sidecars, wait `until` all have a version of the list,
+`usage`, `memory`, and `late`, the times at which the last had each version.
 """
 
 from __future__ import annotations
@@ -28,134 +28,140 @@
 from ryepier.sidecar.logs import RateLimitFilter
 from ryepier.sidecar.system import clock_us
 
-DIALS_GAP_S = 0.002  # between two starts: discovery's listener is not what is measured there
-LOOK_EVERY_S = 0.01
+START_INTERVAL_S = 0.002  # between two starts, as the speed of discovery's listener is not measured
+POLL_INTERVAL_S = 0.01
 IDLE_US = 10_000_000
 SOCKETS = 1024
+MAX_CONNECTIONS = SOCKETS * 3 // 8
 CLASSES = [
     RequestClass("read", 100_000, 500_000),
     RequestClass("write", 300_000, 1_000_000),
     RequestClass("batch", 600_000, 1_500_000),
 ]
-FLEET = 1600
+FLEET_SIZE = 1600
 ZONES = [f"zone-{number}" for number in range(8)]
 KINDS = ["m1", "m2"]
 
 
-class Book:
-    """What all of a process were told: how many have each version, and when the last came to have it."""
+class VersionCounts:
+    """How many sidecars of this process have each version of the list, and when the last of them had it."""
 
     def __init__(self) -> None:
+        """Start without sidecars."""
         self.having: Counter[int] = Counter()
         self.last_us: dict[int, int] = {}
         self.entries = 0
 
-    def note(self, before: int, event: UpstreamsUpdated) -> None:
-        self.having[before] -= 1
+    def on_update(self, previous_version: int, event: UpstreamsUpdated) -> None:
+        """Count one sidecar's update."""
+        self.having[previous_version] -= 1
         self.having[event.version] += 1
         self.last_us[event.version] = clock_us()
         self.entries += len(event.upstreams)
 
 
-class Told(RequestDispatcher):
-    """The sidecar's host, which writes down what it was told once the module has it."""
+class CountingDispatcher(RequestDispatcher):
+    """A sidecar's dispatcher, which counts updates of the list once the decision module has them."""
 
-    book: Book
+    counts: VersionCounts
     version = 0
 
     def on_endpoints(self, event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+        """Handle an update, and count it."""
         super().on_endpoints(event, addresses)
-        self.book.note(self.version, event)
+        self.counts.on_update(self.version, event)
         self.version = event.version
 
 
-class Sidecars:
-    """Those of this process."""
+class LightweightSidecars:
+    """The sidecars of this process, and the commands that they take."""
 
     def __init__(self, discovery: tuple[str, int], seed: int) -> None:
+        """Start without sidecars."""
         self.discovery = discovery
         self.seed = seed
-        self.book = Book()
-        self.hosts: list[Told] = []
-
-    def start_one(self) -> None:
-        settings = Settings(CLASSES, instances=FLEET, max_attempts=3, overload_factor=1.5, warm_up_us=5_000_000)
-        config = Config(
-            ("127.0.0.1", 0),
-            self.discovery,
-            self.seed + len(self.hosts),
-            SOCKETS,
-            settings,
-            ZONES,
-            KINDS,
-            IDLE_US,
-            None,
-        )
-        host = Told(
-            settings,
-            config.seed,
-            ConnectionPool(IDLE_US, settings.connect_timeout_us, max_connections=SOCKETS * 3 // 8),
-        )
-        host.book = self.book
-        source = discovery_source(config, host)
-        host.subscribe = source.subscribe
-        host.start()
-        source.start()
-        self.hosts.append(host)
+        self.counts = VersionCounts()
+        self.dispatchers: list[CountingDispatcher] = []
+
+    async def run(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Run one command, and return its answer. Raises KeyError for an unknown one."""
+        if command["do"] == "start":
+            return await self.start(int(command["count"]))
+        if command["do"] == "until":
+            return await self.wait_for(int(command["version"]), float(command["within_s"]))
+        queries: dict[str, Callable[[], dict[str, Any]]] = {
+            "late": self.last_times,
+            "memory": self.memory,
+            "usage": self.usage,
+        }
+        return queries[command["do"]]()
 
     async def start(self, count: int) -> dict[str, Any]:
+        """Start so many more, and return the usage."""
         for _ in range(count):
-            self.start_one()
-            self.book.having[0] += 1
-            await asyncio.sleep(DIALS_GAP_S)
+            self._start_one()
+            self.counts.having[0] += 1
+            await asyncio.sleep(START_INTERVAL_S)
         return self.usage()
 
-    async def until(self, version: int, within_s: float) -> dict[str, Any]:
-        """Until all have it, or the time is out."""
-        ends_s = time.monotonic() + within_s
-        while self.book.having[version] < len(self.hosts) and time.monotonic() < ends_s:
-            await asyncio.sleep(LOOK_EVERY_S)
-        return self.usage() | {"have": self.book.having[version], "last_us": self.book.last_us.get(version, 0)}
+    def _start_one(self) -> None:
+        seed = self.seed + len(self.dispatchers)
+        settings = Settings(CLASSES, instances=FLEET_SIZE, max_attempts=3, overload_factor=1.5, warm_up_us=5_000_000)
+        config = Config(("127.0.0.1", 0), self.discovery, seed, SOCKETS, settings, ZONES, KINDS, IDLE_US, None)
+        pool = ConnectionPool(IDLE_US, settings.connect_timeout_us, max_connections=MAX_CONNECTIONS)
+        dispatcher = CountingDispatcher(settings, seed, pool)
+        dispatcher.counts = self.counts
+        source = discovery_source(config, dispatcher)
+        dispatcher.subscribe = source.subscribe
+        dispatcher.start()
+        source.start()
+        self.dispatchers.append(dispatcher)
+
+    async def wait_for(self, version: int, within_s: float) -> dict[str, Any]:
+        """Wait until all have a version or the time is over, and return how many have it and since when."""
+        deadline_s = time.monotonic() + within_s
+        while self.counts.having[version] < len(self.dispatchers) and time.monotonic() < deadline_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        having = self.counts.having[version]
+        return self.usage() | {"have": having, "last_us": self.counts.last_us.get(version, 0)}
 
     def usage(self) -> dict[str, Any]:
-        return dataclasses.asdict(own_usage()) | {"entries": self.book.entries}
+        """Return CPU time, memory, and the entries received."""
+        return dataclasses.asdict(own_usage()) | {"entries": self.counts.entries}
 
     def memory(self) -> dict[str, Any]:
-        """Once what nobody holds is gone. Hazard: looking for it costs CPU, so no other figure waits for it."""
-        gc.collect()
-        return self.usage() | {"known": sum(len(host.balancer.membership.by_id) for host in self.hosts)}
+        """Return the usage without garbage, and the converters known to all sidecars together.
 
-    def late(self) -> dict[str, Any]:
-        """When the last of this process came to have each version, on the machine's clock."""
-        return {"last_us": self.book.last_us}
+        The collection costs CPU time, so no other figure uses this command.
+        """
+        gc.collect()
+        known = sum(len(dispatcher.balancer.membership.by_id) for dispatcher in self.dispatchers)
+        return self.usage() | {"known": known}
 
-    async def do(self, line: dict[str, Any]) -> dict[str, Any]:
-        if line["do"] == "start":
-            return await self.start(int(line["count"]))
-        if line["do"] == "until":
-            return await self.until(int(line["version"]), float(line["within_s"]))
-        told: dict[str, Callable[[], dict[str, Any]]] = {"late": self.late, "memory": self.memory, "usage": self.usage}
-        return told[line["do"]]()
+    def last_times(self) -> dict[str, Any]:
+        """Return when the last sidecar of this process had each version, on the machine's clock."""
+        return {"last_us": self.counts.last_us}
 
 
-async def serve(sidecars: Sidecars) -> None:
+async def serve(sidecars: LightweightSidecars) -> None:
+    """Answer commands until the end of standard input."""
     loop = asyncio.get_running_loop()
     print(json.dumps(sidecars.usage()), flush=True)
     while line := await loop.run_in_executor(None, sys.stdin.readline):
-        print(json.dumps(await sidecars.do(json.loads(line))), flush=True)
+        print(json.dumps(await sidecars.run(json.loads(line))), flush=True)
 
 
 def main() -> None:
-    # the log costs a sidecar what it costs, so it is written here too, as far as its limit lets it
-    host, port, seed, *plants = sys.argv[1:]
-    if any(plants):
-        from ryepier.experiments import seeded_faults  # heavy: only where it is used
-
-        seeded_faults.SEEDED_FAULTS[plants[0]]()
-    with open(os.devnull, "w", encoding="utf-8") as nowhere:
-        logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=nowhere)
+    """Install the seeded fault, if one is named, and serve with a log as a sidecar has it."""
+    host, port, seed, *faults = sys.argv[1:]
+    if any(faults):
+        from ryepier.experiments import seeded_faults  # heavy, and usually not needed
+
+        seeded_faults.SEEDED_FAULTS[faults[0]]()
+    with open(os.devnull, "w", encoding="utf-8") as discarded:
+        logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=discarded)
         logging.getLogger().handlers[0].addFilter(RateLimitFilter())
-        asyncio.run(serve(Sidecars((host, int(port)), int(seed))))
+        asyncio.run(serve(LightweightSidecars((host, int(port)), int(seed))))
 
 
 if __name__ == "__main__":
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -11,49 +11,51 @@
 from ryepier.emulator.loopback import find_network
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.scale import endpoint_list, list_costs
-from ryepier.experiments.scale.fleet_list import Desk, Listing
-from ryepier.experiments.scale.lightweight_sidecar import Sidecars
+from ryepier.experiments.scale.fleet_list import Listing, WatchServer
+from ryepier.experiments.scale.lightweight_sidecar import LightweightSidecars
 
 KNOWN, COUNT = 40, 3
 
 
-def followed(script: Callable[[Desk, Sidecars], Awaitable[None]], keeps_revisions: bool = True) -> None:
+def followed(
+    script: Callable[[WatchServer, LightweightSidecars], Awaitable[None]], keeps_revisions: bool = True
+) -> None:
     """Play a script with hollow sidecars of this very process that have the list."""
 
     async def play() -> None:
         address = (f"127.{find_network()}.254.2", endpoint_list.PORT)
-        desk = Desk(Listing(KNOWN, 1), address, keeps_revisions)
-        await desk.open()
+        server = WatchServer(Listing(KNOWN, 1), address, keeps_revisions)
+        await server.open()
         try:
-            sidecars = Sidecars(address, 1)
+            sidecars = LightweightSidecars(address, 1)
             await sidecars.start(COUNT)
-            await all_have(desk, sidecars)
-            await script(desk, sidecars)
+            await all_have(server, sidecars)
+            await script(server, sidecars)
         finally:
-            desk.close()
+            server.close()
 
     asyncio.run(play())
 
 
-async def all_have(desk: Desk, sidecars: Sidecars) -> None:
-    said = await sidecars.until(desk.listing.registry.rev, 5.0)
+async def all_have(server: WatchServer, sidecars: LightweightSidecars) -> None:
+    said = await sidecars.wait_for(server.listing.registry.rev, 5.0)
     assert said["have"] == COUNT
 
 
 def test_a_listing_is_drawn_from_its_seed() -> None:
     one, same, other = Listing(KNOWN, 1), Listing(KNOWN, 1), Listing(KNOWN, 2)
     assert one.registry.full_list() == same.registry.full_list() != other.registry.full_list()
-    assert len({entry["uid"] for entry in one.present()}) == KNOWN
+    assert len({entry["uid"] for entry in one.active()}) == KNOWN
 
 
 def test_every_module_hears_of_every_change_once() -> None:
-    async def script(desk: Desk, sidecars: Sidecars) -> None:
-        chosen = desk.listing.pick(5)
+    async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
+        chosen = server.listing.pick(5)
         before = sidecars.usage()["entries"]
         for state in ("leaving", "left"):
-            desk.listing.change(chosen, state)
-            desk.tell_all()
-        await all_have(desk, sidecars)
+            server.listing.change(chosen, state)
+            server.send_changes_to_all()
+        await all_have(server, sidecars)
         assert sidecars.usage()["entries"] - before == 2 * 5 * COUNT
         assert sidecars.memory()["known"] == COUNT * (KNOWN - 5)
 
@@ -62,27 +64,27 @@
 
 @pytest.mark.parametrize(("keeps_revisions", "whole"), [(True, False), (False, True)])
 def test_a_watch_that_broke_is_told_what_it_missed(keeps_revisions: bool, whole: bool) -> None:
-    async def script(desk: Desk, sidecars: Sidecars) -> None:
-        wrote, calls = desk.bytes, len(desk.calls_us)
-        desk.listing.change([desk.listing.new()])
-        desk.encoded.clear()
-        desk.cut()
-        await all_have(desk, sidecars)
-        assert len(desk.calls_us) - calls == COUNT
-        assert (desk.bytes - wrote > COUNT * 1000) == whole
+    async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
+        wrote, calls = server.bytes, len(server.calls_us)
+        server.listing.change([server.listing.new()])
+        server.forget_encoded()
+        server.abort_all()
+        await all_have(server, sidecars)
+        assert len(server.calls_us) - calls == COUNT
+        assert (server.bytes - wrote > COUNT * 1000) == whole
         assert sidecars.memory()["known"] == COUNT * (KNOWN + 1)
 
     followed(script, keeps_revisions)
 
 
 def test_discovery_that_comes_back_without_its_revisions_tells_the_whole_list() -> None:
-    async def script(desk: Desk, sidecars: Sidecars) -> None:
-        desk.close()
+    async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
+        server.close()
         await asyncio.sleep(0.2)
-        desk.listing.change(desk.listing.pick(1), "left")
-        desk.listing.forget()
-        await desk.open()
-        await all_have(desk, sidecars)
+        server.listing.change(server.listing.pick(1), "left")
+        server.listing.lose_revisions()
+        await server.open()
+        await all_have(server, sidecars)
         assert sidecars.memory()["known"] == COUNT * (KNOWN - 1)
 
     followed(script)
