--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -116,12 +116,12 @@
     def hang(self, name: str) -> None:
         self.hung, self.hung_us = name, clock_us()
 
-    def offer(self, plan: Plan) -> None:
+    def on_plan(self, plan: Plan) -> None:
         self.counts.took(plan)
         self.evidence = plan.evidence
         super().on_plan(plan)
 
-    def write_reports(self) -> None:
+    def send_reports(self) -> None:
         begun_s = time.thread_time()
         self.make_up(time.monotonic())
         self.counts.made_up_s += time.thread_time() - begun_s
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -37,7 +37,7 @@
     uid,
 )
 from ryepier.experiments.scale.machine_load import finite_figures
-from ryepier.plan.messages import Report, Term, encode
+from ryepier.plan.messages import Plan, PlanBasis, Report, Term, encode
 from ryepier.plan.planner_server import PlannerServer
 from ryepier.sidecar import config, system
 
@@ -77,6 +77,20 @@
     assert all(seen.failed == 0 and sum(seen.latencies) == seen.served for seen in after.values())
 
 
+def test_a_hollow_forwarder_takes_the_place_of_what_its_base_calls() -> None:
+    one = lightweight_forwarder()
+
+    def attempts() -> int:
+        return sum(notes.attempts for notes in one.reporter.notes.values())
+
+    before = attempts()
+    one.filled_s -= 10.0
+    one.send_reports()
+    assert attempts() - before == pytest.approx(10 * CALLS_PER_S, rel=0.1)
+    one.on_plan(Plan(Term(1, "a"), 1, PlanBasis(), {}, 1000, 1000))
+    assert one.counts.plans == 1
+
+
 def test_a_report_takes_as_much_of_the_wire_after_a_day_as_at_the_start() -> None:
     one = lightweight_forwarder()
     lengths = []
