--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -15,8 +15,9 @@
 from ryepier.experiments.core.logs import PLANNER_LOGS, SIDECAR_LOGS, lines_with, log_lines
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.planners.followers import FOLLOWING, count_sidecars_that_logged
+from ryepier.plan.plan_follower import PlanRejection
 
-REJECTED = "is refused: too few forwarders reported"
+REJECTED = f"rejected: {PlanRejection.FEW_REPORTERS}"  # in a sidecar's log
 EPOCH_OF_EMPTY_PLANNER = "epoch 10000"  # the begin of the number that the fault `amnesiac` claims
 ARRIVAL_S = 1.0  # of the empty plans, after the start
 END_MARGIN_S = 1.0
