--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -30,9 +30,9 @@
 from ryepier.experiments.scale.lightweight_converters import ANSWER, ConvertersConfig, make_list, serve
 from ryepier.experiments.scale.lightweight_forwarders import (
     CALLS_PER_S,
-    Counts,
     ForwardersConfig,
     LightweightForwarder,
+    TrafficCounts,
     converters_of,
     uid,
 )
@@ -52,11 +52,11 @@
 
 
 def lightweight_forwarder(index: int = 0, in_use: int = 30) -> LightweightForwarder:
-    return LightweightForwarder(index, ForwardersConfig(("127.0.0.1", 1), 0, 1, in_use, 1, 10), Counts())
+    return LightweightForwarder(index, ForwardersConfig(("127.0.0.1", 1), 0, 1, in_use, 1, 10), TrafficCounts())
 
 
 def report(one: LightweightForwarder, number: int = 1) -> Report:
-    return one.reporter.report(one.machine.clock_us(), len(one.idents), Term(number, "a"), 0)
+    return one.reporter.report(one.machine.clock_us(), len(one.upstream_ids), Term(number, "a"), 0)
 
 
 def test_a_service_has_as_many_converters_as_callers() -> None:
@@ -70,7 +70,7 @@
 def test_a_hollow_forwarder_reports_the_calls_of_its_sidecar() -> None:
     one = lightweight_forwarder()
     before = report(one).counters
-    one.make_up(one.filled_s + 10.0)
+    one.simulate_calls(one.simulated_until_s + 10.0)
     after = report(one).counters
     made = sum(after[name].attempts - before[name].attempts for name in after)
     assert made == pytest.approx(10 * CALLS_PER_S, rel=0.1)
@@ -84,7 +84,7 @@
         return sum(notes.attempts for notes in one.reporter.notes.values())
 
     before = attempts()
-    one.filled_s -= 10.0
+    one.simulated_until_s -= 10.0
     one.send_reports()
     assert attempts() - before == pytest.approx(10 * CALLS_PER_S, rel=0.1)
     one.on_plan(Plan(Term(1, "a"), 1, PlanBasis(), {}, 1000, 1000))
@@ -95,7 +95,7 @@
     one = lightweight_forwarder()
     lengths = []
     for hour in range(1, 25, 6):
-        one.make_up(one.filled_s + hour * 3600.0)
+        one.simulate_calls(one.simulated_until_s + hour * 3600.0)
         lengths.append(len(encode(report(one))))
     assert max(lengths) < 1.1 * min(lengths)
 
@@ -104,7 +104,7 @@
     one = lightweight_forwarder()
     one.hang(uid(0))
     before = report(one).counters
-    one.make_up(one.filled_s + 2.0)
+    one.simulate_calls(one.simulated_until_s + 2.0)
     after = report(one).counters
     assert after[uid(0)].failed > 0 and after[uid(0)].served == before[uid(0)].served
     assert {name for name, seen in after.items() if seen.failed} == {uid(0)}
@@ -113,7 +113,7 @@
 def test_a_planted_forwarder_reports_of_all_converters() -> None:
     one = lightweight_forwarder()
     one.use(range(200))
-    one.make_up(one.filled_s + 100.0)
+    one.simulate_calls(one.simulated_until_s + 100.0)
     assert len(report(one).counters) == 200
 
 
