--- /dev/null
+++ b/tests/faulty_discovery.py
@@ -0,0 +1,184 @@
+"""Discovery that meets calls with faults, in front of a sidecar's discovery client over real connections."""
+
+from __future__ import annotations
+
+import asyncio
+import enum
+import json
+import socket
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+import pytest
+
+from ryepier.balancer.interface import UpstreamsUpdated
+from ryepier.sidecar.connection_pool import ConnectionPool
+from ryepier.sidecar.discovery import DiscoveryClient
+from ryepier.sidecar.dispatcher import RequestDispatcher
+from ryepier.sidecar.endpoint_registry import EndpointRegistry
+from tests.balancer_harness import settings
+from tests.loopback_ports import free_port
+from tests.network_peers import endpoint_entry, endpoint_list, read_message
+
+EMPTY_LINE_INTERVAL_S = 2.0  # of a watch
+HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Service Unavailable\r\n"
+CLOSED_PORT = free_port()
+NEW_VERSION = 2
+
+OLD = endpoint_list(endpoint_entry("u0", 9000), rev=1)
+NEW = endpoint_list(endpoint_entry("u0", 9000, "leaving"), rev=2, full=False)
+NEW_BYTES = json.dumps(NEW).encode() + b"\n"
+
+
+def chunk(data: bytes) -> bytes:
+    return b"%x\r\n%s\r\n" % (len(data), data)
+
+
+class Behaviour(enum.Enum):
+    """What becomes of a connection, or of a watch after its first bytes."""
+
+    REFUSE = enum.auto()  # the connection
+    HANG = enum.auto()  # the connection is never established
+    STAY_SILENT = enum.auto()
+    RESET = enum.auto()
+    TRICKLE = enum.auto()
+
+
+class Fault(NamedTuple):
+    """The bytes that are written to a call, and how it continues."""
+
+    data: bytes
+    behaviour: Behaviour
+
+
+FAULTS = {
+    "refused": Fault(b"", Behaviour.REFUSE),
+    "dial hangs": Fault(b"", Behaviour.HANG),
+    "reset": Fault(b"", Behaviour.RESET),
+    "silent": Fault(b"", Behaviour.STAY_SILENT),
+    "head only": Fault(HEAD, Behaviour.STAY_SILENT),
+    "503": Fault(REJECTION + b"Content-Length: 0\r\n\r\n", Behaviour.STAY_SILENT),
+    "503 without end": Fault(REJECTION + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(b"busy"), Behaviour.STAY_SILENT),
+    "half a list": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.RESET),
+    "half a list, silent": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.STAY_SILENT),
+    "half a list, a byte at a time": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.TRICKLE),
+    "unreadable": Fault(HEAD + chunk(b'{"rev": 2, "all": true, "targets": [{"uid": "u0"}]}\n'), Behaviour.STAY_SILENT),
+    "watch falls silent": Fault(HEAD + chunk(json.dumps(OLD).encode() + b"\n"), Behaviour.STAY_SILENT),
+    "watch breaks": Fault(HEAD + chunk(json.dumps(OLD).encode() + b"\n"), Behaviour.RESET),
+}
+
+
+@dataclass
+class FaultyDiscovery:
+    """Meets each call with the next fault of an order, and serves every call after them.
+
+    It counts as reachable from when the last fault has occurred.
+    """
+
+    order: tuple[str, ...]
+    response_delay_s: float
+    calls: list[float] = field(default_factory=list)
+    reachable_at: float = 0.0
+    port: int = 0
+    server: asyncio.Server | None = None
+    first: bytes = NEW_BYTES
+    """What a call that is served gets."""
+    sends_empty_lines: bool = False
+
+    async def start(self) -> None:
+        """Listen on a free port."""
+        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        self.port = self.server.sockets[0].getsockname()[1]
+
+    def on_connecting(self) -> Behaviour | None:
+        """Count a call, and return what becomes of its connection."""
+        self.calls.append(time.monotonic())
+        if len(self.calls) <= len(self.order):
+            self.reachable_at = self.calls[-1]
+        fault = self._current_fault()
+        return fault.behaviour if fault is not None else None
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a call, or let its fault occur."""
+        fault = self._current_fault()
+        is_last_fault = len(self.calls) == len(self.order)
+        try:
+            await read_message(reader)
+            if fault is None:
+                await self._serve_list(writer)
+            else:
+                writer.write(fault.data)
+                await writer.drain()
+                if is_last_fault:
+                    self.reachable_at = time.monotonic()
+                await self._continue(fault.behaviour, writer)
+            await reader.read()
+        except (asyncio.IncompleteReadError, ConnectionError):
+            pass
+        finally:
+            writer.transport.abort()
+
+    def stop(self) -> None:
+        """Stop listening."""
+        if self.server is not None:
+            self.server.close()
+
+    def _current_fault(self) -> Fault | None:
+        if not 0 < len(self.calls) <= len(self.order):
+            return None
+        return FAULTS[self.order[len(self.calls) - 1]]
+
+    async def _serve_list(self, writer: asyncio.StreamWriter) -> None:
+        await asyncio.sleep(self.response_delay_s)
+        writer.write(HEAD + (chunk(self.first) if self.first else b""))
+        while self.sends_empty_lines:
+            await asyncio.sleep(EMPTY_LINE_INTERVAL_S)
+            writer.write(chunk(b"\n"))
+
+    @staticmethod
+    async def _continue(behaviour: Behaviour, writer: asyncio.StreamWriter) -> None:
+        if behaviour is Behaviour.RESET:
+            await asyncio.sleep(0.01)  # what was written arrives first
+            raise ConnectionResetError
+        while behaviour is Behaviour.TRICKLE:
+            await asyncio.sleep(0.2)
+            writer.write(chunk(b" "))
+            await writer.drain()
+
+
+def script_connections(patch: pytest.MonkeyPatch, agents: dict[int, FaultyDiscovery]) -> None:
+    """Let connections to the ports of these agents be refused, or hang, where their fault says so."""
+    connect = asyncio.SelectorEventLoop.sock_connect
+
+    async def scripted(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
+        behaviour = agents[address[1]].on_connecting() if address[1] in agents else None
+        if behaviour is Behaviour.HANG:
+            await asyncio.Event().wait()
+        await connect(loop, sock, ("127.0.0.1", CLOSED_PORT) if behaviour is Behaviour.REFUSE else address)
+
+    patch.setattr(asyncio.SelectorEventLoop, "sock_connect", scripted)
+
+
+def follow(agent: FaultyDiscovery, is_pushed: bool, on_update: Callable[[UpstreamsUpdated], None]) -> DiscoveryClient:
+    """Start a sidecar's decision module and discovery client.
+
+    It is one of a fleet so large that polls are spread over the maximum time, and it draws the latest of all times.
+    """
+    config = settings(polls_endpoints=not is_pushed, max_poll_interval_us=10_000_000, instances=1_600)
+    dispatcher = RequestDispatcher(config, 1, ConnectionPool(60_000_000, 200_000, max_connections=10))
+    dispatcher.balancer.random.random = lambda: 0.999_999  # type: ignore[method-assign]
+
+    def listener(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
+        on_update(event)
+        dispatcher.on_endpoints(event, addresses)
+
+    registry = EndpointRegistry(["a"], ["m"])
+    client = DiscoveryClient(("127.0.0.1", agent.port), registry, listener, is_pushed, known=OLD)
+    dispatcher.subscribe = client.subscribe
+    client.restore_cached()
+    dispatcher.start()
+    client.start()
+    return client
--- /dev/null
+++ b/tests/polling_fleet.py
@@ -0,0 +1,181 @@
+"""Model of a fleet whose sidecars poll one discovery, in virtual time: real decision modules, no sockets.
+
+Discovery serves a fixed number of polls a second, in turn; a poll that waits for too long fails.
+"""
+
+from __future__ import annotations
+
+import enum
+import heapq
+import itertools
+from collections import Counter, deque
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from ryepier.balancer.balancer import Balancer
+from ryepier.balancer.interface import ListKind, SetTimer, Subscribe, TimerFired, UpstreamsUpdated
+from ryepier.sidecar.discovery import SILENCE_TIMEOUT_S
+from tests.balancer_harness import START_US, settings
+
+MAX_WAIT_US = 2_000_000  # of a poll at discovery; then it fails
+REFUSAL_US = 1_000  # until a refused poll has failed
+RESET_US = 100_000  # until a poll that is reset has failed
+SILENCE_US = int(1e6 * SILENCE_TIMEOUT_S)
+
+
+class DiscoveryMode(enum.Enum):
+    """What discovery does with polls."""
+
+    UP = enum.auto()
+    REFUSED = enum.auto()
+    SILENT = enum.auto()
+    RESET = enum.auto()
+
+
+class Phase(NamedTuple):
+    """Discovery's mode from a time on, which lasts until the next phase."""
+
+    since_s: float
+    mode: DiscoveryMode
+
+
+class EventKind(enum.Enum):
+    """What happens to a sidecar."""
+
+    TIMER = enum.auto()
+    WATCH_BREAKS = enum.auto()
+    POLL_SERVED = enum.auto()
+    POLL_FAILS = enum.auto()
+
+
+class FleetEvent(NamedTuple):
+    """An event that is due; events of one instant keep their order."""
+
+    at_us: int
+    order: int
+    kind: EventKind
+    sidecar: int
+    value: int
+    """The number of the poll, the time of the timer, or for how long a watch that breaks was silent (us)."""
+
+
+class WaitingPoll(NamedTuple):
+    """A poll that waits at discovery."""
+
+    sidecar: int
+    number: int
+
+
+@dataclass
+class Sidecar:
+    """A decision module with its timers and its poll."""
+
+    balancer: Balancer
+    poll: int = 0
+    """The number of the poll that is in flight; 0 = none."""
+    updated_s: float = -1.0
+    """When it last got the list; below 0 = it has to get it again."""
+    armed_us: set[int] = field(default_factory=set)
+
+
+class PollingFleet:
+    """The sidecars, discovery, and the queue of their events."""
+
+    def __init__(self, sidecars: int, polls_per_s: float, phases: Sequence[Phase]) -> None:
+        """Prepare a run; the last of the phases has to be UP, unless no sidecar is to get the list."""
+        config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
+        self.now_us = START_US
+        self.serving_us = int(1e6 / polls_per_s)
+        self.phases = phases
+        self.events: list[FleetEvent] = []
+        self.numbers = itertools.count(1)
+        self.waiting: deque[WaitingPoll] = deque()
+        self.is_serving = False
+        self.polls: Counter[int] = Counter()  # by second
+        self.failed_polls = 0
+        self.sidecars = [Sidecar(Balancer(config, seed, START_US)) for seed in range(sidecars)]
+
+    def start_all(self) -> None:
+        """Start all sidecars without a list."""
+        for sidecar in range(len(self.sidecars)):
+            self._handle(sidecar, TimerFired(0))
+
+    def break_watches(self, at_s: float, after_silence: bool) -> None:
+        """Give each sidecar a watch, and break all watches at one moment, or let them fall silent then."""
+        silent_us = SILENCE_US if after_silence else 0
+        for sidecar in range(len(self.sidecars)):
+            self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, version=1))
+            self._schedule(START_US + int(1e6 * at_s) + silent_us, EventKind.WATCH_BREAKS, sidecar, silent_us)
+
+    def run_until(self, until_s: float) -> None:
+        """Run all events up to a time."""
+        while self.events and self.events[0].at_us <= START_US + 1e6 * until_s:
+            event = heapq.heappop(self.events)
+            self.now_us = event.at_us
+            self._on_event(event)
+            self._serve_next()
+
+    def update_delays_s(self, reachable_s: float) -> list[float]:
+        """Return for each sidecar how long after discovery could be reached it got the list; 0 or less = never."""
+        return [sidecar.updated_s - reachable_s for sidecar in self.sidecars]
+
+    def _now_s(self) -> float:
+        return (self.now_us - START_US) / 1e6
+
+    def _mode(self) -> DiscoveryMode:
+        return [phase.mode for phase in self.phases if phase.since_s <= self._now_s()][-1]
+
+    def _schedule(self, at_us: int, kind: EventKind, sidecar: int, value: int) -> None:
+        heapq.heappush(self.events, FleetEvent(at_us, next(self.numbers), kind, sidecar, value))
+
+    def _handle(self, number: int, event: TimerFired | UpstreamsUpdated) -> None:
+        sidecar = self.sidecars[number]
+        for action in sidecar.balancer.handle(self.now_us, event):
+            if isinstance(action, SetTimer) and action.at_us not in sidecar.armed_us:
+                sidecar.armed_us.add(action.at_us)
+                self._schedule(action.at_us, EventKind.TIMER, number, action.at_us)
+            elif isinstance(action, Subscribe):
+                self._poll(number)
+
+    def _poll(self, number: int) -> None:
+        poll = self.sidecars[number].poll = next(self.numbers)
+        self.polls[int(self._now_s())] += 1
+        mode = self._mode()
+        if mode is DiscoveryMode.UP:
+            self.waiting.append(WaitingPoll(number, poll))
+            self._schedule(self.now_us + MAX_WAIT_US, EventKind.POLL_FAILS, number, poll)
+            self._serve_next()
+            return
+        failure_us = {
+            DiscoveryMode.SILENT: SILENCE_US,
+            DiscoveryMode.REFUSED: REFUSAL_US,
+            DiscoveryMode.RESET: RESET_US,
+        }
+        self._schedule(self.now_us + failure_us[mode], EventKind.POLL_FAILS, number, poll)
+
+    def _serve_next(self) -> None:
+        while self.waiting and not self.is_serving:
+            poll = self.waiting.popleft()
+            if self.sidecars[poll.sidecar].poll == poll.number:
+                self.is_serving = True
+                self._schedule(self.now_us + self.serving_us, EventKind.POLL_SERVED, poll.sidecar, poll.number)
+
+    def _on_event(self, event: FleetEvent) -> None:
+        sidecar = self.sidecars[event.sidecar]
+        match event.kind:
+            case EventKind.TIMER:
+                sidecar.armed_us.discard(event.value)
+                self._handle(event.sidecar, TimerFired(0))
+            case EventKind.WATCH_BREAKS:
+                sidecar.updated_s = -1.0
+                self._handle(event.sidecar, UpstreamsUpdated(ListKind.FAILED, silent_us=event.value))
+            case EventKind.POLL_SERVED:
+                self.is_serving = False
+                if sidecar.poll == event.value:
+                    sidecar.poll, sidecar.updated_s = 0, self._now_s()
+                    self._handle(event.sidecar, UpstreamsUpdated(ListKind.DELTA, version=1))
+            case EventKind.POLL_FAILS if sidecar.poll == event.value:
+                sidecar.poll = 0
+                self.failed_polls += 1
+                self._handle(event.sidecar, UpstreamsUpdated(ListKind.FAILED))
