--- a/tests/test_conventions.py
+++ b/tests/test_conventions.py
@@ -9,7 +9,7 @@
 PROJECT = tomllib.loads((ROOT / "pyproject.toml").read_text())
 RUFF = PROJECT["tool"]["ruff"]["lint"]
 IGNORED = RUFF["per-file-ignores"]
-MAX_WITHOUT_DOCSTRINGS = 49  # lower it with the list; never raise it
+MAX_WITHOUT_DOCSTRINGS = 7  # lower it with the list; never raise it
 
 
 def test_the_list_of_modules_without_docstrings_only_shrinks() -> None:
