--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -31,7 +31,7 @@
     return [plan.converter_address(one.index) for one in timeline.instances if one.start_us is None]
 
 
-class Host:
+class ClientRole:
     """All clients of one process."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -15,7 +15,7 @@
 IDLE_CHECK_S = 0.25
 
 
-class Host:
+class ConverterRole:
     """The converters of one process; those of a pod are always in the same one."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -215,7 +215,7 @@
             writer.transport.abort()
 
 
-class Host:
+class DiscoveryRole:
     """All agents of a run."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
--- a/ryepier/emulator/role.py
+++ b/ryepier/emulator/role.py
@@ -20,7 +20,7 @@
 from ryepier.emulator.records import RoleRecords
 
 
-class Part(Protocol):
+class Role(Protocol):
     """What one process does in a run."""
 
     meter: LatenessMeter
@@ -32,28 +32,28 @@
         """Carry out the run, and return the records."""
 
 
-ROLES: dict[str, Callable[[Plan, Clock, timeline.Timeline], Part]] = {
-    "clients": clients.Host,
-    "converters": converters.Host,
-    "discovery": discovery.Host,
+ROLES: dict[str, Callable[[Plan, Clock, timeline.Timeline], Role]] = {
+    "clients": clients.ClientRole,
+    "converters": converters.ConverterRole,
+    "discovery": discovery.DiscoveryRole,
 }
 
 
 async def run_role(plan: Plan, path: str) -> None:
     """Carry out a plan, and write the records to a file."""
     clock = Clock()
-    part = ROLES[plan.role](plan, clock, timeline.build(plan.world, plan.seed))
-    await part.start()
+    role = ROLES[plan.role](plan, clock, timeline.build(plan.world, plan.seed))
+    await role.start()
     send_to_harness({"ready": True})
     line = await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
     if not line:
         return  # the harness has ended
     clock.zero_us = int(line)
     gc.freeze()  # a collection over the sampled arrivals would delay the process
-    ticking = asyncio.create_task(part.meter.tick())
-    records = await part.run()
+    ticking = asyncio.create_task(role.meter.tick())
+    records = await role.run()
     ticking.cancel()
-    records.lateness = part.meter.result(records.role)
+    records.lateness = role.meter.result(records.role)
     save(records, path)
 
 
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -18,7 +18,7 @@
 from ryepier.emulator.harness import BEGIN_DELAY_S
 from ryepier.emulator.process import Clock, Plan, monotonic_us
 from ryepier.emulator.records import History, RecordedEvent, RoleRecords, join
-from ryepier.emulator.role import Part
+from ryepier.emulator.role import Role
 from ryepier.emulator.simulated_logs import capture_logs
 from ryepier.emulator.simulated_processes import SimulatedPlanner, SimulatedProcess, SimulatedSidecar
 from ryepier.emulator.timeline import TargetKind, Timeline
@@ -71,36 +71,36 @@
 
     async def play(self, loop: SimLoop) -> History:
         """Run the world, and return what all sides observed."""
-        parts: list[Part] = [
-            discovery.Host(self.plan, self.clock, self.timeline),
-            converters.Host(self.plan, self.clock, self.timeline, simulated=True),
-            clients.Host(self.plan, self.clock, self.timeline, simulated=True),
+        roles: list[Role] = [
+            discovery.DiscoveryRole(self.plan, self.clock, self.timeline),
+            converters.ConverterRole(self.plan, self.clock, self.timeline, simulated=True),
+            clients.ClientRole(self.plan, self.clock, self.timeline, simulated=True),
         ]
-        for part in parts:
-            await part.start()
+        for role in roles:
+            await role.start()
         planners, sidecars = self._make_planners(loop), self._make_sidecars(loop)
         processes: list[SimulatedProcess] = [*planners, *sidecars]
         for process in processes:
             process.start()
         await asyncio.sleep(START_S)
         self.clock.zero_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
-        records = await self._run(parts, {TargetKind.SIDECAR: sidecars, TargetKind.PLANNER: planners})
+        records = await self._run(roles, {TargetKind.SIDECAR: sidecars, TargetKind.PLANNER: planners})
         await self._stop(loop, processes)
         incarnations = [one for sidecar in sidecars for one in sidecar.incarnations_since(self.clock.zero_us)]
         return join(records, incarnations, self.events)
 
     async def _run(
-        self, parts: Sequence[Part], processes: Mapping[TargetKind, Sequence[SimulatedProcess]]
+        self, roles: Sequence[Role], processes: Mapping[TargetKind, Sequence[SimulatedProcess]]
     ) -> list[RoleRecords]:
-        """Carry out the schedule to the end of the run, and return the parts' records."""
-        ticking = [asyncio.create_task(part.meter.tick()) for part in parts]
+        """Carry out the schedule to the end of the run, and return the roles' records."""
+        ticking = [asyncio.create_task(role.meter.tick()) for role in roles]
         schedule = asyncio.create_task(self._run_schedule(processes))
-        records = await asyncio.gather(*(part.run() for part in parts))
+        records = await asyncio.gather(*(role.run() for role in roles))
         await schedule
         for task in ticking:
             task.cancel()
-        for part, part_records in zip(parts, records, strict=True):
-            part_records.lateness = part.meter.result(part_records.role)
+        for role, role_records in zip(roles, records, strict=True):
+            role_records.lateness = role.meter.result(role_records.role)
         return list(records)
 
     async def _run_schedule(self, processes: Mapping[TargetKind, Sequence[SimulatedProcess]]) -> None:
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -100,7 +100,7 @@
             file.write(msgspec.json.encode(line) + b"\n")
 
 
-class ControlledConverters(converters.Host):
+class ControlledConverters(converters.ConverterRole):
     """Converters that agents stop and start."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
@@ -147,7 +147,7 @@
         return FleetReply(in_flight=len(self.servers[self.current[call.converter].index].in_flight))
 
 
-class ControlledDiscovery(discovery.Host):
+class ControlledDiscovery(discovery.DiscoveryRole):
     """Discovery that lists converters as agents request."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -23,13 +23,13 @@
 DEADLINE_S = 0.2
 
 
-def a_client(address: tuple[str, int]) -> clients.Host:
+def a_client(address: tuple[str, int]) -> clients.ClientRole:
     """A client process of a small world, whose requests all go to this address."""
     world = msgspec.structs.replace(load("graphql-resets"), duration_s=1.0, faults=[])
     plan = Plan(world, 1, 0, "clients", targets=[address])
     clock = Clock()
     clock.zero_us = monotonic_us()
-    return clients.Host(plan, clock, timeline.build(world, 1))
+    return clients.ClientRole(plan, clock, timeline.build(world, 1))
 
 
 def a_try(sent_us: int = NEVER) -> ClientAttempt:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -82,7 +82,7 @@
             return made
 
         monkeypatch.setattr(loop, "create_connection", connect_and_wait)
-        host = clients.Host(plan, Clock(), timeline.build(plan.world, 1), simulated=True)
+        host = clients.ClientRole(plan, Clock(), timeline.build(plan.world, 1), simulated=True)
         item = ClientAttempt(0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, NEVER, 50_000, NEVER, RequestOutcome.TIMEOUT)
         flight = ClientRequest(host, host.targets[0], item, closes_connection=True)
         flight.start()
@@ -106,7 +106,7 @@
     )
     clock = Clock()
     clock.zero_us = monotonic_us()
-    host = converters.Host(plan, clock, timeline.build(plan.world, 1))
+    host = converters.ConverterRole(plan, clock, timeline.build(plan.world, 1))
     await host.start_one(host.instances[0])
     server = host.servers[0]
     try:
