--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -32,48 +32,53 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-LATEST_S = 0.5  # an answer that comes so long after the request's time, or later, is none
-BARREN_S = 4.0  # a sidecar may serve nobody for less than this
-BARREN_REQUESTS = 15  # a span with fewer requests says nothing
-HEARTBEAT_S = 0.5  # of a discovery agent that has nothing to tell
-AIM_US, DEADLINE_S = 300_000, 0.6
-MEMORY_US = 500_000
+ANSWER_TOLERANCE_S = 0.5  # an answer this long after the deadline, or later, counts as missing
+MIN_OUTAGE_S = 4.0  # a shorter time without a served request is tolerated
+MIN_OUTAGE_REQUESTS = 15  # a time with fewer requests is not judged
+HEARTBEAT_S = 0.5  # of a discovery agent without changes
+LATENCY_OBJECTIVE_US, DEADLINE_S = 300_000, 0.6
+IDEMPOTENCY_WINDOW_US = 500_000
 SERVED = 200
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
 CLASSES: list[dict[str, Any]] = [
     {"name": "read", "effect": "idempotent"},
     {"name": "pay", "effect": "at_most_once"},
-    {"name": "mark", "effect": "deduplicated", "group": "cell", "memory-span": MEMORY_US},
+    {"name": "mark", "effect": "deduplicated", "group": "cell", "memory-span": IDEMPOTENCY_WINDOW_US},
 ]
 PUSHED = SETTINGS | {
     "registry-mode": "pushed",
     "request-classes": [
-        {"aim": AIM_US, "deadline": int(DEADLINE_S * 1e6), "late-worth": 0.5, "worth": 1.0} | one for one in CLASSES
+        {"aim": LATENCY_OBJECTIVE_US, "deadline": int(DEADLINE_S * 1e6), "late-worth": 0.5, "worth": 1.0} | each
+        for each in CLASSES
     ],
 }
-ASKED = PUSHED | {"registry-mode": "on_request"}
+POLLED = PUSHED | {"registry-mode": "on_request"}
 
 
 @dataclass
 class ClientRequest:
-    """One request as its application saw it; times in seconds on the loop's clock."""
+    """A request and its answer at the application; times in seconds of the event loop's clock."""
 
     sidecar: str
     ident: str
     sent_s: float = 0.0  # its last byte
     deadline_s: float = DEADLINE_S
-    ended_s: float | None = None  # the last byte of its answer; None = there was no whole one
+    ended_s: float | None = None  # the last byte of its answer; None = no complete answer
     status: int = 0
 
 
 def unanswered(requests: Iterable[ClientRequest]) -> list[ClientRequest]:
-    """Those whose final answer did not come by `LATEST_S` after their time."""
-    return [one for one in requests if one.ended_s is None or one.ended_s > one.sent_s + one.deadline_s + LATEST_S]
+    """Return the requests without a final answer by `ANSWER_TOLERANCE_S` after their deadline."""
+    return [
+        each
+        for each in requests
+        if each.ended_s is None or each.ended_s > each.sent_s + each.deadline_s + ANSWER_TOLERANCE_S
+    ]
 
 
 @dataclass(frozen=True)
-class BarrenSpan:
-    """A span in which a sidecar served nobody while others served."""
+class Outage:
+    """A time in which a sidecar served no request while others did."""
 
     sidecar: str
     from_s: float
@@ -81,35 +86,35 @@
     requests: int
 
 
-def spans_without_service(requests: Sequence[ClientRequest], from_s: float, until_s: float) -> list[BarrenSpan]:
-    """The spans of `BARREN_S` or more, between two moments, in which a sidecar got `BARREN_REQUESTS` or more and
-    served none of them, and some other sidecar served."""
+def find_outages(requests: Sequence[ClientRequest], from_s: float, until_s: float) -> list[Outage]:
+    """Return the times of `MIN_OUTAGE_S` or more, between two instants, in which a sidecar got `MIN_OUTAGE_REQUESTS` or
+    more and served none of them, while another sidecar served."""
     found = []
-    for sidecar in sorted({one.sidecar for one in requests}):
-        own = [one for one in requests if one.sidecar == sidecar]
-        served = sorted(one.sent_s for one in own if one.status == SERVED and from_s <= one.sent_s <= until_s)
+    for sidecar in sorted({each.sidecar for each in requests}):
+        own = [each for each in requests if each.sidecar == sidecar]
+        served = sorted(each.sent_s for each in own if each.status == SERVED and from_s <= each.sent_s <= until_s)
         for begin_s, end_s in zip([from_s, *served], [*served, until_s], strict=True):
-            count = sum(begin_s < one.sent_s < end_s for one in own)
+            count = sum(begin_s < each.sent_s < end_s for each in own)
             others_serve = any(
-                one.sidecar != sidecar and one.status == SERVED and begin_s < one.sent_s < end_s for one in requests
+                each.sidecar != sidecar and each.status == SERVED and begin_s < each.sent_s < end_s for each in requests
             )
-            if end_s - begin_s >= BARREN_S and count >= BARREN_REQUESTS and others_serve:
-                found.append(BarrenSpan(sidecar, begin_s, end_s, count))
+            if end_s - begin_s >= MIN_OUTAGE_S and count >= MIN_OUTAGE_REQUESTS and others_serve:
+                found.append(Outage(sidecar, begin_s, end_s, count))
     return found
 
 
 @dataclass
 class Agent(Discovery):
-    """Discovery for one sidecar: it sends an empty line every now and then, until it falls silent."""
+    """Discovery for one sidecar, with heartbeats unless it is silent."""
 
     silent: bool = False
     heartbeat: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         await super().start()
-        self.heartbeat = asyncio.create_task(self.beat())
+        self.heartbeat = asyncio.create_task(self.send_heartbeats())
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             if self.writers and not self.silent:
@@ -123,7 +128,7 @@
 
 @dataclass
 class Converter(Upstream):
-    """An upstream that can end as a process that crashes does."""
+    """An upstream that can end like a crashed process."""
 
     killed: bool = False
     accepted: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -145,21 +150,21 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         writer.transport.abort()
 
-    def kill_after_accept(self) -> None:
-        """Its open connections are reset, the next one right after it is accepted; then nobody listens."""
+    def kill_at_next_connection(self) -> None:
+        """Reset the open connections, and the next one as soon as it is accepted; then stop listening."""
         self.killed = True
         for writer in list(self.accepted):
             self.reset(writer)
 
     def vanish(self) -> None:
-        """Nobody listens any more, and its open connections are reset."""
+        """Stop listening, and reset the open connections."""
         self.stop()
         for writer in list(self.accepted):
             self.reset(writer)
 
 
 class SidecarProcess:
-    """A sidecar in a process of its own, with a mistake of `tests/seeded_sidecar_faults.py` if one is named."""
+    """A sidecar in its own process, with a fault of `tests/seeded_sidecar_faults.py` if one is named."""
 
     def __init__(
         self,
@@ -167,12 +172,12 @@
         name: str,
         agent: Discovery,
         known: dict[str, Any],
-        mistake: str = "",
+        seeded_fault: str = "",
         settings: dict[str, Any] = PUSHED,
     ) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self.name = name
-        self.mistake = mistake
+        self.seeded_fault = seeded_fault
         self.path = write_configuration(
             folder, name=name, discovery=f"127.0.0.1:{agent.port}", known=known, settings=settings
         )
@@ -181,8 +186,8 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     async def start(self) -> None:
-        """Start it and wait until it takes connections."""
-        module = ["tests.seeded_sidecar_faults", self.mistake] if self.mistake else ["ryepier.sidecar"]
+        """Start it and wait until it accepts connections."""
+        module = ["tests.seeded_sidecar_faults", self.seeded_fault] if self.seeded_fault else ["ryepier.sidecar"]
         self.process = subprocess.Popen(
             [sys.executable, "-B", "-m", *module],
             cwd=ROOT,
@@ -199,13 +204,13 @@
                     await asyncio.sleep(0.02)
 
     def reload(self, agent: Discovery) -> None:
-        """Give it a new configuration, with another discovery agent."""
+        """Reload the configuration with another discovery agent."""
         changed = json.loads(self.path.read_text()) | {"discovery": f"127.0.0.1:{agent.port}"}
         self.path.write_text(json.dumps(changed))
         self.signal(signal.SIGHUP)
 
     def stop(self) -> None:
-        """Tell it to end."""
+        """Send SIGTERM."""
         self.signal(signal.SIGTERM)
 
     def signal(self, number: signal.Signals) -> None:
@@ -213,12 +218,12 @@
         self.process.send_signal(number)
 
     async def ended(self) -> int:
-        """Its exit code, once it has ended."""
+        """Wait for its end, and return the exit code."""
         assert self.process is not None
         return await asyncio.to_thread(self.process.wait, HANG_TIMEOUT_S)
 
     def kill(self) -> None:
-        """End it in any case."""
+        """Kill it, if it has not ended."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
@@ -227,23 +232,23 @@
 
 @dataclass
 class Exchange:
-    """A request on a connection of its own, of which a part has been sent."""
+    """A request on its own connection, of which a part has been sent."""
 
     record: ClientRequest
-    rest: list[bytes]
+    unsent: list[bytes]
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     def send_next(self) -> None:
         """Send the next piece."""
-        self.writer.write(self.rest.pop(0))
+        self.writer.write(self.unsent.pop(0))
         self.record.sent_s = asyncio.get_running_loop().time()
 
     async def answer(self) -> None:
         """Read the answer and record it."""
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(self.record.deadline_s + 2 * LATEST_S):
+            async with asyncio.timeout(self.record.deadline_s + 2 * ANSWER_TOLERANCE_S):
                 head, _ = await read_message(self.reader)
             self.record.status, self.record.ended_s = int(head.split(b" ")[1]), loop.time()
         except (TimeoutError, asyncio.IncompleteReadError, ConnectionError):
@@ -253,14 +258,14 @@
 
 
 class Application:
-    """Sends requests to sidecars and records what becomes of them."""
+    """Sends requests to sidecars and records the answers."""
 
     def __init__(self) -> None:
         self.requests: list[ClientRequest] = []
         self.answers: list[asyncio.Task[None]] = []
 
     async def begin(self, sidecar: SidecarProcess, kind: str, cuts: Sequence[int] = (), body: bytes = b"") -> Exchange:
-        """Send the first piece of a request that is cut at these places; all of it if there are none."""
+        """Send the first piece of a request that is split at these offsets; all of it if there are none."""
         ident = f"{sidecar.name}-{next(request_numbers)}"
         data = request(kind, ident, body, deadline_ms=int(DEADLINE_S * 1000))
         edges = [0, *cuts, len(data)]
@@ -272,15 +277,15 @@
         return exchange
 
     def finish(self, exchange: Exchange) -> None:
-        """Send what is left, and read the answer beside what goes on."""
-        while exchange.rest:
+        """Send the remaining pieces, and read the answer in the background."""
+        while exchange.unsent:
             exchange.send_next()
         self.answers.append(asyncio.create_task(exchange.answer()))
 
     async def fetch(self, sidecar: SidecarProcess, kind: str) -> None:
-        """Send a whole request."""
+        """Send a complete request."""
         self.finish(await self.begin(sidecar, kind))
 
-    async def all_ended(self) -> None:
-        """Until each request has its answer or is given up."""
+    async def wait_until_ended(self) -> None:
+        """Wait until each request has its answer or is given up."""
         await asyncio.gather(*self.answers)
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -1,6 +1,6 @@
-"""Sidecars with one mistake put in on purpose: `python -m tests.seeded_sidecar_faults MISTAKE`.
+"""Sidecars with one seeded fault: `python -m tests.seeded_sidecar_faults FAULT`.
 
-Each mistake breaks one path that a check of `tests/acceptance.py` guards, so that the check is seen to fail.
+Each fault breaks one path that a check of `tests/acceptance.py` guards, to show that the check can fail.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from ryepier.sidecar.requests import Address, AttemptResult, ClientRequest, FinalAnswer, FinalOutcome
 from ryepier.sidecar.server import Server
 
-LATE_S = 0.8  # past the request's time
-EVERY_LATE = 5  # answers; one of so many comes late
+LATE_S = 0.8  # after the request's deadline
+LATE_INTERVAL = 5  # every fifth answer is late
 
 
 def drop(requests: Iterable[OpenRequest]) -> None:
-    """The answers to these requests are never written."""
+    """Never write the answers to these requests."""
     for request in requests:
         request.reply = lambda answer: None
 
@@ -73,33 +73,33 @@
 
 
 def ignore_pieces() -> None:
-    """A request that does not come in one piece is never taken."""
+    """A request that does not come in each piece is never taken."""
     received, accept = ClientConnection.data_received, ClientConnection._accept
 
     def count_pieces(self: ClientConnection, data: bytes) -> None:
         self.pieces = getattr(self, "pieces", 0) + 1  # type: ignore[attr-defined]
         received(self, data)
 
-    def accept_whole(self: ClientConnection) -> None:
+    def accept_unsplit(self: ClientConnection) -> None:
         if self.pieces == 1:  # type: ignore[attr-defined]
             accept(self)
 
     ClientConnection.data_received = count_pieces  # type: ignore[method-assign]
-    ClientConnection._accept = accept_whole  # type: ignore[method-assign]
+    ClientConnection._accept = accept_unsplit  # type: ignore[method-assign]
 
 
-def close_halves_on_stop() -> None:
+def close_partial_on_shutdown() -> None:
     """Told to end, it closes connections on which part of a request has come."""
     close_idle = Server.close_idle
 
-    def stop_halves(self: Server) -> None:
+    def close_idle_and_partial(self: Server) -> None:
         close_idle(self)
         for state in (ClientState.NEW, ClientState.READING):
             for client in list(self.clients[state]):
                 if client.reader.received_bytes:
                     client.close()
 
-    Server.close_idle = stop_halves  # type: ignore[method-assign]
+    Server.close_idle = close_idle_and_partial  # type: ignore[method-assign]
 
 
 def answer_late() -> None:
@@ -110,7 +110,7 @@
         nonlocal count
         count += 1
         request = self.requests.get(ident)
-        if count % EVERY_LATE == 0 and request is not None:
+        if count % LATE_INTERVAL == 0 and request is not None:
             wait_s, reply = request.request.deadline_us / 1e6 + LATE_S, request.reply
             request.reply = lambda late: delay(wait_s, reply, late)
         give(self, ident, answer)
@@ -119,12 +119,12 @@
 
 
 def never_watch_again() -> None:
-    """A watch that has fallen silent is not opened anew."""
+    """Keep a watch that has fallen silent."""
     DiscoveryClient.check_liveness = lambda self: None  # type: ignore[method-assign]
 
 
-def ignore_whole_lists() -> None:
-    """Of a whole list nothing is taken but at the start."""
+def ignore_complete_lists() -> None:
+    """Ignore complete lists, except at the start."""
     changed = RequestDispatcher.on_endpoints
 
     def only_changes(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
@@ -135,7 +135,7 @@
 
 
 def lose_watch_on_reload() -> None:
-    """After a new configuration it watches nothing."""
+    """Open no watch after a new configuration."""
 
     def apply_and_stop(self: DiscoveryClient, config: Config) -> None:
         self.address = config.discovery
@@ -144,49 +144,49 @@
     DiscoveryClient.apply_config = apply_and_stop  # type: ignore[method-assign]
 
 
-def trust_known_list() -> None:
-    """A new process stays with the list that it knew."""
+def keep_configured_list() -> None:
+    """Keep the configured list after a start."""
     DiscoveryClient.start = lambda self: None  # type: ignore[method-assign]
 
 
-def refuse_while_cold() -> None:
-    """Nothing is sent while the last word of the list names only cold upstreams."""
-    on_endpoints, on_request, cold = RequestDispatcher.on_endpoints, RequestDispatcher.on_request, False
+def reject_while_warming_up() -> None:
+    """Reject all requests while the last change of the list has only upstreams that warm up."""
+    on_endpoints, on_request, is_warming_up = RequestDispatcher.on_endpoints, RequestDispatcher.on_request, False
 
-    def note_cold(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
-        nonlocal cold
-        ready = [one for one in event.upstreams if one.state is UpstreamState.READY]
-        cold = bool(ready) and all(one.started_us for one in ready)
+    def note_warming_up(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
+        nonlocal is_warming_up
+        ready = [each for each in event.upstreams if each.state is UpstreamState.READY]
+        is_warming_up = bool(ready) and all(each.started_us for each in ready)
         on_endpoints(self, event, addresses)
 
-    def refuse(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
-        if not cold:
+    def reject(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
+        if not is_warming_up:
             return on_request(self, request, reply)
         reply(FinalAnswer(FinalOutcome.REJECTED))
         return 0
 
-    RequestDispatcher.on_endpoints = note_cold  # type: ignore[method-assign]
-    RequestDispatcher.on_request = refuse  # type: ignore[method-assign]
+    RequestDispatcher.on_endpoints = note_warming_up  # type: ignore[method-assign]
+    RequestDispatcher.on_request = reject  # type: ignore[method-assign]
 
 
-MISTAKES: dict[str, Callable[[], None]] = {
-    one.__name__: one
-    for one in (
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {
+    each.__name__: each
+    for each in (
         forget_open_on_reload,
         forget_open_on_drain,
         forget_on_reset,
         ignore_pieces,
-        close_halves_on_stop,
+        close_partial_on_shutdown,
         answer_late,
         never_watch_again,
-        ignore_whole_lists,
+        ignore_complete_lists,
         lose_watch_on_reload,
-        trust_known_list,
-        refuse_while_cold,
+        keep_configured_list,
+        reject_while_warming_up,
     )
 }
 
 
 if __name__ == "__main__":
-    MISTAKES[sys.argv[1]]()
+    SEEDED_FAULTS[sys.argv[1]]()
     sys.exit(sidecar.main())
