--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -24,7 +24,7 @@
 from ryepier.experiments.scale import call, control, depth, instrumented_planner
 from ryepier.experiments.scale.call import REQUEST, Target
 from ryepier.experiments.scale.chains import Chain, run_chain
-from ryepier.experiments.scale.control import Look, Sample
+from ryepier.experiments.scale.control import PlannerReading, Sample
 from ryepier.experiments.scale.depth import ChainFigures
 from ryepier.experiments.scale.instrumented_planner import PlannerUsage
 from ryepier.experiments.scale.lightweight_converters import ANSWER, ConvertersConfig, make_list, serve
@@ -120,14 +120,16 @@
 # scale-control: figures and claims
 
 
-def look(cpu_s: float, tick_cpu_s: float, ticks: int, reports: int, waited_s: float = 0.0) -> Look:
-    return Look(Usage(cpu_s, 100_000_000), PlannerUsage(cpu_s, tick_cpu_s, ticks, reports, ticks // 2), waited_s)
+def look(cpu_s: float, tick_cpu_s: float, ticks: int, reports: int, waited_s: float = 0.0) -> PlannerReading:
+    return PlannerReading(
+        Usage(cpu_s, 100_000_000), PlannerUsage(cpu_s, tick_cpu_s, ticks, reports, ticks // 2), waited_s
+    )
 
 
 def test_a_planner_that_is_late_does_not_look_cheap() -> None:
     # 100 forwarders: a tick takes 20 ms and a report 1 ms, in time and with half of both left out
-    prompt = control.planner_row(100, 10.0, look(1.0, 0.0, 0, 0), look(3.8, 0.8, 40, 2000))
-    late = control.planner_row(100, 10.0, look(1.0, 0.0, 0, 0), look(2.4, 0.4, 20, 1000, 5.6))
+    prompt = control.planner_readings(100, 10.0, look(1.0, 0.0, 0, 0), look(3.8, 0.8, 40, 2000))
+    late = control.planner_readings(100, 10.0, look(1.0, 0.0, 0, 0), look(2.4, 0.4, 20, 1000, 5.6))
     for row in (prompt, late):
         assert row["planner_cpu_ms_a_tick"] == pytest.approx(20)
         assert row["planner_cpu_us_a_report"] == pytest.approx(1000)
@@ -143,7 +145,7 @@
 def test_seven_planners_cost_seven_times_the_reports_and_beats_and_once_the_plans() -> None:
     before = [sample(), sample()]
     after = [sample(at_s=2.0, bytes_out=20_000, bytes_in=4_000, plan_bytes=3_000)] * 2
-    row = control.forwarder_row(20, 2.0, before, after)
+    row = control.forwarder_readings(20, 2.0, before, after)
     assert row["bytes_out_per_s"] == 1000 and row["bytes_in_per_s"] == 200
     assert row["bytes_per_s_with_seven"] == 7 * (1000 + 50) + 150
 
@@ -177,23 +179,23 @@
 
 
 def test_a_planner_that_grows_faster_than_its_fleet_fails_a_claim() -> None:
-    assert not failing(control.claims_of(30, rows(1.0), WHOLE))
-    found = failing(control.claims_of(30, rows(2.0), WHOLE))
+    assert not failing(control.make_claims(30, rows(1.0), WHOLE))
+    found = failing(control.make_claims(30, rows(2.0), WHOLE))
     assert len(found) == 1 and "cores that the planner needs" in found[0]
 
 
 def test_reports_that_grow_with_the_fleet_fail_a_claim() -> None:
-    assert any("bytes out" in name for name in failing(control.claims_of(30, rows(1.0, 1.0), WHOLE)))
+    assert any("bytes out" in name for name in failing(control.make_claims(30, rows(1.0, 1.0), WHOLE)))
 
 
 def test_a_planner_that_is_not_followed_or_had_no_core_fails_a_claim() -> None:
-    assert failing(control.claims_of(30, rows(1.0), WHOLE | {"avoided_after_s": float("inf")}))
+    assert failing(control.make_claims(30, rows(1.0), WHOLE | {"avoided_after_s": float("inf")}))
     starved = {size: row | {"planner_wait_share": 0.9} for size, row in rows(1.0).items()}
-    assert any("too busy" in name for name in failing(control.claims_of(30, starved, WHOLE)))
+    assert any("too busy" in name for name in failing(control.make_claims(30, starved, WHOLE)))
 
 
 def test_what_the_size_to_design_for_takes_is_on_the_line_and_beside_its_budget() -> None:
-    found = control.figures_of(30, rows(1.0), WHOLE)
+    found = control.make_figures(30, rows(1.0), WHOLE)
     assert found["design_planner_cores_needed_30_in_use"] == pytest.approx(1.6)
     assert found["design_share_of_budget_planner_cores_needed_30_in_use"] == pytest.approx(3.2)
     assert found["design_share_of_budget_bytes_per_s_with_seven_30_in_use"] == pytest.approx(5.0)
