--- a/tests/test_scale_fail.py
+++ b/tests/test_scale_fail.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from typing import get_args
 
 import pytest
 
@@ -60,6 +59,6 @@
 
 
 def test_both_scales_ask_for_what_any_test_may() -> None:
-    for scale in get_args(Scale):
+    for scale in Scale:
         needs = failure.needs(scale)
         assert needs.processes <= 8 and needs.bytes < 5e9
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import get_args
 
 import pytest
 
@@ -91,7 +90,7 @@
 
 
 def test_both_scales_ask_for_what_any_test_may() -> None:
-    for scale in get_args(Scale):
+    for scale in Scale:
         needs = endpoint_list.needs(scale)
         assert needs.processes <= 8 and needs.bytes < 4e9
 
