--- /dev/null
+++ b/tests/plan_scenarios.py
@@ -0,0 +1,103 @@
+"""Plans, reports of forwarders and a balancer for tests of planners, without sockets."""
+
+from __future__ import annotations
+
+from ryepier.balancer.balancer import Balancer
+from ryepier.balancer.interface import (
+    Event,
+    ListKind,
+    RequestArrived,
+    RequestClass,
+    Send,
+    Settings,
+    Upstream,
+    UpstreamsUpdated,
+)
+from ryepier.plan.evidence import Evidence
+from ryepier.plan.messages import (
+    ConverterAdvice,
+    ConverterCounters,
+    Plan,
+    Report,
+    Term,
+)
+from ryepier.plan.messages import PlanBasis as Basis
+from ryepier.plan.plan_computation import Planner
+from ryepier.plan.plan_follower import AcceptanceRules
+
+RULES = AcceptanceRules(fleet=10)
+LISTED = {f"c{i}" for i in range(10)}
+SECOND_US = 1_000_000
+
+
+def make_plan(
+    epoch: int = 1,
+    number: int = 1,
+    forwarders: int = 10,
+    planner: str = "a",
+    covered: int = 10,
+    window_ms: int = 2000,
+    entries: dict[str, ConverterAdvice] | None = None,
+) -> Plan:
+    """Return a plan that forwarders accept unless its arguments prevent it."""
+    return Plan(
+        Term(epoch, planner), number, Basis(forwarders, window_ms, covered, 10, 99), entries or {}, 2000, 30_000
+    )
+
+
+def ejections(count: int) -> dict[str, ConverterAdvice]:
+    """Return advice that ejects the first converters."""
+    return {f"c{i}": ConverterAdvice(ejected=True, trial_share=0.0) for i in range(count)}
+
+
+def report_attempts(
+    evidence: Evidence, now_us: int, name: str, results: dict[str, tuple[int, int]], slower: tuple[str, ...] = ()
+) -> None:
+    """Merge a forwarder's next report: by converter, how many more attempts were served and how many failed.
+
+    An attempt takes 16 to 32 ms, or 64 to 128 ms at the slower converters; ten requests of the one class have arrived.
+    """
+    known = evidence.forwarders.get(name)
+    if known is None:
+        evidence.merge(now_us, name, 1, Report(1, 10, {}, {}, [], [], 0))
+        known = evidence.forwarders[name]
+    counters = {}
+    for uid, (served, failed) in results.items():
+        old = known.converters[uid].counters if uid in known.converters else ConverterCounters()
+        slow = uid in slower
+        counts = [*old.latencies, *[0] * (8 - len(old.latencies))]
+        counts[7 if slow else 5] += served
+        counters[uid] = ConverterCounters(
+            old.attempts + served + failed, old.served + served, old.failed + failed, 0, tuple(counts)
+        )
+    evidence.merge(now_us, name, 1, Report(known.number + 1, 10, counters, {}, [], [10 * known.number], 0))
+
+
+def report_healthy(evidence: Evidence, now_us: int, but: dict[str, tuple[int, int]], names: int = 10) -> None:
+    """Merge reports of forwarders for which all converters are healthy, except these."""
+    for index in range(names):
+        report_attempts(evidence, now_us, f"f{index}", dict.fromkeys(LISTED, (3, 0)) | but)
+
+
+def compute_plan(planner: Planner, evidence: Evidence, now_us: int) -> Plan:
+    """Return the planner's plan; there has to be one."""
+    plan = planner.plan(now_us, evidence, Term(1, "a"), 1)
+    assert plan is not None
+    return plan
+
+
+def balancer_with_upstreams(count: int) -> Balancer:
+    """Return a balancer with ready upstreams numbered from 0."""
+    settings = Settings(
+        classes=[RequestClass("read", latency_objective_us=SECOND_US, deadline_us=10 * SECOND_US)], max_attempts=2
+    )
+    balancer = Balancer(settings, seed=3, now_us=1)
+    balancer.handle(1, UpstreamsUpdated(ListKind.FULL, [Upstream(i) for i in range(count)]))
+    return balancer
+
+
+def sent_upstreams(balancer: Balancer, count: int, before: Event) -> list[int]:
+    """Send an event and then requests, and return the upstreams that the balancer sends them to."""
+    balancer.handle(2, before)
+    actions = [a for i in range(count) for a in balancer.handle(3 + i, RequestArrived(i, due_us=10 * SECOND_US))]
+    return [action.upstream for action in actions if isinstance(action, Send)]
