--- /dev/null
+++ b/tests/test_slice_sidecar.py
@@ -0,0 +1,155 @@
+"""A sidecar and its commands that follow EndpointSlices of an emulated API server."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import sys
+from pathlib import Path
+
+import pytest
+
+from ryepier.assembly.sidecar import select_components
+from ryepier.balancer.interface import ListKind
+from ryepier.conf import operator_settings
+from ryepier.emulator.api_store import SERVICE_LABEL
+from ryepier.sidecar.config import load
+from ryepier.sidecar.serving import serve
+from ryepier.slices import slice_source
+from ryepier.slices.api_client import AccessError, find_access
+from tests.api_server_testbed import (
+    READY,
+    ApiServerTestbed,
+    api_server_testbed,
+    run_bounded,
+    slice_content,
+)
+from tests.loopback_ports import free_port
+from tests.network_peers import OK, read_message, request, wait_until, write_configuration
+
+
+def test_sidecar_that_starts_while_the_server_is_away_uses_the_cached_list(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(slice_source, "CACHE_INTERVAL_S", 0.01)
+    cache = tmp_path / "list.json"
+
+    async def test() -> None:
+        async with api_server_testbed() as testbed:
+            testbed.put("s1", "p1", "p2", draining="p2")
+            testbed.follow(cache=cache).stop()
+            testbed.follow(cache=cache)
+            await wait_until(cache.exists)
+        away = ApiServerTestbed()
+        away.port = free_port()
+        away.follow(cache=cache)
+        assert away.events[0].kind is ListKind.CACHED and away.states() == {"p1": READY}
+        cache.write_bytes(cache.read_bytes()[:-9])  # torn
+        again = ApiServerTestbed()
+        again.port = away.port
+        again.follow(cache=cache)
+        assert again.events == []
+        for action in (away, again):
+            assert action.source is not None
+            action.source.stop()
+
+    run_bounded(test)
+
+
+@pytest.mark.parametrize(
+    ("server", "text"),
+    [
+        ("ftp://x", "expected http"),
+        ("https://", "expected http"),
+        ("127.0.0.1:80", "expected http"),
+        ("http://h:99999", "out of range"),
+        ("", "KUBERNETES_SERVICE_HOST"),
+    ],
+)
+def test_address_without_a_server_is_reported(server: str, text: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.delenv("KUBERNETES_SERVICE_HOST", raising=False)
+    with pytest.raises(AccessError, match=text):
+        find_access(server)
+
+
+def test_explain_and_watch_print_the_states_in_each_slice_and_the_deciding_rule(tmp_path: Path) -> None:
+    async def test() -> None:
+        async with api_server_testbed() as testbed:
+            testbed.put("s1", "p1", "p2")
+            testbed.put("s2", "p1", draining="p1")
+            path = tmp_path / "ryepier.toml"
+            path.write_text(
+                f'[slices]\nservice = "convert"\nnamespace = "default"\nserver = "http://127.0.0.1:{testbed.port}"\n'
+            )
+            code, output = await command("slices", "explain", "10.0.0.1", "--config", str(path))
+            assert code == 0 and "10.0.0.1:80 p1: draining, by rule 3" in output
+            assert "  s1, generation 1: ready" in output and "  s2, generation 1: terminating" in output
+            code, _ = await command("slices", "explain", "10.9.9.9", "--config", str(path))
+            assert code == 1
+            code, _ = await command("slices", "explain", "10.0.0.1")
+            assert code == 2
+            process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "ryepier",
+                "slices",
+                "watch",
+                "--json",
+                "--config",
+                str(path),
+                stdout=asyncio.subprocess.PIPE,
+            )
+            assert process.stdout is not None
+            lines = [json.loads(await process.stdout.readline()) for _ in range(2)]
+            assert {line["uid"]: line["state"] for line in lines} == {"p1": "draining", "p2": "ready"}
+            testbed.put("s1", "p2", draining="p2")
+            line = json.loads(await process.stdout.readline())
+            assert (line["uid"], line["state"], line["list"]) == ("p2", "draining", "delta")
+            process.terminate()
+            assert await process.wait() == 0
+
+    run_bounded(test)
+
+
+async def command(*arguments: str) -> tuple[int, str]:
+    """How `ryepier` ends, and what it prints."""
+    process = await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "ryepier", *arguments, stdout=asyncio.subprocess.PIPE
+    )
+    output, _ = await process.communicate()
+    assert process.returncode is not None
+    return process.returncode, output.decode()
+
+
+def test_sidecar_follows_slices_to_a_converter_at_an_ipv6_address(tmp_path: Path) -> None:
+    hosts: set[str] = set()
+
+    async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        head, _ = await read_message(reader)
+        hosts.update(line[6:].decode() for line in head.split(b"\r\n") if line.lower().startswith(b"host: "))
+        writer.write(OK)
+
+    async def test() -> None:
+        server = await asyncio.start_server(respond, "::1", 0)
+        port = server.sockets[0].getsockname()[1]
+        async with api_server_testbed() as testbed:
+            only_slice = slice_content("p1", family="IPv6")
+            only_slice["endpoints"][0]["addresses"] = ["::1"]
+            only_slice["ports"] = [{"name": "http", "port": port}]
+            testbed.store.put("default", "s1", only_slice, {SERVICE_LABEL: "convert"})
+            config = load(str(write_configuration(tmp_path, known=None)))
+            text = f'[slices]\nservice = "convert"\nnamespace = "default"\nserver = "http://127.0.0.1:{testbed.port}"\n'
+            stop = asyncio.Event()
+            components = select_components(operator_settings.parse(text, {}))
+            serving = asyncio.create_task(serve(config, stop, asyncio.Event(), components))
+            await wait_until(lambda: any("watch=true" in call for call in testbed.api.calls))
+            reader, writer = await asyncio.open_connection(*config.listen)
+            writer.write(request("pay", body=b"b", deadline_ms=1000))
+            assert (await reader.readline()).startswith(b"HTTP/1.1 200")
+            writer.close()
+            assert {f"[::1]:{port}"} == hosts
+            stop.set()
+            await serving
+        server.close()
+
+    run_bounded(test)
