--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -4,7 +4,6 @@
 that is taken, and is retried through a slot (docs/design.md). Each concern has a module beside this one.
 """
 
-from collections.abc import Sequence
 from random import Random
 
 from ryepier.balancer import interface as api
@@ -290,24 +289,15 @@
 
     def arm(self) -> None:
         """Request a timer at the next wake-up, or, for a buffered request, at the next end of an ejection."""
-        buffer = self.buffer
-        ends_us = self.ejection_ends_us(buffer.event.class_index) if buffer is not None else ()
+        ends_us: list[int] = []
+        if self.buffer is not None:
+            ends_us = self.outliers.ejection_ends_us(self.buffer.event.class_index, self.now_us)
         timer_us = self.wake_ups.timer_to_request(ends_us)
         if timer_us is not None:
             self.actions.append(api.SetTimer(timer_us, 0))
 
-    def ejection_ends_us(self, class_index: int) -> Sequence[int]:
-        """Return when the current ejections that apply to a class end."""
-        ends_us = []
-        for upstream in self.membership.by_id.values():
-            end_us = max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
-            if end_us > self.now_us:
-                ends_us.append(end_us)
-        return ends_us
-
     def log(self, text: str, upstream: int | None = None) -> bool:
-        """Emit a log line unless one was emitted within `LOG_INTERVAL_US`. Returns whether it was emitted; if
-        not, the caller logs the change later if it lasts."""
+        """Emit a line unless one was emitted within `LOG_INTERVAL_US`. Returns whether it was emitted."""
         if self.now_us < self.next_log_us:
             return False
         self.next_log_us = self.now_us + tuning.LOG_INTERVAL_US
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -155,6 +155,15 @@
         upstream.queue_headroom = max(upstream.queue_headroom - 1, 0)
         return has_headroom
 
+    def ejection_ends_us(self, class_index: int, now_us: int) -> list[int]:
+        """Return when the current ejections that apply to a class end."""
+        ends_us = []
+        for upstream in self.membership.by_id.values():
+            end_us = max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
+            if end_us > now_us:
+                ends_us.append(end_us)
+        return ends_us
+
     def class_ejections_apply(self, listed: Iterable[TrackedUpstream], index: int, now_us: int) -> bool:
         """Return whether ejections for a class apply: not if most upstreams would be ejected."""
         if now_us >= self.last_ejection_ends_us:
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -335,7 +335,7 @@
         self.server.change_state(self, ClientState.CLOSING)
         if self.transport is not None:
             self.transport.abort()
-            # The transport closes the socket a turn later; a request that arrived until then would be lost in a reset.
+            # The transport closes the socket in the loop's next turn; a request that arrives until then would be reset.
             self.sock.close()
 
     def on_state_timeout(self) -> None:
