--- a/tests/test_scale_fail.py
+++ b/tests/test_scale_fail.py
@@ -29,7 +29,7 @@
 
 
 def test_the_whole_fleet_follows_from_the_lines() -> None:
-    got = failure.calculated(by_hand(), Scale.SMALL)
+    got = failure.calculate_fleet(by_hand(), Scale.SMALL)
     assert got["change_cpu_us"] == pytest.approx(100.0) and got["message_us"] == pytest.approx(10.0)
     assert (got["rack_messages"], got["zone_messages"], got["region_messages"]) == (64_000, 320_000, 640_000)
     assert got["region_mb"] == pytest.approx(200 * REGION * 800 / 1e6)
@@ -41,16 +41,16 @@
 
 def test_a_change_that_is_lost_or_told_twice_fails_a_claim() -> None:
     found = by_hand() | {"rack_told_40": 1.0, "zone_told_40": 1.0, "rack_still_ready_40": 0.0}
-    found |= failure.calculated(found, Scale.SMALL)
-    assert all(claim.holds for claim in failure.claims(found))
+    found |= failure.calculate_fleet(found, Scale.SMALL)
+    assert all(claim.holds for claim in failure.make_claims(found))
     for wrong in ({"zone_told_40": 0.999}, {"zone_told_40": 1.001}, {"rack_still_ready_40": 1.0}):
-        assert not all(claim.holds for claim in failure.claims(found | wrong))
+        assert not all(claim.holds for claim in failure.make_claims(found | wrong))
 
 
 @pytest.mark.parametrize("singly", [True, False])
 def test_converters_that_drain_are_forgotten_by_every_module(singly: bool) -> None:
     async def play() -> dict[str, float]:
-        async with failure.fleet_of(30, 1, "") as fleet:
+        async with failure.start_fleet(30, 1, "") as fleet:
             await fleet.grow(failure.PROCESSES)
             return await fleet.lose(7, singly)
 
