--- /dev/null
+++ b/tests/limited_sidecar.py
@@ -0,0 +1,151 @@
+"""A sidecar process with the minimum of descriptors, in front of one upstream that stands for 100 converters."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import resource
+import socket
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
+from pathlib import Path
+
+from tests.loopback_ports import free_port
+from tests.network_peers import (
+    HANG_TIMEOUT_S,
+    SETTINGS,
+    Json,
+    Streams,
+    Upstream,
+    endpoint_entry,
+    endpoint_list,
+    read_message,
+    request,
+    write_configuration,
+)
+
+ROOT = Path(__file__).resolve().parent.parent
+DESCRIPTOR_LIMIT = 256  # the minimum that a sidecar is given
+CONVERTERS = 100
+WATCH_INTERVAL_S = 0.002
+
+
+def has_ended(writer: asyncio.StreamWriter) -> bool:
+    """Return whether the sidecar has closed this connection, from which nothing was read yet."""
+    with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as sock:
+        try:
+            return sock.recv(1, socket.MSG_PEEK) == b""
+        except BlockingIOError:
+            return False
+
+
+@dataclass
+class LimitedSidecar:
+    """A sidecar process, and the most descriptors that it was seen to have."""
+
+    pid: int
+    port: int
+    max_descriptors: int = 0
+
+    async def watch_descriptors(self) -> None:
+        """Update `max_descriptors` forever."""
+        while True:
+            self.max_descriptors = max(self.max_descriptors, len(os.listdir(f"/proc/{self.pid}/fd")))
+            await asyncio.sleep(WATCH_INTERVAL_S)
+
+    async def connect(self) -> Streams:
+        """Open a connection."""
+        return await asyncio.open_connection("127.0.0.1", self.port)
+
+    async def wait_until_listening(self) -> None:
+        """Wait until it accepts connections."""
+        async with asyncio.timeout(HANG_TIMEOUT_S):
+            while True:
+                try:
+                    _, writer = await self.connect()
+                except ConnectionRefusedError:
+                    await asyncio.sleep(0.02)
+                else:
+                    writer.close()
+                    return
+
+    async def connect_until_open(self) -> Streams:
+        """Connect, and again while the connection has ended before anything could be sent: the sidecar evicts a
+        connection that has sent nothing, as one does whose client the machine holds up between connect and write.
+        """
+        while True:
+            reader, writer = await self.connect()
+            if not has_ended(writer):
+                return reader, writer
+            writer.close()
+
+    async def fetch(self) -> bytes:
+        """Send a request on its own connection, and return the first line of the response."""
+        reader, writer = await self.connect_until_open()
+        writer.write(request("pay"))
+        response = await read_message(reader)
+        writer.close()
+        return response.head.partition(b"\r\n")[0]
+
+
+def converters(upstream: Upstream, rev: int) -> Json:
+    """Return a list of converters that are all at the upstream's address."""
+    return endpoint_list(*(endpoint_entry(f"u{number}", upstream.port) for number in range(CONVERTERS)), rev=rev)
+
+
+def write_limited_configuration(folder: Path, port: int, upstream: Upstream, discovery_port: int) -> Path:
+    """Write the configuration of the sidecar.
+
+    Its latency objective is long: answers that a test delays must not count as slow, or requests would be rejected.
+    """
+    pay = {"name": "pay", "aim": 15_000_000, "deadline": 15_000_000, "effect": "at_most_once", "worth": 10.0}
+    invariants = SETTINGS["invariants"] | {"ask-within": 5_000_000}
+    bounds = SETTINGS["bounds"] | {"conn-idle": 30_000_000}
+    return write_configuration(
+        folder,
+        listen=f"127.0.0.1:{port}",
+        discovery=f"127.0.0.1:{discovery_port}",
+        known=converters(upstream, 1),
+        settings=SETTINGS | {"request-classes": [pay], "invariants": invariants, "bounds": bounds},
+        limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTOR_LIMIT},
+    )
+
+
+async def start_process(configuration: Path, log: Path) -> asyncio.subprocess.Process:
+    """Start the process with its limit on descriptors."""
+    limits = (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT)
+    with log.open("wb") as file:
+        return await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "ryepier.sidecar",
+            cwd=ROOT,
+            stderr=file,
+            stdin=asyncio.subprocess.DEVNULL,
+            env=os.environ | {"BALANCER_CONFIG": str(configuration)},
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, limits),
+        )
+
+
+@asynccontextmanager
+async def limited_sidecar(folder: Path, upstream: Upstream, discovery_port: int) -> AsyncIterator[LimitedSidecar]:
+    """Run the sidecar; at the end it must be alive, and must never have had all its descriptors open."""
+    await upstream.start()
+    port, log = free_port(), folder / "log"
+    process = await start_process(write_limited_configuration(folder, port, upstream, discovery_port), log)
+    sidecar = LimitedSidecar(process.pid, port)
+    watching = asyncio.create_task(sidecar.watch_descriptors())
+    try:
+        await sidecar.wait_until_listening()
+        yield sidecar
+        assert process.returncode is None
+        assert "connection not accepted" not in log.read_text()
+        assert sidecar.max_descriptors < DESCRIPTOR_LIMIT
+    finally:
+        watching.cancel()
+        if process.returncode is None:
+            process.kill()
+        await process.wait()
+        upstream.stop()
