--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -59,7 +59,7 @@
 def may_have_run(attempt: ConverterAttempt) -> bool:
     """Return whether a converter may have executed an attempt.
 
-    By the protocol only a complete 503 or 504 that says so proves that it did not.
+    By the protocol only a complete 503 or 504 with that statement proves that it did not.
     """
     return not (attempt.outcome is AttemptOutcome.ANSWERED and attempt.not_run)
 
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -151,7 +151,7 @@
     """Return a function that runs a world on real sockets; the control run has no seeded fault in its sidecars."""
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
-        roles = _make_cast(experiment, trial.seeded_fault)
+        roles = _assign_roles(experiment, trial.seeded_fault)
         if is_control:
             roles = dataclasses.replace(roles, sidecar_command=None)
         with _limited_to_cores(experiment.cores):
@@ -160,7 +160,7 @@
     return run_world
 
 
-def _make_cast(experiment: Experiment, seeded_fault: str) -> harness.RoleAssignment:
+def _assign_roles(experiment: Experiment, seeded_fault: str) -> harness.RoleAssignment:
     """Return the commands of the run's processes, with the experiment's own faults and the seeded one."""
     roles = harness.RoleAssignment(
         sidecar_overrides={index: seeded_faults.command(name) for index, name in experiment.sidecar_faults.items()}
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from ryepier.emulator.records import NEVER, AttemptOutcome, ClientAttempt, ConverterAttempt
+from ryepier.emulator.records import NEVER, AttemptOutcome, ClientAttempt, ConverterAttempt, RequestOutcome
 from ryepier.emulator.world import Effect
 from ryepier.experiments.core.contract import Run
 from ryepier.experiments.core.quantiles import binomial_quantile
@@ -155,5 +155,5 @@
         with_spare=len(spare),
         retried=sum(reset.was_retried for reset in spare),
         retried_queries=len(retried),
-        served_queries=sum(requests[query].outcome == "served" for query in retried),
+        served_queries=sum(requests[query].outcome is RequestOutcome.SERVED for query in retried),
     )
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -46,7 +46,7 @@
     )
 
 
-def _effects(run: Run) -> dict[str, str]:
+def _effects(run: Run) -> dict[str, Effect]:
     """Return the effect of each request's class by the request's id."""
     return {item.request_id: run.world.classes[item.request_class].effect for item in run.history.client_attempts}
 
@@ -57,7 +57,7 @@
     executions = Counter(
         attempt.request_id for attempt in run.history.converter_attempts if attempt.started_us != NEVER
     )
-    return sum(count > 1 and effects.get(request_id) == "at_most_once" for request_id, count in executions.items())
+    return sum(count > 1 and effects.get(request_id) is Effect.AT_MOST_ONCE for request_id, count in executions.items())
 
 
 def _figures(run: Run) -> Mapping[str, float]:
@@ -67,14 +67,14 @@
         attempt.request_id for attempt in run.history.converter_attempts if attempt.outcome is AttemptOutcome.RESET
     }
     served = {item.request_id for item in run.history.client_attempts if item.outcome is RequestOutcome.SERVED}
-    queries = [request_id for request_id in reset if effects.get(request_id) == "idempotent"]
+    queries = [request_id for request_id in reset if effects.get(request_id) is Effect.IDEMPOTENT]
     return {
         "requests": requests,
         "reset_share": len(reset) / max(1, requests),
         "duplicated_mutations": count_duplicated_mutations(run),
         "queries_reset": len(queries),
         "queries_reset_and_served": sum(query in served for query in queries) / max(1, len(queries)),
-        "mutations_reset": sum(effects.get(request_id) == "at_most_once" for request_id in reset),
+        "mutations_reset": sum(effects.get(request_id) is Effect.AT_MOST_ONCE for request_id in reset),
     }
 
 
--- a/ryepier/experiments/scale/capacity/plan.py
+++ b/ryepier/experiments/scale/capacity/plan.py
@@ -10,11 +10,11 @@
 
 PLAN = "plan.json"
 DAY_S = 86_400
-LIST_CHANGES_PER_MACHINE = 3  # it drains, goes and comes again
+LIST_CHANGES_PER_MACHINE = 3  # draining, removed, added
 
 
 class CapacityError(RyepierError, ValueError):
-    """Kept results, the plan or the page can't be used; the text tells which and why."""
+    """Kept results, the plan or the page can't be used; the text names it and the reason."""
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """LightweightForwarder sidecars of one process and the discovery that they follow."""
+    """Lightweight sidecars of one process, and the discovery that they follow."""
 
     known: int
     count: int
