--- a/ryepier/balancer/settings_parser.py
+++ b/ryepier/balancer/settings_parser.py
@@ -97,7 +97,7 @@
 
 
 def parse_settings(text: str) -> api.Settings:
-    """The settings of one instance; keys that are not known are skipped."""
+    """Return the settings of one instance. Unknown keys are skipped. Raises SettingsError."""
     pairs: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -110,7 +110,7 @@
 
 
 def settings_from_pairs(pairs: dict[str, str]) -> api.Settings:
-    """The settings from their paths and values; keys that are not known are skipped."""
+    """Return the settings from their paths and values. Unknown keys are skipped. Raises SettingsError."""
     o = _Options(pairs)
     try:
         return api.Settings(
--- a/ryepier/balancer/simulator_adapter.py
+++ b/ryepier/balancer/simulator_adapter.py
@@ -12,7 +12,7 @@
 
 
 def read_exactly(source: BinaryIO, size: int) -> bytes:
-    """`size` bytes, or fewer at the end of input."""
+    """Read `size` bytes, or fewer at the end of input."""
     data = source.read(size)
     while len(data) < size:
         more = source.read(size - len(data))
@@ -32,7 +32,7 @@
 
     def batch(self, now_us: int, count: int, body: bytes) -> bytes:
         """Hand the `count` records of a batch to their instances and return the reply frame. An exception in
-        the decision module becomes an InternalError record. Raises WireError for a malformed batch."""
+        the decision module becomes an InternalError record. Raises ProtocolError for a malformed batch."""
         records: list[bytes] = []
         for instance, event in self.decoder.batch(body, count):
             if isinstance(event, protocol.InstanceStarted):
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -104,7 +104,7 @@
             raise ProtocolError(f"{len(data) - self.at} bytes left over after {count} records")
 
     def take(self, size: int) -> bytes:
-        """The next `size` bytes of the batch. Raises ProtocolError if fewer are left."""
+        """Return the next `size` bytes of the batch. Raises ProtocolError if fewer are left."""
         end = self.at + size
         if end > len(self.data):
             raise ProtocolError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
@@ -113,11 +113,11 @@
         return piece
 
     def fields(self, layout: struct.Struct) -> tuple[int, ...]:
-        """The next fields, as `layout` has them. Raises ProtocolError if the batch ends before."""
+        """Return the next fields, as `layout` has them. Raises ProtocolError if the batch ends before."""
         return layout.unpack(self.take(layout.size))
 
     def floats(self, count: int) -> list[float]:
-        """The next `count` load report values. Raises ProtocolError for one that is not finite."""
+        """Return the next `count` load report values. Raises ProtocolError for one that is not finite."""
         values = list(struct.unpack(f"<{count}f", self.take(4 * count)))
         if not all(map(math.isfinite, values)):
             raise ProtocolError("a load report value that is not a finite number")
@@ -256,11 +256,11 @@
 
 
 def encode(instance: int, action: Reply) -> bytes:
-    """One action record."""
+    """Return the record of an action."""
     return _WRITERS[type(action)](instance, action)
 
 
 def reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """Return a complete reply frame."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/ryepier/conf/key_lines.py
+++ b/ryepier/conf/key_lines.py
@@ -41,7 +41,7 @@
         self._lines = _lines_of_keys(text)
 
     def problem(self, path: Path, text: str) -> Problem:
-        """The problem `text` at the key `path`, or at the nearest table above it that the file names."""
+        """Return the problem `text` at the key `path`, or at the nearest table above it that the file names."""
         at = path
         while at and at not in self._lines:
             at = at[:-1]
@@ -74,7 +74,7 @@
 
 
 def _numbered(names: tuple[str, ...], counts: dict[Path, int]) -> Path:
-    """The path of a table, with the number of the last entry wherever it leads through a list of tables."""
+    """Return the path of a table, with the number of the last entry wherever it leads through a list of tables."""
     path: Path = ()
     for name in names:
         path += (name,)
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -83,7 +83,7 @@
     snapshots: str = ""  # the folder; empty: none are kept
 
     def __post_init__(self) -> None:
-        """Raises ValueError where the planner is its own peer."""
+        """Raise ValueError if the planner is its own peer."""
         if self.name in self.peers:
             raise ValueError(f"peers: {self.name!r} is this planner's own name")
 
@@ -109,7 +109,7 @@
     cache: str = ""  # a file; empty: the list is not written down
 
     def __post_init__(self) -> None:
-        """Raises ValueError where a certificate comes without its key."""
+        """Raise ValueError if a certificate comes without its key."""
         if bool(self.client_cert_file) != bool(self.client_key_file):
             raise ValueError("client_cert_file: goes together with client_key_file")
 
@@ -136,7 +136,7 @@
     fields: list[GraphqlField] = msgspec.field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Raises ValueError where a class is missing or a field is named twice."""
+        """Raise ValueError if a class is missing or a field is named twice."""
         if self.enabled and not (self.queries and self.mutations):
             raise ValueError("queries, mutations: expected the classes of what the table does not name")
         names = [(one.type, one.name) for one in self.fields]
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -125,6 +125,6 @@
 
 
 def _message_without_path(text: str) -> str:
-    """msgspec's own words without the path, which the problem has already."""
+    """Return msgspec's message without the path, which the problem has already."""
     text = text.split(" - at `")[0]
     return text[:1].lower() + text[1:]
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -62,7 +62,7 @@
 
 
 def make_table(settings: conf.GraphqlSettings, platform: Settings) -> Table:
-    """The operators' table over the platform's classes. Raises ValueError where they don't go together."""
+    """Return the operators' table over the platform's classes. Raises ValueError if they contradict each other."""
     rules: dict[str, dict[str, FieldRule]] = {"query": {}, "mutation": {}}
     for one in settings.fields:
         rules[one.type][one.name] = FieldRule(
--- a/ryepier/graphql/persisted.py
+++ b/ryepier/graphql/persisted.py
@@ -25,7 +25,7 @@
         self.size = 0
 
     def resolve(self, text: str | None, extensions: Mapping[str, Any]) -> str | None:
-        """The document that is meant; None where none is named. Raises GraphqlError."""
+        """Return the document that a request names, or None. Raises GraphqlError."""
         named = extensions.get("persistedQuery")
         if named is None:
             return text
--- a/ryepier/sidecar/observers.py
+++ b/ryepier/sidecar/observers.py
@@ -22,16 +22,16 @@
     """Is notified of requests and of their attempts."""
 
     def on_request(self, tenant: int, class_index: int) -> None:
-        """A request has been accepted."""
+        """Record that a request has been accepted."""
 
     def on_rejection(self) -> None:
-        """A request has been rejected."""
+        """Record that a request has been rejected."""
 
     def on_attempt_started(self, upstream: int, token: int, class_index: int) -> None:
-        """An attempt is sent; `token` identifies it until its end."""
+        """Record that an attempt is sent; `token` identifies it until its end."""
 
     def on_attempt_ended(self, upstream: int, token: int, outcome: api.Outcome, elapsed_us: int) -> None:
-        """An attempt has ended."""
+        """Record that an attempt has ended."""
 
 
 class ObserverGroup:
