--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -67,7 +67,7 @@
     seed: int
     scale: Scale
     claims: list[dict[str, object]]
-    figures: dict[str, float]
+    figures: dict[str, float | None]  # None: infinite, for which JSON has no number
     versions: dict[str, str]
     seeded_fault: str = ""
     backend: Backend = Backend.SOCKETS
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -119,7 +119,8 @@
     found, reason = [], ""
     for result in results:
         try:
-            found.append(_SeedValue(result, estimate(result.figures, plan)))
+            figures = {name: value for name, value in result.figures.items() if value is not None}
+            found.append(_SeedValue(result, estimate(figures, plan)))
         except (KeyError, ValueError) as error:
             reason = str(error)
     if not found:
