--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,8 +21,9 @@
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Claim, Scale
 from ryepier.experiments.core.usage import Usage
-from ryepier.experiments.scale import call, control, depth, instrumented_planner
-from ryepier.experiments.scale.call import REQUEST, Target
+from ryepier.experiments.scale import balancer_cost, call, control, depth, instrumented_planner
+from ryepier.experiments.scale.call import CpuTime
+from ryepier.experiments.scale.call_client import REQUEST, Target, body_length
 from ryepier.experiments.scale.chains import Chain, run_chain
 from ryepier.experiments.scale.control import PlannerReading, Sample
 from ryepier.experiments.scale.depth import ChainFigures
@@ -234,8 +235,8 @@
 
 
 def test_an_answers_length_is_read_from_its_head() -> None:
-    assert call.body_length(b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\nX: y") == 42
-    assert call.body_length(b"HTTP/1.1 204 No Content\r\nX: y") == 0
+    assert body_length(b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\nX: y") == 42
+    assert body_length(b"HTTP/1.1 204 No Content\r\nX: y") == 0
 
 
 def target(due: int, took_us: list[int]) -> Target:
@@ -243,7 +244,9 @@
 
 
 def test_a_call_costs_by_the_answers_and_adds_to_the_direct_one() -> None:
-    row = call.phase_row("x", 2.0, target(200, [1000] * 100), target(200, [400] * 200), (50_000_000, 50_000_000))
+    row = call.phase_figures(
+        "x", 2.0, target(200, [1000] * 100), target(200, [400] * 200), CpuTime(50_000_000, 50_000_000)
+    )
     assert row["cpu_us_a_call_x"] == 500 and row["cores_x"] == 0.025 and row["wait_share_x"] == 0.5
     assert row["answered_share_x"] == 0.5 and row["served_share_x"] == 1.0
     assert row["added_p99_ms_x"] == pytest.approx(0.6)
@@ -254,7 +257,7 @@
 
 
 def test_no_answer_is_told_as_endless() -> None:
-    row = call.phase_row("x", 2.0, target(200, []), target(200, [400]), (50_000_000, 0))
+    row = call.phase_figures("x", 2.0, target(200, []), target(200, [400]), CpuTime(50_000_000, 0))
     assert row["p99_ms_x"] == float("inf") and row["served_share_x"] == 0.0
 
 
@@ -262,15 +265,15 @@
     found = {f"cpu_us_a_call_369_per_s_{known}_known": 200 + us_a_known * known for known in call.KNOWN}
     found |= {f"module_us_a_call_{known}_known": 50 + us_a_known * known / 2 for known in call.KNOWN}
     found |= {"added_p99_ms_369_per_s_1600_known": 0.66, "served_share_369_per_s_30_known": 1.0}
-    return found | call.summary(found)
+    return found | call.summarize(found)
 
 
 def test_a_call_that_grows_too_fast_with_the_list_fails_a_claim() -> None:
     assert calls(0.5)["fit_cpu_us_a_call_per_unit"] == pytest.approx(0.5)
     assert calls(0.5)["fit_module_us_a_call_per_unit"] == pytest.approx(0.25)
     assert calls(0.5)["design_share_of_budget_added_p99_ms"] == pytest.approx(2.0)
-    assert not failing(call.claims_of(calls(0.5)))
-    assert len(failing(call.claims_of(calls(5.0)))) == 2
+    assert not failing(call.make_claims(calls(0.5)))
+    assert len(failing(call.make_claims(calls(5.0)))) == 2
 
 
 def test_the_module_alone_opens_to_its_rate_and_costs_more_with_a_longer_list(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -286,18 +289,18 @@
             served[id(self)] += isinstance(event, AttemptEnded) and event.outcome is Outcome.OK
             return super().handle(now_us, event)
 
-    monkeypatch.setattr(call, "Balancer", Kept)
-    few, many = call.module_us_a_call(30, 1), call.module_us_a_call(400, 1)
+    monkeypatch.setattr(balancer_cost, "Balancer", Kept)
+    few, many = (balancer_cost.balancer_us_per_call(known, 1, call.DESIGN_PER_S) for known in (30, 400))
     assert many > few > 0
     opened = [len(one.membership.pools[0].subset.members) for one in made]
     assert opened[0] == 30 and 230 <= opened[1] <= 300  # 4 and one for each 1.5 calls a second
-    calls_made = call.ALONE_PARTS * call.ALONE_CALLS
+    calls_made = balancer_cost.PARTS * balancer_cost.CALLS_PER_PART
     assert all(not one.requests and served[id(one)] == calls_made for one in made)
 
 
 def test_a_sidecar_reads_the_configuration_that_it_is_given(tmp_path: Path) -> None:
     path = tmp_path / "sidecar.json"
-    path.write_text(call.settings_of(1, 400, ("127.1.2.3", 9000), ("127.1.2.4", 8500), ("127.1.2.5", 9000)))
+    path.write_text(call.make_configuration(1, 400, ("127.1.2.3", 9000), ("127.1.2.4", 8500), ("127.1.2.5", 9000)))
     read = config.load(str(path))
     assert len(read.known["targets"]) == 400 and read.settings.classes[0].idempotency == Idempotency.IDEMPOTENT
     assert read.known == make_list(400, ("127.1.2.5", 9000))
