--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -46,10 +46,10 @@
         return self.at_chosen / max(1, self.total)
 
 
-def operations(world: World, tries: Iterable[ClientAttempt]) -> list[Operation]:
+def operations(world: World, client_attempts: Iterable[ClientAttempt]) -> list[Operation]:
     """Group the clients' attempts into operations, in the order in which they were due."""
     groups: dict[int, list[ClientAttempt]] = {}
-    for item in tries:
+    for item in client_attempts:
         groups.setdefault(item.arrival, []).append(item)
     found = [_make_operation(world.classes, group) for group in groups.values()]
     return sorted(found, key=lambda operation: operation.first.planned_us)
@@ -106,15 +106,15 @@
     return wasted_us / total_us if total_us else 0.0
 
 
-def retry_after_share(tries: Iterable[ClientAttempt]) -> float:
+def retry_after_share(client_attempts: Iterable[ClientAttempt]) -> float:
     """Return the share of rejections with a Retry-After; 1 if there were no rejections."""
-    rejected = [item for item in tries if item.outcome is RequestOutcome.REFUSED]
+    rejected = [item for item in client_attempts if item.outcome is RequestOutcome.REFUSED]
     return sum(item.retry_after_us > 0 for item in rejected) / len(rejected) if rejected else 1.0
 
 
-def cpu_used_us(life: Incarnation, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
+def cpu_used_us(incarnation: Incarnation, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
     """Return a sidecar's CPU time between its first and last sample in a part of the run."""
-    inside = [cpu_us for at_us, cpu_us, _ in life.samples if begin_us <= at_us <= end_us]
+    inside = [cpu_us for at_us, cpu_us, _ in incarnation.samples if begin_us <= at_us <= end_us]
     return inside[-1] - inside[0] if inside else 0
 
 
@@ -132,9 +132,9 @@
     return (cpu_after_us - cpu_before_us) / max(1, requests)
 
 
-def max_resident_mib(lives: Iterable[Incarnation]) -> float:
+def max_resident_mib(incarnations: Iterable[Incarnation]) -> float:
     """Return the largest resident memory of any sidecar."""
-    return max((kib for life in lives for _, _, kib in life.samples), default=0) / KIB_PER_MIB
+    return max((kib for incarnation in incarnations for _, _, kib in incarnation.samples), default=0) / KIB_PER_MIB
 
 
 def count_attempts(attempts: Iterable[ConverterAttempt], uids: set[str], begin_s: float, end_s: float) -> AttemptCounts:
@@ -147,12 +147,12 @@
     """Return the figures that every experiment reports."""
     latencies = latency_histogram(found)
     endings = Counter(item.outcome for item in history.client_attempts)
-    tries = max(1, len(history.client_attempts))
+    attempt_count = max(1, len(history.client_attempts))
     result = {
         "orders": float(len(found)),
         "service": service_level(found),
         "tries_per_order": len(history.client_attempts) / max(1, len(found)),
-        "attempts_per_try": len(history.converter_attempts) / tries,
+        "attempts_per_try": len(history.converter_attempts) / attempt_count,
         "waste": wasted_work_share(history),
         "sidecar_most_mib": max_resident_mib(history.incarnations),
         "emulator_p999_late_ms": max((late.p999_us for late in history.lateness), default=0) / US_PER_MS,
@@ -160,7 +160,7 @@
     for percentile in PERCENTILES:
         result[f"latency_p{percentile:g}_ms"] = latencies.get_value_at_percentile(percentile) / US_PER_MS
     for ending, count in sorted(endings.items()):
-        result[f"share_{ending}"] = count / tries
+        result[f"share_{ending}"] = count / attempt_count
     for index, request_class in enumerate(world.classes):
         of_class = [operation for operation in found if operation.first.request_class == index]
         result[f"service_{request_class.name}"] = service_level(of_class)
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -82,13 +82,13 @@
     def __init__(self, world: World, history: History) -> None:
         self.world = world
         self.history = history
-        self.tries = {item.request_id: item for item in history.client_attempts}
+        self.client_attempts = {item.request_id: item for item in history.client_attempts}
         self.attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)  # by request id, in the order of arrival
         for attempt in history.converter_attempts:
             self.attempts[attempt.request_id].append(attempt)
-        self.lives: dict[int, list[Incarnation]] = defaultdict(list)
-        for life in history.incarnations:
-            self.lives[life.sidecar].append(life)
+        self.incarnations: dict[int, list[Incarnation]] = defaultdict(list)
+        for incarnation in history.incarnations:
+            self.incarnations[incarnation.sidecar].append(incarnation)
         worst_lateness_us = max((late.p999_us for late in history.lateness), default=0)
         self.skew_us = max(MIN_CLOCK_SKEW_US, SKEW_PER_LATENESS * worst_lateness_us)
         self.zones = {m.pod: m.group.zone for m in draws.machines(world, 0)}  # pods do not depend on the seed
@@ -136,13 +136,15 @@
 
     def _sidecar_ran_throughout(self, item: ClientAttempt) -> bool:
         """Return whether the request's sidecar lived from its sending to its end, without a stall."""
-        lives = self.lives[item.sidecar]
-        if any(life.was_suspended(item.sent_us - TIME_LIMIT_SLACK_US, item.ended_us) for life in lives):
+        incarnations = self.incarnations[item.sidecar]
+        if any(
+            incarnation.was_suspended(item.sent_us - TIME_LIMIT_SLACK_US, item.ended_us) for incarnation in incarnations
+        ):
             return False
-        return not lives or any(
-            life.started_us <= item.sent_us
-            and (life.ended_us == NEVER or not life.killed or life.ended_us > item.ended_us)
-            for life in lives
+        return not incarnations or any(
+            incarnation.started_us <= item.sent_us
+            and (incarnation.ended_us == NEVER or not incarnation.killed or incarnation.ended_us > item.ended_us)
+            for incarnation in incarnations
         )
 
     def _check_in_time(self, item: ClientAttempt) -> None:
@@ -164,7 +166,7 @@
         """Return whether the machine kept the client's or the sidecar's process from running before the deadline."""
         client_role = f"clients {item.arrival % self.world.harness.client_processes}"
         spans = [span for late in self.history.lateness if late.role == client_role for span in late.stalls]
-        spans += [span for life in self.lives[item.sidecar] for span in life.cpu_waits]
+        spans += [span for incarnation in self.incarnations[item.sidecar] for span in incarnation.cpu_waits]
         due_us = self._due_us(item) + TIME_LIMIT_SLACK_US
         return any(begun_us < due_us and ended_us > item.sent_us for begun_us, ended_us in spans)
 
@@ -223,14 +225,14 @@
 
     def _check_invented(self) -> None:
         for ident, attempts in self.attempts.items():
-            if ident not in self.tries:
+            if ident not in self.client_attempts:
                 self._add("invented", attempts[0].received_us, f"{ident} at {attempts[0].uid}")
 
     def _check_executions(self) -> None:
         """Check at-most-once over all retries of a client, as a rejection promised that nothing had run."""
         executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by first attempt
         for attempt in self.history.converter_attempts:
-            item = self.tries.get(attempt.request_id)
+            item = self.client_attempts.get(attempt.request_id)
             if item is not None and attempt.started_us != NEVER and self._class_of(item).effect is Effect.AT_MOST_ONCE:
                 executions[item.arrival].append(attempt)
         for attempts in executions.values():
@@ -241,15 +243,15 @@
     # Endpoint list and processes
 
     def _check_drains(self) -> None:
-        """Check that draining converters get nothing new, each life of a sidecar by its own notifications."""
+        """Check that draining converters get nothing new, each incarnation of a sidecar by its own notifications."""
         notified_us = self._withdrawal_times(self.history.notices)
         grace_us = self.world.sidecars.drain_grace_ms * US_PER_MS + TIME_LIMIT_SLACK_US
         for attempt in self.history.converter_attempts:
-            item = self.tries.get(attempt.request_id)
+            item = self.client_attempts.get(attempt.request_id)
             if item is None or (item.sidecar, attempt.uid) not in notified_us:
                 continue
-            life_begun_us = self._life_begun_us(item.sidecar, attempt.first_byte_us)
-            times_us = [at_us for at_us in notified_us[item.sidecar, attempt.uid] if at_us >= life_begun_us]
+            started_us = self._incarnation_start_us(item.sidecar, attempt.first_byte_us)
+            times_us = [at_us for at_us in notified_us[item.sidecar, attempt.uid] if at_us >= started_us]
             if times_us and attempt.first_byte_us > self._must_act_by_us(item.sidecar, min(times_us), grace_us):
                 late_ms = (attempt.first_byte_us - min(times_us)) // US_PER_MS
                 text = f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {item.sidecar} was told"
@@ -264,15 +266,18 @@
                 times_us[notification.sidecar, notification.uid].append(notification.at_us)
         return times_us
 
-    def _life_begun_us(self, sidecar: int, at_us: int) -> int:
+    def _incarnation_start_us(self, sidecar: int, at_us: int) -> int:
         """Return when the sidecar's process that ran at a time was started."""
-        return max((life.started_us for life in self.lives[sidecar] if life.started_us <= at_us), default=0)
+        return max(
+            (incarnation.started_us for incarnation in self.incarnations[sidecar] if incarnation.started_us <= at_us),
+            default=0,
+        )
 
     def _must_act_by_us(self, sidecar: int, notified_us: int, grace_us: float) -> float:
         """Return when a notification must be in effect: a stalled sidecar reads it only after the stall."""
         until_us = notified_us + grace_us
-        for life in self.lives[sidecar]:
-            for begun_us, ended_us in life.suspensions:
+        for incarnation in self.incarnations[sidecar]:
+            for begun_us, ended_us in incarnation.suspensions:
                 if begun_us < until_us and ended_us > notified_us:
                     until_us = max(until_us, ended_us + grace_us)
         return until_us
@@ -282,6 +287,6 @@
             self._add("cold", at_us, f"{uid} was pushed over")
 
     def _check_crashes(self) -> None:
-        for life in self.history.incarnations:
-            if life.crashed:
-                self._add("crash", life.ended_us, f"sidecar {life.sidecar} ended by itself")
+        for incarnation in self.history.incarnations:
+            if incarnation.crashed:
+                self._add("crash", incarnation.ended_us, f"sidecar {incarnation.sidecar} ended by itself")
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -217,10 +217,10 @@
 def _plot_resources(history: History) -> str:
     figure, axes = _make_axes()
     memory_axes = axes.twinx()
-    for life in history.incarnations:
-        if len(life.samples) < 2:
+    for incarnation in history.incarnations:
+        if len(incarnation.samples) < 2:
             continue
-        at_us, cpu_us, kib = (np.array(column, dtype=np.float64) for column in zip(*life.samples, strict=True))
+        at_us, cpu_us, kib = (np.array(column, dtype=np.float64) for column in zip(*incarnation.samples, strict=True))
         axes.plot(at_us[1:] / US_PER_S, np.diff(cpu_us) / np.diff(at_us), linewidth=0.8)
         memory_axes.plot(at_us / US_PER_S, kib / figures.KIB_PER_MIB, linewidth=0.8, linestyle=":")
     axes.set_xlabel("seconds of the run")
--- a/ryepier/experiments/faults/sidecar_kill.py
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -24,9 +24,11 @@
 
 def _claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.SIDECAR_KILL)
-    killed = {life.sidecar for life in run.history.incarnations if life.killed}
-    restarted = [life for life in run.history.incarnations if life.started_us > 0]
-    start_s = max(((life.ready_us - life.started_us) / US_PER_S for life in restarted), default=float("inf"))
+    killed = {incarnation.sidecar for incarnation in run.history.incarnations if incarnation.killed}
+    restarted = [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
+    start_s = max(
+        ((incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted), default=float("inf")
+    )
     is_after = phases.from_time(kill.at_s + kill.down_s + phases.RECOVERY_S, run.world)
 
     def is_of_others(item: ClientAttempt) -> bool:
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -21,12 +21,12 @@
 
 def restarted(run: Run) -> list[Incarnation]:
     """Return the incarnations that began during the run."""
-    return [life for life in run.history.incarnations if life.started_us > 0]
+    return [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
 
 
 def even_again_s(run: Run) -> float:
     """Return when the load is to be even again, counted from when the last sidecar was up."""
-    last_ready_s = max(life.ready_us for life in run.history.incarnations) / US_PER_S
+    last_ready_s = max(incarnation.ready_us for incarnation in run.history.incarnations) / US_PER_S
     return min(last_ready_s + fleets.RECOVERY_S, run.world.duration_s - measures.EVENNESS_WINDOW_S)
 
 
@@ -37,14 +37,14 @@
 
 def service_of_restarted(run: Run) -> float:
     """Return the service of clients of the restarted sidecars, once these are up."""
-    ready_us = {life.sidecar: life.ready_us + RETRY_US for life in restarted(run)}
+    ready_us = {incarnation.sidecar: incarnation.ready_us + RETRY_US for incarnation in restarted(run)}
     never_us = run.world.duration_s * US_PER_S
     return figures.service_level(run.operations, lambda item: item.planned_us >= ready_us.get(item.sidecar, never_us))
 
 
 def _figures(run: Run) -> Mapping[str, float]:
     before = measures.measure_evenness(run, BEFORE_FROM_S, fleets.KILL_AT_S)
-    start_times_s = [(life.ready_us - life.started_us) / US_PER_S for life in restarted(run)]
+    start_times_s = [(incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted(run)]
     return measures.spread_figures(run, even_again_s(run), run.world.duration_s) | {
         "variation_ratio_before": before.ratio,
         "up_after_s": max(start_times_s, default=float("inf")),
@@ -52,7 +52,7 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    killed = {life.sidecar for life in run.history.incarnations if life.killed}
+    killed = {incarnation.sidecar for incarnation in run.history.incarnations if incarnation.killed}
     min_killed = run.world.sidecars.count / 3
     return [
         Claim("sidecars killed at once", len(killed), ">=", min_killed),
