--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -19,7 +19,7 @@
 from ryepier.logs import structured
 from ryepier.maintenance import agreement_file
 from ryepier.maintenance.address import parse_address
-from ryepier.maintenance.agreement import Agreement, format_units
+from ryepier.maintenance.agreement import Agreement, format_capacity
 from ryepier.maintenance.agreement_file import AgreementError
 from ryepier.maintenance.api import CapacityStatus, ClientKind, LeaseStatus, RequestStatus, StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
@@ -194,9 +194,9 @@
 def _describe_capacity(capacity: CapacityStatus) -> str:
     """Return one line on a service's capacity."""
     return (
-        f"service {capacity.service}: {format_units(capacity.available)} available, "
-        f"{format_units(capacity.unavailable)} out, {format_units(capacity.lost)} lost, "
-        f"allowance {format_units(capacity.allowance)}"
+        f"service {capacity.service}: {format_capacity(capacity.available)} available, "
+        f"{format_capacity(capacity.unavailable)} out, {format_capacity(capacity.lost)} lost, "
+        f"allowance {format_capacity(capacity.allowance)}"
     )
 
 
--- a/ryepier/experiments/maintenance/best_plan.py
+++ b/ryepier/experiments/maintenance/best_plan.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ryepier.maintenance.agreement import Converter
-from ryepier.maintenance.problem import Job, Problem
+from ryepier.maintenance.problem import Job, SchedulingProblem
 
 MAX_SOLVER_TIME = 1.0  # in the solver's deterministic seconds: the same plan on a slow machine
 
@@ -36,7 +36,7 @@
     request: str
 
 
-def best_plan(problem: Problem, value: Callable[[Job], int]) -> BestPlan:
+def best_plan(problem: SchedulingProblem, value: Callable[[Job], int]) -> BestPlan:
     """Return the plan whose requests have the greatest total value."""
     from ortools.sat.python import cp_model
 
@@ -57,7 +57,7 @@
     return BestPlan(feasible, round(solver.objective_value), int(solver.best_objective_bound))
 
 
-def _job_outages(model: Any, problem: Problem, job: Job, present: dict[str, Any]) -> list[_Outage]:
+def _job_outages(model: Any, problem: SchedulingProblem, job: Job, present: dict[str, Any]) -> list[_Outage]:
     """Add the optional intervals of a request; exclude a request that cannot end by its deadline."""
     name = job.request.name
     desired_ms = problem.desired_start_ms(job)
@@ -73,7 +73,7 @@
     return outages
 
 
-def _lease_outages(model: Any, problem: Problem) -> list[_Outage]:
+def _lease_outages(model: Any, problem: SchedulingProblem) -> list[_Outage]:
     """Add the fixed intervals of the active leases."""
     outages = []
     for lease in problem.active_leases:
@@ -84,7 +84,7 @@
     return outages
 
 
-def _add_limits(model: Any, problem: Problem, outages: list[_Outage]) -> None:
+def _add_limits(model: Any, problem: SchedulingProblem, outages: list[_Outage]) -> None:
     """Bound the capacity that is out under each limit, and the converters of each request."""
     for limit in problem.limits:
         charged = [outage for outage in outages if limit.applies_to(outage.converter)]
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -17,7 +17,7 @@
 from ryepier.experiments.maintenance.maintenance_harness import HarnessRecord, MaintenanceHarness, SubmittedRequest
 from ryepier.maintenance.agreement import Agreement
 from ryepier.maintenance.fleet import Action
-from ryepier.maintenance.judge import FULL_SIZE, Change, breaches
+from ryepier.maintenance.judge import FULL_SHARE, CapacityChange, find_breaches
 from ryepier.maintenance.results import Accepted
 
 RULES = (
@@ -116,12 +116,12 @@
         yield Outage(converter, began_us, warm_us, frozenset(tokens))
 
 
-def changes(found: Sequence[Outage]) -> Iterator[Change]:
+def changes(found: Sequence[Outage]) -> Iterator[CapacityChange]:
     """Yield outages as the judge of the agreement takes them."""
     for outage in found:
-        yield Change(outage.began_us // 1000, outage.converter, FULL_SIZE, planned=True)
+        yield CapacityChange(outage.began_us // 1000, outage.converter, FULL_SHARE, planned=True)
         if outage.warm_us < FOREVER_US:
-            yield Change(-(-outage.warm_us // 1000), outage.converter, 0, planned=True)
+            yield CapacityChange(-(-outage.warm_us // 1000), outage.converter, 0, planned=True)
 
 
 def common_claims(outcome: Outcome) -> list[Claim]:
@@ -132,7 +132,7 @@
     counts = Counter(breach.rule for breach in found)
     claims = [runner.lateness_claim(contract_run, None)]
     claims += [Claim(f"rule {rule}: breaches", counts[rule], "==", 0) for rule in RULES]
-    agreement_breaches = list(breaches(outcome.agreement, changes(outcome.outages)))
+    agreement_breaches = list(find_breaches(outcome.agreement, changes(outcome.outages)))
     claims.append(Claim("breaches of the agreed capacity", len(agreement_breaches), "==", 0))
     claims.append(Claim("requests served", figures.service_level(operations), ">=", MIN_SERVICE_LEVEL))
     return claims
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -22,7 +22,7 @@
 from ryepier.experiments.maintenance.outcome import Outcome
 from ryepier.maintenance.commands import Priority
 from ryepier.maintenance.ledger import Ledger
-from ryepier.maintenance.problem import Job, Problem
+from ryepier.maintenance.problem import Job, SchedulingProblem
 
 MAX_UNAVAILABLE = 8
 MIN_ALLOWANCE = 3  # of 4: with less, the region that asks first would get most
@@ -115,7 +115,7 @@
     return done / best
 
 
-def _problem(outcome: Outcome, region: str) -> Problem:
+def _problem(outcome: Outcome, region: str) -> SchedulingProblem:
     """Return the region's accepted requests under its initial allowance."""
     agreement = outcome.agreement
     ledger = Ledger(agreement, region)
@@ -125,7 +125,7 @@
         if request.region == region:
             length_ms = request.duration_ms + agreement.services[request.service].warm_up_ms
             jobs.append(Job(request, tuple(agreement.converters[name] for name in request.converters), length_ms))
-    return Problem(
+    return SchedulingProblem(
         now_ms=0,
         jobs=tuple(jobs),
         limits=tuple(limit for service in agreement.services for limit in ledger.limits(service)),
--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-UNITS_PER_SIZE = 1000  # of capacity in a size of 1
+THOUSANDTHS_PER_UNIT = 1000  # of capacity in a size of 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,11 +106,11 @@
         return max(self.zone_capacities(agreed.name, region).values(), default=0)
 
 
-def to_units(amount: float) -> int:
+def to_thousandths(amount: float) -> int:
     """Return an amount of the file in thousandths. The file's check has rejected more decimals."""
-    return round(amount * UNITS_PER_SIZE)
+    return round(amount * THOUSANDTHS_PER_UNIT)
 
 
-def format_units(units: int) -> str:
+def format_capacity(thousandths: int) -> str:
     """Return an amount in thousandths as people write it: `2.5`."""
-    return f"{units / UNITS_PER_SIZE:g}"
+    return f"{thousandths / THOUSANDTHS_PER_UNIT:g}"
--- a/ryepier/maintenance/agreement_file.py
+++ b/ryepier/maintenance/agreement_file.py
@@ -7,7 +7,7 @@
 from ryepier.conf import toml_schema
 from ryepier.conf.key_lines import KeyLines, Problem
 from ryepier.conf.toml_schema import ConfigurationError
-from ryepier.maintenance.agreement import Agreement, Converter, Region, Replica, Service, to_units
+from ryepier.maintenance.agreement import Agreement, Converter, Region, Replica, Service, to_thousandths
 from ryepier.maintenance.agreement_tables import AgreementTables, FailureTolerance, ServiceTable
 from ryepier.maintenance.agreement_validation import AgreementValidator
 
@@ -55,7 +55,7 @@
         for table in tables.regions
     }
     converters = {
-        table.name: Converter(table.name, table.service, table.region, table.zone, to_units(table.size))
+        table.name: Converter(table.name, table.service, table.region, table.zone, to_thousandths(table.size))
         for table in tables.converters
     }
     return Agreement({table.name: _service(table) for table in tables.services}, regions, converters, digest)
@@ -65,10 +65,10 @@
     """Return a service with its amounts in thousandths."""
     return Service(
         name=table.name,
-        min_available=to_units(table.min_available),
-        min_available_by_region={part.region: to_units(part.min_available) for part in table.regions},
+        min_available=to_thousandths(table.min_available),
+        min_available_by_region={part.region: to_thousandths(part.min_available) for part in table.regions},
         tolerates_zone_loss=table.tolerates is FailureTolerance.ZONE,
-        min_allowance=to_units(table.min_allowance),
+        min_allowance=to_thousandths(table.min_allowance),
         warm_up_ms=round(table.warm_up_s * MS_PER_S),
-        allowances={part.region: to_units(part.allowance) for part in table.regions},
+        allowances={part.region: to_thousandths(part.allowance) for part in table.regions},
     )
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ryepier.conf.key_lines import KeyLines, Path, Problem, spell
-from ryepier.maintenance.agreement import Agreement, Service, format_units
+from ryepier.maintenance.agreement import Agreement, Service, format_capacity
 from ryepier.maintenance.agreement_tables import AgreementTables, ServiceTable
 
 MIN_REPLICAS = 3  # of a region: a majority must survive the loss of one
@@ -133,8 +133,8 @@
             given = sum(service.allowances.values())
             if given != max_unavailable:
                 text = (
-                    f"allowances of {service.name!r} add up to {format_units(given)}; "
-                    f"{format_units(max_unavailable)} may be out"
+                    f"allowances of {service.name!r} add up to {format_capacity(given)}; "
+                    f"{format_capacity(max_unavailable)} may be out"
                 )
                 self._add_problem(("services", i, "regions"), text)
 
@@ -163,6 +163,6 @@
     total = agreement.capacity(service.name, region)
     zone = " less its largest zone" if service.tolerates_zone_loss else ""
     return (
-        f"{service.name!r} asks for {format_units(min_available)}{where}; there are {format_units(total)}{zone}: "
-        f"{format_units(excess)} too much"
+        f"{service.name!r} asks for {format_capacity(min_available)}{where}; there are {format_capacity(total)}{zone}: "
+        f"{format_capacity(excess)} too much"
     )
--- a/ryepier/maintenance/capacity.py
+++ b/ryepier/maintenance/capacity.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ryepier.maintenance.agreement import Agreement, Converter, format_units
+from ryepier.maintenance.agreement import Agreement, Converter, format_capacity
 from ryepier.maintenance.commands import FULL_WARMTH
 from ryepier.maintenance.limits import Limit, allowance_limit, region_limits
 from ryepier.maintenance.state import LedgerState, ObservedState
@@ -69,8 +69,8 @@
             charge = self.charge(limit, unavailable)
             if charge > limit.bound:
                 return (
-                    f"{limit.name}: {format_units(charge)} would be out or lost and at most "
-                    f"{format_units(max(0, limit.bound))} may be, {format_units(charge - limit.bound)} too much"
+                    f"{limit.name}: {format_capacity(charge)} would be out or lost and at most "
+                    f"{format_capacity(max(0, limit.bound))} may be, {format_capacity(charge - limit.bound)} too much"
                 )
         return None
 
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ryepier.maintenance.agreement import format_units
+from ryepier.maintenance.agreement import format_capacity
 from ryepier.maintenance.commands import CapacityNeed, Transfer
 from ryepier.maintenance.tables import GIVER, RECEIVER, TransferEvent, TransferState
 
@@ -72,7 +72,7 @@
         if transfer.number != number:
             return f"transfer {format_transfer(transfer)}: the next number to {transfer.receiver!r} is {number}"
         if transfer.amount > spare:
-            excess = format_units(transfer.amount - max(0, spare))
+            excess = format_capacity(transfer.amount - max(0, spare))
             name = format_transfer(transfer)
             return f"transfer {name} takes {excess} more of {transfer.service!r} than can be spared"
         assert GIVER.after(before, TransferEvent.DEBIT) is TransferState.DEBITED
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -12,11 +12,11 @@
 
 from ryepier.maintenance.agreement import Agreement, Zone
 
-FULL_SIZE = 1000  # thousandths of a converter
+FULL_SHARE = 1000  # thousandths of a converter
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class CapacityChange:
     """From `at_ms` on, `missing` thousandths of a converter are unavailable: `planned`, or by a loss.
 
     A planned outage lasts from the grant or the drain until the converter is warm; the converter counts as wholly
@@ -61,7 +61,7 @@
     takes_out: bool
 
 
-class Judge:
+class AgreementChecker:
     """Takes the changes in the order of time and returns the breaches."""
 
     def __init__(self, agreement: Agreement) -> None:
@@ -70,14 +70,14 @@
         self._planned: set[str] = set()
         self._lost: dict[str, _Loss] = {}
 
-    def apply(self, change: Change) -> list[Breach]:
+    def apply(self, change: CapacityChange) -> list[Breach]:
         """Record a change; return where planned outages alone now exceed what the agreement allows."""
         self._record(change)
         if not (change.planned and change.missing):
             return []
         return self._check(change, {})
 
-    def check_grant(self, change: Change, known_after_ms: int, *, globally: bool = True) -> list[Breach]:
+    def check_grant(self, change: CapacityChange, known_after_ms: int, *, globally: bool = True) -> list[Breach]:
         """Record a planned outage, and return where it exceeds what losses and the agreement allow.
 
         Losses count once they have lasted for `known_after_ms`. The change must not have been recorded before.
@@ -88,7 +88,7 @@
         self._record(change)
         return [breach for breach in self._check(change, lost) if globally or breach.region]
 
-    def _record(self, change: Change) -> None:
+    def _record(self, change: CapacityChange) -> None:
         """Record what is missing from now on."""
         if change.planned:
             self._planned.discard(change.converter)
@@ -100,7 +100,7 @@
         else:
             self._lost.pop(change.converter, None)
 
-    def _check(self, change: Change, lost: dict[str, int]) -> list[Breach]:
+    def _check(self, change: CapacityChange, lost: dict[str, int]) -> list[Breach]:
         """Compare what is available of the changed service with both of its minimums."""
         converter = self.agreement.converters[change.converter]
         service = self.agreement.services[converter.service]
@@ -127,25 +127,27 @@
         """Return what is available of a service, in one region or in all."""
         zones: dict[Zone, int] = {}
         for converter in self.agreement.converters_of(service, region):
-            present = 0 if converter.name in self._planned else FULL_SIZE - lost.get(converter.name, 0)
+            present = 0 if converter.name in self._planned else FULL_SHARE - lost.get(converter.name, 0)
             zone = Zone(converter.region, converter.zone)
-            zones[zone] = zones.get(zone, 0) + converter.size * present // FULL_SIZE
+            zones[zone] = zones.get(zone, 0) + converter.size * present // FULL_SHARE
         available = sum(zones.values())
         if self.agreement.services[service].tolerates_zone_loss:
             available -= max(zones.values(), default=0)
         return available
 
 
-def breaches(agreement: Agreement, changes: Iterable[Change]) -> Iterator[Breach]:
+def find_breaches(agreement: Agreement, changes: Iterable[CapacityChange]) -> Iterator[Breach]:
     """Yield every moment at which planned outages exceeded what the agreement allows."""
-    judge = Judge(agreement)
+    judge = AgreementChecker(agreement)
     for change in sorted(changes, key=_order):
         yield from judge.apply(change)
 
 
-def grants_during_shortage(agreement: Agreement, changes: Iterable[Change], known_after_ms: int) -> Iterator[Breach]:
+def find_grants_during_shortage(
+    agreement: Agreement, changes: Iterable[CapacityChange], known_after_ms: int
+) -> Iterator[Breach]:
     """Yield every planned outage that began while it breached the agreement together with the known losses."""
-    judge = Judge(agreement)
+    judge = AgreementChecker(agreement)
     for change in sorted(changes, key=_order):
         if change.planned and change.missing:
             yield from judge.check_grant(change, known_after_ms)
@@ -153,6 +155,6 @@
             judge.apply(change)
 
 
-def _order(change: Change) -> _ChangeOrder:
+def _order(change: CapacityChange) -> _ChangeOrder:
     """Return the sort key of a change."""
     return _ChangeOrder(change.at_ms, change.missing > 0)
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -72,7 +72,7 @@
         for converter in self.planner.converters_to_restart(probes):
             self.tracker.restart_warm_up(converter, monotonic_ms(), region_ms)
         if self.node.replica.has_committed_in_term:
-            command = self.planner.observation(self.settings.replica, as_of, probes)
+            command = self.planner.observation_command(self.settings.replica, as_of, probes)
             if command is not None:
                 await self._try_propose(command)
 
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ryepier.maintenance.agreement import Converter, format_units
+from ryepier.maintenance.agreement import Converter, format_capacity
 from ryepier.maintenance.commands import Priority
 from ryepier.maintenance.limits import Limit
-from ryepier.maintenance.problem import Job, Problem, Window
+from ryepier.maintenance.problem import Job, SchedulingProblem, Window
 from ryepier.maintenance.profile import Profile
 from ryepier.maintenance.schedule import DelayedRequest, Schedule, UnplacedRequest
 
@@ -48,7 +48,7 @@
 class Attempt:
     """One pass over the requests in one order."""
 
-    def __init__(self, problem: Problem, order: list[Job]) -> None:
+    def __init__(self, problem: SchedulingProblem, order: list[Job]) -> None:
         """Place all requests."""
         self.problem = problem
         self.order = order
@@ -133,7 +133,7 @@
         frozen: dict[str, list[Placement]] = {}
         jobs = {job.request.name: job for job in self.order}
         frozen_until_ms = self.problem.now_ms + FREEZE_MS
-        for window in self.problem.previous:
+        for window in self.problem.previous_windows:
             job = jobs.get(window.request)
             if job is None or not self.problem.now_ms <= window.start_ms <= frozen_until_ms:
                 continue
@@ -215,8 +215,8 @@
         limit = max(excesses, key=lambda one: excesses[one])
         excess = excesses[limit]
         lost = self._lost(limit)
-        condition = f"while {format_units(lost)} is lost" if lost else "with nothing else out"
-        reason = f"{limit.name}: taking {converter.name!r} out is {format_units(excess)} too much, {condition}"
+        condition = f"while {format_capacity(lost)} is lost" if lost else "with nothing else out"
+        reason = f"{limit.name}: taking {converter.name!r} out is {format_capacity(excess)} too much, {condition}"
         return UnplacedRequest(job.request.name, 0, excess, reason)
 
     def _misses_deadline(self, job: Job, late_ms: int, delayed: DelayedRequest | None) -> UnplacedRequest:
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -42,7 +42,7 @@
         windows = self.current_schedule().windows
         return next((window for window in windows if window.start_ms <= self.ledger.now_ms), None)
 
-    def observation(self, observer: str, as_of: int, probes: Iterable[WarmthProbe]) -> RecordObservation | None:
+    def observation_command(self, observer: str, as_of: int, probes: Iterable[WarmthProbe]) -> RecordObservation | None:
         """Return the command for the probes that differ from the ledger or may close a lease; None without any."""
         observations = tuple(probe.observation for probe in probes if self._is_reportable(probe))
         if not observations:
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
+class SchedulingProblem:
     """Everything that a schedule depends on. Times are the region's, in milliseconds."""
 
     now_ms: int
@@ -60,7 +60,7 @@
     lost: Mapping[str, int] = field(default_factory=dict)  # by converter under no lease, thousandths
     converters: Mapping[str, Converter] = field(default_factory=dict)  # of the region
     active_leases: tuple[ActiveLease, ...] = ()
-    previous: tuple[Window, ...] = ()  # of the last schedule
+    previous_windows: tuple[Window, ...] = ()  # of the last schedule
 
     def desired_start_ms(self, job: Job) -> int:
         """Return when a request would start if nothing delayed it."""
@@ -72,18 +72,18 @@
         return max(0, job.request.priority - max(0, waited_ms) // AGING_MS)
 
 
-def build_problem(ledger: Ledger, previous: Sequence[Window] = ()) -> Problem:
+def build_problem(ledger: Ledger, previous_windows: Sequence[Window] = ()) -> SchedulingProblem:
     """Return the problem that a ledger poses now."""
     leased = ledger.view.leased_converters()
     here = {name: one for name, one in ledger.agreement.converters.items() if one.region == ledger.region}
-    return Problem(
+    return SchedulingProblem(
         now_ms=ledger.now_ms,
         jobs=_jobs(ledger, leased),
         limits=tuple(limit for service in ledger.agreement.services for limit in ledger.limits(service)),
         lost={name: ledger.view.lost(one) for name, one in here.items() if name not in leased},
         converters=here,
         active_leases=tuple(_active_lease(ledger, lease) for lease in ledger.open_leases()),
-        previous=tuple(previous),
+        previous_windows=tuple(previous_windows),
     )
 
 
--- a/ryepier/maintenance/scheduler.py
+++ b/ryepier/maintenance/scheduler.py
@@ -1,6 +1,6 @@
 """Which windows to open, and when: earliest deadline first with backfill, urgent before convenient.
 
-Pure: a `Problem` in, a `Schedule` out, the same for the same. The schedule only proposes: the ledger grants.
+Pure: a `SchedulingProblem` in, a `Schedule` out, the same for the same. The schedule only proposes: the ledger grants.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ryepier.maintenance.placement import Attempt
-from ryepier.maintenance.problem import Job, Problem
+from ryepier.maintenance.problem import Job, SchedulingProblem
 from ryepier.maintenance.schedule import Schedule
 
 MAX_ORDERS = 60  # of requests that are tried where some do not fit
@@ -25,10 +25,10 @@
     name: str
 
 
-Criterion = Callable[[Problem, Job], int]
+Criterion = Callable[[SchedulingProblem, Job], int]
 
 
-def make_schedule(problem: Problem) -> Schedule:
+def make_schedule(problem: SchedulingProblem) -> Schedule:
     """Return the best schedule that a few orders of the requests give, by `Attempt.score`."""
     best = Attempt(problem, _ordered(problem, _deadline_ms))
     if best.unplaced_requests:
@@ -38,7 +38,7 @@
     return best.schedule()
 
 
-def _improve(problem: Problem, best: Attempt) -> Attempt:
+def _improve(problem: SchedulingProblem, best: Attempt) -> Attempt:
     """Move requests that do not fit before others of their priority, for as long as that raises the score."""
     impossible = {name for name in best.unplaced_names() if Attempt(problem, [best.job(name)]).unplaced_requests}
     converters = sum(len(job.converters) for job in problem.jobs)
@@ -53,7 +53,7 @@
     return best
 
 
-def _moved_orders(problem: Problem, attempt: Attempt, impossible: set[str]) -> Iterator[list[Job]]:
+def _moved_orders(problem: SchedulingProblem, attempt: Attempt, impossible: set[str]) -> Iterator[list[Job]]:
     """Yield the attempt's order with an unplaced request moved to each earlier place among those of its priority."""
     for name in attempt.unplaced_names():
         if name in impossible:
@@ -65,7 +65,7 @@
                 yield [*others[:place], job, *others[place:]]
 
 
-def _ordered(problem: Problem, criterion: Criterion) -> list[Job]:
+def _ordered(problem: SchedulingProblem, criterion: Criterion) -> list[Job]:
     """Return the jobs by priority and, within one, by the criterion."""
 
     def key(job: Job) -> _JobKey:
@@ -74,17 +74,17 @@
     return sorted(problem.jobs, key=key)
 
 
-def _deadline_ms(problem: Problem, job: Job) -> int:
+def _deadline_ms(problem: SchedulingProblem, job: Job) -> int:
     """Return a request's deadline."""
     return job.request.deadline_ms
 
 
-def _negative_work(problem: Problem, job: Job) -> int:
+def _negative_work(problem: SchedulingProblem, job: Job) -> int:
     """Return a request's work, negated so that more goes first."""
     return -job.work()
 
 
-def _slack_ms(problem: Problem, job: Job) -> int:
+def _slack_ms(problem: SchedulingProblem, job: Job) -> int:
     """Return by how much a request could start later and still end in time."""
     rounds = -(-len(job.converters) // job.request.max_unavailable)
     return job.request.deadline_ms - problem.desired_start_ms(job) - rounds * job.length_ms
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ryepier.maintenance.agreement import Agreement, Service, format_units
+from ryepier.maintenance.agreement import Agreement, Service, format_capacity
 from ryepier.maintenance.commands import Request
 from ryepier.maintenance.state import LedgerState
 
@@ -78,7 +78,7 @@
         size = agreement.converters[name].size
         if size > max_unavailable:
             return (
-                f"converter {name!r} takes {format_units(size)} of {request.service!r} and at most "
-                f"{format_units(max_unavailable)} may be out, {format_units(size - max_unavailable)} too much"
+                f"converter {name!r} takes {format_capacity(size)} of {request.service!r} and at most "
+                f"{format_capacity(max_unavailable)} may be out, {format_capacity(size - max_unavailable)} too much"
             )
     return None
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ryepier.maintenance import escrow
-from ryepier.maintenance.agreement import format_units
+from ryepier.maintenance.agreement import format_capacity
 from ryepier.maintenance.capacity import Capacity
 from ryepier.maintenance.commands import CapacityNeed, Transfer
 from ryepier.maintenance.ledger_context import LedgerContext
@@ -48,7 +48,7 @@
         after = self.state.escrow.allowances[transfer.service] + transfer.amount
         total = self.context.agreement.max_unavailable(transfer.service)
         if after > total:
-            excess = format_units(after - total)
+            excess = format_capacity(after - total)
             name = escrow.format_transfer(transfer)
             return Rejected(f"transfer {name}: {excess} more than the whole of all allowances")
         self.state.escrow.credit(transfer)
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -25,7 +25,7 @@
     TakeOverLease,
     Transfer,
 )
-from ryepier.maintenance.judge import Breach, Change, Judge
+from ryepier.maintenance.judge import AgreementChecker, Breach, CapacityChange
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.results import (
     Cancelled,
@@ -104,9 +104,9 @@
         self.pending_observations: list[PendingObservation] = []
         self.sequence = 0
         self.time = 0
-        self.agreement_judge = Judge(agreement)
+        self.agreement_judge = AgreementChecker(agreement)
         self.region_judges = {
-            name: Judge(agreement) for name in agreement.regions
+            name: AgreementChecker(agreement) for name in agreement.regions
         }  # with the losses that a region has recorded
         self.recorded_as_of: dict[str, int] = {}
         self.breaches: list[Breach] = []
@@ -253,7 +253,7 @@
                 self.recorded_as_of[observation.converter] = pending.command.as_of
                 missing = FULL_WARMTH - observation.warmth if observation.ready else FULL_WARMTH
                 self.region_judges[pending.region].apply(
-                    Change(self._tick(), observation.converter, missing, planned=False)
+                    CapacityChange(self._tick(), observation.converter, missing, planned=False)
                 )
 
     # transfers
@@ -308,7 +308,7 @@
         return self.time
 
     def _change(self, name: str, missing: int, *, planned: bool) -> None:
-        change = Change(self._tick(), name, missing, planned)
+        change = CapacityChange(self._tick(), name, missing, planned)
         self.breaches += self.agreement_judge.apply(change)
         if not planned:
             return
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -23,7 +23,7 @@
 from ryepier.maintenance.results import Granted, Result
 from ryepier.maintenance.settings import addresses_of
 from tests.loopback_ports import free_port
-from tests.maintenance_world import SERVICE, converters_text
+from tests.maintenance_world import SERVICE_TEXT, converters_text
 
 TIMEOUT_S = 30.0  # no test waits for it on purpose: it ends one that hangs
 REPLICAS = ("north-0", "north-1", "north-2")
@@ -36,7 +36,7 @@
         for i in range(3):
             port = ports[3 * number + i]
             lines.append(f'[[regions.replicas]]\nname = "{region}-{i}"\naddress = "127.0.0.1:{port}"')
-    return SERVICE + "\n".join(lines) + "\n" + converters_text()
+    return SERVICE_TEXT + "\n".join(lines) + "\n" + converters_text()
 
 
 @dataclass
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -19,7 +19,7 @@
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.results import Granted, Result
 
-SERVICE = """
+SERVICE_TEXT = """
 [[services]]
 name = "convert"
 least = 8
@@ -54,13 +54,13 @@
     )
 
 
-TEXT = SERVICE + regions_text() + converters_text()  # 12 converters of size 1: n00..n02, n10..n12, s00..s12
+TEXT = SERVICE_TEXT + regions_text() + converters_text()  # 12 converters of size 1: n00..n02, n10..n12, s00..s12
 
 WEST = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
 THREE = ("north", "south", "west")
 TEXTS = (
     TEXT,
-    SERVICE.replace("least = 8", "least = 12") + WEST + regions_text(THREE) + converters_text(THREE),
+    SERVICE_TEXT.replace("least = 8", "least = 12") + WEST + regions_text(THREE) + converters_text(THREE),
     TEXT.replace("least = 2", "least = 4"),
     TEXT.replace("least = 8\n", 'least = 5\nsurvives = "zone"\n').replace("least = 2", "least = 1"),
 )
@@ -86,7 +86,7 @@
     return Request(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-class Region:
+class RegionLedger:
     """A ledger with its log's next index, and an observer that is up to date."""
 
     def __init__(self, ledger: Ledger) -> None:
@@ -119,8 +119,8 @@
         self.apply(ReleaseLease(granted.lease, granted.token))
 
 
-def north(ledger_type: type[Ledger] = Ledger) -> Region:
+def north_region(ledger_type: type[Ledger] = Ledger) -> RegionLedger:
     """Return region north with all its converters observed ready and warm."""
-    region = Region(ledger_type(small_agreement(), "north"))
+    region = RegionLedger(ledger_type(small_agreement(), "north"))
     region.observe_all()
     return region
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -39,11 +39,11 @@
     Released,
 )
 from ryepier.maintenance.tables import GIVER, LEASES, RECEIVER, LeaseState
-from tests.maintenance_world import TEXT, Region, north, request, small_agreement
+from tests.maintenance_world import TEXT, RegionLedger, north_region, request, small_agreement
 
 
 def test_a_lease_is_charged_until_its_converter_is_observed_ready_and_warm() -> None:
-    region = north()
+    region = north_region()
     granted = region.request_and_grant("r1", "n00")
     assert region.ledger.capacity("convert").unavailable == 1000
     region.observe("n00")  # still up: the drain has not begun, or not reached it
@@ -62,7 +62,7 @@
 
 
 def test_a_repeated_grant_returns_the_same_lease_and_an_index_is_applied_once() -> None:
-    region = north()
+    region = north_region()
     first = region.request_and_grant("r1", "n00")
     assert region.grant("r1/1", "r1", "n00") == first
     assert isinstance(region.grant("r1/1", "r1", "n00", agent="agent-2"), Rejected)
@@ -75,7 +75,7 @@
 
 
 def test_fencing_tokens_grow_and_an_old_one_is_rejected() -> None:
-    region = north()
+    region = north_region()
     first = region.request_and_grant("r1", "n00")
     second = region.apply(TakeOverLease("r1/1", "agent-2", first.token))
     assert isinstance(second, Granted) and second.token > first.token
@@ -94,7 +94,7 @@
 
 
 def test_a_revoked_lease_is_charged_until_a_later_observation_and_can_be_granted_again() -> None:
-    region = north()
+    region = north_region()
     granted = region.request_and_grant("r1", "n00")
     assert region.apply(RevokeLease("r1/1")) == LeaseRevoked("r1/1")
     assert isinstance(region.apply(StartDrain("r1/1", granted.token)), Rejected)
@@ -107,7 +107,7 @@
 
 
 def test_losses_are_charged_first_and_revoke_leases_whose_drain_has_not_started() -> None:
-    region = north()
+    region = north_region()
     begun = region.request_and_grant("r1", "n00")
     region.apply(StartDrain("r1/1", begun.token))
     region.request_and_grant("r2", "n01")
@@ -125,13 +125,13 @@
 
 
 def test_unobserved_converters_count_as_unavailable() -> None:
-    region = Region(Ledger(small_agreement(), "north"))
+    region = RegionLedger(Ledger(small_agreement(), "north"))
     region.apply(SubmitRequest(request()))
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
 def test_a_deficit_in_another_region_blocks_grants_until_it_is_reported_as_over() -> None:
-    region = north()
+    region = north_region()
     region.request_and_grant("r1", "n00")
     message = region.apply(RecordCapacityNeeds("south", 5, {"convert": CapacityNeed(deficit=2000)}))
     assert message == Observed((), ("r1/1",))
@@ -145,7 +145,7 @@
 def test_zone_loss_tolerance_keeps_the_agreement_with_the_largest_zone_lost() -> None:
     text = TEXT.replace("least = 8\n", 'least = 7\nsurvives = "zone"\n')
     text = text.replace("allowance = 2", "allowance = 1")
-    region = Region(Ledger(agreement_file.parse(text.encode()), "north"))
+    region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     region.observe_all()
     region.request_and_grant("r1", "n00")  # zone 0 has 2 left, so losing zone 1 leaves 2
     region.apply(CreditTransfer(Transfer("south", "north", 1, "convert", 1000)))
@@ -156,7 +156,7 @@
 
 
 def test_cancelling_revokes_leases_before_their_drain_and_lets_the_others_finish() -> None:
-    region = north()
+    region = north_region()
     granted = region.request_and_grant("r1", "n00")
     region.request_and_grant("r2", "n01")
     region.apply(StartDrain("r1/1", granted.token))
@@ -169,7 +169,7 @@
 
 
 def test_a_request_that_missed_its_deadline_is_completed_and_time_never_goes_back() -> None:
-    region = north()
+    region = north_region()
     region.apply(SubmitRequest(request()))
     assert region.apply(AdvanceTime(100_001)) == Advanced(100_001, ("r1",))
     assert region.apply(AdvanceTime(5)) == Advanced(100_001)
@@ -197,7 +197,7 @@
 def test_an_invalid_request_is_rejected_in_one_line_and_changes_nothing(
     changes: dict[str, object], message: str
 ) -> None:
-    region = north()
+    region = north_region()
     region.apply(SubmitRequest(request("held", converters=("n12",))))
     before = region.ledger.snapshot()
     result = region.apply(SubmitRequest(request(**{"name": "r1", **changes})))  # type: ignore[arg-type]
@@ -208,10 +208,10 @@
 
 def test_a_converter_too_large_to_be_out_is_rejected_with_the_amount() -> None:
     text = TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
-    region = Region(Ledger(agreement_file.parse(text.encode()), "north"))
+    region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     assert region.apply(SubmitRequest(request())) == Accepted("r1")
     text = text.replace("least = 9.5", "least = 11.5").replace("allowance = 2", "allowance = 1")
-    region = Region(Ledger(agreement_file.parse(text.encode()), "north"))
+    region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     result = region.apply(SubmitRequest(request()))
     assert isinstance(result, Rejected) and "takes 2.5 of 'convert' and at most 2 may be out, 0.5 too" in result.reason
 
@@ -245,7 +245,7 @@
     ],
 )
 def test_an_invalid_command_is_rejected_in_one_line_and_changes_nothing(command: Command, message: str) -> None:
-    region = north()
+    region = north_region()
     region.apply(SubmitRequest(request("held", converters=("n11", "n12"))))
     before = region.ledger.snapshot()
     result = region.apply(commands.decode(commands.encode(command)))
@@ -273,7 +273,7 @@
 
 def test_a_snapshot_that_is_torn_altered_or_foreign_is_rejected() -> None:
     agreed = small_agreement()
-    taken = north().ledger.snapshot()
+    taken = north_region().ledger.snapshot()
     assert Ledger.restore(agreed, "north", taken).snapshot() == taken
     other = agreement_file.parse(TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
     for where, region, data, message in (
--- a/tests/test_maintenance_observer.py
+++ b/tests/test_maintenance_observer.py
@@ -5,7 +5,7 @@
 from ryepier.maintenance.commands import AdvanceTime, ConverterObservation, ReleaseLease, StartDrain
 from ryepier.maintenance.observer import ListedConverter, WarmthTracker
 from ryepier.maintenance.planner import Planner
-from tests.maintenance_world import north
+from tests.maintenance_world import north_region
 
 
 def observed_by(tracker: WarmthTracker, now_ms: int, *uids: str, region_ms: int = 0) -> list[ConverterObservation]:
@@ -33,7 +33,7 @@
 
 
 def test_a_late_listing_closes_no_lease_and_a_late_observer_closes_it_a_warm_up_later() -> None:
-    region = north()
+    region = north_region()
     granted = region.request_and_grant("r1", "n00")
     region.apply(AdvanceTime(5_000))
     planner = Planner(region.ledger)
@@ -43,14 +43,14 @@
     tracker.observe(0, 4_000, [ListedConverter("n00", True)])  # from before the grant
     region.apply(ReleaseLease("r1/1", granted.token))
     probes = tracker.observe(3_000, 5_000, [ListedConverter("n00", True)])
-    assert planner.observation("x", region.ledger.applied, probes) is None
+    assert planner.observation_command("x", region.ledger.applied, probes) is None
     assert planner.converters_to_restart(probes) == ["n00"]
     tracker.restart_warm_up("n00", 3_000, 5_000)
-    early = planner.observation(
+    early = planner.observation_command(
         "x", region.ledger.applied, tracker.observe(4_999, 5_000, [ListedConverter("n00", True)])
     )
     assert early is not None and early.observations[0].warmth < 1000
-    reported = planner.observation(
+    reported = planner.observation_command(
         "x", region.ledger.applied, tracker.observe(5_000, 5_000, [ListedConverter("n00", True)])
     )
     assert reported is not None and reported.observations == (ConverterObservation("n00", True, 1000),)
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -24,7 +24,7 @@
     CreditTransfer,
     RevokeLease,
 )
-from ryepier.maintenance.judge import Change
+from ryepier.maintenance.judge import CapacityChange
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.seeded_faults import FAULTY_LEDGERS
 from tests.maintenance_cluster import Cluster
@@ -327,19 +327,19 @@
 
 def test_the_judge_counts_independently_of_ledgers() -> None:
     agreed = small_agreement()
-    taken = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
-    assert list(judge.breaches(agreed, taken)) == []
-    found = list(judge.breaches(agreed, [*taken, Change(9, "s02", 100, planned=True)]))
+    taken = [CapacityChange(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
+    assert list(judge.find_breaches(agreed, taken)) == []
+    found = list(judge.find_breaches(agreed, [*taken, CapacityChange(9, "s02", 100, planned=True)]))
     assert [(one.at_ms, one.region, one.available) for one in found] == [(9, "", 7000)], (
         "a converter that warms up is wholly missing"
     )
-    back = [*taken, Change(9, "s02", 1000, planned=True), Change(9, "n00", 0, planned=True)]
-    assert list(judge.breaches(agreed, back)) == []
-    loss = Change(2, "n02", 600, planned=False)
-    assert list(judge.grants_during_shortage(agreed, [*taken, loss], 1)) and not list(
-        judge.breaches(agreed, [*taken, loss])
+    back = [*taken, CapacityChange(9, "s02", 1000, planned=True), CapacityChange(9, "n00", 0, planned=True)]
+    assert list(judge.find_breaches(agreed, back)) == []
+    loss = CapacityChange(2, "n02", 600, planned=False)
+    assert list(judge.find_grants_during_shortage(agreed, [*taken, loss], 1)) and not list(
+        judge.find_breaches(agreed, [*taken, loss])
     )
-    assert not list(judge.grants_during_shortage(agreed, [*taken, loss], 6000)), "not known for long enough"
+    assert not list(judge.find_grants_during_shortage(agreed, [*taken, loss], 6000)), "not known for long enough"
     survives = AGREEMENTS[3]
-    regional = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "n02"))]
-    assert [one.region for one in judge.breaches(survives, regional)] == ["north"]
+    regional = [CapacityChange(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "n02"))]
+    assert [one.region for one in judge.find_breaches(survives, regional)] == ["north"]
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -13,11 +13,11 @@
 from ryepier.maintenance.commands import AdvanceTime, Priority, StartDrain, SubmitRequest
 from ryepier.maintenance.limits import Limit
 from ryepier.maintenance.placement import FREEZE_MS
-from ryepier.maintenance.problem import AGING_MS, ActiveLease, Job, Problem, Window, build_problem
+from ryepier.maintenance.problem import AGING_MS, ActiveLease, Job, SchedulingProblem, Window, build_problem
 from ryepier.maintenance.results import Granted
 from ryepier.maintenance.schedule import Schedule
 from ryepier.maintenance.scheduler import make_schedule
-from tests.maintenance_world import north, request
+from tests.maintenance_world import north_region, request
 
 CONVERTERS = {
     f"c{i}": Converter(f"c{i}", "convert", "north", f"z{i % 2}", 2000 if i % 6 == 5 else 1000) for i in range(24)
@@ -46,9 +46,9 @@
     return Job(submitted_request, tuple(CONVERTERS[one] for one in converters), length, submitted)
 
 
-def problem(*jobs: Job, bound: int = 1000, now: int = 0) -> Problem:
+def problem(*jobs: Job, bound: int = 1000, now: int = 0) -> SchedulingProblem:
     limit = Limit("the allowance", "convert", bound)
-    return Problem(now_ms=now, jobs=jobs, limits=(limit,), converters=CONVERTERS)
+    return SchedulingProblem(now_ms=now, jobs=jobs, limits=(limit,), converters=CONVERTERS)
 
 
 def starts(schedule: Schedule) -> dict[str, list[int]]:
@@ -112,10 +112,10 @@
     old = job("old", "c0", deadline=900)
     before = make_schedule(problem(old))
     urgent = job("urgent", "c1", deadline=100, priority=Priority.URGENT)
-    after = make_schedule(replace(problem(old, urgent), previous=before.windows))
+    after = make_schedule(replace(problem(old, urgent), previous_windows=before.windows))
     assert starts(after) == {"old": [0], "urgent": [10]}
     later = (Window("old", ("c0",), FREEZE_MS + 1, FREEZE_MS + 11),)
-    assert starts(make_schedule(replace(problem(old, urgent), previous=later))) == {"urgent": [0], "old": [10]}
+    assert starts(make_schedule(replace(problem(old, urgent), previous_windows=later))) == {"urgent": [0], "old": [10]}
 
 
 def test_a_convenient_request_is_not_starved_by_urgent_ones() -> None:
@@ -131,7 +131,7 @@
 
 
 def test_a_ledger_grants_the_windows_that_are_due() -> None:
-    region = north()
+    region = north_region()
     for name, converters in (("a", ("n00", "n01")), ("b", ("n02",)), ("c", ("n10", "n11"))):
         region.apply(SubmitRequest(request(name, converters=converters, max_unavailable=2)))
     region.apply(AdvanceTime(50))
@@ -148,7 +148,7 @@
     assert starts(make_schedule(build_problem(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
 
 
-def drawn_problem(seed: int, max_jobs: int = 12, priorities: int = 3) -> Problem:
+def drawn_problem(seed: int, max_jobs: int = 12, priorities: int = 3) -> SchedulingProblem:
     draw = random.Random(seed)
     names = list(CONVERTERS)
     draw.shuffle(names)
@@ -179,10 +179,10 @@
         if all(one != "c0" for j in jobs for one in j.request.converters)
         else ()
     )
-    return Problem(now_ms=0, jobs=tuple(jobs), limits=limits, converters=CONVERTERS, active_leases=with_lease)
+    return SchedulingProblem(now_ms=0, jobs=tuple(jobs), limits=limits, converters=CONVERTERS, active_leases=with_lease)
 
 
-def check_schedule(one: Problem, schedule: Schedule) -> None:
+def check_schedule(one: SchedulingProblem, schedule: Schedule) -> None:
     """Check that a plan keeps every limit at each of its instants, and each request's own terms."""
     jobs = {each.request.name: each for each in one.jobs}
     for at in [0, *(window.start_ms for window in schedule.windows)]:
