--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -188,7 +188,7 @@
         merger = asyncio.run(read_once(settings))
     except TimeoutError:
         fail("slices", f"no list within {LIST_TIMEOUT_S:.0f} s", ExitCode.FAILURE)
-    for name, reason in sorted(merger.skipped.items()):
+    for name, reason in sorted(merger.skipped_slices.items()):
         print(f"slice {name} can't be used: {reason}", file=sys.stderr)
     endpoints = find_endpoints(merger, address)
     if not endpoints:
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -111,7 +111,9 @@
 def _make_forwarders(fleet_size: int, port: int, seed: int) -> list[Forwarder]:
     return [
         Forwarder(
-            Settings(f"f{index}", [(HOST, port)], AcceptanceRules(fleet=fleet_size), report_s=HEARTBEAT_INTERVAL_S),
+            Settings(
+                f"f{index}", [(HOST, port)], AcceptanceRules(fleet=fleet_size), report_interval_s=HEARTBEAT_INTERVAL_S
+            ),
             Sidecar(dict, lambda event: None, [UNANSWERED_AFTER_US], 1),
             make_machine(f"{seed} f{index}"),
         )
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -51,7 +51,7 @@
 def believe_every_report() -> None:
     """Let a planner believe every forwarder."""
     Planner._find_outlier_reporters = lambda self, active: set()  # type: ignore[method-assign]
-    plan_computation.MAX_REPORT_WEIGHT = float(10**9)
+    plan_computation.MAX_COUNTED_ATTEMPTS = float(10**9)
 
 
 def report_false_failures() -> None:
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -134,13 +134,13 @@
         self.upstream_ids = {uid(number): number for number in numbers}
         self.refresh_uids()
         served = int(CALLS_PER_S / len(numbers) * DAY_S)
-        for name in self.upstream_ids.keys() - self.reporter.notes.keys():
+        for name in self.upstream_ids.keys() - self.reporter.records.keys():
             self.token += 1
             self.reporter.on_attempt_started(clock_us(), name, self.token, 0)
             self.reporter.on_attempt_ended(name, self.token, Outcome.OK, ANSWER_US)
-            notes = self.reporter.notes[name]
-            notes.attempts = notes.served = served
-            notes.latencies[latency_bucket(ANSWER_US)] = served
+            record = self.reporter.records[name]
+            record.attempts = record.served = served
+            record.latencies[latency_bucket(ANSWER_US)] = served
 
     def on_plan_updated(self, event: PlanUpdated) -> None:
         """Record when a plan first ejects the hung converter."""
@@ -180,17 +180,17 @@
         self._replace_calls_in_flight(names)
 
     def _count_calls(self, name: str, count: int) -> None:
-        notes = self.reporter.notes[name]
-        notes.attempts += count
-        notes.changed = True
+        record = self.reporter.records[name]
+        record.attempts += count
+        record.changed = True
         if name == self.hung:
-            notes.failed += count
+            record.failed += count
             return
         fast = count // FAST_FRACTION
         bucket = latency_bucket(ANSWER_US)
-        notes.served += count
-        notes.latencies[bucket] += count - fast
-        notes.latencies[bucket - 1] += fast
+        record.served += count
+        record.latencies[bucket] += count - fast
+        record.latencies[bucket - 1] += fast
 
     def _replace_calls_in_flight(self, names: list[str]) -> None:
         for call in self.in_flight:
@@ -249,7 +249,7 @@
             "cpu_s": used.cpu_s - counts.simulation_s,
             "resident": used.resident_bytes,
             "count": len(self.forwarders),
-            "connected": sum(bool(each.links) for each in self.forwarders),
+            "connected": sum(bool(each.connections) for each in self.forwarders),
             "bytes_out": counts.bytes_out,
             "bytes_in": counts.bytes_in,
             "plan_bytes": counts.plan_bytes,
--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -34,7 +34,7 @@
 
 def never_list_again() -> None:
     """Never list again when the server has dropped the revision of a watch."""
-    Reflector._expired = lambda self, now_us: [Wait(now_us + NEVER_US)]  # type: ignore[method-assign]
+    Reflector._relist_after_expiry = lambda self, now_us: [Wait(now_us + NEVER_US)]  # type: ignore[method-assign]
 
 
 def merge_everything() -> None:
@@ -42,7 +42,7 @@
     changes = EndpointSliceMerger.changes
 
     def all_changes(self: EndpointSliceMerger, now_us: int) -> dict[str, endpoint_slice_merger.MergedEndpoint | None]:
-        self.changed |= self.observations.keys()
+        self.changed_identities |= self.observations.keys()
         return changes(self, now_us)
 
     EndpointSliceMerger.changes = all_changes  # type: ignore[method-assign]
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -46,7 +46,7 @@
     name: str
     planners: list[tuple[str, int]]
     rules: AcceptanceRules
-    report_s: float = 0.5
+    report_interval_s: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
         """Send a hello."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.forwarder.links[self] = None
+        self.forwarder.connections[self] = None
         transport.write(encode(Hello(VERSION, self.forwarder.settings.name, self.forwarder.incarnation)))
 
     def data_received(self, data: bytes) -> None:
@@ -118,7 +118,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Leave the forwarder."""
-        self.forwarder.links.pop(self, None)
+        self.forwarder.connections.pop(self, None)
         if not self.closed.done():
             self.closed.set_result(None)
 
@@ -134,7 +134,7 @@
         self.incarnation = machine.unix_us()
         self.reporter = Reporter(sidecar.unanswered_after_us, sidecar.tenants)
         self.follower = PlanFollower(settings.name, settings.rules)
-        self.links: dict[PlannerConnection, None] = {}  # ordered, unlike a set
+        self.connections: dict[PlannerConnection, None] = {}  # ordered, unlike a set
         self.tasks: list[asyncio.Task[None]] = []
         self.last_event = PlanUpdated()
         self.uids: dict[int, str] = {}
@@ -170,7 +170,7 @@
         """Update the uids; those of unlisted converters stay until no attempt is in flight to them."""
         upstream_ids = self.sidecar.upstream_ids()
         self.reporter.retain(set(upstream_ids))
-        self.uids = {upstream_id: uid for upstream_id, uid in self.uids.items() if uid in self.reporter.notes}
+        self.uids = {upstream_id: uid for upstream_id, uid in self.uids.items() if uid in self.reporter.records}
         self.uids |= {upstream_id: uid for uid, upstream_id in upstream_ids.items()}
 
     # The connections
@@ -185,7 +185,7 @@
         """Close the connections."""
         for task in self.tasks:
             task.cancel()
-        for link in list(self.links):
+        for link in list(self.connections):
             link.abort()
 
     async def maintain_connection(self, address: tuple[str, int]) -> None:
@@ -220,15 +220,15 @@
 
     async def run_reports(self) -> None:
         """Send reports forever."""
-        await asyncio.sleep(self.jitter_s(self.settings.report_s))  # not all forwarders at the same moment
+        await asyncio.sleep(self.jitter_s(self.settings.report_interval_s))  # not all forwarders at the same moment
         while True:
             self.refresh_uids()
             self.send_reports()
-            await asyncio.sleep(self.settings.report_s)
+            await asyncio.sleep(self.settings.report_interval_s)
 
     def send_reports(self) -> None:
         """Send a report to each connected planner."""
-        links = list(self.links)
+        links = list(self.connections)
         if not links:
             return
         now_us, follower = self.machine.clock_us(), self.follower
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -19,7 +19,7 @@
 HEALTHY_SHARE = 0.25  # of its recent attempts
 MIN_WITNESSES = 2  # forwarders that must have observed it; one alone may be faulty itself
 MIN_WITNESS_FAILURES = 0.5  # recent failures from which a forwarder is a witness against a converter
-MAX_REPORT_WEIGHT = 3.0  # attempts of one forwarder at one converter that count
+MAX_COUNTED_ATTEMPTS = 3.0  # attempts of one forwarder at one converter that count
 OUTLIER_SHARE = 0.5  # of failures at converters that are healthy for others, from which a forwarder is an outlier
 MIN_OUTLIER_CONVERTERS = 3  # such converters, from which a forwarder is an outlier
 MAX_TRIAL_FORWARDERS = 2  # that may try an ejected converter at a time
@@ -54,7 +54,7 @@
 
 def report_weight(recent: DecayingCounts) -> float:
     """Return the factor of a forwarder's recent counts at one converter, so that none outweighs the others."""
-    return min(1.0, MAX_REPORT_WEIGHT / max(MAX_REPORT_WEIGHT, recent.served + recent.failed))
+    return min(1.0, MAX_COUNTED_ATTEMPTS / max(MAX_COUNTED_ATTEMPTS, recent.served + recent.failed))
 
 
 @dataclass(slots=True)
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -72,7 +72,7 @@
         """Send a hello, or wait for one."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.server.links[self] = None
+        self.server.connections[self] = None
         if self.dialled:
             self.write(encode(Hello(VERSION, self.server.settings.name, self.server.incarnation, is_peer=True)))
         else:
@@ -142,7 +142,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Leave the server."""
-        self.server.links.pop(self, None)
+        self.server.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
 
@@ -160,7 +160,7 @@
         self.planner = Planner(settings.rules, settings.tenant_shares, settings.class_limits)
         names = sorted([settings.name, *settings.peers])
         self.leadership = Leadership(settings.name, names.index(settings.name), now_us)
-        self.links: dict[ForwarderConnection, None] = {}  # ordered, unlike a set
+        self.connections: dict[ForwarderConnection, None] = {}  # ordered, unlike a set
         self.was_leader = False  # at the last tick
         self.number = 0
         self.last_plan: bytes | None = None
@@ -188,7 +188,7 @@
 
     def forwarders(self) -> int:
         """Return how many forwarders are connected."""
-        return sum(link.hello is not None and not link.hello.is_peer for link in self.links)
+        return sum(link.hello is not None and not link.hello.is_peer for link in self.connections)
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until `stop` is set. Raises OSError if the address is not available."""
@@ -202,7 +202,7 @@
         for task in tasks:
             task.cancel()
         self.save()
-        for link in list(self.links):
+        for link in list(self.connections):
             if link.transport is not None:
                 link.transport.close()
 
@@ -214,7 +214,7 @@
                 transport, link = await loop.create_connection(
                     lambda: ForwarderConnection(self, dialled=True), *address
                 )
-                while not transport.is_closing() and link in self.links:
+                while not transport.is_closing() and link in self.connections:
                     await asyncio.sleep(PEER_RETRY_S)
             except OSError:
                 pass
@@ -246,7 +246,7 @@
             log.info(line, term.epoch, extra=term_fields(term))
             self.number, self.last_plan = 0, None
         heartbeat = encode(Heartbeat(self.leadership.highest_term, is_leader, len(active)))
-        for link in list(self.links):
+        for link in list(self.connections):
             link.write(heartbeat)
         if is_leader or tick % TICKS_PER_PLAN == 0:
             self.publish_plan(now_us, due=tick % TICKS_PER_PLAN == 0)
@@ -269,7 +269,7 @@
         self.number += 1
         self.last_plan = encode(plan)
         self.counts["plans"] += 1
-        for link in list(self.links):
+        for link in list(self.connections):
             if link.hello is not None and not link.hello.is_peer:
                 link.write(self.last_plan)
 
--- a/ryepier/plan/reporter.py
+++ b/ryepier/plan/reporter.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class _ConverterNotes:
+class _ConverterRecord:
     attempts: int = 0
     served: int = 0
     failed: int = 0
@@ -40,7 +40,7 @@
         """Start at 0. By class, an attempt without an answer after `unanswered_after_us` has failed."""
         self.class_arrivals = [0] * len(unanswered_after_us)
         self.unanswered_after_us = unanswered_after_us
-        self.notes: dict[str, _ConverterNotes] = {}
+        self.records: dict[str, _ConverterRecord] = {}
         self.arrivals = [0] * tenants
         self.rejections = 0
         self.number = 0
@@ -57,44 +57,44 @@
 
     def on_attempt_started(self, now_us: int, uid: str, token: int, class_index: int) -> None:
         """Count an attempt; `token` identifies it until its end."""
-        notes = self.notes.setdefault(uid, _ConverterNotes())
-        notes.attempts += 1
-        notes.changed = True
-        notes.in_flight[token] = (now_us + self.unanswered_after_us[class_index], False)
+        record = self.records.setdefault(uid, _ConverterRecord())
+        record.attempts += 1
+        record.changed = True
+        record.in_flight[token] = (now_us + self.unanswered_after_us[class_index], False)
 
     def on_attempt_ended(self, uid: str, token: int, outcome: Outcome, elapsed_us: int) -> None:
         """Count the end of an attempt. One that was counted as unanswered and is served after all stays counted: it was
         slow."""
-        notes = self.notes.get(uid)
-        if notes is None or token not in notes.in_flight:
+        record = self.records.get(uid)
+        if record is None or token not in record.in_flight:
             return
-        _, counted = notes.in_flight.pop(token)
-        notes.changed = True
+        _, counted = record.in_flight.pop(token)
+        record.changed = True
         if outcome is Outcome.OK:
-            notes.served += 1
-            notes.latencies[latency_bucket(elapsed_us)] += 1
+            record.served += 1
+            record.latencies[latency_bucket(elapsed_us)] += 1
         elif outcome is Outcome.REJECTED:
-            notes.rejected += 1
+            record.rejected += 1
         elif outcome in FAILURES and not counted:
-            notes.failed += 1
+            record.failed += 1
 
     def retain(self, uids: set[str]) -> None:
         """Drop the counters of unlisted converters without attempts in flight."""
-        self.notes = {uid: notes for uid, notes in self.notes.items() if uid in uids or notes.in_flight}
+        self.records = {uid: record for uid, record in self.records.items() if uid in uids or record.in_flight}
 
     def report(self, now_us: int, listed: int, term: Term, plan_age_ms: int, complete: bool = False) -> Report:
         """Return the changes since the last report, or a `complete` one for a planner that has just connected."""
-        for notes in self.notes.values():
-            for token, (unanswered_after_us, counted) in notes.in_flight.items():
+        for record in self.records.values():
+            for token, (unanswered_after_us, counted) in record.in_flight.items():
                 if not counted and now_us >= unanswered_after_us:
-                    notes.in_flight[token] = (unanswered_after_us, True)
-                    notes.failed += 1
-                    notes.changed = True
+                    record.in_flight[token] = (unanswered_after_us, True)
+                    record.failed += 1
+                    record.changed = True
         self.number += 1
-        counters = {uid: notes.counters() for uid, notes in self.notes.items() if complete or notes.changed}
-        for notes in self.notes.values():
-            notes.changed = False
-        outstanding = {uid: len(notes.in_flight) for uid, notes in self.notes.items() if notes.in_flight}
+        counters = {uid: record.counters() for uid, record in self.records.items() if complete or record.changed}
+        for record in self.records.values():
+            record.changed = False
+        outstanding = {uid: len(record.in_flight) for uid, record in self.records.items() if record.in_flight}
         return Report(
             self.number,
             listed,
--- a/ryepier/slices/endpoint_slice_merger.py
+++ b/ryepier/slices/endpoint_slice_merger.py
@@ -104,9 +104,9 @@
         self.observations: dict[str, dict[str, EndpointObservation]] = {}  # by identity and slice uid
         self.deleted_slices: OrderedDict[str, None] = OrderedDict()
         self.terminated_uids: OrderedDict[str, None] = OrderedDict()  # of pods
-        self.skipped: dict[str, str] = {}  # unusable slices: reason by name
+        self.skipped_slices: dict[str, str] = {}  # unusable slices: reason by name
         self.current: dict[str, MergedEndpoint] = {}  # the list as last returned
-        self.changed: set[str] = set()  # identities whose observations changed since
+        self.changed_identities: set[str] = set()  # identities whose observations changed since
         self.empty_since_us: int | None = None
 
     # Slices
@@ -147,7 +147,7 @@
         reported = self._read(found)
         for identity, observation in reported.items():
             self.observations.setdefault(identity, {})[uid] = observation
-            self.changed.add(identity)
+            self.changed_identities.add(identity)
         self.slices[uid] = _KnownSlice(name, found.metadata.generation, frozenset(reported))
         self.by_name[name] = uid
 
@@ -159,9 +159,9 @@
         if port is None:
             reason = f"no port {self.port_name!r}" if self.port_name else "no port"
         if reason or port is None:
-            self.skipped[name] = reason
+            self.skipped_slices[name] = reason
             return {}
-        self.skipped.pop(name, None)
+        self.skipped_slices.pop(name, None)
         reported: dict[str, EndpointObservation] = {}
         for endpoint in found.endpoints or []:
             if not endpoint.addresses:
@@ -192,7 +192,7 @@
                 identity = identity_of(endpoint, 0)
                 if identity not in self.terminated_uids:
                     self.terminated_uids[identity] = None
-                    self.changed.add(identity)
+                    self.changed_identities.add(identity)
         while len(self.terminated_uids) > MAX_TERMINATED:
             self.terminated_uids.popitem(last=False)
 
@@ -207,13 +207,13 @@
             del observations[uid]
             if not observations:
                 del self.observations[identity]
-            self.changed.add(identity)
+            self.changed_identities.add(identity)
 
     def _remove_slice(self, uid: str) -> None:
         self._drop_observations(uid)
         known = self.slices.pop(uid, None)
         if known is not None:
-            self.skipped.pop(known.name, None)
+            self.skipped_slices.pop(known.name, None)
             if self.by_name.get(known.name) == uid:
                 del self.by_name[known.name]
         self.deleted_slices[uid] = None
@@ -229,9 +229,9 @@
             return self._changes_while_retained(now_us)
         if self.empty_since_us is not None:
             self.empty_since_us = None
-            self.changed |= self.current.keys()
+            self.changed_identities |= self.current.keys()
         found: dict[str, MergedEndpoint | None] = {}
-        for identity in sorted(self.changed):
+        for identity in sorted(self.changed_identities):
             reported = self.observations.get(identity)
             merged = self._merge(identity, list(reported.values())) if reported else None
             if merged != self.current.get(identity):
@@ -271,7 +271,7 @@
         return self._commit(found)
 
     def _commit(self, found: dict[str, MergedEndpoint | None]) -> dict[str, MergedEndpoint | None]:
-        self.changed.clear()
+        self.changed_identities.clear()
         for identity, merged in found.items():
             if merged is None:
                 self.current.pop(identity, None)
--- a/ryepier/slices/reflector.py
+++ b/ryepier/slices/reflector.py
@@ -126,7 +126,7 @@
         """Take in an event of the watch."""
         if event.status is not None:
             if event.status.code == HTTP_GONE:
-                return self._expired(now_us)
+                return self._relist_after_expiry(now_us)
             return self._retry(now_us, Failure(event.status.message or event.status.reason, event.status.code))
         self.version = event.resource_version or self.version
         if event.slice is None:
@@ -144,12 +144,12 @@
     def on_failure(self, now_us: int, failure: Failure) -> list[Action]:
         """Take in the failure of a call."""
         if failure.status == HTTP_GONE:
-            return self._expired(now_us)
+            return self._relist_after_expiry(now_us)
         if now_us - self.call_started_us >= HEALTHY_WATCH_US and self.version:
             self.failures = 0
         return self._retry(now_us, failure)
 
-    def _expired(self, now_us: int) -> list[Action]:
+    def _relist_after_expiry(self, now_us: int) -> list[Action]:
         """List again, as the version of a watch or page was compacted: at once, since a drain may have been missed, but
         not repeatedly."""
         listing = bool(self.pages) or not self.version
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -115,7 +115,7 @@
             for endpoint in cache.ready
         }
         self.merger.current = dict(found)
-        self.merger.changed = set(found)
+        self.merger.changed_identities = set(found)
         self.publish(ListKind.CACHED, self.listing.update(self.clock_us(), found))
 
     def start(self) -> None:
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -53,7 +53,7 @@
     def __init__(self, name: str, *ports: int) -> None:
         self.plans: list[PlanUpdated] = []
         self.forwarder = forwarder.Forwarder(
-            forwarder.Settings(name, [("127.0.0.1", port) for port in ports], RULES, report_s=0.1),
+            forwarder.Settings(name, [("127.0.0.1", port) for port in ports], RULES, report_interval_s=0.1),
             forwarder.Sidecar(lambda: IDENTS, self.plans.append, [50_000], 1),
             make_machine(name),
         )
@@ -139,7 +139,7 @@
         one = Sidecar("f", server.sockets[0].getsockname()[1])
         one.start()
         await wait_until(lambda: calls >= 3)
-        assert len(one.forwarder.links) <= 1 and one.plans == []
+        assert len(one.forwarder.connections) <= 1 and one.plans == []
         one.stop()
         server.close()
 
@@ -175,7 +175,7 @@
             await asyncio.sleep(0.05)
             said = [message for message in await answers(port, data) if isinstance(message, Rejection)]
             assert len(said) == 1 and said[0].reason
-            await wait_until(lambda: not server.links)
+            await wait_until(lambda: not server.connections)
 
     run(test)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -82,7 +82,7 @@
     one = lightweight_forwarder()
 
     def attempts() -> int:
-        return sum(notes.attempts for notes in one.reporter.notes.values())
+        return sum(record.attempts for record in one.reporter.records.values())
 
     before = attempts()
     one.simulated_until_s -= 10.0
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -105,7 +105,7 @@
     assert merger.endpoints(0)["p1"].address == ("10.0.0.1", 81)
     merger = EndpointSliceMerger("none")
     merger.apply(a_slice(endpoint()))
-    assert merger.endpoints(0) == {} and merger.skipped == {"s1": "no port 'none'"}
+    assert merger.endpoints(0) == {} and merger.skipped_slices == {"s1": "no port 'none'"}
 
 
 def test_rolling_update_of_a_thousand_endpoints_ends_with_the_new_ones_and_restores_none() -> None:
