--- a/ryepier/balancer/actions.py
+++ b/ryepier/balancer/actions.py
@@ -17,7 +17,7 @@
     request: int
     upstream: int
     timeout_us: int = 0  # 0 = until the client disconnects
-    latest_us: int = 0  # must not be written later, however long its connection takes; 0 = no limit
+    latest_write_us: int = 0  # must not be written later, however long its connection takes; 0 = no limit
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -84,7 +84,7 @@
         else:
             # Warming upstreams get traffic by the demand, also by what is rejected.
             self.count_demand()
-            self.finish(request)
+            self.reject_or_fail(request)
         self.log_overload(self.admission.observe_placement(sent=bool(request.attempts)))
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
@@ -104,7 +104,7 @@
             if self.retries.may_retry(request, event.outcome, self.now_us):
                 self.place(request)
             else:
-                self.finish(request)
+                self.reject_or_fail(request)
 
     def on_list(self, event: api.UpstreamsUpdated) -> None:
         """Apply a new or changed upstream list, or schedule the next poll after a failed one."""
@@ -125,13 +125,13 @@
         """Carry out all wake-ups that are due."""
         self.wake_ups.on_timer(self.now_us)
         while (due := self.wake_ups.pop_due(self.now_us)) is not None:
-            self.wake(due)
+            self.on_wake_up(due)
 
     def place(self, request: PendingRequest) -> None:
         """Send a request through a free slot, else keep it in the buffer, else give its final answer."""
         latest_us = self.retries.latest_start_us(request)
         if self.now_us >= latest_us:
-            self.finish(request)
+            self.reject_or_fail(request)
             return
         self.count_demand()
         upstream = self.selector.select(request, self.now_us)
@@ -142,7 +142,7 @@
         if self.outranks_buffer(request) and self.retries.may_send(request, self.now_us):
             self.put_into_buffer(request, latest_us)
         else:
-            self.finish(request)
+            self.reject_or_fail(request)
 
     def outranks_buffer(self, request: PendingRequest) -> bool:
         """Return whether a request may take the buffer; without priorities, many cheap requests would keep
@@ -154,9 +154,9 @@
     def put_into_buffer(self, request: PendingRequest, latest_us: int) -> None:
         """Keep a request in the buffer, not beyond `latest_us`; the one that it replaces gets its answer."""
         if self.buffer is not None:
-            self.finish(self.buffer)
+            self.reject_or_fail(self.buffer)
         self.buffer = request
-        until_us = min(self.now_us + self.estimates.slow_us[request.event.class_index], latest_us)
+        until_us = min(self.now_us + self.estimates.slow_latency_us[request.event.class_index], latest_us)
         self.wake_at(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
 
     def fill_from_buffer(self) -> None:
@@ -180,7 +180,7 @@
             pool.admission.use_credit()
         pool.admission.count_attempt(self.now_us)
         pool.subset.members[upstream] = None
-        self.retries.charge(request, self.admission.storm.active)
+        self.retries.charge_budget(request, self.admission.storm.active)
         latest_write_us = self.retries.latest_write_us(request)
         follows_timeout = any(one.outcome is api.Outcome.TIMEOUT for one in request.attempts)
         attempt = Attempt(upstream, upstream.entry, event.class_index, self.now_us, follows_timeout)
@@ -202,7 +202,7 @@
             if upstream is not None and upstream is not request.attempts[-1].upstream:
                 self.send(request, upstream)
 
-    def finish(self, request: PendingRequest) -> None:
+    def reject_or_fail(self, request: PendingRequest) -> None:
         """Give a request its one final answer: rejected where repeating is safe, failed otherwise."""
         may_reject = self.retries.may_reject(request)
         self.close(request)
@@ -229,8 +229,8 @@
         `elapsed_us`."""
         upstream = attempt.upstream
         pool = self.membership.pool_of(upstream)
-        slow_us = self.estimates.slow_us[attempt.class_index]
-        needed_until_us = self.last_shortage_us + tuning.SHORTAGE_MEMORY_FACTOR * slow_us
+        slow_latency_us = self.estimates.slow_latency_us[attempt.class_index]
+        needed_until_us = self.last_shortage_us + tuning.SHORTAGE_MEMORY_FACTOR * slow_latency_us
         slots_needed = attempt.sent_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
             if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # it may rejoin later
@@ -275,7 +275,7 @@
         """Schedule a wake-up at `at_us`, but not before the next microsecond."""
         self.wake_ups.schedule(max(at_us, self.now_us + 1), kind, request, attempt)
 
-    def wake(self, due: WakeUp) -> None:
+    def on_wake_up(self, due: WakeUp) -> None:
         """Carry out one wake-up."""
         request = self.requests.get(due.request)
         if due.kind is WakeUpKind.ENDPOINT_POLL:
@@ -285,7 +285,7 @@
         elif due.kind is WakeUpKind.ATTEMPT_OVERDUE and request is not None:
             self.outliers.on_overdue(request.attempts[due.attempt], self.now_us)
         elif due.kind is WakeUpKind.BUFFER_TIMEOUT and request is not None and self.buffer is request:
-            self.finish(request)
+            self.reject_or_fail(request)
 
     def arm(self) -> None:
         """Request a timer at the next wake-up, or, for a buffered request, at the next end of an ejection."""
--- a/ryepier/balancer/estimates.py
+++ b/ryepier/balancer/estimates.py
@@ -18,7 +18,7 @@
     def __init__(self, classes: list[RequestClass]) -> None:
         """Start from a quarter of each class's latency objective."""
         # by class; also the longest wait in the buffer, which leaves the other half for another attempt
-        self.slow_us = [request_class.latency_objective_us // 2 for request_class in classes]
+        self.slow_latency_us = [request_class.latency_objective_us // 2 for request_class in classes]
         self.mean_latency_us = [request_class.latency_objective_us / 4 for request_class in classes]
         self.mean_cost_us = 0.0
         self.costs_observed = 0
@@ -38,7 +38,7 @@
         Timeouts count too: in a slow fleet, the few quick answers alone would give too low a mean.
         """
         mean_us = self.mean_latency_us[class_index]
-        bounded_us = min(elapsed_us, 2 * self.slow_us[class_index])
+        bounded_us = min(elapsed_us, 2 * self.slow_latency_us[class_index])
         mean_us += (bounded_us - mean_us) / tuning.LATENCY_MEMORY
         self.mean_latency_us[class_index] = max(1.0, mean_us)
 
--- a/ryepier/balancer/events.py
+++ b/ryepier/balancer/events.py
@@ -75,7 +75,7 @@
     tenant: int = 0
     key: int = 0  # 0 = none
     cost_us: int = 0  # expected work on a standard core; 0 = not known
-    retried: bool = False  # the client marks it as a retry
+    marked_as_retry: bool = False  # the client marks it as a retry
     retry_number: int = 0  # earlier attempts of its client that were rejected, as far as recognised
     write: bool = False
 
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -32,7 +32,7 @@
         timed_out = attempt.outcome is Outcome.TIMEOUT
         # Judged by attempts that others overtook, an upstream that leaves some unanswered would lose its
         # slots.
-        is_lost = timed_out and (attempt.presumed_lost or attempt.overtaken > 0)
+        is_lost = timed_out and (attempt.presumed_lost or attempt.overtake_count > 0)
         adapted = False
         if not is_lost and not self.outliers.rejected_with_headroom(attempt, elapsed_us):
             adapted = self._adapt(attempt, elapsed_us, slots_needed, now_us)
@@ -68,7 +68,7 @@
         """Return an attempt's latency relative to the slow one, at most `MAX_LOAD`."""
         if attempt.outcome not in ANSWERED:
             return tuning.MAX_LOAD
-        return min(tuning.MAX_LOAD, elapsed_us / self.estimates.slow_us[attempt.class_index])
+        return min(tuning.MAX_LOAD, elapsed_us / self.estimates.slow_latency_us[attempt.class_index])
 
     def _latency_ratio_of(self, attempt: Attempt, elapsed_us: int, is_faulty: bool) -> float:
         """Return an attempt's latency relative to the mean of its class, within bounds."""
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -52,7 +52,7 @@
             pool.subset.members = {upstream: None for upstream in members if self._is_listed(upstream)}
             started_in_pool = [upstream for upstream in started if self.pool_of(upstream) is pool]
             warm = [up for up in started_in_pool if not pool.slow_start.is_warming(up.entry, now_us)]
-            removed += self._offer_places(pool, warm)
+            removed += self._sample_new_members(pool, warm)
         self._count_planned_ejections()
         return removed
 
@@ -79,7 +79,7 @@
         """Find a pool's warming upstreams, and let those that have become warm join its subset. Returns the
         upstreams that have left it."""
         warmed = pool.slow_start.refresh(self.in_pool(pool), now_us)
-        return self._offer_places(pool, warmed)
+        return self._sample_new_members(pool, warmed)
 
     def apply_plan(self, event: PlanUpdated) -> None:
         """Replace the plan's advice on the listed upstreams; a plan can't bring back one that was removed."""
@@ -102,14 +102,16 @@
         self.by_id[entry.id] = TrackedUpstream(entry, pool_index, health, advice)
         return self.by_id[entry.id]
 
-    def _offer_places(self, pool: UpstreamPool, newcomers: list[TrackedUpstream]) -> list[TrackedUpstream]:
+    def _sample_new_members(
+        self, pool: UpstreamPool, newcomers: list[TrackedUpstream]
+    ) -> list[TrackedUpstream]:
         """Offer places in a pool's subset to those newcomers that are still listed. Returns the upstreams
         that have left it."""
         newcomers = [upstream for upstream in newcomers if self._is_listed(upstream)]
         if not newcomers:
             return []
         wanted = pool.subset.wanted_size(pool.admission.send_rate)
-        return pool.subset.offer_places(newcomers, len(self.in_pool(pool)), wanted, self.random)
+        return pool.subset.sample_new_members(newcomers, len(self.in_pool(pool)), wanted, self.random)
 
     def _count_planned_ejections(self) -> None:
         """Decide whether the plan's ejections apply: not if they would eject too many."""
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -55,10 +55,10 @@
 
     def eject(self, upstream: TrackedUpstream, class_index: int, elapsed_us: int, now_us: int) -> None:
         """Eject an upstream whose limit is below one slot, until its next attempt is due."""
-        slow_us = self.estimates.slow_us[class_index]
+        slow_latency_us = self.estimates.slow_latency_us[class_index]
         # Beside answers of seconds, short ejections would leave a choked upstream crowded.
-        mean_us = min(self.estimates.mean_latency_us[class_index], slow_us)
-        latency_us = max(mean_us, min(elapsed_us, 2 * slow_us))
+        mean_us = min(self.estimates.mean_latency_us[class_index], slow_latency_us)
+        latency_us = max(mean_us, min(elapsed_us, 2 * slow_latency_us))
         latencies = 1.0 / upstream.concurrency.limit - 1.0
         ejection_us = latency_us * latencies * self._jitter()
         upstream.ejected_until_us = now_us + int(ejection_us)
@@ -120,7 +120,7 @@
     @staticmethod
     def _is_overtaken(attempt: Attempt) -> bool:
         """Return whether enough later attempts were answered for this one to be lost rather than queued."""
-        return attempt.overtaken >= tuning.LOST_ATTEMPT_OVERTAKES
+        return attempt.overtake_count >= tuning.LOST_ATTEMPT_OVERTAKES
 
     def on_answer(self, attempt: Attempt, earlier: Iterable[Attempt]) -> None:
         """Record that an attempt was answered before the `earlier` ones at the same upstream."""
@@ -129,7 +129,7 @@
         health.unanswered_share -= health.unanswered_share / tuning.UNANSWERED_MEMORY
         health.timeout_streak = health.ejected_until_us = 0
         for other in earlier:
-            other.overtaken += 1
+            other.overtake_count += 1
             other.overtaken_in_class |= other.class_index == index
             if not other.presumed_lost:
                 self.presume_lost(other)
@@ -144,7 +144,7 @@
         upstream = attempt.upstream
         health = upstream.by_class[attempt.class_index]
         if attempt.outcome in ANSWERED:
-            is_quick = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_us[attempt.class_index]
+            is_quick = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_latency_us[attempt.class_index]
             headroom = upstream.queue_headroom + (1 if is_quick else -1)
             upstream.queue_headroom = min(max(headroom, 0), tuning.MAX_QUEUE_HEADROOM)
             health.rejection_share -= health.rejection_share / tuning.FAULT_MEMORY
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -9,7 +9,7 @@
 from ryepier.balancer.upstream import FAULTS, Attempt, PendingRequest, TrackedUpstream
 
 # An upstream that fails some of its requests would otherwise lose them all.
-RETRIED = (*FAULTS, Outcome.TIMEOUT)
+RETRIABLE_OUTCOMES = (*FAULTS, Outcome.TIMEOUT)
 
 
 class RetryPolicy:
@@ -72,9 +72,9 @@
 
     def may_retry(self, request: PendingRequest, outcome: Outcome, now_us: int) -> bool:
         """Return whether a request may be retried; the budget bounds the load of retries in an outage."""
-        return outcome in RETRIED and self.may_send(request, now_us) and self.budget >= 1.0
+        return outcome in RETRIABLE_OUTCOMES and self.may_send(request, now_us) and self.budget >= 1.0
 
-    def charge(self, request: PendingRequest, in_storm: bool) -> None:
+    def charge_budget(self, request: PendingRequest, in_storm: bool) -> None:
         """Count an attempt that is about to be sent.
 
         A first one earns part of a retry, unless it is a client's own retry in a storm. A later one uses one.
@@ -99,7 +99,7 @@
         after an outage that raised the mean.
         """
         index = request.event.class_index
-        answer_us = min(self.estimates.mean_latency_us[index], self.estimates.slow_us[index])
+        answer_us = min(self.estimates.mean_latency_us[index], self.estimates.slow_latency_us[index])
         return self.useful_until_us(request) - int(answer_us)
 
     def timeout_us(self, request: PendingRequest, now_us: int) -> int:
@@ -112,7 +112,7 @@
         event = request.event
         timeout_us = max(
             int(tuning.ATTEMPT_TIMEOUT_FACTOR * self.estimates.mean_latency_us[event.class_index]),
-            self.estimates.slow_us[event.class_index],
+            self.estimates.slow_latency_us[event.class_index],
             tuning.ATTEMPT_TIMEOUT_FACTOR * event.cost_us,
         )
         return min(useful_us, timeout_us)
@@ -123,7 +123,7 @@
             return None
         index = request.event.class_index
         delay_us = int(tuning.HEDGE_DELAY_FACTOR * self.estimates.mean_latency_us[index])
-        return min(delay_us, self.estimates.slow_us[index])
+        return min(delay_us, self.estimates.slow_latency_us[index])
 
     def retry_after_us(self, request: PendingRequest, storm: RetryStormUpdated) -> int:
         """Return how long a rejected client should wait before its retry (us); in a storm, spread over the
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -72,9 +72,11 @@
         excluded = warming if is_expensive and not all_are_warming else {}
         usable_warming = [] if excluded else [*warming]
         if pool.admission.credit < 1.0:
-            return self.free_slots(request, usable_warming, ejections_apply, now_us)
+            return self.candidates_with_free_slots(request, usable_warming, ejections_apply, now_us)
         warm_members = [up for up in subset if up not in warming]
-        found = self.free_slots(request, [*warm_members, *usable_warming], ejections_apply, now_us)
+        found = self.candidates_with_free_slots(
+            request, [*warm_members, *usable_warming], ejections_apply, now_us
+        )
         if not found or len(subset) < pool.subset.wanted_size(pool.admission.send_rate):
             # Sidecars that are connected to every upstream would exhaust the upstreams' connections.
             pools = self.membership.pools
@@ -83,10 +85,10 @@
                 for upstream in self.membership.by_id.values()
                 if pools[upstream.pool_index] is pool and upstream not in subset and upstream not in excluded
             ]
-            found = self.free_slots(request, others, ejections_apply, now_us) or found
+            found = self.candidates_with_free_slots(request, others, ejections_apply, now_us) or found
         return found
 
-    def free_slots(
+    def candidates_with_free_slots(
         self,
         request: PendingRequest,
         upstreams: Iterable[TrackedUpstream],
--- a/ryepier/balancer/simulator_adapter.py
+++ b/ryepier/balancer/simulator_adapter.py
@@ -30,11 +30,11 @@
         self.decoder = protocol.Decoder()
         self.instances: dict[int, Balancer] = {}
 
-    def batch(self, now_us: int, count: int, body: bytes) -> bytes:
+    def handle_batch(self, now_us: int, count: int, body: bytes) -> bytes:
         """Hand the `count` records of a batch to their instances and return the reply frame. An exception in
         the decision module becomes an InternalError record. Raises ProtocolError for a malformed batch."""
         records: list[bytes] = []
-        for instance, event in self.decoder.batch(body, count):
+        for instance, event in self.decoder.read_batch(body, count):
             if isinstance(event, protocol.InstanceStarted):
                 self.start_instance(instance, event, now_us)
             elif isinstance(event, protocol.InstanceStopped):
@@ -79,7 +79,7 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise protocol.ProtocolError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.batch(now_us, count, body)
+            answer = host.handle_batch(now_us, count, body)
         except protocol.ProtocolError as error:
             raise protocol.ProtocolError(f"batch {number}: {error}") from error
         sink.write(answer)
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -82,7 +82,7 @@
         self.data = b""
         self.at = 0
 
-    def batch(self, data: bytes, count: int) -> Iterator[InstanceRecord]:
+    def read_batch(self, data: bytes, count: int) -> Iterator[InstanceRecord]:
         """Yield the records of a batch's body, in order. Raises ProtocolError."""
         self.data, self.at = data, 0
         for index in range(count):
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -25,8 +25,8 @@
         del self.members[upstream]
         return [upstream]
 
-    def offer_places(
-        self, newcomers: list[TrackedUpstream], listed: int, wanted: int, random: Random
+    def sample_new_members(
+        self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
         """Give newcomers, just listed or just warm, the chance of a place that they would have had from the
         start. Returns the upstreams that have left.
@@ -35,16 +35,16 @@
         member. A full subset would otherwise never take in an upstream that returns. One that stayed in each
         subset that used it while warming up would be crowded afterwards.
         """
-        if not newcomers or not self.members:
+        if not new_upstreams or not self.members:
             return []  # before the first attempt, places are taken as selections need them
-        replaceable = [upstream for upstream in self.members if upstream not in newcomers]
+        replaceable = [upstream for upstream in self.members if upstream not in new_upstreams]
         random.shuffle(replaceable)
-        places = max(wanted, len(replaceable))
+        places = max(wanted_count, len(replaceable))
         removed: list[TrackedUpstream] = []
-        for upstream in newcomers:
-            if random.random() * listed >= places:
+        for upstream in new_upstreams:
+            if random.random() * listed_count >= places:
                 removed += self.leave(upstream)
-            elif upstream not in self.members and len(self.members) >= wanted and replaceable:
+            elif upstream not in self.members and len(self.members) >= wanted_count and replaceable:
                 # A free place is left to the next selection, which tries an upstream outside the subset.
                 removed += self.leave(replaceable.pop())
                 self.members[upstream] = None
--- a/ryepier/balancer/upstream.py
+++ b/ryepier/balancer/upstream.py
@@ -51,7 +51,7 @@
     class_index: int
     sent_us: int
     follows_timeout: bool = False  # an earlier attempt of its request timed out
-    overtaken: int = 0  # later attempts at the same upstream that were answered earlier
+    overtake_count: int = 0  # later attempts at the same upstream that were answered earlier
     overtaken_in_class: bool = False  # one of these was of the same class
     overdue: bool = False  # unanswered for longer than an answer takes
     presumed_lost: bool = False  # holds no slot any more
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -59,13 +59,13 @@
 
     def buffered_until_us(self, request: upstream.PendingRequest) -> int:
         balancer = self.state.dispatcher.balancer
-        return request.arrived_us + balancer.estimates.slow_us[request.event.class_index]
+        return request.arrived_us + balancer.estimates.slow_latency_us[request.event.class_index]
 
     def attempt(self, attempt: upstream.Attempt) -> tuple[Any, ...]:
         return (
             self.renaming[attempt.entry.id],
             self.age(attempt.sent_us),
-            min(attempt.overtaken, LOST_ATTEMPT_OVERTAKES),
+            min(attempt.overtake_count, LOST_ATTEMPT_OVERTAKES),
             attempt.overtaken_in_class,
             attempt.overdue,
             attempt.presumed_lost,
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -36,13 +36,13 @@
 
 def lost_answer() -> None:
     """Never give up a request whose last attempt was reset, and disable the dispatcher's deadline check."""
-    finish = Balancer.finish
+    reject_or_fail = Balancer.reject_or_fail
 
-    def finish_unless_reset(self: Balancer, request: PendingRequest) -> None:
+    def reject_or_fail_unless_reset(self: Balancer, request: PendingRequest) -> None:
         if not request.attempts or request.attempts[-1].outcome is not api.Outcome.RESET:
-            finish(self, request)
+            reject_or_fail(self, request)
 
-    Balancer.finish = finish_unless_reset  # type: ignore[method-assign]
+    Balancer.reject_or_fail = reject_or_fail_unless_reset  # type: ignore[method-assign]
     RequestDispatcher._on_overdue = lambda self, opened: None  # type: ignore[method-assign]
 
 
@@ -62,17 +62,17 @@
 
 def two_at_once() -> None:
     """Send a second attempt while an overdue one is in flight."""
-    wake = Balancer.wake
+    on_wake_up = Balancer.on_wake_up
 
     def send_when_overdue(self: Balancer, due: WakeUp) -> None:
-        wake(self, due)
+        on_wake_up(self, due)
         request = self.requests.get(due.request)
         if due.kind is WakeUpKind.ATTEMPT_OVERDUE and request is not None and len(request.attempts) < 2:
             attempt = request.attempts[due.attempt]
             if attempt.outcome is None:
                 self.send(request, attempt.upstream)
 
-    Balancer.wake = send_when_overdue  # type: ignore[method-assign]
+    Balancer.on_wake_up = send_when_overdue  # type: ignore[method-assign]
 
 
 def careless_resend() -> None:
--- a/ryepier/check/trace.py
+++ b/ryepier/check/trace.py
@@ -39,7 +39,7 @@
         self.state = ModelState(model)
         self.decisions: list[str] = []
         self._wrap(self.state.dispatcher.balancer, "send")
-        self._wrap(self.state.dispatcher.balancer, "finish")
+        self._wrap(self.state.dispatcher.balancer, "reject_or_fail")
 
     def _wrap(self, owner: Any, name: str) -> None:
         original = getattr(owner, name)
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -94,7 +94,7 @@
 
 def prefer_warming() -> None:
     """Send everything to the newest converter that is warming up."""
-    free_slots = Selector.free_slots
+    candidates_with_free_slots = Selector.candidates_with_free_slots
 
     def newest_warming(
         self: Selector,
@@ -107,9 +107,9 @@
         warming = [one for one in listed if self.membership.pool_of(one).slow_start.is_warming(one.entry, now_us)]
         if warming:
             return [Candidate(warming[-1], 1.0)]
-        return free_slots(self, request, upstreams, ejections_apply, now_us)
+        return candidates_with_free_slots(self, request, upstreams, ejections_apply, now_us)
 
-    Selector.free_slots = newest_warming  # type: ignore[method-assign]
+    Selector.candidates_with_free_slots = newest_warming  # type: ignore[method-assign]
 
 
 def omit_retry_after() -> None:
--- a/ryepier/experiments/load_spread/processes/seeded_faults.py
+++ b/ryepier/experiments/load_spread/processes/seeded_faults.py
@@ -28,12 +28,14 @@
 
 def select_first() -> None:
     """Let all sidecars select the first free converter of the list."""
-    free_slots = Selector.free_slots
+    candidates_with_free_slots = Selector.candidates_with_free_slots
 
     def first_free(self: Selector, *arguments: Any, **options: Any) -> Any:
-        return sorted(free_slots(self, *arguments, **options), key=lambda candidate: candidate.upstream.entry.id)[:1]
+        return sorted(
+            candidates_with_free_slots(self, *arguments, **options), key=lambda candidate: candidate.upstream.entry.id
+        )[:1]
 
-    Selector.free_slots = first_free  # type: ignore[method-assign]
+    Selector.candidates_with_free_slots = first_free  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {"same-seed": draw_alike, "same-order": select_first}
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -20,8 +20,8 @@
 class ClosedSubset(Subset):
     """A full subset that never admits a newcomer."""
 
-    def offer_places(
-        self, newcomers: list[TrackedUpstream], listed: int, wanted: int, random: Random
+    def sample_new_members(
+        self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
         """Return no upstream."""
         return []
@@ -55,11 +55,11 @@
 class FirstFreeSelector(Selector):
     """Selects the first free converter of the list."""
 
-    def free_slots(
+    def candidates_with_free_slots(
         self, request: PendingRequest, upstreams: Iterable[TrackedUpstream], ejections_apply: bool, now_us: int
     ) -> list[Candidate]:
         """Return only the first free converter."""
-        found = super().free_slots(request, upstreams, ejections_apply, now_us)
+        found = super().candidates_with_free_slots(request, upstreams, ejections_apply, now_us)
         return sorted(found, key=lambda candidate: candidate.upstream.entry.id)[:1]
 
 
@@ -75,11 +75,11 @@
 class ExpellingSubset(Subset):
     """A subset that removes newcomers."""
 
-    def offer_places(
-        self, newcomers: list[TrackedUpstream], listed: int, wanted: int, random: Random
+    def sample_new_members(
+        self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
         """Remove each newcomer, and return those removed."""
-        return [removed for upstream in newcomers for removed in self.leave(upstream)]
+        return [removed for upstream in new_upstreams for removed in self.leave(upstream)]
 
 
 class ForgetReturned(Balancer):
@@ -95,11 +95,11 @@
 class WelcomingSubset(Subset):
     """A subset that admits every newcomer."""
 
-    def offer_places(
-        self, newcomers: list[TrackedUpstream], listed: int, wanted: int, random: Random
+    def sample_new_members(
+        self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
         """Admit each newcomer, once there are members."""
-        for upstream in newcomers if self.members else []:
+        for upstream in new_upstreams if self.members else []:
             self.members[upstream] = None
         return []
 
--- a/ryepier/experiments/scale/seeded_faults.py
+++ b/ryepier/experiments/scale/seeded_faults.py
@@ -21,7 +21,7 @@
 
     def select_after_scans(self: Selector, request: PendingRequest, now_us: int) -> TrackedUpstream | None:
         for _ in range(EXTRA_SCANS):
-            self.free_slots(request, list(self.membership.by_id.values()), True, now_us)
+            self.candidates_with_free_slots(request, list(self.membership.by_id.values()), True, now_us)
         return select(self, request, now_us)
 
     Selector.select = select_after_scans  # type: ignore[method-assign]
@@ -33,7 +33,7 @@
     def charge_nothing(self: RetryPolicy, request: PendingRequest, in_storm: bool) -> None:
         self.budget = MAX_RETRY_BUDGET
 
-    RetryPolicy.charge = charge_nothing  # type: ignore[method-assign]
+    RetryPolicy.charge_budget = charge_nothing  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -32,8 +32,8 @@
     RetryStormDetector._should_open = lambda self, evidence: evidence.retry_share > 0  # type: ignore[method-assign]
 
     def evidence_of_any_retry(self: RetryStormDetector, now_us: int) -> StormEvidence:
-        offered = sum(self.rates)
-        return StormEvidence(offered, self.served, sum(self.rates[1:]) / max(1.0, offered), 0.0, None)
+        offered = sum(self.arrival_rates)
+        return StormEvidence(offered, self.served_rate, sum(self.arrival_rates[1:]) / max(1.0, offered), 0.0, None)
 
     RetryStormDetector._evidence = evidence_of_any_retry  # type: ignore[method-assign]
 
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -140,7 +140,7 @@
             tenant=self.tenants.find(found),
             key=stable_hash(key) if key else 0,
             cost_us=parse_integer(cost, "X-Cost-Hint") if cost else meant.cost_us,
-            retried=found.get(b"x-retry") == b"1",
+            marked_as_retry=found.get(b"x-retry") == b"1",
             forwards_client_errors=True,
             accepted_type=answer_type.encode(),
         )
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -154,7 +154,7 @@
                 request.tenant,
                 request.key,
                 request.cost_us,
-                request.retried,
+                request.marked_as_retry,
                 retry_number,
             )
         )
@@ -348,7 +348,7 @@
             opened.request,
             timeout_us,
             lambda result: self._end_attempt(opened, number, result),
-            action.latest_us,
+            action.latest_write_us,
         )
 
     def _on_timeout(self, opened: OpenRequest, number: int) -> None:
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -187,7 +187,7 @@
             tenant=self.tenants.find(found),
             key=stable_hash(key) if key else 0,
             cost_us=parse_integer(cost, "X-Cost-Hint") if cost else 0,
-            retried=found.get(RETRY_HEADER) == b"1",
+            marked_as_retry=found.get(RETRY_HEADER) == b"1",
         )
 
     def _class_index(self, target: bytes, found: Mapping[bytes, bytes]) -> int:
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -34,7 +34,7 @@
     tenant: int = 0
     key: int = 0
     cost_us: int = 0
-    retried: bool = False
+    marked_as_retry: bool = False
     forwards_client_errors: bool = False  # an upstream's 4xx is the final answer
     due_us: int = 0  # when the sidecar has to give its answer; 0 = no such time
     accepted_type: bytes = b""  # the media type that the client accepts, where its front end reads it
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -39,7 +39,7 @@
         """Index of the tenant."""
 
     @property
-    def retried(self) -> bool:
+    def marked_as_retry(self) -> bool:
         """Whether the client marks it as a retry."""
 
 
@@ -69,7 +69,7 @@
 
     def retry_number(self, request: Request) -> int:
         """Return how many earlier attempts of the request were not served; 0 for a first one."""
-        number = int(request.retried)
+        number = int(request.marked_as_retry)
         if not self.failed_requests.empty:
             number = max(number, self.failed_requests.retry_number(self.clock_us(), identify(request)))
         self.detector.on_request(number, request.tenant)
@@ -78,7 +78,7 @@
     def on_unserved(self, request: Request) -> None:
         """Record that the request was rejected, failed, or had no answer before its client disconnected."""
         now_us, digest = self.clock_us(), identify(request)
-        self.detector.on_unserved(max(self.failed_requests.retry_number(now_us, digest), int(request.retried)))
+        self.detector.on_unserved(max(self.failed_requests.retry_number(now_us, digest), int(request.marked_as_retry)))
         self.failed_requests.add(now_us, digest)
 
     # Observer
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -38,19 +38,21 @@
 class StormEvidence:
     """Why there is a storm, or none."""
 
-    demand: float  # arrivals per second
-    served: float
+    arrival_rate: float  # arrivals per second
+    served_rate: float
     retry_share: float  # of the arrivals
-    surge: float  # first attempts relative to the usual rate; 0 = not known
-    outage_ended_us: int | None  # time since its end; None: no recent one
+    surge_ratio: float  # first attempts relative to the usual rate; 0 = not known
+    since_outage_us: int | None  # time since its end; None: no recent one
 
     def __str__(self) -> str:
         """Render the evidence for the log."""
-        surge = f"first attempts at {self.surge:.2f} of the baseline" if self.surge else "baseline not known"
-        ended = "" if self.outage_ended_us is None else f", an outage over {self.outage_ended_us / 1e6:.1f} s ago"
+        surge = (
+            f"first attempts at {self.surge_ratio:.2f} of the baseline" if self.surge_ratio else "baseline not known"
+        )
+        ended = "" if self.since_outage_us is None else f", an outage over {self.since_outage_us / 1e6:.1f} s ago"
         return (
-            f"{self.demand:.0f} arrivals per second, {self.served:.0f} served, {self.retry_share:.0%} are retries, "
-            f"{surge}{ended}"
+            f"{self.arrival_rate:.0f} arrivals per second, {self.served_rate:.0f} served, "
+            f"{self.retry_share:.0%} are retries, {surge}{ended}"
         )
 
 
@@ -85,10 +87,10 @@
         self.retry_after_in_seconds = retry_after_in_seconds
         self.counts = _Counts()
         self.started_us = self.last_tick_us = now_us
-        self.rates = [0.0] * ATTEMPT_NUMBERS
+        self.arrival_rates = [0.0] * ATTEMPT_NUMBERS
         self.tenants: dict[int, float] = {}
-        self.served = 0.0
-        self.first_rejections = 0.0
+        self.served_rate = 0.0
+        self.first_rejection_rate = 0.0
         self.admission = 1.0  # share of first retries to admit; for each further one a power of it
         self.baseline_rate = 0.0
         self.baseline_observed_us = 0  # for how long usual rates were observed
@@ -115,12 +117,12 @@
         """Update the rates and return whether there is a storm."""
         self._update_rates(now_us)
         evidence = self._evidence(now_us)
-        if evidence.surge > SURGE_RATIO:
+        if evidence.surge_ratio > SURGE_RATIO:
             self.last_surge_us = now_us
         was_active = self.active
         if not was_active:
             self.admission = 1.0
-        elif self.first_rejections > MAX_FIRST_REJECTIONS * self.rates[0]:
+        elif self.first_rejection_rate > MAX_FIRST_REJECTIONS * self.arrival_rates[0]:
             self.admission = max(MIN_ADMISSION, self.admission * ADMISSION_DECREASE)
         else:
             self.admission = min(1.0, self.admission * ADMISSION_INCREASE + ADMISSION_INCREASE_STEP)
@@ -138,14 +140,16 @@
         counts, self.counts = self.counts, _Counts()
         decay = math.exp(-since_us / RECENT_MEMORY_US)
         for number, count in enumerate(counts.retry_number):
-            self.rates[number] += (count * 1e6 / since_us - self.rates[number]) * (1 - decay)
+            self.arrival_rates[number] += (count * 1e6 / since_us - self.arrival_rates[number]) * (1 - decay)
         for tenant in self.tenants.keys() | counts.tenants.keys():
             rate = self.tenants.get(tenant, 0.0)
             self.tenants[tenant] = rate + (counts.tenants.get(tenant, 0) * 1e6 / since_us - rate) * (1 - decay)
-        self.served += (counts.served * 1e6 / since_us - self.served) * (1 - decay)
-        self.first_rejections += (counts.first_rejections * 1e6 / since_us - self.first_rejections) * (1 - decay)
-        demand = sum(self.rates)
-        in_outage = demand >= MIN_RATE and self.served < OUTAGE_SERVED_SHARE * demand
+        self.served_rate += (counts.served * 1e6 / since_us - self.served_rate) * (1 - decay)
+        self.first_rejection_rate += (counts.first_rejections * 1e6 / since_us - self.first_rejection_rate) * (
+            1 - decay
+        )
+        demand = sum(self.arrival_rates)
+        in_outage = demand >= MIN_RATE and self.served_rate < OUTAGE_SERVED_SHARE * demand
         if self.in_outage and not in_outage:
             self.outage_ended_us = now_us
         self.in_outage = in_outage
@@ -162,30 +166,30 @@
             self.baseline_observed_us += since_us
 
     def _evidence(self, now_us: int) -> StormEvidence:
-        demand = sum(self.rates)
-        retries = sum(self.rates[1:]) / demand if demand > 0 else 0.0
+        demand = sum(self.arrival_rates)
+        retries = sum(self.arrival_rates[1:]) / demand if demand > 0 else 0.0
         surge = (
-            self.rates[0] / self.baseline_rate
+            self.arrival_rates[0] / self.baseline_rate
             if self.baseline_observed_us >= MIN_BASELINE_US and self.baseline_rate > 0
             else 0.0
         )
         ended = None
         if self.outage_ended_us is not None and now_us - self.outage_ended_us < RECENT_OUTAGE_US:
             ended = now_us - self.outage_ended_us
-        return StormEvidence(demand, self.served, retries, surge, ended)
+        return StormEvidence(demand, self.served_rate, retries, surge, ended)
 
     @staticmethod
     def _unserved(evidence: StormEvidence) -> float:
-        return 1.0 - min(1.0, evidence.served / evidence.demand) if evidence.demand > 0 else 0.0
+        return 1.0 - min(1.0, evidence.served_rate / evidence.arrival_rate) if evidence.arrival_rate > 0 else 0.0
 
     def _should_open(self, evidence: StormEvidence) -> bool:
-        if evidence.demand < MIN_RATE:
+        if evidence.arrival_rate < MIN_RATE:
             return False
         return evidence.retry_share >= OPENING_RETRY_SHARE and self._unserved(evidence) >= OPENING_UNSERVED_SHARE
 
     def _update_calm(self, now_us: int, evidence: StormEvidence) -> None:
         is_calm = evidence.retry_share <= CLOSING_RETRY_SHARE or self._unserved(evidence) <= CLOSING_UNSERVED_SHARE
-        is_calm |= evidence.surge > SURGE_RATIO or evidence.demand < MIN_RATE
+        is_calm |= evidence.surge_ratio > SURGE_RATIO or evidence.arrival_rate < MIN_RATE
         if not is_calm:
             self.calm_since_us = None
         elif self.calm_since_us is None:
@@ -196,8 +200,8 @@
     def _event(self) -> RetryStormUpdated:
         admission = [self.admission**number for number in range(ATTEMPT_NUMBERS)]
         # rejected clients come back within the time that it takes to serve as many at the current rate
-        outside = max(0.0, sum(self.rates) - self.served) * RECENT_MEMORY_US / 1e6
-        window_us = min(MAX_WINDOW_US, 1e6 * outside / max(RECOVERY_FACTOR * self.served, MIN_RATE))
+        outside = max(0.0, sum(self.arrival_rates) - self.served_rate) * RECENT_MEMORY_US / 1e6
+        window_us = min(MAX_WINDOW_US, 1e6 * outside / max(RECOVERY_FACTOR * self.served_rate, MIN_RATE))
         windows_us = [
             int(min(self.max_retry_after_us, max(MIN_WINDOW_US, window_us) * 2**number))
             for number in range(ATTEMPT_NUMBERS)
@@ -208,7 +212,7 @@
         """Return by tenant the share of retries to admit: less for one whose demand exceeds its quota."""
         if len(self.tenant_shares) < 2:
             return []
-        demand = sum(self.rates)
+        demand = sum(self.arrival_rates)
         return [
             min(1.0, share * demand / self.tenants[index]) if self.tenants.get(index, 0.0) > 0 else 1.0
             for index, share in enumerate(self.tenant_shares)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.test_simulator_protocol import EMPTY, LIST, batch, power_on
+from tests.test_simulator_protocol import EMPTY_BATCH, LIST_RECORD, batch_frame, instance_started
 
 pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the tree
 
@@ -33,7 +33,7 @@
 
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    frames = bytes.fromhex(EMPTY) + batch([power_on(), bytes.fromhex(LIST), members])
+    frames = bytes.fromhex(EMPTY_BATCH) + batch_frame([instance_started(), bytes.fromhex(LIST_RECORD), members])
     done = start(sim, frames)
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout.startswith(bytes(8))
@@ -42,7 +42,7 @@
 
 
 def test_the_deployed_command_ends_on_a_bad_frame_with_one_line(sim: str) -> None:
-    done = start(sim, bytes.fromhex(EMPTY) + b"\x01\x00")
+    done = start(sim, bytes.fromhex(EMPTY_BATCH) + b"\x01\x00")
     assert done.returncode != 0 and done.stdout == bytes(8)
     assert done.stderr.decode().splitlines() == ["ryepier.balancer: batch 1: truncated header: 2 of 16 bytes"]
 
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -44,7 +44,9 @@
 
 
 def test_sidecar_that_retries_no_reset_query_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(retries, "RETRIED", tuple(one for one in retries.RETRIED if one is not Outcome.RESET))
+    monkeypatch.setattr(
+        retries, "RETRIABLE_OUTCOMES", tuple(one for one in retries.RETRIABLE_OUTCOMES if one is not Outcome.RESET)
+    )
     assert simulate_resets().retried_share == 0
 
 
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -120,7 +120,7 @@
     def stumbling(self: Balancer, now_us: int, event: Event) -> list[Any]:
         if getattr(event, "key", 0):
             raise RuntimeError("stumbled")
-        if getattr(event, "retried", False):
+        if getattr(event, "marked_as_retry", False):
             return []
         return handle(self, now_us, event)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -389,7 +389,7 @@
 
 
 def test_without_a_budget_attempts_go_beyond_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryPolicy, "charge", RetryPolicy.charge)  # put back at the end
+    monkeypatch.setattr(RetryPolicy, "charge_budget", RetryPolicy.charge_budget)  # put back at the end
     seeded_faults.SEEDED_FAULTS["no-budget"]()
     one = chain(1, 0.5, calls=300)
     assert ChainFigures.of(one, run_chain(one)).over_bound > 1.0
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -14,7 +14,7 @@
 from ryepier.balancer.settings_parser import parse_settings
 from tests.simulator_options import OPTIONS
 
-LIST = (
+LIST_RECORD = (
     "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
     " f211902c 01 00 0000 01 0000c03f 20145d0000000000"
 )
@@ -22,7 +22,7 @@
 
 EVENTS: list[tuple[str, protocol.Record]] = [
     (
-        LIST + "50 0300 02 29000000 00000000",
+        LIST_RECORD + "50 0300 02 29000000 00000000",
         api.UpstreamsUpdated(
             api.ListKind.CACHED, [api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41
         ),
@@ -58,20 +58,20 @@
     ("0a 0300", api.FetchList()),
 ]
 
-EMPTY = "00000000 00000000 5a5c800000000000"
-THREE = (
+EMPTY_BATCH = "00000000 00000000 5a5c800000000000"
+BATCH_OF_THREE = (
     "2f000000 03000000 5a5c800000000000"
     "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
     "32 0300 4d000000 3c 0500 192b6f0e"
 )
 
 
-def power_on(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
+def instance_started(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
     raw = text.encode()
     return struct.pack("<BHQI", 100, instance, seed, len(raw)) + raw
 
 
-def batch(records: list[bytes], now_us: int = 8_412_250) -> bytes:
+def batch_frame(records: list[bytes], now_us: int = 8_412_250) -> bytes:
     body = b"".join(records)
     return struct.pack("<IIQ", len(body), len(records), now_us) + body
 
@@ -86,7 +86,7 @@
 def test_documented_events_are_read(text: str, event: protocol.Record) -> None:
     data = bytes.fromhex(text)
     count = 2 if text.startswith("6e") else 1
-    assert list(protocol.Decoder().batch(data, count)) == [(3, event)]
+    assert list(protocol.Decoder().read_batch(data, count)) == [(3, event)]
 
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
@@ -95,8 +95,8 @@
 
 
 def test_documented_frames_are_read_and_written() -> None:
-    assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
-    events = list(protocol.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
+    assert serve(bytes.fromhex(EMPTY_BATCH)) == bytes.fromhex("00000000 00000000")
+    events = list(protocol.Decoder().read_batch(bytes.fromhex(BATCH_OF_THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"),
         (3, "TimerFired"),
@@ -114,9 +114,9 @@
 
 
 def test_request_passes_through_the_adapter() -> None:
-    start = [power_on(), bytes.fromhex(LIST), bytes.fromhex("50 0300 02 29000000 00000000")]
+    start = [instance_started(), bytes.fromhex(LIST_RECORD), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
-    told = serve(batch(start) + batch([arrival]))
+    told = serve(batch_frame(start) + batch_frame([arrival]))
     size, _count = struct.unpack_from("<II", told)
     code, instance, ticket, upstream = struct.unpack_from("<BHII", told, 8 + size + 8)
     assert (code, instance, ticket) == (20, 3, TICKET) and upstream in (FIRST, SECOND)
@@ -124,18 +124,20 @@
 
 def test_restart_within_a_batch_forgets_all_state() -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    start = [power_on(), bytes.fromhex(LIST), members]
-    again = [bytes.fromhex("28 0300"), power_on(seed=10), members]
+    start = [instance_started(), bytes.fromhex(LIST_RECORD), members]
+    again = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
     late = bytes.fromhex(EVENTS[5][0])
-    told = serve(batch(start) + batch([bytes.fromhex(EVENTS[1][0])]) + batch(again) + batch([late]))
+    told = serve(
+        batch_frame(start) + batch_frame([bytes.fromhex(EVENTS[1][0])]) + batch_frame(again) + batch_frame([late])
+    )
     assert told.endswith(bytes(8))  # the late outcome means nothing to the new instance
 
 
 def test_list_number_is_resolved_in_event_order() -> None:
     short = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
-    data = bytes.fromhex(LIST) + members + short + members
-    first, second = protocol.Decoder().batch(data, 4)
+    data = bytes.fromhex(LIST_RECORD) + members + short + members
+    first, second = protocol.Decoder().read_batch(data, 4)
     assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
 
@@ -144,23 +146,29 @@
     ("data", "words"),
     [
         (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
-        (bytes.fromhex(EMPTY) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
-        (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
-        (batch([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
+        (bytes.fromhex(EMPTY_BATCH) + bytes.fromhex(BATCH_OF_THREE)[:30], "batch 1: truncated body"),
+        (batch_frame([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
+        (batch_frame([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
         (struct.pack("<IIQ", 3, 0, 5) + b"abc", "3 bytes left over"),
-        (batch([bytes.fromhex("50 0300 02 29000000 05000000")]), "upstream list 5 was never sent"),
-        (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 6300 44480000 01 00")]), "unknown outcome 99"),
-        (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 01 0000c07f")]), "finite"),
+        (batch_frame([bytes.fromhex("50 0300 02 29000000 05000000")]), "upstream list 5 was never sent"),
+        (batch_frame([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 6300 44480000 01 00")]), "unknown outcome 99"),
+        (batch_frame([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 01 0000c07f")]), "finite"),
         (
-            batch([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
+            batch_frame([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
             "unknown upstream condition 9",
         ),
-        (batch([power_on("instances=3\nnonsense")]), "settings line 2: expected path=value"),
-        (batch([power_on(OPTIONS.replace("instances=3", "instances=many"))]), "setting instances: expected a number"),
-        (batch([power_on(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
-        (batch([power_on(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
-        (batch([power_on(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
-        (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
+        (batch_frame([instance_started("instances=3\nnonsense")]), "settings line 2: expected path=value"),
+        (
+            batch_frame([instance_started(OPTIONS.replace("instances=3", "instances=many"))]),
+            "setting instances: expected a number",
+        ),
+        (batch_frame([instance_started(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
+        (
+            batch_frame([instance_started(OPTIONS.replace("most-tries=4", "most-tries=-4"))]),
+            "max_attempts of 1 or more",
+        ),
+        (batch_frame([instance_started(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
+        (batch_frame([instance_started(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
     ],
 )
 def test_malformed_input_is_reported_in_one_line(data: bytes, words: str) -> None:
@@ -193,7 +201,7 @@
         raise IndexError("index out of range")
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    told = serve(batch([power_on()]) + batch([bytes.fromhex("32 0300 4d000000")]))
+    told = serve(batch_frame([instance_started()]) + batch_frame([bytes.fromhex("32 0300 4d000000")]))
     assert b"IndexError: index out of range" in told
 
 
@@ -201,14 +209,14 @@
     def day(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.InstanceHost()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
-        start = [bytes.fromhex(LIST)]
+        start = [bytes.fromhex(LIST_RECORD)]
         for i in instances:
-            start += [power_on(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
-        host.batch(1_000_000, len(start), b"".join(start))
+            start += [instance_started(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
+        host.handle_batch(1_000_000, len(start), b"".join(start))
         for n in range(50):
             for i in instances:
                 record = struct.pack("<BHIBIQIBQ", 70, i, 100 * n + i, n % 3, 0, 0, 0, 0, 1_600_000 + n)
-                seen[i].append(host.batch(1_000_000 + n, 1, record))
+                seen[i].append(host.handle_batch(1_000_000 + n, 1, record))
         return seen
 
     together = day([1, 2, 3])
@@ -218,4 +226,4 @@
 def test_class_out_of_range_is_named_and_ends_the_adapter() -> None:
     arrival = struct.pack("<BHIBIQIBQ", 70, 3, 1, 9, 0, 0, 0, 0, 9_000_000)
     with pytest.raises(protocol.ProtocolError, match="batch 1: instance 3: request class 9 of 3"):
-        serve(batch([power_on()]) + batch([arrival]))
+        serve(batch_frame([instance_started()]) + batch_frame([arrival]))
