--- a/ryepier/assembly/planning.py
+++ b/ryepier/assembly/planning.py
@@ -13,7 +13,7 @@
 from ryepier.plan.plan_follower import AcceptanceRules
 from ryepier.sidecar import config as platform
 from ryepier.sidecar import system
-from ryepier.sidecar.components import Companion, EndpointSource
+from ryepier.sidecar.components import BackgroundService, EndpointSource
 from ryepier.sidecar.config import parse_address
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.system import clock_us
@@ -42,7 +42,7 @@
 
 def make_forwarder(
     operators: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
-) -> Companion:
+) -> BackgroundService:
     """Create the component that reports to planners and applies their plans, and register it as an observer."""
 
     def ready() -> dict[str, int]:
--- a/ryepier/assembly/sidecar.py
+++ b/ryepier/assembly/sidecar.py
@@ -13,14 +13,14 @@
 from ryepier.assembly.planning import make_forwarder
 from ryepier.conf.operator_settings import OperatorSettings
 from ryepier.sidecar import config as platform
-from ryepier.sidecar.components import PLATFORM, Companion, Components, EndpointSource
+from ryepier.sidecar.components import PLATFORM, BackgroundService, Components, EndpointSource
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.system import clock_us
 
 
 def make_retry_guard(
     operators: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
-) -> Companion:
+) -> BackgroundService:
     """Create the retry storm guard; it detects retries for the dispatcher and observes its requests."""
     from ryepier.storm.retry_storm_guard import RetryStormGuard
     from ryepier.storm.storm_detector import RetryStormDetector
@@ -73,7 +73,11 @@
 
         components = replace(components, front_ends=make_fronts(operators.graphql))
     if operators.plan.planners:
-        components = replace(components, companions=(*components.companions, partial(make_forwarder, operators)))
+        components = replace(
+            components, background_services=(*components.background_services, partial(make_forwarder, operators))
+        )
     if operators.storm.enabled:
-        components = replace(components, companions=(*components.companions, partial(make_retry_guard, operators)))
+        components = replace(
+            components, background_services=(*components.background_services, partial(make_retry_guard, operators))
+        )
     return components
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -15,7 +15,7 @@
 from ryepier.sidecar.config import Config, parse_address
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.request_parsing import (
-    HOP_HEADERS,
+    HOP_BY_HOP_HEADERS,
     IDENTIFIER,
     Dialect,
     PlatformDialect,
@@ -46,7 +46,13 @@
     )
 )
 # headers of this connection, or written anew: class and key follow from the operation
-OWN_HEADERS = HOP_HEADERS | {b"content-type", b"content-encoding", b"x-request-id", b"x-class", b"idempotency-key"}
+OWN_HEADERS = HOP_BY_HOP_HEADERS | {
+    b"content-type",
+    b"content-encoding",
+    b"x-request-id",
+    b"x-class",
+    b"idempotency-key",
+}
 NEW_REQUEST_ID_BYTES = 12  # random: no two requests of a fleet share an id
 
 
@@ -239,4 +245,4 @@
 
 def max_clients(config: Config, settings: conf.GraphqlSettings) -> int:
     """Return how many clients each front end may have: half of the descriptors, of both together."""
-    return config.sockets // (4 if settings.listen else 2)
+    return config.max_descriptors // (4 if settings.listen else 2)
--- a/ryepier/sidecar/components.py
+++ b/ryepier/sidecar/components.py
@@ -1,4 +1,4 @@
-"""The components of a sidecar: a source of the endpoint list, front ends that accept requests, and companions.
+"""The components of a sidecar: a source of the endpoint list, front ends that accept requests, and background services.
 
 Each is described by what it must do, so that others can stand beside or in place of the platform's own.
 """
@@ -57,7 +57,7 @@
         """Return how many connections are open."""
 
 
-class Companion(Protocol):
+class BackgroundService(Protocol):
     """Runs beside the sidecar and may advise its decision module; no request ever waits for it."""
 
     def start(self) -> None:
@@ -73,7 +73,7 @@
 
     source: Callable[[Config, RequestDispatcher], EndpointSource]
     front_ends: Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]
-    companions: Sequence[Callable[[Config, RequestDispatcher, EndpointSource], Companion]] = ()
+    background_services: Sequence[Callable[[Config, RequestDispatcher, EndpointSource], BackgroundService]] = ()
 
 
 def discovery_source(config: Config, dispatcher: RequestDispatcher) -> EndpointSource:
@@ -83,14 +83,14 @@
         EndpointRegistry(config.zones, config.kinds),
         dispatcher.on_endpoints,
         pushed=not config.settings.polls_endpoints,
-        known=config.known,
+        known=config.cached_list,
     )
 
 
 def http_front_end(config: Config, dispatcher: RequestDispatcher) -> FrontEnd:
     """Return the front end for HTTP/1.1 as the platform's protocol describes it."""
     # The rest of the descriptors is for discovery, the listener, the log, and connections that are being closed.
-    return Server(dispatcher, config.settings, config.listen, max_clients=config.sockets // 2)
+    return Server(dispatcher, config.settings, config.listen, max_clients=config.max_descriptors // 2)
 
 
 PLATFORM = Components(discovery_source, (http_front_end,))
--- a/ryepier/sidecar/config.py
+++ b/ryepier/sidecar/config.py
@@ -21,12 +21,12 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # file descriptors that it may hold
+    max_descriptors: int  # file descriptors that it may hold
     settings: Settings
     zones: list[str]
     kinds: list[str]
-    idle_us: int  # upstreams close a connection that has been idle for this long
-    known: Any  # the cached endpoint list, in discovery's form
+    upstream_idle_timeout_us: int  # upstreams close a connection that has been idle for this long
+    cached_list: Any  # the cached endpoint list, in discovery's form
     name: str = ""  # the same after a restart
     path: str = ""  # the file, to be read again on SIGHUP
 
@@ -79,12 +79,14 @@
         listen=read(raw, "listen", parse_address),
         discovery=read(raw, "discovery", parse_address),
         seed=read(raw, "seed", lambda text: int(text, 16)),
-        sockets=read(raw, "limits.sockets", int),
+        max_descriptors=read(raw, "limits.sockets", int),
         settings=settings_parser.settings_from_pairs(read(raw, "settings", flatten)),
         zones=read(raw, f"settings.{settings_parser.ZONES_PATH}", list),
         kinds=read(raw, f"settings.{settings_parser.KINDS_PATH}", list),
-        idle_us=read(raw, f"settings.{settings_parser.IDLE_TIMEOUT_PATH}", lambda value: int(float(value))),
-        known=raw.get("known"),
+        upstream_idle_timeout_us=read(
+            raw, f"settings.{settings_parser.IDLE_TIMEOUT_PATH}", lambda value: int(float(value))
+        ),
+        cached_list=raw.get("known"),
         name=str(raw.get("name", "")),
         path=path,
     )
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -27,7 +27,7 @@
 
 MAX_DIGITS = 9  # of a header's integer
 LATIN_1_SIZE = 256  # characters
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"host",
         b"connection",
@@ -178,7 +178,7 @@
         return ClientRequest(
             method,
             target,
-            [header for header in headers if header[0].lower() not in HOP_HEADERS],
+            [header for header in headers if header[0].lower() not in HOP_BY_HOP_HEADERS],
             body,
             clock_us(),
             deadline_us=min(deadline_us, request_class.deadline_us),  # bounds how long a request stays open
--- a/ryepier/sidecar/serving.py
+++ b/ryepier/sidecar/serving.py
@@ -32,8 +32,8 @@
     settings: config.Config, stop: asyncio.Event, reload: asyncio.Event, components: Components = PLATFORM
 ) -> None:
     """Serve until `stop` is set, then shut down gracefully."""
-    max_connections = settings.sockets * 3 // 8
-    pool = ConnectionPool(settings.idle_us, settings.settings.connect_timeout_us, max_connections)
+    max_connections = settings.max_descriptors * 3 // 8
+    pool = ConnectionPool(settings.upstream_idle_timeout_us, settings.settings.connect_timeout_us, max_connections)
     dispatcher = RequestDispatcher(settings.settings, settings.seed, pool)
     source = components.source(settings, dispatcher)
     dispatcher.subscribe = source.subscribe
@@ -41,15 +41,15 @@
     dispatcher.start()
     source.start()
     front_ends = [make(settings, dispatcher) for make in components.front_ends]
-    companions = [make(settings, dispatcher, source) for make in components.companions]
+    background_services = [make(settings, dispatcher, source) for make in components.background_services]
     following = asyncio.get_running_loop().create_task(follow_config(settings.path, reload, source))
-    for companion in companions:
-        companion.start()
+    for service in background_services:
+        service.start()
     await source.wait_for_first_list()
     for front_end in front_ends:
         front_end.listen()
     await stop.wait()
     following.cancel()
     await shut_down(dispatcher, front_ends)
-    for companion in companions:
-        companion.stop()
+    for service in background_services:
+        service.stop()
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -97,7 +97,7 @@
         if outcome is Outcome.OK:
             self.detector.on_served()
 
-    # Companion
+    # BackgroundService
 
     def start(self) -> None:
         """Start reporting."""
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -293,7 +293,7 @@
             writer.close()
 
 
-def sidecar_config(port: int, discovery_port: int, known: Json, **changes: Any) -> Config:
+def sidecar_config(port: int, discovery_port: int, cached_list: Json, **changes: Any) -> Config:
     """Return a configuration; changes may be of Config's fields or of Settings'."""
     settings: dict[str, Any] = {
         "classes": request_classes(),
@@ -302,18 +302,18 @@
         "max_retry_after_us": 1_000_000,
         "max_poll_interval_us": 10_000_000,
     }
-    values: dict[str, Any] = {"idle_us": 60_000_000, "path": ""}
+    values: dict[str, Any] = {"upstream_idle_timeout_us": 60_000_000, "path": ""}
     for name, value in changes.items():
         (values if name in values else settings)[name] = value
     return Config(
         listen=("127.0.0.1", port),
         discovery=("127.0.0.1", discovery_port),
         seed=1,
-        sockets=200,
+        max_descriptors=200,
         settings=Settings(**settings),
         zones=["a"],
         kinds=["m"],
-        known=known,
+        cached_list=cached_list,
         **values,
     )
 
@@ -334,7 +334,7 @@
 
 @asynccontextmanager
 async def sidecar(
-    *upstreams: Upstream, discovery: Discovery | None = None, known: Json | None = None, **changes: Any
+    *upstreams: Upstream, discovery: Discovery | None = None, cached_list: Json | None = None, **changes: Any
 ) -> AsyncIterator[Sidecar]:
     """Run a sidecar in this process whose configured list has these upstreams.
 
@@ -345,10 +345,12 @@
     peers: list[Upstream | Discovery] = [*upstreams, agent]
     for peer in peers:
         await peer.start()
-    known = known or endpoint_list(*(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+    cached_list = cached_list or endpoint_list(
+        *(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams))
+    )
     port, stop, reload = free_port(), asyncio.Event(), asyncio.Event()
     changes = {"polls_endpoints": discovery is not None} | changes
-    config = sidecar_config(port, agent.port, known, **changes)
+    config = sidecar_config(port, agent.port, cached_list, **changes)
     task = asyncio.create_task(serve(config, stop, reload))
     try:
         await wait_until_listening(port, task)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -148,8 +148,8 @@
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # too small for a complete request
             listener.bind(("127.0.0.1", 0))
             listener.listen()
-            known = endpoint_list(endpoint_entry("u0", listener.getsockname()[1]))
-            async with sidecar(known=known, classes=CLASSES) as running:
+            cached_list = endpoint_list(endpoint_entry("u0", listener.getsockname()[1]))
+            async with sidecar(cached_list=cached_list, classes=CLASSES) as running:
                 client = socket.create_connection(("127.0.0.1", running.port))
                 client.sendall(request("pay", "2", body=b"x" * BODY_BYTES))
                 converter = await asyncio.to_thread(lambda: listener.accept()[0])
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -95,8 +95,8 @@
     async def test() -> None:
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
-        known = {"rev": 7, "all": True, "targets": [{"uid": "u0", "state": "unheard of"}]}
-        async with sidecar(upstream, discovery=discovery, known=known) as it:
+        cached_list = {"rev": 7, "all": True, "targets": [{"uid": "u0", "state": "unheard of"}]}
+        async with sidecar(upstream, discovery=discovery, cached_list=cached_list) as it:
             assert status_of(await it.fetch(up)) == 503
             await discovery.watched()
             assert b"since=0 " in discovery.calls[0]
@@ -124,7 +124,7 @@
 def test_up_responds_200_only_if_there_is_an_upstream() -> None:
     async def test() -> None:
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-        async with sidecar(known=endpoint_list()) as it:
+        async with sidecar(cached_list=endpoint_list()) as it:
             assert status_of(await it.fetch(up)) == 503
         async with sidecar(Upstream(never_respond)) as it:
             assert status_of(await it.fetch(up)) == 200
@@ -218,7 +218,7 @@
             await serve(reader, writer)
 
         discovery.serve, discovery.first = slow, changes  # type: ignore[method-assign]
-        known = endpoint_list(endpoint_entry("u0", old.port))
+        cached_list = endpoint_list(endpoint_entry("u0", old.port))
 
         async def early() -> None:
             """Its agent answers only then."""
@@ -226,7 +226,7 @@
             let.set()
 
         task = asyncio.create_task(early())
-        async with sidecar(discovery=discovery, known=known, polls_endpoints=False) as it:
+        async with sidecar(discovery=discovery, cached_list=cached_list, polls_endpoints=False) as it:
             assert status_of(await it.fetch(request())) == 200
         await task
         assert not old.requests and len(new.requests) == 1
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -94,8 +94,8 @@
         gone = Upstream(never_respond)
         await gone.start()
         gone.stop()
-        known = endpoint_list(endpoint_entry("u0", gone.port))
-        async with sidecar(known=known) as it:
+        cached_list = endpoint_list(endpoint_entry("u0", gone.port))
+        async with sidecar(cached_list=cached_list) as it:
             answer = await it.fetch(request("pay"))
         assert status_of(answer) == 503
         assert 0.0 < float(answer[0].split(b"Retry-After: ")[1].split(b"\r\n")[0]) <= 1.0
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -302,8 +302,8 @@
     path = tmp_path / "sidecar.json"
     path.write_text(call.make_configuration(1, 400, ("127.1.2.3", 9000), ("127.1.2.4", 8500), ("127.1.2.5", 9000)))
     read = config.load(str(path))
-    assert len(read.known["targets"]) == 400 and read.settings.classes[0].idempotency == Idempotency.IDEMPOTENT
-    assert read.known == make_list(400, ("127.1.2.5", 9000))
+    assert len(read.cached_list["targets"]) == 400 and read.settings.classes[0].idempotency == Idempotency.IDEMPOTENT
+    assert read.cached_list == make_list(400, ("127.1.2.5", 9000))
 
 
 def test_stand_in_converters_answer_each_call_and_tell_their_list(
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -66,7 +66,7 @@
 
 def test_settings_are_read_by_their_names_in_the_simulators_protocol(tmp_path: Path) -> None:
     config: Config = load(str(write_configuration(tmp_path)))
-    assert (config.seed, config.sockets, config.idle_us) == (0x8C1F, 1024, 5_000_000)
+    assert (config.seed, config.max_descriptors, config.upstream_idle_timeout_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
     assert config.settings.zone == 1 and config.settings.polls_endpoints and config.settings.weighted
     assert config.settings.report_names == ["in_flight", "queued"]
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -214,7 +214,7 @@
                 ended.set()
             raise ConnectionResetError
 
-        async with sidecar(Upstream(script), idle_us=400_000) as it:
+        async with sidecar(Upstream(script), upstream_idle_timeout_us=400_000) as it:
             await it.fetch(request())
             await ended.wait()
 
