--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -29,7 +29,7 @@
 from ryepier.maintenance.placement import FREEZE_MS
 from ryepier.maintenance.replication.storage import StorageError
 from ryepier.maintenance.results import Rejected
-from ryepier.maintenance.settings import CoordinatorSettings, addresses_of
+from ryepier.maintenance.settings import CoordinatorSettings, replica_addresses
 
 COMMAND = "maintenance"
 CALL_TIMEOUT_S = 10.0
@@ -85,7 +85,7 @@
 async def _serve(settings: CoordinatorSettings) -> None:
     """Run the coordinator until a signal."""
     coordinator = Coordinator(settings)
-    coordinator.stop = make_stop_event()
+    coordinator.stop_event = make_stop_event()
     await coordinator.run()
 
 
@@ -157,7 +157,7 @@
     agreement = _read_agreement(path, region)
 
     async def call() -> T:
-        client = RegionClient(region, addresses_of(agreement, region), getpass.getuser(), ClientKind.OPERATOR)
+        client = RegionClient(region, replica_addresses(agreement, region), getpass.getuser(), ClientKind.OPERATOR)
         try:
             return await use(client)
         finally:
--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -16,7 +16,7 @@
 from ryepier.maintenance.api import ClientKind
 from ryepier.maintenance.client import RegionClient
 from ryepier.maintenance.fleet import SocketFleet
-from ryepier.maintenance.settings import addresses_of
+from ryepier.maintenance.settings import replica_addresses
 
 LOG_LINES_PER_S = 200
 
@@ -38,7 +38,7 @@
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AgentPlan)
     structured.set_up(LoggingSettings(format=LogFormat.JSON, lines_per_s=LOG_LINES_PER_S))
     agreement = agreement_file.parse(Path(plan.agreement).read_bytes())
-    client = RegionClient(plan.region, addresses_of(agreement, plan.region), plan.name, ClientKind.AGENT)
+    client = RegionClient(plan.region, replica_addresses(agreement, plan.region), plan.name, ClientKind.AGENT)
     settings = AgentSettings(plan.name, plan.drain_grace_s, plan.work_s)
     agent = Agent(settings, client, SocketFleet(plan.discovery, plan.converters))
     asyncio.run(agent.run())
--- a/ryepier/experiments/maintenance/coordinator_logs.py
+++ b/ryepier/experiments/maintenance/coordinator_logs.py
@@ -12,7 +12,7 @@
 
 from ryepier.emulator.process import monotonic_us
 from ryepier.maintenance.replication.roles import Role
-from ryepier.maintenance.server import LEASE_GRANTED
+from ryepier.maintenance.server import LEASE_GRANTED_MESSAGE
 
 IN_TERM = " in term "  # between role and term
 
@@ -70,7 +70,7 @@
     found = []
     for log in logs:
         for record in read_records(log):
-            if record.message == LEASE_GRANTED:
+            if record.message == LEASE_GRANTED_MESSAGE:
                 written = datetime.fromisoformat(record.time)
                 found.append(round(written.timestamp() * 1e6) - calendar_offset_us)
     return sorted(found)
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -87,7 +87,7 @@
 
     async def _answer(self, call: FleetCall) -> FleetReply:
         """Carry a call out, unless its token is old."""
-        rejection = self.tokens.rejection(call)
+        rejection = self.tokens.rejection_reason(call)
         if rejection:
             self.record(REJECTED, call)
             return FleetReply(rejection)
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -38,7 +38,7 @@
 from ryepier.maintenance.client import CallError, RegionClient
 from ryepier.maintenance.commands import Priority, Request, SubmitRequest
 from ryepier.maintenance.results import Result
-from ryepier.maintenance.settings import Addresses, addresses_of
+from ryepier.maintenance.settings import Addresses, replica_addresses
 
 ROLE_MODULE = "ryepier.experiments.maintenance.fleet_process"
 AGENT_MODULE = "ryepier.experiments.maintenance.agent_process"
@@ -249,7 +249,7 @@
 
     def addresses(self, region: str) -> Addresses:
         """Return the addresses of a region's coordinators."""
-        return addresses_of(self.agreement, region)
+        return replica_addresses(self.agreement, region)
 
     def client(self, region: str) -> RegionClient:
         """Return a client of a region's coordinators; the caller closes it."""
--- a/ryepier/experiments/maintenance/seeded_coordinator.py
+++ b/ryepier/experiments/maintenance/seeded_coordinator.py
@@ -16,11 +16,11 @@
 
 MODULE = "ryepier.experiments.maintenance.seeded_coordinator"
 SEEDED_FAULTS = {
-    "cold-counts": CoordinatorComponents(ledger=FAULTY_LEDGERS["cold-counts"]),
-    "double-credit": CoordinatorComponents(ledger=FAULTY_LEDGERS["double-credit"]),
-    "borrow": CoordinatorComponents(ledger=FAULTY_LEDGERS["borrow"]),
-    "forget-grant": CoordinatorComponents(storage=ForgetGrantStorage),
-    "vote-twice": CoordinatorComponents(replica=VoteTwiceReplica, storage=ForgetVoteStorage),
+    "cold-counts": CoordinatorComponents(ledger_type=FAULTY_LEDGERS["cold-counts"]),
+    "double-credit": CoordinatorComponents(ledger_type=FAULTY_LEDGERS["double-credit"]),
+    "borrow": CoordinatorComponents(ledger_type=FAULTY_LEDGERS["borrow"]),
+    "forget-grant": CoordinatorComponents(storage_type=ForgetGrantStorage),
+    "vote-twice": CoordinatorComponents(replica_type=VoteTwiceReplica, storage_type=ForgetVoteStorage),
 }
 
 
--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -42,22 +42,22 @@
         self.node = self._make_node(components or DEFAULT_COMPONENTS)
         self.clock = RegionClock(self.node.replica, self.node.ledger)
         self.planner = Planner(self.node.ledger, settings.freeze_ms)
-        self.stop = asyncio.Event()
+        self.stop_event = asyncio.Event()
         self.fatal: FatalError | None = None
 
     def _make_node(self, components: CoordinatorComponents) -> Node:
         """Return the replica with its disk and an empty ledger."""
         settings = self.settings
-        ledger = components.ledger(settings.agreement, settings.region)
+        ledger = components.ledger_type(settings.agreement, settings.region)
         members = tuple(settings.addresses)
         if settings.replica not in members:
             raise ValueError(f"region {settings.region!r} has no replica {settings.replica!r}")
-        disk = open_storage(settings.folder, settings.identity, settings.bootstrap, components.storage)
-        replica = components.replica(ReplicaSettings(settings.replica, members, settings.seed), disk.state)
+        disk = open_storage(settings.folder, settings.identity, settings.bootstrap, components.storage_type)
+        replica = components.replica_type(ReplicaSettings(settings.replica, members, settings.seed), disk.state)
         return Node(replica, disk.storage, ledger, self.peers.send)
 
     async def run(self) -> None:
-        """Serve until `stop` is set. Raises FatalError, or OSError where the address cannot be used."""
+        """Serve until `stop_event` is set. Raises FatalError, or OSError where the address cannot be used."""
         address = self.settings.addresses[self.settings.replica]
         server = Server(self.settings, self.node, self.planner, self.clock, self._fail)
         listener = await asyncio.start_server(server.serve, *address, backlog=BACKLOG)
@@ -65,7 +65,7 @@
         tasks = [asyncio.create_task(coroutine) for coroutine in self._background_tasks()]
         for task in tasks:
             task.add_done_callback(self._on_task_done)
-        await self.stop.wait()
+        await self.stop_event.wait()
         listener.close()
         for task in tasks:
             task.cancel()
@@ -101,4 +101,4 @@
         """Stop the process with an error."""
         log.error("coordinator stops: %s", error)
         self.fatal = error if isinstance(error, FatalError) else FatalError(f"{type(error).__name__}: {error}")
-        self.stop.set()
+        self.stop_event.set()
--- a/ryepier/maintenance/fleet.py
+++ b/ryepier/maintenance/fleet.py
@@ -72,7 +72,7 @@
         """Begin without any token."""
         self.highest: dict[str, int] = {}
 
-    def rejection(self, call: FleetCall) -> str:
+    def rejection_reason(self, call: FleetCall) -> str:
         """Return why a call is rejected; empty where it may be done."""
         highest = self.highest.get(call.converter, 0)
         if call.token < highest:
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -27,10 +27,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmthProbe:
-    """A converter as observed here; `incarnation_began_ms` is the region's time when its process was first observed."""
+    """The observed state of a converter.
+
+    `warm_up_started_region_ms` is the region's time from which the warm-up of its present incarnation is counted.
+    """
 
     observation: ConverterObservation
-    incarnation_began_ms: int
+    warm_up_started_region_ms: int
 
 
 @dataclass(slots=True)
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -60,7 +60,7 @@
             lease = self._lease_on(probe.observation.converter)
             if lease is None or lease.state is not LeaseState.RETURNING or not probe.observation.ready:
                 continue
-            if probe.incarnation_began_ms < lease.granted_ms:
+            if probe.warm_up_started_region_ms < lease.granted_ms:
                 found.append(probe.observation.converter)
         return found
 
@@ -69,7 +69,7 @@
         observation = probe.observation
         lease = self._lease_on(observation.converter)
         if lease is not None and observation.ready:
-            if lease.state is not LeaseState.REVOKED and probe.incarnation_began_ms < lease.granted_ms:
+            if lease.state is not LeaseState.REVOKED and probe.warm_up_started_region_ms < lease.granted_ms:
                 return False
             if lease.state in AWAITING_RECOVERY and observation.warmth == FULL_WARMTH:
                 return True
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -18,7 +18,7 @@
 )
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.results import Credited
-from ryepier.maintenance.settings import addresses_of
+from ryepier.maintenance.settings import replica_addresses
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
         """Know the other region's replicas; nothing is opened yet."""
         self.region = region
         self.other = other
-        self.client = RegionClient(other, addresses_of(agreement, other), region, ClientKind.REGION)
+        self.client = RegionClient(other, replica_addresses(agreement, other), region, ClientKind.REGION)
         self.reachable = True
         self.last_reported: dict[str, CapacityNeed] | None = None
 
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -25,7 +25,7 @@
 HELLO_TIMEOUT_S = 3.0
 MAX_CALLS_PER_CONNECTION = 64  # that await their commit
 MAX_REASON_LENGTH = 1000  # characters
-LEASE_GRANTED = "lease granted"  # in the log
+LEASE_GRANTED_MESSAGE = "lease granted"  # in the log
 
 ALLOWED_COMMANDS: dict[ClientKind, tuple[type[Command], ...]] = {
     ClientKind.OPERATOR: (commands.SubmitRequest, commands.CancelRequest),
@@ -176,7 +176,7 @@
             result = await self.node.propose(command)
         fields = {"lease": call.lease, "agent": hello.name}
         if isinstance(result, Granted):
-            log.info(LEASE_GRANTED, extra={**fields, "token": result.token, "converters": result.converters})
+            log.info(LEASE_GRANTED_MESSAGE, extra={**fields, "token": result.token, "converters": result.converters})
         else:
             reason = result.reason if isinstance(result, Rejected) else str(result)
             log.info("lease not granted: %s", reason, extra=fields)
--- a/ryepier/maintenance/settings.py
+++ b/ryepier/maintenance/settings.py
@@ -36,7 +36,7 @@
     @property
     def addresses(self) -> Addresses:
         """All replicas of the region."""
-        return addresses_of(self.agreement, self.region)
+        return replica_addresses(self.agreement, self.region)
 
     @property
     def identity(self) -> storage.Identity:
@@ -48,11 +48,11 @@
 class CoordinatorComponents:
     """The classes that a coordinator is made of; experiments substitute ones with a seeded fault."""
 
-    replica: type[Replica] = Replica
-    storage: type[storage.FileStorage] = storage.FileStorage
-    ledger: type[Ledger] = Ledger
+    replica_type: type[Replica] = Replica
+    storage_type: type[storage.FileStorage] = storage.FileStorage
+    ledger_type: type[Ledger] = Ledger
 
 
-def addresses_of(agreement: Agreement, region: str) -> Addresses:
+def replica_addresses(agreement: Agreement, region: str) -> Addresses:
     """Return the addresses of a region's replicas. Raises KeyError, ValueError."""
     return {replica.name: parse_address(replica.address) for replica in agreement.regions[region].replicas}
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -113,7 +113,7 @@
         for name in agreement.regions:
             self.checkpoint(name)
             self.observe(name)
-            self.report(0)
+            self.record_observation(0)
 
     # the replicated log
 
@@ -197,7 +197,7 @@
         self.begin(self.agents[-1])
         return self.agents[-1]
 
-    def lose(self, name: str) -> None:
+    def lose_converter(self, name: str) -> None:
         if not self.actual[name].planned:
             self.actual[name].up, self.actual[name].warmth = False, 0
             self._change(name, FULL_WARMTH, planned=False)
@@ -243,7 +243,7 @@
         command = RecordObservation(observer, self.sequence, self.ledger(region).applied, observations)
         self.pending_observations.append(PendingObservation(region, command))
 
-    def report(self, number: int, *, keep: bool = False) -> None:
+    def record_observation(self, number: int, *, keep: bool = False) -> None:
         """Record one of the pending observations in its region's log."""
         pending = self.pending_observations[number] if keep else self.pending_observations.pop(number)
         if not isinstance(self.apply(pending.region, pending.command), Observed):
@@ -271,7 +271,7 @@
         pending = self.ledger(region).pending_transfers()
         self.network += [Message(one.receiver, CreditTransfer(one)) for one in pending]
 
-    def send(self, region: str) -> None:
+    def send_needs_and_transfers(self, region: str) -> None:
         """Send the region's needs with its transfers."""
         self.send_transfers(region)
         ledger = self.ledger(region)
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -21,7 +21,7 @@
 )
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.results import Granted, Result
-from ryepier.maintenance.settings import addresses_of
+from ryepier.maintenance.settings import replica_addresses
 from tests.loopback_ports import free_port
 from tests.maintenance_world import SERVICE, converters_text
 
@@ -71,7 +71,7 @@
         self.path = folder / "agreement.toml"
         self.path.write_text(agreement_text(ports))
         self.agreement = agreement_file.parse(self.path.read_bytes())
-        self.addresses = addresses_of(self.agreement, "north")
+        self.addresses = replica_addresses(self.agreement, "north")
         self.listing = Listing(ports[6], {name: name for name in ("n00", "n01", "n02", "n10", "n11", "n12")})
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.clients: list[RegionClient] = []
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -147,11 +147,11 @@
 
 def test_an_old_fencing_token_is_rejected_and_the_same_or_a_newer_one_is_not() -> None:
     tokens = FencingTokens()
-    assert tokens.rejection(FleetCall(Action.DRAIN, "a", 5)) == ""
-    assert tokens.rejection(FleetCall(Action.STOP, "a", 5)) == ""
-    assert tokens.rejection(FleetCall(Action.DRAIN, "b", 1)) == ""
-    assert tokens.rejection(FleetCall(Action.STOP, "a", 6)) == ""
-    assert tokens.rejection(FleetCall(Action.START, "a", 5)) == "token 5 for a is old; 6 was seen"
+    assert tokens.rejection_reason(FleetCall(Action.DRAIN, "a", 5)) == ""
+    assert tokens.rejection_reason(FleetCall(Action.STOP, "a", 5)) == ""
+    assert tokens.rejection_reason(FleetCall(Action.DRAIN, "b", 1)) == ""
+    assert tokens.rejection_reason(FleetCall(Action.STOP, "a", 6)) == ""
+    assert tokens.rejection_reason(FleetCall(Action.START, "a", 5)) == "token 5 for a is old; 6 was seen"
 
 
 def test_a_step_without_a_far_end_fails_with_the_reason() -> None:
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -43,8 +43,8 @@
 
 DRAIN_STEPS = ("begin", "restart_converters", "release")  # methods of Cluster
 STEPS = (*DRAIN_STEPS, "take_over", *CompleteDrain, *CompleteDrain)
-CONVERTER_STEPS = ("lose", "restart_lost", "finish_warm_up")  # methods of Cluster
-ZONE_STEPS = (("lose",), ("restart_lost", "finish_warm_up"), ("finish_warm_up",))
+CONVERTER_STEPS = ("lose_converter", "restart_lost", "finish_warm_up")  # methods of Cluster
+ZONE_STEPS = (("lose_converter",), ("restart_lost", "finish_warm_up"), ("finish_warm_up",))
 
 
 class Regions(RuleBasedStateMachine):
@@ -121,7 +121,7 @@
         if step is CompleteDrain.OBSERVED_AFTER_RELEASE:
             self.cluster.observe(agent.region)
         if step in (CompleteDrain.OBSERVED_AFTER_RELEASE, CompleteDrain.OBSERVED_BEFORE_START):
-            self.cluster.report(-1)
+            self.cluster.record_observation(-1)
 
     @rule(which=PICK, step=st.sampled_from(CONVERTER_STEPS))
     def converter(self, which: int, step: str) -> None:
@@ -136,19 +136,19 @@
                 for step in steps:
                     getattr(self.cluster, step)(converter.name)
         self.cluster.observe(region)
-        self.cluster.report(-1)
+        self.cluster.record_observation(-1)
 
     @rule(where=PICK, now=st.booleans())
     def observe(self, where: int, now: bool) -> None:
         self.cluster.observe(self.region(where))
         if now:
-            self.cluster.report(-1)
+            self.cluster.record_observation(-1)
 
     @precondition(lambda self: self.cluster.pending_observations)
     @rule(which=PICK, keep=st.booleans())
     def report(self, which: int, keep: bool) -> None:
         """Report an observation that is in transit, mostly the oldest."""
-        self.cluster.report(max(0, which - 20) % len(self.cluster.pending_observations), keep=keep)
+        self.cluster.record_observation(max(0, which - 20) % len(self.cluster.pending_observations), keep=keep)
 
     @rule(where=PICK, to=PICK, amount=st.integers(1, 4), now=st.booleans())
     def give(self, where: int, to: int, amount: int, now: bool) -> None:
@@ -162,7 +162,7 @@
     @rule(where=PICK)
     def rebalance(self, where: int) -> None:
         self.cluster.rebalance(self.region(where))
-        self.cluster.send(self.region(where))
+        self.cluster.send_needs_and_transfers(self.region(where))
 
     @precondition(lambda self: self.cluster.network)
     @rule(which=PICK, keep=st.booleans())
@@ -239,7 +239,7 @@
     cluster.restart_converters(agent)
     cluster.release(agent)
     cluster.observe("north")
-    cluster.report(0)
+    cluster.record_observation(0)
     cluster.request_and_grant("north", "r2", "n02", "n10")
     cluster.request_and_grant("south", "r3", "s00", "s01")
 
@@ -253,7 +253,7 @@
 
 def double_credit(cluster: Cluster) -> None:
     cluster.debit("south", "north", 1000)
-    cluster.send("south")
+    cluster.send_needs_and_transfers("south")
     credit = next(i for i, one in enumerate(cluster.network) if isinstance(one.command, CreditTransfer))
     cluster.deliver(credit, keep=True)
     cluster.deliver(credit)
@@ -278,9 +278,9 @@
 
 def ignore_loss(cluster: Cluster) -> None:
     for name in ("n10", "n11", "n12"):
-        cluster.lose(name)
+        cluster.lose_converter(name)
     cluster.observe("north")
-    cluster.report(0)
+    cluster.record_observation(0)
     cluster.request_and_grant("north", "r1", "n00", "n01")
 
 
@@ -290,7 +290,7 @@
     assert agent
     cluster.restart_converters(agent)
     cluster.release(agent)
-    cluster.report(0)
+    cluster.record_observation(0)
     cluster.request_and_grant("north", "r2", "n02", "n10")
     cluster.request_and_grant("south", "r3", "s00", "s01")
 
--- a/tests/test_maintenance_transfers.py
+++ b/tests/test_maintenance_transfers.py
@@ -48,13 +48,13 @@
 def test_rebalancing_follows_requests_and_keeps_each_regions_minimum_allowance() -> None:
     cluster = Cluster(small_agreement())
     cluster.submit("north", "r1", ("n00", "n01", "n02", "n10"), 4)
-    cluster.send("north")
+    cluster.send_needs_and_transfers("north")
     cluster.deliver_all()
     cluster.rebalance("south")
     assert cluster.ledger("south").capacity("convert").allowance == 500
     cluster.rebalance("south")
     assert len(cluster.ledger("south").pending_transfers()) == 1, "no second one while the first is in transit"
-    cluster.send("south")
+    cluster.send_needs_and_transfers("south")
     cluster.deliver_all()
     assert cluster.ledger("north").capacity("convert").allowance == 3500
     assert cluster.ledger("south").pending_transfers() == [] and cluster.total_allowance() == 4000
@@ -75,11 +75,11 @@
     cluster = Cluster(AGREEMENTS[1])
     cluster.submit("north", "r1", ("n00", "n01", "n02"), 3)
     for name in ("w00", "w01", "w02"):
-        cluster.lose(name)
+        cluster.lose_converter(name)
     cluster.observe("west")
-    cluster.report(0)
+    cluster.record_observation(0)
     for region in ("north", "west"):
-        cluster.send(region)
+        cluster.send_needs_and_transfers(region)
     cluster.deliver_all()
     assert cluster.ledger("north").transfers_due() == []
     due = [(one.receiver, one.amount) for one in cluster.ledger("south").transfers_due()]
