--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -83,27 +83,27 @@
 
     def zone_capacities(self, service: str, region: str | None = None) -> dict[Zone, int]:
         """Return the capacity of a service by zone when all its converters are ready and warm."""
-        sums: defaultdict[Zone, int] = defaultdict(int)
+        capacities: defaultdict[Zone, int] = defaultdict(int)
         for converter in self.converters_of(service, region):
-            sums[Zone(converter.region, converter.zone)] += converter.size
-        return dict(sums)
+            capacities[Zone(converter.region, converter.zone)] += converter.size
+        return dict(capacities)
 
     def max_unavailable(self, service: str) -> int:
         """Return how much of a service may be out over all regions; the initial allowances add up to this."""
-        agreed = self.services[service]
-        return self.capacity(service) - agreed.min_available - self._reserve(agreed, None)
+        terms = self.services[service]
+        return self.capacity(service) - terms.min_available - self._zone_loss_reserve(terms, None)
 
     def max_unavailable_in(self, service: str, region: str) -> int:
         """Return how much of a service may be out in one region, by the region's own minimum."""
-        agreed = self.services[service]
-        min_available = agreed.min_available_by_region.get(region, 0)
-        return self.capacity(service, region) - min_available - self._reserve(agreed, region)
+        terms = self.services[service]
+        min_available = terms.min_available_by_region.get(region, 0)
+        return self.capacity(service, region) - min_available - self._zone_loss_reserve(terms, region)
 
-    def _reserve(self, agreed: Service, region: str | None) -> int:
+    def _zone_loss_reserve(self, terms: Service, region: str | None) -> int:
         """Return the capacity of the largest zone where its loss must be tolerated, else 0."""
-        if not agreed.tolerates_zone_loss:
+        if not terms.tolerates_zone_loss:
             return 0
-        return max(self.zone_capacities(agreed.name, region).values(), default=0)
+        return max(self.zone_capacities(terms.name, region).values(), default=0)
 
 
 def to_thousandths(amount: float) -> int:
--- a/ryepier/maintenance/agreement_file.py
+++ b/ryepier/maintenance/agreement_file.py
@@ -58,17 +58,19 @@
         table.name: Converter(table.name, table.service, table.region, table.zone, to_thousandths(table.size))
         for table in tables.converters
     }
-    return Agreement({table.name: _service(table) for table in tables.services}, regions, converters, digest)
+    return Agreement({table.name: _build_service(table) for table in tables.services}, regions, converters, digest)
 
 
-def _service(table: ServiceTable) -> Service:
+def _build_service(table: ServiceTable) -> Service:
     """Return a service with its amounts in thousandths."""
     return Service(
         name=table.name,
         min_available=to_thousandths(table.min_available),
-        min_available_by_region={part.region: to_thousandths(part.min_available) for part in table.regions},
+        min_available_by_region={
+            region_table.region: to_thousandths(region_table.min_available) for region_table in table.regions
+        },
         tolerates_zone_loss=table.tolerates is FailureTolerance.ZONE,
         min_allowance=to_thousandths(table.min_allowance),
         warm_up_ms=round(table.warm_up_s * MS_PER_S),
-        allowances={part.region: to_thousandths(part.allowance) for part in table.regions},
+        allowances={region_table.region: to_thousandths(region_table.allowance) for region_table in table.regions},
     )
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -61,12 +61,12 @@
     def _check_service_regions(self, regions: set[str]) -> None:
         """Check the regions that services name."""
         for i, service in enumerate(self.tables.services):
-            named = [
-                _KeyedName(("services", i, "regions", j, "region"), part.region)
-                for j, part in enumerate(service.regions)
+            region_names = [
+                _KeyedName(("services", i, "regions", j, "region"), region_table.region)
+                for j, region_table in enumerate(service.regions)
             ]
-            self._check_unique(named)
-            for key in named:
+            self._check_unique(region_names)
+            for key in region_names:
                 self._check_known(key.path, key.name, regions, "region")
 
     def _check_replicas(self) -> None:
@@ -74,23 +74,23 @@
         names: list[_KeyedName] = []
         addresses: list[_KeyedName] = []
         for i, region in enumerate(self.tables.regions):
-            at: Path = ("regions", i, "replicas")
+            path: Path = ("regions", i, "replicas")
             if len(region.replicas) < MIN_REPLICAS:
-                self._add_problem(at, f"{len(region.replicas)} replicas; a region needs at least {MIN_REPLICAS}")
+                self._add_problem(path, f"{len(region.replicas)} replicas; a region needs at least {MIN_REPLICAS}")
             for j, replica in enumerate(region.replicas):
-                names.append(_KeyedName((*at, j, "name"), replica.name))
-                addresses.append(_KeyedName((*at, j, "address"), replica.address))
+                names.append(_KeyedName((*path, j, "name"), replica.name))
+                addresses.append(_KeyedName((*path, j, "address"), replica.address))
         self._check_unique(names)
         self._check_unique(addresses)
 
-    def _check_unique(self, named: Iterable[_KeyedName]) -> set[str]:
+    def _check_unique(self, keyed_names: Iterable[_KeyedName]) -> set[str]:
         """Note names that are given twice; return all names."""
-        first: dict[str, Path] = {}
-        for path, name in named:
-            if name in first:
-                self._add_problem(path, f"{name!r} is named before, at {spell(first[name])}")
-            first.setdefault(name, path)
-        return set(first)
+        first_paths: dict[str, Path] = {}
+        for path, name in keyed_names:
+            if name in first_paths:
+                self._add_problem(path, f"{name!r} is named before, at {spell(first_paths[name])}")
+            first_paths.setdefault(name, path)
+        return set(first_paths)
 
     def _check_known(self, path: Path, name: str, known: set[str], kind: str) -> None:
         """Note a name that refers to nothing."""
@@ -110,9 +110,9 @@
             amounts.append(_KeyedAmount(("services", i, "least"), service.min_available))
             amounts.append(_KeyedAmount(("services", i, "least_part"), service.min_allowance))
             amounts.append(_KeyedAmount(("services", i, "warm_up_s"), service.warm_up_s))
-            for j, part in enumerate(service.regions):
-                amounts.append(_KeyedAmount(("services", i, "regions", j, "least"), part.min_available))
-                amounts.append(_KeyedAmount(("services", i, "regions", j, "allowance"), part.allowance))
+            for j, region_table in enumerate(service.regions):
+                amounts.append(_KeyedAmount(("services", i, "regions", j, "least"), region_table.min_available))
+                amounts.append(_KeyedAmount(("services", i, "regions", j, "allowance"), region_table.allowance))
         amounts += [
             _KeyedAmount(("converters", i, "size"), converter.size)
             for i, converter in enumerate(self.tables.converters)
@@ -129,40 +129,44 @@
                     ("services", i, "least"), _describe_excess(service, agreement, None, -max_unavailable)
                 )
                 continue
-            self._check_regions(i, table, service, agreement)
-            given = sum(service.allowances.values())
-            if given != max_unavailable:
+            self._check_region_amounts(i, table, service, agreement)
+            allowance_sum = sum(service.allowances.values())
+            if allowance_sum != max_unavailable:
                 text = (
-                    f"allowances of {service.name!r} add up to {format_capacity(given)}; "
+                    f"allowances of {service.name!r} add up to {format_capacity(allowance_sum)}; "
                     f"{format_capacity(max_unavailable)} may be out"
                 )
                 self._add_problem(("services", i, "regions"), text)
 
-    def _check_regions(self, number: int, table: ServiceTable, service: Service, agreement: Agreement) -> None:
+    def _check_region_amounts(
+        self, service_index: int, table: ServiceTable, service: Service, agreement: Agreement
+    ) -> None:
         """Check a service's amounts in each region, and that no region with its converters is missing."""
-        for j, part in enumerate(table.regions):
-            at: Path = ("services", number, "regions", j)
-            max_unavailable = agreement.max_unavailable_in(service.name, part.region)
+        for j, region_table in enumerate(table.regions):
+            path: Path = ("services", service_index, "regions", j)
+            max_unavailable = agreement.max_unavailable_in(service.name, region_table.region)
             if max_unavailable < 0:
-                self._add_problem((*at, "least"), _describe_excess(service, agreement, part.region, -max_unavailable))
-            if service.allowances[part.region] < service.min_allowance:
-                text = f"{part.allowance:g} is less than the service's least_part, {table.min_allowance:g}"
-                self._add_problem((*at, "allowance"), text)
-        listed = {part.region for part in table.regions}
+                self._add_problem(
+                    (*path, "least"), _describe_excess(service, agreement, region_table.region, -max_unavailable)
+                )
+            if service.allowances[region_table.region] < service.min_allowance:
+                text = f"{region_table.allowance:g} is less than the service's least_part, {table.min_allowance:g}"
+                self._add_problem((*path, "allowance"), text)
+        listed = {region_table.region for region_table in table.regions}
         for region in agreement.regions:
             if region not in listed and agreement.capacity(service.name, region):
                 self._add_problem(
-                    ("services", number, "regions"), f"region {region!r} has its converters and is missing"
+                    ("services", service_index, "regions"), f"region {region!r} has its converters and is missing"
                 )
 
 
 def _describe_excess(service: Service, agreement: Agreement, region: str | None, excess: int) -> str:
     """Return by how much a service asks for more than there is, in one region or in all."""
-    where = f" in {region!r}" if region else ""
+    place = f" in {region!r}" if region else ""
     min_available = service.min_available_by_region[region] if region else service.min_available
     total = agreement.capacity(service.name, region)
     zone = " less its largest zone" if service.tolerates_zone_loss else ""
     return (
-        f"{service.name!r} asks for {format_capacity(min_available)}{where}; there are {format_capacity(total)}{zone}: "
+        f"{service.name!r} asks for {format_capacity(min_available)}{place}; there are {format_capacity(total)}{zone}: "
         f"{format_capacity(excess)} too much"
     )
--- a/ryepier/maintenance/capacity.py
+++ b/ryepier/maintenance/capacity.py
@@ -35,7 +35,7 @@
         """Return whether an observation shows a converter ready and warm."""
         return observed.ready and observed.warmth >= FULL_WARMTH
 
-    def lost(self, converter: Converter) -> int:
+    def lost_capacity(self, converter: Converter) -> int:
         """Return what is missing of a converter under no lease: all of one that was never observed."""
         observed = self.state.observed.get(converter.name)
         if observed is None or not observed.ready:
@@ -58,7 +58,7 @@
     def charge(self, limit: Limit, unavailable: set[str]) -> int:
         """Return what is charged against a limit when the converters named in `unavailable` are out."""
         return sum(
-            converter.size if converter.name in unavailable else self.lost(converter)
+            converter.size if converter.name in unavailable else self.lost_capacity(converter)
             for converter in self._converters[limit.service]
             if limit.applies_to(converter)
         )
@@ -76,9 +76,9 @@
 
     def capacity(self, service: str) -> Capacity:
         """Return the present figures of a service. Raises KeyError."""
-        leased = self.leased_converters()
+        leased_names = self.leased_converters()
         converters = self._converters[service]
-        unavailable = sum(one.size for one in converters if one.name in leased)
-        lost = sum(self.lost(one) for one in converters if one.name not in leased)
-        total = sum(one.size for one in converters)
+        unavailable = sum(converter.size for converter in converters if converter.name in leased_names)
+        lost = sum(self.lost_capacity(converter) for converter in converters if converter.name not in leased_names)
+        total = sum(converter.size for converter in converters)
         return Capacity(total - unavailable - lost, unavailable, lost, self.state.escrow.allowances[service])
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -13,7 +13,7 @@
 
 from ryepier.maintenance.agreement import format_capacity
 from ryepier.maintenance.commands import CapacityNeed, Transfer
-from ryepier.maintenance.tables import GIVER, RECEIVER, TransferEvent, TransferState
+from ryepier.maintenance.tables import GIVER_TABLE, RECEIVER_TABLE, TransferEvent, TransferState
 
 
 class ReceivedNumbers(msgspec.Struct):
@@ -61,21 +61,21 @@
         credited = numbers is not None and numbers.has(transfer.number)
         return TransferState.CREDITED if credited else TransferState.UNKNOWN
 
-    def debit(self, transfer: Transfer, spare: int) -> str | None:
+    def debit(self, transfer: Transfer, transferable: int) -> str | None:
         """Take the amount away, once, where `spare` covers it; return the reason where that is rejected."""
-        before = self.giver_state(transfer)
-        if before is TransferState.DEBITED and self._pending_match(transfer) != transfer:
+        state = self.giver_state(transfer)
+        if state is TransferState.DEBITED and self._pending_match(transfer) != transfer:
             return f"transfer {format_transfer(transfer)} was debited with another content"
-        if before is not TransferState.UNKNOWN:
+        if state is not TransferState.UNKNOWN:
             return None
         number = self.next_number(transfer.receiver)
         if transfer.number != number:
             return f"transfer {format_transfer(transfer)}: the next number to {transfer.receiver!r} is {number}"
-        if transfer.amount > spare:
-            excess = format_capacity(transfer.amount - max(0, spare))
+        if transfer.amount > transferable:
+            excess = format_capacity(transfer.amount - max(0, transferable))
             name = format_transfer(transfer)
             return f"transfer {name} takes {excess} more of {transfer.service!r} than can be spared"
-        assert GIVER.after(before, TransferEvent.DEBIT) is TransferState.DEBITED
+        assert GIVER_TABLE.next_state(state, TransferEvent.DEBIT) is TransferState.DEBITED
         self.allowances[transfer.service] -= transfer.amount
         self.last_sent[transfer.receiver] = transfer.number
         self.pending.append(transfer)
@@ -83,24 +83,28 @@
 
     def credit(self, transfer: Transfer) -> None:
         """Add the amount."""
-        assert RECEIVER.after(self.receiver_state(transfer), TransferEvent.CREDIT) is TransferState.CREDITED
+        assert RECEIVER_TABLE.next_state(self.receiver_state(transfer), TransferEvent.CREDIT) is TransferState.CREDITED
         self.received.setdefault(transfer.giver, ReceivedNumbers()).add(transfer.number)
         self.allowances[transfer.service] += transfer.amount
 
     def acknowledge(self, transfer: Transfer) -> str | None:
         """Stop sending the transfer; return the reason where that is rejected."""
-        before = self.giver_state(transfer)
-        if GIVER.after(before, TransferEvent.ACKNOWLEDGE) is None:
+        state = self.giver_state(transfer)
+        if GIVER_TABLE.next_state(state, TransferEvent.ACKNOWLEDGE) is None:
             return f"transfer {format_transfer(transfer)} was never debited"
-        if before is TransferState.DEBITED and self._pending_match(transfer) != transfer:
+        if state is TransferState.DEBITED and self._pending_match(transfer) != transfer:
             return f"transfer {format_transfer(transfer)} was debited with another content"
-        self.pending = [one for one in self.pending if one != transfer]
+        self.pending = [pending for pending in self.pending if pending != transfer]
         return None
 
     def _pending_match(self, transfer: Transfer) -> Transfer | None:
         """Return the pending transfer of the same identity."""
-        same = (one for one in self.pending if (one.receiver, one.number) == (transfer.receiver, transfer.number))
-        return next(same, None)
+        matches = (
+            pending
+            for pending in self.pending
+            if (pending.receiver, pending.number) == (transfer.receiver, transfer.number)
+        )
+        return next(matches, None)
 
 
 class _PeerNeed(NamedTuple):
@@ -117,8 +121,8 @@
     return f"{transfer.giver}->{transfer.receiver}#{transfer.number}"
 
 
-def rebalance(
-    region: str, escrow: Escrow, spare: Mapping[str, int], peers: Mapping[str, Mapping[str, CapacityNeed]]
+def plan_transfers(
+    region: str, escrow: Escrow, spare_allowances: Mapping[str, int], peers: Mapping[str, Mapping[str, CapacityNeed]]
 ) -> list[Transfer]:
     """Return the transfers that this region should debit for the needs of its peers.
 
@@ -126,7 +130,7 @@
     service. A peer with a transfer of a service in transit gets no second one.
     """
     transfers = []
-    remaining = dict(spare)
+    remaining = dict(spare_allowances)
     numbers = {peer: escrow.next_number(peer) for peer in peers}
     in_transit = {(transfer.receiver, transfer.service) for transfer in escrow.pending}
     needs = [
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -54,11 +54,11 @@
     since_ms: int
 
 
-class _ChangeOrder(NamedTuple):
+class _ChangeKey(NamedTuple):
     """Orders changes by time; within a millisecond, those that return capacity go first."""
 
     at_ms: int
-    takes_out: bool
+    reduces_capacity: bool
 
 
 class AgreementChecker:
@@ -67,8 +67,8 @@
     def __init__(self, agreement: Agreement) -> None:
         """Begin with all converters available."""
         self.agreement = agreement
-        self._planned: set[str] = set()
-        self._lost: dict[str, _Loss] = {}
+        self._planned_outages: set[str] = set()
+        self._losses: dict[str, _Loss] = {}
 
     def apply(self, change: CapacityChange) -> list[Breach]:
         """Record a change; return where planned outages alone now exceed what the agreement allows."""
@@ -77,28 +77,34 @@
             return []
         return self._check(change, {})
 
-    def check_grant(self, change: CapacityChange, known_after_ms: int, *, globally: bool = True) -> list[Breach]:
+    def check_grant(
+        self, change: CapacityChange, detection_delay_ms: int, *, include_global: bool = True
+    ) -> list[Breach]:
         """Record a planned outage, and return where it exceeds what losses and the agreement allow.
 
         Losses count once they have lasted for `known_after_ms`. The change must not have been recorded before.
         """
         lost = {
-            name: loss.missing for name, loss in self._lost.items() if loss.since_ms + known_after_ms <= change.at_ms
+            name: loss.missing
+            for name, loss in self._losses.items()
+            if loss.since_ms + detection_delay_ms <= change.at_ms
         }
         self._record(change)
-        return [breach for breach in self._check(change, lost) if globally or breach.region]
+        return [breach for breach in self._check(change, lost) if include_global or breach.region]
 
     def _record(self, change: CapacityChange) -> None:
         """Record what is missing from now on."""
         if change.planned:
-            self._planned.discard(change.converter)
+            self._planned_outages.discard(change.converter)
             if change.missing:
-                self._planned.add(change.converter)
+                self._planned_outages.add(change.converter)
         elif change.missing:
-            known = self._lost.get(change.converter)
-            self._lost[change.converter] = _Loss(change.missing, known.since_ms if known else change.at_ms)
+            earlier_loss = self._losses.get(change.converter)
+            self._losses[change.converter] = _Loss(
+                change.missing, earlier_loss.since_ms if earlier_loss else change.at_ms
+            )
         else:
-            self._lost.pop(change.converter, None)
+            self._losses.pop(change.converter, None)
 
     def _check(self, change: CapacityChange, lost: dict[str, int]) -> list[Breach]:
         """Compare what is available of the changed service with both of its minimums."""
@@ -127,9 +133,9 @@
         """Return what is available of a service, in one region or in all."""
         zones: dict[Zone, int] = {}
         for converter in self.agreement.converters_of(service, region):
-            present = 0 if converter.name in self._planned else FULL_SHARE - lost.get(converter.name, 0)
+            present_share = 0 if converter.name in self._planned_outages else FULL_SHARE - lost.get(converter.name, 0)
             zone = Zone(converter.region, converter.zone)
-            zones[zone] = zones.get(zone, 0) + converter.size * present // FULL_SHARE
+            zones[zone] = zones.get(zone, 0) + converter.size * present_share // FULL_SHARE
         available = sum(zones.values())
         if self.agreement.services[service].tolerates_zone_loss:
             available -= max(zones.values(), default=0)
@@ -138,23 +144,23 @@
 
 def find_breaches(agreement: Agreement, changes: Iterable[CapacityChange]) -> Iterator[Breach]:
     """Yield every moment at which planned outages exceeded what the agreement allows."""
-    judge = AgreementChecker(agreement)
-    for change in sorted(changes, key=_order):
-        yield from judge.apply(change)
+    checker = AgreementChecker(agreement)
+    for change in sorted(changes, key=_sort_key):
+        yield from checker.apply(change)
 
 
 def find_grants_during_shortage(
-    agreement: Agreement, changes: Iterable[CapacityChange], known_after_ms: int
+    agreement: Agreement, changes: Iterable[CapacityChange], detection_delay_ms: int
 ) -> Iterator[Breach]:
     """Yield every planned outage that began while it breached the agreement together with the known losses."""
-    judge = AgreementChecker(agreement)
-    for change in sorted(changes, key=_order):
+    checker = AgreementChecker(agreement)
+    for change in sorted(changes, key=_sort_key):
         if change.planned and change.missing:
-            yield from judge.check_grant(change, known_after_ms)
+            yield from checker.check_grant(change, detection_delay_ms)
         else:
-            judge.apply(change)
+            checker.apply(change)
 
 
-def _order(change: CapacityChange) -> _ChangeOrder:
+def _sort_key(change: CapacityChange) -> _ChangeKey:
     """Return the sort key of a change."""
-    return _ChangeOrder(change.at_ms, change.missing > 0)
+    return _ChangeKey(change.at_ms, change.missing > 0)
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -6,11 +6,11 @@
 from ryepier.maintenance.ledger_context import LedgerContext
 from ryepier.maintenance.results import DrainStarted, Granted, LeaseRevoked, Rejected, Released, Result
 from ryepier.maintenance.state import Lease
-from ryepier.maintenance.tables import LEASES, LeaseEvent, LeaseState
+from ryepier.maintenance.tables import LEASE_TABLE, LeaseEvent, LeaseState
 
 LeaseCommand = TakeOverLease | StartDrain | ReleaseLease | RevokeLease
 
-EVENTS: dict[type[LeaseCommand], LeaseEvent] = {
+LEASE_EVENTS: dict[type[LeaseCommand], LeaseEvent] = {
     TakeOverLease: LeaseEvent.TAKE_OVER,
     StartDrain: LeaseEvent.START_DRAIN,
     ReleaseLease: LeaseEvent.RELEASE,
@@ -28,9 +28,9 @@
 
     def grant(self, command: GrantLease) -> Result:
         """Grant a lease where the request is open and every limit holds with its converters out of service."""
-        known = self.state.leases.get(command.lease)
-        if known is not None:
-            return self._grant_again(known, command)
+        existing = self.state.leases.get(command.lease)
+        if existing is not None:
+            return self._repeat_grant(existing, command)
         reason = self._grant_rejection(command)
         if reason:
             return Rejected(f"lease {command.lease!r}: {reason}")
@@ -47,7 +47,7 @@
         self.state.leases[lease.name] = lease
         return _granted(lease)
 
-    def _grant_again(self, lease: Lease, command: GrantLease) -> Result:
+    def _repeat_grant(self, lease: Lease, command: GrantLease) -> Result:
         """Repeat the grant of an open lease to the agent that has it."""
         same_holder = (lease.request, lease.agent) == (command.request, command.agent)
         if not same_holder or lease.converters != command.converters:
@@ -65,22 +65,20 @@
             return "it is closed"
         if not command.converters or len(set(command.converters)) < len(command.converters):
             return "names no converter, or one twice"
-        leased = self.context.view.leased_converters()
+        leased_names = self.context.view.leased_converters()
         for name in command.converters:
             if name not in record.remaining():
                 return f"converter {name!r} is not to be done for request {command.request!r}"
-            if name in leased:
+            if name in leased_names:
                 return f"converter {name!r} is out already"
         request = record.request
-        together = sum(len(lease.unavailable) for lease in self.context.leases_of(request.name))
-        together += len(command.converters)
-        if together > request.max_unavailable:
-            return (
-                f"{together} converters of request {request.name!r} would be out and {request.max_unavailable} may be"
-            )
-        return self.context.view.first_exceeded_limit(request.service, leased | set(command.converters))
-
-    def change(self, command: LeaseCommand) -> Result:
+        outages = sum(len(lease.unavailable) for lease in self.context.leases_of(request.name))
+        outages += len(command.converters)
+        if outages > request.max_unavailable:
+            return f"{outages} converters of request {request.name!r} would be out and {request.max_unavailable} may be"
+        return self.context.view.first_exceeded_limit(request.service, leased_names | set(command.converters))
+
+    def change_lease(self, command: LeaseCommand) -> Result:
         """Apply a command to an open lease. A command under an earlier fencing token is rejected."""
         lease = self.state.leases.get(command.lease)
         if lease is None:
@@ -89,9 +87,9 @@
             return _granted(lease)
         if not isinstance(command, RevokeLease) and command.token != lease.token:
             return Rejected(f"lease {lease.name!r}: token {command.token} is not the current one, {lease.token}")
-        event = EVENTS[type(command)]
-        after = LEASES.after(lease.state, event)
-        if after is None:
+        event = LEASE_EVENTS[type(command)]
+        next_state = LEASE_TABLE.next_state(lease.state, event)
+        if next_state is None:
             return Rejected(f"lease {lease.name!r} is {lease.state}: no {event}")
         match command:
             case TakeOverLease():
@@ -100,10 +98,10 @@
                 self.context.revoke(lease)
                 return LeaseRevoked(lease.name)
             case StartDrain():
-                lease.state = after
+                lease.state = next_state
                 return DrainStarted(lease.name)
             case ReleaseLease():
-                self.context.end_holding(lease, after)
+                self.context.end_agent_hold(lease, next_state)
                 return Released(lease.name, tuple(lease.unavailable))
 
     def _take_over(self, lease: Lease, agent: str) -> Result:
--- a/ryepier/maintenance/ledger.py
+++ b/ryepier/maintenance/ledger.py
@@ -54,7 +54,7 @@
         """Begin without leases and requests. Raises KeyError where the agreement has no such region."""
         if region not in agreement.regions:
             raise KeyError(region)
-        allowances = {one.name: one.allowances.get(region, 0) for one in agreement.services.values()}
+        allowances = {service.name: service.allowances.get(region, 0) for service in agreement.services.values()}
         self._attach(agreement, LedgerState(region, agreement.digest, Escrow(allowances)))
 
     def _attach(self, agreement: Agreement, ledger_state: LedgerState) -> None:
@@ -95,9 +95,9 @@
             case GrantLease():
                 return self._lease_commands.grant(command)
             case TakeOverLease() | StartDrain() | ReleaseLease() | RevokeLease():
-                return self._lease_commands.change(command)
+                return self._lease_commands.change_lease(command)
             case RecordObservation():
-                return self._observation_commands.observe(command)
+                return self._observation_commands.record_observation(command)
             case RecordCapacityNeeds():
                 return self._observation_commands.record_needs(command)
             case DebitTransfer():
@@ -154,8 +154,8 @@
 
     def transfers_due(self) -> list[Transfer]:
         """Return the transfers that this region should debit for the needs that its peers reported."""
-        return self._transfer_commands.due()
+        return self._transfer_commands.due_transfers()
 
     def capacity_needs(self) -> dict[str, CapacityNeed]:
         """Return what to report to the other regions, by service, under the number `applied`."""
-        return {service: self._transfer_commands.need(service) for service in self.agreement.services}
+        return {service: self._transfer_commands.capacity_need(service) for service in self.agreement.services}
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -34,17 +34,17 @@
         self.state.last_token += 1
         return self.state.last_token
 
-    def end_holding(self, lease: Lease, after: LeaseState) -> None:
+    def end_agent_hold(self, lease: Lease, next_state: LeaseState) -> None:
         """End the agent's right to take converters down; only later observations can then close the lease."""
-        if lease.state is not after:
+        if lease.state is not next_state:
             lease.released_index = self.state.applied
-        lease.state = after
+        lease.state = next_state
 
     def revoke(self, lease: Lease) -> None:
         """Revoke a lease whose drain has not started."""
-        self.end_holding(lease, LeaseState.REVOKED)
+        self.end_agent_hold(lease, LeaseState.REVOKED)
 
-    def revoke_below_agreement(self) -> tuple[str, ...]:
+    def revoke_leases_below_agreement(self) -> tuple[str, ...]:
         """Revoke every lease that has not started its drain, of services below the agreement; return their names."""
         revoked = []
         for service in self.agreement.services:
--- a/ryepier/maintenance/limits.py
+++ b/ryepier/maintenance/limits.py
@@ -32,10 +32,10 @@
 
 def region_limits(agreement: Agreement, region: str, service: str) -> tuple[Limit, ...]:
     """Return the limits that the region's own minimum sets."""
-    agreed = agreement.services[service]
-    max_unavailable = agreement.capacity(service, region) - agreed.min_available_by_region.get(region, 0)
+    terms = agreement.services[service]
+    max_unavailable = agreement.capacity(service, region) - terms.min_available_by_region.get(region, 0)
     name = f"the least capacity of {service!r} in {region!r}"
-    if not agreed.tolerates_zone_loss:
+    if not terms.tolerates_zone_loss:
         return (Limit(name, service, max_unavailable),)
     zones = agreement.zone_capacities(service, region)
     return tuple(
--- a/ryepier/maintenance/observation_commands.py
+++ b/ryepier/maintenance/observation_commands.py
@@ -6,7 +6,7 @@
 from ryepier.maintenance.ledger_context import LedgerContext
 from ryepier.maintenance.results import Observed, Rejected, Result
 from ryepier.maintenance.state import Lease, ObservedState, PeerRegion
-from ryepier.maintenance.tables import LEASES, LeaseEvent, LeaseState
+from ryepier.maintenance.tables import LEASE_TABLE, LeaseEvent, LeaseState
 
 
 class ObservationCommands:
@@ -17,7 +17,7 @@
         self.context = context
         self.state = context.state
 
-    def observe(self, command: RecordObservation) -> Result:
+    def record_observation(self, command: RecordObservation) -> Result:
         """Record an observation, close leases whose converters have recovered, and revoke leases where too much is
         lost. An observation that began before a lease was released does not close it."""
         reason = self._observation_rejection(command)
@@ -27,17 +27,17 @@
         closed: list[str] = []
         for observation in command.observations:
             observed = ObservedState(observation.ready, observation.warmth, command.as_of)
-            last = self.state.observed.get(observation.converter)
-            if last is None or last.as_of <= observed.as_of:
+            last_observed = self.state.observed.get(observation.converter)
+            if last_observed is None or last_observed.as_of <= observed.as_of:
                 self.state.observed[observation.converter] = observed
                 closed += self.mark_recovered(observation.converter, observed)
-        return Observed(tuple(closed), self.context.revoke_below_agreement())
+        return Observed(tuple(closed), self.context.revoke_leases_below_agreement())
 
     def _observation_rejection(self, command: RecordObservation) -> str | None:
         """Return why an observation cannot be recorded, in one line; None where it can."""
-        last = self.state.observers.get(command.observer, 0)
-        if command.sequence <= last:
-            return f"{last} was recorded before"
+        last_sequence = self.state.observers.get(command.observer, 0)
+        if command.sequence <= last_sequence:
+            return f"{last_sequence} was recorded before"
         if command.as_of >= self.state.applied:
             return f"it says that it came after log index {command.as_of}, which was not there"
         for observation in command.observations:
@@ -50,8 +50,8 @@
         """Take a converter that was observed ready and warm out of its lease; return the names of leases it closes."""
         closed = []
         for lease in list(self.state.leases.values()):
-            after = LEASES.after(lease.state, LeaseEvent.ALL_RECOVERED)
-            if converter not in lease.unavailable or after is None:
+            next_state = LEASE_TABLE.next_state(lease.state, LeaseEvent.ALL_RECOVERED)
+            if converter not in lease.unavailable or next_state is None:
                 continue
             if self.context.view.is_recovered(observed) and observed.as_of >= lease.released_index:
                 self._return_converter(lease, converter)
@@ -73,8 +73,8 @@
         unknown = sorted(set(command.needs) - set(self.context.agreement.services))
         if unknown:
             return Rejected(f"standing of {command.region!r}: unknown service {unknown[0]!r}")
-        last = self.state.peers.get(command.region)
-        if last is not None and command.number <= last.number:
-            return Rejected(f"standing of {command.region!r}: number {last.number} was recorded before")
+        last_report = self.state.peers.get(command.region)
+        if last_report is not None and command.number <= last_report.number:
+            return Rejected(f"standing of {command.region!r}: number {last_report.number} was recorded before")
         self.state.peers[command.region] = PeerRegion(command.number, command.needs)
-        return Observed((), self.context.revoke_below_agreement())
+        return Observed((), self.context.revoke_leases_below_agreement())
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -14,7 +14,7 @@
 from ryepier.maintenance.state import Lease
 from ryepier.maintenance.tables import LeaseState
 
-AWAITING_RECOVERY = (LeaseState.RETURNING, LeaseState.REVOKED)
+STATES_AWAITING_RECOVERY = (LeaseState.RETURNING, LeaseState.REVOKED)
 NOT_SCHEDULED = -1
 
 
@@ -55,30 +55,30 @@
         Either the listing is late, or this observer has not known the region's time for long. Both are over once the
         incarnation has been listed for a whole warm-up from now on.
         """
-        found = []
+        names = []
         for probe in probes:
-            lease = self._lease_on(probe.observation.converter)
+            lease = self._open_lease_of(probe.observation.converter)
             if lease is None or lease.state is not LeaseState.RETURNING or not probe.observation.ready:
                 continue
             if probe.incarnation_began_ms < lease.granted_ms:
-                found.append(probe.observation.converter)
-        return found
+                names.append(probe.observation.converter)
+        return names
 
     def _is_reportable(self, probe: WarmthProbe) -> bool:
         """Return whether a probe has to be recorded."""
         observation = probe.observation
-        lease = self._lease_on(observation.converter)
+        lease = self._open_lease_of(observation.converter)
         if lease is not None and observation.ready:
             if lease.state is not LeaseState.REVOKED and probe.incarnation_began_ms < lease.granted_ms:
                 return False
-            if lease.state in AWAITING_RECOVERY and observation.warmth == FULL_WARMTH:
+            if lease.state in STATES_AWAITING_RECOVERY and observation.warmth == FULL_WARMTH:
                 return True
         observed = self.ledger.state.observed.get(observation.converter)
         if observed is None:
             return True
         return (observed.ready, observed.warmth) != (observation.ready, observation.warmth)
 
-    def _lease_on(self, converter: str) -> Lease | None:
+    def _open_lease_of(self, converter: str) -> Lease | None:
         """Return the open lease that has a converter out."""
         leases = self.ledger.state.leases.values()
         return next((lease for lease in leases if converter in lease.unavailable), None)
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -12,7 +12,7 @@
 from ryepier.maintenance.state import Lease
 from ryepier.maintenance.tables import LeaseState
 
-AGING_MS = 600_000  # a request that could have started rises one priority for each of these
+AGING_INTERVAL_MS = 600_000  # a request that could have started rises one priority for each of these
 MIN_REMAINING_LEASE_MS = 1_000  # how long an overdue lease is assumed to go on
 
 
@@ -69,19 +69,25 @@
     def priority(self, job: Job) -> int:
         """Return a request's priority, raised by the time that it has waited."""
         waited_ms = self.now_ms - max(job.submitted_ms, job.request.earliest_ms)
-        return max(0, job.request.priority - max(0, waited_ms) // AGING_MS)
+        return max(0, job.request.priority - max(0, waited_ms) // AGING_INTERVAL_MS)
 
 
 def build_problem(ledger: Ledger, previous_windows: Sequence[Window] = ()) -> SchedulingProblem:
     """Return the problem that a ledger poses now."""
     leased = ledger.view.leased_converters()
-    here = {name: one for name, one in ledger.agreement.converters.items() if one.region == ledger.region}
+    region_converters = {
+        name: converter for name, converter in ledger.agreement.converters.items() if converter.region == ledger.region
+    }
     return SchedulingProblem(
         now_ms=ledger.now_ms,
         jobs=_jobs(ledger, leased),
         limits=tuple(limit for service in ledger.agreement.services for limit in ledger.limits(service)),
-        lost={name: ledger.view.lost(one) for name, one in here.items() if name not in leased},
-        converters=here,
+        lost={
+            name: ledger.view.lost_capacity(converter)
+            for name, converter in region_converters.items()
+            if name not in leased
+        },
+        converters=region_converters,
         active_leases=tuple(_active_lease(ledger, lease) for lease in ledger.open_leases()),
         previous_windows=tuple(previous_windows),
     )
--- a/ryepier/maintenance/profile.py
+++ b/ryepier/maintenance/profile.py
@@ -5,7 +5,7 @@
 from bisect import bisect_right
 
 
-class Profile:
+class UsageProfile:
     """A level over time, from 0 on, that intervals raise. Times in milliseconds."""
 
     def __init__(self, level: int) -> None:
@@ -20,7 +20,7 @@
         for i in range(first, last):
             self._levels[i] += amount
 
-    def earliest(self, from_ms: int, duration_ms: int, max_level: int) -> int | None:
+    def earliest_gap(self, from_ms: int, duration_ms: int, max_level: int) -> int | None:
         """Return the first time from `from_ms` on from which the level stays within `max_level` for a duration.
 
         None: there is no such time.
--- a/ryepier/maintenance/request_commands.py
+++ b/ryepier/maintenance/request_commands.py
@@ -21,9 +21,9 @@
     def submit(self, command: SubmitRequest) -> Result:
         """Open a request. The same one again is accepted again; another one under its name is rejected."""
         request = command.request
-        known = self._known_request(request.name)
-        if known is not None:
-            if known == request:
+        existing = self._find_request(request.name)
+        if existing is not None:
+            if existing == request:
                 return Accepted(request.name)
             return Rejected(f"request {request.name!r} is there with other content")
         converters = submission.requested_converters(self.context.agreement, request)
@@ -33,7 +33,7 @@
         self.state.requests[request.name] = RequestRecord(request, converters, self.state.now_ms)
         return Accepted(request.name)
 
-    def _known_request(self, name: str) -> Request | None:
+    def _find_request(self, name: str) -> Request | None:
         """Return the request of this name, open or completed."""
         record = self.state.requests.get(name)
         return record.request if record else self.state.completed.get(name)
@@ -43,8 +43,8 @@
         name = command.request
         record = self.state.requests.get(name)
         if record is None:
-            known = name in self.state.completed
-            return Cancelled(name) if known else Rejected(f"request {name!r} is unknown")
+            is_completed = name in self.state.completed
+            return Cancelled(name) if is_completed else Rejected(f"request {name!r} is unknown")
         record.cancelled = True
         granted = [lease for lease in self.context.leases_of(name) if lease.state is LeaseState.GRANTED]
         for lease in granted:
@@ -57,7 +57,7 @@
         self.state.now_ms = max(self.state.now_ms, now_ms)
         missed = []
         for record in list(self.state.requests.values()):
-            late = record.request.deadline_ms < self.state.now_ms
-            if late and self.context.complete_if_finished(record, missed=True):
+            is_overdue = record.request.deadline_ms < self.state.now_ms
+            if is_overdue and self.context.complete_if_finished(record, missed=True):
                 missed.append(record.request.name)
         return Advanced(self.state.now_ms, tuple(missed))
--- a/ryepier/maintenance/scheduler.py
+++ b/ryepier/maintenance/scheduler.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from ryepier.maintenance.placement import Attempt
+from ryepier.maintenance.placement import PlacementAttempt
 from ryepier.maintenance.problem import Job, SchedulingProblem
 from ryepier.maintenance.schedule import Schedule
 
@@ -30,42 +30,48 @@
 
 def make_schedule(problem: SchedulingProblem) -> Schedule:
     """Return the best schedule that a few orders of the requests give, by `Attempt.score`."""
-    best = Attempt(problem, _ordered(problem, _deadline_ms))
+    best = PlacementAttempt(problem, _sorted_jobs(problem, _deadline_ms))
     if best.unplaced_requests:
-        others = [Attempt(problem, _ordered(problem, criterion)) for criterion in (_slack_ms, _negative_work)]
-        best = max(best, *others, key=Attempt.score)
-        best = _improve(problem, best)
+        alternatives = [
+            PlacementAttempt(problem, _sorted_jobs(problem, criterion)) for criterion in (_slack_ms, _negative_work)
+        ]
+        best = max(best, *alternatives, key=PlacementAttempt.score)
+        best = _improve_order(problem, best)
     return best.schedule()
 
 
-def _improve(problem: SchedulingProblem, best: Attempt) -> Attempt:
+def _improve_order(problem: SchedulingProblem, best: PlacementAttempt) -> PlacementAttempt:
     """Move requests that do not fit before others of their priority, for as long as that raises the score."""
-    impossible = {name for name in best.unplaced_names() if Attempt(problem, [best.job(name)]).unplaced_requests}
+    infeasible = {
+        name for name in best.unplaced_names() if PlacementAttempt(problem, [best.job(name)]).unplaced_requests
+    }
     converters = sum(len(job.converters) for job in problem.jobs)
     remaining_attempts = min(MAX_ORDERS, MAX_PLACEMENTS // converters)
-    orders = _moved_orders(problem, best, impossible)
+    orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible)
     while remaining_attempts > 0 and (order := next(orders, None)) is not None:
-        attempt = Attempt(problem, order)
+        attempt = PlacementAttempt(problem, order)
         remaining_attempts -= 1
         if attempt.score() > best.score():
             best = attempt
-            orders = _moved_orders(problem, best, impossible)
+            orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible)
     return best
 
 
-def _moved_orders(problem: SchedulingProblem, attempt: Attempt, impossible: set[str]) -> Iterator[list[Job]]:
+def _orders_with_unplaced_moved_earlier(
+    problem: SchedulingProblem, attempt: PlacementAttempt, infeasible: set[str]
+) -> Iterator[list[Job]]:
     """Yield the attempt's order with an unplaced request moved to each earlier place among those of its priority."""
     for name in attempt.unplaced_names():
-        if name in impossible:
+        if name in infeasible:
             continue
         job = attempt.job(name)
-        others = [one for one in attempt.order if one is not job]
-        for place in range(attempt.order.index(job)):
-            if problem.priority(attempt.order[place]) == problem.priority(job):
-                yield [*others[:place], job, *others[place:]]
+        other_jobs = [other for other in attempt.order if other is not job]
+        for position in range(attempt.order.index(job)):
+            if problem.priority(attempt.order[position]) == problem.priority(job):
+                yield [*other_jobs[:position], job, *other_jobs[position:]]
 
 
-def _ordered(problem: SchedulingProblem, criterion: Criterion) -> list[Job]:
+def _sorted_jobs(problem: SchedulingProblem, criterion: Criterion) -> list[Job]:
     """Return the jobs by priority and, within one, by the criterion."""
 
     def key(job: Job) -> _JobKey:
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -20,7 +20,7 @@
         """Ignore the warmth."""
         return observed.ready
 
-    def lost(self, converter: Converter) -> int:
+    def lost_capacity(self, converter: Converter) -> int:
         """Count nothing as missing of a converter that warms up."""
         observed = self.state.observed.get(converter.name)
         return 0 if observed is not None and observed.ready else converter.size
@@ -32,7 +32,7 @@
     view_type = IgnoreWarmUpView
 
 
-class ExpiringLeases(RequestCommands):
+class LeaseExpiryCommands(RequestCommands):
     """Closes a lease when its duration has passed."""
 
     def advance_time(self, now_ms: int) -> Result:
@@ -45,13 +45,13 @@
         return result
 
 
-class ExpiryFreesLedger(Ledger):
+class LeaseExpiryLedger(Ledger):
     """A lease ends when its time has run out."""
 
-    request_commands_type = ExpiringLeases
+    request_commands_type = LeaseExpiryCommands
 
 
-class RepeatedCredits(TransferCommands):
+class DoubleCreditCommands(TransferCommands):
     """Counts a transfer as often as it arrives."""
 
     def is_credited(self, transfer: Transfer) -> bool:
@@ -62,10 +62,10 @@
 class DoubleCreditLedger(Ledger):
     """A transfer that arrives twice is counted twice."""
 
-    transfer_commands_type = RepeatedCredits
+    transfer_commands_type = DoubleCreditCommands
 
 
-class BorrowView(CapacityView):
+class GlobalAllowanceView(CapacityView):
     """The other regions' allowances count as the region's own."""
 
     def allowance_bound(self, service: str) -> int:
@@ -73,13 +73,13 @@
         return self.agreement.max_unavailable(service)
 
 
-class BorrowLedger(Ledger):
+class GlobalAllowanceLedger(Ledger):
     """A region that is partitioned uses the allowances of all regions."""
 
-    view_type = BorrowView
+    view_type = GlobalAllowanceView
 
 
-class ForgetGrantLedger(Ledger):
+class ForgetLeasesLedger(Ledger):
     """Leases are lost with a restart."""
 
     @classmethod
@@ -93,7 +93,7 @@
 class IgnoreLossView(CapacityView):
     """Losses are not charged."""
 
-    def lost(self, converter: Converter) -> int:
+    def lost_capacity(self, converter: Converter) -> int:
         """Return 0."""
         return 0
 
@@ -104,22 +104,22 @@
     view_type = IgnoreLossView
 
 
-class StaleObservations(ObservationCommands):
+class StaleObservationCommands(ObservationCommands):
     """Takes every observation for a present one."""
 
     def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
         """Date the observation at the command's own index."""
-        present = ObservedState(observed.ready, observed.warmth, self.state.applied)
-        return super().mark_recovered(converter, present)
+        relabelled = ObservedState(observed.ready, observed.warmth, self.state.applied)
+        return super().mark_recovered(converter, relabelled)
 
 
 class StaleObservationLedger(Ledger):
     """An observation that began before the release closes a lease."""
 
-    observation_commands_type = StaleObservations
+    observation_commands_type = StaleObservationCommands
 
 
-class Overdraw(TransferCommands):
+class OverdrawCommands(TransferCommands):
     """Gives the whole allowance away."""
 
     def transferable(self, service: str) -> int:
@@ -130,15 +130,15 @@
 class OverdrawLedger(Ledger):
     """A region gives away what its leases have out."""
 
-    transfer_commands_type = Overdraw
+    transfer_commands_type = OverdrawCommands
 
 
 FAULTY_LEDGERS: dict[str, type[Ledger]] = {
     "cold-counts": IgnoreWarmUpLedger,
-    "expiry-frees": ExpiryFreesLedger,
+    "expiry-frees": LeaseExpiryLedger,
     "double-credit": DoubleCreditLedger,
-    "borrow": BorrowLedger,
-    "forget-grant": ForgetGrantLedger,
+    "borrow": GlobalAllowanceLedger,
+    "forget-grant": ForgetLeasesLedger,
     "ignore-loss": IgnoreLossLedger,
     "stale-look": StaleObservationLedger,
     "overdraw": OverdrawLedger,
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -106,10 +106,10 @@
 
 def decode(data: bytes, region: str, digest: str) -> LedgerState:
     """Return the state in a snapshot. Raises SnapshotError."""
-    head, newline, body = data.partition(b"\n")
-    if not newline or not head.startswith(MAGIC + b" "):
+    header, newline, body = data.partition(b"\n")
+    if not newline or not header.startswith(MAGIC + b" "):
         raise SnapshotError("not a snapshot of this version")
-    if data[: len(head) + 1] != _header(body):
+    if data[: len(header) + 1] != _header(body):
         raise SnapshotError("torn or altered")
     try:
         state = msgspec.msgpack.decode(body, type=LedgerState)
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -15,8 +15,8 @@
     """Return the converters that a request names, by name or by their zone."""
     if request.converters:
         return request.converters
-    here = agreement.converters_of(request.service, request.region)
-    return tuple(converter.name for converter in here if converter.zone == request.zone)
+    candidates = agreement.converters_of(request.service, request.region)
+    return tuple(converter.name for converter in candidates if converter.zone == request.zone)
 
 
 def rejection_reason(agreement: Agreement, state: LedgerState, request: Request, converters: Converters) -> str | None:
@@ -43,17 +43,19 @@
     agreement: Agreement, state: LedgerState, request: Request, converters: Converters
 ) -> str | None:
     """Describe the first converter that is unknown, named twice, or in another open request."""
-    requests = {name: record.request.name for record in state.requests.values() for name in record.remaining()}
-    named: set[str] = set()
+    request_by_converter = {
+        name: record.request.name for record in state.requests.values() for name in record.remaining()
+    }
+    seen: set[str] = set()
     for name in converters:
         converter = agreement.converters.get(name)
         if converter is None or (converter.region, converter.service) != (request.region, request.service):
             return f"converter {name!r} is none of service {request.service!r} in region {request.region!r}"
-        if name in named:
+        if name in seen:
             return f"converter {name!r} is named twice"
-        if name in requests:
-            return f"converter {name!r} is in request {requests[name]!r}"
-        named.add(name)
+        if name in request_by_converter:
+            return f"converter {name!r} is in request {request_by_converter[name]!r}"
+        seen.add(name)
     return None
 
 
@@ -63,10 +65,12 @@
         return f"its deadline is gone by {state.now_ms - request.deadline_ms} ms"
     rounds = -(-len(converters) // request.max_unavailable)
     needed_ms = rounds * (request.duration_ms + service.warm_up_ms)
-    has_ms = request.deadline_ms - max(request.earliest_ms, state.now_ms)
-    if needed_ms <= has_ms:
+    available_ms = request.deadline_ms - max(request.earliest_ms, state.now_ms)
+    if needed_ms <= available_ms:
         return None
-    return f"needs {needed_ms} ms for {rounds} rounds and has {has_ms} ms, {needed_ms - has_ms} ms too little"
+    return (
+        f"needs {needed_ms} ms for {rounds} rounds and has {available_ms} ms, {needed_ms - available_ms} ms too little"
+    )
 
 
 def _oversized_converter(agreement: Agreement, request: Request, converters: Converters) -> str | None:
--- a/ryepier/maintenance/tables.py
+++ b/ryepier/maintenance/tables.py
@@ -16,20 +16,20 @@
 
 
 @dataclass(frozen=True)
-class StateTable(Generic[State, Event]):
+class TransitionTable(Generic[State, Event]):
     """A state machine as a map from state and event to the next state."""
 
     title: str
     transitions: Mapping[tuple[State, Event], State]
 
-    def after(self, state: State, event: Event) -> State | None:
+    def next_state(self, state: State, event: Event) -> State | None:
         """Return the next state, or None where the event is rejected."""
         return self.transitions.get((state, event))
 
     def __str__(self) -> str:
         """Return the table as Markdown, one line a transition."""
         lines = [f"{self.title}", "", "| state | event | next state |", "| --- | --- | --- |"]
-        lines += [f"| {state} | {event} | {after} |" for (state, event), after in self.transitions.items()]
+        lines += [f"| {state} | {event} | {next_state} |" for (state, event), next_state in self.transitions.items()]
         return "\n".join(lines)
 
 
@@ -53,7 +53,7 @@
     ALL_RECOVERED = "all seen ready and warm"
 
 
-LEASES = StateTable(
+LEASE_TABLE = TransitionTable(
     "Lease",
     {
         (LeaseState.GRANTED, LeaseEvent.START_DRAIN): LeaseState.DRAINING,
@@ -88,7 +88,7 @@
     ACKNOWLEDGE = "acknowledge"
 
 
-GIVER = StateTable(
+GIVER_TABLE = TransitionTable(
     "Transfer, at the giver",
     {
         (TransferState.UNKNOWN, TransferEvent.DEBIT): TransferState.DEBITED,
@@ -100,7 +100,7 @@
     },
 )
 
-RECEIVER = StateTable(
+RECEIVER_TABLE = TransitionTable(
     "Transfer, at the receiver",
     {
         (TransferState.UNKNOWN, TransferEvent.CREDIT): TransferState.CREDITED,
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -64,48 +64,48 @@
         reason = reason or self.state.escrow.acknowledge(transfer)
         return Rejected(reason) if reason else Acknowledged(transfer)
 
-    def _transfer_rejection(self, transfer: Transfer, own: str, other: str) -> str | None:
+    def _transfer_rejection(self, transfer: Transfer, own_region: str, other_region: str) -> str | None:
         """Return why a transfer is not between this region and another one, of a known service; None where it is."""
         name = escrow.format_transfer(transfer)
         region = self.context.region
-        if own != region:
-            return f"transfer {name} is a matter of region {own!r}; this is {region!r}"
-        if other == region or other not in self.context.agreement.regions:
-            return f"transfer {name}: {other!r} is no other region"
+        if own_region != region:
+            return f"transfer {name} is a matter of region {own_region!r}; this is {region!r}"
+        if other_region == region or other_region not in self.context.agreement.regions:
+            return f"transfer {name}: {other_region!r} is no other region"
         if transfer.service not in self.context.agreement.services:
             return f"transfer {name}: unknown service {transfer.service!r}"
         return None
 
-    def due(self) -> list[Transfer]:
+    def due_transfers(self) -> list[Transfer]:
         """Return the transfers that this region should debit for the needs that its peers reported."""
-        spare = {service: self._spare_allowance(service) for service in self.context.agreement.services}
+        spare_allowances = {service: self._spare_allowance(service) for service in self.context.agreement.services}
         peers = {name: peer.needs for name, peer in self.state.peers.items()}
-        return escrow.rebalance(self.context.region, self.state.escrow, spare, peers)
+        return escrow.plan_transfers(self.context.region, self.state.escrow, spare_allowances, peers)
 
-    def need(self, service: str) -> CapacityNeed:
+    def capacity_need(self, service: str) -> CapacityNeed:
         """Return what to report of a service to the other regions."""
         capacity = self._capacity(service)
         deficit = max(0, capacity.unavailable + capacity.lost - capacity.allowance)
-        shortage = max(0, self._wanted_capacity(service) + capacity.lost - capacity.allowance)
+        shortage = max(0, self._requested_capacity(service) + capacity.lost - capacity.allowance)
         return CapacityNeed(deficit, shortage)
 
     def _spare_allowance(self, service: str) -> int:
         """Return the part of the allowance that neither leases, losses nor requests of this region need."""
         capacity = self._capacity(service)
-        used = max(capacity.unavailable, self._wanted_capacity(service)) + capacity.lost
+        used = max(capacity.unavailable, self._requested_capacity(service)) + capacity.lost
         return max(0, capacity.allowance - max(used, self.context.agreement.services[service].min_allowance))
 
-    def _wanted_capacity(self, service: str) -> int:
+    def _requested_capacity(self, service: str) -> int:
         """Return what the open requests that may soon start would have out at once, if they all ran together."""
-        wanted = 0
+        requested = 0
         horizon_ms = self.state.now_ms + REBALANCE_HORIZON_MS
         for record in self.state.open_requests():
             request = record.request
             if request.service == service and request.earliest_ms <= horizon_ms:
                 converters = self.context.agreement.converters
                 sizes = sorted((converters[name].size for name in record.remaining()), reverse=True)
-                wanted += sum(sizes[: request.max_unavailable])
-        return min(wanted, self.context.agreement.max_unavailable_in(service, self.context.region))
+                requested += sum(sizes[: request.max_unavailable])
+        return min(requested, self.context.agreement.max_unavailable_in(service, self.context.region))
 
     def _capacity(self, service: str) -> Capacity:
         """Return the present figures of a service."""
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -54,21 +54,26 @@
     )
 
 
-TEXT = SERVICE_TEXT + regions_text() + converters_text()  # 12 converters of size 1: n00..n02, n10..n12, s00..s12
-
-WEST = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
-THREE = ("north", "south", "west")
-TEXTS = (
-    TEXT,
-    SERVICE_TEXT.replace("least = 8", "least = 12") + WEST + regions_text(THREE) + converters_text(THREE),
-    TEXT.replace("least = 2", "least = 4"),
-    TEXT.replace("least = 8\n", 'least = 5\nsurvives = "zone"\n').replace("least = 2", "least = 1"),
+AGREEMENT_TEXT = (
+    SERVICE_TEXT + regions_text() + converters_text()
+)  # 12 converters of size 1: n00..n02, n10..n12, s00..s12
+
+WEST_TEXT = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
+THREE_REGIONS = ("north", "south", "west")
+AGREEMENT_TEXTS = (
+    AGREEMENT_TEXT,
+    SERVICE_TEXT.replace("least = 8", "least = 12")
+    + WEST_TEXT
+    + regions_text(THREE_REGIONS)
+    + converters_text(THREE_REGIONS),
+    AGREEMENT_TEXT.replace("least = 2", "least = 4"),
+    AGREEMENT_TEXT.replace("least = 8\n", 'least = 5\nsurvives = "zone"\n').replace("least = 2", "least = 1"),
 )
-AGREEMENTS = tuple(agreement_file.parse(text.encode()) for text in TEXTS)
+AGREEMENTS = tuple(agreement_file.parse(text.encode()) for text in AGREEMENT_TEXTS)
 
 
 def small_agreement() -> Agreement:
-    return agreement_file.parse(TEXT.encode())
+    return agreement_file.parse(AGREEMENT_TEXT.encode())
 
 
 def request(name: str = "r1", **changes: object) -> Request:
@@ -102,7 +107,9 @@
 
     def observe_all(self) -> Result:
         region = self.ledger.region
-        return self.observe(*[one.name for one in self.ledger.agreement.converters.values() if one.region == region])
+        return self.observe(
+            *[converter.name for converter in self.ledger.agreement.converters.values() if converter.region == region]
+        )
 
     def grant(self, lease: str, request_name: str, *converters: str, agent: str = "agent-1") -> Result:
         return self.apply(GrantLease(lease, request_name, agent, converters))
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -9,7 +9,7 @@
 from ryepier.maintenance import agreement_file
 from ryepier.maintenance.agreement import Converter, Replica
 from ryepier.maintenance.agreement_file import AgreementError
-from tests.maintenance_world import TEXT, small_agreement
+from tests.maintenance_world import AGREEMENT_TEXT, small_agreement
 
 
 def problems(data: bytes) -> list[str]:
@@ -23,8 +23,8 @@
 
 
 def test_amounts_of_the_file_are_read_in_thousandths() -> None:
-    agreed = small_agreement()
-    service = agreed.services["convert"]
+    agreement = small_agreement()
+    service = agreement.services["convert"]
     assert (service.min_available, service.min_allowance, service.warm_up_ms, service.tolerates_zone_loss) == (
         8000,
         500,
@@ -32,17 +32,19 @@
         False,
     )
     assert service.min_available_by_region == {"north": 2000, "south": 2000}
-    assert agreed.regions["south"].replicas[2] == Replica("south-2", "127.0.0.1:7512")
-    assert agreed.converters["n10"] == Converter("n10", "convert", "north", "z1", 1000)
-    assert agreed.max_unavailable("convert") == 4000 == sum(service.allowances.values())
-    assert agreed.max_unavailable_in("convert", "north") == 4000
-    assert agreed.digest != agreement_file.parse((TEXT + "# more").encode()).digest
+    assert agreement.regions["south"].replicas[2] == Replica("south-2", "127.0.0.1:7512")
+    assert agreement.converters["n10"] == Converter("n10", "convert", "north", "z1", 1000)
+    assert agreement.max_unavailable("convert") == 4000 == sum(service.allowances.values())
+    assert agreement.max_unavailable_in("convert", "north") == 4000
+    assert agreement.digest != agreement_file.parse((AGREEMENT_TEXT + "# more").encode()).digest
 
 
 def test_tolerating_a_zone_loss_reserves_the_largest_zone() -> None:
-    text = TEXT.replace("least = 8\n", 'least = 6\nsurvives = "zone"\n').replace("allowance = 2", "allowance = 1.5")
-    agreed = agreement_file.parse(text.encode())
-    assert agreed.max_unavailable("convert") == 3000 and agreed.max_unavailable_in("convert", "north") == 1000
+    text = AGREEMENT_TEXT.replace("least = 8\n", 'least = 6\nsurvives = "zone"\n').replace(
+        "allowance = 2", "allowance = 1.5"
+    )
+    agreement = agreement_file.parse(text.encode())
+    assert agreement.max_unavailable("convert") == 3000 and agreement.max_unavailable_in("convert", "north") == 1000
 
 
 @pytest.mark.parametrize(
@@ -73,17 +75,17 @@
     ],
 )
 def test_an_error_is_reported_with_its_key_and_line(old: str, new: str, key: str, message: str) -> None:
-    text = TEXT.replace(old, new, 1)
-    assert text != TEXT
+    text = AGREEMENT_TEXT.replace(old, new, 1)
+    assert text != AGREEMENT_TEXT
     found = problems(text.encode())
     assert any(f" {key}: " in one and message in one and one.startswith("line ") for one in found), found
     assert all("\n" not in one for one in found)
 
 
 def test_the_line_is_that_of_the_key() -> None:
-    text = TEXT.replace("least = 8", "least = 13")
+    text = AGREEMENT_TEXT.replace("least = 8", "least = 13")
     assert problems(text.encode())[0].startswith(f"line {line_of(text, 'least = 13')}: services[0].least: ")
-    text = TEXT.replace('name = "s11"', 'name = "s10"')
+    text = AGREEMENT_TEXT.replace('name = "s11"', 'name = "s10"')
     assert problems(text.encode())[0].startswith(
         f"line {text[: text.rindex('s10')].count(chr(10)) + 1}: converters[10]"
     )
@@ -91,10 +93,11 @@
 
 def test_a_region_with_too_few_replicas_or_without_its_table_is_named() -> None:
     last = '[[regions.replicas]]\nname = "north-2"\naddress = "127.0.0.1:7502"\n'
-    assert "2 replicas; a region needs at least 3" in problems(TEXT.replace(last, "").encode())[0]
+    assert "2 replicas; a region needs at least 3" in problems(AGREEMENT_TEXT.replace(last, "").encode())[0]
     part = '[[services.regions]]\nregion = "south"\nleast = 2\nallowance = 2\n'
     assert any(
-        "region 'south' has its converters and is missing" in one for one in problems(TEXT.replace(part, "").encode())
+        "region 'south' has its converters and is missing" in one
+        for one in problems(AGREEMENT_TEXT.replace(part, "").encode())
     )
 
 
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -38,8 +38,8 @@
     Rejected,
     Released,
 )
-from ryepier.maintenance.tables import GIVER, LEASES, RECEIVER, LeaseState
-from tests.maintenance_world import TEXT, RegionLedger, north_region, request, small_agreement
+from ryepier.maintenance.tables import GIVER_TABLE, LEASE_TABLE, RECEIVER_TABLE, LeaseState
+from tests.maintenance_world import AGREEMENT_TEXT, RegionLedger, north_region, request, small_agreement
 
 
 def test_a_lease_is_charged_until_its_converter_is_observed_ready_and_warm() -> None:
@@ -143,7 +143,7 @@
 
 
 def test_zone_loss_tolerance_keeps_the_agreement_with_the_largest_zone_lost() -> None:
-    text = TEXT.replace("least = 8\n", 'least = 7\nsurvives = "zone"\n')
+    text = AGREEMENT_TEXT.replace("least = 8\n", 'least = 7\nsurvives = "zone"\n')
     text = text.replace("allowance = 2", "allowance = 1")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     region.observe_all()
@@ -207,7 +207,7 @@
 
 
 def test_a_converter_too_large_to_be_out_is_rejected_with_the_amount() -> None:
-    text = TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
+    text = AGREEMENT_TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     assert region.apply(SubmitRequest(request())) == Accepted("r1")
     text = text.replace("least = 9.5", "least = 11.5").replace("allowance = 2", "allowance = 1")
@@ -272,15 +272,15 @@
 
 
 def test_a_snapshot_that_is_torn_altered_or_foreign_is_rejected() -> None:
-    agreed = small_agreement()
+    agreement = small_agreement()
     taken = north_region().ledger.snapshot()
-    assert Ledger.restore(agreed, "north", taken).snapshot() == taken
-    other = agreement_file.parse(TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
+    assert Ledger.restore(agreement, "north", taken).snapshot() == taken
+    other = agreement_file.parse(AGREEMENT_TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
     for where, region, data, message in (
-        (agreed, "north", taken[:-1], "torn or altered"),
-        (agreed, "north", taken[:-1] + b"\x00", "torn or altered"),
-        (agreed, "north", b"hello", "not a snapshot"),
-        (agreed, "south", taken, "of region 'north', not of 'south'"),
+        (agreement, "north", taken[:-1], "torn or altered"),
+        (agreement, "north", taken[:-1] + b"\x00", "torn or altered"),
+        (agreement, "north", b"hello", "not a snapshot"),
+        (agreement, "south", taken, "of region 'north', not of 'south'"),
         (other, "north", taken, "another agreement"),
     ):
         with pytest.raises(state.SnapshotError, match=message):
@@ -288,6 +288,6 @@
 
 
 def test_the_state_machines_can_be_printed_and_never_leave_closed() -> None:
-    text = "\n\n".join(map(str, (LEASES, GIVER, RECEIVER)))
+    text = "\n\n".join(map(str, (LEASE_TABLE, GIVER_TABLE, RECEIVER_TABLE)))
     assert "| granted | begin | draining |" in text and "| debited | send | debited |" in text
-    assert all(before is not LeaseState.CLOSED for before, _ in LEASES.transitions)
+    assert all(before is not LeaseState.CLOSED for before, _ in LEASE_TABLE.transitions)
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -13,7 +13,7 @@
 from ryepier.maintenance.commands import AdvanceTime, Priority, StartDrain, SubmitRequest
 from ryepier.maintenance.limits import Limit
 from ryepier.maintenance.placement import FREEZE_MS
-from ryepier.maintenance.problem import AGING_MS, ActiveLease, Job, SchedulingProblem, Window, build_problem
+from ryepier.maintenance.problem import AGING_INTERVAL_MS, ActiveLease, Job, SchedulingProblem, Window, build_problem
 from ryepier.maintenance.results import Granted
 from ryepier.maintenance.schedule import Schedule
 from ryepier.maintenance.scheduler import make_schedule
@@ -120,14 +120,14 @@
 
 def test_a_convenient_request_is_not_starved_by_urgent_ones() -> None:
     waiting = job("old", "c0", deadline=10**9, priority=Priority.CONVENIENT)
-    now = 2 * AGING_MS
+    now = 2 * AGING_INTERVAL_MS
     fresh = [
         job(f"u{i}", f"c{i}", deadline=2 * 10**9, priority=Priority.URGENT, submitted=now, earliest=now)
         for i in range(1, 5)
     ]
     assert starts(make_schedule(problem(waiting, *fresh, now=now)))["old"] == [now]
-    early = make_schedule(problem(waiting, *fresh, now=AGING_MS))
-    assert starts(early)["old"] == [AGING_MS], "a gap before them is free"
+    early = make_schedule(problem(waiting, *fresh, now=AGING_INTERVAL_MS))
+    assert starts(early)["old"] == [AGING_INTERVAL_MS], "a gap before them is free"
 
 
 def test_a_ledger_grants_the_windows_that_are_due() -> None:
