--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -1,6 +1,6 @@
-"""The operators' agreement: how much capacity each service must keep, and which regions and converters exist.
+"""The capacity agreement that operators write: the capacity each service must keep, the regions and the converters.
 
-Pure. Capacities are whole thousandths of a converter's size.
+Performs no I/O. Capacities are integers in thousandths of a unit; a converter of size 1 has a capacity of one unit.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-THOUSANDTHS_PER_UNIT = 1000  # of capacity in a size of 1
+THOUSANDTHS_PER_UNIT = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """One coordinator process of a region."""
+    """A coordinator process that holds a replica of its region's log."""
 
     name: str
     address: str  # host:port
@@ -30,20 +30,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What is agreed for a service; capacities in thousandths."""
+    """The agreed terms for one service. Capacities are in thousandths."""
 
     name: str
     min_available: int
     min_available_by_region: Mapping[str, int]
-    tolerates_zone_loss: bool  # the minimum must hold even when the largest zone is then lost
-    min_allowance: int  # what a region keeps of its allowance when it lends
+    tolerates_zone_loss: bool  # the minimums must also hold after the loss of the largest zone
+    min_allowance: int  # kept by a region when it gives allowance to other regions
     warm_up_ms: int
-    allowances: Mapping[str, int]  # the initial ones, by region
+    allowances: Mapping[str, int]  # initial allowances by region
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Zone:
-    """A zone of a region: equal names in two regions are two zones."""
+    """A zone of one region. Zones of different regions are distinct even if their names are equal."""
 
     region: str
     name: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Converter:
-    """A converter; its size in thousandths."""
+    """A converter. Its size, which is its capacity when ready and warm, is in thousandths."""
 
     name: str
     service: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Agreement:
-    """A checked agreement. `digest` (SHA-256 of the file, hexadecimal) identifies the file."""
+    """A validated agreement. `digest` is the SHA-256 hash of its file, in hexadecimal."""
 
     services: Mapping[str, Service]
     regions: Mapping[str, Region]
@@ -70,7 +70,7 @@
     digest: str
 
     def converters_of(self, service: str, region: str | None = None) -> list[Converter]:
-        """Return the converters of a service, in one region or in all, in the order of the file."""
+        """Return the converters of a service in the order of the file, only those of `region` if it is given."""
         return [
             converter
             for converter in self.converters.values()
@@ -78,7 +78,7 @@
         ]
 
     def capacity(self, service: str, region: str | None = None) -> int:
-        """Return the capacity of a service when all its converters are ready and warm."""
+        """Return the capacity of a service, in one region or in all, when all its converters are ready and warm."""
         return sum(converter.size for converter in self.converters_of(service, region))
 
     def zone_capacities(self, service: str, region: str | None = None) -> dict[Zone, int]:
@@ -89,28 +89,31 @@
         return dict(capacities)
 
     def max_unavailable(self, service: str) -> int:
-        """Return how much of a service may be out over all regions; the initial allowances add up to this."""
+        """Return how much of a service's capacity may be unavailable over all regions.
+
+        The initial allowances add up to this amount. It is negative if the agreed minimum exceeds the capacity.
+        """
         terms = self.services[service]
         return self.capacity(service) - terms.min_available - self._zone_loss_reserve(terms, None)
 
     def max_unavailable_in(self, service: str, region: str) -> int:
-        """Return how much of a service may be out in one region, by the region's own minimum."""
+        """Return how much of a service's capacity may be unavailable in one region under the region's own minimum."""
         terms = self.services[service]
         min_available = terms.min_available_by_region.get(region, 0)
         return self.capacity(service, region) - min_available - self._zone_loss_reserve(terms, region)
 
     def _zone_loss_reserve(self, terms: Service, region: str | None) -> int:
-        """Return the capacity of the largest zone where its loss must be tolerated, else 0."""
+        """Return the capacity of the largest zone if its loss must be tolerated, else 0."""
         if not terms.tolerates_zone_loss:
             return 0
         return max(self.zone_capacities(terms.name, region).values(), default=0)
 
 
 def to_thousandths(amount: float) -> int:
-    """Return an amount of the file in thousandths. The file's check has rejected more decimals."""
+    """Convert an amount from the file to thousandths; validation has rejected amounts with more than three decimals."""
     return round(amount * THOUSANDTHS_PER_UNIT)
 
 
 def format_capacity(thousandths: int) -> str:
-    """Return an amount in thousandths as people write it: `2.5`."""
+    """Format an amount in thousandths as a decimal number of units, such as `2.5`."""
     return f"{thousandths / THOUSANDTHS_PER_UNIT:g}"
--- a/ryepier/maintenance/agreement_file.py
+++ b/ryepier/maintenance/agreement_file.py
@@ -1,4 +1,7 @@
-"""Reads the agreement file: TOML bytes in, `Agreement` out, or every problem at once with its key and line. Pure."""
+"""Parses the TOML agreement file into an `Agreement`, or reports every problem at once with its key and line.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 
 def parse(data: bytes) -> Agreement:
-    """Return the agreement in a TOML file's bytes. Raises AgreementError."""
+    """Parse and validate the bytes of an agreement file. Raises AgreementError with all problems found."""
     text = _decode(data)
     try:
         tables = toml_schema.parse(text, AgreementTables)
@@ -29,7 +32,7 @@
     validator = AgreementValidator(tables, KeyLines(text))
     validator.check_names()
     validator.check_decimals()
-    if not validator.problems:  # amounts can be compared only where every name is known
+    if not validator.problems:  # amounts can be compared only if all names are valid
         agreement = _build(tables, hashlib.sha256(data).hexdigest())
         validator.check_amounts(agreement)
         if not validator.problems:
@@ -38,9 +41,9 @@
 
 
 def _decode(data: bytes) -> str:
-    """Return the text of a file. Raises AgreementError where it is too long or not UTF-8."""
+    """Decode a file as UTF-8. Raises AgreementError if it is too long or not UTF-8."""
     if len(data) > MAX_FILE_BYTES:
-        raise AgreementError([Problem("", 0, f"{len(data)} bytes; {MAX_FILE_BYTES} are allowed")])
+        raise AgreementError([Problem("", 0, f"{len(data)} bytes; at most {MAX_FILE_BYTES} are allowed")])
     try:
         return data.decode()
     except UnicodeDecodeError as error:
@@ -49,7 +52,7 @@
 
 
 def _build(tables: AgreementTables, digest: str) -> Agreement:
-    """Return the agreement that the tables describe."""
+    """Build the agreement from its parsed tables."""
     regions = {
         table.name: Region(table.name, tuple(Replica(replica.name, replica.address) for replica in table.replicas))
         for table in tables.regions
@@ -62,7 +65,7 @@
 
 
 def _build_service(table: ServiceTable) -> Service:
-    """Return a service with its amounts in thousandths."""
+    """Build a service from its table, converting amounts to thousandths and seconds to milliseconds."""
     return Service(
         name=table.name,
         min_available=to_thousandths(table.min_available),
--- a/ryepier/maintenance/agreement_tables.py
+++ b/ryepier/maintenance/agreement_tables.py
@@ -1,7 +1,7 @@
-"""The tables of the agreement file as they are written, before anything is compared.
+"""The schema of the agreement file's tables. Checks that involve several values are in `agreement_validation`.
 
-Amounts are in converters' sizes. The keys of the file are fixed: a field with another name here maps to its key by
-`name=`.
+Amounts are in units of capacity: a converter of size 1 has one unit. The keys of the file are fixed; a field that is
+named differently here declares its key with `name=`.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$")]
 AddressText = Annotated[str, msgspec.Meta(pattern=r"^[^:/\s]+:[0-9]{1,5}$")]  # host:port
-Amount = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # of capacity
+Amount = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # units of capacity
 Size = Annotated[float, msgspec.Meta(ge=0.001, le=1000)]
 WarmUp = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # seconds
 
 
 class FailureTolerance(enum.StrEnum):
-    """The failure that a service's minimum must survive, as the key `survives` names it."""
+    """The failure that a service's minimums must survive: the values of the key `survives`."""
 
     NONE = ""
     ZONE = "zone"
@@ -48,7 +48,10 @@
 
 
 class ServiceTable(msgspec.Struct, kw_only=True, frozen=True):
-    """One `[[services]]` table. `min_allowance` is what a region keeps of its allowance when it lends."""
+    """One `[[services]]` table.
+
+    `min_allowance` is the allowance that a region keeps when it gives allowance to other regions.
+    """
 
     name: Name
     min_available: Amount = msgspec.field(name="least")
@@ -69,7 +72,7 @@
 
 
 class AgreementTables(msgspec.Struct, kw_only=True, frozen=True):
-    """The whole file."""
+    """All tables of an agreement file."""
 
     services: list[ServiceTable]
     regions: list[RegionTable]
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -1,4 +1,4 @@
-"""Checks what the tables of an agreement must fulfil together: unique and known names, exact and attainable amounts."""
+"""Validates an agreement across its tables: unique and known names, and exact and attainable amounts."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 from ryepier.maintenance.agreement import Agreement, Service, format_capacity
 from ryepier.maintenance.agreement_tables import AgreementTables, ServiceTable
 
-MIN_REPLICAS = 3  # of a region: a majority must survive the loss of one
+MIN_REPLICAS = 3  # per region, so that a majority remains after the loss of one replica
 MAX_DECIMALS = 3
 
 
 class _KeyedName(NamedTuple):
-    """A name, and the key that it stands at."""
+    """A name and the path of its key in the file."""
 
     path: Path
     name: str
 
 
 class _KeyedAmount(NamedTuple):
-    """An amount, and the key that it stands at."""
+    """An amount and the path of its key in the file."""
 
     path: Path
     amount: float
 
 
 class AgreementValidator:
-    """Collects problems; nothing is raised."""
+    """Checks the tables of an agreement and collects the problems it finds, without raising."""
 
     def __init__(self, tables: AgreementTables, lines: KeyLines) -> None:
-        """Check `tables`; `lines` finds the line of a key."""
+        """Start without problems. `lines` maps the keys of `tables` to their line numbers."""
         self.tables = tables
         self.lines = lines
         self.problems: list[Problem] = []
 
     def _add_problem(self, path: Path, text: str) -> None:
-        """Note a problem at a key."""
+        """Record a problem at a key."""
         self.problems.append(self.lines.problem(path, text))
 
     def check_names(self) -> None:
-        """Check that every name is given once, and that every name that is referred to is given."""
+        """Check that all names are unique and that all references name something that is defined."""
         tables = self.tables
         services = self._check_unique(
             _KeyedName(("services", i, "name"), service.name) for i, service in enumerate(tables.services)
@@ -59,7 +59,7 @@
             self._check_known(("converters", i, "region"), converter.region, regions, "region")
 
     def _check_service_regions(self, regions: set[str]) -> None:
-        """Check the regions that services name."""
+        """Check that each service lists known regions, each at most once."""
         for i, service in enumerate(self.tables.services):
             region_names = [
                 _KeyedName(("services", i, "regions", j, "region"), region_table.region)
@@ -70,7 +70,7 @@
                 self._check_known(key.path, key.name, regions, "region")
 
     def _check_replicas(self) -> None:
-        """Check that each region has enough replicas, each with a name and an address of its own."""
+        """Check that each region has enough replicas, and that all replicas have unique names and addresses."""
         names: list[_KeyedName] = []
         addresses: list[_KeyedName] = []
         for i, region in enumerate(self.tables.regions):
@@ -84,27 +84,27 @@
         self._check_unique(addresses)
 
     def _check_unique(self, keyed_names: Iterable[_KeyedName]) -> set[str]:
-        """Note names that are given twice; return all names."""
+        """Record a problem for each duplicate name, and return the set of names."""
         first_paths: dict[str, Path] = {}
         for path, name in keyed_names:
             if name in first_paths:
-                self._add_problem(path, f"{name!r} is named before, at {spell(first_paths[name])}")
+                self._add_problem(path, f"{name!r} is a duplicate, first used at {spell(first_paths[name])}")
             first_paths.setdefault(name, path)
         return set(first_paths)
 
     def _check_known(self, path: Path, name: str, known: set[str], kind: str) -> None:
-        """Note a name that refers to nothing."""
+        """Record a problem if `name` is not in `known`."""
         if name not in known:
             self._add_problem(path, f"unknown {kind} {name!r}; known are {', '.join(sorted(known)) or 'none'}")
 
     def check_decimals(self) -> None:
-        """Check that amounts are whole thousandths, which also rejects `nan`."""
+        """Check that amounts are whole thousandths. This also rejects `nan`."""
         for path, amount in self._amounts():
             if amount != round(amount, MAX_DECIMALS):
-                self._add_problem(path, f"{amount!r} is no number with up to three decimals")
+                self._add_problem(path, f"{amount!r} is not a number with at most three decimals")
 
     def _amounts(self) -> list[_KeyedAmount]:
-        """Return all amounts of the file."""
+        """Return all amounts of the file with their keys."""
         amounts: list[_KeyedAmount] = []
         for i, service in enumerate(self.tables.services):
             amounts.append(_KeyedAmount(("services", i, "least"), service.min_available))
@@ -120,7 +120,7 @@
         return amounts
 
     def check_amounts(self, agreement: Agreement) -> None:
-        """Check that no service asks for more than there is, and that allowances add up to what may be out."""
+        """Check that the minimums are attainable and that allowances add up to the capacity that may be unavailable."""
         for i, table in enumerate(self.tables.services):
             service = agreement.services[table.name]
             max_unavailable = agreement.max_unavailable(service.name)
@@ -134,14 +134,14 @@
             if allowance_sum != max_unavailable:
                 text = (
                     f"allowances of {service.name!r} add up to {format_capacity(allowance_sum)}; "
-                    f"{format_capacity(max_unavailable)} may be out"
+                    f"they must add up to {format_capacity(max_unavailable)}, the capacity that may be unavailable"
                 )
                 self._add_problem(("services", i, "regions"), text)
 
     def _check_region_amounts(
         self, service_index: int, table: ServiceTable, service: Service, agreement: Agreement
     ) -> None:
-        """Check a service's amounts in each region, and that no region with its converters is missing."""
+        """Check a service's amounts in each region, and that it lists every region in which it has converters."""
         for j, region_table in enumerate(table.regions):
             path: Path = ("services", service_index, "regions", j)
             max_unavailable = agreement.max_unavailable_in(service.name, region_table.region)
@@ -156,17 +156,18 @@
         for region in agreement.regions:
             if region not in listed and agreement.capacity(service.name, region):
                 self._add_problem(
-                    ("services", service_index, "regions"), f"region {region!r} has its converters and is missing"
+                    ("services", service_index, "regions"),
+                    f"region {region!r} has converters of the service but is not listed",
                 )
 
 
 def _describe_excess(service: Service, agreement: Agreement, region: str | None, excess: int) -> str:
-    """Return by how much a service asks for more than there is, in one region or in all."""
+    """Describe by how much a service's minimum exceeds its capacity, in one region or in all."""
     place = f" in {region!r}" if region else ""
     min_available = service.min_available_by_region[region] if region else service.min_available
     total = agreement.capacity(service.name, region)
-    zone = " less its largest zone" if service.tolerates_zone_loss else ""
+    zone = " less the largest zone" if service.tolerates_zone_loss else ""
     return (
-        f"{service.name!r} asks for {format_capacity(min_available)}{place}; there are {format_capacity(total)}{zone}: "
+        f"{service.name!r} requires {format_capacity(min_available)}{place} but has {format_capacity(total)}{zone}: "
         f"{format_capacity(excess)} too much"
     )
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -1,8 +1,8 @@
-"""The commands in a region's log, one an entry. Pure: bytes in, commands out.
+"""The commands in a region's log, one per entry, and their encoding.
 
-A command is one MessagePack map; `type` names it. Unknown types and unknown keys are errors: a replica that skipped
-part of a command would diverge from its peers. Names of types and keys on the wire are fixed: a field with another name
-here maps to its key by `name=`, a class by its tag.
+A command is encoded as one MessagePack map whose key `type` names it. Unknown types and keys are errors: a replica that
+skipped part of a command would diverge from its peers. Types and keys on the wire are fixed; a field that is named
+differently here declares its key with `name=`, a class its type with `tag=`.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from ryepier.errors import RyepierError
 
 MAX_COMMAND_BYTES = 1024 * 1024
-MAX_NAMES = 10_000  # of converters in one command
-FULL_WARMTH = 1000  # thousandths: a converter that is warm
+MAX_NAMES = 10_000  # converters in one command
+FULL_WARMTH = 1000  # thousandths: the warm-up is complete
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._#/-]{0,199}$")]
 Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_NAMES)]
@@ -26,11 +26,11 @@
 
 
 class CommandError(RyepierError):
-    """Bytes that are not a command, or a command that is too long."""
+    """The bytes are not a valid command, or the command is too long."""
 
 
 class Priority(enum.IntEnum):
-    """The priority of a request: the lower value goes first."""
+    """The priority of a request; lower values are scheduled first."""
 
     URGENT = 0
     NORMAL = 1
@@ -38,9 +38,9 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Maintenance that operators request; times are the region's own, in milliseconds.
+    """An operator's request for maintenance. Times are in the region's time, in milliseconds.
 
-    The converters are named one by one, or are all that the service has in `zone`.
+    Either `converters` names the converters, or the request covers all converters of the service in `zone`.
     """
 
     name: Name
@@ -48,15 +48,15 @@
     service: Name
     converters: Names = ()
     zone: str = ""
-    max_unavailable: Positive = msgspec.field(name="at_once")  # converters out at the same time
-    duration_ms: Positive  # of one converter, from the drain until it is up again, without its warm-up
+    max_unavailable: Positive = msgspec.field(name="at_once")  # converters out of service at the same time
+    duration_ms: Positive  # per converter, from the drain until it is up again; excludes the warm-up
     earliest_ms: NonNegative
     deadline_ms: NonNegative
     priority: Priority = Priority.NORMAL
 
 
 class ConverterObservation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A converter as an observer saw it; warmth in thousandths."""
+    """The state of a converter as reported by an observer. `warmth` is in thousandths."""
 
     converter: Name
     ready: bool
@@ -67,9 +67,9 @@
 
 
 class Transfer(msgspec.Struct, frozen=True, order=True, forbid_unknown_fields=True):
-    """An amount of allowance that one region gives another.
+    """An amount of allowance that one region gives to another.
 
-    Giver, receiver and number identify it; numbers go 1, 2, 3, ... for each receiver.
+    It is identified by giver, receiver and number. A giver numbers its transfers to each receiver 1, 2, 3, ...
     """
 
     giver: Name
@@ -80,26 +80,28 @@
 
 
 class CapacityNeed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How much of a service's capacity a region lacks, in thousandths, as it reports to the other regions."""
+    """How far a region's allowance for a service falls short, in thousandths, as reported to the other regions."""
 
-    deficit: NonNegative = 0  # by which its leases and losses exceed its allowance
-    shortage: NonNegative = 0  # by which all that its requests want together exceeds its allowance
+    deficit: NonNegative = 0  # capacity under leases or lost, beyond the allowance
+    shortage: NonNegative = (
+        0  # capacity that its requests would take out together or that is lost, beyond the allowance
+    )
 
 
 class SubmitRequest(msgspec.Struct, tag="submit-request", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Open a request. The same one again is accepted again."""
+    """Open a request. Submitting an identical request again has no effect and is accepted."""
 
     request: Request
 
 
 class CancelRequest(msgspec.Struct, tag="cancel-request", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Grant a request no further leases; drains that have not started are revoked, others are finished."""
+    """Stop granting leases to a request; revoke its leases whose drain has not started, and let the others finish."""
 
     request: Name
 
 
 class GrantLease(msgspec.Struct, tag="grant-lease", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Grant the right to take converters of a request down. The caller chooses `lease`, and uses it once."""
+    """Grant the right to take converters of a request down. The caller chooses a unique name, `lease`."""
 
     lease: Name
     request: Name
@@ -108,7 +110,7 @@
 
 
 class TakeOverLease(msgspec.Struct, tag="take-over-lease", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Give an open lease to another agent under a new fencing token; `token` is the one that it replaces."""
+    """Give an open lease to another agent under a new fencing token. `token` is the current one, which is replaced."""
 
     lease: Name
     agent: Name
@@ -116,21 +118,21 @@
 
 
 class StartDrain(msgspec.Struct, tag="begin-drain", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Start the drain of a lease's converters; the agent does nothing before this is committed."""
+    """Start the drain of a lease's converters. The agent must wait until this is committed before it drains any."""
 
     lease: Name
     token: Positive
 
 
 class ReleaseLease(msgspec.Struct, tag="release-lease", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Report that the maintenance is done; converters stay charged until each is observed ready and warm."""
+    """Report that the maintenance is done. Each converter stays charged until it is observed ready and warm."""
 
     lease: Name
     token: Positive
 
 
 class RevokeLease(msgspec.Struct, tag="call-off", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Revoke a lease whose drain has not started; its token is invalid at once."""
+    """Revoke a lease whose drain has not started. Its token becomes invalid immediately."""
 
     lease: Name
 
@@ -140,8 +142,8 @@
 ):
     """Record an observation of converters.
 
-    `sequence` grows with each observation of an observer. `as_of` is the highest log index that the observer had
-    applied before it began, so that what was observed before a lease was released cannot close that lease.
+    `sequence` increases with each observation by the same observer. `as_of` is the highest log index that the observer
+    had applied before it began the observation; an observation that began before a lease was released cannot close it.
     """
 
     observer: Name
@@ -153,15 +155,15 @@
 class RecordCapacityNeeds(
     msgspec.Struct, tag="record-standing", tag_field="type", frozen=True, forbid_unknown_fields=True
 ):
-    """Record what another region reported of itself; of two reports the one with the higher number counts."""
+    """Record the capacity needs that another region reported. A report replaces those with lower numbers."""
 
     region: Name
-    number: Positive  # the peer's log index
+    number: Positive  # log index of the reporting region
     needs: dict[Name, CapacityNeed] = msgspec.field(name="standings")  # by service
 
 
 class DebitTransfer(msgspec.Struct, tag="debit-transfer", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """At the giver: take the amount from its allowance. Only then may the transfer be sent."""
+    """At the giver: subtract the amount from its allowance. The transfer may be sent only once this is committed."""
 
     transfer: Transfer
 
@@ -175,13 +177,13 @@
 class AcknowledgeTransfer(
     msgspec.Struct, tag="acknowledge-transfer", tag_field="type", frozen=True, forbid_unknown_fields=True
 ):
-    """At the giver: stop sending a transfer whose credit the receiver has committed."""
+    """At the giver: stop resending a transfer, because the receiver has committed its credit."""
 
     transfer: Transfer
 
 
 class AdvanceTime(msgspec.Struct, tag="advance-time", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Set the region's time by the leader's clock. Only scheduling uses it; no lease ends by it."""
+    """Advance the region's time to the leader's clock. Only scheduling and deadlines use it; no lease expires by it."""
 
     now_ms: NonNegative
 
@@ -207,14 +209,14 @@
 
 
 def encode(command: Command) -> bytes:
-    """Return the bytes of a command. Raises CommandError where it is too long."""
+    """Encode a command. Raises CommandError if it is too long."""
     data = _encoder.encode(command)
     _check_length(data)
     return data
 
 
 def decode(data: bytes) -> Command:
-    """Return the command in `data`. Raises CommandError."""
+    """Decode a command. Raises CommandError if `data` is too long or not a command."""
     _check_length(data)
     try:
         return _decoder.decode(data)
@@ -223,6 +225,6 @@
 
 
 def _check_length(data: bytes) -> None:
-    """Raise CommandError where a command is too long."""
+    """Raise CommandError if an encoded command is too long."""
     if len(data) > MAX_COMMAND_BYTES:
-        raise CommandError(f"a command of {len(data)} bytes; {MAX_COMMAND_BYTES} are allowed")
+        raise CommandError(f"command has {len(data)} bytes; at most {MAX_COMMAND_BYTES} are allowed")
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -1,7 +1,8 @@
-"""Escrow: what may be out globally, divided into one allowance a region, and how allowances move.
+"""Escrow: divides the capacity that may be unavailable globally into one allowance per region, and moves allowances.
 
-The giver debits before anything is sent, so a transfer in transit is in no region's allowance: the allowances of all
-regions never add up to more than the total, in whatever order, how often or how late messages arrive.
+The giver debits its allowance before it sends a transfer, so a transfer in transit is in no region's allowance. The
+allowances of all regions therefore never add up to more than the total, even if messages are delayed, repeated or
+reordered.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class ReceivedNumbers(msgspec.Struct):
-    """The numbers of the transfers that were credited from one giver: 1 to `up_to`, and those in `above`."""
+    """The numbers of the transfers credited from one giver: 1 to `up_to`, and those in `above`."""
 
     up_to: int = 0
     above: list[int] = []
@@ -34,10 +35,10 @@
 
 
 class Escrow(msgspec.Struct):
-    """One region's side of the escrow.
+    """One region's part of the escrow.
 
-    `allowances` are by service, in thousandths; `last_sent` is the highest number by receiver; `pending` holds the
-    transfers that were debited and not acknowledged, to be sent again; `received` is by giver.
+    `allowances` holds thousandths by service, `last_sent` the highest transfer number by receiver, and `received` the
+    credited transfers by giver. `pending` holds the transfers that are debited but not acknowledged and must be resent.
     """
 
     allowances: dict[str, int]
@@ -50,22 +51,25 @@
         return self.last_sent.get(receiver, 0) + 1
 
     def giver_state(self, transfer: Transfer) -> TransferState:
-        """Return the state of a transfer that this region gives."""
+        """Return the state of a transfer of which this region is the giver."""
         if transfer.number >= self.next_number(transfer.receiver):
             return TransferState.UNKNOWN
         return TransferState.DEBITED if self._pending_match(transfer) else TransferState.ACKNOWLEDGED
 
     def receiver_state(self, transfer: Transfer) -> TransferState:
-        """Return the state of a transfer that this region receives."""
+        """Return the state of a transfer of which this region is the receiver."""
         numbers = self.received.get(transfer.giver)
         credited = numbers is not None and numbers.has(transfer.number)
         return TransferState.CREDITED if credited else TransferState.UNKNOWN
 
     def debit(self, transfer: Transfer, transferable: int) -> str | None:
-        """Take the amount away, once, where `spare` covers it; return the reason where that is rejected."""
+        """Debit a transfer if `transferable` covers its amount. Repeating a debit has no effect.
+
+        Returns the reason if the transfer is rejected, else None.
+        """
         state = self.giver_state(transfer)
         if state is TransferState.DEBITED and self._pending_match(transfer) != transfer:
-            return f"transfer {format_transfer(transfer)} was debited with another content"
+            return f"transfer {format_transfer(transfer)} was debited with different content"
         if state is not TransferState.UNKNOWN:
             return None
         number = self.next_number(transfer.receiver)
@@ -82,23 +86,23 @@
         return None
 
     def credit(self, transfer: Transfer) -> None:
-        """Add the amount."""
+        """Add the amount to the allowance and record the transfer as received."""
         assert RECEIVER_TABLE.next_state(self.receiver_state(transfer), TransferEvent.CREDIT) is TransferState.CREDITED
         self.received.setdefault(transfer.giver, ReceivedNumbers()).add(transfer.number)
         self.allowances[transfer.service] += transfer.amount
 
     def acknowledge(self, transfer: Transfer) -> str | None:
-        """Stop sending the transfer; return the reason where that is rejected."""
+        """Stop resending a transfer. Return the reason if that is rejected, else None."""
         state = self.giver_state(transfer)
         if GIVER_TABLE.next_state(state, TransferEvent.ACKNOWLEDGE) is None:
             return f"transfer {format_transfer(transfer)} was never debited"
         if state is TransferState.DEBITED and self._pending_match(transfer) != transfer:
-            return f"transfer {format_transfer(transfer)} was debited with another content"
+            return f"transfer {format_transfer(transfer)} was debited with different content"
         self.pending = [pending for pending in self.pending if pending != transfer]
         return None
 
     def _pending_match(self, transfer: Transfer) -> Transfer | None:
-        """Return the pending transfer of the same identity."""
+        """Return the pending transfer with the same receiver and number, or None."""
         matches = (
             pending
             for pending in self.pending
@@ -108,7 +112,7 @@
 
 
 class _PeerNeed(NamedTuple):
-    """What one peer needs of one service. Deficits go before shortages, the greater before the smaller."""
+    """The sort key of a peer's need of one service: deficits before shortages, larger amounts first."""
 
     negative_deficit: int
     negative_need: int
@@ -117,17 +121,18 @@
 
 
 def format_transfer(transfer: Transfer) -> str:
-    """Return the identity of a transfer for messages."""
+    """Format the identity of a transfer for messages."""
     return f"{transfer.giver}->{transfer.receiver}#{transfer.number}"
 
 
 def plan_transfers(
     region: str, escrow: Escrow, spare_allowances: Mapping[str, int], peers: Mapping[str, Mapping[str, CapacityNeed]]
 ) -> list[Transfer]:
-    """Return the transfers that this region should debit for the needs of its peers.
+    """Return the transfers that this region should debit to cover the needs of its peers.
 
-    `spare` by service is what its own leases, losses, requests and minimum allowance leave; `peers` is by region and
-    service. A peer with a transfer of a service in transit gets no second one.
+    `spare_allowances` holds, by service, the allowance that is not needed for the region's own leases, losses, requests
+    and minimum allowance. `peers` holds the needs by region and service. A peer gets no further transfer of a service
+    while one is in transit to it.
     """
     transfers = []
     remaining = dict(spare_allowances)
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -1,7 +1,7 @@
-"""Checks the agreement against what happened to converters, independently of ledgers, limits and escrow.
+"""Checks whether the capacity agreement was kept, independently of ledgers, limits and escrow.
 
-For tests, and for experiments that read the converters' own journals. At each change the capacity that is available is
-compared with the agreement, never with what any region recorded. Capacities are in thousandths.
+Used by tests, and by experiments that read the converters' own journals. At each capacity change, the actual available
+capacity is compared with the agreement, not with what any region recorded. Capacities are in thousandths.
 """
 
 from __future__ import annotations
@@ -12,15 +12,16 @@
 
 from ryepier.maintenance.agreement import Agreement, Zone
 
-FULL_SHARE = 1000  # thousandths of a converter
+FULL_SHARE = 1000  # thousandths of a converter's size
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityChange:
-    """From `at_ms` on, `missing` thousandths of a converter are unavailable: `planned`, or by a loss.
+    """A change of how much of a converter is unavailable, through a planned outage or a loss.
 
-    A planned outage lasts from the grant or the drain until the converter is warm; the converter counts as wholly
-    missing for as long as anything of it is. A loss counts by what is missing.
+    From `at_ms` on, `missing` thousandths of the converter's size are unavailable. A planned outage lasts from the
+    grant or the drain until the converter is warm, and the whole converter counts as missing while `missing` is above
+    0. A loss counts only with the missing share.
     """
 
     at_ms: int
@@ -31,16 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A moment at which less than agreed was available; `region` is empty where it is the global amount."""
+    """A moment at which less than the agreed capacity was available. `region` is empty for the global minimum."""
 
     at_ms: int
     service: str
     region: str
-    available: int  # after the loss of the largest zone where that must be tolerated
+    available: int  # less the largest zone if its loss must be tolerated
     min_available: int
 
     def __str__(self) -> str:
-        """Return one line."""
+        """Describe the breach in one line."""
         where = f" in {self.region}" if self.region else ""
         amounts = f"{self.available} available, {self.min_available} agreed (thousandths)"
         return f"{self.at_ms} ms: {self.service}{where}: {amounts}"
@@ -48,30 +49,30 @@
 
 @dataclass(frozen=True, slots=True)
 class _Loss:
-    """What is missing of a converter, and since when."""
+    """The share of a converter that is lost, in thousandths, and the time since which it has been unavailable."""
 
     missing: int
     since_ms: int
 
 
 class _ChangeKey(NamedTuple):
-    """Orders changes by time; within a millisecond, those that return capacity go first."""
+    """The sort key of a change: by time and, within a millisecond, changes that return capacity first."""
 
     at_ms: int
     reduces_capacity: bool
 
 
 class AgreementChecker:
-    """Takes the changes in the order of time and returns the breaches."""
+    """Processes capacity changes in the order of time and returns the breaches they cause."""
 
     def __init__(self, agreement: Agreement) -> None:
-        """Begin with all converters available."""
+        """Start with all converters of the agreement available."""
         self.agreement = agreement
         self._planned_outages: set[str] = set()
         self._losses: dict[str, _Loss] = {}
 
     def apply(self, change: CapacityChange) -> list[Breach]:
-        """Record a change; return where planned outages alone now exceed what the agreement allows."""
+        """Record a change; return the breaches if planned outages alone now exceed what the agreement allows."""
         self._record(change)
         if not (change.planned and change.missing):
             return []
@@ -80,9 +81,9 @@
     def check_grant(
         self, change: CapacityChange, detection_delay_ms: int, *, include_global: bool = True
     ) -> list[Breach]:
-        """Record a planned outage, and return where it exceeds what losses and the agreement allow.
+        """Record the start of a planned outage, and return the breaches that it causes together with the known losses.
 
-        Losses count once they have lasted for `known_after_ms`. The change must not have been recorded before.
+        A loss is known once it has lasted for `detection_delay_ms`. The change must not have been recorded before.
         """
         lost = {
             name: loss.missing
@@ -93,7 +94,7 @@
         return [breach for breach in self._check(change, lost) if include_global or breach.region]
 
     def _record(self, change: CapacityChange) -> None:
-        """Record what is missing from now on."""
+        """Update the planned outages or the losses."""
         if change.planned:
             self._planned_outages.discard(change.converter)
             if change.missing:
@@ -107,7 +108,7 @@
             self._losses.pop(change.converter, None)
 
     def _check(self, change: CapacityChange, lost: dict[str, int]) -> list[Breach]:
-        """Compare what is available of the changed service with both of its minimums."""
+        """Compare the available capacity of the changed converter's service with its global and regional minimums."""
         converter = self.agreement.converters[change.converter]
         service = self.agreement.services[converter.service]
         region = converter.region
@@ -130,7 +131,10 @@
         return [breach for breach in breaches if breach.available < breach.min_available]
 
     def _available_capacity(self, service: str, region: str | None, lost: dict[str, int]) -> int:
-        """Return what is available of a service, in one region or in all."""
+        """Return the available capacity of a service, in one region or in all.
+
+        The largest zone is subtracted if its loss must be tolerated.
+        """
         zones: dict[Zone, int] = {}
         for converter in self.agreement.converters_of(service, region):
             present_share = 0 if converter.name in self._planned_outages else FULL_SHARE - lost.get(converter.name, 0)
@@ -143,7 +147,7 @@
 
 
 def find_breaches(agreement: Agreement, changes: Iterable[CapacityChange]) -> Iterator[Breach]:
-    """Yield every moment at which planned outages exceeded what the agreement allows."""
+    """Yield every breach of the agreement by planned outages alone, in the order of time."""
     checker = AgreementChecker(agreement)
     for change in sorted(changes, key=_sort_key):
         yield from checker.apply(change)
@@ -152,7 +156,10 @@
 def find_grants_during_shortage(
     agreement: Agreement, changes: Iterable[CapacityChange], detection_delay_ms: int
 ) -> Iterator[Breach]:
-    """Yield every planned outage that began while it breached the agreement together with the known losses."""
+    """Yield every breach caused by starting a planned outage while known losses left too little capacity for it.
+
+    A loss is known once it has lasted for `detection_delay_ms`.
+    """
     checker = AgreementChecker(agreement)
     for change in sorted(changes, key=_sort_key):
         if change.planned and change.missing:
@@ -162,5 +169,5 @@
 
 
 def _sort_key(change: CapacityChange) -> _ChangeKey:
-    """Return the sort key of a change."""
+    """Return the key that sorts changes by time."""
     return _ChangeKey(change.at_ms, change.missing > 0)
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -1,4 +1,4 @@
-"""Commands on leases: grant, take over, start a drain, release, revoke."""
+"""Applies the commands on leases: grant, take over, start a drain, release, revoke."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class LeaseCommands:
-    """Applies the commands that grant leases and change them, along the table `LEASES`."""
+    """Applies the commands that grant and change leases. State transitions follow `LEASE_TABLE`."""
 
     def __init__(self, context: LedgerContext) -> None:
-        """Apply commands to the state in `context`."""
+        """Apply commands to the ledger state in `context`."""
         self.context = context
         self.state = context.state
 
     def grant(self, command: GrantLease) -> Result:
-        """Grant a lease where the request is open and every limit holds with its converters out of service."""
+        """Grant a lease if the request is open and every limit holds with the lease's converters out of service."""
         existing = self.state.leases.get(command.lease)
         if existing is not None:
             return self._repeat_grant(existing, command)
@@ -48,38 +48,41 @@
         return _granted(lease)
 
     def _repeat_grant(self, lease: Lease, command: GrantLease) -> Result:
-        """Repeat the grant of an open lease to the agent that has it."""
+        """Answer a repeated grant: return the same lease if it is still granted or draining."""
         same_holder = (lease.request, lease.agent) == (command.request, command.agent)
         if not same_holder or lease.converters != command.converters:
-            return Rejected(f"lease {lease.name!r} is there with other content")
+            return Rejected(f"lease {lease.name!r} already exists with different content")
         if lease.state not in (LeaseState.GRANTED, LeaseState.DRAINING):
             return Rejected(f"lease {lease.name!r} is {lease.state}")
         return _granted(lease)
 
     def _grant_rejection(self, command: GrantLease) -> str | None:
-        """Return why a new lease cannot be granted, in one line; None where it can."""
+        """Return why a new lease cannot be granted, in one line, or None if it can."""
         record = self.state.requests.get(command.request)
         if record is None or record.cancelled:
             return f"request {command.request!r} is not open"
         if command.lease in record.leases:
-            return "it is closed"
+            return "it has been closed"
         if not command.converters or len(set(command.converters)) < len(command.converters):
-            return "names no converter, or one twice"
+            return "no converter is named, or one is named twice"
         leased_names = self.context.view.leased_converters()
         for name in command.converters:
             if name not in record.remaining():
-                return f"converter {name!r} is not to be done for request {command.request!r}"
+                return f"converter {name!r} is not pending in request {command.request!r}"
             if name in leased_names:
-                return f"converter {name!r} is out already"
+                return f"converter {name!r} is already out of service"
         request = record.request
         outages = sum(len(lease.unavailable) for lease in self.context.leases_of(request.name))
         outages += len(command.converters)
         if outages > request.max_unavailable:
-            return f"{outages} converters of request {request.name!r} would be out and {request.max_unavailable} may be"
+            return (
+                f"{outages} converters of request {request.name!r} would be out; "
+                f"at most {request.max_unavailable} may be"
+            )
         return self.context.view.first_exceeded_limit(request.service, leased_names | set(command.converters))
 
     def change_lease(self, command: LeaseCommand) -> Result:
-        """Apply a command to an open lease. A command under an earlier fencing token is rejected."""
+        """Apply a command to an open lease. Commands with an outdated fencing token are rejected."""
         lease = self.state.leases.get(command.lease)
         if lease is None:
             return Rejected(f"lease {command.lease!r} is not open")
@@ -90,7 +93,7 @@
         event = LEASE_EVENTS[type(command)]
         next_state = LEASE_TABLE.next_state(lease.state, event)
         if next_state is None:
-            return Rejected(f"lease {lease.name!r} is {lease.state}: no {event}")
+            return Rejected(f"lease {lease.name!r} is {lease.state}; event not allowed: {event}")
         match command:
             case TakeOverLease():
                 return self._take_over(lease, command.agent)
@@ -113,10 +116,10 @@
 
 
 def _is_repeated_take_over(command: LeaseCommand, lease: Lease) -> bool:
-    """Return whether a command is the take-over by which the lease came to its present agent."""
+    """Return whether a command repeats the take-over that gave the lease to its current agent."""
     return isinstance(command, TakeOverLease) and command.agent == lease.agent and command.token == lease.previous_token
 
 
 def _granted(lease: Lease) -> Granted:
-    """Return the result by which an agent receives its lease."""
+    """Return the result that tells an agent about its lease."""
     return Granted(lease.name, lease.agent, lease.token, lease.converters)
--- a/ryepier/maintenance/ledger.py
+++ b/ryepier/maintenance/ledger.py
@@ -1,8 +1,9 @@
-"""One region's ledger: the state machine that the region's replicas apply their log of commands to.
+"""One region's ledger: the state machine to which the region's replicas apply their replicated log of commands.
 
-Invariant: at no moment do leases have more of a service's capacity out than the agreement allows, globally and in the
-region. Capacity is out from the grant of a lease until its converter has been observed ready and warm again.
-Deterministic: the same commands at the same indexes give the same state and results on every replica.
+Invariant: leases never take more of a service's capacity out of service than the agreement allows, globally or in the
+region. Capacity counts as out of service from the grant of a lease until the converter is observed ready and warm
+again. The ledger is deterministic: the same commands at the same indexes give the same state and results on every
+replica.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 class Ledger:
-    """The state of one region; `apply` is the only way to change it. Only the event loop's thread may call a ledger."""
+    """The maintenance state of one region, changed only by `apply`. Not thread-safe: use it on the event loop only."""
 
     view_type: ClassVar[type[CapacityView]] = CapacityView
     request_commands_type: ClassVar[type[RequestCommands]] = RequestCommands
@@ -51,14 +52,14 @@
     transfer_commands_type: ClassVar[type[TransferCommands]] = TransferCommands
 
     def __init__(self, agreement: Agreement, region: str) -> None:
-        """Begin without leases and requests. Raises KeyError where the agreement has no such region."""
+        """Start with the initial allowances and no leases or requests. Raises KeyError if the region is unknown."""
         if region not in agreement.regions:
             raise KeyError(region)
         allowances = {service.name: service.allowances.get(region, 0) for service in agreement.services.values()}
         self._attach(agreement, LedgerState(region, agreement.digest, Escrow(allowances)))
 
     def _attach(self, agreement: Agreement, ledger_state: LedgerState) -> None:
-        """Work on a state, with handlers of its own."""
+        """Use `ledger_state` as the state, with new command handlers."""
         self.agreement = agreement
         self.region = ledger_state.region
         self.state = ledger_state
@@ -71,17 +72,17 @@
 
     @classmethod
     def restore(cls, agreement: Agreement, region: str, snapshot: bytes) -> Ledger:
-        """Return the ledger that a snapshot was taken of. Raises state.SnapshotError."""
+        """Restore a ledger from a snapshot. Raises state.SnapshotError."""
         ledger = cls(agreement, region)
         ledger._attach(agreement, state.decode(snapshot, region, agreement.digest))
         return ledger
 
     def snapshot(self) -> bytes:
-        """Return the whole state; the bytes are equal on replicas that have applied the same commands."""
+        """Encode the whole state. Replicas that have applied the same commands return equal bytes."""
         return state.encode(self.state)
 
     def apply(self, index: int, command: Command) -> Result:
-        """Apply the command at a log index. An index that was applied before changes nothing."""
+        """Apply the command at a log index. An index that has already been applied changes nothing."""
         if index <= self.state.applied:
             return AlreadyApplied(index)
         self.state.applied = index
@@ -114,48 +115,48 @@
 
     @property
     def now_ms(self) -> int:
-        """The region's time, for scheduling only."""
+        """The region's time in milliseconds, for scheduling only."""
         return self.state.now_ms
 
     def capacity(self, service: str) -> Capacity:
-        """Return how much of a service is available, out and lost here. Raises KeyError."""
+        """Return the available, unavailable and lost capacity of a service here. Raises KeyError if it is unknown."""
         return self.view.capacity(service)
 
     def limits(self, service: str) -> tuple[Limit, ...]:
-        """Return what bounds the capacity out or lost here at present. Raises KeyError."""
+        """Return the current limits on a service's unavailable capacity here. Raises KeyError if it is unknown."""
         return self.view.limits(service)
 
     def charge(self, limit: Limit) -> int:
-        """Return what is charged against a limit at present."""
+        """Return the capacity currently charged against a limit."""
         return self.view.charge(limit, self.view.leased_converters())
 
     def is_below_agreement(self, service: str) -> bool:
-        """Return whether less capacity is available than agreed, as far as this region knows."""
+        """Return whether, as far as this region knows, less than the agreed capacity is available."""
         return self._context.is_below_agreement(service)
 
     def open_leases(self) -> list[Lease]:
-        """Return all leases that still have a converter out, oldest first. The caller must not change them."""
+        """Return all leases with a converter still out of service, oldest first. The caller must not modify them."""
         return list(self.state.leases.values())
 
     def open_requests(self) -> list[RequestRecord]:
-        """Return all requests that may get leases, oldest first. The caller must not change them."""
+        """Return all requests that can still get leases, oldest first. The caller must not modify them."""
         return self.state.open_requests()
 
     def fencing_token(self, converter: str) -> int:
-        """Return the token under which a converter may be taken down; 0 where there is none."""
+        """Return the fencing token under which a converter may be taken down, or 0 if none is valid."""
         for lease in self.state.leases.values():
             if converter in lease.unavailable and lease.state in (LeaseState.GRANTED, LeaseState.DRAINING):
                 return lease.token
         return 0
 
     def pending_transfers(self) -> list[Transfer]:
-        """Return the transfers to send, again and again, until each is acknowledged."""
+        """Return the transfers to send repeatedly until each is acknowledged."""
         return list(self.state.escrow.pending)
 
     def transfers_due(self) -> list[Transfer]:
-        """Return the transfers that this region should debit for the needs that its peers reported."""
+        """Return the transfers that this region should debit to cover the needs reported by its peers."""
         return self._transfer_commands.due_transfers()
 
     def capacity_needs(self) -> dict[str, CapacityNeed]:
-        """Return what to report to the other regions, by service, under the number `applied`."""
+        """Return the needs to report to the other regions, by service. The report's number is `applied`."""
         return {service: self._transfer_commands.capacity_need(service) for service in self.agreement.services}
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -1,4 +1,4 @@
-"""What the handlers of a ledger's commands share: the state, its view, and the changes that end leases and requests."""
+"""State shared by a ledger's command handlers, and the state changes that end leases and requests."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from ryepier.maintenance.state import Lease, LedgerState, RequestRecord
 from ryepier.maintenance.tables import LeaseState
 
-MAX_COMPLETED_REQUESTS = 10_000  # kept so that a repeated submission is recognized
+MAX_COMPLETED_REQUESTS = 10_000  # kept to recognize repeated submissions
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerContext:
-    """One region's agreement, state and capacity view. Only `Ledger.apply` leads to methods that change state."""
+    """One region's agreement, state and capacity view. Methods that change the state run only within `Ledger.apply`."""
 
     agreement: Agreement
     region: str
@@ -26,26 +26,29 @@
         return [lease for lease in self.state.leases.values() if lease.request == request]
 
     def is_below_agreement(self, service: str) -> bool:
-        """Return whether less capacity is available than agreed, as far as this region knows."""
+        """Return whether, as far as this region knows, less than the agreed capacity is available."""
         return self.view.first_exceeded_limit(service, self.view.leased_converters()) is not None
 
     def next_token(self) -> int:
-        """Issue a fencing token, higher than every one before it."""
+        """Issue a fencing token, higher than all tokens before it."""
         self.state.last_token += 1
         return self.state.last_token
 
     def end_agent_hold(self, lease: Lease, next_state: LeaseState) -> None:
-        """End the agent's right to take converters down; only later observations can then close the lease."""
+        """End the agent's right to take converters down.
+
+        Only observations that begin after this point can then close the lease.
+        """
         if lease.state is not next_state:
             lease.released_index = self.state.applied
         lease.state = next_state
 
     def revoke(self, lease: Lease) -> None:
-        """Revoke a lease whose drain has not started."""
+        """Revoke a lease; its drain must not have started."""
         self.end_agent_hold(lease, LeaseState.REVOKED)
 
     def revoke_leases_below_agreement(self) -> tuple[str, ...]:
-        """Revoke every lease that has not started its drain, of services below the agreement; return their names."""
+        """Revoke all leases without a started drain of services below the agreed capacity; return the leases' names."""
         revoked = []
         for service in self.agreement.services:
             granted = self._granted_leases(service)
@@ -56,7 +59,7 @@
         return tuple(revoked)
 
     def _granted_leases(self, service: str) -> list[Lease]:
-        """Return the leases of a service whose drain has not started."""
+        """Return the leases on a service's converters whose drain has not started."""
         return [
             lease
             for lease in self.state.leases.values()
@@ -64,15 +67,16 @@
         ]
 
     def close(self, lease: Lease) -> None:
-        """Close a lease; its converters are charged no longer."""
+        """Close a lease, so that its converters are no longer charged."""
         lease.state = LeaseState.CLOSED
         del self.state.leases[lease.name]
         self.complete_if_finished(self.state.requests[lease.request])
 
     def complete_if_finished(self, record: RequestRecord, *, missed: bool = False) -> bool:
-        """Move a request to the completed ones when nothing is left to do for it, and return whether that was so.
+        """Move a request to the completed requests if it has no open lease and needs none; return whether it was moved.
 
-        `missed`: its deadline has passed.
+        A request needs no further lease if it is cancelled, all its converters are done, or its deadline has passed
+        (`missed`).
         """
         name = record.request.name
         if self.leases_of(name) or not (record.cancelled or missed or not record.remaining()):
--- a/ryepier/maintenance/limits.py
+++ b/ryepier/maintenance/limits.py
@@ -1,7 +1,7 @@
-"""The limits on capacity that a region may have out, shared by ledger and scheduler.
+"""The limits on the capacity that a region may have out of service, shared by ledger and scheduler.
 
-Each limit bounds a sum over the region's converters of one service. Where the loss of a zone must be tolerated there is
-one limit for each zone: what is out of all other zones has to leave the minimum without that zone.
+Each limit bounds the unavailable capacity summed over the region's converters of one service. If the loss of a zone
+must be tolerated, there is one limit per zone: the other zones alone must still provide the region's minimum.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """The capacity of `service` out or lost, but for converters in `excluded_zone`, is at most `bound`."""
+    """An upper bound on the unavailable or lost capacity of a service, not counting converters in `excluded_zone`."""
 
     name: str
     service: str
-    bound: int  # thousandths; below zero where more is lost elsewhere than this region may take out
+    bound: int  # thousandths; negative if other regions have lost more than this region may take out
     excluded_zone: str | None = None
 
     def applies_to(self, converter: Converter) -> bool:
@@ -26,15 +26,15 @@
 
 
 def allowance_limit(service: str, region: str, bound: int) -> Limit:
-    """Return the limit on the region's part of what may be out globally."""
+    """Return the limit set by the region's allowance, its part of the capacity that may be unavailable globally."""
     return Limit(f"the allowance of {region!r} for {service!r}", service, bound)
 
 
 def region_limits(agreement: Agreement, region: str, service: str) -> tuple[Limit, ...]:
-    """Return the limits that the region's own minimum sets."""
+    """Return the limits set by the region's own minimum: one, or one per zone if a zone loss must be tolerated."""
     terms = agreement.services[service]
     max_unavailable = agreement.capacity(service, region) - terms.min_available_by_region.get(region, 0)
-    name = f"the least capacity of {service!r} in {region!r}"
+    name = f"the minimum capacity of {service!r} in {region!r}"
     if not terms.tolerates_zone_loss:
         return (Limit(name, service, max_unavailable),)
     zones = agreement.zone_capacities(service, region)
--- a/ryepier/maintenance/observation_commands.py
+++ b/ryepier/maintenance/observation_commands.py
@@ -1,4 +1,4 @@
-"""Commands that record what is observed: the region's own converters, and the needs that other regions report."""
+"""Applies the commands that record observations of the region's converters and the needs of other regions."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 
 
 class ObservationCommands:
-    """Applies observations; they alone close leases."""
+    """Applies observations and reports of needs. Leases are closed only by observations."""
 
     def __init__(self, context: LedgerContext) -> None:
-        """Apply commands to the state in `context`."""
+        """Apply commands to the ledger state in `context`."""
         self.context = context
         self.state = context.state
 
     def record_observation(self, command: RecordObservation) -> Result:
-        """Record an observation, close leases whose converters have recovered, and revoke leases where too much is
-        lost. An observation that began before a lease was released does not close it."""
+        """Record an observation; close leases whose converters have recovered; revoke leases if too much is lost.
+
+        An observation that began before a lease was released does not close that lease.
+        """
         reason = self._observation_rejection(command)
         if reason:
             return Rejected(f"observation {command.sequence} of {command.observer!r}: {reason}")
@@ -34,20 +36,20 @@
         return Observed(tuple(closed), self.context.revoke_leases_below_agreement())
 
     def _observation_rejection(self, command: RecordObservation) -> str | None:
-        """Return why an observation cannot be recorded, in one line; None where it can."""
+        """Return why an observation cannot be recorded, in one line, or None if it can."""
         last_sequence = self.state.observers.get(command.observer, 0)
         if command.sequence <= last_sequence:
             return f"{last_sequence} was recorded before"
         if command.as_of >= self.state.applied:
-            return f"it says that it came after log index {command.as_of}, which was not there"
+            return f"it refers to log index {command.as_of}, which has not been applied"
         for observation in command.observations:
             converter = self.context.agreement.converters.get(observation.converter)
             if converter is None or converter.region != self.context.region:
-                return f"converter {observation.converter!r} is none of region {self.context.region!r}"
+                return f"converter {observation.converter!r} does not belong to region {self.context.region!r}"
         return None
 
     def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
-        """Take a converter that was observed ready and warm out of its lease; return the names of leases it closes."""
+        """Remove a converter that was observed ready and warm from its lease; return the names of closed leases."""
         closed = []
         for lease in list(self.state.leases.values()):
             next_state = LEASE_TABLE.next_state(lease.state, LeaseEvent.ALL_RECOVERED)
@@ -61,15 +63,15 @@
         return closed
 
     def _return_converter(self, lease: Lease, converter: str) -> None:
-        """Charge a converter to its lease no longer; it counts as maintained unless the lease was revoked."""
+        """Stop charging a converter to its lease, and count it as done for the request unless the lease was revoked."""
         lease.unavailable.remove(converter)
         if lease.state is LeaseState.RETURNING:
             self.state.requests[lease.request].done.append(converter)
 
     def record_needs(self, command: RecordCapacityNeeds) -> Result:
-        """Record what another region needs; an older report is rejected."""
+        """Record the needs that another region reported, unless a newer or equal report has been recorded."""
         if command.region == self.context.region or command.region not in self.context.agreement.regions:
-            return Rejected(f"standing of {command.region!r}: it is no other region")
+            return Rejected(f"standing of {command.region!r}: not another region of the agreement")
         unknown = sorted(set(command.needs) - set(self.context.agreement.services))
         if unknown:
             return Rejected(f"standing of {command.region!r}: unknown service {unknown[0]!r}")
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -1,7 +1,7 @@
-"""One plan: converters placed one by one at the earliest time at which every limit holds until they are warm again.
+"""Places the converters of requests, one by one, at the earliest time at which every limit holds until they are warm.
 
-A later request may take a gap that earlier ones left, and never moves them. What was about to start by the last
-schedule is placed first, as it was. Times in milliseconds, capacities in thousandths.
+A later request may fill a gap between earlier requests but never moves them. Windows of the previous schedule that are
+about to start are placed first, at the same time as before. Times are in milliseconds, capacities in thousandths.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from ryepier.maintenance.profile import UsageProfile
 from ryepier.maintenance.schedule import DelayedRequest, Schedule, UnplacedRequest
 
-FREEZE_MS = 30_000  # windows that start sooner are not moved by new requests
+FREEZE_MS = 30_000  # new requests do not move windows that start within this time
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The time for which a window or a lease has one converter out."""
+    """The interval in which a window or a lease has one converter out of service."""
 
-    holder: str
+    holder: str  # "window REQUEST" or "lease NAME", for messages
     request: str
     converter: Converter
     start_ms: int
@@ -32,24 +32,27 @@
 
 
 class Score(NamedTuple):
-    """The value of an attempt: the work that fits, by priority from the most urgent on; then earlier ends."""
+    """The score of a placement attempt; greater is better.
+
+    Compares the placed work by priority, most urgent first, then the negated sum of the end times.
+    """
 
     work: tuple[int, ...]
     negative_ends_ms: int
 
 
 class _GapSearch(NamedTuple):
-    """A profile, and the level that it may have while a converter is out."""
+    """A usage profile, and the highest level it may have when a converter is added to it."""
 
     profile: UsageProfile
     max_level: int
 
 
 class PlacementAttempt:
-    """One pass over the requests in one order."""
+    """The result of placing all requests once, in a given order."""
 
     def __init__(self, problem: SchedulingProblem, order: list[Job]) -> None:
-        """Place all requests."""
+        """Place the requests of `problem` in `order`, after its active leases and frozen windows."""
         self.problem = problem
         self.order = order
         self.unplaced_requests: list[UnplacedRequest] = []
@@ -68,11 +71,11 @@
         return next(job for job in self.order if job.request.name == name)
 
     def unplaced_names(self) -> list[str]:
-        """Return the names of the requests that do not fit."""
+        """Return the names of the requests that could not be placed."""
         return [unplaced.request for unplaced in self.unplaced_requests]
 
     def score(self) -> Score:
-        """Return the value by which attempts are compared."""
+        """Return the score by which attempts are compared."""
         unplaced = set(self.unplaced_names())
         work = [0] * len(Priority)
         for job in self.order:
@@ -82,7 +85,7 @@
         return Score(tuple(work), -ends_ms)
 
     def schedule(self) -> Schedule:
-        """Return the attempt as a plan, in the order of starts."""
+        """Return the schedule of this attempt, with its windows in the order of their start times."""
         windows = []
         for request, placements in self._by_request.items():
             times = sorted({(placement.start_ms, placement.end_ms) for placement in placements})
@@ -93,7 +96,7 @@
         return Schedule(tuple(windows), tuple(self.delayed_requests), tuple(self.unplaced_requests))
 
     def _lost_capacity(self, limit: Limit) -> int:
-        """Return the losses that are charged to a limit."""
+        """Return the lost capacity that is charged to a limit."""
         return sum(lost for name, lost in self.problem.lost.items() if limit.applies_to(self.problem.converters[name]))
 
     def _limits_of(self, converter: Converter) -> list[Limit]:
@@ -101,27 +104,27 @@
         return [limit for limit in self.problem.limits if limit.applies_to(converter)]
 
     def _added_charge(self, converter: Converter) -> int:
-        """Return what taking a converter out adds to the charge: less than its size where a part of it is lost."""
+        """Return the charge that taking a converter out adds: its size less the part that is already lost."""
         return converter.size - self.problem.lost.get(converter.name, 0)
 
     def _charge_active_leases(self) -> None:
-        """Charge what open leases have out."""
+        """Charge the converters that open leases have out of service."""
         for lease in self.problem.active_leases:
             for converter in lease.converters:
                 self._add_placement(Placement(f"lease {lease.lease}", lease.request, converter, 0, lease.until_ms))
 
     def _add_placement(self, placement: Placement) -> None:
-        """Charge a converter's time to its limits and its request."""
+        """Add a placement, and charge it to its limits and its request."""
         self._change_usage(placement, 1)
         self._placements.append(placement)
 
     def _remove_placement(self, placement: Placement) -> None:
-        """Take a charge back."""
+        """Remove a placement and its charges."""
         self._change_usage(placement, -1)
         self._placements.remove(placement)
 
     def _change_usage(self, placement: Placement, sign: int) -> None:
-        """Add a placement to the profiles, or remove it with sign -1."""
+        """Add a placement to the usage profiles, or remove it if `sign` is -1."""
         amount = sign * self._added_charge(placement.converter)
         for limit in self._limits_of(placement.converter):
             self._usage[limit].add(placement.start_ms, placement.end_ms, amount)
@@ -129,7 +132,10 @@
             self._concurrent_outages[placement.request].add(placement.start_ms, placement.end_ms, sign)
 
     def _place_frozen(self) -> dict[str, list[Placement]]:
-        """Place what is about to start as it was, where it still fits; return it by request."""
+        """Place windows of the previous schedule that are about to start unchanged, as far as they still fit.
+
+        Returns the placements by request.
+        """
         frozen: dict[str, list[Placement]] = {}
         jobs = {job.request.name: job for job in self.order}
         frozen_until_ms = self.problem.now_ms + FREEZE_MS
@@ -143,18 +149,18 @@
         return frozen
 
     def _fits_at(self, job: Job, converter: Converter, start_ms: int) -> bool:
-        """Return whether a converter can go out at a time."""
+        """Return whether a converter can be taken out of service at a time."""
         return self._earliest_start_ms(job, converter, start_ms) == start_ms
 
     def _place(self, job: Job, converter: Converter, start_ms: int) -> Placement:
-        """Place a converter at a time."""
+        """Place a converter from `start_ms` until the job's length has passed, and return the placement."""
         name = job.request.name
         placement = Placement(f"window {name}", name, converter, start_ms, start_ms + job.length_ms)
         self._add_placement(placement)
         return placement
 
     def _place_job(self, job: Job, frozen: Iterable[Placement]) -> None:
-        """Place all of a request, or note it as unplaced and leave only what is frozen."""
+        """Place all converters of a request, or record it as unplaced and keep only its frozen placements."""
         frozen_placements = list(frozen)
         placements = list(frozen_placements)
         frozen_names = {placement.converter.name for placement in placements}
@@ -182,14 +188,17 @@
             self.delayed_requests.append(delayed)
 
     def _mark_unplaced(self, unplaced: UnplacedRequest, placements: list[Placement], frozen: list[Placement]) -> None:
-        """Note a request as unplaced and undo its placements but for the frozen ones, which come first."""
+        """Record a request as unplaced; remove its placements except the frozen ones, which come first in the list."""
         self.unplaced_requests.append(unplaced)
         for placement in placements[len(frozen) :]:
             self._remove_placement(placement)
         self._by_request[unplaced.request] = frozen
 
     def _earliest_start_ms(self, job: Job, converter: Converter, from_ms: int) -> int | None:
-        """Return the first time from which every limit holds until a converter has recovered; None: there is none."""
+        """Return the first time, from `from_ms` on, from which every limit holds until the converter has recovered.
+
+        Returns None if there is no such time.
+        """
         gap_searches = [
             _GapSearch(self._usage[limit], limit.bound - self._added_charge(converter))
             for limit in self._limits_of(converter)
@@ -207,7 +216,7 @@
                 return start_ms
 
     def _describe_exceeded_limit(self, job: Job, converter: Converter) -> UnplacedRequest:
-        """Describe the limit that a converter exceeds whatever else is out."""
+        """Describe the limit that a converter exceeds even if no other converter is out of service."""
         excesses = {
             limit: self._lost_capacity(limit) + self._added_charge(converter) - limit.bound
             for limit in self._limits_of(converter)
@@ -215,17 +224,17 @@
         limit = max(excesses, key=lambda candidate: excesses[candidate])
         excess = excesses[limit]
         lost = self._lost_capacity(limit)
-        condition = f"while {format_capacity(lost)} is lost" if lost else "with nothing else out"
-        reason = f"{limit.name}: taking {converter.name!r} out is {format_capacity(excess)} too much, {condition}"
+        condition = f"while {format_capacity(lost)} is lost" if lost else "with nothing else out of service"
+        reason = f"{limit.name}: taking {converter.name!r} out exceeds it by {format_capacity(excess)} {condition}"
         return UnplacedRequest(job.request.name, 0, excess, reason)
 
     def _describe_missed_deadline(self, job: Job, late_ms: int, delayed: DelayedRequest | None) -> UnplacedRequest:
-        """Describe by how much a request would miss its deadline, and why."""
+        """Describe by how much a request would miss its deadline, and what delays it."""
         cause = f"; {delayed.reason}" if delayed else ""
         return UnplacedRequest(job.request.name, late_ms, 0, f"would end {late_ms} ms after its deadline{cause}")
 
     def _describe_delay(self, job: Job, converter: Converter, desired_ms: int, start_ms: int) -> DelayedRequest:
-        """Describe the limit that keeps a converter in at the time it was asked for, and what blocks it."""
+        """Describe the limit that prevents a converter from starting at its desired time, and what uses it up."""
         limit = self._first_blocking_limit(job, converter, desired_ms)
         overlapping = [
             placement
@@ -243,7 +252,7 @@
         return DelayedRequest(job.request.name, limit_name, blocked_by, reason)
 
     def _first_blocking_limit(self, job: Job, converter: Converter, at_ms: int) -> Limit | None:
-        """Return the first limit under which a converter cannot go out at a time."""
+        """Return the first limit that prevents a converter from being taken out at a time, or None."""
         for limit in self._limits_of(converter):
             max_level = limit.bound - self._added_charge(converter)
             if self._usage[limit].earliest_gap(at_ms, job.length_ms, max_level) != at_ms:
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -1,4 +1,4 @@
-"""What the leader derives from its ledger: the schedule, the next due window, and which observations to record."""
+"""Derives the leader's decisions from its ledger: the schedule, the next due window, the observations to record."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class Planner:
-    """The schedule of a ledger, computed again once it has changed. Only the event loop's thread may call it."""
+    """Caches the schedule of a ledger until the ledger changes. Not thread-safe: use it on the event loop only."""
 
     def __init__(self, ledger: Ledger, freeze_ms: int = FREEZE_MS) -> None:
-        """Read from `ledger`, which goes on changing; planned windows that start within `freeze_ms` are not moved."""
+        """Start with an empty schedule for `ledger`. Planned windows that start within `freeze_ms` are not moved."""
         self.ledger = ledger
         self.freeze_ms = freeze_ms
         self.schedule = Schedule()
         self.scheduled_index = NOT_SCHEDULED
 
     def current_schedule(self) -> Schedule:
-        """Return the schedule as of the last command."""
+        """Return the schedule as of the last applied command."""
         if self.scheduled_index != self.ledger.applied:
             self.scheduled_index = self.ledger.applied
             frozen_until_ms = self.ledger.now_ms + self.freeze_ms
@@ -38,22 +38,24 @@
         return self.schedule
 
     def due_window(self) -> Window | None:
-        """Return a window that may start now."""
+        """Return the first window whose start time has come, or None."""
         windows = self.current_schedule().windows
         return next((window for window in windows if window.start_ms <= self.ledger.now_ms), None)
 
     def observation_command(self, observer: str, as_of: int, probes: Iterable[WarmthProbe]) -> RecordObservation | None:
-        """Return the command for the probes that differ from the ledger or may close a lease; None without any."""
+        """Return the command that records the probes which differ from the ledger or may close a lease, or None."""
         observations = tuple(probe.observation for probe in probes if self._is_reportable(probe))
         if not observations:
             return None
         return RecordObservation(observer, as_of + 1, as_of, observations)
 
     def converters_to_restart(self, probes: Iterable[WarmthProbe]) -> list[str]:
-        """Return converters whose maintenance is done, but whose incarnation seems to be the one from before it.
+        """Return the released converters whose incarnation appears to be older than their lease.
 
-        Either the listing is late, or this observer has not known the region's time for long. Both are over once the
-        incarnation has been listed for a whole warm-up from now on.
+        The caller restarts the tracking of their warm-up.
+
+        Either the listing is outdated, or this observer has known the region's time only briefly. Once the incarnation
+        has been listed for another full warm-up time, neither is possible any more.
         """
         names = []
         for probe in probes:
@@ -65,7 +67,7 @@
         return names
 
     def _is_reportable(self, probe: WarmthProbe) -> bool:
-        """Return whether a probe has to be recorded."""
+        """Return whether a probe has to be recorded in the log."""
         observation = probe.observation
         lease = self._open_lease_of(observation.converter)
         if lease is not None and observation.ready:
@@ -79,6 +81,6 @@
         return (observed.ready, observed.warmth) != (observation.ready, observation.warmth)
 
     def _open_lease_of(self, converter: str) -> Lease | None:
-        """Return the open lease that has a converter out."""
+        """Return the open lease that has a converter out of service, or None."""
         leases = self.ledger.state.leases.values()
         return next((lease for lease in leases if converter in lease.unavailable), None)
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -12,13 +12,13 @@
 from ryepier.maintenance.state import Lease
 from ryepier.maintenance.tables import LeaseState
 
-AGING_INTERVAL_MS = 600_000  # a request that could have started rises one priority for each of these
-MIN_REMAINING_LEASE_MS = 1_000  # how long an overdue lease is assumed to go on
+AGING_INTERVAL_MS = 600_000  # each interval of waiting after its earliest start raises a request by one priority
+MIN_REMAINING_LEASE_MS = 1_000  # assumed remaining time of a lease that is overdue
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """Converters of a request that go out together; `end_ms` is when they should be warm again."""
+    """Converters of a request that go out of service together. `end_ms` is when they should be warm again."""
 
     request: str
     converters: tuple[str, ...]
@@ -28,21 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """The part of a request that remains to be placed."""
+    """The part of a request that remains to be scheduled."""
 
     request: Request
     converters: tuple[Converter, ...]
-    length_ms: int  # of one converter, with its warm-up
+    length_ms: int  # per converter, including its warm-up
     submitted_ms: int = 0
 
     def work(self) -> int:
-        """Return capacity times time that the request takes out, in thousandths of a size times ms."""
+        """Return the product of capacity and time out of service, in thousandths of a unit times milliseconds."""
         return sum(converter.size for converter in self.converters) * self.length_ms
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveLease:
-    """The converters that an open lease has out, until about `until_ms`."""
+    """The converters that an open lease has out of service, and the expected end, `until_ms`."""
 
     lease: str
     request: str
@@ -57,23 +57,23 @@
     now_ms: int
     jobs: tuple[Job, ...]
     limits: tuple[Limit, ...]
-    lost: Mapping[str, int] = field(default_factory=dict)  # by converter under no lease, thousandths
-    converters: Mapping[str, Converter] = field(default_factory=dict)  # of the region
+    lost: Mapping[str, int] = field(default_factory=dict)  # thousandths, by name of each converter not under a lease
+    converters: Mapping[str, Converter] = field(default_factory=dict)  # of the region, by name
     active_leases: tuple[ActiveLease, ...] = ()
-    previous_windows: tuple[Window, ...] = ()  # of the last schedule
+    previous_windows: tuple[Window, ...] = ()  # of the previous schedule, about to start
 
     def desired_start_ms(self, job: Job) -> int:
-        """Return when a request would start if nothing delayed it."""
+        """Return the earliest time at which a request may start."""
         return max(self.now_ms, job.request.earliest_ms)
 
     def priority(self, job: Job) -> int:
-        """Return a request's priority, raised by the time that it has waited."""
+        """Return a request's priority, raised according to the time it has waited since it could have started."""
         waited_ms = self.now_ms - max(job.submitted_ms, job.request.earliest_ms)
         return max(0, job.request.priority - max(0, waited_ms) // AGING_INTERVAL_MS)
 
 
 def build_problem(ledger: Ledger, previous_windows: Sequence[Window] = ()) -> SchedulingProblem:
-    """Return the problem that a ledger poses now."""
+    """Build the scheduling problem from the current state of a ledger."""
     leased = ledger.view.leased_converters()
     region_converters = {
         name: converter for name, converter in ledger.agreement.converters.items() if converter.region == ledger.region
@@ -94,7 +94,7 @@
 
 
 def _jobs(ledger: Ledger, leased: set[str]) -> tuple[Job, ...]:
-    """Return what remains to be placed of the open requests."""
+    """Return the jobs of the open requests: their remaining converters that are not under a lease."""
     jobs = []
     for record in ledger.open_requests():
         names = [name for name in record.remaining() if name not in leased]
@@ -105,7 +105,10 @@
 
 
 def _active_lease(ledger: Ledger, lease: Lease) -> ActiveLease:
-    """Return what a lease has out, with its expected end. A revoked one has taken nothing down."""
+    """Return the converters that a lease has out of service, and its expected end.
+
+    A revoked lease has taken no converter down, so it is expected to end soon.
+    """
     request = ledger.state.requests[lease.request].request
     until_ms = ledger.now_ms + MIN_REMAINING_LEASE_MS
     if lease.state is not LeaseState.REVOKED:
@@ -115,5 +118,5 @@
 
 
 def _length_ms(ledger: Ledger, request: Request) -> int:
-    """Return how long one converter of a request is out, with its warm-up."""
+    """Return how long each converter of a request is out of service, including its warm-up."""
     return request.duration_ms + ledger.agreement.services[request.service].warm_up_ms
--- a/ryepier/maintenance/profile.py
+++ b/ryepier/maintenance/profile.py
@@ -1,4 +1,4 @@
-"""How much of one limit is used at each time: a step function with a search for gaps."""
+"""A step function over time of how much of a limit is used, with a search for gaps."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class UsageProfile:
-    """A level over time, from 0 on, that intervals raise. Times in milliseconds."""
+    """The usage level over time, from time 0 on, to which intervals are added. Times are in milliseconds."""
 
     def __init__(self, level: int) -> None:
-        """Begin at `level` for all times."""
+        """Start with a constant `level` at all times."""
         self._times = [0]
         self._levels = [level]
 
     def add(self, start_ms: int, end_ms: int, amount: int) -> None:
-        """Raise the level by `amount` from `start_ms` until before `end_ms`; a negative amount lowers it."""
+        """Raise the level by `amount` from `start_ms` up to, but excluding, `end_ms`. A negative amount lowers it."""
         first = self._split(start_ms)
         last = self._split(end_ms)
         for i in range(first, last):
             self._levels[i] += amount
 
     def earliest_gap(self, from_ms: int, duration_ms: int, max_level: int) -> int | None:
-        """Return the first time from `from_ms` on from which the level stays within `max_level` for a duration.
+        """Return the first time, not before `from_ms`, from which the level stays within `max_level` for `duration_ms`.
 
-        None: there is no such time.
+        Returns None if there is no such time.
         """
         start = from_ms
         i = bisect_right(self._times, start) - 1
@@ -36,7 +36,7 @@
         return start
 
     def _split(self, at_ms: int) -> int:
-        """Return the position of the step that begins at a time; insert it where there is none."""
+        """Return the index of the step that begins at a time, inserting the step if there is none."""
         i = bisect_right(self._times, at_ms) - 1
         if self._times[i] == at_ms:
             return i
--- a/ryepier/maintenance/request_commands.py
+++ b/ryepier/maintenance/request_commands.py
@@ -1,4 +1,4 @@
-"""Commands on requests: submit, cancel, and the passing of time, by which requests miss their deadlines."""
+"""Applies the commands on requests: submit, cancel, and advance the time, which ends requests at their deadlines."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class RequestCommands:
-    """Applies the commands that open and end requests."""
+    """Applies the commands that open, cancel and expire requests."""
 
     def __init__(self, context: LedgerContext) -> None:
-        """Apply commands to the state in `context`."""
+        """Apply commands to the ledger state in `context`."""
         self.context = context
         self.state = context.state
 
     def submit(self, command: SubmitRequest) -> Result:
-        """Open a request. The same one again is accepted again; another one under its name is rejected."""
+        """Open a request. An identical repetition is accepted; a different request with the same name is rejected."""
         request = command.request
         existing = self._find_request(request.name)
         if existing is not None:
             if existing == request:
                 return Accepted(request.name)
-            return Rejected(f"request {request.name!r} is there with other content")
+            return Rejected(f"request {request.name!r} already exists with different content")
         converters = submission.requested_converters(self.context.agreement, request)
         reason = submission.rejection_reason(self.context.agreement, self.state, request, converters)
         if reason:
@@ -34,12 +34,12 @@
         return Accepted(request.name)
 
     def _find_request(self, name: str) -> Request | None:
-        """Return the request of this name, open or completed."""
+        """Return the open or completed request with this name, or None."""
         record = self.state.requests.get(name)
         return record.request if record else self.state.completed.get(name)
 
     def cancel(self, command: CancelRequest) -> Result:
-        """Grant a request no further leases, and revoke those whose drain has not started."""
+        """Stop granting leases to a request, and revoke its leases whose drain has not started."""
         name = command.request
         record = self.state.requests.get(name)
         if record is None:
@@ -53,7 +53,10 @@
         return Cancelled(name, tuple(lease.name for lease in granted))
 
     def advance_time(self, now_ms: int) -> Result:
-        """Set the region's time, which never goes back, and give up requests whose deadline has passed."""
+        """Advance the region's time, which never goes back, and complete requests whose deadline has passed.
+
+        A request with open leases stays open until they are closed.
+        """
         self.state.now_ms = max(self.state.now_ms, now_ms)
         missed = []
         for record in list(self.state.requests.values()):
--- a/ryepier/maintenance/results.py
+++ b/ryepier/maintenance/results.py
@@ -1,6 +1,7 @@
 """The results of applying commands. A rejected command has changed nothing.
 
-Tags and keys on the wire are fixed: a field with another name here maps to its key by `name=`, a class by its tag.
+Types and keys on the wire are fixed; a field that is named differently here declares its key with `name=`, a class its
+type with `tag=`.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 
 
 class Accepted(msgspec.Struct, tag="accepted", tag_field="type", frozen=True):
-    """The request is open."""
+    """The request has been accepted, now or before."""
 
     request: str
 
 
 class Cancelled(msgspec.Struct, tag="cancelled", tag_field="type", frozen=True):
-    """The request gets no further leases; `revoked` names those that were revoked."""
+    """The request gets no further leases. `revoked` names its leases that were revoked."""
 
     request: str
     revoked: tuple[str, ...] = msgspec.field(name="called_off", default=())
@@ -33,13 +34,13 @@
 
 
 class DrainStarted(msgspec.Struct, tag="begun", tag_field="type", frozen=True):
-    """The agent may drain."""
+    """The agent may drain the lease's converters."""
 
     lease: str
 
 
 class Released(msgspec.Struct, tag="released", tag_field="type", frozen=True):
-    """The maintenance is done; `unavailable` names converters that have not been observed ready and warm since."""
+    """The maintenance is done. `unavailable` names the converters still to be observed ready and warm."""
 
     lease: str
     unavailable: tuple[str, ...] = msgspec.field(name="waiting")
@@ -52,20 +53,20 @@
 
 
 class Observed(msgspec.Struct, tag="observed", tag_field="type", frozen=True):
-    """The observation was recorded. It closed the leases `closed`; those in `revoked` were revoked for a loss."""
+    """The observation or report was recorded. It closed the leases in `closed`; `revoked` were revoked for a loss."""
 
     closed: tuple[str, ...] = ()
     revoked: tuple[str, ...] = msgspec.field(name="called_off", default=())
 
 
 class Debited(msgspec.Struct, tag="debited", tag_field="type", frozen=True):
-    """The transfer may be sent, again and again, until it is acknowledged."""
+    """The transfer may be sent, repeatedly, until it is acknowledged."""
 
     transfer: Transfer
 
 
 class Credited(msgspec.Struct, tag="credited", tag_field="type", frozen=True):
-    """The receiver has counted the transfer, now or before; the giver may acknowledge it."""
+    """The receiver has credited the transfer, now or before, so the giver may mark it as acknowledged."""
 
     transfer: Transfer
 
@@ -77,20 +78,20 @@
 
 
 class Advanced(msgspec.Struct, tag="advanced", tag_field="type", frozen=True):
-    """The region's time after the command; `missed` names requests that were given up at their deadline."""
+    """The region's time after the command. `missed` names requests that ended because their deadline passed."""
 
     now_ms: int
     missed: tuple[str, ...] = ()
 
 
 class AlreadyApplied(msgspec.Struct, tag="already-applied", tag_field="type", frozen=True):
-    """The entry at this index was applied before."""
+    """The entry at this index had already been applied."""
 
     index: int
 
 
 class Rejected(msgspec.Struct, tag="refused", tag_field="type", frozen=True):
-    """Nothing was changed; `reason` is one line that names the obstacle."""
+    """The command changed nothing. `reason` explains why, in one line."""
 
     reason: str
 
--- a/ryepier/maintenance/schedule.py
+++ b/ryepier/maintenance/schedule.py
@@ -1,4 +1,4 @@
-"""The output of the scheduler: windows, and why requests are delayed or do not fit."""
+"""The output of the scheduler: maintenance windows, and the reasons why requests are delayed or could not be placed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayedRequest:
-    """A request whose first window is later than it asked for: by which limit, and which window or loss blocks it."""
+    """A request whose first window is later than requested.
+
+    `limit` names the exhausted limit, `blocked_by` the window, lease or losses that use it up.
+    """
 
     request: str
     limit: str
@@ -19,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UnplacedRequest:
-    """A request that cannot be done by its deadline, and by how much: in time, or in capacity (thousandths)."""
+    """A request that cannot be done by its deadline.
+
+    Either `late_ms` is the delay beyond the deadline, or `excess` is the missing capacity in thousandths.
+    """
 
     request: str
     late_ms: int
@@ -29,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """The plan. An unplaced request has no windows but those that were about to start when it became unplaced."""
+    """The planned windows. An unplaced request keeps only the windows that were already about to start."""
 
     windows: tuple[Window, ...] = ()
     delayed_requests: tuple[DelayedRequest, ...] = ()
--- a/ryepier/maintenance/scheduler.py
+++ b/ryepier/maintenance/scheduler.py
@@ -1,6 +1,7 @@
-"""Which windows to open, and when: earliest deadline first with backfill, urgent before convenient.
+"""Schedules maintenance windows by priority, then earliest deadline first, with backfill.
 
-Pure: a `SchedulingProblem` in, a `Schedule` out, the same for the same. The schedule only proposes: the ledger grants.
+Deterministic and without I/O: equal problems give equal schedules. A schedule is only a proposal; the ledger decides
+which leases are granted.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 from ryepier.maintenance.problem import Job, SchedulingProblem
 from ryepier.maintenance.schedule import Schedule
 
-MAX_ORDERS = 60  # of requests that are tried where some do not fit
-MAX_PLACEMENTS = 4_000  # of converters over all orders, so that a large fleet's schedule is not late
+MAX_ORDERS = 60  # orders of the requests that are tried if some do not fit
+MAX_PLACEMENTS = 4_000  # converters placed over all tried orders; bounds the scheduling time for large fleets
 
 
 class _JobKey(NamedTuple):
-    """The sort key of a job: by priority, then by a criterion, then by age."""
+    """The sort key of a job: priority, then a criterion, then the time of submission."""
 
     priority: int
     criterion: int
@@ -29,7 +30,7 @@
 
 
 def make_schedule(problem: SchedulingProblem) -> Schedule:
-    """Return the best schedule that a few orders of the requests give, by `Attempt.score`."""
+    """Return the best schedule found over several orders of the requests, compared by `PlacementAttempt.score`."""
     best = PlacementAttempt(problem, _sorted_jobs(problem, _deadline_ms))
     if best.unplaced_requests:
         alternatives = [
@@ -41,7 +42,10 @@
 
 
 def _improve_order(problem: SchedulingProblem, best: PlacementAttempt) -> PlacementAttempt:
-    """Move requests that do not fit before others of their priority, for as long as that raises the score."""
+    """Move unplaced requests ahead of others of their priority for as long as that raises the score.
+
+    Stops after `MAX_ORDERS` orders or about `MAX_PLACEMENTS` placements.
+    """
     infeasible = {
         name for name in best.unplaced_names() if PlacementAttempt(problem, [best.job(name)]).unplaced_requests
     }
@@ -60,7 +64,7 @@
 def _orders_with_unplaced_moved_earlier(
     problem: SchedulingProblem, attempt: PlacementAttempt, infeasible: set[str]
 ) -> Iterator[list[Job]]:
-    """Yield the attempt's order with an unplaced request moved to each earlier place among those of its priority."""
+    """Yield the attempt's order with each unplaced request moved to each earlier position of a job of its priority."""
     for name in attempt.unplaced_names():
         if name in infeasible:
             continue
@@ -72,7 +76,7 @@
 
 
 def _sorted_jobs(problem: SchedulingProblem, criterion: Criterion) -> list[Job]:
-    """Return the jobs by priority and, within one, by the criterion."""
+    """Return the jobs sorted by priority and, within a priority, by the criterion."""
 
     def key(job: Job) -> _JobKey:
         return _JobKey(problem.priority(job), criterion(problem, job), job.submitted_ms, job.request.name)
@@ -81,16 +85,16 @@
 
 
 def _deadline_ms(problem: SchedulingProblem, job: Job) -> int:
-    """Return a request's deadline."""
+    """Return the deadline of a job's request, for use as a sorting criterion."""
     return job.request.deadline_ms
 
 
 def _negative_work(problem: SchedulingProblem, job: Job) -> int:
-    """Return a request's work, negated so that more goes first."""
+    """Return the negated work of a job, so that jobs with more work sort first."""
     return -job.work()
 
 
 def _slack_ms(problem: SchedulingProblem, job: Job) -> int:
-    """Return by how much a request could start later and still end in time."""
+    """Return by how much a request could start later and still meet its deadline."""
     rounds = -(-len(job.converters) // job.request.max_unavailable)
     return job.request.deadline_ms - problem.desired_start_ms(job) - rounds * job.length_ms
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Ledgers with one seeded fault each, which the tests and experiments have to detect."""
+"""Ledgers that each contain one seeded fault, which tests and experiments have to detect."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 
 class IgnoreWarmUpView(CapacityView):
-    """A converter that is ready counts at its full size before its warm-up has ended."""
+    """Seeded fault: counts a ready converter at its full size before its warm-up has ended."""
 
     def is_recovered(self, observed: ObservedState) -> bool:
-        """Ignore the warmth."""
+        """Return whether the converter is ready, whatever its warmth."""
         return observed.ready
 
     def lost_capacity(self, converter: Converter) -> int:
-        """Count nothing as missing of a converter that warms up."""
+        """Return 0 for a ready converter, even while it warms up."""
         observed = self.state.observed.get(converter.name)
         return 0 if observed is not None and observed.ready else converter.size
 
 
 class IgnoreWarmUpLedger(Ledger):
-    """A lease is closed before its converter is warm."""
+    """Closes leases before their converters are warm."""
 
     view_type = IgnoreWarmUpView
 
 
 class LeaseExpiryCommands(RequestCommands):
-    """Closes a lease when its duration has passed."""
+    """Seeded fault: closes a lease when its request's duration has passed."""
 
     def advance_time(self, now_ms: int) -> Result:
-        """Close the leases that have lasted for their request's duration."""
+        """Advance the time, and close the leases that have lasted for their request's duration."""
         result = super().advance_time(now_ms)
         for lease in list(self.state.leases.values()):
             request = self.state.requests[lease.request].request
@@ -46,52 +46,52 @@
 
 
 class LeaseExpiryLedger(Ledger):
-    """A lease ends when its time has run out."""
+    """Lets leases expire, which frees capacity that may still be out of service."""
 
     request_commands_type = LeaseExpiryCommands
 
 
 class DoubleCreditCommands(TransferCommands):
-    """Counts a transfer as often as it arrives."""
+    """Seeded fault: credits a transfer each time it arrives."""
 
     def is_credited(self, transfer: Transfer) -> bool:
-        """Recognize no transfer."""
+        """Return False for every transfer."""
         return False
 
 
 class DoubleCreditLedger(Ledger):
-    """A transfer that arrives twice is counted twice."""
+    """Credits a transfer twice if it arrives twice."""
 
     transfer_commands_type = DoubleCreditCommands
 
 
 class GlobalAllowanceView(CapacityView):
-    """The other regions' allowances count as the region's own."""
+    """Seeded fault: counts the allowances of all regions as the region's own."""
 
     def allowance_bound(self, service: str) -> int:
-        """Return all that may be out globally."""
+        """Return the capacity that may be unavailable globally."""
         return self.agreement.max_unavailable(service)
 
 
 class GlobalAllowanceLedger(Ledger):
-    """A region that is partitioned uses the allowances of all regions."""
+    """Grants leases against the allowances of all regions, for example during a partition."""
 
     view_type = GlobalAllowanceView
 
 
 class ForgetLeasesLedger(Ledger):
-    """Leases are lost with a restart."""
+    """Loses its leases when it is restored from a snapshot."""
 
     @classmethod
     def restore(cls, agreement: Agreement, region: str, snapshot: bytes) -> Ledger:
-        """Restore everything but the leases."""
+        """Restore everything except the leases."""
         ledger = super().restore(agreement, region, snapshot)
         ledger.state.leases.clear()
         return ledger
 
 
 class IgnoreLossView(CapacityView):
-    """Losses are not charged."""
+    """Seeded fault: does not charge losses."""
 
     def lost_capacity(self, converter: Converter) -> int:
         """Return 0."""
@@ -99,36 +99,36 @@
 
 
 class IgnoreLossLedger(Ledger):
-    """Leases are granted in spite of losses."""
+    """Grants leases without regard to losses."""
 
     view_type = IgnoreLossView
 
 
 class StaleObservationCommands(ObservationCommands):
-    """Takes every observation for a present one."""
+    """Seeded fault: treats every observation as current."""
 
     def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
-        """Date the observation at the command's own index."""
-        relabelled = ObservedState(observed.ready, observed.warmth, self.state.applied)
-        return super().mark_recovered(converter, relabelled)
+        """Treat the observation as if it began at the current log index."""
+        current = ObservedState(observed.ready, observed.warmth, self.state.applied)
+        return super().mark_recovered(converter, current)
 
 
 class StaleObservationLedger(Ledger):
-    """An observation that began before the release closes a lease."""
+    """Closes a lease by an observation that began before the lease was released."""
 
     observation_commands_type = StaleObservationCommands
 
 
 class OverdrawCommands(TransferCommands):
-    """Gives the whole allowance away."""
+    """Seeded fault: lets the whole allowance be given away."""
 
     def transferable(self, service: str) -> int:
-        """Ignore what is out, lost or to be kept."""
+        """Return the whole allowance, although part of it is in use or must be kept."""
         return self.context.view.capacity(service).allowance
 
 
 class OverdrawLedger(Ledger):
-    """A region gives away what its leases have out."""
+    """Gives away allowance that its own leases are using."""
 
     transfer_commands_type = OverdrawCommands
 
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -1,8 +1,8 @@
-"""The state of a ledger, and its snapshot.
+"""The state of a ledger, and the encoding of its snapshots.
 
-A snapshot is a line with a version and a checksum, followed by one MessagePack map. It is rejected unless it is
-complete and of this version, region and agreement. Its keys are fixed: a field with another name here maps to its key
-by `name=`.
+A snapshot is a header line with a version, a checksum and a length, followed by one MessagePack map. It is rejected
+unless it is complete and belongs to this version, region and agreement. Its keys are fixed; a field that is named
+differently here declares its key with `name=`.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 
 class SnapshotError(RyepierError):
-    """A snapshot that cannot be trusted, with the reason."""
+    """A snapshot was rejected, for the reason in the message."""
 
 
 class Lease(msgspec.Struct):
     """The right of one agent to take converters down.
 
-    `unavailable` names the converters that have not been observed ready and warm again; `granted_ms` is the region's
-    time. Only what was observed after `released_index`, the log index of the release or revocation, can close a lease.
-    `previous_token` is the fencing token before the last take-over.
+    `unavailable` names the converters that have not yet been observed ready and warm again. `granted_ms` is in the
+    region's time. `released_index` is the log index of the release or revocation; only observations that began after it
+    can close the lease. `previous_token` is the fencing token before the last take-over.
     """
 
     name: str
@@ -44,7 +44,7 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """A request that is open. `done` names the maintained converters, `leases` every lease ever granted for it."""
+    """An open request. `done` names its maintained converters, `leases` every lease ever granted for it."""
 
     request: Request
     converters: tuple[str, ...]
@@ -54,36 +54,37 @@
     cancelled: bool = False
 
     def remaining(self) -> list[str]:
-        """Return the converters that have not been maintained."""
+        """Return the converters that have not been maintained yet."""
         return [name for name in self.converters if name not in self.done]
 
 
 class ObservedState(msgspec.Struct, frozen=True):
-    """A converter as it was last observed."""
+    """The last observed state of a converter."""
 
     ready: bool
     warmth: int  # thousandths
-    as_of: int  # log index
+    as_of: int  # highest log index applied before the observation began
 
 
 class PeerRegion(msgspec.Struct, frozen=True):
-    """The last report of another region."""
+    """The capacity needs that another region last reported, with the number of its report."""
 
     number: int
     needs: dict[str, CapacityNeed] = msgspec.field(name="standings")
 
 
 class LedgerState(msgspec.Struct):
-    """Everything that applying commands changes.
+    """The complete state of a ledger, which applying commands changes.
 
-    `completed` holds the last completed requests, oldest first; `leases` the open ones; `observers` the last sequence
-    of each observer; `observed` and `peers` are by converter and by region.
+    `requests` and `leases` hold the open requests and leases by name, `completed` the most recently completed requests,
+    oldest first. `observers` holds the last sequence number by observer, `observed` the last observed state by
+    converter, `peers` the last report by region. `now_ms` is the region's time.
     """
 
     region: str
     digest: str  # of the agreement
     escrow: Escrow
-    applied: int = 0
+    applied: int = 0  # log index of the last applied command
     now_ms: int = 0
     last_token: int = 0
     requests: dict[str, RequestRecord] = {}
@@ -94,34 +95,34 @@
     peers: dict[str, PeerRegion] = {}
 
     def open_requests(self) -> list[RequestRecord]:
-        """Return the requests that may get leases, oldest first."""
+        """Return the requests that can still get leases, oldest first."""
         return [record for record in self.requests.values() if not record.cancelled]
 
 
 def encode(state: LedgerState) -> bytes:
-    """Return the snapshot of a state."""
+    """Encode a state as a snapshot."""
     body = msgspec.msgpack.encode(state)
     return _header(body) + body
 
 
 def decode(data: bytes, region: str, digest: str) -> LedgerState:
-    """Return the state in a snapshot. Raises SnapshotError."""
+    """Decode a snapshot. Raises SnapshotError if it is damaged or of another version, region or agreement."""
     header, newline, body = data.partition(b"\n")
     if not newline or not header.startswith(MAGIC + b" "):
         raise SnapshotError("not a snapshot of this version")
     if data[: len(header) + 1] != _header(body):
-        raise SnapshotError("torn or altered")
+        raise SnapshotError("truncated or altered")
     try:
         state = msgspec.msgpack.decode(body, type=LedgerState)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise SnapshotError(f"unreadable: {error}") from None
     if state.region != region:
-        raise SnapshotError(f"of region {state.region!r}, not of {region!r}")
+        raise SnapshotError(f"taken in region {state.region!r}, not in {region!r}")
     if state.digest != digest:
-        raise SnapshotError("made under another agreement")
+        raise SnapshotError("taken under another agreement")
     return state
 
 
 def _header(body: bytes) -> bytes:
-    """Return the line before the body."""
+    """Return the header line for a body: version, CRC-32 checksum and length."""
     return b"%s %08x %d\n" % (MAGIC, zlib.crc32(body), len(body))
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -1,4 +1,4 @@
-"""Whether a new request can be accepted; what can never fit is rejected at once, with the amount that is missing."""
+"""Validates new requests. Requests that can never fit are rejected immediately, with the missing amount."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def requested_converters(agreement: Agreement, request: Request) -> Converters:
-    """Return the converters that a request names, by name or by their zone."""
+    """Return the names of the converters that a request covers, listed by name or selected by zone."""
     if request.converters:
         return request.converters
     candidates = agreement.converters_of(request.service, request.region)
@@ -20,17 +20,17 @@
 
 
 def rejection_reason(agreement: Agreement, state: LedgerState, request: Request, converters: Converters) -> str | None:
-    """Return the first reason to reject a new request for `converters`, in one line; None: it can be accepted."""
+    """Return the first reason to reject a new request for `converters`, in one line, or None if it is acceptable."""
     if request.region != state.region:
         return f"it is for region {request.region!r}; this is {state.region!r}"
     if request.service not in agreement.services:
         return f"unknown service {request.service!r}"
     if bool(request.converters) == bool(request.zone):
-        return "names either converters or a zone"
+        return "must name either converters or a zone"
     if not converters:
         return f"service {request.service!r} has no converter in zone {request.zone!r}"
     if len(state.requests) >= MAX_OPEN_REQUESTS:
-        return f"{MAX_OPEN_REQUESTS} requests are open, the most there may be"
+        return f"{MAX_OPEN_REQUESTS} requests are open, which is the maximum"
     service = agreement.services[request.service]
     return (
         _invalid_converter(agreement, state, request, converters)
@@ -42,7 +42,7 @@
 def _invalid_converter(
     agreement: Agreement, state: LedgerState, request: Request, converters: Converters
 ) -> str | None:
-    """Describe the first converter that is unknown, named twice, or in another open request."""
+    """Describe the first converter that is unknown, named twice, or in another open request, or return None."""
     request_by_converter = {
         name: record.request.name for record in state.requests.values() for name in record.remaining()
     }
@@ -50,19 +50,19 @@
     for name in converters:
         converter = agreement.converters.get(name)
         if converter is None or (converter.region, converter.service) != (request.region, request.service):
-            return f"converter {name!r} is none of service {request.service!r} in region {request.region!r}"
+            return f"converter {name!r} does not belong to service {request.service!r} in region {request.region!r}"
         if name in seen:
             return f"converter {name!r} is named twice"
         if name in request_by_converter:
-            return f"converter {name!r} is in request {request_by_converter[name]!r}"
+            return f"converter {name!r} is already in request {request_by_converter[name]!r}"
         seen.add(name)
     return None
 
 
 def _insufficient_time(state: LedgerState, service: Service, request: Request, converters: Converters) -> str | None:
-    """Describe by how much the time until the deadline is too short, were nothing else out."""
+    """Describe by how much the time until the deadline is too short even if nothing else is out of service, or None."""
     if request.deadline_ms <= state.now_ms:
-        return f"its deadline is gone by {state.now_ms - request.deadline_ms} ms"
+        return f"its deadline passed {state.now_ms - request.deadline_ms} ms ago"
     rounds = -(-len(converters) // request.max_unavailable)
     needed_ms = rounds * (request.duration_ms + service.warm_up_ms)
     available_ms = request.deadline_ms - max(request.earliest_ms, state.now_ms)
@@ -74,7 +74,7 @@
 
 
 def _oversized_converter(agreement: Agreement, request: Request, converters: Converters) -> str | None:
-    """Describe the first converter that exceeds what may be out even with nothing else out."""
+    """Describe the first converter that is too large to be out of service even on its own, or return None."""
     max_unavailable = min(
         agreement.max_unavailable(request.service), agreement.max_unavailable_in(request.service, request.region)
     )
@@ -83,6 +83,7 @@
         if size > max_unavailable:
             return (
                 f"converter {name!r} takes {format_capacity(size)} of {request.service!r} and at most "
-                f"{format_capacity(max_unavailable)} may be out, {format_capacity(size - max_unavailable)} too much"
+                f"{format_capacity(max_unavailable)} may be unavailable, "
+                f"{format_capacity(size - max_unavailable)} too much"
             )
     return None
--- a/ryepier/maintenance/tables.py
+++ b/ryepier/maintenance/tables.py
@@ -1,7 +1,7 @@
-"""The state machines of leases and transfers: every state, event and next state in one place.
+"""The state machines of leases and transfers, as tables of states, events and next states.
 
-`print(LEASES)` shows a table; an event that a state does not list is rejected in it. Values of the enums are stored
-and sent.
+An event that is not listed for a state is rejected in that state. `print(LEASE_TABLE)` prints a table. The values of
+the enums are stored and sent over the network.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 
 @dataclass(frozen=True)
 class TransitionTable(Generic[State, Event]):
-    """A state machine as a map from state and event to the next state."""
+    """A state machine as a mapping from state and event to the next state."""
 
     title: str
     transitions: Mapping[tuple[State, Event], State]
 
     def next_state(self, state: State, event: Event) -> State | None:
-        """Return the next state, or None where the event is rejected."""
+        """Return the next state, or None if the event is rejected."""
         return self.transitions.get((state, event))
 
     def __str__(self) -> str:
-        """Return the table as Markdown, one line a transition."""
+        """Return the table as Markdown, with one line per transition."""
         lines = [f"{self.title}", "", "| state | event | next state |", "| --- | --- | --- |"]
         lines += [f"| {state} | {event} | {next_state} |" for (state, event), next_state in self.transitions.items()]
         return "\n".join(lines)
 
 
 class LeaseState(enum.StrEnum):
-    """The state of a lease. In all but `closed`, its converters that have not recovered are charged as out."""
+    """The state of a lease. In all states but CLOSED, converters that have not recovered count as out of service."""
 
     GRANTED = "granted"  # the drain has not started
     DRAINING = "draining"  # the agent may have converters down
-    RETURNING = "returning"  # the agent is done; converters have yet to be observed ready and warm
-    REVOKED = "called-off"  # before the drain; converters have yet to be observed ready and warm
+    RETURNING = "returning"  # the agent is done; converters still have to be observed ready and warm
+    REVOKED = "called-off"  # before the drain; converters still have to be observed ready and warm
     CLOSED = "closed"
 
 
 class LeaseEvent(enum.StrEnum):
-    """An event in the life of a lease."""
+    """An event that changes the state of a lease."""
 
     START_DRAIN = "begin"
     TAKE_OVER = "take over"
@@ -71,16 +71,16 @@
 
 
 class TransferState(enum.StrEnum):
-    """The state of a transfer, as one of its two sides knows it."""
+    """The state of a transfer as known to its giver or to its receiver."""
 
     UNKNOWN = "unknown"
-    DEBITED = "debited"  # giver: taken from its allowance; sent until acknowledged
+    DEBITED = "debited"  # giver: subtracted from its allowance; resent until acknowledged
     ACKNOWLEDGED = "acknowledged"  # giver: the receiver has committed the credit
     CREDITED = "credited"  # receiver: added to its allowance
 
 
 class TransferEvent(enum.StrEnum):
-    """An event of a transfer on one of its sides."""
+    """An event of a transfer at its giver or at its receiver."""
 
     DEBIT = "debit"
     SEND = "send"
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -1,4 +1,4 @@
-"""Commands that move allowances between regions, and the needs and transfers that follow from a ledger's state."""
+"""Applies the commands that transfer allowances between regions, and computes a region's needs and due transfers."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from ryepier.maintenance.results import Acknowledged, Credited, Debited, Rejected, Result
 from ryepier.maintenance.tables import TransferState
 
-REBALANCE_HORIZON_MS = 600_000  # requests that may start within this draw allowances to their region
+REBALANCE_HORIZON_MS = 600_000  # only requests that may start within this time count as needing allowance
 
 
 class TransferCommands:
-    """Applies the commands of one region's side of the escrow. Capacities are in thousandths."""
+    """Applies transfer commands to one region's part of the escrow. Capacities are in thousandths."""
 
     def __init__(self, context: LedgerContext) -> None:
-        """Apply commands to the state in `context`."""
+        """Apply commands to the ledger state in `context`."""
         self.context = context
         self.state = context.state
 
     def debit(self, transfer: Transfer) -> Result:
-        """Take a transfer's amount from this region's allowance, once."""
+        """Subtract a transfer's amount from this region's allowance. A repeated debit has no further effect."""
         reason = self._transfer_rejection(transfer, transfer.giver, transfer.receiver)
         if reason is None:
             reason = self.state.escrow.debit(transfer, self.transferable(transfer.service))
@@ -33,13 +33,16 @@
         return Debited(transfer)
 
     def transferable(self, service: str) -> int:
-        """Return how much of the allowance can be given away: nothing that is out or lost, nor the minimum kept."""
+        """Return how much of the allowance can be given away.
+
+        Excludes the capacity that is unavailable or lost, and at least the minimum allowance.
+        """
         capacity = self._capacity(service)
         used = capacity.unavailable + capacity.lost
         return capacity.allowance - max(used, self.context.agreement.services[service].min_allowance)
 
     def credit(self, transfer: Transfer) -> Result:
-        """Add a transfer's amount to this region's allowance, once."""
+        """Add a transfer's amount to this region's allowance. A repeated credit has no further effect."""
         reason = self._transfer_rejection(transfer, transfer.receiver, transfer.giver)
         if reason:
             return Rejected(reason)
@@ -50,53 +53,59 @@
         if after > total:
             excess = format_capacity(after - total)
             name = escrow.format_transfer(transfer)
-            return Rejected(f"transfer {name}: {excess} more than the whole of all allowances")
+            return Rejected(f"transfer {name}: {excess} more than the total of all allowances")
         self.state.escrow.credit(transfer)
         return Credited(transfer)
 
     def is_credited(self, transfer: Transfer) -> bool:
-        """Return whether a transfer to this region was counted before."""
+        """Return whether a transfer to this region has already been credited."""
         return self.state.escrow.receiver_state(transfer) is TransferState.CREDITED
 
     def acknowledge(self, transfer: Transfer) -> Result:
-        """Stop sending a transfer whose credit is committed."""
+        """Stop resending a transfer whose credit the receiver has committed."""
         reason = self._transfer_rejection(transfer, transfer.giver, transfer.receiver)
         reason = reason or self.state.escrow.acknowledge(transfer)
         return Rejected(reason) if reason else Acknowledged(transfer)
 
     def _transfer_rejection(self, transfer: Transfer, own_region: str, other_region: str) -> str | None:
-        """Return why a transfer is not between this region and another one, of a known service; None where it is."""
+        """Return why a transfer is invalid, or None if it is valid.
+
+        It must be for this region, with another known region, and of a known service.
+        """
         name = escrow.format_transfer(transfer)
         region = self.context.region
         if own_region != region:
-            return f"transfer {name} is a matter of region {own_region!r}; this is {region!r}"
+            return f"transfer {name} must be handled by region {own_region!r}; this is {region!r}"
         if other_region == region or other_region not in self.context.agreement.regions:
-            return f"transfer {name}: {other_region!r} is no other region"
+            return f"transfer {name}: {other_region!r} is not another region of the agreement"
         if transfer.service not in self.context.agreement.services:
             return f"transfer {name}: unknown service {transfer.service!r}"
         return None
 
     def due_transfers(self) -> list[Transfer]:
-        """Return the transfers that this region should debit for the needs that its peers reported."""
+        """Return the transfers that this region should debit to cover the needs reported by its peers."""
         spare_allowances = {service: self._spare_allowance(service) for service in self.context.agreement.services}
         peers = {name: peer.needs for name, peer in self.state.peers.items()}
         return escrow.plan_transfers(self.context.region, self.state.escrow, spare_allowances, peers)
 
     def capacity_need(self, service: str) -> CapacityNeed:
-        """Return what to report of a service to the other regions."""
+        """Return the need for a service to report to the other regions."""
         capacity = self._capacity(service)
         deficit = max(0, capacity.unavailable + capacity.lost - capacity.allowance)
         shortage = max(0, self._requested_capacity(service) + capacity.lost - capacity.allowance)
         return CapacityNeed(deficit, shortage)
 
     def _spare_allowance(self, service: str) -> int:
-        """Return the part of the allowance that neither leases, losses nor requests of this region need."""
+        """Return the allowance beyond this region's leases, losses, soon due requests and minimum allowance."""
         capacity = self._capacity(service)
         used = max(capacity.unavailable, self._requested_capacity(service)) + capacity.lost
         return max(0, capacity.allowance - max(used, self.context.agreement.services[service].min_allowance))
 
     def _requested_capacity(self, service: str) -> int:
-        """Return what the open requests that may soon start would have out at once, if they all ran together."""
+        """Return the capacity that open requests within the horizon would take out if all ran at the same time.
+
+        It is capped at the capacity that may be unavailable in this region.
+        """
         requested = 0
         horizon_ms = self.state.now_ms + REBALANCE_HORIZON_MS
         for record in self.state.open_requests():
@@ -108,5 +117,5 @@
         return min(requested, self.context.agreement.max_unavailable_in(service, self.context.region))
 
     def _capacity(self, service: str) -> Capacity:
-        """Return the present figures of a service."""
+        """Return the current capacity of a service in this region."""
         return self.context.view.capacity(service)
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -50,10 +50,10 @@
 @pytest.mark.parametrize(
     ("old", "new", "key", "message"),
     [
-        ("least = 8", "least = 12.5", "services[0].least", "asks for 12.5; there are 12: 0.5 too much"),
-        ("least = 8", "least = 7", "services[0].regions", "add up to 4; 5 may be out"),
-        ("least = 8", "least = 9", "services[0].regions", "add up to 4; 3 may be out"),
-        ("least = 2", "least = 7", "services[0].regions[0].least", "asks for 7 in 'north'; there are 6: 1 too much"),
+        ("least = 8", "least = 12.5", "services[0].least", "requires 12.5 but has 12: 0.5 too much"),
+        ("least = 8", "least = 7", "services[0].regions", "add up to 4; they must add up to 5"),
+        ("least = 8", "least = 9", "services[0].regions", "add up to 4; they must add up to 3"),
+        ("least = 2", "least = 7", "services[0].regions[0].least", "requires 7 in 'north' but has 6: 1 too much"),
         ("least_part = 0.5", "least_part = 3", "services[0].regions[0].allowance", "2 is less than"),
         ("least = 8", "least = -1", "services[0].least", ">= 0"),
         ("least = 8", "least = nan", "services[0].least", ">= 0.0, got nan"),
@@ -64,13 +64,23 @@
         ("warm_up_s = 2", 'survives = "rack"', "services[0].survives", "got 'rack'"),
         ("warm_up_s = 2", "warm_up = 2", "services[0].warm_up", "did you mean 'warm_up_s'?"),
         ('region = "south"\nleast', 'region = "west"\nleast', "services[0].regions[1].region", "unknown region 'west'"),
-        ('region = "south"\nleast', 'region = "north"\nleast', "services[0].regions[1].region", "is named before, at"),
-        ('name = "n01"', 'name = "n00"', "converters[1].name", "'n00' is named before, at converters[0].name"),
+        (
+            'region = "south"\nleast',
+            'region = "north"\nleast',
+            "services[0].regions[1].region",
+            "'north' is a duplicate, first used at",
+        ),
+        (
+            'name = "n01"',
+            'name = "n00"',
+            "converters[1].name",
+            "'n00' is a duplicate, first used at converters[0].name",
+        ),
         ('name = "n01"', 'name = "n 01"', "converters[1].name", "matching regex"),
         ('name = "n01"', 'name = "n01"\nsize = 0', "converters[1].size", ">= 0.001"),
-        ('name = "south"', 'name = "north"', "regions[1].name", "is named before"),
-        ('name = "south-0"', 'name = "north-0"', "regions[1].replicas[0].name", "is named before"),
-        ("127.0.0.1:7510", "127.0.0.1:7500", "regions[1].replicas[0].address", "is named before"),
+        ('name = "south"', 'name = "north"', "regions[1].name", "is a duplicate, first used at"),
+        ('name = "south-0"', 'name = "north-0"', "regions[1].replicas[0].name", "is a duplicate, first used at"),
+        ("127.0.0.1:7510", "127.0.0.1:7500", "regions[1].replicas[0].address", "is a duplicate, first used at"),
         ('service = "convert"', 'service = "print"', "converters[0].service", "unknown service 'print'"),
     ],
 )
@@ -96,7 +106,7 @@
     assert "2 replicas; a region needs at least 3" in problems(AGREEMENT_TEXT.replace(last, "").encode())[0]
     part = '[[services.regions]]\nregion = "south"\nleast = 2\nallowance = 2\n'
     assert any(
-        "region 'south' has its converters and is missing" in one
+        "region 'south' has converters of the service but is not listed" in one
         for one in problems(AGREEMENT_TEXT.replace(part, "").encode())
     )
 
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -181,17 +181,17 @@
     [
         ({"service": "print"}, "unknown service 'print'"),
         ({"region": "south"}, "for region 'south'"),
-        ({"converters": ("n00", "n99")}, "'n99' is none of service"),
-        ({"converters": ("s00",)}, "'s00' is none of service"),
+        ({"converters": ("n00", "n99")}, "'n99' does not belong to service"),
+        ({"converters": ("s00",)}, "'s00' does not belong to service"),
         ({"converters": ("n00", "n00")}, "'n00' is named twice"),
-        ({"converters": ("n05", "n12")}, "'n05' is none of service"),
-        ({"converters": ("n12",)}, "'n12' is in request 'held'"),
+        ({"converters": ("n05", "n12")}, "'n05' does not belong to service"),
+        ({"converters": ("n12",)}, "'n12' is already in request 'held'"),
         ({"converters": ()}, "either converters or a zone"),
         ({"zone": "z0"}, "either converters or a zone"),
         ({"converters": (), "zone": "z7"}, "no converter in zone 'z7'"),
         ({"duration_ms": 99_000}, "needs 101000 ms for 1 rounds and has 100000 ms, 1000 ms too little"),
-        ({"deadline_ms": 0}, "its deadline is gone"),
-        ({"name": "held"}, "is there with other content"),
+        ({"deadline_ms": 0}, "its deadline passed 0 ms ago"),
+        ({"name": "held"}, "already exists with different content"),
     ],
 )
 def test_an_invalid_request_is_rejected_in_one_line_and_changes_nothing(
@@ -213,34 +213,43 @@
     text = text.replace("least = 9.5", "least = 11.5").replace("allowance = 2", "allowance = 1")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     result = region.apply(SubmitRequest(request()))
-    assert isinstance(result, Rejected) and "takes 2.5 of 'convert' and at most 2 may be out, 0.5 too" in result.reason
+    assert (
+        isinstance(result, Rejected)
+        and "takes 2.5 of 'convert' and at most 2 may be unavailable, 0.5 too" in result.reason
+    )
 
 
 @pytest.mark.parametrize(
     ("command", "message"),
     [
         (GrantLease("l", "nobody", "a", ("n00",)), "request 'nobody' is not open"),
-        (GrantLease("l", "held", "a", ("n00",)), "'n00' is not to be done"),
-        (GrantLease("l", "held", "a", ()), "names no converter"),
-        (GrantLease("l", "held", "a", ("n11", "n11")), "or one twice"),
-        (GrantLease("l", "held", "a", ("n11", "n12")), "2 converters of request 'held' would be out and 1 may"),
+        (GrantLease("l", "held", "a", ("n00",)), "'n00' is not pending in request"),
+        (GrantLease("l", "held", "a", ()), "no converter is named"),
+        (GrantLease("l", "held", "a", ("n11", "n11")), "or one is named twice"),
+        (GrantLease("l", "held", "a", ("n11", "n12")), "2 converters of request 'held' would be out; at most 1 may"),
         (RevokeLease("l"), "lease 'l' is not open"),
         (CancelRequest("nobody"), "'nobody' is unknown"),
         (RecordObservation("watch", 1, 0, ()), "1 was recorded before"),
-        (RecordObservation("other", 1, 99, ()), "log index 99, which was not there"),
-        (RecordObservation("other", 1, 0, (ConverterObservation("s00", True, 0),)), "'s00' is none of region 'north'"),
-        (RecordCapacityNeeds("north", 1, {}), "no other region"),
-        (RecordCapacityNeeds("west", 1, {}), "no other region"),
+        (RecordObservation("other", 1, 99, ()), "log index 99, which has not been applied"),
+        (
+            RecordObservation("other", 1, 0, (ConverterObservation("s00", True, 0),)),
+            "'s00' does not belong to region 'north'",
+        ),
+        (RecordCapacityNeeds("north", 1, {}), "not another region"),
+        (RecordCapacityNeeds("west", 1, {}), "not another region"),
         (RecordCapacityNeeds("south", 1, {"print": CapacityNeed()}), "unknown service 'print'"),
-        (DebitTransfer(Transfer("south", "north", 1, "convert", 1)), "a matter of region 'south'"),
-        (DebitTransfer(Transfer("north", "west", 1, "convert", 1)), "'west' is no other region"),
-        (DebitTransfer(Transfer("north", "north", 1, "convert", 1)), "'north' is no other region"),
+        (DebitTransfer(Transfer("south", "north", 1, "convert", 1)), "must be handled by region 'south'"),
+        (DebitTransfer(Transfer("north", "west", 1, "convert", 1)), "'west' is not another region"),
+        (DebitTransfer(Transfer("north", "north", 1, "convert", 1)), "'north' is not another region"),
         (DebitTransfer(Transfer("north", "south", 1, "print", 1)), "unknown service 'print'"),
         (DebitTransfer(Transfer("north", "south", 2, "convert", 1)), "next number to 'south' is 1"),
         (DebitTransfer(Transfer("north", "south", 1, "convert", 1501)), "takes 0.001 more"),
-        (CreditTransfer(Transfer("north", "south", 1, "convert", 1)), "a matter of region 'south'"),
-        (CreditTransfer(Transfer("west", "north", 1, "convert", 1)), "'west' is no other region"),
-        (CreditTransfer(Transfer("south", "north", 1, "convert", 2001)), "0.001 more than the whole"),
+        (CreditTransfer(Transfer("north", "south", 1, "convert", 1)), "must be handled by region 'south'"),
+        (CreditTransfer(Transfer("west", "north", 1, "convert", 1)), "'west' is not another region"),
+        (
+            CreditTransfer(Transfer("south", "north", 1, "convert", 2001)),
+            "0.001 more than the total of all allowances",
+        ),
         (AcknowledgeTransfer(Transfer("north", "south", 1, "convert", 1)), "never debited"),
     ],
 )
@@ -277,10 +286,10 @@
     assert Ledger.restore(agreement, "north", taken).snapshot() == taken
     other = agreement_file.parse(AGREEMENT_TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
     for where, region, data, message in (
-        (agreement, "north", taken[:-1], "torn or altered"),
-        (agreement, "north", taken[:-1] + b"\x00", "torn or altered"),
+        (agreement, "north", taken[:-1], "truncated or altered"),
+        (agreement, "north", taken[:-1] + b"\x00", "truncated or altered"),
         (agreement, "north", b"hello", "not a snapshot"),
-        (agreement, "south", taken, "of region 'north', not of 'south'"),
+        (agreement, "south", taken, "taken in region 'north', not in 'south'"),
         (other, "north", taken, "another agreement"),
     ):
         with pytest.raises(state.SnapshotError, match=message):
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -247,7 +247,7 @@
         handed_in = await asyncio.to_thread(ryepier, "request", "r1", "--converter", "n00", *usual)
         assert (handed_in.returncode, handed_in.stdout) == (0, "accepted\n")
         unknown = await asyncio.to_thread(ryepier, "request", "r2", "--converter", "n77", *usual)
-        assert unknown.returncode == 1 and "converter 'n77' is none of service 'convert'" in unknown.stderr
+        assert unknown.returncode == 1 and "converter 'n77' does not belong to service 'convert'" in unknown.stderr
         negative = await asyncio.to_thread(ryepier, "request", "r3", "--zone", "z0", "--at-once", "-1", *usual)
         assert negative.returncode == 2 and "at_once" in negative.stderr
         listed = await asyncio.to_thread(ryepier, "list")
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -91,7 +91,7 @@
 
 def test_an_unplaced_request_has_the_amount_that_is_missing() -> None:
     (unplaced,) = make_schedule(problem(job("big", "c5"))).unplaced_requests
-    assert unplaced.excess == 1000 and "the allowance: taking 'c5' out is 1 too much" in unplaced.reason
+    assert unplaced.excess == 1000 and "the allowance: taking 'c5' out exceeds it by 1" in unplaced.reason
     schedule = make_schedule(
         problem(job("a", "c0", deadline=20), job("b", "c1", deadline=20), job("c", "c2", deadline=25))
     )
--- a/tests/test_maintenance_transfers.py
+++ b/tests/test_maintenance_transfers.py
@@ -41,7 +41,7 @@
     other = Transfer("south", "north", 1, "convert", 700)
     for command in (DebitTransfer(other), AcknowledgeTransfer(other)):
         result = cluster.apply("south", command)
-        assert isinstance(result, Rejected) and "another content" in result.reason
+        assert isinstance(result, Rejected) and "different content" in result.reason
     assert cluster.total_allowance() == 4000
 
 
