--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -152,9 +152,9 @@
             if service.allowances[region_table.region] < service.min_allowance:
                 text = f"{region_table.allowance:g} is less than the service's least_part, {table.min_allowance:g}"
                 self._add_problem((*path, "allowance"), text)
-        listed = {region_table.region for region_table in table.regions}
+        listed_regions = {region_table.region for region_table in table.regions}
         for region in agreement.regions:
-            if region not in listed and agreement.capacity(service.name, region):
+            if region not in listed_regions and agreement.capacity(service.name, region):
                 self._add_problem(
                     ("services", service_index, "regions"),
                     f"region {region!r} has converters of the service but is not listed",
@@ -163,11 +163,11 @@
 
 def _describe_excess(service: Service, agreement: Agreement, region: str | None, excess: int) -> str:
     """Describe by how much a service's minimum exceeds its capacity, in one region or in all."""
-    place = f" in {region!r}" if region else ""
+    scope = f" in {region!r}" if region else ""
     min_available = service.min_available_by_region[region] if region else service.min_available
     total = agreement.capacity(service.name, region)
     zone = " less the largest zone" if service.tolerates_zone_loss else ""
     return (
-        f"{service.name!r} requires {format_capacity(min_available)}{place} but has {format_capacity(total)}{zone}: "
+        f"{service.name!r} requires {format_capacity(min_available)}{scope} but has {format_capacity(total)}{zone}: "
         f"{format_capacity(excess)} too much"
     )
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -126,7 +126,10 @@
 
 
 def plan_transfers(
-    region: str, escrow: Escrow, spare_allowances: Mapping[str, int], peers: Mapping[str, Mapping[str, CapacityNeed]]
+    region: str,
+    escrow: Escrow,
+    spare_allowances: Mapping[str, int],
+    peer_needs: Mapping[str, Mapping[str, CapacityNeed]],
 ) -> list[Transfer]:
     """Return the transfers that this region should debit to cover the needs of its peers.
 
@@ -136,18 +139,18 @@
     """
     transfers = []
     remaining = dict(spare_allowances)
-    numbers = {peer: escrow.next_number(peer) for peer in peers}
+    next_numbers = {peer: escrow.next_number(peer) for peer in peer_needs}
     in_transit = {(transfer.receiver, transfer.service) for transfer in escrow.pending}
     needs = [
         _PeerNeed(-need.deficit, -max(need.deficit, need.shortage), peer, service)
-        for peer, by_service in peers.items()
+        for peer, by_service in peer_needs.items()
         for service, need in by_service.items()
         if (peer, service) not in in_transit
     ]
     for _, negative_need, peer, service in sorted(needs):
         amount = min(-negative_need, remaining.get(service, 0))
         if amount > 0:
-            transfers.append(Transfer(region, peer, numbers[peer], service, amount))
-            numbers[peer] += 1
+            transfers.append(Transfer(region, peer, next_numbers[peer], service, amount))
+            next_numbers[peer] += 1
             remaining[service] -= amount
     return transfers
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -58,7 +58,7 @@
         self.unplaced_requests: list[UnplacedRequest] = []
         self.delayed_requests: list[DelayedRequest] = []
         self._placements: list[Placement] = []
-        self._by_request: dict[str, list[Placement]] = {}
+        self._placements_by_request: dict[str, list[Placement]] = {}
         self._usage = {limit: UsageProfile(self._lost_capacity(limit)) for limit in problem.limits}
         self._concurrent_outages = {job.request.name: UsageProfile(0) for job in order}
         self._charge_active_leases()
@@ -81,13 +81,15 @@
         for job in self.order:
             if job.request.name not in unplaced:
                 work[self.problem.priority(job)] += job.work()
-        ends_ms = sum(placement.end_ms for placements in self._by_request.values() for placement in placements)
+        ends_ms = sum(
+            placement.end_ms for placements in self._placements_by_request.values() for placement in placements
+        )
         return Score(tuple(work), -ends_ms)
 
     def schedule(self) -> Schedule:
         """Return the schedule of this attempt, with its windows in the order of their start times."""
         windows = []
-        for request, placements in self._by_request.items():
+        for request, placements in self._placements_by_request.items():
             times = sorted({(placement.start_ms, placement.end_ms) for placement in placements})
             for start_ms, end_ms in times:
                 names = tuple(placement.converter.name for placement in placements if placement.start_ms == start_ms)
@@ -183,7 +185,7 @@
         if unplaced is not None:
             self._mark_unplaced(unplaced, placements, frozen_placements)
             return
-        self._by_request[job.request.name] = placements
+        self._placements_by_request[job.request.name] = placements
         if delayed is not None:
             self.delayed_requests.append(delayed)
 
@@ -192,7 +194,7 @@
         self.unplaced_requests.append(unplaced)
         for placement in placements[len(frozen) :]:
             self._remove_placement(placement)
-        self._by_request[unplaced.request] = frozen
+        self._placements_by_request[unplaced.request] = frozen
 
     def _earliest_start_ms(self, job: Job, converter: Converter, from_ms: int) -> int | None:
         """Return the first time, from `from_ms` on, from which every limit holds until the converter has recovered.
--- a/ryepier/maintenance/scheduler.py
+++ b/ryepier/maintenance/scheduler.py
@@ -49,8 +49,8 @@
     infeasible = {
         name for name in best.unplaced_names() if PlacementAttempt(problem, [best.job(name)]).unplaced_requests
     }
-    converters = sum(len(job.converters) for job in problem.jobs)
-    remaining_attempts = min(MAX_ORDERS, MAX_PLACEMENTS // converters)
+    converter_count = sum(len(job.converters) for job in problem.jobs)
+    remaining_attempts = min(MAX_ORDERS, MAX_PLACEMENTS // converter_count)
     orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible)
     while remaining_attempts > 0 and (order := next(orders, None)) is not None:
         attempt = PlacementAttempt(problem, order)
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -8,10 +8,10 @@
 
 MAX_OPEN_REQUESTS = 5_000
 
-Converters = tuple[str, ...]
+ConverterNames = tuple[str, ...]
 
 
-def requested_converters(agreement: Agreement, request: Request) -> Converters:
+def requested_converters(agreement: Agreement, request: Request) -> ConverterNames:
     """Return the names of the converters that a request covers, listed by name or selected by zone."""
     if request.converters:
         return request.converters
@@ -19,7 +19,9 @@
     return tuple(converter.name for converter in candidates if converter.zone == request.zone)
 
 
-def rejection_reason(agreement: Agreement, state: LedgerState, request: Request, converters: Converters) -> str | None:
+def rejection_reason(
+    agreement: Agreement, state: LedgerState, request: Request, converters: ConverterNames
+) -> str | None:
     """Return the first reason to reject a new request for `converters`, in one line, or None if it is acceptable."""
     if request.region != state.region:
         return f"it is for region {request.region!r}; this is {state.region!r}"
@@ -40,7 +42,7 @@
 
 
 def _invalid_converter(
-    agreement: Agreement, state: LedgerState, request: Request, converters: Converters
+    agreement: Agreement, state: LedgerState, request: Request, converters: ConverterNames
 ) -> str | None:
     """Describe the first converter that is unknown, named twice, or in another open request, or return None."""
     request_by_converter = {
@@ -59,7 +61,9 @@
     return None
 
 
-def _insufficient_time(state: LedgerState, service: Service, request: Request, converters: Converters) -> str | None:
+def _insufficient_time(
+    state: LedgerState, service: Service, request: Request, converters: ConverterNames
+) -> str | None:
     """Describe by how much the time until the deadline is too short even if nothing else is out of service, or None."""
     if request.deadline_ms <= state.now_ms:
         return f"its deadline passed {state.now_ms - request.deadline_ms} ms ago"
@@ -73,7 +77,7 @@
     )
 
 
-def _oversized_converter(agreement: Agreement, request: Request, converters: Converters) -> str | None:
+def _oversized_converter(agreement: Agreement, request: Request, converters: ConverterNames) -> str | None:
     """Describe the first converter that is too large to be out of service even on its own, or return None."""
     max_unavailable = min(
         agreement.max_unavailable(request.service), agreement.max_unavailable_in(request.service, request.region)
