--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -19,11 +19,11 @@
 from ryepier.maintenance.replication.model import Ready
 from ryepier.maintenance.tables import LeaseState
 
-FOLDER = Path(__file__).parent / "fixtures"
-AGREEMENT = agreement_file.parse((FOLDER / "maintenance_agreement.toml").read_bytes())
+FIXTURES_FOLDER = Path(__file__).parent / "fixtures"
+AGREEMENT = agreement_file.parse((FIXTURES_FOLDER / "maintenance_agreement.toml").read_bytes())
 REGION = "north"
 IDENTITY = storage.Identity("north", "north-0", ("north-0", "north-1", "north-2"))
-HERE = tuple(one.name for one in AGREEMENT.converters_of("convert", REGION))
+NORTH_CONVERTERS = tuple(converter.name for converter in AGREEMENT.converters_of("convert", REGION))
 
 
 def request(name: str, converters: tuple[str, ...], **changes: object) -> Request:
@@ -61,7 +61,7 @@
     return [
         commands.SubmitRequest(request("early", ("n00",))),
         commands.GrantLease("too-early", "early", "agent-1", ("n00",)),  # nothing has been observed yet
-        observation(1, 2, *ready(*HERE, "p0", "p1")),
+        observation(1, 2, *ready(*NORTH_CONVERTERS, "p0", "p1")),
         commands.AdvanceTime(1_500),
         commands.GrantLease("l1", "early", "agent-1", ("n00",)),
         commands.TakeOverLease("l1", "agent-2", 1),
@@ -76,13 +76,13 @@
 
 def transfer_entries() -> list[Command]:
     """Return transfers that arrive out of order and repeatedly, that are acknowledged, pending, and rejected."""
-    outward = Transfer("north", "south", 1, "convert", 250)
+    acknowledged_transfer = Transfer("north", "south", 1, "convert", 250)
     return [
         commands.CreditTransfer(Transfer("south", "north", 1, "convert", 500)),
         commands.CreditTransfer(Transfer("south", "north", 3, "convert", 500)),
         commands.CreditTransfer(Transfer("south", "north", 3, "convert", 500)),
-        commands.DebitTransfer(outward),
-        commands.AcknowledgeTransfer(outward),
+        commands.DebitTransfer(acknowledged_transfer),
+        commands.AcknowledgeTransfer(acknowledged_transfer),
         commands.DebitTransfer(Transfer("north", "south", 2, "convert", 250)),
         commands.DebitTransfer(Transfer("north", "south", 3, "convert", 9_000)),
     ]
@@ -139,8 +139,8 @@
 def state_file() -> bytes:
     """Return the file of a replica: first an entry that a later leader has replaced, then the log."""
     entries = tuple(Entry(3, commands.encode(command)) for command in log())
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
         storage.create(folder, IDENTITY)
         file = storage.FileStorage(folder, IDENTITY)
         file.save(Ready(HardState(1, "north-1"), 1, (Entry(1, b""), Entry(1, b"replaced")), (), ()))
@@ -166,14 +166,16 @@
 
 def call_frames() -> list[api.Frame]:
     """Return the frames from operators, agents and other regions, and the answers."""
-    greetings: list[api.Frame] = [api.ClientHello(api.VERSION, "north", "someone", kind) for kind in api.ClientKind]
+    hellos: list[api.Frame] = [api.ClientHello(api.VERSION, "north", "someone", kind) for kind in api.ClientKind]
     calls: list[api.Frame] = [
         api.CommandCall(1, commands.encode(log()[0])),
         api.LeaseCall(2, "l1"),
         api.StatusCall(3),
     ]
-    applied: list[api.Frame] = [api.CommandReply(number, result) for number, result in enumerate(results_of_log(), 1)]
-    further: list[api.Frame] = [
+    command_replies: list[api.Frame] = [
+        api.CommandReply(number, result) for number, result in enumerate(results_of_log(), 1)
+    ]
+    other_replies: list[api.Frame] = [
         api.CommandReply(98, results.AlreadyApplied(4)),
         api.NoWindowReply(99),
         status(),
@@ -182,7 +184,7 @@
         api.UncertainReply(102),
         api.Rejection("version 2; this side speaks 1"),
     ]
-    return [*greetings, *calls, *applied, *further]
+    return [*hellos, *calls, *command_replies, *other_replies]
 
 
 def status() -> api.StatusReply:
@@ -213,15 +215,15 @@
 
 def formats() -> dict[str, bytes]:
     """Return all fixtures by name."""
-    found = {f"log/{index}": commands.encode(command) for index, command in enumerate(log(), 1)}
-    found["snapshot"] = snapshot()
-    found["state-file"] = state_file()
+    formats_by_name = {f"log/{index}": commands.encode(command) for index, command in enumerate(log(), 1)}
+    formats_by_name["snapshot"] = snapshot()
+    formats_by_name["state-file"] = state_file()
     for number, frame in enumerate([*replica_frames(), *call_frames()]):
-        found[f"frame/{number}"] = transport.encode(frame)
+        formats_by_name[f"frame/{number}"] = transport.encode(frame)
     for number, message in enumerate(fleet_messages()):
-        found[f"fleet/{number}"] = msgspec.msgpack.encode(message)
-    found["status-json"] = msgspec.json.encode(status())
-    return found
+        formats_by_name[f"fleet/{number}"] = msgspec.msgpack.encode(message)
+    formats_by_name["status-json"] = msgspec.json.encode(status())
+    return formats_by_name
 
 
 if __name__ == "__main__":
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -45,12 +45,12 @@
     return "\n".join(lines) + "\n"
 
 
-def converters_text(names: tuple[str, ...] = ("north", "south"), zones: int = 2, each: int = 3) -> str:
+def converters_text(names: tuple[str, ...] = ("north", "south"), zones: int = 2, per_zone: int = 3) -> str:
     return "".join(
         f'[[converters]]\nname = "{region[0]}{zone}{i}"\nservice = "convert"\nregion = "{region}"\nzone = "z{zone}"\n'
         for region in names
         for zone in range(zones)
-        for i in range(each)
+        for i in range(per_zone)
     )
 
 
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -13,13 +13,13 @@
 
 
 def problems(data: bytes) -> list[str]:
-    with pytest.raises(AgreementError) as caught:
+    with pytest.raises(AgreementError) as error_info:
         agreement_file.parse(data)
-    return [str(problem) for problem in caught.value.problems]
+    return [str(problem) for problem in error_info.value.problems]
 
 
-def line_of(text: str, what: str) -> int:
-    return text[: text.index(what)].count("\n") + 1
+def line_of(text: str, key_text: str) -> int:
+    return text[: text.index(key_text)].count("\n") + 1
 
 
 def test_amounts_of_the_file_are_read_in_thousandths() -> None:
@@ -87,12 +87,14 @@
 def test_an_error_is_reported_with_its_key_and_line(old: str, new: str, key: str, message: str) -> None:
     text = AGREEMENT_TEXT.replace(old, new, 1)
     assert text != AGREEMENT_TEXT
-    found = problems(text.encode())
-    assert any(f" {key}: " in one and message in one and one.startswith("line ") for one in found), found
-    assert all("\n" not in one for one in found)
+    reported = problems(text.encode())
+    assert any(f" {key}: " in problem and message in problem and problem.startswith("line ") for problem in reported), (
+        reported
+    )
+    assert all("\n" not in problem for problem in reported)
 
 
-def test_the_line_is_that_of_the_key() -> None:
+def test_a_problem_has_the_line_of_its_key() -> None:
     text = AGREEMENT_TEXT.replace("least = 8", "least = 13")
     assert problems(text.encode())[0].startswith(f"line {line_of(text, 'least = 13')}: services[0].least: ")
     text = AGREEMENT_TEXT.replace('name = "s11"', 'name = "s10"')
@@ -101,13 +103,13 @@
     )
 
 
-def test_a_region_with_too_few_replicas_or_without_its_table_is_named() -> None:
-    last = '[[regions.replicas]]\nname = "north-2"\naddress = "127.0.0.1:7502"\n'
-    assert "2 replicas; a region needs at least 3" in problems(AGREEMENT_TEXT.replace(last, "").encode())[0]
-    part = '[[services.regions]]\nregion = "south"\nleast = 2\nallowance = 2\n'
+def test_missing_replicas_and_unlisted_regions_are_reported() -> None:
+    last_replica = '[[regions.replicas]]\nname = "north-2"\naddress = "127.0.0.1:7502"\n'
+    assert "2 replicas; a region needs at least 3" in problems(AGREEMENT_TEXT.replace(last_replica, "").encode())[0]
+    south_table = '[[services.regions]]\nregion = "south"\nleast = 2\nallowance = 2\n'
     assert any(
-        "region 'south' has converters of the service but is not listed" in one
-        for one in problems(AGREEMENT_TEXT.replace(part, "").encode())
+        "region 'south' has converters of the service but is not listed" in problem
+        for problem in problems(AGREEMENT_TEXT.replace(south_table, "").encode())
     )
 
 
@@ -121,17 +123,19 @@
     ],
 )
 def test_bytes_that_are_not_an_agreement_are_rejected_in_one_line(data: bytes, message: str) -> None:
-    assert any(message in one for one in problems(data))
+    assert any(message in problem for problem in problems(data))
 
 
 def test_the_pure_modules_import_no_clock_randomness_or_io() -> None:
-    pure = (
+    pure_modules = (
         "agreement agreement_file agreement_tables agreement_validation capacity commands escrow judge lease_commands "
         "ledger ledger_context limits observation_commands placement problem profile request_commands results "
         "scheduler seeded_faults state submission tables transfer_commands"
     )
-    for name in pure.split():
+    for name in pure_modules.split():
         assert agreement_file.__file__
-        text = (Path(agreement_file.__file__).parent / f"{name}.py").read_text()
-        for module in ("time", "random", "os", "socket", "asyncio", "pathlib", "threading"):
-            assert f"import {module}\n" not in text and f"from {module} import" not in text, f"{name} imports {module}"
+        source = (Path(agreement_file.__file__).parent / f"{name}.py").read_text()
+        for forbidden in ("time", "random", "os", "socket", "asyncio", "pathlib", "threading"):
+            assert f"import {forbidden}\n" not in source and f"from {forbidden} import" not in source, (
+                f"{name} imports {forbidden}"
+            )
--- a/tests/test_maintenance_compatibility.py
+++ b/tests/test_maintenance_compatibility.py
@@ -16,11 +16,11 @@
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.replication.messages import HardState
 from tests import maintenance_fixtures
-from tests.maintenance_fixtures import AGREEMENT, FOLDER, IDENTITY, REGION
+from tests.maintenance_fixtures import AGREEMENT, FIXTURES_FOLDER, IDENTITY, REGION
 
-WRITTEN = {
+RECORDED = {
     name: bytes.fromhex(data)
-    for name, data in map(str.split, (FOLDER / "maintenance_formats.hex").read_text().splitlines())
+    for name, data in map(str.split, (FIXTURES_FOLDER / "maintenance_formats.hex").read_text().splitlines())
 }
 OPTIONS = {
     "serve": "--agreement --region --replica --folder --discovery --freeze-s --bootstrap",
@@ -33,67 +33,71 @@
 }
 
 
-def written(kind: str) -> list[bytes]:
-    return [data for name, data in WRITTEN.items() if name.startswith(f"{kind}/")]
+def recorded(prefix: str) -> list[bytes]:
+    return [data for name, data in RECORDED.items() if name.startswith(f"{prefix}/")]
 
 
-def test_every_command_of_an_earlier_log_is_read_and_written_alike() -> None:
-    read = [commands.decode(data) for data in written("log")]
-    assert {type(command) for command in read} == set(commands.Command.__args__)
-    assert [commands.encode(command) for command in read] == written("log")
+def test_every_command_of_an_earlier_log_round_trips() -> None:
+    decoded = [commands.decode(data) for data in recorded("log")]
+    assert {type(command) for command in decoded} == set(commands.Command.__args__)
+    assert [commands.encode(command) for command in decoded] == recorded("log")
 
 
 def test_an_earlier_log_gives_the_same_results_and_the_same_snapshot() -> None:
     ledger = Ledger(AGREEMENT, REGION)
-    replies = [frame for frame in map(_decoded, written("frame")) if isinstance(frame, CommandReply)]
-    for index, data in enumerate(written("log"), 1):
+    replies = [frame for frame in map(_decoded, recorded("frame")) if isinstance(frame, CommandReply)]
+    for index, data in enumerate(recorded("log"), 1):
         assert ledger.apply(index, commands.decode(data)) == replies[index - 1].result
-    assert ledger.snapshot() == WRITTEN["snapshot"]
+    assert ledger.snapshot() == RECORDED["snapshot"]
 
 
-def test_an_earlier_snapshot_is_read_and_written_alike() -> None:
-    restored = Ledger.restore(AGREEMENT, REGION, WRITTEN["snapshot"])
-    assert restored.snapshot() == WRITTEN["snapshot"]
+def test_an_earlier_snapshot_round_trips() -> None:
+    restored = Ledger.restore(AGREEMENT, REGION, RECORDED["snapshot"])
+    assert restored.snapshot() == RECORDED["snapshot"]
     states = {lease.name: lease.state.value for lease in restored.open_leases()}
     assert states == {"l2": "draining", "l3": "returning", "l6": "called-off", "l7": "granted"}
-    assert state.encode(restored.state) == WRITTEN["snapshot"]
+    assert state.encode(restored.state) == RECORDED["snapshot"]
 
 
-def test_an_earlier_state_file_is_read_with_its_log(tmp_path: Path) -> None:
-    (tmp_path / storage.FILE_NAME).write_bytes(WRITTEN["state-file"])
+def test_an_earlier_state_file_is_loaded_with_its_log(tmp_path: Path) -> None:
+    (tmp_path / storage.FILE_NAME).write_bytes(RECORDED["state-file"])
     file = storage.FileStorage(tmp_path, IDENTITY)
     file.close()
-    assert file.path.read_bytes() == WRITTEN["state-file"] and file.truncated_bytes == 0
+    assert file.path.read_bytes() == RECORDED["state-file"] and file.truncated_bytes == 0
     assert file.state.hard_state == HardState(3, "north-0")
     assert file.state.entries[0].command == b""
-    assert [entry.command for entry in file.state.entries[1:]] == written("log")
+    assert [entry.command for entry in file.state.entries[1:]] == recorded("log")
 
 
-@pytest.mark.parametrize("frame", written("frame"), ids=range(len(written("frame"))))
-def test_an_earlier_frame_is_read_and_written_alike(frame: bytes) -> None:
+@pytest.mark.parametrize("frame", recorded("frame"), ids=range(len(recorded("frame"))))
+def test_an_earlier_frame_round_trips(frame: bytes) -> None:
     assert transport.encode(_decoded(frame)) == frame
 
 
-@pytest.mark.parametrize("message", written("fleet"), ids=range(len(written("fleet"))))
-def test_an_earlier_message_of_an_agent_is_read_and_written_alike(message: bytes) -> None:
-    kind = FleetCall if b"action" in message else FleetReply
-    assert msgspec.msgpack.encode(msgspec.msgpack.decode(message, type=kind)) == message
+@pytest.mark.parametrize("message", recorded("fleet"), ids=range(len(recorded("fleet"))))
+def test_an_earlier_agent_message_round_trips(message: bytes) -> None:
+    message_type = FleetCall if b"action" in message else FleetReply
+    assert msgspec.msgpack.encode(msgspec.msgpack.decode(message, type=message_type)) == message
 
 
-def test_the_status_keeps_its_texts_for_programs() -> None:
-    read = msgspec.json.decode(WRITTEN["status-json"], type=StatusReply)
-    assert msgspec.json.encode(read) == WRITTEN["status-json"]
+def test_the_status_json_round_trips() -> None:
+    decoded = msgspec.json.decode(RECORDED["status-json"], type=StatusReply)
+    assert msgspec.json.encode(decoded) == RECORDED["status-json"]
 
 
-def test_the_same_contents_are_written_as_before() -> None:
-    assert maintenance_fixtures.formats() == WRITTEN
+def test_current_code_writes_the_recorded_bytes() -> None:
+    assert maintenance_fixtures.formats() == RECORDED
 
 
 @pytest.mark.parametrize("name", OPTIONS)
-def test_a_command_keeps_its_options(name: str) -> None:
+def test_a_cli_command_keeps_its_options(name: str) -> None:
     command = maintenance.commands[name]
-    options = [one.opts[0] for one in command.params if isinstance(one, click.Option)]
-    arguments = [one.make_metavar(click.Context(command)) for one in command.params if isinstance(one, click.Argument)]
+    options = [parameter.opts[0] for parameter in command.params if isinstance(parameter, click.Option)]
+    arguments = [
+        parameter.make_metavar(click.Context(command))
+        for parameter in command.params
+        if isinstance(parameter, click.Argument)
+    ]
     assert [*options, *arguments] == OPTIONS[name].split()
 
 
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -66,15 +66,15 @@
     first = region.request_and_grant("r1", "n00")
     assert region.grant("r1/1", "r1", "n00") == first
     assert isinstance(region.grant("r1/1", "r1", "n00", agent="agent-2"), Rejected)
-    taken = region.ledger.snapshot()
-    assert region.ledger.apply(3, RevokeLease("r1/1")) == AlreadyApplied(3) and region.ledger.snapshot() == taken
+    snapshot = region.ledger.snapshot()
+    assert region.ledger.apply(3, RevokeLease("r1/1")) == AlreadyApplied(3) and region.ledger.snapshot() == snapshot
     region.drain_and_release(first)
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
     region.observe("n00")
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
-def test_fencing_tokens_grow_and_an_old_one_is_rejected() -> None:
+def test_fencing_tokens_increase_and_outdated_tokens_are_rejected() -> None:
     region = north_region()
     first = region.request_and_grant("r1", "n00")
     second = region.apply(TakeOverLease("r1/1", "agent-2", first.token))
@@ -108,8 +108,8 @@
 
 def test_losses_are_charged_first_and_revoke_leases_whose_drain_has_not_started() -> None:
     region = north_region()
-    begun = region.request_and_grant("r1", "n00")
-    region.apply(StartDrain("r1/1", begun.token))
+    draining = region.request_and_grant("r1", "n00")
+    region.apply(StartDrain("r1/1", draining.token))
     region.request_and_grant("r2", "n01")
     region.apply(SubmitRequest(request("r3", converters=("n02",))))
     assert region.observe("n10", ready=False) == Observed((), ("r2/1",))
@@ -130,7 +130,7 @@
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
-def test_a_deficit_in_another_region_blocks_grants_until_it_is_reported_as_over() -> None:
+def test_a_deficit_in_another_region_blocks_grants_until_a_report_clears_it() -> None:
     region = north_region()
     region.request_and_grant("r1", "n00")
     message = region.apply(RecordCapacityNeeds("south", 5, {"convert": CapacityNeed(deficit=2000)}))
@@ -199,14 +199,14 @@
 ) -> None:
     region = north_region()
     region.apply(SubmitRequest(request("held", converters=("n12",))))
-    before = region.ledger.snapshot()
+    snapshot_before = region.ledger.snapshot()
     result = region.apply(SubmitRequest(request(**{"name": "r1", **changes})))  # type: ignore[arg-type]
     assert isinstance(result, Rejected) and message in result.reason and "\n" not in result.reason
     region.ledger.state.applied -= 1
-    assert region.ledger.snapshot() == before
+    assert region.ledger.snapshot() == snapshot_before
 
 
-def test_a_converter_too_large_to_be_out_is_rejected_with_the_amount() -> None:
+def test_a_converter_too_large_to_be_unavailable_is_rejected_with_the_amount() -> None:
     text = AGREEMENT_TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     assert region.apply(SubmitRequest(request())) == Accepted("r1")
@@ -256,11 +256,11 @@
 def test_an_invalid_command_is_rejected_in_one_line_and_changes_nothing(command: Command, message: str) -> None:
     region = north_region()
     region.apply(SubmitRequest(request("held", converters=("n11", "n12"))))
-    before = region.ledger.snapshot()
+    snapshot_before = region.ledger.snapshot()
     result = region.apply(commands.decode(commands.encode(command)))
     assert isinstance(result, Rejected) and message in result.reason and "\n" not in result.reason
     region.ledger.state.applied -= 1
-    assert region.ledger.snapshot() == before
+    assert region.ledger.snapshot() == snapshot_before
 
 
 @pytest.mark.parametrize(
@@ -280,23 +280,23 @@
         commands.decode(data)
 
 
-def test_a_snapshot_that_is_torn_altered_or_foreign_is_rejected() -> None:
+def test_a_truncated_altered_or_foreign_snapshot_is_rejected() -> None:
     agreement = small_agreement()
-    taken = north_region().ledger.snapshot()
-    assert Ledger.restore(agreement, "north", taken).snapshot() == taken
-    other = agreement_file.parse(AGREEMENT_TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
-    for where, region, data, message in (
-        (agreement, "north", taken[:-1], "truncated or altered"),
-        (agreement, "north", taken[:-1] + b"\x00", "truncated or altered"),
+    snapshot = north_region().ledger.snapshot()
+    assert Ledger.restore(agreement, "north", snapshot).snapshot() == snapshot
+    other_agreement = agreement_file.parse(AGREEMENT_TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
+    for restored_agreement, region, data, message in (
+        (agreement, "north", snapshot[:-1], "truncated or altered"),
+        (agreement, "north", snapshot[:-1] + b"\x00", "truncated or altered"),
         (agreement, "north", b"hello", "not a snapshot"),
-        (agreement, "south", taken, "taken in region 'north', not in 'south'"),
-        (other, "north", taken, "another agreement"),
+        (agreement, "south", snapshot, "taken in region 'north', not in 'south'"),
+        (other_agreement, "north", snapshot, "another agreement"),
     ):
         with pytest.raises(state.SnapshotError, match=message):
-            Ledger.restore(where, region, data)
+            Ledger.restore(restored_agreement, region, data)
 
 
-def test_the_state_machines_can_be_printed_and_never_leave_closed() -> None:
+def test_state_machines_can_be_printed_and_closed_is_final() -> None:
     text = "\n\n".join(map(str, (LEASE_TABLE, GIVER_TABLE, RECEIVER_TABLE)))
     assert "| granted | begin | draining |" in text and "| debited | send | debited |" in text
-    assert all(before is not LeaseState.CLOSED for before, _ in LEASE_TABLE.transitions)
+    assert all(state_before is not LeaseState.CLOSED for state_before, _ in LEASE_TABLE.transitions)
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -24,149 +24,166 @@
 }
 
 
-def job(
+def make_job(
     name: str,
     *converters: str,
     max_unavailable: int = 1,
-    length: int = 10,
-    earliest: int = 0,
-    deadline: int = 1000,
+    length_ms: int = 10,
+    earliest_ms: int = 0,
+    deadline_ms: int = 1000,
     priority: Priority = Priority.NORMAL,
-    submitted: int = 0,
+    submitted_ms: int = 0,
 ) -> Job:
     submitted_request = request(
         name,
         converters=converters,
         max_unavailable=max_unavailable,
-        duration_ms=length,
-        earliest_ms=earliest,
-        deadline_ms=deadline,
+        duration_ms=length_ms,
+        earliest_ms=earliest_ms,
+        deadline_ms=deadline_ms,
         priority=priority,
     )
-    return Job(submitted_request, tuple(CONVERTERS[one] for one in converters), length, submitted)
+    return Job(
+        submitted_request, tuple(CONVERTERS[converter_name] for converter_name in converters), length_ms, submitted_ms
+    )
 
 
-def problem(*jobs: Job, bound: int = 1000, now: int = 0) -> SchedulingProblem:
+def make_problem(*jobs: Job, bound: int = 1000, now_ms: int = 0) -> SchedulingProblem:
     limit = Limit("the allowance", "convert", bound)
-    return SchedulingProblem(now_ms=now, jobs=jobs, limits=(limit,), converters=CONVERTERS)
+    return SchedulingProblem(now_ms=now_ms, jobs=jobs, limits=(limit,), converters=CONVERTERS)
 
 
-def starts(schedule: Schedule) -> dict[str, list[int]]:
-    found: dict[str, list[int]] = {}
+def start_times(schedule: Schedule) -> dict[str, list[int]]:
+    times_by_request: dict[str, list[int]] = {}
     for window in schedule.windows:
-        found.setdefault(window.request, []).append(window.start_ms)
-    return found
+        times_by_request.setdefault(window.request, []).append(window.start_ms)
+    return times_by_request
 
 
-def test_the_earliest_deadline_goes_first_and_urgent_requests_before_it() -> None:
-    late, soon = job("late", "c0", deadline=900), job("soon", "c1", deadline=300)
-    urgent = job("urgent", "c2", deadline=950, priority=Priority.URGENT)
-    assert starts(make_schedule(problem(late, soon, urgent))) == {"urgent": [0], "soon": [10], "late": [20]}
+def test_urgent_requests_go_first_then_the_earliest_deadline() -> None:
+    late, soon = make_job("late", "c0", deadline_ms=900), make_job("soon", "c1", deadline_ms=300)
+    urgent = make_job("urgent", "c2", deadline_ms=950, priority=Priority.URGENT)
+    assert start_times(make_schedule(make_problem(late, soon, urgent))) == {"urgent": [0], "soon": [10], "late": [20]}
 
 
-def test_a_later_request_takes_a_gap_and_moves_no_other() -> None:
-    large = job("large", "c0", "c1", max_unavailable=2, deadline=300)
-    first = job("first", "c2", deadline=100)
-    small = job("small", "c3", deadline=900, length=5)
-    bound = problem(first, large, small, bound=2000)
-    assert starts(make_schedule(bound)) == {"first": [0], "large": [0, 10], "small": [10]}
-    waits = problem(replace(large, converters=(CONVERTERS["c5"],)), first, small, bound=2000)
-    assert starts(make_schedule(waits)) == {"first": [0], "large": [10], "small": [0]}, "it fits beside the first"
+def test_a_later_request_fills_a_gap_without_moving_others() -> None:
+    large = make_job("large", "c0", "c1", max_unavailable=2, deadline_ms=300)
+    first = make_job("first", "c2", deadline_ms=100)
+    small = make_job("small", "c3", deadline_ms=900, length_ms=5)
+    problem_with_gap = make_problem(first, large, small, bound=2000)
+    assert start_times(make_schedule(problem_with_gap)) == {"first": [0], "large": [0, 10], "small": [10]}
+    problem_without_gap = make_problem(replace(large, converters=(CONVERTERS["c5"],)), first, small, bound=2000)
+    assert start_times(make_schedule(problem_without_gap)) == {"first": [0], "large": [10], "small": [0]}, (
+        "it fits beside the first"
+    )
 
 
 def test_a_request_limits_its_concurrent_outages() -> None:
-    schedule = make_schedule(problem(job("r", "c0", "c1", "c2", "c3", max_unavailable=2), bound=9000))
+    schedule = make_schedule(make_problem(make_job("r", "c0", "c1", "c2", "c3", max_unavailable=2), bound=9000))
     assert schedule.windows == (Window("r", ("c0", "c1"), 0, 10), Window("r", ("c2", "c3"), 10, 20))
 
 
 def test_a_delayed_request_names_the_limit_and_the_window_that_block_it() -> None:
-    schedule = make_schedule(problem(job("a", "c0", deadline=100), job("b", "c1")))
-    (waiting,) = schedule.delayed_requests
-    assert (waiting.request, waiting.limit, waiting.blocked_by) == ("b", "the allowance", "window a")
-    assert waiting.reason == "waits until 10 ms for the allowance, behind window a"
-    with_lease = replace(problem(job("b", "c1")), active_leases=(ActiveLease("l1", "a", (CONVERTERS["c0"],), 40),))
-    schedule = make_schedule(with_lease)
-    assert starts(schedule) == {"b": [40]} and schedule.delayed_requests[0].blocked_by == "lease l1"
+    schedule = make_schedule(make_problem(make_job("a", "c0", deadline_ms=100), make_job("b", "c1")))
+    (delayed,) = schedule.delayed_requests
+    assert (delayed.request, delayed.limit, delayed.blocked_by) == ("b", "the allowance", "window a")
+    assert delayed.reason == "waits until 10 ms for the allowance, behind window a"
+    problem_with_lease = replace(
+        make_problem(make_job("b", "c1")), active_leases=(ActiveLease("l1", "a", (CONVERTERS["c0"],), 40),)
+    )
+    schedule = make_schedule(problem_with_lease)
+    assert start_times(schedule) == {"b": [40]} and schedule.delayed_requests[0].blocked_by == "lease l1"
 
 
-def test_an_unplaced_request_has_the_amount_that_is_missing() -> None:
-    (unplaced,) = make_schedule(problem(job("big", "c5"))).unplaced_requests
+def test_an_unplaced_request_reports_the_missing_amount() -> None:
+    (unplaced,) = make_schedule(make_problem(make_job("big", "c5"))).unplaced_requests
     assert unplaced.excess == 1000 and "the allowance: taking 'c5' out exceeds it by 1" in unplaced.reason
     schedule = make_schedule(
-        problem(job("a", "c0", deadline=20), job("b", "c1", deadline=20), job("c", "c2", deadline=25))
+        make_problem(
+            make_job("a", "c0", deadline_ms=20),
+            make_job("b", "c1", deadline_ms=20),
+            make_job("c", "c2", deadline_ms=25),
+        )
     )
     (unplaced,) = schedule.unplaced_requests
     assert (unplaced.request, unplaced.late_ms) == ("c", 5)
     assert unplaced.reason.startswith("would end 5 ms after its deadline; waits until 20 ms for the allowance")
-    lost = replace(problem(job("a", "c0")), lost={"c1": 600})
-    (unplaced,) = make_schedule(lost).unplaced_requests
+    problem_with_loss = replace(make_problem(make_job("a", "c0")), lost={"c1": 600})
+    (unplaced,) = make_schedule(problem_with_loss).unplaced_requests
     assert unplaced.excess == 600 and "while 0.6 is lost" in unplaced.reason
 
 
 def test_an_unplaced_request_takes_no_capacity_from_others() -> None:
-    schedule = make_schedule(problem(job("half", "c0", "c1", deadline=15), job("other", "c2", deadline=20)))
-    assert starts(schedule) == {"other": [0]}
+    schedule = make_schedule(
+        make_problem(make_job("half", "c0", "c1", deadline_ms=15), make_job("other", "c2", deadline_ms=20))
+    )
+    assert start_times(schedule) == {"other": [0]}
 
 
-def test_what_is_about_to_start_is_not_moved_by_a_new_request() -> None:
-    old = job("old", "c0", deadline=900)
-    before = make_schedule(problem(old))
-    urgent = job("urgent", "c1", deadline=100, priority=Priority.URGENT)
-    after = make_schedule(replace(problem(old, urgent), previous_windows=before.windows))
-    assert starts(after) == {"old": [0], "urgent": [10]}
-    later = (Window("old", ("c0",), FREEZE_MS + 1, FREEZE_MS + 11),)
-    assert starts(make_schedule(replace(problem(old, urgent), previous_windows=later))) == {"urgent": [0], "old": [10]}
+def test_a_window_about_to_start_is_not_moved_by_a_new_request() -> None:
+    old = make_job("old", "c0", deadline_ms=900)
+    first_schedule = make_schedule(make_problem(old))
+    urgent = make_job("urgent", "c1", deadline_ms=100, priority=Priority.URGENT)
+    second_schedule = make_schedule(replace(make_problem(old, urgent), previous_windows=first_schedule.windows))
+    assert start_times(second_schedule) == {"old": [0], "urgent": [10]}
+    later_windows = (Window("old", ("c0",), FREEZE_MS + 1, FREEZE_MS + 11),)
+    assert start_times(make_schedule(replace(make_problem(old, urgent), previous_windows=later_windows))) == {
+        "urgent": [0],
+        "old": [10],
+    }
 
 
 def test_a_convenient_request_is_not_starved_by_urgent_ones() -> None:
-    waiting = job("old", "c0", deadline=10**9, priority=Priority.CONVENIENT)
-    now = 2 * AGING_INTERVAL_MS
-    fresh = [
-        job(f"u{i}", f"c{i}", deadline=2 * 10**9, priority=Priority.URGENT, submitted=now, earliest=now)
+    waiting = make_job("old", "c0", deadline_ms=10**9, priority=Priority.CONVENIENT)
+    now_ms = 2 * AGING_INTERVAL_MS
+    urgent = [
+        make_job(
+            f"u{i}", f"c{i}", deadline_ms=2 * 10**9, priority=Priority.URGENT, submitted_ms=now_ms, earliest_ms=now_ms
+        )
         for i in range(1, 5)
     ]
-    assert starts(make_schedule(problem(waiting, *fresh, now=now)))["old"] == [now]
-    early = make_schedule(problem(waiting, *fresh, now=AGING_INTERVAL_MS))
-    assert starts(early)["old"] == [AGING_INTERVAL_MS], "a gap before them is free"
+    assert start_times(make_schedule(make_problem(waiting, *urgent, now_ms=now_ms)))["old"] == [now_ms]
+    earlier_schedule = make_schedule(make_problem(waiting, *urgent, now_ms=AGING_INTERVAL_MS))
+    assert start_times(earlier_schedule)["old"] == [AGING_INTERVAL_MS], "a gap before them is free"
 
 
-def test_a_ledger_grants_the_windows_that_are_due() -> None:
+def test_a_ledger_grants_due_windows() -> None:
     region = north_region()
     for name, converters in (("a", ("n00", "n01")), ("b", ("n02",)), ("c", ("n10", "n11"))):
         region.apply(SubmitRequest(request(name, converters=converters, max_unavailable=2)))
     region.apply(AdvanceTime(50))
     schedule = make_schedule(build_problem(region.ledger))
-    now = [window for window in schedule.windows if window.start_ms == 50]
-    assert now == [Window("a", ("n00", "n01"), 50, 12_050)]
-    assert [one.request for one in schedule.delayed_requests] == ["b", "c"]
-    granted = region.grant("a/1", "a", *now[0].converters)
+    due_windows = [window for window in schedule.windows if window.start_ms == 50]
+    assert due_windows == [Window("a", ("n00", "n01"), 50, 12_050)]
+    assert [delayed.request for delayed in schedule.delayed_requests] == ["b", "c"]
+    granted = region.grant("a/1", "a", *due_windows[0].converters)
     assert isinstance(granted, Granted)
-    again = make_schedule(build_problem(region.ledger, schedule.windows))
-    assert starts(again) == {"b": [12_050], "c": [12_050, 24_050]}
+    next_schedule = make_schedule(build_problem(region.ledger, schedule.windows))
+    assert start_times(next_schedule) == {"b": [12_050], "c": [12_050, 24_050]}
     region.apply(StartDrain("a/1", granted.token))
     region.apply(AdvanceTime(20_000))  # the lease is late: it stays charged, and the others are not given up
-    assert starts(make_schedule(build_problem(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
+    assert start_times(make_schedule(build_problem(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
 
 
-def drawn_problem(seed: int, max_jobs: int = 12, priorities: int = 3) -> SchedulingProblem:
-    draw = random.Random(seed)
-    names = list(CONVERTERS)
-    draw.shuffle(names)
+def random_problem(seed: int, max_jobs: int = 12, priorities: int = 3) -> SchedulingProblem:
+    rng = random.Random(seed)
+    remaining_names = list(CONVERTERS)
+    rng.shuffle(remaining_names)
     jobs: list[Job] = []
-    while names and len(jobs) < max_jobs:
-        count = draw.randint(1, min(3, len(names)))
-        mine, names = names[:count], names[count:]
-        length, earliest = draw.randint(5, 20), draw.randint(0, 40)
-        min_length = length * count
+    while remaining_names and len(jobs) < max_jobs:
+        count = rng.randint(1, min(3, len(remaining_names)))
+        job_names, remaining_names = remaining_names[:count], remaining_names[count:]
+        length_ms, earliest_ms = rng.randint(5, 20), rng.randint(0, 40)
+        min_length_ms = length_ms * count
         jobs.append(
-            job(
+            make_job(
                 f"r{len(jobs)}",
-                *mine,
-                max_unavailable=draw.randint(1, count),
-                length=length,
-                earliest=earliest,
-                deadline=earliest + min_length + draw.randint(0, 50),
-                priority=Priority(draw.randrange(priorities)),
+                *job_names,
+                max_unavailable=rng.randint(1, count),
+                length_ms=length_ms,
+                earliest_ms=earliest_ms,
+                deadline_ms=earliest_ms + min_length_ms + rng.randint(0, 50),
+                priority=Priority(rng.randrange(priorities)),
             )
         )
     limits = (
@@ -174,60 +191,69 @@
         Limit("the least capacity without zone z0", "convert", 3000, "z0"),
         Limit("the least capacity without zone z1", "convert", 3000, "z1"),
     )
-    with_lease = (
+    active_leases = (
         (ActiveLease("l", "gone", (CONVERTERS["c0"],), 15),)
-        if all(one != "c0" for j in jobs for one in j.request.converters)
+        if all(name != "c0" for other_job in jobs for name in other_job.request.converters)
         else ()
     )
-    return SchedulingProblem(now_ms=0, jobs=tuple(jobs), limits=limits, converters=CONVERTERS, active_leases=with_lease)
+    return SchedulingProblem(
+        now_ms=0, jobs=tuple(jobs), limits=limits, converters=CONVERTERS, active_leases=active_leases
+    )
 
 
-def check_schedule(one: SchedulingProblem, schedule: Schedule) -> None:
+def check_schedule(problem: SchedulingProblem, schedule: Schedule) -> None:
     """Check that a plan keeps every limit at each of its instants, and each request's own terms."""
-    jobs = {each.request.name: each for each in one.jobs}
-    for at in [0, *(window.start_ms for window in schedule.windows)]:
-        running = [window for window in schedule.windows if window.start_ms <= at < window.end_ms]
-        out = [CONVERTERS[name] for window in running for name in window.converters]
-        out += [
-            converter
-            for with_lease in one.active_leases
-            if at < with_lease.until_ms
-            for converter in with_lease.converters
+    jobs = {job.request.name: job for job in problem.jobs}
+    for at_ms in [0, *(window.start_ms for window in schedule.windows)]:
+        running = [window for window in schedule.windows if window.start_ms <= at_ms < window.end_ms]
+        out_of_service = [CONVERTERS[name] for window in running for name in window.converters]
+        out_of_service += [
+            converter for lease in problem.active_leases if at_ms < lease.until_ms for converter in lease.converters
         ]
-        for limit in one.limits:
-            assert sum(each.size for each in out if limit.applies_to(each)) <= limit.bound
-        for name, each in jobs.items():
+        for limit in problem.limits:
+            assert sum(converter.size for converter in out_of_service if limit.applies_to(converter)) <= limit.bound
+        for name, job in jobs.items():
             assert (
                 sum(len(window.converters) for window in running if window.request == name)
-                <= each.request.max_unavailable
+                <= job.request.max_unavailable
             )
     unplaced_requests = {unplaced.request for unplaced in schedule.unplaced_requests}
-    for name, each in jobs.items():
+    for name, job in jobs.items():
         windows = [window for window in schedule.windows if window.request == name]
         placed = [converter for window in windows for converter in window.converters]
-        assert sorted(placed) == ([] if name in unplaced_requests else sorted(each.request.converters))
-        assert all(each.request.earliest_ms <= w.start_ms and w.end_ms <= each.request.deadline_ms for w in windows)
+        assert sorted(placed) == ([] if name in unplaced_requests else sorted(job.request.converters))
+        assert all(
+            job.request.earliest_ms <= window.start_ms and window.end_ms <= job.request.deadline_ms
+            for window in windows
+        )
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(seed=st.integers(0, 10**6))
-def test_every_schedule_keeps_the_limits_and_the_requests_terms(seed: int) -> None:
-    one = drawn_problem(seed)
-    schedule = make_schedule(one)
-    check_schedule(one, schedule)
-    assert make_schedule(one) == schedule
+def test_generated_schedules_keep_limits_and_request_terms(seed: int) -> None:
+    problem = random_problem(seed)
+    schedule = make_schedule(problem)
+    check_schedule(problem, schedule)
+    assert make_schedule(problem) == schedule
 
 
-def test_over_drawn_cases_the_plan_is_close_to_the_best() -> None:
-    got = best = proven = 0
-    worst = 1.0
+def test_generated_schedules_are_close_to_the_best_plan() -> None:
+    placed_work = best_work = proven_count = 0
+    worst_share = 1.0
     for seed in range(25):
-        one = drawn_problem(seed, max_jobs=9, priorities=1)
-        unplaced_requests = {unplaced.request for unplaced in make_schedule(one).unplaced_requests}
-        plan = best_plan(one, Job.work)
-        proven += plan.bound == plan.value
-        mine = sum(each.work() for each in one.jobs if each.request.name not in unplaced_requests)
-        assert mine <= plan.bound, f"seed {seed}: better than the best"
-        got, best, worst = got + mine, best + plan.bound, min(worst, mine / plan.bound)
-    print(f"work: {got / best:.3f} of the best plans' together, {worst:.3f} at worst; {proven} of 25 proven best")
-    assert proven >= 20 and got >= 0.9 * best and worst >= 0.75
+        problem = random_problem(seed, max_jobs=9, priorities=1)
+        unplaced_requests = {unplaced.request for unplaced in make_schedule(problem).unplaced_requests}
+        best = best_plan(problem, Job.work)
+        proven_count += best.bound == best.value
+        work = sum(job.work() for job in problem.jobs if job.request.name not in unplaced_requests)
+        assert work <= best.bound, f"seed {seed}: better than the best"
+        placed_work, best_work, worst_share = (
+            placed_work + work,
+            best_work + best.bound,
+            min(worst_share, work / best.bound),
+        )
+    print(
+        f"work: {placed_work / best_work:.3f} of the best plans' total, {worst_share:.3f} at worst; "
+        f"{proven_count} of 25 proven best"
+    )
+    assert proven_count >= 20 and placed_work >= 0.9 * best_work and worst_share >= 0.75
--- a/tests/test_maintenance_transfers.py
+++ b/tests/test_maintenance_transfers.py
@@ -15,7 +15,7 @@
 from tests.maintenance_world import AGREEMENTS, request, small_agreement
 
 
-def test_transfers_that_arrive_late_twice_and_in_any_order_are_counted_once() -> None:
+def test_late_repeated_and_reordered_transfers_are_credited_once() -> None:
     cluster = Cluster(small_agreement())
     south, north = cluster.ledger("south"), cluster.ledger("north")
     transfers = [Transfer("south", "north", number, "convert", 500) for number in (1, 2, 3)]
@@ -35,11 +35,11 @@
     assert cluster.apply("south", DebitTransfer(transfers[0])) == Acknowledged(transfers[0])
 
 
-def test_a_transfer_with_another_content_is_rejected() -> None:
+def test_a_transfer_number_with_different_content_is_rejected() -> None:
     cluster = Cluster(small_agreement())
     cluster.debit("south", "north", 500)
-    other = Transfer("south", "north", 1, "convert", 700)
-    for command in (DebitTransfer(other), AcknowledgeTransfer(other)):
+    conflicting = Transfer("south", "north", 1, "convert", 700)
+    for command in (DebitTransfer(conflicting), AcknowledgeTransfer(conflicting)):
         result = cluster.apply("south", command)
         assert isinstance(result, Rejected) and "different content" in result.reason
     assert cluster.total_allowance() == 4000
@@ -61,17 +61,19 @@
     assert cluster.ledger("north").transfers_due() == []
 
 
-def test_a_request_beyond_the_horizon_draws_no_allowance_yet() -> None:
+def test_a_request_beyond_the_horizon_reports_no_shortage() -> None:
     cluster = Cluster(small_agreement())
     ledger = cluster.ledger("north")
-    far = request("far", converters=("n00", "n01", "n02"), max_unavailable=3, earliest_ms=10**6, deadline_ms=10**9)
-    cluster.apply("north", SubmitRequest(far))
+    later_request = request(
+        "far", converters=("n00", "n01", "n02"), max_unavailable=3, earliest_ms=10**6, deadline_ms=10**9
+    )
+    cluster.apply("north", SubmitRequest(later_request))
     assert ledger.capacity_needs()["convert"].shortage == 0
     cluster.apply("north", AdvanceTime(500_000))
     assert ledger.capacity_needs()["convert"].shortage == 1000
 
 
-def test_a_region_that_needs_its_allowance_gives_none_and_deficits_go_before_shortages() -> None:
+def test_needed_allowance_is_kept_and_deficits_are_covered_before_shortages() -> None:
     cluster = Cluster(AGREEMENTS[1])
     cluster.submit("north", "r1", ("n00", "n01", "n02"), 3)
     for name in ("w00", "w01", "w02"):
@@ -82,5 +84,5 @@
         cluster.send(region)
     cluster.deliver_all()
     assert cluster.ledger("north").transfers_due() == []
-    due = [(one.receiver, one.amount) for one in cluster.ledger("south").transfers_due()]
+    due = [(transfer.receiver, transfer.amount) for transfer in cluster.ledger("south").transfers_due()]
     assert due == [("west", 1000), ("north", 500)]
