--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -86,7 +86,10 @@
         return None
 
     def credit(self, transfer: Transfer) -> None:
-        """Add the amount to the allowance and record the transfer as received."""
+        """Add the amount to the allowance and record the transfer as received.
+
+        Must be called only once for each transfer.
+        """
         assert RECEIVER_TABLE.next_state(self.receiver_state(transfer), TransferEvent.CREDIT) is TransferState.CREDITED
         self.received.setdefault(transfer.giver, ReceivedNumbers()).add(transfer.number)
         self.allowances[transfer.service] += transfer.amount
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -76,7 +76,7 @@
         outages += len(command.converters)
         if outages > request.max_unavailable:
             return (
-                f"{outages} converters of request {request.name!r} would be out; "
+                f"{outages} converters of request {request.name!r} would be out of service; "
                 f"at most {request.max_unavailable} may be"
             )
         return self.context.view.first_exceeded_limit(request.service, leased_names | set(command.converters))
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -48,7 +48,7 @@
         self.end_agent_hold(lease, LeaseState.REVOKED)
 
     def revoke_leases_below_agreement(self) -> tuple[str, ...]:
-        """Revoke all leases without a started drain of services below the agreed capacity; return the leases' names."""
+        """Revoke all leases with no started drain, for each service below its agreed capacity; return their names."""
         revoked = []
         for service in self.agreement.services:
             granted = self._granted_leases(service)
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -227,7 +227,10 @@
         excess = excesses[limit]
         lost = self._lost_capacity(limit)
         condition = f"while {format_capacity(lost)} is lost" if lost else "with nothing else out of service"
-        reason = f"{limit.name}: taking {converter.name!r} out exceeds it by {format_capacity(excess)} {condition}"
+        reason = (
+            f"{limit.name}: taking {converter.name!r} out of service exceeds it by "
+            f"{format_capacity(excess)} {condition}"
+        )
         return UnplacedRequest(job.request.name, 0, excess, reason)
 
     def _describe_missed_deadline(self, job: Job, late_ms: int, delayed: DelayedRequest | None) -> UnplacedRequest:
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -52,10 +52,8 @@
     def converters_to_restart(self, probes: Iterable[WarmthProbe]) -> list[str]:
         """Return the released converters whose incarnation appears to be older than their lease.
 
-        The caller restarts the tracking of their warm-up.
-
-        Either the listing is outdated, or this observer has known the region's time only briefly. Once the incarnation
-        has been listed for another full warm-up time, neither is possible any more.
+        Either the listing is outdated, or this observer has known the region's time only briefly. The caller restarts
+        the warm-up of these converters: once listed for another full warm-up time, neither explanation applies.
         """
         names = []
         for probe in probes:
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -12,7 +12,7 @@
 from ryepier.maintenance.state import Lease
 from ryepier.maintenance.tables import LeaseState
 
-AGING_INTERVAL_MS = 600_000  # each interval of waiting after its earliest start raises a request by one priority
+AGING_INTERVAL_MS = 600_000  # each such interval that a request has to wait raises it by one priority
 MIN_REMAINING_LEASE_MS = 1_000  # assumed remaining time of a lease that is overdue
 
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulingProblem:
-    """Everything that a schedule depends on. Times are the region's, in milliseconds."""
+    """Everything that a schedule depends on. Times are in the region's time, in milliseconds."""
 
     now_ms: int
     jobs: tuple[Job, ...]
@@ -60,7 +60,7 @@
     lost: Mapping[str, int] = field(default_factory=dict)  # thousandths, by name of each converter not under a lease
     converters: Mapping[str, Converter] = field(default_factory=dict)  # of the region, by name
     active_leases: tuple[ActiveLease, ...] = ()
-    previous_windows: tuple[Window, ...] = ()  # of the previous schedule, about to start
+    previous_windows: tuple[Window, ...] = ()  # of the previous schedule; those about to start are kept
 
     def desired_start_ms(self, job: Job) -> int:
         """Return the earliest time at which a request may start."""
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -64,7 +64,7 @@
 def _insufficient_time(
     state: LedgerState, service: Service, request: Request, converters: ConverterNames
 ) -> str | None:
-    """Describe by how much the time until the deadline is too short even if nothing else is out of service, or None."""
+    """Describe by how much the time until the deadline is too short even without other outages, or return None."""
     if request.deadline_ms <= state.now_ms:
         return f"its deadline passed {state.now_ms - request.deadline_ms} ms ago"
     rounds = -(-len(converters) // request.max_unavailable)
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -35,7 +35,7 @@
     def transferable(self, service: str) -> int:
         """Return how much of the allowance can be given away.
 
-        Excludes the capacity that is unavailable or lost, and at least the minimum allowance.
+        The region keeps the allowance for its unavailable and lost capacity, and at least its minimum allowance.
         """
         capacity = self._capacity(service)
         used = capacity.unavailable + capacity.lost
--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -1,6 +1,6 @@
-"""Writes everything that maintenance coordinators store or send, as named hex lines, for tests/fixtures.
+"""Prints examples of all data that maintenance coordinators store or send, as named lines of hex, for tests/fixtures.
 
-The fixtures were written by revision f922cf1, before its types were renamed; this script has the present names.
+The fixtures were written by revision f922cf1, before its types were renamed; this script uses the current names.
 Run: python -m tests.maintenance_fixtures > tests/fixtures/maintenance_formats.hex
 """
 
@@ -27,7 +27,7 @@
 
 
 def request(name: str, converters: tuple[str, ...], **changes: object) -> Request:
-    """Return a request of the fixtures' region."""
+    """Return a request in region `north`, with default values for the fields not in `changes`."""
     fields: dict[str, object] = {
         "name": name,
         "region": REGION,
@@ -42,7 +42,7 @@
 
 
 def observation(sequence: int, as_of: int, *observations: ConverterObservation) -> Command:
-    """Return an observation by north-0."""
+    """Return the command that records an observation by the observer `north-0`."""
     return commands.RecordObservation("north-0", sequence, as_of, observations)
 
 
@@ -52,12 +52,12 @@
 
 
 def log() -> list[Command]:
-    """Return every command, so that the ledger ends with a lease in each state that an open one can have."""
+    """Return a log with every type of command, after which the ledger has a lease in every open state."""
     return [*closed_lease_entries(), *transfer_entries(), *open_lease_entries(), *loss_entries()]
 
 
 def closed_lease_entries() -> list[Command]:
-    """Return the log of a lease from its request to its end."""
+    """Return the commands of a lease from its request until it is closed, then two more requests."""
     return [
         commands.SubmitRequest(request("early", ("n00",))),
         commands.GrantLease("too-early", "early", "agent-1", ("n00",)),  # nothing has been observed yet
@@ -75,7 +75,7 @@
 
 
 def transfer_entries() -> list[Command]:
-    """Return transfers that arrive out of order and repeatedly, that are acknowledged, pending, and rejected."""
+    """Return commands for transfers that are reordered, repeated, acknowledged, pending and rejected."""
     acknowledged_transfer = Transfer("north", "south", 1, "convert", 250)
     return [
         commands.CreditTransfer(Transfer("south", "north", 1, "convert", 500)),
@@ -89,7 +89,7 @@
 
 
 def open_lease_entries() -> list[Command]:
-    """Return leases that are granted, draining, returning and revoked, and requests that are cancelled and missed."""
+    """Return commands for leases in every open state, and for requests that are cancelled or miss their deadline."""
     return [
         commands.GrantLease("l2", "zone", "agent-1", ("n00",)),
         commands.StartDrain("l2", 3),
@@ -110,7 +110,7 @@
 
 
 def loss_entries() -> list[Command]:
-    """Return observations that close leases, and of a loss that revokes one."""
+    """Return observations that close leases, and one of a loss that revokes a lease."""
     return [
         observation(3, 34, *ready("n10", "n11")),
         commands.GrantLease("l6", "zone", "agent-1", ("n02",)),
@@ -137,7 +137,7 @@
 
 
 def state_file() -> bytes:
-    """Return the file of a replica: first an entry that a later leader has replaced, then the log."""
+    """Return a replica's state file: an entry that a later leader replaced, followed by the log."""
     entries = tuple(Entry(3, commands.encode(command)) for command in log())
     with tempfile.TemporaryDirectory() as folder_name:
         folder = Path(folder_name)
@@ -151,7 +151,7 @@
 
 
 def replica_frames() -> list[api.Frame]:
-    """Return the frames between the coordinators of a region."""
+    """Return frames that the coordinators of a region exchange."""
     return [
         api.PeerHello(api.VERSION, "north", "north-0", AGREEMENT.digest),
         messages.RequestVote(3, 9, 2),
@@ -165,7 +165,7 @@
 
 
 def call_frames() -> list[api.Frame]:
-    """Return the frames from operators, agents and other regions, and the answers."""
+    """Return frames from operators, agents and other regions, and the replies to them."""
     hellos: list[api.Frame] = [api.ClientHello(api.VERSION, "north", "someone", kind) for kind in api.ClientKind]
     calls: list[api.Frame] = [
         api.CommandCall(1, commands.encode(log()[0])),
@@ -206,7 +206,7 @@
 
 
 def fleet_messages() -> list[fleet.FleetCall | fleet.FleetReply]:
-    """Return the messages between an agent and the tooling that carries its steps out."""
+    """Return messages between an agent and the fleet tooling that carries out its steps."""
     calls: list[fleet.FleetCall | fleet.FleetReply] = [
         fleet.FleetCall(action, "n00", 3, "n00.1" if action is fleet.Action.LIST else "") for action in fleet.Action
     ]
@@ -214,7 +214,7 @@
 
 
 def formats() -> dict[str, bytes]:
-    """Return all fixtures by name."""
+    """Return the bytes of all fixtures by name."""
     formats_by_name = {f"log/{index}": commands.encode(command) for index, command in enumerate(log(), 1)}
     formats_by_name["snapshot"] = snapshot()
     formats_by_name["state-file"] = state_file()
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -1,4 +1,4 @@
-"""A small agreement, and what its tests share."""
+"""A small agreement, and helpers shared by the maintenance tests."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
 
 
 class RegionLedger:
-    """A ledger with its log's next index, and an observer that is up to date."""
+    """A region's ledger driven directly: applies commands at the next log index, and records observations."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -127,7 +127,7 @@
 
 
 def north_region(ledger_type: type[Ledger] = Ledger) -> RegionLedger:
-    """Return region north with all its converters observed ready and warm."""
+    """Return the region `north` with all its converters observed ready and warm."""
     region = RegionLedger(ledger_type(small_agreement(), "north"))
     region.observe_all()
     return region
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -1,4 +1,4 @@
-"""The agreement file: its contents, and every error with its key and line."""
+"""The agreement file: parsed values, and every error reported with its key and line."""
 
 from __future__ import annotations
 
--- a/tests/test_maintenance_compatibility.py
+++ b/tests/test_maintenance_compatibility.py
@@ -1,4 +1,4 @@
-"""What coordinators store and send keeps its form: what revision f922cf1 wrote is read, applied and written alike."""
+"""Stored data, messages and options stay compatible: data written by revision f922cf1 is read and written unchanged."""
 
 from __future__ import annotations
 
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -1,4 +1,4 @@
-"""One region's ledger: leases, fencing tokens, losses, limits, and what it rejects."""
+"""One region's ledger: leases, fencing tokens, losses, limits, and rejected commands."""
 
 from __future__ import annotations
 
@@ -46,19 +46,21 @@
     region = north_region()
     granted = region.request_and_grant("r1", "n00")
     assert region.ledger.capacity("convert").unavailable == 1000
-    region.observe("n00")  # still up: the drain has not begun, or not reached it
+    region.observe("n00")  # up before the drain started: this must not close the lease
     region.apply(StartDrain("r1/1", granted.token))
     region.apply(AdvanceTime(10_000_000))
     region.observe("n00")
     before_release = region.ledger.applied
     assert region.apply(ReleaseLease("r1/1", granted.token)) == Released("r1/1", ("n00",))
-    region.observe("n00", as_of=before_release)  # seen before the holder was done: it may have gone down since
+    region.observe("n00", as_of=before_release)  # observed before the release, so it may have gone down since
     region.observe("n00", ready=False)
     region.observe("n00", warmth=999)
     assert region.ledger.capacity("convert").unavailable == 1000
     assert region.observe("n00") == Observed(("r1/1",))
     assert region.ledger.capacity("convert").unavailable == 0 and region.ledger.open_leases() == []
-    assert region.apply(SubmitRequest(request("r1"))) == Accepted("r1"), "a finished request is known"
+    assert region.apply(SubmitRequest(request("r1"))) == Accepted("r1"), (
+        "a repeated submission of a completed request is accepted"
+    )
 
 
 def test_a_repeated_grant_returns_the_same_lease_and_an_index_is_applied_once() -> None:
@@ -79,7 +81,9 @@
     first = region.request_and_grant("r1", "n00")
     second = region.apply(TakeOverLease("r1/1", "agent-2", first.token))
     assert isinstance(second, Granted) and second.token > first.token
-    assert region.apply(TakeOverLease("r1/1", "agent-2", first.token)) == second, "told twice"
+    assert region.apply(TakeOverLease("r1/1", "agent-2", first.token)) == second, (
+        "a repeated take-over returns the same lease"
+    )
     for command in (
         StartDrain("r1/1", first.token),
         ReleaseLease("r1/1", first.token),
@@ -115,9 +119,9 @@
     assert region.observe("n10", ready=False) == Observed((), ("r2/1",))
     assert region.ledger.is_below_agreement("convert")
     assert region.ledger.capacity("convert").lost == 1000
-    region.observe("n10", warmth=500)  # back, and cold
+    region.observe("n10", warmth=500)  # up again, half warmed up
     assert region.ledger.capacity("convert").lost == 500
-    region.observe("n01")  # the called-off one is free: 1 out, 0.5 lost, 2 allowed
+    region.observe("n01")  # closes the revoked lease, leaving 1 out and 0.5 lost of an allowance of 2
     result = region.grant("r3/1", "r3", "n02")
     assert isinstance(result, Rejected) and "0.5 too much" in result.reason and "allowance" in result.reason
     region.observe("n10")
@@ -137,7 +141,7 @@
     assert message == Observed((), ("r1/1",))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     assert isinstance(region.grant("r2/1", "r2", "n01"), Rejected)
-    assert isinstance(region.apply(RecordCapacityNeeds("south", 4, {})), Rejected), "an older word"
+    assert isinstance(region.apply(RecordCapacityNeeds("south", 4, {})), Rejected), "an older report is rejected"
     region.apply(RecordCapacityNeeds("south", 6, {}))
     assert isinstance(region.grant("r2/1", "r2", "n01"), Granted)
 
@@ -147,7 +151,7 @@
     text = text.replace("allowance = 2", "allowance = 1")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     region.observe_all()
-    region.request_and_grant("r1", "n00")  # zone 0 has 2 left, so losing zone 1 leaves 2
+    region.request_and_grant("r1", "n00")  # 2 remain in zone 0, the regional minimum if zone 1 is lost
     region.apply(CreditTransfer(Transfer("south", "north", 1, "convert", 1000)))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     result = region.grant("r2/1", "r2", "n01")
@@ -226,7 +230,10 @@
         (GrantLease("l", "held", "a", ("n00",)), "'n00' is not pending in request"),
         (GrantLease("l", "held", "a", ()), "no converter is named"),
         (GrantLease("l", "held", "a", ("n11", "n11")), "or one is named twice"),
-        (GrantLease("l", "held", "a", ("n11", "n12")), "2 converters of request 'held' would be out; at most 1 may"),
+        (
+            GrantLease("l", "held", "a", ("n11", "n12")),
+            "2 converters of request 'held' would be out of service; at most 1 may",
+        ),
         (RevokeLease("l"), "lease 'l' is not open"),
         (CancelRequest("nobody"), "'nobody' is unknown"),
         (RecordObservation("watch", 1, 0, ()), "1 was recorded before"),
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: order, backfill, reasons, stability, and its distance from the best plan."""
+"""The scheduler: order, backfill, reported reasons, stability, and how close its schedules are to the best plan."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
     assert start_times(make_schedule(problem_with_gap)) == {"first": [0], "large": [0, 10], "small": [10]}
     problem_without_gap = make_problem(replace(large, converters=(CONVERTERS["c5"],)), first, small, bound=2000)
     assert start_times(make_schedule(problem_without_gap)) == {"first": [0], "large": [10], "small": [0]}, (
-        "it fits beside the first"
+        "small and first fit at the same time"
     )
 
 
@@ -97,7 +97,7 @@
 
 def test_an_unplaced_request_reports_the_missing_amount() -> None:
     (unplaced,) = make_schedule(make_problem(make_job("big", "c5"))).unplaced_requests
-    assert unplaced.excess == 1000 and "the allowance: taking 'c5' out exceeds it by 1" in unplaced.reason
+    assert unplaced.excess == 1000 and "the allowance: taking 'c5' out of service exceeds it by 1" in unplaced.reason
     schedule = make_schedule(
         make_problem(
             make_job("a", "c0", deadline_ms=20),
@@ -144,7 +144,9 @@
     ]
     assert start_times(make_schedule(make_problem(waiting, *urgent, now_ms=now_ms)))["old"] == [now_ms]
     earlier_schedule = make_schedule(make_problem(waiting, *urgent, now_ms=AGING_INTERVAL_MS))
-    assert start_times(earlier_schedule)["old"] == [AGING_INTERVAL_MS], "a gap before them is free"
+    assert start_times(earlier_schedule)["old"] == [AGING_INTERVAL_MS], (
+        "nothing else is scheduled before the urgent requests"
+    )
 
 
 def test_a_ledger_grants_due_windows() -> None:
@@ -161,7 +163,7 @@
     next_schedule = make_schedule(build_problem(region.ledger, schedule.windows))
     assert start_times(next_schedule) == {"b": [12_050], "c": [12_050, 24_050]}
     region.apply(StartDrain("a/1", granted.token))
-    region.apply(AdvanceTime(20_000))  # the lease is late: it stays charged, and the others are not given up
+    region.apply(AdvanceTime(20_000))  # the lease is overdue: it stays charged, and the other requests stay scheduled
     assert start_times(make_schedule(build_problem(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
 
 
@@ -202,7 +204,7 @@
 
 
 def check_schedule(problem: SchedulingProblem, schedule: Schedule) -> None:
-    """Check that a plan keeps every limit at each of its instants, and each request's own terms."""
+    """Check that a schedule keeps all limits, and the time frames and concurrent outages that requests allow."""
     jobs = {job.request.name: job for job in problem.jobs}
     for at_ms in [0, *(window.start_ms for window in schedule.windows)]:
         running = [window for window in schedule.windows if window.start_ms <= at_ms < window.end_ms]
@@ -246,7 +248,7 @@
         best = best_plan(problem, Job.work)
         proven_count += best.bound == best.value
         work = sum(job.work() for job in problem.jobs if job.request.name not in unplaced_requests)
-        assert work <= best.bound, f"seed {seed}: better than the best"
+        assert work <= best.bound, f"seed {seed}: more work than the upper bound of the best plan"
         placed_work, best_work, worst_share = (
             placed_work + work,
             best_work + best.bound,
@@ -254,6 +256,6 @@
         )
     print(
         f"work: {placed_work / best_work:.3f} of the best plans' total, {worst_share:.3f} at worst; "
-        f"{proven_count} of 25 proven best"
+        f"{proven_count} of 25 best plans proven optimal"
     )
     assert proven_count >= 20 and placed_work >= 0.9 * best_work and worst_share >= 0.75
--- a/tests/test_maintenance_transfers.py
+++ b/tests/test_maintenance_transfers.py
@@ -1,4 +1,4 @@
-"""Allowances between regions: transfers in any order, and how needs draw them."""
+"""Transfers of allowance between regions: delivery in any order, and the transfers that needs cause."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         cluster.restart("north")
     north = cluster.ledger("north")
     assert north.capacity("convert").allowance == 3500 and south.capacity("convert").allowance == 500
-    assert south.pending_transfers() == transfers, "sent until acknowledged, whatever the time"
+    assert south.pending_transfers() == transfers, "transfers stay pending until acknowledged"
     for transfer in reversed(transfers):
         assert cluster.apply("south", AcknowledgeTransfer(transfer)) == Acknowledged(transfer)
         assert cluster.apply("south", AcknowledgeTransfer(transfer)) == Acknowledged(transfer)
@@ -53,7 +53,7 @@
     cluster.rebalance("south")
     assert cluster.ledger("south").capacity("convert").allowance == 500
     cluster.rebalance("south")
-    assert len(cluster.ledger("south").pending_transfers()) == 1, "no second one while the first is in transit"
+    assert len(cluster.ledger("south").pending_transfers()) == 1, "no second transfer while the first is in transit"
     cluster.send("south")
     cluster.deliver_all()
     assert cluster.ledger("north").capacity("convert").allowance == 3500
