--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -101,15 +101,15 @@
             return f"transfer {format_transfer(transfer)} was never debited"
         if state is TransferState.DEBITED and self._pending_match(transfer) != transfer:
             return f"transfer {format_transfer(transfer)} was debited with different content"
-        self.pending = [pending for pending in self.pending if pending != transfer]
+        self.pending = [candidate for candidate in self.pending if candidate != transfer]
         return None
 
     def _pending_match(self, transfer: Transfer) -> Transfer | None:
         """Return the pending transfer with the same receiver and number, or None."""
         matches = (
-            pending
-            for pending in self.pending
-            if (pending.receiver, pending.number) == (transfer.receiver, transfer.number)
+            candidate
+            for candidate in self.pending
+            if (candidate.receiver, candidate.number) == (transfer.receiver, transfer.number)
         )
         return next(matches, None)
 
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -74,18 +74,18 @@
 
 def build_problem(ledger: Ledger, previous_windows: Sequence[Window] = ()) -> SchedulingProblem:
     """Build the scheduling problem from the current state of a ledger."""
-    leased = ledger.view.leased_converters()
+    leased_names = ledger.view.leased_converters()
     region_converters = {
         name: converter for name, converter in ledger.agreement.converters.items() if converter.region == ledger.region
     }
     return SchedulingProblem(
         now_ms=ledger.now_ms,
-        jobs=_jobs(ledger, leased),
+        jobs=_jobs(ledger, leased_names),
         limits=tuple(limit for service in ledger.agreement.services for limit in ledger.limits(service)),
         lost={
             name: ledger.view.lost_capacity(converter)
             for name, converter in region_converters.items()
-            if name not in leased
+            if name not in leased_names
         },
         converters=region_converters,
         active_leases=tuple(_active_lease(ledger, lease) for lease in ledger.open_leases()),
@@ -93,11 +93,11 @@
     )
 
 
-def _jobs(ledger: Ledger, leased: set[str]) -> tuple[Job, ...]:
+def _jobs(ledger: Ledger, leased_names: set[str]) -> tuple[Job, ...]:
     """Return the jobs of the open requests: their remaining converters that are not under a lease."""
     jobs = []
     for record in ledger.open_requests():
-        names = [name for name in record.remaining() if name not in leased]
+        names = [name for name in record.remaining() if name not in leased_names]
         if names:
             converters = tuple(ledger.agreement.converters[name] for name in names)
             jobs.append(Job(record.request, converters, _length_ms(ledger, record.request), record.submitted_ms))
--- a/ryepier/maintenance/profile.py
+++ b/ryepier/maintenance/profile.py
@@ -15,9 +15,9 @@
 
     def add(self, start_ms: int, end_ms: int, amount: int) -> None:
         """Raise the level by `amount` from `start_ms` up to, but excluding, `end_ms`. A negative amount lowers it."""
-        first = self._split(start_ms)
-        last = self._split(end_ms)
-        for i in range(first, last):
+        first_step = self._split(start_ms)
+        end_step = self._split(end_ms)
+        for i in range(first_step, end_step):
             self._levels[i] += amount
 
     def earliest_gap(self, from_ms: int, duration_ms: int, max_level: int) -> int | None:
@@ -25,15 +25,15 @@
 
         Returns None if there is no such time.
         """
-        start = from_ms
-        i = bisect_right(self._times, start) - 1
-        while i < len(self._times) and self._times[i] < start + duration_ms:
+        start_ms = from_ms
+        i = bisect_right(self._times, start_ms) - 1
+        while i < len(self._times) and self._times[i] < start_ms + duration_ms:
             if self._levels[i] > max_level:
                 if i + 1 == len(self._times):
                     return None
-                start = self._times[i + 1]
+                start_ms = self._times[i + 1]
             i += 1
-        return start
+        return start_ms
 
     def _split(self, at_ms: int) -> int:
         """Return the index of the step that begins at a time, inserting the step if there is none."""
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -48,10 +48,10 @@
             return Rejected(reason)
         if self.is_credited(transfer):
             return Credited(transfer)
-        after = self.state.escrow.allowances[transfer.service] + transfer.amount
+        new_allowance = self.state.escrow.allowances[transfer.service] + transfer.amount
         total = self.context.agreement.max_unavailable(transfer.service)
-        if after > total:
-            excess = format_capacity(after - total)
+        if new_allowance > total:
+            excess = format_capacity(new_allowance - total)
             name = escrow.format_transfer(transfer)
             return Rejected(f"transfer {name}: {excess} more than the total of all allowances")
         self.state.escrow.credit(transfer)
