--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -135,14 +135,14 @@
 
         The largest zone is subtracted if its loss must be tolerated.
         """
-        zones: dict[Zone, int] = {}
+        zone_capacities: dict[Zone, int] = {}
         for converter in self.agreement.converters_of(service, region):
-            present_share = 0 if converter.name in self._planned_outages else FULL_SHARE - lost.get(converter.name, 0)
+            available_share = 0 if converter.name in self._planned_outages else FULL_SHARE - lost.get(converter.name, 0)
             zone = Zone(converter.region, converter.zone)
-            zones[zone] = zones.get(zone, 0) + converter.size * present_share // FULL_SHARE
-        available = sum(zones.values())
+            zone_capacities[zone] = zone_capacities.get(zone, 0) + converter.size * available_share // FULL_SHARE
+        available = sum(zone_capacities.values())
         if self.agreement.services[service].tolerates_zone_loss:
-            available -= max(zones.values(), default=0)
+            available -= max(zone_capacities.values(), default=0)
         return available
 
 
--- a/ryepier/maintenance/limits.py
+++ b/ryepier/maintenance/limits.py
@@ -37,8 +37,8 @@
     name = f"the minimum capacity of {service!r} in {region!r}"
     if not terms.tolerates_zone_loss:
         return (Limit(name, service, max_unavailable),)
-    zones = agreement.zone_capacities(service, region)
+    zone_capacities = agreement.zone_capacities(service, region)
     return tuple(
         Limit(f"{name} without zone {zone.name!r}", service, max_unavailable - size, zone.name)
-        for zone, size in sorted(zones.items())
+        for zone, size in sorted(zone_capacities.items())
     )
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -90,8 +90,8 @@
         """Return the schedule of this attempt, with its windows in the order of their start times."""
         windows = []
         for request, placements in self._placements_by_request.items():
-            times = sorted({(placement.start_ms, placement.end_ms) for placement in placements})
-            for start_ms, end_ms in times:
+            intervals = sorted({(placement.start_ms, placement.end_ms) for placement in placements})
+            for start_ms, end_ms in intervals:
                 names = tuple(placement.converter.name for placement in placements if placement.start_ms == start_ms)
                 windows.append(Window(request, names, start_ms, end_ms))
         windows.sort(key=lambda window: (window.start_ms, window.request))
