--- a/ryepier/maintenance/agreement_file.py
+++ b/ryepier/maintenance/agreement_file.py
@@ -19,7 +19,7 @@
 
 
 class AgreementError(ConfigurationError):
-    """An agreement that cannot be used; `problems` holds all that is wrong with it, in the order of its lines."""
+    """The agreement file is invalid. `problems` lists everything that is wrong with it, in the order of its lines."""
 
 
 def parse(data: bytes) -> Agreement:
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -48,7 +48,7 @@
     service: Name
     converters: Names = ()
     zone: str = ""
-    max_unavailable: Positive = msgspec.field(name="at_once")  # converters out of service at the same time
+    max_unavailable: Positive = msgspec.field(name="at_once")  # limit on its converters out of service at the same time
     duration_ms: Positive  # per converter, from the drain until it is up again; excludes the warm-up
     earliest_ms: NonNegative
     deadline_ms: NonNegative
@@ -83,9 +83,7 @@
     """How far a region's allowance for a service falls short, in thousandths, as reported to the other regions."""
 
     deficit: NonNegative = 0  # capacity under leases or lost, beyond the allowance
-    shortage: NonNegative = (
-        0  # capacity that its requests would take out together or that is lost, beyond the allowance
-    )
+    shortage: NonNegative = 0  # capacity that its requests need together or that is lost, beyond the allowance
 
 
 class SubmitRequest(msgspec.Struct, tag="submit-request", tag_field="type", frozen=True, forbid_unknown_fields=True):
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -12,7 +12,7 @@
 from ryepier.maintenance.state import Lease
 from ryepier.maintenance.tables import LeaseState
 
-AGING_INTERVAL_MS = 600_000  # each such interval that a request has to wait raises it by one priority
+AGING_INTERVAL_MS = 600_000  # a request gains one priority per interval since it could have started
 MIN_REMAINING_LEASE_MS = 1_000  # assumed remaining time of a lease that is overdue
 
 
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -54,9 +54,8 @@
     )
 
 
-AGREEMENT_TEXT = (
-    SERVICE_TEXT + regions_text() + converters_text()
-)  # 12 converters of size 1: n00..n02, n10..n12, s00..s12
+# 12 converters of size 1: n00..n02 and n10..n12 in north, s00..s02 and s10..s12 in south
+AGREEMENT_TEXT = SERVICE_TEXT + regions_text() + converters_text()
 
 WEST_TEXT = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
 THREE_REGIONS = ("north", "south", "west")
