--- a/ryepier/maintenance/scheduler.py
+++ b/ryepier/maintenance/scheduler.py
@@ -1,6 +1,7 @@
-"""Which windows to open, and when: earliest deadline first with backfill, urgent before convenient.
+"""Schedules maintenance windows by priority, then earliest deadline first, with backfill.
 
-Pure: a `SchedulingProblem` in, a `Schedule` out, the same for the same. The schedule only proposes: the ledger grants.
+Deterministic and without I/O: equal problems give equal schedules. A schedule is only a proposal; the ledger decides
+which leases are granted.
 """
 
 from __future__ import annotations
@@ -8,16 +9,16 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from ryepier.maintenance.placement import Attempt
+from ryepier.maintenance.placement import PlacementAttempt
 from ryepier.maintenance.problem import Job, SchedulingProblem
 from ryepier.maintenance.schedule import Schedule
 
-MAX_ORDERS = 60  # of requests that are tried where some do not fit
-MAX_PLACEMENTS = 4_000  # of converters over all orders, so that a large fleet's schedule is not late
+MAX_ORDERS = 60  # orders of the requests that are tried if some do not fit
+MAX_PLACEMENTS = 4_000  # converters placed over all tried orders; bounds the scheduling time for large fleets
 
 
 class _JobKey(NamedTuple):
-    """The sort key of a job: by priority, then by a criterion, then by age."""
+    """The sort key of a job: priority, then a criterion, then the time of submission."""
 
     priority: int
     criterion: int
@@ -29,44 +30,53 @@
 
 
 def make_schedule(problem: SchedulingProblem) -> Schedule:
-    """Return the best schedule that a few orders of the requests give, by `Attempt.score`."""
-    best = Attempt(problem, _ordered(problem, _deadline_ms))
+    """Return the best schedule found over several orders of the requests, compared by `PlacementAttempt.score`."""
+    best = PlacementAttempt(problem, _sorted_jobs(problem, _deadline_ms))
     if best.unplaced_requests:
-        others = [Attempt(problem, _ordered(problem, criterion)) for criterion in (_slack_ms, _negative_work)]
-        best = max(best, *others, key=Attempt.score)
-        best = _improve(problem, best)
+        alternatives = [
+            PlacementAttempt(problem, _sorted_jobs(problem, criterion)) for criterion in (_slack_ms, _negative_work)
+        ]
+        best = max(best, *alternatives, key=PlacementAttempt.score)
+        best = _improve_order(problem, best)
     return best.schedule()
 
 
-def _improve(problem: SchedulingProblem, best: Attempt) -> Attempt:
-    """Move requests that do not fit before others of their priority, for as long as that raises the score."""
-    impossible = {name for name in best.unplaced_names() if Attempt(problem, [best.job(name)]).unplaced_requests}
-    converters = sum(len(job.converters) for job in problem.jobs)
-    remaining_attempts = min(MAX_ORDERS, MAX_PLACEMENTS // converters)
-    orders = _moved_orders(problem, best, impossible)
+def _improve_order(problem: SchedulingProblem, best: PlacementAttempt) -> PlacementAttempt:
+    """Move unplaced requests ahead of others of their priority for as long as that raises the score.
+
+    Stops after `MAX_ORDERS` orders or about `MAX_PLACEMENTS` placements.
+    """
+    infeasible = {
+        name for name in best.unplaced_names() if PlacementAttempt(problem, [best.job(name)]).unplaced_requests
+    }
+    converter_count = sum(len(job.converters) for job in problem.jobs)
+    remaining_attempts = min(MAX_ORDERS, MAX_PLACEMENTS // converter_count)
+    orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible)
     while remaining_attempts > 0 and (order := next(orders, None)) is not None:
-        attempt = Attempt(problem, order)
+        attempt = PlacementAttempt(problem, order)
         remaining_attempts -= 1
         if attempt.score() > best.score():
             best = attempt
-            orders = _moved_orders(problem, best, impossible)
+            orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible)
     return best
 
 
-def _moved_orders(problem: SchedulingProblem, attempt: Attempt, impossible: set[str]) -> Iterator[list[Job]]:
-    """Yield the attempt's order with an unplaced request moved to each earlier place among those of its priority."""
+def _orders_with_unplaced_moved_earlier(
+    problem: SchedulingProblem, attempt: PlacementAttempt, infeasible: set[str]
+) -> Iterator[list[Job]]:
+    """Yield the attempt's order with each unplaced request moved to each earlier position of a job of its priority."""
     for name in attempt.unplaced_names():
-        if name in impossible:
+        if name in infeasible:
             continue
         job = attempt.job(name)
-        others = [one for one in attempt.order if one is not job]
-        for place in range(attempt.order.index(job)):
-            if problem.priority(attempt.order[place]) == problem.priority(job):
-                yield [*others[:place], job, *others[place:]]
+        other_jobs = [other for other in attempt.order if other is not job]
+        for position in range(attempt.order.index(job)):
+            if problem.priority(attempt.order[position]) == problem.priority(job):
+                yield [*other_jobs[:position], job, *other_jobs[position:]]
 
 
-def _ordered(problem: SchedulingProblem, criterion: Criterion) -> list[Job]:
-    """Return the jobs by priority and, within one, by the criterion."""
+def _sorted_jobs(problem: SchedulingProblem, criterion: Criterion) -> list[Job]:
+    """Return the jobs sorted by priority and, within a priority, by the criterion."""
 
     def key(job: Job) -> _JobKey:
         return _JobKey(problem.priority(job), criterion(problem, job), job.submitted_ms, job.request.name)
@@ -75,16 +85,16 @@
 
 
 def _deadline_ms(problem: SchedulingProblem, job: Job) -> int:
-    """Return a request's deadline."""
+    """Return the deadline of a job's request, for use as a sorting criterion."""
     return job.request.deadline_ms
 
 
 def _negative_work(problem: SchedulingProblem, job: Job) -> int:
-    """Return a request's work, negated so that more goes first."""
+    """Return the negated work of a job, so that jobs with more work sort first."""
     return -job.work()
 
 
 def _slack_ms(problem: SchedulingProblem, job: Job) -> int:
-    """Return by how much a request could start later and still end in time."""
+    """Return by how much a request could start later and still meet its deadline."""
     rounds = -(-len(job.converters) // job.request.max_unavailable)
     return job.request.deadline_ms - problem.desired_start_ms(job) - rounds * job.length_ms
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -1,4 +1,4 @@
-"""A small agreement, and what its tests share."""
+"""A small agreement, and helpers shared by the maintenance tests."""
 
 from __future__ import annotations
 
@@ -45,30 +45,34 @@
     return "\n".join(lines) + "\n"
 
 
-def converters_text(names: tuple[str, ...] = ("north", "south"), zones: int = 2, each: int = 3) -> str:
+def converters_text(names: tuple[str, ...] = ("north", "south"), zones: int = 2, per_zone: int = 3) -> str:
     return "".join(
         f'[[converters]]\nname = "{region[0]}{zone}{i}"\nservice = "convert"\nregion = "{region}"\nzone = "z{zone}"\n'
         for region in names
         for zone in range(zones)
-        for i in range(each)
+        for i in range(per_zone)
     )
 
 
-TEXT = SERVICE_TEXT + regions_text() + converters_text()  # 12 converters of size 1: n00..n02, n10..n12, s00..s12
+# 12 converters of size 1: n00..n02 and n10..n12 in north, s00..s02 and s10..s12 in south
+AGREEMENT_TEXT = SERVICE_TEXT + regions_text() + converters_text()
 
-WEST = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
-THREE = ("north", "south", "west")
-TEXTS = (
-    TEXT,
-    SERVICE_TEXT.replace("least = 8", "least = 12") + WEST + regions_text(THREE) + converters_text(THREE),
-    TEXT.replace("least = 2", "least = 4"),
-    TEXT.replace("least = 8\n", 'least = 5\nsurvives = "zone"\n').replace("least = 2", "least = 1"),
+WEST_TEXT = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
+THREE_REGIONS = ("north", "south", "west")
+AGREEMENT_TEXTS = (
+    AGREEMENT_TEXT,
+    SERVICE_TEXT.replace("least = 8", "least = 12")
+    + WEST_TEXT
+    + regions_text(THREE_REGIONS)
+    + converters_text(THREE_REGIONS),
+    AGREEMENT_TEXT.replace("least = 2", "least = 4"),
+    AGREEMENT_TEXT.replace("least = 8\n", 'least = 5\nsurvives = "zone"\n').replace("least = 2", "least = 1"),
 )
-AGREEMENTS = tuple(agreement_file.parse(text.encode()) for text in TEXTS)
+AGREEMENTS = tuple(agreement_file.parse(text.encode()) for text in AGREEMENT_TEXTS)
 
 
 def small_agreement() -> Agreement:
-    return agreement_file.parse(TEXT.encode())
+    return agreement_file.parse(AGREEMENT_TEXT.encode())
 
 
 def request(name: str = "r1", **changes: object) -> Request:
@@ -87,7 +91,7 @@
 
 
 class RegionLedger:
-    """A ledger with its log's next index, and an observer that is up to date."""
+    """A region's ledger driven directly: applies commands at the next log index, and records observations."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -102,7 +106,9 @@
 
     def observe_all(self) -> Result:
         region = self.ledger.region
-        return self.observe(*[one.name for one in self.ledger.agreement.converters.values() if one.region == region])
+        return self.observe(
+            *[converter.name for converter in self.ledger.agreement.converters.values() if converter.region == region]
+        )
 
     def grant(self, lease: str, request_name: str, *converters: str, agent: str = "agent-1") -> Result:
         return self.apply(GrantLease(lease, request_name, agent, converters))
@@ -120,7 +126,7 @@
 
 
 def north_region(ledger_type: type[Ledger] = Ledger) -> RegionLedger:
-    """Return region north with all its converters observed ready and warm."""
+    """Return the region `north` with all its converters observed ready and warm."""
     region = RegionLedger(ledger_type(small_agreement(), "north"))
     region.observe_all()
     return region
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -1,4 +1,4 @@
-"""One region's ledger: leases, fencing tokens, losses, limits, and what it rejects."""
+"""One region's ledger: leases, fencing tokens, losses, limits, and rejected commands."""
 
 from __future__ import annotations
 
@@ -38,27 +38,29 @@
     Rejected,
     Released,
 )
-from ryepier.maintenance.tables import GIVER, LEASES, RECEIVER, LeaseState
-from tests.maintenance_world import TEXT, RegionLedger, north_region, request, small_agreement
+from ryepier.maintenance.tables import GIVER_TABLE, LEASE_TABLE, RECEIVER_TABLE, LeaseState
+from tests.maintenance_world import AGREEMENT_TEXT, RegionLedger, north_region, request, small_agreement
 
 
 def test_a_lease_is_charged_until_its_converter_is_observed_ready_and_warm() -> None:
     region = north_region()
     granted = region.request_and_grant("r1", "n00")
     assert region.ledger.capacity("convert").unavailable == 1000
-    region.observe("n00")  # still up: the drain has not begun, or not reached it
+    region.observe("n00")  # up before the drain started: this must not close the lease
     region.apply(StartDrain("r1/1", granted.token))
     region.apply(AdvanceTime(10_000_000))
     region.observe("n00")
     before_release = region.ledger.applied
     assert region.apply(ReleaseLease("r1/1", granted.token)) == Released("r1/1", ("n00",))
-    region.observe("n00", as_of=before_release)  # seen before the holder was done: it may have gone down since
+    region.observe("n00", as_of=before_release)  # observed before the release, so it may have gone down since
     region.observe("n00", ready=False)
     region.observe("n00", warmth=999)
     assert region.ledger.capacity("convert").unavailable == 1000
     assert region.observe("n00") == Observed(("r1/1",))
     assert region.ledger.capacity("convert").unavailable == 0 and region.ledger.open_leases() == []
-    assert region.apply(SubmitRequest(request("r1"))) == Accepted("r1"), "a finished request is known"
+    assert region.apply(SubmitRequest(request("r1"))) == Accepted("r1"), (
+        "a repeated submission of a completed request is accepted"
+    )
 
 
 def test_a_repeated_grant_returns_the_same_lease_and_an_index_is_applied_once() -> None:
@@ -66,20 +68,22 @@
     first = region.request_and_grant("r1", "n00")
     assert region.grant("r1/1", "r1", "n00") == first
     assert isinstance(region.grant("r1/1", "r1", "n00", agent="agent-2"), Rejected)
-    taken = region.ledger.snapshot()
-    assert region.ledger.apply(3, RevokeLease("r1/1")) == AlreadyApplied(3) and region.ledger.snapshot() == taken
+    snapshot = region.ledger.snapshot()
+    assert region.ledger.apply(3, RevokeLease("r1/1")) == AlreadyApplied(3) and region.ledger.snapshot() == snapshot
     region.drain_and_release(first)
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
     region.observe("n00")
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
-def test_fencing_tokens_grow_and_an_old_one_is_rejected() -> None:
+def test_fencing_tokens_increase_and_outdated_tokens_are_rejected() -> None:
     region = north_region()
     first = region.request_and_grant("r1", "n00")
     second = region.apply(TakeOverLease("r1/1", "agent-2", first.token))
     assert isinstance(second, Granted) and second.token > first.token
-    assert region.apply(TakeOverLease("r1/1", "agent-2", first.token)) == second, "told twice"
+    assert region.apply(TakeOverLease("r1/1", "agent-2", first.token)) == second, (
+        "a repeated take-over returns the same lease"
+    )
     for command in (
         StartDrain("r1/1", first.token),
         ReleaseLease("r1/1", first.token),
@@ -108,16 +112,16 @@
 
 def test_losses_are_charged_first_and_revoke_leases_whose_drain_has_not_started() -> None:
     region = north_region()
-    begun = region.request_and_grant("r1", "n00")
-    region.apply(StartDrain("r1/1", begun.token))
+    draining = region.request_and_grant("r1", "n00")
+    region.apply(StartDrain("r1/1", draining.token))
     region.request_and_grant("r2", "n01")
     region.apply(SubmitRequest(request("r3", converters=("n02",))))
     assert region.observe("n10", ready=False) == Observed((), ("r2/1",))
     assert region.ledger.is_below_agreement("convert")
     assert region.ledger.capacity("convert").lost == 1000
-    region.observe("n10", warmth=500)  # back, and cold
+    region.observe("n10", warmth=500)  # up again, half warmed up
     assert region.ledger.capacity("convert").lost == 500
-    region.observe("n01")  # the called-off one is free: 1 out, 0.5 lost, 2 allowed
+    region.observe("n01")  # closes the revoked lease, leaving 1 out and 0.5 lost of an allowance of 2
     result = region.grant("r3/1", "r3", "n02")
     assert isinstance(result, Rejected) and "0.5 too much" in result.reason and "allowance" in result.reason
     region.observe("n10")
@@ -130,24 +134,24 @@
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
 
 
-def test_a_deficit_in_another_region_blocks_grants_until_it_is_reported_as_over() -> None:
+def test_a_deficit_in_another_region_blocks_grants_until_a_report_clears_it() -> None:
     region = north_region()
     region.request_and_grant("r1", "n00")
     message = region.apply(RecordCapacityNeeds("south", 5, {"convert": CapacityNeed(deficit=2000)}))
     assert message == Observed((), ("r1/1",))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     assert isinstance(region.grant("r2/1", "r2", "n01"), Rejected)
-    assert isinstance(region.apply(RecordCapacityNeeds("south", 4, {})), Rejected), "an older word"
+    assert isinstance(region.apply(RecordCapacityNeeds("south", 4, {})), Rejected), "an older report is rejected"
     region.apply(RecordCapacityNeeds("south", 6, {}))
     assert isinstance(region.grant("r2/1", "r2", "n01"), Granted)
 
 
 def test_zone_loss_tolerance_keeps_the_agreement_with_the_largest_zone_lost() -> None:
-    text = TEXT.replace("least = 8\n", 'least = 7\nsurvives = "zone"\n')
+    text = AGREEMENT_TEXT.replace("least = 8\n", 'least = 7\nsurvives = "zone"\n')
     text = text.replace("allowance = 2", "allowance = 1")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     region.observe_all()
-    region.request_and_grant("r1", "n00")  # zone 0 has 2 left, so losing zone 1 leaves 2
+    region.request_and_grant("r1", "n00")  # 2 remain in zone 0, the regional minimum if zone 1 is lost
     region.apply(CreditTransfer(Transfer("south", "north", 1, "convert", 1000)))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     result = region.grant("r2/1", "r2", "n01")
@@ -181,17 +185,17 @@
     [
         ({"service": "print"}, "unknown service 'print'"),
         ({"region": "south"}, "for region 'south'"),
-        ({"converters": ("n00", "n99")}, "'n99' is none of service"),
-        ({"converters": ("s00",)}, "'s00' is none of service"),
+        ({"converters": ("n00", "n99")}, "'n99' does not belong to service"),
+        ({"converters": ("s00",)}, "'s00' does not belong to service"),
         ({"converters": ("n00", "n00")}, "'n00' is named twice"),
-        ({"converters": ("n05", "n12")}, "'n05' is none of service"),
-        ({"converters": ("n12",)}, "'n12' is in request 'held'"),
+        ({"converters": ("n05", "n12")}, "'n05' does not belong to service"),
+        ({"converters": ("n12",)}, "'n12' is already in request 'held'"),
         ({"converters": ()}, "either converters or a zone"),
         ({"zone": "z0"}, "either converters or a zone"),
         ({"converters": (), "zone": "z7"}, "no converter in zone 'z7'"),
         ({"duration_ms": 99_000}, "needs 101000 ms for 1 rounds and has 100000 ms, 1000 ms too little"),
-        ({"deadline_ms": 0}, "its deadline is gone"),
-        ({"name": "held"}, "is there with other content"),
+        ({"deadline_ms": 0}, "its deadline passed 0 ms ago"),
+        ({"name": "held"}, "already exists with different content"),
     ],
 )
 def test_an_invalid_request_is_rejected_in_one_line_and_changes_nothing(
@@ -199,59 +203,71 @@
 ) -> None:
     region = north_region()
     region.apply(SubmitRequest(request("held", converters=("n12",))))
-    before = region.ledger.snapshot()
+    snapshot_before = region.ledger.snapshot()
     result = region.apply(SubmitRequest(request(**{"name": "r1", **changes})))  # type: ignore[arg-type]
     assert isinstance(result, Rejected) and message in result.reason and "\n" not in result.reason
     region.ledger.state.applied -= 1
-    assert region.ledger.snapshot() == before
+    assert region.ledger.snapshot() == snapshot_before
 
 
-def test_a_converter_too_large_to_be_out_is_rejected_with_the_amount() -> None:
-    text = TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
+def test_a_converter_too_large_to_be_unavailable_is_rejected_with_the_amount() -> None:
+    text = AGREEMENT_TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     assert region.apply(SubmitRequest(request())) == Accepted("r1")
     text = text.replace("least = 9.5", "least = 11.5").replace("allowance = 2", "allowance = 1")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     result = region.apply(SubmitRequest(request()))
-    assert isinstance(result, Rejected) and "takes 2.5 of 'convert' and at most 2 may be out, 0.5 too" in result.reason
+    assert (
+        isinstance(result, Rejected)
+        and "takes 2.5 of 'convert' and at most 2 may be unavailable, 0.5 too" in result.reason
+    )
 
 
 @pytest.mark.parametrize(
     ("command", "message"),
     [
         (GrantLease("l", "nobody", "a", ("n00",)), "request 'nobody' is not open"),
-        (GrantLease("l", "held", "a", ("n00",)), "'n00' is not to be done"),
-        (GrantLease("l", "held", "a", ()), "names no converter"),
-        (GrantLease("l", "held", "a", ("n11", "n11")), "or one twice"),
-        (GrantLease("l", "held", "a", ("n11", "n12")), "2 converters of request 'held' would be out and 1 may"),
+        (GrantLease("l", "held", "a", ("n00",)), "'n00' is not pending in request"),
+        (GrantLease("l", "held", "a", ()), "no converter is named"),
+        (GrantLease("l", "held", "a", ("n11", "n11")), "or one is named twice"),
+        (
+            GrantLease("l", "held", "a", ("n11", "n12")),
+            "2 converters of request 'held' would be out of service; at most 1 may",
+        ),
         (RevokeLease("l"), "lease 'l' is not open"),
         (CancelRequest("nobody"), "'nobody' is unknown"),
         (RecordObservation("watch", 1, 0, ()), "1 was recorded before"),
-        (RecordObservation("other", 1, 99, ()), "log index 99, which was not there"),
-        (RecordObservation("other", 1, 0, (ConverterObservation("s00", True, 0),)), "'s00' is none of region 'north'"),
-        (RecordCapacityNeeds("north", 1, {}), "no other region"),
-        (RecordCapacityNeeds("west", 1, {}), "no other region"),
+        (RecordObservation("other", 1, 99, ()), "log index 99, which has not been applied"),
+        (
+            RecordObservation("other", 1, 0, (ConverterObservation("s00", True, 0),)),
+            "'s00' does not belong to region 'north'",
+        ),
+        (RecordCapacityNeeds("north", 1, {}), "not another region"),
+        (RecordCapacityNeeds("west", 1, {}), "not another region"),
         (RecordCapacityNeeds("south", 1, {"print": CapacityNeed()}), "unknown service 'print'"),
-        (DebitTransfer(Transfer("south", "north", 1, "convert", 1)), "a matter of region 'south'"),
-        (DebitTransfer(Transfer("north", "west", 1, "convert", 1)), "'west' is no other region"),
-        (DebitTransfer(Transfer("north", "north", 1, "convert", 1)), "'north' is no other region"),
+        (DebitTransfer(Transfer("south", "north", 1, "convert", 1)), "must be handled by region 'south'"),
+        (DebitTransfer(Transfer("north", "west", 1, "convert", 1)), "'west' is not another region"),
+        (DebitTransfer(Transfer("north", "north", 1, "convert", 1)), "'north' is not another region"),
         (DebitTransfer(Transfer("north", "south", 1, "print", 1)), "unknown service 'print'"),
         (DebitTransfer(Transfer("north", "south", 2, "convert", 1)), "next number to 'south' is 1"),
         (DebitTransfer(Transfer("north", "south", 1, "convert", 1501)), "takes 0.001 more"),
-        (CreditTransfer(Transfer("north", "south", 1, "convert", 1)), "a matter of region 'south'"),
-        (CreditTransfer(Transfer("west", "north", 1, "convert", 1)), "'west' is no other region"),
-        (CreditTransfer(Transfer("south", "north", 1, "convert", 2001)), "0.001 more than the whole"),
+        (CreditTransfer(Transfer("north", "south", 1, "convert", 1)), "must be handled by region 'south'"),
+        (CreditTransfer(Transfer("west", "north", 1, "convert", 1)), "'west' is not another region"),
+        (
+            CreditTransfer(Transfer("south", "north", 1, "convert", 2001)),
+            "0.001 more than the total of all allowances",
+        ),
         (AcknowledgeTransfer(Transfer("north", "south", 1, "convert", 1)), "never debited"),
     ],
 )
 def test_an_invalid_command_is_rejected_in_one_line_and_changes_nothing(command: Command, message: str) -> None:
     region = north_region()
     region.apply(SubmitRequest(request("held", converters=("n11", "n12"))))
-    before = region.ledger.snapshot()
+    snapshot_before = region.ledger.snapshot()
     result = region.apply(commands.decode(commands.encode(command)))
     assert isinstance(result, Rejected) and message in result.reason and "\n" not in result.reason
     region.ledger.state.applied -= 1
-    assert region.ledger.snapshot() == before
+    assert region.ledger.snapshot() == snapshot_before
 
 
 @pytest.mark.parametrize(
@@ -271,23 +287,23 @@
         commands.decode(data)
 
 
-def test_a_snapshot_that_is_torn_altered_or_foreign_is_rejected() -> None:
-    agreed = small_agreement()
-    taken = north_region().ledger.snapshot()
-    assert Ledger.restore(agreed, "north", taken).snapshot() == taken
-    other = agreement_file.parse(TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
-    for where, region, data, message in (
-        (agreed, "north", taken[:-1], "torn or altered"),
-        (agreed, "north", taken[:-1] + b"\x00", "torn or altered"),
-        (agreed, "north", b"hello", "not a snapshot"),
-        (agreed, "south", taken, "of region 'north', not of 'south'"),
-        (other, "north", taken, "another agreement"),
+def test_a_truncated_altered_or_foreign_snapshot_is_rejected() -> None:
+    agreement = small_agreement()
+    snapshot = north_region().ledger.snapshot()
+    assert Ledger.restore(agreement, "north", snapshot).snapshot() == snapshot
+    other_agreement = agreement_file.parse(AGREEMENT_TEXT.replace("warm_up_s = 2", "warm_up_s = 3").encode())
+    for restored_agreement, region, data, message in (
+        (agreement, "north", snapshot[:-1], "truncated or altered"),
+        (agreement, "north", snapshot[:-1] + b"\x00", "truncated or altered"),
+        (agreement, "north", b"hello", "not a snapshot"),
+        (agreement, "south", snapshot, "taken in region 'north', not in 'south'"),
+        (other_agreement, "north", snapshot, "another agreement"),
     ):
         with pytest.raises(state.SnapshotError, match=message):
-            Ledger.restore(where, region, data)
+            Ledger.restore(restored_agreement, region, data)
 
 
-def test_the_state_machines_can_be_printed_and_never_leave_closed() -> None:
-    text = "\n\n".join(map(str, (LEASES, GIVER, RECEIVER)))
+def test_state_machines_can_be_printed_and_closed_is_final() -> None:
+    text = "\n\n".join(map(str, (LEASE_TABLE, GIVER_TABLE, RECEIVER_TABLE)))
     assert "| granted | begin | draining |" in text and "| debited | send | debited |" in text
-    assert all(before is not LeaseState.CLOSED for before, _ in LEASES.transitions)
+    assert all(state_before is not LeaseState.CLOSED for state_before, _ in LEASE_TABLE.transitions)
