--- a/ryepier/plan/evidence.py
+++ b/ryepier/plan/evidence.py
@@ -12,10 +12,10 @@
 
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterCounters, Report, Term
 
-RECENT_MEMORY_US = 2_000_000  # in which recent counts decay to 1/e
+DECAY_TIME_CONSTANT_US = 2_000_000  # in which recent counts decay to 1/e
 REPORT_TIMEOUT_US = 3_000_000  # a forwarder without a report for longer does not count
-EXPIRY_US = 60_000_000  # after which it is dropped, as are converters without attempts
-MIN_COUNT = 0.01  # a decayed count below it is dropped
+EVIDENCE_EXPIRY_US = 60_000_000  # after which it is dropped, as are converters without attempts
+MIN_RECENT_COUNT = 0.01  # a decayed count below it is dropped
 
 
 @dataclass(slots=True)
@@ -26,18 +26,18 @@
     failed: float = 0.0
     rejected: float = 0.0
     latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKETS)
-    at_us: int = 0
+    updated_us: int = 0
 
-    def fade(self, now_us: int) -> None:
+    def decay_until(self, now_us: int) -> None:
         """Decay the counts until now."""
-        if now_us <= self.at_us:
+        if now_us <= self.updated_us:
             return
-        decay = math.exp(-max(0, now_us - self.at_us) / RECENT_MEMORY_US)
+        decay = math.exp(-max(0, now_us - self.updated_us) / DECAY_TIME_CONSTANT_US)
         self.served *= decay
         self.failed *= decay
         self.rejected *= decay
         self.latencies = [count * decay for count in self.latencies]
-        self.at_us = max(self.at_us, now_us)
+        self.updated_us = max(self.updated_us, now_us)
 
 
 @dataclass(slots=True)
@@ -53,10 +53,10 @@
     """What one incarnation of a forwarder has reported."""
 
     incarnation: int
-    since_us: int  # of its first report
+    first_report_us: int  # of its first report
     last_report_us: int
-    number: int = 0
-    listed: int = 0
+    last_report_number: int = 0
+    listed_converters: int = 0
     converters: dict[str, ConverterStats] = field(default_factory=dict)
     outstanding: dict[str, int] = field(default_factory=dict)
     arrivals: list[int] = field(default_factory=list)
@@ -65,28 +65,32 @@
     recent_class_arrivals: list[float] = field(default_factory=list)
     rejections: int = 0
     recent_rejections: float = 0.0
-    rates_us: int = 0
+    rates_updated_us: int = 0
     term: Term = Term()
     plan_accepted_us: int = 0  # by this planner's clock
 
 
-def merge_counters(one: ConverterCounters, other: ConverterCounters) -> ConverterCounters:
+def merge_counters(first: ConverterCounters, second: ConverterCounters) -> ConverterCounters:
     """Merge two states of the same counters."""
     return ConverterCounters(
-        max(one.attempts, other.attempts),
-        max(one.served, other.served),
-        max(one.failed, other.failed),
-        max(one.rejected, other.rejected),
-        tuple(map(max, zip_longest(one.latencies[:LATENCY_BUCKETS], other.latencies[:LATENCY_BUCKETS], fillvalue=0))),
+        max(first.attempts, second.attempts),
+        max(first.served, second.served),
+        max(first.failed, second.failed),
+        max(first.rejected, second.rejected),
+        tuple(
+            map(max, zip_longest(first.latencies[:LATENCY_BUCKETS], second.latencies[:LATENCY_BUCKETS], fillvalue=0))
+        ),
     )
 
 
-def _merge_counts(merged: list[int], recent: list[float], counts: list[int], decay: float, first: bool) -> None:
+def _merge_counts(
+    merged: list[int], recent: list[float], counts: list[int], decay: float, is_first_report: bool
+) -> None:
     """Merge counters; their growth is recent."""
     merged += [0] * (len(counts) - len(merged))
     recent += [0.0] * (len(counts) - len(recent))
     for index, count in enumerate(counts):
-        recent[index] = recent[index] * decay + (0 if first else max(0, count - merged[index]))
+        recent[index] = recent[index] * decay + (0 if is_first_report else max(0, count - merged[index]))
         merged[index] = max(merged[index], count)
 
 
@@ -95,40 +99,44 @@
 
     def __init__(self, now_us: int) -> None:
         """Start without reports at `now_us` (microseconds)."""
-        self.since_us = now_us
+        self.started_us = now_us
         self.forwarders: dict[str, ForwarderStats] = {}
 
     def merge(self, now_us: int, name: str, incarnation: int, report: Report) -> bool:
         """Merge a report. Returns False for one of an earlier incarnation of its forwarder, which is not counted."""
-        known = self.forwarders.get(name)
-        if known is not None and incarnation < known.incarnation:
+        forwarder = self.forwarders.get(name)
+        if forwarder is not None and incarnation < forwarder.incarnation:
             return False
-        if known is None or incarnation > known.incarnation:
-            known = self.forwarders[name] = ForwarderStats(incarnation, now_us, now_us, rates_us=now_us)
-        first = known.number == 0
+        if forwarder is None or incarnation > forwarder.incarnation:
+            forwarder = self.forwarders[name] = ForwarderStats(incarnation, now_us, now_us, rates_updated_us=now_us)
+        is_first_report = forwarder.last_report_number == 0
         for uid, counters in report.counters.items():
-            self._merge_converter(now_us, known, uid, counters, first)
-        known.last_report_us = max(known.last_report_us, now_us)
-        if report.number > known.number:  # the rest are no counters: the newest report counts
-            self._merge_rates(now_us, known, report, first)
-            known.number, known.listed, known.outstanding = report.number, report.listed, report.outstanding
-        if report.term >= known.term:
-            known.term = report.term
-            known.plan_accepted_us = max(known.plan_accepted_us, now_us - report.plan_age_ms * 1000)
+            self._merge_converter(now_us, forwarder, uid, counters, is_first_report)
+        forwarder.last_report_us = max(forwarder.last_report_us, now_us)
+        if report.number > forwarder.last_report_number:  # the rest are no counters: the newest report counts
+            self._merge_rates(now_us, forwarder, report, is_first_report)
+            forwarder.last_report_number, forwarder.listed_converters, forwarder.outstanding = (
+                report.number,
+                report.listed,
+                report.outstanding,
+            )
+        if report.term >= forwarder.term:
+            forwarder.term = report.term
+            forwarder.plan_accepted_us = max(forwarder.plan_accepted_us, now_us - report.plan_age_ms * 1000)
         return True
 
     @staticmethod
     def _merge_converter(
-        now_us: int, known: ForwarderStats, uid: str, counters: ConverterCounters, first: bool
+        now_us: int, forwarder: ForwarderStats, uid: str, counters: ConverterCounters, is_first_report: bool
     ) -> None:
-        stats = known.converters.get(uid)
+        stats = forwarder.converters.get(uid)
         if stats is None:
             # counts before a forwarder's first report here are not recent; a converter new to it begins at 0
-            stats = known.converters[uid] = ConverterStats(
-                counters if first else ConverterCounters(), DecayingCounts(at_us=now_us)
+            stats = forwarder.converters[uid] = ConverterStats(
+                counters if is_first_report else ConverterCounters(), DecayingCounts(updated_us=now_us)
             )
         merged, recent = merge_counters(stats.counters, counters), stats.recent
-        recent.fade(now_us)
+        recent.decay_until(now_us)
         recent.served += merged.served - stats.counters.served
         recent.failed += merged.failed - stats.counters.failed
         recent.rejected += merged.rejected - stats.counters.rejected
@@ -139,44 +147,50 @@
         stats.counters = merged
 
     @staticmethod
-    def _merge_rates(now_us: int, known: ForwarderStats, report: Report, first: bool) -> None:
-        decay = math.exp(-max(0, now_us - known.rates_us) / RECENT_MEMORY_US)
-        known.rates_us = now_us
-        _merge_counts(known.arrivals, known.recent_arrivals, report.arrivals, decay, first)
-        _merge_counts(known.class_arrivals, known.recent_class_arrivals, report.class_arrivals, decay, first)
-        known.recent_rejections = known.recent_rejections * decay + (
-            0 if first else max(0, report.rejections - known.rejections)
+    def _merge_rates(now_us: int, forwarder: ForwarderStats, report: Report, is_first_report: bool) -> None:
+        decay = math.exp(-max(0, now_us - forwarder.rates_updated_us) / DECAY_TIME_CONSTANT_US)
+        forwarder.rates_updated_us = now_us
+        _merge_counts(forwarder.arrivals, forwarder.recent_arrivals, report.arrivals, decay, is_first_report)
+        _merge_counts(
+            forwarder.class_arrivals, forwarder.recent_class_arrivals, report.class_arrivals, decay, is_first_report
+        )
+        forwarder.recent_rejections = forwarder.recent_rejections * decay + (
+            0 if is_first_report else max(0, report.rejections - forwarder.rejections)
         )
-        known.rejections = max(known.rejections, report.rejections)
+        forwarder.rejections = max(forwarder.rejections, report.rejections)
 
     def expire(self, now_us: int) -> None:
         """Drop forwarders and converters without recent reports: they come and go forever."""
         self.forwarders = {
-            name: known for name, known in self.forwarders.items() if known.last_report_us > now_us - EXPIRY_US
+            name: forwarder
+            for name, forwarder in self.forwarders.items()
+            if forwarder.last_report_us > now_us - EVIDENCE_EXPIRY_US
         }
-        for known in self.forwarders.values():
-            known.converters = {
+        for forwarder in self.forwarders.values():
+            forwarder.converters = {
                 uid: stats
-                for uid, stats in known.converters.items()
-                if stats.recent.at_us > now_us - EXPIRY_US or uid in known.outstanding
+                for uid, stats in forwarder.converters.items()
+                if stats.recent.updated_us > now_us - EVIDENCE_EXPIRY_US or uid in forwarder.outstanding
             }
 
     def active(self, now_us: int) -> dict[str, ForwarderStats]:
         """Return the forwarders with recent reports, their recent counts decayed until now."""
-        found = {
-            name: known for name, known in self.forwarders.items() if known.last_report_us > now_us - REPORT_TIMEOUT_US
+        active = {
+            name: forwarder
+            for name, forwarder in self.forwarders.items()
+            if forwarder.last_report_us > now_us - REPORT_TIMEOUT_US
         }
-        for known in found.values():
-            for stats in known.converters.values():
-                at_us = stats.recent.at_us
-                stats.recent.fade(now_us)
-                if stats.recent.served + stats.recent.failed + stats.recent.rejected < MIN_COUNT:
-                    stats.recent.at_us = at_us  # without new counts it goes on ageing
-        return found
-
-    def totals(self) -> dict[str, dict[str, ConverterCounters]]:
+        for forwarder in active.values():
+            for stats in forwarder.converters.values():
+                previous_update_us = stats.recent.updated_us
+                stats.recent.decay_until(now_us)
+                if stats.recent.served + stats.recent.failed + stats.recent.rejected < MIN_RECENT_COUNT:
+                    stats.recent.updated_us = previous_update_us  # without new counts it goes on ageing
+        return active
+
+    def merged_counters(self) -> dict[str, dict[str, ConverterCounters]]:
         """Return the merged counters: the same for any order and repetition of the same reports."""
         return {
-            name: {uid: stats.counters for uid, stats in known.converters.items()}
-            for name, known in self.forwarders.items()
+            name: {uid: stats.counters for uid, stats in forwarder.converters.items()}
+            for name, forwarder in self.forwarders.items()
         }
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -33,7 +33,7 @@
 
 ADVICE_INTERVAL_S = 0.25  # advice fades with time
 SILENCE_TIMEOUT_US = 3_000_000  # a dozen heartbeats: the planner hangs, and its connection is closed
-DIAL_TIMEOUT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 MAX_UNREAD_BYTES = 256 * 1024  # of reports; the planner hangs, and they would fill the memory
@@ -66,10 +66,10 @@
         """Prepare a connection."""
         self.forwarder = forwarder
         self.transport: asyncio.Transport | None = None
-        self.frames = FrameDecoder()
+        self.decoder = FrameDecoder()
         self.last_received_us = forwarder.machine.clock_us()
         self.needs_complete_report = True
-        self.retry_s = 0.0
+        self.min_retry_s = 0.0
         self.closed = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -83,7 +83,7 @@
         """Handle the messages that are complete."""
         self.last_received_us = self.forwarder.machine.clock_us()
         try:
-            for message in self.frames.feed(data):
+            for message in self.decoder.feed(data):
                 self.on_message(message)
         except ProtocolError as error:
             log.warning("message of a planner rejected: %s", error)
@@ -95,7 +95,7 @@
             self.forwarder.on_plan(message)
         elif isinstance(message, Rejection):
             log.warning("connection rejected by a planner: %s", message.reason)
-            self.retry_s = message.retry_ms / 1000
+            self.min_retry_s = message.retry_ms / 1000
             self.abort()
         elif not isinstance(message, Heartbeat):
             raise ProtocolError(f"a {type(message).__name__.lower()} from a planner")
@@ -136,8 +136,8 @@
         self.follower = PlanFollower(settings.name, settings.rules)
         self.connections: dict[PlannerConnection, None] = {}  # ordered, unlike a set
         self.tasks: list[asyncio.Task[None]] = []
-        self.last_event = PlanUpdated()
-        self.uids: dict[int, str] = {}
+        self.last_published = PlanUpdated()
+        self.uid_by_upstream: dict[int, str] = {}
         self.last_rejection: PlanRejection | None = None
         self.followed_term = Term()
 
@@ -153,16 +153,16 @@
 
     def on_attempt_started(self, upstream: int, token: int, class_index: int) -> None:
         """Count an attempt."""
-        uid = self.uids.get(upstream)
+        uid = self.uid_by_upstream.get(upstream)
         if uid is None:
             self.refresh_uids()
-            uid = self.uids.get(upstream)
+            uid = self.uid_by_upstream.get(upstream)
         if uid is not None:
             self.reporter.on_attempt_started(self.machine.clock_us(), uid, token, class_index)
 
     def on_attempt_ended(self, upstream: int, token: int, outcome: Outcome, elapsed_us: int) -> None:
         """Count the end of an attempt."""
-        uid = self.uids.get(upstream)
+        uid = self.uid_by_upstream.get(upstream)
         if uid is not None:
             self.reporter.on_attempt_ended(uid, token, outcome, elapsed_us)
 
@@ -170,8 +170,10 @@
         """Update the uids; those of unlisted converters stay until no attempt is in flight to them."""
         upstream_ids = self.sidecar.upstream_ids()
         self.reporter.retain(set(upstream_ids))
-        self.uids = {upstream_id: uid for upstream_id, uid in self.uids.items() if uid in self.reporter.records}
-        self.uids |= {upstream_id: uid for uid, upstream_id in upstream_ids.items()}
+        self.uid_by_upstream = {
+            upstream_id: uid for upstream_id, uid in self.uid_by_upstream.items() if uid in self.reporter.records
+        }
+        self.uid_by_upstream |= {upstream_id: uid for uid, upstream_id in upstream_ids.items()}
 
     # The connections
 
@@ -185,38 +187,38 @@
         """Close the connections."""
         for task in self.tasks:
             task.cancel()
-        for link in list(self.connections):
-            link.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
     async def maintain_connection(self, address: tuple[str, int]) -> None:
         """Keep a connection to a planner open, with backoff and full jitter: all forwarders lose theirs at the
         same moment when a planner fails."""
         loop = asyncio.get_running_loop()
-        bound_s = FIRST_BACKOFF_S
+        backoff_s = FIRST_BACKOFF_S
         while True:
-            link: PlannerConnection | None = None
+            connection: PlannerConnection | None = None
             try:
-                async with asyncio.timeout(DIAL_TIMEOUT_S):
-                    _, link = await loop.create_connection(lambda: PlannerConnection(self), *address)
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    _, connection = await loop.create_connection(lambda: PlannerConnection(self), *address)
             except OSError:
                 pass
-            if link is not None:
-                bound_s = FIRST_BACKOFF_S
-                await self.wait_until_closed(link)
-            min_s = link.retry_s if link is not None else 0.0
-            await asyncio.sleep(min_s + self.jitter_s(bound_s))
-            bound_s = min(MAX_BACKOFF_S, 2 * bound_s)
+            if connection is not None:
+                backoff_s = FIRST_BACKOFF_S
+                await self.wait_until_closed(connection)
+            min_delay_s = connection.min_retry_s if connection is not None else 0.0
+            await asyncio.sleep(min_delay_s + self.jitter_s(backoff_s))
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
     def jitter_s(self, bound_s: float) -> float:
         """Return a random time up to a bound."""
         return bound_s * self.machine.random.random()
 
-    async def wait_until_closed(self, link: PlannerConnection) -> None:
+    async def wait_until_closed(self, connection: PlannerConnection) -> None:
         """Wait for the end of a connection, and close one whose planner hangs."""
-        while not link.closed.done():
-            await asyncio.wait([link.closed], timeout=SILENCE_TIMEOUT_US / 2e6)
-            if self.machine.clock_us() > link.last_received_us + SILENCE_TIMEOUT_US:
-                link.abort()
+        while not connection.closed.done():
+            await asyncio.wait([connection.closed], timeout=SILENCE_TIMEOUT_US / 2e6)
+            if self.machine.clock_us() > connection.last_received_us + SILENCE_TIMEOUT_US:
+                connection.abort()
 
     async def run_reports(self) -> None:
         """Send reports forever."""
@@ -228,16 +230,16 @@
 
     def send_reports(self) -> None:
         """Send a report to each connected planner."""
-        links = list(self.connections)
-        if not links:
+        connections = list(self.connections)
+        if not connections:
             return
         now_us, follower = self.machine.clock_us(), self.follower
         listed = len(self.sidecar.upstream_ids())
-        needs_complete_report = any(link.needs_complete_report for link in links)
+        needs_complete_report = any(connection.needs_complete_report for connection in connections)
         report = self.reporter.report(now_us, listed, follower.term, follower.age_ms(now_us), needs_complete_report)
-        for link in links:
-            if not link.send_report(report):
-                link.needs_complete_report = True
+        for connection in connections:
+            if not connection.send_report(report):
+                connection.needs_complete_report = True
 
     # Plans
 
@@ -271,6 +273,6 @@
             self.follower.tenant_weight(now_us),
             self.follower.class_admission(now_us),
         )
-        if event != self.last_event:
-            self.last_event = event
+        if event != self.last_published:
+            self.last_published = event
             self.sidecar.publish(event)
--- a/ryepier/plan/leadership.py
+++ b/ryepier/plan/leadership.py
@@ -22,14 +22,14 @@
 
     name: str
     rank: int  # among all planners by name: they wait in turn, so that two seldom take over together
-    now_us: int
+    started_us: int
     highest_term: Term = Term()
     is_leader: bool = False
-    last_sign_us: int = field(init=False)  # of the leader
+    leader_seen_us: int = field(init=False)  # of the leader
 
     def __post_init__(self) -> None:
         """Count the start as a sign of a leader."""
-        self.last_sign_us = self.now_us
+        self.leader_seen_us = self.started_us
 
     @property
     def term(self) -> Term | None:
@@ -46,7 +46,7 @@
         """Take in a heartbeat of a peer."""
         self.observe_term(heartbeat.term)
         if heartbeat.is_leader and heartbeat.term == self.highest_term:
-            self.last_sign_us = max(self.last_sign_us, now_us)
+            self.leader_seen_us = max(self.leader_seen_us, now_us)
 
     def tick(self, now_us: int, forwarders: dict[str, ForwarderStats], has_enough_evidence: bool) -> bool:
         """Take over if there is no leader and enough evidence for a plan. Returns whether it leads now."""
@@ -54,15 +54,15 @@
             self.observe_term(forwarder.term)
         if self.is_leader:
             return True
-        following = sum(
+        follower_count = sum(
             forwarder.term == self.highest_term and now_us - forwarder.plan_accepted_us < LEADER_TIMEOUT_US
             for forwarder in forwarders.values()
         )
         # A partition between planners does not mean that the leader has failed, while forwarders follow it.
         other_may_lead = self.highest_term.epoch > 0 and self.highest_term.planner != self.name
-        if other_may_lead and forwarders and following >= MIN_FOLLOWER_SHARE * len(forwarders):
-            self.last_sign_us = max(self.last_sign_us, now_us)
-        if has_enough_evidence and now_us >= self.last_sign_us + LEADER_TIMEOUT_US * (1 + self.rank):
+        if other_may_lead and forwarders and follower_count >= MIN_FOLLOWER_SHARE * len(forwarders):
+            self.leader_seen_us = max(self.leader_seen_us, now_us)
+        if has_enough_evidence and now_us >= self.leader_seen_us + LEADER_TIMEOUT_US * (1 + self.rank):
             self.highest_term = Term(self.highest_term.epoch + 1, self.name)
             self.is_leader = True
         return self.is_leader
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -10,17 +10,19 @@
 import statistics
 from dataclasses import dataclass, field
 
-from ryepier.plan.evidence import RECENT_MEMORY_US, DecayingCounts, Evidence, ForwarderStats
+from ryepier.plan.evidence import DECAY_TIME_CONSTANT_US, DecayingCounts, Evidence, ForwarderStats
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterAdvice, Plan, PlanBasis, Term
 from ryepier.plan.plan_follower import AcceptanceRules
 
 MIN_FAILURES = 2.0  # recent failed attempts at a converter; fewer may be chance
-FAILING_SHARE = 0.5  # of its recent attempts; below it, some requests may fail by themselves
-HEALTHY_SHARE = 0.25  # of its recent attempts
-MIN_WITNESSES = 2  # forwarders that must have observed it; one alone may be faulty itself
-MIN_WITNESS_FAILURES = 0.5  # recent failures from which a forwarder is a witness against a converter
+MIN_FAILURE_SHARE = 0.5  # of its recent attempts; below it, some requests may fail by themselves
+MAX_HEALTHY_FAILURE_SHARE = 0.25  # of its recent attempts
+MIN_FAILURE_REPORTERS = 2  # forwarders that must have observed it; one alone may be faulty itself
+MIN_REPORTED_COUNT = 0.5  # recent failures from which a forwarder is a witness against a converter
 MAX_COUNTED_ATTEMPTS = 3.0  # attempts of one forwarder at one converter that count
-OUTLIER_SHARE = 0.5  # of failures at converters that are healthy for others, from which a forwarder is an outlier
+MIN_OUTLIER_FAILURE_SHARE = (
+    0.5  # of failures at converters that are healthy for others, from which a forwarder is an outlier
+)
 MIN_OUTLIER_CONVERTERS = 3  # such converters, from which a forwarder is an outlier
 MAX_TRIAL_FORWARDERS = 2  # that may try an ejected converter at a time
 MIN_EJECTION_US = 1_000_000
@@ -30,7 +32,7 @@
 SLOW_RATIO = 2.0  # times the median latency of all converters
 VERY_SLOW_RATIO = 3.0  # times the median; from here on each forwarder sends one request at a time
 MIN_WEIGHT = 0.2  # of a slow converter
-OVERLOAD_REJECTIONS = 0.02  # share of arrivals rejected, from which tenants' quotas matter
+MIN_OVERLOAD_REJECTION_SHARE = 0.02  # share of arrivals rejected, from which tenants' quotas matter
 PLAN_VALIDITY_MS = 2_000  # four plan intervals
 PLAN_FADE_MS = 30_000  # a planner is restarted within this time
 STATUS_EXPIRY_FACTOR = 15  # times the memory of recent counts, until an unlisted converter's status is dropped
@@ -64,19 +66,19 @@
     served: float = 0.0
     failed: float = 0.0
     latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKETS)
-    witnesses: int = 0  # forwarders with failures
+    failure_reporters: int = 0  # forwarders with failures
     reporters: int = 0  # forwarders with attempts
 
     @property
     def median_ms(self) -> float:
         """Median latency, evenly within a bucket. By the mean, a few expensive requests would make a converter
         slow."""
-        half, counted = sum(self.latencies) / 2, 0.0
+        half_count, count_below = sum(self.latencies) / 2, 0.0
         for index, count in enumerate(self.latencies):
-            if count > 0.0 and counted + count >= half:
-                low = float(2 ** (index - 1)) if index else 0.0
-                return low + (2.0**index - low) * (half - counted) / count
-            counted += count
+            if count > 0.0 and count_below + count >= half_count:
+                lower_bound_ms = float(2 ** (index - 1)) if index else 0.0
+                return lower_bound_ms + (2.0**index - lower_bound_ms) * (half_count - count_below) / count
+            count_below += count
         return 0.0
 
     @property
@@ -102,14 +104,14 @@
     def basis(self, now_us: int, evidence: Evidence) -> PlanBasis:
         """Return the basis of a plan computed now."""
         active = evidence.active(now_us)
-        return self._basis_of(now_us, evidence, active, self._totals(active))
+        return self._compute_basis(now_us, evidence, active, self._sum_by_converter(active))
 
     @staticmethod
-    def _basis_of(
+    def _compute_basis(
         now_us: int, evidence: Evidence, active: dict[str, ForwarderStats], totals: dict[str, ConverterTotals]
     ) -> PlanBasis:
-        listed = max((forwarder.listed for forwarder in active.values()), default=0)
-        window_ms = min(now_us - evidence.since_us, RECENT_MEMORY_US) // 1000
+        listed = max((forwarder.listed_converters for forwarder in active.values()), default=0)
+        window_ms = min(now_us - evidence.started_us, DECAY_TIME_CONSTANT_US) // 1000
         attempts = sum(total.served + total.failed for total in totals.values())
         return PlanBasis(len(active), max(0, window_ms), len(totals), listed, int(attempts))
 
@@ -127,12 +129,12 @@
         """Return the current plan, or None while there is not enough evidence."""
         active = evidence.active(now_us)
         self.outlier_reporters = self._find_outlier_reporters(active)
-        totals = self._totals(active)
-        basis = self._basis_of(now_us, evidence, active, totals)
+        totals = self._sum_by_converter(active)
+        basis = self._compute_basis(now_us, evidence, active, totals)
         if not self.has_enough_evidence(basis):
             return None
         self._update_statuses(now_us, totals, basis)
-        entries = self._entries(totals, len(active))
+        entries = self._build_entries(totals, len(active))
         return Plan(
             term,
             number,
@@ -148,7 +150,7 @@
         """Return the uids of the ejected converters."""
         return {uid for uid, status in self.statuses.items() if status.state is ConverterState.EJECTED}
 
-    def _totals(self, active: dict[str, ForwarderStats]) -> dict[str, ConverterTotals]:
+    def _sum_by_converter(self, active: dict[str, ForwarderStats]) -> dict[str, ConverterTotals]:
         """Return the totals by converter, over the active forwarders."""
         totals: dict[str, ConverterTotals] = {}
         for name, forwarder in active.items():
@@ -163,42 +165,42 @@
                     for index, count in enumerate(recent.latencies):
                         if count:
                             total.latencies[index] += count * weight
-                total.witnesses += recent.failed >= MIN_WITNESS_FAILURES
-                total.reporters += recent.served + recent.failed >= MIN_WITNESS_FAILURES
+                total.failure_reporters += recent.failed >= MIN_REPORTED_COUNT
+                total.reporters += recent.served + recent.failed >= MIN_REPORTED_COUNT
         return totals
 
     def _find_outlier_reporters(self, active: dict[str, ForwarderStats]) -> set[str]:
         """Return the forwarders for which most attempts fail, at converters that are healthy for all others."""
-        all_totals: dict[str, ConverterTotals] = {}
+        totals: dict[str, ConverterTotals] = {}
         for forwarder in active.values():
             for uid, stats in forwarder.converters.items():
-                total = all_totals.setdefault(uid, ConverterTotals())
+                total = totals.setdefault(uid, ConverterTotals())
                 weight = report_weight(stats.recent)
                 total.served += stats.recent.served * weight
                 total.failed += stats.recent.failed * weight
-        return {name for name, forwarder in active.items() if self._is_outlier_reporter(forwarder, all_totals)}
+        return {name for name, forwarder in active.items() if self._is_outlier_reporter(forwarder, totals)}
 
     @staticmethod
-    def _is_outlier_reporter(forwarder: ForwarderStats, all_totals: dict[str, ConverterTotals]) -> bool:
+    def _is_outlier_reporter(forwarder: ForwarderStats, totals: dict[str, ConverterTotals]) -> bool:
         recent_by_uid = {uid: stats.recent for uid, stats in forwarder.converters.items()}
-        failing = {uid: recent for uid, recent in recent_by_uid.items() if recent.failed >= MIN_WITNESS_FAILURES}
+        failing = {uid: recent for uid, recent in recent_by_uid.items() if recent.failed >= MIN_REPORTED_COUNT}
         own = ConverterTotals(
             sum(recent.served for recent in recent_by_uid.values()),
             sum(recent.failed for recent in recent_by_uid.values()),
         )
-        if len(failing) < MIN_OUTLIER_CONVERTERS or own.failure_share < OUTLIER_SHARE:
+        if len(failing) < MIN_OUTLIER_CONVERTERS or own.failure_share < MIN_OUTLIER_FAILURE_SHARE:
             return False
         others = ConverterTotals(
-            sum(all_totals[uid].served - recent.served * report_weight(recent) for uid, recent in failing.items()),
-            sum(all_totals[uid].failed - recent.failed * report_weight(recent) for uid, recent in failing.items()),
+            sum(totals[uid].served - recent.served * report_weight(recent) for uid, recent in failing.items()),
+            sum(totals[uid].failed - recent.failed * report_weight(recent) for uid, recent in failing.items()),
         )
-        return others.served + others.failed >= MIN_FAILURES and others.failure_share < HEALTHY_SHARE
+        return others.served + others.failed >= MIN_FAILURES and others.failure_share < MAX_HEALTHY_FAILURE_SHARE
 
     def _is_failing(self, total: ConverterTotals) -> bool:
         return (
             total.failed >= MIN_FAILURES
-            and total.failure_share >= FAILING_SHARE
-            and total.witnesses >= min(MIN_WITNESSES, max(1, total.reporters))
+            and total.failure_share >= MIN_FAILURE_SHARE
+            and total.failure_reporters >= min(MIN_FAILURE_REPORTERS, max(1, total.reporters))
         )
 
     def _update_statuses(self, now_us: int, totals: dict[str, ConverterTotals], basis: PlanBasis) -> None:
@@ -207,7 +209,10 @@
         # If much of the fleet fails, it is the load or the network: ejections would overload the others.
         self.fleet_is_failing = len(self.ejected() | failing) > self.rules.max_ejected * max(1, basis.listed)
         for uid in list(self.statuses):
-            if uid not in totals and now_us > self.statuses[uid].since_us + STATUS_EXPIRY_FACTOR * RECENT_MEMORY_US:
+            if (
+                uid not in totals
+                and now_us > self.statuses[uid].since_us + STATUS_EXPIRY_FACTOR * DECAY_TIME_CONSTANT_US
+            ):
                 del self.statuses[uid]  # no forwarder lists it any more
         for uid, status in list(self.statuses.items()):
             if uid in failing:
@@ -221,7 +226,7 @@
     def _recover(self, now_us: int, uid: str, status: ConverterStatus, total: ConverterTotals) -> None:
         """Take the next step of a converter's recovery, if it is due."""
         if status.state is ConverterState.EJECTED:
-            healthy = total.served >= 1.0 and total.failure_share < HEALTHY_SHARE
+            healthy = total.served >= 1.0 and total.failure_share < MAX_HEALTHY_FAILURE_SHARE
             if healthy and now_us >= status.since_us + MIN_EJECTION_US:
                 self.statuses[uid] = ConverterStatus(ConverterState.RECOVERING, now_us)
         elif now_us >= status.since_us + RECOVERY_STEP_US:
@@ -230,9 +235,9 @@
             else:
                 del self.statuses[uid]
 
-    def _entries(self, totals: dict[str, ConverterTotals], forwarders: int) -> dict[str, ConverterAdvice]:
+    def _build_entries(self, totals: dict[str, ConverterTotals], forwarders: int) -> dict[str, ConverterAdvice]:
         """Return the advice on converters that are slow, ejected or recovering."""
-        entries = self._slow_entries(totals)
+        entries = self._build_slow_entries(totals)
         if self.fleet_is_failing:
             return entries
         trial_share = min(1.0, MAX_TRIAL_FORWARDERS / max(1, forwarders))
@@ -241,14 +246,14 @@
             if status.state is ConverterState.EJECTED:
                 reason = (
                     f"{total.failure_share:.0%} of {total.served + total.failed:.1f} "
-                    f"recent ends bad, seen by {total.witnesses} of {total.reporters} forwarders"
+                    f"recent ends bad, seen by {total.failure_reporters} of {total.reporters} forwarders"
                 )
                 entries[uid] = ConverterAdvice(1.0, 0, True, trial_share, reason)
             else:
                 entries[uid] = ConverterAdvice(RECOVERY_WEIGHTS[status.step], 1, reason="comes back after a rest")
         return entries
 
-    def _slow_entries(self, totals: dict[str, ConverterTotals]) -> dict[str, ConverterAdvice]:
+    def _build_slow_entries(self, totals: dict[str, ConverterTotals]) -> dict[str, ConverterAdvice]:
         entries: dict[str, ConverterAdvice] = {}
         latencies = {uid: total.median_ms for uid, total in totals.items() if total.served >= MIN_RESPONSES}
         typical_ms = statistics.median(latencies.values()) if latencies else 0.0
@@ -264,31 +269,31 @@
 
     def _tenant_weights(self, active: dict[str, ForwarderStats]) -> list[float]:
         """Return by tenant how much of its requests is within its quota; nothing while there is capacity for all."""
-        counted = [0.0] * len(self.tenant_shares)
+        arrivals = [0.0] * len(self.tenant_shares)
         rejections = 0.0
         for name, forwarder in active.items():
             if name in self.outlier_reporters:
                 continue
             rejections += forwarder.recent_rejections
-            for index, count in enumerate(forwarder.recent_arrivals[: len(counted)]):
-                counted[index] += count
-        total = sum(counted)
-        if total <= 0.0 or rejections < OVERLOAD_REJECTIONS * total:
+            for index, count in enumerate(forwarder.recent_arrivals[: len(arrivals)]):
+                arrivals[index] += count
+        total_arrivals = sum(arrivals)
+        if total_arrivals <= 0.0 or rejections < MIN_OVERLOAD_REJECTION_SHARE * total_arrivals:
             return []
         return [
-            min(1.0, share * total / count) if count > 0.0 else 1.0
-            for share, count in zip(self.tenant_shares, counted, strict=True)
+            min(1.0, share * total_arrivals / count) if count > 0.0 else 1.0
+            for share, count in zip(self.tenant_shares, arrivals, strict=True)
         ]
 
     def _class_admission(self, active: dict[str, ForwarderStats]) -> list[float]:
         """Return by class the share of arrivals within its limit; nothing if none exceeds its limit."""
-        per_s = [0.0] * len(self.class_limits)
+        rates_per_s = [0.0] * len(self.class_limits)
         for forwarder in active.values():
-            for index, count in enumerate(forwarder.recent_class_arrivals[: len(per_s)]):
+            for index, count in enumerate(forwarder.recent_class_arrivals[: len(rates_per_s)]):
                 # a count that decays with this memory is the rate times the memory
-                per_s[index] += count / (RECENT_MEMORY_US / 1e6)
+                rates_per_s[index] += count / (DECAY_TIME_CONSTANT_US / 1e6)
         admission = [
-            min(1.0, limit / rate) if limit > 0.0 and rate > 0.0 else 1.0
-            for limit, rate in zip(self.class_limits, per_s, strict=True)
+            min(1.0, limit / rate_per_s) if limit > 0.0 and rate_per_s > 0.0 else 1.0
+            for limit, rate_per_s in zip(self.class_limits, rates_per_s, strict=True)
         ]
         return admission if min(admission, default=1.0) < 1.0 else []
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -16,7 +16,7 @@
 
 MIN_WEIGHT = 1 / 64  # of a converter that is not ejected, so that its recovery shows
 FADE_SPREAD = 0.25  # of the fade: forwarders' fades differ by up to this share, so that they do not end together
-TRIAL_PLANS = 4  # plans for which the same forwarders may try an ejected converter, so that a response can arrive
+PLANS_PER_TRIAL = 4  # plans for which the same forwarders may try an ejected converter, so that a response can arrive
 MAX_CONCURRENCY = 8  # attempts in flight that a concurrency limit fades to: the decision module's own maximum
 
 
@@ -45,7 +45,7 @@
     LITTLE_WEIGHT = "too little weight remains"
 
 
-def stable_share(*parts: str) -> float:
+def stable_fraction(*parts: str) -> float:
     """Return a number from 0 to 1 that is always the same for the same words and differs for others."""
     return zlib.crc32("\0".join(parts).encode()) / 2**32
 
@@ -61,7 +61,7 @@
         self.plan: Plan | None = None  # the last accepted one
         self.accepted_us = 0
         self.rejections: Counter[PlanRejection] = Counter()
-        self.fade_factor = 1.0 + FADE_SPREAD * (2.0 * stable_share(name, "fade") - 1.0)
+        self.fade_factor = 1.0 + FADE_SPREAD * (2.0 * stable_fraction(name, "fade") - 1.0)
 
     def accept_plan(self, now_us: int, plan: Plan, listed: set[str]) -> PlanRejection | None:
         """Accept a plan, or return why not. `listed` are the uids of the ready converters."""
@@ -81,24 +81,26 @@
             return PlanRejection.NOT_NEWER
         if plan.term.epoch == 0 or not plan.term.planner:
             return PlanRejection.NO_TERM
-        return self._lacking_evidence(plan, len(listed)) or self._excessive_advice(plan, listed)
+        return self._check_evidence(plan, len(listed)) or self._check_advice(plan, listed)
 
-    def _lacking_evidence(self, plan: Plan, listed: int) -> PlanRejection | None:
+    def _check_evidence(self, plan: Plan, listed_count: int) -> PlanRejection | None:
         rules, evidence = self.rules, plan.evidence
         if evidence.forwarders < rules.min_reporters * rules.fleet:
             return PlanRejection.FEW_REPORTERS
         if evidence.window_ms < rules.min_window_ms:
             return PlanRejection.SHORT_WINDOW
-        if evidence.covered < rules.min_covered * listed:
+        if evidence.covered < rules.min_covered * listed_count:
             return PlanRejection.FEW_CONVERTERS
         return None
 
-    def _excessive_advice(self, plan: Plan, listed: set[str]) -> PlanRejection | None:
-        known = [entry for uid, entry in plan.entries.items() if uid in listed]
-        if sum(entry.ejected for entry in known) > self.rules.max_ejected * len(listed):
+    def _check_advice(self, plan: Plan, listed: set[str]) -> PlanRejection | None:
+        listed_entries = [entry for uid, entry in plan.entries.items() if uid in listed]
+        if sum(entry.ejected for entry in listed_entries) > self.rules.max_ejected * len(listed):
             return PlanRejection.MANY_EJECTIONS
-        remaining = len(listed) - len(known) + sum(entry.weight for entry in known if not entry.ejected)
-        if listed and remaining < self.rules.min_weight * len(listed):
+        remaining_weight = (
+            len(listed) - len(listed_entries) + sum(entry.weight for entry in listed_entries if not entry.ejected)
+        )
+        if listed and remaining_weight < self.rules.min_weight * len(listed):
             return PlanRejection.LITTLE_WEIGHT
         return None
 
@@ -106,10 +108,10 @@
         """Return 1 while the plan is valid, then linearly down to 0, over a time that differs between forwarders."""
         if self.plan is None:
             return 0.0
-        over_ms = (now_us - self.accepted_us) / 1000 - self.plan.valid_ms
-        if over_ms <= 0:
+        fading_ms = (now_us - self.accepted_us) / 1000 - self.plan.valid_ms
+        if fading_ms <= 0:
             return 1.0
-        return max(0.0, 1.0 - over_ms / max(1.0, self.plan.fade_ms * self.fade_factor))
+        return max(0.0, 1.0 - fading_ms / max(1.0, self.plan.fade_ms * self.fade_factor))
 
     def age_ms(self, now_us: int) -> int:
         """Return the age of the current plan; 0 without one."""
@@ -120,7 +122,7 @@
         confidence, plan = self.confidence(now_us), self.plan
         if plan is None or confidence == 0.0:
             return []
-        found = []
+        advice = []
         for uid, entry in plan.entries.items():
             upstream_id = upstream_ids.get(uid)
             if upstream_id is None:
@@ -128,8 +130,8 @@
             # each forwarder has its own turn to try, and its own moment of the fade to end an ejection
             ejected = (
                 entry.ejected
-                and not self.is_on_trial(uid, plan, entry.trial_share)
-                and stable_share(self.name, uid) < confidence
+                and not self.is_selected_for_trial(uid, plan, entry.trial_share)
+                and stable_fraction(self.name, uid) < confidence
             )
             weight = max(MIN_WEIGHT, entry.weight + (1.0 - entry.weight) * (1.0 - confidence))
             concurrency_limit = (
@@ -139,12 +141,12 @@
             )
             if entry.ejected and not ejected:
                 concurrency_limit = 1  # a trial is one request at a time
-            found.append(Advice(upstream_id, weight, concurrency_limit, ejected))
-        return found
+            advice.append(Advice(upstream_id, weight, concurrency_limit, ejected))
+        return advice
 
-    def is_on_trial(self, uid: str, plan: Plan, trial_share: float) -> bool:
+    def is_selected_for_trial(self, uid: str, plan: Plan, trial_share: float) -> bool:
         """Return whether it is this forwarder's turn to try an ejected converter; the turn moves on every few plans."""
-        return stable_share(self.name, uid, str(plan.number // TRIAL_PLANS)) < trial_share
+        return stable_fraction(self.name, uid, str(plan.number // PLANS_PER_TRIAL)) < trial_share
 
     def class_admission(self, now_us: int) -> list[float]:
         """Return the share of arrivals to admit by class; it fades out, as the total rate becomes unknown."""
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -55,34 +55,34 @@
     folder: Path | None = None  # for its snapshot
 
 
-class ForwarderConnection(asyncio.Protocol):
+class PlannerServerConnection(asyncio.Protocol):
     """A connection from a forwarder or a peer, or to a peer."""
 
-    def __init__(self, server: PlannerServer, dialled: bool = False) -> None:
+    def __init__(self, server: PlannerServer, is_outgoing: bool = False) -> None:
         """Prepare a connection, `dialled` if this planner opens it."""
         self.server = server
-        self.dialled = dialled
+        self.is_outgoing = is_outgoing
         self.transport: asyncio.Transport | None = None
-        self.frames = FrameDecoder()
+        self.decoder = FrameDecoder()
         self.hello: Hello | None = None
         self.last_report_us = 0
-        self.timer: asyncio.TimerHandle | None = None
+        self.hello_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send a hello, or wait for one."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.connections[self] = None
-        if self.dialled:
+        if self.is_outgoing:
             self.write(encode(Hello(VERSION, self.server.settings.name, self.server.incarnation, is_peer=True)))
         else:
-            self.timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.reject, "no hello")
+            self.hello_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.reject, "no hello")
 
     def data_received(self, data: bytes) -> None:
         """Handle the messages that are complete."""
         self.server.counts["bytes in"] += len(data)
         try:
-            for message in self.frames.feed(data):
+            for message in self.decoder.feed(data):
                 self.on_message(message)
         except ProtocolError as error:
             self.reject(str(error))
@@ -91,9 +91,9 @@
         """Handle a message. Raises ProtocolError for one that is not allowed now."""
         if isinstance(message, Heartbeat):
             self.server.leadership.on_heartbeat(self.server.machine.clock_us(), message)
-        elif isinstance(message, Rejection) and self.dialled:
+        elif isinstance(message, Rejection) and self.is_outgoing:
             log.warning("connection rejected by a peer: %s", message.reason)
-        elif isinstance(message, Hello) and self.hello is None and not self.dialled:
+        elif isinstance(message, Hello) and self.hello is None and not self.is_outgoing:
             self.on_hello(message)
         elif isinstance(message, Report) and self.hello is not None and not self.hello.is_peer:
             self.on_report(message)
@@ -102,9 +102,9 @@
 
     def on_hello(self, hello: Hello) -> None:
         """Accept a forwarder or a peer."""
-        if self.timer is not None:
-            self.timer.cancel()
-        if not hello.is_peer and self.server.forwarders() >= self.server.settings.max_forwarders:
+        if self.hello_timer is not None:
+            self.hello_timer.cancel()
+        if not hello.is_peer and self.server.forwarder_count() >= self.server.settings.max_forwarders:
             self.reject("as many forwarders as this planner takes", BUSY_RETRY_MS)
             return
         self.hello = hello
@@ -143,8 +143,8 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Leave the server."""
         self.server.connections.pop(self, None)
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.hello_timer is not None:
+            self.hello_timer.cancel()
 
 
 class PlannerServer:
@@ -160,9 +160,9 @@
         self.planner = Planner(settings.rules, settings.tenant_shares, settings.class_limits)
         names = sorted([settings.name, *settings.peers])
         self.leadership = Leadership(settings.name, names.index(settings.name), now_us)
-        self.connections: dict[ForwarderConnection, None] = {}  # ordered, unlike a set
+        self.connections: dict[PlannerServerConnection, None] = {}  # ordered, unlike a set
         self.was_leader = False  # at the last tick
-        self.number = 0
+        self.plan_number = 0
         self.last_plan: bytes | None = None
         self.counts: Counter[str] = Counter()
         self.restore(now_us)
@@ -186,14 +186,14 @@
                 extra=term_fields(restored.term),
             )
 
-    def forwarders(self) -> int:
+    def forwarder_count(self) -> int:
         """Return how many forwarders are connected."""
-        return sum(link.hello is not None and not link.hello.is_peer for link in self.connections)
+        return sum(connection.hello is not None and not connection.hello.is_peer for connection in self.connections)
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until `stop` is set. Raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: ForwarderConnection(self), *self.settings.listen, backlog=1024)
+        server = await loop.create_server(lambda: PlannerServerConnection(self), *self.settings.listen, backlog=1024)
         log.info("planner %s is up", self.settings.name)
         tasks = [loop.create_task(self.maintain_peer(name, address)) for name, address in self.settings.peers.items()]
         tasks.append(loop.create_task(self.run_ticks()))
@@ -202,19 +202,19 @@
         for task in tasks:
             task.cancel()
         self.save()
-        for link in list(self.connections):
-            if link.transport is not None:
-                link.transport.close()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.close()
 
     async def maintain_peer(self, name: str, address: tuple[str, int]) -> None:
         """Keep a connection to a peer open."""
         loop = asyncio.get_running_loop()
         while True:
             try:
-                transport, link = await loop.create_connection(
-                    lambda: ForwarderConnection(self, dialled=True), *address
+                transport, connection = await loop.create_connection(
+                    lambda: PlannerServerConnection(self, is_outgoing=True), *address
                 )
-                while not transport.is_closing() and link in self.connections:
+                while not transport.is_closing() and connection in self.connections:
                     await asyncio.sleep(PEER_RETRY_S)
             except OSError:
                 pass
@@ -242,46 +242,46 @@
         if is_leader != self.was_leader:  # it may have stepped down between two ticks, on a heartbeat
             self.was_leader = is_leader
             term = self.leadership.highest_term
-            line = "leads, epoch %d" if is_leader else "follows, epoch %d"
-            log.info(line, term.epoch, extra=term_fields(term))
-            self.number, self.last_plan = 0, None
+            message = "leads, epoch %d" if is_leader else "follows, epoch %d"
+            log.info(message, term.epoch, extra=term_fields(term))
+            self.plan_number, self.last_plan = 0, None
         heartbeat = encode(Heartbeat(self.leadership.highest_term, is_leader, len(active)))
-        for link in list(self.connections):
-            link.write(heartbeat)
+        for connection in list(self.connections):
+            connection.write(heartbeat)
         if is_leader or tick % TICKS_PER_PLAN == 0:
-            self.publish_plan(now_us, due=tick % TICKS_PER_PLAN == 0)
+            self.publish_plan(now_us, is_due=tick % TICKS_PER_PLAN == 0)
         if tick % TICKS_PER_SNAPSHOT == 0:
             self.save()
         if tick % TICKS_PER_EXPIRY == 0:
             self.evidence.expire(now_us)
 
-    def publish_plan(self, now_us: int, due: bool) -> None:
+    def publish_plan(self, now_us: int, is_due: bool) -> None:
         """Send a plan to all forwarders, if one is due or another converter is ejected. A follower computes it too, to
         know the ejected converters when it takes over."""
         term = self.leadership.term
         ejected_before = self.planner.ejected()
-        plan = self.planner.plan(now_us, self.evidence, term or self.leadership.highest_term, self.number + 1)
+        plan = self.planner.plan(now_us, self.evidence, term or self.leadership.highest_term, self.plan_number + 1)
         if plan is None or term is None:
             self.last_plan = None
             return
-        if not due and self.planner.ejected() == ejected_before:
+        if not is_due and self.planner.ejected() == ejected_before:
             return
-        self.number += 1
+        self.plan_number += 1
         self.last_plan = encode(plan)
         self.counts["plans"] += 1
-        for link in list(self.connections):
-            if link.hello is not None and not link.hello.is_peer:
-                link.write(self.last_plan)
+        for connection in list(self.connections):
+            if connection.hello is not None and not connection.hello.is_peer:
+                connection.write(self.last_plan)
 
     def save(self) -> None:
         """Save a snapshot."""
         if self.settings.folder is None or self.leadership.highest_term.epoch == 0:
             return
         machine = self.machine
-        restored = snapshot.take(
+        current = snapshot.take(
             machine.clock_us(), machine.unix_us() // 1000, self.leadership.highest_term, self.planner.statuses
         )
         try:
-            snapshot.save(self.settings.folder, restored)
+            snapshot.save(self.settings.folder, current)
         except OSError as error:
             log.warning("snapshot not saved: %s", error)
--- a/ryepier/plan/reporter.py
+++ b/ryepier/plan/reporter.py
@@ -29,8 +29,10 @@
 
     def counters(self) -> ConverterCounters:
         """Return the counters for a report."""
-        used = max((i + 1 for i, count in enumerate(self.latencies) if count), default=0)
-        return ConverterCounters(self.attempts, self.served, self.failed, self.rejected, tuple(self.latencies[:used]))
+        bucket_count = max((index + 1 for index, count in enumerate(self.latencies) if count), default=0)
+        return ConverterCounters(
+            self.attempts, self.served, self.failed, self.rejected, tuple(self.latencies[:bucket_count])
+        )
 
 
 class Reporter:
@@ -68,14 +70,14 @@
         record = self.records.get(uid)
         if record is None or token not in record.in_flight:
             return
-        _, counted = record.in_flight.pop(token)
+        _, counted_as_failed = record.in_flight.pop(token)
         record.changed = True
         if outcome is Outcome.OK:
             record.served += 1
             record.latencies[latency_bucket(elapsed_us)] += 1
         elif outcome is Outcome.REJECTED:
             record.rejected += 1
-        elif outcome in FAILURES and not counted:
+        elif outcome in FAILURES and not counted_as_failed:
             record.failed += 1
 
     def retain(self, uids: set[str]) -> None:
@@ -85,9 +87,9 @@
     def report(self, now_us: int, listed: int, term: Term, plan_age_ms: int, complete: bool = False) -> Report:
         """Return the changes since the last report, or a `complete` one for a planner that has just connected."""
         for record in self.records.values():
-            for token, (unanswered_after_us, counted) in record.in_flight.items():
-                if not counted and now_us >= unanswered_after_us:
-                    record.in_flight[token] = (unanswered_after_us, True)
+            for token, (unanswered_at_us, counted_as_failed) in record.in_flight.items():
+                if not counted_as_failed and now_us >= unanswered_at_us:
+                    record.in_flight[token] = (unanswered_at_us, True)
                     record.failed += 1
                     record.changed = True
         self.number += 1
--- a/ryepier/plan/snapshot.py
+++ b/ryepier/plan/snapshot.py
@@ -36,7 +36,8 @@
     def restore(self, now_us: int) -> dict[str, ConverterStatus]:
         """Return the statuses on a new clock."""
         return {
-            uid: ConverterStatus(state, now_us - for_us, step) for uid, (state, for_us, step) in self.statuses.items()
+            uid: ConverterStatus(state, now_us - duration_us, step)
+            for uid, (state, duration_us, step) in self.statuses.items()
         }
 
 
@@ -55,10 +56,10 @@
 
 def decode(data: bytes, unix_ms: int, max_age_ms: int) -> Snapshot:
     """Return a snapshot that is intact and at most `max_age_ms` old. Raises SnapshotError."""
-    head, newline, body = data.partition(b"\n")
-    if not newline or not head.startswith(MAGIC + b" "):
+    header, newline, body = data.partition(b"\n")
+    if not newline or not header.startswith(MAGIC + b" "):
         raise SnapshotError("not a snapshot of this version")
-    if head != b"%s %08x %d" % (MAGIC, zlib.crc32(body), len(body)):
+    if header != b"%s %08x %d" % (MAGIC, zlib.crc32(body), len(body)):
         raise SnapshotError("torn or altered")
     try:
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
@@ -72,12 +73,12 @@
 
 def save(folder: Path, snapshot: Snapshot) -> None:
     """Replace the snapshot in `folder`. Raises OSError."""
-    new = folder / (FILE_NAME + ".new")
-    with open(new, "wb") as file:
+    temporary_path = folder / (FILE_NAME + ".new")
+    with open(temporary_path, "wb") as file:
         file.write(encode(snapshot))
         file.flush()
         os.fsync(file.fileno())
-    os.replace(new, folder / FILE_NAME)
+    os.replace(temporary_path, folder / FILE_NAME)
 
 
 def load(folder: Path, unix_ms: int, max_age_ms: int) -> Snapshot | None:
--- a/tests/plan_scenarios.py
+++ b/tests/plan_scenarios.py
@@ -70,7 +70,9 @@
         counters[uid] = ConverterCounters(
             old.attempts + served + failed, old.served + served, old.failed + failed, 0, tuple(counts)
         )
-    evidence.merge(now_us, name, 1, Report(known.number + 1, 10, counters, {}, [], [10 * known.number], 0))
+    evidence.merge(
+        now_us, name, 1, Report(known.last_report_number + 1, 10, counters, {}, [], [10 * known.last_report_number], 0)
+    )
 
 
 def report_healthy(evidence: Evidence, now_us: int, but: dict[str, tuple[int, int]], names: int = 10) -> None:
--- a/tests/test_plan_evidence.py
+++ b/tests/test_plan_evidence.py
@@ -56,7 +56,7 @@
         straight.merge(0, "f", 1, report)
     for report in data.draw(st.permutations(reports + reports)):
         mixed.merge(0, "f", 1, report)
-    assert straight.totals() == mixed.totals()
+    assert straight.merged_counters() == mixed.merged_counters()
 
 
 def test_earlier_incarnation_of_a_forwarder_is_not_counted_and_a_new_one_starts_from_zero() -> None:
@@ -65,4 +65,4 @@
     assert evidence.merge(0, "f", 7, first) and evidence.merge(1, "f", 7, second)
     assert evidence.forwarders["f"].converters["c"].recent.served == pytest.approx(5, rel=0.01)  # the first is no news
     assert not evidence.merge(2, "f", 6, second)
-    assert evidence.merge(3, "f", 8, first) and evidence.totals()["f"]["c"] == ConverterCounters(5, 5)
+    assert evidence.merge(3, "f", 8, first) and evidence.merged_counters()["f"]["c"] == ConverterCounters(5, 5)
--- a/tests/test_plan_follower.py
+++ b/tests/test_plan_follower.py
@@ -106,7 +106,7 @@
     tried: set[str] = set()
     for number in range(1, 400):
         plan = make_plan(number=number, entries={"c1": ConverterAdvice(ejected=True, trial_share=0.1)})
-        names = {f"f{i}" for i in range(50) if PlanFollower(f"f{i}", RULES).is_on_trial("c1", plan, 0.1)}
+        names = {f"f{i}" for i in range(50) if PlanFollower(f"f{i}", RULES).is_selected_for_trial("c1", plan, 0.1)}
         assert len(names) < 20
         tried |= names
     assert len(tried) == 50
