--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -20,9 +20,9 @@
     """Believe the slice that came last, and forget terminations."""
 
     def last_observation(
-        self: EndpointSliceMerger, identity: str, reported: list[EndpointObservation]
+        self: EndpointSliceMerger, identity: str, observations: list[EndpointObservation]
     ) -> endpoint_slice_merger.MergedEndpoint:
-        last = reported[-1]
+        last = observations[-1]
         state = api.UpstreamState.DRAINING if last.risk else api.UpstreamState.READY
         return endpoint_slice_merger.MergedEndpoint(
             identity, last.address, last.zone, last.node, state, False, 1, (last.slice_name,)
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -48,13 +48,15 @@
     port: int
     tls: bool
     prefix: str = ""  # of each path, as behind a proxy
-    token: Path | None = None  # read for each call: the cluster rotates it every hour
-    authority: Path | None = None
-    certificate: Path | None = None
-    key: Path | None = None
+    token_file: Path | None = None  # read for each call: the cluster rotates it every hour
+    ca_file: Path | None = None
+    client_cert_file: Path | None = None
+    client_key_file: Path | None = None
 
 
-def find_access(server: str, token: str = "", authority: str = "", certificate: str = "", key: str = "") -> Access:
+def find_access(
+    server: str, token_file: str = "", ca_file: str = "", client_cert_file: str = "", client_key_file: str = ""
+) -> Access:
     """Return the access of the settings; with an empty `server`, that of the pod. Raises AccessError."""
     if not server:
         host, port = os.environ.get("KUBERNETES_SERVICE_HOST", ""), os.environ.get("KUBERNETES_SERVICE_PORT", "")
@@ -65,10 +67,10 @@
             int(port),
             True,
             "",
-            Path(token or SERVICE_ACCOUNT_FOLDER / "token"),
-            Path(authority or SERVICE_ACCOUNT_FOLDER / "ca.crt"),
-            Path(certificate) if certificate else None,
-            Path(key) if key else None,
+            Path(token_file or SERVICE_ACCOUNT_FOLDER / "token"),
+            Path(ca_file or SERVICE_ACCOUNT_FOLDER / "ca.crt"),
+            Path(client_cert_file) if client_cert_file else None,
+            Path(client_key_file) if client_key_file else None,
         )
     try:
         url = urlsplit(server)
@@ -77,7 +79,7 @@
         raise AccessError(f"server {server!r}: {error}") from None
     if url.scheme not in (HTTP, HTTPS) or not url.hostname or url.query or url.fragment or url.username:
         raise AccessError(f"server {server!r}: expected http://host:port or https://host:port")
-    if bool(certificate) != bool(key):
+    if bool(client_cert_file) != bool(client_key_file):
         raise AccessError("a client certificate and its key go together")
     tls = url.scheme == HTTPS
     return Access(
@@ -85,7 +87,7 @@
         port_number or (443 if tls else 80),
         tls,
         url.path.rstrip("/"),
-        *(Path(name) if name else None for name in (token, authority, certificate, key)),
+        *(Path(path) if path else None for path in (token_file, ca_file, client_cert_file, client_key_file)),
     )
 
 
@@ -93,9 +95,9 @@
     """Return the TLS context; made for each call, as certificates are rotated. Raises OSError."""
     if not access.tls:
         return None
-    context = ssl.create_default_context(cafile=str(access.authority) if access.authority else None)
-    if access.certificate is not None:
-        context.load_cert_chain(str(access.certificate), str(access.key))
+    context = ssl.create_default_context(cafile=str(access.ca_file) if access.ca_file else None)
+    if access.client_cert_file is not None:
+        context.load_cert_chain(str(access.client_cert_file), str(access.client_key_file))
     return context
 
 
@@ -108,10 +110,10 @@
         "Accept: application/json",
         "User-Agent: ryepier",
     ]
-    if access.token is not None:
-        token = access.token.read_text(encoding="ascii").strip()
+    if access.token_file is not None:
+        token = access.token_file.read_text(encoding="ascii").strip()
         if not token or not token.isprintable():
-            raise ValueError(f"{access.token} holds no token")
+            raise ValueError(f"{access.token_file} holds no token")
         lines.append(f"Authorization: Bearer {token}")
     return "\r\n".join([*lines, "", ""]).encode("ascii")
 
@@ -176,9 +178,9 @@
         else:
             self.read_lines(len(data))
 
-    def read_lines(self, new: int) -> None:
+    def read_lines(self, new_bytes: int) -> None:
         """Read the complete lines; only the `new` last bytes can hold a line's end."""
-        if self.body.find(b"\n", len(self.body) - new) >= 0:
+        if self.body.find(b"\n", len(self.body) - new_bytes) >= 0:
             *lines, remainder = bytes(self.body).split(b"\n")
             self.body = bytearray(remainder)
             for line in lines:
@@ -222,17 +224,17 @@
         self.on_changes = on_changes
         self.on_failure = on_failure
         self.clock_us = clock_us
-        self.next_steps: list[Call | Wait] = []
+        self.pending_steps: list[Call | Wait] = []
         self.changes: list[Replace | Apply | Delete] = []
         self.is_flush_scheduled = False
         self.last_received_us = 0
-        self.problems = 0
+        self.problem_count = 0
 
     async def run(self) -> None:
         """Call forever."""
         self.execute(self.reflector.start(self.clock_us()))
         while True:
-            step = self.next_steps.pop()
+            step = self.pending_steps.pop()
             if isinstance(step, Wait):
                 self.on_failure()
                 await asyncio.sleep(max(0.0, (step.until_us - self.clock_us()) / 1e6))
@@ -244,9 +246,9 @@
         """Execute actions of the reflector."""
         for action in actions:
             if isinstance(action, Call | Wait):
-                self.next_steps.append(action)
+                self.pending_steps.append(action)
             elif isinstance(action, Problem):
-                self.problems += 1
+                self.problem_count += 1
                 log.warning("EndpointSlices: %s", action.reason)
             else:
                 self.changes.append(action)
@@ -281,8 +283,8 @@
             response.failure = error
         finally:
             response.finish()
-        if not self.next_steps:
-            self.execute(self.on_end(call, response))
+        if not self.pending_steps:
+            self.execute(self.next_actions(call, response))
 
     async def wait_until_done(self, call: Call, response: ResponseReader) -> None:
         """Wait for the end of a response. Raises TimeoutError for a slow page or a silent watch."""
@@ -303,10 +305,10 @@
 
     def read_line(self, line: bytes) -> None:
         """Handle a line of a watch."""
-        if not self.next_steps:  # an error event ends a watch
+        if not self.pending_steps:  # an error event ends a watch
             self.execute(self.reflector.on_event(self.clock_us(), api_objects.read_event(line)))
 
-    def on_end(self, call: Call, response: ResponseReader) -> list[reflector.Action]:
+    def next_actions(self, call: Call, response: ResponseReader) -> list[reflector.Action]:
         """Return the actions that follow a call."""
         now_us = self.clock_us()
         if response.failure is None and response.is_complete and response.status == 200:
--- a/ryepier/slices/api_objects.py
+++ b/ryepier/slices/api_objects.py
@@ -85,8 +85,8 @@
     @property
     def for_zones(self) -> tuple[str, ...]:
         """The zones to serve from this endpoint, by the hints."""
-        found = self.hints.for_zones if self.hints is not None else None
-        return tuple(zone.name for zone in found or ())
+        zones = self.hints.for_zones if self.hints is not None else None
+        return tuple(zone.name for zone in zones or ())
 
 
 class Port(msgspec.Struct, frozen=True):
@@ -116,11 +116,13 @@
     ports: list[Port] | None = None
 
 
-class ListMetadata(msgspec.Struct, frozen=True, rename={"resource_version": "resourceVersion", "more": "continue"}):
+class ListMetadata(
+    msgspec.Struct, frozen=True, rename={"resource_version": "resourceVersion", "continue_token": "continue"}
+):
     """Metadata of a page."""
 
     resource_version: str = ""
-    more: str | None = None  # the token for the next page
+    continue_token: str | None = None  # the token for the next page
 
 
 class SliceList(msgspec.Struct, frozen=True):
@@ -147,7 +149,7 @@
     resource_version: str = ""
 
 
-class _Raw(msgspec.Struct):
+class _RawEvent(msgspec.Struct):
     type: str
     object: msgspec.Raw
 
@@ -156,13 +158,13 @@
     metadata: ListMetadata
 
 
-def list_query(service: str, page_size: int | None, more: str) -> dict[str, str]:
+def list_query(service: str, page_size: int | None, continue_token: str) -> dict[str, str]:
     """Return the query of a list of a service's slices; `more` is the token of a further page, None no page size."""
     query = {"labelSelector": f"{SERVICE_LABEL}={service}"}
     if page_size is not None:
         query["limit"] = str(page_size)
-    if more:
-        query["continue"] = more
+    if continue_token:
+        query["continue"] = continue_token
     return query
 
 
@@ -194,7 +196,7 @@
 
 def read_event(line: bytes) -> WatchEvent:
     """Return the event of one line. Raises SliceError."""
-    raw = _read(line, _Raw)
+    raw = _read(line, _RawEvent)
     try:
         kind = EventKind(raw.type)
     except ValueError:
@@ -203,8 +205,8 @@
         return WatchEvent(kind, status=_read(raw.object, Status))
     if kind is EventKind.BOOKMARK:
         return WatchEvent(kind, resource_version=_read(raw.object, _Bookmark).metadata.resource_version)
-    found = _read(raw.object, Slice)
-    return WatchEvent(kind, found, resource_version=found.metadata.resource_version)
+    endpoint_slice = _read(raw.object, Slice)
+    return WatchEvent(kind, endpoint_slice, resource_version=endpoint_slice.metadata.resource_version)
 
 
 def _read(data: Any, kind: Any) -> Any:
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -63,12 +63,12 @@
     def __init__(self, rules: ListingRules) -> None:
         """Start empty."""
         self.rules = rules
-        self.known: dict[str, _ListedEndpoint] = {}
+        self.endpoints: dict[str, _ListedEndpoint] = {}
         self.removed: OrderedDict[str, _ListedEndpoint] = OrderedDict()
-        self.waiting: set[str] = set()  # ready again, not published yet
+        self.settling: set[str] = set()  # ready again, not published yet
         self.failure_domains: dict[str, int] = {}
-        self.last_id = 0
-        self.listed = False  # a complete list has been published
+        self.last_upstream_id = 0
+        self.has_complete_list = False  # a complete list has been published
 
     def update(self, now_us: int, changes: Mapping[str, MergedEndpoint | None]) -> list[ListedEntry]:
         """Apply changes of the merger. Returns the entries to publish."""
@@ -77,109 +77,113 @@
             entry = self._remove(identity) if endpoint is None else self._change(now_us, identity, endpoint)
             if entry is not None:
                 entries.append(entry)
-        return entries + self._settled(now_us)
+        return entries + self._publish_settled(now_us)
 
     def complete_list(self) -> list[ListedEntry]:
         """Return all entries. From now on, a new endpoint counts as started just now."""
-        self.listed = True
-        return [self._entry(known) for known in self.known.values()]
+        self.has_complete_list = True
+        return [self._make_entry(listed) for listed in self.endpoints.values()]
 
     @property
-    def next_us(self) -> int | None:
+    def next_due_us(self) -> int | None:
         """When the next endpoint is to be published."""
         return min(
-            (self.known[identity].publish_at_us(self.rules.settle_us) for identity in self.waiting), default=None
+            (self.endpoints[identity].publish_at_us(self.rules.settle_us) for identity in self.settling), default=None
         )
 
     def upstream_ids(self) -> dict[str, int]:
         """Return the number of each listed identity."""
-        return {identity: known.upstream_id for identity, known in self.known.items()}
+        return {identity: listed.upstream_id for identity, listed in self.endpoints.items()}
 
     def _remove(self, identity: str) -> ListedEntry | None:
-        known = self.known.pop(identity, None)
-        self.waiting.discard(identity)
-        if known is None:
+        listed = self.endpoints.pop(identity, None)
+        self.settling.discard(identity)
+        if listed is None:
             return None
-        known.published = REMOVED
+        listed.published = REMOVED
         if not is_address(identity):  # an address may be reused by another process, a pod's uid never
-            self.removed[identity] = known
+            self.removed[identity] = listed
         while len(self.removed) > MAX_REMEMBERED_IDENTITIES:
             self.removed.popitem(last=False)
-        return self._entry(known)
+        return self._make_entry(listed)
 
     def _change(self, now_us: int, identity: str, endpoint: MergedEndpoint) -> ListedEntry | None:
-        known = self.known.get(identity)
-        if known is None:
+        listed = self.endpoints.get(identity)
+        if listed is None:
             return self._add(now_us, identity, endpoint)
-        moved = known.endpoint.address != endpoint.address
-        previous, known.endpoint = known.endpoint.state, endpoint
+        address_changed = listed.endpoint.address != endpoint.address
+        previous_state, listed.endpoint = listed.endpoint.state, endpoint
         if endpoint.state is DRAINING:
-            self.waiting.discard(identity)
-            known.unready_since_us = known.unready_since_us or now_us
-            if known.published is DRAINING and not moved:
+            self.settling.discard(identity)
+            listed.unready_since_us = listed.unready_since_us or now_us
+            if listed.published is DRAINING and not address_changed:
                 return None
-            known.published = DRAINING
-            return self._entry(known)
-        if previous is DRAINING:
-            self._on_ready_again(now_us, identity, known)
+            listed.published = DRAINING
+            return self._make_entry(listed)
+        if previous_state is DRAINING:
+            self._on_ready_again(now_us, identity, listed)
             return None
-        return self._entry(known) if known.published is READY else None
+        return self._make_entry(listed) if listed.published is READY else None
 
     def _add(self, now_us: int, identity: str, endpoint: MergedEndpoint) -> ListedEntry:
-        known = self.removed.pop(identity, None)
-        if known is None:
-            self.last_id += 1
+        listed = self.removed.pop(identity, None)
+        if listed is None:
+            self.last_upstream_id += 1
             # endpoints of the first complete list are assumed to have started long ago, later ones just now
-            known = _ListedEndpoint(self.last_id, endpoint, endpoint.state, now_us if self.listed else 0)
-        was_draining = known.endpoint.state is DRAINING
-        known.endpoint, known.published = endpoint, endpoint.state
-        self.known[identity] = known
+            listed = _ListedEndpoint(
+                self.last_upstream_id, endpoint, endpoint.state, now_us if self.has_complete_list else 0
+            )
+        was_draining = listed.endpoint.state is DRAINING
+        listed.endpoint, listed.published = endpoint, endpoint.state
+        self.endpoints[identity] = listed
         if endpoint.state is DRAINING:
-            known.unready_since_us = known.unready_since_us or now_us
+            listed.unready_since_us = listed.unready_since_us or now_us
         elif was_draining:
-            known.published = DRAINING
-            self._on_ready_again(now_us, identity, known)
-        return self._entry(known)
+            listed.published = DRAINING
+            self._on_ready_again(now_us, identity, listed)
+        return self._make_entry(listed)
 
-    def _on_ready_again(self, now_us: int, identity: str, known: _ListedEndpoint) -> None:
+    def _on_ready_again(self, now_us: int, identity: str, listed: _ListedEndpoint) -> None:
         """Note an endpoint that is ready again: it has to last before it is published."""
-        if known.ready_since_us and now_us - known.ready_since_us > FLAP_RESET_US:
-            known.flaps = 0
-        known.flaps += 1
-        known.ready_since_us = now_us
-        if now_us - known.unready_since_us >= MIN_RESTART_US:
-            known.started_us = now_us
-        self.waiting.add(identity)
-
-    def _settled(self, now_us: int) -> list[ListedEntry]:
+        if listed.ready_since_us and now_us - listed.ready_since_us > FLAP_RESET_US:
+            listed.flaps = 0
+        listed.flaps += 1
+        listed.ready_since_us = now_us
+        if now_us - listed.unready_since_us >= MIN_RESTART_US:
+            listed.started_us = now_us
+        self.settling.add(identity)
+
+    def _publish_settled(self, now_us: int) -> list[ListedEntry]:
         settled = []
         for identity in [
-            one for one in sorted(self.waiting) if self.known[one].publish_at_us(self.rules.settle_us) <= now_us
+            candidate
+            for candidate in sorted(self.settling)
+            if self.endpoints[candidate].publish_at_us(self.rules.settle_us) <= now_us
         ]:
-            self.waiting.discard(identity)
-            known = self.known[identity]
-            known.published, known.unready_since_us = READY, 0
-            settled.append(self._entry(known))
+            self.settling.discard(identity)
+            listed = self.endpoints[identity]
+            listed.published, listed.unready_since_us = READY, 0
+            settled.append(self._make_entry(listed))
         return settled
 
-    def _entry(self, known: _ListedEndpoint) -> ListedEntry:
+    def _make_entry(self, listed: _ListedEndpoint) -> ListedEntry:
         zones = self.rules.zones
-        endpoint = known.endpoint
+        endpoint = listed.endpoint
         zone = zones.index(endpoint.zone) if endpoint.zone in zones else len(zones)
         upstream = Upstream(
-            id=known.upstream_id,
-            state=known.published,
+            id=listed.upstream_id,
+            state=listed.published,
             zone=zone,
             kind=self.rules.unknown_kind,
-            failure_domain=self._failure_domain(known),
-            started_us=known.started_us,
+            failure_domain=self._failure_domain(listed),
+            started_us=listed.started_us,
         )
         return ListedEntry(upstream, endpoint.address)
 
-    def _failure_domain(self, known: _ListedEndpoint) -> int:
+    def _failure_domain(self, listed: _ListedEndpoint) -> int:
         """Return the failure domain. Two converters wrongly in one would let a request run twice: without a node each
         has its own, with a number that no node has."""
-        node = known.endpoint.node
+        node = listed.endpoint.node
         if self.rules.failure_domain_by is FailureDomainBy.ENDPOINT or not node:
-            return -known.upstream_id
+            return -listed.upstream_id
         return self.failure_domains.setdefault(node, len(self.failure_domains))
--- a/ryepier/slices/endpoint_slice_merger.py
+++ b/ryepier/slices/endpoint_slice_merger.py
@@ -19,7 +19,7 @@
 from ryepier.balancer.interface import UpstreamState
 from ryepier.slices.api_objects import Endpoint, Slice
 
-MAX_TERMINATED = 50_000  # uids remembered as terminating: a day of releases
+MAX_TERMINATED_UIDS = 50_000  # uids remembered as terminating: a day of releases
 MAX_DELETED_SLICES = 10_000  # uids remembered
 EMPTY_LIST_HOLD_US = 30_000_000  # for which an empty list is not applied
 ADDRESS_TYPES = ("IPv4", "IPv6")  # FQDN is deprecated, and resolving a name would delay a request
@@ -100,92 +100,92 @@
         self.port_name = port_name
         self.hold_us = hold_us
         self.slices: dict[str, _KnownSlice] = {}  # by uid
-        self.by_name: dict[str, str] = {}  # current uid
+        self.uid_by_name: dict[str, str] = {}  # current uid
         self.observations: dict[str, dict[str, EndpointObservation]] = {}  # by identity and slice uid
         self.deleted_slices: OrderedDict[str, None] = OrderedDict()
         self.terminated_uids: OrderedDict[str, None] = OrderedDict()  # of pods
         self.skipped_slices: dict[str, str] = {}  # unusable slices: reason by name
-        self.current: dict[str, MergedEndpoint] = {}  # the list as last returned
+        self.current_endpoints: dict[str, MergedEndpoint] = {}  # the list as last returned
         self.changed_identities: set[str] = set()  # identities whose observations changed since
         self.empty_since_us: int | None = None
 
     # Slices
 
-    def apply(self, found: Slice) -> bool:
+    def apply(self, endpoint_slice: Slice) -> bool:
         """Add or change a slice. Returns whether it is newer than what is known (rule 2)."""
-        self._remember_terminated(found)  # rule 3, also from an old generation
-        uid = self._uid(found)
+        self._record_terminated(endpoint_slice)  # rule 3, also from an old generation
+        uid = self._uid(endpoint_slice)
         known = self.slices.get(uid)
-        generation = found.metadata.generation
+        generation = endpoint_slice.metadata.generation
         if uid in self.deleted_slices or (known is not None and 0 < generation <= known.generation):
             return False
-        self._store(uid, found)
+        self._store(uid, endpoint_slice)
         return True
 
-    def delete(self, found: Slice) -> None:
+    def delete(self, endpoint_slice: Slice) -> None:
         """Delete a slice for good: its uid does not return."""
-        self._remember_terminated(found)
-        self._remove_slice(self._uid(found))
+        self._record_terminated(endpoint_slice)
+        self._remove_slice(self._uid(endpoint_slice))
 
-    def replace(self, found: list[Slice]) -> None:
+    def replace(self, slices: list[Slice]) -> None:
         """Replace all slices by a complete list, of whatever generations: a cluster restored from a backup starts from
         there."""
-        listed = {self._uid(endpoint_slice) for endpoint_slice in found}
+        listed = {self._uid(endpoint_slice) for endpoint_slice in slices}
         for uid in [uid for uid in self.slices if uid not in listed]:
             self._remove_slice(uid)
-        for endpoint_slice in found:
+        for endpoint_slice in slices:
             self.deleted_slices.pop(self._uid(endpoint_slice), None)
-            self._remember_terminated(endpoint_slice)
+            self._record_terminated(endpoint_slice)
             self._store(self._uid(endpoint_slice), endpoint_slice)
 
-    def _store(self, uid: str, found: Slice) -> None:
-        name = found.metadata.name
-        other = self.by_name.get(name)
-        if other is not None and other != uid:
-            self._remove_slice(other)  # recreated under its name: the deletion of the older one is on its way
+    def _store(self, uid: str, endpoint_slice: Slice) -> None:
+        name = endpoint_slice.metadata.name
+        previous_uid = self.uid_by_name.get(name)
+        if previous_uid is not None and previous_uid != uid:
+            self._remove_slice(previous_uid)  # recreated under its name: the deletion of the older one is on its way
         self._drop_observations(uid)
-        reported = self._read(found)
-        for identity, observation in reported.items():
+        observations = self._read_observations(endpoint_slice)
+        for identity, observation in observations.items():
             self.observations.setdefault(identity, {})[uid] = observation
             self.changed_identities.add(identity)
-        self.slices[uid] = _KnownSlice(name, found.metadata.generation, frozenset(reported))
-        self.by_name[name] = uid
+        self.slices[uid] = _KnownSlice(name, endpoint_slice.metadata.generation, frozenset(observations))
+        self.uid_by_name[name] = uid
 
-    def _read(self, found: Slice) -> dict[str, EndpointObservation]:
+    def _read_observations(self, endpoint_slice: Slice) -> dict[str, EndpointObservation]:
         """Return the observations of a slice by identity; of an endpoint that it lists twice, the riskier one."""
-        name = found.metadata.name
-        port = self._port(found)
-        reason = "" if found.address_type in ADDRESS_TYPES else f"address type {found.address_type!r}"
+        name = endpoint_slice.metadata.name
+        port = self._select_port(endpoint_slice)
+        reason = "" if endpoint_slice.address_type in ADDRESS_TYPES else f"address type {endpoint_slice.address_type!r}"
         if port is None:
             reason = f"no port {self.port_name!r}" if self.port_name else "no port"
         if reason or port is None:
             self.skipped_slices[name] = reason
             return {}
         self.skipped_slices.pop(name, None)
-        reported: dict[str, EndpointObservation] = {}
-        for endpoint in found.endpoints or []:
+        observations: dict[str, EndpointObservation] = {}
+        for endpoint in endpoint_slice.endpoints or []:
             if not endpoint.addresses:
                 continue
             identity, risk = identity_of(endpoint, port), risk_of(endpoint)
-            if identity not in reported or reported[identity].risk < risk:
-                reported[identity] = EndpointObservation(
+            if identity not in observations or observations[identity].risk < risk:
+                observations[identity] = EndpointObservation(
                     name,
-                    found.metadata.generation,
+                    endpoint_slice.metadata.generation,
                     (endpoint.addresses[0], port),
                     endpoint.zone or "",
                     endpoint.node_name or "",
                     endpoint.for_zones,
                     risk,
                 )
-        return reported
+        return observations
 
-    def _port(self, endpoint_slice: Slice) -> int | None:
+    def _select_port(self, endpoint_slice: Slice) -> int | None:
         for port in endpoint_slice.ports or []:
             if port.port is not None and (not self.port_name or port.name == self.port_name):
                 return port.port
         return None
 
-    def _remember_terminated(self, endpoint_slice: Slice) -> None:
+    def _record_terminated(self, endpoint_slice: Slice) -> None:
         for endpoint in endpoint_slice.endpoints or []:
             # not by address: the next endpoint there would never be ready
             if risk_of(endpoint) == 3 and has_pod_uid(endpoint):
@@ -193,7 +193,7 @@
                 if identity not in self.terminated_uids:
                     self.terminated_uids[identity] = None
                     self.changed_identities.add(identity)
-        while len(self.terminated_uids) > MAX_TERMINATED:
+        while len(self.terminated_uids) > MAX_TERMINATED_UIDS:
             self.terminated_uids.popitem(last=False)
 
     @staticmethod
@@ -214,8 +214,8 @@
         known = self.slices.pop(uid, None)
         if known is not None:
             self.skipped_slices.pop(known.name, None)
-            if self.by_name.get(known.name) == uid:
-                del self.by_name[known.name]
+            if self.uid_by_name.get(known.name) == uid:
+                del self.uid_by_name[known.name]
         self.deleted_slices[uid] = None
         while len(self.deleted_slices) > MAX_DELETED_SLICES:
             self.deleted_slices.popitem(last=False)
@@ -225,23 +225,23 @@
     def changes(self, now_us: int) -> dict[str, MergedEndpoint | None]:
         """Return the changes since the last call by identity; None for removed endpoints. An empty list is applied only
         after a while (rule 6)."""
-        if not self.observations and self.current:
+        if not self.observations and self.current_endpoints:
             return self._changes_while_retained(now_us)
         if self.empty_since_us is not None:
             self.empty_since_us = None
-            self.changed_identities |= self.current.keys()
-        found: dict[str, MergedEndpoint | None] = {}
+            self.changed_identities |= self.current_endpoints.keys()
+        changes: dict[str, MergedEndpoint | None] = {}
         for identity in sorted(self.changed_identities):
-            reported = self.observations.get(identity)
-            merged = self._merge(identity, list(reported.values())) if reported else None
-            if merged != self.current.get(identity):
-                found[identity] = merged
-        return self._commit(found)
+            observations = self.observations.get(identity)
+            merged = self._merge(identity, list(observations.values())) if observations else None
+            if merged != self.current_endpoints.get(identity):
+                changes[identity] = merged
+        return self._commit(changes)
 
     def endpoints(self, now_us: int) -> dict[str, MergedEndpoint]:
         """Return the complete list by identity."""
         self.changes(now_us)
-        return self.current
+        return self.current_endpoints
 
     @property
     def is_retained(self) -> bool:
@@ -249,49 +249,49 @@
         return self.empty_since_us is not None
 
     @property
-    def next_us(self) -> int | None:
+    def next_due_us(self) -> int | None:
         """When `changes` has to be called at the latest."""
         return None if self.empty_since_us is None else self.empty_since_us + self.hold_us
 
     def _changes_while_retained(self, now_us: int) -> dict[str, MergedEndpoint | None]:
         if self.empty_since_us is None:
             self.empty_since_us = now_us
-        found: dict[str, MergedEndpoint | None] = {}
+        changes: dict[str, MergedEndpoint | None] = {}
         if now_us - self.empty_since_us >= self.hold_us:
-            found = dict.fromkeys(self.current)
+            changes = dict.fromkeys(self.current_endpoints)
             self.empty_since_us = None
         else:
-            for identity, last in self.current.items():
+            for identity, last in self.current_endpoints.items():
                 terminating = last.terminating or identity in self.terminated_uids  # also in a retained list
                 retained = replace(
                     last, rule=6, terminating=terminating, state=UpstreamState.DRAINING if terminating else last.state
                 )
                 if retained != last:
-                    found[identity] = retained
-        return self._commit(found)
+                    changes[identity] = retained
+        return self._commit(changes)
 
-    def _commit(self, found: dict[str, MergedEndpoint | None]) -> dict[str, MergedEndpoint | None]:
+    def _commit(self, changes: dict[str, MergedEndpoint | None]) -> dict[str, MergedEndpoint | None]:
         self.changed_identities.clear()
-        for identity, merged in found.items():
+        for identity, merged in changes.items():
             if merged is None:
-                self.current.pop(identity, None)
+                self.current_endpoints.pop(identity, None)
             else:
-                self.current[identity] = merged
-        return found
-
-    def _merge(self, identity: str, reported: list[EndpointObservation]) -> MergedEndpoint:
-        riskiest = max(reported, key=lambda observation: (observation.risk, observation.slice_name))
-        terminated_uids = identity in self.terminated_uids
-        state = UpstreamState.READY if riskiest.risk == 0 and not terminated_uids else UpstreamState.DRAINING
-        rule = 3 if terminated_uids else 4 if len({observation.risk for observation in reported}) > 1 else 1
-        names = tuple(sorted({observation.slice_name for observation in reported}))
+                self.current_endpoints[identity] = merged
+        return changes
+
+    def _merge(self, identity: str, observations: list[EndpointObservation]) -> MergedEndpoint:
+        riskiest = max(observations, key=lambda observation: (observation.risk, observation.slice_name))
+        is_terminated = identity in self.terminated_uids
+        state = UpstreamState.READY if riskiest.risk == 0 and not is_terminated else UpstreamState.DRAINING
+        rule = 3 if is_terminated else 4 if len({observation.risk for observation in observations}) > 1 else 1
+        names = tuple(sorted({observation.slice_name for observation in observations}))
         return MergedEndpoint(
             identity,
             riskiest.address,
             riskiest.zone,
             riskiest.node,
             state,
-            terminated_uids or riskiest.risk == 3,
+            is_terminated or riskiest.risk == 3,
             rule,
             names,
         )
--- a/ryepier/slices/reflector.py
+++ b/ryepier/slices/reflector.py
@@ -57,14 +57,14 @@
 class Apply:
     """Add or change a slice."""
 
-    found: Slice
+    endpoint_slice: Slice
 
 
 @dataclass(frozen=True, slots=True)
 class Delete:
     """Delete a slice."""
 
-    found: Slice
+    endpoint_slice: Slice
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,32 +95,32 @@
         self.service = service
         self.random = random
         self.watch_s = watch_s
-        self.version = ""  # of the next watch; empty: list first
-        self.pages: list[Slice] = []
-        self.uses_pages = True  # a list that takes longer than the server keeps its pages would never be complete
+        self.resource_version = ""  # of the next watch; empty: list first
+        self.received_slices: list[Slice] = []
+        self.uses_paging = True  # a list that takes longer than the server keeps its pages would never be complete
         self.failures = 0
         self.call_started_us = 0
-        self.has_expired = False  # the last list was requested because the watch's version had been compacted
+        self.listed_after_expiry = False  # the last list was requested because the watch's version had been compacted
 
     def start(self, now_us: int) -> list[Action]:
         """Return the first call, or the next one after a wait."""
         self.call_started_us = now_us
-        return [self._watch() if self.version else self._list()]
+        return [self._watch() if self.resource_version else self._list()]
 
     on_wake = start
 
     def on_page(self, now_us: int, page: SliceList) -> list[Action]:
         """Take in a page of the list."""
-        self.pages += page.items or []
-        if page.metadata.more:
+        self.received_slices += page.items or []
+        if page.metadata.continue_token:
             self.call_started_us = now_us
-            return [self._list(page.metadata.more)]
-        found, self.pages = self.pages, []
-        self.version, self.uses_pages = page.metadata.resource_version, True
-        if not self.version:
-            return [Replace(found), *self._retry(now_us, Failure("a list without a resourceVersion"))]
+            return [self._list(page.metadata.continue_token)]
+        listed_slices, self.received_slices = self.received_slices, []
+        self.resource_version, self.uses_paging = page.metadata.resource_version, True
+        if not self.resource_version:
+            return [Replace(listed_slices), *self._retry(now_us, Failure("a list without a resourceVersion"))]
         self.call_started_us = now_us
-        return [Replace(found), self._watch()]
+        return [Replace(listed_slices), self._watch()]
 
     def on_event(self, now_us: int, event: WatchEvent) -> list[Action]:
         """Take in an event of the watch."""
@@ -128,7 +128,7 @@
             if event.status.code == HTTP_GONE:
                 return self._relist_after_expiry(now_us)
             return self._retry(now_us, Failure(event.status.message or event.status.reason, event.status.code))
-        self.version = event.resource_version or self.version
+        self.resource_version = event.resource_version or self.resource_version
         if event.slice is None:
             return []
         return [Delete(event.slice) if event.kind is EventKind.DELETED else Apply(event.slice)]
@@ -145,37 +145,40 @@
         """Take in the failure of a call."""
         if failure.status == HTTP_GONE:
             return self._relist_after_expiry(now_us)
-        if now_us - self.call_started_us >= HEALTHY_WATCH_US and self.version:
+        if now_us - self.call_started_us >= HEALTHY_WATCH_US and self.resource_version:
             self.failures = 0
         return self._retry(now_us, failure)
 
     def _relist_after_expiry(self, now_us: int) -> list[Action]:
         """List again, as the version of a watch or page was compacted: at once, since a drain may have been missed, but
         not repeatedly."""
-        listing = bool(self.pages) or not self.version
-        self.uses_pages = self.uses_pages and not listing
-        self.version, self.pages = "", []
-        repeatedly, self.has_expired = self.has_expired and now_us - self.call_started_us < HEALTHY_WATCH_US, True
-        if repeatedly:
+        was_listing = bool(self.received_slices) or not self.resource_version
+        self.uses_paging = self.uses_paging and not was_listing
+        self.resource_version, self.received_slices = "", []
+        expired_again, self.listed_after_expiry = (
+            self.listed_after_expiry and now_us - self.call_started_us < HEALTHY_WATCH_US,
+            True,
+        )
+        if expired_again:
             return self._retry(now_us, Failure("expired repeatedly", HTTP_GONE))
         self.call_started_us = now_us
         return [Problem("version expired; listing again"), self._list()]
 
     def _retry(self, now_us: int, failure: Failure) -> list[Action]:
         """Return a wait with exponential backoff and jitter, as all sidecars lose a server at the same moment."""
-        self.pages = []
+        self.received_slices = []
         self.failures += 1
-        max_us = min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(self.failures - 1, 20))
-        backoff_us = int(max_us * (0.5 + self.random.random() / 2))
+        max_backoff_us = min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(self.failures - 1, 20))
+        backoff_us = int(max_backoff_us * (0.5 + self.random.random() / 2))
         if failure.retry_after_s is not None:
             backoff_us += min(MAX_RETRY_AFTER_US, failure.retry_after_s * 1_000_000)
         status = f"{failure.status}: " if failure.status else ""
         return [Problem(f"{status}{failure.reason}; retry in {backoff_us / 1e6:.1f} s"), Wait(now_us + backoff_us)]
 
-    def _list(self, more: str = "") -> Call:
-        query = list_query(self.service, PAGE_SIZE if self.uses_pages else None, more)
+    def _list(self, continue_token: str = "") -> Call:
+        query = list_query(self.service, PAGE_SIZE if self.uses_paging else None, continue_token)
         return Call(f"{self.path}?{urlencode(query)}", CallKind.LIST)
 
     def _watch(self) -> Call:
-        query = watch_query(self.service, self.version, self.watch_s)
+        query = watch_query(self.service, self.resource_version, self.watch_s)
         return Call(f"{self.path}?{urlencode(query)}", CallKind.WATCH)
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -42,7 +42,7 @@
     seed: int = 0
 
 
-class _Cached(msgspec.Struct):
+class _CachedEndpoint(msgspec.Struct):
     """One endpoint of the cached list."""
 
     identity: str
@@ -52,10 +52,10 @@
     node: str
 
 
-class _Cache(msgspec.Struct):
+class _CachedList(msgspec.Struct):
     version: int
     service: str
-    ready: list[_Cached]
+    ready: list[_CachedEndpoint]
 
 
 class SliceSource:
@@ -79,9 +79,9 @@
             clock_us,
         )
         self.version = 0
-        self.synced = False  # a complete list has arrived
+        self.has_complete_list = False  # a complete list has arrived
         self.is_retained = False
-        self.timer: asyncio.TimerHandle | None = None
+        self.update_timer: asyncio.TimerHandle | None = None
         self.cache_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
@@ -92,16 +92,16 @@
         if self.settings.cache is None:
             return
         try:
-            cache = msgspec.json.decode(self.settings.cache.read_bytes(), type=_Cache)
+            cached_list = msgspec.json.decode(self.settings.cache.read_bytes(), type=_CachedList)
         except FileNotFoundError:
             return
         except (OSError, msgspec.MsgspecError) as error:
             log.warning("cached endpoint list is malformed: %s", error)
             return
-        if cache.version != CACHE_VERSION or cache.service != self.service:
-            log.warning("cached endpoint list of version %d, of %s, not used", cache.version, cache.service)
+        if cached_list.version != CACHE_VERSION or cached_list.service != self.service:
+            log.warning("cached endpoint list of version %d, of %s, not used", cached_list.version, cached_list.service)
             return
-        found = {
+        endpoints = {
             endpoint.identity: MergedEndpoint(
                 endpoint.identity,
                 (endpoint.host, endpoint.port),
@@ -112,11 +112,11 @@
                 1,
                 (),
             )
-            for endpoint in cache.ready
+            for endpoint in cached_list.ready
         }
-        self.merger.current = dict(found)
-        self.merger.changed_identities = set(found)
-        self.publish(ListKind.CACHED, self.listing.update(self.clock_us(), found))
+        self.merger.current_endpoints = dict(endpoints)
+        self.merger.changed_identities = set(endpoints)
+        self.publish(ListKind.CACHED, self.listing.update(self.clock_us(), endpoints))
 
     def start(self) -> None:
         """Follow the slices from now on."""
@@ -124,7 +124,7 @@
 
     def stop(self) -> None:
         """Stop following."""
-        for timer in (self.timer, self.cache_timer):
+        for timer in (self.update_timer, self.cache_timer):
             if timer is not None:
                 timer.cancel()
         if self.task is not None:
@@ -136,7 +136,7 @@
     def subscribe(self, active: bool) -> None:
         """Publish the complete list, or a failure without one; the slices are followed all the time."""
         if active and not self.settings.pushed:
-            if self.synced:
+            if self.has_complete_list:
                 self.publish(ListKind.FULL, self.listing.complete_list())
             else:
                 self.publish(ListKind.FAILED, [])
@@ -157,16 +157,16 @@
 
     def on_changes(self, changes: list[Replace | Apply | Delete]) -> None:
         """Apply changes of the slices."""
-        for endpoint in changes:
-            if isinstance(endpoint, Replace):
-                self.merger.replace(endpoint.slices)
-                log.info("EndpointSlices of %s: %d slices listed", self.service, len(endpoint.slices))
-            elif isinstance(endpoint, Apply):
-                self.merger.apply(endpoint.found)
+        for change in changes:
+            if isinstance(change, Replace):
+                self.merger.replace(change.slices)
+                log.info("EndpointSlices of %s: %d slices listed", self.service, len(change.slices))
+            elif isinstance(change, Apply):
+                self.merger.apply(change.endpoint_slice)
             else:
-                self.merger.delete(endpoint.found)
-        is_first = not self.synced and any(isinstance(endpoint, Replace) for endpoint in changes)
-        self.synced |= is_first
+                self.merger.delete(change.endpoint_slice)
+        is_first = not self.has_complete_list and any(isinstance(change, Replace) for change in changes)
+        self.has_complete_list |= is_first
         self.update(is_first)
 
     def on_failure(self) -> None:
@@ -183,11 +183,7 @@
         if is_first:
             self.publish(
                 ListKind.FULL,
-                [
-                    endpoint
-                    for endpoint in self.listing.complete_list()
-                    if endpoint[0].state is not UpstreamState.REMOVED
-                ],
+                [entry for entry in self.listing.complete_list() if entry[0].state is not UpstreamState.REMOVED],
             )
         elif entries:
             self.publish(ListKind.DELTA, entries)
@@ -198,34 +194,34 @@
                 self.settings.hold_us // 1_000_000,
             )
         self.is_retained = self.merger.is_retained
-        self.arm()
+        self.schedule_update()
 
-    def arm(self) -> None:
+    def schedule_update(self) -> None:
         """Schedule the next update."""
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        due = [at_us for at_us in (self.merger.next_us, self.listing.next_us) if at_us is not None]
+        if self.update_timer is not None:
+            self.update_timer.cancel()
+            self.update_timer = None
+        due = [at_us for at_us in (self.merger.next_due_us, self.listing.next_due_us) if at_us is not None]
         if due:
             delay_s = max(0, min(due) - self.clock_us() + 1) / 1e6
-            self.timer = asyncio.get_running_loop().call_later(delay_s, self.update)
+            self.update_timer = asyncio.get_running_loop().call_later(delay_s, self.update)
 
     def publish(self, kind: ListKind, entries: list[ListedEntry]) -> None:
         """Notify the listener, and schedule a write of the cached list."""
         self.version += 1
         if entries:
-            names = " ".join(
+            entry_texts = " ".join(
                 f"{entry.id}={address[0]}:{address[1]}:{entry.state.value}"
                 for entry, address in entries[:MAX_LOGGED_ENTRIES]
             )
-            more = f" and {len(entries) - MAX_LOGGED_ENTRIES} more" if len(entries) > MAX_LOGGED_ENTRIES else ""
+            suffix = f" and {len(entries) - MAX_LOGGED_ENTRIES} more" if len(entries) > MAX_LOGGED_ENTRIES else ""
             fields = {"version": self.version}
-            log.info("endpoint list %d applied (%s): %s", self.version, kind.value, names + more, extra=fields)
+            log.info("endpoint list %d applied (%s): %s", self.version, kind.value, entry_texts + suffix, extra=fields)
         upstreams: list[Upstream] = [entry for entry, _ in entries]
         self.listener(
             UpstreamsUpdated(kind, upstreams, self.version), {entry.id: address for entry, address in entries}
         )
-        if self.settings.cache is not None and self.synced and self.cache_timer is None:
+        if self.settings.cache is not None and self.has_complete_list and self.cache_timer is None:
             self.cache_timer = asyncio.get_running_loop().call_later(CACHE_INTERVAL_S, self.write_cache)
 
     def write_cache(self) -> None:
@@ -234,13 +230,13 @@
         path = self.settings.cache
         assert path is not None
         ready = [
-            _Cached(v.identity, *v.address, v.zone, v.node)
-            for v in self.merger.current.values()
-            if v.state is UpstreamState.READY
+            _CachedEndpoint(endpoint.identity, *endpoint.address, endpoint.zone, endpoint.node)
+            for endpoint in self.merger.current_endpoints.values()
+            if endpoint.state is UpstreamState.READY
         ]
-        part = path.with_name(f"{path.name}.part")
+        temporary_path = path.with_name(f"{path.name}.part")
         try:
-            part.write_bytes(msgspec.json.encode(_Cache(CACHE_VERSION, self.service, ready)))
-            os.replace(part, path)
+            temporary_path.write_bytes(msgspec.json.encode(_CachedList(CACHE_VERSION, self.service, ready)))
+            os.replace(temporary_path, path)
         except OSError as error:
             log.warning("endpoint list not cached: %s", error)
--- a/tests/test_reflector.py
+++ b/tests/test_reflector.py
@@ -37,7 +37,7 @@
 
 def test_server_away_for_ten_minutes_gets_few_requests_and_is_then_listed_at_once() -> None:
     reflector = Reflector("default", "convert", Random(1))
-    reflector.version = "5"
+    reflector.resource_version = "5"
     now_us = calls = 0
     reflector.start(0)
     while now_us < 600_000_000:
@@ -94,7 +94,7 @@
 def test_watch_resumes_from_its_last_bookmark_and_after_an_error_from_its_last_event() -> None:
     read = api_objects.read_event
     reflector = Reflector("default", "convert", Random(1))
-    reflector.version = "5"
+    reflector.resource_version = "5"
     reflector.start(0)
     line = b'{"type":"ADDED","object":{"metadata":{"name":"s","resourceVersion":"6"},"addressType":"IPv4"}}'
     assert isinstance(reflector.on_event(1, read(line))[0], Apply)
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -48,7 +48,8 @@
                 )
             )
             assert ("fd00::7", 80) in {
-                known.endpoint.address for known in (testbed.source.listing.known.values() if testbed.source else ())
+                entry.endpoint.address
+                for entry in (testbed.source.listing.endpoints.values() if testbed.source else ())
             }
 
     run_bounded(test)
@@ -178,7 +179,7 @@
             source = testbed.follow(
                 find_access(f"https://127.0.0.1:{testbed.port}", "", str(tmp_path / "ca.pem")), pushed=False
             )
-            await wait_until(lambda: source.client.problems > 0)
+            await wait_until(lambda: source.client.problem_count > 0)
             assert testbed.api.calls == [] and {event.kind for event in testbed.events} == {ListKind.FAILED}
 
     run_bounded(test)
@@ -211,7 +212,7 @@
         testbed.port = server.sockets[0].getsockname()[1]
         source = testbed.follow()
         await wait_until(lambda: calls >= 2)
-        assert source.client.problems >= 1 and testbed.events == []
+        assert source.client.problem_count >= 1 and testbed.events == []
         source.stop()
         server.close()
 
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -37,13 +37,13 @@
         assert told(made, now_us, p1=verdict(ready=False)) == {1: DRAINING}
         assert told(made, now_us + 1, p1=verdict()) == {}
         wait_us = SETTLE_US * 2**flap
-        assert made.next_us == now_us + 1 + wait_us
+        assert made.next_due_us == now_us + 1 + wait_us
         assert told(made, now_us + wait_us) == {}
         assert told(made, now_us + 1 + wait_us) == {1: READY}
         now_us += 1 + wait_us
     assert told(made, now_us + FLAP_RESET_US + 1, p1=verdict(ready=False)) == {1: DRAINING}
     told(made, now_us + FLAP_RESET_US + 2, p1=verdict())
-    assert made.next_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # calm for a minute: forgotten
+    assert made.next_due_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # calm for a minute: forgotten
 
 
 def test_endpoint_that_drains_while_it_settles_is_never_reported_ready() -> None:
@@ -52,7 +52,7 @@
     told(made, 1, p1=verdict(ready=False))
     told(made, 2, p1=verdict())
     assert told(made, 3, p1=verdict(ready=False, ends=True)) == {}  # it drains already
-    assert made.next_us is None and told(made, 100 * SECOND) == {}
+    assert made.next_due_us is None and told(made, 100 * SECOND) == {}
 
 
 def test_endpoint_counts_as_started_if_it_is_new_or_was_absent_for_long() -> None:
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -201,6 +201,6 @@
     mark = read_event(b'{"type":"BOOKMARK","object":{"kind":"EndpointSlice","metadata":{"resourceVersion":"77"}}}')
     assert mark.resource_version == "77" and mark.slice is None
     page = read_list(b'{"metadata":{"resourceVersion":"5","continue":"abc"},"items":[]}')
-    assert page.metadata.more == "abc"
+    assert page.metadata.continue_token == "abc"
     with pytest.raises(SliceError, match="unknown event"):
         read_event(b'{"type":"RENAMED","object":{}}')
