--- a/ryepier/plan/evidence.py
+++ b/ryepier/plan/evidence.py
@@ -1,7 +1,7 @@
-"""Evidence of a planner: the reports of all forwarders, each counted once in whatever order and however often it comes.
+"""Merges the reports of all forwarders into the evidence that a planner computes plans from.
 
-Pure. Counters are merged by their maximum, which neither order nor repetition changes; recent counts are their growth,
-which decays, so that old failures are forgotten.
+Counters are merged by taking the maximum, so reports may arrive in any order and more than once. Recent counts are the
+growth of the counters; they decay exponentially, so that old failures lose their influence. No I/O.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterCounters, Report, Term
 
-DECAY_TIME_CONSTANT_US = 2_000_000  # in which recent counts decay to 1/e
-REPORT_TIMEOUT_US = 3_000_000  # a forwarder without a report for longer does not count
-EVIDENCE_EXPIRY_US = 60_000_000  # after which it is dropped, as are converters without attempts
-MIN_RECENT_COUNT = 0.01  # a decayed count below it is dropped
+DECAY_TIME_CONSTANT_US = 2_000_000  # recent counts decay to 1/e within this time
+REPORT_TIMEOUT_US = 3_000_000  # forwarders whose last report is older are not active
+EVIDENCE_EXPIRY_US = 60_000_000  # forwarders without reports and converters without attempts are dropped after this
+MIN_RECENT_COUNT = 0.01  # a converter whose decayed counts sum to less is considered idle
 
 
 @dataclass(slots=True)
 class DecayingCounts:
-    """Growth of counters, decaying with time."""
+    """Recent growth of a converter's counters, decaying exponentially with time."""
 
     served: float = 0.0
     failed: float = 0.0
@@ -29,7 +29,7 @@
     updated_us: int = 0
 
     def decay_until(self, now_us: int) -> None:
-        """Decay the counts until now."""
+        """Apply the decay from the last update until `now_us`."""
         if now_us <= self.updated_us:
             return
         decay = math.exp(-max(0, now_us - self.updated_us) / DECAY_TIME_CONSTANT_US)
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class ConverterStats:
-    """One converter as one forwarder reports it."""
+    """Counters of one converter as reported by one forwarder."""
 
     counters: ConverterCounters
     recent: DecayingCounts
@@ -50,10 +50,10 @@
 
 @dataclass(slots=True)
 class ForwarderStats:
-    """What one incarnation of a forwarder has reported."""
+    """Everything that one incarnation of a forwarder has reported."""
 
     incarnation: int
-    first_report_us: int  # of its first report
+    first_report_us: int
     last_report_us: int
     last_report_number: int = 0
     listed_converters: int = 0
@@ -71,7 +71,7 @@
 
 
 def merge_counters(first: ConverterCounters, second: ConverterCounters) -> ConverterCounters:
-    """Merge two states of the same counters."""
+    """Return the element-wise maximum of two states of the same counters."""
     return ConverterCounters(
         max(first.attempts, second.attempts),
         max(first.served, second.served),
@@ -86,7 +86,7 @@
 def _merge_counts(
     merged: list[int], recent: list[float], counts: list[int], decay: float, is_first_report: bool
 ) -> None:
-    """Merge counters; their growth is recent."""
+    """Merge counters in place, and add their growth to the decayed recent counts."""
     merged += [0] * (len(counts) - len(merged))
     recent += [0.0] * (len(counts) - len(recent))
     for index, count in enumerate(counts):
@@ -95,15 +95,15 @@
 
 
 class Evidence:
-    """The merged reports, on the planner's own clock."""
+    """The merged reports of all forwarders. All times are on the planner's own clock."""
 
     def __init__(self, now_us: int) -> None:
-        """Start without reports at `now_us` (microseconds)."""
+        """Start without reports; `now_us` is the current time in microseconds."""
         self.started_us = now_us
         self.forwarders: dict[str, ForwarderStats] = {}
 
     def merge(self, now_us: int, name: str, incarnation: int, report: Report) -> bool:
-        """Merge a report. Returns False for one of an earlier incarnation of its forwarder, which is not counted."""
+        """Merge a report. Returns False if it comes from an earlier incarnation of its forwarder and is ignored."""
         forwarder = self.forwarders.get(name)
         if forwarder is not None and incarnation < forwarder.incarnation:
             return False
@@ -113,7 +113,7 @@
         for uid, counters in report.counters.items():
             self._merge_converter(now_us, forwarder, uid, counters, is_first_report)
         forwarder.last_report_us = max(forwarder.last_report_us, now_us)
-        if report.number > forwarder.last_report_number:  # the rest are no counters: the newest report counts
+        if report.number > forwarder.last_report_number:  # values that are not counters come from the newest report
             self._merge_rates(now_us, forwarder, report, is_first_report)
             forwarder.last_report_number, forwarder.listed_converters, forwarder.outstanding = (
                 report.number,
@@ -131,7 +131,8 @@
     ) -> None:
         stats = forwarder.converters.get(uid)
         if stats is None:
-            # counts before a forwarder's first report here are not recent; a converter new to it begins at 0
+            # The counts in a forwarder's first report accumulated earlier, so they are not recent. A converter that a
+            # later report adds started from 0, so all of its counts are.
             stats = forwarder.converters[uid] = ConverterStats(
                 counters if is_first_report else ConverterCounters(), DecayingCounts(updated_us=now_us)
             )
@@ -160,7 +161,7 @@
         forwarder.rejections = max(forwarder.rejections, report.rejections)
 
     def expire(self, now_us: int) -> None:
-        """Drop forwarders and converters without recent reports: they come and go forever."""
+        """Drop forwarders and converters without recent reports, to bound the memory while instances come and go."""
         self.forwarders = {
             name: forwarder
             for name, forwarder in self.forwarders.items()
@@ -174,7 +175,7 @@
             }
 
     def active(self, now_us: int) -> dict[str, ForwarderStats]:
-        """Return the forwarders with recent reports, their recent counts decayed until now."""
+        """Return the forwarders with recent reports, with their recent counts decayed until `now_us`."""
         active = {
             name: forwarder
             for name, forwarder in self.forwarders.items()
@@ -185,11 +186,11 @@
                 previous_update_us = stats.recent.updated_us
                 stats.recent.decay_until(now_us)
                 if stats.recent.served + stats.recent.failed + stats.recent.rejected < MIN_RECENT_COUNT:
-                    stats.recent.updated_us = previous_update_us  # without new counts it goes on ageing
+                    stats.recent.updated_us = previous_update_us  # an idle converter keeps ageing until it expires
         return active
 
     def merged_counters(self) -> dict[str, dict[str, ConverterCounters]]:
-        """Return the merged counters: the same for any order and repetition of the same reports."""
+        """Return the counters by forwarder and converter; the order and repetition of reports do not affect them."""
         return {
             name: {uid: stats.counters for uid, stats in forwarder.converters.items()}
             for name, forwarder in self.forwarders.items()
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -1,6 +1,6 @@
-"""Forwarder: sends reports to planners, receives plans, and advises the decision module.
+"""Forwarder: sends reports to planners, receives plans, and passes their advice to the decision module.
 
-No request waits for it. Without planners the advice fades out, and the sidecar decides alone.
+Requests never wait for it. Without planners the advice fades out, and the sidecar decides on its own.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 
 log = logging.getLogger(__name__)
 
-ADVICE_INTERVAL_S = 0.25  # advice fades with time
-SILENCE_TIMEOUT_US = 3_000_000  # a dozen heartbeats: the planner hangs, and its connection is closed
+ADVICE_INTERVAL_S = 0.25  # the advice is recomputed this often, as it fades with time
+SILENCE_TIMEOUT_US = 3_000_000  # twelve missed heartbeats: the planner counts as hung, its connection is closed
 CONNECT_TIMEOUT_S = 1.0
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
-MAX_UNREAD_BYTES = 256 * 1024  # of reports; the planner hangs, and they would fill the memory
+MAX_UNREAD_BYTES = 256 * 1024  # buffered reports per planner; bounds the memory when a planner stops reading
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a forwarder."""
+    """Settings of a forwarder, with the addresses of the planners that it connects to."""
 
     name: str
     planners: list[tuple[str, int]]
@@ -53,17 +53,17 @@
 class Sidecar:
     """The parts of a sidecar that a forwarder needs."""
 
-    upstream_ids: Callable[[], Mapping[str, int]]  # of the ready converters, by uid
+    upstream_ids: Callable[[], Mapping[str, int]]  # the upstream ids of the ready converters, by uid
     publish: Callable[[PlanUpdated], None]
-    unanswered_after_us: list[int]  # by class
+    unanswered_after_us: list[int]  # by class: time after which an attempt without an answer counts as failed
     tenants: int
 
 
 class PlannerConnection(asyncio.Protocol):
-    """The connection to one planner."""
+    """Forwarder's end of the connection to one planner."""
 
     def __init__(self, forwarder: Forwarder) -> None:
-        """Prepare a connection."""
+        """Start unconnected; the first report sent over the connection will be a complete one."""
         self.forwarder = forwarder
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
@@ -73,24 +73,24 @@
         self.closed = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send a hello."""
+        """Register the connection and send a hello."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.forwarder.connections[self] = None
         transport.write(encode(Hello(VERSION, self.forwarder.settings.name, self.forwarder.incarnation)))
 
     def data_received(self, data: bytes) -> None:
-        """Handle the messages that are complete."""
+        """Handle all messages that are complete; close the connection on a protocol error."""
         self.last_received_us = self.forwarder.machine.clock_us()
         try:
             for message in self.decoder.feed(data):
                 self.on_message(message)
         except ProtocolError as error:
-            log.warning("message of a planner rejected: %s", error)
+            log.warning("invalid message from a planner, closing the connection: %s", error)
             self.abort()
 
     def on_message(self, message: Message) -> None:
-        """Handle a message. Raises ProtocolError for one that is not allowed."""
+        """Handle a message. Raises ProtocolError if a planner must not send this type."""
         if isinstance(message, Plan):
             self.forwarder.on_plan(message)
         elif isinstance(message, Rejection):
@@ -98,10 +98,10 @@
             self.min_retry_s = message.retry_ms / 1000
             self.abort()
         elif not isinstance(message, Heartbeat):
-            raise ProtocolError(f"a {type(message).__name__.lower()} from a planner")
+            raise ProtocolError(f"unexpected {type(message).__name__.lower()} message from a planner")
 
     def send_report(self, report: Report) -> bool:
-        """Send a report. Returns whether it was sent: a planner that does not read gets a complete one later."""
+        """Send a report. Returns False if it was not sent; a planner that does not read gets a complete one later."""
         if self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
@@ -117,24 +117,24 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the forwarder."""
+        """Deregister the connection and wake up the task that waits for its end."""
         self.forwarder.connections.pop(self, None)
         if not self.closed.done():
             self.closed.set_result(None)
 
 
 class Forwarder:
-    """Reports the sidecar's attempts and follows plans; an observer of the dispatcher."""
+    """Reports the sidecar's attempts to planners and follows their plans; registered as observer of the dispatcher."""
 
     def __init__(self, settings: Settings, sidecar: Sidecar, machine: Machine) -> None:
-        """Prepare a forwarder; `start` connects it."""
+        """Start without connections and without a plan; `start` opens the connections."""
         self.settings = settings
         self.sidecar = sidecar
         self.machine = machine
         self.incarnation = machine.unix_us()
         self.reporter = Reporter(sidecar.unanswered_after_us, sidecar.tenants)
         self.follower = PlanFollower(settings.name, settings.rules)
-        self.connections: dict[PlannerConnection, None] = {}  # ordered, unlike a set
+        self.connections: dict[PlannerConnection, None] = {}  # a dict keeps the order of insertion, unlike a set
         self.tasks: list[asyncio.Task[None]] = []
         self.last_published = PlanUpdated()
         self.uid_by_upstream: dict[int, str] = {}
@@ -152,7 +152,7 @@
         self.reporter.on_rejection()
 
     def on_attempt_started(self, upstream: int, token: int, class_index: int) -> None:
-        """Count an attempt."""
+        """Count the start of an attempt."""
         uid = self.uid_by_upstream.get(upstream)
         if uid is None:
             self.refresh_uids()
@@ -167,7 +167,7 @@
             self.reporter.on_attempt_ended(uid, token, outcome, elapsed_us)
 
     def refresh_uids(self) -> None:
-        """Update the uids; those of unlisted converters stay until no attempt is in flight to them."""
+        """Update the uids of upstreams; unlisted converters are kept while attempts to them are in flight."""
         upstream_ids = self.sidecar.upstream_ids()
         self.reporter.retain(set(upstream_ids))
         self.uid_by_upstream = {
@@ -175,24 +175,24 @@
         }
         self.uid_by_upstream |= {upstream_id: uid for uid, upstream_id in upstream_ids.items()}
 
-    # The connections
+    # Connections to planners
 
     def start(self) -> None:
-        """Connect to the planners, report and advise from now on."""
+        """Start the tasks that connect to planners, send reports and publish advice."""
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self.maintain_connection(address)) for address in self.settings.planners]
         self.tasks += [loop.create_task(self.run_reports()), loop.create_task(self.run_advice())]
 
     def stop(self) -> None:
-        """Close the connections."""
+        """Cancel the tasks and close the connections."""
         for task in self.tasks:
             task.cancel()
         for connection in list(self.connections):
             connection.abort()
 
     async def maintain_connection(self, address: tuple[str, int]) -> None:
-        """Keep a connection to a planner open, with backoff and full jitter: all forwarders lose theirs at the
-        same moment when a planner fails."""
+        """Keep a connection to a planner open. Reconnects with exponential backoff and full jitter, because all
+        forwarders lose their connections at the same moment when a planner fails."""
         loop = asyncio.get_running_loop()
         backoff_s = FIRST_BACKOFF_S
         while True:
@@ -210,26 +210,27 @@
             backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
     def jitter_s(self, bound_s: float) -> float:
-        """Return a random time up to a bound."""
+        """Return a random delay between 0 and `bound_s`."""
         return bound_s * self.machine.random.random()
 
     async def wait_until_closed(self, connection: PlannerConnection) -> None:
-        """Wait for the end of a connection, and close one whose planner hangs."""
+        """Wait until a connection is closed; close it if the planner has been silent for too long."""
         while not connection.closed.done():
             await asyncio.wait([connection.closed], timeout=SILENCE_TIMEOUT_US / 2e6)
             if self.machine.clock_us() > connection.last_received_us + SILENCE_TIMEOUT_US:
                 connection.abort()
 
     async def run_reports(self) -> None:
-        """Send reports forever."""
-        await asyncio.sleep(self.jitter_s(self.settings.report_interval_s))  # not all forwarders at the same moment
+        """Send reports until the task is cancelled."""
+        # a random start keeps the forwarders from all reporting at the same moment
+        await asyncio.sleep(self.jitter_s(self.settings.report_interval_s))
         while True:
             self.refresh_uids()
             self.send_reports()
             await asyncio.sleep(self.settings.report_interval_s)
 
     def send_reports(self) -> None:
-        """Send a report to each connected planner."""
+        """Send a report to every connected planner; a complete one if any of them needs it."""
         connections = list(self.connections)
         if not connections:
             return
@@ -244,7 +245,7 @@
     # Plans
 
     def on_plan(self, plan: Plan) -> None:
-        """Follow a plan if it is accepted."""
+        """Check a plan against the acceptance rules, and publish its advice if it passes."""
         rejection = self.follower.accept_plan(self.machine.clock_us(), plan, set(self.sidecar.upstream_ids()))
         if rejection and rejection != self.last_rejection:
             fields = term_fields(plan.term)
@@ -260,13 +261,13 @@
             self.publish_advice()
 
     async def run_advice(self) -> None:
-        """Advise forever."""
+        """Publish the advice periodically until the task is cancelled."""
         while True:
             await asyncio.sleep(ADVICE_INTERVAL_S)
             self.publish_advice()
 
     def publish_advice(self) -> None:
-        """Advise the decision module, if the advice has changed."""
+        """Pass the current advice to the decision module if it has changed."""
         now_us = self.machine.clock_us()
         event = PlanUpdated(
             self.follower.advice(now_us, dict(self.sidecar.upstream_ids())),
--- a/ryepier/plan/leadership.py
+++ b/ryepier/plan/leadership.py
@@ -1,8 +1,9 @@
-"""Leader election among planners: terms without an external store, with the forwarders as witnesses.
+"""Leader election among planners, without an external store; the forwarders tell planners which leader they follow.
 
-Pure. A term is (epoch, planner), ordered; a planner takes a new one only with an epoch above every one that it knows.
-Forwarders accept plans of ever greater terms only, so two leaders at a time can't alternate, and the lesser one learns
-of the greater from the forwarders' reports and steps down. The proof sketch is in docs/design/planners.md.
+A term is an ordered pair (epoch, planner). A planner starts a new term only with an epoch greater than every epoch that
+it knows. Forwarders never accept a plan of a lower term than the last accepted one, so plans of two concurrent leaders
+can't alternate. The leader with the lower term learns of the higher one from the forwarders' reports and steps down. A
+proof sketch is in docs/design/planners.md. No I/O.
 """
 
 from __future__ import annotations
@@ -12,44 +13,44 @@
 from ryepier.plan.evidence import ForwarderStats
 from ryepier.plan.messages import Heartbeat, Term
 
-LEADER_TIMEOUT_US = 1_000_000  # without a heartbeat of the leader: four intervals
-MIN_FOLLOWER_SHARE = 0.5  # of the active forwarders: if fewer follow its plans, the leader counts as failed
+LEADER_TIMEOUT_US = 1_000_000  # four heartbeat intervals; a leader without a sign of life for longer counts as failed
+MIN_FOLLOWER_SHARE = 0.5  # share of the active forwarders that must follow a leader for it to count as alive
 
 
 @dataclass(slots=True)
 class Leadership:
-    """One planner's view of the leadership."""
+    """One planner's view of which planner leads."""
 
     name: str
-    rank: int  # among all planners by name: they wait in turn, so that two seldom take over together
+    rank: int  # position among all planners by name; higher ranks wait longer, so that two seldom take over together
     started_us: int
     highest_term: Term = Term()
     is_leader: bool = False
-    leader_seen_us: int = field(init=False)  # of the leader
+    leader_seen_us: int = field(init=False)  # time of the last evidence that a leader is alive
 
     def __post_init__(self) -> None:
-        """Count the start as a sign of a leader."""
+        """Assume that a leader is alive at the start, so that a new planner waits for one full timeout."""
         self.leader_seen_us = self.started_us
 
     @property
     def term(self) -> Term | None:
-        """The term that it leads; None for a follower."""
+        """The term in which this planner leads; None if it is a follower."""
         return self.highest_term if self.is_leader else None
 
     def observe_term(self, term: Term) -> None:
-        """Take in a term that another process knows; a leader of a lesser one steps down."""
+        """Record a term that another process knows; step down if it is higher than every term known before."""
         if term > self.highest_term:
             self.highest_term = term
             self.is_leader = False
 
     def on_heartbeat(self, now_us: int, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat of a peer."""
+        """Record a heartbeat of a peer."""
         self.observe_term(heartbeat.term)
         if heartbeat.is_leader and heartbeat.term == self.highest_term:
             self.leader_seen_us = max(self.leader_seen_us, now_us)
 
     def tick(self, now_us: int, forwarders: dict[str, ForwarderStats], has_enough_evidence: bool) -> bool:
-        """Take over if there is no leader and enough evidence for a plan. Returns whether it leads now."""
+        """Start a new term if there is no leader and enough evidence for a plan. Returns whether this planner leads."""
         for forwarder in forwarders.values():
             self.observe_term(forwarder.term)
         if self.is_leader:
@@ -58,7 +59,7 @@
             forwarder.term == self.highest_term and now_us - forwarder.plan_accepted_us < LEADER_TIMEOUT_US
             for forwarder in forwarders.values()
         )
-        # A partition between planners does not mean that the leader has failed, while forwarders follow it.
+        # Missing heartbeats may be a partition between planners: the leader counts as alive while forwarders follow it.
         other_may_lead = self.highest_term.epoch > 0 and self.highest_term.planner != self.name
         if other_may_lead and forwarders and follower_count >= MIN_FOLLOWER_SHARE * len(forwarders):
             self.leader_seen_us = max(self.leader_seen_us, now_us)
--- a/ryepier/plan/machine.py
+++ b/ryepier/plan/machine.py
@@ -1,4 +1,4 @@
-"""Clocks and randomness of a planner or a forwarder, passed in so that a simulation can replace them."""
+"""Clocks and random source of a planner or a forwarder, passed in so that a simulation can replace them."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """Clocks in microseconds, and a source of randomness."""
+    """Clocks of the host, in microseconds, and a source of randomness."""
 
-    clock_us: Callable[[], int]  # monotonic
-    unix_us: Callable[[], int]  # wall clock: it may be set
+    clock_us: Callable[[], int]  # monotonic clock
+    unix_us: Callable[[], int]  # wall clock; may jump when the system time is set
     random: Random
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -1,7 +1,7 @@
-"""Computes plans from evidence: which converters fail, are slow or healthy.
+"""Computes plans from evidence: decides which converters are failing, slow or healthy.
 
-Pure: a function of the evidence, the earlier statuses, and time. Forwarders hold plans to rules of their own
-(`plan_follower.py`), and a planner publishes nothing that would not pass them.
+A plan depends only on the evidence, the earlier statuses and the time; there is no I/O. Forwarders check plans against
+the acceptance rules (`plan_follower.py`), and a planner publishes no plan that would fail them.
 """
 
 from __future__ import annotations
@@ -14,32 +14,33 @@
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterAdvice, Plan, PlanBasis, Term
 from ryepier.plan.plan_follower import AcceptanceRules
 
-MIN_FAILURES = 2.0  # recent failed attempts at a converter; fewer may be chance
-MIN_FAILURE_SHARE = 0.5  # of its recent attempts; below it, some requests may fail by themselves
-MAX_HEALTHY_FAILURE_SHARE = 0.25  # of its recent attempts
-MIN_FAILURE_REPORTERS = 2  # forwarders that must have observed it; one alone may be faulty itself
-MIN_REPORTED_COUNT = 0.5  # recent failures from which a forwarder is a witness against a converter
-MAX_COUNTED_ATTEMPTS = 3.0  # attempts of one forwarder at one converter that count
-MIN_OUTLIER_FAILURE_SHARE = (
-    0.5  # of failures at converters that are healthy for others, from which a forwarder is an outlier
-)
-MIN_OUTLIER_CONVERTERS = 3  # such converters, from which a forwarder is an outlier
-MAX_TRIAL_FORWARDERS = 2  # that may try an ejected converter at a time
+# A failing converter reaches MIN_FAILURES, MIN_FAILURE_SHARE and MIN_FAILURE_REPORTERS.
+MIN_FAILURES = 2.0  # recent failed attempts; fewer may be chance
+MIN_FAILURE_SHARE = 0.5  # share of recent attempts that failed; a smaller one may be due to the requests themselves
+MAX_HEALTHY_FAILURE_SHARE = 0.25  # share of recent attempts that failed, below which a converter is healthy
+MIN_FAILURE_REPORTERS = 2  # forwarders with failed attempts; a single one may be faulty itself
+MIN_REPORTED_COUNT = 0.5  # decayed attempts (or failures) from which a forwarder counts as a reporter of them
+MAX_COUNTED_ATTEMPTS = 3.0  # attempts per forwarder and converter that count; more are scaled down to this number
+# A forwarder is an outlier, and its reports are ignored, if this share of its own attempts fails and attempts fail at
+# this many converters, which are healthy for the other forwarders.
+MIN_OUTLIER_FAILURE_SHARE = 0.5
+MIN_OUTLIER_CONVERTERS = 3
+MAX_TRIAL_FORWARDERS = 2  # forwarders that may send trial requests to an ejected converter at a time
 MIN_EJECTION_US = 1_000_000
 RECOVERY_STEP_US = 2_000_000  # time at each recovery weight
-RECOVERY_WEIGHTS = (0.25, 0.5)  # of its usual weight, one after the other
-MIN_RESPONSES = 5.0  # recent responses that make a converter's typical latency
-SLOW_RATIO = 2.0  # times the median latency of all converters
-VERY_SLOW_RATIO = 3.0  # times the median; from here on each forwarder sends one request at a time
-MIN_WEIGHT = 0.2  # of a slow converter
-MIN_OVERLOAD_REJECTION_SHARE = 0.02  # share of arrivals rejected, from which tenants' quotas matter
+RECOVERY_WEIGHTS = (0.25, 0.5)  # shares of the default weight that a recovering converter gets, step by step
+MIN_RESPONSES = 5.0  # recent responses needed to determine a converter's median latency
+SLOW_RATIO = 2.0  # ratio to the median latency of all converters above which a converter is slow
+VERY_SLOW_RATIO = 3.0  # ratio above which each forwarder sends only one request at a time
+MIN_WEIGHT = 0.2  # lower bound of a slow converter's weight
+MIN_OVERLOAD_REJECTION_SHARE = 0.02  # share of arrivals rejected from which tenants are held to their quotas
 PLAN_VALIDITY_MS = 2_000  # four plan intervals
-PLAN_FADE_MS = 30_000  # a planner is restarted within this time
-STATUS_EXPIRY_FACTOR = 15  # times the memory of recent counts, until an unlisted converter's status is dropped
+PLAN_FADE_MS = 30_000  # a failed planner is restarted within this time
+STATUS_EXPIRY_FACTOR = 15  # decay time constants after which the status of an unlisted converter is dropped
 
 
 class ConverterState(enum.StrEnum):
-    """Why a converter is not treated as usual; the values are those of the snapshot."""
+    """Why a converter deviates from the default treatment. The values are stored in snapshots."""
 
     EJECTED = "rests"
     RECOVERING = "returns"
@@ -47,32 +48,32 @@
 
 @dataclass(slots=True)
 class ConverterStatus:
-    """A converter that is not treated as usual."""
+    """Status of an ejected or recovering converter; healthy converters have none."""
 
     state: ConverterState
-    since_us: int
-    step: int = 0  # of the recovery
+    since_us: int  # when the state, or the current step of the recovery, began
+    step: int = 0  # index into RECOVERY_WEIGHTS
 
 
 def report_weight(recent: DecayingCounts) -> float:
-    """Return the factor of a forwarder's recent counts at one converter, so that none outweighs the others."""
+    """Return the factor for one forwarder's recent counts at a converter, so that no forwarder outweighs the others."""
     return min(1.0, MAX_COUNTED_ATTEMPTS / max(MAX_COUNTED_ATTEMPTS, recent.served + recent.failed))
 
 
 @dataclass(slots=True)
 class ConverterTotals:
-    """Recent counts of one converter over all forwarders."""
+    """Recent counts of one converter, summed over all forwarders."""
 
     served: float = 0.0
     failed: float = 0.0
     latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKETS)
-    failure_reporters: int = 0  # forwarders with failures
-    reporters: int = 0  # forwarders with attempts
+    failure_reporters: int = 0  # forwarders that report failed attempts at it
+    reporters: int = 0  # forwarders that report attempts at it
 
     @property
     def median_ms(self) -> float:
-        """Median latency, evenly within a bucket. By the mean, a few expensive requests would make a converter
-        slow."""
+        """Median latency, interpolated linearly within its bucket. With the mean, a few expensive requests would make
+        a converter count as slow."""
         half_count, count_below = sum(self.latencies) / 2, 0.0
         for index, count in enumerate(self.latencies):
             if count > 0.0 and count_below + count >= half_count:
@@ -83,17 +84,21 @@
 
     @property
     def failure_share(self) -> float:
-        """Share of the attempts that failed."""
+        """Share of the attempts that failed; 0 without attempts."""
         return self.failed / (self.served + self.failed) if self.served + self.failed > 0 else 0.0
 
 
 class Planner:
-    """Keeps the converters' statuses and computes plans."""
+    """Computes plans, and keeps the statuses of ejected and recovering converters from one plan to the next."""
 
     def __init__(
         self, rules: AcceptanceRules, tenant_shares: list[float], class_limits: list[float] | None = None
     ) -> None:
-        """Start without statuses. `class_limits` are arrivals per second over all forwarders; 0 is no limit."""
+        """Start with all converters healthy.
+
+        `tenant_shares` are the tenants' quotas as shares of all arrivals. `class_limits` are arrivals per second over
+        all forwarders; 0 means no limit.
+        """
         self.rules = rules
         self.class_limits = class_limits or []
         self.tenant_shares = tenant_shares
@@ -102,7 +107,7 @@
         self.fleet_is_failing = False
 
     def basis(self, now_us: int, evidence: Evidence) -> PlanBasis:
-        """Return the basis of a plan computed now."""
+        """Return the amount of evidence that a plan computed now would be based on."""
         active = evidence.active(now_us)
         return self._compute_basis(now_us, evidence, active, self._sum_by_converter(active))
 
@@ -116,7 +121,7 @@
         return PlanBasis(len(active), max(0, window_ms), len(totals), listed, int(attempts))
 
     def has_enough_evidence(self, basis: PlanBasis) -> bool:
-        """Return whether a plan may be computed: a planner that has just started knows nothing."""
+        """Return whether a plan may be computed; right after its start, a planner lacks the reports for it."""
         rules = self.rules
         return (
             basis.forwarders >= max(1.0, rules.min_reporters * rules.fleet)
@@ -151,7 +156,7 @@
         return {uid for uid, status in self.statuses.items() if status.state is ConverterState.EJECTED}
 
     def _sum_by_converter(self, active: dict[str, ForwarderStats]) -> dict[str, ConverterTotals]:
-        """Return the totals by converter, over the active forwarders."""
+        """Return the totals by converter over the active forwarders, without outliers."""
         totals: dict[str, ConverterTotals] = {}
         for name, forwarder in active.items():
             if name in self.outlier_reporters:
@@ -170,7 +175,7 @@
         return totals
 
     def _find_outlier_reporters(self, active: dict[str, ForwarderStats]) -> set[str]:
-        """Return the forwarders for which most attempts fail, at converters that are healthy for all others."""
+        """Return the forwarders for which most attempts fail, at converters that are healthy for the others."""
         totals: dict[str, ConverterTotals] = {}
         for forwarder in active.values():
             for uid, stats in forwarder.converters.items():
@@ -204,16 +209,17 @@
         )
 
     def _update_statuses(self, now_us: int, totals: dict[str, ConverterTotals], basis: PlanBasis) -> None:
-        """Eject failing converters, and let the others recover step by step."""
+        """Eject failing converters, and move the other ejected ones through the steps of their recovery."""
         failing = {uid for uid, total in totals.items() if self._is_failing(total)}
-        # If much of the fleet fails, it is the load or the network: ejections would overload the others.
+        # If a large share of the converters fails, the cause is the load or the network, and ejections would overload
+        # the remaining converters.
         self.fleet_is_failing = len(self.ejected() | failing) > self.rules.max_ejected * max(1, basis.listed)
         for uid in list(self.statuses):
             if (
                 uid not in totals
                 and now_us > self.statuses[uid].since_us + STATUS_EXPIRY_FACTOR * DECAY_TIME_CONSTANT_US
             ):
-                del self.statuses[uid]  # no forwarder lists it any more
+                del self.statuses[uid]  # no active forwarder reports on it any more
         for uid, status in list(self.statuses.items()):
             if uid in failing:
                 if status.state is not ConverterState.EJECTED:
@@ -224,7 +230,7 @@
             self.statuses[uid] = ConverterStatus(ConverterState.EJECTED, now_us)
 
     def _recover(self, now_us: int, uid: str, status: ConverterStatus, total: ConverterTotals) -> None:
-        """Take the next step of a converter's recovery, if it is due."""
+        """Move a converter to the next step of its recovery if that is due; after the last one it is healthy."""
         if status.state is ConverterState.EJECTED:
             healthy = total.served >= 1.0 and total.failure_share < MAX_HEALTHY_FAILURE_SHARE
             if healthy and now_us >= status.since_us + MIN_EJECTION_US:
@@ -268,7 +274,7 @@
         return entries
 
     def _tenant_weights(self, active: dict[str, ForwarderStats]) -> list[float]:
-        """Return by tenant how much of its requests is within its quota; nothing while there is capacity for all."""
+        """Return by tenant the share of its requests that is within its quota; empty while there is no overload."""
         arrivals = [0.0] * len(self.tenant_shares)
         rejections = 0.0
         for name, forwarder in active.items():
@@ -286,11 +292,11 @@
         ]
 
     def _class_admission(self, active: dict[str, ForwarderStats]) -> list[float]:
-        """Return by class the share of arrivals within its limit; nothing if none exceeds its limit."""
+        """Return by class the share of arrivals that is within its limit; empty if no class exceeds its limit."""
         rates_per_s = [0.0] * len(self.class_limits)
         for forwarder in active.values():
             for index, count in enumerate(forwarder.recent_class_arrivals[: len(rates_per_s)]):
-                # a count that decays with this memory is the rate times the memory
+                # at a constant rate, a decaying count converges to the rate times the time constant
                 rates_per_s[index] += count / (DECAY_TIME_CONSTANT_US / 1e6)
         admission = [
             min(1.0, limit / rate_per_s) if limit > 0.0 and rate_per_s > 0.0 else 1.0
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -1,7 +1,7 @@
-"""A forwarder's side of a plan: which plans are accepted, and how far the last one is still followed.
+"""Forwarder's handling of plans: decides which plans are accepted, and fades out the last one with its age.
 
-Pure. The rules of acceptance, each with its reason, are in docs/design/planners.md. A plan's age runs from its arrival
-here, so the clocks of two machines are never compared.
+The acceptance rules and their reasons are in docs/design/planners.md. The age of a plan is counted from its arrival at
+the forwarder, so clocks of different hosts are never compared. No I/O.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from ryepier.balancer.interface import Advice
 from ryepier.plan.messages import Plan, Term
 
-MIN_WEIGHT = 1 / 64  # of a converter that is not ejected, so that its recovery shows
-FADE_SPREAD = 0.25  # of the fade: forwarders' fades differ by up to this share, so that they do not end together
-PLANS_PER_TRIAL = 4  # plans for which the same forwarders may try an ejected converter, so that a response can arrive
-MAX_CONCURRENCY = 8  # attempts in flight that a concurrency limit fades to: the decision module's own maximum
+MIN_WEIGHT = 1 / 64  # least weight of a converter that is not ejected; it still gets requests that show a recovery
+FADE_SPREAD = 0.25  # fade times vary by up to this share between forwarders, so that they do not all end at once
+PLANS_PER_TRIAL = 4  # consecutive plans for which the trial forwarders stay the same, so that a response can arrive
+MAX_CONCURRENCY = 8  # value that a concurrency limit fades to: the decision module's own maximum of attempts in flight
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptanceRules:
-    """What a plan must satisfy to be accepted; set by the operators."""
+    """Limits that a plan must satisfy to be accepted; set by the operators."""
 
     fleet: int  # approximate number of forwarders
     min_reporters: float = 0.5  # share of the fleet that must have reported
-    min_window_ms: int = 1000  # over which reports must have been collected
-    min_covered: float = 0.5  # share of the listed converters that must have been reported
+    min_window_ms: int = 1000  # time over which reports must have been collected
+    min_covered: float = 0.5  # share of the listed converters on which reports must exist
     max_ejected: float = 0.4  # share of the listed converters that a plan may eject
-    min_weight: float = 0.4  # share of the listed converters' weights that must remain
+    min_weight: float = 0.4  # share of the total weight of the listed converters that must remain
 
 
 class PlanRejection(enum.StrEnum):
-    """Why a plan is rejected."""
+    """The rule that a rejected plan violates."""
 
     OLDER_TERM = "an older term"
     NOT_NEWER = "not newer"
@@ -46,25 +46,25 @@
 
 
 def stable_fraction(*parts: str) -> float:
-    """Return a number from 0 to 1 that is always the same for the same words and differs for others."""
+    """Return a pseudorandom number from 0 to 1 that depends only on the arguments (a hash, equal in every process)."""
     return zlib.crc32("\0".join(parts).encode()) / 2**32
 
 
 class PlanFollower:
-    """One forwarder's view of the plans that arrive, from any planner."""
+    """Checks the plans that one forwarder receives from any planner, and turns the last accepted one into advice."""
 
     def __init__(self, name: str, rules: AcceptanceRules) -> None:
-        """Start without a plan; `name` is the forwarder's."""
+        """Start without a plan. `name` is the forwarder's name."""
         self.name = name
         self.rules = rules
-        self.term = Term()  # the highest of an accepted plan
-        self.plan: Plan | None = None  # the last accepted one
+        self.term = Term()  # the highest term of an accepted plan
+        self.plan: Plan | None = None  # the last accepted plan
         self.accepted_us = 0
         self.rejections: Counter[PlanRejection] = Counter()
         self.fade_factor = 1.0 + FADE_SPREAD * (2.0 * stable_fraction(name, "fade") - 1.0)
 
     def accept_plan(self, now_us: int, plan: Plan, listed: set[str]) -> PlanRejection | None:
-        """Accept a plan, or return why not. `listed` are the uids of the ready converters."""
+        """Accept a plan, or return why it is rejected. `listed` are the uids of the ready converters."""
         rejection = self.rejection_reason(plan, listed)
         if rejection is not None:
             self.rejections[rejection] += 1
@@ -73,7 +73,7 @@
         return None
 
     def rejection_reason(self, plan: Plan, listed: set[str]) -> PlanRejection | None:
-        """Return the first rule that a plan breaks."""
+        """Return the first rule that a plan violates, or None if it passes."""
         is_newer = self.plan is None or plan.term != self.term or plan.number > self.plan.number
         if plan.term < self.term:
             return PlanRejection.OLDER_TERM
@@ -105,7 +105,7 @@
         return None
 
     def confidence(self, now_us: int) -> float:
-        """Return 1 while the plan is valid, then linearly down to 0, over a time that differs between forwarders."""
+        """Return 1 while the plan is valid, then a value that falls linearly to 0 over the forwarder's fade time."""
         if self.plan is None:
             return 0.0
         fading_ms = (now_us - self.accepted_us) / 1000 - self.plan.valid_ms
@@ -114,11 +114,11 @@
         return max(0.0, 1.0 - fading_ms / max(1.0, self.plan.fade_ms * self.fade_factor))
 
     def age_ms(self, now_us: int) -> int:
-        """Return the age of the current plan; 0 without one."""
+        """Return the age of the current plan in milliseconds; 0 without a plan."""
         return (now_us - self.accepted_us) // 1000 if self.plan is not None else 0
 
     def advice(self, now_us: int, upstream_ids: dict[str, int]) -> list[Advice]:
-        """Return the current advice on the listed converters; `upstream_ids` has their numbers by uid."""
+        """Return the current advice on the listed converters; `upstream_ids` maps their uids to upstream ids."""
         confidence, plan = self.confidence(now_us), self.plan
         if plan is None or confidence == 0.0:
             return []
@@ -126,8 +126,8 @@
         for uid, entry in plan.entries.items():
             upstream_id = upstream_ids.get(uid)
             if upstream_id is None:
-                continue  # not listed by discovery: a plan adds no converter
-            # each forwarder has its own turn to try, and its own moment of the fade to end an ejection
+                continue  # not listed by discovery; a plan can't add converters
+            # Forwarders take turns at trial requests, and end an ejection at different moments of the fade.
             ejected = (
                 entry.ejected
                 and not self.is_selected_for_trial(uid, plan, entry.trial_share)
@@ -140,23 +140,25 @@
                 else 0
             )
             if entry.ejected and not ejected:
-                concurrency_limit = 1  # a trial is one request at a time
+                concurrency_limit = 1  # trial requests are sent one at a time
             advice.append(Advice(upstream_id, weight, concurrency_limit, ejected))
         return advice
 
     def is_selected_for_trial(self, uid: str, plan: Plan, trial_share: float) -> bool:
-        """Return whether it is this forwarder's turn to try an ejected converter; the turn moves on every few plans."""
+        """Return whether this forwarder may send trial requests to an ejected converter; the selection changes every
+        PLANS_PER_TRIAL plans."""
         return stable_fraction(self.name, uid, str(plan.number // PLANS_PER_TRIAL)) < trial_share
 
     def class_admission(self, now_us: int) -> list[float]:
-        """Return the share of arrivals to admit by class; it fades out, as the total rate becomes unknown."""
+        """Return by class the share of arrivals to admit. The restriction fades out with the plan, as the total rate of
+        all forwarders becomes unknown."""
         confidence = self.confidence(now_us)
         if self.plan is None or confidence == 0.0:
             return []
         return [1.0 - (1.0 - share) * confidence for share in self.plan.class_admission]
 
     def tenant_weight(self, now_us: int) -> list[float]:
-        """Return by tenant how much of its requests is within its quota; nothing once the plan is not valid."""
+        """Return by tenant the share of its requests that is within its quota; empty once the plan starts to fade."""
         if self.plan is None or self.confidence(now_us) < 1.0:
-            return []  # old rates are worse than those observed here
+            return []  # outdated rates of the fleet are worse than the rates that this sidecar observes itself
         return list(self.plan.tenant_weight)
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -1,4 +1,4 @@
-"""Server of a planner: receives reports, exchanges heartbeats with its peers, and publishes plans while it leads."""
+"""Planner server: receives reports, exchanges heartbeats with its peers, and publishes plans while it is the leader."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.25  # between two heartbeats
+TICK_S = 0.25  # heartbeat interval
 TICKS_PER_PLAN = 2
 TICKS_PER_SNAPSHOT = 4
-TICKS_PER_EXPIRY = 40  # between two removals of expired evidence
-MAX_UNREAD_BYTES = 512 * 1024  # of one connection; its peer hangs, and would fill the memory
-HELLO_TIMEOUT_S = 3.0  # from the connection to its first message
-MIN_REPORT_INTERVAL_US = 100_000  # earlier reports are dropped: the next one has their counters
-PEER_RETRY_S = 0.3  # between two connections to a peer
-BUSY_RETRY_MS = 5_000  # for a forwarder that is rejected because there are too many
-MAX_SNAPSHOT_AGE_MS = 120_000  # older ejections are obsolete
+TICKS_PER_EXPIRY = 40  # interval between removals of expired evidence
+MAX_UNREAD_BYTES = 512 * 1024  # buffered output per connection; bounds the memory when a peer stops reading
+HELLO_TIMEOUT_S = 3.0  # from the accepted connection to its hello
+MIN_REPORT_INTERVAL_US = 100_000  # reports that follow sooner are dropped; the next one includes their counters
+PEER_RETRY_S = 0.3  # interval between attempts to connect to a peer
+BUSY_RETRY_MS = 5_000  # retry delay for forwarders that are rejected because of the limit
+MAX_SNAPSHOT_AGE_MS = 120_000  # ejections in older snapshots are obsolete
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a planner."""
+    """Settings of a planner, with the addresses of its peers and its limits."""
 
     name: str
     listen: tuple[str, int]
@@ -52,14 +52,14 @@
     tenant_shares: list[float]
     class_limits: list[float]
     max_forwarders: int
-    folder: Path | None = None  # for its snapshot
+    folder: Path | None = None  # where snapshots are stored; None disables them
 
 
 class PlannerServerConnection(asyncio.Protocol):
-    """A connection from a forwarder or a peer, or to a peer."""
+    """A connection accepted from a forwarder or a peer, or opened to a peer."""
 
     def __init__(self, server: PlannerServer, is_outgoing: bool = False) -> None:
-        """Prepare a connection, `dialled` if this planner opens it."""
+        """Start unconnected and without a hello; `is_outgoing` if this planner opens the connection to a peer."""
         self.server = server
         self.is_outgoing = is_outgoing
         self.transport: asyncio.Transport | None = None
@@ -69,7 +69,7 @@
         self.hello_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send a hello, or wait for one."""
+        """Register the connection; send a hello if it is outgoing, otherwise start the timeout for the peer's hello."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.connections[self] = None
@@ -79,7 +79,7 @@
             self.hello_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.reject, "no hello")
 
     def data_received(self, data: bytes) -> None:
-        """Handle the messages that are complete."""
+        """Handle all messages that are complete; reject the connection on a protocol error."""
         self.server.counts["bytes in"] += len(data)
         try:
             for message in self.decoder.feed(data):
@@ -88,7 +88,7 @@
             self.reject(str(error))
 
     def on_message(self, message: Message) -> None:
-        """Handle a message. Raises ProtocolError for one that is not allowed now."""
+        """Handle a message. Raises ProtocolError if it is not allowed in the connection's present state."""
         if isinstance(message, Heartbeat):
             self.server.leadership.on_heartbeat(self.server.machine.clock_us(), message)
         elif isinstance(message, Rejection) and self.is_outgoing:
@@ -98,10 +98,10 @@
         elif isinstance(message, Report) and self.hello is not None and not self.hello.is_peer:
             self.on_report(message)
         else:
-            raise ProtocolError(f"a {type(message).__name__.lower()} out of turn")
+            raise ProtocolError(f"unexpected {type(message).__name__.lower()} message")
 
     def on_hello(self, hello: Hello) -> None:
-        """Accept a forwarder or a peer."""
+        """Accept a peer, or a forwarder unless the limit is reached; send the current plan to the forwarder."""
         if self.hello_timer is not None:
             self.hello_timer.cancel()
         if not hello.is_peer and self.server.forwarder_count() >= self.server.settings.max_forwarders:
@@ -113,7 +113,8 @@
             self.write(plan)
 
     def on_report(self, report: Report) -> None:
-        """Merge a report, unless it follows too soon: one forwarder must not use up the planner's time."""
+        """Merge a report. Drops it if it follows the last one too soon, as no forwarder may use up the planner's CPU
+        time."""
         assert self.hello is not None
         now_us = self.server.machine.clock_us()
         if now_us < self.last_report_us + MIN_REPORT_INTERVAL_US:
@@ -124,7 +125,7 @@
         self.server.evidence.merge(now_us, self.hello.name, self.hello.incarnation, report)
 
     def write(self, data: bytes) -> None:
-        """Send a frame, or abort a connection that does not read."""
+        """Send a frame; abort the connection if the peer does not read what was sent before."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
@@ -134,24 +135,24 @@
         self.transport.write(data)
 
     def reject(self, reason: str, retry_ms: int = 0) -> None:
-        """Send the reason and close the connection."""
+        """Send the reason for the rejection and close the connection."""
         log.info("connection rejected: %s", reason)
         self.write(encode(Rejection(reason, retry_ms)))
         if self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the server."""
+        """Deregister the connection and stop the hello timer."""
         self.server.connections.pop(self, None)
         if self.hello_timer is not None:
             self.hello_timer.cancel()
 
 
 class PlannerServer:
-    """One planner."""
+    """One planner: its evidence, leadership, plan computation and connections."""
 
     def __init__(self, settings: Settings, machine: Machine) -> None:
-        """Restore the snapshot, if there is one. Nothing is served before `run`."""
+        """Start without evidence, as a follower, from the snapshot if there is one. `run` starts to serve."""
         now_us = machine.clock_us()
         self.settings = settings
         self.machine = machine
@@ -160,15 +161,15 @@
         self.planner = Planner(settings.rules, settings.tenant_shares, settings.class_limits)
         names = sorted([settings.name, *settings.peers])
         self.leadership = Leadership(settings.name, names.index(settings.name), now_us)
-        self.connections: dict[PlannerServerConnection, None] = {}  # ordered, unlike a set
-        self.was_leader = False  # at the last tick
+        self.connections: dict[PlannerServerConnection, None] = {}  # a dict keeps the order of insertion, unlike a set
+        self.was_leader = False  # whether this planner led at the last tick
         self.plan_number = 0
         self.last_plan: bytes | None = None
         self.counts: Counter[str] = Counter()
         self.restore(now_us)
 
     def restore(self, now_us: int) -> None:
-        """Restore the snapshot, if there is one."""
+        """Restore term and statuses from the snapshot, if there is one that is valid."""
         if self.settings.folder is None:
             return
         try:
@@ -187,11 +188,11 @@
             )
 
     def forwarder_count(self) -> int:
-        """Return how many forwarders are connected."""
+        """Return the number of connected forwarders."""
         return sum(connection.hello is not None and not connection.hello.is_peer for connection in self.connections)
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until `stop` is set. Raises OSError if the address is not available."""
+        """Serve until `stop` is set, then save a snapshot. Raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: PlannerServerConnection(self), *self.settings.listen, backlog=1024)
         log.info("planner %s is up", self.settings.name)
@@ -207,7 +208,7 @@
                 connection.transport.close()
 
     async def maintain_peer(self, name: str, address: tuple[str, int]) -> None:
-        """Keep a connection to a peer open."""
+        """Keep a connection to a peer open until the task is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -221,25 +222,25 @@
             await asyncio.sleep(PEER_RETRY_S * (0.5 + self.machine.random.random()))
 
     async def run_ticks(self) -> None:
-        """Tick forever."""
+        """Run a tick every `TICK_S` until the task is cancelled."""
         tick = 0
         while True:
             await asyncio.sleep(TICK_S)
             tick += 1
             try:
                 self.tick(self.machine.clock_us(), tick)
-            except Exception:  # one unforeseen report must not end the planning for all
+            except Exception:  # a single unexpected report must not stop planning for all forwarders
                 log.exception("planning failed")
 
     def tick(self, now_us: int, tick: int) -> None:
-        """Send heartbeats, elect, plan, and save."""
+        """Update the leadership, send heartbeats and plans, save snapshots and drop expired evidence."""
         active = self.evidence.active(now_us)
-        # a leader checks its evidence with each plan; only a follower has to know before it takes over
+        # Only a follower needs this check, before it takes over; a leader checks its evidence with each plan.
         has_enough_evidence = not self.leadership.is_leader and self.planner.has_enough_evidence(
             self.planner.basis(now_us, self.evidence)
         )
         is_leader = self.leadership.tick(now_us, active, has_enough_evidence)
-        if is_leader != self.was_leader:  # it may have stepped down between two ticks, on a heartbeat
+        if is_leader != self.was_leader:  # compared with the last tick, as a heartbeat may have made it step down since
             self.was_leader = is_leader
             term = self.leadership.highest_term
             message = "leads, epoch %d" if is_leader else "follows, epoch %d"
@@ -256,8 +257,8 @@
             self.evidence.expire(now_us)
 
     def publish_plan(self, now_us: int, is_due: bool) -> None:
-        """Send a plan to all forwarders, if one is due or another converter is ejected. A follower computes it too, to
-        know the ejected converters when it takes over."""
+        """Send a plan to all forwarders if one is due or the set of ejected converters has changed. A follower computes
+        plans too, without sending them, so that it knows the ejected converters when it takes over."""
         term = self.leadership.term
         ejected_before = self.planner.ejected()
         plan = self.planner.plan(now_us, self.evidence, term or self.leadership.highest_term, self.plan_number + 1)
@@ -274,7 +275,7 @@
                 connection.write(self.last_plan)
 
     def save(self) -> None:
-        """Save a snapshot."""
+        """Save a snapshot, unless snapshots are disabled or no term is known yet."""
         if self.settings.folder is None or self.leadership.highest_term.epoch == 0:
             return
         machine = self.machine
--- a/ryepier/plan/reporter.py
+++ b/ryepier/plan/reporter.py
@@ -1,6 +1,7 @@
-"""A forwarder's counters of its converters, and the reports made of them.
+"""A forwarder's counters of its converters, and the reports that are built from them.
 
-Pure: attempts come in with their times, reports go out. Memory is bounded by the listed converters.
+The caller passes in attempts with their times; there is no I/O. The memory is bounded by the number of listed
+converters.
 """
 
 from __future__ import annotations
@@ -25,10 +26,10 @@
     changed: bool = False
     in_flight: dict[int, tuple[int, bool]] = field(
         default_factory=dict
-    )  # by token: (unanswered from then on, counted as failed)
+    )  # by token: (time from which it counts as unanswered, whether it was already counted as failed)
 
     def counters(self) -> ConverterCounters:
-        """Return the counters for a report."""
+        """Return the counters for a report; trailing zeros of the latencies are omitted."""
         bucket_count = max((index + 1 for index, count in enumerate(self.latencies) if count), default=0)
         return ConverterCounters(
             self.attempts, self.served, self.failed, self.rejected, tuple(self.latencies[:bucket_count])
@@ -36,10 +37,14 @@
 
 
 class Reporter:
-    """Counts requests and attempts since the process began."""
+    """Counts requests and attempts since the start of the process."""
 
     def __init__(self, unanswered_after_us: list[int], tenants: int) -> None:
-        """Start at 0. By class, an attempt without an answer after `unanswered_after_us` has failed."""
+        """Start with all counters at 0.
+
+        `unanswered_after_us` is the time by class after which an attempt without an answer counts as failed; `tenants`
+        is the number of tenants.
+        """
         self.class_arrivals = [0] * len(unanswered_after_us)
         self.unanswered_after_us = unanswered_after_us
         self.records: dict[str, _ConverterRecord] = {}
@@ -58,15 +63,15 @@
         self.rejections += 1
 
     def on_attempt_started(self, now_us: int, uid: str, token: int, class_index: int) -> None:
-        """Count an attempt; `token` identifies it until its end."""
+        """Count the start of an attempt; `token` identifies it until its end."""
         record = self.records.setdefault(uid, _ConverterRecord())
         record.attempts += 1
         record.changed = True
         record.in_flight[token] = (now_us + self.unanswered_after_us[class_index], False)
 
     def on_attempt_ended(self, uid: str, token: int, outcome: Outcome, elapsed_us: int) -> None:
-        """Count the end of an attempt. One that was counted as unanswered and is served after all stays counted: it was
-        slow."""
+        """Count the end of an attempt. If it was counted as unanswered before, that failure stays counted even when it
+        is served after all, as it was too slow."""
         record = self.records.get(uid)
         if record is None or token not in record.in_flight:
             return
@@ -81,11 +86,12 @@
             record.failed += 1
 
     def retain(self, uids: set[str]) -> None:
-        """Drop the counters of unlisted converters without attempts in flight."""
+        """Drop the counters of converters that are not in `uids` and have no attempts in flight."""
         self.records = {uid: record for uid, record in self.records.items() if uid in uids or record.in_flight}
 
     def report(self, now_us: int, listed: int, term: Term, plan_age_ms: int, complete: bool = False) -> Report:
-        """Return the changes since the last report, or a `complete` one for a planner that has just connected."""
+        """Return the changes since the last report, or all counters if `complete`, for a planner that has just
+        connected."""
         for record in self.records.values():
             for token, (unanswered_at_us, counted_as_failed) in record.in_flight.items():
                 if not counted_as_failed and now_us >= unanswered_at_us:
--- a/ryepier/plan/snapshot.py
+++ b/ryepier/plan/snapshot.py
@@ -1,8 +1,8 @@
-"""Snapshot of a planner: its highest term, and the converters' statuses.
+"""Snapshot of a planner: its highest term, and the statuses of ejected and recovering converters.
 
-Evidence is not stored: it is rebuilt from the forwarders' complete reports within a second. The file is one MessagePack
-list behind a line that holds a version and a checksum. It is replaced atomically; a torn, foreign or old one is
-rejected, and the planner starts without.
+Evidence is not stored, as the forwarders' complete reports restore it within a second. The file is a header line with
+version, checksum and length, followed by one MessagePack map. It is replaced atomically. A truncated, corrupt, foreign
+or outdated file is rejected, and the planner starts without a snapshot.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 
 class SnapshotError(RyepierError):
-    """A snapshot that must not be used, with the reason."""
+    """The snapshot must not be used; the message gives the reason."""
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The content; `statuses` by uid: the state, for how long (us), and the step of the recovery."""
+    """Content of a snapshot. `statuses` maps uids to the state, its duration in microseconds, and the recovery step."""
 
     saved_ms: int  # Unix time
     term: Term
     statuses: dict[str, tuple[ConverterState, int, int]] = msgspec.field(name="judged")
 
     def restore(self, now_us: int) -> dict[str, ConverterStatus]:
-        """Return the statuses on a new clock."""
+        """Return the statuses with times on the clock of the restarted process, at `now_us`."""
         return {
             uid: ConverterStatus(state, now_us - duration_us, step)
             for uid, (state, duration_us, step) in self.statuses.items()
@@ -49,30 +49,30 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Return the content of the file."""
+    """Return the content of the snapshot file."""
     body = msgspec.msgpack.encode(snapshot)
     return b"%s %08x %d\n" % (MAGIC, zlib.crc32(body), len(body)) + body
 
 
 def decode(data: bytes, unix_ms: int, max_age_ms: int) -> Snapshot:
-    """Return a snapshot that is intact and at most `max_age_ms` old. Raises SnapshotError."""
+    """Return the snapshot in `data`. Raises SnapshotError unless it is intact and at most `max_age_ms` old."""
     header, newline, body = data.partition(b"\n")
     if not newline or not header.startswith(MAGIC + b" "):
-        raise SnapshotError("not a snapshot of this version")
+        raise SnapshotError("file is not a snapshot of this version")
     if header != b"%s %08x %d" % (MAGIC, zlib.crc32(body), len(body)):
-        raise SnapshotError("torn or altered")
+        raise SnapshotError("checksum or length differs: file is truncated or altered")
     try:
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as error:
-        raise SnapshotError(f"unreadable: {error}") from None
+        raise SnapshotError(f"content can't be decoded: {error}") from None
     age_ms = unix_ms - snapshot.saved_ms
     if not 0 <= age_ms <= max_age_ms:
-        raise SnapshotError(f"{age_ms / 1000:.1f} s old; at most {max_age_ms / 1000:.0f} s are trusted")
+        raise SnapshotError(f"{age_ms / 1000:.1f} s old; at most {max_age_ms / 1000:.0f} s are allowed")
     return snapshot
 
 
 def save(folder: Path, snapshot: Snapshot) -> None:
-    """Replace the snapshot in `folder`. Raises OSError."""
+    """Replace the snapshot in `folder` atomically. Raises OSError."""
     temporary_path = folder / (FILE_NAME + ".new")
     with open(temporary_path, "wb") as file:
         file.write(encode(snapshot))
@@ -82,12 +82,12 @@
 
 
 def load(folder: Path, unix_ms: int, max_age_ms: int) -> Snapshot | None:
-    """Return the snapshot in `folder`, or None without one. Raises SnapshotError and OSError."""
+    """Return the snapshot in `folder`, or None if there is none. Raises SnapshotError and OSError."""
     try:
         with open(folder / FILE_NAME, "rb") as file:
             data = file.read(MAX_BYTES + 1)
     except FileNotFoundError:
         return None
     if len(data) > MAX_BYTES:
-        raise SnapshotError("longer than any snapshot")
+        raise SnapshotError("file exceeds the size limit of snapshots")
     return decode(data, unix_ms, max_age_ms)
