--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -115,10 +115,10 @@
     def _compute_basis(
         now_us: int, evidence: Evidence, active: dict[str, ForwarderStats], totals: dict[str, ConverterTotals]
     ) -> PlanBasis:
-        listed = max((forwarder.listed_converters for forwarder in active.values()), default=0)
+        max_listed = max((forwarder.listed_converters for forwarder in active.values()), default=0)
         window_ms = min(now_us - evidence.started_us, DECAY_TIME_CONSTANT_US) // 1000
         attempts = sum(total.served + total.failed for total in totals.values())
-        return PlanBasis(len(active), max(0, window_ms), len(totals), listed, int(attempts))
+        return PlanBasis(len(active), max(0, window_ms), len(totals), max_listed, int(attempts))
 
     def has_enough_evidence(self, basis: PlanBasis) -> bool:
         """Return whether a plan may be computed; right after its start, a planner lacks the reports for it."""
@@ -241,12 +241,12 @@
             else:
                 del self.statuses[uid]
 
-    def _build_entries(self, totals: dict[str, ConverterTotals], forwarders: int) -> dict[str, ConverterAdvice]:
+    def _build_entries(self, totals: dict[str, ConverterTotals], forwarder_count: int) -> dict[str, ConverterAdvice]:
         """Return the advice on converters that are slow, ejected or recovering."""
         entries = self._build_slow_entries(totals)
         if self.fleet_is_failing:
             return entries
-        trial_share = min(1.0, MAX_TRIAL_FORWARDERS / max(1, forwarders))
+        trial_share = min(1.0, MAX_TRIAL_FORWARDERS / max(1, forwarder_count))
         for uid, status in self.statuses.items():
             total = totals.get(uid, ConverterTotals())
             if status.state is ConverterState.EJECTED:
--- a/ryepier/plan/reporter.py
+++ b/ryepier/plan/reporter.py
@@ -11,7 +11,7 @@
 from ryepier.balancer.interface import Outcome
 from ryepier.plan.messages import LATENCY_BUCKETS, ConverterCounters, Report, Term, latency_bucket
 
-FAILURES = frozenset(
+FAILURE_OUTCOMES = frozenset(
     (Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 )
 
@@ -50,7 +50,7 @@
         self.records: dict[str, _ConverterRecord] = {}
         self.arrivals = [0] * tenants
         self.rejections = 0
-        self.number = 0
+        self.report_number = 0
 
     def on_request(self, tenant: int, class_index: int) -> None:
         """Count an accepted request."""
@@ -82,7 +82,7 @@
             record.latencies[latency_bucket(elapsed_us)] += 1
         elif outcome is Outcome.REJECTED:
             record.rejected += 1
-        elif outcome in FAILURES and not counted_as_failed:
+        elif outcome in FAILURE_OUTCOMES and not counted_as_failed:
             record.failed += 1
 
     def retain(self, uids: set[str]) -> None:
@@ -98,13 +98,13 @@
                     record.in_flight[token] = (unanswered_at_us, True)
                     record.failed += 1
                     record.changed = True
-        self.number += 1
+        self.report_number += 1
         counters = {uid: record.counters() for uid, record in self.records.items() if complete or record.changed}
         for record in self.records.values():
             record.changed = False
         outstanding = {uid: len(record.in_flight) for uid, record in self.records.items() if record.in_flight}
         return Report(
-            self.number,
+            self.report_number,
             listed,
             counters,
             outstanding,
