--- a/ryepier/slices/__init__.py
+++ b/ryepier/slices/__init__.py
@@ -1,5 +1,6 @@
 """Kubernetes EndpointSlices as a source of the endpoint list.
 
-Pure: `api_objects` (the API's types), `reflector` (list and watch), `endpoint_slice_merger` (many slices into one list)
-and `endpoint_listing` (the module's entries). I/O: `api_client` and `slice_source`.
+Modules without I/O: `api_objects` (types of the Kubernetes API), `reflector` (list and watch), `endpoint_slice_merger`
+(merges all slices of a service into one list) and `endpoint_listing` (turns that list into upstreams of the decision
+module). Modules with I/O: `api_client` and `slice_source`.
 """
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -1,4 +1,4 @@
-"""Client of a Kubernetes API server: HTTP/1.1 over TCP or TLS, one call per connection."""
+"""Client of a Kubernetes API server, using HTTP/1.1 over TCP or TLS with one call per connection."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 
 log = logging.getLogger(__name__)
 
-HTTP = "http"  # schemes
+HTTP = "http"  # URL schemes
 HTTPS = "https"
-CONNECT_TIMEOUT_S = 3.0  # TLS included
-LIST_TIMEOUT_S = 20.0  # of one page
-WATCH_GRACE_S = 5.0  # after its regular end, before a silent watch counts as hung
-MAX_LINE_BYTES = 4 * 1024 * 1024  # one slice has at most 1,000 endpoints
+CONNECT_TIMEOUT_S = 3.0  # includes the TLS handshake
+LIST_TIMEOUT_S = 20.0  # per page of a list
+WATCH_GRACE_S = 5.0  # silence beyond the requested duration of a watch after which the watch counts as hung
+MAX_LINE_BYTES = 4 * 1024 * 1024  # a line holds one slice, which has at most 1,000 endpoints
 MAX_PAGE_BYTES = 32 * 1024 * 1024
-MAX_ERROR_BYTES = 64 * 1024  # of the body of a failed call
-# TCP keep-alive: an unreachable machine is noticed after 11 s
+MAX_ERROR_BYTES = 64 * 1024  # limit on the body of an error response
+# TCP keep-alive: an unreachable host is detected after 11 s (idle time plus three probes)
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 3
-SERVICE_ACCOUNT_FOLDER = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # as Kubernetes mounts it into a pod
+SERVICE_ACCOUNT_FOLDER = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # where Kubernetes mounts it in pods
 
 
 class AccessError(RyepierError, ValueError):
-    """The settings of the API server are wrong."""
+    """The settings for access to the API server are missing or invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Access:
-    """Address of the API server, and the credentials."""
+    """Address of the API server, and the files with the credentials."""
 
     host: str
     port: int
     tls: bool
-    prefix: str = ""  # of each path, as behind a proxy
-    token_file: Path | None = None  # read for each call: the cluster rotates it every hour
+    prefix: str = ""  # prepended to each path; needed behind a proxy
+    token_file: Path | None = None  # read for each call, as the cluster rotates the token every hour
     ca_file: Path | None = None
     client_cert_file: Path | None = None
     client_key_file: Path | None = None
@@ -57,11 +57,11 @@
 def find_access(
     server: str, token_file: str = "", ca_file: str = "", client_cert_file: str = "", client_key_file: str = ""
 ) -> Access:
-    """Return the access of the settings; with an empty `server`, that of the pod. Raises AccessError."""
+    """Return the access described by the settings, or the pod's own access if `server` is empty. Raises AccessError."""
     if not server:
         host, port = os.environ.get("KUBERNETES_SERVICE_HOST", ""), os.environ.get("KUBERNETES_SERVICE_PORT", "")
         if not host or not port.isdecimal():
-            raise AccessError("no server is named, and KUBERNETES_SERVICE_HOST and _PORT are not set")
+            raise AccessError("no server is set, and KUBERNETES_SERVICE_HOST or KUBERNETES_SERVICE_PORT is missing")
         return Access(
             host,
             int(port),
@@ -80,7 +80,7 @@
     if url.scheme not in (HTTP, HTTPS) or not url.hostname or url.query or url.fragment or url.username:
         raise AccessError(f"server {server!r}: expected http://host:port or https://host:port")
     if bool(client_cert_file) != bool(client_key_file):
-        raise AccessError("a client certificate and its key go together")
+        raise AccessError("a client certificate and its key must be set together")
     tls = url.scheme == HTTPS
     return Access(
         url.hostname,
@@ -92,7 +92,8 @@
 
 
 def tls_context(access: Access) -> ssl.SSLContext | None:
-    """Return the TLS context; made for each call, as certificates are rotated. Raises OSError."""
+    """Return a TLS context, or None without TLS. It is created for each call, as certificates are rotated. Raises
+    OSError if a file can't be read."""
     if not access.tls:
         return None
     context = ssl.create_default_context(cafile=str(access.ca_file) if access.ca_file else None)
@@ -102,7 +103,7 @@
 
 
 def request_head(access: Access, target: str) -> bytes:
-    """Return the head of a request. Raises OSError or ValueError if there is no valid token."""
+    """Return the head of a GET request. Raises OSError or ValueError if the token can't be read or is invalid."""
     host = f"[{access.host}]" if ":" in access.host else access.host
     lines = [
         f"GET {access.prefix}{target} HTTP/1.1",
@@ -113,16 +114,16 @@
     if access.token_file is not None:
         token = access.token_file.read_text(encoding="ascii").strip()
         if not token or not token.isprintable():
-            raise ValueError(f"{access.token_file} holds no token")
+            raise ValueError(f"{access.token_file} holds no valid token")
         lines.append(f"Authorization: Bearer {token}")
     return "\r\n".join([*lines, "", ""]).encode("ascii")
 
 
 class ResponseReader(asyncio.Protocol):
-    """Reads the response to one call: each line of a watch at once, anything else when it is complete."""
+    """Reads the response to one call. Passes on the lines of a watch as they arrive, and buffers any other body."""
 
     def __init__(self, kind: CallKind, on_line: Callable[[bytes], None], on_data: Callable[[], None]) -> None:
-        """Notify `on_line` of each line of a watch, and `on_data` of any bytes."""
+        """Start unconnected. `on_line` is called for each line of a watch, `on_data` whenever bytes arrive."""
         self.kind = kind
         self.on_line = on_line
         self.on_data = on_data
@@ -136,7 +137,7 @@
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Turn on keep-alive probes."""
+        """Enable TCP keep-alive."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         sock: socket.socket | None = transport.get_extra_info("socket")
@@ -147,39 +148,39 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes of the response."""
+        """Parse bytes of the response; a parse error ends the call."""
         if self.done.done():
             return
         self.on_data()
         try:
             self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:  # also those of the callbacks below
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:  # includes errors of the callbacks
             self.failure = error
             self.finish()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read a header."""
+        """Keep the value of Retry-After, if it is a number of seconds."""
         if name.lower() == b"retry-after" and value.strip().isdigit():
             self.retry_after_s = int(value)
 
     def on_headers_complete(self) -> None:
-        """Note the status."""
+        """Keep the status code."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        """Read part of the body."""
+        """Append part of the body, and pass on the complete lines of a watch."""
         self.body += data
         if self.status != 200:
             if len(self.body) > MAX_ERROR_BYTES:
-                raise ValueError("the error's text is too long")
+                raise ValueError("error response exceeds the size limit")
         elif self.kind is CallKind.LIST:
             if len(self.body) > MAX_PAGE_BYTES:
-                raise ValueError("the page is too long")
+                raise ValueError("list page exceeds the size limit")
         else:
             self.read_lines(len(data))
 
     def read_lines(self, new_bytes: int) -> None:
-        """Read the complete lines; only the `new` last bytes can hold a line's end."""
+        """Pass on the complete lines; only the last `new_bytes` of the body can hold a line's end."""
         if self.body.find(b"\n", len(self.body) - new_bytes) >= 0:
             *lines, remainder = bytes(self.body).split(b"\n")
             self.body = bytearray(remainder)
@@ -187,20 +188,20 @@
                 if line.strip():
                     self.on_line(line)
         if len(self.body) > MAX_LINE_BYTES:
-            raise ValueError("a line without end")
+            raise ValueError("line of the watch exceeds the size limit")
 
     def on_message_complete(self) -> None:
-        """Note the end of the response."""
+        """Record that the response is complete, and close the connection."""
         self.is_complete = True
         self.finish()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note the end of the connection."""
+        """Record the error, if any, and end the call."""
         self.failure = self.failure or error
         self.finish()
 
     def finish(self) -> None:
-        """Close the connection."""
+        """End the call and close the connection."""
         if not self.done.done():
             self.done.set_result(None)
         if self.transport is not None:
@@ -208,7 +209,7 @@
 
 
 class ApiClient:
-    """Executes the actions of a reflector, until it is cancelled."""
+    """Executes the actions of a reflector until it is cancelled."""
 
     def __init__(
         self,
@@ -218,7 +219,8 @@
         on_failure: Callable[[], None],
         clock_us: Callable[[], int],
     ) -> None:
-        """Notify `on_changes` of all changes of a piece of input, and `on_failure` of failed calls."""
+        """Start without calls; `run` makes them. `on_changes` gets all changes that arrive together, and `on_failure`
+        is called when a call has failed."""
         self.access = access
         self.reflector = reflector
         self.on_changes = on_changes
@@ -231,7 +233,7 @@
         self.problem_count = 0
 
     async def run(self) -> None:
-        """Call forever."""
+        """Execute calls and waits until the task is cancelled."""
         self.execute(self.reflector.start(self.clock_us()))
         while True:
             step = self.pending_steps.pop()
@@ -243,7 +245,7 @@
                 await self.call(step)
 
     def execute(self, actions: list[reflector.Action]) -> None:
-        """Execute actions of the reflector."""
+        """Queue calls and waits, log problems and collect changes."""
         for action in actions:
             if isinstance(action, Call | Wait):
                 self.pending_steps.append(action)
@@ -253,22 +255,22 @@
             else:
                 self.changes.append(action)
         if self.changes and not self.is_flush_scheduled:
-            # changes that arrive in one piece are passed on together
+            # changes that arrive in the same iteration of the event loop are passed on together
             self.is_flush_scheduled = True
             asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Pass on the changes."""
+        """Pass on the collected changes."""
         self.is_flush_scheduled = False
         changes, self.changes = self.changes, []
         self.on_changes(changes)
 
     async def call(self, call: Call) -> None:
-        """Make one call, and execute the actions that follow."""
+        """Make one call, and execute the actions that result from its end."""
         response = ResponseReader(call.kind, self.read_line, self.on_data)
         self.on_data()
         try:
-            # files of a token or certificate are small and local; a thread for them would cost more than it saves
+            # token and certificate files are small and local; reading them in a thread would cost more than it saves
             head, context = request_head(self.access, call.target), tls_context(self.access)
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(
@@ -278,7 +280,7 @@
             response.transport.write(head)
             await self.wait_until_done(call, response)
         except TimeoutError:
-            response.failure = TimeoutError("no answer in time")
+            response.failure = TimeoutError("timed out")
         except (OSError, ValueError) as error:
             response.failure = error
         finally:
@@ -287,7 +289,7 @@
             self.execute(self.next_actions(call, response))
 
     async def wait_until_done(self, call: Call, response: ResponseReader) -> None:
-        """Wait for the end of a response. Raises TimeoutError for a slow page or a silent watch."""
+        """Wait for the end of a response. Raises TimeoutError if a page takes too long or a watch is silent."""
         if call.kind is CallKind.LIST:
             async with asyncio.timeout(LIST_TIMEOUT_S):
                 await response.done
@@ -300,20 +302,20 @@
             await asyncio.wait([response.done], timeout=remaining_us / 1e6)
 
     def on_data(self) -> None:
-        """Record that bytes have arrived."""
+        """Record the time at which bytes arrived."""
         self.last_received_us = self.clock_us()
 
     def read_line(self, line: bytes) -> None:
-        """Handle a line of a watch."""
-        if not self.pending_steps:  # an error event ends a watch
+        """Decode a line of a watch and pass the event to the reflector."""
+        if not self.pending_steps:  # lines after an error event are ignored, as it ends the watch
             self.execute(self.reflector.on_event(self.clock_us(), api_objects.read_event(line)))
 
     def next_actions(self, call: Call, response: ResponseReader) -> list[reflector.Action]:
-        """Return the actions that follow a call."""
+        """Return the reflector's actions after the end of a call."""
         now_us = self.clock_us()
         if response.failure is None and response.is_complete and response.status == 200:
             if call.kind is CallKind.WATCH:
-                # an end within a line loses nothing: the next watch begins at the last complete one
+                # if it ended within a line, no event is lost: the next watch starts after the last complete line
                 return self.reflector.on_watch_end(now_us)
             try:
                 return self.reflector.on_page(now_us, api_objects.read_list(bytes(response.body)))
@@ -328,7 +330,7 @@
         reason = (
             str(response.failure) or type(response.failure).__name__
             if response.failure
-            else "the connection ended early"
+            else "connection closed before the end of the response"
         )
         return self.reflector.on_failure(now_us, Failure(reason))
 
@@ -343,5 +345,5 @@
     on_failure: Callable[[], None],
     clock_us: Callable[[], int],
 ) -> ApiClient:
-    """Return a client that follows one service's slices."""
+    """Return a client that follows the slices of one service; `seed` determines the jitter of its retries."""
     return ApiClient(access, Reflector(namespace, service, Random(seed), watch_s), on_changes, on_failure, clock_us)
--- a/ryepier/slices/api_objects.py
+++ b/ryepier/slices/api_objects.py
@@ -1,6 +1,7 @@
-"""EndpointSlices of discovery.k8s.io/v1 and the events of a watch, as published.
+"""Types of discovery.k8s.io/v1: EndpointSlices, lists of them, and the events of a watch.
 
-Pure: JSON in, structs out. Unknown fields are skipped, as the API requires; optional ones may be null.
+The functions decode JSON; there is no I/O. Unknown fields are ignored, as the API requires, and optional fields may be
+null.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class EventKind(enum.Enum):
-    """Kind of an event of a watch."""
+    """Type of a watch event."""
 
     ADDED = "ADDED"
     MODIFIED = "MODIFIED"
@@ -26,11 +27,11 @@
 
 
 class SliceError(RyepierError):
-    """Input that is no EndpointSlice, no list of them, or no event of a watch."""
+    """Input can't be decoded as an EndpointSlice, a list of them or a watch event."""
 
 
 class Conditions(msgspec.Struct, frozen=True):
-    """Conditions of an endpoint. Each may be unset; the properties apply the API's defaults."""
+    """Conditions of an endpoint. Each may be unset; the properties apply the defaults of the API."""
 
     ready: bool | None = None
     serving: bool | None = None
@@ -38,22 +39,22 @@
 
     @property
     def is_ready(self) -> bool:
-        """Ready, or unset."""
+        """Whether the endpoint is ready; true if unset."""
         return self.ready is not False
 
     @property
     def is_serving(self) -> bool:
-        """Serving; if unset, ready."""
+        """Whether the endpoint is serving; the value of `is_ready` if unset."""
         return self.is_ready if self.serving is None else self.serving
 
     @property
     def is_terminating(self) -> bool:
-        """Terminating."""
+        """Whether the endpoint is terminating; false if unset."""
         return self.terminating is True
 
 
 class Reference(msgspec.Struct, frozen=True):
-    """The object behind an endpoint: usually a pod."""
+    """Reference to the object behind an endpoint, usually a pod."""
 
     uid: str | None = None
     name: str | None = None
@@ -61,7 +62,7 @@
 
 
 class ForZone(msgspec.Struct, frozen=True):
-    """A zone of a hint."""
+    """A zone in the hints of an endpoint."""
 
     name: str
 
@@ -75,7 +76,7 @@
 class Endpoint(msgspec.Struct, frozen=True, rename="camel"):
     """One endpoint of a slice."""
 
-    addresses: list[str]  # interchangeable; clients use the first
+    addresses: list[str]  # equivalent addresses; clients use the first one
     conditions: Conditions | None = None
     target_ref: Reference | None = None
     node_name: str | None = None
@@ -84,13 +85,13 @@
 
     @property
     def for_zones(self) -> tuple[str, ...]:
-        """The zones to serve from this endpoint, by the hints."""
+        """Zones that this endpoint should serve according to its hints."""
         zones = self.hints.for_zones if self.hints is not None else None
         return tuple(zone.name for zone in zones or ())
 
 
 class Port(msgspec.Struct, frozen=True):
-    """One port of a slice's endpoints."""
+    """One port, common to all endpoints of a slice."""
 
     port: int | None = None
     name: str | None = None
@@ -102,7 +103,7 @@
 
     name: str
     uid: str = ""
-    generation: int = 0  # grows with each change of the content
+    generation: int = 0  # increases with each change of the content
     resource_version: str = ""
     labels: dict[str, str] | None = None
 
@@ -119,7 +120,7 @@
 class ListMetadata(
     msgspec.Struct, frozen=True, rename={"resource_version": "resourceVersion", "continue_token": "continue"}
 ):
-    """Metadata of a page."""
+    """Metadata of one page of a list."""
 
     resource_version: str = ""
     continue_token: str | None = None  # the token for the next page
@@ -141,7 +142,7 @@
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """One event of a watch: with a slice, or a status for an error; a bookmark has neither."""
+    """One event of a watch. Has a slice, or a status if it is an error; a bookmark has neither."""
 
     kind: EventKind
     slice: Slice | None = None
@@ -159,7 +160,8 @@
 
 
 def list_query(service: str, page_size: int | None, continue_token: str) -> dict[str, str]:
-    """Return the query of a list of a service's slices; `more` is the token of a further page, None no page size."""
+    """Return the query parameters to list a service's slices. A `page_size` of None disables paging; `continue_token`
+    is empty for the first page."""
     query = {"labelSelector": f"{SERVICE_LABEL}={service}"}
     if page_size is not None:
         query["limit"] = str(page_size)
@@ -169,7 +171,7 @@
 
 
 def watch_query(service: str, version: str, timeout_s: int) -> dict[str, str]:
-    """Return the query of a watch of a service's slices since a resource version."""
+    """Return the query parameters to watch a service's slices from a resource version on."""
     return {
         "labelSelector": f"{SERVICE_LABEL}={service}",
         "watch": "true",
@@ -180,13 +182,13 @@
 
 
 def read_list(data: bytes) -> SliceList:
-    """Return a page. Raises SliceError."""
+    """Decode one page of a list. Raises SliceError."""
     page: SliceList = _read(data, SliceList)
     return page
 
 
 def read_status(data: bytes) -> Status:
-    """Return the status of a failed call; an empty one if it can't be read."""
+    """Decode the status of a failed call; returns an empty one if it can't be decoded."""
     try:
         status: Status = _read(data, Status)
     except SliceError:
@@ -195,12 +197,12 @@
 
 
 def read_event(line: bytes) -> WatchEvent:
-    """Return the event of one line. Raises SliceError."""
+    """Decode the event in one line of a watch. Raises SliceError."""
     raw = _read(line, _RawEvent)
     try:
         kind = EventKind(raw.type)
     except ValueError:
-        raise SliceError(f"unknown event {raw.type!r}") from None
+        raise SliceError(f"unknown event type {raw.type!r}") from None
     if kind is EventKind.ERROR:
         return WatchEvent(kind, status=_read(raw.object, Status))
     if kind is EventKind.BOOKMARK:
@@ -213,4 +215,4 @@
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise SliceError(f"unreadable: {error}") from None
+        raise SliceError(f"can't be decoded: {error}") from None
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -1,7 +1,7 @@
-"""Turns merged endpoints into the module's entries: numbers, damped readiness, and the start of a warm-up.
+"""Turns merged endpoints into upstreams of the decision module: assigns ids, damps flapping, tracks restarts.
 
-Pure. Draining is published at once; only becoming ready again is delayed. Times are whole microseconds on the caller's
-clock.
+Draining is published at once; only the return to readiness is delayed. Times are whole microseconds on the caller's
+clock. No I/O.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 
-MAX_DELAY_DOUBLINGS = 5  # one for each flap
-FLAP_RESET_US = 60_000_000  # of readiness, after which earlier flaps do not count
-MIN_RESTART_US = 2_000_000  # a container that was not ready for less can't have restarted
-MAX_REMEMBERED_IDENTITIES = 20_000  # identities remembered, so that a move between slices is no restart
+MAX_DELAY_DOUBLINGS = 5  # the delay doubles with each flap, up to this many times
+FLAP_RESET_US = 60_000_000  # time since the last return to readiness after which earlier flaps no longer count
+MIN_RESTART_US = 2_000_000  # a container can't restart in less; a shorter time without readiness is no restart
+MAX_REMEMBERED_IDENTITIES = 20_000  # removed endpoints remembered, so that a move between slices is no restart
 
 
 class ListedEntry(NamedTuple):
-    """An entry of the list to publish, with its address."""
+    """An upstream to publish, with its address."""
 
     upstream: Upstream
     address: tuple[str, int]
@@ -32,46 +32,46 @@
 
 @dataclass(frozen=True, slots=True)
 class ListingRules:
-    """How the list is read for one sidecar."""
+    """How one sidecar derives its upstreams from endpoints."""
 
     zones: list[str]
-    unknown_kind: int  # slices don't have a converter's kind
+    unknown_kind: int  # index of the kind given to all upstreams, as slices don't contain it
     failure_domain_by: FailureDomainBy = FailureDomainBy.ENDPOINT
-    settle_us: int = 3_000_000  # of readiness, before an endpoint that was not ready is published
+    settle_us: int = 3_000_000  # how long an endpoint must be ready again before it is published as ready
 
 
 @dataclass(slots=True)
 class _ListedEndpoint:
-    """One identity that is or was listed."""
+    """Publication state of an endpoint that is or was listed."""
 
     upstream_id: int
     endpoint: MergedEndpoint
     published: UpstreamState
     started_us: int  # 0 = long ago
     unready_since_us: int = 0  # 0 = it is ready
-    ready_since_us: int = 0  # by the slices
+    ready_since_us: int = 0  # when the slices last reported it as ready again
     flaps: int = 0
 
     def publish_at_us(self, settle_us: int) -> int:
-        """Return when an endpoint that is ready again may be published."""
+        """Return the time at which an endpoint that is ready again may be published as ready."""
         return self.ready_since_us + (settle_us << min(self.flaps - 1, MAX_DELAY_DOUBLINGS))
 
 
 class EndpointListing:
-    """The endpoints as they were published."""
+    """The endpoints and the states in which they were last published."""
 
     def __init__(self, rules: ListingRules) -> None:
-        """Start empty."""
+        """Start without endpoints; those added before `complete_list` count as started long ago."""
         self.rules = rules
         self.endpoints: dict[str, _ListedEndpoint] = {}
         self.removed: OrderedDict[str, _ListedEndpoint] = OrderedDict()
-        self.settling: set[str] = set()  # ready again, not published yet
+        self.settling: set[str] = set()  # identities that are ready again but not yet published as ready
         self.failure_domains: dict[str, int] = {}
         self.last_upstream_id = 0
         self.has_complete_list = False  # a complete list has been published
 
     def update(self, now_us: int, changes: Mapping[str, MergedEndpoint | None]) -> list[ListedEntry]:
-        """Apply changes of the merger. Returns the entries to publish."""
+        """Apply changes of the merger, where None removes an endpoint. Returns the entries to publish."""
         entries = []
         for identity, endpoint in changes.items():
             entry = self._remove(identity) if endpoint is None else self._change(now_us, identity, endpoint)
@@ -80,19 +80,19 @@
         return entries + self._publish_settled(now_us)
 
     def complete_list(self) -> list[ListedEntry]:
-        """Return all entries. From now on, a new endpoint counts as started just now."""
+        """Return all entries. From now on, new endpoints count as started when they are added."""
         self.has_complete_list = True
         return [self._make_entry(listed) for listed in self.endpoints.values()]
 
     @property
     def next_due_us(self) -> int | None:
-        """When the next endpoint is to be published."""
+        """When the next endpoint that is ready again is due to be published; None if there is none."""
         return min(
             (self.endpoints[identity].publish_at_us(self.rules.settle_us) for identity in self.settling), default=None
         )
 
     def upstream_ids(self) -> dict[str, int]:
-        """Return the number of each listed identity."""
+        """Return the upstream ids of the listed endpoints by identity."""
         return {identity: listed.upstream_id for identity, listed in self.endpoints.items()}
 
     def _remove(self, identity: str) -> ListedEntry | None:
@@ -101,7 +101,7 @@
         if listed is None:
             return None
         listed.published = REMOVED
-        if not is_address(identity):  # an address may be reused by another process, a pod's uid never
+        if not is_address(identity):  # another process may reuse an address, but never a pod's uid
             self.removed[identity] = listed
         while len(self.removed) > MAX_REMEMBERED_IDENTITIES:
             self.removed.popitem(last=False)
@@ -129,7 +129,7 @@
         listed = self.removed.pop(identity, None)
         if listed is None:
             self.last_upstream_id += 1
-            # endpoints of the first complete list are assumed to have started long ago, later ones just now
+            # endpoints of the first complete list are assumed to have started long ago, later ones when they appear
             listed = _ListedEndpoint(
                 self.last_upstream_id, endpoint, endpoint.state, now_us if self.has_complete_list else 0
             )
@@ -144,7 +144,7 @@
         return self._make_entry(listed)
 
     def _on_ready_again(self, now_us: int, identity: str, listed: _ListedEndpoint) -> None:
-        """Note an endpoint that is ready again: it has to last before it is published."""
+        """Record that an endpoint is ready again; it is published as ready only after the settle time."""
         if listed.ready_since_us and now_us - listed.ready_since_us > FLAP_RESET_US:
             listed.flaps = 0
         listed.flaps += 1
@@ -181,8 +181,11 @@
         return ListedEntry(upstream, endpoint.address)
 
     def _failure_domain(self, listed: _ListedEndpoint) -> int:
-        """Return the failure domain. Two converters wrongly in one would let a request run twice: without a node each
-        has its own, with a number that no node has."""
+        """Return the failure domain.
+
+        Two converters that share a domain by mistake could execute a request twice. So a converter without a node gets
+        a domain of its own: a negative number, which no node has.
+        """
         node = listed.endpoint.node
         if self.rules.failure_domain_by is FailureDomainBy.ENDPOINT or not node:
             return -listed.upstream_id
--- a/ryepier/slices/endpoint_slice_merger.py
+++ b/ryepier/slices/endpoint_slice_merger.py
@@ -1,14 +1,14 @@
-"""Merges many EndpointSlices into one list of endpoints, in whatever order their events arrive.
+"""Merges many EndpointSlices into one list of endpoints, whatever the order in which their events arrive.
 
-Pure. A changed slice costs its own endpoints, not the whole list. The rules, by the number in `MergedEndpoint.rule`
-(docs/design/slices.md has the reasons):
+The cost of a changed slice is proportional to its own endpoints, not to the whole list. There is no I/O. The merge
+rules follow; `MergedEndpoint.rule` has the number of the one that decided. docs/design/slices.md has their reasons.
 
-1. an endpoint is identified by its targetRef's uid, or else by address and port;
-2. of one slice the greatest generation counts, of one name the newest uid, and a complete list over both;
-3. a pod's uid that was terminating in any generation of any slice stays terminating;
-4. of several slices the highest risk counts: terminating, then not serving, then not ready, then ready;
-5. an endpoint that is in no slice is removed;
-6. if all vanish at once, the last list is held for a while.
+1. An endpoint is identified by the uid of its targetRef, or by address and port if it has none.
+2. The greatest generation of a slice counts, and the newest uid of a slice's name. A complete list overrides both.
+3. A pod's uid that was terminating in any generation of any slice stays terminating.
+4. If slices differ, the highest risk counts: terminating, then not serving, then not ready, then ready.
+5. An endpoint that is in no slice is removed.
+6. If all endpoints vanish at once, the last list is kept for some time.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from ryepier.balancer.interface import UpstreamState
 from ryepier.slices.api_objects import Endpoint, Slice
 
-MAX_TERMINATED_UIDS = 50_000  # uids remembered as terminating: a day of releases
-MAX_DELETED_SLICES = 10_000  # uids remembered
-EMPTY_LIST_HOLD_US = 30_000_000  # for which an empty list is not applied
-ADDRESS_TYPES = ("IPv4", "IPv6")  # FQDN is deprecated, and resolving a name would delay a request
+MAX_TERMINATED_UIDS = 50_000  # remembered uids of terminating pods; enough for one day of releases
+MAX_DELETED_SLICES = 10_000  # remembered uids of deleted slices
+EMPTY_LIST_HOLD_US = 30_000_000  # how long the last list is kept when all endpoints vanish at once
+ADDRESS_TYPES = ("IPv4", "IPv6")  # FQDN is deprecated, and resolving names would delay requests
 RISKS = ("ready", "not ready", "not serving", "terminating")
 
 
@@ -36,26 +36,26 @@
     zone: str
     node: str
     for_zones: tuple[str, ...]
-    risk: int  # an index of RISKS
+    risk: int  # index into RISKS
 
 
 @dataclass(frozen=True, slots=True)
 class MergedEndpoint:
-    """The state of one endpoint, merged from all slices."""
+    """The state of one endpoint, merged from all slices that list it."""
 
     identity: str
     address: tuple[str, int]
     zone: str
     node: str
     state: UpstreamState
-    terminating: bool  # for good
-    rule: int  # that decided
-    source_slices: tuple[str, ...]  # their names
+    terminating: bool  # if set, it never becomes ready again
+    rule: int  # number of the merge rule that decided
+    source_slices: tuple[str, ...]  # names of the slices
 
 
 @dataclass(frozen=True, slots=True)
 class _KnownSlice:
-    """The current slice of a uid; its endpoints are in the observations."""
+    """The current generation of a slice. Its endpoints are stored in `EndpointSliceMerger.observations`."""
 
     name: str
     generation: int
@@ -63,7 +63,7 @@
 
 
 def risk_of(endpoint: Endpoint) -> int:
-    """Return the risk of sending to an endpoint, by its conditions: an index of RISKS."""
+    """Return the risk of sending requests to an endpoint with its conditions, as an index into RISKS."""
     conditions = endpoint.conditions
     if conditions is None:
         return 0
@@ -75,7 +75,7 @@
 
 
 def has_pod_uid(endpoint: Endpoint) -> bool:
-    """Return whether an endpoint refers to an object with a uid."""
+    """Return whether an endpoint's targetRef has a uid."""
     return endpoint.target_ref is not None and bool(endpoint.target_ref.uid)
 
 
@@ -96,24 +96,25 @@
     """The slices of one service, and the endpoints merged from them."""
 
     def __init__(self, port_name: str = "", hold_us: int = EMPTY_LIST_HOLD_US) -> None:
-        """Start without slices. `port_name` is that of a slice's port; empty: its first."""
+        """Start without slices. `port_name` selects the port of each slice; if empty, its first port is used.
+        `hold_us` is the time for which the last list is kept when all endpoints vanish at once."""
         self.port_name = port_name
         self.hold_us = hold_us
         self.slices: dict[str, _KnownSlice] = {}  # by uid
-        self.uid_by_name: dict[str, str] = {}  # current uid
+        self.uid_by_name: dict[str, str] = {}  # current uid of each slice name
         self.observations: dict[str, dict[str, EndpointObservation]] = {}  # by identity and slice uid
-        self.deleted_slices: OrderedDict[str, None] = OrderedDict()
-        self.terminated_uids: OrderedDict[str, None] = OrderedDict()  # of pods
-        self.skipped_slices: dict[str, str] = {}  # unusable slices: reason by name
-        self.current_endpoints: dict[str, MergedEndpoint] = {}  # the list as last returned
-        self.changed_identities: set[str] = set()  # identities whose observations changed since
+        self.deleted_slices: OrderedDict[str, None] = OrderedDict()  # uids of deleted slices
+        self.terminated_uids: OrderedDict[str, None] = OrderedDict()  # uids of terminating pods
+        self.skipped_slices: dict[str, str] = {}  # by name, why a slice can't be used
+        self.current_endpoints: dict[str, MergedEndpoint] = {}  # the list after the last call of `changes`
+        self.changed_identities: set[str] = set()  # identities with changed observations since that call
         self.empty_since_us: int | None = None
 
     # Slices
 
     def apply(self, endpoint_slice: Slice) -> bool:
-        """Add or change a slice. Returns whether it is newer than what is known (rule 2)."""
-        self._record_terminated(endpoint_slice)  # rule 3, also from an old generation
+        """Add or change a slice. Returns False if it is not newer than the known generation and is ignored (rule 2)."""
+        self._record_terminated(endpoint_slice)  # rule 3 applies to outdated generations too
         uid = self._uid(endpoint_slice)
         known = self.slices.get(uid)
         generation = endpoint_slice.metadata.generation
@@ -123,13 +124,13 @@
         return True
 
     def delete(self, endpoint_slice: Slice) -> None:
-        """Delete a slice for good: its uid does not return."""
+        """Delete a slice. Later events with its uid are ignored until a complete list contains it again."""
         self._record_terminated(endpoint_slice)
         self._remove_slice(self._uid(endpoint_slice))
 
     def replace(self, slices: list[Slice]) -> None:
-        """Replace all slices by a complete list, of whatever generations: a cluster restored from a backup starts from
-        there."""
+        """Replace all slices by a complete list, even by older generations, as a cluster that was restored from a
+        backup has them."""
         listed = {self._uid(endpoint_slice) for endpoint_slice in slices}
         for uid in [uid for uid in self.slices if uid not in listed]:
             self._remove_slice(uid)
@@ -142,7 +143,7 @@
         name = endpoint_slice.metadata.name
         previous_uid = self.uid_by_name.get(name)
         if previous_uid is not None and previous_uid != uid:
-            self._remove_slice(previous_uid)  # recreated under its name: the deletion of the older one is on its way
+            self._remove_slice(previous_uid)  # recreated under the same name; the old slice's deletion will follow
         self._drop_observations(uid)
         observations = self._read_observations(endpoint_slice)
         for identity, observation in observations.items():
@@ -152,7 +153,7 @@
         self.uid_by_name[name] = uid
 
     def _read_observations(self, endpoint_slice: Slice) -> dict[str, EndpointObservation]:
-        """Return the observations of a slice by identity; of an endpoint that it lists twice, the riskier one."""
+        """Return the observations of a slice by identity. If it lists an endpoint twice, the higher risk counts."""
         name = endpoint_slice.metadata.name
         port = self._select_port(endpoint_slice)
         reason = "" if endpoint_slice.address_type in ADDRESS_TYPES else f"address type {endpoint_slice.address_type!r}"
@@ -187,7 +188,7 @@
 
     def _record_terminated(self, endpoint_slice: Slice) -> None:
         for endpoint in endpoint_slice.endpoints or []:
-            # not by address: the next endpoint there would never be ready
+            # Only uids are recorded: with a recorded address, the next endpoint at that address would never be ready.
             if risk_of(endpoint) == 3 and has_pod_uid(endpoint):
                 identity = identity_of(endpoint, 0)
                 if identity not in self.terminated_uids:
@@ -223,8 +224,8 @@
     # Merged list
 
     def changes(self, now_us: int) -> dict[str, MergedEndpoint | None]:
-        """Return the changes since the last call by identity; None for removed endpoints. An empty list is applied only
-        after a while (rule 6)."""
+        """Return the changed endpoints since the last call by identity; None for removed ones. An empty list is applied
+        only after the hold time (rule 6)."""
         if not self.observations and self.current_endpoints:
             return self._changes_while_retained(now_us)
         if self.empty_since_us is not None:
@@ -239,18 +240,18 @@
         return self._commit(changes)
 
     def endpoints(self, now_us: int) -> dict[str, MergedEndpoint]:
-        """Return the complete list by identity."""
+        """Apply pending changes and return the complete list by identity."""
         self.changes(now_us)
         return self.current_endpoints
 
     @property
     def is_retained(self) -> bool:
-        """Whether the last list is held because all of it vanished at once."""
+        """Whether the last list is being kept because all endpoints vanished at once."""
         return self.empty_since_us is not None
 
     @property
     def next_due_us(self) -> int | None:
-        """When `changes` has to be called at the latest."""
+        """When `changes` must be called at the latest; None if nothing is pending."""
         return None if self.empty_since_us is None else self.empty_since_us + self.hold_us
 
     def _changes_while_retained(self, now_us: int) -> dict[str, MergedEndpoint | None]:
@@ -262,7 +263,8 @@
             self.empty_since_us = None
         else:
             for identity, last in self.current_endpoints.items():
-                terminating = last.terminating or identity in self.terminated_uids  # also in a retained list
+                # rule 3 applies to a retained list too
+                terminating = last.terminating or identity in self.terminated_uids
                 retained = replace(
                     last, rule=6, terminating=terminating, state=UpstreamState.DRAINING if terminating else last.state
                 )
--- a/ryepier/slices/reflector.py
+++ b/ryepier/slices/reflector.py
@@ -1,10 +1,11 @@
-"""List and watch as the published API prescribes, without sockets, clocks or randomness of its own.
+"""List and watch as the Kubernetes API prescribes, without sockets, clocks or a random source of its own.
 
-The results of a call go in (`on_page`, `on_event`, `on_failure`, `on_watch_end`, `on_wake`); actions come out: the next
-`Call`, or a `Wait` before it, and changes (`Replace`, `Apply`, `Delete`). At most one call is in flight.
+The caller reports the results of a call (`on_page`, `on_event`, `on_failure`, `on_watch_end`, `on_wake`). Each method
+returns actions to execute: the next `Call`, or a `Wait` before it, and changes (`Replace`, `Apply`, `Delete`). At most
+one call is in flight.
 
-The list is requested without a resourceVersion, so that it is the newest: one from a cache may be older than what was
-observed before, and list a draining converter as ready.
+Lists are requested without a resourceVersion to get the newest state. A list from the server's cache may be older than
+the state observed before, and show a draining converter as ready.
 """
 
 from __future__ import annotations
@@ -16,24 +17,24 @@
 
 from ryepier.slices.api_objects import EventKind, Slice, SliceList, WatchEvent, list_query, watch_query
 
-PAGE_SIZE = 50  # slices, of 100 endpoints each: about 2 MB
+PAGE_SIZE = 50  # slices; with 100 endpoints each, a page has about 2 MB
 FIRST_BACKOFF_US = 200_000
 MAX_BACKOFF_US = 10_000_000
-MAX_RETRY_AFTER_US = 60_000_000  # of a Retry-After
-HEALTHY_WATCH_US = 5_000_000  # the end of a watch that lasted this long is no failure
+MAX_RETRY_AFTER_US = 60_000_000  # a longer Retry-After is cut to this
+HEALTHY_WATCH_US = 5_000_000  # a watch that lasted this long was successful, and its end is no failure
 HTTP_GONE = 410
 
 
 class CallKind(enum.Enum):
-    """How the response to a call is read."""
+    """Determines how the response to a call is read."""
 
-    LIST = enum.auto()  # one page, complete
-    WATCH = enum.auto()  # event by event, as they arrive
+    LIST = enum.auto()  # one page, read completely
+    WATCH = enum.auto()  # events, read one by one as they arrive
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A GET to send."""
+    """Send a GET request."""
 
     target: str
     kind: CallKind
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replace:
-    """Replace all slices: a complete list."""
+    """Replace all slices by a complete list."""
 
     slices: list[Slice]
 
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A problem to log."""
+    """Log a problem."""
 
     reason: str
 
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """How a call failed; `status` of the response, 0 without one."""
+    """Why a call failed. `status` is the HTTP status, or 0 without a response."""
 
     reason: str
     status: int = 0
@@ -87,30 +88,31 @@
 
 
 class Reflector:
-    """Follows the slices of one service."""
+    """Follows the slices of one service by list and watch."""
 
     def __init__(self, namespace: str, service: str, random: Random, watch_s: int = 60) -> None:
-        """Prepare to follow a service; a watch lasts `watch_s` seconds."""
+        """Start without a resource version, so that the first call is a list; each watch lasts `watch_s` seconds."""
         self.path = f"/apis/discovery.k8s.io/v1/namespaces/{quote(namespace, safe='')}/endpointslices"
         self.service = service
         self.random = random
         self.watch_s = watch_s
-        self.resource_version = ""  # of the next watch; empty: list first
-        self.received_slices: list[Slice] = []
-        self.uses_paging = True  # a list that takes longer than the server keeps its pages would never be complete
+        self.resource_version = ""  # version from which the next watch starts; if empty, a list comes first
+        self.received_slices: list[Slice] = []  # slices of the pages received so far
+        # Turned off after an expired page: a list that takes longer than the server keeps its pages never completes.
+        self.uses_paging = True
         self.failures = 0
         self.call_started_us = 0
-        self.listed_after_expiry = False  # the last list was requested because the watch's version had been compacted
+        self.has_expired_before = False  # whether a resource version has expired before
 
     def start(self, now_us: int) -> list[Action]:
-        """Return the first call, or the next one after a wait."""
+        """Return the first call, or the next call after a wait."""
         self.call_started_us = now_us
         return [self._watch() if self.resource_version else self._list()]
 
     on_wake = start
 
     def on_page(self, now_us: int, page: SliceList) -> list[Action]:
-        """Take in a page of the list."""
+        """Handle a page of the list: request the next page, or replace all slices and start a watch."""
         self.received_slices += page.items or []
         if page.metadata.continue_token:
             self.call_started_us = now_us
@@ -118,12 +120,12 @@
         listed_slices, self.received_slices = self.received_slices, []
         self.resource_version, self.uses_paging = page.metadata.resource_version, True
         if not self.resource_version:
-            return [Replace(listed_slices), *self._retry(now_us, Failure("a list without a resourceVersion"))]
+            return [Replace(listed_slices), *self._retry(now_us, Failure("list has no resourceVersion"))]
         self.call_started_us = now_us
         return [Replace(listed_slices), self._watch()]
 
     def on_event(self, now_us: int, event: WatchEvent) -> list[Action]:
-        """Take in an event of the watch."""
+        """Handle an event of the watch. An error event ends the watch."""
         if event.status is not None:
             if event.status.code == HTTP_GONE:
                 return self._relist_after_expiry(now_us)
@@ -134,15 +136,15 @@
         return [Delete(event.slice) if event.kind is EventKind.DELETED else Apply(event.slice)]
 
     def on_watch_end(self, now_us: int) -> list[Action]:
-        """Take in the regular end of a watch."""
+        """Handle the regular end of a watch."""
         if now_us - self.call_started_us >= HEALTHY_WATCH_US:
             self.failures = 0
             self.call_started_us = now_us
             return [self._watch()]
-        return self._retry(now_us, Failure("the watch ended at once"))
+        return self._retry(now_us, Failure("watch ended too early"))
 
     def on_failure(self, now_us: int, failure: Failure) -> list[Action]:
-        """Take in the failure of a call."""
+        """Handle the failure of a call."""
         if failure.status == HTTP_GONE:
             return self._relist_after_expiry(now_us)
         if now_us - self.call_started_us >= HEALTHY_WATCH_US and self.resource_version:
@@ -150,22 +152,23 @@
         return self._retry(now_us, failure)
 
     def _relist_after_expiry(self, now_us: int) -> list[Action]:
-        """List again, as the version of a watch or page was compacted: at once, since a drain may have been missed, but
-        not repeatedly."""
+        """List again, as the server has compacted the resource version of the watch or page. This happens at once,
+        since a drain may have been missed, but with backoff if the version expires again shortly after."""
         was_listing = bool(self.received_slices) or not self.resource_version
         self.uses_paging = self.uses_paging and not was_listing
         self.resource_version, self.received_slices = "", []
-        expired_again, self.listed_after_expiry = (
-            self.listed_after_expiry and now_us - self.call_started_us < HEALTHY_WATCH_US,
+        expired_again, self.has_expired_before = (
+            self.has_expired_before and now_us - self.call_started_us < HEALTHY_WATCH_US,
             True,
         )
         if expired_again:
-            return self._retry(now_us, Failure("expired repeatedly", HTTP_GONE))
+            return self._retry(now_us, Failure("resource version expired again", HTTP_GONE))
         self.call_started_us = now_us
-        return [Problem("version expired; listing again"), self._list()]
+        return [Problem("resource version expired; listing again"), self._list()]
 
     def _retry(self, now_us: int, failure: Failure) -> list[Action]:
-        """Return a wait with exponential backoff and jitter, as all sidecars lose a server at the same moment."""
+        """Return a wait with exponential backoff. The jitter spreads the retries of all sidecars, which lose a server
+        at the same moment."""
         self.received_slices = []
         self.failures += 1
         max_backoff_us = min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(self.failures - 1, 20))
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -1,4 +1,4 @@
-"""EndpointSlices as the endpoint source of a sidecar, in place of the platform's discovery."""
+"""Endpoint source of a sidecar that follows EndpointSlices, in place of the platform's discovery."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 log = logging.getLogger(__name__)
 
 CACHE_VERSION = 1
-CACHE_INTERVAL_S = 5.0  # at least, between two writes
-MAX_LOGGED_ENTRIES = 20  # entries of one change
+CACHE_INTERVAL_S = 5.0  # least time between two writes of the cached list
+MAX_LOGGED_ENTRIES = 20  # entries per log line
 
 Listener = Callable[[UpstreamsUpdated, dict[int, tuple[str, int]]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a source."""
+    """Settings of a slice source: the service to follow, how to reach its API server, and how to merge the slices."""
 
     access: Access
     namespace: str
@@ -38,12 +38,12 @@
     watch_s: int = 60
     hold_us: int = 30_000_000
     cache: Path | None = None
-    pushed: bool = True  # else the module polls, and is notified of failures
+    pushed: bool = True  # if false, the decision module polls for lists and is notified of failures
     seed: int = 0
 
 
 class _CachedEndpoint(msgspec.Struct):
-    """One endpoint of the cached list."""
+    """One ready endpoint in the cached list."""
 
     identity: str
     host: str
@@ -59,10 +59,10 @@
 
 
 class SliceSource:
-    """Follows one service's slices; see `ryepier.sidecar.components.EndpointSource`."""
+    """Follows the slices of one service; implements `ryepier.sidecar.components.EndpointSource`."""
 
     def __init__(self, settings: Settings, listener: Listener, clock_us: Callable[[], int]) -> None:
-        """Prepare a source; `start` follows the slices."""
+        """Start without endpoints. `start` begins to follow the slices; updates of the list go to `listener`."""
         self.settings = settings
         self.listener = listener
         self.clock_us = clock_us
@@ -79,16 +79,16 @@
             clock_us,
         )
         self.version = 0
-        self.has_complete_list = False  # a complete list has arrived
+        self.has_complete_list = False  # whether a complete list has arrived from the API server
         self.is_retained = False
         self.update_timer: asyncio.TimerHandle | None = None
         self.cache_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
-    # Endpoint source
+    # Interface of EndpointSource
 
     def restore_cached(self) -> None:
-        """Publish the cached list: the API server may be unavailable."""
+        """Publish the cached list, if there is a valid one, so that the sidecar can serve without the API server."""
         if self.settings.cache is None:
             return
         try:
@@ -99,7 +99,9 @@
             log.warning("cached endpoint list is malformed: %s", error)
             return
         if cached_list.version != CACHE_VERSION or cached_list.service != self.service:
-            log.warning("cached endpoint list of version %d, of %s, not used", cached_list.version, cached_list.service)
+            log.warning(
+                "cached endpoint list ignored: it has version %d and is of %s", cached_list.version, cached_list.service
+            )
             return
         endpoints = {
             endpoint.identity: MergedEndpoint(
@@ -119,11 +121,11 @@
         self.publish(ListKind.CACHED, self.listing.update(self.clock_us(), endpoints))
 
     def start(self) -> None:
-        """Follow the slices from now on."""
+        """Start the task that follows the slices."""
         self.task = asyncio.get_running_loop().create_task(self.client.run())
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop following the slices and cancel the timers."""
         for timer in (self.update_timer, self.cache_timer):
             if timer is not None:
                 timer.cancel()
@@ -131,10 +133,11 @@
             self.task.cancel()
 
     async def wait_for_first_list(self) -> None:
-        """Return at once: the cached list is as good as any until the first one arrives."""
+        """Return at once, as the cached list can be used until the first list arrives."""
 
     def subscribe(self, active: bool) -> None:
-        """Publish the complete list, or a failure without one; the slices are followed all the time."""
+        """Answer a poll with the complete list, or with a failure if none has arrived. The slices are followed all the
+        time, so there is nothing to start or stop."""
         if active and not self.settings.pushed:
             if self.has_complete_list:
                 self.publish(ListKind.FULL, self.listing.complete_list())
@@ -142,21 +145,21 @@
                 self.publish(ListKind.FAILED, [])
 
     def upstream_ids(self) -> Mapping[str, int]:
-        """Return the number of each listed identity."""
+        """Return the upstream ids of the listed endpoints by identity."""
         return self.listing.upstream_ids()
 
     def apply_config(self, config: object) -> None:
-        """Ignore it: the platform's configuration has no settings of slices."""
+        """Do nothing, as the platform's configuration has no settings of slices."""
 
     @property
     def service(self) -> str:
-        """Namespace and name."""
+        """Namespace and name of the service, as in `namespace/name`."""
         return f"{self.settings.namespace}/{self.settings.service}"
 
-    # Listener of the client
+    # Callbacks of the API client
 
     def on_changes(self, changes: list[Replace | Apply | Delete]) -> None:
-        """Apply changes of the slices."""
+        """Apply changes of the slices and publish the resulting changes of the endpoint list."""
         for change in changes:
             if isinstance(change, Replace):
                 self.merger.replace(change.slices)
@@ -170,14 +173,14 @@
         self.update(is_first)
 
     def on_failure(self) -> None:
-        """Publish that a call has failed; it is retried."""
+        """Publish that a call has failed, if the decision module polls; the client retries the call."""
         if not self.settings.pushed:
             self.publish(ListKind.FAILED, [])
 
     # Publishing
 
     def update(self, is_first: bool = False) -> None:
-        """Publish the changes, and schedule those that are due later."""
+        """Publish the changes that are due (the complete list if `is_first`), and schedule the next update."""
         now_us = self.clock_us()
         entries = self.listing.update(now_us, self.merger.changes(now_us))
         if is_first:
@@ -189,7 +192,7 @@
             self.publish(ListKind.DELTA, entries)
         if self.merger.is_retained and not self.is_retained:
             log.error(
-                "EndpointSlices of %s: all endpoints vanished at once; the last list is held for %d s",
+                "EndpointSlices of %s: all endpoints vanished at once; keeping the last list for %d s",
                 self.service,
                 self.settings.hold_us // 1_000_000,
             )
@@ -197,7 +200,7 @@
         self.schedule_update()
 
     def schedule_update(self) -> None:
-        """Schedule the next update."""
+        """Set the timer for the next update, if any change is due later."""
         if self.update_timer is not None:
             self.update_timer.cancel()
             self.update_timer = None
@@ -207,7 +210,7 @@
             self.update_timer = asyncio.get_running_loop().call_later(delay_s, self.update)
 
     def publish(self, kind: ListKind, entries: list[ListedEntry]) -> None:
-        """Notify the listener, and schedule a write of the cached list."""
+        """Pass an update to the listener, log it, and schedule a write of the cached list."""
         self.version += 1
         if entries:
             entry_texts = " ".join(
@@ -225,7 +228,7 @@
             self.cache_timer = asyncio.get_running_loop().call_later(CACHE_INTERVAL_S, self.write_cache)
 
     def write_cache(self) -> None:
-        """Replace the cached list atomically."""
+        """Replace the file with the cached list atomically."""
         self.cache_timer = None
         path = self.settings.cache
         assert path is not None
@@ -239,4 +242,4 @@
             temporary_path.write_bytes(msgspec.json.encode(_CachedList(CACHE_VERSION, self.service, ready)))
             os.replace(temporary_path, path)
         except OSError as error:
-            log.warning("endpoint list not cached: %s", error)
+            log.warning("could not write the cached endpoint list: %s", error)
