--- a/ryepier/slices/endpoint_slice_merger.py
+++ b/ryepier/slices/endpoint_slice_merger.py
@@ -116,9 +116,9 @@
         """Add or change a slice. Returns False if it is not newer than the known generation and is ignored (rule 2)."""
         self._record_terminated(endpoint_slice)  # rule 3 applies to outdated generations too
         uid = self._uid(endpoint_slice)
-        known = self.slices.get(uid)
+        known_slice = self.slices.get(uid)
         generation = endpoint_slice.metadata.generation
-        if uid in self.deleted_slices or (known is not None and 0 < generation <= known.generation):
+        if uid in self.deleted_slices or (known_slice is not None and 0 < generation <= known_slice.generation):
             return False
         self._store(uid, endpoint_slice)
         return True
@@ -202,8 +202,8 @@
         return endpoint_slice.metadata.uid or endpoint_slice.metadata.name
 
     def _drop_observations(self, uid: str) -> None:
-        known = self.slices.get(uid)
-        for identity in known.identities if known is not None else ():
+        known_slice = self.slices.get(uid)
+        for identity in known_slice.identities if known_slice is not None else ():
             observations = self.observations[identity]
             del observations[uid]
             if not observations:
@@ -212,11 +212,11 @@
 
     def _remove_slice(self, uid: str) -> None:
         self._drop_observations(uid)
-        known = self.slices.pop(uid, None)
-        if known is not None:
-            self.skipped_slices.pop(known.name, None)
-            if self.uid_by_name.get(known.name) == uid:
-                del self.uid_by_name[known.name]
+        known_slice = self.slices.pop(uid, None)
+        if known_slice is not None:
+            self.skipped_slices.pop(known_slice.name, None)
+            if self.uid_by_name.get(known_slice.name) == uid:
+                del self.uid_by_name[known_slice.name]
         self.deleted_slices[uid] = None
         while len(self.deleted_slices) > MAX_DELETED_SLICES:
             self.deleted_slices.popitem(last=False)
--- a/tests/api_server_testbed.py
+++ b/tests/api_server_testbed.py
@@ -24,11 +24,11 @@
 def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
     """Run a test in an event loop, with a bound on its time."""
 
-    async def limited() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(4 * HANG_TIMEOUT_S):
             await test()
 
-    asyncio.run(limited())
+    asyncio.run(run_with_timeout())
 
 
 def slice_content(*pods: str, draining: str = "", family: str = "IPv4") -> dict[str, Any]:
@@ -65,14 +65,14 @@
         )
         self.api.on_change()
 
-    def follow(self, access: Access | None = None, **more: Any) -> SliceSource:
+    def follow(self, access: Access | None = None, **options: Any) -> SliceSource:
         """Start a source, with further settings."""
         settings = Settings(
             access or Access("127.0.0.1", self.port, False),
             "default",
             "convert",
             ListingRules([], 0, settle_us=50_000),
-            **more,
+            **options,
         )
         self.source = SliceSource(settings, self.on_update, clock_us)
         self.source.restore_cached()
@@ -87,12 +87,12 @@
     def states(self) -> dict[str, UpstreamState]:
         """Return the state of each pod at the decision module, by all updates so far."""
         assert self.source is not None
-        known: dict[int, UpstreamState] = {}
+        state_by_id: dict[int, UpstreamState] = {}
         for event in self.events:
             if event.kind in (ListKind.FULL, ListKind.CACHED):
-                known.clear()
-            known |= {entry.id: entry.state for entry in event.upstreams}
-        return {uid: known[ident] for uid, ident in self.source.upstream_ids().items()}
+                state_by_id.clear()
+            state_by_id |= {entry.id: entry.state for entry in event.upstreams}
+        return {uid: state_by_id[upstream_id] for uid, upstream_id in self.source.upstream_ids().items()}
 
 
 @asynccontextmanager
--- a/tests/plan_scenarios.py
+++ b/tests/plan_scenarios.py
@@ -26,7 +26,7 @@
 from ryepier.plan.plan_follower import AcceptanceRules
 
 RULES = AcceptanceRules(fleet=10)
-LISTED = {f"c{i}" for i in range(10)}
+LISTED_UIDS = {f"c{i}" for i in range(10)}
 SECOND_US = 1_000_000
 
 
@@ -45,40 +45,45 @@
     )
 
 
-def ejections(count: int) -> dict[str, ConverterAdvice]:
+def eject_first(count: int) -> dict[str, ConverterAdvice]:
     """Return advice that ejects the first converters."""
     return {f"c{i}": ConverterAdvice(ejected=True, trial_share=0.0) for i in range(count)}
 
 
 def report_attempts(
-    evidence: Evidence, now_us: int, name: str, results: dict[str, tuple[int, int]], slower: tuple[str, ...] = ()
+    evidence: Evidence, now_us: int, name: str, results: dict[str, tuple[int, int]], slow_uids: tuple[str, ...] = ()
 ) -> None:
     """Merge a forwarder's next report: by converter, how many more attempts were served and how many failed.
 
     An attempt takes 16 to 32 ms, or 64 to 128 ms at the slower converters; ten requests of the one class have arrived.
     """
-    known = evidence.forwarders.get(name)
-    if known is None:
+    forwarder = evidence.forwarders.get(name)
+    if forwarder is None:
         evidence.merge(now_us, name, 1, Report(1, 10, {}, {}, [], [], 0))
-        known = evidence.forwarders[name]
+        forwarder = evidence.forwarders[name]
     counters = {}
     for uid, (served, failed) in results.items():
-        old = known.converters[uid].counters if uid in known.converters else ConverterCounters()
-        slow = uid in slower
-        counts = [*old.latencies, *[0] * (8 - len(old.latencies))]
-        counts[7 if slow else 5] += served
+        previous = forwarder.converters[uid].counters if uid in forwarder.converters else ConverterCounters()
+        is_slow = uid in slow_uids
+        latencies = [*previous.latencies, *[0] * (8 - len(previous.latencies))]
+        latencies[7 if is_slow else 5] += served
         counters[uid] = ConverterCounters(
-            old.attempts + served + failed, old.served + served, old.failed + failed, 0, tuple(counts)
+            previous.attempts + served + failed, previous.served + served, previous.failed + failed, 0, tuple(latencies)
         )
     evidence.merge(
-        now_us, name, 1, Report(known.last_report_number + 1, 10, counters, {}, [], [10 * known.last_report_number], 0)
+        now_us,
+        name,
+        1,
+        Report(forwarder.last_report_number + 1, 10, counters, {}, [], [10 * forwarder.last_report_number], 0),
     )
 
 
-def report_healthy(evidence: Evidence, now_us: int, but: dict[str, tuple[int, int]], names: int = 10) -> None:
+def report_healthy(
+    evidence: Evidence, now_us: int, overrides: dict[str, tuple[int, int]], forwarder_count: int = 10
+) -> None:
     """Merge reports of forwarders for which all converters are healthy, except these."""
-    for index in range(names):
-        report_attempts(evidence, now_us, f"f{index}", dict.fromkeys(LISTED, (3, 0)) | but)
+    for index in range(forwarder_count):
+        report_attempts(evidence, now_us, f"f{index}", dict.fromkeys(LISTED_UIDS, (3, 0)) | overrides)
 
 
 def compute_plan(planner: Planner, evidence: Evidence, now_us: int) -> Plan:
@@ -98,8 +103,10 @@
     return balancer
 
 
-def sent_upstreams(balancer: Balancer, count: int, before: Event) -> list[int]:
+def sent_upstreams(balancer: Balancer, count: int, event: Event) -> list[int]:
     """Send an event and then requests, and return the upstreams that the balancer sends them to."""
-    balancer.handle(2, before)
-    actions = [a for i in range(count) for a in balancer.handle(3 + i, RequestArrived(i, due_us=10 * SECOND_US))]
+    balancer.handle(2, event)
+    actions = [
+        action for i in range(count) for action in balancer.handle(3 + i, RequestArrived(i, due_us=10 * SECOND_US))
+    ]
     return [action.upstream for action in actions if isinstance(action, Send)]
--- a/tests/planner_fixtures.py
+++ b/tests/planner_fixtures.py
@@ -20,7 +20,7 @@
         "b": messages.ConverterAdvice(1.0, 0, True, 0.4, "bad"),
     }
     basis = messages.PlanBasis(5, 1500, 9, 12, 88)
-    sent: list[messages.Message] = [
+    messages_to_encode: list[messages.Message] = [
         messages.Hello(1, "f1", 77),
         messages.Hello(1, "p2", 78, True),
         messages.Report(4, 12, counters, {"a": 2}, [7, 1], [3, 5], 4, TERM, 250),
@@ -30,7 +30,7 @@
         messages.Rejection("full", 500),
         messages.Rejection("x"),
     ]
-    return [messages.encode(message) for message in sent]
+    return [messages.encode(message) for message in messages_to_encode]
 
 
 def snapshot_file() -> bytes:
--- a/tests/test_plan_computation.py
+++ b/tests/test_plan_computation.py
@@ -22,7 +22,7 @@
 from ryepier.plan.plan_computation import Planner
 from ryepier.plan.plan_follower import PlanFollower
 from tests.plan_scenarios import (
-    LISTED,
+    LISTED_UIDS,
     RULES,
     SECOND_US,
     balancer_with_upstreams,
@@ -36,9 +36,9 @@
 def test_planner_with_too_few_reports_sends_no_plan() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     assert planner.plan(5 * SECOND_US, evidence, Term(1, "a"), 1) is None
-    report_healthy(evidence, 0, {}, names=4)
+    report_healthy(evidence, 0, {}, forwarder_count=4)
     assert planner.plan(2 * SECOND_US, evidence, Term(1, "a"), 1) is None  # fewer than half of the fleet
-    report_healthy(evidence, SECOND_US, {}, names=6)
+    report_healthy(evidence, SECOND_US, {}, forwarder_count=6)
     assert planner.plan(SECOND_US - 1, evidence, Term(1, "a"), 1) is None  # for too short a time
     assert compute_plan(planner, evidence, SECOND_US).entries == {}
 
@@ -58,10 +58,10 @@
     assert list(dict.fromkeys(states)) == ["ejected", 0.25, 0.5, 1.0]
 
 
-def test_slow_converter_gets_less_weight_by_its_median_despite_a_few_heavy_requests() -> None:
+def test_slow_converter_gets_less_weight_by_median_latency_not_by_outliers() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     for index in range(6):
-        report_attempts(evidence, 2 * SECOND_US, f"f{index}", dict.fromkeys(LISTED, (6, 0)), ("c3",))
+        report_attempts(evidence, 2 * SECOND_US, f"f{index}", dict.fromkeys(LISTED_UIDS, (6, 0)), ("c3",))
         report_attempts(evidence, 2 * SECOND_US, f"f{index}", {"c4": (1, 0)}, ("c4",))
     [(uid, entry)] = compute_plan(planner, evidence, 2 * SECOND_US).entries.items()
     assert uid == "c3" and entry.weight == 0.25 and entry.concurrency_limit == 1 and "96 ms" in entry.reason
@@ -71,22 +71,22 @@
     planner, evidence = Planner(RULES, [], [25.0]), Evidence(0)
     for at_us in (2 * SECOND_US, 2 * SECOND_US + 1):
         report_healthy(
-            evidence, at_us, {}, names=5
+            evidence, at_us, {}, forwarder_count=5
         )  # 5 forwarders, 10 more arrivals each: 100 within 2 s are 50 a second
     plan = compute_plan(planner, evidence, 2 * SECOND_US + 1)
     assert plan.class_admission == [pytest.approx(0.5, rel=0.01)]
     follower = PlanFollower("f", RULES)
-    assert follower.accept_plan(0, plan, LISTED) is None and follower.class_admission(0) == plan.class_admission
+    assert follower.accept_plan(0, plan, LISTED_UIDS) is None and follower.class_admission(0) == plan.class_admission
     assert 0.5 < follower.class_admission(15 * SECOND_US)[0] < 1.0 and follower.class_admission(60 * SECOND_US) == []
     balancer = balancer_with_upstreams(4)
-    admitted = sent_upstreams(balancer, 4, PlanUpdated(class_admission=[0.5]))
-    assert len(admitted) == 2
+    sent = sent_upstreams(balancer, 4, PlanUpdated(class_admission=[0.5]))
+    assert len(sent) == 2
 
 
 def test_forwarder_for_which_every_converter_fails_is_ignored() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     report_healthy(evidence, 2 * SECOND_US, {})
-    report_attempts(evidence, 2 * SECOND_US, "f0", dict.fromkeys(LISTED, (0, 50)))
+    report_attempts(evidence, 2 * SECOND_US, "f0", dict.fromkeys(LISTED_UIDS, (0, 50)))
     assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {} and planner.outlier_reporters == {"f0"}
 
 
@@ -98,34 +98,34 @@
     assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {}
 
 
-def test_no_converter_is_ejected_where_much_of_the_fleet_fails() -> None:
+def test_no_converter_is_ejected_when_half_of_the_fleet_fails() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     report_healthy(evidence, 2 * SECOND_US, {f"c{i}": (0, 3) for i in range(5)})
     assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {} and planner.fleet_is_failing
 
 
-def test_plan_from_any_evidence_is_valid_to_forwarders() -> None:
+def test_plan_from_any_evidence_is_accepted_by_forwarders() -> None:
     @given(
         st.lists(
-            st.dictionaries(st.sampled_from(sorted(LISTED)), st.tuples(st.integers(0, 9), st.integers(0, 9))),
+            st.dictionaries(st.sampled_from(sorted(LISTED_UIDS)), st.tuples(st.integers(0, 9), st.integers(0, 9))),
             min_size=5,
             max_size=10,
         )
     )
-    def check(views: list[dict[str, tuple[int, int]]]) -> None:
+    def check(results_by_forwarder: list[dict[str, tuple[int, int]]]) -> None:
         planner, evidence = Planner(RULES, [0.5, 0.5]), Evidence(0)
-        for index, results in enumerate(views):
+        for index, results in enumerate(results_by_forwarder):
             report_attempts(evidence, 2 * SECOND_US, f"f{index}", results)
         plan = planner.plan(2 * SECOND_US, evidence, Term(1, "a"), 1)
         if plan is not None:
             [decoded] = FrameDecoder().feed(encode(plan))
-            assert isinstance(decoded, Plan) and PlanFollower("f", RULES).accept_plan(0, decoded, LISTED) is None
+            assert isinstance(decoded, Plan) and PlanFollower("f", RULES).accept_plan(0, decoded, LISTED_UIDS) is None
 
     check()
 
 
-def test_planners_keep_to_the_rules_of_the_forwarders() -> None:
-    strict = dataclasses.replace(RULES, max_ejected=0.0)
-    planner, evidence = Planner(strict, []), Evidence(0)
+def test_planner_applies_the_acceptance_rules_of_forwarders() -> None:
+    strict_rules = dataclasses.replace(RULES, max_ejected=0.0)
+    planner, evidence = Planner(strict_rules, []), Evidence(0)
     report_healthy(evidence, 2 * SECOND_US, {"c3": (0, 2)})
     assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {}
--- a/tests/test_plan_evidence.py
+++ b/tests/test_plan_evidence.py
@@ -20,7 +20,7 @@
 from ryepier.plan.reporter import Reporter
 
 
-def test_report_has_the_changes_and_counts_a_late_attempt_before_it_ends() -> None:
+def test_report_has_changed_counters_and_counts_unanswered_attempts_as_failed() -> None:
     reporter = Reporter([100], 1)
     reporter.on_attempt_started(0, "a", 1, 0)
     reporter.on_attempt_started(0, "b", 2, 0)
@@ -41,9 +41,9 @@
     total, reports = 0, []
     for number, count in enumerate(counts, 1):
         total += count
-        other = ConverterCounters(number, latencies=(0,) * (number % 4) + (number,))
+        other_counters = ConverterCounters(number, latencies=(0,) * (number % 4) + (number,))
         reports.append(
-            Report(number, 10, {"c": ConverterCounters(total, total), f"d{number % 3}": other}, {}, [], [], 0)
+            Report(number, 10, {"c": ConverterCounters(total, total), f"d{number % 3}": other_counters}, {}, [], [], 0)
         )
     return reports
 
@@ -51,15 +51,15 @@
 @given(st.lists(st.integers(0, 9), min_size=1, max_size=8), st.data())
 def test_merged_reports_do_not_depend_on_order_or_repetition(counts: list[int], data: Any) -> None:
     reports = growing_reports(counts)
-    straight, mixed = Evidence(0), Evidence(0)
+    in_order, shuffled = Evidence(0), Evidence(0)
     for report in reports:
-        straight.merge(0, "f", 1, report)
+        in_order.merge(0, "f", 1, report)
     for report in data.draw(st.permutations(reports + reports)):
-        mixed.merge(0, "f", 1, report)
-    assert straight.merged_counters() == mixed.merged_counters()
+        shuffled.merge(0, "f", 1, report)
+    assert in_order.merged_counters() == shuffled.merged_counters()
 
 
-def test_earlier_incarnation_of_a_forwarder_is_not_counted_and_a_new_one_starts_from_zero() -> None:
+def test_reports_of_earlier_incarnations_are_ignored_and_new_ones_start_from_zero() -> None:
     evidence = Evidence(0)
     first, second = growing_reports([5, 5])
     assert evidence.merge(0, "f", 7, first) and evidence.merge(1, "f", 7, second)
--- a/tests/test_plan_follower.py
+++ b/tests/test_plan_follower.py
@@ -23,11 +23,11 @@
 )
 from ryepier.plan.plan_follower import AcceptanceRules, PlanFollower
 from tests.plan_scenarios import (
-    LISTED,
+    LISTED_UIDS,
     RULES,
     SECOND_US,
     balancer_with_upstreams,
-    ejections,
+    eject_first,
     make_plan,
     sent_upstreams,
 )
@@ -40,23 +40,25 @@
         (make_plan(forwarders=0, covered=0, window_ms=0), "too few forwarders"),  # built from nothing
         (make_plan(window_ms=999), "evidence of too short a time"),
         (make_plan(covered=4), "too few converters reported"),
-        (make_plan(entries=ejections(5)), "too many converters ejected"),
-        (make_plan(entries=dict.fromkeys(LISTED, ConverterAdvice(weight=0.0))), "too little weight"),
+        (make_plan(entries=eject_first(5)), "too many converters ejected"),
+        (make_plan(entries=dict.fromkeys(LISTED_UIDS, ConverterAdvice(weight=0.0))), "too little weight"),
         (make_plan(epoch=0), "no term"),
         (make_plan(planner=""), "no term"),
     ],
 )
 def test_invalid_plan_is_rejected_and_the_last_valid_one_stays(plan: Plan, reason: str) -> None:
     follower = PlanFollower("f", RULES)
-    assert follower.accept_plan(0, make_plan(entries=ejections(1)), LISTED) is None
-    newer = msgspec.structs.replace(plan, term=Term(plan.term.epoch * 5, plan.term.planner))
-    assert str(follower.accept_plan(1, newer, LISTED)).startswith(reason if plan.term.epoch else "an older term")
+    assert follower.accept_plan(0, make_plan(entries=eject_first(1)), LISTED_UIDS) is None
+    plan_in_term = msgspec.structs.replace(plan, term=Term(plan.term.epoch * 5, plan.term.planner))
+    assert str(follower.accept_plan(1, plan_in_term, LISTED_UIDS)).startswith(
+        reason if plan.term.epoch else "an older term"
+    )
     assert follower.plan is not None and list(follower.plan.entries) == ["c0"]
 
 
-def test_terms_only_increase_and_so_do_numbers_within_them() -> None:
+def test_plan_terms_and_numbers_within_a_term_only_increase() -> None:
     follower = PlanFollower("f", RULES)
-    order = [
+    offers = [
         (2, "a", 5, ""),
         (2, "a", 5, "not newer"),
         (2, "a", 4, "not newer"),
@@ -65,23 +67,23 @@
         (2, "a", 99, "an older term"),
         (3, "a", 1, ""),
     ]
-    for epoch, planner, number, expected in order:
-        assert follower.accept_plan(0, make_plan(epoch, number, planner=planner), LISTED) == (expected or None)
+    for epoch, planner, number, expected in offers:
+        assert follower.accept_plan(0, make_plan(epoch, number, planner=planner), LISTED_UIDS) == (expected or None)
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 3), st.sampled_from("ab"), st.integers(0, 4), st.integers(0, 10)), max_size=30)
 )
-def test_applied_plans_only_increase_whatever_plans_arrive(offers: list[tuple[int, str, int, int]]) -> None:
-    follower, followed = PlanFollower("f", RULES), []
+def test_accepted_plans_increase_for_any_sequence_of_plans(offers: list[tuple[int, str, int, int]]) -> None:
+    follower, accepted = PlanFollower("f", RULES), []
     for epoch, planner, number, forwarders in offers:
-        if not follower.accept_plan(0, make_plan(epoch, number, forwarders, planner), LISTED):
-            followed.append((epoch, planner, number))
+        if not follower.accept_plan(0, make_plan(epoch, number, forwarders, planner), LISTED_UIDS):
+            accepted.append((epoch, planner, number))
             assert forwarders >= 5
-    assert all(each < other for each, other in itertools.pairwise(followed))
+    assert all(earlier < later for earlier, later in itertools.pairwise(accepted))
 
 
-def test_plan_fades_out_and_forwarders_end_an_ejection_one_after_another() -> None:
+def test_plan_fades_out_and_forwarders_end_an_ejection_gradually() -> None:
     followers = [PlanFollower(f"f{i}", AcceptanceRules(fleet=1)) for i in range(200)]
     plan = make_plan(
         entries={
@@ -89,38 +91,47 @@
             "c2": ConverterAdvice(weight=0.5, concurrency_limit=2),
         }
     )
-    idents = {uid: int(uid[1:]) for uid in LISTED}
-    ended, weights = [], []
+    upstream_ids = {uid: int(uid[1:]) for uid in LISTED_UIDS}
+    not_ejecting, weights = [], []
     for follower in followers:
-        assert follower.accept_plan(0, plan, LISTED) is None
-    for second in range(0, 45, 2):
-        advice = [{each.upstream: each for each in f.advice(second * SECOND_US, idents)} for f in followers]
-        ended.append(sum(not each.get(1, Advice(1)).ejected for each in advice))
-        weights.append(sum(each.get(2, Advice(2)).weight for each in advice) / 200)
-    assert ended[0] == ended[1] == 0 and ended[-1] == 200
-    assert max(b - a for a, b in itertools.pairwise(ended)) < 40  # no step: never a fifth at once
+        assert follower.accept_plan(0, plan, LISTED_UIDS) is None
+    for age_s in range(0, 45, 2):
+        advice_of_followers = [
+            {advice.upstream: advice for advice in follower.advice(age_s * SECOND_US, upstream_ids)}
+            for follower in followers
+        ]
+        not_ejecting.append(
+            sum(not advice_by_upstream.get(1, Advice(1)).ejected for advice_by_upstream in advice_of_followers)
+        )
+        weights.append(
+            sum(advice_by_upstream.get(2, Advice(2)).weight for advice_by_upstream in advice_of_followers) / 200
+        )
+    assert not_ejecting[0] == not_ejecting[1] == 0 and not_ejecting[-1] == 200
+    assert (
+        max(later - earlier for earlier, later in itertools.pairwise(not_ejecting)) < 40
+    )  # never a fifth of the forwarders at once
     assert weights == sorted(weights) and weights[0] == 0.5 and weights[-1] == 1.0
 
 
-def test_few_forwarders_at_a_time_probe_an_ejected_converter_and_each_has_its_turn() -> None:
-    tried: set[str] = set()
+def test_forwarders_take_turns_at_probing_an_ejected_converter() -> None:
+    selected_ever: set[str] = set()
     for number in range(1, 400):
         plan = make_plan(number=number, entries={"c1": ConverterAdvice(ejected=True, trial_share=0.1)})
-        names = {f"f{i}" for i in range(50) if PlanFollower(f"f{i}", RULES).is_selected_for_trial("c1", plan, 0.1)}
-        assert len(names) < 20
-        tried |= names
-    assert len(tried) == 50
+        selected = {f"f{i}" for i in range(50) if PlanFollower(f"f{i}", RULES).is_selected_for_trial("c1", plan, 0.1)}
+        assert len(selected) < 20
+        selected_ever |= selected
+    assert len(selected_ever) == 50
 
 
 def test_plan_adds_no_converter_that_discovery_has_not_listed() -> None:
     follower = PlanFollower("f", RULES)
     assert (
         follower.accept_plan(
-            0, make_plan(entries={"c99": ConverterAdvice(weight=0.5), "c1": ConverterAdvice(weight=0.5)}), LISTED
+            0, make_plan(entries={"c99": ConverterAdvice(weight=0.5), "c1": ConverterAdvice(weight=0.5)}), LISTED_UIDS
         )
         is None
     )
-    assert [each.upstream for each in follower.advice(0, {"c1": 4})] == [4]
+    assert [advice.upstream for advice in follower.advice(0, {"c1": 4})] == [4]
 
 
 def test_upstreams_ejected_by_a_plan_get_no_request_unless_it_ejects_too_many() -> None:
@@ -131,7 +142,7 @@
     assert sent_upstreams(balancer_with_upstreams(2), 2, PlanUpdated([Advice(9)])) != []
 
 
-def test_advice_ends_with_the_next_plan_and_restores_no_removed_upstream() -> None:
+def test_next_plan_replaces_advice_and_restores_no_removed_upstream() -> None:
     balancer = balancer_with_upstreams(2)
     balancer.handle(2, PlanUpdated([Advice(0, ejected=True)]))
     balancer.handle(3, UpstreamsUpdated(ListKind.FULL, [Upstream(1)]))
--- a/tests/test_plan_leadership.py
+++ b/tests/test_plan_leadership.py
@@ -19,13 +19,15 @@
 )
 
 
-def witnesses(term: Term, taken_us: int, count: int = 10) -> dict[str, ForwarderStats]:
-    return {f"f{i}": ForwarderStats(1, 0, taken_us, 1, term=term, plan_accepted_us=taken_us) for i in range(count)}
+def forwarder_stats(term: Term, accepted_us: int, count: int = 10) -> dict[str, ForwarderStats]:
+    return {
+        f"f{i}": ForwarderStats(1, 0, accepted_us, 1, term=term, plan_accepted_us=accepted_us) for i in range(count)
+    }
 
 
-def test_forwarder_without_a_plan_is_no_witness_of_a_leader() -> None:
+def test_forwarders_without_a_plan_do_not_prevent_a_takeover() -> None:
     first = Leadership("a", 0, 0)
-    assert first.tick(LEADER_TIMEOUT_US, witnesses(Term(), LEADER_TIMEOUT_US), has_enough_evidence=True)
+    assert first.tick(LEADER_TIMEOUT_US, forwarder_stats(Term(), LEADER_TIMEOUT_US), has_enough_evidence=True)
 
 
 def test_first_planner_takes_over_and_the_second_waits_for_its_turn() -> None:
@@ -38,24 +40,28 @@
     assert second.tick(3 * LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and second.term == Term(2, "b")
 
 
-def test_partition_between_planners_changes_nothing_while_forwarders_reach_the_leader() -> None:
+def test_partition_between_planners_keeps_the_leader_while_forwarders_follow_it() -> None:
     second = Leadership("b", 1, 0)
     for at_us in range(0, 60 * SECOND_US, SECOND_US // 4):
-        assert not second.tick(at_us, witnesses(Term(1, "a"), at_us), has_enough_evidence=True)
+        assert not second.tick(at_us, forwarder_stats(Term(1, "a"), at_us), has_enough_evidence=True)
     assert not second.tick(
         60 * SECOND_US - SECOND_US // 4 + 2 * LEADER_TIMEOUT_US - 1,
-        witnesses(Term(1, "a"), 59 * SECOND_US),
+        forwarder_stats(Term(1, "a"), 59 * SECOND_US),
         has_enough_evidence=True,
     )
     assert second.tick(
-        60 * SECOND_US + 4 * LEADER_TIMEOUT_US, witnesses(Term(1, "a"), 59 * SECOND_US), has_enough_evidence=True
+        60 * SECOND_US + 4 * LEADER_TIMEOUT_US,
+        forwarder_stats(Term(1, "a"), 59 * SECOND_US),
+        has_enough_evidence=True,
     )
 
 
-def test_leader_with_the_lower_term_steps_down_when_a_forwarder_reports_the_higher() -> None:
+def test_leader_steps_down_when_a_forwarder_reports_a_higher_term() -> None:
     lower = Leadership("a", 0, 0)
     assert lower.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
-    assert not lower.tick(LEADER_TIMEOUT_US + 1, witnesses(Term(1, "b"), LEADER_TIMEOUT_US), has_enough_evidence=True)
+    assert not lower.tick(
+        LEADER_TIMEOUT_US + 1, forwarder_stats(Term(1, "b"), LEADER_TIMEOUT_US), has_enough_evidence=True
+    )
     assert lower.highest_term == Term(1, "b")
 
 
@@ -77,9 +83,9 @@
         "c2": ConverterStatus(ConverterState.RECOVERING, 99 * SECOND_US, 1),
     }
     data = (tmp_path / snapshot.FILE_NAME).read_bytes()
-    for cut in range(len(data)):
+    for length in range(len(data)):
         with pytest.raises(snapshot.SnapshotError):
-            snapshot.decode(data[:cut], 2000, 60_000)
+            snapshot.decode(data[:length], 2000, 60_000)
     with pytest.raises(snapshot.SnapshotError, match="altered"):
         snapshot.decode(data[:-1] + bytes([data[-1] ^ 1]), 2000, 60_000)
     for unix_ms in (62_000, 0):  # too old, or from a time to come
--- a/tests/test_plan_messages.py
+++ b/tests/test_plan_messages.py
@@ -24,23 +24,23 @@
 
 
 @given(st.binary(max_size=300), st.integers(1, 20))
-def test_any_bytes_are_messages_or_a_protocol_error(data: bytes, piece: int) -> None:
-    frames = FrameDecoder()
+def test_any_bytes_decode_or_raise_protocol_error(data: bytes, chunk_size: int) -> None:
+    decoder = FrameDecoder()
     try:
-        for at in range(0, len(data), piece):
-            frames.feed(data[at : at + piece])
+        for offset in range(0, len(data), chunk_size):
+            decoder.feed(data[offset : offset + chunk_size])
     except ProtocolError:
         pass
-    good = encode(Heartbeat(Term(3, "a"), True, 5))
-    assert FrameDecoder().feed(good + good[:5]) == [Heartbeat(Term(3, "a"), True, 5)]
+    frame = encode(Heartbeat(Term(3, "a"), True, 5))
+    assert FrameDecoder().feed(frame + frame[:5]) == [Heartbeat(Term(3, "a"), True, 5)]
 
 
-def test_value_beyond_its_limits_is_an_error_and_an_unknown_key_is_not() -> None:
+def test_out_of_range_values_are_rejected_and_unknown_keys_ignored() -> None:
     with pytest.raises(ProtocolError, match="bytes"):
         FrameDecoder().feed((MAX_MESSAGE_BYTES + 1).to_bytes(4, "big"))
     with pytest.raises(ProtocolError, match="version"):
         FrameDecoder().feed(encode(Hello(VERSION + 1, "f", 1)))
     with pytest.raises(ProtocolError):
         FrameDecoder().feed(encode(msgspec.structs.replace(make_plan(), entries={"c": ConverterAdvice(weight=2.0)})))
-    newer = msgspec.msgpack.encode({"type": "beat", "term": [1, "a"], "leads": True, "forwarders": 1, "mood": "good"})
-    assert FrameDecoder().feed(len(newer).to_bytes(4, "big") + newer) == [Heartbeat(Term(1, "a"), True, 1)]
+    body = msgspec.msgpack.encode({"type": "beat", "term": [1, "a"], "leads": True, "forwarders": 1, "mood": "good"})
+    assert FrameDecoder().feed(len(body).to_bytes(4, "big") + body) == [Heartbeat(Term(1, "a"), True, 1)]
--- a/tests/test_planner_compatibility.py
+++ b/tests/test_planner_compatibility.py
@@ -9,22 +9,22 @@
 from ryepier.plan import messages, snapshot
 from tests import planner_fixtures
 
-WRITTEN = [
+RECORDED = [
     bytes.fromhex(line)
     for line in (Path(__file__).parent / "fixtures" / "planner_messages.hex").read_text().splitlines()
 ]
 
 
-@pytest.mark.parametrize("frame", WRITTEN[:-1], ids=range(len(WRITTEN) - 1))
-def test_earlier_message_is_read_and_written_the_same(frame: bytes) -> None:
+@pytest.mark.parametrize("frame", RECORDED[:-1], ids=range(len(RECORDED) - 1))
+def test_recorded_message_is_decoded_and_encoded_identically(frame: bytes) -> None:
     [message] = messages.FrameDecoder().feed(frame)
     assert messages.encode(message) == frame
 
 
-def test_earlier_snapshot_is_read_and_written_the_same() -> None:
-    read = snapshot.decode(WRITTEN[-1], unix_ms=123457, max_age_ms=1000)
-    assert snapshot.encode(read) == WRITTEN[-1]
+def test_recorded_snapshot_is_decoded_and_encoded_identically() -> None:
+    loaded = snapshot.decode(RECORDED[-1], unix_ms=123457, max_age_ms=1000)
+    assert snapshot.encode(loaded) == RECORDED[-1]
 
 
-def test_same_contents_are_written_as_before() -> None:
-    assert [*planner_fixtures.frames(), planner_fixtures.snapshot_file()] == WRITTEN
+def test_current_code_writes_the_recorded_bytes() -> None:
+    assert [*planner_fixtures.frames(), planner_fixtures.snapshot_file()] == RECORDED
--- a/tests/test_reflector.py
+++ b/tests/test_reflector.py
@@ -14,28 +14,28 @@
 
 
 def test_retry_after_of_a_busy_server_is_respected() -> None:
-    following = Reflector("default", "convert", Random(1))
-    following.start(0)
-    [_, wait] = following.on_failure(0, Failure("busy", 429, retry_after_s=3))
+    instance = Reflector("default", "convert", Random(1))
+    instance.start(0)
+    [_, wait] = instance.on_failure(0, Failure("busy", 429, retry_after_s=3))
     assert isinstance(wait, Wait) and 3_100_000 <= wait.until_us <= 3_200_000
-    [_, wait] = following.on_failure(0, Failure("busy", 429, retry_after_s=86_400))
+    [_, wait] = instance.on_failure(0, Failure("busy", 429, retry_after_s=86_400))
     assert isinstance(wait, Wait) and wait.until_us <= reflector.MAX_RETRY_AFTER_US + 400_000
 
 
-def test_backoff_doubles_is_spread_and_bounded() -> None:
+def test_backoff_grows_with_jitter_up_to_a_bound() -> None:
     delays_us = []
     for seed in range(50):
-        following = Reflector("default", "convert", Random(seed))
+        instance = Reflector("default", "convert", Random(seed))
         for _ in range(12):
-            last = [
-                action.until_us for action in following.on_failure(0, Failure("refused")) if isinstance(action, Wait)
+            waits_until_us = [
+                action.until_us for action in instance.on_failure(0, Failure("refused")) if isinstance(action, Wait)
             ]
-        delays_us += last
+        delays_us += waits_until_us
     assert min(delays_us) >= 0.5 * reflector.MAX_BACKOFF_US and max(delays_us) <= reflector.MAX_BACKOFF_US
     assert max(delays_us) - min(delays_us) > 0.4 * reflector.MAX_BACKOFF_US
 
 
-def test_server_away_for_ten_minutes_gets_few_requests_and_is_then_listed_at_once() -> None:
+def test_outage_of_ten_minutes_causes_few_requests_and_expiry_is_listed_at_once() -> None:
     reflector = Reflector("default", "convert", Random(1))
     reflector.resource_version = "5"
     now_us = calls = 0
@@ -52,7 +52,7 @@
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 400), max_size=6), st.booleans())
-def test_watch_split_at_any_byte_gives_complete_lines_and_garbage_is_an_error(
+def test_watch_split_at_any_byte_gives_complete_lines_despite_garbage(
     garbage: bytes, cuts: list[int], is_valid: bool
 ) -> None:
     async def test() -> None:
@@ -61,46 +61,50 @@
         data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
         if not is_valid:
             data = garbage
-        answer = api_client.ResponseReader(reflector.CallKind.WATCH, lines.append, lambda: None)
-        edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
-        for begin, end in itertools.pairwise(edges):
-            answer.data_received(data[begin:end])
+        response = api_client.ResponseReader(reflector.CallKind.WATCH, lines.append, lambda: None)
+        offsets = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
+        for begin, end in itertools.pairwise(offsets):
+            response.data_received(data[begin:end])
         assert not is_valid or (
-            answer.is_complete
-            and answer.failure is None
+            response.is_complete
+            and response.failure is None
             and lines == [line for line in body.split(b"\n") if line.strip()]
         )
 
     asyncio.run(test())
 
 
-def test_expired_page_is_followed_by_one_request_for_the_complete_list() -> None:
+def test_expired_page_is_followed_by_a_list_without_paging() -> None:
     reflector = Reflector("default", "convert", Random(1))
     reflector.start(0)
-    [more] = reflector.on_page(
+    [next_page] = reflector.on_page(
         0,
         api_objects.read_list(
             b'{"metadata":{"resourceVersion":"5","continue":"abc"},"items":[{"metadata":{"name":"s"},"addressType":"IPv4"}]}'
         ),
     )
-    assert isinstance(more, Call) and "continue=abc" in more.target
-    [_, complete] = reflector.on_failure(1, Failure("expired", 410))
-    assert isinstance(complete, Call) and "limit" not in complete.target and "continue" not in complete.target
+    assert isinstance(next_page, Call) and "continue=abc" in next_page.target
+    [_, complete_list] = reflector.on_failure(1, Failure("expired", 410))
+    assert (
+        isinstance(complete_list, Call)
+        and "limit" not in complete_list.target
+        and "continue" not in complete_list.target
+    )
     assert any(isinstance(action, Wait) for action in reflector.on_failure(2, Failure("expired", 410)))
     [replace, watch] = reflector.on_page(3, api_objects.read_list(b'{"metadata":{"resourceVersion":"9"},"items":[]}'))
     assert replace == Replace([]) and isinstance(watch, Call) and "resourceVersion=9" in watch.target
 
 
 def test_watch_resumes_from_its_last_bookmark_and_after_an_error_from_its_last_event() -> None:
-    read = api_objects.read_event
+    read_event = api_objects.read_event
     reflector = Reflector("default", "convert", Random(1))
     reflector.resource_version = "5"
     reflector.start(0)
     line = b'{"type":"ADDED","object":{"metadata":{"name":"s","resourceVersion":"6"},"addressType":"IPv4"}}'
-    assert isinstance(reflector.on_event(1, read(line))[0], Apply)
-    assert reflector.on_event(2, read(b'{"type":"BOOKMARK","object":{"metadata":{"resourceVersion":"8"}}}')) == []
+    assert isinstance(reflector.on_event(1, read_event(line))[0], Apply)
+    assert reflector.on_event(2, read_event(b'{"type":"BOOKMARK","object":{"metadata":{"resourceVersion":"8"}}}')) == []
     [call] = reflector.on_watch_end(10_000_000)
     assert isinstance(call, Call) and "resourceVersion=8" in call.target
-    [_, wait] = reflector.on_event(10_000_001, read(b'{"type":"ERROR","object":{"code":500,"message":"etcd"}}'))
+    [_, wait] = reflector.on_event(10_000_001, read_event(b'{"type":"ERROR","object":{"code":500,"message":"etcd"}}'))
     assert isinstance(wait, Wait)
     assert "resourceVersion=8" in reflector.on_wake(wait.until_us)[0].target  # type: ignore[union-attr]
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -27,7 +27,7 @@
 from tests.network_peers import wait_until
 
 
-def test_pages_changes_and_both_address_families_become_one_list(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pages_and_changes_of_both_address_families_form_one_list(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reflector, "PAGE_SIZE", 2)
 
     async def test() -> None:
@@ -86,7 +86,7 @@
     run_bounded(test)
 
 
-def test_server_compacted_during_an_outage_is_listed_again_and_removed_endpoints_are_noticed(
+def test_endpoints_removed_during_an_outage_are_noticed_after_compaction(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
@@ -109,7 +109,7 @@
     run_bounded(test)
 
 
-def test_silent_watch_is_closed_and_another_opened(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_watch_is_closed_and_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(api_client, "WATCH_GRACE_S", -0.7)
     monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
 
@@ -128,15 +128,13 @@
     run_bounded(test)
 
 
-def test_tls_with_a_client_certificate_and_a_token_that_changes(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_tls_with_client_certificate_and_rotated_token(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
     authority = trustme.CA()
     authority.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
-    own = authority.issue_cert("sidecar@example.org")
-    own.private_key_pem.write_to_path(str(tmp_path / "key.pem"))
-    own.cert_chain_pems[0].write_to_path(str(tmp_path / "cert.pem"))
+    client_cert = authority.issue_cert("sidecar@example.org")
+    client_cert.private_key_pem.write_to_path(str(tmp_path / "key.pem"))
+    client_cert.cert_chain_pems[0].write_to_path(str(tmp_path / "cert.pem"))
     tls = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     authority.issue_cert("127.0.0.1").configure_cert(tls)
     authority.configure_trust(tls)
@@ -168,7 +166,7 @@
     run_bounded(test)
 
 
-def test_server_of_another_authority_is_rejected(tmp_path: Path) -> None:
+def test_server_with_a_certificate_of_another_ca_is_rejected(tmp_path: Path) -> None:
     tls = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     trustme.CA().issue_cert("127.0.0.1").configure_cert(tls)
     trustme.CA().cert_pem.write_to_path(str(tmp_path / "ca.pem"))
@@ -186,7 +184,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"not http at all\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n[1,2]",
@@ -196,7 +194,7 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_server_with_invalid_responses_is_requested_again_later(answer: bytes) -> None:
+def test_invalid_response_is_retried_later(response: bytes) -> None:
     async def test() -> None:
         calls = 0
 
@@ -204,7 +202,7 @@
             nonlocal calls
             calls += 1
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer)
+            writer.write(response)
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -230,18 +228,18 @@
             selector = f"{SERVICE_LABEL}=convert"
 
             def list_all() -> tuple[list[Any], str]:
-                found, more = [], None
+                slices, continue_token = [], None
                 while True:
                     page = api.list_namespaced_endpoint_slice(
-                        "default", label_selector=selector, limit=2, _continue=more
+                        "default", label_selector=selector, limit=2, _continue=continue_token
                     )
-                    found += page.items
-                    more = page.metadata._continue
-                    if not more:
-                        return found, page.metadata.resource_version
+                    slices += page.items
+                    continue_token = page.metadata._continue
+                    if not continue_token:
+                        return slices, page.metadata.resource_version
 
             def follow(version: str, count: int) -> list[tuple[str, str]]:
-                seen = []
+                events = []
                 watch: Any = kubernetes_watch.Watch()  # type: ignore[no-untyped-call]
                 for event in watch.stream(
                     api.list_namespaced_endpoint_slice,
@@ -251,15 +249,15 @@
                     timeout_seconds=5,
                     allow_watch_bookmarks=False,
                 ):
-                    seen.append((event["type"], event["object"].metadata.name))
-                    if len(seen) == count:
+                    events.append((event["type"], event["object"].metadata.name))
+                    if len(events) == count:
                         watch.stop()
-                return seen
+                return events
 
-            found, version = await asyncio.to_thread(list_all)
-            assert [action.metadata.name for action in found] == [f"s{index}" for index in range(5)]
-            assert found[0].endpoints[0].conditions.ready is True
-            assert found[0].endpoints[0].target_ref.uid == "p0" and found[0].ports[0].port == 80
+            slices, version = await asyncio.to_thread(list_all)
+            assert [endpoint_slice.metadata.name for endpoint_slice in slices] == [f"s{index}" for index in range(5)]
+            assert slices[0].endpoints[0].conditions.ready is True
+            assert slices[0].endpoints[0].target_ref.uid == "p0" and slices[0].ports[0].port == 80
             following = asyncio.create_task(asyncio.to_thread(follow, version, 3))
             await asyncio.sleep(0.05)
             testbed.put("s1", "p1", draining="p1")
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -12,94 +12,96 @@
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
 SETTLE_US = 1_000_000
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
-def verdict(
-    identity: str = "p1", ready: bool = True, node: str = "", address: str = "10.0.0.1", ends: bool = False
+def make_endpoint(
+    identity: str = "p1", ready: bool = True, node: str = "", address: str = "10.0.0.1", terminating: bool = False
 ) -> MergedEndpoint:
-    return MergedEndpoint(identity, (address, 80), "a", node, READY if ready else DRAINING, ends, 1, ("s1",))
+    return MergedEndpoint(identity, (address, 80), "a", node, READY if ready else DRAINING, terminating, 1, ("s1",))
 
 
-def listing(cell_by: str = "endpoint") -> EndpointListing:
-    return EndpointListing(ListingRules(["a"], 3, FailureDomainBy(cell_by), SETTLE_US))
+def make_listing(failure_domain_by: str = "endpoint") -> EndpointListing:
+    return EndpointListing(ListingRules(["a"], 3, FailureDomainBy(failure_domain_by), SETTLE_US))
 
 
-def told(made: EndpointListing, now_us: int, **changes: MergedEndpoint | None) -> dict[int, UpstreamState]:
-    return {entry.id: entry.state for entry, _ in made.update(now_us, changes)}
+def update(listing: EndpointListing, now_us: int, **changes: MergedEndpoint | None) -> dict[int, UpstreamState]:
+    return {entry.id: entry.state for entry, _ in listing.update(now_us, changes)}
 
 
 def test_flapping_endpoint_drains_at_once_and_waits_twice_as_long_to_become_ready() -> None:
-    made = listing()
-    assert told(made, 0, p1=verdict()) == {1: READY}
-    now_us = SECOND
+    listing = make_listing()
+    assert update(listing, 0, p1=make_endpoint()) == {1: READY}
+    now_us = SECOND_US
     for flap in range(3):
-        assert told(made, now_us, p1=verdict(ready=False)) == {1: DRAINING}
-        assert told(made, now_us + 1, p1=verdict()) == {}
+        assert update(listing, now_us, p1=make_endpoint(ready=False)) == {1: DRAINING}
+        assert update(listing, now_us + 1, p1=make_endpoint()) == {}
         wait_us = SETTLE_US * 2**flap
-        assert made.next_due_us == now_us + 1 + wait_us
-        assert told(made, now_us + wait_us) == {}
-        assert told(made, now_us + 1 + wait_us) == {1: READY}
+        assert listing.next_due_us == now_us + 1 + wait_us
+        assert update(listing, now_us + wait_us) == {}
+        assert update(listing, now_us + 1 + wait_us) == {1: READY}
         now_us += 1 + wait_us
-    assert told(made, now_us + FLAP_RESET_US + 1, p1=verdict(ready=False)) == {1: DRAINING}
-    told(made, now_us + FLAP_RESET_US + 2, p1=verdict())
-    assert made.next_due_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # calm for a minute: forgotten
+    assert update(listing, now_us + FLAP_RESET_US + 1, p1=make_endpoint(ready=False)) == {1: DRAINING}
+    update(listing, now_us + FLAP_RESET_US + 2, p1=make_endpoint())
+    assert listing.next_due_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # calm for a minute: forgotten
 
 
-def test_endpoint_that_drains_while_it_settles_is_never_reported_ready() -> None:
-    made = listing()
-    told(made, 0, p1=verdict())
-    told(made, 1, p1=verdict(ready=False))
-    told(made, 2, p1=verdict())
-    assert told(made, 3, p1=verdict(ready=False, ends=True)) == {}  # it drains already
-    assert made.next_due_us is None and told(made, 100 * SECOND) == {}
+def test_endpoint_that_drains_while_settling_is_never_published_ready() -> None:
+    listing = make_listing()
+    update(listing, 0, p1=make_endpoint())
+    update(listing, 1, p1=make_endpoint(ready=False))
+    update(listing, 2, p1=make_endpoint())
+    assert update(listing, 3, p1=make_endpoint(ready=False, terminating=True)) == {}  # it drains already
+    assert listing.next_due_us is None and update(listing, 100 * SECOND_US) == {}
 
 
-def test_endpoint_counts_as_started_if_it_is_new_or_was_absent_for_long() -> None:
-    made = listing()
-    told(made, 0, old=verdict("old"))
-    made.complete_list()
-    [(entry, _)] = made.update(5, {"new": verdict("new")})
+def test_endpoint_counts_as_started_if_new_or_unready_for_long() -> None:
+    listing = make_listing()
+    update(listing, 0, old=make_endpoint("old"))
+    listing.complete_list()
+    [(entry, _)] = listing.update(5, {"new": make_endpoint("new")})
     assert entry.started_us == 5
-    made.update(10, {"old": verdict("old", ready=False)})
-    made.update(10 + MIN_RESTART_US, {"old": verdict("old")})
-    [(entry, _)] = made.update(10 + MIN_RESTART_US + SETTLE_US, {})
+    listing.update(10, {"old": make_endpoint("old", ready=False)})
+    listing.update(10 + MIN_RESTART_US, {"old": make_endpoint("old")})
+    [(entry, _)] = listing.update(10 + MIN_RESTART_US + SETTLE_US, {})
     assert entry.started_us == 10 + MIN_RESTART_US
 
 
 def test_move_between_slices_is_no_restart_but_a_reused_address_is() -> None:
-    made = listing()
-    made.update(0, {"p1": verdict(), "10.0.0.9:80": verdict("10.0.0.9:80")})
-    made.complete_list()
-    assert told(made, 1, **{"p1": None, "10.0.0.9:80": None}) == {1: REMOVED, 2: REMOVED}
-    back = {
+    listing = make_listing()
+    listing.update(0, {"p1": make_endpoint(), "10.0.0.9:80": make_endpoint("10.0.0.9:80")})
+    listing.complete_list()
+    assert update(listing, 1, **{"p1": None, "10.0.0.9:80": None}) == {1: REMOVED, 2: REMOVED}
+    started_us_by_id = {
         entry.id: entry.started_us
-        for entry, _ in made.update(2, {"p1": verdict(), "10.0.0.9:80": verdict("10.0.0.9:80")})
+        for entry, _ in listing.update(2, {"p1": make_endpoint(), "10.0.0.9:80": make_endpoint("10.0.0.9:80")})
     }
-    assert back == {1: 0, 3: 2}
+    assert started_us_by_id == {1: 0, 3: 2}
 
 
 def test_endpoint_removed_while_not_ready_has_to_settle_when_it_returns() -> None:
-    made = listing()
-    told(made, 0, p1=verdict())
-    told(made, 1, p1=verdict(ready=False))
-    told(made, 2, p1=None)
-    assert told(made, 3, p1=verdict()) == {1: DRAINING}
-    assert told(made, 3 + SETTLE_US) == {1: READY}
-
-
-def test_failure_domains_are_never_shared_by_chance() -> None:
-    by_node, by_itself = listing("node"), listing()
-    changes = {name: verdict(name, node=node) for name, node in (("p1", "n1"), ("p2", "n1"), ("p3", ""), ("p4", ""))}
-    cells = [entry.failure_domain for entry, _ in by_node.update(0, changes)]
-    assert cells[0] == cells[1] and len(set(cells)) == 3
-    assert len({entry.failure_domain for entry, _ in by_itself.update(0, changes)}) == 4
-
-
-def test_changed_address_is_reported() -> None:
-    made = listing()
-    told(made, 0, p1=verdict())
-    [(entry, address)] = made.update(1, {"p1": verdict(address="10.0.0.7")})
+    listing = make_listing()
+    update(listing, 0, p1=make_endpoint())
+    update(listing, 1, p1=make_endpoint(ready=False))
+    update(listing, 2, p1=None)
+    assert update(listing, 3, p1=make_endpoint()) == {1: DRAINING}
+    assert update(listing, 3 + SETTLE_US) == {1: READY}
+
+
+def test_only_endpoints_on_one_node_share_a_failure_domain() -> None:
+    by_node, by_endpoint = make_listing("node"), make_listing()
+    changes = {
+        name: make_endpoint(name, node=node) for name, node in (("p1", "n1"), ("p2", "n1"), ("p3", ""), ("p4", ""))
+    }
+    domains = [entry.failure_domain for entry, _ in by_node.update(0, changes)]
+    assert domains[0] == domains[1] and len(set(domains)) == 3
+    assert len({entry.failure_domain for entry, _ in by_endpoint.update(0, changes)}) == 4
+
+
+def test_changed_address_is_published() -> None:
+    listing = make_listing()
+    update(listing, 0, p1=make_endpoint())
+    [(entry, address)] = listing.update(1, {"p1": make_endpoint(address="10.0.0.7")})
     assert (entry.id, entry.state, address) == (1, READY, ("10.0.0.7", 80))
 
 
@@ -113,15 +115,21 @@
         max_size=30,
     )
 )
-def test_decision_module_never_counts_an_unready_endpoint_as_ready(steps: list[tuple[int, str, str]]) -> None:
-    made = listing()
-    now_us, said, held = 0, {}, {}
-    for after_us, identity, word in steps:
-        now_us += after_us
-        said[identity] = word
-        new = None if word == "gone" else verdict(identity, word == "ready", ends=word == "ends")
-        for entry, _ in made.update(now_us, {identity: new}):
-            held[entry.id] = entry.state
-        for name, ident in made.upstream_ids().items():
-            assert held[ident] is not READY or said[name] == "ready"
-        assert sum(state is READY for state in held.values()) <= sum(word == "ready" for word in said.values())
+def test_unready_endpoint_is_never_published_ready(steps: list[tuple[int, str, str]]) -> None:
+    listing = make_listing()
+    now_us, reported, published = 0, {}, {}
+    for delay_us, identity, condition in steps:
+        now_us += delay_us
+        reported[identity] = condition
+        endpoint = (
+            None
+            if condition == "gone"
+            else make_endpoint(identity, condition == "ready", terminating=condition == "ends")
+        )
+        for entry, _ in listing.update(now_us, {identity: endpoint}):
+            published[entry.id] = entry.state
+        for name, upstream_id in listing.upstream_ids().items():
+            assert published[upstream_id] is not READY or reported[name] == "ready"
+        assert sum(state is READY for state in published.values()) <= sum(
+            condition == "ready" for condition in reported.values()
+        )
--- a/tests/test_slice_sidecar.py
+++ b/tests/test_slice_sidecar.py
@@ -28,9 +28,7 @@
 from tests.network_peers import OK, read_message, request, wait_until, write_configuration
 
 
-def test_sidecar_that_starts_while_the_server_is_away_uses_the_cached_list(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_sidecar_started_during_an_outage_uses_the_cached_list(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slice_source, "CACHE_INTERVAL_S", 0.01)
     cache = tmp_path / "list.json"
 
@@ -40,24 +38,24 @@
             testbed.follow(cache=cache).stop()
             testbed.follow(cache=cache)
             await wait_until(cache.exists)
-        away = ApiServerTestbed()
-        away.port = free_port()
-        away.follow(cache=cache)
-        assert away.events[0].kind is ListKind.CACHED and away.states() == {"p1": READY}
+        unreachable = ApiServerTestbed()
+        unreachable.port = free_port()
+        unreachable.follow(cache=cache)
+        assert unreachable.events[0].kind is ListKind.CACHED and unreachable.states() == {"p1": READY}
         cache.write_bytes(cache.read_bytes()[:-9])  # torn
-        again = ApiServerTestbed()
-        again.port = away.port
-        again.follow(cache=cache)
-        assert again.events == []
-        for action in (away, again):
-            assert action.source is not None
-            action.source.stop()
+        restarted = ApiServerTestbed()
+        restarted.port = unreachable.port
+        restarted.follow(cache=cache)
+        assert restarted.events == []
+        for testbed in (unreachable, restarted):
+            assert testbed.source is not None
+            testbed.source.stop()
 
     run_bounded(test)
 
 
 @pytest.mark.parametrize(
-    ("server", "text"),
+    ("server", "message"),
     [
         ("ftp://x", "expected http"),
         ("https://", "expected http"),
@@ -66,13 +64,13 @@
         ("", "KUBERNETES_SERVICE_HOST"),
     ],
 )
-def test_address_without_a_server_is_reported(server: str, text: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalid_server_address_is_reported(server: str, message: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("KUBERNETES_SERVICE_HOST", raising=False)
-    with pytest.raises(AccessError, match=text):
+    with pytest.raises(AccessError, match=message):
         find_access(server)
 
 
-def test_explain_and_watch_print_the_states_in_each_slice_and_the_deciding_rule(tmp_path: Path) -> None:
+def test_explain_and_watch_print_states_by_slice_and_the_deciding_rule(tmp_path: Path) -> None:
     async def test() -> None:
         async with api_server_testbed() as testbed:
             testbed.put("s1", "p1", "p2")
@@ -81,12 +79,12 @@
             path.write_text(
                 f'[slices]\nservice = "convert"\nnamespace = "default"\nserver = "http://127.0.0.1:{testbed.port}"\n'
             )
-            code, output = await command("slices", "explain", "10.0.0.1", "--config", str(path))
+            code, output = await run_command("slices", "explain", "10.0.0.1", "--config", str(path))
             assert code == 0 and "10.0.0.1:80 p1: draining, by rule 3" in output
             assert "  s1, generation 1: ready" in output and "  s2, generation 1: terminating" in output
-            code, _ = await command("slices", "explain", "10.9.9.9", "--config", str(path))
+            code, _ = await run_command("slices", "explain", "10.9.9.9", "--config", str(path))
             assert code == 1
-            code, _ = await command("slices", "explain", "10.0.0.1")
+            code, _ = await run_command("slices", "explain", "10.0.0.1")
             assert code == 2
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -111,7 +109,7 @@
     run_bounded(test)
 
 
-async def command(*arguments: str) -> tuple[int, str]:
+async def run_command(*arguments: str) -> tuple[int, str]:
     """How `ryepier` ends, and what it prints."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "ryepier", *arguments, stdout=asyncio.subprocess.PIPE
@@ -138,9 +136,11 @@
             only_slice["ports"] = [{"name": "http", "port": port}]
             testbed.store.put("default", "s1", only_slice, {SERVICE_LABEL: "convert"})
             config = load(str(write_configuration(tmp_path, known=None)))
-            text = f'[slices]\nservice = "convert"\nnamespace = "default"\nserver = "http://127.0.0.1:{testbed.port}"\n'
+            operators_toml = (
+                f'[slices]\nservice = "convert"\nnamespace = "default"\nserver = "http://127.0.0.1:{testbed.port}"\n'
+            )
             stop = asyncio.Event()
-            components = select_components(operator_settings.parse(text, {}))
+            components = select_components(operator_settings.parse(operators_toml, {}))
             serving = asyncio.create_task(serve(config, stop, asyncio.Event(), components))
             await wait_until(lambda: any("watch=true" in call for call in testbed.api.calls))
             reader, writer = await asyncio.open_connection(*config.listen)
