--- a/ryepier/plan/messages.py
+++ b/ryepier/plan/messages.py
@@ -86,9 +86,8 @@
     """A plan's advice on one converter."""
 
     weight: Share = 1.0
-    concurrency_limit: Annotated[int, msgspec.Meta(ge=0, le=1000)] = (
-        0  # most attempts that one forwarder may have in flight to it; 0 = no limit
-    )
+    # most attempts that one forwarder may have in flight to the converter; 0 = no limit
+    concurrency_limit: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
     ejected: bool = False
     trial_share: Share = 1.0  # share of the forwarders that may send trial requests while it is ejected
     reason: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)] = ""
@@ -113,10 +112,10 @@
     entries: dict[Name, ConverterAdvice]  # by uid; only converters that deviate from the default
     valid_ms: Count  # time after its arrival during which the plan is followed fully
     fade_ms: Count  # time after that over which its advice fades out
+    # by tenant, the share of its requests that is within its quota; if empty, quotas are not applied
     tenant_weight: list[Share] = msgspec.field(name="tenant_worth", default_factory=list)
-    class_admission: list[Share] = msgspec.field(
-        name="class_admit", default_factory=list
-    )  # by class, the share of arrivals to admit; if empty, all are admitted
+    # by class, the share of arrivals to admit; if empty, all are admitted
+    class_admission: list[Share] = msgspec.field(name="class_admit", default_factory=list)
 
 
 class Heartbeat(msgspec.Struct, tag="beat", tag_field="type", frozen=True):
--- a/ryepier/plan/reporter.py
+++ b/ryepier/plan/reporter.py
@@ -24,9 +24,8 @@
     rejected: int = 0
     latencies: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKETS)
     changed: bool = False
-    in_flight: dict[int, tuple[int, bool]] = field(
-        default_factory=dict
-    )  # by token: (time from which it counts as unanswered, whether it was already counted as failed)
+    # by token: (time from which the attempt counts as unanswered, whether it was already counted as failed)
+    in_flight: dict[int, tuple[int, bool]] = field(default_factory=dict)
 
     def counters(self) -> ConverterCounters:
         """Return the counters for a report; trailing zeros of the latencies are omitted."""
--- a/tests/api_server_testbed.py
+++ b/tests/api_server_testbed.py
@@ -22,7 +22,7 @@
 
 
 def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test in an event loop, with a bound on its time."""
+    """Run a test in an event loop, with a timeout."""
 
     async def run_with_timeout() -> None:
         async with asyncio.timeout(4 * HANG_TIMEOUT_S):
@@ -32,7 +32,10 @@
 
 
 def slice_content(*pods: str, draining: str = "", family: str = "IPv4") -> dict[str, Any]:
-    """Return the content of a slice whose endpoints are these pods, named p1 to p254."""
+    """Return the content of a slice with these pods as endpoints; pods are named p1 to p254, after their address.
+
+    Pods whose names occur in `draining` are terminating and not ready.
+    """
     prefix = "10.0.0." if family == "IPv4" else "fd00::"
     return {
         "addressType": family,
@@ -49,7 +52,7 @@
 
 
 class ApiServerTestbed:
-    """An emulated API server and a source that follows it."""
+    """An emulated API server, a slice source that follows it, and the updates that the source published."""
 
     def __init__(self) -> None:
         self.store = Store()
@@ -59,14 +62,14 @@
         self.source: SliceSource | None = None
 
     def put(self, name: str, *pods: str, draining: str = "", family: str = "IPv4") -> None:
-        """Create or replace a slice."""
+        """Create or replace a slice of the service `convert`."""
         self.store.put(
             "default", name, slice_content(*pods, draining=draining, family=family), {SERVICE_LABEL: "convert"}
         )
         self.api.on_change()
 
     def follow(self, access: Access | None = None, **options: Any) -> SliceSource:
-        """Start a source, with further settings."""
+        """Start a source that first publishes its cached list, if any; `options` are further fields of its settings."""
         settings = Settings(
             access or Access("127.0.0.1", self.port, False),
             "default",
@@ -80,12 +83,12 @@
         return self.source
 
     def on_update(self, event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
-        """Record an update of the source."""
+        """Record an update that the source published."""
         assert all(entry.id in addresses for entry in event.upstreams)
         self.events.append(event)
 
     def states(self) -> dict[str, UpstreamState]:
-        """Return the state of each pod at the decision module, by all updates so far."""
+        """Return the state of each pod that the decision module knows after all updates so far."""
         assert self.source is not None
         state_by_id: dict[int, UpstreamState] = {}
         for event in self.events:
@@ -97,7 +100,7 @@
 
 @asynccontextmanager
 async def api_server_testbed(tls: ssl.SSLContext | None = None) -> AsyncIterator[ApiServerTestbed]:
-    """Run the server on a free port."""
+    """Run an emulated API server on a free port; stops the source and the server at the end."""
     testbed = ApiServerTestbed()
     testbed.port = await testbed.api.listen("127.0.0.1", 0, tls)
     try:
--- a/tests/plan_scenarios.py
+++ b/tests/plan_scenarios.py
@@ -1,4 +1,4 @@
-"""Plans, reports of forwarders and a balancer for tests of planners, without sockets."""
+"""Helpers for tests of planners without sockets: plans, reports of forwarders, and a balancer."""
 
 from __future__ import annotations
 
@@ -39,23 +39,24 @@
     window_ms: int = 2000,
     entries: dict[str, ConverterAdvice] | None = None,
 ) -> Plan:
-    """Return a plan that forwarders accept unless its arguments prevent it."""
+    """Return a plan that passes RULES with the default arguments."""
     return Plan(
         Term(epoch, planner), number, Basis(forwarders, window_ms, covered, 10, 99), entries or {}, 2000, 30_000
     )
 
 
 def eject_first(count: int) -> dict[str, ConverterAdvice]:
-    """Return advice that ejects the first converters."""
+    """Return advice that ejects the first `count` converters, without trial requests."""
     return {f"c{i}": ConverterAdvice(ejected=True, trial_share=0.0) for i in range(count)}
 
 
 def report_attempts(
     evidence: Evidence, now_us: int, name: str, results: dict[str, tuple[int, int]], slow_uids: tuple[str, ...] = ()
 ) -> None:
-    """Merge a forwarder's next report: by converter, how many more attempts were served and how many failed.
+    """Merge a forwarder's next report. `results` are the numbers of newly served and failed attempts by converter.
 
-    An attempt takes 16 to 32 ms, or 64 to 128 ms at the slower converters; ten requests of the one class have arrived.
+    Served attempts take 16 to 32 ms, or 64 to 128 ms at the converters in `slow_uids`. With each report, ten more
+    requests of the only class have arrived.
     """
     forwarder = evidence.forwarders.get(name)
     if forwarder is None:
@@ -81,20 +82,20 @@
 def report_healthy(
     evidence: Evidence, now_us: int, overrides: dict[str, tuple[int, int]], forwarder_count: int = 10
 ) -> None:
-    """Merge reports of forwarders for which all converters are healthy, except these."""
+    """Merge reports of `forwarder_count` forwarders: all converters serve 3 attempts, except those in `overrides`."""
     for index in range(forwarder_count):
         report_attempts(evidence, now_us, f"f{index}", dict.fromkeys(LISTED_UIDS, (3, 0)) | overrides)
 
 
 def compute_plan(planner: Planner, evidence: Evidence, now_us: int) -> Plan:
-    """Return the planner's plan; there has to be one."""
+    """Return the planner's plan; fails if there is none."""
     plan = planner.plan(now_us, evidence, Term(1, "a"), 1)
     assert plan is not None
     return plan
 
 
 def balancer_with_upstreams(count: int) -> Balancer:
-    """Return a balancer with ready upstreams numbered from 0."""
+    """Return a balancer with `count` ready upstreams, whose ids start at 0."""
     settings = Settings(
         classes=[RequestClass("read", latency_objective_us=SECOND_US, deadline_us=10 * SECOND_US)], max_attempts=2
     )
@@ -104,7 +105,7 @@
 
 
 def sent_upstreams(balancer: Balancer, count: int, event: Event) -> list[int]:
-    """Send an event and then requests, and return the upstreams that the balancer sends them to."""
+    """Handle an event and then `count` requests; return the upstreams to which the balancer sends the requests."""
     balancer.handle(2, event)
     actions = [
         action for i in range(count) for action in balancer.handle(3 + i, RequestArrived(i, due_us=10 * SECOND_US))
--- a/tests/planner_fixtures.py
+++ b/tests/planner_fixtures.py
@@ -1,7 +1,7 @@
-"""Writes messages of the planner protocol and a snapshot, as hex lines, for tests/fixtures/planner_messages.hex.
+"""Prints messages of the planner protocol and a snapshot as lines in hex, for tests/fixtures/planner_messages.hex.
 
-The fixtures were written by revision 5daa07c, which named the types `Seen`, `Entry`, `Beat` and so on; this script
-has the present names. Run: python -m tests.planner_fixtures > FILE
+The fixtures in the repository were written by revision 5daa07c, in which the types were named `Seen`, `Entry`, `Beat`
+and so on; this script uses the present names. Usage: python -m tests.planner_fixtures > FILE
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def frames() -> list[bytes]:
-    """One frame or more of each message."""
+    """Return encoded frames, at least one of each message type."""
     counters = {"a": messages.ConverterCounters(9, 5, 2, 1, (0, 3, 1)), "b": messages.ConverterCounters()}
     entries = {
         "a": messages.ConverterAdvice(0.5, 2, False, 1.0, "slow"),
@@ -34,7 +34,7 @@
 
 
 def snapshot_file() -> bytes:
-    """The content of a snapshot file."""
+    """Return the content of a snapshot file."""
     statuses = {
         "c1": ConverterStatus(ConverterState.EJECTED, 3_000_000),
         "c2": ConverterStatus(ConverterState.RECOVERING, 4_000_000, 1),
--- a/tests/test_plan_evidence.py
+++ b/tests/test_plan_evidence.py
@@ -1,4 +1,4 @@
-"""Reports of forwarders, and their merge into a planner's evidence."""
+"""Reports of forwarders, and how a planner merges them into its evidence."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         "b": ConverterCounters(1, 1, 0, 0, (0, 0, 1)),
     } and first.outstanding == {"a": 1}
     assert reporter.report(100, 2, Term(), 0).counters == {"a": ConverterCounters(1, failed=1)}
-    reporter.on_attempt_ended("a", 1, Outcome.TIMEOUT, 900)  # counted already
+    reporter.on_attempt_ended("a", 1, Outcome.TIMEOUT, 900)  # already counted as unanswered
     assert reporter.report(200, 2, Term(), 0).counters == {"a": ConverterCounters(1, failed=1)}
     reporter.retain({"b"})
     assert reporter.report(300, 1, Term(), 0, complete=True).counters == {"b": ConverterCounters(1, 1, 0, 0, (0, 0, 1))}
@@ -63,6 +63,7 @@
     evidence = Evidence(0)
     first, second = growing_reports([5, 5])
     assert evidence.merge(0, "f", 7, first) and evidence.merge(1, "f", 7, second)
-    assert evidence.forwarders["f"].converters["c"].recent.served == pytest.approx(5, rel=0.01)  # the first is no news
+    # the counts of the first report are not recent
+    assert evidence.forwarders["f"].converters["c"].recent.served == pytest.approx(5, rel=0.01)
     assert not evidence.merge(2, "f", 6, second)
     assert evidence.merge(3, "f", 8, first) and evidence.merged_counters()["f"]["c"] == ConverterCounters(5, 5)
--- a/tests/test_plan_follower.py
+++ b/tests/test_plan_follower.py
@@ -1,4 +1,4 @@
-"""A forwarder's plans: which are accepted, how the last one fades, and what the balancer makes of their advice."""
+"""Plans at a forwarder: which are accepted, how the last one fades out, and how the balancer applies their advice."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     ("plan", "reason"),
     [
         (make_plan(forwarders=4), "too few forwarders"),
-        (make_plan(forwarders=0, covered=0, window_ms=0), "too few forwarders"),  # built from nothing
+        (make_plan(forwarders=0, covered=0, window_ms=0), "too few forwarders"),  # a plan without any evidence
         (make_plan(window_ms=999), "evidence of too short a time"),
         (make_plan(covered=4), "too few converters reported"),
         (make_plan(entries=eject_first(5)), "too many converters ejected"),
@@ -107,9 +107,8 @@
             sum(advice_by_upstream.get(2, Advice(2)).weight for advice_by_upstream in advice_of_followers) / 200
         )
     assert not_ejecting[0] == not_ejecting[1] == 0 and not_ejecting[-1] == 200
-    assert (
-        max(later - earlier for earlier, later in itertools.pairwise(not_ejecting)) < 40
-    )  # never a fifth of the forwarders at once
+    # the forwarders end the ejection gradually: never a fifth of them within one step
+    assert max(later - earlier for earlier, later in itertools.pairwise(not_ejecting)) < 40
     assert weights == sorted(weights) and weights[0] == 0.5 and weights[-1] == 1.0
 
 
--- a/tests/test_plan_leadership.py
+++ b/tests/test_plan_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership among planners, and the snapshot from which one continues."""
+"""Leader election among planners, and the snapshot from which a restarted planner continues."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 def test_first_planner_takes_over_and_the_second_waits_for_its_turn() -> None:
     first, second = Leadership("a", 0, 0), Leadership("b", 1, 0)
-    assert not first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=False)  # it has nothing to say
+    assert not first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=False)  # without evidence it can't compute a plan
     assert first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and first.term == Term(1, "a")
     assert not second.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
     second.on_heartbeat(LEADER_TIMEOUT_US, Heartbeat(first.highest_term, True, 10))
@@ -88,7 +88,7 @@
             snapshot.decode(data[:length], 2000, 60_000)
     with pytest.raises(snapshot.SnapshotError, match="altered"):
         snapshot.decode(data[:-1] + bytes([data[-1] ^ 1]), 2000, 60_000)
-    for unix_ms in (62_000, 0):  # too old, or from a time to come
+    for unix_ms in (62_000, 0):  # too old, or dated in the future
         with pytest.raises(snapshot.SnapshotError, match="old"):
             snapshot.load(tmp_path, unix_ms, 60_000)
     assert snapshot.load(tmp_path / "none", 0, 0) is None
--- a/tests/test_plan_messages.py
+++ b/tests/test_plan_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the plan protocol: any bytes are messages or an error, values have limits."""
+"""Decoding of the planner protocol: arbitrary bytes, limits of values, and unknown keys."""
 
 from __future__ import annotations
 
--- a/tests/test_planner_compatibility.py
+++ b/tests/test_planner_compatibility.py
@@ -1,4 +1,4 @@
-"""Messages and snapshots of planners keep their form: what revision 5daa07c wrote is read, and written alike."""
+"""The formats of planner messages and snapshots stay compatible with the bytes that revision 5daa07c wrote."""
 
 from __future__ import annotations
 
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -1,4 +1,4 @@
-"""Planners and forwarders over sockets: plans arrive, hanging and dead planners are left, bad peers are refused."""
+"""Planners and forwarders over sockets: delivery of plans, failover, hung planners, and rejection of invalid peers."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class Sidecar:
-    """A forwarder that sends to six converters, of which one never answers."""
+    """A forwarder that sends attempts to six converters, of which converter 3 never answers."""
 
     def __init__(self, name: str, *ports: int) -> None:
         self.plans: list[PlanUpdated] = []
@@ -96,7 +96,7 @@
 
 
 async def run_command(*arguments: str) -> str:
-    """What `ryepier` prints, run as a person would."""
+    """Run `ryepier` as a subprocess and return its output; fails on an error status."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "ryepier", *arguments, stdout=asyncio.subprocess.PIPE
     )
@@ -110,9 +110,8 @@
         ports = [free_port(), free_port()]
         async with run_planner(ports[1], "b", {"a": ports[0]}) as standby:
             async with run_planner(ports[0], "a", {"b": ports[1]}), run_sidecars(*ports) as sidecars:
-                await wait_until(
-                    lambda: sum(sidecar.ejected() == {3} for sidecar in sidecars) >= 3
-                )  # the others try it at their turn
+                # three of six are enough, as the other forwarders may be sending trial requests
+                await wait_until(lambda: sum(sidecar.ejected() == {3} for sidecar in sidecars) >= 3)
                 assert all(sidecar.forwarder.follower.term.planner == "a" for sidecar in sidecars)
                 assert "c3: ejected" in await run_command("plan", "explain", "c3", f"127.0.0.1:{ports[0]}")
                 plan = json.loads(await run_command("plan", "show", f"127.0.0.1:{ports[0]}", "--json"))
@@ -148,7 +147,7 @@
 
 
 async def exchange(port: int, data: bytes) -> list[Message]:
-    """What a planner says to these bytes before it closes."""
+    """Send bytes to a planner and return the messages that it sends before it closes the connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     async with asyncio.timeout(HANG_TIMEOUT_S):
--- a/tests/test_reflector.py
+++ b/tests/test_reflector.py
@@ -1,4 +1,4 @@
-"""The reflector of EndpointSlices without sockets: backoff, expired lists and pages, bookmarks, split lines."""
+"""Reflector of EndpointSlices without sockets: backoff, expired lists and pages, bookmarks, and split lines."""
 
 from __future__ import annotations
 
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -1,4 +1,4 @@
-"""List and watch of EndpointSlices against an emulated API server: faults, lost events, permissions."""
+"""List and watch of EndpointSlices from an emulated API server: faults, lost events, credentials."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
             testbed.api.faults.torn = True
             testbed.put("s1", "p1", draining="p1")
             await wait_until(lambda: sum("watch=true" in call for call in testbed.api.calls) >= 3)
-            assert testbed.states() == {"p1": READY}  # half a line says nothing yet
+            assert testbed.states() == {"p1": READY}  # an incomplete line has no effect
             testbed.api.faults.torn = False
             await wait_until(lambda: testbed.states() == {"p1": DRAINING})
 
@@ -102,7 +102,7 @@
             testbed.put("s1", "p2", draining="p2")
             testbed.store.delete("default", "s2")
             testbed.store.compact()
-            assert testbed.states() == {"p1": READY, "p2": READY, "p3": READY}  # the last list holds
+            assert testbed.states() == {"p1": READY, "p2": READY, "p3": READY}  # the last list stays in use
             await testbed.api.listen("127.0.0.1", testbed.port)
             await wait_until(lambda: testbed.states() == {"p2": DRAINING})
 
@@ -159,7 +159,7 @@
             testbed.api.end_connections()
             testbed.put("s1", "p1", draining="p1")
             await asyncio.sleep(0.1)
-            assert testbed.states() == {"p1": READY}  # the old token is refused
+            assert testbed.states() == {"p1": READY}  # the server rejects the old token
             token.write_text("second\n")
             await wait_until(lambda: testbed.states() == {"p1": DRAINING})
 
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -1,4 +1,4 @@
-"""The merged list as the module's entries: damping that never delays a drain, numbers, and what counts as fresh."""
+"""Merged endpoints as upstreams of the decision module: damping that never delays a drain, ids, and start times."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         now_us += 1 + wait_us
     assert update(listing, now_us + FLAP_RESET_US + 1, p1=make_endpoint(ready=False)) == {1: DRAINING}
     update(listing, now_us + FLAP_RESET_US + 2, p1=make_endpoint())
-    assert listing.next_due_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # calm for a minute: forgotten
+    assert listing.next_due_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # earlier flaps no longer count after a minute
 
 
 def test_endpoint_that_drains_while_settling_is_never_published_ready() -> None:
@@ -51,7 +51,8 @@
     update(listing, 0, p1=make_endpoint())
     update(listing, 1, p1=make_endpoint(ready=False))
     update(listing, 2, p1=make_endpoint())
-    assert update(listing, 3, p1=make_endpoint(ready=False, terminating=True)) == {}  # it drains already
+    # no update, as it is already published as draining
+    assert update(listing, 3, p1=make_endpoint(ready=False, terminating=True)) == {}
     assert listing.next_due_us is None and update(listing, 100 * SECOND_US) == {}
 
 
--- a/tests/test_slice_sidecar.py
+++ b/tests/test_slice_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar and its commands that follow EndpointSlices of an emulated API server."""
+"""A sidecar, and the commands of `ryepier slices`, that follow EndpointSlices of an emulated API server."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         unreachable.port = free_port()
         unreachable.follow(cache=cache)
         assert unreachable.events[0].kind is ListKind.CACHED and unreachable.states() == {"p1": READY}
-        cache.write_bytes(cache.read_bytes()[:-9])  # torn
+        cache.write_bytes(cache.read_bytes()[:-9])  # truncated
         restarted = ApiServerTestbed()
         restarted.port = unreachable.port
         restarted.follow(cache=cache)
@@ -110,7 +110,7 @@
 
 
 async def run_command(*arguments: str) -> tuple[int, str]:
-    """How `ryepier` ends, and what it prints."""
+    """Run `ryepier` as a subprocess and return its exit status and output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "ryepier", *arguments, stdout=asyncio.subprocess.PIPE
     )
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -1,4 +1,4 @@
-"""EndpointSlices without a network: what is read, and what many slices together say in whatever order they come."""
+"""EndpointSlices without a network: decoding, and merging of many slices whose events arrive in any order."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
     merger.apply(make_slice(endpoint(terminating=True), generation=4))
     merger.delete(make_slice(endpoint(terminating=True), generation=4))
     merger.apply(make_slice(endpoint(ready=True), endpoint("p2", "10.0.0.2"), uid="u9"))
-    assert not merger.apply(make_slice(endpoint(ready=True), generation=9))  # the old object, come late
+    assert not merger.apply(make_slice(endpoint(ready=True), generation=9))  # a late event of the deleted slice
     assert states(merger) == {"p1": DRAINING, "p2": READY}
     assert merger.endpoints(0)["p1"].rule == 3
 
@@ -127,7 +127,7 @@
             generation += 1
             slices[index][position] = endpoint_content
             merger.apply(make_slice(*slices[index], name=f"s{index}", uid=f"u{index}", generation=generation))
-            assert len(merger.changes(0)) <= 2  # what changed, and nothing else
+            assert len(merger.changes(0)) <= 2  # only the changed endpoints
         merger.apply(make_slice(*slices[index], name=f"s{index}", uid=f"u{index}", generation=generation - 1))
     assert states(merger) == {f"new{number}": READY for number in range(10 * size)}
 
@@ -175,7 +175,7 @@
             shuffled.endpoints(0)[pod].state is DRAINING for pod in terminated_pods & shuffled.endpoints(0).keys()
         )
     shuffled.replace([stream[-1] for stream in streams])
-    # a list that was empty on the way is held for a while (rule 6); after that all is one
+    # a list that was empty in between is kept for some time (rule 6); after that both lists must be equal
     for merger in (shuffled, in_order):
         merger.endpoints(0)
     assert shuffled.endpoints(EMPTY_LIST_HOLD_US) == in_order.endpoints(EMPTY_LIST_HOLD_US)
