--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -124,7 +124,7 @@
 
 
 class Forwarder:
-    """Reports the sidecar's attempts to planners and follows their plans; registered as observer of the dispatcher."""
+    """Reports the sidecar's attempts to planners and follows their plans. The dispatcher notifies it as an observer."""
 
     def __init__(self, settings: Settings, sidecar: Sidecar, machine: Machine) -> None:
         """Start without connections and without a plan; `start` opens the connections."""
--- a/ryepier/plan/leadership.py
+++ b/ryepier/plan/leadership.py
@@ -29,7 +29,7 @@
     leader_seen_us: int = field(init=False)  # time of the last evidence that a leader is alive
 
     def __post_init__(self) -> None:
-        """Assume that a leader is alive at the start, so that a new planner waits for one full timeout."""
+        """Assume that a leader is alive at the start, so that a new planner waits for at least one timeout."""
         self.leader_seen_us = self.started_us
 
     @property
