--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -189,17 +189,20 @@
     def _is_outlier_reporter(forwarder: ForwarderStats, totals: dict[str, ConverterTotals]) -> bool:
         recent_by_uid = {uid: stats.recent for uid, stats in forwarder.converters.items()}
         failing = {uid: recent for uid, recent in recent_by_uid.items() if recent.failed >= MIN_REPORTED_COUNT}
-        own = ConverterTotals(
+        own_totals = ConverterTotals(
             sum(recent.served for recent in recent_by_uid.values()),
             sum(recent.failed for recent in recent_by_uid.values()),
         )
-        if len(failing) < MIN_OUTLIER_CONVERTERS or own.failure_share < MIN_OUTLIER_FAILURE_SHARE:
+        if len(failing) < MIN_OUTLIER_CONVERTERS or own_totals.failure_share < MIN_OUTLIER_FAILURE_SHARE:
             return False
-        others = ConverterTotals(
+        other_totals = ConverterTotals(
             sum(totals[uid].served - recent.served * report_weight(recent) for uid, recent in failing.items()),
             sum(totals[uid].failed - recent.failed * report_weight(recent) for uid, recent in failing.items()),
         )
-        return others.served + others.failed >= MIN_FAILURES and others.failure_share < MAX_HEALTHY_FAILURE_SHARE
+        return (
+            other_totals.served + other_totals.failed >= MIN_FAILURES
+            and other_totals.failure_share < MAX_HEALTHY_FAILURE_SHARE
+        )
 
     def _is_failing(self, total: ConverterTotals) -> bool:
         return (
@@ -262,10 +265,10 @@
     def _build_slow_entries(self, totals: dict[str, ConverterTotals]) -> dict[str, ConverterAdvice]:
         entries: dict[str, ConverterAdvice] = {}
         latencies = {uid: total.median_ms for uid, total in totals.items() if total.served >= MIN_RESPONSES}
-        typical_ms = statistics.median(latencies.values()) if latencies else 0.0
+        fleet_median_ms = statistics.median(latencies.values()) if latencies else 0.0
         for uid, median_ms in latencies.items():
-            if median_ms > SLOW_RATIO * typical_ms > 0.0 and uid not in self.statuses:
-                ratio = median_ms / typical_ms
+            if median_ms > SLOW_RATIO * fleet_median_ms > 0.0 and uid not in self.statuses:
+                ratio = median_ms / fleet_median_ms
                 entries[uid] = ConverterAdvice(
                     max(MIN_WEIGHT, 1.0 / ratio),
                     1 if ratio > VERY_SLOW_RATIO else 0,
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -108,10 +108,10 @@
         """Return 1 while the plan is valid, then a value that falls linearly to 0 over the forwarder's fade time."""
         if self.plan is None:
             return 0.0
-        fading_ms = (now_us - self.accepted_us) / 1000 - self.plan.valid_ms
-        if fading_ms <= 0:
+        ms_past_validity = (now_us - self.accepted_us) / 1000 - self.plan.valid_ms
+        if ms_past_validity <= 0:
             return 1.0
-        return max(0.0, 1.0 - fading_ms / max(1.0, self.plan.fade_ms * self.fade_factor))
+        return max(0.0, 1.0 - ms_past_validity / max(1.0, self.plan.fade_ms * self.fade_factor))
 
     def age_ms(self, now_us: int) -> int:
         """Return the age of the current plan in milliseconds; 0 without a plan."""
--- a/ryepier/slices/endpoint_slice_merger.py
+++ b/ryepier/slices/endpoint_slice_merger.py
@@ -262,13 +262,16 @@
             changes = dict.fromkeys(self.current_endpoints)
             self.empty_since_us = None
         else:
-            for identity, last in self.current_endpoints.items():
+            for identity, last_endpoint in self.current_endpoints.items():
                 # rule 3 applies to a retained list too
-                terminating = last.terminating or identity in self.terminated_uids
+                terminating = last_endpoint.terminating or identity in self.terminated_uids
                 retained = replace(
-                    last, rule=6, terminating=terminating, state=UpstreamState.DRAINING if terminating else last.state
+                    last_endpoint,
+                    rule=6,
+                    terminating=terminating,
+                    state=UpstreamState.DRAINING if terminating else last_endpoint.state,
                 )
-                if retained != last:
+                if retained != last_endpoint:
                     changes[identity] = retained
         return self._commit(changes)
 
--- a/tests/test_plan_follower.py
+++ b/tests/test_plan_follower.py
@@ -92,7 +92,7 @@
         }
     )
     upstream_ids = {uid: int(uid[1:]) for uid in LISTED_UIDS}
-    not_ejecting, weights = [], []
+    not_ejecting_counts, weights = [], []
     for follower in followers:
         assert follower.accept_plan(0, plan, LISTED_UIDS) is None
     for age_s in range(0, 45, 2):
@@ -100,26 +100,26 @@
             {advice.upstream: advice for advice in follower.advice(age_s * SECOND_US, upstream_ids)}
             for follower in followers
         ]
-        not_ejecting.append(
+        not_ejecting_counts.append(
             sum(not advice_by_upstream.get(1, Advice(1)).ejected for advice_by_upstream in advice_of_followers)
         )
         weights.append(
             sum(advice_by_upstream.get(2, Advice(2)).weight for advice_by_upstream in advice_of_followers) / 200
         )
-    assert not_ejecting[0] == not_ejecting[1] == 0 and not_ejecting[-1] == 200
+    assert not_ejecting_counts[0] == not_ejecting_counts[1] == 0 and not_ejecting_counts[-1] == 200
     # the forwarders end the ejection gradually: never a fifth of them within one step
-    assert max(later - earlier for earlier, later in itertools.pairwise(not_ejecting)) < 40
+    assert max(later - earlier for earlier, later in itertools.pairwise(not_ejecting_counts)) < 40
     assert weights == sorted(weights) and weights[0] == 0.5 and weights[-1] == 1.0
 
 
 def test_forwarders_take_turns_at_probing_an_ejected_converter() -> None:
-    selected_ever: set[str] = set()
+    all_selected: set[str] = set()
     for number in range(1, 400):
         plan = make_plan(number=number, entries={"c1": ConverterAdvice(ejected=True, trial_share=0.1)})
         selected = {f"f{i}" for i in range(50) if PlanFollower(f"f{i}", RULES).is_selected_for_trial("c1", plan, 0.1)}
         assert len(selected) < 20
-        selected_ever |= selected
-    assert len(selected_ever) == 50
+        all_selected |= selected
+    assert len(all_selected) == 50
 
 
 def test_plan_adds_no_converter_that_discovery_has_not_listed() -> None:
--- a/tests/test_plan_leadership.py
+++ b/tests/test_plan_leadership.py
@@ -57,12 +57,12 @@
 
 
 def test_leader_steps_down_when_a_forwarder_reports_a_higher_term() -> None:
-    lower = Leadership("a", 0, 0)
-    assert lower.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
-    assert not lower.tick(
+    leadership = Leadership("a", 0, 0)
+    assert leadership.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
+    assert not leadership.tick(
         LEADER_TIMEOUT_US + 1, forwarder_stats(Term(1, "b"), LEADER_TIMEOUT_US), has_enough_evidence=True
     )
-    assert lower.highest_term == Term(1, "b")
+    assert leadership.highest_term == Term(1, "b")
 
 
 def test_snapshot_is_restored_completely_or_not_at_all(tmp_path: Path) -> None:
--- a/tests/test_reflector.py
+++ b/tests/test_reflector.py
@@ -14,23 +14,25 @@
 
 
 def test_retry_after_of_a_busy_server_is_respected() -> None:
-    instance = Reflector("default", "convert", Random(1))
-    instance.start(0)
-    [_, wait] = instance.on_failure(0, Failure("busy", 429, retry_after_s=3))
+    reflector_under_test = Reflector("default", "convert", Random(1))
+    reflector_under_test.start(0)
+    [_, wait] = reflector_under_test.on_failure(0, Failure("busy", 429, retry_after_s=3))
     assert isinstance(wait, Wait) and 3_100_000 <= wait.until_us <= 3_200_000
-    [_, wait] = instance.on_failure(0, Failure("busy", 429, retry_after_s=86_400))
+    [_, wait] = reflector_under_test.on_failure(0, Failure("busy", 429, retry_after_s=86_400))
     assert isinstance(wait, Wait) and wait.until_us <= reflector.MAX_RETRY_AFTER_US + 400_000
 
 
 def test_backoff_grows_with_jitter_up_to_a_bound() -> None:
     delays_us = []
     for seed in range(50):
-        instance = Reflector("default", "convert", Random(seed))
+        reflector_under_test = Reflector("default", "convert", Random(seed))
         for _ in range(12):
-            waits_until_us = [
-                action.until_us for action in instance.on_failure(0, Failure("refused")) if isinstance(action, Wait)
+            wait_ends_us = [
+                action.until_us
+                for action in reflector_under_test.on_failure(0, Failure("refused"))
+                if isinstance(action, Wait)
             ]
-        delays_us += waits_until_us
+        delays_us += wait_ends_us
     assert min(delays_us) >= 0.5 * reflector.MAX_BACKOFF_US and max(delays_us) <= reflector.MAX_BACKOFF_US
     assert max(delays_us) - min(delays_us) > 0.4 * reflector.MAX_BACKOFF_US
 
@@ -53,7 +55,7 @@
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 400), max_size=6), st.booleans())
 def test_watch_split_at_any_byte_gives_complete_lines_despite_garbage(
-    garbage: bytes, cuts: list[int], is_valid: bool
+    garbage: bytes, split_offsets: list[int], is_valid: bool
 ) -> None:
     async def test() -> None:
         lines: list[bytes] = []
@@ -62,7 +64,7 @@
         if not is_valid:
             data = garbage
         response = api_client.ResponseReader(reflector.CallKind.WATCH, lines.append, lambda: None)
-        offsets = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
+        offsets = sorted({0, len(data), *(split_offset for split_offset in split_offsets if split_offset < len(data))})
         for begin, end in itertools.pairwise(offsets):
             response.data_received(data[begin:end])
         assert not is_valid or (
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -258,13 +258,13 @@
             assert [endpoint_slice.metadata.name for endpoint_slice in slices] == [f"s{index}" for index in range(5)]
             assert slices[0].endpoints[0].conditions.ready is True
             assert slices[0].endpoints[0].target_ref.uid == "p0" and slices[0].ports[0].port == 80
-            following = asyncio.create_task(asyncio.to_thread(follow, version, 3))
+            follow_task = asyncio.create_task(asyncio.to_thread(follow, version, 3))
             await asyncio.sleep(0.05)
             testbed.put("s1", "p1", draining="p1")
             testbed.put("s9", "p9")
             testbed.store.delete("default", "s0")
             testbed.api.on_change()
-            assert await following == [("MODIFIED", "s1"), ("ADDED", "s9"), ("DELETED", "s0")]
+            assert await follow_task == [("MODIFIED", "s1"), ("ADDED", "s9"), ("DELETED", "s0")]
             testbed.store.compact()
             with pytest.raises(kubernetes.ApiException) as error:
                 await asyncio.to_thread(follow, version, 1)
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -167,9 +167,9 @@
     for endpoint_slice in data.draw(st.permutations(all_slices + all_slices[::2])):
         shuffled.apply(endpoint_slice)
         terminated_pods |= {
-            observed.target_ref.uid or ""
-            for observed in endpoint_slice.endpoints or []
-            if observed.target_ref and observed.conditions and observed.conditions.terminating
+            listed_endpoint.target_ref.uid or ""
+            for listed_endpoint in endpoint_slice.endpoints or []
+            if listed_endpoint.target_ref and listed_endpoint.conditions and listed_endpoint.conditions.terminating
         }
         assert all(
             shuffled.endpoints(0)[pod].state is DRAINING for pod in terminated_pods & shuffled.endpoints(0).keys()
