--- a/tests/api_server_testbed.py
+++ b/tests/api_server_testbed.py
@@ -22,17 +22,20 @@
 
 
 def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test in an event loop, with a bound on its time."""
+    """Run a test in an event loop, with a timeout."""
 
-    async def limited() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(4 * HANG_TIMEOUT_S):
             await test()
 
-    asyncio.run(limited())
+    asyncio.run(run_with_timeout())
 
 
 def slice_content(*pods: str, draining: str = "", family: str = "IPv4") -> dict[str, Any]:
-    """Return the content of a slice whose endpoints are these pods, named p1 to p254."""
+    """Return the content of a slice with these pods as endpoints; pods are named p1 to p254, after their address.
+
+    Pods whose names occur in `draining` are terminating and not ready.
+    """
     prefix = "10.0.0." if family == "IPv4" else "fd00::"
     return {
         "addressType": family,
@@ -49,7 +52,7 @@
 
 
 class ApiServerTestbed:
-    """An emulated API server and a source that follows it."""
+    """An emulated API server, a slice source that follows it, and the updates that the source published."""
 
     def __init__(self) -> None:
         self.store = Store()
@@ -59,20 +62,20 @@
         self.source: SliceSource | None = None
 
     def put(self, name: str, *pods: str, draining: str = "", family: str = "IPv4") -> None:
-        """Create or replace a slice."""
+        """Create or replace a slice of the service `convert`."""
         self.store.put(
             "default", name, slice_content(*pods, draining=draining, family=family), {SERVICE_LABEL: "convert"}
         )
         self.api.on_change()
 
-    def follow(self, access: Access | None = None, **more: Any) -> SliceSource:
-        """Start a source, with further settings."""
+    def follow(self, access: Access | None = None, **options: Any) -> SliceSource:
+        """Start a source that first publishes its cached list, if any; `options` are further fields of its settings."""
         settings = Settings(
             access or Access("127.0.0.1", self.port, False),
             "default",
             "convert",
             ListingRules([], 0, settle_us=50_000),
-            **more,
+            **options,
         )
         self.source = SliceSource(settings, self.on_update, clock_us)
         self.source.restore_cached()
@@ -80,24 +83,24 @@
         return self.source
 
     def on_update(self, event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
-        """Record an update of the source."""
+        """Record an update that the source published."""
         assert all(entry.id in addresses for entry in event.upstreams)
         self.events.append(event)
 
     def states(self) -> dict[str, UpstreamState]:
-        """Return the state of each pod at the decision module, by all updates so far."""
+        """Return the state of each pod that the decision module knows after all updates so far."""
         assert self.source is not None
-        known: dict[int, UpstreamState] = {}
+        state_by_id: dict[int, UpstreamState] = {}
         for event in self.events:
             if event.kind in (ListKind.FULL, ListKind.CACHED):
-                known.clear()
-            known |= {entry.id: entry.state for entry in event.upstreams}
-        return {uid: known[ident] for uid, ident in self.source.upstream_ids().items()}
+                state_by_id.clear()
+            state_by_id |= {entry.id: entry.state for entry in event.upstreams}
+        return {uid: state_by_id[upstream_id] for uid, upstream_id in self.source.upstream_ids().items()}
 
 
 @asynccontextmanager
 async def api_server_testbed(tls: ssl.SSLContext | None = None) -> AsyncIterator[ApiServerTestbed]:
-    """Run the server on a free port."""
+    """Run an emulated API server on a free port; stops the source and the server at the end."""
     testbed = ApiServerTestbed()
     testbed.port = await testbed.api.listen("127.0.0.1", 0, tls)
     try:
--- a/tests/plan_scenarios.py
+++ b/tests/plan_scenarios.py
@@ -1,4 +1,4 @@
-"""Plans, reports of forwarders and a balancer for tests of planners, without sockets."""
+"""Helpers for tests of planners without sockets: plans, reports of forwarders, and a balancer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from ryepier.plan.plan_follower import AcceptanceRules
 
 RULES = AcceptanceRules(fleet=10)
-LISTED = {f"c{i}" for i in range(10)}
+LISTED_UIDS = {f"c{i}" for i in range(10)}
 SECOND_US = 1_000_000
 
 
@@ -39,55 +39,63 @@
     window_ms: int = 2000,
     entries: dict[str, ConverterAdvice] | None = None,
 ) -> Plan:
-    """Return a plan that forwarders accept unless its arguments prevent it."""
+    """Return a plan that passes RULES with the default arguments."""
     return Plan(
         Term(epoch, planner), number, Basis(forwarders, window_ms, covered, 10, 99), entries or {}, 2000, 30_000
     )
 
 
-def ejections(count: int) -> dict[str, ConverterAdvice]:
-    """Return advice that ejects the first converters."""
+def eject_first(count: int) -> dict[str, ConverterAdvice]:
+    """Return advice that ejects the first `count` converters, without trial requests."""
     return {f"c{i}": ConverterAdvice(ejected=True, trial_share=0.0) for i in range(count)}
 
 
 def report_attempts(
-    evidence: Evidence, now_us: int, name: str, results: dict[str, tuple[int, int]], slower: tuple[str, ...] = ()
+    evidence: Evidence, now_us: int, name: str, results: dict[str, tuple[int, int]], slow_uids: tuple[str, ...] = ()
 ) -> None:
-    """Merge a forwarder's next report: by converter, how many more attempts were served and how many failed.
+    """Merge a forwarder's next report. `results` are the numbers of newly served and failed attempts by converter.
 
-    An attempt takes 16 to 32 ms, or 64 to 128 ms at the slower converters; ten requests of the one class have arrived.
+    Served attempts take 16 to 32 ms, or 64 to 128 ms at the converters in `slow_uids`. With each report, ten more
+    requests of the only class have arrived.
     """
-    known = evidence.forwarders.get(name)
-    if known is None:
+    forwarder = evidence.forwarders.get(name)
+    if forwarder is None:
         evidence.merge(now_us, name, 1, Report(1, 10, {}, {}, [], [], 0))
-        known = evidence.forwarders[name]
+        forwarder = evidence.forwarders[name]
     counters = {}
     for uid, (served, failed) in results.items():
-        old = known.converters[uid].counters if uid in known.converters else ConverterCounters()
-        slow = uid in slower
-        counts = [*old.latencies, *[0] * (8 - len(old.latencies))]
-        counts[7 if slow else 5] += served
+        previous = forwarder.converters[uid].counters if uid in forwarder.converters else ConverterCounters()
+        is_slow = uid in slow_uids
+        latencies = [*previous.latencies, *[0] * (8 - len(previous.latencies))]
+        latencies[7 if is_slow else 5] += served
         counters[uid] = ConverterCounters(
-            old.attempts + served + failed, old.served + served, old.failed + failed, 0, tuple(counts)
+            previous.attempts + served + failed, previous.served + served, previous.failed + failed, 0, tuple(latencies)
         )
-    evidence.merge(now_us, name, 1, Report(known.number + 1, 10, counters, {}, [], [10 * known.number], 0))
+    evidence.merge(
+        now_us,
+        name,
+        1,
+        Report(forwarder.last_report_number + 1, 10, counters, {}, [], [10 * forwarder.last_report_number], 0),
+    )
 
 
-def report_healthy(evidence: Evidence, now_us: int, but: dict[str, tuple[int, int]], names: int = 10) -> None:
-    """Merge reports of forwarders for which all converters are healthy, except these."""
-    for index in range(names):
-        report_attempts(evidence, now_us, f"f{index}", dict.fromkeys(LISTED, (3, 0)) | but)
+def report_healthy(
+    evidence: Evidence, now_us: int, overrides: dict[str, tuple[int, int]], forwarder_count: int = 10
+) -> None:
+    """Merge reports of `forwarder_count` forwarders: all converters serve 3 attempts, except those in `overrides`."""
+    for index in range(forwarder_count):
+        report_attempts(evidence, now_us, f"f{index}", dict.fromkeys(LISTED_UIDS, (3, 0)) | overrides)
 
 
 def compute_plan(planner: Planner, evidence: Evidence, now_us: int) -> Plan:
-    """Return the planner's plan; there has to be one."""
+    """Return the planner's plan; fails if there is none."""
     plan = planner.plan(now_us, evidence, Term(1, "a"), 1)
     assert plan is not None
     return plan
 
 
 def balancer_with_upstreams(count: int) -> Balancer:
-    """Return a balancer with ready upstreams numbered from 0."""
+    """Return a balancer with `count` ready upstreams, whose ids start at 0."""
     settings = Settings(
         classes=[RequestClass("read", latency_objective_us=SECOND_US, deadline_us=10 * SECOND_US)], max_attempts=2
     )
@@ -96,8 +104,10 @@
     return balancer
 
 
-def sent_upstreams(balancer: Balancer, count: int, before: Event) -> list[int]:
-    """Send an event and then requests, and return the upstreams that the balancer sends them to."""
-    balancer.handle(2, before)
-    actions = [a for i in range(count) for a in balancer.handle(3 + i, RequestArrived(i, due_us=10 * SECOND_US))]
+def sent_upstreams(balancer: Balancer, count: int, event: Event) -> list[int]:
+    """Handle an event and then `count` requests; return the upstreams to which the balancer sends the requests."""
+    balancer.handle(2, event)
+    actions = [
+        action for i in range(count) for action in balancer.handle(3 + i, RequestArrived(i, due_us=10 * SECOND_US))
+    ]
     return [action.upstream for action in actions if isinstance(action, Send)]
--- a/tests/planner_fixtures.py
+++ b/tests/planner_fixtures.py
@@ -1,7 +1,7 @@
-"""Writes messages of the planner protocol and a snapshot, as hex lines, for tests/fixtures/planner_messages.hex.
+"""Prints messages of the planner protocol and a snapshot as lines in hex, for tests/fixtures/planner_messages.hex.
 
-The fixtures were written by revision 5daa07c, which named the types `Seen`, `Entry`, `Beat` and so on; this script
-has the present names. Run: python -m tests.planner_fixtures > FILE
+The fixtures in the repository were written by revision 5daa07c, in which the types were named `Seen`, `Entry`, `Beat`
+and so on; this script uses the present names. Usage: python -m tests.planner_fixtures > FILE
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 def frames() -> list[bytes]:
-    """One frame or more of each message."""
+    """Return encoded frames, at least one of each message type."""
     counters = {"a": messages.ConverterCounters(9, 5, 2, 1, (0, 3, 1)), "b": messages.ConverterCounters()}
     entries = {
         "a": messages.ConverterAdvice(0.5, 2, False, 1.0, "slow"),
         "b": messages.ConverterAdvice(1.0, 0, True, 0.4, "bad"),
     }
     basis = messages.PlanBasis(5, 1500, 9, 12, 88)
-    sent: list[messages.Message] = [
+    messages_to_encode: list[messages.Message] = [
         messages.Hello(1, "f1", 77),
         messages.Hello(1, "p2", 78, True),
         messages.Report(4, 12, counters, {"a": 2}, [7, 1], [3, 5], 4, TERM, 250),
@@ -30,11 +30,11 @@
         messages.Rejection("full", 500),
         messages.Rejection("x"),
     ]
-    return [messages.encode(message) for message in sent]
+    return [messages.encode(message) for message in messages_to_encode]
 
 
 def snapshot_file() -> bytes:
-    """The content of a snapshot file."""
+    """Return the content of a snapshot file."""
     statuses = {
         "c1": ConverterStatus(ConverterState.EJECTED, 3_000_000),
         "c2": ConverterStatus(ConverterState.RECOVERING, 4_000_000, 1),
--- a/tests/test_plan_evidence.py
+++ b/tests/test_plan_evidence.py
@@ -1,4 +1,4 @@
-"""Reports of forwarders, and their merge into a planner's evidence."""
+"""Reports of forwarders, and how a planner merges them into its evidence."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ryepier.plan.reporter import Reporter
 
 
-def test_report_has_the_changes_and_counts_a_late_attempt_before_it_ends() -> None:
+def test_report_has_changed_counters_and_counts_unanswered_attempts_as_failed() -> None:
     reporter = Reporter([100], 1)
     reporter.on_attempt_started(0, "a", 1, 0)
     reporter.on_attempt_started(0, "b", 2, 0)
@@ -31,7 +31,7 @@
         "b": ConverterCounters(1, 1, 0, 0, (0, 0, 1)),
     } and first.outstanding == {"a": 1}
     assert reporter.report(100, 2, Term(), 0).counters == {"a": ConverterCounters(1, failed=1)}
-    reporter.on_attempt_ended("a", 1, Outcome.TIMEOUT, 900)  # counted already
+    reporter.on_attempt_ended("a", 1, Outcome.TIMEOUT, 900)  # already counted as unanswered
     assert reporter.report(200, 2, Term(), 0).counters == {"a": ConverterCounters(1, failed=1)}
     reporter.retain({"b"})
     assert reporter.report(300, 1, Term(), 0, complete=True).counters == {"b": ConverterCounters(1, 1, 0, 0, (0, 0, 1))}
@@ -41,9 +41,9 @@
     total, reports = 0, []
     for number, count in enumerate(counts, 1):
         total += count
-        other = ConverterCounters(number, latencies=(0,) * (number % 4) + (number,))
+        other_counters = ConverterCounters(number, latencies=(0,) * (number % 4) + (number,))
         reports.append(
-            Report(number, 10, {"c": ConverterCounters(total, total), f"d{number % 3}": other}, {}, [], [], 0)
+            Report(number, 10, {"c": ConverterCounters(total, total), f"d{number % 3}": other_counters}, {}, [], [], 0)
         )
     return reports
 
@@ -51,18 +51,19 @@
 @given(st.lists(st.integers(0, 9), min_size=1, max_size=8), st.data())
 def test_merged_reports_do_not_depend_on_order_or_repetition(counts: list[int], data: Any) -> None:
     reports = growing_reports(counts)
-    straight, mixed = Evidence(0), Evidence(0)
+    in_order, shuffled = Evidence(0), Evidence(0)
     for report in reports:
-        straight.merge(0, "f", 1, report)
+        in_order.merge(0, "f", 1, report)
     for report in data.draw(st.permutations(reports + reports)):
-        mixed.merge(0, "f", 1, report)
-    assert straight.totals() == mixed.totals()
+        shuffled.merge(0, "f", 1, report)
+    assert in_order.merged_counters() == shuffled.merged_counters()
 
 
-def test_earlier_incarnation_of_a_forwarder_is_not_counted_and_a_new_one_starts_from_zero() -> None:
+def test_reports_of_earlier_incarnations_are_ignored_and_new_ones_start_from_zero() -> None:
     evidence = Evidence(0)
     first, second = growing_reports([5, 5])
     assert evidence.merge(0, "f", 7, first) and evidence.merge(1, "f", 7, second)
-    assert evidence.forwarders["f"].converters["c"].recent.served == pytest.approx(5, rel=0.01)  # the first is no news
+    # the counts of the first report are not recent
+    assert evidence.forwarders["f"].converters["c"].recent.served == pytest.approx(5, rel=0.01)
     assert not evidence.merge(2, "f", 6, second)
-    assert evidence.merge(3, "f", 8, first) and evidence.totals()["f"]["c"] == ConverterCounters(5, 5)
+    assert evidence.merge(3, "f", 8, first) and evidence.merged_counters()["f"]["c"] == ConverterCounters(5, 5)
