--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -15,7 +15,7 @@
     def __init__(self, rates_updated_us: int) -> None:
         """Start with full admission, without measurements, at `rates_updated_us`."""
         self.rates_updated_us = rates_updated_us
-        self.rate = 1.0
+        self.admitted_share = 1.0
         self.credit = 1.0  # selections admitted and not yet used
         self.load = 0.0  # moving average of the latency, relative to the slow one
         self.send_rate = 0.0  # attempts per second
@@ -23,7 +23,7 @@
 
     def add_credit(self) -> None:
         """Count one request that wants a slot."""
-        self.credit = min(self.credit + self.rate, tuning.MAX_ADMISSION_CREDIT)
+        self.credit = min(self.credit + self.admitted_share, tuning.MAX_ADMISSION_CREDIT)
 
     def use_credit(self) -> None:
         """Count one selection that took a slot."""
@@ -33,8 +33,8 @@
         """Update the rates with one attempt."""
         since_us = now_us - self.rates_updated_us
         self.rates_updated_us = now_us
-        self.send_rate = decayed_rate(self.send_rate, 1.0, since_us, tuning.RATE_MEMORY_US)
-        self.burst_rate = decayed_rate(self.burst_rate, 1.0, since_us, tuning.BURST_MEMORY_US)
+        self.send_rate = decayed_rate(self.send_rate, 1.0, since_us, tuning.RATE_TIME_CONSTANT_US)
+        self.burst_rate = decayed_rate(self.burst_rate, 1.0, since_us, tuning.BURST_TIME_CONSTANT_US)
 
     def is_overloaded(self) -> bool:
         """Return whether answers are slow in the mean; some are slow by chance at any load."""
@@ -45,7 +45,7 @@
 
         Admission falls at once while queues stay, but not for one slow answer among quick ones.
         """
-        self.load += (load - self.load) / tuning.LOAD_MEMORY
+        self.load += (load - self.load) / tuning.LOAD_WINDOW
         is_quick = load < tuning.TARGET_LOAD
         if not is_quick and not self.is_overloaded():
             return
@@ -54,7 +54,7 @@
         sends_per_s = min(rates) if is_quick else max(rates)
         gain = tuning.ADMISSION_GAIN / max(1.0, sends_per_s)
         factor = max(tuning.MIN_ADMISSION_FACTOR, 1.0 + gain * (tuning.TARGET_LOAD - load))
-        self.rate = min(1.0, max(self.rate * factor, tuning.MIN_ADMISSION_RATE))
+        self.admitted_share = min(1.0, max(self.admitted_share * factor, tuning.MIN_ADMISSION_RATE))
 
 
 class EvenSampler:
@@ -64,10 +64,10 @@
         """Start without credit."""
         self.credits: dict[int, float] = {}
 
-    def admits(self, index: int, share: float) -> bool:
+    def admits(self, key: int, share: float) -> bool:
         """Return whether one more arrival of a kind is within the share of them to admit."""
-        credit = self.credits.get(index, 0.0) + share
-        self.credits[index] = credit - float(credit >= 1.0)
+        credit = self.credits.get(key, 0.0) + share
+        self.credits[key] = credit - float(credit >= 1.0)
         return credit >= 1.0
 
 
@@ -84,29 +84,29 @@
         self.class_sampler = EvenSampler()
         self.retry_sampler = EvenSampler()  # by tenant
         self.tenant_arrivals = [0.0 for _ in settings.tenants]  # decaying counts
-        self.allowed_per_s = max(1.0, sum(tenant.allowance_per_s for tenant in settings.tenants))
+        self.total_allowance_per_s = max(1.0, sum(tenant.allowance_per_s for tenant in settings.tenants))
         self.unsent_share = 0.0  # moving average of arrivals that found no slot
         self.overloaded = False  # as last logged
 
     def observe_arrival(self, event: RequestArrived) -> None:
         """Count an arrival for its tenant."""
         if event.tenant < len(self.tenant_arrivals):
-            remaining = 1.0 - 1.0 / tuning.TENANT_MEMORY
+            remaining = 1.0 - 1.0 / tuning.TENANT_WINDOW
             self.tenant_arrivals = [count * remaining for count in self.tenant_arrivals]
             self.tenant_arrivals[event.tenant] += 1.0
 
     def observe_placement(self, sent: bool) -> bool:
         """Count whether an arrival was sent at once. Returns whether the sidecar is overloaded."""
-        self.unsent_share += (float(not sent) - self.unsent_share) / tuning.PLACEMENT_MEMORY
+        self.unsent_share += (float(not sent) - self.unsent_share) / tuning.PLACEMENT_WINDOW
         threshold = tuning.OVERLOAD_END_SHARE if self.overloaded else tuning.OVERLOAD_START_SHARE
         return self.unsent_share > threshold
 
     def admits(self, event: RequestArrived) -> bool:
         """Return whether a request is admitted by the plan's limit of its class and, in a storm, of
         retries."""
-        index = event.class_index
+        class_index = event.class_index
         limits = self.class_admission
-        if index < len(limits) and not self.class_sampler.admits(index, limits[index]):
+        if class_index < len(limits) and not self.class_sampler.admits(class_index, limits[class_index]):
             return False
         if not self.storm.active or event.retry_number == 0:
             return True
@@ -144,7 +144,7 @@
         if tenant < len(self.tenant_weight):
             return self._weight_at_share(self.tenant_weight[tenant])
         if tenant < len(self.settings.tenants):
-            allowed_share = self.settings.tenants[tenant].allowance_per_s / self.allowed_per_s
+            allowed_share = self.settings.tenants[tenant].allowance_per_s / self.total_allowance_per_s
             arrived_share = self.tenant_arrivals[tenant] / sum(self.tenant_arrivals)
             return self._weight_at_share(min(1.0, allowed_share / arrived_share))
         # An unknown tenant has no quota.
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -39,9 +39,11 @@
         self.outliers = OutlierDetector(settings, self.estimates, self.membership, self.random)
         self.feedback = AttemptFeedback(self.estimates, self.outliers, self.membership)
         self.selector = Selector(self.membership, self.retries, self.outliers, self.estimates, self.random)
-        self.polling = EndpointPoller(settings, self.random)
+        self.endpoint_poller = EndpointPoller(settings, self.random)
         self.last_shortage_us = 0  # when a request last found no free slot; 0 = never
-        self.shortage_us = 2 * max(one.latency_objective_us for one in settings.classes)  # how long it lasts
+        self.shortage_duration_us = 2 * max(
+            request_class.latency_objective_us for request_class in settings.classes
+        )  # how long it lasts
         self.next_log_us = now_us
         self.wake_ups = WakeUpQueue()
         self.schedule_poll(now_us)
@@ -57,17 +59,17 @@
             case api.TimerFired():
                 self.on_timer()
             case api.ClientDisconnected() if event.request in self.requests:
-                self.close(self.requests[event.request])
+                self.close_request(self.requests[event.request])
             case api.StreamStarted() if event.request in self.requests:
                 self.requests[event.request].streaming = True
             case api.UpstreamsUpdated():
-                self.on_list(event)
+                self.on_upstreams_updated(event)
             case api.PlanUpdated():
-                self.on_plan(event)
+                self.on_plan_updated(event)
             case api.RetryStormUpdated():
                 self.admission.storm = event
         self.fill_from_buffer()
-        self.arm()
+        self.arm_timer()
         actions, self.actions = self.actions, []
         return actions
 
@@ -99,23 +101,23 @@
         attempt.outcome = event.outcome
         self.observe_attempt(attempt, event.elapsed_us)
         if event.final or request.done:
-            self.close(request)
+            self.close_request(request)
         elif request.in_flight() == 0:
             if self.retries.may_retry(request, event.outcome, self.now_us):
                 self.place(request)
             else:
                 self.reject_or_fail(request)
 
-    def on_list(self, event: api.UpstreamsUpdated) -> None:
+    def on_upstreams_updated(self, event: api.UpstreamsUpdated) -> None:
         """Apply a new or changed upstream list, or schedule the next poll after a failed one."""
         if event.kind is api.ListKind.FAILED:
-            self.schedule_poll(self.polling.on_failure(self.now_us, event.silent_us))
+            self.schedule_poll(self.endpoint_poller.on_failure(self.now_us, event.silent_us))
             return
         if event.kind is not api.ListKind.CACHED:
-            self.polling.on_list()
+            self.endpoint_poller.on_list_received()
         self.close_idle(self.membership.update(event, self.now_us))
 
-    def on_plan(self, event: api.PlanUpdated) -> None:
+    def on_plan_updated(self, event: api.PlanUpdated) -> None:
         """Replace the plan's advice and limits."""
         self.membership.apply_plan(event)
         self.admission.tenant_weight = event.tenant_weight
@@ -124,8 +126,8 @@
     def on_timer(self) -> None:
         """Carry out all wake-ups that are due."""
         self.wake_ups.on_timer(self.now_us)
-        while (due := self.wake_ups.pop_due(self.now_us)) is not None:
-            self.on_wake_up(due)
+        while (wake_up := self.wake_ups.pop_due(self.now_us)) is not None:
+            self.on_wake_up(wake_up)
 
     def place(self, request: PendingRequest) -> None:
         """Send a request through a free slot, else keep it in the buffer, else give its final answer."""
@@ -139,12 +141,12 @@
             self.send(request, upstream)
             return
         self.last_shortage_us = self.now_us
-        if self.outranks_buffer(request) and self.retries.may_send(request, self.now_us):
+        if self.may_take_buffer(request) and self.retries.may_send(request, self.now_us):
             self.put_into_buffer(request, latest_us)
         else:
             self.reject_or_fail(request)
 
-    def outranks_buffer(self, request: PendingRequest) -> bool:
+    def may_take_buffer(self, request: PendingRequest) -> bool:
         """Return whether a request may take the buffer; without priorities, many cheap requests would keep
         the others out of it."""
         if self.buffer is None:
@@ -157,7 +159,7 @@
             self.reject_or_fail(self.buffer)
         self.buffer = request
         until_us = min(self.now_us + self.estimates.slow_latency_us[request.event.class_index], latest_us)
-        self.wake_at(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
+        self.schedule_wake_up(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
 
     def fill_from_buffer(self) -> None:
         """Send the buffered request if a slot is free for it."""
@@ -182,18 +184,20 @@
         pool.subset.members[upstream] = None
         self.retries.charge_budget(request, self.admission.storm.active)
         latest_write_us = self.retries.latest_write_us(request)
-        follows_timeout = any(one.outcome is api.Outcome.TIMEOUT for one in request.attempts)
+        follows_timeout = any(earlier.outcome is api.Outcome.TIMEOUT for earlier in request.attempts)
         attempt = Attempt(upstream, upstream.entry, event.class_index, self.now_us, follows_timeout)
         upstream.in_flight += 1
         upstream.outstanding.append(attempt)
         request.attempts.append(attempt)
         overdue_us = self.now_us + request.request_class.latency_objective_us
-        self.wake_at(overdue_us, WakeUpKind.ATTEMPT_OVERDUE, event.request, len(request.attempts) - 1)
+        self.schedule_wake_up(
+            overdue_us, WakeUpKind.ATTEMPT_OVERDUE, event.request, len(request.attempts) - 1
+        )
         timeout_us = self.retries.timeout_us(request, self.now_us)
         self.actions.append(api.Send(event.request, upstream.entry.id, timeout_us, latest_write_us))
         hedge_delay_us = self.retries.hedge_delay_us(request)
         if hedge_delay_us is not None:
-            self.wake_at(self.now_us + hedge_delay_us, WakeUpKind.HEDGE, event.request)
+            self.schedule_wake_up(self.now_us + hedge_delay_us, WakeUpKind.HEDGE, event.request)
 
     def send_hedge(self, request: PendingRequest) -> None:
         """Hedge a slow request at another upstream, unless the buffered request needs the slot."""
@@ -205,7 +209,7 @@
     def reject_or_fail(self, request: PendingRequest) -> None:
         """Give a request its one final answer: rejected where repeating is safe, failed otherwise."""
         may_reject = self.retries.may_reject(request)
-        self.close(request)
+        self.close_request(request)
         storm = self.admission.storm
         retry_after_us = 0
         if self.settings.retry_after:
@@ -216,7 +220,7 @@
         request_id = request.event.request
         self.actions.append(api.Reject(request_id, retry_after_us) if may_reject else api.Fail(request_id))
 
-    def close(self, request: PendingRequest) -> None:
+    def close_request(self, request: PendingRequest) -> None:
         """Give a request no further attempts, and forget it once none of its attempts is in flight."""
         request.done = True
         if self.buffer is request:
@@ -230,7 +234,7 @@
         upstream = attempt.upstream
         pool = self.membership.pool_of(upstream)
         slow_latency_us = self.estimates.slow_latency_us[attempt.class_index]
-        needed_until_us = self.last_shortage_us + tuning.SHORTAGE_MEMORY_FACTOR * slow_latency_us
+        needed_until_us = self.last_shortage_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
         slots_needed = attempt.sent_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
             if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # it may rejoin later
@@ -245,54 +249,54 @@
             pool.admission.add_credit()
         for pool in self.membership.pools_in_use:
             # If all upstreams are warming, nothing else gives them traffic.
-            self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.rate)
+            self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.admitted_share)
 
     def add_slow_start_credit(self, pool: UpstreamPool, served: float) -> None:
         """Give the warming upstreams of a pool credit for `served` requests (rule 4)."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
-        shortage_ends_us = self.last_shortage_us + self.shortage_us
+        shortage_ends_us = self.last_shortage_us + self.shortage_duration_us
         in_shortage = self.last_shortage_us > 0 and self.now_us <= shortage_ends_us
         pool.slow_start.add_credit(served, in_shortage, self.now_us)
 
     def schedule_poll(self, at_us: int) -> None:
         """Schedule a poll of the endpoint list at `at_us`, if lists are polled."""
         if self.settings.polls_endpoints:
-            self.polling.next_poll_us = at_us
-            self.wake_at(at_us, WakeUpKind.ENDPOINT_POLL, 0)
+            self.endpoint_poller.next_poll_us = at_us
+            self.schedule_wake_up(at_us, WakeUpKind.ENDPOINT_POLL, 0)
 
     def poll_endpoints(self) -> None:
         """Poll the endpoint list if that is due, and schedule the next poll in case no answer comes."""
-        if 0 < self.polling.next_poll_us <= self.now_us:
+        if 0 < self.endpoint_poller.next_poll_us <= self.now_us:
             self.actions.append(api.Subscribe(True))
-            self.schedule_poll(self.polling.on_poll(self.now_us))
+            self.schedule_poll(self.endpoint_poller.on_poll(self.now_us))
 
     def close_idle(self, upstreams: list[TrackedUpstream]) -> None:
         """Close the idle connections of upstreams that have left the subset."""
         self.actions += [api.CloseIdle(upstream.entry.id) for upstream in upstreams]
 
-    def wake_at(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
+    def schedule_wake_up(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
         """Schedule a wake-up at `at_us`, but not before the next microsecond."""
         self.wake_ups.schedule(max(at_us, self.now_us + 1), kind, request, attempt)
 
-    def on_wake_up(self, due: WakeUp) -> None:
+    def on_wake_up(self, wake_up: WakeUp) -> None:
         """Carry out one wake-up."""
-        request = self.requests.get(due.request)
-        if due.kind is WakeUpKind.ENDPOINT_POLL:
+        request = self.requests.get(wake_up.request)
+        if wake_up.kind is WakeUpKind.ENDPOINT_POLL:
             self.poll_endpoints()
-        elif due.kind is WakeUpKind.HEDGE and request is not None:
+        elif wake_up.kind is WakeUpKind.HEDGE and request is not None:
             self.send_hedge(request)
-        elif due.kind is WakeUpKind.ATTEMPT_OVERDUE and request is not None:
-            self.outliers.on_overdue(request.attempts[due.attempt], self.now_us)
-        elif due.kind is WakeUpKind.BUFFER_TIMEOUT and request is not None and self.buffer is request:
+        elif wake_up.kind is WakeUpKind.ATTEMPT_OVERDUE and request is not None:
+            self.outliers.on_overdue(request.attempts[wake_up.attempt], self.now_us)
+        elif wake_up.kind is WakeUpKind.BUFFER_TIMEOUT and request is not None and self.buffer is request:
             self.reject_or_fail(request)
 
-    def arm(self) -> None:
+    def arm_timer(self) -> None:
         """Request a timer at the next wake-up, or, for a buffered request, at the next end of an ejection."""
-        ends_us: list[int] = []
+        ejection_ends_us: list[int] = []
         if self.buffer is not None:
-            ends_us = self.outliers.ejection_ends_us(self.buffer.event.class_index, self.now_us)
-        timer_us = self.wake_ups.timer_to_request(ends_us)
+            ejection_ends_us = self.outliers.ejection_ends_us(self.buffer.event.class_index, self.now_us)
+        timer_us = self.wake_ups.timer_to_request(ejection_ends_us)
         if timer_us is not None:
             self.actions.append(api.SetTimer(timer_us, 0))
 
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -19,17 +19,17 @@
         self.max_gap_us = min(latest_start_us, max_interval_us)
         self.next_poll_us = 0  # 0 = none is due, as a watch is open
         self.last_contact_us: int | None = None  # before polls failed or the watch broke; None while it holds
-        self.failures = 0  # in a row
+        self.consecutive_failures = 0  # in a row
         self.spread_us = 0  # the span over which the next poll was last drawn; 0 = not since the last list
 
-    def on_list(self) -> None:
+    def on_list_received(self) -> None:
         """Record that a current list has arrived."""
-        self.failures = self.next_poll_us = self.spread_us = 0
+        self.consecutive_failures = self.next_poll_us = self.spread_us = 0
         self.last_contact_us = None
 
     def on_failure(self, now_us: int, silent_us: int) -> int:
         """Record a failed poll or watch, `silent_us` after the last contact. Returns when to poll (us)."""
-        self.failures += 1
+        self.consecutive_failures += 1
         if self.last_contact_us is None:
             self.last_contact_us = now_us - silent_us
         return self._backoff_until_us(now_us, self.last_contact_us)
@@ -51,6 +51,6 @@
         if self.spread_us >= self.max_gap_us // 2:
             return latest_us
         first_us = max(tuning.MIN_POLL_BACKOFF_US, tuning.FLEET_POLL_INTERVAL_US * self.instances)
-        backoff_us = first_us * 2 ** min(self.failures - 1, tuning.MAX_BACKOFF_DOUBLINGS)
+        backoff_us = first_us * 2 ** min(self.consecutive_failures - 1, tuning.MAX_BACKOFF_DOUBLINGS)
         self.spread_us = min(backoff_us, latest_us - now_us)
         return now_us + int(self.spread_us * self.random.random())
--- a/ryepier/balancer/estimates.py
+++ b/ryepier/balancer/estimates.py
@@ -7,9 +7,9 @@
 from ryepier.balancer.settings import RequestClass
 
 
-def decayed_rate(rate: float, amount: float, since_us: int, memory_us: int) -> float:
-    """Return a rate per second, averaged over `memory_us`, after `amount` more since `since_us` ago."""
-    return rate * math.exp(-since_us / memory_us) + amount * tuning.SECOND_US / memory_us
+def decayed_rate(rate: float, amount: float, since_us: int, time_constant_us: int) -> float:
+    """Return a rate per second, averaged over `time_constant_us` after `amount` more since `since_us` ago."""
+    return rate * math.exp(-since_us / time_constant_us) + amount * tuning.SECOND_US / time_constant_us
 
 
 class RequestEstimates:
@@ -27,7 +27,7 @@
         """Count the cost hint of one request (us of work); 0 = no hint."""
         if cost_us <= 0:
             return
-        self.costs_observed = min(self.costs_observed + 1, tuning.COST_MEMORY)
+        self.costs_observed = min(self.costs_observed + 1, tuning.COST_WINDOW)
         mean_us = self.mean_cost_us or cost_us
         bounded_us = min(cost_us, tuning.MAX_RELATIVE_COST * mean_us)
         self.mean_cost_us += (bounded_us - self.mean_cost_us) / self.costs_observed
@@ -39,7 +39,7 @@
         """
         mean_us = self.mean_latency_us[class_index]
         bounded_us = min(elapsed_us, 2 * self.slow_latency_us[class_index])
-        mean_us += (bounded_us - mean_us) / tuning.LATENCY_MEMORY
+        mean_us += (bounded_us - mean_us) / tuning.LATENCY_WINDOW
         self.mean_latency_us[class_index] = max(1.0, mean_us)
 
     def relative_cost(self, event: RequestArrived) -> float:
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -7,7 +7,7 @@
 from ryepier.balancer.outlier_detection import FaultVerdict, OutlierDetector
 from ryepier.balancer.upstream import ANSWERED, Attempt
 
-SHOWS_LOAD = (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED)
+LOAD_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED)
 
 
 class AttemptFeedback:
@@ -26,7 +26,7 @@
         shortage. Returns whether the upstream's limit was adapted."""
         upstream = attempt.upstream
         upstream.in_flight -= int(not attempt.presumed_lost)
-        earlier = upstream.outstanding[: upstream.outstanding.index(attempt)]
+        earlier_attempts = upstream.outstanding[: upstream.outstanding.index(attempt)]
         upstream.outstanding.remove(attempt)
         is_answered = attempt.outcome in ANSWERED
         timed_out = attempt.outcome is Outcome.TIMEOUT
@@ -37,7 +37,7 @@
         if not is_lost and not self.outliers.rejected_with_headroom(attempt, elapsed_us):
             adapted = self._adapt(attempt, elapsed_us, slots_needed, now_us)
         if is_answered:
-            self.outliers.on_answer(attempt, earlier)
+            self.outliers.on_answer(attempt, earlier_attempts)
         if is_answered or (timed_out and not is_lost):
             self.estimates.observe_latency(attempt.class_index, elapsed_us)
         return adapted
@@ -53,11 +53,11 @@
         is_faulty = verdict is FaultVerdict.FAULTY
         load = self._load_of(attempt, elapsed_us)
         ratio = self._latency_ratio_of(attempt, elapsed_us, is_faulty)
-        upstream.latency_ratio += (ratio - upstream.latency_ratio) / tuning.LATENCY_RATIO_MEMORY
+        upstream.latency_ratio += (ratio - upstream.latency_ratio) / tuning.LATENCY_RATIO_WINDOW
         if pool.slow_start.is_warming(upstream.entry, now_us):
             pool.slow_start.adapt_overcommit(load)
         # An expensive request times out wherever it is sent; each retry would count as one more slow answer.
-        elif not attempt.follows_timeout and attempt.outcome in SHOWS_LOAD:
+        elif not attempt.follows_timeout and attempt.outcome in LOAD_OUTCOMES:
             pool.admission.observe(load)
         upstream.concurrency.update(load, is_faulty, slots_needed)
         if upstream.concurrency.limit < 1.0:
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -51,9 +51,13 @@
             members = pool.subset.members
             pool.subset.members = {upstream: None for upstream in members if self._is_listed(upstream)}
             started_in_pool = [upstream for upstream in started if self.pool_of(upstream) is pool]
-            warm = [up for up in started_in_pool if not pool.slow_start.is_warming(up.entry, now_us)]
+            warm = [
+                upstream
+                for upstream in started_in_pool
+                if not pool.slow_start.is_warming(upstream.entry, now_us)
+            ]
             removed += self._sample_new_members(pool, warm)
-        self._count_planned_ejections()
+        self._update_planned_ejections()
         return removed
 
     def _apply_entries(self, event: UpstreamsUpdated) -> list[TrackedUpstream]:
@@ -83,10 +87,10 @@
 
     def apply_plan(self, event: PlanUpdated) -> None:
         """Replace the plan's advice on the listed upstreams; a plan can't bring back one that was removed."""
-        advice = {one.upstream: one for one in event.advice}
+        advice_by_id = {advice.upstream: advice for advice in event.advice}
         for upstream_id, upstream in self.by_id.items():
-            upstream.advice = advice.get(upstream_id) or Advice(upstream_id)
-        self._count_planned_ejections()
+            upstream.advice = advice_by_id.get(upstream_id) or Advice(upstream_id)
+        self._update_planned_ejections()
 
     def _add(self, entry: Upstream) -> TrackedUpstream:
         """Add an upstream that is new or has restarted.
@@ -96,24 +100,26 @@
         """
         in_other_zone = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
         pool_index = REMOTE_POOL if in_other_zone else LOCAL_POOL
-        former = self.by_id.get(entry.id)
-        advice = former.advice if former is not None else Advice(entry.id)
+        previous = self.by_id.get(entry.id)
+        advice = previous.advice if previous is not None else Advice(entry.id)
         health = [ClassHealth() for _ in self.settings.classes]
         self.by_id[entry.id] = TrackedUpstream(entry, pool_index, health, advice)
         return self.by_id[entry.id]
 
     def _sample_new_members(
-        self, pool: UpstreamPool, newcomers: list[TrackedUpstream]
+        self, pool: UpstreamPool, new_upstreams: list[TrackedUpstream]
     ) -> list[TrackedUpstream]:
-        """Offer places in a pool's subset to those newcomers that are still listed. Returns the upstreams
+        """Offer places in a pool's subset to those new upstreams that are still listed. Returns the upstreams
         that have left it."""
-        newcomers = [upstream for upstream in newcomers if self._is_listed(upstream)]
-        if not newcomers:
+        new_upstreams = [upstream for upstream in new_upstreams if self._is_listed(upstream)]
+        if not new_upstreams:
             return []
-        wanted = pool.subset.wanted_size(pool.admission.send_rate)
-        return pool.subset.sample_new_members(newcomers, len(self.in_pool(pool)), wanted, self.random)
+        wanted_count = pool.subset.wanted_size(pool.admission.send_rate)
+        return pool.subset.sample_new_members(
+            new_upstreams, len(self.in_pool(pool)), wanted_count, self.random
+        )
 
-    def _count_planned_ejections(self) -> None:
+    def _update_planned_ejections(self) -> None:
         """Decide whether the plan's ejections apply: not if they would eject too many."""
         ejected = sum(1 for upstream in self.by_id.values() if upstream.advice.ejected)
         self.planned_ejections_apply = ejected <= tuning.MAX_PLANNED_EJECTED_SHARE * len(self.by_id)
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -43,8 +43,8 @@
         outcome = attempt.outcome
         pool = self.membership.pool_of(upstream)
         is_fault = outcome in FAULTS
-        upstream.fault_share += (float(is_fault) - upstream.fault_share) / tuning.FAULT_MEMORY
-        pool.fault_share += (float(is_fault) - pool.fault_share) / tuning.POOL_FAULT_MEMORY
+        upstream.fault_share += (float(is_fault) - upstream.fault_share) / tuning.FAULT_WINDOW
+        pool.fault_share += (float(is_fault) - pool.fault_share) / tuning.POOL_FAULT_WINDOW
         pool_allowance = min(tuning.POOL_FAULT_FACTOR * pool.fault_share, tuning.MAX_POOL_FAULT_ALLOWANCE)
         exceeds_chance = is_fault and upstream.fault_share > tuning.MAX_FAULT_SHARE + pool_allowance
         if outcome is Outcome.REJECTED or exceeds_chance:
@@ -81,7 +81,7 @@
             return
         attempt.overdue = True
         health = attempt.upstream.by_class[attempt.class_index]
-        health.unanswered_share += (1.0 - health.unanswered_share) / tuning.UNANSWERED_MEMORY
+        health.unanswered_share += (1.0 - health.unanswered_share) / tuning.UNANSWERED_WINDOW
         if not attempt.overtaken_in_class:
             self._extend_timeout_streak(health, request_class.latency_objective_us, now_us)
         self.presume_lost(attempt)
@@ -126,7 +126,7 @@
         """Record that an attempt was answered before the `earlier` ones at the same upstream."""
         index = attempt.class_index
         health = attempt.upstream.by_class[index]
-        health.unanswered_share -= health.unanswered_share / tuning.UNANSWERED_MEMORY
+        health.unanswered_share -= health.unanswered_share / tuning.UNANSWERED_WINDOW
         health.timeout_streak = health.ejected_until_us = 0
         for other in earlier:
             other.overtake_count += 1
@@ -147,10 +147,10 @@
             is_quick = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_latency_us[attempt.class_index]
             headroom = upstream.queue_headroom + (1 if is_quick else -1)
             upstream.queue_headroom = min(max(headroom, 0), tuning.MAX_QUEUE_HEADROOM)
-            health.rejection_share -= health.rejection_share / tuning.FAULT_MEMORY
+            health.rejection_share -= health.rejection_share / tuning.FAULT_WINDOW
         if attempt.outcome is not Outcome.REJECTED:
             return False
-        health.rejection_share += (1.0 - health.rejection_share) / tuning.FAULT_MEMORY
+        health.rejection_share += (1.0 - health.rejection_share) / tuning.FAULT_WINDOW
         has_headroom = upstream.queue_headroom > 0
         upstream.queue_headroom = max(upstream.queue_headroom - 1, 0)
         return has_headroom
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -38,7 +38,7 @@
             return False
         return now_us - first.sent_us < request_class.idempotency_window_us
 
-    def bound_to(self, request: PendingRequest) -> Attempt | None:
+    def scope_attempt(self, request: PendingRequest) -> Attempt | None:
         """Return the attempt in whose idempotency scope another one must stay, if any."""
         request_class = request.request_class
         if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -66,27 +66,32 @@
         """
         slow_start = pool.slow_start
         subset = pool.subset.members
-        warming = {up: None for up in slow_start.warming if slow_start.is_warming(up.entry, now_us)}
+        warming = {
+            upstream: None for upstream in slow_start.warming if slow_start.is_warming(upstream.entry, now_us)
+        }
         is_expensive = self.estimates.relative_cost(request.event) > MAX_COST_WHILE_WARMING
         all_are_warming = len(warming) >= len(self.membership.by_id)
         excluded = warming if is_expensive and not all_are_warming else {}
         usable_warming = [] if excluded else [*warming]
         if pool.admission.credit < 1.0:
             return self.candidates_with_free_slots(request, usable_warming, ejections_apply, now_us)
-        warm_members = [up for up in subset if up not in warming]
-        found = self.candidates_with_free_slots(
+        warm_members = [upstream for upstream in subset if upstream not in warming]
+        candidates = self.candidates_with_free_slots(
             request, [*warm_members, *usable_warming], ejections_apply, now_us
         )
-        if not found or len(subset) < pool.subset.wanted_size(pool.admission.send_rate):
+        if not candidates or len(subset) < pool.subset.wanted_size(pool.admission.send_rate):
             # Sidecars that are connected to every upstream would exhaust the upstreams' connections.
             pools = self.membership.pools
-            others = [
+            outside_subset = [
                 upstream
                 for upstream in self.membership.by_id.values()
                 if pools[upstream.pool_index] is pool and upstream not in subset and upstream not in excluded
             ]
-            found = self.candidates_with_free_slots(request, others, ejections_apply, now_us) or found
-        return found
+            candidates = (
+                self.candidates_with_free_slots(request, outside_subset, ejections_apply, now_us)
+                or candidates
+            )
+        return candidates
 
     def candidates_with_free_slots(
         self,
@@ -98,22 +103,24 @@
         """Return the upstreams with a free slot for a request, each with its weight; if there are any that
         the request has not tried before, only those."""
         class_index = request.event.class_index
-        bound = self.retries.bound_to(request)
+        scope_attempt = self.retries.scope_attempt(request)
         planned_ejections_apply = self.membership.planned_ejections_apply
-        found = []
-        limit_of, weigh = self.concurrency_limit, self._weight
+        candidates = []
+        limit_of, weight_of = self.concurrency_limit, self._weight
         for upstream in upstreams:
             slots = limit_of(upstream, now_us) - upstream.in_flight
-            if slots <= 0 or (bound is not None and not self.retries.in_scope(bound, upstream)):
+            if slots <= 0 or (
+                scope_attempt is not None and not self.retries.in_scope(scope_attempt, upstream)
+            ):
                 continue
             health = upstream.by_class[class_index]
             if ejections_apply and now_us < health.ejected_until_us:
                 continue
             if planned_ejections_apply and upstream.advice.ejected:
                 continue
-            found.append(Candidate(upstream, weigh(upstream, health, slots)))
+            candidates.append(Candidate(upstream, weight_of(upstream, health, slots)))
         tried = [attempt.upstream for attempt in request.attempts]
-        return [candidate for candidate in found if candidate.upstream not in tried] or found
+        return [candidate for candidate in candidates if candidate.upstream not in tried] or candidates
 
     @staticmethod
     def _weight(upstream: TrackedUpstream, health: ClassHealth, slots: int) -> float:
--- a/ryepier/balancer/settings_parser.py
+++ b/ryepier/balancer/settings_parser.py
@@ -75,24 +75,26 @@
         return self.choice(path, ("true", "false"), default) == "true"
 
 
-def _class(options: _Options, at: str) -> api.RequestClass:
+def _class(options: _Options, prefix: str) -> api.RequestClass:
     return api.RequestClass(
-        name=options.text(at + "name"),
-        latency_objective_us=options.integer(at + "aim"),
-        deadline_us=options.integer(at + "deadline"),
-        priority_weight=options.number(at + "worth"),
-        late_weight=options.number(at + "late-worth", "0"),
-        latency_objective_stretch=options.number(at + "aim-stretch", "0"),
-        idempotency=_IDEMPOTENCY[options.choice(at + "effect", tuple(_IDEMPOTENCY))],
-        idempotency_scope=_SCOPES[options.choice(at + "group", tuple(_SCOPES), "all")],
-        idempotency_window_us=options.integer(at + "memory-span", "0"),
-        stream=options.flag(at + "stream", "false"),
+        name=options.text(prefix + "name"),
+        latency_objective_us=options.integer(prefix + "aim"),
+        deadline_us=options.integer(prefix + "deadline"),
+        priority_weight=options.number(prefix + "worth"),
+        late_weight=options.number(prefix + "late-worth", "0"),
+        latency_objective_stretch=options.number(prefix + "aim-stretch", "0"),
+        idempotency=_IDEMPOTENCY[options.choice(prefix + "effect", tuple(_IDEMPOTENCY))],
+        idempotency_scope=_SCOPES[options.choice(prefix + "group", tuple(_SCOPES), "all")],
+        idempotency_window_us=options.integer(prefix + "memory-span", "0"),
+        stream=options.flag(prefix + "stream", "false"),
     )
 
 
-def _tenant(options: _Options, at: str) -> api.Tenant:
+def _tenant(options: _Options, prefix: str) -> api.Tenant:
     return api.Tenant(
-        options.text(at + "name"), options.number(at + "allowance-per-s"), options.number(at + "share", "0")
+        options.text(prefix + "name"),
+        options.number(prefix + "allowance-per-s"),
+        options.number(prefix + "share", "0"),
     )
 
 
@@ -111,35 +113,40 @@
 
 def settings_from_pairs(pairs: dict[str, str]) -> api.Settings:
     """Return the settings from their paths and values. Unknown keys are skipped. Raises SettingsError."""
-    o = _Options(pairs)
+    options = _Options(pairs)
     try:
         return api.Settings(
-            classes=[_class(o, f"request-classes.{i}.") for i in range(o.integer("request-classes.count"))],
-            tenants=[_tenant(o, f"accounts.{i}.") for i in range(o.integer("accounts.count", "0"))],
-            over_quota_weight=o.number("over-share-worth", "1"),
-            weight_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
-            instances=o.integer("instances"),
-            self_index=o.integer("self-index", "0"),
-            zone=o.integer("locality", "0"),
-            tick_us=o.integer("granularity"),
-            max_attempts=o.integer("bounds.most-tries"),
-            max_retry_after_us=o.integer("bounds.max-retry-after", "0"),
-            connect_timeout_us=o.integer("bounds.dial-timeout", "0"),
-            retry_after=o.flag("bounds.retry-after"),
-            cancel=o.flag("bounds.cancel"),
-            probes=o.flag("bounds.probes"),
-            hedging=o.flag("bounds.second-copies"),
-            polls_endpoints=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            max_poll_interval_us=o.integer("invariants.ask-within", "0"),
-            initial_capacity_share=o.number("invariants.cold-share"),
-            warm_up_us=o.integer("invariants.warm-up"),
-            overload_factor=o.number("invariants.overload-factor"),
-            overload_window_us=o.integer("invariants.fall"),
-            cross_zone_fee=o.number("fees.cross-zone", "0"),
+            classes=[
+                _class(options, f"request-classes.{i}.")
+                for i in range(options.integer("request-classes.count"))
+            ],
+            tenants=[
+                _tenant(options, f"accounts.{i}.") for i in range(options.integer("accounts.count", "0"))
+            ],
+            over_quota_weight=options.number("over-share-worth", "1"),
+            weight_by_work=options.choice("value-by", ("request", "work"), "request") == "work",
+            instances=options.integer("instances"),
+            self_index=options.integer("self-index", "0"),
+            zone=options.integer("locality", "0"),
+            tick_us=options.integer("granularity"),
+            max_attempts=options.integer("bounds.most-tries"),
+            max_retry_after_us=options.integer("bounds.max-retry-after", "0"),
+            connect_timeout_us=options.integer("bounds.dial-timeout", "0"),
+            retry_after=options.flag("bounds.retry-after"),
+            cancel=options.flag("bounds.cancel"),
+            probes=options.flag("bounds.probes"),
+            hedging=options.flag("bounds.second-copies"),
+            polls_endpoints=options.choice("registry-mode", ("pushed", "on_request")) == "on_request",
+            max_poll_interval_us=options.integer("invariants.ask-within", "0"),
+            initial_capacity_share=options.number("invariants.cold-share"),
+            warm_up_us=options.integer("invariants.warm-up"),
+            overload_factor=options.number("invariants.overload-factor"),
+            overload_window_us=options.integer("invariants.fall"),
+            cross_zone_fee=options.number("fees.cross-zone", "0"),
             report_names=[
-                _REPORT_NAMES.get(name, name) for name in o.text("report.names", "").split(",") if name
+                _REPORT_NAMES.get(name, name) for name in options.text("report.names", "").split(",") if name
             ],
-            weighted=o.text("weights", "none") != "none",
+            weighted=options.text("weights", "none") != "none",
         )
     except ValueError as error:
         raise SettingsError(f"settings: {error}") from error
--- a/ryepier/balancer/simulator_adapter.py
+++ b/ryepier/balancer/simulator_adapter.py
@@ -15,10 +15,10 @@
     """Read `size` bytes, or fewer at the end of input."""
     data = source.read(size)
     while len(data) < size:
-        more = source.read(size - len(data))
-        if not more:
+        chunk = source.read(size - len(data))
+        if not chunk:
             break
-        data += more
+        data += chunk
     return data
 
 
@@ -40,18 +40,18 @@
             elif isinstance(event, protocol.InstanceStopped):
                 self.instances.pop(instance, None)
             elif instance in self.instances:
-                classes = len(self.instances[instance].settings.classes)
-                if isinstance(event, RequestArrived) and event.class_index >= classes:
-                    what = f"request class {event.class_index} of {classes}"
-                    raise protocol.ProtocolError(f"instance {instance}: {what}")
+                class_count = len(self.instances[instance].settings.classes)
+                if isinstance(event, RequestArrived) and event.class_index >= class_count:
+                    problem = f"request class {event.class_index} of {class_count}"
+                    raise protocol.ProtocolError(f"instance {instance}: {problem}")
                 try:
                     actions = self.instances[instance].handle(now_us, event)
-                    records.extend([protocol.encode(instance, action) for action in actions])
+                    records.extend([protocol.encode_action(instance, action) for action in actions])
                 # Reported to the simulator, which counts it.
                 except Exception as error:  # noqa: BLE001
                     text = f"{type(error).__name__}: {error}"
-                    records.append(protocol.encode(instance, protocol.InternalError(text)))
-        return protocol.reply(records)
+                    records.append(protocol.encode_action(instance, protocol.InternalError(text)))
+        return protocol.encode_reply(records)
 
     def start_instance(self, instance: int, event: protocol.InstanceStarted, now_us: int) -> None:
         """Start an instance, in place of an earlier one. Raises ProtocolError for wrong settings."""
@@ -65,7 +65,7 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
     host = InstanceHost()
-    number = 0
+    batch_number = 0
     while True:
         header = read_exactly(source, protocol.HEADER.size)
         if not header:
@@ -79,12 +79,12 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise protocol.ProtocolError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.handle_batch(now_us, count, body)
+            reply_frame = host.handle_batch(now_us, count, body)
         except protocol.ProtocolError as error:
-            raise protocol.ProtocolError(f"batch {number}: {error}") from error
-        sink.write(answer)
+            raise protocol.ProtocolError(f"batch {batch_number}: {error}") from error
+        sink.write(reply_frame)
         sink.flush()
-        number += 1
+        batch_number += 1
 
 
 def main() -> int:
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -17,14 +17,14 @@
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
 _ENTRY = struct.Struct("<IBBHBfQ")
-_LIST_HEAD = struct.Struct("<II")
-_POWER_ON = struct.Struct("<QI")
-_MEMBERS = struct.Struct("<BII")
-_ACCEPT = struct.Struct("<IBIQIBQ")
-_COMPLETED = struct.Struct("<IBIHIBB")
-_BEGUN = struct.Struct("<IBII")
-_HEALTH = struct.Struct("<IHIB")
-_DATAGRAM = struct.Struct("<HH")
+_LIST_HEADER = struct.Struct("<II")
+_INSTANCE_STARTED = struct.Struct("<QI")
+_UPSTREAMS_UPDATED = struct.Struct("<BII")
+_REQUEST_ARRIVED = struct.Struct("<IBIQIBQ")
+_ATTEMPT_ENDED = struct.Struct("<IBIHIBB")
+_STREAM_STARTED = struct.Struct("<IBII")
+_PROBE_ENDED = struct.Struct("<IHIB")
+_PEER_MESSAGE = struct.Struct("<HH")
 _U16 = struct.Struct("<H")
 _U32 = struct.Struct("<I")
 
@@ -80,187 +80,207 @@
         """Start with no lists and no batch."""
         self.lists: dict[int, list[api.Upstream]] = {}
         self.data = b""
-        self.at = 0
+        self.offset = 0
 
     def read_batch(self, data: bytes, count: int) -> Iterator[InstanceRecord]:
         """Yield the records of a batch's body, in order. Raises ProtocolError."""
-        self.data, self.at = data, 0
+        self.data, self.offset = data, 0
         for index in range(count):
-            start = self.at
+            start_offset = self.offset
             try:
-                code = self.take(1)[0]
+                code = self.read_bytes(1)[0]
                 if code == 110:
                     self.read_list()
                     continue
                 reader = _READERS.get(code)
                 if reader is None:
                     raise ProtocolError(f"unknown event code {code}")
-                instance = self.fields(_U16)[0]
+                instance = self.read_fields(_U16)[0]
                 event = reader(self)
             except (ProtocolError, UnicodeDecodeError) as error:
-                raise ProtocolError(f"record {index} at byte {start}: {error}") from error
+                raise ProtocolError(f"record {index} at byte {start_offset}: {error}") from error
             yield instance, event
-        if self.at != len(data):
-            raise ProtocolError(f"{len(data) - self.at} bytes left over after {count} records")
+        if self.offset != len(data):
+            raise ProtocolError(f"{len(data) - self.offset} bytes left over after {count} records")
 
-    def take(self, size: int) -> bytes:
+    def read_bytes(self, size: int) -> bytes:
         """Return the next `size` bytes of the batch. Raises ProtocolError if fewer are left."""
-        end = self.at + size
+        end = self.offset + size
         if end > len(self.data):
-            raise ProtocolError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
-        piece = self.data[self.at : end]
-        self.at = end
-        return piece
+            raise ProtocolError(f"truncated: {size} bytes wanted, {len(self.data) - self.offset} left")
+        chunk = self.data[self.offset : end]
+        self.offset = end
+        return chunk
 
-    def fields(self, layout: struct.Struct) -> tuple[int, ...]:
+    def read_fields(self, layout: struct.Struct) -> tuple[int, ...]:
         """Return the next fields, as `layout` has them. Raises ProtocolError if the batch ends before."""
-        return layout.unpack(self.take(layout.size))
+        return layout.unpack(self.read_bytes(layout.size))
 
-    def floats(self, count: int) -> list[float]:
+    def read_floats(self, count: int) -> list[float]:
         """Return the next `count` load report values. Raises ProtocolError for one that is not finite."""
-        values = list(struct.unpack(f"<{count}f", self.take(4 * count)))
+        values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
             raise ProtocolError("a load report value that is not a finite number")
         return values
 
     def read_list(self) -> None:
         """Read a numbered upstream list and remember it. Raises ProtocolError for a wrong entry."""
-        number, count = self.fields(_LIST_HEAD)
+        list_number, count = self.read_fields(_LIST_HEADER)
         entries = []
-        for upstream, zone, kind, domain, state, weight, started in _ENTRY.iter_unpack(
-            self.take(_ENTRY.size * count)
+        for upstream, zone, kind, failure_domain, state, weight, started_us in _ENTRY.iter_unpack(
+            self.read_bytes(_ENTRY.size * count)
         ):
             if not math.isfinite(weight):
                 raise ProtocolError(f"upstream {upstream} has a weight that is not a finite number")
             entries.append(
                 api.Upstream(
                     upstream,
-                    _known(_STATES, state, "upstream condition"),
+                    _lookup(_STATES, state, "upstream condition"),
                     zone,
                     kind,
-                    domain,
+                    failure_domain,
                     weight,
-                    started,
+                    started_us,
                 )
             )
-        self.lists[number] = entries
+        self.lists[list_number] = entries
 
 
-def _known(table: dict[int, V], code: int, what: str) -> V:
+def _lookup(table: dict[int, V], code: int, field_name: str) -> V:
     value = table.get(code)
     if value is None:
-        raise ProtocolError(f"unknown {what} {code}")
+        raise ProtocolError(f"unknown {field_name} {code}")
     return value
 
 
-def _started(frame: Decoder) -> Record:
-    seed, size = frame.fields(_POWER_ON)
-    return InstanceStarted(seed, frame.take(size).decode())
+def _read_instance_started(decoder: Decoder) -> Record:
+    seed, size = decoder.read_fields(_INSTANCE_STARTED)
+    return InstanceStarted(seed, decoder.read_bytes(size).decode())
 
 
-def _stopped(frame: Decoder) -> Record:
+def _read_instance_stopped(decoder: Decoder) -> Record:
     return InstanceStopped()
 
 
-def _members(frame: Decoder) -> Record:
-    how, version, number = frame.fields(_MEMBERS)
-    kind = _known(_LIST_KINDS, how, "list kind")
+def _read_upstreams_updated(decoder: Decoder) -> Record:
+    kind_code, version, list_number = decoder.read_fields(_UPSTREAMS_UPDATED)
+    kind = _lookup(_LIST_KINDS, kind_code, "list kind")
     if kind is api.ListKind.FAILED:
         return api.UpstreamsUpdated(kind, [], version)
-    if number not in frame.lists:
-        raise ProtocolError(f"upstream list {number} was never sent")
-    return api.UpstreamsUpdated(kind, frame.lists[number], version)
+    if list_number not in decoder.lists:
+        raise ProtocolError(f"upstream list {list_number} was never sent")
+    return api.UpstreamsUpdated(kind, decoder.lists[list_number], version)
 
 
-def _accept(frame: Decoder) -> Record:
-    request, class_index, tenant, key, cost, marks, due = frame.fields(_ACCEPT)
+def _read_request_arrived(decoder: Decoder) -> Record:
+    request, class_index, tenant, key, cost_us, flags, due_us = decoder.read_fields(_REQUEST_ARRIVED)
     return api.RequestArrived(
-        request, due, class_index, tenant, key, cost if marks & 1 else 0, bool(marks & 2), bool(marks & 4)
+        request,
+        due_us,
+        class_index,
+        tenant,
+        key,
+        cost_us if flags & 1 else 0,
+        bool(flags & 2),
+        bool(flags & 4),
     )
 
 
-def _completed(frame: Decoder) -> Record:
-    request, attempt, upstream, verdict, spent, last, count = frame.fields(_COMPLETED)
+def _read_attempt_ended(decoder: Decoder) -> Record:
+    request, attempt, upstream, outcome_code, elapsed_us, final, count = decoder.read_fields(_ATTEMPT_ENDED)
     return api.AttemptEnded(
         request,
         attempt,
         upstream,
-        _known(_OUTCOMES, verdict, "outcome"),
-        spent,
-        bool(last),
-        frame.floats(count),
+        _lookup(_OUTCOMES, outcome_code, "outcome"),
+        elapsed_us,
+        bool(final),
+        decoder.read_floats(count),
     )
 
 
-def _begun(frame: Decoder) -> Record:
-    request, attempt, spent, upstream = frame.fields(_BEGUN)
-    return api.StreamStarted(request, attempt, upstream, spent)
+def _read_stream_started(decoder: Decoder) -> Record:
+    request, attempt, elapsed_us, upstream = decoder.read_fields(_STREAM_STARTED)
+    return api.StreamStarted(request, attempt, upstream, elapsed_us)
 
 
-def _health(frame: Decoder) -> Record:
-    upstream, verdict, spent, count = frame.fields(_HEALTH)
-    return api.ProbeEnded(upstream, _known(_OUTCOMES, verdict, "outcome"), spent, frame.floats(count))
+def _read_probe_ended(decoder: Decoder) -> Record:
+    upstream, outcome_code, elapsed_us, count = decoder.read_fields(_PROBE_ENDED)
+    return api.ProbeEnded(
+        upstream, _lookup(_OUTCOMES, outcome_code, "outcome"), elapsed_us, decoder.read_floats(count)
+    )
 
 
-def _datagram(frame: Decoder) -> Record:
-    sender, size = frame.fields(_DATAGRAM)
-    return api.PeerMessage(sender, frame.take(size))
+def _read_peer_message(decoder: Decoder) -> Record:
+    sender, size = decoder.read_fields(_PEER_MESSAGE)
+    return api.PeerMessage(sender, decoder.read_bytes(size))
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
-    10: _completed,
-    20: _begun,
-    30: _datagram,
-    40: _stopped,
-    50: lambda frame: api.TimerFired(frame.fields(_U32)[0]),
-    60: lambda frame: api.ClientDisconnected(frame.fields(_U32)[0]),
-    70: _accept,
-    80: _members,
-    90: _health,
-    100: _started,
+    10: _read_attempt_ended,
+    20: _read_stream_started,
+    30: _read_peer_message,
+    40: _read_instance_stopped,
+    50: lambda decoder: api.TimerFired(decoder.read_fields(_U32)[0]),
+    60: lambda decoder: api.ClientDisconnected(decoder.read_fields(_U32)[0]),
+    70: _read_request_arrived,
+    80: _read_upstreams_updated,
+    90: _read_probe_ended,
+    100: _read_instance_started,
 }
 
 
-def _pack(code: int, layout: str) -> Callable[..., bytes]:
-    packer = struct.Struct("<BH" + layout)
-    return lambda instance, *values: packer.pack(code, instance, *values)
+def _packer_for(code: int, layout: str) -> Callable[..., bytes]:
+    record_layout = struct.Struct("<BH" + layout)
+    return lambda instance, *values: record_layout.pack(code, instance, *values)
 
 
-_send, _reject, _fail = _pack(20, "IIi"), _pack(40, "II"), _pack(90, "I")
-_cancel, _probe, _timer = _pack(100, "IB"), _pack(80, "I"), _pack(30, "QI")
-_subscribe, _fetch, _close = _pack(70, "B"), _pack(10, ""), _pack(110, "I")
-_send_to_peer, _text_log, _text_error = _pack(50, "IH"), _pack(120, "H"), _pack(60, "H")
+_pack_send, _pack_reject, _pack_fail = _packer_for(20, "IIi"), _packer_for(40, "II"), _packer_for(90, "I")
+_pack_cancel, _pack_probe, _pack_timer = _packer_for(100, "IB"), _packer_for(80, "I"), _packer_for(30, "QI")
+_pack_subscribe, _pack_fetch_list, _pack_close_idle = (
+    _packer_for(70, "B"),
+    _packer_for(10, ""),
+    _packer_for(110, "I"),
+)
+_pack_send_to_peer, _log_header, _error_header = (
+    _packer_for(50, "IH"),
+    _packer_for(120, "H"),
+    _packer_for(60, "H"),
+)
 
 
-def _text(head: Callable[..., bytes], instance: int, text: str) -> bytes:
-    raw = text.encode()[:0xFFFF]
-    return head(instance, len(raw)) + raw
+def _pack_text(pack_header: Callable[..., bytes], instance: int, text: str) -> bytes:
+    encoded = text.encode()[:0xFFFF]
+    return pack_header(instance, len(encoded)) + encoded
 
 
 _WRITERS: dict[type, Callable[[int, Any], bytes]] = {
-    api.Send: lambda i, a: _send(i, a.request, a.upstream, a.timeout_us),
-    api.Reject: lambda i, a: _reject(i, a.request, a.retry_after_us),
-    api.Fail: lambda i, a: _fail(i, a.request),
-    api.Cancel: lambda i, a: _cancel(i, a.request, a.attempt),
-    api.Probe: lambda i, a: _probe(i, a.upstream),
-    api.SetTimer: lambda i, a: _timer(i, a.at_us, a.token),
-    api.Subscribe: lambda i, a: _subscribe(i, int(a.active)),
-    api.FetchList: lambda i, a: _fetch(i),
-    api.CloseIdle: lambda i, a: _close(i, a.upstream),
-    api.SendToPeer: lambda i, a: (
-        _send_to_peer(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload
+    api.Send: lambda instance, action: _pack_send(
+        instance, action.request, action.upstream, action.timeout_us
+    ),
+    api.Reject: lambda instance, action: _pack_reject(instance, action.request, action.retry_after_us),
+    api.Fail: lambda instance, action: _pack_fail(instance, action.request),
+    api.Cancel: lambda instance, action: _pack_cancel(instance, action.request, action.attempt),
+    api.Probe: lambda instance, action: _pack_probe(instance, action.upstream),
+    api.SetTimer: lambda instance, action: _pack_timer(instance, action.at_us, action.token),
+    api.Subscribe: lambda instance, action: _pack_subscribe(instance, int(action.active)),
+    api.FetchList: lambda instance, action: _pack_fetch_list(instance),
+    api.CloseIdle: lambda instance, action: _pack_close_idle(instance, action.upstream),
+    api.SendToPeer: lambda instance, action: (
+        _pack_send_to_peer(instance, _U32_MAX if action.to is None else action.to, len(action.payload))
+        + action.payload
     ),
-    api.Log: lambda i, a: _text(_text_log, i, a.text),
-    InternalError: lambda i, a: _text(_text_error, i, a.text),
+    api.Log: lambda instance, action: _pack_text(_log_header, instance, action.text),
+    InternalError: lambda instance, action: _pack_text(_error_header, instance, action.text),
 }
 
 
-def encode(instance: int, action: Reply) -> bytes:
+def encode_action(instance: int, action: Reply) -> bytes:
     """Return the record of an action."""
     return _WRITERS[type(action)](instance, action)
 
 
-def reply(records: list[bytes]) -> bytes:
-    """Return a complete reply frame."""
+def encode_reply(records: list[bytes]) -> bytes:
+    """Return a complete reply decoder."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -28,7 +28,7 @@
         # Throughputs are credited requests per second, for a warm upstream of size 1.
         self.recent_throughput = 0.0
         self.long_term_throughput = 0.0  # over the time of a warm-up
-        self.long_term_memory_us = max(settings.warm_up_us, tuning.RATE_MEMORY_US)
+        self.long_term_time_constant_us = max(settings.warm_up_us, tuning.RATE_TIME_CONSTANT_US)
         self.observed_share = 0.0  # of that time, smoothed like the throughput
         self.updated_us = now_us
         self.overcommit = 1.0  # multiple of the guaranteed capacity that warming upstreams get
@@ -85,12 +85,14 @@
 
     def _observe_throughput(self, throughput: float, since_us: int) -> None:
         """Update the averages with what was served since `since_us` ago."""
-        memory_us = self.long_term_memory_us
+        time_constant_us = self.long_term_time_constant_us
         self.recent_throughput = decayed_rate(
-            self.recent_throughput, throughput, since_us, tuning.RATE_MEMORY_US
+            self.recent_throughput, throughput, since_us, tuning.RATE_TIME_CONSTANT_US
         )
-        self.long_term_throughput = decayed_rate(self.long_term_throughput, throughput, since_us, memory_us)
-        self.observed_share = 1.0 - (1.0 - self.observed_share) * math.exp(-since_us / memory_us)
+        self.long_term_throughput = decayed_rate(
+            self.long_term_throughput, throughput, since_us, time_constant_us
+        )
+        self.observed_share = 1.0 - (1.0 - self.observed_share) * math.exp(-since_us / time_constant_us)
 
     def adapt_overcommit(self, load: float) -> None:
         """Adapt the overcommit to the load that an answer shows.
--- a/ryepier/balancer/wake_ups.py
+++ b/ryepier/balancer/wake_ups.py
@@ -48,15 +48,15 @@
         if self.timer_us <= now_us:
             self.timer_us = 0
 
-    def timer_to_request(self, others_us: Iterable[int]) -> int | None:
+    def timer_to_request(self, other_times_us: Iterable[int]) -> int | None:
         """Return when a timer has to be requested (us), or None if the requested one is early enough.
 
-        It fires at the next wake-up, or at the earliest of the `others_us` if that is sooner.
+        It fires at the next wake-up, or at the earliest of the `other_times_us` if that is sooner.
         """
         next_us = self.pending[0].at_us if self.pending else None
-        for other_us in others_us:
-            if next_us is None or other_us < next_us:
-                next_us = other_us
+        for other_time_us in other_times_us:
+            if next_us is None or other_time_us < next_us:
+                next_us = other_time_us
         if next_us is None or 0 < self.timer_us <= next_us:
             return None
         self.timer_us = next_us
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -64,11 +64,11 @@
     """Send a second attempt while an overdue one is in flight."""
     on_wake_up = Balancer.on_wake_up
 
-    def send_when_overdue(self: Balancer, due: WakeUp) -> None:
-        on_wake_up(self, due)
-        request = self.requests.get(due.request)
-        if due.kind is WakeUpKind.ATTEMPT_OVERDUE and request is not None and len(request.attempts) < 2:
-            attempt = request.attempts[due.attempt]
+    def send_when_overdue(self: Balancer, wake_up: WakeUp) -> None:
+        on_wake_up(self, wake_up)
+        request = self.requests.get(wake_up.request)
+        if wake_up.kind is WakeUpKind.ATTEMPT_OVERDUE and request is not None and len(request.attempts) < 2:
+            attempt = request.attempts[wake_up.attempt]
             if attempt.outcome is None:
                 self.send(request, attempt.upstream)
 
--- a/ryepier/storm/failed_request_sketch.py
+++ b/ryepier/storm/failed_request_sketch.py
@@ -32,7 +32,7 @@
 class _Generation:
     def __init__(self, now_us: int) -> None:
         self.rows = [bytearray(WIDTH) for _ in range(ROWS)]
-        self.since_us = now_us
+        self.started_us = now_us
         self.count = 0
 
     def minimum_count(self, columns: list[int]) -> int:
@@ -66,13 +66,13 @@
 
     def add(self, now_us: int, digest: bytes) -> None:
         """Add a request that was not served."""
-        if now_us - self.current.since_us >= GENERATION_US or self.current.count >= GENERATION_SIZE:
+        if now_us - self.current.started_us >= GENERATION_US or self.current.count >= GENERATION_SIZE:
             self._rotate(now_us)
         self.current.add(_columns(digest))
 
     def retry_number(self, now_us: int, digest: bytes) -> int:
         """Return how many earlier attempts of a request were not served: 0 for a first one."""
-        if now_us - self.current.since_us >= GENERATION_US:
+        if now_us - self.current.started_us >= GENERATION_US:
             self._rotate(now_us)
         if self.empty:
             return 0
@@ -83,6 +83,6 @@
 
     def _rotate(self, now_us: int) -> None:
         # Without new requests, the previous generation must not count for as long again.
-        is_recent = now_us - self.current.since_us < 2 * GENERATION_US and self.current.count
+        is_recent = now_us - self.current.started_us < 2 * GENERATION_US and self.current.count
         self.previous = self.current if is_recent else None
         self.current = _Generation(now_us)
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.2  # between two evaluations
+TICK_INTERVAL_S = 0.2  # between two evaluations
 
 
 Header = tuple[bytes, bytes]  # name, value
@@ -69,11 +69,11 @@
 
     def retry_number(self, request: Request) -> int:
         """Return how many earlier attempts of the request were not served; 0 for a first one."""
-        number = int(request.marked_as_retry)
+        retry_number = int(request.marked_as_retry)
         if not self.failed_requests.empty:
-            number = max(number, self.failed_requests.retry_number(self.clock_us(), identify(request)))
-        self.detector.on_request(number, request.tenant)
-        return number
+            retry_number = max(retry_number, self.failed_requests.retry_number(self.clock_us(), identify(request)))
+        self.detector.on_request(retry_number, request.tenant)
+        return retry_number
 
     def on_unserved(self, request: Request) -> None:
         """Record that the request was rejected, failed, or had no answer before its client disconnected."""
@@ -101,21 +101,21 @@
 
     def start(self) -> None:
         """Start reporting."""
-        self.task = asyncio.get_running_loop().create_task(self.watch())
+        self.task = asyncio.get_running_loop().create_task(self.report_changes())
 
     def stop(self) -> None:
         """Stop reporting."""
         if self.task is not None:
             self.task.cancel()
 
-    async def watch(self) -> None:
+    async def report_changes(self) -> None:
         """Report each change of the detector's event, forever."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             report = self.detector.tick(self.clock_us())
             if report.changed:
-                line = "a retry storm opens: %s" if report.event.active else "a retry storm is over: %s"
-                log.warning(line, report.evidence)
+                text = "a retry storm opens: %s" if report.event.active else "a retry storm is over: %s"
+                log.warning(text, report.evidence)
             if report.event != self.last_event:
                 self.last_event = report.event
                 self.publish(report.event)
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize(("text", "action"), ACTIONS)
 def test_documented_actions_are_written(text: str, action: protocol.Reply) -> None:
-    assert protocol.encode(3, action) == bytes.fromhex(text)
+    assert protocol.encode_action(3, action) == bytes.fromhex(text)
 
 
 def test_documented_frames_are_read_and_written() -> None:
@@ -103,11 +103,11 @@
         (5, "ClientDisconnected"),
     ]
     records = [
-        protocol.encode(3, ACTIONS[0][1]),
-        protocol.encode(3, ACTIONS[6][1]),
+        protocol.encode_action(3, ACTIONS[0][1]),
+        protocol.encode_action(3, ACTIONS[6][1]),
         bytes.fromhex("78 0500 1100 74776f2073657276657273206b6e6f776e"),
     ]
-    assert protocol.reply(records) == bytes.fromhex(
+    assert protocol.encode_reply(records) == bytes.fromhex(
         "34000000 03000000 14 0300 c4913a5d 074a1203 80380100 1e 0300 7afd870000000000 4d000000"
         "78 0500 1100 74776f2073657276657273206b6e6f776e"
     )
