--- a/ryepier/balancer/__init__.py
+++ b/ryepier/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a sidecar balancer for service-to-service calls."""
+"""Decision module of a sidecar load balancer for service-to-service calls."""
--- a/ryepier/balancer/actions.py
+++ b/ryepier/balancer/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the decision module returns, for the sidecar to carry out in their order.
+"""Actions that the decision module returns; the sidecar carries them out in the order given.
 
 Times are whole microseconds (`_us`) on the sidecar's own clock.
 """
@@ -12,12 +12,12 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Send(Record):
-    """Start an attempt; a request's attempts are numbered 0, 1, 2 ... in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered from 0, in the order of sending."""
 
     request: int
     upstream: int
     timeout_us: int = 0  # 0 = until the client disconnects
-    latest_write_us: int = 0  # must not be written later, however long its connection takes; 0 = no limit
+    latest_write_us: int = 0  # must not be written later, however long connecting takes; 0 = no limit
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Fail(Record):
-    """Final answer: failed; it may have run."""
+    """Final answer: failed; the request may have run."""
 
     request: int
 
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Subscribe(Record):
-    """Begin or end the subscription to the endpoint list; where lists are polled, poll it once."""
+    """Start or end the subscription to the endpoint list. Where the list is polled, poll it once."""
 
     active: bool = True
 
@@ -90,7 +90,7 @@
     """Write a line to the log."""
 
     text: str
-    upstream: int | None = None  # that the line is about
+    upstream: int | None = None  # the upstream that the line is about, if any
 
 
 Action = (
--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: how much is admitted, from whom, and the priority of a request."""
+"""Admission control: limits by load, class, tenant and retry storm, and the priority of a request."""
 
 from collections.abc import Sequence
 
@@ -10,46 +10,47 @@
 
 
 class AdmissionRate:
-    """The share of selections in one pool that may take a slot: it falls while all answers are slow."""
+    """Share of the selections in a pool that may take a slot; falls while answers are slow on average."""
 
     def __init__(self, rates_updated_us: int) -> None:
-        """Start with full admission, without measurements, at `rates_updated_us`."""
+        """Start with full admission and no measurements; `rates_updated_us` is the current time."""
         self.rates_updated_us = rates_updated_us
         self.admitted_share = 1.0
         self.credit = 1.0  # selections admitted and not yet used
-        self.load = 0.0  # moving average of the latency, relative to the slow one
+        self.load = 0.0  # moving average of the latency, relative to the slow latency of the class
         self.send_rate = 0.0  # attempts per second
-        self.burst_rate = 0.0  # the same over the last moments only
+        self.burst_rate = 0.0  # attempts per second, averaged over a shorter time
 
     def add_credit(self) -> None:
-        """Count one request that wants a slot."""
+        """Add the admitted share to the credit, for one request that needs a slot."""
         self.credit = min(self.credit + self.admitted_share, tuning.MAX_ADMISSION_CREDIT)
 
     def use_credit(self) -> None:
-        """Count one selection that took a slot."""
+        """Use one credit, for a selection that took a slot."""
         self.credit = max(0.0, self.credit - 1.0)
 
     def count_attempt(self, now_us: int) -> None:
-        """Update the rates with one attempt."""
+        """Update the attempt rates with one attempt."""
         since_us = now_us - self.rates_updated_us
         self.rates_updated_us = now_us
         self.send_rate = decayed_rate(self.send_rate, 1.0, since_us, tuning.RATE_TIME_CONSTANT_US)
         self.burst_rate = decayed_rate(self.burst_rate, 1.0, since_us, tuning.BURST_TIME_CONSTANT_US)
 
     def is_overloaded(self) -> bool:
-        """Return whether answers are slow in the mean; some are slow by chance at any load."""
+        """Return whether answers are slow on average; single answers are slow by chance at any load."""
         return self.load > tuning.TARGET_LOAD
 
     def observe(self, load: float) -> None:
-        """Adapt to the load that one answer shows.
+        """Adapt the admitted share to the load that one answer shows.
 
-        Admission falls at once while queues stay, but not for one slow answer among quick ones.
+        While queues persist, each slow answer reduces the share; one slow answer among fast ones does not.
         """
         self.load += (load - self.load) / tuning.LOAD_WINDOW
         is_quick = load < tuning.TARGET_LOAD
         if not is_quick and not self.is_overloaded():
             return
-        # By the long memory alone, a start or a burst would be thinned as if answers were few.
+        # The gain of an answer is inverse to the rate. At a start or in a burst the long-term rate alone is
+        # too low, and each slow answer would cut admission too much.
         rates = (self.send_rate, self.burst_rate)
         sends_per_s = min(rates) if is_quick else max(rates)
         gain = tuning.ADMISSION_GAIN / max(1.0, sends_per_s)
@@ -58,34 +59,34 @@
 
 
 class EvenSampler:
-    """Admits a share of the arrivals of each kind, spread evenly by credit instead of by chance."""
+    """Admits a share of the arrivals of each key, spread evenly by a credit instead of drawn at random."""
 
     def __init__(self) -> None:
-        """Start without credit."""
+        """Start with no credit for any key."""
         self.credits: dict[int, float] = {}
 
     def admits(self, key: int, share: float) -> bool:
-        """Return whether one more arrival of a kind is within the share of them to admit."""
+        """Add `share` to the credit of a key. Returns whether the current arrival is admitted."""
         credit = self.credits.get(key, 0.0) + share
         self.credits[key] = credit - float(credit >= 1.0)
         return credit >= 1.0
 
 
 class AdmissionControl:
-    """Planned limits of classes, retry storms, tenants' quotas, and the priority of a request."""
+    """Applies planned class limits, retry storm limits and tenant quotas, and computes request priorities."""
 
     def __init__(self, settings: Settings, estimates: RequestEstimates) -> None:
-        """Start without a plan or a storm."""
+        """Start without a plan and outside a retry storm."""
         self.settings = settings
         self.estimates = estimates
-        self.storm = RetryStormUpdated()  # as last reported
-        self.class_admission: Sequence[float] = ()  # by class, as planned; empty: all are admitted
-        self.tenant_weight: Sequence[float] = ()  # by tenant, as planned; empty: judged by what arrives here
+        self.storm = RetryStormUpdated()  # the latest report
+        self.class_admission: Sequence[float] = ()  # planned share of arrivals, by class; empty = all
+        self.tenant_weight: Sequence[float] = ()  # planned share within quota, by tenant; empty = no plan
         self.class_sampler = EvenSampler()
         self.retry_sampler = EvenSampler()  # by tenant
-        self.tenant_arrivals = [0.0 for _ in settings.tenants]  # decaying counts
+        self.tenant_arrivals = [0.0 for _ in settings.tenants]  # exponentially decaying counts, by tenant
         self.total_allowance_per_s = max(1.0, sum(tenant.allowance_per_s for tenant in settings.tenants))
-        self.unsent_share = 0.0  # moving average of arrivals that found no slot
+        self.unsent_share = 0.0  # moving average of the share of arrivals that found no slot
         self.overloaded = False  # as last logged
 
     def observe_arrival(self, event: RequestArrived) -> None:
@@ -96,14 +97,14 @@
             self.tenant_arrivals[event.tenant] += 1.0
 
     def observe_placement(self, sent: bool) -> bool:
-        """Count whether an arrival was sent at once. Returns whether the sidecar is overloaded."""
+        """Record whether an arrival was sent immediately. Returns whether the sidecar is overloaded."""
         self.unsent_share += (float(not sent) - self.unsent_share) / tuning.PLACEMENT_WINDOW
         threshold = tuning.OVERLOAD_END_SHARE if self.overloaded else tuning.OVERLOAD_START_SHARE
         return self.unsent_share > threshold
 
     def admits(self, event: RequestArrived) -> bool:
-        """Return whether a request is admitted by the plan's limit of its class and, in a storm, of
-        retries."""
+        """Return whether a request is within the planned limit of its class and, in a retry storm, within the
+        limit of retries."""
         class_index = event.class_index
         limits = self.class_admission
         if class_index < len(limits) and not self.class_sampler.admits(class_index, limits[class_index]):
@@ -113,7 +114,7 @@
         return self.retry_sampler.admits(event.tenant, self._retry_admission(event))
 
     def _retry_admission(self, event: RequestArrived) -> float:
-        """Return the share of retries like this one to admit in the current storm."""
+        """Return the share of retries with this number and tenant to admit in the current retry storm."""
         storm = self.storm
         share = 1.0
         if storm.admission:
@@ -123,8 +124,8 @@
         return share
 
     def priority(self, request: PendingRequest) -> float:
-        """Return the priority weight per slot time of a request; it is less for a tenant over its quota, and
-        in a storm for a retry."""
+        """Return the priority of a request: the weight of its class per expected slot time, reduced for a
+        tenant over its quota and, in a retry storm, for a retry."""
         event = request.event
         weight = request.request_class.priority_weight
         if not self.settings.weight_by_work:
@@ -136,10 +137,10 @@
         return weight
 
     def _tenant_factor(self, tenant: int) -> float:
-        """Return the factor (over_quota_weight to 1) of a tenant's priority.
+        """Return the priority factor of a tenant, from `over_quota_weight` to 1.
 
-        Its quota is judged as planned. Without a plan it is judged among the tenants that arrive here, as a
-        sidecar does not know the total rates.
+        The share of its requests within its quota comes from the plan. Without a plan it is estimated from
+        the mix of tenants that arrives here, as a sidecar does not know the rates over all sidecars.
         """
         if tenant < len(self.tenant_weight):
             return self._weight_at_share(self.tenant_weight[tenant])
@@ -151,6 +152,6 @@
         return self.settings.over_quota_weight if self.settings.tenants else 1.0
 
     def _weight_at_share(self, share_within_quota: float) -> float:
-        """Return the weight of a tenant with this share of its requests inside its quota."""
+        """Return the priority factor of a tenant with this share of its requests within its quota."""
         over_quota_weight = self.settings.over_quota_weight
         return over_quota_weight + (1.0 - over_quota_weight) * share_within_quota
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -1,7 +1,8 @@
-"""The decisions of one sidecar. Settings, events and actions: ryepier/balancer/interface.py.
+"""Decision module of one sidecar; ryepier/balancer/interface.py has its settings, events and actions.
 
-A request takes a free slot of a random upstream, waits in the one buffer if none is free, is rejected if
-that is taken, and is retried through a slot (docs/design.md). Each concern has a module beside this one.
+A request takes a free slot of a randomly selected upstream. If no slot is free, it waits in the buffer,
+which holds one request; if the buffer is taken, it is rejected. A retry also needs a free slot
+(docs/design.md). Each concern has its own module in this package.
 """
 
 from random import Random
@@ -22,10 +23,10 @@
 
 
 class Balancer:
-    """The decisions of one sidecar: the same settings, seed and events give the same actions."""
+    """Makes the decisions of one sidecar. The same settings, seed and events give the same actions."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Start without upstreams at `now_us` (microseconds on the clock of the later events)."""
+        """Start without upstreams; `now_us` is the current time (microseconds) on the clock of the events."""
         self.settings = settings
         self.random = Random(seed)
         self.now_us = now_us
@@ -41,15 +42,16 @@
         self.selector = Selector(self.membership, self.retries, self.outliers, self.estimates, self.random)
         self.endpoint_poller = EndpointPoller(settings, self.random)
         self.last_shortage_us = 0  # when a request last found no free slot; 0 = never
+        # A shortage is assumed to last this long after the last request that found no free slot.
         self.shortage_duration_us = 2 * max(
             request_class.latency_objective_us for request_class in settings.classes
-        )  # how long it lasts
+        )
         self.next_log_us = now_us
         self.wake_ups = WakeUpQueue()
         self.schedule_poll(now_us)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Take in one event and return the actions to carry out, in order; `now_us` must not go back."""
+        """Process one event and return the actions to carry out, in order. `now_us` must not decrease."""
         self.now_us = now_us
         match event:
             case api.AttemptEnded():
@@ -84,7 +86,7 @@
         if self.admission.admits(event):
             self.place(request)
         else:
-            # Warming upstreams get traffic by the demand, also by what is rejected.
+            # Rejected requests count too: warming upstreams get traffic in proportion to the demand.
             self.count_demand()
             self.reject_or_fail(request)
         self.log_overload(self.admission.observe_placement(sent=bool(request.attempts)))
@@ -118,7 +120,7 @@
         self.close_idle(self.membership.update(event, self.now_us))
 
     def on_plan_updated(self, event: api.PlanUpdated) -> None:
-        """Replace the plan's advice and limits."""
+        """Replace the advice and the limits of the previous plan."""
         self.membership.apply_plan(event)
         self.admission.tenant_weight = event.tenant_weight
         self.admission.class_admission = event.class_admission
@@ -130,7 +132,7 @@
             self.on_wake_up(wake_up)
 
     def place(self, request: PendingRequest) -> None:
-        """Send a request through a free slot, else keep it in the buffer, else give its final answer."""
+        """Send a request if a slot is free, else put it into the buffer, else give its final answer."""
         latest_us = self.retries.latest_start_us(request)
         if self.now_us >= latest_us:
             self.reject_or_fail(request)
@@ -147,14 +149,14 @@
             self.reject_or_fail(request)
 
     def may_take_buffer(self, request: PendingRequest) -> bool:
-        """Return whether a request may take the buffer; without priorities, many cheap requests would keep
-        the others out of it."""
+        """Return whether the buffer is empty or holds a request of lower priority. Without priorities, many
+        requests of little weight would keep the others out of the buffer."""
         if self.buffer is None:
             return True
         return self.admission.priority(request) > self.admission.priority(self.buffer)
 
     def put_into_buffer(self, request: PendingRequest, latest_us: int) -> None:
-        """Keep a request in the buffer, not beyond `latest_us`; the one that it replaces gets its answer."""
+        """Buffer a request until `latest_us` at most. A request that it replaces gets its final answer."""
         if self.buffer is not None:
             self.reject_or_fail(self.buffer)
         self.buffer = request
@@ -172,8 +174,8 @@
             self.send(request, upstream)
 
     def send(self, request: PendingRequest, upstream: TrackedUpstream) -> None:
-        """Start an attempt at an upstream: take a slot, use the credits that apply and schedule what
-        follows."""
+        """Start an attempt at an upstream: take a slot, charge the credits and the retry budget, and schedule
+        the wake-ups of the attempt."""
         event = request.event
         pool = self.membership.pool_of(upstream)
         if pool.slow_start.is_warming(upstream.entry, self.now_us):
@@ -207,21 +209,21 @@
                 self.send(request, upstream)
 
     def reject_or_fail(self, request: PendingRequest) -> None:
-        """Give a request its one final answer: rejected where repeating is safe, failed otherwise."""
+        """Give a request its final answer: rejected if repeating it is safe, failed otherwise."""
         may_reject = self.retries.may_reject(request)
         self.close_request(request)
         storm = self.admission.storm
         retry_after_us = 0
         if self.settings.retry_after:
             if storm.active and storm.retry_after_us:
-                # Clients that wait demand less: this counts for the retry that they would have made.
+                # A client that waits sends less. Count the retry that it would otherwise have sent.
                 self.count_demand()
             retry_after_us = self.retries.retry_after_us(request, storm)
         request_id = request.event.request
         self.actions.append(api.Reject(request_id, retry_after_us) if may_reject else api.Fail(request_id))
 
     def close_request(self, request: PendingRequest) -> None:
-        """Give a request no further attempts, and forget it once none of its attempts is in flight."""
+        """Send no further attempts of a request, and remove it once none of its attempts is in flight."""
         request.done = True
         if self.buffer is request:
             self.buffer = None
@@ -244,15 +246,15 @@
             self.add_slow_start_credit(pool, 1.0)
 
     def count_demand(self) -> None:
-        """Add to admission and slow-start credit for one arriving or repeated request."""
+        """Add admission and slow-start credit for one request that arrives or is sent again."""
         for pool in self.membership.pools:
             pool.admission.add_credit()
         for pool in self.membership.pools_in_use:
-            # If all upstreams are warming, nothing else gives them traffic.
+            # While all upstreams are warming, no other credit lets them get requests.
             self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.admitted_share)
 
     def add_slow_start_credit(self, pool: UpstreamPool, served: float) -> None:
-        """Give the warming upstreams of a pool credit for `served` requests (rule 4)."""
+        """Give the warming upstreams of a pool slow-start credit for `served` requests."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
         shortage_ends_us = self.last_shortage_us + self.shortage_duration_us
@@ -266,7 +268,7 @@
             self.schedule_wake_up(at_us, WakeUpKind.ENDPOINT_POLL, 0)
 
     def poll_endpoints(self) -> None:
-        """Poll the endpoint list if that is due, and schedule the next poll in case no answer comes."""
+        """Poll the endpoint list if a poll is due, and schedule the next one in case no answer comes."""
         if 0 < self.endpoint_poller.next_poll_us <= self.now_us:
             self.actions.append(api.Subscribe(True))
             self.schedule_poll(self.endpoint_poller.on_poll(self.now_us))
@@ -276,7 +278,7 @@
         self.actions += [api.CloseIdle(upstream.entry.id) for upstream in upstreams]
 
     def schedule_wake_up(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
-        """Schedule a wake-up at `at_us`, but not before the next microsecond."""
+        """Schedule a wake-up at `at_us`, one microsecond from now at the earliest."""
         self.wake_ups.schedule(max(at_us, self.now_us + 1), kind, request, attempt)
 
     def on_wake_up(self, wake_up: WakeUp) -> None:
@@ -292,7 +294,8 @@
             self.reject_or_fail(request)
 
     def arm_timer(self) -> None:
-        """Request a timer at the next wake-up, or, for a buffered request, at the next end of an ejection."""
+        """Request a timer for the next wake-up. If a request is buffered and an ejection ends before, the
+        timer is for the end of the ejection."""
         ejection_ends_us: list[int] = []
         if self.buffer is not None:
             ejection_ends_us = self.outliers.ejection_ends_us(self.buffer.event.class_index, self.now_us)
@@ -301,7 +304,7 @@
             self.actions.append(api.SetTimer(timer_us, 0))
 
     def log(self, text: str, upstream: int | None = None) -> bool:
-        """Emit a line unless one was emitted within `LOG_INTERVAL_US`. Returns whether it was emitted."""
+        """Log a line unless one was logged within `LOG_INTERVAL_US`. Returns whether it was logged."""
         if self.now_us < self.next_log_us:
             return False
         self.next_log_us = self.now_us + tuning.LOG_INTERVAL_US
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -1,4 +1,4 @@
-"""Polling: when the endpoint list is polled next (rule 3)."""
+"""Schedule of the polls of the endpoint list, with backoff after failures."""
 
 from random import Random
 
@@ -7,20 +7,20 @@
 
 
 class EndpointPoller:
-    """Schedules polls so that a change is known in time, whatever failed before."""
+    """Schedules polls so that a change of the list is known in time, even after failures."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        """Start before the first poll."""
+        """Start without a scheduled poll; the caller schedules the first."""
         self.instances = settings.instances
         self.random = random
         max_interval_us = settings.max_poll_interval_us // 2 or tuning.MAX_LIST_STALENESS_US
         latest_start_us = tuning.MAX_LIST_STALENESS_US - tuning.MAX_POLL_DURATION_US
-        # from the start of a poll, or the last contact of a watch, to the next poll
+        # from the start of a poll, or the last message of a watch, to the next poll
         self.max_gap_us = min(latest_start_us, max_interval_us)
-        self.next_poll_us = 0  # 0 = none is due, as a watch is open
-        self.last_contact_us: int | None = None  # before polls failed or the watch broke; None while it holds
-        self.consecutive_failures = 0  # in a row
-        self.spread_us = 0  # the span over which the next poll was last drawn; 0 = not since the last list
+        self.next_poll_us = 0  # 0 = none is scheduled, as a watch is open
+        self.last_contact_us: int | None = None  # before the failures; None = no failure
+        self.consecutive_failures = 0
+        self.spread_us = 0  # over which the last backoff was drawn; 0 = no backoff since the last list
 
     def on_list_received(self) -> None:
         """Record that a current list has arrived."""
@@ -28,24 +28,28 @@
         self.last_contact_us = None
 
     def on_failure(self, now_us: int, silent_us: int) -> int:
-        """Record a failed poll or watch, `silent_us` after the last contact. Returns when to poll (us)."""
+        """Record a failed poll or watch, `silent_us` after the last contact.
+
+        Returns the time of the next poll (us).
+        """
         self.consecutive_failures += 1
         if self.last_contact_us is None:
             self.last_contact_us = now_us - silent_us
         return self._backoff_until_us(now_us, self.last_contact_us)
 
     def on_poll(self, now_us: int) -> int:
-        """Record the start of a poll. Returns when to poll again if no answer comes (us)."""
+        """Record the start of a poll. Returns the time of the next poll (us) if no answer comes."""
         self.last_contact_us = now_us
         return now_us + self.max_gap_us
 
     def _backoff_until_us(self, now_us: int, last_contact_us: int) -> int:
-        """Return when to poll after a failure: full jitter over a span that doubles with each failure.
+        """Return the time of the next poll after a failure: full jitter over a span that doubles with each
+        failure.
 
-        All sidecars fail together, and discovery serves few polls at once, so the span grows with the fleet.
-        It ends a fixed time after the start of the failed poll, which may have been abandoned late. Once
-        polls are spread over half the longest gap they keep their places: drawn anew, they would come twice
-        as often, most of them soon after a recovery.
+        Polls of all sidecars fail together and discovery serves few polls at once, so the span grows with the
+        fleet. It ends a fixed time after the start of the failed poll, which may have been abandoned late.
+        Once polls are spread over half the longest gap, each sidecar keeps its offset. With new random
+        offsets, polls would be twice as frequent, and most of them would come soon after a recovery.
         """
         latest_us = max(now_us, last_contact_us + self.max_gap_us)
         if self.spread_us >= self.max_gap_us // 2:
--- a/ryepier/balancer/estimates.py
+++ b/ryepier/balancer/estimates.py
@@ -1,4 +1,4 @@
-"""Moving estimates of the latency and the cost of requests, by class."""
+"""Moving averages of the latency of requests, by class, and of their cost."""
 
 import math
 
@@ -8,23 +8,24 @@
 
 
 def decayed_rate(rate: float, amount: float, since_us: int, time_constant_us: int) -> float:
-    """Return a rate per second, averaged over `time_constant_us` after `amount` more since `since_us` ago."""
+    """Return an exponentially averaged rate per second: add `amount`, `since_us` after the last update."""
     return rate * math.exp(-since_us / time_constant_us) + amount * tuning.SECOND_US / time_constant_us
 
 
 class RequestEstimates:
-    """What requests take and cost, as this sidecar has measured it."""
+    """Latency and cost of requests, as measured by this sidecar."""
 
     def __init__(self, classes: list[RequestClass]) -> None:
-        """Start from a quarter of each class's latency objective."""
-        # by class; also the longest wait in the buffer, which leaves the other half for another attempt
+        """Start with a mean latency of a quarter of each class's latency objective."""
+        # By class, half the latency objective. It is also the longest wait in the buffer, so that the other
+        # half is left for an attempt.
         self.slow_latency_us = [request_class.latency_objective_us // 2 for request_class in classes]
         self.mean_latency_us = [request_class.latency_objective_us / 4 for request_class in classes]
         self.mean_cost_us = 0.0
         self.costs_observed = 0
 
     def observe_cost(self, cost_us: int) -> None:
-        """Count the cost hint of one request (us of work); 0 = no hint."""
+        """Update the mean cost with the cost hint of one request (us of work); 0 = no hint."""
         if cost_us <= 0:
             return
         self.costs_observed = min(self.costs_observed + 1, tuning.COST_WINDOW)
@@ -33,9 +34,9 @@
         self.mean_cost_us += (bounded_us - self.mean_cost_us) / self.costs_observed
 
     def observe_latency(self, class_index: int, elapsed_us: int) -> None:
-        """Count the latency of one attempt.
+        """Update the mean latency of a class with one attempt.
 
-        Timeouts count too: in a slow fleet, the few quick answers alone would give too low a mean.
+        Timeouts count too: in a slow fleet, the few fast answers alone would give too low a mean.
         """
         mean_us = self.mean_latency_us[class_index]
         bounded_us = min(elapsed_us, 2 * self.slow_latency_us[class_index])
--- a/ryepier/balancer/events.py
+++ b/ryepier/balancer/events.py
@@ -1,4 +1,4 @@
-"""Events that a sidecar hands to the decision module.
+"""Events that a sidecar passes to the decision module.
 
 Times are whole microseconds (`_us`) on the sidecar's own clock, which only moves forward.
 """
@@ -20,7 +20,7 @@
     TIMEOUT = "timeout"  # no answer in time; may have run or be running
     CONNECT_FAILED = "connect_failed"  # no connection; never ran
     RESET = "reset"  # the connection broke; may have run
-    MALFORMED_RESPONSE = "malformed_response"  # a response that can't be read; has run
+    MALFORMED_RESPONSE = "malformed_response"  # a response that cannot be parsed; has run
     CANCELLED = "cancelled"  # cancelled by the sidecar; may have run
     NOT_SENT = "not_sent"  # the sidecar could not send it; never ran
 
@@ -39,7 +39,7 @@
     DELTA = "delta"  # changed entries only
     FULL = "full"  # the complete list
     CACHED = "cached"  # the complete list as last known, possibly outdated
-    FAILED = "failed"  # a call failed or the subscription broke; the list stays as it was
+    FAILED = "failed"  # a poll failed or the subscription broke; the list is unchanged
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -62,7 +62,7 @@
     kind: ListKind
     upstreams: list[Upstream] = field(default_factory=list)
     version: int = 0
-    silent_us: int = 0  # FAILED: time without a valid message, where that is known
+    silent_us: int = 0  # only for FAILED: time since the last valid message, if known
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -76,13 +76,13 @@
     key: int = 0  # 0 = none
     cost_us: int = 0  # expected work on a standard core; 0 = not known
     marked_as_retry: bool = False  # the client marks it as a retry
-    retry_number: int = 0  # earlier attempts of its client that were rejected, as far as recognised
+    retry_number: int = 0  # earlier attempts of the client that were not served, as far as recognised
     write: bool = False
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class ClientDisconnected(Record):
-    """The client has disconnected; the request needs no answer any more."""
+    """The client has disconnected; the request no longer needs an answer."""
 
     request: int
 
@@ -96,13 +96,13 @@
     upstream: int
     outcome: Outcome
     elapsed_us: int = 0
-    final: bool = False  # the request has ended; otherwise it still needs an answer
-    report: list[float] = field(default_factory=list)  # values in the order of `report_names`
+    final: bool = False  # the request has its final answer; otherwise it still needs one
+    report: list[float] = field(default_factory=list)  # load report, in the order of `Settings.report_names`
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class StreamStarted(Record):
-    """A streamed answer has begun; the request can't be sent again."""
+    """A streamed response has begun; the request cannot be sent again."""
 
     request: int
     attempt: int
@@ -142,13 +142,13 @@
     upstream: int
     weight: float = 1.0  # factor of its weight in the selection
     concurrency_limit: int = 0  # attempts in flight; 0 = not limited by the plan
-    ejected: bool = False  # no new requests while there are others
+    ejected: bool = False  # no new requests while other upstreams are available
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class PlanUpdated(Record):
-    """A new plan, which replaces all earlier advice. It bounds and informs the decisions; the upstream of a
-    request is still selected by the sidecar. Upstreams that are not listed get no advice."""
+    """A new plan, which replaces all earlier advice. It limits and informs the decisions, but the sidecar
+    still selects the upstream of each request. Upstreams that are not listed in it get no advice."""
 
     advice: list[Advice] = field(default_factory=list)
     # by tenant, the share of its requests that is within its quota over all sidecars
@@ -159,14 +159,17 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class RetryStormUpdated(Record):
-    """Whether there is a retry storm, and how to admit retries in it; replaces earlier reports. Lists are
-    indexed by `RequestArrived.retry_number`, with the last entry for all beyond; first attempts are always
-    admitted."""
+    """Whether there is a retry storm, and how to admit retries in it; replaces earlier reports.
+
+    Lists are indexed by `RequestArrived.retry_number`, unless stated otherwise; their last entry also applies
+    to all higher numbers. First attempts are always admitted."""
 
     active: bool = False
     admission: list[float] = field(default_factory=list)  # share of arrivals to admit
-    retry_after_us: list[int] = field(default_factory=list)  # window of the Retry-After of rejected requests
-    tenant_admission: list[float] = field(default_factory=list)  # by tenant, share of retries; empty = all
+    retry_after_us: list[int] = field(default_factory=list)  # window for the Retry-After of rejected requests
+    tenant_admission: list[float] = field(
+        default_factory=list
+    )  # by tenant, share of retries to admit; empty = all
     retry_after_in_seconds: bool = False  # clients read whole seconds only
 
 
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -1,4 +1,4 @@
-"""Feedback: what an ended attempt shows of its upstream and of the pool."""
+"""Feedback from ended attempts to the limits of their upstream and of its pool."""
 
 from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
@@ -7,7 +7,7 @@
 from ryepier.balancer.outlier_detection import FaultVerdict, OutlierDetector
 from ryepier.balancer.upstream import ANSWERED, Attempt
 
-LOAD_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED)
+LOAD_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED)  # that show the load of the pool
 
 
 class AttemptFeedback:
@@ -16,22 +16,24 @@
     def __init__(
         self, estimates: RequestEstimates, outliers: OutlierDetector, membership: Membership
     ) -> None:
-        """Adapt the parts of one balancer."""
+        """Use the components of one balancer; this object has no state of its own."""
         self.estimates = estimates
         self.outliers = outliers
         self.membership = membership
 
     def observe(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
-        """Free the slot of an attempt and update the measurements with it; `slots_needed` if it was sent in a
-        shortage. Returns whether the upstream's limit was adapted."""
+        """Free the slot of an ended attempt and update the measurements with it.
+
+        `slots_needed` means that it was sent in a shortage of slots. Returns whether the limit of its
+        upstream was adapted."""
         upstream = attempt.upstream
         upstream.in_flight -= int(not attempt.presumed_lost)
         earlier_attempts = upstream.outstanding[: upstream.outstanding.index(attempt)]
         upstream.outstanding.remove(attempt)
         is_answered = attempt.outcome in ANSWERED
         timed_out = attempt.outcome is Outcome.TIMEOUT
-        # Judged by attempts that others overtook, an upstream that leaves some unanswered would lose its
-        # slots.
+        # An attempt that later ones have overtaken is lost, not slow. If it counted, an upstream that leaves
+        # some requests unanswered would lose its slots.
         is_lost = timed_out and (attempt.presumed_lost or attempt.overtake_count > 0)
         adapted = False
         if not is_lost and not self.outliers.rejected_with_headroom(attempt, elapsed_us):
@@ -43,7 +45,7 @@
         return adapted
 
     def _adapt(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
-        """Adapt the limits to an attempt, unless it is a tolerated fault. Returns whether they were
+        """Adapt the limits to an ended attempt, unless it is a tolerated fault. Returns whether they were
         adapted."""
         upstream = attempt.upstream
         pool = self.membership.pool_of(upstream)
@@ -56,7 +58,7 @@
         upstream.latency_ratio += (ratio - upstream.latency_ratio) / tuning.LATENCY_RATIO_WINDOW
         if pool.slow_start.is_warming(upstream.entry, now_us):
             pool.slow_start.adapt_overcommit(load)
-        # An expensive request times out wherever it is sent; each retry would count as one more slow answer.
+        # An expensive request times out at any upstream; each of its retries would count as a slow answer.
         elif not attempt.follows_timeout and attempt.outcome in LOAD_OUTCOMES:
             pool.admission.observe(load)
         upstream.concurrency.update(load, is_faulty, slots_needed)
@@ -65,13 +67,13 @@
         return True
 
     def _load_of(self, attempt: Attempt, elapsed_us: int) -> float:
-        """Return an attempt's latency relative to the slow one, at most `MAX_LOAD`."""
+        """Return an attempt's latency relative to the slow latency of its class, at most `MAX_LOAD`."""
         if attempt.outcome not in ANSWERED:
             return tuning.MAX_LOAD
         return min(tuning.MAX_LOAD, elapsed_us / self.estimates.slow_latency_us[attempt.class_index])
 
     def _latency_ratio_of(self, attempt: Attempt, elapsed_us: int, is_faulty: bool) -> float:
-        """Return an attempt's latency relative to the mean of its class, within bounds."""
+        """Return an attempt's latency relative to the mean of its class, limited to the allowed ratios."""
         if is_faulty:
             return tuning.MAX_LATENCY_RATIO
         ratio = elapsed_us / self.estimates.mean_latency_us[attempt.class_index]
--- a/ryepier/balancer/interface.py
+++ b/ryepier/balancer/interface.py
@@ -1,7 +1,7 @@
 """Interface between a sidecar and the decision module: settings, events in, actions out.
 
-An embedding sidecar makes a `Settings`, hands events to `Balancer.handle` in their order of arrival and
-carries out the actions it gets back in the order given.
+A sidecar that embeds the module creates a `Settings`, passes events to `Balancer.handle` in their order of
+arrival, and carries out the returned actions in the order given.
 """
 
 from __future__ import annotations
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -1,4 +1,4 @@
-"""Membership: the upstreams that are listed and ready, with the plan's advice on them."""
+"""Membership: the upstreams that are listed as ready, with the plan's advice on them."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
         self.random = random
         self.by_id: dict[int, TrackedUpstream] = {}  # in the order listed
         self.pools = [UpstreamPool(settings, now_us), UpstreamPool(settings, now_us)]
-        # in the order of selection; the remote one has upstreams only where traffic between zones has a price
+        # In the order of selection. The remote pool has upstreams only if cross-zone traffic has a fee.
         self.pools_in_use = self.pools if settings.cross_zone_fee > 0 else [self.pools[LOCAL_POOL]]
         self.planned_ejections_apply = False
 
@@ -43,7 +43,8 @@
         started = self._apply_entries(event)
         for upstream in started:
             if self.pool_of(upstream).slow_start.is_warming(upstream.entry, now_us):
-                # All sidecars are notified of it within moments, and must not try it in one burst.
+                # All sidecars learn of it almost at once. The random negative credit spreads their first
+                # requests to it, which would otherwise come in one burst.
                 upstream.slow_start_credit = -self.random.random()
         removed: list[TrackedUpstream] = []
         for pool in self.pools:
@@ -65,7 +66,7 @@
         started = []
         for entry in event.upstreams:
             if entry.state is not UpstreamState.READY:
-                self.by_id.pop(entry.id, None)  # rule 3: no new request from the moment of the notification
+                self.by_id.pop(entry.id, None)  # gets no new request from the notification on
                 continue
             upstream = self.by_id.get(entry.id)
             if upstream is None or upstream.entry.started_us != entry.started_us:
@@ -80,13 +81,13 @@
         return self.by_id.get(upstream.entry.id) is upstream
 
     def refresh_warming(self, pool: UpstreamPool, now_us: int) -> list[TrackedUpstream]:
-        """Find a pool's warming upstreams, and let those that have become warm join its subset. Returns the
-        upstreams that have left it."""
+        """Update a pool's warming upstreams, and let those that have become warm join its subset at random.
+        Returns the upstreams that have left the subset."""
         warmed = pool.slow_start.refresh(self.in_pool(pool), now_us)
         return self._sample_new_members(pool, warmed)
 
     def apply_plan(self, event: PlanUpdated) -> None:
-        """Replace the plan's advice on the listed upstreams; a plan can't bring back one that was removed."""
+        """Replace the plan's advice on the listed upstreams; a plan cannot add an upstream."""
         advice_by_id = {advice.upstream: advice for advice in event.advice}
         for upstream_id, upstream in self.by_id.items():
             upstream.advice = advice_by_id.get(upstream_id) or Advice(upstream_id)
@@ -95,8 +96,8 @@
     def _add(self, entry: Upstream) -> TrackedUpstream:
         """Add an upstream that is new or has restarted.
 
-        It starts without measurements, as the faults of the former process would keep the new one ejected.
-        The plan's advice concerns the machine and stays.
+        It starts without measurements, as the faults of the previous process would keep the new one ejected.
+        The plan's advice applies to the machine, and is kept.
         """
         in_other_zone = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
         pool_index = REMOTE_POOL if in_other_zone else LOCAL_POOL
@@ -109,8 +110,8 @@
     def _sample_new_members(
         self, pool: UpstreamPool, new_upstreams: list[TrackedUpstream]
     ) -> list[TrackedUpstream]:
-        """Offer places in a pool's subset to those new upstreams that are still listed. Returns the upstreams
-        that have left it."""
+        """Let those new upstreams that are still listed join a pool's subset at random. Returns the upstreams
+        that have left the subset."""
         new_upstreams = [upstream for upstream in new_upstreams if self._is_listed(upstream)]
         if not new_upstreams:
             return []
@@ -120,6 +121,6 @@
         )
 
     def _update_planned_ejections(self) -> None:
-        """Decide whether the plan's ejections apply: not if they would eject too many."""
+        """Update whether the plan's ejections apply: not if they would eject too many upstreams."""
         ejected = sum(1 for upstream in self.by_id.values() if upstream.advice.ejected)
         self.planned_ejections_apply = ejected <= tuning.MAX_PLANNED_EJECTED_SHARE * len(self.by_id)
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: upstreams that fail, hang or reject a class, and their ejection."""
+"""Outlier detection: ejects upstreams that fail, hang or reject a request class."""
 
 import enum
 from collections.abc import Iterable
@@ -13,31 +13,31 @@
 
 
 class FaultVerdict(enum.Enum):
-    """What an ended attempt shows of its upstream."""
+    """Whether an ended attempt counts as a fault of its upstream."""
 
-    NORMAL = enum.auto()  # its latency counts
-    TOLERATED = enum.auto()  # a fault that may be by chance: its latency shows nothing
-    FAULTY = enum.auto()  # more faults than chance explains
+    NORMAL = enum.auto()  # no fault, or a tolerated malformed response; the latency counts
+    TOLERATED = enum.auto()  # a fault that may be by chance; the latency is ignored
+    FAULTY = enum.auto()  # a rejection, or a fault where chance does not explain their number
 
 
 class OutlierDetector:
-    """Detects upstreams that fail, hang or reject a class, and ejects them; the state is the upstreams'."""
+    """Detects and ejects upstreams that fail, hang or reject a class; keeps its state in the upstreams."""
 
     def __init__(
         self, settings: Settings, estimates: RequestEstimates, membership: Membership, random: Random
     ) -> None:
-        """Start without ejections."""
+        """Start without ejections, with the components and the random generator of one balancer."""
         self.settings = settings
         self.estimates = estimates
         self.membership = membership
         self.random = random
-        self.last_ejection_ends_us = 0  # the latest end of an ejection for a class
+        self.last_ejection_ends_us = 0  # when the last of the ejections for a class ends
 
     def observe_fault(self, attempt: Attempt) -> FaultVerdict:
-        """Count whether an attempt failed at once or had a malformed response.
+        """Count whether an attempt was a fault (see `FAULTS`), and return how to treat it.
 
-        Such a fault may strike all upstreams alike, and must not eject them. Only a rejection shows the state
-        of the upstream itself at once.
+        Faults may affect all upstreams equally, and must not eject them then. Only a rejection shows the
+        state of the upstream itself, so a single one counts.
         """
         upstream = attempt.upstream
         outcome = attempt.outcome
@@ -54,9 +54,10 @@
         return FaultVerdict.NORMAL
 
     def eject(self, upstream: TrackedUpstream, class_index: int, elapsed_us: int, now_us: int) -> None:
-        """Eject an upstream whose limit is below one slot, until its next attempt is due."""
+        """Eject an upstream whose limit is below 1, until its next attempt is due."""
         slow_latency_us = self.estimates.slow_latency_us[class_index]
-        # Beside answers of seconds, short ejections would leave a choked upstream crowded.
+        # The latency of the attempt counts too: if answers take seconds, short ejections would not relieve
+        # an overloaded upstream.
         mean_us = min(self.estimates.mean_latency_us[class_index], slow_latency_us)
         latency_us = max(mean_us, min(elapsed_us, 2 * slow_latency_us))
         latencies = 1.0 / upstream.concurrency.limit - 1.0
@@ -64,17 +65,17 @@
         upstream.ejected_until_us = now_us + int(ejection_us)
 
     def _jitter(self) -> float:
-        """Return a random factor from 0.5 to 1.5: the sidecars must not try an ejected upstream together."""
+        """Return a factor from 0.5 to 1.5: sidecars must not try an ejected upstream at the same time."""
         return 0.5 + self.random.random()
 
     def on_overdue(self, attempt: Attempt, now_us: int) -> None:
         """Count an attempt that is unanswered after its latency objective.
 
-        Any earlier, attempts that an overload slows down would be presumed lost. An upstream may leave some
-        requests unanswered for ever, or all of a class, and serve the others well. So it is selected less for
-        that class, and ejected for it after several in a row.
+        With a shorter time, attempts that are only slowed down by an overload would be presumed lost. An
+        upstream may never answer some requests, or all of a class, and serve the others well. So it is
+        selected less for that class, and ejected for it after several unanswered attempts in a row.
 
-        Known limit: a class that is slow and rare by nature also moves to other upstreams after late answers.
+        Known limit: a class that is rare and always slow also moves to other upstreams after late answers.
         """
         request_class = self.settings.classes[attempt.class_index]
         if attempt.outcome is not None or request_class.stream:
@@ -87,7 +88,7 @@
         self.presume_lost(attempt)
 
     def _extend_timeout_streak(self, health: ClassHealth, latency_objective_us: int, now_us: int) -> None:
-        """Count one more unanswered attempt in a row; a long streak ejects the upstream for the class."""
+        """Count one more unanswered attempt in a row. A long streak ejects the upstream for the class."""
         health.timeout_streak = min(health.timeout_streak + 1, tuning.MAX_TIMEOUT_STREAK)
         if health.timeout_streak < tuning.EJECTION_TIMEOUT_STREAK:
             return
@@ -100,11 +101,12 @@
         """Free the slot of an overdue attempt if it is presumed lost.
 
         Otherwise requests that are never answered would hold all slots. The attempt stays in flight, as its
-        answer may still be of use. It is presumed lost if its upstream has answered enough later attempts. As
-        nothing overtakes what holds the only slot, one attempt per upstream is also presumed lost while the
-        pool answers fast.
+        answer may still be useful. It is presumed lost if its upstream has answered enough later attempts. An
+        attempt in the only slot cannot be overtaken, so one attempt per upstream is also presumed lost while
+        the pool answers fast.
 
-        Known limit: an upstream that serves by priority may still work on it, and gets up to twice the slots.
+        Known limit: an upstream that serves by priority may still be working on the attempt, and then gets
+        up to twice as many attempts as it has slots.
         """
         upstream = attempt.upstream
         lost = [other for other in upstream.outstanding if other.presumed_lost]
@@ -119,7 +121,7 @@
 
     @staticmethod
     def _is_overtaken(attempt: Attempt) -> bool:
-        """Return whether enough later attempts were answered for this one to be lost rather than queued."""
+        """Return whether enough later attempts were answered to presume that this one is lost, not queued."""
         return attempt.overtake_count >= tuning.LOST_ATTEMPT_OVERTAKES
 
     def on_answer(self, attempt: Attempt, earlier: Iterable[Attempt]) -> None:
@@ -137,9 +139,9 @@
     def rejected_with_headroom(self, attempt: Attempt, elapsed_us: int) -> bool:
         """Record an ended attempt. Returns whether it was rejected by an upstream whose queue is not full.
 
-        What a full upstream accepts waits in its queue, so its answers are slow. One that rejects a class
-        and answers the others quickly has headroom: it keeps its slots, and only the class is selected less.
-        One that rejects more than it answers quickly counts as full.
+        Requests that a full upstream accepts wait in its queue, so its answers are slow. An upstream that
+        rejects one class and answers the others fast has headroom: it keeps its slots, and only the class is
+        selected less. An upstream with more rejections than fast answers counts as full.
         """
         upstream = attempt.upstream
         health = upstream.by_class[attempt.class_index]
@@ -156,7 +158,7 @@
         return has_headroom
 
     def ejection_ends_us(self, class_index: int, now_us: int) -> list[int]:
-        """Return when the current ejections that apply to a class end."""
+        """Return the end times (us) of the current ejections that affect a class."""
         ends_us = []
         for upstream in self.membership.by_id.values():
             end_us = max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
--- a/ryepier/balancer/pool.py
+++ b/ryepier/balancer/pool.py
@@ -7,11 +7,11 @@
 
 
 class UpstreamPool:
-    """All upstreams, or, where traffic between zones has a price, those of this zone or of the others."""
+    """All upstreams or, if cross-zone traffic has a fee, those of the own zone or of all other zones."""
 
     def __init__(self, settings: Settings, now_us: int) -> None:
         """Start with full admission and no measurements at `now_us` (microseconds)."""
         self.admission = AdmissionRate(now_us)
         self.slow_start = SlowStart(settings, now_us)
         self.subset = Subset()
-        self.fault_share = 0.0  # moving average of attempts that failed at once or had malformed responses
+        self.fault_share = 0.0  # moving average of the share of attempts that were faults
--- a/ryepier/balancer/records.py
+++ b/ryepier/balancer/records.py
@@ -4,20 +4,20 @@
 
 
 class Record:
-    """A dataclass with slots whose representation and equality are written once.
+    """Base of the dataclasses with slots, with one implementation of representation and equality.
 
-    Generating both for each class would take a sixth of the sidecar's start.
+    Generating both methods for each class would take a sixth of the sidecar's start-up time.
     """
 
     __slots__: tuple[str, ...] = ()
 
     def __repr__(self) -> str:
-        """Return the class with its fields, as a dataclass does."""
+        """Return the class name with its fields, in the format of dataclasses."""
         fields = ", ".join(f"{name}={getattr(self, name)!r}" for name in self.__slots__)
         return f"{type(self).__qualname__}({fields})"
 
     def __eq__(self, other: object) -> bool:
-        """Return whether the other record is of the same class with the same fields."""
+        """Return whether the other record is of the same class and has equal fields."""
         if type(other) is not type(self):
             return NotImplemented
         return all(getattr(self, name) == getattr(other, name) for name in self.__slots__)
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -1,4 +1,4 @@
-"""Retries: whether and when a request may have another attempt, or its client come back."""
+"""Retries: whether and when to send another attempt, and when a rejected client should retry."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 from ryepier.balancer.settings import Idempotency, IdempotencyScope, Settings
 from ryepier.balancer.upstream import FAULTS, Attempt, PendingRequest, TrackedUpstream
 
-# An upstream that fails some of its requests would otherwise lose them all.
+# Without retries after these outcomes, all requests that a partly failing upstream fails would be lost.
 RETRIABLE_OUTCOMES = (*FAULTS, Outcome.TIMEOUT)
 
 
@@ -16,14 +16,14 @@
     """Decides whether, when and where a request may have another attempt; owns the retry budget."""
 
     def __init__(self, settings: Settings, estimates: RequestEstimates, random: Random) -> None:
-        """Start with a full budget."""
+        """Start with a full retry budget."""
         self.settings = settings
         self.estimates = estimates
         self.random = random
-        self.budget = tuning.MAX_RETRY_BUDGET  # retries saved up
+        self.budget = tuning.MAX_RETRY_BUDGET  # in retries
 
     def may_send(self, request: PendingRequest, now_us: int) -> bool:
-        """Return whether another attempt is allowed now, as far as that does not depend on the upstream."""
+        """Return whether another attempt is allowed now, apart from conditions on its upstream."""
         if request.done or request.streaming or now_us >= request.event.due_us:
             return False
         if len(request.attempts) >= self.settings.max_attempts:
@@ -39,7 +39,7 @@
         return now_us - first.sent_us < request_class.idempotency_window_us
 
     def scope_attempt(self, request: PendingRequest) -> Attempt | None:
-        """Return the attempt in whose idempotency scope another one must stay, if any."""
+        """Return the attempt whose idempotency scope further attempts must stay in, or None."""
         request_class = request.request_class
         if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return None
@@ -48,13 +48,13 @@
         return request.first_that_may_have_run()
 
     def in_scope(self, first: Attempt, upstream: TrackedUpstream) -> bool:
-        """Return whether an upstream drops the repeats of an attempt."""
+        """Return whether an upstream is in the idempotency scope of an attempt, and so drops its repeats."""
         if self.settings.classes[first.class_index].idempotency_scope is IdempotencyScope.ZONE:
             return first.entry.zone == upstream.entry.zone
         return first.entry.failure_domain == upstream.entry.failure_domain
 
     def latest_write_us(self, request: PendingRequest) -> int:
-        """Return the latest time (us) to write a repeat whose key is remembered; 0 if there is none."""
+        """Return the latest time (us) to write a repeat, as its key is forgotten later; 0 = no limit."""
         request_class = request.request_class
         first = request.first_that_may_have_run()
         if first is None or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
@@ -75,9 +75,10 @@
         return outcome in RETRIABLE_OUTCOMES and self.may_send(request, now_us) and self.budget >= 1.0
 
     def charge_budget(self, request: PendingRequest, in_storm: bool) -> None:
-        """Count an attempt that is about to be sent.
+        """Update the retry budget for an attempt that is about to be sent.
 
-        A first one earns part of a retry, unless it is a client's own retry in a storm. A later one uses one.
+        The first attempt of a request adds a part of a retry to the budget, unless it is a client's retry
+        in a retry storm. Each further attempt uses one retry.
         """
         is_client_retry = request.event.retry_number > 0
         if request.attempts:
@@ -96,15 +97,15 @@
         """Return the latest time (us) to start an attempt whose answer can be expected in time.
 
         At most half the latency objective is reserved for the answer. Otherwise nothing would be retried
-        after an outage that raised the mean.
+        after an outage that has raised the mean latency.
         """
         index = request.event.class_index
         answer_us = min(self.estimates.mean_latency_us[index], self.estimates.slow_latency_us[index])
         return self.useful_until_us(request) - int(answer_us)
 
     def timeout_us(self, request: PendingRequest, now_us: int) -> int:
-        """Return how long to wait for the next attempt (us): while its answer is useful, or, if a retry may
-        follow, a multiple of the class's mean latency."""
+        """Return the timeout (us) of the next attempt: the time for which its answer is useful or, if a retry
+        may follow, a multiple of the mean latency of its class."""
         useful_us = max(1, self.useful_until_us(request) - now_us)
         is_unsafe = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         if self.settings.hedging or is_unsafe or self.budget < 1:
@@ -118,7 +119,7 @@
         return min(useful_us, timeout_us)
 
     def hedge_delay_us(self, request: PendingRequest) -> int | None:
-        """Return how long after an attempt to hedge it (us); None if the request must not be hedged."""
+        """Return the time (us) after which to hedge an attempt; None if the request must not be hedged."""
         if not self.settings.hedging or request.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return None
         index = request.event.class_index
@@ -126,8 +127,8 @@
         return min(delay_us, self.estimates.slow_latency_us[index])
 
     def retry_after_us(self, request: PendingRequest, storm: RetryStormUpdated) -> int:
-        """Return how long a rejected client should wait before its retry (us); in a storm, spread over the
-        window for its retry."""
+        """Return how long (us) a rejected client should wait before it retries; in a retry storm, a random
+        time within the window for its retry number."""
         max_us = self.settings.max_retry_after_us
         if not storm.active or not storm.retry_after_us:
             mean_us = self.estimates.mean_latency_us[request.event.class_index]
@@ -135,7 +136,7 @@
         last_index = len(storm.retry_after_us) - 1
         window_us = storm.retry_after_us[min(request.event.retry_number, last_index)]
         if storm.retry_after_in_seconds and max_us >= tuning.SECOND_US:
-            # Rounded, all clients rejected within one second would return at the same moment.
+            # With rounded times, all clients rejected within one second would return at the same moment.
             max_s = min(max_us, max(window_us, 2 * tuning.SECOND_US)) // tuning.SECOND_US
             return tuning.SECOND_US * self.random.randint(1, max_s)
         wait_us = window_us * self.random.uniform(tuning.MIN_RETRY_AFTER_SHARE, 1)
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -1,4 +1,4 @@
-"""Selection: a weighted random choice among the upstreams that have a free slot."""
+"""Selection: weighted random choice among the upstreams that have a free slot."""
 
 from collections.abc import Iterable
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Selector:
-    """Chooses the upstream of an attempt among the listed ones, by the rules of `retries`."""
+    """Selects the upstream of an attempt among the listed ones, within the rules of `RetryPolicy`."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         estimates: RequestEstimates,
         random: Random,
     ) -> None:
-        """Select by the parts of one balancer, and draw from its generator."""
+        """Use the components and the random generator of one balancer."""
         self.membership = membership
         self.retries = retries
         self.outliers = outliers
@@ -39,10 +39,10 @@
         self.random = random
 
     def select(self, request: PendingRequest, now_us: int) -> TrackedUpstream | None:
-        """Return an upstream with a free slot, at random, or None.
+        """Return a randomly selected upstream with a free slot, or None.
 
-        The subset comes first, then any other upstream. A request goes to the other zones only if this one
-        has no slot for it or does not admit it.
+        Upstreams in the subset are preferred. If cross-zone traffic has a fee, a request goes to another zone
+        only if the sidecar's own zone has no slot for it or does not admit it.
         """
         if not self.retries.may_send(request, now_us):
             return None
@@ -58,11 +58,12 @@
     def _candidates_of_pool(
         self, pool: UpstreamPool, request: PendingRequest, ejections_apply: bool, now_us: int
     ) -> list[Candidate]:
-        """Return the upstreams of a pool with a free slot for a request, as far as the pool admits it.
+        """Return the candidates of a pool for a request; only warming ones if the pool does not admit it.
 
-        Warming upstreams are candidates also outside the subset, as one that no sidecar uses would be idle
-        while it warms up. Their traffic is limited by their credit, which all sidecars together have to use
-        up, so it is not subject to admission. An expensive request, however, would be the work of many.
+        Warming upstreams are candidates even outside the subset. Otherwise one that is in no subset would be
+        idle while it warms up. Their slow-start credit limits their traffic, and the sidecars together have
+        to use it up, so admission does not apply to them. An expensive request is not sent to them while
+        others are warm, as it is the work of many.
         """
         slow_start = pool.slow_start
         subset = pool.subset.members
@@ -80,7 +81,8 @@
             request, [*warm_members, *usable_warming], ejections_apply, now_us
         )
         if not candidates or len(subset) < pool.subset.wanted_size(pool.admission.send_rate):
-            # Sidecars that are connected to every upstream would exhaust the upstreams' connections.
+            # Only then are others considered: sidecars that are connected to every upstream would exhaust the
+            # upstreams' connections.
             pools = self.membership.pools
             outside_subset = [
                 upstream
@@ -100,8 +102,8 @@
         ejections_apply: bool,
         now_us: int,
     ) -> list[Candidate]:
-        """Return the upstreams with a free slot for a request, each with its weight; if there are any that
-        the request has not tried before, only those."""
+        """Return the upstreams with a free slot for a request, each with its weight. Those that the request
+        has already tried are only returned if there are no others."""
         class_index = request.event.class_index
         scope_attempt = self.retries.scope_attempt(request)
         planned_ejections_apply = self.membership.planned_ejections_apply
@@ -124,16 +126,16 @@
 
     @staticmethod
     def _weight(upstream: TrackedUpstream, health: ClassHealth, slots: int) -> float:
-        """Return the weight of an upstream by its free slots, latency, unanswered and rejected attempts of
-        the class, and the plan."""
+        """Return the weight of an upstream, from its free slots, its latency, its unanswered and rejected
+        attempts of the class, and the plan."""
         unanswered = 1.0 + health.unanswered_share / UNANSWERED_TOLERANCE
         rejections = 1.0 + health.rejection_share / REJECTION_TOLERANCE
         weight = slots / (upstream.latency_ratio * unanswered) ** 2
         return weight * upstream.advice.weight / rejections
 
     def concurrency_limit(self, upstream: TrackedUpstream, now_us: int) -> int:
-        """Return how many attempts an upstream may have in flight now, with ejection, slow start and the
-        plan's cap applied."""
+        """Return how many attempts an upstream may have in flight now, after applying ejection, slow start
+        and the plan's limit."""
         if now_us < upstream.ejected_until_us:
             return 0
         limit = max(1, int(upstream.concurrency.limit))
--- a/ryepier/balancer/settings.py
+++ b/ryepier/balancer/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the balancer: request classes, tenants, and what the operator allows.
+"""Settings of the balancer: request classes, tenants, and limits that the operator sets.
 
 Times are whole microseconds (`_us`).
 """
@@ -12,15 +12,15 @@
 
 
 class Idempotency(enum.Enum):
-    """Whether and where a request that may have run may be sent again, from the least strict on."""
+    """Whether and where a request that may have run may be sent again; the least strict comes first."""
 
-    IDEMPOTENT = "idempotent"  # anywhere
-    IDEMPOTENCY_KEY = "idempotency_key"  # where its key is remembered
-    NON_IDEMPOTENT = "non_idempotent"  # nowhere
+    IDEMPOTENT = "idempotent"  # to any upstream
+    IDEMPOTENCY_KEY = "idempotency_key"  # to upstreams that remember its key
+    NON_IDEMPOTENT = "non_idempotent"  # never
 
 
 class IdempotencyScope(enum.Enum):
-    """Which upstreams drop each other's repeats of a request with an idempotency key."""
+    """Group of upstreams that drop each other's repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Settings(Record):
-    """Settings of the operator; the same for all sidecars but for `self_index` and `zone`."""
+    """Settings of one sidecar, the same for all sidecars except for `self_index` and `zone`."""
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
@@ -102,28 +102,28 @@
     instances: int = 1
     self_index: int = 0
     zone: int = 0
-    tick_us: int = 1000  # the shortest gap between batches
+    tick_us: int = 1000  # shortest interval between batches of events
     max_attempts: int = 1
     max_retry_after_us: int = 0
     connect_timeout_us: int = 0
-    retry_after: bool = True  # rejections carry Retry-After
+    retry_after: bool = True  # rejections have a Retry-After
     cancel: bool = False
     probes: bool = False
     hedging: bool = False  # two attempts of a request may be in flight together
-    polls_endpoints: bool = False  # list changes come only after Subscribe or FetchList
+    polls_endpoints: bool = False  # list changes arrive only after Subscribe or FetchList
     max_poll_interval_us: int = 0  # without a subscription, the list must be polled this often
-    initial_capacity_share: float = 1.0  # an upstream starts with this share of its capacity or more
-    warm_up_us: int = 0  # and has all of it after this
-    overload_factor: float = 1.0  # a warming upstream breaks at this multiple of its capacity
-    overload_window_us: int = 0  # if that lasts for this long
+    initial_capacity_share: float = 1.0  # an upstream has at least this share of its capacity at its start
+    warm_up_us: int = 0  # time after its start at which an upstream has its full capacity
+    overload_factor: float = 1.0  # multiple of its capacity at which a warming upstream breaks down
+    overload_window_us: int = 0  # how long the overload lasts before the upstream breaks down
     cross_zone_fee: float = 0.0
     report_names: list[str] = field(default_factory=list)
-    weighted: bool = False  # the list's weights denote sizes
+    weighted: bool = False  # weights in the endpoint list denote upstream sizes
 
     def __post_init__(self) -> None:
         """Raise ValueError for a value that is out of range."""
         _require(len(self.classes) > 0, "at least one request class", self.classes)
-        _require(self.instances >= 1, "an instances of 1 or more", self.instances)
+        _require(self.instances >= 1, "instances of 1 or more", self.instances)
         _require(self.self_index >= 0, "a self_index of 0 or more", self.self_index)
         _require(0 <= self.over_quota_weight <= 1, "an over_quota_weight from 0 to 1", self.over_quota_weight)
         _require(self.max_attempts >= 1, "a max_attempts of 1 or more", self.max_attempts)
--- a/ryepier/balancer/settings_parser.py
+++ b/ryepier/balancer/settings_parser.py
@@ -7,7 +7,7 @@
 from ryepier.balancer import interface as api
 from ryepier.errors import RyepierError
 
-# Paths that a sidecar reads beside those of `Settings`
+# Paths that a sidecar reads in addition to those of `Settings`
 ZONES_PATH = "areas"  # names, by index
 KINDS_PATH = "kinds"  # names, by index
 IDLE_TIMEOUT_PATH = "bounds.conn-idle"  # us: upstreams close a connection that has been idle for this long
@@ -22,7 +22,7 @@
     "zone": api.IdempotencyScope.ZONE,
     "cell": api.IdempotencyScope.FAILURE_DOMAIN,
 }
-# Load report values; one that is not listed keeps its name.
+# Names of load report values; a value that is not listed keeps its name.
 _REPORT_NAMES = {
     "rif": "in_flight",
     "q": "queued",
@@ -34,11 +34,11 @@
 
 
 class SettingsError(RyepierError):
-    """A setting that is missing or out of range; the text names its path."""
+    """Raised for a setting that is missing or out of range; the message names it."""
 
 
 class _Options:
-    """The start-up settings' path=value pairs, read with checks."""
+    """The path=value pairs of the settings, with getters that check the type."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self.pairs = pairs
--- a/ryepier/balancer/simulator_adapter.py
+++ b/ryepier/balancer/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Adapter to the simulator: runs many instances of the decision module, with one reply for each batch."""
+"""Adapter to the simulator: runs many instances of the decision module and replies to each batch."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class InstanceHost:
-    """The running instances; they share nothing but the decoder's upstream lists."""
+    """The running instances of the decision module; they share only the upstream lists of the decoder."""
 
     def __init__(self) -> None:
         """Start with no instances."""
@@ -31,7 +31,7 @@
         self.instances: dict[int, Balancer] = {}
 
     def handle_batch(self, now_us: int, count: int, body: bytes) -> bytes:
-        """Hand the `count` records of a batch to their instances and return the reply frame. An exception in
+        """Pass the `count` records of a batch to their instances and return the reply frame. An exception in
         the decision module becomes an InternalError record. Raises ProtocolError for a malformed batch."""
         records: list[bytes] = []
         for instance, event in self.decoder.read_batch(body, count):
@@ -47,14 +47,14 @@
                 try:
                     actions = self.instances[instance].handle(now_us, event)
                     records.extend([protocol.encode_action(instance, action) for action in actions])
-                # Reported to the simulator, which counts it.
+                # The simulator counts reported errors.
                 except Exception as error:  # noqa: BLE001
                     text = f"{type(error).__name__}: {error}"
                     records.append(protocol.encode_action(instance, protocol.InternalError(text)))
         return protocol.encode_reply(records)
 
     def start_instance(self, instance: int, event: protocol.InstanceStarted, now_us: int) -> None:
-        """Start an instance, in place of an earlier one. Raises ProtocolError for wrong settings."""
+        """Start an instance, replacing an earlier one. Raises ProtocolError for invalid settings."""
         try:
             settings = parse_settings(event.options)
         except SettingsError as error:
@@ -89,14 +89,14 @@
 
 def main() -> int:
     """Serve standard input and output. Returns the exit status: 0 at the end of input, 2 for malformed input,
-    3 if the reader of the replies is gone."""
+    3 if the reader of standard output has closed it."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except protocol.ProtocolError as error:
         print(f"ryepier.balancer: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("ryepier.balancer: the reader of our replies is gone", file=sys.stderr)
+        print("ryepier.balancer: standard output was closed by its reader", file=sys.stderr)
         return 3
     return 0
 
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -1,6 +1,6 @@
-"""Binary protocol of the simulator: frames to interface events, interface actions to frames.
+"""Binary protocol of the simulator: decodes frames to events and encodes actions to frames.
 
-No decision is made here. `ProtocolError` reports in one line what is malformed and where.
+Contains no decisions. The message of a `ProtocolError` says in one line what is malformed and where.
 """
 
 from __future__ import annotations
@@ -45,12 +45,12 @@
 
 
 class ProtocolError(RyepierError):
-    """A frame that cannot be read."""
+    """Raised for a malformed frame."""
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """An instance comes up with no state."""
+    """Event: an instance starts, without any earlier state."""
 
     seed: int
     options: str
@@ -58,23 +58,23 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """The instance has been killed."""
+    """Event: the instance has been killed."""
 
 
 @dataclass(slots=True)
 class InternalError:
-    """Action: the decision code has failed, with this text."""
+    """Action: reports an exception in the decision module."""
 
     text: str
 
 
 Record = api.Event | InstanceStarted | InstanceStopped
-InstanceRecord = tuple[int, Record]  # with the number of its instance
+InstanceRecord = tuple[int, Record]  # number of the instance, record
 Reply = api.Action | InternalError
 
 
 class Decoder:
-    """Reads batches; remembers the numbered upstream lists, which events refer to."""
+    """Decodes batches, and keeps the numbered upstream lists to which events refer."""
 
     def __init__(self) -> None:
         """Start with no lists and no batch."""
@@ -107,24 +107,24 @@
         """Return the next `size` bytes of the batch. Raises ProtocolError if fewer are left."""
         end = self.offset + size
         if end > len(self.data):
-            raise ProtocolError(f"truncated: {size} bytes wanted, {len(self.data) - self.offset} left")
+            raise ProtocolError(f"truncated: {size} bytes expected, {len(self.data) - self.offset} left")
         chunk = self.data[self.offset : end]
         self.offset = end
         return chunk
 
     def read_fields(self, layout: struct.Struct) -> tuple[int, ...]:
-        """Return the next fields, as `layout` has them. Raises ProtocolError if the batch ends before."""
+        """Return the next fields, unpacked by `layout`. Raises ProtocolError if the batch is too short."""
         return layout.unpack(self.read_bytes(layout.size))
 
     def read_floats(self, count: int) -> list[float]:
-        """Return the next `count` load report values. Raises ProtocolError for one that is not finite."""
+        """Return the next `count` load report values. Raises ProtocolError if one is not finite."""
         values = list(struct.unpack(f"<{count}f", self.read_bytes(4 * count)))
         if not all(map(math.isfinite, values)):
-            raise ProtocolError("a load report value that is not a finite number")
+            raise ProtocolError("load report value is not a finite number")
         return values
 
     def read_list(self) -> None:
-        """Read a numbered upstream list and remember it. Raises ProtocolError for a wrong entry."""
+        """Read a numbered upstream list and keep it. Raises ProtocolError for an invalid entry."""
         list_number, count = self.read_fields(_LIST_HEADER)
         entries = []
         for upstream, zone, kind, failure_domain, state, weight, started_us in _ENTRY.iter_unpack(
@@ -135,7 +135,7 @@
             entries.append(
                 api.Upstream(
                     upstream,
-                    _lookup(_STATES, state, "upstream condition"),
+                    _lookup(_STATES, state, "upstream state"),
                     zone,
                     kind,
                     failure_domain,
@@ -276,7 +276,7 @@
 
 
 def encode_action(instance: int, action: Reply) -> bytes:
-    """Return the record of an action."""
+    """Return the record that encodes an action of an instance."""
     return _WRITERS[type(action)](instance, action)
 
 
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the requests that an upstream may get while it warms up (rule 4)."""
+"""Slow start: limits the requests that an upstream gets while it warms up."""
 
 import math
 
@@ -10,31 +10,33 @@
 
 
 class SlowStart:
-    """The warming upstreams of one pool, and the credit that they share.
+    """Tracks the warming upstreams of one pool, and gives them credit for requests.
 
-    Credit grows with the throughput that this sidecar sees for a warm upstream of size 1, times an upstream's
-    share. Over all sidecars that stays within what the pool serves, however high the demand.
+    The credit of an upstream grows with the throughput that this sidecar sees per warm upstream of size 1,
+    times the share of the upstream. Over all sidecars this stays within what the pool serves, however high
+    the demand is.
 
-    In a shortage the long-term throughput counts where it is higher. While many upstreams are warming, the
-    few warm ones are overloaded; by what they serve then, the others would stay unused. Being a mean over
-    time, the sum of it over the sidecars does not exceed what a warm upstream has served.
+    In a shortage the long-term throughput is used if it is higher. While many upstreams are warming, the few
+    warm ones are overloaded, and credit from their current throughput alone would leave the warming ones
+    unused. As the long-term throughput is a mean over time, its sum over the sidecars does not exceed what a
+    warm upstream has served.
     """
 
     def __init__(self, settings: Settings, now_us: int) -> None:
         """Start without upstreams at `now_us` (microseconds)."""
         self.settings = settings
         self.warming: list[TrackedUpstream] = []
-        self.warm_size = 0.0  # sizes of the other upstreams of the pool together
-        # Throughputs are credited requests per second, for a warm upstream of size 1.
+        self.warm_size = 0.0  # total size of the warm upstreams of the pool
+        # Throughputs are in credited requests per second, per warm upstream of size 1.
         self.recent_throughput = 0.0
-        self.long_term_throughput = 0.0  # over the time of a warm-up
+        self.long_term_throughput = 0.0  # averaged over the duration of a warm-up
         self.long_term_time_constant_us = max(settings.warm_up_us, tuning.RATE_TIME_CONSTANT_US)
-        self.observed_share = 0.0  # of that time, smoothed like the throughput
+        self.observed_share = 0.0  # of that duration, averaged like the throughput
         self.updated_us = now_us
         self.overcommit = 1.0  # multiple of the guaranteed capacity that warming upstreams get
 
     def progress(self, entry: Upstream, now_us: int) -> float:
-        """Return the share of its capacity (0 to 1) that an upstream has by the slowest allowed warm-up."""
+        """Return the share of its capacity (0 to 1) that an upstream has with the slowest allowed warm-up."""
         settings = self.settings
         age_us = now_us - entry.started_us
         if entry.started_us == 0 or age_us >= settings.warm_up_us:
@@ -56,7 +58,7 @@
         return self.size(upstream.entry) * min(1.0, progress * self.overcommit)
 
     def refresh(self, listed: list[TrackedUpstream], now_us: int) -> list[TrackedUpstream]:
-        """Find the warming ones among the pool's upstreams. Returns those that have become warm."""
+        """Update the warming upstreams from the pool's listed ones. Returns those that have become warm."""
         warmed = [upstream for upstream in self.warming if not self.is_warming(upstream.entry, now_us)]
         self.warming = [upstream for upstream in listed if self.is_warming(upstream.entry, now_us)]
         warm = [upstream for upstream in listed if not self.is_warming(upstream.entry, now_us)]
@@ -68,7 +70,10 @@
         return any(not self.is_warming(upstream.entry, now_us) for upstream in self.warming)
 
     def add_credit(self, served: float, in_shortage: bool, now_us: int) -> None:
-        """Share out the credit for `served` requests; `in_shortage` if requests recently found no slot."""
+        """Distribute the credit for `served` requests among the warming upstreams.
+
+        `in_shortage` means that requests recently found no free slot.
+        """
         since_us = now_us - self.updated_us
         self.updated_us = now_us
         shares = [self.share(upstream, now_us) for upstream in self.warming]
@@ -97,7 +102,7 @@
     def adapt_overcommit(self, load: float) -> None:
         """Adapt the overcommit to the load that an answer shows.
 
-        Most upstreams can do more than is guaranteed while they warm up.
+        Most upstreams have more than their guaranteed capacity while they warm up.
         """
         maximum = max(1.0, tuning.MAX_OVERCOMMIT_SHARE * self.settings.overload_factor)
         overcommit = self.overcommit * (1.0 + tuning.OVERCOMMIT_GAIN * (tuning.TARGET_LOAD - load))
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting: the upstreams that one sidecar uses, as many as its traffic needs."""
+"""Subsetting: limits the upstreams that one sidecar uses to as many as its traffic needs."""
 
 from random import Random
 
@@ -7,19 +7,19 @@
 
 
 class Subset:
-    """The upstreams of one pool whose slots are open to this sidecar, in the order of their joining."""
+    """The upstreams of one pool that this sidecar uses, in the order in which they joined."""
 
     def __init__(self) -> None:
-        """Start empty: upstreams join as they are selected."""
+        """Start empty; upstreams join when they are selected."""
         self.members: dict[TrackedUpstream, None] = {}
 
     @staticmethod
     def wanted_size(send_rate: float) -> int:
-        """Return how many upstreams a sidecar needs at this rate of attempts per second."""
+        """Return how many upstreams a sidecar needs at a rate of attempts per second."""
         return tuning.MIN_SUBSET_SIZE + int(send_rate / tuning.ATTEMPT_RATE_PER_MEMBER)
 
     def leave(self, upstream: TrackedUpstream) -> list[TrackedUpstream]:
-        """Remove an upstream. Returns it if it was a member, as its idle connections may be closed."""
+        """Remove an upstream. Returns it if it was a member, so that its idle connections can be closed."""
         if upstream not in self.members:
             return []
         del self.members[upstream]
@@ -28,15 +28,15 @@
     def sample_new_members(
         self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Give newcomers, just listed or just warm, the chance of a place that they would have had from the
-        start. Returns the upstreams that have left.
+        """Let upstreams that are newly listed or newly warm join with the probability that they would have
+        had from the start. Returns the upstreams that have left.
 
-        This is reservoir sampling among the `listed` upstreams: a newcomer takes the place of a random
-        member. A full subset would otherwise never take in an upstream that returns. One that stayed in each
-        subset that used it while warming up would be crowded afterwards.
+        This is reservoir sampling among `listed_count` upstreams: a new member replaces a random one.
+        Otherwise a full subset would never admit an upstream that returns, and an upstream that stayed in
+        every subset that used it while it warmed up would be overloaded afterwards.
         """
         if not new_upstreams or not self.members:
-            return []  # before the first attempt, places are taken as selections need them
+            return []  # before the first attempt, as selections add members when they need them
         replaceable = [upstream for upstream in self.members if upstream not in new_upstreams]
         random.shuffle(replaceable)
         places = max(wanted_count, len(replaceable))
@@ -45,7 +45,7 @@
             if random.random() * listed_count >= places:
                 removed += self.leave(upstream)
             elif upstream not in self.members and len(self.members) >= wanted_count and replaceable:
-                # A free place is left to the next selection, which tries an upstream outside the subset.
+                # While the subset is not full, selections add upstreams from outside it.
                 removed += self.leave(replaceable.pop())
                 self.members[upstream] = None
         return removed
--- a/ryepier/balancer/upstream.py
+++ b/ryepier/balancer/upstream.py
@@ -1,4 +1,4 @@
-"""State of one upstream, of one attempt and of one request, as the decisions keep it."""
+"""State that the decision module keeps of an upstream, an attempt and a request."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from ryepier.balancer.settings import RequestClass
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-ANSWERED = (Outcome.OK, Outcome.MALFORMED_RESPONSE)  # did the work, and their latency shows the load
+ANSWERED = (Outcome.OK, Outcome.MALFORMED_RESPONSE)  # the work was done, and the latency shows the load
 FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED_RESPONSE)
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class ClassHealth:
-    """How an upstream treats one request class: it may be healthy for all classes but some."""
+    """Health of an upstream for one request class; an upstream may fail some classes only."""
 
-    unanswered_share: float = 0.0  # moving average of the attempts without an answer in time
+    unanswered_share: float = 0.0  # moving average of the share of attempts without an answer in time
     timeout_streak: int = 0  # unanswered attempts in a row
     ejected_until_us: int = 0
-    rejection_share: float = 0.0  # moving average of the rejected attempts
+    rejection_share: float = 0.0  # moving average of the share of rejected attempts
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class TrackedUpstream:
-    """What this sidecar knows of one ready upstream; new ones have one open slot and no measurements."""
+    """What this sidecar knows of one ready upstream; a new one has one slot and no measurements."""
 
     entry: Upstream
-    pool_index: int  # of its pool in the membership
+    pool_index: int  # in `Membership.pools`
     by_class: list[ClassHealth]
-    advice: Advice  # of the current plan
-    in_flight: int = 0  # slots taken by attempts; one that is presumed lost takes none
-    outstanding: list[Attempt] = field(default_factory=list)  # not ended, in the order sent
-    queue_headroom: int = 0  # recent quick answers, less slow answers and rejections
+    advice: Advice  # from the current plan
+    in_flight: int = 0  # slots in use; an attempt that is presumed lost uses none
+    outstanding: list[Attempt] = field(default_factory=list)  # attempts not ended yet, in the order sent
+    queue_headroom: int = 0  # recent fast answers, minus slow answers and rejections
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
     ejected_until_us: int = 0
     slow_start_credit: float = 0.0  # requests that it may get while warming up; below 0 it waits
     latency_ratio: float = 1.0  # moving average of its latency relative to the class means
-    fault_share: float = 0.0  # moving average of attempts that failed at once or had malformed responses
+    fault_share: float = 0.0  # moving average of the share of attempts that were faults
     logged_ejected: bool = False
 
 
@@ -47,14 +47,14 @@
     """One attempt of a request at an upstream."""
 
     upstream: TrackedUpstream
-    entry: Upstream  # as it was listed then
+    entry: Upstream  # list entry of the upstream when the attempt was sent
     class_index: int
     sent_us: int
     follows_timeout: bool = False  # an earlier attempt of its request timed out
     overtake_count: int = 0  # later attempts at the same upstream that were answered earlier
-    overtaken_in_class: bool = False  # one of these was of the same class
-    overdue: bool = False  # unanswered for longer than an answer takes
-    presumed_lost: bool = False  # holds no slot any more
+    overtaken_in_class: bool = False  # at least one of these was of the same class
+    overdue: bool = False  # unanswered after its latency objective
+    presumed_lost: bool = False  # no longer holds a slot
     outcome: Outcome | None = None  # None while in flight
 
 
--- a/ryepier/balancer/wake_ups.py
+++ b/ryepier/balancer/wake_ups.py
@@ -1,4 +1,4 @@
-"""Wake-ups: what is due later, and the timer that is requested for the next of it."""
+"""Wake-ups: the queue of scheduled work, and the timer that is requested for the earliest."""
 
 import enum
 import heapq
@@ -7,7 +7,7 @@
 
 
 class WakeUpKind(enum.IntEnum):
-    """What is due at a wake-up; of several at the same time, the order in which they are carried out."""
+    """What to do at a wake-up. Wake-ups due at the same time are carried out in the order of this enum."""
 
     BUFFER_TIMEOUT = enum.auto()
     HEDGE = enum.auto()
@@ -16,7 +16,7 @@
 
 
 class WakeUp(NamedTuple):
-    """Something to do later for a request or an attempt."""
+    """Work scheduled for a request, an attempt or the endpoint list."""
 
     at_us: int
     kind: WakeUpKind
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         """Start empty, without a timer."""
         self.pending: list[WakeUp] = []  # a heap
-        self.timer_us = 0  # when the earliest timer that was requested fires; 0 = none
+        self.timer_us = 0  # when the earliest of the requested timers fires; 0 = none
 
     def schedule(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
         """Add a wake-up at `at_us`."""
@@ -43,15 +43,15 @@
         return heapq.heappop(self.pending)
 
     def on_timer(self, now_us: int) -> None:
-        """Record that a timer has fired; a stale one is ignored, as re-arming on it would keep timers alive
+        """Record that a timer has fired. A stale timer is ignored, as re-arming on it would keep timers alive
         forever."""
         if self.timer_us <= now_us:
             self.timer_us = 0
 
     def timer_to_request(self, other_times_us: Iterable[int]) -> int | None:
-        """Return when a timer has to be requested (us), or None if the requested one is early enough.
+        """Return the time (us) for which to request a timer, or None if the requested one is early enough.
 
-        It fires at the next wake-up, or at the earliest of the `other_times_us` if that is sooner.
+        That is the time of the next wake-up, or the earliest of the `other_times_us` if that is sooner.
         """
         next_us = self.pending[0].at_us if self.pending else None
         for other_time_us in other_times_us:
--- a/ryepier/storm/__init__.py
+++ b/ryepier/storm/__init__.py
@@ -1,6 +1,6 @@
-"""Retry storms: clients that all retry after an outage, detected and damped.
+"""Detection and damping of retry storms, in which many clients retry after an outage.
 
-Pure: `failed_request_sketch` (which requests are retries) and `storm_detector` (whether there is a storm, and how
-many retries to admit); `retry_storm_guard` connects them to a sidecar. The decision module rejects by these shares and
-times.
+`failed_request_sketch` recognises retries, and `storm_detector` decides whether there is a storm and how many retries
+to admit. Both work without I/O and without a clock. `retry_storm_guard` connects them to a sidecar, whose decision
+module applies the reported shares and Retry-After times.
 """
--- a/ryepier/storm/failed_request_sketch.py
+++ b/ryepier/storm/failed_request_sketch.py
@@ -1,12 +1,13 @@
 """Recognition of retries in bounded memory: a count-min sketch in two generations.
 
-Pure. A request that was not served is added by a hash of what makes it the same request; a later arrival with that hash
-is a retry. Served requests are never added, so that a repeated query is no retry.
+Works without I/O and without a clock. A request that was not served is added by a hash that identifies it; a later
+arrival with the same hash is a retry. Served requests are never added, so a query that is repeated after it was served
+does not count as a retry.
 
-Errors go one way: a first attempt may be taken for a retry if all its columns were filled by others. With
+Errors are one-sided: a first attempt may be taken for a retry if other requests have filled all its columns. With
 `GENERATION_SIZE` hashes in a generation a column is filled with probability 1 - exp(-GENERATION_SIZE / WIDTH) = 0.086,
-and all four of one of the two generations with at most 2 * 0.086**4 = 0.011%. A generation ends by its size or age, so
-the bound holds at any rate: with more rejections the memory is shorter, not less exact.
+and all four columns of one of the two generations with at most 2 * 0.086**4 = 0.011%. A generation ends by size or by
+age, so the bound holds at any rate: with more rejections, requests are remembered for a shorter time, not less exactly.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 import hashlib
 
 ROWS = 4  # hash functions
-WIDTH = 1 << 16  # columns per row, a byte each: 512 KB in total
-GENERATION_SIZE = 5_900  # hashes in a generation; the older of two is dropped
-GENERATION_US = 10_000_000  # at most, for one generation
-MAX_COUNT = 255  # of a column, which is one byte
+WIDTH = 1 << 16  # columns per row, of one byte each; 512 KB in both generations
+GENERATION_SIZE = 5_900  # hashes after which a generation ends
+GENERATION_US = 10_000_000  # longest duration of a generation
+MAX_COUNT = 255  # largest value of a column, which is one byte
 
 
 def fingerprint(*parts: bytes) -> bytes:
-    """Return a hash of what the attempts of a request share; it covers the lengths of the parts."""
+    """Return a hash of the parts that all attempts of a request have in common, and of their lengths."""
     state = hashlib.blake2b(digest_size=4 * ROWS)
     for part in parts:
         state.update(len(part).to_bytes(4, "big"))
@@ -39,7 +40,7 @@
         return min(row[column] for row, column in zip(self.rows, columns, strict=True))
 
     def add(self, columns: list[int]) -> None:
-        """Add one; only the smallest counters grow, as the others are too high already."""
+        """Count one request. Only its smallest counters are incremented, as the others are already too high."""
         minimum = self.minimum_count(columns)
         if minimum < MAX_COUNT:
             for row, column in zip(self.rows, columns, strict=True):
@@ -52,7 +53,7 @@
 
 
 class FailedRequestSketch:
-    """How often a request has recently failed: within 10 to 20 s, less if very many do."""
+    """Counts how often a request was recently not served: within 10 to 20 s, or less if very many fail."""
 
     def __init__(self, now_us: int) -> None:
         """Start empty at `now_us` (microseconds)."""
@@ -61,7 +62,7 @@
 
     @property
     def empty(self) -> bool:
-        """Whether nothing was added, and each request is a first attempt."""
+        """Whether no failed request is remembered, so that each request is a first attempt."""
         return not self.current.count and self.previous is None
 
     def add(self, now_us: int, digest: bytes) -> None:
@@ -71,7 +72,7 @@
         self.current.add(_columns(digest))
 
     def retry_number(self, now_us: int, digest: bytes) -> int:
-        """Return how many earlier attempts of a request were not served: 0 for a first one."""
+        """Return how many earlier attempts of a request were not served; 0 for a first attempt."""
         if now_us - self.current.started_us >= GENERATION_US:
             self._rotate(now_us)
         if self.empty:
@@ -82,7 +83,7 @@
         )
 
     def _rotate(self, now_us: int) -> None:
-        # Without new requests, the previous generation must not count for as long again.
+        # Rotation happens only on calls. A generation that is too old by then must not count for as long again.
         is_recent = now_us - self.current.started_us < 2 * GENERATION_US and self.current.count
         self.previous = self.current if is_recent else None
         self.current = _Generation(now_us)
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -1,4 +1,4 @@
-"""Guard of a sidecar against retry storms: counts for the detector, and reports to the decision module."""
+"""Retry storm guard of a sidecar: feeds the detector, and reports storms to the decision module."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 log = logging.getLogger(__name__)
 
-TICK_INTERVAL_S = 0.2  # between two evaluations
+TICK_INTERVAL_S = 0.2  # between two evaluations of the detector
 
 
 Header = tuple[bytes, bytes]  # name, value
 
 
 class Request(Protocol):
-    """What the attempts of one request have in common."""
+    """The properties by which attempts of the same request are recognised."""
 
     @property
     def target(self) -> bytes:
@@ -32,7 +32,7 @@
 
     @property
     def body(self) -> bytes:
-        """Content."""
+        """Content of the request body."""
 
     @property
     def tenant(self) -> int:
@@ -40,11 +40,11 @@
 
     @property
     def marked_as_retry(self) -> bool:
-        """Whether the client marks it as a retry."""
+        """Whether the client has marked the request as a retry."""
 
 
 def identify(request: Request) -> bytes:
-    """Return the hash of a request, by its idempotency key or else by its target and body."""
+    """Return a hash of a request: of its tenant and idempotency key or, without a key, tenant, target and body."""
     for name, value in request.headers:
         if name.lower() == b"idempotency-key":
             return fingerprint(request.tenant.to_bytes(4, "big"), value)
@@ -52,12 +52,12 @@
 
 
 class RetryStormGuard:
-    """Detects retries and observes attempts for a dispatcher; see `ryepier.sidecar.observers`."""
+    """Retry detector and observer of a dispatcher; see `ryepier.sidecar.observers` for the interfaces."""
 
     def __init__(
         self, detector: RetryStormDetector, publish: Callable[[RetryStormUpdated], None], clock_us: Callable[[], int]
     ) -> None:
-        """Pass each changed event to `publish`."""
+        """Pass each event that differs from the last one to `publish`; `clock_us` returns the time (us)."""
         self.detector = detector
         self.publish = publish
         self.clock_us = clock_us
@@ -68,7 +68,7 @@
     # Retry detector
 
     def retry_number(self, request: Request) -> int:
-        """Return how many earlier attempts of the request were not served; 0 for a first one."""
+        """Count an arrival. Returns how many earlier attempts of the request were not served."""
         retry_number = int(request.marked_as_retry)
         if not self.failed_requests.empty:
             retry_number = max(retry_number, self.failed_requests.retry_number(self.clock_us(), identify(request)))
@@ -84,13 +84,13 @@
     # Observer
 
     def on_request(self, tenant: int, class_index: int) -> None:
-        """Ignore it: `retry_number` has counted it."""
+        """Do nothing: `retry_number` has counted the request."""
 
     def on_rejection(self) -> None:
-        """Ignore it: `on_unserved` has counted it."""
+        """Do nothing: `on_unserved` has counted the request."""
 
     def on_attempt_started(self, upstream: int, token: int, class_index: int) -> None:
-        """Ignore it."""
+        """Do nothing: attempts count when they end."""
 
     def on_attempt_ended(self, upstream: int, token: int, outcome: Outcome, elapsed_us: int) -> None:
         """Count a served request."""
@@ -100,16 +100,16 @@
     # Companion
 
     def start(self) -> None:
-        """Start reporting."""
+        """Start the task that reports changes."""
         self.task = asyncio.get_running_loop().create_task(self.report_changes())
 
     def stop(self) -> None:
-        """Stop reporting."""
+        """Cancel the task that reports changes."""
         if self.task is not None:
             self.task.cancel()
 
     async def report_changes(self) -> None:
-        """Report each change of the detector's event, forever."""
+        """Evaluate the detector at intervals, and publish each change of its event; runs until cancelled."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             report = self.detector.tick(self.clock_us())
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -1,6 +1,7 @@
-"""Detection of retry storms: how many retries to admit, and when the others may come back.
+"""Detection of retry storms: how many retries to admit, and when clients of the others should retry.
 
-Pure: counts and times in, `RetryStormUpdated` out. Rates are per second; times are whole microseconds.
+Works without I/O and without a clock: takes counts and times, and returns `RetryStormUpdated` events. Rates are per
+second; times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -10,46 +11,50 @@
 
 from ryepier.balancer.interface import RetryStormUpdated
 
-RETRY_NUMBER_BUCKETS = 5  # 0 for first attempts, then the retries by number; the last one stands for all beyond
-RECENT_TIME_CONSTANT_US = 1_000_000  # of the recent rates
-BASELINE_TIME_CONSTANT_US = 60_000_000  # of the baseline rate
-MIN_BASELINE_OBSERVATION_US = 4_000_000  # of observation before the baseline rate is known
+RETRY_NUMBER_BUCKETS = 5  # first attempts (0), then retries by number; the last bucket includes higher numbers
+RECENT_TIME_CONSTANT_US = 1_000_000  # of the recent rates (exponential average)
+BASELINE_TIME_CONSTANT_US = 60_000_000  # of the baseline rate (exponential average)
+MIN_BASELINE_OBSERVATION_US = 4_000_000  # before the baseline rate counts as known
 MIN_ARRIVAL_RATE = 4.0  # arrivals per second below which there is no storm
-OPENING_RETRY_SHARE = 0.3  # of the arrivals, at which a storm begins
-OPENING_UNSERVED_SHARE = 0.15  # of the arrivals, at which a storm begins
-CLOSING_RETRY_SHARE = 0.1  # of the arrivals, at which it may end
-CLOSING_UNSERVED_SHARE = 0.05  # of the arrivals, at which it may end
-MIN_CALM_US = 2_000_000  # before a storm ends, to avoid oscillation
-SURGE_RATIO = 1.5  # times the baseline: the demand is real, and fewer retries would not help
-SURGE_RECOVERY_US = 5 * RECENT_TIME_CONSTANT_US  # rejections of a surge still cause retries, and the rates still decay
-OUTAGE_SERVED_SHARE = 0.3  # of the arrivals; with fewer served there is an outage
-RECENT_OUTAGE_US = 30_000_000  # for which an outage is named as evidence
+OPENING_RETRY_SHARE = 0.3  # of the arrivals; a storm opens at this and OPENING_UNSERVED_SHARE
+OPENING_UNSERVED_SHARE = 0.15  # of the arrivals
+CLOSING_RETRY_SHARE = 0.1  # of the arrivals; a storm may close at this or at CLOSING_UNSERVED_SHARE
+CLOSING_UNSERVED_SHARE = 0.05  # of the arrivals
+MIN_CALM_US = 2_000_000  # for which a storm must meet the closing conditions, to avoid oscillation
+SURGE_RATIO = 1.5  # times the baseline rate; the demand is real then, and admitting fewer retries would not help
+SURGE_RECOVERY_US = 5 * RECENT_TIME_CONSTANT_US  # after a surge, whose rejections still cause retries
+OUTAGE_SERVED_SHARE = 0.3  # of the arrivals; if fewer are served, there is an outage
+RECENT_OUTAGE_US = 30_000_000  # after its end, for which an outage is reported as evidence
 MAX_FIRST_REJECTION_SHARE = 0.3  # of the first attempts, above which fewer retries are admitted
-ADMISSION_DECREASE = 0.8  # factor of the admitted share per tick
-ADMISSION_INCREASE = 1.25  # the same
-ADMISSION_INCREASE_STEP = 0.02  # in addition, of all retries
-MIN_ADMISSION = 0.05  # of the retries: if first attempts are rejected for another reason, admitting none does not help
-RECOVERY_FACTOR = 2.0  # of the rate of service by the time of the retries
-MIN_RETRY_AFTER_WINDOW_US = 200_000  # of Retry-After
-MAX_RETRY_AFTER_WINDOW_US = 30_000_000  # of Retry-After
+ADMISSION_DECREASE = 0.8  # factor of the admitted share of retries per tick
+ADMISSION_INCREASE = 1.25  # factor of the admitted share of retries per tick
+ADMISSION_INCREASE_STEP = 0.02  # added to the admitted share per tick, in addition to the factor
+MIN_ADMISSION = 0.05  # of the retries; admitting none does not help if first attempts are rejected for another reason
+RECOVERY_FACTOR = 2.0  # rate of service when the retries arrive, relative to the current rate
+MIN_RETRY_AFTER_WINDOW_US = 200_000  # for a rejected first attempt; doubled for each retry number
+MAX_RETRY_AFTER_WINDOW_US = 30_000_000  # for a rejected first attempt; doubled for each retry number
 
 
 @dataclass(frozen=True, slots=True)
 class StormEvidence:
-    """Why there is a storm, or none."""
+    """The measurements by which the detector decides whether there is a storm."""
 
     arrival_rate: float  # arrivals per second
     served_rate: float
     retry_share: float  # of the arrivals
-    surge_ratio: float  # first attempts relative to the usual rate; 0 = not known
-    since_outage_us: int | None  # time since its end; None: no recent one
+    surge_ratio: float  # first attempts relative to the baseline rate; 0 = not known
+    since_outage_us: int | None  # time since the end of the last outage; None = no recent outage
 
     def __str__(self) -> str:
         """Render the evidence for the log."""
         surge_text = (
-            f"first attempts at {self.surge_ratio:.2f} of the baseline" if self.surge_ratio else "baseline not known"
+            f"first attempts at {self.surge_ratio:.2f} of the baseline rate"
+            if self.surge_ratio
+            else "baseline rate not known"
+        )
+        outage_text = (
+            "" if self.since_outage_us is None else f", an outage ended {self.since_outage_us / 1e6:.1f} s ago"
         )
-        outage_text = "" if self.since_outage_us is None else f", an outage over {self.since_outage_us / 1e6:.1f} s ago"
         return (
             f"{self.arrival_rate:.0f} arrivals per second, {self.served_rate:.0f} served, "
             f"{self.retry_share:.0%} are retries, {surge_text}{outage_text}"
@@ -58,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StormReport:
-    """The result of one tick."""
+    """Result of one tick of the detector."""
 
     event: RetryStormUpdated
     evidence: StormEvidence
@@ -76,12 +81,12 @@
 
 
 class RetryStormDetector:
-    """One sidecar's view of retries: notified of each arrival and each end, polled by `tick`."""
+    """Detects retry storms at one sidecar; is notified of each arrival and each end, and evaluated by `tick`."""
 
     def __init__(
         self, now_us: int, tenant_shares: list[float], max_retry_after_us: int, retry_after_in_seconds: bool
     ) -> None:
-        """Start at `now_us`; `tenant_shares` are the tenants' quotas, summing up to 1."""
+        """Start at `now_us` without measurements; `tenant_shares` are the tenants' quotas, which add up to 1."""
         self.tenant_shares = tenant_shares
         self.max_retry_after_us = max_retry_after_us
         self.retry_after_in_seconds = retry_after_in_seconds
@@ -91,14 +96,14 @@
         self.tenant_rates: dict[int, float] = {}
         self.served_rate = 0.0
         self.first_rejection_rate = 0.0
-        self.retry_admission = 1.0  # share of first retries to admit; for each further one a power of it
+        self.retry_admission = 1.0  # share of first retries to admit; its powers apply to later retries
         self.baseline_rate = 0.0
-        self.baseline_observed_us = 0  # for how long usual rates were observed
+        self.baseline_observed_us = 0  # for how long the baseline rate was observed
         self.in_outage = False
         self.outage_ended_us: int | None = None
         self.active = False
         self.calm_since_us: int | None = None
-        self.last_surge_us = now_us - SURGE_RECOVERY_US  # when first attempts last exceeded the usual rate by far
+        self.last_surge_us = now_us - SURGE_RECOVERY_US  # when the surge ratio last exceeded SURGE_RATIO
 
     def on_request(self, retry_number: int, tenant: int) -> None:
         """Count an arrival."""
@@ -114,7 +119,7 @@
         self.counts.first_rejections += int(retry_number == 0)
 
     def tick(self, now_us: int) -> StormReport:
-        """Update the rates and return whether there is a storm."""
+        """Update the rates and the admitted share, and return whether there is a storm."""
         self._update_rates(now_us)
         evidence = self._evidence(now_us)
         if evidence.surge_ratio > SURGE_RATIO:
@@ -158,8 +163,8 @@
             self.outage_ended_us = now_us
         self.in_outage = in_outage
         if not in_outage and not self.active:
-            # Rates of an outage or a storm are not usual: averaged, they would excuse the next one, and so would a
-            # surge soon after the start, when little is known.
+            # Rates in an outage or a storm do not count towards the baseline, as they would hide the next storm. A
+            # surge soon after the start would hide it too, so the average changes at its slowest rate in a surge.
             baseline_observed_us = (
                 BASELINE_TIME_CONSTANT_US
                 if now_us - self.last_surge_us < SURGE_RECOVERY_US
@@ -203,7 +208,7 @@
 
     def _event(self) -> RetryStormUpdated:
         admission = [self.retry_admission**retry_number for retry_number in range(RETRY_NUMBER_BUCKETS)]
-        # rejected clients come back within the time that it takes to serve as many at the current rate
+        # The window is the time that it takes to serve as many requests as are now rejected, at the expected rate.
         unserved_clients = max(0.0, sum(self.arrival_rates) - self.served_rate) * RECENT_TIME_CONSTANT_US / 1e6
         window_us = min(
             MAX_RETRY_AFTER_WINDOW_US,
@@ -216,7 +221,7 @@
         return RetryStormUpdated(True, admission, windows_us, self._tenant_admission(), self.retry_after_in_seconds)
 
     def _tenant_admission(self) -> list[float]:
-        """Return by tenant the share of retries to admit: less for one whose demand exceeds its quota."""
+        """Return the share of retries to admit, by tenant; it is less for a tenant whose demand exceeds its quota."""
         if len(self.tenant_shares) < 2:
             return []
         arrival_rate = sum(self.arrival_rates)
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -137,7 +137,7 @@
     assert event.active and event.admission[0] == 1.0 and event.admission[2] < event.admission[1] < 0.2
     evidence = run.changes[0].evidence
     assert "retries" in str(evidence) and evidence.retry_share > 0.3
-    assert "an outage over" in str(run.detector.tick(run.now_us + TICK_US).evidence)
+    assert "an outage ended" in str(run.detector.tick(run.now_us + TICK_US).evidence)
     run.run(MIN_CALM_US / 1e6 + 6, 100)
     assert [change.active for change in run.changes] == [True, False] and not run.event.active
 
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -155,7 +155,7 @@
         (batch_frame([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 01 0000c07f")]), "finite"),
         (
             batch_frame([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
-            "unknown upstream condition 9",
+            "unknown upstream state 9",
         ),
         (batch_frame([instance_started("instances=3\nnonsense")]), "settings line 2: expected path=value"),
         (
