--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -70,7 +70,7 @@
                 self.on_plan_updated(event)
             case api.RetryStormUpdated():
                 self.admission.storm = event
-        self.fill_from_buffer()
+        self.send_buffered_request()
         self.arm_timer()
         actions, self.actions = self.actions, []
         return actions
@@ -163,7 +163,7 @@
         until_us = min(self.now_us + self.estimates.slow_latency_us[request.event.class_index], latest_us)
         self.schedule_wake_up(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
 
-    def fill_from_buffer(self) -> None:
+    def send_buffered_request(self) -> None:
         """Send the buffered request if a slot is free for it."""
         request = self.buffer
         if request is None:
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -39,10 +39,10 @@
             return []  # before the first attempt, as selections add members when they need them
         replaceable = [upstream for upstream in self.members if upstream not in new_upstreams]
         random.shuffle(replaceable)
-        places = max(wanted_count, len(replaceable))
+        target_size = max(wanted_count, len(replaceable))
         removed: list[TrackedUpstream] = []
         for upstream in new_upstreams:
-            if random.random() * listed_count >= places:
+            if random.random() * listed_count >= target_size:
                 removed += self.leave(upstream)
             elif upstream not in self.members and len(self.members) >= wanted_count and replaceable:
                 # While the subset is not full, selections add upstreams from outside it.
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -39,7 +39,7 @@
 
 NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 START_US = 1_000_000_000
-OVERDUE_TICKS = 4  # an answer may be so much later than its request's due time
+MAX_OVERDUE_TICKS = 4  # an answer may be so much later than its request's due time
 
 
 def request_classes() -> list[RequestClass]:
@@ -116,7 +116,7 @@
     attempts: list[TrackedAttempt] = field(default_factory=list)
     answers: int = 0
     closed: bool = False
-    stream: bool = False
+    streaming: bool = False
 
     def may_have_run(self) -> list[TrackedAttempt]:
         """Return the attempts whose upstream may have executed the request."""
@@ -132,7 +132,7 @@
 
     at_us: int
     is_timer: bool
-    ident: int
+    request_or_token: int
     """The timer's token, or the request's id."""
     attempt: int = 0
 
@@ -145,11 +145,11 @@
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.requests: dict[int, TrackedRequest] = {}
-        self.known: dict[int, Upstream] = {}
+        self.known_entries: dict[int, Upstream] = {}
         self.unavailable_since_us: dict[int, int] = {}  # by upstream, once reported draining or removed
         self.timers: list[Deadline] = []
         self.actions: list[Action] = []
-        self.next_id = 1
+        self.next_request = 1
 
     # Events
 
@@ -164,42 +164,50 @@
     def update_upstreams(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
         """Send an endpoint list."""
         for entry in entries:
-            self.known[entry.id] = entry
+            self.known_entries[entry.id] = entry
             if entry.state is UpstreamState.READY:
                 self.unavailable_since_us.pop(entry.id, None)
             else:
                 self.unavailable_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            for ident in self.known.keys() - {e.id for e in entries}:
-                self.unavailable_since_us.setdefault(ident, self.now_us)
+            for upstream_id in self.known_entries.keys() - {entry.id for entry in entries}:
+                self.unavailable_since_us.setdefault(upstream_id, self.now_us)
         return self.handle(UpstreamsUpdated(kind, entries))
 
-    def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
-        """Send a new request, which is due after `patience_us` or its class's deadline; return its id."""
-        ident = self.next_id
-        self.next_id += 1
-        patience = patience_us or self.settings.classes[class_index].deadline_us
-        event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.requests[ident] = TrackedRequest(event)
+    def arrive(self, class_index: int = 0, due_in_us: int | None = None, **fields: Any) -> int:
+        """Send a new request, which is due after `due_in_us` or its class's deadline; return its id."""
+        request = self.next_request
+        self.next_request += 1
+        remaining_us = due_in_us or self.settings.classes[class_index].deadline_us
+        event = RequestArrived(request, self.now_us + remaining_us, class_index, **fields)
+        self.requests[request] = TrackedRequest(event)
         self.handle(event)
-        return ident
+        return request
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
         """End an attempt now, with further fields of the event."""
         tracked = self.requests[request]
-        this = tracked.attempts[attempt]
-        assert this.outcome is None
-        this.outcome = outcome
-        if (outcome is Outcome.OK or tracked.stream) and not tracked.closed:
+        attempt_record = tracked.attempts[attempt]
+        assert attempt_record.outcome is None
+        attempt_record.outcome = outcome
+        if (outcome is Outcome.OK or tracked.streaming) and not tracked.closed:
             tracked.closed = True
             tracked.answers += 1
         return self.handle(
-            AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us, tracked.closed, **fields)
+            AttemptEnded(
+                request,
+                attempt,
+                attempt_record.upstream,
+                outcome,
+                self.now_us - attempt_record.sent_us,
+                tracked.closed,
+                **fields,
+            )
         )
 
     def begin_stream(self, request: int, attempt: int) -> None:
         """Start the response's stream: from now on the request has no time-out."""
-        self.requests[request].stream = True
+        self.requests[request].streaming = True
         self.handle(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
     def disconnect_client(self, request: int) -> None:
@@ -208,36 +216,36 @@
         self.requests[request].answers = 1
         self.handle(ClientDisconnected(request))
 
-    def advance(self, by_us: int) -> None:
+    def advance(self, duration_us: int) -> None:
         """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
-        end_us = self.now_us + by_us
-        while due := [deadline for deadline in self._deadlines() if deadline.at_us <= end_us]:
-            first = min(due)
-            self.now_us = max(self.now_us, first.at_us)
-            if first.is_timer:
-                self.timers.remove(first)
-                self.handle(TimerFired(first.ident))
+        end_us = self.now_us + duration_us
+        while due_deadlines := [deadline for deadline in self._deadlines() if deadline.at_us <= end_us]:
+            next_deadline = min(due_deadlines)
+            self.now_us = max(self.now_us, next_deadline.at_us)
+            if next_deadline.is_timer:
+                self.timers.remove(next_deadline)
+                self.handle(TimerFired(next_deadline.request_or_token))
             else:
-                self.end(first.ident, first.attempt, Outcome.TIMEOUT)
+                self.end(next_deadline.request_or_token, next_deadline.attempt, Outcome.TIMEOUT)
         self.now_us = end_us
-        self._check_none_is_overdue()
+        self._check_overdue_requests()
 
     def _deadlines(self) -> list[Deadline]:
-        time_outs = [
-            Deadline(tracked.attempts[number].ends_us, False, ident, number)
-            for ident, tracked in self.requests.items()
-            if not tracked.stream
+        timeouts = [
+            Deadline(tracked.attempts[number].ends_us, False, request, number)
+            for request, tracked in self.requests.items()
+            if not tracked.streaming
             for number in tracked.in_flight()
         ]
-        return self.timers + time_outs
+        return self.timers + timeouts
 
     # Checks
 
-    def _check_none_is_overdue(self) -> None:
-        slack_us = OVERDUE_TICKS * self.settings.tick_us
-        for ident, tracked in self.requests.items():
-            overdue = self.now_us > tracked.event.due_us + slack_us and not tracked.stream
-            assert not overdue or tracked.answers == 1, f"rule 1: request {ident} is unanswered past due"
+    def _check_overdue_requests(self) -> None:
+        slack_us = MAX_OVERDUE_TICKS * self.settings.tick_us
+        for request, tracked in self.requests.items():
+            overdue = self.now_us > tracked.event.due_us + slack_us and not tracked.streaming
+            assert not overdue or tracked.answers == 1, f"rule 1: request {request} is unanswered past due"
 
     def check(self, action: Action) -> None:
         """Check an action against the contract, and record what it starts."""
@@ -259,7 +267,7 @@
     def check_send(self, send: Send) -> None:
         """Check an attempt against the rules, and record it."""
         tracked = self.requests[send.request]
-        entry = self.known[send.upstream]
+        entry = self.known_entries[send.upstream]
         assert not tracked.closed, "rule 1: a send after the end"
         assert len(tracked.attempts) < self.settings.max_attempts, "more attempts than allowed"
         assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or removed upstream"
@@ -272,29 +280,32 @@
         tracked.attempts.append(TrackedAttempt(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_us))
 
     def _check_repeat(self, tracked: TrackedRequest, earlier: TrackedAttempt, entry: Upstream) -> None:
-        kind = self.settings.classes[tracked.event.class_index]
-        assert kind.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: a non-idempotent request sent again"
-        if kind.idempotency != Idempotency.IDEMPOTENCY_KEY:
+        request_class = self.settings.classes[tracked.event.class_index]
+        assert request_class.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: a non-idempotent request sent again"
+        if request_class.idempotency != Idempotency.IDEMPOTENCY_KEY:
             return
-        assert self.now_us - earlier.sent_us <= kind.idempotency_window_us, "rule 2: past the idempotency window"
-        if kind.idempotency_scope == IdempotencyScope.FAILURE_DOMAIN:
+        assert self.now_us - earlier.sent_us <= request_class.idempotency_window_us, (
+            "rule 2: past the idempotency window"
+        )
+        if request_class.idempotency_scope == IdempotencyScope.FAILURE_DOMAIN:
             assert entry.failure_domain == earlier.failure_domain, "rule 2: outside the failure domain"
-        if kind.idempotency_scope == IdempotencyScope.ZONE:
+        if request_class.idempotency_scope == IdempotencyScope.ZONE:
             assert entry.zone == earlier.zone, "rule 2: outside the zone"
 
     def check_answer(self, answer: Reject | Fail) -> None:
         """Check a final answer, and close its request."""
         tracked = self.requests[answer.request]
-        kind = self.settings.classes[tracked.event.class_index]
+        request_class = self.settings.classes[tracked.event.class_index]
         assert not tracked.closed, "rule 1: a second answer"
         tracked.closed = True
         tracked.answers += 1
         if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            harmless = kind.idempotency == Idempotency.IDEMPOTENT or (
-                kind.idempotency == Idempotency.IDEMPOTENCY_KEY and kind.idempotency_scope == IdempotencyScope.ALL
+            is_safe_to_repeat = request_class.idempotency == Idempotency.IDEMPOTENT or (
+                request_class.idempotency == Idempotency.IDEMPOTENCY_KEY
+                and request_class.idempotency_scope == IdempotencyScope.ALL
             )
-            assert harmless or not tracked.may_have_run(), "rule 2: a rejection of what may have run"
+            assert is_safe_to_repeat or not tracked.may_have_run(), "rule 2: a rejection of what may have run"
 
     # Results
 
--- a/tests/balancer_scenarios.py
+++ b/tests/balancer_scenarios.py
@@ -32,29 +32,29 @@
 def serve_requests(
     harness: BalancerHarness,
     steps: int,
-    failing: int | None = None,
+    failing_upstream: int | None = None,
     fault: Outcome = Outcome.REJECTED,
     class_index: int = READ,
     duration_us: int = 10_000,
 ) -> None:
-    """Send a request in each step; at its end all attempts end, with `fault` at the upstream `failing`."""
+    """Send a request in each step; at its end all attempts end, with `fault` at the upstream `failing_upstream`."""
     for _ in range(steps):
         harness.arrive(class_index)
         harness.advance(duration_us)
-        for ident in [i for i, tracked in harness.requests.items() if tracked.in_flight()]:
-            for attempt in harness.requests[ident].in_flight():
-                at_failing = harness.requests[ident].attempts[attempt].upstream == failing
-                harness.end(ident, attempt, fault if at_failing else Outcome.OK)
+        for request in [request for request, tracked in harness.requests.items() if tracked.in_flight()]:
+            for attempt in harness.requests[request].in_flight():
+                at_failing = harness.requests[request].attempts[attempt].upstream == failing_upstream
+                harness.end(request, attempt, fault if at_failing else Outcome.OK)
 
 
-def end_all(harness: BalancerHarness, outcome: Outcome) -> None:
+def end_all_attempts(harness: BalancerHarness, outcome: Outcome) -> None:
     """Send a few requests, and end all attempts with one outcome."""
     for _ in range(20):
         harness.arrive(PAY)
     harness.advance(10_000)
-    for ident, tracked in list(harness.requests.items()):
+    for request, tracked in list(harness.requests.items()):
         for attempt in tracked.in_flight():
-            harness.end(ident, attempt, outcome)
+            harness.end(request, attempt, outcome)
 
 
 def open_slot_count(harness: BalancerHarness) -> int:
@@ -75,7 +75,7 @@
     return harness
 
 
-def serve_slowly(harness: BalancerHarness, seconds: int) -> None:
+def time_out_requests(harness: BalancerHarness, seconds: int) -> None:
     """Send a request a second, and let each time out after its latency objective."""
     for _ in range(seconds):
         harness.arrive(PAY)
--- a/tests/polling_fleet.py
+++ b/tests/polling_fleet.py
@@ -18,9 +18,9 @@
 from ryepier.sidecar.discovery import SILENCE_TIMEOUT_S
 from tests.balancer_harness import START_US, settings
 
-MAX_WAIT_US = 2_000_000  # of a poll at discovery; then it fails
-REFUSAL_US = 1_000  # until a refused poll has failed
-RESET_US = 100_000  # until a poll that is reset has failed
+MAX_POLL_WAIT_US = 2_000_000  # of a poll at discovery; then it fails
+REFUSAL_DELAY_US = 1_000  # until a refused poll has failed
+RESET_DELAY_US = 100_000  # until a poll that is reset has failed
 SILENCE_US = int(1e6 * SILENCE_TIMEOUT_S)
 
 
@@ -44,9 +44,9 @@
     """What happens to a sidecar."""
 
     TIMER = enum.auto()
-    WATCH_BREAKS = enum.auto()
+    WATCH_BROKEN = enum.auto()
     POLL_SERVED = enum.auto()
-    POLL_FAILS = enum.auto()
+    POLL_FAILED = enum.auto()
 
 
 class FleetEvent(NamedTuple):
@@ -86,11 +86,11 @@
         """Prepare a run; the last of the phases has to be UP, unless no sidecar is to get the list."""
         config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
         self.now_us = START_US
-        self.serving_us = int(1e6 / polls_per_s)
+        self.service_time_us = int(1e6 / polls_per_s)
         self.phases = phases
         self.events: list[FleetEvent] = []
-        self.numbers = itertools.count(1)
-        self.waiting: deque[WaitingPoll] = deque()
+        self.sequence = itertools.count(1)
+        self.waiting_polls: deque[WaitingPoll] = deque()
         self.is_serving = False
         self.polls: Counter[int] = Counter()  # by second
         self.failed_polls = 0
@@ -106,7 +106,7 @@
         silent_us = SILENCE_US if after_silence else 0
         for sidecar in range(len(self.sidecars)):
             self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, version=1))
-            self._schedule(START_US + int(1e6 * at_s) + silent_us, EventKind.WATCH_BREAKS, sidecar, silent_us)
+            self._schedule(START_US + int(1e6 * at_s) + silent_us, EventKind.WATCH_BROKEN, sidecar, silent_us)
 
     def run_until(self, until_s: float) -> None:
         """Run all events up to a time."""
@@ -127,7 +127,7 @@
         return [phase.mode for phase in self.phases if phase.since_s <= self._now_s()][-1]
 
     def _schedule(self, at_us: int, kind: EventKind, sidecar: int, value: int) -> None:
-        heapq.heappush(self.events, FleetEvent(at_us, next(self.numbers), kind, sidecar, value))
+        heapq.heappush(self.events, FleetEvent(at_us, next(self.sequence), kind, sidecar, value))
 
     def _handle(self, number: int, event: TimerFired | UpstreamsUpdated) -> None:
         sidecar = self.sidecars[number]
@@ -139,27 +139,27 @@
                 self._poll(number)
 
     def _poll(self, number: int) -> None:
-        poll = self.sidecars[number].poll = next(self.numbers)
+        poll = self.sidecars[number].poll = next(self.sequence)
         self.polls[int(self._now_s())] += 1
         mode = self._mode()
         if mode is DiscoveryMode.UP:
-            self.waiting.append(WaitingPoll(number, poll))
-            self._schedule(self.now_us + MAX_WAIT_US, EventKind.POLL_FAILS, number, poll)
+            self.waiting_polls.append(WaitingPoll(number, poll))
+            self._schedule(self.now_us + MAX_POLL_WAIT_US, EventKind.POLL_FAILED, number, poll)
             self._serve_next()
             return
         failure_us = {
             DiscoveryMode.SILENT: SILENCE_US,
-            DiscoveryMode.REFUSED: REFUSAL_US,
-            DiscoveryMode.RESET: RESET_US,
+            DiscoveryMode.REFUSED: REFUSAL_DELAY_US,
+            DiscoveryMode.RESET: RESET_DELAY_US,
         }
-        self._schedule(self.now_us + failure_us[mode], EventKind.POLL_FAILS, number, poll)
+        self._schedule(self.now_us + failure_us[mode], EventKind.POLL_FAILED, number, poll)
 
     def _serve_next(self) -> None:
-        while self.waiting and not self.is_serving:
-            poll = self.waiting.popleft()
+        while self.waiting_polls and not self.is_serving:
+            poll = self.waiting_polls.popleft()
             if self.sidecars[poll.sidecar].poll == poll.number:
                 self.is_serving = True
-                self._schedule(self.now_us + self.serving_us, EventKind.POLL_SERVED, poll.sidecar, poll.number)
+                self._schedule(self.now_us + self.service_time_us, EventKind.POLL_SERVED, poll.sidecar, poll.number)
 
     def _on_event(self, event: FleetEvent) -> None:
         sidecar = self.sidecars[event.sidecar]
@@ -167,7 +167,7 @@
             case EventKind.TIMER:
                 sidecar.armed_us.discard(event.value)
                 self._handle(event.sidecar, TimerFired(0))
-            case EventKind.WATCH_BREAKS:
+            case EventKind.WATCH_BROKEN:
                 sidecar.updated_s = -1.0
                 self._handle(event.sidecar, UpstreamsUpdated(ListKind.FAILED, silent_us=event.value))
             case EventKind.POLL_SERVED:
@@ -175,7 +175,7 @@
                 if sidecar.poll == event.value:
                     sidecar.poll, sidecar.updated_s = 0, self._now_s()
                     self._handle(event.sidecar, UpstreamsUpdated(ListKind.DELTA, version=1))
-            case EventKind.POLL_FAILS if sidecar.poll == event.value:
+            case EventKind.POLL_FAILED if sidecar.poll == event.value:
                 sidecar.poll = 0
                 self.failed_polls += 1
                 self._handle(event.sidecar, UpstreamsUpdated(ListKind.FAILED))
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -41,7 +41,7 @@
 MAX_COST = 10.0  # in mean requests
 REQUEST_TIMEOUT_US = 1_500_000
 REJECTION_US = 1_000  # until a rejection arrives
-RATE_PARTS = [0.02, 0.5, 1.0, 1.0, 4.0]  # of the mean rate: sidecars differ
+RELATIVE_RATES = [0.02, 0.5, 1.0, 1.0, 4.0]  # of the mean rate: sidecars differ
 
 EQUAL_HINTED = "equal, hinted"
 HEAVY_HINTED = "heavy, hinted"
@@ -108,13 +108,15 @@
             overload_window_us=3_000_000,
         )
         self.now_us = START_US
-        self.balancers = [Balancer(self.settings, case.seed * 100 + n, START_US) for n in range(case.sidecars)]
+        self.balancers = [Balancer(self.settings, case.seed * 100 + index, START_US) for index in range(case.sidecars)]
         self.converters = [Converter() for _ in range(CONVERTERS)]
         self.queue: list[ScheduledEvent] = []
         self.costs_us: dict[int, int] = {}  # by request
-        self.number = 0
-        parts = [self.random.choice(RATE_PARTS) for _ in range(case.sidecars)]
-        self.rates = [case.load * CONVERTERS * CAPACITY * part / sum(parts) for part in parts]
+        self.last_number = 0
+        relative_rates = [self.random.choice(RELATIVE_RATES) for _ in range(case.sidecars)]
+        self.rates = [
+            case.load * CONVERTERS * CAPACITY * relative_rate / sum(relative_rates) for relative_rate in relative_rates
+        ]
 
     @property
     def cold_converters(self) -> list[Converter]:
@@ -123,7 +125,7 @@
 
     # Running
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Run the whole case: some time before the starts, and some after them."""
         self._send_list()
         for sidecar in range(len(self.balancers)):
@@ -143,21 +145,26 @@
 
     def _start_cold_converters(self) -> None:
         if self.case.traffic_moves:  # from the busiest sidecar to the one with the least traffic, and so on
-            ranked = sorted(range(len(self.rates)), key=self.rates.__getitem__)
-            moved = {n: self.rates[other] for n, other in zip(ranked, reversed(ranked), strict=True)}
-            self.rates = [moved[n] for n in range(len(self.rates))]
+            sidecars_by_rate = sorted(range(len(self.rates)), key=self.rates.__getitem__)
+            new_rates = {
+                sidecar: self.rates[other]
+                for sidecar, other in zip(sidecars_by_rate, reversed(sidecars_by_rate), strict=True)
+            }
+            self.rates = [new_rates[sidecar] for sidecar in range(len(self.rates))]
         for converter in self.cold_converters:
             converter.started_us, converter.free_us = self.now_us, [self.now_us] * CORES
         self._send_list()
 
     def _send_list(self) -> None:
-        listed = [Upstream(n + 1, started_us=converter.started_us) for n, converter in enumerate(self.converters)]
+        listed = [
+            Upstream(index + 1, started_us=converter.started_us) for index, converter in enumerate(self.converters)
+        ]
         for sidecar in range(len(self.balancers)):
             self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, listed))
 
     def _schedule(self, at_us: int, sidecar: int, event: Event) -> None:
-        self.number += 1
-        heapq.heappush(self.queue, ScheduledEvent(at_us, self.number, sidecar, event))
+        self.last_number += 1
+        heapq.heappush(self.queue, ScheduledEvent(at_us, self.last_number, sidecar, event))
 
     def _schedule_request(self, sidecar: int) -> None:
         at_us = self.now_us + max(1, int(self.random.expovariate(self.rates[sidecar]) * 1_000_000))
@@ -166,10 +173,10 @@
             # Mean 1 and deviation 2, but for the cut: one request that is heavier than the margin for chance overloads
             # a cold converter by itself, and without a hint no sidecar can know.
             cost_us = int(MEAN_COST_US * min(self.random.lognormvariate(-0.8, 1.265), MAX_COST))
-        self.number += 1
-        self.costs_us[self.number] = cost_us
+        self.last_number += 1
+        self.costs_us[self.last_number] = cost_us
         hint_us = 0 if self.case.costs == HEAVY_UNHINTED else cost_us
-        self._schedule(at_us, sidecar, RequestArrived(self.number, at_us + REQUEST_TIMEOUT_US, cost_us=hint_us))
+        self._schedule(at_us, sidecar, RequestArrived(self.last_number, at_us + REQUEST_TIMEOUT_US, cost_us=hint_us))
 
     def _handle(self, sidecar: int, event: Event) -> None:
         for action in self.balancers[sidecar].handle(self.now_us, event):
@@ -183,19 +190,19 @@
         if converter.started_us:
             converter.attempts.append(Attempt(self.now_us, cost_us / MEAN_COST_US))
         begin_us = max(converter.free_us[0], self.now_us)
-        end_us = begin_us + int(cost_us / self.warmth(converter, self.now_us))
-        outcome, time_out_us = Outcome.OK, self.now_us + send.timeout_us
+        end_us = begin_us + int(cost_us / self.speed(converter, self.now_us))
+        outcome, timeout_at_us = Outcome.OK, self.now_us + send.timeout_us
         if begin_us > self.now_us + MAX_QUEUE_US:
             outcome, end_us = Outcome.REJECTED, self.now_us + REJECTION_US
         else:
             heapq.heapreplace(converter.free_us, end_us)
-            if end_us > time_out_us:
-                outcome, end_us = Outcome.TIMEOUT, time_out_us
+            if end_us > timeout_at_us:
+                outcome, end_us = Outcome.TIMEOUT, timeout_at_us
         is_final = outcome is Outcome.OK
         ended = AttemptEnded(send.request, 0, send.upstream, outcome, end_us - self.now_us, is_final)
         self._schedule(end_us, sidecar, ended)
 
-    def warmth(self, converter: Converter, at_us: int) -> float:
+    def speed(self, converter: Converter, at_us: int) -> float:
         """Return the part of its warm speed at which a converter runs."""
         if converter.started_us == 0 or at_us >= converter.started_us + self.settings.warm_up_us:
             return 1.0
@@ -210,7 +217,7 @@
 
     def _worst_window_of(self, converter: Converter) -> float:
         window: deque[Attempt] = deque()
-        worst = work = 0.0
+        worst_ratio = work = 0.0
         for attempt in converter.attempts:
             window.append(attempt)
             work += attempt.cost
@@ -218,17 +225,17 @@
             while window[0].at_us <= window_start_us:
                 work -= window.popleft().cost
             # The capacity at the window's start counts: what the converter gains later is not in it.
-            allowed = self._allowed_work(converter, max(converter.started_us, window_start_us))
-            worst = max(worst, work / (allowed + 2 * allowed**0.5 + 2))
-        return worst
+            allowed_work = self._allowed_work(converter, max(converter.started_us, window_start_us))
+            worst_ratio = max(worst_ratio, work / (allowed_work + 2 * allowed_work**0.5 + 2))
+        return worst_ratio
 
     def _allowed_work(self, converter: Converter, start_us: int) -> float:
         window_s = self.settings.overload_window_us / 1_000_000
-        return self.settings.overload_factor * self.warmth(converter, start_us) * CAPACITY * window_s
+        return self.settings.overload_factor * self.speed(converter, start_us) * CAPACITY * window_s
 
     def utilisation(self) -> float:
         """Return the work that the cold converters were sent, in parts of what they could do."""
-        sent = sum(attempt.cost for converter in self.cold_converters for attempt in converter.attempts)
-        middle_us = self.converters[0].started_us + AFTER_STARTS_US // 2
-        possible = CAPACITY * AFTER_STARTS_US / 1_000_000 * self.warmth(self.converters[0], middle_us)
-        return sent / (possible * self.case.cold)
+        work_sent = sum(attempt.cost for converter in self.cold_converters for attempt in converter.attempts)
+        midpoint_us = self.converters[0].started_us + AFTER_STARTS_US // 2
+        max_work = CAPACITY * AFTER_STARTS_US / 1_000_000 * self.speed(self.converters[0], midpoint_us)
+        return work_sent / (max_work * self.case.cold)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -21,30 +21,30 @@
     return harness
 
 
-def serve(harness: BalancerHarness, request: int, work_us: int) -> None:
+def serve_attempts(harness: BalancerHarness, request: int, work_us: int) -> None:
     """Answer each of a request's attempts when its work is done, if it is not given up before."""
-    number = 0
-    while number < len(harness.sends(request)):
+    attempt = 0
+    while attempt < len(harness.sends(request)):
         harness.advance(work_us)
-        if harness.requests[request].attempts[number].outcome is None:
-            harness.end(request, number, Outcome.OK)
-        number += 1
+        if harness.requests[request].attempts[attempt].outcome is None:
+            harness.end(request, attempt, Outcome.OK)
+        attempt += 1
 
 
-def unsent_part(harness: BalancerHarness, requests: list[int]) -> float:
+def unsent_share(harness: BalancerHarness, requests: list[int]) -> float:
     """Return the part of the requests that was never sent."""
     return sum(not harness.sends(request) for request in requests) / len(requests)
 
 
-def rejected_part(seed: int, mean_us: int) -> float:
+def rejected_share(seed: int, mean_us: int) -> float:
     """Send requests one after another, each served at once, and return the part that was never sent."""
     harness, rng = lightly_loaded_harness(seed), random.Random(seed)
     requests = []
     for _ in range(REQUESTS):
         requests.append(harness.arrive())
-        serve(harness, requests[-1], max(1, int(rng.expovariate(1 / mean_us))))
+        serve_attempts(harness, requests[-1], max(1, int(rng.expovariate(1 / mean_us))))
         harness.advance(int(rng.expovariate(4.0) * 1_000_000))
-    return unsent_part(harness, requests)
+    return unsent_share(harness, requests)
 
 
 def test_some_slow_answers_shed_no_load_while_the_mean_is_below_the_target() -> None:
@@ -53,18 +53,18 @@
     requests = []
     for number in range(REQUESTS):
         requests.append(harness.arrive())
-        serve(harness, requests[-1], 330_000 if number % 3 == 2 else 90_000)
+        serve_attempts(harness, requests[-1], 330_000 if number % 3 == 2 else 90_000)
         harness.advance(100_000)
-    assert unsent_part(harness, requests) == 0
+    assert unsent_share(harness, requests) == 0
 
 
-def test_sidecar_with_little_traffic_sheds_no_load_for_work_that_is_long_by_chance() -> None:
-    rejected = [rejected_part(seed, WORK_US) for seed in SEEDS]
-    print("rejected, by seed:", rejected)
-    assert sum(rejected) / len(rejected) <= 0.005
+def test_sidecar_with_little_traffic_sheds_no_load_for_random_slow_answers() -> None:
+    rejected_shares = [rejected_share(seed, WORK_US) for seed in SEEDS]
+    print("rejected, by seed:", rejected_shares)
+    assert sum(rejected_shares) / len(rejected_shares) <= 0.005
 
 
-def test_sidecar_with_little_traffic_sheds_load_where_answers_are_slow_in_the_mean() -> None:
-    rejected = [rejected_part(seed, 6 * WORK_US) for seed in SEEDS]
-    print("rejected, by seed:", rejected)
-    assert min(rejected) >= 0.2
+def test_sidecar_with_little_traffic_sheds_load_while_answers_are_slow_on_average() -> None:
+    rejected_shares = [rejected_share(seed, 6 * WORK_US) for seed in SEEDS]
+    print("rejected, by seed:", rejected_shares)
+    assert min(rejected_shares) >= 0.2
--- a/tests/test_buffer.py
+++ b/tests/test_buffer.py
@@ -20,8 +20,8 @@
 
 def test_one_request_waits_when_all_slots_are_taken_and_the_next_is_rejected() -> None:
     harness = ready_harness()
-    taken = fill_slots(harness)
-    assert harness.answer(taken[-1]) is None
+    requests = fill_slots(harness)
+    assert harness.answer(requests[-1]) is None
     last = harness.arrive(READ)
     answer = harness.answer(last)
     assert isinstance(answer, Reject) and answer.retry_after_us > 0
@@ -29,13 +29,13 @@
 
 def test_buffered_request_takes_the_first_slot_that_frees() -> None:
     harness = ready_harness()
-    taken = fill_slots(harness)
-    freed = harness.sends(taken[0])[0].upstream
-    harness.end(taken[0], 0, Outcome.OK)
-    assert [send.upstream for send in harness.sends(taken[-1])] == [freed]
+    requests = fill_slots(harness)
+    freed_upstream = harness.sends(requests[0])[0].upstream
+    harness.end(requests[0], 0, Outcome.OK)
+    assert [send.upstream for send in harness.sends(requests[-1])] == [freed_upstream]
 
 
-def test_buffered_request_is_rejected_after_the_delay_threshold() -> None:
+def test_buffered_request_is_rejected_after_the_slow_latency() -> None:
     harness = ready_harness()
     waiting = fill_slots(harness)[-1]
     harness.advance(200_000)
@@ -44,7 +44,7 @@
 
 def test_request_too_close_to_its_deadline_is_rejected_unsent() -> None:
     harness = ready_harness()
-    request = harness.arrive(READ, patience_us=1_000)
+    request = harness.arrive(READ, due_in_us=1_000)
     assert isinstance(harness.answer(request), Reject) and not harness.sends(request)
 
 
@@ -60,36 +60,36 @@
 
 def test_request_with_a_higher_priority_weight_takes_the_buffer() -> None:
     harness = ready_harness()
-    lighter = fill_slots(harness)[-1]
-    heavier = harness.arrive(PAY)
-    assert isinstance(harness.answer(lighter), Reject) and harness.answer(heavier) is None
-    late = harness.arrive(READ)
-    assert isinstance(harness.answer(late), Reject)
+    low_priority = fill_slots(harness)[-1]
+    high_priority = harness.arrive(PAY)
+    assert isinstance(harness.answer(low_priority), Reject) and harness.answer(high_priority) is None
+    rejected = harness.arrive(READ)
+    assert isinstance(harness.answer(rejected), Reject)
     harness.end(harness.sends()[0].request, 0, Outcome.OK)
-    assert harness.sends(heavier)
+    assert harness.sends(high_priority)
 
 
-def test_tenant_over_its_quota_yields_the_buffer() -> None:
+def test_tenant_over_its_quota_loses_the_buffer() -> None:
     harness = ready_harness(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         harness.arrive(READ, tenant=0)
-    holder = harness.balancer.buffer
-    assert holder is not None and holder.event.tenant == 0
-    modest = harness.arrive(READ, tenant=1)
-    assert harness.answer(modest) is None and harness.answer(holder.event.request) is not None
+    buffered = harness.balancer.buffer
+    assert buffered is not None and buffered.event.tenant == 0
+    within_quota = harness.arrive(READ, tenant=1)
+    assert harness.answer(within_quota) is None and harness.answer(buffered.event.request) is not None
 
 
-def test_unknown_tenant_has_no_quota_and_yields_the_buffer() -> None:
+def test_unknown_tenant_has_no_quota_and_loses_the_buffer() -> None:
     harness = ready_harness(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         harness.arrive(READ, tenant=2)
-    holder = harness.balancer.buffer
-    assert holder is not None and holder.event.tenant == 2
-    known = harness.arrive(READ, tenant=0)
-    assert harness.answer(known) is None and harness.answer(holder.event.request) is not None
+    buffered = harness.balancer.buffer
+    assert buffered is not None and buffered.event.tenant == 2
+    of_known_tenant = harness.arrive(READ, tenant=0)
+    assert harness.answer(of_known_tenant) is None and harness.answer(buffered.event.request) is not None
 
 
-def test_one_request_is_buffered_after_answers_in_no_measurable_time() -> None:
+def test_one_request_is_buffered_after_answers_without_latency() -> None:
     harness = ready_harness()
     serve_requests(harness, 50, duration_us=0)
     waiting, last = fill_slots(harness)[-1], harness.arrive(PAY)
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -23,27 +23,27 @@
 )
 
 
-def test_slots_open_only_while_requests_find_none_free() -> None:
+def test_slots_open_only_during_a_shortage() -> None:
     harness = ready_harness(4)
     serve_requests(harness, 100)
     assert open_slot_count(harness) == 4
 
 
-def test_slots_open_under_need_and_close_on_slow_answers() -> None:
+def test_slots_open_in_a_shortage_and_close_on_slow_answers() -> None:
     harness = ready_harness(4)
 
-    def rounds(count: int, duration_us: int) -> None:
+    def run_rounds(count: int, duration_us: int) -> None:
         for _ in range(count):
             fill_slots(harness)
             serve_requests(harness, 1, duration_us=duration_us)
 
-    rounds(60, 20_000)
+    run_rounds(60, 20_000)
     serve_requests(harness, 1)
-    grown = open_slot_count(harness)
-    assert 8 <= grown <= 32
-    rounds(20, 250_000)
+    slots_after_growth = open_slot_count(harness)
+    assert 8 <= slots_after_growth <= 32
+    run_rounds(20, 250_000)
     serve_requests(harness, 3)
-    assert open_slot_count(harness) < grown / 2
+    assert open_slot_count(harness) < slots_after_growth / 2
 
 
 def test_stale_timer_does_not_start_another() -> None:
@@ -51,52 +51,52 @@
     for _ in range(50):
         fill_slots(harness)
         harness.advance(1_000)
-        for ident, tracked in list(harness.requests.items()):
+        for request, tracked in list(harness.requests.items()):
             for attempt in tracked.in_flight():
-                harness.end(ident, attempt, Outcome.REJECTED)
+                harness.end(request, attempt, Outcome.REJECTED)
     harness.advance(10_000_000)
     assert len(harness.timers) == 0
 
 
-def test_first_slot_is_complete_however_many_sidecars_there_are() -> None:
+def test_upstream_has_one_open_slot_at_any_number_of_sidecars() -> None:
     few, many = ready_harness(4, instances=3), ready_harness(4, instances=400)
     assert len(fill_slots(many)) == len(fill_slots(few)) == 5
 
 
-def test_one_error_leaves_an_upstream_its_other_slots() -> None:
+def test_one_error_closes_at_most_half_the_slots() -> None:
     harness = busy_harness()
-    before = open_slot_count(harness)
+    slots_before = open_slot_count(harness)
     harness.end(harness.arrive(PAY), 0, Outcome.ERROR)
-    assert before >= 4
-    assert open_slot_count(harness) >= before / 2 - 1
+    assert slots_before >= 4
+    assert open_slot_count(harness) >= slots_before / 2 - 1
 
 
-def test_one_heavy_request_among_fast_answers_closes_no_slot() -> None:
+def test_one_expensive_request_among_fast_answers_closes_no_slot() -> None:
     harness = busy_harness()
-    before = open_slot_count(harness)
+    slots_before = open_slot_count(harness)
     serve_requests(harness, 1, duration_us=170_000)  # over half of the latency objective
-    assert open_slot_count(harness) >= before - 1
+    assert open_slot_count(harness) >= slots_before - 1
 
 
-def test_no_second_slot_opens_without_need() -> None:
+def test_no_second_slot_opens_without_a_shortage() -> None:
     harness = ready_harness(40, instances=24)
     serve_requests(harness, 400)
     assert all(upstream.concurrency.limit <= 1 for upstream in harness.balancer.membership.by_id.values())
 
 
-def test_slots_open_for_two_latency_objectives_after_a_shortage_and_no_longer() -> None:
-    windows = []
+def test_slots_open_only_within_two_latency_objectives_of_a_shortage() -> None:
+    limit_increases = []
     for pause_us in (300_000, 900_000):
         harness = ready_harness(1)
-        taken = fill_slots(harness)
+        requests = fill_slots(harness)
         harness.advance(10_000)
-        for request in (taken[0], taken[-1]):
+        for request in (requests[0], requests[-1]):
             harness.end(request, 0, Outcome.OK)
         harness.advance(pause_us)
-        before = harness.balancer.membership.by_id[100].concurrency.limit
+        limit_before = harness.balancer.membership.by_id[100].concurrency.limit
         serve_requests(harness, 3)
-        windows.append(harness.balancer.membership.by_id[100].concurrency.limit - before)
-    assert windows[0] > 0 and windows[1] == 0
+        limit_increases.append(harness.balancer.membership.by_id[100].concurrency.limit - limit_before)
+    assert limit_increases[0] > 0 and limit_increases[1] == 0
 
 
 def test_faster_answers_open_slots_faster() -> None:
@@ -128,12 +128,12 @@
     assert rejected(ListKind.CACHED) < rejected(ListKind.FULL) * 0.8
 
 
-def test_upstream_slow_to_all_frees_no_more_than_one_slot() -> None:
+def test_upstream_without_answers_frees_at_most_one_slot() -> None:
     harness = ready_harness(1, hedging=False)
     for _ in range(40):  # requests that meet open slots
-        both = [harness.arrive(READ), harness.arrive(READ)]
+        pair = [harness.arrive(READ), harness.arrive(READ)]
         harness.advance(10_000)
-        for request in both:
+        for request in pair:
             if harness.sends(request) and harness.answer(request) is None:
                 harness.end(request, 0, Outcome.OK)
     slots = len(fill_slots(harness)) - 1
@@ -146,19 +146,19 @@
     assert slots > 2 and len(harness.sends()) - sent <= 1
 
 
-@pytest.mark.parametrize(("duration_us", "keeps"), [(10_000, True), (140_000, False)])
-def test_upstream_that_rejects_a_part_keeps_its_slots_if_it_is_fast_with_the_rest(
-    duration_us: int, keeps: bool
+@pytest.mark.parametrize(("duration_us", "keeps_slots"), [(10_000, True), (140_000, False)])
+def test_upstream_that_rejects_some_requests_keeps_its_slots_if_other_answers_are_fast(
+    duration_us: int, keeps_slots: bool
 ) -> None:
-    harness, chance = ready_harness(hedging=False), random.Random(5)
+    harness, rng = ready_harness(hedging=False), random.Random(5)
     for _ in range(400):
         requests = [harness.arrive(PAY) for _ in range(4)]
         harness.advance(duration_us)
         for request in requests:
             sent = harness.sends(request)
             if sent and harness.requests[request].attempts[0].outcome is None:
-                is_rejected = sent[0].upstream == 100 and chance.random() < 0.3
+                is_rejected = sent[0].upstream == 100 and rng.random() < 0.3
                 harness.end(request, 0, Outcome.REJECTED if is_rejected else Outcome.OK)
         harness.advance(2_000_000 if duration_us < 100_000 else 0)
     was_ejected = any(action.upstream == 100 for action in harness.actions if isinstance(action, CloseIdle))
-    assert was_ejected is not keeps
+    assert was_ejected is not keeps_slots
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -29,7 +29,7 @@
     return [i for i, action in enumerate(harness.actions) if isinstance(action, Subscribe)]
 
 
-def test_list_that_must_be_polled_is_subscribed_to() -> None:
+def test_list_is_polled_if_the_settings_require_it() -> None:
     harness = polling_harness()
     harness.advance(2_000_000)
     assert len(poll_positions(harness)) >= 1
@@ -47,10 +47,10 @@
     harness.advance(2_000_000)
     delays_us = []
     for _ in range(12):
-        before = len(poll_positions(harness))
+        count_before = len(poll_positions(harness))
         harness.handle(UpstreamsUpdated(ListKind.FAILED))
         start_us = harness.now_us
-        while len(poll_positions(harness)) == before:
+        while len(poll_positions(harness)) == count_before:
             harness.advance(10_000)
             assert harness.now_us - start_us < 10_000_000
         delays_us.append(harness.now_us - start_us)
@@ -60,12 +60,12 @@
 def test_second_failure_before_the_next_poll_adds_no_poll() -> None:
     harness = polling_harness()
     harness.advance(2_000_000)
-    before = len(poll_positions(harness))
+    count_before = len(poll_positions(harness))
     harness.handle(UpstreamsUpdated(ListKind.FAILED))
     harness.handle(UpstreamsUpdated(ListKind.FAILED))
     harness.advance(4_000_000)
     harness.update_upstreams(upstreams(4), ListKind.DELTA)
-    assert len(poll_positions(harness)) == before + 1
+    assert len(poll_positions(harness)) == count_before + 1
 
 
 def test_poll_that_is_never_answered_is_repeated_within_the_poll_interval() -> None:
@@ -96,7 +96,7 @@
     assert {send.upstream for send in harness.sends()} == {100, 101}
 
 
-def test_restart_under_the_same_id_starts_slowly_again() -> None:
+def test_restart_under_the_same_id_begins_a_new_slow_start() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(3))
     harness.update_upstreams([Upstream(100, started_us=START_US)], ListKind.DELTA)
@@ -119,12 +119,12 @@
     assert all(timer.at_us > START_US for timer in harness.actions if isinstance(timer, SetTimer))
 
 
-def test_start_in_the_future_of_a_late_clock_counts_from_its_first_report(
+def test_start_time_in_the_future_counts_from_its_first_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    now_s, behind_s = 1_000, 3_600
+    now_s, clock_lag_s = 1_000, 3_600
     monkeypatch.setattr(system, "monotonic_ns", lambda: now_s * 10**9)
-    monkeypatch.setattr(system, "unix_ns", lambda: (10**9 + now_s - behind_s) * 10**9)
+    monkeypatch.setattr(system, "unix_ns", lambda: (10**9 + now_s - clock_lag_s) * 10**9)
     registry = EndpointRegistry(["a"], [])
     entry = {
         "uid": "c",
@@ -137,8 +137,8 @@
         "boot_ms": (10**9 + now_s - 2) * 1000,
     }
 
-    def started_s(known: str = "active") -> float:
-        event, _ = registry.apply({"rev": 1, "all": False, "targets": [entry | {"state": known}]})
+    def started_s(state: str = "active") -> float:
+        event, _ = registry.apply({"rev": 1, "all": False, "targets": [entry | {"state": state}]})
         return event.upstreams[0].started_us / 1e6
 
     assert started_s() == now_s
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -8,46 +8,48 @@
 from tests.balancer_scenarios import (
     PAY,
     READ,
-    end_all,
+    end_all_attempts,
     log_lines,
     ready_harness,
     serve_requests,
-    serve_slowly,
+    time_out_requests,
 )
 
 
 def test_sidecar_with_little_traffic_sends_less_while_all_upstreams_are_slow_and_recovers() -> None:
     harness = ready_harness(40, instances=400)
-    serve_slowly(harness, 30)
+    time_out_requests(harness, 30)
     assert 3 <= len(harness.sends()) <= 12
     serve_requests(harness, 300)
-    before = len(harness.sends())
+    count_before = len(harness.sends())
     serve_requests(harness, 20)
-    assert len(harness.sends()) - before == 20
+    assert len(harness.sends()) - count_before == 20
 
 
 def test_one_slow_answer_among_fast_ones_sheds_no_load() -> None:
     harness = ready_harness(40, instances=400)
     serve_requests(harness, 30, class_index=PAY)
-    serve_slowly(harness, 1)
-    before = len(harness.sends())
+    time_out_requests(harness, 1)
+    count_before = len(harness.sends())
     serve_requests(harness, 10, class_index=PAY)
-    assert len(harness.sends()) - before == 10
+    assert len(harness.sends()) - count_before == 10
 
 
-def test_load_shed_from_the_own_zone_goes_to_another_zone() -> None:
+def test_load_shed_from_the_own_zone_goes_to_other_zones() -> None:
     harness = ready_harness(8, zone=1, cross_zone_fee=0.2, instances=400)
     serve_requests(harness, 30, class_index=PAY)
-    assert {harness.known[send.upstream].zone for send in harness.sends()} == {1}
-    before = len(harness.sends())
+    assert {harness.known_entries[send.upstream].zone for send in harness.sends()} == {1}
+    count_before = len(harness.sends())
     for _ in range(30):
         request = harness.arrive(PAY)
-        home = [send for send in harness.sends(request) if harness.known[send.upstream].zone == 1]
-        harness.advance(300_000 if home else 20_000)
-        if not home and harness.requests[request].in_flight():
+        own_zone_sends = [send for send in harness.sends(request) if harness.known_entries[send.upstream].zone == 1]
+        harness.advance(300_000 if own_zone_sends else 20_000)
+        if not own_zone_sends and harness.requests[request].in_flight():
             harness.end(request, 0, Outcome.OK)
-    crossed = [send for send in harness.sends()[before:] if harness.known[send.upstream].zone != 1]
-    assert len(crossed) >= 10 and len(harness.sends()) - before >= 25
+    other_zone_sends = [
+        send for send in harness.sends()[count_before:] if harness.known_entries[send.upstream].zone != 1
+    ]
+    assert len(other_zone_sends) >= 10 and len(harness.sends()) - count_before >= 25
 
 
 def test_overload_is_logged_when_it_begins_and_ends() -> None:
@@ -65,33 +67,33 @@
     begin_us = harness.now_us
     for fault in (Outcome.REJECTED, Outcome.OK, Outcome.REJECTED, Outcome.OK):
         for _ in range(30):
-            end_all(harness, fault)
+            end_all_attempts(harness, fault)
     assert 1 <= len(log_lines(harness)) <= 1 + (harness.now_us - begin_us) / 1_000_000
 
 
 def test_slow_answers_in_the_first_second_shed_no_more_load_than_later() -> None:
-    def sent_after_slow_answers(busy_us: int) -> int:
+    def sent_after_slow_answers(fast_phase_us: int) -> int:
         harness = ready_harness(9, hedging=False)
-        end_us = harness.now_us + busy_us
+        end_us = harness.now_us + fast_phase_us
         while harness.now_us < end_us:
             requests = [harness.arrive(PAY) for _ in range(3)]
             harness.advance(10_000)
             for request in requests:
                 harness.end(request, 0, Outcome.OK)
         for _ in range(3):
-            slow = [request for request in (harness.arrive(PAY) for _ in range(9)) if harness.sends(request)]
+            slow_requests = [request for request in (harness.arrive(PAY) for _ in range(9)) if harness.sends(request)]
             harness.advance(200_000)
-            for request in slow:
+            for request in slow_requests:
                 harness.end(request, 0, Outcome.OK)
         return sum(1 for _ in range(9) if harness.sends(harness.arrive(PAY)))
 
     assert sent_after_slow_answers(500_000) >= sent_after_slow_answers(10_000_000) - 1
 
 
-def test_sidecar_that_shed_load_in_a_surge_admits_again_once_answers_are_fast() -> None:
+def test_sidecar_that_shed_load_in_a_surge_recovers_once_answers_are_fast() -> None:
     harness = ready_harness(9, hedging=False)
 
-    def play(arrivals: int, answer_us: int) -> int:
+    def send_burst(arrivals: int, answer_us: int) -> int:
         """Let requests arrive at once, answer those that were sent, and return how many these are."""
         sent = [request for request in (harness.arrive(PAY) for _ in range(arrivals)) if harness.sends(request)]
         harness.advance(answer_us)
@@ -100,9 +102,9 @@
         return len(sent)
 
     for _ in range(500):
-        play(3, 10_000)
+        send_burst(3, 10_000)
     for _ in range(10):
-        play(9, 290_000)
+        send_burst(9, 290_000)
     for _ in range(40):  # 2 s at a fifteenth of the rate
-        play(1, 50_000)
-    assert sum(play(1, 50_000) for _ in range(20)) >= 15
+        send_burst(1, 50_000)
+    assert sum(send_burst(1, 50_000) for _ in range(20)) >= 15
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
-def test_upstream_that_fails_at_once_does_not_attract_requests(outcome: Outcome) -> None:
+def test_upstream_that_fails_fast_does_not_attract_requests(outcome: Outcome) -> None:
     harness = ready_harness(5)
     serve_requests(harness, 200, 100, outcome)
     assert sum(1 for send in harness.sends() if send.upstream == 100) < 20
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.ERROR])
-def test_fault_that_affects_all_upstreams_alike_ejects_none(fault: Outcome) -> None:
+def test_fault_that_affects_all_upstreams_equally_ejects_none(fault: Outcome) -> None:
     harness = ready_harness(6)
     for outcome in (Outcome.OK, fault):
         requests = [harness.arrive(PAY) for _ in range(6)]  # one at each upstream
@@ -54,22 +54,22 @@
 
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.ERROR])
-def test_failures_of_some_attempts_at_all_upstreams_eject_hardly_any(fault: Outcome) -> None:
-    harness, chance = ready_harness(9, hedging=False), random.Random(5)
+def test_occasional_faults_at_all_upstreams_cause_few_ejections(fault: Outcome) -> None:
+    harness, rng = ready_harness(9, hedging=False), random.Random(5)
     for _ in range(500):
         requests = [harness.arrive(PAY) for _ in range(6)]
         harness.advance(60_000)
         for request in requests:
-            harness.end(request, 0, fault if chance.random() < 0.1 else Outcome.OK)
+            harness.end(request, 0, fault if rng.random() < 0.1 else Outcome.OK)
     assert sum(1 for action in harness.actions if isinstance(action, CloseIdle)) < 10  # of 300 faults
 
 
-def test_upstream_that_always_fails_is_ejected_even_where_all_others_fail_in_part() -> None:
-    harness, chance = ready_harness(9, hedging=False), random.Random(5)
+def test_upstream_that_always_fails_is_ejected_even_if_all_others_fail_sometimes() -> None:
+    harness, rng = ready_harness(9, hedging=False), random.Random(5)
     for _ in range(3000):
         request = harness.arrive(PAY)
         harness.advance(20_000)
-        fails = harness.sends(request)[0].upstream == 100 or chance.random() < 0.2
+        fails = harness.sends(request)[0].upstream == 100 or rng.random() < 0.2
         harness.end(request, 0, Outcome.RESET if fails else Outcome.OK)
     assert sum(1 for send in harness.sends()[-1000:] if send.upstream == 100) < 1000 / 9 / 4
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -35,7 +35,7 @@
     assert isinstance(harness.answer(request), Fail) and len(harness.sends(request)) == 1
 
 
-def test_non_idempotent_request_is_awaited_while_its_answer_is_of_use_and_no_longer() -> None:
+def test_non_idempotent_request_is_awaited_only_while_its_answer_has_weight() -> None:
     harness = ready_harness()
     request = harness.arrive(PAY)  # a late answer to it has no weight
     harness.advance(290_000)
@@ -51,7 +51,7 @@
     assert harness.answer(request) is None
 
 
-def test_late_answer_is_hedged_elsewhere_and_the_first_attempt_may_still_answer() -> None:
+def test_slow_request_is_hedged_elsewhere_and_its_first_attempt_may_still_answer() -> None:
     harness = ready_harness()
     request = harness.arrive(READ)
     harness.advance(250_000)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(("class_index", "hedging"), [(PAY, True), (READ, False)])
-def test_no_attempt_is_hedged_where_none_may_be(class_index: int, hedging: bool) -> None:
+def test_no_attempt_is_hedged_if_the_class_or_the_settings_forbid_it(class_index: int, hedging: bool) -> None:
     harness = ready_harness(hedging=hedging)
     request = harness.arrive(class_index)
     harness.advance(250_000)
@@ -78,12 +78,12 @@
     assert all(len(tracked.attempts) <= 1 for tracked in harness.requests.values())
 
 
-@pytest.mark.parametrize(("class_index", "again"), [(READ, True), (MARK, True), (PAY, False)])
-def test_error_is_retried_where_the_class_may_run_again(class_index: int, again: bool) -> None:
+@pytest.mark.parametrize(("class_index", "is_retried"), [(READ, True), (MARK, True), (PAY, False)])
+def test_error_is_retried_if_the_class_may_run_again(class_index: int, is_retried: bool) -> None:
     harness = ready_harness()
     request = harness.arrive(class_index)
     harness.end(request, 0, Outcome.ERROR)
-    assert (len(harness.sends(request)) == 2) is again
+    assert (len(harness.sends(request)) == 2) is is_retried
 
 
 def test_retries_are_limited_when_every_attempt_fails() -> None:
@@ -95,15 +95,15 @@
         while harness.requests[request].in_flight():
             harness.end(request, len(harness.requests[request].attempts) - 1, Outcome.ERROR)
             errors += 1
-    first = sum(1 for tracked in harness.requests.values() if tracked.attempts)
-    assert 5 <= errors - first <= 5 + first / 5
+    first_attempts = sum(1 for tracked in harness.requests.values() if tracked.attempts)
+    assert 5 <= errors - first_attempts <= 5 + first_attempts / 5
 
 
-def test_request_known_to_be_heavy_is_not_timed_out_early() -> None:
+def test_expensive_request_has_a_longer_timeout() -> None:
     harness = ready_harness(hedging=False)
     serve_requests(harness, 50)
-    light, heavy = harness.arrive(READ, cost_us=10_000), harness.arrive(READ, cost_us=200_000)
-    assert harness.sends(light)[0].timeout_us < 200_000 < 800_000 <= harness.sends(heavy)[0].timeout_us
+    cheap, expensive = harness.arrive(READ, cost_us=10_000), harness.arrive(READ, cost_us=200_000)
+    assert harness.sends(cheap)[0].timeout_us < 200_000 < 800_000 <= harness.sends(expensive)[0].timeout_us
 
 
 @pytest.mark.parametrize("hedging", [True, False])
@@ -115,6 +115,6 @@
         harness.advance(3_000_000)
     for class_index in (READ, PAY, MARK):
         serve_requests(harness, 20, class_index=class_index)
-        before = len(harness.sends())
+        count_before = len(harness.sends())
         serve_requests(harness, 20, class_index=class_index)
-        assert len(harness.sends()) - before >= 15
+        assert len(harness.sends()) - count_before >= 15
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -61,12 +61,14 @@
     assert later_sketch.retry_number(5 * GENERATION_US, request_hash(1)) == 0
 
 
-def test_first_attempt_counts_as_a_retry_less_often_than_stated_at_any_rejection_rate() -> None:
+def test_first_attempt_counts_as_a_retry_within_the_stated_error_rate() -> None:
     sketch = FailedRequestSketch(0)
     for number in range(10 * GENERATION_SIZE):
         sketch.add(number, request_hash(number))
-    wrong = sum(sketch.retry_number(10 * GENERATION_SIZE, request_hash(10**9 + number)) > 0 for number in range(50_000))
-    assert wrong / 50_000 < 3 * 0.00011
+    false_retries = sum(
+        sketch.retry_number(10 * GENERATION_SIZE, request_hash(10**9 + number)) > 0 for number in range(50_000)
+    )
+    assert false_retries / 50_000 < 3 * 0.00011
     assert sketch.retry_number(10 * GENERATION_SIZE, request_hash(10 * GENERATION_SIZE - 1)) == 1
     assert (
         sum(len(row) for generation in (sketch.current, sketch.previous) if generation for row in generation.rows)
@@ -84,7 +86,7 @@
             counts[number] += 1
 
 
-def test_parts_of_a_fingerprint_are_kept_apart() -> None:
+def test_fingerprint_depends_on_the_boundaries_of_its_parts() -> None:
     assert fingerprint(b"ab", b"c") != fingerprint(b"a", b"bc")
 
 
@@ -142,7 +144,7 @@
     assert [change.active for change in run.changes] == [True, False] and not run.event.active
 
 
-def test_surge_of_first_attempts_is_no_storm_though_rejected_ones_are_retried() -> None:
+def test_surge_of_first_attempts_opens_no_storm_though_rejected_ones_are_retried() -> None:
     run = DetectorRun()
     run.run(30, 100)
     run.run(10, 230, 150, served_rate=150)
@@ -152,26 +154,32 @@
     assert [change.active for change in run.changes] == [True]
 
 
-def test_second_outage_right_after_the_first_is_a_storm_again_and_not_the_usual_rate() -> None:
+def test_second_outage_soon_after_the_first_opens_a_storm_and_keeps_the_baseline() -> None:
     run = DetectorRun()
     run.run(30, 100)
-    usual = run.detector.baseline_rate
+    baseline_rate = run.detector.baseline_rate
     for _ in range(2):
         run.run(5, 100, 250, served_rate=0)
         run.run(8, 100)
     assert [change.active for change in run.changes] == [True, False, True, False]
-    assert run.detector.baseline_rate == pytest.approx(usual, rel=0.05)
+    assert run.detector.baseline_rate == pytest.approx(baseline_rate, rel=0.05)
 
 
 def test_recovering_pool_admits_more_and_shortens_retry_after() -> None:
     run = DetectorRun()
     run.run(30, 100)
     run.run(5, 100, 300, served_rate=0)
-    early = run.run(2, 100, 300, served_rate=40, rejected_rate=60)
-    later_sketch = run.run(2, 100, 300, served_rate=200)
-    assert early.active and later_sketch.active
-    assert later_sketch.admission[1] > early.admission[1] and later_sketch.retry_after_us[0] < early.retry_after_us[0]
-    assert early.retry_after_us == sorted(early.retry_after_us) and max(early.retry_after_us) <= 8_000_000
+    early_event = run.run(2, 100, 300, served_rate=40, rejected_rate=60)
+    late_event = run.run(2, 100, 300, served_rate=200)
+    assert early_event.active and late_event.active
+    assert (
+        late_event.admission[1] > early_event.admission[1]
+        and late_event.retry_after_us[0] < early_event.retry_after_us[0]
+    )
+    assert (
+        early_event.retry_after_us == sorted(early_event.retry_after_us)
+        and max(early_event.retry_after_us) <= 8_000_000
+    )
 
 
 def test_retries_of_a_tenant_over_its_quota_are_limited_separately() -> None:
@@ -184,7 +192,7 @@
     assert event.active and event.tenant_admission[1] < 0.6 and event.tenant_admission[0] == 1.0
 
 
-def test_very_little_traffic_is_never_a_storm() -> None:
+def test_very_little_traffic_opens_no_storm() -> None:
     run = DetectorRun()
     run.run(30, 5)
     run.detector.on_request(1, 0)
@@ -201,7 +209,7 @@
     return harness
 
 
-def test_first_attempts_are_admitted_and_retries_in_part_with_final_answers_at_once() -> None:
+def test_storm_admits_first_attempts_and_a_share_of_the_retries() -> None:
     harness = storm_harness()
     harness.handle(RetryStormUpdated(True, [1.0, 0.25, 0.0], [1_000_000] * 3))
     first_attempts = [harness.arrive(READ) for _ in range(3)]
@@ -217,21 +225,23 @@
     assert harness.sends(harness.arrive(READ, retry_number=7))
 
 
-def test_retry_after_is_spread_over_the_window_also_in_whole_seconds() -> None:
+def test_retry_after_is_spread_over_the_window_even_in_whole_seconds() -> None:
     for in_whole_seconds in (False, True):
         harness = storm_harness()
         harness.handle(
             RetryStormUpdated(True, [1.0, 0.0], [4_000_000, 8_000_000], retry_after_in_seconds=in_whole_seconds)
         )
-        after = []
+        retry_after_us = []
         for _ in range(200):
             answer = harness.answer(harness.arrive(READ, retry_number=1))
             assert isinstance(answer, Reject)
-            after.append(answer.retry_after_us)
-        assert max(after) <= 8_000_000 and max(after) - min(after) > 5_000_000
-        max_in_a_second = max(sum(a <= at < a + 1_000_000 for at in after) for a in range(0, 9_000_000, 1_000_000))
+            retry_after_us.append(answer.retry_after_us)
+        assert max(retry_after_us) <= 8_000_000 and max(retry_after_us) - min(retry_after_us) > 5_000_000
+        max_in_a_second = max(
+            sum(start <= at < start + 1_000_000 for at in retry_after_us) for start in range(0, 9_000_000, 1_000_000)
+        )
         assert max_in_a_second < 60
-        assert not in_whole_seconds or all(at % 1_000_000 == 0 and at > 0 for at in after)
+        assert not in_whole_seconds or all(at % 1_000_000 == 0 and at > 0 for at in retry_after_us)
 
 
 def test_retry_of_a_client_adds_nothing_to_the_retry_budget_in_a_storm() -> None:
@@ -278,7 +288,7 @@
         converter = await asyncio.start_server(convert, "127.0.0.1", 9000)
         stop = asyncio.Event()
         serving = asyncio.create_task(serve(config, stop, asyncio.Event(), components))
-        served = [0, 0]  # at the first attempt, and at a retry
+        served_counts = [0, 0]  # at the first attempt, and at a retry
 
         async def send_with_retries(number: int) -> None:
             """Send one request up to five times, with another id each time."""
@@ -288,7 +298,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 writer.close()
                 if b" 200 " in head:
-                    served[min(retry_number, 1)] += 1
+                    served_counts[min(retry_number, 1)] += 1
                     return
                 await asyncio.sleep(0.3)
 
@@ -298,17 +308,17 @@
                     group.create_task(send_with_retries(number))
                     await asyncio.sleep(0.03)
 
-        coming = asyncio.create_task(traffic())
+        traffic_task = asyncio.create_task(traffic())
         await asyncio.sleep(8.0)
         converter.close()
-        for sock in [each for each in loop.network.sockets if each.local == ("127.0.0.1", 9000)]:
+        for sock in [bound for bound in loop.network.sockets if bound.local == ("127.0.0.1", 9000)]:
             sock.close()
         await asyncio.sleep(4.0)
         await asyncio.start_server(convert, "127.0.0.1", 9000)
-        await coming
+        await traffic_task
         stop.set()
         await serving
-        return served
+        return served_counts
 
     caplog.set_level("WARNING")
     served_first, served_by_retry = simulate(1, main)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -22,14 +22,14 @@
 def test_request_goes_to_a_ready_upstream_at_once() -> None:
     harness = ready_harness()
     request = harness.arrive(READ)
-    assert [send.upstream in harness.known for send in harness.sends(request)] == [True]
+    assert [send.upstream in harness.known_entries for send in harness.sends(request)] == [True]
 
 
 def test_selection_is_spread_over_all_upstreams() -> None:
     harness = ready_harness(6)
     for _ in range(60):
         harness.end(harness.arrive(READ), 0, Outcome.OK)
-    assert {send.upstream for send in harness.sends()} == set(harness.known)
+    assert {send.upstream for send in harness.sends()} == set(harness.known_entries)
 
 
 def test_draining_and_removed_upstreams_get_no_request() -> None:
@@ -40,18 +40,18 @@
     assert not harness.sends(request)
 
 
-def test_idle_upstream_of_the_own_zone_is_selected_first_where_crossing_costs() -> None:
+def test_own_zone_is_preferred_if_cross_zone_traffic_has_a_fee() -> None:
     harness = ready_harness(8, zone=1, cross_zone_fee=0.03)
     first = [harness.arrive(READ) for _ in range(2)]
-    assert {harness.known[harness.sends(request_id)[0].upstream].zone for request_id in first} == {1}
+    assert {harness.known_entries[harness.sends(request_id)[0].upstream].zone for request_id in first} == {1}
     third = harness.arrive(READ)
-    assert harness.known[harness.sends(third)[0].upstream].zone != 1
+    assert harness.known_entries[harness.sends(third)[0].upstream].zone != 1
 
 
-def test_zones_do_not_matter_where_crossing_is_free() -> None:
+def test_zones_do_not_matter_if_cross_zone_traffic_is_free() -> None:
     harness = ready_harness(8, zone=1)
     serve_requests(harness, 100)
-    assert {harness.known[send.upstream].zone for send in harness.sends()} == {0, 1, 2, 3}
+    assert {harness.known_entries[send.upstream].zone for send in harness.sends()} == {0, 1, 2, 3}
 
 
 def test_sidecar_with_little_traffic_uses_few_of_many_upstreams() -> None:
@@ -78,18 +78,18 @@
 
 def test_removed_upstreams_leave_no_state() -> None:
     harness = ready_harness(4)
-    for n in range(50):
-        harness.update_upstreams([Upstream(1000 + n)], ListKind.DELTA)
+    for index in range(50):
+        harness.update_upstreams([Upstream(1000 + index)], ListKind.DELTA)
         serve_requests(harness, 5)
-        harness.update_upstreams([Upstream(1000 + n, UpstreamState.REMOVED)], ListKind.DELTA)
+        harness.update_upstreams([Upstream(1000 + index, UpstreamState.REMOVED)], ListKind.DELTA)
     assert len(harness.balancer.membership.by_id) == 4 and len(harness.balancer.membership.pools[0].subset.members) <= 4
 
 
-def test_class_that_an_upstream_never_answers_is_seldom_sent_there_and_the_others_are() -> None:
-    kinds = request_classes()
-    kinds[PAY] = replace(kinds[PAY], late_weight=0.5)  # so that it is waited for to its deadline
-    harness = ready_harness(classes=kinds)
-    unresponsive = min(harness.known)
+def test_class_that_an_upstream_never_answers_is_rarely_sent_to_it_unlike_others() -> None:
+    classes = request_classes()
+    classes[PAY] = replace(classes[PAY], late_weight=0.5)  # so that it is waited for to its deadline
+    harness = ready_harness(classes=classes)
+    unresponsive = min(harness.known_entries)
 
     def sent_to_unresponsive(class_index: int) -> int:
         request = harness.arrive(class_index)
@@ -103,7 +103,7 @@
     assert sum(sent_to_unresponsive(READ) for _ in range(40)) > 0
 
 
-def test_upstream_that_rejects_one_class_keeps_its_part_of_the_others() -> None:
+def test_upstream_that_rejects_one_class_keeps_its_share_of_the_others() -> None:
     harness = ready_harness(hedging=False)
     for _ in range(400):
         for request in (harness.arrive(PAY), harness.arrive(READ)):
@@ -113,6 +113,6 @@
                 if harness.requests[request].attempts[number].outcome is None:
                     harness.end(request, number, Outcome.REJECTED if is_rejected else Outcome.OK)
         harness.advance(10_000)
-    late = harness.sends()[-400:]
-    there = [harness.requests[send.request].event.class_index for send in late if send.upstream == 100]
-    assert there.count(READ) > 400 / 2 / 4 / 2 and there.count(PAY) < 400 / 2 / 4 / 4
+    recent_sends = harness.sends()[-400:]
+    classes_at_100 = [harness.requests[send.request].event.class_index for send in recent_sends if send.upstream == 100]
+    assert classes_at_100.count(READ) > 400 / 2 / 4 / 2 and classes_at_100.count(PAY) < 400 / 2 / 4 / 4
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -18,42 +18,44 @@
     "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
     " f211902c 01 00 0000 01 0000c03f 20145d0000000000"
 )
-FIRST, SECOND, TICKET, OTHER = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
+FIRST_UPSTREAM, SECOND_UPSTREAM, REQUEST, OTHER_REQUEST = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
 EVENTS: list[tuple[str, protocol.Record]] = [
     (
         LIST_RECORD + "50 0300 02 29000000 00000000",
         api.UpstreamsUpdated(
-            api.ListKind.CACHED, [api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41
+            api.ListKind.CACHED,
+            [api.Upstream(FIRST_UPSTREAM), api.Upstream(SECOND_UPSTREAM, zone=1, weight=1.5, started_us=6100000)],
+            41,
         ),
     ),
     (
         "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
-        api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
+        api.RequestArrived(REQUEST, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
     ),
     ("28 0300", protocol.InstanceStopped()),
     ("32 0300 4d000000", api.TimerFired(77)),
-    ("3c 0300 192b6f0e", api.ClientDisconnected(OTHER)),
+    ("3c 0300 192b6f0e", api.ClientDisconnected(OTHER_REQUEST)),
     (
         "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
-        api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True),
+        api.AttemptEnded(REQUEST, 0, FIRST_UPSTREAM, api.Outcome.OK, 18500, True),
     ),
     ("1e 0300 0200 0400 68692037", api.PeerMessage(2, b"hi 7")),
-    ("14 0300 c4913a5d 00 22240000 074a1203", api.StreamStarted(TICKET, 0, FIRST, 9250)),
-    ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND, api.Outcome.OK, 1400)),
+    ("14 0300 c4913a5d 00 22240000 074a1203", api.StreamStarted(REQUEST, 0, FIRST_UPSTREAM, 9250)),
+    ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND_UPSTREAM, api.Outcome.OK, 1400)),
 ]
 
 ACTIONS: list[tuple[str, protocol.Reply]] = [
-    ("14 0300 c4913a5d 074a1203 80380100", api.Send(TICKET, FIRST, 80000)),
-    ("5a 0300 192b6f0e", api.Fail(OTHER)),
+    ("14 0300 c4913a5d 074a1203 80380100", api.Send(REQUEST, FIRST_UPSTREAM, 80000)),
+    ("5a 0300 192b6f0e", api.Fail(OTHER_REQUEST)),
     ("32 0300 ffffffff 0400 68692037", api.SendToPeer(b"hi 7")),
     ("46 0300 01", api.Subscribe()),
-    ("6e 0300 f211902c", api.CloseIdle(SECOND)),
-    ("28 0300 192b6f0e 90d00300", api.Reject(OTHER, 250000)),
+    ("6e 0300 f211902c", api.CloseIdle(SECOND_UPSTREAM)),
+    ("28 0300 192b6f0e 90d00300", api.Reject(OTHER_REQUEST, 250000)),
     ("1e 0300 7afd870000000000 4d000000", api.SetTimer(8912250, 77)),
-    ("50 0300 f211902c", api.Probe(SECOND)),
+    ("50 0300 f211902c", api.Probe(SECOND_UPSTREAM)),
     ("78 0300 1100 74776f2073657276657273206b6e6f776e", api.Log("two servers known")),
-    ("64 0300 c4913a5d 00", api.Cancel(TICKET, 0)),
+    ("64 0300 c4913a5d 00", api.Cancel(REQUEST, 0)),
     ("3c 0300 1200 696e646578206f7574206f662072616e6765", protocol.InternalError("index out of range")),
     ("0a 0300", api.FetchList()),
 ]
@@ -114,36 +116,39 @@
 
 
 def test_request_passes_through_the_adapter() -> None:
-    start = [instance_started(), bytes.fromhex(LIST_RECORD), bytes.fromhex("50 0300 02 29000000 00000000")]
+    start_records = [instance_started(), bytes.fromhex(LIST_RECORD), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
-    told = serve(batch_frame(start) + batch_frame([arrival]))
-    size, _count = struct.unpack_from("<II", told)
-    code, instance, ticket, upstream = struct.unpack_from("<BHII", told, 8 + size + 8)
-    assert (code, instance, ticket) == (20, 3, TICKET) and upstream in (FIRST, SECOND)
+    replies = serve(batch_frame(start_records) + batch_frame([arrival]))
+    size, _count = struct.unpack_from("<II", replies)
+    code, instance, request, upstream = struct.unpack_from("<BHII", replies, 8 + size + 8)
+    assert (code, instance, request) == (20, 3, REQUEST) and upstream in (FIRST_UPSTREAM, SECOND_UPSTREAM)
 
 
 def test_restart_within_a_batch_forgets_all_state() -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    start = [instance_started(), bytes.fromhex(LIST_RECORD), members]
-    again = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
-    late = bytes.fromhex(EVENTS[5][0])
-    told = serve(
-        batch_frame(start) + batch_frame([bytes.fromhex(EVENTS[1][0])]) + batch_frame(again) + batch_frame([late])
+    start_records = [instance_started(), bytes.fromhex(LIST_RECORD), members]
+    restart = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
+    late_outcome = bytes.fromhex(EVENTS[5][0])
+    replies = serve(
+        batch_frame(start_records)
+        + batch_frame([bytes.fromhex(EVENTS[1][0])])
+        + batch_frame(restart)
+        + batch_frame([late_outcome])
     )
-    assert told.endswith(bytes(8))  # the late outcome means nothing to the new instance
+    assert replies.endswith(bytes(8))  # the late outcome means nothing to the new instance
 
 
-def test_list_number_is_resolved_in_event_order() -> None:
-    short = bytes.fromhex("6e 00000000 00000000")
+def test_list_number_refers_to_the_latest_list_before_the_event() -> None:
+    empty_list = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
-    data = bytes.fromhex(LIST_RECORD) + members + short + members
+    data = bytes.fromhex(LIST_RECORD) + members + empty_list + members
     first, second = protocol.Decoder().read_batch(data, 4)
     assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "message"),
     [
         (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
         (bytes.fromhex(EMPTY_BATCH) + bytes.fromhex(BATCH_OF_THREE)[:30], "batch 1: truncated body"),
@@ -171,10 +176,10 @@
         (batch_frame([instance_started(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
     ],
 )
-def test_malformed_input_is_reported_in_one_line(data: bytes, words: str) -> None:
+def test_malformed_input_is_reported_in_one_line(data: bytes, message: str) -> None:
     with pytest.raises(protocol.ProtocolError) as caught:
         serve(data)
-    assert words in str(caught.value) and "\n" not in str(caught.value)
+    assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
@@ -201,29 +206,34 @@
         raise IndexError("index out of range")
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    told = serve(batch_frame([instance_started()]) + batch_frame([bytes.fromhex("32 0300 4d000000")]))
-    assert b"IndexError: index out of range" in told
+    replies = serve(batch_frame([instance_started()]) + batch_frame([bytes.fromhex("32 0300 4d000000")]))
+    assert b"IndexError: index out of range" in replies
 
 
 def test_instances_act_the_same_in_one_process_and_in_several() -> None:
-    def day(instances: list[int]) -> dict[int, list[bytes]]:
+    def run_instances(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.InstanceHost()
-        seen: dict[int, list[bytes]] = {i: [] for i in instances}
-        start = [bytes.fromhex(LIST_RECORD)]
-        for i in instances:
-            start += [instance_started(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
-        host.handle_batch(1_000_000, len(start), b"".join(start))
-        for n in range(50):
-            for i in instances:
-                record = struct.pack("<BHIBIQIBQ", 70, i, 100 * n + i, n % 3, 0, 0, 0, 0, 1_600_000 + n)
-                seen[i].append(host.handle_batch(1_000_000 + n, 1, record))
-        return seen
-
-    together = day([1, 2, 3])
-    assert together == {**day([1]), **day([2]), **day([3])}
-
-
-def test_class_out_of_range_is_named_and_ends_the_adapter() -> None:
+        replies: dict[int, list[bytes]] = {instance: [] for instance in instances}
+        start_records = [bytes.fromhex(LIST_RECORD)]
+        for instance in instances:
+            start_records += [
+                instance_started(instance=instance, seed=instance),
+                struct.pack("<BHBII", 80, instance, 2, 1, 0),
+            ]
+        host.handle_batch(1_000_000, len(start_records), b"".join(start_records))
+        for step in range(50):
+            for instance in instances:
+                record = struct.pack(
+                    "<BHIBIQIBQ", 70, instance, 100 * step + instance, step % 3, 0, 0, 0, 0, 1_600_000 + step
+                )
+                replies[instance].append(host.handle_batch(1_000_000 + step, 1, record))
+        return replies
+
+    together = run_instances([1, 2, 3])
+    assert together == {**run_instances([1]), **run_instances([2]), **run_instances([3])}
+
+
+def test_class_out_of_range_is_reported_and_ends_the_adapter() -> None:
     arrival = struct.pack("<BHIBIQIBQ", 70, 3, 1, 9, 0, 0, 0, 0, 9_000_000)
     with pytest.raises(protocol.ProtocolError, match="batch 1: instance 3: request class 9 of 3"):
         serve(batch_frame([instance_started()]) + batch_frame([arrival]))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -24,27 +24,27 @@
 ]
 MIN_UTILISATION = 0.8
 
-RESTARTED = 100  # the upstream that starts again under its id
-STARTED_AGO_US = 5_000_000
+RESTARTED_UPSTREAM = 100  # the upstream that starts again under its id
+AGE_AFTER_RESTART_US = 5_000_000
 REQUESTS_BEFORE_RESTART = 400
 REQUESTS_AFTER_RESTART = 40
 
 
-def played(case: Case) -> Fleet:
+def run_case(case: Case) -> Fleet:
     """Return a fleet that has run the case."""
     fleet = Fleet(case)
-    fleet.play()
+    fleet.run()
     return fleet
 
 
 @pytest.mark.parametrize("case", CASES, ids=Case.name)
-def test_fleet_does_not_overload_upstreams_that_warm_up(case: Case) -> None:
-    fleet = played(case)
+def test_fleet_does_not_overload_warming_upstreams(case: Case) -> None:
+    fleet = run_case(case)
     print(f"{case.name()}: worst window {fleet.worst_window():.2f}, used {fleet.utilisation():.2f}")
     assert fleet.worst_window() <= 1.0
 
 
-def test_fleet_whose_sidecars_each_count_the_traffic_of_all_overloads_upstreams(
+def test_fleet_overloads_upstreams_if_each_sidecar_counts_the_traffic_of_all(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Shows that the test above can fail."""
@@ -54,12 +54,12 @@
         add_credit(slow_start, case.sidecars * served, in_shortage, now_us)
 
     monkeypatch.setattr(SlowStart, "add_credit", add_credit_for_all)
-    assert played(case).worst_window() > 1.0
+    assert run_case(case).worst_window() > 1.0
 
 
-def test_upstreams_that_warm_up_are_used_while_the_few_warm_ones_are_overloaded() -> None:
+def test_warming_upstreams_are_used_while_the_few_warm_ones_are_overloaded() -> None:
     """Two of twelve are warm, and admission sheds load."""
-    fleets = [played(Case(20, 10, HEAVY_HINTED, 2.0, seed)) for seed in (1, 2)]
+    fleets = [run_case(Case(20, 10, HEAVY_HINTED, 2.0, seed)) for seed in (1, 2)]
     assert sum(fleet.utilisation() for fleet in fleets) >= len(fleets) * MIN_UTILISATION
     assert all(fleet.worst_window() <= 1.0 for fleet in fleets)
 
@@ -78,14 +78,14 @@
         sent = harness.sends(request)
         harness.advance(5_000)
         for number, send in enumerate(sent[-1:]):
-            failed = send.upstream == RESTARTED
+            failed = send.upstream == RESTARTED_UPSTREAM
             harness.end(request, number, Outcome.CONNECT_FAILED if failed else Outcome.OK)
         harness.advance(5_000)
 
 
 def restart_upstream(harness: BalancerHarness) -> None:
     """List the upstream with a new start."""
-    restarted = Upstream(RESTARTED, started_us=harness.now_us - STARTED_AGO_US)
+    restarted = Upstream(RESTARTED_UPSTREAM, started_us=harness.now_us - AGE_AFTER_RESTART_US)
     harness.update_upstreams([restarted], ListKind.DELTA)
 
 
@@ -96,13 +96,13 @@
         request = harness.arrive(PAY)
         harness.advance(10_000)
         for send in harness.sends(request)[-1:]:
-            assert send.upstream in harness.known
+            assert send.upstream in harness.known_entries
             harness.end(request, len(harness.requests[request].attempts) - 1, Outcome.OK)
         harness.advance(10_000)
-    return sum(1 for send in harness.sends()[count_before:] if send.upstream == RESTARTED)
+    return sum(1 for send in harness.sends()[count_before:] if send.upstream == RESTARTED_UPSTREAM)
 
 
-def test_failures_of_an_upstream_are_forgotten_when_it_has_started_again() -> None:
+def test_failures_of_an_upstream_are_forgotten_after_its_restart() -> None:
     harness = harness_with_upstreams()
     fail_upstream(harness)
     restart_upstream(harness)
@@ -110,26 +110,26 @@
     assert sends_after_restart(harness) >= 3
 
 
-def test_ejection_by_a_plan_outlasts_a_start() -> None:
+def test_ejection_by_a_plan_outlasts_a_restart() -> None:
     harness = harness_with_upstreams()
-    harness.handle(PlanUpdated([Advice(RESTARTED, ejected=True)]))
+    harness.handle(PlanUpdated([Advice(RESTARTED_UPSTREAM, ejected=True)]))
     restart_upstream(harness)
     assert sends_after_restart(harness) == 0
 
 
-def test_upstream_that_has_just_started_gets_little() -> None:
+def test_upstream_that_has_just_started_gets_few_requests() -> None:
     harness = BalancerHarness(settings(instances=24))
     harness.update_upstreams(upstreams(3))
     serve_requests(harness, 20, duration_us=20_000)
     harness.update_upstreams([Upstream(1, started_us=harness.now_us - 1_000), *upstreams(3)])
     serve_requests(harness, 150, duration_us=20_000)
-    to_started = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert 0 < to_started <= 15  # 9 are certainly its part, and it is fast; an equal part would be 37
+    to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
+    assert 0 < to_started_upstream <= 15  # 9 are certainly its part, and it is fast; an equal part would be 37
 
 
 def test_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
     harness = BalancerHarness(settings(instances=400))
     harness.update_upstreams([Upstream(1, started_us=harness.now_us - 12_000_000), *upstreams(3)])  # two thirds warm
     serve_requests(harness, 1000, duration_us=5_000)
-    to_started = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert 0 < to_started < 190  # an equal part would be 250
+    to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
+    assert 0 < to_started_upstream < 190  # an equal part would be 250
