--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,7 +1,12 @@
-"""Takes the sidecar's place around a Balancer: executes its actions and checks each against the contract.
+"""Harness that stands in for the sidecar: executes the actions of a Balancer and checks each against the contract.
 
 A test decides what happens and when; the harness simulates neither upstreams nor clients. It checks the rules of the
 contract from its own records and not from the balancer's state.
+
+The numbers in the failure messages stand for these rules:
+1. Each request has exactly one final answer, which comes in time.
+2. A request is only repeated, or rejected after an attempt, if its class permits that.
+3. A draining or removed upstream gets no request.
 """
 
 from __future__ import annotations
@@ -39,11 +44,11 @@
 
 NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 START_US = 1_000_000_000
-MAX_OVERDUE_TICKS = 4  # an answer may be so much later than its request's due time
+MAX_OVERDUE_TICKS = 4  # after its due time, by which a request must have its answer
 
 
 def request_classes() -> list[RequestClass]:
-    """Return a class of each kind: idempotent, non-idempotent, and with an idempotency key."""
+    """Return three request classes: idempotent, non-idempotent, and with an idempotency key."""
     return [
         RequestClass(
             "read",
@@ -72,7 +77,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """Return the settings of one sidecar, with some changed."""
+    """Return the settings of one sidecar, with `changes` applied to the defaults of the tests."""
     values: dict[str, object] = {
         "classes": request_classes(),
         "instances": 3,
@@ -98,7 +103,7 @@
 
 @dataclass
 class TrackedAttempt:
-    """An attempt that the balancer has sent; times are in microseconds of the harness's clock."""
+    """An attempt that the balancer has sent; times are in microseconds on the clock of the harness."""
 
     upstream: int
     zone: int
@@ -128,17 +133,17 @@
 
 
 class Deadline(NamedTuple):
-    """Something that falls due as the clock moves. At the same instant time-outs come before timers."""
+    """A timer or an attempt timeout that is due at a time. At the same time, timeouts come before timers."""
 
     at_us: int
     is_timer: bool
     request_or_token: int
-    """The timer's token, or the request's id."""
+    """The id of the request that times out, or the token of the timer."""
     attempt: int = 0
 
 
 class BalancerHarness:
-    """A Balancer with its clock, its timers and the records to check it against."""
+    """A Balancer with a clock, timers, and the records by which its actions are checked."""
 
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
@@ -154,7 +159,7 @@
     # Events
 
     def handle(self, event: Event) -> list[Action]:
-        """Send an event to the balancer, and check and record its actions."""
+        """Pass an event to the balancer, and check and record its actions."""
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
@@ -162,7 +167,7 @@
         return actions
 
     def update_upstreams(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
-        """Send an endpoint list."""
+        """Pass an endpoint list to the balancer."""
         for entry in entries:
             self.known_entries[entry.id] = entry
             if entry.state is UpstreamState.READY:
@@ -175,7 +180,7 @@
         return self.handle(UpstreamsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, due_in_us: int | None = None, **fields: Any) -> int:
-        """Send a new request, which is due after `due_in_us` or its class's deadline; return its id."""
+        """Let a new request arrive, due after `due_in_us` or the deadline of its class; return its id."""
         request = self.next_request
         self.next_request += 1
         remaining_us = due_in_us or self.settings.classes[class_index].deadline_us
@@ -185,7 +190,7 @@
         return request
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        """End an attempt now, with further fields of the event."""
+        """End an attempt now; `fields` are further fields of the event."""
         tracked = self.requests[request]
         attempt_record = tracked.attempts[attempt]
         assert attempt_record.outcome is None
@@ -206,18 +211,18 @@
         )
 
     def begin_stream(self, request: int, attempt: int) -> None:
-        """Start the response's stream: from now on the request has no time-out."""
+        """Start the stream of a response; the request has no timeout from now on."""
         self.requests[request].streaming = True
         self.handle(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
     def disconnect_client(self, request: int) -> None:
-        """Let the client of an open request disconnect."""
+        """Disconnect the client of an open request."""
         self.requests[request].closed = True
         self.requests[request].answers = 1
         self.handle(ClientDisconnected(request))
 
     def advance(self, duration_us: int) -> None:
-        """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
+        """Advance the clock, and fire the timers and attempt timeouts that become due."""
         end_us = self.now_us + duration_us
         while due_deadlines := [deadline for deadline in self._deadlines() if deadline.at_us <= end_us]:
             next_deadline = min(due_deadlines)
@@ -245,22 +250,22 @@
         slack_us = MAX_OVERDUE_TICKS * self.settings.tick_us
         for request, tracked in self.requests.items():
             overdue = self.now_us > tracked.event.due_us + slack_us and not tracked.streaming
-            assert not overdue or tracked.answers == 1, f"rule 1: request {request} is unanswered past due"
+            assert not overdue or tracked.answers == 1, f"rule 1: request {request} has no answer after its due time"
 
     def check(self, action: Action) -> None:
-        """Check an action against the contract, and record what it starts."""
+        """Check an action against the contract, and record the attempt or timer that it starts."""
         if isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, Reject | Fail):
             self.check_answer(action)
         elif isinstance(action, Cancel):
-            assert self.settings.cancel, "a cancel where none is allowed"
-            assert action.attempt < len(self.requests[action.request].attempts), "a cancel of no attempt"
+            assert self.settings.cancel, "a Cancel though the settings do not allow it"
+            assert action.attempt < len(self.requests[action.request].attempts), "a Cancel of an unknown attempt"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append(Deadline(action.at_us, True, action.token))
         elif isinstance(action, Probe):
-            assert self.settings.probes, "a probe where none is allowed"
+            assert self.settings.probes, "a Probe though the settings do not allow it"
         else:
             assert not isinstance(action, Subscribe | FetchList) or self.settings.polls_endpoints
 
@@ -268,10 +273,10 @@
         """Check an attempt against the rules, and record it."""
         tracked = self.requests[send.request]
         entry = self.known_entries[send.upstream]
-        assert not tracked.closed, "rule 1: a send after the end"
+        assert not tracked.closed, "rule 1: an attempt after the final answer"
         assert len(tracked.attempts) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or removed upstream"
-        assert self.settings.hedging or not tracked.in_flight(), "rule 2: two attempts in flight together"
+        assert send.upstream not in self.unavailable_since_us, "rule 3: an attempt at a draining or removed upstream"
+        assert self.settings.hedging or not tracked.in_flight(), "rule 2: two attempts in flight at the same time"
         for earlier in tracked.may_have_run():
             self._check_repeat(tracked, earlier, entry)
         ends_us = tracked.event.due_us
@@ -285,18 +290,18 @@
         if request_class.idempotency != Idempotency.IDEMPOTENCY_KEY:
             return
         assert self.now_us - earlier.sent_us <= request_class.idempotency_window_us, (
-            "rule 2: past the idempotency window"
+            "rule 2: a repeat after the idempotency window"
         )
         if request_class.idempotency_scope == IdempotencyScope.FAILURE_DOMAIN:
-            assert entry.failure_domain == earlier.failure_domain, "rule 2: outside the failure domain"
+            assert entry.failure_domain == earlier.failure_domain, "rule 2: a repeat outside the failure domain"
         if request_class.idempotency_scope == IdempotencyScope.ZONE:
-            assert entry.zone == earlier.zone, "rule 2: outside the zone"
+            assert entry.zone == earlier.zone, "rule 2: a repeat outside the zone"
 
     def check_answer(self, answer: Reject | Fail) -> None:
         """Check a final answer, and close its request."""
         tracked = self.requests[answer.request]
         request_class = self.settings.classes[tracked.event.class_index]
-        assert not tracked.closed, "rule 1: a second answer"
+        assert not tracked.closed, "rule 1: a second final answer"
         tracked.closed = True
         tracked.answers += 1
         if isinstance(answer, Reject):
@@ -305,16 +310,16 @@
                 request_class.idempotency == Idempotency.IDEMPOTENCY_KEY
                 and request_class.idempotency_scope == IdempotencyScope.ALL
             )
-            assert is_safe_to_repeat or not tracked.may_have_run(), "rule 2: a rejection of what may have run"
+            assert is_safe_to_repeat or not tracked.may_have_run(), "rule 2: a rejection of a request that may have run"
 
     # Results
 
     def sends(self, request: int | None = None) -> list[Send]:
-        """Return the attempts so far, of one request or of all."""
+        """Return the Send actions so far, of one request or of all."""
         return [action for action in self.actions if isinstance(action, Send) and request in (None, action.request)]
 
     def answer(self, request: int) -> Action | None:
-        """Return the rejection or failure of a request, if there is one."""
+        """Return the Reject or Fail action of a request, or None."""
         for action in self.actions:
             if isinstance(action, Reject | Fail) and action.request == request:
                 return action
--- a/tests/balancer_scenarios.py
+++ b/tests/balancer_scenarios.py
@@ -1,4 +1,4 @@
-"""What tests of the balancer do with its harness: load that fills slots, fails, or is served."""
+"""Load scenarios for tests of the balancer: requests that fill slots, fail, or are served."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 )
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
-READ, PAY, MARK = 0, 1, 2  # indices of the request classes
+READ, PAY, MARK = 0, 1, 2  # indexes of the request classes
 MAX_SLOTS = 1000
 
 
 def ready_harness(count: int = 4, **changes: object) -> BalancerHarness:
-    """Return a balancer that knows `count` ready upstreams; 100 is the first of them."""
+    """Return the harness of a balancer with `count` ready upstreams; their ids start at 100."""
     harness = BalancerHarness(settings(**changes))
     harness.update_upstreams(upstreams(count))
     return harness
 
 
 def fill_slots(harness: BalancerHarness) -> list[int]:
-    """Send requests until no slot is free, and return them; the last one waits in the buffer."""
+    """Send requests until no slot is free, and return their ids; the last request waits in the buffer."""
     requests = []
     for _ in range(MAX_SLOTS):
         requests.append(harness.arrive(READ))
         if not harness.sends(requests[-1]):
             return requests
-    raise AssertionError("the slots never ran out")
+    raise AssertionError("slots are still free after MAX_SLOTS requests")
 
 
 def serve_requests(
@@ -37,7 +37,10 @@
     class_index: int = READ,
     duration_us: int = 10_000,
 ) -> None:
-    """Send a request in each step; at its end all attempts end, with `fault` at the upstream `failing_upstream`."""
+    """Send a request in each step, and end all attempts after `duration_us`.
+
+    Attempts at `failing_upstream` end with `fault`, all others with OK.
+    """
     for _ in range(steps):
         harness.arrive(class_index)
         harness.advance(duration_us)
@@ -48,7 +51,7 @@
 
 
 def end_all_attempts(harness: BalancerHarness, outcome: Outcome) -> None:
-    """Send a few requests, and end all attempts with one outcome."""
+    """Send 20 requests, and end all attempts with `outcome`."""
     for _ in range(20):
         harness.arrive(PAY)
     harness.advance(10_000)
@@ -58,7 +61,7 @@
 
 
 def open_slot_count(harness: BalancerHarness) -> int:
-    """Return how many attempts can be in flight now; they end again."""
+    """Return how many attempts can be in flight now; ends the attempts that it sends."""
     sent = [request for request in fill_slots(harness) if harness.sends(request)]
     for request in sent:
         harness.end(request, 0, Outcome.OK)
@@ -66,7 +69,7 @@
 
 
 def busy_harness() -> BalancerHarness:
-    """Return a balancer with one upstream whose slots have opened under need."""
+    """Return the harness of a balancer whose only upstream has opened more slots in a shortage."""
     harness = ready_harness(1)
     for _ in range(80):
         fill_slots(harness)
@@ -76,7 +79,7 @@
 
 
 def time_out_requests(harness: BalancerHarness, seconds: int) -> None:
-    """Send a request a second, and let each time out after its latency objective."""
+    """Send one request a second, and let each time out after its latency objective."""
     for _ in range(seconds):
         harness.arrive(PAY)
         harness.advance(1_000_000)
@@ -88,5 +91,5 @@
 
 
 def rejected_count(harness: BalancerHarness, count: int) -> int:
-    """Send requests, and return how many of them were not sent on."""
+    """Send `count` requests, and return how many of them the balancer did not send."""
     return sum(1 for _ in range(count) if not harness.sends(harness.arrive(PAY)))
--- a/tests/polling_fleet.py
+++ b/tests/polling_fleet.py
@@ -1,6 +1,6 @@
-"""Model of a fleet whose sidecars poll one discovery, in virtual time: real decision modules, no sockets.
+"""Model of a fleet whose sidecars poll the same discovery, in virtual time: real decision modules without sockets.
 
-Discovery serves a fixed number of polls a second, in turn; a poll that waits for too long fails.
+Discovery serves polls one at a time, at a fixed rate, in the order of arrival. A poll that waits for too long fails.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from ryepier.sidecar.discovery import SILENCE_TIMEOUT_S
 from tests.balancer_harness import START_US, settings
 
-MAX_POLL_WAIT_US = 2_000_000  # of a poll at discovery; then it fails
-REFUSAL_DELAY_US = 1_000  # until a refused poll has failed
-RESET_DELAY_US = 100_000  # until a poll that is reset has failed
+MAX_POLL_WAIT_US = 2_000_000  # at discovery, after which a poll fails
+REFUSAL_DELAY_US = 1_000  # from a poll that is refused to its failure
+RESET_DELAY_US = 100_000  # from a poll that is reset to its failure
 SILENCE_US = int(1e6 * SILENCE_TIMEOUT_S)
 
 
 class DiscoveryMode(enum.Enum):
-    """What discovery does with polls."""
+    """How discovery responds to polls."""
 
     UP = enum.auto()
     REFUSED = enum.auto()
@@ -34,14 +34,14 @@
 
 
 class Phase(NamedTuple):
-    """Discovery's mode from a time on, which lasts until the next phase."""
+    """The mode of discovery from a time on, until the next phase begins."""
 
     since_s: float
     mode: DiscoveryMode
 
 
 class EventKind(enum.Enum):
-    """What happens to a sidecar."""
+    """Kind of an event at a sidecar."""
 
     TIMER = enum.auto()
     WATCH_BROKEN = enum.auto()
@@ -50,18 +50,18 @@
 
 
 class FleetEvent(NamedTuple):
-    """An event that is due; events of one instant keep their order."""
+    """A scheduled event; events for the same time are handled in the order in which they were scheduled."""
 
     at_us: int
     order: int
     kind: EventKind
     sidecar: int
     value: int
-    """The number of the poll, the time of the timer, or for how long a watch that breaks was silent (us)."""
+    """The number of the poll, the time of the timer (us), or how long the broken watch was silent (us)."""
 
 
 class WaitingPoll(NamedTuple):
-    """A poll that waits at discovery."""
+    """A poll that waits to be served by discovery."""
 
     sidecar: int
     number: int
@@ -69,21 +69,21 @@
 
 @dataclass
 class Sidecar:
-    """A decision module with its timers and its poll."""
+    """A decision module with its requested timers and its current poll."""
 
     balancer: Balancer
     poll: int = 0
     """The number of the poll that is in flight; 0 = none."""
     updated_s: float = -1.0
-    """When it last got the list; below 0 = it has to get it again."""
+    """When it last received the list; negative = it needs the list."""
     armed_us: set[int] = field(default_factory=set)
 
 
 class PollingFleet:
-    """The sidecars, discovery, and the queue of their events."""
+    """The sidecars, discovery, and the queue of their scheduled events."""
 
     def __init__(self, sidecars: int, polls_per_s: float, phases: Sequence[Phase]) -> None:
-        """Prepare a run; the last of the phases has to be UP, unless no sidecar is to get the list."""
+        """Create the sidecars; the last phase must be UP if the sidecars are to receive the list."""
         config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
         self.now_us = START_US
         self.service_time_us = int(1e6 / polls_per_s)
@@ -97,19 +97,19 @@
         self.sidecars = [Sidecar(Balancer(config, seed, START_US)) for seed in range(sidecars)]
 
     def start_all(self) -> None:
-        """Start all sidecars without a list."""
+        """Start all sidecars at the same time, without a list."""
         for sidecar in range(len(self.sidecars)):
             self._handle(sidecar, TimerFired(0))
 
     def break_watches(self, at_s: float, after_silence: bool) -> None:
-        """Give each sidecar a watch, and break all watches at one moment, or let them fall silent then."""
+        """Give each sidecar a watch, and break all of them at `at_s`, or let them become silent then."""
         silent_us = SILENCE_US if after_silence else 0
         for sidecar in range(len(self.sidecars)):
             self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, version=1))
             self._schedule(START_US + int(1e6 * at_s) + silent_us, EventKind.WATCH_BROKEN, sidecar, silent_us)
 
     def run_until(self, until_s: float) -> None:
-        """Run all events up to a time."""
+        """Handle all events up to a time."""
         while self.events and self.events[0].at_us <= START_US + 1e6 * until_s:
             event = heapq.heappop(self.events)
             self.now_us = event.at_us
@@ -117,7 +117,7 @@
             self._serve_next()
 
     def update_delays_s(self, reachable_s: float) -> list[float]:
-        """Return for each sidecar how long after discovery could be reached it got the list; 0 or less = never."""
+        """Return for each sidecar how long after `reachable_s` it received the list; 0 or less = it did not."""
         return [sidecar.updated_s - reachable_s for sidecar in self.sidecars]
 
     def _now_s(self) -> float:
--- a/tests/simulator_options.py
+++ b/tests/simulator_options.py
@@ -1,4 +1,4 @@
-"""Start-up settings of one instance in the simulator's protocol: a `key=value` on each line."""
+"""Settings of one instance in the protocol of the simulator, as lines of `path=value`."""
 
 OPTIONS = """\
 accounts.count=2
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -1,8 +1,9 @@
-"""Model of a fleet: balancers without sockets, in front of converters of which some warm up, in virtual time.
+"""Model of a fleet in virtual time: balancers without sockets, in front of converters of which some are warming up.
 
-A converter serves in turn on `CORES` cores, which run at its warmth, and rejects what would wait for too long. The
-settings allow it a number of requests in a window, which follows from its capacity at the window's start;
-`Fleet.worst_window` is the part of that number, with the margin for chance, that it was sent at most.
+A converter serves requests in the order of arrival on `CORES` cores, at a speed that grows while it warms up, and
+rejects requests that would wait for too long. The settings limit the work that a converter may get in a window, by its
+capacity at the start of the window. `Fleet.worst_window` is the highest ratio of the work that it was sent in a window
+to this limit, which includes a margin for random variation.
 """
 
 from __future__ import annotations
@@ -33,15 +34,15 @@
 
 CONVERTERS = 12
 CORES = 2
-MEAN_COST_US = 100_000  # work of the mean request; a warm converter serves 20 a second
+MEAN_COST_US = 100_000  # mean work of a request; a warm converter serves 20 requests a second
 MAX_QUEUE_US = 600_000  # a request that would wait longer is rejected
 BEFORE_STARTS_US = 8_000_000
 AFTER_STARTS_US = 8_000_000
-CAPACITY = CORES * 1_000_000 / MEAN_COST_US  # requests a second of a warm converter
-MAX_COST = 10.0  # in mean requests
+CAPACITY = CORES * 1_000_000 / MEAN_COST_US  # requests per second of a warm converter
+MAX_COST = 10.0  # highest cost of a request, in multiples of the mean
 REQUEST_TIMEOUT_US = 1_500_000
-REJECTION_US = 1_000  # until a rejection arrives
-RELATIVE_RATES = [0.02, 0.5, 1.0, 1.0, 4.0]  # of the mean rate: sidecars differ
+REJECTION_US = 1_000  # from an attempt to its rejection
+RELATIVE_RATES = [0.02, 0.5, 1.0, 1.0, 4.0]  # of the sidecars, to one another
 
 EQUAL_HINTED = "equal, hinted"
 HEAVY_HINTED = "heavy, hinted"
@@ -50,14 +51,14 @@
 
 @dataclass(frozen=True)
 class Case:
-    """What differs between runs."""
+    """Parameters of one run."""
 
     sidecars: int
     cold: int  # converters that start together
     costs: str = EQUAL_HINTED
-    load: float = 0.7  # rate of new requests, in parts of what all converters serve when warm
+    load: float = 0.7  # rate of new requests, relative to the capacity of all converters when warm
     seed: int = 1
-    traffic_moves: bool = False  # to other sidecars, at the moment of the starts
+    traffic_moves: bool = False  # to other sidecars, when the cold converters start
 
     def name(self) -> str:
         """Return the id of the test case."""
@@ -66,11 +67,11 @@
 
 
 class Attempt(NamedTuple):
-    """An attempt that a converter got while it was cold."""
+    """An attempt at a converter after its start."""
 
     at_us: int
     cost: float
-    """In mean requests."""
+    """In multiples of the mean cost."""
 
 
 @dataclass
@@ -78,12 +79,12 @@
     """A converter; it has always been warm if `started_us` is 0."""
 
     started_us: int = 0
-    free_us: list[int] = field(default_factory=lambda: [0] * CORES)  # heap of the cores' next free instants
+    free_us: list[int] = field(default_factory=lambda: [0] * CORES)  # heap of the times at which the cores become free
     attempts: list[Attempt] = field(default_factory=list)
 
 
 class ScheduledEvent(NamedTuple):
-    """An event for one balancer; events of one instant keep their order."""
+    """An event for one balancer; events for the same time are handled in the order in which they were scheduled."""
 
     at_us: int
     number: int
@@ -92,10 +93,10 @@
 
 
 class Fleet:
-    """Balancers and converters, with the queue of their events."""
+    """Balancers and converters, with the queue of their scheduled events."""
 
     def __init__(self, case: Case) -> None:
-        """Prepare a run of the case."""
+        """Create the balancers and converters of a case; all converters are warm."""
         self.case = case
         self.random = random.Random(case.seed)
         self.settings: Settings = settings(
@@ -120,13 +121,13 @@
 
     @property
     def cold_converters(self) -> list[Converter]:
-        """Return those that start in the middle of the run."""
+        """Return the converters that start in the middle of the run."""
         return self.converters[: self.case.cold]
 
     # Running
 
     def run(self) -> None:
-        """Run the whole case: some time before the starts, and some after them."""
+        """Run the whole case, before and after the start of the cold converters."""
         self._send_list()
         for sidecar in range(len(self.balancers)):
             self._schedule_request(sidecar)
@@ -144,7 +145,7 @@
         self.now_us = until_us
 
     def _start_cold_converters(self) -> None:
-        if self.case.traffic_moves:  # from the busiest sidecar to the one with the least traffic, and so on
+        if self.case.traffic_moves:  # swaps the rates of the busiest and the least busy sidecar, and so on
             sidecars_by_rate = sorted(range(len(self.rates)), key=self.rates.__getitem__)
             new_rates = {
                 sidecar: self.rates[other]
@@ -170,8 +171,8 @@
         at_us = self.now_us + max(1, int(self.random.expovariate(self.rates[sidecar]) * 1_000_000))
         cost_us = MEAN_COST_US
         if self.case.costs != EQUAL_HINTED:
-            # Mean 1 and deviation 2, but for the cut: one request that is heavier than the margin for chance overloads
-            # a cold converter by itself, and without a hint no sidecar can know.
+            # Mean 1 and deviation 2 before the limit to MAX_COST. Without it, one request above the margin for random
+            # variation would overload a cold converter by itself, and without a hint no sidecar could avoid that.
             cost_us = int(MEAN_COST_US * min(self.random.lognormvariate(-0.8, 1.265), MAX_COST))
         self.last_number += 1
         self.costs_us[self.last_number] = cost_us
@@ -203,7 +204,7 @@
         self._schedule(end_us, sidecar, ended)
 
     def speed(self, converter: Converter, at_us: int) -> float:
-        """Return the part of its warm speed at which a converter runs."""
+        """Return the speed of a converter, relative to a warm one."""
         if converter.started_us == 0 or at_us >= converter.started_us + self.settings.warm_up_us:
             return 1.0
         initial = self.settings.initial_capacity_share
@@ -212,7 +213,7 @@
     # Results
 
     def worst_window(self) -> float:
-        """Return the most that a cold converter was sent in a window, in parts of what the settings allow it."""
+        """Return the highest ratio of the work sent to a cold converter in a window to the allowed work."""
         return max(self._worst_window_of(converter) for converter in self.cold_converters)
 
     def _worst_window_of(self, converter: Converter) -> float:
@@ -224,7 +225,7 @@
             window_start_us = attempt.at_us - self.settings.overload_window_us
             while window[0].at_us <= window_start_us:
                 work -= window.popleft().cost
-            # The capacity at the window's start counts: what the converter gains later is not in it.
+            # The allowed work follows from the capacity at the start of the window, not from its later growth.
             allowed_work = self._allowed_work(converter, max(converter.started_us, window_start_us))
             worst_ratio = max(worst_ratio, work / (allowed_work + 2 * allowed_work**0.5 + 2))
         return worst_ratio
@@ -234,7 +235,7 @@
         return self.settings.overload_factor * self.speed(converter, start_us) * CAPACITY * window_s
 
     def utilisation(self) -> float:
-        """Return the work that the cold converters were sent, in parts of what they could do."""
+        """Return the work that was sent to the cold converters, relative to their capacity."""
         work_sent = sum(attempt.cost for converter in self.cold_converters for attempt in converter.attempts)
         midpoint_us = self.converters[0].started_us + AFTER_STARTS_US // 2
         max_work = CAPACITY * AFTER_STARTS_US / 1_000_000 * self.speed(self.converters[0], midpoint_us)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: load is measured by the mean of the answers' times, and shed only where that is high."""
+"""Admission: load is shed only if the mean answer time is high, not because of single slow answers."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from ryepier.balancer.interface import Outcome, RequestClass
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
-WORK_US = 100_000  # mean of the exponentially distributed work of a request: a third of what counts as slow
+WORK_US = 100_000  # mean of the exponentially distributed work of a request: a third of the slow latency
 LATENCY_OBJECTIVE_US = 600_000
 REQUESTS = 400
 SEEDS = range(1, 9)
 
 
 def lightly_loaded_harness(seed: int) -> BalancerHarness:
-    """Return a sidecar with little traffic in front of upstreams that are never busy."""
+    """Return the harness of a sidecar with little traffic and 12 upstreams."""
     read = RequestClass("read", latency_objective_us=LATENCY_OBJECTIVE_US, deadline_us=1_500_000, late_weight=0.3)
     harness = BalancerHarness(settings(classes=[read], hedging=False, warm_up_us=0), seed)
     harness.update_upstreams(upstreams(12))
@@ -22,7 +22,7 @@
 
 
 def serve_attempts(harness: BalancerHarness, request: int, work_us: int) -> None:
-    """Answer each of a request's attempts when its work is done, if it is not given up before."""
+    """Answer each attempt of a request after `work_us`, unless it has timed out before."""
     attempt = 0
     while attempt < len(harness.sends(request)):
         harness.advance(work_us)
@@ -32,12 +32,12 @@
 
 
 def unsent_share(harness: BalancerHarness, requests: list[int]) -> float:
-    """Return the part of the requests that was never sent."""
+    """Return the share of the requests that were never sent."""
     return sum(not harness.sends(request) for request in requests) / len(requests)
 
 
 def rejected_share(seed: int, mean_us: int) -> float:
-    """Send requests one after another, each served at once, and return the part that was never sent."""
+    """Send requests one after another, serve each immediately, and return the share that was never sent."""
     harness, rng = lightly_loaded_harness(seed), random.Random(seed)
     requests = []
     for _ in range(REQUESTS):
@@ -48,7 +48,7 @@
 
 
 def test_some_slow_answers_shed_no_load_while_the_mean_is_below_the_target() -> None:
-    """Two in three answers take 0.3 of what counts as slow, the third 1.1: 0.57 in the mean, the target is 0.7."""
+    """Two of three answers take 0.3 of the slow latency and the third 1.1: 0.57 on average, below the target of 0.7."""
     harness = lightly_loaded_harness(1)
     requests = []
     for number in range(REQUESTS):
--- a/tests/test_balancer_misuse.py
+++ b/tests/test_balancer_misuse.py
@@ -1,4 +1,4 @@
-"""Unexpected but legal events change nothing; invalid settings are reported with what was expected."""
+"""Unexpected events are ignored, and errors for invalid settings name the expected value."""
 
 from __future__ import annotations
 
--- a/tests/test_buffer.py
+++ b/tests/test_buffer.py
@@ -1,4 +1,4 @@
-"""The buffer, in which one request waits for a slot, and the rejection of what cannot wait."""
+"""The buffer, in which one request waits for a slot, and the rejection of requests that cannot wait."""
 
 from __future__ import annotations
 
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The concurrency limit of an upstream: when its slots open and close."""
+"""The concurrency limit of an upstream: when it grows (slots open) and shrinks (slots close)."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 def test_one_expensive_request_among_fast_answers_closes_no_slot() -> None:
     harness = busy_harness()
     slots_before = open_slot_count(harness)
-    serve_requests(harness, 1, duration_us=170_000)  # over half of the latency objective
+    serve_requests(harness, 1, duration_us=170_000)  # more than half the latency objective
     assert open_slot_count(harness) >= slots_before - 1
 
 
@@ -116,7 +116,7 @@
         harness = BalancerHarness(settings())
         harness.update_upstreams(upstreams(4), kind)
         count = 0
-        for _ in range(10):  # each time more than the slots that are open
+        for _ in range(10):  # more requests each time than there are open slots
             requests = [harness.arrive(PAY) for _ in range(16)]
             sent = [request for request in requests if harness.sends(request)]
             count += len(requests) - len(sent)
@@ -130,7 +130,7 @@
 
 def test_upstream_without_answers_frees_at_most_one_slot() -> None:
     harness = ready_harness(1, hedging=False)
-    for _ in range(40):  # requests that meet open slots
+    for _ in range(40):  # two requests at a time, so that slots open
         pair = [harness.arrive(READ), harness.arrive(READ)]
         harness.advance(10_000)
         for request in pair:
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the decision module: polls and their failures, changes, complete lists, restarts."""
+"""Endpoint list in the decision module: polls and their failures, deltas, complete lists, restarts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def poll_positions(harness: BalancerHarness) -> list[int]:
-    """Return the positions of the polls among the actions so far."""
+    """Return the indexes of the polls among the actions so far."""
     return [i for i, action in enumerate(harness.actions) if isinstance(action, Subscribe)]
 
 
@@ -104,7 +104,7 @@
         request = harness.arrive(0)
         harness.advance(5_000)
         harness.end(request, 0, Outcome.OK)
-    assert sum(1 for send in harness.sends() if send.upstream == 100) <= 8  # an equal part would be 20
+    assert sum(1 for send in harness.sends() if send.upstream == 100) <= 8  # an equal share would be 20
 
 
 def test_empty_list_and_empty_delta_are_accepted() -> None:
@@ -143,9 +143,9 @@
 
     assert started_s() == now_s
     now_s += 5
-    assert started_s() == now_s - 5  # later lists do not defer it
-    entry["boot_ms"] = (10**9 + now_s - 1) * 1000  # it has started again under its name
+    assert started_s() == now_s - 5  # later lists do not change its start time
+    entry["boot_ms"] = (10**9 + now_s - 1) * 1000  # it has restarted under the same id
     assert started_s() == now_s
     now_s += 3
     started_s("left")
-    assert started_s() == now_s  # another incarnation under the same name
+    assert started_s() == now_s  # listed again after its removal, it is another start
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: what a sidecar does not send while its upstreams are slow, and what it logs of an overload."""
+"""Load shedding: a sidecar sends less while its upstreams are slow, and logs the start and the end of an overload."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
     harness = ready_harness(9, hedging=False)
 
     def send_burst(arrivals: int, answer_us: int) -> int:
-        """Let requests arrive at once, answer those that were sent, and return how many these are."""
+        """Let requests arrive at the same time, answer those that were sent, and return their number."""
         sent = [request for request in (harness.arrive(PAY) for _ in range(arrivals)) if harness.sends(request)]
         harness.advance(answer_us)
         for request in sent:
@@ -105,6 +105,6 @@
         send_burst(3, 10_000)
     for _ in range(10):
         send_burst(9, 290_000)
-    for _ in range(40):  # 2 s at a fifteenth of the rate
+    for _ in range(40):  # 2 s at a fifteenth of the previous rate
         send_burst(1, 50_000)
     assert sum(send_burst(1, 50_000) for _ in range(20)) >= 15
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which failing upstreams are ejected, and how they are restored."""
+"""Outlier detection: which failing upstreams are ejected, and how they are restored after recovery."""
 
 from __future__ import annotations
 
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under arbitrary legal event sequences; tests/balancer_harness.py checks every action."""
+"""Rules of the contract under arbitrary valid sequences of events; tests/balancer_harness.py checks each action."""
 
 from __future__ import annotations
 
@@ -128,7 +128,7 @@
 
 
 def run_heavy_load(config: dict[str, object], seed: int) -> list[object]:
-    """Heavy use with every kind of fault, so that slots run out and requests wait and are reissued."""
+    """Run heavy load with all kinds of faults, so that requests wait and are retried; return all actions."""
     rng = random.Random(seed)
     harness = BalancerHarness(settings(classes=many_classes(), **config), seed)
     harness.update_upstreams(upstreams(6), ListKind.CACHED)
@@ -165,11 +165,12 @@
 
 
 def max_overload_share(arrivals_per_tick: list[int], outcome: Outcome, cost_us: int = 0) -> float:
-    """The most work that sidecars together send one cold upstream in any `overload_window_us`, over its budget there.
+    """Return the highest ratio of the work that all sidecars send to a cold upstream in an `overload_window_us` to its
+    limit in that window.
 
-    The upstream is new among nine of one core, which serve in turn and turn away what would wait over 300 ms;
-    requests take 40 ms of a warm one. Each sidecar gets `arrivals_per_tick` requests a tick of 4 ms: up to
-    26 times what the nine can do."""
+    Nine warm upstreams and the cold one have one core each. They serve requests in the order of arrival, and reject
+    those that would end after more than 300 ms. A request takes 40 ms on a warm upstream. Each sidecar gets its entry
+    of `arrivals_per_tick` in each tick of 4 ms, in total up to 26 times the capacity of the nine."""
     config = settings(instances=len(arrivals_per_tick), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(config, n, START_US) for n in range(len(arrivals_per_tick))]
     listed = [Upstream(1, started_us=START_US), *[Upstream(n) for n in range(2, 11)]]
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -1,4 +1,4 @@
-"""Retry storms without sockets: which requests are retries, when there is a storm, and what is then admitted."""
+"""Retry storms without sockets: recognition of retries, detection of storms, and admission in a storm."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class StormChange(NamedTuple):
-    """The detector reported that a storm opened or closed."""
+    """A report of the detector that a storm has opened or closed."""
 
     at_s: float
     active: bool
@@ -44,7 +44,7 @@
 def test_only_a_request_that_was_rejected_counts_as_retried() -> None:
     sketch = FailedRequestSketch(0)
     assert sketch.retry_number(0, request_hash(1)) == 0
-    assert sketch.retry_number(0, request_hash(1)) == 0  # the same request again, and served: no retry
+    assert sketch.retry_number(0, request_hash(1)) == 0  # repeated after it was served: no retry
     sketch.add(0, request_hash(1))
     sketch.add(1, request_hash(1))
     assert (sketch.retry_number(2, request_hash(1)), sketch.retry_number(2, request_hash(2))) == (2, 0)
@@ -91,7 +91,7 @@
 
 
 class DetectorRun:
-    """Feeds a detector with arrivals and ends at given rates (a second)."""
+    """Feeds a detector with arrivals and ends of requests, at given rates per second."""
 
     def __init__(self, shares: list[float] | None = None, in_whole_seconds: bool = False) -> None:
         self.detector = RetryStormDetector(0, shares or [1.0], 8_000_000, in_whole_seconds)
@@ -108,7 +108,7 @@
         tenant: int = 0,
         rejected_rate: float = 0.0,
     ) -> RetryStormUpdated:
-        """Run for some seconds, and return the last event; all arrivals are served unless `served_rate` is given."""
+        """Run for some seconds and return the last event. All arrivals are served unless `served_rate` is given."""
         served_rate = first_rate + retry_rate if served_rate is None else served_rate
         for _ in range(int(seconds * 1e6 / TICK_US)):
             self._feed(first_rate, lambda: self.detector.on_request(0, tenant))
@@ -203,7 +203,7 @@
 
 
 def storm_harness(**changes: object) -> BalancerHarness:
-    """Return a balancer with three upstreams that may send a long Retry-After."""
+    """Return the harness of a balancer with three upstreams and a maximum Retry-After of 8 s."""
     harness = BalancerHarness(settings(max_retry_after_us=8_000_000, **changes))
     harness.update_upstreams(upstreams(3))
     return harness
@@ -288,10 +288,10 @@
         converter = await asyncio.start_server(convert, "127.0.0.1", 9000)
         stop = asyncio.Event()
         serving = asyncio.create_task(serve(config, stop, asyncio.Event(), components))
-        served_counts = [0, 0]  # at the first attempt, and at a retry
+        served_counts = [0, 0]  # by a first attempt, and by a retry
 
         async def send_with_retries(number: int) -> None:
-            """Send one request up to five times, with another id each time."""
+            """Send one request up to five times, each time with a new id."""
             for retry_number in range(5):
                 reader, writer = await asyncio.open_connection(*config.listen)
                 writer.write(request("pay", f"r{number}-{retry_number}", b"file %d" % number, deadline_ms=1000))
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the upstream for a request: spread, zones, the subset, slow upstreams."""
+"""Selection of upstreams: spread of the load, zones, subsets, and slow upstreams."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 def test_class_that_an_upstream_never_answers_is_rarely_sent_to_it_unlike_others() -> None:
     classes = request_classes()
-    classes[PAY] = replace(classes[PAY], late_weight=0.5)  # so that it is waited for to its deadline
+    classes[PAY] = replace(classes[PAY], late_weight=0.5)  # so that the answer is awaited until the deadline
     harness = ready_harness(classes=classes)
     unresponsive = min(harness.known_entries)
 
@@ -108,7 +108,7 @@
     for _ in range(400):
         for request in (harness.arrive(PAY), harness.arrive(READ)):
             harness.advance(10_000)
-            for number, send in enumerate(harness.sends(request)):  # a reissue follows what was turned away
+            for number, send in enumerate(harness.sends(request)):  # rejections are retried
                 is_rejected = send.upstream == 100 and harness.requests[request].event.class_index == PAY
                 if harness.requests[request].attempts[number].outcome is None:
                     harness.end(request, number, Outcome.REJECTED if is_rejected else Outcome.OK)
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -1,4 +1,4 @@
-"""The documented bytes of the simulator protocol, and what is malformed."""
+"""Simulator protocol: the documented bytes of each record, and the errors for malformed input."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
         + batch_frame(restart)
         + batch_frame([late_outcome])
     )
-    assert replies.endswith(bytes(8))  # the late outcome means nothing to the new instance
+    assert replies.endswith(bytes(8))  # an empty reply: the new instance ignores the late outcome
 
 
 def test_list_number_refers_to_the_latest_list_before_the_event() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what one sidecar sends to upstreams that warm up, and what a fleet of sidecars sends in all."""
+"""Slow start: the requests that one sidecar, and a whole fleet of sidecars, sends to warming upstreams."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 ]
 MIN_UTILISATION = 0.8
 
-RESTARTED_UPSTREAM = 100  # the upstream that starts again under its id
+RESTARTED_UPSTREAM = 100  # the id of the upstream that restarts
 AGE_AFTER_RESTART_US = 5_000_000
 REQUESTS_BEFORE_RESTART = 400
 REQUESTS_AFTER_RESTART = 40
 
 
 def run_case(case: Case) -> Fleet:
-    """Return a fleet that has run the case."""
+    """Run a case, and return its fleet."""
     fleet = Fleet(case)
     fleet.run()
     return fleet
@@ -47,7 +47,7 @@
 def test_fleet_overloads_upstreams_if_each_sidecar_counts_the_traffic_of_all(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Shows that the test above can fail."""
+    """Checks that the test above detects an overload."""
     case, add_credit = Case(30, 4, EQUAL_HINTED, 2.0), SlowStart.add_credit
 
     def add_credit_for_all(slow_start: SlowStart, served: float, in_shortage: bool, now_us: int) -> None:
@@ -58,21 +58,21 @@
 
 
 def test_warming_upstreams_are_used_while_the_few_warm_ones_are_overloaded() -> None:
-    """Two of twelve are warm, and admission sheds load."""
+    """Two of twelve converters are warm, so that admission sheds load."""
     fleets = [run_case(Case(20, 10, HEAVY_HINTED, 2.0, seed)) for seed in (1, 2)]
     assert sum(fleet.utilisation() for fleet in fleets) >= len(fleets) * MIN_UTILISATION
     assert all(fleet.worst_window() <= 1.0 for fleet in fleets)
 
 
 def harness_with_upstreams() -> BalancerHarness:
-    """Return a balancer that knows four warm upstreams."""
+    """Return the harness of a balancer with four warm upstreams."""
     harness = BalancerHarness(settings(hedging=False))
     harness.update_upstreams(upstreams(4))
     return harness
 
 
 def fail_upstream(harness: BalancerHarness) -> None:
-    """Send requests for some seconds in which one upstream cannot be reached."""
+    """Send requests for some seconds while one upstream cannot be reached."""
     for _ in range(REQUESTS_BEFORE_RESTART):
         request = harness.arrive(PAY)
         sent = harness.sends(request)
@@ -84,13 +84,13 @@
 
 
 def restart_upstream(harness: BalancerHarness) -> None:
-    """List the upstream with a new start."""
+    """List the upstream with a new start time."""
     restarted = Upstream(RESTARTED_UPSTREAM, started_us=harness.now_us - AGE_AFTER_RESTART_US)
     harness.update_upstreams([restarted], ListKind.DELTA)
 
 
 def sends_after_restart(harness: BalancerHarness) -> int:
-    """Send requests that are all served, and return how many went to the upstream that has started again."""
+    """Send requests that are all served, and return how many went to the restarted upstream."""
     count_before = len(harness.sends())
     for _ in range(REQUESTS_AFTER_RESTART):
         request = harness.arrive(PAY)
@@ -106,7 +106,7 @@
     harness = harness_with_upstreams()
     fail_upstream(harness)
     restart_upstream(harness)
-    # its warmth is 0.4 beside three warm ones: about an eighth of 40
+    # it has 0.4 of its capacity, beside three warm upstreams: about an eighth of 40
     assert sends_after_restart(harness) >= 3
 
 
@@ -124,12 +124,14 @@
     harness.update_upstreams([Upstream(1, started_us=harness.now_us - 1_000), *upstreams(3)])
     serve_requests(harness, 150, duration_us=20_000)
     to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert 0 < to_started_upstream <= 15  # 9 are certainly its part, and it is fast; an equal part would be 37
+    assert 0 < to_started_upstream <= 15  # its guaranteed share is 9, and it answers fast; an equal share would be 37
 
 
 def test_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
     harness = BalancerHarness(settings(instances=400))
-    harness.update_upstreams([Upstream(1, started_us=harness.now_us - 12_000_000), *upstreams(3)])  # two thirds warm
+    harness.update_upstreams(
+        [Upstream(1, started_us=harness.now_us - 12_000_000), *upstreams(3)]
+    )  # after two thirds of its warm-up
     serve_requests(harness, 1000, duration_us=5_000)
     to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert 0 < to_started_upstream < 190  # an equal part would be 250
+    assert 0 < to_started_upstream < 190  # an equal share would be 250
