--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -42,7 +42,7 @@
         windows = self.current_schedule().windows
         return next((window for window in windows if window.start_ms <= self.ledger.now_ms), None)
 
-    def observation(self, observer: str, as_of: int, probes: Iterable[WarmthProbe]) -> RecordObservation | None:
+    def observation_command(self, observer: str, as_of: int, probes: Iterable[WarmthProbe]) -> RecordObservation | None:
         """Return the command for the probes that differ from the ledger or may close a lease; None without any."""
         observations = tuple(probe.observation for probe in probes if self._is_reportable(probe))
         if not observations:
@@ -60,7 +60,7 @@
             lease = self._lease_on(probe.observation.converter)
             if lease is None or lease.state is not LeaseState.RETURNING or not probe.observation.ready:
                 continue
-            if probe.incarnation_began_ms < lease.granted_ms:
+            if probe.warm_up_started_region_ms < lease.granted_ms:
                 found.append(probe.observation.converter)
         return found
 
@@ -69,7 +69,7 @@
         observation = probe.observation
         lease = self._lease_on(observation.converter)
         if lease is not None and observation.ready:
-            if lease.state is not LeaseState.REVOKED and probe.incarnation_began_ms < lease.granted_ms:
+            if lease.state is not LeaseState.REVOKED and probe.warm_up_started_region_ms < lease.granted_ms:
                 return False
             if lease.state in AWAITING_RECOVERY and observation.warmth == FULL_WARMTH:
                 return True
