--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -46,13 +46,13 @@
         While queues persist, each slow answer reduces the share; one slow answer among fast ones does not.
         """
         self.load += (load - self.load) / tuning.LOAD_WINDOW
-        is_quick = load < tuning.TARGET_LOAD
-        if not is_quick and not self.is_overloaded():
+        is_fast = load < tuning.TARGET_LOAD
+        if not is_fast and not self.is_overloaded():
             return
         # The gain of an answer is inverse to the rate. At a start or in a burst the long-term rate alone is
         # too low, and each slow answer would cut admission too much.
         rates = (self.send_rate, self.burst_rate)
-        sends_per_s = min(rates) if is_quick else max(rates)
+        sends_per_s = min(rates) if is_fast else max(rates)
         gain = tuning.ADMISSION_GAIN / max(1.0, sends_per_s)
         factor = max(tuning.MIN_ADMISSION_FACTOR, 1.0 + gain * (tuning.TARGET_LOAD - load))
         self.admitted_share = min(1.0, max(self.admitted_share * factor, tuning.MIN_ADMISSION_RATE))
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -83,8 +83,8 @@
     def refresh_warming(self, pool: UpstreamPool, now_us: int) -> list[TrackedUpstream]:
         """Update a pool's warming upstreams, and let those that have become warm join its subset at random.
         Returns the upstreams that have left the subset."""
-        warmed = pool.slow_start.refresh(self.in_pool(pool), now_us)
-        return self._sample_new_members(pool, warmed)
+        newly_warm = pool.slow_start.refresh(self.in_pool(pool), now_us)
+        return self._sample_new_members(pool, newly_warm)
 
     def apply_plan(self, event: PlanUpdated) -> None:
         """Replace the plan's advice on the listed upstreams; a plan cannot add an upstream."""
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -126,13 +126,13 @@
 
     def on_answer(self, attempt: Attempt, earlier: Iterable[Attempt]) -> None:
         """Record that an attempt was answered before the `earlier` ones at the same upstream."""
-        index = attempt.class_index
-        health = attempt.upstream.by_class[index]
+        class_index = attempt.class_index
+        health = attempt.upstream.by_class[class_index]
         health.unanswered_share -= health.unanswered_share / tuning.UNANSWERED_WINDOW
         health.timeout_streak = health.ejected_until_us = 0
         for other in earlier:
             other.overtake_count += 1
-            other.overtaken_in_class |= other.class_index == index
+            other.overtaken_in_class |= other.class_index == class_index
             if not other.presumed_lost:
                 self.presume_lost(other)
 
@@ -146,8 +146,8 @@
         upstream = attempt.upstream
         health = upstream.by_class[attempt.class_index]
         if attempt.outcome in ANSWERED:
-            is_quick = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_latency_us[attempt.class_index]
-            headroom = upstream.queue_headroom + (1 if is_quick else -1)
+            is_fast = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_latency_us[attempt.class_index]
+            headroom = upstream.queue_headroom + (1 if is_fast else -1)
             upstream.queue_headroom = min(max(headroom, 0), tuning.MAX_QUEUE_HEADROOM)
             health.rejection_share -= health.rejection_share / tuning.FAULT_WINDOW
         if attempt.outcome is not Outcome.REJECTED:
@@ -166,9 +166,9 @@
                 ends_us.append(end_us)
         return ends_us
 
-    def class_ejections_apply(self, listed: Iterable[TrackedUpstream], index: int, now_us: int) -> bool:
+    def class_ejections_apply(self, listed: Iterable[TrackedUpstream], class_index: int, now_us: int) -> bool:
         """Return whether ejections for a class apply: not if most upstreams would be ejected."""
         if now_us >= self.last_ejection_ends_us:
             return True
-        ejected = [now_us < upstream.by_class[index].ejected_until_us for upstream in listed]
+        ejected = [now_us < upstream.by_class[class_index].ejected_until_us for upstream in listed]
         return sum(ejected) <= tuning.MAX_EJECTED_SHARE * len(ejected)
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -99,8 +99,10 @@
         At most half the latency objective is reserved for the answer. Otherwise nothing would be retried
         after an outage that has raised the mean latency.
         """
-        index = request.event.class_index
-        answer_us = min(self.estimates.mean_latency_us[index], self.estimates.slow_latency_us[index])
+        class_index = request.event.class_index
+        answer_us = min(
+            self.estimates.mean_latency_us[class_index], self.estimates.slow_latency_us[class_index]
+        )
         return self.useful_until_us(request) - int(answer_us)
 
     def timeout_us(self, request: PendingRequest, now_us: int) -> int:
@@ -122,9 +124,9 @@
         """Return the time (us) after which to hedge an attempt; None if the request must not be hedged."""
         if not self.settings.hedging or request.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return None
-        index = request.event.class_index
-        delay_us = int(tuning.HEDGE_DELAY_FACTOR * self.estimates.mean_latency_us[index])
-        return min(delay_us, self.estimates.slow_latency_us[index])
+        class_index = request.event.class_index
+        delay_us = int(tuning.HEDGE_DELAY_FACTOR * self.estimates.mean_latency_us[class_index])
+        return min(delay_us, self.estimates.slow_latency_us[class_index])
 
     def retry_after_us(self, request: PendingRequest, storm: RetryStormUpdated) -> int:
         """Return how long (us) a rejected client should wait before it retries; in a retry storm, a random
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -59,11 +59,11 @@
 
     def refresh(self, listed: list[TrackedUpstream], now_us: int) -> list[TrackedUpstream]:
         """Update the warming upstreams from the pool's listed ones. Returns those that have become warm."""
-        warmed = [upstream for upstream in self.warming if not self.is_warming(upstream.entry, now_us)]
+        newly_warm = [upstream for upstream in self.warming if not self.is_warming(upstream.entry, now_us)]
         self.warming = [upstream for upstream in listed if self.is_warming(upstream.entry, now_us)]
         warm = [upstream for upstream in listed if not self.is_warming(upstream.entry, now_us)]
         self.warm_size = sum(self.size(upstream.entry) for upstream in warm)
-        return warmed
+        return newly_warm
 
     def is_outdated(self, now_us: int) -> bool:
         """Return whether an upstream has become warm since the last refresh."""
@@ -84,8 +84,8 @@
             missing_throughput = self.long_term_throughput / observed_share - self.recent_throughput
             credit += since_us / tuning.SECOND_US * max(0.0, missing_throughput)
         for upstream, share in zip(self.warming, shares, strict=True):
-            earned = min(upstream.slow_start_credit + credit * share, tuning.MAX_SLOW_START_CREDIT)
-            upstream.slow_start_credit = max(upstream.slow_start_credit, earned)
+            new_credit = min(upstream.slow_start_credit + credit * share, tuning.MAX_SLOW_START_CREDIT)
+            upstream.slow_start_credit = max(upstream.slow_start_credit, new_credit)
         self._observe_throughput(throughput, since_us)
 
     def _observe_throughput(self, throughput: float, since_us: int) -> None:
--- a/tests/polling_fleet.py
+++ b/tests/polling_fleet.py
@@ -129,22 +129,22 @@
     def _schedule(self, at_us: int, kind: EventKind, sidecar: int, value: int) -> None:
         heapq.heappush(self.events, FleetEvent(at_us, next(self.sequence), kind, sidecar, value))
 
-    def _handle(self, number: int, event: TimerFired | UpstreamsUpdated) -> None:
-        sidecar = self.sidecars[number]
+    def _handle(self, sidecar_index: int, event: TimerFired | UpstreamsUpdated) -> None:
+        sidecar = self.sidecars[sidecar_index]
         for action in sidecar.balancer.handle(self.now_us, event):
             if isinstance(action, SetTimer) and action.at_us not in sidecar.armed_us:
                 sidecar.armed_us.add(action.at_us)
-                self._schedule(action.at_us, EventKind.TIMER, number, action.at_us)
+                self._schedule(action.at_us, EventKind.TIMER, sidecar_index, action.at_us)
             elif isinstance(action, Subscribe):
-                self._poll(number)
+                self._poll(sidecar_index)
 
-    def _poll(self, number: int) -> None:
-        poll = self.sidecars[number].poll = next(self.sequence)
+    def _poll(self, sidecar_index: int) -> None:
+        poll = self.sidecars[sidecar_index].poll = next(self.sequence)
         self.polls[int(self._now_s())] += 1
         mode = self._mode()
         if mode is DiscoveryMode.UP:
-            self.waiting_polls.append(WaitingPoll(number, poll))
-            self._schedule(self.now_us + MAX_POLL_WAIT_US, EventKind.POLL_FAILED, number, poll)
+            self.waiting_polls.append(WaitingPoll(sidecar_index, poll))
+            self._schedule(self.now_us + MAX_POLL_WAIT_US, EventKind.POLL_FAILED, sidecar_index, poll)
             self._serve_next()
             return
         failure_us = {
@@ -152,7 +152,7 @@
             DiscoveryMode.REFUSED: REFUSAL_DELAY_US,
             DiscoveryMode.RESET: RESET_DELAY_US,
         }
-        self._schedule(self.now_us + failure_us[mode], EventKind.POLL_FAILED, number, poll)
+        self._schedule(self.now_us + failure_us[mode], EventKind.POLL_FAILED, sidecar_index, poll)
 
     def _serve_next(self) -> None:
         while self.waiting_polls and not self.is_serving:
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -238,10 +238,11 @@
             retry_after_us.append(answer.retry_after_us)
         assert max(retry_after_us) <= 8_000_000 and max(retry_after_us) - min(retry_after_us) > 5_000_000
         max_in_a_second = max(
-            sum(start <= at < start + 1_000_000 for at in retry_after_us) for start in range(0, 9_000_000, 1_000_000)
+            sum(start <= wait_us < start + 1_000_000 for wait_us in retry_after_us)
+            for start in range(0, 9_000_000, 1_000_000)
         )
         assert max_in_a_second < 60
-        assert not in_whole_seconds or all(at % 1_000_000 == 0 and at > 0 for at in retry_after_us)
+        assert not in_whole_seconds or all(wait_us % 1_000_000 == 0 and wait_us > 0 for wait_us in retry_after_us)
 
 
 def test_retry_of_a_client_adds_nothing_to_the_retry_budget_in_a_storm() -> None:
