--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -1,7 +1,8 @@
-"""The decisions of one sidecar. Settings, events and actions: ryepier/balancer/interface.py.
+"""Decision module of one sidecar; ryepier/balancer/interface.py has its settings, events and actions.
 
-A request takes a free slot of a random upstream, waits in the one buffer if none is free, is rejected if
-that is taken, and is retried through a slot (docs/design.md). Each concern has a module beside this one.
+A request takes a free slot of a randomly selected upstream. If no slot is free, it waits in the buffer,
+which holds one request; if the buffer is taken, it is rejected. A retry also needs a free slot
+(docs/design.md). Each concern has its own module in this package.
 """
 
 from random import Random
@@ -22,10 +23,10 @@
 
 
 class Balancer:
-    """The decisions of one sidecar: the same settings, seed and events give the same actions."""
+    """Makes the decisions of one sidecar. The same settings, seed and events give the same actions."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Start without upstreams at `now_us` (microseconds on the clock of the later events)."""
+        """Start without upstreams; `now_us` is the current time (microseconds) on the clock of the events."""
         self.settings = settings
         self.random = Random(seed)
         self.now_us = now_us
@@ -39,15 +40,18 @@
         self.outliers = OutlierDetector(settings, self.estimates, self.membership, self.random)
         self.feedback = AttemptFeedback(self.estimates, self.outliers, self.membership)
         self.selector = Selector(self.membership, self.retries, self.outliers, self.estimates, self.random)
-        self.polling = EndpointPoller(settings, self.random)
+        self.endpoint_poller = EndpointPoller(settings, self.random)
         self.last_shortage_us = 0  # when a request last found no free slot; 0 = never
-        self.shortage_us = 2 * max(one.latency_objective_us for one in settings.classes)  # how long it lasts
+        # A shortage is assumed to last this long after the last request that found no free slot.
+        self.shortage_duration_us = 2 * max(
+            request_class.latency_objective_us for request_class in settings.classes
+        )
         self.next_log_us = now_us
         self.wake_ups = WakeUpQueue()
         self.schedule_poll(now_us)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Take in one event and return the actions to carry out, in order; `now_us` must not go back."""
+        """Process one event and return the actions to carry out, in order. `now_us` must not decrease."""
         self.now_us = now_us
         match event:
             case api.AttemptEnded():
@@ -57,17 +61,17 @@
             case api.TimerFired():
                 self.on_timer()
             case api.ClientDisconnected() if event.request in self.requests:
-                self.close(self.requests[event.request])
+                self.close_request(self.requests[event.request])
             case api.StreamStarted() if event.request in self.requests:
                 self.requests[event.request].streaming = True
             case api.UpstreamsUpdated():
-                self.on_list(event)
+                self.on_upstreams_updated(event)
             case api.PlanUpdated():
-                self.on_plan(event)
+                self.on_plan_updated(event)
             case api.RetryStormUpdated():
                 self.admission.storm = event
-        self.fill_from_buffer()
-        self.arm()
+        self.send_buffered_request()
+        self.arm_timer()
         actions, self.actions = self.actions, []
         return actions
 
@@ -82,7 +86,7 @@
         if self.admission.admits(event):
             self.place(request)
         else:
-            # Warming upstreams get traffic by the demand, also by what is rejected.
+            # Rejected requests count too: warming upstreams get traffic in proportion to the demand.
             self.count_demand()
             self.reject_or_fail(request)
         self.log_overload(self.admission.observe_placement(sent=bool(request.attempts)))
@@ -99,24 +103,24 @@
         attempt.outcome = event.outcome
         self.observe_attempt(attempt, event.elapsed_us)
         if event.final or request.done:
-            self.close(request)
+            self.close_request(request)
         elif request.in_flight() == 0:
             if self.retries.may_retry(request, event.outcome, self.now_us):
                 self.place(request)
             else:
                 self.reject_or_fail(request)
 
-    def on_list(self, event: api.UpstreamsUpdated) -> None:
+    def on_upstreams_updated(self, event: api.UpstreamsUpdated) -> None:
         """Apply a new or changed upstream list, or schedule the next poll after a failed one."""
         if event.kind is api.ListKind.FAILED:
-            self.schedule_poll(self.polling.on_failure(self.now_us, event.silent_us))
+            self.schedule_poll(self.endpoint_poller.on_failure(self.now_us, event.silent_us))
             return
         if event.kind is not api.ListKind.CACHED:
-            self.polling.on_list()
+            self.endpoint_poller.on_list_received()
         self.close_idle(self.membership.update(event, self.now_us))
 
-    def on_plan(self, event: api.PlanUpdated) -> None:
-        """Replace the plan's advice and limits."""
+    def on_plan_updated(self, event: api.PlanUpdated) -> None:
+        """Replace the advice and the limits of the previous plan."""
         self.membership.apply_plan(event)
         self.admission.tenant_weight = event.tenant_weight
         self.admission.class_admission = event.class_admission
@@ -124,11 +128,11 @@
     def on_timer(self) -> None:
         """Carry out all wake-ups that are due."""
         self.wake_ups.on_timer(self.now_us)
-        while (due := self.wake_ups.pop_due(self.now_us)) is not None:
-            self.on_wake_up(due)
+        while (wake_up := self.wake_ups.pop_due(self.now_us)) is not None:
+            self.on_wake_up(wake_up)
 
     def place(self, request: PendingRequest) -> None:
-        """Send a request through a free slot, else keep it in the buffer, else give its final answer."""
+        """Send a request if a slot is free, else put it into the buffer, else give its final answer."""
         latest_us = self.retries.latest_start_us(request)
         if self.now_us >= latest_us:
             self.reject_or_fail(request)
@@ -139,27 +143,27 @@
             self.send(request, upstream)
             return
         self.last_shortage_us = self.now_us
-        if self.outranks_buffer(request) and self.retries.may_send(request, self.now_us):
+        if self.may_take_buffer(request) and self.retries.may_send(request, self.now_us):
             self.put_into_buffer(request, latest_us)
         else:
             self.reject_or_fail(request)
 
-    def outranks_buffer(self, request: PendingRequest) -> bool:
-        """Return whether a request may take the buffer; without priorities, many cheap requests would keep
-        the others out of it."""
+    def may_take_buffer(self, request: PendingRequest) -> bool:
+        """Return whether the buffer is empty or holds a request of lower priority. Without priorities, many
+        requests of little weight would keep the others out of the buffer."""
         if self.buffer is None:
             return True
         return self.admission.priority(request) > self.admission.priority(self.buffer)
 
     def put_into_buffer(self, request: PendingRequest, latest_us: int) -> None:
-        """Keep a request in the buffer, not beyond `latest_us`; the one that it replaces gets its answer."""
+        """Buffer a request until `latest_us` at most. A request that it replaces gets its final answer."""
         if self.buffer is not None:
             self.reject_or_fail(self.buffer)
         self.buffer = request
         until_us = min(self.now_us + self.estimates.slow_latency_us[request.event.class_index], latest_us)
-        self.wake_at(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
+        self.schedule_wake_up(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
 
-    def fill_from_buffer(self) -> None:
+    def send_buffered_request(self) -> None:
         """Send the buffered request if a slot is free for it."""
         request = self.buffer
         if request is None:
@@ -170,8 +174,8 @@
             self.send(request, upstream)
 
     def send(self, request: PendingRequest, upstream: TrackedUpstream) -> None:
-        """Start an attempt at an upstream: take a slot, use the credits that apply and schedule what
-        follows."""
+        """Start an attempt at an upstream: take a slot, charge the credits and the retry budget, and schedule
+        the wake-ups of the attempt."""
         event = request.event
         pool = self.membership.pool_of(upstream)
         if pool.slow_start.is_warming(upstream.entry, self.now_us):
@@ -182,18 +186,20 @@
         pool.subset.members[upstream] = None
         self.retries.charge_budget(request, self.admission.storm.active)
         latest_write_us = self.retries.latest_write_us(request)
-        follows_timeout = any(one.outcome is api.Outcome.TIMEOUT for one in request.attempts)
+        follows_timeout = any(earlier.outcome is api.Outcome.TIMEOUT for earlier in request.attempts)
         attempt = Attempt(upstream, upstream.entry, event.class_index, self.now_us, follows_timeout)
         upstream.in_flight += 1
         upstream.outstanding.append(attempt)
         request.attempts.append(attempt)
         overdue_us = self.now_us + request.request_class.latency_objective_us
-        self.wake_at(overdue_us, WakeUpKind.ATTEMPT_OVERDUE, event.request, len(request.attempts) - 1)
+        self.schedule_wake_up(
+            overdue_us, WakeUpKind.ATTEMPT_OVERDUE, event.request, len(request.attempts) - 1
+        )
         timeout_us = self.retries.timeout_us(request, self.now_us)
         self.actions.append(api.Send(event.request, upstream.entry.id, timeout_us, latest_write_us))
         hedge_delay_us = self.retries.hedge_delay_us(request)
         if hedge_delay_us is not None:
-            self.wake_at(self.now_us + hedge_delay_us, WakeUpKind.HEDGE, event.request)
+            self.schedule_wake_up(self.now_us + hedge_delay_us, WakeUpKind.HEDGE, event.request)
 
     def send_hedge(self, request: PendingRequest) -> None:
         """Hedge a slow request at another upstream, unless the buffered request needs the slot."""
@@ -203,21 +209,21 @@
                 self.send(request, upstream)
 
     def reject_or_fail(self, request: PendingRequest) -> None:
-        """Give a request its one final answer: rejected where repeating is safe, failed otherwise."""
+        """Give a request its final answer: rejected if repeating it is safe, failed otherwise."""
         may_reject = self.retries.may_reject(request)
-        self.close(request)
+        self.close_request(request)
         storm = self.admission.storm
         retry_after_us = 0
         if self.settings.retry_after:
             if storm.active and storm.retry_after_us:
-                # Clients that wait demand less: this counts for the retry that they would have made.
+                # A client that waits sends less. Count the retry that it would otherwise have sent.
                 self.count_demand()
             retry_after_us = self.retries.retry_after_us(request, storm)
         request_id = request.event.request
         self.actions.append(api.Reject(request_id, retry_after_us) if may_reject else api.Fail(request_id))
 
-    def close(self, request: PendingRequest) -> None:
-        """Give a request no further attempts, and forget it once none of its attempts is in flight."""
+    def close_request(self, request: PendingRequest) -> None:
+        """Send no further attempts of a request, and remove it once none of its attempts is in flight."""
         request.done = True
         if self.buffer is request:
             self.buffer = None
@@ -230,7 +236,7 @@
         upstream = attempt.upstream
         pool = self.membership.pool_of(upstream)
         slow_latency_us = self.estimates.slow_latency_us[attempt.class_index]
-        needed_until_us = self.last_shortage_us + tuning.SHORTAGE_MEMORY_FACTOR * slow_latency_us
+        needed_until_us = self.last_shortage_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
         slots_needed = attempt.sent_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
             if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # it may rejoin later
@@ -240,64 +246,65 @@
             self.add_slow_start_credit(pool, 1.0)
 
     def count_demand(self) -> None:
-        """Add to admission and slow-start credit for one arriving or repeated request."""
+        """Add admission and slow-start credit for one request that arrives or is sent again."""
         for pool in self.membership.pools:
             pool.admission.add_credit()
         for pool in self.membership.pools_in_use:
-            # If all upstreams are warming, nothing else gives them traffic.
-            self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.rate)
+            # While all upstreams are warming, no other credit lets them get requests.
+            self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.admitted_share)
 
     def add_slow_start_credit(self, pool: UpstreamPool, served: float) -> None:
-        """Give the warming upstreams of a pool credit for `served` requests (rule 4)."""
+        """Give the warming upstreams of a pool slow-start credit for `served` requests."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
-        shortage_ends_us = self.last_shortage_us + self.shortage_us
+        shortage_ends_us = self.last_shortage_us + self.shortage_duration_us
         in_shortage = self.last_shortage_us > 0 and self.now_us <= shortage_ends_us
         pool.slow_start.add_credit(served, in_shortage, self.now_us)
 
     def schedule_poll(self, at_us: int) -> None:
         """Schedule a poll of the endpoint list at `at_us`, if lists are polled."""
         if self.settings.polls_endpoints:
-            self.polling.next_poll_us = at_us
-            self.wake_at(at_us, WakeUpKind.ENDPOINT_POLL, 0)
+            self.endpoint_poller.next_poll_us = at_us
+            self.schedule_wake_up(at_us, WakeUpKind.ENDPOINT_POLL, 0)
 
     def poll_endpoints(self) -> None:
-        """Poll the endpoint list if that is due, and schedule the next poll in case no answer comes."""
-        if 0 < self.polling.next_poll_us <= self.now_us:
+        """Poll the endpoint list if a poll is due, and schedule the next one in case no answer comes."""
+        if 0 < self.endpoint_poller.next_poll_us <= self.now_us:
             self.actions.append(api.Subscribe(True))
-            self.schedule_poll(self.polling.on_poll(self.now_us))
+            self.schedule_poll(self.endpoint_poller.on_poll(self.now_us))
 
     def close_idle(self, upstreams: list[TrackedUpstream]) -> None:
         """Close the idle connections of upstreams that have left the subset."""
         self.actions += [api.CloseIdle(upstream.entry.id) for upstream in upstreams]
 
-    def wake_at(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
-        """Schedule a wake-up at `at_us`, but not before the next microsecond."""
+    def schedule_wake_up(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
+        """Schedule a wake-up at `at_us`, one microsecond from now at the earliest."""
         self.wake_ups.schedule(max(at_us, self.now_us + 1), kind, request, attempt)
 
-    def on_wake_up(self, due: WakeUp) -> None:
+    def on_wake_up(self, wake_up: WakeUp) -> None:
         """Carry out one wake-up."""
-        request = self.requests.get(due.request)
-        if due.kind is WakeUpKind.ENDPOINT_POLL:
+        request = self.requests.get(wake_up.request)
+        if wake_up.kind is WakeUpKind.ENDPOINT_POLL:
             self.poll_endpoints()
-        elif due.kind is WakeUpKind.HEDGE and request is not None:
+        elif wake_up.kind is WakeUpKind.HEDGE and request is not None:
             self.send_hedge(request)
-        elif due.kind is WakeUpKind.ATTEMPT_OVERDUE and request is not None:
-            self.outliers.on_overdue(request.attempts[due.attempt], self.now_us)
-        elif due.kind is WakeUpKind.BUFFER_TIMEOUT and request is not None and self.buffer is request:
+        elif wake_up.kind is WakeUpKind.ATTEMPT_OVERDUE and request is not None:
+            self.outliers.on_overdue(request.attempts[wake_up.attempt], self.now_us)
+        elif wake_up.kind is WakeUpKind.BUFFER_TIMEOUT and request is not None and self.buffer is request:
             self.reject_or_fail(request)
 
-    def arm(self) -> None:
-        """Request a timer at the next wake-up, or, for a buffered request, at the next end of an ejection."""
-        ends_us: list[int] = []
+    def arm_timer(self) -> None:
+        """Request a timer for the next wake-up. If a request is buffered and an ejection ends before, the
+        timer is for the end of the ejection."""
+        ejection_ends_us: list[int] = []
         if self.buffer is not None:
-            ends_us = self.outliers.ejection_ends_us(self.buffer.event.class_index, self.now_us)
-        timer_us = self.wake_ups.timer_to_request(ends_us)
+            ejection_ends_us = self.outliers.ejection_ends_us(self.buffer.event.class_index, self.now_us)
+        timer_us = self.wake_ups.timer_to_request(ejection_ends_us)
         if timer_us is not None:
             self.actions.append(api.SetTimer(timer_us, 0))
 
     def log(self, text: str, upstream: int | None = None) -> bool:
-        """Emit a line unless one was emitted within `LOG_INTERVAL_US`. Returns whether it was emitted."""
+        """Log a line unless one was logged within `LOG_INTERVAL_US`. Returns whether it was logged."""
         if self.now_us < self.next_log_us:
             return False
         self.next_log_us = self.now_us + tuning.LOG_INTERVAL_US
--- a/ryepier/balancer/simulator_adapter.py
+++ b/ryepier/balancer/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Adapter to the simulator: runs many instances of the decision module, with one reply for each batch."""
+"""Adapter to the simulator: runs many instances of the decision module and replies to each batch."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     """Read `size` bytes, or fewer at the end of input."""
     data = source.read(size)
     while len(data) < size:
-        more = source.read(size - len(data))
-        if not more:
+        chunk = source.read(size - len(data))
+        if not chunk:
             break
-        data += more
+        data += chunk
     return data
 
 
 class InstanceHost:
-    """The running instances; they share nothing but the decoder's upstream lists."""
+    """The running instances of the decision module; they share only the upstream lists of the decoder."""
 
     def __init__(self) -> None:
         """Start with no instances."""
@@ -31,7 +31,7 @@
         self.instances: dict[int, Balancer] = {}
 
     def handle_batch(self, now_us: int, count: int, body: bytes) -> bytes:
-        """Hand the `count` records of a batch to their instances and return the reply frame. An exception in
+        """Pass the `count` records of a batch to their instances and return the reply frame. An exception in
         the decision module becomes an InternalError record. Raises ProtocolError for a malformed batch."""
         records: list[bytes] = []
         for instance, event in self.decoder.read_batch(body, count):
@@ -40,21 +40,21 @@
             elif isinstance(event, protocol.InstanceStopped):
                 self.instances.pop(instance, None)
             elif instance in self.instances:
-                classes = len(self.instances[instance].settings.classes)
-                if isinstance(event, RequestArrived) and event.class_index >= classes:
-                    what = f"request class {event.class_index} of {classes}"
-                    raise protocol.ProtocolError(f"instance {instance}: {what}")
+                class_count = len(self.instances[instance].settings.classes)
+                if isinstance(event, RequestArrived) and event.class_index >= class_count:
+                    problem = f"request class {event.class_index} of {class_count}"
+                    raise protocol.ProtocolError(f"instance {instance}: {problem}")
                 try:
                     actions = self.instances[instance].handle(now_us, event)
-                    records.extend([protocol.encode(instance, action) for action in actions])
-                # Reported to the simulator, which counts it.
+                    records.extend([protocol.encode_action(instance, action) for action in actions])
+                # The simulator counts reported errors.
                 except Exception as error:  # noqa: BLE001
                     text = f"{type(error).__name__}: {error}"
-                    records.append(protocol.encode(instance, protocol.InternalError(text)))
-        return protocol.reply(records)
+                    records.append(protocol.encode_action(instance, protocol.InternalError(text)))
+        return protocol.encode_reply(records)
 
     def start_instance(self, instance: int, event: protocol.InstanceStarted, now_us: int) -> None:
-        """Start an instance, in place of an earlier one. Raises ProtocolError for wrong settings."""
+        """Start an instance, replacing an earlier one. Raises ProtocolError for invalid settings."""
         try:
             settings = parse_settings(event.options)
         except SettingsError as error:
@@ -65,7 +65,7 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
     host = InstanceHost()
-    number = 0
+    batch_number = 0
     while True:
         header = read_exactly(source, protocol.HEADER.size)
         if not header:
@@ -79,24 +79,24 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise protocol.ProtocolError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.handle_batch(now_us, count, body)
+            reply_frame = host.handle_batch(now_us, count, body)
         except protocol.ProtocolError as error:
-            raise protocol.ProtocolError(f"batch {number}: {error}") from error
-        sink.write(answer)
+            raise protocol.ProtocolError(f"batch {batch_number}: {error}") from error
+        sink.write(reply_frame)
         sink.flush()
-        number += 1
+        batch_number += 1
 
 
 def main() -> int:
     """Serve standard input and output. Returns the exit status: 0 at the end of input, 2 for malformed input,
-    3 if the reader of the replies is gone."""
+    3 if the reader of standard output has closed it."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except protocol.ProtocolError as error:
         print(f"ryepier.balancer: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("ryepier.balancer: the reader of our replies is gone", file=sys.stderr)
+        print("ryepier.balancer: standard output was closed by its reader", file=sys.stderr)
         return 3
     return 0
 
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,7 +1,12 @@
-"""Takes the sidecar's place around a Balancer: executes its actions and checks each against the contract.
+"""Harness that stands in for the sidecar: executes the actions of a Balancer and checks each against the contract.
 
 A test decides what happens and when; the harness simulates neither upstreams nor clients. It checks the rules of the
 contract from its own records and not from the balancer's state.
+
+The numbers in the failure messages stand for these rules:
+1. Each request has exactly one final answer, which comes in time.
+2. A request is only repeated, or rejected after an attempt, if its class permits that.
+3. A draining or removed upstream gets no request.
 """
 
 from __future__ import annotations
@@ -39,11 +44,11 @@
 
 NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 START_US = 1_000_000_000
-OVERDUE_TICKS = 4  # an answer may be so much later than its request's due time
+MAX_OVERDUE_TICKS = 4  # after its due time, by which a request must have its answer
 
 
 def request_classes() -> list[RequestClass]:
-    """Return a class of each kind: idempotent, non-idempotent, and with an idempotency key."""
+    """Return three request classes: idempotent, non-idempotent, and with an idempotency key."""
     return [
         RequestClass(
             "read",
@@ -72,7 +77,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """Return the settings of one sidecar, with some changed."""
+    """Return the settings of one sidecar, with `changes` applied to the defaults of the tests."""
     values: dict[str, object] = {
         "classes": request_classes(),
         "instances": 3,
@@ -98,7 +103,7 @@
 
 @dataclass
 class TrackedAttempt:
-    """An attempt that the balancer has sent; times are in microseconds of the harness's clock."""
+    """An attempt that the balancer has sent; times are in microseconds on the clock of the harness."""
 
     upstream: int
     zone: int
@@ -116,7 +121,7 @@
     attempts: list[TrackedAttempt] = field(default_factory=list)
     answers: int = 0
     closed: bool = False
-    stream: bool = False
+    streaming: bool = False
 
     def may_have_run(self) -> list[TrackedAttempt]:
         """Return the attempts whose upstream may have executed the request."""
@@ -128,33 +133,33 @@
 
 
 class Deadline(NamedTuple):
-    """Something that falls due as the clock moves. At the same instant time-outs come before timers."""
+    """A timer or an attempt timeout that is due at a time. At the same time, timeouts come before timers."""
 
     at_us: int
     is_timer: bool
-    ident: int
-    """The timer's token, or the request's id."""
+    request_or_token: int
+    """The id of the request that times out, or the token of the timer."""
     attempt: int = 0
 
 
 class BalancerHarness:
-    """A Balancer with its clock, its timers and the records to check it against."""
+    """A Balancer with a clock, timers, and the records by which its actions are checked."""
 
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.requests: dict[int, TrackedRequest] = {}
-        self.known: dict[int, Upstream] = {}
+        self.known_entries: dict[int, Upstream] = {}
         self.unavailable_since_us: dict[int, int] = {}  # by upstream, once reported draining or removed
         self.timers: list[Deadline] = []
         self.actions: list[Action] = []
-        self.next_id = 1
+        self.next_request = 1
 
     # Events
 
     def handle(self, event: Event) -> list[Action]:
-        """Send an event to the balancer, and check and record its actions."""
+        """Pass an event to the balancer, and check and record its actions."""
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
@@ -162,108 +167,116 @@
         return actions
 
     def update_upstreams(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
-        """Send an endpoint list."""
+        """Pass an endpoint list to the balancer."""
         for entry in entries:
-            self.known[entry.id] = entry
+            self.known_entries[entry.id] = entry
             if entry.state is UpstreamState.READY:
                 self.unavailable_since_us.pop(entry.id, None)
             else:
                 self.unavailable_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            for ident in self.known.keys() - {e.id for e in entries}:
-                self.unavailable_since_us.setdefault(ident, self.now_us)
+            for upstream_id in self.known_entries.keys() - {entry.id for entry in entries}:
+                self.unavailable_since_us.setdefault(upstream_id, self.now_us)
         return self.handle(UpstreamsUpdated(kind, entries))
 
-    def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
-        """Send a new request, which is due after `patience_us` or its class's deadline; return its id."""
-        ident = self.next_id
-        self.next_id += 1
-        patience = patience_us or self.settings.classes[class_index].deadline_us
-        event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.requests[ident] = TrackedRequest(event)
+    def arrive(self, class_index: int = 0, due_in_us: int | None = None, **fields: Any) -> int:
+        """Let a new request arrive, due after `due_in_us` or the deadline of its class; return its id."""
+        request = self.next_request
+        self.next_request += 1
+        remaining_us = due_in_us or self.settings.classes[class_index].deadline_us
+        event = RequestArrived(request, self.now_us + remaining_us, class_index, **fields)
+        self.requests[request] = TrackedRequest(event)
         self.handle(event)
-        return ident
+        return request
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        """End an attempt now, with further fields of the event."""
+        """End an attempt now; `fields` are further fields of the event."""
         tracked = self.requests[request]
-        this = tracked.attempts[attempt]
-        assert this.outcome is None
-        this.outcome = outcome
-        if (outcome is Outcome.OK or tracked.stream) and not tracked.closed:
+        attempt_record = tracked.attempts[attempt]
+        assert attempt_record.outcome is None
+        attempt_record.outcome = outcome
+        if (outcome is Outcome.OK or tracked.streaming) and not tracked.closed:
             tracked.closed = True
             tracked.answers += 1
         return self.handle(
-            AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us, tracked.closed, **fields)
+            AttemptEnded(
+                request,
+                attempt,
+                attempt_record.upstream,
+                outcome,
+                self.now_us - attempt_record.sent_us,
+                tracked.closed,
+                **fields,
+            )
         )
 
     def begin_stream(self, request: int, attempt: int) -> None:
-        """Start the response's stream: from now on the request has no time-out."""
-        self.requests[request].stream = True
+        """Start the stream of a response; the request has no timeout from now on."""
+        self.requests[request].streaming = True
         self.handle(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
     def disconnect_client(self, request: int) -> None:
-        """Let the client of an open request disconnect."""
+        """Disconnect the client of an open request."""
         self.requests[request].closed = True
         self.requests[request].answers = 1
         self.handle(ClientDisconnected(request))
 
-    def advance(self, by_us: int) -> None:
-        """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
-        end_us = self.now_us + by_us
-        while due := [deadline for deadline in self._deadlines() if deadline.at_us <= end_us]:
-            first = min(due)
-            self.now_us = max(self.now_us, first.at_us)
-            if first.is_timer:
-                self.timers.remove(first)
-                self.handle(TimerFired(first.ident))
+    def advance(self, duration_us: int) -> None:
+        """Advance the clock, and fire the timers and attempt timeouts that become due."""
+        end_us = self.now_us + duration_us
+        while due_deadlines := [deadline for deadline in self._deadlines() if deadline.at_us <= end_us]:
+            next_deadline = min(due_deadlines)
+            self.now_us = max(self.now_us, next_deadline.at_us)
+            if next_deadline.is_timer:
+                self.timers.remove(next_deadline)
+                self.handle(TimerFired(next_deadline.request_or_token))
             else:
-                self.end(first.ident, first.attempt, Outcome.TIMEOUT)
+                self.end(next_deadline.request_or_token, next_deadline.attempt, Outcome.TIMEOUT)
         self.now_us = end_us
-        self._check_none_is_overdue()
+        self._check_overdue_requests()
 
     def _deadlines(self) -> list[Deadline]:
-        time_outs = [
-            Deadline(tracked.attempts[number].ends_us, False, ident, number)
-            for ident, tracked in self.requests.items()
-            if not tracked.stream
+        timeouts = [
+            Deadline(tracked.attempts[number].ends_us, False, request, number)
+            for request, tracked in self.requests.items()
+            if not tracked.streaming
             for number in tracked.in_flight()
         ]
-        return self.timers + time_outs
+        return self.timers + timeouts
 
     # Checks
 
-    def _check_none_is_overdue(self) -> None:
-        slack_us = OVERDUE_TICKS * self.settings.tick_us
-        for ident, tracked in self.requests.items():
-            overdue = self.now_us > tracked.event.due_us + slack_us and not tracked.stream
-            assert not overdue or tracked.answers == 1, f"rule 1: request {ident} is unanswered past due"
+    def _check_overdue_requests(self) -> None:
+        slack_us = MAX_OVERDUE_TICKS * self.settings.tick_us
+        for request, tracked in self.requests.items():
+            overdue = self.now_us > tracked.event.due_us + slack_us and not tracked.streaming
+            assert not overdue or tracked.answers == 1, f"rule 1: request {request} has no answer after its due time"
 
     def check(self, action: Action) -> None:
-        """Check an action against the contract, and record what it starts."""
+        """Check an action against the contract, and record the attempt or timer that it starts."""
         if isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, Reject | Fail):
             self.check_answer(action)
         elif isinstance(action, Cancel):
-            assert self.settings.cancel, "a cancel where none is allowed"
-            assert action.attempt < len(self.requests[action.request].attempts), "a cancel of no attempt"
+            assert self.settings.cancel, "a Cancel though the settings do not allow it"
+            assert action.attempt < len(self.requests[action.request].attempts), "a Cancel of an unknown attempt"
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append(Deadline(action.at_us, True, action.token))
         elif isinstance(action, Probe):
-            assert self.settings.probes, "a probe where none is allowed"
+            assert self.settings.probes, "a Probe though the settings do not allow it"
         else:
             assert not isinstance(action, Subscribe | FetchList) or self.settings.polls_endpoints
 
     def check_send(self, send: Send) -> None:
         """Check an attempt against the rules, and record it."""
         tracked = self.requests[send.request]
-        entry = self.known[send.upstream]
-        assert not tracked.closed, "rule 1: a send after the end"
+        entry = self.known_entries[send.upstream]
+        assert not tracked.closed, "rule 1: an attempt after the final answer"
         assert len(tracked.attempts) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.upstream not in self.unavailable_since_us, "rule 3: a send to a draining or removed upstream"
-        assert self.settings.hedging or not tracked.in_flight(), "rule 2: two attempts in flight together"
+        assert send.upstream not in self.unavailable_since_us, "rule 3: an attempt at a draining or removed upstream"
+        assert self.settings.hedging or not tracked.in_flight(), "rule 2: two attempts in flight at the same time"
         for earlier in tracked.may_have_run():
             self._check_repeat(tracked, earlier, entry)
         ends_us = tracked.event.due_us
@@ -272,38 +285,41 @@
         tracked.attempts.append(TrackedAttempt(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_us))
 
     def _check_repeat(self, tracked: TrackedRequest, earlier: TrackedAttempt, entry: Upstream) -> None:
-        kind = self.settings.classes[tracked.event.class_index]
-        assert kind.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: a non-idempotent request sent again"
-        if kind.idempotency != Idempotency.IDEMPOTENCY_KEY:
+        request_class = self.settings.classes[tracked.event.class_index]
+        assert request_class.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: a non-idempotent request sent again"
+        if request_class.idempotency != Idempotency.IDEMPOTENCY_KEY:
             return
-        assert self.now_us - earlier.sent_us <= kind.idempotency_window_us, "rule 2: past the idempotency window"
-        if kind.idempotency_scope == IdempotencyScope.FAILURE_DOMAIN:
-            assert entry.failure_domain == earlier.failure_domain, "rule 2: outside the failure domain"
-        if kind.idempotency_scope == IdempotencyScope.ZONE:
-            assert entry.zone == earlier.zone, "rule 2: outside the zone"
+        assert self.now_us - earlier.sent_us <= request_class.idempotency_window_us, (
+            "rule 2: a repeat after the idempotency window"
+        )
+        if request_class.idempotency_scope == IdempotencyScope.FAILURE_DOMAIN:
+            assert entry.failure_domain == earlier.failure_domain, "rule 2: a repeat outside the failure domain"
+        if request_class.idempotency_scope == IdempotencyScope.ZONE:
+            assert entry.zone == earlier.zone, "rule 2: a repeat outside the zone"
 
     def check_answer(self, answer: Reject | Fail) -> None:
         """Check a final answer, and close its request."""
         tracked = self.requests[answer.request]
-        kind = self.settings.classes[tracked.event.class_index]
-        assert not tracked.closed, "rule 1: a second answer"
+        request_class = self.settings.classes[tracked.event.class_index]
+        assert not tracked.closed, "rule 1: a second final answer"
         tracked.closed = True
         tracked.answers += 1
         if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            harmless = kind.idempotency == Idempotency.IDEMPOTENT or (
-                kind.idempotency == Idempotency.IDEMPOTENCY_KEY and kind.idempotency_scope == IdempotencyScope.ALL
+            is_safe_to_repeat = request_class.idempotency == Idempotency.IDEMPOTENT or (
+                request_class.idempotency == Idempotency.IDEMPOTENCY_KEY
+                and request_class.idempotency_scope == IdempotencyScope.ALL
             )
-            assert harmless or not tracked.may_have_run(), "rule 2: a rejection of what may have run"
+            assert is_safe_to_repeat or not tracked.may_have_run(), "rule 2: a rejection of a request that may have run"
 
     # Results
 
     def sends(self, request: int | None = None) -> list[Send]:
-        """Return the attempts so far, of one request or of all."""
+        """Return the Send actions so far, of one request or of all."""
         return [action for action in self.actions if isinstance(action, Send) and request in (None, action.request)]
 
     def answer(self, request: int) -> Action | None:
-        """Return the rejection or failure of a request, if there is one."""
+        """Return the Reject or Fail action of a request, or None."""
         for action in self.actions:
             if isinstance(action, Reject | Fail) and action.request == request:
                 return action
--- a/tests/polling_fleet.py
+++ b/tests/polling_fleet.py
@@ -1,6 +1,6 @@
-"""Model of a fleet whose sidecars poll one discovery, in virtual time: real decision modules, no sockets.
+"""Model of a fleet whose sidecars poll the same discovery, in virtual time: real decision modules without sockets.
 
-Discovery serves a fixed number of polls a second, in turn; a poll that waits for too long fails.
+Discovery serves polls one at a time, at a fixed rate, in the order of arrival. A poll that waits for too long fails.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from ryepier.sidecar.discovery import SILENCE_TIMEOUT_S
 from tests.balancer_harness import START_US, settings
 
-MAX_WAIT_US = 2_000_000  # of a poll at discovery; then it fails
-REFUSAL_US = 1_000  # until a refused poll has failed
-RESET_US = 100_000  # until a poll that is reset has failed
+MAX_POLL_WAIT_US = 2_000_000  # at discovery, after which a poll fails
+REFUSAL_DELAY_US = 1_000  # from a poll that is refused to its failure
+RESET_DELAY_US = 100_000  # from a poll that is reset to its failure
 SILENCE_US = int(1e6 * SILENCE_TIMEOUT_S)
 
 
 class DiscoveryMode(enum.Enum):
-    """What discovery does with polls."""
+    """How discovery responds to polls."""
 
     UP = enum.auto()
     REFUSED = enum.auto()
@@ -34,34 +34,34 @@
 
 
 class Phase(NamedTuple):
-    """Discovery's mode from a time on, which lasts until the next phase."""
+    """The mode of discovery from a time on, until the next phase begins."""
 
     since_s: float
     mode: DiscoveryMode
 
 
 class EventKind(enum.Enum):
-    """What happens to a sidecar."""
+    """Kind of an event at a sidecar."""
 
     TIMER = enum.auto()
-    WATCH_BREAKS = enum.auto()
+    WATCH_BROKEN = enum.auto()
     POLL_SERVED = enum.auto()
-    POLL_FAILS = enum.auto()
+    POLL_FAILED = enum.auto()
 
 
 class FleetEvent(NamedTuple):
-    """An event that is due; events of one instant keep their order."""
+    """A scheduled event; events for the same time are handled in the order in which they were scheduled."""
 
     at_us: int
     order: int
     kind: EventKind
     sidecar: int
     value: int
-    """The number of the poll, the time of the timer, or for how long a watch that breaks was silent (us)."""
+    """The number of the poll, the time of the timer (us), or how long the broken watch was silent (us)."""
 
 
 class WaitingPoll(NamedTuple):
-    """A poll that waits at discovery."""
+    """A poll that waits to be served by discovery."""
 
     sidecar: int
     number: int
@@ -69,47 +69,47 @@
 
 @dataclass
 class Sidecar:
-    """A decision module with its timers and its poll."""
+    """A decision module with its requested timers and its current poll."""
 
     balancer: Balancer
     poll: int = 0
     """The number of the poll that is in flight; 0 = none."""
     updated_s: float = -1.0
-    """When it last got the list; below 0 = it has to get it again."""
+    """When it last received the list; negative = it needs the list."""
     armed_us: set[int] = field(default_factory=set)
 
 
 class PollingFleet:
-    """The sidecars, discovery, and the queue of their events."""
+    """The sidecars, discovery, and the queue of their scheduled events."""
 
     def __init__(self, sidecars: int, polls_per_s: float, phases: Sequence[Phase]) -> None:
-        """Prepare a run; the last of the phases has to be UP, unless no sidecar is to get the list."""
+        """Create the sidecars; the last phase must be UP if the sidecars are to receive the list."""
         config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
         self.now_us = START_US
-        self.serving_us = int(1e6 / polls_per_s)
+        self.service_time_us = int(1e6 / polls_per_s)
         self.phases = phases
         self.events: list[FleetEvent] = []
-        self.numbers = itertools.count(1)
-        self.waiting: deque[WaitingPoll] = deque()
+        self.sequence = itertools.count(1)
+        self.waiting_polls: deque[WaitingPoll] = deque()
         self.is_serving = False
         self.polls: Counter[int] = Counter()  # by second
         self.failed_polls = 0
         self.sidecars = [Sidecar(Balancer(config, seed, START_US)) for seed in range(sidecars)]
 
     def start_all(self) -> None:
-        """Start all sidecars without a list."""
+        """Start all sidecars at the same time, without a list."""
         for sidecar in range(len(self.sidecars)):
             self._handle(sidecar, TimerFired(0))
 
     def break_watches(self, at_s: float, after_silence: bool) -> None:
-        """Give each sidecar a watch, and break all watches at one moment, or let them fall silent then."""
+        """Give each sidecar a watch, and break all of them at `at_s`, or let them become silent then."""
         silent_us = SILENCE_US if after_silence else 0
         for sidecar in range(len(self.sidecars)):
             self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, version=1))
-            self._schedule(START_US + int(1e6 * at_s) + silent_us, EventKind.WATCH_BREAKS, sidecar, silent_us)
+            self._schedule(START_US + int(1e6 * at_s) + silent_us, EventKind.WATCH_BROKEN, sidecar, silent_us)
 
     def run_until(self, until_s: float) -> None:
-        """Run all events up to a time."""
+        """Handle all events up to a time."""
         while self.events and self.events[0].at_us <= START_US + 1e6 * until_s:
             event = heapq.heappop(self.events)
             self.now_us = event.at_us
@@ -117,7 +117,7 @@
             self._serve_next()
 
     def update_delays_s(self, reachable_s: float) -> list[float]:
-        """Return for each sidecar how long after discovery could be reached it got the list; 0 or less = never."""
+        """Return for each sidecar how long after `reachable_s` it received the list; 0 or less = it did not."""
         return [sidecar.updated_s - reachable_s for sidecar in self.sidecars]
 
     def _now_s(self) -> float:
@@ -127,39 +127,39 @@
         return [phase.mode for phase in self.phases if phase.since_s <= self._now_s()][-1]
 
     def _schedule(self, at_us: int, kind: EventKind, sidecar: int, value: int) -> None:
-        heapq.heappush(self.events, FleetEvent(at_us, next(self.numbers), kind, sidecar, value))
+        heapq.heappush(self.events, FleetEvent(at_us, next(self.sequence), kind, sidecar, value))
 
-    def _handle(self, number: int, event: TimerFired | UpstreamsUpdated) -> None:
-        sidecar = self.sidecars[number]
+    def _handle(self, sidecar_index: int, event: TimerFired | UpstreamsUpdated) -> None:
+        sidecar = self.sidecars[sidecar_index]
         for action in sidecar.balancer.handle(self.now_us, event):
             if isinstance(action, SetTimer) and action.at_us not in sidecar.armed_us:
                 sidecar.armed_us.add(action.at_us)
-                self._schedule(action.at_us, EventKind.TIMER, number, action.at_us)
+                self._schedule(action.at_us, EventKind.TIMER, sidecar_index, action.at_us)
             elif isinstance(action, Subscribe):
-                self._poll(number)
+                self._poll(sidecar_index)
 
-    def _poll(self, number: int) -> None:
-        poll = self.sidecars[number].poll = next(self.numbers)
+    def _poll(self, sidecar_index: int) -> None:
+        poll = self.sidecars[sidecar_index].poll = next(self.sequence)
         self.polls[int(self._now_s())] += 1
         mode = self._mode()
         if mode is DiscoveryMode.UP:
-            self.waiting.append(WaitingPoll(number, poll))
-            self._schedule(self.now_us + MAX_WAIT_US, EventKind.POLL_FAILS, number, poll)
+            self.waiting_polls.append(WaitingPoll(sidecar_index, poll))
+            self._schedule(self.now_us + MAX_POLL_WAIT_US, EventKind.POLL_FAILED, sidecar_index, poll)
             self._serve_next()
             return
         failure_us = {
             DiscoveryMode.SILENT: SILENCE_US,
-            DiscoveryMode.REFUSED: REFUSAL_US,
-            DiscoveryMode.RESET: RESET_US,
+            DiscoveryMode.REFUSED: REFUSAL_DELAY_US,
+            DiscoveryMode.RESET: RESET_DELAY_US,
         }
-        self._schedule(self.now_us + failure_us[mode], EventKind.POLL_FAILS, number, poll)
+        self._schedule(self.now_us + failure_us[mode], EventKind.POLL_FAILED, sidecar_index, poll)
 
     def _serve_next(self) -> None:
-        while self.waiting and not self.is_serving:
-            poll = self.waiting.popleft()
+        while self.waiting_polls and not self.is_serving:
+            poll = self.waiting_polls.popleft()
             if self.sidecars[poll.sidecar].poll == poll.number:
                 self.is_serving = True
-                self._schedule(self.now_us + self.serving_us, EventKind.POLL_SERVED, poll.sidecar, poll.number)
+                self._schedule(self.now_us + self.service_time_us, EventKind.POLL_SERVED, poll.sidecar, poll.number)
 
     def _on_event(self, event: FleetEvent) -> None:
         sidecar = self.sidecars[event.sidecar]
@@ -167,7 +167,7 @@
             case EventKind.TIMER:
                 sidecar.armed_us.discard(event.value)
                 self._handle(event.sidecar, TimerFired(0))
-            case EventKind.WATCH_BREAKS:
+            case EventKind.WATCH_BROKEN:
                 sidecar.updated_s = -1.0
                 self._handle(event.sidecar, UpstreamsUpdated(ListKind.FAILED, silent_us=event.value))
             case EventKind.POLL_SERVED:
@@ -175,7 +175,7 @@
                 if sidecar.poll == event.value:
                     sidecar.poll, sidecar.updated_s = 0, self._now_s()
                     self._handle(event.sidecar, UpstreamsUpdated(ListKind.DELTA, version=1))
-            case EventKind.POLL_FAILS if sidecar.poll == event.value:
+            case EventKind.POLL_FAILED if sidecar.poll == event.value:
                 sidecar.poll = 0
                 self.failed_polls += 1
                 self._handle(event.sidecar, UpstreamsUpdated(ListKind.FAILED))
