--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -13,7 +13,7 @@
     """Share of the selections in a pool that may take a slot; falls while answers are slow on average."""
 
     def __init__(self, rates_updated_us: int) -> None:
-        """Start with full admission and no measurements; `rates_updated_us` is the current time."""
+        """Start with full admission and no measurements; `rates_updated_us` is the current time (us)."""
         self.rates_updated_us = rates_updated_us
         self.admitted_share = 1.0
         self.credit = 1.0  # selections admitted and not yet used
--- a/ryepier/balancer/concurrency.py
+++ b/ryepier/balancer/concurrency.py
@@ -9,7 +9,7 @@
     def __init__(self) -> None:
         """Start with one slot."""
         self.limit = 1.0
-        self.growing_fast = False  # set by a cached list at start-up, until the first slow answer or fault
+        self.growing_fast = False  # set for upstreams of a cached list, until a slow answer or fault
 
     def update(self, load: float, faulty: bool, slots_needed: bool) -> None:
         """Adjust the limit after an attempt.
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -18,7 +18,7 @@
         # from the start of a poll, or the last message of a watch, to the next poll
         self.max_gap_us = min(latest_start_us, max_interval_us)
         self.next_poll_us = 0  # 0 = none is scheduled, as a watch is open
-        self.last_contact_us: int | None = None  # before the failures; None = no failure
+        self.last_contact_us: int | None = None  # last contact before the failures; None = no failure
         self.consecutive_failures = 0
         self.spread_us = 0  # over which the last backoff was drawn; 0 = no backoff since the last list
 
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -25,7 +25,8 @@
         """Free the slot of an ended attempt and update the measurements with it.
 
         `slots_needed` means that it was sent in a shortage of slots. Returns whether the limit of its
-        upstream was adapted."""
+        upstream was adapted.
+        """
         upstream = attempt.upstream
         upstream.in_flight -= int(not attempt.presumed_lost)
         earlier_attempts = upstream.outstanding[: upstream.outstanding.index(attempt)]
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -17,7 +17,7 @@
 
     NORMAL = enum.auto()  # no fault, or a tolerated malformed response; the latency counts
     TOLERATED = enum.auto()  # a fault that may be by chance; the latency is ignored
-    FAULTY = enum.auto()  # a rejection, or a fault where chance does not explain their number
+    FAULTY = enum.auto()  # a rejection, or a fault beyond the share that chance explains
 
 
 class OutlierDetector:
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -138,7 +138,7 @@
         last_index = len(storm.retry_after_us) - 1
         window_us = storm.retry_after_us[min(request.event.retry_number, last_index)]
         if storm.retry_after_in_seconds and max_us >= tuning.SECOND_US:
-            # With rounded times, all clients rejected within one second would return at the same moment.
+            # Drawn in seconds: rounding would let all clients rejected within one second return together.
             max_s = min(max_us, max(window_us, 2 * tuning.SECOND_US)) // tuning.SECOND_US
             return tuning.SECOND_US * self.random.randint(1, max_s)
         wait_us = window_us * self.random.uniform(tuning.MIN_RETRY_AFTER_SHARE, 1)
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -36,7 +36,7 @@
         every subset that used it while it warmed up would be overloaded afterwards.
         """
         if not new_upstreams or not self.members:
-            return []  # before the first attempt, as selections add members when they need them
+            return []  # before the first attempt; selections add members as needed
         replaceable = [upstream for upstream in self.members if upstream not in new_upstreams]
         random.shuffle(replaceable)
         target_size = max(wanted_count, len(replaceable))
--- a/ryepier/balancer/tuning.py
+++ b/ryepier/balancer/tuning.py
@@ -20,7 +20,7 @@
 POOL_FAULT_WINDOW = 64  # attempts in the moving average of a pool's share of faults
 POOL_FAULT_FACTOR = 2  # times the pool's share of faults, which is tolerated in addition
 MAX_POOL_FAULT_ALLOWANCE = 1 / 3  # cap on that additional share, so that four faults in a row always count
-LOST_ATTEMPT_OVERTAKES = 4  # later attempts answered first, from which an attempt counts as lost, not queued
+LOST_ATTEMPT_OVERTAKES = 4  # later attempts answered first, after which an attempt is lost, not queued
 UNANSWERED_WINDOW = 16  # attempts of a class in the moving average of an upstream's unanswered share
 UNANSWERED_TOLERANCE = 0.1  # share of unanswered attempts at which the selection weight is a quarter
 REJECTION_TOLERANCE = 0.1  # share of rejections of a class at which the selection weight is half
@@ -39,7 +39,7 @@
 OVERCOMMIT_GAIN = 0.5  # relative change of the overcommit per answer and per unit of load below the target
 MAX_SLOW_START_CREDIT = 0.5  # requests; limits the credit that a warming upstream accumulates
 MIN_OBSERVED_SHARE = 0.2  # of the warm-up time; a shorter observation counts as this long
-MAX_COST_WHILE_WARMING = 4.0  # times the mean cost; a warming upstream gets no request that costs more
+MAX_COST_WHILE_WARMING = 4.0  # times the mean cost; costlier requests are not sent to warming upstreams
 DEMAND_CREDIT_SHARE = 0.1  # slow-start credit of an arrival, relative to that of an answer
 
 # Subset of the upstreams that a sidecar uses
@@ -48,7 +48,7 @@
 
 # Admission
 ADMISSION_GAIN = 2.4  # per second; one second of slow answers cuts admission to a tenth, before queues fill
-MIN_ADMISSION_FACTOR = 0.3  # factor by which one answer cuts the admitted share at most
+MIN_ADMISSION_FACTOR = 0.3  # lowest factor by which one answer changes the admitted share
 MIN_ADMISSION_RATE = 0.1  # of the selections; a lower share would not help a service that has slowed down
 MAX_ADMISSION_CREDIT = 2.0  # selections that can be saved up
 LOAD_WINDOW = 8  # answers in the moving average of a pool's load
@@ -67,13 +67,13 @@
 RETRY_BUDGET_RATIO = 0.2  # retries added to the budget per first attempt
 MAX_RETRY_BUDGET = 5.0  # retries that the budget holds at most
 ATTEMPT_TIMEOUT_FACTOR = 4  # times the mean latency, for an attempt that may be retried
-HEDGE_DELAY_FACTOR = 2  # times the mean latency
+HEDGE_DELAY_FACTOR = 2  # times the mean latency, after which a request is hedged
 RETRY_PRIORITY_FACTOR = 0.5  # in a retry storm, priority of a retry relative to the attempt before it
 MIN_RETRY_AFTER_SHARE = 0.1  # of the window in a retry storm; no client is told to return sooner
 
 # Polling of the endpoint list
 FLEET_POLL_INTERVAL_US = 50_000  # mean interval between the first polls of the fleet after a failure
 MIN_POLL_BACKOFF_US = 250_000  # much longer than a poll, much shorter than a drain
-MAX_LIST_STALENESS_US = 6 * SECOND_US  # a change must be known by then, as the protocol demands
-MAX_POLL_DURATION_US = 2 * SECOND_US  # part of that time, from the start of a poll to its answer
+MAX_LIST_STALENESS_US = 6 * SECOND_US  # the protocol requires that a change of the list is known by then
+MAX_POLL_DURATION_US = 2 * SECOND_US  # part of that time that one poll may take, up to its answer
 MAX_BACKOFF_DOUBLINGS = 20
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -20,11 +20,12 @@
 OPENING_UNSERVED_SHARE = 0.15  # of the arrivals
 CLOSING_RETRY_SHARE = 0.1  # of the arrivals; a storm may close at this or at CLOSING_UNSERVED_SHARE
 CLOSING_UNSERVED_SHARE = 0.05  # of the arrivals
-MIN_CALM_US = 2_000_000  # for which a storm must meet the closing conditions, to avoid oscillation
+MIN_CALM_US = 2_000_000  # for which the closing conditions must hold before a storm closes, to avoid oscillation
 SURGE_RATIO = 1.5  # times the baseline rate; the demand is real then, and admitting fewer retries would not help
-SURGE_RECOVERY_US = 5 * RECENT_TIME_CONSTANT_US  # after a surge, whose rejections still cause retries
+# A storm does not open so soon after a surge, as its rejections still cause retries and the rates still decay.
+SURGE_RECOVERY_US = 5 * RECENT_TIME_CONSTANT_US
 OUTAGE_SERVED_SHARE = 0.3  # of the arrivals; if fewer are served, there is an outage
-RECENT_OUTAGE_US = 30_000_000  # after its end, for which an outage is reported as evidence
+RECENT_OUTAGE_US = 30_000_000  # how long after its end an outage is reported as evidence
 MAX_FIRST_REJECTION_SHARE = 0.3  # of the first attempts, above which fewer retries are admitted
 ADMISSION_DECREASE = 0.8  # factor of the admitted share of retries per tick
 ADMISSION_INCREASE = 1.25  # factor of the admitted share of retries per tick
@@ -119,7 +120,7 @@
         self.counts.first_rejections += int(retry_number == 0)
 
     def tick(self, now_us: int) -> StormReport:
-        """Update the rates and the admitted share, and return whether there is a storm."""
+        """Update the rates and the admitted share. Returns whether there is a storm, and why."""
         self._update_rates(now_us)
         evidence = self._evidence(now_us)
         if evidence.surge_ratio > SURGE_RATIO:
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -5,7 +5,7 @@
 
 The numbers in the failure messages stand for these rules:
 1. Each request has exactly one final answer, which comes in time.
-2. A request is only repeated, or rejected after an attempt, if its class permits that.
+2. A request is only repeated, or rejected after an attempt, if its class and the settings permit that.
 3. A draining or removed upstream gets no request.
 """
 
