--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -25,11 +25,13 @@
     """Answer once more when an attempt ends after the client has its answer."""
     end = RequestDispatcher._end_attempt
 
-    def end_and_answer(self: RequestDispatcher, opened: OpenRequest, number: int, result: AttemptResult) -> None:
-        answered = opened.closed and not opened.attempts[number].ended
-        end(self, opened, number, result)
+    def end_and_answer(
+        self: RequestDispatcher, open_request: OpenRequest, attempt_index: int, result: AttemptResult
+    ) -> None:
+        answered = open_request.closed and not open_request.attempts[attempt_index].ended
+        end(self, open_request, attempt_index, result)
         if answered and result.outcome is api.Outcome.OK:
-            opened.reply(FinalAnswer(FinalOutcome.SERVED))
+            open_request.reply(FinalAnswer(FinalOutcome.SERVED))
 
     RequestDispatcher._end_attempt = end_and_answer  # type: ignore[method-assign]
 
@@ -43,7 +45,7 @@
             finish(self, request)
 
     Balancer.finish = finish_unless_reset  # type: ignore[method-assign]
-    RequestDispatcher._on_overdue = lambda self, opened: None  # type: ignore[method-assign]
+    RequestDispatcher._on_overdue = lambda self, open_request: None  # type: ignore[method-assign]
 
 
 def delayed_answer() -> None:
@@ -132,7 +134,7 @@
 
 def never_removed() -> None:
     """Keep requests after their end."""
-    RequestDispatcher._remove_if_done = lambda self, opened: None  # type: ignore[method-assign]
+    RequestDispatcher._remove_if_done = lambda self, open_request: None  # type: ignore[method-assign]
 
 
 def one_attempt_too_many() -> None:
--- a/ryepier/sidecar/__main__.py
+++ b/ryepier/sidecar/__main__.py
@@ -13,17 +13,17 @@
 from ryepier.sidecar.logs import RateLimitFilter
 from ryepier.sidecar.serving import CONFIG_ERRORS, serve
 
-EXIT_WRONG_CONFIG = 2
+EXIT_INVALID_CONFIG = 2
 
 
-async def run(settings: config.Config, components: Components = PLATFORM) -> None:
+async def run(sidecar_config: config.Config, components: Components = PLATFORM) -> None:
     """Serve until SIGTERM; SIGHUP reloads the configuration."""
     stop, reload = asyncio.Event(), asyncio.Event()
     loop = asyncio.get_running_loop()
     # By default either signal ends the process and loses what is open; so before the first client.
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
-    await serve(settings, stop, reload, components)
+    await serve(sidecar_config, stop, reload, components)
     # The end of the loop removes the handlers.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGHUP})
 
@@ -33,11 +33,11 @@
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=sys.stderr)
     logging.getLogger().handlers[0].addFilter(RateLimitFilter())
     try:
-        settings = config.load(os.environ["BALANCER_CONFIG"])
+        sidecar_config = config.load(os.environ["BALANCER_CONFIG"])
     except CONFIG_ERRORS as error:
         print(f"ryepier.sidecar: configuration: {error!r}", file=sys.stderr)
-        return EXIT_WRONG_CONFIG
-    asyncio.run(run(settings))
+        return EXIT_INVALID_CONFIG
+    asyncio.run(run(sidecar_config))
     return 0
 
 
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -25,13 +25,13 @@
 MAX_DISCARDED_BYTES = 64 * 1024  # behind the last request; then reading stops
 READ_TIMEOUT_S = 2.4  # from the connection to its first request, and to send a later one
 SLOW_READ_TIMEOUT_S = 6.0  # to send a later request whose bytes keep arriving
-READ_PAUSE_S = 0.8  # without a byte, from which the bytes of a request do not keep arriving
+READ_STALL_S = 0.8  # without a byte, from which the bytes of a request do not keep arriving
 IDLE_TIMEOUT_S = 60.0
 LINGER_TIMEOUT_S = 1.0  # for the client to read the last response
-UNREAD_TIMEOUT_S = 5.0  # in addition, while part of a response waits in the process
+FLUSH_TIMEOUT_S = 5.0  # in addition, while part of a response waits in the process
 SUPPORTED_VERSIONS = ("1.0", "1.1")
 REASONS = {status.value: status.phrase.encode() for status in http.HTTPStatus}
-PIPELINING_REJECTED = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+PIPELINING_REJECTION = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 class ClientState(enum.Enum):
@@ -115,7 +115,7 @@
     def is_ready(self) -> bool:
         """Whether requests are accepted and there are upstreams for them."""
 
-    def is_crowded(self) -> bool:
+    def has_many_connections(self) -> bool:
         """Return whether new connections should close after their first response."""
 
     def change_state(self, client: ClientConnection, state: ClientState) -> None:
@@ -136,10 +136,10 @@
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.state = ClientState.NEW
         self.state_since = system.monotonic()
-        self.last_received = 0.0  # when the last bytes of the current request arrived
+        self.last_received_at = 0.0  # when the last bytes of the current request arrived
         self.reader = RequestReader()
         self.request: ClientRequest | None = None  # in process
-        self.ident = 0  # the dispatcher's number of that
+        self.request_number = 0  # the dispatcher's number of that
         self.pipelined = False  # bytes arrived behind the request in process
         self.closes_after_response = False
         self.discarded_bytes = 0
@@ -158,7 +158,7 @@
         # The parser and this object refer to each other, and would wait for a rare full garbage collection.
         self.parser = self.request = None
         if self.state is ClientState.PROCESSING:
-            self.server.dispatcher.on_client_disconnected(self.ident)
+            self.server.dispatcher.on_client_disconnected(self.request_number)
 
     # Callbacks of the parser
 
@@ -206,11 +206,11 @@
         if self.state is ClientState.IDLE:
             self.server.change_state(self, ClientState.READING)
         self.reader.received_bytes += len(data)
-        self.last_received = system.monotonic()
+        self.last_received_at = system.monotonic()
         try:
             self._feed(data)
             if self.reader.is_complete:
-                self._accept()
+                self._accept_request()
         except RequestError as error:
             response = self.server.dialect.render_error(self.reader.target, error)
             self.write(response, last=not error.keeps_connection)
@@ -225,7 +225,7 @@
         if self.discarded_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
             if self.state is ClientState.PROCESSING:
                 # Once reading is paused a disconnect goes unnoticed, and the request would be forwarded in vain.
-                self.server.dispatcher.on_client_disconnected(self.ident)
+                self.server.dispatcher.on_client_disconnected(self.request_number)
                 self.write(Response(400), last=True)
             self.transport.pause_reading()
 
@@ -241,7 +241,7 @@
             raise RequestError(400, "malformed request") from None
         self.reader.check_length()
 
-    def _accept(self) -> None:
+    def _accept_request(self) -> None:
         """Hand a complete request to the dispatcher. Raises RequestError."""
         assert self.transport is not None and self.parser is not None
         reader, method = self.reader, self.parser.get_method()
@@ -261,18 +261,18 @@
             raise RequestError(400, "the last answer was not read")
         self.server.change_state(self, ClientState.PROCESSING)
         request.client_disconnected = self.client_disconnected
-        self.ident = self.server.dispatcher.on_request(request, self.respond)
+        self.request_number = self.server.dispatcher.on_request(request, self.respond)
 
     def client_disconnected(self) -> bool:
         """Return whether the client of the request in process has disconnected. Bytes that arrived before its end are
         discarded, as they would be when read. An end of its sending alone looks like a close, and counts as one."""
         assert self.transport is not None
         while not self.transport.is_closing():
-            discardable = MAX_DISCARDED_BYTES - self.discarded_bytes
+            discardable_bytes = MAX_DISCARDED_BYTES - self.discarded_bytes
             try:
-                if not self.sock.recv(1, socket.MSG_PEEK) or not discardable:
+                if not self.sock.recv(1, socket.MSG_PEEK) or not discardable_bytes:
                     return True  # its end, or too much: its request would be closed when that is read
-                self.discarded_bytes += len(self.sock.recv(discardable))
+                self.discarded_bytes += len(self.sock.recv(discardable_bytes))
             except BlockingIOError:
                 return False
             except OSError:  # it was reset
@@ -297,14 +297,16 @@
         if self.transport.is_closing():
             return
         # Clients have a bound of their own; those that send one request and stay keep the others out.
-        is_only = self.state is ClientState.PROCESSING and self.responses == 0 and self.server.is_crowded()
-        last = last or self.closes_after_response or self.server.is_stopping or is_only
+        closes_for_capacity = (
+            self.state is ClientState.PROCESSING and self.responses == 0 and self.server.has_many_connections()
+        )
+        last = last or self.closes_after_response or self.server.is_stopping or closes_for_capacity
         self.responses += 1
         headers = response.headers + b"Connection: close\r\n" if last else response.headers
-        head = (response.status, REASONS[response.status], headers, len(response.body))
-        data = b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n" % head + response.body
+        head_fields = (response.status, REASONS[response.status], headers, len(response.body))
+        data = b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n" % head_fields + response.body
         if self.pipelined and not last:
-            data += PIPELINING_REJECTED
+            data += PIPELINING_REJECTION
         self.transport.write(data)
         if last or self.pipelined:
             # Closing with bytes unread would reset the connection, and the client might lose its response.
@@ -312,7 +314,7 @@
             self.transport.write_eof()
         else:
             self.reader = RequestReader()
-            self.last_received = 0.0
+            self.last_received_at = 0.0
             self.request = None
             self.server.change_state(self, ClientState.IDLE)
 
@@ -344,10 +346,10 @@
         if self.state in (ClientState.NEW, ClientState.READING) and self.reader.received_bytes:
             # A client that has never sent a complete request gets its end within 3 s, however slowly bytes arrive.
             timeout_s = READ_TIMEOUT_S if self.state is ClientState.NEW else SLOW_READ_TIMEOUT_S
-            if now > min(self.last_received + READ_PAUSE_S, self.state_since + timeout_s):
+            if now > min(self.last_received_at + READ_STALL_S, self.state_since + timeout_s):
                 self.write(Response(408), last=True)
             return
-        waits_for_reader = now < self.state_since + STATE_TIMEOUTS_S[self.state] + UNREAD_TIMEOUT_S
+        may_still_flush = now < self.state_since + STATE_TIMEOUTS_S[self.state] + FLUSH_TIMEOUT_S
         is_lingering = self.state is ClientState.CLOSING
-        if (self.is_flushed or not waits_for_reader) and (is_lingering or self.has_nothing_unread()):
+        if (self.is_flushed or not may_still_flush) and (is_lingering or self.has_nothing_unread()):
             self.close()
--- a/ryepier/sidecar/components.py
+++ b/ryepier/sidecar/components.py
@@ -82,8 +82,8 @@
         config.discovery,
         EndpointRegistry(config.zones, config.kinds),
         dispatcher.on_endpoints,
-        pushed=not config.settings.polls_endpoints,
-        known=config.cached_list,
+        is_pushed=not config.settings.polls_endpoints,
+        cached_list=config.cached_list,
     )
 
 
--- a/ryepier/sidecar/config.py
+++ b/ryepier/sidecar/config.py
@@ -55,7 +55,7 @@
     return host, int(port)
 
 
-def read(raw: Any, path: str, make: Callable[[Any], T]) -> T:
+def read_value(raw: Any, path: str, convert: Callable[[Any], T]) -> T:
     """Return the value at a path, converted by `make`. Raises ValueError, naming the path."""
     value = raw
     for key in path.split("."):
@@ -63,7 +63,7 @@
             raise ValueError(f"{path} is missing")
         value = value[key]
     try:
-        return make(value)
+        return convert(value)
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError) as error:
         raise ValueError(f"{path}: {error}") from None
 
@@ -76,14 +76,14 @@
         except RecursionError:
             raise ValueError("nested too deeply") from None
     return Config(
-        listen=read(raw, "listen", parse_address),
-        discovery=read(raw, "discovery", parse_address),
-        seed=read(raw, "seed", lambda text: int(text, 16)),
-        max_descriptors=read(raw, "limits.sockets", int),
-        settings=settings_parser.settings_from_pairs(read(raw, "settings", flatten)),
-        zones=read(raw, f"settings.{settings_parser.ZONES_PATH}", list),
-        kinds=read(raw, f"settings.{settings_parser.KINDS_PATH}", list),
-        upstream_idle_timeout_us=read(
+        listen=read_value(raw, "listen", parse_address),
+        discovery=read_value(raw, "discovery", parse_address),
+        seed=read_value(raw, "seed", lambda text: int(text, 16)),
+        max_descriptors=read_value(raw, "limits.sockets", int),
+        settings=settings_parser.settings_from_pairs(read_value(raw, "settings", flatten)),
+        zones=read_value(raw, f"settings.{settings_parser.ZONES_PATH}", list),
+        kinds=read_value(raw, f"settings.{settings_parser.KINDS_PATH}", list),
+        upstream_idle_timeout_us=read_value(
             raw, f"settings.{settings_parser.IDLE_TIMEOUT_PATH}", lambda value: int(float(value))
         ),
         cached_list=raw.get("known"),
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -16,11 +16,11 @@
 
 log = logging.getLogger(__name__)
 
-LATE_RESPONSE_US = 30_000  # by which a second response to the last request may arrive
+MIN_IDLE_BEFORE_REUSE_US = 30_000  # by which a second response to the last request may arrive
 IDLE_MARGIN_US = 300_000  # an upstream may close a connection while a request is on its way to it
-REUSE_MEMORY = 16  # reuses in the moving average of connections that broke
+BREAK_SHARE_WINDOW = 16  # reuses in the moving average of connections that broke
 MAX_BREAK_SHARE = 0.15  # of reuses: a lost request costs about ten new connections
-BREAK_DECAY = 0.99  # per connection that is not reused, so that such connections are tried again
+BREAK_SHARE_DECAY = 0.99  # per connection that is not reused, so that such connections are tried again
 SWEEP_INTERVAL_S = 0.1
 FIRST_SWEEP_S = 1.0  # after the start
 
@@ -33,10 +33,10 @@
     way on one that has just become idle.
     """
 
-    def __init__(self, idle_us: int, dial_timeout_us: int, max_connections: int) -> None:
+    def __init__(self, upstream_idle_timeout_us: int, dial_timeout_us: int, max_connections: int) -> None:
         """Start empty; upstreams close a connection that has been idle for `idle_us`."""
         self.loop = asyncio.get_running_loop()
-        self.max_idle_us = max(0, idle_us - IDLE_MARGIN_US)
+        self.max_idle_us = max(0, upstream_idle_timeout_us - IDLE_MARGIN_US)
         # moving average of connections that broke at their next request, by log2 of their idle time
         self.break_shares = [0.0] * 64
         self.dial_timeout_us = dial_timeout_us
@@ -44,9 +44,9 @@
         self.connections: dict[int, set[UpstreamConnection]] = {}  # also those that are dialled
         self.idle: dict[int, list[UpstreamConnection]] = {}
         self.closing: set[UpstreamConnection] = set()  # their descriptors are not free yet
-        self.dials: set[asyncio.Task[None]] = set()
-        self.undialled: dict[UpstreamAttempt, int] = {}  # attempts without a connection, with their upstreams
-        self.sweeper = self.loop.call_later(FIRST_SWEEP_S, self.sweep)
+        self.dial_tasks: set[asyncio.Task[None]] = set()
+        self.pending_dials: dict[UpstreamAttempt, int] = {}  # attempts without a connection, with their upstreams
+        self.sweep_timer = self.loop.call_later(FIRST_SWEEP_S, self.sweep)
 
     def start(
         self,
@@ -63,24 +63,24 @@
         while idle := self.idle.get(upstream):
             connection = idle[0]
             idle_us = now_us - connection.idle_since_us
-            if idle_us < LATE_RESPONSE_US:
+            if idle_us < MIN_IDLE_BEFORE_REUSE_US:
                 break
-            if idle_us < self.max_idle_us and self.is_trusted(idle_us) and connection.is_usable():
+            if idle_us < self.max_idle_us and self.may_reuse(idle_us) and connection.is_usable():
                 self.take_idle(connection)
                 connection.idle_us = idle_us
                 connection.send(attempt)
                 return attempt
             connection.close()
-        self.undialled[attempt] = upstream
+        self.pending_dials[attempt] = upstream
         task = self.loop.create_task(self.dial(upstream, address, attempt))
-        self.dials.add(task)
-        task.add_done_callback(self.dials.discard)
+        self.dial_tasks.add(task)
+        task.add_done_callback(self.dial_tasks.discard)
         return attempt
 
     async def dial(self, upstream: int, address: Address, attempt: UpstreamAttempt) -> None:
         """Open a connection for an attempt; it sends the attempt once it is up."""
         has_capacity = await self.free_capacity(attempt)
-        del self.undialled[attempt]
+        del self.pending_dials[attempt]
         if attempt.cancelled:
             return
         if attempt.upstream_removed or not has_capacity:
@@ -97,8 +97,8 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self.dial_timeout_us / 1e6 or None):
                 await self.loop.sock_connect(sock, address)
-            made = connection
-            await self.loop.create_connection(lambda: made, sock=sock)
+            dialled_connection = connection
+            await self.loop.create_connection(lambda: dialled_connection, sock=sock)
         # Rejected, unreachable, no descriptor, or timed out.
         except OSError:
             self._on_dial_failed(connection, attempt)
@@ -132,19 +132,19 @@
     def _descriptors(self) -> int:
         return sum(map(len, self.connections.values())) + len(self.closing)
 
-    def is_trusted(self, idle_us: int) -> bool:
+    def may_reuse(self, idle_us: int) -> bool:
         """Return whether connections that were idle for this long may be used: a middlebox may drop them earlier
         than the settings promise, without notice, and each costs a request."""
-        age = idle_us.bit_length()
-        if self.break_shares[age] > MAX_BREAK_SHARE:
-            self.break_shares[age] *= BREAK_DECAY
+        bucket = idle_us.bit_length()
+        if self.break_shares[bucket] > MAX_BREAK_SHARE:
+            self.break_shares[bucket] *= BREAK_SHARE_DECAY
             return False
         return True
 
-    def observe_reuse(self, idle_us: int, broke: bool) -> None:
+    def record_reuse(self, idle_us: int, broke: bool) -> None:
         """Record whether a connection broke that had been idle for this long."""
-        age = idle_us.bit_length()
-        self.break_shares[age] += (float(broke) - self.break_shares[age]) / REUSE_MEMORY
+        bucket = idle_us.bit_length()
+        self.break_shares[bucket] += (float(broke) - self.break_shares[bucket]) / BREAK_SHARE_WINDOW
 
     def add(self, connection: UpstreamConnection) -> None:
         """Add a connection that is about to be dialled."""
@@ -190,13 +190,13 @@
         self.close_idle(upstream)
         for connection in self.connections.get(upstream, set()):
             connection.upstream_removed = True
-        for attempt, of_upstream in self.undialled.items():
-            attempt.upstream_removed |= of_upstream == upstream
+        for attempt, attempt_upstream in self.pending_dials.items():
+            attempt.upstream_removed |= attempt_upstream == upstream
 
     def sweep(self) -> None:
         """Close the connections that upstreams are about to close."""
-        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         oldest_us = clock_us() - self.max_idle_us
         for connections in list(self.idle.values()):
-            for connection in [one for one in connections if one.idle_since_us <= oldest_us]:
+            for connection in [connection for connection in connections if connection.idle_since_us <= oldest_us]:
                 connection.close()
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -34,31 +34,31 @@
     changes are pushed it never polls, and a watch is always kept open."""
 
     def __init__(
-        self, address: Address, registry: EndpointRegistry, listener: Listener, pushed: bool, known: Any = None
+        self, address: Address, registry: EndpointRegistry, listener: Listener, is_pushed: bool, cached_list: Any = None
     ) -> None:
         """Prepare a client; `known` is the cached list, in discovery's form."""
         self.loop = asyncio.get_running_loop()
         self.address = address
         self.registry = registry
         self.listener = listener
-        self.pushed = pushed
-        self.known = known
+        self.is_pushed = is_pushed
+        self.cached_list = cached_list
         self.version = 0
         self.is_subscribed = False  # also between two calls
         self.watch: EndpointWatch | None = None
-        self.dial: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.last_received_at = 0.0
         self.last_message_at = 0.0  # or when the call began; an empty line is a message
-        self.first_list = asyncio.Event()  # a list has arrived since the start
-        self.malformed_watches = 0  # in a row
+        self.first_list_received = asyncio.Event()  # a list has arrived since the start
+        self.consecutive_malformed_watches = 0  # in a row
         self.timer: asyncio.TimerHandle | None = None
 
     def restore_cached(self) -> None:
         """Notify of the list that the sidecar had before its start."""
-        if not self.known:
+        if not self.cached_list:
             return
         try:
-            event, addresses = self.registry.apply(self.known, ListKind.CACHED)
+            event, addresses = self.registry.apply(self.cached_list, ListKind.CACHED)
         except EndpointListError as error:  # the sidecar starts without it, and waits for a new one
             log.warning("cached endpoint list is malformed: %s", error)
             return
@@ -67,16 +67,16 @@
 
     def start(self) -> None:
         """Open the watch where changes are pushed; else the decision module subscribes."""
-        if self.pushed:
+        if self.is_pushed:
             self.subscribe(True)
 
     async def wait_for_first_list(self) -> None:
         """Wait for the first list where changes are pushed: the cached list may be older than a drain that counts as
         notified. With the agent silent, the cached one is the best there is."""
-        if self.pushed:
+        if self.is_pushed:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
-                    await self.first_list.wait()
+                    await self.first_list_received.wait()
 
     def subscribe(self, active: bool) -> None:
         """Open a watch in place of an earlier one, or close it."""
@@ -86,7 +86,7 @@
             self.watch = EndpointWatch(self)
             self.on_complete_message()
             self.timer = self.loop.call_later(SILENCE_TIMEOUT_S, self.check_liveness)
-            self.dial = self.loop.create_task(self.connect(self.watch))
+            self.connect_task = self.loop.create_task(self.connect(self.watch))
 
     def upstream_ids(self) -> Mapping[str, int]:
         """Return the number of each listed endpoint by its uid."""
@@ -106,8 +106,8 @@
         watch, self.watch = self.watch, None
         if self.timer is not None:
             self.timer.cancel()
-        if self.dial is not None:
-            self.dial.cancel()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         if watch is not None and watch.transport is not None:
             watch.transport.abort()
 
@@ -141,13 +141,13 @@
         """Apply a list or changes. Raises EndpointListError."""
         event, addresses = self.registry.apply(message)
         self.version = event.version
-        self.malformed_watches = 0
+        self.consecutive_malformed_watches = 0
         self.listener(event, addresses)
-        self.first_list.set()
+        self.first_list_received.set()
 
     def on_malformed(self) -> None:
         """Count a watch whose bytes could not be read."""
-        self.malformed_watches += 1
+        self.consecutive_malformed_watches += 1
 
     def on_watch_ended(self, watch: EndpointWatch) -> None:
         """Open the watch again after a pause where changes are pushed; else notify of the failure."""
@@ -156,13 +156,13 @@
         if watch.transport is not None:
             log.info("endpoint watch ended")
         self.stop()
-        silent_s = system.monotonic() - self.last_message_at
-        if self.pushed:
-            backoff_s = WATCH_RETRY_S * 2 ** min(self.malformed_watches, MAX_RETRY_DOUBLINGS)
-            backoff_s = min(backoff_s, max(WATCH_RETRY_S, MAX_CALL_GAP_S - silent_s))
+        silence_s = system.monotonic() - self.last_message_at
+        if self.is_pushed:
+            backoff_s = WATCH_RETRY_S * 2 ** min(self.consecutive_malformed_watches, MAX_RETRY_DOUBLINGS)
+            backoff_s = min(backoff_s, max(WATCH_RETRY_S, MAX_CALL_GAP_S - silence_s))
             self.timer = self.loop.call_later(backoff_s, self.subscribe, True)
             return
-        self.listener(UpstreamsUpdated(ListKind.FAILED, silent_us=int(1e6 * silent_s)), {})
+        self.listener(UpstreamsUpdated(ListKind.FAILED, silent_us=int(1e6 * silence_s)), {})
 
     def check_liveness(self) -> None:
         """Fail a watch that is silent, whose message never becomes complete, or whose connection does not come up."""
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -125,7 +125,7 @@
         self.last_ident = 0
         self.shutdown_at_us = 0  # when the process ends; 0 = not known yet
         self.events: deque[api.Event] = deque()
-        self.handling = False
+        self.is_dispatching = False
         self.balancer = Balancer(settings, seed, clock_us())
 
     # What happens
@@ -140,15 +140,15 @@
         self.last_ident += 1
         due_us = request.arrived_us + max(1, request.deadline_us - ANSWER_MARGIN_US)
         request.due_us = min(due_us, self.shutdown_at_us) if self.shutdown_at_us else due_us
-        opened = self.requests[self.last_ident] = OpenRequest(self.last_ident, request, reply)
+        open_request = self.requests[self.last_ident] = OpenRequest(self.last_ident, request, reply)
         # Whatever becomes of the module's own timers, no client is left without an answer.
-        opened.timer = self._call_at(request.due_us + BACKSTOP_DELAY_US, self._on_overdue, opened)
+        open_request.timer = self._call_at(request.due_us + BACKSTOP_DELAY_US, self._on_overdue, open_request)
         if self.observer is not None:
             self.observer.on_request(request.tenant, request.class_index)
         retry_number = self.retry_detector.retry_number(request) if self.retry_detector is not None else 0
         self._dispatch(
             api.RequestArrived(
-                opened.ident,
+                open_request.ident,
                 request.due_us,
                 request.class_index,
                 request.tenant,
@@ -158,15 +158,15 @@
                 retry_number,
             )
         )
-        return opened.ident
+        return open_request.ident
 
     def on_client_disconnected(self, ident: int) -> None:
         """Close the request of a client that has disconnected."""
-        opened = self.requests.get(ident)
-        if opened is not None and not opened.closed:
+        open_request = self.requests.get(ident)
+        if open_request is not None and not open_request.closed:
             if self.retry_detector is not None:
-                self.retry_detector.on_unserved(opened.request)
-            self._close(opened)
+                self.retry_detector.on_unserved(open_request.request)
+            self._close(open_request)
             self._dispatch(api.ClientDisconnected(ident))
 
     def on_endpoints(self, event: api.UpstreamsUpdated, addresses: dict[int, Address]) -> None:
@@ -193,16 +193,16 @@
     def set_shutdown_time(self, at_us: int) -> None:
         """Record when the process ends: every open or later request has its answer by then."""
         self.shutdown_at_us = at_us
-        for opened in self.requests.values():
-            if opened.timer is not None and opened.due_us > at_us:
-                opened.timer.cancel()
-                opened.timer = self._call_at(at_us, self._on_overdue, opened)
-                opened.request.due_us = at_us
+        for open_request in self.requests.values():
+            if open_request.timer is not None and open_request.due_us > at_us:
+                open_request.timer.cancel()
+                open_request.timer = self._call_at(at_us, self._on_overdue, open_request)
+                open_request.request.due_us = at_us
 
     @property
     def has_open_requests(self) -> bool:
         """Whether a request needs an answer."""
-        return any(not opened.closed for opened in self.requests.values())
+        return any(not open_request.closed for open_request in self.requests.values())
 
     @property
     def has_upstreams(self) -> bool:
@@ -218,24 +218,24 @@
     def _dispatch(self, event: api.Event) -> None:
         """Hand over an event and execute the actions; events that these cause at once are queued."""
         self.events.append(event)
-        if self.handling:
+        if self.is_dispatching:
             return
-        self.handling = True
+        self.is_dispatching = True
         try:
             while self.events:
                 self._handle(self.events.popleft())
         finally:
-            self.handling = False
+            self.is_dispatching = False
 
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self.balancer.handle(clock_us(), event)
         except Exception:  # one request that breaks the module must not take the others with it
             log.exception("decision module failed on %s", type(event).__name__)
-            opened = self.requests.get(getattr(event, "request", 0))
-            if opened is not None and not opened.closed:
-                self._answer(opened.ident, FinalAnswer(FinalOutcome.FAILED))
-                self.events.append(api.ClientDisconnected(opened.ident))
+            open_request = self.requests.get(getattr(event, "request", 0))
+            if open_request is not None and not open_request.closed:
+                self._answer(open_request.ident, FinalAnswer(FinalOutcome.FAILED))
+                self.events.append(api.ClientDisconnected(open_request.ident))
             return
         for action in actions:
             try:
@@ -269,108 +269,108 @@
 
     # Requests
 
-    def _check_client_connected(self, opened: OpenRequest) -> None:
+    def _close_if_client_disconnected(self, open_request: OpenRequest) -> None:
         """Close the request if its client has disconnected. The event loop may be late to read that, or may free a
         slot in the same turn; the request would then be forwarded in vain."""
-        if not opened.closed and opened.request.client_disconnected():
-            self.on_client_disconnected(opened.ident)
+        if not open_request.closed and open_request.request.client_disconnected():
+            self.on_client_disconnected(open_request.ident)
 
-    def _on_overdue(self, opened: OpenRequest) -> None:
-        if not opened.closed:
-            request_id = opened.request.request_id.decode()
+    def _on_overdue(self, open_request: OpenRequest) -> None:
+        if not open_request.closed:
+            request_id = open_request.request.request_id.decode()
             log.warning("request %s is overdue", request_id, extra={"request": request_id})
-            self._answer(opened.ident, FinalAnswer(FinalOutcome.FAILED))
-            self._dispatch(api.ClientDisconnected(opened.ident))
+            self._answer(open_request.ident, FinalAnswer(FinalOutcome.FAILED))
+            self._dispatch(api.ClientDisconnected(open_request.ident))
 
     def _answer(self, ident: int, answer: FinalAnswer) -> None:
         """Give a request its final answer; the only place that does."""
-        opened = self.requests.get(ident)
-        if opened is None or opened.closed:
+        open_request = self.requests.get(ident)
+        if open_request is None or open_request.closed:
             return
-        self._close(opened)
+        self._close(open_request)
         if answer.outcome is not FinalOutcome.SERVED:
-            self._log_unserved(opened, answer)
+            self._log_unserved(open_request, answer)
             if self.retry_detector is not None:
-                self.retry_detector.on_unserved(opened.request)
+                self.retry_detector.on_unserved(open_request.request)
             if self.observer is not None and answer.outcome is FinalOutcome.REJECTED:
                 self.observer.on_rejection()
-        opened.reply(answer)
+        open_request.reply(answer)
 
-    def _log_unserved(self, opened: OpenRequest, answer: FinalAnswer) -> None:
-        line = UnservedLine(opened, answer.outcome, clock_us() - opened.request.arrived_us)
+    def _log_unserved(self, open_request: OpenRequest, answer: FinalAnswer) -> None:
+        line = UnservedLine(open_request, answer.outcome, clock_us() - open_request.request.arrived_us)
         fields = {
             "request": line.request_id,
             "outcome": answer.outcome.value,
-            "upstreams": [attempt.upstream for attempt in opened.attempts],
+            "upstreams": [attempt.upstream for attempt in open_request.attempts],
         }
         log.info("%s", line, extra=fields)
 
-    def _close(self, opened: OpenRequest) -> None:
+    def _close(self, open_request: OpenRequest) -> None:
         """Record that a request needs no answer any more, and cancel what has not been written yet."""
-        opened.closed = True
-        if opened.timer is not None:
-            opened.timer.cancel()
-        for number, attempt in enumerate(opened.attempts):
+        open_request.closed = True
+        if open_request.timer is not None:
+            open_request.timer.cancel()
+        for attempt_index, attempt in enumerate(open_request.attempts):
             if attempt.in_flight is not None and not attempt.ended and not attempt.in_flight.written:
                 attempt.in_flight.cancel()
-                self._end_attempt(opened, number, AttemptResult(api.Outcome.NOT_SENT))
-        self._remove_if_done(opened)
+                self._end_attempt(open_request, attempt_index, AttemptResult(api.Outcome.NOT_SENT))
+        self._remove_if_done(open_request)
 
-    def _remove_if_done(self, opened: OpenRequest) -> None:
-        if opened.closed and all(attempt.ended for attempt in opened.attempts):
-            self.requests.pop(opened.ident, None)
+    def _remove_if_done(self, open_request: OpenRequest) -> None:
+        if open_request.closed and all(attempt.ended for attempt in open_request.attempts):
+            self.requests.pop(open_request.ident, None)
 
     # Attempts
 
     def _send(self, action: api.Send) -> None:
-        opened = self.requests.get(action.request)
-        if opened is None:
+        open_request = self.requests.get(action.request)
+        if open_request is None:
             return  # closed, and the module has been notified
-        self._check_client_connected(opened)
+        self._close_if_client_disconnected(open_request)
         now_us = clock_us()
-        number = len(opened.attempts)
+        attempt_index = len(open_request.attempts)
         attempt = TrackedAttempt(action.upstream, now_us)
-        opened.attempts.append(attempt)
+        open_request.attempts.append(attempt)
         address = self.addresses.get(action.upstream)
-        remaining_us = opened.due_us - now_us
-        is_valid = not opened.closed and remaining_us > 0 and action.timeout_us >= 0
-        if address is None or not is_valid or number >= self.settings.max_attempts:
-            self._end_attempt(opened, number, AttemptResult(api.Outcome.NOT_SENT))
+        remaining_us = open_request.due_us - now_us
+        is_valid = not open_request.closed and remaining_us > 0 and action.timeout_us >= 0
+        if address is None or not is_valid or attempt_index >= self.settings.max_attempts:
+            self._end_attempt(open_request, attempt_index, AttemptResult(api.Outcome.NOT_SENT))
             return
         timeout_us = min(action.timeout_us or remaining_us, remaining_us)
-        attempt.timer = self._call_at(now_us + timeout_us, self._on_timeout, opened, number)
+        attempt.timer = self._call_at(now_us + timeout_us, self._on_timeout, open_request, attempt_index)
         if self.observer is not None:
-            token = self._token(opened, number)
-            self.observer.on_attempt_started(action.upstream, token, opened.request.class_index)
+            token = self._token(open_request, attempt_index)
+            self.observer.on_attempt_started(action.upstream, token, open_request.request.class_index)
         attempt.in_flight = self.transport.start(
             action.upstream,
             address,
-            opened.request,
+            open_request.request,
             timeout_us,
-            lambda result: self._end_attempt(opened, number, result),
+            lambda result: self._end_attempt(open_request, attempt_index, result),
             action.latest_us,
         )
 
-    def _on_timeout(self, opened: OpenRequest, number: int) -> None:
-        self._abandon(opened, number, api.Outcome.TIMEOUT)
+    def _on_timeout(self, open_request: OpenRequest, attempt_index: int) -> None:
+        self._abandon(open_request, attempt_index, api.Outcome.TIMEOUT)
 
     def _cancel(self, action: api.Cancel) -> None:
-        opened = self.requests.get(action.request)
-        if opened is not None and action.attempt < len(opened.attempts):
-            self._abandon(opened, action.attempt, api.Outcome.CANCELLED)
+        open_request = self.requests.get(action.request)
+        if open_request is not None and action.attempt < len(open_request.attempts):
+            self._abandon(open_request, action.attempt, api.Outcome.CANCELLED)
 
-    def _abandon(self, opened: OpenRequest, number: int, outcome: api.Outcome) -> None:
-        attempt = opened.attempts[number]
+    def _abandon(self, open_request: OpenRequest, attempt_index: int, outcome: api.Outcome) -> None:
+        attempt = open_request.attempts[attempt_index]
         if attempt.ended or attempt.in_flight is None:
             return
         if not attempt.in_flight.written:
             outcome = api.Outcome.CONNECT_FAILED  # no connection in time: it never ran
         attempt.in_flight.cancel()
-        self._end_attempt(opened, number, AttemptResult(outcome))
+        self._end_attempt(open_request, attempt_index, AttemptResult(outcome))
 
-    def _end_attempt(self, opened: OpenRequest, number: int, result: AttemptResult) -> None:
+    def _end_attempt(self, open_request: OpenRequest, attempt_index: int, result: AttemptResult) -> None:
         """End an attempt; the only place that does."""
-        attempt = opened.attempts[number]
+        attempt = open_request.attempts[attempt_index]
         if attempt.ended:
             return
         attempt.outcome = result.outcome
@@ -379,20 +379,22 @@
             attempt.timer.cancel()
         if result.outcome is api.Outcome.OK:
             answer = FinalAnswer(FinalOutcome.SERVED, result.body, result.content_type, status=result.status)
-            self._answer(opened.ident, answer)
+            self._answer(open_request.ident, answer)
         elif result.outcome is api.Outcome.NOT_SENT:
-            self._check_client_connected(opened)
+            self._close_if_client_disconnected(open_request)
         elapsed_us = clock_us() - attempt.sent_us
         if self.observer is not None:
-            token = self._token(opened, number)
+            token = self._token(open_request, attempt_index)
             self.observer.on_attempt_ended(attempt.upstream, token, result.outcome, elapsed_us)
-        self._remove_if_done(opened)
+        self._remove_if_done(open_request)
         self._dispatch(
-            api.AttemptEnded(opened.ident, number, attempt.upstream, result.outcome, elapsed_us, opened.closed)
+            api.AttemptEnded(
+                open_request.ident, attempt_index, attempt.upstream, result.outcome, elapsed_us, open_request.closed
+            )
         )
 
-    def _token(self, opened: OpenRequest, number: int) -> int:
-        return opened.ident * self.settings.max_attempts + number
+    def _token(self, open_request: OpenRequest, attempt_index: int) -> int:
+        return open_request.ident * self.settings.max_attempts + attempt_index
 
     def _remove_upstream(self, upstream: int) -> None:
         if self.addresses.pop(upstream, None) is not None:
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -73,7 +73,7 @@
         self.upstream_ids: dict[str, int] = {}
         self.incarnations: dict[str, Incarnation] = {}
         self.last_id = 0
-        self.unix_to_clock_us = clock_us() - system.unix_ns() // 1000  # fixed at the start
+        self.unix_to_clock_offset_us = clock_us() - system.unix_ns() // 1000  # fixed at the start
 
     def apply(self, message: Any, kind: ListKind | None = None) -> EndpointUpdate:
         """Return the event for one list, with the addresses of its entries. Raises EndpointListError."""
@@ -85,40 +85,40 @@
     def _apply(self, message: Any, kind: ListKind | None) -> EndpointUpdate:
         if kind is None:
             kind = ListKind.FULL if message["all"] else ListKind.DELTA
-        listed = [self._entry(target) for target in message["targets"]]
+        endpoints = [self._parse_entry(target) for target in message["targets"]]
         if kind is not ListKind.DELTA:
-            self._keep_only({target["uid"] for target in message["targets"]})
+            self._forget_unlisted({target["uid"] for target in message["targets"]})
         for target in message["targets"]:
             if STATES[target["state"]] is UpstreamState.REMOVED:
                 self.upstream_ids.pop(target["uid"], None)
                 self.incarnations.pop(target["uid"], None)
-        upstreams = [endpoint.upstream for endpoint in listed]
+        upstreams = [endpoint.upstream for endpoint in endpoints]
         event = UpstreamsUpdated(kind, upstreams, int(message["rev"]))
-        numbered = zip(message["targets"], upstreams, strict=True)
+        listed_targets = zip(message["targets"], upstreams, strict=True)
         log.info(
             "endpoint list %d applied (%s): %s",
             event.version,
             kind.value,
-            " ".join(f"{target['uid']}={entry.id}:{entry.state.value}" for target, entry in numbered),
+            " ".join(f"{target['uid']}={entry.id}:{entry.state.value}" for target, entry in listed_targets),
             extra={"version": event.version},
         )
-        return EndpointUpdate(event, {endpoint.upstream.id: endpoint.address for endpoint in listed})
+        return EndpointUpdate(event, {endpoint.upstream.id: endpoint.address for endpoint in endpoints})
 
-    def _keep_only(self, listed: set[str]) -> None:
-        self.upstream_ids = {uid: ident for uid, ident in self.upstream_ids.items() if uid in listed}
-        self.incarnations = {uid: start for uid, start in self.incarnations.items() if uid in listed}
+    def _forget_unlisted(self, listed_uids: set[str]) -> None:
+        self.upstream_ids = {uid: upstream_id for uid, upstream_id in self.upstream_ids.items() if uid in listed_uids}
+        self.incarnations = {uid: incarnation for uid, incarnation in self.incarnations.items() if uid in listed_uids}
 
-    def _entry(self, target: Any) -> ListedEndpoint:
+    def _parse_entry(self, target: Any) -> ListedEndpoint:
         uid = target["uid"]
         if uid not in self.upstream_ids:
             self.last_id += 1
             self.upstream_ids[uid] = self.last_id
         boot_ms = int(target["boot_ms"])
-        known = self.incarnations.get(uid)
-        if known is None or known.boot_ms != boot_ms:  # one that restarts under its uid warms up again
-            known = self.incarnations[uid] = Incarnation(boot_ms, clock_us())
+        incarnation = self.incarnations.get(uid)
+        if incarnation is None or incarnation.boot_ms != boot_ms:  # one that restarts under its uid warms up again
+            incarnation = self.incarnations[uid] = Incarnation(boot_ms, clock_us())
         # By a wall clock that is behind, it would start in the future, and count as warming up for longer.
-        started_us = min(boot_ms * 1000 + self.unix_to_clock_us, known.first_listed_us) if boot_ms else 0
+        started_us = min(boot_ms * 1000 + self.unix_to_clock_offset_us, incarnation.first_listed_us) if boot_ms else 0
         entry = Upstream(
             id=self.upstream_ids[uid],
             state=STATES[target["state"]],
--- a/ryepier/sidecar/graceful_shutdown.py
+++ b/ryepier/sidecar/graceful_shutdown.py
@@ -25,18 +25,18 @@
     loop = asyncio.get_running_loop()
     max_deadline_s = max(request_class.deadline_us for request_class in dispatcher.settings.classes) / 1e6
     remaining_s = min(max_deadline_s, MAX_COUNTED_DEADLINE_S) + MIN_KILL_DELAY_S - KILL_MARGIN_S
-    last_at = loop.time() + remaining_s
+    answers_due_at = loop.time() + remaining_s
     dispatcher.set_shutdown_time(clock_us() + int(1e6 * remaining_s))
     listening_until = loop.time() + ARRIVAL_WINDOW_S
     while loop.time() < listening_until:
         await close_idle(front_ends)
     for front_end in front_ends:
         front_end.stop_listening()
-    while has_connections(front_ends) and loop.time() < last_at:
+    while has_connections(front_ends) and loop.time() < answers_due_at:
         await close_idle(front_ends)
     for front_end in front_ends:
         front_end.reject_partial_requests()
-    linger_until = last_at + LINGER_TIMEOUT_S
+    linger_until = answers_due_at + LINGER_TIMEOUT_S
     while dispatcher.has_open_requests or (has_connections(front_ends) and loop.time() < linger_until):
         await asyncio.sleep(POLL_INTERVAL_S)
 
--- a/ryepier/sidecar/json_stream.py
+++ b/ryepier/sidecar/json_stream.py
@@ -10,8 +10,8 @@
 from ryepier.errors import RyepierError
 
 MAX_OBJECT_BYTES = 4 * 1024 * 1024  # more than a list of 10,000 entries
-STRUCTURE = re.compile(rb'["{}\[\]]')
-STRING_END = re.compile(rb'["\\]')
+STRUCTURAL_BYTE = re.compile(rb'["{}\[\]]')
+STRING_END_OR_ESCAPE = re.compile(rb'["\\]')
 
 
 class JsonStreamError(RyepierError):
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         """Start before the first object."""
         self.pending = bytearray()
-        self.scanned = 0  # bytes of it
+        self.scanned_bytes = 0  # bytes of it
         self.depth = 0
         self.in_string = False
 
@@ -40,31 +40,33 @@
         while end := self._find_end():
             decoded = json.loads(self.pending[:end])
             del self.pending[:end]
-            self.scanned = 0
+            self.scanned_bytes = 0
             yield decoded
         if self.depth == 0:
             if self.pending.strip():
                 raise JsonStreamError("not an object")
             self.pending.clear()
-            self.scanned = 0
+            self.scanned_bytes = 0
         if len(self.pending) > MAX_OBJECT_BYTES:
             raise JsonStreamError("an object without end")
 
     def _find_end(self) -> int:
         """Return where the first pending object ends; 0 if it is incomplete."""
-        while found := (STRING_END if self.in_string else STRUCTURE).search(self.pending, self.scanned):
-            mark, self.scanned = found.group(), found.end()
-            if mark == b"\\":
-                if self.scanned == len(self.pending):  # the escaped character has not arrived
-                    self.scanned -= 1
+        while match := (STRING_END_OR_ESCAPE if self.in_string else STRUCTURAL_BYTE).search(
+            self.pending, self.scanned_bytes
+        ):
+            token, self.scanned_bytes = match.group(), match.end()
+            if token == b"\\":
+                if self.scanned_bytes == len(self.pending):  # the escaped character has not arrived
+                    self.scanned_bytes -= 1
                     return 0
-                self.scanned += 1
-            elif mark == b'"':
+                self.scanned_bytes += 1
+            elif token == b'"':
                 self.in_string = not self.in_string
             else:
-                self.depth += 1 if mark in b"{[" else -1
+                self.depth += 1 if token in b"{[" else -1
                 if self.depth <= 0:
                     self.depth = 0
-                    return self.scanned
-        self.scanned = len(self.pending)
+                    return self.scanned_bytes
+        self.scanned_bytes = len(self.pending)
         return 0
--- a/ryepier/sidecar/logs.py
+++ b/ryepier/sidecar/logs.py
@@ -19,13 +19,13 @@
         super().__init__()
         self.lines_per_second = lines_per_second
         self.second = 0
-        self.lines = {False: 0, True: 0}  # by whether they are warnings
+        self.line_counts = {False: 0, True: 0}  # by whether they are warnings
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether a record is within the limit."""
         second = int(time.monotonic())
         if second != self.second:
-            self.second, self.lines = second, {False: 0, True: 0}
+            self.second, self.line_counts = second, {False: 0, True: 0}
         is_warning = record.levelno >= logging.WARNING
-        self.lines[is_warning] += 1
-        return self.lines[is_warning] <= self.lines_per_second
+        self.line_counts[is_warning] += 1
+        return self.line_counts[is_warning] <= self.lines_per_second
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -25,7 +25,7 @@
 TENANT_HEADER = b"x-tenant"
 DEADLINE_LINE = b"X-Deadline-Ms: %d"  # header of an attempt
 
-MAX_DIGITS = 9  # of a header's integer
+MAX_INTEGER_DIGITS = 9  # of a header's integer
 LATIN_1_SIZE = 256  # characters
 HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -43,7 +43,7 @@
     )
 )
 # headers that must not be repeated: the upstream might go by the other one
-SINGLE_HEADERS = frozenset(
+UNREPEATABLE_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
@@ -58,10 +58,12 @@
         IDEMPOTENCY_KEY_HEADER,
     )
 )
-UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_.-~")  # bytes of a URL
+UNRESERVED_URL_BYTES = frozenset(
+    b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_.-~"
+)  # bytes of a URL
 IDENTIFIER = re.compile(rb"[!-~]{1,128}")
 HEADER_VALUE = re.compile(rb"[\t -~]*")
-NAME_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
+NAME_HEADER_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
 NAME_HEADERS = frozenset((CLASS_HEADER, TENANT_HEADER))  # their values are names of the settings, in any language
 
 
@@ -106,37 +108,37 @@
 
 def parse_integer(text: bytes, name: str) -> int:
     """Return a header's value as an integer of 0 or more. Raises RequestError."""
-    if not text.isdigit() or len(text) > MAX_DIGITS:
+    if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS:
         raise RequestError(400, f"{name} is no whole number")
     return int(text)
 
 
-def parse_headers(headers: list[Header], single: frozenset[bytes]) -> dict[bytes, bytes]:
+def parse_headers(headers: list[Header], unrepeatable: frozenset[bytes]) -> dict[bytes, bytes]:
     """Return the headers by their names in lower case; of repeated ones the last. Raises RequestError."""
-    found: dict[bytes, bytes] = {}
+    headers_by_name: dict[bytes, bytes] = {}
     for name, value in headers:
         name = name.lower()
-        if name in found and name in single:
+        if name in headers_by_name and name in unrepeatable:
             raise RequestError(400, "a header is repeated")
-        if not (NAME_VALUE if name in NAME_HEADERS else HEADER_VALUE).fullmatch(value):
+        if not (NAME_HEADER_VALUE if name in NAME_HEADERS else HEADER_VALUE).fullmatch(value):
             raise RequestError(400, "a header's value is not plain text")
-        found[name] = value.strip()
-    return found
+        headers_by_name[name] = value.strip()
+    return headers_by_name
 
 
 def percent_encode(name: str) -> bytes:
     """Return a name as a path carries it. `urllib.parse` would take three percent of the sidecar's start."""
-    return b"".join(b"%c" % byte if byte in UNRESERVED else b"%%%02X" % byte for byte in name.encode())
+    return b"".join(b"%c" % byte if byte in UNRESERVED_URL_BYTES else b"%%%02X" % byte for byte in name.encode())
 
 
 def index_by_spelling(names: Sequence[str]) -> dict[bytes, int]:
     """Return the index of each name by its spellings in a header or path: UTF-8, Latin-1, percent-encoded."""
-    found = {name.encode(): index for index, name in enumerate(names)}
+    indexes = {name.encode(): index for index, name in enumerate(names)}
     for index, name in enumerate(names):
-        found.setdefault(percent_encode(name), index)
-        if all(ord(letter) < LATIN_1_SIZE for letter in name):
-            found.setdefault(name.encode("latin-1"), index)
-    return found
+        indexes.setdefault(percent_encode(name), index)
+        if all(ord(character) < LATIN_1_SIZE for character in name):
+            indexes.setdefault(name.encode("latin-1"), index)
+    return indexes
 
 
 class TenantIndex:
@@ -145,12 +147,12 @@
     def __init__(self, settings: Settings) -> None:
         """Index the tenants of the settings."""
         self.indexes = index_by_spelling([tenant.name for tenant in settings.tenants])
-        self.unknown = len(settings.tenants)
+        self.unknown_index = len(settings.tenants)
 
     def find(self, headers: Mapping[bytes, bytes]) -> int:
         """Return the index of a request's tenant. A request without a known tenant must not count against a known
         one: its index is one beyond."""
-        return self.indexes.get(headers.get(TENANT_HEADER, b""), self.unknown)
+        return self.indexes.get(headers.get(TENANT_HEADER, b""), self.unknown_index)
 
 
 class PlatformDialect:
@@ -165,16 +167,16 @@
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Check a request and return it. What the protocol does not allow ends here: upstreams that reject it or
         close on it would cost their connections and the requests behind."""
-        found = parse_headers(headers, SINGLE_HEADERS)
-        index = self._class_index(target, found)
-        if not IDENTIFIER.fullmatch(found.get(REQUEST_ID_HEADER, b"")):
+        headers_by_name = parse_headers(headers, UNREPEATABLE_HEADERS)
+        index = self._class_index(target, headers_by_name)
+        if not IDENTIFIER.fullmatch(headers_by_name.get(REQUEST_ID_HEADER, b"")):
             raise RequestError(400, "no X-Request-Id")
         request_class = self.settings.classes[index]
         self._check_method(request_class.idempotency, method, body)
-        self._check_idempotency_key(request_class.idempotency, found)
-        key = found.get(KEY_HEADER)
-        cost = found.get(COST_HEADER)
-        deadline_us = 1000 * parse_integer(found.get(DEADLINE_HEADER, b""), "X-Deadline-Ms")
+        self._check_idempotency_key(request_class.idempotency, headers_by_name)
+        key = headers_by_name.get(KEY_HEADER)
+        cost = headers_by_name.get(COST_HEADER)
+        deadline_us = 1000 * parse_integer(headers_by_name.get(DEADLINE_HEADER, b""), "X-Deadline-Ms")
         return ClientRequest(
             method,
             target,
@@ -183,18 +185,18 @@
             clock_us(),
             deadline_us=min(deadline_us, request_class.deadline_us),  # bounds how long a request stays open
             class_index=index,
-            request_id=found[REQUEST_ID_HEADER],
-            tenant=self.tenants.find(found),
+            request_id=headers_by_name[REQUEST_ID_HEADER],
+            tenant=self.tenants.find(headers_by_name),
             key=stable_hash(key) if key else 0,
             cost_us=parse_integer(cost, "X-Cost-Hint") if cost else 0,
-            retried=found.get(RETRY_HEADER) == b"1",
+            retried=headers_by_name.get(RETRY_HEADER) == b"1",
         )
 
-    def _class_index(self, target: bytes, found: Mapping[bytes, bytes]) -> int:
+    def _class_index(self, target: bytes, headers_by_name: Mapping[bytes, bytes]) -> int:
         path = target.partition(b"?")[0]
         name = path[1:].split(b"/")[0]
         index = self.classes.get(name) if path.startswith(b"/") and b"#" not in target else None
-        if index is None or self.classes.get(found.get(CLASS_HEADER, b"")) != index:
+        if index is None or self.classes.get(headers_by_name.get(CLASS_HEADER, b"")) != index:
             raise RequestError(404, "unknown class")
         return index
 
@@ -206,11 +208,11 @@
             raise RequestError(400, "a GET has no body")
 
     @staticmethod
-    def _check_idempotency_key(idempotency: Idempotency, found: Mapping[bytes, bytes]) -> None:
+    def _check_idempotency_key(idempotency: Idempotency, headers_by_name: Mapping[bytes, bytes]) -> None:
         if idempotency is Idempotency.IDEMPOTENCY_KEY:
-            if not IDENTIFIER.fullmatch(found.get(IDEMPOTENCY_KEY_HEADER, b"")):
+            if not IDENTIFIER.fullmatch(headers_by_name.get(IDEMPOTENCY_KEY_HEADER, b"")):
                 raise RequestError(400, "no Idempotency-Key")
-        elif IDEMPOTENCY_KEY_HEADER in found:
+        elif IDEMPOTENCY_KEY_HEADER in headers_by_name:
             raise RequestError(400, "an Idempotency-Key, but not for this class")
 
     @staticmethod
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -22,28 +22,28 @@
 FIRST_REQUEST_GRACE_S = 0.25  # a client that connects sends its request at once
 SWEEP_INTERVAL_S = 0.1
 LISTEN_BACKLOG = 1024
-ACCEPTS_PER_TURN = 16  # connections; hundreds in one turn would delay the open ones
+ACCEPT_BATCH_SIZE = 16  # connections; hundreds in one turn would delay the open ones
 ACCEPT_PAUSE_S = 0.05  # without capacity
 PARTIAL_RETRY_AFTER_US = 250_000  # for a rejected request that has arrived in part, whose class is not known
 
 
-class Eviction(NamedTuple):
+class EvictionRule(NamedTuple):
     """Connections that may be evicted for a new one."""
 
     state: ClientState
-    quiet_s: float  # in that state, and without a byte, for this long
+    min_inactive_s: float  # in that state, and without a byte, for this long
     partial: bool  # whether part of a request has arrived
 
 
 # In the order of their use. A client that has just connected is about to send its request; where none of these is left,
 # new connections wait in the listener's queue.
-EVICTIONS = (
-    Eviction(ClientState.CLOSING, 0.0, partial=False),
-    Eviction(ClientState.NEW, FIRST_REQUEST_GRACE_S, partial=False),
-    Eviction(ClientState.IDLE, 2.0, partial=False),
-    Eviction(ClientState.NEW, FIRST_REQUEST_GRACE_S, partial=True),
-    Eviction(ClientState.READING, FIRST_REQUEST_GRACE_S, partial=True),
-    Eviction(ClientState.IDLE, 0.0, partial=False),
+EVICTION_RULES = (
+    EvictionRule(ClientState.CLOSING, 0.0, partial=False),
+    EvictionRule(ClientState.NEW, FIRST_REQUEST_GRACE_S, partial=False),
+    EvictionRule(ClientState.IDLE, 2.0, partial=False),
+    EvictionRule(ClientState.NEW, FIRST_REQUEST_GRACE_S, partial=True),
+    EvictionRule(ClientState.READING, FIRST_REQUEST_GRACE_S, partial=True),
+    EvictionRule(ClientState.IDLE, 0.0, partial=False),
 )
 
 
@@ -63,13 +63,13 @@
         self.dispatcher = dispatcher
         self.address = address
         self.dialect = dialect or PlatformDialect(settings)
-        self.recent_ids = RecentRequestIds(max(kind.deadline_us for kind in settings.classes) / 1e6)
+        self.recent_ids = RecentRequestIds(max(request_class.deadline_us for request_class in settings.classes) / 1e6)
         self.max_clients = max_clients
         max_retry_after_us = settings.max_retry_after_us if settings.retry_after else 0
         self.partial_retry_after_us = min(PARTIAL_RETRY_AFTER_US, max_retry_after_us)
         # each in the order in which its state began, so that the oldest is found at once
-        self.clients: dict[ClientState, dict[ClientConnection, None]] = {state: {} for state in ClientState}
-        self.accepting: set[asyncio.Task[object]] = set()
+        self.clients_by_state: dict[ClientState, dict[ClientConnection, None]] = {state: {} for state in ClientState}
+        self.start_tasks: set[asyncio.Task[object]] = set()
         self.is_stopping = False
         self.sock: socket.socket | None = None
 
@@ -80,9 +80,9 @@
 
     def connection_count(self) -> int:
         """Return how many connections are open."""
-        return sum(len(group) for group in self.clients.values())
+        return sum(len(group) for group in self.clients_by_state.values())
 
-    def is_crowded(self) -> bool:
+    def has_many_connections(self) -> bool:
         """Return whether new connections should close after their first response, as many are open."""
         return self.connection_count() > self.max_clients // 2
 
@@ -98,7 +98,7 @@
     def accept(self) -> None:
         """Accept some of the waiting connections. asyncio's own server would accept all of them at once, and stop for
         a second where no descriptor is left."""
-        self.accept_up_to(ACCEPTS_PER_TURN)
+        self.accept_up_to(ACCEPT_BATCH_SIZE)
 
     def accept_up_to(self, limit: int) -> None:
         """Accept waiting connections, `limit` of them at most."""
@@ -118,10 +118,10 @@
                 return
             sock.setblocking(False)
             client = ClientConnection(self, sock)
-            self.clients[ClientState.NEW][client] = None
+            self.clients_by_state[ClientState.NEW][client] = None
             task = self.loop.create_task(self.start_connection(client, sock))
-            self.accepting.add(task)
-            task.add_done_callback(self.accepting.discard)
+            self.start_tasks.add(task)
+            task.add_done_callback(self.start_tasks.discard)
 
     async def start_connection(self, client: ClientConnection, sock: socket.socket) -> None:
         """Start reading from an accepted connection."""
@@ -151,41 +151,41 @@
         Without a bound no descriptor would be left for upstreams and discovery.
         """
         now = system.monotonic()
-        for eviction in EVICTIONS:
-            evictable = self.evictable(eviction, now - eviction.quiet_s)
-            if eviction.partial:
-                for client in list(itertools.islice(evictable, ACCEPTS_PER_TURN)):
+        for rule in EVICTION_RULES:
+            candidates = self.evictable(rule, now - rule.min_inactive_s)
+            if rule.partial:
+                for client in list(itertools.islice(candidates, ACCEPT_BATCH_SIZE)):
                     client.reject_partial()
-            elif (idle := next(evictable, None)) is not None:
-                idle.close()
-                self.remove(idle)
+            elif (evicted := next(candidates, None)) is not None:
+                evicted.close()
+                self.remove(evicted)
                 return True
         return False
 
-    def evictable(self, eviction: Eviction, quiet_since: float) -> Iterator[ClientConnection]:
+    def evictable(self, rule: EvictionRule, inactive_since: float) -> Iterator[ClientConnection]:
         """Yield the connections that may be evicted, the oldest first."""
-        for client in self.clients[eviction.state]:
-            if client.state_since > quiet_since:
+        for client in self.clients_by_state[rule.state]:
+            if client.state_since > inactive_since:
                 return
             if (
                 client.transport is not None
-                and client.reader.is_partial is eviction.partial
+                and client.reader.is_partial is rule.partial
                 and client.is_flushed
-                and client.last_received <= quiet_since
-                and (eviction.state is ClientState.CLOSING or client.has_nothing_unread())
+                and client.last_received_at <= inactive_since
+                and (rule.state is ClientState.CLOSING or client.has_nothing_unread())
             ):
                 yield client
 
     def change_state(self, client: ClientConnection, state: ClientState) -> None:
         """Move a connection to another state."""
-        if client in self.clients[client.state]:
-            del self.clients[client.state][client]
+        if client in self.clients_by_state[client.state]:
+            del self.clients_by_state[client.state][client]
             client.state, client.state_since = state, system.monotonic()
-            self.clients[state][client] = None
+            self.clients_by_state[state][client] = None
 
     def remove(self, client: ClientConnection) -> None:
         """Remove a connection."""
-        self.clients[client.state].pop(client, None)
+        self.clients_by_state[client.state].pop(client, None)
 
     def sweep(self) -> None:
         """End states that have lasted too long, or silent clients would hold connections forever."""
@@ -193,7 +193,7 @@
         now = system.monotonic()
         for state, timeout_s in STATE_TIMEOUTS_S.items():
             timed_out = []
-            for client in self.clients[state]:
+            for client in self.clients_by_state[state]:
                 if client.state_since > now - timeout_s:
                     break
                 timed_out.append(client)
@@ -206,10 +206,10 @@
         """Let each response from now on be the last of its connection, and close idle connections, but for those whose
         first request may be on its way."""
         self.is_stopping = True
-        first_request_by = system.monotonic() - FIRST_REQUEST_GRACE_S
+        grace_period_start = system.monotonic() - FIRST_REQUEST_GRACE_S
         for state in (ClientState.IDLE, ClientState.NEW):
-            for client in list(self.clients[state]):
-                awaits_request = state is ClientState.NEW and client.state_since > first_request_by
+            for client in list(self.clients_by_state[state]):
+                awaits_request = state is ClientState.NEW and client.state_since > grace_period_start
                 if (
                     client.reader.received_bytes == 0
                     and client.transport is not None
@@ -230,6 +230,6 @@
     def reject_partial_requests(self) -> None:
         """Answer the requests that have arrived in part: the rest may arrive too late for the shutdown."""
         for state in (ClientState.NEW, ClientState.READING):
-            for client in list(self.clients[state]):
+            for client in list(self.clients_by_state[state]):
                 if client.transport is not None:
                     client.reject_partial()
--- a/ryepier/sidecar/serving.py
+++ b/ryepier/sidecar/serving.py
@@ -29,27 +29,31 @@
 
 
 async def serve(
-    settings: config.Config, stop: asyncio.Event, reload: asyncio.Event, components: Components = PLATFORM
+    sidecar_config: config.Config, stop: asyncio.Event, reload: asyncio.Event, components: Components = PLATFORM
 ) -> None:
     """Serve until `stop` is set, then shut down gracefully."""
-    max_connections = settings.max_descriptors * 3 // 8
-    pool = ConnectionPool(settings.upstream_idle_timeout_us, settings.settings.connect_timeout_us, max_connections)
-    dispatcher = RequestDispatcher(settings.settings, settings.seed, pool)
-    source = components.source(settings, dispatcher)
+    max_connections = sidecar_config.max_descriptors * 3 // 8
+    pool = ConnectionPool(
+        sidecar_config.upstream_idle_timeout_us, sidecar_config.settings.connect_timeout_us, max_connections
+    )
+    dispatcher = RequestDispatcher(sidecar_config.settings, sidecar_config.seed, pool)
+    source = components.source(sidecar_config, dispatcher)
     dispatcher.subscribe = source.subscribe
     source.restore_cached()
     dispatcher.start()
     source.start()
-    front_ends = [make(settings, dispatcher) for make in components.front_ends]
-    background_services = [make(settings, dispatcher, source) for make in components.background_services]
-    following = asyncio.get_running_loop().create_task(follow_config(settings.path, reload, source))
+    front_ends = [make_front_end(sidecar_config, dispatcher) for make_front_end in components.front_ends]
+    background_services = [
+        make_service(sidecar_config, dispatcher, source) for make_service in components.background_services
+    ]
+    reload_task = asyncio.get_running_loop().create_task(follow_config(sidecar_config.path, reload, source))
     for service in background_services:
         service.start()
     await source.wait_for_first_list()
     for front_end in front_ends:
         front_end.listen()
     await stop.wait()
-    following.cancel()
+    reload_task.cancel()
     await shut_down(dispatcher, front_ends)
     for service in background_services:
         service.stop()
--- a/ryepier/sidecar/upstream_connection.py
+++ b/ryepier/sidecar/upstream_connection.py
@@ -122,7 +122,7 @@
     def put_idle(self, connection: UpstreamConnection) -> None:
         """Keep a connection for later attempts."""
 
-    def observe_reuse(self, idle_us: int, broke: bool) -> None:
+    def record_reuse(self, idle_us: int, broke: bool) -> None:
         """Record whether a connection broke that had been idle for this long."""
 
     def remove(self, connection: UpstreamConnection) -> None:
@@ -243,7 +243,7 @@
         response, self.response = self.response, None
         received_bytes = response.received_bytes if response is not None else 0
         if self.idle_us > 0:
-            self.pool.observe_reuse(self.idle_us, broke=outcome is Outcome.RESET and received_bytes == 0)
+            self.pool.record_reuse(self.idle_us, broke=outcome is Outcome.RESET and received_bytes == 0)
         if outcome is Outcome.RESET and attempt is not None:
             self._log_reset(attempt, received_bytes)
         result = AttemptResult(outcome)
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -176,7 +176,7 @@
         dispatcher.on_endpoints(event, addresses)
 
     registry = EndpointRegistry(["a"], ["m"])
-    client = DiscoveryClient(("127.0.0.1", agent.port), registry, listener, is_pushed, known=OLD)
+    client = DiscoveryClient(("127.0.0.1", agent.port), registry, listener, is_pushed, cached_list=OLD)
     dispatcher.subscribe = client.subscribe
     client.restore_cached()
     dispatcher.start()
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -64,17 +64,19 @@
     """A request whose upstream's connection is reset or refused loses its answer."""
     end_attempt = RequestDispatcher._end_attempt
 
-    def end_and_forget(self: RequestDispatcher, opened: OpenRequest, number: int, result: AttemptResult) -> None:
+    def end_and_forget(
+        self: RequestDispatcher, open_request: OpenRequest, attempt_index: int, result: AttemptResult
+    ) -> None:
         if result.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
-            drop([opened])
-        end_attempt(self, opened, number, result)
+            drop([open_request])
+        end_attempt(self, open_request, attempt_index, result)
 
     RequestDispatcher._end_attempt = end_and_forget  # type: ignore[method-assign]
 
 
 def ignore_pieces() -> None:
     """A request that does not come in each piece is never taken."""
-    received, accept = ClientConnection.data_received, ClientConnection._accept
+    received, accept = ClientConnection.data_received, ClientConnection._accept_request
 
     def count_pieces(self: ClientConnection, data: bytes) -> None:
         self.pieces = getattr(self, "pieces", 0) + 1  # type: ignore[attr-defined]
@@ -85,7 +87,7 @@
             accept(self)
 
     ClientConnection.data_received = count_pieces  # type: ignore[method-assign]
-    ClientConnection._accept = accept_unsplit  # type: ignore[method-assign]
+    ClientConnection._accept_request = accept_unsplit  # type: ignore[method-assign]
 
 
 def close_partial_on_shutdown() -> None:
@@ -95,7 +97,7 @@
     def close_idle_and_partial(self: Server) -> None:
         close_idle(self)
         for state in (ClientState.NEW, ClientState.READING):
-            for client in list(self.clients[state]):
+            for client in list(self.clients_by_state[state]):
                 if client.reader.received_bytes:
                     client.close()
 
--- a/tests/test_connection_eviction.py
+++ b/tests/test_connection_eviction.py
@@ -32,8 +32,8 @@
     reader, writer = await it.connect()
     writer.write(request("pay", "1"))
     assert status_of(await read_message(reader)) == 200
-    await wait_until(lambda: len(servers[0].clients[ClientState.IDLE]) == 1)
-    return reader, writer, next(iter(servers[0].clients[ClientState.IDLE]))
+    await wait_until(lambda: len(servers[0].clients_by_state[ClientState.IDLE]) == 1)
+    return reader, writer, next(iter(servers[0].clients_by_state[ClientState.IDLE]))
 
 
 def test_connection_on_which_a_request_has_arrived_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -83,7 +83,9 @@
             server = servers[0]
             await wait_until(lambda: server.connection_count() == 0)
             with socket.create_connection(("127.0.0.1", it.port), timeout=HANG_TIMEOUT_S) as client:
-                await wait_until(lambda: any(each.transport is not None for each in server.clients[ClientState.NEW]))
+                await wait_until(
+                    lambda: any(each.transport is not None for each in server.clients_by_state[ClientState.NEW])
+                )
                 await asyncio.sleep(FIRST_REQUEST_GRACE_S)  # from now on it may be evicted
                 assert server.free_capacity()
                 client.sendall(request("pay", body=b"0123456789")[:-5])  # before the loop's next turn
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -64,7 +64,7 @@
         assert {result.outcome for result in results} == {Outcome.OK}
         assert max_open == MAX_POOL_CONNECTIONS
         pool.start(0, ("127.0.0.1", upstreams[0].port), call, ATTEMPT_TIMEOUT_US, results.append).cancel()
-        await wait_until(lambda: not pool.dials)
+        await wait_until(lambda: not pool.dial_tasks)
         assert len(pool.idle[1]) == 8  # none is evicted for an attempt that was given up
         given_up = [
             pool.start(0, ("127.0.0.1", upstreams[0].port), call, ATTEMPT_TIMEOUT_US, results.append) for _ in range(8)
@@ -73,12 +73,12 @@
         for attempt in given_up[:4]:
             attempt.cancel()
         pool.remove_upstream(0)
-        await wait_until(lambda: len(results) == 20 and not pool.dials)
+        await wait_until(lambda: len(results) == 20 and not pool.dial_tasks)
         assert {result.outcome for result in results[16:]} == {Outcome.CONNECT_FAILED}
         assert len(upstreams[0].requests) == 8
         for upstream in upstreams:
             upstream.stop()
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
 
     run_async(test)
 
@@ -99,7 +99,7 @@
         await wait_until(lambda: len(results) == 12)
         assert {result.outcome for result in results[4:]} == {Outcome.OK}
         upstream.stop()
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
 
     run_async(test)
 
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -40,7 +40,7 @@
 def test_connection_is_reused_unless_it_brought_surplus_bytes_or_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "LATE_RESPONSE_US", 0)  # requests come one right after the other
+    monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # requests come one right after the other
 
     async def test() -> None:
         more, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
@@ -54,7 +54,7 @@
 
 
 def test_connection_is_reused_by_upstream_and_not_by_address(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "LATE_RESPONSE_US", 0)  # requests come one right after the other
+    monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # requests come one right after the other
 
     async def test() -> None:
         held, discovery = asyncio.Event(), Discovery()
@@ -120,11 +120,11 @@
         for attempt in open_ones:
             attempt.cancel()
         begin(0).cancel()  # before its dial began
-        await wait_until(lambda: not pool.dials and pool.connections == {})
+        await wait_until(lambda: not pool.dial_tasks and pool.connections == {})
         assert len(upstreams[0].requests) == 1
         for upstream in upstreams:
             upstream.stop()
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
 
     run_async(test)
 
@@ -133,14 +133,14 @@
     async def test() -> None:
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         for _ in range(30):
-            assert pool.is_trusted(200_000) and pool.is_trusted(20_000)
-            pool.observe_reuse(200_000, broke=False)
-            pool.observe_reuse(20_000, broke=False)
+            assert pool.may_reuse(200_000) and pool.may_reuse(20_000)
+            pool.record_reuse(200_000, broke=False)
+            pool.record_reuse(20_000, broke=False)
         for _ in range(3):
-            pool.observe_reuse(200_000, broke=True)
-        assert not pool.is_trusted(210_000) and pool.is_trusted(20_000) and pool.is_trusted(2_000_000)
-        await wait_until(lambda: pool.is_trusted(200_000))  # they are tried again in time
-        pool.sweeper.cancel()
+            pool.record_reuse(200_000, broke=True)
+        assert not pool.may_reuse(210_000) and pool.may_reuse(20_000) and pool.may_reuse(2_000_000)
+        await wait_until(lambda: pool.may_reuse(200_000))  # they are tried again in time
+        pool.sweep_timer.cancel()
 
     async def over_sockets() -> None:
         async def script(
@@ -163,7 +163,7 @@
             await wait_until(partial(ended, number + 1))
         assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30  # else each second one
         upstream.stop()
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
 
     run_async(test)
     run_async(over_sockets)
@@ -249,7 +249,7 @@
             Outcome.MALFORMED_RESPONSE if early else Outcome.CONNECT_FAILED
         ]
         assert pool.idle == {} and pool.connections == {} and connection.state is not ConnectionState.OPEN
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
 
     run_async(test)
 
@@ -326,7 +326,7 @@
         await wait_until(lambda: len(results) == 2)
         assert results[1].outcome is Outcome.OK and len(upstream.requests) == 1
         upstream.stop()
-        pool.sweeper.cancel()
+        pool.sweep_timer.cancel()
 
     run_async(test)
 
