--- a/ryepier/__main__.py
+++ b/ryepier/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ryepier`: the same as the `ryepier` command."""
+"""Entry point of `python -m ryepier`, which does the same as the `ryepier` command."""
 
 from ryepier.cli import main
 
--- a/ryepier/sidecar/__init__.py
+++ b/ryepier/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""A sidecar balancer on real sockets; its decisions are made in ryepier.balancer."""
+"""Sidecar process: sockets, HTTP and discovery; the balancing decisions are made in ryepier.balancer."""
--- a/ryepier/sidecar/__main__.py
+++ b/ryepier/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""Program of one sidecar: `python -m ryepier.sidecar`, with its configuration file in BALANCER_CONFIG."""
+"""Entry point of the sidecar process: `python -m ryepier.sidecar`; BALANCER_CONFIG names the configuration file."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     """Serve until SIGTERM; SIGHUP reloads the configuration."""
     stop, reload = asyncio.Event(), asyncio.Event()
     loop = asyncio.get_running_loop()
-    # By default either signal ends the process and loses what is open; so before the first client.
+    # By default either signal ends the process and drops open requests, so install the handlers before serving clients.
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     await serve(sidecar_config, stop, reload, components)
-    # The end of the loop removes the handlers.
+    # Closing the event loop removes the handlers; a second signal would then kill the process before it exits.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGHUP})
 
 
 def main() -> int:
-    """Run the sidecar. Returns the exit status: 0 after SIGTERM, 2 for a wrong configuration."""
+    """Run the sidecar and return its exit status: 0 after SIGTERM, 2 if the configuration is invalid."""
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=sys.stderr)
     logging.getLogger().handlers[0].addFilter(RateLimitFilter())
     try:
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of the application; it carries one request at a time."""
+"""A client's HTTP/1.1 connection to the sidecar, which carries one request at a time."""
 
 from __future__ import annotations
 
@@ -21,34 +21,35 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-MAX_CHUNKED_BYTES = 8 * MAX_BODY_BYTES  # of a chunked message: chunks of one byte take six each
-MAX_DISCARDED_BYTES = 64 * 1024  # behind the last request; then reading stops
-READ_TIMEOUT_S = 2.4  # from the connection to its first request, and to send a later one
-SLOW_READ_TIMEOUT_S = 6.0  # to send a later request whose bytes keep arriving
-READ_STALL_S = 0.8  # without a byte, from which the bytes of a request do not keep arriving
+MAX_CHUNKED_BYTES = 8 * MAX_BODY_BYTES  # limit of a chunked message: a chunk of one byte takes six bytes
+MAX_DISCARDED_BYTES = 64 * 1024  # received after the last request; beyond this, reading is paused
+READ_TIMEOUT_S = 2.4  # from connecting to the complete first request, and to send a later request
+SLOW_READ_TIMEOUT_S = 6.0  # to send a later request, as long as bytes keep arriving
+READ_STALL_S = 0.8  # a request of which no byte arrives for this long has stalled
 IDLE_TIMEOUT_S = 60.0
-LINGER_TIMEOUT_S = 1.0  # for the client to read the last response
-FLUSH_TIMEOUT_S = 5.0  # in addition, while part of a response waits in the process
+LINGER_TIMEOUT_S = 1.0  # for the client to read the last response and close the connection
+FLUSH_TIMEOUT_S = 5.0  # added to a state's timeout while part of a response is in the write buffer
 SUPPORTED_VERSIONS = ("1.0", "1.1")
 REASONS = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 PIPELINING_REJECTION = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 class ClientState(enum.Enum):
-    """State of a connection of the application.
+    """State of a client connection.
 
-    NEW -> PROCESSING on a first request; PROCESSING -> IDLE with its response; IDLE -> READING -> PROCESSING on each
-    further one. Each of them -> CLOSING with the last response, or when the connection is of no more use.
+    NEW -> PROCESSING when the first request is complete; PROCESSING -> IDLE when its response is written; IDLE ->
+    READING -> PROCESSING for each further request. Any state -> CLOSING when the last response is written or the
+    connection is closed.
     """
 
     NEW = enum.auto()  # no complete request has arrived yet
     IDLE = enum.auto()  # between requests
     READING = enum.auto()  # part of a further request has arrived
-    PROCESSING = enum.auto()  # a request has been accepted and not answered
-    CLOSING = enum.auto()  # has its last response
+    PROCESSING = enum.auto()  # a request was accepted and has no answer yet
+    CLOSING = enum.auto()  # the last response is written
 
 
-# How long a connection may stay in a state; a request in process has its own deadline.
+# How long a connection may stay in a state. PROCESSING has no entry, as a request has its own deadline.
 STATE_TIMEOUTS_S = {
     ClientState.NEW: READ_TIMEOUT_S,
     ClientState.IDLE: IDLE_TIMEOUT_S,
@@ -58,12 +59,12 @@
 
 
 class RequestReader:
-    """Collects one request from the parser's callbacks."""
+    """Collects one request from the callbacks of the HTTP parser."""
 
     __slots__ = ("body", "chunked", "head_complete", "headers", "is_complete", "received_bytes", "target")
 
     def __init__(self) -> None:
-        """Start before the first byte."""
+        """Start before the first byte of a request."""
         self.is_complete = False
         self.head_complete = False
         self.chunked = False
@@ -74,11 +75,11 @@
 
     @property
     def is_partial(self) -> bool:
-        """Whether part of a request has arrived, and not all of it."""
+        """Whether a request has arrived in part but not completely."""
         return self.received_bytes > 0 and not self.is_complete
 
     def add_header(self, name: bytes, value: bytes) -> None:
-        """Read a header. Raises RequestError."""
+        """Add a header. Raises RequestError for a transfer coding other than chunked, or a body that is too long."""
         lower_name = name.lower()
         if lower_name == b"transfer-encoding":
             if value.strip().lower() != b"chunked":
@@ -89,13 +90,13 @@
         self.headers.append((name, value))
 
     def add_body(self, data: bytes) -> None:
-        """Read part of the body. Raises RequestError if it is too long: a chunked one has no length in its head."""
+        """Add bytes to the body. Raises RequestError if it is too long, as a chunked body has no length in its head."""
         self.body += data
         if len(self.body) > MAX_BODY_BYTES:
             raise RequestError(413, "the body is too long")
 
     def check_length(self) -> None:
-        """Raise RequestError if the head, or the chunks with their extensions and trailers, are too long."""
+        """Raise RequestError if the head, or a chunked body with its extensions and trailers, is too long."""
         if not self.head_complete and self.received_bytes > MAX_HEAD_BYTES:
             raise RequestError(413, "the head is too long")
         if self.chunked and not self.is_complete and self.received_bytes > MAX_CHUNKED_BYTES:
@@ -103,20 +104,20 @@
 
 
 class ClientConnectionOwner(Protocol):
-    """The server that a connection belongs to, as far as the connection needs it."""
+    """The part of the server that its connections use."""
 
     dialect: Dialect
     dispatcher: RequestDispatcher
     recent_ids: RecentRequestIds
-    partial_retry_after_us: int  # for a rejected request that has arrived in part; 0 = no Retry-After
-    is_stopping: bool  # each response is the last of its connection
+    partial_retry_after_us: int  # for rejected partial requests; 0 = no Retry-After header
+    is_stopping: bool  # the server shuts down: each response is the last of its connection
 
     @property
     def is_ready(self) -> bool:
-        """Whether requests are accepted and there are upstreams for them."""
+        """Whether the sidecar accepts requests and has upstreams to send them to."""
 
     def has_many_connections(self) -> bool:
-        """Return whether new connections should close after their first response."""
+        """Return whether so many connections are open that new ones should close after their first response."""
 
     def change_state(self, client: ClientConnection, state: ClientState) -> None:
         """Move a connection to another state."""
@@ -126,80 +127,82 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection of the application."""
+    """A client connection: reads requests, passes them to the dispatcher, and writes the responses."""
 
     def __init__(self, server: ClientConnectionOwner, sock: socket.socket) -> None:
-        """Start before the first request."""
+        """Create the connection of an accepted socket, in state NEW. It reads once `connection_made` is called."""
         self.server = server
         self.sock = sock
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.state = ClientState.NEW
         self.state_since = system.monotonic()
-        self.last_received_at = 0.0  # when the last bytes of the current request arrived
+        self.last_received_at = 0.0  # time of the current request's last bytes; 0 = none yet
         self.reader = RequestReader()
-        self.request: ClientRequest | None = None  # in process
-        self.request_number = 0  # the dispatcher's number of that
-        self.pipelined = False  # bytes arrived behind the request in process
+        self.request: ClientRequest | None = None  # the request being processed
+        self.request_number = 0  # the number that the dispatcher gave to `request`
+        self.pipelined = False  # bytes arrived after the request being processed
         self.closes_after_response = False
         self.discarded_bytes = 0
         self.responses = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start reading."""
+        """Store the transport, unless the connection was evicted before it came up."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self.state is ClientState.CLOSING:  # closed to free capacity while it came up
+        if self.state is ClientState.CLOSING:  # it was evicted while it was being set up
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the server and close the request in process."""
+        """Remove the connection from the server and close its open request."""
         self.server.remove(self)
-        # The parser and this object refer to each other, and would wait for a rare full garbage collection.
+        # Break the reference cycle with the parser; it would otherwise stay until the next full garbage collection, and
+        # those are rare.
         self.parser = self.request = None
         if self.state is ClientState.PROCESSING:
             self.server.dispatcher.on_client_disconnected(self.request_number)
 
-    # Callbacks of the parser
+    # Callbacks of the HTTP parser
 
     def on_message_begin(self) -> None:
-        """Note a request behind a complete one."""
+        """Record that another request was sent before the current one was answered."""
         if self.reader.is_complete:
             self.pipelined = True
 
     def on_url(self, url: bytes) -> None:
-        """Read part of the target."""
+        """Append a part of the request target."""
         if not self.reader.is_complete:
             self.reader.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read a header; trailers are ignored, as they could contradict the head."""
+        """Add a header. Trailers are ignored, as they could contradict the headers."""
         if not self.reader.is_complete and not self.reader.head_complete:
             self.reader.add_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Note the end of the head."""
+        """Record the end of the head. Raises RequestError for a chunked body in HTTP/1.0."""
         assert self.parser is not None
         if self.reader.is_complete:
             return
-        # A server of 1.0 before this one would have gone by the length, and seen the next request begin elsewhere.
+        # An HTTP/1.0 proxy in front of this server ignores the transfer coding and goes by Content-Length. It and the
+        # sidecar would then disagree about where the next request begins.
         if self.reader.chunked and self.parser.get_http_version() != "1.1":
             raise RequestError(400, "a transfer coding, but not HTTP/1.1")
         self.reader.head_complete = True
 
     def on_body(self, data: bytes) -> None:
-        """Read part of the body."""
+        """Append a part of the body. Raises RequestError if the body is too long."""
         if not self.reader.is_complete:
             self.reader.add_body(data)
 
     def on_message_complete(self) -> None:
-        """Note the end of the request."""
+        """Record that the request is complete."""
         self.reader.is_complete = True
 
     # Reading
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes of a request."""
+        """Read received bytes; hand the request to the dispatcher once it is complete."""
         if self.state in (ClientState.CLOSING, ClientState.PROCESSING):
             self._discard(data)
             return
@@ -214,17 +217,18 @@
         except RequestError as error:
             response = self.server.dialect.render_error(self.reader.target, error)
             self.write(response, last=not error.keeps_connection)
-        except Exception:  # a fault with one request must end neither the process nor other requests
+        except Exception:  # an error in one request must affect neither the process nor other requests
             log.exception("request could not be read")
             self.write(Response(500), last=True)
 
     def _discard(self, data: bytes) -> None:
-        """Drop bytes behind the last request: the request in process is answered, then the connection closes."""
+        """Drop bytes that follow the last request. The open request is answered, then the connection closes."""
         self.pipelined = True
         self.discarded_bytes += len(data)
         if self.discarded_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
             if self.state is ClientState.PROCESSING:
-                # Once reading is paused a disconnect goes unnoticed, and the request would be forwarded in vain.
+                # While reading is paused a disconnect goes unnoticed, and the request would be forwarded although
+                # nobody waits for it.
                 self.server.dispatcher.on_client_disconnected(self.request_number)
                 self.write(Response(400), last=True)
             self.transport.pause_reading()
@@ -237,12 +241,12 @@
             cause = error.__context__
             raise cause if isinstance(cause, RequestError) else error from None
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # Bytes behind a complete request that are no request show that its length was wrong.
+            # Malformed bytes after a complete request mean that the request's length was wrong, so it is rejected too.
             raise RequestError(400, "malformed request") from None
         self.reader.check_length()
 
     def _accept_request(self) -> None:
-        """Hand a complete request to the dispatcher. Raises RequestError."""
+        """Hand the complete request to the dispatcher. Raises RequestError if it is not acceptable."""
         assert self.transport is not None and self.parser is not None
         reader, method = self.reader, self.parser.get_method()
         if self.parser.get_http_version() not in SUPPORTED_VERSIONS:
@@ -255,27 +259,32 @@
         request = self.server.dialect.parse(method, reader.target, reader.headers, bytes(reader.body))
         self.request = request
         if not self.server.recent_ids.add(request.request_id):
-            # An upstream that has it already would reject it, and its response might go to the wrong client.
+            # An upstream that is working on the same id would reject this request, and the response to one client's
+            # request might reach the other client.
             raise RequestError(409, "this X-Request-Id has been used")
-        if self.transport.get_write_buffer_size() > 0:  # unread responses would fill the memory
+        if self.transport.get_write_buffer_size() > 0:  # responses that the client does not read would fill the memory
             raise RequestError(400, "the last answer was not read")
         self.server.change_state(self, ClientState.PROCESSING)
         request.client_disconnected = self.client_disconnected
         self.request_number = self.server.dispatcher.on_request(request, self.respond)
 
     def client_disconnected(self) -> bool:
-        """Return whether the client of the request in process has disconnected. Bytes that arrived before its end are
-        discarded, as they would be when read. An end of its sending alone looks like a close, and counts as one."""
+        """Return whether the client of the open request has disconnected.
+
+        Checks the socket directly, as the event loop may not have read it yet. Bytes before the end of the stream are
+        discarded, as they are in `data_received`. A client that only closes its sending direction can't be told from
+        one that closes the connection, so it counts as disconnected.
+        """
         assert self.transport is not None
         while not self.transport.is_closing():
             discardable_bytes = MAX_DISCARDED_BYTES - self.discarded_bytes
             try:
                 if not self.sock.recv(1, socket.MSG_PEEK) or not discardable_bytes:
-                    return True  # its end, or too much: its request would be closed when that is read
+                    return True  # end of stream, or too many bytes: either closes the request when read
                 self.discarded_bytes += len(self.sock.recv(discardable_bytes))
             except BlockingIOError:
                 return False
-            except OSError:  # it was reset
+            except OSError:  # the connection was reset
                 return True
             self.pipelined = True
         return True
@@ -283,20 +292,20 @@
     # Writing
 
     def respond(self, answer: FinalAnswer) -> None:
-        """Answer the request in process."""
+        """Write the final answer of the open request."""
         if self.state is ClientState.PROCESSING and self.request is not None:
             self.write(self.server.dialect.render(self.request, answer))
 
     def reject_partial(self) -> None:
-        """Answer a request that has arrived in part only, and close its connection."""
+        """Reject a request that has arrived only in part, and close the connection."""
         self.write(Response(503, b"", retry_after(self.server.partial_retry_after_us)), last=True)
 
     def write(self, response: Response, last: bool = False) -> None:
-        """Write a response; the connection closes after it if it is the last one."""
+        """Write a response; with `last` the connection closes after it."""
         assert self.transport is not None
         if self.transport.is_closing():
             return
-        # Clients have a bound of their own; those that send one request and stay keep the others out.
+        # Client connections are limited, and clients that send one request and stay connected would block others.
         closes_for_capacity = (
             self.state is ClientState.PROCESSING and self.responses == 0 and self.server.has_many_connections()
         )
@@ -309,7 +318,8 @@
             data += PIPELINING_REJECTION
         self.transport.write(data)
         if last or self.pipelined:
-            # Closing with bytes unread would reset the connection, and the client might lose its response.
+            # Closing a socket with unread bytes resets the connection, and the client might lose its response. So only
+            # the sending direction is closed.
             self.server.change_state(self, ClientState.CLOSING)
             self.transport.write_eof()
         else:
@@ -322,29 +332,31 @@
 
     @property
     def is_flushed(self) -> bool:
-        """Whether all that was written has left the process; the rest would be lost with the connection."""
+        """Whether the write buffer is empty; closing the connection would drop its contents."""
         return self.transport is None or self.transport.get_write_buffer_size() == 0
 
     def has_nothing_unread(self) -> bool:
-        """Return whether no bytes have arrived that were not read yet."""
+        """Return whether the socket has no received bytes that were not read yet."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK) == b""
-        except OSError:  # nothing has arrived, or the connection has broken
+        except OSError:  # no bytes have arrived, or the connection is broken
             return True
 
     def close(self) -> None:
-        """Close the connection at once; only where no request is in process."""
+        """Close the connection at once. It must have no open request."""
         self.server.change_state(self, ClientState.CLOSING)
         if self.transport is not None:
             self.transport.abort()
-            # The transport closes the socket in the loop's next turn; a request that arrives until then would be reset.
+            # The transport closes the socket only in the next iteration of the event loop, and would reset a request
+            # that arrives before that.
             self.sock.close()
 
     def on_state_timeout(self) -> None:
-        """End a state that has lasted too long."""
+        """Handle a state that has lasted longer than its timeout: reject a slow request, or close the connection."""
         now = system.monotonic()
         if self.state in (ClientState.NEW, ClientState.READING) and self.reader.received_bytes:
-            # A client that has never sent a complete request gets its end within 3 s, however slowly bytes arrive.
+            # A connection without a complete first request must end within 3 s, however slowly bytes arrive. So only
+            # later requests get the longer timeout.
             timeout_s = READ_TIMEOUT_S if self.state is ClientState.NEW else SLOW_READ_TIMEOUT_S
             if now > min(self.last_received_at + READ_STALL_S, self.state_since + timeout_s):
                 self.write(Response(408), last=True)
--- a/ryepier/sidecar/components.py
+++ b/ryepier/sidecar/components.py
@@ -1,6 +1,6 @@
 """The components of a sidecar: a source of the endpoint list, front ends that accept requests, and background services.
 
-Each is described by what it must do, so that others can stand beside or in place of the platform's own.
+Each is defined by a protocol, so that other implementations can be added to the platform's own or replace them.
 """
 
 from __future__ import annotations
@@ -17,59 +17,59 @@
 
 
 class EndpointSource(Protocol):
-    """Follows the endpoint list and notifies the dispatcher of it, by `RequestDispatcher.on_endpoints`."""
+    """Follows the endpoint list and passes each update to `RequestDispatcher.on_endpoints`."""
 
     def restore_cached(self) -> None:
-        """Notify of the cached list, if there is one."""
+        """Pass the cached list to the dispatcher, if there is one."""
 
     def start(self) -> None:
-        """Follow the list from now on."""
+        """Start following the list."""
 
     async def wait_for_first_list(self) -> None:
-        """Wait until the list is current, or until waiting longer would not help."""
+        """Wait until the list is current, or until further waiting would only delay the start."""
 
     def subscribe(self, active: bool) -> None:
-        """Subscribe the decision module to changes, or end that."""
+        """Start or stop the decision module's subscription to changes of the list."""
 
     def upstream_ids(self) -> Mapping[str, int]:
-        """Return the dispatcher's number of each known endpoint by its uid."""
+        """Return the upstream id of each known endpoint, by the endpoint's uid."""
 
     def apply_config(self, config: Config) -> None:
-        """Apply what concerns this source in a new configuration."""
+        """Apply the part of a new configuration that concerns this source."""
 
 
 class FrontEnd(Protocol):
     """Accepts requests, passes them to `RequestDispatcher.on_request`, and writes their responses."""
 
     def listen(self) -> None:
-        """Accept connections from now on."""
+        """Start accepting connections."""
 
     def close_idle(self) -> None:
-        """Begin the shutdown: close connections without a request, and the others with their responses."""
+        """Begin the shutdown: close idle connections now, and each other one after its current response."""
 
     def stop_listening(self) -> None:
-        """Accept the waiting connections, and no more."""
+        """Accept the connections waiting in the listener's queue, then stop listening."""
 
     def reject_partial_requests(self) -> None:
-        """Answer the requests that have arrived in part."""
+        """Reject the requests of which only a part has arrived."""
 
     def connection_count(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
 
 
 class BackgroundService(Protocol):
-    """Runs beside the sidecar and may advise its decision module; no request ever waits for it."""
+    """Runs alongside the request path and may send updates to the decision module; no request waits for it."""
 
     def start(self) -> None:
-        """Start."""
+        """Start the service's tasks; called once the dispatcher and the endpoint source have started."""
 
     def stop(self) -> None:
-        """Stop, as the sidecar shuts down."""
+        """Stop the service, once all front ends have shut down."""
 
 
 @dataclass(frozen=True, slots=True)
 class Components:
-    """How to make the components of one sidecar; all share one dispatcher."""
+    """Factories for the components of one sidecar, which all share one dispatcher."""
 
     source: Callable[[Config, RequestDispatcher], EndpointSource]
     front_ends: Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]
@@ -77,7 +77,7 @@
 
 
 def discovery_source(config: Config, dispatcher: RequestDispatcher) -> EndpointSource:
-    """Return the source that follows the platform's discovery."""
+    """Create the endpoint source that follows the platform's discovery."""
     return DiscoveryClient(
         config.discovery,
         EndpointRegistry(config.zones, config.kinds),
@@ -88,8 +88,9 @@
 
 
 def http_front_end(config: Config, dispatcher: RequestDispatcher) -> FrontEnd:
-    """Return the front end for HTTP/1.1 as the platform's protocol describes it."""
-    # The rest of the descriptors is for discovery, the listener, the log, and connections that are being closed.
+    """Create the front end that accepts HTTP/1.1 requests in the platform's protocol."""
+    # Half of the descriptors are for clients. Connections to upstreams get 3/8; discovery, the listener, the log and
+    # connections that are being closed need the remaining ones.
     return Server(dispatcher, config.settings, config.listen, max_clients=config.max_descriptors // 2)
 
 
--- a/ryepier/sidecar/config.py
+++ b/ryepier/sidecar/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one sidecar: the JSON file that BALANCER_CONFIG names."""
+"""Reads the configuration of a sidecar, a JSON file whose path is in BALANCER_CONFIG."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 @dataclass(slots=True)
 class Config:
-    """The configuration of one sidecar."""
+    """The parsed configuration of one sidecar."""
 
     listen: Address
     discovery: Address
     seed: int
-    max_descriptors: int  # file descriptors that it may hold
+    max_descriptors: int  # the most file descriptors that the process may have open
     settings: Settings
     zones: list[str]
     kinds: list[str]
     upstream_idle_timeout_us: int  # upstreams close a connection that has been idle for this long
-    cached_list: Any  # the cached endpoint list, in discovery's form
-    name: str = ""  # the same after a restart
-    path: str = ""  # the file, to be read again on SIGHUP
+    cached_list: Any  # the last known endpoint list, in the format of discovery's messages; None if there is none
+    name: str = ""  # identifies the sidecar across restarts
+    path: str = ""  # of the configuration file, which is read again on SIGHUP
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Return nested settings as the path=value pairs of the simulator's first message."""
+    """Flatten nested settings into the dotted paths and text values that the simulator sends in its first message."""
     if isinstance(value, Mapping):
         items = list(value.items())
     elif isinstance(value, list) and (not value or isinstance(value[0], Mapping)):
@@ -48,7 +48,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the parts of `host:port`. Raises ValueError."""
+    """Split `host:port` into its parts. Raises ValueError if the text has another form."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal():
         raise ValueError(f"expected host:port, got {text!r}")
@@ -56,7 +56,7 @@
 
 
 def read_value(raw: Any, path: str, convert: Callable[[Any], T]) -> T:
-    """Return the value at a path, converted by `make`. Raises ValueError, naming the path."""
+    """Return the value at a dotted path, converted by `convert`. Raises ValueError with the path in its message."""
     value = raw
     for key in path.split("."):
         if not isinstance(value, Mapping) or key not in value:
@@ -69,7 +69,11 @@
 
 
 def load(path: str) -> Config:
-    """Read and check the file; raises OSError, ValueError or SettingsError, naming the key, on what is malformed."""
+    """Read and validate the configuration file.
+
+    Raises OSError if it can't be read, and ValueError or SettingsError, with the key in the message, if a value is
+    missing or invalid.
+    """
     with open(path, encoding="utf-8") as file:
         try:
             raw = json.load(file)
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -1,4 +1,4 @@
-"""Pool of the connections to all upstreams, and the dialling of new ones."""
+"""Pool of the connections to all upstreams; dials new connections and reuses idle ones."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 
 log = logging.getLogger(__name__)
 
-MIN_IDLE_BEFORE_REUSE_US = 30_000  # by which a second response to the last request may arrive
+MIN_IDLE_BEFORE_REUSE_US = 30_000  # a surplus response to the previous request may arrive within this time
 IDLE_MARGIN_US = 300_000  # an upstream may close a connection while a request is on its way to it
-BREAK_SHARE_WINDOW = 16  # reuses in the moving average of connections that broke
-MAX_BREAK_SHARE = 0.15  # of reuses: a lost request costs about ten new connections
-BREAK_SHARE_DECAY = 0.99  # per connection that is not reused, so that such connections are tried again
+BREAK_SHARE_WINDOW = 16  # number of reuses that the moving average of broken connections covers
+MAX_BREAK_SHARE = 0.15  # of reuses; beyond it new connections are cheaper, as a lost request costs about ten of them
+BREAK_SHARE_DECAY = 0.99  # applied per connection that is not reused, so that reuse is tried again in time
 SWEEP_INTERVAL_S = 0.1
-FIRST_SWEEP_S = 1.0  # after the start
+FIRST_SWEEP_S = 1.0  # after the pool is created
 
 
 class ConnectionPool:
-    """Connections to all upstreams.
+    """Holds the connections to all upstreams and carries attempts on them.
 
-    They belong to upstreams, not to addresses, as an upstream may get the address of one that was removed. The
-    connection that has been idle for longest is used first: an end, or bytes after its response, may still be on the
-    way on one that has just become idle.
+    Connections are keyed by upstream, not by address, as a new upstream may get the address of a removed one. The
+    connection that has been idle for longest is reused first: on one that has just become idle, a close or surplus
+    bytes from the upstream may still be on the way.
     """
 
     def __init__(self, upstream_idle_timeout_us: int, dial_timeout_us: int, max_connections: int) -> None:
-        """Start empty; upstreams close a connection that has been idle for `idle_us`."""
+        """Start empty; upstreams close a connection that has been idle for `upstream_idle_timeout_us`."""
         self.loop = asyncio.get_running_loop()
         self.max_idle_us = max(0, upstream_idle_timeout_us - IDLE_MARGIN_US)
-        # moving average of connections that broke at their next request, by log2 of their idle time
+        # Moving average of the share of reused connections that broke at their next request, by log2 of the idle time.
         self.break_shares = [0.0] * 64
         self.dial_timeout_us = dial_timeout_us
         self.max_connections = max_connections
-        self.connections: dict[int, set[UpstreamConnection]] = {}  # also those that are dialled
+        self.connections: dict[int, set[UpstreamConnection]] = {}  # by upstream; includes those being dialled
         self.idle: dict[int, list[UpstreamConnection]] = {}
-        self.closing: set[UpstreamConnection] = set()  # their descriptors are not free yet
+        self.closing: set[UpstreamConnection] = set()  # closed, but their descriptors are not free yet
         self.dial_tasks: set[asyncio.Task[None]] = set()
-        self.pending_dials: dict[UpstreamAttempt, int] = {}  # attempts without a connection, with their upstreams
+        self.pending_dials: dict[UpstreamAttempt, int] = {}  # upstreams of the attempts that have no connection yet
         self.sweep_timer = self.loop.call_later(FIRST_SWEEP_S, self.sweep)
 
     def start(
@@ -57,7 +57,7 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_us: int = 0,
     ) -> UpstreamAttempt:
-        """Start an attempt on an idle connection, or on a new one; see `UpstreamTransport.start`."""
+        """Start an attempt on an idle connection or on a new one; see `UpstreamTransport.start`."""
         now_us = clock_us()
         attempt = UpstreamAttempt(request, address, now_us + timeout_us, on_end, latest_write_us)
         while idle := self.idle.get(upstream):
@@ -78,7 +78,7 @@
         return attempt
 
     async def dial(self, upstream: int, address: Address, attempt: UpstreamAttempt) -> None:
-        """Open a connection for an attempt; it sends the attempt once it is up."""
+        """Open a connection for an attempt. The connection sends the attempt once it is established."""
         has_capacity = await self.free_capacity(attempt)
         del self.pending_dials[attempt]
         if attempt.cancelled:
@@ -99,16 +99,16 @@
                 await self.loop.sock_connect(sock, address)
             dialled_connection = connection
             await self.loop.create_connection(lambda: dialled_connection, sock=sock)
-        # Rejected, unreachable, no descriptor, or timed out.
+        # The connection was refused or timed out, the host is unreachable, or no descriptor was left.
         except OSError:
             self._on_dial_failed(connection, attempt)
-        # Boundary: whatever goes wrong, the attempt ends and its descriptor is free.
+        # Any other error must end the attempt and free its descriptor too.
         except Exception as error:  # noqa: BLE001
             log.warning("connection to upstream %d failed: %r", upstream, error, extra={"upstream": upstream})
             self._on_dial_failed(connection, attempt)
 
     def _on_dial_failed(self, connection: UpstreamConnection | None, attempt: UpstreamAttempt) -> None:
-        """Remove a connection that did not come up, and end its attempt."""
+        """Remove a connection that was not established, and end its attempt."""
         if connection is not None:
             connection.attempt = None
             connection.sock.close()
@@ -117,10 +117,12 @@
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     async def free_capacity(self, attempt: UpstreamAttempt) -> bool:
-        """Return whether one more connection may be opened; an idle one is closed for it. Without a bound, silent
-        upstreams or a burst of dials would use up the descriptors: what is closed keeps its own until the loop's next
-        turn."""
-        while self._descriptors() >= self.max_connections and not attempt.cancelled:
+        """Close idle connections until one more may be opened, and return whether that succeeded.
+
+        Without the limit, silent upstreams or a burst of dials would use up the descriptors. A closed connection keeps
+        its descriptor until the next iteration of the event loop.
+        """
+        while self._descriptor_count() >= self.max_connections and not attempt.cancelled:
             idle = [connection for group in self.idle.values() for connection in group]
             if idle:
                 min(idle, key=lambda connection: connection.idle_since_us).close()
@@ -129,12 +131,15 @@
             await asyncio.sleep(0)
         return True
 
-    def _descriptors(self) -> int:
+    def _descriptor_count(self) -> int:
         return sum(map(len, self.connections.values())) + len(self.closing)
 
     def may_reuse(self, idle_us: int) -> bool:
-        """Return whether connections that were idle for this long may be used: a middlebox may drop them earlier
-        than the settings promise, without notice, and each costs a request."""
+        """Return whether connections that were idle for this long may be reused.
+
+        A middlebox may drop idle connections without notice, earlier than the configured idle timeout, and each such
+        connection costs a request.
+        """
         bucket = idle_us.bit_length()
         if self.break_shares[bucket] > MAX_BREAK_SHARE:
             self.break_shares[bucket] *= BREAK_SHARE_DECAY
@@ -142,7 +147,7 @@
         return True
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a connection broke that had been idle for this long."""
+        """Record whether a reused connection broke, which had been idle for `idle_us`."""
         bucket = idle_us.bit_length()
         self.break_shares[bucket] += (float(broke) - self.break_shares[bucket]) / BREAK_SHARE_WINDOW
 
@@ -156,7 +161,7 @@
         self.idle.setdefault(connection.upstream, []).append(connection)
 
     def take_idle(self, connection: UpstreamConnection) -> None:
-        """Remove a connection from the idle ones."""
+        """Take a connection out of the idle ones, if it is one of them."""
         idle = self.idle.get(connection.upstream, [])
         if connection in idle:
             idle.remove(connection)
@@ -164,7 +169,7 @@
                 del self.idle[connection.upstream]
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Remove a connection."""
+        """Remove a connection from the pool."""
         self.take_idle(connection)
         group = self.connections.get(connection.upstream, set())
         group.discard(connection)
@@ -172,11 +177,11 @@
             self.connections.pop(connection.upstream, None)
 
     def on_closing(self, connection: UpstreamConnection) -> None:
-        """Record that a removed connection keeps its descriptor until `on_closed`."""
+        """Record that a connection is closing; it keeps its descriptor until `on_closed`."""
         self.closing.add(connection)
 
     def on_closed(self, connection: UpstreamConnection) -> None:
-        """Remove a connection whose descriptor is free before the loop's next turn."""
+        """Remove a connection whose descriptor is freed before the next iteration of the event loop."""
         self.remove(connection)
         self.closing.discard(connection)
 
@@ -186,7 +191,7 @@
             connection.close()
 
     def remove_upstream(self, upstream: int) -> None:
-        """Close the idle connections to an upstream, and the busy ones after their responses."""
+        """Close the idle connections to an upstream now, and its busy ones after their current responses."""
         self.close_idle(upstream)
         for connection in self.connections.get(upstream, set()):
             connection.upstream_removed = True
@@ -194,7 +199,7 @@
             attempt.upstream_removed |= attempt_upstream == upstream
 
     def sweep(self) -> None:
-        """Close the connections that upstreams are about to close."""
+        """Close the idle connections that upstreams are about to close, every SWEEP_INTERVAL_S."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         oldest_us = clock_us() - self.max_idle_us
         for connections in list(self.idle.values()):
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -1,4 +1,4 @@
-"""Client of discovery: keeps a watch of the endpoint list open, and notifies the dispatcher of changes."""
+"""Client of discovery: keeps a watch of the endpoint list open and passes changes to the dispatcher."""
 
 from __future__ import annotations
 
@@ -17,26 +17,33 @@
 
 log = logging.getLogger(__name__)
 
-# Whatever fails, in whatever order, the next call begins within MAX_CALL_GAP_S of the last valid message, or of the
-# call's start where none came: a change must be known 6 s after discovery has it and can be reached, and 2 s of these
-# are left to the next call (docs/design.md).
-SILENCE_TIMEOUT_S = 2.5  # an empty line comes every 2 s, also without changes
-MESSAGE_TIMEOUT_S = 4.0  # from the last valid message to an object's last byte
+# After any sequence of failures, the next call begins within MAX_CALL_GAP_S of the last valid message, or of the
+# previous call's start if no message arrived. A change must be known 6 s after discovery has it and is reachable;
+# this leaves 2 s for the next call (docs/design.md).
+SILENCE_TIMEOUT_S = 2.5  # discovery sends an empty line every 2 s, even without changes
+MESSAGE_TIMEOUT_S = 4.0  # from the last valid message to the last byte of the next one
 MAX_CALL_GAP_S = 4.0
-WATCH_RETRY_S = 0.1  # a local agent answers at no cost; sooner would spin while it is away
-MAX_RETRY_DOUBLINGS = 5  # while what arrives is malformed
-FIRST_LIST_TIMEOUT_S = 0.3  # a local agent answers at once, if at all
+WATCH_RETRY_S = 0.1  # cheap, as the agent is local; a shorter pause would spin while it is down
+MAX_RETRY_DOUBLINGS = 5  # of WATCH_RETRY_S, while watches deliver malformed data
+FIRST_LIST_TIMEOUT_S = 0.3  # a local agent either answers at once or is down
 Listener = Callable[[UpstreamsUpdated, dict[int, Address]], None]
 
 
 class DiscoveryClient:
-    """Keeps the watch. Where lists are polled, the decision module does so and is notified of each failed call; where
-    changes are pushed it never polls, and a watch is always kept open."""
+    """Keeps a watch of the endpoint list.
+
+    If lists are polled, the decision module decides when to call, and is notified of each failed call. If changes are
+    pushed, the module never polls, and this client always keeps a watch open.
+    """
 
     def __init__(
         self, address: Address, registry: EndpointRegistry, listener: Listener, is_pushed: bool, cached_list: Any = None
     ) -> None:
-        """Prepare a client; `known` is the cached list, in discovery's form."""
+        """Prepare a client without a watch.
+
+        `is_pushed` tells whether changes are pushed. `cached_list` is the last known list, in the format of discovery's
+        messages, and `listener` receives each update.
+        """
         self.loop = asyncio.get_running_loop()
         self.address = address
         self.registry = registry
@@ -44,42 +51,45 @@
         self.is_pushed = is_pushed
         self.cached_list = cached_list
         self.version = 0
-        self.is_subscribed = False  # also between two calls
+        self.is_subscribed = False  # stays set between two calls
         self.watch: EndpointWatch | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.last_received_at = 0.0
-        self.last_message_at = 0.0  # or when the call began; an empty line is a message
-        self.first_list_received = asyncio.Event()  # a list has arrived since the start
-        self.consecutive_malformed_watches = 0  # in a row
+        self.last_message_at = 0.0  # or when the call began; an empty line counts as a message
+        self.first_list_received = asyncio.Event()  # set once a list has arrived since the start
+        self.consecutive_malformed_watches = 0  # reset by each valid list
         self.timer: asyncio.TimerHandle | None = None
 
     def restore_cached(self) -> None:
-        """Notify of the list that the sidecar had before its start."""
+        """Pass the cached list to the listener, if there is a valid one."""
         if not self.cached_list:
             return
         try:
             event, addresses = self.registry.apply(self.cached_list, ListKind.CACHED)
-        except EndpointListError as error:  # the sidecar starts without it, and waits for a new one
+        except EndpointListError as error:  # start without it and wait for a list from discovery
             log.warning("cached endpoint list is malformed: %s", error)
             return
         self.version = event.version
         self.listener(event, addresses)
 
     def start(self) -> None:
-        """Open the watch where changes are pushed; else the decision module subscribes."""
+        """Open the watch if changes are pushed; otherwise the decision module subscribes."""
         if self.is_pushed:
             self.subscribe(True)
 
     async def wait_for_first_list(self) -> None:
-        """Wait for the first list where changes are pushed: the cached list may be older than a drain that counts as
-        notified. With the agent silent, the cached one is the best there is."""
+        """If changes are pushed, wait up to FIRST_LIST_TIMEOUT_S for the first list.
+
+        The cached list may be older than a drain of which this sidecar counts as notified. If the agent stays silent,
+        the sidecar starts with the cached list.
+        """
         if self.is_pushed:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
                     await self.first_list_received.wait()
 
     def subscribe(self, active: bool) -> None:
-        """Open a watch in place of an earlier one, or close it."""
+        """Open a new watch in place of the current one, or with `active` False only close it."""
         self.stop()
         self.is_subscribed = active
         if active:
@@ -89,20 +99,20 @@
             self.connect_task = self.loop.create_task(self.connect(self.watch))
 
     def upstream_ids(self) -> Mapping[str, int]:
-        """Return the number of each listed endpoint by its uid."""
+        """Return the upstream id of each listed endpoint by its uid."""
         return self.registry.upstream_ids
 
     def apply_config(self, config: Config) -> None:
-        """Watch at another address, if a new configuration names one."""
+        """Open a watch at the new discovery address, if the configuration has changed it."""
         if config.discovery == self.address:
             return
         self.address = config.discovery
-        self.version = 0  # the versions of another discovery mean nothing here: the complete list is requested
+        self.version = 0  # another server's versions are unrelated, so request the complete list
         if self.is_subscribed:
             self.subscribe(True)
 
     def stop(self) -> None:
-        """Close the watch."""
+        """Close the watch and cancel its timer."""
         watch, self.watch = self.watch, None
         if self.timer is not None:
             self.timer.cancel()
@@ -112,16 +122,16 @@
             watch.transport.abort()
 
     async def connect(self, watch: EndpointWatch) -> None:
-        """Open the connection of a watch."""
+        """Open the connection of a watch; if that fails, the watch has ended."""
         try:
             await self.loop.create_connection(lambda: watch, *self.address)
         except OSError:
             self.on_watch_ended(watch)
 
-    # Notifications of the watch
+    # Notifications from the watch
 
     def is_current(self, watch: EndpointWatch) -> bool:
-        """Return whether a watch was not replaced by another."""
+        """Return whether this is the current watch, not one that was replaced."""
         return watch is self.watch
 
     def on_data(self) -> None:
@@ -129,16 +139,16 @@
         self.last_received_at = system.monotonic()
 
     def on_complete_message(self) -> None:
-        """Record that a message is complete, or that a call has begun."""
+        """Record that a message is complete or a call has begun."""
         self.last_received_at = self.last_message_at = system.monotonic()
 
     def on_unchanged(self) -> None:
-        """Notify that there is nothing newer than the current version, if there is one."""
+        """Tell the listener that the current version, if there is one, is the newest."""
         if self.version:
             self.listener(UpstreamsUpdated(ListKind.DELTA, [], self.version), {})
 
     def on_list(self, message: Any) -> None:
-        """Apply a list or changes. Raises EndpointListError."""
+        """Apply a list or changes. Raises EndpointListError if the message is malformed."""
         event, addresses = self.registry.apply(message)
         self.version = event.version
         self.consecutive_malformed_watches = 0
@@ -146,11 +156,11 @@
         self.first_list_received.set()
 
     def on_malformed(self) -> None:
-        """Count a watch whose bytes could not be read."""
+        """Count a watch with malformed data."""
         self.consecutive_malformed_watches += 1
 
     def on_watch_ended(self, watch: EndpointWatch) -> None:
-        """Open the watch again after a pause where changes are pushed; else notify of the failure."""
+        """Reopen the watch after a backoff if changes are pushed; otherwise report the failure to the listener."""
         if watch is not self.watch:
             return
         if watch.transport is not None:
@@ -165,7 +175,7 @@
         self.listener(UpstreamsUpdated(ListKind.FAILED, silent_us=int(1e6 * silence_s)), {})
 
     def check_liveness(self) -> None:
-        """Fail a watch that is silent, whose message never becomes complete, or whose connection does not come up."""
+        """Fail the watch if it is silent, its message stays incomplete, or it does not connect in time."""
         deadline = min(self.last_received_at + SILENCE_TIMEOUT_S, self.last_message_at + MESSAGE_TIMEOUT_S)
         remaining_s = deadline - system.monotonic()
         if remaining_s > 0:
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -1,7 +1,7 @@
-"""Dispatches events to the decision module and executes its actions.
+"""Dispatches events to the decision module and executes the actions that it returns.
 
-Nothing is decided here. Each request gets its final answer in `RequestDispatcher._answer` and each attempt its outcome
-in `RequestDispatcher._end_attempt`, the only places for either, exactly once.
+This module makes no decisions. It guarantees that each request gets exactly one final answer, in
+`RequestDispatcher._answer` only, and each attempt exactly one outcome, in `RequestDispatcher._end_attempt` only.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_MARGIN_US = 10_000  # from an answer to the client's deadline, so that it arrives in time
-BACKSTOP_DELAY_US = 5_000  # from the decision module's deadline for a request to the dispatcher's own
+ANSWER_MARGIN_US = 10_000  # a request is due this long before the client's deadline, so that the answer arrives in time
+BACKSTOP_DELAY_US = 5_000  # after a request is due, the dispatcher fails it if the decision module did not
 
 
 class Timer(Protocol):
     """A scheduled callback."""
 
     def cancel(self) -> None:
-        """Do not call it any more."""
+        """Cancel the call, if it has not happened yet."""
 
 
 class Timers(Protocol):
-    """The part of an event loop that the dispatcher needs."""
+    """The part of an event loop that the dispatcher uses."""
 
     def call_later(self, delay: float, callback: Callable[..., None], *args: Any) -> Timer:
-        """Call `callback` after `delay` seconds, unless it is cancelled first."""
+        """Call `callback` after `delay` seconds, unless the returned timer is cancelled first."""
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -55,11 +55,11 @@
     sent_us: int
     in_flight: InFlightAttempt | None = None
     timer: Timer | None = None
-    outcome: api.Outcome | None = None  # None until it has ended
+    outcome: api.Outcome | None = None  # None until the attempt ends
 
     @property
     def ended(self) -> bool:
-        """Whether it has its outcome."""
+        """Whether the attempt has an outcome."""
         return self.outcome is not None
 
 
@@ -67,22 +67,25 @@
 class OpenRequest:
     """A request without a final answer, or with an attempt in flight."""
 
-    ident: int  # the dispatcher's own number of it
+    ident: int  # assigned by the dispatcher; unlike `request_id` unique within the process
     request: ClientRequest
     reply: Callable[[FinalAnswer], None]
     attempts: list[TrackedAttempt] = field(default_factory=list)
     timer: Timer | None = None
-    closed: bool = False  # it has had its final answer, or the client has disconnected
+    closed: bool = False  # the final answer was given, or the client has disconnected
 
     @property
     def due_us(self) -> int:
-        """When its answer is due."""
+        """Time by which the request must be answered, in microseconds of `clock_us`."""
         return self.request.due_us
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class UnservedLine:
-    """Log line of a request that was not served; rendered only if it is written, as most are not in an overload."""
+    """Log line about a request that was not served.
+
+    It is rendered only when it is written: in an overload the rate limit drops most of these lines.
+    """
 
     open_request: OpenRequest
     outcome: FinalOutcome
@@ -90,11 +93,11 @@
 
     @property
     def request_id(self) -> str:
-        """The id by which the client knows the request."""
+        """The client's X-Request-Id."""
         return self.open_request.request.request_id.decode()
 
     def __str__(self) -> str:
-        """Render the line."""
+        """Render the outcome, the elapsed time and the attempts as one line."""
         request = self.open_request.request
         attempts = ", ".join(
             f"upstream {attempt.upstream} {attempt.outcome.value if attempt.outcome else 'in flight'} "
@@ -108,12 +111,12 @@
 
 
 class RequestDispatcher:
-    """One `Balancer`, its clock and timers, and the requests and attempts that are open."""
+    """Runs one `Balancer` with clock and timers, and keeps track of the open requests and attempts."""
 
     def __init__(
         self, settings: api.Settings, seed: int, transport: UpstreamTransport, timers: Timers | None = None
     ) -> None:
-        """Start without upstreams; `timers` defaults to the running event loop."""
+        """Start without upstreams and requests; `timers` defaults to the running event loop."""
         self.settings = settings
         self.timers: Timers = timers or asyncio.get_running_loop()
         self.transport = transport
@@ -123,25 +126,27 @@
         self.requests: dict[int, OpenRequest] = {}
         self.addresses: dict[int, Address] = {}
         self.last_ident = 0
-        self.shutdown_at_us = 0  # when the process ends; 0 = not known yet
+        self.shutdown_at_us = 0  # time by which all requests must be answered; 0 = no shutdown in progress
         self.events: deque[api.Event] = deque()
         self.is_dispatching = False
         self.balancer = Balancer(settings, seed, clock_us())
 
-    # What happens
+    # Notifications from other components
 
     def start(self) -> None:
-        """Let the module request what it needs from the start."""
+        """Let the decision module return its initial actions, such as its subscription and timers."""
         self._dispatch(api.TimerFired(0))
 
     def on_request(self, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
-        """Accept a request. `reply` is called once with its answer, unless the client disconnects first. Returns
-        the dispatcher's number of the request."""
+        """Accept a request and return the number that identifies it here.
+
+        `reply` is called exactly once with the final answer, unless the client disconnects first.
+        """
         self.last_ident += 1
         due_us = request.arrived_us + max(1, request.deadline_us - ANSWER_MARGIN_US)
         request.due_us = min(due_us, self.shutdown_at_us) if self.shutdown_at_us else due_us
         open_request = self.requests[self.last_ident] = OpenRequest(self.last_ident, request, reply)
-        # Whatever becomes of the module's own timers, no client is left without an answer.
+        # Ensures an answer even if the decision module misses its own timer for this request.
         open_request.timer = self._call_at(request.due_us + BACKSTOP_DELAY_US, self._on_overdue, open_request)
         if self.observer is not None:
             self.observer.on_request(request.tenant, request.class_index)
@@ -161,7 +166,7 @@
         return open_request.ident
 
     def on_client_disconnected(self, ident: int) -> None:
-        """Close the request of a client that has disconnected."""
+        """Close the request of a client that has disconnected, unless it is already closed."""
         open_request = self.requests.get(ident)
         if open_request is not None and not open_request.closed:
             if self.retry_detector is not None:
@@ -170,7 +175,7 @@
             self._dispatch(api.ClientDisconnected(ident))
 
     def on_endpoints(self, event: api.UpstreamsUpdated, addresses: dict[int, Address]) -> None:
-        """Apply an endpoint list or changes to it; `addresses` has those of the event's entries."""
+        """Apply an endpoint list or changes to it; `addresses` maps the event's upstream ids to their addresses."""
         if event.kind in (api.ListKind.FULL, api.ListKind.CACHED):
             for upstream in self.addresses.keys() - addresses.keys():
                 self._remove_upstream(upstream)
@@ -183,15 +188,15 @@
         self._dispatch(event)
 
     def on_plan(self, event: api.PlanUpdated) -> None:
-        """Pass on the current plan."""
+        """Pass the current plan to the decision module."""
         self._dispatch(event)
 
     def on_retry_storm(self, event: api.RetryStormUpdated) -> None:
-        """Pass on whether there is a retry storm."""
+        """Tell the decision module whether there is a retry storm."""
         self._dispatch(event)
 
     def set_shutdown_time(self, at_us: int) -> None:
-        """Record when the process ends: every open or later request has its answer by then."""
+        """Make every open or later request due by `at_us`, as the process ends then."""
         self.shutdown_at_us = at_us
         for open_request in self.requests.values():
             if open_request.timer is not None and open_request.due_us > at_us:
@@ -201,22 +206,25 @@
 
     @property
     def has_open_requests(self) -> bool:
-        """Whether a request needs an answer."""
+        """Whether any request still needs an answer."""
         return any(not open_request.closed for open_request in self.requests.values())
 
     @property
     def has_upstreams(self) -> bool:
-        """Whether there is an upstream to send to."""
+        """Whether any upstream is ready for requests."""
         return bool(self.addresses)
 
     def add_observer(self, observer: Observer) -> None:
         """Register an observer in addition to any already registered."""
         self.observer = observer if self.observer is None else ObserverGroup(self.observer, observer)
 
-    # Events in, actions out
+    # Handling of events and execution of actions
 
     def _dispatch(self, event: api.Event) -> None:
-        """Hand over an event and execute the actions; events that these cause at once are queued."""
+        """Hand an event to the decision module and execute its actions.
+
+        Events that an action causes synchronously are queued and handled in order, not recursively.
+        """
         self.events.append(event)
         if self.is_dispatching:
             return
@@ -230,7 +238,7 @@
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self.balancer.handle(clock_us(), event)
-        except Exception:  # one request that breaks the module must not take the others with it
+        except Exception:  # an error on one request must not affect the others
             log.exception("decision module failed on %s", type(event).__name__)
             open_request = self.requests.get(getattr(event, "request", 0))
             if open_request is not None and not open_request.closed:
@@ -240,7 +248,7 @@
         for action in actions:
             try:
                 self._execute(action)
-            except Exception:  # the other actions are executed all the same
+            except Exception:  # the remaining actions must still be executed
                 log.exception("action %s failed", type(action).__name__)
 
     def _execute(self, action: api.Action) -> None:
@@ -270,8 +278,11 @@
     # Requests
 
     def _close_if_client_disconnected(self, open_request: OpenRequest) -> None:
-        """Close the request if its client has disconnected. The event loop may be late to read that, or may free a
-        slot in the same turn; the request would then be forwarded in vain."""
+        """Close the request if its client has disconnected.
+
+        The event loop may not have read the disconnect yet, for example if a slot becomes free in the same iteration.
+        The request would then be forwarded although nobody waits for it.
+        """
         if not open_request.closed and open_request.request.client_disconnected():
             self.on_client_disconnected(open_request.ident)
 
@@ -283,7 +294,7 @@
             self._dispatch(api.ClientDisconnected(open_request.ident))
 
     def _answer(self, ident: int, answer: FinalAnswer) -> None:
-        """Give a request its final answer; the only place that does."""
+        """Give a request its final answer. No other method does so."""
         open_request = self.requests.get(ident)
         if open_request is None or open_request.closed:
             return
@@ -306,7 +317,7 @@
         log.info("%s", line, extra=fields)
 
     def _close(self, open_request: OpenRequest) -> None:
-        """Record that a request needs no answer any more, and cancel what has not been written yet."""
+        """Mark a request as answered or abandoned, and cancel its attempts that were not written completely."""
         open_request.closed = True
         if open_request.timer is not None:
             open_request.timer.cancel()
@@ -325,7 +336,7 @@
     def _send(self, action: api.Send) -> None:
         open_request = self.requests.get(action.request)
         if open_request is None:
-            return  # closed, and the module has been notified
+            return  # the request is closed, and the decision module was notified of that
         self._close_if_client_disconnected(open_request)
         now_us = clock_us()
         attempt_index = len(open_request.attempts)
@@ -364,12 +375,12 @@
         if attempt.ended or attempt.in_flight is None:
             return
         if not attempt.in_flight.written:
-            outcome = api.Outcome.CONNECT_FAILED  # no connection in time: it never ran
+            outcome = api.Outcome.CONNECT_FAILED  # not completely written, so the upstream can't have run it
         attempt.in_flight.cancel()
         self._end_attempt(open_request, attempt_index, AttemptResult(outcome))
 
     def _end_attempt(self, open_request: OpenRequest, attempt_index: int, result: AttemptResult) -> None:
-        """End an attempt; the only place that does."""
+        """Record the outcome of an attempt. No other method does so."""
         attempt = open_request.attempts[attempt_index]
         if attempt.ended:
             return
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the endpoints that discovery lists: a number for each uid, times on the decision module's clock."""
+"""Registry of the endpoints that discovery lists: assigns upstream ids and converts entries for the decision module."""
 
 from __future__ import annotations
 
@@ -20,63 +20,70 @@
 
 
 def watch_request(address: Address, version: int) -> bytes:
-    """Return the call for changes of the list since `version`; 0 = for the complete list first."""
+    """Return the HTTP request for a watch of changes since `version`; 0 requests the complete list first."""
     host, port = address
     return b"GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (version, host.encode(), port)
 
 
 def parse_endpoint(text: str) -> Address:
-    """Return the address of `IPv4:port`. Raises ValueError: a name would be looked up, and a port out of range would
-    let each attempt run into its timeout."""
+    """Parse `IPv4:port`.
+
+    Raises ValueError for a host name, which would need a lookup, and for a port out of range, with which each attempt
+    would time out.
+    """
     host, port = parse_address(text)
     if port > MAX_PORT:
-        raise ValueError(f"no port: {text!r}")
+        raise ValueError(f"port out of range: {text!r}")
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
-        raise ValueError(f"no IPv4 address: {host!r}") from None
+        raise ValueError(f"not an IPv4 address: {host!r}") from None
     return host, port
 
 
 class EndpointListError(RyepierError):
-    """A message of discovery that can't be read."""
+    """A message from discovery is malformed."""
 
 
 class EndpointUpdate(NamedTuple):
-    """An endpoint list or changes to it, with the addresses of the entries by their numbers."""
+    """An endpoint list or changes to it, with the addresses of its entries by upstream id."""
 
     event: UpstreamsUpdated
     addresses: dict[int, Address]
 
 
 class ListedEndpoint(NamedTuple):
-    """An entry of the list with its address."""
+    """An entry of the endpoint list with its address."""
 
     upstream: Upstream
     address: Address
 
 
 class Incarnation(NamedTuple):
-    """A start of an endpoint."""
+    """One lifetime of an endpoint, from its start to its next restart."""
 
-    boot_ms: int  # Unix time, from discovery
-    first_listed_us: int  # on the module's clock
+    boot_ms: int  # start as Unix time, reported by discovery
+    first_listed_us: int  # time of the first list with this start, on the decision module's clock
 
 
 class EndpointRegistry:
-    """Converts discovery's entries to those of the decision module."""
+    """Converts entries of discovery's lists to upstreams of the decision module."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        """Start empty, with the names of zones and kinds of the settings."""
+        """Start without endpoints; `zones` and `kinds` are the names in the settings, in the order of their indexes."""
         self.zones = zones
         self.kinds = kinds
         self.upstream_ids: dict[str, int] = {}
         self.incarnations: dict[str, Incarnation] = {}
         self.last_id = 0
-        self.unix_to_clock_offset_us = clock_us() - system.unix_ns() // 1000  # fixed at the start
+        # Computed once, so that later steps of the wall clock have no effect.
+        self.unix_to_clock_offset_us = clock_us() - system.unix_ns() // 1000
 
     def apply(self, message: Any, kind: ListKind | None = None) -> EndpointUpdate:
-        """Return the event for one list, with the addresses of its entries. Raises EndpointListError."""
+        """Convert a message from discovery to an update.
+
+        `kind` overrides the kind that the message states. Raises EndpointListError if the message is malformed.
+        """
         try:
             return self._apply(message, kind)
         except (LookupError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
@@ -115,9 +122,9 @@
             self.upstream_ids[uid] = self.last_id
         boot_ms = int(target["boot_ms"])
         incarnation = self.incarnations.get(uid)
-        if incarnation is None or incarnation.boot_ms != boot_ms:  # one that restarts under its uid warms up again
+        if incarnation is None or incarnation.boot_ms != boot_ms:  # a restarted endpoint warms up again
             incarnation = self.incarnations[uid] = Incarnation(boot_ms, clock_us())
-        # By a wall clock that is behind, it would start in the future, and count as warming up for longer.
+        # If this machine's wall clock is behind, the start would lie in the future and the warm-up would seem longer.
         started_us = min(boot_ms * 1000 + self.unix_to_clock_offset_us, incarnation.first_listed_us) if boot_ms else 0
         entry = Upstream(
             id=self.upstream_ids[uid],
@@ -132,5 +139,5 @@
 
 
 def index_of(name: str, names: list[str]) -> int:
-    """Return the index of a name; that of an unknown one is one beyond."""
+    """Return the index of a name, or the length of the list if the name is unknown."""
     return names.index(name) if name in names else len(names)
--- a/ryepier/sidecar/endpoint_watch.py
+++ b/ryepier/sidecar/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""One call to discovery for changes of the endpoint list: it lasts until its connection ends, and then has failed."""
+"""A watch of the endpoint list: one long-lived HTTP call to discovery, which counts as failed when it ends."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class WatchState(enum.Enum):
-    """State of a watch: CONNECTING -> WAITING -> STREAMING, and each of them -> FAILED."""
+    """State of a watch: CONNECTING -> WAITING -> STREAMING; any state -> FAILED."""
 
     CONNECTING = enum.auto()
     WAITING = enum.auto()  # for the first message
-    STREAMING = enum.auto()  # an object has arrived, or an empty line in place of the first
+    STREAMING = enum.auto()  # the first message, an object or an empty line, has arrived
     FAILED = enum.auto()
 
 
 class WatchClient(Protocol):
-    """The client that keeps a watch and is notified of its progress."""
+    """The client that owns a watch and is notified of its progress."""
 
     address: Address  # of discovery
     version: int  # of the endpoint list; 0 = none yet
 
     def is_current(self, watch: EndpointWatch) -> bool:
-        """Return whether a watch was not replaced by another."""
+        """Return whether this is the current watch, not one that was replaced."""
 
     def on_data(self) -> None:
         """Record that bytes have arrived."""
@@ -42,23 +42,23 @@
         """Record that a message is complete."""
 
     def on_unchanged(self) -> None:
-        """Record that there is nothing newer than the current version."""
+        """Record that the current version is the newest."""
 
     def on_list(self, message: Any) -> None:
-        """Apply a list or changes. Raises EndpointListError."""
+        """Apply a list or changes. Raises EndpointListError if the message is malformed."""
 
     def on_malformed(self) -> None:
-        """Record that what arrived could not be read; `on_watch_ended` follows."""
+        """Record that the watch received malformed data; `on_watch_ended` follows."""
 
     def on_watch_ended(self, watch: EndpointWatch) -> None:
         """Record that a watch has failed."""
 
 
 class EndpointWatch(asyncio.Protocol):
-    """A watch of the endpoint list."""
+    """Sends the watch request and passes the messages of the response to its client."""
 
     def __init__(self, client: WatchClient) -> None:
-        """Prepare a watch; its connection is opened by the client."""
+        """Prepare a watch in state CONNECTING; the client opens its connection."""
         self.client = client
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
@@ -66,39 +66,39 @@
         self.state = WatchState.CONNECTING
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the call."""
+        """Send the watch request, unless the watch was replaced meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if not self.client.is_current(self):  # it was replaced while its connection came up
+        if not self.client.is_current(self):  # replaced while the connection was being established
             transport.abort()
             return
         self.state = WatchState.WAITING
         version = self.client.version
-        log.info("endpoint watch opened since version %d", version, extra={"version": version})
+        log.info("endpoint watch opened for changes since version %d", version, extra={"version": version})
         transport.write(watch_request(self.client.address, self.client.version))
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes of the stream."""
+        """Parse received bytes; fail the watch if they are malformed."""
         self.client.on_data()
         try:
             self.parser.feed_data(data)
-        # Also for an error of a callback below: the last valid list stays, and a new watch is opened.
+        # Includes errors raised in the callbacks below. The last valid list stays in use, and a new watch is opened.
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            log.warning("endpoint watch is malformed: %r", error.__context__ or error)
+            log.warning("endpoint watch received malformed data: %r", error.__context__ or error)
             self.client.on_malformed()
             self.fail()
 
-    # Callbacks of the parser
+    # Callbacks of the HTTP parser
 
     def on_headers_complete(self) -> None:
-        """Fail on any status but 200: its body has no list, and may not end."""
+        """Fail on any status but 200, as the body of such a response has no list and may be endless."""
         status = self.parser.get_status_code()
         if status != http.HTTPStatus.OK:
             log.info("endpoint watch rejected with status %d", status)
             self.fail()
 
     def on_body(self, data: bytes) -> None:
-        """Apply the messages that are complete."""
+        """Apply the messages that these bytes complete."""
         if self.parser.get_status_code() != http.HTTPStatus.OK:
             return
         for message in self.decoder.feed(data):
@@ -107,20 +107,21 @@
         if not self.decoder.pending:
             self.client.on_complete_message()
             if self.state is WatchState.WAITING:
-                # The module waits for an answer to its poll, and would poll again and cut a working watch.
+                # The decision module waits for a result of its poll. Without one it would poll again, which closes this
+                # working watch.
                 self.state = WatchState.STREAMING
                 self.client.on_unchanged()
 
     def on_message_complete(self) -> None:
-        """Fail: a watch has no end."""
+        """Fail, as the response to a watch request must not end."""
         self.fail()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail."""
+        """Fail, as the connection is lost."""
         self.fail()
 
     def fail(self) -> None:
-        """Close the connection and notify the client."""
+        """Close the connection and notify the client that the watch has ended."""
         self.state = WatchState.FAILED
         if self.transport is not None:
             self.transport.abort()
--- a/ryepier/sidecar/graceful_shutdown.py
+++ b/ryepier/sidecar/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: every open or arriving request gets its answer before the process is killed."""
+"""Graceful shutdown: answers every open request, and those that still arrive, before the process is killed."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.system import clock_us
 
-ARRIVAL_WINDOW_S = 0.5  # new connections arrive for up to 0.4 s after SIGTERM
-# SIGKILL follows SIGTERM after the longest deadline of a class, of which at most MAX_COUNTED_DEADLINE_S count, and
-# MIN_KILL_DELAY_S, at the earliest.
+ARRIVAL_WINDOW_S = 0.5  # keep listening this long: clients still connect for up to 0.4 s after SIGTERM
+# SIGKILL follows SIGTERM no earlier than after the longest deadline of all classes, capped at MAX_COUNTED_DEADLINE_S,
+# plus MIN_KILL_DELAY_S.
 MAX_COUNTED_DEADLINE_S = 3.0
 MIN_KILL_DELAY_S = 0.7
-KILL_MARGIN_S = 0.1  # from the last answers to SIGKILL
+KILL_MARGIN_S = 0.1  # between the last answers and SIGKILL
 POLL_INTERVAL_S = 0.01
 
 
 async def shut_down(dispatcher: RequestDispatcher, front_ends: Sequence[FrontEnd]) -> None:
-    """Answer what is open and what still arrives, and return once that is done: a process that ends sooner, with a
-    request open, has lost it."""
+    """Answer all open requests and those that still arrive, then return.
+
+    The process must not exit before, as it would drop the requests that are still open.
+    """
     loop = asyncio.get_running_loop()
     max_deadline_s = max(request_class.deadline_us for request_class in dispatcher.settings.classes) / 1e6
     remaining_s = min(max_deadline_s, MAX_COUNTED_DEADLINE_S) + MIN_KILL_DELAY_S - KILL_MARGIN_S
@@ -42,12 +44,12 @@
 
 
 async def close_idle(front_ends: Sequence[FrontEnd]) -> None:
-    """Close connections that have become idle, and wait a moment."""
+    """Close the connections that have become idle, then wait for POLL_INTERVAL_S."""
     for front_end in front_ends:
         front_end.close_idle()
     await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def has_connections(front_ends: Sequence[FrontEnd]) -> bool:
-    """Return whether a connection is open."""
+    """Return whether any front end has an open connection."""
     return any(front_end.connection_count() for front_end in front_ends)
--- a/ryepier/sidecar/json_stream.py
+++ b/ryepier/sidecar/json_stream.py
@@ -9,29 +9,35 @@
 
 from ryepier.errors import RyepierError
 
-MAX_OBJECT_BYTES = 4 * 1024 * 1024  # more than a list of 10,000 entries
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # larger than an endpoint list of 10,000 entries
 STRUCTURAL_BYTE = re.compile(rb'["{}\[\]]')
 STRING_END_OR_ESCAPE = re.compile(rb'["\\]')
 
 
 class JsonStreamError(RyepierError):
-    """Bytes of a stream that are no JSON objects."""
+    """The stream contains something other than JSON objects."""
 
 
 class JsonStreamDecoder:
-    """Cuts a stream into its JSON objects: one per line, or over several lines, wherever its bytes are split."""
+    """Splits a byte stream into JSON objects.
+
+    An object may take one line or several, and a chunk of bytes may begin or end anywhere within an object.
+    """
 
     def __init__(self) -> None:
-        """Start before the first object."""
+        """Start at the beginning of a stream, with no bytes pending."""
         self.pending = bytearray()
-        self.scanned_bytes = 0  # bytes of it
+        self.scanned_bytes = 0  # bytes of `pending` that were already searched for the object's end
         self.depth = 0
         self.in_string = False
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """Yield the objects that are complete now. Raises JsonStreamError or ValueError on what is no object."""
+        """Add bytes to the stream and yield the objects that they complete.
+
+        Raises JsonStreamError or ValueError if the stream is not a sequence of JSON objects.
+        """
         if not self.pending and data.rstrip().endswith(b"}"):
-            try:  # nearly always it is exactly one object
+            try:  # fast path: the bytes are nearly always exactly one object
                 yield json.loads(data)
                 return
             except ValueError:
@@ -44,20 +50,20 @@
             yield decoded
         if self.depth == 0:
             if self.pending.strip():
-                raise JsonStreamError("not an object")
+                raise JsonStreamError("expected a JSON object")
             self.pending.clear()
             self.scanned_bytes = 0
         if len(self.pending) > MAX_OBJECT_BYTES:
-            raise JsonStreamError("an object without end")
+            raise JsonStreamError("JSON object exceeds the maximum length")
 
     def _find_end(self) -> int:
-        """Return where the first pending object ends; 0 if it is incomplete."""
+        """Return the length of the first pending object, or 0 if it is incomplete."""
         while match := (STRING_END_OR_ESCAPE if self.in_string else STRUCTURAL_BYTE).search(
             self.pending, self.scanned_bytes
         ):
             token, self.scanned_bytes = match.group(), match.end()
             if token == b"\\":
-                if self.scanned_bytes == len(self.pending):  # the escaped character has not arrived
+                if self.scanned_bytes == len(self.pending):  # the escaped character has not arrived yet
                     self.scanned_bytes -= 1
                     return 0
                 self.scanned_bytes += 1
--- a/ryepier/sidecar/request_ids.py
+++ b/ryepier/sidecar/request_ids.py
@@ -1,4 +1,4 @@
-"""Detection of request ids that are used twice."""
+"""Detection of duplicate request ids."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class RecentRequestIds:
-    """The ids of the open requests and of recent ones, in two generations of which the older is dropped."""
+    """The ids of open and recent requests, kept in two generations; each rotation drops the older one."""
 
     def __init__(self, period_s: float) -> None:
-        """Remember an id for `period_s` at least: no request may stay open for longer."""
+        """Start empty. Ids are remembered for at least `period_s`; no request may stay open for longer."""
         self.period_s = period_s
         self.current: set[bytes] = set()
         self.previous: set[bytes] = set()
         self.rotated_at = system.monotonic()
 
     def add(self, request_id: bytes) -> bool:
-        """Remember an id. Returns whether it is new."""
+        """Remember an id. Returns False if it is already known."""
         now = system.monotonic()
         if now > self.rotated_at + self.period_s:
             self.previous = self.current if now <= self.rotated_at + 2 * self.period_s else set()
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reading of requests: checks of their headers, and how a front end turns them into `ClientRequest`s and back."""
+"""Parses and validates requests, and renders their responses in the protocol of a front end."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from ryepier.sidecar.requests import ClientRequest, FinalAnswer, FinalOutcome, Header
 from ryepier.sidecar.system import clock_us
 
-# Names of the platform's protocol for HTTP
+# Names in the platform's HTTP protocol
 READINESS_PATH = b"/up"
 CLASS_HEADER = b"x-class"
 COST_HEADER = b"x-cost-hint"
 DEADLINE_HEADER = b"x-deadline-ms"
 IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
 KEY_HEADER = b"x-key"
-NOT_RUN_HEADER = b"x-not-run"  # of a response: 1 = the request was rejected before it ran
+NOT_RUN_HEADER = b"x-not-run"  # response header; 1 = the upstream rejected the request before running it
 REQUEST_ID_HEADER = b"x-request-id"
 RETRY_HEADER = b"x-retry"
 TENANT_HEADER = b"x-tenant"
-DEADLINE_LINE = b"X-Deadline-Ms: %d"  # header of an attempt
+DEADLINE_LINE = b"X-Deadline-Ms: %d"  # header that the sidecar adds to each attempt
 
-MAX_INTEGER_DIGITS = 9  # of a header's integer
-LATIN_1_SIZE = 256  # characters
+MAX_INTEGER_DIGITS = 9  # in the integer value of a header
+LATIN_1_SIZE = 256  # number of characters in Latin-1
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"host",
@@ -42,7 +42,7 @@
         DEADLINE_HEADER,
     )
 )
-# headers that must not be repeated: the upstream might go by the other one
+# Headers that must not be repeated, as the sidecar and the upstream might each use a different one of the values.
 UNREPEATABLE_HEADERS = frozenset(
     (
         b"host",
@@ -58,63 +58,66 @@
         IDEMPOTENCY_KEY_HEADER,
     )
 )
-UNRESERVED_URL_BYTES = frozenset(
-    b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_.-~"
-)  # bytes of a URL
+# Bytes that are not percent-encoded in a URL
+UNRESERVED_URL_BYTES = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_.-~")
 IDENTIFIER = re.compile(rb"[!-~]{1,128}")
 HEADER_VALUE = re.compile(rb"[\t -~]*")
 NAME_HEADER_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
-NAME_HEADERS = frozenset((CLASS_HEADER, TENANT_HEADER))  # their values are names of the settings, in any language
+# Headers whose values are names from the settings, which may have non-ASCII characters
+NAME_HEADERS = frozenset((CLASS_HEADER, TENANT_HEADER))
 
 
 class Response(NamedTuple):
-    """A response to the application."""
+    """A response to a client."""
 
     status: int
     body: bytes = b""
-    headers: bytes = b""  # lines, each with its end
+    headers: bytes = b""  # complete header lines, each with its line end
 
 
 class RequestError(RyepierError):
-    """A request that is not accepted; it gets a response with this status.
+    """A request is not accepted, and gets a response with this status.
 
-    The connection closes, unless the request was valid HTTP and only its content was not (`keeps_connection`).
+    The connection then closes, unless the request was valid HTTP with unacceptable content (`keeps_connection`).
     """
 
     def __init__(self, status: int, reason: str, keeps_connection: bool = False) -> None:
-        """Describe the response."""
+        """Store the status of the response; `reason` is its text."""
         super().__init__(reason)
         self.status = status
         self.keeps_connection = keeps_connection
 
 
 class Dialect(Protocol):
-    """How a front end reads requests and words their responses; it does not decide where requests go."""
+    """A front end's protocol: parses requests and renders their responses, without deciding where requests go."""
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
-        """Return the request that was read. Raises RequestError."""
+        """Validate a request and convert it to a `ClientRequest`. Raises RequestError if it is not acceptable."""
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
         """Return the response to an accepted request."""
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
-        """Return the response to a request that was not accepted; `target` as far as it was read."""
+        """Return the response to a request that was not accepted; `target` may be incomplete."""
 
 
 def stable_hash(key: bytes) -> int:
-    """Return a hash that is the same in every process, which Python's own is not."""
+    """Return a hash that is the same in every process, unlike Python's `hash`."""
     return int.from_bytes(hashlib.blake2b(key, digest_size=8).digest(), "big")
 
 
 def parse_integer(text: bytes, name: str) -> int:
-    """Return a header's value as an integer of 0 or more. Raises RequestError."""
+    """Parse a header's value as a non-negative integer. Raises RequestError, with the header's name, otherwise."""
     if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS:
         raise RequestError(400, f"{name} is no whole number")
     return int(text)
 
 
 def parse_headers(headers: list[Header], unrepeatable: frozenset[bytes]) -> dict[bytes, bytes]:
-    """Return the headers by their names in lower case; of repeated ones the last. Raises RequestError."""
+    """Return the header values by lower-case name; for a repeated header, the last one.
+
+    Raises RequestError if a header in `unrepeatable` is repeated or a value has characters that are not allowed.
+    """
     headers_by_name: dict[bytes, bytes] = {}
     for name, value in headers:
         name = name.lower()
@@ -127,12 +130,12 @@
 
 
 def percent_encode(name: str) -> bytes:
-    """Return a name as a path carries it. `urllib.parse` would take three percent of the sidecar's start."""
+    """Percent-encode a name for a URL path. Importing `urllib.parse` would take 3 % of the sidecar's start time."""
     return b"".join(b"%c" % byte if byte in UNRESERVED_URL_BYTES else b"%%%02X" % byte for byte in name.encode())
 
 
 def index_by_spelling(names: Sequence[str]) -> dict[bytes, int]:
-    """Return the index of each name by its spellings in a header or path: UTF-8, Latin-1, percent-encoded."""
+    """Map each encoding of a name in a header or path (UTF-8, Latin-1, percent-encoded) to the index of the name."""
     indexes = {name.encode(): index for index, name in enumerate(names)}
     for index, name in enumerate(names):
         indexes.setdefault(percent_encode(name), index)
@@ -142,7 +145,7 @@
 
 
 class TenantIndex:
-    """Finds the tenants that requests name."""
+    """Looks up the tenant that a request names."""
 
     def __init__(self, settings: Settings) -> None:
         """Index the tenants of the settings."""
@@ -150,8 +153,11 @@
         self.unknown_index = len(settings.tenants)
 
     def find(self, headers: Mapping[bytes, bytes]) -> int:
-        """Return the index of a request's tenant. A request without a known tenant must not count against a known
-        one: its index is one beyond."""
+        """Return the index of a request's tenant.
+
+        A request without a known tenant gets an index beyond those of the settings, so that it does not count against a
+        known tenant.
+        """
         return self.indexes.get(headers.get(TENANT_HEADER, b""), self.unknown_index)
 
 
@@ -159,14 +165,17 @@
     """The platform's protocol: HTTP/1.1 with headers for class, tenant, deadline and idempotency key."""
 
     def __init__(self, settings: Settings) -> None:
-        """Read requests of the settings' classes and tenants."""
+        """Prepare to parse requests of the classes and tenants in the settings."""
         self.settings = settings
         self.classes = index_by_spelling([request_class.name for request_class in settings.classes])
         self.tenants = TenantIndex(settings)
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
-        """Check a request and return it. What the protocol does not allow ends here: upstreams that reject it or
-        close on it would cost their connections and the requests behind."""
+        """Validate a request and convert it to a `ClientRequest`. Raises RequestError.
+
+        Requests that violate the protocol must not be forwarded: an upstream might close the connection on them, which
+        would also cost the next requests on it.
+        """
         headers_by_name = parse_headers(headers, UNREPEATABLE_HEADERS)
         index = self._class_index(target, headers_by_name)
         if not IDENTIFIER.fullmatch(headers_by_name.get(REQUEST_ID_HEADER, b"")):
@@ -183,7 +192,7 @@
             [header for header in headers if header[0].lower() not in HOP_BY_HOP_HEADERS],
             body,
             clock_us(),
-            deadline_us=min(deadline_us, request_class.deadline_us),  # bounds how long a request stays open
+            deadline_us=min(deadline_us, request_class.deadline_us),  # limits how long a request stays open
             class_index=index,
             request_id=headers_by_name[REQUEST_ID_HEADER],
             tenant=self.tenants.find(headers_by_name),
@@ -232,5 +241,5 @@
 
 
 def retry_after(after_us: int) -> bytes:
-    """Return the Retry-After header line; none for 0."""
+    """Return the Retry-After header line, or nothing for 0."""
     return b"Retry-After: %.3f\r\n" % (after_us / 1e6) if after_us else b""
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and answers, as the parts of a sidecar pass them to each other."""
+"""Types for requests, attempts and answers that the modules of the sidecar share."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 
 def never_disconnects() -> bool:
-    """Return False: the client can't disconnect."""
+    """Return False; the default for requests whose client can't disconnect."""
     return False
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class ClientRequest(Record):
-    """A request of the application, as it was read. Times are in microseconds."""
+    """A client's request as it was read. Times are in microseconds of `clock_us`."""
 
     method: bytes
     target: bytes
-    headers: list[Header]  # those that are forwarded
+    headers: list[Header]  # the headers that are forwarded to the upstream
     body: bytes
     arrived_us: int
-    deadline_us: int  # counted from its arrival
+    deadline_us: int  # relative to `arrived_us`
     class_index: int
     request_id: bytes = b""  # X-Request-Id
     tenant: int = 0
     key: int = 0
     cost_us: int = 0
     retried: bool = False
-    forwards_client_errors: bool = False  # an upstream's 4xx is the final answer
-    due_us: int = 0  # when the sidecar has to give its answer; 0 = no such time
-    accepted_type: bytes = b""  # the media type that the client accepts, where its front end reads it
-    # Checks whether the client has disconnected, also if the event loop has not noticed yet.
+    forwards_client_errors: bool = False  # an upstream's 4xx response is passed to the client as the final answer
+    due_us: int = 0  # time by which the sidecar must answer; 0 = unset
+    accepted_type: bytes = b""  # media type that the client accepts; empty if the front end does not read it
+    # Checks whether the client has disconnected, even if the event loop has not read that yet.
     client_disconnected: Callable[[], bool] = never_disconnects
 
 
 class FinalOutcome(enum.Enum):
-    """The outcome of a request, as its client learns it."""
+    """The outcome of a request that is reported to its client."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -52,18 +52,18 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class FinalAnswer(Record):
-    """The one final answer to a request."""
+    """The final answer to a request; each request gets exactly one."""
 
     outcome: FinalOutcome
     body: bytes = b""
     content_type: bytes = b""
     retry_after_us: int = 0
-    status: int = 200  # of the upstream's response, where it served
+    status: int = 200  # of the upstream's response, if the outcome is SERVED
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class AttemptResult(Record):
-    """How an attempt ended."""
+    """How an attempt ended; with outcome OK also the upstream's response."""
 
     outcome: api.Outcome
     body: bytes = b""
@@ -76,10 +76,10 @@
 
     @property
     def written(self) -> bool:
-        """Whether all of it has left the process: before, it can't run."""
+        """Whether all of the attempt was written to the network. Until then the upstream can't run it."""
 
     def cancel(self) -> None:
-        """Write nothing more; a connection that has carried part of it is closed."""
+        """Write nothing more. A connection on which a part was already written is closed."""
 
 
 class UpstreamTransport(Protocol):
@@ -94,12 +94,15 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_us: int = 0,
     ) -> InFlightAttempt:
-        """Start an attempt. Nothing of it is written after `latest_write_us`, unless that is 0, nor, where its
-        connection has to come up first, after the client has disconnected: then it ends as not sent. `on_end` is
-        called once, later, unless the attempt is cancelled first."""
+        """Start an attempt.
+
+        The attempt is not written after `latest_write_us`, unless that is 0. If it has to wait for a new connection and
+        its client disconnects meanwhile, it is not written either, and ends with outcome NOT_SENT. `on_end` is called
+        once, after this method has returned, unless the attempt is cancelled first.
+        """
 
     def close_idle(self, upstream: int) -> None:
         """Close the idle connections to an upstream."""
 
     def remove_upstream(self, upstream: int) -> None:
-        """Close the idle connections to an upstream, and the busy ones after their responses."""
+        """Close the idle connections to an upstream now, and its busy ones after their current responses."""
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -1,4 +1,4 @@
-"""Server for the application: listening, the bound on connections, and the graceful shutdown."""
+"""HTTP server for clients: accepts connections, limits and evicts them, and shuts them down gracefully."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_REQUEST_GRACE_S = 0.25  # a client that connects sends its request at once
+FIRST_REQUEST_GRACE_S = 0.25  # clients send a request on connecting, so new connections are not evicted before
 SWEEP_INTERVAL_S = 0.1
 LISTEN_BACKLOG = 1024
-ACCEPT_BATCH_SIZE = 16  # connections; hundreds in one turn would delay the open ones
-ACCEPT_PAUSE_S = 0.05  # without capacity
-PARTIAL_RETRY_AFTER_US = 250_000  # for a rejected request that has arrived in part, whose class is not known
+ACCEPT_BATCH_SIZE = 16  # connections; accepting hundreds in one loop iteration would delay the open ones
+ACCEPT_PAUSE_S = 0.05  # until accepting is tried again when there is no capacity
+PARTIAL_RETRY_AFTER_US = 250_000  # for a rejected partial request, whose class may not be known yet
 
 
 class EvictionRule(NamedTuple):
-    """Connections that may be evicted for a new one."""
+    """Describes the connections that may be evicted to make room for a new one."""
 
     state: ClientState
-    min_inactive_s: float  # in that state, and without a byte, for this long
-    partial: bool  # whether part of a request has arrived
+    min_inactive_s: float  # at least this long in the state and without a received byte
+    partial: bool  # whether a part of a request must have arrived
 
 
-# In the order of their use. A client that has just connected is about to send its request; where none of these is left,
-# new connections wait in the listener's queue.
+# Tried in this order. Connections within the grace period are not evicted, as their first request is about to arrive.
+# If no rule matches, new connections wait in the listener's queue.
 EVICTION_RULES = (
     EvictionRule(ClientState.CLOSING, 0.0, partial=False),
     EvictionRule(ClientState.NEW, FIRST_REQUEST_GRACE_S, partial=False),
@@ -48,7 +48,7 @@
 
 
 class Server:
-    """All connections of the application."""
+    """Accepts client connections and keeps track of all of them."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         max_clients: int,
         dialect: Dialect | None = None,
     ) -> None:
-        """Serve at `address`, once `listen` is called, up to `max_clients` connections."""
+        """Prepare a server for up to `max_clients` connections; it serves at `address` once `listen` is called."""
         self.loop = asyncio.get_running_loop()
         self.dispatcher = dispatcher
         self.address = address
@@ -67,7 +67,7 @@
         self.max_clients = max_clients
         max_retry_after_us = settings.max_retry_after_us if settings.retry_after else 0
         self.partial_retry_after_us = min(PARTIAL_RETRY_AFTER_US, max_retry_after_us)
-        # each in the order in which its state began, so that the oldest is found at once
+        # Each group is in the order in which its connections entered the state, so the oldest one comes first.
         self.clients_by_state: dict[ClientState, dict[ClientConnection, None]] = {state: {} for state in ClientState}
         self.start_tasks: set[asyncio.Task[object]] = set()
         self.is_stopping = False
@@ -75,33 +75,35 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it accepts requests and has upstreams for them."""
+        """Whether the server accepts requests and has upstreams to send them to."""
         return self.dispatcher.has_upstreams and not self.is_stopping
 
     def connection_count(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return sum(len(group) for group in self.clients_by_state.values())
 
     def has_many_connections(self) -> bool:
-        """Return whether new connections should close after their first response, as many are open."""
+        """Return whether more than half of the allowed connections are open; new ones then close after one response."""
         return self.connection_count() > self.max_clients // 2
 
     # Accepting
 
     def listen(self) -> None:
-        """Accept connections from now on."""
+        """Start listening, accepting connections, and checking state timeouts."""
         self.sock = system.listen(self.address, LISTEN_BACKLOG)
         self.sock.setblocking(False)
         self.loop.add_reader(self.sock, self.accept)
         self.sweep()
 
     def accept(self) -> None:
-        """Accept some of the waiting connections. asyncio's own server would accept all of them at once, and stop for
-        a second where no descriptor is left."""
+        """Accept a batch of waiting connections.
+
+        asyncio's own server would accept all of them at once, and pause for a second if no descriptor is left.
+        """
         self.accept_up_to(ACCEPT_BATCH_SIZE)
 
     def accept_up_to(self, limit: int) -> None:
-        """Accept waiting connections, `limit` of them at most."""
+        """Accept up to `limit` waiting connections."""
         assert self.sock is not None
         for _ in range(limit):
             if self.connection_count() >= self.max_clients and not self.free_capacity():
@@ -124,7 +126,7 @@
             task.add_done_callback(self.start_tasks.discard)
 
     async def start_connection(self, client: ClientConnection, sock: socket.socket) -> None:
-        """Start reading from an accepted connection."""
+        """Create the transport of an accepted connection, which starts reading from it."""
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:
@@ -132,23 +134,24 @@
             sock.close()
 
     def pause_accepting(self) -> None:
-        """Accept no connections for a moment: the loop would spin."""
+        """Stop accepting for ACCEPT_PAUSE_S. The listener stays readable, so the event loop would otherwise spin."""
         if self.sock is not None:
             self.loop.remove_reader(self.sock)
             self.loop.call_later(ACCEPT_PAUSE_S, self.resume_accepting)
 
     def resume_accepting(self) -> None:
-        """Accept connections again."""
+        """Accept connections again after a pause."""
         if self.sock is not None:
             self.loop.add_reader(self.sock, self.accept)
 
     # Capacity
 
     def free_capacity(self) -> bool:
-        """Evict a connection without a request in process. Returns whether there is capacity now: clients whose
-        requests have arrived in part are rejected, and free capacity once they have read that.
+        """Evict a connection that has no open request.
 
-        Without a bound no descriptor would be left for upstreams and discovery.
+        Returns whether there is capacity now. Partial requests are rejected instead of closed, and free capacity only
+        once their clients have read the response. Without the limit on connections no descriptors would be left for
+        upstreams and discovery.
         """
         now = system.monotonic()
         for rule in EVICTION_RULES:
@@ -163,7 +166,7 @@
         return False
 
     def evictable(self, rule: EvictionRule, inactive_since: float) -> Iterator[ClientConnection]:
-        """Yield the connections that may be evicted, the oldest first."""
+        """Yield the connections that a rule allows to evict, the longest in their state first."""
         for client in self.clients_by_state[rule.state]:
             if client.state_since > inactive_since:
                 return
@@ -177,18 +180,18 @@
                 yield client
 
     def change_state(self, client: ClientConnection, state: ClientState) -> None:
-        """Move a connection to another state."""
+        """Move a connection to another state, unless it was removed."""
         if client in self.clients_by_state[client.state]:
             del self.clients_by_state[client.state][client]
             client.state, client.state_since = state, system.monotonic()
             self.clients_by_state[state][client] = None
 
     def remove(self, client: ClientConnection) -> None:
-        """Remove a connection."""
+        """Stop tracking a connection."""
         self.clients_by_state[client.state].pop(client, None)
 
     def sweep(self) -> None:
-        """End states that have lasted too long, or silent clients would hold connections forever."""
+        """Check the state timeouts every SWEEP_INTERVAL_S; otherwise silent clients would hold connections forever."""
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now = system.monotonic()
         for state, timeout_s in STATE_TIMEOUTS_S.items():
@@ -203,8 +206,10 @@
     # Graceful shutdown
 
     def close_idle(self) -> None:
-        """Let each response from now on be the last of its connection, and close idle connections, but for those whose
-        first request may be on its way."""
+        """Make each further response the last of its connection, and close idle connections.
+
+        A connection within its grace period stays open, as its first request may be on its way.
+        """
         self.is_stopping = True
         grace_period_start = system.monotonic() - FIRST_REQUEST_GRACE_S
         for state in (ClientState.IDLE, ClientState.NEW):
@@ -220,7 +225,7 @@
                     client.close()
 
     def stop_listening(self) -> None:
-        """Accept the waiting connections, and no more: closing the listener resets those that wait."""
+        """Accept the waiting connections, then close the listener, which would reset any that still wait."""
         if self.sock is not None:
             self.accept_up_to(self.max_clients)
             self.loop.remove_reader(self.sock)
@@ -228,7 +233,7 @@
             self.sock = None
 
     def reject_partial_requests(self) -> None:
-        """Answer the requests that have arrived in part: the rest may arrive too late for the shutdown."""
+        """Reject partial requests, as the rest of them may arrive too late for the shutdown."""
         for state in (ClientState.NEW, ClientState.READING):
             for client in list(self.clients_by_state[state]):
                 if client.transport is not None:
--- a/ryepier/sidecar/serving.py
+++ b/ryepier/sidecar/serving.py
@@ -1,4 +1,4 @@
-"""Start of a sidecar from its configuration, and the reload of that configuration."""
+"""Starts a sidecar from its configuration and reloads that configuration."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 async def follow_config(path: str, reload: asyncio.Event, source: EndpointSource) -> None:
-    """Read the configuration again whenever `reload` is set; only the endpoint source takes part of it."""
+    """Reload the configuration whenever `reload` is set; only the endpoint source applies the new values."""
     while True:
         await reload.wait()
         reload.clear()
         try:
             source.apply_config(config.load(path))
-        except CONFIG_ERRORS as error:  # a file that is half written or missing must cost no request
+        except CONFIG_ERRORS as error:  # a missing or incomplete file must not affect requests
             log.warning("configuration not reloaded: %r", error)
 
 
 async def serve(
     sidecar_config: config.Config, stop: asyncio.Event, reload: asyncio.Event, components: Components = PLATFORM
 ) -> None:
-    """Serve until `stop` is set, then shut down gracefully."""
+    """Serve until `stop` is set, then shut down gracefully; `reload` triggers a reload of the configuration file."""
     max_connections = sidecar_config.max_descriptors * 3 // 8
     pool = ConnectionPool(
         sidecar_config.upstream_idle_timeout_us, sidecar_config.settings.connect_timeout_us, max_connections
--- a/ryepier/sidecar/system.py
+++ b/ryepier/sidecar/system.py
@@ -1,6 +1,6 @@
-"""Clocks and sockets of the machine, in one place, so that a simulation can replace them.
+"""Clock and socket functions of the operating system, kept in one module so that a simulation can replace them.
 
-The names are looked up at each call; a replacement sets them for the whole process.
+Callers look the names up in this module at each call, so a replacement applies to the whole process.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 def monotonic() -> float:
-    """Return the time in seconds, on the clock of `monotonic_ns`."""
+    """Return the monotonic time in seconds."""
     return monotonic_ns() / 1e9
 
 
 def clock_us() -> int:
-    """Return the time in microseconds, on the clock of `monotonic_ns`; the decision module's clock."""
+    """Return the monotonic time in microseconds, which is the clock that the decision module uses."""
     return monotonic_ns() // 1000
--- a/ryepier/sidecar/upstream_attempt.py
+++ b/ryepier/sidecar/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an upstream: what is written, and until when."""
+"""An attempt at an upstream: the bytes that are written and the time limits for writing them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def request_head(request: ClientRequest, address: Address, remaining_us: int) -> bytes:
-    """Return the head of an attempt: the client's own, with the time that remains for the response."""
+    """Return the head of an attempt: the client's headers, and the remaining time as the deadline header."""
     host = f"[{address[0]}]" if ":" in address[0] else address[0]
     lines = [b"%s %s HTTP/1.1\r\nHost: %s:%d" % (request.method, request.target, host.encode(), address[1])]
     lines.extend([b"%s: %s" % header for header in request.headers])
@@ -22,17 +22,17 @@
 
 
 class AttemptConnection(Protocol):
-    """The connection of an attempt, as far as the attempt needs it."""
+    """The part of a connection that its attempt uses."""
 
     attempt: UpstreamAttempt | None
-    partly_written: bool  # part of the request waits in the process
+    partly_written: bool  # a part of the request is still in the write buffer
 
     def close(self) -> None:
         """Close the connection at once."""
 
 
 class UpstreamAttempt:
-    """An attempt that has a connection, or waits until its connection is up."""
+    """An attempt that has a connection or waits for one to be established."""
 
     def __init__(
         self,
@@ -42,7 +42,10 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_us: int = 0,
     ) -> None:
-        """Prepare an attempt; it must not be written after `latest_write_us`, unless that is 0."""
+        """Prepare an attempt without a connection.
+
+        It must not be written after `latest_write_us`, unless that is 0. `on_end` receives its result.
+        """
         self.request = request
         self.address = address
         self.timeout_at_us = timeout_at_us
@@ -51,29 +54,38 @@
         self.connection: AttemptConnection | None = None
         self.write_started = False
         self.cancelled = False
-        self.upstream_removed = False  # before its connection was dialled
+        self.upstream_removed = False  # the upstream was removed before the connection was dialled
 
     @property
     def written(self) -> bool:
-        """Whether all of it has left the process. Part of it may wait until its upstream reads on; it runs once the
-        last byte is there."""
+        """Whether all of the attempt was written to the network.
+
+        A part may stay in the write buffer until the upstream reads more; the upstream runs the request only once the
+        last byte has arrived.
+        """
         return self.write_started and (self.connection is None or not self.connection.partly_written)
 
     def remaining_us(self) -> int:
-        """Return how long the response may take: until its timeout, and until its client's deadline."""
+        """Return the time left for the response, until the attempt's timeout or the request is due."""
         return min(self.timeout_at_us, self.request.due_us or self.timeout_at_us) - clock_us()
 
     def is_expired(self) -> bool:
-        """Return whether it is too late to write it."""
+        """Return whether it is too late to write the attempt."""
         return self.remaining_us() <= 0 or 0 < self.latest_write_us <= clock_us()
 
     def render(self) -> bytes:
-        """Return the request as it has to be written now: its connection may have taken long to come up, and the
-        upstream must not be given time that the client does not have."""
+        """Return the bytes of the request.
+
+        The deadline header is computed from the current time: establishing the connection may have taken long, and the
+        upstream must not be given time that the client does not have.
+        """
         return request_head(self.request, self.address, self.remaining_us()) + self.request.body
 
     def cancel(self) -> None:
-        """Expect no result. A connection that has carried part of it is closed; one still coming up stays."""
+        """Give up the attempt: `on_end` is not called any more.
+
+        A connection on which a part was already written is closed; one that is still being established is kept.
+        """
         self.cancelled = True
         connection, self.connection = self.connection, None
         if connection is not None:
@@ -82,6 +94,6 @@
                 connection.close()
 
     def end(self, result: AttemptResult) -> None:
-        """Report the result."""
+        """Report the result to `on_end`, and detach the attempt from its connection."""
         self.connection = None
         self.on_end(result)
--- a/ryepier/sidecar/upstream_connection.py
+++ b/ryepier/sidecar/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an upstream over HTTP/1.1; it carries one attempt at a time."""
+"""An HTTP/1.1 connection to an upstream, which carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 log = logging.getLogger(__name__)
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_RESPONSE_BYTES = 256 * 1024  # with its head, interim responses before it, and its framing
+MAX_RESPONSE_BYTES = 256 * 1024  # including its head, preceding interim responses, and chunk framing
 MAX_HEAD_BYTES = 32 * 1024
-FIRST_FINAL_STATUS = 200  # below it, a response is an interim one
-NOT_RUN_STATUSES = frozenset((503, 504))  # with X-Not-Run, the request was rejected
-RETRYABLE_STATUSES = frozenset((408, 425, 429))  # of the 4xx those that don't depend on the request itself
+FIRST_FINAL_STATUS = 200  # a response with a lower status is an interim one
+NOT_RUN_STATUSES = frozenset((503, 504))  # with X-Not-Run: 1, the upstream rejected the request before running it
+RETRYABLE_STATUSES = frozenset((408, 425, 429))  # the 4xx statuses that don't depend on the request itself
 
 
 class ResponseTooLongError(RyepierError):
-    """A response whose body exceeds the bound: it may keep coming for hours."""
+    """The body of a response exceeds MAX_BODY_BYTES; reading on might take hours."""
 
 
 class ConnectionState(enum.Enum):
     """Whether a connection can carry another attempt."""
 
     OPEN = enum.auto()
-    UNUSABLE = enum.auto()  # ends with the current response
-    CLOSING = enum.auto()  # closed by the sidecar; its descriptor is not free yet
+    UNUSABLE = enum.auto()  # closes after the current response
+    CLOSING = enum.auto()  # closed by the sidecar, but its descriptor is not free yet
     CLOSED = enum.auto()
 
 
 class ResponseReader:
-    """Collects one response from the parser's callbacks."""
+    """Collects one response from the callbacks of the HTTP parser."""
 
     def __init__(self) -> None:
-        """Start before the first byte."""
+        """Start before the first byte of a response."""
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.is_complete = False
         self.keeps_alive = True  # the connection may carry another request after this response
@@ -56,28 +56,28 @@
         self.head_complete = False
 
     def feed(self, data: bytes) -> None:
-        """Read bytes of the response. Raises HttpParserError or HttpParserUpgrade on malformed input."""
+        """Parse bytes of the response. Raises HttpParserError or HttpParserUpgrade on malformed input."""
         assert self.parser is not None
         self.received_bytes += len(data)
         self.parser.feed_data(data)
 
     def is_too_long(self) -> bool:
-        """Return whether more bytes have come than a response may have; without end they would fill the memory."""
+        """Return whether the response exceeds its size limit; an endless response would fill the memory."""
         return self.received_bytes > (MAX_RESPONSE_BYTES if self.head_complete else MAX_HEAD_BYTES)
 
     def release(self) -> None:
-        """Break the reference cycle with the parser, which would wait for a rare full garbage collection."""
+        """Break the reference cycle with the parser, which only a rare full garbage collection would end."""
         self.parser = None
 
-    # Callbacks of the parser
+    # Callbacks of the HTTP parser
 
     def on_message_begin(self) -> None:
-        """Note a second response: the connection can't be used any more."""
+        """Record that a second response has begun, after which the connection can't be reused."""
         if self.is_complete:
             self.keeps_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read a header."""
+        """Evaluate a header. Raises ResponseTooLongError if Content-Length exceeds MAX_BODY_BYTES."""
         if self.is_complete:
             return
         name = name.lower()
@@ -89,18 +89,18 @@
             self.content_type = value
 
     def on_headers_complete(self) -> None:
-        """Note the end of the head."""
+        """Record the end of the head."""
         self.head_complete = True
 
     def on_body(self, data: bytes) -> None:
-        """Read part of the body."""
+        """Append a part of the body. Raises ResponseTooLongError if the body exceeds MAX_BODY_BYTES."""
         if not self.is_complete:
             self.body += data
             if len(self.body) > MAX_BODY_BYTES:
                 raise ResponseTooLongError
 
     def on_message_complete(self) -> None:
-        """Note the end of the response, unless it is an interim one."""
+        """Record the end of the response; an interim response is discarded."""
         assert self.parser is not None
         if self.is_complete:
             return
@@ -114,7 +114,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The pool that a connection belongs to, as far as the connection needs it."""
+    """The part of the pool that its connections use."""
 
     def add(self, connection: UpstreamConnection) -> None:
         """Add a connection that is about to be dialled."""
@@ -123,44 +123,44 @@
         """Keep a connection for later attempts."""
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a connection broke that had been idle for this long."""
+        """Record whether a reused connection broke, which had been idle for `idle_us`."""
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Remove a connection."""
+        """Remove a connection from the pool."""
 
     def on_closing(self, connection: UpstreamConnection) -> None:
-        """Record that a removed connection keeps its descriptor until `on_closed`."""
+        """Record that a connection is closing; it keeps its descriptor until `on_closed`."""
 
     def on_closed(self, connection: UpstreamConnection) -> None:
-        """Remove a connection whose descriptor is free before the loop's next turn."""
+        """Remove a connection whose descriptor is freed before the next iteration of the event loop."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """A connection to an upstream."""
+    """A connection to an upstream: writes an attempt, reads its response, and reports the outcome."""
 
     def __init__(self, pool: ConnectionOwner, upstream: int, sock: socket.socket) -> None:
-        """Join the pool; the socket is dialled later."""
+        """Add the connection to the pool, in state OPEN; the pool dials its socket afterwards."""
         self.pool = pool
         self.upstream = upstream
-        self.upstream_removed = False  # the upstream is not listed any more, or has moved
+        self.upstream_removed = False  # the upstream is no longer listed or has another address
         self.sock = sock
         self.transport: asyncio.Transport | None = None
         self.state = ConnectionState.OPEN
         self.attempt: UpstreamAttempt | None = None
         self.response: ResponseReader | None = None
-        self.partly_written = False  # part of the request waits in the process
+        self.partly_written = False  # a part of the request is still in the write buffer
         self.idle_since_us = 0
-        self.idle_us = 0  # how long it was idle before the current attempt
+        self.idle_us = 0  # idle time before the current attempt; 0 for the first attempt
         pool.add(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the waiting attempt, if it may still be sent."""
+        """Send the attempt that waits for this connection, if it may still be sent."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # to be notified whether all has been written
+        transport.set_write_buffer_limits(high=0)  # pause_writing and resume_writing tell whether all was written
         attempt, self.attempt = self.attempt, None
         outcome = Outcome.CONNECT_FAILED
-        if self.upstream_removed:  # it must not get new requests, however long ago the attempt started
+        if self.upstream_removed:  # a removed upstream must not get new requests, even for earlier attempts
             self.close()
         elif attempt is None or attempt.is_expired():
             self.pool.put_idle(self)
@@ -174,16 +174,19 @@
             attempt.end(AttemptResult(outcome))
 
     def pause_writing(self) -> None:
-        """Note that part of the request waits in the process."""
+        """Record that a part of the request is still in the write buffer."""
         self.partly_written = True
 
     def resume_writing(self) -> None:
-        """Note that all of the request has left the process."""
+        """Record that the whole request was written to the network."""
         self.partly_written = False
 
     def is_usable(self) -> bool:
-        """Return whether another attempt can be sent. An end or stray bytes that have arrived but were not read yet
-        would cost the request."""
+        """Return whether another attempt can be sent.
+
+        Checks the socket for a close or surplus bytes that have arrived but were not read yet, which would cost the
+        request.
+        """
         if self.state is not ConnectionState.OPEN or self.transport is None or self.transport.is_closing():
             return False
         try:
@@ -195,27 +198,27 @@
         return False
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Write an attempt."""
+        """Write an attempt and await its response."""
         assert self.transport is not None
         self.attempt = attempt
         attempt.connection = self
         attempt.write_started = True
         self.response = ResponseReader()
         self.transport.write(attempt.render())
-        if self.transport.is_closing():  # the write failed: the connection had broken before
+        if self.transport.is_closing():  # the write failed, as the connection was already broken
             self.partly_written = True
 
     def data_received(self, data: bytes) -> None:
         """Read bytes of the response."""
         response = self.response
         if self.attempt is None or response is None:
-            self.close()  # bytes without a request
+            self.close()  # surplus bytes, without a request
             return
         malformed = False
         try:
             response.feed(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            malformed = True  # what follows would be taken for the next response
+            malformed = True  # the bytes that follow could be taken for the next response
         if malformed or not response.keeps_alive:
             self._mark_unusable()
         if response.is_complete:
@@ -226,11 +229,11 @@
 
     def _finish_complete(self, response: ResponseReader) -> None:
         if self.state is not ConnectionState.OPEN or self.partly_written:
-            self.close()  # the rest of this request would be read as the next one
+            self.close()  # the upstream would read the rest of this request as the next request
         forwards_errors = self.attempt is not None and self.attempt.request.forwards_client_errors
         is_final_error = 400 <= response.status < 500 and response.status not in RETRYABLE_STATUSES
         if response.status == http.HTTPStatus.OK or (forwards_errors and is_final_error):
-            # A response that is complete before its request was written was not made for it.
+            # A response that is complete before the request was written can't be the response to it.
             self._finish(Outcome.MALFORMED_RESPONSE if self.partly_written else Outcome.OK)
         elif response.status in NOT_RUN_STATUSES and response.not_run:
             self._finish(Outcome.REJECTED)
@@ -238,7 +241,7 @@
             self._finish(Outcome.ERROR)
 
     def _finish(self, outcome: Outcome) -> None:
-        """End the attempt; the connection becomes idle if it can be used again."""
+        """End the attempt, and make the connection idle if it can be reused."""
         attempt, self.attempt = self.attempt, None
         response, self.response = self.response, None
         received_bytes = response.received_bytes if response is not None else 0
@@ -271,21 +274,21 @@
         )
 
     def eof_received(self) -> None:
-        """Send nothing more: the upstream closes the connection."""
+        """Stop using the connection after the current response, as the upstream closes it."""
         self._mark_unusable()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the pool and end the attempt."""
+        """Remove the connection from the pool and end its attempt."""
         self.state = ConnectionState.CLOSED
         self.pool.on_closed(self)
         if self.attempt is not None:
-            # What was written completely may have run; anything less has not.
+            # A request that was written completely may have run; one that was not can't have.
             self._finish(Outcome.CONNECT_FAILED if self.partly_written else Outcome.RESET)
         elif self.response is not None:
             self.response.release()
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection at once. If it still has an attempt, that ends in `connection_lost`."""
         self.pool.remove(self)
         if self.transport is not None:
             if self.state is not ConnectionState.CLOSED:
