--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -45,14 +45,15 @@
     {"name": "pay", "effect": "at_most_once"},
     {"name": "mark", "effect": "deduplicated", "group": "cell", "memory-span": IDEMPOTENCY_WINDOW_US},
 ]
-PUSHED = SETTINGS | {
+PUSHED_SETTINGS = SETTINGS | {
     "registry-mode": "pushed",
     "request-classes": [
-        {"aim": LATENCY_OBJECTIVE_US, "deadline": int(DEADLINE_S * 1e6), "late-worth": 0.5, "worth": 1.0} | each
-        for each in CLASSES
+        {"aim": LATENCY_OBJECTIVE_US, "deadline": int(DEADLINE_S * 1e6), "late-worth": 0.5, "worth": 1.0}
+        | request_class
+        for request_class in CLASSES
     ],
 }
-POLLED = PUSHED | {"registry-mode": "on_request"}
+POLLED_SETTINGS = PUSHED_SETTINGS | {"registry-mode": "on_request"}
 
 
 @dataclass
@@ -60,19 +61,19 @@
     """A request and its answer at the application; times in seconds of the event loop's clock."""
 
     sidecar: str
-    ident: str
+    request_id: str
     sent_s: float = 0.0  # its last byte
     deadline_s: float = DEADLINE_S
     ended_s: float | None = None  # the last byte of its answer; None = no complete answer
     status: int = 0
 
 
-def unanswered(requests: Iterable[ClientRequest]) -> list[ClientRequest]:
+def unanswered_requests(requests: Iterable[ClientRequest]) -> list[ClientRequest]:
     """Return the requests without a final answer by `ANSWER_TOLERANCE_S` after their deadline."""
     return [
-        each
-        for each in requests
-        if each.ended_s is None or each.ended_s > each.sent_s + each.deadline_s + ANSWER_TOLERANCE_S
+        record
+        for record in requests
+        if record.ended_s is None or record.ended_s > record.sent_s + record.deadline_s + ANSWER_TOLERANCE_S
     ]
 
 
@@ -89,18 +90,23 @@
 def find_outages(requests: Sequence[ClientRequest], from_s: float, until_s: float) -> list[Outage]:
     """Return the times of `MIN_OUTAGE_S` or more, between two instants, in which a sidecar got `MIN_OUTAGE_REQUESTS` or
     more and served none of them, while another sidecar served."""
-    found = []
-    for sidecar in sorted({each.sidecar for each in requests}):
-        own = [each for each in requests if each.sidecar == sidecar]
-        served = sorted(each.sent_s for each in own if each.status == SERVED and from_s <= each.sent_s <= until_s)
-        for begin_s, end_s in zip([from_s, *served], [*served, until_s], strict=True):
-            count = sum(begin_s < each.sent_s < end_s for each in own)
+    outages = []
+    for sidecar in sorted({record.sidecar for record in requests}):
+        sidecar_requests = [record for record in requests if record.sidecar == sidecar]
+        served_at_s = sorted(
+            record.sent_s
+            for record in sidecar_requests
+            if record.status == SERVED and from_s <= record.sent_s <= until_s
+        )
+        for begin_s, end_s in zip([from_s, *served_at_s], [*served_at_s, until_s], strict=True):
+            count = sum(begin_s < record.sent_s < end_s for record in sidecar_requests)
             others_serve = any(
-                each.sidecar != sidecar and each.status == SERVED and begin_s < each.sent_s < end_s for each in requests
+                record.sidecar != sidecar and record.status == SERVED and begin_s < record.sent_s < end_s
+                for record in requests
             )
             if end_s - begin_s >= MIN_OUTAGE_S and count >= MIN_OUTAGE_REQUESTS and others_serve:
-                found.append(Outage(sidecar, begin_s, end_s, count))
-    return found
+                outages.append(Outage(sidecar, begin_s, end_s, count))
+    return outages
 
 
 @dataclass
@@ -118,7 +124,7 @@
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             if self.writers and not self.silent:
-                self.piece(b"\n")
+                self.send_bytes(b"\n")
 
     def stop(self) -> None:
         super().stop()
@@ -168,21 +174,21 @@
 
     def __init__(
         self,
-        folder: Path,
+        directory: Path,
         name: str,
         agent: Discovery,
-        known: dict[str, Any],
+        cached_list: dict[str, Any],
         seeded_fault: str = "",
-        settings: dict[str, Any] = PUSHED,
+        settings: dict[str, Any] = PUSHED_SETTINGS,
     ) -> None:
-        folder.mkdir(parents=True, exist_ok=True)
+        directory.mkdir(parents=True, exist_ok=True)
         self.name = name
         self.seeded_fault = seeded_fault
         self.path = write_configuration(
-            folder, name=name, discovery=f"127.0.0.1:{agent.port}", known=known, settings=settings
+            directory, name=name, discovery=f"127.0.0.1:{agent.port}", known=cached_list, settings=settings
         )
         self.port = int(json.loads(self.path.read_text())["listen"].split(":")[1])
-        self.log = (folder / "log").open("ab")
+        self.log = (directory / "log").open("ab")
         self.process: subprocess.Popen[bytes] | None = None
 
     async def start(self) -> None:
@@ -205,19 +211,19 @@
 
     def reload(self, agent: Discovery) -> None:
         """Reload the configuration with another discovery agent."""
-        changed = json.loads(self.path.read_text()) | {"discovery": f"127.0.0.1:{agent.port}"}
-        self.path.write_text(json.dumps(changed))
+        configuration = json.loads(self.path.read_text()) | {"discovery": f"127.0.0.1:{agent.port}"}
+        self.path.write_text(json.dumps(configuration))
         self.signal(signal.SIGHUP)
 
     def stop(self) -> None:
         """Send SIGTERM."""
         self.signal(signal.SIGTERM)
 
-    def signal(self, number: signal.Signals) -> None:
+    def signal(self, signal_number: signal.Signals) -> None:
         assert self.process is not None
-        self.process.send_signal(number)
+        self.process.send_signal(signal_number)
 
-    async def ended(self) -> int:
+    async def wait_until_ended(self) -> int:
         """Wait for its end, and return the exit code."""
         assert self.process is not None
         return await asyncio.to_thread(self.process.wait, HANG_TIMEOUT_S)
@@ -264,14 +270,16 @@
         self.requests: list[ClientRequest] = []
         self.answers: list[asyncio.Task[None]] = []
 
-    async def begin(self, sidecar: SidecarProcess, kind: str, cuts: Sequence[int] = (), body: bytes = b"") -> Exchange:
+    async def send_first_piece(
+        self, sidecar: SidecarProcess, class_name: str, split_offsets: Sequence[int] = (), body: bytes = b""
+    ) -> Exchange:
         """Send the first piece of a request that is split at these offsets; all of it if there are none."""
-        ident = f"{sidecar.name}-{next(request_numbers)}"
-        data = request(kind, ident, body, deadline_ms=int(DEADLINE_S * 1000))
-        edges = [0, *cuts, len(data)]
-        pieces = [data[begin:end] for begin, end in itertools.pairwise(edges)]
+        request_id = f"{sidecar.name}-{next(request_numbers)}"
+        data = request(class_name, request_id, body, deadline_ms=int(DEADLINE_S * 1000))
+        offsets = [0, *split_offsets, len(data)]
+        pieces = [data[start:end] for start, end in itertools.pairwise(offsets)]
         reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.port)
-        exchange = Exchange(ClientRequest(sidecar.name, ident), pieces, reader, writer)
+        exchange = Exchange(ClientRequest(sidecar.name, request_id), pieces, reader, writer)
         exchange.send_next()
         self.requests.append(exchange.record)
         return exchange
@@ -282,9 +290,9 @@
             exchange.send_next()
         self.answers.append(asyncio.create_task(exchange.answer()))
 
-    async def fetch(self, sidecar: SidecarProcess, kind: str) -> None:
+    async def fetch(self, sidecar: SidecarProcess, class_name: str) -> None:
         """Send a complete request."""
-        self.finish(await self.begin(sidecar, kind))
+        self.finish(await self.send_first_piece(sidecar, class_name))
 
     async def wait_until_ended(self) -> None:
         """Wait until each request has its answer or is given up."""
--- a/tests/disconnect_testbed.py
+++ b/tests/disconnect_testbed.py
@@ -48,7 +48,7 @@
 
 DISCONNECTS = [close, reset, end_sending]
 # with the number of bytes that the client sends first: the sidecar discards 65,536 of them at most
-DISCONNECTS_BEHIND_BYTES = [
+DISCONNECTS_AFTER_BYTES = [
     (close, 0),
     (reset, 0),
     (end_sending, 0),
@@ -60,13 +60,13 @@
 ]
 
 
-def disconnect_behind_bytes(sock: socket.socket, disconnect: Disconnect, byte_count: int) -> None:
+def disconnect_after_bytes(sock: socket.socket, disconnect: Disconnect, byte_count: int) -> None:
     """Send bytes that are no request, and disconnect."""
     sock.sendall(b"x" * byte_count)
     disconnect(sock)
 
 
-def block_loop(*steps: Callable[[], object]) -> None:
+def block_event_loop(*steps: Callable[[], object]) -> None:
     """Block the event loop while the steps run, long enough for it to find all their effects in its next turn."""
     for step in steps:
         step()
@@ -80,16 +80,16 @@
 class ManualConverter(Upstream):
     """Holds its responses while `is_holding`, and counts attempts by their first byte."""
 
-    is_holding: bool = True
-    started: int = 0
-    held: list[asyncio.StreamWriter] = field(default_factory=list)
+    holds_responses: bool = True
+    started_attempts: int = 0
+    held_responses: list[asyncio.StreamWriter] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Read requests, and count each at its first byte."""
         self.connections += 1
         try:
             while byte := await reader.read(1):
-                self.started += 1
+                self.started_attempts += 1
                 head, body = await read_message(reader)
                 self.requests.append(Message(byte + head, body))
                 await self.script(self, len(self.requests) - 1, reader, writer)
@@ -100,8 +100,8 @@
 
     def respond(self, data: bytes) -> None:
         """Respond to the held request, even while the loop is blocked, and hold no further one."""
-        self.is_holding = False
-        os.write(self.held.pop().get_extra_info("socket").fileno(), data)
+        self.holds_responses = False
+        os.write(self.held_responses.pop().get_extra_info("socket").fileno(), data)
 
     def request_ids(self) -> list[int]:
         """Return the ids of the requests that have arrived, in their order."""
@@ -109,19 +109,19 @@
 
 
 async def hold_or_respond(
-    upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     """Respond at once, or leave that to `ManualConverter.respond`."""
     assert isinstance(upstream, ManualConverter)
-    if upstream.is_holding:
-        upstream.held.append(writer)
+    if upstream.holds_responses:
+        upstream.held_responses.append(writer)
     else:
         writer.write(OK)
 
 
-def manual_converter(is_holding: bool = True) -> ManualConverter:
+def manual_converter(holds_responses: bool = True) -> ManualConverter:
     """Return a converter that holds its responses, or responds at once."""
-    return ManualConverter(hold_or_respond, is_holding=is_holding)
+    return ManualConverter(hold_or_respond, holds_responses=holds_responses)
 
 
 @dataclass
@@ -151,30 +151,30 @@
         delayed = DelayedConnections()
         with self.monkeypatch.context() as patch:
             delayed.delay(self.converter, patch)
-            leaving = self.connect(request("pay", "0"))
+            disconnecting_client = self.connect(request("pay", "0"))
             await wait_until(lambda: delayed.started == 1)
-            leaving.close()
+            disconnecting_client.close()
             await asyncio.sleep(SETTLE_S)
             client = self.connect(request("pay", "1"))
             await wait_until(lambda: delayed.started == 2)
             delayed.released.set()
-            await wait_until(lambda: len(self.converter.held) == 1)
+            await wait_until(lambda: len(self.converter.held_responses) == 1)
         client.setblocking(False)
         await asyncio.sleep(SETTLE_S)  # a connection is not used in the moment in which it comes up
         assert self.converter.connections == 2
         return client
 
-    async def wait_in_buffer(self) -> socket.socket:
+    async def send_buffered_request(self) -> socket.socket:
         """Send request 2, which waits in the buffer as request 1 has the only slot, and return its client."""
         client = self.connect(request("pay", "2"))
         await wait_until(lambda: b"2" in [accepted.request_id for accepted in self.accepted])
         assert self.converter.request_ids() == [1]
         return client
 
-    async def check_only_sent(self, *request_ids: int) -> None:
+    async def check_only_forwarded(self, *request_ids: int) -> None:
         """Check that the converter got no attempt but for these requests; a further request is served as usual."""
         await asyncio.sleep(SETTLE_S)
         assert status_of(await self.sidecar.fetch(request("pay", "99"))) == 200
         await asyncio.sleep(SETTLE_S)
         assert self.converter.request_ids() == [*request_ids, 99]
-        assert self.converter.started == len(request_ids) + 1
+        assert self.converter.started_attempts == len(request_ids) + 1
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -28,9 +28,9 @@
 CLOSED_PORT = free_port()
 NEW_VERSION = 2
 
-OLD = endpoint_list(endpoint_entry("u0", 9000), rev=1)
-NEW = endpoint_list(endpoint_entry("u0", 9000, "leaving"), rev=2, full=False)
-NEW_BYTES = json.dumps(NEW).encode() + b"\n"
+OLD_LIST = endpoint_list(endpoint_entry("u0", 9000), rev=1)
+NEW_LIST = endpoint_list(endpoint_entry("u0", 9000, "leaving"), rev=2, full=False)
+NEW_BYTES = json.dumps(NEW_LIST).encode() + b"\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -50,7 +50,7 @@
 class Fault(NamedTuple):
     """The bytes that are written to a call, and how it continues."""
 
-    data: bytes
+    initial_bytes: bytes
     behaviour: Behaviour
 
 
@@ -66,8 +66,8 @@
     "half a list, silent": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.STAY_SILENT),
     "half a list, a byte at a time": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.TRICKLE),
     "unreadable": Fault(HEAD + chunk(b'{"rev": 2, "all": true, "targets": [{"uid": "u0"}]}\n'), Behaviour.STAY_SILENT),
-    "watch falls silent": Fault(HEAD + chunk(json.dumps(OLD).encode() + b"\n"), Behaviour.STAY_SILENT),
-    "watch breaks": Fault(HEAD + chunk(json.dumps(OLD).encode() + b"\n"), Behaviour.RESET),
+    "watch falls silent": Fault(HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.STAY_SILENT),
+    "watch breaks": Fault(HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.RESET),
 }
 
 
@@ -78,13 +78,13 @@
     It counts as reachable from when the last fault has occurred.
     """
 
-    order: tuple[str, ...]
+    fault_order: tuple[str, ...]
     response_delay_s: float
     calls: list[float] = field(default_factory=list)
     reachable_at: float = 0.0
     port: int = 0
     server: asyncio.Server | None = None
-    first: bytes = NEW_BYTES
+    initial_data: bytes = NEW_BYTES
     """What a call that is served gets."""
     sends_empty_lines: bool = False
 
@@ -93,10 +93,10 @@
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def on_connecting(self) -> Behaviour | None:
+    def on_connect(self) -> Behaviour | None:
         """Count a call, and return what becomes of its connection."""
         self.calls.append(time.monotonic())
-        if len(self.calls) <= len(self.order):
+        if len(self.calls) <= len(self.fault_order):
             self.reachable_at = self.calls[-1]
         fault = self._current_fault()
         return fault.behaviour if fault is not None else None
@@ -104,13 +104,13 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a call, or let its fault occur."""
         fault = self._current_fault()
-        is_last_fault = len(self.calls) == len(self.order)
+        is_last_fault = len(self.calls) == len(self.fault_order)
         try:
             await read_message(reader)
             if fault is None:
                 await self._serve_list(writer)
             else:
-                writer.write(fault.data)
+                writer.write(fault.initial_bytes)
                 await writer.drain()
                 if is_last_fault:
                     self.reachable_at = time.monotonic()
@@ -127,13 +127,13 @@
             self.server.close()
 
     def _current_fault(self) -> Fault | None:
-        if not 0 < len(self.calls) <= len(self.order):
+        if not 0 < len(self.calls) <= len(self.fault_order):
             return None
-        return FAULTS[self.order[len(self.calls) - 1]]
+        return FAULTS[self.fault_order[len(self.calls) - 1]]
 
     async def _serve_list(self, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(self.response_delay_s)
-        writer.write(HEAD + (chunk(self.first) if self.first else b""))
+        writer.write(HEAD + (chunk(self.initial_data) if self.initial_data else b""))
         while self.sends_empty_lines:
             await asyncio.sleep(EMPTY_LINE_INTERVAL_S)
             writer.write(chunk(b"\n"))
@@ -149,20 +149,22 @@
             await writer.drain()
 
 
-def script_connections(patch: pytest.MonkeyPatch, agents: dict[int, FaultyDiscovery]) -> None:
+def apply_connection_faults(patch: pytest.MonkeyPatch, agents: dict[int, FaultyDiscovery]) -> None:
     """Let connections to the ports of these agents be refused, or hang, where their fault says so."""
     connect = asyncio.SelectorEventLoop.sock_connect
 
-    async def scripted(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
-        behaviour = agents[address[1]].on_connecting() if address[1] in agents else None
+    async def connect_by_fault(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
+        behaviour = agents[address[1]].on_connect() if address[1] in agents else None
         if behaviour is Behaviour.HANG:
             await asyncio.Event().wait()
         await connect(loop, sock, ("127.0.0.1", CLOSED_PORT) if behaviour is Behaviour.REFUSE else address)
 
-    patch.setattr(asyncio.SelectorEventLoop, "sock_connect", scripted)
+    patch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_by_fault)
 
 
-def follow(agent: FaultyDiscovery, is_pushed: bool, on_update: Callable[[UpstreamsUpdated], None]) -> DiscoveryClient:
+def start_client(
+    agent: FaultyDiscovery, is_pushed: bool, on_update: Callable[[UpstreamsUpdated], None]
+) -> DiscoveryClient:
     """Start a sidecar's decision module and discovery client.
 
     It is one of a fleet so large that polls are spread over the maximum time, and it draws the latest of all times.
@@ -176,7 +178,7 @@
         dispatcher.on_endpoints(event, addresses)
 
     registry = EndpointRegistry(["a"], ["m"])
-    client = DiscoveryClient(("127.0.0.1", agent.port), registry, listener, is_pushed, cached_list=OLD)
+    client = DiscoveryClient(("127.0.0.1", agent.port), registry, listener, is_pushed, cached_list=OLD_LIST)
     dispatcher.subscribe = client.subscribe
     client.restore_cached()
     dispatcher.start()
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -106,9 +106,9 @@
     """Return a script that gives these answers in turn and repeats the last; an empty one aborts the connection."""
 
     async def script(
-        upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        answer = answers[min(number, len(answers) - 1)]
+        answer = answers[min(request_index, len(answers) - 1)]
         if not answer:
             writer.transport.abort()
             raise ConnectionResetError
@@ -119,20 +119,20 @@
 
 
 async def never_respond(
-    upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     """Script that waits for the end of the connection."""
     await reader.read()
     raise ConnectionResetError
 
 
-def respond_after(released: asyncio.Event) -> Script:
+def respond_after(release: asyncio.Event) -> Script:
     """Return a script that answers once the event is set."""
 
     async def script(
-        upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        await released.wait()
+        await release.wait()
         writer.write(OK)
 
     return script
@@ -161,10 +161,10 @@
 class Discovery:
     """Keeps watches open, and sends each the list `first` if there is one; `line` sends a list to the newest."""
 
-    first: Json | None = None
+    initial_list: Json | None = None
     calls: list[bytes] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
-    called: asyncio.Event = field(default_factory=asyncio.Event)
+    watch_opened: asyncio.Event = field(default_factory=asyncio.Event)
     port: int = 0
     server: asyncio.Server | None = None
 
@@ -179,22 +179,22 @@
         self.calls.append(head)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.writers.append(writer)
-        if self.first is not None:
-            self.line(self.first)
-        self.called.set()
+        if self.initial_list is not None:
+            self.send_list(self.initial_list)
+        self.watch_opened.set()
         await reader.read()
 
-    async def watched(self) -> None:
+    async def wait_for_watch(self) -> None:
         """Wait for a new watch."""
         async with asyncio.timeout(HANG_TIMEOUT_S):
-            await self.called.wait()
-        self.called.clear()
+            await self.watch_opened.wait()
+        self.watch_opened.clear()
 
-    def line(self, lines: object) -> None:
+    def send_list(self, message: object) -> None:
         """Send a list to the newest watch."""
-        self.piece(json.dumps(lines).encode() + b"\n")
+        self.send_bytes(json.dumps(message).encode() + b"\n")
 
-    def piece(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         """Send bytes to the newest watch, in a chunk of their own."""
         self.writers[-1].write(b"%x\r\n%s\r\n" % (len(data), data))
 
@@ -239,7 +239,7 @@
 def write_configuration(folder: Path, **changes: Any) -> Path:
     """Write the configuration of one sidecar, with some keys changed, and return its path."""
     path = folder / "config.json"
-    values = {
+    document = {
         "name": "n0",
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": "127.0.0.1:1",
@@ -248,7 +248,7 @@
         "settings": SETTINGS,
         "known": endpoint_list(endpoint_entry("u", 1)),
     }
-    path.write_text(json.dumps(values | changes))
+    path.write_text(json.dumps(document | changes))
     return path
 
 
@@ -256,16 +256,20 @@
 
 
 def request(
-    kind: str = "read", ident: str | None = None, body: bytes = b"", deadline_ms: object = 15_000, extra: str = ""
+    class_name: str = "read",
+    request_id: str | None = None,
+    body: bytes = b"",
+    deadline_ms: object = 15_000,
+    extra: str = "",
 ) -> bytes:
     """Return a request as the application sends it, with an id of its own if none is given."""
-    method = "GET" if kind == "read" else "POST"
-    ident = str(next(request_numbers)) if ident is None else ident
-    key = "Idempotency-Key: k\r\n" if kind == "mark" else ""
-    length = "" if kind == "read" else f"Content-Length: {len(body)}\r\n"
+    method = "GET" if class_name == "read" else "POST"
+    request_id = str(next(request_numbers)) if request_id is None else request_id
+    key = "Idempotency-Key: k\r\n" if class_name == "mark" else ""
+    length = "" if class_name == "read" else f"Content-Length: {len(body)}\r\n"
     return (
-        f"{method} /{kind}/it?x=1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {ident}\r\n"
-        f"X-Class: {kind}\r\nX-Deadline-Ms: {deadline_ms}\r\n{key}{length}{extra}\r\n"
+        f"{method} /{class_name}/it?x=1 HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {request_id}\r\n"
+        f"X-Class: {class_name}\r\nX-Deadline-Ms: {deadline_ms}\r\n{key}{length}{extra}\r\n"
     ).encode() + body
 
 
@@ -295,26 +299,26 @@
 
 def sidecar_config(port: int, discovery_port: int, cached_list: Json, **changes: Any) -> Config:
     """Return a configuration; changes may be of Config's fields or of Settings'."""
-    settings: dict[str, Any] = {
+    settings_fields: dict[str, Any] = {
         "classes": request_classes(),
         "max_attempts": 4,
         "connect_timeout_us": 10_000_000,
         "max_retry_after_us": 1_000_000,
         "max_poll_interval_us": 10_000_000,
     }
-    values: dict[str, Any] = {"upstream_idle_timeout_us": 60_000_000, "path": ""}
+    config_fields: dict[str, Any] = {"upstream_idle_timeout_us": 60_000_000, "path": ""}
     for name, value in changes.items():
-        (values if name in values else settings)[name] = value
+        (config_fields if name in config_fields else settings_fields)[name] = value
     return Config(
         listen=("127.0.0.1", port),
         discovery=("127.0.0.1", discovery_port),
         seed=1,
         max_descriptors=200,
-        settings=Settings(**settings),
+        settings=Settings(**settings_fields),
         zones=["a"],
         kinds=["m"],
         cached_list=cached_list,
-        **values,
+        **config_fields,
     )
 
 
@@ -341,7 +345,7 @@
     It polls the discovery that is given; without one it watches an agent that has nothing to send. `changes` are as in
     `sidecar_config`.
     """
-    agent = discovery or Discovery(first=endpoint_list(rev=1, full=False))
+    agent = discovery or Discovery(initial_list=endpoint_list(rev=1, full=False))
     peers: list[Upstream | Discovery] = [*upstreams, agent]
     for peer in peers:
         await peer.start()
@@ -381,14 +385,14 @@
     """Check that bytes get an error of this status and the end of their connection, that nothing of them is forwarded,
     and that the sidecar serves the next request."""
     upstream = Upstream(respond_in_turn(OK))
-    async with sidecar(upstream) as it:
-        reader, writer = await it.connect()
+    async with sidecar(upstream) as running_sidecar:
+        reader, writer = await running_sidecar.connect()
         writer.write(data)
         answer = await reader.read()
         writer.close()
         assert int(answer.split(b" ")[1]) == expected and b"Connection: close" in answer
         assert upstream.requests == []
-        assert status_of(await it.fetch(request())) == 200
+        assert status_of(await running_sidecar.fetch(request())) == 200
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -22,13 +22,13 @@
 LATE_INTERVAL = 5  # every fifth answer is late
 
 
-def drop(requests: Iterable[OpenRequest]) -> None:
+def discard_answers(requests: Iterable[OpenRequest]) -> None:
     """Never write the answers to these requests."""
-    for request in requests:
-        request.reply = lambda answer: None
+    for open_request in requests:
+        open_request.reply = lambda answer: None
 
 
-def delay(wait_s: float, reply: Callable[[FinalAnswer], None], answer: FinalAnswer) -> None:
+def answer_later(wait_s: float, reply: Callable[[FinalAnswer], None], answer: FinalAnswer) -> None:
     """Write an answer later."""
     asyncio.get_running_loop().call_later(wait_s, reply, answer)
 
@@ -37,27 +37,27 @@
     """A new configuration costs the open requests their answers."""
     apply_config = DiscoveryClient.apply_config
 
-    def reload_and_forget(self: DiscoveryClient, config: Config) -> None:
-        host: RequestDispatcher = self.listener.__self__  # type: ignore[attr-defined]
-        drop(host.requests.values())
+    def apply_config_and_forget(self: DiscoveryClient, config: Config) -> None:
+        dispatcher: RequestDispatcher = self.listener.__self__  # type: ignore[attr-defined]
+        discard_answers(dispatcher.requests.values())
         apply_config(self, config)
 
-    DiscoveryClient.apply_config = reload_and_forget  # type: ignore[method-assign]
+    DiscoveryClient.apply_config = apply_config_and_forget  # type: ignore[method-assign]
 
 
 def forget_open_on_drain() -> None:
     """Requests that are out at an upstream that drains lose their answers."""
-    forget = RequestDispatcher._remove_upstream
+    remove_upstream = RequestDispatcher._remove_upstream
 
-    def forget_with_requests(self: RequestDispatcher, upstream: int) -> None:
-        drop(
-            request
-            for request in self.requests.values()
-            if any(attempt.upstream == upstream and not attempt.ended for attempt in request.attempts)
+    def remove_upstream_and_answers(self: RequestDispatcher, upstream: int) -> None:
+        discard_answers(
+            open_request
+            for open_request in self.requests.values()
+            if any(attempt.upstream == upstream and not attempt.ended for attempt in open_request.attempts)
         )
-        forget(self, upstream)
+        remove_upstream(self, upstream)
 
-    RequestDispatcher._remove_upstream = forget_with_requests  # type: ignore[method-assign]
+    RequestDispatcher._remove_upstream = remove_upstream_and_answers  # type: ignore[method-assign]
 
 
 def forget_on_reset() -> None:
@@ -68,7 +68,7 @@
         self: RequestDispatcher, open_request: OpenRequest, attempt_index: int, result: AttemptResult
     ) -> None:
         if result.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
-            drop([open_request])
+            discard_answers([open_request])
         end_attempt(self, open_request, attempt_index, result)
 
     RequestDispatcher._end_attempt = end_and_forget  # type: ignore[method-assign]
@@ -76,15 +76,15 @@
 
 def ignore_pieces() -> None:
     """A request that does not come in each piece is never taken."""
-    received, accept = ClientConnection.data_received, ClientConnection._accept_request
+    data_received, accept_request = ClientConnection.data_received, ClientConnection._accept_request
 
     def count_pieces(self: ClientConnection, data: bytes) -> None:
         self.pieces = getattr(self, "pieces", 0) + 1  # type: ignore[attr-defined]
-        received(self, data)
+        data_received(self, data)
 
     def accept_unsplit(self: ClientConnection) -> None:
         if self.pieces == 1:  # type: ignore[attr-defined]
-            accept(self)
+            accept_request(self)
 
     ClientConnection.data_received = count_pieces  # type: ignore[method-assign]
     ClientConnection._accept_request = accept_unsplit  # type: ignore[method-assign]
@@ -106,18 +106,18 @@
 
 def answer_late() -> None:
     """Some answers come after their request's time."""
-    give, count = RequestDispatcher._answer, 0
+    answer_on_time, answer_count = RequestDispatcher._answer, 0
 
-    def give_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
-        nonlocal count
-        count += 1
-        request = self.requests.get(ident)
-        if count % LATE_INTERVAL == 0 and request is not None:
-            wait_s, reply = request.request.deadline_us / 1e6 + LATE_S, request.reply
-            request.reply = lambda late: delay(wait_s, reply, late)
-        give(self, ident, answer)
+    def answer_some_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
+        nonlocal answer_count
+        answer_count += 1
+        open_request = self.requests.get(ident)
+        if answer_count % LATE_INTERVAL == 0 and open_request is not None:
+            wait_s, reply = open_request.request.deadline_us / 1e6 + LATE_S, open_request.reply
+            open_request.reply = lambda answer: answer_later(wait_s, reply, answer)
+        answer_on_time(self, ident, answer)
 
-    RequestDispatcher._answer = give_late  # type: ignore[method-assign]
+    RequestDispatcher._answer = answer_some_late  # type: ignore[method-assign]
 
 
 def never_watch_again() -> None:
@@ -127,13 +127,13 @@
 
 def ignore_complete_lists() -> None:
     """Ignore complete lists, except at the start."""
-    changed = RequestDispatcher.on_endpoints
+    on_endpoints = RequestDispatcher.on_endpoints
 
-    def only_changes(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
+    def apply_changes_only(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
         if event.kind is not ListKind.FULL or not self.addresses:
-            changed(self, event, addresses)
+            on_endpoints(self, event, addresses)
 
-    RequestDispatcher.on_endpoints = only_changes  # type: ignore[method-assign]
+    RequestDispatcher.on_endpoints = apply_changes_only  # type: ignore[method-assign]
 
 
 def lose_watch_on_reload() -> None:
@@ -155,25 +155,25 @@
     """Reject all requests while the last change of the list has only upstreams that warm up."""
     on_endpoints, on_request, is_warming_up = RequestDispatcher.on_endpoints, RequestDispatcher.on_request, False
 
-    def note_warming_up(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
+    def record_warming_up(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
         nonlocal is_warming_up
-        ready = [each for each in event.upstreams if each.state is UpstreamState.READY]
-        is_warming_up = bool(ready) and all(each.started_us for each in ready)
+        ready_upstreams = [upstream for upstream in event.upstreams if upstream.state is UpstreamState.READY]
+        is_warming_up = bool(ready_upstreams) and all(upstream.started_us for upstream in ready_upstreams)
         on_endpoints(self, event, addresses)
 
-    def reject(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
+    def reject_request(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
         if not is_warming_up:
             return on_request(self, request, reply)
         reply(FinalAnswer(FinalOutcome.REJECTED))
         return 0
 
-    RequestDispatcher.on_endpoints = note_warming_up  # type: ignore[method-assign]
-    RequestDispatcher.on_request = reject  # type: ignore[method-assign]
+    RequestDispatcher.on_endpoints = record_warming_up  # type: ignore[method-assign]
+    RequestDispatcher.on_request = reject_request  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    each.__name__: each
-    for each in (
+    install_fault.__name__: install_fault
+    for install_fault in (
         forget_open_on_reload,
         forget_open_on_drain,
         forget_on_reset,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "expected"),
+    ("data", "expected_status"),
     [
         (b"noise\r\n\r\n", 400),
         (request("read").replace(b"read", b"gone"), 404),
@@ -35,7 +35,7 @@
         (request("read", extra="X-Class: read\r\n"), 400),
         (request("read", extra="X-Request-Id: 2\r\n"), 400),
         (request("read", extra="X-Deadline-Ms: 15000\r\n"), 400),
-        (request("read", ident="a b"), 400),
+        (request("read", request_id="a b"), 400),
         (request("read", extra="X-Note: \xe4\r\n"), 400),
         (request("read", extra="Content-Length: 2\r\n") + b"ab", 400),
         (request("read").replace(b"HTTP/1.1", b"HTTP/2.0"), 400),
@@ -48,7 +48,7 @@
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: +4") + b"abcd", 400),
         (request("pay", body=b"abcd").replace(b"Length: 4", b"Length: 2"), 400),  # what follows is no request
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),  # at once, at its head
-        (request("read", ident=""), 400),
+        (request("read", request_id=""), 400),
         (request("read", deadline_ms="soon"), 400),
         (request("read", deadline_ms=-5), 400),
         (request("mark").replace(b"Idempotency-Key", b"Other"), 400),
@@ -59,19 +59,19 @@
         (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
     ],
 )
-def test_invalid_input_gets_an_error_and_its_connection_closes(data: bytes, expected: int) -> None:
-    run_async(lambda: check_rejected(data, expected))
+def test_invalid_input_gets_an_error_and_its_connection_closes(data: bytes, expected_status: int) -> None:
+    run_async(lambda: check_rejected(data, expected_status))
 
 
 def test_first_of_pipelined_requests_is_served_and_the_next_rejected() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
-        async with sidecar(upstream) as it:
-            reader, writer = await it.connect()
-            writer.write(request(ident="1") + request(ident="2"))
-            answers = await reader.read()
+        async with sidecar(upstream) as running_sidecar:
+            reader, writer = await running_sidecar.connect()
+            writer.write(request(request_id="1") + request(request_id="2"))
+            responses = await reader.read()
             writer.close()
-        assert [part[:3] for part in answers.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
+        assert [part[:3] for part in responses.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
         assert len(upstream.requests) == 1
 
     run_async(test)
@@ -79,23 +79,23 @@
 
 def test_id_of_another_open_request_is_not_forwarded_again() -> None:
     async def test() -> None:
-        held = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await held.wait()
+            await release.wait()
             writer.write(OK)
 
         upstreams = [Upstream(script), Upstream(script)]
-        async with sidecar(*upstreams) as it:
-            reader, writer = await it.connect()
+        async with sidecar(*upstreams) as running_sidecar:
+            reader, writer = await running_sidecar.connect()
             writer.write(request("pay", "7"))
             await wait_until(lambda: any(upstream.requests for upstream in upstreams))
-            assert status_of(await it.fetch(request("mark", "7"))) == 409
-            held.set()
+            assert status_of(await running_sidecar.fetch(request("mark", "7"))) == 409
+            release.set()
             assert status_of(await read_message(reader)) == 200
-            assert status_of(await it.fetch(request("mark", "7"))) == 409  # nor soon after
+            assert status_of(await running_sidecar.fetch(request("mark", "7"))) == 409  # nor soon after
             writer.close()
         assert sum(len(upstream.requests) for upstream in upstreams) == 1
 
@@ -105,24 +105,26 @@
 def test_recent_request_ids_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 0.0
     monkeypatch.setattr(system, "monotonic", lambda: now)
-    seen = request_ids.RecentRequestIds(period_s=4.0)
+    recent_ids = request_ids.RecentRequestIds(period_s=4.0)
     for number in range(1000):
         now = number / 10
-        assert seen.add(b"%d" % number) and not seen.add(b"%d" % max(0, number - 30))
-    assert len(seen.current) + len(seen.previous) < 100
-    assert seen.add(b"1")
+        assert recent_ids.add(b"%d" % number) and not recent_ids.add(b"%d" % max(0, number - 30))
+    assert len(recent_ids.current) + len(recent_ids.previous) < 100
+    assert recent_ids.add(b"1")
 
 
-@pytest.mark.parametrize("part", [b"", b"POST /pay HT", request("pay", body=b"abc")[:-1]])
-def test_connection_without_a_complete_request_closes_in_time(part: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("partial_request", [b"", b"POST /pay HT", request("pay", body=b"abc")[:-1]])
+def test_connection_without_a_complete_request_closes_in_time(
+    partial_request: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setitem(client_connection.STATE_TIMEOUTS_S, client_connection.ClientState.NEW, 0.2)
 
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:
-            reader, writer = await it.connect()
-            writer.write(part)
-            answer = await reader.read()
-            assert answer.startswith(b"HTTP/1.1 408 ") if part else answer == b""
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
+            reader, writer = await running_sidecar.connect()
+            writer.write(partial_request)
+            response = await reader.read()
+            assert response.startswith(b"HTTP/1.1 408 ") if partial_request else response == b""
             writer.close()
 
     run_async(test)
@@ -130,17 +132,17 @@
 
 def test_connection_whose_first_request_trickles_closes_within_three_seconds() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:
-            reader, writer = await it.connect()
-            began = asyncio.get_running_loop().time()
-            answer = asyncio.create_task(reader.read())
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
+            reader, writer = await running_sidecar.connect()
+            started_at = asyncio.get_running_loop().time()
+            response = asyncio.create_task(reader.read())
             for byte in request("pay", body=b"x" * 1_000):
                 writer.write(bytes([byte]))
-                await asyncio.wait([answer], timeout=0.1)
-                if answer.done():
+                await asyncio.wait([response], timeout=0.1)
+                if response.done():
                     break
-            assert (await answer).startswith(b"HTTP/1.1 408 ")
-            assert asyncio.get_running_loop().time() - began < 3.0
+            assert (await response).startswith(b"HTTP/1.1 408 ")
+            assert asyncio.get_running_loop().time() - started_at < 3.0
             writer.close()
 
     run_async(test)
@@ -149,8 +151,8 @@
 def test_deadline_beyond_that_of_the_class_is_reduced_to_it() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
-        async with sidecar(upstream, classes=[RequestClass("read", 100_000, 5_000_000)]) as it:
-            assert status_of(await it.fetch(request(deadline_ms=999_999_999))) == 200
+        async with sidecar(upstream, classes=[RequestClass("read", 100_000, 5_000_000)]) as running_sidecar:
+            assert status_of(await running_sidecar.fetch(request(deadline_ms=999_999_999))) == 200
         head = upstream.requests[0][0]
         assert int(head.split(b"X-Deadline-Ms: ")[1].split(b"\r\n")[0]) <= 5_000
 
@@ -159,48 +161,54 @@
 
 def test_bytes_behind_an_error_are_not_read() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:
-            reader, writer = await it.connect()
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
+            reader, writer = await running_sidecar.connect()
             writer.write(request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"))
             assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 413 ")
-            sent = 0
+            sent_bytes = 0
             try:
                 while True:  # until it is cut off
                     writer.write(b"x" * 65_536)
-                    sent += 65_536
+                    sent_bytes += 65_536
                     await writer.drain()
             except ConnectionError:
                 pass
-            assert sent < 30_000_000  # what fits into the buffers of both ends
+            assert sent_bytes < 30_000_000  # what fits into the buffers of both ends
 
     run_async(test)
 
 
-@pytest.mark.parametrize("spelt", ["utf-8", "latin-1", "percent"])
-def test_names_beyond_ascii_are_recognised_in_every_encoding(spelt: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    calls = record_requests(monkeypatch)
+@pytest.mark.parametrize("encoding", ["utf-8", "latin-1", "percent"])
+def test_names_beyond_ascii_are_recognised_in_every_encoding(encoding: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    accepted_requests = record_requests(monkeypatch)
 
-    def spell(name: str) -> bytes:
-        return quote(name).encode() if spelt == "percent" else name.encode(spelt)
+    def encode_name(name: str) -> bytes:
+        return quote(name).encode() if encoding == "percent" else name.encode(encoding)
 
     async def test() -> None:
-        kinds = [RequestClass("r\u00e9servation", 1_000_000, 5_000_000), RequestClass("plain", 1_000_000, 5_000_000)]
+        classes = [RequestClass("r\u00e9servation", 1_000_000, 5_000_000), RequestClass("plain", 1_000_000, 5_000_000)]
         tenants = [Tenant("other", 1.0, 0.5), Tenant("caf\u00e9", 1.0, 0.5)]
         path = quote("r\u00e9servation").encode()  # a path has no other spelling
-        async with sidecar(Upstream(respond_in_turn(OK)), classes=kinds, tenants=tenants) as it:
-            for number, tenant in enumerate((b"X-Tenant: " + spell("caf\u00e9") + b"\r\n", b"X-Tenant: who\r\n", b"")):
-                answer = await it.fetch(
+        async with sidecar(Upstream(respond_in_turn(OK)), classes=classes, tenants=tenants) as running_sidecar:
+            for number, tenant in enumerate(
+                (b"X-Tenant: " + encode_name("caf\u00e9") + b"\r\n", b"X-Tenant: who\r\n", b"")
+            ):
+                response = await running_sidecar.fetch(
                     b"GET /"
                     + path
                     + b"/it HTTP/1.1\r\nHost: x\r\nX-Request-Id: %d\r\n" % number
                     + b"X-Class: "
-                    + spell("r\u00e9servation")
+                    + encode_name("r\u00e9servation")
                     + b"\r\nX-Deadline-Ms: 5000\r\n"
                     + tenant
                     + b"\r\n"
                 )
-                assert status_of(answer) == 200
-        assert [call.class_index for call in calls] == [0, 0, 0]
-        assert [call.tenant for call in calls] == [1, 2, 2]  # one that is not known, or not named, is nobody's
+                assert status_of(response) == 200
+        assert [accepted_request.class_index for accepted_request in accepted_requests] == [0, 0, 0]
+        assert [accepted_request.tenant for accepted_request in accepted_requests] == [
+            1,
+            2,
+            2,
+        ]  # one that is not known, or not named, is nobody's
 
     run_async(test)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -16,12 +16,12 @@
     CLASSES,
     DISCONNECT_NOTICED_S,
     DISCONNECTS,
-    DISCONNECTS_BEHIND_BYTES,
+    DISCONNECTS_AFTER_BYTES,
     SETTLE_S,
     Disconnect,
     Testbed,
-    block_loop,
-    disconnect_behind_bytes,
+    block_event_loop,
+    disconnect_after_bytes,
     manual_converter,
 )
 from tests.network_peers import (
@@ -54,12 +54,12 @@
     accepted = record_requests(monkeypatch)
 
     def run(steps: Steps) -> None:
-        async def with_testbed() -> None:
+        async def run_on_testbed() -> None:
             converter = manual_converter()
-            async with sidecar(converter, classes=CLASSES) as running:
-                await steps(Testbed(running, converter, accepted, monkeypatch))
+            async with sidecar(converter, classes=CLASSES) as running_sidecar:
+                await steps(Testbed(running_sidecar, converter, accepted, monkeypatch))
 
-        run_async(with_testbed)
+        run_async(run_on_testbed)
 
     return run
 
@@ -67,17 +67,17 @@
 # The event loop sees the end of the client before its request's turn comes
 
 
-@pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_BEHIND_BYTES)
+@pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
 def test_buffered_request_is_not_sent_after_its_client_disconnected(
     disconnect: Disconnect, byte_count: int, run: Run
 ) -> None:
     async def steps(testbed: Testbed) -> None:
         await testbed.occupy_only_slot()
-        client = await testbed.wait_in_buffer()
-        disconnect_behind_bytes(client, disconnect, byte_count)
+        client = await testbed.send_buffered_request()
+        disconnect_after_bytes(client, disconnect, byte_count)
         await asyncio.sleep(DISCONNECT_NOTICED_S)
         testbed.converter.respond(OK)
-        await testbed.check_only_sent(1)
+        await testbed.check_only_forwarded(1)
         client.close()
 
     run(steps)
@@ -86,11 +86,11 @@
 def test_buffered_request_is_not_sent_while_reading_from_its_client_is_paused(run: Run) -> None:
     async def steps(testbed: Testbed) -> None:
         await testbed.occupy_only_slot()
-        with await testbed.wait_in_buffer() as client:
+        with await testbed.send_buffered_request() as client:
             await asyncio.to_thread(client.sendall, b"x" * 500_000)
             assert client.recv(100).startswith(b"HTTP/1.1 400 ")
             testbed.converter.respond(OK)  # the client is still there; the sidecar could not see its end
-            await testbed.check_only_sent(1)
+            await testbed.check_only_forwarded(1)
 
     run(steps)
 
@@ -108,7 +108,7 @@
         await asyncio.sleep(DISCONNECT_NOTICED_S)
         delayed.released.set()
         await asyncio.sleep(DISCONNECT_NOTICED_S)
-        assert testbed.converter.connections == 1 and testbed.converter.started == 0
+        assert testbed.converter.connections == 1 and testbed.converter.started_attempts == 0
         client.close()
 
     run(steps)
@@ -119,13 +119,13 @@
     async def steps(testbed: Testbed) -> None:
         ended = record_ended_attempts(testbed.monkeypatch)
         client = testbed.connect(request("pay", "1"))
-        await wait_until(lambda: len(testbed.converter.held) == 1)
+        await wait_until(lambda: len(testbed.converter.held_responses) == 1)
         testbed.converter.respond(NOT_RUN)
         await wait_until(lambda: ended == [0])
-        assert testbed.converter.started == 1  # it is ejected before the retry
+        assert testbed.converter.started_attempts == 1  # it is ejected before the retry
         disconnect(client)
         await asyncio.sleep(EJECTION_S)
-        await testbed.check_only_sent(1)
+        await testbed.check_only_forwarded(1)
         client.close()
 
     run(steps)
@@ -136,12 +136,12 @@
 ) -> None:
     tcp_socket = system.tcp_socket
 
-    def narrow_socket(family: int) -> socket.socket:
+    def socket_with_small_buffer(family: int) -> socket.socket:
         sock = tcp_socket(family)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return sock
 
-    monkeypatch.setattr(system, "tcp_socket", narrow_socket)
+    monkeypatch.setattr(system, "tcp_socket", socket_with_small_buffer)
 
     async def test() -> None:
         with socket.socket() as listener:
@@ -149,8 +149,8 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             cached_list = endpoint_list(endpoint_entry("u0", listener.getsockname()[1]))
-            async with sidecar(cached_list=cached_list, classes=CLASSES) as running:
-                client = socket.create_connection(("127.0.0.1", running.port))
+            async with sidecar(cached_list=cached_list, classes=CLASSES) as running_sidecar:
+                client = socket.create_connection(("127.0.0.1", running_sidecar.port))
                 client.sendall(request("pay", "2", body=b"x" * BODY_BYTES))
                 converter = await asyncio.to_thread(lambda: listener.accept()[0])
                 # Poll: the sidecar shares this loop, and could not write while it blocks.
@@ -175,20 +175,20 @@
 # A late event loop: the end of the client waits to be read when its request's turn comes
 
 
-@pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_BEHIND_BYTES)
+@pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
 @pytest.mark.parametrize("slot_first", [False, True])
 def test_buffered_request_is_not_sent_in_the_turn_that_brings_both_slot_and_disconnect(
     disconnect: Disconnect, byte_count: int, slot_first: bool, run: Run
 ) -> None:
     async def steps(testbed: Testbed) -> None:
         await testbed.occupy_only_slot()
-        client = await testbed.wait_in_buffer()
+        client = await testbed.send_buffered_request()
         events = [
-            lambda: disconnect_behind_bytes(client, disconnect, byte_count),
+            lambda: disconnect_after_bytes(client, disconnect, byte_count),
             lambda: testbed.converter.respond(OK),
         ]
-        block_loop(*(events[::-1] if slot_first else events))
-        await testbed.check_only_sent(1)
+        block_event_loop(*(events[::-1] if slot_first else events))
+        await testbed.check_only_forwarded(1)
         client.close()
 
     run(steps)
@@ -200,64 +200,66 @@
     disconnect: Disconnect, failure_first: bool
 ) -> None:
     async def test() -> None:
-        converters = manual_converter(is_holding=False), manual_converter(is_holding=False)
-        async with sidecar(*converters, classes=CLASSES) as running:
+        converters = manual_converter(holds_responses=False), manual_converter(holds_responses=False)
+        async with sidecar(*converters, classes=CLASSES) as running_sidecar:
             while not all(converter.requests for converter in converters):  # each has an idle connection then
-                assert status_of(await running.fetch(request("pay"))) == 200
+                assert status_of(await running_sidecar.fetch(request("pay"))) == 200
             await asyncio.sleep(SETTLE_S)
-            started_before = sum(converter.started for converter in converters)
+            started_before = sum(converter.started_attempts for converter in converters)
             for converter in converters:
-                converter.is_holding = True
-            client = socket.create_connection(("127.0.0.1", running.port))
+                converter.holds_responses = True
+            client = socket.create_connection(("127.0.0.1", running_sidecar.port))
             client.sendall(request("pay", "1"))
-            await wait_until(lambda: any(converter.held for converter in converters))
-            failing = next(converter for converter in converters if converter.held)
-            events = [lambda: disconnect(client), lambda: failing.respond(NOT_RUN)]
-            block_loop(*(events[::-1] if failure_first else events))
+            await wait_until(lambda: any(converter.held_responses for converter in converters))
+            failing_converter = next(converter for converter in converters if converter.held_responses)
+            events = [lambda: disconnect(client), lambda: failing_converter.respond(NOT_RUN)]
+            block_event_loop(*(events[::-1] if failure_first else events))
             await asyncio.sleep(2 * SETTLE_S)
-            assert sum(converter.started for converter in converters) == started_before + 1
+            assert sum(converter.started_attempts for converter in converters) == started_before + 1
             client.close()
 
     run_async(test)
 
 
-@pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_BEHIND_BYTES)
+@pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
 def test_request_is_not_sent_on_a_connection_established_in_the_turn_that_brings_the_disconnect(
     disconnect: Disconnect, byte_count: int, run: Run
 ) -> None:
     async def steps(testbed: Testbed) -> None:
         connect, disconnected = asyncio.SelectorEventLoop.sock_connect, asyncio.Event()
 
-        async def connect_in_late_turn(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
+        async def connect_and_block_loop(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
             if address[1] == testbed.converter.port:
                 loop.call_soon(
-                    block_loop, lambda: disconnect_behind_bytes(client, disconnect, byte_count), disconnected.set
+                    block_event_loop, lambda: disconnect_after_bytes(client, disconnect, byte_count), disconnected.set
                 )
             await connect(loop, sock, address)
 
-        testbed.monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_in_late_turn)
+        testbed.monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_and_block_loop)
         client = testbed.connect(request("pay", "2"))
         await disconnected.wait()
         await asyncio.sleep(2 * SETTLE_S)
-        assert testbed.converter.started == 0
+        assert testbed.converter.started_attempts == 0
         client.close()
 
     run(steps)
 
 
-@pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_BEHIND_BYTES)
-@pytest.mark.parametrize("accepted", [False, True])
+@pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
+@pytest.mark.parametrize("wait_until_accepted", [False, True])
 def test_request_is_not_sent_if_its_client_disconnected_before_it_was_read(
-    disconnect: Disconnect, byte_count: int, accepted: bool, run: Run
+    disconnect: Disconnect, byte_count: int, wait_until_accepted: bool, run: Run
 ) -> None:
     async def steps(testbed: Testbed) -> None:
-        testbed.converter.is_holding = False
+        testbed.converter.holds_responses = False
         assert status_of(await testbed.sidecar.fetch(request("pay", "1"))) == 200
         client = testbed.connect()
-        await asyncio.sleep(SETTLE_S if accepted else 0.0)
-        behind = request("pay", "5", body=b"x" * byte_count) if byte_count else b""
-        block_loop(lambda: client.sendall(request("pay", "2") + behind), lambda: disconnect(client), lambda: None)
-        await testbed.check_only_sent(1)
+        await asyncio.sleep(SETTLE_S if wait_until_accepted else 0.0)
+        pipelined = request("pay", "5", body=b"x" * byte_count) if byte_count else b""
+        block_event_loop(
+            lambda: client.sendall(request("pay", "2") + pipelined), lambda: disconnect(client), lambda: None
+        )
+        await testbed.check_only_forwarded(1)
         client.close()
 
     run(steps)
@@ -269,14 +271,14 @@
 def test_client_that_pipelines_and_stays_connected_is_served(run: Run) -> None:
     async def steps(testbed: Testbed) -> None:
         await testbed.occupy_only_slot()
-        client = await testbed.wait_in_buffer()
-        block_loop(lambda: client.sendall(request("pay", "3")), lambda: testbed.converter.respond(OK))
+        client = await testbed.send_buffered_request()
+        block_event_loop(lambda: client.sendall(request("pay", "3")), lambda: testbed.converter.respond(OK))
         reader, writer = await asyncio.open_connection(sock=client)
         assert status_of(await read_message(reader)) == 200
         assert status_of(await read_message(reader)) == 400  # the pipelined request is rejected
         assert await reader.read() == b""
         writer.close()
-        await testbed.check_only_sent(1, 2)
+        await testbed.check_only_forwarded(1, 2)
 
     run(steps)
 
@@ -284,7 +286,7 @@
 def test_client_that_ends_its_sending_counts_as_disconnected_and_its_connection_closes(run: Run) -> None:
     async def steps(testbed: Testbed) -> None:
         in_flight = await testbed.occupy_only_slot()
-        buffered = await testbed.wait_in_buffer()
+        buffered = await testbed.send_buffered_request()
         for client in (buffered, in_flight):
             reader, writer = await asyncio.open_connection(sock=client)
             writer.write_eof()
@@ -292,34 +294,36 @@
                 assert await reader.read() == b""
             writer.close()
         testbed.converter.respond(OK)
-        await testbed.check_only_sent(1)
+        await testbed.check_only_forwarded(1)
 
     run(steps)
 
 
-@pytest.mark.parametrize("behind", [0, 200_000])
+@pytest.mark.parametrize("pipelined_bytes", [0, 200_000])
 def test_buffered_request_is_not_sent_after_its_client_left_whatever_it_pipelined(
-    behind: int, monkeypatch: pytest.MonkeyPatch
+    pipelined_bytes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    calls = record_requests(monkeypatch)
+    accepted_requests = record_requests(monkeypatch)
 
     async def test() -> None:
-        let = asyncio.Event()
+        release = asyncio.Event()
 
-        upstream = Upstream(respond_after(let))  # one slot
-        kinds = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
-        async with sidecar(upstream, classes=kinds) as it:
-            first = asyncio.create_task(it.fetch(request("pay", "1")))
+        upstream = Upstream(respond_after(release))  # one slot
+        classes = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
+        async with sidecar(upstream, classes=classes) as running_sidecar:
+            first_response = asyncio.create_task(running_sidecar.fetch(request("pay", "1")))
             await wait_until(lambda: len(upstream.requests) == 1)
-            _, writer = await it.connect()
+            _, writer = await running_sidecar.connect()
             writer.write(request("pay", "2"))
-            await wait_until(lambda: b"2" in [call.request_id for call in calls])  # it waits for the slot
-            writer.write(b"x" * behind)
+            await wait_until(
+                lambda: b"2" in [accepted_request.request_id for accepted_request in accepted_requests]
+            )  # it waits for the slot
+            writer.write(b"x" * pipelined_bytes)
             writer.write_eof()
             await asyncio.sleep(0.2)
-            let.set()
-            assert status_of(await first) == 200
-            assert status_of(await it.fetch(request("pay", "3"))) == 200
+            release.set()
+            assert status_of(await first_response) == 200
+            assert status_of(await running_sidecar.fetch(request("pay", "3"))) == 200
             writer.close()
         assert [b"X-Request-Id: 2\r\n" in head for head, _ in upstream.requests] == [False, False]
 
@@ -329,20 +333,20 @@
 def test_request_is_not_sent_if_its_client_left_while_its_connection_was_established(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = DelayedConnections()
+    delayed = DelayedConnections()
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
-        async with sidecar(upstream) as it:
-            held.delay(upstream, monkeypatch)
-            _, writer = await it.connect()
+        async with sidecar(upstream) as running_sidecar:
+            delayed.delay(upstream, monkeypatch)
+            _, writer = await running_sidecar.connect()
             writer.write(request("pay", "1"))
-            await wait_until(lambda: held.started == 1)
+            await wait_until(lambda: delayed.started == 1)
             writer.close()
             await writer.wait_closed()
             await asyncio.sleep(0.1)
-            held.released.set()
-            assert status_of(await it.fetch(request("pay", "2"))) == 200
+            delayed.released.set()
+            assert status_of(await running_sidecar.fetch(request("pay", "2"))) == 200
         assert [b"X-Request-Id: 2\r\n" in head for head, _ in upstream.requests] == [True]
 
     run_async(test)
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -29,42 +29,47 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        held = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await held.wait()
+            await release.wait()
             writer.write(OK)
 
-        old, new, first, second = Upstream(script), Upstream(respond_in_turn(OK)), Discovery(), Discovery()
-        await new.start()
-        await second.start()
+        old_upstream, new_upstream, old_discovery, new_discovery = (
+            Upstream(script),
+            Upstream(respond_in_turn(OK)),
+            Discovery(),
+            Discovery(),
+        )
+        await new_upstream.start()
+        await new_discovery.start()
         path = tmp_path / "config.json"
         path.write_text("{")
-        async with sidecar(old, discovery=first, path=str(path)) as it:
-            await first.watched()
-            first.line(endpoint_list(endpoint_entry("u0", old.port), rev=900))
-            reader, writer = await it.connect()
+        async with sidecar(old_upstream, discovery=old_discovery, path=str(path)) as running_sidecar:
+            await old_discovery.wait_for_watch()
+            old_discovery.send_list(endpoint_list(endpoint_entry("u0", old_upstream.port), rev=900))
+            reader, writer = await running_sidecar.connect()
             writer.write(request("pay"))
-            await wait_until(lambda: len(old.requests) == 1)
-            it.reload.set()
+            await wait_until(lambda: len(old_upstream.requests) == 1)
+            running_sidecar.reload.set()
             await wait_until(lambda: "configuration not reloaded" in caplog.text)  # the old one stays
-            assert len(first.calls) == 1
-            write_configuration(tmp_path, discovery=f"127.0.0.1:{second.port}")
-            it.reload.set()
-            await second.watched()
-            assert b"since=0 " in second.calls[0]
-            second.line(endpoint_list(endpoint_entry("u1", new.port), rev=3))
+            assert len(old_discovery.calls) == 1
+            write_configuration(tmp_path, discovery=f"127.0.0.1:{new_discovery.port}")
+            running_sidecar.reload.set()
+            await new_discovery.wait_for_watch()
+            assert b"since=0 " in new_discovery.calls[0]
+            new_discovery.send_list(endpoint_list(endpoint_entry("u1", new_upstream.port), rev=3))
             async with asyncio.timeout(HANG_TIMEOUT_S):
-                while not new.requests:
-                    await it.fetch(request(ident="2"))
-            it.reload.set()  # the same address: nothing to do
-            held.set()
+                while not new_upstream.requests:
+                    await running_sidecar.fetch(request(request_id="2"))
+            running_sidecar.reload.set()  # the same address: nothing to do
+            release.set()
             assert status_of(await read_message(reader)) == 200
             writer.close()
-            assert (len(first.calls), len(second.calls)) == (1, 1)
-        new.stop()
-        second.stop()
+            assert (len(old_discovery.calls), len(new_discovery.calls)) == (1, 1)
+        new_upstream.stop()
+        new_discovery.stop()
 
     run_async(test)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -42,35 +42,38 @@
 
 def test_evicted_upstream_connections_close_before_new_ones_open(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        opened: list[socket.socket] = []
+        sockets: list[socket.socket] = []
         max_open = 0
 
-        def count_open(family: int) -> socket.socket:
+        def create_counted_socket(family: int) -> socket.socket:
             nonlocal max_open
-            opened.append(socket.socket(family, socket.SOCK_STREAM))
-            max_open = max(max_open, sum(sock.fileno() >= 0 for sock in opened))
-            return opened[-1]
+            sockets.append(socket.socket(family, socket.SOCK_STREAM))
+            max_open = max(max_open, sum(sock.fileno() >= 0 for sock in sockets))
+            return sockets[-1]
 
-        monkeypatch.setattr(system, "tcp_socket", count_open)
+        monkeypatch.setattr(system, "tcp_socket", create_counted_socket)
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=MAX_POOL_CONNECTIONS)
         results: list[AttemptResult] = []
         upstreams = [Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK))]
-        call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
-        for number, upstream in enumerate(upstreams):
+        client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+        for upstream_id, upstream in enumerate(upstreams):
             await upstream.start()
             for _ in range(8):  # all at once
-                pool.start(number, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
-            await wait_until(lambda number=number: len(results) == 8 * (number + 1))  # type: ignore[misc]
+                pool.start(
+                    upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
+                )
+            await wait_until(lambda upstream_id=upstream_id: len(results) == 8 * (upstream_id + 1))  # type: ignore[misc]
         assert {result.outcome for result in results} == {Outcome.OK}
         assert max_open == MAX_POOL_CONNECTIONS
-        pool.start(0, ("127.0.0.1", upstreams[0].port), call, ATTEMPT_TIMEOUT_US, results.append).cancel()
+        pool.start(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append).cancel()
         await wait_until(lambda: not pool.dial_tasks)
         assert len(pool.idle[1]) == 8  # none is evicted for an attempt that was given up
-        given_up = [
-            pool.start(0, ("127.0.0.1", upstreams[0].port), call, ATTEMPT_TIMEOUT_US, results.append) for _ in range(8)
+        cancelled_attempts = [
+            pool.start(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+            for _ in range(8)
         ]
         await asyncio.sleep(0)  # they wait for capacity
-        for attempt in given_up[:4]:
+        for attempt in cancelled_attempts[:4]:
             attempt.cancel()
         pool.remove_upstream(0)
         await wait_until(lambda: len(results) == 20 and not pool.dial_tasks)
@@ -90,9 +93,9 @@
         delayed.delay(upstream, monkeypatch)
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=MAX_POOL_CONNECTIONS)
         results: list[AttemptResult] = []
-        call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
-        for number in range(12):  # each at another converter
-            pool.start(number, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
+        client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+        for upstream_id in range(12):  # each at another converter
+            pool.start(upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
         await wait_until(lambda: len(results) == 4)
         assert delayed.started == 8 and {result.outcome for result in results} == {Outcome.CONNECT_FAILED}
         delayed.released.set()
@@ -107,54 +110,54 @@
 def test_stalled_partial_requests_are_evicted_before_a_new_connection() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
-        async with sidecar_in_process(upstream) as it:
+        async with sidecar_in_process(upstream) as running_sidecar:
             data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
             for _ in range(95):  # of the 100 that it accepts
-                partial_requests.append(await it.connect())
+                partial_requests.append(await running_sidecar.connect())
                 partial_requests[-1][1].write(data[:-5])
                 await asyncio.sleep(0.002)
             await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
             partial_requests[5][1].write(data[-5:-4])  # this one is not stalled
-            reader, newcomer = await it.connect()
-            others = [await it.connect() for _ in range(20)]
+            reader, new_writer = await running_sidecar.connect()
+            other_connections = [await running_sidecar.connect() for _ in range(20)]
             await asyncio.sleep(0.1)
-            newcomer.write(request("pay"))
+            new_writer.write(request("pay"))
             partial_requests[5][1].write(data[-4:])
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 assert status_of(await read_message(reader)) == 200
                 assert status_of(await read_message(partial_requests[5][0])) == 200
-            for _, writer in (*partial_requests, *others):
+            for _, writer in (*partial_requests, *other_connections):
                 writer.close()
 
     run_async(test)
 
 
-async def fill(sidecar: LimitedSidecar, kind: str, count: int) -> list[Streams]:
+async def open_connections(sidecar: LimitedSidecar, client_state: str, count: int) -> list[Streams]:
     """Open connections of idle clients of one kind."""
 
-    async def one() -> Streams:
+    async def open_connection() -> Streams:
         reader, writer = await sidecar.connect()
-        data = request("pay", body=b"0123456789", extra="X-Open: 1\r\n" if kind == "open" else "")
-        writer.write({"fresh": b"", "half": data[:-5]}.get(kind, data))
-        if kind == "kept":
+        data = request("pay", body=b"0123456789", extra="X-Open: 1\r\n" if client_state == "open" else "")
+        writer.write({"fresh": b"", "half": data[:-5]}.get(client_state, data))
+        if client_state == "kept":
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):  # it may have been evicted
                 await read_message(reader)
         return reader, writer
 
-    return await asyncio.gather(*(one() for _ in range(count)))
+    return await asyncio.gather(*(open_connection() for _ in range(count)))
 
 
 async def keep_filled(
-    sidecar: LimitedSidecar, kind: str, count: int, full: asyncio.Event, released: asyncio.Event
+    sidecar: LimitedSidecar, client_state: str, count: int, stop_filling: asyncio.Event, release: asyncio.Event
 ) -> None:
     """Replace the connections that the sidecar closes until `full` is set, and close them when `released` is."""
-    open_ones: list[Streams] = []
-    while not full.is_set():
-        open_ones = [one for one in open_ones if not one[0].at_eof()]
-        open_ones += await fill(sidecar, kind, count - len(open_ones))
+    connections: list[Streams] = []
+    while not stop_filling.is_set():
+        connections = [connection for connection in connections if not connection[0].at_eof()]
+        connections += await open_connections(sidecar, client_state, count - len(connections))
         await asyncio.sleep(0.1)
-    await released.wait()
-    for _, writer in open_ones:
+    await release.wait()
+    for _, writer in connections:
         writer.close()
 
 
@@ -163,40 +166,42 @@
     writer.close()
 
 
-@pytest.mark.parametrize("kind", ["fresh", "kept", "half", "open"])
+@pytest.mark.parametrize("client_state", ["fresh", "kept", "half", "open"])
 @pytest.mark.parametrize("outage", ["refused", "silent"])
 def test_watch_and_attempts_get_descriptors_though_idle_clients_fill_them(
-    tmp_path: Path, kind: str, outage: str
+    tmp_path: Path, client_state: str, outage: str
 ) -> None:
     async def test() -> None:
-        full, released = asyncio.Event(), asyncio.Event()
+        stop_filling, release = asyncio.Event(), asyncio.Event()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            if b"X-Open" in upstream.requests[number][0]:
-                await released.wait()
+            if b"X-Open" in upstream.requests[request_index][0]:
+                await release.wait()
             writer.write(OK)
 
         upstream, port = Upstream(script), free_port()
         agent = await asyncio.start_server(stay_silent, "127.0.0.1", port) if outage == "silent" else None
         async with limited_sidecar(tmp_path, upstream, port) as sidecar:
-            clients = asyncio.create_task(keep_filled(sidecar, kind, 2 * DESCRIPTOR_LIMIT, full, released))
+            clients = asyncio.create_task(
+                keep_filled(sidecar, client_state, 2 * DESCRIPTOR_LIMIT, stop_filling, release)
+            )
             await asyncio.sleep(1.5)
             assert sidecar.max_descriptors > DESCRIPTOR_LIMIT // 2  # it has as many clients as it accepts
             if agent is not None:
                 agent.close()
-            discovery = Discovery(first=converters(upstream, 2))
+            discovery = Discovery(initial_list=converters(upstream, 2))
             discovery.server = await asyncio.start_server(discovery.serve, "127.0.0.1", port)
             async with asyncio.timeout(MAX_NOTIFICATION_S):
-                await discovery.called.wait()
-            full.set()
-            if kind == "open":
-                released.set()
+                await discovery.watch_opened.wait()
+            stop_filling.set()
+            if client_state == "open":
+                release.set()
                 await clients
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 assert {await sidecar.fetch() for _ in range(5)} == {b"HTTP/1.1 200 OK"}
-            released.set()
+            release.set()
             await clients
             discovery.stop()
 
@@ -210,12 +215,12 @@
     evicted unread: its connection has ended before the write, or is reset by it. Only such a client connects again.
     """
     while True:
-        connecting_s = time.monotonic()
+        connecting_at = time.monotonic()
         reader, writer = await sidecar.connect()
         ended_before_write = has_ended(writer)
         data = request("pay", body=b"0123456789")
         writer.write(data[:-5])
-        was_held_up = time.monotonic() - connecting_s > FIRST_REQUEST_GRACE_S
+        was_delayed = time.monotonic() - connecting_at > FIRST_REQUEST_GRACE_S
         await asyncio.sleep(pause_s)
         with contextlib.suppress(ConnectionError):
             writer.write(data[-5:])
@@ -223,10 +228,10 @@
         try:
             return (await read_message(reader))[0].partition(b"\r\n")[0]
         except asyncio.IncompleteReadError:
-            if not (was_held_up and ended_before_write):
+            if not (was_delayed and ended_before_write):
                 return b""
         except ConnectionError:
-            if not was_held_up:
+            if not was_delayed:
                 return b""
         finally:
             writer.close()
@@ -252,17 +257,17 @@
     """512 clients send part of a request and connect anew as fast as they are closed."""
 
     async def test() -> None:
-        upstream, port, over = Upstream(respond_in_turn(OK)), free_port(), asyncio.Event()
-        ends: list[bytes] = []
+        upstream, port, finished = Upstream(respond_in_turn(OK)), free_port(), asyncio.Event()
+        responses: list[bytes] = []
 
         async def keep_sending_part(sidecar: LimitedSidecar) -> None:
-            while not over.is_set():
+            while not finished.is_set():
                 reader, writer = await sidecar.connect_until_open()
                 writer.write(request("pay", body=b"0123456789")[:-5])
                 try:
-                    ends.append((await reader.read()).partition(b"\r\n")[0])
+                    responses.append((await reader.read()).partition(b"\r\n")[0])
                 except ConnectionError:
-                    ends.append(b"reset")
+                    responses.append(b"reset")
                 writer.close()
 
         async with limited_sidecar(tmp_path, upstream, port) as sidecar:
@@ -270,12 +275,12 @@
             await asyncio.sleep(1.0)
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 answers = {await sidecar.fetch() for _ in range(5)}
-            over.set()
+            finished.set()
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 await asyncio.gather(*clients)
             assert answers == {b"HTTP/1.1 200 OK"}
-            assert set(ends) <= {b"HTTP/1.1 503 Service Unavailable", b"HTTP/1.1 408 Request Timeout"}
-            assert b"HTTP/1.1 503 Service Unavailable" in ends
+            assert set(responses) <= {b"HTTP/1.1 503 Service Unavailable", b"HTTP/1.1 408 Request Timeout"}
+            assert b"HTTP/1.1 503 Service Unavailable" in responses
 
     run_async(test)
 
@@ -283,21 +288,21 @@
 def test_evicted_partial_request_is_answered_with_retry_after() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
-        async with sidecar_in_process(upstream) as it:
-            data, partial = request("pay", body=b"0123456789"), list[Streams]()
+        async with sidecar_in_process(upstream) as running_sidecar:
+            data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
             for _ in range(100):  # as many as it accepts
-                partial.append(await it.connect())
-                partial[-1][1].write(data[:-5])
+                partial_requests.append(await running_sidecar.connect())
+                partial_requests[-1][1].write(data[:-5])
             await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
-            _, newcomer = await it.connect()
+            _, new_writer = await running_sidecar.connect()
             async with asyncio.timeout(HANG_TIMEOUT_S):
-                head, _ = await read_message(partial[0][0])
+                head, _ = await read_message(partial_requests[0][0])
             assert head.startswith(b"HTTP/1.1 503 ")
             assert b"Connection: close\r\n" in head and b"Retry-After: 0.250\r\n" in head
-            partial[0][1].write(data[-5:])  # while its connection lingers: no reset
-            assert await partial[0][0].read() == b""
-            for _, writer in partial:
+            partial_requests[0][1].write(data[-5:])  # while its connection lingers: no reset
+            assert await partial_requests[0][0].read() == b""
+            for _, writer in partial_requests:
                 writer.close()
-            newcomer.close()
+            new_writer.close()
 
     run_async(test)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -29,52 +29,60 @@
 
 def test_configured_list_is_used_at_once_and_changes_when_they_arrive() -> None:
     async def test() -> None:
-        old, new, discovery = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK)), Discovery()
-        await new.start()
-        async with sidecar(old, discovery=discovery) as it:
-            assert status_of(await it.fetch(request())) == 200 and len(old.requests) == 1
-            await discovery.watched()
+        old_upstream, new_upstream, discovery = (
+            Upstream(respond_in_turn(OK)),
+            Upstream(respond_in_turn(OK)),
+            Discovery(),
+        )
+        await new_upstream.start()
+        async with sidecar(old_upstream, discovery=discovery) as running_sidecar:
+            assert status_of(await running_sidecar.fetch(request())) == 200 and len(old_upstream.requests) == 1
+            await discovery.wait_for_watch()
             assert b"follow=1&since=1 " in discovery.calls[0]
-            changes = [endpoint_entry("u0", old.port, "leaving"), endpoint_entry("u1", new.port)]
-            discovery.line(endpoint_list(*changes, rev=2, full=False))
+            changes = [endpoint_entry("u0", old_upstream.port, "leaving"), endpoint_entry("u1", new_upstream.port)]
+            discovery.send_list(endpoint_list(*changes, rev=2, full=False))
 
-            async def moved() -> bool:
-                assert status_of(await it.fetch(request())) == 200
-                return bool(new.requests)
+            async def uses_new_upstream() -> bool:
+                assert status_of(await running_sidecar.fetch(request())) == 200
+                return bool(new_upstream.requests)
 
-            while not await moved():
+            while not await uses_new_upstream():
                 pass
-            before = len(old.requests)
+            old_request_count = len(old_upstream.requests)
             for _ in range(5):
-                await moved()
-            assert len(old.requests) == before
+                await uses_new_upstream()
+            assert len(old_upstream.requests) == old_request_count
             discovery.writers[-1].transport.abort()
-            await discovery.watched()
+            await discovery.wait_for_watch()
             assert b"since=2 " in discovery.calls[1]
-        new.stop()
+        new_upstream.stop()
 
     run_async(test)
 
 
 def test_pushed_list_is_watched_at_the_start_and_again_after_each_break() -> None:
     async def test() -> None:
-        old, new, discovery = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK)), Discovery()
-        await new.start()
-        async with sidecar(old, discovery=discovery, polls_endpoints=False) as it:
-            await discovery.watched()
+        old_upstream, new_upstream, discovery = (
+            Upstream(respond_in_turn(OK)),
+            Upstream(respond_in_turn(OK)),
+            Discovery(),
+        )
+        await new_upstream.start()
+        async with sidecar(old_upstream, discovery=discovery, polls_endpoints=False) as running_sidecar:
+            await discovery.wait_for_watch()
             for _ in range(2):
                 discovery.writers[-1].transport.abort()
-                await discovery.watched()
-            changes = [endpoint_entry("u0", old.port, "leaving"), endpoint_entry("u1", new.port)]
-            discovery.line(endpoint_list(*changes, rev=2, full=False))
+                await discovery.wait_for_watch()
+            changes = [endpoint_entry("u0", old_upstream.port, "leaving"), endpoint_entry("u1", new_upstream.port)]
+            discovery.send_list(endpoint_list(*changes, rev=2, full=False))
             async with asyncio.timeout(HANG_TIMEOUT_S):
-                while not new.requests:
-                    assert status_of(await it.fetch(request())) == 200
-            before = len(old.requests)
+                while not new_upstream.requests:
+                    assert status_of(await running_sidecar.fetch(request())) == 200
+            old_request_count = len(old_upstream.requests)
             for _ in range(5):
-                assert status_of(await it.fetch(request())) == 200
-            assert len(old.requests) == before
-        new.stop()
+                assert status_of(await running_sidecar.fetch(request())) == 200
+            assert len(old_upstream.requests) == old_request_count
+        new_upstream.stop()
 
     run_async(test)
 
@@ -82,29 +90,29 @@
 def test_invalid_list_ends_the_watch_and_leaves_the_old_list() -> None:
     async def test() -> None:
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
-        async with sidecar(upstream, discovery=discovery) as it:
-            await discovery.watched()
-            discovery.line({"rev": 2, "all": True, "targets": [{"uid": "u0"}]})
-            await discovery.watched()
-            assert status_of(await it.fetch(request())) == 200
+        async with sidecar(upstream, discovery=discovery) as running_sidecar:
+            await discovery.wait_for_watch()
+            discovery.send_list({"rev": 2, "all": True, "targets": [{"uid": "u0"}]})
+            await discovery.wait_for_watch()
+            assert status_of(await running_sidecar.fetch(request())) == 200
 
     run_async(test)
 
 
 def test_invalid_configured_list_is_skipped_and_a_new_one_requested() -> None:
     async def test() -> None:
-        up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+        readiness_request = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
         cached_list = {"rev": 7, "all": True, "targets": [{"uid": "u0", "state": "unheard of"}]}
-        async with sidecar(upstream, discovery=discovery, cached_list=cached_list) as it:
-            assert status_of(await it.fetch(up)) == 503
-            await discovery.watched()
+        async with sidecar(upstream, discovery=discovery, cached_list=cached_list) as running_sidecar:
+            assert status_of(await running_sidecar.fetch(readiness_request)) == 503
+            await discovery.wait_for_watch()
             assert b"since=0 " in discovery.calls[0]
-            discovery.line(endpoint_list(endpoint_entry("u0", upstream.port), rev=8))
+            discovery.send_list(endpoint_list(endpoint_entry("u0", upstream.port), rev=8))
             async with asyncio.timeout(HANG_TIMEOUT_S):
-                while status_of(await it.fetch(up)) != 200:
+                while status_of(await running_sidecar.fetch(readiness_request)) != 200:
                     pass
-            assert status_of(await it.fetch(request())) == 200
+            assert status_of(await running_sidecar.fetch(request())) == 200
 
     run_async(test)
 
@@ -113,9 +121,9 @@
     async def test() -> None:
         discovery = Discovery()
         async with sidecar(Upstream(respond_in_turn(OK)), discovery=discovery):
-            await discovery.watched()
-            discovery.line(endpoint_list(rev=2, full=False))
-            await discovery.watched()
+            await discovery.wait_for_watch()
+            discovery.send_list(endpoint_list(rev=2, full=False))
+            await discovery.wait_for_watch()
             assert len(discovery.calls) == 2
 
     run_async(test)
@@ -123,46 +131,50 @@
 
 def test_up_responds_200_only_if_there_is_an_upstream() -> None:
     async def test() -> None:
-        up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-        async with sidecar(cached_list=endpoint_list()) as it:
-            assert status_of(await it.fetch(up)) == 503
-        async with sidecar(Upstream(never_respond)) as it:
-            assert status_of(await it.fetch(up)) == 200
+        readiness_request = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+        async with sidecar(cached_list=endpoint_list()) as running_sidecar:
+            assert status_of(await running_sidecar.fetch(readiness_request)) == 503
+        async with sidecar(Upstream(never_respond)) as running_sidecar:
+            assert status_of(await running_sidecar.fetch(readiness_request)) == 200
 
     run_async(test)
 
 
-async def moved(it: Sidecar, new: Upstream) -> None:
+async def wait_until_used(running_sidecar: Sidecar, upstream: Upstream) -> None:
     """Until a request has gone to it."""
     async with asyncio.timeout(HANG_TIMEOUT_S):
-        while not new.requests:
-            await it.fetch(request())
+        while not upstream.requests:
+            await running_sidecar.fetch(request())
 
 
-@pytest.mark.parametrize("cut", [1, 2, 7, 10_000])
-def test_list_over_several_lines_is_read_wherever_its_bytes_are_split(cut: int) -> None:
+@pytest.mark.parametrize("piece_length", [1, 2, 7, 10_000])
+def test_list_over_several_lines_is_read_wherever_its_bytes_are_split(piece_length: int) -> None:
     async def test() -> None:
-        old, new, discovery = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK)), Discovery()
-        await new.start()
-        async with sidecar(old, discovery=discovery, polls_endpoints=False) as it:
-            await discovery.watched()
-            first = endpoint_list(endpoint_entry("u0", old.port, "leaving"), rev=2, full=False)
-            second = endpoint_list(endpoint_entry('\u00fc}"\\', new.port), rev=3, full=False)
-            data = "\n".join(json.dumps(each, indent=1, ensure_ascii=False) for each in (first, second)).encode()
-            for i in range(0, len(data), cut):
-                discovery.piece(data[i : i + cut])
+        old_upstream, new_upstream, discovery = (
+            Upstream(respond_in_turn(OK)),
+            Upstream(respond_in_turn(OK)),
+            Discovery(),
+        )
+        await new_upstream.start()
+        async with sidecar(old_upstream, discovery=discovery, polls_endpoints=False) as running_sidecar:
+            await discovery.wait_for_watch()
+            first = endpoint_list(endpoint_entry("u0", old_upstream.port, "leaving"), rev=2, full=False)
+            second = endpoint_list(endpoint_entry('\u00fc}"\\', new_upstream.port), rev=3, full=False)
+            data = "\n".join(json.dumps(message, indent=1, ensure_ascii=False) for message in (first, second)).encode()
+            for offset in range(0, len(data), piece_length):
+                discovery.send_bytes(data[offset : offset + piece_length])
                 await discovery.writers[-1].drain()
-                if cut > 2:
+                if piece_length > 2:
                     await asyncio.sleep(0.01)  # so that each comes by itself
-            await moved(it, new)
-            assert len(discovery.calls) == 1 and not old.requests
-        new.stop()
+            await wait_until_used(running_sidecar, new_upstream)
+            assert len(discovery.calls) == 1 and not old_upstream.requests
+        new_upstream.stop()
 
     run_async(test)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b'{"rev": 2, "all": true, "targets": [',
         b"no list\n",
@@ -173,65 +185,70 @@
         b"7\n",
     ],
 )
-def test_truncated_or_invalid_list_leaves_the_last_valid_one_and_starts_a_new_watch(spoilt: bytes) -> None:
+def test_truncated_or_invalid_list_leaves_the_last_valid_one_and_starts_a_new_watch(malformed: bytes) -> None:
     async def test() -> None:
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
-        async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as it:
-            await discovery.watched()
-            discovery.piece(spoilt)
+        async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as running_sidecar:
+            await discovery.wait_for_watch()
+            discovery.send_bytes(malformed)
             await discovery.writers[-1].drain()
-            if not spoilt.endswith(b"\n"):
+            if not malformed.endswith(b"\n"):
                 discovery.writers[-1].close()
-            await discovery.watched()
+            await discovery.wait_for_watch()
             assert b"since=1 " in discovery.calls[-1]
-            assert status_of(await it.fetch(request())) == 200
+            assert status_of(await running_sidecar.fetch(request())) == 200
 
     run_async(test)
 
 
 def test_list_that_stays_invalid_is_requested_with_backoff() -> None:
     async def test() -> None:
-        discovery = Discovery(first={"rev": 1, "all": True, "targets": [{"uid": "u0"}]})
-        async with sidecar(Upstream(respond_in_turn(OK)), discovery=discovery, polls_endpoints=False) as it:
+        discovery = Discovery(initial_list={"rev": 1, "all": True, "targets": [{"uid": "u0"}]})
+        async with sidecar(
+            Upstream(respond_in_turn(OK)), discovery=discovery, polls_endpoints=False
+        ) as running_sidecar:
             await wait_until(lambda: len(discovery.calls) == 3)
-            began = asyncio.get_running_loop().time()
+            waiting_since = asyncio.get_running_loop().time()
             await wait_until(lambda: len(discovery.calls) == 4)
-            assert asyncio.get_running_loop().time() - began > 0.5  # 0.2, 0.4, 0.8 s
-            assert status_of(await it.fetch(request())) == 200
+            assert asyncio.get_running_loop().time() - waiting_since > 0.5  # 0.2, 0.4, 0.8 s
+            assert status_of(await running_sidecar.fetch(request())) == 200
 
     run_async(test)
 
 
 def test_no_request_is_served_by_an_old_list_while_the_agent_has_a_newer_one() -> None:
     async def test() -> None:
-        old, new = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK))
-        await old.start()
-        await new.start()
+        old_upstream, new_upstream = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK))
+        await old_upstream.start()
+        await new_upstream.start()
         changes = endpoint_list(
-            endpoint_entry("u0", old.port, "leaving"), endpoint_entry("u1", new.port), rev=2, full=False
+            endpoint_entry("u0", old_upstream.port, "leaving"),
+            endpoint_entry("u1", new_upstream.port),
+            rev=2,
+            full=False,
         )
-        discovery, let = Discovery(), asyncio.Event()
+        discovery, release = Discovery(), asyncio.Event()
         serve = discovery.serve
 
-        async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await let.wait()
+        async def serve_after_release(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await release.wait()
             await serve(reader, writer)
 
-        discovery.serve, discovery.first = slow, changes  # type: ignore[method-assign]
-        cached_list = endpoint_list(endpoint_entry("u0", old.port))
+        discovery.serve, discovery.initial_list = serve_after_release, changes  # type: ignore[method-assign]
+        cached_list = endpoint_list(endpoint_entry("u0", old_upstream.port))
 
-        async def early() -> None:
+        async def release_later() -> None:
             """Its agent answers only then."""
             await asyncio.sleep(0.1)
-            let.set()
+            release.set()
 
-        task = asyncio.create_task(early())
-        async with sidecar(discovery=discovery, cached_list=cached_list, polls_endpoints=False) as it:
-            assert status_of(await it.fetch(request())) == 200
+        task = asyncio.create_task(release_later())
+        async with sidecar(discovery=discovery, cached_list=cached_list, polls_endpoints=False) as running_sidecar:
+            assert status_of(await running_sidecar.fetch(request())) == 200
         await task
-        assert not old.requests and len(new.requests) == 1
-        old.stop()
-        new.stop()
+        assert not old_upstream.requests and len(new_upstream.requests) == 1
+        old_upstream.stop()
+        new_upstream.stop()
 
     run_async(test)
 
@@ -239,32 +256,41 @@
 def test_sidecar_whose_agent_is_silent_starts_with_its_configured_list() -> None:
     async def test() -> None:
         discovery = Discovery()  # it takes the call and says nothing
-        async with sidecar(Upstream(respond_in_turn(OK)), discovery=discovery, polls_endpoints=False) as it:
-            assert status_of(await it.fetch(request())) == 200
+        async with sidecar(
+            Upstream(respond_in_turn(OK)), discovery=discovery, polls_endpoints=False
+        ) as running_sidecar:
+            assert status_of(await running_sidecar.fetch(request())) == 200
 
     run_async(test)
 
 
 def test_new_discovery_address_is_watched_from_its_first_version_while_the_old_watch_ends(tmp_path: Path) -> None:
     async def test() -> None:
-        old, new, first, second = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK)), Discovery(), Discovery()
-        await new.start()
-        await second.start()
-        second.first = endpoint_list(endpoint_entry("u1", new.port), rev=1)
-        path = write_configuration(tmp_path, discovery=f"127.0.0.1:{second.port}")
-        async with sidecar(old, discovery=first, path=str(path), polls_endpoints=False) as it:
-            await first.watched()
-            first.line(endpoint_list(endpoint_entry("u0", old.port), rev=900))
-            first.stop()  # both in one turn of the loop
-            it.reload.set()
-            await second.watched()
-            assert b"since=0 " in second.calls[0]
-            await moved(it, new)
-            before = len(old.requests)
+        old_upstream, new_upstream, old_discovery, new_discovery = (
+            Upstream(respond_in_turn(OK)),
+            Upstream(respond_in_turn(OK)),
+            Discovery(),
+            Discovery(),
+        )
+        await new_upstream.start()
+        await new_discovery.start()
+        new_discovery.initial_list = endpoint_list(endpoint_entry("u1", new_upstream.port), rev=1)
+        path = write_configuration(tmp_path, discovery=f"127.0.0.1:{new_discovery.port}")
+        async with sidecar(
+            old_upstream, discovery=old_discovery, path=str(path), polls_endpoints=False
+        ) as running_sidecar:
+            await old_discovery.wait_for_watch()
+            old_discovery.send_list(endpoint_list(endpoint_entry("u0", old_upstream.port), rev=900))
+            old_discovery.stop()  # both in one turn of the loop
+            running_sidecar.reload.set()
+            await new_discovery.wait_for_watch()
+            assert b"since=0 " in new_discovery.calls[0]
+            await wait_until_used(running_sidecar, new_upstream)
+            old_request_count = len(old_upstream.requests)
             for _ in range(5):
-                assert status_of(await it.fetch(request())) == 200
-            assert len(old.requests) == before and len(second.calls) == 1
-        new.stop()
-        second.stop()
+                assert status_of(await running_sidecar.fetch(request())) == 200
+            assert len(old_upstream.requests) == old_request_count and len(new_discovery.calls) == 1
+        new_upstream.stop()
+        new_discovery.stop()
 
     run_async(test)
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -19,8 +19,8 @@
     NEW_BYTES,
     NEW_VERSION,
     FaultyDiscovery,
-    follow,
-    script_connections,
+    apply_connection_faults,
+    start_client,
 )
 from tests.network_peers import run_async
 from tests.polling_fleet import DiscoveryMode, Phase, PollingFleet
@@ -34,9 +34,9 @@
 # One sidecar, real connections
 
 
-async def change_delay_s(order: tuple[str, ...], is_pushed: bool, agents: dict[int, FaultyDiscovery]) -> float:
+async def change_delay_s(fault_order: tuple[str, ...], is_pushed: bool, agents: dict[int, FaultyDiscovery]) -> float:
     """Return the time from when discovery could be reached to the arrival of the change."""
-    agent = FaultyDiscovery(order, 0.0 if is_pushed else POLL_DURATION_S)
+    agent = FaultyDiscovery(fault_order, 0.0 if is_pushed else POLL_DURATION_S)
     await agent.start()
     agents[agent.port] = agent
     arrived: asyncio.Future[float] = asyncio.get_running_loop().create_future()
@@ -45,7 +45,7 @@
         if event.version == NEW_VERSION and event.kind is not ListKind.FAILED and not arrived.done():
             arrived.set_result(time.monotonic())
 
-    client = follow(agent, is_pushed, on_update)
+    client = start_client(agent, is_pushed, on_update)
     try:
         return await arrived - agent.reachable_at
     finally:
@@ -53,48 +53,56 @@
         agent.stop()
 
 
-SINGLE = [(fault,) for fault in FAULTS]
-SIMILAR = ("head only", "503 without end", "half a list")  # similar ones are paired, as all pairs would take too long
-PAIRS = list(itertools.permutations((fault for fault in FAULTS if fault not in SIMILAR), 2))
-LONGER = [
+SINGLE_FAULTS = [(fault,) for fault in FAULTS]
+SIMILAR_FAULTS = (
+    "head only",
+    "503 without end",
+    "half a list",
+)  # similar ones are paired, as all pairs would take too long
+FAULT_PAIRS = list(itertools.permutations((fault for fault in FAULTS if fault not in SIMILAR_FAULTS), 2))
+LONGER_ORDERS = [
     ("silent", "silent", "silent"),
     ("refused", "refused", "half a list, a byte at a time"),
     ("reset", "503", "half a list", "silent"),
     ("watch falls silent", "silent", "refused", "dial hangs"),
 ]
-REPEATEDLY_UNREADABLE = [
-    ("unreadable",) * 6 + last for last in (("silent",), ("dial hangs",), ("refused", "half a list"))
+REPEATED_UNREADABLE_LISTS = [
+    ("unreadable",) * 6 + last_faults for last_faults in (("silent",), ("dial hangs",), ("refused", "half a list"))
 ]
-CASES = [(order, pushed) for order in SINGLE + PAIRS + LONGER for pushed in (True, False)]
-CASES += [(order, True) for order in REPEATEDLY_UNREADABLE]  # only here the sidecar itself waits
+CASES = [(order, is_pushed) for order in SINGLE_FAULTS + FAULT_PAIRS + LONGER_ORDERS for is_pushed in (True, False)]
+CASES += [(order, True) for order in REPEATED_UNREADABLE_LISTS]  # only here the sidecar itself waits
 
 
 def test_change_arrives_within_6_s_of_discovery_being_reachable_in_every_order_of_faults(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     agents: dict[int, FaultyDiscovery] = {}
-    script_connections(monkeypatch, agents)
+    apply_connection_faults(monkeypatch, agents)
 
     async def test() -> None:
-        delays_s = await asyncio.gather(*(change_delay_s(order, pushed, agents) for order, pushed in CASES))
-        worst = sorted(zip(delays_s, CASES, strict=True), reverse=True)
-        for delay_s, (order, pushed) in worst[:6]:
-            print(f"{delay_s:.2f} s, {'pushed' if pushed else 'polled'}: {', '.join(order)}")
-        late = [(round(delay_s, 2), *case) for delay_s, case in worst if delay_s >= MAX_MEASURED_DELAY_S]
-        assert not late, f"{len(late)} of {len(CASES)}: {late[:6]}"
+        delays_s = await asyncio.gather(
+            *(change_delay_s(fault_order, is_pushed, agents) for fault_order, is_pushed in CASES)
+        )
+        slowest_first = sorted(zip(delays_s, CASES, strict=True), reverse=True)
+        for delay_s, (fault_order, is_pushed) in slowest_first[:6]:
+            print(f"{delay_s:.2f} s, {'pushed' if is_pushed else 'polled'}: {', '.join(fault_order)}")
+        late_cases = [(round(delay_s, 2), *case) for delay_s, case in slowest_first if delay_s >= MAX_MEASURED_DELAY_S]
+        assert not late_cases, f"{len(late_cases)} of {len(CASES)}: {late_cases[:6]}"
 
     run_async(test)
 
 
 def test_valid_watch_without_changes_is_never_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     agents: dict[int, FaultyDiscovery] = {}
-    script_connections(monkeypatch, agents)
+    apply_connection_faults(monkeypatch, agents)
 
-    async def call_count(pushed: bool, first: bytes) -> int:
-        agent = FaultyDiscovery((), 0.0 if pushed else POLL_DURATION_S, first=first, sends_empty_lines=True)
+    async def count_calls(is_pushed: bool, initial_data: bytes) -> int:
+        agent = FaultyDiscovery(
+            (), 0.0 if is_pushed else POLL_DURATION_S, initial_data=initial_data, sends_empty_lines=True
+        )
         await agent.start()
         agents[agent.port] = agent
-        client = follow(agent, pushed, lambda event: None)
+        client = start_client(agent, is_pushed, lambda event: None)
         await asyncio.sleep(POLL_DURATION_S + 3.2 * EMPTY_LINE_INTERVAL_S)
         client.stop()
         agent.stop()
@@ -102,14 +110,14 @@
 
     async def test() -> None:
         cases = list(itertools.product((True, False), (NEW_BYTES, b"")))  # a new list, and none
-        assert await asyncio.gather(*(call_count(*case) for case in cases)) == [1] * len(cases)
+        assert await asyncio.gather(*(count_calls(*case) for case in cases)) == [1] * len(cases)
 
     run_async(test)
 
 
 # A fleet, in virtual time
 
-SERVES_FLEET_IN_S = 3  # discovery serves a poll of each sidecar in this time
+FLEET_POLL_DURATION_S = 3  # discovery serves a poll of each sidecar in this time
 BREAK_S = 10.0
 RETURN_S = 25.3
 RUN_AFTER_S = 20.0
@@ -118,66 +126,74 @@
 class Outage(NamedTuple):
     """How the watches of all sidecars end at once, what polls meet from then on, and when discovery can be reached."""
 
-    after_silence: bool
+    by_silence: bool
     phases: list[Phase]
     reachable_s: float
 
 
-UP = Phase(0.0, DiscoveryMode.UP)
-BACK = Phase(RETURN_S, DiscoveryMode.UP)
+UP_PHASE = Phase(0.0, DiscoveryMode.UP)
+RETURN_PHASE = Phase(RETURN_S, DiscoveryMode.UP)
 OUTAGES = {
-    "all fall silent": Outage(True, [UP], BREAK_S),
-    "all are reset": Outage(False, [UP], BREAK_S),
-    "refused": Outage(False, [UP, Phase(BREAK_S, DiscoveryMode.REFUSED), BACK], RETURN_S),
-    "silent": Outage(True, [UP, Phase(BREAK_S, DiscoveryMode.SILENT), BACK], RETURN_S),
+    "all fall silent": Outage(True, [UP_PHASE], BREAK_S),
+    "all are reset": Outage(False, [UP_PHASE], BREAK_S),
+    "refused": Outage(False, [UP_PHASE, Phase(BREAK_S, DiscoveryMode.REFUSED), RETURN_PHASE], RETURN_S),
+    "silent": Outage(True, [UP_PHASE, Phase(BREAK_S, DiscoveryMode.SILENT), RETURN_PHASE], RETURN_S),
     "reset, then silent": Outage(
-        False, [UP, Phase(BREAK_S, DiscoveryMode.RESET), Phase(16.0, DiscoveryMode.SILENT), BACK], RETURN_S
+        False,
+        [UP_PHASE, Phase(BREAK_S, DiscoveryMode.RESET), Phase(16.0, DiscoveryMode.SILENT), RETURN_PHASE],
+        RETURN_S,
     ),
     "silent, then refused": Outage(
-        True, [UP, Phase(BREAK_S, DiscoveryMode.SILENT), Phase(18.0, DiscoveryMode.REFUSED), BACK], RETURN_S
+        True,
+        [UP_PHASE, Phase(BREAK_S, DiscoveryMode.SILENT), Phase(18.0, DiscoveryMode.REFUSED), RETURN_PHASE],
+        RETURN_S,
     ),
     "silent for a moment": Outage(
-        False, [UP, Phase(BREAK_S, DiscoveryMode.SILENT), Phase(13.0, DiscoveryMode.UP)], 13.0
+        False, [UP_PHASE, Phase(BREAK_S, DiscoveryMode.SILENT), Phase(13.0, DiscoveryMode.UP)], 13.0
     ),
 }
 
 
-@pytest.mark.parametrize("sidecars", [200, 1_600])
-def test_fleet_that_starts_together_has_its_list_within_6_s(sidecars: int) -> None:
-    fleet = PollingFleet(sidecars, sidecars / SERVES_FLEET_IN_S, [UP])
+@pytest.mark.parametrize("sidecar_count", [200, 1_600])
+def test_fleet_that_starts_together_has_its_list_within_6_s(sidecar_count: int) -> None:
+    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [UP_PHASE])
     fleet.start_all()
     fleet.run_until(RUN_AFTER_S)
     check_updated("start", fleet, 0.0)
 
 
-@pytest.mark.parametrize("sidecars", [200, 1_600])
-@pytest.mark.parametrize("order", OUTAGES)
-def test_change_arrives_at_a_whole_fleet_within_6_s_of_discovery_being_reachable(order: str, sidecars: int) -> None:
-    outage = OUTAGES[order]
-    fleet = PollingFleet(sidecars, sidecars / SERVES_FLEET_IN_S, outage.phases)
-    fleet.break_watches(BREAK_S, outage.after_silence)
+@pytest.mark.parametrize("sidecar_count", [200, 1_600])
+@pytest.mark.parametrize("outage_name", OUTAGES)
+def test_change_arrives_at_a_whole_fleet_within_6_s_of_discovery_being_reachable(
+    outage_name: str, sidecar_count: int
+) -> None:
+    outage = OUTAGES[outage_name]
+    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, outage.phases)
+    fleet.break_watches(BREAK_S, outage.by_silence)
     fleet.run_until(outage.reachable_s + RUN_AFTER_S)
-    check_updated(order, fleet, outage.reachable_s)
+    check_updated(outage_name, fleet, outage.reachable_s)
 
 
-@pytest.mark.parametrize("sidecars", [200, 1_600])
-def test_fleet_whose_polls_are_rejected_polls_evenly_and_each_sidecar_once_in_4_s(sidecars: int) -> None:
+@pytest.mark.parametrize("sidecar_count", [200, 1_600])
+def test_fleet_whose_polls_are_rejected_polls_evenly_and_each_sidecar_once_in_4_s(sidecar_count: int) -> None:
     """With a new draw after each failure there would be twice as many polls, and most of them right at the return."""
-    fleet = PollingFleet(sidecars, sidecars / SERVES_FLEET_IN_S, [Phase(0.0, DiscoveryMode.REFUSED)])
+    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [Phase(0.0, DiscoveryMode.REFUSED)])
     fleet.start_all()
     fleet.run_until(30.0)
-    settled = [fleet.polls[second] for second in range(10, 30)]
-    print(f"{sidecars} sidecars, refused for good: {settled} calls a second")
-    assert max(settled) <= 0.3 * sidecars and sum(settled) <= 0.26 * sidecars * len(settled)
+    polls_per_second = [fleet.polls[second] for second in range(10, 30)]
+    print(f"{sidecar_count} sidecars, refused for good: {polls_per_second} calls a second")
+    assert max(polls_per_second) <= 0.3 * sidecar_count and sum(polls_per_second) <= 0.26 * sidecar_count * len(
+        polls_per_second
+    )
 
 
-def check_updated(order: str, fleet: PollingFleet, reachable_s: float) -> None:
+def check_updated(outage_name: str, fleet: PollingFleet, reachable_s: float) -> None:
     """Check that all sidecars got the list in time, and print the polls a second that discovery gets."""
     delays_s = fleet.update_delays_s(reachable_s)
     polls = " ".join(f"{second}:{count}" for second, count in sorted(fleet.polls.items()))
     median_s = sorted(delays_s)[len(delays_s) // 2]
     print(
-        f"{len(delays_s)} sidecars, {order}: told {median_s:.2f} s (half), {max(delays_s):.2f} s (all); "
+        f"{len(delays_s)} sidecars, {outage_name}: told {median_s:.2f} s (half), {max(delays_s):.2f} s (all); "
         f"{fleet.failed_polls} calls failed; calls a second {polls}"
     )
     assert min(delays_s) > 0.0, "some never got the list"
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -24,7 +24,7 @@
     Converter,
     Exchange,
     SidecarProcess,
-    unanswered,
+    unanswered_requests,
 )
 from tests.network_peers import OK, Upstream, endpoint_entry, endpoint_list
 
@@ -36,7 +36,7 @@
 HEAD_PIECE, BODY_PIECE = 30, 12  # offsets of the splits: from the head's begin, from the body's end
 STEP_S = 0.03  # between two faults, over which requests are open
 WORK_S = 0.06  # of a converter
-KINDS = ("read", "pay", "mark")
+CLASS_NAMES = ("read", "pay", "mark")
 CONCURRENT_SIDECARS = 4  # sidecars
 RUN_TIMEOUT_S = 60.0
 SEEDED_FAULT_REPEATS = 4  # of an order with a seeded fault: by chance no request may be open at one of its faults
@@ -55,7 +55,7 @@
 
 
 async def respond_after_work(
-    upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     """Script that responds after some work."""
     await asyncio.sleep(WORK_S)
@@ -72,7 +72,7 @@
         self.agents: list[Agent] = []
         self.revision = 1
         self.generation = 0  # of the converters that drain and die
-        self.state = "active"  # of the one that is to drain
+        self.drain_state = "active"  # of the one that is to drain
         self.partial: list[Exchange] = []
 
     async def start(self) -> None:
@@ -89,13 +89,13 @@
     def endpoint_list(self) -> dict[str, Any]:
         return endpoint_list(
             endpoint_entry("steady", self.steady.port),
-            endpoint_entry(f"draining-{self.generation}", self.draining.port, self.state),
+            endpoint_entry(f"draining-{self.generation}", self.draining.port, self.drain_state),
             endpoint_entry(f"dying-{self.generation}", self.dying.port),
             rev=self.revision,
         )
 
     async def new_agent(self) -> None:
-        self.agent = Agent(first=self.endpoint_list())
+        self.agent = Agent(initial_list=self.endpoint_list())
         self.agents.append(self.agent)
         await self.agent.start()
 
@@ -107,9 +107,9 @@
         await self.dying.start()
         self.generation += 1
         self.revision += 1
-        self.state = "active"
-        self.agent.first = self.endpoint_list()
-        self.agent.line(self.agent.first)
+        self.drain_state = "active"
+        self.agent.initial_list = self.endpoint_list()
+        self.agent.send_list(self.agent.initial_list)
         for converter in old:
             converter.vanish()
         await self.use_all_converters(sidecar)
@@ -123,40 +123,40 @@
 
     async def send_burst(self, sidecar: SidecarProcess) -> None:
         """Send two complete requests of each class."""
-        for kind in KINDS * 2:
-            await self.application.fetch(sidecar, kind)
+        for class_name in CLASS_NAMES * 2:
+            await self.application.fetch(sidecar, class_name)
 
-    async def reload(self, sidecar: SidecarProcess) -> None:
+    async def reload_configuration(self, sidecar: SidecarProcess) -> None:
         await self.new_agent()
         sidecar.reload(self.agent)
 
-    async def drain(self, sidecar: SidecarProcess) -> None:
-        self.state = "leaving"
+    async def drain_converter(self, sidecar: SidecarProcess) -> None:
+        self.drain_state = "leaving"
         self.revision += 1
-        self.agent.first = self.endpoint_list()
+        self.agent.initial_list = self.endpoint_list()
         if self.agent.writers:  # else the next watch begins with it
-            self.agent.line(self.agent.first)
+            self.agent.send_list(self.agent.initial_list)
 
-    async def kill(self, sidecar: SidecarProcess) -> None:
+    async def kill_converter(self, sidecar: SidecarProcess) -> None:
         self.dying.kill_at_next_connection()
 
     async def stop_sidecar(self, sidecar: SidecarProcess) -> None:
         sidecar.stop()
 
-    async def pieces(self, sidecar: SidecarProcess) -> None:
+    async def send_first_pieces(self, sidecar: SidecarProcess) -> None:
         """Send part of a request of each class: one is split in the head, the others in the body too."""
-        for kind in KINDS:
-            body = b"" if kind == "read" else BODY
-            exchange = await self.application.begin(sidecar, kind, [HEAD_PIECE], body)
-            self.cut_body(exchange, len(body))
+        for class_name in CLASS_NAMES:
+            body = b"" if class_name == "read" else BODY
+            exchange = await self.application.send_first_piece(sidecar, class_name, [HEAD_PIECE], body)
+            self.split_body(exchange, len(body))
             self.partial.append(exchange)
 
     @staticmethod
-    def cut_body(exchange: Exchange, length: int) -> None:
+    def split_body(exchange: Exchange, body_length: int) -> None:
         """Split the remainder of a request in its body, if it has one, else in its head."""
         (unsent,) = exchange.unsent
-        edge = len(unsent) - (BODY_PIECE if length else 2)
-        exchange.unsent = [unsent[:edge], unsent[edge:]]
+        split_offset = len(unsent) - (BODY_PIECE if body_length else 2)
+        exchange.unsent = [unsent[:split_offset], unsent[split_offset:]]
 
     def send_next_pieces(self) -> None:
         """Send the next piece of each partial request, unless it is the last."""
@@ -173,10 +173,10 @@
     async def run(self, sidecar: SidecarProcess, order: Sequence[str]) -> None:
         """Let the faults occur in this order; requests are open over each until the shutdown."""
         faults: dict[str, Callable[[SidecarProcess], Any]] = {
-            "reload": self.reload,
-            "drain": self.drain,
-            "kill": self.kill,
-            "pieces": self.pieces,
+            "reload": self.reload_configuration,
+            "drain": self.drain_converter,
+            "kill": self.kill_converter,
+            "pieces": self.send_first_pieces,
             "stop": self.stop_sidecar,
         }
         stopped = False
@@ -193,21 +193,21 @@
             await self.send_burst(sidecar)
 
 
-async def run_orders(folder: Path, orders: Sequence[Sequence[str]], seeded_fault: str = "") -> list[ClientRequest]:
+async def run_orders(directory: Path, orders: Sequence[Sequence[str]], seeded_fault: str = "") -> list[ClientRequest]:
     """Run all orders in turn with one sidecar, which only the last may end, and return its application's requests."""
     scenario = Scenario()
     await scenario.start()
-    sidecar = SidecarProcess(folder, "sidecar", scenario.agent, scenario.endpoint_list(), seeded_fault)
+    sidecar = SidecarProcess(directory, "sidecar", scenario.agent, scenario.endpoint_list(), seeded_fault)
     try:
         await sidecar.start()
         await scenario.use_all_converters(sidecar)
-        for number, order in enumerate(orders):
-            if number:
+        for order_index, order in enumerate(orders):
+            if order_index:
                 await scenario.reset_converters(sidecar)
             await scenario.run(sidecar, order)
         await scenario.application.wait_until_ended()
         if "stop" in orders[-1]:
-            assert await sidecar.ended() == 0
+            assert await sidecar.wait_until_ended() == 0
     finally:
         sidecar.kill()
         scenario.stop()
@@ -216,19 +216,19 @@
 
 def stop_orders() -> list[tuple[str, ...]]:
     """Return each order of the other faults between the pieces of requests, with the shutdown at each place."""
-    found = []
-    for number, order in enumerate(itertools.permutations(FAULTS_BEFORE_SHUTDOWN)):
-        place = number % (len(order) + 1)
-        found.append(("pieces", *order[:place], "stop", *order[place:]))
-    return found
+    orders = []
+    for order_index, order in enumerate(itertools.permutations(FAULTS_BEFORE_SHUTDOWN)):
+        stop_position = order_index % (len(order) + 1)
+        orders.append(("pieces", *order[:stop_position], "stop", *order[stop_position:]))
+    return orders
 
 
-def orders_from(first: str) -> list[tuple[str, ...]]:
+def orders_from(first_fault: str) -> list[tuple[str, ...]]:
     """Return the orders of all faults but the shutdown that begin with this one."""
-    return [order for order in itertools.permutations(FAULTS) if order[0] == first]
+    return [order for order in itertools.permutations(FAULTS) if order[0] == first_fault]
 
 
-async def run_all(folder: Path) -> dict[str, list[ClientRequest]]:
+async def run_all(directory: Path) -> dict[str, list[ClientRequest]]:
     """Run everything, a few sidecars at a time so that a busy machine keeps up, and return the requests by run."""
     semaphore = asyncio.Semaphore(CONCURRENT_SIDECARS)
 
@@ -236,16 +236,16 @@
         name: str, orders: Sequence[Sequence[str]], seeded_fault: str = ""
     ) -> tuple[str, list[ClientRequest]]:
         async with semaphore:
-            return name, await run_orders(folder / name, orders, seeded_fault)
+            return name, await run_orders(directory / name, orders, seeded_fault)
 
-    runs = [run(first, orders_from(first)) for first in FAULTS]
+    runs = [run(first_fault, orders_from(first_fault)) for first_fault in FAULTS]
     runs += [run("-".join(order), [order]) for order in stop_orders()]
-    runs += [run(seeded_fault, [order] * repeats(order), seeded_fault) for seeded_fault, order in SEEDED_FAULTS]
+    runs += [run(seeded_fault, [order] * repeat_count(order), seeded_fault) for seeded_fault, order in SEEDED_FAULTS]
     async with asyncio.timeout(RUN_TIMEOUT_S):
         return dict(await asyncio.gather(*runs))
 
 
-def repeats(order: Sequence[str]) -> int:
+def repeat_count(order: Sequence[str]) -> int:
     """Return how often an order is run with a seeded fault; a shutdown ends the sidecar."""
     return 1 if "stop" in order else SEEDED_FAULT_REPEATS
 
@@ -256,18 +256,18 @@
     return asyncio.run(run_all(tmp_path_factory.mktemp("unanswered")))
 
 
-def check_amount(requests: Sequence[ClientRequest], orders: int) -> None:
+def check_request_counts(requests: Sequence[ClientRequest], order_count: int) -> None:
     """Check that enough was sent and served for the other checks to be meaningful."""
-    assert len(requests) >= MIN_REQUESTS * orders
-    assert sum(each.status == SERVED for each in requests) >= MIN_SERVED * orders
+    assert len(requests) >= MIN_REQUESTS * order_count
+    assert sum(record.status == SERVED for record in requests) >= MIN_SERVED * order_count
 
 
-@pytest.mark.parametrize("first", FAULTS)
+@pytest.mark.parametrize("first_fault", FAULTS)
 def test_every_request_is_answered_in_time_in_each_order_of_faults(
-    first: str, requests_by_run: dict[str, list[ClientRequest]]
+    first_fault: str, requests_by_run: dict[str, list[ClientRequest]]
 ) -> None:
-    check_amount(requests_by_run[first], len(orders_from(first)))
-    assert unanswered(requests_by_run[first]) == []
+    check_request_counts(requests_by_run[first_fault], len(orders_from(first_fault)))
+    assert unanswered_requests(requests_by_run[first_fault]) == []
 
 
 @pytest.mark.parametrize("order", stop_orders(), ids="-".join)
@@ -275,8 +275,8 @@
     order: tuple[str, ...], requests_by_run: dict[str, list[ClientRequest]]
 ) -> None:
     requests = requests_by_run["-".join(order)]
-    check_amount(requests, 1)
-    assert unanswered(requests) == []
+    check_request_counts(requests, 1)
+    assert unanswered_requests(requests) == []
 
 
 @pytest.mark.parametrize(
@@ -285,12 +285,12 @@
 def test_check_finds_requests_left_unanswered_by_a_seeded_fault(
     seeded_fault: str, order: tuple[str, ...], requests_by_run: dict[str, list[ClientRequest]]
 ) -> None:
-    check_amount(requests_by_run[seeded_fault], repeats(order))  # the sidecar works otherwise
-    assert unanswered(requests_by_run[seeded_fault])
+    check_request_counts(requests_by_run[seeded_fault], repeat_count(order))  # the sidecar works otherwise
+    assert unanswered_requests(requests_by_run[seeded_fault])
 
 
 @pytest.mark.parametrize(
-    ("ended_s", "found"),
+    ("ended_s", "is_unanswered"),
     [
         (None, True),
         (DEADLINE_S + ANSWER_TOLERANCE_S + 0.01, True),
@@ -298,6 +298,8 @@
         (0.0, False),
     ],
 )
-def test_request_counts_as_unanswered_if_its_answer_is_late_or_missing(ended_s: float | None, found: bool) -> None:
+def test_request_counts_as_unanswered_if_its_answer_is_late_or_missing(
+    ended_s: float | None, is_unanswered: bool
+) -> None:
     request = ClientRequest("sidecar", "1", ended_s=ended_s)
-    assert unanswered([request]) == ([request] if found else [])
+    assert unanswered_requests([request]) == ([request] if is_unanswered else [])
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -28,49 +28,52 @@
     wait_until,
 )
 
-SHORT_DEADLINE = [
+SHORT_DEADLINE_CLASSES = [
     RequestClass("pay", latency_objective_us=200_000, deadline_us=400_000, idempotency=Idempotency.NON_IDEMPOTENT)
 ]
 
 
 def test_shutdown_serves_open_requests_and_those_that_still_arrive() -> None:
     async def test() -> None:
-        held = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await held.wait()
+            await release.wait()
             writer.write(OK)
 
         upstreams = [Upstream(script), Upstream(script)]  # one slot each
 
-        def total() -> int:
+        def forwarded_request_count() -> int:
             return sum(len(upstream.requests) for upstream in upstreams)
 
-        async with sidecar(*upstreams) as it:
-            idle_reader, idle_writer = await it.connect()  # it has had an answer: nothing new is on its way
+        async with sidecar(*upstreams) as running_sidecar:
+            (
+                idle_reader,
+                idle_writer,
+            ) = await running_sidecar.connect()  # it has had an answer: nothing new is on its way
             idle_writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             await read_message(idle_reader)
-            reader, writer = await it.connect()
-            writer.write(request(ident="1"))
-            await wait_until(lambda: total() == 1)
-            it.stop.set()
+            reader, writer = await running_sidecar.connect()
+            writer.write(request(request_id="1"))
+            await wait_until(lambda: forwarded_request_count() == 1)
+            running_sidecar.stop.set()
             assert await idle_reader.read() == b""
-            late_reader, late_writer = await it.connect()
-            late_writer.write(request(ident="2"))
-            await wait_until(lambda: total() == 2)
-            held.set()
-            for each in (reader, late_reader):
-                head, body = await read(each)
+            late_reader, late_writer = await running_sidecar.connect()
+            late_writer.write(request(request_id="2"))
+            await wait_until(lambda: forwarded_request_count() == 2)
+            release.set()
+            for response_reader in (reader, late_reader):
+                head, body = await read_response(response_reader)
                 assert body == b"done" and b"Connection: close" in head
             for client in (idle_writer, writer, late_writer):
                 client.close()
-            await it.task
+            await running_sidecar.task
 
-    async def read(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-        whole = await reader.read()
-        head, _, body = whole.partition(b"\r\n\r\n")
+    async def read_response(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
+        response = await reader.read()
+        head, _, body = response.partition(b"\r\n\r\n")
         return head, body
 
     run_async(test)
@@ -79,16 +82,16 @@
 def test_shutdown_answers_open_requests_however_late_their_deadline_is() -> None:
     async def test() -> None:
         upstream = Upstream(never_respond)
-        async with sidecar(upstream) as it:
-            reader, writer = await it.connect()
+        async with sidecar(upstream) as running_sidecar:
+            reader, writer = await running_sidecar.connect()
             writer.write(request("pay", deadline_ms=20_000))
             await wait_until(lambda: len(upstream.requests) == 1)
-            it.stop.set()
+            running_sidecar.stop.set()
             response = await read_message(reader)
             assert status_of(response) == 500 and b"Connection: close" in response.head
-            assert not it.task.done()  # else the process had ended with the request open
+            assert not running_sidecar.task.done()  # else the process had ended with the request open
             writer.close()
-            await it.task
+            await running_sidecar.task
 
     run_async(test)
 
@@ -96,34 +99,34 @@
 def test_request_completed_during_shutdown_is_answered_before_the_kill() -> None:
     async def test() -> None:
         upstream = Upstream(never_respond)
-        kinds = [RequestClass("pay", 1_000_000, 2_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
-        async with sidecar(upstream, classes=kinds) as it:
-            whole = request("pay", body=b"ab", deadline_ms=2_000)
-            reader, writer = await it.connect()
-            writer.write(whole[:-1])
+        classes = [RequestClass("pay", 1_000_000, 2_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
+        async with sidecar(upstream, classes=classes) as running_sidecar:
+            complete_request = request("pay", body=b"ab", deadline_ms=2_000)
+            reader, writer = await running_sidecar.connect()
+            writer.write(complete_request[:-1])
             loop = asyncio.get_running_loop()
-            it.stop.set()
-            stopped = loop.time()
+            running_sidecar.stop.set()
+            stopped_at = loop.time()
             await asyncio.sleep(1.5)  # so that its own time ends 0.8 s after the soonest kill
-            writer.write(whole[-1:])
+            writer.write(complete_request[-1:])
             head, _ = await read_message(reader)
-            assert b"Connection: close" in head and loop.time() - stopped < 3.2
+            assert b"Connection: close" in head and loop.time() - stopped_at < 3.2
             writer.close()
-            await it.task
+            await running_sidecar.task
 
     run_async(test)
 
 
 def test_request_still_partial_shortly_before_the_kill_is_rejected() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(never_respond), classes=SHORT_DEADLINE) as it:
-            reader, writer = await it.connect()
+        async with sidecar(Upstream(never_respond), classes=SHORT_DEADLINE_CLASSES) as running_sidecar:
+            reader, writer = await running_sidecar.connect()
             writer.write(request("pay", body=b"ab")[:-1])
-            it.stop.set()
+            running_sidecar.stop.set()
             answer = await reader.read()
             assert answer.startswith(b"HTTP/1.1 503 ")
             writer.close()
-            await it.task
+            await running_sidecar.task
 
     run_async(test)
 
@@ -131,22 +134,22 @@
 def test_request_on_a_connection_in_the_listeners_queue_at_shutdown_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    late: list[socket.socket] = []
+    late_connections: list[socket.socket] = []
     stop_listening = Server.stop_listening
 
-    def crossed(self: Server) -> None:
+    def connect_then_stop_listening(self: Server) -> None:
         for _ in range(40):  # more than are taken in one turn
-            late.append(socket.create_connection(self.address))
-            late[-1].sendall(request())
+            late_connections.append(socket.create_connection(self.address))
+            late_connections[-1].sendall(request())
         stop_listening(self)
 
-    monkeypatch.setattr(Server, "stop_listening", crossed)
+    monkeypatch.setattr(Server, "stop_listening", connect_then_stop_listening)
 
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:
-            it.stop.set()
-            await it.task
-        for sock in late:
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
+            running_sidecar.stop.set()
+            await running_sidecar.task
+        for sock in late_connections:
             assert sock.recv(100).startswith(b"HTTP/1.1 ")
             sock.close()
 
@@ -156,67 +159,69 @@
 def test_connection_established_just_before_shutdown_may_send_its_first_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    told = asyncio.Event()
+    idle_closed = asyncio.Event()
     close_idle = Server.close_idle
 
-    def crossed(self: Server) -> None:
+    def close_idle_and_notify(self: Server) -> None:
         close_idle(self)
-        told.set()
+        idle_closed.set()
 
-    monkeypatch.setattr(Server, "close_idle", crossed)
+    monkeypatch.setattr(Server, "close_idle", close_idle_and_notify)
 
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
             await asyncio.sleep(0.3)  # what came to see whether it is up is young no more
-            made = len(clients)
-            reader, writer = await it.connect()
-            await wait_until(lambda: len(clients) > made)
-            it.stop.set()
-            await told.wait()
+            client_count = len(clients)
+            reader, writer = await running_sidecar.connect()
+            await wait_until(lambda: len(clients) > client_count)
+            running_sidecar.stop.set()
+            await idle_closed.wait()
             writer.write(request())
             assert status_of(await read_message(reader)) == 200
             writer.close()
-            await it.task
+            await running_sidecar.task
 
     clients: list[ClientConnection] = []
     connection_made = ClientConnection.connection_made
 
-    def seen(self: ClientConnection, transport: asyncio.BaseTransport) -> None:
+    def record_client(self: ClientConnection, transport: asyncio.BaseTransport) -> None:
         connection_made(self, transport)
         clients.append(self)
 
-    monkeypatch.setattr(ClientConnection, "connection_made", seen)
+    monkeypatch.setattr(ClientConnection, "connection_made", record_client)
     run_async(test)
 
 
 def test_response_not_yet_read_by_its_client_is_not_truncated_by_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     listen = system.listen
 
-    def narrow(address: tuple[str, int], backlog: int) -> socket.socket:
+    def listen_with_small_buffer(address: tuple[str, int], backlog: int) -> socket.socket:
         sock = listen(address, backlog)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return sock
 
-    monkeypatch.setattr(system, "listen", narrow)
-    size = 60_000
+    monkeypatch.setattr(system, "listen", listen_with_small_buffer)
+    body_length = 60_000
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        upstream = Upstream(respond_in_turn(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"x" * size))
-        async with sidecar(upstream) as it:
+        upstream = Upstream(
+            respond_in_turn(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % body_length + b"x" * body_length)
+        )
+        async with sidecar(upstream) as running_sidecar:
             with socket.socket() as sock:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 sock.setblocking(False)
-                await loop.sock_connect(sock, ("127.0.0.1", it.port))
+                await loop.sock_connect(sock, ("127.0.0.1", running_sidecar.port))
                 await loop.sock_sendall(sock, request())
                 await wait_until(lambda: len(upstream.requests) == 1)
                 await asyncio.sleep(0.3)  # the answer is on its way, and more than fits
-                it.stop.set()
+                running_sidecar.stop.set()
                 await asyncio.sleep(0.7)
-                got = b""
+                received = b""
                 while data := await loop.sock_recv(sock, 65_536):
-                    got += data
-            assert len(got.partition(b"\r\n\r\n")[2]) == size
-            await it.task
+                    received += data
+            assert len(received.partition(b"\r\n\r\n")[2]) == body_length
+            await running_sidecar.task
 
     run_async(test)
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -27,7 +27,7 @@
 
 DEADLINE_MS = 3_000
 SLACK_MS = 150
-HELD_S = 0.6
+DELAY_S = 0.6
 
 
 class DeadlineRecorder:
@@ -37,14 +37,14 @@
         self.upstream = Upstream(self.serve)
         self.sent_at = 0.0
         self.passed_ms: list[int] = []
-        self.left_ms: list[float] = []
+        self.remaining_ms: list[float] = []
 
     async def serve(
-        self, upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        head = upstream.requests[number][0].lower()
+        head = upstream.requests[request_index][0].lower()
         self.passed_ms.append(int(head.partition(b"x-deadline-ms:")[2].split(b"\r\n")[0]))
-        self.left_ms.append(DEADLINE_MS - 1_000 * (time.monotonic() - self.sent_at))
+        self.remaining_ms.append(DEADLINE_MS - 1_000 * (time.monotonic() - self.sent_at))
         writer.write(OK)
 
     async def fetch(self, sidecar: Sidecar) -> int:
@@ -53,18 +53,18 @@
 
 
 def test_late_connection_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
-    held = DelayedConnections()
+    delayed = DelayedConnections()
 
     async def test() -> None:
         recorder = DeadlineRecorder()
-        async with sidecar(recorder.upstream) as it:
-            held.delay(recorder.upstream, monkeypatch)
-            answer = asyncio.create_task(recorder.fetch(it))
-            await wait_until(lambda: held.started == 1)
-            await asyncio.sleep(HELD_S)
-            held.released.set()
-            assert await answer == 200
-        assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
+        async with sidecar(recorder.upstream) as running_sidecar:
+            delayed.delay(recorder.upstream, monkeypatch)
+            status_task = asyncio.create_task(recorder.fetch(running_sidecar))
+            await wait_until(lambda: delayed.started == 1)
+            await asyncio.sleep(DELAY_S)
+            delayed.released.set()
+            assert await status_task == 200
+        assert recorder.passed_ms[0] <= recorder.remaining_ms[0] + SLACK_MS
 
     run_async(test)
 
@@ -72,17 +72,17 @@
 def test_wait_for_a_descriptor_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     free_capacity = ConnectionPool.free_capacity
 
-    async def late(pool: ConnectionPool, attempt: UpstreamAttempt) -> bool:
-        await asyncio.sleep(HELD_S)
+    async def free_capacity_late(pool: ConnectionPool, attempt: UpstreamAttempt) -> bool:
+        await asyncio.sleep(DELAY_S)
         return await free_capacity(pool, attempt)
 
-    monkeypatch.setattr(ConnectionPool, "free_capacity", late)
+    monkeypatch.setattr(ConnectionPool, "free_capacity", free_capacity_late)
 
     async def test() -> None:
         recorder = DeadlineRecorder()
-        async with sidecar(recorder.upstream) as it:
-            assert await recorder.fetch(it) == 200
-        assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
+        async with sidecar(recorder.upstream) as running_sidecar:
+            assert await recorder.fetch(running_sidecar) == 200
+        assert recorder.passed_ms[0] <= recorder.remaining_ms[0] + SLACK_MS
 
     run_async(test)
 
@@ -91,21 +91,21 @@
     """Hold up the whole loop between the connection's coming up and the write."""
     connect = asyncio.SelectorEventLoop.sock_connect
 
-    async def blocking(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
+    async def connect_and_block(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
         await connect(loop, sock, address)
         if address[1] == upstream.port:
             time.sleep(blocked_s)
 
-    monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", blocking)
+    monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_and_block)
 
 
 def test_blocked_loop_before_the_write_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         recorder = DeadlineRecorder()
-        async with sidecar(recorder.upstream) as it:
-            block_loop_after_dial(recorder.upstream, HELD_S, monkeypatch)
-            assert await recorder.fetch(it) == 200
-        assert recorder.passed_ms[0] <= recorder.left_ms[0] + SLACK_MS
+        async with sidecar(recorder.upstream) as running_sidecar:
+            block_loop_after_dial(recorder.upstream, DELAY_S, monkeypatch)
+            assert await recorder.fetch(running_sidecar) == 200
+        assert recorder.passed_ms[0] <= recorder.remaining_ms[0] + SLACK_MS
 
     run_async(test)
 
@@ -118,13 +118,13 @@
                 "pay", latency_objective_us=200_000, deadline_us=400_000, idempotency=Idempotency.NON_IDEMPOTENT
             )
         ]
-        async with sidecar(upstream, classes=classes) as it:
-            block_loop_after_dial(upstream, HELD_S, monkeypatch)
-            assert status_of(await it.fetch(request("pay", deadline_ms=400))) == 503
+        async with sidecar(upstream, classes=classes) as running_sidecar:
+            block_loop_after_dial(upstream, DELAY_S, monkeypatch)
+            assert status_of(await running_sidecar.fetch(request("pay", deadline_ms=400))) == 503
             assert upstream.requests == []
             monkeypatch.undo()
             await asyncio.sleep(0.5)  # until the buffer of the sidecar's admission is over
-            assert status_of(await it.fetch(request("pay", deadline_ms=400))) == 200
+            assert status_of(await running_sidecar.fetch(request("pay", deadline_ms=400))) == 200
         assert len(upstream.requests) == 1
 
     run_async(test)
@@ -133,7 +133,7 @@
 def test_shutdown_shortens_the_deadline_of_a_later_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = DelayedConnections()
+    delayed = DelayedConnections()
 
     async def test() -> None:
         recorder = DeadlineRecorder()
@@ -146,15 +146,15 @@
                 idempotency=Idempotency.NON_IDEMPOTENT,
             )
         ]
-        async with sidecar(recorder.upstream, classes=classes) as it:
-            held.delay(recorder.upstream, monkeypatch)
-            answer = asyncio.create_task(it.fetch(request("pay", deadline_ms=20_000)))
-            await wait_until(lambda: held.started == 1)
-            it.stop.set()
-            await asyncio.sleep(HELD_S)
-            held.released.set()
-            assert status_of(await answer) == 200
-            await it.task
-        assert recorder.passed_ms[0] <= 3_600 - 1_000 * HELD_S + SLACK_MS  # the process ends 3.6 s after SIGTERM
+        async with sidecar(recorder.upstream, classes=classes) as running_sidecar:
+            delayed.delay(recorder.upstream, monkeypatch)
+            response = asyncio.create_task(running_sidecar.fetch(request("pay", deadline_ms=20_000)))
+            await wait_until(lambda: delayed.started == 1)
+            running_sidecar.stop.set()
+            await asyncio.sleep(DELAY_S)
+            delayed.released.set()
+            assert status_of(await response) == 200
+            await running_sidecar.task
+        assert recorder.passed_ms[0] <= 3_600 - 1_000 * DELAY_S + SLACK_MS  # the process ends 3.6 s after SIGTERM
 
     run_async(test)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -20,8 +20,8 @@
 from tests.acceptance import (
     MIN_OUTAGE_REQUESTS,
     MIN_OUTAGE_S,
-    POLLED,
-    PUSHED,
+    POLLED_SETTINGS,
+    PUSHED_SETTINGS,
     SERVED,
     Agent,
     Application,
@@ -46,18 +46,18 @@
 CONCURRENT_STARTS = 3
 RUN_TIMEOUT_S = 60.0
 AT_ONCE = "told-at-once"
-SEEDED_FAULT_BY_WAY = {  # the fault that each way shows
+SEEDED_FAULT_BY_MODE = {  # the fault that each way shows
     "late": "never_watch_again",
     "whole": "ignore_complete_lists",
     "sighup": "lose_watch_on_reload",
     "restart": "keep_configured_list",
     "cold": "reject_while_warming_up",
 }
-POLLING_NAME = "{}-asked"  # the name of a sidecar that polls
+POLLING_NAME_FORMAT = "{}-asked"  # the name of a sidecar that polls
 
 
 async def respond_after_work(
-    upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     """Script that responds after some work."""
     await asyncio.sleep(WORK_S)
@@ -65,10 +65,10 @@
 
 
 @dataclass
-class Member:
+class FleetSidecar:
     """A sidecar of the fleet, and how it is notified."""
 
-    way: str
+    notification_mode: str
     agent: Agent
     process: SidecarProcess
 
@@ -83,28 +83,30 @@
 
     def outages(self, sidecar: str) -> list[Outage]:
         """Return the times in which this sidecar served no request."""
-        spans = find_outages(self.requests, self.replaced_s, self.end_s)
-        return [span for span in spans if span.sidecar == sidecar]
+        outages = find_outages(self.requests, self.replaced_s, self.end_s)
+        return [outage for outage in outages if outage.sidecar == sidecar]
 
     def served(self, sidecar: str) -> int:
         """Return how many requests it served."""
-        return sum(each.sidecar == sidecar and each.status == SERVED for each in self.requests)
+        return sum(request.sidecar == sidecar and request.status == SERVED for request in self.requests)
 
 
 class Fleet:
     """The sidecars, their agents, the converters that are replaced and the new ones."""
 
-    def __init__(self, folder: Path) -> None:
-        self.folder = folder
+    def __init__(self, directory: Path) -> None:
+        self.directory = directory
         self.application = Application()
-        self.old = [Converter(respond_after_work) for _ in range(CONVERTERS)]
-        self.new = [Converter(respond_after_work) for _ in range(CONVERTERS)]
-        self.members: list[Member] = []
+        self.old_converters = [Converter(respond_after_work) for _ in range(CONVERTERS)]
+        self.new_converters = [Converter(respond_after_work) for _ in range(CONVERTERS)]
+        self.fleet_sidecars: list[FleetSidecar] = []
         self.agents: list[Agent] = []
         self.paused: set[str] = set()  # sidecars that get no requests
 
     def first_list(self) -> dict[str, Any]:
-        return endpoint_list(*(endpoint_entry(f"old-{i}", converter.port) for i, converter in enumerate(self.old)))
+        return endpoint_list(
+            *(endpoint_entry(f"old-{index}", converter.port) for index, converter in enumerate(self.old_converters))
+        )
 
     def complete_list(self, boot_ms: int = 0) -> dict[str, Any]:
         """Return the complete list after the replacement, without the removed converters."""
@@ -112,61 +114,71 @@
 
     def changes(self, boot_ms: int = 0) -> dict[str, Any]:
         """Return the replacement as a change of the list."""
-        gone = [endpoint_entry(f"old-{i}", converter.port, "leaving") for i, converter in enumerate(self.old)]
-        return endpoint_list(*gone, *self.new_entries(boot_ms), rev=2, full=False)
+        removed_entries = [
+            endpoint_entry(f"old-{index}", converter.port, "leaving")
+            for index, converter in enumerate(self.old_converters)
+        ]
+        return endpoint_list(*removed_entries, *self.new_entries(boot_ms), rev=2, full=False)
 
     def new_entries(self, boot_ms: int) -> list[dict[str, Any]]:
-        return [endpoint_entry(f"new-{i}", converter.port, boot_ms=boot_ms) for i, converter in enumerate(self.new)]
+        return [
+            endpoint_entry(f"new-{index}", converter.port, boot_ms=boot_ms)
+            for index, converter in enumerate(self.new_converters)
+        ]
 
-    async def new_agent(self, first: dict[str, Any]) -> Agent:
-        agent = Agent(first=first)
+    async def new_agent(self, initial_list: dict[str, Any]) -> Agent:
+        agent = Agent(initial_list=initial_list)
         self.agents.append(agent)
         await agent.start()
         return agent
 
     async def start(self) -> None:
         """Start everything; all sidecars know the old converters."""
-        for converter in self.old + self.new:
+        for converter in self.old_converters + self.new_converters:
             await converter.start()
-        for way in (AT_ONCE, *SEEDED_FAULT_BY_WAY):
-            await self.add(way, way)
-        for way, seeded_fault in SEEDED_FAULT_BY_WAY.items():
-            await self.add(POLLING_NAME.format(way), way, settings=POLLED)
-            await self.add(seeded_fault, way, seeded_fault)
+        for notification_mode in (AT_ONCE, *SEEDED_FAULT_BY_MODE):
+            await self.add_sidecar(notification_mode, notification_mode)
+        for notification_mode, seeded_fault in SEEDED_FAULT_BY_MODE.items():
+            await self.add_sidecar(
+                POLLING_NAME_FORMAT.format(notification_mode), notification_mode, settings=POLLED_SETTINGS
+            )
+            await self.add_sidecar(seeded_fault, notification_mode, seeded_fault)
         semaphore = asyncio.Semaphore(CONCURRENT_STARTS)
 
-        async def start(member: Member) -> None:
+        async def start(fleet_sidecar: FleetSidecar) -> None:
             async with semaphore:
-                await member.process.start()
+                await fleet_sidecar.process.start()
 
-        await asyncio.gather(*map(start, self.members))
+        await asyncio.gather(*map(start, self.fleet_sidecars))
 
-    async def add(self, name: str, way: str, seeded_fault: str = "", settings: dict[str, Any] = PUSHED) -> None:
+    async def add_sidecar(
+        self, name: str, notification_mode: str, seeded_fault: str = "", settings: dict[str, Any] = PUSHED_SETTINGS
+    ) -> None:
         """Add a sidecar that is not started yet."""
         agent = await self.new_agent(self.first_list())
-        process = SidecarProcess(self.folder / name, name, agent, self.first_list(), seeded_fault, settings)
-        self.members.append(Member(way, agent, process))
+        process = SidecarProcess(self.directory / name, name, agent, self.first_list(), seeded_fault, settings)
+        self.fleet_sidecars.append(FleetSidecar(notification_mode, agent, process))
 
     def stop(self) -> None:
-        for member in self.members:
-            member.process.kill()
+        for fleet_sidecar in self.fleet_sidecars:
+            fleet_sidecar.process.kill()
         for agent in self.agents:
             agent.stop()
-        for converter in self.old + self.new:
+        for converter in self.old_converters + self.new_converters:
             converter.vanish()
 
-    async def load(self, member: Member) -> None:
+    async def send_requests(self, fleet_sidecar: FleetSidecar) -> None:
         """Send requests at a constant rate."""
         number = 0
         while True:
-            if member.process.name not in self.paused:
-                await self.application.fetch(member.process, CLASSES[number % len(CLASSES)])
+            if fleet_sidecar.process.name not in self.paused:
+                await self.application.fetch(fleet_sidecar.process, CLASSES[number % len(CLASSES)])
                 number += 1
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
-    async def replace(self, member: Member) -> None:
+    async def notify(self, fleet_sidecar: FleetSidecar) -> None:
         """Notify one sidecar of the replacement, in its way."""
-        ways: dict[str, Callable[[Member], Awaitable[None]]] = {
+        notifiers: dict[str, Callable[[FleetSidecar], Awaitable[None]]] = {
             AT_ONCE: self.notify_at_once,
             "late": self.notify_late,
             "whole": self.notify_by_complete_list,
@@ -174,61 +186,61 @@
             "restart": self.notify_after_restart,
             "cold": self.notify_of_warming_converters,
         }
-        await ways[member.way](member)
+        await notifiers[fleet_sidecar.notification_mode](fleet_sidecar)
 
-    async def notify_at_once(self, member: Member) -> None:
+    async def notify_at_once(self, fleet_sidecar: FleetSidecar) -> None:
         """Push the change."""
-        member.agent.first = self.complete_list()
-        member.agent.line(self.changes())
+        fleet_sidecar.agent.initial_list = self.complete_list()
+        fleet_sidecar.agent.send_list(self.changes())
 
-    async def notify_late(self, member: Member) -> None:
+    async def notify_late(self, fleet_sidecar: FleetSidecar) -> None:
         """Let the watch fall silent, and send the change late on the next one."""
-        await self.silence_until_next_watch(member, None)
+        await self.silence_until_next_watch(fleet_sidecar, None)
         await asyncio.sleep(LIST_DELAY_S)
-        member.agent.line(self.changes())
-        member.agent.silent = False
+        fleet_sidecar.agent.send_list(self.changes())
+        fleet_sidecar.agent.silent = False
 
-    async def notify_by_complete_list(self, member: Member) -> None:
+    async def notify_by_complete_list(self, fleet_sidecar: FleetSidecar) -> None:
         """Let the watch fall silent, and begin the next one with the complete list."""
-        await self.silence_until_next_watch(member, self.complete_list())
-        member.agent.silent = False
+        await self.silence_until_next_watch(fleet_sidecar, self.complete_list())
+        fleet_sidecar.agent.silent = False
 
-    async def silence_until_next_watch(self, member: Member, first: dict[str, Any] | None) -> None:
+    async def silence_until_next_watch(self, fleet_sidecar: FleetSidecar, initial_list: dict[str, Any] | None) -> None:
         """Keep the watch silent until there is a new one."""
-        agent = member.agent
-        agent.silent, agent.first = True, first
-        agent.called.clear()
-        await agent.watched()
+        agent = fleet_sidecar.agent
+        agent.silent, agent.initial_list = True, initial_list
+        agent.watch_opened.clear()
+        await agent.wait_for_watch()
 
-    async def notify_after_sighup(self, member: Member) -> None:
+    async def notify_after_sighup(self, fleet_sidecar: FleetSidecar) -> None:
         """Move discovery: only its new address has the change."""
-        member.agent = await self.new_agent(self.complete_list())
-        member.process.reload(member.agent)
+        fleet_sidecar.agent = await self.new_agent(self.complete_list())
+        fleet_sidecar.process.reload(fleet_sidecar.agent)
 
-    async def notify_after_restart(self, member: Member) -> None:
+    async def notify_after_restart(self, fleet_sidecar: FleetSidecar) -> None:
         """Restart the process with the old list in its configuration."""
-        self.paused.add(member.process.name)
-        member.agent.first = self.complete_list()
-        member.process.stop()
-        await member.process.ended()
-        await member.process.start()
-        self.paused.discard(member.process.name)
-
-    async def notify_of_warming_converters(self, member: Member) -> None:
+        self.paused.add(fleet_sidecar.process.name)
+        fleet_sidecar.agent.initial_list = self.complete_list()
+        fleet_sidecar.process.stop()
+        await fleet_sidecar.process.wait_until_ended()
+        await fleet_sidecar.process.start()
+        self.paused.discard(fleet_sidecar.process.name)
+
+    async def notify_of_warming_converters(self, fleet_sidecar: FleetSidecar) -> None:
         """Push the change; all new converters have just started."""
         boot_ms = time.time_ns() // 1_000_000
-        member.agent.first = self.complete_list(boot_ms)
-        member.agent.line(self.changes(boot_ms))
+        fleet_sidecar.agent.initial_list = self.complete_list(boot_ms)
+        fleet_sidecar.agent.send_list(self.changes(boot_ms))
 
     async def run(self) -> Observation:
         """Replace the converters under a constant load."""
         loop = asyncio.get_running_loop()
-        tasks = [asyncio.create_task(self.load(member)) for member in self.members]
+        tasks = [asyncio.create_task(self.send_requests(fleet_sidecar)) for fleet_sidecar in self.fleet_sidecars]
         await asyncio.sleep(BEFORE_S)
         replaced_s = loop.time()
-        tasks += [asyncio.create_task(self.replace(member)) for member in self.members]
+        tasks += [asyncio.create_task(self.notify(fleet_sidecar)) for fleet_sidecar in self.fleet_sidecars]
         await asyncio.sleep(OLD_CONVERTERS_S)
-        for converter in self.old:
+        for converter in self.old_converters:
             converter.vanish()
         await asyncio.sleep(AFTER_S)
         end_s = loop.time()
@@ -240,9 +252,9 @@
         return Observation(self.application.requests, replaced_s, end_s)
 
 
-async def run(folder: Path) -> Observation:
+async def run(directory: Path) -> Observation:
     """Run the fleet once, and leave no process behind."""
-    fleet = Fleet(folder)
+    fleet = Fleet(directory)
     try:
         async with asyncio.timeout(RUN_TIMEOUT_S):
             await fleet.start()
@@ -257,13 +269,15 @@
     return asyncio.run(run(tmp_path_factory.mktemp("fleet")))
 
 
-@pytest.mark.parametrize("sidecar", [AT_ONCE, *SEEDED_FAULT_BY_WAY, *map(POLLING_NAME.format, SEEDED_FAULT_BY_WAY)])
+@pytest.mark.parametrize(
+    "sidecar", [AT_ONCE, *SEEDED_FAULT_BY_MODE, *map(POLLING_NAME_FORMAT.format, SEEDED_FAULT_BY_MODE)]
+)
 def test_sidecar_serves_within_four_seconds_however_its_list_arrives(sidecar: str, observation: Observation) -> None:
     assert observation.served(sidecar) >= MIN_OUTAGE_REQUESTS
     assert observation.outages(sidecar) == []
 
 
-@pytest.mark.parametrize("seeded_fault", SEEDED_FAULT_BY_WAY.values())
+@pytest.mark.parametrize("seeded_fault", SEEDED_FAULT_BY_MODE.values())
 def test_check_finds_a_sidecar_that_serves_nobody_by_a_seeded_fault(
     seeded_fault: str, observation: Observation
 ) -> None:
@@ -271,13 +285,16 @@
     assert observation.outages(seeded_fault)
 
 
-def requests_of(sidecar: str, status: int, count: int, over_s: float) -> list[ClientRequest]:
+def requests_of(sidecar: str, status: int, request_count: int, duration_s: float) -> list[ClientRequest]:
     """Return requests spread evenly over a time that begins at 0, without its ends."""
-    return [ClientRequest(sidecar, "", sent_s=over_s * (i + 1) / (count + 1), status=status) for i in range(count)]
+    return [
+        ClientRequest(sidecar, "", sent_s=duration_s * (index + 1) / (request_count + 1), status=status)
+        for index in range(request_count)
+    ]
 
 
 @pytest.mark.parametrize(
-    ("others", "rejected", "span_s", "is_found"),
+    ("other_status", "request_count", "span_s", "is_found"),
     [
         (SERVED, MIN_OUTAGE_REQUESTS, MIN_OUTAGE_S, True),
         (SERVED, MIN_OUTAGE_REQUESTS - 1, MIN_OUTAGE_S, False),  # too few requests
@@ -286,8 +303,8 @@
     ],
 )
 def test_span_without_service_counts_if_it_is_long_and_others_serve(
-    others: int, rejected: int, span_s: float, is_found: bool
+    other_status: int, request_count: int, span_s: float, is_found: bool
 ) -> None:
-    requests = requests_of("other", others, 30, span_s) + requests_of("one", 503, rejected, span_s)
-    spans = [span for span in find_outages(requests, 0.0, span_s) if span.sidecar == "one"]
-    assert bool(spans) is is_found
+    requests = requests_of("other", other_status, 30, span_s) + requests_of("one", 503, request_count, span_s)
+    outages = [outage for outage in find_outages(requests, 0.0, span_s) if outage.sidecar == "one"]
+    assert bool(outages) is is_found
--- a/tests/test_sidecar_components.py
+++ b/tests/test_sidecar_components.py
@@ -16,19 +16,19 @@
 from tests.network_peers import Upstream as Peer
 
 
-class Fixed:
+class StaticSource:
     """A source that tells of one converter for ever, and of the addresses that reloads bring."""
 
-    def __init__(self, host: RequestDispatcher, port: int) -> None:
-        self.host = host
+    def __init__(self, dispatcher: RequestDispatcher, port: int) -> None:
+        self.dispatcher = dispatcher
         self.port = port
         self.reloads: list[tuple[str, int]] = []
 
     def restore_cached(self) -> None:
-        self.host.on_endpoints(UpstreamsUpdated(ListKind.CACHED, [Upstream(7)]), {7: ("127.0.0.1", self.port)})
+        self.dispatcher.on_endpoints(UpstreamsUpdated(ListKind.CACHED, [Upstream(7)]), {7: ("127.0.0.1", self.port)})
 
     def start(self) -> None:
-        self.host.on_endpoints(UpstreamsUpdated(ListKind.FULL, [Upstream(7)]), {7: ("127.0.0.1", self.port)})
+        self.dispatcher.on_endpoints(UpstreamsUpdated(ListKind.FULL, [Upstream(7)]), {7: ("127.0.0.1", self.port)})
 
     async def wait_for_first_list(self) -> None:
         pass
@@ -49,27 +49,27 @@
         await peer.start()
         path = write_configuration(tmp_path, known=None)
         config = load(str(path))
-        further, made, hosts = free_port(), [], []
+        second_port, sources, dispatchers = free_port(), [], []
 
-        def source(config: Config, host: RequestDispatcher) -> components.EndpointSource:
-            made.append(Fixed(host, peer.port))
-            return made[-1]
+        def make_source(config: Config, dispatcher: RequestDispatcher) -> components.EndpointSource:
+            sources.append(StaticSource(dispatcher, peer.port))
+            return sources[-1]
 
-        def front(config: Config, host: RequestDispatcher) -> components.FrontEnd:
-            hosts.append(host)
-            return Server(host, config.settings, ("127.0.0.1", further), 10)
+        def make_front_end(config: Config, dispatcher: RequestDispatcher) -> components.FrontEnd:
+            dispatchers.append(dispatcher)
+            return Server(dispatcher, config.settings, ("127.0.0.1", second_port), 10)
 
         stop, reload = asyncio.Event(), asyncio.Event()
         task = asyncio.create_task(
-            serve(config, stop, reload, components.Components(source, (components.http_front_end, front)))
+            serve(config, stop, reload, components.Components(make_source, (components.http_front_end, make_front_end)))
         )
-        await wait_until(lambda: len(hosts) == 1)
-        for port in (config.listen[1], further):
+        await wait_until(lambda: len(dispatchers) == 1)
+        for port in (config.listen[1], second_port):
             sidecar = Sidecar(port, stop, reload, task)
             head, _ = await sidecar.fetch(request("pay", body=b"b", deadline_ms=1000))
             assert head.startswith(b"HTTP/1.1 200 ")
         reload.set()
-        await wait_until(lambda: made[0].reloads == [("127.0.0.1", 1)])
+        await wait_until(lambda: sources[0].reloads == [("127.0.0.1", 1)])
         stop.set()
         await task
         peer.stop()
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -41,11 +41,14 @@
 
 
 @contextmanager
-def program(path: Path) -> Iterator[subprocess.Popen[bytes]]:
+def running_program(path: Path) -> Iterator[subprocess.Popen[bytes]]:
     subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True, timeout=600)
-    plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
+    environment = {name: value for name, value in os.environ.items() if not name.startswith(("PYTHON", "VIRTUAL_ENV"))}
     process = subprocess.Popen(
-        ["/bin/sh", "-c", DEPLOY["run"]], cwd=ROOT, stderr=subprocess.PIPE, env=plain | {"BALANCER_CONFIG": str(path)}
+        ["/bin/sh", "-c", DEPLOY["run"]],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        env=environment | {"BALANCER_CONFIG": str(path)},
     )
     try:
         yield process
@@ -55,7 +58,7 @@
 
 
 def test_build_compiles_the_sources(tmp_path: Path) -> None:
-    with program(write_configuration(tmp_path)):  # which builds first
+    with running_program(write_configuration(tmp_path)):  # which builds first
         for source in (
             ROOT / "ryepier" / "__init__.py",
             *(ROOT / "ryepier" / "sidecar").glob("*.py"),
@@ -70,7 +73,7 @@
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
     assert config.settings.zone == 1 and config.settings.polls_endpoints and config.settings.weighted
     assert config.settings.report_names == ["in_flight", "queued"]
-    assert [kind.idempotency for kind in config.settings.classes] == [Idempotency.NON_IDEMPOTENT]
+    assert [request_class.idempotency for request_class in config.settings.classes] == [Idempotency.NON_IDEMPOTENT]
 
 
 def test_nested_settings_become_pairs() -> None:
@@ -81,11 +84,11 @@
 def test_program_becomes_ready_survives_sighup_and_exits_0_on_sigterm(tmp_path: Path) -> None:
     path = write_configuration(tmp_path)
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
-    with program(path) as process:
+    with running_program(path) as process:
 
-        def up() -> bytes:
-            ends = time.monotonic() + HANG_TIMEOUT_S
-            while time.monotonic() < ends:
+        def fetch_readiness() -> bytes:
+            deadline = time.monotonic() + HANG_TIMEOUT_S
+            while time.monotonic() < deadline:
                 assert process.poll() is None
                 try:
                     with socket.create_connection(("127.0.0.1", port), timeout=HANG_TIMEOUT_S) as sock:
@@ -95,46 +98,48 @@
                     time.sleep(0.02)
             return b""
 
-        assert up().startswith(b"HTTP/1.1 200 ")
+        assert fetch_readiness().startswith(b"HTTP/1.1 200 ")
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
-            assert up().startswith(b"HTTP/1.1 200 ")
+            assert fetch_readiness().startswith(b"HTTP/1.1 200 ")
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
         assert process.wait(HANG_TIMEOUT_S) == 0
 
 
 def test_sigterm_under_load_leaves_no_executed_request_without_its_answer(tmp_path: Path) -> None:
-    async def slow(upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond_after_delay(
+        upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         await asyncio.sleep(0.05)
         writer.write(OK)
 
-    async def client(name: int, port: int, stopped: asyncio.Event, answered: set[str]) -> None:
+    async def client(client_index: int, port: int, stopped: asyncio.Event, answered: set[str]) -> None:
         """Sends one request after another; after the stop until its connection is closed."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        for number in range(10_000):
-            ident = f"{name}-{number}"
+        for request_index in range(10_000):
+            request_id = f"{client_index}-{request_index}"
             try:
-                writer.write(request("pay", ident, b"b"))
+                writer.write(request("pay", request_id, b"b"))
                 head, _ = await read_message(reader)
             except (asyncio.IncompleteReadError, ConnectionError):
                 assert stopped.is_set()  # closed between requests
                 break
-            answered.add(ident)
+            answered.add(request_id)
             if b"Connection: close" in head:
                 assert stopped.is_set()
                 break
         writer.close()
 
     async def test() -> None:
-        upstreams = [Upstream(slow) for _ in range(4)]
+        upstreams = [Upstream(respond_after_delay) for _ in range(4)]
         for upstream in upstreams:
             await upstream.start()
-        known = endpoint_list(*(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
-        path = write_configuration(tmp_path, known=known)
+        cached_list = endpoint_list(*(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+        path = write_configuration(tmp_path, known=cached_list)
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         stopped, answered = asyncio.Event(), set[str]()
-        with program(path) as process:
+        with running_program(path) as process:
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 while True:
                     try:
@@ -143,27 +148,27 @@
                     except ConnectionRefusedError:
                         await asyncio.sleep(0.02)
                 async with asyncio.TaskGroup() as group:
-                    for name in range(8):
-                        group.create_task(client(name, port, stopped, answered))
+                    for client_index in range(8):
+                        group.create_task(client(client_index, port, stopped, answered))
                     await asyncio.sleep(0.5)
                     stopped.set()
                     process.send_signal(signal.SIGTERM)
                 assert await asyncio.to_thread(process.wait, HANG_TIMEOUT_S) == 0
         for upstream in upstreams:
             upstream.stop()
-        ran = {
+        executed = {
             head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0].decode()
             for upstream in upstreams
             for head, _ in upstream.requests
         }
-        assert ran and ran <= answered
+        assert executed and executed <= answered
 
     asyncio.run(test())
 
 
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
 def test_invalid_configuration_ends_the_program_with_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
-    with program(write_configuration(tmp_path, **changes)) as process:
+    with running_program(write_configuration(tmp_path, **changes)) as process:
         _, errors = process.communicate(timeout=HANG_TIMEOUT_S)
         assert process.returncode == 2 and len(errors.splitlines()) == 1
 
@@ -189,12 +194,12 @@
 
 def test_second_sigterm_and_sighup_during_shutdown_leave_open_requests_alone(tmp_path: Path) -> None:
     async def test() -> None:
-        let = asyncio.Event()
-        upstream = Upstream(respond_after(let))
+        release = asyncio.Event()
+        upstream = Upstream(respond_after(release))
         await upstream.start()
         path = write_configuration(tmp_path, known=endpoint_list(endpoint_entry("u", upstream.port)))
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
-        with program(path) as process:
+        with running_program(path) as process:
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 while True:
                     try:
@@ -205,10 +210,10 @@
                 writer.write(request("pay", deadline_ms=1_200))
                 while not upstream.requests:
                     await asyncio.sleep(0.005)
-                for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-                    process.send_signal(number)
+                for signal_number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
+                    process.send_signal(signal_number)
                     await asyncio.sleep(0.05)
-                let.set()
+                release.set()
                 assert (await reader.read()).endswith(b"done")
                 writer.close()
                 assert await asyncio.to_thread(process.wait, HANG_TIMEOUT_S) == 0
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -19,7 +19,7 @@
     wait_until,
 )
 
-QUICK = [
+CLASSES = [
     RequestClass(
         name,
         latency_objective_us=200_000,
@@ -34,38 +34,42 @@
 def test_unanswered_requests_release_the_slots_of_an_upstream_that_answers_others() -> None:
     async def test() -> None:
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            if upstream.requests[number][1] == b"lost":
-                await never_respond(upstream, number, reader, writer)
+            if upstream.requests[request_index][1] == b"lost":
+                await never_respond(upstream, request_index, reader, writer)
             await asyncio.sleep(0.02)  # so that requests meet, and slots are opened
             writer.write(OK)
 
         upstream = Upstream(script)
 
-        def lost() -> int:
+        def unanswered_count() -> int:
             return sum(1 for _, body in upstream.requests if body == b"lost")
 
-        async with sidecar(upstream, classes=QUICK) as it, asyncio.timeout(HANG_TIMEOUT_S):
+        async with sidecar(upstream, classes=CLASSES) as running_sidecar, asyncio.timeout(HANG_TIMEOUT_S):
             while {
-                status_of(answer)
-                for answer in await asyncio.gather(*(it.fetch(request("pay", body=b"b")) for _ in range(6)))
+                status_of(response)
+                for response in await asyncio.gather(
+                    *(running_sidecar.fetch(request("pay", body=b"b")) for _ in range(6))
+                )
             } != {200}:
                 pass
-            held = []
-            while (before := lost()) <= MAX_CONCURRENCY:  # until there is one more than there are slots
-                reader, writer = await it.connect()
+            unanswered = []
+            while (
+                count_before := unanswered_count()
+            ) <= MAX_CONCURRENCY:  # until there is one more than there are slots
+                reader, writer = await running_sidecar.connect()
                 writer.write(request("pay", body=b"lost", deadline_ms=600_000))
-                answer = asyncio.create_task(read_message(reader))
-                while not answer.done() and lost() == before:
+                response = asyncio.create_task(read_message(reader))
+                while not response.done() and unanswered_count() == count_before:
                     await asyncio.sleep(0.005)
-                held.append((answer, writer))
+                unanswered.append((response, writer))
                 for _ in range(3):
-                    await it.fetch(request("pay", body=b"b"))
-            while status_of(await it.fetch(request("pay", body=b"b"))) != 200:
+                    await running_sidecar.fetch(request("pay", body=b"b"))
+            while status_of(await running_sidecar.fetch(request("pay", body=b"b"))) != 200:
                 pass
-            for answer, writer in held:
-                answer.cancel()
+            for response, writer in unanswered:
+                response.cancel()
                 writer.close()
 
     run_async(test)
@@ -74,18 +78,18 @@
 def test_unanswered_request_releases_the_only_slot_of_an_upstream() -> None:
     async def test() -> None:
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            if number == 0:
-                await never_respond(upstream, number, reader, writer)
+            if request_index == 0:
+                await never_respond(upstream, request_index, reader, writer)
             writer.write(OK)
 
         upstream = Upstream(script)
-        async with sidecar(upstream, classes=QUICK) as it, asyncio.timeout(HANG_TIMEOUT_S):
-            _, writer = await it.connect()
+        async with sidecar(upstream, classes=CLASSES) as running_sidecar, asyncio.timeout(HANG_TIMEOUT_S):
+            _, writer = await running_sidecar.connect()
             writer.write(request("pay", deadline_ms=600_000))
             await wait_until(lambda: len(upstream.requests) == 1)
-            while status_of(await it.fetch(request("pay"))) != 200:
+            while status_of(await running_sidecar.fetch(request("pay"))) != 200:
                 await asyncio.sleep(0.01)
             writer.close()
 
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -43,11 +43,11 @@
     monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # requests come one right after the other
 
     async def test() -> None:
-        more, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
-        upstream = Upstream(respond_in_turn(OK, more, OK, closing, OK))
-        async with sidecar(upstream) as it:
+        surplus, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
+        upstream = Upstream(respond_in_turn(OK, surplus, OK, closing, OK))
+        async with sidecar(upstream) as running_sidecar:
             for number in range(5):
-                assert (await it.fetch(request(ident=str(number))))[1] == b"done"
+                assert (await running_sidecar.fetch(request(request_id=str(number))))[1] == b"done"
         assert upstream.connections == 3
 
     run_async(test)
@@ -57,24 +57,24 @@
     monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # requests come one right after the other
 
     async def test() -> None:
-        held, discovery = asyncio.Event(), Discovery()
+        release, discovery = asyncio.Event(), Discovery()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            if number == 1:
-                await held.wait()
+            if request_index == 1:
+                await release.wait()
             writer.write(OK)
 
         upstream = Upstream(script)
-        async with sidecar(upstream, discovery=discovery) as it:
-            await discovery.watched()
-            assert status_of(await it.fetch(request())) == 200
-            reader, writer = await it.connect()
+        async with sidecar(upstream, discovery=discovery) as running_sidecar:
+            await discovery.wait_for_watch()
+            assert status_of(await running_sidecar.fetch(request())) == 200
+            reader, writer = await running_sidecar.connect()
             writer.write(request())
             await wait_until(lambda: len(upstream.requests) == 2)
             # another comes to the address of the one that leaves, and then the old one has gone
-            discovery.line(
+            discovery.send_list(
                 endpoint_list(
                     endpoint_entry("u0", upstream.port, "leaving"),
                     endpoint_entry("new", upstream.port),
@@ -84,13 +84,13 @@
             )
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 while len(upstream.requests) < 3:
-                    await it.fetch(request())
+                    await running_sidecar.fetch(request())
             assert upstream.connections == 2
-            discovery.line(endpoint_list(endpoint_entry("u0", upstream.port, "left"), rev=3, full=False))
-            held.set()
+            discovery.send_list(endpoint_list(endpoint_entry("u0", upstream.port, "left"), rev=3, full=False))
+            release.set()
             assert status_of(await read_message(reader)) == 200
             for _ in range(3):  # the old one's connection does not come back, the new one's stays
-                assert status_of(await it.fetch(request())) == 200
+                assert status_of(await running_sidecar.fetch(request())) == 200
             assert upstream.connections == 2
             writer.close()
 
@@ -103,23 +103,29 @@
         upstreams = [Upstream(respond_in_turn(OK)), Upstream(never_respond), Upstream(never_respond)]
         for upstream in upstreams:
             await upstream.start()
-        call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
-
-        def begin(number: int) -> UpstreamAttempt:
-            return pool.start(number, ("127.0.0.1", upstreams[number].port), call, ATTEMPT_TIMEOUT_US, results.append)
+        client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+
+        def start_attempt(upstream_id: int) -> UpstreamAttempt:
+            return pool.start(
+                upstream_id,
+                ("127.0.0.1", upstreams[upstream_id].port),
+                client_request,
+                ATTEMPT_TIMEOUT_US,
+                results.append,
+            )
 
-        begin(0)
+        start_attempt(0)
         await wait_until(lambda: len(results) == 1)
         assert results[0].outcome is Outcome.OK and len(pool.idle[0]) == 1
-        open_ones = [begin(1), begin(2)]  # the idle one makes room
+        blocking_attempts = [start_attempt(1), start_attempt(2)]  # the idle one makes room
         await wait_until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
         assert pool.idle == {}
-        begin(0)
+        start_attempt(0)
         await wait_until(lambda: len(results) == 2)
         assert results[1].outcome is Outcome.CONNECT_FAILED
-        for attempt in open_ones:
+        for attempt in blocking_attempts:
             attempt.cancel()
-        begin(0).cancel()  # before its dial began
+        start_attempt(0).cancel()  # before its dial began
         await wait_until(lambda: not pool.dial_tasks and pool.connections == {})
         assert len(upstreams[0].requests) == 1
         for upstream in upstreams:
@@ -142,35 +148,35 @@
         await wait_until(lambda: pool.may_reuse(200_000))  # they are tried again in time
         pool.sweep_timer.cancel()
 
-    async def over_sockets() -> None:
+    async def test_over_sockets() -> None:
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(OK)
             await read_message(reader)  # whatever comes next on it breaks it
             writer.transport.abort()
             raise ConnectionResetError
 
-        def ended(count: int) -> bool:
+        def has_results(count: int) -> bool:
             return len(results) == count
 
         upstream, results = Upstream(script), list[AttemptResult]()
         await upstream.start()
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
-        call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+        client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for number in range(80):
-            pool.start(1, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
-            await wait_until(partial(ended, number + 1))
+            pool.start(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+            await wait_until(partial(has_results, number + 1))
         assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30  # else each second one
         upstream.stop()
         pool.sweep_timer.cancel()
 
     run_async(test)
-    run_async(over_sockets)
+    run_async(test_over_sockets)
 
 
 @pytest.mark.parametrize(
-    "first",
+    "malformed_response",
     [
         b"\x01noise\r\n\r\n",
         b"HTTP/1.1 101 Switch\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
@@ -181,22 +187,22 @@
         b"HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" * 9000,
     ],
 )
-def test_malformed_response_may_have_run_and_ejects_nothing(first: bytes) -> None:
+def test_malformed_response_may_have_run_and_ejects_nothing(malformed_response: bytes) -> None:
     async def test() -> None:
         outcomes = list[Outcome]()
         handle = Balancer.handle
 
-        def watched(self: Balancer, now_us: int, event: Event) -> list[Any]:
+        def record_outcomes(self: Balancer, now_us: int, event: Event) -> list[Any]:
             if isinstance(event, AttemptEnded):
                 outcomes.append(event.outcome)
             return handle(self, now_us, event)
 
-        upstream = Upstream(respond_in_turn(first, OK))
+        upstream = Upstream(respond_in_turn(malformed_response, OK))
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Balancer, "handle", watched)
-            async with sidecar(upstream) as it:
-                assert status_of(await it.fetch(request("pay"))) == 500
-                assert status_of(await it.fetch(request("pay"))) == 200
+            patch.setattr(Balancer, "handle", record_outcomes)
+            async with sidecar(upstream) as running_sidecar:
+                assert status_of(await running_sidecar.fetch(request("pay"))) == 500
+                assert status_of(await running_sidecar.fetch(request("pay"))) == 200
         assert outcomes == [Outcome.MALFORMED_RESPONSE, Outcome.OK] and upstream.connections == 2
 
     run_async(test)
@@ -207,22 +213,22 @@
         ended = asyncio.Event()
 
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(OK)
             if not await reader.read(1):
                 ended.set()
             raise ConnectionResetError
 
-        async with sidecar(Upstream(script), upstream_idle_timeout_us=400_000) as it:
-            await it.fetch(request())
+        async with sidecar(Upstream(script), upstream_idle_timeout_us=400_000) as running_sidecar:
+            await running_sidecar.fetch(request())
             await ended.wait()
 
     run_async(test)
 
 
-@pytest.mark.parametrize("early", [b"", OK])
-def test_request_not_written_completely_never_ran_and_its_connection_closes(early: bytes) -> None:
+@pytest.mark.parametrize("early_response", [b"", OK])
+def test_request_not_written_completely_never_ran_and_its_connection_closes(early_response: bytes) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=10), list[AttemptResult]()
@@ -236,17 +242,19 @@
             sock.setblocking(False)
             peer, _ = listener.accept()
         connection = UpstreamConnection(pool, 1, sock)
-        call = ClientRequest(b"POST", b"/pay", [], b"x" * 1_000_000, 0, 0, 1)
-        connection.attempt = UpstreamAttempt(call, ("127.0.0.1", 1), clock_us() + ATTEMPT_TIMEOUT_US, results.append)
+        client_request = ClientRequest(b"POST", b"/pay", [], b"x" * 1_000_000, 0, 0, 1)
+        connection.attempt = UpstreamAttempt(
+            client_request, ("127.0.0.1", 1), clock_us() + ATTEMPT_TIMEOUT_US, results.append
+        )
         await loop.create_connection(lambda: connection, sock=sock)
         assert connection.partly_written
-        if early:
-            peer.sendall(early)
+        if early_response:
+            peer.sendall(early_response)
             await wait_until(lambda: bool(results))
         peer.close()
         await wait_until(lambda: bool(results))
         assert [result.outcome for result in results] == [
-            Outcome.MALFORMED_RESPONSE if early else Outcome.CONNECT_FAILED
+            Outcome.MALFORMED_RESPONSE if early_response else Outcome.CONNECT_FAILED
         ]
         assert pool.idle == {} and pool.connections == {} and connection.state is not ConnectionState.OPEN
         pool.sweep_timer.cancel()
@@ -257,7 +265,7 @@
 def test_request_with_an_idempotency_key_is_not_written_after_its_window_on_a_late_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    kinds = [
+    classes = [
         RequestClass(
             "mark",
             2_000_000,
@@ -268,24 +276,24 @@
             idempotency_window_us=600_000,
         )
     ]
-    held = DelayedConnections()
+    delayed = DelayedConnections()
 
     async def test() -> None:
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            held.delay(other if upstream is one else one, monkeypatch)
+            delayed.delay(second_upstream if upstream is first_upstream else first_upstream, monkeypatch)
             writer.transport.abort()  # it may have run, and goes again in its group
             raise ConnectionResetError
 
-        one, other = Upstream(script), Upstream(script)
-        async with sidecar(one, other, classes=kinds, hedging=False) as it:
-            answer = asyncio.create_task(it.fetch(request("mark", deadline_ms=6_000)))
-            await wait_until(lambda: held.started == 1)
+        first_upstream, second_upstream = Upstream(script), Upstream(script)
+        async with sidecar(first_upstream, second_upstream, classes=classes, hedging=False) as running_sidecar:
+            response = asyncio.create_task(running_sidecar.fetch(request("mark", deadline_ms=6_000)))
+            await wait_until(lambda: delayed.started == 1)
             await asyncio.sleep(0.7)
-            held.released.set()
-            assert status_of(await answer) == 500
-            assert len(one.requests) + len(other.requests) == 1
+            delayed.released.set()
+            assert status_of(await response) == 500
+            assert len(first_upstream.requests) + len(second_upstream.requests) == 1
 
     run_async(test)
 
@@ -293,19 +301,19 @@
 def test_attempt_started_before_a_drain_is_not_sent_on_a_late_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held, discovery = DelayedConnections(), Discovery()
+    delayed, discovery = DelayedConnections(), Discovery()
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
-        async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as it:
-            await discovery.watched()
-            held.delay(upstream, monkeypatch)
-            answer = asyncio.create_task(it.fetch(request("pay")))
-            await wait_until(lambda: held.started == 1)
-            discovery.line(endpoint_list(endpoint_entry("u0", upstream.port, "leaving"), rev=2, full=False))
+        async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as running_sidecar:
+            await discovery.wait_for_watch()
+            delayed.delay(upstream, monkeypatch)
+            response = asyncio.create_task(running_sidecar.fetch(request("pay")))
+            await wait_until(lambda: delayed.started == 1)
+            discovery.send_list(endpoint_list(endpoint_entry("u0", upstream.port, "leaving"), rev=2, full=False))
             await asyncio.sleep(0.1)
-            held.released.set()
-            assert status_of(await answer) == 503
+            delayed.released.set()
+            assert status_of(await response) == 503
         assert upstream.requests == []
 
     run_async(test)
@@ -316,13 +324,15 @@
         upstream, results = Upstream(respond_in_turn(OK)), list[AttemptResult]()
         await upstream.start()
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
-        call = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
-        pool.start(1, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)
+        client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
+        pool.start(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
         pool.remove_upstream(1)  # before the dial's own first step
         assert not results
         await wait_until(lambda: bool(results))
         assert results[0].outcome is Outcome.CONNECT_FAILED
-        pool.start(1, ("127.0.0.1", upstream.port), call, ATTEMPT_TIMEOUT_US, results.append)  # it is listed again
+        pool.start(
+            1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
+        )  # it is listed again
         await wait_until(lambda: len(results) == 2)
         assert results[1].outcome is Outcome.OK and len(upstream.requests) == 1
         upstream.stop()
@@ -334,18 +344,18 @@
 def test_second_response_some_milliseconds_late_is_not_taken_for_that_of_the_next_request() -> None:
     async def test() -> None:
         async def script(
-            upstream: Upstream, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(OK)
-            if number == 0:
+            if request_index == 0:
                 await asyncio.sleep(0.005)
                 writer.write(OK.replace(b"done", b"late"))
                 await reader.read()
                 raise ConnectionResetError
 
         upstream = Upstream(script)
-        async with sidecar(upstream) as it:
-            reader, writer = await it.connect()
+        async with sidecar(upstream) as running_sidecar:
+            reader, writer = await running_sidecar.connect()
             for _ in range(2):  # the second sets out the moment the first is answered
                 writer.write(request("pay"))
                 assert (await read_message(reader))[1] == b"done"
