--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -59,7 +59,7 @@
         (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
     ],
 )
-def test_invalid_input_gets_an_error_and_its_connection_closes(data: bytes, expected_status: int) -> None:
+def test_invalid_request_is_rejected_and_its_connection_closes(data: bytes, expected_status: int) -> None:
     run_async(lambda: check_rejected(data, expected_status))
 
 
@@ -77,7 +77,7 @@
     run_async(test)
 
 
-def test_id_of_another_open_request_is_not_forwarded_again() -> None:
+def test_request_with_a_duplicate_id_is_not_forwarded() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -130,7 +130,7 @@
     run_async(test)
 
 
-def test_connection_whose_first_request_trickles_closes_within_three_seconds() -> None:
+def test_connection_with_a_slow_first_request_closes_within_three_seconds() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
             reader, writer = await running_sidecar.connect()
@@ -148,7 +148,7 @@
     run_async(test)
 
 
-def test_deadline_beyond_that_of_the_class_is_reduced_to_it() -> None:
+def test_deadline_is_limited_to_that_of_the_class() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream, classes=[RequestClass("read", 100_000, 5_000_000)]) as running_sidecar:
@@ -159,7 +159,7 @@
     run_async(test)
 
 
-def test_bytes_behind_an_error_are_not_read() -> None:
+def test_bytes_after_a_rejected_request_are_not_read() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
             reader, writer = await running_sidecar.connect()
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("encoding", ["utf-8", "latin-1", "percent"])
-def test_names_beyond_ascii_are_recognised_in_every_encoding(encoding: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_non_ascii_names_are_recognised_in_every_encoding(encoding: str, monkeypatch: pytest.MonkeyPatch) -> None:
     accepted_requests = record_requests(monkeypatch)
 
     def encode_name(name: str) -> bytes:
--- a/tests/test_chunked_requests.py
+++ b/tests/test_chunked_requests.py
@@ -40,7 +40,9 @@
     ids=["empty", "one", "several", "trailers", "longest", "chunks of a byte"],
 )
 @pytest.mark.parametrize("coding_header", [CHUNKED_HEADER, b"transfer-encoding:  Chunked "])
-def test_chunked_request_is_forwarded_with_its_length(encoded_body: bytes, body: bytes, coding_header: bytes) -> None:
+def test_chunked_request_is_forwarded_with_content_length(
+    encoded_body: bytes, body: bytes, coding_header: bytes
+) -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as running_sidecar:
@@ -61,7 +63,7 @@
     run_async(test)
 
 
-def test_chunks_may_arrive_byte_by_byte() -> None:
+def test_chunked_request_may_arrive_byte_by_byte() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as running_sidecar:
@@ -103,13 +105,11 @@
         (chunked_request(ENDLESS_TRAILERS), 413),
     ],
 )
-def test_other_codings_and_malformed_chunks_get_an_error_and_the_connection_closes(
-    data: bytes, expected_status: int
-) -> None:
+def test_unsupported_codings_and_malformed_chunks_are_rejected(data: bytes, expected_status: int) -> None:
     run_async(lambda: check_rejected(data, expected_status))
 
 
-def test_chunked_request_is_served_whatever_version_is_pipelined_behind_it() -> None:
+def test_chunked_request_is_served_if_an_http_1_0_request_is_pipelined_after_it() -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as running_sidecar:
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
 @pytest.mark.parametrize("slot_first", [False, True])
-def test_buffered_request_is_not_sent_in_the_turn_that_brings_both_slot_and_disconnect(
+def test_buffered_request_is_not_sent_if_slot_and_disconnect_arrive_in_one_loop_iteration(
     disconnect: Disconnect, byte_count: int, slot_first: bool, run: Run
 ) -> None:
     async def steps(testbed: Testbed) -> None:
@@ -196,7 +196,7 @@
 
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("failure_first", [False, True])
-def test_request_is_not_retried_in_the_turn_that_brings_both_failure_and_disconnect(
+def test_request_is_not_retried_if_failure_and_disconnect_arrive_in_one_loop_iteration(
     disconnect: Disconnect, failure_first: bool
 ) -> None:
     async def test() -> None:
@@ -222,7 +222,7 @@
 
 
 @pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
-def test_request_is_not_sent_on_a_connection_established_in_the_turn_that_brings_the_disconnect(
+def test_request_is_not_sent_if_connection_and_disconnect_arrive_in_one_loop_iteration(
     disconnect: Disconnect, byte_count: int, run: Run
 ) -> None:
     async def steps(testbed: Testbed) -> None:
@@ -283,7 +283,7 @@
     run(steps)
 
 
-def test_client_that_ends_its_sending_counts_as_disconnected_and_its_connection_closes(run: Run) -> None:
+def test_client_that_closes_its_sending_direction_counts_as_disconnected(run: Run) -> None:
     async def steps(testbed: Testbed) -> None:
         in_flight = await testbed.occupy_only_slot()
         buffered = await testbed.send_buffered_request()
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize("pipelined_bytes", [0, 200_000])
-def test_buffered_request_is_not_sent_after_its_client_left_whatever_it_pipelined(
+def test_buffered_request_is_not_sent_after_its_client_pipelined_bytes_and_left(
     pipelined_bytes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     accepted_requests = record_requests(monkeypatch)
@@ -330,7 +330,7 @@
     run_async(test)
 
 
-def test_request_is_not_sent_if_its_client_left_while_its_connection_was_established(
+def test_request_is_not_sent_if_its_client_left_while_the_connection_was_being_established(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     delayed = DelayedConnections()
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -25,9 +25,7 @@
 )
 
 
-def test_new_configuration_moves_the_watch_and_keeps_open_requests(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_reload_moves_the_watch_and_keeps_open_requests(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         release = asyncio.Event()
 
--- a/tests/test_connection_eviction.py
+++ b/tests/test_connection_eviction.py
@@ -36,7 +36,7 @@
     return reader, writer, next(iter(servers[0].clients_by_state[ClientState.IDLE]))
 
 
-def test_connection_on_which_a_request_has_arrived_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_with_an_unread_request_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     servers = record_servers(monkeypatch)
 
     async def test() -> None:
@@ -52,7 +52,7 @@
     run_async(test)
 
 
-def test_request_that_crosses_the_close_of_its_connection_is_not_forwarded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_sent_while_its_connection_is_evicted_is_not_forwarded(monkeypatch: pytest.MonkeyPatch) -> None:
     servers = record_servers(monkeypatch)
 
     async def test() -> None:
@@ -77,7 +77,7 @@
     run_async(test)
 
 
-def test_evicted_connection_ends_before_bytes_that_arrive_in_the_same_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bytes_sent_just_after_an_eviction_do_not_cause_a_reset(monkeypatch: pytest.MonkeyPatch) -> None:
     servers = record_servers(monkeypatch)
 
     async def test() -> None:
@@ -115,7 +115,7 @@
     run_async(test)
 
 
-def test_connection_used_last_is_not_evicted() -> None:
+def test_most_recently_used_connection_is_not_evicted() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # 200 descriptors
             first = await running_sidecar.connect()
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -33,7 +33,7 @@
     )
 
 
-def test_the_deployed_command_answers_and_ends_with_its_input(simulator_command: str) -> None:
+def test_deployed_command_answers_and_exits_at_end_of_input(simulator_command: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
     frames = bytes.fromhex(EMPTY) + batch([power_on(), bytes.fromhex(LIST), members])
     completed = run_simulator(simulator_command, frames)
@@ -43,7 +43,7 @@
     assert len(completed.stdout) == 16 + size
 
 
-def test_the_deployed_command_ends_on_a_bad_frame_with_one_line(simulator_command: str) -> None:
+def test_deployed_command_reports_a_malformed_frame_in_one_line(simulator_command: str) -> None:
     completed = run_simulator(simulator_command, bytes.fromhex(EMPTY) + b"\x01\x00")
     assert completed.returncode != 0 and completed.stdout == bytes(8)
     assert completed.stderr.decode().splitlines() == ["ryepier.balancer: batch 1: truncated header: 2 of 16 bytes"]
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("name", POLICY_MODULES)
-def test_a_decision_module_has_one_concern_and_a_readable_size(name: str) -> None:
+def test_decision_module_has_one_concern_and_limited_size(name: str) -> None:
     lines = POLICY_MODULES[name].splitlines()
     assert len(lines) <= MAX_MODULE_LINES
     assert max(map(len, lines)) <= MAX_LINE_LENGTH
@@ -83,17 +83,17 @@
     assert concern.endswith(".") and concern.count(". ") <= int(name == DEPLOY["policy"][0])
 
 
-def test_no_two_decision_modules_state_the_same_concern() -> None:
+def test_decision_modules_have_distinct_concerns() -> None:
     concerns = [(ast.get_docstring(ast.parse(text)) or "").splitlines()[0] for text in POLICY_MODULES.values()]
     assert len(set(concerns)) == len(concerns)
 
 
-def test_the_first_decision_module_names_the_interface() -> None:
+def test_first_decision_module_names_the_interface() -> None:
     assert "ryepier/balancer/interface.py" in POLICY_MODULES[DEPLOY["policy"][0]].splitlines()[0]
 
 
 @pytest.mark.parametrize("name", POLICY_MODULES)
-def test_a_decision_module_is_pure(name: str) -> None:
+def test_decision_module_is_pure(name: str) -> None:
     external_names = {
         imported for imported in imports_of(POLICY_MODULES[name]) if not imported.startswith("ryepier.balancer")
     }
@@ -111,7 +111,7 @@
     )
 
 
-def test_a_module_that_the_deploy_file_does_not_name_decides_nothing() -> None:
+def test_modules_outside_the_policy_make_no_decisions() -> None:
     """It draws nothing, and reads neither the constants of the decisions nor the state of upstreams."""
     deciding = {module_name(name) for name in POLICY_MODULES}
     modules_with_balancer = {"ryepier/balancer/simulator_adapter.py", "ryepier/sidecar/dispatcher.py"}
@@ -129,7 +129,7 @@
     assert checked_modules > len(NON_DECISION_MODULES)
 
 
-def test_figures_stand_in_named_constants_or_are_plain_fractions() -> None:
+def test_numbers_in_decision_modules_are_named_constants_or_allowed() -> None:
     allowed_numbers = {0, 1, 2, 4, 8, 20, 0.02, 0.1, 0.2, 0.25, 0.3, 0.5, 1_000_000}  # fit nobody
     tree = ast.parse("\n".join((ROOT / name).read_text() for name in DEPLOY["policy"]))
     bodies = [node for node in tree.body if isinstance(node, ast.ClassDef | ast.FunctionDef)]
@@ -157,19 +157,19 @@
 }
 
 
-def test_the_deploy_file_names_exactly_the_modules_that_decide() -> None:
+def test_deploy_file_lists_exactly_the_decision_modules() -> None:
     package = ROOT / "ryepier" / "balancer"
     deciding = {path.stem for path in package.glob("*.py")} - NON_DECISION_MODULES
     assert len(DEPLOY["policy"]) == len(set(DEPLOY["policy"]))
     assert {Path(name) for name in DEPLOY["policy"]} == {Path("ryepier/balancer") / f"{name}.py" for name in deciding}
 
 
-def test_the_decisions_read_no_name_and_no_number_of_an_instance() -> None:
+def test_decision_modules_read_no_instance_names_or_indexes() -> None:
     text = "\n".join((ROOT / name).read_text() for name in DEPLOY["policy"])
     assert not [word for word in (".name", "self_index", "entry.kind", "os.environ", "open(") if word in text]
 
 
-def test_the_package_needs_the_standard_library_only() -> None:
+def test_balancer_package_imports_only_the_standard_library() -> None:
     code = "import sys, ryepier.balancer.simulator_adapter; print(*sorted({m.split('.')[0] for m in sys.modules}))"
     result = subprocess.run(
         [sys.executable, "-S", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
@@ -177,7 +177,7 @@
     assert set(result) - set(sys.stdlib_module_names) <= {"ryepier", "__main__", "sitecustomize"}
 
 
-def test_the_deploy_file_names_every_package_that_the_sidecar_imports() -> None:
+def test_deploy_file_lists_every_package_that_the_sidecar_imports() -> None:
     code = "import sys, ryepier.sidecar.__main__; print(*(getattr(m, '__file__', None) for m in sys.modules.values()))"
     result = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
@@ -189,7 +189,7 @@
     ]
 
 
-def test_the_readme_example_runs_as_written() -> None:
+def test_readme_example_prints_the_documented_output() -> None:
     text = (ROOT / "README.md").read_text()
     example = text.split("```python\n")[1].split("```")[0]
     completed = subprocess.run(
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("client_state", ["fresh", "kept", "half", "open"])
 @pytest.mark.parametrize("outage", ["refused", "silent"])
-def test_watch_and_attempts_get_descriptors_though_idle_clients_fill_them(
+def test_watch_and_attempts_get_descriptors_while_idle_clients_occupy_the_rest(
     tmp_path: Path, client_state: str, outage: str
 ) -> None:
     async def test() -> None:
@@ -237,7 +237,7 @@
             writer.close()
 
 
-def test_every_request_in_pieces_is_answered_with_more_clients_than_descriptors(
+def test_requests_sent_in_two_pieces_are_answered_with_more_clients_than_descriptors(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -253,7 +253,7 @@
     run_async(test)
 
 
-def test_clients_whose_requests_stay_partial_are_answered_and_keep_no_other_out(tmp_path: Path) -> None:
+def test_clients_with_partial_requests_are_answered_and_do_not_block_others(tmp_path: Path) -> None:
     """512 clients send part of a request and connect anew as fast as they are closed."""
 
     async def test() -> None:
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -27,7 +27,7 @@
 )
 
 
-def test_configured_list_is_used_at_once_and_changes_when_they_arrive() -> None:
+def test_cached_list_is_used_at_once_and_changes_are_applied_as_they_arrive() -> None:
     async def test() -> None:
         old_upstream, new_upstream, discovery = (
             Upstream(respond_in_turn(OK)),
@@ -60,7 +60,7 @@
     run_async(test)
 
 
-def test_pushed_list_is_watched_at_the_start_and_again_after_each_break() -> None:
+def test_pushed_list_is_watched_from_the_start_and_again_after_each_disconnect() -> None:
     async def test() -> None:
         old_upstream, new_upstream, discovery = (
             Upstream(respond_in_turn(OK)),
@@ -87,7 +87,7 @@
     run_async(test)
 
 
-def test_invalid_list_ends_the_watch_and_leaves_the_old_list() -> None:
+def test_invalid_list_ends_the_watch_and_keeps_the_old_list() -> None:
     async def test() -> None:
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
         async with sidecar(upstream, discovery=discovery) as running_sidecar:
@@ -99,7 +99,7 @@
     run_async(test)
 
 
-def test_invalid_configured_list_is_skipped_and_a_new_one_requested() -> None:
+def test_invalid_cached_list_is_skipped_and_a_new_one_requested() -> None:
     async def test() -> None:
         readiness_request = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
@@ -185,7 +185,7 @@
         b"7\n",
     ],
 )
-def test_truncated_or_invalid_list_leaves_the_last_valid_one_and_starts_a_new_watch(malformed: bytes) -> None:
+def test_malformed_list_keeps_the_last_valid_one_and_starts_a_new_watch(malformed: bytes) -> None:
     async def test() -> None:
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
         async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as running_sidecar:
@@ -216,7 +216,7 @@
     run_async(test)
 
 
-def test_no_request_is_served_by_an_old_list_while_the_agent_has_a_newer_one() -> None:
+def test_sidecar_waits_for_the_first_list_before_serving_requests() -> None:
     async def test() -> None:
         old_upstream, new_upstream = Upstream(respond_in_turn(OK)), Upstream(respond_in_turn(OK))
         await old_upstream.start()
@@ -253,7 +253,7 @@
     run_async(test)
 
 
-def test_sidecar_whose_agent_is_silent_starts_with_its_configured_list() -> None:
+def test_sidecar_with_a_silent_agent_starts_with_its_cached_list() -> None:
     async def test() -> None:
         discovery = Discovery()  # it takes the call and says nothing
         async with sidecar(
@@ -264,7 +264,7 @@
     run_async(test)
 
 
-def test_new_discovery_address_is_watched_from_its_first_version_while_the_old_watch_ends(tmp_path: Path) -> None:
+def test_new_discovery_address_is_watched_from_version_0_while_the_old_watch_ends(tmp_path: Path) -> None:
     async def test() -> None:
         old_upstream, new_upstream, old_discovery, new_discovery = (
             Upstream(respond_in_turn(OK)),
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -73,7 +73,7 @@
 CASES += [(order, True) for order in REPEATED_UNREADABLE_LISTS]  # only here the sidecar itself waits
 
 
-def test_change_arrives_within_6_s_of_discovery_being_reachable_in_every_order_of_faults(
+def test_change_arrives_within_6_s_after_any_sequence_of_discovery_faults(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     agents: dict[int, FaultyDiscovery] = {}
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
-def test_fleet_that_starts_together_has_its_list_within_6_s(sidecar_count: int) -> None:
+def test_fleet_that_starts_at_once_has_its_list_within_6_s(sidecar_count: int) -> None:
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [UP_PHASE])
     fleet.start_all()
     fleet.run_until(RUN_AFTER_S)
@@ -164,9 +164,7 @@
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
 @pytest.mark.parametrize("outage_name", OUTAGES)
-def test_change_arrives_at_a_whole_fleet_within_6_s_of_discovery_being_reachable(
-    outage_name: str, sidecar_count: int
-) -> None:
+def test_change_reaches_a_whole_fleet_within_6_s_after_an_outage(outage_name: str, sidecar_count: int) -> None:
     outage = OUTAGES[outage_name]
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, outage.phases)
     fleet.break_watches(BREAK_S, outage.by_silence)
@@ -175,7 +173,7 @@
 
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
-def test_fleet_whose_polls_are_rejected_polls_evenly_and_each_sidecar_once_in_4_s(sidecar_count: int) -> None:
+def test_rejected_fleet_polls_evenly_and_each_sidecar_about_every_4_s(sidecar_count: int) -> None:
     """With a new draw after each failure there would be twice as many polls, and most of them right at the return."""
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [Phase(0.0, DiscoveryMode.REFUSED)])
     fleet.start_all()
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -271,7 +271,7 @@
 
 
 @pytest.mark.parametrize("order", stop_orders(), ids="-".join)
-def test_every_request_is_answered_in_time_when_shutdown_comes_between_its_pieces(
+def test_every_request_is_answered_in_time_when_shutdown_begins_between_its_pieces(
     order: tuple[str, ...], requests_by_run: dict[str, list[ClientRequest]]
 ) -> None:
     requests = requests_by_run["-".join(order)]
@@ -282,7 +282,7 @@
 @pytest.mark.parametrize(
     ("seeded_fault", "order"), SEEDED_FAULTS, ids=[seeded_fault for seeded_fault, _ in SEEDED_FAULTS]
 )
-def test_check_finds_requests_left_unanswered_by_a_seeded_fault(
+def test_check_finds_requests_that_a_seeded_fault_leaves_unanswered(
     seeded_fault: str, order: tuple[str, ...], requests_by_run: dict[str, list[ClientRequest]]
 ) -> None:
     check_request_counts(requests_by_run[seeded_fault], repeat_count(order))  # the sidecar works otherwise
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -33,7 +33,7 @@
 ]
 
 
-def test_shutdown_serves_open_requests_and_those_that_still_arrive() -> None:
+def test_shutdown_serves_open_requests_and_new_ones() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -79,7 +79,7 @@
     run_async(test)
 
 
-def test_shutdown_answers_open_requests_however_late_their_deadline_is() -> None:
+def test_shutdown_answers_open_requests_with_a_later_deadline() -> None:
     async def test() -> None:
         upstream = Upstream(never_respond)
         async with sidecar(upstream) as running_sidecar:
@@ -117,7 +117,7 @@
     run_async(test)
 
 
-def test_request_still_partial_shortly_before_the_kill_is_rejected() -> None:
+def test_request_that_stays_partial_during_shutdown_is_rejected() -> None:
     async def test() -> None:
         async with sidecar(Upstream(never_respond), classes=SHORT_DEADLINE_CLASSES) as running_sidecar:
             reader, writer = await running_sidecar.connect()
@@ -192,7 +192,7 @@
     run_async(test)
 
 
-def test_response_not_yet_read_by_its_client_is_not_truncated_by_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shutdown_does_not_truncate_a_response_that_is_read_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
     listen = system.listen
 
     def listen_with_small_buffer(address: tuple[str, int], backlog: int) -> socket.socket:
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -52,7 +52,7 @@
         return status_of(await sidecar.fetch(request("pay", deadline_ms=DEADLINE_MS)))
 
 
-def test_late_connection_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_connection_setup_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     delayed = DelayedConnections()
 
     async def test() -> None:
@@ -99,7 +99,7 @@
     monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_and_block)
 
 
-def test_blocked_loop_before_the_write_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_blocked_event_loop_before_the_write_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as running_sidecar:
@@ -110,7 +110,7 @@
     run_async(test)
 
 
-def test_attempt_without_time_left_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_expired_attempt_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         classes = [
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -91,7 +91,7 @@
     run_async(test)
 
 
-def test_rejection_has_retry_after_and_a_failed_connection_never_ran() -> None:
+def test_request_is_rejected_with_retry_after_if_no_upstream_accepts_connections() -> None:
     async def test() -> None:
         stopped_upstream = Upstream(never_respond)
         await stopped_upstream.start()
@@ -116,7 +116,7 @@
     run_async(test)
 
 
-def test_request_is_answered_though_the_decision_module_fails_or_forgets_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_is_answered_if_the_decision_module_fails_or_ignores_it(monkeypatch: pytest.MonkeyPatch) -> None:
     handle = Balancer.handle
 
     def handle_or_fail(self: Balancer, now_us: int, event: Event) -> list[Any]:
@@ -168,7 +168,7 @@
     run_async(test)
 
 
-def test_response_in_the_turn_of_its_attempts_time_out_is_the_answer() -> None:
+def test_response_that_arrives_in_the_loop_iteration_of_the_timeout_is_the_answer() -> None:
     async def test() -> None:
         classes = [
             RequestClass("read", latency_objective_us=400_000, deadline_us=20_000_000, late_weight=0.5)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -272,15 +272,15 @@
 @pytest.mark.parametrize(
     "sidecar", [AT_ONCE, *SEEDED_FAULT_BY_MODE, *map(POLLING_NAME_FORMAT.format, SEEDED_FAULT_BY_MODE)]
 )
-def test_sidecar_serves_within_four_seconds_however_its_list_arrives(sidecar: str, observation: Observation) -> None:
+def test_sidecar_serves_within_four_seconds_for_every_kind_of_list_update(
+    sidecar: str, observation: Observation
+) -> None:
     assert observation.served(sidecar) >= MIN_OUTAGE_REQUESTS
     assert observation.outages(sidecar) == []
 
 
 @pytest.mark.parametrize("seeded_fault", SEEDED_FAULT_BY_MODE.values())
-def test_check_finds_a_sidecar_that_serves_nobody_by_a_seeded_fault(
-    seeded_fault: str, observation: Observation
-) -> None:
+def test_check_finds_an_outage_caused_by_a_seeded_fault(seeded_fault: str, observation: Observation) -> None:
     assert observation.served(seeded_fault)  # before the converters were replaced
     assert observation.outages(seeded_fault)
 
@@ -302,7 +302,7 @@
         (503, MIN_OUTAGE_REQUESTS, MIN_OUTAGE_S, False),  # no other sidecar serves
     ],
 )
-def test_span_without_service_counts_if_it_is_long_and_others_serve(
+def test_outage_counts_only_if_it_is_long_and_others_serve(
     other_status: int, request_count: int, span_s: float, is_found: bool
 ) -> None:
     requests = requests_of("other", other_status, 30, span_s) + requests_of("one", 503, request_count, span_s)
--- a/tests/test_sidecar_components.py
+++ b/tests/test_sidecar_components.py
@@ -43,7 +43,7 @@
         self.reloads.append(config.discovery)
 
 
-def test_endpoint_source_and_two_fronts_share_one_host(tmp_path: Path) -> None:
+def test_endpoint_source_and_two_front_ends_share_one_dispatcher(tmp_path: Path) -> None:
     async def test() -> None:
         peer = Peer(respond_in_turn(OK))
         await peer.start()
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -67,7 +67,7 @@
             assert Path(cache_from_source(source)).exists()
 
 
-def test_settings_are_read_by_their_names_in_the_simulators_protocol(tmp_path: Path) -> None:
+def test_settings_are_read_under_the_names_of_the_simulator_protocol(tmp_path: Path) -> None:
     config: Config = load(str(write_configuration(tmp_path)))
     assert (config.seed, config.max_descriptors, config.upstream_idle_timeout_us) == (0x8C1F, 1024, 5_000_000)
     assert (config.zones, config.kinds) == (["a", "b"], ["m"])
@@ -76,12 +76,12 @@
     assert [request_class.idempotency for request_class in config.settings.classes] == [Idempotency.NON_IDEMPOTENT]
 
 
-def test_nested_settings_become_pairs() -> None:
+def test_nested_settings_are_flattened_to_pairs() -> None:
     nested = {"a": {"b": True, "c": [1, 2]}, "d": [{"e": 0.5}], "f": []}
     assert flatten(nested) == {"a.b": "true", "a.c": "1,2", "d.count": "1", "d.0.e": "0.5", "f.count": "0"}
 
 
-def test_program_becomes_ready_survives_sighup_and_exits_0_on_sigterm(tmp_path: Path) -> None:
+def test_program_becomes_ready_reloads_on_sighup_and_exits_0_on_sigterm(tmp_path: Path) -> None:
     path = write_configuration(tmp_path)
     port = int(json.loads(path.read_text())["listen"].split(":")[1])
     with running_program(path) as process:
@@ -107,7 +107,7 @@
         assert process.wait(HANG_TIMEOUT_S) == 0
 
 
-def test_sigterm_under_load_leaves_no_executed_request_without_its_answer(tmp_path: Path) -> None:
+def test_every_executed_request_is_answered_after_sigterm_under_load(tmp_path: Path) -> None:
     async def respond_after_delay(
         upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
-def test_invalid_configuration_ends_the_program_with_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
     with running_program(write_configuration(tmp_path, **changes)) as process:
         _, errors = process.communicate(timeout=HANG_TIMEOUT_S)
         assert process.returncode == 2 and len(errors.splitlines()) == 1
@@ -192,7 +192,7 @@
         load(str(write_configuration(tmp_path, **changes)))
 
 
-def test_second_sigterm_and_sighup_during_shutdown_leave_open_requests_alone(tmp_path: Path) -> None:
+def test_signals_during_shutdown_do_not_affect_open_requests(tmp_path: Path) -> None:
     async def test() -> None:
         release = asyncio.Event()
         upstream = Upstream(respond_after(release))
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -37,7 +37,7 @@
 from tests.sidecar_probes import DelayedConnections
 
 
-def test_connection_is_reused_unless_it_brought_surplus_bytes_or_ended(
+def test_connection_is_reused_unless_surplus_bytes_arrived_or_it_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # requests come one right after the other
@@ -53,7 +53,7 @@
     run_async(test)
 
 
-def test_connection_is_reused_by_upstream_and_not_by_address(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_is_reused_per_upstream_and_not_per_address(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # requests come one right after the other
 
     async def test() -> None:
@@ -135,7 +135,7 @@
     run_async(test)
 
 
-def test_connections_idle_for_as_long_as_broken_ones_are_not_reused() -> None:
+def test_connections_are_not_reused_after_an_idle_time_at_which_others_broke() -> None:
     async def test() -> None:
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         for _ in range(30):
@@ -187,7 +187,7 @@
         b"HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" * 9000,
     ],
 )
-def test_malformed_response_may_have_run_and_ejects_nothing(malformed_response: bytes) -> None:
+def test_malformed_response_is_not_retried_and_ejects_no_upstream(malformed_response: bytes) -> None:
     async def test() -> None:
         outcomes = list[Outcome]()
         handle = Balancer.handle
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("early_response", [b"", OK])
-def test_request_not_written_completely_never_ran_and_its_connection_closes(early_response: bytes) -> None:
+def test_incompletely_written_request_never_ran_and_its_connection_closes(early_response: bytes) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         pool, results = ConnectionPool(60_000_000, 10_000_000, max_connections=10), list[AttemptResult]()
@@ -262,7 +262,7 @@
     run_async(test)
 
 
-def test_request_with_an_idempotency_key_is_not_written_after_its_window_on_a_late_connection(
+def test_request_is_not_written_after_its_idempotency_window_on_a_late_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     classes = [
@@ -319,7 +319,7 @@
     run_async(test)
 
 
-def test_attempt_started_in_the_turn_of_a_drain_is_not_sent() -> None:
+def test_attempt_started_just_before_its_upstream_is_removed_is_not_sent() -> None:
     async def test() -> None:
         upstream, results = Upstream(respond_in_turn(OK)), list[AttemptResult]()
         await upstream.start()
@@ -341,7 +341,7 @@
     run_async(test)
 
 
-def test_second_response_some_milliseconds_late_is_not_taken_for_that_of_the_next_request() -> None:
+def test_late_second_response_is_not_taken_for_that_of_the_next_request() -> None:
     async def test() -> None:
         async def script(
             upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
