--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -19,7 +19,7 @@
 from ryepier.logs import structured
 from ryepier.maintenance import agreement_file
 from ryepier.maintenance.address import parse_address
-from ryepier.maintenance.agreement import Agreement, format_units
+from ryepier.maintenance.agreement import Agreement, format_capacity
 from ryepier.maintenance.agreement_file import AgreementError
 from ryepier.maintenance.api import CapacityStatus, ClientKind, LeaseStatus, RequestStatus, StatusReply
 from ryepier.maintenance.client import CallError, RegionClient
@@ -29,7 +29,7 @@
 from ryepier.maintenance.placement import FREEZE_MS
 from ryepier.maintenance.replication.storage import StorageError
 from ryepier.maintenance.results import Rejected
-from ryepier.maintenance.settings import CoordinatorSettings, addresses_of
+from ryepier.maintenance.settings import CoordinatorSettings, replica_addresses
 
 COMMAND = "maintenance"
 CALL_TIMEOUT_S = 10.0
@@ -85,7 +85,7 @@
 async def _serve(settings: CoordinatorSettings) -> None:
     """Run the coordinator until a signal."""
     coordinator = Coordinator(settings)
-    coordinator.stop = make_stop_event()
+    coordinator.stop_event = make_stop_event()
     await coordinator.run()
 
 
@@ -157,7 +157,7 @@
     agreement = _read_agreement(path, region)
 
     async def call() -> T:
-        client = RegionClient(region, addresses_of(agreement, region), getpass.getuser(), ClientKind.OPERATOR)
+        client = RegionClient(region, replica_addresses(agreement, region), getpass.getuser(), ClientKind.OPERATOR)
         try:
             return await use(client)
         finally:
@@ -194,9 +194,9 @@
 def _describe_capacity(capacity: CapacityStatus) -> str:
     """Return one line on a service's capacity."""
     return (
-        f"service {capacity.service}: {format_units(capacity.available)} available, "
-        f"{format_units(capacity.unavailable)} out, {format_units(capacity.lost)} lost, "
-        f"allowance {format_units(capacity.allowance)}"
+        f"service {capacity.service}: {format_capacity(capacity.available)} available, "
+        f"{format_capacity(capacity.unavailable)} out, {format_capacity(capacity.lost)} lost, "
+        f"allowance {format_capacity(capacity.allowance)}"
     )
 
 
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -159,7 +159,7 @@
                 request.tenant,
                 request.key,
                 request.cost_us,
-                request.retried,
+                request.marked_as_retry,
                 retry_number,
             )
         )
@@ -359,7 +359,7 @@
             open_request.request,
             timeout_us,
             lambda result: self._end_attempt(open_request, attempt_index, result),
-            action.latest_us,
+            action.latest_write_us,
         )
 
     def _on_timeout(self, open_request: OpenRequest, attempt_index: int) -> None:
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -198,7 +198,7 @@
             tenant=self.tenants.find(headers_by_name),
             key=stable_hash(key) if key else 0,
             cost_us=parse_integer(cost, "X-Cost-Hint") if cost else 0,
-            retried=headers_by_name.get(RETRY_HEADER) == b"1",
+            marked_as_retry=headers_by_name.get(RETRY_HEADER) == b"1",
         )
 
     def _class_index(self, target: bytes, headers_by_name: Mapping[bytes, bytes]) -> int:
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -34,7 +34,7 @@
     tenant: int = 0
     key: int = 0
     cost_us: int = 0
-    retried: bool = False
+    marked_as_retry: bool = False
     forwards_client_errors: bool = False  # an upstream's 4xx response is passed to the client as the final answer
     due_us: int = 0  # time by which the sidecar must answer; 0 = unset
     accepted_type: bytes = b""  # media type that the client accepts; empty if the front end does not read it
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -25,7 +25,7 @@
     TakeOverLease,
     Transfer,
 )
-from ryepier.maintenance.judge import Breach, Change, Judge
+from ryepier.maintenance.judge import AgreementChecker, Breach, CapacityChange
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.results import (
     Cancelled,
@@ -104,16 +104,16 @@
         self.pending_observations: list[PendingObservation] = []
         self.sequence = 0
         self.time = 0
-        self.agreement_judge = Judge(agreement)
+        self.agreement_judge = AgreementChecker(agreement)
         self.region_judges = {
-            name: Judge(agreement) for name in agreement.regions
+            name: AgreementChecker(agreement) for name in agreement.regions
         }  # with the losses that a region has recorded
         self.recorded_as_of: dict[str, int] = {}
         self.breaches: list[Breach] = []
         for name in agreement.regions:
             self.checkpoint(name)
             self.observe(name)
-            self.report(0)
+            self.record_observation(0)
 
     # the replicated log
 
@@ -197,7 +197,7 @@
         self.begin(self.agents[-1])
         return self.agents[-1]
 
-    def lose(self, name: str) -> None:
+    def lose_converter(self, name: str) -> None:
         if not self.actual[name].planned:
             self.actual[name].up, self.actual[name].warmth = False, 0
             self._change(name, FULL_WARMTH, planned=False)
@@ -243,7 +243,7 @@
         command = RecordObservation(observer, self.sequence, self.ledger(region).applied, observations)
         self.pending_observations.append(PendingObservation(region, command))
 
-    def report(self, number: int, *, keep: bool = False) -> None:
+    def record_observation(self, number: int, *, keep: bool = False) -> None:
         """Record one of the pending observations in its region's log."""
         pending = self.pending_observations[number] if keep else self.pending_observations.pop(number)
         if not isinstance(self.apply(pending.region, pending.command), Observed):
@@ -253,7 +253,7 @@
                 self.recorded_as_of[observation.converter] = pending.command.as_of
                 missing = FULL_WARMTH - observation.warmth if observation.ready else FULL_WARMTH
                 self.region_judges[pending.region].apply(
-                    Change(self._tick(), observation.converter, missing, planned=False)
+                    CapacityChange(self._tick(), observation.converter, missing, planned=False)
                 )
 
     # transfers
@@ -271,7 +271,7 @@
         pending = self.ledger(region).pending_transfers()
         self.network += [Message(one.receiver, CreditTransfer(one)) for one in pending]
 
-    def send(self, region: str) -> None:
+    def send_needs_and_transfers(self, region: str) -> None:
         """Send the region's needs with its transfers."""
         self.send_transfers(region)
         ledger = self.ledger(region)
@@ -308,7 +308,7 @@
         return self.time
 
     def _change(self, name: str, missing: int, *, planned: bool) -> None:
-        change = Change(self._tick(), name, missing, planned)
+        change = CapacityChange(self._tick(), name, missing, planned)
         self.breaches += self.agreement_judge.apply(change)
         if not planned:
             return
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.test_simulator_protocol import EMPTY, LIST, batch, power_on
+from tests.test_simulator_protocol import EMPTY_BATCH, LIST_RECORD, batch_frame, instance_started
 
 pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the tree
 
@@ -35,7 +35,7 @@
 
 def test_deployed_command_answers_and_exits_at_end_of_input(simulator_command: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    frames = bytes.fromhex(EMPTY) + batch([power_on(), bytes.fromhex(LIST), members])
+    frames = bytes.fromhex(EMPTY_BATCH) + batch_frame([instance_started(), bytes.fromhex(LIST_RECORD), members])
     completed = run_simulator(simulator_command, frames)
     assert (completed.returncode, completed.stderr) == (0, b"")
     assert completed.stdout.startswith(bytes(8))
@@ -44,7 +44,7 @@
 
 
 def test_deployed_command_reports_a_malformed_frame_in_one_line(simulator_command: str) -> None:
-    completed = run_simulator(simulator_command, bytes.fromhex(EMPTY) + b"\x01\x00")
+    completed = run_simulator(simulator_command, bytes.fromhex(EMPTY_BATCH) + b"\x01\x00")
     assert completed.returncode != 0 and completed.stdout == bytes(8)
     assert completed.stderr.decode().splitlines() == ["ryepier.balancer: batch 1: truncated header: 2 of 16 bytes"]
 
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -122,7 +122,7 @@
     def handle_or_fail(self: Balancer, now_us: int, event: Event) -> list[Any]:
         if getattr(event, "key", 0):
             raise RuntimeError("stumbled")
-        if getattr(event, "retried", False):
+        if getattr(event, "marked_as_retry", False):
             return []
         return handle(self, now_us, event)
 
