--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -1,7 +1,7 @@
-"""Two checks of the acceptance on what applications saw, and the real processes and peers to apply them to.
+"""Two acceptance checks on clients' requests, and the sidecar processes, converters and agents to run them with.
 
-`unanswered` finds requests without a final answer in time, `spans_without_service` sidecars that serve nobody while
-others serve. Both read only the records of requests, so that they know nothing of how a sidecar works.
+`unanswered_requests` finds requests without a final answer in time. `find_outages` finds sidecars that serve no request
+while others do. Both use only the records of requests, and do not depend on how a sidecar works.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-ANSWER_TOLERANCE_S = 0.5  # an answer this long after the deadline, or later, counts as missing
-MIN_OUTAGE_S = 4.0  # a shorter time without a served request is tolerated
-MIN_OUTAGE_REQUESTS = 15  # a time with fewer requests is not judged
-HEARTBEAT_S = 0.5  # of a discovery agent without changes
+ANSWER_TOLERANCE_S = 0.5  # an answer later than this after the deadline counts as missing
+MIN_OUTAGE_S = 4.0  # shorter periods without a served request are tolerated
+MIN_OUTAGE_REQUESTS = 15  # a period with fewer requests is ignored
+HEARTBEAT_S = 0.5  # interval at which an agent sends empty lines
 LATENCY_OBJECTIVE_US, DEADLINE_S = 300_000, 0.6
 IDEMPOTENCY_WINDOW_US = 500_000
 SERVED = 200
@@ -58,18 +58,18 @@
 
 @dataclass
 class ClientRequest:
-    """A request and its answer at the application; times in seconds of the event loop's clock."""
+    """A client's request and its answer; times are in seconds on the event loop's clock."""
 
     sidecar: str
     request_id: str
-    sent_s: float = 0.0  # its last byte
+    sent_s: float = 0.0  # time of the last byte sent
     deadline_s: float = DEADLINE_S
-    ended_s: float | None = None  # the last byte of its answer; None = no complete answer
+    ended_s: float | None = None  # time of the answer's last byte; None = no complete answer
     status: int = 0
 
 
 def unanswered_requests(requests: Iterable[ClientRequest]) -> list[ClientRequest]:
-    """Return the requests without a final answer by `ANSWER_TOLERANCE_S` after their deadline."""
+    """Return the requests without a final answer by ANSWER_TOLERANCE_S after their deadline."""
     return [
         record
         for record in requests
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class Outage:
-    """A time in which a sidecar served no request while others did."""
+    """A period in which a sidecar served no request while others did."""
 
     sidecar: str
     from_s: float
@@ -88,8 +88,11 @@
 
 
 def find_outages(requests: Sequence[ClientRequest], from_s: float, until_s: float) -> list[Outage]:
-    """Return the times of `MIN_OUTAGE_S` or more, between two instants, in which a sidecar got `MIN_OUTAGE_REQUESTS` or
-    more and served none of them, while another sidecar served."""
+    """Return the outages of all sidecars between two times.
+
+    In an outage, which lasts at least MIN_OUTAGE_S, a sidecar gets at least MIN_OUTAGE_REQUESTS and serves none of
+    them, while another sidecar serves at least one.
+    """
     outages = []
     for sidecar in sorted({record.sidecar for record in requests}):
         sidecar_requests = [record for record in requests if record.sidecar == sidecar]
@@ -111,7 +114,7 @@
 
 @dataclass
 class Agent(Discovery):
-    """Discovery for one sidecar, with heartbeats unless it is silent."""
+    """Discovery agent of one sidecar; sends empty lines as heartbeats unless `silent` is set."""
 
     silent: bool = False
     heartbeat: asyncio.Task[None] | None = None
@@ -134,7 +137,7 @@
 
 @dataclass
 class Converter(Upstream):
-    """An upstream that can end like a crashed process."""
+    """An upstream that can behave like a crashed process."""
 
     killed: bool = False
     accepted: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -157,20 +160,20 @@
         writer.transport.abort()
 
     def kill_at_next_connection(self) -> None:
-        """Reset the open connections, and the next one as soon as it is accepted; then stop listening."""
+        """Reset the open connections, reset the next one when it is accepted, and then stop listening."""
         self.killed = True
         for writer in list(self.accepted):
             self.reset(writer)
 
     def vanish(self) -> None:
-        """Stop listening, and reset the open connections."""
+        """Stop listening and reset the open connections."""
         self.stop()
         for writer in list(self.accepted):
             self.reset(writer)
 
 
 class SidecarProcess:
-    """A sidecar in its own process, with a fault of `tests/seeded_sidecar_faults.py` if one is named."""
+    """A sidecar in a separate process, optionally with a fault from `tests/seeded_sidecar_faults.py`."""
 
     def __init__(
         self,
@@ -192,7 +195,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     async def start(self) -> None:
-        """Start it and wait until it accepts connections."""
+        """Start the process and wait until it accepts connections."""
         module = ["tests.seeded_sidecar_faults", self.seeded_fault] if self.seeded_fault else ["ryepier.sidecar"]
         self.process = subprocess.Popen(
             [sys.executable, "-B", "-m", *module],
@@ -210,7 +213,7 @@
                     await asyncio.sleep(0.02)
 
     def reload(self, agent: Discovery) -> None:
-        """Reload the configuration with another discovery agent."""
+        """Change the discovery address to another agent and send SIGHUP."""
         configuration = json.loads(self.path.read_text()) | {"discovery": f"127.0.0.1:{agent.port}"}
         self.path.write_text(json.dumps(configuration))
         self.signal(signal.SIGHUP)
@@ -224,12 +227,12 @@
         self.process.send_signal(signal_number)
 
     async def wait_until_ended(self) -> int:
-        """Wait for its end, and return the exit code."""
+        """Wait until the process ends and return its exit code."""
         assert self.process is not None
         return await asyncio.to_thread(self.process.wait, HANG_TIMEOUT_S)
 
     def kill(self) -> None:
-        """Kill it, if it has not ended."""
+        """Kill the process, if it is still running."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
@@ -238,7 +241,7 @@
 
 @dataclass
 class Exchange:
-    """A request on its own connection, of which a part has been sent."""
+    """A request on a separate connection, with the pieces of it that are not sent yet."""
 
     record: ClientRequest
     unsent: list[bytes]
@@ -246,25 +249,25 @@
     writer: asyncio.StreamWriter
 
     def send_next(self) -> None:
-        """Send the next piece."""
+        """Send the next piece and record the time."""
         self.writer.write(self.unsent.pop(0))
         self.record.sent_s = asyncio.get_running_loop().time()
 
     async def answer(self) -> None:
-        """Read the answer and record it."""
+        """Read the answer and record its status and time."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(self.record.deadline_s + 2 * ANSWER_TOLERANCE_S):
                 head, _ = await read_message(self.reader)
             self.record.status, self.record.ended_s = int(head.split(b" ")[1]), loop.time()
         except (TimeoutError, asyncio.IncompleteReadError, ConnectionError):
-            pass  # the record stays without an answer
+            pass  # the record keeps no answer
         finally:
             self.writer.close()
 
 
 class Application:
-    """Sends requests to sidecars and records the answers."""
+    """A client of several sidecars that records its requests and their answers."""
 
     def __init__(self) -> None:
         self.requests: list[ClientRequest] = []
@@ -273,7 +276,7 @@
     async def send_first_piece(
         self, sidecar: SidecarProcess, class_name: str, split_offsets: Sequence[int] = (), body: bytes = b""
     ) -> Exchange:
-        """Send the first piece of a request that is split at these offsets; all of it if there are none."""
+        """Send the first piece of a request that is split at `split_offsets`; without offsets, all of it."""
         request_id = f"{sidecar.name}-{next(request_numbers)}"
         data = request(class_name, request_id, body, deadline_ms=int(DEADLINE_S * 1000))
         offsets = [0, *split_offsets, len(data)]
@@ -285,15 +288,15 @@
         return exchange
 
     def finish(self, exchange: Exchange) -> None:
-        """Send the remaining pieces, and read the answer in the background."""
+        """Send the remaining pieces and read the answer in the background."""
         while exchange.unsent:
             exchange.send_next()
         self.answers.append(asyncio.create_task(exchange.answer()))
 
     async def fetch(self, sidecar: SidecarProcess, class_name: str) -> None:
-        """Send a complete request."""
+        """Send a complete request and read the answer in the background."""
         self.finish(await self.send_first_piece(sidecar, class_name))
 
     async def wait_until_ended(self) -> None:
-        """Wait until each request has its answer or is given up."""
+        """Wait until each request has its answer or its read has timed out."""
         await asyncio.gather(*self.answers)
--- a/tests/disconnect_testbed.py
+++ b/tests/disconnect_testbed.py
@@ -1,4 +1,4 @@
-"""A sidecar and a converter that holds its responses, and clients that disconnect in several ways."""
+"""A sidecar with a converter that can hold back its responses, and ways in which clients disconnect."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.network_peers import OK, Message, Sidecar, Upstream, read_message, request, status_of, wait_until
 from tests.sidecar_probes import DelayedConnections
 
-DISCONNECT_NOTICED_S = 0.15  # no attempt begins later than 0.1 s after its client has disconnected
-SETTLE_S = 0.05  # for what is under way on loopback
+DISCONNECT_NOTICED_S = 0.15  # the sidecar may start attempts until 0.1 s after the disconnect
+SETTLE_S = 0.05  # for messages that are on their way over loopback
 LOOP_DELAY_S = 0.3
 CLASSES = [
     RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT),
@@ -47,7 +47,7 @@
 
 
 DISCONNECTS = [close, reset, end_sending]
-# with the number of bytes that the client sends first: the sidecar discards 65,536 of them at most
+# Each with the number of bytes that the client sends first; the sidecar discards up to 65,536 bytes.
 DISCONNECTS_AFTER_BYTES = [
     (close, 0),
     (reset, 0),
@@ -61,13 +61,13 @@
 
 
 def disconnect_after_bytes(sock: socket.socket, disconnect: Disconnect, byte_count: int) -> None:
-    """Send bytes that are no request, and disconnect."""
+    """Send bytes that are not a request, then disconnect."""
     sock.sendall(b"x" * byte_count)
     disconnect(sock)
 
 
 def block_event_loop(*steps: Callable[[], object]) -> None:
-    """Block the event loop while the steps run, long enough for it to find all their effects in its next turn."""
+    """Run the steps while blocking the event loop, so that its next iteration sees the effects of all of them."""
     for step in steps:
         step()
         time.sleep(LOOP_DELAY_S / len(steps))
@@ -78,14 +78,14 @@
 
 @dataclass
 class ManualConverter(Upstream):
-    """Holds its responses while `is_holding`, and counts attempts by their first byte."""
+    """Holds back its responses while `holds_responses` is set, and counts attempts by their first byte."""
 
     holds_responses: bool = True
     started_attempts: int = 0
     held_responses: list[asyncio.StreamWriter] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read requests, and count each at its first byte."""
+        """Read the requests of one connection, and count each at its first byte."""
         self.connections += 1
         try:
             while byte := await reader.read(1):
@@ -99,19 +99,19 @@
             writer.close()
 
     def respond(self, data: bytes) -> None:
-        """Respond to the held request, even while the loop is blocked, and hold no further one."""
+        """Respond to the last held request, even while the event loop is blocked, and hold back no further response."""
         self.holds_responses = False
         os.write(self.held_responses.pop().get_extra_info("socket").fileno(), data)
 
     def request_ids(self) -> list[int]:
-        """Return the ids of the requests that have arrived, in their order."""
+        """Return the ids of the requests in the order of their arrival."""
         return [int(head.partition(b"X-Request-Id: ")[2].split()[0]) for head, _ in self.requests]
 
 
 async def hold_or_respond(
     upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Respond at once, or leave that to `ManualConverter.respond`."""
+    """Script that responds at once, or holds the response for `ManualConverter.respond`."""
     assert isinstance(upstream, ManualConverter)
     if upstream.holds_responses:
         upstream.held_responses.append(writer)
@@ -120,13 +120,13 @@
 
 
 def manual_converter(holds_responses: bool = True) -> ManualConverter:
-    """Return a converter that holds its responses, or responds at once."""
+    """Return a converter that holds back its responses or responds at once."""
     return ManualConverter(hold_or_respond, holds_responses=holds_responses)
 
 
 @dataclass
 class Testbed:
-    """A sidecar with one converter; a test's requests have numbers below 99."""
+    """A sidecar with one converter. Tests use request ids below 99, which `check_only_forwarded` uses itself."""
 
     __test__ = False
 
@@ -143,10 +143,10 @@
         return sock
 
     async def occupy_only_slot(self) -> socket.socket:
-        """Send request 1, to which the converter holds its response, and return its client.
+        """Send request 1, whose response the converter holds back, and return its client.
 
-        The sidecar has an idle connection then, on which it can send its next attempt at once: that connection was
-        opened for a client that left while it came up.
+        The sidecar then also has an idle connection, on which it can send its next attempt at once. That connection was
+        opened for a client that disconnected before the connection was established.
         """
         delayed = DelayedConnections()
         with self.monkeypatch.context() as patch:
@@ -160,19 +160,19 @@
             delayed.released.set()
             await wait_until(lambda: len(self.converter.held_responses) == 1)
         client.setblocking(False)
-        await asyncio.sleep(SETTLE_S)  # a connection is not used in the moment in which it comes up
+        await asyncio.sleep(SETTLE_S)  # the sidecar does not use a connection that has just become idle
         assert self.converter.connections == 2
         return client
 
     async def send_buffered_request(self) -> socket.socket:
-        """Send request 2, which waits in the buffer as request 1 has the only slot, and return its client."""
+        """Send request 2, which waits in the buffer as request 1 occupies the only slot, and return its client."""
         client = self.connect(request("pay", "2"))
         await wait_until(lambda: b"2" in [accepted.request_id for accepted in self.accepted])
         assert self.converter.request_ids() == [1]
         return client
 
     async def check_only_forwarded(self, *request_ids: int) -> None:
-        """Check that the converter got no attempt but for these requests; a further request is served as usual."""
+        """Check that the converter got attempts for exactly these requests, and that a further request is served."""
         await asyncio.sleep(SETTLE_S)
         assert status_of(await self.sidecar.fetch(request("pay", "99"))) == 200
         await asyncio.sleep(SETTLE_S)
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that meets calls with faults, in front of a sidecar's discovery client over real connections."""
+"""A discovery server that answers calls with faults, and a sidecar's discovery client connected to it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.loopback_ports import free_port
 from tests.network_peers import endpoint_entry, endpoint_list, read_message
 
-EMPTY_LINE_INTERVAL_S = 2.0  # of a watch
+EMPTY_LINE_INTERVAL_S = 2.0  # between the empty lines of a watch
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\n"
 CLOSED_PORT = free_port()
@@ -38,9 +38,9 @@
 
 
 class Behaviour(enum.Enum):
-    """What becomes of a connection, or of a watch after its first bytes."""
+    """How a connection attempt ends, or how a watch continues after its initial bytes."""
 
-    REFUSE = enum.auto()  # the connection
+    REFUSE = enum.auto()  # the connection is refused
     HANG = enum.auto()  # the connection is never established
     STAY_SILENT = enum.auto()
     RESET = enum.auto()
@@ -48,7 +48,7 @@
 
 
 class Fault(NamedTuple):
-    """The bytes that are written to a call, and how it continues."""
+    """The bytes that are sent in response to a call, and the behaviour after them."""
 
     initial_bytes: bytes
     behaviour: Behaviour
@@ -73,9 +73,9 @@
 
 @dataclass
 class FaultyDiscovery:
-    """Meets each call with the next fault of an order, and serves every call after them.
+    """Answers each call with the next fault of `fault_order`, and serves all calls after the last fault.
 
-    It counts as reachable from when the last fault has occurred.
+    Discovery counts as reachable from the time of the last fault, in `reachable_at`.
     """
 
     fault_order: tuple[str, ...]
@@ -85,7 +85,7 @@
     port: int = 0
     server: asyncio.Server | None = None
     initial_data: bytes = NEW_BYTES
-    """What a call that is served gets."""
+    """The messages that a served call gets first."""
     sends_empty_lines: bool = False
 
     async def start(self) -> None:
@@ -94,7 +94,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def on_connect(self) -> Behaviour | None:
-        """Count a call, and return what becomes of its connection."""
+        """Count a call and return how its connection behaves; None for a call that is served."""
         self.calls.append(time.monotonic())
         if len(self.calls) <= len(self.fault_order):
             self.reachable_at = self.calls[-1]
@@ -102,7 +102,7 @@
         return fault.behaviour if fault is not None else None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a call, or let its fault occur."""
+        """Serve a call, or answer it with its fault."""
         fault = self._current_fault()
         is_last_fault = len(self.calls) == len(self.fault_order)
         try:
@@ -141,7 +141,7 @@
     @staticmethod
     async def _continue(behaviour: Behaviour, writer: asyncio.StreamWriter) -> None:
         if behaviour is Behaviour.RESET:
-            await asyncio.sleep(0.01)  # what was written arrives first
+            await asyncio.sleep(0.01)  # lets the written bytes arrive before the reset
             raise ConnectionResetError
         while behaviour is Behaviour.TRICKLE:
             await asyncio.sleep(0.2)
@@ -150,7 +150,7 @@
 
 
 def apply_connection_faults(patch: pytest.MonkeyPatch, agents: dict[int, FaultyDiscovery]) -> None:
-    """Let connections to the ports of these agents be refused, or hang, where their fault says so."""
+    """Make connections to the ports of these agents fail or hang if their current fault says so."""
     connect = asyncio.SelectorEventLoop.sock_connect
 
     async def connect_by_fault(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
@@ -167,7 +167,8 @@
 ) -> DiscoveryClient:
     """Start a sidecar's decision module and discovery client.
 
-    It is one of a fleet so large that polls are spread over the maximum time, and it draws the latest of all times.
+    The settings are those of a fleet so large that polls are spread over the maximum interval, and this sidecar always
+    draws the latest time in it.
     """
     config = settings(polls_endpoints=not is_pushed, max_poll_interval_us=10_000_000, instances=1_600)
     dispatcher = RequestDispatcher(config, 1, ConnectionPool(60_000_000, 200_000, max_connections=10))
--- a/tests/limited_sidecar.py
+++ b/tests/limited_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar process with the minimum of descriptors, in front of one upstream that stands for 100 converters."""
+"""A sidecar process with the minimum number of descriptors; one upstream plays the role of 100 converters."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-DESCRIPTOR_LIMIT = 256  # the minimum that a sidecar is given
+DESCRIPTOR_LIMIT = 256  # the smallest limit that a sidecar must work with
 CONVERTERS = 100
 WATCH_INTERVAL_S = 0.002
 
 
 def has_ended(writer: asyncio.StreamWriter) -> bool:
-    """Return whether the sidecar has closed this connection, from which nothing was read yet."""
+    """Return whether the sidecar has closed this connection without sending anything on it."""
     with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as sock:
         try:
             return sock.recv(1, socket.MSG_PEEK) == b""
@@ -43,14 +43,14 @@
 
 @dataclass
 class LimitedSidecar:
-    """A sidecar process, and the most descriptors that it was seen to have."""
+    """A sidecar process, and the highest number of open descriptors seen in it."""
 
     pid: int
     port: int
     max_descriptors: int = 0
 
     async def watch_descriptors(self) -> None:
-        """Update `max_descriptors` forever."""
+        """Update `max_descriptors` until cancelled."""
         while True:
             self.max_descriptors = max(self.max_descriptors, len(os.listdir(f"/proc/{self.pid}/fd")))
             await asyncio.sleep(WATCH_INTERVAL_S)
@@ -60,7 +60,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def wait_until_listening(self) -> None:
-        """Wait until it accepts connections."""
+        """Wait until the sidecar accepts connections."""
         async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
                 try:
@@ -72,8 +72,10 @@
                     return
 
     async def connect_until_open(self) -> Streams:
-        """Connect, and again while the connection has ended before anything could be sent: the sidecar evicts a
-        connection that has sent nothing, as one does whose client the machine holds up between connect and write.
+        """Connect, and connect again if the connection was closed before anything could be sent.
+
+        The sidecar evicts connections that have sent nothing. On a busy machine that can affect a client that is
+        delayed between connecting and writing.
         """
         while True:
             reader, writer = await self.connect()
@@ -82,7 +84,7 @@
             writer.close()
 
     async def fetch(self) -> bytes:
-        """Send a request on its own connection, and return the first line of the response."""
+        """Send a request on a new connection and return the first line of the response."""
         reader, writer = await self.connect_until_open()
         writer.write(request("pay"))
         response = await read_message(reader)
@@ -91,14 +93,15 @@
 
 
 def converters(upstream: Upstream, rev: int) -> Json:
-    """Return a list of converters that are all at the upstream's address."""
+    """Return an endpoint list of CONVERTERS entries that all have the upstream's address."""
     return endpoint_list(*(endpoint_entry(f"u{number}", upstream.port) for number in range(CONVERTERS)), rev=rev)
 
 
 def write_limited_configuration(folder: Path, port: int, upstream: Upstream, discovery_port: int) -> Path:
     """Write the configuration of the sidecar.
 
-    Its latency objective is long: answers that a test delays must not count as slow, or requests would be rejected.
+    The latency objective is long, so that responses that a test delays do not count as slow. Otherwise the sidecar
+    would reject requests.
     """
     pay = {"name": "pay", "aim": 15_000_000, "deadline": 15_000_000, "effect": "at_most_once", "worth": 10.0}
     invariants = SETTINGS["invariants"] | {"ask-within": 5_000_000}
@@ -114,7 +117,7 @@
 
 
 async def start_process(configuration: Path, log: Path) -> asyncio.subprocess.Process:
-    """Start the process with its limit on descriptors."""
+    """Start the sidecar process with DESCRIPTOR_LIMIT."""
     limits = (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT)
     with log.open("wb") as file:
         return await asyncio.create_subprocess_exec(
@@ -131,7 +134,7 @@
 
 @asynccontextmanager
 async def limited_sidecar(folder: Path, upstream: Upstream, discovery_port: int) -> AsyncIterator[LimitedSidecar]:
-    """Run the sidecar; at the end it must be alive, and must never have had all its descriptors open."""
+    """Run the sidecar; checks that it survives and never has all its descriptors open."""
     await upstream.start()
     port, log = free_port(), folder / "log"
     process = await start_process(write_limited_configuration(folder, port, upstream, discovery_port), log)
--- a/tests/loopback_ports.py
+++ b/tests/loopback_ports.py
@@ -1,4 +1,4 @@
-"""Free loopback ports for tests, a range of its own for each worker of pytest-xdist."""
+"""Free loopback ports for tests; each pytest-xdist worker uses a separate range."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def worker_ports() -> Iterator[int]:
-    """Yield the ports of this test process in turn, from a range that no other worker of the run has.
+    """Yield the ports of this worker's range, over and over.
 
-    The ranges lie below the system's ephemeral ports, which outgoing connections take.
+    The ranges lie below the system's ephemeral ports, which are used for outgoing connections.
     """
     worker = os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")
     first = FIRST_PORT + int(worker) % MAX_WORKERS * PORTS_PER_WORKER
@@ -27,7 +27,7 @@
 
 
 def free_port() -> int:
-    """Return a loopback port that nothing listens on and that no other worker hands out."""
+    """Return a loopback port on which nothing listens and that no other worker uses."""
     for port in itertools.islice(PORTS, PORTS_PER_WORKER):
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -1,4 +1,4 @@
-"""Peers for the real sidecar over loopback sockets: scripted upstreams, discovery and clients."""
+"""Scripted upstreams, discovery and clients that talk to a real sidecar over loopback sockets."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from ryepier.sidecar.serving import serve
 from tests.loopback_ports import free_port
 
-HANG_TIMEOUT_S = 20.0  # no test waits for a time-out on purpose; this only ends one that hangs
+HANG_TIMEOUT_S = 20.0  # ends a test that hangs; no test waits for it on purpose
 ATTEMPT_TIMEOUT_US = 60_000_000  # longer than any test takes
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 Script = Callable[["Upstream", int, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-"""What an upstream does with a request, whose number it gets; the number counts all its requests."""
+"""Handles one request of an upstream; the integer is the index of the request among all requests to it."""
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Json = dict[str, Any]
 
@@ -31,12 +31,12 @@
     """An HTTP request or response."""
 
     head: bytes
-    """With the empty line at its end."""
+    """Includes the empty line at its end."""
     body: bytes
 
 
 def request_classes() -> list[RequestClass]:
-    """Return a class of each kind: idempotent, non-idempotent, and with an idempotency key."""
+    """Return an idempotent class, a non-idempotent one, and one with idempotency keys."""
     return [
         RequestClass("read", latency_objective_us=1_000_000, deadline_us=20_000_000, late_weight=0.5),
         RequestClass(
@@ -59,7 +59,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """Read one message whose body has a Content-Length. Raises IncompleteReadError if the connection ends in it."""
+    """Read one message with a Content-Length body. Raises IncompleteReadError if the connection ends before its end."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
@@ -71,7 +71,7 @@
 
 @dataclass
 class Upstream:
-    """Handles each request by its script, and keeps all of them."""
+    """An upstream that handles each request with its script and records all requests."""
 
     script: Script
     requests: list[Message] = field(default_factory=list)
@@ -97,13 +97,13 @@
             writer.close()
 
     def stop(self) -> None:
-        """Stop listening; connections stay."""
+        """Stop listening; open connections stay open."""
         if self.server is not None:
             self.server.close()
 
 
 def respond_in_turn(*answers: bytes) -> Script:
-    """Return a script that gives these answers in turn and repeats the last; an empty one aborts the connection."""
+    """Return a script that sends these responses in turn and repeats the last; an empty one aborts the connection."""
 
     async def script(
         upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -121,13 +121,13 @@
 async def never_respond(
     upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Script that waits for the end of the connection."""
+    """Script that never responds and waits for the end of the connection."""
     await reader.read()
     raise ConnectionResetError
 
 
 def respond_after(release: asyncio.Event) -> Script:
-    """Return a script that answers once the event is set."""
+    """Return a script that responds once the event is set."""
 
     async def script(
         upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -139,7 +139,7 @@
 
 
 def endpoint_entry(uid: str, port: int, state: str = "active", boot_ms: int = 0) -> Json:
-    """Return an endpoint as the list has it."""
+    """Return an entry of the endpoint list."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -153,13 +153,13 @@
 
 
 def endpoint_list(*entries: Json, rev: int = 1, full: bool = True) -> Json:
-    """Return an endpoint list of revision `rev`: the complete one, or a change."""
+    """Return a message with revision `rev` of the endpoint list: a complete list, or with `full` False a change."""
     return {"rev": rev, "all": full, "targets": list(entries)}
 
 
 @dataclass
 class Discovery:
-    """Keeps watches open, and sends each the list `first` if there is one; `line` sends a list to the newest."""
+    """A discovery agent that keeps watches open; each new watch gets `initial_list` if it is set."""
 
     initial_list: Json | None = None
     calls: list[bytes] = field(default_factory=list)
@@ -174,7 +174,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Keep one watch open."""
+        """Send the initial list on a new watch and keep it open."""
         head, _ = await read_message(reader)
         self.calls.append(head)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -185,17 +185,17 @@
         await reader.read()
 
     async def wait_for_watch(self) -> None:
-        """Wait for a new watch."""
+        """Wait until a new watch is opened."""
         async with asyncio.timeout(HANG_TIMEOUT_S):
             await self.watch_opened.wait()
         self.watch_opened.clear()
 
     def send_list(self, message: object) -> None:
-        """Send a list to the newest watch."""
+        """Send a list to the newest watch, as one line."""
         self.send_bytes(json.dumps(message).encode() + b"\n")
 
     def send_bytes(self, data: bytes) -> None:
-        """Send bytes to the newest watch, in a chunk of their own."""
+        """Send bytes to the newest watch, as one HTTP chunk."""
         self.writers[-1].write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def stop(self) -> None:
@@ -237,7 +237,7 @@
 
 
 def write_configuration(folder: Path, **changes: Any) -> Path:
-    """Write the configuration of one sidecar, with some keys changed, and return its path."""
+    """Write a sidecar's configuration file, with `changes` applied to its top-level keys, and return its path."""
     path = folder / "config.json"
     document = {
         "name": "n0",
@@ -262,7 +262,7 @@
     deadline_ms: object = 15_000,
     extra: str = "",
 ) -> bytes:
-    """Return a request as the application sends it, with an id of its own if none is given."""
+    """Return the bytes of a client's request; without `request_id` it gets a new id."""
     method = "GET" if class_name == "read" else "POST"
     request_id = str(next(request_numbers)) if request_id is None else request_id
     key = "Idempotency-Key: k\r\n" if class_name == "mark" else ""
@@ -275,7 +275,7 @@
 
 @dataclass
 class Sidecar:
-    """A running sidecar as its application sees it."""
+    """A running sidecar in this process, with connections to it."""
 
     port: int
     stop: asyncio.Event
@@ -287,7 +287,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def fetch(self, data: bytes) -> Message:
-        """Send one request on a connection of its own, and return the response."""
+        """Send one request on a new connection and return the response."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
@@ -298,7 +298,7 @@
 
 
 def sidecar_config(port: int, discovery_port: int, cached_list: Json, **changes: Any) -> Config:
-    """Return a configuration; changes may be of Config's fields or of Settings'."""
+    """Return a configuration; `changes` are fields of Config or of its Settings."""
     settings_fields: dict[str, Any] = {
         "classes": request_classes(),
         "max_attempts": 4,
@@ -323,7 +323,7 @@
 
 
 async def wait_until_listening(port: int, task: asyncio.Task[None]) -> None:
-    """Wait until a sidecar accepts connections; it must not end before."""
+    """Wait until a sidecar accepts connections; fails if its task ends before."""
     async with asyncio.timeout(HANG_TIMEOUT_S):
         while True:
             try:
@@ -340,10 +340,10 @@
 async def sidecar(
     *upstreams: Upstream, discovery: Discovery | None = None, cached_list: Json | None = None, **changes: Any
 ) -> AsyncIterator[Sidecar]:
-    """Run a sidecar in this process whose configured list has these upstreams.
+    """Run a sidecar in this process whose cached endpoint list has these upstreams.
 
-    It polls the discovery that is given; without one it watches an agent that has nothing to send. `changes` are as in
-    `sidecar_config`.
+    It polls `discovery` if that is given. Otherwise it watches an agent that sends only an empty change. `changes` are
+    passed to `sidecar_config`.
     """
     agent = discovery or Discovery(initial_list=endpoint_list(rev=1, full=False))
     peers: list[Upstream | Discovery] = [*upstreams, agent]
@@ -367,12 +367,12 @@
 
 
 def status_of(response: Message) -> int:
-    """Return the status of a response."""
+    """Return the status code of a response."""
     return int(response.head.split(b" ")[1])
 
 
 def run_async(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test in an event loop, with a bound on its time."""
+    """Run a test in an event loop, with a time limit."""
 
     async def limited() -> None:
         async with asyncio.timeout(3 * HANG_TIMEOUT_S):
@@ -382,8 +382,10 @@
 
 
 async def check_rejected(data: bytes, expected: int) -> None:
-    """Check that bytes get an error of this status and the end of their connection, that nothing of them is forwarded,
-    and that the sidecar serves the next request."""
+    """Check that the sidecar rejects these bytes with a status, closes their connection and forwards nothing.
+
+    Afterwards it must serve a valid request.
+    """
     upstream = Upstream(respond_in_turn(OK))
     async with sidecar(upstream) as running_sidecar:
         reader, writer = await running_sidecar.connect()
@@ -396,7 +398,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until the condition holds."""
+    """Wait until the condition holds, for at most HANG_TIMEOUT_S."""
     async with asyncio.timeout(HANG_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -1,6 +1,6 @@
-"""Sidecars with one seeded fault: `python -m tests.seeded_sidecar_faults FAULT`.
+"""Runs a sidecar with a seeded fault: `python -m tests.seeded_sidecar_faults FAULT`.
 
-Each fault breaks one path that a check of `tests/acceptance.py` guards, to show that the check can fail.
+Each fault breaks behaviour that a check in `tests/acceptance.py` covers, to show that the check can fail.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 
 def discard_answers(requests: Iterable[OpenRequest]) -> None:
-    """Never write the answers to these requests."""
+    """Discard the answers to these requests instead of writing them."""
     for open_request in requests:
         open_request.reply = lambda answer: None
 
 
 def answer_later(wait_s: float, reply: Callable[[FinalAnswer], None], answer: FinalAnswer) -> None:
-    """Write an answer later."""
+    """Write an answer after a delay."""
     asyncio.get_running_loop().call_later(wait_s, reply, answer)
 
 
 def forget_open_on_reload() -> None:
-    """A new configuration costs the open requests their answers."""
+    """Discard the answers of all open requests when the configuration is reloaded."""
     apply_config = DiscoveryClient.apply_config
 
     def apply_config_and_forget(self: DiscoveryClient, config: Config) -> None:
@@ -46,7 +46,7 @@
 
 
 def forget_open_on_drain() -> None:
-    """Requests that are out at an upstream that drains lose their answers."""
+    """Discard the answers of requests with an attempt in flight at an upstream that is removed or drained."""
     remove_upstream = RequestDispatcher._remove_upstream
 
     def remove_upstream_and_answers(self: RequestDispatcher, upstream: int) -> None:
@@ -61,7 +61,7 @@
 
 
 def forget_on_reset() -> None:
-    """A request whose upstream's connection is reset or refused loses its answer."""
+    """Discard the answer of a request if the connection of its attempt is reset or can't be established."""
     end_attempt = RequestDispatcher._end_attempt
 
     def end_and_forget(
@@ -75,7 +75,7 @@
 
 
 def ignore_pieces() -> None:
-    """A request that does not come in each piece is never taken."""
+    """Never accept a request that arrives in more than one piece."""
     data_received, accept_request = ClientConnection.data_received, ClientConnection._accept_request
 
     def count_pieces(self: ClientConnection, data: bytes) -> None:
@@ -91,7 +91,7 @@
 
 
 def close_partial_on_shutdown() -> None:
-    """Told to end, it closes connections on which part of a request has come."""
+    """Close connections with a partial request when the shutdown begins."""
     close_idle = Server.close_idle
 
     def close_idle_and_partial(self: Server) -> None:
@@ -105,7 +105,7 @@
 
 
 def answer_late() -> None:
-    """Some answers come after their request's time."""
+    """Write some answers after their request's deadline."""
     answer_on_time, answer_count = RequestDispatcher._answer, 0
 
     def answer_some_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
@@ -121,12 +121,12 @@
 
 
 def never_watch_again() -> None:
-    """Keep a watch that has fallen silent."""
+    """Never fail a watch that has fallen silent."""
     DiscoveryClient.check_liveness = lambda self: None  # type: ignore[method-assign]
 
 
 def ignore_complete_lists() -> None:
-    """Ignore complete lists, except at the start."""
+    """Ignore complete lists, except the first one."""
     on_endpoints = RequestDispatcher.on_endpoints
 
     def apply_changes_only(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
@@ -137,7 +137,7 @@
 
 
 def lose_watch_on_reload() -> None:
-    """Open no watch after a new configuration."""
+    """Close the watch on a configuration reload and open no new one."""
 
     def apply_and_stop(self: DiscoveryClient, config: Config) -> None:
         self.address = config.discovery
@@ -147,12 +147,12 @@
 
 
 def keep_configured_list() -> None:
-    """Keep the configured list after a start."""
+    """Keep the cached list of the configuration after the start, and open no watch."""
     DiscoveryClient.start = lambda self: None  # type: ignore[method-assign]
 
 
 def reject_while_warming_up() -> None:
-    """Reject all requests while the last change of the list has only upstreams that warm up."""
+    """Reject all requests while all ready upstreams of the last list update are warming up."""
     on_endpoints, on_request, is_warming_up = RequestDispatcher.on_endpoints, RequestDispatcher.on_request, False
 
     def record_warming_up(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
--- a/tests/sidecar_probes.py
+++ b/tests/sidecar_probes.py
@@ -1,4 +1,4 @@
-"""Hooks into a sidecar of this process: records what it takes in, and delays its connections to upstreams."""
+"""Hooks into a sidecar in this process: they record its requests, attempts and servers, and delay its connections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def record_requests(monkeypatch: pytest.MonkeyPatch) -> list[ClientRequest]:
-    """Return the requests that sidecars accept from now on, as they come."""
+    """Return a list to which each request is added that a sidecar accepts from now on."""
     requests: list[ClientRequest] = []
     on_request = RequestDispatcher.on_request
 
@@ -30,7 +30,7 @@
 
 
 def record_ended_attempts(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Return the numbers of the attempts that end from now on, as they do."""
+    """Return a list to which the index of each attempt is added when it ends."""
     numbers: list[int] = []
     end_attempt = RequestDispatcher._end_attempt
 
@@ -43,7 +43,7 @@
 
 
 def record_servers(monkeypatch: pytest.MonkeyPatch) -> list[Server]:
-    """Return the servers that listen from now on, as they come."""
+    """Return a list to which each server is added that starts to listen."""
     servers: list[Server] = []
     listen = Server.listen
 
@@ -57,13 +57,13 @@
 
 @dataclass
 class DelayedConnections:
-    """Connections to an upstream that are established only once they are released."""
+    """Delays connections to an upstream until `released` is set; `started` counts them."""
 
     released: asyncio.Event = field(default_factory=asyncio.Event)
     started: int = 0
 
     def delay(self, upstream: Upstream, patch: pytest.MonkeyPatch) -> None:
-        """Delay the connections that start from now on."""
+        """Delay connections to `upstream` that are started from now on."""
         connect = asyncio.SelectorEventLoop.sock_connect
 
         async def connect_after_release(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Invalid and unusual input of clients, and clients that send slowly or stay idle."""
+"""Invalid and unusual input from clients, and clients that send slowly or stay idle."""
 
 from __future__ import annotations
 
@@ -46,14 +46,15 @@
         (request("read", deadline_ms=10**12), 400),
         (request("pay", extra="Content-Length: 0\r\n"), 400),
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: +4") + b"abcd", 400),
-        (request("pay", body=b"abcd").replace(b"Length: 4", b"Length: 2"), 400),  # what follows is no request
-        (request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),  # at once, at its head
+        (request("pay", body=b"abcd").replace(b"Length: 4", b"Length: 2"), 400),  # the remaining body is not a request
+        # rejected as soon as the header is read
+        (request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
         (request("read", request_id=""), 400),
         (request("read", deadline_ms="soon"), 400),
         (request("read", deadline_ms=-5), 400),
         (request("mark").replace(b"Idempotency-Key", b"Other"), 400),
         (request("pay").replace(b"POST", b"GET"), 400),
-        (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),  # beside a length
+        (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),  # in addition to Content-Length
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
         (request("pay", body=b"x" * 70_000), 413),
         (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
@@ -95,7 +96,7 @@
             assert status_of(await running_sidecar.fetch(request("mark", "7"))) == 409
             release.set()
             assert status_of(await read_message(reader)) == 200
-            assert status_of(await running_sidecar.fetch(request("mark", "7"))) == 409  # nor soon after
+            assert status_of(await running_sidecar.fetch(request("mark", "7"))) == 409  # nor shortly after its response
             writer.close()
         assert sum(len(upstream.requests) for upstream in upstreams) == 1
 
@@ -167,13 +168,13 @@
             assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 413 ")
             sent_bytes = 0
             try:
-                while True:  # until it is cut off
+                while True:  # until the sidecar closes the connection
                     writer.write(b"x" * 65_536)
                     sent_bytes += 65_536
                     await writer.drain()
             except ConnectionError:
                 pass
-            assert sent_bytes < 30_000_000  # what fits into the buffers of both ends
+            assert sent_bytes < 30_000_000  # only what the buffers of both ends can hold
 
     run_async(test)
 
@@ -188,7 +189,7 @@
     async def test() -> None:
         classes = [RequestClass("r\u00e9servation", 1_000_000, 5_000_000), RequestClass("plain", 1_000_000, 5_000_000)]
         tenants = [Tenant("other", 1.0, 0.5), Tenant("caf\u00e9", 1.0, 0.5)]
-        path = quote("r\u00e9servation").encode()  # a path has no other spelling
+        path = quote("r\u00e9servation").encode()  # the only encoding that a path may have
         async with sidecar(Upstream(respond_in_turn(OK)), classes=classes, tenants=tenants) as running_sidecar:
             for number, tenant in enumerate(
                 (b"X-Tenant: " + encode_name("caf\u00e9") + b"\r\n", b"X-Tenant: who\r\n", b"")
@@ -205,10 +206,7 @@
                 )
                 assert status_of(response) == 200
         assert [accepted_request.class_index for accepted_request in accepted_requests] == [0, 0, 0]
-        assert [accepted_request.tenant for accepted_request in accepted_requests] == [
-            1,
-            2,
-            2,
-        ]  # one that is not known, or not named, is nobody's
+        # a tenant that is unknown or missing gets the index after the known ones
+        assert [accepted_request.tenant for accepted_request in accepted_requests] == [1, 2, 2]
 
     run_async(test)
--- a/tests/test_chunked_requests.py
+++ b/tests/test_chunked_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the application in chunks, over loopback sockets: what is taken, and what is not."""
+"""Requests with chunked bodies: which are forwarded and which are rejected."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def chunked_request(body: bytes, request_id: str = "1", coding_header: bytes = CHUNKED_HEADER) -> bytes:
-    """A request of an unsafe class whose head tells no length; `body` comes as it is, framing and all."""
+    """Return a non-idempotent request without Content-Length; `body` includes its chunk framing."""
     return request("pay", request_id).replace(CONTENT_LENGTH_HEADER, coding_header) + body
 
 
@@ -47,7 +47,7 @@
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as running_sidecar:
             reader, writer = await running_sidecar.connect()
-            for request_id in ("1", "2"):  # the next request on the connection begins where the chunks end
+            for request_id in ("1", "2"):  # the second request shows that the first was read to its exact end
                 writer.write(chunked_request(encoded_body, request_id, coding_header))
                 assert status_of(await read_message(reader)) == 200
             writer.close()
@@ -78,7 +78,7 @@
     run_async(test)
 
 
-MAX_REQUEST_BYTES = 1 << 20  # more than any request may take
+MAX_REQUEST_BYTES = 1 << 20  # larger than any request that the sidecar accepts
 ENDLESS_CHUNK_EXTENSION = b"1;" + b"x" * MAX_REQUEST_BYTES
 ENDLESS_TRAILERS = b"0\r\n" + b"X-Note: endless\r\n" * (MAX_REQUEST_BYTES // 16)
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""What the sidecar still sends for a client that has disconnected, over loopback sockets, counted at the converter."""
+"""The sidecar must not forward requests of disconnected clients; attempts are counted at the converter."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 )
 from tests.sidecar_probes import DelayedConnections, record_ended_attempts, record_requests
 
-EJECTION_S = 1.0  # longer than an upstream stays ejected after one failure
+EJECTION_S = 1.0  # longer than an upstream stays ejected after a single failure
 CLOSE_TIMEOUT_S = 1.0
-BODY_BYTES = 64_000  # more than the buffers of a narrowed connection hold
+BODY_BYTES = 64_000  # more than fits into the reduced buffers of a connection
 Steps = Callable[[Testbed], Awaitable[None]]
 Run = Callable[[Steps], None]
 
 
 @pytest.fixture(name="run")
 def run_fixture(monkeypatch: pytest.MonkeyPatch) -> Run:
-    """Return a function that runs steps on a testbed whose converter holds its responses."""
+    """Return a function that runs steps on a testbed whose converter holds back its responses."""
     accepted = record_requests(monkeypatch)
 
     def run(steps: Steps) -> None:
@@ -64,7 +64,7 @@
     return run
 
 
-# The event loop sees the end of the client before its request's turn comes
+# The event loop reads the disconnect before the request could be sent
 
 
 @pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
@@ -89,7 +89,7 @@
         with await testbed.send_buffered_request() as client:
             await asyncio.to_thread(client.sendall, b"x" * 500_000)
             assert client.recv(100).startswith(b"HTTP/1.1 400 ")
-            testbed.converter.respond(OK)  # the client is still there; the sidecar could not see its end
+            testbed.converter.respond(OK)  # still connected, but the sidecar could not notice a disconnect
             await testbed.check_only_forwarded(1)
 
     run(steps)
@@ -122,7 +122,7 @@
         await wait_until(lambda: len(testbed.converter.held_responses) == 1)
         testbed.converter.respond(NOT_RUN)
         await wait_until(lambda: ended == [0])
-        assert testbed.converter.started_attempts == 1  # it is ejected before the retry
+        assert testbed.converter.started_attempts == 1  # the converter is ejected, which delays the retry
         disconnect(client)
         await asyncio.sleep(EJECTION_S)
         await testbed.check_only_forwarded(1)
@@ -145,7 +145,7 @@
 
     async def test() -> None:
         with socket.socket() as listener:
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # too small for a complete request
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)  # smaller than the request
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             cached_list = endpoint_list(endpoint_entry("u0", listener.getsockname()[1]))
@@ -153,7 +153,7 @@
                 client = socket.create_connection(("127.0.0.1", running_sidecar.port))
                 client.sendall(request("pay", "2", body=b"x" * BODY_BYTES))
                 converter = await asyncio.to_thread(lambda: listener.accept()[0])
-                # Poll: the sidecar shares this loop, and could not write while it blocks.
+                # Poll instead of blocking: the sidecar runs in the same event loop.
                 await wait_until(lambda: bool(select.select([converter], [], [], 0)[0]))
                 client.close()
                 await asyncio.sleep(DISCONNECT_NOTICED_S)
@@ -164,7 +164,7 @@
 
 
 async def received_body_bytes(converter: socket.socket) -> int:
-    """Read to the end of the connection, or of the body, and return how many bytes of the body arrived."""
+    """Read until the connection or the body ends, and return how many bytes of the body arrived."""
     converter.settimeout(CLOSE_TIMEOUT_S)
     count = 0
     while count < BODY_BYTES and (data := await asyncio.to_thread(converter.recv, 65_536)):
@@ -172,7 +172,7 @@
     return count
 
 
-# A late event loop: the end of the client waits to be read when its request's turn comes
+# The event loop is late: the disconnect is not read yet when the request could be sent
 
 
 @pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
@@ -202,7 +202,7 @@
     async def test() -> None:
         converters = manual_converter(holds_responses=False), manual_converter(holds_responses=False)
         async with sidecar(*converters, classes=CLASSES) as running_sidecar:
-            while not all(converter.requests for converter in converters):  # each has an idle connection then
+            while not all(converter.requests for converter in converters):  # until each has an idle connection
                 assert status_of(await running_sidecar.fetch(request("pay"))) == 200
             await asyncio.sleep(SETTLE_S)
             started_before = sum(converter.started_attempts for converter in converters)
@@ -265,7 +265,7 @@
     run(steps)
 
 
-# Clients at the boundary: one that is still connected, and one that ends only its sending
+# Edge cases: a client that is still connected, and clients that close only their sending direction
 
 
 def test_client_that_pipelines_and_stays_connected_is_served(run: Run) -> None:
@@ -308,16 +308,15 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        upstream = Upstream(respond_after(release))  # one slot
+        upstream = Upstream(respond_after(release))  # it has one slot
         classes = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
         async with sidecar(upstream, classes=classes) as running_sidecar:
             first_response = asyncio.create_task(running_sidecar.fetch(request("pay", "1")))
             await wait_until(lambda: len(upstream.requests) == 1)
             _, writer = await running_sidecar.connect()
             writer.write(request("pay", "2"))
-            await wait_until(
-                lambda: b"2" in [accepted_request.request_id for accepted_request in accepted_requests]
-            )  # it waits for the slot
+            # request 2 then waits for the slot
+            await wait_until(lambda: b"2" in [accepted_request.request_id for accepted_request in accepted_requests])
             writer.write(b"x" * pipelined_bytes)
             writer.write_eof()
             await asyncio.sleep(0.2)
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration moves the watch and keeps what is open."""
+"""A reload of the configuration moves the watch to the new discovery address and keeps open requests."""
 
 from __future__ import annotations
 
@@ -52,7 +52,8 @@
             writer.write(request("pay"))
             await wait_until(lambda: len(old_upstream.requests) == 1)
             running_sidecar.reload.set()
-            await wait_until(lambda: "configuration not reloaded" in caplog.text)  # the old one stays
+            # the old configuration stays in force
+            await wait_until(lambda: "configuration not reloaded" in caplog.text)
             assert len(old_discovery.calls) == 1
             write_configuration(tmp_path, discovery=f"127.0.0.1:{new_discovery.port}")
             running_sidecar.reload.set()
@@ -62,7 +63,7 @@
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 while not new_upstream.requests:
                     await running_sidecar.fetch(request(request_id="2"))
-            running_sidecar.reload.set()  # the same address: nothing to do
+            running_sidecar.reload.set()  # the address is unchanged, so the watch stays
             release.set()
             assert status_of(await read_message(reader)) == 200
             writer.close()
--- a/tests/test_connection_eviction.py
+++ b/tests/test_connection_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction of client connections: which close for new ones, and what their clients get."""
+"""Eviction of client connections: which ones are closed for new ones, and how their clients are answered."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 async def answered_connection(
     running_sidecar: Sidecar, servers: list[Server]
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
-    """Return a connection on which a request was answered: its streams, and the sidecar's side."""
+    """Return a connection on which a request was answered: the client's streams and the sidecar's connection."""
     reader, writer = await running_sidecar.connect()
     writer.write(request("pay", "1"))
     assert status_of(await read_message(reader)) == 200
@@ -44,7 +44,7 @@
         async with sidecar(upstream) as running_sidecar:
             reader, writer, _ = await answered_connection(running_sidecar, servers)
             writer.write(request("pay", "2"))
-            servers[0].free_capacity()  # in the same turn: its bytes are there and were not read
+            servers[0].free_capacity()  # the request has arrived but was not read yet
             assert status_of(await read_message(reader)) == 200
             writer.close()
         assert len(upstream.requests) == 2
@@ -69,9 +69,8 @@
             assert servers[0].free_capacity()
             with pytest.raises(ConnectionResetError):
                 await reader.read()
-            assert (
-                status_of(await running_sidecar.fetch(request("pay", "2"))) == 200
-            )  # as the page has clients send it once more
+            # clients resend such a request once, on another connection
+            assert status_of(await running_sidecar.fetch(request("pay", "2"))) == 200
         assert len(upstream.requests) == 2
 
     run_async(test)
@@ -90,24 +89,24 @@
                         connection.transport is not None for connection in server.clients_by_state[ClientState.NEW]
                     )
                 )
-                await asyncio.sleep(FIRST_REQUEST_GRACE_S)  # from now on it may be evicted
+                await asyncio.sleep(FIRST_REQUEST_GRACE_S)  # afterwards the connection may be evicted
                 assert server.free_capacity()
-                client.sendall(request("pay", body=b"0123456789")[:-5])  # before the loop's next turn
+                client.sendall(request("pay", body=b"0123456789")[:-5])  # before the next iteration of the event loop
                 await asyncio.sleep(0.05)
-                assert client.recv(1) == b""  # not a reset: the end came before these bytes
+                assert client.recv(1) == b""  # end of stream instead of a reset
 
     run_async(test)
 
 
 def test_connection_closes_after_its_first_response_when_many_are_open() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
             first = await running_sidecar.connect()
             first[1].write(request())
             assert b"Connection: close" not in (await read_message(first[0]))[0]
             silent_connections = [await running_sidecar.connect() for _ in range(60)]
             assert b"Connection: close" in (await running_sidecar.fetch(request()))[0]
-            first[1].write(request())  # one that is in use stays
+            first[1].write(request())  # a connection in use stays open
             assert b"Connection: close" not in (await read_message(first[0]))[0]
             for _, writer in (first, *silent_connections):
                 writer.close()
@@ -117,7 +116,7 @@
 
 def test_most_recently_used_connection_is_not_evicted() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
             first = await running_sidecar.connect()
             other_connections = [await running_sidecar.connect() for _ in range(90)]
 
@@ -140,7 +139,7 @@
 
 def test_idle_connections_are_evicted_for_new_ones() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
             idle_connections = [await running_sidecar.connect() for _ in range(150)]
             assert status_of(await running_sidecar.fetch(request())) == 200
             assert await idle_connections[0][0].read() == b""
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file's command answers a real frame; the limits on the decision module."""
+"""The commands and file lists in the deploy file, and the rules for the decision modules."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from tests.test_simulator_protocol import EMPTY_BATCH, LIST_RECORD, batch_frame, instance_started
 
-pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the tree
+pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the source tree
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -52,12 +52,12 @@
 POLICY_MODULES = {name: (ROOT / name).read_text() for name in DEPLOY["policy"]}
 MAX_MODULE_LINES = 400
 MAX_LINE_LENGTH = 110
-# Standard modules without I/O, clocks or randomness of their own; draws come from the seeded `random.Random`.
+# Standard modules without I/O, clocks or unseeded randomness; random numbers come from the seeded `random.Random`.
 PURE_MODULES = {"__future__", "collections.abc", "dataclasses", "enum", "heapq", "math", "random", "typing"}
 
 
 def imports_of(text: str) -> set[str]:
-    """Return the dotted names that a module imports: of `from a import b` both `a` and `a.b`."""
+    """Return the dotted names that a module imports; `from a import b` counts as both `a` and `a.b`."""
     imported_names = set()
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Import):
@@ -79,7 +79,7 @@
     docstring = ast.get_docstring(ast.parse(POLICY_MODULES[name]))
     assert docstring is not None
     concern = docstring.splitlines()[0]
-    # The first module also names the interface.
+    # The first module's docstring has a second sentence, which names the interface.
     assert concern.endswith(".") and concern.count(". ") <= int(name == DEPLOY["policy"][0])
 
 
@@ -103,7 +103,7 @@
         if imported in sys.stdlib_module_names or imported.rpartition(".")[0] not in external_names
     }
     assert modules <= PURE_MODULES
-    # The functions of `random` itself draw from a generator without our seed.
+    # The functions of the `random` module use a generator that is not seeded by the balancer.
     random_names = {imported for imported in external_names if imported.partition(".")[0] == "random"}
     assert (
         random_names in (set(), {"random", "random.Random"})
@@ -112,7 +112,7 @@
 
 
 def test_modules_outside_the_policy_make_no_decisions() -> None:
-    """It draws nothing, and reads neither the constants of the decisions nor the state of upstreams."""
+    """Such modules use no randomness and import neither the decisions' constants nor the upstreams' state."""
     deciding = {module_name(name) for name in POLICY_MODULES}
     modules_with_balancer = {"ryepier/balancer/simulator_adapter.py", "ryepier/sidecar/dispatcher.py"}
     checked_modules = 0
@@ -130,7 +130,8 @@
 
 
 def test_numbers_in_decision_modules_are_named_constants_or_allowed() -> None:
-    allowed_numbers = {0, 1, 2, 4, 8, 20, 0.02, 0.1, 0.2, 0.25, 0.3, 0.5, 1_000_000}  # fit nobody
+    # generic numbers that are not tuned to a case
+    allowed_numbers = {0, 1, 2, 4, 8, 20, 0.02, 0.1, 0.2, 0.25, 0.3, 0.5, 1_000_000}
     tree = ast.parse("\n".join((ROOT / name).read_text() for name in DEPLOY["policy"]))
     bodies = [node for node in tree.body if isinstance(node, ast.ClassDef | ast.FunctionDef)]
     numbers = {
@@ -143,7 +144,7 @@
     assert "deployment" not in ast.dump(tree).lower()
 
 
-# Modules of the package that describe, read or write; all others decide.
+# Modules of the balancer package that only describe, read or write data; all others make decisions.
 NON_DECISION_MODULES = {
     "__init__",
     "actions",
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: the bound on connections, and what a sidecar still does while clients fill its descriptors."""
+"""Limits on connections, and how a sidecar works while clients occupy all descriptors that they may have."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 pytestmark = pytest.mark.alone
 
-MAX_NOTIFICATION_S = 6.0  # from when discovery can be reached
+MAX_NOTIFICATION_S = 6.0  # from when discovery becomes reachable
 MAX_POOL_CONNECTIONS = 8
 
 
@@ -67,12 +67,12 @@
         assert max_open == MAX_POOL_CONNECTIONS
         pool.start(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append).cancel()
         await wait_until(lambda: not pool.dial_tasks)
-        assert len(pool.idle[1]) == 8  # none is evicted for an attempt that was given up
+        assert len(pool.idle[1]) == 8  # a cancelled attempt evicts no idle connection
         cancelled_attempts = [
             pool.start(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append)
             for _ in range(8)
         ]
-        await asyncio.sleep(0)  # they wait for capacity
+        await asyncio.sleep(0)  # the attempts now wait for capacity
         for attempt in cancelled_attempts[:4]:
             attempt.cancel()
         pool.remove_upstream(0)
@@ -94,7 +94,7 @@
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=MAX_POOL_CONNECTIONS)
         results: list[AttemptResult] = []
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
-        for upstream_id in range(12):  # each at another converter
+        for upstream_id in range(12):  # each for a different converter
             pool.start(upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
         await wait_until(lambda: len(results) == 4)
         assert delayed.started == 8 and {result.outcome for result in results} == {Outcome.CONNECT_FAILED}
@@ -112,12 +112,12 @@
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar_in_process(upstream) as running_sidecar:
             data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
-            for _ in range(95):  # of the 100 that it accepts
+            for _ in range(95):  # of the 100 that the sidecar accepts
                 partial_requests.append(await running_sidecar.connect())
                 partial_requests[-1][1].write(data[:-5])
                 await asyncio.sleep(0.002)
             await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
-            partial_requests[5][1].write(data[-5:-4])  # this one is not stalled
+            partial_requests[5][1].write(data[-5:-4])  # this request is not stalled
             reader, new_writer = await running_sidecar.connect()
             other_connections = [await running_sidecar.connect() for _ in range(20)]
             await asyncio.sleep(0.1)
@@ -133,7 +133,7 @@
 
 
 async def open_connections(sidecar: LimitedSidecar, client_state: str, count: int) -> list[Streams]:
-    """Open connections of idle clients of one kind."""
+    """Open connections of clients that then stay in `client_state`."""
 
     async def open_connection() -> Streams:
         reader, writer = await sidecar.connect()
@@ -150,7 +150,7 @@
 async def keep_filled(
     sidecar: LimitedSidecar, client_state: str, count: int, stop_filling: asyncio.Event, release: asyncio.Event
 ) -> None:
-    """Replace the connections that the sidecar closes until `full` is set, and close them when `released` is."""
+    """Replace connections that the sidecar closes until `stop_filling` is set; close all when `release` is set."""
     connections: list[Streams] = []
     while not stop_filling.is_set():
         connections = [connection for connection in connections if not connection[0].at_eof()]
@@ -188,7 +188,7 @@
                 keep_filled(sidecar, client_state, 2 * DESCRIPTOR_LIMIT, stop_filling, release)
             )
             await asyncio.sleep(1.5)
-            assert sidecar.max_descriptors > DESCRIPTOR_LIMIT // 2  # it has as many clients as it accepts
+            assert sidecar.max_descriptors > DESCRIPTOR_LIMIT // 2  # the sidecar has as many clients as it accepts
             if agent is not None:
                 agent.close()
             discovery = Discovery(initial_list=converters(upstream, 2))
@@ -211,8 +211,8 @@
 async def answer_in_pieces(sidecar: LimitedSidecar, pause_s: float) -> bytes:
     """Send a request in two pieces, and return the first line of the response; empty if there was none.
 
-    A client that the machine holds up for longer than the grace of a first request, between connect and write, may be
-    evicted unread: its connection has ended before the write, or is reset by it. Only such a client connects again.
+    On a busy machine a client may be delayed between connect and write for longer than the grace period of a first
+    request, and be evicted: its connection is closed before the write or reset by it. Only such a client tries again.
     """
     while True:
         connecting_at = time.monotonic()
@@ -254,7 +254,7 @@
 
 
 def test_clients_with_partial_requests_are_answered_and_do_not_block_others(tmp_path: Path) -> None:
-    """512 clients send part of a request and connect anew as fast as they are closed."""
+    """512 clients send a part of a request, and reconnect as soon as their connection is closed."""
 
     async def test() -> None:
         upstream, port, finished = Upstream(respond_in_turn(OK)), free_port(), asyncio.Event()
@@ -290,7 +290,7 @@
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar_in_process(upstream) as running_sidecar:
             data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
-            for _ in range(100):  # as many as it accepts
+            for _ in range(100):  # as many as the sidecar accepts
                 partial_requests.append(await running_sidecar.connect())
                 partial_requests[-1][1].write(data[:-5])
             await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
@@ -299,7 +299,7 @@
                 head, _ = await read_message(partial_requests[0][0])
             assert head.startswith(b"HTTP/1.1 503 ")
             assert b"Connection: close\r\n" in head and b"Retry-After: 0.250\r\n" in head
-            partial_requests[0][1].write(data[-5:])  # while its connection lingers: no reset
+            partial_requests[0][1].write(data[-5:])  # must not cause a reset while the connection lingers
             assert await partial_requests[0][0].read() == b""
             for _, writer in partial_requests:
                 writer.close()
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the sidecar: configured, pushed, polled, invalid, from a new discovery address."""
+"""The endpoint list in the sidecar: cached, pushed, polled, invalid, and from a new discovery address."""
 
 from __future__ import annotations
 
@@ -141,7 +141,7 @@
 
 
 async def wait_until_used(running_sidecar: Sidecar, upstream: Upstream) -> None:
-    """Until a request has gone to it."""
+    """Send requests until one has reached the upstream."""
     async with asyncio.timeout(HANG_TIMEOUT_S):
         while not upstream.requests:
             await running_sidecar.fetch(request())
@@ -165,7 +165,7 @@
                 discovery.send_bytes(data[offset : offset + piece_length])
                 await discovery.writers[-1].drain()
                 if piece_length > 2:
-                    await asyncio.sleep(0.01)  # so that each comes by itself
+                    await asyncio.sleep(0.01)  # so that each piece arrives separately
             await wait_until_used(running_sidecar, new_upstream)
             assert len(discovery.calls) == 1 and not old_upstream.requests
         new_upstream.stop()
@@ -210,7 +210,7 @@
             await wait_until(lambda: len(discovery.calls) == 3)
             waiting_since = asyncio.get_running_loop().time()
             await wait_until(lambda: len(discovery.calls) == 4)
-            assert asyncio.get_running_loop().time() - waiting_since > 0.5  # 0.2, 0.4, 0.8 s
+            assert asyncio.get_running_loop().time() - waiting_since > 0.5  # the backoff is 0.2, 0.4, then 0.8 s
             assert status_of(await running_sidecar.fetch(request())) == 200
 
     run_async(test)
@@ -238,7 +238,7 @@
         cached_list = endpoint_list(endpoint_entry("u0", old_upstream.port))
 
         async def release_later() -> None:
-            """Its agent answers only then."""
+            """Let the agent respond, after 0.1 s."""
             await asyncio.sleep(0.1)
             release.set()
 
@@ -255,7 +255,7 @@
 
 def test_sidecar_with_a_silent_agent_starts_with_its_cached_list() -> None:
     async def test() -> None:
-        discovery = Discovery()  # it takes the call and says nothing
+        discovery = Discovery()  # accepts the watch and sends nothing
         async with sidecar(
             Upstream(respond_in_turn(OK)), discovery=discovery, polls_endpoints=False
         ) as running_sidecar:
@@ -281,7 +281,7 @@
         ) as running_sidecar:
             await old_discovery.wait_for_watch()
             old_discovery.send_list(endpoint_list(endpoint_entry("u0", old_upstream.port), rev=900))
-            old_discovery.stop()  # both in one turn of the loop
+            old_discovery.stop()  # with the reload in one iteration of the event loop
             running_sidecar.reload.set()
             await new_discovery.wait_for_watch()
             assert b"since=0 " in new_discovery.calls[0]
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -1,6 +1,6 @@
-"""A change of the endpoint list arrives within 6 s of discovery having it and being reachable, after any faults.
+"""A change of the endpoint list arrives within 6 s once discovery has it and is reachable, after any faults.
 
-One sidecar is checked over real connections, and a fleet in front of a discovery that serves polls in turn.
+Tested with one sidecar over real connections, and with a simulated fleet whose polls discovery serves one by one.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 from tests.polling_fleet import DiscoveryMode, Phase, PollingFleet
 
 MAX_DELAY_S = 6.0
-# How long a poll waits at a discovery that is reachable. Real ones wait for up to 2 s, but sidecars and discovery share
-# one process here: if it is stopped for a second, a poll of 1.5 s is given up at 2.5 s.
+# How long a reachable discovery takes to answer a poll. A real one takes up to 2 s, but here sidecars and discovery
+# share one process: if that is stalled for a second, a poll of 1.5 s is given up at 2.5 s.
 POLL_DURATION_S = 0.5
-MAX_MEASURED_DELAY_S = MAX_DELAY_S - 1.0  # a poll may take a second more; half a second is for a busy machine
+MAX_MEASURED_DELAY_S = MAX_DELAY_S - 1.0  # a poll may take 1 s longer; 0.5 s of the time is slack for a busy machine
 
 # One sidecar, real connections
 
 
 async def change_delay_s(fault_order: tuple[str, ...], is_pushed: bool, agents: dict[int, FaultyDiscovery]) -> float:
-    """Return the time from when discovery could be reached to the arrival of the change."""
+    """Return the time from when discovery became reachable until the change arrived."""
     agent = FaultyDiscovery(fault_order, 0.0 if is_pushed else POLL_DURATION_S)
     await agent.start()
     agents[agent.port] = agent
@@ -54,11 +54,8 @@
 
 
 SINGLE_FAULTS = [(fault,) for fault in FAULTS]
-SIMILAR_FAULTS = (
-    "head only",
-    "503 without end",
-    "half a list",
-)  # similar ones are paired, as all pairs would take too long
+# Left out of the pairs, which have similar faults instead: all pairs would take too long.
+SIMILAR_FAULTS = ("head only", "503 without end", "half a list")
 FAULT_PAIRS = list(itertools.permutations((fault for fault in FAULTS if fault not in SIMILAR_FAULTS), 2))
 LONGER_ORDERS = [
     ("silent", "silent", "silent"),
@@ -70,7 +67,7 @@
     ("unreadable",) * 6 + last_faults for last_faults in (("silent",), ("dial hangs",), ("refused", "half a list"))
 ]
 CASES = [(order, is_pushed) for order in SINGLE_FAULTS + FAULT_PAIRS + LONGER_ORDERS for is_pushed in (True, False)]
-CASES += [(order, True) for order in REPEATED_UNREADABLE_LISTS]  # only here the sidecar itself waits
+CASES += [(order, True) for order in REPEATED_UNREADABLE_LISTS]  # pushed only, as then the sidecar itself backs off
 
 
 def test_change_arrives_within_6_s_after_any_sequence_of_discovery_faults(
@@ -109,7 +106,7 @@
         return len(agent.calls)
 
     async def test() -> None:
-        cases = list(itertools.product((True, False), (NEW_BYTES, b"")))  # a new list, and none
+        cases = list(itertools.product((True, False), (NEW_BYTES, b"")))  # with a new list, and without one
         assert await asyncio.gather(*(count_calls(*case) for case in cases)) == [1] * len(cases)
 
     run_async(test)
@@ -117,14 +114,14 @@
 
 # A fleet, in virtual time
 
-FLEET_POLL_DURATION_S = 3  # discovery serves a poll of each sidecar in this time
+FLEET_POLL_DURATION_S = 3  # time in which discovery serves one poll of each sidecar
 BREAK_S = 10.0
 RETURN_S = 25.3
 RUN_AFTER_S = 20.0
 
 
 class Outage(NamedTuple):
-    """How the watches of all sidecars end at once, what polls meet from then on, and when discovery can be reached."""
+    """How all watches end at once, how discovery answers polls afterwards, and when it is reachable again."""
 
     by_silence: bool
     phases: list[Phase]
@@ -174,7 +171,7 @@
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
 def test_rejected_fleet_polls_evenly_and_each_sidecar_about_every_4_s(sidecar_count: int) -> None:
-    """With a new draw after each failure there would be twice as many polls, and most of them right at the return."""
+    """Drawing a new time after each failure would double the polls, most of them right when discovery returns."""
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [Phase(0.0, DiscoveryMode.REFUSED)])
     fleet.start_all()
     fleet.run_until(30.0)
@@ -186,7 +183,7 @@
 
 
 def check_updated(outage_name: str, fleet: PollingFleet, reachable_s: float) -> None:
-    """Check that all sidecars got the list in time, and print the polls a second that discovery gets."""
+    """Check that all sidecars got the list in time, and print the polls per second at discovery."""
     delays_s = fleet.update_delays_s(reachable_s)
     polls = " ".join(f"{second}:{count}" for second, count in sorted(fleet.polls.items()))
     median_s = sorted(delays_s)[len(delays_s) // 2]
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,7 +1,7 @@
-"""Every request has an answer by its deadline, in any order of faults.
+"""Every request gets an answer by its deadline, in any order of faults.
 
-Real sidecar processes, with open and partial requests, get a new configuration, a drain, connections that a converter
-resets as soon as it has accepted them, and SIGTERM.
+The faults hit sidecar processes with open and partial requests: a configuration reload, a drained converter, a
+converter that resets connections as soon as it has accepted them, and SIGTERM.
 """
 
 from __future__ import annotations
@@ -33,17 +33,18 @@
 FAULTS = ("reload", "drain", "kill", "pieces")
 FAULTS_BEFORE_SHUTDOWN = ("reload", "drain", "kill")
 BODY = b"a file in two halves"
-HEAD_PIECE, BODY_PIECE = 30, 12  # offsets of the splits: from the head's begin, from the body's end
-STEP_S = 0.03  # between two faults, over which requests are open
-WORK_S = 0.06  # of a converter
+HEAD_PIECE, BODY_PIECE = 30, 12  # offsets of the splits: from the start of the head, and from the end of the body
+STEP_S = 0.03  # between two faults; requests stay open over it
+WORK_S = 0.06  # time in which a converter handles a request
 CLASS_NAMES = ("read", "pay", "mark")
-CONCURRENT_SIDECARS = 4  # sidecars
+CONCURRENT_SIDECARS = 4
 RUN_TIMEOUT_S = 60.0
-SEEDED_FAULT_REPEATS = 4  # of an order with a seeded fault: by chance no request may be open at one of its faults
-MIN_REQUESTS_BEFORE = 3
-MIN_REQUESTS, MIN_SERVED = 10, 5  # of an order, for the check to be meaningful
+# A single run of an order with a seeded fault may have no open request at the fault.
+SEEDED_FAULT_REPEATS = 4
+MIN_REQUESTS_BEFORE = 3  # to each converter before an order begins
+MIN_REQUESTS, MIN_SERVED = 10, 5  # per order, for the check to be meaningful
 
-# A fault of tests/seeded_sidecar_faults.py, and an order in which it leaves a request without an answer
+# Faults of tests/seeded_sidecar_faults.py, each with an order in which it leaves a request without an answer
 SEEDED_FAULTS = [
     ("forget_open_on_reload", ("drain", "reload", "pieces", "kill")),
     ("forget_open_on_drain", ("pieces", "drain", "kill", "reload")),
@@ -57,13 +58,13 @@
 async def respond_after_work(
     upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Script that responds after some work."""
+    """Script that responds after WORK_S."""
     await asyncio.sleep(WORK_S)
     writer.write(OK)
 
 
 class Scenario:
-    """Three converters, a sidecar's discovery agent and its application; the faults are methods."""
+    """Three converters, a discovery agent and a client of one sidecar; each fault is a method."""
 
     def __init__(self) -> None:
         self.application = Application()
@@ -71,8 +72,8 @@
         self.agent = Agent()
         self.agents: list[Agent] = []
         self.revision = 1
-        self.generation = 0  # of the converters that drain and die
-        self.drain_state = "active"  # of the one that is to drain
+        self.generation = 0  # counts the replacements of the draining and the dying converter
+        self.drain_state = "active"  # listed state of the draining converter
         self.partial: list[Exchange] = []
 
     async def start(self) -> None:
@@ -100,7 +101,7 @@
         await self.agent.start()
 
     async def reset_converters(self, sidecar: SidecarProcess) -> None:
-        """Replace the converters by healthy ones, and wait until the sidecar uses each."""
+        """Replace the draining and the dying converter by new ones, and wait until the sidecar uses them."""
         old = self.draining, self.dying
         self.draining, self.dying = Converter(respond_after_work), Converter(respond_after_work)
         await self.draining.start()
@@ -115,7 +116,7 @@
         await self.use_all_converters(sidecar)
 
     async def use_all_converters(self, sidecar: SidecarProcess) -> None:
-        """Send requests until each converter has had some, so that the sidecar sends several at once."""
+        """Send requests until both faulty converters have had some, after which the sidecar sends several at once."""
         async with asyncio.timeout(RUN_TIMEOUT_S):
             while min(len(self.draining.requests), len(self.dying.requests)) < MIN_REQUESTS_BEFORE:
                 await self.application.fetch(sidecar, "read")
@@ -134,7 +135,7 @@
         self.drain_state = "leaving"
         self.revision += 1
         self.agent.initial_list = self.endpoint_list()
-        if self.agent.writers:  # else the next watch begins with it
+        if self.agent.writers:  # otherwise the next watch begins with the new list
             self.agent.send_list(self.agent.initial_list)
 
     async def kill_converter(self, sidecar: SidecarProcess) -> None:
@@ -144,7 +145,7 @@
         sidecar.stop()
 
     async def send_first_pieces(self, sidecar: SidecarProcess) -> None:
-        """Send part of a request of each class: one is split in the head, the others in the body too."""
+        """Send the first piece of a request of each class; all are split in the head, those with a body also in it."""
         for class_name in CLASS_NAMES:
             body = b"" if class_name == "read" else BODY
             exchange = await self.application.send_first_piece(sidecar, class_name, [HEAD_PIECE], body)
@@ -153,25 +154,25 @@
 
     @staticmethod
     def split_body(exchange: Exchange, body_length: int) -> None:
-        """Split the remainder of a request in its body, if it has one, else in its head."""
+        """Split the unsent part of a request in its body, or in the head if it has no body."""
         (unsent,) = exchange.unsent
         split_offset = len(unsent) - (BODY_PIECE if body_length else 2)
         exchange.unsent = [unsent[:split_offset], unsent[split_offset:]]
 
     def send_next_pieces(self) -> None:
-        """Send the next piece of each partial request, unless it is the last."""
+        """Send the next piece of each partial request, unless it is the last piece."""
         for exchange in self.partial:
             if len(exchange.unsent) > 1:
                 exchange.send_next()
 
     def send_last_pieces(self) -> None:
-        """Complete the partial requests."""
+        """Send the rest of the partial requests."""
         for exchange in self.partial:
             self.application.finish(exchange)
         self.partial.clear()
 
     async def run(self, sidecar: SidecarProcess, order: Sequence[str]) -> None:
-        """Let the faults occur in this order; requests are open over each until the shutdown."""
+        """Apply the faults in this order, each with open requests until the shutdown begins."""
         faults: dict[str, Callable[[SidecarProcess], Any]] = {
             "reload": self.reload_configuration,
             "drain": self.drain_converter,
@@ -194,7 +195,7 @@
 
 
 async def run_orders(directory: Path, orders: Sequence[Sequence[str]], seeded_fault: str = "") -> list[ClientRequest]:
-    """Run all orders in turn with one sidecar, which only the last may end, and return its application's requests."""
+    """Run the orders one after another with one sidecar, which only the last may stop, and return all requests."""
     scenario = Scenario()
     await scenario.start()
     sidecar = SidecarProcess(directory, "sidecar", scenario.agent, scenario.endpoint_list(), seeded_fault)
@@ -215,7 +216,7 @@
 
 
 def stop_orders() -> list[tuple[str, ...]]:
-    """Return each order of the other faults between the pieces of requests, with the shutdown at each place."""
+    """Return all orders of the faults after the first pieces are sent, with the shutdown at varying positions."""
     orders = []
     for order_index, order in enumerate(itertools.permutations(FAULTS_BEFORE_SHUTDOWN)):
         stop_position = order_index % (len(order) + 1)
@@ -224,12 +225,12 @@
 
 
 def orders_from(first_fault: str) -> list[tuple[str, ...]]:
-    """Return the orders of all faults but the shutdown that begin with this one."""
+    """Return the orders of all faults except the shutdown that begin with `first_fault`."""
     return [order for order in itertools.permutations(FAULTS) if order[0] == first_fault]
 
 
 async def run_all(directory: Path) -> dict[str, list[ClientRequest]]:
-    """Run everything, a few sidecars at a time so that a busy machine keeps up, and return the requests by run."""
+    """Run all orders, with a few sidecars at a time to limit the load, and return the requests of each run."""
     semaphore = asyncio.Semaphore(CONCURRENT_SIDECARS)
 
     async def run(
@@ -246,18 +247,18 @@
 
 
 def repeat_count(order: Sequence[str]) -> int:
-    """Return how often an order is run with a seeded fault; a shutdown ends the sidecar."""
+    """Return how often to run an order with a seeded fault; only once if it stops the sidecar."""
     return 1 if "stop" in order else SEEDED_FAULT_REPEATS
 
 
 @pytest.fixture(scope="module")
 def requests_by_run(tmp_path_factory: pytest.TempPathFactory) -> dict[str, list[ClientRequest]]:
-    """Return the requests of all runs."""
+    """Return the requests of all runs, by the name of the run."""
     return asyncio.run(run_all(tmp_path_factory.mktemp("unanswered")))
 
 
 def check_request_counts(requests: Sequence[ClientRequest], order_count: int) -> None:
-    """Check that enough was sent and served for the other checks to be meaningful."""
+    """Check that enough requests were sent and served for the other checks to be meaningful."""
     assert len(requests) >= MIN_REQUESTS * order_count
     assert sum(record.status == SERVED for record in requests) >= MIN_SERVED * order_count
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,7 +1,6 @@
-"""Graceful shutdown: open requests, and those that still arrive, are answered.
+"""Graceful shutdown: open requests and those that still arrive are answered.
 
-The tests force an order of events that is rare otherwise: the peers' scripts hold it, or it is put between two steps of
-the sidecar.
+The tests force orders of events that are rare otherwise, by scripts of the upstreams or by patches of the sidecar.
 """
 
 from __future__ import annotations
@@ -43,16 +42,14 @@
             await release.wait()
             writer.write(OK)
 
-        upstreams = [Upstream(script), Upstream(script)]  # one slot each
+        upstreams = [Upstream(script), Upstream(script)]  # each has one slot
 
         def forwarded_request_count() -> int:
             return sum(len(upstream.requests) for upstream in upstreams)
 
         async with sidecar(*upstreams) as running_sidecar:
-            (
-                idle_reader,
-                idle_writer,
-            ) = await running_sidecar.connect()  # it has had an answer: nothing new is on its way
+            # after its answer no further request is on its way on this connection
+            idle_reader, idle_writer = await running_sidecar.connect()
             idle_writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             await read_message(idle_reader)
             reader, writer = await running_sidecar.connect()
@@ -89,7 +86,7 @@
             running_sidecar.stop.set()
             response = await read_message(reader)
             assert status_of(response) == 500 and b"Connection: close" in response.head
-            assert not running_sidecar.task.done()  # else the process had ended with the request open
+            assert not running_sidecar.task.done()  # otherwise the process would have ended with the request open
             writer.close()
             await running_sidecar.task
 
@@ -107,7 +104,7 @@
             loop = asyncio.get_running_loop()
             running_sidecar.stop.set()
             stopped_at = loop.time()
-            await asyncio.sleep(1.5)  # so that its own time ends 0.8 s after the soonest kill
+            await asyncio.sleep(1.5)  # its deadline is then 0.8 s after the earliest possible kill
             writer.write(complete_request[-1:])
             head, _ = await read_message(reader)
             assert b"Connection: close" in head and loop.time() - stopped_at < 3.2
@@ -138,7 +135,7 @@
     stop_listening = Server.stop_listening
 
     def connect_then_stop_listening(self: Server) -> None:
-        for _ in range(40):  # more than are taken in one turn
+        for _ in range(40):  # more than are accepted in one loop iteration
             late_connections.append(socket.create_connection(self.address))
             late_connections[-1].sendall(request())
         stop_listening(self)
@@ -170,7 +167,7 @@
 
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
-            await asyncio.sleep(0.3)  # what came to see whether it is up is young no more
+            await asyncio.sleep(0.3)  # until the grace period of the connection that waited for the listener is over
             client_count = len(clients)
             reader, writer = await running_sidecar.connect()
             await wait_until(lambda: len(clients) > client_count)
@@ -215,7 +212,7 @@
                 await loop.sock_connect(sock, ("127.0.0.1", running_sidecar.port))
                 await loop.sock_sendall(sock, request())
                 await wait_until(lambda: len(upstream.requests) == 1)
-                await asyncio.sleep(0.3)  # the answer is on its way, and more than fits
+                await asyncio.sleep(0.3)  # a part of the response now fills the buffers
                 running_sidecar.stop.set()
                 await asyncio.sleep(0.7)
                 received = b""
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -1,4 +1,4 @@
-"""The deadline passed to an upstream is at most what the client has left when the request is written."""
+"""The deadline passed to an upstream is at most the time that the client has left when the request is written."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class DeadlineRecorder:
-    """An upstream that notes, for each request, the deadline passed to it and the time its client had left."""
+    """An upstream that records, for each request, the deadline passed to it and the time that its client had left."""
 
     def __init__(self) -> None:
         self.upstream = Upstream(self.serve)
@@ -88,7 +88,7 @@
 
 
 def block_loop_after_dial(upstream: Upstream, blocked_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hold up the whole loop between the connection's coming up and the write."""
+    """Block the event loop between the establishment of a connection and the write on it."""
     connect = asyncio.SelectorEventLoop.sock_connect
 
     async def connect_and_block(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
@@ -123,7 +123,7 @@
             assert status_of(await running_sidecar.fetch(request("pay", deadline_ms=400))) == 503
             assert upstream.requests == []
             monkeypatch.undo()
-            await asyncio.sleep(0.5)  # until the buffer of the sidecar's admission is over
+            await asyncio.sleep(0.5)  # until the sidecar's admission control allows requests again
             assert status_of(await running_sidecar.fetch(request("pay", deadline_ms=400))) == 200
         assert len(upstream.requests) == 1
 
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -1,4 +1,4 @@
-"""Final answers by the outcomes of attempts, over loopback sockets."""
+"""Final answers depending on the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     ("first_response", "expected_status", "attempt_count"),
     [
-        (NOT_RUN, 200, 2),  # never ran: an unsafe request may go again
+        (NOT_RUN, 200, 2),  # it never ran, so that even a non-idempotent request may be retried
         (ERROR, 500, 1),
-        (UNMARKED_503, 500, 1),  # it may have run; passing it on would be a refusal
+        (UNMARKED_503, 500, 1),  # it may have run; a 503 to the client would claim that it did not
         (b"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", 200, 2),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 500, 1),
         (b"", 500, 1),
@@ -170,20 +170,19 @@
 
 def test_response_that_arrives_in_the_loop_iteration_of_the_timeout_is_the_answer() -> None:
     async def test() -> None:
-        classes = [
-            RequestClass("read", latency_objective_us=400_000, deadline_us=20_000_000, late_weight=0.5)
-        ]  # times out after 0.4 s
+        # attempts time out after 0.4 s
+        classes = [RequestClass("read", latency_objective_us=400_000, deadline_us=20_000_000, late_weight=0.5)]
 
         async def script(
             upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             await asyncio.sleep(0.2)
-            time.sleep(0.4)  # the loop hangs over the time-out: answer and timer are both due in its next turn
+            time.sleep(0.4)  # blocks the loop, so that response and timeout are handled in its next iteration
             writer.write(OK)
 
         upstream = Upstream(script)
         async with sidecar(upstream, classes=classes, hedging=False) as running_sidecar:
             assert status_of(await running_sidecar.fetch(request())) == 200
-        assert len(upstream.requests) == 1  # the attempt was not given up, and nothing was sent again
+        assert len(upstream.requests) == 1  # the attempt was neither abandoned nor retried
 
     run_async(test)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -1,9 +1,9 @@
-"""No sidecar is without service for 4 s while others serve, however its list arrives.
+"""No sidecar fails to serve for 4 s while others serve, in whatever way its endpoint list arrives.
 
-A fleet of real sidecar processes, each with its own discovery agent, has all its converters replaced at once. One
-sidecar is notified at once; each of the others in another way: late after a silent watch, by a complete list after one,
-after SIGHUP, after a restart, of converters that warm up only; with pushed and with polled lists. Further sidecars have
-a seeded fault each, which one of the ways shows.
+All converters of a fleet of sidecar processes, each with a separate discovery agent, are replaced at once. One sidecar
+is notified at once. Each other one is notified in a different way, with pushed and with polled lists: late after a
+silent watch, by a complete list after a silent watch, after SIGHUP, after a restart, or of converters that are all
+warming up. Further sidecars each have a seeded fault that one of these ways reveals.
 """
 
 from __future__ import annotations
@@ -33,40 +33,40 @@
 )
 from tests.network_peers import OK, Upstream, endpoint_entry, endpoint_list
 
-pytestmark = pytest.mark.xdist_group("service_after_lists")  # one run serves all its tests
+pytestmark = pytest.mark.xdist_group("service_after_lists")  # all tests share one run
 
-CONVERTERS = 3  # before and after
-WORK_S = 0.02  # of a converter
+CONVERTERS = 3  # number of converters before and after the replacement
+WORK_S = 0.02  # time in which a converter handles a request
 REQUEST_INTERVAL_S = 0.1
 CLASSES = ("read", "pay")
-BEFORE_S = 1.0  # without faults
-LIST_DELAY_S = 0.5  # from a call to its list
-OLD_CONVERTERS_S = 4.5  # from the replacement to the end of the old converters; a silent watch is opened again before
+BEFORE_S = 1.0  # before the replacement
+LIST_DELAY_S = 0.5  # from a new watch to its list
+OLD_CONVERTERS_S = 4.5  # until the old converters stop; a silent watch is reopened before that
 AFTER_S = MIN_OUTAGE_S + 1.5
 CONCURRENT_STARTS = 3
 RUN_TIMEOUT_S = 60.0
 AT_ONCE = "told-at-once"
-SEEDED_FAULT_BY_MODE = {  # the fault that each way shows
+SEEDED_FAULT_BY_MODE = {  # the fault that each mode of notification reveals
     "late": "never_watch_again",
     "whole": "ignore_complete_lists",
     "sighup": "lose_watch_on_reload",
     "restart": "keep_configured_list",
     "cold": "reject_while_warming_up",
 }
-POLLING_NAME_FORMAT = "{}-asked"  # the name of a sidecar that polls
+POLLING_NAME_FORMAT = "{}-asked"  # names of the sidecars that poll
 
 
 async def respond_after_work(
     upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Script that responds after some work."""
+    """Script that responds after WORK_S."""
     await asyncio.sleep(WORK_S)
     writer.write(OK)
 
 
 @dataclass
 class FleetSidecar:
-    """A sidecar of the fleet, and how it is notified."""
+    """A sidecar of the fleet, and the way in which it is notified."""
 
     notification_mode: str
     agent: Agent
@@ -75,24 +75,24 @@
 
 @dataclass
 class Observation:
-    """The requests of one run, with times in seconds of the event loop."""
+    """The requests of one run; times are in seconds on the event loop's clock."""
 
     requests: list[ClientRequest]
-    replaced_s: float  # the converters began to be replaced
+    replaced_s: float  # when the replacement began
     end_s: float
 
     def outages(self, sidecar: str) -> list[Outage]:
-        """Return the times in which this sidecar served no request."""
+        """Return the outages of this sidecar."""
         outages = find_outages(self.requests, self.replaced_s, self.end_s)
         return [outage for outage in outages if outage.sidecar == sidecar]
 
     def served(self, sidecar: str) -> int:
-        """Return how many requests it served."""
+        """Return how many requests this sidecar served."""
         return sum(request.sidecar == sidecar and request.status == SERVED for request in self.requests)
 
 
 class Fleet:
-    """The sidecars, their agents, the converters that are replaced and the new ones."""
+    """The sidecars, their agents, and the old and new converters."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
@@ -101,7 +101,7 @@
         self.new_converters = [Converter(respond_after_work) for _ in range(CONVERTERS)]
         self.fleet_sidecars: list[FleetSidecar] = []
         self.agents: list[Agent] = []
-        self.paused: set[str] = set()  # sidecars that get no requests
+        self.paused: set[str] = set()  # names of the sidecars that get no requests at the moment
 
     def first_list(self) -> dict[str, Any]:
         return endpoint_list(
@@ -133,7 +133,7 @@
         return agent
 
     async def start(self) -> None:
-        """Start everything; all sidecars know the old converters."""
+        """Start everything, with the old converters in the lists of all sidecars."""
         for converter in self.old_converters + self.new_converters:
             await converter.start()
         for notification_mode in (AT_ONCE, *SEEDED_FAULT_BY_MODE):
@@ -154,7 +154,7 @@
     async def add_sidecar(
         self, name: str, notification_mode: str, seeded_fault: str = "", settings: dict[str, Any] = PUSHED_SETTINGS
     ) -> None:
-        """Add a sidecar that is not started yet."""
+        """Add a sidecar without starting it."""
         agent = await self.new_agent(self.first_list())
         process = SidecarProcess(self.directory / name, name, agent, self.first_list(), seeded_fault, settings)
         self.fleet_sidecars.append(FleetSidecar(notification_mode, agent, process))
@@ -177,7 +177,7 @@
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
     async def notify(self, fleet_sidecar: FleetSidecar) -> None:
-        """Notify one sidecar of the replacement, in its way."""
+        """Notify one sidecar of the replacement in its mode."""
         notifiers: dict[str, Callable[[FleetSidecar], Awaitable[None]]] = {
             AT_ONCE: self.notify_at_once,
             "late": self.notify_late,
@@ -189,31 +189,31 @@
         await notifiers[fleet_sidecar.notification_mode](fleet_sidecar)
 
     async def notify_at_once(self, fleet_sidecar: FleetSidecar) -> None:
-        """Push the change."""
+        """Push the change on the open watch."""
         fleet_sidecar.agent.initial_list = self.complete_list()
         fleet_sidecar.agent.send_list(self.changes())
 
     async def notify_late(self, fleet_sidecar: FleetSidecar) -> None:
-        """Let the watch fall silent, and send the change late on the next one."""
+        """Let the watch fall silent, and send the change on the next watch after a delay."""
         await self.silence_until_next_watch(fleet_sidecar, None)
         await asyncio.sleep(LIST_DELAY_S)
         fleet_sidecar.agent.send_list(self.changes())
         fleet_sidecar.agent.silent = False
 
     async def notify_by_complete_list(self, fleet_sidecar: FleetSidecar) -> None:
-        """Let the watch fall silent, and begin the next one with the complete list."""
+        """Let the watch fall silent, and begin the next watch with the complete list."""
         await self.silence_until_next_watch(fleet_sidecar, self.complete_list())
         fleet_sidecar.agent.silent = False
 
     async def silence_until_next_watch(self, fleet_sidecar: FleetSidecar, initial_list: dict[str, Any] | None) -> None:
-        """Keep the watch silent until there is a new one."""
+        """Keep the watch silent until the sidecar opens a new one, which begins with `initial_list`."""
         agent = fleet_sidecar.agent
         agent.silent, agent.initial_list = True, initial_list
         agent.watch_opened.clear()
         await agent.wait_for_watch()
 
     async def notify_after_sighup(self, fleet_sidecar: FleetSidecar) -> None:
-        """Move discovery: only its new address has the change."""
+        """Move discovery to a new address, which alone has the change."""
         fleet_sidecar.agent = await self.new_agent(self.complete_list())
         fleet_sidecar.process.reload(fleet_sidecar.agent)
 
@@ -227,7 +227,7 @@
         self.paused.discard(fleet_sidecar.process.name)
 
     async def notify_of_warming_converters(self, fleet_sidecar: FleetSidecar) -> None:
-        """Push the change; all new converters have just started."""
+        """Push the change, with new converters that have all just started."""
         boot_ms = time.time_ns() // 1_000_000
         fleet_sidecar.agent.initial_list = self.complete_list(boot_ms)
         fleet_sidecar.agent.send_list(self.changes(boot_ms))
@@ -246,14 +246,14 @@
         end_s = loop.time()
         for task in tasks:
             if task.done():
-                task.result()  # raise its error
+                task.result()  # raises the exception of a failed task
             task.cancel()
         await self.application.wait_until_ended()
         return Observation(self.application.requests, replaced_s, end_s)
 
 
 async def run(directory: Path) -> Observation:
-    """Run the fleet once, and leave no process behind."""
+    """Run the fleet once and stop all its processes."""
     fleet = Fleet(directory)
     try:
         async with asyncio.timeout(RUN_TIMEOUT_S):
@@ -281,12 +281,12 @@
 
 @pytest.mark.parametrize("seeded_fault", SEEDED_FAULT_BY_MODE.values())
 def test_check_finds_an_outage_caused_by_a_seeded_fault(seeded_fault: str, observation: Observation) -> None:
-    assert observation.served(seeded_fault)  # before the converters were replaced
+    assert observation.served(seeded_fault)  # it served before the replacement
     assert observation.outages(seeded_fault)
 
 
 def requests_of(sidecar: str, status: int, request_count: int, duration_s: float) -> list[ClientRequest]:
-    """Return requests spread evenly over a time that begins at 0, without its ends."""
+    """Return requests spread evenly over a period from 0 to `duration_s`, excluding both ends."""
     return [
         ClientRequest(sidecar, "", sent_s=duration_s * (index + 1) / (request_count + 1), status=status)
         for index in range(request_count)
--- a/tests/test_sidecar_components.py
+++ b/tests/test_sidecar_components.py
@@ -1,4 +1,4 @@
-"""What a sidecar is put together from: another source and a further front stand in for the platform's."""
+"""A sidecar can be assembled with another endpoint source and an additional front end."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StaticSource:
-    """A source that tells of one converter for ever, and of the addresses that reloads bring."""
+    """A source with a fixed list of one converter, which records the discovery addresses of reloads."""
 
     def __init__(self, dispatcher: RequestDispatcher, port: int) -> None:
         self.dispatcher = dispatcher
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -1,4 +1,4 @@
-"""The program that `run` in the deploy file starts: configuration, readiness, SIGTERM."""
+"""The program that the deploy file's `run` command starts: configuration, readiness and signals."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     write_configuration,
 )
 
-pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the tree
+pytestmark = pytest.mark.xdist_group("deploy_build")  # builds the environment in the source tree
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -58,7 +58,7 @@
 
 
 def test_build_compiles_the_sources(tmp_path: Path) -> None:
-    with running_program(write_configuration(tmp_path)):  # which builds first
+    with running_program(write_configuration(tmp_path)):  # runs the build first
         for source in (
             ROOT / "ryepier" / "__init__.py",
             *(ROOT / "ryepier" / "sidecar").glob("*.py"),
@@ -115,7 +115,7 @@
         writer.write(OK)
 
     async def client(client_index: int, port: int, stopped: asyncio.Event, answered: set[str]) -> None:
-        """Sends one request after another; after the stop until its connection is closed."""
+        """Send one request after another until the connection is closed, which must not happen before the stop."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for request_index in range(10_000):
             request_id = f"{client_index}-{request_index}"
@@ -123,7 +123,7 @@
                 writer.write(request("pay", request_id, b"b"))
                 head, _ = await read_message(reader)
             except (asyncio.IncompleteReadError, ConnectionError):
-                assert stopped.is_set()  # closed between requests
+                assert stopped.is_set()  # the connection may be closed between two requests
                 break
             answered.add(request_id)
             if b"Connection: close" in head:
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave some requests without an answer."""
+"""Upstreams that never respond to some requests."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         ) -> None:
             if upstream.requests[request_index][1] == b"lost":
                 await never_respond(upstream, request_index, reader, writer)
-            await asyncio.sleep(0.02)  # so that requests meet, and slots are opened
+            await asyncio.sleep(0.02)  # so that requests overlap and the sidecar opens more slots
             writer.write(OK)
 
         upstream = Upstream(script)
@@ -55,9 +55,8 @@
             } != {200}:
                 pass
             unanswered = []
-            while (
-                count_before := unanswered_count()
-            ) <= MAX_CONCURRENCY:  # until there is one more than there are slots
+            # until there is one more than there can be slots
+            while (count_before := unanswered_count()) <= MAX_CONCURRENCY:
                 reader, writer = await running_sidecar.connect()
                 writer.write(request("pay", body=b"lost", deadline_ms=600_000))
                 response = asyncio.create_task(read_message(reader))
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -40,7 +40,7 @@
 def test_connection_is_reused_unless_surplus_bytes_arrived_or_it_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # requests come one right after the other
+    monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # allows reuse at once
 
     async def test() -> None:
         surplus, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
@@ -54,7 +54,7 @@
 
 
 def test_connection_is_reused_per_upstream_and_not_per_address(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # requests come one right after the other
+    monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # allows reuse at once
 
     async def test() -> None:
         release, discovery = asyncio.Event(), Discovery()
@@ -73,7 +73,7 @@
             reader, writer = await running_sidecar.connect()
             writer.write(request())
             await wait_until(lambda: len(upstream.requests) == 2)
-            # another comes to the address of the one that leaves, and then the old one has gone
+            # a new upstream gets the address of the leaving one, which is removed afterwards
             discovery.send_list(
                 endpoint_list(
                     endpoint_entry("u0", upstream.port, "leaving"),
@@ -89,7 +89,7 @@
             discovery.send_list(endpoint_list(endpoint_entry("u0", upstream.port, "left"), rev=3, full=False))
             release.set()
             assert status_of(await read_message(reader)) == 200
-            for _ in range(3):  # the old one's connection does not come back, the new one's stays
+            for _ in range(3):  # the old upstream's connection is not reused, the new one's is kept
                 assert status_of(await running_sidecar.fetch(request())) == 200
             assert upstream.connections == 2
             writer.close()
@@ -117,7 +117,7 @@
         start_attempt(0)
         await wait_until(lambda: len(results) == 1)
         assert results[0].outcome is Outcome.OK and len(pool.idle[0]) == 1
-        blocking_attempts = [start_attempt(1), start_attempt(2)]  # the idle one makes room
+        blocking_attempts = [start_attempt(1), start_attempt(2)]  # the idle connection is closed for these
         await wait_until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
         assert pool.idle == {}
         start_attempt(0)
@@ -125,7 +125,7 @@
         assert results[1].outcome is Outcome.CONNECT_FAILED
         for attempt in blocking_attempts:
             attempt.cancel()
-        start_attempt(0).cancel()  # before its dial began
+        start_attempt(0).cancel()  # cancelled before its dial begins
         await wait_until(lambda: not pool.dial_tasks and pool.connections == {})
         assert len(upstreams[0].requests) == 1
         for upstream in upstreams:
@@ -145,7 +145,7 @@
         for _ in range(3):
             pool.record_reuse(200_000, broke=True)
         assert not pool.may_reuse(210_000) and pool.may_reuse(20_000) and pool.may_reuse(2_000_000)
-        await wait_until(lambda: pool.may_reuse(200_000))  # they are tried again in time
+        await wait_until(lambda: pool.may_reuse(200_000))  # such connections are tried again later
         pool.sweep_timer.cancel()
 
     async def test_over_sockets() -> None:
@@ -153,7 +153,7 @@
             upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(OK)
-            await read_message(reader)  # whatever comes next on it breaks it
+            await read_message(reader)  # the next request on the connection breaks it
             writer.transport.abort()
             raise ConnectionResetError
 
@@ -167,7 +167,8 @@
         for number in range(80):
             pool.start(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
             await wait_until(partial(has_results, number + 1))
-        assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30  # else each second one
+        # without the limit every second request would fail
+        assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30
         upstream.stop()
         pool.sweep_timer.cancel()
 
@@ -283,7 +284,7 @@
             upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             delayed.delay(second_upstream if upstream is first_upstream else first_upstream, monkeypatch)
-            writer.transport.abort()  # it may have run, and goes again in its group
+            writer.transport.abort()  # it may have run, and is retried in the same failure domain
             raise ConnectionResetError
 
         first_upstream, second_upstream = Upstream(script), Upstream(script)
@@ -326,13 +327,12 @@
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         pool.start(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
-        pool.remove_upstream(1)  # before the dial's own first step
+        pool.remove_upstream(1)  # before the dial task runs
         assert not results
         await wait_until(lambda: bool(results))
         assert results[0].outcome is Outcome.CONNECT_FAILED
-        pool.start(
-            1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
-        )  # it is listed again
+        # the upstream is listed again
+        pool.start(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
         await wait_until(lambda: len(results) == 2)
         assert results[1].outcome is Outcome.OK and len(upstream.requests) == 1
         upstream.stop()
@@ -356,7 +356,7 @@
         upstream = Upstream(script)
         async with sidecar(upstream) as running_sidecar:
             reader, writer = await running_sidecar.connect()
-            for _ in range(2):  # the second sets out the moment the first is answered
+            for _ in range(2):  # the second request is sent as soon as the first is answered
                 writer.write(request("pay"))
                 assert (await read_message(reader))[1] == b"done"
             writer.close()
