--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -335,7 +335,7 @@
         """Whether the write buffer is empty; closing the connection would drop its contents."""
         return self.transport is None or self.transport.get_write_buffer_size() == 0
 
-    def has_nothing_unread(self) -> bool:
+    def has_no_unread_bytes(self) -> bool:
         """Return whether the socket has no received bytes that were not read yet."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK) == b""
@@ -363,5 +363,5 @@
             return
         may_still_flush = now < self.state_since + STATE_TIMEOUTS_S[self.state] + FLUSH_TIMEOUT_S
         is_lingering = self.state is ClientState.CLOSING
-        if (self.is_flushed or not may_still_flush) and (is_lingering or self.has_nothing_unread()):
+        if (self.is_flushed or not may_still_flush) and (is_lingering or self.has_no_unread_bytes()):
             self.close()
--- a/ryepier/sidecar/config.py
+++ b/ryepier/sidecar/config.py
@@ -49,8 +49,8 @@
 
 def parse_address(text: str) -> Address:
     """Split `host:port` into its parts. Raises ValueError if the text has another form."""
-    host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdecimal():
+    host, separator, port = text.rpartition(":")
+    if not separator or not host or not port.isdecimal():
         raise ValueError(f"expected host:port, got {text!r}")
     return host, int(port)
 
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -344,8 +344,8 @@
         open_request.attempts.append(attempt)
         address = self.addresses.get(action.upstream)
         remaining_us = open_request.due_us - now_us
-        is_valid = not open_request.closed and remaining_us > 0 and action.timeout_us >= 0
-        if address is None or not is_valid or attempt_index >= self.settings.max_attempts:
+        may_send = not open_request.closed and remaining_us > 0 and action.timeout_us >= 0
+        if address is None or not may_send or attempt_index >= self.settings.max_attempts:
             self._end_attempt(open_request, attempt_index, AttemptResult(api.Outcome.NOT_SENT))
             return
         timeout_us = min(action.timeout_us or remaining_us, remaining_us)
--- a/ryepier/sidecar/logs.py
+++ b/ryepier/sidecar/logs.py
@@ -19,14 +19,14 @@
         """Pass up to `lines_per_second` warnings, and as many other lines, in each second."""
         super().__init__()
         self.lines_per_second = lines_per_second
-        self.second = 0
+        self.current_second = 0
         self.line_counts = {False: 0, True: 0}  # lines in the current second; the key tells whether they are warnings
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether a record is within the limit of its kind for the current second."""
-        second = int(time.monotonic())
-        if second != self.second:
-            self.second, self.line_counts = second, {False: 0, True: 0}
+        current_second = int(time.monotonic())
+        if current_second != self.current_second:
+            self.current_second, self.line_counts = current_second, {False: 0, True: 0}
         is_warning = record.levelno >= logging.WARNING
         self.line_counts[is_warning] += 1
         return self.line_counts[is_warning] <= self.lines_per_second
--- a/ryepier/sidecar/request_ids.py
+++ b/ryepier/sidecar/request_ids.py
@@ -11,18 +11,18 @@
     def __init__(self, period_s: float) -> None:
         """Start empty. Ids are remembered for at least `period_s`; no request may stay open for longer."""
         self.period_s = period_s
-        self.current: set[bytes] = set()
-        self.previous: set[bytes] = set()
+        self.current_generation: set[bytes] = set()
+        self.previous_generation: set[bytes] = set()
         self.rotated_at = system.monotonic()
 
     def add(self, request_id: bytes) -> bool:
         """Remember an id. Returns False if it is already known."""
         now = system.monotonic()
         if now > self.rotated_at + self.period_s:
-            self.previous = self.current if now <= self.rotated_at + 2 * self.period_s else set()
-            self.current = set()
+            self.previous_generation = self.current_generation if now <= self.rotated_at + 2 * self.period_s else set()
+            self.current_generation = set()
             self.rotated_at = now
-        if request_id in self.current or request_id in self.previous:
+        if request_id in self.current_generation or request_id in self.previous_generation:
             return False
-        self.current.add(request_id)
+        self.current_generation.add(request_id)
         return True
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -184,7 +184,7 @@
         self._check_method(request_class.idempotency, method, body)
         self._check_idempotency_key(request_class.idempotency, headers_by_name)
         key = headers_by_name.get(KEY_HEADER)
-        cost = headers_by_name.get(COST_HEADER)
+        cost_hint = headers_by_name.get(COST_HEADER)
         deadline_us = 1000 * parse_integer(headers_by_name.get(DEADLINE_HEADER, b""), "X-Deadline-Ms")
         return ClientRequest(
             method,
@@ -197,7 +197,7 @@
             request_id=headers_by_name[REQUEST_ID_HEADER],
             tenant=self.tenants.find(headers_by_name),
             key=stable_hash(key) if key else 0,
-            cost_us=parse_integer(cost, "X-Cost-Hint") if cost else 0,
+            cost_us=parse_integer(cost_hint, "X-Cost-Hint") if cost_hint else 0,
             marked_as_retry=headers_by_name.get(RETRY_HEADER) == b"1",
         )
 
@@ -240,6 +240,6 @@
         return Response(error.status, str(error).encode() + b"\n")
 
 
-def retry_after(after_us: int) -> bytes:
+def retry_after(delay_us: int) -> bytes:
     """Return the Retry-After header line, or nothing for 0."""
-    return b"Retry-After: %.3f\r\n" % (after_us / 1e6) if after_us else b""
+    return b"Retry-After: %.3f\r\n" % (delay_us / 1e6) if delay_us else b""
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -175,7 +175,7 @@
                 and client.reader.is_partial is rule.partial
                 and client.is_flushed
                 and client.last_received_at <= inactive_since
-                and (rule.state is ClientState.CLOSING or client.has_nothing_unread())
+                and (rule.state is ClientState.CLOSING or client.has_no_unread_bytes())
             ):
                 yield client
 
@@ -219,7 +219,7 @@
                     client.reader.received_bytes == 0
                     and client.transport is not None
                     and client.is_flushed
-                    and client.has_nothing_unread()
+                    and client.has_no_unread_bytes()
                     and not awaits_request
                 ):
                     client.close()
--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -165,7 +165,7 @@
         for writer in list(self.accepted):
             self.reset(writer)
 
-    def vanish(self) -> None:
+    def crash(self) -> None:
         """Stop listening and reset the open connections."""
         self.stop()
         for writer in list(self.accepted):
--- a/tests/disconnect_testbed.py
+++ b/tests/disconnect_testbed.py
@@ -41,22 +41,22 @@
     sock.close()
 
 
-def end_sending(sock: socket.socket) -> None:
+def half_close(sock: socket.socket) -> None:
     """Close the sending direction only."""
     sock.shutdown(socket.SHUT_WR)
 
 
-DISCONNECTS = [close, reset, end_sending]
+DISCONNECTS = [close, reset, half_close]
 # Each with the number of bytes that the client sends first; the sidecar discards up to 65,536 bytes.
 DISCONNECTS_AFTER_BYTES = [
     (close, 0),
     (reset, 0),
-    (end_sending, 0),
+    (half_close, 0),
     (close, 1),
     (reset, 60_000),
     (close, 65_536),
     (close, 65_537),
-    (end_sending, 200_000),
+    (half_close, 200_000),
 ]
 
 
--- a/tests/limited_sidecar.py
+++ b/tests/limited_sidecar.py
@@ -32,7 +32,7 @@
 WATCH_INTERVAL_S = 0.002
 
 
-def has_ended(writer: asyncio.StreamWriter) -> bool:
+def was_closed(writer: asyncio.StreamWriter) -> bool:
     """Return whether the sidecar has closed this connection without sending anything on it."""
     with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as sock:
         try:
@@ -79,7 +79,7 @@
         """
         while True:
             reader, writer = await self.connect()
-            if not has_ended(writer):
+            if not was_closed(writer):
                 return reader, writer
             writer.close()
 
@@ -97,7 +97,7 @@
     return endpoint_list(*(endpoint_entry(f"u{number}", upstream.port) for number in range(CONVERTERS)), rev=rev)
 
 
-def write_limited_configuration(folder: Path, port: int, upstream: Upstream, discovery_port: int) -> Path:
+def write_limited_configuration(directory: Path, port: int, upstream: Upstream, discovery_port: int) -> Path:
     """Write the configuration of the sidecar.
 
     The latency objective is long, so that responses that a test delays do not count as slow. Otherwise the sidecar
@@ -107,7 +107,7 @@
     invariants = SETTINGS["invariants"] | {"ask-within": 5_000_000}
     bounds = SETTINGS["bounds"] | {"conn-idle": 30_000_000}
     return write_configuration(
-        folder,
+        directory,
         listen=f"127.0.0.1:{port}",
         discovery=f"127.0.0.1:{discovery_port}",
         known=converters(upstream, 1),
@@ -133,13 +133,13 @@
 
 
 @asynccontextmanager
-async def limited_sidecar(folder: Path, upstream: Upstream, discovery_port: int) -> AsyncIterator[LimitedSidecar]:
+async def limited_sidecar(directory: Path, upstream: Upstream, discovery_port: int) -> AsyncIterator[LimitedSidecar]:
     """Run the sidecar; checks that it survives and never has all its descriptors open."""
     await upstream.start()
-    port, log = free_port(), folder / "log"
-    process = await start_process(write_limited_configuration(folder, port, upstream, discovery_port), log)
+    port, log = free_port(), directory / "log"
+    process = await start_process(write_limited_configuration(directory, port, upstream, discovery_port), log)
     sidecar = LimitedSidecar(process.pid, port)
-    watching = asyncio.create_task(sidecar.watch_descriptors())
+    watch_task = asyncio.create_task(sidecar.watch_descriptors())
     try:
         await sidecar.wait_until_listening()
         yield sidecar
@@ -147,7 +147,7 @@
         assert "connection not accepted" not in log.read_text()
         assert sidecar.max_descriptors < DESCRIPTOR_LIMIT
     finally:
-        watching.cancel()
+        watch_task.cancel()
         if process.returncode is None:
             process.kill()
         await process.wait()
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -236,9 +236,9 @@
 }
 
 
-def write_configuration(folder: Path, **changes: Any) -> Path:
+def write_configuration(directory: Path, **changes: Any) -> Path:
     """Write a sidecar's configuration file, with `changes` applied to its top-level keys, and return its path."""
-    path = folder / "config.json"
+    path = directory / "config.json"
     document = {
         "name": "n0",
         "listen": f"127.0.0.1:{free_port()}",
@@ -350,7 +350,7 @@
     for peer in peers:
         await peer.start()
     cached_list = cached_list or endpoint_list(
-        *(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams))
+        *(endpoint_entry(f"u{index}", upstream.port) for index, upstream in enumerate(upstreams))
     )
     port, stop, reload = free_port(), asyncio.Event(), asyncio.Event()
     changes = {"polls_endpoints": discovery is not None} | changes
@@ -374,14 +374,14 @@
 def run_async(test: Callable[[], Awaitable[None]]) -> None:
     """Run a test in an event loop, with a time limit."""
 
-    async def limited() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(3 * HANG_TIMEOUT_S):
             await test()
 
-    asyncio.run(limited())
+    asyncio.run(run_with_timeout())
 
 
-async def check_rejected(data: bytes, expected: int) -> None:
+async def check_rejected(data: bytes, expected_status: int) -> None:
     """Check that the sidecar rejects these bytes with a status, closes their connection and forwards nothing.
 
     Afterwards it must serve a valid request.
@@ -392,7 +392,7 @@
         writer.write(data)
         answer = await reader.read()
         writer.close()
-        assert int(answer.split(b" ")[1]) == expected and b"Connection: close" in answer
+        assert int(answer.split(b" ")[1]) == expected_status and b"Connection: close" in answer
         assert upstream.requests == []
         assert status_of(await running_sidecar.fetch(request())) == 200
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -110,7 +110,7 @@
     for number in range(1000):
         now = number / 10
         assert recent_ids.add(b"%d" % number) and not recent_ids.add(b"%d" % max(0, number - 30))
-    assert len(recent_ids.current) + len(recent_ids.previous) < 100
+    assert len(recent_ids.current_generation) + len(recent_ids.previous_generation) < 100
     assert recent_ids.add(b"1")
 
 
--- a/tests/test_chunked_requests.py
+++ b/tests/test_chunked_requests.py
@@ -78,9 +78,9 @@
     run_async(test)
 
 
-MAX_REQUEST_BYTES = 1 << 20  # larger than any request that the sidecar accepts
-ENDLESS_CHUNK_EXTENSION = b"1;" + b"x" * MAX_REQUEST_BYTES
-ENDLESS_TRAILERS = b"0\r\n" + b"X-Note: endless\r\n" * (MAX_REQUEST_BYTES // 16)
+OVERSIZE_BYTES = 1 << 20  # larger than any request that the sidecar accepts
+ENDLESS_CHUNK_EXTENSION = b"1;" + b"x" * OVERSIZE_BYTES
+ENDLESS_TRAILERS = b"0\r\n" + b"X-Note: endless\r\n" * (OVERSIZE_BYTES // 16)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_connection_eviction.py
+++ b/tests/test_connection_eviction.py
@@ -101,14 +101,14 @@
 def test_connection_closes_after_its_first_response_when_many_are_open() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
-            first = await running_sidecar.connect()
-            first[1].write(request())
-            assert b"Connection: close" not in (await read_message(first[0]))[0]
+            first_connection = await running_sidecar.connect()
+            first_connection[1].write(request())
+            assert b"Connection: close" not in (await read_message(first_connection[0]))[0]
             silent_connections = [await running_sidecar.connect() for _ in range(60)]
             assert b"Connection: close" in (await running_sidecar.fetch(request()))[0]
-            first[1].write(request())  # a connection in use stays open
-            assert b"Connection: close" not in (await read_message(first[0]))[0]
-            for _, writer in (first, *silent_connections):
+            first_connection[1].write(request())  # a connection in use stays open
+            assert b"Connection: close" not in (await read_message(first_connection[0]))[0]
+            for _, writer in (first_connection, *silent_connections):
                 writer.close()
 
     run_async(test)
@@ -117,21 +117,21 @@
 def test_most_recently_used_connection_is_not_evicted() -> None:
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
-            first = await running_sidecar.connect()
+            first_connection = await running_sidecar.connect()
             other_connections = [await running_sidecar.connect() for _ in range(90)]
 
             async def send_readiness_probe(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert status_of(await read_message(reader)) == 200
 
-            for connection in (*other_connections, first):
+            for connection in (*other_connections, first_connection):
                 await send_readiness_probe(*connection)
             for _ in range(30):
                 other_connections.append(await running_sidecar.connect())
                 await send_readiness_probe(*other_connections[-1])
             assert await other_connections[0][0].read() == b""
-            await send_readiness_probe(*first)
-            for _, writer in (first, *other_connections):
+            await send_readiness_probe(*first_connection)
+            for _, writer in (first_connection, *other_connections):
                 writer.close()
 
     run_async(test)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -113,18 +113,18 @@
 
 def test_modules_outside_the_policy_make_no_decisions() -> None:
     """Such modules use no randomness and import neither the decisions' constants nor the upstreams' state."""
-    deciding = {module_name(name) for name in POLICY_MODULES}
+    decision_modules = {module_name(name) for name in POLICY_MODULES}
     modules_with_balancer = {"ryepier/balancer/simulator_adapter.py", "ryepier/sidecar/dispatcher.py"}
     checked_modules = 0
-    for folder in ("ryepier/balancer", "ryepier/sidecar"):
-        for path in (ROOT / folder).glob("*.py"):
+    for directory in ("ryepier/balancer", "ryepier/sidecar"):
+        for path in (ROOT / directory).glob("*.py"):
             name = str(path.relative_to(ROOT))
             if name in POLICY_MODULES:
                 continue
             allowed = {"ryepier.balancer.balancer"} if name in modules_with_balancer else set()
             imported_names = imports_of(path.read_text())
             assert not {"random", "secrets"} & imported_names, f"{name} draws"
-            assert imported_names & deciding <= allowed, f"{name} uses a decision"
+            assert imported_names & decision_modules <= allowed, f"{name} uses a decision"
             checked_modules += 1
     assert checked_modules > len(NON_DECISION_MODULES)
 
@@ -133,11 +133,11 @@
     # generic numbers that are not tuned to a case
     allowed_numbers = {0, 1, 2, 4, 8, 20, 0.02, 0.1, 0.2, 0.25, 0.3, 0.5, 1_000_000}
     tree = ast.parse("\n".join((ROOT / name).read_text() for name in DEPLOY["policy"]))
-    bodies = [node for node in tree.body if isinstance(node, ast.ClassDef | ast.FunctionDef)]
+    definitions = [node for node in tree.body if isinstance(node, ast.ClassDef | ast.FunctionDef)]
     numbers = {
         node.value
-        for body in bodies
-        for node in ast.walk(body)
+        for definition in definitions
+        for node in ast.walk(definition)
         if isinstance(node, ast.Constant) and type(node.value) in (int, float)
     }
     assert numbers - allowed_numbers == set()
@@ -160,9 +160,11 @@
 
 def test_deploy_file_lists_exactly_the_decision_modules() -> None:
     package = ROOT / "ryepier" / "balancer"
-    deciding = {path.stem for path in package.glob("*.py")} - NON_DECISION_MODULES
+    decision_modules = {path.stem for path in package.glob("*.py")} - NON_DECISION_MODULES
     assert len(DEPLOY["policy"]) == len(set(DEPLOY["policy"]))
-    assert {Path(name) for name in DEPLOY["policy"]} == {Path("ryepier/balancer") / f"{name}.py" for name in deciding}
+    assert {Path(name) for name in DEPLOY["policy"]} == {
+        Path("ryepier/balancer") / f"{name}.py" for name in decision_modules
+    }
 
 
 def test_decision_modules_read_no_instance_names_or_indexes() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,7 +15,7 @@
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
 from ryepier.sidecar.server import FIRST_REQUEST_GRACE_S
-from tests.limited_sidecar import DESCRIPTOR_LIMIT, LimitedSidecar, converters, has_ended, limited_sidecar
+from tests.limited_sidecar import DESCRIPTOR_LIMIT, LimitedSidecar, converters, limited_sidecar, was_closed
 from tests.loopback_ports import free_port
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
@@ -208,7 +208,7 @@
     run_async(test)
 
 
-async def answer_in_pieces(sidecar: LimitedSidecar, pause_s: float) -> bytes:
+async def fetch_in_pieces(sidecar: LimitedSidecar, pause_s: float) -> bytes:
     """Send a request in two pieces, and return the first line of the response; empty if there was none.
 
     On a busy machine a client may be delayed between connect and write for longer than the grace period of a first
@@ -217,7 +217,7 @@
     while True:
         connecting_at = time.monotonic()
         reader, writer = await sidecar.connect()
-        ended_before_write = has_ended(writer)
+        ended_before_write = was_closed(writer)
         data = request("pay", body=b"0123456789")
         writer.write(data[:-5])
         was_delayed = time.monotonic() - connecting_at > FIRST_REQUEST_GRACE_S
@@ -245,7 +245,7 @@
         async with limited_sidecar(tmp_path, upstream, port) as sidecar:
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 answers = await asyncio.gather(
-                    *(answer_in_pieces(sidecar, 0.05 + 0.25 * number / 399) for number in range(400))
+                    *(fetch_in_pieces(sidecar, 0.05 + 0.25 * number / 399) for number in range(400))
                 )
             assert set(answers) <= {b"HTTP/1.1 200 OK", b"HTTP/1.1 503 Service Unavailable"}
             assert answers.count(b"HTTP/1.1 200 OK") > 200
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -34,7 +34,7 @@
 # One sidecar, real connections
 
 
-async def change_delay_s(fault_order: tuple[str, ...], is_pushed: bool, agents: dict[int, FaultyDiscovery]) -> float:
+async def measure_delay_s(fault_order: tuple[str, ...], is_pushed: bool, agents: dict[int, FaultyDiscovery]) -> float:
     """Return the time from when discovery became reachable until the change arrived."""
     agent = FaultyDiscovery(fault_order, 0.0 if is_pushed else POLL_DURATION_S)
     await agent.start()
@@ -78,7 +78,7 @@
 
     async def test() -> None:
         delays_s = await asyncio.gather(
-            *(change_delay_s(fault_order, is_pushed, agents) for fault_order, is_pushed in CASES)
+            *(measure_delay_s(fault_order, is_pushed, agents) for fault_order, is_pushed in CASES)
         )
         slowest_first = sorted(zip(delays_s, CASES, strict=True), reverse=True)
         for delay_s, (fault_order, is_pushed) in slowest_first[:6]:
@@ -115,8 +115,8 @@
 # A fleet, in virtual time
 
 FLEET_POLL_DURATION_S = 3  # time in which discovery serves one poll of each sidecar
-BREAK_S = 10.0
-RETURN_S = 25.3
+OUTAGE_START_S = 10.0
+OUTAGE_END_S = 25.3
 RUN_AFTER_S = 20.0
 
 
@@ -129,24 +129,38 @@
 
 
 UP_PHASE = Phase(0.0, DiscoveryMode.UP)
-RETURN_PHASE = Phase(RETURN_S, DiscoveryMode.UP)
+REACHABLE_AGAIN_PHASE = Phase(OUTAGE_END_S, DiscoveryMode.UP)
 OUTAGES = {
-    "all fall silent": Outage(True, [UP_PHASE], BREAK_S),
-    "all are reset": Outage(False, [UP_PHASE], BREAK_S),
-    "refused": Outage(False, [UP_PHASE, Phase(BREAK_S, DiscoveryMode.REFUSED), RETURN_PHASE], RETURN_S),
-    "silent": Outage(True, [UP_PHASE, Phase(BREAK_S, DiscoveryMode.SILENT), RETURN_PHASE], RETURN_S),
+    "all fall silent": Outage(True, [UP_PHASE], OUTAGE_START_S),
+    "all are reset": Outage(False, [UP_PHASE], OUTAGE_START_S),
+    "refused": Outage(
+        False, [UP_PHASE, Phase(OUTAGE_START_S, DiscoveryMode.REFUSED), REACHABLE_AGAIN_PHASE], OUTAGE_END_S
+    ),
+    "silent": Outage(
+        True, [UP_PHASE, Phase(OUTAGE_START_S, DiscoveryMode.SILENT), REACHABLE_AGAIN_PHASE], OUTAGE_END_S
+    ),
     "reset, then silent": Outage(
         False,
-        [UP_PHASE, Phase(BREAK_S, DiscoveryMode.RESET), Phase(16.0, DiscoveryMode.SILENT), RETURN_PHASE],
-        RETURN_S,
+        [
+            UP_PHASE,
+            Phase(OUTAGE_START_S, DiscoveryMode.RESET),
+            Phase(16.0, DiscoveryMode.SILENT),
+            REACHABLE_AGAIN_PHASE,
+        ],
+        OUTAGE_END_S,
     ),
     "silent, then refused": Outage(
         True,
-        [UP_PHASE, Phase(BREAK_S, DiscoveryMode.SILENT), Phase(18.0, DiscoveryMode.REFUSED), RETURN_PHASE],
-        RETURN_S,
+        [
+            UP_PHASE,
+            Phase(OUTAGE_START_S, DiscoveryMode.SILENT),
+            Phase(18.0, DiscoveryMode.REFUSED),
+            REACHABLE_AGAIN_PHASE,
+        ],
+        OUTAGE_END_S,
     ),
     "silent for a moment": Outage(
-        False, [UP_PHASE, Phase(BREAK_S, DiscoveryMode.SILENT), Phase(13.0, DiscoveryMode.UP)], 13.0
+        False, [UP_PHASE, Phase(OUTAGE_START_S, DiscoveryMode.SILENT), Phase(13.0, DiscoveryMode.UP)], 13.0
     ),
 }
 
@@ -156,7 +170,7 @@
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [UP_PHASE])
     fleet.start_all()
     fleet.run_until(RUN_AFTER_S)
-    check_updated("start", fleet, 0.0)
+    check_all_updated("start", fleet, 0.0)
 
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
@@ -164,9 +178,9 @@
 def test_change_reaches_a_whole_fleet_within_6_s_after_an_outage(outage_name: str, sidecar_count: int) -> None:
     outage = OUTAGES[outage_name]
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, outage.phases)
-    fleet.break_watches(BREAK_S, outage.by_silence)
+    fleet.break_watches(OUTAGE_START_S, outage.by_silence)
     fleet.run_until(outage.reachable_s + RUN_AFTER_S)
-    check_updated(outage_name, fleet, outage.reachable_s)
+    check_all_updated(outage_name, fleet, outage.reachable_s)
 
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
@@ -182,7 +196,7 @@
     )
 
 
-def check_updated(outage_name: str, fleet: PollingFleet, reachable_s: float) -> None:
+def check_all_updated(outage_name: str, fleet: PollingFleet, reachable_s: float) -> None:
     """Check that all sidecars got the list in time, and print the polls per second at discovery."""
     delays_s = fleet.update_delays_s(reachable_s)
     polls = " ".join(f"{second}:{count}" for second, count in sorted(fleet.polls.items()))
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -34,7 +34,7 @@
 FAULTS_BEFORE_SHUTDOWN = ("reload", "drain", "kill")
 BODY = b"a file in two halves"
 HEAD_PIECE, BODY_PIECE = 30, 12  # offsets of the splits: from the start of the head, and from the end of the body
-STEP_S = 0.03  # between two faults; requests stay open over it
+FAULT_INTERVAL_S = 0.03  # between two faults; requests stay open over it
 WORK_S = 0.06  # time in which a converter handles a request
 CLASS_NAMES = ("read", "pay", "mark")
 CONCURRENT_SIDECARS = 4
@@ -68,22 +68,22 @@
 
     def __init__(self) -> None:
         self.application = Application()
-        self.steady, self.draining, self.dying = (Converter(respond_after_work) for _ in range(3))
+        self.steady, self.draining, self.crashing = (Converter(respond_after_work) for _ in range(3))
         self.agent = Agent()
         self.agents: list[Agent] = []
         self.revision = 1
-        self.generation = 0  # counts the replacements of the draining and the dying converter
+        self.generation = 0  # counts the replacements of the draining and the crashing converter
         self.drain_state = "active"  # listed state of the draining converter
-        self.partial: list[Exchange] = []
+        self.partial_exchanges: list[Exchange] = []
 
     async def start(self) -> None:
-        for converter in (self.steady, self.draining, self.dying):
+        for converter in (self.steady, self.draining, self.crashing):
             await converter.start()
         await self.new_agent()
 
     def stop(self) -> None:
-        for converter in (self.steady, self.draining, self.dying):
-            converter.vanish()
+        for converter in (self.steady, self.draining, self.crashing):
+            converter.crash()
         for agent in self.agents:
             agent.stop()
 
@@ -91,7 +91,7 @@
         return endpoint_list(
             endpoint_entry("steady", self.steady.port),
             endpoint_entry(f"draining-{self.generation}", self.draining.port, self.drain_state),
-            endpoint_entry(f"dying-{self.generation}", self.dying.port),
+            endpoint_entry(f"dying-{self.generation}", self.crashing.port),
             rev=self.revision,
         )
 
@@ -101,26 +101,26 @@
         await self.agent.start()
 
     async def reset_converters(self, sidecar: SidecarProcess) -> None:
-        """Replace the draining and the dying converter by new ones, and wait until the sidecar uses them."""
-        old = self.draining, self.dying
-        self.draining, self.dying = Converter(respond_after_work), Converter(respond_after_work)
+        """Replace the draining and the crashing converter by new ones, and wait until the sidecar uses them."""
+        old_converters = self.draining, self.crashing
+        self.draining, self.crashing = Converter(respond_after_work), Converter(respond_after_work)
         await self.draining.start()
-        await self.dying.start()
+        await self.crashing.start()
         self.generation += 1
         self.revision += 1
         self.drain_state = "active"
         self.agent.initial_list = self.endpoint_list()
         self.agent.send_list(self.agent.initial_list)
-        for converter in old:
-            converter.vanish()
+        for converter in old_converters:
+            converter.crash()
         await self.use_all_converters(sidecar)
 
     async def use_all_converters(self, sidecar: SidecarProcess) -> None:
         """Send requests until both faulty converters have had some, after which the sidecar sends several at once."""
         async with asyncio.timeout(RUN_TIMEOUT_S):
-            while min(len(self.draining.requests), len(self.dying.requests)) < MIN_REQUESTS_BEFORE:
+            while min(len(self.draining.requests), len(self.crashing.requests)) < MIN_REQUESTS_BEFORE:
                 await self.application.fetch(sidecar, "read")
-                await asyncio.sleep(STEP_S / 2)
+                await asyncio.sleep(FAULT_INTERVAL_S / 2)
 
     async def send_burst(self, sidecar: SidecarProcess) -> None:
         """Send two complete requests of each class."""
@@ -139,7 +139,7 @@
             self.agent.send_list(self.agent.initial_list)
 
     async def kill_converter(self, sidecar: SidecarProcess) -> None:
-        self.dying.kill_at_next_connection()
+        self.crashing.kill_at_next_connection()
 
     async def stop_sidecar(self, sidecar: SidecarProcess) -> None:
         sidecar.stop()
@@ -150,7 +150,7 @@
             body = b"" if class_name == "read" else BODY
             exchange = await self.application.send_first_piece(sidecar, class_name, [HEAD_PIECE], body)
             self.split_body(exchange, len(body))
-            self.partial.append(exchange)
+            self.partial_exchanges.append(exchange)
 
     @staticmethod
     def split_body(exchange: Exchange, body_length: int) -> None:
@@ -161,15 +161,15 @@
 
     def send_next_pieces(self) -> None:
         """Send the next piece of each partial request, unless it is the last piece."""
-        for exchange in self.partial:
+        for exchange in self.partial_exchanges:
             if len(exchange.unsent) > 1:
                 exchange.send_next()
 
     def send_last_pieces(self) -> None:
         """Send the rest of the partial requests."""
-        for exchange in self.partial:
+        for exchange in self.partial_exchanges:
             self.application.finish(exchange)
-        self.partial.clear()
+        self.partial_exchanges.clear()
 
     async def run(self, sidecar: SidecarProcess, order: Sequence[str]) -> None:
         """Apply the faults in this order, each with open requests until the shutdown begins."""
@@ -186,9 +186,9 @@
                 await self.send_burst(sidecar)
             await faults[name](sidecar)
             stopped |= name == "stop"
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(FAULT_INTERVAL_S)
             self.send_next_pieces()
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(FAULT_INTERVAL_S)
         self.send_last_pieces()
         if not stopped:
             await self.send_burst(sidecar)
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -27,7 +27,7 @@
 
 UNMARKED_503 = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
+ERROR_500 = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 
 
 def test_request_and_response_are_forwarded_unchanged() -> None:
@@ -52,7 +52,7 @@
     ("first_response", "expected_status", "attempt_count"),
     [
         (NOT_RUN, 200, 2),  # it never ran, so that even a non-idempotent request may be retried
-        (ERROR, 500, 1),
+        (ERROR_500, 500, 1),
         (UNMARKED_503, 500, 1),  # it may have run; a 503 to the client would claim that it did not
         (b"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", 200, 2),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 500, 1),
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -39,10 +39,10 @@
 WORK_S = 0.02  # time in which a converter handles a request
 REQUEST_INTERVAL_S = 0.1
 CLASSES = ("read", "pay")
-BEFORE_S = 1.0  # before the replacement
+RUN_BEFORE_S = 1.0  # before the replacement
 LIST_DELAY_S = 0.5  # from a new watch to its list
-OLD_CONVERTERS_S = 4.5  # until the old converters stop; a silent watch is reopened before that
-AFTER_S = MIN_OUTAGE_S + 1.5
+OLD_CONVERTERS_LIFETIME_S = 4.5  # until the old converters stop; a silent watch is reopened before that
+RUN_AFTER_S = MIN_OUTAGE_S + 1.5
 CONCURRENT_STARTS = 3
 RUN_TIMEOUT_S = 60.0
 AT_ONCE = "told-at-once"
@@ -78,12 +78,12 @@
     """The requests of one run; times are in seconds on the event loop's clock."""
 
     requests: list[ClientRequest]
-    replaced_s: float  # when the replacement began
+    replacement_s: float  # when the replacement began
     end_s: float
 
     def outages(self, sidecar: str) -> list[Outage]:
         """Return the outages of this sidecar."""
-        outages = find_outages(self.requests, self.replaced_s, self.end_s)
+        outages = find_outages(self.requests, self.replacement_s, self.end_s)
         return [outage for outage in outages if outage.sidecar == sidecar]
 
     def served(self, sidecar: str) -> int:
@@ -165,7 +165,7 @@
         for agent in self.agents:
             agent.stop()
         for converter in self.old_converters + self.new_converters:
-            converter.vanish()
+            converter.crash()
 
     async def send_requests(self, fleet_sidecar: FleetSidecar) -> None:
         """Send requests at a constant rate."""
@@ -236,20 +236,20 @@
         """Replace the converters under a constant load."""
         loop = asyncio.get_running_loop()
         tasks = [asyncio.create_task(self.send_requests(fleet_sidecar)) for fleet_sidecar in self.fleet_sidecars]
-        await asyncio.sleep(BEFORE_S)
-        replaced_s = loop.time()
+        await asyncio.sleep(RUN_BEFORE_S)
+        replacement_s = loop.time()
         tasks += [asyncio.create_task(self.notify(fleet_sidecar)) for fleet_sidecar in self.fleet_sidecars]
-        await asyncio.sleep(OLD_CONVERTERS_S)
+        await asyncio.sleep(OLD_CONVERTERS_LIFETIME_S)
         for converter in self.old_converters:
-            converter.vanish()
-        await asyncio.sleep(AFTER_S)
+            converter.crash()
+        await asyncio.sleep(RUN_AFTER_S)
         end_s = loop.time()
         for task in tasks:
             if task.done():
                 task.result()  # raises the exception of a failed task
             task.cancel()
         await self.application.wait_until_ended()
-        return Observation(self.application.requests, replaced_s, end_s)
+        return Observation(self.application.requests, replacement_s, end_s)
 
 
 async def run(directory: Path) -> Observation:
--- a/tests/test_sidecar_components.py
+++ b/tests/test_sidecar_components.py
@@ -22,7 +22,7 @@
     def __init__(self, dispatcher: RequestDispatcher, port: int) -> None:
         self.dispatcher = dispatcher
         self.port = port
-        self.reloads: list[tuple[str, int]] = []
+        self.reloaded_addresses: list[tuple[str, int]] = []
 
     def restore_cached(self) -> None:
         self.dispatcher.on_endpoints(UpstreamsUpdated(ListKind.CACHED, [Upstream(7)]), {7: ("127.0.0.1", self.port)})
@@ -40,7 +40,7 @@
         return {"c7": 7}
 
     def apply_config(self, config: Config) -> None:
-        self.reloads.append(config.discovery)
+        self.reloaded_addresses.append(config.discovery)
 
 
 def test_endpoint_source_and_two_front_ends_share_one_dispatcher(tmp_path: Path) -> None:
@@ -69,7 +69,7 @@
             head, _ = await sidecar.fetch(request("pay", body=b"b", deadline_ms=1000))
             assert head.startswith(b"HTTP/1.1 200 ")
         reload.set()
-        await wait_until(lambda: sources[0].reloads == [("127.0.0.1", 1)])
+        await wait_until(lambda: sources[0].reloaded_addresses == [("127.0.0.1", 1)])
         stop.set()
         await task
         peer.stop()
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -135,7 +135,9 @@
         upstreams = [Upstream(respond_after_delay) for _ in range(4)]
         for upstream in upstreams:
             await upstream.start()
-        cached_list = endpoint_list(*(endpoint_entry(f"u{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+        cached_list = endpoint_list(
+            *(endpoint_entry(f"u{index}", upstream.port) for index, upstream in enumerate(upstreams))
+        )
         path = write_configuration(tmp_path, known=cached_list)
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
         stopped, answered = asyncio.Event(), set[str]()
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -43,8 +43,11 @@
     monkeypatch.setattr(connection_pool, "MIN_IDLE_BEFORE_REUSE_US", 0)  # allows reuse at once
 
     async def test() -> None:
-        surplus, closing = OK + b"HTTP/1.1 200 OK\r\n", OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
-        upstream = Upstream(respond_in_turn(OK, surplus, OK, closing, OK))
+        surplus_response, closing_response = (
+            OK + b"HTTP/1.1 200 OK\r\n",
+            OK.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n"),
+        )
+        upstream = Upstream(respond_in_turn(OK, surplus_response, OK, closing_response, OK))
         async with sidecar(upstream) as running_sidecar:
             for number in range(5):
                 assert (await running_sidecar.fetch(request(request_id=str(number))))[1] == b"done"
