--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_REQUEST_GRACE_S = 0.25  # clients send a request on connecting, so new connections are not evicted before
+FIRST_REQUEST_GRACE_S = 0.25  # new connections are not evicted for this long, as clients send a request at once
 SWEEP_INTERVAL_S = 0.1
 LISTEN_BACKLOG = 1024
 ACCEPT_BATCH_SIZE = 16  # connections; accepting hundreds in one loop iteration would delay the open ones
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -89,7 +89,8 @@
         with await testbed.send_buffered_request() as client:
             await asyncio.to_thread(client.sendall, b"x" * 500_000)
             assert client.recv(100).startswith(b"HTTP/1.1 400 ")
-            testbed.converter.respond(OK)  # still connected, but the sidecar could not notice a disconnect
+            # the client is still connected, but a disconnect would go unnoticed while reading is paused
+            testbed.converter.respond(OK)
             await testbed.check_only_forwarded(1)
 
     run(steps)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -112,7 +112,7 @@
 
 
 def test_modules_outside_the_policy_make_no_decisions() -> None:
-    """Such modules use no randomness and import neither the decisions' constants nor the upstreams' state."""
+    """They use no randomness and import neither the constants of the decisions nor the state of upstreams."""
     decision_modules = {module_name(name) for name in POLICY_MODULES}
     modules_with_balancer = {"ryepier/balancer/simulator_adapter.py", "ryepier/sidecar/dispatcher.py"}
     checked_modules = 0
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -123,7 +123,7 @@
             assert status_of(await running_sidecar.fetch(request("pay", deadline_ms=400))) == 503
             assert upstream.requests == []
             monkeypatch.undo()
-            await asyncio.sleep(0.5)  # until the sidecar's admission control allows requests again
+            await asyncio.sleep(0.5)  # until the buffering period of the sidecar's admission control is over
             assert status_of(await running_sidecar.fetch(request("pay", deadline_ms=400))) == 200
         assert len(upstream.requests) == 1
 
