--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -1,4 +1,4 @@
-"""Pool of the connections to all upstreams, and the dialling of new ones."""
+"""Pool of the connections to all upstreams; dials new connections and reuses idle ones."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 
 log = logging.getLogger(__name__)
 
-LATE_RESPONSE_US = 30_000  # by which a second response to the last request may arrive
+MIN_IDLE_BEFORE_REUSE_US = 30_000  # a surplus response to the previous request may arrive within this time
 IDLE_MARGIN_US = 300_000  # an upstream may close a connection while a request is on its way to it
-REUSE_MEMORY = 16  # reuses in the moving average of connections that broke
-MAX_BREAK_SHARE = 0.15  # of reuses: a lost request costs about ten new connections
-BREAK_DECAY = 0.99  # per connection that is not reused, so that such connections are tried again
+BREAK_SHARE_WINDOW = 16  # number of reuses that the moving average of broken connections covers
+MAX_BREAK_SHARE = 0.15  # of reuses; beyond it new connections are cheaper, as a lost request costs about ten of them
+BREAK_SHARE_DECAY = 0.99  # applied per connection that is not reused, so that reuse is tried again in time
 SWEEP_INTERVAL_S = 0.1
-FIRST_SWEEP_S = 1.0  # after the start
+FIRST_SWEEP_S = 1.0  # after the pool is created
 
 
 class ConnectionPool:
-    """Connections to all upstreams.
+    """Holds the connections to all upstreams and carries attempts on them.
 
-    They belong to upstreams, not to addresses, as an upstream may get the address of one that was removed. The
-    connection that has been idle for longest is used first: an end, or bytes after its response, may still be on the
-    way on one that has just become idle.
+    Connections are keyed by upstream, not by address, as a new upstream may get the address of a removed one. The
+    connection that has been idle for longest is reused first: on one that has just become idle, a close or surplus
+    bytes from the upstream may still be on the way.
     """
 
-    def __init__(self, idle_us: int, dial_timeout_us: int, max_connections: int) -> None:
-        """Start empty; upstreams close a connection that has been idle for `idle_us`."""
+    def __init__(self, upstream_idle_timeout_us: int, dial_timeout_us: int, max_connections: int) -> None:
+        """Start empty; upstreams close a connection that has been idle for `upstream_idle_timeout_us`."""
         self.loop = asyncio.get_running_loop()
-        self.max_idle_us = max(0, idle_us - IDLE_MARGIN_US)
-        # moving average of connections that broke at their next request, by log2 of their idle time
+        self.max_idle_us = max(0, upstream_idle_timeout_us - IDLE_MARGIN_US)
+        # Moving average of the share of reused connections that broke at their next request, by log2 of the idle time.
         self.break_shares = [0.0] * 64
         self.dial_timeout_us = dial_timeout_us
         self.max_connections = max_connections
-        self.connections: dict[int, set[UpstreamConnection]] = {}  # also those that are dialled
+        self.connections: dict[int, set[UpstreamConnection]] = {}  # by upstream; includes those being dialled
         self.idle: dict[int, list[UpstreamConnection]] = {}
-        self.closing: set[UpstreamConnection] = set()  # their descriptors are not free yet
-        self.dials: set[asyncio.Task[None]] = set()
-        self.undialled: dict[UpstreamAttempt, int] = {}  # attempts without a connection, with their upstreams
-        self.sweeper = self.loop.call_later(FIRST_SWEEP_S, self.sweep)
+        self.closing: set[UpstreamConnection] = set()  # closed, but their descriptors are not free yet
+        self.dial_tasks: set[asyncio.Task[None]] = set()
+        self.pending_dials: dict[UpstreamAttempt, int] = {}  # upstreams of the attempts that have no connection yet
+        self.sweep_timer = self.loop.call_later(FIRST_SWEEP_S, self.sweep)
 
     def start(
         self,
@@ -57,30 +57,30 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_us: int = 0,
     ) -> UpstreamAttempt:
-        """Start an attempt on an idle connection, or on a new one; see `UpstreamTransport.start`."""
+        """Start an attempt on an idle connection or on a new one; see `UpstreamTransport.start`."""
         now_us = clock_us()
         attempt = UpstreamAttempt(request, address, now_us + timeout_us, on_end, latest_write_us)
         while idle := self.idle.get(upstream):
             connection = idle[0]
             idle_us = now_us - connection.idle_since_us
-            if idle_us < LATE_RESPONSE_US:
+            if idle_us < MIN_IDLE_BEFORE_REUSE_US:
                 break
-            if idle_us < self.max_idle_us and self.is_trusted(idle_us) and connection.is_usable():
+            if idle_us < self.max_idle_us and self.may_reuse(idle_us) and connection.is_usable():
                 self.take_idle(connection)
                 connection.idle_us = idle_us
                 connection.send(attempt)
                 return attempt
             connection.close()
-        self.undialled[attempt] = upstream
+        self.pending_dials[attempt] = upstream
         task = self.loop.create_task(self.dial(upstream, address, attempt))
-        self.dials.add(task)
-        task.add_done_callback(self.dials.discard)
+        self.dial_tasks.add(task)
+        task.add_done_callback(self.dial_tasks.discard)
         return attempt
 
     async def dial(self, upstream: int, address: Address, attempt: UpstreamAttempt) -> None:
-        """Open a connection for an attempt; it sends the attempt once it is up."""
+        """Open a connection for an attempt. The connection sends the attempt once it is established."""
         has_capacity = await self.free_capacity(attempt)
-        del self.undialled[attempt]
+        del self.pending_dials[attempt]
         if attempt.cancelled:
             return
         if attempt.upstream_removed or not has_capacity:
@@ -97,18 +97,18 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(self.dial_timeout_us / 1e6 or None):
                 await self.loop.sock_connect(sock, address)
-            made = connection
-            await self.loop.create_connection(lambda: made, sock=sock)
-        # Rejected, unreachable, no descriptor, or timed out.
+            dialled_connection = connection
+            await self.loop.create_connection(lambda: dialled_connection, sock=sock)
+        # The connection was refused or timed out, the host is unreachable, or no descriptor was left.
         except OSError:
             self._on_dial_failed(connection, attempt)
-        # Boundary: whatever goes wrong, the attempt ends and its descriptor is free.
+        # Any other error must end the attempt and free its descriptor too.
         except Exception as error:  # noqa: BLE001
             log.warning("connection to upstream %d failed: %r", upstream, error, extra={"upstream": upstream})
             self._on_dial_failed(connection, attempt)
 
     def _on_dial_failed(self, connection: UpstreamConnection | None, attempt: UpstreamAttempt) -> None:
-        """Remove a connection that did not come up, and end its attempt."""
+        """Remove a connection that was not established, and end its attempt."""
         if connection is not None:
             connection.attempt = None
             connection.sock.close()
@@ -117,10 +117,12 @@
             attempt.end(AttemptResult(Outcome.CONNECT_FAILED))
 
     async def free_capacity(self, attempt: UpstreamAttempt) -> bool:
-        """Return whether one more connection may be opened; an idle one is closed for it. Without a bound, silent
-        upstreams or a burst of dials would use up the descriptors: what is closed keeps its own until the loop's next
-        turn."""
-        while self._descriptors() >= self.max_connections and not attempt.cancelled:
+        """Close idle connections until one more may be opened, and return whether that succeeded.
+
+        Without the limit, silent upstreams or a burst of dials would use up the descriptors. A closed connection keeps
+        its descriptor until the next iteration of the event loop.
+        """
+        while self._descriptor_count() >= self.max_connections and not attempt.cancelled:
             idle = [connection for group in self.idle.values() for connection in group]
             if idle:
                 min(idle, key=lambda connection: connection.idle_since_us).close()
@@ -129,22 +131,25 @@
             await asyncio.sleep(0)
         return True
 
-    def _descriptors(self) -> int:
+    def _descriptor_count(self) -> int:
         return sum(map(len, self.connections.values())) + len(self.closing)
 
-    def is_trusted(self, idle_us: int) -> bool:
-        """Return whether connections that were idle for this long may be used: a middlebox may drop them earlier
-        than the settings promise, without notice, and each costs a request."""
-        age = idle_us.bit_length()
-        if self.break_shares[age] > MAX_BREAK_SHARE:
-            self.break_shares[age] *= BREAK_DECAY
+    def may_reuse(self, idle_us: int) -> bool:
+        """Return whether connections that were idle for this long may be reused.
+
+        A middlebox may drop idle connections without notice, earlier than the configured idle timeout, and each such
+        connection costs a request.
+        """
+        bucket = idle_us.bit_length()
+        if self.break_shares[bucket] > MAX_BREAK_SHARE:
+            self.break_shares[bucket] *= BREAK_SHARE_DECAY
             return False
         return True
 
-    def observe_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a connection broke that had been idle for this long."""
-        age = idle_us.bit_length()
-        self.break_shares[age] += (float(broke) - self.break_shares[age]) / REUSE_MEMORY
+    def record_reuse(self, idle_us: int, broke: bool) -> None:
+        """Record whether a reused connection broke, which had been idle for `idle_us`."""
+        bucket = idle_us.bit_length()
+        self.break_shares[bucket] += (float(broke) - self.break_shares[bucket]) / BREAK_SHARE_WINDOW
 
     def add(self, connection: UpstreamConnection) -> None:
         """Add a connection that is about to be dialled."""
@@ -156,7 +161,7 @@
         self.idle.setdefault(connection.upstream, []).append(connection)
 
     def take_idle(self, connection: UpstreamConnection) -> None:
-        """Remove a connection from the idle ones."""
+        """Take a connection out of the idle ones, if it is one of them."""
         idle = self.idle.get(connection.upstream, [])
         if connection in idle:
             idle.remove(connection)
@@ -164,7 +169,7 @@
                 del self.idle[connection.upstream]
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Remove a connection."""
+        """Remove a connection from the pool."""
         self.take_idle(connection)
         group = self.connections.get(connection.upstream, set())
         group.discard(connection)
@@ -172,11 +177,11 @@
             self.connections.pop(connection.upstream, None)
 
     def on_closing(self, connection: UpstreamConnection) -> None:
-        """Record that a removed connection keeps its descriptor until `on_closed`."""
+        """Record that a connection is closing; it keeps its descriptor until `on_closed`."""
         self.closing.add(connection)
 
     def on_closed(self, connection: UpstreamConnection) -> None:
-        """Remove a connection whose descriptor is free before the loop's next turn."""
+        """Remove a connection whose descriptor is freed before the next iteration of the event loop."""
         self.remove(connection)
         self.closing.discard(connection)
 
@@ -186,17 +191,17 @@
             connection.close()
 
     def remove_upstream(self, upstream: int) -> None:
-        """Close the idle connections to an upstream, and the busy ones after their responses."""
+        """Close the idle connections to an upstream now, and its busy ones after their current responses."""
         self.close_idle(upstream)
         for connection in self.connections.get(upstream, set()):
             connection.upstream_removed = True
-        for attempt, of_upstream in self.undialled.items():
-            attempt.upstream_removed |= of_upstream == upstream
+        for attempt, attempt_upstream in self.pending_dials.items():
+            attempt.upstream_removed |= attempt_upstream == upstream
 
     def sweep(self) -> None:
-        """Close the connections that upstreams are about to close."""
-        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
+        """Close the idle connections that upstreams are about to close, every SWEEP_INTERVAL_S."""
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         oldest_us = clock_us() - self.max_idle_us
         for connections in list(self.idle.values()):
-            for connection in [one for one in connections if one.idle_since_us <= oldest_us]:
+            for connection in [connection for connection in connections if connection.idle_since_us <= oldest_us]:
                 connection.close()
--- a/ryepier/sidecar/serving.py
+++ b/ryepier/sidecar/serving.py
@@ -1,4 +1,4 @@
-"""Start of a sidecar from its configuration, and the reload of that configuration."""
+"""Starts a sidecar from its configuration and reloads that configuration."""
 
 from __future__ import annotations
 
@@ -18,38 +18,42 @@
 
 
 async def follow_config(path: str, reload: asyncio.Event, source: EndpointSource) -> None:
-    """Read the configuration again whenever `reload` is set; only the endpoint source takes part of it."""
+    """Reload the configuration whenever `reload` is set; only the endpoint source applies the new values."""
     while True:
         await reload.wait()
         reload.clear()
         try:
             source.apply_config(config.load(path))
-        except CONFIG_ERRORS as error:  # a file that is half written or missing must cost no request
+        except CONFIG_ERRORS as error:  # a missing or incomplete file must not affect requests
             log.warning("configuration not reloaded: %r", error)
 
 
 async def serve(
-    settings: config.Config, stop: asyncio.Event, reload: asyncio.Event, components: Components = PLATFORM
+    sidecar_config: config.Config, stop: asyncio.Event, reload: asyncio.Event, components: Components = PLATFORM
 ) -> None:
-    """Serve until `stop` is set, then shut down gracefully."""
-    max_connections = settings.max_descriptors * 3 // 8
-    pool = ConnectionPool(settings.upstream_idle_timeout_us, settings.settings.connect_timeout_us, max_connections)
-    dispatcher = RequestDispatcher(settings.settings, settings.seed, pool)
-    source = components.source(settings, dispatcher)
+    """Serve until `stop` is set, then shut down gracefully; `reload` triggers a reload of the configuration file."""
+    max_connections = sidecar_config.max_descriptors * 3 // 8
+    pool = ConnectionPool(
+        sidecar_config.upstream_idle_timeout_us, sidecar_config.settings.connect_timeout_us, max_connections
+    )
+    dispatcher = RequestDispatcher(sidecar_config.settings, sidecar_config.seed, pool)
+    source = components.source(sidecar_config, dispatcher)
     dispatcher.subscribe = source.subscribe
     source.restore_cached()
     dispatcher.start()
     source.start()
-    front_ends = [make(settings, dispatcher) for make in components.front_ends]
-    background_services = [make(settings, dispatcher, source) for make in components.background_services]
-    following = asyncio.get_running_loop().create_task(follow_config(settings.path, reload, source))
+    front_ends = [make_front_end(sidecar_config, dispatcher) for make_front_end in components.front_ends]
+    background_services = [
+        make_service(sidecar_config, dispatcher, source) for make_service in components.background_services
+    ]
+    reload_task = asyncio.get_running_loop().create_task(follow_config(sidecar_config.path, reload, source))
     for service in background_services:
         service.start()
     await source.wait_for_first_list()
     for front_end in front_ends:
         front_end.listen()
     await stop.wait()
-    following.cancel()
+    reload_task.cancel()
     await shut_down(dispatcher, front_ends)
     for service in background_services:
         service.stop()
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that meets calls with faults, in front of a sidecar's discovery client over real connections."""
+"""A discovery server that answers calls with faults, and a sidecar's discovery client connected to it."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from tests.loopback_ports import free_port
 from tests.network_peers import endpoint_entry, endpoint_list, read_message
 
-EMPTY_LINE_INTERVAL_S = 2.0  # of a watch
+EMPTY_LINE_INTERVAL_S = 2.0  # between the empty lines of a watch
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\n"
 CLOSED_PORT = free_port()
 NEW_VERSION = 2
 
-OLD = endpoint_list(endpoint_entry("u0", 9000), rev=1)
-NEW = endpoint_list(endpoint_entry("u0", 9000, "leaving"), rev=2, full=False)
-NEW_BYTES = json.dumps(NEW).encode() + b"\n"
+OLD_LIST = endpoint_list(endpoint_entry("u0", 9000), rev=1)
+NEW_LIST = endpoint_list(endpoint_entry("u0", 9000, "leaving"), rev=2, full=False)
+NEW_BYTES = json.dumps(NEW_LIST).encode() + b"\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -38,9 +38,9 @@
 
 
 class Behaviour(enum.Enum):
-    """What becomes of a connection, or of a watch after its first bytes."""
+    """How a connection attempt ends, or how a watch continues after its initial bytes."""
 
-    REFUSE = enum.auto()  # the connection
+    REFUSE = enum.auto()  # the connection is refused
     HANG = enum.auto()  # the connection is never established
     STAY_SILENT = enum.auto()
     RESET = enum.auto()
@@ -48,9 +48,9 @@
 
 
 class Fault(NamedTuple):
-    """The bytes that are written to a call, and how it continues."""
+    """The bytes that are sent in response to a call, and the behaviour after them."""
 
-    data: bytes
+    initial_bytes: bytes
     behaviour: Behaviour
 
 
@@ -66,26 +66,26 @@
     "half a list, silent": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.STAY_SILENT),
     "half a list, a byte at a time": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.TRICKLE),
     "unreadable": Fault(HEAD + chunk(b'{"rev": 2, "all": true, "targets": [{"uid": "u0"}]}\n'), Behaviour.STAY_SILENT),
-    "watch falls silent": Fault(HEAD + chunk(json.dumps(OLD).encode() + b"\n"), Behaviour.STAY_SILENT),
-    "watch breaks": Fault(HEAD + chunk(json.dumps(OLD).encode() + b"\n"), Behaviour.RESET),
+    "watch falls silent": Fault(HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.STAY_SILENT),
+    "watch breaks": Fault(HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.RESET),
 }
 
 
 @dataclass
 class FaultyDiscovery:
-    """Meets each call with the next fault of an order, and serves every call after them.
+    """Answers each call with the next fault of `fault_order`, and serves all calls after the last fault.
 
-    It counts as reachable from when the last fault has occurred.
+    Discovery counts as reachable from the time of the last fault, in `reachable_at`.
     """
 
-    order: tuple[str, ...]
+    fault_order: tuple[str, ...]
     response_delay_s: float
     calls: list[float] = field(default_factory=list)
     reachable_at: float = 0.0
     port: int = 0
     server: asyncio.Server | None = None
-    first: bytes = NEW_BYTES
-    """What a call that is served gets."""
+    initial_data: bytes = NEW_BYTES
+    """The messages that a served call gets first."""
     sends_empty_lines: bool = False
 
     async def start(self) -> None:
@@ -93,24 +93,24 @@
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def on_connecting(self) -> Behaviour | None:
-        """Count a call, and return what becomes of its connection."""
+    def on_connect(self) -> Behaviour | None:
+        """Count a call and return how its connection behaves; None for a call that is served."""
         self.calls.append(time.monotonic())
-        if len(self.calls) <= len(self.order):
+        if len(self.calls) <= len(self.fault_order):
             self.reachable_at = self.calls[-1]
         fault = self._current_fault()
         return fault.behaviour if fault is not None else None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a call, or let its fault occur."""
+        """Serve a call, or answer it with its fault."""
         fault = self._current_fault()
-        is_last_fault = len(self.calls) == len(self.order)
+        is_last_fault = len(self.calls) == len(self.fault_order)
         try:
             await read_message(reader)
             if fault is None:
                 await self._serve_list(writer)
             else:
-                writer.write(fault.data)
+                writer.write(fault.initial_bytes)
                 await writer.drain()
                 if is_last_fault:
                     self.reachable_at = time.monotonic()
@@ -127,13 +127,13 @@
             self.server.close()
 
     def _current_fault(self) -> Fault | None:
-        if not 0 < len(self.calls) <= len(self.order):
+        if not 0 < len(self.calls) <= len(self.fault_order):
             return None
-        return FAULTS[self.order[len(self.calls) - 1]]
+        return FAULTS[self.fault_order[len(self.calls) - 1]]
 
     async def _serve_list(self, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(self.response_delay_s)
-        writer.write(HEAD + (chunk(self.first) if self.first else b""))
+        writer.write(HEAD + (chunk(self.initial_data) if self.initial_data else b""))
         while self.sends_empty_lines:
             await asyncio.sleep(EMPTY_LINE_INTERVAL_S)
             writer.write(chunk(b"\n"))
@@ -141,7 +141,7 @@
     @staticmethod
     async def _continue(behaviour: Behaviour, writer: asyncio.StreamWriter) -> None:
         if behaviour is Behaviour.RESET:
-            await asyncio.sleep(0.01)  # what was written arrives first
+            await asyncio.sleep(0.01)  # lets the written bytes arrive before the reset
             raise ConnectionResetError
         while behaviour is Behaviour.TRICKLE:
             await asyncio.sleep(0.2)
@@ -149,23 +149,26 @@
             await writer.drain()
 
 
-def script_connections(patch: pytest.MonkeyPatch, agents: dict[int, FaultyDiscovery]) -> None:
-    """Let connections to the ports of these agents be refused, or hang, where their fault says so."""
+def apply_connection_faults(patch: pytest.MonkeyPatch, agents: dict[int, FaultyDiscovery]) -> None:
+    """Make connections to the ports of these agents fail or hang if their current fault says so."""
     connect = asyncio.SelectorEventLoop.sock_connect
 
-    async def scripted(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
-        behaviour = agents[address[1]].on_connecting() if address[1] in agents else None
+    async def connect_by_fault(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
+        behaviour = agents[address[1]].on_connect() if address[1] in agents else None
         if behaviour is Behaviour.HANG:
             await asyncio.Event().wait()
         await connect(loop, sock, ("127.0.0.1", CLOSED_PORT) if behaviour is Behaviour.REFUSE else address)
 
-    patch.setattr(asyncio.SelectorEventLoop, "sock_connect", scripted)
+    patch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_by_fault)
 
 
-def follow(agent: FaultyDiscovery, is_pushed: bool, on_update: Callable[[UpstreamsUpdated], None]) -> DiscoveryClient:
+def start_client(
+    agent: FaultyDiscovery, is_pushed: bool, on_update: Callable[[UpstreamsUpdated], None]
+) -> DiscoveryClient:
     """Start a sidecar's decision module and discovery client.
 
-    It is one of a fleet so large that polls are spread over the maximum time, and it draws the latest of all times.
+    The settings are those of a fleet so large that polls are spread over the maximum interval, and this sidecar always
+    draws the latest time in it.
     """
     config = settings(polls_endpoints=not is_pushed, max_poll_interval_us=10_000_000, instances=1_600)
     dispatcher = RequestDispatcher(config, 1, ConnectionPool(60_000_000, 200_000, max_connections=10))
@@ -176,7 +179,7 @@
         dispatcher.on_endpoints(event, addresses)
 
     registry = EndpointRegistry(["a"], ["m"])
-    client = DiscoveryClient(("127.0.0.1", agent.port), registry, listener, is_pushed, known=OLD)
+    client = DiscoveryClient(("127.0.0.1", agent.port), registry, listener, is_pushed, cached_list=OLD_LIST)
     dispatcher.subscribe = client.subscribe
     client.restore_cached()
     dispatcher.start()
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -1,6 +1,6 @@
-"""Sidecars with one seeded fault: `python -m tests.seeded_sidecar_faults FAULT`.
+"""Runs a sidecar with a seeded fault: `python -m tests.seeded_sidecar_faults FAULT`.
 
-Each fault breaks one path that a check of `tests/acceptance.py` guards, to show that the check can fail.
+Each fault breaks behaviour that a check in `tests/acceptance.py` covers, to show that the check can fail.
 """
 
 from __future__ import annotations
@@ -22,80 +22,82 @@
 LATE_INTERVAL = 5  # every fifth answer is late
 
 
-def drop(requests: Iterable[OpenRequest]) -> None:
-    """Never write the answers to these requests."""
-    for request in requests:
-        request.reply = lambda answer: None
+def discard_answers(requests: Iterable[OpenRequest]) -> None:
+    """Discard the answers to these requests instead of writing them."""
+    for open_request in requests:
+        open_request.reply = lambda answer: None
 
 
-def delay(wait_s: float, reply: Callable[[FinalAnswer], None], answer: FinalAnswer) -> None:
-    """Write an answer later."""
+def answer_later(wait_s: float, reply: Callable[[FinalAnswer], None], answer: FinalAnswer) -> None:
+    """Write an answer after a delay."""
     asyncio.get_running_loop().call_later(wait_s, reply, answer)
 
 
 def forget_open_on_reload() -> None:
-    """A new configuration costs the open requests their answers."""
+    """Discard the answers of all open requests when the configuration is reloaded."""
     apply_config = DiscoveryClient.apply_config
 
-    def reload_and_forget(self: DiscoveryClient, config: Config) -> None:
-        host: RequestDispatcher = self.listener.__self__  # type: ignore[attr-defined]
-        drop(host.requests.values())
+    def apply_config_and_forget(self: DiscoveryClient, config: Config) -> None:
+        dispatcher: RequestDispatcher = self.listener.__self__  # type: ignore[attr-defined]
+        discard_answers(dispatcher.requests.values())
         apply_config(self, config)
 
-    DiscoveryClient.apply_config = reload_and_forget  # type: ignore[method-assign]
+    DiscoveryClient.apply_config = apply_config_and_forget  # type: ignore[method-assign]
 
 
 def forget_open_on_drain() -> None:
-    """Requests that are out at an upstream that drains lose their answers."""
-    forget = RequestDispatcher._remove_upstream
-
-    def forget_with_requests(self: RequestDispatcher, upstream: int) -> None:
-        drop(
-            request
-            for request in self.requests.values()
-            if any(attempt.upstream == upstream and not attempt.ended for attempt in request.attempts)
+    """Discard the answers of requests with an attempt in flight at an upstream that is removed or drained."""
+    remove_upstream = RequestDispatcher._remove_upstream
+
+    def remove_upstream_and_answers(self: RequestDispatcher, upstream: int) -> None:
+        discard_answers(
+            open_request
+            for open_request in self.requests.values()
+            if any(attempt.upstream == upstream and not attempt.ended for attempt in open_request.attempts)
         )
-        forget(self, upstream)
+        remove_upstream(self, upstream)
 
-    RequestDispatcher._remove_upstream = forget_with_requests  # type: ignore[method-assign]
+    RequestDispatcher._remove_upstream = remove_upstream_and_answers  # type: ignore[method-assign]
 
 
 def forget_on_reset() -> None:
-    """A request whose upstream's connection is reset or refused loses its answer."""
+    """Discard the answer of a request if the connection of its attempt is reset or can't be established."""
     end_attempt = RequestDispatcher._end_attempt
 
-    def end_and_forget(self: RequestDispatcher, opened: OpenRequest, number: int, result: AttemptResult) -> None:
+    def end_and_forget(
+        self: RequestDispatcher, open_request: OpenRequest, attempt_index: int, result: AttemptResult
+    ) -> None:
         if result.outcome in (Outcome.RESET, Outcome.CONNECT_FAILED):
-            drop([opened])
-        end_attempt(self, opened, number, result)
+            discard_answers([open_request])
+        end_attempt(self, open_request, attempt_index, result)
 
     RequestDispatcher._end_attempt = end_and_forget  # type: ignore[method-assign]
 
 
 def ignore_pieces() -> None:
-    """A request that does not come in each piece is never taken."""
-    received, accept = ClientConnection.data_received, ClientConnection._accept
+    """Never accept a request that arrives in more than one piece."""
+    data_received, accept_request = ClientConnection.data_received, ClientConnection._accept_request
 
     def count_pieces(self: ClientConnection, data: bytes) -> None:
         self.pieces = getattr(self, "pieces", 0) + 1  # type: ignore[attr-defined]
-        received(self, data)
+        data_received(self, data)
 
     def accept_unsplit(self: ClientConnection) -> None:
         if self.pieces == 1:  # type: ignore[attr-defined]
-            accept(self)
+            accept_request(self)
 
     ClientConnection.data_received = count_pieces  # type: ignore[method-assign]
-    ClientConnection._accept = accept_unsplit  # type: ignore[method-assign]
+    ClientConnection._accept_request = accept_unsplit  # type: ignore[method-assign]
 
 
 def close_partial_on_shutdown() -> None:
-    """Told to end, it closes connections on which part of a request has come."""
+    """Close connections with a partial request when the shutdown begins."""
     close_idle = Server.close_idle
 
     def close_idle_and_partial(self: Server) -> None:
         close_idle(self)
         for state in (ClientState.NEW, ClientState.READING):
-            for client in list(self.clients[state]):
+            for client in list(self.clients_by_state[state]):
                 if client.reader.received_bytes:
                     client.close()
 
@@ -103,39 +105,39 @@
 
 
 def answer_late() -> None:
-    """Some answers come after their request's time."""
-    give, count = RequestDispatcher._answer, 0
+    """Write some answers after their request's deadline."""
+    answer_on_time, answer_count = RequestDispatcher._answer, 0
 
-    def give_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
-        nonlocal count
-        count += 1
-        request = self.requests.get(ident)
-        if count % LATE_INTERVAL == 0 and request is not None:
-            wait_s, reply = request.request.deadline_us / 1e6 + LATE_S, request.reply
-            request.reply = lambda late: delay(wait_s, reply, late)
-        give(self, ident, answer)
+    def answer_some_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
+        nonlocal answer_count
+        answer_count += 1
+        open_request = self.requests.get(ident)
+        if answer_count % LATE_INTERVAL == 0 and open_request is not None:
+            wait_s, reply = open_request.request.deadline_us / 1e6 + LATE_S, open_request.reply
+            open_request.reply = lambda answer: answer_later(wait_s, reply, answer)
+        answer_on_time(self, ident, answer)
 
-    RequestDispatcher._answer = give_late  # type: ignore[method-assign]
+    RequestDispatcher._answer = answer_some_late  # type: ignore[method-assign]
 
 
 def never_watch_again() -> None:
-    """Keep a watch that has fallen silent."""
+    """Never fail a watch that has fallen silent."""
     DiscoveryClient.check_liveness = lambda self: None  # type: ignore[method-assign]
 
 
 def ignore_complete_lists() -> None:
-    """Ignore complete lists, except at the start."""
-    changed = RequestDispatcher.on_endpoints
+    """Ignore complete lists, except the first one."""
+    on_endpoints = RequestDispatcher.on_endpoints
 
-    def only_changes(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
+    def apply_changes_only(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
         if event.kind is not ListKind.FULL or not self.addresses:
-            changed(self, event, addresses)
+            on_endpoints(self, event, addresses)
 
-    RequestDispatcher.on_endpoints = only_changes  # type: ignore[method-assign]
+    RequestDispatcher.on_endpoints = apply_changes_only  # type: ignore[method-assign]
 
 
 def lose_watch_on_reload() -> None:
-    """Open no watch after a new configuration."""
+    """Close the watch on a configuration reload and open no new one."""
 
     def apply_and_stop(self: DiscoveryClient, config: Config) -> None:
         self.address = config.discovery
@@ -145,33 +147,33 @@
 
 
 def keep_configured_list() -> None:
-    """Keep the configured list after a start."""
+    """Keep the cached list of the configuration after the start, and open no watch."""
     DiscoveryClient.start = lambda self: None  # type: ignore[method-assign]
 
 
 def reject_while_warming_up() -> None:
-    """Reject all requests while the last change of the list has only upstreams that warm up."""
+    """Reject all requests while all ready upstreams of the last list update are warming up."""
     on_endpoints, on_request, is_warming_up = RequestDispatcher.on_endpoints, RequestDispatcher.on_request, False
 
-    def note_warming_up(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
+    def record_warming_up(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
         nonlocal is_warming_up
-        ready = [each for each in event.upstreams if each.state is UpstreamState.READY]
-        is_warming_up = bool(ready) and all(each.started_us for each in ready)
+        ready_upstreams = [upstream for upstream in event.upstreams if upstream.state is UpstreamState.READY]
+        is_warming_up = bool(ready_upstreams) and all(upstream.started_us for upstream in ready_upstreams)
         on_endpoints(self, event, addresses)
 
-    def reject(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
+    def reject_request(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
         if not is_warming_up:
             return on_request(self, request, reply)
         reply(FinalAnswer(FinalOutcome.REJECTED))
         return 0
 
-    RequestDispatcher.on_endpoints = note_warming_up  # type: ignore[method-assign]
-    RequestDispatcher.on_request = reject  # type: ignore[method-assign]
+    RequestDispatcher.on_endpoints = record_warming_up  # type: ignore[method-assign]
+    RequestDispatcher.on_request = reject_request  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    each.__name__: each
-    for each in (
+    install_fault.__name__: install_fault
+    for install_fault in (
         forget_open_on_reload,
         forget_open_on_drain,
         forget_on_reset,
--- a/tests/test_connection_eviction.py
+++ b/tests/test_connection_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction of client connections: which close for new ones, and what their clients get."""
+"""Eviction of client connections: which ones are closed for new ones, and how their clients are answered."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 
 
 async def answered_connection(
-    it: Sidecar, servers: list[Server]
+    running_sidecar: Sidecar, servers: list[Server]
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
-    """Return a connection on which a request was answered: its streams, and the sidecar's side."""
-    reader, writer = await it.connect()
+    """Return a connection on which a request was answered: the client's streams and the sidecar's connection."""
+    reader, writer = await running_sidecar.connect()
     writer.write(request("pay", "1"))
     assert status_of(await read_message(reader)) == 200
-    await wait_until(lambda: len(servers[0].clients[ClientState.IDLE]) == 1)
-    return reader, writer, next(iter(servers[0].clients[ClientState.IDLE]))
+    await wait_until(lambda: len(servers[0].clients_by_state[ClientState.IDLE]) == 1)
+    return reader, writer, next(iter(servers[0].clients_by_state[ClientState.IDLE]))
 
 
-def test_connection_on_which_a_request_has_arrived_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_with_an_unread_request_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     servers = record_servers(monkeypatch)
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
-        async with sidecar(upstream) as it:
-            reader, writer, _ = await answered_connection(it, servers)
+        async with sidecar(upstream) as running_sidecar:
+            reader, writer, _ = await answered_connection(running_sidecar, servers)
             writer.write(request("pay", "2"))
-            servers[0].free_capacity()  # in the same turn: its bytes are there and were not read
+            servers[0].free_capacity()  # the request has arrived but was not read yet
             assert status_of(await read_message(reader)) == 200
             writer.close()
         assert len(upstream.requests) == 2
@@ -52,81 +52,86 @@
     run_async(test)
 
 
-def test_request_that_crosses_the_close_of_its_connection_is_not_forwarded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_sent_while_its_connection_is_evicted_is_not_forwarded(monkeypatch: pytest.MonkeyPatch) -> None:
     servers = record_servers(monkeypatch)
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
-        async with sidecar(upstream) as it:
-            reader, writer, client = await answered_connection(it, servers)
+        async with sidecar(upstream) as running_sidecar:
+            reader, writer, client = await answered_connection(running_sidecar, servers)
             close = client.close
 
-            def crossed() -> None:
+            def send_then_close() -> None:
                 writer.write(request("pay", "2"))
                 close()
 
-            client.close = crossed  # type: ignore[method-assign]
+            client.close = send_then_close  # type: ignore[method-assign]
             assert servers[0].free_capacity()
             with pytest.raises(ConnectionResetError):
                 await reader.read()
-            assert status_of(await it.fetch(request("pay", "2"))) == 200  # as the page has clients send it once more
+            # clients resend such a request once, on another connection
+            assert status_of(await running_sidecar.fetch(request("pay", "2"))) == 200
         assert len(upstream.requests) == 2
 
     run_async(test)
 
 
-def test_evicted_connection_ends_before_bytes_that_arrive_in_the_same_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bytes_sent_just_after_an_eviction_do_not_cause_a_reset(monkeypatch: pytest.MonkeyPatch) -> None:
     servers = record_servers(monkeypatch)
 
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
             server = servers[0]
             await wait_until(lambda: server.connection_count() == 0)
-            with socket.create_connection(("127.0.0.1", it.port), timeout=HANG_TIMEOUT_S) as client:
-                await wait_until(lambda: any(each.transport is not None for each in server.clients[ClientState.NEW]))
-                await asyncio.sleep(FIRST_REQUEST_GRACE_S)  # from now on it may be evicted
+            with socket.create_connection(("127.0.0.1", running_sidecar.port), timeout=HANG_TIMEOUT_S) as client:
+                await wait_until(
+                    lambda: any(
+                        connection.transport is not None for connection in server.clients_by_state[ClientState.NEW]
+                    )
+                )
+                await asyncio.sleep(FIRST_REQUEST_GRACE_S)  # afterwards the connection may be evicted
                 assert server.free_capacity()
-                client.sendall(request("pay", body=b"0123456789")[:-5])  # before the loop's next turn
+                client.sendall(request("pay", body=b"0123456789")[:-5])  # before the next iteration of the event loop
                 await asyncio.sleep(0.05)
-                assert client.recv(1) == b""  # not a reset: the end came before these bytes
+                assert client.recv(1) == b""  # end of stream instead of a reset
 
     run_async(test)
 
 
 def test_connection_closes_after_its_first_response_when_many_are_open() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
-            first = await it.connect()
-            first[1].write(request())
-            assert b"Connection: close" not in (await read_message(first[0]))[0]
-            silent_ones = [await it.connect() for _ in range(60)]
-            assert b"Connection: close" in (await it.fetch(request()))[0]
-            first[1].write(request())  # one that is in use stays
-            assert b"Connection: close" not in (await read_message(first[0]))[0]
-            for _, writer in (first, *silent_ones):
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
+            first_connection = await running_sidecar.connect()
+            first_connection[1].write(request())
+            assert b"Connection: close" not in (await read_message(first_connection[0]))[0]
+            silent_connections = [await running_sidecar.connect() for _ in range(60)]
+            assert b"Connection: close" in (await running_sidecar.fetch(request()))[0]
+            first_connection[1].write(request())  # a connection in use stays open
+            assert b"Connection: close" not in (await read_message(first_connection[0]))[0]
+            for _, writer in (first_connection, *silent_connections):
                 writer.close()
 
     run_async(test)
 
 
-def test_connection_used_last_is_not_evicted() -> None:
+def test_most_recently_used_connection_is_not_evicted() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
-            first = await it.connect()
-            others = [await it.connect() for _ in range(90)]
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
+            first_connection = await running_sidecar.connect()
+            other_connections = [await running_sidecar.connect() for _ in range(90)]
 
-            async def use(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def send_readiness_probe(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert status_of(await read_message(reader)) == 200
 
-            for each in (*others, first):
-                await use(*each)
+            for connection in (*other_connections, first_connection):
+                await send_readiness_probe(*connection)
             for _ in range(30):
-                others.append(await it.connect())
-                await use(*others[-1])
-            assert await others[0][0].read() == b""
-            await use(*first)
-            for _, writer in (first, *others):
+                other_connections.append(await running_sidecar.connect())
+                await send_readiness_probe(*other_connections[-1])
+            assert await other_connections[0][0].read() == b""
+            await send_readiness_probe(*first_connection)
+            for _, writer in (first_connection, *other_connections):
                 writer.close()
 
     run_async(test)
@@ -134,11 +139,11 @@
 
 def test_idle_connections_are_evicted_for_new_ones() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as it:  # 200 descriptors
-            idle = [await it.connect() for _ in range(150)]
-            assert status_of(await it.fetch(request())) == 200
-            assert await idle[0][0].read() == b""
-            for _, writer in idle:
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
+            idle_connections = [await running_sidecar.connect() for _ in range(150)]
+            assert status_of(await running_sidecar.fetch(request())) == 200
+            assert await idle_connections[0][0].read() == b""
+            for _, writer in idle_connections:
                 writer.close()
 
     run_async(test)
