--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -62,7 +62,7 @@
     path: Path, region: str, replica: str, folder: Path, discovery: str | None, freeze_s: float, bootstrap: bool
 ) -> None:
     """Run one coordinator until SIGTERM."""
-    structured.set_up(LoggingSettings(format=LogFormat.JSON, lines_per_s=LOG_LINES_PER_S))
+    structured.configure_logging(LoggingSettings(format=LogFormat.JSON, lines_per_s=LOG_LINES_PER_S))
     agreement = _read_agreement(path, region)
     try:
         settings = CoordinatorSettings(
--- a/ryepier/commands/planner.py
+++ b/ryepier/commands/planner.py
@@ -28,7 +28,7 @@
 def planner(path: Path | None) -> None:
     """Run one planner until SIGTERM."""
     operators = read_operators_file(path, os.environ)
-    structured.set_up(operators.logging)
+    structured.configure_logging(operators.logging)
     try:
         server = make_planner(operators, random.getrandbits(64))
     except AssemblyError as error:
--- a/ryepier/commands/run.py
+++ b/ryepier/commands/run.py
@@ -31,7 +31,7 @@
 def run(path: Path | None, platform_path: str) -> None:
     """Run one sidecar until SIGTERM."""
     operators = read_operators_file(path, os.environ)
-    structured.set_up(operators.logging)
+    structured.configure_logging(operators.logging)
     try:
         settings = platform.load(platform_path)
     except CONFIG_ERRORS as error:
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -36,7 +36,7 @@
 def make_settings(path: Path | None, service: str) -> Settings:
     """Return the settings of a read-only client; exit with 2 if they are incomplete or wrong."""
     operators = read_operators_file(path, os.environ)
-    structured.set_up(operators.logging)
+    structured.configure_logging(operators.logging)
     slices = operators.slices
     name = service or slices.service
     try:
--- a/ryepier/conf/key_lines.py
+++ b/ryepier/conf/key_lines.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-Path = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 
 _TABLE = re.compile(r"^\s*(\[\[?)\s*([^\[\]]+?)\s*\]\]?\s*(?:#.*)?$")
 _KEY = re.compile(r"^\s*([A-Za-z0-9_\-.\"']+)\s*=(.*)$")
@@ -25,7 +25,7 @@
         return f"{place}{self.key}: {self.text}" if self.key else f"{place}{self.text}"
 
 
-def spell(path: Path) -> str:
+def format_key_path(path: KeyPath) -> str:
     """Return a key's path as it is written: `faults[2].at_s`."""
     text = ""
     for part in path:
@@ -40,19 +40,19 @@
         """Find the keys of `text`, which need not be valid TOML."""
         self._lines = _lines_of_keys(text)
 
-    def problem(self, path: Path, text: str) -> Problem:
+    def problem_at(self, path: KeyPath, text: str) -> Problem:
         """Return the problem `text` at the key `path`, or at the nearest table above it that the file names."""
         at = path
         while at and at not in self._lines:
             at = at[:-1]
-        return Problem(spell(path), self._lines.get(at, 0), text)
+        return Problem(format_key_path(path), self._lines.get(at, 0), text)
 
 
-def _lines_of_keys(text: str) -> dict[Path, int]:
+def _lines_of_keys(text: str) -> dict[KeyPath, int]:
     """Where each table and key of a TOML text begins. Keys inside inline tables are found by their table only."""
-    lines: dict[Path, int] = {}
-    counts: dict[Path, int] = {}
-    table: Path = ()
+    lines: dict[KeyPath, int] = {}
+    counts: dict[KeyPath, int] = {}
+    table: KeyPath = ()
     depth = 0
     for number, line in enumerate(text.splitlines(), 1):
         header = _TABLE.match(line) if depth == 0 else None
@@ -73,9 +73,9 @@
     return lines
 
 
-def _numbered(names: tuple[str, ...], counts: dict[Path, int]) -> Path:
+def _numbered(names: tuple[str, ...], counts: dict[KeyPath, int]) -> KeyPath:
     """Return the path of a table, with the number of the last entry wherever it leads through a list of tables."""
-    path: Path = ()
+    path: KeyPath = ()
     for name in names:
         path += (name,)
         if path in counts:
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import inspect
 
-from ryepier.conf.key_lines import KeyLines, Path, Problem
+from ryepier.conf.key_lines import KeyLines, KeyPath, Problem
 
 T = TypeVar("T", bound=msgspec.Struct)
 
@@ -79,10 +79,10 @@
         self.lines = lines
         self.problems: list[Problem] = []
 
-    def problem(self, path: Path, text: str) -> None:
-        self.problems.append(self.lines.problem(path, text))
+    def problem(self, path: KeyPath, text: str) -> None:
+        self.problems.append(self.lines.problem_at(path, text))
 
-    def struct(self, schema: type[msgspec.Struct], data: Any, path: Path) -> msgspec.Struct | None:
+    def struct(self, schema: type[msgspec.Struct], data: Any, path: KeyPath) -> msgspec.Struct | None:
         if not isinstance(data, dict):
             self.problem(path, f"expected a table, got {type(data).__name__}")
             return None
@@ -104,7 +104,7 @@
             self.problem(path, str(error))
             return None
 
-    def value(self, kind: inspect.Type, schema: Any, data: Any, path: Path) -> Any:
+    def value(self, kind: inspect.Type, schema: Any, data: Any, path: KeyPath) -> Any:
         if isinstance(kind, inspect.StructType):
             return self.struct(kind.cls, data, path)
         if isinstance(kind, inspect.ListType) and isinstance(kind.item_type, inspect.StructType):
--- a/ryepier/emulator/simulated_logs.py
+++ b/ryepier/emulator/simulated_logs.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import TextIO
 
-from ryepier.logs.structured import JsonLines
+from ryepier.logs.structured import JsonLinesFormatter
 from ryepier.sidecar import system
 from ryepier.sim.process import OWNER
 from ryepier.sim.run import SimLoop
@@ -24,7 +24,7 @@
         self.folder = folder
         self._files: dict[str, TextIO] = {}
         self._stack = contextlib.ExitStack()  # holds the files open until the run ends
-        self.setFormatter(JsonLines())
+        self.setFormatter(JsonLinesFormatter())
 
     def emit(self, record: logging.LogRecord) -> None:
         """Handle a record of a simulated process; others are ignored."""
--- a/ryepier/experiments/graphql/seeded_faults.py
+++ b/ryepier/experiments/graphql/seeded_faults.py
@@ -13,22 +13,22 @@
     """Take a document for a mutation only if that is its first word."""
     from graphql import OperationType
 
-    from ryepier.graphql.document import Document, Documents
+    from ryepier.graphql.document import Document, DocumentCache
 
-    read = Documents.read
+    read = DocumentCache.read
 
-    def read_first_word(self: Documents, text: str) -> Document:
+    def read_first_word(self: DocumentCache, text: str) -> Document:
         kind = OperationType.MUTATION if text.startswith("mutation") else OperationType.QUERY
         return Document(tuple(replace(one, kind=kind) for one in read(self, text).operations))
 
-    Documents.read = read_first_word  # type: ignore[method-assign]
+    DocumentCache.read = read_first_word  # type: ignore[method-assign]
 
 
 def read_every_time() -> None:
     """Read a document again each time, without the cache."""
     from ryepier.graphql import document
 
-    document.Documents.read = lambda self, text: document.read_document(text)  # type: ignore[method-assign]
+    document.DocumentCache.read = lambda self, text: document.read_document(text)  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -36,7 +36,7 @@
 def main() -> None:
     """Run the agent until the process is killed."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AgentPlan)
-    structured.set_up(LoggingSettings(format=LogFormat.JSON, lines_per_s=LOG_LINES_PER_S))
+    structured.configure_logging(LoggingSettings(format=LogFormat.JSON, lines_per_s=LOG_LINES_PER_S))
     agreement = agreement_file.parse(Path(plan.agreement).read_bytes())
     client = RegionClient(plan.region, replica_addresses(agreement, plan.region), plan.name, ClientKind.AGENT)
     settings = AgentSettings(plan.name, plan.drain_grace_s, plan.work_s)
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -183,7 +183,7 @@
 
 
 @dataclass(slots=True)
-class Documents:
+class DocumentCache:
     """Cache of parsed documents by the hash of their text."""
 
     max_documents: int = MAX_CACHED_DOCUMENTS
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -14,7 +14,7 @@
 
 from ryepier.balancer.interface import Idempotency
 from ryepier.graphql.classify import Meaning, OperationCall, Table, check_get, meaning
-from ryepier.graphql.document import Documents, Operation
+from ryepier.graphql.document import DocumentCache, Operation
 from ryepier.graphql.errors import GraphqlError, malformed_request
 from ryepier.graphql.persisted import Persisted
 
@@ -149,7 +149,7 @@
         """Start with empty caches."""
         self.table = table
         self.max_batch = max_batch
-        self.documents = Documents()
+        self.documents = DocumentCache()
         self.persisted = Persisted()
 
     def get(self, query_string: str) -> ParsedRequest:
--- a/ryepier/logs/structured.py
+++ b/ryepier/logs/structured.py
@@ -15,7 +15,7 @@
 _OWN_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
 
 
-class JsonLines(logging.Formatter):
+class JsonLinesFormatter(logging.Formatter):
     """One JSON object per record: time (UTC, ISO 8601), level, logger, message, the caller's own fields."""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -32,11 +32,11 @@
         return json.dumps(line, default=str, ensure_ascii=False)
 
 
-def set_up(settings: LoggingSettings) -> None:
+def configure_logging(settings: LoggingSettings) -> None:
     """Send the root logger's records to standard error as the operators want them."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
-        JsonLines() if settings.format is LogFormat.JSON else logging.Formatter("%(levelname)s %(message)s")
+        JsonLinesFormatter() if settings.format is LogFormat.JSON else logging.Formatter("%(levelname)s %(message)s")
     )
     handler.addFilter(RateLimitFilter(settings.lines_per_s))
     root = logging.getLogger()
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from ryepier.conf.key_lines import KeyLines, Path, Problem, spell
+from ryepier.conf.key_lines import KeyLines, KeyPath, Problem, format_key_path
 from ryepier.maintenance.agreement import Agreement, Service, format_capacity
 from ryepier.maintenance.agreement_tables import AgreementTables, ServiceTable
 
@@ -16,14 +16,14 @@
 class _KeyedName(NamedTuple):
     """A name, and the key that it stands at."""
 
-    path: Path
+    path: KeyPath
     name: str
 
 
 class _KeyedAmount(NamedTuple):
     """An amount, and the key that it stands at."""
 
-    path: Path
+    path: KeyPath
     amount: float
 
 
@@ -36,9 +36,9 @@
         self.lines = lines
         self.problems: list[Problem] = []
 
-    def _add_problem(self, path: Path, text: str) -> None:
+    def _add_problem(self, path: KeyPath, text: str) -> None:
         """Note a problem at a key."""
-        self.problems.append(self.lines.problem(path, text))
+        self.problems.append(self.lines.problem_at(path, text))
 
     def check_names(self) -> None:
         """Check that every name is given once, and that every name that is referred to is given."""
@@ -74,7 +74,7 @@
         names: list[_KeyedName] = []
         addresses: list[_KeyedName] = []
         for i, region in enumerate(self.tables.regions):
-            at: Path = ("regions", i, "replicas")
+            at: KeyPath = ("regions", i, "replicas")
             if len(region.replicas) < MIN_REPLICAS:
                 self._add_problem(at, f"{len(region.replicas)} replicas; a region needs at least {MIN_REPLICAS}")
             for j, replica in enumerate(region.replicas):
@@ -85,14 +85,14 @@
 
     def _check_unique(self, named: Iterable[_KeyedName]) -> set[str]:
         """Note names that are given twice; return all names."""
-        first: dict[str, Path] = {}
+        first: dict[str, KeyPath] = {}
         for path, name in named:
             if name in first:
-                self._add_problem(path, f"{name!r} is named before, at {spell(first[name])}")
+                self._add_problem(path, f"{name!r} is named before, at {format_key_path(first[name])}")
             first.setdefault(name, path)
         return set(first)
 
-    def _check_known(self, path: Path, name: str, known: set[str], kind: str) -> None:
+    def _check_known(self, path: KeyPath, name: str, known: set[str], kind: str) -> None:
         """Note a name that refers to nothing."""
         if name not in known:
             self._add_problem(path, f"unknown {kind} {name!r}; known are {', '.join(sorted(known)) or 'none'}")
@@ -141,7 +141,7 @@
     def _check_regions(self, number: int, table: ServiceTable, service: Service, agreement: Agreement) -> None:
         """Check a service's amounts in each region, and that no region with its converters is missing."""
         for j, part in enumerate(table.regions):
-            at: Path = ("services", number, "regions", j)
+            at: KeyPath = ("services", number, "regions", j)
             max_unavailable = agreement.max_unavailable_in(service.name, part.region)
             if max_unavailable < 0:
                 self._add_problem((*at, "least"), _describe_excess(service, agreement, part.region, -max_unavailable))
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -15,7 +15,7 @@
 
 from ryepier.balancer.interface import Idempotency
 from ryepier.graphql.classify import ClassRule, FieldRule, Table
-from ryepier.graphql.document import MAX_DEPTH, Documents
+from ryepier.graphql.document import MAX_DEPTH, DocumentCache
 from ryepier.graphql.errors import GraphqlError
 from ryepier.graphql.persisted import Persisted
 from ryepier.graphql.request import ParsedRequest, Reader, response_type
@@ -204,7 +204,7 @@
 
 
 def test_document_cache_is_bounded() -> None:
-    documents = Documents(max_documents=3, max_bytes=100)
+    documents = DocumentCache(max_documents=3, max_bytes=100)
     for number in range(10):
         documents.read(f"{{ a{number} }}")
     documents.read("{ a9 }")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -32,7 +32,7 @@
 def test_json_line_has_the_message_and_the_fields_of_its_request(
     root: logging.Logger, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    structured.set_up(LoggingSettings(format=LogFormat.JSON))
+    structured.configure_logging(LoggingSettings(format=LogFormat.JSON))
     logging.getLogger("ryepier.sidecar.dispatcher").info("%s", "request \u00fc refused", extra={"request": "77"})
     line = json.loads(capsys.readouterr().err)
     assert line["message"] == "request ü refused" and line["request"] == "77"
@@ -43,7 +43,7 @@
     root: logging.Logger, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ryepier.sidecar.logs.time.monotonic", lambda: 1000.5)
-    structured.set_up(LoggingSettings(lines_per_s=3))
+    structured.configure_logging(LoggingSettings(lines_per_s=3))
     Expensive.rendered = 0
     for _ in range(10):
         root.debug("%s", Expensive())
