--- a/ryepier/assembly/sidecar.py
+++ b/ryepier/assembly/sidecar.py
@@ -55,10 +55,10 @@
         except AccessError as error:
             raise AssemblyError(f"slices: {error}") from None
     if operators.graphql.enabled:
-        from ryepier.fronts.graphql import make_table
+        from ryepier.fronts.graphql import make_classification_table
 
         try:
-            make_table(operators.graphql, config.settings)
+            make_classification_table(operators.graphql, config.settings)
         except ValueError as error:
             raise AssemblyError(f"graphql: {error}") from None
 
@@ -69,9 +69,9 @@
     if operators.slices.service:
         components = replace(components, source=partial(make_slice_source, operators))
     if operators.graphql.enabled:
-        from ryepier.fronts.graphql import make_fronts  # with graphql-core: only where it is used
+        from ryepier.fronts.graphql import make_front_ends  # with graphql-core: only where it is used
 
-        components = replace(components, front_ends=make_fronts(operators.graphql))
+        components = replace(components, front_ends=make_front_ends(operators.graphql))
     if operators.plan.planners:
         components = replace(
             components, background_services=(*components.background_services, partial(make_forwarder, operators))
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -8,9 +8,9 @@
 from ryepier.balancer.interface import Idempotency, Settings
 from ryepier.conf import operator_settings as conf
 from ryepier.graphql import answers
-from ryepier.graphql.classify import ClassRule, FieldRule, Meaning, Table
+from ryepier.graphql.classify import Classification, ClassificationTable, ClassRule, FieldRule
 from ryepier.graphql.errors import GraphqlError
-from ryepier.graphql.request import JSON_TYPE, RESPONSE_TYPE, ParsedRequest, Reader, response_type
+from ryepier.graphql.request import JSON_TYPE, RESPONSE_TYPE, ParsedRequest, RequestReader, response_type
 from ryepier.sidecar.components import FrontEnd
 from ryepier.sidecar.config import Config, parse_address
 from ryepier.sidecar.dispatcher import RequestDispatcher
@@ -46,7 +46,7 @@
     )
 )
 # headers of this connection, or written anew: class and key follow from the operation
-OWN_HEADERS = HOP_BY_HOP_HEADERS | {
+NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"content-type",
     b"content-encoding",
     b"x-request-id",
@@ -59,23 +59,26 @@
 class GraphqlRequestError(RequestError):
     """A request that is not accepted, with a GraphQL error."""
 
-    def __init__(self, error: GraphqlError, answer_type: str) -> None:
+    def __init__(self, error: GraphqlError, accepted_type: str) -> None:
         """Take over an error, for a client that accepts `answer_type`."""
         super().__init__(error.status, error.text, keeps_connection=True)
         self.code = error.code
         self.allow = error.allow
-        self.answer_type = answer_type
+        self.accepted_type = accepted_type
 
 
-def make_table(settings: conf.GraphqlSettings, platform: Settings) -> Table:
+def make_classification_table(settings: conf.GraphqlSettings, platform_settings: Settings) -> ClassificationTable:
     """Return the operators' table over the platform's classes. Raises ValueError if they contradict each other."""
     rules: dict[str, dict[str, FieldRule]] = {"query": {}, "mutation": {}}
-    for one in settings.fields:
-        rules[one.type][one.name] = FieldRule(
-            one.request_class, one.key, int(one.cost_ms * 1000), int(one.deadline_ms * 1000)
+    for field in settings.fields:
+        rules[field.type][field.name] = FieldRule(
+            field.request_class, field.key, int(field.cost_ms * 1000), int(field.deadline_ms * 1000)
         )
-    return Table(
-        {kind.name: ClassRule(kind.name, kind.idempotency) for kind in platform.classes},
+    return ClassificationTable(
+        {
+            request_class.name: ClassRule(request_class.name, request_class.idempotency)
+            for request_class in platform_settings.classes
+        },
         rules["query"],
         rules["mutation"],
         settings.queries,
@@ -86,127 +89,133 @@
 class GraphqlDialect:
     """Reads GraphQL requests over HTTP."""
 
-    def __init__(self, settings: Settings, reader: Reader) -> None:
+    def __init__(self, settings: Settings, reader: RequestReader) -> None:
         """Read requests of the settings' classes."""
         self.settings = settings
         self.reader = reader
-        self.classes = {kind.name: index for index, kind in enumerate(settings.classes)}
+        self.class_indexes = {request_class.name: index for index, request_class in enumerate(settings.classes)}
         self.tenants = TenantIndex(settings)
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Return the request. Raises RequestError."""
-        found = parse_headers(headers, SINGLE_HEADERS)
-        answer_type = RESPONSE_TYPE
+        headers_by_name = parse_headers(headers, SINGLE_HEADERS)
+        accepted_type = RESPONSE_TYPE
         try:
-            answer_type = response_type(found.get(b"accept", b"").decode("latin-1"))
-            parsed = self._parse_query(method, target, found, body)
+            accepted_type = response_type(headers_by_name.get(b"accept", b"").decode("latin-1"))
+            parsed = self._read_operations(method, target, headers_by_name, body)
         except GraphqlError as error:
-            raise GraphqlRequestError(error, answer_type) from None
-        return self._client_request(target, headers, found, parsed, answer_type)
+            raise GraphqlRequestError(error, accepted_type) from None
+        return self._client_request(target, headers, headers_by_name, parsed, accepted_type)
 
-    def _parse_query(self, method: bytes, target: bytes, found: dict[bytes, bytes], body: bytes) -> ParsedRequest:
+    def _read_operations(
+        self, method: bytes, target: bytes, headers_by_name: dict[bytes, bytes], body: bytes
+    ) -> ParsedRequest:
         if method == b"GET":
             if body:
                 raise GraphqlError(400, "BAD_REQUEST", "a GET has no body")
             try:
-                return self.reader.get(target.partition(b"?")[2].decode("ascii"))
+                return self.reader.read_get(target.partition(b"?")[2].decode("ascii"))
             except UnicodeDecodeError:
                 raise GraphqlError(400, "BAD_REQUEST", "the query string is not plain text") from None
         if method != b"POST":
             raise GraphqlError(405, "METHOD_NOT_ALLOWED", "expected GET or POST", "GET, POST")
-        if b"content-encoding" in found:
+        if b"content-encoding" in headers_by_name:
             raise GraphqlError(415, "UNSUPPORTED_MEDIA_TYPE", "no encoded bodies")
-        return self.reader.post(found.get(b"content-type", b"").decode("latin-1"), body)
+        return self.reader.read_post(headers_by_name.get(b"content-type", b"").decode("latin-1"), body)
 
     def _client_request(
         self,
         target: bytes,
         headers: list[Header],
-        found: dict[bytes, bytes],
+        headers_by_name: dict[bytes, bytes],
         parsed: ParsedRequest,
-        answer_type: str,
+        accepted_type: str,
     ) -> ClientRequest:
-        meant = parsed.meaning
-        index = self.classes[meant.class_name]
-        kind = self.settings.classes[index]
-        request_id = self._request_id(found)
-        requested_us = (
-            1000 * parse_integer(found[b"x-deadline-ms"], "X-Deadline-Ms") if b"x-deadline-ms" in found else 0
+        classification = parsed.classification
+        index = self.class_indexes[classification.class_name]
+        request_class = self.settings.classes[index]
+        request_id = self._request_id(headers_by_name)
+        client_deadline_us = (
+            1000 * parse_integer(headers_by_name[b"x-deadline-ms"], "X-Deadline-Ms")
+            if b"x-deadline-ms" in headers_by_name
+            else 0
         )
-        cost, key = found.get(b"x-cost-hint"), found.get(b"x-key")
+        cost, key = headers_by_name.get(b"x-cost-hint"), headers_by_name.get(b"x-key")
         return ClientRequest(
             b"POST",
             target.partition(b"?")[0],
-            self._forwarded_headers(headers, request_id, meant),
+            self._forwarded_headers(headers, request_id, classification),
             parsed.body,
             clock_us(),
-            deadline_us=min(requested_us or meant.deadline_us or kind.deadline_us, kind.deadline_us),
+            deadline_us=min(
+                client_deadline_us or classification.deadline_us or request_class.deadline_us, request_class.deadline_us
+            ),
             class_index=index,
             request_id=request_id,
-            tenant=self.tenants.find(found),
+            tenant=self.tenants.find(headers_by_name),
             key=stable_hash(key) if key else 0,
-            cost_us=parse_integer(cost, "X-Cost-Hint") if cost else meant.cost_us,
-            marked_as_retry=found.get(b"x-retry") == b"1",
+            cost_us=parse_integer(cost, "X-Cost-Hint") if cost else classification.cost_us,
+            marked_as_retry=headers_by_name.get(b"x-retry") == b"1",
             forwards_client_errors=True,
-            accepted_type=answer_type.encode(),
+            accepted_type=accepted_type.encode(),
         )
 
     @staticmethod
-    def _request_id(found: dict[bytes, bytes]) -> bytes:
+    def _request_id(headers_by_name: dict[bytes, bytes]) -> bytes:
         """Return the client's request id, or a new one where it sent none. Raises RequestError."""
-        request_id = found.get(b"x-request-id") or os.urandom(NEW_REQUEST_ID_BYTES).hex().encode()
+        request_id = headers_by_name.get(b"x-request-id") or os.urandom(NEW_REQUEST_ID_BYTES).hex().encode()
         if not IDENTIFIER.fullmatch(request_id):
             raise RequestError(400, "no X-Request-Id that can be used")
         return request_id
 
     @staticmethod
-    def _forwarded_headers(headers: list[Header], request_id: bytes, meaning: Meaning) -> list[Header]:
+    def _forwarded_headers(headers: list[Header], request_id: bytes, classification: Classification) -> list[Header]:
         """Return the client's headers without those set here, followed by the sidecar's own."""
-        forwarded = [(name, value) for name, value in headers if name.lower() not in OWN_HEADERS]
+        forwarded = [(name, value) for name, value in headers if name.lower() not in NOT_FORWARDED_HEADERS]
         forwarded += [
             (b"Content-Type", JSON_TYPE.encode()),
             (b"X-Request-Id", request_id),
-            (b"X-Class", meaning.class_name.encode()),
+            (b"X-Class", classification.class_name.encode()),
         ]
-        if meaning.key:
-            forwarded.append((b"Idempotency-Key", meaning.key.encode()))
+        if classification.key:
+            forwarded.append((b"Idempotency-Key", classification.key.encode()))
         return forwarded
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
         """Return the response; a converter's own is passed on unchanged, with its errors."""
         if answer.outcome is FinalOutcome.SERVED:
-            kind = answer.content_type or request.accepted_type
-            return Response(answer.status, answer.body, b"Content-Type: %s\r\n" % kind)
-        head = b"Content-Type: %s\r\n" % request.accepted_type
+            content_type = answer.content_type or request.accepted_type
+            return Response(answer.status, answer.body, b"Content-Type: %s\r\n" % content_type)
+        header_lines = b"Content-Type: %s\r\n" % request.accepted_type
         if answer.outcome is FinalOutcome.REJECTED:
             return Response(
-                503, answers.rejected_body(answer.retry_after_us), head + retry_after(answer.retry_after_us)
+                503, answers.rejected_body(answer.retry_after_us), header_lines + retry_after(answer.retry_after_us)
             )
-        harmless = self.settings.classes[request.class_index].idempotency == Idempotency.IDEMPOTENT
-        return Response(500, answers.failed_body(harmless), head)
+        is_idempotent = self.settings.classes[request.class_index].idempotency == Idempotency.IDEMPOTENT
+        return Response(500, answers.failed_body(is_idempotent), header_lines)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
         """Return the response to a request that was not accepted, as GraphQL words errors."""
         if not isinstance(error, GraphqlRequestError):
             error = GraphqlRequestError(GraphqlError(error.status, "BAD_REQUEST", str(error)), RESPONSE_TYPE)
-        head = f"Content-Type: {error.answer_type}\r\n"
+        header_lines = f"Content-Type: {error.accepted_type}\r\n"
         if error.allow:
-            head += f"Allow: {error.allow}\r\n"
-        return Response(error.status, answers.error_body(error.code, str(error)), head.encode())
+            header_lines += f"Allow: {error.allow}\r\n"
+        return Response(error.status, answers.error_body(error.code, str(error)), header_lines.encode())
 
 
-class ByPath:
+class PathDialect:
     """Two dialects on one listener: one path is GraphQL's, all else the platform's."""
 
-    def __init__(self, path: bytes, graphql: Dialect, plain: Dialect) -> None:
+    def __init__(self, path: bytes, graphql_dialect: Dialect, platform_dialect: Dialect) -> None:
         """Use `graphql` on `path`, and `plain` elsewhere."""
         self.path = path
-        self.graphql = graphql
-        self.plain = plain
+        self.graphql_dialect = graphql_dialect
+        self.platform_dialect = platform_dialect
 
     def dialect_of(self, target: bytes) -> Dialect:
         """Return the dialect of a target."""
-        return self.graphql if target.partition(b"?")[0] == self.path else self.plain
+        return self.graphql_dialect if target.partition(b"?")[0] == self.path else self.platform_dialect
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Return the request. Raises RequestError."""
@@ -214,35 +223,43 @@
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
         """Return the response to an accepted request."""
-        return (self.graphql if request.accepted_type else self.plain).render(request, answer)
+        return (self.graphql_dialect if request.accepted_type else self.platform_dialect).render(request, answer)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
         """Return the response to a request that was not accepted."""
         return self.dialect_of(target).render_error(target, error)
 
 
-def make_fronts(settings: conf.GraphqlSettings) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
+def make_front_ends(settings: conf.GraphqlSettings) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
     """Return the platform's front end, which GraphQL may share, and one of its own; they share one reader."""
-    readers: list[Reader] = []
+    readers: list[RequestReader] = []
 
-    def dialect(config: Config) -> GraphqlDialect:
+    def make_dialect(config: Config) -> GraphqlDialect:
         if not readers:
-            readers.append(Reader(make_table(settings, config.settings), settings.max_batch))
+            readers.append(RequestReader(make_classification_table(settings, config.settings), settings.max_batch))
         return GraphqlDialect(config.settings, readers[0])
 
-    def shared(config: Config, host: RequestDispatcher) -> FrontEnd:
-        plain = PlatformDialect(config.settings)
-        both = ByPath(settings.path.encode(), dialect(config), plain) if settings.path else plain
-        return Server(host, config.settings, config.listen, max_clients(config, settings), both)
+    def make_shared_front_end(config: Config, dispatcher: RequestDispatcher) -> FrontEnd:
+        platform_dialect = PlatformDialect(config.settings)
+        dialect = (
+            PathDialect(settings.path.encode(), make_dialect(config), platform_dialect)
+            if settings.path
+            else platform_dialect
+        )
+        return Server(dispatcher, config.settings, config.listen, max_clients_per_front_end(config, settings), dialect)
 
-    def own(config: Config, host: RequestDispatcher) -> FrontEnd:
+    def make_graphql_front_end(config: Config, dispatcher: RequestDispatcher) -> FrontEnd:
         return Server(
-            host, config.settings, parse_address(settings.listen), max_clients(config, settings), dialect(config)
+            dispatcher,
+            config.settings,
+            parse_address(settings.listen),
+            max_clients_per_front_end(config, settings),
+            make_dialect(config),
         )
 
-    return (shared, own) if settings.listen else (shared,)
+    return (make_shared_front_end, make_graphql_front_end) if settings.listen else (make_shared_front_end,)
 
 
-def max_clients(config: Config, settings: conf.GraphqlSettings) -> int:
+def max_clients_per_front_end(config: Config, settings: conf.GraphqlSettings) -> int:
     """Return how many clients each front end may have: half of the descriptors, of both together."""
     return config.max_descriptors // (4 if settings.listen else 2)
--- a/ryepier/graphql/answers.py
+++ b/ryepier/graphql/answers.py
@@ -5,18 +5,18 @@
 import json
 
 
-def error_body(code: str, text: str, **more: object) -> bytes:
+def error_body(code: str, text: str, **extensions: object) -> bytes:
     """Return a body with one error and no data."""
-    return json.dumps({"errors": [{"message": text, "extensions": {"code": code, **more}}]}).encode()
+    return json.dumps({"errors": [{"message": text, "extensions": {"code": code, **extensions}}]}).encode()
 
 
 def rejected_body(retry_after_us: int) -> bytes:
     """Return the body for a rejected request: it did not run, and may be retried."""
-    more = {"retryAfterMs": retry_after_us // 1000} if retry_after_us else {}
-    return error_body("OVERLOADED", "not done: too much to do; it may be sent again", mayHaveRun=False, **more)
+    retry_hint = {"retryAfterMs": retry_after_us // 1000} if retry_after_us else {}
+    return error_body("OVERLOADED", "not done: too much to do; it may be sent again", mayHaveRun=False, **retry_hint)
 
 
-def failed_body(harmless: bool) -> bytes:
+def failed_body(is_idempotent: bool) -> bytes:
     """Return the body for a failed request: it may have run."""
-    text = "failed; it may be sent again" if harmless else "failed; it may have run, so it was not sent again"
+    text = "failed; it may be sent again" if is_idempotent else "failed; it may have run, so it was not sent again"
     return error_body("UPSTREAM_FAILED", text, mayHaveRun=True)
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -13,10 +13,10 @@
 from graphql import OperationType
 
 from ryepier.balancer.interface import Idempotency
-from ryepier.graphql.document import Operation, RootField, is_reached, variable_value
+from ryepier.graphql.document import Operation, RootField, is_executed, variable_value
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
-BY_STRICTNESS = list(Idempotency)  # each stricter than the one before
+IDEMPOTENCY_BY_STRICTNESS = list(Idempotency)  # each stricter than the one before
 MAX_KEY_LENGTH = 128  # characters
 
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Table:
+class ClassificationTable:
     """The operators' table. Raises ValueError if it would let an unsafe operation be repeated."""
 
     classes: Mapping[str, ClassRule]
@@ -50,11 +50,11 @@
 
     def __post_init__(self) -> None:
         """Raise ValueError for a rule that its class does not allow."""
-        for what, rules in (("query", self.queries), ("mutation", self.mutations)):
+        for kind, rules in (("query", self.queries), ("mutation", self.mutations)):
             for name, rule in rules.items():
-                self._check(f"{what} {name}", rule)
-        self._check("queries", FieldRule(self.query_class))
-        self._check("mutations", FieldRule(self.mutation_class))
+                self._check_rule(f"{kind} {name}", rule)
+        self._check_rule("queries", FieldRule(self.query_class))
+        self._check_rule("mutations", FieldRule(self.mutation_class))
         if self.idempotency(self.query_class) is Idempotency.IDEMPOTENCY_KEY:
             raise ValueError(f"queries: class {self.query_class!r} needs a key, which nothing would name")
         if self.idempotency(self.mutation_class) is not Idempotency.NON_IDEMPOTENT:
@@ -66,14 +66,14 @@
             if self.idempotency(rule.class_name) is Idempotency.IDEMPOTENT:
                 raise ValueError(f"mutation {name}: class {rule.class_name!r} is for what is harmless to repeat")
 
-    def _check(self, where: str, rule: FieldRule) -> None:
+    def _check_rule(self, rule_name: str, rule: FieldRule) -> None:
         if rule.class_name not in self.classes:
-            raise ValueError(f"{where}: there is no class {rule.class_name!r}")
-        if (self.idempotency(rule.class_name) is Idempotency.IDEMPOTENCY_KEY) != bool(rule.key) and where not in (
+            raise ValueError(f"{rule_name}: there is no class {rule.class_name!r}")
+        if (self.idempotency(rule.class_name) is Idempotency.IDEMPOTENCY_KEY) != bool(rule.key) and rule_name not in (
             "queries",
             "mutations",
         ):
-            raise ValueError(f"{where}: a key goes with a class that is deduplicated, and the other way round")
+            raise ValueError(f"{rule_name}: a key goes with a class that is deduplicated, and the other way round")
 
     def idempotency(self, class_name: str) -> Idempotency:
         """Return whether a request of a class may be sent again."""
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Meaning:
+class Classification:
     """How a complete HTTP request is treated."""
 
     class_name: str
@@ -106,34 +106,36 @@
     key: str
 
 
-def meaning(table: Table, calls: Sequence[OperationCall]) -> Meaning:
+def classify(table: ClassificationTable, calls: Sequence[OperationCall]) -> Classification:
     """Return the meaning of an operation, or of a batch: the strictest class of all its fields.
 
     A batch is forwarded as one request and has one answer, so a part that must not run twice decides for all of it.
     Raises GraphqlError."""
-    found: list[FieldCall] = []
+    field_calls: list[FieldCall] = []
     mutates = False
-    for operation, given in calls:
-        variables = {**operation.defaults, **given}
+    for operation, request_variables in calls:
+        variables = {**operation.variable_defaults, **request_variables}
         if operation.kind is OperationType.SUBSCRIPTION:
             raise malformed_request("subscriptions are not served here", "SUBSCRIPTIONS_NOT_SUPPORTED")
         is_mutation = operation.kind is OperationType.MUTATION
         mutates |= is_mutation
-        reached = [one for one in operation.fields if is_reached(one, variables)]
-        found += [_field(table, is_mutation, field, variables) for field in reached]
-        if not reached:  # everything was skipped; it is still an operation of its kind
-            found.append(FieldCall(FieldRule(table.mutation_class if is_mutation else table.query_class), ""))
-    rule, key = max(found, key=lambda call: BY_STRICTNESS.index(table.idempotency(call.rule.class_name)))
-    costs_us = [call.rule.cost_us for call in found]
-    deadlines_us = [call.rule.deadline_us for call in found]
+        executed = [root_field for root_field in operation.fields if is_executed(root_field, variables)]
+        field_calls += [_make_field_call(table, is_mutation, root_field, variables) for root_field in executed]
+        if not executed:  # everything was skipped; it is still an operation of its kind
+            field_calls.append(FieldCall(FieldRule(table.mutation_class if is_mutation else table.query_class), ""))
+    rule, key = max(
+        field_calls, key=lambda call: IDEMPOTENCY_BY_STRICTNESS.index(table.idempotency(call.rule.class_name))
+    )
+    costs_us = [call.rule.cost_us for call in field_calls]
+    deadlines_us = [call.rule.deadline_us for call in field_calls]
     cost_us = sum(costs_us) if all(costs_us) else 0
     deadline_us = max(deadlines_us) if all(deadlines_us) else 0
     idempotency = table.idempotency(rule.class_name)
-    if idempotency is Idempotency.IDEMPOTENCY_KEY and (not key or _started(table, found) > 1):
+    if idempotency is Idempotency.IDEMPOTENCY_KEY and (not key or _count_unsafe_calls(table, field_calls) > 1):
         # one key can't stand for two runs
         rule = FieldRule(table.mutation_class)
         idempotency = table.idempotency(table.mutation_class)
-    return Meaning(
+    return Classification(
         rule.class_name,
         idempotency,
         key if idempotency is Idempotency.IDEMPOTENCY_KEY else "",
@@ -143,11 +145,13 @@
     )
 
 
-def _started(table: Table, found: list[FieldCall]) -> int:
-    return sum(table.idempotency(call.rule.class_name) is not Idempotency.IDEMPOTENT for call in found)
+def _count_unsafe_calls(table: ClassificationTable, field_calls: list[FieldCall]) -> int:
+    return sum(table.idempotency(call.rule.class_name) is not Idempotency.IDEMPOTENT for call in field_calls)
 
 
-def _field(table: Table, is_mutation: bool, field: RootField, variables: Mapping[str, Any]) -> FieldCall:
+def _make_field_call(
+    table: ClassificationTable, is_mutation: bool, field: RootField, variables: Mapping[str, Any]
+) -> FieldCall:
     rules = table.mutations if is_mutation else table.queries
     rule = rules.get(field.name)
     if rule is None:
@@ -155,16 +159,16 @@
     argument = field.arguments.get(rule.key) if rule.key else None
     if argument is None:
         return FieldCall(rule, "")
-    return FieldCall(rule, _key(variable_value(argument, variables)))
+    return FieldCall(rule, _idempotency_key(variable_value(argument, variables)))
 
 
-def _key(value: Any) -> str:
+def _idempotency_key(value: Any) -> str:
     """Return a value as a header can carry it; empty, which is no key, if it can't identify one run."""
     text = str(value) if isinstance(value, str | int) and not isinstance(value, bool) else ""
-    return text if len(text) <= MAX_KEY_LENGTH and all("!" <= letter <= "~" for letter in text) else ""
+    return text if len(text) <= MAX_KEY_LENGTH and all("!" <= character <= "~" for character in text) else ""
 
 
-def check_get(meant: Meaning) -> None:
+def check_allowed_in_get(classification: Classification) -> None:
     """Raise GraphqlError unless a GET may carry an operation: anything on its way may repeat it."""
-    if meant.mutates or meant.idempotency is not Idempotency.IDEMPOTENT:
+    if classification.mutates or classification.idempotency is not Idempotency.IDEMPOTENT:
         raise GraphqlError(405, "METHOD_NOT_ALLOWED", "a GET may only ask, not change anything: use POST", "POST")
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -37,13 +37,13 @@
 MAX_ROOT_FIELDS = 200  # of an operation, fragments expanded, as these multiply
 MAX_CACHED_DOCUMENTS = 500  # a service has some dozens
 MAX_CACHED_BYTES = 2_000_000  # of their texts together
-OPENING = frozenset((TokenKind.BRACE_L, TokenKind.BRACKET_L, TokenKind.PAREN_L))
-CLOSING = frozenset((TokenKind.BRACE_R, TokenKind.BRACKET_R, TokenKind.PAREN_R))
+OPENING_BRACKETS = frozenset((TokenKind.BRACE_L, TokenKind.BRACKET_L, TokenKind.PAREN_L))
+CLOSING_BRACKETS = frozenset((TokenKind.BRACE_R, TokenKind.BRACKET_R, TokenKind.PAREN_R))
 
 
-INCLUDE = "include"  # directives that decide whether a field is executed
-SKIP = "skip"
-CONDITION = "if"  # their argument
+INCLUDE_DIRECTIVE = "include"  # directives that decide whether a field is executed
+SKIP_DIRECTIVE = "skip"
+CONDITION_ARGUMENT = "if"  # their argument
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
     name: str
     arguments: Mapping[str, ValueNode]
-    guards: tuple[DirectiveNode, ...]  # every @skip and @include between it and the operation
+    conditions: tuple[DirectiveNode, ...]  # every @skip and @include between it and the operation
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
     kind: OperationType
     name: str
     fields: tuple[RootField, ...]
-    defaults: Mapping[str, Any]  # of its variables
+    variable_defaults: Mapping[str, Any]  # of its variables
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
     operations: tuple[Operation, ...]
 
-    def choose(self, name: str | None) -> Operation:
+    def select_operation(self, name: str | None) -> Operation:
         """Return the operation that a server would execute. Raises GraphqlError."""
         if not name:
             if len(self.operations) != 1:
@@ -92,7 +92,7 @@
     try:
         while (kind := lexer.advance().kind) is not TokenKind.EOF:
             tokens += 1
-            depth += (kind in OPENING) - (kind in CLOSING)
+            depth += (kind in OPENING_BRACKETS) - (kind in CLOSING_BRACKETS)
             if tokens > MAX_TOKENS:
                 raise malformed_request(f"the document has more than {MAX_TOKENS} tokens", "DOCUMENT_TOO_LARGE")
             if depth > MAX_DEPTH:
@@ -113,66 +113,78 @@
         raise malformed_request(
             f"not GraphQL: {getattr(error, 'message', 'too deep')}", "GRAPHQL_PARSE_FAILED"
         ) from None
-    return _Reader(tree).document()
+    return _DocumentBuilder(tree).build()
 
 
-class _Reader:
+class _DocumentBuilder:
     def __init__(self, tree: DocumentNode) -> None:
         self.operations = [node for node in tree.definitions if isinstance(node, OperationDefinitionNode)]
-        others = [node for node in tree.definitions if not isinstance(node, OperationDefinitionNode)]
+        other_definitions = [node for node in tree.definitions if not isinstance(node, OperationDefinitionNode)]
         self.fragments: dict[str, FragmentDefinitionNode] = {}
-        for node in others:
+        for node in other_definitions:
             if not isinstance(node, FragmentDefinitionNode):
                 raise malformed_request("the document defines types, which is nothing to execute", "NOT_EXECUTABLE")
             if node.name.value in self.fragments:
                 raise malformed_request(f"two fragments are called {node.name.value}", "GRAPHQL_VALIDATION_FAILED")
             self.fragments[node.name.value] = node
 
-    def document(self) -> Document:
+    def build(self) -> Document:
         if not self.operations:
             raise malformed_request("the document has no operation", "NOT_EXECUTABLE")
         names = [node.name.value if node.name else "" for node in self.operations]
         if len(set(names)) < len(names) or ("" in names and len(names) > 1):
             # servers differ in which of two they take
             raise malformed_request("operations of one document need names that differ", "GRAPHQL_VALIDATION_FAILED")
-        return Document(tuple(self.operation(node, name) for node, name in zip(self.operations, names, strict=True)))
+        return Document(
+            tuple(self.build_operation(node, name) for node, name in zip(self.operations, names, strict=True))
+        )
 
-    def operation(self, node: OperationDefinitionNode, name: str) -> Operation:
+    def build_operation(self, node: OperationDefinitionNode, name: str) -> Operation:
         fields: list[RootField] = []
-        self.collect(node.selection_set, (), frozenset(), fields)
-        defaults = {}
+        self.collect_root_fields(node.selection_set, (), frozenset(), fields)
+        variable_defaults = {}
         for variable in node.variable_definitions or ():
             if variable.default_value is not None:
-                defaults[variable.variable.name.value] = read_value(variable.default_value)
-        return Operation(node.operation, name, tuple(fields), defaults)
+                variable_defaults[variable.variable.name.value] = read_value(variable.default_value)
+        return Operation(node.operation, name, tuple(fields), variable_defaults)
 
-    def collect(
+    def collect_root_fields(
         self,
-        selected: SelectionSetNode,
-        guards: tuple[DirectiveNode, ...],
-        within: frozenset[str],
+        selection_set: SelectionSetNode,
+        conditions: tuple[DirectiveNode, ...],
+        enclosing_fragments: frozenset[str],
         fields: list[RootField],
     ) -> None:
         """Add the root fields of a selection, with every fragment expanded."""
-        for node in selected.selections:
-            here = guards + tuple(one for one in node.directives or () if one.name.value in (SKIP, INCLUDE))
+        for node in selection_set.selections:
+            field_conditions = conditions + tuple(
+                directive
+                for directive in node.directives or ()
+                if directive.name.value in (SKIP_DIRECTIVE, INCLUDE_DIRECTIVE)
+            )
             if isinstance(node, FieldNode):
                 if len(fields) >= MAX_ROOT_FIELDS:
                     raise malformed_request(f"more than {MAX_ROOT_FIELDS} fields at the top", "DOCUMENT_TOO_LARGE")
                 fields.append(
-                    RootField(node.name.value, {one.name.value: one.value for one in node.arguments or ()}, here)
+                    RootField(
+                        node.name.value,
+                        {argument.name.value: argument.value for argument in node.arguments or ()},
+                        field_conditions,
+                    )
                 )
                 continue
-            inner = getattr(node, "selection_set", None)
-            if inner is not None:  # an inline fragment
-                self.collect(inner, here, within, fields)
+            inline_selection_set = getattr(node, "selection_set", None)
+            if inline_selection_set is not None:  # an inline fragment
+                self.collect_root_fields(inline_selection_set, field_conditions, enclosing_fragments, fields)
                 continue
             name = node.name.value  # type: ignore[attr-defined]
-            if name in within:
+            if name in enclosing_fragments:
                 raise malformed_request(f"fragment {name} holds itself", "GRAPHQL_VALIDATION_FAILED")
             if name not in self.fragments:
                 raise malformed_request(f"there is no fragment {name}", "GRAPHQL_VALIDATION_FAILED")
-            self.collect(self.fragments[name].selection_set, here, within | {name}, fields)
+            self.collect_root_fields(
+                self.fragments[name].selection_set, field_conditions, enclosing_fragments | {name}, fields
+            )
 
 
 class CachedDocument(NamedTuple):
@@ -188,8 +200,8 @@
 
     max_documents: int = MAX_CACHED_DOCUMENTS
     max_bytes: int = MAX_CACHED_BYTES
-    known: OrderedDict[bytes, CachedDocument] = field(default_factory=OrderedDict)
-    size: int = 0
+    entries: OrderedDict[bytes, CachedDocument] = field(default_factory=OrderedDict)
+    size_bytes: int = 0
     misses: int = 0
 
     def read(self, text: str) -> Document:
@@ -199,16 +211,16 @@
         except UnicodeEncodeError:
             raise malformed_request("the document holds half a character", "GRAPHQL_PARSE_FAILED") from None
         key = hashlib.blake2b(data, digest_size=16).digest()
-        if key in self.known:
-            self.known.move_to_end(key)
-            return self.known[key].document
+        if key in self.entries:
+            self.entries.move_to_end(key)
+            return self.entries[key].document
         self.misses += 1
         document = read_document(text)
-        self.known[key] = CachedDocument(document, len(data))
-        self.size += len(data)
-        while len(self.known) > self.max_documents or self.size > self.max_bytes:
-            _, oldest = self.known.popitem(last=False)
-            self.size -= oldest.size_bytes
+        self.entries[key] = CachedDocument(document, len(data))
+        self.size_bytes += len(data)
+        while len(self.entries) > self.max_documents or self.size_bytes > self.max_bytes:
+            _, oldest = self.entries.popitem(last=False)
+            self.size_bytes -= oldest.size_bytes
         return document
 
 
@@ -217,11 +229,14 @@
     return variables.get(node.name.value) if isinstance(node, VariableNode) else read_value(node, dict(variables))
 
 
-def is_reached(field_: RootField, variables: Mapping[str, Any]) -> bool:
+def is_executed(root_field: RootField, variables: Mapping[str, Any]) -> bool:
     """Return whether a field is executed; an uncertain one counts as executed."""
-    for guard in field_.guards:
-        condition = next((one.value for one in guard.arguments or () if one.name.value == CONDITION), None)
+    for directive in root_field.conditions:
+        condition = next(
+            (argument.value for argument in directive.arguments or () if argument.name.value == CONDITION_ARGUMENT),
+            None,
+        )
         value = variable_value(condition, variables) if condition is not None else None
-        if value is (guard.name.value == SKIP):
+        if value is (directive.name.value == SKIP_DIRECTIVE):
             return False
     return True
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -13,20 +13,20 @@
 from urllib.parse import parse_qsl
 
 from ryepier.balancer.interface import Idempotency
-from ryepier.graphql.classify import Meaning, OperationCall, Table, check_get, meaning
+from ryepier.graphql.classify import Classification, ClassificationTable, OperationCall, check_allowed_in_get, classify
 from ryepier.graphql.document import DocumentCache, Operation
 from ryepier.graphql.errors import GraphqlError, malformed_request
-from ryepier.graphql.persisted import Persisted
+from ryepier.graphql.persisted import PersistedQueryCache
 
 JsonObject = dict[str, Any]
 
-KEYS = ("query", "operationName", "variables", "extensions")
+PARAMETER_NAMES = ("query", "operationName", "variables", "extensions")
 JSON_TYPE, RESPONSE_TYPE = "application/json", "application/graphql-response+json"
 MAX_BATCH = 20  # operations of one request
 
 
 @dataclass(frozen=True, slots=True)
-class Parameters:
+class OperationParameters:
     """One request for one operation, before its document is read."""
 
     query: str | None
@@ -39,7 +39,7 @@
 class ParsedRequest:
     """A complete HTTP request: its classification, and the body to forward as a POST."""
 
-    meaning: Meaning
+    classification: Classification
     body: bytes
 
 
@@ -49,7 +49,7 @@
         return RESPONSE_TYPE
     best, best_weight = "", 0.0
     for part in accept.split(","):
-        name, *parameters = (piece.strip().lower() for piece in part.split(";"))
+        name, *parameters = (component.strip().lower() for component in part.split(";"))
         weight = 1.0
         for parameter in parameters:
             if parameter.startswith("q="):
@@ -68,7 +68,7 @@
 
 def check_content_type(value: str) -> None:
     """Raise GraphqlError unless a content type is JSON in UTF-8."""
-    name, *parameters = (piece.strip().lower() for piece in value.split(";"))
+    name, *parameters = (component.strip().lower() for component in value.split(";"))
     if name != JSON_TYPE:
         raise GraphqlError(415, "UNSUPPORTED_MEDIA_TYPE", f"a POST has to be {JSON_TYPE}")
     for parameter in parameters:
@@ -77,10 +77,10 @@
 
 
 def _reject_duplicates(pairs: list[tuple[str, Any]]) -> JsonObject:
-    found = dict(pairs)
-    if len(found) < len(pairs):
+    result = dict(pairs)
+    if len(result) < len(pairs):
         raise malformed_request("a key stands twice in one object, and servers differ in which they take")
-    return found
+    return result
 
 
 def _reject_constant(name: str) -> Any:
@@ -98,119 +98,121 @@
         raise malformed_request(f"the body is not JSON: {error}") from None
 
 
-def read_parameters(found: Any) -> Parameters:
+def read_parameters(data: Any) -> OperationParameters:
     """Return the parameters of one operation from its JSON object. Raises GraphqlError."""
-    if not isinstance(found, dict):
+    if not isinstance(data, dict):
         raise malformed_request("expected an object with a query")
-    for key in found:
-        if key not in KEYS and key.lower() in (known.lower() for known in KEYS):
+    for key in data:
+        if key not in PARAMETER_NAMES and key.lower() in (known.lower() for known in PARAMETER_NAMES):
             raise malformed_request(f"{key!r}: a key in other letters, which some servers take for the same")
-    query, name = found.get("query"), found.get("operationName")
+    query, name = data.get("query"), data.get("operationName")
     if query is not None and not isinstance(query, str):
         raise malformed_request("query: expected a text")
     if name is not None and not isinstance(name, str):
         raise malformed_request("operationName: expected a text")
     objects = []
     for key in ("variables", "extensions"):
-        value = found.get(key)
+        value = data.get(key)
         if value is not None and not isinstance(value, dict):
             raise malformed_request(f"{key}: expected an object")
         objects.append(value or {})
-    return Parameters(query, name, *objects)
+    return OperationParameters(query, name, *objects)
 
 
-def read_get(query_string: str) -> Parameters:
+def read_get_parameters(query_string: str) -> OperationParameters:
     """Return the parameters of a GET. Raises GraphqlError."""
     try:
         pairs = parse_qsl(query_string, keep_blank_values=True, strict_parsing=True, errors="strict", max_num_fields=50)
     except ValueError as error:
         raise malformed_request(f"the query string can't be read: {error}") from None
-    found: dict[str, Any] = {}
+    parameters: dict[str, Any] = {}
     for key, value in _reject_duplicates(pairs).items():
-        found[key] = read_json(value) if key in ("variables", "extensions") and value else value
-    if found.get("variables") == "":
-        del found["variables"]
-    if found.get("extensions") == "":
-        del found["extensions"]
-    return read_parameters(found)
+        parameters[key] = read_json(value) if key in ("variables", "extensions") and value else value
+    if parameters.get("variables") == "":
+        del parameters["variables"]
+    if parameters.get("extensions") == "":
+        del parameters["extensions"]
+    return read_parameters(parameters)
 
 
-class ReadOperation(NamedTuple):
+class SelectedOperation(NamedTuple):
     """The text of a document and the operation that is chosen from it."""
 
     text: str
     operation: Operation
 
 
-class Reader:
+class RequestReader:
     """Reads the requests of one front end; caches the documents that it has read."""
 
-    def __init__(self, table: Table, max_batch: int = MAX_BATCH) -> None:
+    def __init__(self, table: ClassificationTable, max_batch: int = MAX_BATCH) -> None:
         """Start with empty caches."""
         self.table = table
         self.max_batch = max_batch
         self.documents = DocumentCache()
-        self.persisted = Persisted()
+        self.persisted_queries = PersistedQueryCache()
 
-    def get(self, query_string: str) -> ParsedRequest:
+    def read_get(self, query_string: str) -> ParsedRequest:
         """Read a GET. Raises GraphqlError."""
-        parameters = read_get(query_string)
-        text, operation = self._operation(parameters)
-        meant = meaning(self.table, [OperationCall(operation, parameters.variables)])
-        check_get(meant)
-        return ParsedRequest(meant, _body(parameters, text))
+        parameters = read_get_parameters(query_string)
+        text, operation = self._read_operation(parameters)
+        classification = classify(self.table, [OperationCall(operation, parameters.variables)])
+        check_allowed_in_get(classification)
+        return ParsedRequest(classification, _post_body(parameters, text))
 
-    def post(self, content_type: str, body: bytes) -> ParsedRequest:
+    def read_post(self, content_type: str, body: bytes) -> ParsedRequest:
         """Read a POST. Raises GraphqlError."""
         check_content_type(content_type)
-        found = read_json(body)
-        if isinstance(found, list):
-            return self._batch(found, body)
-        parameters = read_parameters(found)
-        text, operation = self._operation(parameters)
-        meant = meaning(self.table, [OperationCall(operation, parameters.variables)])
+        data = read_json(body)
+        if isinstance(data, list):
+            return self._read_batch(data, body)
+        parameters = read_parameters(data)
+        text, operation = self._read_operation(parameters)
+        classification = classify(self.table, [OperationCall(operation, parameters.variables)])
         # The body is forwarded as it was checked, unless its document has to be inserted.
-        return ParsedRequest(meant, body if parameters.query is not None else _body(parameters, text))
-
-    def _batch(self, found: Sequence[Any], body: bytes) -> ParsedRequest:
-        if not 0 < len(found) <= self.max_batch:
-            raise malformed_request(f"a batch has 1 to {self.max_batch} operations, not {len(found)}", "BATCH_SIZE")
-        parts = [read_parameters(one) for one in found]
-        read = [self._operation(part) for part in parts]
-        calls = [OperationCall(one.operation, part.variables) for part, one in zip(parts, read, strict=True)]
-        meant = meaning(self.table, calls)
-        if meant.idempotency is Idempotency.IDEMPOTENCY_KEY:
+        return ParsedRequest(classification, body if parameters.query is not None else _post_body(parameters, text))
+
+    def _read_batch(self, items: Sequence[Any], body: bytes) -> ParsedRequest:
+        if not 0 < len(items) <= self.max_batch:
+            raise malformed_request(f"a batch has 1 to {self.max_batch} operations, not {len(items)}", "BATCH_SIZE")
+        parts = [read_parameters(item) for item in items]
+        selected = [self._read_operation(part) for part in parts]
+        calls = [
+            OperationCall(operation.operation, part.variables) for part, operation in zip(parts, selected, strict=True)
+        ]
+        classification = classify(self.table, calls)
+        if classification.idempotency is Idempotency.IDEMPOTENCY_KEY:
             # A key identifies one run, not a whole batch.
-            meant = replace(
-                meant,
+            classification = replace(
+                classification,
                 class_name=self.table.mutation_class,
                 key="",
                 idempotency=self.table.idempotency(self.table.mutation_class),
             )
         if all(part.query is not None for part in parts):
-            return ParsedRequest(meant, body)
-        bodies = [_body(part, one.text) for part, one in zip(parts, read, strict=True)]
-        return ParsedRequest(meant, b"[" + b",".join(bodies) + b"]")
+            return ParsedRequest(classification, body)
+        bodies = [_post_body(part, operation.text) for part, operation in zip(parts, selected, strict=True)]
+        return ParsedRequest(classification, b"[" + b",".join(bodies) + b"]")
 
-    def _operation(self, parameters: Parameters) -> ReadOperation:
-        text = self.persisted.resolve(parameters.query, parameters.extensions)
+    def _read_operation(self, parameters: OperationParameters) -> SelectedOperation:
+        text = self.persisted_queries.resolve(parameters.query, parameters.extensions)
         if text is None:
             raise malformed_request("there is no query", "QUERY_MISSING")
-        operation = self.documents.read(text).choose(parameters.operation_name)
-        self.persisted.keep(text, parameters.extensions)
-        return ReadOperation(text, operation)
+        operation = self.documents.read(text).select_operation(parameters.operation_name)
+        self.persisted_queries.store(text, parameters.extensions)
+        return SelectedOperation(text, operation)
 
 
-def _body(parameters: Parameters, text: str) -> bytes:
+def _post_body(parameters: OperationParameters, text: str) -> bytes:
     """Return the body of a POST with the same meaning."""
-    found: dict[str, Any] = {"query": text}
+    content: dict[str, Any] = {"query": text}
     if parameters.operation_name is not None:
-        found["operationName"] = parameters.operation_name
+        content["operationName"] = parameters.operation_name
     if parameters.variables:
-        found["variables"] = parameters.variables
+        content["variables"] = parameters.variables
     if parameters.extensions:
-        found["extensions"] = parameters.extensions
+        content["extensions"] = parameters.extensions
     try:
-        return json.dumps(found, ensure_ascii=False, separators=(",", ":")).encode()
+        return json.dumps(content, ensure_ascii=False, separators=(",", ":")).encode()
     except UnicodeEncodeError:
         raise malformed_request("half a character") from None
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -14,11 +14,11 @@
 from hypothesis import strategies as st
 
 from ryepier.balancer.interface import Idempotency
-from ryepier.graphql.classify import ClassRule, FieldRule, Table
+from ryepier.graphql.classify import ClassificationTable, ClassRule, FieldRule
 from ryepier.graphql.document import MAX_DEPTH, DocumentCache
 from ryepier.graphql.errors import GraphqlError
-from ryepier.graphql.persisted import Persisted
-from ryepier.graphql.request import ParsedRequest, Reader, response_type
+from ryepier.graphql.persisted import PersistedQueryCache
+from ryepier.graphql.request import ParsedRequest, RequestReader, response_type
 
 CLASSES = {
     name: ClassRule(name, idempotency)
@@ -29,7 +29,7 @@
         ("convert", Idempotency.NON_IDEMPOTENT),
     )
 }
-TABLE = Table(
+TABLE = ClassificationTable(
     CLASSES,
     {"report": FieldRule("report", cost_us=5000, deadline_us=70)},
     {"batch": FieldRule("batch", key="id", cost_us=9000), "convert": FieldRule("convert", cost_us=7000)},
@@ -40,12 +40,12 @@
 JSON = "application/json"
 
 
-def post(query: Any, reader: Reader | None = None, **more: Any) -> ParsedRequest:
-    return (reader or Reader(TABLE)).post(JSON, json.dumps({"query": query, **more}).encode())
+def post(query: Any, reader: RequestReader | None = None, **more: Any) -> ParsedRequest:
+    return (reader or RequestReader(TABLE)).read_post(JSON, json.dumps({"query": query, **more}).encode())
 
 
 def raw(body: bytes | str) -> ParsedRequest:
-    return Reader(TABLE).post(JSON, body if isinstance(body, bytes) else body.encode())
+    return RequestReader(TABLE).read_post(JSON, body if isinstance(body, bytes) else body.encode())
 
 
 def refusal(call: Any, *arguments: Any, **more: Any) -> GraphqlError:
@@ -78,44 +78,57 @@
     ],
 )
 def test_mutation_is_never_retried_whatever_hides_it(query: str, name: str | None) -> None:
-    meant = post(query, operationName=name).meaning
-    assert (meant.class_name, meant.idempotency, meant.mutates) == ("convert", Idempotency.NON_IDEMPOTENT, True)
+    classification = post(query, operationName=name).classification
+    assert (classification.class_name, classification.idempotency, classification.mutates) == (
+        "convert",
+        Idempotency.NON_IDEMPOTENT,
+        True,
+    )
 
 
 def test_mutation_with_the_key_that_the_table_names_may_be_retried_with_it() -> None:
-    assert post('mutation { batch(id: "b-1") { id } }').meaning.key == "b-1"
-    meant = post('mutation($i: ID = "dflt") { batch(id: $i) }', variables={"i": 17}).meaning
-    assert (meant.class_name, meant.idempotency, meant.key, meant.cost_us) == (
+    assert post('mutation { batch(id: "b-1") { id } }').classification.key == "b-1"
+    classification = post('mutation($i: ID = "dflt") { batch(id: $i) }', variables={"i": 17}).classification
+    assert (classification.class_name, classification.idempotency, classification.key, classification.cost_us) == (
         "batch",
         Idempotency.IDEMPOTENCY_KEY,
         "17",
         9000,
     )
-    assert post('mutation($i: ID = "dflt") { batch(id: $i) }').meaning.key == "dflt"
+    assert post('mutation($i: ID = "dflt") { batch(id: $i) }').classification.key == "dflt"
     both = 'mutation($no: Boolean!) { batch(id: "1") convert @include(if: $no) }'
-    meant = post(both, variables={"no": False}).meaning
-    assert (meant.idempotency, meant.key) == (Idempotency.IDEMPOTENCY_KEY, "1")
-    assert post(both).meaning.idempotency == Idempotency.NON_IDEMPOTENT
+    classification = post(both, variables={"no": False}).classification
+    assert (classification.idempotency, classification.key) == (Idempotency.IDEMPOTENCY_KEY, "1")
+    assert post(both).classification.idempotency == Idempotency.NON_IDEMPOTENT
 
 
 def test_query_is_idempotent_and_the_table_names_its_class_and_cost() -> None:
-    assert post("{ a b c }").meaning.class_name == "lookup"
-    meant = post("query { one: report two: report }").meaning
-    assert (meant.class_name, meant.idempotency, meant.cost_us, meant.deadline_us) == (
+    assert post("{ a b c }").classification.class_name == "lookup"
+    classification = post("query { one: report two: report }").classification
+    assert (
+        classification.class_name,
+        classification.idempotency,
+        classification.cost_us,
+        classification.deadline_us,
+    ) == (
         "report",
         Idempotency.IDEMPOTENT,
         10_000,
         70,
     )
-    assert post("query { report other }").meaning.deadline_us == 0
-    assert post("query Q { a } " + MUTATION, operationName="Q").meaning.idempotency == Idempotency.IDEMPOTENT
+    assert post("query { report other }").classification.deadline_us == 0
+    assert post("query Q { a } " + MUTATION, operationName="Q").classification.idempotency == Idempotency.IDEMPOTENT
 
 
 def test_batch_takes_the_class_of_its_strictest_part_and_is_forwarded_in_one() -> None:
     body = json.dumps([{"query": "{ a }"}, {"query": 'mutation { batch(id: "1") }'}]).encode()
     asked = raw(body)
-    assert (asked.meaning.idempotency, asked.meaning.key, asked.body) == (Idempotency.NON_IDEMPOTENT, "", body)
-    assert raw('[{"query": "{ a }"}, {"query": "{ b }"}]').meaning.idempotency == Idempotency.IDEMPOTENT
+    assert (asked.classification.idempotency, asked.classification.key, asked.body) == (
+        Idempotency.NON_IDEMPOTENT,
+        "",
+        body,
+    )
+    assert raw('[{"query": "{ a }"}, {"query": "{ b }"}]').classification.idempotency == Idempotency.IDEMPOTENT
     assert refusal(raw, json.dumps([{"query": "{ a }"}] * 1000)).code == "BATCH_SIZE"
     assert refusal(raw, "[]").code == "BATCH_SIZE" and refusal(raw, "[1]").status == 400
 
@@ -163,14 +176,16 @@
     assert refusal(post, nested).code == "DOCUMENT_TOO_DEEP"
     assert refusal(post, "{" * 65_000).code == "DOCUMENT_TOO_DEEP"
     assert refusal(post, "{ " + "a " * 30_000 + "}").code == "DOCUMENT_TOO_LARGE"
-    assert post("{" + "a{" * (MAX_DEPTH - 1) + "b" + "}" * MAX_DEPTH).meaning.idempotency == Idempotency.IDEMPOTENT
+    assert (
+        post("{" + "a{" * (MAX_DEPTH - 1) + "b" + "}" * MAX_DEPTH).classification.idempotency == Idempotency.IDEMPOTENT
+    )
     bomb = " ".join(f"fragment F{i} on Q {{ ...F{i + 1} ...F{i + 1} }}" for i in range(20))
     assert refusal(post, f"{{ ...F0 }} {bomb} fragment F20 on Q {{ a }}").code == "DOCUMENT_TOO_LARGE"
 
 
 def test_get_request_may_only_query() -> None:
-    reader = Reader(TABLE)
-    asked = reader.get(
+    reader = RequestReader(TABLE)
+    asked = reader.read_get(
         urlencode({"query": "query Q($x: Int) { a(x: $x) }", "variables": '{"x": 1}', "operationName": "Q"})
     )
     assert json.loads(asked.body) == {
@@ -178,39 +193,39 @@
         "variables": {"x": 1},
         "operationName": "Q",
     }
-    error = refusal(reader.get, urlencode({"query": MUTATION}))
+    error = refusal(reader.read_get, urlencode({"query": MUTATION}))
     assert (error.status, error.allow) == (405, "POST")
     for text in ("", "query=%7Ba%7D&query=%7Bb%7D", "query=%ff", "query=%7Ba%7D&variables=1", "a"):
-        assert refusal(reader.get, text).status == 400
+        assert refusal(reader.read_get, text).status == 400
 
 
 def test_persisted_hash_stands_for_one_text_forever() -> None:
     def extensions(text: str) -> dict[str, Any]:
         return {"persistedQuery": {"version": 1, "sha256Hash": hashlib.sha256(text.encode()).hexdigest()}}
 
-    reader = Reader(TABLE)
+    reader = RequestReader(TABLE)
     error = refusal(post, None, reader, extensions=extensions("{ a }"))
     assert (error.status, error.code, error.text) == (200, "PERSISTED_QUERY_NOT_FOUND", "PersistedQueryNotFound")
     assert refusal(post, MUTATION, reader, extensions=extensions("{ a }")).code == "PERSISTED_QUERY_HASH_MISMATCH"
     post("{ a }", reader, extensions=extensions("{ a }"))
-    asked = reader.post(JSON, json.dumps({"extensions": extensions("{ a }"), "variables": {"v": 1.5}}).encode())
-    assert asked.meaning.idempotency == Idempotency.IDEMPOTENT and json.loads(asked.body)["query"] == "{ a }"
+    asked = reader.read_post(JSON, json.dumps({"extensions": extensions("{ a }"), "variables": {"v": 1.5}}).encode())
+    assert asked.classification.idempotency == Idempotency.IDEMPOTENT and json.loads(asked.body)["query"] == "{ a }"
     assert json.loads(asked.body)["variables"] == {"v": 1.5}
-    small = Persisted(max_queries=2)
+    cache = PersistedQueryCache(max_queries=2)
     for text in ("{ a }", "{ b }", "{ c }"):
-        small.keep(text, extensions(text))
-    assert len(small.texts) == 2 and small.size == 10
-    assert refusal(small.resolve, None, extensions("{ a }")).code == "PERSISTED_QUERY_NOT_FOUND"
+        cache.store(text, extensions(text))
+    assert len(cache.texts) == 2 and cache.size_characters == 10
+    assert refusal(cache.resolve, None, extensions("{ a }")).code == "PERSISTED_QUERY_NOT_FOUND"
 
 
 def test_document_cache_is_bounded() -> None:
-    documents = DocumentCache(max_documents=3, max_bytes=100)
+    cache = DocumentCache(max_documents=3, max_bytes=100)
     for number in range(10):
-        documents.read(f"{{ a{number} }}")
-    documents.read("{ a9 }")
-    assert documents.misses == 10 and len(documents.known) == 3
-    documents.read("{ " + "a" * 93 + " }")
-    assert documents.size <= 100 and len(documents.known) == 1
+        cache.read(f"{{ a{number} }}")
+    cache.read("{ a9 }")
+    assert cache.misses == 10 and len(cache.entries) == 3
+    cache.read("{ " + "a" * 93 + " }")
+    assert cache.size_bytes <= 100 and len(cache.entries) == 1
 
 
 @pytest.mark.parametrize(
@@ -231,7 +246,7 @@
     assert refusal(response_type, "text/html").status == 406
     assert refusal(response_type, "application/json;q=0").status == 406
     for kind in ("text/plain", "", "application/json; charset=utf-16"):
-        assert refusal(Reader(TABLE).post, kind, b"{}").status == 415
+        assert refusal(RequestReader(TABLE).read_post, kind, b"{}").status == 415
 
 
 @pytest.mark.parametrize(
@@ -248,7 +263,7 @@
 )
 def test_table_that_would_retry_non_idempotent_operations_is_rejected(change: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=r"class|key"):
-        Table(
+        ClassificationTable(
             **{"classes": CLASSES, "queries": {}, "mutations": {}, "query_class": "lookup", "mutation_class": "convert"}
             | change
         )
@@ -287,11 +302,13 @@
                 seen.append(node.operation.value)
 
     visit(parse(text), Kinds())
-    meant = post(text, operationName=name, variables={"v": value}).meaning
+    classification = post(text, operationName=name, variables={"v": value}).classification
     assert seen == [made[chosen % len(made)][0]]
-    assert meant.mutates == (seen == ["mutation"])
-    assert (meant.idempotency == Idempotency.IDEMPOTENT) == (seen == ["query"])
-    assert meant.idempotency != Idempotency.IDEMPOTENCY_KEY or (meant.key and text.count("batch") >= 1)
+    assert classification.mutates == (seen == ["mutation"])
+    assert (classification.idempotency == Idempotency.IDEMPOTENT) == (seen == ["query"])
+    assert classification.idempotency != Idempotency.IDEMPOTENCY_KEY or (
+        classification.key and text.count("batch") >= 1
+    )
 
 
 @given(st.binary(max_size=300) | st.text(max_size=200).map(lambda text: json.dumps({"query": text}).encode()))
@@ -299,4 +316,4 @@
     with suppress(GraphqlError):
         raw(body)
     with suppress(GraphqlError):
-        Reader(TABLE).get(body.decode("latin-1"))
+        RequestReader(TABLE).read_get(body.decode("latin-1"))
