--- a/ryepier/assembly/endpoint_slices.py
+++ b/ryepier/assembly/endpoint_slices.py
@@ -22,12 +22,12 @@
 
 
 def make_slice_source(
-    operators: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher
+    operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher
 ) -> EndpointSource:
     """Create the source that replaces the platform's discovery."""
     from ryepier.slices.slice_source import SliceSource  # with TLS and all: only where it is used
 
-    settings = source_settings(operators.slices, config)
+    settings = source_settings(operator_settings.slices, config)
     log.info(
         "EndpointSlices of %s/%s replace the platform's discovery",
         settings.namespace,
--- a/ryepier/assembly/planning.py
+++ b/ryepier/assembly/planning.py
@@ -27,9 +27,9 @@
     return Machine(clock_us, lambda: system.unix_ns() // 1000, Random(seed))
 
 
-def acceptance_rules(operators: OperatorSettings) -> AcceptanceRules:
+def acceptance_rules(operator_settings: OperatorSettings) -> AcceptanceRules:
     """Convert the operators' [trust] table into the rules that plans are checked against."""
-    acceptance = operators.acceptance
+    acceptance = operator_settings.acceptance
     return AcceptanceRules(
         acceptance.fleet,
         acceptance.min_reporters,
@@ -41,47 +41,51 @@
 
 
 def make_forwarder(
-    operators: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
+    operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
 ) -> BackgroundService:
     """Create the component that reports to planners and applies their plans, and register it as an observer."""
 
-    def ready() -> dict[str, int]:
-        return {uid: ident for uid, ident in source.upstream_ids().items() if ident in dispatcher.addresses}
+    def ready_upstream_ids() -> dict[str, int]:
+        return {
+            uid: upstream_id
+            for uid, upstream_id in source.upstream_ids().items()
+            if upstream_id in dispatcher.addresses
+        }
 
-    plan = operators.plan
+    plan = operator_settings.plan
     settings = forwarder.Settings(
         plan.name or config.name,
         [parse_address(text) for text in plan.planners],
-        acceptance_rules(operators),
+        acceptance_rules(operator_settings),
         plan.report_ms / 1000,
     )
     sidecar = forwarder.Sidecar(
-        ready,
+        ready_upstream_ids,
         dispatcher.on_plan,
         [kind.latency_objective_us for kind in config.settings.classes],
         len(config.settings.tenants),
     )
-    made = forwarder.Forwarder(settings, sidecar, make_machine(f"{config.seed} {settings.name}"))
-    dispatcher.add_observer(made)
-    return made
+    service = forwarder.Forwarder(settings, sidecar, make_machine(f"{config.seed} {settings.name}"))
+    dispatcher.add_observer(service)
+    return service
 
 
-def make_planner(operators: OperatorSettings, seed: int) -> PlannerServer:
+def make_planner(operator_settings: OperatorSettings, seed: int) -> PlannerServer:
     """Create a planner without starting it. Raises AssemblyError where its folder is missing."""
     from ryepier.plan import planner_server
 
-    own = operators.planner
-    folder = Path(own.snapshots) if own.snapshots else None
+    planner = operator_settings.planner
+    folder = Path(planner.snapshots) if planner.snapshots else None
     if folder is not None and not folder.is_dir():
         raise AssemblyError(f"planner.snapshots: no folder {folder}")
     settings = planner_server.Settings(
-        own.name,
-        parse_address(own.listen),
-        {name: parse_address(text) for name, text in own.peers.items()},
-        acceptance_rules(operators),
-        own.tenant_shares,
-        own.class_limits,
-        own.max_forwarders,
+        planner.name,
+        parse_address(planner.listen),
+        {name: parse_address(text) for name, text in planner.peers.items()},
+        acceptance_rules(operator_settings),
+        planner.tenant_shares,
+        planner.class_limits,
+        planner.max_forwarders,
         folder,
     )
-    return planner_server.PlannerServer(settings, make_machine(f"{seed} {own.name}"))
+    return planner_server.PlannerServer(settings, make_machine(f"{seed} {planner.name}"))
--- a/ryepier/assembly/sidecar.py
+++ b/ryepier/assembly/sidecar.py
@@ -19,7 +19,7 @@
 
 
 def make_retry_guard(
-    operators: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
+    operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
 ) -> BackgroundService:
     """Create the retry storm guard; it detects retries for the dispatcher and observes its requests."""
     from ryepier.storm.retry_storm_guard import RetryStormGuard
@@ -28,56 +28,58 @@
     settings = config.settings
     shares = [tenant.share or tenant.allowance_per_s for tenant in settings.tenants]
     total = sum(shares) or 1.0
-    made = RetryStormGuard(
+    guard = RetryStormGuard(
         RetryStormDetector(
             clock_us(),
             [share / total for share in shares],
             settings.max_retry_after_us,
-            operators.storm.rounds_to_seconds,
+            operator_settings.storm.rounds_to_seconds,
         ),
         dispatcher.on_retry_storm,
         clock_us,
     )
-    dispatcher.retry_detector = made
-    dispatcher.add_observer(made)
-    return made
+    dispatcher.retry_detector = guard
+    dispatcher.add_observer(guard)
+    return guard
 
 
-def check_settings(operators: OperatorSettings, config: platform.Config) -> None:
+def check_settings(operator_settings: OperatorSettings, config: platform.Config) -> None:
     """Raise AssemblyError where the operators' settings and the platform's contradict each other."""
-    if operators.plan.planners and not (operators.plan.name or config.name):
+    if operator_settings.plan.planners and not (operator_settings.plan.name or config.name):
         raise AssemblyError("a forwarder needs a name: none in the platform's configuration, and no plan.name")
-    if operators.slices.service:
+    if operator_settings.slices.service:
         from ryepier.slices.api_client import AccessError
 
         try:
-            source_settings(operators.slices, config)
+            source_settings(operator_settings.slices, config)
         except AccessError as error:
             raise AssemblyError(f"slices: {error}") from None
-    if operators.graphql.enabled:
+    if operator_settings.graphql.enabled:
         from ryepier.fronts.graphql import make_classification_table
 
         try:
-            make_classification_table(operators.graphql, config.settings)
+            make_classification_table(operator_settings.graphql, config.settings)
         except ValueError as error:
             raise AssemblyError(f"graphql: {error}") from None
 
 
-def select_components(operators: OperatorSettings) -> Components:
+def select_components(operator_settings: OperatorSettings) -> Components:
     """Return the platform's components with those that the operators add or replace."""
     components = PLATFORM
-    if operators.slices.service:
-        components = replace(components, source=partial(make_slice_source, operators))
-    if operators.graphql.enabled:
+    if operator_settings.slices.service:
+        components = replace(components, source=partial(make_slice_source, operator_settings))
+    if operator_settings.graphql.enabled:
         from ryepier.fronts.graphql import make_front_ends  # with graphql-core: only where it is used
 
-        components = replace(components, front_ends=make_front_ends(operators.graphql))
-    if operators.plan.planners:
+        components = replace(components, front_ends=make_front_ends(operator_settings.graphql))
+    if operator_settings.plan.planners:
         components = replace(
-            components, background_services=(*components.background_services, partial(make_forwarder, operators))
+            components,
+            background_services=(*components.background_services, partial(make_forwarder, operator_settings)),
         )
-    if operators.storm.enabled:
+    if operator_settings.storm.enabled:
         components = replace(
-            components, background_services=(*components.background_services, partial(make_retry_guard, operators))
+            components,
+            background_services=(*components.background_services, partial(make_retry_guard, operator_settings)),
         )
     return components
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -139,7 +139,7 @@
         """Raise ValueError if a class is missing or a field is named twice."""
         if self.enabled and not (self.queries and self.mutations):
             raise ValueError("queries, mutations: expected the classes of what the table does not name")
-        names = [(one.type, one.name) for one in self.fields]
+        names = [(field.type, field.name) for field in self.fields]
         if len(set(names)) < len(names):
             raise ValueError("fields: one is named twice")
 
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -21,7 +21,7 @@
 
 ENV_SEPARATOR = "__"  # between the parts of a key in the name of an environment variable
 MIN_SIMILARITY = 0.6  # from which a known key is suggested for an unknown one; as in difflib
-_TOML_PLACE = re.compile(r"\(at line (\d+), column \d+\)")
+_TOML_ERROR_LINE = re.compile(r"\(at line (\d+), column \d+\)")
 
 
 class ConfigurationError(ValueError):
@@ -39,20 +39,20 @@
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        place = _TOML_PLACE.search(str(error))
-        raise ConfigurationError([Problem("", int(place[1]) if place else 0, f"not TOML: {error}")]) from None
+        line_match = _TOML_ERROR_LINE.search(str(error))
+        raise ConfigurationError([Problem("", int(line_match[1]) if line_match else 0, f"not TOML: {error}")]) from None
     problems: list[Problem] = []
     if environment is not None:
-        problems += _override(data, environment, prefix)
+        problems += _apply_environment(data, environment, prefix)
     reader = _SchemaReader(KeyLines(text))
-    result = reader.struct(schema, data, ())
+    result = reader.read_struct(schema, data, ())
     problems += reader.problems
     if problems or not isinstance(result, schema):
         raise ConfigurationError(problems)
     return result
 
 
-def _override(data: dict[str, Any], environment: Mapping[str, str], prefix: str) -> list[Problem]:
+def _apply_environment(data: dict[str, Any], environment: Mapping[str, str], prefix: str) -> list[Problem]:
     """Put the variables into `data`; their values are read as TOML, and as plain text where they are none."""
     problems = []
     for name in sorted(environment):
@@ -79,49 +79,49 @@
         self.lines = lines
         self.problems: list[Problem] = []
 
-    def problem(self, path: KeyPath, text: str) -> None:
+    def add_problem(self, path: KeyPath, text: str) -> None:
         self.problems.append(self.lines.problem_at(path, text))
 
-    def struct(self, schema: type[msgspec.Struct], data: Any, path: KeyPath) -> msgspec.Struct | None:
+    def read_struct(self, schema: type[msgspec.Struct], data: Any, path: KeyPath) -> msgspec.Struct | None:
         if not isinstance(data, dict):
-            self.problem(path, f"expected a table, got {type(data).__name__}")
+            self.add_problem(path, f"expected a table, got {type(data).__name__}")
             return None
         fields = {field.encode_name: field for field in msgspec.structs.fields(schema)}
-        before = len(self.problems)
+        previous_problems = len(self.problems)
         for key in data.keys() - fields.keys():
-            self.problem((*path, key), f"unknown key{_suggestion(key, list(fields))}")
+            self.add_problem((*path, key), f"unknown key{_suggestion(key, list(fields))}")
         values: dict[str, Any] = {}
         for key, field in fields.items():
             if key in data:
-                values[field.name] = self.value(inspect.type_info(field.type), field.type, data[key], (*path, key))
+                values[field.name] = self.read_value(inspect.type_info(field.type), field.type, data[key], (*path, key))
             elif field.required:
-                self.problem((*path, key), "is missing")
-        if len(self.problems) > before:
+                self.add_problem((*path, key), "is missing")
+        if len(self.problems) > previous_problems:
             return None
         try:
             return schema(**values)
         except ValueError as error:  # what the struct itself asks of its fields together
-            self.problem(path, str(error))
+            self.add_problem(path, str(error))
             return None
 
-    def value(self, kind: inspect.Type, schema: Any, data: Any, path: KeyPath) -> Any:
-        if isinstance(kind, inspect.StructType):
-            return self.struct(kind.cls, data, path)
-        if isinstance(kind, inspect.ListType) and isinstance(kind.item_type, inspect.StructType):
+    def read_value(self, type_info: inspect.Type, value_type: Any, data: Any, path: KeyPath) -> Any:
+        if isinstance(type_info, inspect.StructType):
+            return self.read_struct(type_info.cls, data, path)
+        if isinstance(type_info, inspect.ListType) and isinstance(type_info.item_type, inspect.StructType):
             if not isinstance(data, list):
-                self.problem(path, f"expected a list of tables, got {type(data).__name__}")
+                self.add_problem(path, f"expected a list of tables, got {type(data).__name__}")
                 return None
-            return [self.struct(kind.item_type.cls, item, (*path, i)) for i, item in enumerate(data)]
+            return [self.read_struct(type_info.item_type.cls, item, (*path, i)) for i, item in enumerate(data)]
         try:
-            return msgspec.convert(data, schema)
+            return msgspec.convert(data, value_type)
         except msgspec.ValidationError as error:
-            self.problem(path, f"{_message_without_path(str(error))}, got {data!r}")
+            self.add_problem(path, f"{_message_without_path(str(error))}, got {data!r}")
             return None
 
 
-def _suggestion(key: str, known: list[str]) -> str:
-    close = difflib.get_close_matches(key, known, n=1, cutoff=MIN_SIMILARITY)
-    return f"; did you mean {close[0]!r}?" if close else f"; known here: {', '.join(sorted(known))}"
+def _suggestion(key: str, known_keys: list[str]) -> str:
+    matches = difflib.get_close_matches(key, known_keys, n=1, cutoff=MIN_SIMILARITY)
+    return f"; did you mean {matches[0]!r}?" if matches else f"; known here: {', '.join(sorted(known_keys))}"
 
 
 def _message_without_path(text: str) -> str:
--- a/ryepier/logs/structured.py
+++ b/ryepier/logs/structured.py
@@ -12,7 +12,7 @@
 from ryepier.sidecar.logs import RateLimitFilter
 
 # what every record has; the rest was put in by the caller with `extra` and belongs in the line
-_OWN_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
+_STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
 
 
 class JsonLinesFormatter(logging.Formatter):
@@ -20,16 +20,16 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line of a record."""
-        line: dict[str, object] = {
+        entry: dict[str, object] = {
             "time": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
             "logger": record.name,
             "message": record.getMessage(),
         }
-        line |= {name: value for name, value in vars(record).items() if name not in _OWN_FIELDS}
+        entry |= {name: value for name, value in vars(record).items() if name not in _STANDARD_FIELDS}
         if record.exc_info:
-            line["exception"] = self.formatException(record.exc_info)
-        return json.dumps(line, default=str, ensure_ascii=False)
+            entry["exception"] = self.formatException(record.exc_info)
+        return json.dumps(entry, default=str, ensure_ascii=False)
 
 
 def configure_logging(settings: LoggingSettings) -> None:
