--- a/ryepier/assembly/__init__.py
+++ b/ryepier/assembly/__init__.py
@@ -1,1 +1,1 @@
-"""Puts sidecars and planners together from their operators' files; commands and simulations start what it makes."""
+"""Creates sidecars and planners from the operators' settings; commands and simulations start them."""
--- a/ryepier/assembly/endpoint_slices.py
+++ b/ryepier/assembly/endpoint_slices.py
@@ -1,6 +1,7 @@
-"""Create the source of endpoints that follows Kubernetes EndpointSlices.
+"""Creates the endpoint source that follows Kubernetes EndpointSlices.
 
-The TLS and HTTP libraries are imported where they are used, so that sidecars without slices do not load them.
+The TLS and HTTP libraries are imported in the functions that use them, so that sidecars that do not use EndpointSlices
+do not load them.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 def make_slice_source(
     operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher
 ) -> EndpointSource:
-    """Create the source that replaces the platform's discovery."""
-    from ryepier.slices.slice_source import SliceSource  # with TLS and all: only where it is used
+    """Create the endpoint source that replaces the platform's discovery. Raises AccessError."""
+    from ryepier.slices.slice_source import SliceSource  # imports the TLS and HTTP libraries
 
     settings = source_settings(operator_settings.slices, config)
     log.info(
-        "EndpointSlices of %s/%s replace the platform's discovery",
+        "using the EndpointSlices of %s/%s in place of the platform's discovery",
         settings.namespace,
         settings.service,
     )
@@ -37,7 +38,7 @@
 
 
 def resolve_namespace(slices: EndpointSliceSettings) -> str:
-    """Return the configured namespace, by default the pod's. Raises AccessError outside a pod."""
+    """Return the configured namespace, or else the pod's own. Raises AccessError if there is neither."""
     from ryepier.slices.api_client import SERVICE_ACCOUNT_FOLDER, AccessError
 
     if slices.namespace:
@@ -45,11 +46,11 @@
     try:
         return (SERVICE_ACCOUNT_FOLDER / "namespace").read_text(encoding="ascii").strip()
     except OSError:
-        raise AccessError("slices.namespace is not set, and this is no pod that would tell") from None
+        raise AccessError("slices.namespace is not set, and this process does not run in a pod") from None
 
 
 def source_settings(slices: EndpointSliceSettings, config: platform.Config) -> Settings:
-    """Convert the operators' settings into those of the source. Raises AccessError."""
+    """Convert the operators' settings into the settings of a `SliceSource`. Raises AccessError."""
     from ryepier.slices.api_client import find_access
     from ryepier.slices.endpoint_listing import ListingRules
     from ryepier.slices.slice_source import Settings
--- a/ryepier/assembly/errors.py
+++ b/ryepier/assembly/errors.py
@@ -1,7 +1,7 @@
-"""The error of settings that contradict each other."""
+"""The error for invalid combinations of settings."""
 
 from __future__ import annotations
 
 
 class AssemblyError(ValueError):
-    """Raised where the settings of operators and platform contradict each other; the text names the key."""
+    """Raised if a sidecar or planner cannot be created from its settings; the message names the key."""
--- a/ryepier/assembly/planning.py
+++ b/ryepier/assembly/planning.py
@@ -1,4 +1,4 @@
-"""Create forwarders and planners from the settings of operators and platform."""
+"""Creates forwarders and planners from the operators' settings and the platform's configuration."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def make_machine(seed: str) -> Machine:
-    """Return the clocks and the random source of this process, seeded so that two forwarders draw differently."""
+    """Return this process's clocks, and a random generator whose `seed` must differ between forwarders."""
     return Machine(clock_us, lambda: system.unix_ns() // 1000, Random(seed))
 
 
 def acceptance_rules(operator_settings: OperatorSettings) -> AcceptanceRules:
-    """Convert the operators' [trust] table into the rules that plans are checked against."""
+    """Convert the operators' [trust] table into the rules by which plans are accepted."""
     acceptance = operator_settings.acceptance
     return AcceptanceRules(
         acceptance.fleet,
@@ -43,7 +43,7 @@
 def make_forwarder(
     operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
 ) -> BackgroundService:
-    """Create the component that reports to planners and applies their plans, and register it as an observer."""
+    """Create the service that reports to planners and applies their plans; it observes the dispatcher's requests."""
 
     def ready_upstream_ids() -> dict[str, int]:
         return {
@@ -71,13 +71,13 @@
 
 
 def make_planner(operator_settings: OperatorSettings, seed: int) -> PlannerServer:
-    """Create a planner without starting it. Raises AssemblyError where its folder is missing."""
+    """Create a planner without starting it. Raises AssemblyError if its folder for snapshots does not exist."""
     from ryepier.plan import planner_server
 
     planner = operator_settings.planner
     folder = Path(planner.snapshots) if planner.snapshots else None
     if folder is not None and not folder.is_dir():
-        raise AssemblyError(f"planner.snapshots: no folder {folder}")
+        raise AssemblyError(f"planner.snapshots: there is no folder {folder}")
     settings = planner_server.Settings(
         planner.name,
         parse_address(planner.listen),
--- a/ryepier/assembly/sidecar.py
+++ b/ryepier/assembly/sidecar.py
@@ -1,6 +1,6 @@
-"""Select the components of a sidecar by the settings of operators and platform.
+"""Selects the components of a sidecar according to the operators' settings and the platform's configuration.
 
-Heavier libraries are imported by the functions that need them.
+Large libraries are imported in the functions that need them, so that sidecars without a feature do not load them.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 def make_retry_guard(
     operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
 ) -> BackgroundService:
-    """Create the retry storm guard; it detects retries for the dispatcher and observes its requests."""
+    """Create the guard against retry storms and register it as the dispatcher's retry detector and as an observer."""
     from ryepier.storm.retry_storm_guard import RetryStormGuard
     from ryepier.storm.storm_detector import RetryStormDetector
 
@@ -44,9 +44,9 @@
 
 
 def check_settings(operator_settings: OperatorSettings, config: platform.Config) -> None:
-    """Raise AssemblyError where the operators' settings and the platform's contradict each other."""
+    """Raise AssemblyError if the operators' settings do not fit the platform's configuration."""
     if operator_settings.plan.planners and not (operator_settings.plan.name or config.name):
-        raise AssemblyError("a forwarder needs a name: none in the platform's configuration, and no plan.name")
+        raise AssemblyError("plan.name is not set, and the platform's configuration has no name for the forwarder")
     if operator_settings.slices.service:
         from ryepier.slices.api_client import AccessError
 
@@ -64,12 +64,12 @@
 
 
 def select_components(operator_settings: OperatorSettings) -> Components:
-    """Return the platform's components with those that the operators add or replace."""
+    """Return the platform's components, with additions and replacements by the operators' settings."""
     components = PLATFORM
     if operator_settings.slices.service:
         components = replace(components, source=partial(make_slice_source, operator_settings))
     if operator_settings.graphql.enabled:
-        from ryepier.fronts.graphql import make_front_ends  # with graphql-core: only where it is used
+        from ryepier.fronts.graphql import make_front_ends  # imports graphql-core
 
         components = replace(components, front_ends=make_front_ends(operator_settings.graphql))
     if operator_settings.plan.planners:
--- a/ryepier/conf/__init__.py
+++ b/ryepier/conf/__init__.py
@@ -1,1 +1,1 @@
-"""Files that people write: read, checked as a whole, and complained about by key and line."""
+"""Reading and validation of TOML configuration files; every error is reported with its key and line."""
--- a/ryepier/conf/key_lines.py
+++ b/ryepier/conf/key_lines.py
@@ -1,4 +1,4 @@
-"""Find the lines of a TOML text on which its keys stand, for problems that name them."""
+"""Line numbers of the keys in a TOML text, for error messages."""
 
 from __future__ import annotations
 
@@ -13,20 +13,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong: `key` as `table[2].name` (empty: the file), `line` from 1 (0: not in the file)."""
+    """One error in a configuration.
+
+    `key` is written like `table[2].name` and is empty for an error of the whole file. `line` counts from 1; it is 0 for
+    a value that is not in the file.
+    """
 
     key: str
     line: int
     text: str
 
     def __str__(self) -> str:
-        """Return the problem as one line: line, key, text."""
+        """Return the problem as one line of text: line number, key and message."""
         location = f"line {self.line}: " if self.line else ""
         return f"{location}{self.key}: {self.text}" if self.key else f"{location}{self.text}"
 
 
 def format_key_path(path: KeyPath) -> str:
-    """Return a key's path as it is written: `faults[2].at_s`."""
+    """Return a key's path as text, such as `faults[2].at_s`."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
@@ -34,14 +38,17 @@
 
 
 class KeyLines:
-    """Where the keys of a TOML text stand, for problems that only show when several tables are read together."""
+    """Finds the lines of keys, also for problems that are detected after parsing, such as tables that conflict."""
 
     def __init__(self, text: str) -> None:
-        """Find the keys of `text`, which need not be valid TOML."""
+        """Index the keys of `text`, which need not be valid TOML."""
         self._lines = _find_key_lines(text)
 
     def problem_at(self, path: KeyPath, text: str) -> Problem:
-        """Return the problem `text` at the key `path`, or at the nearest table above it that the file names."""
+        """Return a problem with the message `text` at the key `path`.
+
+        If the file does not have the key, the line is that of the nearest enclosing table that the file has.
+        """
         known_path = path
         while known_path and known_path not in self._lines:
             known_path = known_path[:-1]
@@ -49,7 +56,7 @@
 
 
 def _find_key_lines(text: str) -> dict[KeyPath, int]:
-    """Where each table and key of a TOML text begins. Keys inside inline tables are found by their table only."""
+    """Return the line on which each table and key begins. Keys in inline tables have no entry of their own."""
     lines: dict[KeyPath, int] = {}
     last_indexes: dict[KeyPath, int] = {}
     table: KeyPath = ()
@@ -74,7 +81,7 @@
 
 
 def _with_list_indexes(names: tuple[str, ...], last_indexes: dict[KeyPath, int]) -> KeyPath:
-    """Return the path of a table, with the number of the last entry wherever it leads through a list of tables."""
+    """Return the path of a table; each array of tables on it is followed by the index of its last entry so far."""
     path: KeyPath = ()
     for name in names:
         path += (name,)
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -1,4 +1,4 @@
-"""The operators' settings (`deploy/ryepier.toml`), in addition to the platform's configuration."""
+"""Schema of the operators' settings file (`deploy/ryepier.toml`), which supplements the platform's configuration."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from ryepier.conf import toml_schema
 
 ENVIRONMENT_PREFIX = "RYEPIER_"
-MAX_LINES_PER_SECOND = 1000  # more would make the log the sidecar's main work
+MAX_LINES_PER_SECOND = 1000  # beyond this, logging would take most of the sidecar's CPU time
 
 
 class LogFormat(enum.Enum):
-    """How a log record is written."""
+    """Format of log records."""
 
     PLAIN = "plain"
-    JSON = "json"  # one object per line
+    JSON = "json"  # one object in each line
 
 
 class FailureDomainBy(enum.Enum):
-    """Which endpoints of a slice drop each other's repeats of a request."""
+    """Which endpoints of a slice form a failure domain, in which a repeated request is deduplicated."""
 
-    ENDPOINT = "endpoint"  # none: each is on its own
-    NODE = "node"  # those on one node
+    ENDPOINT = "endpoint"  # each endpoint is a failure domain of its own
+    NODE = "node"  # all endpoints on one node
 
 
 class LoggingSettings(msgspec.Struct, kw_only=True, frozen=True):
-    """How the sidecar writes its log, to standard error."""
+    """Format, level and rate limit of the log, which goes to standard error."""
 
     format: LogFormat = LogFormat.PLAIN
     level: Literal["debug", "info", "warning", "error"] = "info"
@@ -53,7 +53,7 @@
         "min_weight": "least_weight",
     },
 ):
-    """What a plan must satisfy: forwarders reject others, and planners send no others."""
+    """Requirements on a plan: planners send only plans that satisfy them, and forwarders reject all others."""
 
     fleet: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1  # approximate number of forwarders
     min_reporters: Share = 0.5
@@ -64,26 +64,26 @@
 
 
 class ForwarderSettings(msgspec.Struct, kw_only=True, frozen=True):
-    """A sidecar as a forwarder: whose plans it follows. Without planners it follows none."""
+    """Settings of a sidecar as a forwarder, which follows the plans of planners; disabled without planners."""
 
     planners: list[Address] = msgspec.field(default_factory=list)
     report_ms: Annotated[int, msgspec.Meta(ge=200, le=60_000)] = 500
-    name: str = ""  # by default the platform's
+    name: str = ""  # default: the name in the platform's configuration
 
 
 class PlannerSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"max_forwarders": "most_forwarders"}):
-    """A planner, as `ryepier planner` starts it."""
+    """Settings of a planner, which `ryepier planner` starts."""
 
     name: Name = "planner"
     listen: Address = "127.0.0.1:7400"
     peers: dict[Name, Address] = msgspec.field(default_factory=dict)
     tenant_shares: list[Share] = msgspec.field(default_factory=list)  # in the order of the platform's accounts
-    class_limits: list[Annotated[float, msgspec.Meta(ge=0)]] = msgspec.field(default_factory=list)  # a second
+    class_limits: list[Annotated[float, msgspec.Meta(ge=0)]] = msgspec.field(default_factory=list)  # requests/s
     max_forwarders: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = 2000
-    snapshots: str = ""  # the folder; empty: none are kept
+    snapshots: str = ""  # folder for snapshots; empty: no snapshots are written
 
     def __post_init__(self) -> None:
-        """Raise ValueError if the planner is its own peer."""
+        """Raise ValueError if the peers include the planner itself."""
         if self.name in self.peers:
             raise ValueError(f"peers: {self.name!r} is this planner's own name")
 
@@ -92,12 +92,12 @@
 
 
 class EndpointSliceSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"failure_domain": "cell"}):
-    """A Kubernetes service whose EndpointSlices are the list of converters, in place of the platform's discovery."""
+    """A Kubernetes service whose EndpointSlices list the converters; replaces the platform's discovery."""
 
     service: ClusterName = ""
-    namespace: ClusterName = ""  # by default the pod's own
-    server: str = ""  # http://host:port or https://host:port; by default what a pod is given
-    port: str = ""  # the name of the port; by default a slice's first
+    namespace: ClusterName = ""  # default: the pod's own namespace
+    server: str = ""  # http://host:port or https://host:port; default: the API server in the pod's environment
+    port: str = ""  # name of the port; default: the first port of each slice
     token_file: str = ""
     ca_file: str = ""
     client_cert_file: str = ""
@@ -106,58 +106,58 @@
     watch_s: Annotated[int, msgspec.Meta(ge=5, le=600)] = 60
     settle_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 3000
     hold_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = 30
-    cache: str = ""  # a file; empty: the list is not written down
+    cache: str = ""  # file in which the list is cached; empty: no cache
 
     def __post_init__(self) -> None:
-        """Raise ValueError if a certificate comes without its key."""
+        """Raise ValueError unless the client certificate and its key are set together."""
         if bool(self.client_cert_file) != bool(self.client_key_file):
-            raise ValueError("client_cert_file: goes together with client_key_file")
+            raise ValueError("client_cert_file: must be set together with client_key_file")
 
 
 class GraphqlField(msgspec.Struct, kw_only=True, frozen=True):
-    """What one field at the top of an operation means."""
+    """Classification rule for operations with a given root field."""
 
     type: Literal["query", "mutation"]
     name: Annotated[str, msgspec.Meta(pattern=r"^[_A-Za-z][_0-9A-Za-z]*$")]
     request_class: Name
-    key: str = ""  # the argument that names one run; goes with a class that is deduplicated
+    key: str = ""  # argument that holds the idempotency key; required for a class with idempotency keys
     cost_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0
-    deadline_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0  # where the client names none; 0 = the class's
+    deadline_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0  # if the client sets none; 0 = the class's
 
 
 class GraphqlSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"max_batch": "most_batch"}):
-    """A front for GraphQL over HTTP; off unless it has a path or a listener."""
+    """The front end for GraphQL over HTTP; disabled unless `path` or `listen` is set."""
 
-    path: Annotated[str, msgspec.Meta(pattern=r"^(/[!-~]*)?$")] = ""  # on the platform's own listener
-    listen: Annotated[str, msgspec.Meta(pattern=r"^([^:/\s]+:[0-9]{1,5})?$")] = ""  # or on one of its own
-    queries: str = ""  # the class of queries that the table does not name
-    mutations: str = ""  # and of mutations
+    path: Annotated[str, msgspec.Meta(pattern=r"^(/[!-~]*)?$")] = ""  # GraphQL's path on the platform's listener
+    listen: Annotated[str, msgspec.Meta(pattern=r"^([^:/\s]+:[0-9]{1,5})?$")] = ""  # address of a separate listener
+    queries: str = ""  # class of queries whose root field is not in `fields`
+    mutations: str = ""  # class of mutations whose root field is not in `fields`
     max_batch: Annotated[int, msgspec.Meta(ge=1, le=100)] = 20
     fields: list[GraphqlField] = msgspec.field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Raise ValueError if a class is missing or a field is named twice."""
+        """Raise ValueError if a default class is missing or a field has two rules."""
         if self.enabled and not (self.queries and self.mutations):
-            raise ValueError("queries, mutations: expected the classes of what the table does not name")
+            raise ValueError("queries, mutations: the classes of operations that are not in fields must be set")
         names = [(field.type, field.name) for field in self.fields]
         if len(set(names)) < len(names):
-            raise ValueError("fields: one is named twice")
+            raise ValueError("fields: two rules have the same type and name")
 
     @property
     def enabled(self) -> bool:
-        """Whether the front has a path or a listener."""
+        """Whether the front end has a path or a listener."""
         return bool(self.path or self.listen)
 
 
 class RetryGuardSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"rounds_to_seconds": "whole_seconds"}):
-    """The guard against retry storms."""
+    """Settings of the guard against retry storms."""
 
     enabled: bool = False
-    rounds_to_seconds: bool = False  # Retry-After in whole seconds, for clients that read nothing else
+    rounds_to_seconds: bool = False  # round Retry-After to whole seconds, for clients that do not parse decimals
 
 
 class OperatorSettings(msgspec.Struct, kw_only=True, frozen=True):
-    """The whole file; every table may be left out."""
+    """The complete settings file; every table is optional."""
 
     logging: LoggingSettings = msgspec.field(default_factory=LoggingSettings)
     plan: ForwarderSettings = msgspec.field(default_factory=ForwarderSettings)
@@ -169,5 +169,8 @@
 
 
 def parse(text: str, environment: Mapping[str, str]) -> OperatorSettings:
-    """Return the settings of a file's text, overridden by `RYEPIER_TABLE__KEY` variables; raises ConfigurationError."""
+    """Return the settings in a file's text; variables named `RYEPIER_TABLE__KEY` override it.
+
+    Raises ConfigurationError.
+    """
     return toml_schema.parse(text, OperatorSettings, environment, ENVIRONMENT_PREFIX)
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -1,7 +1,7 @@
-"""TOML text into a checked msgspec struct, or every problem in it at once, each with its key and line.
+"""Validation of TOML text against a msgspec struct; all errors are reported together, each with its key and line.
 
-Pure: takes text and gives structs. msgspec stops at its first error, so tables are walked here and only the single
-values are left to it; that way one pass over a file reports all that is wrong with it.
+Performs no I/O. msgspec stops at the first error, so this module walks the tables itself and uses msgspec only to
+convert single values; one pass therefore reports all errors in a file.
 """
 
 from __future__ import annotations
@@ -20,22 +20,25 @@
 T = TypeVar("T", bound=msgspec.Struct)
 
 ENV_SEPARATOR = "__"  # between the parts of a key in the name of an environment variable
-MIN_SIMILARITY = 0.6  # from which a known key is suggested for an unknown one; as in difflib
+MIN_SIMILARITY = 0.6  # of an unknown key to a known one that is suggested for it; difflib's default
 _TOML_ERROR_LINE = re.compile(r"\(at line (\d+), column \d+\)")
 
 
 class ConfigurationError(ValueError):
-    """A text that can't be used; `problems` holds all that is wrong with it, in the order of its lines."""
+    """Raised for an invalid configuration; `problems` holds all its errors, ordered by line."""
 
     def __init__(self, problems: list[Problem]) -> None:
-        """`problems` in any order; at least one."""
+        """Sort `problems` by line; there must be at least one."""
         self.problems = sorted(problems, key=lambda problem: problem.line)
         super().__init__("; ".join(map(str, self.problems)))
 
 
 def parse(text: str, schema: type[T], environment: Mapping[str, str] | None = None, prefix: str = "") -> T:
-    """Return the struct that `text` describes. Variables of `environment` named `prefix` and the key's parts joined by
-    two underscores (`RYEPIER_LOGGING__FORMAT`) override the file. Raises ConfigurationError."""
+    """Return the struct that `text` describes. Raises ConfigurationError.
+
+    An environment variable overrides a key if its name is `prefix` followed by the parts of the key in upper case,
+    joined by two underscores, such as `RYEPIER_LOGGING__FORMAT`.
+    """
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -53,7 +56,7 @@
 
 
 def _apply_environment(data: dict[str, Any], environment: Mapping[str, str], prefix: str) -> list[Problem]:
-    """Put the variables into `data`; their values are read as TOML, and as plain text where they are none."""
+    """Write the variables' values into `data`, parsed as TOML or, if they are not valid TOML, as strings."""
     problems = []
     for name in sorted(environment):
         if not name.startswith(prefix):
@@ -63,7 +66,7 @@
         for part in tables:
             table = table.setdefault(part, {}) if isinstance(table, dict) else None
         if not isinstance(table, dict):
-            problems.append(Problem(name, 0, "the environment names a key inside what is not a table"))
+            problems.append(Problem(name, 0, "the environment variable sets a key in a value that is not a table"))
             continue
         try:
             table[key] = tomllib.loads(f"value = {environment[name]}")["value"]
@@ -73,7 +76,7 @@
 
 
 class _SchemaReader:
-    """One pass over the tables; what is wrong is collected, and nothing is raised."""
+    """Converts tables into structs in one pass; collects all errors in `problems` instead of raising them."""
 
     def __init__(self, lines: KeyLines) -> None:
         self.lines = lines
@@ -100,7 +103,7 @@
             return None
         try:
             return schema(**values)
-        except ValueError as error:  # what the struct itself asks of its fields together
+        except ValueError as error:  # from the struct's __post_init__, which checks fields against each other
             self.add_problem(path, str(error))
             return None
 
@@ -121,10 +124,10 @@
 
 def _suggestion(key: str, known_keys: list[str]) -> str:
     matches = difflib.get_close_matches(key, known_keys, n=1, cutoff=MIN_SIMILARITY)
-    return f"; did you mean {matches[0]!r}?" if matches else f"; known here: {', '.join(sorted(known_keys))}"
+    return f"; did you mean {matches[0]!r}?" if matches else f"; known keys: {', '.join(sorted(known_keys))}"
 
 
 def _message_without_path(text: str) -> str:
-    """Return msgspec's message without the path, which the problem has already."""
+    """Return msgspec's message without the path, since a `Problem` already has one."""
     text = text.split(" - at `")[0]
     return text[:1].lower() + text[1:]
--- a/ryepier/fronts/__init__.py
+++ b/ryepier/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts beside the platform's own: each reads its requests by a dialect, and hands them to the one decision module."""
+"""Front ends in addition to the platform's own; each passes the requests that its dialect parses to the dispatcher."""
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -1,4 +1,4 @@
-"""GraphQL over HTTP as a dialect of the application's front."""
+"""Front end for GraphQL over HTTP, as a dialect of the sidecar's HTTP server."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
 from ryepier.sidecar.server import Server
 from ryepier.sidecar.system import clock_us
 
+# headers that must not be repeated
 SINGLE_HEADERS = frozenset(
     (
         b"host",
@@ -45,7 +46,7 @@
         b"x-cost-hint",
     )
 )
-# headers of this connection, or written anew: class and key follow from the operation
+# Hop-by-hop headers, and headers that the sidecar sets itself: class and idempotency key depend on the operation.
 NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"content-type",
     b"content-encoding",
@@ -53,14 +54,14 @@
     b"x-class",
     b"idempotency-key",
 }
-NEW_REQUEST_ID_BYTES = 12  # random: no two requests of a fleet share an id
+NEW_REQUEST_ID_BYTES = 12  # random bytes, enough for ids that are unique in the whole fleet
 
 
 class GraphqlRequestError(RequestError):
-    """A request that is not accepted, with a GraphQL error."""
+    """Raised for a request that is not accepted and whose response is a GraphQL error."""
 
     def __init__(self, error: GraphqlError, accepted_type: str) -> None:
-        """Take over an error, for a client that accepts `answer_type`."""
+        """Convert `error` into a response of the media type `accepted_type`; the connection stays open."""
         super().__init__(error.status, error.text, keeps_connection=True)
         self.code = error.code
         self.allow = error.allow
@@ -68,7 +69,7 @@
 
 
 def make_classification_table(settings: conf.GraphqlSettings, platform_settings: Settings) -> ClassificationTable:
-    """Return the operators' table over the platform's classes. Raises ValueError if they contradict each other."""
+    """Return the operators' table for the platform's classes. Raises ValueError if a rule does not fit its class."""
     rules: dict[str, dict[str, FieldRule]] = {"query": {}, "mutation": {}}
     for field in settings.fields:
         rules[field.type][field.name] = FieldRule(
@@ -87,17 +88,17 @@
 
 
 class GraphqlDialect:
-    """Reads GraphQL requests over HTTP."""
+    """Parses GraphQL requests and renders their responses."""
 
     def __init__(self, settings: Settings, reader: RequestReader) -> None:
-        """Read requests of the settings' classes."""
+        """Index the classes and tenants of `settings`; `reader` may be shared with other front ends."""
         self.settings = settings
         self.reader = reader
         self.class_indexes = {request_class.name: index for index, request_class in enumerate(settings.classes)}
         self.tenants = TenantIndex(settings)
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
-        """Return the request. Raises RequestError."""
+        """Parse and classify a request. Raises RequestError."""
         headers_by_name = parse_headers(headers, SINGLE_HEADERS)
         accepted_type = RESPONSE_TYPE
         try:
@@ -162,7 +163,7 @@
 
     @staticmethod
     def _request_id(headers_by_name: dict[bytes, bytes]) -> bytes:
-        """Return the client's request id, or a new one where it sent none. Raises RequestError."""
+        """Return the client's request id, or a new one if it sent none. Raises RequestError."""
         request_id = headers_by_name.get(b"x-request-id") or os.urandom(NEW_REQUEST_ID_BYTES).hex().encode()
         if not IDENTIFIER.fullmatch(request_id):
             raise RequestError(400, "no X-Request-Id that can be used")
@@ -170,7 +171,7 @@
 
     @staticmethod
     def _forwarded_headers(headers: list[Header], request_id: bytes, classification: Classification) -> list[Header]:
-        """Return the client's headers without those set here, followed by the sidecar's own."""
+        """Return the client's headers without `NOT_FORWARDED_HEADERS`, followed by those that the sidecar sets."""
         forwarded = [(name, value) for name, value in headers if name.lower() not in NOT_FORWARDED_HEADERS]
         forwarded += [
             (b"Content-Type", JSON_TYPE.encode()),
@@ -182,7 +183,7 @@
         return forwarded
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
-        """Return the response; a converter's own is passed on unchanged, with its errors."""
+        """Return the response; a converter's response is forwarded unchanged, including its GraphQL errors."""
         if answer.outcome is FinalOutcome.SERVED:
             content_type = answer.content_type or request.accepted_type
             return Response(answer.status, answer.body, b"Content-Type: %s\r\n" % content_type)
@@ -195,7 +196,7 @@
         return Response(500, answers.failed_body(is_idempotent), header_lines)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
-        """Return the response to a request that was not accepted, as GraphQL words errors."""
+        """Return the response to a request that was not accepted, with a GraphQL error."""
         if not isinstance(error, GraphqlRequestError):
             error = GraphqlRequestError(GraphqlError(error.status, "BAD_REQUEST", str(error)), RESPONSE_TYPE)
         header_lines = f"Content-Type: {error.accepted_type}\r\n"
@@ -205,20 +206,20 @@
 
 
 class PathDialect:
-    """Two dialects on one listener: one path is GraphQL's, all else the platform's."""
+    """Selects the dialect of a request by its path, so that GraphQL and the platform's protocol share a listener."""
 
     def __init__(self, path: bytes, graphql_dialect: Dialect, platform_dialect: Dialect) -> None:
-        """Use `graphql` on `path`, and `plain` elsewhere."""
+        """Use `graphql_dialect` for `path`, and `platform_dialect` for all other paths."""
         self.path = path
         self.graphql_dialect = graphql_dialect
         self.platform_dialect = platform_dialect
 
     def dialect_of(self, target: bytes) -> Dialect:
-        """Return the dialect of a target."""
+        """Return the dialect for a request target."""
         return self.graphql_dialect if target.partition(b"?")[0] == self.path else self.platform_dialect
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
-        """Return the request. Raises RequestError."""
+        """Parse a request with the dialect of its target. Raises RequestError."""
         return self.dialect_of(target).parse(method, target, headers, body)
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
@@ -231,7 +232,9 @@
 
 
 def make_front_ends(settings: conf.GraphqlSettings) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
-    """Return the platform's front end, which GraphQL may share, and one of its own; they share one reader."""
+    """Return factories for the front ends: the platform's, which may also serve GraphQL on a path, and one for
+    GraphQL only if it has its own listener. Their dialects share one `RequestReader`, and so its caches.
+    """
     readers: list[RequestReader] = []
 
     def make_dialect(config: Config) -> GraphqlDialect:
@@ -261,5 +264,5 @@
 
 
 def max_clients_per_front_end(config: Config, settings: conf.GraphqlSettings) -> int:
-    """Return how many clients each front end may have: half of the descriptors, of both together."""
+    """Return the maximum number of clients of each front end; together they may use half of the descriptors."""
     return config.max_descriptors // (4 if settings.listen else 2)
--- a/ryepier/graphql/__init__.py
+++ b/ryepier/graphql/__init__.py
@@ -1,5 +1,6 @@
-"""GraphQL over HTTP: what a request asks for, and what that means for sending it again.
+"""GraphQL over HTTP: parses requests and determines whether they may be retried.
 
-Pure: `request` (HTTP's bytes into operations), `document` (GraphQL's text), `classify` (an operators' table),
-`persisted` (documents by hash) and `answers` (the bodies that a gateway itself gives). graphql-core reads documents.
+The modules perform no I/O. `request` parses HTTP requests, `document` parses GraphQL documents with graphql-core,
+`classify` applies the operators' table, `persisted` caches documents by their hash, and `answers` builds the bodies of
+the sidecar's own responses.
 """
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -1,7 +1,7 @@
-"""Classification of operations: the class of their request, and whether it may run again.
+"""Classification of operations: the class of a request, and whether it may run more than once.
 
-Pure. Whatever is not known to be idempotent is unsafe: a class counts as idempotent only for queries, and a key only
-for a request that starts one operation.
+Performs no I/O. Operations that are not known to be idempotent count as non-idempotent: only queries may have an
+idempotent class, and an idempotency key is used only if the request starts a single operation that needs one.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from ryepier.graphql.document import Operation, RootField, is_executed, variable_value
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
-IDEMPOTENCY_BY_STRICTNESS = list(Idempotency)  # each stricter than the one before
+IDEMPOTENCY_BY_STRICTNESS = list(Idempotency)  # from the least to the most strict
 MAX_KEY_LENGTH = 128  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
-    """A class of the platform, as far as it matters here."""
+    """A request class of the platform."""
 
     name: str
     idempotency: Idempotency
@@ -30,41 +30,41 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldRule:
-    """Rule of the operators' table for one field."""
+    """Rule of the operators' table for one root field of operations."""
 
     class_name: str
-    key: str = ""  # the argument that names one run of it
-    cost_us: int = 0  # expected work on a standard core; 0 = not known
-    deadline_us: int = 0  # where the client names none; 0 = the class's
+    key: str = ""  # argument that holds the idempotency key; empty without one
+    cost_us: int = 0  # expected processing time on a standard core; 0 = not known
+    deadline_us: int = 0  # if the client sets none; 0 = the class's
 
 
 @dataclass(frozen=True, slots=True)
 class ClassificationTable:
-    """The operators' table. Raises ValueError if it would let an unsafe operation be repeated."""
+    """The operators' table of rules. Raises ValueError if it would allow retries of non-idempotent operations."""
 
     classes: Mapping[str, ClassRule]
     queries: Mapping[str, FieldRule]
     mutations: Mapping[str, FieldRule]
-    query_class: str  # of the fields that are not named
-    mutation_class: str
+    query_class: str  # of query fields without a rule
+    mutation_class: str  # of mutation fields without a rule
 
     def __post_init__(self) -> None:
-        """Raise ValueError for a rule that its class does not allow."""
+        """Raise ValueError for a rule or default whose class does not allow it."""
         for kind, rules in (("query", self.queries), ("mutation", self.mutations)):
             for name, rule in rules.items():
                 self._check_rule(f"{kind} {name}", rule)
         self._check_rule("queries", FieldRule(self.query_class))
         self._check_rule("mutations", FieldRule(self.mutation_class))
         if self.idempotency(self.query_class) is Idempotency.IDEMPOTENCY_KEY:
-            raise ValueError(f"queries: class {self.query_class!r} needs a key, which nothing would name")
+            raise ValueError(f"queries: class {self.query_class!r} needs a key, but the default for queries has none")
         if self.idempotency(self.mutation_class) is not Idempotency.NON_IDEMPOTENT:
             raise ValueError(
                 f"mutations: class {self.mutation_class!r} may run again, "
-                "and nothing is known of a mutation that is not in the table"
+                "but a mutation that is not in the table must be assumed to be non-idempotent"
             )
         for name, rule in self.mutations.items():
             if self.idempotency(rule.class_name) is Idempotency.IDEMPOTENT:
-                raise ValueError(f"mutation {name}: class {rule.class_name!r} is for what is harmless to repeat")
+                raise ValueError(f"mutation {name}: class {rule.class_name!r} is for idempotent operations only")
 
     def _check_rule(self, rule_name: str, rule: FieldRule) -> None:
         if rule.class_name not in self.classes:
@@ -73,7 +73,7 @@
             "queries",
             "mutations",
         ):
-            raise ValueError(f"{rule_name}: a key goes with a class that is deduplicated, and the other way round")
+            raise ValueError(f"{rule_name}: a class with idempotency keys requires a key, and other classes forbid it")
 
     def idempotency(self, class_name: str) -> Idempotency:
         """Return whether a request of a class may be sent again."""
@@ -82,35 +82,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Classification:
-    """How a complete HTTP request is treated."""
+    """Class and retry properties of an HTTP request, whether it is one operation or a batch."""
 
     class_name: str
     idempotency: Idempotency
-    key: str = ""  # of the one operation that it starts; empty without an idempotency key
-    cost_us: int = 0
-    deadline_us: int = 0  # the longest of its fields'; 0 = the class's
+    key: str = ""  # idempotency key; empty without one
+    cost_us: int = 0  # expected processing time of all its fields; 0 = not known
+    deadline_us: int = 0  # longest deadline of its fields' rules; 0 = the class's
     mutates: bool = False
 
 
 class OperationCall(NamedTuple):
-    """An operation with the variables that a request gives it."""
+    """An operation with the values of its variables from the request."""
 
     operation: Operation
     variables: Mapping[str, Any]
 
 
 class FieldCall(NamedTuple):
-    """A field of an operation with its rule and its idempotency key; without a key it is empty."""
+    """The rule of a root field, and the idempotency key from its arguments; empty without one."""
 
     rule: FieldRule
     key: str
 
 
 def classify(table: ClassificationTable, calls: Sequence[OperationCall]) -> Classification:
-    """Return the meaning of an operation, or of a batch: the strictest class of all its fields.
+    """Return the classification of an operation or a batch, with the strictest class of its executed root fields.
 
-    A batch is forwarded as one request and has one answer, so a part that must not run twice decides for all of it.
-    Raises GraphqlError."""
+    A batch is forwarded as one request with one answer, so a single operation that must not run twice makes the whole
+    batch non-idempotent. Raises GraphqlError.
+    """
     field_calls: list[FieldCall] = []
     mutates = False
     for operation, request_variables in calls:
@@ -121,7 +122,7 @@
         mutates |= is_mutation
         executed = [root_field for root_field in operation.fields if is_executed(root_field, variables)]
         field_calls += [_make_field_call(table, is_mutation, root_field, variables) for root_field in executed]
-        if not executed:  # everything was skipped; it is still an operation of its kind
+        if not executed:  # directives skip all fields; the default class of the operation type applies
             field_calls.append(FieldCall(FieldRule(table.mutation_class if is_mutation else table.query_class), ""))
     rule, key = max(
         field_calls, key=lambda call: IDEMPOTENCY_BY_STRICTNESS.index(table.idempotency(call.rule.class_name))
@@ -132,7 +133,7 @@
     deadline_us = max(deadlines_us) if all(deadlines_us) else 0
     idempotency = table.idempotency(rule.class_name)
     if idempotency is Idempotency.IDEMPOTENCY_KEY and (not key or _count_unsafe_calls(table, field_calls) > 1):
-        # one key can't stand for two runs
+        # one idempotency key cannot cover two operations that are not idempotent
         rule = FieldRule(table.mutation_class)
         idempotency = table.idempotency(table.mutation_class)
     return Classification(
@@ -163,12 +164,12 @@
 
 
 def _idempotency_key(value: Any) -> str:
-    """Return a value as a header can carry it; empty, which is no key, if it can't identify one run."""
+    """Return an argument's value as an idempotency key for a header; empty if the value is unsuitable as a key."""
     text = str(value) if isinstance(value, str | int) and not isinstance(value, bool) else ""
     return text if len(text) <= MAX_KEY_LENGTH and all("!" <= character <= "~" for character in text) else ""
 
 
 def check_allowed_in_get(classification: Classification) -> None:
-    """Raise GraphqlError unless a GET may carry an operation: anything on its way may repeat it."""
+    """Raise GraphqlError unless the request is an idempotent query: proxies and clients may repeat any GET."""
     if classification.mutates or classification.idempotency is not Idempotency.IDEMPOTENT:
         raise GraphqlError(405, "METHOD_NOT_ALLOWED", "a GET may only ask, not change anything: use POST", "POST")
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -1,7 +1,7 @@
-"""GraphQL documents, read within bounds: the operations of one, and the root fields that an execution would reach.
+"""Parsing of GraphQL documents, with limits on their size: operations and the root fields that they execute.
 
-Pure. Bounds come before parsing: the lexer, which does not recurse, counts tokens and depth, so that neither time nor
-stack is at the sender's mercy.
+Performs no I/O. The limits are checked before parsing: the lexer, which is not recursive, counts tokens and nesting
+depth, so that a document cannot exhaust CPU time or the stack.
 """
 
 from __future__ import annotations
@@ -32,47 +32,50 @@
 
 from ryepier.graphql.errors import malformed_request
 
-MAX_TOKENS = 4_000  # of a document
-MAX_DEPTH = 40  # of nested brackets
-MAX_ROOT_FIELDS = 200  # of an operation, fragments expanded, as these multiply
-MAX_CACHED_DOCUMENTS = 500  # a service has some dozens
-MAX_CACHED_BYTES = 2_000_000  # of their texts together
+MAX_TOKENS = 4_000  # in a document
+MAX_DEPTH = 40  # nesting of brackets
+MAX_ROOT_FIELDS = 200  # of an operation with its fragments expanded, since nested fragments multiply the fields
+MAX_CACHED_DOCUMENTS = 500  # a service usually has a few dozen documents
+MAX_CACHED_BYTES = 2_000_000  # total size of the documents' texts
 OPENING_BRACKETS = frozenset((TokenKind.BRACE_L, TokenKind.BRACKET_L, TokenKind.PAREN_L))
 CLOSING_BRACKETS = frozenset((TokenKind.BRACE_R, TokenKind.BRACKET_R, TokenKind.PAREN_R))
 
 
-INCLUDE_DIRECTIVE = "include"  # directives that decide whether a field is executed
+INCLUDE_DIRECTIVE = "include"
 SKIP_DIRECTIVE = "skip"
-CONDITION_ARGUMENT = "if"  # their argument
+CONDITION_ARGUMENT = "if"  # of both directives
 
 
 @dataclass(frozen=True, slots=True)
 class RootField:
-    """One field at the top of an operation; a field under two aliases is two."""
+    """A root field of an operation; a field that is selected under two aliases counts as two."""
 
     name: str
     arguments: Mapping[str, ValueNode]
-    conditions: tuple[DirectiveNode, ...]  # every @skip and @include between it and the operation
+    conditions: tuple[DirectiveNode, ...]  # @skip and @include of the field and of all fragments around it
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One operation of a document, with its fragments expanded."""
+    """An operation of a document, with its fragments expanded."""
 
     kind: OperationType
     name: str
     fields: tuple[RootField, ...]
-    variable_defaults: Mapping[str, Any]  # of its variables
+    variable_defaults: Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A document of GraphQL, as far as its operations matter."""
+    """The operations of a GraphQL document."""
 
     operations: tuple[Operation, ...]
 
     def select_operation(self, name: str | None) -> Operation:
-        """Return the operation that a server would execute. Raises GraphqlError."""
+        """Return the operation that a server executes for an `operationName`, or without one.
+
+        Raises GraphqlError if there is no such operation, or if several are possible.
+        """
         if not name:
             if len(self.operations) != 1:
                 raise malformed_request(
@@ -86,7 +89,7 @@
 
 
 def check_bounds(text: str) -> None:
-    """Raise GraphqlError for a text that is too large, or no GraphQL at all."""
+    """Raise GraphqlError for a text with too many tokens, too deep nesting, or an invalid token."""
     lexer = Lexer(Source(text))
     depth = tokens = 0
     try:
@@ -102,9 +105,10 @@
 
 
 def read_document(text: str) -> Document:
-    """Return the document of a text. Raises GraphqlError."""
+    """Parse a text. Raises GraphqlError."""
     if text.startswith("\ufeff"):
-        # the language allows a byte order mark, but not every server skips it: they would not see what is seen here
+        # The specification allows a byte order mark, but not every server skips it, so a server might read the document
+        # differently.
         raise malformed_request("the document begins with a byte order mark", "GRAPHQL_PARSE_FAILED")
     check_bounds(text)
     try:
@@ -133,7 +137,7 @@
             raise malformed_request("the document has no operation", "NOT_EXECUTABLE")
         names = [node.name.value if node.name else "" for node in self.operations]
         if len(set(names)) < len(names) or ("" in names and len(names) > 1):
-            # servers differ in which of two they take
+            # servers differ in which operation of a given name they execute
             raise malformed_request("operations of one document need names that differ", "GRAPHQL_VALIDATION_FAILED")
         return Document(
             tuple(self.build_operation(node, name) for node, name in zip(self.operations, names, strict=True))
@@ -155,7 +159,10 @@
         enclosing_fragments: frozenset[str],
         fields: list[RootField],
     ) -> None:
-        """Add the root fields of a selection, with every fragment expanded."""
+        """Add the root fields of a selection set to `fields`, with all fragments expanded.
+
+        `conditions` and `enclosing_fragments` are the directives and the names of the fragments around it.
+        """
         for node in selection_set.selections:
             field_conditions = conditions + tuple(
                 directive
@@ -188,7 +195,7 @@
 
 
 class CachedDocument(NamedTuple):
-    """A parsed document with the size of its text."""
+    """A parsed document, and the size of its text."""
 
     document: Document
     size_bytes: int
@@ -196,7 +203,7 @@
 
 @dataclass(slots=True)
 class DocumentCache:
-    """Cache of parsed documents by the hash of their text."""
+    """LRU cache of parsed documents by the hash of their text."""
 
     max_documents: int = MAX_CACHED_DOCUMENTS
     max_bytes: int = MAX_CACHED_BYTES
@@ -205,7 +212,7 @@
     misses: int = 0
 
     def read(self, text: str) -> Document:
-        """Return the document of a text. Raises GraphqlError; only valid documents are cached."""
+        """Return the parsed text, from the cache if possible. Raises GraphqlError; only valid documents are cached."""
         try:
             data = text.encode()
         except UnicodeEncodeError:
@@ -225,12 +232,12 @@
 
 
 def variable_value(node: ValueNode, variables: Mapping[str, Any]) -> Any:
-    """Return a value as it is executed; None for a variable that is not given."""
+    """Return an argument's value with variables substituted; None for a variable without a value."""
     return variables.get(node.name.value) if isinstance(node, VariableNode) else read_value(node, dict(variables))
 
 
 def is_executed(root_field: RootField, variables: Mapping[str, Any]) -> bool:
-    """Return whether a field is executed; an uncertain one counts as executed."""
+    """Return whether a field's @skip and @include allow its execution; a condition of unknown value does."""
     for directive in root_field.conditions:
         condition = next(
             (argument.value for argument in directive.arguments or () if argument.name.value == CONDITION_ARGUMENT),
--- a/ryepier/graphql/errors.py
+++ b/ryepier/graphql/errors.py
@@ -1,4 +1,4 @@
-"""Errors of requests that are rejected before anything is forwarded."""
+"""Errors for requests that are rejected without being forwarded."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class GraphqlError(RyepierError):
-    """A rejected request: its HTTP status, a code for programs, and a text for people."""
+    """Raised for a request that is rejected with an HTTP status, a machine-readable code and a message."""
 
     def __init__(self, status: int, code: str, text: str, allow: str = "") -> None:
-        """Describe the response; `allow` has the allowed methods, with a 405."""
+        """Describe the response; `allow` is the value of its Allow header, for status 405."""
         super().__init__(text)
         self.status = status
         self.code = code
--- a/ryepier/graphql/persisted.py
+++ b/ryepier/graphql/persisted.py
@@ -1,4 +1,4 @@
-"""Documents that clients name by their SHA-256, as automatic persisted queries do. Pure, and bounded."""
+"""Automatic persisted queries: a bounded cache of documents that clients identify by SHA-256. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
 MAX_QUERIES = 1_000
-MAX_CHARACTERS = 4_000_000  # of their texts together
-VERSION = 1  # of the protocol for persisted queries
+MAX_CHARACTERS = 4_000_000  # in all cached texts together
+VERSION = 1  # of the protocol for automatic persisted queries
 
 
 class PersistedQueryCache:
-    """Cache of texts by hash. A text is checked against its hash, so one hash never stands for two texts."""
+    """Cache of texts by hash. Each text is checked against its hash, so a hash never refers to two texts."""
 
     def __init__(self, max_queries: int = MAX_QUERIES, max_characters: int = MAX_CHARACTERS) -> None:
-        """Start empty."""
+        """Start empty; beyond either limit, the texts that were stored or looked up longest ago are evicted."""
         self.max_queries = max_queries
         self.max_characters = max_characters
         self.texts: OrderedDict[str, str] = OrderedDict()
         self.size_characters = 0
 
     def resolve(self, text: str | None, extensions: Mapping[str, Any]) -> str | None:
-        """Return the document that a request names, or None. Raises GraphqlError."""
+        """Return the text of the request's document: its own, or the one with its hash; None if it has neither.
+
+        Raises GraphqlError for an unknown hash, or for a text that does not match its hash.
+        """
         reference = extensions.get("persistedQuery")
         if reference is None:
             return text
@@ -38,7 +41,7 @@
             raise malformed_request("persistedQuery: expected version 1 and a sha256Hash")
         if text is None:
             if sha256_hash not in self.texts:
-                # the published answer, at which clients send hash and text together
+                # the protocol's error message; clients then repeat the request with both hash and text
                 raise GraphqlError(200, "PERSISTED_QUERY_NOT_FOUND", "PersistedQueryNotFound")
             self.texts.move_to_end(sha256_hash)
             return self.texts[sha256_hash]
@@ -47,7 +50,7 @@
         return text
 
     def store(self, text: str, extensions: Mapping[str, Any]) -> None:
-        """Remember a text that `resolve` has checked and that turned out to be GraphQL."""
+        """Cache a text that `resolve` has returned and that is valid GraphQL, if the request has its hash."""
         reference = extensions.get("persistedQuery")
         if reference is None or reference["sha256Hash"] in self.texts:
             return
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -1,7 +1,7 @@
-"""Reading of GraphQL requests over HTTP: bytes in, checked operations and the body to forward out.
+"""Parsing of GraphQL requests over HTTP: returns their classification and the body to forward.
 
-Pure. What two readers might read differently is rejected: a repeated key, a key in other letters, numbers that JSON
-does not have. So what is classified here is what the converter executes.
+Performs no I/O. Input that parsers may interpret differently is rejected: repeated keys, keys in a different case, and
+numbers that JSON does not define. The converter therefore executes the same operation that was classified here.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 PARAMETER_NAMES = ("query", "operationName", "variables", "extensions")
 JSON_TYPE, RESPONSE_TYPE = "application/json", "application/graphql-response+json"
-MAX_BATCH = 20  # operations of one request
+MAX_BATCH = 20  # operations in one request
 
 
 @dataclass(frozen=True, slots=True)
 class OperationParameters:
-    """One request for one operation, before its document is read."""
+    """The parameters of a GraphQL request for one operation; its document is not parsed yet."""
 
     query: str | None
     operation_name: str | None
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """A complete HTTP request: its classification, and the body to forward as a POST."""
+    """An HTTP request as its classification and the body to forward in a POST."""
 
     classification: Classification
     body: bytes
 
 
 def response_type(accept: str) -> str:
-    """Return the media type of the response, by the Accept header. Raises GraphqlError."""
+    """Return the response's media type for an Accept header. Raises GraphqlError if it accepts no supported type."""
     if not accept.strip():
         return RESPONSE_TYPE
     best, best_weight = "", 0.0
@@ -88,7 +88,7 @@
 
 
 def read_json(data: bytes | str) -> Any:
-    """Return the value of a JSON text, strictly read. Raises GraphqlError."""
+    """Parse a JSON text strictly, without repeated keys or NaN and Infinity. Raises GraphqlError."""
     try:
         text = data.decode("utf-8") if isinstance(data, bytes) else data
         return json.loads(text, object_pairs_hook=_reject_duplicates, parse_constant=_reject_constant)
@@ -99,7 +99,7 @@
 
 
 def read_parameters(data: Any) -> OperationParameters:
-    """Return the parameters of one operation from its JSON object. Raises GraphqlError."""
+    """Return the parameters in the JSON object of one operation. Raises GraphqlError."""
     if not isinstance(data, dict):
         raise malformed_request("expected an object with a query")
     for key in data:
@@ -120,7 +120,7 @@
 
 
 def read_get_parameters(query_string: str) -> OperationParameters:
-    """Return the parameters of a GET. Raises GraphqlError."""
+    """Return the parameters in the query string of a GET. Raises GraphqlError."""
     try:
         pairs = parse_qsl(query_string, keep_blank_values=True, strict_parsing=True, errors="strict", max_num_fields=50)
     except ValueError as error:
@@ -136,24 +136,24 @@
 
 
 class SelectedOperation(NamedTuple):
-    """The text of a document and the operation that is chosen from it."""
+    """A document's text, and the operation of it that the request selects."""
 
     text: str
     operation: Operation
 
 
 class RequestReader:
-    """Reads the requests of one front end; caches the documents that it has read."""
+    """Parses and classifies requests, with caches of parsed documents and of persisted queries."""
 
     def __init__(self, table: ClassificationTable, max_batch: int = MAX_BATCH) -> None:
-        """Start with empty caches."""
+        """Start with empty caches; `max_batch` is the maximum number of operations in a batch."""
         self.table = table
         self.max_batch = max_batch
         self.documents = DocumentCache()
         self.persisted_queries = PersistedQueryCache()
 
     def read_get(self, query_string: str) -> ParsedRequest:
-        """Read a GET. Raises GraphqlError."""
+        """Parse and classify a GET, whose operation must be an idempotent query. Raises GraphqlError."""
         parameters = read_get_parameters(query_string)
         text, operation = self._read_operation(parameters)
         classification = classify(self.table, [OperationCall(operation, parameters.variables)])
@@ -161,7 +161,7 @@
         return ParsedRequest(classification, _post_body(parameters, text))
 
     def read_post(self, content_type: str, body: bytes) -> ParsedRequest:
-        """Read a POST. Raises GraphqlError."""
+        """Parse and classify a POST of one operation or of a batch. Raises GraphqlError."""
         check_content_type(content_type)
         data = read_json(body)
         if isinstance(data, list):
@@ -169,7 +169,7 @@
         parameters = read_parameters(data)
         text, operation = self._read_operation(parameters)
         classification = classify(self.table, [OperationCall(operation, parameters.variables)])
-        # The body is forwarded as it was checked, unless its document has to be inserted.
+        # The body is forwarded unchanged, unless it has only the hash of a persisted query and no document.
         return ParsedRequest(classification, body if parameters.query is not None else _post_body(parameters, text))
 
     def _read_batch(self, items: Sequence[Any], body: bytes) -> ParsedRequest:
@@ -182,7 +182,7 @@
         ]
         classification = classify(self.table, calls)
         if classification.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            # A key identifies one run, not a whole batch.
+            # An idempotency key identifies a single operation, not a whole batch.
             classification = replace(
                 classification,
                 class_name=self.table.mutation_class,
@@ -204,7 +204,7 @@
 
 
 def _post_body(parameters: OperationParameters, text: str) -> bytes:
-    """Return the body of a POST with the same meaning."""
+    """Return the body of a POST with these parameters and the document `text`."""
     content: dict[str, Any] = {"query": text}
     if parameters.operation_name is not None:
         content["operationName"] = parameters.operation_name
--- a/ryepier/logs/__init__.py
+++ b/ryepier/logs/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar's log: plain lines or JSON objects, at most a few a second."""
+"""The sidecar's log: plain or JSON lines, with a rate limit."""
--- a/ryepier/logs/structured.py
+++ b/ryepier/logs/structured.py
@@ -1,5 +1,7 @@
-"""Log records as JSON lines, on the standard library's logging. The rate limit comes before the formatting, so dropped
-records are never rendered."""
+"""Set-up of the standard library's logging: plain or JSON lines, with a rate limit.
+
+The rate limit applies before formatting, so dropped records are never formatted.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +13,15 @@
 from ryepier.conf.operator_settings import LogFormat, LoggingSettings
 from ryepier.sidecar.logs import RateLimitFilter
 
-# what every record has; the rest was put in by the caller with `extra` and belongs in the line
+# Attributes of every log record. All others come from the caller's `extra` argument and are written to the JSON line.
 _STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
 
 
 class JsonLinesFormatter(logging.Formatter):
-    """One JSON object per record: time (UTC, ISO 8601), level, logger, message, the caller's own fields."""
+    """Formats a record as a JSON object: time (UTC, ISO 8601), level, logger, message and the fields from `extra`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record."""
+        """Return the record as one line of JSON."""
         entry: dict[str, object] = {
             "time": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
@@ -33,7 +35,7 @@
 
 
 def configure_logging(settings: LoggingSettings) -> None:
-    """Send the root logger's records to standard error as the operators want them."""
+    """Write the root logger's records to standard error, in the format, level and rate that the settings give."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonLinesFormatter() if settings.format is LogFormat.JSON else logging.Formatter("%(levelname)s %(message)s")
