--- a/ryepier/assembly/planning.py
+++ b/ryepier/assembly/planning.py
@@ -62,7 +62,7 @@
     sidecar = forwarder.Sidecar(
         ready_upstream_ids,
         dispatcher.on_plan,
-        [kind.latency_objective_us for kind in config.settings.classes],
+        [request_class.latency_objective_us for request_class in config.settings.classes],
         len(config.settings.tenants),
     )
     service = forwarder.Forwarder(settings, sidecar, make_machine(f"{config.seed} {settings.name}"))
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -90,7 +90,7 @@
             self.add_problem(path, f"expected a table, got {type(data).__name__}")
             return None
         fields = {field.encode_name: field for field in msgspec.structs.fields(schema)}
-        previous_problems = len(self.problems)
+        problem_count_before = len(self.problems)
         for key in data.keys() - fields.keys():
             self.add_problem((*path, key), f"unknown key{_suggestion(key, list(fields))}")
         values: dict[str, Any] = {}
@@ -99,7 +99,7 @@
                 values[field.name] = self.read_value(inspect.type_info(field.type), field.type, data[key], (*path, key))
             elif field.required:
                 self.add_problem((*path, key), "is missing")
-        if len(self.problems) > previous_problems:
+        if len(self.problems) > problem_count_before:
             return None
         try:
             return schema(**values)
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -40,17 +40,17 @@
 JSON = "application/json"
 
 
-def post(query: Any, reader: RequestReader | None = None, **more: Any) -> ParsedRequest:
-    return (reader or RequestReader(TABLE)).read_post(JSON, json.dumps({"query": query, **more}).encode())
+def post(query: Any, reader: RequestReader | None = None, **parameters: Any) -> ParsedRequest:
+    return (reader or RequestReader(TABLE)).read_post(JSON, json.dumps({"query": query, **parameters}).encode())
 
 
-def raw(body: bytes | str) -> ParsedRequest:
+def post_body(body: bytes | str) -> ParsedRequest:
     return RequestReader(TABLE).read_post(JSON, body if isinstance(body, bytes) else body.encode())
 
 
-def refusal(call: Any, *arguments: Any, **more: Any) -> GraphqlError:
+def rejection(function: Any, *arguments: Any, **keywords: Any) -> GraphqlError:
     with pytest.raises(GraphqlError) as caught:
-        call(*arguments, **more)
+        function(*arguments, **keywords)
     return caught.value
 
 
@@ -77,7 +77,7 @@
         ("mutation { convert @skip(if: true) }", None),
     ],
 )
-def test_mutation_is_never_retried_whatever_hides_it(query: str, name: str | None) -> None:
+def test_mutation_is_non_idempotent_in_any_spelling(query: str, name: str | None) -> None:
     classification = post(query, operationName=name).classification
     assert (classification.class_name, classification.idempotency, classification.mutates) == (
         "convert",
@@ -86,7 +86,7 @@
     )
 
 
-def test_mutation_with_the_key_that_the_table_names_may_be_retried_with_it() -> None:
+def test_mutation_with_an_idempotency_key_may_be_retried() -> None:
     assert post('mutation { batch(id: "b-1") { id } }').classification.key == "b-1"
     classification = post('mutation($i: ID = "dflt") { batch(id: $i) }', variables={"i": 17}).classification
     assert (classification.class_name, classification.idempotency, classification.key, classification.cost_us) == (
@@ -96,13 +96,13 @@
         9000,
     )
     assert post('mutation($i: ID = "dflt") { batch(id: $i) }').classification.key == "dflt"
-    both = 'mutation($no: Boolean!) { batch(id: "1") convert @include(if: $no) }'
-    classification = post(both, variables={"no": False}).classification
+    two_fields = 'mutation($no: Boolean!) { batch(id: "1") convert @include(if: $no) }'
+    classification = post(two_fields, variables={"no": False}).classification
     assert (classification.idempotency, classification.key) == (Idempotency.IDEMPOTENCY_KEY, "1")
-    assert post(both).classification.idempotency == Idempotency.NON_IDEMPOTENT
+    assert post(two_fields).classification.idempotency == Idempotency.NON_IDEMPOTENT
 
 
-def test_query_is_idempotent_and_the_table_names_its_class_and_cost() -> None:
+def test_query_is_idempotent_with_class_and_cost_from_the_table() -> None:
     assert post("{ a b c }").classification.class_name == "lookup"
     classification = post("query { one: report two: report }").classification
     assert (
@@ -120,17 +120,17 @@
     assert post("query Q { a } " + MUTATION, operationName="Q").classification.idempotency == Idempotency.IDEMPOTENT
 
 
-def test_batch_takes_the_class_of_its_strictest_part_and_is_forwarded_in_one() -> None:
+def test_batch_has_its_strictest_class_and_is_forwarded_unchanged() -> None:
     body = json.dumps([{"query": "{ a }"}, {"query": 'mutation { batch(id: "1") }'}]).encode()
-    asked = raw(body)
-    assert (asked.classification.idempotency, asked.classification.key, asked.body) == (
+    parsed = post_body(body)
+    assert (parsed.classification.idempotency, parsed.classification.key, parsed.body) == (
         Idempotency.NON_IDEMPOTENT,
         "",
         body,
     )
-    assert raw('[{"query": "{ a }"}, {"query": "{ b }"}]').classification.idempotency == Idempotency.IDEMPOTENT
-    assert refusal(raw, json.dumps([{"query": "{ a }"}] * 1000)).code == "BATCH_SIZE"
-    assert refusal(raw, "[]").code == "BATCH_SIZE" and refusal(raw, "[1]").status == 400
+    assert post_body('[{"query": "{ a }"}, {"query": "{ b }"}]').classification.idempotency == Idempotency.IDEMPOTENT
+    assert rejection(post_body, json.dumps([{"query": "{ a }"}] * 1000)).code == "BATCH_SIZE"
+    assert rejection(post_body, "[]").code == "BATCH_SIZE" and rejection(post_body, "[1]").status == 400
 
 
 @pytest.mark.parametrize(
@@ -168,54 +168,54 @@
     ],
 )
 def test_ambiguous_or_invalid_request_is_rejected(body: bytes) -> None:
-    assert refusal(raw, body).status == 400
+    assert rejection(post_body, body).status == 400
 
 
-def test_documents_are_bounded_before_they_are_parsed() -> None:
+def test_document_size_is_limited_before_parsing() -> None:
     nested = "{a" * 32_000 + "}" * 32_000
-    assert refusal(post, nested).code == "DOCUMENT_TOO_DEEP"
-    assert refusal(post, "{" * 65_000).code == "DOCUMENT_TOO_DEEP"
-    assert refusal(post, "{ " + "a " * 30_000 + "}").code == "DOCUMENT_TOO_LARGE"
+    assert rejection(post, nested).code == "DOCUMENT_TOO_DEEP"
+    assert rejection(post, "{" * 65_000).code == "DOCUMENT_TOO_DEEP"
+    assert rejection(post, "{ " + "a " * 30_000 + "}").code == "DOCUMENT_TOO_LARGE"
     assert (
         post("{" + "a{" * (MAX_DEPTH - 1) + "b" + "}" * MAX_DEPTH).classification.idempotency == Idempotency.IDEMPOTENT
     )
-    bomb = " ".join(f"fragment F{i} on Q {{ ...F{i + 1} ...F{i + 1} }}" for i in range(20))
-    assert refusal(post, f"{{ ...F0 }} {bomb} fragment F20 on Q {{ a }}").code == "DOCUMENT_TOO_LARGE"
+    nested_fragments = " ".join(f"fragment F{i} on Q {{ ...F{i + 1} ...F{i + 1} }}" for i in range(20))
+    assert rejection(post, f"{{ ...F0 }} {nested_fragments} fragment F20 on Q {{ a }}").code == "DOCUMENT_TOO_LARGE"
 
 
-def test_get_request_may_only_query() -> None:
+def test_get_request_must_be_a_query() -> None:
     reader = RequestReader(TABLE)
-    asked = reader.read_get(
+    parsed = reader.read_get(
         urlencode({"query": "query Q($x: Int) { a(x: $x) }", "variables": '{"x": 1}', "operationName": "Q"})
     )
-    assert json.loads(asked.body) == {
+    assert json.loads(parsed.body) == {
         "query": "query Q($x: Int) { a(x: $x) }",
         "variables": {"x": 1},
         "operationName": "Q",
     }
-    error = refusal(reader.read_get, urlencode({"query": MUTATION}))
+    error = rejection(reader.read_get, urlencode({"query": MUTATION}))
     assert (error.status, error.allow) == (405, "POST")
     for text in ("", "query=%7Ba%7D&query=%7Bb%7D", "query=%ff", "query=%7Ba%7D&variables=1", "a"):
-        assert refusal(reader.read_get, text).status == 400
+        assert rejection(reader.read_get, text).status == 400
 
 
-def test_persisted_hash_stands_for_one_text_forever() -> None:
+def test_persisted_hash_refers_to_one_text_only() -> None:
     def extensions(text: str) -> dict[str, Any]:
         return {"persistedQuery": {"version": 1, "sha256Hash": hashlib.sha256(text.encode()).hexdigest()}}
 
     reader = RequestReader(TABLE)
-    error = refusal(post, None, reader, extensions=extensions("{ a }"))
+    error = rejection(post, None, reader, extensions=extensions("{ a }"))
     assert (error.status, error.code, error.text) == (200, "PERSISTED_QUERY_NOT_FOUND", "PersistedQueryNotFound")
-    assert refusal(post, MUTATION, reader, extensions=extensions("{ a }")).code == "PERSISTED_QUERY_HASH_MISMATCH"
+    assert rejection(post, MUTATION, reader, extensions=extensions("{ a }")).code == "PERSISTED_QUERY_HASH_MISMATCH"
     post("{ a }", reader, extensions=extensions("{ a }"))
-    asked = reader.read_post(JSON, json.dumps({"extensions": extensions("{ a }"), "variables": {"v": 1.5}}).encode())
-    assert asked.classification.idempotency == Idempotency.IDEMPOTENT and json.loads(asked.body)["query"] == "{ a }"
-    assert json.loads(asked.body)["variables"] == {"v": 1.5}
+    parsed = reader.read_post(JSON, json.dumps({"extensions": extensions("{ a }"), "variables": {"v": 1.5}}).encode())
+    assert parsed.classification.idempotency == Idempotency.IDEMPOTENT and json.loads(parsed.body)["query"] == "{ a }"
+    assert json.loads(parsed.body)["variables"] == {"v": 1.5}
     cache = PersistedQueryCache(max_queries=2)
     for text in ("{ a }", "{ b }", "{ c }"):
         cache.store(text, extensions(text))
     assert len(cache.texts) == 2 and cache.size_characters == 10
-    assert refusal(cache.resolve, None, extensions("{ a }")).code == "PERSISTED_QUERY_NOT_FOUND"
+    assert rejection(cache.resolve, None, extensions("{ a }")).code == "PERSISTED_QUERY_NOT_FOUND"
 
 
 def test_document_cache_is_bounded() -> None:
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize(
-    ("accept", "kind"),
+    ("accept", "media_type"),
     [
         ("", "application/graphql-response+json"),
         ("*/*", "application/graphql-response+json"),
@@ -238,19 +238,19 @@
         ("text/html, application/json;q=0.1", "application/json"),
     ],
 )
-def test_responses_have_a_media_type_that_the_client_accepts(accept: str, kind: str) -> None:
-    assert response_type(accept) == kind
+def test_responses_have_a_media_type_that_the_client_accepts(accept: str, media_type: str) -> None:
+    assert response_type(accept) == media_type
 
 
 def test_unsupported_media_type_is_reported() -> None:
-    assert refusal(response_type, "text/html").status == 406
-    assert refusal(response_type, "application/json;q=0").status == 406
-    for kind in ("text/plain", "", "application/json; charset=utf-16"):
-        assert refusal(RequestReader(TABLE).read_post, kind, b"{}").status == 415
+    assert rejection(response_type, "text/html").status == 406
+    assert rejection(response_type, "application/json;q=0").status == 406
+    for content_type in ("text/plain", "", "application/json; charset=utf-16"):
+        assert rejection(RequestReader(TABLE).read_post, content_type, b"{}").status == 415
 
 
 @pytest.mark.parametrize(
-    "change",
+    "overrides",
     [
         {"mutation_class": "lookup"},
         {"mutation_class": "batch"},
@@ -261,19 +261,19 @@
         {"mutations": {"m": FieldRule("convert", key="id")}},
     ],
 )
-def test_table_that_would_retry_non_idempotent_operations_is_rejected(change: dict[str, Any]) -> None:
+def test_table_that_would_retry_non_idempotent_operations_is_rejected(overrides: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=r"class|key"):
         ClassificationTable(
             **{"classes": CLASSES, "queries": {}, "mutations": {}, "query_class": "lookup", "mutation_class": "convert"}
-            | change
+            | overrides
         )
 
 
-NAMES = st.sampled_from(["a", "report", "batch", "convert", "query", "mutation", "on1"])
+FIELD_NAMES = st.sampled_from(["a", "report", "batch", "convert", "query", "mutation", "on1"])
 FIELDS = st.builds(
-    lambda alias, name, inner: f"{alias}: {name}{inner}",
+    lambda alias, name, suffix: f"{alias}: {name}{suffix}",
     st.sampled_from(["x", "query", "m"]),
-    NAMES,
+    FIELD_NAMES,
     st.sampled_from(["", " { id }", '(id: "1")', "(id: $v)", " @skip(if: $v)", '(t: "mutation {")']),
 )
 SELECTIONS = st.lists(
@@ -289,31 +289,31 @@
     st.sampled_from([None, True, False, "x"]),
 )
 def test_no_mutation_is_ever_classified_as_idempotent(
-    made: list[tuple[str, str, str]], fragment: str, chosen: int, value: Any
+    operations: list[tuple[str, str, str]], fragment_fields: str, selected: int, variable: Any
 ) -> None:
-    text = "".join(f"{filler}{kind} O{i}($v: X) {{ {inner} }} " for i, (kind, inner, filler) in enumerate(made))
-    text = f"fragment F on T {{ {fragment.replace('...F', 'f')} }} " + text
-    name = f"O{chosen % len(made)}"
-    seen: list[str] = []
+    text = "".join(f"{filler}{kind} O{i}($v: X) {{ {fields} }} " for i, (kind, fields, filler) in enumerate(operations))
+    text = f"fragment F on T {{ {fragment_fields.replace('...F', 'f')} }} " + text
+    name = f"O{selected % len(operations)}"
+    selected_kinds: list[str] = []
 
-    class Kinds(Visitor):
+    class OperationKinds(Visitor):
         def enter_operation_definition(self, node: OperationDefinitionNode, *_: Any) -> None:
             if node.name is not None and node.name.value == name:
-                seen.append(node.operation.value)
+                selected_kinds.append(node.operation.value)
 
-    visit(parse(text), Kinds())
-    classification = post(text, operationName=name, variables={"v": value}).classification
-    assert seen == [made[chosen % len(made)][0]]
-    assert classification.mutates == (seen == ["mutation"])
-    assert (classification.idempotency == Idempotency.IDEMPOTENT) == (seen == ["query"])
+    visit(parse(text), OperationKinds())
+    classification = post(text, operationName=name, variables={"v": variable}).classification
+    assert selected_kinds == [operations[selected % len(operations)][0]]
+    assert classification.mutates == (selected_kinds == ["mutation"])
+    assert (classification.idempotency == Idempotency.IDEMPOTENT) == (selected_kinds == ["query"])
     assert classification.idempotency != Idempotency.IDEMPOTENCY_KEY or (
         classification.key and text.count("batch") >= 1
     )
 
 
 @given(st.binary(max_size=300) | st.text(max_size=200).map(lambda text: json.dumps({"query": text}).encode()))
-def test_any_bytes_are_read_or_rejected(body: bytes) -> None:
+def test_arbitrary_bytes_are_parsed_or_rejected(body: bytes) -> None:
     with suppress(GraphqlError):
-        raw(body)
+        post_body(body)
     with suppress(GraphqlError):
         RequestReader(TABLE).read_get(body.decode("latin-1"))
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -26,26 +26,26 @@
     wait_until,
     write_configuration,
 )
-from tests.network_peers import Upstream as Peer
+from tests.network_peers import Upstream as ScriptedUpstream
 
 CLASSES = [
     {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "at_most_once", "worth": 10.0},
     {"name": "look", "aim": 400000, "deadline": 1200000, "effect": "idempotent", "worth": 1.0},
 ]
-TABLE = '[graphql]\npath = "/graphql"\nqueries = "look"\nmutations = "pay"\n'
+GRAPHQL_SETTINGS = '[graphql]\npath = "/graphql"\nqueries = "look"\nmutations = "pay"\n'
 QUERY, MUTATION = "{ status }", "mutation { convert }"
 
 
-class Fixed:
+class FixedSource:
     """A source that tells of one converter, or of none."""
 
-    def __init__(self, host: RequestDispatcher, port: int) -> None:
-        self.host = host
+    def __init__(self, dispatcher: RequestDispatcher, port: int) -> None:
+        self.dispatcher = dispatcher
         self.port = port
 
     def restore_cached(self) -> None:
         if self.port:
-            self.host.on_endpoints(UpstreamsUpdated(ListKind.FULL, [Upstream(1)]), {1: ("127.0.0.1", self.port)})
+            self.dispatcher.on_endpoints(UpstreamsUpdated(ListKind.FULL, [Upstream(1)]), {1: ("127.0.0.1", self.port)})
 
     def start(self) -> None:
         pass
@@ -72,33 +72,33 @@
     return "\r\n".join([*lines, "", ""]).encode() + (body if method == "POST" else b"")
 
 
-class Front:
+class FrontClient:
     def __init__(self, port: int) -> None:
         self.port = port
 
-    async def fetch(self, data: bytes) -> tuple[int, dict[str, str], Any]:
+    async def fetch(self, request_bytes: bytes) -> tuple[int, dict[str, str], Any]:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        writer.write(data)
+        writer.write(request_bytes)
         head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
         body = await reader.readexactly(int(headers["content-length"]))
         writer.close()
-        kind = headers.get("content-type", "")
-        return int(head[0].split()[1]), headers, json.loads(body) if "json" in kind else body
+        content_type = headers.get("content-type", "")
+        return int(head[0].split()[1]), headers, json.loads(body) if "json" in content_type else body
 
 
 def with_front(
     folder: Path,
     script: Any,
-    test: Callable[[Front, Peer], Awaitable[None]],
-    table: str = TABLE,
+    test: Callable[[FrontClient, ScriptedUpstream], Awaitable[None]],
+    settings_text: str = GRAPHQL_SETTINGS,
     reachable: bool = True,
 ) -> None:
-    async def play() -> None:
-        peer = Peer(script)
-        await peer.start()
+    async def run() -> None:
+        upstream = ScriptedUpstream(script)
+        await upstream.start()
         config = load(str(write_configuration(folder, known=None, settings=SETTINGS | {"request-classes": CLASSES})))
-        made = select_components(operator_settings.parse(table, {}))
+        selected = select_components(operator_settings.parse(settings_text, {}))
         port = config.listen[1]
         stop = asyncio.Event()
         task = asyncio.create_task(
@@ -106,7 +106,10 @@
                 config,
                 stop,
                 asyncio.Event(),
-                components.Components(lambda config, host: Fixed(host, peer.port if reachable else 0), made.front_ends),
+                components.Components(
+                    lambda config, dispatcher: FixedSource(dispatcher, upstream.port if reachable else 0),
+                    selected.front_ends,
+                ),
             )
         )
         async with asyncio.timeout(HANG_TIMEOUT_S):
@@ -117,69 +120,71 @@
                     break
                 except OSError:
                     await asyncio.sleep(0.01)
-            await test(Front(port), peer)
+            await test(FrontClient(port), upstream)
             stop.set()
             await task
-        peer.stop()
+        upstream.stop()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def reply(status: int, body: str, kind: str = "application/graphql-response+json") -> bytes:
-    return (f"HTTP/1.1 {status} X\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n\r\n{body}").encode()
+def reply(status: int, body: str, content_type: str = "application/graphql-response+json") -> bytes:
+    return (
+        f"HTTP/1.1 {status} X\r\nContent-Type: {content_type}\r\nContent-Length: {len(body)}\r\n\r\n{body}"
+    ).encode()
 
 
 def test_query_is_retried_after_a_reset_and_a_mutation_is_not(tmp_path: Path) -> None:
-    async def test(front: Front, peer: Peer) -> None:
+    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
         status, _, body = await front.fetch(http(MUTATION))
-        assert status == 500 and len(peer.requests) == 1
+        assert status == 500 and len(upstream.requests) == 1
         assert body["errors"][0]["extensions"] == {"code": "UPSTREAM_FAILED", "mayHaveRun": True}
         assert "data" not in body
         status, headers, body = await front.fetch(http(QUERY))
-        assert (status, body, len(peer.requests)) == (200, {"data": {"status": 1}}, 3)
+        assert (status, body, len(upstream.requests)) == (200, {"data": {"status": 1}}, 3)
         assert headers["content-type"] == "application/graphql-response+json"
 
     with_front(tmp_path, respond_in_turn(b"", b"", reply(200, '{"data":{"status":1}}')), test)
 
 
 def test_response_with_graphql_errors_is_forwarded_and_not_retried(tmp_path: Path) -> None:
-    partial = '{"data":{"status":null},"errors":[{"message":"half"}]}'
-    refused = '{"errors":[{"message":"no such field"}]}'
+    partial_result = '{"data":{"status":null},"errors":[{"message":"half"}]}'
+    rejected = '{"errors":[{"message":"no such field"}]}'
 
-    async def test(front: Front, peer: Peer) -> None:
-        assert (await front.fetch(http(QUERY)))[::2] == (200, json.loads(partial))
-        assert (await front.fetch(http(QUERY)))[::2] == (400, json.loads(refused))
-        assert len(peer.requests) == 2
+    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
+        assert (await front.fetch(http(QUERY)))[::2] == (200, json.loads(partial_result))
+        assert (await front.fetch(http(QUERY)))[::2] == (400, json.loads(rejected))
+        assert len(upstream.requests) == 2
 
-    with_front(tmp_path, respond_in_turn(reply(200, partial), reply(400, refused)), test)
+    with_front(tmp_path, respond_in_turn(reply(200, partial_result), reply(400, rejected)), test)
 
 
-def test_rejection_has_retry_after_at_once_and_in_graphql(tmp_path: Path) -> None:
-    async def test(front: Front, peer: Peer) -> None:
-        begun = asyncio.get_running_loop().time()
+def test_rejection_is_immediate_and_has_a_graphql_error(tmp_path: Path) -> None:
+    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
+        started_s = asyncio.get_running_loop().time()
         status, headers, body = await front.fetch(http(MUTATION, Accept="application/json"))
         assert status == 503 and body["errors"][0]["extensions"]["code"] == "OVERLOADED"
         assert headers["content-type"] == "application/json" and body["errors"][0]["extensions"]["mayHaveRun"] is False
-        assert asyncio.get_running_loop().time() - begun < 1.0
+        assert asyncio.get_running_loop().time() - started_s < 1.0
 
     with_front(tmp_path, respond_in_turn(NOT_RUN), test)
 
 
-def test_converter_gets_the_classified_bytes_with_class_and_id_of_the_front(tmp_path: Path) -> None:
-    async def test(front: Front, peer: Peer) -> None:
+def test_converter_receives_the_classified_body_with_the_front_ends_headers(tmp_path: Path) -> None:
+    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
         await front.fetch(http(QUERY, X_Class="pay", Idempotency_Key="k", X_Request_Id="r1"))
-        head, body = peer.requests[0]
+        head, body = upstream.requests[0]
         assert b"X-Class: look\r\n" in head and b"X-Request-Id: r1\r\n" in head and b"Idempotency-Key" not in head
         assert json.loads(body) == {"query": QUERY}
         await front.fetch(http("", "GET", "/graphql?query=%7Bstatus%7D"))
-        head, body = peer.requests[1]
+        head, body = upstream.requests[1]
         assert head.startswith(b"POST /graphql HTTP/1.1\r\n") and json.loads(body) == {"query": "{status}"}
         assert b"X-Request-Id: " in head
 
     with_front(tmp_path, respond_in_turn(reply(200, "{}")), test)
 
 
-NOT_TAKEN = [
+REJECTED_REQUESTS = [
     (http("", "GET", "/graphql?query=mutation%7Bconvert%7D"), 405, "METHOD_NOT_ALLOWED"),
     (http("", "DELETE"), 405, "METHOD_NOT_ALLOWED"),
     (http("{"), 400, "GRAPHQL_PARSE_FAILED"),
@@ -192,41 +197,41 @@
 ]
 
 
-def test_rejected_request_is_answered_in_graphql_and_reaches_no_converter(tmp_path: Path) -> None:
-    async def test(front: Front, peer: Peer) -> None:
-        for data, status, code in NOT_TAKEN:
-            got, headers, body = await front.fetch(data)
-            assert (got, body["errors"][0]["extensions"]["code"]) == (status, code)
+def test_rejected_request_gets_a_graphql_error_and_is_not_forwarded(tmp_path: Path) -> None:
+    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
+        for request_bytes, status, code in REJECTED_REQUESTS:
+            actual_status, headers, body = await front.fetch(request_bytes)
+            assert (actual_status, body["errors"][0]["extensions"]["code"]) == (status, code)
             assert status != 405 or "POST" in headers["allow"]
-        assert peer.requests == []
+        assert upstream.requests == []
 
     with_front(tmp_path, respond_in_turn(OK), test)
 
 
-def test_plain_requests_are_served_beside_it_and_an_own_listener_accepts_any_path(tmp_path: Path) -> None:
-    own = free_port()
+def test_separate_listener_serves_graphql_on_any_path_beside_plain_http(tmp_path: Path) -> None:
+    graphql_port = free_port()
 
-    async def test(front: Front, peer: Peer) -> None:
+    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
         status, _, _ = await front.fetch(request("pay", body=b"b", deadline_ms=1000))
-        assert status == 200 and peer.requests[0][0].startswith(b"POST /pay/it")
-        status, _, _ = await Front(own).fetch(http(QUERY, target="/any"))
-        assert status == 200 and peer.requests[1][0].startswith(b"POST /any HTTP")
+        assert status == 200 and upstream.requests[0][0].startswith(b"POST /pay/it")
+        status, _, _ = await FrontClient(graphql_port).fetch(http(QUERY, target="/any"))
+        assert status == 200 and upstream.requests[1][0].startswith(b"POST /any HTTP")
         status, _, _ = await front.fetch(http(QUERY))
         assert status == 404
 
-    table = TABLE.replace('path = "/graphql"', f'listen = "127.0.0.1:{own}"')
-    with_front(tmp_path, respond_in_turn(reply(200, "{}")), test, table)
+    settings_text = GRAPHQL_SETTINGS.replace('path = "/graphql"', f'listen = "127.0.0.1:{graphql_port}"')
+    with_front(tmp_path, respond_in_turn(reply(200, "{}")), test, settings_text)
 
 
 def test_connection_stays_open_after_a_request_rejected_for_its_content(tmp_path: Path) -> None:
-    async def test(front: Front, peer: Peer) -> None:
+    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", front.port)
-        for data, status in ((http("{"), b"400"), (http(QUERY), b"200")):
-            writer.write(data)
+        for request_bytes, status in ((http("{"), b"400"), (http(QUERY), b"200")):
+            writer.write(request_bytes)
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.split()[1] == status and b"Connection: close" not in head
             await reader.readexactly(int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0]))
         writer.close()
-        await wait_until(lambda: len(peer.requests) == 1)
+        await wait_until(lambda: len(upstream.requests) == 1)
 
     with_front(tmp_path, respond_in_turn(reply(200, "{}")), test)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -11,13 +11,13 @@
 from ryepier.logs import structured
 
 
-class Expensive:
+class FormattingCounter:
     """Counts how often it is rendered."""
 
-    rendered = 0
+    formatted = 0
 
     def __str__(self) -> str:
-        Expensive.rendered += 1
+        FormattingCounter.formatted += 1
         return "request 77 refused"
 
 
@@ -29,7 +29,7 @@
     return logger
 
 
-def test_json_line_has_the_message_and_the_fields_of_its_request(
+def test_json_line_contains_the_message_and_the_extra_fields(
     root: logging.Logger, capsys: pytest.CaptureFixture[str]
 ) -> None:
     structured.configure_logging(LoggingSettings(format=LogFormat.JSON))
@@ -39,13 +39,13 @@
     assert (line["level"], line["logger"]) == ("info", "ryepier.sidecar.dispatcher") and line["time"].endswith("+00:00")
 
 
-def test_lines_beyond_the_limit_or_the_level_are_never_rendered(
+def test_lines_beyond_the_limit_or_below_the_level_are_never_formatted(
     root: logging.Logger, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ryepier.sidecar.logs.time.monotonic", lambda: 1000.5)
     structured.configure_logging(LoggingSettings(lines_per_s=3))
-    Expensive.rendered = 0
+    FormattingCounter.formatted = 0
     for _ in range(10):
-        root.debug("%s", Expensive())
-        root.info("%s", Expensive())
-    assert Expensive.rendered == 3 and len(capsys.readouterr().err.splitlines()) == 3
+        root.debug("%s", FormattingCounter())
+        root.info("%s", FormattingCounter())
+    assert FormattingCounter.formatted == 3 and len(capsys.readouterr().err.splitlines()) == 3
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -12,7 +12,7 @@
 from ryepier.emulator import world
 
 ROOT = Path(__file__).resolve().parent.parent
-STEADY = (ROOT / "ryepier" / "worlds" / "steady.toml").read_text()
+STEADY_WORLD = (ROOT / "ryepier" / "worlds" / "steady.toml").read_text()
 
 
 def problems(text: str, **environment: str) -> list[str]:
@@ -27,32 +27,32 @@
     return [(problem.line, problem.key) for problem in caught.value.problems]
 
 
-def test_all_mistakes_are_reported_at_once_by_line_and_key() -> None:
-    found = problems('[logging]\n# a comment\nformat = "xml"\nlevle = "info"\nlines_per_s = 0\n[lgging]\n')
-    assert [text.split(":")[0] for text in found] == ["line 3", "line 4", "line 5", "line 6"]
-    assert "logging.format" in found[0] and "did you mean 'level'?" in found[1]
-    assert ">= 1" in found[2] and "did you mean 'logging'?" in found[3]
+def test_all_errors_are_reported_together_with_line_and_key() -> None:
+    messages = problems('[logging]\n# a comment\nformat = "xml"\nlevle = "info"\nlines_per_s = 0\n[lgging]\n')
+    assert [text.split(":")[0] for text in messages] == ["line 3", "line 4", "line 5", "line 6"]
+    assert "logging.format" in messages[0] and "did you mean 'level'?" in messages[1]
+    assert ">= 1" in messages[2] and "did you mean 'logging'?" in messages[3]
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("[logging]\nformat = \n", "line 2: not TOML"),
         ("logging = 3\n", "line 1: logging: expected a table, got int"),
         ("[logging]\nlines_per_s = true\n", "line 2: logging.lines_per_s: expected `int`, got `bool`, got True"),
     ],
 )
-def test_invalid_file_is_reported_in_one_line(text: str, told: str) -> None:
-    assert problems(text)[0].startswith(told)
+def test_invalid_file_is_reported_in_one_line(text: str, expected: str) -> None:
+    assert problems(text)[0].startswith(expected)
 
 
-def test_environment_overrides_the_file_and_is_checked_the_same() -> None:
-    got = operator_settings.parse(
+def test_environment_overrides_the_file_and_is_validated() -> None:
+    settings = operator_settings.parse(
         '[logging]\nformat = "plain"\nlevel = "debug"\n',
         {"RYEPIER_LOGGING__FORMAT": "json", "RYEPIER_LOGGING__LINES_PER_S": "7", "HOME": "/"},
     )
-    assert got.logging.format is operator_settings.LogFormat.JSON
-    assert (got.logging.level, got.logging.lines_per_s) == ("debug", 7)
+    assert settings.logging.format is operator_settings.LogFormat.JSON
+    assert (settings.logging.level, settings.logging.lines_per_s) == ("debug", 7)
     assert "logging.format" in problems("", RYEPIER_LOGGING__FORMAT="loud")[0]
 
 
@@ -62,29 +62,29 @@
     assert tomllib.loads(text)["logging"].keys() == set(operator_settings.LoggingSettings.__struct_fields__)
 
 
-def test_keys_of_the_file_set_fields_of_other_names() -> None:
+def test_file_keys_set_the_fields_that_are_named_differently() -> None:
     """The names in the file are the operators' page's, whatever the fields are called."""
-    got = operator_settings.parse(
+    settings = operator_settings.parse(
         "[trust]\nleast_reporters = 0.1\nleast_window_ms = 2\nleast_covered = 0.3\n"
         "most_resting = 0.6\nleast_weight = 0.7\n"
         "[planner]\nmost_forwarders = 8\n[graphql]\nmost_batch = 9\n"
         '[slices]\ncell = "node"\n[storm]\nwhole_seconds = true\n',
         {"RYEPIER_PLANNER__MOST_FORWARDERS": "7"},
     )
-    rules = got.acceptance
+    rules = settings.acceptance
     assert (rules.min_reporters, rules.min_window_ms, rules.min_covered) == (0.1, 2, 0.3)
     assert (rules.max_ejected, rules.min_weight) == (0.6, 0.7)
-    assert (got.planner.max_forwarders, got.graphql.max_batch) == (7, 9)
-    assert got.slices.failure_domain is operator_settings.FailureDomainBy.NODE
-    assert got.storm.rounds_to_seconds is True
+    assert (settings.planner.max_forwarders, settings.graphql.max_batch) == (7, 9)
+    assert settings.slices.failure_domain is operator_settings.FailureDomainBy.NODE
+    assert settings.storm.rounds_to_seconds is True
     assert problems("[trust]\nmin_reporters = 0.1\n")[0].startswith("line 2: trust.min_reporters: unknown key")
 
 
-def test_mistake_in_line_40_of_a_world_is_reported() -> None:
-    lines = STEADY.splitlines()
-    place = lines.index('effect = "deduplicated"')
-    lines[place] = 'effect = "sometimes"'
-    lines[:0] = [""] * (39 - place)
+def test_error_in_a_world_file_is_reported_with_its_line() -> None:
+    lines = STEADY_WORLD.splitlines()
+    index = lines.index('effect = "deduplicated"')
+    lines[index] = 'effect = "sometimes"'
+    lines[:0] = [""] * (39 - index)
     assert world_problems("\n".join(lines)) == [(40, "classes[1].effect")]
 
 
@@ -99,4 +99,4 @@
     ],
 )
 def test_invalid_worlds_are_rejected(old: str, new: str, key: str) -> None:
-    assert key in [found for _, found in world_problems(STEADY.replace(old, new, 1))]
+    assert key in [problem_key for _, problem_key in world_problems(STEADY_WORLD.replace(old, new, 1))]
