--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -1,4 +1,4 @@
-"""GraphQL requests without a network: what they mean, whatever they look like, and what is refused."""
+"""Parsing of GraphQL requests without a network: their classification in any spelling, and which are rejected."""
 
 from __future__ import annotations
 
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -1,4 +1,4 @@
-"""The GraphQL front over sockets: the same rules as for plain HTTP, answers in GraphQL's words."""
+"""The GraphQL front end over loopback sockets: retries as for plain HTTP, and error responses in GraphQL's format."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class FixedSource:
-    """A source that tells of one converter, or of none."""
+    """An endpoint source with a list of one converter, or with none if `port` is 0."""
 
     def __init__(self, dispatcher: RequestDispatcher, port: int) -> None:
         self.dispatcher = dispatcher
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The sidecar's log: JSON lines with their fields, and no more a second than is allowed."""
+"""The sidecar's log: fields of JSON lines, and the limit on lines per second."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FormattingCounter:
-    """Counts how often it is rendered."""
+    """Counts how often an instance is formatted."""
 
     formatted = 0
 
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -1,4 +1,4 @@
-"""Files that people write: every mistake at once, by key and line; the environment; the defaults."""
+"""Configuration files: reports of all errors with key and line, overrides by the environment, and defaults."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def test_file_keys_set_the_fields_that_are_named_differently() -> None:
-    """The names in the file are the operators' page's, whatever the fields are called."""
+    """The keys of the file are documented for operators and stay, also where the fields have other names."""
     settings = operator_settings.parse(
         "[trust]\nleast_reporters = 0.1\nleast_window_ms = 2\nleast_covered = 0.3\n"
         "most_resting = 0.6\nleast_weight = 0.7\n"
@@ -92,7 +92,7 @@
     ("old", "new", "key"),
     [
         ("work_ms = [17.0, 33.0]", "work_ms = [33.0, 17.0]", "classes[0]"),
-        ("share = 0.65", "share = 0.95", ""),  # together with the other class more than all
+        ("share = 0.65", "share = 0.95", ""),  # the shares of both classes add up to more than 1
         ("count = 6", "cuont = 6", "converters[0].cuont"),
         ("rate_per_s = 700.0", "rate_per_s = 7e8", ""),
         ("skew = 0.5", 'skew = 0.5\n[[faults]]\nkind = "heavy-tail"\nat_s = 1.0\n', ""),
