--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -63,7 +63,7 @@
         pass
 
 
-def http(query: str | bytes, method: str = "POST", target: str = "/graphql", **headers: str) -> bytes:
+def http_request(query: str | bytes, method: str = "POST", target: str = "/graphql", **headers: str) -> bytes:
     body = query if isinstance(query, bytes) else json.dumps({"query": query}).encode()
     lines = [f"{method} {target} HTTP/1.1", "Host: x"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
@@ -87,7 +87,7 @@
         return int(head[0].split()[1]), headers, json.loads(body) if "json" in content_type else body
 
 
-def with_front(
+def run_with_front_end(
     folder: Path,
     script: Any,
     test: Callable[[FrontClient, ScriptedUpstream], Awaitable[None]],
@@ -135,98 +135,102 @@
 
 
 def test_query_is_retried_after_a_reset_and_a_mutation_is_not(tmp_path: Path) -> None:
-    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
-        status, _, body = await front.fetch(http(MUTATION))
+    async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
+        status, _, body = await client.fetch(http_request(MUTATION))
         assert status == 500 and len(upstream.requests) == 1
         assert body["errors"][0]["extensions"] == {"code": "UPSTREAM_FAILED", "mayHaveRun": True}
         assert "data" not in body
-        status, headers, body = await front.fetch(http(QUERY))
+        status, headers, body = await client.fetch(http_request(QUERY))
         assert (status, body, len(upstream.requests)) == (200, {"data": {"status": 1}}, 3)
         assert headers["content-type"] == "application/graphql-response+json"
 
-    with_front(tmp_path, respond_in_turn(b"", b"", reply(200, '{"data":{"status":1}}')), test)
+    run_with_front_end(tmp_path, respond_in_turn(b"", b"", reply(200, '{"data":{"status":1}}')), test)
 
 
 def test_response_with_graphql_errors_is_forwarded_and_not_retried(tmp_path: Path) -> None:
     partial_result = '{"data":{"status":null},"errors":[{"message":"half"}]}'
     rejected = '{"errors":[{"message":"no such field"}]}'
 
-    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
-        assert (await front.fetch(http(QUERY)))[::2] == (200, json.loads(partial_result))
-        assert (await front.fetch(http(QUERY)))[::2] == (400, json.loads(rejected))
+    async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
+        assert (await client.fetch(http_request(QUERY)))[::2] == (200, json.loads(partial_result))
+        assert (await client.fetch(http_request(QUERY)))[::2] == (400, json.loads(rejected))
         assert len(upstream.requests) == 2
 
-    with_front(tmp_path, respond_in_turn(reply(200, partial_result), reply(400, rejected)), test)
+    run_with_front_end(tmp_path, respond_in_turn(reply(200, partial_result), reply(400, rejected)), test)
 
 
 def test_rejection_is_immediate_and_has_a_graphql_error(tmp_path: Path) -> None:
-    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
+    async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
         started_s = asyncio.get_running_loop().time()
-        status, headers, body = await front.fetch(http(MUTATION, Accept="application/json"))
+        status, headers, body = await client.fetch(http_request(MUTATION, Accept="application/json"))
         assert status == 503 and body["errors"][0]["extensions"]["code"] == "OVERLOADED"
         assert headers["content-type"] == "application/json" and body["errors"][0]["extensions"]["mayHaveRun"] is False
         assert asyncio.get_running_loop().time() - started_s < 1.0
 
-    with_front(tmp_path, respond_in_turn(NOT_RUN), test)
+    run_with_front_end(tmp_path, respond_in_turn(NOT_RUN), test)
 
 
 def test_converter_receives_the_classified_body_with_the_front_ends_headers(tmp_path: Path) -> None:
-    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
-        await front.fetch(http(QUERY, X_Class="pay", Idempotency_Key="k", X_Request_Id="r1"))
+    async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
+        await client.fetch(http_request(QUERY, X_Class="pay", Idempotency_Key="k", X_Request_Id="r1"))
         head, body = upstream.requests[0]
         assert b"X-Class: look\r\n" in head and b"X-Request-Id: r1\r\n" in head and b"Idempotency-Key" not in head
         assert json.loads(body) == {"query": QUERY}
-        await front.fetch(http("", "GET", "/graphql?query=%7Bstatus%7D"))
+        await client.fetch(http_request("", "GET", "/graphql?query=%7Bstatus%7D"))
         head, body = upstream.requests[1]
         assert head.startswith(b"POST /graphql HTTP/1.1\r\n") and json.loads(body) == {"query": "{status}"}
         assert b"X-Request-Id: " in head
 
-    with_front(tmp_path, respond_in_turn(reply(200, "{}")), test)
+    run_with_front_end(tmp_path, respond_in_turn(reply(200, "{}")), test)
 
 
 REJECTED_REQUESTS = [
-    (http("", "GET", "/graphql?query=mutation%7Bconvert%7D"), 405, "METHOD_NOT_ALLOWED"),
-    (http("", "DELETE"), 405, "METHOD_NOT_ALLOWED"),
-    (http("{"), 400, "GRAPHQL_PARSE_FAILED"),
-    (http(b'{"query": "{a}", "query": "{b}"}'), 400, "BAD_REQUEST"),
-    (http(QUERY, Accept="text/html"), 406, "NOT_ACCEPTABLE"),
-    (http(QUERY, X_Deadline_Ms="soon"), 400, "BAD_REQUEST"),
-    (http(QUERY, Content_Encoding="gzip"), 415, "UNSUPPORTED_MEDIA_TYPE"),
-    (http("subscription { a }"), 400, "SUBSCRIPTIONS_NOT_SUPPORTED"),
-    (http(b'{"extensions":{"persistedQuery":{"version":1,"sha256Hash":"x"}}}'), 200, "PERSISTED_QUERY_NOT_FOUND"),
+    (http_request("", "GET", "/graphql?query=mutation%7Bconvert%7D"), 405, "METHOD_NOT_ALLOWED"),
+    (http_request("", "DELETE"), 405, "METHOD_NOT_ALLOWED"),
+    (http_request("{"), 400, "GRAPHQL_PARSE_FAILED"),
+    (http_request(b'{"query": "{a}", "query": "{b}"}'), 400, "BAD_REQUEST"),
+    (http_request(QUERY, Accept="text/html"), 406, "NOT_ACCEPTABLE"),
+    (http_request(QUERY, X_Deadline_Ms="soon"), 400, "BAD_REQUEST"),
+    (http_request(QUERY, Content_Encoding="gzip"), 415, "UNSUPPORTED_MEDIA_TYPE"),
+    (http_request("subscription { a }"), 400, "SUBSCRIPTIONS_NOT_SUPPORTED"),
+    (
+        http_request(b'{"extensions":{"persistedQuery":{"version":1,"sha256Hash":"x"}}}'),
+        200,
+        "PERSISTED_QUERY_NOT_FOUND",
+    ),
 ]
 
 
 def test_rejected_request_gets_a_graphql_error_and_is_not_forwarded(tmp_path: Path) -> None:
-    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
+    async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
         for request_bytes, status, code in REJECTED_REQUESTS:
-            actual_status, headers, body = await front.fetch(request_bytes)
+            actual_status, headers, body = await client.fetch(request_bytes)
             assert (actual_status, body["errors"][0]["extensions"]["code"]) == (status, code)
             assert status != 405 or "POST" in headers["allow"]
         assert upstream.requests == []
 
-    with_front(tmp_path, respond_in_turn(OK), test)
+    run_with_front_end(tmp_path, respond_in_turn(OK), test)
 
 
 def test_separate_listener_serves_graphql_on_any_path_beside_plain_http(tmp_path: Path) -> None:
     graphql_port = free_port()
 
-    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
-        status, _, _ = await front.fetch(request("pay", body=b"b", deadline_ms=1000))
+    async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
+        status, _, _ = await client.fetch(request("pay", body=b"b", deadline_ms=1000))
         assert status == 200 and upstream.requests[0][0].startswith(b"POST /pay/it")
-        status, _, _ = await FrontClient(graphql_port).fetch(http(QUERY, target="/any"))
+        status, _, _ = await FrontClient(graphql_port).fetch(http_request(QUERY, target="/any"))
         assert status == 200 and upstream.requests[1][0].startswith(b"POST /any HTTP")
-        status, _, _ = await front.fetch(http(QUERY))
+        status, _, _ = await client.fetch(http_request(QUERY))
         assert status == 404
 
     settings_text = GRAPHQL_SETTINGS.replace('path = "/graphql"', f'listen = "127.0.0.1:{graphql_port}"')
-    with_front(tmp_path, respond_in_turn(reply(200, "{}")), test, settings_text)
+    run_with_front_end(tmp_path, respond_in_turn(reply(200, "{}")), test, settings_text)
 
 
 def test_connection_stays_open_after_a_request_rejected_for_its_content(tmp_path: Path) -> None:
-    async def test(front: FrontClient, upstream: ScriptedUpstream) -> None:
-        reader, writer = await asyncio.open_connection("127.0.0.1", front.port)
-        for request_bytes, status in ((http("{"), b"400"), (http(QUERY), b"200")):
+    async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
+        reader, writer = await asyncio.open_connection("127.0.0.1", client.port)
+        for request_bytes, status in ((http_request("{"), b"400"), (http_request(QUERY), b"200")):
             writer.write(request_bytes)
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.split()[1] == status and b"Connection: close" not in head
@@ -234,4 +238,4 @@
         writer.close()
         await wait_until(lambda: len(upstream.requests) == 1)
 
-    with_front(tmp_path, respond_in_turn(reply(200, "{}")), test)
+    run_with_front_end(tmp_path, respond_in_turn(reply(200, "{}")), test)
