--- a/ryepier/assembly/planning.py
+++ b/ryepier/assembly/planning.py
@@ -1,4 +1,4 @@
-"""Create forwarders and planners from the settings of operators and platform."""
+"""Creates forwarders and planners from the operators' settings and the platform's configuration."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 def make_machine(seed: str) -> Machine:
-    """Return the clocks and the random source of this process, seeded so that two forwarders draw differently."""
+    """Return this process's clocks, and a random generator whose `seed` must differ between forwarders."""
     return Machine(clock_us, lambda: system.unix_ns() // 1000, Random(seed))
 
 
-def acceptance_rules(operators: OperatorSettings) -> AcceptanceRules:
-    """Convert the operators' [trust] table into the rules that plans are checked against."""
-    acceptance = operators.acceptance
+def acceptance_rules(operator_settings: OperatorSettings) -> AcceptanceRules:
+    """Convert the operators' [trust] table into the rules by which plans are accepted."""
+    acceptance = operator_settings.acceptance
     return AcceptanceRules(
         acceptance.fleet,
         acceptance.min_reporters,
@@ -41,47 +41,51 @@
 
 
 def make_forwarder(
-    operators: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
+    operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
 ) -> BackgroundService:
-    """Create the component that reports to planners and applies their plans, and register it as an observer."""
+    """Create the service that reports to planners and applies their plans; it observes the dispatcher's requests."""
 
-    def ready() -> dict[str, int]:
-        return {uid: ident for uid, ident in source.upstream_ids().items() if ident in dispatcher.addresses}
+    def ready_upstream_ids() -> dict[str, int]:
+        return {
+            uid: upstream_id
+            for uid, upstream_id in source.upstream_ids().items()
+            if upstream_id in dispatcher.addresses
+        }
 
-    plan = operators.plan
+    plan = operator_settings.plan
     settings = forwarder.Settings(
         plan.name or config.name,
         [parse_address(text) for text in plan.planners],
-        acceptance_rules(operators),
+        acceptance_rules(operator_settings),
         plan.report_ms / 1000,
     )
     sidecar = forwarder.Sidecar(
-        ready,
+        ready_upstream_ids,
         dispatcher.on_plan,
-        [kind.latency_objective_us for kind in config.settings.classes],
+        [request_class.latency_objective_us for request_class in config.settings.classes],
         len(config.settings.tenants),
     )
-    made = forwarder.Forwarder(settings, sidecar, make_machine(f"{config.seed} {settings.name}"))
-    dispatcher.add_observer(made)
-    return made
+    service = forwarder.Forwarder(settings, sidecar, make_machine(f"{config.seed} {settings.name}"))
+    dispatcher.add_observer(service)
+    return service
 
 
-def make_planner(operators: OperatorSettings, seed: int) -> PlannerServer:
-    """Create a planner without starting it. Raises AssemblyError where its folder is missing."""
+def make_planner(operator_settings: OperatorSettings, seed: int) -> PlannerServer:
+    """Create a planner without starting it. Raises AssemblyError if its folder for snapshots does not exist."""
     from ryepier.plan import planner_server
 
-    own = operators.planner
-    folder = Path(own.snapshots) if own.snapshots else None
+    planner = operator_settings.planner
+    folder = Path(planner.snapshots) if planner.snapshots else None
     if folder is not None and not folder.is_dir():
-        raise AssemblyError(f"planner.snapshots: no folder {folder}")
+        raise AssemblyError(f"planner.snapshots: there is no folder {folder}")
     settings = planner_server.Settings(
-        own.name,
-        parse_address(own.listen),
-        {name: parse_address(text) for name, text in own.peers.items()},
-        acceptance_rules(operators),
-        own.tenant_shares,
-        own.class_limits,
-        own.max_forwarders,
+        planner.name,
+        parse_address(planner.listen),
+        {name: parse_address(text) for name, text in planner.peers.items()},
+        acceptance_rules(operator_settings),
+        planner.tenant_shares,
+        planner.class_limits,
+        planner.max_forwarders,
         folder,
     )
-    return planner_server.PlannerServer(settings, make_machine(f"{seed} {own.name}"))
+    return planner_server.PlannerServer(settings, make_machine(f"{seed} {planner.name}"))
--- a/ryepier/conf/key_lines.py
+++ b/ryepier/conf/key_lines.py
@@ -1,32 +1,36 @@
-"""Find the lines of a TOML text on which its keys stand, for problems that name them."""
+"""Line numbers of the keys in a TOML text, for error messages."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
-Path = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 
-_TABLE = re.compile(r"^\s*(\[\[?)\s*([^\[\]]+?)\s*\]\]?\s*(?:#.*)?$")
-_KEY = re.compile(r"^\s*([A-Za-z0-9_\-.\"']+)\s*=(.*)$")
+_TABLE_HEADER = re.compile(r"^\s*(\[\[?)\s*([^\[\]]+?)\s*\]\]?\s*(?:#.*)?$")
+_KEY_VALUE = re.compile(r"^\s*([A-Za-z0-9_\-.\"']+)\s*=(.*)$")
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong: `key` as `table[2].name` (empty: the file), `line` from 1 (0: not in the file)."""
+    """One error in a configuration.
+
+    `key` is written like `table[2].name` and is empty for an error of the whole file. `line` counts from 1; it is 0 for
+    a value that is not in the file.
+    """
 
     key: str
     line: int
     text: str
 
     def __str__(self) -> str:
-        """Return the problem as one line: line, key, text."""
-        place = f"line {self.line}: " if self.line else ""
-        return f"{place}{self.key}: {self.text}" if self.key else f"{place}{self.text}"
+        """Return the problem as one line of text: line number, key and message."""
+        location = f"line {self.line}: " if self.line else ""
+        return f"{location}{self.key}: {self.text}" if self.key else f"{location}{self.text}"
 
 
-def spell(path: Path) -> str:
-    """Return a key's path as it is written: `faults[2].at_s`."""
+def format_key_path(path: KeyPath) -> str:
+    """Return a key's path as text, such as `faults[2].at_s`."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
@@ -34,50 +38,53 @@
 
 
 class KeyLines:
-    """Where the keys of a TOML text stand, for problems that only show when several tables are read together."""
+    """Finds the lines of keys, also for problems that are detected after parsing, such as tables that conflict."""
 
     def __init__(self, text: str) -> None:
-        """Find the keys of `text`, which need not be valid TOML."""
-        self._lines = _lines_of_keys(text)
-
-    def problem(self, path: Path, text: str) -> Problem:
-        """Return the problem `text` at the key `path`, or at the nearest table above it that the file names."""
-        at = path
-        while at and at not in self._lines:
-            at = at[:-1]
-        return Problem(spell(path), self._lines.get(at, 0), text)
-
-
-def _lines_of_keys(text: str) -> dict[Path, int]:
-    """Where each table and key of a TOML text begins. Keys inside inline tables are found by their table only."""
-    lines: dict[Path, int] = {}
-    counts: dict[Path, int] = {}
-    table: Path = ()
-    depth = 0
-    for number, line in enumerate(text.splitlines(), 1):
-        header = _TABLE.match(line) if depth == 0 else None
+        """Index the keys of `text`, which need not be valid TOML."""
+        self._lines = _find_key_lines(text)
+
+    def problem_at(self, path: KeyPath, text: str) -> Problem:
+        """Return a problem with the message `text` at the key `path`.
+
+        If the file does not have the key, the line is that of the nearest enclosing table that the file has.
+        """
+        known_path = path
+        while known_path and known_path not in self._lines:
+            known_path = known_path[:-1]
+        return Problem(format_key_path(path), self._lines.get(known_path, 0), text)
+
+
+def _find_key_lines(text: str) -> dict[KeyPath, int]:
+    """Return the line on which each table and key begins. Keys in inline tables have no entry of their own."""
+    lines: dict[KeyPath, int] = {}
+    last_indexes: dict[KeyPath, int] = {}
+    table: KeyPath = ()
+    bracket_depth = 0
+    for line_number, line in enumerate(text.splitlines(), 1):
+        header = _TABLE_HEADER.match(line) if bracket_depth == 0 else None
         if header is not None:
             names = tuple(part.strip(" \"'") for part in header[2].split("."))
-            table = (*_numbered(names[:-1], counts), names[-1])
+            table = (*_with_list_indexes(names[:-1], last_indexes), names[-1])
             if header[1] == "[[":
-                counts[table] = counts.get(table, -1) + 1
-                table += (counts[table],)
-            lines.setdefault(table, number)
+                last_indexes[table] = last_indexes.get(table, -1) + 1
+                table += (last_indexes[table],)
+            lines.setdefault(table, line_number)
             continue
-        key = _KEY.match(line) if depth == 0 else None
+        key = _KEY_VALUE.match(line) if bracket_depth == 0 else None
         if key is not None:
             path = table + tuple(part.strip(" \"'") for part in key[1].split("."))
-            lines.setdefault(path, number)
-        remainder = (key[2] if key is not None else line).split("#")[0]
-        depth = max(0, depth + remainder.count("[") - remainder.count("]"))
+            lines.setdefault(path, line_number)
+        value_text = (key[2] if key is not None else line).split("#")[0]
+        bracket_depth = max(0, bracket_depth + value_text.count("[") - value_text.count("]"))
     return lines
 
 
-def _numbered(names: tuple[str, ...], counts: dict[Path, int]) -> Path:
-    """Return the path of a table, with the number of the last entry wherever it leads through a list of tables."""
-    path: Path = ()
+def _with_list_indexes(names: tuple[str, ...], last_indexes: dict[KeyPath, int]) -> KeyPath:
+    """Return the path of a table; each array of tables on it is followed by the index of its last entry so far."""
+    path: KeyPath = ()
     for name in names:
         path += (name,)
-        if path in counts:
-            path += (counts[path],)
+        if path in last_indexes:
+            path += (last_indexes[path],)
     return path
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -1,7 +1,7 @@
-"""TOML text into a checked msgspec struct, or every problem in it at once, each with its key and line.
+"""Validation of TOML text against a msgspec struct; all errors are reported together, each with its key and line.
 
-Pure: takes text and gives structs. msgspec stops at its first error, so tables are walked here and only the single
-values are left to it; that way one pass over a file reports all that is wrong with it.
+Performs no I/O. msgspec stops at the first error, so this module walks the tables itself and uses msgspec only to
+convert single values; one pass therefore reports all errors in a file.
 """
 
 from __future__ import annotations
@@ -15,45 +15,48 @@
 import msgspec
 from msgspec import inspect
 
-from ryepier.conf.key_lines import KeyLines, Path, Problem
+from ryepier.conf.key_lines import KeyLines, KeyPath, Problem
 
 T = TypeVar("T", bound=msgspec.Struct)
 
 ENV_SEPARATOR = "__"  # between the parts of a key in the name of an environment variable
-MIN_SIMILARITY = 0.6  # from which a known key is suggested for an unknown one; as in difflib
-_TOML_PLACE = re.compile(r"\(at line (\d+), column \d+\)")
+MIN_SIMILARITY = 0.6  # of an unknown key to a known one that is suggested for it; difflib's default
+_TOML_ERROR_LINE = re.compile(r"\(at line (\d+), column \d+\)")
 
 
 class ConfigurationError(ValueError):
-    """A text that can't be used; `problems` holds all that is wrong with it, in the order of its lines."""
+    """Raised for an invalid configuration; `problems` holds all its errors, ordered by line."""
 
     def __init__(self, problems: list[Problem]) -> None:
-        """`problems` in any order; at least one."""
+        """Sort `problems` by line; there must be at least one."""
         self.problems = sorted(problems, key=lambda problem: problem.line)
         super().__init__("; ".join(map(str, self.problems)))
 
 
 def parse(text: str, schema: type[T], environment: Mapping[str, str] | None = None, prefix: str = "") -> T:
-    """Return the struct that `text` describes. Variables of `environment` named `prefix` and the key's parts joined by
-    two underscores (`RYEPIER_LOGGING__FORMAT`) override the file. Raises ConfigurationError."""
+    """Return the struct that `text` describes. Raises ConfigurationError.
+
+    An environment variable overrides a key if its name is `prefix` followed by the parts of the key in upper case,
+    joined by two underscores, such as `RYEPIER_LOGGING__FORMAT`.
+    """
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        place = _TOML_PLACE.search(str(error))
-        raise ConfigurationError([Problem("", int(place[1]) if place else 0, f"not TOML: {error}")]) from None
+        line_match = _TOML_ERROR_LINE.search(str(error))
+        raise ConfigurationError([Problem("", int(line_match[1]) if line_match else 0, f"not TOML: {error}")]) from None
     problems: list[Problem] = []
     if environment is not None:
-        problems += _override(data, environment, prefix)
+        problems += _apply_environment(data, environment, prefix)
     reader = _SchemaReader(KeyLines(text))
-    result = reader.struct(schema, data, ())
+    result = reader.read_struct(schema, data, ())
     problems += reader.problems
     if problems or not isinstance(result, schema):
         raise ConfigurationError(problems)
     return result
 
 
-def _override(data: dict[str, Any], environment: Mapping[str, str], prefix: str) -> list[Problem]:
-    """Put the variables into `data`; their values are read as TOML, and as plain text where they are none."""
+def _apply_environment(data: dict[str, Any], environment: Mapping[str, str], prefix: str) -> list[Problem]:
+    """Write the variables' values into `data`, parsed as TOML or, if they are not valid TOML, as strings."""
     problems = []
     for name in sorted(environment):
         if not name.startswith(prefix):
@@ -63,7 +66,7 @@
         for part in tables:
             table = table.setdefault(part, {}) if isinstance(table, dict) else None
         if not isinstance(table, dict):
-            problems.append(Problem(name, 0, "the environment names a key inside what is not a table"))
+            problems.append(Problem(name, 0, "the environment variable sets a key in a value that is not a table"))
             continue
         try:
             table[key] = tomllib.loads(f"value = {environment[name]}")["value"]
@@ -73,58 +76,58 @@
 
 
 class _SchemaReader:
-    """One pass over the tables; what is wrong is collected, and nothing is raised."""
+    """Converts tables into structs in one pass; collects all errors in `problems` instead of raising them."""
 
     def __init__(self, lines: KeyLines) -> None:
         self.lines = lines
         self.problems: list[Problem] = []
 
-    def problem(self, path: Path, text: str) -> None:
-        self.problems.append(self.lines.problem(path, text))
+    def add_problem(self, path: KeyPath, text: str) -> None:
+        self.problems.append(self.lines.problem_at(path, text))
 
-    def struct(self, schema: type[msgspec.Struct], data: Any, path: Path) -> msgspec.Struct | None:
+    def read_struct(self, schema: type[msgspec.Struct], data: Any, path: KeyPath) -> msgspec.Struct | None:
         if not isinstance(data, dict):
-            self.problem(path, f"expected a table, got {type(data).__name__}")
+            self.add_problem(path, f"expected a table, got {type(data).__name__}")
             return None
         fields = {field.encode_name: field for field in msgspec.structs.fields(schema)}
-        before = len(self.problems)
+        problem_count_before = len(self.problems)
         for key in data.keys() - fields.keys():
-            self.problem((*path, key), f"unknown key{_suggestion(key, list(fields))}")
+            self.add_problem((*path, key), f"unknown key{_suggestion(key, list(fields))}")
         values: dict[str, Any] = {}
         for key, field in fields.items():
             if key in data:
-                values[field.name] = self.value(inspect.type_info(field.type), field.type, data[key], (*path, key))
+                values[field.name] = self.read_value(inspect.type_info(field.type), field.type, data[key], (*path, key))
             elif field.required:
-                self.problem((*path, key), "is missing")
-        if len(self.problems) > before:
+                self.add_problem((*path, key), "is missing")
+        if len(self.problems) > problem_count_before:
             return None
         try:
             return schema(**values)
-        except ValueError as error:  # what the struct itself asks of its fields together
-            self.problem(path, str(error))
+        except ValueError as error:  # from the struct's __post_init__, which checks fields against each other
+            self.add_problem(path, str(error))
             return None
 
-    def value(self, kind: inspect.Type, schema: Any, data: Any, path: Path) -> Any:
-        if isinstance(kind, inspect.StructType):
-            return self.struct(kind.cls, data, path)
-        if isinstance(kind, inspect.ListType) and isinstance(kind.item_type, inspect.StructType):
+    def read_value(self, type_info: inspect.Type, value_type: Any, data: Any, path: KeyPath) -> Any:
+        if isinstance(type_info, inspect.StructType):
+            return self.read_struct(type_info.cls, data, path)
+        if isinstance(type_info, inspect.ListType) and isinstance(type_info.item_type, inspect.StructType):
             if not isinstance(data, list):
-                self.problem(path, f"expected a list of tables, got {type(data).__name__}")
+                self.add_problem(path, f"expected a list of tables, got {type(data).__name__}")
                 return None
-            return [self.struct(kind.item_type.cls, item, (*path, i)) for i, item in enumerate(data)]
+            return [self.read_struct(type_info.item_type.cls, item, (*path, i)) for i, item in enumerate(data)]
         try:
-            return msgspec.convert(data, schema)
+            return msgspec.convert(data, value_type)
         except msgspec.ValidationError as error:
-            self.problem(path, f"{_message_without_path(str(error))}, got {data!r}")
+            self.add_problem(path, f"{_message_without_path(str(error))}, got {data!r}")
             return None
 
 
-def _suggestion(key: str, known: list[str]) -> str:
-    close = difflib.get_close_matches(key, known, n=1, cutoff=MIN_SIMILARITY)
-    return f"; did you mean {close[0]!r}?" if close else f"; known here: {', '.join(sorted(known))}"
+def _suggestion(key: str, known_keys: list[str]) -> str:
+    matches = difflib.get_close_matches(key, known_keys, n=1, cutoff=MIN_SIMILARITY)
+    return f"; did you mean {matches[0]!r}?" if matches else f"; known keys: {', '.join(sorted(known_keys))}"
 
 
 def _message_without_path(text: str) -> str:
-    """Return msgspec's message without the path, which the problem has already."""
+    """Return msgspec's message without the path, since a `Problem` already has one."""
     text = text.split(" - at `")[0]
     return text[:1].lower() + text[1:]
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from ryepier.conf.key_lines import KeyLines, Path, Problem, spell
+from ryepier.conf.key_lines import KeyLines, KeyPath, Problem, format_key_path
 from ryepier.maintenance.agreement import Agreement, Service, format_capacity
 from ryepier.maintenance.agreement_tables import AgreementTables, ServiceTable
 
@@ -16,14 +16,14 @@
 class _KeyedName(NamedTuple):
     """A name and the path of its key in the file."""
 
-    path: Path
+    path: KeyPath
     name: str
 
 
 class _KeyedAmount(NamedTuple):
     """An amount and the path of its key in the file."""
 
-    path: Path
+    path: KeyPath
     amount: float
 
 
@@ -36,9 +36,9 @@
         self.lines = lines
         self.problems: list[Problem] = []
 
-    def _add_problem(self, path: Path, text: str) -> None:
+    def _add_problem(self, path: KeyPath, text: str) -> None:
         """Record a problem at a key."""
-        self.problems.append(self.lines.problem(path, text))
+        self.problems.append(self.lines.problem_at(path, text))
 
     def check_names(self) -> None:
         """Check that all names are unique and that all references name something that is defined."""
@@ -74,7 +74,7 @@
         names: list[_KeyedName] = []
         addresses: list[_KeyedName] = []
         for i, region in enumerate(self.tables.regions):
-            path: Path = ("regions", i, "replicas")
+            path: KeyPath = ("regions", i, "replicas")
             if len(region.replicas) < MIN_REPLICAS:
                 self._add_problem(path, f"{len(region.replicas)} replicas; a region needs at least {MIN_REPLICAS}")
             for j, replica in enumerate(region.replicas):
@@ -85,14 +85,14 @@
 
     def _check_unique(self, keyed_names: Iterable[_KeyedName]) -> set[str]:
         """Record a problem for each duplicate name, and return the set of names."""
-        first_paths: dict[str, Path] = {}
+        first_paths: dict[str, KeyPath] = {}
         for path, name in keyed_names:
             if name in first_paths:
-                self._add_problem(path, f"{name!r} is a duplicate, first used at {spell(first_paths[name])}")
+                self._add_problem(path, f"{name!r} is a duplicate, first used at {format_key_path(first_paths[name])}")
             first_paths.setdefault(name, path)
         return set(first_paths)
 
-    def _check_known(self, path: Path, name: str, known: set[str], kind: str) -> None:
+    def _check_known(self, path: KeyPath, name: str, known: set[str], kind: str) -> None:
         """Record a problem if `name` is not in `known`."""
         if name not in known:
             self._add_problem(path, f"unknown {kind} {name!r}; known are {', '.join(sorted(known)) or 'none'}")
@@ -143,7 +143,7 @@
     ) -> None:
         """Check a service's amounts in each region, and that it lists every region in which it has converters."""
         for j, region_table in enumerate(table.regions):
-            path: Path = ("services", service_index, "regions", j)
+            path: KeyPath = ("services", service_index, "regions", j)
             max_unavailable = agreement.max_unavailable_in(service.name, region_table.region)
             if max_unavailable < 0:
                 self._add_problem(
