--- a/ryepier/maintenance/replica_disk.py
+++ b/ryepier/maintenance/replica_disk.py
@@ -48,7 +48,7 @@
     folder: Path,
     identity: storage.Identity,
     bootstrap: bool,
-    file_type: type[storage.FileStorage] = storage.FileStorage,
+    storage_type: type[storage.FileStorage] = storage.FileStorage,
 ) -> OpenedStorage:
     """Open a replica's disk; `bootstrap`: the region starts for the first time.
 
@@ -59,7 +59,7 @@
     elif not storage.exists(folder):
         log.warning("%s is empty: this replica does not vote until the others have brought it up to date", folder)
         return OpenedStorage(LazyStorage(folder, identity), None)
-    file = file_type(folder, identity)
+    file = storage_type(folder, identity)
     if file.truncated_bytes:
         log.warning("%s: %d bytes of an unfinished write were cut off", file.path, file.truncated_bytes)
     return OpenedStorage(file, file.state)
--- a/ryepier/maintenance/replication/candidate.py
+++ b/ryepier/maintenance/replication/candidate.py
@@ -15,7 +15,7 @@
         """Work on `state`; `leader` takes over once an election is won."""
         self.state = state
         self.leader = leader
-        self.votes: set[str] = set()
+        self.received_votes: set[str] = set()
 
     def on_election_timeout(self) -> None:
         """Begin a term and ask for votes; a learner waits on."""
@@ -26,20 +26,20 @@
             return
         state.change_role(Event.ELECTION_TIMEOUT)
         state.set_hard_state(state.term + 1, state.settings.name, state.hard_state.recovered_at_term)
-        self.votes = {state.settings.name}
+        self.received_votes = {state.settings.name}
         request = RequestVote(state.term, state.last_index, state.term_at(state.last_index))
         for peer in state.settings.peers:
             state.send(peer, request)
-        self._lead_with_majority()
+        self._become_leader_with_majority()
 
     def on_vote_response(self, sender: str, response: VoteResponse) -> None:
         """Count a vote of this term."""
         if self.state.role is Role.CANDIDATE and response.granted:
-            self.votes.add(sender)
-            self._lead_with_majority()
+            self.received_votes.add(sender)
+            self._become_leader_with_majority()
 
-    def _lead_with_majority(self) -> None:
+    def _become_leader_with_majority(self) -> None:
         """Become the leader once a majority has voted for this replica."""
-        if len(self.votes) >= self.state.settings.majority:
-            self.state.change_role(Event.MAJORITY_VOTED)
+        if len(self.received_votes) >= self.state.settings.majority:
+            self.state.change_role(Event.ELECTION_WON)
             self.leader.start_term()
--- a/ryepier/maintenance/replication/follower.py
+++ b/ryepier/maintenance/replication/follower.py
@@ -57,34 +57,34 @@
             return
         if state.role is Role.LEADER:
             raise ProtocolError(f"{sender} claims to lead term {state.term}, which this replica leads")
-        state.change_role(Event.LEADER_HEARD)
+        state.change_role(Event.ENTRIES_RECEIVED)
         state.leader = sender
         state.restart_election_timer()
-        if not self._agrees_at(message.previous_index, message.previous_term):
-            state.send(sender, AppendResponse(state.term, False, self._last_possible_agreement(message)))
+        if not self._log_matches_at(message.previous_index, message.previous_term):
+            state.send(sender, AppendResponse(state.term, False, self._last_possible_match(message)))
             return
-        self._store_entries(message.previous_index, message.entries)
+        self._merge_entries(message.previous_index, message.entries)
         match_index = message.previous_index + len(message.entries)
         state.commit_index = max(state.commit_index, min(message.commit_index, match_index))
         self.recovery.become_voter_if_caught_up()
         state.send(sender, AppendResponse(state.term, True, match_index))
 
-    def _agrees_at(self, index: int, term: int) -> bool:
+    def _log_matches_at(self, index: int, term: int) -> bool:
         """Return whether this log has an entry of that term at that index."""
         return index <= self.state.last_index and self.state.term_at(index) == term
 
-    def _last_possible_agreement(self, message: AppendEntries) -> int:
+    def _last_possible_match(self, message: AppendEntries) -> int:
         """Return the index from which the leader should search on: before all own entries of the differing term."""
         state = self.state
         if message.previous_index > state.last_index:
             return state.last_index
         index = message.previous_index
-        differing_term = state.term_at(index)
-        while index > state.commit_index and state.term_at(index) == differing_term:
+        conflicting_term = state.term_at(index)
+        while index > state.commit_index and state.term_at(index) == conflicting_term:
             index -= 1
         return index
 
-    def _store_entries(self, previous_index: int, entries: Sequence[Entry]) -> None:
+    def _merge_entries(self, previous_index: int, entries: Sequence[Entry]) -> None:
         """Append what is new; remove what conflicts, with all that follows it.
 
         Entries that agree stay, so that a repeated or late message removes nothing. Raises ProtocolError where a
--- a/ryepier/maintenance/replication/leader.py
+++ b/ryepier/maintenance/replication/leader.py
@@ -29,14 +29,14 @@
         """Work on `state`; nothing is done before `start_term`."""
         self.state = state
         self.progress: dict[str, PeerProgress] = {}
-        self.responded: set[str] = set()  # peers that have answered since the last check of the quorum
+        self.responsive_peers: set[str] = set()  # peers that have answered since the last check of the quorum
 
     def start_term(self) -> None:
         """Lead the present term, and append its no-op entry."""
         state = self.state
         state.leader = state.settings.name
         self.progress = {peer: PeerProgress(state.last_index + 1) for peer in state.settings.peers}
-        self.responded = set()
+        self.responsive_peers = set()
         state.elapsed_ticks = 0
         # entries of earlier terms can only be committed by one of this term behind them
         self._append_and_replicate(NO_OP)
@@ -62,11 +62,11 @@
         if state.elapsed_ticks < 2 * state.settings.election_ticks:
             return
         state.elapsed_ticks = 0
-        if len(self.responded) + 1 < state.settings.majority:
-            state.change_role(Event.QUORUM_SILENT)
+        if len(self.responsive_peers) + 1 < state.settings.majority:
+            state.change_role(Event.QUORUM_LOST)
             state.leader = NO_MEMBER
             state.restart_election_timer()
-        self.responded = set()
+        self.responsive_peers = set()
 
     def _replicate_to_all(self) -> None:
         """Send each peer the entries that it lacks, or a heartbeat."""
@@ -76,17 +76,19 @@
     def _replicate_to(self, peer: str) -> None:
         """Send one peer the next entries that it lacks."""
         state = self.state
-        previous = self.progress[peer].next_index - 1
-        entries = self._batch_after(previous)
-        state.send(peer, AppendEntries(state.term, previous, state.term_at(previous), entries, state.commit_index))
+        previous_index = self.progress[peer].next_index - 1
+        entries = self._next_batch(previous_index)
+        state.send(
+            peer, AppendEntries(state.term, previous_index, state.term_at(previous_index), entries, state.commit_index)
+        )
 
-    def _batch_after(self, index: int) -> tuple[Entry, ...]:
+    def _next_batch(self, index: int) -> tuple[Entry, ...]:
         """Return as many entries behind an index as fit one message."""
         batch: list[Entry] = []
-        size = 0
+        batch_bytes = 0
         for entry in self.state.log[index : index + MAX_ENTRIES_PER_MESSAGE]:
-            size += len(entry.command)
-            if batch and size > MAX_BYTES_PER_MESSAGE:
+            batch_bytes += len(entry.command)
+            if batch and batch_bytes > MAX_BYTES_PER_MESSAGE:
                 break
             batch.append(entry)
         return tuple(batch)
@@ -95,11 +97,11 @@
         """Record how far a peer's log agrees, and commit what a majority has."""
         if self.state.role is not Role.LEADER:
             return
-        self.responded.add(sender)
+        self.responsive_peers.add(sender)
         progress = self.progress[sender]
         if not response.success:
-            lower = min(progress.next_index - 1, response.match_index + 1)
-            progress.next_index = max(progress.match_index + 1, lower)
+            decremented_index = min(progress.next_index - 1, response.match_index + 1)
+            progress.next_index = max(progress.match_index + 1, decremented_index)
             self._replicate_to(sender)
             return
         progress.match_index = max(progress.match_index, response.match_index)
@@ -112,7 +114,7 @@
     def _advance_commit_index(self) -> None:
         """Commit up to the last index that a majority has, if its entry is of this term."""
         state = self.state
-        matches = sorted([state.last_index, *(progress.match_index for progress in self.progress.values())])
-        majority_index = matches[-state.settings.majority]
+        match_indexes = sorted([state.last_index, *(progress.match_index for progress in self.progress.values())])
+        majority_index = match_indexes[-state.settings.majority]
         if majority_index > state.commit_index and state.term_at(majority_index) == state.term:
             state.commit_index = majority_index
--- a/ryepier/maintenance/replication/recovery.py
+++ b/ryepier/maintenance/replication/recovery.py
@@ -14,7 +14,7 @@
         """Draw a nonce, so that answers to an earlier incarnation are not counted."""
         self.state = state
         self.nonce = state.random.getrandbits(63)
-        self.terms: dict[str, int] = {}
+        self.member_terms: dict[str, int] = {}
 
     def tick(self) -> None:
         """Ask all other members again at each heartbeat interval."""
@@ -30,12 +30,12 @@
         state = self.state
         if state.role is not Role.RECOVERING or response.nonce != self.nonce:
             return
-        self.terms[sender] = response.term
-        if len(self.terms) < len(state.settings.peers):
+        self.member_terms[sender] = response.term
+        if len(self.member_terms) < len(state.settings.peers):
             return
-        highest = max(self.terms.values())
+        highest_term = max(self.member_terms.values())
         state.change_role(Event.ALL_MEMBERS_ANSWERED)
-        state.set_hard_state(highest + 1, NO_MEMBER, highest + 1)
+        state.set_hard_state(highest_term + 1, NO_MEMBER, highest_term + 1)
         state.restart_election_timer()
 
     def become_voter_if_caught_up(self) -> None:
--- a/ryepier/maintenance/replication/replica_state.py
+++ b/ryepier/maintenance/replication/replica_state.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class _Output:
+class _PendingOutput:
     """What has accumulated since the last `Ready`."""
 
     hard_state_changed: bool = False
@@ -34,7 +34,7 @@
         self.applied_index = 0
         self.elapsed_ticks = 0
         self.timeout_ticks = 0
-        self.output = _Output()
+        self.pending_output = _PendingOutput()
 
     @property
     def term(self) -> int:
@@ -57,7 +57,7 @@
     def set_hard_state(self, term: int, voted_for: str, recovered_at_term: int) -> None:
         """Change what the disk must hold before the next message is sent."""
         self.hard_state = HardState(term, voted_for, recovered_at_term)
-        self.output.hard_state_changed = True
+        self.pending_output.hard_state_changed = True
 
     def enter_higher_term(self, term: int) -> None:
         """Enter a term that another member has begun."""
@@ -67,27 +67,27 @@
 
     def restart_election_timer(self) -> None:
         """Draw the next election timeout, in ticks."""
-        base = self.settings.election_ticks
-        self.timeout_ticks = self.random.randint(base, 2 * base - 1)
+        min_ticks = self.settings.election_ticks
+        self.timeout_ticks = self.random.randint(min_ticks, 2 * min_ticks - 1)
         self.elapsed_ticks = 0
 
     def append(self, *entries: Entry) -> int:
         """Append to the log, to be stored; return the last index."""
-        self._mark_unstored(self.last_index + 1)
+        self._mark_for_storing(self.last_index + 1)
         self.log.extend(entries)
         return self.last_index
 
-    def _mark_unstored(self, index: int) -> None:
+    def _mark_for_storing(self, index: int) -> None:
         """Note that the log has to be written from this index on."""
-        self.output.first_index = min(self.output.first_index or index, index)
+        self.pending_output.first_index = min(self.pending_output.first_index or index, index)
 
     def send(self, receiver: str, message: Message) -> None:
         """Send a message once everything that it depends on is stored."""
-        self.output.messages.append(Envelope(receiver, message))
+        self.pending_output.messages.append(Envelope(receiver, message))
 
     def take_ready(self) -> Ready:
         """Return all that has to be done since the last call."""
-        output, self.output = self.output, _Output()
+        output, self.pending_output = self.pending_output, _PendingOutput()
         committed = tuple(
             CommittedEntry(index, self.log[index - 1]) for index in range(self.applied_index + 1, self.commit_index + 1)
         )
--- a/ryepier/maintenance/replication/roles.py
+++ b/ryepier/maintenance/replication/roles.py
@@ -30,24 +30,24 @@
     ALL_MEMBERS_ANSWERED = "every other member has answered with its term"
     CAUGHT_UP = "the log holds an entry of a leader that was elected without this replica"
     ELECTION_TIMEOUT = "no leader has sent entries for an election timeout"
-    MAJORITY_VOTED = "a majority has voted for this replica"
-    LEADER_HEARD = "a leader of the same term has sent entries"
+    ELECTION_WON = "a majority has voted for this replica"
+    ENTRIES_RECEIVED = "a leader of the same term has sent entries"
     HIGHER_TERM = "a message of a higher term has arrived"
-    QUORUM_SILENT = "no majority has answered this leader for an election timeout"
+    QUORUM_LOST = "no majority has answered this leader for an election timeout"
 
 
 TRANSITIONS: dict[tuple[Role, Event], Role] = {
     (Role.RECOVERING, Event.ALL_MEMBERS_ANSWERED): Role.LEARNER,
     (Role.LEARNER, Event.CAUGHT_UP): Role.FOLLOWER,
-    (Role.LEARNER, Event.LEADER_HEARD): Role.LEARNER,
+    (Role.LEARNER, Event.ENTRIES_RECEIVED): Role.LEARNER,
     (Role.LEARNER, Event.HIGHER_TERM): Role.LEARNER,
     (Role.FOLLOWER, Event.ELECTION_TIMEOUT): Role.CANDIDATE,
-    (Role.FOLLOWER, Event.LEADER_HEARD): Role.FOLLOWER,
+    (Role.FOLLOWER, Event.ENTRIES_RECEIVED): Role.FOLLOWER,
     (Role.FOLLOWER, Event.HIGHER_TERM): Role.FOLLOWER,
     (Role.CANDIDATE, Event.ELECTION_TIMEOUT): Role.CANDIDATE,
-    (Role.CANDIDATE, Event.MAJORITY_VOTED): Role.LEADER,
-    (Role.CANDIDATE, Event.LEADER_HEARD): Role.FOLLOWER,
+    (Role.CANDIDATE, Event.ELECTION_WON): Role.LEADER,
+    (Role.CANDIDATE, Event.ENTRIES_RECEIVED): Role.FOLLOWER,
     (Role.CANDIDATE, Event.HIGHER_TERM): Role.FOLLOWER,
     (Role.LEADER, Event.HIGHER_TERM): Role.FOLLOWER,
-    (Role.LEADER, Event.QUORUM_SILENT): Role.FOLLOWER,
+    (Role.LEADER, Event.QUORUM_LOST): Role.FOLLOWER,
 }
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -27,12 +27,12 @@
 from ryepier.maintenance.replication.model import DurableState, Ready
 
 FILE_NAME = "replica.log"
-FILE_TYPE = b"RYELOG01"
-ACKNOWLEDGED = struct.Struct(">QI")
-RECORD_HEAD = struct.Struct(">III")
+FILE_SIGNATURE = b"RYELOG01"
+ACKNOWLEDGED_OFFSET = struct.Struct(">QI")
+RECORD_HEADER = struct.Struct(">III")
 OFFSET_BYTES = 8
 LENGTH_BYTES = 4
-RECORDS_OFFSET = len(FILE_TYPE) + ACKNOWLEDGED.size
+RECORDS_OFFSET = len(FILE_SIGNATURE) + ACKNOWLEDGED_OFFSET.size
 MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 
@@ -78,12 +78,12 @@
         raise StorageError(f"{path}: exists already")
     folder.mkdir(parents=True, exist_ok=True)
     record = _encode_record(msgspec.msgpack.encode(identity))
-    unfinished = path.with_suffix(".new")
-    with unfinished.open("wb") as file:
-        file.write(FILE_TYPE + _encode_acknowledged(RECORDS_OFFSET + len(record)) + record)
+    temporary_path = path.with_suffix(".new")
+    with temporary_path.open("wb") as file:
+        file.write(FILE_SIGNATURE + _encode_acknowledged_offset(RECORDS_OFFSET + len(record)) + record)
         file.flush()
         os.fsync(file.fileno())
-    unfinished.rename(path)
+    temporary_path.rename(path)
     _sync_folder(folder)
 
 
@@ -95,7 +95,7 @@
         self.path = folder / FILE_NAME
         self.descriptor = self._open_locked()
         try:
-            reader = _Reader(self.path, self._read_all(), identity)
+            reader = _LogFileReader(self.path, self._read_all(), identity)
             self.state = reader.read()
             if reader.offset < reader.size:
                 os.ftruncate(self.descriptor, reader.offset)
@@ -132,7 +132,7 @@
         self._write_at(record, self.offset)
         os.fsync(self.descriptor)
         self.offset += len(record)
-        self._write_at(_encode_acknowledged(self.offset), len(FILE_TYPE))
+        self._write_at(_encode_acknowledged_offset(self.offset), len(FILE_SIGNATURE))
 
     def _write_at(self, data: bytes, offset: int) -> None:
         """Write all of `data`."""
@@ -146,7 +146,7 @@
         os.close(self.descriptor)
 
 
-class _Reader:
+class _LogFileReader:
     """Reads a file once, from its start."""
 
     def __init__(self, path: Path, data: bytes, identity: Identity) -> None:
@@ -156,77 +156,79 @@
         self.size = len(data)
         self.identity = identity
         self.offset = RECORDS_OFFSET
-        self.acknowledged = 0
+        self.acknowledged_offset = 0
 
     def read(self) -> DurableState:
         """Return the state after the last complete record; `offset` is then behind it. Raises StorageError."""
-        self._read_acknowledged()
+        self._read_acknowledged_offset()
         self._check_identity()
         hard_state = HardState()
         entries: list[Entry] = []
-        while (content := self._next_content()) is not None:
-            record = self._decode(content)
+        while (content := self._read_next_content()) is not None:
+            record = self._decode_record(content)
             hard_state = record.hard_state or hard_state
             if record.first_index > 0:
                 entries[record.first_index - 1 :] = record.entries
-        if self.offset < self.acknowledged:
+        if self.offset < self.acknowledged_offset:
             raise StorageError(
-                f"{self.path}: ends at byte {self.offset}, but {self.acknowledged} bytes were acknowledged"
+                f"{self.path}: ends at byte {self.offset}, but {self.acknowledged_offset} bytes were acknowledged"
             )
         return DurableState(hard_state, tuple(entries))
 
-    def _read_acknowledged(self) -> None:
+    def _read_acknowledged_offset(self) -> None:
         """Check the file's type and read how far it was acknowledged."""
-        if self.data[: len(FILE_TYPE)] != FILE_TYPE:
+        if self.data[: len(FILE_SIGNATURE)] != FILE_SIGNATURE:
             raise StorageError(f"{self.path}: not a replica's log")
         if self.size < RECORDS_OFFSET:
             raise StorageError(f"{self.path}: ends within its head")
-        self.acknowledged, checksum = ACKNOWLEDGED.unpack_from(self.data, len(FILE_TYPE))
-        if checksum != zlib.crc32(self.data[len(FILE_TYPE) : len(FILE_TYPE) + OFFSET_BYTES]):
+        self.acknowledged_offset, checksum = ACKNOWLEDGED_OFFSET.unpack_from(self.data, len(FILE_SIGNATURE))
+        if checksum != zlib.crc32(self.data[len(FILE_SIGNATURE) : len(FILE_SIGNATURE) + OFFSET_BYTES]):
             raise StorageError(f"{self.path}: the acknowledged offset does not match its checksum")
 
     def _check_identity(self) -> None:
         """Raise StorageError for another replica's file."""
-        content = self._next_content()
+        content = self._read_next_content()
         if content is None:
             raise StorageError(f"{self.path}: ends before it says whose it is")
         try:
-            found = msgspec.msgpack.decode(content, type=Identity)
+            stored = msgspec.msgpack.decode(content, type=Identity)
         except msgspec.DecodeError as error:
             raise StorageError(f"{self.path}: does not say whose it is: {error}") from error
-        if found != self.identity:
-            raise StorageError(f"{self.path}: belongs to {_describe(found)}, not to {_describe(self.identity)}")
+        if stored != self.identity:
+            raise StorageError(
+                f"{self.path}: belongs to {_describe_identity(stored)}, not to {_describe_identity(self.identity)}"
+            )
 
-    def _next_content(self) -> bytes | None:
+    def _read_next_content(self) -> bytes | None:
         """Return the next record's content; None at the end, or at a torn write that was never acknowledged."""
-        head_end = self.offset + RECORD_HEAD.size
-        if head_end > self.size:
+        content_offset = self.offset + RECORD_HEADER.size
+        if content_offset > self.size:
             return None
-        length, length_checksum, checksum = RECORD_HEAD.unpack_from(self.data, self.offset)
-        if self._is_unwritten():
+        length, length_checksum, checksum = RECORD_HEADER.unpack_from(self.data, self.offset)
+        if self._is_zero_filled_tail():
             return None
         if (
             length_checksum != zlib.crc32(self.data[self.offset : self.offset + LENGTH_BYTES])
             or length > MAX_RECORD_BYTES
         ):
-            raise self._unreadable("length")
-        content = self.data[head_end : head_end + length]
+            raise self._checksum_error("length")
+        content = self.data[content_offset : content_offset + length]
         if len(content) < length:
             return None
         if checksum != zlib.crc32(content):
-            raise self._unreadable("content")
-        self.offset = head_end + length
+            raise self._checksum_error("content")
+        self.offset = content_offset + length
         return content
 
-    def _is_unwritten(self) -> bool:
+    def _is_zero_filled_tail(self) -> bool:
         """Return whether only zeros follow, as where the file had grown before its content reached the disk."""
-        return self.offset >= self.acknowledged and not any(self.data[self.offset :])
+        return self.offset >= self.acknowledged_offset and not any(self.data[self.offset :])
 
-    def _unreadable(self, part: str) -> StorageError:
+    def _checksum_error(self, part: str) -> StorageError:
         """Return the error for a record that does not match its checksum: an unfinished write would be shorter."""
         return StorageError(f"{self.path}: the {part} of the record at byte {self.offset} does not match its checksum")
 
-    def _decode(self, content: bytes) -> Record:
+    def _decode_record(self, content: bytes) -> Record:
         """Return a record whose checksum matches."""
         try:
             return msgspec.msgpack.decode(content, type=Record)
@@ -239,15 +241,15 @@
     if len(content) > MAX_RECORD_BYTES:
         raise StorageError(f"a record of {len(content)} bytes is over the limit of {MAX_RECORD_BYTES}")
     length = len(content).to_bytes(LENGTH_BYTES, "big")
-    return RECORD_HEAD.pack(len(content), zlib.crc32(length), zlib.crc32(content)) + content
+    return RECORD_HEADER.pack(len(content), zlib.crc32(length), zlib.crc32(content)) + content
 
 
-def _encode_acknowledged(offset: int) -> bytes:
+def _encode_acknowledged_offset(offset: int) -> bytes:
     """Return the acknowledged offset with its checksum."""
-    return ACKNOWLEDGED.pack(offset, zlib.crc32(offset.to_bytes(OFFSET_BYTES, "big")))
+    return ACKNOWLEDGED_OFFSET.pack(offset, zlib.crc32(offset.to_bytes(OFFSET_BYTES, "big")))
 
 
-def _describe(identity: Identity) -> str:
+def _describe_identity(identity: Identity) -> str:
     """Describe an identity for messages."""
     return f"replica {identity.replica} of region {identity.region} ({', '.join(identity.members)})"
 
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -132,7 +132,7 @@
 
 
 def test_the_storage_with_a_seeded_fault_loses_the_vote(tmp_path: Path) -> None:
-    disk = open_storage(tmp_path, IDENTITY, bootstrap=True, file_type=ForgetVoteStorage)
+    disk = open_storage(tmp_path, IDENTITY, bootstrap=True, storage_type=ForgetVoteStorage)
     disk.storage.save(Ready(HardState(5, "north-1"), 1, (Entry(5, b"kept"),), (), ()))
     disk.storage.close()
     again = open_storage(tmp_path, IDENTITY, bootstrap=False)
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -127,7 +127,7 @@
         assert await north.submit(make_request("r2", "n01")) == Accepted("r2")
         assert "3 bytes of an unfinished write were cut off" in north.log(one).read_text()
         complete = north.file(two).read_bytes()
-        acknowledged, _ = storage.ACKNOWLEDGED.unpack_from(complete, len(storage.FILE_TYPE))
+        acknowledged, _ = storage.ACKNOWLEDGED_OFFSET.unpack_from(complete, len(storage.FILE_SIGNATURE))
         north.file(two).write_bytes(complete[: acknowledged - 5])  # a write that was not acknowledged may be behind it
         process = north.start(two)
         assert process.wait(TIMEOUT_S) == 2
