--- a/ryepier/maintenance/agent.py
+++ b/ryepier/maintenance/agent.py
@@ -21,11 +21,11 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 10.0
-POLL_INTERVAL_S = 0.2  # while no window is due
+WINDOW_POLL_INTERVAL_S = 0.2  # while no window is due
 RETRY_DELAY_S = 0.5
 IN_FLIGHT_POLL_INTERVAL_S = 0.1
 DRAIN_TIMEOUT_S = 10.0
-HELD_STATES = (LeaseState.GRANTED, LeaseState.DRAINING)
+RESUMABLE_STATES = (LeaseState.GRANTED, LeaseState.DRAINING)
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,21 +57,21 @@
     async def run(self) -> None:
         """Resume the leases of an earlier incarnation, then acquire and carry out leases until cancelled."""
         async with asyncio.TaskGroup() as group:
-            for lease in await self._open_leases():
+            for lease in await self._fetch_resumable_leases():
                 self._start_maintenance(group, lease)
             while True:
                 acquired = await self._acquire_lease()
                 if acquired is None:
-                    await asyncio.sleep(POLL_INTERVAL_S)
+                    await asyncio.sleep(WINDOW_POLL_INTERVAL_S)
                 else:
                     self._start_maintenance(group, acquired)
 
     def _start_maintenance(self, group: asyncio.TaskGroup, lease: Granted) -> None:
         """Carry a lease out in a task of its own."""
         self.active_leases.add(lease.lease)
-        group.create_task(self._carry_out(lease))
+        group.create_task(self._carry_out_lease(lease))
 
-    async def _open_leases(self) -> list[Granted]:
+    async def _fetch_resumable_leases(self) -> list[Granted]:
         """Return the leases under this agent's name that are neither released nor revoked."""
         while True:
             try:
@@ -80,8 +80,12 @@
                 log.warning("status unavailable: %s", error)
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            mine = [one for one in status.leases if one.agent == self.settings.name and one.state in HELD_STATES]
-            return [Granted(one.name, one.agent, one.token, one.converters) for one in mine]
+            own_leases = [
+                lease
+                for lease in status.leases
+                if lease.agent == self.settings.name and lease.state in RESUMABLE_STATES
+            ]
+            return [Granted(lease.name, lease.agent, lease.token, lease.converters) for lease in own_leases]
 
     async def _acquire_lease(self) -> Granted | None:
         """Ask for a lease; retry under the same name until its outcome is known. None: there is none now."""
@@ -101,17 +105,17 @@
         log.info("lease not granted: %s", result.reason if isinstance(result, Rejected) else result)
         return None
 
-    async def _carry_out(self, lease: Granted) -> None:
+    async def _carry_out_lease(self, lease: Granted) -> None:
         """Carry one lease out, from its drain to its release."""
-        fields = {"lease": lease.lease, "token": lease.token}
-        log.info("maintenance starts", extra={**fields, "converters": lease.converters})
+        log_fields = {"lease": lease.lease, "token": lease.token}
+        log.info("maintenance starts", extra={**log_fields, "converters": lease.converters})
         try:
             if await self._start_drain(lease):
-                await asyncio.gather(*(self._maintain(name, lease.token) for name in lease.converters))
+                await asyncio.gather(*(self._maintain_converter(name, lease.token) for name in lease.converters))
                 await self._release(lease)
-                log.info("maintenance is done", extra=fields)
+                log.info("maintenance is done", extra=log_fields)
         except FleetError as error:
-            log.warning("maintenance abandoned: %s", error, extra=fields)
+            log.warning("maintenance abandoned: %s", error, extra=log_fields)
         finally:
             self.active_leases.discard(lease.lease)
 
@@ -141,7 +145,7 @@
                 log.warning("no answer: %s", error)
                 await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _maintain(self, converter: str, token: int) -> None:
+    async def _maintain_converter(self, converter: str, token: int) -> None:
         """Drain, stop, work, start. Raises FleetError, and then leaves the converter as it is."""
         await self.fleet.perform(Action.DRAIN, converter, token)
         await asyncio.sleep(self.settings.drain_grace_s)
@@ -149,8 +153,8 @@
         await self.fleet.perform(Action.STOP, converter, token)
         await self.fleet.perform(Action.REMOVE, converter, token)
         await asyncio.sleep(self.settings.work_s)
-        started = await self.fleet.perform(Action.START, converter, token)
-        await self.fleet.perform(Action.LIST, converter, token, started.uid)
+        reply = await self.fleet.perform(Action.START, converter, token)
+        await self.fleet.perform(Action.LIST, converter, token, reply.uid)
 
     async def _wait_until_idle(self, converter: str, token: int) -> None:
         """Wait for the requests in flight. Raises FleetError where they do not end."""
--- a/ryepier/maintenance/client.py
+++ b/ryepier/maintenance/client.py
@@ -33,10 +33,10 @@
         """Call as `name`; nothing is opened yet."""
         self.hello = api.ClientHello(api.VERSION, region, name, kind)
         self.replicas = dict(replicas)
-        self.target = next(iter(self.replicas))
+        self.target_replica = next(iter(self.replicas))
         self.connection: Connection | None = None
-        self.number = 0
-        self.lock = asyncio.Lock()
+        self.last_call_number = 0
+        self.call_lock = asyncio.Lock()
 
     async def command(self, command: Command, timeout_s: float) -> Result:
         """Commit a command and return its result. Raises CallError."""
@@ -70,44 +70,46 @@
 
     async def _call(self, make_call: MakeCall, timeout_s: float) -> api.Reply:
         """Retry until a leader has answered. Raises CallError."""
-        last = "no replica was asked"
+        last_failure = "no replica was asked"
         try:
-            async with asyncio.timeout(timeout_s), self.lock:
+            async with asyncio.timeout(timeout_s), self.call_lock:
                 while True:
                     try:
                         reply = await self._request_once(make_call)
                     except (OSError, EOFError, TimeoutError, TransportError) as error:
-                        last = f"{self.target}: {type(error).__name__}: {error}"
+                        last_failure = f"{self.target_replica}: {type(error).__name__}: {error}"
                         self._switch_target("")
                     else:
                         if not isinstance(reply, api.NotLeaderReply | api.UncertainReply):
                             return reply
-                        last = f"{self.target} does not lead"
+                        last_failure = f"{self.target_replica} does not lead"
                         self._switch_target(reply.leader if isinstance(reply, api.NotLeaderReply) else "")
                     await asyncio.sleep(RETRY_DELAY_S)
         except TimeoutError:
             self.close()
-            raise CallError(f"no answer of region {self.hello.region} within {timeout_s:g} s; last {last}") from None
+            raise CallError(
+                f"no answer of region {self.hello.region} within {timeout_s:g} s; last {last_failure}"
+            ) from None
 
     async def _request_once(self, make_call: MakeCall) -> api.Reply:
         """Send the call to the present target. Raises CallError where it rejects this caller."""
         async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
             if self.connection is None:
-                self.connection = await Connection.dial(self.replicas[self.target], self.hello)
-            self.number += 1
-            self.connection.send(make_call(self.number))
+                self.connection = await Connection.dial(self.replicas[self.target_replica], self.hello)
+            self.last_call_number += 1
+            self.connection.send(make_call(self.last_call_number))
             while True:
                 frame = await self.connection.receive()
                 if isinstance(frame, api.Rejection):
-                    raise CallError(f"{self.target}: {frame.reason}")
-                if isinstance(frame, api.Reply) and frame.number == self.number:
+                    raise CallError(f"{self.target_replica}: {frame.reason}")
+                if isinstance(frame, api.Reply) and frame.number == self.last_call_number:
                     return frame
 
     def _switch_target(self, leader: str) -> None:
         """Turn to the leader that was named, or else to the next replica."""
-        if leader == self.target:
+        if leader == self.target_replica:
             return
         self.close()
-        names = list(self.replicas)
-        following = names[(names.index(self.target) + 1) % len(names)]
-        self.target = leader if leader in self.replicas else following
+        replica_names = list(self.replicas)
+        next_replica = replica_names[(replica_names.index(self.target_replica) + 1) % len(replica_names)]
+        self.target_replica = leader if leader in self.replicas else next_replica
--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -43,7 +43,7 @@
         self.clock = RegionClock(self.node.replica, self.node.ledger)
         self.planner = Planner(self.node.ledger, settings.freeze_ms)
         self.stop_event = asyncio.Event()
-        self.fatal: FatalError | None = None
+        self.fatal_error: FatalError | None = None
 
     def _make_node(self, components: CoordinatorComponents) -> Node:
         """Return the replica with its disk and an empty ledger."""
@@ -59,34 +59,34 @@
     async def run(self) -> None:
         """Serve until `stop_event` is set. Raises FatalError, or OSError where the address cannot be used."""
         address = self.settings.addresses[self.settings.replica]
-        server = Server(self.settings, self.node, self.planner, self.clock, self._fail)
-        listener = await asyncio.start_server(server.serve, *address, backlog=BACKLOG)
+        server = Server(self.settings, self.node, self.planner, self.clock, self._stop_with_error)
+        socket_server = await asyncio.start_server(server.serve, *address, backlog=BACKLOG)
         log.info("coordinator is up", extra={"region": self.settings.region, "replica": self.settings.replica})
         tasks = [asyncio.create_task(coroutine) for coroutine in self._background_tasks()]
         for task in tasks:
             task.add_done_callback(self._on_task_done)
         await self.stop_event.wait()
-        listener.close()
+        socket_server.close()
         for task in tasks:
             task.cancel()
         self.node.close()
-        if self.fatal is not None:
-            raise self.fatal
+        if self.fatal_error is not None:
+            raise self.fatal_error
 
     def _background_tasks(self) -> list[Coroutine[Any, Any, None]]:
         """Return all that runs beside the connections that are served."""
-        leader = LeaderTasks(self.settings, self.node, self.planner, self.clock)
+        leader_tasks = LeaderTasks(self.settings, self.node, self.planner, self.clock)
         agreement, region = self.settings.agreement, self.settings.region
         links = [RegionLink(agreement, region, other) for other in agreement.regions if other != region]
         return [
-            self._tick(),
-            leader.advance_time(),
-            leader.observe(),
+            self._tick_replica(),
+            leader_tasks.advance_time(),
+            leader_tasks.observe(),
             *(self.peers.keep_connected(peer) for peer in self.node.replica.settings.peers),
-            *(leader.exchange_with(link) for link in links),
+            *(leader_tasks.exchange_with(link) for link in links),
         ]
 
-    async def _tick(self) -> None:
+    async def _tick_replica(self) -> None:
         """Tick the replica's clock. Ticks that a stopped process missed are not made up for."""
         while True:
             await asyncio.sleep(TICK_S)
@@ -95,10 +95,10 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         """Stop the process where a background task has failed."""
         if not task.cancelled() and (error := task.exception()) is not None:
-            self._fail(error)
+            self._stop_with_error(error)
 
-    def _fail(self, error: BaseException) -> None:
+    def _stop_with_error(self, error: BaseException) -> None:
         """Stop the process with an error."""
         log.error("coordinator stops: %s", error)
-        self.fatal = error if isinstance(error, FatalError) else FatalError(f"{type(error).__name__}: {error}")
+        self.fatal_error = error if isinstance(error, FatalError) else FatalError(f"{type(error).__name__}: {error}")
         self.stop_event.set()
--- a/ryepier/maintenance/discovery_listing.py
+++ b/ryepier/maintenance/discovery_listing.py
@@ -9,10 +9,10 @@
 from ryepier.maintenance.address import Address
 from ryepier.maintenance.observer import ListedConverter
 
-MAX_HEAD_BYTES = 8192
+MAX_RESPONSE_HEAD_BYTES = 8192
 MAX_LISTING_BYTES = 8 * 1024 * 1024
 LISTING_PATH = "/discovery/hosts"
-LISTED_READY = "active"
+READY_STATE = "active"
 STATUS_OK = "200"
 
 
@@ -24,24 +24,24 @@
     """Return discovery's whole list. Raises ListingError."""
     try:
         async with asyncio.timeout(timeout_s):
-            body = await _get(address, LISTING_PATH)
+            body = await _http_get(address, LISTING_PATH)
         targets = json.loads(body)["targets"]
-        return [ListedConverter(str(one["uid"]), one["state"] == LISTED_READY) for one in targets]
+        return [ListedConverter(str(target["uid"]), target["state"] == READY_STATE) for target in targets]
     except (OSError, EOFError, TimeoutError, asyncio.LimitOverrunError, ValueError, KeyError, TypeError) as error:
         raise ListingError(f"{address.host}:{address.port}: {type(error).__name__}: {error}") from None
 
 
-async def _get(address: Address, path: str) -> bytes:
+async def _http_get(address: Address, path: str) -> bytes:
     """Return the body of one HTTP response. Raises OSError, EOFError, ValueError."""
-    reader, writer = await asyncio.open_connection(*address, limit=MAX_HEAD_BYTES)
+    reader, writer = await asyncio.open_connection(*address, limit=MAX_RESPONSE_HEAD_BYTES)
     try:
         writer.write(f"GET {path} HTTP/1.1\r\nHost: {address.host}\r\n\r\n".encode())
-        head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-        status = head[0].split(" ")[1:2]
-        if status != [STATUS_OK]:
-            raise ValueError(f"answered {head[0]!r}")
-        fields = dict(line.lower().split(":", 1) for line in head[1:] if ":" in line)
-        length = int(fields["content-length"])
+        head_lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
+        status_code = head_lines[0].split(" ")[1:2]
+        if status_code != [STATUS_OK]:
+            raise ValueError(f"answered {head_lines[0]!r}")
+        headers = dict(line.lower().split(":", 1) for line in head_lines[1:] if ":" in line)
+        length = int(headers["content-length"])
         if length > MAX_LISTING_BYTES:
             raise ValueError(f"a listing of {length} bytes; {MAX_LISTING_BYTES} are allowed")
         return await reader.readexactly(length)
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -45,8 +45,8 @@
             if not self.node.replica.has_committed_in_term:
                 continue
             now_ms = self.clock.now_ms()
-            idle = not self.ledger.state.requests
-            if not idle or now_ms >= self.ledger.now_ms + IDLE_ADVANCE_MS:
+            is_idle = not self.ledger.state.requests
+            if not is_idle or now_ms >= self.ledger.now_ms + IDLE_ADVANCE_MS:
                 await self._try_propose(AdvanceTime(now_ms))
 
     async def observe(self) -> None:
@@ -64,9 +64,9 @@
                 self.listing_available = False
                 continue
             self.listing_available = True
-            await self._record(listing, as_of, region_ms)
+            await self._record_listing(listing, as_of, region_ms)
 
-    async def _record(self, listing: list[ListedConverter], as_of: int, region_ms: int) -> None:
+    async def _record_listing(self, listing: list[ListedConverter], as_of: int, region_ms: int) -> None:
         """Record what a listing shows, begun when `as_of` was applied and the region's time was `region_ms`."""
         probes = self.tracker.observe(monotonic_ms(), region_ms, listing)
         for converter in self.planner.converters_to_restart(probes):
@@ -81,9 +81,9 @@
         while True:
             await asyncio.sleep(link.INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
-                link.reset()
+                link.forget_last_report()
                 continue
-            for command in link.commands_due(self.ledger):
+            for command in link.debits_due(self.ledger):
                 await self._try_propose(command)
             for command in await link.exchange(self.ledger):
                 await self._try_propose(command)
--- a/ryepier/maintenance/node.py
+++ b/ryepier/maintenance/node.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-Send = Callable[[str, Message], None]
+SendMessage = Callable[[str, Message], None]
 
 
 class DeposedError(RyepierError):
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Leadership:
+class _RoleInTerm:
     """A replica's role in a term."""
 
     role: Role
@@ -50,15 +50,15 @@
 class Node:
     """One coordinator's part in its region's log, without its sockets. All calls come from one event loop."""
 
-    def __init__(self, replica: Replica, disk: storage.Storage, ledger: Ledger, send: Send) -> None:
+    def __init__(self, replica: Replica, disk: storage.Storage, ledger: Ledger, send: SendMessage) -> None:
         """Join the parts; `send` may drop a message."""
         self.replica = replica
         self.disk = disk
         self.ledger = ledger
         self.send = send
-        self.pending: dict[int, PendingProposal] = {}
+        self.pending_proposals: dict[int, PendingProposal] = {}
         self.failed = False
-        self.logged_leadership = _Leadership(replica.role, replica.term)
+        self.last_logged_role = _RoleInTerm(replica.role, replica.term)
 
     def tick(self) -> None:
         """Advance the replica's clock by one tick. Raises FatalError."""
@@ -76,13 +76,13 @@
         """Commit a command and return the result of applying it. Raises NotLeaderError, DeposedError, FatalError."""
         index = self.replica.propose(commands.encode(command))
         result: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
-        self.pending[index] = PendingProposal(self.replica.term, result)
+        self.pending_proposals[index] = PendingProposal(self.replica.term, result)
         self._process_ready()
         return await result
 
     def close(self) -> None:
         """Stop; proposals that await their commit fail with DeposedError."""
-        self._fail_pending()
+        self._fail_pending_proposals()
         self.disk.close()
 
     def _process_ready(self) -> None:
@@ -95,24 +95,24 @@
             for envelope in ready.messages:
                 self.send(envelope.receiver, envelope.message)
             for committed in ready.committed:
-                self._apply(committed)
+                self._apply_entry(committed)
         except (OSError, storage.StorageError, CommandError) as error:
             self.failed = True
             raise FatalError(str(error)) from error
-        self._log_leadership()
+        self._log_role_change()
 
-    def _apply(self, committed: CommittedEntry) -> None:
+    def _apply_entry(self, committed: CommittedEntry) -> None:
         """Apply a committed entry, and resolve the proposal that waits for its index."""
-        proposal = self.pending.pop(committed.index, None)
+        proposal = self.pending_proposals.pop(committed.index, None)
         if not committed.entry.command:
-            self._resolve(proposal, None)
+            self._resolve_proposal(proposal, None)
             return
         result = self.ledger.apply(committed.index, commands.decode(committed.entry.command))
-        is_own = proposal is not None and proposal.term == committed.entry.term
-        self._resolve(proposal, result if is_own else None)
+        is_own_entry = proposal is not None and proposal.term == committed.entry.term
+        self._resolve_proposal(proposal, result if is_own_entry else None)
 
     @staticmethod
-    def _resolve(proposal: PendingProposal | None, result: Result | None) -> None:
+    def _resolve_proposal(proposal: PendingProposal | None, result: Result | None) -> None:
         """Give a proposal its result, or fail it where another leader's entry has taken its index."""
         if proposal is None or proposal.result.done():
             return
@@ -121,19 +121,19 @@
         else:
             proposal.result.set_result(result)
 
-    def _log_leadership(self) -> None:
+    def _log_role_change(self) -> None:
         """Log a change of role or term; fail what is pending where this replica does not lead any more."""
-        leadership = _Leadership(self.replica.role, self.replica.term)
-        if leadership == self.logged_leadership:
+        current_role = _RoleInTerm(self.replica.role, self.replica.term)
+        if current_role == self.last_logged_role:
             return
-        self.logged_leadership = leadership
-        replica = self.replica.settings.name
-        log.info("%s in term %d", leadership.role.value, leadership.term, extra={"replica": replica})
+        self.last_logged_role = current_role
+        replica_name = self.replica.settings.name
+        log.info("%s in term %d", current_role.role.value, current_role.term, extra={"replica": replica_name})
         if not self.replica.is_leader:
-            self._fail_pending()
+            self._fail_pending_proposals()
 
-    def _fail_pending(self) -> None:
+    def _fail_pending_proposals(self) -> None:
         """Fail all pending proposals: they are neither known to be committed nor known to be lost."""
-        pending, self.pending = self.pending, {}
-        for proposal in pending.values():
-            self._resolve(proposal, None)
+        pending_proposals, self.pending_proposals = self.pending_proposals, {}
+        for proposal in pending_proposals.values():
+            self._resolve_proposal(proposal, None)
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -37,12 +37,12 @@
 
 
 @dataclass(slots=True)
-class _Incarnation:
+class _ListedIncarnation:
     """An incarnation that is listed as ready: when it was first observed, by this process's clock and the region's."""
 
     uid: str
-    began_ms: int
-    began_region_ms: int
+    warm_up_started_ms: int
+    warm_up_started_region_ms: int
 
 
 class WarmthTracker:
@@ -51,8 +51,8 @@
     def __init__(self, warm_up_ms: Mapping[str, int]) -> None:
         """Track these converters, each with its warm-up time in milliseconds."""
         self.warm_up_ms = warm_up_ms
-        self.incarnations: dict[str, _Incarnation] = {}
-        self.observed_down: set[str] = set()
+        self.incarnations: dict[str, _ListedIncarnation] = {}
+        self.warm_up_known: set[str] = set()
 
     def observe(self, now_ms: int, region_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
         """Return what the listing shows of each converter; `region_ms` is the region's own time, from its log.
@@ -60,40 +60,40 @@
         A converter that was up already at the first observation may be warm or not: it is left out until it has been
         listed for all of its warm-up time.
         """
-        ready = {one.converter: one.uid for one in listing if one.ready}
+        ready_uids = {listed.converter: listed.uid for listed in listing if listed.ready}
         probes = []
         for converter in self.warm_up_ms:
-            uid = ready.get(converter)
+            uid = ready_uids.get(converter)
             if uid is None:
-                probes.append(self._probe_down(converter, region_ms))
+                probes.append(self._probe_not_ready(converter, region_ms))
                 continue
-            probe = self._probe_up(converter, uid, now_ms, region_ms)
-            if probe.observation.warmth == FULL_WARMTH or converter in self.observed_down:
+            probe = self._probe_ready(converter, uid, now_ms, region_ms)
+            if probe.observation.warmth == FULL_WARMTH or converter in self.warm_up_known:
                 probes.append(probe)
         return tuple(probes)
 
-    def _probe_down(self, converter: str, region_ms: int) -> WarmthProbe:
+    def _probe_not_ready(self, converter: str, region_ms: int) -> WarmthProbe:
         """Record that a converter is not listed as ready."""
         self.incarnations.pop(converter, None)
-        self.observed_down.add(converter)
+        self.warm_up_known.add(converter)
         return WarmthProbe(ConverterObservation(converter, False, 0), region_ms)
 
-    def _probe_up(self, converter: str, uid: str, now_ms: int, region_ms: int) -> WarmthProbe:
+    def _probe_ready(self, converter: str, uid: str, now_ms: int, region_ms: int) -> WarmthProbe:
         """Record the incarnation that is listed as ready."""
         incarnation = self.incarnations.get(converter)
         if incarnation is None or incarnation.uid != uid:
             if incarnation is not None:
-                self.observed_down.add(converter)
-            incarnation = self.incarnations[converter] = _Incarnation(uid, now_ms, region_ms)
-        warmth = _warmth(now_ms - incarnation.began_ms, self.warm_up_ms[converter])
-        return WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.began_region_ms)
+                self.warm_up_known.add(converter)
+            incarnation = self.incarnations[converter] = _ListedIncarnation(uid, now_ms, region_ms)
+        warmth = _warmth(now_ms - incarnation.warm_up_started_ms, self.warm_up_ms[converter])
+        return WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.warm_up_started_region_ms)
 
     def restart_warm_up(self, converter: str, now_ms: int, region_ms: int) -> None:
         """Count the warm-up of a converter's present incarnation from now on."""
         incarnation = self.incarnations.get(converter)
         if incarnation is not None:
-            self.observed_down.add(converter)
-            self.incarnations[converter] = _Incarnation(incarnation.uid, now_ms, region_ms)
+            self.warm_up_known.add(converter)
+            self.incarnations[converter] = _ListedIncarnation(incarnation.uid, now_ms, region_ms)
 
 
 def _warmth(age_ms: int, warm_up_ms: int) -> int:
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -29,37 +29,41 @@
     INTERVAL_S: ClassVar[float] = 0.5
     CALL_TIMEOUT_S: ClassVar[float] = 2.0
 
-    def __init__(self, agreement: Agreement, region: str, other: str) -> None:
+    def __init__(self, agreement: Agreement, region: str, remote_region: str) -> None:
         """Know the other region's replicas; nothing is opened yet."""
         self.region = region
-        self.other = other
-        self.client = RegionClient(other, replica_addresses(agreement, other), region, ClientKind.REGION)
+        self.remote_region = remote_region
+        self.client = RegionClient(
+            remote_region, replica_addresses(agreement, remote_region), region, ClientKind.REGION
+        )
         self.reachable = True
         self.last_reported: dict[str, CapacityNeed] | None = None
 
-    def reset(self) -> None:
+    def forget_last_report(self) -> None:
         """Report again at the next exchange: another leader may have reported meanwhile."""
         self.last_reported = None
 
-    def commands_due(self, ledger: Ledger) -> list[Command]:
+    def debits_due(self, ledger: Ledger) -> list[Command]:
         """Return the debits that this region should commit for the other one, before their transfers are sent."""
-        return [DebitTransfer(transfer) for transfer in ledger.transfers_due() if transfer.receiver == self.other]
+        return [
+            DebitTransfer(transfer) for transfer in ledger.transfers_due() if transfer.receiver == self.remote_region
+        ]
 
     async def exchange(self, ledger: Ledger) -> list[Command]:
         """Report the needs and send the pending transfers; return what to commit for the answers."""
-        pending = [transfer for transfer in ledger.pending_transfers() if transfer.receiver == self.other]
-        due: list[Command] = []
+        pending = [transfer for transfer in ledger.pending_transfers() if transfer.receiver == self.remote_region]
+        acknowledgements: list[Command] = []
         try:
             await self._report_needs(ledger)
             for transfer in pending:
                 result = await self.client.command(CreditTransfer(transfer), self.CALL_TIMEOUT_S)
                 if isinstance(result, Credited):
-                    due.append(AcknowledgeTransfer(transfer))
+                    acknowledgements.append(AcknowledgeTransfer(transfer))
         except CallError as error:
             self._log_reachability(False, str(error))
         else:
             self._log_reachability(True, "region reachable again")
-        return due
+        return acknowledgements
 
     async def _report_needs(self, ledger: Ledger) -> None:
         """Report the needs where they have changed: a report is an entry in the other region's log.
@@ -77,5 +81,5 @@
     def _log_reachability(self, reachable: bool, message: str) -> None:
         """Log a change, not every attempt."""
         if reachable != self.reachable:
-            log.warning("region %s: %s", self.other, message)
+            log.warning("region %s: %s", self.remote_region, message)
         self.reachable = reachable
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -17,7 +17,7 @@
 from ryepier.maintenance.replication.messages import Message as ReplicaMessage
 from ryepier.maintenance.results import Granted, Rejected
 from ryepier.maintenance.settings import CoordinatorSettings
-from ryepier.maintenance.status import status_of
+from ryepier.maintenance.status import make_status_reply
 from ryepier.maintenance.transport import Connection, TransportError
 
 log = logging.getLogger(__name__)
@@ -43,14 +43,14 @@
         node: Node,
         planner: Planner,
         clock: RegionClock,
-        fail: Callable[[BaseException], None],
+        stop_with_error: Callable[[BaseException], None],
     ) -> None:
-        """Answer from these parts; `fail` is called with errors that must end the process."""
+        """Answer from these parts; `stop_with_error` is called with errors that must end the process."""
         self.settings = settings
         self.node = node
         self.planner = planner
         self.clock = clock
-        self.fail = fail
+        self.stop_with_error = stop_with_error
         self.grant_lock = asyncio.Lock()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -61,9 +61,9 @@
         except (TransportError, ProtocolError) as error:
             log.info("connection rejected: %s", error)
             with contextlib.suppress(OSError):
-                connection.send(_rejection(error))
+                connection.send(_make_rejection(error))
         except FatalError as error:
-            self.fail(error)
+            self.stop_with_error(error)
         except (OSError, EOFError, asyncio.CancelledError):
             pass  # the other side has disconnected, or this process ends
         finally:
@@ -110,50 +110,52 @@
 
     async def _serve_client(self, hello: ClientHello, connection: Connection) -> None:
         """Answer calls; several may await their commit at a time."""
-        slots = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
+        call_slots = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
         tasks: set[asyncio.Task[None]] = set()
         try:
             while True:
-                await slots.acquire()
+                await call_slots.acquire()
                 frame = await connection.receive()
                 if not isinstance(frame, Call):
                     raise TransportError(f"a {type(frame).__name__} out of turn")
-                task = asyncio.create_task(self._reply(hello, connection, frame, slots))
+                task = asyncio.create_task(self._answer_call(hello, connection, frame, call_slots))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
         finally:
             for task in tasks:  # what was proposed is committed all the same
                 task.cancel()
 
-    async def _reply(self, hello: ClientHello, connection: Connection, call: Call, slots: asyncio.Semaphore) -> None:
+    async def _answer_call(
+        self, hello: ClientHello, connection: Connection, call: Call, call_slots: asyncio.Semaphore
+    ) -> None:
         """Answer one call, then free its slot."""
         try:
-            reply: Frame = await self._answer(hello, call)
+            response: Frame = await self._execute_call(hello, call)
         except NotLeaderError as error:
-            reply = api.NotLeaderReply(call.number, error.leader)
+            response = api.NotLeaderReply(call.number, error.leader)
         except DeposedError:
-            reply = api.UncertainReply(call.number)
+            response = api.UncertainReply(call.number)
         except CommandError as error:
-            reply = _rejection(error)
+            response = _make_rejection(error)
         except FatalError as error:
-            self.fail(error)
+            self.stop_with_error(error)
             return
         finally:
-            slots.release()
+            call_slots.release()
         with contextlib.suppress(OSError):
-            connection.send(reply)
-        if isinstance(reply, Rejection):
+            connection.send(response)
+        if isinstance(response, Rejection):
             connection.close()
 
-    async def _answer(self, hello: ClientHello, call: Call) -> Reply:
+    async def _execute_call(self, hello: ClientHello, call: Call) -> Reply:
         """Return the reply of a leader. Raises NotLeaderError, DeposedError, CommandError."""
         replica = self.node.replica
         if not replica.has_committed_in_term:  # a leader that was just elected may not know of all commits yet
             raise NotLeaderError("" if replica.is_leader else replica.leader)
         if isinstance(call, api.StatusCall):
-            return status_of(call.number, self.clock.now_ms(), replica, self.planner)
+            return make_status_reply(call.number, self.clock.now_ms(), replica, self.planner)
         if isinstance(call, api.LeaseCall):
-            return await self._grant(hello, call)
+            return await self._grant_lease(hello, call)
         command = self._allowed_command(hello.kind, call)
         return api.CommandReply(call.number, await self.node.propose(command))
 
@@ -165,32 +167,34 @@
             raise CommandError(f"a caller of kind {kind.value!r} may not give {type(command).__name__}")
         return command
 
-    async def _grant(self, hello: ClientHello, call: api.LeaseCall) -> Reply:
+    async def _grant_lease(self, hello: ClientHello, call: api.LeaseCall) -> Reply:
         """Grant an agent a window that is due. The ledger decides, when the command is applied."""
         if hello.kind is not ClientKind.AGENT:
             raise CommandError(f"a caller of kind {hello.kind.value!r} takes no leases")
         async with self.grant_lock:  # the next call has to see what this one took
-            command = self._grant_command(hello.name, call.lease)
+            command = self._make_grant_command(hello.name, call.lease)
             if command is None:
                 return api.NoWindowReply(call.number)
             result = await self.node.propose(command)
-        fields = {"lease": call.lease, "agent": hello.name}
+        log_fields = {"lease": call.lease, "agent": hello.name}
         if isinstance(result, Granted):
-            log.info(LEASE_GRANTED_MESSAGE, extra={**fields, "token": result.token, "converters": result.converters})
+            log.info(
+                LEASE_GRANTED_MESSAGE, extra={**log_fields, "token": result.token, "converters": result.converters}
+            )
         else:
             reason = result.reason if isinstance(result, Rejected) else str(result)
-            log.info("lease not granted: %s", reason, extra=fields)
+            log.info("lease not granted: %s", reason, extra=log_fields)
         return api.CommandReply(call.number, result)
 
-    def _grant_command(self, agent: str, lease: str) -> GrantLease | None:
+    def _make_grant_command(self, agent: str, lease: str) -> GrantLease | None:
         """Return the command that grants a due window, or again the open lease of this name; None: none is due."""
-        known = self.planner.ledger.state.leases.get(lease)
-        if known is not None:
-            return GrantLease(known.name, known.request, agent, known.converters)
+        existing_lease = self.planner.ledger.state.leases.get(lease)
+        if existing_lease is not None:
+            return GrantLease(existing_lease.name, existing_lease.request, agent, existing_lease.converters)
         window = self.planner.due_window()
         return None if window is None else GrantLease(lease, window.request, agent, window.converters)
 
 
-def _rejection(error: Exception) -> Rejection:
+def _make_rejection(error: Exception) -> Rejection:
     """Return the frame that reports an error to a caller."""
     return Rejection(str(error)[:MAX_REASON_LENGTH])
--- a/ryepier/maintenance/status.py
+++ b/ryepier/maintenance/status.py
@@ -9,7 +9,7 @@
 from ryepier.maintenance.state import Lease
 
 
-def status_of(number: int, now_ms: int, replica: Replica, planner: Planner) -> StatusReply:
+def make_status_reply(number: int, now_ms: int, replica: Replica, planner: Planner) -> StatusReply:
     """Return the region's state as its leader has applied it, at the region's time `now_ms`."""
     ledger = planner.ledger
     return StatusReply(
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -75,7 +75,7 @@
     for _ in range(3):
         exchange(link, ledger)
     assert sum(isinstance(one, RecordCapacityNeeds) for one in south.commands) == 1
-    link.reset()
+    link.forget_last_report()
     exchange(link, ledger)
     assert sum(isinstance(one, RecordCapacityNeeds) for one in south.commands) == 2
 
