--- a/ryepier/maintenance/replication/__init__.py
+++ b/ryepier/maintenance/replication/__init__.py
@@ -1,1 +1,1 @@
-"""A replicated log for the coordinators of one region: Raft as a pure core, and the file that stores its state."""
+"""The replicated log of a region's coordinators: Raft without I/O, and the file that stores a replica's state."""
--- a/ryepier/maintenance/replication/candidate.py
+++ b/ryepier/maintenance/replication/candidate.py
@@ -1,4 +1,4 @@
-"""The candidate's part: stand for election, and count the votes."""
+"""The candidate role: starts elections and counts votes."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Candidate:
-    """What a replica does without a leader."""
+    """Starts an election after an election timeout, and counts the votes that the replica receives."""
 
     def __init__(self, state: ReplicaState, leader: Leader) -> None:
-        """Work on `state`; `leader` takes over once an election is won."""
+        """Start without votes; `leader` starts its term on the same `state` when an election is won."""
         self.state = state
         self.leader = leader
         self.received_votes: set[str] = set()
 
     def on_election_timeout(self) -> None:
-        """Begin a term and ask for votes; a learner waits on."""
+        """Start a new term and request votes from all peers; a learner only restarts its election timer."""
         state = self.state
         state.restart_election_timer()
         state.leader = NO_MEMBER
@@ -33,13 +33,13 @@
         self._become_leader_with_majority()
 
     def on_vote_response(self, sender: str, response: VoteResponse) -> None:
-        """Count a vote of this term."""
+        """Count a vote that was granted in the current term. Ignores responses if the replica is not a candidate."""
         if self.state.role is Role.CANDIDATE and response.granted:
             self.received_votes.add(sender)
             self._become_leader_with_majority()
 
     def _become_leader_with_majority(self) -> None:
-        """Become the leader once a majority has voted for this replica."""
+        """Become the leader if a majority has voted for this replica."""
         if len(self.received_votes) >= self.state.settings.majority:
             self.state.change_role(Event.ELECTION_WON)
             self.leader.start_term()
--- a/ryepier/maintenance/replication/core.py
+++ b/ryepier/maintenance/replication/core.py
@@ -1,10 +1,12 @@
-"""Raft without I/O, clock or randomness of its own: ticks and messages in, state to store and messages out.
+"""Raft as a deterministic state machine, without I/O or a clock and with a seeded random generator.
 
-The process that embeds a `Replica` calls `tick`, `receive` and `propose`, and after each of them `take_ready`. It
-carries a `Ready` out in the order of its fields: what has to be stored is on disk before a message is sent or an entry
-applied. No answer of this replica is binding before that. One task at a time may call a replica.
+The embedding process calls `tick`, `receive` and `propose` of a `Replica`, and `take_ready` after each of these calls.
+It carries out the returned `Ready` in the order of its fields: state is durable on disk before any message is sent or
+any entry is applied. Until then, other members and callers must not see any answer of this replica. A replica is not
+safe for concurrent use: one task at a time may call it.
 
-Each role has a module: `follower`, `candidate`, `leader`, `recovery`; `roles` has the transitions between them.
+The modules `follower`, `candidate`, `leader` and `recovery` implement the roles, and `roles` has the transitions
+between them.
 """
 
 from __future__ import annotations
@@ -38,9 +40,9 @@
     follower_type: ClassVar[type[Follower]] = Follower
 
     def __init__(self, settings: ReplicaSettings, durable: DurableState | None) -> None:
-        """Start from what the disk holds; None: the disk is empty although the region exists already.
+        """Start from the state on disk; `durable` is None if the disk is empty although the region already exists.
 
-        Raises ValueError where the replica is not among the members.
+        Raises ValueError if the replica is not among the members.
         """
         if settings.name not in settings.members:
             raise ValueError(f"{settings.name!r} is not among the members {', '.join(settings.members)}")
@@ -54,40 +56,40 @@
 
     @property
     def term(self) -> int:
-        """The highest term that this replica has taken part in."""
+        """The current term, 0 before the first election."""
         return self._state.term
 
     @property
     def role(self) -> Role:
-        """The present role."""
+        """The current role."""
         return self._state.role
 
     @property
     def leader(self) -> str:
-        """The leader of the present term as far as it is known, or empty."""
+        """The name of the current term's leader, empty if it is not known."""
         return self._state.leader
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads its own term; a newer term may exist that it does not know of."""
+        """Whether this replica leads its current term. Another leader of a higher term may already exist."""
         return self.role is Role.LEADER
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it leads and has committed an entry of its own term.
+        """Whether this replica is the leader and has committed an entry of its current term.
 
-        Only then does it know of everything that earlier leaders committed.
+        Only then does its commit index cover everything that earlier leaders committed.
         """
         return self.is_leader and self.term_at(self.commit_index) == self.term
 
     @property
     def hard_state(self) -> HardState:
-        """Term and vote."""
+        """The term, the vote and the recovery state, which must be durable before a message depends on them."""
         return self._state.hard_state
 
     @property
     def log(self) -> list[Entry]:
-        """All entries. The caller must not change them."""
+        """All entries of the log, from index 1 on. The caller must not modify the list."""
         return self._state.log
 
     @property
@@ -97,19 +99,19 @@
 
     @property
     def commit_index(self) -> int:
-        """The index of the last entry known to be committed, 0 without one."""
+        """The index of the last entry known to be committed, 0 if there is none."""
         return self._state.commit_index
 
     def term_at(self, index: int) -> int:
-        """Return the term of an entry, 0 before the first."""
+        """Return the term of the entry at an index, 0 for index 0."""
         return self._state.term_at(index)
 
     def take_ready(self) -> Ready:
-        """Return all that has to be done since the last call."""
+        """Return the writes, messages and committed entries that have accumulated since the last call."""
         return self._state.take_ready()
 
     def tick(self) -> None:
-        """Count one tick of the embedding process's clock."""
+        """Advance the replica's clock by one tick, which may send heartbeats or start an election."""
         self._state.elapsed_ticks += 1
         if self.role is Role.LEADER:
             self._leader.tick()
@@ -119,20 +121,21 @@
             self._candidate.on_election_timeout()
 
     def propose(self, command: bytes) -> int:
-        """Append a command and return its index; it counts once that index is committed in this term.
+        """Append a command to the log and return its index.
 
-        Raises NotLeaderError on any replica that does not lead.
+        The command takes effect only if the entry at that index is committed with the current term. Raises
+        NotLeaderError if this replica is not the leader.
         """
         return self._leader.propose(command)
 
     def receive(self, sender: str, message: Message) -> None:
-        """Take a message of another member. Raises ProtocolError where no member can have sent it."""
+        """Handle a message from a peer. Raises ProtocolError if no correct member can have sent it."""
         if sender not in self.settings.peers:
-            raise ProtocolError(f"{sender!r} is not another member of this region")
+            raise ProtocolError(f"{sender!r} is not a peer of this replica")
         if isinstance(message, RecoveryResponse):
             self._recovery.on_response(sender, message)
         elif self.role is Role.RECOVERING:
-            return  # nothing on its disk to answer with
+            return  # a recovering replica has no stored state that it could answer from
         elif isinstance(message, RecoveryRequest):
             self._state.send(sender, RecoveryResponse(message.nonce, self.term))
         else:
@@ -141,7 +144,7 @@
     def _receive_in_term(
         self, sender: str, message: RequestVote | VoteResponse | AppendEntries | AppendResponse
     ) -> None:
-        """Take a message that carries its sender's term."""
+        """Handle a message that carries its sender's term; enter that term first if it is higher."""
         if message.term > self.term:
             self._state.enter_higher_term(message.term)
         if isinstance(message, RequestVote):
@@ -149,7 +152,7 @@
         elif isinstance(message, AppendEntries):
             self._follower.on_append_entries(sender, message)
         elif message.term < self.term:
-            return  # answers a request of an earlier term
+            return  # a response to a request of an earlier term
         elif isinstance(message, VoteResponse):
             self._candidate.on_vote_response(sender, message)
         else:
--- a/ryepier/maintenance/replication/errors.py
+++ b/ryepier/maintenance/replication/errors.py
@@ -1,4 +1,4 @@
-"""Errors that a replica raises to the process that embeds it."""
+"""Errors that a replica raises to its embedding process."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class NotLeaderError(RyepierError):
-    """Only the leader accepts proposals; `leader` is the last known one, or empty."""
+    """The replica is not the leader; `leader` names the last known leader, empty if there is none."""
 
     def __init__(self, leader: str) -> None:
-        """Keep the name of the member to ask instead."""
-        super().__init__(f"not the leader; last heard of: {leader or 'none'}")
+        """Store the name of the leader, so that the caller can be redirected to it."""
+        super().__init__(f"not the leader; last known leader: {leader or 'none'}")
         self.leader = leader
 
 
 class ProtocolError(RyepierError):
-    """A message that no correct member can have sent; it changes nothing."""
+    """A message that no correct member can have sent; the replica ignores it."""
--- a/ryepier/maintenance/replication/follower.py
+++ b/ryepier/maintenance/replication/follower.py
@@ -1,4 +1,4 @@
-"""The follower's part: answer requests for votes, and take the leader's entries."""
+"""The follower role: answers vote requests and appends the leader's entries."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class Follower:
-    """Answers candidates and leaders, in whatever role the replica is."""
+    """Handles messages from candidates and leaders, whatever the role of this replica."""
 
     def __init__(self, state: ReplicaState, recovery: Recovery) -> None:
-        """Work on `state`; `recovery` learns of entries that are stored."""
+        """Handle messages on the shared `state`; `recovery` is notified after entries have been appended."""
         self.state = state
         self.recovery = recovery
 
     def on_request_vote(self, candidate: str, request: RequestVote) -> None:
-        """Vote at most once a term, and only for a log that is at least as up to date as the own one."""
+        """Grant at most one vote per term, and only to a candidate whose log is at least as up to date as this one."""
         state = self.state
         if state.role is Role.LEARNER:
             return
@@ -38,11 +38,11 @@
         state.send(candidate, VoteResponse(state.term, granted))
 
     def may_vote_for(self, candidate: str) -> bool:
-        """Return whether the vote of this term is still free, or was this candidate's already."""
+        """Return whether this replica has not voted in the current term, or has voted for this candidate."""
         return self.state.hard_state.voted_for in (NO_MEMBER, candidate)
 
     def _is_up_to_date(self, request: RequestVote) -> bool:
-        """Return whether the candidate's log is at least as up to date as this one."""
+        """Return whether the candidate's log is at least as up to date as this one: by last term, then by length."""
         last_index = self.state.last_index
         last_term = self.state.term_at(last_index)
         if request.last_log_term != last_term:
@@ -50,7 +50,10 @@
         return request.last_log_index >= last_index
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
-        """Take a leader's entries where the log before them agrees. Raises ProtocolError for a second leader."""
+        """Append a leader's entries if the log matches before them, and update the commit index.
+
+        Raises ProtocolError if this replica leads the same term.
+        """
         state = self.state
         if message.term < state.term:
             state.send(sender, AppendResponse(state.term, False, state.last_index))
@@ -70,11 +73,14 @@
         state.send(sender, AppendResponse(state.term, True, match_index))
 
     def _log_matches_at(self, index: int, term: int) -> bool:
-        """Return whether this log has an entry of that term at that index."""
+        """Return whether the entry at an index has this term."""
         return index <= self.state.last_index and self.state.term_at(index) == term
 
     def _last_possible_match(self, message: AppendEntries) -> int:
-        """Return the index from which the leader should search on: before all own entries of the differing term."""
+        """Return the index at which the leader should continue to search for the last matching entry.
+
+        Skips all uncommitted entries of the conflicting term.
+        """
         state = self.state
         if message.previous_index > state.last_index:
             return state.last_index
@@ -85,9 +91,9 @@
         return index
 
     def _merge_entries(self, previous_index: int, entries: Sequence[Entry]) -> None:
-        """Append what is new; remove what conflicts, with all that follows it.
+        """Append the new entries, after removing the first conflicting entry and all entries that follow it.
 
-        Entries that agree stay, so that a repeated or late message removes nothing. Raises ProtocolError where a
+        Entries that match are kept, so a duplicated or delayed message removes nothing. Raises ProtocolError if a
         committed entry would be replaced.
         """
         state = self.state
--- a/ryepier/maintenance/replication/leader.py
+++ b/ryepier/maintenance/replication/leader.py
@@ -1,4 +1,4 @@
-"""The leader's part: replicate the log, count acknowledgements, commit, and step down without a quorum."""
+"""The leader role: replicates the log, commits entries that a majority has stored, and steps down without a quorum."""
 
 from __future__ import annotations
 
@@ -11,51 +11,51 @@
 
 NO_OP = b""
 MAX_ENTRIES_PER_MESSAGE = 64
-MAX_BYTES_PER_MESSAGE = 512 * 1024  # of commands; a single larger one is sent alone
+MAX_BYTES_PER_MESSAGE = 512 * 1024  # total size of commands; a larger single command is sent in its own message
 
 
 @dataclass(slots=True)
 class PeerProgress:
-    """How far a leader knows a peer's log to agree with its own."""
+    """The replication progress of one peer: the next index to send, and the highest index known to match."""
 
     next_index: int
     match_index: int = 0
 
 
 class Leader:
-    """What a replica does while it leads."""
+    """Replicates and commits entries while the replica is the leader."""
 
     def __init__(self, state: ReplicaState) -> None:
-        """Work on `state`; nothing is done before `start_term`."""
+        """Start without peer progress; `start_term` sets it up when an election is won."""
         self.state = state
         self.progress: dict[str, PeerProgress] = {}
-        self.responsive_peers: set[str] = set()  # peers that have answered since the last check of the quorum
+        self.responsive_peers: set[str] = set()  # peers that have responded since the last quorum check
 
     def start_term(self) -> None:
-        """Lead the present term, and append its no-op entry."""
+        """Reset the progress of all peers and append the no-op entry of the new term."""
         state = self.state
         state.leader = state.settings.name
         self.progress = {peer: PeerProgress(state.last_index + 1) for peer in state.settings.peers}
         self.responsive_peers = set()
         state.elapsed_ticks = 0
-        # entries of earlier terms can only be committed by one of this term behind them
+        # entries of earlier terms are committed only together with a later entry of this term
         self._append_and_replicate(NO_OP)
 
     def propose(self, command: bytes) -> int:
-        """Append a command and return its index. Raises NotLeaderError where this replica does not lead."""
+        """Append a command and return its index. Raises NotLeaderError if this replica is not the leader."""
         if self.state.role is not Role.LEADER:
             raise NotLeaderError(self.state.leader)
         return self._append_and_replicate(command)
 
     def _append_and_replicate(self, command: bytes) -> int:
-        """Append one entry of this term and send it to all peers; return its index."""
+        """Append an entry with the current term, send it to all peers, and return its index."""
         index = self.state.append(Entry(self.state.term, command))
         self._replicate_to_all()
         self._advance_commit_index()
         return index
 
     def tick(self) -> None:
-        """Send heartbeats, and step down where no majority has answered for two election timeouts."""
+        """Send heartbeats, and step down if no majority has responded for two minimum election timeouts."""
         state = self.state
         if state.elapsed_ticks % state.settings.heartbeat_ticks == 0:
             self._replicate_to_all()
@@ -69,12 +69,12 @@
         self.responsive_peers = set()
 
     def _replicate_to_all(self) -> None:
-        """Send each peer the entries that it lacks, or a heartbeat."""
+        """Send each peer its missing entries, or a heartbeat if it has none."""
         for peer in self.state.settings.peers:
             self._replicate_to(peer)
 
     def _replicate_to(self, peer: str) -> None:
-        """Send one peer the next entries that it lacks."""
+        """Send one peer the next batch of its missing entries, or a heartbeat if it has none."""
         state = self.state
         previous_index = self.progress[peer].next_index - 1
         entries = self._next_batch(previous_index)
@@ -83,7 +83,7 @@
         )
 
     def _next_batch(self, index: int) -> tuple[Entry, ...]:
-        """Return as many entries behind an index as fit one message."""
+        """Return the entries after an index, as many as fit into one message."""
         batch: list[Entry] = []
         batch_bytes = 0
         for entry in self.state.log[index : index + MAX_ENTRIES_PER_MESSAGE]:
@@ -94,7 +94,7 @@
         return tuple(batch)
 
     def on_append_response(self, sender: str, response: AppendResponse) -> None:
-        """Record how far a peer's log agrees, and commit what a majority has."""
+        """Update a peer's progress, advance the commit index, and send further entries if the peer still lacks some."""
         if self.state.role is not Role.LEADER:
             return
         self.responsive_peers.add(sender)
@@ -112,7 +112,7 @@
             self._replicate_to(sender)
 
     def _advance_commit_index(self) -> None:
-        """Commit up to the last index that a majority has, if its entry is of this term."""
+        """Commit up to the highest index that a majority has stored, if that entry is of the current term."""
         state = self.state
         match_indexes = sorted([state.last_index, *(progress.match_index for progress in self.progress.values())])
         majority_index = match_indexes[-state.settings.majority]
--- a/ryepier/maintenance/replication/messages.py
+++ b/ryepier/maintenance/replication/messages.py
@@ -1,4 +1,4 @@
-"""The messages between the replicas of one region, and the state that each of them stores."""
+"""The messages that the replicas of one region exchange, and the state that each replica stores."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 import msgspec
 
-NO_MEMBER = ""  # in place of a member's name
+NO_MEMBER = ""  # an unknown leader, or no vote
 Term = Annotated[int, msgspec.Meta(ge=0, lt=2**62)]
 Index = Annotated[int, msgspec.Meta(ge=0, lt=2**62)]
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log. An empty command is the no-op entry with which each leader begins its term."""
+    """An entry of the log. An empty command is the no-op entry that each leader appends at the start of its term."""
 
     term: Term
     command: bytes
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a replica must have on disk before it sends anything that depends on it.
+    """The state that must be on disk before the replica sends any message that depends on it.
 
-    `recovered_at_term` is above 0 while the replica has lost its disk and may not vote yet: a term above every one in
-    which it may have voted or answered before.
+    `recovered_at_term` is positive while a replica that has lost its disk may not vote yet. It is higher than every
+    term in which the replica may have voted or responded before the loss.
     """
 
     term: Term = 0
@@ -31,7 +31,7 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, tag="request-vote"):
-    """Request a vote; the last entry shows how up to date the candidate's log is."""
+    """A request for a vote. The index and term of the last entry show how up to date the candidate's log is."""
 
     term: Term
     last_log_index: Index
@@ -39,14 +39,14 @@
 
 
 class VoteResponse(msgspec.Struct, frozen=True, tag="vote-response"):
-    """The answer to `RequestVote`."""
+    """The response to `RequestVote`."""
 
     term: Term
     granted: bool
 
 
 class AppendEntries(msgspec.Struct, frozen=True, tag="append-entries"):
-    """Append entries behind the one that is named; without entries it is a heartbeat."""
+    """Entries to append after the entry at `previous_index`; a message without entries is a heartbeat."""
 
     term: Term
     previous_index: Index
@@ -56,10 +56,10 @@
 
 
 class AppendResponse(msgspec.Struct, frozen=True, tag="append-response"):
-    """The answer to `AppendEntries`.
+    """The response to `AppendEntries`.
 
-    `match_index` is the last index up to which the log agrees with the leader's, where `success`; else an index beyond
-    which the leader need not search for agreement.
+    If `success`, `match_index` is the last index up to which the log is known to match the leader's. Otherwise the
+    leader continues to search for the last matching entry at `match_index` or below.
     """
 
     term: Term
@@ -68,13 +68,13 @@
 
 
 class RecoveryRequest(msgspec.Struct, frozen=True, tag="recovery-request"):
-    """Request the term of another member, after the loss of a disk; `nonce` identifies the sender's incarnation."""
+    """A request for a member's term, sent after the loss of a disk; `nonce` identifies the sender's process."""
 
     nonce: int
 
 
 class RecoveryResponse(msgspec.Struct, frozen=True, tag="recovery-response"):
-    """The answer to `RecoveryRequest`: the term that this member has stored."""
+    """The response to `RecoveryRequest`, with the term that the responding member has stored."""
 
     nonce: int
     term: Term
@@ -84,7 +84,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message and the member that receives it."""
+    """A message and the name of the member that it is sent to."""
 
     receiver: str
     message: Message
--- a/ryepier/maintenance/replication/model.py
+++ b/ryepier/maintenance/replication/model.py
@@ -1,4 +1,4 @@
-"""What a replica is configured with, finds on its disk, and hands to the process that embeds it."""
+"""A replica's settings, the state that it reads from disk, and the work that it returns to its embedding process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """A replica's place among the fixed members. An election timeout is drawn from once to twice `election_ticks`."""
+    """The settings of one replica; the members of a region are fixed.
+
+    An election timeout is drawn at random from at least `election_ticks` to less than twice as many. `seed` seeds the
+    replica's random generator.
+    """
 
     name: str
     members: tuple[str, ...]
@@ -22,18 +26,18 @@
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """The other members."""
+        """The names of all members except this replica."""
         return tuple(member for member in self.members if member != self.name)
 
     @property
     def majority(self) -> int:
-        """How many members are a quorum."""
+        """The number of members that form a quorum."""
         return len(self.members) // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
 class DurableState:
-    """What a replica finds on its disk."""
+    """The state that a replica reads from its disk at start."""
 
     hard_state: HardState = HardState()
     entries: tuple[Entry, ...] = ()
@@ -41,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommittedEntry:
-    """An entry that no later leader can lack; indexes begin at 1."""
+    """A committed entry, which every later leader has in its log; indexes begin at 1."""
 
     index: int
     entry: Entry
@@ -49,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """What the embedding process has to do now, in this order.
+    """The work that the embedding process has to carry out, in the order of the fields.
 
-    First make `hard_state` (None: unchanged) durable, and the log from `first_index` on, which `entries` replace
-    (`first_index` 0: the log is unchanged); then send `messages`; then apply `committed`.
+    First, `hard_state` is made durable (unless it is None), and so is the log, whose entries from `first_index` on are
+    replaced by `entries` (unless `first_index` is 0). Then `messages` are sent, and finally `committed` is applied.
     """
 
     hard_state: HardState | None
@@ -63,5 +67,5 @@
 
     @property
     def must_store(self) -> bool:
-        """Whether the disk has to be written."""
+        """Whether there is state to write to the disk."""
         return self.hard_state is not None or self.first_index > 0
--- a/ryepier/maintenance/replication/recovery.py
+++ b/ryepier/maintenance/replication/recovery.py
@@ -1,4 +1,4 @@
-"""The recovering role: a replica that came back with an empty disk, until it may vote again."""
+"""The recovering role: a replica that has restarted with an empty disk, and must not vote before it has caught up."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 
 
 class Recovery:
-    """Asks every other member for its term, then waits for an entry of a leader elected without this replica."""
+    """Collects the terms of all other members, then waits for an entry of a leader elected without its vote."""
 
     def __init__(self, state: ReplicaState) -> None:
-        """Draw a nonce, so that answers to an earlier incarnation are not counted."""
+        """Draw a nonce, so that responses to an earlier process of this replica are not counted."""
         self.state = state
         self.nonce = state.random.getrandbits(63)
         self.member_terms: dict[str, int] = {}
 
     def tick(self) -> None:
-        """Ask all other members again at each heartbeat interval."""
+        """Send a recovery request to all other members at each heartbeat interval."""
         if self.state.elapsed_ticks % self.state.settings.heartbeat_ticks == 0:
             for peer in self.state.settings.peers:
                 self.state.send(peer, RecoveryRequest(self.nonce))
 
     def on_response(self, sender: str, response: RecoveryResponse) -> None:
-        """Once all others have answered, begin above every term in which this replica may have voted or answered.
+        """Record a member's term; once all have responded, become a learner in a term above all of theirs.
 
-        A majority of the others is not enough: the candidate that the lost vote went to may be the one left out.
+        That term is higher than every term in which this replica may have voted or responded. Responses from a majority
+        are not enough: the candidate that received the lost vote may be the member that has not responded.
         """
         state = self.state
         if state.role is not Role.RECOVERING or response.nonce != self.nonce:
@@ -39,9 +40,9 @@
         state.restart_election_timer()
 
     def become_voter_if_caught_up(self) -> None:
-        """Vote again once the last entry is of a leader that was elected without this replica.
+        """Become a follower, which may vote, if the last entry is from a leader elected without this replica's vote.
 
-        Such an entry shows that nothing is missing from the log before it.
+        Such an entry shows that the log before it is complete.
         """
         state = self.state
         recovered_at_term = state.hard_state.recovered_at_term
--- a/ryepier/maintenance/replication/replica_state.py
+++ b/ryepier/maintenance/replication/replica_state.py
@@ -1,4 +1,4 @@
-"""The state that all roles of a replica share: term, vote, log, role, election timer, and the output not yet taken."""
+"""The state that all roles of a replica share: term, vote, log, role, election timer and pending output."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class _PendingOutput:
-    """What has accumulated since the last `Ready`."""
+    """The state changes and messages that have accumulated since the last `Ready`."""
 
     hard_state_changed: bool = False
     first_index: int = 0
@@ -20,10 +20,10 @@
 
 
 class ReplicaState:
-    """The state of one replica; each change that has to be durable or sent is noted for the next `Ready`."""
+    """The state of one replica. Records every change that the next `Ready` has to store or send."""
 
     def __init__(self, settings: ReplicaSettings, durable: DurableState | None) -> None:
-        """Start from what the disk holds; None: the disk is empty although the region exists already."""
+        """Start from the state on disk; `durable` is None if the disk is empty although the region already exists."""
         self.settings = settings
         self.random = random.Random(settings.seed)
         self.hard_state = durable.hard_state if durable is not None else HardState()
@@ -38,7 +38,7 @@
 
     @property
     def term(self) -> int:
-        """The highest term that this replica has taken part in."""
+        """The current term, 0 before the first election."""
         return self.hard_state.term
 
     @property
@@ -47,46 +47,46 @@
         return len(self.log)
 
     def term_at(self, index: int) -> int:
-        """Return the term of an entry, 0 before the first."""
+        """Return the term of the entry at an index, 0 for index 0."""
         return self.log[index - 1].term if index > 0 else 0
 
     def change_role(self, event: Event) -> None:
-        """Follow the table of transitions. Raises KeyError for an event that the role does not list."""
+        """Change the role as `TRANSITIONS` defines. Raises KeyError if the role has no transition for the event."""
         self.role = TRANSITIONS[self.role, event]
 
     def set_hard_state(self, term: int, voted_for: str, recovered_at_term: int) -> None:
-        """Change what the disk must hold before the next message is sent."""
+        """Replace the hard state, which has to be stored before the next message is sent."""
         self.hard_state = HardState(term, voted_for, recovered_at_term)
         self.pending_output.hard_state_changed = True
 
     def enter_higher_term(self, term: int) -> None:
-        """Enter a term that another member has begun."""
+        """Enter a higher term that another member has started, without a vote or a known leader."""
         self.set_hard_state(term, NO_MEMBER, self.hard_state.recovered_at_term)
         self.change_role(Event.HIGHER_TERM)
         self.leader = NO_MEMBER
 
     def restart_election_timer(self) -> None:
-        """Draw the next election timeout, in ticks."""
+        """Reset the elapsed ticks and draw the next election timeout."""
         min_ticks = self.settings.election_ticks
         self.timeout_ticks = self.random.randint(min_ticks, 2 * min_ticks - 1)
         self.elapsed_ticks = 0
 
     def append(self, *entries: Entry) -> int:
-        """Append to the log, to be stored; return the last index."""
+        """Append entries to the log, mark them for storing, and return the last index."""
         self._mark_for_storing(self.last_index + 1)
         self.log.extend(entries)
         return self.last_index
 
     def _mark_for_storing(self, index: int) -> None:
-        """Note that the log has to be written from this index on."""
+        """Record that the log has to be stored from an index on."""
         self.pending_output.first_index = min(self.pending_output.first_index or index, index)
 
     def send(self, receiver: str, message: Message) -> None:
-        """Send a message once everything that it depends on is stored."""
+        """Queue a message, which the embedding process sends after the pending state is stored."""
         self.pending_output.messages.append(Envelope(receiver, message))
 
     def take_ready(self) -> Ready:
-        """Return all that has to be done since the last call."""
+        """Return the writes, messages and committed entries that have accumulated since the last call."""
         output, self.pending_output = self.pending_output, _PendingOutput()
         committed = tuple(
             CommittedEntry(index, self.log[index - 1]) for index in range(self.applied_index + 1, self.commit_index + 1)
@@ -102,7 +102,7 @@
 
 
 def _initial_role(durable: DurableState | None) -> Role:
-    """Return the role that the disk allows."""
+    """Return the role in which a replica starts with this state on its disk."""
     if durable is None:
         return Role.RECOVERING
     return Role.LEARNER if durable.hard_state.recovered_at_term > 0 else Role.FOLLOWER
--- a/ryepier/maintenance/replication/roles.py
+++ b/ryepier/maintenance/replication/roles.py
@@ -1,12 +1,12 @@
-"""The roles of a replica and every transition between them.
+"""The roles of a replica and all transitions between them.
 
-| role | answers votes | stands for election | takes entries |
+| role | answers vote requests | starts elections | appends entries |
 | --- | --- | --- | --- |
 | recovering | no | no | no |
 | learner | no | no | yes |
 | follower | yes | yes | yes |
-| candidate | yes | yes | yes, as a follower |
-| leader | yes | | proposes them |
+| candidate | yes | yes | yes, after becoming a follower |
+| leader | yes | no | only its own |
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Role(Enum):
-    """The role of a replica. The values are logged."""
+    """The role of a replica. The values appear in log messages."""
 
     RECOVERING = "recovering"
     LEARNER = "learner"
--- a/ryepier/maintenance/replication/seeded_faults.py
+++ b/ryepier/maintenance/replication/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Replicas with one seeded fault each, which the tests and experiments have to detect."""
+"""Replicas and storages with one seeded fault each, which the tests and experiments must detect."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 
 class VoteTwiceFollower(Follower):
-    """Votes for every candidate of a term."""
+    """Grants a vote to every candidate of a term."""
 
     def may_vote_for(self, candidate: str) -> bool:
-        """Ignore the vote that was given."""
+        """Return True even if this replica has voted for another candidate in the term."""
         return True
 
 
 class VoteTwiceReplica(Replica):
-    """`vote-twice`: votes for every candidate of a term."""
+    """`vote-twice`: grants a vote to every candidate of a term."""
 
     follower_type = VoteTwiceFollower
 
 
 class ForgetGrantStorage(FileStorage):
-    """`forget-grant`: an entry is acknowledged before it is on disk, and lost with the process."""
+    """`forget-grant`: entries are acknowledged without being written to disk, and are lost at a restart."""
 
     def save(self, ready: Ready) -> None:
-        """Store the term and the vote only."""
+        """Store only the hard state, without the entries."""
         super().save(replace(ready, first_index=0, entries=()))
 
 
 class ForgetVoteStorage(FileStorage):
-    """`vote-twice`, over a restart: term and vote are not on disk, so a replica votes again in the same term."""
+    """`vote-twice` across a restart: term and vote are not stored, so a replica may vote again in the same term."""
 
     def save(self, ready: Ready) -> None:
-        """Store the entries only."""
+        """Store only the entries, without the hard state."""
         super().save(replace(ready, hard_state=None))
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -1,14 +1,14 @@
 """The file that holds a replica's term, vote and log.
 
-    8 bytes   file type
-    12 bytes  how far the file has been acknowledged: offset (8), CRC-32 of it (4)
+    8 bytes   file signature
+    12 bytes  acknowledged offset (8), CRC-32 of the acknowledged offset (4)
     records   length (4), CRC-32 of the length (4), CRC-32 of the content (4), content
 
-All numbers are big-endian. The first record identifies the replica. A record is on disk (fsync) before `save` returns,
-and only then is the acknowledged offset moved behind it. So when the file is opened again, an incomplete record behind
-that offset is a write that was never acknowledged, and is truncated; all else that does not match was altered, and the
-file is rejected. The offset itself reaches the disk with the next record at the latest: after a loss of power it may
-lag, but never runs ahead.
+All numbers are big-endian. The first record identifies the replica. `save` first writes a record to disk (fsync) and
+then advances the acknowledged offset past it. When the file is opened again, an incomplete record after that offset is
+therefore a write that was never acknowledged, and is truncated. Any other mismatch means that the file was altered, and
+the file is rejected. The acknowledged offset itself is synced to disk with the next record at the latest: after a power
+failure it may be too low, but never too high.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 
 
 class StorageError(RyepierError):
-    """A replica's file cannot be used; the message names it and the reason."""
+    """A replica's log file cannot be used; the message has the path and the reason."""
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """The replica that a file belongs to. Members are fixed, so a file of other members is another region's."""
+    """The replica that a file belongs to. A region's members are fixed, so a file with other members is rejected."""
 
     region: str
     replica: str
@@ -49,7 +49,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One atomic change: a new hard state, and the log from `first_index` on (0: unchanged)."""
+    """One atomic change: a new hard state (None if unchanged), and the log from `first_index` on (0 if unchanged)."""
 
     hard_state: HardState | None
     first_index: int
@@ -57,25 +57,25 @@
 
 
 class Storage(Protocol):
-    """Stores what a `Ready` requires to be durable."""
+    """Durable storage for the state that a `Ready` contains."""
 
     def save(self, ready: Ready) -> None:
-        """Store what is to be durable, and return once it is on disk. Raises OSError, StorageError."""
+        """Store the hard state and the entries; return once they are on disk. Raises OSError or StorageError."""
 
     def close(self) -> None:
         """Close the file."""
 
 
 def exists(folder: Path) -> bool:
-    """Return whether a replica has stored its state here before."""
+    """Return whether a folder has a replica's log file."""
     return (folder / FILE_NAME).exists()
 
 
 def create(folder: Path, identity: Identity) -> None:
-    """Write the file of a replica without any entry. Raises StorageError where one exists."""
+    """Create the log file of a replica, without entries. Raises StorageError if the file already exists."""
     path = folder / FILE_NAME
     if path.exists():
-        raise StorageError(f"{path}: exists already")
+        raise StorageError(f"{path}: already exists")
     folder.mkdir(parents=True, exist_ok=True)
     record = _encode_record(msgspec.msgpack.encode(identity))
     temporary_path = path.with_suffix(".new")
@@ -88,10 +88,13 @@
 
 
 class FileStorage:
-    """A replica's open file. `state` is what it held when it was opened."""
+    """A replica's log file, locked by this process. `state` is the state that was read when the file was opened."""
 
     def __init__(self, folder: Path, identity: Identity) -> None:
-        """Open and check the file. Raises StorageError where it is missing, locked, altered or another replica's."""
+        """Open the file, check it, and truncate an unfinished write at its end.
+
+        Raises StorageError if the file is missing, locked, altered or belongs to another replica.
+        """
         self.path = folder / FILE_NAME
         self.descriptor = self._open_locked()
         try:
@@ -107,7 +110,7 @@
         self.offset = reader.offset
 
     def _open_locked(self) -> int:
-        """Open the file for this process alone."""
+        """Open the file and lock it exclusively. Raises StorageError if it is missing or locked by another process."""
         try:
             descriptor = os.open(self.path, os.O_RDWR | os.O_CLOEXEC)
         except OSError as error:
@@ -120,11 +123,11 @@
         return descriptor
 
     def _read_all(self) -> bytes:
-        """Return the whole file."""
+        """Return the content of the whole file."""
         return self.path.read_bytes()
 
     def save(self, ready: Ready) -> None:
-        """Write what a `Ready` requires to be durable; it is on disk when this returns."""
+        """Write the hard state and entries of a `Ready`; they are on disk when this method returns."""
         if not ready.must_store:
             return
         content = msgspec.msgpack.encode(Record(ready.hard_state, ready.first_index, ready.entries))
@@ -135,7 +138,7 @@
         self._write_at(_encode_acknowledged_offset(self.offset), len(FILE_SIGNATURE))
 
     def _write_at(self, data: bytes, offset: int) -> None:
-        """Write all of `data`."""
+        """Write all of `data` at an offset; a single write call may write only a part of it."""
         while data:
             written = os.pwrite(self.descriptor, data, offset)
             data = data[written:]
@@ -147,10 +150,10 @@
 
 
 class _LogFileReader:
-    """Reads a file once, from its start."""
+    """Reads and checks the content of a log file once, from its start."""
 
     def __init__(self, path: Path, data: bytes, identity: Identity) -> None:
-        """Read the file of the replica `identity`."""
+        """Start at the first record; `data` is the content of the file, which must belong to the replica `identity`."""
         self.path = path
         self.data = data
         self.size = len(data)
@@ -159,7 +162,10 @@
         self.acknowledged_offset = 0
 
     def read(self) -> DurableState:
-        """Return the state after the last complete record; `offset` is then behind it. Raises StorageError."""
+        """Return the state after the last complete record, and leave `offset` at the end of that record.
+
+        Raises StorageError if the file was altered or truncated, or belongs to another replica.
+        """
         self._read_acknowledged_offset()
         self._check_identity()
         hard_state = HardState()
@@ -176,31 +182,34 @@
         return DurableState(hard_state, tuple(entries))
 
     def _read_acknowledged_offset(self) -> None:
-        """Check the file's type and read how far it was acknowledged."""
+        """Check the file signature and read the acknowledged offset. Raises StorageError."""
         if self.data[: len(FILE_SIGNATURE)] != FILE_SIGNATURE:
-            raise StorageError(f"{self.path}: not a replica's log")
+            raise StorageError(f"{self.path}: not a replica's log file")
         if self.size < RECORDS_OFFSET:
-            raise StorageError(f"{self.path}: ends within its head")
+            raise StorageError(f"{self.path}: file header truncated")
         self.acknowledged_offset, checksum = ACKNOWLEDGED_OFFSET.unpack_from(self.data, len(FILE_SIGNATURE))
         if checksum != zlib.crc32(self.data[len(FILE_SIGNATURE) : len(FILE_SIGNATURE) + OFFSET_BYTES]):
             raise StorageError(f"{self.path}: the acknowledged offset does not match its checksum")
 
     def _check_identity(self) -> None:
-        """Raise StorageError for another replica's file."""
+        """Raise StorageError if the first record does not identify the expected replica."""
         content = self._read_next_content()
         if content is None:
-            raise StorageError(f"{self.path}: ends before it says whose it is")
+            raise StorageError(f"{self.path}: identity record missing or incomplete")
         try:
             stored = msgspec.msgpack.decode(content, type=Identity)
         except msgspec.DecodeError as error:
-            raise StorageError(f"{self.path}: does not say whose it is: {error}") from error
+            raise StorageError(f"{self.path}: unreadable identity record: {error}") from error
         if stored != self.identity:
             raise StorageError(
                 f"{self.path}: belongs to {_describe_identity(stored)}, not to {_describe_identity(self.identity)}"
             )
 
     def _read_next_content(self) -> bytes | None:
-        """Return the next record's content; None at the end, or at a torn write that was never acknowledged."""
+        """Return the content of the next record; None at the end of the file or at an incomplete record.
+
+        Raises StorageError if a checksum does not match.
+        """
         content_offset = self.offset + RECORD_HEADER.size
         if content_offset > self.size:
             return None
@@ -221,41 +230,47 @@
         return content
 
     def _is_zero_filled_tail(self) -> bool:
-        """Return whether only zeros follow, as where the file had grown before its content reached the disk."""
+        """Return whether all bytes from `offset` on are zero and unacknowledged.
+
+        A crash leaves such a tail if the file size was updated on disk before the content.
+        """
         return self.offset >= self.acknowledged_offset and not any(self.data[self.offset :])
 
     def _checksum_error(self, part: str) -> StorageError:
-        """Return the error for a record that does not match its checksum: an unfinished write would be shorter."""
+        """Return the error for a record that does not match its checksum.
+
+        An unfinished write would have left an incomplete record instead.
+        """
         return StorageError(f"{self.path}: the {part} of the record at byte {self.offset} does not match its checksum")
 
     def _decode_record(self, content: bytes) -> Record:
-        """Return a record whose checksum matches."""
+        """Decode the content of a record whose checksum matches. Raises StorageError."""
         try:
             return msgspec.msgpack.decode(content, type=Record)
         except msgspec.DecodeError as error:
-            raise StorageError(f"{self.path}: the record before byte {self.offset} is none: {error}") from error
+            raise StorageError(f"{self.path}: cannot decode the record before byte {self.offset}: {error}") from error
 
 
 def _encode_record(content: bytes) -> bytes:
-    """Return a record with its lengths and checksums. Raises StorageError where it is too long."""
+    """Return a record: the header with its length and checksums, then the content. Raises StorageError if too long."""
     if len(content) > MAX_RECORD_BYTES:
-        raise StorageError(f"a record of {len(content)} bytes is over the limit of {MAX_RECORD_BYTES}")
+        raise StorageError(f"a record of {len(content)} bytes exceeds the limit of {MAX_RECORD_BYTES}")
     length = len(content).to_bytes(LENGTH_BYTES, "big")
     return RECORD_HEADER.pack(len(content), zlib.crc32(length), zlib.crc32(content)) + content
 
 
 def _encode_acknowledged_offset(offset: int) -> bytes:
-    """Return the acknowledged offset with its checksum."""
+    """Return the encoded acknowledged offset with its checksum."""
     return ACKNOWLEDGED_OFFSET.pack(offset, zlib.crc32(offset.to_bytes(OFFSET_BYTES, "big")))
 
 
 def _describe_identity(identity: Identity) -> str:
-    """Describe an identity for messages."""
+    """Return a description of an identity for error messages."""
     return f"replica {identity.replica} of region {identity.region} ({', '.join(identity.members)})"
 
 
 def _sync_folder(folder: Path) -> None:
-    """Make the name of a new file durable."""
+    """Sync a folder to disk, so that the name of a new file is durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -168,7 +168,7 @@
         await north.submit(make_request())
         north.kill("north-0", "north-1")
         assert north.start("north-0", "--bootstrap").wait(TIMEOUT_S) == 2
-        assert "exists already" in north.log("north-0").read_text().splitlines()[-1]
+        assert "already exists" in north.log("north-0").read_text().splitlines()[-1]
         shutil.copy(north.file("north-1"), north.file("north-0"))
         assert north.start("north-0").wait(TIMEOUT_S) == 2
         assert "belongs to replica north-1 of region north" in north.log("north-0").read_text().splitlines()[-1]
--- a/tests/test_maintenance_storage.py
+++ b/tests/test_maintenance_storage.py
@@ -96,7 +96,7 @@
 
 
 def test_no_file_is_created_over_another_and_a_missing_one_is_not_opened(folder: Path, tmp_path: Path) -> None:
-    with pytest.raises(storage.StorageError, match="exists already"):
+    with pytest.raises(storage.StorageError, match="already exists"):
         storage.create(folder, IDENTITY)
     with pytest.raises(storage.StorageError, match="No such file"):
         storage.FileStorage(tmp_path / "elsewhere", IDENTITY)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -201,7 +201,7 @@
 
 
 def test_a_message_of_a_non_member_is_rejected() -> None:
-    with pytest.raises(ProtocolError, match="'x' is not another member"):
+    with pytest.raises(ProtocolError, match="'x' is not a peer"):
         follower().receive("x", RequestVote(9, 0, 0))
 
 
