--- a/ryepier/maintenance/__init__.py
+++ b/ryepier/maintenance/__init__.py
@@ -1,4 +1,4 @@
-"""Maintenance windows across regions that never breach the agreed capacity.
+"""Schedules maintenance windows across regions without breaching the agreed capacity.
 
-Capacity is counted in thousandths of a converter's size, so that sums are exact; times are in milliseconds.
+Capacity is an integer in thousandths of a converter's size, so that sums are exact. Times are in milliseconds.
 """
--- a/ryepier/maintenance/agent.py
+++ b/ryepier/maintenance/agent.py
@@ -1,7 +1,7 @@
-"""An agent: acquires leases of one region and carries their maintenance out, one step after another.
+"""The agent: acquires leases from one region's coordinators and carries out the maintenance of the leased converters.
 
-What it does to converters it does only under a lease whose drain was committed, with the lease's token. Its report
-closes no lease: the coordinators observe for themselves whether a converter is ready and warm.
+An agent acts on a converter only under a lease whose drain is committed, and sends the lease's fencing token with every
+step. Its release does not close the lease: the coordinators observe for themselves when a converter is ready and warm.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 10.0
-WINDOW_POLL_INTERVAL_S = 0.2  # while no window is due
+WINDOW_POLL_INTERVAL_S = 0.2  # between two requests for a lease while no window is due
 RETRY_DELAY_S = 0.5
 IN_FLIGHT_POLL_INTERVAL_S = 0.1
 DRAIN_TIMEOUT_S = 10.0
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """How an agent works.
+    """The settings of an agent.
 
-    `drain_grace_s` is how long sidecars may still send to a converter after it was listed as draining. `work_s` stands
-    for the maintenance itself. At most `max_concurrent_leases` are carried out together.
+    `drain_grace_s` is how long sidecars may still send requests to a converter after it is listed as draining. `work_s`
+    is the duration of the simulated maintenance work. The agent holds at most `max_concurrent_leases` at a time.
     """
 
     name: str
@@ -43,10 +43,10 @@
 
 
 class Agent:
-    """One agent of a region. Only one process may run under a name."""
+    """One agent of a region. Only one process at a time may use an agent's name."""
 
     def __init__(self, settings: AgentSettings, client: RegionClient, fleet: Fleet) -> None:
-        """Use `client` to reach the region's coordinators, and `fleet` for the converters."""
+        """Start without leases; `client` calls the region's coordinators, and `fleet` acts on converters."""
         self.settings = settings
         self.client = client
         self.fleet = fleet
@@ -55,7 +55,7 @@
         self.active_leases: set[str] = set()
 
     async def run(self) -> None:
-        """Resume the leases of an earlier incarnation, then acquire and carry out leases until cancelled."""
+        """Resume the leases of an earlier process of this agent, then acquire and carry out leases until cancelled."""
         async with asyncio.TaskGroup() as group:
             for lease in await self._fetch_resumable_leases():
                 self._start_maintenance(group, lease)
@@ -67,17 +67,17 @@
                     self._start_maintenance(group, acquired)
 
     def _start_maintenance(self, group: asyncio.TaskGroup, lease: Granted) -> None:
-        """Carry a lease out in a task of its own."""
+        """Carry out a lease in a separate task."""
         self.active_leases.add(lease.lease)
         group.create_task(self._carry_out_lease(lease))
 
     async def _fetch_resumable_leases(self) -> list[Granted]:
-        """Return the leases under this agent's name that are neither released nor revoked."""
+        """Return this agent's leases that are neither released nor revoked. Retries until the status is available."""
         while True:
             try:
                 status = await self.client.status(CALL_TIMEOUT_S)
             except CallError as error:
-                log.warning("status unavailable: %s", error)
+                log.warning("region status unavailable: %s", error)
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
             own_leases = [
@@ -88,7 +88,10 @@
             return [Granted(lease.name, lease.agent, lease.token, lease.converters) for lease in own_leases]
 
     async def _acquire_lease(self) -> Granted | None:
-        """Ask for a lease; retry under the same name until its outcome is known. None: there is none now."""
+        """Request a lease; return None if none was granted or the agent has reached its limit of leases.
+
+        While the outcome of a request is unknown, the next call repeats it under the same lease name.
+        """
         if len(self.active_leases) >= self.settings.max_concurrent_leases:
             return None
         name = f"{self.settings.name}-{self.incarnation}-{self.next_lease_number}"
@@ -106,30 +109,30 @@
         return None
 
     async def _carry_out_lease(self, lease: Granted) -> None:
-        """Carry one lease out, from its drain to its release."""
+        """Carry out one lease, from the start of its drain to its release."""
         log_fields = {"lease": lease.lease, "token": lease.token}
-        log.info("maintenance starts", extra={**log_fields, "converters": lease.converters})
+        log.info("maintenance started", extra={**log_fields, "converters": lease.converters})
         try:
             if await self._start_drain(lease):
                 await asyncio.gather(*(self._maintain_converter(name, lease.token) for name in lease.converters))
                 await self._release(lease)
-                log.info("maintenance is done", extra=log_fields)
+                log.info("maintenance completed", extra=log_fields)
         except FleetError as error:
             log.warning("maintenance abandoned: %s", error, extra=log_fields)
         finally:
             self.active_leases.discard(lease.lease)
 
     async def _start_drain(self, lease: Granted) -> bool:
-        """Return whether the coordinators have committed that the drain starts."""
+        """Ask the coordinators to start the drain; return whether they have committed it."""
         command = StartDrain(lease.lease, lease.token)
         result = await self._retry_until_acknowledged(lambda: self.client.command(command, CALL_TIMEOUT_S))
         if isinstance(result, DrainStarted):
             return True
-        log.info("lease was revoked: %s", result, extra={"lease": lease.lease})
+        log.info("drain not started: %s", result, extra={"lease": lease.lease})
         return False
 
     async def _release(self, lease: Granted) -> None:
-        """Report that the maintenance is done."""
+        """Release the lease after its maintenance."""
         command = ReleaseLease(lease.lease, lease.token)
         result = await self._retry_until_acknowledged(lambda: self.client.command(command, CALL_TIMEOUT_S))
         if isinstance(result, Rejected):
@@ -137,16 +140,19 @@
 
     @staticmethod
     async def _retry_until_acknowledged(call: Callable[[], Awaitable[Result]]) -> Result:
-        """Repeat an idempotent call until a leader has answered."""
+        """Repeat an idempotent call until a leader has replied to it."""
         while True:
             try:
                 return await call()
             except CallError as error:
-                log.warning("no answer: %s", error)
+                log.warning("call to the coordinators failed, retrying: %s", error)
                 await asyncio.sleep(RETRY_DELAY_S)
 
     async def _maintain_converter(self, converter: str, token: int) -> None:
-        """Drain, stop, work, start. Raises FleetError, and then leaves the converter as it is."""
+        """Drain and stop a converter, do the maintenance work, then start and list it again.
+
+        Raises FleetError if a step fails; the converter then stays in its current state.
+        """
         await self.fleet.perform(Action.DRAIN, converter, token)
         await asyncio.sleep(self.settings.drain_grace_s)
         await self._wait_until_idle(converter, token)
@@ -157,10 +163,10 @@
         await self.fleet.perform(Action.LIST, converter, token, reply.uid)
 
     async def _wait_until_idle(self, converter: str, token: int) -> None:
-        """Wait for the requests in flight. Raises FleetError where they do not end."""
+        """Wait until a converter has no requests in flight. Raises FleetError after DRAIN_TIMEOUT_S."""
         try:
             async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 while (await self.fleet.perform(Action.IN_FLIGHT, converter, token)).in_flight > 0:
                     await asyncio.sleep(IN_FLIGHT_POLL_INTERVAL_S)
         except TimeoutError:
-            raise FleetError(f"{converter} has requests in flight after {DRAIN_TIMEOUT_S:g} s") from None
+            raise FleetError(f"{converter} still has requests in flight after {DRAIN_TIMEOUT_S:g} s") from None
--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -1,6 +1,7 @@
-"""The frames on a coordinator's port beside the replicas' own messages: greetings, calls and replies.
+"""The frames that clients and replicas exchange with a coordinator: hellos, calls, replies and replication messages.
 
-Tags and keys on the wire are fixed: a field with another name here maps to its key by `name=`, a class by its tag.
+Tags and keys on the wire are fixed. A field whose Python name differs from its key sets the key with `name=`, and a
+class sets its tag with `tag=`.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from ryepier.maintenance.tables import LeaseState
 
 VERSION = 1
-NO_START_MS = -1  # of a request without a scheduled window
+NO_START_MS = -1  # `starts_ms` of a request that has no scheduled window
 
 Text = Annotated[str, msgspec.Meta(max_length=2000)]
 
 
 class ClientKind(enum.StrEnum):
-    """Who calls a coordinator; decides which commands it may give."""
+    """The kind of a coordinator's client, which determines the commands that it may send."""
 
     OPERATOR = "operator"
     AGENT = "agent"
@@ -30,16 +31,16 @@
 
 
 class PeerHello(msgspec.Struct, tag="peer-hello", frozen=True):
-    """The first frame between two replicas of one region; both must hold the same agreement."""
+    """The first frame that a replica sends to a peer; both must have the same agreement."""
 
     version: int
     region: Name
     replica: Name
-    agreement: str  # its digest
+    agreement: str  # digest of the sender's agreement
 
 
 class ClientHello(msgspec.Struct, tag="client-hello", frozen=True):
-    """The first frame of any other caller; `region` is the one that it wants to reach."""
+    """The first frame of a client; `region` is the region that it wants to call."""
 
     version: int
     region: Name
@@ -48,31 +49,31 @@
 
 
 class Rejection(msgspec.Struct, tag="refusal", frozen=True):
-    """The other side is not served, for this reason; the connection closes after this frame."""
+    """A hello or call was rejected for this reason; the sender closes the connection after this frame."""
 
     reason: Text
 
 
 class _Numbered(msgspec.Struct, frozen=True):
-    """A call, or the reply to the call of the same number on the same connection."""
+    """A call, or the reply to the call with the same number on the same connection."""
 
     number: NonNegative
 
 
 class CommandCall(_Numbered, tag="command-call", frozen=True):
-    """Commit this command; the reply follows the commit."""
+    """Requests that the encoded command is committed; the reply is sent after the commit."""
 
     command: bytes
 
 
 class LeaseCall(_Numbered, tag="lease-call", frozen=True):
-    """An agent asks for a window that is due, under a name that it chooses; the same name is the same lease."""
+    """Requests a lease on a window that is due. The agent chooses the name; repeating a name returns the same lease."""
 
     lease: Name
 
 
 class StatusCall(_Numbered, tag="status-call", frozen=True):
-    """Report the region's state."""
+    """Requests the state of the region."""
 
 
 class CommandReply(_Numbered, tag="command-reply", frozen=True):
@@ -82,14 +83,14 @@
 
 
 class NoWindowReply(_Numbered, tag="no-window-reply", frozen=True):
-    """No window is due."""
+    """The reply to a `LeaseCall` if no window is due."""
 
 
 class RequestStatus(msgspec.Struct, frozen=True):
     """An open request.
 
-    `starts_ms` is the region's time of its next window, NO_START_MS without one. `reason` is why the request waits or
-    does not fit; empty where neither.
+    `starts_ms` is the start of its next window in the region's time, or NO_START_MS if no window is scheduled. `reason`
+    says why the request is delayed or cannot be scheduled; it is empty otherwise.
     """
 
     name: str
@@ -113,7 +114,7 @@
 
 
 class CapacityStatus(msgspec.Struct, frozen=True):
-    """A service's capacity in the region, in thousandths."""
+    """A service's capacity in the region, in thousandths of a converter's size."""
 
     service: str
     available: int = msgspec.field(name="in_force")
@@ -123,7 +124,7 @@
 
 
 class StatusReply(_Numbered, tag="status-reply", frozen=True):
-    """The state of a region as its leader has applied it."""
+    """The state of a region, as far as its leader has applied the log."""
 
     region: str
     leader: str
@@ -136,7 +137,7 @@
 
 
 class NotLeaderReply(_Numbered, tag="not-leader-reply", frozen=True):
-    """Nothing was done here; ask `leader`, where it is not empty."""
+    """The call was not processed because this replica is not the leader; `leader` is empty if it is not known."""
 
     leader: str
 
--- a/ryepier/maintenance/client.py
+++ b/ryepier/maintenance/client.py
@@ -1,4 +1,4 @@
-"""Calls a region's coordinators: finds the leader, and retries where a replica is gone or does not lead any more."""
+"""A client of a region's coordinators, which finds the leader and retries after failures and leader changes."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from ryepier.maintenance.results import Result
 from ryepier.maintenance.transport import Connection, TransportError
 
-ATTEMPT_TIMEOUT_S = 2.0  # for one replica to answer
+ATTEMPT_TIMEOUT_S = 2.0  # for one replica to reply
 RETRY_DELAY_S = 0.1
 
-MakeCall = Callable[[int], api.Call]  # from the call's number
+MakeCall = Callable[[int], api.Call]  # makes a call with the given number
 
 
 class CallError(RyepierError):
-    """No replica answered as a leader in time, or one rejected the call; whether it was committed is not known."""
+    """No leader replied in time, or a replica rejected the call. The command may have been committed nevertheless."""
 
 
 class RegionClient:
-    """One caller's connection to a region.
+    """A client's connection to one region.
 
-    A call may be carried out more than once: commands are idempotent. Several tasks may call; they take turns.
+    A retried call may be carried out more than once, which is safe because commands are idempotent. Several tasks may
+    use one client; their calls are made one at a time.
     """
 
     def __init__(self, region: str, replicas: Mapping[str, Address], name: str, kind: ClientKind) -> None:
-        """Call as `name`; nothing is opened yet."""
+        """Use the client name `name`. The connection is opened with the first call, to the first of `replicas`."""
         self.hello = api.ClientHello(api.VERSION, region, name, kind)
         self.replicas = dict(replicas)
         self.target_replica = next(iter(self.replicas))
@@ -43,23 +44,23 @@
         data = commands.encode(command)
         reply = await self._call(lambda number: api.CommandCall(number, data), timeout_s)
         if not isinstance(reply, api.CommandReply):
-            raise CallError(f"answered a command with {type(reply).__name__}")
+            raise CallError(f"unexpected reply to a command: {type(reply).__name__}")
         return reply.result
 
     async def acquire_lease(self, lease: str, timeout_s: float) -> Result | None:
-        """Ask for a window that is due; None where there is none. Raises CallError."""
+        """Request a lease on a window that is due; return None if no window is due. Raises CallError."""
         reply = await self._call(lambda number: api.LeaseCall(number, lease), timeout_s)
         if isinstance(reply, api.NoWindowReply):
             return None
         if not isinstance(reply, api.CommandReply):
-            raise CallError(f"answered a request for a lease with {type(reply).__name__}")
+            raise CallError(f"unexpected reply to a request for a lease: {type(reply).__name__}")
         return reply.result
 
     async def status(self, timeout_s: float) -> StatusReply:
         """Return the region's state. Raises CallError."""
         reply = await self._call(api.StatusCall, timeout_s)
         if not isinstance(reply, StatusReply):
-            raise CallError(f"answered a request for the status with {type(reply).__name__}")
+            raise CallError(f"unexpected reply to a request for the status: {type(reply).__name__}")
         return reply
 
     def close(self) -> None:
@@ -69,8 +70,8 @@
             self.connection = None
 
     async def _call(self, make_call: MakeCall, timeout_s: float) -> api.Reply:
-        """Retry until a leader has answered. Raises CallError."""
-        last_failure = "no replica was asked"
+        """Send a call, and retry until a leader replies. Raises CallError."""
+        last_failure = "no replica was called"
         try:
             async with asyncio.timeout(timeout_s), self.call_lock:
                 while True:
@@ -82,17 +83,20 @@
                     else:
                         if not isinstance(reply, api.NotLeaderReply | api.UncertainReply):
                             return reply
-                        last_failure = f"{self.target_replica} does not lead"
+                        last_failure = f"{self.target_replica} is not the leader"
                         self._switch_target(reply.leader if isinstance(reply, api.NotLeaderReply) else "")
                     await asyncio.sleep(RETRY_DELAY_S)
         except TimeoutError:
             self.close()
             raise CallError(
-                f"no answer of region {self.hello.region} within {timeout_s:g} s; last {last_failure}"
+                f"no reply from region {self.hello.region} within {timeout_s:g} s; last failure: {last_failure}"
             ) from None
 
     async def _request_once(self, make_call: MakeCall) -> api.Reply:
-        """Send the call to the present target. Raises CallError where it rejects this caller."""
+        """Send a call to the target replica and return its reply.
+
+        Raises CallError if the replica rejects the call; OSError, EOFError, TimeoutError or TransportError if it fails.
+        """
         async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
             if self.connection is None:
                 self.connection = await Connection.dial(self.replicas[self.target_replica], self.hello)
@@ -106,7 +110,7 @@
                     return frame
 
     def _switch_target(self, leader: str) -> None:
-        """Turn to the leader that was named, or else to the next replica."""
+        """Make `leader` the target if it is a known replica, otherwise the replica after the current target."""
         if leader == self.target_replica:
             return
         self.close()
--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -1,6 +1,6 @@
-"""One coordinator process: a replica of its region's log and, while it leads, the region's scheduler.
+"""A coordinator process: a replica of its region's log and, while it is the leader, the region's scheduler.
 
-A call is answered only after its command is committed, so a leader that was deposed without knowing it grants nothing.
+A call is answered only after its command is committed, so a leader that was deposed without noticing grants no lease.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-BACKLOG = 256  # connections
+BACKLOG = 256  # connections that wait to be accepted
 
 DEFAULT_COMPONENTS = CoordinatorComponents()
 
 
 class Coordinator:
-    """One replica on its sockets."""
+    """One replica with its server, peer connections and background tasks."""
 
     def __init__(self, settings: CoordinatorSettings, components: CoordinatorComponents | None = None) -> None:
-        """Open the disk; without `components`, with the default ones.
+        """Open the replica's storage; `components` defaults to DEFAULT_COMPONENTS.
 
-        Raises StorageError, KeyError for an unknown region, ValueError for an unknown replica.
+        Raises StorageError, KeyError if the region is unknown, or ValueError if the replica is unknown.
         """
         self.settings = settings
         self.peers = PeerConnections(settings)
@@ -46,7 +46,7 @@
         self.fatal_error: FatalError | None = None
 
     def _make_node(self, components: CoordinatorComponents) -> Node:
-        """Return the replica with its disk and an empty ledger."""
+        """Return the node: the replica with its opened storage and an empty ledger."""
         settings = self.settings
         ledger = components.ledger_type(settings.agreement, settings.region)
         members = tuple(settings.addresses)
@@ -57,7 +57,7 @@
         return Node(replica, disk.storage, ledger, self.peers.send)
 
     async def run(self) -> None:
-        """Serve until `stop_event` is set. Raises FatalError, or OSError where the address cannot be used."""
+        """Serve until `stop_event` is set. Raises FatalError, or OSError if the address cannot be bound."""
         address = self.settings.addresses[self.settings.replica]
         server = Server(self.settings, self.node, self.planner, self.clock, self._stop_with_error)
         socket_server = await asyncio.start_server(server.serve, *address, backlog=BACKLOG)
@@ -74,7 +74,7 @@
             raise self.fatal_error
 
     def _background_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """Return all that runs beside the connections that are served."""
+        """Return the coroutines that run alongside the server."""
         leader_tasks = LeaderTasks(self.settings, self.node, self.planner, self.clock)
         agreement, region = self.settings.agreement, self.settings.region
         links = [RegionLink(agreement, region, other) for other in agreement.regions if other != region]
@@ -87,18 +87,18 @@
         ]
 
     async def _tick_replica(self) -> None:
-        """Tick the replica's clock. Ticks that a stopped process missed are not made up for."""
+        """Advance the replica's clock every TICK_S. Ticks missed while the process was suspended are skipped."""
         while True:
             await asyncio.sleep(TICK_S)
             self.node.tick()
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        """Stop the process where a background task has failed."""
+        """Stop the process if a background task has failed."""
         if not task.cancelled() and (error := task.exception()) is not None:
             self._stop_with_error(error)
 
     def _stop_with_error(self, error: BaseException) -> None:
-        """Stop the process with an error."""
-        log.error("coordinator stops: %s", error)
+        """Stop the process; `run` raises the error."""
+        log.error("coordinator stops after an error: %s", error)
         self.fatal_error = error if isinstance(error, FatalError) else FatalError(f"{type(error).__name__}: {error}")
         self.stop_event.set()
--- a/ryepier/maintenance/discovery_listing.py
+++ b/ryepier/maintenance/discovery_listing.py
@@ -1,4 +1,4 @@
-"""Fetches discovery's list of converters over HTTP."""
+"""Fetches the list of converters from discovery over HTTP."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class ListingError(RyepierError):
-    """Discovery did not answer with a listing."""
+    """Discovery did not return a valid list in time; the message has the address and the reason."""
 
 
 async def fetch_listing(address: Address, timeout_s: float) -> list[ListedConverter]:
-    """Return discovery's whole list. Raises ListingError."""
+    """Fetch and return the complete list of converters. Raises ListingError."""
     try:
         async with asyncio.timeout(timeout_s):
             body = await _http_get(address, LISTING_PATH)
@@ -39,11 +39,11 @@
         head_lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         status_code = head_lines[0].split(" ")[1:2]
         if status_code != [STATUS_OK]:
-            raise ValueError(f"answered {head_lines[0]!r}")
+            raise ValueError(f"unexpected status line {head_lines[0]!r}")
         headers = dict(line.lower().split(":", 1) for line in head_lines[1:] if ":" in line)
         length = int(headers["content-length"])
         if length > MAX_LISTING_BYTES:
-            raise ValueError(f"a listing of {length} bytes; {MAX_LISTING_BYTES} are allowed")
+            raise ValueError(f"a list of {length} bytes exceeds the limit of {MAX_LISTING_BYTES} bytes")
         return await reader.readexactly(length)
     finally:
         writer.close()
--- a/ryepier/maintenance/fleet.py
+++ b/ryepier/maintenance/fleet.py
@@ -1,7 +1,7 @@
-"""The steps that an agent does to converters, over a socket of the operators' tooling: each has a fencing token.
+"""The steps that an agent performs on converters, by calls to the operators' tooling that carry a fencing token.
 
-The far end keeps the highest token that it has seen of each converter and rejects a lower one, so that an agent that
-was stopped and goes on with an old lease changes nothing.
+The tooling stores the highest token that it has received for each converter and rejects lower ones. An agent that was
+suspended and continues under an outdated lease therefore cannot change a converter.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Action(enum.StrEnum):
-    """A step on one converter, as it is sent."""
+    """A step on one converter. The values are sent to the tooling."""
 
     DRAIN = "drain"
     REMOVE = "remove"
@@ -31,15 +31,15 @@
     IN_FLIGHT = "in-flight"
 
 
-DISCOVERY_ACTIONS = (Action.DRAIN, Action.REMOVE, Action.LIST)  # the others go to the converters' processes
+DISCOVERY_ACTIONS = (Action.DRAIN, Action.REMOVE, Action.LIST)  # all other actions concern a converter's process
 
 
 class FleetError(RyepierError):
-    """A step that was not done, with the reason in one line."""
+    """A step was rejected or failed; the message has the reason."""
 
 
 class FleetCall(msgspec.Struct, frozen=True):
-    """One step on one converter; `uid` names its new incarnation where that is listed."""
+    """A request for one step on one converter. `uid` is the incarnation to list, and is empty for other actions."""
 
     action: Action
     converter: str
@@ -48,9 +48,10 @@
 
 
 class FleetReply(msgspec.Struct, frozen=True):
-    """The outcome of a step; it was done where `rejection` is empty.
+    """The outcome of a step. `rejection` is the reason why it was rejected, or empty if it was performed.
 
-    `in_flight` counts the requests that the converter has not answered; `uid` is the incarnation that was started.
+    `in_flight` is the number of requests that the converter has not answered yet; `uid` is the incarnation that was
+    started.
     """
 
     rejection: str = msgspec.field(name="refusal", default="")
@@ -59,37 +60,37 @@
 
 
 class Fleet(Protocol):
-    """The tooling that an agent uses."""
+    """The interface to the tooling that an agent uses."""
 
     async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
-        """Do one step. Raises FleetError where it was rejected or its outcome is unknown."""
+        """Perform one step. Raises FleetError if it was rejected or its outcome is unknown."""
 
 
 class FencingTokens:
-    """The highest token that was seen of each converter."""
+    """The highest fencing token received for each converter."""
 
     def __init__(self) -> None:
-        """Begin without any token."""
+        """Start without any tokens, so that the first token of each converter is accepted."""
         self.highest: dict[str, int] = {}
 
     def rejection_reason(self, call: FleetCall) -> str:
-        """Return why a call is rejected; empty where it may be done."""
+        """Return why a call is rejected, or an empty string if it is allowed. Records the token of an allowed call."""
         highest = self.highest.get(call.converter, 0)
         if call.token < highest:
-            return f"token {call.token} for {call.converter} is old; {highest} was seen"
+            return f"token {call.token} for {call.converter} is outdated; {highest} is the highest received"
         self.highest[call.converter] = call.token
         return ""
 
 
 class SocketFleet:
-    """The tooling at the far end of sockets: one for discovery's list, one for the converters' processes."""
+    """Calls the tooling's two TCP servers: one changes discovery's list, one controls the converters' processes."""
 
     def __init__(self, discovery: Address, converters: Address) -> None:
-        """Know where both listen."""
+        """Use the addresses of the servers for `discovery` and for `converters`. No connection is opened yet."""
         self.addresses = {action: discovery if action in DISCOVERY_ACTIONS else converters for action in Action}
 
     async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
-        """Do one step over a connection of its own. Raises FleetError."""
+        """Perform one step over a new connection. Raises FleetError."""
         try:
             async with asyncio.timeout(STEP_TIMEOUT_S):
                 reply = await self._request(self.addresses[action], FleetCall(action, converter, token, uid))
@@ -101,7 +102,7 @@
 
     @staticmethod
     async def _request(address: Address, call: FleetCall) -> FleetReply:
-        """Send one call and return its reply."""
+        """Send one call over a new connection and return its reply."""
         reader, writer = await asyncio.open_connection(*address)
         try:
             write_message(writer, call)
@@ -111,14 +112,14 @@
 
 
 def write_message(writer: asyncio.StreamWriter, message: FleetCall | FleetReply) -> None:
-    """Write one message with its length."""
+    """Write one message, preceded by its length."""
     body = msgspec.msgpack.encode(message)
     writer.write(len(body).to_bytes(LENGTH_BYTES, "big") + body)
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """Read one message without its length. Raises ValueError where it is too long, and OSError, EOFError."""
+    """Read one message and return its body. Raises ValueError if it is too long, OSError or EOFError."""
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if length > MAX_FRAME_BYTES:
-        raise ValueError(f"a message of {length} bytes; {MAX_FRAME_BYTES} are allowed")
+        raise ValueError(f"a message of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
     return await reader.readexactly(length)
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -22,14 +22,14 @@
 OBSERVE_INTERVAL_S = 0.3
 LISTING_TIMEOUT_S = 1.0
 ADVANCE_INTERVAL_S = 0.5
-IDLE_ADVANCE_MS = 10_000  # without a request: each step of the time is an entry in the log
+IDLE_ADVANCE_MS = 10_000  # while there are no requests, because each advance is an entry in the log
 
 
 class LeaderTasks:
-    """Tasks that run on every replica, each until it is cancelled; only the leader commits commands."""
+    """Tasks that run on every replica until they are cancelled. Only the leader proposes commands."""
 
     def __init__(self, settings: CoordinatorSettings, node: Node, planner: Planner, clock: RegionClock) -> None:
-        """Work with these parts."""
+        """Start with an empty warmth tracker for the converters of the region; no task is running yet."""
         self.settings = settings
         self.node = node
         self.ledger = node.ledger
@@ -39,7 +39,7 @@
         self.listing_available = True
 
     async def advance_time(self) -> None:
-        """Advance the region's time by this leader's clock, from where the last leader left it."""
+        """Advance the region's time by this leader's clock, continuing from the time that the last leader committed."""
         while True:
             await asyncio.sleep(ADVANCE_INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
@@ -50,7 +50,7 @@
                 await self._try_propose(AdvanceTime(now_ms))
 
     async def observe(self) -> None:
-        """Observe the converters; the leader records what has changed."""
+        """Fetch discovery's list periodically and track warmth; the leader commits the changes."""
         if self.settings.discovery is None:
             return
         while True:
@@ -60,14 +60,18 @@
                 listing = await fetch_listing(self.settings.discovery, LISTING_TIMEOUT_S)
             except ListingError as error:
                 if self.listing_available:
-                    log.warning("no listing: %s", error)
+                    log.warning("cannot fetch the list of converters: %s", error)
                 self.listing_available = False
                 continue
             self.listing_available = True
             await self._record_listing(listing, as_of, region_ms)
 
     async def _record_listing(self, listing: list[ListedConverter], as_of: int, region_ms: int) -> None:
-        """Record what a listing shows, begun when `as_of` was applied and the region's time was `region_ms`."""
+        """Update the warmth tracker from a listing; as the leader, propose the observations that the ledger lacks.
+
+        `as_of` is the last applied log index and `region_ms` the region's time, both from before the listing was
+        fetched.
+        """
         probes = self.tracker.observe(monotonic_ms(), region_ms, listing)
         for converter in self.planner.converters_to_restart(probes):
             self.tracker.restart_warm_up(converter, monotonic_ms(), region_ms)
@@ -77,7 +81,7 @@
                 await self._try_propose(command)
 
     async def exchange_with(self, link: RegionLink) -> None:
-        """Report this region's needs to another one, and move allowances."""
+        """Report this region's capacity needs to another region periodically, and transfer allowances to it."""
         while True:
             await asyncio.sleep(link.INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
@@ -89,7 +93,7 @@
                 await self._try_propose(command)
 
     async def _try_propose(self, command: Command) -> None:
-        """Propose a command; a replica that does not lead any more leaves it to the one that does."""
+        """Propose a command. Ignores a loss of leadership: the new leader proposes what is still needed."""
         with contextlib.suppress(NotLeaderError, DeposedError):
             await self.node.propose(command)
 
--- a/ryepier/maintenance/node.py
+++ b/ryepier/maintenance/node.py
@@ -1,4 +1,4 @@
-"""A replica with its disk and its ledger: carries out what the replicated log requires, in its order."""
+"""A replica with its storage and ledger: stores state, sends messages and applies entries in the required order."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 class DeposedError(RyepierError):
-    """The replica lost its leadership before the command was committed; another leader may still commit it."""
+    """The replica lost its leadership before the command was committed. Another leader may still commit it."""
 
 
 class FatalError(RyepierError):
-    """The disk failed, or the log holds what this version cannot read: the replica has to stop."""
+    """The storage failed, or the log has an entry that this version cannot decode. The replica has to stop."""
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A command that was proposed in a term and awaits its commit."""
+    """A command that was proposed in `term` and is not committed yet; `result` resolves when it is applied."""
 
     term: int
     result: asyncio.Future[Result]
@@ -41,17 +41,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _RoleInTerm:
-    """A replica's role in a term."""
+    """A replica's role and its current term."""
 
     role: Role
     term: int
 
 
 class Node:
-    """One coordinator's part in its region's log, without its sockets. All calls come from one event loop."""
+    """Runs a replica and applies its committed entries to a ledger. All calls must come from one event loop."""
 
     def __init__(self, replica: Replica, disk: storage.Storage, ledger: Ledger, send: SendMessage) -> None:
-        """Join the parts; `send` may drop a message."""
+        """Start without pending proposals. `send` sends a message to a peer and may drop it."""
         self.replica = replica
         self.disk = disk
         self.ledger = ledger
@@ -66,7 +66,7 @@
         self._process_ready()
 
     def receive(self, sender: str, message: Message) -> None:
-        """Take a peer's message. Raises ProtocolError where no peer can have sent it, and FatalError."""
+        """Handle a message from a peer. Raises ProtocolError if no correct peer can have sent it, or FatalError."""
         try:
             self.replica.receive(sender, message)
         finally:
@@ -81,14 +81,17 @@
         return await result
 
     def close(self) -> None:
-        """Stop; proposals that await their commit fail with DeposedError."""
+        """Close the storage. Pending proposals fail with DeposedError."""
         self._fail_pending_proposals()
         self.disk.close()
 
     def _process_ready(self) -> None:
-        """Write the disk, then send messages, then apply entries. Raises FatalError; nothing is done after one."""
+        """Store pending state, then send messages, then apply committed entries.
+
+        Raises FatalError if one of these fails, and on every later call.
+        """
         if self.failed:
-            raise FatalError("this replica has failed before")
+            raise FatalError("this replica has already failed")
         ready = self.replica.take_ready()
         try:
             self.disk.save(ready)
@@ -102,7 +105,7 @@
         self._log_role_change()
 
     def _apply_entry(self, committed: CommittedEntry) -> None:
-        """Apply a committed entry, and resolve the proposal that waits for its index."""
+        """Apply a committed entry to the ledger, and resolve the pending proposal at its index, if there is one."""
         proposal = self.pending_proposals.pop(committed.index, None)
         if not committed.entry.command:
             self._resolve_proposal(proposal, None)
@@ -113,7 +116,7 @@
 
     @staticmethod
     def _resolve_proposal(proposal: PendingProposal | None, result: Result | None) -> None:
-        """Give a proposal its result, or fail it where another leader's entry has taken its index."""
+        """Resolve a pending proposal, or fail it if `result` is None: another leader's entry may be at its index."""
         if proposal is None or proposal.result.done():
             return
         if result is None:
@@ -122,7 +125,7 @@
             proposal.result.set_result(result)
 
     def _log_role_change(self) -> None:
-        """Log a change of role or term; fail what is pending where this replica does not lead any more."""
+        """Log a change of role or term, and fail the pending proposals if this replica is no longer the leader."""
         current_role = _RoleInTerm(self.replica.role, self.replica.term)
         if current_role == self.last_logged_role:
             return
@@ -133,7 +136,7 @@
             self._fail_pending_proposals()
 
     def _fail_pending_proposals(self) -> None:
-        """Fail all pending proposals: they are neither known to be committed nor known to be lost."""
+        """Fail all pending proposals with DeposedError, because it is unknown whether they will be committed."""
         pending_proposals, self.pending_proposals = self.pending_proposals, {}
         for proposal in pending_proposals.values():
             self._resolve_proposal(proposal, None)
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -1,7 +1,8 @@
-"""How coordinators observe converters: as discovery lists them, and warm only by the coordinator's own clock.
+"""Derives the state of converters from discovery's list; warmth is measured with the coordinator's own clock.
 
-Each incarnation of a converter (one run of its process) has a uid: the converter's name, followed by a dot and more for
-every later one. Times in a listing are not used: two machines' clocks are never compared.
+An incarnation is one run of a converter's process. The uid of the first incarnation is the converter's name; the uids
+of later ones add a dot and a suffix. Times in a listing are ignored, because clocks of different machines are never
+compared.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedConverter:
-    """An incarnation of a converter in discovery's list."""
+    """An entry of discovery's list: one incarnation of a converter, and whether it is listed as ready."""
 
     uid: str
     ready: bool
 
     @property
     def converter(self) -> str:
-        """The converter that it is an incarnation of."""
+        """The name of the converter."""
         return self.uid.partition(".")[0]
 
 
@@ -29,7 +30,8 @@
 class WarmthProbe:
     """The observed state of a converter.
 
-    `warm_up_started_region_ms` is the region's time from which the warm-up of its present incarnation is counted.
+    `warm_up_started_region_ms` is the region's time when the warm-up of the current incarnation started, or the time of
+    the observation if the converter is not ready.
     """
 
     observation: ConverterObservation
@@ -38,7 +40,7 @@
 
 @dataclass(slots=True)
 class _ListedIncarnation:
-    """An incarnation that is listed as ready: when it was first observed, by this process's clock and the region's."""
+    """An incarnation that is listed as ready, and when its warm-up started, in this process's and the region's time."""
 
     uid: str
     warm_up_started_ms: int
@@ -46,19 +48,19 @@
 
 
 class WarmthTracker:
-    """Turns listings into probes. Pure: the caller gives the times, of one clock, in milliseconds."""
+    """Derives probes from listings. Reads no clock: the caller passes times in milliseconds, all of one clock."""
 
     def __init__(self, warm_up_ms: Mapping[str, int]) -> None:
-        """Track these converters, each with its warm-up time in milliseconds."""
+        """Start without observations; `warm_up_ms` maps each converter to its warm-up time in milliseconds."""
         self.warm_up_ms = warm_up_ms
         self.incarnations: dict[str, _ListedIncarnation] = {}
         self.warm_up_known: set[str] = set()
 
     def observe(self, now_ms: int, region_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
-        """Return what the listing shows of each converter; `region_ms` is the region's own time, from its log.
+        """Return the probes of a listing; `now_ms` is this process's time, `region_ms` the region's time from its log.
 
-        A converter that was up already at the first observation may be warm or not: it is left out until it has been
-        listed for all of its warm-up time.
+        It is unknown when a converter that is ready at the first observation was started. Such a converter is omitted
+        until it has been ready for its whole warm-up time.
         """
         ready_uids = {listed.converter: listed.uid for listed in listing if listed.ready}
         probes = []
@@ -73,13 +75,13 @@
         return tuple(probes)
 
     def _probe_not_ready(self, converter: str, region_ms: int) -> WarmthProbe:
-        """Record that a converter is not listed as ready."""
+        """Return the probe of a converter that is not listed as ready, and forget its incarnation."""
         self.incarnations.pop(converter, None)
         self.warm_up_known.add(converter)
         return WarmthProbe(ConverterObservation(converter, False, 0), region_ms)
 
     def _probe_ready(self, converter: str, uid: str, now_ms: int, region_ms: int) -> WarmthProbe:
-        """Record the incarnation that is listed as ready."""
+        """Return the probe of a converter that is listed as ready, and start a warm-up if its incarnation is new."""
         incarnation = self.incarnations.get(converter)
         if incarnation is None or incarnation.uid != uid:
             if incarnation is not None:
@@ -89,7 +91,7 @@
         return WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.warm_up_started_region_ms)
 
     def restart_warm_up(self, converter: str, now_ms: int, region_ms: int) -> None:
-        """Count the warm-up of a converter's present incarnation from now on."""
+        """Restart the warm-up of a converter's current incarnation at `now_ms`."""
         incarnation = self.incarnations.get(converter)
         if incarnation is not None:
             self.warm_up_known.add(converter)
@@ -97,7 +99,7 @@
 
 
 def _warmth(age_ms: int, warm_up_ms: int) -> int:
-    """Return the warmth in thousandths, rising evenly and rounded down."""
+    """Return the warmth in thousandths. It rises linearly over the warm-up time and is rounded down."""
     if age_ms >= warm_up_ms:
         return FULL_WARMTH
     return age_ms * FULL_WARMTH // warm_up_ms
--- a/ryepier/maintenance/peers.py
+++ b/ryepier/maintenance/peers.py
@@ -1,4 +1,4 @@
-"""The connections that carry a replica's messages to the other members of its region."""
+"""The outgoing connections of a replica to its peers."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class PeerConnections:
-    """One outgoing connection to each peer; their messages arrive over connections that they open."""
+    """One outgoing connection to each peer. Messages from peers arrive over connections that the peers open."""
 
     def __init__(self, settings: CoordinatorSettings) -> None:
-        """Know the peers' addresses; nothing is opened yet."""
+        """Start without connections; the peers' addresses are read from `settings`."""
         self.addresses = settings.addresses
         self.hello = PeerHello(VERSION, settings.region, settings.replica, settings.agreement.digest)
         self.connections: dict[str, Connection] = {}
 
     def send(self, peer: str, message: ReplicaMessage) -> None:
-        """Send a message, or drop it where the peer is not connected: the replica sends it again."""
+        """Send a message, or drop it if the peer is not connected; the replica repeats its messages."""
         connection = self.connections.get(peer)
         if connection is not None:
             connection.send(message)
 
     async def keep_connected(self, peer: str) -> None:
-        """Keep a connection open that carries this replica's messages to a peer; runs until it is cancelled."""
+        """Connect to a peer, and reconnect whenever the connection is lost; runs until it is cancelled."""
         while True:
             with contextlib.suppress(OSError, EOFError, TransportError):
                 connection = await Connection.dial(self.addresses[peer], self.hello)
@@ -46,7 +46,7 @@
 
     @staticmethod
     async def _read_rejection(peer: str, connection: Connection) -> None:
-        """Wait until the peer closes the connection; it sends nothing but a rejection on it."""
+        """Wait until the connection ends; log a rejection, which is the only frame that a peer may send on it."""
         frame = await connection.receive()
         reason = frame.reason if isinstance(frame, Rejection) else f"unexpected {type(frame).__name__}"
-        log.warning("peer %s rejects this replica: %s", peer, reason)
+        log.warning("peer %s rejected this replica: %s", peer, reason)
--- a/ryepier/maintenance/region_clock.py
+++ b/ryepier/maintenance/region_clock.py
@@ -1,4 +1,7 @@
-"""A region's own time: entries of its log, and what the leader's clock adds to them. Only scheduling uses it."""
+"""A region's time, which is used for scheduling only.
+
+The log records the time; between its entries, the leader adds the time that has elapsed on its own clock.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,17 @@
 
 
 class RegionClock:
-    """Continues from where the last leader left the region's time, by this process's clock."""
+    """Continues the committed time of the region with this process's monotonic clock."""
 
     def __init__(self, replica: Replica, ledger: Ledger) -> None:
-        """Read the time that was committed from `ledger`."""
+        """Start without an offset, which is set at the first call in each term; `ledger` has the committed time."""
         self.replica = replica
         self.ledger = ledger
-        self.offset_term = 0  # in which `offset_ms` was taken
-        self.offset_ms = 0  # from the region's time to this process's clock
+        self.offset_term = 0  # the term in which `offset_ms` was set
+        self.offset_ms = 0  # this process's clock minus the region's time
 
     def now_ms(self) -> int:
-        """Return the region's time, advanced by this leader's clock since it took the lead."""
+        """Return the region's time in milliseconds, advanced by this process's clock since the term's first call."""
         if self.replica.term != self.offset_term:
             self.offset_term = self.replica.term
             self.offset_ms = monotonic_ms() - self.ledger.now_ms
@@ -27,5 +30,5 @@
 
 
 def monotonic_ms() -> int:
-    """Return this process's monotonic clock in milliseconds."""
+    """Return the time of this process's monotonic clock in milliseconds."""
     return time.monotonic_ns() // 1_000_000
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -1,4 +1,4 @@
-"""What the leader of one region exchanges with another region: reports of needs, and transfers until acknowledged."""
+"""Sends capacity needs and allowance transfers from the leader of one region to another region."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class RegionLink:
-    """One direction: from this region's leader to another region's coordinators. One task at a time may use it."""
+    """The link from this region's leader to the coordinators of another region. One task at a time may use it."""
 
     INTERVAL_S: ClassVar[float] = 0.5
     CALL_TIMEOUT_S: ClassVar[float] = 2.0
 
     def __init__(self, agreement: Agreement, region: str, remote_region: str) -> None:
-        """Know the other region's replicas; nothing is opened yet."""
+        """Start unconnected, without a report; `agreement` has the addresses of the remote region's replicas."""
         self.region = region
         self.remote_region = remote_region
         self.client = RegionClient(
@@ -40,17 +40,17 @@
         self.last_reported: dict[str, CapacityNeed] | None = None
 
     def forget_last_report(self) -> None:
-        """Report again at the next exchange: another leader may have reported meanwhile."""
+        """Report the needs again at the next exchange, because another leader may have reported in the meantime."""
         self.last_reported = None
 
     def debits_due(self, ledger: Ledger) -> list[Command]:
-        """Return the debits that this region should commit for the other one, before their transfers are sent."""
+        """Return the debits for the remote region, which must be committed here before their transfers are sent."""
         return [
             DebitTransfer(transfer) for transfer in ledger.transfers_due() if transfer.receiver == self.remote_region
         ]
 
     async def exchange(self, ledger: Ledger) -> list[Command]:
-        """Report the needs and send the pending transfers; return what to commit for the answers."""
+        """Report the capacity needs and send the pending transfers; return the acknowledgements to commit."""
         pending = [transfer for transfer in ledger.pending_transfers() if transfer.receiver == self.remote_region]
         acknowledgements: list[Command] = []
         try:
@@ -62,24 +62,24 @@
         except CallError as error:
             self._log_reachability(False, str(error))
         else:
-            self._log_reachability(True, "region reachable again")
+            self._log_reachability(True, "reachable again")
         return acknowledgements
 
     async def _report_needs(self, ledger: Ledger) -> None:
-        """Report the needs where they have changed: a report is an entry in the other region's log.
+        """Report the capacity needs if they have changed since the last report.
 
-        Raises CallError.
+        Unchanged needs are not sent because each report is an entry in the remote region's log. Raises CallError.
         """
         needs = ledger.capacity_needs()
         if needs == self.last_reported:
             return
-        self.last_reported = None  # until the report is acknowledged
+        self.last_reported = None  # so that a report that fails is repeated
         report = RecordCapacityNeeds(self.region, max(1, ledger.applied), needs)
         await self.client.command(report, self.CALL_TIMEOUT_S)
         self.last_reported = needs
 
     def _log_reachability(self, reachable: bool, message: str) -> None:
-        """Log a change, not every attempt."""
+        """Log the message if the region's reachability has changed since the last exchange."""
         if reachable != self.reachable:
             log.warning("region %s: %s", self.remote_region, message)
         self.reachable = reachable
--- a/ryepier/maintenance/replica_disk.py
+++ b/ryepier/maintenance/replica_disk.py
@@ -1,4 +1,4 @@
-"""Opens a replica's disk, also where it is empty although its region is not new."""
+"""Opens a replica's storage, which may be empty after the loss of a disk."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class LazyStorage:
-    """The disk of a replica that came back empty: the file is created with the first state that has to be stored."""
+    """The storage of a replica that has lost its disk. The file is created when there is state to store."""
 
     def __init__(self, folder: Path, identity: storage.Identity) -> None:
-        """Write nothing yet."""
+        """Use a folder without a log file; the file will belong to the replica `identity`."""
         self.folder = folder
         self.identity = identity
         self.file: storage.FileStorage | None = None
 
     def save(self, ready: Ready) -> None:
-        """Create the file if need be, then save. Raises StorageError, OSError."""
+        """Store the state, and create the file before the first write. Raises StorageError or OSError."""
         if not ready.must_store:
             return
         if self.file is None:
@@ -31,14 +31,14 @@
         self.file.save(ready)
 
     def close(self) -> None:
-        """Close the file, if there is one."""
+        """Close the file if it was created."""
         if self.file is not None:
             self.file.close()
 
 
 @dataclass(frozen=True, slots=True)
 class OpenedStorage:
-    """A replica's disk and what it held; `state` is None where it is empty though the region is not new."""
+    """A replica's storage and the state read from it, None if the disk is empty although the region already exists."""
 
     storage: storage.Storage
     state: DurableState | None
@@ -50,16 +50,16 @@
     bootstrap: bool,
     storage_type: type[storage.FileStorage] = storage.FileStorage,
 ) -> OpenedStorage:
-    """Open a replica's disk; `bootstrap`: the region starts for the first time.
+    """Open a replica's storage; `bootstrap` creates the log file of a region that starts for the first time.
 
-    Raises StorageError where the file cannot be used, and where a region is to be bootstrapped over a file.
+    Raises StorageError if the file cannot be used, or if `bootstrap` is set and the file already exists.
     """
     if bootstrap:
         storage.create(folder, identity)
     elif not storage.exists(folder):
-        log.warning("%s is empty: this replica does not vote until the others have brought it up to date", folder)
+        log.warning("%s has no log file: this replica does not vote until it has caught up with its peers", folder)
         return OpenedStorage(LazyStorage(folder, identity), None)
     file = storage_type(folder, identity)
     if file.truncated_bytes:
-        log.warning("%s: %d bytes of an unfinished write were cut off", file.path, file.truncated_bytes)
+        log.warning("%s: truncated %d bytes of an unfinished write", file.path, file.truncated_bytes)
     return OpenedStorage(file, file.state)
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -1,4 +1,4 @@
-"""Serves a coordinator's connections: peers with their messages, and callers, who are answered only after a commit."""
+"""Serves the connections of peers and clients; a client's command is answered only after its commit."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 log = logging.getLogger(__name__)
 
 HELLO_TIMEOUT_S = 3.0
-MAX_CALLS_PER_CONNECTION = 64  # that await their commit
+MAX_CALLS_PER_CONNECTION = 64  # calls that are processed at a time
 MAX_REASON_LENGTH = 1000  # characters
-LEASE_GRANTED_MESSAGE = "lease granted"  # in the log
+LEASE_GRANTED_MESSAGE = "lease granted"  # log message that the experiments look for
 
 ALLOWED_COMMANDS: dict[ClientKind, tuple[type[Command], ...]] = {
     ClientKind.OPERATOR: (commands.SubmitRequest, commands.CancelRequest),
@@ -35,7 +35,7 @@
 
 
 class Server:
-    """Serves the connections of one coordinator, each in a task of its own."""
+    """Serves the connections of one coordinator, each in its own task."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         clock: RegionClock,
         stop_with_error: Callable[[BaseException], None],
     ) -> None:
-        """Answer from these parts; `stop_with_error` is called with errors that must end the process."""
+        """Start without connections; `stop_with_error` is called with errors that must stop the process."""
         self.settings = settings
         self.node = node
         self.planner = planner
@@ -54,7 +54,7 @@
         self.grant_lock = asyncio.Lock()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection to its end."""
+        """Serve one connection until it is closed."""
         connection = Connection(reader, writer)
         try:
             await self._serve_connection(connection)
@@ -65,17 +65,17 @@
         except FatalError as error:
             self.stop_with_error(error)
         except (OSError, EOFError, asyncio.CancelledError):
-            pass  # the other side has disconnected, or this process ends
+            pass  # the remote end has disconnected, or this process stops
         finally:
             connection.close()
 
     async def _serve_connection(self, connection: Connection) -> None:
-        """Take the greeting, then serve its kind of caller. Raises TransportError, ProtocolError for a rejection."""
+        """Read the hello, then serve a peer or a client. Raises TransportError, ProtocolError or FatalError."""
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
                 hello = await connection.receive()
         except TimeoutError:
-            raise TransportError(f"no greeting within {HELLO_TIMEOUT_S:g} s") from None
+            raise TransportError(f"no hello within {HELLO_TIMEOUT_S:g} s") from None
         if isinstance(hello, PeerHello):
             self._check_peer(hello)
             await self._serve_peer(hello.replica, connection)
@@ -83,33 +83,33 @@
             self._check_version_and_region(hello.version, hello.region)
             await self._serve_client(hello, connection)
         else:
-            raise TransportError(f"a {type(hello).__name__} before any greeting")
+            raise TransportError(f"unexpected {type(hello).__name__} before a hello")
 
     def _check_peer(self, hello: PeerHello) -> None:
-        """Raise TransportError unless a peer is a member of this region's log under the same agreement."""
+        """Raise TransportError unless a hello is from a peer of this replica with the same agreement."""
         self._check_version_and_region(hello.version, hello.region)
         if hello.replica not in self.node.replica.settings.peers:
-            raise TransportError(f"{hello.replica!r} is not another replica of region {self.settings.region!r}")
+            raise TransportError(f"{hello.replica!r} is not a peer of this replica in region {self.settings.region!r}")
         if hello.agreement != self.settings.agreement.digest:
-            raise TransportError(f"replica {hello.replica!r} holds another agreement")
+            raise TransportError(f"replica {hello.replica!r} has a different agreement")
 
     def _check_version_and_region(self, version: int, region: str) -> None:
-        """Raise TransportError for a greeting of another version, or to another region."""
+        """Raise TransportError if a hello has another protocol version or is for another region."""
         if version != api.VERSION:
-            raise TransportError(f"version {version}; this side speaks {api.VERSION}")
+            raise TransportError(f"unsupported protocol version {version}; this replica uses {api.VERSION}")
         if region != self.settings.region:
-            raise TransportError(f"region {region!r} is meant; this is {self.settings.region!r}")
+            raise TransportError(f"hello for region {region!r}, but this replica belongs to {self.settings.region!r}")
 
     async def _serve_peer(self, name: str, connection: Connection) -> None:
-        """Take a peer's messages."""
+        """Pass a peer's messages to the node. Raises TransportError for any other frame."""
         while True:
             frame = await connection.receive()
             if not isinstance(frame, ReplicaMessage):
-                raise TransportError(f"a {type(frame).__name__} among the replicas' messages")
+                raise TransportError(f"unexpected {type(frame).__name__} from a peer")
             self.node.receive(name, frame)
 
     async def _serve_client(self, hello: ClientHello, connection: Connection) -> None:
-        """Answer calls; several may await their commit at a time."""
+        """Answer up to MAX_CALLS_PER_CONNECTION calls at a time. Raises TransportError for any other frame."""
         call_slots = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
         tasks: set[asyncio.Task[None]] = set()
         try:
@@ -117,18 +117,18 @@
                 await call_slots.acquire()
                 frame = await connection.receive()
                 if not isinstance(frame, Call):
-                    raise TransportError(f"a {type(frame).__name__} out of turn")
+                    raise TransportError(f"unexpected {type(frame).__name__} from a client")
                 task = asyncio.create_task(self._answer_call(hello, connection, frame, call_slots))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
         finally:
-            for task in tasks:  # what was proposed is committed all the same
+            for task in tasks:  # commands that were already proposed may still be committed
                 task.cancel()
 
     async def _answer_call(
         self, hello: ClientHello, connection: Connection, call: Call, call_slots: asyncio.Semaphore
     ) -> None:
-        """Answer one call, then free its slot."""
+        """Answer one call and release its slot. A rejection closes the connection."""
         try:
             response: Frame = await self._execute_call(hello, call)
         except NotLeaderError as error:
@@ -148,9 +148,12 @@
             connection.close()
 
     async def _execute_call(self, hello: ClientHello, call: Call) -> Reply:
-        """Return the reply of a leader. Raises NotLeaderError, DeposedError, CommandError."""
+        """Carry out a call as the leader and return its reply.
+
+        Raises NotLeaderError, DeposedError, CommandError or FatalError.
+        """
         replica = self.node.replica
-        if not replica.has_committed_in_term:  # a leader that was just elected may not know of all commits yet
+        if not replica.has_committed_in_term:  # a new leader may not know all committed entries yet
             raise NotLeaderError("" if replica.is_leader else replica.leader)
         if isinstance(call, api.StatusCall):
             return make_status_reply(call.number, self.clock.now_ms(), replica, self.planner)
@@ -161,17 +164,17 @@
 
     @staticmethod
     def _allowed_command(kind: ClientKind, call: api.CommandCall) -> Command:
-        """Return the command of a call. Raises CommandError where such a caller may not give it."""
+        """Return the command of a call. Raises CommandError if a client of this kind may not send it."""
         command = commands.decode(call.command)
         if not isinstance(command, ALLOWED_COMMANDS[kind]):
-            raise CommandError(f"a caller of kind {kind.value!r} may not give {type(command).__name__}")
+            raise CommandError(f"a client of kind {kind.value!r} may not send {type(command).__name__}")
         return command
 
     async def _grant_lease(self, hello: ClientHello, call: api.LeaseCall) -> Reply:
-        """Grant an agent a window that is due. The ledger decides, when the command is applied."""
+        """Request a lease for an agent on a window that is due. The ledger grants or rejects it when it is applied."""
         if hello.kind is not ClientKind.AGENT:
-            raise CommandError(f"a caller of kind {hello.kind.value!r} takes no leases")
-        async with self.grant_lock:  # the next call has to see what this one took
+            raise CommandError(f"a client of kind {hello.kind.value!r} may not acquire leases")
+        async with self.grant_lock:  # the next call must see the converters that this call leases
             command = self._make_grant_command(hello.name, call.lease)
             if command is None:
                 return api.NoWindowReply(call.number)
@@ -187,7 +190,7 @@
         return api.CommandReply(call.number, result)
 
     def _make_grant_command(self, agent: str, lease: str) -> GrantLease | None:
-        """Return the command that grants a due window, or again the open lease of this name; None: none is due."""
+        """Return the command for an existing lease of this name, otherwise for a due window; None if none is due."""
         existing_lease = self.planner.ledger.state.leases.get(lease)
         if existing_lease is not None:
             return GrantLease(existing_lease.name, existing_lease.request, agent, existing_lease.converters)
@@ -196,5 +199,5 @@
 
 
 def _make_rejection(error: Exception) -> Rejection:
-    """Return the frame that reports an error to a caller."""
+    """Return the frame that reports an error to a client or peer, with the text truncated to MAX_REASON_LENGTH."""
     return Rejection(str(error)[:MAX_REASON_LENGTH])
--- a/ryepier/maintenance/settings.py
+++ b/ryepier/maintenance/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a coordinator, and the classes that it is made of."""
+"""The settings of a coordinator, and the component classes that it uses."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from ryepier.maintenance.replication import storage
 from ryepier.maintenance.replication.core import Replica
 
-Addresses = Mapping[str, Address]  # by replica
+Addresses = Mapping[str, Address]  # replica name to address
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorSettings:
     """The settings of one coordinator.
 
-    `discovery` lists the converters; without it none is observed. Planned windows that start within `freeze_ms` are
-    not moved by new requests.
+    `bootstrap` creates the log file of a region that starts for the first time. `discovery` is discovery's address, or
+    None if converters are not observed. New requests do not move planned windows that start within `freeze_ms`.
     """
 
     agreement: Agreement
@@ -35,18 +35,18 @@
 
     @property
     def addresses(self) -> Addresses:
-        """All replicas of the region."""
+        """The addresses of all replicas of the region, including this one."""
         return replica_addresses(self.agreement, self.region)
 
     @property
     def identity(self) -> storage.Identity:
-        """The replica that the files in `folder` belong to."""
+        """The identity of this replica, which its log file in `folder` must have."""
         return storage.Identity(self.region, self.replica, tuple(self.addresses))
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorComponents:
-    """The classes that a coordinator is made of; experiments substitute ones with a seeded fault."""
+    """The component classes of a coordinator. Experiments replace them with classes that have a seeded fault."""
 
     replica_type: type[Replica] = Replica
     storage_type: type[storage.FileStorage] = storage.FileStorage
@@ -54,5 +54,8 @@
 
 
 def replica_addresses(agreement: Agreement, region: str) -> Addresses:
-    """Return the addresses of a region's replicas. Raises KeyError, ValueError."""
+    """Return the addresses of a region's replicas.
+
+    Raises KeyError if the region is unknown, or ValueError if an address is malformed.
+    """
     return {replica.name: parse_address(replica.address) for replica in agreement.regions[region].replicas}
--- a/ryepier/maintenance/status.py
+++ b/ryepier/maintenance/status.py
@@ -1,4 +1,4 @@
-"""The status of a region as its leader reports it to operators."""
+"""Builds the status that a region's leader reports to its clients."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def make_status_reply(number: int, now_ms: int, replica: Replica, planner: Planner) -> StatusReply:
-    """Return the region's state as its leader has applied it, at the region's time `now_ms`."""
+    """Return the reply to status call `number`: the region's applied state at the region's time `now_ms`."""
     ledger = planner.ledger
     return StatusReply(
         number=number,
@@ -26,7 +26,7 @@
 
 
 def _request_statuses(planner: Planner) -> tuple[RequestStatus, ...]:
-    """Return the open requests, each with its next window or the reason why it has none."""
+    """Return the open requests, each with the start of its next window or the reason for its delay."""
     schedule = planner.current_schedule()
     reasons = {delayed.request: delayed.reason for delayed in schedule.delayed_requests}
     reasons |= {unplaced.request: unplaced.reason for unplaced in schedule.unplaced_requests}
@@ -47,7 +47,7 @@
 
 
 def _lease_status(lease: Lease) -> LeaseStatus:
-    """Return an open lease as it is reported."""
+    """Return the status of an open lease."""
     return LeaseStatus(
         name=lease.name,
         request=lease.request,
@@ -60,6 +60,6 @@
 
 
 def _capacity_status(ledger: Ledger, service: str) -> CapacityStatus:
-    """Return a service's figures as they are reported."""
+    """Return the status of a service's capacity in the region."""
     capacity = ledger.capacity(service)
     return CapacityStatus(service, capacity.available, capacity.unavailable, capacity.lost, capacity.allowance)
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -68,7 +68,7 @@
     async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
         now_s = asyncio.get_running_loop().time()
         if action == self.rejected_action:
-            raise FleetError("token 7 for a is old; 8 was seen")
+            raise FleetError("token 7 for a is outdated; 8 is the highest received")
         self.steps.append((action, converter, token, uid))
         if action == "drain":
             self.drained_s = now_s
@@ -151,7 +151,10 @@
     assert tokens.rejection_reason(FleetCall(Action.STOP, "a", 5)) == ""
     assert tokens.rejection_reason(FleetCall(Action.DRAIN, "b", 1)) == ""
     assert tokens.rejection_reason(FleetCall(Action.STOP, "a", 6)) == ""
-    assert tokens.rejection_reason(FleetCall(Action.START, "a", 5)) == "token 5 for a is old; 6 was seen"
+    assert (
+        tokens.rejection_reason(FleetCall(Action.START, "a", 5))
+        == "token 5 for a is outdated; 6 is the highest received"
+    )
 
 
 def test_a_step_without_a_far_end_fails_with_the_reason() -> None:
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -108,7 +108,7 @@
     with pytest.raises(FatalError, match="No space left"):
         started.node.receive("north-1", AppendEntries(1, 0, 0, (Entry(1, b""),), 0))
     started.disk.full = False
-    with pytest.raises(FatalError, match="has failed before"):
+    with pytest.raises(FatalError, match="has already failed"):
         started.node.tick()
     assert started.sent == []
 
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -125,7 +125,7 @@
         await north.until(lambda status: status.leader != "")
         north.kill(two)  # from here on nothing is committed without the one whose file was torn
         assert await north.submit(make_request("r2", "n01")) == Accepted("r2")
-        assert "3 bytes of an unfinished write were cut off" in north.log(one).read_text()
+        assert "truncated 3 bytes of an unfinished write" in north.log(one).read_text()
         complete = north.file(two).read_bytes()
         acknowledged, _ = storage.ACKNOWLEDGED_OFFSET.unpack_from(complete, len(storage.FILE_SIGNATURE))
         north.file(two).write_bytes(complete[: acknowledged - 5])  # a write that was not acknowledged may be behind it
@@ -195,17 +195,17 @@
         peer = next(name for name in REPLICAS if name != leader)
         greeting = PeerHello(VERSION, "north", peer, digest)
         before = await north.status()
-        assert "this is 'north'" in await refusal(ClientHello(VERSION, "south", "x", ClientKind.AGENT))
-        assert "this is 'north'" in await refusal(PeerHello(VERSION, "south", "south-0", digest))
-        assert "not another replica" in await refusal(PeerHello(VERSION, "north", "south-0", digest))
-        assert "another agreement" in await refusal(PeerHello(VERSION, "north", peer, "0" * 64))
+        assert "belongs to 'north'" in await refusal(ClientHello(VERSION, "south", "x", ClientKind.AGENT))
+        assert "belongs to 'north'" in await refusal(PeerHello(VERSION, "south", "south-0", digest))
+        assert "not a peer" in await refusal(PeerHello(VERSION, "north", "south-0", digest))
+        assert "different agreement" in await refusal(PeerHello(VERSION, "north", peer, "0" * 64))
         assert "version 2" in await refusal(ClientHello(2, "north", "x", ClientKind.AGENT))
-        assert "before any greeting" in await refusal(RequestVote(1, 0, 0))
-        assert "out of turn" in await refusal(
+        assert "before a hello" in await refusal(RequestVote(1, 0, 0))
+        assert "RequestVote from a client" in await refusal(
             ClientHello(VERSION, "north", "x", ClientKind.AGENT), RequestVote(1, 0, 0)
         )
         assert "claims to lead term" in await refusal(greeting, AppendEntries(before.term, 0, 0, (), 0))
-        assert f"{MAX_FRAME_BYTES} are allowed" in await refusal(raw=(MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
+        assert f"{MAX_FRAME_BYTES} bytes" in await refusal(raw=(MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
         assert "unreadable frame" in await refusal(raw=b"\0\0\0\1\xc1")
         assert "unreadable frame" in await refusal(greeting, raw=b"\0\0\0\7\x81\xa4type\1")
         after = await north.status()
@@ -224,7 +224,7 @@
 )
 def test_a_caller_gives_only_the_commands_of_its_kind(north: Coordinators, kind: ClientKind, command: Command) -> None:
     async def test() -> None:
-        with pytest.raises(CallError, match="may not give"):
+        with pytest.raises(CallError, match="may not send"):
             await north.command(command, kind=kind)
         assert (await north.status()).requests == ()
 
@@ -260,14 +260,14 @@
 
 
 def test_a_frame_that_is_too_long_is_not_sent() -> None:
-    with pytest.raises(TransportError, match="are allowed"):
+    with pytest.raises(TransportError, match="exceeds the limit"):
         encode(Rejection("x" * (MAX_FRAME_BYTES + 1)))
 
 
 def test_a_call_that_no_replica_answers_fails_within_its_timeout(north: Coordinators) -> None:
     async def test() -> None:
         started = time.monotonic()
-        with pytest.raises(CallError, match=r"no answer of region north within 0\.5 s"):
+        with pytest.raises(CallError, match=r"no reply from region north within 0\.5 s"):
             await north.client().status(0.5)
         assert time.monotonic() - started < TIMEOUT_S
 
