--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -39,7 +39,7 @@
 )
 from tests.maintenance_world import request
 
-OBSERVERS = 3  # so that a late observation is not always rejected as older than its observer's last
+OBSERVER_COUNT = 3  # so that a late observation is not always rejected as older than its observer's last
 
 
 @dataclass
@@ -69,7 +69,7 @@
 class Message:
     """A command in transit to another region."""
 
-    to: str
+    receiver_region: str
     command: Command
 
 
@@ -98,11 +98,11 @@
         self.agreement = agreement
         self.ledger_type = ledger_type
         self.replicas = {name: Replica(ledger_type(agreement, name)) for name in agreement.regions}
-        self.actual = {name: ActualConverter() for name in agreement.converters}
+        self.actual_converters = {name: ActualConverter() for name in agreement.converters}
         self.agents: list[Agent] = []
         self.network: list[Message] = []
         self.pending_observations: list[PendingObservation] = []
-        self.sequence = 0
+        self.last_sequence = 0
         self.time = 0
         self.agreement_judge = Judge(agreement)
         self.region_judges = {
@@ -146,32 +146,36 @@
     # leases and converters
 
     def submit(self, region: str, name: str, converters: tuple[str, ...], max_unavailable: int) -> Result:
-        one = request(name, region=region, converters=converters, max_unavailable=max_unavailable, deadline_ms=10**9)
-        return self.apply(region, SubmitRequest(one))
+        new_request = request(
+            name, region=region, converters=converters, max_unavailable=max_unavailable, deadline_ms=10**9
+        )
+        return self.apply(region, SubmitRequest(new_request))
 
     def grant(self, region: str, lease: str, request_name: str, converters: tuple[str, ...]) -> Result:
         result = self.apply(region, GrantLease(lease, request_name, "agent", converters))
-        if isinstance(result, Granted) and not any(one.lease == lease and one.region == region for one in self.agents):
+        if isinstance(result, Granted) and not any(
+            agent.lease == lease and agent.region == region for agent in self.agents
+        ):
             self.agents.append(Agent(region, lease, result.token, converters))
             for name in converters:
-                self.actual[name].planned = True
-                self._change(name, FULL_WARMTH, planned=True)
+                self.actual_converters[name].planned = True
+                self._apply_change(name, FULL_WARMTH, planned=True)
         return result
 
-    def begin(self, agent: Agent) -> None:
+    def start_drain(self, agent: Agent) -> None:
         result = self.apply(agent.region, StartDrain(agent.lease, agent.token))
         assert not (agent.superseded and isinstance(result, DrainStarted)), "a void token began a drain"
         if isinstance(result, DrainStarted) and not agent.drain_started:
             agent.drain_started = True
             for name in agent.converters:
-                self.actual[name].up = False
+                self.actual_converters[name].up = False
 
     def restart_converters(self, agent: Agent) -> None:
         """Start the converters of a lease again, not warmed up."""
         if agent.drain_started and not agent.restarted:
             agent.restarted = True
             for name in agent.converters:
-                self.actual[name].up, self.actual[name].warmth = True, 0
+                self.actual_converters[name].up, self.actual_converters[name].warmth = True, 0
 
     def release(self, agent: Agent) -> None:
         if agent.restarted or agent.superseded:
@@ -184,42 +188,42 @@
         if isinstance(result, Granted):
             assert result.token > agent.token and not agent.superseded
             agent.superseded = True
-            after = Agent(
+            new_agent = Agent(
                 agent.region, agent.lease, result.token, agent.converters, agent.drain_started, agent.restarted
             )
-            self.agents.append(after)
+            self.agents.append(new_agent)
 
-    def request_and_grant(self, region: str, name: str, *converters: str) -> Agent | None:
+    def request_and_grant(self, region: str, request_name: str, *converters: str) -> Agent | None:
         """Submit a request and a lease on all of its converters, and start its drain where it is granted."""
-        self.submit(region, name, converters, len(converters))
-        if not isinstance(self.grant(region, f"{name}/1", name, converters), Granted):
+        self.submit(region, request_name, converters, len(converters))
+        if not isinstance(self.grant(region, f"{request_name}/1", request_name, converters), Granted):
             return None
-        self.begin(self.agents[-1])
+        self.start_drain(self.agents[-1])
         return self.agents[-1]
 
     def lose_converter(self, name: str) -> None:
-        if not self.actual[name].planned:
-            self.actual[name].up, self.actual[name].warmth = False, 0
-            self._change(name, FULL_WARMTH, planned=False)
+        if not self.actual_converters[name].planned:
+            self.actual_converters[name].up, self.actual_converters[name].warmth = False, 0
+            self._apply_change(name, FULL_WARMTH, planned=False)
 
     def restart_lost(self, name: str) -> None:
         """Start a converter that was lost, and not by a window, again."""
-        if not self.actual[name].planned:
-            self.actual[name].up = True
+        if not self.actual_converters[name].planned:
+            self.actual_converters[name].up = True
 
     def finish_warm_up(self, name: str) -> None:
-        actual = self.actual[name]
+        actual = self.actual_converters[name]
         if actual.up:
             actual.warmth = FULL_WARMTH
-            self._change(name, 0, planned=False)
-            if actual.planned and any(one.restarted for one in self._lease_agents(name)):
+            self._apply_change(name, 0, planned=False)
+            if actual.planned and any(agent.restarted for agent in self._agents_of_last_lease(name)):
                 actual.planned = False
-                self._change(name, 0, planned=True)
+                self._apply_change(name, 0, planned=True)
 
-    def _lease_agents(self, name: str) -> list[Agent]:
+    def _agents_of_last_lease(self, name: str) -> list[Agent]:
         """Return the agent of a converter's last lease, and those that it has taken it over from."""
-        having = [one for one in self.agents if name in one.converters]
-        return [one for one in having if one.lease == having[-1].lease]
+        holders = [agent for agent in self.agents if name in agent.converters]
+        return [agent for agent in holders if agent.lease == holders[-1].lease]
 
     def _revoke(self, leases: tuple[str, ...]) -> None:
         for agent in self.agents:
@@ -227,25 +231,29 @@
                 agent.superseded = True
                 assert not agent.drain_started, "a drain that had begun was called off"
                 for name in agent.converters:
-                    self.actual[name].planned = False
-                    self._change(name, 0, planned=True)
+                    self.actual_converters[name].planned = False
+                    self._apply_change(name, 0, planned=True)
 
     # observers
 
     def observe(self, region: str) -> None:
-        self.sequence += 1
+        self.last_sequence += 1
         observations = tuple(
-            ConverterObservation(name, self.actual[name].up, self.actual[name].warmth if self.actual[name].up else 0)
-            for name, one in self.agreement.converters.items()
-            if one.region == region
+            ConverterObservation(
+                name,
+                self.actual_converters[name].up,
+                self.actual_converters[name].warmth if self.actual_converters[name].up else 0,
+            )
+            for name, converter in self.agreement.converters.items()
+            if converter.region == region
         )
-        observer = f"watch-{self.sequence % OBSERVERS}"
-        command = RecordObservation(observer, self.sequence, self.ledger(region).applied, observations)
+        observer = f"watch-{self.last_sequence % OBSERVER_COUNT}"
+        command = RecordObservation(observer, self.last_sequence, self.ledger(region).applied, observations)
         self.pending_observations.append(PendingObservation(region, command))
 
-    def record_observation(self, number: int, *, keep: bool = False) -> None:
+    def record_observation(self, position: int, *, keep_copy: bool = False) -> None:
         """Record one of the pending observations in its region's log."""
-        pending = self.pending_observations[number] if keep else self.pending_observations.pop(number)
+        pending = self.pending_observations[position] if keep_copy else self.pending_observations.pop(position)
         if not isinstance(self.apply(pending.region, pending.command), Observed):
             return
         for observation in pending.command.observations:
@@ -253,7 +261,7 @@
                 self.recorded_as_of[observation.converter] = pending.command.as_of
                 missing = FULL_WARMTH - observation.warmth if observation.ready else FULL_WARMTH
                 self.region_judges[pending.region].apply(
-                    Change(self._tick(), observation.converter, missing, planned=False)
+                    Change(self._next_time(), observation.converter, missing, planned=False)
                 )
 
     # transfers
@@ -269,18 +277,18 @@
     def send_transfers(self, region: str) -> None:
         """Send all pending transfers, again."""
         pending = self.ledger(region).pending_transfers()
-        self.network += [Message(one.receiver, CreditTransfer(one)) for one in pending]
+        self.network += [Message(transfer.receiver, CreditTransfer(transfer)) for transfer in pending]
 
     def send_needs_and_transfers(self, region: str) -> None:
         """Send the region's needs with its transfers."""
         self.send_transfers(region)
         ledger = self.ledger(region)
-        need = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
-        self.network += [Message(other, need) for other in self.replicas if other != region]
+        needs_report = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
+        self.network += [Message(other, needs_report) for other in self.replicas if other != region]
 
-    def deliver(self, number: int, *, keep: bool = False) -> None:
-        message = self.network[number] if keep else self.network.pop(number)
-        result = self.apply(message.to, message.command)
+    def deliver(self, position: int, *, keep_copy: bool = False) -> None:
+        message = self.network[position] if keep_copy else self.network.pop(position)
+        result = self.apply(message.receiver_region, message.command)
         if isinstance(result, Credited):
             self.network.append(Message(result.transfer.giver, AcknowledgeTransfer(result.transfer)))
 
@@ -292,29 +300,29 @@
     def total_allowance(self) -> int:
         """Return the allowances of all regions with what is in transit between them."""
         in_transit = sum(
-            one.amount
+            transfer.amount
             for replica in self.replicas.values()
-            for one in replica.ledger.pending_transfers()
-            if not self._was_credited(one)
+            for transfer in replica.ledger.pending_transfers()
+            if not self._was_credited(transfer)
         )
-        return in_transit + sum(one.ledger.capacity("convert").allowance for one in self.replicas.values())
+        return in_transit + sum(replica.ledger.capacity("convert").allowance for replica in self.replicas.values())
 
     def _was_credited(self, transfer: Transfer) -> bool:
         numbers = self.ledger(transfer.receiver).state.escrow.received.get(transfer.giver)
         return numbers is not None and numbers.has(transfer.number)
 
-    def _tick(self) -> int:
+    def _next_time(self) -> int:
         self.time += 1
         return self.time
 
-    def _change(self, name: str, missing: int, *, planned: bool) -> None:
-        change = Change(self._tick(), name, missing, planned)
+    def _apply_change(self, name: str, missing: int, *, planned: bool) -> None:
+        change = Change(self._next_time(), name, missing, planned)
         self.breaches += self.agreement_judge.apply(change)
         if not planned:
             return
-        own = self.agreement.converters[name].region
-        for region, known in self.region_judges.items():
-            if region == own and missing:
-                self.breaches += known.check_grant(change, 0)
+        own_region = self.agreement.converters[name].region
+        for region, region_judge in self.region_judges.items():
+            if region == own_region and missing:
+                self.breaches += region_judge.check_grant(change, 0)
             else:
-                known.apply(change)
+                region_judge.apply(change)
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -25,22 +25,22 @@
 from tests.loopback_ports import free_port
 from tests.maintenance_world import SERVICE, converters_text
 
-TIMEOUT_S = 30.0  # no test waits for it on purpose: it ends one that hangs
+HANG_TIMEOUT_S = 30.0  # no test waits for it on purpose: it ends one that hangs
 REPLICAS = ("north-0", "north-1", "north-2")
 
 
 def agreement_text(ports: list[int]) -> str:
     lines = []
-    for number, region in enumerate(("north", "south")):
+    for region_number, region in enumerate(("north", "south")):
         lines.append(f'[[regions]]\nname = "{region}"')
         for i in range(3):
-            port = ports[3 * number + i]
+            port = ports[3 * region_number + i]
             lines.append(f'[[regions.replicas]]\nname = "{region}-{i}"\naddress = "127.0.0.1:{port}"')
     return SERVICE + "\n".join(lines) + "\n" + converters_text()
 
 
 @dataclass
-class Listing:
+class StubDiscovery:
     """A stub of discovery: lists the converters in `uids`."""
 
     port: int
@@ -48,9 +48,9 @@
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        self.server = await asyncio.start_server(self.answer, "127.0.0.1", self.port)
+        self.server = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
 
-    async def answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
             targets = [{"uid": uid, "state": "active"} for uid in self.uids.values()]
@@ -68,30 +68,30 @@
     def __init__(self, folder: Path) -> None:
         ports = [free_port() for _ in range(7)]
         self.folder = folder
-        self.path = folder / "agreement.toml"
-        self.path.write_text(agreement_text(ports))
-        self.agreement = agreement_file.parse(self.path.read_bytes())
+        self.agreement_path = folder / "agreement.toml"
+        self.agreement_path.write_text(agreement_text(ports))
+        self.agreement = agreement_file.parse(self.agreement_path.read_bytes())
         self.addresses = replica_addresses(self.agreement, "north")
-        self.listing = Listing(ports[6], {name: name for name in ("n00", "n01", "n02", "n10", "n11", "n12")})
+        self.discovery = StubDiscovery(ports[6], {name: name for name in ("n00", "n01", "n02", "n10", "n11", "n12")})
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.clients: list[RegionClient] = []
 
-    def start(self, replica: str, *more: str) -> subprocess.Popen[bytes]:
-        command = [sys.executable, "-B", "-m", "ryepier", "maintenance", "serve", "--agreement", str(self.path)]
-        command += ["--region", "north", "--replica", replica, "--folder", str(self.folder / replica)]
-        command += ["--discovery", f"127.0.0.1:{self.listing.port}", *more]
-        with self.log(replica).open("ab") as log:
-            process = self.processes[replica] = subprocess.Popen(command, stdout=log, stderr=log)
+    def start(self, replica: str, *options: str) -> subprocess.Popen[bytes]:
+        argv = [sys.executable, "-B", "-m", "ryepier", "maintenance", "serve", "--agreement", str(self.agreement_path)]
+        argv += ["--region", "north", "--replica", replica, "--folder", str(self.folder / replica)]
+        argv += ["--discovery", f"127.0.0.1:{self.discovery.port}", *options]
+        with self.log_path(replica).open("ab") as log_file:
+            process = self.processes[replica] = subprocess.Popen(argv, stdout=log_file, stderr=log_file)
         return process
 
-    def start_all(self, *more: str) -> None:
+    def start_all(self, *options: str) -> None:
         for replica in REPLICAS:
-            self.start(replica, *more)
+            self.start(replica, *options)
 
-    def log(self, replica: str) -> Path:
+    def log_path(self, replica: str) -> Path:
         return self.folder / f"{replica}.log"
 
-    def file(self, replica: str) -> Path:
+    def storage_path(self, replica: str) -> Path:
         return self.folder / replica / storage.FILE_NAME
 
     def kill(self, *replicas: str) -> None:
@@ -99,8 +99,8 @@
             self.processes[replica].kill()
             self.processes[replica].wait()
 
-    def signal(self, replica: str, number: signal.Signals) -> None:
-        self.processes[replica].send_signal(number)
+    def signal(self, replica: str, signal_number: signal.Signals) -> None:
+        self.processes[replica].send_signal(signal_number)
 
     def close(self) -> None:
         for process in self.processes.values():
@@ -115,30 +115,30 @@
         return client
 
     async def command(self, command: Command, kind: ClientKind = ClientKind.AGENT) -> Result:
-        return await self.client(kind=kind).command(command, TIMEOUT_S)
+        return await self.client(kind=kind).command(command, HANG_TIMEOUT_S)
 
     async def status(self) -> StatusReply:
-        return await self.client().status(TIMEOUT_S)
+        return await self.client().status(HANG_TIMEOUT_S)
 
     async def leader(self) -> str:
         return (await self.status()).leader
 
-    async def submit(self, wanted: Request) -> Result:
-        return await self.command(SubmitRequest(wanted), kind=ClientKind.OPERATOR)
+    async def submit(self, new_request: Request) -> Result:
+        return await self.command(SubmitRequest(new_request), kind=ClientKind.OPERATOR)
 
     async def grant(self, lease: str) -> Granted:
         """Request a lease until a window is due."""
         client = self.client()
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
-                result = await client.acquire_lease(lease, TIMEOUT_S)
+                result = await client.acquire_lease(lease, HANG_TIMEOUT_S)
                 if isinstance(result, Granted):
                     return result
                 await asyncio.sleep(0.1)
 
-    async def until(self, holds: Callable[[StatusReply], bool]) -> StatusReply:
+    async def wait_for_status(self, condition: Callable[[StatusReply], bool]) -> StatusReply:
         client = self.client()
-        async with asyncio.timeout(TIMEOUT_S):
-            while not holds(status := await client.status(TIMEOUT_S)):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
+            while not condition(status := await client.status(HANG_TIMEOUT_S)):
                 await asyncio.sleep(0.1)
         return status
--- a/tests/maintenance_replication_cluster.py
+++ b/tests/maintenance_replication_cluster.py
@@ -9,7 +9,7 @@
 from ryepier.maintenance.replication.messages import Entry, Message
 from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready, ReplicaSettings
 
-NAMES = ("a", "b", "c", "d", "e")
+MEMBER_NAMES = ("a", "b", "c", "d", "e")
 RUN_ROUNDS = 8
 
 
@@ -40,11 +40,11 @@
     leaders: dict[int, str] = field(default_factory=dict)
     entries: dict[tuple[int, int], tuple[int, bytes]] = field(default_factory=dict)  # (index, term): before, command
     committed: dict[int, Entry] = field(default_factory=dict)
-    committed_in: dict[int, int] = field(default_factory=dict)  # the term of the first replica that applied it
+    committed_in_term: dict[int, int] = field(default_factory=dict)  # the term of the first replica that applied it
     proposals: int = 0
 
     def __post_init__(self) -> None:
-        for name in NAMES[: self.size]:
+        for name in MEMBER_NAMES[: self.size]:
             self.members[name] = Member(name, DurableState())
             self.start(name)
 
@@ -53,58 +53,58 @@
         if member.replica is not None:
             return
         member.incarnations += 1
-        seed = hash((self.seed, NAMES.index(name), member.incarnations))
-        member.replica = self.replica_type(ReplicaSettings(name, NAMES[: self.size], seed), member.disk)
+        seed = hash((self.seed, MEMBER_NAMES.index(name), member.incarnations))
+        member.replica = self.replica_type(ReplicaSettings(name, MEMBER_NAMES[: self.size], seed), member.disk)
 
-    def process_ready(self, member: Member, saved: bool = True) -> None:
+    def process_ready(self, member: Member, store_ready: bool = True) -> None:
         """Carry a `Ready` out, or crash before it is stored."""
         replica = member.replica
         assert replica is not None
         ready = replica.take_ready()
-        if not saved:
+        if not store_ready:
             member.replica = None
             return
         self.save(member, ready)
         self.check_log(replica, ready.first_index)
         for envelope in ready.messages:
             self.network.append((member.name, envelope.receiver, envelope.message))
-        for item in ready.committed:
-            self.check_committed(item, replica.term)
+        for committed_entry in ready.committed:
+            self.check_committed(committed_entry, replica.term)
         if replica.is_leader:
             self.check_leader(replica)
 
     def save(self, member: Member, ready: Ready) -> None:
         if not ready.must_store:
             return
-        before = member.disk or DurableState()
-        entries = before.entries
+        previous_state = member.disk or DurableState()
+        entries = previous_state.entries
         if ready.first_index > 0 and not self.loses_entries:
             entries = entries[: ready.first_index - 1] + ready.entries
-        member.disk = DurableState(ready.hard_state or before.hard_state, entries)
+        member.disk = DurableState(ready.hard_state or previous_state.hard_state, entries)
 
     def check_log(self, replica: Replica, first_index: int) -> None:
         for index in range(first_index or replica.last_index + 1, replica.last_index + 1):
             entry = replica.log[index - 1]
-            found = (replica.term_at(index - 1), entry.command)
-            if self.entries.setdefault((index, entry.term), found) != found:
+            content = (replica.term_at(index - 1), entry.command)
+            if self.entries.setdefault((index, entry.term), content) != content:
                 raise BrokenInvariantError(f"log matching at {index} of term {entry.term}")
 
-    def check_committed(self, item: CommittedEntry, term: int) -> None:
-        self.committed_in.setdefault(item.index, term)
-        if self.committed.setdefault(item.index, item.entry) != item.entry:
-            raise BrokenInvariantError(f"two committed entries at {item.index}")
+    def check_committed(self, committed_entry: CommittedEntry, term: int) -> None:
+        self.committed_in_term.setdefault(committed_entry.index, term)
+        if self.committed.setdefault(committed_entry.index, committed_entry.entry) != committed_entry.entry:
+            raise BrokenInvariantError(f"two committed entries at {committed_entry.index}")
 
     def check_leader(self, replica: Replica) -> None:
         name = replica.settings.name
         if self.leaders.setdefault(replica.term, name) != name:
             raise BrokenInvariantError(f"two leaders of term {replica.term}")
         for index, entry in self.committed.items():
-            later = replica.term >= self.committed_in[index]
-            if later and (index > replica.last_index or replica.log[index - 1] != entry):
+            is_later_term = replica.term >= self.committed_in_term[index]
+            if is_later_term and (index > replica.last_index or replica.log[index - 1] != entry):
                 raise BrokenInvariantError(f"the leader of term {replica.term} lacks committed entry {index}")
 
-    def deliver(self, position: int, keep: bool = False) -> None:
-        sender, receiver, message = self.network[position] if keep else self.network.pop(position)
+    def deliver(self, message_index: int, keep_copy: bool = False) -> None:
+        sender, receiver, message = self.network[message_index] if keep_copy else self.network.pop(message_index)
         member = self.members[receiver]
         if member.replica is None:
             return
@@ -114,13 +114,13 @@
             raise BrokenInvariantError(str(error)) from error
         self.process_ready(member)
 
-    def tick(self, name: str, saved: bool = True) -> None:
+    def tick(self, name: str, store_ready: bool = True) -> None:
         member = self.members[name]
         if member.replica is not None:
             member.replica.tick()
-            self.process_ready(member, saved)
+            self.process_ready(member, store_ready)
 
-    def propose(self, name: str, saved: bool = True) -> None:
+    def propose(self, name: str, store_ready: bool = True) -> None:
         member = self.members[name]
         if member.replica is None:
             return
@@ -129,50 +129,54 @@
             member.replica.propose(b"command %d" % self.proposals)
         except NotLeaderError:
             return
-        self.process_ready(member, saved)
+        self.process_ready(member, store_ready)
 
-    def run(self, rounds: int, without: str = "") -> None:
+    def run(self, rounds: int, partitioned_member: str = "") -> None:
         """Tick all members and deliver all messages, but for one partitioned member."""
         for _ in range(rounds):
             for name in self.members:
-                if name != without:
+                if name != partitioned_member:
                     self.tick(name)
-            waiting = len(self.network)
-            for _ in range(waiting):
+            message_count = len(self.network)
+            for _ in range(message_count):
                 sender, receiver, _message = self.network[0]
-                if without in (sender, receiver):
+                if partitioned_member in (sender, receiver):
                     self.network.pop(0)
                 else:
                     self.deliver(0)
 
-    def perform(self, action: str, name: str, pick: int) -> None:
-        position = pick % len(self.network) if self.network else -1
+    def perform(self, action: str, name: str, random_number: int) -> None:
+        message_index = random_number % len(self.network) if self.network else -1
         if action == "run":
-            self.run(RUN_ROUNDS, without=name if pick % 2 else "")
+            self.run(RUN_ROUNDS, partitioned_member=name if random_number % 2 else "")
         elif action == "tick":
             self.tick(name)
         elif action == "propose":
             self.propose(name)
         elif action == "crash":
             self.members[name].replica = None
-        elif action == "crash-unsaved" and pick % 2:
-            self.propose(name, saved=False)
+        elif action == "crash-unsaved" and random_number % 2:
+            self.propose(name, store_ready=False)
         elif action == "crash-unsaved":
-            self.tick(name, saved=False)
+            self.tick(name, store_ready=False)
         elif action == "restart":
             self.start(name)
         elif action == "wipe":
             self.members[name].replica = None
             self.members[name].disk = None
-        elif position >= 0 and action == "lose":
-            self.network.pop(position)
-        elif position >= 0:
-            self.deliver(position, keep=action == "repeat")
+        elif message_index >= 0 and action == "lose":
+            self.network.pop(message_index)
+        elif message_index >= 0:
+            self.deliver(message_index, keep_copy=action == "repeat")
 
     def leader(self) -> str:
         """Return the leader of the highest term, empty without one."""
-        leading = [m.replica for m in self.members.values() if m.replica is not None and m.replica.is_leader]
-        return max(leading, key=lambda replica: replica.term).settings.name if leading else ""
+        leaders = [
+            member.replica
+            for member in self.members.values()
+            if member.replica is not None and member.replica.is_leader
+        ]
+        return max(leaders, key=lambda replica: replica.term).settings.name if leaders else ""
 
     def elect(self) -> str:
         for _ in range(60):
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -20,22 +20,22 @@
 from tests.network_peers import wait_until
 
 GRANTED = Granted("l1", "agent-1", 7, ("a",))
-STEPS = ["drain", "in-flight", "stop", "remove", "start", "list"]
+MAINTENANCE_STEPS = ["drain", "in-flight", "stop", "remove", "start", "list"]
 
 
 @dataclass
-class Coordinators:
+class StubCoordinators:
     """A stub of a region: grants once, and answers commands as planned."""
 
     leases: list[Granted] = field(default_factory=lambda: [GRANTED])
-    open: tuple[LeaseStatus, ...] = ()
+    open_leases: tuple[LeaseStatus, ...] = ()
     answers: dict[type, list[Result | CallError]] = field(default_factory=dict)
     commands: list[Command] = field(default_factory=list)
     requested_names: list[str] = field(default_factory=list)
     lost_answers: int = 0
 
     async def status(self, timeout_s: float) -> StatusReply:
-        return StatusReply(1, "north", "north-0", 1, 1, 0, (), self.open, ())
+        return StatusReply(1, "north", "north-0", 1, 1, 0, (), self.open_leases, ())
 
     async def acquire_lease(self, lease: str, timeout_s: float) -> Result | None:
         self.requested_names.append(lease)
@@ -46,9 +46,9 @@
 
     async def command(self, command: Command, timeout_s: float) -> Result:
         self.commands.append(command)
-        planned_answers = self.answers.get(type(command))
-        if planned_answers:
-            answer = planned_answers.pop(0)
+        remaining_answers = self.answers.get(type(command))
+        if remaining_answers:
+            answer = remaining_answers.pop(0)
             if isinstance(answer, CallError):
                 raise answer
             return answer
@@ -56,14 +56,14 @@
 
 
 @dataclass
-class Converters:
+class StubFleet:
     """A stub of the fleet: records the steps, and rejects one action."""
 
     rejected_action: str = ""
-    busy: int = 0
+    busy_polls: int = 0
     steps: list[tuple[str, str, int, str]] = field(default_factory=list)
-    drained_s: float = 0.0
-    stopped_s: float = 0.0
+    drain_time_s: float = 0.0
+    stop_time_s: float = 0.0
 
     async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
         now_s = asyncio.get_running_loop().time()
@@ -71,11 +71,11 @@
             raise FleetError("token 7 for a is outdated; 8 is the highest received")
         self.steps.append((action, converter, token, uid))
         if action == "drain":
-            self.drained_s = now_s
+            self.drain_time_s = now_s
         if action == "stop":
-            self.stopped_s = now_s
-        if action == "in-flight" and self.busy:
-            self.busy -= 1
+            self.stop_time_s = now_s
+        if action == "in-flight" and self.busy_polls:
+            self.busy_polls -= 1
             return FleetReply(in_flight=1)
         return FleetReply(uid="a.1" if action == "start" else "")
 
@@ -83,69 +83,73 @@
         return [step[0] for step in self.steps]
 
 
-def play(region: Coordinators, fleet: Converters, ended: Callable[[], bool]) -> None:
-    async def test() -> None:
+def run_agent_until(region: StubCoordinators, fleet: StubFleet, condition: Callable[[], bool]) -> None:
+    async def scenario() -> None:
         settings = AgentSettings("agent-1", drain_grace_s=0.3, work_s=0.0)
         agent = asyncio.create_task(Agent(settings, region, fleet).run())  # type: ignore[arg-type]
         try:
-            await wait_until(ended)
+            await wait_until(condition)
         finally:
             agent.cancel()
 
-    asyncio.run(test())
+    asyncio.run(scenario())
 
 
-def released(region: Coordinators) -> Callable[[], bool]:
-    return lambda: any(isinstance(one, ReleaseLease) for one in region.commands)
+def has_released(region: StubCoordinators) -> Callable[[], bool]:
+    return lambda: any(isinstance(command, ReleaseLease) for command in region.commands)
 
 
-def test_a_lease_is_carried_out_step_by_step_under_its_token() -> None:
-    region, fleet = Coordinators(), Converters(busy=2)
-    play(region, fleet, released(region))
+def test_lease_steps_run_in_order_with_its_token() -> None:
+    region, fleet = StubCoordinators(), StubFleet(busy_polls=2)
+    run_agent_until(region, fleet, has_released(region))
     assert fleet.actions() == ["drain", *["in-flight"] * 3, "stop", "remove", "start", "list"]
     assert {step[1:3] for step in fleet.steps} == {("a", 7)} and fleet.steps[-1][3] == "a.1"
-    assert fleet.stopped_s - fleet.drained_s >= 0.3
+    assert fleet.stop_time_s - fleet.drain_time_s >= 0.3
     assert region.commands == [StartDrain("l1", 7), ReleaseLease("l1", 7)]
 
 
-def test_nothing_is_drained_before_the_start_of_the_drain_is_committed() -> None:
-    region, fleet = Coordinators(answers={StartDrain: [CallError("no answer")]}), Converters()
-    play(region, fleet, released(region))
-    assert region.commands[:2] == [StartDrain("l1", 7)] * 2 and fleet.actions() == STEPS
+def test_drain_waits_for_the_committed_start() -> None:
+    region, fleet = StubCoordinators(answers={StartDrain: [CallError("no answer")]}), StubFleet()
+    run_agent_until(region, fleet, has_released(region))
+    assert region.commands[:2] == [StartDrain("l1", 7)] * 2 and fleet.actions() == MAINTENANCE_STEPS
 
 
-def test_a_revoked_lease_is_not_carried_out() -> None:
-    region, fleet = Coordinators(answers={StartDrain: [Rejected("lease 'l1' is called-off")]}), Converters()
-    play(region, fleet, lambda: len(region.requested_names) >= 3)
+def test_revoked_lease_is_not_carried_out() -> None:
+    region, fleet = StubCoordinators(answers={StartDrain: [Rejected("lease 'l1' is called-off")]}), StubFleet()
+    run_agent_until(region, fleet, lambda: len(region.requested_names) >= 3)
     assert fleet.steps == [] and region.commands == [StartDrain("l1", 7)]
 
 
 @pytest.mark.parametrize("rejected", ["drain", "stop", "start"])
-def test_a_rejected_step_abandons_the_maintenance_without_a_release(rejected: str) -> None:
-    region, fleet = Coordinators(), Converters(rejected_action=rejected)
-    play(region, fleet, lambda: len(region.requested_names) >= 5)
+def test_rejected_step_abandons_maintenance_without_release(rejected: str) -> None:
+    region, fleet = StubCoordinators(), StubFleet(rejected_action=rejected)
+    run_agent_until(region, fleet, lambda: len(region.requested_names) >= 5)
     assert rejected not in fleet.actions() and region.commands == [StartDrain("l1", 7)]
 
 
-def test_a_lease_whose_answer_was_lost_is_requested_again_under_the_same_name() -> None:
-    region, fleet = Coordinators(lost_answers=2), Converters()
-    play(region, fleet, released(region))
+def test_lease_request_is_retried_under_the_same_name() -> None:
+    region, fleet = StubCoordinators(lost_answers=2), StubFleet()
+    run_agent_until(region, fleet, has_released(region))
     assert len(set(region.requested_names[:3])) == 1 and region.requested_names[3:4] != region.requested_names[:1]
 
 
-def test_a_restarted_agent_resumes_its_own_leases_only() -> None:
+def test_restarted_agent_resumes_only_its_own_leases() -> None:
     def lease(name: str, agent: str, state: LeaseState) -> LeaseStatus:
         return LeaseStatus(name, "r1", agent, 9, state, (name,), (name,))
 
     draining, returning = LeaseState.DRAINING, LeaseState.RETURNING
-    open_leases = (lease("b", "agent-1", draining), lease("c", "agent-2", draining), lease("d", "agent-1", returning))
-    region, fleet = Coordinators(leases=[], open=open_leases), Converters()
-    play(region, fleet, released(region))
+    resumed_leases = (
+        lease("b", "agent-1", draining),
+        lease("c", "agent-2", draining),
+        lease("d", "agent-1", returning),
+    )
+    region, fleet = StubCoordinators(leases=[], open_leases=resumed_leases), StubFleet()
+    run_agent_until(region, fleet, has_released(region))
     assert region.commands == [StartDrain("b", 9), ReleaseLease("b", 9)]
     assert {step[1:3] for step in fleet.steps} == {("b", 9)}
 
 
-def test_an_old_fencing_token_is_rejected_and_the_same_or_a_newer_one_is_not() -> None:
+def test_only_outdated_fencing_tokens_are_rejected() -> None:
     tokens = FencingTokens()
     assert tokens.rejection_reason(FleetCall(Action.DRAIN, "a", 5)) == ""
     assert tokens.rejection_reason(FleetCall(Action.STOP, "a", 5)) == ""
@@ -157,7 +161,7 @@
     )
 
 
-def test_a_step_without_a_far_end_fails_with_the_reason() -> None:
+def test_step_fails_if_the_tooling_is_unreachable() -> None:
     address = Address("127.0.0.1", free_port())
     with pytest.raises(FleetError, match="stop a: ConnectionRefusedError"):
         asyncio.run(SocketFleet(address, address).perform(Action.STOP, "a", 1))
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -38,7 +38,7 @@
     """A stub of the other region; the first `failing_calls` fail."""
 
     failing_calls: int = 0
-    rejects: bool = False
+    rejects_transfers: bool = False
     commands: list[Command] = field(default_factory=list)
 
     async def command(self, command: Command, timeout_s: float) -> Result:
@@ -47,7 +47,7 @@
             raise CallError("no answer")
         self.commands.append(command)
         if isinstance(command, CreditTransfer):
-            return Rejected("no") if self.rejects else Credited(command.transfer)
+            return Rejected("no") if self.rejects_transfers else Credited(command.transfer)
         return Observed()
 
 
@@ -59,44 +59,44 @@
 
 def ledger_with_transfer() -> Ledger:
     ledger = Ledger(small_agreement(), "north")
-    for one in ledger.agreement.converters_of("convert", "north"):
-        ledger.state.observed[one.name] = READY_AND_WARM
+    for converter in ledger.agreement.converters_of("convert", "north"):
+        ledger.state.observed[converter.name] = READY_AND_WARM
     assert ledger.apply(1, DebitTransfer(TRANSFER)) == Debited(TRANSFER)
     return ledger
 
 
-def exchange(link: RegionLink, ledger: Ledger) -> list[Command]:
+def run_exchange(link: RegionLink, ledger: Ledger) -> list[Command]:
     return asyncio.run(link.exchange(ledger))
 
 
-def test_needs_are_reported_again_only_after_a_change_or_another_leader() -> None:
+def test_unchanged_needs_are_reported_once_per_leadership() -> None:
     south, ledger = StubRegion(), ledger_with_transfer()
     link = link_to(south)
     for _ in range(3):
-        exchange(link, ledger)
-    assert sum(isinstance(one, RecordCapacityNeeds) for one in south.commands) == 1
+        run_exchange(link, ledger)
+    assert sum(isinstance(command, RecordCapacityNeeds) for command in south.commands) == 1
     link.forget_last_report()
-    exchange(link, ledger)
-    assert sum(isinstance(one, RecordCapacityNeeds) for one in south.commands) == 2
+    run_exchange(link, ledger)
+    assert sum(isinstance(command, RecordCapacityNeeds) for command in south.commands) == 2
 
 
-def test_a_transfer_is_sent_until_its_acknowledgement_is_committed() -> None:
+def test_transfer_is_sent_until_its_acknowledgement_is_committed() -> None:
     south, ledger = StubRegion(failing_calls=1), ledger_with_transfer()
     link = link_to(south)
-    assert exchange(link, ledger) == []
+    assert run_exchange(link, ledger) == []
     for _ in range(2):
-        assert exchange(link, ledger) == [AcknowledgeTransfer(TRANSFER)]
+        assert run_exchange(link, ledger) == [AcknowledgeTransfer(TRANSFER)]
     ledger.apply(2, AcknowledgeTransfer(TRANSFER))
-    assert exchange(link, ledger) == []
-    assert sum(isinstance(one, CreditTransfer) for one in south.commands) == 2
+    assert run_exchange(link, ledger) == []
+    assert sum(isinstance(command, CreditTransfer) for command in south.commands) == 2
 
 
-def test_a_transfer_that_is_rejected_is_not_acknowledged() -> None:
-    assert exchange(link_to(StubRegion(rejects=True)), ledger_with_transfer()) == []
+def test_rejected_transfer_is_not_acknowledged() -> None:
+    assert run_exchange(link_to(StubRegion(rejects_transfers=True)), ledger_with_transfer()) == []
 
 
 @dataclass
-class Recorder:
+class RecordingCoordinator:
     """A coordinator's far end that records the frames of all connections."""
 
     received: list[object] = field(default_factory=list)
@@ -109,23 +109,23 @@
         except (OSError, EOFError):
             writer.close()
 
-    async def wait_for(self, holds: Callable[[], bool]) -> None:
+    async def wait_for(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(HANG_TIMEOUT_S):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.05)
 
 
 HELLO = ClientHello(VERSION, "south", "north", ClientKind.REGION)
 
 
-async def check_duplicated_calls(relay: Relay, recorder: Recorder) -> Connection:
+async def check_duplicated_calls(relay: Relay, recording_coordinator: RecordingCoordinator) -> Connection:
     connection = await Connection.dial(relay.listen, HELLO)
     for number in range(20):
         connection.send(StatusCall(number))
-    received = recorder.received
-    await recorder.wait_for(lambda: len(received) >= 21 + relay.duplicated and relay.duplicated > 0)
+    received = recording_coordinator.received
+    await recording_coordinator.wait_for(lambda: len(received) >= 21 + relay.duplicated and relay.duplicated > 0)
     assert received[0] == HELLO
-    assert {one.number for one in received[1:] if isinstance(one, StatusCall)} == set(range(20))
+    assert {frame.number for frame in received[1:] if isinstance(frame, StatusCall)} == set(range(20))
     assert received[1:21] != [StatusCall(number) for number in range(20)], "in another order"
     return connection
 
@@ -134,25 +134,25 @@
     relay.partition()
     with pytest.raises((OSError, EOFError)):
         await connection.receive()
-    rejected = await Connection.dial(relay.listen, HELLO)
+    rejected_connection = await Connection.dial(relay.listen, HELLO)
     with pytest.raises((OSError, EOFError)):
-        await rejected.receive()
+        await rejected_connection.receive()
 
 
-def test_a_relay_duplicates_calls_and_relays_nothing_while_partitioned() -> None:
-    async def test() -> None:
-        recorder = Recorder()
-        target, listen = Address("127.0.0.1", free_port()), Address("127.0.0.1", free_port())
-        server = await asyncio.start_server(recorder.serve, *target)
-        relay = Relay(listen, target, seed=1)
+def test_relay_duplicates_calls_and_drops_all_while_partitioned() -> None:
+    async def scenario() -> None:
+        recording_coordinator = RecordingCoordinator()
+        target_address, listen_address = Address("127.0.0.1", free_port()), Address("127.0.0.1", free_port())
+        server = await asyncio.start_server(recording_coordinator.serve, *target_address)
+        relay = Relay(listen_address, target_address, seed=1)
         await relay.start()
-        connection = await check_duplicated_calls(relay, recorder)
+        connection = await check_duplicated_calls(relay, recording_coordinator)
         await check_partition(relay, connection)
         relay.heal()
-        count = len(recorder.received)
-        again = await Connection.dial(listen, HELLO)
-        await recorder.wait_for(lambda: len(recorder.received) != count)
-        again.close()
+        received_before_heal = len(recording_coordinator.received)
+        new_connection = await Connection.dial(listen_address, HELLO)
+        await recording_coordinator.wait_for(lambda: len(recording_coordinator.received) != received_before_heal)
+        new_connection.close()
         server.close()
 
-    asyncio.run(test())
+    asyncio.run(scenario())
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -30,10 +30,10 @@
 from tests.maintenance_cluster import Cluster
 from tests.maintenance_world import AGREEMENTS, small_agreement
 
-PICK = st.integers(0, 30)
+PICKS = st.integers(0, 30)
 
 
-class CompleteDrain(enum.StrEnum):
+class DrainSequence(enum.StrEnum):
     """All steps of a lease at once, and when its converters are observed."""
 
     OBSERVED_AFTER_RELEASE = "observed after the release"
@@ -41,8 +41,8 @@
     UNOBSERVED = "unobserved"
 
 
-DRAIN_STEPS = ("begin", "restart_converters", "release")  # methods of Cluster
-STEPS = (*DRAIN_STEPS, "take_over", *CompleteDrain, *CompleteDrain)
+DRAIN_STEPS = ("start_drain", "restart_converters", "release")  # methods of Cluster
+AGENT_STEPS = (*DRAIN_STEPS, "take_over", *DrainSequence, *DrainSequence)
 CONVERTER_STEPS = ("lose_converter", "restart_lost", "finish_warm_up")  # methods of Cluster
 ZONE_STEPS = (("lose_converter",), ("restart_lost", "finish_warm_up"), ("finish_warm_up",))
 
@@ -54,83 +54,87 @@
     cluster: Cluster
 
     @initialize(number=st.integers(0, len(AGREEMENTS) - 1))
-    def begin(self, number: int) -> None:
+    def start_cluster(self, number: int) -> None:
         self.cluster = Cluster(AGREEMENTS[number], self.ledger_type)
-        self.names = 0
+        self.name_count = 0
 
-    def region(self, pick: int) -> str:
+    def pick_region(self, number: int) -> str:
         regions = list(self.cluster.replicas)
-        return regions[pick % len(regions)]
-
-    @rule(where=PICK, first=PICK, count=st.integers(1, 4), max_unavailable=st.integers(1, 4))
-    def submit_and_grant(self, where: int, first: int, count: int, max_unavailable: int) -> None:
-        region = self.region(where)
-        requested = {name for one in self.cluster.ledger(region).open_requests() for name in one.remaining()}
-        here = [
-            one.name for one in self.cluster.agreement.converters_of("convert", region) if one.name not in requested
+        return regions[number % len(regions)]
+
+    @rule(which_region=PICKS, first=PICKS, count=st.integers(1, 4), max_unavailable=st.integers(1, 4))
+    def submit_and_grant(self, which_region: int, first: int, count: int, max_unavailable: int) -> None:
+        region = self.pick_region(which_region)
+        requested = {name for record in self.cluster.ledger(region).open_requests() for name in record.remaining()}
+        available = [
+            converter.name
+            for converter in self.cluster.agreement.converters_of("convert", region)
+            if converter.name not in requested
         ]
-        names = tuple(here[(first + i) % len(here)] for i in range(min(count, len(here))))
-        self.names += 1
-        self.cluster.submit(region, f"r{self.names}", names, max_unavailable)
-        self.cluster.grant(region, f"l{self.names}", f"r{self.names}", names[:max_unavailable])
-
-    @rule(where=PICK, which=PICK, count=st.integers(1, 4))
-    def grant(self, where: int, which: int, count: int) -> None:
-        ledger = self.cluster.ledger(self.region(where))
-        out = {name for lease in ledger.open_leases() for name in lease.unavailable}
-        requests = [one for one in ledger.open_requests() if set(one.remaining()) - out]
+        names = tuple(available[(first + i) % len(available)] for i in range(min(count, len(available))))
+        self.name_count += 1
+        self.cluster.submit(region, f"r{self.name_count}", names, max_unavailable)
+        self.cluster.grant(region, f"l{self.name_count}", f"r{self.name_count}", names[:max_unavailable])
+
+    @rule(which_region=PICKS, which_request=PICKS, count=st.integers(1, 4))
+    def grant(self, which_region: int, which_request: int, count: int) -> None:
+        ledger = self.cluster.ledger(self.pick_region(which_region))
+        unavailable = {name for lease in ledger.open_leases() for name in lease.unavailable}
+        requests = [record for record in ledger.open_requests() if set(record.remaining()) - unavailable]
         if requests:
-            record = requests[which % len(requests)]
-            remaining = record.request.max_unavailable - len(out & set(record.converters))
-            names = [name for name in record.remaining() if name not in out][: max(1, min(count, remaining))]
-            self.names += 1
-            self.cluster.grant(ledger.region, f"l{self.names}", record.request.name, tuple(names))
-
-    @rule(where=PICK)
-    def fill(self, where: int) -> None:
+            record = requests[which_request % len(requests)]
+            remaining = record.request.max_unavailable - len(unavailable & set(record.converters))
+            names = [name for name in record.remaining() if name not in unavailable][: max(1, min(count, remaining))]
+            self.name_count += 1
+            self.cluster.grant(ledger.region, f"l{self.name_count}", record.request.name, tuple(names))
+
+    @rule(which_region=PICKS)
+    def fill_region(self, which_region: int) -> None:
         """Request every converter by itself, until the region has all out that it may have."""
-        ledger = self.cluster.ledger(self.region(where))
-        requested = {name for one in ledger.open_requests() for name in one.remaining()}
+        ledger = self.cluster.ledger(self.pick_region(which_region))
+        requested = {name for record in ledger.open_requests() for name in record.remaining()}
         for converter in ledger.agreement.converters_of("convert", ledger.region):
             if converter.name not in requested:
-                self.names += 1
-                self.cluster.submit(ledger.region, f"r{self.names}", (converter.name,), 1)
+                self.name_count += 1
+                self.cluster.submit(ledger.region, f"r{self.name_count}", (converter.name,), 1)
         for record in ledger.open_requests():
             for name in record.remaining():
-                self.names += 1
-                self.cluster.grant(ledger.region, f"l{self.names}", record.request.name, (name,))
+                self.name_count += 1
+                self.cluster.grant(ledger.region, f"l{self.name_count}", record.request.name, (name,))
 
     @precondition(lambda self: self.cluster.agents)
-    @rule(which=PICK)
-    def grant_again(self, which: int) -> None:
-        agent = self.cluster.agents[-1 - which % len(self.cluster.agents)]
-        request = agent.lease.replace("l", "r", 1)
-        self.cluster.grant(agent.region, agent.lease, request, agent.converters)
+    @rule(which_agent=PICKS)
+    def grant_again(self, which_agent: int) -> None:
+        agent = self.cluster.agents[-1 - which_agent % len(self.cluster.agents)]
+        request_name = agent.lease.replace("l", "r", 1)
+        self.cluster.grant(agent.region, agent.lease, request_name, agent.converters)
 
     @precondition(lambda self: self.cluster.agents)
-    @rule(which=PICK, step=st.sampled_from(STEPS))
-    def agent(self, which: int, step: str) -> None:
-        agents = [one for one in self.cluster.agents if not (which % 3 and (one.superseded or one.released))]
+    @rule(which_agent=PICKS, step=st.sampled_from(AGENT_STEPS))
+    def agent_step(self, which_agent: int, step: str) -> None:
+        agents = [
+            agent for agent in self.cluster.agents if not (which_agent % 3 and (agent.superseded or agent.released))
+        ]
         if not agents:
             return
-        agent = agents[-1 - which % len(agents)]
-        if step is CompleteDrain.OBSERVED_BEFORE_START:
+        agent = agents[-1 - which_agent % len(agents)]
+        if step is DrainSequence.OBSERVED_BEFORE_START:
             self.cluster.observe(agent.region)
-        for name in DRAIN_STEPS if isinstance(step, CompleteDrain) else (step,):
+        for name in DRAIN_STEPS if isinstance(step, DrainSequence) else (step,):
             getattr(self.cluster, name)(agent)
-        if step is CompleteDrain.OBSERVED_AFTER_RELEASE:
+        if step is DrainSequence.OBSERVED_AFTER_RELEASE:
             self.cluster.observe(agent.region)
-        if step in (CompleteDrain.OBSERVED_AFTER_RELEASE, CompleteDrain.OBSERVED_BEFORE_START):
+        if step in (DrainSequence.OBSERVED_AFTER_RELEASE, DrainSequence.OBSERVED_BEFORE_START):
             self.cluster.record_observation(-1)
 
-    @rule(which=PICK, step=st.sampled_from(CONVERTER_STEPS))
-    def converter(self, which: int, step: str) -> None:
-        names = list(self.cluster.actual)
-        getattr(self.cluster, step)(names[which % len(names)])
+    @rule(which_converter=PICKS, step=st.sampled_from(CONVERTER_STEPS))
+    def converter_step(self, which_converter: int, step: str) -> None:
+        names = list(self.cluster.actual_converters)
+        getattr(self.cluster, step)(names[which_converter % len(names)])
 
-    @rule(where=PICK, zone=st.integers(0, 1), steps=st.sampled_from(ZONE_STEPS))
-    def zone(self, where: int, zone: int, steps: tuple[str, ...]) -> None:
-        region = self.region(where)
+    @rule(which_region=PICKS, zone=st.integers(0, 1), steps=st.sampled_from(ZONE_STEPS))
+    def zone_step(self, which_region: int, zone: int, steps: tuple[str, ...]) -> None:
+        region = self.pick_region(which_region)
         for converter in self.cluster.agreement.converters_of("convert", region):
             if converter.zone == f"z{zone}":
                 for step in steps:
@@ -138,36 +142,38 @@
         self.cluster.observe(region)
         self.cluster.record_observation(-1)
 
-    @rule(where=PICK, now=st.booleans())
-    def observe(self, where: int, now: bool) -> None:
-        self.cluster.observe(self.region(where))
-        if now:
+    @rule(which_region=PICKS, record_now=st.booleans())
+    def observe(self, which_region: int, record_now: bool) -> None:
+        self.cluster.observe(self.pick_region(which_region))
+        if record_now:
             self.cluster.record_observation(-1)
 
     @precondition(lambda self: self.cluster.pending_observations)
-    @rule(which=PICK, keep=st.booleans())
-    def report(self, which: int, keep: bool) -> None:
+    @rule(which_observation=PICKS, keep_copy=st.booleans())
+    def report_observation(self, which_observation: int, keep_copy: bool) -> None:
         """Report an observation that is in transit, mostly the oldest."""
-        self.cluster.record_observation(max(0, which - 20) % len(self.cluster.pending_observations), keep=keep)
-
-    @rule(where=PICK, to=PICK, amount=st.integers(1, 4), now=st.booleans())
-    def give(self, where: int, to: int, amount: int, now: bool) -> None:
-        giver = self.region(where)
-        receiver = self.region(where + 1 + to % (len(self.cluster.replicas) - 1))
+        self.cluster.record_observation(
+            max(0, which_observation - 20) % len(self.cluster.pending_observations), keep_copy=keep_copy
+        )
+
+    @rule(which_region=PICKS, which_receiver=PICKS, amount=st.integers(1, 4), deliver_now=st.booleans())
+    def give_allowance(self, which_region: int, which_receiver: int, amount: int, deliver_now: bool) -> None:
+        giver = self.pick_region(which_region)
+        receiver = self.pick_region(which_region + 1 + which_receiver % (len(self.cluster.replicas) - 1))
         self.cluster.debit(giver, receiver, amount * 500)
         self.cluster.send_transfers(giver)
-        if now and self.cluster.network:
+        if deliver_now and self.cluster.network:
             self.cluster.deliver(-1)
 
-    @rule(where=PICK)
-    def rebalance(self, where: int) -> None:
-        self.cluster.rebalance(self.region(where))
-        self.cluster.send_needs_and_transfers(self.region(where))
+    @rule(which_region=PICKS)
+    def rebalance(self, which_region: int) -> None:
+        self.cluster.rebalance(self.pick_region(which_region))
+        self.cluster.send_needs_and_transfers(self.pick_region(which_region))
 
     @precondition(lambda self: self.cluster.network)
-    @rule(which=PICK, keep=st.booleans())
-    def deliver(self, which: int, keep: bool) -> None:
-        self.cluster.deliver(which % len(self.cluster.network), keep=keep)
+    @rule(which_message=PICKS, keep_copy=st.booleans())
+    def deliver(self, which_message: int, keep_copy: bool) -> None:
+        self.cluster.deliver(which_message % len(self.cluster.network), keep_copy=keep_copy)
 
     @precondition(lambda self: self.cluster.network)
     @rule()
@@ -175,29 +181,31 @@
         self.cluster.deliver_all()
 
     @precondition(lambda self: self.cluster.network)
-    @rule(which=PICK)
-    def drop(self, which: int) -> None:
-        self.cluster.network.pop(which % len(self.cluster.network))
-
-    @rule(where=PICK, which=PICK, command_type=st.sampled_from([RevokeLease, CancelRequest]))
-    def withdraw(self, where: int, which: int, command_type: type[RevokeLease | CancelRequest]) -> None:
-        region = self.region(where)
+    @rule(which_message=PICKS)
+    def drop_message(self, which_message: int) -> None:
+        self.cluster.network.pop(which_message % len(self.cluster.network))
+
+    @rule(which_region=PICKS, which_withdrawn_lease=PICKS, command_type=st.sampled_from([RevokeLease, CancelRequest]))
+    def withdraw_lease(
+        self, which_region: int, which_withdrawn_lease: int, command_type: type[RevokeLease | CancelRequest]
+    ) -> None:
+        region = self.pick_region(which_region)
         if leases := self.cluster.ledger(region).open_leases():
-            lease = leases[which % len(leases)]
+            lease = leases[which_withdrawn_lease % len(leases)]
             self.cluster.apply(region, command_type(lease.name if command_type is RevokeLease else lease.request))
 
-    @rule(where=PICK)
-    def advance(self, where: int) -> None:
-        region = self.region(where)
+    @rule(which_region=PICKS)
+    def advance_time(self, which_region: int) -> None:
+        region = self.pick_region(which_region)
         self.cluster.apply(region, AdvanceTime(self.cluster.ledger(region).now_ms + 20_000))
 
-    @rule(where=PICK)
-    def checkpoint(self, where: int) -> None:
-        self.cluster.checkpoint(self.region(where))
+    @rule(which_region=PICKS)
+    def checkpoint(self, which_region: int) -> None:
+        self.cluster.checkpoint(self.pick_region(which_region))
 
-    @rule(where=PICK)
-    def restart(self, where: int) -> None:
-        region = self.region(where)
+    @rule(which_region=PICKS)
+    def restart(self, which_region: int) -> None:
+        region = self.pick_region(which_region)
         before = self.cluster.ledger(region).snapshot()
         self.cluster.restart(region)
         assert self.cluster.ledger(region).snapshot() == before, "a restart changed the state"
@@ -223,11 +231,13 @@
 
 
 @pytest.mark.parametrize("name", FAULTY_LEDGERS)
-def test_drawn_runs_find_each_seeded_fault(name: str) -> None:
-    machine = type("FaultyRegions", (Regions,), {"ledger_type": FAULTY_LEDGERS[name]})
-    few = settings(TestRegions.settings, max_examples=2000, phases=[Phase.generate], report_multiple_bugs=False)
+def test_random_runs_find_each_seeded_fault(name: str) -> None:
+    faulty_machine = type("FaultyRegions", (Regions,), {"ledger_type": FAULTY_LEDGERS[name]})
+    reduced_settings = settings(
+        TestRegions.settings, max_examples=2000, phases=[Phase.generate], report_multiple_bugs=False
+    )
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(machine, settings=few)
+        run_state_machine_as_test(faulty_machine, settings=reduced_settings)
 
 
 # One run for each seeded fault, with the agreement alone as the judge
@@ -254,9 +264,11 @@
 def double_credit(cluster: Cluster) -> None:
     cluster.debit("south", "north", 1000)
     cluster.send_needs_and_transfers("south")
-    credit = next(i for i, one in enumerate(cluster.network) if isinstance(one.command, CreditTransfer))
-    cluster.deliver(credit, keep=True)
-    cluster.deliver(credit)
+    credit_position = next(
+        i for i, message in enumerate(cluster.network) if isinstance(message.command, CreditTransfer)
+    )
+    cluster.deliver(credit_position, keep_copy=True)
+    cluster.deliver(credit_position)
     cluster.request_and_grant("north", "r1", "n00", "n01", "n02")
     cluster.request_and_grant("north", "r2", "n10")
     cluster.request_and_grant("south", "r3", "s00")
@@ -303,7 +315,7 @@
     cluster.request_and_grant("south", "r2", "s00", "s01", "s02")
 
 
-RUNS: dict[str, Callable[[Cluster], None]] = {
+SCRIPTED_RUNS: dict[str, Callable[[Cluster], None]] = {
     "cold-counts": ignore_warm_up,
     "expiry-frees": expiry_frees,
     "double-credit": double_credit,
@@ -316,30 +328,30 @@
 
 
 @pytest.mark.parametrize("name", FAULTY_LEDGERS)
-def test_each_seeded_fault_breaches_the_agreement_where_the_ledger_keeps_it(name: str) -> None:
-    sound = Cluster(small_agreement())
-    RUNS[name](sound)
-    assert sound.breaches == []
-    faulty = Cluster(small_agreement(), FAULTY_LEDGERS[name])
-    RUNS[name](faulty)
-    assert faulty.breaches, f"the judge did not see {name}"
-
-
-def test_the_judge_counts_independently_of_ledgers() -> None:
-    agreed = small_agreement()
-    taken = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
-    assert list(judge.breaches(agreed, taken)) == []
-    found = list(judge.breaches(agreed, [*taken, Change(9, "s02", 100, planned=True)]))
-    assert [(one.at_ms, one.region, one.available) for one in found] == [(9, "", 7000)], (
+def test_scripted_runs_breach_the_agreement_only_with_a_seeded_fault(name: str) -> None:
+    correct_cluster = Cluster(small_agreement())
+    SCRIPTED_RUNS[name](correct_cluster)
+    assert correct_cluster.breaches == []
+    faulty_cluster = Cluster(small_agreement(), FAULTY_LEDGERS[name])
+    SCRIPTED_RUNS[name](faulty_cluster)
+    assert faulty_cluster.breaches, f"the judge did not see {name}"
+
+
+def test_judge_counts_independently_of_ledgers() -> None:
+    agreement = small_agreement()
+    lease_changes = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
+    assert list(judge.breaches(agreement, lease_changes)) == []
+    breaches_found = list(judge.breaches(agreement, [*lease_changes, Change(9, "s02", 100, planned=True)]))
+    assert [(breach.at_ms, breach.region, breach.available) for breach in breaches_found] == [(9, "", 7000)], (
         "a converter that warms up is wholly missing"
     )
-    back = [*taken, Change(9, "s02", 1000, planned=True), Change(9, "n00", 0, planned=True)]
-    assert list(judge.breaches(agreed, back)) == []
+    changes_after_recovery = [*lease_changes, Change(9, "s02", 1000, planned=True), Change(9, "n00", 0, planned=True)]
+    assert list(judge.breaches(agreement, changes_after_recovery)) == []
     loss = Change(2, "n02", 600, planned=False)
-    assert list(judge.grants_during_shortage(agreed, [*taken, loss], 1)) and not list(
-        judge.breaches(agreed, [*taken, loss])
+    assert list(judge.grants_during_shortage(agreement, [*lease_changes, loss], 1)) and not list(
+        judge.breaches(agreement, [*lease_changes, loss])
     )
-    assert not list(judge.grants_during_shortage(agreed, [*taken, loss], 6000)), "not known for long enough"
-    survives = AGREEMENTS[3]
-    regional = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "n02"))]
-    assert [one.region for one in judge.breaches(survives, regional)] == ["north"]
+    assert not list(judge.grants_during_shortage(agreement, [*lease_changes, loss], 6000)), "not known for long enough"
+    zone_agreement = AGREEMENTS[3]
+    north_changes = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "n02"))]
+    assert [breach.region for breach in judge.breaches(zone_agreement, north_changes)] == ["north"]
--- a/tests/test_maintenance_storage.py
+++ b/tests/test_maintenance_storage.py
@@ -17,11 +17,11 @@
 
 
 def make_ready(term: int, first_index: int, *commands: bytes) -> Ready:
-    return Ready(HardState(term, "a"), first_index, tuple(Entry(term, c) for c in commands), (), ())
+    return Ready(HardState(term, "a"), first_index, tuple(Entry(term, command) for command in commands), (), ())
 
 
 @pytest.fixture
-def folder(tmp_path: Path) -> Path:
+def replica_folder(tmp_path: Path) -> Path:
     storage.create(tmp_path, IDENTITY)
     file = storage.FileStorage(tmp_path, IDENTITY)
     file.save(make_ready(1, 1, b"one", b"two", b"three"))
@@ -30,80 +30,78 @@
     return tmp_path
 
 
-def reopened(folder: Path, identity: storage.Identity = IDENTITY) -> DurableState:
-    file = storage.FileStorage(folder, identity)
+def reopen_and_read(replica_folder: Path, identity: storage.Identity = IDENTITY) -> DurableState:
+    file = storage.FileStorage(replica_folder, identity)
     file.close()
     return file.state
 
 
-def test_what_was_saved_is_read_again(folder: Path) -> None:
-    assert reopened(folder) == DurableState(HardState(2, "a"), (Entry(1, b"one"), Entry(2, b"other")))
+def test_saved_state_is_read_back(replica_folder: Path) -> None:
+    assert reopen_and_read(replica_folder) == DurableState(HardState(2, "a"), (Entry(1, b"one"), Entry(2, b"other")))
 
 
-@given(cut=st.integers(1, 200))
-def test_a_torn_tail_that_was_never_acknowledged_is_truncated(
-    cut: int, tmp_path_factory: pytest.TempPathFactory
-) -> None:
-    folder = tmp_path_factory.mktemp("torn")
-    storage.create(folder, IDENTITY)
-    file = storage.FileStorage(folder, IDENTITY)
+@given(cut_bytes=st.integers(1, 200))
+def test_unacknowledged_torn_tail_is_truncated(cut_bytes: int, tmp_path_factory: pytest.TempPathFactory) -> None:
+    replica_folder = tmp_path_factory.mktemp("torn")
+    storage.create(replica_folder, IDENTITY)
+    file = storage.FileStorage(replica_folder, IDENTITY)
     file.save(make_ready(1, 1, b"one"))
-    before_second, acknowledged = file.path.read_bytes(), file.offset
+    content_before_second, acknowledged = file.path.read_bytes(), file.offset
     file.save(make_ready(2, 2, b"x" * 200))
     file.close()
-    complete = file.path.read_bytes()
-    file.path.write_bytes(before_second[:20] + complete[20 : max(acknowledged, len(complete) - cut)])
-    file = storage.FileStorage(folder, IDENTITY)
+    content = file.path.read_bytes()
+    file.path.write_bytes(content_before_second[:20] + content[20 : max(acknowledged, len(content) - cut_bytes)])
+    file = storage.FileStorage(replica_folder, IDENTITY)
     file.save(make_ready(5, 2, b"two"))
     file.close()
-    assert reopened(folder) == DurableState(HardState(5, "a"), (Entry(1, b"one"), Entry(5, b"two")))
+    assert reopen_and_read(replica_folder) == DurableState(HardState(5, "a"), (Entry(1, b"one"), Entry(5, b"two")))
 
 
-def test_a_file_that_has_lost_acknowledged_records_is_rejected(folder: Path) -> None:
-    path = folder / storage.FILE_NAME
+def test_missing_acknowledged_records_are_rejected(replica_folder: Path) -> None:
+    path = replica_folder / storage.FILE_NAME
     path.write_bytes(path.read_bytes()[:-3])
     with pytest.raises(storage.StorageError, match=r"replica\.log: ends at byte \d+, but \d+ bytes were acknowledged"):
-        reopened(folder)
+        reopen_and_read(replica_folder)
 
 
-def test_any_altered_byte_is_rejected(folder: Path) -> None:
-    path = folder / storage.FILE_NAME
-    complete = path.read_bytes()
-    for position in range(len(complete)):
-        altered = bytearray(complete)
-        altered[position] ^= 0x40
-        path.write_bytes(altered)
+def test_any_altered_byte_is_rejected(replica_folder: Path) -> None:
+    path = replica_folder / storage.FILE_NAME
+    content = path.read_bytes()
+    for byte_index in range(len(content)):
+        altered_content = bytearray(content)
+        altered_content[byte_index] ^= 0x40
+        path.write_bytes(altered_content)
         with pytest.raises(storage.StorageError, match=r"replica\.log: "):
-            reopened(folder)
+            reopen_and_read(replica_folder)
 
 
-def test_another_replicas_or_regions_file_is_rejected(folder: Path) -> None:
-    others = (
+def test_file_of_another_replica_or_region_is_rejected(replica_folder: Path) -> None:
+    other_identities = (
         storage.Identity("north", "b", IDENTITY.members),
         storage.Identity("south", "a", IDENTITY.members),
         storage.Identity("north", "a", ("a", "b", "d")),
     )
-    for other in others:
+    for other_identity in other_identities:
         with pytest.raises(storage.StorageError, match="belongs to replica a of region north"):
-            reopened(folder, other)
+            reopen_and_read(replica_folder, other_identity)
 
 
-def test_a_file_is_open_in_one_process_only(folder: Path) -> None:
-    file = storage.FileStorage(folder, IDENTITY)
+def test_open_file_is_locked(replica_folder: Path) -> None:
+    file = storage.FileStorage(replica_folder, IDENTITY)
     with pytest.raises(storage.StorageError, match="in use by another process"):
-        storage.FileStorage(folder, IDENTITY)
+        storage.FileStorage(replica_folder, IDENTITY)
     file.close()
 
 
-def test_no_file_is_created_over_another_and_a_missing_one_is_not_opened(folder: Path, tmp_path: Path) -> None:
+def test_create_rejects_existing_and_open_rejects_missing_files(replica_folder: Path, tmp_path: Path) -> None:
     with pytest.raises(storage.StorageError, match="already exists"):
-        storage.create(folder, IDENTITY)
+        storage.create(replica_folder, IDENTITY)
     with pytest.raises(storage.StorageError, match="No such file"):
         storage.FileStorage(tmp_path / "elsewhere", IDENTITY)
 
 
-def test_the_storage_with_a_seeded_fault_loses_entries(folder: Path) -> None:
-    file = ForgetGrantStorage(folder, IDENTITY)
+def test_forget_grant_storage_loses_entries(replica_folder: Path) -> None:
+    file = ForgetGrantStorage(replica_folder, IDENTITY)
     file.save(make_ready(3, 3, b"lost"))
     file.close()
-    assert reopened(folder) == DurableState(HardState(3, "a"), (Entry(1, b"one"), Entry(2, b"other")))
+    assert reopen_and_read(replica_folder) == DurableState(HardState(3, "a"), (Entry(1, b"one"), Entry(2, b"other")))
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -22,7 +22,7 @@
 from ryepier.maintenance.replication.model import DurableState, ReplicaSettings
 from ryepier.maintenance.replication.roles import Role
 from ryepier.maintenance.replication.seeded_faults import VoteTwiceReplica
-from tests.maintenance_replication_cluster import NAMES, RUN_ROUNDS, BrokenInvariantError, Cluster
+from tests.maintenance_replication_cluster import MEMBER_NAMES, RUN_ROUNDS, BrokenInvariantError, Cluster
 
 ACTIONS = (
     "tick", "deliver", "deliver", "repeat", "lose", "propose", "run", "run", "crash", "crash-unsaved", "restart",
@@ -30,101 +30,107 @@
 )  # fmt: skip
 WEIGHTS = {"run": 8, "deliver": 8, "propose": 4, "tick": 4, "restart": 6, "repeat": 2, "lose": 2, "crash": 1,
            "crash-unsaved": 1}  # fmt: skip
-WITH_WIPES = WEIGHTS | {"wipe": 0.2}
+WEIGHTS_WITH_WIPES = WEIGHTS | {"wipe": 0.2}
 
 
-def explore(cluster: Cluster, seed: int, steps: int, weights: Mapping[str, float]) -> None:
-    drawn = random.Random(seed)
-    for action in drawn.choices(tuple(weights), tuple(weights.values()), k=steps):
-        cluster.perform(action, drawn.choice(tuple(cluster.members)), drawn.randrange(10**6))
+def run_random_walk(cluster: Cluster, seed: int, step_count: int, weights: Mapping[str, float]) -> None:
+    generator = random.Random(seed)
+    for action in generator.choices(tuple(weights), tuple(weights.values()), k=step_count):
+        cluster.perform(action, generator.choice(tuple(cluster.members)), generator.randrange(10**6))
 
 
-drawn_steps = st.lists(
-    st.tuples(st.sampled_from(ACTIONS), st.sampled_from(NAMES), st.integers(0, 10**6)), min_size=30, max_size=150
+event_lists = st.lists(
+    st.tuples(st.sampled_from(ACTIONS), st.sampled_from(MEMBER_NAMES), st.integers(0, 10**6)), min_size=30, max_size=150
 )
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.sampled_from((3, 5)), st.integers(0, 2**32), drawn_steps)
-def test_any_order_of_events_keeps_the_invariants(size: int, seed: int, steps: list[tuple[str, str, int]]) -> None:
+@given(st.sampled_from((3, 5)), st.integers(0, 2**32), event_lists)
+def test_any_order_of_events_keeps_the_invariants(
+    size: int, seed: int, drawn_events: list[tuple[str, str, int]]
+) -> None:
     cluster = Cluster(size, seed)
-    for action, name, pick in steps:
+    for action, name, random_number in drawn_events:
         if name in cluster.members:
-            cluster.perform(action, name, pick)
+            cluster.perform(action, name, random_number)
 
 
-@pytest.mark.parametrize("weights", [WEIGHTS, WITH_WIPES], ids=["crashes", "wipes"])
+@pytest.mark.parametrize("weights", [WEIGHTS, WEIGHTS_WITH_WIPES], ids=["crashes", "wipes"])
 @pytest.mark.parametrize("size", [3, 5])
-def test_long_walks_keep_the_invariants_and_commit(size: int, weights: Mapping[str, float]) -> None:
+def test_long_random_walks_keep_the_invariants_and_commit(size: int, weights: Mapping[str, float]) -> None:
     committed = 0
     for seed in range(40):
         cluster = Cluster(size, seed)
-        explore(cluster, seed, 300, weights)
+        run_random_walk(cluster, seed, 300, weights)
         committed += len(cluster.committed)
     assert committed > 40 * 5
 
 
-def first_broken_invariant(walks: int, replica_type: type[Replica] = Replica, loses_entries: bool = False) -> str:
+def first_broken_invariant(walk_count: int, replica_type: type[Replica] = Replica, loses_entries: bool = False) -> str:
     """Return the invariant that the first failing walk broke, empty without one."""
-    for seed in range(walks):
+    for seed in range(walk_count):
         cluster = Cluster(3, seed, replica_type, loses_entries)
         try:
-            explore(cluster, seed, 300, WEIGHTS)
+            run_random_walk(cluster, seed, 300, WEIGHTS)
         except BrokenInvariantError as error:
             return str(error)
     return ""
 
 
-def test_a_replica_that_votes_twice_is_caught() -> None:
+def test_voting_twice_is_detected() -> None:
     assert first_broken_invariant(200, VoteTwiceReplica)
 
 
-def test_an_entry_acknowledged_before_it_is_stored_is_caught() -> None:
+def test_acknowledging_unstored_entries_is_detected() -> None:
     assert first_broken_invariant(200, loses_entries=True)
 
 
-def test_a_leader_commits_and_all_have_it() -> None:
+def test_committed_entries_reach_all_members() -> None:
     cluster = Cluster(3, 1)
     leader = cluster.elect()
     for _ in range(200):
         cluster.propose(leader)
     cluster.run(2 * RUN_ROUNDS)
-    assert [replica.commit_index for m in cluster.members.values() if (replica := m.replica)] == [201, 201, 201]
+    assert [replica.commit_index for member in cluster.members.values() if (replica := member.replica)] == [
+        201,
+        201,
+        201,
+    ]
 
 
-def test_a_partitioned_leader_commits_nothing_and_steps_down() -> None:
+def test_partitioned_leader_commits_nothing_and_steps_down() -> None:
     cluster = Cluster(3, 1)
-    old = cluster.elect()
-    replica = cluster.members[old].replica
+    old_leader = cluster.elect()
+    replica = cluster.members[old_leader].replica
     assert replica is not None
-    before = replica.commit_index
-    cluster.propose(old)
+    commit_index_before = replica.commit_index
+    cluster.propose(old_leader)
     cluster.network.clear()
-    cluster.run(60, without=old)
-    new = cluster.leader()
-    assert replica.commit_index == before and new != old
+    cluster.run(60, partitioned_member=old_leader)
+    new_leader = cluster.leader()
+    assert replica.commit_index == commit_index_before and new_leader != old_leader
     for _ in range(60):
-        cluster.tick(old)
-        cluster.network = [m for m in cluster.network if old not in m[:2]]
+        cluster.tick(old_leader)
+        cluster.network = [envelope for envelope in cluster.network if old_leader not in envelope[:2]]
     assert not replica.is_leader
 
 
-def test_a_follower_far_behind_catches_up() -> None:
+def test_follower_far_behind_catches_up() -> None:
     cluster = Cluster(3, 2)
     leader = cluster.elect()
-    behind = next(name for name in cluster.members if name != leader)
-    cluster.members[behind].replica = None
+    lagging_follower = next(name for name in cluster.members if name != leader)
+    cluster.members[lagging_follower].replica = None
     for _ in range(150):
         cluster.propose(leader)
-        cluster.network = [m for m in cluster.network if behind not in m[:2]]
-        cluster.run(1, without=behind)
-    cluster.start(behind)
+        cluster.network = [envelope for envelope in cluster.network if lagging_follower not in envelope[:2]]
+        cluster.run(1, partitioned_member=lagging_follower)
+    cluster.start(lagging_follower)
     cluster.run(30)
-    replica = cluster.members[behind].replica
+    replica = cluster.members[lagging_follower].replica
     assert replica is not None and replica.commit_index >= 150
 
 
-def test_a_new_leader_has_no_current_state_before_it_has_committed_in_its_term() -> None:
+def test_new_leader_must_commit_an_entry_in_its_term() -> None:
     replica = follower((Entry(3, b"old"),))
     while replica.role is not Role.CANDIDATE:
         replica.tick()
@@ -146,7 +152,7 @@
     return replica
 
 
-def test_a_replica_with_an_empty_disk_neither_votes_nor_becomes_a_candidate() -> None:
+def test_replica_with_an_empty_disk_neither_votes_nor_becomes_a_candidate() -> None:
     cluster = Cluster(3, 3)
     cluster.elect()
     replica = wipe(cluster, "a")
@@ -158,14 +164,14 @@
     assert not any(isinstance(message, VoteResponse | RequestVote) for message in messages)
 
 
-def test_a_recovering_replica_is_a_learner_until_it_has_an_entry_of_a_leader_elected_without_it() -> None:
+def test_recovered_replica_becomes_a_voter_after_an_entry_of_a_later_leader() -> None:
     cluster = Cluster(3, 3)
     leader = cluster.elect()
     cluster.propose(leader)
     cluster.run(RUN_ROUNDS)
-    before = cluster.members[leader].replica
-    assert before is not None
-    term = before.term
+    leader_replica = cluster.members[leader].replica
+    assert leader_replica is not None
+    term = leader_replica.term
     replica = wipe(cluster, next(name for name in cluster.members if name != leader))
     cluster.run(100)
     assert replica.role in (Role.FOLLOWER, Role.LEADER)
@@ -173,7 +179,7 @@
     assert replica.commit_index >= 3
 
 
-def test_a_recovering_replica_does_not_vote_while_another_member_is_down() -> None:
+def test_recovering_replica_does_not_vote_while_another_member_is_down() -> None:
     cluster = Cluster(3, 4)
     cluster.elect()
     cluster.members["b"].replica = None
@@ -185,9 +191,9 @@
     assert replica.role in (Role.FOLLOWER, Role.LEADER)
 
 
-def test_a_learner_that_restarts_is_still_a_learner() -> None:
-    settings_ = ReplicaSettings("a", NAMES[:3], 0)
-    learner = Replica(settings_, DurableState(HardState(7, "", 7), (Entry(3, b""),)))
+def test_restarted_learner_is_still_a_learner() -> None:
+    replica_settings = ReplicaSettings("a", MEMBER_NAMES[:3], 0)
+    learner = Replica(replica_settings, DurableState(HardState(7, "", 7), (Entry(3, b""),)))
     assert learner.role is Role.LEARNER
     learner.receive("b", RequestVote(8, 9, 8))
     assert learner.take_ready().messages == ()
@@ -197,10 +203,10 @@
 
 
 def follower(entries: tuple[Entry, ...] = ()) -> Replica:
-    return Replica(ReplicaSettings("a", NAMES[:3], 0), DurableState(HardState(3), entries))
+    return Replica(ReplicaSettings("a", MEMBER_NAMES[:3], 0), DurableState(HardState(3), entries))
 
 
-def test_a_message_of_a_non_member_is_rejected() -> None:
+def test_message_from_a_non_member_is_rejected() -> None:
     with pytest.raises(ProtocolError, match="'x' is not a peer"):
         follower().receive("x", RequestVote(9, 0, 0))
 
@@ -213,16 +219,16 @@
     assert replica.log == [Entry(1, b"one")]
 
 
-def test_a_second_leader_of_a_term_is_rejected() -> None:
+def test_second_leader_of_a_term_is_rejected() -> None:
     cluster = Cluster(3, 1)
     leader = cluster.members[cluster.elect()].replica
     assert leader is not None
-    other = leader.settings.peers[0]
+    peer = leader.settings.peers[0]
     with pytest.raises(ProtocolError, match="claims to lead term"):
-        leader.receive(other, AppendEntries(leader.term, 0, 0, (), 0))
+        leader.receive(peer, AppendEntries(leader.term, 0, 0, (), 0))
 
 
-def test_entries_of_a_past_term_are_answered_with_the_present_term() -> None:
+def test_entries_of_an_earlier_term_are_answered_with_the_current_term() -> None:
     replica = follower()
     replica.receive("b", AppendEntries(2, 0, 0, (Entry(2, b"late"),), 1))
     ready = replica.take_ready()
