--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -24,7 +24,7 @@
     CreditTransfer,
     RevokeLease,
 )
-from ryepier.maintenance.judge import Change
+from ryepier.maintenance.judge import CapacityChange
 from ryepier.maintenance.ledger import Ledger
 from ryepier.maintenance.seeded_faults import FAULTY_LEDGERS
 from tests.maintenance_cluster import Cluster
@@ -339,19 +339,25 @@
 
 def test_judge_counts_independently_of_ledgers() -> None:
     agreement = small_agreement()
-    lease_changes = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
-    assert list(judge.breaches(agreement, lease_changes)) == []
-    breaches_found = list(judge.breaches(agreement, [*lease_changes, Change(9, "s02", 100, planned=True)]))
+    lease_changes = [CapacityChange(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
+    assert list(judge.find_breaches(agreement, lease_changes)) == []
+    breaches_found = list(judge.find_breaches(agreement, [*lease_changes, CapacityChange(9, "s02", 100, planned=True)]))
     assert [(breach.at_ms, breach.region, breach.available) for breach in breaches_found] == [(9, "", 7000)], (
         "a converter that warms up is wholly missing"
     )
-    changes_after_recovery = [*lease_changes, Change(9, "s02", 1000, planned=True), Change(9, "n00", 0, planned=True)]
-    assert list(judge.breaches(agreement, changes_after_recovery)) == []
-    loss = Change(2, "n02", 600, planned=False)
-    assert list(judge.grants_during_shortage(agreement, [*lease_changes, loss], 1)) and not list(
-        judge.breaches(agreement, [*lease_changes, loss])
+    changes_after_recovery = [
+        *lease_changes,
+        CapacityChange(9, "s02", 1000, planned=True),
+        CapacityChange(9, "n00", 0, planned=True),
+    ]
+    assert list(judge.find_breaches(agreement, changes_after_recovery)) == []
+    loss = CapacityChange(2, "n02", 600, planned=False)
+    assert list(judge.find_grants_during_shortage(agreement, [*lease_changes, loss], 1)) and not list(
+        judge.find_breaches(agreement, [*lease_changes, loss])
+    )
+    assert not list(judge.find_grants_during_shortage(agreement, [*lease_changes, loss], 6000)), (
+        "not known for long enough"
     )
-    assert not list(judge.grants_during_shortage(agreement, [*lease_changes, loss], 6000)), "not known for long enough"
     zone_agreement = AGREEMENTS[3]
-    north_changes = [Change(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "n02"))]
-    assert [breach.region for breach in judge.breaches(zone_agreement, north_changes)] == ["north"]
+    north_changes = [CapacityChange(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "n02"))]
+    assert [breach.region for breach in judge.find_breaches(zone_agreement, north_changes)] == ["north"]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -82,7 +82,7 @@
     one = lightweight_forwarder()
 
     def attempts() -> int:
-        return sum(notes.attempts for notes in one.reporter.notes.values())
+        return sum(record.attempts for record in one.reporter.records.values())
 
     before = attempts()
     one.simulated_until_s -= 10.0
@@ -302,8 +302,8 @@
     path = tmp_path / "sidecar.json"
     path.write_text(call.make_configuration(1, 400, ("127.1.2.3", 9000), ("127.1.2.4", 8500), ("127.1.2.5", 9000)))
     read = config.load(str(path))
-    assert len(read.known["targets"]) == 400 and read.settings.classes[0].idempotency == Idempotency.IDEMPOTENT
-    assert read.known == make_list(400, ("127.1.2.5", 9000))
+    assert len(read.cached_list["targets"]) == 400 and read.settings.classes[0].idempotency == Idempotency.IDEMPOTENT
+    assert read.cached_list == make_list(400, ("127.1.2.5", 9000))
 
 
 def test_stand_in_converters_answer_each_call_and_tell_their_list(
@@ -389,7 +389,7 @@
 
 
 def test_without_a_budget_attempts_go_beyond_its_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryPolicy, "charge", RetryPolicy.charge)  # put back at the end
+    monkeypatch.setattr(RetryPolicy, "charge_budget", RetryPolicy.charge_budget)  # put back at the end
     seeded_faults.SEEDED_FAULTS["no-budget"]()
     one = chain(1, 0.5, calls=300)
     assert ChainFigures.of(one, run_chain(one)).over_bound > 1.0
