--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -104,8 +104,8 @@
         self.pending_observations: list[PendingObservation] = []
         self.last_sequence = 0
         self.time = 0
-        self.agreement_judge = AgreementChecker(agreement)
-        self.region_judges = {
+        self.agreement_checker = AgreementChecker(agreement)
+        self.region_checkers = {
             name: AgreementChecker(agreement) for name in agreement.regions
         }  # with the losses that a region has recorded
         self.recorded_as_of: dict[str, int] = {}
@@ -260,7 +260,7 @@
             if self.recorded_as_of.get(observation.converter, 0) <= pending.command.as_of:
                 self.recorded_as_of[observation.converter] = pending.command.as_of
                 missing = FULL_WARMTH - observation.warmth if observation.ready else FULL_WARMTH
-                self.region_judges[pending.region].apply(
+                self.region_checkers[pending.region].apply(
                     CapacityChange(self._next_time(), observation.converter, missing, planned=False)
                 )
 
@@ -317,12 +317,12 @@
 
     def _apply_change(self, name: str, missing: int, *, planned: bool) -> None:
         change = CapacityChange(self._next_time(), name, missing, planned)
-        self.breaches += self.agreement_judge.apply(change)
+        self.breaches += self.agreement_checker.apply(change)
         if not planned:
             return
         own_region = self.agreement.converters[name].region
-        for region, region_judge in self.region_judges.items():
+        for region, region_checker in self.region_checkers.items():
             if region == own_region and missing:
-                self.breaches += region_judge.check_grant(change, 0)
+                self.breaches += region_checker.check_grant(change, 0)
             else:
-                region_judge.apply(change)
+                region_checker.apply(change)
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -83,10 +83,10 @@
         return [step[0] for step in self.steps]
 
 
-def run_agent_until(region: StubCoordinators, fleet: StubFleet, condition: Callable[[], bool]) -> None:
+def run_agent_until(coordinators: StubCoordinators, fleet: StubFleet, condition: Callable[[], bool]) -> None:
     async def scenario() -> None:
         settings = AgentSettings("agent-1", drain_grace_s=0.3, work_s=0.0)
-        agent = asyncio.create_task(Agent(settings, region, fleet).run())  # type: ignore[arg-type]
+        agent = asyncio.create_task(Agent(settings, coordinators, fleet).run())  # type: ignore[arg-type]
         try:
             await wait_until(condition)
         finally:
@@ -95,42 +95,45 @@
     asyncio.run(scenario())
 
 
-def has_released(region: StubCoordinators) -> Callable[[], bool]:
-    return lambda: any(isinstance(command, ReleaseLease) for command in region.commands)
+def has_released(coordinators: StubCoordinators) -> Callable[[], bool]:
+    return lambda: any(isinstance(command, ReleaseLease) for command in coordinators.commands)
 
 
 def test_lease_steps_run_in_order_with_its_token() -> None:
-    region, fleet = StubCoordinators(), StubFleet(busy_polls=2)
-    run_agent_until(region, fleet, has_released(region))
+    coordinators, fleet = StubCoordinators(), StubFleet(busy_polls=2)
+    run_agent_until(coordinators, fleet, has_released(coordinators))
     assert fleet.actions() == ["drain", *["in-flight"] * 3, "stop", "remove", "start", "list"]
     assert {step[1:3] for step in fleet.steps} == {("a", 7)} and fleet.steps[-1][3] == "a.1"
     assert fleet.stop_time_s - fleet.drain_time_s >= 0.3
-    assert region.commands == [StartDrain("l1", 7), ReleaseLease("l1", 7)]
+    assert coordinators.commands == [StartDrain("l1", 7), ReleaseLease("l1", 7)]
 
 
 def test_drain_waits_for_the_committed_start() -> None:
-    region, fleet = StubCoordinators(answers={StartDrain: [CallError("no answer")]}), StubFleet()
-    run_agent_until(region, fleet, has_released(region))
-    assert region.commands[:2] == [StartDrain("l1", 7)] * 2 and fleet.actions() == MAINTENANCE_STEPS
+    coordinators, fleet = StubCoordinators(answers={StartDrain: [CallError("no answer")]}), StubFleet()
+    run_agent_until(coordinators, fleet, has_released(coordinators))
+    assert coordinators.commands[:2] == [StartDrain("l1", 7)] * 2 and fleet.actions() == MAINTENANCE_STEPS
 
 
 def test_revoked_lease_is_not_carried_out() -> None:
-    region, fleet = StubCoordinators(answers={StartDrain: [Rejected("lease 'l1' is called-off")]}), StubFleet()
-    run_agent_until(region, fleet, lambda: len(region.requested_names) >= 3)
-    assert fleet.steps == [] and region.commands == [StartDrain("l1", 7)]
+    coordinators, fleet = StubCoordinators(answers={StartDrain: [Rejected("lease 'l1' is called-off")]}), StubFleet()
+    run_agent_until(coordinators, fleet, lambda: len(coordinators.requested_names) >= 3)
+    assert fleet.steps == [] and coordinators.commands == [StartDrain("l1", 7)]
 
 
-@pytest.mark.parametrize("rejected", ["drain", "stop", "start"])
-def test_rejected_step_abandons_maintenance_without_release(rejected: str) -> None:
-    region, fleet = StubCoordinators(), StubFleet(rejected_action=rejected)
-    run_agent_until(region, fleet, lambda: len(region.requested_names) >= 5)
-    assert rejected not in fleet.actions() and region.commands == [StartDrain("l1", 7)]
+@pytest.mark.parametrize("rejected_action", ["drain", "stop", "start"])
+def test_rejected_step_abandons_maintenance_without_release(rejected_action: str) -> None:
+    coordinators, fleet = StubCoordinators(), StubFleet(rejected_action=rejected_action)
+    run_agent_until(coordinators, fleet, lambda: len(coordinators.requested_names) >= 5)
+    assert rejected_action not in fleet.actions() and coordinators.commands == [StartDrain("l1", 7)]
 
 
 def test_lease_request_is_retried_under_the_same_name() -> None:
-    region, fleet = StubCoordinators(lost_answers=2), StubFleet()
-    run_agent_until(region, fleet, has_released(region))
-    assert len(set(region.requested_names[:3])) == 1 and region.requested_names[3:4] != region.requested_names[:1]
+    coordinators, fleet = StubCoordinators(lost_answers=2), StubFleet()
+    run_agent_until(coordinators, fleet, has_released(coordinators))
+    assert (
+        len(set(coordinators.requested_names[:3])) == 1
+        and coordinators.requested_names[3:4] != coordinators.requested_names[:1]
+    )
 
 
 def test_restarted_agent_resumes_only_its_own_leases() -> None:
@@ -143,9 +146,9 @@
         lease("c", "agent-2", draining),
         lease("d", "agent-1", returning),
     )
-    region, fleet = StubCoordinators(leases=[], open_leases=resumed_leases), StubFleet()
-    run_agent_until(region, fleet, has_released(region))
-    assert region.commands == [StartDrain("b", 9), ReleaseLease("b", 9)]
+    coordinators, fleet = StubCoordinators(leases=[], open_leases=resumed_leases), StubFleet()
+    run_agent_until(coordinators, fleet, has_released(coordinators))
+    assert coordinators.commands == [StartDrain("b", 9), ReleaseLease("b", 9)]
     assert {step[1:3] for step in fleet.steps} == {("b", 9)}
 
 
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -206,9 +206,9 @@
     @rule(which_region=PICKS)
     def restart(self, which_region: int) -> None:
         region = self.pick_region(which_region)
-        before = self.cluster.ledger(region).snapshot()
+        snapshot_before = self.cluster.ledger(region).snapshot()
         self.cluster.restart(region)
-        assert self.cluster.ledger(region).snapshot() == before, "a restart changed the state"
+        assert self.cluster.ledger(region).snapshot() == snapshot_before, "a restart changed the state"
 
     @invariant()
     def the_agreement_holds(self) -> None:
@@ -351,11 +351,11 @@
         CapacityChange(9, "n00", 0, planned=True),
     ]
     assert list(judge.find_breaches(agreement, changes_after_recovery)) == []
-    loss = CapacityChange(2, "n02", 600, planned=False)
-    assert list(judge.find_grants_during_shortage(agreement, [*lease_changes, loss], 1)) and not list(
-        judge.find_breaches(agreement, [*lease_changes, loss])
+    recorded_loss = CapacityChange(2, "n02", 600, planned=False)
+    assert list(judge.find_grants_during_shortage(agreement, [*lease_changes, recorded_loss], 1)) and not list(
+        judge.find_breaches(agreement, [*lease_changes, recorded_loss])
     )
-    assert not list(judge.find_grants_during_shortage(agreement, [*lease_changes, loss], 6000)), (
+    assert not list(judge.find_grants_during_shortage(agreement, [*lease_changes, recorded_loss], 6000)), (
         "not known for long enough"
     )
     zone_agreement = AGREEMENTS[3]
