--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -1,6 +1,6 @@
-"""Several regions' ledgers, the actual state of converters, agents, and messages that are late, repeated and lost.
+"""A simulation of several regions' ledgers, their converters and agents, and late, repeated and lost messages.
 
-Nothing here asks a ledger whether the rule holds: grants and what became of the converters go to the judge.
+Breaches are found independently of the ledgers: an `AgreementChecker` receives all grants and changes of converters.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 )
 from tests.maintenance_world import request
 
-OBSERVER_COUNT = 3  # so that a late observation is not always rejected as older than its observer's last
+OBSERVER_COUNT = 3  # several, as a late observation is rejected if its observer's last one is newer
 
 
 @dataclass
@@ -48,12 +48,12 @@
 
     up: bool = True
     warmth: int = FULL_WARMTH
-    planned: bool = False  # a lease has it and it has not recovered
+    planned: bool = False  # a lease covers the converter, and it has not recovered yet
 
 
 @dataclass
 class Agent:
-    """An agent that has a lease, or had it."""
+    """An agent that holds or held a lease."""
 
     region: str
     lease: str
@@ -62,7 +62,7 @@
     drain_started: bool = False
     restarted: bool = False
     released: bool = False
-    superseded: bool = False  # its lease was revoked or taken over: its commands must be rejected
+    superseded: bool = False  # the lease was revoked or taken over, so the agent's commands must be rejected
 
 
 @dataclass
@@ -75,7 +75,7 @@
 
 @dataclass
 class PendingObservation:
-    """An observation that is not recorded yet."""
+    """An observation that its region has not recorded yet."""
 
     region: str
     command: RecordObservation
@@ -83,16 +83,16 @@
 
 @dataclass
 class Replica:
-    """A region's ledger with its log, and a snapshot that was taken at some point of it."""
+    """A region's ledger with its log and a snapshot of an earlier state."""
 
     ledger: Ledger
     log: list[tuple[int, bytes]] = field(default_factory=list)
     snapshot: bytes = b""
-    entries_before_snapshot: int = 0  # entries of the log that come after the snapshot
+    entries_before_snapshot: int = 0  # number of log entries that the snapshot includes
 
 
 class Cluster:
-    """All regions; `breaches` are what the judges found."""
+    """All regions; `breaches` has the breaches that the checkers found."""
 
     def __init__(self, agreement: Agreement, ledger_type: type[Ledger] = Ledger) -> None:
         self.agreement = agreement
@@ -107,7 +107,7 @@
         self.agreement_checker = AgreementChecker(agreement)
         self.region_checkers = {
             name: AgreementChecker(agreement) for name in agreement.regions
-        }  # with the losses that a region has recorded
+        }  # each with the losses that its region has recorded
         self.recorded_as_of: dict[str, int] = {}
         self.breaches: list[Breach] = []
         for name in agreement.regions:
@@ -164,14 +164,14 @@
 
     def start_drain(self, agent: Agent) -> None:
         result = self.apply(agent.region, StartDrain(agent.lease, agent.token))
-        assert not (agent.superseded and isinstance(result, DrainStarted)), "a void token began a drain"
+        assert not (agent.superseded and isinstance(result, DrainStarted)), "a drain was started with an invalid token"
         if isinstance(result, DrainStarted) and not agent.drain_started:
             agent.drain_started = True
             for name in agent.converters:
                 self.actual_converters[name].up = False
 
     def restart_converters(self, agent: Agent) -> None:
-        """Start the converters of a lease again, not warmed up."""
+        """Restart the converters of a lease; they are cold."""
         if agent.drain_started and not agent.restarted:
             agent.restarted = True
             for name in agent.converters:
@@ -181,7 +181,7 @@
         if agent.restarted or agent.superseded:
             result = self.apply(agent.region, ReleaseLease(agent.lease, agent.token))
             agent.released = not isinstance(result, Rejected)
-            assert not (agent.superseded and agent.released), "a void token released a lease"
+            assert not (agent.superseded and agent.released), "a lease was released with an invalid token"
 
     def take_over(self, agent: Agent) -> None:
         result = self.apply(agent.region, TakeOverLease(agent.lease, f"agent-{len(self.agents)}", agent.token))
@@ -194,7 +194,7 @@
             self.agents.append(new_agent)
 
     def request_and_grant(self, region: str, request_name: str, *converters: str) -> Agent | None:
-        """Submit a request and a lease on all of its converters, and start its drain where it is granted."""
+        """Submit a request, request a lease on all its converters, and start the drain if the lease is granted."""
         self.submit(region, request_name, converters, len(converters))
         if not isinstance(self.grant(region, f"{request_name}/1", request_name, converters), Granted):
             return None
@@ -207,7 +207,7 @@
             self._apply_change(name, FULL_WARMTH, planned=False)
 
     def restart_lost(self, name: str) -> None:
-        """Start a converter that was lost, and not by a window, again."""
+        """Restart a converter that was lost outside a maintenance window."""
         if not self.actual_converters[name].planned:
             self.actual_converters[name].up = True
 
@@ -221,7 +221,7 @@
                 self._apply_change(name, 0, planned=True)
 
     def _agents_of_last_lease(self, name: str) -> list[Agent]:
-        """Return the agent of a converter's last lease, and those that it has taken it over from."""
+        """Return all agents that have held the converter's last lease, also those from whom it was taken over."""
         holders = [agent for agent in self.agents if name in agent.converters]
         return [agent for agent in holders if agent.lease == holders[-1].lease]
 
@@ -229,7 +229,7 @@
         for agent in self.agents:
             if agent.lease in leases and not agent.superseded:
                 agent.superseded = True
-                assert not agent.drain_started, "a drain that had begun was called off"
+                assert not agent.drain_started, "a lease was revoked after its drain had started"
                 for name in agent.converters:
                     self.actual_converters[name].planned = False
                     self._apply_change(name, 0, planned=True)
@@ -252,7 +252,7 @@
         self.pending_observations.append(PendingObservation(region, command))
 
     def record_observation(self, position: int, *, keep_copy: bool = False) -> None:
-        """Record one of the pending observations in its region's log."""
+        """Record a pending observation in its region's log; with `keep_copy`, it stays pending and can be repeated."""
         pending = self.pending_observations[position] if keep_copy else self.pending_observations.pop(position)
         if not isinstance(self.apply(pending.region, pending.command), Observed):
             return
@@ -275,12 +275,12 @@
             self.apply(region, DebitTransfer(transfer))
 
     def send_transfers(self, region: str) -> None:
-        """Send all pending transfers, again."""
+        """Send all pending transfers, including those that were sent before."""
         pending = self.ledger(region).pending_transfers()
         self.network += [Message(transfer.receiver, CreditTransfer(transfer)) for transfer in pending]
 
     def send_needs_and_transfers(self, region: str) -> None:
-        """Send the region's needs with its transfers."""
+        """Send the region's pending transfers, and its capacity needs to all other regions."""
         self.send_transfers(region)
         ledger = self.ledger(region)
         needs_report = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
@@ -293,12 +293,12 @@
             self.network.append(Message(result.transfer.giver, AcknowledgeTransfer(result.transfer)))
 
     def deliver_all(self) -> None:
-        """Deliver until nothing is in transit, the latest first."""
+        """Deliver messages, newest first, until none is in transit."""
         while self.network:
             self.deliver(-1)
 
     def total_allowance(self) -> int:
-        """Return the allowances of all regions with what is in transit between them."""
+        """Return the sum of all regions' allowances, including the amounts in transit between them."""
         in_transit = sum(
             transfer.amount
             for replica in self.replicas.values()
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -1,4 +1,4 @@
-"""The coordinators of one region as processes, with a stub of discovery."""
+"""Runs the coordinators of one region as processes, with a stub of discovery."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.loopback_ports import free_port
 from tests.maintenance_world import SERVICE_TEXT, converters_text
 
-HANG_TIMEOUT_S = 30.0  # no test waits for it on purpose: it ends one that hangs
+HANG_TIMEOUT_S = 30.0  # ends a test that hangs; no test reaches it otherwise
 REPLICAS = ("north-0", "north-1", "north-2")
 
 
@@ -41,7 +41,7 @@
 
 @dataclass
 class StubDiscovery:
-    """A stub of discovery: lists the converters in `uids`."""
+    """A stub of discovery that lists the incarnations in `uids`, by converter, as ready."""
 
     port: int
     uids: dict[str, str] = field(default_factory=dict)
@@ -63,7 +63,7 @@
 
 
 class Coordinators:
-    """The processes of region north; those of south do not run."""
+    """The coordinator processes of region north; the coordinators of region south are not started."""
 
     def __init__(self, folder: Path) -> None:
         ports = [free_port() for _ in range(7)]
@@ -127,7 +127,7 @@
         return await self.command(SubmitRequest(new_request), kind=ClientKind.OPERATOR)
 
     async def grant(self, lease: str) -> Granted:
-        """Request a lease until a window is due."""
+        """Request a lease repeatedly until it is granted."""
         client = self.client()
         async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
--- a/tests/maintenance_replication_cluster.py
+++ b/tests/maintenance_replication_cluster.py
@@ -1,4 +1,4 @@
-"""A replicated log's members, their disks and messages in transit, with the invariants that must hold."""
+"""A simulated cluster of replicas with their disks and messages in transit, which checks Raft's invariants."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class BrokenInvariantError(AssertionError):
-    """An invariant of the replicated log that did not hold."""
+    """An invariant of the replicated log does not hold."""
 
 
 @dataclass
 class Member:
-    """A replica that may be down, and its disk."""
+    """A member's disk and its replica; `replica` is None while the member is down, `disk` is None if it was wiped."""
 
     name: str
     disk: DurableState | None
@@ -29,7 +29,7 @@
 
 @dataclass
 class Cluster:
-    """Members, messages in transit, and all that was ever stored or committed."""
+    """All members, the messages in transit, and every leader and entry that the invariants are checked against."""
 
     size: int
     seed: int
@@ -38,9 +38,13 @@
     members: dict[str, Member] = field(default_factory=dict)
     network: list[tuple[str, str, Message]] = field(default_factory=list)
     leaders: dict[int, str] = field(default_factory=dict)
-    entries: dict[tuple[int, int], tuple[int, bytes]] = field(default_factory=dict)  # (index, term): before, command
+    entries: dict[tuple[int, int], tuple[int, bytes]] = field(
+        default_factory=dict
+    )  # (index, term) to (previous entry's term, command)
     committed: dict[int, Entry] = field(default_factory=dict)
-    committed_in_term: dict[int, int] = field(default_factory=dict)  # the term of the first replica that applied it
+    committed_in_term: dict[int, int] = field(
+        default_factory=dict
+    )  # by index: term of the first replica that applied the entry
     proposals: int = 0
 
     def __post_init__(self) -> None:
@@ -57,7 +61,7 @@
         member.replica = self.replica_type(ReplicaSettings(name, MEMBER_NAMES[: self.size], seed), member.disk)
 
     def process_ready(self, member: Member, store_ready: bool = True) -> None:
-        """Carry a `Ready` out, or crash before it is stored."""
+        """Store, send and apply the replica's `Ready`; without `store_ready`, crash before it is stored."""
         replica = member.replica
         assert replica is not None
         ready = replica.take_ready()
@@ -132,7 +136,7 @@
         self.process_ready(member, store_ready)
 
     def run(self, rounds: int, partitioned_member: str = "") -> None:
-        """Tick all members and deliver all messages, but for one partitioned member."""
+        """Tick all members and deliver all messages, except those of the partitioned member."""
         for _ in range(rounds):
             for name in self.members:
                 if name != partitioned_member:
@@ -170,7 +174,7 @@
             self.deliver(message_index, keep_copy=action == "repeat")
 
     def leader(self) -> str:
-        """Return the leader of the highest term, empty without one."""
+        """Return the name of the leader with the highest term, or an empty string if there is none."""
         leaders = [
             member.replica
             for member in self.members.values()
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -1,4 +1,4 @@
-"""The agent's steps in their order, only under its token; what it abandons, resumes and never starts."""
+"""Tests of the maintenance agent: order of steps, fencing tokens, abandoned maintenance, retries and resumed leases."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class StubCoordinators:
-    """A stub of a region: grants once, and answers commands as planned."""
+    """A stub of a region's coordinators: grants `leases`, and answers each type of command from `answers` first."""
 
     leases: list[Granted] = field(default_factory=lambda: [GRANTED])
     open_leases: tuple[LeaseStatus, ...] = ()
@@ -57,7 +57,7 @@
 
 @dataclass
 class StubFleet:
-    """A stub of the fleet: records the steps, and rejects one action."""
+    """A stub of the fleet: records the steps, and rejects the action `rejected_action`."""
 
     rejected_action: str = ""
     busy_polls: int = 0
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -1,4 +1,4 @@
-"""Between regions: what is reported and sent again, and the relay that experiments put between them."""
+"""Tests of region links: repeated reports and transfers, and the relay that experiments place between regions."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @dataclass
 class StubRegion:
-    """A stub of the other region; the first `failing_calls` fail."""
+    """A stub of the remote region; its first `failing_calls` calls fail."""
 
     failing_calls: int = 0
     rejects_transfers: bool = False
@@ -97,7 +97,7 @@
 
 @dataclass
 class RecordingCoordinator:
-    """A coordinator's far end that records the frames of all connections."""
+    """A stub of a coordinator that records the frames of all connections."""
 
     received: list[object] = field(default_factory=list)
 
@@ -126,7 +126,7 @@
     await recording_coordinator.wait_for(lambda: len(received) >= 21 + relay.duplicated and relay.duplicated > 0)
     assert received[0] == HELLO
     assert {frame.number for frame in received[1:] if isinstance(frame, StatusCall)} == set(range(20))
-    assert received[1:21] != [StatusCall(number) for number in range(20)], "in another order"
+    assert received[1:21] != [StatusCall(number) for number in range(20)], "the relay did not reorder the calls"
     return connection
 
 
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -1,4 +1,4 @@
-"""A replica with its disk and ledger: nothing is sent or applied before it is stored; proposals get their result."""
+"""Tests of `Node` and storage: state is stored before messages are sent, and proposals get their results."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass
 class StubDisk:
-    """A stub that records what is stored, or fails."""
+    """A stub of the storage that records what is saved; while `is_full`, saving fails."""
 
     saved: list[Ready] = field(default_factory=list)
     is_full: bool = False
@@ -51,7 +51,7 @@
 
 @dataclass
 class NodeUnderTest:
-    """A node, what it stored and what it sent."""
+    """A node with its stub storage and the messages that it has sent."""
 
     node: Node
     disk: StubDisk
--- a/tests/test_maintenance_observer.py
+++ b/tests/test_maintenance_observer.py
@@ -1,4 +1,4 @@
-"""What an observer derives from listings, and which of it the leader records."""
+"""Tests of the observations that a coordinator derives from listings, and of those that the leader records."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     assert observe_ready(tracker, 6000, "a.1") == [ConverterObservation("a", True, 0)]
     assert observe_ready(tracker, 7000, "a.1") == [ConverterObservation("a", True, 500)]
     assert observe_ready(tracker, 7500, "a.2") == [ConverterObservation("a", True, 0)], (
-        "another incarnation, not observed down"
+        "a new incarnation starts a warm-up even if the converter was not seen down"
     )
     assert observe_ready(tracker, 9500, "a.2") == [ConverterObservation("a", True, 1000)]
 
@@ -40,7 +40,7 @@
     tracker = WarmthTracker({"n00": 2000})
     region.apply(StartDrain("r1/1", granted.token))
     region.ledger.state.leases["r1/1"].granted_ms = 5_000
-    tracker.observe(0, 4_000, [ListedConverter("n00", True)])  # from before the grant
+    tracker.observe(0, 4_000, [ListedConverter("n00", True)])  # a listing from before the grant
     region.apply(ReleaseLease("r1/1", granted.token))
     probes = tracker.observe(3_000, 5_000, [ListedConverter("n00", True)])
     assert planner.observation_command("x", region.ledger.applied, probes) is None
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -1,4 +1,7 @@
-"""Coordinators as processes: killed, stopped, restarted with torn, empty and foreign disks; and what they reject."""
+"""Tests of coordinator processes: killed, suspended, and restarted with torn, empty and foreign log files.
+
+Also covers the frames and commands that a coordinator rejects, and the command line.
+"""
 
 from __future__ import annotations
 
@@ -78,9 +81,9 @@
         assert [(lease.name, lease.token, lease.state) for lease in status.leases] == [
             ("l1", granted.token, "draining")
         ]
-        assert await north.grant("l1") == granted, "the same lease under the same name"
+        assert await north.grant("l1") == granted, "repeating a lease name returns the same lease"
         assert await north.command(ReleaseLease("l1", granted.token)) == Released("l1", ("n00",))
-        north.discovery.uids["n00"] = "n00.1"  # its next life, which has to get warm
+        north.discovery.uids["n00"] = "n00.1"  # a new incarnation, which must warm up
         final_status = await north.wait_for_status(lambda status: not status.leases)
         assert not final_status.requests
 
@@ -94,9 +97,8 @@
         old_leader = await north.leader()
         other_replicas = tuple(name for name in REPLICAS if name != old_leader)
         north.signal(old_leader, signal.SIGSTOP)
-        stale_call = asyncio.create_task(
-            north.client(old_leader).acquire_lease("stale", 1.5)
-        )  # written to it while it stands
+        # the call is sent to the suspended process
+        stale_call = asyncio.create_task(north.client(old_leader).acquire_lease("stale", 1.5))
         granted = None
         client = north.client(*other_replicas)
         async with asyncio.timeout(HANG_TIMEOUT_S):
@@ -108,7 +110,7 @@
         late_call = asyncio.create_task(north.client(old_leader).acquire_lease("late", 5.0))
         await asyncio.sleep(0.3)
         north.signal(old_leader, signal.SIGCONT)
-        with pytest.raises(CallError):  # it answers that it does not lead until the call times out
+        with pytest.raises(CallError):  # it replies that it is not the leader until the call times out
             await late_call
         assert [lease.name for lease in (await north.status()).leases] == ["l1"]
 
@@ -125,14 +127,13 @@
         north.storage_path(torn_replica).write_bytes(file_content + b"\0\0\1")
         north.start(torn_replica)
         await north.wait_for_status(lambda status: status.leader != "")
-        north.kill(shortened_replica)  # from here on nothing is committed without the one whose file was torn
+        north.kill(shortened_replica)  # from here on, a commit needs the replica with the torn file
         assert await north.submit(make_request("r2", "n01")) == Accepted("r2")
         assert "truncated 3 bytes of an unfinished write" in north.log_path(torn_replica).read_text()
         file_content = north.storage_path(shortened_replica).read_bytes()
         acknowledged, _ = storage.ACKNOWLEDGED_OFFSET.unpack_from(file_content, len(storage.FILE_SIGNATURE))
-        north.storage_path(shortened_replica).write_bytes(
-            file_content[: acknowledged - 5]
-        )  # a write that was not acknowledged may be behind it
+        # an unacknowledged write may follow the acknowledged offset, so the file is cut before that offset
+        north.storage_path(shortened_replica).write_bytes(file_content[: acknowledged - 5])
         process = north.start(shortened_replica)
         assert process.wait(HANG_TIMEOUT_S) == 2
         assert "bytes were acknowledged" in north.log_path(shortened_replica).read_text().splitlines()[-1]
@@ -150,13 +151,17 @@
         north.start(wiped_replica)
         north.start(other_follower)
         with pytest.raises(CallError):
-            await north.client(wiped_replica, other_follower).status(3.0)  # two of three, but one of them knows nothing
+            await north.client(wiped_replica, other_follower).status(
+                3.0
+            )  # a majority, but the wiped replica may not vote
         north.start(leader)
         status = await north.status()
         assert [open_request.name for open_request in status.requests] == ["r1"]
         await _wait_until_voter(north, wiped_replica)
         north.kill(leader)
-        assert [open_request.name for open_request in (await north.status()).requests] == ["r1"], "it votes again"
+        assert [open_request.name for open_request in (await north.status()).requests] == ["r1"], (
+            "the recovered replica must vote again"
+        )
 
     run_scenario(north, scenario)
 
@@ -182,7 +187,7 @@
 
 def test_invalid_hellos_and_frames_are_rejected(north: Coordinators) -> None:
     async def rejection_reason(*frames: Frame, raw: bytes = b"") -> str:
-        """Return the leader's reason for closing the connection."""
+        """Send frames and raw bytes to the leader, and return the reason with which it rejects them."""
         connection = Connection(*await asyncio.open_connection(*north.addresses[await north.leader()]))
         try:
             connection.writer.write(b"".join(encode(frame) for frame in frames) + raw)
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -1,4 +1,7 @@
-"""Several regions under lost, late, repeated messages and restarts: the agreement holds; seeded faults breach it."""
+"""Tests of several regions' ledgers under lost, late and repeated messages, and restarts.
+
+The agreement must hold in all runs, and a ledger with a seeded fault must breach it.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 
 
 class DrainSequence(enum.StrEnum):
-    """All steps of a lease at once, and when its converters are observed."""
+    """All steps of a lease in one rule; the value says when its converters are observed."""
 
     OBSERVED_AFTER_RELEASE = "observed after the release"
     OBSERVED_BEFORE_START = "observed before the start"
@@ -48,7 +51,7 @@
 
 
 class Regions(RuleBasedStateMachine):
-    """Every rule picks from what exists, so that any sequence of numbers is a run."""
+    """A random run. Drawn numbers select among the existing objects modulo their count, so every sequence is valid."""
 
     ledger_type: type[Ledger] = Ledger
     cluster: Cluster
@@ -90,7 +93,7 @@
 
     @rule(which_region=PICKS)
     def fill_region(self, which_region: int) -> None:
-        """Request every converter by itself, until the region has all out that it may have."""
+        """Request a lease on each converter separately, so that as many as allowed become unavailable."""
         ledger = self.cluster.ledger(self.pick_region(which_region))
         requested = {name for record in ledger.open_requests() for name in record.remaining()}
         for converter in ledger.agreement.converters_of("convert", ledger.region):
@@ -151,7 +154,7 @@
     @precondition(lambda self: self.cluster.pending_observations)
     @rule(which_observation=PICKS, keep_copy=st.booleans())
     def report_observation(self, which_observation: int, keep_copy: bool) -> None:
-        """Report an observation that is in transit, mostly the oldest."""
+        """Record a pending observation, in most cases the oldest one."""
         self.cluster.record_observation(
             max(0, which_observation - 20) % len(self.cluster.pending_observations), keep_copy=keep_copy
         )
@@ -240,7 +243,7 @@
         run_state_machine_as_test(faulty_machine, settings=reduced_settings)
 
 
-# One run for each seeded fault, with the agreement alone as the judge
+# One scripted run for each seeded fault, checked only against the agreement
 
 
 def ignore_warm_up(cluster: Cluster) -> None:
@@ -334,7 +337,7 @@
     assert correct_cluster.breaches == []
     faulty_cluster = Cluster(small_agreement(), FAULTY_LEDGERS[name])
     SCRIPTED_RUNS[name](faulty_cluster)
-    assert faulty_cluster.breaches, f"the judge did not see {name}"
+    assert faulty_cluster.breaches, f"no breach found with seeded fault {name}"
 
 
 def test_judge_counts_independently_of_ledgers() -> None:
@@ -343,7 +346,7 @@
     assert list(judge.find_breaches(agreement, lease_changes)) == []
     breaches_found = list(judge.find_breaches(agreement, [*lease_changes, CapacityChange(9, "s02", 100, planned=True)]))
     assert [(breach.at_ms, breach.region, breach.available) for breach in breaches_found] == [(9, "", 7000)], (
-        "a converter that warms up is wholly missing"
+        "a converter that is warming up counts as completely unavailable"
     )
     changes_after_recovery = [
         *lease_changes,
@@ -356,7 +359,7 @@
         judge.find_breaches(agreement, [*lease_changes, recorded_loss])
     )
     assert not list(judge.find_grants_during_shortage(agreement, [*lease_changes, recorded_loss], 6000)), (
-        "not known for long enough"
+        "the loss was not known for long enough"
     )
     zone_agreement = AGREEMENTS[3]
     north_changes = [CapacityChange(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "n02"))]
--- a/tests/test_maintenance_storage.py
+++ b/tests/test_maintenance_storage.py
@@ -1,4 +1,4 @@
-"""The file that holds a replica's term, vote and log: torn, shortened, altered, foreign and locked."""
+"""Tests of the replica's log file: torn, shortened, altered, foreign and locked files."""
 
 from __future__ import annotations
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""The replicated log: any order of messages, losses, repeats, crashes and lost disks."""
+"""Tests of the replicated log under reordered, lost and repeated messages, crashes and lost disks."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 def first_broken_invariant(walk_count: int, replica_type: type[Replica] = Replica, loses_entries: bool = False) -> str:
-    """Return the invariant that the first failing walk broke, empty without one."""
+    """Return the invariant that the first failing random walk breaks, or an empty string if all walks pass."""
     for seed in range(walk_count):
         cluster = Cluster(3, seed, replica_type, loses_entries)
         try:
