--- a/ryepier/maintenance/agent.py
+++ b/ryepier/maintenance/agent.py
@@ -60,11 +60,11 @@
             for lease in await self._fetch_resumable_leases():
                 self._start_maintenance(group, lease)
             while True:
-                acquired = await self._acquire_lease()
-                if acquired is None:
+                acquired_lease = await self._acquire_lease()
+                if acquired_lease is None:
                     await asyncio.sleep(WINDOW_POLL_INTERVAL_S)
                 else:
-                    self._start_maintenance(group, acquired)
+                    self._start_maintenance(group, acquired_lease)
 
     def _start_maintenance(self, group: asyncio.TaskGroup, lease: Granted) -> None:
         """Carry out a lease in a separate task."""
--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -19,7 +19,7 @@
 VERSION = 1
 NO_START_MS = -1  # `starts_ms` of a request that has no scheduled window
 
-Text = Annotated[str, msgspec.Meta(max_length=2000)]
+ReasonText = Annotated[str, msgspec.Meta(max_length=2000)]
 
 
 class ClientKind(enum.StrEnum):
@@ -51,7 +51,7 @@
 class Rejection(msgspec.Struct, tag="refusal", frozen=True):
     """A hello or call was rejected for this reason; the sender closes the connection after this frame."""
 
-    reason: Text
+    reason: ReasonText
 
 
 class _Numbered(msgspec.Struct, frozen=True):
--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-BACKLOG = 256  # connections that wait to be accepted
+LISTEN_BACKLOG = 256  # connections that wait to be accepted
 
 DEFAULT_COMPONENTS = CoordinatorComponents()
 
@@ -60,7 +60,7 @@
         """Serve until `stop_event` is set. Raises FatalError, or OSError if the address cannot be bound."""
         address = self.settings.addresses[self.settings.replica]
         server = Server(self.settings, self.node, self.planner, self.clock, self._stop_with_error)
-        socket_server = await asyncio.start_server(server.serve, *address, backlog=BACKLOG)
+        socket_server = await asyncio.start_server(server.serve, *address, backlog=LISTEN_BACKLOG)
         log.info("coordinator is up", extra={"region": self.settings.region, "replica": self.settings.replica})
         tasks = [asyncio.create_task(coroutine) for coroutine in self._background_tasks()]
         for task in tasks:
--- a/ryepier/maintenance/fleet.py
+++ b/ryepier/maintenance/fleet.py
@@ -71,14 +71,14 @@
 
     def __init__(self) -> None:
         """Start without any tokens, so that the first token of each converter is accepted."""
-        self.highest: dict[str, int] = {}
+        self.highest_tokens: dict[str, int] = {}
 
     def rejection_reason(self, call: FleetCall) -> str:
         """Return why a call is rejected, or an empty string if it is allowed. Records the token of an allowed call."""
-        highest = self.highest.get(call.converter, 0)
-        if call.token < highest:
-            return f"token {call.token} for {call.converter} is outdated; {highest} is the highest received"
-        self.highest[call.converter] = call.token
+        highest_token = self.highest_tokens.get(call.converter, 0)
+        if call.token < highest_token:
+            return f"token {call.token} for {call.converter} is outdated; {highest_token} is the highest received"
+        self.highest_tokens[call.converter] = call.token
         return ""
 
 
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -55,7 +55,7 @@
             return
         while True:
             await asyncio.sleep(OBSERVE_INTERVAL_S)
-            as_of, region_ms = self.ledger.applied, self.ledger.now_ms
+            as_of, region_time_ms = self.ledger.applied, self.ledger.now_ms
             try:
                 listing = await fetch_listing(self.settings.discovery, LISTING_TIMEOUT_S)
             except ListingError as error:
@@ -64,17 +64,17 @@
                 self.listing_available = False
                 continue
             self.listing_available = True
-            await self._record_listing(listing, as_of, region_ms)
+            await self._record_listing(listing, as_of, region_time_ms)
 
-    async def _record_listing(self, listing: list[ListedConverter], as_of: int, region_ms: int) -> None:
+    async def _record_listing(self, listing: list[ListedConverter], as_of: int, region_time_ms: int) -> None:
         """Update the warmth tracker from a listing; as the leader, propose the observations that the ledger lacks.
 
-        `as_of` is the last applied log index and `region_ms` the region's time, both from before the listing was
+        `as_of` is the last applied log index and `region_time_ms` the region's time, both from before the listing was
         fetched.
         """
-        probes = self.tracker.observe(monotonic_ms(), region_ms, listing)
+        probes = self.tracker.observe(monotonic_ms(), region_time_ms, listing)
         for converter in self.planner.converters_to_restart(probes):
-            self.tracker.restart_warm_up(converter, monotonic_ms(), region_ms)
+            self.tracker.restart_warm_up(converter, monotonic_ms(), region_time_ms)
         if self.node.replica.has_committed_in_term:
             command = self.planner.observation_command(self.settings.replica, as_of, probes)
             if command is not None:
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -56,8 +56,8 @@
         self.incarnations: dict[str, _ListedIncarnation] = {}
         self.warm_up_known: set[str] = set()
 
-    def observe(self, now_ms: int, region_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
-        """Return the probes of a listing; `now_ms` is this process's time, `region_ms` the region's time from its log.
+    def observe(self, now_ms: int, region_time_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
+        """Return the probes of a listing; `now_ms` is this process's and `region_time_ms` the region's committed time.
 
         It is unknown when a converter that is ready at the first observation was started. Such a converter is omitted
         until it has been ready for its whole warm-up time.
@@ -67,35 +67,35 @@
         for converter in self.warm_up_ms:
             uid = ready_uids.get(converter)
             if uid is None:
-                probes.append(self._probe_not_ready(converter, region_ms))
+                probes.append(self._probe_not_ready(converter, region_time_ms))
                 continue
-            probe = self._probe_ready(converter, uid, now_ms, region_ms)
+            probe = self._probe_ready(converter, uid, now_ms, region_time_ms)
             if probe.observation.warmth == FULL_WARMTH or converter in self.warm_up_known:
                 probes.append(probe)
         return tuple(probes)
 
-    def _probe_not_ready(self, converter: str, region_ms: int) -> WarmthProbe:
+    def _probe_not_ready(self, converter: str, region_time_ms: int) -> WarmthProbe:
         """Return the probe of a converter that is not listed as ready, and forget its incarnation."""
         self.incarnations.pop(converter, None)
         self.warm_up_known.add(converter)
-        return WarmthProbe(ConverterObservation(converter, False, 0), region_ms)
+        return WarmthProbe(ConverterObservation(converter, False, 0), region_time_ms)
 
-    def _probe_ready(self, converter: str, uid: str, now_ms: int, region_ms: int) -> WarmthProbe:
+    def _probe_ready(self, converter: str, uid: str, now_ms: int, region_time_ms: int) -> WarmthProbe:
         """Return the probe of a converter that is listed as ready, and start a warm-up if its incarnation is new."""
         incarnation = self.incarnations.get(converter)
         if incarnation is None or incarnation.uid != uid:
             if incarnation is not None:
                 self.warm_up_known.add(converter)
-            incarnation = self.incarnations[converter] = _ListedIncarnation(uid, now_ms, region_ms)
+            incarnation = self.incarnations[converter] = _ListedIncarnation(uid, now_ms, region_time_ms)
         warmth = _warmth(now_ms - incarnation.warm_up_started_ms, self.warm_up_ms[converter])
         return WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.warm_up_started_region_ms)
 
-    def restart_warm_up(self, converter: str, now_ms: int, region_ms: int) -> None:
+    def restart_warm_up(self, converter: str, now_ms: int, region_time_ms: int) -> None:
         """Restart the warm-up of a converter's current incarnation at `now_ms`."""
         incarnation = self.incarnations.get(converter)
         if incarnation is not None:
             self.warm_up_known.add(converter)
-            self.incarnations[converter] = _ListedIncarnation(incarnation.uid, now_ms, region_ms)
+            self.incarnations[converter] = _ListedIncarnation(incarnation.uid, now_ms, region_time_ms)
 
 
 def _warmth(age_ms: int, warm_up_ms: int) -> int:
--- a/ryepier/maintenance/peers.py
+++ b/ryepier/maintenance/peers.py
@@ -38,14 +38,14 @@
                 connection = await Connection.dial(self.addresses[peer], self.hello)
                 self.connections[peer] = connection
                 try:
-                    await self._read_rejection(peer, connection)
+                    await self._wait_for_rejection(peer, connection)
                 finally:
                     self.connections.pop(peer, None)
                     connection.close()
             await asyncio.sleep(REDIAL_DELAY_S)
 
     @staticmethod
-    async def _read_rejection(peer: str, connection: Connection) -> None:
+    async def _wait_for_rejection(peer: str, connection: Connection) -> None:
         """Wait until the connection ends; log a rejection, which is the only frame that a peer may send on it."""
         frame = await connection.receive()
         reason = frame.reason if isinstance(frame, Rejection) else f"unexpected {type(frame).__name__}"
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -37,11 +37,11 @@
             remote_region, replica_addresses(agreement, remote_region), region, ClientKind.REGION
         )
         self.reachable = True
-        self.last_reported: dict[str, CapacityNeed] | None = None
+        self.last_reported_needs: dict[str, CapacityNeed] | None = None
 
     def forget_last_report(self) -> None:
         """Report the needs again at the next exchange, because another leader may have reported in the meantime."""
-        self.last_reported = None
+        self.last_reported_needs = None
 
     def debits_due(self, ledger: Ledger) -> list[Command]:
         """Return the debits for the remote region, which must be committed here before their transfers are sent."""
@@ -71,12 +71,12 @@
         Unchanged needs are not sent because each report is an entry in the remote region's log. Raises CallError.
         """
         needs = ledger.capacity_needs()
-        if needs == self.last_reported:
+        if needs == self.last_reported_needs:
             return
-        self.last_reported = None  # so that a report that fails is repeated
+        self.last_reported_needs = None  # so that a report that fails is repeated
         report = RecordCapacityNeeds(self.region, max(1, ledger.applied), needs)
         await self.client.command(report, self.CALL_TIMEOUT_S)
-        self.last_reported = needs
+        self.last_reported_needs = needs
 
     def _log_reachability(self, reachable: bool, message: str) -> None:
         """Log the message if the region's reachability has changed since the last exchange."""
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -98,7 +98,7 @@
         self.path = folder / FILE_NAME
         self.descriptor = self._open_locked()
         try:
-            reader = _LogFileReader(self.path, self._read_all(), identity)
+            reader = _LogFileReader(self.path, self._read_file(), identity)
             self.state = reader.read()
             if reader.offset < reader.size:
                 os.ftruncate(self.descriptor, reader.offset)
@@ -122,7 +122,7 @@
             raise StorageError(f"{self.path}: in use by another process") from error
         return descriptor
 
-    def _read_all(self) -> bytes:
+    def _read_file(self) -> bytes:
         """Return the content of the whole file."""
         return self.path.read_bytes()
 
@@ -140,9 +140,9 @@
     def _write_at(self, data: bytes, offset: int) -> None:
         """Write all of `data` at an offset; a single write call may write only a part of it."""
         while data:
-            written = os.pwrite(self.descriptor, data, offset)
-            data = data[written:]
-            offset += written
+            written_bytes = os.pwrite(self.descriptor, data, offset)
+            data = data[written_bytes:]
+            offset += written_bytes
 
     def close(self) -> None:
         """Close the file and release its lock."""
@@ -236,12 +236,14 @@
         """
         return self.offset >= self.acknowledged_offset and not any(self.data[self.offset :])
 
-    def _checksum_error(self, part: str) -> StorageError:
+    def _checksum_error(self, record_part: str) -> StorageError:
         """Return the error for a record that does not match its checksum.
 
         An unfinished write would have left an incomplete record instead.
         """
-        return StorageError(f"{self.path}: the {part} of the record at byte {self.offset} does not match its checksum")
+        return StorageError(
+            f"{self.path}: the {record_part} of the record at byte {self.offset} does not match its checksum"
+        )
 
     def _decode_record(self, content: bytes) -> Record:
         """Decode the content of a record whose checksum matches. Raises StorageError."""
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -100,13 +100,13 @@
         if region != self.settings.region:
             raise TransportError(f"hello for region {region!r}, but this replica belongs to {self.settings.region!r}")
 
-    async def _serve_peer(self, name: str, connection: Connection) -> None:
+    async def _serve_peer(self, peer_name: str, connection: Connection) -> None:
         """Pass a peer's messages to the node. Raises TransportError for any other frame."""
         while True:
             frame = await connection.receive()
             if not isinstance(frame, ReplicaMessage):
                 raise TransportError(f"unexpected {type(frame).__name__} from a peer")
-            self.node.receive(name, frame)
+            self.node.receive(peer_name, frame)
 
     async def _serve_client(self, hello: ClientHello, connection: Connection) -> None:
         """Answer up to MAX_CALLS_PER_CONNECTION calls at a time. Raises TransportError for any other frame."""
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -105,9 +105,8 @@
         self.last_sequence = 0
         self.time = 0
         self.agreement_checker = AgreementChecker(agreement)
-        self.region_checkers = {
-            name: AgreementChecker(agreement) for name in agreement.regions
-        }  # each with the losses that its region has recorded
+        # each with the losses that its region has recorded
+        self.region_checkers = {name: AgreementChecker(agreement) for name in agreement.regions}
         self.recorded_as_of: dict[str, int] = {}
         self.breaches: list[Breach] = []
         for name in agreement.regions:
@@ -206,7 +205,7 @@
             self.actual_converters[name].up, self.actual_converters[name].warmth = False, 0
             self._apply_change(name, FULL_WARMTH, planned=False)
 
-    def restart_lost(self, name: str) -> None:
+    def restart_lost_converter(self, name: str) -> None:
         """Restart a converter that was lost outside a maintenance window."""
         if not self.actual_converters[name].planned:
             self.actual_converters[name].up = True
@@ -284,7 +283,9 @@
         self.send_transfers(region)
         ledger = self.ledger(region)
         needs_report = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
-        self.network += [Message(other, needs_report) for other in self.replicas if other != region]
+        self.network += [
+            Message(other_region, needs_report) for other_region in self.replicas if other_region != region
+        ]
 
     def deliver(self, position: int, *, keep_copy: bool = False) -> None:
         message = self.network[position] if keep_copy else self.network.pop(position)
@@ -308,8 +309,8 @@
         return in_transit + sum(replica.ledger.capacity("convert").allowance for replica in self.replicas.values())
 
     def _was_credited(self, transfer: Transfer) -> bool:
-        numbers = self.ledger(transfer.receiver).state.escrow.received.get(transfer.giver)
-        return numbers is not None and numbers.has(transfer.number)
+        received_numbers = self.ledger(transfer.receiver).state.escrow.received.get(transfer.giver)
+        return received_numbers is not None and received_numbers.has(transfer.number)
 
     def _next_time(self) -> int:
         self.time += 1
--- a/tests/maintenance_replication_cluster.py
+++ b/tests/maintenance_replication_cluster.py
@@ -24,7 +24,7 @@
     name: str
     disk: DurableState | None
     replica: Replica | None = None
-    incarnations: int = 0
+    incarnation_count: int = 0
 
 
 @dataclass
@@ -37,15 +37,13 @@
     loses_entries: bool = False
     members: dict[str, Member] = field(default_factory=dict)
     network: list[tuple[str, str, Message]] = field(default_factory=list)
-    leaders: dict[int, str] = field(default_factory=dict)
-    entries: dict[tuple[int, int], tuple[int, bytes]] = field(
-        default_factory=dict
-    )  # (index, term) to (previous entry's term, command)
-    committed: dict[int, Entry] = field(default_factory=dict)
-    committed_in_term: dict[int, int] = field(
-        default_factory=dict
-    )  # by index: term of the first replica that applied the entry
-    proposals: int = 0
+    leaders_by_term: dict[int, str] = field(default_factory=dict)
+    # (index, term) to (previous entry's term, command)
+    known_entries: dict[tuple[int, int], tuple[int, bytes]] = field(default_factory=dict)
+    committed_entries: dict[int, Entry] = field(default_factory=dict)
+    # index to the term of the first replica that applied the entry
+    first_commit_terms: dict[int, int] = field(default_factory=dict)
+    proposal_count: int = 0
 
     def __post_init__(self) -> None:
         for name in MEMBER_NAMES[: self.size]:
@@ -56,8 +54,8 @@
         member = self.members[name]
         if member.replica is not None:
             return
-        member.incarnations += 1
-        seed = hash((self.seed, MEMBER_NAMES.index(name), member.incarnations))
+        member.incarnation_count += 1
+        seed = hash((self.seed, MEMBER_NAMES.index(name), member.incarnation_count))
         member.replica = self.replica_type(ReplicaSettings(name, MEMBER_NAMES[: self.size], seed), member.disk)
 
     def process_ready(self, member: Member, store_ready: bool = True) -> None:
@@ -90,20 +88,20 @@
         for index in range(first_index or replica.last_index + 1, replica.last_index + 1):
             entry = replica.log[index - 1]
             content = (replica.term_at(index - 1), entry.command)
-            if self.entries.setdefault((index, entry.term), content) != content:
+            if self.known_entries.setdefault((index, entry.term), content) != content:
                 raise BrokenInvariantError(f"log matching at {index} of term {entry.term}")
 
     def check_committed(self, committed_entry: CommittedEntry, term: int) -> None:
-        self.committed_in_term.setdefault(committed_entry.index, term)
-        if self.committed.setdefault(committed_entry.index, committed_entry.entry) != committed_entry.entry:
+        self.first_commit_terms.setdefault(committed_entry.index, term)
+        if self.committed_entries.setdefault(committed_entry.index, committed_entry.entry) != committed_entry.entry:
             raise BrokenInvariantError(f"two committed entries at {committed_entry.index}")
 
     def check_leader(self, replica: Replica) -> None:
         name = replica.settings.name
-        if self.leaders.setdefault(replica.term, name) != name:
+        if self.leaders_by_term.setdefault(replica.term, name) != name:
             raise BrokenInvariantError(f"two leaders of term {replica.term}")
-        for index, entry in self.committed.items():
-            is_later_term = replica.term >= self.committed_in_term[index]
+        for index, entry in self.committed_entries.items():
+            is_later_term = replica.term >= self.first_commit_terms[index]
             if is_later_term and (index > replica.last_index or replica.log[index - 1] != entry):
                 raise BrokenInvariantError(f"the leader of term {replica.term} lacks committed entry {index}")
 
@@ -128,9 +126,9 @@
         member = self.members[name]
         if member.replica is None:
             return
-        self.proposals += 1
+        self.proposal_count += 1
         try:
-            member.replica.propose(b"command %d" % self.proposals)
+            member.replica.propose(b"command %d" % self.proposal_count)
         except NotLeaderError:
             return
         self.process_ready(member, store_ready)
--- a/tests/test_maintenance_observer.py
+++ b/tests/test_maintenance_observer.py
@@ -8,8 +8,10 @@
 from tests.maintenance_world import north_region
 
 
-def observe_ready(tracker: WarmthTracker, now_ms: int, *uids: str, region_ms: int = 0) -> list[ConverterObservation]:
-    probes = tracker.observe(now_ms, region_ms, [ListedConverter(uid, True) for uid in uids])
+def observe_ready(
+    tracker: WarmthTracker, now_ms: int, *uids: str, region_time_ms: int = 0
+) -> list[ConverterObservation]:
+    probes = tracker.observe(now_ms, region_time_ms, [ListedConverter(uid, True) for uid in uids])
     return [probe.observation for probe in probes]
 
 
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -131,9 +131,9 @@
         assert await north.submit(make_request("r2", "n01")) == Accepted("r2")
         assert "truncated 3 bytes of an unfinished write" in north.log_path(torn_replica).read_text()
         file_content = north.storage_path(shortened_replica).read_bytes()
-        acknowledged, _ = storage.ACKNOWLEDGED_OFFSET.unpack_from(file_content, len(storage.FILE_SIGNATURE))
+        acknowledged_offset, _ = storage.ACKNOWLEDGED_OFFSET.unpack_from(file_content, len(storage.FILE_SIGNATURE))
         # an unacknowledged write may follow the acknowledged offset, so the file is cut before that offset
-        north.storage_path(shortened_replica).write_bytes(file_content[: acknowledged - 5])
+        north.storage_path(shortened_replica).write_bytes(file_content[: acknowledged_offset - 5])
         process = north.start(shortened_replica)
         assert process.wait(HANG_TIMEOUT_S) == 2
         assert "bytes were acknowledged" in north.log_path(shortened_replica).read_text().splitlines()[-1]
@@ -261,8 +261,11 @@
         common_options = ("--service", "convert", "--duration-s", "1", "--deadline-in-s", "600")
         submitted = await asyncio.to_thread(run_ryepier, "request", "r1", "--converter", "n00", *common_options)
         assert (submitted.returncode, submitted.stdout) == (0, "accepted\n")
-        unknown = await asyncio.to_thread(run_ryepier, "request", "r2", "--converter", "n77", *common_options)
-        assert unknown.returncode == 1 and "converter 'n77' is none of service 'convert'" in unknown.stderr
+        unknown_converter = await asyncio.to_thread(run_ryepier, "request", "r2", "--converter", "n77", *common_options)
+        assert (
+            unknown_converter.returncode == 1
+            and "converter 'n77' is none of service 'convert'" in unknown_converter.stderr
+        )
         negative_at_once = await asyncio.to_thread(
             run_ryepier, "request", "r3", "--zone", "z0", "--at-once", "-1", *common_options
         )
@@ -283,10 +286,10 @@
 
 def test_unanswered_call_fails_within_its_timeout(north: Coordinators) -> None:
     async def scenario() -> None:
-        started = time.monotonic()
+        start_time_s = time.monotonic()
         with pytest.raises(CallError, match=r"no reply from region north within 0\.5 s"):
             await north.client().status(0.5)
-        assert time.monotonic() - started < HANG_TIMEOUT_S
+        assert time.monotonic() - start_time_s < HANG_TIMEOUT_S
 
     asyncio.run(scenario())
 
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -46,8 +46,8 @@
 
 DRAIN_STEPS = ("start_drain", "restart_converters", "release")  # methods of Cluster
 AGENT_STEPS = (*DRAIN_STEPS, "take_over", *DrainSequence, *DrainSequence)
-CONVERTER_STEPS = ("lose_converter", "restart_lost", "finish_warm_up")  # methods of Cluster
-ZONE_STEPS = (("lose_converter",), ("restart_lost", "finish_warm_up"), ("finish_warm_up",))
+CONVERTER_STEPS = ("lose_converter", "restart_lost_converter", "finish_warm_up")  # methods of Cluster
+ZONE_STEPS = (("lose_converter",), ("restart_lost_converter", "finish_warm_up"), ("finish_warm_up",))
 
 
 class Regions(RuleBasedStateMachine):
@@ -65,8 +65,8 @@
         regions = list(self.cluster.replicas)
         return regions[number % len(regions)]
 
-    @rule(which_region=PICKS, first=PICKS, count=st.integers(1, 4), max_unavailable=st.integers(1, 4))
-    def submit_and_grant(self, which_region: int, first: int, count: int, max_unavailable: int) -> None:
+    @rule(which_region=PICKS, first_converter=PICKS, count=st.integers(1, 4), max_unavailable=st.integers(1, 4))
+    def submit_and_grant(self, which_region: int, first_converter: int, count: int, max_unavailable: int) -> None:
         region = self.pick_region(which_region)
         requested = {name for record in self.cluster.ledger(region).open_requests() for name in record.remaining()}
         available = [
@@ -74,7 +74,7 @@
             for converter in self.cluster.agreement.converters_of("convert", region)
             if converter.name not in requested
         ]
-        names = tuple(available[(first + i) % len(available)] for i in range(min(count, len(available))))
+        names = tuple(available[(first_converter + i) % len(available)] for i in range(min(count, len(available))))
         self.name_count += 1
         self.cluster.submit(region, f"r{self.name_count}", names, max_unavailable)
         self.cluster.grant(region, f"l{self.name_count}", f"r{self.name_count}", names[:max_unavailable])
--- a/tests/test_maintenance_storage.py
+++ b/tests/test_maintenance_storage.py
@@ -46,11 +46,11 @@
     storage.create(replica_folder, IDENTITY)
     file = storage.FileStorage(replica_folder, IDENTITY)
     file.save(make_ready(1, 1, b"one"))
-    content_before_second, acknowledged = file.path.read_bytes(), file.offset
+    content_before_second, acknowledged_offset = file.path.read_bytes(), file.offset
     file.save(make_ready(2, 2, b"x" * 200))
     file.close()
     content = file.path.read_bytes()
-    file.path.write_bytes(content_before_second[:20] + content[20 : max(acknowledged, len(content) - cut_bytes)])
+    file.path.write_bytes(content_before_second[:20] + content[20 : max(acknowledged_offset, len(content) - cut_bytes)])
     file = storage.FileStorage(replica_folder, IDENTITY)
     file.save(make_ready(5, 2, b"two"))
     file.close()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -47,22 +47,22 @@
 @settings(max_examples=150, deadline=None)
 @given(st.sampled_from((3, 5)), st.integers(0, 2**32), event_lists)
 def test_any_order_of_events_keeps_the_invariants(
-    size: int, seed: int, drawn_events: list[tuple[str, str, int]]
+    member_count: int, seed: int, drawn_events: list[tuple[str, str, int]]
 ) -> None:
-    cluster = Cluster(size, seed)
+    cluster = Cluster(member_count, seed)
     for action, name, random_number in drawn_events:
         if name in cluster.members:
             cluster.perform(action, name, random_number)
 
 
 @pytest.mark.parametrize("weights", [WEIGHTS, WEIGHTS_WITH_WIPES], ids=["crashes", "wipes"])
-@pytest.mark.parametrize("size", [3, 5])
-def test_long_random_walks_keep_the_invariants_and_commit(size: int, weights: Mapping[str, float]) -> None:
+@pytest.mark.parametrize("member_count", [3, 5])
+def test_long_random_walks_keep_the_invariants_and_commit(member_count: int, weights: Mapping[str, float]) -> None:
     committed = 0
     for seed in range(40):
-        cluster = Cluster(size, seed)
+        cluster = Cluster(member_count, seed)
         run_random_walk(cluster, seed, 300, weights)
-        committed += len(cluster.committed)
+        committed += len(cluster.committed_entries)
     assert committed > 40 * 5
 
 
@@ -131,7 +131,7 @@
 
 
 def test_new_leader_must_commit_an_entry_in_its_term() -> None:
-    replica = follower((Entry(3, b"old"),))
+    replica = make_follower((Entry(3, b"old"),))
     while replica.role is not Role.CANDIDATE:
         replica.tick()
     replica.receive("b", VoteResponse(replica.term, True))
@@ -143,7 +143,7 @@
 # A replica that restarts with an empty disk
 
 
-def wipe(cluster: Cluster, name: str) -> Replica:
+def restart_with_empty_disk(cluster: Cluster, name: str) -> Replica:
     cluster.members[name].replica = None
     cluster.members[name].disk = None
     cluster.start(name)
@@ -155,7 +155,7 @@
 def test_replica_with_an_empty_disk_neither_votes_nor_becomes_a_candidate() -> None:
     cluster = Cluster(3, 3)
     cluster.elect()
-    replica = wipe(cluster, "a")
+    replica = restart_with_empty_disk(cluster, "a")
     replica.receive("b", RequestVote(99, 50, 50))
     for _ in range(100):
         replica.tick()
@@ -172,7 +172,7 @@
     leader_replica = cluster.members[leader].replica
     assert leader_replica is not None
     term = leader_replica.term
-    replica = wipe(cluster, next(name for name in cluster.members if name != leader))
+    replica = restart_with_empty_disk(cluster, next(name for name in cluster.members if name != leader))
     cluster.run(100)
     assert replica.role in (Role.FOLLOWER, Role.LEADER)
     assert replica.hard_state.recovered_at_term == 0 and replica.term > term
@@ -183,7 +183,7 @@
     cluster = Cluster(3, 4)
     cluster.elect()
     cluster.members["b"].replica = None
-    replica = wipe(cluster, "a")
+    replica = restart_with_empty_disk(cluster, "a")
     cluster.run(100)
     assert replica.role is Role.RECOVERING
     cluster.start("b")
@@ -202,17 +202,17 @@
 # Messages that no correct member can have sent
 
 
-def follower(entries: tuple[Entry, ...] = ()) -> Replica:
+def make_follower(entries: tuple[Entry, ...] = ()) -> Replica:
     return Replica(ReplicaSettings("a", MEMBER_NAMES[:3], 0), DurableState(HardState(3), entries))
 
 
 def test_message_from_a_non_member_is_rejected() -> None:
     with pytest.raises(ProtocolError, match="'x' is not a peer"):
-        follower().receive("x", RequestVote(9, 0, 0))
+        make_follower().receive("x", RequestVote(9, 0, 0))
 
 
 def test_committed_entries_are_not_replaced() -> None:
-    replica = follower((Entry(1, b"one"),))
+    replica = make_follower((Entry(1, b"one"),))
     replica.receive("b", AppendEntries(3, 1, 1, (), 1))
     with pytest.raises(ProtocolError, match="entry 1 is committed"):
         replica.receive("b", AppendEntries(3, 0, 0, (Entry(3, b"other"),), 0))
@@ -229,7 +229,7 @@
 
 
 def test_entries_of_an_earlier_term_are_answered_with_the_current_term() -> None:
-    replica = follower()
+    replica = make_follower()
     replica.receive("b", AppendEntries(2, 0, 0, (Entry(2, b"late"),), 1))
     ready = replica.take_ready()
     assert replica.log == [] and ready.messages[0].message == AppendResponse(3, False, 0)
@@ -237,4 +237,4 @@
 
 def test_only_a_leader_accepts_proposals() -> None:
     with pytest.raises(NotLeaderError):
-        follower().propose(b"command")
+        make_follower().propose(b"command")
