--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -1,6 +1,6 @@
-"""One coordinator process: a replica of its region's log and, while it leads, the region's scheduler.
+"""A coordinator process: a replica of its region's log and, while it is the leader, the region's scheduler.
 
-A call is answered only after its command is committed, so a leader that was deposed without knowing it grants nothing.
+A call is answered only after its command is committed, so a leader that was deposed without noticing grants no lease.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-BACKLOG = 256  # connections
+LISTEN_BACKLOG = 256  # connections that wait to be accepted
 
 DEFAULT_COMPONENTS = CoordinatorComponents()
 
 
 class Coordinator:
-    """One replica on its sockets."""
+    """One replica with its server, peer connections and background tasks."""
 
     def __init__(self, settings: CoordinatorSettings, components: CoordinatorComponents | None = None) -> None:
-        """Open the disk; without `components`, with the default ones.
+        """Open the replica's storage; `components` defaults to DEFAULT_COMPONENTS.
 
-        Raises StorageError, KeyError for an unknown region, ValueError for an unknown replica.
+        Raises StorageError, KeyError if the region is unknown, or ValueError if the replica is unknown.
         """
         self.settings = settings
         self.peers = PeerConnections(settings)
@@ -43,10 +43,10 @@
         self.clock = RegionClock(self.node.replica, self.node.ledger)
         self.planner = Planner(self.node.ledger, settings.freeze_ms)
         self.stop_event = asyncio.Event()
-        self.fatal: FatalError | None = None
+        self.fatal_error: FatalError | None = None
 
     def _make_node(self, components: CoordinatorComponents) -> Node:
-        """Return the replica with its disk and an empty ledger."""
+        """Return the node: the replica with its opened storage and an empty ledger."""
         settings = self.settings
         ledger = components.ledger_type(settings.agreement, settings.region)
         members = tuple(settings.addresses)
@@ -57,48 +57,48 @@
         return Node(replica, disk.storage, ledger, self.peers.send)
 
     async def run(self) -> None:
-        """Serve until `stop_event` is set. Raises FatalError, or OSError where the address cannot be used."""
+        """Serve until `stop_event` is set. Raises FatalError, or OSError if the address cannot be bound."""
         address = self.settings.addresses[self.settings.replica]
-        server = Server(self.settings, self.node, self.planner, self.clock, self._fail)
-        listener = await asyncio.start_server(server.serve, *address, backlog=BACKLOG)
+        server = Server(self.settings, self.node, self.planner, self.clock, self._stop_with_error)
+        socket_server = await asyncio.start_server(server.serve, *address, backlog=LISTEN_BACKLOG)
         log.info("coordinator is up", extra={"region": self.settings.region, "replica": self.settings.replica})
         tasks = [asyncio.create_task(coroutine) for coroutine in self._background_tasks()]
         for task in tasks:
             task.add_done_callback(self._on_task_done)
         await self.stop_event.wait()
-        listener.close()
+        socket_server.close()
         for task in tasks:
             task.cancel()
         self.node.close()
-        if self.fatal is not None:
-            raise self.fatal
+        if self.fatal_error is not None:
+            raise self.fatal_error
 
     def _background_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """Return all that runs beside the connections that are served."""
-        leader = LeaderTasks(self.settings, self.node, self.planner, self.clock)
+        """Return the coroutines that run alongside the server."""
+        leader_tasks = LeaderTasks(self.settings, self.node, self.planner, self.clock)
         agreement, region = self.settings.agreement, self.settings.region
         links = [RegionLink(agreement, region, other) for other in agreement.regions if other != region]
         return [
-            self._tick(),
-            leader.advance_time(),
-            leader.observe(),
+            self._tick_replica(),
+            leader_tasks.advance_time(),
+            leader_tasks.observe(),
             *(self.peers.keep_connected(peer) for peer in self.node.replica.settings.peers),
-            *(leader.exchange_with(link) for link in links),
+            *(leader_tasks.exchange_with(link) for link in links),
         ]
 
-    async def _tick(self) -> None:
-        """Tick the replica's clock. Ticks that a stopped process missed are not made up for."""
+    async def _tick_replica(self) -> None:
+        """Advance the replica's clock every TICK_S. Ticks missed while the process was suspended are skipped."""
         while True:
             await asyncio.sleep(TICK_S)
             self.node.tick()
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        """Stop the process where a background task has failed."""
+        """Stop the process if a background task has failed."""
         if not task.cancelled() and (error := task.exception()) is not None:
-            self._fail(error)
+            self._stop_with_error(error)
 
-    def _fail(self, error: BaseException) -> None:
-        """Stop the process with an error."""
-        log.error("coordinator stops: %s", error)
-        self.fatal = error if isinstance(error, FatalError) else FatalError(f"{type(error).__name__}: {error}")
+    def _stop_with_error(self, error: BaseException) -> None:
+        """Stop the process; `run` raises the error."""
+        log.error("coordinator stops after an error: %s", error)
+        self.fatal_error = error if isinstance(error, FatalError) else FatalError(f"{type(error).__name__}: {error}")
         self.stop_event.set()
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -1,7 +1,8 @@
-"""How coordinators observe converters: as discovery lists them, and warm only by the coordinator's own clock.
+"""Derives the state of converters from discovery's list; warmth is measured with the coordinator's own clock.
 
-Each incarnation of a converter (one run of its process) has a uid: the converter's name, followed by a dot and more for
-every later one. Times in a listing are not used: two machines' clocks are never compared.
+An incarnation is one run of a converter's process. The uid of the first incarnation is the converter's name; the uids
+of later ones add a dot and a suffix. Times in a listing are ignored, because clocks of different machines are never
+compared.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedConverter:
-    """An incarnation of a converter in discovery's list."""
+    """An entry of discovery's list: one incarnation of a converter, and whether it is listed as ready."""
 
     uid: str
     ready: bool
 
     @property
     def converter(self) -> str:
-        """The converter that it is an incarnation of."""
+        """The name of the converter."""
         return self.uid.partition(".")[0]
 
 
@@ -29,7 +30,8 @@
 class WarmthProbe:
     """The observed state of a converter.
 
-    `warm_up_started_region_ms` is the region's time from which the warm-up of its present incarnation is counted.
+    `warm_up_started_region_ms` is the region's time when the warm-up of the current incarnation started, or the time of
+    the observation if the converter is not ready.
     """
 
     observation: ConverterObservation
@@ -37,67 +39,67 @@
 
 
 @dataclass(slots=True)
-class _Incarnation:
-    """An incarnation that is listed as ready: when it was first observed, by this process's clock and the region's."""
+class _ListedIncarnation:
+    """An incarnation that is listed as ready, and when its warm-up started, in this process's and the region's time."""
 
     uid: str
-    began_ms: int
-    began_region_ms: int
+    warm_up_started_ms: int
+    warm_up_started_region_ms: int
 
 
 class WarmthTracker:
-    """Turns listings into probes. Pure: the caller gives the times, of one clock, in milliseconds."""
+    """Derives probes from listings. Reads no clock: the caller passes times in milliseconds, all of one clock."""
 
     def __init__(self, warm_up_ms: Mapping[str, int]) -> None:
-        """Track these converters, each with its warm-up time in milliseconds."""
+        """Start without observations; `warm_up_ms` maps each converter to its warm-up time in milliseconds."""
         self.warm_up_ms = warm_up_ms
-        self.incarnations: dict[str, _Incarnation] = {}
-        self.observed_down: set[str] = set()
+        self.incarnations: dict[str, _ListedIncarnation] = {}
+        self.warm_up_known: set[str] = set()
 
-    def observe(self, now_ms: int, region_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
-        """Return what the listing shows of each converter; `region_ms` is the region's own time, from its log.
+    def observe(self, now_ms: int, region_time_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
+        """Return the probes of a listing; `now_ms` is this process's and `region_time_ms` the region's committed time.
 
-        A converter that was up already at the first observation may be warm or not: it is left out until it has been
-        listed for all of its warm-up time.
+        It is unknown when a converter that is ready at the first observation was started. Such a converter is omitted
+        until it has been ready for its whole warm-up time.
         """
-        ready = {one.converter: one.uid for one in listing if one.ready}
+        ready_uids = {listed.converter: listed.uid for listed in listing if listed.ready}
         probes = []
         for converter in self.warm_up_ms:
-            uid = ready.get(converter)
+            uid = ready_uids.get(converter)
             if uid is None:
-                probes.append(self._probe_down(converter, region_ms))
+                probes.append(self._probe_not_ready(converter, region_time_ms))
                 continue
-            probe = self._probe_up(converter, uid, now_ms, region_ms)
-            if probe.observation.warmth == FULL_WARMTH or converter in self.observed_down:
+            probe = self._probe_ready(converter, uid, now_ms, region_time_ms)
+            if probe.observation.warmth == FULL_WARMTH or converter in self.warm_up_known:
                 probes.append(probe)
         return tuple(probes)
 
-    def _probe_down(self, converter: str, region_ms: int) -> WarmthProbe:
-        """Record that a converter is not listed as ready."""
+    def _probe_not_ready(self, converter: str, region_time_ms: int) -> WarmthProbe:
+        """Return the probe of a converter that is not listed as ready, and forget its incarnation."""
         self.incarnations.pop(converter, None)
-        self.observed_down.add(converter)
-        return WarmthProbe(ConverterObservation(converter, False, 0), region_ms)
+        self.warm_up_known.add(converter)
+        return WarmthProbe(ConverterObservation(converter, False, 0), region_time_ms)
 
-    def _probe_up(self, converter: str, uid: str, now_ms: int, region_ms: int) -> WarmthProbe:
-        """Record the incarnation that is listed as ready."""
+    def _probe_ready(self, converter: str, uid: str, now_ms: int, region_time_ms: int) -> WarmthProbe:
+        """Return the probe of a converter that is listed as ready, and start a warm-up if its incarnation is new."""
         incarnation = self.incarnations.get(converter)
         if incarnation is None or incarnation.uid != uid:
             if incarnation is not None:
-                self.observed_down.add(converter)
-            incarnation = self.incarnations[converter] = _Incarnation(uid, now_ms, region_ms)
-        warmth = _warmth(now_ms - incarnation.began_ms, self.warm_up_ms[converter])
-        return WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.began_region_ms)
+                self.warm_up_known.add(converter)
+            incarnation = self.incarnations[converter] = _ListedIncarnation(uid, now_ms, region_time_ms)
+        warmth = _warmth(now_ms - incarnation.warm_up_started_ms, self.warm_up_ms[converter])
+        return WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.warm_up_started_region_ms)
 
-    def restart_warm_up(self, converter: str, now_ms: int, region_ms: int) -> None:
-        """Count the warm-up of a converter's present incarnation from now on."""
+    def restart_warm_up(self, converter: str, now_ms: int, region_time_ms: int) -> None:
+        """Restart the warm-up of a converter's current incarnation at `now_ms`."""
         incarnation = self.incarnations.get(converter)
         if incarnation is not None:
-            self.observed_down.add(converter)
-            self.incarnations[converter] = _Incarnation(incarnation.uid, now_ms, region_ms)
+            self.warm_up_known.add(converter)
+            self.incarnations[converter] = _ListedIncarnation(incarnation.uid, now_ms, region_time_ms)
 
 
 def _warmth(age_ms: int, warm_up_ms: int) -> int:
-    """Return the warmth in thousandths, rising evenly and rounded down."""
+    """Return the warmth in thousandths. It rises linearly over the warm-up time and is rounded down."""
     if age_ms >= warm_up_ms:
         return FULL_WARMTH
     return age_ms * FULL_WARMTH // warm_up_ms
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -1,14 +1,14 @@
 """The file that holds a replica's term, vote and log.
 
-    8 bytes   file type
-    12 bytes  how far the file has been acknowledged: offset (8), CRC-32 of it (4)
+    8 bytes   file signature
+    12 bytes  acknowledged offset (8), CRC-32 of the acknowledged offset (4)
     records   length (4), CRC-32 of the length (4), CRC-32 of the content (4), content
 
-All numbers are big-endian. The first record identifies the replica. A record is on disk (fsync) before `save` returns,
-and only then is the acknowledged offset moved behind it. So when the file is opened again, an incomplete record behind
-that offset is a write that was never acknowledged, and is truncated; all else that does not match was altered, and the
-file is rejected. The offset itself reaches the disk with the next record at the latest: after a loss of power it may
-lag, but never runs ahead.
+All numbers are big-endian. The first record identifies the replica. `save` first writes a record to disk (fsync) and
+then advances the acknowledged offset past it. When the file is opened again, an incomplete record after that offset is
+therefore a write that was never acknowledged, and is truncated. Any other mismatch means that the file was altered, and
+the file is rejected. The acknowledged offset itself is synced to disk with the next record at the latest: after a power
+failure it may be too low, but never too high.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 from ryepier.maintenance.replication.model import DurableState, Ready
 
 FILE_NAME = "replica.log"
-FILE_TYPE = b"RYELOG01"
-ACKNOWLEDGED = struct.Struct(">QI")
-RECORD_HEAD = struct.Struct(">III")
+FILE_SIGNATURE = b"RYELOG01"
+ACKNOWLEDGED_OFFSET = struct.Struct(">QI")
+RECORD_HEADER = struct.Struct(">III")
 OFFSET_BYTES = 8
 LENGTH_BYTES = 4
-RECORDS_OFFSET = len(FILE_TYPE) + ACKNOWLEDGED.size
+RECORDS_OFFSET = len(FILE_SIGNATURE) + ACKNOWLEDGED_OFFSET.size
 MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 
 class StorageError(RyepierError):
-    """A replica's file cannot be used; the message names it and the reason."""
+    """A replica's log file cannot be used; the message has the path and the reason."""
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """The replica that a file belongs to. Members are fixed, so a file of other members is another region's."""
+    """The replica that a file belongs to. A region's members are fixed, so a file with other members is rejected."""
 
     region: str
     replica: str
@@ -49,7 +49,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One atomic change: a new hard state, and the log from `first_index` on (0: unchanged)."""
+    """One atomic change: a new hard state (None if unchanged), and the log from `first_index` on (0 if unchanged)."""
 
     hard_state: HardState | None
     first_index: int
@@ -57,45 +57,48 @@
 
 
 class Storage(Protocol):
-    """Stores what a `Ready` requires to be durable."""
+    """Durable storage for the state that a `Ready` contains."""
 
     def save(self, ready: Ready) -> None:
-        """Store what is to be durable, and return once it is on disk. Raises OSError, StorageError."""
+        """Store the hard state and the entries; return once they are on disk. Raises OSError or StorageError."""
 
     def close(self) -> None:
         """Close the file."""
 
 
 def exists(folder: Path) -> bool:
-    """Return whether a replica has stored its state here before."""
+    """Return whether a folder has a replica's log file."""
     return (folder / FILE_NAME).exists()
 
 
 def create(folder: Path, identity: Identity) -> None:
-    """Write the file of a replica without any entry. Raises StorageError where one exists."""
+    """Create the log file of a replica, without entries. Raises StorageError if the file already exists."""
     path = folder / FILE_NAME
     if path.exists():
-        raise StorageError(f"{path}: exists already")
+        raise StorageError(f"{path}: already exists")
     folder.mkdir(parents=True, exist_ok=True)
     record = _encode_record(msgspec.msgpack.encode(identity))
-    unfinished = path.with_suffix(".new")
-    with unfinished.open("wb") as file:
-        file.write(FILE_TYPE + _encode_acknowledged(RECORDS_OFFSET + len(record)) + record)
+    temporary_path = path.with_suffix(".new")
+    with temporary_path.open("wb") as file:
+        file.write(FILE_SIGNATURE + _encode_acknowledged_offset(RECORDS_OFFSET + len(record)) + record)
         file.flush()
         os.fsync(file.fileno())
-    unfinished.rename(path)
+    temporary_path.rename(path)
     _sync_folder(folder)
 
 
 class FileStorage:
-    """A replica's open file. `state` is what it held when it was opened."""
+    """A replica's log file, locked by this process. `state` is the state that was read when the file was opened."""
 
     def __init__(self, folder: Path, identity: Identity) -> None:
-        """Open and check the file. Raises StorageError where it is missing, locked, altered or another replica's."""
+        """Open the file, check it, and truncate an unfinished write at its end.
+
+        Raises StorageError if the file is missing, locked, altered or belongs to another replica.
+        """
         self.path = folder / FILE_NAME
         self.descriptor = self._open_locked()
         try:
-            reader = _Reader(self.path, self._read_all(), identity)
+            reader = _LogFileReader(self.path, self._read_file(), identity)
             self.state = reader.read()
             if reader.offset < reader.size:
                 os.ftruncate(self.descriptor, reader.offset)
@@ -107,7 +110,7 @@
         self.offset = reader.offset
 
     def _open_locked(self) -> int:
-        """Open the file for this process alone."""
+        """Open the file and lock it exclusively. Raises StorageError if it is missing or locked by another process."""
         try:
             descriptor = os.open(self.path, os.O_RDWR | os.O_CLOEXEC)
         except OSError as error:
@@ -119,12 +122,12 @@
             raise StorageError(f"{self.path}: in use by another process") from error
         return descriptor
 
-    def _read_all(self) -> bytes:
-        """Return the whole file."""
+    def _read_file(self) -> bytes:
+        """Return the content of the whole file."""
         return self.path.read_bytes()
 
     def save(self, ready: Ready) -> None:
-        """Write what a `Ready` requires to be durable; it is on disk when this returns."""
+        """Write the hard state and entries of a `Ready`; they are on disk when this method returns."""
         if not ready.must_store:
             return
         content = msgspec.msgpack.encode(Record(ready.hard_state, ready.first_index, ready.entries))
@@ -132,128 +135,144 @@
         self._write_at(record, self.offset)
         os.fsync(self.descriptor)
         self.offset += len(record)
-        self._write_at(_encode_acknowledged(self.offset), len(FILE_TYPE))
+        self._write_at(_encode_acknowledged_offset(self.offset), len(FILE_SIGNATURE))
 
     def _write_at(self, data: bytes, offset: int) -> None:
-        """Write all of `data`."""
+        """Write all of `data` at an offset; a single write call may write only a part of it."""
         while data:
-            written = os.pwrite(self.descriptor, data, offset)
-            data = data[written:]
-            offset += written
+            written_bytes = os.pwrite(self.descriptor, data, offset)
+            data = data[written_bytes:]
+            offset += written_bytes
 
     def close(self) -> None:
         """Close the file and release its lock."""
         os.close(self.descriptor)
 
 
-class _Reader:
-    """Reads a file once, from its start."""
+class _LogFileReader:
+    """Reads and checks the content of a log file once, from its start."""
 
     def __init__(self, path: Path, data: bytes, identity: Identity) -> None:
-        """Read the file of the replica `identity`."""
+        """Start at the first record; `data` is the content of the file, which must belong to the replica `identity`."""
         self.path = path
         self.data = data
         self.size = len(data)
         self.identity = identity
         self.offset = RECORDS_OFFSET
-        self.acknowledged = 0
+        self.acknowledged_offset = 0
 
     def read(self) -> DurableState:
-        """Return the state after the last complete record; `offset` is then behind it. Raises StorageError."""
-        self._read_acknowledged()
+        """Return the state after the last complete record, and leave `offset` at the end of that record.
+
+        Raises StorageError if the file was altered or truncated, or belongs to another replica.
+        """
+        self._read_acknowledged_offset()
         self._check_identity()
         hard_state = HardState()
         entries: list[Entry] = []
-        while (content := self._next_content()) is not None:
-            record = self._decode(content)
+        while (content := self._read_next_content()) is not None:
+            record = self._decode_record(content)
             hard_state = record.hard_state or hard_state
             if record.first_index > 0:
                 entries[record.first_index - 1 :] = record.entries
-        if self.offset < self.acknowledged:
+        if self.offset < self.acknowledged_offset:
             raise StorageError(
-                f"{self.path}: ends at byte {self.offset}, but {self.acknowledged} bytes were acknowledged"
+                f"{self.path}: ends at byte {self.offset}, but {self.acknowledged_offset} bytes were acknowledged"
             )
         return DurableState(hard_state, tuple(entries))
 
-    def _read_acknowledged(self) -> None:
-        """Check the file's type and read how far it was acknowledged."""
-        if self.data[: len(FILE_TYPE)] != FILE_TYPE:
-            raise StorageError(f"{self.path}: not a replica's log")
+    def _read_acknowledged_offset(self) -> None:
+        """Check the file signature and read the acknowledged offset. Raises StorageError."""
+        if self.data[: len(FILE_SIGNATURE)] != FILE_SIGNATURE:
+            raise StorageError(f"{self.path}: not a replica's log file")
         if self.size < RECORDS_OFFSET:
-            raise StorageError(f"{self.path}: ends within its head")
-        self.acknowledged, checksum = ACKNOWLEDGED.unpack_from(self.data, len(FILE_TYPE))
-        if checksum != zlib.crc32(self.data[len(FILE_TYPE) : len(FILE_TYPE) + OFFSET_BYTES]):
+            raise StorageError(f"{self.path}: file header truncated")
+        self.acknowledged_offset, checksum = ACKNOWLEDGED_OFFSET.unpack_from(self.data, len(FILE_SIGNATURE))
+        if checksum != zlib.crc32(self.data[len(FILE_SIGNATURE) : len(FILE_SIGNATURE) + OFFSET_BYTES]):
             raise StorageError(f"{self.path}: the acknowledged offset does not match its checksum")
 
     def _check_identity(self) -> None:
-        """Raise StorageError for another replica's file."""
-        content = self._next_content()
+        """Raise StorageError if the first record does not identify the expected replica."""
+        content = self._read_next_content()
         if content is None:
-            raise StorageError(f"{self.path}: ends before it says whose it is")
+            raise StorageError(f"{self.path}: identity record missing or incomplete")
         try:
-            found = msgspec.msgpack.decode(content, type=Identity)
+            stored = msgspec.msgpack.decode(content, type=Identity)
         except msgspec.DecodeError as error:
-            raise StorageError(f"{self.path}: does not say whose it is: {error}") from error
-        if found != self.identity:
-            raise StorageError(f"{self.path}: belongs to {_describe(found)}, not to {_describe(self.identity)}")
-
-    def _next_content(self) -> bytes | None:
-        """Return the next record's content; None at the end, or at a torn write that was never acknowledged."""
-        head_end = self.offset + RECORD_HEAD.size
-        if head_end > self.size:
+            raise StorageError(f"{self.path}: unreadable identity record: {error}") from error
+        if stored != self.identity:
+            raise StorageError(
+                f"{self.path}: belongs to {_describe_identity(stored)}, not to {_describe_identity(self.identity)}"
+            )
+
+    def _read_next_content(self) -> bytes | None:
+        """Return the content of the next record; None at the end of the file or at an incomplete record.
+
+        Raises StorageError if a checksum does not match.
+        """
+        content_offset = self.offset + RECORD_HEADER.size
+        if content_offset > self.size:
             return None
-        length, length_checksum, checksum = RECORD_HEAD.unpack_from(self.data, self.offset)
-        if self._is_unwritten():
+        length, length_checksum, checksum = RECORD_HEADER.unpack_from(self.data, self.offset)
+        if self._is_zero_filled_tail():
             return None
         if (
             length_checksum != zlib.crc32(self.data[self.offset : self.offset + LENGTH_BYTES])
             or length > MAX_RECORD_BYTES
         ):
-            raise self._unreadable("length")
-        content = self.data[head_end : head_end + length]
+            raise self._checksum_error("length")
+        content = self.data[content_offset : content_offset + length]
         if len(content) < length:
             return None
         if checksum != zlib.crc32(content):
-            raise self._unreadable("content")
-        self.offset = head_end + length
+            raise self._checksum_error("content")
+        self.offset = content_offset + length
         return content
 
-    def _is_unwritten(self) -> bool:
-        """Return whether only zeros follow, as where the file had grown before its content reached the disk."""
-        return self.offset >= self.acknowledged and not any(self.data[self.offset :])
+    def _is_zero_filled_tail(self) -> bool:
+        """Return whether all bytes from `offset` on are zero and unacknowledged.
+
+        A crash leaves such a tail if the file size was updated on disk before the content.
+        """
+        return self.offset >= self.acknowledged_offset and not any(self.data[self.offset :])
+
+    def _checksum_error(self, record_part: str) -> StorageError:
+        """Return the error for a record that does not match its checksum.
 
-    def _unreadable(self, part: str) -> StorageError:
-        """Return the error for a record that does not match its checksum: an unfinished write would be shorter."""
-        return StorageError(f"{self.path}: the {part} of the record at byte {self.offset} does not match its checksum")
+        An unfinished write would have left an incomplete record instead.
+        """
+        return StorageError(
+            f"{self.path}: the {record_part} of the record at byte {self.offset} does not match its checksum"
+        )
 
-    def _decode(self, content: bytes) -> Record:
-        """Return a record whose checksum matches."""
+    def _decode_record(self, content: bytes) -> Record:
+        """Decode the content of a record whose checksum matches. Raises StorageError."""
         try:
             return msgspec.msgpack.decode(content, type=Record)
         except msgspec.DecodeError as error:
-            raise StorageError(f"{self.path}: the record before byte {self.offset} is none: {error}") from error
+            raise StorageError(f"{self.path}: cannot decode the record before byte {self.offset}: {error}") from error
 
 
 def _encode_record(content: bytes) -> bytes:
-    """Return a record with its lengths and checksums. Raises StorageError where it is too long."""
+    """Return a record: the header with its length and checksums, then the content. Raises StorageError if too long."""
     if len(content) > MAX_RECORD_BYTES:
-        raise StorageError(f"a record of {len(content)} bytes is over the limit of {MAX_RECORD_BYTES}")
+        raise StorageError(f"a record of {len(content)} bytes exceeds the limit of {MAX_RECORD_BYTES}")
     length = len(content).to_bytes(LENGTH_BYTES, "big")
-    return RECORD_HEAD.pack(len(content), zlib.crc32(length), zlib.crc32(content)) + content
+    return RECORD_HEADER.pack(len(content), zlib.crc32(length), zlib.crc32(content)) + content
 
 
-def _encode_acknowledged(offset: int) -> bytes:
-    """Return the acknowledged offset with its checksum."""
-    return ACKNOWLEDGED.pack(offset, zlib.crc32(offset.to_bytes(OFFSET_BYTES, "big")))
+def _encode_acknowledged_offset(offset: int) -> bytes:
+    """Return the encoded acknowledged offset with its checksum."""
+    return ACKNOWLEDGED_OFFSET.pack(offset, zlib.crc32(offset.to_bytes(OFFSET_BYTES, "big")))
 
 
-def _describe(identity: Identity) -> str:
-    """Describe an identity for messages."""
+def _describe_identity(identity: Identity) -> str:
+    """Return a description of an identity for error messages."""
     return f"replica {identity.replica} of region {identity.region} ({', '.join(identity.members)})"
 
 
 def _sync_folder(folder: Path) -> None:
-    """Make the name of a new file durable."""
+    """Sync a folder to disk, so that the name of a new file is durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -1,4 +1,4 @@
-"""Serves a coordinator's connections: peers with their messages, and callers, who are answered only after a commit."""
+"""Serves the connections of peers and clients; a client's command is answered only after its commit."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from ryepier.maintenance.replication.messages import Message as ReplicaMessage
 from ryepier.maintenance.results import Granted, Rejected
 from ryepier.maintenance.settings import CoordinatorSettings
-from ryepier.maintenance.status import status_of
+from ryepier.maintenance.status import make_status_reply
 from ryepier.maintenance.transport import Connection, TransportError
 
 log = logging.getLogger(__name__)
 
 HELLO_TIMEOUT_S = 3.0
-MAX_CALLS_PER_CONNECTION = 64  # that await their commit
+MAX_CALLS_PER_CONNECTION = 64  # calls that are processed at a time
 MAX_REASON_LENGTH = 1000  # characters
-LEASE_GRANTED_MESSAGE = "lease granted"  # in the log
+LEASE_GRANTED_MESSAGE = "lease granted"  # log message that the experiments look for
 
 ALLOWED_COMMANDS: dict[ClientKind, tuple[type[Command], ...]] = {
     ClientKind.OPERATOR: (commands.SubmitRequest, commands.CancelRequest),
@@ -35,7 +35,7 @@
 
 
 class Server:
-    """Serves the connections of one coordinator, each in a task of its own."""
+    """Serves the connections of one coordinator, each in its own task."""
 
     def __init__(
         self,
@@ -43,39 +43,39 @@
         node: Node,
         planner: Planner,
         clock: RegionClock,
-        fail: Callable[[BaseException], None],
+        stop_with_error: Callable[[BaseException], None],
     ) -> None:
-        """Answer from these parts; `fail` is called with errors that must end the process."""
+        """Start without connections; `stop_with_error` is called with errors that must stop the process."""
         self.settings = settings
         self.node = node
         self.planner = planner
         self.clock = clock
-        self.fail = fail
+        self.stop_with_error = stop_with_error
         self.grant_lock = asyncio.Lock()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection to its end."""
+        """Serve one connection until it is closed."""
         connection = Connection(reader, writer)
         try:
             await self._serve_connection(connection)
         except (TransportError, ProtocolError) as error:
             log.info("connection rejected: %s", error)
             with contextlib.suppress(OSError):
-                connection.send(_rejection(error))
+                connection.send(_make_rejection(error))
         except FatalError as error:
-            self.fail(error)
+            self.stop_with_error(error)
         except (OSError, EOFError, asyncio.CancelledError):
-            pass  # the other side has disconnected, or this process ends
+            pass  # the remote end has disconnected, or this process stops
         finally:
             connection.close()
 
     async def _serve_connection(self, connection: Connection) -> None:
-        """Take the greeting, then serve its kind of caller. Raises TransportError, ProtocolError for a rejection."""
+        """Read the hello, then serve a peer or a client. Raises TransportError, ProtocolError or FatalError."""
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
                 hello = await connection.receive()
         except TimeoutError:
-            raise TransportError(f"no greeting within {HELLO_TIMEOUT_S:g} s") from None
+            raise TransportError(f"no hello within {HELLO_TIMEOUT_S:g} s") from None
         if isinstance(hello, PeerHello):
             self._check_peer(hello)
             await self._serve_peer(hello.replica, connection)
@@ -83,114 +83,121 @@
             self._check_version_and_region(hello.version, hello.region)
             await self._serve_client(hello, connection)
         else:
-            raise TransportError(f"a {type(hello).__name__} before any greeting")
+            raise TransportError(f"unexpected {type(hello).__name__} before a hello")
 
     def _check_peer(self, hello: PeerHello) -> None:
-        """Raise TransportError unless a peer is a member of this region's log under the same agreement."""
+        """Raise TransportError unless a hello is from a peer of this replica with the same agreement."""
         self._check_version_and_region(hello.version, hello.region)
         if hello.replica not in self.node.replica.settings.peers:
-            raise TransportError(f"{hello.replica!r} is not another replica of region {self.settings.region!r}")
+            raise TransportError(f"{hello.replica!r} is not a peer of this replica in region {self.settings.region!r}")
         if hello.agreement != self.settings.agreement.digest:
-            raise TransportError(f"replica {hello.replica!r} holds another agreement")
+            raise TransportError(f"replica {hello.replica!r} has a different agreement")
 
     def _check_version_and_region(self, version: int, region: str) -> None:
-        """Raise TransportError for a greeting of another version, or to another region."""
+        """Raise TransportError if a hello has another protocol version or is for another region."""
         if version != api.VERSION:
-            raise TransportError(f"version {version}; this side speaks {api.VERSION}")
+            raise TransportError(f"unsupported protocol version {version}; this replica uses {api.VERSION}")
         if region != self.settings.region:
-            raise TransportError(f"region {region!r} is meant; this is {self.settings.region!r}")
+            raise TransportError(f"hello for region {region!r}, but this replica belongs to {self.settings.region!r}")
 
-    async def _serve_peer(self, name: str, connection: Connection) -> None:
-        """Take a peer's messages."""
+    async def _serve_peer(self, peer_name: str, connection: Connection) -> None:
+        """Pass a peer's messages to the node. Raises TransportError for any other frame."""
         while True:
             frame = await connection.receive()
             if not isinstance(frame, ReplicaMessage):
-                raise TransportError(f"a {type(frame).__name__} among the replicas' messages")
-            self.node.receive(name, frame)
+                raise TransportError(f"unexpected {type(frame).__name__} from a peer")
+            self.node.receive(peer_name, frame)
 
     async def _serve_client(self, hello: ClientHello, connection: Connection) -> None:
-        """Answer calls; several may await their commit at a time."""
-        slots = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
+        """Answer up to MAX_CALLS_PER_CONNECTION calls at a time. Raises TransportError for any other frame."""
+        call_slots = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
         tasks: set[asyncio.Task[None]] = set()
         try:
             while True:
-                await slots.acquire()
+                await call_slots.acquire()
                 frame = await connection.receive()
                 if not isinstance(frame, Call):
-                    raise TransportError(f"a {type(frame).__name__} out of turn")
-                task = asyncio.create_task(self._reply(hello, connection, frame, slots))
+                    raise TransportError(f"unexpected {type(frame).__name__} from a client")
+                task = asyncio.create_task(self._answer_call(hello, connection, frame, call_slots))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
         finally:
-            for task in tasks:  # what was proposed is committed all the same
+            for task in tasks:  # commands that were already proposed may still be committed
                 task.cancel()
 
-    async def _reply(self, hello: ClientHello, connection: Connection, call: Call, slots: asyncio.Semaphore) -> None:
-        """Answer one call, then free its slot."""
+    async def _answer_call(
+        self, hello: ClientHello, connection: Connection, call: Call, call_slots: asyncio.Semaphore
+    ) -> None:
+        """Answer one call and release its slot. A rejection closes the connection."""
         try:
-            reply: Frame = await self._answer(hello, call)
+            response: Frame = await self._execute_call(hello, call)
         except NotLeaderError as error:
-            reply = api.NotLeaderReply(call.number, error.leader)
+            response = api.NotLeaderReply(call.number, error.leader)
         except DeposedError:
-            reply = api.UncertainReply(call.number)
+            response = api.UncertainReply(call.number)
         except CommandError as error:
-            reply = _rejection(error)
+            response = _make_rejection(error)
         except FatalError as error:
-            self.fail(error)
+            self.stop_with_error(error)
             return
         finally:
-            slots.release()
+            call_slots.release()
         with contextlib.suppress(OSError):
-            connection.send(reply)
-        if isinstance(reply, Rejection):
+            connection.send(response)
+        if isinstance(response, Rejection):
             connection.close()
 
-    async def _answer(self, hello: ClientHello, call: Call) -> Reply:
-        """Return the reply of a leader. Raises NotLeaderError, DeposedError, CommandError."""
+    async def _execute_call(self, hello: ClientHello, call: Call) -> Reply:
+        """Carry out a call as the leader and return its reply.
+
+        Raises NotLeaderError, DeposedError, CommandError or FatalError.
+        """
         replica = self.node.replica
-        if not replica.has_committed_in_term:  # a leader that was just elected may not know of all commits yet
+        if not replica.has_committed_in_term:  # a new leader may not know all committed entries yet
             raise NotLeaderError("" if replica.is_leader else replica.leader)
         if isinstance(call, api.StatusCall):
-            return status_of(call.number, self.clock.now_ms(), replica, self.planner)
+            return make_status_reply(call.number, self.clock.now_ms(), replica, self.planner)
         if isinstance(call, api.LeaseCall):
-            return await self._grant(hello, call)
+            return await self._grant_lease(hello, call)
         command = self._allowed_command(hello.kind, call)
         return api.CommandReply(call.number, await self.node.propose(command))
 
     @staticmethod
     def _allowed_command(kind: ClientKind, call: api.CommandCall) -> Command:
-        """Return the command of a call. Raises CommandError where such a caller may not give it."""
+        """Return the command of a call. Raises CommandError if a client of this kind may not send it."""
         command = commands.decode(call.command)
         if not isinstance(command, ALLOWED_COMMANDS[kind]):
-            raise CommandError(f"a caller of kind {kind.value!r} may not give {type(command).__name__}")
+            raise CommandError(f"a client of kind {kind.value!r} may not send {type(command).__name__}")
         return command
 
-    async def _grant(self, hello: ClientHello, call: api.LeaseCall) -> Reply:
-        """Grant an agent a window that is due. The ledger decides, when the command is applied."""
+    async def _grant_lease(self, hello: ClientHello, call: api.LeaseCall) -> Reply:
+        """Request a lease for an agent on a window that is due. The ledger grants or rejects it when it is applied."""
         if hello.kind is not ClientKind.AGENT:
-            raise CommandError(f"a caller of kind {hello.kind.value!r} takes no leases")
-        async with self.grant_lock:  # the next call has to see what this one took
-            command = self._grant_command(hello.name, call.lease)
+            raise CommandError(f"a client of kind {hello.kind.value!r} may not acquire leases")
+        async with self.grant_lock:  # the next call must see the converters that this call leases
+            command = self._make_grant_command(hello.name, call.lease)
             if command is None:
                 return api.NoWindowReply(call.number)
             result = await self.node.propose(command)
-        fields = {"lease": call.lease, "agent": hello.name}
+        log_fields = {"lease": call.lease, "agent": hello.name}
         if isinstance(result, Granted):
-            log.info(LEASE_GRANTED_MESSAGE, extra={**fields, "token": result.token, "converters": result.converters})
+            log.info(
+                LEASE_GRANTED_MESSAGE, extra={**log_fields, "token": result.token, "converters": result.converters}
+            )
         else:
             reason = result.reason if isinstance(result, Rejected) else str(result)
-            log.info("lease not granted: %s", reason, extra=fields)
+            log.info("lease not granted: %s", reason, extra=log_fields)
         return api.CommandReply(call.number, result)
 
-    def _grant_command(self, agent: str, lease: str) -> GrantLease | None:
-        """Return the command that grants a due window, or again the open lease of this name; None: none is due."""
-        known = self.planner.ledger.state.leases.get(lease)
-        if known is not None:
-            return GrantLease(known.name, known.request, agent, known.converters)
+    def _make_grant_command(self, agent: str, lease: str) -> GrantLease | None:
+        """Return the command for an existing lease of this name, otherwise for a due window; None if none is due."""
+        existing_lease = self.planner.ledger.state.leases.get(lease)
+        if existing_lease is not None:
+            return GrantLease(existing_lease.name, existing_lease.request, agent, existing_lease.converters)
         window = self.planner.due_window()
         return None if window is None else GrantLease(lease, window.request, agent, window.converters)
 
 
-def _rejection(error: Exception) -> Rejection:
-    """Return the frame that reports an error to a caller."""
+def _make_rejection(error: Exception) -> Rejection:
+    """Return the frame that reports an error to a client or peer, with the text truncated to MAX_REASON_LENGTH."""
     return Rejection(str(error)[:MAX_REASON_LENGTH])
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -1,6 +1,6 @@
-"""Several regions' ledgers, the actual state of converters, agents, and messages that are late, repeated and lost.
+"""A simulation of several regions' ledgers, their converters and agents, and late, repeated and lost messages.
 
-Nothing here asks a ledger whether the rule holds: grants and what became of the converters go to the judge.
+Breaches are found independently of the ledgers: an `AgreementChecker` receives all grants and changes of converters.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 )
 from tests.maintenance_world import request
 
-OBSERVERS = 3  # so that a late observation is not always rejected as older than its observer's last
+OBSERVER_COUNT = 3  # several, as a late observation is rejected if its observer's last one is newer
 
 
 @dataclass
@@ -48,12 +48,12 @@
 
     up: bool = True
     warmth: int = FULL_WARMTH
-    planned: bool = False  # a lease has it and it has not recovered
+    planned: bool = False  # a lease covers the converter, and it has not recovered yet
 
 
 @dataclass
 class Agent:
-    """An agent that has a lease, or had it."""
+    """An agent that holds or held a lease."""
 
     region: str
     lease: str
@@ -62,20 +62,20 @@
     drain_started: bool = False
     restarted: bool = False
     released: bool = False
-    superseded: bool = False  # its lease was revoked or taken over: its commands must be rejected
+    superseded: bool = False  # the lease was revoked or taken over, so the agent's commands must be rejected
 
 
 @dataclass
 class Message:
     """A command in transit to another region."""
 
-    to: str
+    receiver_region: str
     command: Command
 
 
 @dataclass
 class PendingObservation:
-    """An observation that is not recorded yet."""
+    """An observation that its region has not recorded yet."""
 
     region: str
     command: RecordObservation
@@ -83,31 +83,30 @@
 
 @dataclass
 class Replica:
-    """A region's ledger with its log, and a snapshot that was taken at some point of it."""
+    """A region's ledger with its log and a snapshot of an earlier state."""
 
     ledger: Ledger
     log: list[tuple[int, bytes]] = field(default_factory=list)
     snapshot: bytes = b""
-    entries_before_snapshot: int = 0  # entries of the log that come after the snapshot
+    entries_before_snapshot: int = 0  # number of log entries that the snapshot includes
 
 
 class Cluster:
-    """All regions; `breaches` are what the judges found."""
+    """All regions; `breaches` has the breaches that the checkers found."""
 
     def __init__(self, agreement: Agreement, ledger_type: type[Ledger] = Ledger) -> None:
         self.agreement = agreement
         self.ledger_type = ledger_type
         self.replicas = {name: Replica(ledger_type(agreement, name)) for name in agreement.regions}
-        self.actual = {name: ActualConverter() for name in agreement.converters}
+        self.actual_converters = {name: ActualConverter() for name in agreement.converters}
         self.agents: list[Agent] = []
         self.network: list[Message] = []
         self.pending_observations: list[PendingObservation] = []
-        self.sequence = 0
+        self.last_sequence = 0
         self.time = 0
-        self.agreement_judge = AgreementChecker(agreement)
-        self.region_judges = {
-            name: AgreementChecker(agreement) for name in agreement.regions
-        }  # with the losses that a region has recorded
+        self.agreement_checker = AgreementChecker(agreement)
+        # each with the losses that its region has recorded
+        self.region_checkers = {name: AgreementChecker(agreement) for name in agreement.regions}
         self.recorded_as_of: dict[str, int] = {}
         self.breaches: list[Breach] = []
         for name in agreement.regions:
@@ -146,114 +145,122 @@
     # leases and converters
 
     def submit(self, region: str, name: str, converters: tuple[str, ...], max_unavailable: int) -> Result:
-        one = request(name, region=region, converters=converters, max_unavailable=max_unavailable, deadline_ms=10**9)
-        return self.apply(region, SubmitRequest(one))
+        new_request = request(
+            name, region=region, converters=converters, max_unavailable=max_unavailable, deadline_ms=10**9
+        )
+        return self.apply(region, SubmitRequest(new_request))
 
     def grant(self, region: str, lease: str, request_name: str, converters: tuple[str, ...]) -> Result:
         result = self.apply(region, GrantLease(lease, request_name, "agent", converters))
-        if isinstance(result, Granted) and not any(one.lease == lease and one.region == region for one in self.agents):
+        if isinstance(result, Granted) and not any(
+            agent.lease == lease and agent.region == region for agent in self.agents
+        ):
             self.agents.append(Agent(region, lease, result.token, converters))
             for name in converters:
-                self.actual[name].planned = True
-                self._change(name, FULL_WARMTH, planned=True)
+                self.actual_converters[name].planned = True
+                self._apply_change(name, FULL_WARMTH, planned=True)
         return result
 
-    def begin(self, agent: Agent) -> None:
+    def start_drain(self, agent: Agent) -> None:
         result = self.apply(agent.region, StartDrain(agent.lease, agent.token))
-        assert not (agent.superseded and isinstance(result, DrainStarted)), "a void token began a drain"
+        assert not (agent.superseded and isinstance(result, DrainStarted)), "a drain was started with an invalid token"
         if isinstance(result, DrainStarted) and not agent.drain_started:
             agent.drain_started = True
             for name in agent.converters:
-                self.actual[name].up = False
+                self.actual_converters[name].up = False
 
     def restart_converters(self, agent: Agent) -> None:
-        """Start the converters of a lease again, not warmed up."""
+        """Restart the converters of a lease; they are cold."""
         if agent.drain_started and not agent.restarted:
             agent.restarted = True
             for name in agent.converters:
-                self.actual[name].up, self.actual[name].warmth = True, 0
+                self.actual_converters[name].up, self.actual_converters[name].warmth = True, 0
 
     def release(self, agent: Agent) -> None:
         if agent.restarted or agent.superseded:
             result = self.apply(agent.region, ReleaseLease(agent.lease, agent.token))
             agent.released = not isinstance(result, Rejected)
-            assert not (agent.superseded and agent.released), "a void token released a lease"
+            assert not (agent.superseded and agent.released), "a lease was released with an invalid token"
 
     def take_over(self, agent: Agent) -> None:
         result = self.apply(agent.region, TakeOverLease(agent.lease, f"agent-{len(self.agents)}", agent.token))
         if isinstance(result, Granted):
             assert result.token > agent.token and not agent.superseded
             agent.superseded = True
-            after = Agent(
+            new_agent = Agent(
                 agent.region, agent.lease, result.token, agent.converters, agent.drain_started, agent.restarted
             )
-            self.agents.append(after)
+            self.agents.append(new_agent)
 
-    def request_and_grant(self, region: str, name: str, *converters: str) -> Agent | None:
-        """Submit a request and a lease on all of its converters, and start its drain where it is granted."""
-        self.submit(region, name, converters, len(converters))
-        if not isinstance(self.grant(region, f"{name}/1", name, converters), Granted):
+    def request_and_grant(self, region: str, request_name: str, *converters: str) -> Agent | None:
+        """Submit a request, request a lease on all its converters, and start the drain if the lease is granted."""
+        self.submit(region, request_name, converters, len(converters))
+        if not isinstance(self.grant(region, f"{request_name}/1", request_name, converters), Granted):
             return None
-        self.begin(self.agents[-1])
+        self.start_drain(self.agents[-1])
         return self.agents[-1]
 
     def lose_converter(self, name: str) -> None:
-        if not self.actual[name].planned:
-            self.actual[name].up, self.actual[name].warmth = False, 0
-            self._change(name, FULL_WARMTH, planned=False)
+        if not self.actual_converters[name].planned:
+            self.actual_converters[name].up, self.actual_converters[name].warmth = False, 0
+            self._apply_change(name, FULL_WARMTH, planned=False)
 
-    def restart_lost(self, name: str) -> None:
-        """Start a converter that was lost, and not by a window, again."""
-        if not self.actual[name].planned:
-            self.actual[name].up = True
+    def restart_lost_converter(self, name: str) -> None:
+        """Restart a converter that was lost outside a maintenance window."""
+        if not self.actual_converters[name].planned:
+            self.actual_converters[name].up = True
 
     def finish_warm_up(self, name: str) -> None:
-        actual = self.actual[name]
+        actual = self.actual_converters[name]
         if actual.up:
             actual.warmth = FULL_WARMTH
-            self._change(name, 0, planned=False)
-            if actual.planned and any(one.restarted for one in self._lease_agents(name)):
+            self._apply_change(name, 0, planned=False)
+            if actual.planned and any(agent.restarted for agent in self._agents_of_last_lease(name)):
                 actual.planned = False
-                self._change(name, 0, planned=True)
+                self._apply_change(name, 0, planned=True)
 
-    def _lease_agents(self, name: str) -> list[Agent]:
-        """Return the agent of a converter's last lease, and those that it has taken it over from."""
-        having = [one for one in self.agents if name in one.converters]
-        return [one for one in having if one.lease == having[-1].lease]
+    def _agents_of_last_lease(self, name: str) -> list[Agent]:
+        """Return all agents that have held the converter's last lease, also those from whom it was taken over."""
+        holders = [agent for agent in self.agents if name in agent.converters]
+        return [agent for agent in holders if agent.lease == holders[-1].lease]
 
     def _revoke(self, leases: tuple[str, ...]) -> None:
         for agent in self.agents:
             if agent.lease in leases and not agent.superseded:
                 agent.superseded = True
-                assert not agent.drain_started, "a drain that had begun was called off"
+                assert not agent.drain_started, "a lease was revoked after its drain had started"
                 for name in agent.converters:
-                    self.actual[name].planned = False
-                    self._change(name, 0, planned=True)
+                    self.actual_converters[name].planned = False
+                    self._apply_change(name, 0, planned=True)
 
     # observers
 
     def observe(self, region: str) -> None:
-        self.sequence += 1
+        self.last_sequence += 1
         observations = tuple(
-            ConverterObservation(name, self.actual[name].up, self.actual[name].warmth if self.actual[name].up else 0)
-            for name, one in self.agreement.converters.items()
-            if one.region == region
+            ConverterObservation(
+                name,
+                self.actual_converters[name].up,
+                self.actual_converters[name].warmth if self.actual_converters[name].up else 0,
+            )
+            for name, converter in self.agreement.converters.items()
+            if converter.region == region
         )
-        observer = f"watch-{self.sequence % OBSERVERS}"
-        command = RecordObservation(observer, self.sequence, self.ledger(region).applied, observations)
+        observer = f"watch-{self.last_sequence % OBSERVER_COUNT}"
+        command = RecordObservation(observer, self.last_sequence, self.ledger(region).applied, observations)
         self.pending_observations.append(PendingObservation(region, command))
 
-    def record_observation(self, number: int, *, keep: bool = False) -> None:
-        """Record one of the pending observations in its region's log."""
-        pending = self.pending_observations[number] if keep else self.pending_observations.pop(number)
+    def record_observation(self, position: int, *, keep_copy: bool = False) -> None:
+        """Record a pending observation in its region's log; with `keep_copy`, it stays pending and can be repeated."""
+        pending = self.pending_observations[position] if keep_copy else self.pending_observations.pop(position)
         if not isinstance(self.apply(pending.region, pending.command), Observed):
             return
         for observation in pending.command.observations:
             if self.recorded_as_of.get(observation.converter, 0) <= pending.command.as_of:
                 self.recorded_as_of[observation.converter] = pending.command.as_of
                 missing = FULL_WARMTH - observation.warmth if observation.ready else FULL_WARMTH
-                self.region_judges[pending.region].apply(
-                    CapacityChange(self._tick(), observation.converter, missing, planned=False)
+                self.region_checkers[pending.region].apply(
+                    CapacityChange(self._next_time(), observation.converter, missing, planned=False)
                 )
 
     # transfers
@@ -267,54 +274,56 @@
             self.apply(region, DebitTransfer(transfer))
 
     def send_transfers(self, region: str) -> None:
-        """Send all pending transfers, again."""
+        """Send all pending transfers, including those that were sent before."""
         pending = self.ledger(region).pending_transfers()
-        self.network += [Message(one.receiver, CreditTransfer(one)) for one in pending]
+        self.network += [Message(transfer.receiver, CreditTransfer(transfer)) for transfer in pending]
 
     def send_needs_and_transfers(self, region: str) -> None:
-        """Send the region's needs with its transfers."""
+        """Send the region's pending transfers, and its capacity needs to all other regions."""
         self.send_transfers(region)
         ledger = self.ledger(region)
-        need = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
-        self.network += [Message(other, need) for other in self.replicas if other != region]
-
-    def deliver(self, number: int, *, keep: bool = False) -> None:
-        message = self.network[number] if keep else self.network.pop(number)
-        result = self.apply(message.to, message.command)
+        needs_report = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
+        self.network += [
+            Message(other_region, needs_report) for other_region in self.replicas if other_region != region
+        ]
+
+    def deliver(self, position: int, *, keep_copy: bool = False) -> None:
+        message = self.network[position] if keep_copy else self.network.pop(position)
+        result = self.apply(message.receiver_region, message.command)
         if isinstance(result, Credited):
             self.network.append(Message(result.transfer.giver, AcknowledgeTransfer(result.transfer)))
 
     def deliver_all(self) -> None:
-        """Deliver until nothing is in transit, the latest first."""
+        """Deliver messages, newest first, until none is in transit."""
         while self.network:
             self.deliver(-1)
 
     def total_allowance(self) -> int:
-        """Return the allowances of all regions with what is in transit between them."""
+        """Return the sum of all regions' allowances, including the amounts in transit between them."""
         in_transit = sum(
-            one.amount
+            transfer.amount
             for replica in self.replicas.values()
-            for one in replica.ledger.pending_transfers()
-            if not self._was_credited(one)
+            for transfer in replica.ledger.pending_transfers()
+            if not self._was_credited(transfer)
         )
-        return in_transit + sum(one.ledger.capacity("convert").allowance for one in self.replicas.values())
+        return in_transit + sum(replica.ledger.capacity("convert").allowance for replica in self.replicas.values())
 
     def _was_credited(self, transfer: Transfer) -> bool:
-        numbers = self.ledger(transfer.receiver).state.escrow.received.get(transfer.giver)
-        return numbers is not None and numbers.has(transfer.number)
+        received_numbers = self.ledger(transfer.receiver).state.escrow.received.get(transfer.giver)
+        return received_numbers is not None and received_numbers.has(transfer.number)
 
-    def _tick(self) -> int:
+    def _next_time(self) -> int:
         self.time += 1
         return self.time
 
-    def _change(self, name: str, missing: int, *, planned: bool) -> None:
-        change = CapacityChange(self._tick(), name, missing, planned)
-        self.breaches += self.agreement_judge.apply(change)
+    def _apply_change(self, name: str, missing: int, *, planned: bool) -> None:
+        change = CapacityChange(self._next_time(), name, missing, planned)
+        self.breaches += self.agreement_checker.apply(change)
         if not planned:
             return
-        own = self.agreement.converters[name].region
-        for region, known in self.region_judges.items():
-            if region == own and missing:
-                self.breaches += known.check_grant(change, 0)
+        own_region = self.agreement.converters[name].region
+        for region, region_checker in self.region_checkers.items():
+            if region == own_region and missing:
+                self.breaches += region_checker.check_grant(change, 0)
             else:
-                known.apply(change)
+                region_checker.apply(change)
--- a/tests/maintenance_replication_cluster.py
+++ b/tests/maintenance_replication_cluster.py
@@ -1,4 +1,4 @@
-"""A replicated log's members, their disks and messages in transit, with the invariants that must hold."""
+"""A simulated cluster of replicas with their disks and messages in transit, which checks Raft's invariants."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from ryepier.maintenance.replication.messages import Entry, Message
 from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready, ReplicaSettings
 
-NAMES = ("a", "b", "c", "d", "e")
+MEMBER_NAMES = ("a", "b", "c", "d", "e")
 RUN_ROUNDS = 8
 
 
 class BrokenInvariantError(AssertionError):
-    """An invariant of the replicated log that did not hold."""
+    """An invariant of the replicated log does not hold."""
 
 
 @dataclass
 class Member:
-    """A replica that may be down, and its disk."""
+    """A member's disk and its replica; `replica` is None while the member is down, `disk` is None if it was wiped."""
 
     name: str
     disk: DurableState | None
     replica: Replica | None = None
-    incarnations: int = 0
+    incarnation_count: int = 0
 
 
 @dataclass
 class Cluster:
-    """Members, messages in transit, and all that was ever stored or committed."""
+    """All members, the messages in transit, and every leader and entry that the invariants are checked against."""
 
     size: int
     seed: int
@@ -37,14 +37,16 @@
     loses_entries: bool = False
     members: dict[str, Member] = field(default_factory=dict)
     network: list[tuple[str, str, Message]] = field(default_factory=list)
-    leaders: dict[int, str] = field(default_factory=dict)
-    entries: dict[tuple[int, int], tuple[int, bytes]] = field(default_factory=dict)  # (index, term): before, command
-    committed: dict[int, Entry] = field(default_factory=dict)
-    committed_in: dict[int, int] = field(default_factory=dict)  # the term of the first replica that applied it
-    proposals: int = 0
+    leaders_by_term: dict[int, str] = field(default_factory=dict)
+    # (index, term) to (previous entry's term, command)
+    known_entries: dict[tuple[int, int], tuple[int, bytes]] = field(default_factory=dict)
+    committed_entries: dict[int, Entry] = field(default_factory=dict)
+    # index to the term of the first replica that applied the entry
+    first_commit_terms: dict[int, int] = field(default_factory=dict)
+    proposal_count: int = 0
 
     def __post_init__(self) -> None:
-        for name in NAMES[: self.size]:
+        for name in MEMBER_NAMES[: self.size]:
             self.members[name] = Member(name, DurableState())
             self.start(name)
 
@@ -52,59 +54,59 @@
         member = self.members[name]
         if member.replica is not None:
             return
-        member.incarnations += 1
-        seed = hash((self.seed, NAMES.index(name), member.incarnations))
-        member.replica = self.replica_type(ReplicaSettings(name, NAMES[: self.size], seed), member.disk)
+        member.incarnation_count += 1
+        seed = hash((self.seed, MEMBER_NAMES.index(name), member.incarnation_count))
+        member.replica = self.replica_type(ReplicaSettings(name, MEMBER_NAMES[: self.size], seed), member.disk)
 
-    def process_ready(self, member: Member, saved: bool = True) -> None:
-        """Carry a `Ready` out, or crash before it is stored."""
+    def process_ready(self, member: Member, store_ready: bool = True) -> None:
+        """Store, send and apply the replica's `Ready`; without `store_ready`, crash before it is stored."""
         replica = member.replica
         assert replica is not None
         ready = replica.take_ready()
-        if not saved:
+        if not store_ready:
             member.replica = None
             return
         self.save(member, ready)
         self.check_log(replica, ready.first_index)
         for envelope in ready.messages:
             self.network.append((member.name, envelope.receiver, envelope.message))
-        for item in ready.committed:
-            self.check_committed(item, replica.term)
+        for committed_entry in ready.committed:
+            self.check_committed(committed_entry, replica.term)
         if replica.is_leader:
             self.check_leader(replica)
 
     def save(self, member: Member, ready: Ready) -> None:
         if not ready.must_store:
             return
-        before = member.disk or DurableState()
-        entries = before.entries
+        previous_state = member.disk or DurableState()
+        entries = previous_state.entries
         if ready.first_index > 0 and not self.loses_entries:
             entries = entries[: ready.first_index - 1] + ready.entries
-        member.disk = DurableState(ready.hard_state or before.hard_state, entries)
+        member.disk = DurableState(ready.hard_state or previous_state.hard_state, entries)
 
     def check_log(self, replica: Replica, first_index: int) -> None:
         for index in range(first_index or replica.last_index + 1, replica.last_index + 1):
             entry = replica.log[index - 1]
-            found = (replica.term_at(index - 1), entry.command)
-            if self.entries.setdefault((index, entry.term), found) != found:
+            content = (replica.term_at(index - 1), entry.command)
+            if self.known_entries.setdefault((index, entry.term), content) != content:
                 raise BrokenInvariantError(f"log matching at {index} of term {entry.term}")
 
-    def check_committed(self, item: CommittedEntry, term: int) -> None:
-        self.committed_in.setdefault(item.index, term)
-        if self.committed.setdefault(item.index, item.entry) != item.entry:
-            raise BrokenInvariantError(f"two committed entries at {item.index}")
+    def check_committed(self, committed_entry: CommittedEntry, term: int) -> None:
+        self.first_commit_terms.setdefault(committed_entry.index, term)
+        if self.committed_entries.setdefault(committed_entry.index, committed_entry.entry) != committed_entry.entry:
+            raise BrokenInvariantError(f"two committed entries at {committed_entry.index}")
 
     def check_leader(self, replica: Replica) -> None:
         name = replica.settings.name
-        if self.leaders.setdefault(replica.term, name) != name:
+        if self.leaders_by_term.setdefault(replica.term, name) != name:
             raise BrokenInvariantError(f"two leaders of term {replica.term}")
-        for index, entry in self.committed.items():
-            later = replica.term >= self.committed_in[index]
-            if later and (index > replica.last_index or replica.log[index - 1] != entry):
+        for index, entry in self.committed_entries.items():
+            is_later_term = replica.term >= self.first_commit_terms[index]
+            if is_later_term and (index > replica.last_index or replica.log[index - 1] != entry):
                 raise BrokenInvariantError(f"the leader of term {replica.term} lacks committed entry {index}")
 
-    def deliver(self, position: int, keep: bool = False) -> None:
-        sender, receiver, message = self.network[position] if keep else self.network.pop(position)
+    def deliver(self, message_index: int, keep_copy: bool = False) -> None:
+        sender, receiver, message = self.network[message_index] if keep_copy else self.network.pop(message_index)
         member = self.members[receiver]
         if member.replica is None:
             return
@@ -114,65 +116,69 @@
             raise BrokenInvariantError(str(error)) from error
         self.process_ready(member)
 
-    def tick(self, name: str, saved: bool = True) -> None:
+    def tick(self, name: str, store_ready: bool = True) -> None:
         member = self.members[name]
         if member.replica is not None:
             member.replica.tick()
-            self.process_ready(member, saved)
+            self.process_ready(member, store_ready)
 
-    def propose(self, name: str, saved: bool = True) -> None:
+    def propose(self, name: str, store_ready: bool = True) -> None:
         member = self.members[name]
         if member.replica is None:
             return
-        self.proposals += 1
+        self.proposal_count += 1
         try:
-            member.replica.propose(b"command %d" % self.proposals)
+            member.replica.propose(b"command %d" % self.proposal_count)
         except NotLeaderError:
             return
-        self.process_ready(member, saved)
+        self.process_ready(member, store_ready)
 
-    def run(self, rounds: int, without: str = "") -> None:
-        """Tick all members and deliver all messages, but for one partitioned member."""
+    def run(self, rounds: int, partitioned_member: str = "") -> None:
+        """Tick all members and deliver all messages, except those of the partitioned member."""
         for _ in range(rounds):
             for name in self.members:
-                if name != without:
+                if name != partitioned_member:
                     self.tick(name)
-            waiting = len(self.network)
-            for _ in range(waiting):
+            message_count = len(self.network)
+            for _ in range(message_count):
                 sender, receiver, _message = self.network[0]
-                if without in (sender, receiver):
+                if partitioned_member in (sender, receiver):
                     self.network.pop(0)
                 else:
                     self.deliver(0)
 
-    def perform(self, action: str, name: str, pick: int) -> None:
-        position = pick % len(self.network) if self.network else -1
+    def perform(self, action: str, name: str, random_number: int) -> None:
+        message_index = random_number % len(self.network) if self.network else -1
         if action == "run":
-            self.run(RUN_ROUNDS, without=name if pick % 2 else "")
+            self.run(RUN_ROUNDS, partitioned_member=name if random_number % 2 else "")
         elif action == "tick":
             self.tick(name)
         elif action == "propose":
             self.propose(name)
         elif action == "crash":
             self.members[name].replica = None
-        elif action == "crash-unsaved" and pick % 2:
-            self.propose(name, saved=False)
+        elif action == "crash-unsaved" and random_number % 2:
+            self.propose(name, store_ready=False)
         elif action == "crash-unsaved":
-            self.tick(name, saved=False)
+            self.tick(name, store_ready=False)
         elif action == "restart":
             self.start(name)
         elif action == "wipe":
             self.members[name].replica = None
             self.members[name].disk = None
-        elif position >= 0 and action == "lose":
-            self.network.pop(position)
-        elif position >= 0:
-            self.deliver(position, keep=action == "repeat")
+        elif message_index >= 0 and action == "lose":
+            self.network.pop(message_index)
+        elif message_index >= 0:
+            self.deliver(message_index, keep_copy=action == "repeat")
 
     def leader(self) -> str:
-        """Return the leader of the highest term, empty without one."""
-        leading = [m.replica for m in self.members.values() if m.replica is not None and m.replica.is_leader]
-        return max(leading, key=lambda replica: replica.term).settings.name if leading else ""
+        """Return the name of the leader with the highest term, or an empty string if there is none."""
+        leaders = [
+            member.replica
+            for member in self.members.values()
+            if member.replica is not None and member.replica.is_leader
+        ]
+        return max(leaders, key=lambda replica: replica.term).settings.name if leaders else ""
 
     def elect(self) -> str:
         for _ in range(60):
