--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -16,7 +16,7 @@
 from ryepier.maintenance.results import Result
 from ryepier.maintenance.tables import LeaseState
 
-VERSION = 1
+VERSION = 1  # version of the protocol between coordinators and their clients and peers
 NO_START_MS = -1  # `starts_ms` of a request that has no scheduled window
 
 ReasonText = Annotated[str, msgspec.Meta(max_length=2000)]
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -57,7 +57,7 @@
         self.warm_up_known: set[str] = set()
 
     def observe(self, now_ms: int, region_time_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
-        """Return the probes of a listing; `now_ms` is this process's and `region_time_ms` the region's committed time.
+        """Return the probes of a listing; `now_ms` is local time, `region_time_ms` the region's committed time.
 
         It is unknown when a converter that is ready at the first observation was started. Such a converter is omitted
         until it has been ready for its whole warm-up time.
