--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -34,7 +34,7 @@
     violation: Violation | None = None
     path: Steps = ()  # to the violation
     transitions: int = 0
-    ends: int = 0  # successors in which everything has ended
+    terminal_states: int = 0  # successors in which everything has ended
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
 
     states: int = 1
     transitions: int = 0
-    ends: int = 0
+    terminal_states: int = 0
     depth: int = 0
     seconds: float = 0.0
     complete: bool = False  # the whole state space
@@ -73,7 +73,7 @@
         expansion.transitions += 1
         has_ended = not state.violations and not state.steps()
         if has_ended:
-            expansion.ends += 1
+            expansion.terminal_states += 1
             state.settle()
         if state.violations:
             expansion.violation, expansion.path = state.violations[0], longer
@@ -94,7 +94,7 @@
         list(seen),
         [[encode_step(step) for step in steps] for steps in frontier],
         progress.transitions,
-        progress.ends,
+        progress.terminal_states,
         progress.depth,
         progress.seconds,
     )
@@ -156,7 +156,7 @@
     def _add(self, expansion: Expansion) -> None:
         progress = self.progress
         progress.transitions += expansion.transitions
-        progress.ends += expansion.ends
+        progress.terminal_states += expansion.terminal_states
         if expansion.violation is not None and progress.violation is None:
             progress.violation, progress.path = expansion.violation, expansion.path
         for digest, path in expansion.children:
--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -97,7 +97,7 @@
         sys.settrace(original)
 
 
-def unreached(executed: Lines) -> list[UnreachedFunction]:
+def unreached_functions(executed: Lines) -> list[UnreachedFunction]:
     """Return the functions of which some lines were not executed."""
     found = []
     for module in MODULES:
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -61,7 +61,7 @@
     """Print the counts so far to standard error."""
     print(
         f"depth {outcome.depth}: {outcome.states} states, {outcome.transitions} transitions, "
-        f"{outcome.ends} ends, {outcome.seconds:.1f} s",
+        f"{outcome.terminal_states} ends, {outcome.seconds:.1f} s",
         file=sys.stderr,
     )
 
@@ -116,8 +116,8 @@
 def _print_outcome(model: Model, outcome: explore.Exploration) -> None:
     largest_kib = max(resource.getrusage(scope).ru_maxrss for scope in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN))
     print(
-        f"{model.name}: {outcome.states} states, {outcome.transitions} transitions, {outcome.ends} ends, depth "
-        f"{outcome.depth}, {outcome.seconds:.1f} s, at most {largest_kib // KIB_PER_MB} MB a process; "
+        f"{model.name}: {outcome.states} states, {outcome.transitions} transitions, {outcome.terminal_states} ends, "
+        f"depth {outcome.depth}, {outcome.seconds:.1f} s, at most {largest_kib // KIB_PER_MB} MB a process; "
         f"{'explored whole' if outcome.complete else 'not explored whole'}"
     )
     if outcome.violation is not None:
@@ -159,11 +159,11 @@
     with line_coverage.record_lines() as executed:
         for name in names or tuple(MODELS):
             expand_breadth_first(MODELS[name])
-    unreached = line_coverage.unreached(executed)
+    unreached_functions = line_coverage.unreached_functions(executed)
     if as_json:
-        print(json.dumps(unreached))
+        print(json.dumps(unreached_functions))
         return
-    for function, missing in unreached:
+    for function, missing in unreached_functions:
         print(f"{function}: {', '.join(map(str, missing))}")
 
 
--- a/ryepier/emulator/simulated_logs.py
+++ b/ryepier/emulator/simulated_logs.py
@@ -10,7 +10,7 @@
 
 from ryepier.logs.structured import JsonLinesFormatter
 from ryepier.sidecar import system
-from ryepier.sim.process import OWNER
+from ryepier.sim.process import CURRENT_PROCESS
 from ryepier.sim.run import SimLoop
 
 
@@ -28,7 +28,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Handle a record of a simulated process; others are ignored."""
-        owner = OWNER.get()
+        owner = CURRENT_PROCESS.get()
         if not owner:
             return
         if record.exc_info is not None and record.exc_info[0] is not None:
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -15,7 +15,7 @@
 from ryepier.sidecar.components import Components
 from ryepier.sidecar.config import Config
 from ryepier.sidecar.serving import serve
-from ryepier.sim.process import OWNER, Clocks
+from ryepier.sim.process import CURRENT_PROCESS, Clocks
 from ryepier.sim.run import SimLoop
 
 PLANNER_SEED_FACTOR = 1000  # so that each incarnation of a planner has a seed of its own
@@ -52,7 +52,7 @@
         if self.clocks != Clocks():
             self.loop.clocks[self.owner] = self.clocks
         context = contextvars.copy_context()
-        context.run(OWNER.set, self.owner)
+        context.run(CURRENT_PROCESS.set, self.owner)
         self.task = self.loop.create_task(self.run(), context=context)
 
     def _kill(self) -> None:
@@ -83,7 +83,7 @@
     def _change_clocks(self, step: Step) -> None:
         self.loop.clocks[self.owner] = self.clocks
         if step.action is FaultAction.SET_CALENDAR:
-            self.loop.shift_calendar(self.owner, step.factor)
+            self.loop.shift_wall_clock(self.owner, step.factor)
         else:
             self.loop.set_rate(self.owner, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -11,7 +11,7 @@
 from ryepier.balancer.selection import Candidate, Selector
 from ryepier.balancer.subsetting import Subset
 from ryepier.balancer.upstream import PendingRequest, TrackedUpstream
-from ryepier.sim.fleet.choosers import Chooser, ChooserFactory, make_balancer
+from ryepier.sim.fleet.choosers import BalancingPolicy, PolicyFactory, make_balancer
 from ryepier.sim.fleet.converter import Converter
 
 EARLIER_OVERLOAD = 0.5
@@ -114,14 +114,14 @@
             pool.subset = WelcomingSubset()
 
 
-def _factory(make: Callable[[api.Settings, int, int], Balancer]) -> ChooserFactory:
-    def factory(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> Chooser:
+def _factory(make: Callable[[api.Settings, int, int], Balancer]) -> PolicyFactory:
+    def factory(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
         return make(settings, seed, now_us)
 
     return factory
 
 
-FACTORIES: dict[str, ChooserFactory] = {
+FACTORIES: dict[str, PolicyFactory] = {
     "": make_balancer,
     "private-subsets": _factory(PrivateSubsets),
     "same-order": _factory(SameOrder),
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -54,7 +54,7 @@
 def run_trial(trial: FleetTrial) -> FleetOutcome:
     """Run one trial in this process."""
     world = FleetWorld(trial.plan, trial.seed, seeded_faults.FACTORIES[trial.balancer])
-    world.play(trial.begin_us)
+    world.run(trial.begin_us)
     begin_us, end_us = START_US + trial.begin_us, world.now_us
     requests = [request for request in world.requests if request.arrived_us >= begin_us]
     latencies_us = [request.ended_us - request.arrived_us for request in requests if request.served]
@@ -95,7 +95,7 @@
 
 def _allowed_requests(plan: FleetPlan, age_us: int) -> float:
     """Return how many requests a converter of an age may receive in one overload window."""
-    capacity_per_s = plan.warmth(age_us) * plan.places * SECOND_US / plan.work_us
+    capacity_per_s = plan.capacity_share(age_us) * plan.workers * SECOND_US / plan.work_us
     overload = plan.overload_factor * capacity_per_s * plan.overload_window_us / SECOND_US
     allowed: float = overload + 2 * overload**0.5 + 2
     return allowed
--- a/ryepier/sim/fleet/choosers.py
+++ b/ryepier/sim/fleet/choosers.py
@@ -11,7 +11,7 @@
 from ryepier.sim.fleet.converter import Converter
 
 
-class Chooser(Protocol):
+class BalancingPolicy(Protocol):
     """Takes events and gives actions, as `Balancer` does."""
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
@@ -19,11 +19,11 @@
         ...
 
 
-ChooserFactory = Callable[[api.Settings, int, int, Sequence[Converter]], Chooser]
+PolicyFactory = Callable[[api.Settings, int, int, Sequence[Converter]], BalancingPolicy]
 """Makes a chooser from settings, a seed, the time in microseconds and the converters, which a balancer must ignore."""
 
 
-def make_balancer(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> Chooser:
+def make_balancer(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
     """Return the project's own balancer."""
     return Balancer(settings, seed, now_us)
 
@@ -71,11 +71,11 @@
         return min(self.ready, key=lambda ident: (self.converters[ident].load, self.random.random()))
 
 
-def make_random(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> Chooser:
+def make_random(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
     """Return a `RandomChoice`."""
     return RandomChoice(seed, converters)
 
 
-def make_shortest(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> Chooser:
+def make_shortest(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
     """Return a `ShortestQueue`."""
     return ShortestQueue(seed, converters)
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -23,7 +23,7 @@
         self.opened += max(0, by)
         self.max_open = max(self.max_open, self.open)
 
-    def restart_counts(self, now_us: int) -> None:
+    def reset_counts(self, now_us: int) -> None:
         """Restart the counts at `now_us`; open connections stay open."""
         self.change(now_us, 0)
         self.open_us = self.opened = 0
@@ -42,7 +42,7 @@
     idle_since_us: list[int] = field(default_factory=list)  # oldest first
     busy: int = 0
 
-    def take(self, now_us: int) -> None:
+    def acquire(self, now_us: int) -> None:
         """Begin a request on an idle connection, or on a new one."""
         if self.idle_since_us:
             self.idle_since_us.pop(0)
@@ -50,7 +50,7 @@
             self.counter.change(now_us, 1)
         self.busy += 1
 
-    def give_back(self, now_us: int, reusable: bool) -> None:
+    def release(self, now_us: int, reusable: bool) -> None:
         """End a request; its connection becomes idle if it was answered, and is closed otherwise."""
         self.busy -= 1
         if reusable:
--- a/ryepier/sim/fleet/converter.py
+++ b/ryepier/sim/fleet/converter.py
@@ -25,7 +25,7 @@
     """A converter and its counts."""
 
     ident: int
-    places: int
+    workers: int
     queue_limit: int
     up: bool = True
     started_us: int = 0  # its last start; 0 = warm
@@ -43,15 +43,15 @@
     def receive(self, job: Job) -> bool:
         """Queue a request, and return whether there was capacity for it."""
         self.received_us.append(job.received_us)
-        if len(self.working) >= self.places and len(self.queue) >= self.queue_limit:
+        if len(self.working) >= self.workers and len(self.queue) >= self.queue_limit:
             self.rejected += 1
             return False
         self.queue.append(job)
         return True
 
-    def begin_next(self) -> Job | None:
+    def start_next(self) -> Job | None:
         """Start and return the next job if a worker is free; abandoned jobs are dropped."""
-        while self.queue and len(self.working) < self.places:
+        while self.queue and len(self.working) < self.workers:
             job = self.queue.popleft()
             if not job.abandoned:
                 self.working.append(job)
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from ryepier.balancer import interface as api
-from ryepier.sim.fleet.choosers import ChooserFactory, make_balancer
+from ryepier.sim.fleet.choosers import PolicyFactory, make_balancer
 from ryepier.sim.fleet.connections import ConnectionPool
 from ryepier.sim.fleet.converter import Converter, Job
 
@@ -37,7 +37,7 @@
     load: float  # offered load as a share of the capacity of all converters
     duration_us: int
     rate_exponent: float = 0.6  # of a Zipf distribution of the load over the sidecars
-    places: int = 4
+    workers: int = 4
     work_us: int = 100_000  # mean of the exponentially distributed work of a request
     queue_limit: int = 32  # requests that may wait at a converter; further ones are rejected
     objective_us: int = 600_000
@@ -52,14 +52,14 @@
 
     def rate_per_s(self) -> float:
         """Return the requests per second of the whole fleet."""
-        return self.load * self.converters * self.places * SECOND_US / self.work_us
+        return self.load * self.converters * self.workers * SECOND_US / self.work_us
 
     def rates_per_s(self) -> list[float]:
         """Return the requests per second of each sidecar."""
         parts = [(rank + 1) ** -self.rate_exponent for rank in range(self.sidecars)]
         return [self.rate_per_s() * part / sum(parts) for part in parts]
 
-    def warmth(self, age_us: int) -> float:
+    def capacity_share(self, age_us: int) -> float:
         """Return the share of its full speed that a converter has `age_us` after its start."""
         if age_us >= self.warm_up_us:
             return 1.0
@@ -96,13 +96,13 @@
 class FleetWorld:
     """Runs a plan."""
 
-    def __init__(self, plan: FleetPlan, seed: int, factory: ChooserFactory = make_balancer) -> None:
+    def __init__(self, plan: FleetPlan, seed: int, factory: PolicyFactory = make_balancer) -> None:
         """Set up the fleet as it is when the plan starts."""
         self.plan = plan
         self.factory = factory
         self.random = random.Random(seed)
         self.now_us = START_US
-        self.converters = [Converter(n, plan.places, plan.queue_limit) for n in range(plan.converters)]
+        self.converters = [Converter(n, plan.workers, plan.queue_limit) for n in range(plan.converters)]
         seeds = [self.random.getrandbits(63) for _ in range(plan.sidecars)]
         self.sidecars = [
             factory(plan.settings(index), seeds[index], START_US, self.converters) for index in range(plan.sidecars)
@@ -118,7 +118,7 @@
         self._number += 1
         heapq.heappush(self._events, (at_us, self._number, action))
 
-    def play(self, count_from_us: int = 0) -> None:
+    def run(self, count_from_us: int = 0) -> None:
         """Run the whole plan; connections are counted from `count_from_us` after the start."""
         for index, rate_per_s in enumerate(self.plan.rates_per_s()):
             self.deliver(index, self.full_list())
@@ -126,18 +126,18 @@
         for outage in self.plan.outages:
             self.schedule_outage(outage)
         self.at(START_US + IDLE_CHECK_US, self.close_idle)
-        self.at(START_US + count_from_us, self.restart_counts)
+        self.at(START_US + count_from_us, self.reset_counts)
         end_us = START_US + self.plan.duration_us
         while self._events and self._events[0][0] <= end_us:
             self.now_us, _, action = heapq.heappop(self._events)
             action()
         self.now_us = end_us
 
-    def restart_counts(self) -> None:
+    def reset_counts(self) -> None:
         """Restart the counts of connections."""
         self.counted_from_us = self.now_us
         for converter in self.converters:
-            converter.connections.restart_counts(self.now_us)
+            converter.connections.reset_counts(self.now_us)
 
     # Sidecars
 
@@ -213,7 +213,7 @@
         if not converter.up:
             self.at(self.now_us + REFUSED_CONNECTION_US, lambda: self.end(job, converter, api.Outcome.CONNECT_FAILED))
             return
-        self.pool(sidecar, converter.ident).take(self.now_us)
+        self.pool(sidecar, converter.ident).acquire(self.now_us)
         if not converter.receive(job):
             self.at(self.now_us + REFUSED_CONNECTION_US, lambda: self.end(job, converter, api.Outcome.REJECTED))
             return
@@ -223,8 +223,8 @@
 
     def begin(self, converter: Converter) -> None:
         """Start queued jobs on the free workers."""
-        while (job := converter.begin_next()) is not None:
-            work_us = int(job.work_us / self.warmth(converter))
+        while (job := converter.start_next()) is not None:
+            work_us = int(job.work_us / self.capacity_share(converter))
             self.at(self.now_us + work_us, lambda job=job: self.work_done(job, converter))  # type: ignore[misc]
 
     def work_done(self, job: Job, converter: Converter) -> None:
@@ -242,7 +242,7 @@
         job.abandoned = True
         if outcome is not api.Outcome.CONNECT_FAILED:
             reusable = outcome in (api.Outcome.OK, api.Outcome.REJECTED)
-            self.pool(job.sidecar, converter.ident).give_back(self.now_us, reusable)
+            self.pool(job.sidecar, converter.ident).release(self.now_us, reusable)
         request = self.requests[job.request]
         final = outcome is api.Outcome.OK and not request.ended_us
         if final:
@@ -253,11 +253,11 @@
 
     # Converters
 
-    def warmth(self, converter: Converter) -> float:
+    def capacity_share(self, converter: Converter) -> float:
         """Return the share of its full speed that a converter has now."""
         if converter.started_us == 0:
             return 1.0
-        return self.plan.warmth(self.now_us - converter.started_us)
+        return self.plan.capacity_share(self.now_us - converter.started_us)
 
     def schedule_outage(self, outage: Outage) -> None:
         """Schedule an outage of random converters."""
--- a/ryepier/sim/network.py
+++ b/ryepier/sim/network.py
@@ -56,9 +56,9 @@
         self.sockets: list[SimSocket] = []  # that are open
         self._last_port = EPHEMERAL_PORT
 
-    def kill(self, owner: str) -> None:
+    def kill(self, process: str) -> None:
         """Close the sockets of a process as its kernel does, without telling its code."""
-        for sock in [sock for sock in self.sockets if sock.owner == owner]:
+        for sock in [sock for sock in self.sockets if sock.process == process]:
             if isinstance(sock.transport, SimTransport):
                 sock.transport.lost = sock.transport.closing = True
                 if sock.outbound is not None:
@@ -88,7 +88,7 @@
         if address[1] == 0:
             address = address[0], self._next_port()
         sock = SimSocket(self)
-        sock.local, sock.listening, sock.backlog = address, True, backlog
+        sock.local_address, sock.listening, sock.backlog = address, True, backlog
         self.listeners[address] = sock
         return sock
 
@@ -101,7 +101,7 @@
         partitioned."""
         outward, back = self.link(source, address[0]), self.link(address[0], source)
         connected: asyncio.Future[None] = self.loop.create_future()
-        sock.local, sock.peer = (source, self._next_port()), address
+        sock.local_address, sock.peer_address = (source, self._next_port()), address
         Pipe(self, outward).send(lambda: self._on_syn(sock, address, outward, back, connected))
         await connected
 
@@ -116,9 +116,9 @@
         if len(listener.pending) >= listener.backlog or sock.closed:
             return
         other = SimSocket(self)
-        other.owner = listener.owner
-        other.local, other.peer = address, sock.local
-        sock.other, other.other = other, sock
+        other.process = listener.process
+        other.local_address, other.peer_address = address, sock.local_address
+        sock.peer_socket, other.peer_socket = other, sock
         sock.outbound = other.inbound = Pipe(self, outward)
         sock.inbound = other.outbound = Pipe(self, back)
         sock.inbound.reader, other.inbound.reader = sock, other
--- a/ryepier/sim/process.py
+++ b/ryepier/sim/process.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-OWNER: contextvars.ContextVar[str] = contextvars.ContextVar("owner", default="")
+CURRENT_PROCESS: contextvars.ContextVar[str] = contextvars.ContextVar("owner", default="")
 """The process that the running code, and each socket, timer and task that it creates, belongs to; "" = none."""
 
 ROUNDING_MARGIN_S = 1e-9  # so that a timer is due by its process's clock despite rounding
@@ -18,21 +18,21 @@
     wall clock may be set to anything."""
 
     rate: float = 1.0
-    run_s: float = 0.0  # when the present rate was set, by the run's clock
-    own_s: float = 0.0  # and by its own
-    calendar_s: float = 0.0  # offset of the wall clock
+    rate_set_run_s: float = 0.0  # when the present rate was set, by the run's clock
+    rate_set_process_s: float = 0.0  # and by its own
+    wall_offset_s: float = 0.0  # offset of the wall clock
 
-    def own(self, run_s: float) -> float:
+    def process_time_s(self, run_s: float) -> float:
         """Return what the monotonic clock shows at a time of the run."""
-        return self.own_s + (run_s - self.run_s) * self.rate
+        return self.rate_set_process_s + (run_s - self.rate_set_run_s) * self.rate
 
-    def when(self, own_s: float) -> float:
-        """Return the time of the run at which the monotonic clock shows `own_s`."""
-        return self.run_s + (own_s - self.own_s) / self.rate + ROUNDING_MARGIN_S
+    def run_time_s(self, process_s: float) -> float:
+        """Return the time of the run at which the monotonic clock shows `process_s`."""
+        return self.rate_set_run_s + (process_s - self.rate_set_process_s) / self.rate + ROUNDING_MARGIN_S
 
     def set_rate(self, run_s: float, rate: float) -> None:
         """Change the rate from a time of the run on."""
-        self.own_s, self.run_s, self.rate = self.own(run_s), run_s, rate
+        self.rate_set_process_s, self.rate_set_run_s, self.rate = self.process_time_s(run_s), run_s, rate
 
 
 @dataclass(slots=True)
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -14,7 +14,7 @@
 from ryepier.sidecar import system
 from ryepier.sim.loop import NoProgressError, VirtualLoop
 from ryepier.sim.network import Network, SimServer
-from ryepier.sim.process import OWNER, Clocks, Suspended
+from ryepier.sim.process import CURRENT_PROCESS, Clocks, Suspended
 from ryepier.sim.sockets import SimSocket
 from ryepier.sim.transport import SimTransport
 
@@ -28,10 +28,10 @@
     """A callback or a task failed that no code awaited."""
 
 
-def _owner_of(handle: Any) -> str:
+def _process_of(handle: Any) -> str:
     """Return the process that a callback belongs to."""
-    owner: str = handle._context.get(OWNER, "")
-    return owner
+    process: str = handle._context.get(CURRENT_PROCESS, "")
+    return process
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,51 +59,51 @@
 
     # Processes
 
-    def kill(self, owner: str) -> None:
+    def kill(self, process: str) -> None:
         """End a process: none of its callbacks, timers and tasks runs again."""
-        self._suspended.pop(owner, None)
-        self._dead.add(owner)
+        self._suspended.pop(process, None)
+        self._dead.add(process)
         self._dead_tasks.append(asyncio.all_tasks(self))
         for handle in [*self._scheduled, *self._ready]:  # type: ignore[attr-defined]
-            if _owner_of(handle) == owner:
+            if _process_of(handle) == process:
                 handle.cancel()
-        self.network.kill(owner)
+        self.network.kill(process)
 
-    def suspend(self, owner: str) -> None:
+    def suspend(self, process: str) -> None:
         """Suspend a process, as SIGSTOP does: data for it stays in the kernel's buffers, and time passes."""
-        suspended = self._suspended.setdefault(owner, Suspended())
+        suspended = self._suspended.setdefault(process, Suspended())
         ready: Any = self._ready  # type: ignore[attr-defined]
-        for handle in [handle for handle in ready if _owner_of(handle) == owner]:
+        for handle in [handle for handle in ready if _process_of(handle) == process]:
             ready.remove(handle)
             suspended.ready.append(handle)
-        suspended.timers += self._take_timers(owner)
+        suspended.timers += self._take_timers(process)
 
-    def resume(self, owner: str) -> None:
+    def resume(self, process: str) -> None:
         """Resume a process with everything that has become due; does nothing if it was killed meanwhile."""
-        suspended = self._suspended.pop(owner, None)
+        suspended = self._suspended.pop(process, None)
         if suspended is None:
             return
         self._ready.extend(suspended.ready)  # type: ignore[attr-defined]
         self._put_timers(suspended.timers)
 
-    def set_rate(self, owner: str, rate: float) -> None:
+    def set_rate(self, process: str, rate: float) -> None:
         """Let a process's clocks run at `rate` times the speed of the run's from now on."""
-        clocks = self.clocks.setdefault(owner, Clocks())
-        timers = self._take_timers(owner)
-        due = [clocks.own(handle._when) for handle in timers]
+        clocks = self.clocks.setdefault(process, Clocks())
+        timers = self._take_timers(process)
+        due = [clocks.process_time_s(handle._when) for handle in timers]
         clocks.set_rate(self.now_s, rate)
-        for handle, own_s in zip(timers, due, strict=True):
-            handle._when = clocks.when(own_s)
+        for handle, process_s in zip(timers, due, strict=True):
+            handle._when = clocks.run_time_s(process_s)
         self._put_timers(timers)
 
-    def shift_calendar(self, owner: str, by_s: float) -> None:
+    def shift_wall_clock(self, process: str, by_s: float) -> None:
         """Set a process's wall clock forward or back."""
-        self.clocks.setdefault(owner, Clocks()).calendar_s += by_s
+        self.clocks.setdefault(process, Clocks()).wall_offset_s += by_s
 
-    def _take_timers(self, owner: str) -> list[Any]:
+    def _take_timers(self, process: str) -> list[Any]:
         """Remove a process's timers from the schedule, and return them by their times."""
         scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
-        taken = [handle for handle in scheduled if _owner_of(handle) == owner and not handle._cancelled]
+        taken = [handle for handle in scheduled if _process_of(handle) == process and not handle._cancelled]
         if taken:
             ids = set(map(id, taken))
             scheduled[:] = [handle for handle in scheduled if id(handle) not in ids]
@@ -122,31 +122,31 @@
     # Clocks and callbacks, by the process whose code runs
 
     def _current_clocks(self) -> Clocks | None:
-        return self.clocks.get(OWNER.get()) if self.clocks else None
+        return self.clocks.get(CURRENT_PROCESS.get()) if self.clocks else None
 
     def time(self) -> float:
         """Return the monotonic clock of the running process."""
         if not self.clocks:
             return self.now_s
-        clocks = self.clocks.get(OWNER.get())
-        return self.now_s if clocks is None else clocks.own(self.now_s)
+        clocks = self.clocks.get(CURRENT_PROCESS.get())
+        return self.now_s if clocks is None else clocks.process_time_s(self.now_s)
 
     def unix_s(self) -> float:
         """Return the seconds since the run began by the wall clock of the running process."""
         clocks = self._current_clocks()
-        return self.now_s if clocks is None else clocks.own(self.now_s) + clocks.calendar_s
+        return self.now_s if clocks is None else clocks.process_time_s(self.now_s) + clocks.wall_offset_s
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:  # type: ignore[override]
         """Schedule a callback as asyncio does; those of killed or suspended processes are held back."""
         if self.is_closed():  # the run is over, and objects of a killed process are being collected
             return asyncio.Handle(callback, args, self, context)
         handle = super().call_soon(callback, *args, context=context)
-        owner = _owner_of(handle) if self._dead or self._suspended else ""
-        if owner in self._dead:
+        process = _process_of(handle) if self._dead or self._suspended else ""
+        if process in self._dead:
             handle.cancel()
-        elif owner in self._suspended:
+        elif process in self._suspended:
             self._ready.pop()  # type: ignore[attr-defined]
-            self._suspended[owner].ready.append(handle)
+            self._suspended[process].ready.append(handle)
         return handle
 
     def call_at(  # type: ignore[override]
@@ -155,9 +155,9 @@
         """Schedule a callback by the clock of the running process."""
         clocks = self._current_clocks()
         if clocks is not None:
-            when = clocks.when(when)
+            when = clocks.run_time_s(when)
         handle = super().call_at(when, callback, *args, context=context)
-        if self._dead and _owner_of(handle) in self._dead:
+        if self._dead and _process_of(handle) in self._dead:
             handle.cancel()
         return handle
 
--- a/ryepier/sim/sockets.py
+++ b/ryepier/sim/sockets.py
@@ -10,7 +10,7 @@
 
 from ryepier.sim.link import Pipe
 from ryepier.sim.loop import VirtualLoop
-from ryepier.sim.process import OWNER
+from ryepier.sim.process import CURRENT_PROCESS
 
 Address = tuple[str, int]
 
@@ -29,7 +29,7 @@
     def schedule_read(self) -> None:
         """Read at the loop's next turn."""
 
-    def lose(self, error: Exception | None) -> None:
+    def lose_connection(self, error: Exception | None) -> None:
         """End the connection."""
 
 
@@ -43,12 +43,12 @@
     def __init__(self, network: SocketNetwork) -> None:
         """Open a socket of the process whose code runs."""
         self.network = network
-        self.owner = OWNER.get()
-        self.local: Address = ("", 0)
-        self.peer: Address = ("", 0)
+        self.process = CURRENT_PROCESS.get()
+        self.local_address: Address = ("", 0)
+        self.peer_address: Address = ("", 0)
         self.inbound: Pipe | None = None
         self.outbound: Pipe | None = None
-        self.other: SimSocket | None = None  # the other end of the connection
+        self.peer_socket: SimSocket | None = None  # the other end of the connection
         self.transport: SocketTransport | None = None
         self.closed = False
         self.was_reset = False
@@ -69,11 +69,11 @@
 
     def getsockname(self) -> Address:
         """Return the local address."""
-        return self.local
+        return self.local_address
 
     def getpeername(self) -> Address:
         """Return the address of the other end."""
-        return self.peer
+        return self.peer_address
 
     def fileno(self) -> int:
         """Return -1, as there is no descriptor."""
@@ -104,7 +104,7 @@
         if not self.pending:
             raise BlockingIOError
         sock = self.pending.popleft()
-        return sock, sock.peer
+        return sock, sock.peer_address
 
     def close(self) -> None:
         """Close as a kernel does: with unread data, the other end sees a reset."""
@@ -122,13 +122,13 @@
                 self.outbound.push()
 
     def _close_listener(self) -> None:
-        self.network.listeners.pop(self.local, None)
+        self.network.listeners.pop(self.local_address, None)
         for waiting in self.pending:
             waiting.close()
 
     def _send_reset(self, outbound: Pipe) -> None:
-        if self.other is not None:
-            outbound.send(self.other.on_reset)
+        if self.peer_socket is not None:
+            outbound.send(self.peer_socket.on_reset)
 
     def on_reset(self) -> None:
         """Handle a reset from the other end."""
@@ -136,4 +136,4 @@
             return
         self.was_reset = True
         if self.transport is not None:
-            self.transport.lose(ConnectionResetError("reset by peer"))
+            self.transport.lose_connection(ConnectionResetError("reset by peer"))
--- a/ryepier/sim/transport.py
+++ b/ryepier/sim/transport.py
@@ -19,7 +19,7 @@
 
     def __init__(self, sock: SimSocket, protocol: asyncio.BaseProtocol) -> None:
         """Connect a protocol to a socket; its callbacks run in the context of the caller."""
-        super().__init__({"socket": sock, "peername": sock.peer, "sockname": sock.local})
+        super().__init__({"socket": sock, "peername": sock.peer_address, "sockname": sock.local_address})
         self.sock = sock
         self.loop = sock.network.loop
         self.closing = False
@@ -95,7 +95,7 @@
             return
         if self._outbound.ending:
             raise RuntimeError("write after the end")
-        if self.sock.other is not None and self.sock.other.closed and self._has_received_end():
+        if self.sock.peer_socket is not None and self.sock.peer_socket.closed and self._has_received_end():
             self.sock.on_reset()  # the other end answers data for a closed connection with a reset
             return
         self._outbound.write(bytes(data))
@@ -147,16 +147,16 @@
         """Close after the data written so far has been sent."""
         if not self.closing:
             self.closing = True
-            self.loop.call_soon(self.lose, None)
+            self.loop.call_soon(self.lose_connection, None)
 
     def abort(self) -> None:
         """Close at once, and discard the data that has not been sent."""
         self.closing = True
         if self.sock.outbound is not None:
             self.sock.outbound.send_buffer.clear()
-        self.loop.call_soon(self.lose, None)
+        self.loop.call_soon(self.lose_connection, None)
 
-    def lose(self, error: Exception | None) -> None:
+    def lose_connection(self, error: Exception | None) -> None:
         """Close the socket, and call the protocol's `connection_lost`."""
         if self.lost:
             return
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -26,7 +26,7 @@
 
 def test_random_choice_spreads_by_chance_and_all_is_served() -> None:
     harness = FleetWorld(PLAN, 1, choosers.make_random)
-    harness.play()
+    harness.run()
     found = measures.measure_spread(received(harness), START_US, harness.now_us)
     assert 0.5 < found.over_chance < 1.5  # 20 converters: the deviation itself is off by a sixth
     ended = [request for request in harness.requests if request.ended_us]
@@ -35,9 +35,9 @@
 
 
 def test_the_shortest_queue_keeps_answers_quicker_than_random_choice() -> None:
-    def mean_us(factory: choosers.ChooserFactory) -> float:
+    def mean_us(factory: choosers.PolicyFactory) -> float:
         harness = FleetWorld(PLAN, 2, factory)
-        harness.play()
+        harness.run()
         times = [one.ended_us - one.arrived_us for one in harness.requests if one.served]
         return sum(times) / len(times)
 
@@ -46,17 +46,17 @@
 
 def test_one_seed_is_one_run() -> None:
     first, second = FleetWorld(PLAN, 3), FleetWorld(PLAN, 3)
-    first.play()
-    second.play()
+    first.run()
+    second.run()
     assert received(first) == received(second)
 
 
 def test_all_that_comes_is_ended_once_and_work_is_bounded_by_the_places() -> None:
     harness = FleetWorld(FleetPlan(sidecars=20, converters=5, load=3.0, duration_us=4 * SECOND_US), 4)
-    harness.play()
+    harness.run()
     due_us = harness.now_us - harness.plan.deadline_us
     assert all(request.ended_us for request in harness.requests if request.arrived_us < due_us)
-    assert all(len(converter.working) <= converter.places for converter in harness.converters)
+    assert all(len(converter.working) <= converter.workers for converter in harness.converters)
     assert sum(request.rejected for request in harness.requests) > 0
 
 
@@ -64,7 +64,7 @@
     outage = Outage(converters=4, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
     plan = FleetPlan(sidecars=10, converters=10, load=0.3, duration_us=5 * SECOND_US, outages=(outage,))
     harness = FleetWorld(plan, 5, choosers.make_random)
-    harness.play()
+    harness.run()
     back = [converter for converter in harness.converters if converter.started_us]
     assert len(back) == 4
     away = (START_US + outage.at_us, START_US + outage.restart_us)
@@ -73,23 +73,23 @@
 
 
 def test_a_converter_queues_beyond_its_places_and_turns_away_beyond_its_queue() -> None:
-    converter = Converter(0, places=1, queue_limit=1)
+    converter = Converter(0, workers=1, queue_limit=1)
     jobs = [Job(0, n, 0, 10, n) for n in range(3)]
-    assert converter.receive(jobs[0]) and converter.begin_next() is jobs[0]
+    assert converter.receive(jobs[0]) and converter.start_next() is jobs[0]
     assert converter.receive(jobs[1]) and not converter.receive(jobs[2])
-    assert (converter.load, converter.rejected, converter.begin_next()) == (2, 1, None)
+    assert (converter.load, converter.rejected, converter.start_next()) == (2, 1, None)
     assert converter.stop() == jobs[:2] and converter.load == 0
 
 
 def test_connections_are_counted_while_they_are_open() -> None:
     counter = ConnectionCounter()
     pool = ConnectionPool(counter)
-    pool.take(0)
-    pool.take(0)
-    pool.give_back(10, reusable=True)
-    pool.give_back(10, reusable=False)
-    pool.take(20)  # on the idle one
-    pool.give_back(30, reusable=True)
+    pool.acquire(0)
+    pool.acquire(0)
+    pool.release(10, reusable=True)
+    pool.release(10, reusable=False)
+    pool.acquire(20)  # on the idle one
+    pool.release(30, reusable=True)
     pool.close_idle(50, idle_before_us=30)
     assert (counter.opened, counter.max_open, counter.open) == (2, 2, 0)
     assert counter.mean_open(0, 100) == pytest.approx((2 * 10 + 1 * 40) / 100)
@@ -97,11 +97,11 @@
 
 def test_a_reference_keeps_to_the_list() -> None:
     converters = [Converter(n, 4, 4) for n in range(3)]
-    chooser = choosers.RandomChoice(1, converters)
-    chooser.handle(0, api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(n) for n in range(3)]))
+    policy = choosers.RandomChoice(1, converters)
+    policy.handle(0, api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(n) for n in range(3)]))
     gone = [api.Upstream(n, api.UpstreamState.REMOVED) for n in (0, 2)]
-    chooser.handle(0, api.UpstreamsUpdated(api.ListKind.DELTA, gone))
-    assert chooser.handle(0, api.RequestArrived(7, 10)) == [api.Send(7, 1)]
+    policy.handle(0, api.UpstreamsUpdated(api.ListKind.DELTA, gone))
+    assert policy.handle(0, api.RequestArrived(7, 10)) == [api.Send(7, 1)]
 
 
 @pytest.mark.parametrize(("mean", "beyond"), [(0.5, 1e-4), (2.0, 1e-4), (12.0, 1e-2)])
@@ -147,7 +147,7 @@
         outages=(outage,),
     )
     harness = FleetWorld(plan, seed)
-    harness.play()
+    harness.run()
     counts = measures.counts_in_windows(received(harness), START_US + begin_us, harness.now_us, 5 * SECOND_US)[:, 0]
     back = [bool(converter.started_us) for converter in harness.converters]
     others = [count for count, is_back in zip(counts, back, strict=True) if not is_back]
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -22,7 +22,7 @@
 def test_a_small_model_is_explored_completely_without_violations() -> None:
     outcome = explore.explore(MODELS["quick"], processes=4)
     assert outcome.complete and outcome.violation is None
-    assert outcome.states > 150 and outcome.ends > 100
+    assert outcome.states > 150 and outcome.terminal_states > 100
 
 
 def explore_with_fault(fault_name: str, model: Model) -> explore.Exploration:
@@ -91,7 +91,7 @@
 def test_lines_that_no_path_executes_are_listed() -> None:
     with line_coverage.record_lines() as executed:
         replay(Model("m", 1, ("ask",)), [ARRIVE, Step(Action.ANSWER, 0, "ok")])
-    missing = dict(line_coverage.unreached(executed))
+    missing = dict(line_coverage.unreached_functions(executed))
     assert "ryepier.sidecar.dispatcher: RequestDispatcher._on_overdue" in missing
     assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in missing  # only the observers' lines
     assert len(missing["ryepier.sidecar.dispatcher: RequestDispatcher.on_request"]) < 3
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -312,7 +312,7 @@
         traffic_task = asyncio.create_task(traffic())
         await asyncio.sleep(8.0)
         converter.close()
-        for sock in [bound for bound in loop.network.sockets if bound.local == ("127.0.0.1", 9000)]:
+        for sock in [bound for bound in loop.network.sockets if bound.local_address == ("127.0.0.1", 9000)]:
             sock.close()
         await asyncio.sleep(4.0)
         await asyncio.start_server(convert, "127.0.0.1", 9000)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -16,7 +16,7 @@
 from ryepier.sidecar import system
 from ryepier.sim.link import RECEIVE_WINDOW_BYTES
 from ryepier.sim.loop import NoProgressError
-from ryepier.sim.process import OWNER
+from ryepier.sim.process import CURRENT_PROCESS
 from ryepier.sim.run import SimLoop, SimulationError, simulate
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -210,10 +210,10 @@
 # Processes
 
 
-def started(loop: SimLoop, owner: str, work: Awaitable[None]) -> asyncio.Task[None]:
+def started(loop: SimLoop, process: str, work: Awaitable[None]) -> asyncio.Task[None]:
     """A process of its own."""
     context = contextvars.copy_context()
-    context.run(OWNER.set, owner)
+    context.run(CURRENT_PROCESS.set, process)
 
     async def run() -> None:
         await work
@@ -298,7 +298,7 @@
 
         started(loop, "one", work())
         await asyncio.sleep(0.5)
-        loop.shift_calendar("one", -3600.0)
+        loop.shift_wall_clock("one", -3600.0)
         await asyncio.sleep(2.0)
         assert round((system.unix_ns() - begun_ns) / 1e9, 3) == 2.5
         return observed
