--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -19,7 +19,7 @@
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Scale
 from ryepier.experiments.core.machine import InsufficientResourcesError
 
-ALL: dict[str, Experiment | Benchmark] = {**EXPERIMENTS, **BENCHMARKS}
+ALL_EXPERIMENTS: dict[str, Experiment | Benchmark] = {**EXPERIMENTS, **BENCHMARKS}
 
 
 @click.group()
@@ -36,16 +36,19 @@
 def list_all(as_json: bool) -> None:
     """List the experiments, with the seeded faults that each can be run with."""
     if as_json:
-        entries = [{"name": one.name, "about": one.question, "plants": list(one.seeded_faults)} for one in ALL.values()]
+        entries = [
+            {"name": one.name, "about": one.question, "plants": list(one.seeded_faults)}
+            for one in ALL_EXPERIMENTS.values()
+        ]
         print(json.dumps(entries))
         return
-    for one in ALL.values():
+    for one in ALL_EXPERIMENTS.values():
         faults = f" (seeded faults: {', '.join(one.seeded_faults)})" if one.seeded_faults else ""
         print(f"{one.name:16} {one.question}{faults}")
 
 
 @experiment.command()
-@click.argument("name", type=click.Choice(sorted(ALL)))
+@click.argument("name", type=click.Choice(sorted(ALL_EXPERIMENTS)))
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
 @click.option(
     "--scale", type=click.Choice([scale.value for scale in Scale]), default=Scale.SMALL.value, show_default=True
@@ -62,7 +65,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the claims as JSON.")
 def run(name: str, seed: int, scale: str, folder: Path | None, seeded_fault: str, backend: str, as_json: bool) -> None:
     """Run the experiment NAME and print a line per claim; exit with 1 if one does not hold."""
-    one = ALL[name]
+    one = ALL_EXPERIMENTS[name]
     _check_seeded_fault(one, seeded_fault)
     folder = folder or Path("out") / f"{name}-{seed}{'-' + seeded_fault if seeded_fault else ''}"
     trial = contract.TrialConfig(seed, Scale(scale), folder, seeded_fault)
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -78,7 +78,7 @@
     """Send requests to a sidecar at HOST:PORT as its application would."""
     world = make_load_world(path, rate, seconds)
     history = run_load(world, address, seed)
-    summary = figures.summary(world, history, figures.operations(world, history.client_attempts))
+    summary = figures.summary(world, history, figures.group_operations(world, history.client_attempts))
     known = {name: value for name, value in summary.items() if name not in UNKNOWN_FIGURES}
     if as_json:
         print(json.dumps(known))
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -54,12 +54,12 @@
         history = simulated.play(world, seed)
     except (FileNotFoundError, HarnessError) as error:
         fail("sim", f"{name}: {error}", ExitCode.MISUSE)
-    breaches = Counter(breach.rule for breach in judge.judge(world, history))
+    breaches = Counter(breach.rule for breach in judge.find_breaches(world, history))
     summary = {
         "world": name,
         "seed": seed,
         "trace": search.hash_history(history),
-        "service": figures.service_level(figures.operations(world, history.client_attempts)),
+        "service": figures.service_level(figures.group_operations(world, history.client_attempts)),
         "tries": len(history.client_attempts),
         "attempts": len(history.converter_attempts),
         "breaches": breaches,
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -17,10 +17,10 @@
 
 Operator = Literal["<=", ">=", "=="]
 OPERATORS: dict[str, Callable[[float, float], bool]] = {"<=": operator.le, ">=": operator.ge, "==": operator.eq}
-RESULT = "result.json"
-HISTORY = "history.msgpack"
-WORLD = "world.json"
-BREACHES = "breaches.json"
+RESULT_FILE = "result.json"
+HISTORY_FILE = "history.msgpack"
+WORLD_FILE = "world.json"
+BREACHES_FILE = "breaches.json"
 
 
 class Scale(StrEnum):
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -37,16 +37,16 @@
 class AttemptCounts:
     """Attempts in a part of a run: those at chosen converters, and those at all."""
 
-    at_chosen: int
+    at_selected: int
     total: int
 
     @property
     def share(self) -> float:
         """Return the share of the attempts that went to the chosen converters."""
-        return self.at_chosen / max(1, self.total)
+        return self.at_selected / max(1, self.total)
 
 
-def operations(world: World, client_attempts: Iterable[ClientAttempt]) -> list[Operation]:
+def group_operations(world: World, client_attempts: Iterable[ClientAttempt]) -> list[Operation]:
     """Group the clients' attempts into operations, in the order in which they were due."""
     groups: dict[int, list[ClientAttempt]] = {}
     for item in client_attempts:
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -64,7 +64,7 @@
     return not (attempt.outcome is AttemptOutcome.ANSWERED and attempt.not_run)
 
 
-def judge(world: World, history: History) -> list[Breach]:
+def find_breaches(world: World, history: History) -> list[Breach]:
     """Return all breaches in the order of their times."""
     return sorted(_RuleChecker(world, history).check_all(), key=lambda breach: breach.at_us)
 
--- a/ryepier/experiments/core/machine.py
+++ b/ryepier/experiments/core/machine.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Needs:
+class ResourceRequirements:
     """What all processes of an experiment need together, including its own."""
 
     processes: int
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
+class MachineResources:
     """What a machine has."""
 
     total_bytes: int
@@ -44,19 +44,19 @@
         return int(self.total_bytes * MAX_MEMORY_SHARE)
 
 
-def read_machine(meminfo: str, sockets: int) -> Machine:
+def read_machine(meminfo: str, sockets: int) -> MachineResources:
     """Return a machine's resources from the text of /proc/meminfo. Raises KeyError if a line is missing."""
     fields = dict(line.split(":", 1) for line in meminfo.splitlines() if ":" in line)
     total_bytes, available_bytes = (int(fields[name].split()[0]) * KIB for name in ("MemTotal", "MemAvailable"))
-    return Machine(total_bytes, available_bytes, sockets)
+    return MachineResources(total_bytes, available_bytes, sockets)
 
 
-def this_machine() -> Machine:
+def this_machine() -> MachineResources:
     """Return the resources of this machine."""
     return read_machine(Path(MEMINFO).read_text(), resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def check_needs(needs: Needs, machine: Machine) -> None:
+def check_requirements(needs: ResourceRequirements, machine: MachineResources) -> None:
     """Raise InsufficientResourcesError with what is too much and by how much, unless a machine can spare the needs."""
     max_bytes = min(MAX_BYTES, machine.usable_bytes)
     if needs.processes > MAX_PROCESSES:
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -24,7 +24,7 @@
 
 matplotlib.use("svg")
 
-REPORT = "report.html"
+REPORT_FILE = "report.html"
 WINDOW_S = 0.5  # of the curves over time
 MAX_LISTED_BREACHES = 50  # breaches.json has all
 MAX_LISTED_EVENTS = 200
@@ -69,7 +69,7 @@
             plots=[(title, markupsafe.Markup(svg)) for title, svg in _plot_all(run).items()],
         )
     )
-    path = folder / REPORT
+    path = folder / REPORT_FILE
     path.write_text(text)
     return path
 
@@ -80,15 +80,15 @@
 
 
 def _read(folder: Path) -> _SavedRun:
-    result = msgspec.json.decode((folder / contract.RESULT).read_bytes(), type=contract.Result)
+    result = msgspec.json.decode((folder / contract.RESULT_FILE).read_bytes(), type=contract.Result)
     history = _read_history(folder)
-    world = msgspec.json.decode((folder / contract.WORLD).read_bytes(), type=World)
-    breaches = msgspec.json.decode((folder / contract.BREACHES).read_bytes(), type=list[Breach])
-    return _SavedRun(result, history, world, breaches, figures.operations(world, history.client_attempts))
+    world = msgspec.json.decode((folder / contract.WORLD_FILE).read_bytes(), type=World)
+    breaches = msgspec.json.decode((folder / contract.BREACHES_FILE).read_bytes(), type=list[Breach])
+    return _SavedRun(result, history, world, breaches, figures.group_operations(world, history.client_attempts))
 
 
 def _read_history(folder: Path) -> History:
-    return msgspec.msgpack.decode((folder / contract.HISTORY).read_bytes(), type=History)
+    return msgspec.msgpack.decode((folder / contract.HISTORY_FILE).read_bytes(), type=History)
 
 
 def _plot_all(run: _SavedRun) -> dict[str, str]:
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -95,14 +95,14 @@
 def save_run(run: Run, result: Result) -> None:
     """Write the result, the history, the world and the breaches into the run's folder."""
     save_result(run.folder, result)
-    (run.folder / contract.HISTORY).write_bytes(msgspec.msgpack.encode(run.history))
-    (run.folder / contract.WORLD).write_bytes(msgspec.json.encode(run.world))
-    (run.folder / contract.BREACHES).write_bytes(msgspec.json.format(msgspec.json.encode(run.breaches), indent=1))
+    (run.folder / contract.HISTORY_FILE).write_bytes(msgspec.msgpack.encode(run.history))
+    (run.folder / contract.WORLD_FILE).write_bytes(msgspec.json.encode(run.world))
+    (run.folder / contract.BREACHES_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(run.breaches), indent=1))
 
 
 def save_result(folder: Path, result: Result) -> None:
     """Write result.json."""
-    (folder / contract.RESULT).write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=2))
+    (folder / contract.RESULT_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=2))
 
 
 def library_versions() -> dict[str, str]:
@@ -126,8 +126,8 @@
         world,
         seed,
         history,
-        operations=figures.operations(world, history.client_attempts),
-        breaches=judge.judge(world, history),
+        operations=figures.group_operations(world, history.client_attempts),
+        breaches=judge.find_breaches(world, history),
         folder=folder,
     )
 
@@ -163,14 +163,18 @@
 def _assign_roles(experiment: Experiment, seeded_fault: str) -> harness.RoleAssignment:
     """Return the commands of the run's processes, with the experiment's own faults and the seeded one."""
     roles = harness.RoleAssignment(
-        sidecar_overrides={index: seeded_faults.command(name) for index, name in experiment.sidecar_faults.items()}
+        sidecar_overrides={
+            index: seeded_faults.command_with_fault(name) for index, name in experiment.sidecar_faults.items()
+        }
     )
     if experiment.restarted_planner_fault:
-        roles = dataclasses.replace(roles, planner_restart=seeded_faults.command(experiment.restarted_planner_fault))
+        roles = dataclasses.replace(
+            roles, planner_restart=seeded_faults.command_with_fault(experiment.restarted_planner_fault)
+        )
     if seeded_fault in seeded_faults.PLANNER_FAULTS:
-        return dataclasses.replace(roles, planner_command=seeded_faults.command(seeded_fault))
+        return dataclasses.replace(roles, planner_command=seeded_faults.command_with_fault(seeded_fault))
     if seeded_fault:
-        return dataclasses.replace(roles, sidecar_command=seeded_faults.command(seeded_fault))
+        return dataclasses.replace(roles, sidecar_command=seeded_faults.command_with_fault(seeded_fault))
     return roles
 
 
--- a/ryepier/experiments/core/usage.py
+++ b/ryepier/experiments/core/usage.py
@@ -22,7 +22,7 @@
     cpu_s: float
     resident_bytes: int
 
-    def since(self, earlier: Usage) -> float:
+    def cpu_s_since(self, earlier: Usage) -> float:
         """Return the CPU seconds used since an earlier reading."""
         return self.cpu_s - earlier.cpu_s
 
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -56,7 +56,7 @@
 
 def measure(trial: TrialConfig) -> Measurement:
     """Measure all three kinds; a seeded fault is in the sidecar that reads the usual documents."""
-    usual_command = seeded_faults.command(trial.seeded_fault) if trial.seeded_fault else harness.FORWARDER
+    usual_command = seeded_faults.command_with_fault(trial.seeded_fault) if trial.seeded_fault else harness.FORWARDER
     commands = {PLAIN: harness.FORWARDER, USUAL: usual_command, UNIQUE: harness.FORWARDER}
     cpu_us = {
         documents: cpu_us_per_request(documents, trial.seed, trial.folder / documents, command)
--- a/ryepier/experiments/load_spread/processes/memory.py
+++ b/ryepier/experiments/load_spread/processes/memory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ryepier.emulator.world import World
-from ryepier.experiments.core.machine import GB, InsufficientResourcesError, Machine, this_machine
+from ryepier.experiments.core.machine import GB, InsufficientResourcesError, MachineResources, this_machine
 
 SIDECAR_BYTES = 36 * 2**20  # resident
 EMULATOR_BYTES = 300 * 2**20  # of each of its processes: the draws, and the records of a run
@@ -15,7 +15,7 @@
     return world.sidecars.count * SIDECAR_BYTES + emulator_processes * EMULATOR_BYTES
 
 
-def check(world: World, machine: Machine) -> None:
+def check(world: World, machine: MachineResources) -> None:
     """Raise InsufficientResourcesError if a world needs more memory than may be used, or than is free."""
     needed = needed_bytes(world)
     for allowed, text in ((machine.usable_bytes, "may be taken"), (machine.available_bytes, "are free")):
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -126,8 +126,8 @@
 
 def common_claims(outcome: Outcome) -> list[Claim]:
     """Return the claims on the agreement, on the sidecars' rules, and that the emulator kept up."""
-    found = judge.judge(outcome.world, outcome.history)
-    operations = figures.operations(outcome.world, outcome.history.client_attempts)
+    found = judge.find_breaches(outcome.world, outcome.history)
+    operations = figures.group_operations(outcome.world, outcome.history.client_attempts)
     contract_run = contract.Run(outcome.world, outcome.seed, outcome.history, operations, found, outcome.folder)
     counts = Counter(breach.rule for breach in found)
     claims = [runner.lateness_claim(contract_run, None)]
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -76,7 +76,7 @@
     return {
         f"avoided_after_s_{planners}": avoided_after_s(run, kind),
         f"service_in_the_{kind}_{planners}": figures.service_level(run.operations, phases.during(fault)),
-        f"attempts_to_struck_{planners}": attempts.at_chosen,
+        f"attempts_to_struck_{planners}": attempts.at_selected,
     }
 
 
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -33,7 +33,7 @@
 from ryepier.emulator.world import Effect, World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.experiments.core.machine import Needs, check_needs, this_machine
+from ryepier.experiments.core.machine import ResourceRequirements, check_requirements, this_machine
 from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.scale import lightweight, slopes
@@ -244,7 +244,7 @@
     sidecars = []
     for known in PROFILED:
         out = trial.folder / f"profile-{known}"
-        module = seeded_faults.command(seeded_fault)[2:] if seeded_fault else list(SIDECAR[2:])
+        module = seeded_faults.command_with_fault(seeded_fault)[2:] if seeded_fault else list(SIDECAR[2:])
         command = [sys.executable, "-B", "-m", "cProfile", "-o", str(out), *module]
         sidecars.append(await stack.enter_async_context(trial.sidecar(known, command)))
     await asyncio.gather(
@@ -279,7 +279,7 @@
             lightweight.start_process("ryepier.experiments.scale.lightweight_converters", [encoded])
         )
         await process.read()
-        command = seeded_faults.command(seeded_fault) if seeded_fault else SIDECAR
+        command = seeded_faults.command_with_fault(seeded_fault) if seeded_fault else SIDECAR
         found: dict[str, float] = {}
         gc.collect()
         gc.freeze()  # collecting the garbage of all objects of this process would delay its calls
@@ -330,7 +330,7 @@
 
 def perform(trial: TrialConfig) -> Measurement:
     """Measure, with the machine's load before and after. Raises InsufficientResourcesError and HarnessError."""
-    check_needs(Needs(4, BYTES_NEEDED, 3 * MAX_CONNECTIONS), this_machine())
+    check_requirements(ResourceRequirements(4, BYTES_NEEDED, 3 * MAX_CONNECTIONS), this_machine())
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # in this process too, in which the balancer runs alone
     found = load_figures("before")
--- a/ryepier/experiments/scale/capacity/results.py
+++ b/ryepier/experiments/scale/capacity/results.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ryepier.experiments.core.contract import RESULT, Result
+from ryepier.experiments.core.contract import RESULT_FILE, Result
 from ryepier.experiments.scale.capacity.plan import PLAN, CapacityError
 
 
@@ -41,7 +41,7 @@
 def keep_result(run: Path, folder: Path, date: str) -> Path:
     """Copy the result of a run into the folder of kept results, and return its path. Raises CapacityError."""
     try:
-        result = msgspec.json.decode((run / RESULT).read_bytes(), type=Result)
+        result = msgspec.json.decode((run / RESULT_FILE).read_bytes(), type=Result)
     except (OSError, msgspec.MsgspecError) as error:
         raise CapacityError(f"{run}: no readable run: {error}") from None
     if result.seeded_fault:
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -25,7 +25,7 @@
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.experiments.core.machine import Needs, check_needs, this_machine
+from ryepier.experiments.core.machine import ResourceRequirements, check_requirements, this_machine
 from ryepier.experiments.core.processes import wait_until_listening
 from ryepier.experiments.core.usage import Usage, usage
 from ryepier.experiments.scale import instrumented_planner, lightweight, slopes
@@ -103,7 +103,7 @@
     tick_cpu_s = late.tick_cpu_s - early.tick_cpu_s
     tick_s = tick_cpu_s / max(1, ticks)
     report_s = max(0.0, late.cpu_s - early.cpu_s - tick_cpu_s) / max(1, reports)
-    cpu_s, waited_s = after.used.since(before.used), after.waited_s - before.waited_s
+    cpu_s, waited_s = after.used.cpu_s_since(before.used), after.waited_s - before.waited_s
     return {
         "planner_cores": cpu_s / elapsed_s,
         "planner_cores_needed": size * REPORTS_PER_S * report_s + TICKS_PER_S * tick_s,
@@ -344,7 +344,7 @@
     """Measure a fleet for each number of converters in use. Raises InsufficientResourcesError."""
     fleets = SEEDED_FAULT_SIZES if trial.seeded_fault else SIZES[trial.scale]
     largest = max(max(sizes) for sizes in fleets.values())
-    check_needs(Needs(WORKERS[trial.scale] + 2, BYTES_NEEDED, largest), this_machine())
+    check_requirements(ResourceRequirements(WORKERS[trial.scale] + 2, BYTES_NEEDED, largest), this_machine())
     claims: list[Claim] = []
     figures = load_figures("before")
     for in_use, sizes in fleets.items():
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -22,7 +22,7 @@
 from ryepier.emulator.loopback import find_network
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.experiments.core.machine import Needs, check_needs, this_machine
+from ryepier.experiments.core.machine import ResourceRequirements, check_requirements, this_machine
 from ryepier.experiments.core.usage import own_usage, resident_bytes
 from ryepier.experiments.scale import lightweight, list_costs, slopes
 from ryepier.experiments.scale.fleet_list import Listing, WatchServer
@@ -84,12 +84,12 @@
         return UpdateCost(cpu_s, (self.server.bytes - bytes_before) / self.count)
 
 
-def needs(scale: Scale) -> Needs:
+def needs(scale: Scale) -> ResourceRequirements:
     """Return the needs of the larger part; the parts run one after the other."""
     first = len(KNOWN) * PROCESS_BYTES + SIDECARS[scale] * sum(SIDECAR_BYTES + n * CONVERTER_BYTES for n in KNOWN)
     fleet = FLEETS[scale][-1]
     second = FLEET_PROCESSES * PROCESS_BYTES + fleet * (SIDECAR_BYTES + FLEET_KNOWS[scale] * CONVERTER_BYTES)
-    return Needs(1 + max(len(KNOWN), FLEET_PROCESSES), PROCESS_BYTES + max(first, second), sockets=fleet)
+    return ResourceRequirements(1 + max(len(KNOWN), FLEET_PROCESSES), PROCESS_BYTES + max(first, second), sockets=fleet)
 
 
 def base_bytes() -> float:
@@ -247,7 +247,7 @@
     calls_s = (np.sort(server.calls_us) - back_us) / 1e6
     inside = np.searchsorted(calls_s, calls_s + WINDOW_US / 1e6) - np.arange(len(calls_s))
     back_cpu_s = sum(late["cpu_s"] - early["cpu_s"] for early, late in zip(away, replies, strict=True))
-    server_cpu_s = own_usage().since(own)
+    server_cpu_s = own_usage().cpu_s_since(own)
     away_s = [late["cpu_s"] - early["cpu_s"] for early, late in zip(before, away, strict=True)]
     return {
         "back": sum(one["have"] for one in replies) / count,
@@ -352,7 +352,7 @@
 
 def perform(trial: TrialConfig) -> Measurement:
     """Measure both parts. Raises InsufficientResourcesError and HarnessError."""
-    check_needs(needs(trial.scale), this_machine())
+    check_requirements(needs(trial.scale), this_machine())
     busy = {"load_average": os.getloadavg()[0]}
     rows = asyncio.run(measure_by_known(trial.seed, trial.scale, trial.seeded_fault))
     fleets = asyncio.run(measure_by_fleet(trial.seed, trial.scale, trial.seeded_fault))
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -20,7 +20,7 @@
 from ryepier.emulator.loopback import find_network
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.experiments.core.machine import Needs, check_needs, this_machine
+from ryepier.experiments.core.machine import ResourceRequirements, check_requirements, this_machine
 from ryepier.experiments.core.usage import own_usage
 from ryepier.experiments.scale import lightweight, slopes
 from ryepier.experiments.scale.endpoint_list import (
@@ -50,13 +50,13 @@
 US_PER_S = 1e6
 
 
-def needs(scale: Scale) -> Needs:
+def needs(scale: Scale) -> ResourceRequirements:
     """Return what the larger of the two parts needs, which run one after another."""
     own = max(
         count * (SIDECAR_BYTES + known * CONVERTER_BYTES)
         for count, known in ((LISTENERS[scale], KNOWN), (FLEETS[scale][-1], FLEET_KNOWS))
     )
-    return Needs(1 + PROCESSES, (1 + PROCESSES) * PROCESS_BYTES + own, sockets=FLEETS[scale][-1])
+    return ResourceRequirements(1 + PROCESSES, (1 + PROCESSES) * PROCESS_BYTES + own, sockets=FLEETS[scale][-1])
 
 
 @dataclass(slots=True)
@@ -94,7 +94,7 @@
         await self._send_drains(chosen, singly)
         after = await self.wait_for_list()
         figures = {
-            "stand_in_cpu_s": own_usage().since(own_before),
+            "stand_in_cpu_s": own_usage().cpu_s_since(own_before),
             "bytes": (self.server.bytes - bytes_before) / self.count,
             "last_s": (max(answer["last_us"] for answer in after) - begun_us) / US_PER_S,
             "cpu_ms": MS_PER_S * _growth(before, after, "cpu_s") / self.count,
@@ -224,7 +224,7 @@
 
 def measure(trial: TrialConfig) -> Measurement:
     """Measure the losses, and calculate the whole fleet. Raises InsufficientResourcesError."""
-    check_needs(needs(trial.scale), this_machine())
+    check_requirements(needs(trial.scale), this_machine())
     figures = {"load_average": os.getloadavg()[0]} | asyncio.run(measure_losses(trial))
     figures |= calculate_fleet(figures, trial.scale)
     return Measurement(make_claims(figures), figures)
--- a/ryepier/experiments/seeded_faults.py
+++ b/ryepier/experiments/seeded_faults.py
@@ -34,9 +34,9 @@
 }
 
 
-def command(plant: str) -> list[str]:
+def command_with_fault(seeded_fault: str) -> list[str]:
     """How to start a sidecar with this mistake."""
-    return [sys.executable, "-B", "-m", "ryepier.experiments.seeded_faults", plant]
+    return [sys.executable, "-B", "-m", "ryepier.experiments.seeded_faults", seeded_fault]
 
 
 def main() -> int:
--- a/ryepier/experiments/simulation/run_summary.py
+++ b/ryepier/experiments/simulation/run_summary.py
@@ -36,7 +36,7 @@
 
 def summarize(world: World, history: History) -> RunSummary:
     """Return the summary of a run."""
-    operations = figures.operations(world, history.client_attempts)
+    operations = figures.group_operations(world, history.client_attempts)
     latencies = figures.latency_histogram(operations)
     requests = len(history.client_attempts)
     return RunSummary(
@@ -45,5 +45,5 @@
         p99_ms=latencies.get_value_at_percentile(99) / US_PER_MS,
         attempts_per_request=len(history.converter_attempts) / max(1, requests),
         requests=requests,
-        breaches=len(judge.judge(world, history)),
+        breaches=len(judge.find_breaches(world, history)),
     )
--- a/ryepier/experiments/simulation/search.py
+++ b/ryepier/experiments/simulation/search.py
@@ -73,7 +73,7 @@
         return WorldRun(Find(seed, world, {FAILED_RUN: 1}, str(error), seeded_fault), None)
     except Exception as error:  # noqa: BLE001 - an error of the emulator in one world must not end the search
         return WorldRun(Find(seed, world, {FAILED_RUN: 1}, f"the emulator: {error!r}", seeded_fault), None)
-    breaches = judge.judge(world, history)
+    breaches = judge.find_breaches(world, history)
     if not breaches:
         return WorldRun(None, history)
     first = breaches[0]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -72,8 +72,8 @@
     claim = {"name": "service", "value": 0.5, "op": ">=", "bound": 0.9, "holds": False}
     runner.save_run(run, contract.Result("hand", 1, Scale.SMALL, [claim], {"recovery_s": float("inf")}, {}))
     assert invoke("experiment", "report", str(tmp_path)).exit_code == 0
-    text = (tmp_path / report.REPORT).read_text()
+    text = (tmp_path / report.REPORT_FILE).read_text()
     assert "FAILS" in text and "never" in text and text.count("<svg") == 5
     assert "src=" not in text and "<link" not in text and "@import" not in text
-    (tmp_path / contract.HISTORY).write_bytes(b"torn")
+    (tmp_path / contract.HISTORY_FILE).write_bytes(b"torn")
     assert invoke("experiment", "report", str(tmp_path)).exit_code == 2
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -34,7 +34,7 @@
     World,
 )
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.judge import judge
+from ryepier.experiments.core.judge import find_breaches
 from tests.network_peers import HANG_TIMEOUT_S, read_message
 
 CLASSES = [
@@ -299,11 +299,12 @@
         closes_after=0.1,
     )
     history = play(world, 3, tmp_path)
-    assert judge(world, history) == []
+    assert find_breaches(world, history) == []
     assert sum(incarnation.killed for incarnation in history.incarnations) == 1 and len(history.incarnations) == 3
     assert {"served", "left"} <= {item.outcome for item in history.client_attempts}
     assert (
-        figures.service_level(figures.operations(world, history.client_attempts), figures.due_between(0.0, 0.9)) > 0.8
+        figures.service_level(figures.group_operations(world, history.client_attempts), figures.due_between(0.0, 0.9))
+        > 0.8
     )
     texts = [event.text for event in history.events]
     assert "c-0006: release start" in texts and "sidecar 1: kill" in texts
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("name", sorted(recorded()["experiments"]))
 def test_experiments_keep_their_names_and_seeded_faults(name: str) -> None:
-    one = command.ALL[name]
+    one = command.ALL_EXPERIMENTS[name]
     before = recorded()["experiments"][name]
     assert list(one.seeded_faults) == before["seeded_faults"]
     assert isinstance(one, Benchmark) == before["measured"]
@@ -109,7 +109,7 @@
 
 
 def test_every_experiment_is_recorded() -> None:
-    assert set(recorded()["experiments"]) <= set(command.ALL)
+    assert set(recorded()["experiments"]) <= set(command.ALL_EXPERIMENTS)
     assert set(recorded()["claims"]) == set(catalogue.EXPERIMENTS) - NEEDS_TRAFFIC
 
 
@@ -137,7 +137,13 @@
     before = recorded()["result"]
     assert list(contract.Result.__struct_encode_fields__) == before["fields"]
     assert [*Claim.__struct_encode_fields__, "holds"] == before["claim_fields"]
-    assert before["files"] == [contract.RESULT, contract.HISTORY, contract.WORLD, contract.BREACHES, report.REPORT]
+    assert before["files"] == [
+        contract.RESULT_FILE,
+        contract.HISTORY_FILE,
+        contract.WORLD_FILE,
+        contract.BREACHES_FILE,
+        report.REPORT_FILE,
+    ]
 
 
 def test_rules_of_the_judge_keep_their_names() -> None:
@@ -180,7 +186,7 @@
     ],
 )
 def test_exit_codes(measure: Any, exit_code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(command.ALL, "scale-depth", Benchmark("scale-depth", "", measure, ("no-budget",)))
+    monkeypatch.setitem(command.ALL_EXPERIMENTS, "scale-depth", Benchmark("scale-depth", "", measure, ("no-budget",)))
     arguments = ["experiment", "run", "scale-depth", "--out", str(tmp_path)]
     assert CliRunner().invoke(cli.main, arguments).exit_code == exit_code
 
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -19,7 +19,7 @@
 )
 from ryepier.emulator.world import Clients, Converters, DeduplicationScope, Effect, RequestClass, Sidecars, World
 from ryepier.experiments.core import figures
-from ryepier.experiments.core.judge import RULES, judge
+from ryepier.experiments.core.judge import RULES, find_breaches
 
 WORLD = World(
     name="hand",
@@ -130,7 +130,7 @@
 
 
 def breached(history: History) -> set[str]:
-    return {breach.rule for breach in judge(WORLD, history)}
+    return {breach.rule for breach in find_breaches(WORLD, history)}
 
 
 LEFT = [EndpointNotice(0, "c1", "leaving", 1000 * MS)]
@@ -324,7 +324,7 @@
 
 @pytest.mark.parametrize("name", GOOD)
 def test_a_good_history_passes(name: str) -> None:
-    assert judge(WORLD, GOOD[name]()) == []
+    assert find_breaches(WORLD, GOOD[name]()) == []
 
 
 @pytest.mark.parametrize("name", BAD)
@@ -348,6 +348,6 @@
         a_try(ident="s-0", arrival=2, ended_ms=100),
         a_try(ident="t-0", arrival=3, ending="failed", ended_ms=9),
     ]
-    found = figures.operations(WORLD, tries)
+    found = figures.group_operations(WORLD, tries)
     assert sorted((operation.earned, operation.attempts) for operation in found) == [(0.0, 1), (1.5, 2), (3.0, 1)]
     assert figures.service_level(found) == pytest.approx(0.5)
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -23,7 +23,7 @@
 )
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core.contract import Run
-from ryepier.experiments.core.machine import InsufficientResourcesError, Machine
+from ryepier.experiments.core.machine import InsufficientResourcesError, MachineResources
 from ryepier.experiments.core.runner import lateness_claim
 from ryepier.experiments.load_spread.processes import figures as spread
 from ryepier.experiments.load_spread.processes import fleets, kill, lists, measures, memory
@@ -69,7 +69,7 @@
     all the same. Fails where every one was void: the test has then shown nothing."""
     for _ in range(MOST_PLAYS):
         history = harness.play(world, SEED, folder)
-        orders, breaches = figures.operations(world, history.client_attempts), judge.judge(world, history)
+        orders, breaches = figures.group_operations(world, history.client_attempts), judge.find_breaches(world, history)
         run = Run(world, SEED, history, orders, breaches, folder)
         late = lateness_claim(run, None)
         if late.holds:
@@ -195,7 +195,7 @@
     struck = {step.index for step in timeline.build(run.world, SEED).steps if step.target is TargetKind.CONVERTER}
     uids = {f"c-{index:04x}" for index in struck}
     counts = figures.count_attempts(run.history.converter_attempts, uids, after_s, run.world.duration_s)
-    assert 0 < counts.at_chosen <= counts.total / 9 * len(uids) * 1.3
+    assert 0 < counts.at_selected <= counts.total / 9 * len(uids) * 1.3
 
 
 @pytest.mark.parametrize(("zone", "zoned"), [("d", True), ("a", False)])
@@ -245,7 +245,7 @@
 @pytest.mark.parametrize(("total_gb", "free_gb", "fits"), [(24, 16, True), (24, 5, False), (12, 12, False)])
 def test_a_fleet_that_the_machine_cannot_bear_is_refused(total_gb: int, free_gb: int, fits: bool) -> None:
     world = msgspec.structs.replace(a_world(), sidecars=Sidecars(count=fleets.FULL_SIDECARS))
-    machine = Machine(total_gb * 10**9, free_gb * 10**9, 1024)
+    machine = MachineResources(total_gb * 10**9, free_gb * 10**9, 1024)
     if fits:
         memory.check(world, machine)
         return
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -114,7 +114,7 @@
         faults=[fault for fault in world.faults if fault.kind == "planner-kill"],
     )
     history = simulated.play(small, 1, tmp_path)
-    assert judge.judge(small, history) == []
+    assert judge.find_breaches(small, history) == []
     followed = [path.name for path in tmp_path.glob("sidecar-*.log") if "following plans of" in path.read_text()]
     assert len(followed) == 6
     assert "leads, epoch" in (tmp_path / "planner-1.log").read_text()  # the other took over
@@ -134,7 +134,7 @@
     world = load("sidecar-kill")
     world = msgspec.structs.replace(world, faults=[Fault(kind=FaultKind.SIDECAR_HANG, at_s=3.0, for_s=2.0, index=0)])
     history = simulated.play(world, 1)
-    assert judge.judge(world, history) == []
+    assert judge.find_breaches(world, history) == []
     mine = [item for item in history.client_attempts if item.sidecar == 0]
     assert not any(3_100_000 < item.ended_us < 4_900_000 and item.outcome == "served" for item in mine)
     assert sum(item.outcome == "served" for item in mine if item.sent_us > 6_000_000) > 100
@@ -143,7 +143,7 @@
 def test_a_sidecar_that_is_killed_loses_what_it_held_and_nothing_else_and_comes_back() -> None:
     world = load("sidecar-kill")
     history = simulated.play(world, 1)
-    assert judge.judge(world, history) == []
+    assert judge.find_breaches(world, history) == []
     [killed] = [life for life in history.incarnations if life.killed]
     mine = [item for item in history.client_attempts if item.sidecar == killed.sidecar]
     assert any(item.outcome in ("broken", "unreachable") for item in mine)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -16,9 +16,9 @@
 from ryepier.experiments.core.contract import Benchmark
 from ryepier.experiments.core.machine import (
     InsufficientResourcesError,
-    Machine,
-    Needs,
-    check_needs,
+    MachineResources,
+    ResourceRequirements,
+    check_requirements,
     read_machine,
     this_machine,
 )
@@ -77,34 +77,36 @@
 
 
 def test_a_machine_is_read() -> None:
-    assert read_machine(MEMINFO, 1024) == Machine(24_576_000_000, 15_360_000_000, 1024)
+    assert read_machine(MEMINFO, 1024) == MachineResources(24_576_000_000, 15_360_000_000, 1024)
     assert this_machine().total_bytes > this_machine().available_bytes > 0
 
 
 @pytest.mark.parametrize(
     ("needs", "machine", "why"),
     [
-        (Needs(9, GB), Machine(24 * GB, 15 * GB, 1024), "9 processes"),
-        (Needs(8, 11 * GB), Machine(64 * GB, 60 * GB, 1024), "at most 10.0 GB"),
-        (Needs(8, 5 * GB), Machine(8 * GB, 7 * GB, 1024), "at most 4.0 GB"),
-        (Needs(8, 5 * GB), Machine(24 * GB, 3 * GB, 1024), "only 3.0 GB"),
-        (Needs(1, GB, sockets=1000), Machine(24 * GB, 15 * GB, 1024), "1000 sockets"),
+        (ResourceRequirements(9, GB), MachineResources(24 * GB, 15 * GB, 1024), "9 processes"),
+        (ResourceRequirements(8, 11 * GB), MachineResources(64 * GB, 60 * GB, 1024), "at most 10.0 GB"),
+        (ResourceRequirements(8, 5 * GB), MachineResources(8 * GB, 7 * GB, 1024), "at most 4.0 GB"),
+        (ResourceRequirements(8, 5 * GB), MachineResources(24 * GB, 3 * GB, 1024), "only 3.0 GB"),
+        (ResourceRequirements(1, GB, sockets=1000), MachineResources(24 * GB, 15 * GB, 1024), "1000 sockets"),
     ],
 )
-def test_what_the_machine_cannot_spare_is_refused(needs: Needs, machine: Machine, why: str) -> None:
+def test_what_the_machine_cannot_spare_is_refused(
+    needs: ResourceRequirements, machine: MachineResources, why: str
+) -> None:
     with pytest.raises(InsufficientResourcesError, match=why):
-        check_needs(needs, machine)
+        check_requirements(needs, machine)
 
 
 def test_what_it_can_spare_is_let_through() -> None:
-    check_needs(Needs(8, 10 * GB, sockets=400), Machine(24 * GB, 15 * GB, 1024))
+    check_requirements(ResourceRequirements(8, 10 * GB, sockets=400), MachineResources(24 * GB, 15 * GB, 1024))
 
 
 def test_an_experiment_that_asks_too_much_is_misuse(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     def ask(*_: object) -> NoReturn:
         raise InsufficientResourcesError("9 processes asked for, at most 8 may be")
 
-    monkeypatch.setitem(experiment.ALL, "planner-scale", Benchmark("planner-scale", "", ask, ()))
+    monkeypatch.setitem(experiment.ALL_EXPERIMENTS, "planner-scale", Benchmark("planner-scale", "", ask, ()))
     got = CliRunner().invoke(main, ["experiment", "run", "planner-scale", "--out", str(tmp_path)])
     assert got.exit_code == 2 and "9 processes" in got.stderr
 
@@ -114,7 +116,7 @@
     kept = bytes(range(256)) * 200_000
     total = sum(kept)
     after, by_pid = own_usage(), usage(os.getpid())
-    assert total and after.since(before) > 0.0
+    assert total and after.cpu_s_since(before) > 0.0
     assert after.resident_bytes - before.resident_bytes > 40_000_000
     assert abs(by_pid.cpu_s - after.cpu_s) < 0.5
     assert 0.5 < by_pid.resident_bytes / after.resident_bytes < 2.0
