--- a/ryepier/commands/console.py
+++ b/ryepier/commands/console.py
@@ -11,7 +11,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
 from ryepier.commands.exits import ExitCode
-from ryepier.emulator.harness import Watcher
+from ryepier.emulator.harness import ProgressCallback
 from ryepier.emulator.records import RecordedEvent
 from ryepier.experiments.core.contract import Claim
 
@@ -26,7 +26,7 @@
 
 
 @contextmanager
-def live_summary(title: str, duration_s: float) -> Iterator[Watcher]:
+def live_summary(title: str, duration_s: float) -> Iterator[ProgressCallback]:
     """Show the clients' counts on standard error: a progress bar on a terminal, a line every 2 s elsewhere."""
     console = Console(stderr=True)
     if not console.is_terminal:
@@ -43,7 +43,7 @@
         yield show
 
 
-def _make_line_printer() -> Watcher:
+def _make_line_printer() -> ProgressCallback:
     last_printed_s = -PLAIN_INTERVAL_S
 
     def print_line(at_s: float, counts: Counter[str]) -> None:
--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -45,8 +45,8 @@
         file=sys.stderr,
     )
     try:
-        with live_summary("demo", world.duration_s) as watcher:
-            claims = runner.run_experiment(DEMO, TrialConfig(seed, Scale.SMALL, folder), watcher)
+        with live_summary("demo", world.duration_s) as on_progress:
+            claims = runner.run_experiment(DEMO, TrialConfig(seed, Scale.SMALL, folder), on_progress)
     except (HarnessError, OSError) as error:
         fail("demo", error, ExitCode.FAILURE)
     for line in format_events(report.events(folder)):
--- a/ryepier/commands/emulate.py
+++ b/ryepier/commands/emulate.py
@@ -30,7 +30,7 @@
     sys.stdout.flush()
     roles = harness.RoleAssignment(sidecar_command=(), clients=False)
     try:
-        history = harness.play(world, seed, folder, roles)
+        history = harness.run_world(world, seed, folder, roles)
     except (HarnessError, OSError) as error:
         fail("emulate", error, ExitCode.FAILURE)
     executed = sum(attempt.started_us >= 0 for attempt in history.converter_attempts)
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -54,11 +54,11 @@
 
 def run_load(world: World, address: tuple[str, int], seed: int) -> History:
     """Send the world's requests to the address and return the clients' records; exit with 1 if that fails."""
-    roles = harness.RoleAssignment(sidecar_command=(), stand_ins=False, targets=(address,))
+    roles = harness.RoleAssignment(sidecar_command=(), converters_and_discovery=False, targets=(address,))
     with tempfile.TemporaryDirectory(prefix="ryepier-") as folder:
         try:
-            with live_summary("load", world.duration_s) as watcher:
-                return harness.play(world, seed, Path(folder), roles, watcher)
+            with live_summary("load", world.duration_s) as on_progress:
+                return harness.run_world(world, seed, Path(folder), roles, on_progress)
         except (HarnessError, OSError) as error:
             fail("load", error, ExitCode.FAILURE)
 
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -51,7 +51,7 @@
     begun_s = time.monotonic()
     try:
         world = shipped.load(name)
-        history = simulated.play(world, seed)
+        history = simulated.run_world(world, seed)
     except (FileNotFoundError, HarnessError) as error:
         fail("sim", f"{name}: {error}", ExitCode.MISUSE)
     breaches = Counter(breach.rule for breach in judge.judge(world, history))
--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -14,9 +14,9 @@
     API_VERSION,
     KIND,
     ApiError,
+    ApiObject,
     EventType,
     ExpiredError,
-    Object,
     Store,
     matches,
     parse_selector,
@@ -37,12 +37,12 @@
     """What the server does wrong while it is set."""
 
     silent: bool = False  # connections stay open, and nothing is written
-    busy_s: int | None = None  # 429, with this Retry-After
-    torn: bool = False  # watches end in the middle of their first event
-    pieces: int = 0  # bytes per write; 0 = no limit
-    pause_s: float = 0.0  # between the writes
-    no_bookmarks: bool = False
-    no_token: bool = False  # every token is rejected
+    retry_after_s: int | None = None  # 429, with this Retry-After
+    truncates_watches: bool = False  # watches end in the middle of their first event
+    max_write_bytes: int = 0  # bytes per write; 0 = no limit
+    write_pause_s: float = 0.0  # between the writes
+    omits_bookmarks: bool = False
+    rejects_tokens: bool = False  # every token is rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
     end_s: float  # on the monotonic clock
 
 
-OnWritten = Callable[[asyncio.StreamWriter, list[Object], bool], None]
+OnWritten = Callable[[asyncio.StreamWriter, list[ApiObject], bool], None]
 """Called with objects that have been written to a connection, and whether they are a full list."""
 
 
@@ -91,7 +91,7 @@
         self.token = token
         self.bookmark_s = bookmark_s
         self.faults = Faults()
-        self.calls: list[str] = []  # targets of the requests received
+        self.request_targets: list[str] = []  # targets of the requests received
         self._on_written = on_written or (lambda writer, objects, is_full_list: None)
         self._server: asyncio.Server | None = None
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
@@ -143,7 +143,7 @@
         method, _, target_and_version = head[0].partition(" ")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
         target = target_and_version.split(" ")[0]
-        self.calls.append(target)
+        self.request_targets.append(target)
         while self.faults.silent:
             await self._wait_for_change(self.bookmark_s)
         try:
@@ -151,14 +151,14 @@
             await self._get(target, writer)
         except ApiError as error:
             is_busy = error.code is http.HTTPStatus.TOO_MANY_REQUESTS
-            retry_after = f"Retry-After: {self.faults.busy_s}\r\n" if is_busy else ""
+            retry_after = f"Retry-After: {self.faults.retry_after_s}\r\n" if is_busy else ""
             await self._write_json(writer, error.code, error.status, retry_after)
 
     def _check_request(self, method: str, headers: dict[str, str]) -> None:
         """Raise ApiError for a request that is rejected whatever it asks for."""
-        if self.faults.no_token or (self.token and headers.get("authorization") != f"Bearer {self.token}"):
+        if self.faults.rejects_tokens or (self.token and headers.get("authorization") != f"Bearer {self.token}"):
             raise ApiError(http.HTTPStatus.UNAUTHORIZED, "Unauthorized", "Unauthorized")
-        if self.faults.busy_s is not None:
+        if self.faults.retry_after_s is not None:
             message = "the server has received too many requests"
             raise ApiError(http.HTTPStatus.TOO_MANY_REQUESTS, "TooManyRequests", message)
         if method != GET:
@@ -200,7 +200,7 @@
         """
         requested = query.get("resourceVersion", "")
         version = int(requested) if requested.isdecimal() else 0
-        present: list[Object] = []
+        present: list[ApiObject] = []
         if version:
             self.store.since(version)
         else:
@@ -240,15 +240,15 @@
                 await self._write_event(watch, event.type, event.object)
 
     async def _write_bookmark(self, watch: Watch) -> None:
-        if not watch.bookmarks or self.faults.silent or self.faults.no_bookmarks:
+        if not watch.bookmarks or self.faults.silent or self.faults.omits_bookmarks:
             return
         metadata = {"resourceVersion": str(watch.version), "creationTimestamp": None}
         bookmark = {"kind": KIND, "apiVersion": API_VERSION, "metadata": metadata}
         await self._write_event(watch, EventType.BOOKMARK, bookmark)
 
-    async def _write_event(self, watch: Watch, event_type: EventType, found: Object) -> None:
+    async def _write_event(self, watch: Watch, event_type: EventType, found: ApiObject) -> None:
         line = json.dumps({"type": event_type, "object": found}).encode() + b"\n"
-        if self.faults.torn and event_type is not EventType.BOOKMARK:
+        if self.faults.truncates_watches and event_type is not EventType.BOOKMARK:
             half = line[: len(line) // 2]
             await self._write(watch.writer, b"%x\r\n%s\r\n" % (len(half), half))
             watch.writer.transport.close()
@@ -260,7 +260,7 @@
     # Output
 
     async def _write_json(
-        self, writer: asyncio.StreamWriter, code: http.HTTPStatus, body: Object, further_headers: str = ""
+        self, writer: asyncio.StreamWriter, code: http.HTTPStatus, body: ApiObject, further_headers: str = ""
     ) -> None:
         data = json.dumps(body).encode()
         head = (
@@ -271,12 +271,12 @@
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write data, in pieces with pauses where the faults ask for them."""
-        size = self.faults.pieces or len(data)
+        size = self.faults.max_write_bytes or len(data)
         for begin in range(0, len(data), size):
             writer.write(data[begin : begin + size])
             await writer.drain()
-            if self.faults.pieces:
-                await asyncio.sleep(self.faults.pause_s)
+            if self.faults.max_write_bytes:
+                await asyncio.sleep(self.faults.write_pause_s)
 
     async def _wait_for_change(self, timeout_s: float) -> None:
         try:
--- a/ryepier/emulator/api_store.py
+++ b/ryepier/emulator/api_store.py
@@ -18,7 +18,7 @@
 KIND, LIST_KIND = "EndpointSlice", "EndpointSliceList"
 API_VERSION = "discovery.k8s.io/v1"
 FIRST_VERSION = 1000
-Object = dict[str, Any]  # a JSON object of the API
+ApiObject = dict[str, Any]  # a JSON object of the API
 
 
 class ApiError(RyepierError):
@@ -63,7 +63,7 @@
 
     version: int
     type: EventType
-    object: Object
+    object: ApiObject
     namespace: str
 
 
@@ -78,7 +78,7 @@
     return labels
 
 
-def matches(found: Object, labels: dict[str, str]) -> bool:
+def matches(found: ApiObject, labels: dict[str, str]) -> bool:
     """Return whether an object has all these labels."""
     own = found["metadata"]["labels"]
     return all(own.get(key) == value for key, value in labels.items())
@@ -91,11 +91,11 @@
         """Start without objects."""
         self.version = first_version
         self.compacted = first_version  # events up to this version are not available
-        self.objects: dict[tuple[str, str], Object] = {}  # by namespace and name
+        self.objects: dict[tuple[str, str], ApiObject] = {}  # by namespace and name
         self._events: list[Event] = []
         self._last_uid = 0
 
-    def put(self, namespace: str, name: str, content: Object, labels: dict[str, str] | None = None) -> Object:
+    def put(self, namespace: str, name: str, content: ApiObject, labels: dict[str, str] | None = None) -> ApiObject:
         """Create or replace an object under a new version, and a new generation if its content differs."""
         old = self.objects.get((namespace, name))
         if old is None:
@@ -115,7 +115,7 @@
         self._events.append(Event(self.version, event_type, new, namespace))
         return new
 
-    def _new_metadata(self, namespace: str, name: str, labels: dict[str, str]) -> Object:
+    def _new_metadata(self, namespace: str, name: str, labels: dict[str, str]) -> ApiObject:
         self._last_uid += 1
         return {
             "name": name,
@@ -147,7 +147,7 @@
         # versions have no gaps, so the position follows from the distance to the newest
         return self._events[len(self._events) - (self.version - version) :]
 
-    def select(self, namespace: str, labels: dict[str, str]) -> list[Object]:
+    def select(self, namespace: str, labels: dict[str, str]) -> list[ApiObject]:
         """Return the matching objects by namespace and name; an empty namespace stands for all."""
         return [
             found
@@ -155,14 +155,14 @@
             if (not namespace or found_namespace == namespace) and matches(found, labels)
         ]
 
-    def page(self, namespace: str, labels: dict[str, str], limit: int, token: str) -> Object:
+    def page(self, namespace: str, labels: dict[str, str], limit: int, token: str) -> ApiObject:
         """Return one page of a list. Its continue token holds the version at which the list began and the last name.
 
         Raises ApiError for an invalid token and ExpiredError for one whose version has been compacted.
         """
         version, after = self._decode_token(token) if token else (self.version, "")
         found = [one for one in self.select(namespace, labels) if one["metadata"]["name"] > after]
-        metadata: Object = {"resourceVersion": str(version)}
+        metadata: ApiObject = {"resourceVersion": str(version)}
         if limit and len(found) > limit:
             next_token = json.dumps([version, found[limit - 1]["metadata"]["name"]])
             metadata |= {
--- a/ryepier/emulator/client_messages.py
+++ b/ryepier/emulator/client_messages.py
@@ -62,7 +62,7 @@
         hint_us = int(self.arrivals.hint_us[attempt.arrival])
         if hint_us:
             headers.append(b"X-Cost-Hint: %d" % hint_us)
-        if attempt.number and self.world.clients.marks_retries:
+        if attempt.number and self.world.clients.sends_retry_header:
             headers.append(b"X-Retry: 1")
         body = b"" if idempotent else b"file=%d" % attempt.arrival
         if body:
--- a/ryepier/emulator/client_retries.py
+++ b/ryepier/emulator/client_retries.py
@@ -28,7 +28,7 @@
 
 def retry_delay_us(clients: Clients, attempt: ClientAttempt, random_source: random.Random) -> int:
     """Return how long a client waits before it retries a failed attempt."""
-    delay_us = clients.wait_ms * 1000
+    delay_us = clients.retry_delay_ms * 1000
     if clients.backoff is Backoff.NONE:
         delay_us = 0.0
     elif clients.backoff is Backoff.EXPONENTIAL:
@@ -39,4 +39,4 @@
 
 
 def _is_obedient(clients: Clients, attempt: ClientAttempt) -> bool:
-    return zlib.crc32(b"obeys %d" % attempt.arrival) < clients.obedient * 2**32
+    return zlib.crc32(b"obeys %d" % attempt.arrival) < clients.honouring_share * 2**32
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -101,7 +101,7 @@
                 work_us=int(arrivals.work_us[index]),
                 planned_us=int(arrivals.at_us[index]),
                 sent_us=NEVER,
-                deadline_us=int(kind.deadline_ms * 1000 * arrivals.patience[index]),
+                deadline_us=int(kind.deadline_ms * 1000 * arrivals.timeout_share[index]),
                 ended_us=NEVER,
                 outcome=RequestOutcome.TIMEOUT,
             )
@@ -111,7 +111,7 @@
         """Record an attempt and start it."""
         self.records.client_attempts.append(attempt)
         self._open += 1
-        closes_connection = self._random.random() < self.world.clients.closes_after
+        closes_connection = self._random.random() < self.world.clients.close_share
         ClientRequest(self, self.targets[attempt.sidecar], attempt, closes_connection).start()
 
     def read_timeout_us(self, attempt: ClientAttempt) -> int:
@@ -138,7 +138,7 @@
 
     def _retry(self, failed: ClientAttempt, remaining_us: int) -> None:
         kind = self.world.classes[failed.request_class]
-        timeout_us = int(kind.deadline_ms * 1000 * self._random.uniform(*self.world.clients.patience))
+        timeout_us = int(kind.deadline_ms * 1000 * self._random.uniform(*self.world.clients.timeout_share))
         number = failed.number + 1
         self._counts["retries"] += 1
         self.send(
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from ryepier.emulator.draws import Machine
-from ryepier.emulator.world import Reports, Warmth
+from ryepier.emulator.world import Reports, WarmUp
 
 PROBE_WORK_US = 200  # service time of a health check
 
@@ -98,7 +98,7 @@
     def __init__(
         self,
         machine: Machine,
-        warmth: Warmth,
+        warm_up: WarmUp,
         reports: Reports,
         cache: IdempotencyCache,
         random: np.random.Generator,
@@ -106,7 +106,7 @@
     ) -> None:
         """Start an idle converter; `started_us` of None means that it is warm."""
         self.machine = machine
-        self.warmth = warmth
+        self.warm_up = warm_up
         self.reports = reports
         self.cache = cache
         self.random = random
@@ -125,10 +125,10 @@
 
     def capacity_share(self, now_us: int) -> float:
         """Return the share of its full capacity that the converter has."""
-        warm_up_us = self.warmth.warm_up_s * 1e6
+        warm_up_us = self.warm_up.warm_up_s * 1e6
         if self.started_us is None or now_us >= self.started_us + warm_up_us:
             return 1.0
-        initial = self.warmth.initial_capacity_share
+        initial = self.warm_up.initial_capacity_share
         return initial + (1.0 - initial) * max(0, now_us - self.started_us) / warm_up_us
 
     def on_request(self, now_us: int, work: Work) -> list[Action]:
@@ -166,13 +166,13 @@
         share = self.capacity_share(now_us)
         if self.crashed or share >= 1.0:
             return False
-        window_us = int(self.warmth.overload_window_s * 1e6)
+        window_us = int(self.warm_up.overload_window_s * 1e6)
         self._recent_work.append((now_us, work_us))
         self._recent_work_us += work_us
         while self._recent_work[0][0] <= now_us - window_us:
             self._recent_work_us -= self._recent_work.popleft()[1]
         capacity = self.machine.group.cores * self.machine.speed * share
-        self.crashed = self._recent_work_us > self.warmth.overload_factor * capacity * window_us
+        self.crashed = self._recent_work_us > self.warm_up.overload_factor * capacity * window_us
         return self.crashed
 
     @property
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -68,7 +68,7 @@
         world = owner.plan.world
         self.model = ConverterModel(
             instance.machine,
-            world.warmth,
+            world.warm_up,
             world.reports,
             cache,
             draws.stream(owner.plan.seed, f"reports {instance.uid}"),
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -47,9 +47,9 @@
         """Start the converters that run when the run begins."""
         for instance in self.instances:
             if instance.start_us is None:
-                await self.start_one(instance)
+                await self.start_instance(instance)
 
-    async def start_one(self, instance: Instance) -> None:
+    async def start_instance(self, instance: Instance) -> None:
         """Start one process of a converter."""
         cache = self._caches.setdefault(instance.machine.pod, IdempotencyCache())
         server = self.servers[instance.index] = ConverterServer(self, instance, cache)
@@ -63,7 +63,7 @@
             await self.clock.sleep_until(step.at_us)
             self.meter.record(step.at_us)
             if step.action is FaultAction.START:
-                await self.start_one(by_index[step.index])
+                await self.start_instance(by_index[step.index])
             elif step.index in self.servers:
                 await self.servers[step.index].apply(step)
             self.record_event(f"{by_index[step.index].uid}: {step.fault} {step.action.value}")
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -54,7 +54,7 @@
         self.targets: dict[str, Entry] = {entry["uid"]: entry for entry in listing["targets"]}
         self.changed_at: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
 
-    def change(self, entry: Entry) -> bool:
+    def apply_change(self, entry: Entry) -> bool:
         """Apply a change and return whether it is one: states only advance, so a late notice may be outdated."""
         known = self.targets.get(entry["uid"])
         if known is not None and ListState(known["state"]).rank >= ListState(entry["state"]).rank:
@@ -192,14 +192,14 @@
     def _notify(self, entry: Entry) -> None:
         if self._muted or self._frozen or self._server is None:
             self._pending.append(entry)
-        elif self.registry.change(entry):
+        elif self.registry.apply_change(entry):
             self._update_all()
 
     async def _recover(self) -> None:
         """Serve normally again, and send the changes that were kept back."""
         self._muted = self._frozen = False
         for entry in self._pending:
-            self.registry.change(entry)
+            self.registry.apply_change(entry)
         self._pending.clear()
         if self._server is None:
             await self.listen()
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -45,7 +45,7 @@
     tenant: Ints
     work_us: Ints  # on a standard core
     hint_us: Ints  # cost hint; 0 = none
-    patience: Floats  # timeout of the first attempt as a share of the class's deadline
+    timeout_share: Floats  # timeout of the first attempt as a share of the class's deadline
 
     def __len__(self) -> int:
         """Return the number of arrivals."""
@@ -161,7 +161,7 @@
         times.tenant,
         work_us.astype(np.int64),
         hint_us,
-        random.uniform(*world.clients.patience, count),
+        random.uniform(*world.clients.timeout_share, count),
     )
 
 
--- a/ryepier/emulator/files.py
+++ b/ryepier/emulator/files.py
@@ -50,14 +50,14 @@
 
 
 def _invariants(world: World) -> dict[str, Any]:
-    warmth = world.warmth
+    warm_up = world.warm_up
     return {
         "ask-within": POLL_WITHIN_US,
-        "cold-share": warmth.initial_capacity_share,
+        "cold-share": warm_up.initial_capacity_share,
         "drain-grace": _to_us(world.sidecars.drain_grace_ms),
-        "fall": round(warmth.overload_window_s * 1e6),
-        "overload-factor": warmth.overload_factor,
-        "warm-up": round(warmth.warm_up_s * 1e6),
+        "fall": round(warm_up.overload_window_s * 1e6),
+        "overload-factor": warm_up.overload_factor,
+        "warm-up": round(warm_up.warm_up_s * 1e6),
     }
 
 
@@ -114,7 +114,7 @@
 def has_settings_file(world: World) -> bool:
     """Return whether the sidecars need operators' settings, beyond the platform's configuration."""
     return bool(
-        world.planners.count or world.discovery.slice_size or world.clients.speak_graphql or world.sidecars.storm
+        world.planners.count or world.discovery.slice_size or world.clients.speak_graphql or world.sidecars.storm_guard
     )
 
 
@@ -139,7 +139,7 @@
             f'[slices]\nservice = "{slices.SERVICE}"\nnamespace = "{slices.NAMESPACE}"\nport = "http"\n'
             f'cell = "node"\nwatch_s = {world.discovery.watch_s}\n'
         )
-    if world.sidecars.storm:
+    if world.sidecars.storm_guard:
         text += "[storm]\nenabled = true\n"
     if world.clients.speak_graphql:
         text += graphql.settings_table(world)
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -31,7 +31,7 @@
 MAX_SIDECARS = 200
 BEGIN_DELAY_S = 0.5  # from the announcement of the run's begin to the begin itself
 
-Watcher = Callable[[float, Counter[str]], None]
+ProgressCallback = Callable[[float, Counter[str]], None]
 """Called with the seconds of the run and the clients' counts so far."""
 
 
@@ -54,7 +54,7 @@
     planner_command: Sequence[str] = PLANNER
     planner_restart: Sequence[str] = PLANNER  # after a kill
     clients: bool = True
-    stand_ins: bool = True  # converters and discovery
+    converters_and_discovery: bool = True  # converters and discovery
     targets: Sequence[Address] = ()  # what the clients load instead of the world's sidecars
     role_module: str = ROLE_MODULE  # the program of the emulator's own processes
 
@@ -72,14 +72,19 @@
     """One run. Subclasses may extend `start_planners`, `run_schedule` and `kill_all`."""
 
     def __init__(
-        self, world: World, seed: int, folder: Path, roles: RoleAssignment | None = None, watcher: Watcher | None = None
+        self,
+        world: World,
+        seed: int,
+        folder: Path,
+        roles: RoleAssignment | None = None,
+        on_progress: ProgressCallback | None = None,
     ) -> None:
         """Prepare a run whose files go to `folder`. Raises HarnessError for a world that cannot run on sockets."""
         _check_supported(world)
         self.world = world
         self.folder = folder
         self.roles = roles or RoleAssignment()
-        self.watcher = watcher
+        self.on_progress = on_progress
         self.plan = Plan(world, seed, find_network(), role="harness", targets=list(self.roles.targets))
         self.timeline: Timeline = timeline.build(world, seed)
         self.clock = Clock()
@@ -98,7 +103,7 @@
         overrides = {index: (*other, *arguments) for index, other in self.roles.sidecar_overrides.items()}
         return SidecarProcesses(self.plan, (*command, *arguments) if command else (), overrides)
 
-    async def play(self) -> History:
+    async def run(self) -> History:
         """Run the world; no process outlives the call. Raises HarnessError if the emulator failed."""
         self.folder.mkdir(parents=True, exist_ok=True)
         for old in self.folder.glob("*.log"):  # of an earlier run
@@ -116,7 +121,7 @@
 
     async def _start(self) -> None:
         await self._start_processes()
-        if self.roles.stand_ins:
+        if self.roles.converters_and_discovery:
             self.sidecars.write_configurations(files.platform_files(self.plan, self.timeline), self.folder)
         (self.folder / SETTINGS_FILE).write_text(files.settings_text(self.plan))
         self.start_planners()
@@ -125,7 +130,7 @@
     def _roles(self) -> list[tuple[str, int]]:
         """Return the role and index of each process of the emulator."""
         settings, roles = self.world.harness, list[tuple[str, int]]()
-        if self.roles.stand_ins:
+        if self.roles.converters_and_discovery:
             roles += [("discovery", 0)] if self.world.sidecars.count else []
             roles += [("converters", index) for index in range(settings.converter_processes)]
         if self.roles.clients:
@@ -164,10 +169,10 @@
 
     def _begin(self) -> None:
         """Announce when the run begins."""
-        self.clock.zero_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
+        self.clock.run_start_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
         for started in self._processes:
             assert started.process.stdin is not None
-            started.process.stdin.write(b"%d\n" % self.clock.zero_us)
+            started.process.stdin.write(b"%d\n" % self.clock.run_start_us)
 
     # The run
 
@@ -190,8 +195,8 @@
         assert started.process.stdout is not None
         while line := await started.process.stdout.readline():
             self._counts[started.name] = Counter(msgspec.json.decode(line, type=dict[str, int]))
-            if self.watcher is not None:
-                self.watcher(self.clock.now_us() / 1e6, sum(self._counts.values(), Counter()))
+            if self.on_progress is not None:
+                self.on_progress(self.clock.now_us() / 1e6, sum(self._counts.values(), Counter()))
 
     async def run_schedule(self) -> None:
         """Carry out the steps on sidecars and planners; restarts of sidecars take place in parallel."""
@@ -224,11 +229,15 @@
             if ended.process.returncode != 0 or not ended.records.exists():
                 raise HarnessError(f"the emulator's {ended.name} ended with {ended.process.returncode}")
             parts.append(msgspec.msgpack.decode(ended.records.read_bytes(), type=RoleRecords))
-        return join(parts, self.sidecars.incarnations(self.clock.zero_us), self.events)
+        return join(parts, self.sidecars.incarnations(self.clock.run_start_us), self.events)
 
 
-def play(
-    world: World, seed: int, folder: Path, roles: RoleAssignment | None = None, watcher: Watcher | None = None
+def run_world(
+    world: World,
+    seed: int,
+    folder: Path,
+    roles: RoleAssignment | None = None,
+    on_progress: ProgressCallback | None = None,
 ) -> History:
     """Run a world once on real sockets, and return what all sides observed. Raises HarnessError."""
-    return asyncio.run(Harness(world, seed, folder, roles, watcher).play())
+    return asyncio.run(Harness(world, seed, folder, roles, on_progress).run())
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -71,20 +71,20 @@
 
 
 class Clock:
-    """Microseconds since the run began, once `zero_us` is set to that time on the machine's clock."""
+    """Microseconds since the run began, once `run_start_us` is set to that time on the machine's clock."""
 
     def __init__(self) -> None:
         """Start with the machine's own clock."""
-        self.zero_us = 0
+        self.run_start_us = 0
 
     def now_us(self) -> int:
         """Return the present time of the run."""
-        return monotonic_us() - self.zero_us
+        return monotonic_us() - self.run_start_us
 
     def handle_at(self, at_us: int, callback: Callable[..., None], *args: object) -> asyncio.TimerHandle:
         """Schedule a callback at a time of the run; in the past means at once."""
         loop = asyncio.get_running_loop()
-        return loop.call_at((self.zero_us + at_us) / 1e6, callback, *args)
+        return loop.call_at((self.run_start_us + at_us) / 1e6, callback, *args)
 
     async def sleep_until(self, at_us: int) -> None:
         """Wait until a time of the run."""
--- a/ryepier/emulator/role.py
+++ b/ryepier/emulator/role.py
@@ -48,7 +48,7 @@
     line = await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
     if not line:
         return  # the harness has ended
-    clock.zero_us = int(line)
+    clock.run_start_us = int(line)
     gc.freeze()  # a collection over the sampled arrivals would delay the process
     ticking = asyncio.create_task(role.meter.tick())
     records = await role.run()
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -69,7 +69,7 @@
             planners.append(SimulatedPlanner(loop, index, operator_settings.parse(text, {}), self.seed))
         return planners
 
-    async def play(self, loop: SimLoop) -> History:
+    async def run(self, loop: SimLoop) -> History:
         """Run the world, and return what all sides observed."""
         roles: list[Role] = [
             discovery.DiscoveryRole(self.plan, self.clock, self.timeline),
@@ -83,10 +83,10 @@
         for process in processes:
             process.start()
         await asyncio.sleep(START_S)
-        self.clock.zero_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
+        self.clock.run_start_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
         records = await self._run(roles, {TargetKind.SIDECAR: sidecars, TargetKind.PLANNER: planners})
         await self._stop(loop, processes)
-        incarnations = [one for sidecar in sidecars for one in sidecar.incarnations_since(self.clock.zero_us)]
+        incarnations = [one for sidecar in sidecars for one in sidecar.incarnations_since(self.clock.run_start_us)]
         return join(records, incarnations, self.events)
 
     async def _run(
@@ -124,7 +124,7 @@
                 loop.failures.append(f"{process.owner} ended by itself: {error!r}")
 
 
-def play(world: World, seed: int, folder: Path | None = None) -> History:
+def run_world(world: World, seed: int, folder: Path | None = None) -> History:
     """Run a world once in simulation, and return what all sides observed; logs go to `folder`, if one is given.
 
     Raises HarnessError for a world that cannot be simulated, and what `simulate` raises if the run fails.
@@ -136,6 +136,6 @@
 
         async def main(loop: SimLoop) -> History:
             with capture_logs(loop, folder):
-                return await Simulation(world, seed, work).play(loop)
+                return await Simulation(world, seed, work).run(loop)
 
         return simulate(seed, main)
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from ryepier.emulator.api_server import ApiServer
-from ryepier.emulator.api_store import SERVICE_LABEL, Object, Store
+from ryepier.emulator.api_store import SERVICE_LABEL, ApiObject, Store
 from ryepier.emulator.process import CONVERTER_PORT, Clock, Plan
 from ryepier.emulator.records import EndpointNotice, RoleRecords
 from ryepier.emulator.timeline import FaultAction, ListState, Step
@@ -41,7 +41,7 @@
     records: RoleRecords
 
 
-def make_endpoint(entry: dict[str, Any]) -> Object:
+def make_endpoint(entry: dict[str, Any]) -> ApiObject:
     """Return the endpoint for an entry of the platform's list."""
     leaving = entry["state"] == ListState.LEAVING
     return {
@@ -60,7 +60,7 @@
         """Start without slices; each holds up to `size` endpoints."""
         self.store = store
         self.size = size
-        self.contents: dict[str, dict[str, Object]] = {}  # endpoints by slice and pod
+        self.contents: dict[str, dict[str, ApiObject]] = {}  # endpoints by slice and pod
         self.removed_at: dict[str, int] = {}  # removed pods, with the resource version of the removal
 
     def change(self, entry: dict[str, Any], conflict: Conflict | None = None) -> None:
@@ -155,7 +155,7 @@
             return None
         return CONFLICTS[number % len(CONFLICTS)]
 
-    def _record_notices(self, writer: asyncio.StreamWriter, objects: list[Object], is_full_list: bool) -> None:
+    def _record_notices(self, writer: asyncio.StreamWriter, objects: list[ApiObject], is_full_list: bool) -> None:
         """Record what the sidecar is notified of: a full list also implies that missing converters have left."""
         now_us = self.owner.clock.now_us()
         states: dict[str, ListState] = {}
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -236,7 +236,7 @@
     def add_notices(self, fault: Fault, instance: Instance, state: ListState, since_us: int) -> None:
         """Notify each sidecar's agent of a change after a delay of its own."""
         for sidecar in range(self.world.sidecars.count):
-            delay_us = int(self.notice_random.uniform(*self.world.discovery.late_ms) * 1000)
+            delay_us = int(self.notice_random.uniform(*self.world.discovery.notice_delay_ms) * 1000)
             self.steps.append(
                 Step(
                     since_us + delay_us,
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -124,7 +124,7 @@
         _check_range("speed", self.speed, above_zero=True)
 
 
-class Warmth(msgspec.Struct, kw_only=True, frozen=True):
+class WarmUp(msgspec.Struct, kw_only=True, frozen=True):
     """How a converter warms up after its start, and the overload that crashes it meanwhile."""
 
     initial_capacity_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="cold_share", default=0.12)
@@ -181,21 +181,24 @@
     ramp_to_per_s: NotNegative = 0.0  # the rate that is reached linearly at the end; 0 = a constant rate
     retries: Annotated[int, msgspec.Meta(ge=0, le=20)] = 2
     backoff: Backoff = Backoff.EXPONENTIAL
-    wait_ms: NotNegative = 50.0  # delay before the first retry
+    retry_delay_ms: NotNegative = msgspec.field(name="wait_ms", default=50.0)  # delay before the first retry
     honours_retry_after: bool = True
-    obedient: Share = 1.0  # of the clients, if they honour Retry-After; the others ignore it
-    marks_retries: bool = False
-    patience: Range = (0.5, 1.0)  # timeout of an attempt as a share of its class's deadline
+    # share of the clients that wait as Retry-After says, if `honours_retry_after` is set; the others ignore it
+    honouring_share: Share = msgspec.field(name="obedient", default=1.0)
+    sends_retry_header: bool = msgspec.field(name="marks_retries", default=False)  # X-Retry
+    # timeout of an attempt as a share of its class's deadline
+    timeout_share: Range = msgspec.field(name="patience", default=(0.5, 1.0))
     hint_error: Share = 0.1  # largest relative error of a cost hint
     hints: bool = True
-    closes_after: NotNegative = 0.0  # share of requests after which the client closes its connection
+    # share of requests after which the client closes its connection
+    close_share: NotNegative = msgspec.field(name="closes_after", default=0.0)
     graphql: GraphqlMode = GraphqlMode.OFF
     disconnect_share: Share = msgspec.field(name="leaves", default=0.0)  # attempts abandoned within the objective
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
-        _check_range("patience", self.patience, above_zero=True)
-        if self.patience[1] > 1.0:
+        _check_range("patience", self.timeout_share, above_zero=True)
+        if self.timeout_share[1] > 1.0:
             raise ValueError("patience: expected at most 1")
 
     @property
@@ -216,14 +219,15 @@
     max_attempts: Annotated[int, msgspec.Meta(ge=1)] = 4
     dial_timeout_ms: Positive = 62.0
     max_retry_after_ms: NotNegative = 500.0
-    storm: bool = False  # with the guard against retry storms
+    storm_guard: bool = msgspec.field(name="storm", default=False)  # run with the guard against retry storms
     drain_grace_ms: Positive = 500.0
 
 
 class Discovery(msgspec.Struct, kw_only=True, frozen=True):
     """How and when sidecars are notified of changes to the endpoint list."""
 
-    late_ms: Range = (100.0, 1500.0)  # delay, sampled for each sidecar and change
+    # sampled for each sidecar and change
+    notice_delay_ms: Range = msgspec.field(name="late_ms", default=(100.0, 1500.0))
     heartbeat_s: Positive = 2.0
     # endpoints per EndpointSlice, with an API server for each sidecar; 0 = the platform's discovery agents
     slice_size: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
@@ -232,7 +236,7 @@
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
-        _check_range("late_ms", self.late_ms)
+        _check_range("late_ms", self.notice_delay_ms)
 
 
 class Planners(msgspec.Struct, kw_only=True, frozen=True):
@@ -281,7 +285,7 @@
     clients: Clients
     sidecars: Sidecars
     tenants: list[Tenant] = msgspec.field(default_factory=lambda: [Tenant(name="one", share=1.0)])
-    warmth: Warmth = msgspec.field(default_factory=Warmth)
+    warm_up: WarmUp = msgspec.field(name="warmth", default_factory=WarmUp)
     reports: Reports = msgspec.field(default_factory=Reports)
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     faults: list[Fault] = msgspec.field(default_factory=list)
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -39,7 +39,7 @@
 def run_experiment(
     experiment: Experiment,
     trial: TrialConfig,
-    watcher: harness.Watcher | None = None,
+    on_progress: harness.ProgressCallback | None = None,
     backend: Backend = Backend.SOCKETS,
 ) -> list[Claim]:
     """Run an experiment's world, write all results into the trial's folder, and return the claims.
@@ -50,7 +50,7 @@
     if backend is Backend.SIM:
         run_world = _on_virtual_time(experiment, trial)
     else:
-        run_world = _on_sockets(experiment, trial, watcher)
+        run_world = _on_sockets(experiment, trial, on_progress)
     control = None
     if experiment.control_world is not None:
         control_world = experiment.control_world(world)
@@ -147,7 +147,7 @@
     )
 
 
-def _on_sockets(experiment: Experiment, trial: TrialConfig, watcher: harness.Watcher | None) -> RunWorld:
+def _on_sockets(experiment: Experiment, trial: TrialConfig, on_progress: harness.ProgressCallback | None) -> RunWorld:
     """Return a function that runs a world on real sockets; the control run has no seeded fault in its sidecars."""
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
@@ -155,7 +155,7 @@
         if is_control:
             roles = dataclasses.replace(roles, sidecar_command=None)
         with _limited_to_cores(experiment.cores):
-            return harness.play(world, trial.seed, folder, roles, watcher)
+            return harness.run_world(world, trial.seed, folder, roles, on_progress)
 
     return run_world
 
@@ -197,6 +197,6 @@
     def run_world(world: World, folder: Path, is_control: bool) -> History:
         if trial.seeded_fault and not is_control:
             seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
-        return simulated.play(world, trial.seed, folder)
+        return simulated.run_world(world, trial.seed, folder)
 
     return run_world
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -46,7 +46,7 @@
     Raises HarnessError if it served too little to tell.
     """
     roles = harness.RoleAssignment(sidecar_command=command)
-    history = harness.play(_world(documents), seed, folder, roles)
+    history = harness.run_world(_world(documents), seed, folder, roles)
     cpu_us = figures.cpu_us_per_request(history, 0, MEASURED_FROM_S, MEASURED_TO_S)
     served = sum(item.outcome is RequestOutcome.SERVED for item in history.client_attempts)
     if cpu_us is None or served < MIN_SERVED_SHARE * len(history.client_attempts):
--- a/ryepier/experiments/maintenance/agreement_text.py
+++ b/ryepier/experiments/maintenance/agreement_text.py
@@ -60,7 +60,7 @@
     min_available = world.converter_count - max_unavailable
     return (
         f'[[services]]\nname = "{SERVICE}"\nleast = {min_available}\nleast_part = {min_allowance}\n'
-        f"warm_up_s = {world.warmth.warm_up_s}"
+        f"warm_up_s = {world.warm_up.warm_up_s}"
     )
 
 
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -136,7 +136,7 @@
             self.incarnations[name] += 1
             index = old.index + self.plan.world.converter_count
             new = Instance(index, f"{name}.{self.incarnations[name]}", old.machine, self.clock.now_us())
-            await self.start_one(new)
+            await self.start_instance(new)
             self.current[name] = new
             self.running.add(name)
             self.control.record(Action.START, call)
@@ -193,7 +193,7 @@
         unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
         entry = discovery.list_entry(self.plan, instance, state, unix_zero_ms)
         step = Step(self.clock.now_us(), TargetKind.DISCOVERY, 0, FaultAction.NOTIFY, uid=instance.uid, state=state)
-        low, high = self.plan.world.discovery.late_ms
+        low, high = self.plan.world.discovery.notice_delay_ms
 
         async def notify(agent: discovery.Agent | SlicesAgent, delay_ms: float) -> None:
             await asyncio.sleep(delay_ms / 1000)
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -70,12 +70,12 @@
     @property
     def outages(self) -> list[Outage]:
         """The outages of all windows."""
-        return list(outages(self.journal, round(self.world.warmth.warm_up_s * 1e6)))
+        return list(outages(self.journal, round(self.world.warm_up.warm_up_s * 1e6)))
 
 
 def run(harness: MaintenanceHarness) -> Outcome:
     """Run a scenario and gather its outcome. Raises HarnessError."""
-    history = asyncio.run(harness.play())
+    history = asyncio.run(harness.run())
     return Outcome(
         harness.world,
         harness.plan.seed,
@@ -84,7 +84,7 @@
         history,
         harness.record,
         harness.journal(),
-        harness.clock.zero_us,
+        harness.clock.run_start_us,
     )
 
 
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -62,7 +62,7 @@
     def change(self, entries: Sequence[Entry], state: str = "") -> None:
         """Change entries to a state, or as they are, each in a revision of its own."""
         for entry in entries:
-            self.registry.change(entry | {"state": state} if state else entry)
+            self.registry.apply_change(entry | {"state": state} if state else entry)
 
     def lose_revisions(self) -> None:
         """Restart discovery with the list, without its revisions."""
--- a/ryepier/experiments/simulation/agreement.py
+++ b/ryepier/experiments/simulation/agreement.py
@@ -48,10 +48,10 @@
     claims = []
     for name in WORLDS:
         world = load(name)
-        real = summarize(world, harness.play(world, trial.seed, trial.folder / name))
+        real = summarize(world, harness.run_world(world, trial.seed, trial.folder / name))
         if trial.seeded_fault:
             seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
-        simulated_run = summarize(world, simulated.play(world, trial.seed))
+        simulated_run = summarize(world, simulated.run_world(world, trial.seed))
         figures |= real.as_figures(f"{name}_", "_sockets")
         figures |= simulated_run.as_figures(f"{name}_", "_sim")
         claims += _claims(name, real, simulated_run)
--- a/ryepier/experiments/simulation/random_worlds.py
+++ b/ryepier/experiments/simulation/random_worlds.py
@@ -19,7 +19,7 @@
     RequestClass,
     Sidecars,
     Tenant,
-    Warmth,
+    WarmUp,
     World,
 )
 
@@ -109,7 +109,7 @@
     converters = int(random.integers(2, 9))
     clients = _draw_clients(random)
     initial_capacity_share = float(random.uniform(0.1, 0.5))
-    warmth = Warmth(initial_capacity_share=initial_capacity_share, warm_up_s=float(random.uniform(0.5, 4.0)))
+    warm_up = WarmUp(initial_capacity_share=initial_capacity_share, warm_up_s=float(random.uniform(0.5, 4.0)))
     planners = Planners(count=int(random.choice([0, 1, 2], p=[0.75, 0.1, 0.15])), snapshots=False)
     sidecars = int(random.integers(2 if planners.count else 1, 4))
     faults = _draw_faults(random, boosts, has_planners=planners.count > 0)
@@ -118,7 +118,7 @@
         name=f"hunt-{seed}",
         duration_s=DURATION_S,
         clients=clients,
-        warmth=warmth,
+        warm_up=warm_up,
         faults=faults,
         classes=CLASSES,
         converters=[_draw_converters(random, converters)],
@@ -167,13 +167,13 @@
         count=count,
         max_attempts=int(random.integers(2, 5)),
         list_on_request=not uses_slices and bool(random.random() < 0.3),
-        storm=bool(random.random() < 0.3),
+        storm_guard=bool(random.random() < 0.3),
     )
 
 
 def _draw_discovery(random: np.random.Generator, uses_slices: bool) -> Discovery:
     return Discovery(
-        late_ms=(0.0, float(random.uniform(50, 900))),
+        notice_delay_ms=(0.0, float(random.uniform(50, 900))),
         heartbeat_s=1.0,
         slice_size=int(random.integers(1, 6)) if uses_slices else 0,
         conflict_share=float(random.choice([0.0, 0.5])) if uses_slices else 0.0,
--- a/ryepier/experiments/simulation/search.py
+++ b/ryepier/experiments/simulation/search.py
@@ -68,7 +68,7 @@
 def run_world(world: World, seed: int, seeded_fault: str = "") -> WorldRun:
     """Run a world in this process. The seeded fault is only recorded; `install_fault` installs it."""
     try:
-        history = simulated.play(world, seed)
+        history = simulated.run_world(world, seed)
     except (NoProgressError, SimulationError) as error:
         return WorldRun(Find(seed, world, {FAILED_RUN: 1}, str(error), seeded_fault), None)
     except Exception as error:  # noqa: BLE001 - an error of the emulator in one world must not end the search
--- a/ryepier/experiments/simulation/speed.py
+++ b/ryepier/experiments/simulation/speed.py
@@ -44,7 +44,7 @@
     for sidecars in FLEET_SIZES[trial.scale]:
         world = make_world(sidecars, DURATION_S[trial.scale])
         begun_s = time.monotonic()
-        history = simulated.play(world, trial.seed)
+        history = simulated.run_world(world, trial.seed)
         speed = world.duration_s / (time.monotonic() - begun_s)
         summary = summarize(world, history)
         figures[f"speed_{sidecars}"] = speed
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from ryepier.emulator.api_server import ApiServer
-from ryepier.emulator.api_store import SERVICE_LABEL, Object, Store
+from ryepier.emulator.api_store import SERVICE_LABEL, ApiObject, Store
 from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
@@ -45,7 +45,7 @@
     return f"10.{pod >> 16 & 255}.{pod >> 8 & 255}.{pod & 255}"
 
 
-def make_endpoint(pod: int, terminating: bool = False) -> Object:
+def make_endpoint(pod: int, terminating: bool = False) -> ApiObject:
     """Return a pod's entry in an EndpointSlice."""
     return {
         "addresses": [address_of(pod)],
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -48,7 +48,7 @@
     steps = timeline.build(run.world, run.seed).steps
     drained_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
     attempts = [a for a in run.history.converter_attempts if a.first_byte_us > since_s * US_PER_S]
-    allowed_us = (run.world.discovery.late_ms[1] + run.world.sidecars.drain_grace_ms) * US_PER_MS
+    allowed_us = (run.world.discovery.notice_delay_ms[1] + run.world.sidecars.drain_grace_ms) * US_PER_MS
     late = sum(a.first_byte_us > drained_us.get(a.uid, NEVER_US) + allowed_us for a in attempts)
     return late / max(1, len(attempts))
 
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -31,7 +31,7 @@
 
 def without_guard(world: World) -> World:
     """Return the same world with the sidecars' storm guards switched off."""
-    return msgspec.structs.replace(world, sidecars=msgspec.structs.replace(world.sidecars, storm=False))
+    return msgspec.structs.replace(world, sidecars=msgspec.structs.replace(world.sidecars, storm_guard=False))
 
 
 def outage(behavior: ClientBehavior, outage_s: float) -> Callable[[Scale], World]:
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -28,7 +28,7 @@
     world = msgspec.structs.replace(load("graphql-resets"), duration_s=1.0, faults=[])
     plan = Plan(world, 1, 0, "clients", targets=[address])
     clock = Clock()
-    clock.zero_us = monotonic_us()
+    clock.run_start_us = monotonic_us()
     return clients.ClientRole(plan, clock, timeline.build(world, 1))
 
 
@@ -79,7 +79,7 @@
 def test_the_lateness_meter_records_stalls_of_the_event_loop() -> None:
     async def test() -> None:
         clock = Clock()
-        clock.zero_us = monotonic_us()
+        clock.run_start_us = monotonic_us()
         meter = LatenessMeter(clock)
         ticking = asyncio.create_task(meter.tick())
         await asyncio.sleep(0)
--- a/tests/test_emulated_converter_model.py
+++ b/tests/test_emulated_converter_model.py
@@ -17,9 +17,9 @@
     Work,
 )
 from ryepier.emulator.draws import Machine
-from ryepier.emulator.world import Converters, Reports, Warmth
+from ryepier.emulator.world import Converters, Reports, WarmUp
 
-WARMTH = Warmth(initial_capacity_share=0.25, warm_up_s=4.0, overload_factor=2.0, overload_window_s=1.0)
+WARMTH = WarmUp(initial_capacity_share=0.25, warm_up_s=4.0, overload_factor=2.0, overload_window_s=1.0)
 
 
 def converter(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -17,7 +17,7 @@
 from ryepier.emulator.client_retries import may_retry
 from ryepier.emulator.converter_server import ConverterServer
 from ryepier.emulator.errors import HarnessError
-from ryepier.emulator.harness import RoleAssignment, play
+from ryepier.emulator.harness import RoleAssignment, run_world
 from ryepier.emulator.loopback import find_network
 from ryepier.emulator.process import Clock, Plan, monotonic_us
 from ryepier.emulator.records import NEVER, ClientAttempt, ConverterAttempt, RequestOutcome
@@ -105,9 +105,9 @@
         ),
     )
     clock = Clock()
-    clock.zero_us = monotonic_us()
+    clock.run_start_us = monotonic_us()
     host = converters.ConverterRole(plan, clock, timeline.build(plan.world, 1))
-    await host.start_one(host.instances[0])
+    await host.start_instance(host.instances[0])
     server = host.servers[0]
     try:
         yield server
@@ -241,7 +241,7 @@
         return {"uid": uid, "state": state}
 
     registry = discovery.Registry({"rev": 1, "all": True, "targets": [entry("a", "active"), entry("b", "active")]})
-    assert registry.change(entry("a", "left")) and not registry.change(entry("a", "leaving"))
+    assert registry.apply_change(entry("a", "left")) and not registry.apply_change(entry("a", "leaving"))
     assert registry.changes_since(1) == {"rev": 2, "all": False, "targets": [entry("a", "left")]}
     assert (
         registry.changes_since(2)["targets"] == []
@@ -298,7 +298,7 @@
         leaves=0.5,
         closes_after=0.1,
     )
-    history = play(world, 3, tmp_path)
+    history = run_world(world, 3, tmp_path)
     assert judge(world, history) == []
     assert sum(incarnation.killed for incarnation in history.incarnations) == 1 and len(history.incarnations) == 3
     assert {"served", "left"} <= {item.outcome for item in history.client_attempts}
@@ -313,4 +313,4 @@
 
 def test_a_sidecar_that_never_becomes_ready_fails_the_run_without_leaving_processes(tmp_path: Path) -> None:
     with pytest.raises(HarnessError, match="sidecar 0 ended at its start"):
-        play(a_world(sidecars=1), 1, tmp_path, RoleAssignment(sidecar_command=["false"]))
+        run_world(a_world(sidecars=1), 1, tmp_path, RoleAssignment(sidecar_command=["false"]))
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -30,7 +30,7 @@
 def simulate_resets() -> QueryResets:
     """Simulate a short run, and return its resets."""
     world = msgspec.structs.replace(load("graphql-resets"), duration_s=SHORT_S)
-    return find_query_resets(Run(world, 1, simulated.play(world, 1), [], [], Path()))
+    return find_query_resets(Run(world, 1, simulated.run_world(world, 1), [], [], Path()))
 
 
 def claims_hold(resets: QueryResets) -> bool:
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -54,7 +54,7 @@
         ],
         clients=Clients(rate_per_s=180.0),
         sidecars=Sidecars(count=sidecars, skew=0.6, zoned=True),
-        discovery=Discovery(late_ms=(50.0, 300.0)),
+        discovery=Discovery(notice_delay_ms=(50.0, 300.0)),
         harness=HarnessSettings(converter_processes=1),
         faults=list(faults),
     )
@@ -68,7 +68,7 @@
     """One run. One in which the machine fell behind is void and is played again; the rules without times hold in it
     all the same. Fails where every one was void: the test has then shown nothing."""
     for _ in range(MOST_PLAYS):
-        history = harness.play(world, SEED, folder)
+        history = harness.run_world(world, SEED, folder)
         orders, breaches = figures.operations(world, history.client_attempts), judge.judge(world, history)
         run = Run(world, SEED, history, orders, breaches, folder)
         late = lateness_claim(run, None)
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -42,7 +42,8 @@
     """With planners, slices, GraphQL and the guard in some of them."""
     code = (
         "from ryepier.experiments.simulation import random_worlds, search\nfrom ryepier.emulator import simulated\n"
-        "for seed in (2, 3, 9, 343): print(search.hash_history(simulated.play(random_worlds.draw_world(seed), seed)))"
+        "for seed in (2, 3, 9, 343): "
+        "print(search.hash_history(simulated.run_world(random_worlds.draw_world(seed), seed)))"
     )
     said = [
         subprocess.run(
@@ -59,8 +60,8 @@
 
 def test_a_history_is_the_same_each_time() -> None:
     world = random_worlds.draw_world(5)
-    first, second = (search.hash_history(simulated.play(world, 5)) for _ in range(2))
-    assert first == second != search.hash_history(simulated.play(world, 6))
+    first, second = (search.hash_history(simulated.run_world(world, 5)) for _ in range(2))
+    assert first == second != search.hash_history(simulated.run_world(world, 6))
 
 
 @pytest.mark.parametrize(
@@ -89,7 +90,7 @@
 
 
 def test_the_story_of_a_request_is_told_from_all_sides() -> None:
-    history = simulated.play(random_worlds.draw_world(1), 1)
+    history = simulated.run_world(random_worlds.draw_world(1), 1)
     item = next(one for one in history.client_attempts if one.outcome == "served")
     lines = tell_story(history, item.request_id)
     assert "client sends" in lines[0] and "served, status 200" in lines[-1]
@@ -98,7 +99,7 @@
 
 def test_what_a_backend_can_not_do_is_refused_by_name(tmp_path: Path) -> None:
     with pytest.raises(HarnessError, match="without sidecars"):
-        simulated.play(load("ceiling"), 1)
+        simulated.run_world(load("ceiling"), 1)
     got = CliRunner().invoke(main, ["experiment", "run", "breaking-point", "--backend", "sim", "--out", str(tmp_path)])
     assert got.exit_code == 1 and "measures CPU" in got.stderr
     world = msgspec.structs.replace(load("steady"), faults=[Fault(kind=FaultKind.CLOCK_JUMP, at_s=1.0, jump_s=5.0)])
@@ -110,10 +111,10 @@
     world = load("planner-kill")
     small = msgspec.structs.replace(
         world,
-        sidecars=msgspec.structs.replace(world.sidecars, count=6, storm=True),
+        sidecars=msgspec.structs.replace(world.sidecars, count=6, storm_guard=True),
         faults=[fault for fault in world.faults if fault.kind == "planner-kill"],
     )
-    history = simulated.play(small, 1, tmp_path)
+    history = simulated.run_world(small, 1, tmp_path)
     assert judge.judge(small, history) == []
     followed = [path.name for path in tmp_path.glob("sidecar-*.log") if "following plans of" in path.read_text()]
     assert len(followed) == 6
@@ -133,7 +134,7 @@
 def test_a_sidecar_that_stands_still_breaks_no_rule_and_serves_again_afterwards() -> None:
     world = load("sidecar-kill")
     world = msgspec.structs.replace(world, faults=[Fault(kind=FaultKind.SIDECAR_HANG, at_s=3.0, for_s=2.0, index=0)])
-    history = simulated.play(world, 1)
+    history = simulated.run_world(world, 1)
     assert judge.judge(world, history) == []
     mine = [item for item in history.client_attempts if item.sidecar == 0]
     assert not any(3_100_000 < item.ended_us < 4_900_000 and item.outcome == "served" for item in mine)
@@ -142,7 +143,7 @@
 
 def test_a_sidecar_that_is_killed_loses_what_it_held_and_nothing_else_and_comes_back() -> None:
     world = load("sidecar-kill")
-    history = simulated.play(world, 1)
+    history = simulated.run_world(world, 1)
     assert judge.judge(world, history) == []
     [killed] = [life for life in history.incarnations if life.killed]
     mine = [item for item in history.client_attempts if item.sidecar == killed.sidecar]
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -38,7 +38,7 @@
             testbed.follow()
             await wait_until(lambda: len(testbed.states()) == 5)
             assert [event.kind for event in testbed.events] == [ListKind.FULL]
-            assert sum("continue=" in call for call in testbed.api.calls) == 2
+            assert sum("continue=" in call for call in testbed.api.request_targets) == 2
             testbed.put("s1", "p1", draining="p1")
             testbed.put("six", "p7", family="IPv6")
             await wait_until(
@@ -63,11 +63,11 @@
             testbed.put("s1", "p1")
             testbed.follow()
             await wait_until(lambda: testbed.states() == {"p1": READY})
-            testbed.api.faults.torn = True
+            testbed.api.faults.truncates_watches = True
             testbed.put("s1", "p1", draining="p1")
-            await wait_until(lambda: sum("watch=true" in call for call in testbed.api.calls) >= 3)
+            await wait_until(lambda: sum("watch=true" in call for call in testbed.api.request_targets) >= 3)
             assert testbed.states() == {"p1": READY}  # an incomplete line has no effect
-            testbed.api.faults.torn = False
+            testbed.api.faults.truncates_watches = False
             await wait_until(lambda: testbed.states() == {"p1": DRAINING})
 
     run_bounded(test)
@@ -76,7 +76,7 @@
 def test_response_in_small_pieces_is_read() -> None:
     async def test() -> None:
         async with api_server_testbed() as testbed:
-            testbed.api.faults.pieces, testbed.api.faults.pause_s = 7, 0.0
+            testbed.api.faults.max_write_bytes, testbed.api.faults.write_pause_s = 7, 0.0
             testbed.put("s1", "p1", "p2")
             testbed.follow()
             await wait_until(lambda: len(testbed.states()) == 2)
@@ -120,8 +120,8 @@
             await wait_until(lambda: testbed.states() == {"p1": READY})
             testbed.api.faults.silent = True
             testbed.put("s1", "p1", draining="p1")
-            calls = len(testbed.api.calls)
-            await wait_until(lambda: len(testbed.api.calls) > calls)
+            calls = len(testbed.api.request_targets)
+            await wait_until(lambda: len(testbed.api.request_targets) > calls)
             testbed.api.faults.silent = False
             await wait_until(lambda: testbed.states() == {"p1": DRAINING})
 
@@ -178,7 +178,7 @@
                 find_access(f"https://127.0.0.1:{testbed.port}", "", str(tmp_path / "ca.pem")), pushed=False
             )
             await wait_until(lambda: source.client.problem_count > 0)
-            assert testbed.api.calls == [] and {event.kind for event in testbed.events} == {ListKind.FAILED}
+            assert testbed.api.request_targets == [] and {event.kind for event in testbed.events} == {ListKind.FAILED}
 
     run_bounded(test)
 
--- a/tests/test_slice_sidecar.py
+++ b/tests/test_slice_sidecar.py
@@ -142,7 +142,7 @@
             stop = asyncio.Event()
             components = select_components(operator_settings.parse(operators_toml, {}))
             serving = asyncio.create_task(serve(config, stop, asyncio.Event(), components))
-            await wait_until(lambda: any("watch=true" in call for call in testbed.api.calls))
+            await wait_until(lambda: any("watch=true" in call for call in testbed.api.request_targets))
             reader, writer = await asyncio.open_connection(*config.listen)
             writer.write(request("pay", body=b"b", deadline_ms=1000))
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
