--- a/ryepier/sim/fleet/choosers.py
+++ b/ryepier/sim/fleet/choosers.py
@@ -28,7 +28,7 @@
     return Balancer(settings, seed, now_us)
 
 
-class _Reference:
+class _ReferencePolicy:
     """Sends each request once, to a ready converter, and rejects none."""
 
     def __init__(self, seed: int, converters: Sequence[Converter]) -> None:
@@ -44,18 +44,18 @@
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
         """Send arrivals, apply changes of the list, and ignore everything else."""
         if isinstance(event, api.UpstreamsUpdated):
-            known = set() if event.kind is api.ListKind.FULL else set(self.ready)
+            ready = set() if event.kind is api.ListKind.FULL else set(self.ready)
             for entry in event.upstreams:
-                known.discard(entry.id)
+                ready.discard(entry.id)
                 if entry.state is api.UpstreamState.READY:
-                    known.add(entry.id)
-            self.ready = sorted(known)
+                    ready.add(entry.id)
+            self.ready = sorted(ready)
         if isinstance(event, api.RequestArrived):
             return [api.Send(event.request, self.choose())]
         return []
 
 
-class RandomChoice(_Reference):
+class RandomChoice(_ReferencePolicy):
     """Chooses uniformly at random."""
 
     def choose(self) -> int:
@@ -63,7 +63,7 @@
         return self.random.choice(self.ready)
 
 
-class ShortestQueue(_Reference):
+class ShortestQueue(_ReferencePolicy):
     """Chooses the converter with the fewest requests, which no real sidecar can know."""
 
     def choose(self) -> int:
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -12,26 +12,26 @@
     open: int = 0
     opened: int = 0
     max_open: int = 0
-    open_us: int = 0  # connections times microseconds
-    changed_us: int = 0
+    open_connection_us: int = 0  # connections times microseconds
+    last_change_us: int = 0
 
-    def change(self, now_us: int, by: int) -> None:
+    def record_change(self, now_us: int, delta: int) -> None:
         """Record that `by` connections were opened at `now_us`, or closed if it is negative."""
-        self.open_us += self.open * (now_us - self.changed_us)
-        self.changed_us = now_us
-        self.open += by
-        self.opened += max(0, by)
+        self.open_connection_us += self.open * (now_us - self.last_change_us)
+        self.last_change_us = now_us
+        self.open += delta
+        self.opened += max(0, delta)
         self.max_open = max(self.max_open, self.open)
 
     def reset_counts(self, now_us: int) -> None:
         """Restart the counts at `now_us`; open connections stay open."""
-        self.change(now_us, 0)
-        self.open_us = self.opened = 0
+        self.record_change(now_us, 0)
+        self.open_connection_us = self.opened = 0
         self.max_open = self.open
 
     def mean_open(self, since_us: int, now_us: int) -> float:
         """Return the mean number of open connections since the counts were restarted."""
-        return (self.open_us + self.open * (now_us - self.changed_us)) / max(1, now_us - since_us)
+        return (self.open_connection_us + self.open * (now_us - self.last_change_us)) / max(1, now_us - since_us)
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
         if self.idle_since_us:
             self.idle_since_us.pop(0)
         else:
-            self.counter.change(now_us, 1)
+            self.counter.record_change(now_us, 1)
         self.busy += 1
 
     def release(self, now_us: int, reusable: bool) -> None:
@@ -56,10 +56,10 @@
         if reusable:
             self.idle_since_us.append(now_us)
         else:
-            self.counter.change(now_us, -1)
+            self.counter.record_change(now_us, -1)
 
     def close_idle(self, now_us: int, idle_before_us: int) -> None:
         """Close the connections that have been idle since `idle_before_us` or longer."""
         remaining = [since_us for since_us in self.idle_since_us if since_us > idle_before_us]
-        self.counter.change(now_us, len(remaining) - len(self.idle_since_us))
+        self.counter.record_change(now_us, len(remaining) - len(self.idle_since_us))
         self.idle_since_us = remaining
--- a/ryepier/sim/fleet/converter.py
+++ b/ryepier/sim/fleet/converter.py
@@ -17,7 +17,7 @@
     attempt: int
     work_us: int  # on a warm converter
     received_us: int
-    abandoned: bool = False  # the sidecar has given up on it
+    ended: bool = False  # the sidecar has given up on it
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         """Start and return the next job if a worker is free; abandoned jobs are dropped."""
         while self.queue and len(self.working) < self.workers:
             job = self.queue.popleft()
-            if not job.abandoned:
+            if not job.ended:
                 self.working.append(job)
                 return job
         return None
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -14,7 +14,7 @@
 
 SECOND_US = 1_000_000
 START_US = 1_000 * SECOND_US  # so that no converter's start is before 0
-REFUSED_CONNECTION_US = 200  # until a connection to a converter that is down, or a full one, fails
+REFUSAL_DELAY_US = 200  # until a connection to a converter that is down, or a full one, fails
 IDLE_CHECK_US = SECOND_US
 
 
@@ -50,14 +50,14 @@
     overload_window_us: int = 1_000_000
     outages: tuple[Outage, ...] = ()
 
-    def rate_per_s(self) -> float:
+    def total_rate_per_s(self) -> float:
         """Return the requests per second of the whole fleet."""
         return self.load * self.converters * self.workers * SECOND_US / self.work_us
 
-    def rates_per_s(self) -> list[float]:
+    def sidecar_rates_per_s(self) -> list[float]:
         """Return the requests per second of each sidecar."""
-        parts = [(rank + 1) ** -self.rate_exponent for rank in range(self.sidecars)]
-        return [self.rate_per_s() * part / sum(parts) for part in parts]
+        weights = [(rank + 1) ** -self.rate_exponent for rank in range(self.sidecars)]
+        return [self.total_rate_per_s() * weight / sum(weights) for weight in weights]
 
     def capacity_share(self, age_us: int) -> float:
         """Return the share of its full speed that a converter has `age_us` after its start."""
@@ -111,22 +111,22 @@
         self.requests: list[Request] = []
         self.counted_from_us = START_US
         self._events: list[tuple[int, int, Callable[[], None]]] = []
-        self._number = 0
+        self._event_count = 0
 
-    def at(self, at_us: int, action: Callable[[], None]) -> None:
+    def schedule(self, at_us: int, action: Callable[[], None]) -> None:
         """Schedule an action, after those scheduled earlier for the same time."""
-        self._number += 1
-        heapq.heappush(self._events, (at_us, self._number, action))
+        self._event_count += 1
+        heapq.heappush(self._events, (at_us, self._event_count, action))
 
     def run(self, count_from_us: int = 0) -> None:
         """Run the whole plan; connections are counted from `count_from_us` after the start."""
-        for index, rate_per_s in enumerate(self.plan.rates_per_s()):
+        for index, rate_per_s in enumerate(self.plan.sidecar_rates_per_s()):
             self.deliver(index, self.full_list())
             self.schedule_arrival(index, rate_per_s)
         for outage in self.plan.outages:
             self.schedule_outage(outage)
-        self.at(START_US + IDLE_CHECK_US, self.close_idle)
-        self.at(START_US + count_from_us, self.reset_counts)
+        self.schedule(START_US + IDLE_CHECK_US, self.close_idle)
+        self.schedule(START_US + count_from_us, self.reset_counts)
         end_us = START_US + self.plan.duration_us
         while self._events and self._events[0][0] <= end_us:
             self.now_us, _, action = heapq.heappop(self._events)
@@ -141,31 +141,33 @@
 
     # Sidecars
 
-    def entry(self, converter: Converter, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
+    def endpoint_entry(self, converter: Converter, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
         """Return the converter's entry in the endpoint list."""
         return api.Upstream(converter.ident, state, started_us=converter.started_us)
 
     def full_list(self) -> api.UpstreamsUpdated:
         """Return the full endpoint list."""
-        return api.UpstreamsUpdated(api.ListKind.FULL, [self.entry(one) for one in self.converters if one.up])
+        return api.UpstreamsUpdated(
+            api.ListKind.FULL, [self.endpoint_entry(converter) for converter in self.converters if converter.up]
+        )
 
     def deliver(self, sidecar: int, event: api.Event) -> None:
         """Deliver an event to a sidecar, and carry out its actions."""
         for action in self.sidecars[sidecar].handle(self.now_us, event):
-            self.carry_out(sidecar, action)
+            self.execute(sidecar, action)
 
     def broadcast(self, event: api.Event) -> None:
         """Deliver an event to all sidecars."""
         for index in range(len(self.sidecars)):
             self.deliver(index, event)
 
-    def carry_out(self, sidecar: int, action: api.Action) -> None:
+    def execute(self, sidecar: int, action: api.Action) -> None:
         """Carry out an action as a sidecar does on sockets."""
         if isinstance(action, api.Send):
             self.send(sidecar, action)
         elif isinstance(action, api.SetTimer):
             timer = api.TimerFired(action.token)
-            self.at(max(action.at_us, self.now_us), lambda: self.deliver(sidecar, timer))
+            self.schedule(max(action.at_us, self.now_us), lambda: self.deliver(sidecar, timer))
         elif isinstance(action, api.Reject | api.Fail):
             request = self.requests[action.request]
             request.ended_us = self.now_us
@@ -177,7 +179,7 @@
         """Schedule the next request of a sidecar's clients, whose arrivals are a Poisson process."""
         gap_us = max(1, int(self.random.expovariate(rate_per_s) * SECOND_US))
         work_us = max(1, int(self.random.expovariate(1.0) * self.plan.work_us))
-        self.at(self.now_us + gap_us, lambda: self.arrive(sidecar, rate_per_s, work_us))
+        self.schedule(self.now_us + gap_us, lambda: self.arrive(sidecar, rate_per_s, work_us))
 
     def arrive(self, sidecar: int, rate_per_s: float, work_us: int) -> None:
         """Handle the arrival of a request at a sidecar."""
@@ -185,10 +187,10 @@
         ident = len(self.requests)
         self.requests.append(Request(sidecar, self.now_us, work_us))
         due_us = self.now_us + self.plan.deadline_us
-        self.at(due_us, lambda: self.give_up(ident))
+        self.schedule(due_us, lambda: self.disconnect_client(ident))
         self.deliver(sidecar, api.RequestArrived(ident, due_us))
 
-    def give_up(self, ident: int) -> None:
+    def disconnect_client(self, ident: int) -> None:
         """Disconnect the client, if it still waits."""
         request = self.requests[ident]
         if request.ended_us:
@@ -211,35 +213,39 @@
         job = Job(sidecar, send.request, len(request.jobs), request.work_us, self.now_us)
         request.jobs.append(job)
         if not converter.up:
-            self.at(self.now_us + REFUSED_CONNECTION_US, lambda: self.end(job, converter, api.Outcome.CONNECT_FAILED))
+            self.schedule(
+                self.now_us + REFUSAL_DELAY_US, lambda: self.end_attempt(job, converter, api.Outcome.CONNECT_FAILED)
+            )
             return
         self.pool(sidecar, converter.ident).acquire(self.now_us)
         if not converter.receive(job):
-            self.at(self.now_us + REFUSED_CONNECTION_US, lambda: self.end(job, converter, api.Outcome.REJECTED))
+            self.schedule(
+                self.now_us + REFUSAL_DELAY_US, lambda: self.end_attempt(job, converter, api.Outcome.REJECTED)
+            )
             return
         if send.timeout_us:
-            self.at(self.now_us + send.timeout_us, lambda: self.end(job, converter, api.Outcome.TIMEOUT))
-        self.begin(converter)
+            self.schedule(self.now_us + send.timeout_us, lambda: self.end_attempt(job, converter, api.Outcome.TIMEOUT))
+        self.start_jobs(converter)
 
-    def begin(self, converter: Converter) -> None:
+    def start_jobs(self, converter: Converter) -> None:
         """Start queued jobs on the free workers."""
         while (job := converter.start_next()) is not None:
             work_us = int(job.work_us / self.capacity_share(converter))
-            self.at(self.now_us + work_us, lambda job=job: self.work_done(job, converter))  # type: ignore[misc]
+            self.schedule(self.now_us + work_us, lambda job=job: self.finish_job(job, converter))  # type: ignore[misc]
 
-    def work_done(self, job: Job, converter: Converter) -> None:
+    def finish_job(self, job: Job, converter: Converter) -> None:
         """Finish a job, and start the next."""
         if job not in converter.working:
             return  # lost in an outage
         converter.working.remove(job)
-        self.end(job, converter, api.Outcome.OK)
-        self.begin(converter)
+        self.end_attempt(job, converter, api.Outcome.OK)
+        self.start_jobs(converter)
 
-    def end(self, job: Job, converter: Converter, outcome: api.Outcome) -> None:
+    def end_attempt(self, job: Job, converter: Converter, outcome: api.Outcome) -> None:
         """End an attempt for its sidecar; later ends of the same attempt are ignored."""
-        if job.abandoned:
+        if job.ended:
             return
-        job.abandoned = True
+        job.ended = True
         if outcome is not api.Outcome.CONNECT_FAILED:
             reusable = outcome in (api.Outcome.OK, api.Outcome.REJECTED)
             self.pool(job.sidecar, converter.ident).release(self.now_us, reusable)
@@ -261,34 +267,36 @@
 
     def schedule_outage(self, outage: Outage) -> None:
         """Schedule an outage of random converters."""
-        chosen = self.random.sample(self.converters, outage.converters)
-        self.at(START_US + outage.at_us, lambda: self.go_down(chosen))
-        self.at(START_US + outage.at_us + outage.notice_delay_us, lambda: self.announce_removal(chosen))
-        self.at(START_US + outage.restart_us, lambda: self.restart(chosen))
+        converters = self.random.sample(self.converters, outage.converters)
+        self.schedule(START_US + outage.at_us, lambda: self.stop_converters(converters))
+        self.schedule(START_US + outage.at_us + outage.notice_delay_us, lambda: self.announce_removal(converters))
+        self.schedule(START_US + outage.restart_us, lambda: self.restart_converters(converters))
 
-    def go_down(self, chosen: list[Converter]) -> None:
+    def stop_converters(self, converters: list[Converter]) -> None:
         """Stop converters, and break the connections to them."""
-        for converter in chosen:
+        for converter in converters:
             for job in converter.stop():
-                self.end(job, converter, api.Outcome.RESET)
+                self.end_attempt(job, converter, api.Outcome.RESET)
             for (_, ident), pool in self.pools.items():
                 if ident == converter.ident:
                     pool.close_idle(self.now_us, self.now_us)
 
-    def announce_removal(self, chosen: list[Converter]) -> None:
+    def announce_removal(self, converters: list[Converter]) -> None:
         """Remove converters from the endpoint list."""
-        removed = [self.entry(converter, api.UpstreamState.REMOVED) for converter in chosen]
+        removed = [self.endpoint_entry(converter, api.UpstreamState.REMOVED) for converter in converters]
         self.broadcast(api.UpstreamsUpdated(api.ListKind.DELTA, removed))
 
-    def restart(self, chosen: list[Converter]) -> None:
+    def restart_converters(self, converters: list[Converter]) -> None:
         """Start new processes of converters, and list them."""
-        for converter in chosen:
+        for converter in converters:
             converter.up, converter.started_us = True, self.now_us
-        self.broadcast(api.UpstreamsUpdated(api.ListKind.DELTA, [self.entry(converter) for converter in chosen]))
+        self.broadcast(
+            api.UpstreamsUpdated(api.ListKind.DELTA, [self.endpoint_entry(converter) for converter in converters])
+        )
 
     def close_idle(self) -> None:
         """Close idle connections, and schedule the next check."""
         for pool in self.pools.values():
             if pool.idle_since_us:
                 pool.close_idle(self.now_us, self.now_us - self.plan.idle_us)
-        self.at(self.now_us + IDLE_CHECK_US, self.close_idle)
+        self.schedule(self.now_us + IDLE_CHECK_US, self.close_idle)
--- a/ryepier/sim/link.py
+++ b/ryepier/sim/link.py
@@ -13,7 +13,7 @@
 
 RECEIVE_WINDOW_BYTES = 64 * 1024
 MAX_SEGMENT_BYTES = 1460
-MIN_SPACING_S = 1e-9  # between segments; asyncio's heap has no order among timers due at one instant
+MIN_SEGMENT_SPACING_S = 1e-9  # between segments; asyncio's heap has no order among timers due at one instant
 NETWORK_CONTEXT = contextvars.Context()  # segments in transit run outside any process's context
 Delivery = Callable[[], None]
 
@@ -58,11 +58,11 @@
         self.send_buffer = bytearray()  # written, and beyond the window
         self.received: deque[bytes] = deque()  # segments that have not been read
         self.reader: PipeReader | None = None
-        self.ending = False  # an end follows the send buffer
-        self.ended = False  # the end has been received
+        self.eof_requested = False  # an end follows the send buffer
+        self.has_received_eof = False  # the end has been received
         self._in_flight_bytes = 0
         self._unread_bytes = 0
-        self._end_sent = False
+        self._eof_sent = False
         self._last_arrival_s = 0.0
 
     def write(self, data: bytes) -> None:
@@ -81,17 +81,17 @@
             del self.send_buffer[:size]
             self._in_flight_bytes += size
             self.send(lambda segment=segment: self._receive(segment))  # type: ignore[misc]
-        if self.ending and not self.send_buffer and not self._end_sent:
-            self._end_sent = True
-            self.send(self._receive_end)
+        if self.eof_requested and not self.send_buffer and not self._eof_sent:
+            self._eof_sent = True
+            self.send(self._receive_eof)
 
     def send(self, deliver: Delivery) -> None:
         """Call `deliver` at the other end, after everything that was sent before."""
         loop = self.network.loop
         latency_s = self.network.random.uniform(*self.link.latency_s)
-        at_s = max(self._last_arrival_s + MIN_SPACING_S, loop.now_s + latency_s)
+        at_s = max(self._last_arrival_s + MIN_SEGMENT_SPACING_S, loop.now_s + latency_s)
         self._last_arrival_s = at_s
-        loop.at_run_time(at_s, self._cross_link, deliver, context=NETWORK_CONTEXT)
+        loop.call_at_run_time(at_s, self._cross_link, deliver, context=NETWORK_CONTEXT)
 
     def _cross_link(self, deliver: Delivery) -> None:
         if self.link.partitioned or self.link.delayed:
@@ -107,8 +107,8 @@
         self._unread_bytes += len(segment)
         self.reader.on_data()
 
-    def _receive_end(self) -> None:
-        self.ended = True
+    def _receive_eof(self) -> None:
+        self.has_received_eof = True
         if self.reader is not None:
             self.reader.on_data()
 
--- a/ryepier/sim/loop.py
+++ b/ryepier/sim/loop.py
@@ -11,9 +11,9 @@
 
 from ryepier.errors import RyepierError
 
-MAX_TURNS = 100_000  # of the loop at one instant
+MAX_ITERATIONS_PER_INSTANT = 100_000  # of the loop at one instant
 CLOCK_RESOLUTION_S = 1e-9
-MAX_NAMED_HANDLES = 3  # in an error
+MAX_HANDLES_IN_ERROR = 3  # in an error
 
 
 class NoProgressError(RyepierError):
@@ -44,14 +44,14 @@
         self._clock_resolution = CLOCK_RESOLUTION_S
         self.now_s = 0.0
         self.failures: list[str] = []  # exceptions that no code handled
-        self._turns = 0
+        self._iterations = 0
         self.set_exception_handler(self._record_failure)
 
     def time(self) -> float:
         """Return the virtual time."""
         return self.now_s
 
-    def at_run_time(self, when_s: float, callback: Any, *args: Any, context: contextvars.Context) -> None:
+    def call_at_run_time(self, when_s: float, callback: Any, *args: Any, context: contextvars.Context) -> None:
         """Schedule a callback by the run's own clock, whatever clock the running process has."""
         asyncio.BaseEventLoop.call_at(self, when_s, callback, *args, context=context)
 
@@ -60,17 +60,17 @@
         if timeout is None:
             raise NoProgressError(f"at {self.now_s:.6f} s nothing is due any more, and the run is not over")
         if timeout <= 0:
-            self._turns += 1
-            if self._turns > MAX_TURNS:
-                raise NoProgressError(f"the instant {self.now_s:.6f} s does not end: {self._ready_names()}")
+            self._iterations += 1
+            if self._iterations > MAX_ITERATIONS_PER_INSTANT:
+                raise NoProgressError(f"the instant {self.now_s:.6f} s does not end: {self._ready_callbacks()}")
             return
-        self._turns = 0
+        self._iterations = 0
         scheduled: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
         # take the timer's own time, as a sum of timeouts would be off by a rounding error
         self.now_s = max(self.now_s, scheduled[0].when()) if scheduled else self.now_s + timeout
 
-    def _ready_names(self) -> str:
-        ready = list(self._ready)[:MAX_NAMED_HANDLES]  # type: ignore[attr-defined]
+    def _ready_callbacks(self) -> str:
+        ready = list(self._ready)[:MAX_HANDLES_IN_ERROR]  # type: ignore[attr-defined]
         return ", ".join(repr(handle) for handle in ready)
 
     def _record_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/ryepier/sim/network.py
+++ b/ryepier/sim/network.py
@@ -10,7 +10,7 @@
 from ryepier.sim.sockets import Address, SimSocket
 from ryepier.sim.transport import SimTransport
 
-EPHEMERAL_PORT = 40_000  # the first one is the next
+EPHEMERAL_PORT_BASE = 40_000  # the first one is the next
 DEFAULT_SPLIT_SHARE = 0.1
 
 
@@ -54,13 +54,13 @@
         self.listeners: dict[Address, SimSocket] = {}
         self.links: dict[tuple[str, str], Link] = {}  # by source and target host
         self.sockets: list[SimSocket] = []  # that are open
-        self._last_port = EPHEMERAL_PORT
+        self._last_port = EPHEMERAL_PORT_BASE
 
     def kill(self, process: str) -> None:
         """Close the sockets of a process as its kernel does, without telling its code."""
         for sock in [sock for sock in self.sockets if sock.process == process]:
             if isinstance(sock.transport, SimTransport):
-                sock.transport.lost = sock.transport.closing = True
+                sock.transport.closed = sock.transport.closing = True
                 if sock.outbound is not None:
                     sock.outbound.send_buffer.clear()
             sock.close()
@@ -99,29 +99,29 @@
     async def connect(self, sock: SimSocket, address: Address, source: str = "127.0.0.1") -> None:
         """Connect a socket. Raises ConnectionRefusedError; never returns if the backlog is full or the link
         partitioned."""
-        outward, back = self.link(source, address[0]), self.link(address[0], source)
+        forward, reverse = self.link(source, address[0]), self.link(address[0], source)
         connected: asyncio.Future[None] = self.loop.create_future()
         sock.local_address, sock.peer_address = (source, self._next_port()), address
-        Pipe(self, outward).send(lambda: self._on_syn(sock, address, outward, back, connected))
+        Pipe(self, forward).send(lambda: self._on_syn(sock, address, forward, reverse, connected))
         await connected
 
     def _on_syn(
-        self, sock: SimSocket, address: Address, outward: Link, back: Link, connected: asyncio.Future[None]
+        self, sock: SimSocket, address: Address, forward: Link, reverse: Link, connected: asyncio.Future[None]
     ) -> None:
         """Handle a connection request at its target: establish, refuse, or drop it."""
-        listener, reply = self.listeners.get(address), Pipe(self, back)
+        listener, reply = self.listeners.get(address), Pipe(self, reverse)
         if listener is None:
             reply.send(lambda: _complete(connected, ConnectionRefusedError(f"refused by {address}")))
             return
         if len(listener.pending) >= listener.backlog or sock.closed:
             return
-        other = SimSocket(self)
-        other.process = listener.process
-        other.local_address, other.peer_address = address, sock.local_address
-        sock.peer_socket, other.peer_socket = other, sock
-        sock.outbound = other.inbound = Pipe(self, outward)
-        sock.inbound = other.outbound = Pipe(self, back)
-        sock.inbound.reader, other.inbound.reader = sock, other
-        listener.pending.append(other)
+        accepted = SimSocket(self)
+        accepted.process = listener.process
+        accepted.local_address, accepted.peer_address = address, sock.local_address
+        sock.peer_socket, accepted.peer_socket = accepted, sock
+        sock.outbound = accepted.inbound = Pipe(self, forward)
+        sock.inbound = accepted.outbound = Pipe(self, reverse)
+        sock.inbound.reader, accepted.inbound.reader = sock, accepted
+        listener.pending.append(accepted)
         listener.on_data()
         reply.send(lambda: _complete(connected))
--- a/ryepier/sim/process.py
+++ b/ryepier/sim/process.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Suspended:
+class SuspendedCallbacks:
     """What a suspended process has to do once it is resumed: first what was ready, in its order."""
 
     ready: list[Any] = field(default_factory=list)
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -14,7 +14,7 @@
 from ryepier.sidecar import system
 from ryepier.sim.loop import NoProgressError, VirtualLoop
 from ryepier.sim.network import Network, SimServer
-from ryepier.sim.process import CURRENT_PROCESS, Clocks, Suspended
+from ryepier.sim.process import CURRENT_PROCESS, Clocks, SuspendedCallbacks
 from ryepier.sim.sockets import SimSocket
 from ryepier.sim.transport import SimTransport
 
@@ -51,19 +51,19 @@
         self.network = Network(self, seed)
         self.clocks: dict[str, Clocks] = {}  # of processes whose clocks differ from the run's
         self._readers: dict[int, SimSocket] = {}
-        self._dead: set[str] = set()  # killed processes
+        self._killed: set[str] = set()  # killed processes
         # Tasks of killed processes are kept: collecting them would run their `finally` blocks at a time that depends on
         # the garbage collector, and runs would differ.
-        self._dead_tasks: list[set[asyncio.Task[Any]]] = []
-        self._suspended: dict[str, Suspended] = {}
+        self._retained_tasks: list[set[asyncio.Task[Any]]] = []
+        self._suspended: dict[str, SuspendedCallbacks] = {}
 
     # Processes
 
     def kill(self, process: str) -> None:
         """End a process: none of its callbacks, timers and tasks runs again."""
         self._suspended.pop(process, None)
-        self._dead.add(process)
-        self._dead_tasks.append(asyncio.all_tasks(self))
+        self._killed.add(process)
+        self._retained_tasks.append(asyncio.all_tasks(self))
         for handle in [*self._scheduled, *self._ready]:  # type: ignore[attr-defined]
             if _process_of(handle) == process:
                 handle.cancel()
@@ -71,12 +71,12 @@
 
     def suspend(self, process: str) -> None:
         """Suspend a process, as SIGSTOP does: data for it stays in the kernel's buffers, and time passes."""
-        suspended = self._suspended.setdefault(process, Suspended())
+        suspended = self._suspended.setdefault(process, SuspendedCallbacks())
         ready: Any = self._ready  # type: ignore[attr-defined]
         for handle in [handle for handle in ready if _process_of(handle) == process]:
             ready.remove(handle)
             suspended.ready.append(handle)
-        suspended.timers += self._take_timers(process)
+        suspended.timers += self._remove_timers(process)
 
     def resume(self, process: str) -> None:
         """Resume a process with everything that has become due; does nothing if it was killed meanwhile."""
@@ -84,35 +84,35 @@
         if suspended is None:
             return
         self._ready.extend(suspended.ready)  # type: ignore[attr-defined]
-        self._put_timers(suspended.timers)
+        self._reschedule_timers(suspended.timers)
 
     def set_rate(self, process: str, rate: float) -> None:
         """Let a process's clocks run at `rate` times the speed of the run's from now on."""
         clocks = self.clocks.setdefault(process, Clocks())
-        timers = self._take_timers(process)
-        due = [clocks.process_time_s(handle._when) for handle in timers]
+        timers = self._remove_timers(process)
+        due_process_s = [clocks.process_time_s(handle._when) for handle in timers]
         clocks.set_rate(self.now_s, rate)
-        for handle, process_s in zip(timers, due, strict=True):
+        for handle, process_s in zip(timers, due_process_s, strict=True):
             handle._when = clocks.run_time_s(process_s)
-        self._put_timers(timers)
+        self._reschedule_timers(timers)
 
     def shift_wall_clock(self, process: str, by_s: float) -> None:
         """Set a process's wall clock forward or back."""
         self.clocks.setdefault(process, Clocks()).wall_offset_s += by_s
 
-    def _take_timers(self, process: str) -> list[Any]:
+    def _remove_timers(self, process: str) -> list[Any]:
         """Remove a process's timers from the schedule, and return them by their times."""
         scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
-        taken = [handle for handle in scheduled if _process_of(handle) == process and not handle._cancelled]
-        if taken:
-            ids = set(map(id, taken))
+        timers = [handle for handle in scheduled if _process_of(handle) == process and not handle._cancelled]
+        if timers:
+            ids = set(map(id, timers))
             scheduled[:] = [handle for handle in scheduled if id(handle) not in ids]
             heapq.heapify(scheduled)
-            for handle in taken:
+            for handle in timers:
                 handle._scheduled = False  # so that asyncio does not count it if it is cancelled
-        return sorted(taken, key=lambda handle: float(handle._when))
+        return sorted(timers, key=lambda handle: float(handle._when))
 
-    def _put_timers(self, timers: list[Any]) -> None:
+    def _reschedule_timers(self, timers: list[Any]) -> None:
         scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
         for handle in timers:
             if not handle._cancelled:
@@ -141,8 +141,8 @@
         if self.is_closed():  # the run is over, and objects of a killed process are being collected
             return asyncio.Handle(callback, args, self, context)
         handle = super().call_soon(callback, *args, context=context)
-        process = _process_of(handle) if self._dead or self._suspended else ""
-        if process in self._dead:
+        process = _process_of(handle) if self._killed or self._suspended else ""
+        if process in self._killed:
             handle.cancel()
         elif process in self._suspended:
             self._ready.pop()  # type: ignore[attr-defined]
@@ -157,7 +157,7 @@
         if clocks is not None:
             when = clocks.run_time_s(when)
         handle = super().call_at(when, callback, *args, context=context)
-        if self._dead and _process_of(handle) in self._dead:
+        if self._killed and _process_of(handle) in self._killed:
             handle.cancel()
         return handle
 
@@ -177,11 +177,11 @@
             except asyncio.CancelledError:
                 sock.close()
                 raise
-        return await self._connected(sock, protocol_factory)
+        return await self._open_connection(sock, protocol_factory)
 
     async def connect_accepted_socket(self, protocol_factory: Any, sock: Any, **options: Any) -> Any:
         """Make a connection of an accepted socket."""
-        return await self._connected(sock, protocol_factory)
+        return await self._open_connection(sock, protocol_factory)
 
     async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
         """Listen on the simulated network."""
@@ -201,10 +201,10 @@
         self.call_soon(transport.start)
         return _Connection(transport, protocol)
 
-    async def _connected(self, sock: SimSocket, factory: ProtocolFactory) -> Any:
-        made = self._make_connection(sock, factory)
+    async def _open_connection(self, sock: SimSocket, factory: ProtocolFactory) -> Any:
+        connection = self._make_connection(sock, factory)
         await asyncio.sleep(0)
-        return made.transport, made.protocol
+        return connection.transport, connection.protocol
 
     # Listeners that are read directly, as by the sidecar's front
 
--- a/ryepier/sim/sockets.py
+++ b/ryepier/sim/sockets.py
@@ -95,7 +95,7 @@
         assert self.inbound is not None
         if self.inbound.received:
             return self.inbound.received[0][:size]
-        if self.inbound.ended:
+        if self.inbound.has_received_eof:
             return b""
         raise BlockingIOError
 
@@ -118,13 +118,13 @@
             if self.inbound.received or self._resets_on_close:
                 self._send_reset(self.outbound)
             else:
-                self.outbound.ending = True
+                self.outbound.eof_requested = True
                 self.outbound.push()
 
     def _close_listener(self) -> None:
         self.network.listeners.pop(self.local_address, None)
-        for waiting in self.pending:
-            waiting.close()
+        for connection in self.pending:
+            connection.close()
 
     def _send_reset(self, outbound: Pipe) -> None:
         if self.peer_socket is not None:
--- a/ryepier/sim/transport.py
+++ b/ryepier/sim/transport.py
@@ -23,7 +23,7 @@
         self.sock = sock
         self.loop = sock.network.loop
         self.closing = False
-        self.lost = False
+        self.closed = False
         self._protocol = protocol
         self._high_water_bytes = HIGH_WATER_BYTES
         self._reading_paused = False
@@ -56,7 +56,7 @@
 
     def schedule_read(self) -> None:
         """Read at the loop's next turn."""
-        if not self._read_scheduled and not self._reading_paused and not self.lost:
+        if not self._read_scheduled and not self._reading_paused and not self.closed:
             self._read_scheduled = True
             self.loop.call_soon(self._read, context=self._context)
 
@@ -64,12 +64,12 @@
         self._read_scheduled = False
         pipe, protocol = self.sock.inbound, self._protocol
         assert pipe is not None and isinstance(protocol, asyncio.Protocol)
-        if self._reading_paused or self.lost or self.closing:
+        if self._reading_paused or self.closed or self.closing:
             return
         if pipe.received:
             protocol.data_received(pipe.read())
             self.schedule_read()
-        elif pipe.ended and not self._eof_delivered:
+        elif pipe.has_received_eof and not self._eof_delivered:
             self._eof_delivered = True
             if not protocol.eof_received():
                 self.close()
@@ -91,18 +91,18 @@
 
     def write(self, data: Any) -> None:
         """Send data. Raises RuntimeError after `write_eof`."""
-        if self.lost or self.closing or not data:
+        if self.closed or self.closing or not data:
             return
-        if self._outbound.ending:
+        if self._outbound.eof_requested:
             raise RuntimeError("write after the end")
-        if self.sock.peer_socket is not None and self.sock.peer_socket.closed and self._has_received_end():
+        if self.sock.peer_socket is not None and self.sock.peer_socket.closed and self._has_received_eof():
             self.sock.on_reset()  # the other end answers data for a closed connection with a reset
             return
         self._outbound.write(bytes(data))
         self._pause_writing_if_full()
 
-    def _has_received_end(self) -> bool:
-        return self.sock.inbound is not None and self.sock.inbound.ended
+    def _has_received_eof(self) -> bool:
+        return self.sock.inbound is not None and self.sock.inbound.has_received_eof
 
     def _pause_writing_if_full(self) -> None:
         if len(self._outbound.send_buffer) > self._high_water_bytes and not self._writing_paused:
@@ -111,7 +111,7 @@
             self.loop.call_later(DRAIN_POLL_S, self._resume_writing_if_drained)
 
     def _resume_writing_if_drained(self) -> None:
-        if self.lost or not self._writing_paused:
+        if self.closed or not self._writing_paused:
             return
         if len(self._outbound.send_buffer) <= self._high_water_bytes // LOW_WATER_DIVISOR:
             self._writing_paused = False
@@ -125,8 +125,8 @@
 
     def write_eof(self) -> None:
         """Half-close the connection after the data written so far."""
-        if not self._outbound.ending:
-            self._outbound.ending = True
+        if not self._outbound.eof_requested:
+            self._outbound.eof_requested = True
             self._outbound.push()
 
     def get_write_buffer_size(self) -> int:
@@ -141,7 +141,7 @@
 
     def is_closing(self) -> bool:
         """Return whether the connection is closed or being closed."""
-        return self.closing or self.lost
+        return self.closing or self.closed
 
     def close(self) -> None:
         """Close after the data written so far has been sent."""
@@ -158,8 +158,8 @@
 
     def lose_connection(self, error: Exception | None) -> None:
         """Close the socket, and call the protocol's `connection_lost`."""
-        if self.lost:
+        if self.closed:
             return
-        self.lost = self.closing = True
+        self.closed = self.closing = True
         self.sock.close()
         self.loop.call_soon(self._protocol.connection_lost, error, context=self._context)
--- a/tests/sim_trace.py
+++ b/tests/sim_trace.py
@@ -57,8 +57,8 @@
         )
         self.config.listen, self.config.discovery = ("10.2.0.1", 80), DISCOVERY
 
-    def record(self, *what: object) -> None:
-        self.trace.update(repr((round(self.loop.time() * 1e9), *what)).encode())
+    def record(self, *details: object) -> None:
+        self.trace.update(repr((round(self.loop.time() * 1e9), *details)).encode())
 
     async def serve_converter(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -76,26 +76,26 @@
     async def serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        first = endpoint_list(*(target(number) for number in range(1, 5)))
-        for after_s, lines in (
-            (0.0, first),
+        initial_list = endpoint_list(*(target(number) for number in range(1, 5)))
+        for delay_s, update in (
+            (0.0, initial_list),
             (1.0, endpoint_list(target(2, "leaving"), rev=2, full=False)),
             (2.0, None),
             (4.0, None),
         ):
-            await asyncio.sleep(after_s)
-            data = (json.dumps(lines) if lines else "").encode() + b"\n"
+            await asyncio.sleep(delay_s)
+            data = (json.dumps(update) if update else "").encode() + b"\n"
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     async def send_request(self, number: int) -> None:
         await asyncio.sleep(0.3 + self.random.uniform(0, 3.0))
         reader, writer = await asyncio.open_connection(*self.config.listen)
-        kind, method = (("look", "GET"), ("pay", "POST"))[number % 2]
+        class_name, method = (("look", "GET"), ("pay", "POST"))[number % 2]
         body = b"" if method == "GET" else b"b"
         length = f"Content-Length: {len(body)}\r\n" if body else ""
         writer.write(
-            f"{method} /{kind}/{number} HTTP/1.1\r\nHost: x\r\nX-Request-Id: r{number}\r\nX-Class: {kind}\r\n"
-            f"X-Deadline-Ms: 1000\r\n{length}\r\n".encode()
+            f"{method} /{class_name}/{number} HTTP/1.1\r\nHost: x\r\nX-Request-Id: r{number}\r\n"
+            f"X-Class: {class_name}\r\nX-Deadline-Ms: 1000\r\n{length}\r\n".encode()
             + body
         )
         head = await reader.readuntil(b"\r\n\r\n")
@@ -114,18 +114,18 @@
         await serving
 
 
-def play(seed: int, folder: Path) -> str:
-    plays: list[Scenario] = []
+def run_scenario(seed: int, folder: Path) -> str:
+    scenarios: list[Scenario] = []
 
     async def main(loop: SimLoop) -> None:
-        plays.append(Scenario(loop, seed, folder))
-        await plays[0].main()
+        scenarios.append(Scenario(loop, seed, folder))
+        await scenarios[0].main()
 
     simulate(seed, main)
-    return f"{seed} {plays[0].trace.hexdigest()[:32]} {plays[0].served}"
+    return f"{seed} {scenarios[0].trace.hexdigest()[:32]} {scenarios[0].served}"
 
 
 if __name__ == "__main__":
-    with tempfile.TemporaryDirectory() as name:
-        for text in sys.argv[1:]:
-            print(play(int(text), Path(name)), flush=True)
+    with tempfile.TemporaryDirectory() as folder_name:
+        for seed_text in sys.argv[1:]:
+            print(run_scenario(int(seed_text), Path(folder_name)), flush=True)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -24,7 +24,7 @@
 ADDRESS = ("10.0.0.1", 80)
 
 
-def reading(writer: asyncio.StreamWriter) -> asyncio.Transport:
+def readable_transport(writer: asyncio.StreamWriter) -> asyncio.Transport:
     """The transport, which can be paused."""
     assert isinstance(writer.transport, asyncio.Transport)
     return writer.transport
@@ -36,7 +36,7 @@
     return await asyncio.open_connection(*ADDRESS)
 
 
-def test_hours_pass_at_once_and_timers_fire_in_order() -> None:
+def test_virtual_time_skips_idle_hours_and_timers_fire_in_order() -> None:
     async def main(loop: SimLoop) -> list[float]:
         observed: list[float] = []
         for after_s in (7200.0, 0.5, 3600.0):
@@ -44,19 +44,19 @@
         await asyncio.sleep(10_000)
         return observed
 
-    begun = time.monotonic()
+    started_s = time.monotonic()
     assert simulate(1, main) == [0.5, 3600.0, 7200.0]
-    assert time.monotonic() - begun < 5
+    assert time.monotonic() - started_s < 5
 
 
 def test_segments_arrive_in_order_and_a_half_close_leaves_the_other_direction_open() -> None:
     async def main(loop: SimLoop) -> tuple[bytes, bytes]:
         loop.network.split_share = 1.0
-        got = b""
+        received = b""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal got
-            got = await reader.read()
+            nonlocal received
+            received = await reader.read()
             writer.write(b"bye" * 10)
             writer.close()
 
@@ -64,10 +64,10 @@
         for number in range(500):
             writer.write(b"%d," % number)
         writer.write_eof()
-        return await reader.read(), got
+        return await reader.read(), received
 
-    reply, got = simulate(3, main)
-    assert reply == b"bye" * 10 and got == b"".join(b"%d," % number for number in range(500))
+    reply, received = simulate(3, main)
+    assert reply == b"bye" * 10 and received == b"".join(b"%d," % number for number in range(500))
 
 
 def test_closing_with_unread_data_is_a_reset_and_otherwise_an_end() -> None:
@@ -78,7 +78,7 @@
             async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, unread: bool = unread) -> None:
                 if not unread:
                     await reader.readexactly(2 * RECEIVE_WINDOW_BYTES)
-                reading(writer).pause_reading()
+                readable_transport(writer).pause_reading()
                 await asyncio.sleep(1.0)
                 writer.transport.abort()
 
@@ -142,9 +142,9 @@
 def test_a_full_receive_window_holds_back_the_sender() -> None:
     async def main(loop: SimLoop) -> tuple[int, bool]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            reading(writer).pause_reading()
+            readable_transport(writer).pause_reading()
             await asyncio.sleep(100)
-            reading(writer).resume_reading()
+            readable_transport(writer).resume_reading()
             await reader.readexactly(10 * RECEIVE_WINDOW_BYTES)
 
         _, writer = await serve_and_connect(serve)
@@ -159,26 +159,26 @@
 
 
 def test_a_run_without_progress_or_with_an_unhandled_failure_raises() -> None:
-    async def nothing_due(loop: SimLoop) -> None:
+    async def nothing_scheduled(loop: SimLoop) -> None:
         await loop.create_future()
 
-    async def one_instant(loop: SimLoop) -> None:
-        def again() -> None:
-            loop.call_soon(again)
+    async def endless_instant(loop: SimLoop) -> None:
+        def reschedule_now() -> None:
+            loop.call_soon(reschedule_now)
 
-        again()
+        reschedule_now()
         await asyncio.sleep(1)
 
-    async def fails(loop: SimLoop) -> None:
+    async def failing_timer(loop: SimLoop) -> None:
         loop.call_later(1, lambda: 1 // 0)
         await asyncio.sleep(2)
 
     with pytest.raises(NoProgressError, match="nothing is due"):
-        simulate(1, nothing_due)
-    with pytest.raises(NoProgressError, match=r"does not end.*again"):
-        simulate(1, one_instant)
+        simulate(1, nothing_scheduled)
+    with pytest.raises(NoProgressError, match=r"does not end.*reschedule_now"):
+        simulate(1, endless_instant)
     with pytest.raises(SimulationError, match=r"1.000000 s.*ZeroDivisionError"):
-        simulate(1, fails)
+        simulate(1, failing_timer)
 
 
 TRACE = [sys.executable, "-m", "tests.sim_trace"]
@@ -187,7 +187,7 @@
 
 def trace(seeds: str, hash_seed: str) -> list[str]:
     """A line a seed: the hash of all that was said on the wire, and when; and how many were served."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [*TRACE, *seeds.split()],
         cwd=ROOT,
         capture_output=True,
@@ -195,8 +195,8 @@
         timeout=120,
         env=os.environ | {"PYTHONHASHSEED": hash_seed},
     )
-    assert done.returncode == 0, done.stderr[-2000:]
-    return done.stdout.splitlines()
+    assert completed.returncode == 0, completed.stderr[-2000:]
+    return completed.stdout.splitlines()
 
 
 def test_the_real_sidecar_behaves_identically_in_every_process() -> None:
@@ -210,7 +210,7 @@
 # Processes
 
 
-def started(loop: SimLoop, process: str, work: Awaitable[None]) -> asyncio.Task[None]:
+def start_process(loop: SimLoop, process: str, work: Awaitable[None]) -> asyncio.Task[None]:
     """A process of its own."""
     context = contextvars.copy_context()
     context.run(CURRENT_PROCESS.set, process)
@@ -234,7 +234,7 @@
                 await asyncio.sleep(0.5)
                 observed.append((round(loop.now_s, 1), f"timer {number}"))
 
-        started(loop, "one", work())
+        start_process(loop, "one", work())
         await asyncio.sleep(0.7)
         loop.suspend("one")
         _, writer = await asyncio.open_connection(*ADDRESS)  # the kernel takes it all the same
@@ -256,7 +256,7 @@
             await asyncio.sleep(1.0)
             observed.append("went on")
 
-        started(loop, "one", work())
+        start_process(loop, "one", work())
         await asyncio.sleep(0.5)
         loop.suspend("one")
         loop.kill("one")
@@ -276,7 +276,7 @@
                 await asyncio.sleep(2.0)
                 observed.append((round(loop.now_s, 3), round(system.monotonic(), 3)))
 
-        started(loop, "one", work())
+        start_process(loop, "one", work())
         await asyncio.sleep(1.0)
         loop.set_rate("one", 2.0)
         await asyncio.sleep(5.0)
@@ -289,18 +289,18 @@
 def test_a_shifted_wall_clock_affects_one_process_and_leaves_its_monotonic_clock() -> None:
     async def main(loop: SimLoop) -> list[tuple[float, float]]:
         observed: list[tuple[float, float]] = []
-        begun_ns = system.unix_ns()
+        start_ns = system.unix_ns()
 
         async def work() -> None:
             for _ in range(2):
-                observed.append((round((system.unix_ns() - begun_ns) / 1e9, 3), round(system.monotonic(), 3)))
+                observed.append((round((system.unix_ns() - start_ns) / 1e9, 3), round(system.monotonic(), 3)))
                 await asyncio.sleep(1.0)
 
-        started(loop, "one", work())
+        start_process(loop, "one", work())
         await asyncio.sleep(0.5)
         loop.shift_wall_clock("one", -3600.0)
         await asyncio.sleep(2.0)
-        assert round((system.unix_ns() - begun_ns) / 1e9, 3) == 2.5
+        assert round((system.unix_ns() - start_ns) / 1e9, 3) == 2.5
         return observed
 
     assert simulate(1, main) == [(0.0, 0.0), (-3599.0, 1.0)]
