--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -110,7 +110,7 @@
             sent.request,
             self.renaming[sent.upstream],
             sent.written,
-            sent.over,
+            sent.ended,
             sent.outcome.value if sent.outcome is not None else "",
             self.age(sent.at_us),
         )
@@ -153,14 +153,14 @@
         return repr(self.environment() + self.code_under_test())
 
 
-def digest(state: ModelState, allowed: list[Renaming]) -> bytes:
+def digest(state: ModelState, permutations: list[Renaming]) -> bytes:
     """Return a digest that is the same for states that are equal under one of the renamings."""
-    texts = (_View(state, renaming).text() for renaming in allowed)
+    texts = (_View(state, renaming).text() for renaming in permutations)
     return hashlib.blake2b(min(texts).encode(), digest_size=DIGEST_BYTES).digest()
 
 
 @functools.cache
 def digester(model: Model) -> Digest:
     """Return the function that computes the digests of a model's states."""
-    allowed = list(renamings(model))
-    return lambda state: digest(state, allowed)
+    permutations = list(renamings(model))
+    return lambda state: digest(state, permutations)
--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -53,13 +53,13 @@
 
 def successors(model: Model, path: Steps) -> Iterator[tuple[Steps, ModelState]]:
     """Yield each path that is one step longer, with its state; a step with random draws, once for each result."""
-    for step in replay(model, path).steps():
+    for step in replay(model, path).enabled_steps():
         pending = [step]
         while pending:
             candidate = pending.pop()
             state = replay(model, path)
             try:
-                state.do(candidate)
+                state.apply(candidate)
             except UndecidedDraw as draw:
                 pending += [replace(candidate, draws=(*candidate.draws, result)) for result in range(draw.choices)]
                 continue
@@ -69,17 +69,17 @@
 def expand(model: Model, path: Steps) -> Expansion:
     """Return a path's successors, up to the first that violates a rule."""
     expansion, digest = Expansion(), digester(model)
-    for longer, state in successors(model, path):
+    for longer_path, state in successors(model, path):
         expansion.transitions += 1
-        has_ended = not state.violations and not state.steps()
+        has_ended = not state.violations and not state.enabled_steps()
         if has_ended:
             expansion.terminal_states += 1
             state.settle()
         if state.violations:
-            expansion.violation, expansion.path = state.violations[0], longer
+            expansion.violation, expansion.path = state.violations[0], longer_path
             return expansion
         if not has_ended:
-            expansion.children.append((digest(state), longer))
+            expansion.children.append((digest(state), longer_path))
     return expansion
 
 
@@ -130,12 +130,12 @@
         if checkpoint is not None and checkpoint.exists():
             self.seen, self.frontier, self.progress = load(checkpoint, model)
         self._seconds_before = self.progress.seconds
-        self._began_s = time.monotonic()
+        self._start_s = time.monotonic()
 
     @property
     def elapsed_s(self) -> float:
         """The time since this process began to explore."""
-        return time.monotonic() - self._began_s
+        return time.monotonic() - self._start_s
 
     def can_continue(self) -> bool:
         """Return whether there is a further level to explore."""
--- a/ryepier/check/invariants.py
+++ b/ryepier/check/invariants.py
@@ -22,9 +22,9 @@
 ) -> Iterator[Violation]:
     """Yield what an attempt violates that has just been sent, and is not among the client's yet."""
     for earlier in client.attempts:
-        if not earlier.over:
+        if not earlier.ended:
             yield Violation(Rule.TOGETHER, f"attempt {sent.number} while {earlier.number} is out")
-        elif earlier.may_have_run() and not _may_repeat(model, client.kind, earlier, sent):
+        elif earlier.may_have_run() and not _may_repeat(model, client.request_class, earlier, sent):
             yield Violation(Rule.RESEND, f"attempt {sent.number} after {earlier.number}, which may have run")
     if len(client.attempts) >= model.max_attempts:
         yield Violation(Rule.ATTEMPTS, f"attempt {len(client.attempts) + 1} of at most {model.max_attempts}")
@@ -35,13 +35,16 @@
         yield Violation(Rule.DRAIN, text)
 
 
-def _may_repeat(model: Model, kind: api.RequestClass, earlier: SentAttempt, later: SentAttempt) -> bool:
+def _may_repeat(model: Model, request_class: api.RequestClass, earlier: SentAttempt, later: SentAttempt) -> bool:
     """Return whether an attempt may follow one that may have run."""
-    if kind.idempotency == api.Idempotency.IDEMPOTENT:
+    if request_class.idempotency == api.Idempotency.IDEMPOTENT:
         return True
-    if kind.idempotency == api.Idempotency.NON_IDEMPOTENT or later.at_us - earlier.at_us >= kind.idempotency_window_us:
+    if (
+        request_class.idempotency == api.Idempotency.NON_IDEMPOTENT
+        or later.at_us - earlier.at_us >= request_class.idempotency_window_us
+    ):
         return False
-    if kind.idempotency_scope == api.IdempotencyScope.ALL:
+    if request_class.idempotency_scope == api.IdempotencyScope.ALL:
         return True
     return model.failure_domain(earlier.upstream) == model.failure_domain(later.upstream)
 
@@ -53,17 +56,18 @@
     if client.disconnected:
         yield Violation(Rule.ANSWERS, f"request {number} is answered though its client has gone")
     may_have_run = any(attempt.may_have_run() for attempt in client.attempts)
-    if answer.outcome is FinalOutcome.REJECTED and may_have_run and not _is_harmless_anywhere(client.kind):
+    if answer.outcome is FinalOutcome.REJECTED and may_have_run and not _is_always_repeatable(client.request_class):
         yield Violation(Rule.REFUSED, f"request {number} is refused, and an attempt may have run")
     was_served = any(attempt.outcome is api.Outcome.OK for attempt in client.attempts)
     if answer.outcome is FinalOutcome.SERVED and not was_served:
         yield Violation(Rule.ANSWERS, f"request {number} is served, and no converter did it")
 
 
-def _is_harmless_anywhere(kind: api.RequestClass) -> bool:
+def _is_always_repeatable(request_class: api.RequestClass) -> bool:
     """Return whether a client may repeat a request whatever became of it."""
-    return kind.idempotency == api.Idempotency.IDEMPOTENT or (
-        kind.idempotency_scope == api.IdempotencyScope.ALL and kind.idempotency == api.Idempotency.IDEMPOTENCY_KEY
+    return request_class.idempotency == api.Idempotency.IDEMPOTENT or (
+        request_class.idempotency_scope == api.IdempotencyScope.ALL
+        and request_class.idempotency == api.Idempotency.IDEMPOTENCY_KEY
     )
 
 
@@ -73,8 +77,8 @@
     """Yield what a state violates."""
     yield from _violations_of_slots(dispatcher.balancer)
     for number, client in enumerate(clients):
-        opened = dispatcher.requests.get(client.ident)
-        yield from _violations_of_request(dispatcher.balancer, opened, number, client, now_us)
+        open_request = dispatcher.requests.get(client.ident)
+        yield from _violations_of_request(dispatcher.balancer, open_request, number, client, now_us)
 
 
 def _violations_of_slots(balancer: Balancer) -> Iterator[Violation]:
@@ -86,14 +90,14 @@
 
 
 def _violations_of_request(
-    balancer: Balancer, opened: OpenRequest | None, number: int, client: ClientRequestState, now_us: int
+    balancer: Balancer, open_request: OpenRequest | None, number: int, client: ClientRequestState, now_us: int
 ) -> Iterator[Violation]:
     if client.waiting and now_us > client.due_us + ANSWER_SLACK_US:
         yield Violation(Rule.IN_TIME, f"request {number} has no answer, and its time is out")
     given_up = client.ident not in balancer.requests or balancer.requests[client.ident].done
     if client.waiting and given_up:
         yield Violation(Rule.AT_ONCE, f"request {number} was given up, and its client was told nothing")
-    if opened is None and any(not attempt.over for attempt in client.attempts):
+    if open_request is None and any(not attempt.ended for attempt in client.attempts):
         yield Violation(Rule.LEAK, f"request {number} is forgotten with an attempt out")
 
 
--- a/ryepier/check/model.py
+++ b/ryepier/check/model.py
@@ -74,13 +74,13 @@
     """What the environment does in a step. The values are written to files and charts."""
 
     ARRIVE = "arrive"  # a request arrives
-    LEAVE = "leave"  # a client disconnects
+    DISCONNECT = "leave"  # a client disconnects
     CONNECTED = "up"  # an attempt's connection is established, and the request written
     CONNECT_FAILED = "fail"
     ANSWER = "answer"  # a converter answers an attempt
     DRAIN = "drain"  # a converter is listed as draining
     REMOVE = "gone"  # a draining converter is removed from the list
-    RETURN = "back"  # a removed converter is listed again
+    RELIST = "back"  # a removed converter is listed again
     UNLIST = "unlist"  # a full list omits a converter
     ADVANCE_TIME = "tick"  # time passes until something is due
     FIRE_TIMER = "fire"
--- a/ryepier/check/models.py
+++ b/ryepier/check/models.py
@@ -7,8 +7,8 @@
 from ryepier.check.model import CLASSES, Model
 
 PAIRS = [
-    Model(f"pair-{one}-{other}", 2, (one, other), max_attempts=2)
-    for one, other in itertools.combinations_with_replacement(CLASSES, 2)
+    Model(f"pair-{first}-{second}", 2, (first, second), max_attempts=2)
+    for first, second in itertools.combinations_with_replacement(CLASSES, 2)
 ]
 SINGLES = [
     Model(f"one-{name}", 2, (name,), max_attempts=3, list_changes=2, client_disconnects=1, connects_first=True)
--- a/ryepier/check/observations.py
+++ b/ryepier/check/observations.py
@@ -8,7 +8,7 @@
 from ryepier.balancer import interface as api
 from ryepier.sidecar.requests import AttemptResult, FinalAnswer
 
-NEVER_RAN = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+NOT_EXECUTED = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 
 
 @dataclass(slots=True)
@@ -21,23 +21,23 @@
     on_end: Callable[[AttemptResult], None]
     at_us: int
     written: bool
-    over: bool = False  # no event of it will follow
+    ended: bool = False  # no event of it will follow
     outcome: api.Outcome | None = None  # None: in flight, or cancelled
 
     def cancel(self) -> None:
         """Cancel the attempt, as the dispatcher does."""
-        self.over = True
+        self.ended = True
 
     def may_have_run(self) -> bool:
         """Return whether a converter may have executed the request."""
-        return self.written and self.outcome not in NEVER_RAN
+        return self.written and self.outcome not in NOT_EXECUTED
 
 
 @dataclass(slots=True)
 class ClientRequestState:
     """One request, as its client knows it."""
 
-    kind: api.RequestClass
+    request_class: api.RequestClass
     ident: int = 0  # the dispatcher's; 0 = it has not arrived
     due_us: int = 0
     answers: list[FinalAnswer] = field(default_factory=list)
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -23,13 +23,13 @@
 
 def second_answer() -> None:
     """Answer once more when an attempt ends after the client has its answer."""
-    end = RequestDispatcher._end_attempt
+    end_attempt = RequestDispatcher._end_attempt
 
     def end_and_answer(
         self: RequestDispatcher, open_request: OpenRequest, attempt_index: int, result: AttemptResult
     ) -> None:
         answered = open_request.closed and not open_request.attempts[attempt_index].ended
-        end(self, open_request, attempt_index, result)
+        end_attempt(self, open_request, attempt_index, result)
         if answered and result.outcome is api.Outcome.OK:
             open_request.reply(FinalAnswer(FinalOutcome.SERVED))
 
@@ -50,14 +50,14 @@
 
 def delayed_answer() -> None:
     """Delay rejections until shortly before the deadline."""
-    give = RequestDispatcher._answer
+    answer_now = RequestDispatcher._answer
 
     def answer_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
         request = self.requests.get(ident)
         if request is None or request.closed or answer.outcome is FinalOutcome.SERVED:
-            give(self, ident, answer)
+            answer_now(self, ident, answer)
         else:
-            self._call_at(request.due_us - DELAYED_ANSWER_LEAD_US, give, self, ident, answer)
+            self._call_at(request.due_us - DELAYED_ANSWER_LEAD_US, answer_now, self, ident, answer)
 
     RequestDispatcher._answer = answer_late  # type: ignore[method-assign]
 
@@ -97,12 +97,15 @@
     may_send = RetryPolicy.may_send
 
     def may_send_later(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
-        kind = request.request_class
-        had, kind.idempotency_window_us = kind.idempotency_window_us, kind.idempotency_window_us * 100
+        request_class = request.request_class
+        original_window_us, request_class.idempotency_window_us = (
+            request_class.idempotency_window_us,
+            request_class.idempotency_window_us * 100,
+        )
         try:
             return may_send(self, request, now_us)
         finally:
-            kind.idempotency_window_us = had
+            request_class.idempotency_window_us = original_window_us
 
     RetryPolicy.may_send = may_send_later  # type: ignore[method-assign]
 
@@ -115,9 +118,9 @@
     ) -> None:
         for entry in event.upstreams:
             entry.state = api.UpstreamState.READY if entry.state is api.UpstreamState.DRAINING else entry.state
-        changed(self, event, addresses)
+        original_on_endpoints(self, event, addresses)
 
-    changed = RequestDispatcher.on_endpoints
+    original_on_endpoints = RequestDispatcher.on_endpoints
     RequestDispatcher.on_endpoints = on_endpoints  # type: ignore[method-assign]
 
 
@@ -162,10 +165,10 @@
 
 def always_rejected() -> None:
     """Reject every request that is given up, as if it had never run."""
-    carry_out = RequestDispatcher._execute
+    execute = RequestDispatcher._execute
 
     def reject(self: RequestDispatcher, action: api.Action) -> None:
-        carry_out(self, api.Reject(action.request) if isinstance(action, api.Fail) else action)
+        execute(self, api.Reject(action.request) if isinstance(action, api.Fail) else action)
 
     RequestDispatcher._execute = reject  # type: ignore[method-assign]
 
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -19,7 +19,7 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer
 
-MAX_DRAIN_TIMERS = 200  # that may fire after everything has ended
+MAX_SETTLE_TIMERS = 200  # that may fire after everything has ended
 MAX_RETRY_AFTER_US = 500_000
 DISPATCHER_SEED = 1
 SCRIPTED_METHODS = ("choices", "random", "uniform", "randint")
@@ -54,7 +54,7 @@
             for name in SCRIPTED_METHODS:
                 setattr(dispatcher.balancer.random, name, getattr(self._random, name))
             dispatcher.start()
-            self._send_list(dispatcher, api.ListKind.FULL, list(self.states))
+            self._send_endpoints(dispatcher, api.ListKind.FULL, list(self.states))
         return dispatcher
 
     @contextmanager
@@ -103,29 +103,29 @@
 
     # Enabled steps
 
-    def steps(self) -> list[Step]:
+    def enabled_steps(self) -> list[Step]:
         """Return the steps that may come next; none if everything has ended."""
         next_request = next((index for index, client in enumerate(self.clients) if client.ident == 0), None)
-        in_flight = [attempt for attempt in self.attempts if not attempt.over]
+        in_flight = [attempt for attempt in self.attempts if not attempt.ended]
         steps = [] if next_request is None else [Step(Action.ARRIVE, next_request)]
-        steps += self._disconnects()
+        steps += self._disconnect_steps()
         for attempt in in_flight:
             steps += self._attempt_steps(attempt)
         steps += self._list_steps()
-        is_any_waiting = any(client.waiting for client in self.clients)
-        if next_request is None and not in_flight and not is_any_waiting:
+        is_client_waiting = any(client.waiting for client in self.clients)
+        if next_request is None and not in_flight and not is_client_waiting:
             return []
         next_us = self.timers.next_us()
         if next_us is not None and next_us <= self.timers.now_us:
             steps.append(Step(Action.FIRE_TIMER))
-        elif next_us is not None or is_any_waiting:
+        elif next_us is not None or is_client_waiting:
             steps.append(Step(Action.ADVANCE_TIME))
         return steps
 
-    def _disconnects(self) -> Iterable[Step]:
+    def _disconnect_steps(self) -> Iterable[Step]:
         if self.client_disconnects >= self.model.client_disconnects:
             return []
-        return [Step(Action.LEAVE, index) for index, client in enumerate(self.clients) if client.waiting]
+        return [Step(Action.DISCONNECT, index) for index, client in enumerate(self.clients) if client.waiting]
 
     def _attempt_steps(self, attempt: SentAttempt) -> Iterable[Step]:
         if attempt.written:
@@ -145,11 +145,11 @@
             elif state is api.UpstreamState.DRAINING:
                 yield Step(Action.REMOVE, upstream)
             else:
-                yield Step(Action.RETURN, upstream)
+                yield Step(Action.RELIST, upstream)
 
     # Transitions
 
-    def do(self, step: Step) -> None:
+    def apply(self, step: Step) -> None:
         """Carry out a step, and check the state. Raises UndecidedDraw if it causes more draws than it has results."""
         self._random.draws = iter(step.draws)
         with self._path_clock():
@@ -159,13 +159,13 @@
     def _action_table(self) -> dict[Action, Callable[[Step], None]]:
         return {
             Action.ARRIVE: self._arrive,
-            Action.LEAVE: self._disconnect,
+            Action.DISCONNECT: self._disconnect,
             Action.CONNECTED: self._connected,
-            Action.CONNECT_FAILED: lambda step: self._end(step.index, api.Outcome.CONNECT_FAILED),
-            Action.ANSWER: lambda step: self._end(step.index, OUTCOMES[step.detail]),
-            Action.DRAIN: lambda step: self._change(step.index, api.UpstreamState.DRAINING),
-            Action.REMOVE: lambda step: self._change(step.index, api.UpstreamState.REMOVED),
-            Action.RETURN: lambda step: self._change(step.index, api.UpstreamState.READY),
+            Action.CONNECT_FAILED: lambda step: self._end_attempt(step.index, api.Outcome.CONNECT_FAILED),
+            Action.ANSWER: lambda step: self._end_attempt(step.index, OUTCOMES[step.detail]),
+            Action.DRAIN: lambda step: self._change_entry(step.index, api.UpstreamState.DRAINING),
+            Action.REMOVE: lambda step: self._change_entry(step.index, api.UpstreamState.REMOVED),
+            Action.RELIST: lambda step: self._change_entry(step.index, api.UpstreamState.READY),
             Action.UNLIST: self._unlist,
             Action.ADVANCE_TIME: self._advance_time,
             Action.FIRE_TIMER: lambda step: self.timers.fire(),
@@ -175,7 +175,7 @@
         client, now_us = self.clients[step.index], self.timers.now_us
         client.due_us = now_us + DEADLINE_US
         client.ident = self.dispatcher.last_ident + 1
-        self.events.append(f"request {step.index}, {client.kind.name}, comes")
+        self.events.append(f"request {step.index}, {client.request_class.name}, comes")
         request = ClientRequest(
             b"POST", b"/", [], b"", now_us, DEADLINE_US, self._class_indexes[step.index], str(step.index).encode()
         )
@@ -192,28 +192,28 @@
         self.events.append(f"attempt {step.index} is written")
         self.attempts[step.index].written = True
 
-    def _end(self, number: int, outcome: api.Outcome) -> None:
+    def _end_attempt(self, number: int, outcome: api.Outcome) -> None:
         attempt = self.attempts[number]
         self.events.append(f"attempt {number} ends: {outcome.value}")
-        attempt.over, attempt.outcome = True, outcome
+        attempt.ended, attempt.outcome = True, outcome
         attempt.on_end(AttemptResult(outcome))
 
     def _unlist(self, step: Step) -> None:
         self._set_state(step.index, api.UpstreamState.REMOVED)
         listed = [upstream for upstream, state in self.states.items() if state is api.UpstreamState.READY]
-        self._send_list(self.dispatcher, api.ListKind.FULL, listed)
+        self._send_endpoints(self.dispatcher, api.ListKind.FULL, listed)
 
-    def _change(self, upstream: int, state: api.UpstreamState) -> None:
+    def _change_entry(self, upstream: int, state: api.UpstreamState) -> None:
         """Change one entry; a removed converter returns under its id as a new process."""
         self._set_state(upstream, state)
-        self._send_list(self.dispatcher, api.ListKind.DELTA, [upstream])
+        self._send_endpoints(self.dispatcher, api.ListKind.DELTA, [upstream])
 
     def _set_state(self, upstream: int, state: api.UpstreamState) -> None:
         self.list_changes += 1
         self.states[upstream] = state
         self.events.append(f"converter {upstream} is told to be {state.value}")
 
-    def _send_list(self, dispatcher: RequestDispatcher, kind: api.ListKind, upstreams: list[int]) -> None:
+    def _send_endpoints(self, dispatcher: RequestDispatcher, kind: api.ListKind, upstreams: list[int]) -> None:
         entries = [
             api.Upstream(upstream, self.states[upstream], failure_domain=self.model.failure_domain(upstream))
             for upstream in upstreams
@@ -237,7 +237,7 @@
 
     def settle(self) -> None:
         """Fire all timers after everything has ended, and check that nothing is left."""
-        for _ in range(MAX_DRAIN_TIMERS):
+        for _ in range(MAX_SETTLE_TIMERS):
             next_us = self.timers.next_us()
             if next_us is None:
                 break
@@ -253,5 +253,5 @@
     """Return the state that a path leads to. Raises UndecidedDraw from its last step."""
     state = ModelState(model)
     for step in path:
-        state.do(step)
+        state.apply(step)
     return state
--- a/ryepier/check/trace.py
+++ b/ryepier/check/trace.py
@@ -14,7 +14,7 @@
 
 DECISIONS_FOLDER = Path(balancer.__file__).parent
 DISPATCHER_FILE = "dispatcher.py"
-PLUMBING = ("handle", "_handle", "_dispatch")  # functions that only pass events on
+PASS_THROUGH_FUNCTIONS = ("handle", "_handle", "_dispatch")  # functions that only pass events on
 MAX_FRAMES = 3
 INDENT = " " * 22
 
@@ -22,14 +22,14 @@
 def calling_lines(depth: int) -> str:
     """Return the lines of the code under test on the stack from `depth` on, the innermost first."""
     frame: FrameType | None = sys._getframe(depth)
-    found = []
+    lines = []
     while frame is not None:
         path = Path(frame.f_code.co_filename)
         is_watched = path.parent == DECISIONS_FOLDER or path.name == DISPATCHER_FILE
-        if is_watched and frame.f_code.co_name not in PLUMBING:
-            found.append(f"{path.name}:{frame.f_lineno} {frame.f_code.co_name}")
+        if is_watched and frame.f_code.co_name not in PASS_THROUGH_FUNCTIONS:
+            lines.append(f"{path.name}:{frame.f_lineno} {frame.f_code.co_name}")
         frame = frame.f_back
-    return " < ".join(found[:MAX_FRAMES])
+    return " < ".join(lines[:MAX_FRAMES])
 
 
 class _TracedState:
@@ -38,10 +38,10 @@
     def __init__(self, model: Model) -> None:
         self.state = ModelState(model)
         self.decisions: list[str] = []
-        self._wrap(self.state.dispatcher.balancer, "send")
-        self._wrap(self.state.dispatcher.balancer, "reject_or_fail")
+        self._record_calls(self.state.dispatcher.balancer, "send")
+        self._record_calls(self.state.dispatcher.balancer, "reject_or_fail")
 
-    def _wrap(self, owner: Any, name: str) -> None:
+    def _record_calls(self, owner: Any, name: str) -> None:
         original = getattr(owner, name)
 
         def call(*arguments: Any) -> Any:
@@ -60,16 +60,16 @@
     traced = _TracedState(model)
     state = traced.state
     lines = ["", *(f"request {number} is of class {name}" for number, name in enumerate(model.requests)), ""]
-    began_us = state.timers.now_us
+    start_us = state.timers.now_us
     for step in path:
         event_count, decision_count = len(state.events), len(traced.decisions)
         violation_count = len(state.violations)
-        state.do(step)
-        lines.append(f"{(state.timers.now_us - began_us) / 1000:8.1f} ms  {step}")
+        state.apply(step)
+        lines.append(f"{(state.timers.now_us - start_us) / 1000:8.1f} ms  {step}")
         lines += [f"{INDENT}{text}" for text in state.events[event_count:]]
         lines += [f"{INDENT}    {text}" for text in traced.decisions[decision_count:]]
         lines += _violation_lines(state.violations[violation_count:])
-    if settle and not state.violations and not state.steps():
+    if settle and not state.violations and not state.enabled_steps():
         state.settle()
         lines += _violation_lines(state.violations)
     return lines
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -20,9 +20,9 @@
 
 
 def test_a_small_model_is_explored_completely_without_violations() -> None:
-    outcome = explore.explore(MODELS["quick"], processes=4)
-    assert outcome.complete and outcome.violation is None
-    assert outcome.states > 150 and outcome.terminal_states > 100
+    exploration = explore.explore(MODELS["quick"], processes=4)
+    assert exploration.complete and exploration.violation is None
+    assert exploration.states > 150 and exploration.terminal_states > 100
 
 
 def explore_with_fault(fault_name: str, model: Model) -> explore.Exploration:
@@ -47,8 +47,8 @@
     ],
 )
 def test_each_seeded_fault_violates_its_rule(fault_name: str, model: Model) -> None:
-    outcome = explore_with_fault(fault_name, model)
-    assert outcome.violation is not None and outcome.violation.rule == SEEDED_FAULTS[fault_name].rule
+    exploration = explore_with_fault(fault_name, model)
+    assert exploration.violation is not None and exploration.violation.rule == SEEDED_FAULTS[fault_name].rule
     assert explore.explore(model, processes=2).violation is None
 
 
@@ -58,10 +58,10 @@
     paths = [[Step(Action.ARRIVE, 0, "", (pick,)), Step(Action.ARRIVE, 1)] for pick in (0, 1)]
     first, second = (digest(replay(model, path[:1])) for path in paths)
     assert first == second == digest(replay(model, paths[0][:1]))
-    one_domain = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
-    assert digester(one_domain)(replay(one_domain, [Step(Action.ARRIVE, 0, "", (0,))])) != digester(one_domain)(
-        replay(one_domain, [])
-    )
+    shared_domain_model = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
+    assert digester(shared_domain_model)(replay(shared_domain_model, [Step(Action.ARRIVE, 0, "", (0,))])) != digester(
+        shared_domain_model
+    )(replay(shared_domain_model, []))
 
 
 def test_an_exploration_continues_from_its_checkpoint(tmp_path: Path) -> None:
@@ -84,8 +84,8 @@
     path.write_text(
         json.dumps({"model": {"name": "m", "converters": 1, "requests": ["ask"]}, "path": [["answer", 7, "ok", []]]})
     )
-    got = CliRunner().invoke(main, ["check", "trace", str(path)])
-    assert got.exit_code == 2 and "IndexError" in got.stderr
+    result = CliRunner().invoke(main, ["check", "trace", str(path)])
+    assert result.exit_code == 2 and "IndexError" in result.stderr
 
 
 def test_lines_that_no_path_executes_are_listed() -> None:
