--- a/ryepier/check/__init__.py
+++ b/ryepier/check/__init__.py
@@ -1,5 +1,5 @@
-"""Exhaustive exploration of small models: the real dispatcher and balancer against every order of events.
+"""Model checker: explores the real dispatcher and balancer under every order of events in small environments.
 
-`model` is what is explored, `state` the code under test and its environment, `invariants` the rules, `canonical` when
-two states are equal, and `explore` the search.
+`model` defines models, steps and rules, `state` runs the code under test in its environment, `invariants` checks the
+rules, `canonical` decides which states are equal, and `explore` searches the state space.
 """
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -1,9 +1,11 @@
-"""When two states are equal: everything that decides what may come next, with times relative to now, under every
-renaming of converters that are alike.
+"""Canonical digests of states, by which the exploration recognizes equal states.
 
-What the balancer has learned (latency ratios, loads, failure shares) is left out: it decides which converter is more
-likely, and every converter that may be drawn is explored anyway. What it opens and closes by it, slots and ejections,
-is part of a state.
+Two states are equal if everything that determines their possible continuations is equal, with times relative to now,
+under some permutation of interchangeable converters.
+
+The balancer's measurements (latency ratios, loads, failure shares) are omitted: they only change the probability of
+each converter, and every converter that may be drawn is explored anyway. The slots and ejections that result from the
+measurements are part of a state.
 """
 
 from __future__ import annotations
@@ -24,12 +26,12 @@
 Renaming = dict[int, int]
 Digest = Callable[[ModelState], bytes]
 
-MAX_AGE_US = 300_000  # longer than any deadline or idempotency window: beyond it, ages make no difference
+MAX_AGE_US = 300_000  # exceeds all deadlines and idempotency windows, so greater ages are equivalent
 DIGEST_BYTES = 12
 
 
 def renamings(model: Model) -> Iterator[Renaming]:
-    """Yield the permutations of the converters that keep those of a failure domain together."""
+    """Yield the permutations of converters that map each failure domain to exactly one failure domain."""
     ids = range(1, model.converters + 1)
     for order in itertools.permutations(ids):
         domains: dict[int, int] = {}
@@ -42,7 +44,10 @@
 
 
 class _View:
-    """A state under one renaming, as nested tuples. Their form is part of checkpoints, through the digests."""
+    """A state under one renaming of its converters, as nested tuples.
+
+    The digests in checkpoints depend on the form of the tuples, so changing it invalidates existing checkpoints.
+    """
 
     def __init__(self, state: ModelState, renaming: Renaming) -> None:
         self.state = state
@@ -50,11 +55,11 @@
         self.renaming = renaming
 
     def remaining(self, at_us: int) -> int:
-        """Return the time until then; -1 for all times in the past."""
+        """Return the time from now until `at_us`; -1 for all times in the past."""
         return max(-1, at_us - self.now_us)
 
     def age(self, at_us: int) -> int:
-        """Return the time since then as a negative number, up to a limit."""
+        """Return the time since `at_us` as a negative number, limited to `-MAX_AGE_US`."""
         return max(-MAX_AGE_US, at_us - self.now_us)
 
     def buffered_until_us(self, request: upstream.PendingRequest) -> int:
@@ -154,7 +159,7 @@
 
 
 def digest(state: ModelState, permutations: list[Renaming]) -> bytes:
-    """Return a digest that is the same for states that are equal under one of the renamings."""
+    """Return a digest that is the same for states that are equal under one of the permutations."""
     texts = (_View(state, renaming).text() for renaming in permutations)
     return hashlib.blake2b(min(texts).encode(), digest_size=DIGEST_BYTES).digest()
 
--- a/ryepier/check/environment.py
+++ b/ryepier/check/environment.py
@@ -1,4 +1,4 @@
-"""What replaces the machine in a state: scripted random numbers and timers under a path's own clock."""
+"""Replacements for the random numbers and the event loop of the code under test, both controlled by a path."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 T = TypeVar("T")
 
-EPOCH_US = 1_000_000_000  # when each path begins
+EPOCH_US = 1_000_000_000  # time at which each path begins
 
 
 class UndecidedDraw(BaseException):
-    """The code under test makes a random draw whose result the path does not contain.
+    """The code under test made a random draw for which the path has no result.
 
-    Not an `Exception`, as the dispatcher continues after those.
+    This is not an `Exception`, because the dispatcher catches those and continues.
     """
 
     def __init__(self, choices: int) -> None:
-        """`choices` is the number of possible results."""
+        """Create the error; `choices` is the number of possible results of the draw."""
         super().__init__(choices)
         self.choices = choices
 
 
 class ScriptedRandom:
-    """Replaces the balancer's random numbers.
+    """Replaces the balancer's random number generator.
 
-    The choice of a converter is a branch of the state space. A random time is the middle of its range: it only moves
-    when something happens, and all orders of events are explored anyway.
+    Each choice of a converter is a branch of the state space. Random times are fixed, mostly to the middle of their
+    range: they only shift events in time, and all orders of events are explored anyway.
     """
 
     def __init__(self) -> None:
-        """Start without scripted results."""
+        """Create a generator without scripted results; `draws` is set before each step."""
         self.draws: Iterator[int] = iter(())
 
     def choices(self, population: Sequence[T], weights: Sequence[float]) -> list[T]:
-        """Return the scripted choice. Raises UndecidedDraw if there is none."""
+        """Return the item that the next scripted result selects. Raises UndecidedDraw if there is no result left."""
         if len(population) == 1:
             return [population[0]]
         draw = next(self.draws, None)
@@ -53,7 +53,7 @@
         return (low + high) / 2
 
     def randint(self, low: int, high: int) -> int:
-        """Return the lowest number."""
+        """Return the lowest number of the range."""
         return low
 
 
@@ -61,38 +61,38 @@
     """A scheduled callback."""
 
     def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Wrap a callback."""
+        """Create a timer that calls `callback` with `args` when it fires, unless it is cancelled."""
         self.callback = callback
         self.args = args
         self.cancelled = False
 
     def cancel(self) -> None:
-        """Keep the callback from being called."""
+        """Cancel the timer, so that the callback is not called."""
         self.cancelled = True
 
 
 class Timers:
-    """What the dispatcher uses of an event loop, by the path's own clock."""
+    """Timers on a path's clock, with the part of the event loop's interface that the dispatcher uses."""
 
     def __init__(self) -> None:
-        """Start at `EPOCH_US` without timers."""
+        """Start the clock at `EPOCH_US`, without timers."""
         self.now_us = EPOCH_US
-        self.heap: list[tuple[int, int, Timer]] = []  # (at_us, number, timer)
+        self.heap: list[tuple[int, int, Timer]] = []  # (due time in us, sequence number, timer)
         self._count = itertools.count()
 
     def call_later(self, delay: float, callback: Callable[..., None], *args: object) -> Any:
-        """Schedule a callback in `delay` seconds, and return its timer."""
+        """Schedule a callback `delay` seconds from now, and return its timer."""
         timer = Timer(callback, args)
         heapq.heappush(self.heap, (self.now_us + round(delay * 1e6), next(self._count), timer))
         return timer
 
     def next_us(self) -> int | None:
-        """Return when the next timer is due; None if there is none."""
+        """Return the due time of the next timer in microseconds; None if there is none."""
         while self.heap and self.heap[0][2].cancelled:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
 
     def fire(self) -> None:
-        """Call the next timer's callback."""
+        """Remove the next timer and call its callback, even if it is not due yet."""
         timer = heapq.heappop(self.heap)[2]
         timer.callback(*timer.args)
--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -1,6 +1,6 @@
-"""Exploration of a model's state space, breadth first, so that the first violation has a shortest path.
+"""Breadth-first exploration of a model's state space, which finds a shortest path to a violation.
 
-It uses several processes, bounds its memory, and can be continued from a checkpoint.
+It runs in several processes, stops at a limit on the number of states, and can be continued from a checkpoint.
 """
 
 from __future__ import annotations
@@ -20,39 +20,42 @@
 from ryepier.check.model import Model, Step, Violation
 from ryepier.check.state import ModelState, replay
 
-CHUNK_SIZE = 64  # paths that a process expands at a time
-MAX_STATES = 3_000_000  # their digests take some 300 MB
+CHUNK_SIZE = 64  # paths that a worker process expands per task
+MAX_STATES = 3_000_000  # the digests of that many states take about 300 MB
 Steps = tuple[Step, ...]
 FaultInstaller = Callable[[], None]
 
 
 @dataclass(slots=True)
 class Expansion:
-    """The successors of one path."""
+    """The successors of one path, or its first successor that violates a rule."""
 
-    children: list[tuple[bytes, Steps]] = field(default_factory=list)  # digest of the state, and path
+    children: list[tuple[bytes, Steps]] = field(default_factory=list)  # digest of the state, and its path
     violation: Violation | None = None
-    path: Steps = ()  # to the violation
+    path: Steps = ()  # path to the violation
     transitions: int = 0
-    terminal_states: int = 0  # successors in which everything has ended
+    terminal_states: int = 0  # successors in which all requests have ended
 
 
 @dataclass(slots=True)
 class Exploration:
-    """What has been explored, and the shortest path to a violation, if there is one."""
+    """Counts of an exploration, and a shortest path to a violation if one was found."""
 
     states: int = 1
     transitions: int = 0
     terminal_states: int = 0
     depth: int = 0
     seconds: float = 0.0
-    complete: bool = False  # the whole state space
+    complete: bool = False  # the whole state space was explored without a violation
     violation: Violation | None = None
     path: Steps = ()
 
 
 def successors(model: Model, path: Steps) -> Iterator[tuple[Steps, ModelState]]:
-    """Yield each path that is one step longer, with its state; a step with random draws, once for each result."""
+    """Yield each path that is one step longer, with its state.
+
+    A step that makes random draws is yielded once for each combination of results.
+    """
     for step in replay(model, path).enabled_steps():
         pending = [step]
         while pending:
@@ -67,7 +70,7 @@
 
 
 def expand(model: Model, path: Steps) -> Expansion:
-    """Return a path's successors, up to the first that violates a rule."""
+    """Return a path's successors. Stops at the first one that violates a rule."""
     expansion, digest = Expansion(), digester(model)
     for longer_path, state in successors(model, path):
         expansion.transitions += 1
@@ -88,7 +91,7 @@
 
 
 def save(path: Path, model: Model, seen: set[bytes], frontier: list[Steps], progress: Exploration) -> None:
-    """Write a checkpoint, in place of an earlier one only once it is complete."""
+    """Write a checkpoint to a temporary file, and replace the previous checkpoint with it."""
     checkpoint = Checkpoint(
         model_signature(model),
         list(seen),
@@ -104,13 +107,13 @@
 
 
 def load(path: Path, model: Model) -> tuple[set[bytes], list[Steps], Exploration]:
-    """Return the digests, the frontier and the counts of a checkpoint.
+    """Read a checkpoint, and return the digests of explored states, the frontier and the counts.
 
-    Raises OSError, msgspec.MsgspecError, and ValueError if it is of another model.
+    Raises OSError, msgspec.MsgspecError, and ValueError if the checkpoint belongs to another model.
     """
     checkpoint = msgspec.msgpack.decode(path.read_bytes(), type=Checkpoint)
     if checkpoint.model != model_signature(model):
-        raise ValueError("it is of another model")
+        raise ValueError("the checkpoint belongs to another model")
     frontier = [tuple(decode_step(step) for step in steps) for steps in checkpoint.frontier]
     progress = Exploration(
         len(checkpoint.seen), checkpoint.transitions, checkpoint.ends, checkpoint.depth, checkpoint.seconds
@@ -119,7 +122,7 @@
 
 
 class _Explorer:
-    """An exploration in progress."""
+    """The state of an exploration in progress."""
 
     def __init__(self, model: Model, checkpoint: Path | None) -> None:
         self.model = model
@@ -134,16 +137,16 @@
 
     @property
     def elapsed_s(self) -> float:
-        """The time since this process began to explore."""
+        """The time since this process began to explore, without the time recorded in a checkpoint."""
         return time.monotonic() - self._start_s
 
     def can_continue(self) -> bool:
-        """Return whether there is a further level to explore."""
+        """Return whether there is another level to explore."""
         is_depth_reached = 0 < self.model.depth <= self.progress.depth
         return bool(self.frontier) and self.progress.violation is None and not is_depth_reached
 
     def explore_level(self, pool: ProcessPoolExecutor) -> None:
-        """Expand every path of the frontier; the new states become the next frontier."""
+        """Expand all paths of the frontier; the paths to new states become the next frontier."""
         paths, self.frontier = self.frontier, []
         chunks = [paths[begin : begin + CHUNK_SIZE] for begin in range(0, len(paths), CHUNK_SIZE)]
         for expansions in pool.map(_expand_all, [self.model] * len(chunks), chunks):
@@ -165,7 +168,7 @@
                 self.frontier.append(path)
 
     def save(self) -> None:
-        """Write the checkpoint, if one is wanted."""
+        """Write the checkpoint, if a file was given for it."""
         if self.checkpoint is not None:
             save(self.checkpoint, self.model, self.seen, self.frontier, self.progress)
 
@@ -180,8 +183,9 @@
 ) -> Exploration:
     """Explore level by level until the state space is complete, a rule is violated, or a limit is reached.
 
-    The limits are the model's depth, `max_seconds` and `MAX_STATES`. `install_fault` is called in each process. Raises
-    what `load` raises, if there is a checkpoint to continue from.
+    The limits are the model's depth, `max_seconds` and `MAX_STATES`. `processes` defaults to the number of cores.
+    `install_fault` is called in each worker process. If the file `checkpoint` exists, the exploration continues from
+    it, and raises the errors of `load`. `on_progress` is called after each level.
     """
     explorer = _Explorer(model, checkpoint)
     with ProcessPoolExecutor(processes or os.cpu_count(), initializer=install_fault) as pool:
--- a/ryepier/check/formats.py
+++ b/ryepier/check/formats.py
@@ -1,6 +1,7 @@
 """File formats of the checker: checkpoints of explorations (MessagePack) and recorded paths (JSON).
 
-The files' keys are older than the names in the code; this module maps one to the other.
+Some keys in the files differ from the names in the code, because the format has kept earlier names. This module maps
+the keys to the names.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
     "client_disconnects": "leaves",
     "connects_first": "dials",
 }
-"""Fields of `Model` whose key in a file differs from their name."""
+"""Keys in files of the `Model` fields whose key differs from their name."""
 
 
 class Checkpoint(msgspec.Struct):
-    """An exploration that can be continued later."""
+    """The progress of an exploration, from which it can be continued."""
 
-    model: str  # what `model_signature` returns
+    model: str  # result of `model_signature`
     seen: list[bytes]
     frontier: list[list[EncodedStep]]
     transitions: int
@@ -35,7 +36,7 @@
 
 
 class RecordedPath(msgspec.Struct):
-    """A path to a violation, as `ryepier check run --out` writes it."""
+    """A path to a violation, written by `ryepier check run --out`."""
 
     model: dict[str, object]
     path: list[EncodedStep]
@@ -43,26 +44,26 @@
 
 
 def encode_step(step: Step) -> EncodedStep:
-    """Return the form that a step has in a file."""
+    """Return a step in the form that is written to files."""
     return step.action, step.index, step.detail, step.draws
 
 
 def decode_step(encoded: EncodedStep) -> Step:
-    """Return the step that `encode_step` encoded."""
+    """Return the step for a result of `encode_step`."""
     return Step(*encoded)
 
 
 def encode_model(model: Model) -> dict[str, object]:
-    """Return the model's fields by their keys, in the order of their definition."""
+    """Return the model's fields by their keys in files, in the order of their definition."""
     return {MODEL_KEYS.get(field.name, field.name): getattr(model, field.name) for field in fields(model)}
 
 
 def decode_model(encoded: dict[str, object]) -> Model:
-    """Return the model that `encode_model` encoded. Raises msgspec.ValidationError."""
+    """Return the model for a result of `encode_model`. Raises msgspec.ValidationError."""
     names = {key: name for name, key in MODEL_KEYS.items()}
     return msgspec.convert({names.get(key, key): value for key, value in encoded.items()}, Model)
 
 
 def model_signature(model: Model) -> str:
-    """Return a text that differs between models, by which a checkpoint names its own."""
+    """Return a text that identifies a model with all its parameters; checkpoints store it."""
     return f"Model({', '.join(f'{key}={value!r}' for key, value in encode_model(model).items())})"
--- a/ryepier/check/invariants.py
+++ b/ryepier/check/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants, as functions that return what a send, an answer, a state or an end violates."""
+"""The invariants: generators of the violations of an attempt, an answer, a state or a terminal state."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ryepier.sidecar.dispatcher import OpenRequest, RequestDispatcher
 from ryepier.sidecar.requests import FinalAnswer, FinalOutcome
 
-ANSWER_SLACK_US = 20_000  # from a request's deadline until its answer counts as missing
+ANSWER_SLACK_US = 20_000  # time after the deadline from which an answer counts as missing
 
 
 def violations_of_send(
@@ -20,23 +20,23 @@
     client: ClientRequestState,
     sent: SentAttempt,
 ) -> Iterator[Violation]:
-    """Yield what an attempt violates that has just been sent, and is not among the client's yet."""
+    """Yield the violations of an attempt that is being sent; `client.attempts` must not contain it yet."""
     for earlier in client.attempts:
         if not earlier.ended:
-            yield Violation(Rule.TOGETHER, f"attempt {sent.number} while {earlier.number} is out")
+            yield Violation(Rule.TOGETHER, f"attempt {sent.number} while attempt {earlier.number} is in flight")
         elif earlier.may_have_run() and not _may_repeat(model, client.request_class, earlier, sent):
             yield Violation(Rule.RESEND, f"attempt {sent.number} after {earlier.number}, which may have run")
     if len(client.attempts) >= model.max_attempts:
-        yield Violation(Rule.ATTEMPTS, f"attempt {len(client.attempts) + 1} of at most {model.max_attempts}")
+        yield Violation(Rule.ATTEMPTS, f"attempt {len(client.attempts) + 1} exceeds the limit of {model.max_attempts}")
     if client.disconnected or client.answers:
-        yield Violation(Rule.RESEND, f"attempt {sent.number} of a request that is over")
-    if states[sent.upstream] is not api.UpstreamState.READY:  # stricter than the protocol, which allows 500 ms
-        text = f"attempt {sent.number} to converter {sent.upstream}, which is to get nothing new"
+        yield Violation(Rule.RESEND, f"attempt {sent.number} of a request that has already ended")
+    if states[sent.upstream] is not api.UpstreamState.READY:  # the protocol is less strict and allows 500 ms
+        text = f"attempt {sent.number} to converter {sent.upstream}, which is not ready"
         yield Violation(Rule.DRAIN, text)
 
 
 def _may_repeat(model: Model, request_class: api.RequestClass, earlier: SentAttempt, later: SentAttempt) -> bool:
-    """Return whether an attempt may follow one that may have run."""
+    """Return whether `later` is allowed although the converter may have executed the request in `earlier`."""
     if request_class.idempotency == api.Idempotency.IDEMPOTENT:
         return True
     if (
@@ -50,21 +50,21 @@
 
 
 def violations_of_answer(number: int, client: ClientRequestState, answer: FinalAnswer) -> Iterator[Violation]:
-    """Yield what an answer violates that has just been given, and is not among the client's yet."""
+    """Yield the violations of a new answer; `client.answers` must not contain it yet."""
     if client.answers:
         yield Violation(Rule.ANSWERS, f"request {number} has a second answer")
     if client.disconnected:
-        yield Violation(Rule.ANSWERS, f"request {number} is answered though its client has gone")
+        yield Violation(Rule.ANSWERS, f"request {number} is answered after its client disconnected")
     may_have_run = any(attempt.may_have_run() for attempt in client.attempts)
     if answer.outcome is FinalOutcome.REJECTED and may_have_run and not _is_always_repeatable(client.request_class):
-        yield Violation(Rule.REFUSED, f"request {number} is refused, and an attempt may have run")
+        yield Violation(Rule.REFUSED, f"request {number} is rejected although an attempt may have run")
     was_served = any(attempt.outcome is api.Outcome.OK for attempt in client.attempts)
     if answer.outcome is FinalOutcome.SERVED and not was_served:
-        yield Violation(Rule.ANSWERS, f"request {number} is served, and no converter did it")
+        yield Violation(Rule.ANSWERS, f"request {number} is answered as served, but no attempt succeeded")
 
 
 def _is_always_repeatable(request_class: api.RequestClass) -> bool:
-    """Return whether a client may repeat a request whatever became of it."""
+    """Return whether a client may safely repeat a request even if a converter has executed it."""
     return request_class.idempotency == api.Idempotency.IDEMPOTENT or (
         request_class.idempotency_scope == api.IdempotencyScope.ALL
         and request_class.idempotency == api.Idempotency.IDEMPOTENCY_KEY
@@ -74,7 +74,7 @@
 def violations_of_state(
     dispatcher: RequestDispatcher, clients: Sequence[ClientRequestState], now_us: int
 ) -> Iterator[Violation]:
-    """Yield what a state violates."""
+    """Yield the violations of a state between two steps."""
     yield from _violations_of_slots(dispatcher.balancer)
     for number, client in enumerate(clients):
         open_request = dispatcher.requests.get(client.ident)
@@ -85,7 +85,7 @@
     for upstream in balancer.membership.by_id.values():
         in_flight = sum(not attempt.presumed_lost for attempt in upstream.outstanding)
         if upstream.in_flight != in_flight:
-            text = f"converter {upstream.entry.id}: {upstream.in_flight} slots taken, {in_flight} attempts out"
+            text = f"converter {upstream.entry.id}: {upstream.in_flight} slots in use, {in_flight} attempts in flight"
             yield Violation(Rule.SLOTS, text)
 
 
@@ -93,16 +93,16 @@
     balancer: Balancer, open_request: OpenRequest | None, number: int, client: ClientRequestState, now_us: int
 ) -> Iterator[Violation]:
     if client.waiting and now_us > client.due_us + ANSWER_SLACK_US:
-        yield Violation(Rule.IN_TIME, f"request {number} has no answer, and its time is out")
+        yield Violation(Rule.IN_TIME, f"request {number} has no answer although its deadline has passed")
     given_up = client.ident not in balancer.requests or balancer.requests[client.ident].done
     if client.waiting and given_up:
-        yield Violation(Rule.AT_ONCE, f"request {number} was given up, and its client was told nothing")
+        yield Violation(Rule.AT_ONCE, f"request {number} was given up without an answer to its client")
     if open_request is None and any(not attempt.ended for attempt in client.attempts):
-        yield Violation(Rule.LEAK, f"request {number} is forgotten with an attempt out")
+        yield Violation(Rule.LEAK, f"request {number} was removed while an attempt is in flight")
 
 
 def violations_of_end(dispatcher: RequestDispatcher) -> Iterator[Violation]:
-    """Yield what is still held once everything has ended and all timers have fired."""
+    """Yield the violations after all requests have ended and all timers have fired: state that was not released."""
     balancer = dispatcher.balancer
     contents = {
         "the host's requests": dispatcher.requests,
@@ -113,4 +113,4 @@
     }
     remaining = [name for name, content in contents.items() if content]
     if remaining:
-        yield Violation(Rule.LEAK, f"left once all is over: {', '.join(remaining)}")
+        yield Violation(Rule.LEAK, f"not released after all requests have ended: {', '.join(remaining)}")
--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -1,4 +1,4 @@
-"""Which lines of the code under test an exploration executes."""
+"""Line coverage of the code under test during an exploration."""
 
 from __future__ import annotations
 
@@ -35,27 +35,27 @@
     *(importlib.import_module(f"ryepier.balancer.{name}") for name in DECISION_MODULES),
     dispatcher,
 )
-LINE_EVENT = "line"  # of sys.settrace
+LINE_EVENT = "line"  # event name of sys.settrace
 Lines = dict[str, set[int]]  # line numbers by file
 
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """A method of a class that one of the modules defines."""
+    """A method of a class that is defined in one of the modules."""
 
     name: str
     code: CodeType
 
 
 class UnreachedFunction(NamedTuple):
-    """A function and its lines that were not executed."""
+    """A function with lines that were not executed."""
 
     name: str
     lines: list[int]
 
 
 def code_lines(code: CodeType) -> set[int]:
-    """Return the lines of a function, with those of functions defined in it, and without its `def`."""
+    """Return the line numbers of a function without its `def` line, including functions defined in it."""
     found = {line for _, line in dis.findlinestarts(code) if line is not None and line != code.co_firstlineno}
     for constant in code.co_consts:
         if isinstance(constant, CodeType):
@@ -64,7 +64,7 @@
 
 
 def methods(module: ModuleType) -> Iterator[Method]:
-    """Yield the methods of all classes that a module defines."""
+    """Yield the methods of all classes that are defined in a module."""
     for class_name, found in vars(module).items():
         if not inspect.isclass(found) or found.__module__ != module.__name__:
             continue
@@ -77,7 +77,7 @@
 
 @contextmanager
 def record_lines() -> Iterator[Lines]:
-    """Record the lines of the modules that are executed within the context."""
+    """Record the executed lines of `MODULES` within the context."""
     files = {str(module.__file__) for module in MODULES}
     executed: Lines = {name: set() for name in files}
 
@@ -98,7 +98,7 @@
 
 
 def unreached_functions(executed: Lines) -> list[UnreachedFunction]:
-    """Return the functions of which some lines were not executed."""
+    """Return the functions that have lines that were not executed."""
     found = []
     for module in MODULES:
         for method in methods(module):
--- a/ryepier/check/model.py
+++ b/ryepier/check/model.py
@@ -1,4 +1,4 @@
-"""What the checker explores: models, the steps of a path, and the rules that no path may violate."""
+"""Definitions of the model checker: models, the steps of a path, and the rules that no path may violate."""
 
 from __future__ import annotations
 
@@ -8,7 +8,9 @@
 from ryepier.balancer import interface as api
 
 OBJECTIVE_US, DEADLINE_US = 100_000, 240_000
-IDEMPOTENCY_WINDOW_US = 90_000  # shorter than an attempt may take, so that a key can expire while it is in flight
+IDEMPOTENCY_WINDOW_US = (
+    90_000  # shorter than the longest attempt, so that a key can expire while an attempt is in flight
+)
 LATE_WEIGHT = 0.5
 CLASSES = {
     "once": api.RequestClass(
@@ -39,7 +41,7 @@
         idempotency_window_us=IDEMPOTENCY_WINDOW_US,
     ),
 }
-"""The request classes, by the names that commands and files use."""
+"""Request classes by the names that are used on the command line and in files."""
 
 OUTCOMES = {
     "ok": api.Outcome.OK,
@@ -47,23 +49,23 @@
     "full": api.Outcome.REJECTED,
     "reset": api.Outcome.RESET,
 }
-"""How a converter may answer an attempt, by the names that commands and files use."""
+"""Outcomes that a converter can give an attempt, by the names that are used on the command line and in files."""
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A bounded environment: the converters, the requests, and how often the rest may happen on a path."""
+    """A bounded environment: the converters, the requests, and limits on the other events of a path."""
 
     name: str
     converters: int
-    requests: tuple[str, ...]  # the class of each, in the order of their arrival
-    failure_domains: tuple[int, ...] = ()  # of each converter; by default each has one of its own
+    requests: tuple[str, ...]  # class names of the requests, in the order of arrival
+    failure_domains: tuple[int, ...] = ()  # by converter; empty: each converter is a domain of its own
     max_attempts: int = 3
-    list_changes: int = 0
-    client_disconnects: int = 0
-    outcomes: tuple[str, ...] = tuple(OUTCOMES)
-    connects_first: bool = False  # whether an attempt has to connect first, which may fail
-    depth: int = 0  # steps of a path; 0 = until everything has ended
+    list_changes: int = 0  # maximum number of changes of the endpoint list
+    client_disconnects: int = 0  # maximum number of clients that disconnect
+    outcomes: tuple[str, ...] = tuple(OUTCOMES)  # the outcomes that attempts may have
+    connects_first: bool = False  # whether connecting is a step of its own, which may fail
+    depth: int = 0  # maximum number of steps of a path; 0: until all requests have ended
 
     def failure_domain(self, upstream: int) -> int:
         """Return a converter's failure domain; converters are numbered from 1."""
@@ -71,54 +73,54 @@
 
 
 class Action(enum.StrEnum):
-    """What the environment does in a step. The values are written to files and charts."""
+    """The kinds of steps that the environment can take. The values are written to files and charts."""
 
     ARRIVE = "arrive"  # a request arrives
     DISCONNECT = "leave"  # a client disconnects
-    CONNECTED = "up"  # an attempt's connection is established, and the request written
-    CONNECT_FAILED = "fail"
+    CONNECTED = "up"  # an attempt's connection is established, and its request is written
+    CONNECT_FAILED = "fail"  # an attempt cannot connect
     ANSWER = "answer"  # a converter answers an attempt
     DRAIN = "drain"  # a converter is listed as draining
     REMOVE = "gone"  # a draining converter is removed from the list
     RELIST = "back"  # a removed converter is listed again
-    UNLIST = "unlist"  # a full list omits a converter
-    ADVANCE_TIME = "tick"  # time passes until something is due
-    FIRE_TIMER = "fire"
+    UNLIST = "unlist"  # a full endpoint list omits a converter
+    ADVANCE_TIME = "tick"  # time advances to the next timer or overdue answer
+    FIRE_TIMER = "fire"  # the next timer, which is due, fires
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One action of the environment. `draws` are the results of the random draws that it causes."""
+    """One action of the environment. `draws` are the results of the random draws that the balancer makes in it."""
 
     action: Action
     index: int = 0  # of a request, attempt or converter
-    detail: str = ""  # ANSWER: the outcome
+    detail: str = ""  # for ANSWER, the name of the outcome
     draws: tuple[int, ...] = ()
 
     def __str__(self) -> str:
-        """Return the step as charts show it."""
+        """Return the step as sequence charts show it."""
         text = " ".join(str(part) for part in (self.action.value, self.index, self.detail) if part != "")
         return text + (f" (draws {', '.join(map(str, self.draws))})" if self.draws else "")
 
 
 class Rule(enum.StrEnum):
-    """The invariants; docs/design/checking.md describes each."""
+    """Names of the invariants, which docs/design/checking.md describes."""
 
-    ANSWERS = "answers"
-    IN_TIME = "in time"
-    AT_ONCE = "at once"
-    TOGETHER = "together"
-    RESEND = "resend"
-    REFUSED = "refused"
-    ATTEMPTS = "attempts"
-    DRAIN = "drain"
-    SLOTS = "slots"
-    LEAK = "leak"
+    ANSWERS = "answers"  # a request has at most one answer, none after a disconnect, and no false "served"
+    IN_TIME = "in time"  # a request is answered by its deadline
+    AT_ONCE = "at once"  # a request that the balancer gives up is answered immediately
+    TOGETHER = "together"  # a request has at most one attempt in flight
+    RESEND = "resend"  # a request is not sent again after its end, or if an earlier attempt makes that unsafe
+    REFUSED = "refused"  # a request that may have run is rejected only if repeating it is safe
+    ATTEMPTS = "attempts"  # a request has at most `max_attempts` attempts
+    DRAIN = "drain"  # attempts go only to converters that are ready
+    SLOTS = "slots"  # the balancer's count of attempts in flight at a converter is correct
+    LEAK = "leak"  # requests, timers and slots are released after their end
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that a path violates, and how."""
+    """A violation of a rule by a path, and its description."""
 
     rule: Rule
     text: str
--- a/ryepier/check/models.py
+++ b/ryepier/check/models.py
@@ -1,4 +1,4 @@
-"""The models that ship with the project."""
+"""The predefined models, which `ryepier check` can explore by name."""
 
 from __future__ import annotations
 
--- a/ryepier/check/observations.py
+++ b/ryepier/check/observations.py
@@ -1,4 +1,4 @@
-"""What the environment observes of requests: attempts as converters see them, answers as clients do."""
+"""The environment's view of requests: attempts as converters observe them, and answers as clients receive them."""
 
 from __future__ import annotations
 
@@ -8,43 +8,44 @@
 from ryepier.balancer import interface as api
 from ryepier.sidecar.requests import AttemptResult, FinalAnswer
 
+# Outcomes after which the converter has certainly not executed the request.
 NOT_EXECUTED = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 
 
 @dataclass(slots=True)
 class SentAttempt:
-    """An attempt, as the environment knows it."""
+    """An attempt from the environment's point of view."""
 
-    number: int  # among all of the path
-    request: int
+    number: int  # index among all attempts of the path
+    request: int  # index among the model's requests
     upstream: int
     on_end: Callable[[AttemptResult], None]
-    at_us: int
-    written: bool
-    ended: bool = False  # no event of it will follow
-    outcome: api.Outcome | None = None  # None: in flight, or cancelled
+    at_us: int  # time at which the dispatcher started it
+    written: bool  # whether the request has been written to a connection
+    ended: bool = False  # the attempt was cancelled or has an outcome; no event of it follows
+    outcome: api.Outcome | None = None  # None: in flight or cancelled
 
     def cancel(self) -> None:
-        """Cancel the attempt, as the dispatcher does."""
+        """Mark the attempt as ended; the dispatcher calls this to cancel it."""
         self.ended = True
 
     def may_have_run(self) -> bool:
-        """Return whether a converter may have executed the request."""
+        """Return whether a converter may have executed the request in this attempt."""
         return self.written and self.outcome not in NOT_EXECUTED
 
 
 @dataclass(slots=True)
 class ClientRequestState:
-    """One request, as its client knows it."""
+    """A request from its client's point of view."""
 
     request_class: api.RequestClass
-    ident: int = 0  # the dispatcher's; 0 = it has not arrived
-    due_us: int = 0
+    ident: int = 0  # the dispatcher's id of the request; 0: the request has not arrived
+    due_us: int = 0  # deadline
     answers: list[FinalAnswer] = field(default_factory=list)
     disconnected: bool = False
     attempts: list[SentAttempt] = field(default_factory=list)
 
     @property
     def waiting(self) -> bool:
-        """Whether the client waits for an answer."""
+        """Whether the request has arrived, and its client is waiting for an answer."""
         return self.ident > 0 and not self.disconnected and not self.answers
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Seeded faults (mutants) of the code under test, at least one for each rule, to show that the checker finds them.
+"""Seeded faults (mutants) of the code under test, at least one for each rule, to verify that the checker finds them.
 
-Each is installed by a function that patches the code. The patch stays, so it belongs in a process of its own.
+Each function installs one fault by patching classes. Patches are not undone, so use a separate process for each fault.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from ryepier.sidecar.dispatcher import OpenRequest, RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, FinalAnswer, FinalOutcome
 
-DELAYED_ANSWER_LEAD_US = 30_000  # before the deadline
+DELAYED_ANSWER_LEAD_US = 30_000  # time before the deadline at which delayed answers are given
 
 
 def second_answer() -> None:
-    """Answer once more when an attempt ends after the client has its answer."""
+    """Answer a request a second time when an attempt succeeds after the client has been answered."""
     end_attempt = RequestDispatcher._end_attempt
 
     def end_and_answer(
@@ -37,7 +37,7 @@
 
 
 def lost_answer() -> None:
-    """Never give up a request whose last attempt was reset, and disable the dispatcher's deadline check."""
+    """Never answer a request whose last attempt was reset, and disable the dispatcher's deadline check."""
     reject_or_fail = Balancer.reject_or_fail
 
     def reject_or_fail_unless_reset(self: Balancer, request: PendingRequest) -> None:
@@ -49,7 +49,7 @@
 
 
 def delayed_answer() -> None:
-    """Delay rejections until shortly before the deadline."""
+    """Delay rejections and failures until shortly before the deadline."""
     answer_now = RequestDispatcher._answer
 
     def answer_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
@@ -78,7 +78,7 @@
 
 
 def careless_resend() -> None:
-    """Treat a reset attempt as one that never ran."""
+    """Treat a reset attempt as one that the converter has not executed."""
     never_ran = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.RESET)
 
     def first_not_reset(self: PendingRequest) -> Attempt | None:
@@ -93,7 +93,7 @@
 
 
 def long_idempotency_window() -> None:
-    """Retry requests with an idempotency key long after its window."""
+    """Retry requests with an idempotency key long after the end of the idempotency window."""
     may_send = RetryPolicy.may_send
 
     def may_send_later(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
@@ -125,7 +125,7 @@
 
 
 def released_twice() -> None:
-    """Release the slot of an attempt that was presumed lost a second time at its end."""
+    """Release the slot of an attempt twice: when it is presumed lost, and again when it ends."""
     presume_lost = OutlierDetector.presume_lost
 
     def presume_and_forget(self: OutlierDetector, attempt: Attempt) -> None:
@@ -136,12 +136,12 @@
 
 
 def never_removed() -> None:
-    """Keep requests after their end."""
+    """Never remove requests from the dispatcher after their end."""
     RequestDispatcher._remove_if_done = lambda self, open_request: None  # type: ignore[method-assign]
 
 
 def one_attempt_too_many() -> None:
-    """Send one attempt more than the settings allow."""
+    """Allow one attempt more than the settings do."""
     may_send = RetryPolicy.may_send
 
     def may_send_more(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
@@ -164,7 +164,7 @@
 
 
 def always_rejected() -> None:
-    """Reject every request that is given up, as if it had never run."""
+    """Reject every request that is given up, even if a converter may have executed it."""
     execute = RequestDispatcher._execute
 
     def reject(self: RequestDispatcher, action: api.Action) -> None:
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeededFault:
-    """A seeded fault, and the rule that it violates."""
+    """A function that installs a seeded fault, and the rule that the fault violates."""
 
     rule: Rule
     install: Callable[[], None]
@@ -195,4 +195,4 @@
     "one-more": SeededFault(Rule.ATTEMPTS, one_attempt_too_many),
     "glib-refusal": SeededFault(Rule.REFUSED, always_rejected),
 }
-"""The seeded faults, by the names that commands and files use."""
+"""Seeded faults by the names that are used on the command line and in files."""
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -1,7 +1,7 @@
 """A state of the exploration: the real dispatcher and balancer, and the environment that acts on them step by step.
 
-A path is a list of steps. The same path leads to the same state, so that a state is identified by its path and never
-has to be copied.
+A path is a list of steps. A path always leads to the same state, so a state is stored as its path and recreated by
+replaying it, and never has to be copied.
 """
 
 from __future__ import annotations
@@ -19,17 +19,20 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer
 
-MAX_SETTLE_TIMERS = 200  # that may fire after everything has ended
+MAX_SETTLE_TIMERS = 200  # timers that `settle` fires before it reports a violation
 MAX_RETRY_AFTER_US = 500_000
-DISPATCHER_SEED = 1
-SCRIPTED_METHODS = ("choices", "random", "uniform", "randint")
+DISPATCHER_SEED = 1  # fixed, so that a path always leads to the same state
+SCRIPTED_METHODS = ("choices", "random", "uniform", "randint")  # methods of the balancer's `Random` to replace
 
 
 class ModelState:
-    """The state that a path leads to. It also stands for the dispatcher's upstreams, and so observes each attempt."""
+    """The state at the end of a path.
+
+    It also implements the dispatcher's upstreams, in place of a connection pool, and so observes each attempt.
+    """
 
     def __init__(self, model: Model) -> None:
-        """Start at the empty path: all converters are listed, and no request has arrived."""
+        """Create the state of the empty path: all converters are ready, and no request has arrived."""
         self.model = model
         self.timers = Timers()
         self.violations: list[Violation] = []
@@ -38,7 +41,7 @@
         self.states = dict.fromkeys(range(1, model.converters + 1), api.UpstreamState.READY)
         self.list_changes = 0
         self.client_disconnects = 0
-        self.events: list[str] = []  # what happened, for a chart
+        self.events: list[str] = []  # descriptions of the events so far, for a chart
         class_names = list(CLASSES)
         self._class_indexes = [class_names.index(name) for name in model.requests]
         self._random = ScriptedRandom()
@@ -59,7 +62,7 @@
 
     @contextmanager
     def _path_clock(self) -> Iterator[None]:
-        """Replace the machine's clock by the path's while the code under test runs."""
+        """Replace the machine's clock with the path's clock within the context."""
         original = system.monotonic_ns
         system.monotonic_ns = lambda: self.timers.now_us * 1000
         try:
@@ -67,7 +70,7 @@
         finally:
             system.monotonic_ns = original
 
-    # The dispatcher's upstreams
+    # Interface of the dispatcher's upstreams
 
     def start(
         self,
@@ -78,7 +81,7 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_us: int = 0,
     ) -> SentAttempt:
-        """Record an attempt that the dispatcher starts."""
+        """Record an attempt that the dispatcher starts, and check the rules for it."""
         number = int(request.request_id)
         client = self.clients[number]
         is_written = not self.model.connects_first
@@ -101,10 +104,10 @@
         self.violations += invariants.violations_of_answer(number, client, answer)
         client.answers.append(answer)
 
-    # Enabled steps
+    # Steps that are possible in this state
 
     def enabled_steps(self) -> list[Step]:
-        """Return the steps that may come next; none if everything has ended."""
+        """Return the possible next steps; none if all requests and attempts have ended."""
         next_request = next((index for index, client in enumerate(self.clients) if client.ident == 0), None)
         in_flight = [attempt for attempt in self.attempts if not attempt.ended]
         steps = [] if next_request is None else [Step(Action.ARRIVE, next_request)]
@@ -132,7 +135,7 @@
             return [Step(Action.ANSWER, attempt.number, outcome) for outcome in self.model.outcomes]
         failed = Step(Action.CONNECT_FAILED, attempt.number)
         if self.states[attempt.upstream] is not api.UpstreamState.READY:
-            return [failed]  # nothing is written to a converter that left the list while connecting
+            return [failed]  # requests are not written to a converter that is no longer ready
         return [Step(Action.CONNECTED, attempt.number), failed]
 
     def _list_steps(self) -> Iterable[Step]:
@@ -150,7 +153,10 @@
     # Transitions
 
     def apply(self, step: Step) -> None:
-        """Carry out a step, and check the state. Raises UndecidedDraw if it causes more draws than it has results."""
+        """Apply a step, and check the new state.
+
+        Raises UndecidedDraw if the step makes more random draws than it has results for; the state is then unusable.
+        """
         self._random.draws = iter(step.draws)
         with self._path_clock():
             self._actions[step.action](step)
@@ -175,7 +181,7 @@
         client, now_us = self.clients[step.index], self.timers.now_us
         client.due_us = now_us + DEADLINE_US
         client.ident = self.dispatcher.last_ident + 1
-        self.events.append(f"request {step.index}, {client.request_class.name}, comes")
+        self.events.append(f"request {step.index}, {client.request_class.name}, arrives")
         request = ClientRequest(
             b"POST", b"/", [], b"", now_us, DEADLINE_US, self._class_indexes[step.index], str(step.index).encode()
         )
@@ -185,7 +191,7 @@
         client = self.clients[step.index]
         client.disconnected = True
         self.client_disconnects += 1
-        self.events.append(f"the client of request {step.index} goes")
+        self.events.append(f"the client of request {step.index} disconnects")
         self.dispatcher.on_client_disconnected(client.ident)
 
     def _connected(self, step: Step) -> None:
@@ -204,14 +210,17 @@
         self._send_endpoints(self.dispatcher, api.ListKind.FULL, listed)
 
     def _change_entry(self, upstream: int, state: api.UpstreamState) -> None:
-        """Change one entry; a removed converter returns under its id as a new process."""
+        """Change the state of a converter's entry in the endpoint list.
+
+        A removed converter is listed again under its id as a new process.
+        """
         self._set_state(upstream, state)
         self._send_endpoints(self.dispatcher, api.ListKind.DELTA, [upstream])
 
     def _set_state(self, upstream: int, state: api.UpstreamState) -> None:
         self.list_changes += 1
         self.states[upstream] = state
-        self.events.append(f"converter {upstream} is told to be {state.value}")
+        self.events.append(f"converter {upstream} is listed as {state.value}")
 
     def _send_endpoints(self, dispatcher: RequestDispatcher, kind: api.ListKind, upstreams: list[int]) -> None:
         entries = [
@@ -226,7 +235,7 @@
         dispatcher.on_endpoints(api.UpstreamsUpdated(kind, entries, self.list_changes + 1), addresses)
 
     def _advance_time(self, step: Step) -> None:
-        """Advance to the next timer, or until the answer to a waiting client counts as missing."""
+        """Advance to the next timer, or to the time from which a waiting client's answer counts as missing."""
         times = [client.due_us + invariants.ANSWER_SLACK_US + 1 for client in self.clients if client.waiting]
         next_timer_us = self.timers.next_us()
         if next_timer_us is not None:
@@ -236,7 +245,7 @@
         self.timers.now_us = next_us
 
     def settle(self) -> None:
-        """Fire all timers after everything has ended, and check that nothing is left."""
+        """Fire all remaining timers in a terminal state, and check that everything was released."""
         for _ in range(MAX_SETTLE_TIMERS):
             next_us = self.timers.next_us()
             if next_us is None:
@@ -245,12 +254,12 @@
             with self._path_clock():
                 self.timers.fire()
         else:
-            self.violations.append(Violation(Rule.LEAK, "timers without an end"))
+            self.violations.append(Violation(Rule.LEAK, "timers keep firing after all requests have ended"))
         self.violations += invariants.violations_of_end(self.dispatcher)
 
 
 def replay(model: Model, path: Sequence[Step]) -> ModelState:
-    """Return the state that a path leads to. Raises UndecidedDraw from its last step."""
+    """Return the state at the end of a path. Raises UndecidedDraw if a step lacks the result of a random draw."""
     state = ModelState(model)
     for step in path:
         state.apply(step)
--- a/ryepier/check/trace.py
+++ b/ryepier/check/trace.py
@@ -1,4 +1,4 @@
-"""A path as a sequence chart, with the lines of code that caused each attempt and each end."""
+"""Sequence charts of paths, with the lines of code that caused each attempt and each rejection or failure."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 DECISIONS_FOLDER = Path(balancer.__file__).parent
 DISPATCHER_FILE = "dispatcher.py"
-PASS_THROUGH_FUNCTIONS = ("handle", "_handle", "_dispatch")  # functions that only pass events on
-MAX_FRAMES = 3
-INDENT = " " * 22
+PASS_THROUGH_FUNCTIONS = ("handle", "_handle", "_dispatch")  # functions that only dispatch events, which charts omit
+MAX_FRAMES = 3  # stack frames that a chart shows for a decision
+INDENT = " " * 22  # width of the time column
 
 
 def calling_lines(depth: int) -> str:
-    """Return the lines of the code under test on the stack from `depth` on, the innermost first."""
+    """Return the lines of the code under test on the call stack, innermost first. `depth` frames are skipped."""
     frame: FrameType | None = sys._getframe(depth)
     lines = []
     while frame is not None:
@@ -33,7 +33,7 @@
 
 
 class _TracedState:
-    """A state whose balancer records which lines decide."""
+    """A state whose balancer records the lines of code from which it sends, rejects or fails requests."""
 
     def __init__(self, model: Model) -> None:
         self.state = ModelState(model)
@@ -56,7 +56,10 @@
 
 
 def chart(model: Model, path: Sequence[Step], settle: bool = True) -> list[str]:
-    """Return lines with the time, each step, its effects, and the code that caused them."""
+    """Return the lines of a path's chart: the time of each step, the step, its effects, and the code behind them.
+
+    With `settle`, a path that ends in a terminal state without violations is also checked for leaks.
+    """
     traced = _TracedState(model)
     state = traced.state
     lines = ["", *(f"request {number} is of class {name}" for number, name in enumerate(model.requests)), ""]
--- a/ryepier/sim/__init__.py
+++ b/ryepier/sim/__init__.py
@@ -1,5 +1,5 @@
-"""The sidecar's own network code under virtual time: an event loop and a network in memory. Each seed gives one run.
+"""Deterministic simulation of the sidecar's network code: an event loop with virtual time and an in-memory network.
 
-`loop` is the clock, `link`, `sockets`, `transport` and `network` are the network, `process` a simulated process, and
-`run` puts them in place of the machine's.
+A run depends only on its seed. `loop` implements virtual time; `link`, `sockets`, `transport` and `network` implement
+the network; `process` describes a simulated process; `run` replaces the machine's clocks and network with them.
 """
--- a/ryepier/sim/fleet/__init__.py
+++ b/ryepier/sim/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""A fleet of balancers and model converters in virtual time, without sockets.
+"""Discrete-event simulation of a fleet of balancers and model converters, without sockets.
 
-`world` is the plan and the event loop, `converter` the model of a converter, `connections` the connections that
-sidecars hold, and `choosers` the reference choices that a balancer is compared with.
+`world` has the fleet's parameters and the event loop, `converter` the model of a converter, `connections` the model of
+the sidecars' connections, and `choosers` the reference policies that the balancer is compared with.
 """
--- a/ryepier/sim/fleet/choosers.py
+++ b/ryepier/sim/fleet/choosers.py
@@ -1,4 +1,4 @@
-"""What decides for a sidecar: the balancer, or a reference policy to compare it with."""
+"""Load-balancing policies of a simulated sidecar: the balancer, and reference policies to compare it with."""
 
 from __future__ import annotations
 
@@ -12,37 +12,39 @@
 
 
 class BalancingPolicy(Protocol):
-    """Takes events and gives actions, as `Balancer` does."""
+    """Makes the decisions of one sidecar: handles events and returns actions, as `Balancer` does."""
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Return the actions that the event calls for."""
+        """Handle an event, and return the actions that the sidecar must execute."""
         ...
 
 
 PolicyFactory = Callable[[api.Settings, int, int, Sequence[Converter]], BalancingPolicy]
-"""Makes a chooser from settings, a seed, the time in microseconds and the converters, which a balancer must ignore."""
+"""Creates a policy from the settings, a seed, the time in microseconds and the converters.
+
+A balancer must ignore the converters, because a real sidecar cannot observe their state."""
 
 
 def make_balancer(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
-    """Return the project's own balancer."""
+    """Create the project's balancer; `converters` is ignored."""
     return Balancer(settings, seed, now_us)
 
 
 class _ReferencePolicy:
-    """Sends each request once, to a ready converter, and rejects none."""
+    """Base class of policies that send each request once, to a ready converter, and reject none."""
 
     def __init__(self, seed: int, converters: Sequence[Converter]) -> None:
-        """Start with an empty endpoint list."""
+        """Create a policy with an empty endpoint list. `converters` lets subclasses read the real load."""
         self.random = random.Random(seed)
         self.converters = {converter.ident: converter for converter in converters}
         self.ready: list[int] = []
 
     def choose(self) -> int:
-        """Return the converter for the next request."""
+        """Return the id of the converter for the next request."""
         raise NotImplementedError
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Send arrivals, apply changes of the list, and ignore everything else."""
+        """Send each arriving request, apply updates of the endpoint list, and ignore other events."""
         if isinstance(event, api.UpstreamsUpdated):
             ready = set() if event.kind is api.ListKind.FULL else set(self.ready)
             for entry in event.upstreams:
@@ -56,26 +58,26 @@
 
 
 class RandomChoice(_ReferencePolicy):
-    """Chooses uniformly at random."""
+    """Chooses among the ready converters uniformly at random."""
 
     def choose(self) -> int:
-        """Return any ready converter with equal probability."""
+        """Return a random ready converter."""
         return self.random.choice(self.ready)
 
 
 class ShortestQueue(_ReferencePolicy):
-    """Chooses the converter with the fewest requests, which no real sidecar can know."""
+    """Chooses the ready converter with the fewest requests, which a real sidecar cannot know."""
 
     def choose(self) -> int:
-        """Return one of the least loaded converters at random."""
+        """Return a random one of the least loaded ready converters."""
         return min(self.ready, key=lambda ident: (self.converters[ident].load, self.random.random()))
 
 
 def make_random(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
-    """Return a `RandomChoice`."""
+    """Create a `RandomChoice`."""
     return RandomChoice(seed, converters)
 
 
 def make_shortest(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
-    """Return a `ShortestQueue`."""
+    """Create a `ShortestQueue`."""
     return ShortestQueue(seed, converters)
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -1,4 +1,4 @@
-"""The connections from one sidecar to one converter, as the converter observes them."""
+"""Model of the connections between sidecars and converters, counted as a converter observes them."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True)
 class ConnectionCounter:
-    """Connections open at one converter, integrated over time."""
+    """Counts the connections that are open at one converter, and integrates them over time."""
 
     open: int = 0
-    opened: int = 0
+    opened: int = 0  # since the counts were reset
     max_open: int = 0
-    open_connection_us: int = 0  # connections times microseconds
+    open_connection_us: int = 0  # integral of `open` over time, in connections times microseconds
     last_change_us: int = 0
 
     def record_change(self, now_us: int, delta: int) -> None:
-        """Record that `by` connections were opened at `now_us`, or closed if it is negative."""
+        """Record that `delta` connections were opened at `now_us`, or closed if `delta` is negative."""
         self.open_connection_us += self.open * (now_us - self.last_change_us)
         self.last_change_us = now_us
         self.open += delta
@@ -24,26 +24,29 @@
         self.max_open = max(self.max_open, self.open)
 
     def reset_counts(self, now_us: int) -> None:
-        """Restart the counts at `now_us`; open connections stay open."""
+        """Reset the counts at `now_us`; open connections stay open."""
         self.record_change(now_us, 0)
         self.open_connection_us = self.opened = 0
         self.max_open = self.open
 
     def mean_open(self, since_us: int, now_us: int) -> float:
-        """Return the mean number of open connections since the counts were restarted."""
+        """Return the mean number of open connections from `since_us`, when the counts were reset, to `now_us`."""
         return (self.open_connection_us + self.open * (now_us - self.last_change_us)) / max(1, now_us - since_us)
 
 
 @dataclass(slots=True)
 class ConnectionPool:
-    """One sidecar's connections to one converter: one a request; the longest idle one is used first."""
+    """One sidecar's connections to one converter.
+
+    Each request in flight uses a connection of its own. The connection that has been idle longest is reused first.
+    """
 
     counter: ConnectionCounter
     idle_since_us: list[int] = field(default_factory=list)  # oldest first
     busy: int = 0
 
     def acquire(self, now_us: int) -> None:
-        """Begin a request on an idle connection, or on a new one."""
+        """Take an idle connection for a request, or open a new one."""
         if self.idle_since_us:
             self.idle_since_us.pop(0)
         else:
@@ -51,7 +54,7 @@
         self.busy += 1
 
     def release(self, now_us: int, reusable: bool) -> None:
-        """End a request; its connection becomes idle if it was answered, and is closed otherwise."""
+        """Return the connection of a request that has ended: idle if it is reusable, and closed otherwise."""
         self.busy -= 1
         if reusable:
             self.idle_since_us.append(now_us)
@@ -59,7 +62,7 @@
             self.counter.record_change(now_us, -1)
 
     def close_idle(self, now_us: int, idle_before_us: int) -> None:
-        """Close the connections that have been idle since `idle_before_us` or longer."""
+        """Close the connections that became idle at `idle_before_us` or earlier."""
         remaining = [since_us for since_us in self.idle_since_us if since_us > idle_before_us]
         self.counter.record_change(now_us, len(remaining) - len(self.idle_since_us))
         self.idle_since_us = remaining
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -1,4 +1,4 @@
-"""The plan of a fleet and its event loop. Each seed gives one run."""
+"""Parameters of a simulated fleet, and the event loop that runs it. A run depends only on its plan and seed."""
 
 from __future__ import annotations
 
@@ -13,36 +13,39 @@
 from ryepier.sim.fleet.converter import Converter, Job
 
 SECOND_US = 1_000_000
-START_US = 1_000 * SECOND_US  # so that no converter's start is before 0
-REFUSAL_DELAY_US = 200  # until a connection to a converter that is down, or a full one, fails
-IDLE_CHECK_US = SECOND_US
+START_US = 1_000 * SECOND_US  # start of each run; above 0 so that start times of converters are never negative
+REFUSAL_DELAY_US = 200  # until a converter that is down or full refuses an attempt
+IDLE_CHECK_US = SECOND_US  # interval at which idle connections are closed
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """Converters that go down together and restart as new processes."""
+    """An outage of randomly chosen converters, which go down together and restart as new processes.
 
-    converters: int
+    Times are microseconds since the start of the run.
+    """
+
+    converters: int  # number of converters that go down
     at_us: int
-    notice_delay_us: int
+    notice_delay_us: int  # from the outage until the endpoint list omits the converters
     restart_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """A fleet, its load and its outages. Times are microseconds since the start."""
+    """Parameters of a run: the fleet, its load and its outages. Times are microseconds since the start of the run."""
 
     sidecars: int
     converters: int
     load: float  # offered load as a share of the capacity of all converters
     duration_us: int
-    rate_exponent: float = 0.6  # of a Zipf distribution of the load over the sidecars
-    workers: int = 4
-    work_us: int = 100_000  # mean of the exponentially distributed work of a request
-    queue_limit: int = 32  # requests that may wait at a converter; further ones are rejected
-    objective_us: int = 600_000
+    rate_exponent: float = 0.6  # exponent of the Zipf distribution of the load over the sidecars
+    workers: int = 4  # per converter
+    work_us: int = 100_000  # mean processing time of a request, which is exponentially distributed
+    queue_limit: int = 32  # queued requests of a converter above which it rejects
+    objective_us: int = 600_000  # latency objective of the sidecars' request class
     deadline_us: int = 1_500_000
-    idle_us: int = 5_000_000  # after which an idle connection is closed
+    idle_us: int = 5_000_000  # idle time after which a connection is closed
     max_attempts: int = 3
     warm_up_us: int = 0
     initial_capacity_share: float = 1.0
@@ -51,22 +54,22 @@
     outages: tuple[Outage, ...] = ()
 
     def total_rate_per_s(self) -> float:
-        """Return the requests per second of the whole fleet."""
+        """Return the request rate of the whole fleet."""
         return self.load * self.converters * self.workers * SECOND_US / self.work_us
 
     def sidecar_rates_per_s(self) -> list[float]:
-        """Return the requests per second of each sidecar."""
+        """Return the request rate of each sidecar."""
         weights = [(rank + 1) ** -self.rate_exponent for rank in range(self.sidecars)]
         return [self.total_rate_per_s() * weight / sum(weights) for weight in weights]
 
     def capacity_share(self, age_us: int) -> float:
-        """Return the share of its full speed that a converter has `age_us` after its start."""
+        """Return a converter's speed `age_us` after its start, as a share of its full speed."""
         if age_us >= self.warm_up_us:
             return 1.0
         return self.initial_capacity_share + (1.0 - self.initial_capacity_share) * age_us / self.warm_up_us
 
     def settings(self, index: int) -> api.Settings:
-        """Return the settings of a sidecar."""
+        """Return the balancer settings of the sidecar `index`."""
         return api.Settings(
             classes=[api.RequestClass("read", self.objective_us, self.deadline_us, late_weight=0.3)],
             instances=self.sidecars,
@@ -82,7 +85,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One client's request, as the client observes it."""
+    """A request as its client observes it."""
 
     sidecar: int
     arrived_us: int
@@ -94,10 +97,10 @@
 
 
 class FleetWorld:
-    """Runs a plan."""
+    """The state of a simulated fleet, and its event queue. One object runs one plan once."""
 
     def __init__(self, plan: FleetPlan, seed: int, factory: PolicyFactory = make_balancer) -> None:
-        """Set up the fleet as it is when the plan starts."""
+        """Create the fleet at `START_US`. `seed` determines the run; `factory` creates each sidecar's policy."""
         self.plan = plan
         self.factory = factory
         self.random = random.Random(seed)
@@ -107,19 +110,19 @@
         self.sidecars = [
             factory(plan.settings(index), seeds[index], START_US, self.converters) for index in range(plan.sidecars)
         ]
-        self.pools: dict[tuple[int, int], ConnectionPool] = {}  # by sidecar and converter
+        self.pools: dict[tuple[int, int], ConnectionPool] = {}  # by indexes of sidecar and converter
         self.requests: list[Request] = []
         self.counted_from_us = START_US
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._event_count = 0
 
     def schedule(self, at_us: int, action: Callable[[], None]) -> None:
-        """Schedule an action, after those scheduled earlier for the same time."""
+        """Schedule an action. Actions for the same time run in the order in which they were scheduled."""
         self._event_count += 1
         heapq.heappush(self._events, (at_us, self._event_count, action))
 
     def run(self, count_from_us: int = 0) -> None:
-        """Run the whole plan; connections are counted from `count_from_us` after the start."""
+        """Run the whole plan. Connections are counted from `count_from_us` after the start of the run on."""
         for index, rate_per_s in enumerate(self.plan.sidecar_rates_per_s()):
             self.deliver(index, self.full_list())
             self.schedule_arrival(index, rate_per_s)
@@ -134,7 +137,7 @@
         self.now_us = end_us
 
     def reset_counts(self) -> None:
-        """Restart the counts of connections."""
+        """Reset the connection counts of all converters."""
         self.counted_from_us = self.now_us
         for converter in self.converters:
             converter.connections.reset_counts(self.now_us)
@@ -142,17 +145,17 @@
     # Sidecars
 
     def endpoint_entry(self, converter: Converter, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
-        """Return the converter's entry in the endpoint list."""
+        """Return an entry of the endpoint list for a converter."""
         return api.Upstream(converter.ident, state, started_us=converter.started_us)
 
     def full_list(self) -> api.UpstreamsUpdated:
-        """Return the full endpoint list."""
+        """Return an endpoint list with all converters that are up."""
         return api.UpstreamsUpdated(
             api.ListKind.FULL, [self.endpoint_entry(converter) for converter in self.converters if converter.up]
         )
 
     def deliver(self, sidecar: int, event: api.Event) -> None:
-        """Deliver an event to a sidecar, and carry out its actions."""
+        """Deliver an event to a sidecar, and execute the resulting actions."""
         for action in self.sidecars[sidecar].handle(self.now_us, event):
             self.execute(sidecar, action)
 
@@ -162,7 +165,7 @@
             self.deliver(index, event)
 
     def execute(self, sidecar: int, action: api.Action) -> None:
-        """Carry out an action as a sidecar does on sockets."""
+        """Execute an action of a sidecar's policy, as a real sidecar does on its sockets."""
         if isinstance(action, api.Send):
             self.send(sidecar, action)
         elif isinstance(action, api.SetTimer):
@@ -176,13 +179,13 @@
             self.pool(sidecar, action.upstream).close_idle(self.now_us, self.now_us)
 
     def schedule_arrival(self, sidecar: int, rate_per_s: float) -> None:
-        """Schedule the next request of a sidecar's clients, whose arrivals are a Poisson process."""
+        """Schedule the next request of a sidecar's clients; arrivals form a Poisson process."""
         gap_us = max(1, int(self.random.expovariate(rate_per_s) * SECOND_US))
         work_us = max(1, int(self.random.expovariate(1.0) * self.plan.work_us))
         self.schedule(self.now_us + gap_us, lambda: self.arrive(sidecar, rate_per_s, work_us))
 
     def arrive(self, sidecar: int, rate_per_s: float, work_us: int) -> None:
-        """Handle the arrival of a request at a sidecar."""
+        """Handle the arrival of a request at a sidecar, and schedule the next arrival."""
         self.schedule_arrival(sidecar, rate_per_s)
         ident = len(self.requests)
         self.requests.append(Request(sidecar, self.now_us, work_us))
@@ -191,7 +194,7 @@
         self.deliver(sidecar, api.RequestArrived(ident, due_us))
 
     def disconnect_client(self, ident: int) -> None:
-        """Disconnect the client, if it still waits."""
+        """Disconnect the client of a request that has not ended by its deadline."""
         request = self.requests[ident]
         if request.ended_us:
             return
@@ -201,14 +204,14 @@
     # Attempts
 
     def pool(self, sidecar: int, converter: int) -> ConnectionPool:
-        """Return the connections between a sidecar and a converter."""
+        """Return the connection pool of a sidecar for a converter, created on first use."""
         key = (sidecar, converter)
         if key not in self.pools:
             self.pools[key] = ConnectionPool(self.converters[converter].connections)
         return self.pools[key]
 
     def send(self, sidecar: int, send: api.Send) -> None:
-        """Send an attempt."""
+        """Send an attempt to a converter, and schedule its refusal or timeout."""
         request, converter = self.requests[send.request], self.converters[send.upstream]
         job = Job(sidecar, send.request, len(request.jobs), request.work_us, self.now_us)
         request.jobs.append(job)
@@ -228,21 +231,21 @@
         self.start_jobs(converter)
 
     def start_jobs(self, converter: Converter) -> None:
-        """Start queued jobs on the free workers."""
+        """Start queued jobs on a converter's free workers."""
         while (job := converter.start_next()) is not None:
             work_us = int(job.work_us / self.capacity_share(converter))
             self.schedule(self.now_us + work_us, lambda job=job: self.finish_job(job, converter))  # type: ignore[misc]
 
     def finish_job(self, job: Job, converter: Converter) -> None:
-        """Finish a job, and start the next."""
+        """Finish a job, and start queued jobs."""
         if job not in converter.working:
-            return  # lost in an outage
+            return  # the job was lost in an outage
         converter.working.remove(job)
         self.end_attempt(job, converter, api.Outcome.OK)
         self.start_jobs(converter)
 
     def end_attempt(self, job: Job, converter: Converter, outcome: api.Outcome) -> None:
-        """End an attempt for its sidecar; later ends of the same attempt are ignored."""
+        """Report the end of an attempt to its sidecar. Only the first end of an attempt counts."""
         if job.ended:
             return
         job.ended = True
@@ -260,20 +263,20 @@
     # Converters
 
     def capacity_share(self, converter: Converter) -> float:
-        """Return the share of its full speed that a converter has now."""
+        """Return a converter's present speed as a share of its full speed."""
         if converter.started_us == 0:
             return 1.0
         return self.plan.capacity_share(self.now_us - converter.started_us)
 
     def schedule_outage(self, outage: Outage) -> None:
-        """Schedule an outage of random converters."""
+        """Choose random converters, and schedule their outage, its notice and their restart."""
         converters = self.random.sample(self.converters, outage.converters)
         self.schedule(START_US + outage.at_us, lambda: self.stop_converters(converters))
         self.schedule(START_US + outage.at_us + outage.notice_delay_us, lambda: self.announce_removal(converters))
         self.schedule(START_US + outage.restart_us, lambda: self.restart_converters(converters))
 
     def stop_converters(self, converters: list[Converter]) -> None:
-        """Stop converters, and break the connections to them."""
+        """Stop converters: reset their attempts and close the idle connections to them."""
         for converter in converters:
             for job in converter.stop():
                 self.end_attempt(job, converter, api.Outcome.RESET)
@@ -282,12 +285,12 @@
                     pool.close_idle(self.now_us, self.now_us)
 
     def announce_removal(self, converters: list[Converter]) -> None:
-        """Remove converters from the endpoint list."""
+        """Announce the removal of converters from the endpoint list to all sidecars."""
         removed = [self.endpoint_entry(converter, api.UpstreamState.REMOVED) for converter in converters]
         self.broadcast(api.UpstreamsUpdated(api.ListKind.DELTA, removed))
 
     def restart_converters(self, converters: list[Converter]) -> None:
-        """Start new processes of converters, and list them."""
+        """Restart converters as new processes, and announce them to all sidecars."""
         for converter in converters:
             converter.up, converter.started_us = True, self.now_us
         self.broadcast(
@@ -295,7 +298,7 @@
         )
 
     def close_idle(self) -> None:
-        """Close idle connections, and schedule the next check."""
+        """Close connections that have been idle for `idle_us`, and schedule the next check."""
         for pool in self.pools.values():
             if pool.idle_since_us:
                 pool.close_idle(self.now_us, self.now_us - self.plan.idle_us)
--- a/ryepier/sim/link.py
+++ b/ryepier/sim/link.py
@@ -1,4 +1,4 @@
-"""Links between simulated hosts, and pipes: one direction of a connection, with latency, segments and a window."""
+"""Links between simulated hosts, and pipes. A pipe is one direction of a TCP connection with a receive window."""
 
 from __future__ import annotations
 
@@ -13,65 +13,70 @@
 
 RECEIVE_WINDOW_BYTES = 64 * 1024
 MAX_SEGMENT_BYTES = 1460
-MIN_SEGMENT_SPACING_S = 1e-9  # between segments; asyncio's heap has no order among timers due at one instant
-NETWORK_CONTEXT = contextvars.Context()  # segments in transit run outside any process's context
+# Minimum time between two segments of a pipe. asyncio does not order timers that are due at the same time.
+MIN_SEGMENT_SPACING_S = 1e-9
+# An empty context: segments in transit belong to no process, so they arrive even if their sender is killed.
+NETWORK_CONTEXT = contextvars.Context()
 Delivery = Callable[[], None]
 
 
 @dataclass(slots=True)
 class Link:
-    """The path from one host to another."""
+    """The network path from one host to another, in one direction."""
 
     latency_s: tuple[float, float] = (0.000_05, 0.000_2)  # sampled uniformly for each segment
     partitioned: bool = False
-    delayed: list[Delivery] = field(default_factory=list)  # segments to be delivered once the partition is healed
+    delayed: list[Delivery] = field(default_factory=list)  # segments held back until the partition heals
 
 
 class SimNetwork(Protocol):
-    """The network, as a pipe needs it."""
+    """The attributes of the network that a pipe uses."""
 
     loop: VirtualLoop
     random: Random
-    split_share: float  # of the segments that are cut at a random place
+    split_share: float  # share of the segments that are cut at a random length
 
 
 class PipeReader(Protocol):
-    """The receiving end of a pipe."""
+    """The socket that receives from a pipe."""
 
     closed: bool
 
     def on_data(self) -> None:
-        """Handle data, or the end, that can be read."""
+        """Handle the arrival of data or of the end of the stream."""
 
 
 class Pipe:
     """One direction of a connection.
 
-    Segments arrive in order, each after the link's latency. The sender holds back what exceeds the receive window. A
-    partition loses nothing, as TCP retransmits: segments are delivered once it is healed.
+    Segments arrive in order, each after the link's latency. The sender buffers data that exceeds the receive window. A
+    partition delays segments until it heals and loses none, because TCP would retransmit them.
     """
 
     def __init__(self, network: SimNetwork, link: Link) -> None:
-        """Start open and empty."""
+        """Create an open pipe without data. `reader` must be set before data arrives, or the data is discarded."""
         self.network = network
         self.link = link
-        self.send_buffer = bytearray()  # written, and beyond the window
-        self.received: deque[bytes] = deque()  # segments that have not been read
+        self.send_buffer = bytearray()  # written, but not sent because the window is full
+        self.received: deque[bytes] = deque()  # segments that the reader has not read yet
         self.reader: PipeReader | None = None
-        self.eof_requested = False  # an end follows the send buffer
-        self.has_received_eof = False  # the end has been received
+        self.eof_requested = False  # the writer has closed; the end of the stream follows the send buffer
+        self.has_received_eof = False  # the end of the stream has arrived at the reader
         self._in_flight_bytes = 0
         self._unread_bytes = 0
         self._eof_sent = False
         self._last_arrival_s = 0.0
 
     def write(self, data: bytes) -> None:
-        """Send data, or buffer what exceeds the window."""
+        """Send data, and buffer the part that exceeds the receive window."""
         self.send_buffer += data
         self.push()
 
     def push(self) -> None:
-        """Send what the window allows in segments that end at random places, and the end after all data."""
+        """Send as much buffered data as the window allows, and the end of the stream once the buffer is empty.
+
+        Segments have the maximum size, except a random `split_share` of them, which are shorter.
+        """
         random = self.network.random
         while self.send_buffer and self._in_flight_bytes + self._unread_bytes < RECEIVE_WINDOW_BYTES:
             window_bytes = RECEIVE_WINDOW_BYTES - self._in_flight_bytes - self._unread_bytes
@@ -86,7 +91,7 @@
             self.send(self._receive_eof)
 
     def send(self, deliver: Delivery) -> None:
-        """Call `deliver` at the other end, after everything that was sent before."""
+        """Call `deliver` after the link's latency, and after everything that was sent earlier."""
         loop = self.network.loop
         latency_s = self.network.random.uniform(*self.link.latency_s)
         at_s = max(self._last_arrival_s + MIN_SEGMENT_SPACING_S, loop.now_s + latency_s)
@@ -113,7 +118,7 @@
             self.reader.on_data()
 
     def read(self) -> bytes:
-        """Return the next segment, which must be there, and let the sender use its place in the window."""
+        """Return the next received segment and free its part of the window. `received` must not be empty."""
         segment = self.received.popleft()
         self._unread_bytes -= len(segment)
         self.push()
--- a/ryepier/sim/loop.py
+++ b/ryepier/sim/loop.py
@@ -1,6 +1,6 @@
-"""An asyncio event loop under virtual time, which advances to whatever is due next.
+"""An asyncio event loop with virtual time, which advances to the next timer instead of waiting for it.
 
-asyncio's own loop runs on it unchanged; only its clock, and the selector that would wait, are replaced.
+It reuses asyncio's base event loop and replaces only the clock and the selector.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 
 from ryepier.errors import RyepierError
 
-MAX_ITERATIONS_PER_INSTANT = 100_000  # of the loop at one instant
+MAX_ITERATIONS_PER_INSTANT = 100_000  # loop iterations without an advance of the virtual time, before the run fails
 CLOCK_RESOLUTION_S = 1e-9
-MAX_HANDLES_IN_ERROR = 3  # in an error
+MAX_HANDLES_IN_ERROR = 3  # ready callbacks that an error message lists
 
 
 class NoProgressError(RyepierError):
-    """Nothing is scheduled any more although the run is not over, or one instant never ends."""
+    """The run cannot end: nothing is scheduled, or callbacks keep running without an advance of the virtual time."""
 
 
 class _VirtualSelector:
-    """A selector without descriptors: waiting advances the virtual time."""
+    """A selector without file descriptors, which advances the virtual time instead of waiting."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -35,38 +35,42 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """An event loop whose time, in seconds from 0, stands still while anything can run."""
+    """An event loop with virtual time in seconds, which advances only when no callback is ready."""
 
     def __init__(self) -> None:
-        """Start at 0."""
+        """Start at virtual time 0 with nothing scheduled."""
         super().__init__()
         self._selector = _VirtualSelector(self)
         self._clock_resolution = CLOCK_RESOLUTION_S
         self.now_s = 0.0
-        self.failures: list[str] = []  # exceptions that no code handled
+        self.failures: list[str] = []  # exceptions of callbacks and tasks that no code handled
         self._iterations = 0
         self.set_exception_handler(self._record_failure)
 
     def time(self) -> float:
-        """Return the virtual time."""
+        """Return the virtual time in seconds."""
         return self.now_s
 
     def call_at_run_time(self, when_s: float, callback: Any, *args: Any, context: contextvars.Context) -> None:
-        """Schedule a callback by the run's own clock, whatever clock the running process has."""
+        """Schedule a callback at a virtual time of the run, whatever rate the running process's clock has."""
         asyncio.BaseEventLoop.call_at(self, when_s, callback, *args, context=context)
 
     def advance(self, timeout: float | None) -> None:
-        """Advance the time in place of waiting for `timeout` seconds. Raises NoProgressError."""
+        """Advance the virtual time to the next timer instead of waiting for `timeout` seconds.
+
+        A `timeout` of 0 means that a callback is ready or a timer is due, and does not advance the time. None means
+        that nothing is scheduled. Raises NoProgressError in that case, and after too many iterations at one time.
+        """
         if timeout is None:
-            raise NoProgressError(f"at {self.now_s:.6f} s nothing is due any more, and the run is not over")
+            raise NoProgressError(f"at {self.now_s:.6f} s nothing is due any more, but the run has not ended")
         if timeout <= 0:
             self._iterations += 1
             if self._iterations > MAX_ITERATIONS_PER_INSTANT:
-                raise NoProgressError(f"the instant {self.now_s:.6f} s does not end: {self._ready_callbacks()}")
+                raise NoProgressError(f"time does not advance beyond {self.now_s:.6f} s: {self._ready_callbacks()}")
             return
         self._iterations = 0
         scheduled: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
-        # take the timer's own time, as a sum of timeouts would be off by a rounding error
+        # Use the time of the next timer, because adding up timeouts would accumulate rounding errors.
         self.now_s = max(self.now_s, scheduled[0].when()) if scheduled else self.now_s + timeout
 
     def _ready_callbacks(self) -> str:
@@ -74,16 +78,17 @@
         return ", ".join(repr(handle) for handle in ready)
 
     def _record_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Record an exception that no code awaits, which fails the run."""
+        """Record an exception that no code handled; `simulate` then fails the run."""
         error = context.get("exception")
-        # a context without an exception is about a task of a killed process
+        # asyncio calls this without an exception when a pending task is garbage-collected, which happens only to the
+        # tasks of killed processes.
         if error is not None and not isinstance(error, asyncio.CancelledError):
             self.failures.append(f"{self.now_s:.6f} s: {context.get('message')}: {error!r}")
 
-    # What asyncio's base class leaves to its subclasses
+    # Abstract methods of asyncio.BaseEventLoop
 
     def _process_events(self, event_list: list[Any]) -> None:
         pass
 
     def _write_to_self(self) -> None:
-        pass  # one thread, with no selector to wake
+        pass  # only one thread uses the loop, so there is no selector to wake up
--- a/ryepier/sim/network.py
+++ b/ryepier/sim/network.py
@@ -1,4 +1,4 @@
-"""A network in memory that behaves as TCP does towards asyncio: order, windows, half-closes, resets and backlogs."""
+"""An in-memory network that models TCP: ordered delivery, receive windows, half-closes, resets and backlogs."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from ryepier.sim.sockets import Address, SimSocket
 from ryepier.sim.transport import SimTransport
 
-EPHEMERAL_PORT_BASE = 40_000  # the first one is the next
-DEFAULT_SPLIT_SHARE = 0.1
+EPHEMERAL_PORT_BASE = 40_000  # the first ephemeral port is the next number
+DEFAULT_SPLIT_SHARE = 0.1  # share of the segments that are cut at a random length
 
 
 def _complete(future: asyncio.Future[None], error: Exception | None = None) -> None:
-    """Set the result of a future, unless its waiter has been cancelled."""
+    """Complete a future with a result or an error, unless it is already done, e.g. cancelled."""
     if future.done():
         return
     if error is None:
@@ -25,10 +25,10 @@
 
 
 class SimServer:
-    """What `create_server` returns."""
+    """A server on a listening socket, with the methods of asyncio's `Server` that the callers use."""
 
     def __init__(self, sock: SimSocket) -> None:
-        """Stand for a listening socket."""
+        """Wrap a listening socket, which `close` closes."""
         self.sockets = [sock]
 
     def close(self) -> None:
@@ -40,24 +40,27 @@
         return not self.sockets[0].closed
 
     async def wait_closed(self) -> None:
-        """Do nothing: closing takes no time."""
+        """Return at once, because closing a simulated socket takes no time."""
 
 
 class Network:
-    """All hosts and connections of a run."""
+    """All hosts, links, listeners and sockets of a run. Hosts are identified by their addresses."""
 
     def __init__(self, loop: VirtualLoop, seed: int, split_share: float = DEFAULT_SPLIT_SHARE) -> None:
-        """Start without connections."""
+        """Create a network without sockets. `seed` determines latencies and segment lengths.
+
+        `split_share` is the share of the segments that are cut at a random length.
+        """
         self.loop = loop
         self.random = Random(seed)
         self.split_share = split_share
         self.listeners: dict[Address, SimSocket] = {}
         self.links: dict[tuple[str, str], Link] = {}  # by source and target host
-        self.sockets: list[SimSocket] = []  # that are open
+        self.sockets: list[SimSocket] = []  # all open sockets
         self._last_port = EPHEMERAL_PORT_BASE
 
     def kill(self, process: str) -> None:
-        """Close the sockets of a process as its kernel does, without telling its code."""
+        """Close the sockets of a process as the kernel does after SIGKILL: without calling the process's code."""
         for sock in [sock for sock in self.sockets if sock.process == process]:
             if isinstance(sock.transport, SimTransport):
                 sock.transport.closed = sock.transport.closing = True
@@ -66,15 +69,15 @@
             sock.close()
 
     def link(self, source: str, target: str) -> Link:
-        """Return the link from one host to another."""
+        """Return the link from one host to another, created on first use."""
         return self.links.setdefault((source, target), Link())
 
     def partition(self, source: str, target: str) -> None:
-        """Deliver nothing from one host to the other until `heal`."""
+        """Hold back everything from `source` to `target` until `heal`; the other direction is not affected."""
         self.link(source, target).partitioned = True
 
     def heal(self, source: str, target: str) -> None:
-        """End a partition, and deliver what it delayed."""
+        """End a partition, and deliver the delayed segments."""
         link = self.link(source, target)
         link.partitioned = False
         delayed, link.delayed = link.delayed, []
@@ -82,9 +85,9 @@
             deliver()
 
     def listen(self, address: Address, backlog: int) -> SimSocket:
-        """Return a listening socket. Raises OSError if the address is in use."""
+        """Return a listening socket. Port 0 selects a free port. Raises OSError if the address is in use."""
         if address in self.listeners:
-            raise OSError(f"in use: {address}")
+            raise OSError(f"address already in use: {address}")
         if address[1] == 0:
             address = address[0], self._next_port()
         sock = SimSocket(self)
@@ -97,8 +100,11 @@
         return self._last_port
 
     async def connect(self, sock: SimSocket, address: Address, source: str = "127.0.0.1") -> None:
-        """Connect a socket. Raises ConnectionRefusedError; never returns if the backlog is full or the link
-        partitioned."""
+        """Connect a socket from the host `source`.
+
+        Raises ConnectionRefusedError without a listener. Does not return while the link is partitioned, and never if
+        the listener's backlog is full, so callers need a timeout.
+        """
         forward, reverse = self.link(source, address[0]), self.link(address[0], source)
         connected: asyncio.Future[None] = self.loop.create_future()
         sock.local_address, sock.peer_address = (source, self._next_port()), address
@@ -108,10 +114,10 @@
     def _on_syn(
         self, sock: SimSocket, address: Address, forward: Link, reverse: Link, connected: asyncio.Future[None]
     ) -> None:
-        """Handle a connection request at its target: establish, refuse, or drop it."""
+        """Handle a connection request at its target: establish it, refuse it, or drop it if the backlog is full."""
         listener, reply = self.listeners.get(address), Pipe(self, reverse)
         if listener is None:
-            reply.send(lambda: _complete(connected, ConnectionRefusedError(f"refused by {address}")))
+            reply.send(lambda: _complete(connected, ConnectionRefusedError(f"connection refused by {address}")))
             return
         if len(listener.pending) >= listener.backlog or sock.closed:
             return
--- a/ryepier/sim/process.py
+++ b/ryepier/sim/process.py
@@ -1,4 +1,4 @@
-"""A simulated process: whose code runs, its clocks, and what it has to do after a suspension."""
+"""State of a simulated process: its name, its clocks, and the callbacks held back while it is suspended."""
 
 from __future__ import annotations
 
@@ -7,37 +7,42 @@
 from typing import Any
 
 CURRENT_PROCESS: contextvars.ContextVar[str] = contextvars.ContextVar("owner", default="")
-"""The process that the running code, and each socket, timer and task that it creates, belongs to; "" = none."""
+"""Name of the process whose code is running; "" for code outside any process.
 
-ROUNDING_MARGIN_S = 1e-9  # so that a timer is due by its process's clock despite rounding
+Sockets, timers and tasks belong to the process whose code creates them."""
+
+ROUNDING_MARGIN_S = 1e-9  # added to timers, so that rounding cannot fire them early by their process's clock
 
 
 @dataclass(slots=True)
 class Clocks:
-    """The clocks of one process. Its monotonic clock may run at another rate than the run's, but never jumps; its
-    wall clock may be set to anything."""
+    """The clocks of one process.
+
+    The monotonic clock may run at another rate than the run's clock, but never jumps. The wall clock may also be set
+    to any time.
+    """
 
-    rate: float = 1.0
-    rate_set_run_s: float = 0.0  # when the present rate was set, by the run's clock
-    rate_set_process_s: float = 0.0  # and by its own
-    wall_offset_s: float = 0.0  # offset of the wall clock
+    rate: float = 1.0  # of the monotonic clock, relative to the run's clock
+    rate_set_run_s: float = 0.0  # run's clock when the rate was last set
+    rate_set_process_s: float = 0.0  # monotonic clock of the process at that time
+    wall_offset_s: float = 0.0  # wall clock minus monotonic clock, apart from the fixed epoch
 
     def process_time_s(self, run_s: float) -> float:
-        """Return what the monotonic clock shows at a time of the run."""
+        """Return the time of the monotonic clock when the run's clock shows `run_s`."""
         return self.rate_set_process_s + (run_s - self.rate_set_run_s) * self.rate
 
     def run_time_s(self, process_s: float) -> float:
-        """Return the time of the run at which the monotonic clock shows `process_s`."""
+        """Return the time of the run's clock when the monotonic clock shows `process_s`."""
         return self.rate_set_run_s + (process_s - self.rate_set_process_s) / self.rate + ROUNDING_MARGIN_S
 
     def set_rate(self, run_s: float, rate: float) -> None:
-        """Change the rate from a time of the run on."""
+        """Set the rate of the monotonic clock from `run_s` of the run's clock on."""
         self.rate_set_process_s, self.rate_set_run_s, self.rate = self.process_time_s(run_s), run_s, rate
 
 
 @dataclass(slots=True)
 class SuspendedCallbacks:
-    """What a suspended process has to do once it is resumed: first what was ready, in its order."""
+    """Callbacks of a suspended process, run when it is resumed: first those that were ready, in their order."""
 
     ready: list[Any] = field(default_factory=list)
     timers: list[Any] = field(default_factory=list)
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine with virtual time and the simulated network in place of the machine's."""
+"""Runs a coroutine with virtual time and the simulated network instead of the machine's clocks and network."""
 
 from __future__ import annotations
 
@@ -20,47 +20,47 @@
 
 T = TypeVar("T")
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
-UNIX_EPOCH_NS = 1_800_000_000 * 1_000_000_000  # the wall clock when a run begins
-DEFAULT_BACKLOG = 100  # asyncio's
+UNIX_EPOCH_NS = 1_800_000_000 * 1_000_000_000  # wall clock at the start of a run
+DEFAULT_BACKLOG = 100  # asyncio's default for create_server
 
 
 class SimulationError(RyepierError):
-    """A callback or a task failed that no code awaited."""
+    """A callback or a task failed with an exception that no code handled."""
 
 
 def _process_of(handle: Any) -> str:
-    """Return the process that a callback belongs to."""
+    """Return the name of the process that a callback belongs to; "" if none."""
     process: str = handle._context.get(CURRENT_PROCESS, "")
     return process
 
 
 @dataclass(frozen=True, slots=True)
 class _Connection:
-    """A transport and the protocol that it was made for."""
+    """A transport and its protocol."""
 
     transport: SimTransport
     protocol: asyncio.BaseProtocol
 
 
 class SimLoop(VirtualLoop):
-    """Virtual time, connections through the simulated network, and processes that can be killed or suspended."""
+    """An event loop with virtual time, a simulated network, and processes that can be killed or suspended."""
 
     def __init__(self, seed: int) -> None:
-        """Start without processes; the seed is that of the network."""
+        """Create a loop at time 0 without processes; `seed` seeds the network's random numbers."""
         super().__init__()
         self.network = Network(self, seed)
-        self.clocks: dict[str, Clocks] = {}  # of processes whose clocks differ from the run's
-        self._readers: dict[int, SimSocket] = {}
-        self._killed: set[str] = set()  # killed processes
-        # Tasks of killed processes are kept: collecting them would run their `finally` blocks at a time that depends on
-        # the garbage collector, and runs would differ.
+        self.clocks: dict[str, Clocks] = {}  # by process; only processes whose clocks differ from the run's
+        self._readers: dict[int, SimSocket] = {}  # listening sockets with a reader callback, by id()
+        self._killed: set[str] = set()  # names of killed processes
+        # References to the tasks of killed processes. If these tasks were garbage-collected, their `finally` blocks
+        # would run at a time that depends on the collector, and runs with the same seed would differ.
         self._retained_tasks: list[set[asyncio.Task[Any]]] = []
         self._suspended: dict[str, SuspendedCallbacks] = {}
 
     # Processes
 
     def kill(self, process: str) -> None:
-        """End a process: none of its callbacks, timers and tasks runs again."""
+        """Kill a process: cancel its callbacks and timers, run none of its tasks again, and close its sockets."""
         self._suspended.pop(process, None)
         self._killed.add(process)
         self._retained_tasks.append(asyncio.all_tasks(self))
@@ -70,7 +70,7 @@
         self.network.kill(process)
 
     def suspend(self, process: str) -> None:
-        """Suspend a process, as SIGSTOP does: data for it stays in the kernel's buffers, and time passes."""
+        """Suspend a process as SIGSTOP does: its code does not run, time passes, and arriving data is buffered."""
         suspended = self._suspended.setdefault(process, SuspendedCallbacks())
         ready: Any = self._ready  # type: ignore[attr-defined]
         for handle in [handle for handle in ready if _process_of(handle) == process]:
@@ -79,7 +79,7 @@
         suspended.timers += self._remove_timers(process)
 
     def resume(self, process: str) -> None:
-        """Resume a process with everything that has become due; does nothing if it was killed meanwhile."""
+        """Resume a process and run the callbacks that became due. Does nothing if the process was killed meanwhile."""
         suspended = self._suspended.pop(process, None)
         if suspended is None:
             return
@@ -87,7 +87,7 @@
         self._reschedule_timers(suspended.timers)
 
     def set_rate(self, process: str, rate: float) -> None:
-        """Let a process's clocks run at `rate` times the speed of the run's from now on."""
+        """Run a process's clocks at `rate` times the speed of the run's clock from now on."""
         clocks = self.clocks.setdefault(process, Clocks())
         timers = self._remove_timers(process)
         due_process_s = [clocks.process_time_s(handle._when) for handle in timers]
@@ -97,11 +97,11 @@
         self._reschedule_timers(timers)
 
     def shift_wall_clock(self, process: str, by_s: float) -> None:
-        """Set a process's wall clock forward or back."""
+        """Set a process's wall clock forward, or back if `by_s` is negative."""
         self.clocks.setdefault(process, Clocks()).wall_offset_s += by_s
 
     def _remove_timers(self, process: str) -> list[Any]:
-        """Remove a process's timers from the schedule, and return them by their times."""
+        """Remove a process's timers from the schedule, and return them sorted by time."""
         scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
         timers = [handle for handle in scheduled if _process_of(handle) == process and not handle._cancelled]
         if timers:
@@ -109,7 +109,7 @@
             scheduled[:] = [handle for handle in scheduled if id(handle) not in ids]
             heapq.heapify(scheduled)
             for handle in timers:
-                handle._scheduled = False  # so that asyncio does not count it if it is cancelled
+                handle._scheduled = False  # asyncio must not count it as a cancelled timer in its heap
         return sorted(timers, key=lambda handle: float(handle._when))
 
     def _reschedule_timers(self, timers: list[Any]) -> None:
@@ -119,26 +119,26 @@
                 heapq.heappush(scheduled, handle)
                 handle._scheduled = True
 
-    # Clocks and callbacks, by the process whose code runs
+    # Clocks and callbacks of the running process
 
     def _current_clocks(self) -> Clocks | None:
         return self.clocks.get(CURRENT_PROCESS.get()) if self.clocks else None
 
     def time(self) -> float:
-        """Return the monotonic clock of the running process."""
+        """Return the time of the running process's monotonic clock, in seconds."""
         if not self.clocks:
             return self.now_s
         clocks = self.clocks.get(CURRENT_PROCESS.get())
         return self.now_s if clocks is None else clocks.process_time_s(self.now_s)
 
     def unix_s(self) -> float:
-        """Return the seconds since the run began by the wall clock of the running process."""
+        """Return the time of the running process's wall clock, in seconds since the start of the run."""
         clocks = self._current_clocks()
         return self.now_s if clocks is None else clocks.process_time_s(self.now_s) + clocks.wall_offset_s
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:  # type: ignore[override]
-        """Schedule a callback as asyncio does; those of killed or suspended processes are held back."""
-        if self.is_closed():  # the run is over, and objects of a killed process are being collected
+        """Schedule a callback as asyncio does, but cancel it for a killed process and defer it for a suspended one."""
+        if self.is_closed():  # the run has ended, and objects of killed processes are garbage-collected
             return asyncio.Handle(callback, args, self, context)
         handle = super().call_soon(callback, *args, context=context)
         process = _process_of(handle) if self._killed or self._suspended else ""
@@ -152,7 +152,7 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        """Schedule a callback by the clock of the running process."""
+        """Schedule a callback at a time of the running process's monotonic clock."""
         clocks = self._current_clocks()
         if clocks is not None:
             when = clocks.run_time_s(when)
@@ -161,14 +161,14 @@
             handle.cancel()
         return handle
 
-    # Connections; asyncio declares the parameters far more widely than any caller here uses them
+    # Connections. The signatures have only those of asyncio's parameters that callers in this project use.
 
     async def sock_connect(self, sock: Any, address: Any) -> None:
         """Connect a socket through the simulated network."""
         await self.network.connect(sock, address)
 
     async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
-        """Connect through the simulated network."""
+        """Connect through the simulated network, and return the transport and the protocol."""
         sock = options.get("sock")
         if sock is None:
             sock = SimSocket(self.network)
@@ -180,11 +180,11 @@
         return await self._open_connection(sock, protocol_factory)
 
     async def connect_accepted_socket(self, protocol_factory: Any, sock: Any, **options: Any) -> Any:
-        """Make a connection of an accepted socket."""
+        """Create the transport and the protocol of an accepted socket."""
         return await self._open_connection(sock, protocol_factory)
 
     async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
-        """Listen on the simulated network."""
+        """Listen on the simulated network, and create a protocol for each accepted connection."""
         sock = self.network.listen((host, port or 0), options.get("backlog", DEFAULT_BACKLOG))
 
         def accept() -> None:
@@ -195,7 +195,7 @@
         return SimServer(sock)
 
     def _make_connection(self, sock: SimSocket, factory: ProtocolFactory) -> _Connection:
-        """Make a transport; as with asyncio, `connection_made` is called at the loop's next turn."""
+        """Create a transport and its protocol. As in asyncio, `connection_made` is called in the next iteration."""
         protocol = factory()
         transport = SimTransport(sock, protocol)
         self.call_soon(transport.start)
@@ -206,15 +206,15 @@
         await asyncio.sleep(0)
         return connection.transport, connection.protocol
 
-    # Listeners that are read directly, as by the sidecar's front
+    # Reader callbacks on listening sockets, as the sidecar's front end uses them
 
     def add_reader(self, fd: Any, callback: Any, *args: Any) -> None:  # type: ignore[override]
-        """Call back whenever a listening socket has pending connections."""
+        """Call `callback` whenever the listening socket `fd` has pending connections."""
 
         def on_readable() -> None:
             if id(fd) in self._readers and fd.pending:
                 callback(*args)
-                if fd.pending:  # the callback may leave some for the next turn
+                if fd.pending:  # the callback need not accept all pending connections at once
                     self.call_soon(on_readable)
 
         self._readers[id(fd)] = fd
@@ -223,14 +223,14 @@
             self.call_soon(on_readable)
 
     def remove_reader(self, fd: Any) -> bool:
-        """Stop calling back for a listening socket, and return whether there was a callback."""
+        """Remove the reader callback of a listening socket, and return whether there was one."""
         fd.on_readable = None
         return self._readers.pop(id(fd), None) is not None
 
 
 @contextlib.contextmanager
 def _replace_system(loop: SimLoop) -> Iterator[None]:
-    """Put the loop's clocks and network in place of the machine's."""
+    """Replace the clocks and sockets of `sidecar.system` with those of the loop within the context."""
     originals = system.monotonic_ns, system.unix_ns, system.tcp_socket, system.listen
     system.monotonic_ns = lambda: round(loop.time() * 1e9)
     system.unix_ns = lambda: UNIX_EPOCH_NS + round(loop.unix_s() * 1e9)
@@ -243,10 +243,10 @@
 
 
 def simulate(seed: int, main: Callable[[SimLoop], Awaitable[T]]) -> T:
-    """Run the coroutine that `main` returns to its end, and return its result.
+    """Run the coroutine that `main` returns in a new simulation, and return its result.
 
-    Raises whatever it raises, NoProgressError if it never ends, and SimulationError if a callback or a task failed that
-    no other code awaited.
+    Raises the coroutine's exceptions, NoProgressError if it cannot end, and SimulationError if a callback or a task
+    failed with an exception that no code handled.
     """
     loop = SimLoop(seed)
     try:
@@ -261,7 +261,7 @@
 
 
 def _close(loop: SimLoop) -> None:
-    """Cancel what is left, and close the loop."""
+    """Cancel the remaining tasks, and close the loop."""
     for task in asyncio.all_tasks(loop):
         task.cancel()
     with contextlib.suppress(NoProgressError):
--- a/ryepier/sim/sockets.py
+++ b/ryepier/sim/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of the simulated network: as much of a socket as the sidecar and asyncio's streams use."""
+"""Sockets of the simulated network, with the part of the socket interface that the sidecar and asyncio use."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class SocketNetwork(Protocol):
-    """The network, as a socket needs it."""
+    """The attributes of the network that a socket uses."""
 
     loop: VirtualLoop
     listeners: dict[Address, SimSocket]
-    sockets: list[SimSocket]  # that are open
+    sockets: list[SimSocket]  # all open sockets
 
 
 class SocketTransport(Protocol):
     """The transport that reads from a socket."""
 
     def schedule_read(self) -> None:
-        """Read at the loop's next turn."""
+        """Read in the loop's next iteration."""
 
     def lose_connection(self, error: Exception | None) -> None:
-        """End the connection."""
+        """Close the socket and report the loss of the connection to the protocol."""
 
 
 class SimSocket:
@@ -41,22 +41,22 @@
     proto = 0
 
     def __init__(self, network: SocketNetwork) -> None:
-        """Open a socket of the process whose code runs."""
+        """Create an unconnected socket that belongs to the running process."""
         self.network = network
         self.process = CURRENT_PROCESS.get()
         self.local_address: Address = ("", 0)
         self.peer_address: Address = ("", 0)
         self.inbound: Pipe | None = None
         self.outbound: Pipe | None = None
-        self.peer_socket: SimSocket | None = None  # the other end of the connection
+        self.peer_socket: SimSocket | None = None  # the socket at the other end of the connection
         self.transport: SocketTransport | None = None
         self.closed = False
         self.was_reset = False
         self.listening = False
         self.backlog = 0
-        self.pending: deque[SimSocket] = deque()  # established connections that have not been accepted
+        self.pending: deque[SimSocket] = deque()  # established connections that are waiting to be accepted
         self.on_readable: Callable[[], None] | None = None
-        self.context: contextvars.Context | None = None  # in which `on_readable` is called
+        self.context: contextvars.Context | None = None  # the context in which `on_readable` runs
         self._resets_on_close = False
         network.sockets.append(self)
 
@@ -64,7 +64,7 @@
         """Do nothing: a simulated socket never blocks."""
 
     def setsockopt(self, level: int, option: int, value: Any) -> None:
-        """Set an option; only SO_LINGER, which the code uses to close with a reset, has an effect."""
+        """Set an option. Only SO_LINGER has an effect: the sidecar sets it to close connections with a reset."""
         self._resets_on_close |= (level, option) == (socket.SOL_SOCKET, socket.SO_LINGER)
 
     def getsockname(self) -> Address:
@@ -72,24 +72,27 @@
         return self.local_address
 
     def getpeername(self) -> Address:
-        """Return the address of the other end."""
+        """Return the address of the peer."""
         return self.peer_address
 
     def fileno(self) -> int:
-        """Return -1, as there is no descriptor."""
+        """Return -1, because there is no file descriptor."""
         return -1
 
     def on_data(self) -> None:
-        """Let the owner read."""
+        """Notify the transport or the `on_readable` callback that there is something to read."""
         if self.transport is not None:
             self.transport.schedule_read()
         elif self.on_readable is not None:
             self.network.loop.call_soon(self.on_readable, context=self.context)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Return data without consuming it. Raises as a non-blocking socket does, and OSError without MSG_PEEK."""
+        """Return received data without consuming it.
+
+        Raises BlockingIOError if there is none, ConnectionResetError after a reset, and OSError without MSG_PEEK.
+        """
         if not flags & socket.MSG_PEEK:
-            raise OSError("only peeking is simulated")
+            raise OSError("the simulated recv supports only MSG_PEEK")
         if self.was_reset:
             raise ConnectionResetError
         assert self.inbound is not None
@@ -100,14 +103,14 @@
         raise BlockingIOError
 
     def accept(self) -> tuple[SimSocket, Address]:
-        """Accept a pending connection. Raises BlockingIOError if there is none."""
+        """Accept a pending connection, and return its socket and the peer's address. Raises BlockingIOError if none."""
         if not self.pending:
             raise BlockingIOError
         sock = self.pending.popleft()
         return sock, sock.peer_address
 
     def close(self) -> None:
-        """Close as a kernel does: with unread data, the other end sees a reset."""
+        """Close the socket as a kernel does: with a reset if there is unread data, and otherwise with an end."""
         if self.closed:
             return
         self.closed = True
@@ -131,7 +134,7 @@
             outbound.send(self.peer_socket.on_reset)
 
     def on_reset(self) -> None:
-        """Handle a reset from the other end."""
+        """Handle a reset by the peer."""
         if self.closed or self.was_reset:
             return
         self.was_reset = True
--- a/ryepier/sim/transport.py
+++ b/ryepier/sim/transport.py
@@ -11,19 +11,19 @@
 
 HIGH_WATER_BYTES = 64 * 1024  # asyncio's default
 LOW_WATER_DIVISOR = 4  # asyncio's default ratio of high to low water
-DRAIN_POLL_S = 0.001
+DRAIN_POLL_S = 0.001  # interval at which a paused writer checks the send buffer
 
 
 class SimTransport(asyncio.Transport):
-    """A connection as asyncio presents it to a protocol."""
+    """A simulated connection with the interface of an asyncio transport."""
 
     def __init__(self, sock: SimSocket, protocol: asyncio.BaseProtocol) -> None:
-        """Connect a protocol to a socket; its callbacks run in the context of the caller."""
+        """Attach a protocol to a connected socket. The protocol's callbacks run in the caller's context."""
         super().__init__({"socket": sock, "peername": sock.peer_address, "sockname": sock.local_address})
         self.sock = sock
         self.loop = sock.network.loop
         self.closing = False
-        self.closed = False
+        self.closed = False  # the socket is closed; only `connection_lost` may still be called
         self._protocol = protocol
         self._high_water_bytes = HIGH_WATER_BYTES
         self._reading_paused = False
@@ -34,7 +34,7 @@
         sock.transport = self
 
     def start(self) -> None:
-        """Call the protocol's `connection_made`, and then read, in asyncio's order."""
+        """Call the protocol's `connection_made`, and then start to read, in the same order as asyncio."""
         self._protocol.connection_made(self)
         self.schedule_read()
 
@@ -55,7 +55,7 @@
     # Reading
 
     def schedule_read(self) -> None:
-        """Read at the loop's next turn."""
+        """Read one segment in the loop's next iteration, unless reading is paused."""
         if not self._read_scheduled and not self._reading_paused and not self.closed:
             self._read_scheduled = True
             self.loop.call_soon(self._read, context=self._context)
@@ -75,28 +75,28 @@
                 self.close()
 
     def is_reading(self) -> bool:
-        """Return whether data is delivered to the protocol."""
+        """Return whether received data is delivered to the protocol."""
         return not self._reading_paused
 
     def pause_reading(self) -> None:
-        """Stop delivering data, so that the receive window fills up."""
+        """Stop delivering data to the protocol. Arriving data then fills the receive window."""
         self._reading_paused = True
 
     def resume_reading(self) -> None:
-        """Deliver data again."""
+        """Resume delivering data to the protocol."""
         self._reading_paused = False
         self.schedule_read()
 
     # Writing
 
     def write(self, data: Any) -> None:
-        """Send data. Raises RuntimeError after `write_eof`."""
+        """Send or buffer data, and ignore it if the connection is closed. Raises RuntimeError after `write_eof`."""
         if self.closed or self.closing or not data:
             return
         if self._outbound.eof_requested:
-            raise RuntimeError("write after the end")
+            raise RuntimeError("write after write_eof")
         if self.sock.peer_socket is not None and self.sock.peer_socket.closed and self._has_received_eof():
-            self.sock.on_reset()  # the other end answers data for a closed connection with a reset
+            self.sock.on_reset()  # the peer answers data for a closed connection with a reset
             return
         self._outbound.write(bytes(data))
         self._pause_writing_if_full()
@@ -120,44 +120,44 @@
             self.loop.call_later(DRAIN_POLL_S, self._resume_writing_if_drained)
 
     def can_write_eof(self) -> bool:
-        """Return that half-closing is supported."""
+        """Return True, because half-closing is supported."""
         return True
 
     def write_eof(self) -> None:
-        """Half-close the connection after the data written so far."""
+        """Half-close the connection after the data written so far has been sent."""
         if not self._outbound.eof_requested:
             self._outbound.eof_requested = True
             self._outbound.push()
 
     def get_write_buffer_size(self) -> int:
-        """Return how many bytes have been written and not been sent."""
+        """Return the number of bytes written but not sent."""
         return len(self.sock.outbound.send_buffer) if self.sock.outbound is not None else 0
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Set the size of the write buffer from which the protocol is paused."""
+        """Set the buffer size above which the protocol is paused. `low` is ignored: it is a quarter of `high`."""
         self._high_water_bytes = HIGH_WATER_BYTES if high is None else high
 
-    # The end
+    # Closing
 
     def is_closing(self) -> bool:
-        """Return whether the connection is closed or being closed."""
+        """Return whether the connection is closed or closing."""
         return self.closing or self.closed
 
     def close(self) -> None:
-        """Close after the data written so far has been sent."""
+        """Stop reading and writing, and close the socket, which sends the data written so far."""
         if not self.closing:
             self.closing = True
             self.loop.call_soon(self.lose_connection, None)
 
     def abort(self) -> None:
-        """Close at once, and discard the data that has not been sent."""
+        """Close the connection, and discard buffered data that has not been sent."""
         self.closing = True
         if self.sock.outbound is not None:
             self.sock.outbound.send_buffer.clear()
         self.loop.call_soon(self.lose_connection, None)
 
     def lose_connection(self, error: Exception | None) -> None:
-        """Close the socket, and call the protocol's `connection_lost`."""
+        """Close the socket, and schedule the protocol's `connection_lost` with `error`."""
         if self.closed:
             return
         self.closed = self.closing = True
--- a/tests/sim_trace.py
+++ b/tests/sim_trace.py
@@ -1,6 +1,7 @@
-"""Plays the real sidecar in simulation for each seed given, and prints a hash of what passed and how many were served.
+"""Runs the real sidecar in simulation for each seed given as an argument.
 
-Four converters, of which one resets now and then and one drains; sixty clients' connections; discovery by a watch.
+Prints a line per seed: the seed, a hash of the traffic, and the number of served requests. There are four converters,
+of which one resets some connections and one drains. The sidecar learns the endpoints from a watch on discovery.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
     {"name": "look", "aim": 400000, "deadline": 1200000, "effect": "idempotent", "worth": 1.0},
 ]
 REQUESTS = 200
-DISCOVERY = ("10.1.0.1", 8500)
+DISCOVERY_ADDRESS = ("10.1.0.1", 8500)
 
 
-def target(number: int, state: str = "active") -> dict[str, object]:
+def endpoint_entry(number: int, state: str = "active") -> dict[str, object]:
     return {
         "uid": f"c{number}",
         "endpoint": f"10.0.0.{number}:9000",
@@ -41,7 +42,7 @@
 
 
 class Scenario:
-    """One world."""
+    """One simulated run: converters, discovery, a sidecar and its clients."""
 
     def __init__(self, loop: SimLoop, seed: int, folder: Path) -> None:
         self.loop = loop
@@ -55,7 +56,7 @@
                 )
             )
         )
-        self.config.listen, self.config.discovery = ("10.2.0.1", 80), DISCOVERY
+        self.config.listen, self.config.discovery = ("10.2.0.1", 80), DISCOVERY_ADDRESS
 
     def record(self, *details: object) -> None:
         self.trace.update(repr((round(self.loop.time() * 1e9), *details)).encode())
@@ -76,10 +77,10 @@
     async def serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        initial_list = endpoint_list(*(target(number) for number in range(1, 5)))
+        initial_list = endpoint_list(*(endpoint_entry(number) for number in range(1, 5)))
         for delay_s, update in (
             (0.0, initial_list),
-            (1.0, endpoint_list(target(2, "leaving"), rev=2, full=False)),
+            (1.0, endpoint_list(endpoint_entry(2, "leaving"), rev=2, full=False)),
             (2.0, None),
             (4.0, None),
         ):
@@ -106,7 +107,7 @@
     async def main(self) -> None:
         for number in range(1, 5):
             await asyncio.start_server(functools.partial(self.serve_converter, number), f"10.0.0.{number}", 9000)
-        await asyncio.start_server(self.serve_discovery, *DISCOVERY)
+        await asyncio.start_server(self.serve_discovery, *DISCOVERY_ADDRESS)
         stop = asyncio.Event()
         serving = asyncio.create_task(serve(self.config, stop, asyncio.Event()))
         await asyncio.gather(*(self.send_request(number) for number in range(REQUESTS)))
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -1,4 +1,4 @@
-"""The exhaustive check: small models keep all rules, and each planted mistake breaks its own."""
+"""Tests of the model checker: small models violate no rule, and each seeded fault violates its rule."""
 
 from __future__ import annotations
 
@@ -93,5 +93,5 @@
         replay(Model("m", 1, ("ask",)), [ARRIVE, Step(Action.ANSWER, 0, "ok")])
     missing = dict(line_coverage.unreached_functions(executed))
     assert "ryepier.sidecar.dispatcher: RequestDispatcher._on_overdue" in missing
-    assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in missing  # only the observers' lines
+    assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in missing  # only the lines that call observers
     assert len(missing["ryepier.sidecar.dispatcher: RequestDispatcher.on_request"]) < 3
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -1,4 +1,4 @@
-"""Virtual time and the network in memory: TCP as asyncio shows it, and the real sidecar on it, the same each time."""
+"""Tests of the simulation: virtual time, TCP semantics of the in-memory network, processes, and determinism."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 def readable_transport(writer: asyncio.StreamWriter) -> asyncio.Transport:
-    """The transport, which can be paused."""
+    """Return the transport of a connection, whose reading can be paused."""
     assert isinstance(writer.transport, asyncio.Transport)
     return writer.transport
 
 
 async def serve_and_connect(serve: Serve) -> Streams:
-    """A connection to a server that does this."""
+    """Start a server that handles connections with `serve`, and return a client connection to it."""
     await asyncio.start_server(serve, *ADDRESS)
     return await asyncio.open_connection(*ADDRESS)
 
@@ -110,7 +110,7 @@
                 observed.append("silence")
 
         await connect()
-        sock = loop.network.listen(ADDRESS, 1)  # nobody accepts
+        sock = loop.network.listen(ADDRESS, 1)  # no process accepts its connections
         await connect()
         await connect()
         sock.close()
@@ -175,7 +175,7 @@
 
     with pytest.raises(NoProgressError, match="nothing is due"):
         simulate(1, nothing_scheduled)
-    with pytest.raises(NoProgressError, match=r"does not end.*reschedule_now"):
+    with pytest.raises(NoProgressError, match=r"does not advance.*reschedule_now"):
         simulate(1, endless_instant)
     with pytest.raises(SimulationError, match=r"1.000000 s.*ZeroDivisionError"):
         simulate(1, failing_timer)
@@ -186,7 +186,10 @@
 
 
 def trace(seeds: str, hash_seed: str) -> list[str]:
-    """A line a seed: the hash of all that was said on the wire, and when; and how many were served."""
+    """Run `sim_trace` in a new process, and return a line per seed: seed, hash of the traffic, and served requests.
+
+    `hash_seed` sets PYTHONHASHSEED, because a run must not depend on the iteration order of sets.
+    """
     completed = subprocess.run(
         [*TRACE, *seeds.split()],
         cwd=ROOT,
@@ -203,7 +206,7 @@
     seeds = " ".join(map(str, range(20)))
     first, second = trace(seeds, "1"), trace(seeds, "2")
     assert first == second and len(first) == 20
-    assert len({line.split()[1] for line in first}) == 20  # each seed its own
+    assert len({line.split()[1] for line in first}) == 20  # a different trace for each seed
     assert all(int(line.split()[2]) > 150 for line in first)
 
 
@@ -211,7 +214,7 @@
 
 
 def start_process(loop: SimLoop, process: str, work: Awaitable[None]) -> asyncio.Task[None]:
-    """A process of its own."""
+    """Start `work` as a simulated process."""
     context = contextvars.copy_context()
     context.run(CURRENT_PROCESS.set, process)
 
@@ -237,7 +240,7 @@
         start_process(loop, "one", work())
         await asyncio.sleep(0.7)
         loop.suspend("one")
-        _, writer = await asyncio.open_connection(*ADDRESS)  # the kernel takes it all the same
+        _, writer = await asyncio.open_connection(*ADDRESS)  # the kernel accepts it although the process is suspended
         writer.write(b"hello\n")
         await asyncio.sleep(2.3)
         assert observed == [(0.5, "timer 0")]
@@ -280,7 +283,7 @@
         await asyncio.sleep(1.0)
         loop.set_rate("one", 2.0)
         await asyncio.sleep(5.0)
-        assert round(loop.time(), 6) == 6.0  # nobody else's
+        assert round(loop.time(), 6) == 6.0  # the clock outside the process is not affected
         return observed
 
     assert simulate(1, main) == [(1.5, 2.0), (2.5, 4.0)]
