--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -135,7 +135,7 @@
             ),
             state.list_changes,
             state.client_disconnects,
-            sorted((self.renaming[ident], listed.value) for ident, listed in state.states.items()),
+            sorted((self.renaming[ident], listed.value) for ident, listed in state.upstream_states.items()),
         )
 
     def code_under_test(self) -> tuple[Any, ...]:
--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -63,8 +63,8 @@
             state = replay(model, path)
             try:
                 state.apply(candidate)
-            except UndecidedDraw as draw:
-                pending += [replace(candidate, draws=(*candidate.draws, result)) for result in range(draw.choices)]
+            except UndecidedDraw as undecided:
+                pending += [replace(candidate, draws=(*candidate.draws, result)) for result in range(undecided.choices)]
                 continue
             yield (*path, candidate), state
 
@@ -101,9 +101,9 @@
         progress.depth,
         progress.seconds,
     )
-    part = path.with_name(path.name + ".part")
-    part.write_bytes(msgspec.msgpack.encode(checkpoint))
-    os.replace(part, path)
+    temporary_path = path.with_name(path.name + ".part")
+    temporary_path.write_bytes(msgspec.msgpack.encode(checkpoint))
+    os.replace(temporary_path, path)
 
 
 def load(path: Path, model: Model) -> tuple[set[bytes], list[Steps], Exploration]:
--- a/ryepier/check/invariants.py
+++ b/ryepier/check/invariants.py
@@ -16,7 +16,7 @@
 
 def violations_of_send(
     model: Model,
-    states: Mapping[int, api.UpstreamState],
+    upstream_states: Mapping[int, api.UpstreamState],
     client: ClientRequestState,
     sent: SentAttempt,
 ) -> Iterator[Violation]:
@@ -30,7 +30,7 @@
         yield Violation(Rule.ATTEMPTS, f"attempt {len(client.attempts) + 1} exceeds the limit of {model.max_attempts}")
     if client.disconnected or client.answers:
         yield Violation(Rule.RESEND, f"attempt {sent.number} of a request that has already ended")
-    if states[sent.upstream] is not api.UpstreamState.READY:  # the protocol is less strict and allows 500 ms
+    if upstream_states[sent.upstream] is not api.UpstreamState.READY:  # the protocol is less strict and allows 500 ms
         text = f"attempt {sent.number} to converter {sent.upstream}, which is not ready"
         yield Violation(Rule.DRAIN, text)
 
--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -56,19 +56,19 @@
 
 def code_lines(code: CodeType) -> set[int]:
     """Return the line numbers of a function without its `def` line, including functions defined in it."""
-    found = {line for _, line in dis.findlinestarts(code) if line is not None and line != code.co_firstlineno}
+    lines = {line for _, line in dis.findlinestarts(code) if line is not None and line != code.co_firstlineno}
     for constant in code.co_consts:
         if isinstance(constant, CodeType):
-            found |= code_lines(constant)
-    return found
+            lines |= code_lines(constant)
+    return lines
 
 
 def methods(module: ModuleType) -> Iterator[Method]:
     """Yield the methods of all classes that are defined in a module."""
-    for class_name, found in vars(module).items():
-        if not inspect.isclass(found) or found.__module__ != module.__name__:
+    for class_name, class_object in vars(module).items():
+        if not inspect.isclass(class_object) or class_object.__module__ != module.__name__:
             continue
-        for name, member in vars(found).items():
+        for name, member in vars(class_object).items():
             if not inspect.isfunction(member) or member.__module__ != module.__name__:
                 continue
             if member.__code__.co_filename == module.__file__:
@@ -99,10 +99,10 @@
 
 def unreached_functions(executed: Lines) -> list[UnreachedFunction]:
     """Return the functions that have lines that were not executed."""
-    found = []
+    functions = []
     for module in MODULES:
         for method in methods(module):
             missing = sorted(code_lines(method.code) - executed[str(module.__file__)])
             if missing:
-                found.append(UnreachedFunction(f"{module.__name__}: {method.name}", missing))
-    return found
+                functions.append(UnreachedFunction(f"{module.__name__}: {method.name}", missing))
+    return functions
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -38,7 +38,7 @@
         self.violations: list[Violation] = []
         self.clients = [ClientRequestState(CLASSES[name]) for name in model.requests]
         self.attempts: list[SentAttempt] = []
-        self.states = dict.fromkeys(range(1, model.converters + 1), api.UpstreamState.READY)
+        self.upstream_states = dict.fromkeys(range(1, model.converters + 1), api.UpstreamState.READY)
         self.list_changes = 0
         self.client_disconnects = 0
         self.events: list[str] = []  # descriptions of the events so far, for a chart
@@ -57,7 +57,7 @@
             for name in SCRIPTED_METHODS:
                 setattr(dispatcher.balancer.random, name, getattr(self._random, name))
             dispatcher.start()
-            self._send_endpoints(dispatcher, api.ListKind.FULL, list(self.states))
+            self._send_endpoints(dispatcher, api.ListKind.FULL, list(self.upstream_states))
         return dispatcher
 
     @contextmanager
@@ -88,7 +88,7 @@
         sent = SentAttempt(len(self.attempts), number, upstream, on_end, self.timers.now_us, is_written)
         self.attempts.append(sent)
         self.events.append(f"attempt {sent.number} of request {sent.request} -> converter {upstream}")
-        self.violations += invariants.violations_of_send(self.model, self.states, client, sent)
+        self.violations += invariants.violations_of_send(self.model, self.upstream_states, client, sent)
         client.attempts.append(sent)
         return sent
 
@@ -133,15 +133,15 @@
     def _attempt_steps(self, attempt: SentAttempt) -> Iterable[Step]:
         if attempt.written:
             return [Step(Action.ANSWER, attempt.number, outcome) for outcome in self.model.outcomes]
-        failed = Step(Action.CONNECT_FAILED, attempt.number)
-        if self.states[attempt.upstream] is not api.UpstreamState.READY:
-            return [failed]  # requests are not written to a converter that is no longer ready
-        return [Step(Action.CONNECTED, attempt.number), failed]
+        connect_failed = Step(Action.CONNECT_FAILED, attempt.number)
+        if self.upstream_states[attempt.upstream] is not api.UpstreamState.READY:
+            return [connect_failed]  # requests are not written to a converter that is no longer ready
+        return [Step(Action.CONNECTED, attempt.number), connect_failed]
 
     def _list_steps(self) -> Iterable[Step]:
         if self.list_changes >= self.model.list_changes:
             return
-        for upstream, state in self.states.items():
+        for upstream, state in self.upstream_states.items():
             if state is api.UpstreamState.READY:
                 yield Step(Action.DRAIN, upstream)
                 yield Step(Action.UNLIST, upstream)
@@ -206,7 +206,7 @@
 
     def _unlist(self, step: Step) -> None:
         self._set_state(step.index, api.UpstreamState.REMOVED)
-        listed = [upstream for upstream, state in self.states.items() if state is api.UpstreamState.READY]
+        listed = [upstream for upstream, state in self.upstream_states.items() if state is api.UpstreamState.READY]
         self._send_endpoints(self.dispatcher, api.ListKind.FULL, listed)
 
     def _change_entry(self, upstream: int, state: api.UpstreamState) -> None:
@@ -219,28 +219,28 @@
 
     def _set_state(self, upstream: int, state: api.UpstreamState) -> None:
         self.list_changes += 1
-        self.states[upstream] = state
+        self.upstream_states[upstream] = state
         self.events.append(f"converter {upstream} is listed as {state.value}")
 
     def _send_endpoints(self, dispatcher: RequestDispatcher, kind: api.ListKind, upstreams: list[int]) -> None:
         entries = [
-            api.Upstream(upstream, self.states[upstream], failure_domain=self.model.failure_domain(upstream))
+            api.Upstream(upstream, self.upstream_states[upstream], failure_domain=self.model.failure_domain(upstream))
             for upstream in upstreams
         ]
         addresses = {
             upstream: ("", upstream)
             for upstream in upstreams
-            if kind is not api.ListKind.FULL or self.states[upstream] is api.UpstreamState.READY
+            if kind is not api.ListKind.FULL or self.upstream_states[upstream] is api.UpstreamState.READY
         }
         dispatcher.on_endpoints(api.UpstreamsUpdated(kind, entries, self.list_changes + 1), addresses)
 
     def _advance_time(self, step: Step) -> None:
         """Advance to the next timer, or to the time from which a waiting client's answer counts as missing."""
-        times = [client.due_us + invariants.ANSWER_SLACK_US + 1 for client in self.clients if client.waiting]
+        next_times_us = [client.due_us + invariants.ANSWER_SLACK_US + 1 for client in self.clients if client.waiting]
         next_timer_us = self.timers.next_us()
         if next_timer_us is not None:
-            times.append(next_timer_us)
-        next_us = min(times)
+            next_times_us.append(next_timer_us)
+        next_us = min(next_times_us)
         self.events.append(f"{(next_us - self.timers.now_us) / 1000:g} ms pass")
         self.timers.now_us = next_us
 
--- a/ryepier/check/trace.py
+++ b/ryepier/check/trace.py
@@ -25,8 +25,8 @@
     lines = []
     while frame is not None:
         path = Path(frame.f_code.co_filename)
-        is_watched = path.parent == DECISIONS_FOLDER or path.name == DISPATCHER_FILE
-        if is_watched and frame.f_code.co_name not in PASS_THROUGH_FUNCTIONS:
+        is_code_under_test = path.parent == DECISIONS_FOLDER or path.name == DISPATCHER_FILE
+        if is_code_under_test and frame.f_code.co_name not in PASS_THROUGH_FUNCTIONS:
             lines.append(f"{path.name}:{frame.f_lineno} {frame.f_code.co_name}")
         frame = frame.f_back
     return " < ".join(lines[:MAX_FRAMES])
@@ -41,14 +41,14 @@
         self._record_calls(self.state.dispatcher.balancer, "send")
         self._record_calls(self.state.dispatcher.balancer, "reject_or_fail")
 
-    def _record_calls(self, owner: Any, name: str) -> None:
-        original = getattr(owner, name)
+    def _record_calls(self, target: Any, name: str) -> None:
+        original = getattr(target, name)
 
-        def call(*arguments: Any) -> Any:
+        def record_and_call(*arguments: Any) -> Any:
             self.decisions.append(f"{name} by {calling_lines(2)}")
             return original(*arguments)
 
-        setattr(owner, name, call)
+        setattr(target, name, record_and_call)
 
 
 def _violation_lines(violations: Sequence[Violation]) -> list[str]:
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -43,7 +43,7 @@
 
     counter: ConnectionCounter
     idle_since_us: list[int] = field(default_factory=list)  # oldest first
-    busy: int = 0
+    busy_count: int = 0
 
     def acquire(self, now_us: int) -> None:
         """Take an idle connection for a request, or open a new one."""
@@ -51,11 +51,11 @@
             self.idle_since_us.pop(0)
         else:
             self.counter.record_change(now_us, 1)
-        self.busy += 1
+        self.busy_count += 1
 
     def release(self, now_us: int, reusable: bool) -> None:
         """Return the connection of a request that has ended: idle if it is reusable, and closed otherwise."""
-        self.busy -= 1
+        self.busy_count -= 1
         if reusable:
             self.idle_since_us.append(now_us)
         else:
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -97,7 +97,7 @@
 
 
 class FleetWorld:
-    """The state of a simulated fleet, and its event queue. One object runs one plan once."""
+    """The state of a simulated fleet, and its event queue. Each instance runs its plan once."""
 
     def __init__(self, plan: FleetPlan, seed: int, factory: PolicyFactory = make_balancer) -> None:
         """Create the fleet at `START_US`. `seed` determines the run; `factory` creates each sidecar's policy."""
@@ -122,7 +122,7 @@
         heapq.heappush(self._events, (at_us, self._event_count, action))
 
     def run(self, count_from_us: int = 0) -> None:
-        """Run the whole plan. Connections are counted from `count_from_us` after the start of the run on."""
+        """Run the whole plan. The connection counts begin `count_from_us` after the start of the run."""
         for index, rate_per_s in enumerate(self.plan.sidecar_rates_per_s()):
             self.deliver(index, self.full_list())
             self.schedule_arrival(index, rate_per_s)
@@ -253,12 +253,12 @@
             reusable = outcome in (api.Outcome.OK, api.Outcome.REJECTED)
             self.pool(job.sidecar, converter.ident).release(self.now_us, reusable)
         request = self.requests[job.request]
-        final = outcome is api.Outcome.OK and not request.ended_us
-        if final:
+        is_final_answer = outcome is api.Outcome.OK and not request.ended_us
+        if is_final_answer:
             request.ended_us, request.served = self.now_us, True
         elapsed_us = self.now_us - job.received_us
-        ended = api.AttemptEnded(job.request, job.attempt, converter.ident, outcome, elapsed_us, final)
-        self.deliver(job.sidecar, ended)
+        end_event = api.AttemptEnded(job.request, job.attempt, converter.ident, outcome, elapsed_us, is_final_answer)
+        self.deliver(job.sidecar, end_event)
 
     # Converters
 
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -109,7 +109,7 @@
             scheduled[:] = [handle for handle in scheduled if id(handle) not in ids]
             heapq.heapify(scheduled)
             for handle in timers:
-                handle._scheduled = False  # asyncio must not count it as a cancelled timer in its heap
+                handle._scheduled = False  # else cancelling it would count as a cancelled timer in the heap
         return sorted(timers, key=lambda handle: float(handle._when))
 
     def _reschedule_timers(self, timers: list[Any]) -> None:
--- a/tests/sim_trace.py
+++ b/tests/sim_trace.py
@@ -24,7 +24,7 @@
     {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "at_most_once", "worth": 10.0},
     {"name": "look", "aim": 400000, "deadline": 1200000, "effect": "idempotent", "worth": 1.0},
 ]
-REQUESTS = 200
+REQUEST_COUNT = 200
 DISCOVERY_ADDRESS = ("10.1.0.1", 8500)
 
 
@@ -108,11 +108,11 @@
         for number in range(1, 5):
             await asyncio.start_server(functools.partial(self.serve_converter, number), f"10.0.0.{number}", 9000)
         await asyncio.start_server(self.serve_discovery, *DISCOVERY_ADDRESS)
-        stop = asyncio.Event()
-        serving = asyncio.create_task(serve(self.config, stop, asyncio.Event()))
-        await asyncio.gather(*(self.send_request(number) for number in range(REQUESTS)))
-        stop.set()
-        await serving
+        stop_event = asyncio.Event()
+        serve_task = asyncio.create_task(serve(self.config, stop_event, asyncio.Event()))
+        await asyncio.gather(*(self.send_request(number) for number in range(REQUEST_COUNT)))
+        stop_event.set()
+        await serve_task
 
 
 def run_scenario(seed: int, folder: Path) -> str:
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -55,7 +55,7 @@
 def test_a_path_always_leads_to_the_same_state_and_equivalent_converters_are_interchangeable() -> None:
     model = Model("m", 2, ("ask", "ask"), outcomes=("ok",))
     digest = digester(model)
-    paths = [[Step(Action.ARRIVE, 0, "", (pick,)), Step(Action.ARRIVE, 1)] for pick in (0, 1)]
+    paths = [[Step(Action.ARRIVE, 0, "", (draw,)), Step(Action.ARRIVE, 1)] for draw in (0, 1)]
     first, second = (digest(replay(model, path[:1])) for path in paths)
     assert first == second == digest(replay(model, paths[0][:1]))
     shared_domain_model = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
@@ -67,8 +67,8 @@
 def test_an_exploration_continues_from_its_checkpoint(tmp_path: Path) -> None:
     checkpoint = tmp_path / "kept"
     model = MODELS["quick"]
-    part = explore.explore(model, processes=2, checkpoint=checkpoint, max_seconds=0.0)
-    assert not part.complete and checkpoint.exists()
+    partial = explore.explore(model, processes=2, checkpoint=checkpoint, max_seconds=0.0)
+    assert not partial.complete and checkpoint.exists()
     continued = explore.explore(model, processes=2, checkpoint=checkpoint)
     assert continued.complete and (continued.states, continued.transitions) == tuple(
         getattr(explore.explore(model, processes=2), name) for name in ("states", "transitions")
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -20,7 +20,7 @@
 from ryepier.sim.run import SimLoop, SimulationError, simulate
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 ADDRESS = ("10.0.0.1", 80)
 
 
@@ -30,7 +30,7 @@
     return writer.transport
 
 
-async def serve_and_connect(serve: Serve) -> Streams:
+async def serve_and_connect(serve: ConnectionHandler) -> Streams:
     """Start a server that handles connections with `serve`, and return a client connection to it."""
     await asyncio.start_server(serve, *ADDRESS)
     return await asyncio.open_connection(*ADDRESS)
@@ -135,8 +135,8 @@
         loop.call_later(30.0, loop.network.heal, ADDRESS[0], "127.0.0.1")
         return (await reader.readexactly(4), loop.time())[::-1]
 
-    at_s, reply = simulate(1, main)
-    assert reply == b"ping" and at_s >= 30.0
+    received_s, reply = simulate(1, main)
+    assert reply == b"ping" and received_s >= 30.0
 
 
 def test_a_full_receive_window_holds_back_the_sender() -> None:
@@ -181,7 +181,7 @@
         simulate(1, failing_timer)
 
 
-TRACE = [sys.executable, "-m", "tests.sim_trace"]
+TRACE_COMMAND = [sys.executable, "-m", "tests.sim_trace"]
 ROOT = Path(__file__).resolve().parent.parent
 
 
@@ -191,7 +191,7 @@
     `hash_seed` sets PYTHONHASHSEED, because a run must not depend on the iteration order of sets.
     """
     completed = subprocess.run(
-        [*TRACE, *seeds.split()],
+        [*TRACE_COMMAND, *seeds.split()],
         cwd=ROOT,
         capture_output=True,
         text=True,
