--- a/tests/sim_trace.py
+++ b/tests/sim_trace.py
@@ -1,6 +1,7 @@
-"""Plays the real sidecar in simulation for each seed given, and prints a hash of what passed and how many were served.
+"""Runs the real sidecar in simulation for each seed given as an argument.
 
-Four converters, of which one resets now and then and one drains; sixty clients' connections; discovery by a watch.
+Prints a line per seed: the seed, a hash of the traffic, and the number of served requests. There are four converters,
+of which one resets some connections and one drains. The sidecar learns the endpoints from a watch on discovery.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
     {"name": "pay", "aim": 400000, "deadline": 1200000, "effect": "at_most_once", "worth": 10.0},
     {"name": "look", "aim": 400000, "deadline": 1200000, "effect": "idempotent", "worth": 1.0},
 ]
-REQUESTS = 200
-DISCOVERY = ("10.1.0.1", 8500)
+REQUEST_COUNT = 200
+DISCOVERY_ADDRESS = ("10.1.0.1", 8500)
 
 
-def target(number: int, state: str = "active") -> dict[str, object]:
+def endpoint_entry(number: int, state: str = "active") -> dict[str, object]:
     return {
         "uid": f"c{number}",
         "endpoint": f"10.0.0.{number}:9000",
@@ -41,7 +42,7 @@
 
 
 class Scenario:
-    """One world."""
+    """One simulated run: converters, discovery, a sidecar and its clients."""
 
     def __init__(self, loop: SimLoop, seed: int, folder: Path) -> None:
         self.loop = loop
@@ -55,10 +56,10 @@
                 )
             )
         )
-        self.config.listen, self.config.discovery = ("10.2.0.1", 80), DISCOVERY
+        self.config.listen, self.config.discovery = ("10.2.0.1", 80), DISCOVERY_ADDRESS
 
-    def record(self, *what: object) -> None:
-        self.trace.update(repr((round(self.loop.time() * 1e9), *what)).encode())
+    def record(self, *details: object) -> None:
+        self.trace.update(repr((round(self.loop.time() * 1e9), *details)).encode())
 
     async def serve_converter(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -76,26 +77,26 @@
     async def serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        first = endpoint_list(*(target(number) for number in range(1, 5)))
-        for after_s, lines in (
-            (0.0, first),
-            (1.0, endpoint_list(target(2, "leaving"), rev=2, full=False)),
+        initial_list = endpoint_list(*(endpoint_entry(number) for number in range(1, 5)))
+        for delay_s, update in (
+            (0.0, initial_list),
+            (1.0, endpoint_list(endpoint_entry(2, "leaving"), rev=2, full=False)),
             (2.0, None),
             (4.0, None),
         ):
-            await asyncio.sleep(after_s)
-            data = (json.dumps(lines) if lines else "").encode() + b"\n"
+            await asyncio.sleep(delay_s)
+            data = (json.dumps(update) if update else "").encode() + b"\n"
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     async def send_request(self, number: int) -> None:
         await asyncio.sleep(0.3 + self.random.uniform(0, 3.0))
         reader, writer = await asyncio.open_connection(*self.config.listen)
-        kind, method = (("look", "GET"), ("pay", "POST"))[number % 2]
+        class_name, method = (("look", "GET"), ("pay", "POST"))[number % 2]
         body = b"" if method == "GET" else b"b"
         length = f"Content-Length: {len(body)}\r\n" if body else ""
         writer.write(
-            f"{method} /{kind}/{number} HTTP/1.1\r\nHost: x\r\nX-Request-Id: r{number}\r\nX-Class: {kind}\r\n"
-            f"X-Deadline-Ms: 1000\r\n{length}\r\n".encode()
+            f"{method} /{class_name}/{number} HTTP/1.1\r\nHost: x\r\nX-Request-Id: r{number}\r\n"
+            f"X-Class: {class_name}\r\nX-Deadline-Ms: 1000\r\n{length}\r\n".encode()
             + body
         )
         head = await reader.readuntil(b"\r\n\r\n")
@@ -106,26 +107,26 @@
     async def main(self) -> None:
         for number in range(1, 5):
             await asyncio.start_server(functools.partial(self.serve_converter, number), f"10.0.0.{number}", 9000)
-        await asyncio.start_server(self.serve_discovery, *DISCOVERY)
-        stop = asyncio.Event()
-        serving = asyncio.create_task(serve(self.config, stop, asyncio.Event()))
-        await asyncio.gather(*(self.send_request(number) for number in range(REQUESTS)))
-        stop.set()
-        await serving
+        await asyncio.start_server(self.serve_discovery, *DISCOVERY_ADDRESS)
+        stop_event = asyncio.Event()
+        serve_task = asyncio.create_task(serve(self.config, stop_event, asyncio.Event()))
+        await asyncio.gather(*(self.send_request(number) for number in range(REQUEST_COUNT)))
+        stop_event.set()
+        await serve_task
 
 
-def play(seed: int, folder: Path) -> str:
-    plays: list[Scenario] = []
+def run_scenario(seed: int, folder: Path) -> str:
+    scenarios: list[Scenario] = []
 
     async def main(loop: SimLoop) -> None:
-        plays.append(Scenario(loop, seed, folder))
-        await plays[0].main()
+        scenarios.append(Scenario(loop, seed, folder))
+        await scenarios[0].main()
 
     simulate(seed, main)
-    return f"{seed} {plays[0].trace.hexdigest()[:32]} {plays[0].served}"
+    return f"{seed} {scenarios[0].trace.hexdigest()[:32]} {scenarios[0].served}"
 
 
 if __name__ == "__main__":
-    with tempfile.TemporaryDirectory() as name:
-        for text in sys.argv[1:]:
-            print(play(int(text), Path(name)), flush=True)
+    with tempfile.TemporaryDirectory() as folder_name:
+        for seed_text in sys.argv[1:]:
+            print(run_scenario(int(seed_text), Path(folder_name)), flush=True)
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -1,4 +1,4 @@
-"""The exhaustive check: small models keep all rules, and each planted mistake breaks its own."""
+"""Tests of the model checker: small models violate no rule, and each seeded fault violates its rule."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 def test_a_small_model_is_explored_completely_without_violations() -> None:
-    outcome = explore.explore(MODELS["quick"], processes=4)
-    assert outcome.complete and outcome.violation is None
-    assert outcome.states > 150 and outcome.terminal_states > 100
+    exploration = explore.explore(MODELS["quick"], processes=4)
+    assert exploration.complete and exploration.violation is None
+    assert exploration.states > 150 and exploration.terminal_states > 100
 
 
 def explore_with_fault(fault_name: str, model: Model) -> explore.Exploration:
@@ -47,28 +47,28 @@
     ],
 )
 def test_each_seeded_fault_violates_its_rule(fault_name: str, model: Model) -> None:
-    outcome = explore_with_fault(fault_name, model)
-    assert outcome.violation is not None and outcome.violation.rule == SEEDED_FAULTS[fault_name].rule
+    exploration = explore_with_fault(fault_name, model)
+    assert exploration.violation is not None and exploration.violation.rule == SEEDED_FAULTS[fault_name].rule
     assert explore.explore(model, processes=2).violation is None
 
 
 def test_a_path_always_leads_to_the_same_state_and_equivalent_converters_are_interchangeable() -> None:
     model = Model("m", 2, ("ask", "ask"), outcomes=("ok",))
     digest = digester(model)
-    paths = [[Step(Action.ARRIVE, 0, "", (pick,)), Step(Action.ARRIVE, 1)] for pick in (0, 1)]
+    paths = [[Step(Action.ARRIVE, 0, "", (draw,)), Step(Action.ARRIVE, 1)] for draw in (0, 1)]
     first, second = (digest(replay(model, path[:1])) for path in paths)
     assert first == second == digest(replay(model, paths[0][:1]))
-    one_domain = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
-    assert digester(one_domain)(replay(one_domain, [Step(Action.ARRIVE, 0, "", (0,))])) != digester(one_domain)(
-        replay(one_domain, [])
-    )
+    shared_domain_model = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
+    assert digester(shared_domain_model)(replay(shared_domain_model, [Step(Action.ARRIVE, 0, "", (0,))])) != digester(
+        shared_domain_model
+    )(replay(shared_domain_model, []))
 
 
 def test_an_exploration_continues_from_its_checkpoint(tmp_path: Path) -> None:
     checkpoint = tmp_path / "kept"
     model = MODELS["quick"]
-    part = explore.explore(model, processes=2, checkpoint=checkpoint, max_seconds=0.0)
-    assert not part.complete and checkpoint.exists()
+    partial = explore.explore(model, processes=2, checkpoint=checkpoint, max_seconds=0.0)
+    assert not partial.complete and checkpoint.exists()
     continued = explore.explore(model, processes=2, checkpoint=checkpoint)
     assert continued.complete and (continued.states, continued.transitions) == tuple(
         getattr(explore.explore(model, processes=2), name) for name in ("states", "transitions")
@@ -84,8 +84,8 @@
     path.write_text(
         json.dumps({"model": {"name": "m", "converters": 1, "requests": ["ask"]}, "path": [["answer", 7, "ok", []]]})
     )
-    got = CliRunner().invoke(main, ["check", "trace", str(path)])
-    assert got.exit_code == 2 and "IndexError" in got.stderr
+    result = CliRunner().invoke(main, ["check", "trace", str(path)])
+    assert result.exit_code == 2 and "IndexError" in result.stderr
 
 
 def test_lines_that_no_path_executes_are_listed() -> None:
@@ -93,5 +93,5 @@
         replay(Model("m", 1, ("ask",)), [ARRIVE, Step(Action.ANSWER, 0, "ok")])
     missing = dict(line_coverage.unreached_functions(executed))
     assert "ryepier.sidecar.dispatcher: RequestDispatcher._on_overdue" in missing
-    assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in missing  # only the observers' lines
+    assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in missing  # only the lines that call observers
     assert len(missing["ryepier.sidecar.dispatcher: RequestDispatcher.on_request"]) < 3
