--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -10,7 +10,7 @@
 
 from ryepier.experiments.core.quantiles import poisson_quantile
 
-RARE = 1e-4  # a Poisson stream exceeds its own quantile in one of 10,000 windows
+RARE_PROBABILITY = 1e-4  # a Poisson stream exceeds its own quantile in one of 10,000 windows
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,14 +23,14 @@
     lowest: float  # over the mean
 
     @property
-    def by_chance(self) -> float:
+    def variation_by_chance(self) -> float:
         """Return the variation of as many independent draws over all converters."""
         return 1.0 / math.sqrt(self.mean)
 
     @property
-    def over_chance(self) -> float:
+    def variation_ratio(self) -> float:
         """Return the variation relative to that by chance: 1 is even."""
-        return self.variation / self.by_chance
+        return self.variation / self.variation_by_chance
 
 
 def measure_spread(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int) -> Spread:
@@ -56,20 +56,26 @@
 class RareWindows:
     """Windows whose count is rare for a Poisson stream, and how many of them chance allows."""
 
-    found: int
-    allowed: int
+    count: int
+    allowed_count: int
 
 
 def crowded_windows(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, window_us: int) -> RareWindows:
     """Count the windows with more than a Poisson stream of the fleet's mean has in one of 10,000 windows."""
     counts = counts_in_windows(received_us, begin_us, end_us, window_us)
-    limit = poisson_quantile(float(counts.mean()), RARE)
-    return RareWindows(int((counts > limit).sum()), poisson_quantile(counts.size * RARE, RARE))
+    limit = poisson_quantile(float(counts.mean()), RARE_PROBABILITY)
+    return RareWindows(int((counts > limit).sum()), poisson_quantile(counts.size * RARE_PROBABILITY, RARE_PROBABILITY))
 
 
-def empty_windows(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, expected: float) -> RareWindows:
+def empty_windows(
+    received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, expected_per_window: float
+) -> RareWindows:
     """Count the windows of a converter without a request, of the length in which `expected` are due on average."""
     total = int(counts_in_windows(received_us, begin_us, end_us, end_us - begin_us).sum())
-    window_us = min(end_us - begin_us, math.ceil(expected * len(received_us) * (end_us - begin_us) / max(1, total)))
+    window_us = min(
+        end_us - begin_us, math.ceil(expected_per_window * len(received_us) * (end_us - begin_us) / max(1, total))
+    )
     counts = counts_in_windows(received_us, begin_us, end_us, window_us)
-    return RareWindows(int((counts == 0).sum()), poisson_quantile(counts.size * math.exp(-expected), RARE))
+    return RareWindows(
+        int((counts == 0).sum()), poisson_quantile(counts.size * math.exp(-expected_per_window), RARE_PROBABILITY)
+    )
--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -15,7 +15,7 @@
 from ryepier.emulator.records import NEVER, ConnectionRecord, ConverterAttempt, History, RequestOutcome
 from ryepier.emulator.timeline import Instance
 from ryepier.experiments.core.quantiles import poisson_quantile
-from ryepier.experiments.load_spread.measures import RARE
+from ryepier.experiments.load_spread.measures import RARE_PROBABILITY
 
 BURST_US = 100_000
 RATE_PERIOD_US = 1_000_000  # over which the rate that a burst is compared with is taken as even
@@ -28,25 +28,25 @@
     """How evenly executions started at some converters, over windows of equal length."""
 
     variation: float  # standard deviation over mean of a window's counts, pooled over the windows
-    by_chance: float  # the same for independent draws
+    variation_by_chance: float  # the same for independent draws
     highest_to_mean: float  # of the converters' totals
     lowest_to_mean: float
 
     @property
     def ratio(self) -> float:
         """Return the variation relative to chance."""
-        return self.variation / self.by_chance
+        return self.variation / self.variation_by_chance
 
 
 @dataclass(frozen=True, slots=True)
 class Bursts:
     """Attempts received in windows of 100 ms, one for each converter."""
 
-    windows: int
+    window_count: int
     highest: int  # attempts in one window
-    worst: float  # the highest over what a Poisson stream exceeds in one of 1,000 such runs
-    rare: int  # windows with more than a Poisson stream has in one of 10,000
-    rare_by_chance: int  # as many as chance has in all but one of 1,000 runs
+    worst_ratio: float  # the highest over what a Poisson stream exceeds in one of 1,000 such runs
+    rare_windows: int  # windows with more than a Poisson stream has in one of 10,000
+    rare_windows_by_chance: int  # as many as chance has in all but one of 1,000 runs
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
     mean_total = sum(totals) / len(totals)
     return Evenness(
         variation=math.sqrt(sum(dispersions) / len(dispersions)) * by_chance,
-        by_chance=by_chance,
+        variation_by_chance=by_chance,
         highest_to_mean=max(totals) / mean_total,
         lowest_to_mean=min(totals) / mean_total,
     )
@@ -120,17 +120,17 @@
             by_window[attempt.uid, window] += 1
             by_second[zone_of[attempt.uid], window * BURST_US // RATE_PERIOD_US] += 1
     zone_sizes = Counter(zone_of.values())
-    windows = windows_per_converter * len(zone_of)
-    overall_mean = sum(by_window.values()) / max(1, windows)
-    worst, rare = 0.0, 0
+    window_count = windows_per_converter * len(zone_of)
+    overall_mean = sum(by_window.values()) / max(1, window_count)
+    worst_ratio, rare_windows = 0.0, 0
     for (uid, window), received in by_window.items():
         zone = zone_of[uid]
-        in_second = by_second[zone, window * BURST_US // RATE_PERIOD_US]
-        mean = max(overall_mean, in_second / zone_sizes[zone] / (RATE_PERIOD_US // BURST_US))
-        worst = max(worst, received / poisson_quantile(mean, FALSE_ALARM_CHANCE / windows))
-        rare += received > poisson_quantile(mean, RARE)
-    rare_by_chance = poisson_quantile(windows * RARE, FALSE_ALARM_CHANCE)
-    return Bursts(windows, max(by_window.values(), default=0), worst, rare, rare_by_chance)
+        zone_received = by_second[zone, window * BURST_US // RATE_PERIOD_US]
+        mean = max(overall_mean, zone_received / zone_sizes[zone] / (RATE_PERIOD_US // BURST_US))
+        worst_ratio = max(worst_ratio, received / poisson_quantile(mean, FALSE_ALARM_CHANCE / window_count))
+        rare_windows += received > poisson_quantile(mean, RARE_PROBABILITY)
+    rare_windows_by_chance = poisson_quantile(window_count * RARE_PROBABILITY, FALSE_ALARM_CHANCE)
+    return Bursts(window_count, max(by_window.values(), default=0), worst_ratio, rare_windows, rare_windows_by_chance)
 
 
 def count_idle_windows(counts: Sequence[Sequence[int]]) -> int:
@@ -169,20 +169,20 @@
     return measure_occupancy(Span(attempt.uid, attempt.started_us, attempt.finished_us) for attempt in executed)
 
 
-def steady_uids(instances: Iterable[Instance], struck: Iterable[int]) -> list[str]:
+def steady_uids(instances: Iterable[Instance], excluded_indices: Iterable[int]) -> list[str]:
     """Return the converters that were there, warm, from the begin, without those at these indices."""
-    excluded = set(struck)
-    return [one.uid for one in instances if one.start_us is None and one.index not in excluded]
+    excluded = set(excluded_indices)
+    return [instance.uid for instance in instances if instance.start_us is None and instance.index not in excluded]
 
 
 def served_operations_share(history: History) -> float:
     """Return the share of operations that an attempt or a retry had served, however late."""
-    operations = {item.arrival for item in history.client_attempts}
-    served = {item.arrival for item in history.client_attempts if item.outcome is RequestOutcome.SERVED}
+    operations = {attempt.arrival for attempt in history.client_attempts}
+    served = {attempt.arrival for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
     return len(served) / max(1, len(operations))
 
 
 def rejected_share(history: History) -> float:
     """Return the share of the clients' attempts that were rejected."""
-    rejected = sum(item.outcome is RequestOutcome.REFUSED for item in history.client_attempts)
+    rejected = sum(attempt.outcome is RequestOutcome.REFUSED for attempt in history.client_attempts)
     return rejected / max(1, len(history.client_attempts))
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -13,7 +13,7 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-BEFORE_FROM_S = 1.0
+BASELINE_FROM_S = 1.0
 RETRY_US = 1_000_000  # after a restart, for clients whose earlier attempts reached nobody
 MIN_SERVICE = 0.97
 US_PER_S = 1e6
@@ -24,28 +24,30 @@
     return [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
 
 
-def even_again_s(run: Run) -> float:
+def recovery_end_s(run: Run) -> float:
     """Return when the load is to be even again, counted from when the last sidecar was up."""
     last_ready_s = max(incarnation.ready_us for incarnation in run.history.incarnations) / US_PER_S
     return min(last_ready_s + fleets.RECOVERY_S, run.world.duration_s - measures.EVENNESS_WINDOW_S)
 
 
-def service_of_others(run: Run, killed: set[int]) -> float:
+def service_of_survivors(run: Run, killed: set[int]) -> float:
     """Return the service of clients whose sidecars lived through the run."""
-    return figures.service_level(run.operations, lambda item: item.sidecar not in killed)
+    return figures.service_level(run.operations, lambda operation: operation.sidecar not in killed)
 
 
 def service_of_restarted(run: Run) -> float:
     """Return the service of clients of the restarted sidecars, once these are up."""
     ready_us = {incarnation.sidecar: incarnation.ready_us + RETRY_US for incarnation in restarted(run)}
     never_us = run.world.duration_s * US_PER_S
-    return figures.service_level(run.operations, lambda item: item.planned_us >= ready_us.get(item.sidecar, never_us))
+    return figures.service_level(
+        run.operations, lambda operation: operation.planned_us >= ready_us.get(operation.sidecar, never_us)
+    )
 
 
 def _figures(run: Run) -> Mapping[str, float]:
-    before = measures.measure_evenness(run, BEFORE_FROM_S, fleets.KILL_AT_S)
+    before = measures.measure_evenness(run, BASELINE_FROM_S, fleets.KILL_AT_S)
     start_times_s = [(incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted(run)]
-    return measures.spread_figures(run, even_again_s(run), run.world.duration_s) | {
+    return measures.spread_figures(run, recovery_end_s(run), run.world.duration_s) | {
         "variation_ratio_before": before.ratio,
         "up_after_s": max(start_times_s, default=float("inf")),
     }
@@ -57,7 +59,7 @@
     return [
         Claim("sidecars killed at once", len(killed), ">=", min_killed),
         Claim("sidecars started again", len(restarted(run)), "==", len(killed)),
-        Claim("service of the others' clients", service_of_others(run, killed), ">=", MIN_SERVICE),
+        Claim("service of the others' clients", service_of_survivors(run, killed), ">=", MIN_SERVICE),
         Claim("service of their own, 1 s after their start", service_of_restarted(run), ">=", MIN_SERVICE),
         *measures.burst_claims(measures.measure_bursts(run)),
     ]
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -16,7 +16,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-DIFFERING_AFTER_S = 2.0  # after the first lists are stale, the release is under way
+RELEASE_UNDERWAY_S = 2.0  # after the first lists are stale, the release is under way
 AFTER_CUT_S = 1.0
 MIN_SERVED_SHARE = 0.9
 MIN_SERVICE = 0.95
@@ -29,7 +29,7 @@
 def share_of_replacements_used(run: Run) -> float:
     """Return the share of the replacement converters that received an attempt."""
     instances = timeline.build(run.world, run.seed).instances
-    replacements = {one.uid for one in instances if one.start_us is not None}
+    replacements = {instance.uid for instance in instances if instance.start_us is not None}
     used = {attempt.uid for attempt in run.history.converter_attempts} & replacements
     return len(used) / max(1, len(replacements))
 
@@ -38,8 +38,8 @@
     """Return the share of attempts in a part of the run that went from one side of the cut to the other."""
     cut_zone = fault_of_kind(run.world, FaultKind.ZONE_CUT).zone
     instances = timeline.build(run.world, run.seed).instances
-    zone_of = {one.uid: one.machine.group.zone for one in instances}
-    sidecar_of = {item.request_id: item.sidecar for item in run.history.client_attempts}
+    zone_of = {instance.uid: instance.machine.group.zone for instance in instances}
+    sidecar_of = {client_attempt.request_id: client_attempt.sidecar for client_attempt in run.history.client_attempts}
     total = crossing = 0
     for attempt in run.history.converter_attempts:
         is_inside = begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S
@@ -56,10 +56,10 @@
 
 
 def _figures(run: Run) -> Mapping[str, float]:
-    differing = measures.measure_evenness(run, fleets.STALE_AT_S + DIFFERING_AFTER_S, STALE_END_S)
+    differing_evenness = measures.measure_evenness(run, fleets.STALE_AT_S + RELEASE_UNDERWAY_S, STALE_END_S)
     is_after = phases.from_time(fleets.CUT_END_S + AFTER_CUT_S, run.world)
     return measures.spread_figures(run, fleets.CUT_END_S + fleets.RECOVERY_S, run.world.duration_s) | {
-        "variation_ratio_lists_apart": differing.ratio,
+        "variation_ratio_lists_apart": differing_evenness.ratio,
         "across_cut_first_half": share_across_cut(run, fleets.CUT_AT_S, CUT_MIDDLE_S),
         "across_cut_second_half": share_across_cut(run, CUT_MIDDLE_S, fleets.CUT_END_S),
         "service_lists_apart": _service_between(run, fleets.STALE_AT_S, STALE_END_S),
@@ -69,13 +69,13 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    measured = _figures(run)
-    unevenness = measured["variation_ratio_lists_apart"]
+    figures_of_run = _figures(run)
+    unevenness = figures_of_run["variation_ratio_lists_apart"]
     return [
         Claim("share of replacements in use", share_of_replacements_used(run), "==", 1.0),
-        Claim("first tries served in the end", measured["served_in_the_end"], ">=", MIN_SERVED_SHARE),
-        Claim("service while the lists differ", measured["service_lists_apart"], ">=", MIN_SERVICE),
-        Claim("service from 1 s after the cut", measured["service_after"], ">=", MIN_SERVICE),
+        Claim("first tries served in the end", figures_of_run["served_in_the_end"], ">=", MIN_SERVED_SHARE),
+        Claim("service while the lists differ", figures_of_run["service_lists_apart"], ">=", MIN_SERVICE),
+        Claim("service from 1 s after the cut", figures_of_run["service_after"], ">=", MIN_SERVICE),
         Claim("variation while the lists differ, over by chance", unevenness, "<=", MAX_UNEVENNESS),
         *measures.burst_claims(measures.measure_bursts(run)),
     ]
--- a/ryepier/experiments/load_spread/processes/measures.py
+++ b/ryepier/experiments/load_spread/processes/measures.py
@@ -17,11 +17,11 @@
 
 def steady_uids(run: Run) -> list[str]:
     """Return the converters that no release replaces."""
-    built = timeline.build(run.world, run.seed)
+    schedule = timeline.build(run.world, run.seed)
     replaced = {
-        step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault is FaultKind.RELEASE
+        step.index for step in schedule.steps if step.target is TargetKind.CONVERTER and step.fault is FaultKind.RELEASE
     }
-    return figures.steady_uids(built.instances, replaced)
+    return figures.steady_uids(schedule.instances, replaced)
 
 
 def count_starts(run: Run, begin_s: float, end_s: float, window_s: float) -> list[list[int]]:
@@ -39,7 +39,7 @@
 def zones_of(run: Run, uids: list[str]) -> dict[str, str]:
     """Return the zone of each of these converters."""
     instances = timeline.build(run.world, run.seed).instances
-    return {one.uid: one.machine.group.zone for one in instances if one.uid in uids}
+    return {instance.uid: instance.machine.group.zone for instance in instances if instance.uid in uids}
 
 
 def measure_bursts(run: Run, begin_s: float = SETTLED_S) -> figures.Bursts:
@@ -50,11 +50,11 @@
 
 def burst_claims(bursts: figures.Bursts) -> list[Claim]:
     """Return the claims that at no time many sidecars sent to the same converter."""
-    worst_name = "most starts in 100 ms at a converter, beside a Poisson stream's in a run"
-    rare_name = "windows of 100 ms with more than a Poisson stream gives once in 10,000"
+    worst_claim_name = "most starts in 100 ms at a converter, beside a Poisson stream's in a run"
+    rare_claim_name = "windows of 100 ms with more than a Poisson stream gives once in 10,000"
     return [
-        Claim(worst_name, bursts.worst, "<=", MAX_BURST),
-        Claim(rare_name, bursts.rare, "<=", bursts.rare_by_chance),
+        Claim(worst_claim_name, bursts.worst_ratio, "<=", MAX_BURST),
+        Claim(rare_claim_name, bursts.rare_windows, "<=", bursts.rare_windows_by_chance),
     ]
 
 
@@ -66,15 +66,15 @@
     executions = figures.execution_occupancy(run.history.converter_attempts)
     return {
         "variation": evenness.variation,
-        "variation_by_chance": evenness.by_chance,
+        "variation_by_chance": evenness.variation_by_chance,
         "variation_ratio": evenness.ratio,
         "most_to_mean": evenness.highest_to_mean,
         "least_to_mean": evenness.lowest_to_mean,
-        "burst_windows": bursts.windows,
+        "burst_windows": bursts.window_count,
         "burst_most": bursts.highest,
-        "burst_worst": bursts.worst,
-        "burst_beyond": bursts.rare,
-        "burst_beyond_by_chance": bursts.rare_by_chance,
+        "burst_worst": bursts.worst_ratio,
+        "burst_beyond": bursts.rare_windows,
+        "burst_beyond_by_chance": bursts.rare_windows_by_chance,
         "connections_most": connections.highest,
         "connections_mean": connections.mean,
         "connections_opened": len(run.history.connections),
--- a/ryepier/experiments/load_spread/processes/seeded_faults.py
+++ b/ryepier/experiments/load_spread/processes/seeded_faults.py
@@ -15,27 +15,27 @@
 COMMON_SEED = 7
 
 
-def draw_alike() -> None:
+def use_common_seed() -> None:
     """Let all sidecars draw the same numbers: one seed, and the same index among the instances."""
-    begin = Balancer.__init__
+    original_init = Balancer.__init__
 
-    def begin_alike(self: Balancer, settings: Any, seed: int, now_us: int) -> None:
-        alike = {"self_index": 0} if hasattr(settings, "self_index") else {}
-        begin(self, dataclasses.replace(settings, **alike), COMMON_SEED, now_us)
+    def init_with_common_seed(self: Balancer, settings: Any, seed: int, now_us: int) -> None:
+        common_index = {"self_index": 0} if hasattr(settings, "self_index") else {}
+        original_init(self, dataclasses.replace(settings, **common_index), COMMON_SEED, now_us)
 
-    Balancer.__init__ = begin_alike  # type: ignore[method-assign]
+    Balancer.__init__ = init_with_common_seed  # type: ignore[method-assign]
 
 
 def select_first() -> None:
     """Let all sidecars select the first free converter of the list."""
-    candidates_with_free_slots = Selector.candidates_with_free_slots
+    original_candidates = Selector.candidates_with_free_slots
 
     def first_free(self: Selector, *arguments: Any, **options: Any) -> Any:
         return sorted(
-            candidates_with_free_slots(self, *arguments, **options), key=lambda candidate: candidate.upstream.entry.id
+            original_candidates(self, *arguments, **options), key=lambda candidate: candidate.upstream.entry.id
         )[:1]
 
     Selector.candidates_with_free_slots = first_free  # type: ignore[method-assign]
 
 
-SEEDED_FAULTS: dict[str, Callable[[], None]] = {"same-seed": draw_alike, "same-order": select_first}
+SEEDED_FAULTS: dict[str, Callable[[], None]] = {"same-seed": use_common_seed, "same-order": select_first}
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -18,12 +18,12 @@
 
 MIN_SHARE = 0.7  # of the mean of the converters that never were away
 MAX_SHARE = 1 / MIN_SHARE
-MEASURED_US = 5 * SECOND_US  # after the slow start
+MEASURED_DURATION_US = 5 * SECOND_US  # after the slow start
 WARM_UPS_US = {"cold": 4 * SECOND_US, "warm at once": 0}
-AWAY_SHARE = 0.2  # of the converters
-LEFT_US = 2 * SECOND_US
+OUTAGE_SHARE = 0.2  # of the converters
+OUTAGE_AT_US = 2 * SECOND_US
 NOTICE_DELAY_US = SECOND_US // 2
-BACK_US = 4 * SECOND_US
+RESTART_AT_US = 4 * SECOND_US
 INITIAL_CAPACITY_SHARE = 0.2
 
 
@@ -41,12 +41,12 @@
 def make_plan(scale: Scale, warm_up_us: int) -> FleetPlan:
     """Return a fleet whose converters need a time to warm up, a part of which is away for a while."""
     size = SIZES[scale]
-    outage = Outage(int(AWAY_SHARE * size.converters), LEFT_US, NOTICE_DELAY_US, BACK_US)
+    outage = Outage(int(OUTAGE_SHARE * size.converters), OUTAGE_AT_US, NOTICE_DELAY_US, RESTART_AT_US)
     return FleetPlan(
         size.sidecars,
         size.converters,
         load=0.5,
-        duration_us=outage.restart_us + warm_up_us + MEASURED_US,
+        duration_us=outage.restart_us + warm_up_us + MEASURED_DURATION_US,
         warm_up_us=warm_up_us,
         initial_capacity_share=INITIAL_CAPACITY_SHARE,
         outages=(outage,),
@@ -65,18 +65,21 @@
     """Run the fleet with slow start and without."""
     plans = {name: make_plan(trial.scale, warm_up_us) for name, warm_up_us in WARM_UPS_US.items()}
     outcomes = run_trials(
-        [FleetTrial(plan, trial.seed, trial.seeded_fault, plan.duration_us - MEASURED_US) for plan in plans.values()]
+        [
+            FleetTrial(plan, trial.seed, trial.seeded_fault, plan.duration_us - MEASURED_DURATION_US)
+            for plan in plans.values()
+        ]
     )
     claims: list[Claim] = []
     figures: dict[str, float] = {}
     for name, outcome in zip(plans, outcomes, strict=True):
         shares = shares_of_returned(outcome)
         mean = sum(shares) / len(shares)
-        cold_name = f"{name}: most sent to one that is back, over what it may get"
+        warm_up_claim_name = f"{name}: most sent to one that is back, over what it may get"
         claims += [
             Claim(f"{name}: share of those back, the mean", mean, ">=", MIN_SHARE),
             Claim(f"{name}: share of those back, the mean, no rush", mean, "<=", MAX_SHARE),
-            Claim(cold_name, outcome.worst_cold_window, "<=", 1.0),
+            Claim(warm_up_claim_name, outcome.worst_warm_up_load, "<=", 1.0),
         ]
         key = name.replace(" ", "_")
         figures[f"{key}_least_share"] = min(shares)
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -14,7 +14,7 @@
 from ryepier.sim.fleet.choosers import Chooser, ChooserFactory, make_balancer
 from ryepier.sim.fleet.converter import Converter
 
-EARLIER_OVERLOAD = 0.5
+EARLIER_MAX_LOAD = 0.5
 
 
 class ClosedSubset(Subset):
@@ -32,10 +32,10 @@
 
     def is_overloaded(self) -> bool:
         """Return whether the load is over the earlier bound."""
-        return self.load > EARLIER_OVERLOAD
+        return self.load > EARLIER_MAX_LOAD
 
 
-class PrivateSubsets(Balancer):
+class PrivateSubsetsBalancer(Balancer):
     """The earlier balancer: its subsets admit no newcomers, each retry of an expensive request counts as an answer of a
     slow pool, and it sheds load from a lower mean latency on."""
 
@@ -59,11 +59,11 @@
         self, request: PendingRequest, upstreams: Iterable[TrackedUpstream], ejections_apply: bool, now_us: int
     ) -> list[Candidate]:
         """Return only the first free converter."""
-        found = super().candidates_with_free_slots(request, upstreams, ejections_apply, now_us)
-        return sorted(found, key=lambda candidate: candidate.upstream.entry.id)[:1]
+        candidates = super().candidates_with_free_slots(request, upstreams, ejections_apply, now_us)
+        return sorted(candidates, key=lambda candidate: candidate.upstream.entry.id)[:1]
 
 
-class SameOrder(Balancer):
+class SameOrderBalancer(Balancer):
     """All sidecars select the converters in the order of the list."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
@@ -82,7 +82,7 @@
         return [removed for upstream in new_upstreams for removed in self.leave(upstream)]
 
 
-class ForgetReturned(Balancer):
+class ForgettingBalancer(Balancer):
     """Converters that return are removed from all subsets."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
@@ -92,7 +92,7 @@
             pool.subset = ExpellingSubset()
 
 
-class WelcomingSubset(Subset):
+class OpenSubset(Subset):
     """A subset that admits every newcomer."""
 
     def sample_new_members(
@@ -104,14 +104,14 @@
         return []
 
 
-class RushReturned(Balancer):
+class RushingBalancer(Balancer):
     """All sidecars admit all converters that return."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         """Use such subsets."""
         super().__init__(settings, seed, now_us)
         for pool in self.membership.pools:
-            pool.subset = WelcomingSubset()
+            pool.subset = OpenSubset()
 
 
 def _factory(make: Callable[[api.Settings, int, int], Balancer]) -> ChooserFactory:
@@ -123,9 +123,9 @@
 
 FACTORIES: dict[str, ChooserFactory] = {
     "": make_balancer,
-    "private-subsets": _factory(PrivateSubsets),
-    "same-order": _factory(SameOrder),
-    "forget-returned": _factory(ForgetReturned),
-    "rush-returned": _factory(RushReturned),
+    "private-subsets": _factory(PrivateSubsetsBalancer),
+    "same-order": _factory(SameOrderBalancer),
+    "forget-returned": _factory(ForgettingBalancer),
+    "rush-returned": _factory(RushingBalancer),
 }
 """By the seeded fault's name; the empty name is the balancer as it is."""
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -31,7 +31,7 @@
 
 
 def _rare_claim(name: str, windows: measures.RareWindows) -> Claim:
-    return Claim(name, windows.found, "<=", windows.allowed)
+    return Claim(name, windows.count, "<=", windows.allowed_count)
 
 
 def _claims(load: str, treatment: FleetOutcome, control: FleetOutcome) -> list[Claim]:
@@ -52,7 +52,7 @@
     spread = measures.measure_spread(outcome.received_us, outcome.begin_us, outcome.end_us)
     return {
         f"{load}_variation": spread.variation,
-        f"{load}_over_chance": spread.over_chance,
+        f"{load}_over_chance": spread.variation_ratio,
         f"{load}_most": spread.highest,
         f"{load}_least": spread.lowest,
         f"{load}_refused": outcome.rejected_share,
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -41,7 +41,7 @@
     p99_ms: float  # of the answered requests
     connections: float  # open at all converters, the mean over time
     opened_per_s: float  # connections
-    worst_cold_window: float  # load of a converter that is warming up over what it may get; it crashes above 1
+    worst_warm_up_load: float  # load of a converter that is warming up over what it may get; it crashes above 1
 
 
 def run_trials(trials: Sequence[FleetTrial]) -> list[FleetOutcome]:
@@ -70,11 +70,11 @@
         p99_ms=float(np.percentile(latencies_us, 99)) / US_PER_MS,
         connections=sum(counter.mean_open(begin_us, end_us) for counter in counters),
         opened_per_s=sum(counter.opened for counter in counters) * SECOND_US / (end_us - begin_us),
-        worst_cold_window=max((worst_cold_window(trial.plan, one) for one in restarted), default=0.0),
+        worst_warm_up_load=max((worst_warm_up_load(trial.plan, converter) for converter in restarted), default=0.0),
     )
 
 
-def worst_cold_window(plan: FleetPlan, converter: Converter) -> float:
+def worst_warm_up_load(plan: FleetPlan, converter: Converter) -> float:
     """Return the largest load of any overload window since a converter's start, over the allowed load.
 
     Allowed is the load that overloads it at the window's start, and two standard deviations of its count and two
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -28,7 +28,7 @@
     harness = FleetWorld(PLAN, 1, choosers.make_random)
     harness.play()
     found = measures.measure_spread(received(harness), START_US, harness.now_us)
-    assert 0.5 < found.over_chance < 1.5  # 20 converters: the deviation itself is off by a sixth
+    assert 0.5 < found.variation_ratio < 1.5  # 20 converters: the deviation itself is off by a sixth
     ended = [request for request in harness.requests if request.ended_us]
     assert len(ended) > 0.95 * len(harness.requests)
     assert sum(request.served for request in ended) > 0.98 * len(ended)
@@ -117,12 +117,12 @@
     even = [[10 * n + k for n in range(200)] for k in range(5)]
     herd = [*even[:4], sorted(even[4] + [1000] * 40 + [1500] * 40)]
     idle = [*even[:4], [at for at in even[4] if at < 1000]]
-    assert measures.crowded_windows(even, 0, 2000, 100).found == 0
+    assert measures.crowded_windows(even, 0, 2000, 100).count == 0
     crowded = measures.crowded_windows(herd, 0, 2000, 100)
-    assert crowded.found > crowded.allowed
-    assert measures.empty_windows(even, 0, 2000, 12).found == 0
+    assert crowded.count > crowded.allowed_count
+    assert measures.empty_windows(even, 0, 2000, 12).count == 0
     empty = measures.empty_windows(idle, 0, 2000, 12)
-    assert empty.found > empty.allowed
+    assert empty.count > empty.allowed_count
 
 
 def test_nothing_received_is_an_error() -> None:
@@ -178,8 +178,8 @@
 
 def test_one_order_for_all_sidecars_is_a_herd() -> None:
     right, wrong = crowded(played("")), crowded(played("same-order"))
-    assert right.found <= right.allowed
-    assert wrong.found > wrong.allowed
+    assert right.count <= right.allowed_count
+    assert wrong.count > wrong.allowed_count
 
 
 def test_the_balancer_as_it_was_refuses_more_at_half_load() -> None:
@@ -193,10 +193,10 @@
 )
 def test_those_that_are_back_are_neither_forgotten_nor_rushed(plant: str, low: float, high: float) -> None:
     plan = returning.make_plan(Scale.SMALL, 0)
-    one = played(plant, plan, plan.duration_us - returning.MEASURED_US)
+    one = played(plant, plan, plan.duration_us - returning.MEASURED_DURATION_US)
     shares = returning.shares_of_returned(one)
     assert low <= sum(shares) / len(shares) <= high
-    assert one.worst_cold_window <= 1.0
+    assert one.worst_warm_up_load <= 1.0
 
 
 def share_by_upstream(config: api.Settings, entries: list[api.Upstream]) -> dict[int, int]:
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -105,7 +105,7 @@
     assert len(killed) == 6 and len(lives) == 24 and not any(life.crashed for life in lives)
     assert_safe(run)
     # what the others' clients get; those of the killed lose what they ask for until the machine has started these
-    assert kill.service_of_others(run, killed) >= 0.97
+    assert kill.service_of_survivors(run, killed) >= 0.97
     up_s = max(life.ready_us for life in lives) / 1e6
     assert service(run, up_s + 0.3) >= 0.95
 
@@ -217,7 +217,7 @@
 
 def test_evenness_stands_beside_chance() -> None:
     even = spread.measure_evenness([[100, 110, 90], [100, 90, 110]])
-    assert even.by_chance == pytest.approx(0.1) and even.variation == pytest.approx(0.1)
+    assert even.variation_by_chance == pytest.approx(0.1) and even.variation == pytest.approx(0.1)
     assert even.ratio == pytest.approx(1.0) and even.highest_to_mean == even.lowest_to_mean == 1.0
     uneven = spread.measure_evenness([[300, 0, 0]])
     assert uneven.highest_to_mean == 3.0 and uneven.lowest_to_mean == 0.0 and uneven.ratio > 17
@@ -231,9 +231,9 @@
     zones = {"one": "a", "two": "a"}
     stream = [attempt(uid, at_us) for uid in zones for at_us in range(0, 10_000_000, 50_000)]
     calm = spread.measure_bursts(stream, zones, 0.0, 10.0)
-    assert (calm.windows, calm.highest, calm.rare) == (200, 2, 0) and calm.worst < 0.3
+    assert (calm.window_count, calm.highest, calm.rare_windows) == (200, 2, 0) and calm.worst_ratio < 0.3
     herd = spread.measure_bursts(stream + [attempt("one", 5_000_000 + i) for i in range(20)], zones, 0.0, 10.0)
-    assert herd.highest == 22 and herd.worst > 1.0 and herd.rare == 1
+    assert herd.highest == 22 and herd.worst_ratio > 1.0 and herd.rare_windows == 1
     assert not all(claim.holds for claim in measures.burst_claims(herd))
 
 
