--- a/ryepier/experiments/scale/balancer_cost.py
+++ b/ryepier/experiments/scale/balancer_cost.py
@@ -11,54 +11,54 @@
 from ryepier.emulator import draws
 
 START_US = 1_000_000_000  # a clock that has been running
-CALLS_PER_PART = 100
-PARTS = 8
-WARM_UP_PARTS = 4  # which open the upstreams
-ANSWER_US = 1_000
+CALLS_PER_BATCH = 100
+BATCHES = 8
+WARM_UP_BATCHES = 4  # which open the upstreams
+ANSWER_LATENCY_US = 1_000
 MAX_ATTEMPTS = 4
 
 
 class BalancerTrial:
     """One balancer with ready upstreams that answer each call."""
 
-    def __init__(self, known: int, seed: int, rate_per_s: float) -> None:
+    def __init__(self, known_count: int, seed: int, rate_per_s: float) -> None:
         """Create the balancer as it is after a minute at this rate."""
         self.request_class = api.RequestClass("work", 150_000, 1_000_000)
-        self.random = draws.stream(seed, f"alone {known}")
+        self.random = draws.stream(seed, f"alone {known_count}")
         self.rate_per_s = rate_per_s
         self.now_us = START_US
-        self.due_us = 0
+        self.timer_due_us = 0
         self.balancer = Balancer(api.Settings([self.request_class], max_attempts=MAX_ATTEMPTS), seed, self.now_us)
-        upstreams = [api.Upstream(number + 1) for number in range(known)]
+        upstreams = [api.Upstream(number + 1) for number in range(known_count)]
         self.balancer.handle(self.now_us, api.UpstreamsUpdated(api.ListKind.FULL, upstreams, 1))
         admission = self.balancer.membership.pools[0].admission
         admission.send_rate = admission.burst_rate = rate_per_s
 
     def call(self, number: int) -> None:
         """Let a request arrive, and its attempts be answered."""
-        self.now_us += ANSWER_US + int(self.random.exponential(1e6 / self.rate_per_s - ANSWER_US))
-        is_due = 0 < self.due_us <= self.now_us
-        actions = self.balancer.handle(self.now_us, api.TimerFired(0)) if is_due else []
-        due_us = self.now_us + self.request_class.deadline_us
-        actions += self.balancer.handle(self.now_us, api.RequestArrived(number, due_us))
-        for sent in [action for action in actions if isinstance(action, api.Send)]:
-            ended = api.AttemptEnded(number, 0, sent.upstream, api.Outcome.OK, ANSWER_US, final=True)
-            actions += self.balancer.handle(self.now_us + ANSWER_US, ended)
+        self.now_us += ANSWER_LATENCY_US + int(self.random.exponential(1e6 / self.rate_per_s - ANSWER_LATENCY_US))
+        timer_is_due = 0 < self.timer_due_us <= self.now_us
+        actions = self.balancer.handle(self.now_us, api.TimerFired(0)) if timer_is_due else []
+        deadline_us = self.now_us + self.request_class.deadline_us
+        actions += self.balancer.handle(self.now_us, api.RequestArrived(number, deadline_us))
+        for send in [action for action in actions if isinstance(action, api.Send)]:
+            attempt_ended = api.AttemptEnded(number, 0, send.upstream, api.Outcome.OK, ANSWER_LATENCY_US, final=True)
+            actions += self.balancer.handle(self.now_us + ANSWER_LATENCY_US, attempt_ended)
         timers = [action.at_us for action in actions if isinstance(action, api.SetTimer)]
         if timers:
-            self.due_us = timers[-1]
+            self.timer_due_us = timers[-1]
 
 
-def balancer_us_per_call(known: int, seed: int, rate_per_s: float) -> float:
+def balancer_us_per_call(known_count: int, seed: int, rate_per_s: float) -> float:
     """Return the CPU time of a call in the balancer with so many known upstreams, in us.
 
     It is the median over parts, so that a short disturbance of the machine does not count.
     """
-    trial = BalancerTrial(known, seed, rate_per_s)
-    parts = []
-    for part in range(PARTS):
-        begun_s = time.process_time()
-        for number in range(part * CALLS_PER_PART, (part + 1) * CALLS_PER_PART):
+    trial = BalancerTrial(known_count, seed, rate_per_s)
+    us_per_call = []
+    for batch in range(BATCHES):
+        start_s = time.process_time()
+        for number in range(batch * CALLS_PER_BATCH, (batch + 1) * CALLS_PER_BATCH):
             trial.call(number)
-        parts.append((time.process_time() - begun_s) * 1e6 / CALLS_PER_PART)
-    return float(np.median(parts[WARM_UP_PARTS:]))
+        us_per_call.append((time.process_time() - start_s) * 1e6 / CALLS_PER_BATCH)
+    return float(np.median(us_per_call[WARM_UP_BATCHES:]))
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -43,11 +43,14 @@
 from ryepier.experiments.scale.machine_load import finite_figures, load_figures
 from ryepier.sidecar.system import Address
 
-KNOWN = (30, 150, 400, 1600)
-DESIGN_KNOWN = 1600
-DESIGN_PER_S = 369
-ADDED_BUDGET_MS = 0.33  # for 99 in 100
-SMALLEST_AND_LARGEST = (30, 1600)  # of the numbers known; at the others the small scale plays the first rate alone
+KNOWN_COUNTS = (30, 150, 400, 1600)
+DESIGN_KNOWN_COUNT = 1600
+DESIGN_RATE_PER_S = 369
+ADDED_P99_BUDGET_MS = 0.33  # for 99 in 100
+FULLY_MEASURED_KNOWN_COUNTS = (
+    30,
+    1600,
+)  # of the numbers known; at the others the small scale plays the first rate alone
 
 
 class Phase(NamedTuple):
@@ -62,16 +65,20 @@
 
 
 PHASES: dict[Scale, tuple[Phase, ...]] = {
-    Scale.SMALL: (Phase(DESIGN_PER_S, 2.5, 2.0), Phase(2 * DESIGN_PER_S, 0.8, 1.2), Phase(4 * DESIGN_PER_S, 0.8, 1.2)),
-    Scale.FULL: tuple(Phase(factor * DESIGN_PER_S, 15.0, 20.0) for factor in (1, 2, 4)),
+    Scale.SMALL: (
+        Phase(DESIGN_RATE_PER_S, 2.5, 2.0),
+        Phase(2 * DESIGN_RATE_PER_S, 0.8, 1.2),
+        Phase(4 * DESIGN_RATE_PER_S, 0.8, 1.2),
+    ),
+    Scale.FULL: tuple(Phase(factor * DESIGN_RATE_PER_S, 15.0, 20.0) for factor in (1, 2, 4)),
 }
-PROFILED = (30, 1600)
-PROFILED_S = {Scale.SMALL: 2.0, Scale.FULL: 20.0}
-PROFILED_FUNCTIONS = 8
-OWN_FOLDERS = ("ryepier/balancer", "ryepier/sidecar")
-SHUTDOWN_TIMEOUT_S = 15.0
-BYTES_NEEDED = 1_000_000_000
-MAX_US_PER_KNOWN = 2.0  # CPU of a call for each further known converter
+PROFILED_KNOWN_COUNTS = (30, 1600)
+PROFILE_DURATION_S = {Scale.SMALL: 2.0, Scale.FULL: 20.0}
+MAX_PROFILED_FUNCTIONS = 8
+PROFILED_FOLDERS = ("ryepier/balancer", "ryepier/sidecar")
+EXIT_TIMEOUT_S = 15.0
+NEEDED_MEMORY_BYTES = 1_000_000_000
+MAX_US_PER_KNOWN_CONVERTER = 2.0  # CPU of a call for each further known converter
 MIN_SERVED_SHARE = 0.99
 
 
@@ -97,7 +104,7 @@
 class Sidecar:
     """A sidecar under test, and the client that calls it."""
 
-    known: int
+    known_count: int
     process: subprocess.Popen[bytes]
     target: Target
 
@@ -107,24 +114,24 @@
         return CpuTime(int(used), int(waited))
 
 
-def make_configuration(seed: int, known: int, listen: Address, agent: Address, converters: Address) -> str:
+def make_configuration(seed: int, known_count: int, listen: Address, agent: Address, converters: Address) -> str:
     """Return the platform's configuration of one sidecar, as JSON."""
     world: World = load("steady")
     world = msgspec.structs.replace(
         world,
         sidecars=msgspec.structs.replace(world.sidecars, count=1),
-        clients=msgspec.structs.replace(world.clients, rate_per_s=float(DESIGN_PER_S)),
+        clients=msgspec.structs.replace(world.clients, rate_per_s=float(DESIGN_RATE_PER_S)),
         classes=[msgspec.structs.replace(world.classes[0], share=1.0, effect=Effect.IDEMPOTENT)],
     )
     settings = files.sidecar_settings(world, 0)
     settings["bounds"]["conn-idle"] = 60_000_000  # no connection is made again, which would be another cost
     return json.dumps(
         {
-            "name": f"n{known}",
+            "name": f"n{known_count}",
             "listen": f"{listen[0]}:{listen[1]}",
             "discovery": f"{agent[0]}:{agent[1]}",
-            "seed": f"{seed * 1000 + known:x}",
-            "known": make_list(known, converters),
+            "seed": f"{seed * 1000 + known_count:x}",
+            "known": make_list(known_count, converters),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
             "settings": settings,
         }
@@ -140,98 +147,107 @@
     seed: int
 
     @property
-    def converters(self) -> Address:
+    def converters_address(self) -> Address:
         """Return the address of all converters."""
         return f"127.{self.network}.0.1", CONVERTER_PORT
 
-    def agent(self, known: int) -> Address:
+    def agent_address(self, known_count: int) -> Address:
         """Return the address of the discovery with so many converters."""
-        return f"127.{self.network}.252.{KNOWN.index(known) + 1}", DISCOVERY_PORT
+        return f"127.{self.network}.252.{KNOWN_COUNTS.index(known_count) + 1}", DISCOVERY_PORT
 
     @asynccontextmanager
-    async def sidecar(self, known: int, command: Sequence[str]) -> AsyncIterator[Sidecar]:
+    async def start_sidecar(self, known_count: int, command: Sequence[str]) -> AsyncIterator[Sidecar]:
         """Run a sidecar that listens. Raises HarnessError if it does not start."""
-        listen = f"127.{self.network}.253.{KNOWN.index(known) + 1}", SIDECAR_PORT
-        config = self.folder / f"sidecar-{known}.json"
-        config.write_text(make_configuration(self.seed, known, listen, self.agent(known), self.converters))
-        with open(self.folder / f"sidecar-{known}.log", "wb") as log:
+        listen = f"127.{self.network}.253.{KNOWN_COUNTS.index(known_count) + 1}", SIDECAR_PORT
+        config = self.folder / f"sidecar-{known_count}.json"
+        config.write_text(
+            make_configuration(self.seed, known_count, listen, self.agent_address(known_count), self.converters_address)
+        )
+        with open(self.folder / f"sidecar-{known_count}.log", "wb") as log:
             process = subprocess.Popen(
                 command, env=os.environ | {"BALANCER_CONFIG": str(config)}, stdout=log, stderr=log
             )
         try:
             await wait_until_listening(process, listen, "a sidecar")
-            yield Sidecar(known, process, Target(listen, REQUEST))
+            yield Sidecar(known_count, process, Target(listen, REQUEST))
         finally:
             if process.poll() is None:
                 process.kill()
             process.wait()
 
 
-def percentile_ms(target: Target, percentile: float) -> float:
+def latency_percentile_ms(target: Target, percentile: float) -> float:
     """Return a percentile of the answered calls of this phase; infinite if none was answered."""
-    return float(np.percentile(target.took_us, percentile)) / 1000 if target.took_us else float("inf")
+    return float(np.percentile(target.latencies_us, percentile)) / 1000 if target.latencies_us else float("inf")
 
 
-def phase_figures(name: str, duration_s: float, target: Target, direct: Target, cpu: CpuTime) -> dict[str, float]:
+def phase_figures(
+    name: str, duration_s: float, sidecar_target: Target, direct_target: Target, cpu: CpuTime
+) -> dict[str, float]:
     """Return the figures of calls at one rate: the sidecar's CPU, and times beside the direct ones of the same time."""
     used_ns, waited_ns = cpu
-    found = {
+    figures = {
         # per answer, not per call: a sidecar that can't keep up would seem cheap
-        f"cpu_us_a_call_{name}": used_ns / 1000 / max(1, len(target.took_us)),
+        f"cpu_us_a_call_{name}": used_ns / 1000 / max(1, len(sidecar_target.latencies_us)),
         f"cores_{name}": used_ns / 1e9 / duration_s,
         f"wait_share_{name}": waited_ns / max(1, used_ns + waited_ns),
-        f"answered_share_{name}": len(target.took_us) / max(1, target.due),
-        f"served_share_{name}": target.served / max(1, len(target.took_us)),
+        f"answered_share_{name}": len(sidecar_target.latencies_us) / max(1, sidecar_target.due_count),
+        f"served_share_{name}": sidecar_target.served_count / max(1, len(sidecar_target.latencies_us)),
     }
     for percentile in (50, 99):
-        through_ms, direct_ms = percentile_ms(target, percentile), percentile_ms(direct, percentile)
-        found |= {
+        through_ms, direct_ms = (
+            latency_percentile_ms(sidecar_target, percentile),
+            latency_percentile_ms(direct_target, percentile),
+        )
+        figures |= {
             f"p{percentile}_ms_{name}": through_ms,
             f"direct_p{percentile}_ms_{name}": direct_ms,
             f"added_p{percentile}_ms_{name}": through_ms - direct_ms,
         }
-    return found
+    return figures
 
 
-async def run_phase(trial: CallTrial, phase: Phase, sidecar: Sidecar, direct: Target) -> dict[str, float]:
+async def run_phase(trial: CallTrial, phase: Phase, sidecar: Sidecar, direct_target: Target) -> dict[str, float]:
     """Warm up at one rate, then measure."""
     rate = phase.rate_per_s
-    through_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known} through")
-    direct_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known} direct")
+    through_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} through")
+    direct_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} direct")
 
-    async def call_for(duration_s: float) -> None:
+    async def run_calls(duration_s: float) -> None:
         await asyncio.gather(
-            sidecar.target.run(rate, duration_s, through_random), direct.run(rate, duration_s, direct_random)
+            sidecar.target.run(rate, duration_s, through_random), direct_target.run(rate, duration_s, direct_random)
         )
 
-    await call_for(phase.warm_up_s)
+    await run_calls(phase.warm_up_s)
     sidecar.target.reset()
-    direct.reset()
-    before = sidecar.cpu_time()
-    await call_for(phase.duration_s)
-    cpu = sidecar.cpu_time().since(before)
-    name = f"{rate}_per_s_{sidecar.known}_known"
-    return phase_figures(name, phase.duration_s, sidecar.target, direct, cpu)
+    direct_target.reset()
+    cpu_before = sidecar.cpu_time()
+    await run_calls(phase.duration_s)
+    cpu = sidecar.cpu_time().since(cpu_before)
+    name = f"{rate}_per_s_{sidecar.known_count}_known"
+    return phase_figures(name, phase.duration_s, sidecar.target, direct_target, cpu)
 
 
 def top_functions(path: Path, calls: int) -> list[FunctionCost]:
     """Return the most expensive functions of our own code in a profile, the most expensive first."""
     stats = pstats.Stats(str(path))
     us_per_call: dict[str, float] = {}
-    for (file, number, function), (_, _, own_s, _, _) in stats.stats.items():  # type: ignore[attr-defined]
-        if not Path(file).parent.as_posix().endswith(OWN_FOLDERS):
+    for (file, line_number, function), (_, _, own_s, _, _) in stats.stats.items():  # type: ignore[attr-defined]
+        if not Path(file).parent.as_posix().endswith(PROFILED_FOLDERS):
             continue
-        line = f"_line_{number}" if function.startswith("<") else ""  # a comprehension has no name of its own
-        name = f"{Path(file).stem}.{function.strip('<>')}{line}"
+        line_suffix = (
+            f"_line_{line_number}" if function.startswith("<") else ""
+        )  # a comprehension has no name of its own
+        name = f"{Path(file).stem}.{function.strip('<>')}{line_suffix}"
         us_per_call[name] = us_per_call.get(name, 0.0) + own_s * 1e6 / max(1, calls)
     costs = [FunctionCost(name, us) for name, us in us_per_call.items()]
-    return sorted(costs, key=lambda cost: -cost.us_per_call)[:PROFILED_FUNCTIONS]
+    return sorted(costs, key=lambda cost: -cost.us_per_call)[:MAX_PROFILED_FUNCTIONS]
 
 
-async def wait_for_end(sidecars: Sequence[Sidecar]) -> None:
+async def wait_for_exit(sidecars: Sequence[Sidecar]) -> None:
     """Wait until the processes have ended. Raises HarnessError after `SHUTDOWN_TIMEOUT_S`."""
     loop = asyncio.get_running_loop()
-    deadline_s = loop.time() + SHUTDOWN_TIMEOUT_S
+    deadline_s = loop.time() + EXIT_TIMEOUT_S
     while any(sidecar.process.poll() is None for sidecar in sidecars):
         if loop.time() > deadline_s:
             raise HarnessError("a sidecar under a profile does not end")
@@ -240,112 +256,120 @@
 
 async def profile(trial: CallTrial, scale: Scale, stack: AsyncExitStack, seeded_fault: str) -> dict[str, float]:
     """Call two sidecars under a profile. The profile's own cost is in the figures, so they are shares and not times."""
-    found: dict[str, float] = {}
+    figures: dict[str, float] = {}
     sidecars = []
-    for known in PROFILED:
-        out = trial.folder / f"profile-{known}"
+    for known_count in PROFILED_KNOWN_COUNTS:
+        profile_path = trial.folder / f"profile-{known_count}"
         module = seeded_faults.command(seeded_fault)[2:] if seeded_fault else list(SIDECAR[2:])
-        command = [sys.executable, "-B", "-m", "cProfile", "-o", str(out), *module]
-        sidecars.append(await stack.enter_async_context(trial.sidecar(known, command)))
+        command = [sys.executable, "-B", "-m", "cProfile", "-o", str(profile_path), *module]
+        sidecars.append(await stack.enter_async_context(trial.start_sidecar(known_count, command)))
     await asyncio.gather(
         *(
-            sidecar.target.run(DESIGN_PER_S, PROFILED_S[scale], draws.stream(trial.seed, f"profile {sidecar.known}"))
+            sidecar.target.run(
+                DESIGN_RATE_PER_S, PROFILE_DURATION_S[scale], draws.stream(trial.seed, f"profile {sidecar.known_count}")
+            )
             for sidecar in sidecars
         )
     )
     for sidecar in sidecars:
         sidecar.process.send_signal(signal.SIGTERM)
-    await wait_for_end(sidecars)
+    await wait_for_exit(sidecars)
     for sidecar in sidecars:
-        for cost in top_functions(trial.folder / f"profile-{sidecar.known}", len(sidecar.target.took_us)):
-            found[f"profile_us_a_call_{sidecar.known}_known_{cost.name}"] = cost.us_per_call
-    return found
+        for cost in top_functions(trial.folder / f"profile-{sidecar.known_count}", len(sidecar.target.latencies_us)):
+            figures[f"profile_us_a_call_{sidecar.known_count}_known_{cost.name}"] = cost.us_per_call
+    return figures
 
 
-def phases_of(known: int, scale: Scale) -> Sequence[Phase]:
+def phases_of(known_count: int, scale: Scale) -> Sequence[Phase]:
     """Return the phases for a number of known converters."""
-    if known in SMALLEST_AND_LARGEST or scale is Scale.FULL:
+    if known_count in FULLY_MEASURED_KNOWN_COUNTS or scale is Scale.FULL:
         return PHASES[scale]
     return PHASES[scale][:1]
 
 
-async def measure(seed: int, scale: Scale, folder: Path, seeded_fault: str) -> dict[str, float]:
+async def measure_sidecars(seed: int, scale: Scale, folder: Path, seeded_fault: str) -> dict[str, float]:
     """Run all phases, then the profile."""
     trial = CallTrial(find_network(), folder, seed)
     async with AsyncExitStack() as stack:
-        config = ConvertersConfig(trial.converters, {known: trial.agent(known) for known in KNOWN})
+        config = ConvertersConfig(
+            trial.converters_address, {known_count: trial.agent_address(known_count) for known_count in KNOWN_COUNTS}
+        )
         encoded = msgspec.json.encode(config).decode()
-        process = await stack.enter_async_context(
+        converters_process = await stack.enter_async_context(
             lightweight.start_process("ryepier.experiments.scale.lightweight_converters", [encoded])
         )
-        await process.read()
+        await converters_process.read()
         command = seeded_faults.command(seeded_fault) if seeded_fault else SIDECAR
-        found: dict[str, float] = {}
+        figures: dict[str, float] = {}
         gc.collect()
         gc.freeze()  # collecting the garbage of all objects of this process would delay its calls
-        for known in KNOWN:
-            async with trial.sidecar(known, command) as sidecar:
-                direct = Target(trial.converters, REQUEST)
-                for phase in phases_of(known, scale):
-                    found |= await run_phase(trial, phase, sidecar, direct)
-        return found | await profile(trial, scale, stack, seeded_fault)
+        for known_count in KNOWN_COUNTS:
+            async with trial.start_sidecar(known_count, command) as sidecar:
+                direct_target = Target(trial.converters_address, REQUEST)
+                for phase in phases_of(known_count, scale):
+                    figures |= await run_phase(trial, phase, sidecar, direct_target)
+        return figures | await profile(trial, scale, stack, seeded_fault)
 
 
-def summarize(found: Mapping[str, float]) -> dict[str, float]:
+def summarize(figures: Mapping[str, float]) -> dict[str, float]:
     """Return the fitted lines of a call's CPU at the design rate, and the added time as a share of its budget."""
     result: dict[str, float] = {}
     for name, figure in (
-        ("cpu", f"cpu_us_a_call_{DESIGN_PER_S}_per_s_{{}}_known"),
+        ("cpu", f"cpu_us_a_call_{DESIGN_RATE_PER_S}_per_s_{{}}_known"),
         ("module", "module_us_a_call_{}_known"),
     ):
-        line = slopes.fit(KNOWN, [found[figure.format(known)] for known in KNOWN])
+        line = slopes.fit(KNOWN_COUNTS, [figures[figure.format(known_count)] for known_count in KNOWN_COUNTS])
         result |= {f"fit_{name}_us_a_call_{key}": float(value) for key, value in msgspec.to_builtins(line).items()}
-    name = f"added_p99_ms_{DESIGN_PER_S}_per_s_{DESIGN_KNOWN}_known"
-    result["design_share_of_budget_added_p99_ms"] = found[name] / ADDED_BUDGET_MS
+    name = f"added_p99_ms_{DESIGN_RATE_PER_S}_per_s_{DESIGN_KNOWN_COUNT}_known"
+    result["design_share_of_budget_added_p99_ms"] = figures[name] / ADDED_P99_BUDGET_MS
     return result
 
 
-def make_claims(found: Mapping[str, float]) -> list[Claim]:
+def make_claims(figures: Mapping[str, float]) -> list[Claim]:
     """Return the claims."""
-    few = KNOWN[0]
+    fewest_known = KNOWN_COUNTS[0]
     return [
         Claim(
-            f"share of calls served at {DESIGN_PER_S} a second, {few} known",
-            found[f"served_share_{DESIGN_PER_S}_per_s_{few}_known"],
+            f"share of calls served at {DESIGN_RATE_PER_S} a second, {fewest_known} known",
+            figures[f"served_share_{DESIGN_RATE_PER_S}_per_s_{fewest_known}_known"],
             ">=",
             MIN_SERVED_SHARE,
         ),
         Claim(
             "CPU a call for each further known converter (us)",
-            found["fit_cpu_us_a_call_per_unit"],
+            figures["fit_cpu_us_a_call_per_unit"],
             "<=",
-            MAX_US_PER_KNOWN,
+            MAX_US_PER_KNOWN_CONVERTER,
         ),
         # a sidecar that can't keep up spends more on each call; the balancer alone always keeps up
         Claim(
-            "of it, the module's part by itself (us)", found["fit_module_us_a_call_per_unit"], "<=", MAX_US_PER_KNOWN
+            "of it, the module's part by itself (us)",
+            figures["fit_module_us_a_call_per_unit"],
+            "<=",
+            MAX_US_PER_KNOWN_CONVERTER,
         ),
     ]
 
 
-def perform(trial: TrialConfig) -> Measurement:
+def measure(trial: TrialConfig) -> Measurement:
     """Measure, with the machine's load before and after. Raises InsufficientResourcesError and HarnessError."""
-    check_needs(Needs(4, BYTES_NEEDED, 3 * MAX_CONNECTIONS), this_machine())
+    check_needs(Needs(4, NEEDED_MEMORY_BYTES, 3 * MAX_CONNECTIONS), this_machine())
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # in this process too, in which the balancer runs alone
-    found = load_figures("before")
-    found |= {
-        f"module_us_a_call_{known}_known": balancer_us_per_call(known, trial.seed, DESIGN_PER_S) for known in KNOWN
+    figures = load_figures("before")
+    figures |= {
+        f"module_us_a_call_{known_count}_known": balancer_us_per_call(known_count, trial.seed, DESIGN_RATE_PER_S)
+        for known_count in KNOWN_COUNTS
     }
-    found |= asyncio.run(measure(trial.seed, trial.scale, trial.folder, trial.seeded_fault))
-    found |= load_figures("after")
-    found |= summarize(found)
-    return Measurement(make_claims(found), finite_figures(found))
+    figures |= asyncio.run(measure_sidecars(trial.seed, trial.scale, trial.folder, trial.seeded_fault))
+    figures |= load_figures("after")
+    figures |= summarize(figures)
+    return Measurement(make_claims(figures), finite_figures(figures))
 
 
 EXPERIMENT = Benchmark(
     name="scale-call",
     question="CPU and added time of a call through a sidecar that knows 30 to 1,600",
-    measure=perform,
+    measure=measure,
     seeded_faults=("scan",),
 )
--- a/ryepier/experiments/scale/capacity/estimates.py
+++ b/ryepier/experiments/scale/capacity/estimates.py
@@ -18,44 +18,44 @@
 class Value(msgspec.Struct, frozen=True):
     """What a row amounts to by one result."""
 
-    at_size: float
-    growing: float = 0.0  # the part of it that grows with the size
+    value_at_size: float
+    growing_part: float = 0.0  # the part of it that grows with the size
     slope: Slope | None = None  # in the figure's own unit
     is_extrapolated: bool = False
-    power: int = 1  # of the size, with which that part grows
+    exponent: int = 1  # of the size, with which that part grows
     fitting_share: float | None = None  # the largest measured share of the size that fits, if no slope tells it
 
 
-Estimate = Callable[[Figures, Plan], Value]
+Estimator = Callable[[Figures, Plan], Value]
 
 
 def figures_by_size(figures: Figures, template: str) -> dict[int, float]:
     """Return the figures named like the template, with a size in place of {}, by that size."""
-    before, _, after = template.partition("{}")
-    pattern = re.compile(re.escape(before) + r"(\d+)" + re.escape(after))
-    found = {int(match[1]): value for name, value in figures.items() if (match := pattern.fullmatch(name))}
-    return dict(sorted(found.items()))
+    prefix, _, suffix = template.partition("{}")
+    pattern = re.compile(re.escape(prefix) + r"(\d+)" + re.escape(suffix))
+    by_size = {int(match[1]): value for name, value in figures.items() if (match := pattern.fullmatch(name))}
+    return dict(sorted(by_size.items()))
 
 
 def _fit(figures: Figures, template: str) -> Slope:
-    points = figures_by_size(figures, template)
-    return slopes.fit(list(points), list(points.values()))
+    values_by_size = figures_by_size(figures, template)
+    return slopes.fit(list(values_by_size), list(values_by_size.values()))
 
 
-def on_line(template: str, size: Size, factor: float = 1.0, plus: str = "") -> Estimate:
+def fitted_line(template: str, size: Size, factor: float = 1.0, added_figure: str = "") -> Estimator:
     """Estimate by the line through a figure at several sizes, times a factor, plus another figure."""
 
     def estimate(figures: Figures, plan: Plan) -> Value:
         slope = _fit(figures, template)
-        at_size = slope.at(size(plan))
-        added = figures[plus] if plus else 0.0
-        growing = slope.per_unit * size(plan) * factor
-        return Value(at_size.value * factor + added, growing, slope, at_size.extrapolated)
+        line_value = slope.at(size(plan))
+        added = figures[added_figure] if added_figure else 0.0
+        growing_part = slope.per_unit * size(plan) * factor
+        return Value(line_value.value * factor + added, growing_part, slope, line_value.is_extrapolated)
 
     return estimate
 
 
-def level(template: str, factor: float = 1.0) -> Estimate:
+def median_over_sizes(template: str, factor: float = 1.0) -> Estimator:
     """Estimate by the median of a figure at several sizes, with which it does not grow."""
 
     def estimate(figures: Figures, plan: Plan) -> Value:
@@ -64,24 +64,24 @@
     return estimate
 
 
-def as_is(name: str, power: int = 0) -> Estimate:
+def single_figure(name: str, exponent: int = 0) -> Estimator:
     """Estimate by a figure for the size itself; all of it grows with that power of the size."""
 
     def estimate(figures: Figures, plan: Plan) -> Value:
-        growing = figures[name] if power else 0.0
-        return Value(figures[name], growing, power=max(1, power))
+        growing_part = figures[name] if exponent else 0.0
+        return Value(figures[name], growing_part, exponent=max(1, exponent))
 
     return estimate
 
 
-def over_the_day(idle: str, change: str, factor: float, size: Size) -> Estimate:
+def daily_changes(idle: str, change: str, factor: float, size: Size) -> Estimator:
     """Estimate by an idle level, plus a day's changes of the list by the line through the cost of one."""
 
     def estimate(figures: Figures, plan: Plan) -> Value:
         slope = _fit(figures, change)
-        at_size = slope.at(size(plan))
+        line_value = slope.at(size(plan))
         changes_per_s = plan.list_changes_per_s * factor
-        value = level(idle)(figures, plan).at_size + changes_per_s * at_size.value
-        return Value(value, changes_per_s * slope.per_unit * size(plan), slope, at_size.extrapolated)
+        value = median_over_sizes(idle)(figures, plan).value_at_size + changes_per_s * line_value.value
+        return Value(value, changes_per_s * slope.per_unit * size(plan), slope, line_value.is_extrapolated)
 
     return estimate
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ryepier.experiments.scale import slopes
-from ryepier.experiments.scale.capacity.estimates import Estimate, Value
+from ryepier.experiments.scale.capacity.estimates import Estimator, Value
 from ryepier.experiments.scale.capacity.plan import CapacityError, Plan
 from ryepier.experiments.scale.capacity.results import KeptResult
 from ryepier.experiments.scale.slopes import Slope, Spread
@@ -40,7 +40,7 @@
     unit: str
     mechanism: str = ""  # what carries it; empty: nothing
     experiment: str = ""
-    estimate: Estimate | None = None
+    estimator: Estimator | None = None
     budget: Budget | None = None
     slope: SlopeUnit | None = None
     note: str = ""  # how it would be measured; if nothing carries it, its design
@@ -92,11 +92,11 @@
     if not row.mechanism:
         return RowResult(row, Standing.MISSING)
     results = [result for result in kept if result.name == row.experiment]
-    if row.estimate is None or not results:
+    if row.estimator is None or not results:
         return RowResult(row, Standing.NOT_MEASURED)
-    by_seed = _estimate_each(row, row.estimate, results, plan)
+    by_seed = _estimate_each(row, row.estimator, results, plan)
     values = [seed.value for seed in by_seed]
-    spread = slopes.spread([value.at_size for value in values])
+    spread = slopes.spread([value.value_at_size for value in values])
     budget = row.budget(plan) if row.budget is not None else None
     share = spread.median / budget if budget is not None else None
     fitted = [value.slope for value in values if value.slope is not None and row.slope is not None]
@@ -114,18 +114,18 @@
     )
 
 
-def _estimate_each(row: Row, estimate: Estimate, results: Sequence[KeptResult], plan: Plan) -> list[_SeedValue]:
+def _estimate_each(row: Row, estimator: Estimator, results: Sequence[KeptResult], plan: Plan) -> list[_SeedValue]:
     """Return the value by each result; a seed may lack a figure that its run never reached."""
-    found, reason = [], ""
+    seed_values, reason = [], ""
     for result in results:
         try:
             figures = {name: value for name, value in result.figures.items() if value is not None}
-            found.append(_SeedValue(result, estimate(figures, plan)))
+            seed_values.append(_SeedValue(result, estimator(figures, plan)))
         except (KeyError, ValueError) as error:
             reason = str(error)
-    if not found:
+    if not seed_values:
         raise CapacityError(f"{row.role}, {row.resource}: {row.experiment} has no such figure: {reason}")
-    return found
+    return seed_values
 
 
 def _slope_spread(fitted: Sequence[Slope], unit: SlopeUnit | None) -> Spread | None:
@@ -134,17 +134,17 @@
     return slopes.spread([slope.per_unit * unit.factor for slope in fitted])
 
 
-def share_at_budget(at_size: float, growing: float, budget: float, power: int = 1) -> float | None:
+def share_at_budget(value_at_size: float, growing_part: float, budget: float, exponent: int = 1) -> float | None:
     """Return the share of the size at which a budget is used up; 0 if it always is, None if it never is."""
-    if growing <= 0:
-        return 0.0 if at_size > budget else None
-    return float(max(0.0, 1.0 + (budget - at_size) / growing) ** (1 / power))
+    if growing_part <= 0:
+        return 0.0 if value_at_size > budget else None
+    return float(max(0.0, 1.0 + (budget - value_at_size) / growing_part) ** (1 / exponent))
 
 
-def breaking_share(values: Sequence[Value], at_size: float, budget: float) -> float | None:
+def breaking_share(values: Sequence[Value], value_at_size: float, budget: float) -> float | None:
     """Return the share of the size at which a budget is used up, by the median of the seeds."""
-    fitting = [value.fitting_share for value in values if value.fitting_share is not None]
-    if fitting:
-        return slopes.spread(fitting).median
-    growing = slopes.spread([value.growing for value in values]).median
-    return share_at_budget(at_size, growing, budget, values[0].power)
+    fitting_shares = [value.fitting_share for value in values if value.fitting_share is not None]
+    if fitting_shares:
+        return slopes.spread(fitting_shares).median
+    growing_part = slopes.spread([value.growing_part for value in values]).median
+    return share_at_budget(value_at_size, growing_part, budget, values[0].exponent)
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -36,13 +36,13 @@
     """What to run."""
 
     depth: int  # calls from the first caller to the last service
-    failing: float  # share of the last service's attempts that fail
+    failing_share: float  # share of the last service's attempts that fail
     calls: int
     rate_per_s: float
     seed: int
     idempotency: api.Idempotency = api.Idempotency.IDEMPOTENT
     deadline_us: int = DEADLINE_US
-    same_objective_us: int = 0  # at every hop; 0: by the hops below
+    fixed_objective_us: int = 0  # at every hop; 0: by the hops below
     instances: int = 3  # of each service
     max_attempts: int = 1_000_000  # at the last service, after which a run is broken off
 
@@ -79,16 +79,16 @@
         """Start without timers."""
         self.now_us = START_US
         self._timers: list[tuple[int, int, TimerHandle]] = []
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     def call_later(self, delay: float, callback: Callable[..., None], *args: Any) -> TimerHandle:
         """Call back after a delay in seconds, as an event loop does."""
-        return self.after_us(round(delay * 1e6), callback, *args)
+        return self.call_after_us(round(delay * 1e6), callback, *args)
 
-    def after_us(self, delay_us: int, callback: Callable[..., None], *args: Any) -> TimerHandle:
+    def call_after_us(self, delay_us: int, callback: Callable[..., None], *args: Any) -> TimerHandle:
         """Call back after a delay."""
         handle = TimerHandle(callback, args)
-        heapq.heappush(self._timers, (self.now_us + max(0, delay_us), next(self._numbers), handle))
+        heapq.heappush(self._timers, (self.now_us + max(0, delay_us), next(self._sequence_numbers), handle))
         return handle
 
     def run(self, is_stopped: Callable[[], bool]) -> None:
@@ -107,16 +107,16 @@
     def __init__(self, on_end: Callable[[AttemptResult], None]) -> None:
         """Hold whom to tell of the end."""
         self._on_end = on_end
-        self._is_over = False
+        self._is_ended = False
 
     def cancel(self) -> None:
         """Drop the result; what runs at the hops below goes on."""
-        self._is_over = True
+        self._is_ended = True
 
     def end(self, outcome: api.Outcome) -> None:
         """End with an outcome, unless cancelled."""
-        if not self._is_over:
-            self._is_over = True
+        if not self._is_ended:
+            self._is_ended = True
             self._on_end(AttemptResult(outcome))
 
 
@@ -128,7 +128,7 @@
         self.world = world
         self.hop = hop
         chain = world.chain
-        objective_us = chain.same_objective_us or OBJECTIVE_PER_HOP_US * (chain.depth - hop)
+        objective_us = chain.fixed_objective_us or OBJECTIVE_PER_HOP_US * (chain.depth - hop)
         request_class = api.RequestClass(
             "work", objective_us, chain.deadline_us, late_weight=LATE_WEIGHT, idempotency=chain.idempotency
         )
@@ -160,7 +160,7 @@
     ) -> ChainAttempt:
         """Start an attempt, as a connection pool does."""
         attempt = ChainAttempt(on_end)
-        self.world.clock.after_us(NETWORK_US, self.world.on_arrival, self.hop, upstream - 1, timeout_us, attempt)
+        self.world.clock.call_after_us(NETWORK_US, self.world.on_arrival, self.hop, upstream - 1, timeout_us, attempt)
         return attempt
 
     def close_idle(self, upstream: int) -> None:
@@ -183,9 +183,9 @@
 
     def build(self) -> None:
         """Start the sidecars of all hops."""
-        seeds = Random(self.chain.seed + 1)
+        seed_source = Random(self.chain.seed + 1)
         self.sidecars = [
-            [ChainSidecar(self, hop, seeds.getrandbits(64)) for _ in range(self.chain.instances)]
+            [ChainSidecar(self, hop, seed_source.getrandbits(64)) for _ in range(self.chain.instances)]
             for hop in range(self.chain.depth)
         ]
 
@@ -194,20 +194,20 @@
         at_us = 0.0
         for _ in range(self.chain.calls):
             at_us += self.random.expovariate(self.chain.rate_per_s) * 1e6
-            self.clock.after_us(int(at_us), self._make_first_call)
+            self.clock.call_after_us(int(at_us), self._make_first_call)
 
     def on_arrival(self, hop: int, instance: int, timeout_us: int, attempt: ChainAttempt) -> None:
         """Handle an attempt at an instance of the service that a hop calls."""
         self.outcome.attempts[hop] += 1
         if hop + 1 == self.chain.depth:
-            is_failing = self.random.random() < self.chain.failing
-            outcome = api.Outcome.ERROR if is_failing else api.Outcome.OK
-            self.clock.after_us(WORK_US + NETWORK_US, attempt.end, outcome)
+            fails = self.random.random() < self.chain.failing_share
+            outcome = api.Outcome.ERROR if fails else api.Outcome.OK
+            self.clock.call_after_us(WORK_US + NETWORK_US, attempt.end, outcome)
             return
 
         def reply(answer: FinalAnswer) -> None:
             outcome = api.Outcome.OK if answer.outcome is FinalOutcome.SERVED else api.Outcome.ERROR
-            self.clock.after_us(NETWORK_US, attempt.end, outcome)
+            self.clock.call_after_us(NETWORK_US, attempt.end, outcome)
 
         self.sidecars[hop + 1][instance].call(timeout_us, reply)
 
@@ -217,12 +217,12 @@
         return self.outcome.broken_off
 
     def _make_first_call(self) -> None:
-        begun_us = self.clock.now_us
+        start_us = self.clock.now_us
 
         def reply(answer: FinalAnswer) -> None:
             self.outcome.answered += 1
             self.outcome.served += answer.outcome is FinalOutcome.SERVED
-            self.outcome.longest_us = max(self.outcome.longest_us, self.clock.now_us - begun_us)
+            self.outcome.longest_us = max(self.outcome.longest_us, self.clock.now_us - start_us)
 
         self.random.choice(self.sidecars[0]).call(self.chain.deadline_us, reply)
 
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -30,7 +30,7 @@
 from ryepier.experiments.core.usage import Usage, usage
 from ryepier.experiments.scale import instrumented_planner, lightweight, slopes
 from ryepier.experiments.scale.instrumented_planner import PlannerUsage
-from ryepier.experiments.scale.lightweight_forwarders import ForwardersConfig, uid
+from ryepier.experiments.scale.lightweight_forwarders import ForwardersConfig, converter_uid
 from ryepier.experiments.scale.machine_load import finite_figures, load_figures
 from ryepier.plan.planner_server import TICK_S
 
@@ -52,17 +52,17 @@
 REPORTS_PER_S = 2.0  # of a forwarder, by default
 TICKS_PER_S = 1.0 / TICK_S
 WORKERS = {Scale.SMALL: 2, Scale.FULL: 4}
-WHOLE_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
+FULL_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
 WORKER_MODULE = "ryepier.experiments.scale.lightweight_forwarders"
-BYTES_NEEDED = 1_500_000_000
+NEEDED_MEMORY_BYTES = 1_500_000_000
 SETTLE_S = 1.0
-MEASURE_S = {Scale.SMALL: 2.2, Scale.FULL: 10.0}
+MEASUREMENT_S = {Scale.SMALL: 2.2, Scale.FULL: 10.0}
 CONNECT_TIMEOUT_S = 6.0
 AVOID_TIMEOUT_S = {Scale.SMALL: 5.0, Scale.FULL: 15.0}
 POLL_INTERVAL_S = 0.2
 AVOIDING_SHARE = 0.95  # of the forwarders that call the hung converter
 MAX_WAIT_SHARE = 0.5  # of the planner's time; with more, the machine is what is measured
-HUNG = uid(0)
+HUNG_UID = converter_uid(0)
 MIN_DIVISOR = 1e-9  # in place of zero
 Readings = dict[str, float]  # figures of one size, by name
 
@@ -87,8 +87,8 @@
 class PlannerReading(msgspec.Struct, frozen=True):
     """What the planner has used, done, and waited for so far."""
 
-    used: Usage
-    planner: PlannerUsage
+    process_usage: Usage
+    planner_usage: PlannerUsage
     waited_s: float  # for a core
 
 
@@ -98,12 +98,12 @@
     `planner_cores_needed` is the CPU time of its reports and ticks at their nominal rates: a planner that is late has
     fewer ticks, and would seem cheap by the CPU time that it used.
     """
-    early, late = before.planner, after.planner
-    ticks, reports = late.ticks - early.ticks, late.reports - early.reports
-    tick_cpu_s = late.tick_cpu_s - early.tick_cpu_s
+    earlier, later = before.planner_usage, after.planner_usage
+    ticks, reports = later.ticks - earlier.ticks, later.reports - earlier.reports
+    tick_cpu_s = later.tick_cpu_s - earlier.tick_cpu_s
     tick_s = tick_cpu_s / max(1, ticks)
-    report_s = max(0.0, late.cpu_s - early.cpu_s - tick_cpu_s) / max(1, reports)
-    cpu_s, waited_s = after.used.since(before.used), after.waited_s - before.waited_s
+    report_s = max(0.0, later.cpu_s - earlier.cpu_s - tick_cpu_s) / max(1, reports)
+    cpu_s, waited_s = after.process_usage.since(before.process_usage), after.waited_s - before.waited_s
     return {
         "planner_cores": cpu_s / elapsed_s,
         "planner_cores_needed": size * REPORTS_PER_S * report_s + TICKS_PER_S * tick_s,
@@ -112,32 +112,34 @@
         "planner_ticks_per_s": ticks / elapsed_s,
         "planner_reports_per_s": reports / elapsed_s,
         "planner_wait_share": waited_s / max(MIN_DIVISOR, cpu_s + waited_s),
-        "planner_resident_bytes": float(after.used.resident_bytes),
+        "planner_resident_bytes": float(after.process_usage.resident_bytes),
     }
 
 
 def forwarder_readings(size: int, elapsed_s: float, before: Sequence[Sample], after: Sequence[Sample]) -> Readings:
     """Return what one forwarder sent, received and used between two samples."""
 
-    def per_s(name: str) -> float:
-        growth = sum(getattr(late, name) - getattr(early, name) for early, late in zip(before, after, strict=True))
+    def rate_per_forwarder(name: str) -> float:
+        growth = sum(
+            getattr(later, name) - getattr(earlier, name) for earlier, later in zip(before, after, strict=True)
+        )
         return float(growth) / elapsed_s / size
 
-    sent, received = per_s("bytes_out"), per_s("bytes_in")
-    heartbeats = received - per_s("plan_bytes")
+    sent, received = rate_per_forwarder("bytes_out"), rate_per_forwarder("bytes_in")
+    heartbeats = received - rate_per_forwarder("plan_bytes")
     return {
-        "plans_per_s": per_s("plans"),
+        "plans_per_s": rate_per_forwarder("plans"),
         "bytes_out_per_s": sent,
         "bytes_in_per_s": received,
         # reports and heartbeats are exchanged with each planner, plans come from the leader alone
         "bytes_per_s_with_seven": DESIGN_PLANNERS * (sent + heartbeats) + (received - heartbeats),
-        "forwarder_cores": per_s("cpu_s"),
+        "forwarder_cores": rate_per_forwarder("cpu_s"),
         "reporters_share": max(sample.reporters for sample in after) / size,
         "connected_share": sum(sample.connected for sample in after) / size,
     }
 
 
-def quantile_s(samples: Sequence[Sample], share: float) -> float:
+def avoidance_quantile_s(samples: Sequence[Sample], share: float) -> float:
     """Return when a share of the callers of the hung converter avoided it; infinite if they never did."""
     users = sum(sample.users for sample in samples)
     times_s = sorted(after_s for sample in samples for after_s in sample.avoids_after_s)
@@ -145,11 +147,11 @@
     return times_s[needed - 1] if users and len(times_s) >= needed else float("inf")
 
 
-def growth(rows: Mapping[int, Mapping[str, float]], name: str) -> float:
+def growth_over_linear(by_size: Mapping[int, Mapping[str, float]], name: str) -> float:
     """Return the growth of a figure from the second to the largest size, relative to the size's own growth."""
-    sizes = sorted(rows)
-    few, many = sizes[1], sizes[-1]
-    return rows[many][name] / max(MIN_DIVISOR, rows[few][name]) / (many / few)
+    sizes = sorted(by_size)
+    second_size, largest_size = sizes[1], sizes[-1]
+    return by_size[largest_size][name] / max(MIN_DIVISOR, by_size[second_size][name]) / (largest_size / second_size)
 
 
 @dataclass(frozen=True, slots=True)
@@ -220,38 +222,40 @@
         """Start forwarders up to a size, and wait until they are connected or a timeout, which the figures show."""
         await self.request("grow", fleet=size)
         loop = asyncio.get_running_loop()
-        ends = loop.time() + CONNECT_TIMEOUT_S
-        while loop.time() < ends and sum(sample.connected for sample in await self.samples()) < size:
+        deadline_s = loop.time() + CONNECT_TIMEOUT_S
+        while loop.time() < deadline_s and sum(sample.connected for sample in await self.samples()) < size:
             await asyncio.sleep(POLL_INTERVAL_S)
         await asyncio.sleep(SETTLE_S)
 
     async def measure(self, size: int) -> Readings:
         """Return the readings at a size."""
-        before, early = await self.samples(), self.planner.read()
-        await asyncio.sleep(MEASURE_S[self.scale])
-        after, late = await self.samples(), self.planner.read()
-        elapsed_s = after[0].at_s - before[0].at_s
-        return planner_readings(size, elapsed_s, early, late) | forwarder_readings(size, elapsed_s, before, after)
+        samples_before, planner_before = await self.samples(), self.planner.read()
+        await asyncio.sleep(MEASUREMENT_S[self.scale])
+        samples_after, planner_after = await self.samples(), self.planner.read()
+        elapsed_s = samples_after[0].at_s - samples_before[0].at_s
+        return planner_readings(size, elapsed_s, planner_before, planner_after) | forwarder_readings(
+            size, elapsed_s, samples_before, samples_after
+        )
 
-    async def hang_one(self) -> float:
+    async def hang_converter(self) -> float:
         """Let one converter hang, and return the seconds until nearly all of its callers avoid it by plan."""
-        await self.request("hang", uid=HUNG)
-        found, loop = float("inf"), asyncio.get_running_loop()
-        ends = loop.time() + AVOID_TIMEOUT_S[self.scale]
-        while found == float("inf") and loop.time() < ends:
+        await self.request("hang", uid=HUNG_UID)
+        avoided_after_s, loop = float("inf"), asyncio.get_running_loop()
+        deadline_s = loop.time() + AVOID_TIMEOUT_S[self.scale]
+        while avoided_after_s == float("inf") and loop.time() < deadline_s:
             await asyncio.sleep(POLL_INTERVAL_S)
-            found = quantile_s(await self.samples(), AVOIDING_SHARE)
-        return found
+            avoided_after_s = avoidance_quantile_s(await self.samples(), AVOIDING_SHARE)
+        return avoided_after_s
 
 
 class FleetReadings(msgspec.Struct, frozen=True):
     """What a growing fleet came to."""
 
     by_size: dict[int, Readings]
-    whole: Readings  # of the fleet at its largest
+    at_largest: Readings  # of the fleet at its largest
 
 
-async def measure_fleet(in_use: int, sizes: Sequence[int], trial: TrialConfig) -> FleetReadings:
+async def measure_fleet(converters_in_use: int, sizes: Sequence[int], trial: TrialConfig) -> FleetReadings:
     """Let a fleet grow over these sizes, and return its readings."""
     worker_count = WORKERS[trial.scale]
     async with AsyncExitStack() as stack:
@@ -262,47 +266,54 @@
                 planner.address,
                 number,
                 worker_count,
-                in_use,
+                converters_in_use,
                 trial.seed,
                 min_fleet=sizes[0],
-                reports_all=trial.seeded_fault == WHOLE_REPORTS,
+                reports_all=trial.seeded_fault == FULL_REPORTS,
             )
             encoded = msgspec.json.encode(config).decode()
             workers.append(await stack.enter_async_context(lightweight.start_process(WORKER_MODULE, [encoded])))
         for worker in workers:
             await worker.read()
         fleet = Fleet(planner, workers, trial.scale)
-        empty = sum(sample.resident for sample in await fleet.samples())
-        rows = {}
+        resident_before = sum(sample.resident for sample in await fleet.samples())
+        by_size = {}
         for size in sizes:
             await fleet.grow(size)
-            rows[size] = await fleet.measure(size)
-        full = sum(sample.resident for sample in await fleet.samples())
+            by_size[size] = await fleet.measure(size)
+        resident_after = sum(sample.resident for sample in await fleet.samples())
         # a sidecar's process exists anyway, so only what one more forwarder takes counts
-        whole = {"forwarder_resident_bytes": (full - empty) / sizes[-1], "avoided_after_s": await fleet.hang_one()}
-        return FleetReadings(rows, whole)
+        at_largest = {
+            "forwarder_resident_bytes": (resident_after - resident_before) / sizes[-1],
+            "avoided_after_s": await fleet.hang_converter(),
+        }
+        return FleetReadings(by_size, at_largest)
 
 
-FITTED = ("planner_cores_needed", "planner_cpu_ms_a_tick", "planner_cpu_us_a_report", "planner_resident_bytes")
+FITTED_FIGURES = ("planner_cores_needed", "planner_cpu_ms_a_tick", "planner_cpu_us_a_report", "planner_resident_bytes")
 
 
-def make_figures(in_use: int, rows: Mapping[int, Readings], whole: Readings) -> dict[str, float]:
+def make_figures(converters_in_use: int, by_size: Mapping[int, Readings], at_largest: Readings) -> dict[str, float]:
     """Return the figures of a fleet, with fitted lines and the values at the size to design for."""
-    found = {f"{name}_{in_use}_in_use_{size}": value for size, each in rows.items() for name, value in each.items()}
-    found |= {f"{name}_{in_use}_in_use": value for name, value in whole.items()}
-    sizes = sorted(rows)
-    at_design = {name: rows[sizes[-1]][name] for name in ("bytes_per_s_with_seven", "forwarder_cores")}
-    at_design["forwarder_resident_bytes"] = whole["forwarder_resident_bytes"]
-    for name in FITTED:
-        line = slopes.fit(sizes, [rows[size][name] for size in sizes])
-        prefix = f"fit_{name}_{in_use}_in_use"
-        found |= {f"{prefix}_{key}": float(value) for key, value in msgspec.to_builtins(line).items()}
+    figures = {
+        f"{name}_{converters_in_use}_in_use_{size}": value
+        for size, readings in by_size.items()
+        for name, value in readings.items()
+    }
+    figures |= {f"{name}_{converters_in_use}_in_use": value for name, value in at_largest.items()}
+    sizes = sorted(by_size)
+    design_values = {name: by_size[sizes[-1]][name] for name in ("bytes_per_s_with_seven", "forwarder_cores")}
+    design_values["forwarder_resident_bytes"] = at_largest["forwarder_resident_bytes"]
+    for name in FITTED_FIGURES:
+        slope = slopes.fit(sizes, [by_size[size][name] for size in sizes])
+        prefix = f"fit_{name}_{converters_in_use}_in_use"
+        figures |= {f"{prefix}_{key}": float(value) for key, value in msgspec.to_builtins(slope).items()}
         if name in BUDGETS:
-            at_design[name] = line.at(DESIGN_FLEET).value
+            design_values[name] = slope.at(DESIGN_FLEET).value
     for name, budget in BUDGETS.items():
-        found[f"design_{name}_{in_use}_in_use"] = at_design[name]
-        found[f"design_share_of_budget_{name}_{in_use}_in_use"] = at_design[name] / budget
-    return found
+        figures[f"design_{name}_{converters_in_use}_in_use"] = design_values[name]
+        figures[f"design_share_of_budget_{name}_{converters_in_use}_in_use"] = design_values[name] / budget
+    return figures
 
 
 MAX_AVOID_S = 5.0
@@ -310,33 +321,38 @@
 MAX_BYTES_RATIO = 1.15
 
 
-def make_claims(in_use: int, rows: Mapping[int, Readings], whole: Readings) -> list[Claim]:
+def make_claims(converters_in_use: int, by_size: Mapping[int, Readings], at_largest: Readings) -> list[Claim]:
     """Return the claims on a fleet."""
-    few, many = min(rows), max(rows)
-    prefix = f"{in_use} in use, {many} forwarders"
+    smallest, largest = min(by_size), max(by_size)
+    prefix = f"{converters_in_use} in use, {largest} forwarders"
     return [
         Claim(
             f"{prefix}: the planner's wait for a core (share of its time; more: the machine is too busy)",
-            max(row["planner_wait_share"] for row in rows.values()),
+            max(readings["planner_wait_share"] for readings in by_size.values()),
             "<=",
             MAX_WAIT_SHARE,
         ),
-        Claim(f"{prefix}: forwarders connected", rows[many]["connected_share"], ">=", 1.0),
-        Claim(f"{prefix}: share of them that the plan rests on", rows[many]["reporters_share"], ">=", 0.99),
+        Claim(f"{prefix}: forwarders connected", by_size[largest]["connected_share"], ">=", 1.0),
+        Claim(f"{prefix}: share of them that the plan rests on", by_size[largest]["reporters_share"], ">=", 0.99),
         Claim(
             f"{prefix}: cores that the planner needs, growth over linear",
-            growth(rows, "planner_cores_needed"),
+            growth_over_linear(by_size, "planner_cores_needed"),
             "<=",
             MAX_GROWTH,
         ),
-        Claim(f"{prefix}: planner's memory, growth over linear", growth(rows, "planner_resident_bytes"), "<=", 1.0),
         Claim(
-            f"{prefix}: bytes out of a forwarder, over those at {few}",
-            rows[many]["bytes_out_per_s"] / max(MIN_DIVISOR, rows[few]["bytes_out_per_s"]),
+            f"{prefix}: planner's memory, growth over linear",
+            growth_over_linear(by_size, "planner_resident_bytes"),
+            "<=",
+            1.0,
+        ),
+        Claim(
+            f"{prefix}: bytes out of a forwarder, over those at {smallest}",
+            by_size[largest]["bytes_out_per_s"] / max(MIN_DIVISOR, by_size[smallest]["bytes_out_per_s"]),
             "<=",
             MAX_BYTES_RATIO,
         ),
-        Claim(f"{prefix}: 95% avoid a hung converter (s)", whole["avoided_after_s"], "<=", MAX_AVOID_S),
+        Claim(f"{prefix}: 95% avoid a hung converter (s)", at_largest["avoided_after_s"], "<=", MAX_AVOID_S),
     ]
 
 
@@ -344,13 +360,13 @@
     """Measure a fleet for each number of converters in use. Raises InsufficientResourcesError."""
     fleets = SEEDED_FAULT_SIZES if trial.seeded_fault else SIZES[trial.scale]
     largest = max(max(sizes) for sizes in fleets.values())
-    check_needs(Needs(WORKERS[trial.scale] + 2, BYTES_NEEDED, largest), this_machine())
+    check_needs(Needs(WORKERS[trial.scale] + 2, NEEDED_MEMORY_BYTES, largest), this_machine())
     claims: list[Claim] = []
     figures = load_figures("before")
-    for in_use, sizes in fleets.items():
-        readings = asyncio.run(measure_fleet(in_use, sizes, trial))
-        figures |= make_figures(in_use, readings.by_size, readings.whole)
-        claims += make_claims(in_use, readings.by_size, readings.whole)
+    for converters_in_use, sizes in fleets.items():
+        readings = asyncio.run(measure_fleet(converters_in_use, sizes, trial))
+        figures |= make_figures(converters_in_use, readings.by_size, readings.at_largest)
+        claims += make_claims(converters_in_use, readings.by_size, readings.at_largest)
     figures |= load_figures("after")
     return Measurement(claims, finite_figures(figures))
 
@@ -359,5 +375,5 @@
     name="scale-control",
     question="one planner as up to 1,600 hollow forwarders report to it",
     measure=measure,
-    seeded_faults=(WHOLE_REPORTS, "recount"),
+    seeded_faults=(FULL_REPORTS, "recount"),
 )
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -28,9 +28,9 @@
 CALLS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
 RATE_PER_S = 100.0
 SHORT_DEADLINE_US = 150_000  # 11 hops hardly leave anything of it: each takes 10 ms for its answer
-SAME_OBJECTIVE_US = 150_000  # at every hop, however much lies below it
+FIXED_OBJECTIVE_US = 150_000  # at every hop, however much lies below it
 MAX_ATTEMPTS_PER_CALL = 20  # at the last service; a run beyond is broken off, and its figure is a lower bound
-UNSAFE = "unsafe_11_deep_0.5_failing"
+UNSAFE_RUN = "unsafe_11_deep_0.5_failing"
 US_PER_MS = 1000
 
 
@@ -59,7 +59,7 @@
     broken_off: float = 0.0
 
     @classmethod
-    def of(cls, chain: Chain, outcome: ChainOutcome) -> ChainFigures:
+    def from_outcome(cls, chain: Chain, outcome: ChainOutcome) -> ChainFigures:
         """Return the figures of a run."""
         attempts_per_call = outcome.attempts[-1] / chain.calls
         return cls(
@@ -74,27 +74,27 @@
         )
 
 
-def _run_name(depth: int, failing: float) -> str:
-    return f"{depth}_deep_{failing:g}_failing"
+def _run_name(depth: int, failing_share: float) -> str:
+    return f"{depth}_deep_{failing_share:g}_failing"
 
 
-def _make_chain(depth: int, failing: float, seed: int, scale: Scale) -> Chain:
+def _make_chain(depth: int, failing_share: float, seed: int, scale: Scale) -> Chain:
     calls = CALLS[scale]
-    return Chain(depth, failing, calls, RATE_PER_S, seed, max_attempts=MAX_ATTEMPTS_PER_CALL * calls)
+    return Chain(depth, failing_share, calls, RATE_PER_S, seed, max_attempts=MAX_ATTEMPTS_PER_CALL * calls)
 
 
 def make_chains(seed: int, scale: Scale) -> dict[str, Chain]:
     """Return the chains by name: each depth and share of failures, and tighter bounds at the greatest depth."""
     chains = {
-        _run_name(depth, failing): _make_chain(depth, failing, seed, scale)
-        for failing in FAILING_SHARES
+        _run_name(depth, failing_share): _make_chain(depth, failing_share, seed, scale)
+        for failing_share in FAILING_SHARES
         for depth in DEPTHS
     }
     deepest = _make_chain(DEPTHS[-1], VARIED_FAILING_SHARE, seed, scale)
     replace = msgspec.structs.replace
     return chains | {
-        UNSAFE: replace(deepest, idempotency=Idempotency.NON_IDEMPOTENT),
-        "same_aim_11_deep_0.5_failing": replace(deepest, same_objective_us=SAME_OBJECTIVE_US),
+        UNSAFE_RUN: replace(deepest, idempotency=Idempotency.NON_IDEMPOTENT),
+        "same_aim_11_deep_0.5_failing": replace(deepest, fixed_objective_us=FIXED_OBJECTIVE_US),
         "short_11_deep_0.5_failing": replace(deepest, deadline_us=SHORT_DEADLINE_US),
     }
 
@@ -105,29 +105,29 @@
     The factor comes from a line through the logarithms.
     """
     figures: dict[str, float] = {}
-    for name, run in runs.items():
-        figures |= {f"{field}_{name}": value for field, value in dataclasses.asdict(run).items()}
-    for failing in FAILING_SHARES:
-        logarithms = [math.log(runs[_run_name(depth, failing)].attempts_a_call) for depth in DEPTHS]
-        line = slopes.fit(DEPTHS, logarithms)
-        figures[f"factor_a_hop_{failing:g}_failing"] = math.exp(line.per_unit)
-        for key, value in msgspec.to_builtins(line).items():
-            figures[f"fit_log_attempts_{failing:g}_failing_{key}"] = float(value)
+    for name, run_figures in runs.items():
+        figures |= {f"{field}_{name}": value for field, value in dataclasses.asdict(run_figures).items()}
+    for failing_share in FAILING_SHARES:
+        logarithms = [math.log(runs[_run_name(depth, failing_share)].attempts_a_call) for depth in DEPTHS]
+        slope = slopes.fit(DEPTHS, logarithms)
+        figures[f"factor_a_hop_{failing_share:g}_failing"] = math.exp(slope.per_unit)
+        for key, value in msgspec.to_builtins(slope).items():
+            figures[f"fit_log_attempts_{failing_share:g}_failing_{key}"] = float(value)
     return figures
 
 
 def make_claims(runs: Mapping[str, ChainFigures]) -> list[Claim]:
     """Return the claims on all runs."""
-    broken_off = sum(run.broken_off for run in runs.values())
-    answered = min(run.answered_share for run in runs.values())
-    over_bound = max(run.over_bound for run in runs.values())
+    broken_off = sum(run_figures.broken_off for run_figures in runs.values())
+    answered = min(run_figures.answered_share for run_figures in runs.values())
+    over_bound = max(run_figures.over_bound for run_figures in runs.values())
     bound_name = "attempts at the last service over what the hops' budgets allow, the most of all runs"
     unsafe_name = "attempts at the last service for a call of a class that is never sent twice"
     return [
         Claim("runs broken off, as attempts had no end", broken_off, "==", 0),
         Claim("least share of calls that had an answer", answered, ">=", 1.0),
         Claim(bound_name, over_bound, "<=", 1.0),
-        Claim(unsafe_name, runs[UNSAFE].attempts_a_call, "<=", 1.0),
+        Claim(unsafe_name, runs[UNSAFE_RUN].attempts_a_call, "<=", 1.0),
     ]
 
 
@@ -136,7 +136,7 @@
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
     chains = make_chains(trial.seed, trial.scale)
-    runs = {name: ChainFigures.of(chain, run_chain(chain)) for name, chain in chains.items()}
+    runs = {name: ChainFigures.from_outcome(chain, run_chain(chain)) for name, chain in chains.items()}
     return Measurement(make_claims(runs), summarize(runs))
 
 
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -29,28 +29,28 @@
 from ryepier.experiments.scale.lightweight import LightweightProcess
 from ryepier.sidecar.discovery import WATCH_RETRY_S
 
-KNOWN = (30, 150, 400, 800, 1600)  # converters that a sidecar knows
-SIDECARS = {Scale.SMALL: 12, Scale.FULL: 40}  # lightweight ones for each of these sizes
-FLEETS = {Scale.SMALL: (100, 200, 400, 800), Scale.FULL: (200, 400, 800, 1600)}  # that reconnect after an outage
-FLEET_KNOWS = {Scale.SMALL: 30, Scale.FULL: 150}
+KNOWN_COUNTS = (30, 150, 400, 800, 1600)  # converters that a sidecar knows
+SIDECARS_PER_GROUP = {Scale.SMALL: 12, Scale.FULL: 40}  # lightweight ones for each of these sizes
+FLEET_SIZES = {Scale.SMALL: (100, 200, 400, 800), Scale.FULL: (200, 400, 800, 1600)}  # that reconnect after an outage
+FLEET_KNOWN_COUNT = {Scale.SMALL: 30, Scale.FULL: 150}
 FLEET_PROCESSES = 4
-CHANGES = {Scale.SMALL: 40, Scale.FULL: 200}
+CHANGE_COUNT = {Scale.SMALL: 40, Scale.FULL: 200}
 CHANGE_INTERVAL_S = 0.02
 IDLE_S = {Scale.SMALL: 3.0, Scale.FULL: 10.0}
 ZONE_DIVISOR = 8  # one of 8 converters is in a zone
 OUTAGE_S = 1.0
 RECONNECT_TIMEOUT_S = 25.0  # a busy machine needs this long for 1,600
 UPDATE_TIMEOUT_S = 10.0
-WINDOW_US = 100_000
+PEAK_WINDOW_US = 100_000
 PORT = 8501  # below the ephemeral ports, or a connection without a listener could connect to itself
-CHANGES_A_DAY = 2330  # 2,000 of configuration, and three states for each of 110 machines
+CHANGES_PER_DAY = 2330  # 2,000 of configuration, and three states for each of 110 machines
 DAY_S = 86_400
 PROCESS_BYTES = 120_000_000
 SIDECAR_BYTES = 200_000
 CONVERTER_BYTES = 3_000
 MB = 1e6
-MODULE = "ryepier.experiments.scale.lightweight_sidecar"
-BUDGET_CORES, BUDGET_MB, BUDGET_BYTES_PER_S, IN_FORCE_S = 0.022, 64.0, 3000.0, 6.0
+SIDECAR_MODULE = "ryepier.experiments.scale.lightweight_sidecar"
+BUDGET_CORES, BUDGET_MB, BUDGET_BYTES_PER_S, MAX_PROPAGATION_S = 0.022, 64.0, 3000.0, 6.0
 Figures = dict[str, float]
 
 
@@ -65,31 +65,37 @@
 class Group:
     """Lightweight sidecars of one process, and the discovery that they follow."""
 
-    known: int
+    known_count: int
     count: int
     server: WatchServer
-    child: LightweightProcess
+    process: LightweightProcess
 
     async def wait_until_updated(self, version: int) -> Any:
         """Wait until all have a version, and return the reply. Raises HarnessError if they do not get it."""
-        reply = await self.child.request("until", version=version, within_s=UPDATE_TIMEOUT_S)
+        reply = await self.process.request("until", version=version, within_s=UPDATE_TIMEOUT_S)
         if reply["have"] < self.count:
             raise HarnessError(f"{reply['have']} of {self.count} lightweight sidecars have the list")
         return reply
 
-    async def cost(self, version: int, before: Any, bytes_before: int) -> UpdateCost:
+    async def measure_cost(self, version: int, before: Any, bytes_before: int) -> UpdateCost:
         """Return the cost per sidecar since an earlier reply, once all have the version."""
         reply = await self.wait_until_updated(version)
         cpu_s = (reply["cpu_s"] - before["cpu_s"]) / self.count
-        return UpdateCost(cpu_s, (self.server.bytes - bytes_before) / self.count)
+        return UpdateCost(cpu_s, (self.server.bytes_sent - bytes_before) / self.count)
 
 
 def needs(scale: Scale) -> Needs:
     """Return the needs of the larger part; the parts run one after the other."""
-    first = len(KNOWN) * PROCESS_BYTES + SIDECARS[scale] * sum(SIDECAR_BYTES + n * CONVERTER_BYTES for n in KNOWN)
-    fleet = FLEETS[scale][-1]
-    second = FLEET_PROCESSES * PROCESS_BYTES + fleet * (SIDECAR_BYTES + FLEET_KNOWS[scale] * CONVERTER_BYTES)
-    return Needs(1 + max(len(KNOWN), FLEET_PROCESSES), PROCESS_BYTES + max(first, second), sockets=fleet)
+    by_known_bytes = len(KNOWN_COUNTS) * PROCESS_BYTES + SIDECARS_PER_GROUP[scale] * sum(
+        SIDECAR_BYTES + known_count * CONVERTER_BYTES for known_count in KNOWN_COUNTS
+    )
+    fleet = FLEET_SIZES[scale][-1]
+    by_fleet_bytes = FLEET_PROCESSES * PROCESS_BYTES + fleet * (
+        SIDECAR_BYTES + FLEET_KNOWN_COUNT[scale] * CONVERTER_BYTES
+    )
+    return Needs(
+        1 + max(len(KNOWN_COUNTS), FLEET_PROCESSES), PROCESS_BYTES + max(by_known_bytes, by_fleet_bytes), sockets=fleet
+    )
 
 
 def base_bytes() -> float:
@@ -103,107 +109,120 @@
 
 
 @asynccontextmanager
-async def group(host: str, index: int, known: int, count: int, seed: int, seeded_fault: str) -> AsyncIterator[Group]:
+async def start_group(
+    host: str, index: int, known_count: int, count: int, seed: int, seeded_fault: str
+) -> AsyncIterator[Group]:
     """Run lightweight sidecars and their discovery."""
-    server = WatchServer(Listing(known, seed), (host, PORT + index), keeps_revisions=seeded_fault != "no-revisions")
+    server = WatchServer(
+        Listing(known_count, seed), (host, PORT + index), keeps_revisions=seeded_fault != "no-revisions"
+    )
     await server.open()
     try:
-        async with lightweight.start_process(MODULE, [host, str(PORT + index), str(seed)]) as child:
-            yield Group(known, count, server, child)
+        async with lightweight.start_process(SIDECAR_MODULE, [host, str(PORT + index), str(seed)]) as process:
+            yield Group(known_count, count, server, process)
     finally:
         server.close()
 
 
-async def start_sidecars(one: Group) -> Figures:
+async def start_sidecars(group: Group) -> Figures:
     """Measure the first list, and the memory that it takes."""
-    await one.child.read()
-    before, bytes_before = await one.child.request("memory"), one.server.bytes
-    await one.child.request("start", count=one.count)
-    cpu_s, data = await one.cost(one.server.listing.registry.rev, before, bytes_before)
-    after = await one.child.request("memory")
-    if after["known"] != one.count * one.known:
-        raise HarnessError(f"{after['known']} converters known, not {one.count * one.known}")
+    await group.process.read()
+    before, bytes_before = await group.process.request("memory"), group.server.bytes_sent
+    await group.process.request("start", count=group.count)
+    cpu_s, list_bytes = await group.measure_cost(group.server.listing.registry.rev, before, bytes_before)
+    after = await group.process.request("memory")
+    if after["known"] != group.count * group.known_count:
+        raise HarnessError(f"{after['known']} converters known, not {group.count * group.known_count}")
     return {
-        "list_bytes": data,
+        "list_bytes": list_bytes,
         "start_cpu_ms": cpu_s * 1000,
-        "memory_bytes": (after["resident_bytes"] - before["resident_bytes"]) / one.count,
+        "memory_bytes": (after["resident_bytes"] - before["resident_bytes"]) / group.count,
     }
 
 
-async def change_singly(one: Group, count: int) -> Figures:
+async def change_singly(group: Group, count: int) -> Figures:
     """Drain a converter, remove it and add another, again and again, each in an update of its own."""
-    listing = one.server.listing
-    before, bytes_before = await one.child.request("usage"), one.server.bytes
-    sent_us: dict[int, int] = {}
-    for turn in range(count):
-        if turn % 3 == 0:
+    listing = group.server.listing
+    before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
+    sent_at_us: dict[int, int] = {}
+    for change_index in range(count):
+        if change_index % 3 == 0:
             leaving = listing.pick(1)
-        listing.change([listing.new()] if turn % 3 == 2 else leaving, ("leaving", "left", "")[turn % 3])
+        listing.change(
+            [listing.new_entry()] if change_index % 3 == 2 else leaving, ("leaving", "left", "")[change_index % 3]
+        )
         now_us = monotonic_us()
-        sent_us[one.server.send_changes_to_all()] = now_us
+        sent_at_us[group.server.send_changes_to_all()] = now_us
         await asyncio.sleep(CHANGE_INTERVAL_S)
-    cpu_s, data = await one.cost(listing.registry.rev, before, bytes_before)
-    received_us = {int(version): at_us for version, at_us in (await one.child.request("late"))["last_us"].items()}
-    late_ms = [(received_us[version] - at_us) / 1000 for version, at_us in sent_us.items() if version in received_us]
-    after = await one.child.request("usage")
+    cpu_s, sent_bytes = await group.measure_cost(listing.registry.rev, before, bytes_before)
+    received_at_us = {
+        int(version): at_us for version, at_us in (await group.process.request("late"))["last_us"].items()
+    }
+    delays_ms = [
+        (received_at_us[version] - at_us) / 1000 for version, at_us in sent_at_us.items() if version in received_at_us
+    ]
+    after = await group.process.request("usage")
     return {
         "change_cpu_us": cpu_s * 1e6 / count,
-        "change_bytes": data / count,
-        "change_late_ms": max(late_ms, default=float("inf")),
-        "entries_a_change": (after["entries"] - before["entries"]) / count / one.count,
+        "change_bytes": sent_bytes / count,
+        "change_late_ms": max(delays_ms, default=float("inf")),
+        "entries_a_change": (after["entries"] - before["entries"]) / count / group.count,
     }
 
 
-async def remove_zone(one: Group) -> Figures:
+async def remove_zone(group: Group) -> Figures:
     """Drain a zone's converters in one update, remove them in one each, and add as many in one."""
-    listing = one.server.listing
-    chosen = listing.pick(max(1, one.known // ZONE_DIVISOR))
-    before, bytes_before = await one.child.request("usage"), one.server.bytes
-    listing.change(chosen, "leaving")
-    together_s, together = await one.cost(one.server.send_changes_to_all(), before, bytes_before)
-    before, bytes_before = await one.child.request("usage"), one.server.bytes
-    for entry in chosen:
+    listing = group.server.listing
+    zone_entries = listing.pick(max(1, group.known_count // ZONE_DIVISOR))
+    before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
+    listing.change(zone_entries, "leaving")
+    together_cpu_s, together_bytes = await group.measure_cost(group.server.send_changes_to_all(), before, bytes_before)
+    before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
+    for entry in zone_entries:
         listing.change([entry], "left")
-        one.server.send_changes_to_all()
-    singly_s, singly = await one.cost(listing.registry.rev, before, bytes_before)
-    listing.change([listing.new() for _ in chosen])
-    await one.wait_until_updated(one.server.send_changes_to_all())
+        group.server.send_changes_to_all()
+    singly_cpu_s, singly_bytes = await group.measure_cost(listing.registry.rev, before, bytes_before)
+    listing.change([listing.new_entry() for _ in zone_entries])
+    await group.wait_until_updated(group.server.send_changes_to_all())
     return {
-        "zone_together_cpu_ms": together_s * 1000,
-        "zone_together_bytes": together,
-        "zone_singly_cpu_ms": singly_s * 1000,
-        "zone_singly_bytes": singly,
+        "zone_together_cpu_ms": together_cpu_s * 1000,
+        "zone_together_bytes": together_bytes,
+        "zone_singly_cpu_ms": singly_cpu_s * 1000,
+        "zone_singly_bytes": singly_bytes,
     }
 
 
-async def reconnect(one: Group) -> Figures:
+async def reconnect(group: Group) -> Figures:
     """Abort all watches with one change missed, then again with discovery having lost its revisions."""
-    listing, server = one.server.listing, one.server
-    found: Figures = {}
-    for name, forgets in (("break", False), ("again", True)):
-        before, bytes_before = await one.child.request("usage"), server.bytes
-        if forgets:
+    listing, server = group.server.listing, group.server
+    figures: Figures = {}
+    for name, loses_revisions in (("break", False), ("again", True)):
+        before, bytes_before = await group.process.request("usage"), server.bytes_sent
+        if loses_revisions:
             listing.lose_revisions()
         else:
-            listing.change([listing.new()])
-        server.forget_encoded()
+            listing.change([listing.new_entry()])
+        server.clear_cached_messages()
         server.abort_all()
-        cpu_s, found[f"{name}_bytes"] = await one.cost(listing.registry.rev, before, bytes_before)
-        found[f"{name}_cpu_ms"] = cpu_s * 1000
-    return found
+        cpu_s, figures[f"{name}_bytes"] = await group.measure_cost(listing.registry.rev, before, bytes_before)
+        figures[f"{name}_cpu_ms"] = cpu_s * 1000
+    return figures
 
 
-async def stay_idle(groups: Sequence[Group], for_s: float) -> list[Figures]:
+async def measure_idle(groups: Sequence[Group], duration_s: float) -> list[Figures]:
     """Measure all groups at once while nothing changes and only the heartbeats of the watch arrive."""
-    before, bytes_before = [await one.child.request("usage") for one in groups], [one.server.bytes for one in groups]
-    await asyncio.sleep(for_s)
-    after = [await one.child.request("usage") for one in groups]
+    before, bytes_before = (
+        [await group.process.request("usage") for group in groups],
+        [group.server.bytes_sent for group in groups],
+    )
+    await asyncio.sleep(duration_s)
+    after = [await group.process.request("usage") for group in groups]
     return [
         {
-            "idle_cores": (late["cpu_s"] - early["cpu_s"]) / one.count / for_s,
-            "idle_bytes_per_s": (one.server.bytes - data) / one.count / for_s,
+            "idle_cores": (usage_after["cpu_s"] - usage_before["cpu_s"]) / group.count / duration_s,
+            "idle_bytes_per_s": (group.server.bytes_sent - sent_before) / group.count / duration_s,
         }
-        for one, early, late, data in zip(groups, before, after, bytes_before, strict=True)
+        for group, usage_before, usage_after, sent_before in zip(groups, before, after, bytes_before, strict=True)
     ]
 
 
@@ -212,54 +231,58 @@
     host = f"127.{find_network()}.254.2"
     async with AsyncExitStack() as stack:
         groups = [
-            await stack.enter_async_context(group(host, index, known, SIDECARS[scale], seed, seeded_fault))
-            for index, known in enumerate(KNOWN)
+            await stack.enter_async_context(
+                start_group(host, index, known_count, SIDECARS_PER_GROUP[scale], seed, seeded_fault)
+            )
+            for index, known_count in enumerate(KNOWN_COUNTS)
         ]
-        rows = {one.known: await start_sidecars(one) for one in groups}
-        for one, idle in zip(groups, await stay_idle(groups, IDLE_S[scale]), strict=True):
-            rows[one.known] |= idle
-        for one in groups:
-            rows[one.known] |= await change_singly(one, CHANGES[scale])
-            rows[one.known] |= await remove_zone(one)
-            rows[one.known] |= await reconnect(one)
+        rows = {group.known_count: await start_sidecars(group) for group in groups}
+        for group, idle_figures in zip(groups, await measure_idle(groups, IDLE_S[scale]), strict=True):
+            rows[group.known_count] |= idle_figures
+        for group in groups:
+            rows[group.known_count] |= await change_singly(group, CHANGE_COUNT[scale])
+            rows[group.known_count] |= await remove_zone(group)
+            rows[group.known_count] |= await reconnect(group)
     return rows
 
 
 # The cost of discovery, by the number of sidecars that reconnect
 
 
-async def outage(count: int, server: WatchServer, children: Sequence[LightweightProcess]) -> Figures:
+async def run_outage(count: int, server: WatchServer, processes: Sequence[LightweightProcess]) -> Figures:
     """Stop discovery for a moment and start it without its revisions; return the calls, the bytes and their times."""
-    each = count / len(children)
-    before = [await child.request("usage") for child in children]
+    sidecars_per_process = count / len(processes)
+    before = [await process.request("usage") for process in processes]
     server.close()
     await asyncio.sleep(OUTAGE_S)
-    away = [await child.request("usage") for child in children]
+    at_outage_end = [await process.request("usage") for process in processes]
     server.listing.lose_revisions()
-    server.calls_us.clear()
-    server.bytes = 0
-    own = own_usage()
+    server.call_times_us.clear()
+    server.bytes_sent = 0
+    own_before = own_usage()
     await server.open()
-    back_us, version = monotonic_us(), server.listing.registry.rev
+    restart_us, version = monotonic_us(), server.listing.registry.rev
     replies = await asyncio.gather(
-        *(child.request("until", version=version, within_s=RECONNECT_TIMEOUT_S) for child in children)
+        *(process.request("until", version=version, within_s=RECONNECT_TIMEOUT_S) for process in processes)
+    )
+    calls_s = (np.sort(server.call_times_us) - restart_us) / 1e6
+    calls_in_window = np.searchsorted(calls_s, calls_s + PEAK_WINDOW_US / 1e6) - np.arange(len(calls_s))
+    reconnect_cpu_s = sum(
+        later["cpu_s"] - earlier["cpu_s"] for earlier, later in zip(at_outage_end, replies, strict=True)
     )
-    calls_s = (np.sort(server.calls_us) - back_us) / 1e6
-    inside = np.searchsorted(calls_s, calls_s + WINDOW_US / 1e6) - np.arange(len(calls_s))
-    back_cpu_s = sum(late["cpu_s"] - early["cpu_s"] for early, late in zip(away, replies, strict=True))
-    server_cpu_s = own_usage().since(own)
-    away_s = [late["cpu_s"] - early["cpu_s"] for early, late in zip(before, away, strict=True)]
+    server_cpu_s = own_usage().since(own_before)
+    outage_cpu_s = [later["cpu_s"] - earlier["cpu_s"] for earlier, later in zip(before, at_outage_end, strict=True)]
     return {
-        "back": sum(one["have"] for one in replies) / count,
-        "calls": float(len(server.calls_us)),
-        "bytes": float(server.bytes),
+        "back": sum(reply["have"] for reply in replies) / count,
+        "calls": float(len(server.call_times_us)),
+        "bytes": float(server.bytes_sent),
         "stand_in_cpu_s": server_cpu_s,
-        "cpu_ms": 1000 * back_cpu_s / count,
+        "cpu_ms": 1000 * reconnect_cpu_s / count,
         # as if each sidecar had a core: its next connection, discovery's writes to all, and its own list
-        "back_alone_s": WATCH_RETRY_S + server_cpu_s + back_cpu_s / count,
-        "back_after_s": (max(one["last_us"] for one in replies) - back_us) / 1e6,
-        "peak_share": float(inside.max(initial=0)) / count,
-        "away_cores": max(away_s) / each / OUTAGE_S,
+        "back_alone_s": WATCH_RETRY_S + server_cpu_s + reconnect_cpu_s / count,
+        "back_after_s": (max(reply["last_us"] for reply in replies) - restart_us) / 1e6,
+        "peak_share": float(calls_in_window.max(initial=0)) / count,
+        "away_cores": max(outage_cpu_s) / sidecars_per_process / OUTAGE_S,
     }
 
 
@@ -267,32 +290,34 @@
     """Grow one fleet, with an outage at each size."""
     host = f"127.{find_network()}.254.2"
     server = WatchServer(
-        Listing(FLEET_KNOWS[scale], seed), (host, PORT), keeps_revisions=seeded_fault != "no-revisions"
+        Listing(FLEET_KNOWN_COUNT[scale], seed), (host, PORT), keeps_revisions=seeded_fault != "no-revisions"
     )
     await server.open()
     rows: dict[int, Figures] = {}
     try:
         async with AsyncExitStack() as stack:
-            children = [
-                await stack.enter_async_context(lightweight.start_process(MODULE, [host, str(PORT), str(seed + i)]))
+            processes = [
+                await stack.enter_async_context(
+                    lightweight.start_process(SIDECAR_MODULE, [host, str(PORT), str(seed + i)])
+                )
                 for i in range(FLEET_PROCESSES)
             ]
-            for child in children:
-                await child.read()
+            for process in processes:
+                await process.read()
             started = 0
-            for count in FLEETS[scale]:
-                more = (count - started) // len(children)
-                await asyncio.gather(*(child.request("start", count=more) for child in children))
+            for count in FLEET_SIZES[scale]:
+                new_per_process = (count - started) // len(processes)
+                await asyncio.gather(*(process.request("start", count=new_per_process) for process in processes))
                 started = count
                 replies = await asyncio.gather(
                     *(
-                        child.request("until", version=server.listing.registry.rev, within_s=RECONNECT_TIMEOUT_S)
-                        for child in children
+                        process.request("until", version=server.listing.registry.rev, within_s=RECONNECT_TIMEOUT_S)
+                        for process in processes
                     )
                 )
-                if sum(one["have"] for one in replies) < count:
+                if sum(reply["have"] for reply in replies) < count:
                     raise HarnessError(f"{count} lightweight sidecars did not start")
-                rows[count] = await outage(count, server, children)
+                rows[count] = await run_outage(count, server, processes)
     finally:
         server.close()
     return rows
@@ -308,34 +333,37 @@
 
 def derive_figures(rows: Mapping[int, Figures], base_mb: float) -> Figures:
     """Return the figures at the largest number of known converters, with a day's changes."""
-    largest = rows[KNOWN[-1]]
-    a_second = CHANGES_A_DAY / DAY_S
-    memory, again = fit_figure("memory_bytes", rows), fit_figure("again_cpu_ms", rows)
+    largest = rows[KNOWN_COUNTS[-1]]
+    changes_per_s = CHANGES_PER_DAY / DAY_S
+    memory, full_list = fit_figure("memory_bytes", rows), fit_figure("again_cpu_ms", rows)
     return {
         "base_mb": base_mb,
-        "sidecar_mb": base_mb + memory.at(KNOWN[-1]).value / MB,
+        "sidecar_mb": base_mb + memory.at(KNOWN_COUNTS[-1]).value / MB,
         "memory_bytes_a_converter": memory.per_unit,
         "memory_residual": memory.relative_residual,
-        "again_cpu_us_a_converter": again.per_unit * 1000,
-        "again_residual": again.relative_residual,
+        "again_cpu_us_a_converter": full_list.per_unit * 1000,
+        "again_residual": full_list.relative_residual,
         "change_cpu_us_a_converter": fit_figure("change_cpu_us", rows).per_unit,
-        "zone_cpu_us_a_change": largest["zone_singly_cpu_ms"] * 1000 / (KNOWN[-1] // ZONE_DIVISOR),
-        "day_cores": largest["idle_cores"] + a_second * largest["change_cpu_us"] / 1e6,
-        "day_bytes_per_s": largest["idle_bytes_per_s"] + a_second * largest["change_bytes"],
+        "zone_cpu_us_a_change": largest["zone_singly_cpu_ms"] * 1000 / (KNOWN_COUNTS[-1] // ZONE_DIVISOR),
+        "day_cores": largest["idle_cores"] + changes_per_s * largest["change_cpu_us"] / 1e6,
+        "day_bytes_per_s": largest["idle_bytes_per_s"] + changes_per_s * largest["change_bytes"],
     }
 
 
-def claims(rows: Mapping[int, Figures], fleets: Mapping[int, Figures], found: Figures) -> list[Claim]:
+def make_claims(rows: Mapping[int, Figures], fleets: Mapping[int, Figures], derived: Figures) -> list[Claim]:
     """Return the claims."""
-    largest, fleet = rows[KNOWN[-1]], fleets[max(fleets)]
+    largest, fleet = rows[KNOWN_COUNTS[-1]], fleets[max(fleets)]
     return [
-        Claim("memory of a sidecar that knows 1,600 converters (MB)", found["sidecar_mb"], "<=", BUDGET_MB),
-        Claim("largest residual of its line over the largest value", found["memory_residual"], "<=", 0.1),
-        Claim("cores for a day's changes, 1,600 known", found["day_cores"], "<=", BUDGET_CORES),
-        Claim("bytes a second for a day's changes, 1,600 known", found["day_bytes_per_s"], "<=", BUDGET_BYTES_PER_S),
+        Claim("memory of a sidecar that knows 1,600 converters (MB)", derived["sidecar_mb"], "<=", BUDGET_MB),
+        Claim("largest residual of its line over the largest value", derived["memory_residual"], "<=", 0.1),
+        Claim("cores for a day's changes, 1,600 known", derived["day_cores"], "<=", BUDGET_CORES),
+        Claim("bytes a second for a day's changes, 1,600 known", derived["day_bytes_per_s"], "<=", BUDGET_BYTES_PER_S),
         Claim("bytes of one change", largest["change_bytes"], "<=", 500),
         Claim(
-            "from a change to the last module that has it, most (s)", largest["change_late_ms"] / 1000, "<=", IN_FORCE_S
+            "from a change to the last module that has it, most (s)",
+            largest["change_late_ms"] / 1000,
+            "<=",
+            MAX_PROPAGATION_S,
         ),
         Claim("changes that each module was told, of one", largest["entries_a_change"], "==", 1),
         Claim("bytes of a watch that broke and missed one change", largest["break_bytes"], "<=", 1000),
@@ -345,28 +373,28 @@
             "until the last has it, each sidecar on a core of its own, by calculation (s)",
             fleet["back_alone_s"],
             "<=",
-            IN_FORCE_S,
+            MAX_PROPAGATION_S,
         ),
     ]
 
 
-def perform(trial: TrialConfig) -> Measurement:
+def measure(trial: TrialConfig) -> Measurement:
     """Measure both parts. Raises InsufficientResourcesError and HarnessError."""
     check_needs(needs(trial.scale), this_machine())
-    busy = {"load_average": os.getloadavg()[0]}
+    load = {"load_average": os.getloadavg()[0]}
     rows = asyncio.run(measure_by_known(trial.seed, trial.scale, trial.seeded_fault))
     fleets = asyncio.run(measure_by_fleet(trial.seed, trial.scale, trial.seeded_fault))
-    found = derive_figures(rows, base_bytes() / MB)
-    for known, row in rows.items():
-        row |= list_costs.measure(known, trial.seed)
-    figures = {f"{name}_{known}": value for known, row in rows.items() for name, value in row.items()}
+    derived = derive_figures(rows, base_bytes() / MB)
+    for known_count, row in rows.items():
+        row |= list_costs.measure(known_count, trial.seed)
+    figures = {f"{name}_{known_count}": value for known_count, row in rows.items() for name, value in row.items()}
     figures |= {f"fleet_{name}_{count}": value for count, row in fleets.items() for name, value in row.items()}
-    return Measurement(claims(rows, fleets, found), figures | found | busy)
+    return Measurement(make_claims(rows, fleets, derived), figures | derived | load)
 
 
 EXPERIMENT = Benchmark(
     name="scale-list",
     question="the list in a sidecar and at discovery, up to 1,600 known converters",
-    measure=perform,
+    measure=measure,
     seeded_faults=("no-revisions",),
 )
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -26,24 +26,24 @@
 from ryepier.experiments.scale.endpoint_list import (
     BUDGET_CORES,
     CONVERTER_BYTES,
-    IN_FORCE_S,
-    MODULE,
+    MAX_PROPAGATION_S,
     PORT,
     PROCESS_BYTES,
     SIDECAR_BYTES,
+    SIDECAR_MODULE,
     Figures,
 )
 from ryepier.experiments.scale.fleet_list import Entry, Listing, WatchServer
 from ryepier.experiments.scale.lightweight import LightweightProcess
 
-KNOWN = 1600
-FLEET = 1600
-RACK, ZONE, REGION = 40, 200, 800  # converters, and sidecars, that are lost at once
-BURSTS = (RACK, 100, ZONE, 400, REGION)
-LISTENERS = {Scale.SMALL: 8, Scale.FULL: 24}  # sidecars that know all converters
-FLEETS = {Scale.SMALL: (40, 80, 120, 160), Scale.FULL: (200, 400, 800, 1600)}
-FLEET_KNOWS = 250  # converters; telling costs the same, and 1,600 whole lists would not fit into memory
-PROCESSES = 4
+KNOWN_COUNT = 1600
+FLEET_SIZE = 1600
+RACK_SIZE, ZONE_SIZE, REGION_SIZE = 40, 200, 800  # converters, and sidecars, that are lost at once
+BURST_SIZES = (RACK_SIZE, 100, ZONE_SIZE, 400, REGION_SIZE)
+LISTENER_COUNT = {Scale.SMALL: 8, Scale.FULL: 24}  # sidecars that know all converters
+FLEET_SIZES = {Scale.SMALL: (40, 80, 120, 160), Scale.FULL: (200, 400, 800, 1600)}
+FLEET_KNOWN_COUNT = 250  # converters; telling costs the same, and 1,600 whole lists would not fit into memory
+PROCESS_COUNT = 4
 LIST_TIMEOUT_S = 25.0
 MAX_RESIDUAL = 0.25
 MS_PER_S = 1000
@@ -53,10 +53,10 @@
 def needs(scale: Scale) -> Needs:
     """Return what the larger of the two parts needs, which run one after another."""
     own = max(
-        count * (SIDECAR_BYTES + known * CONVERTER_BYTES)
-        for count, known in ((LISTENERS[scale], KNOWN), (FLEETS[scale][-1], FLEET_KNOWS))
+        count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
+        for count, known_count in ((LISTENER_COUNT[scale], KNOWN_COUNT), (FLEET_SIZES[scale][-1], FLEET_KNOWN_COUNT))
     )
-    return Needs(1 + PROCESSES, (1 + PROCESSES) * PROCESS_BYTES + own, sockets=FLEETS[scale][-1])
+    return Needs(1 + PROCESS_COUNT, (1 + PROCESS_COUNT) * PROCESS_BYTES + own, sockets=FLEET_SIZES[scale][-1])
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
 
     server: WatchServer
     processes: Sequence[LightweightProcess]
-    known: int  # converters that each knows
+    known_count: int  # converters that each knows
     count: int = 0
 
     async def request(self, command: str, **options: Any) -> list[Any]:
@@ -85,30 +85,30 @@
         self.count = count
         await self.wait_for_list()
 
-    async def lose(self, changes: int, singly: bool = True) -> Figures:
+    async def lose_converters(self, changes: int, singly: bool = True) -> Figures:
         """Drain so many converters, with a message for each or one for all; then replace them. Return the costs."""
         listing = self.server.listing
-        chosen = listing.pick(changes)
-        before, bytes_before, own_before = await self.request("usage"), self.server.bytes, own_usage()
-        begun_us = monotonic_us()
-        await self._send_drains(chosen, singly)
+        lost_entries = listing.pick(changes)
+        before, bytes_before, own_before = await self.request("usage"), self.server.bytes_sent, own_usage()
+        start_us = monotonic_us()
+        await self._send_drains(lost_entries, singly)
         after = await self.wait_for_list()
         figures = {
             "stand_in_cpu_s": own_usage().since(own_before),
-            "bytes": (self.server.bytes - bytes_before) / self.count,
-            "last_s": (max(answer["last_us"] for answer in after) - begun_us) / US_PER_S,
-            "cpu_ms": MS_PER_S * _growth(before, after, "cpu_s") / self.count,
-            "told": _growth(before, after, "entries") / self.count / changes,
-            "still_ready": await self._mean_known() - self.known + changes,
+            "bytes": (self.server.bytes_sent - bytes_before) / self.count,
+            "last_s": (max(answer["last_us"] for answer in after) - start_us) / US_PER_S,
+            "cpu_ms": MS_PER_S * _total_growth(before, after, "cpu_s") / self.count,
+            "told": _total_growth(before, after, "entries") / self.count / changes,
+            "still_ready": await self._mean_known() - self.known_count + changes,
         }
-        listing.change(chosen, "left")
-        listing.change([listing.new() for _ in chosen])
+        listing.change(lost_entries, "left")
+        listing.change([listing.new_entry() for _ in lost_entries])
         self.server.send_changes_to_all()
         await self.wait_for_list()
         return figures
 
-    async def _send_drains(self, chosen: Sequence[Entry], singly: bool) -> None:
-        for entries in [[entry] for entry in chosen] if singly else [chosen]:
+    async def _send_drains(self, lost_entries: Sequence[Entry], singly: bool) -> None:
+        for entries in [[entry] for entry in lost_entries] if singly else [lost_entries]:
             self.server.listing.change(entries, "leaving")
             self.server.send_changes_to_all()
             if singly:
@@ -118,106 +118,114 @@
         return float(sum(answer["known"] for answer in await self.request("memory")) / self.count)
 
 
-def _growth(before: Sequence[Any], after: Sequence[Any], name: str) -> float:
+def _total_growth(before: Sequence[Any], after: Sequence[Any], name: str) -> float:
     """Return by how much a total of all processes has grown."""
-    return float(sum(late[name] - early[name] for early, late in zip(before, after, strict=True)))
+    return float(sum(later[name] - earlier[name] for earlier, later in zip(before, after, strict=True)))
 
 
 @asynccontextmanager
-async def start_fleet(known: int, seed: int, seeded_fault: str) -> AsyncIterator[Fleet]:
+async def start_fleet(known_count: int, seed: int, seeded_fault: str) -> AsyncIterator[Fleet]:
     """Start the processes, without any sidecar yet, and end them on leaving."""
     host = f"127.{find_network()}.254.2"
-    server = WatchServer(Listing(known, seed), (host, PORT))
+    server = WatchServer(Listing(known_count, seed), (host, PORT))
     await server.open()
     try:
         async with AsyncExitStack() as stack:
             processes = []
-            for index in range(PROCESSES):
-                arguments = [host, str(PORT), str(seed * PROCESSES + index), seeded_fault]
-                processes.append(await stack.enter_async_context(lightweight.start_process(MODULE, arguments)))
+            for index in range(PROCESS_COUNT):
+                arguments = [host, str(PORT), str(seed * PROCESS_COUNT + index), seeded_fault]
+                processes.append(await stack.enter_async_context(lightweight.start_process(SIDECAR_MODULE, arguments)))
             for process in processes:
                 await process.read()
-            yield Fleet(server, processes, known)
+            yield Fleet(server, processes, known_count)
     finally:
         server.close()
 
 
 async def measure_losses(trial: TrialConfig) -> Figures:
     """Return the costs of bursts at a few sidecars, then of a rack and a zone at each fleet."""
-    found: Figures = {}
-    async with start_fleet(KNOWN, trial.seed, trial.seeded_fault) as few:
-        await few.grow(LISTENERS[trial.scale])
-        for changes in BURSTS:
-            found |= _name_figures("burst", changes, await few.lose(changes))
-            found |= _name_figures("together", changes, await few.lose(changes, singly=False))
-    async with start_fleet(FLEET_KNOWS, trial.seed, trial.seeded_fault) as fleet:
-        for count in FLEETS[trial.scale]:
+    figures: Figures = {}
+    async with start_fleet(KNOWN_COUNT, trial.seed, trial.seeded_fault) as listeners:
+        await listeners.grow(LISTENER_COUNT[trial.scale])
+        for changes in BURST_SIZES:
+            figures |= _name_figures("burst", changes, await listeners.lose_converters(changes))
+            figures |= _name_figures("together", changes, await listeners.lose_converters(changes, singly=False))
+    async with start_fleet(FLEET_KNOWN_COUNT, trial.seed, trial.seeded_fault) as fleet:
+        for count in FLEET_SIZES[trial.scale]:
             await fleet.grow(count)
-            found |= _name_figures("rack", count, await fleet.lose(RACK))
-            found |= _name_figures("zone", count, await fleet.lose(ZONE))
-            found |= _name_figures("zone_together", count, await fleet.lose(ZONE, singly=False))
-    return found
+            figures |= _name_figures("rack", count, await fleet.lose_converters(RACK_SIZE))
+            figures |= _name_figures("zone", count, await fleet.lose_converters(ZONE_SIZE))
+            figures |= _name_figures("zone_together", count, await fleet.lose_converters(ZONE_SIZE, singly=False))
+    return figures
 
 
 def _name_figures(loss: str, size: int, figures: Figures) -> Figures:
     return {f"{loss}_{name}_{size}": value for name, value in figures.items()}
 
 
-def _fit(found: Mapping[str, float], name: str, sizes: Sequence[int]) -> slopes.Slope:
-    return slopes.fit(sizes, [found[f"{name}_{size}"] for size in sizes])
+def _fit(figures: Mapping[str, float], name: str, sizes: Sequence[int]) -> slopes.Slope:
+    return slopes.fit(sizes, [figures[f"{name}_{size}"] for size in sizes])
 
 
-def calculate_fleet(found: Mapping[str, float], scale: Scale) -> Figures:
+def calculate_fleet_costs(figures: Mapping[str, float], scale: Scale) -> Figures:
     """Return the costs of the whole fleet: discovery writes to all on one core, each sidecar reads on its own."""
-    singly, together = _fit(found, "burst_cpu_ms", BURSTS), _fit(found, "together_cpu_ms", BURSTS)
-    one_by_one = _fit(found, "zone_stand_in_cpu_s", FLEETS[scale])
-    at_once = _fit(found, "zone_together_stand_in_cpu_s", FLEETS[scale])
+    single_changes, combined_changes = (
+        _fit(figures, "burst_cpu_ms", BURST_SIZES),
+        _fit(figures, "together_cpu_ms", BURST_SIZES),
+    )
+    fleet_singly = _fit(figures, "zone_stand_in_cpu_s", FLEET_SIZES[scale])
+    fleet_together = _fit(figures, "zone_together_stand_in_cpu_s", FLEET_SIZES[scale])
     result = {
-        "change_cpu_us": singly.per_unit * 1000,
-        "change_residual": singly.relative_residual,
-        "message_us": one_by_one.per_unit * 1e6 / ZONE,
+        "change_cpu_us": single_changes.per_unit * 1000,
+        "change_residual": single_changes.relative_residual,
+        "message_us": fleet_singly.per_unit * 1e6 / ZONE_SIZE,
     }
-    for name, size, sidecars in (("rack", RACK, FLEET), ("zone", ZONE, FLEET), ("region", REGION, FLEET - REGION)):
+    for name, size, sidecars in (
+        ("rack", RACK_SIZE, FLEET_SIZE),
+        ("zone", ZONE_SIZE, FLEET_SIZE),
+        ("region", REGION_SIZE, FLEET_SIZE - REGION_SIZE),
+    ):
         result |= {
             f"{name}_messages": float(size * sidecars),
-            f"{name}_mb": found[f"burst_bytes_{size}"] * sidecars / 1e6,
-            f"{name}_sidecar_ms": singly.at(size).value,
-            f"{name}_singly_last_s": one_by_one.per_unit * sidecars * size / ZONE + singly.at(size).value / 1000,
+            f"{name}_mb": figures[f"burst_bytes_{size}"] * sidecars / 1e6,
+            f"{name}_sidecar_ms": single_changes.at(size).value,
+            f"{name}_singly_last_s": fleet_singly.per_unit * sidecars * size / ZONE_SIZE
+            + single_changes.at(size).value / 1000,
             # a longer message takes longer to write; taken as if all of its cost grew with the changes
-            f"{name}_together_last_s": at_once.per_unit * sidecars * max(1.0, size / ZONE)
-            + together.at(size).value / 1000,
+            f"{name}_together_last_s": fleet_together.per_unit * sidecars * max(1.0, size / ZONE_SIZE)
+            + combined_changes.at(size).value / 1000,
         }
     return result
 
 
-def make_claims(found: Mapping[str, float]) -> list[Claim]:
+def make_claims(figures: Mapping[str, float]) -> list[Claim]:
     """Return the claims."""
-    told = [value for name, value in found.items() if "_told_" in name]
-    ready = [value for name, value in found.items() if "_still_ready_" in name]
+    delivered = [value for name, value in figures.items() if "_told_" in name]
+    still_ready = [value for name, value in figures.items() if "_still_ready_" in name]
     return [
-        Claim("changes that a module was told, of one, least", min(told), "==", 1),
-        Claim("changes that a module was told, of one, most", max(told), "==", 1),
-        Claim("converters that drain and that a module still has for ready, most", max(ready), "==", 0),
+        Claim("changes that a module was told, of one, least", min(delivered), "==", 1),
+        Claim("changes that a module was told, of one, most", max(delivered), "==", 1),
+        Claim("converters that drain and that a module still has for ready, most", max(still_ready), "==", 0),
         Claim(
-            "largest residual of CPU by changes over the largest value", found["change_residual"], "<=", MAX_RESIDUAL
+            "largest residual of CPU by changes over the largest value", figures["change_residual"], "<=", MAX_RESIDUAL
         ),
         Claim(
             "until the last of 1,600 has a rack's changes told singly, by calculation (s)",
-            found["rack_singly_last_s"],
+            figures["rack_singly_last_s"],
             "<=",
-            IN_FORCE_S,
+            MAX_PROPAGATION_S,
         ),
         Claim(
             "until the last of 1,600 has a zone's changes told together, by calculation (s)",
-            found["zone_together_last_s"],
+            figures["zone_together_last_s"],
             "<=",
-            IN_FORCE_S,
+            MAX_PROPAGATION_S,
         ),
         Claim(
             "CPU of a zone's changes in a sidecar (ms of its budget for 6 s)",
-            found["zone_sidecar_ms"],
+            figures["zone_sidecar_ms"],
             "<=",
-            BUDGET_CORES * IN_FORCE_S * 1000,
+            BUDGET_CORES * MAX_PROPAGATION_S * 1000,
         ),
     ]
 
@@ -226,7 +234,7 @@
     """Measure the losses, and calculate the whole fleet. Raises InsufficientResourcesError."""
     check_needs(needs(trial.scale), this_machine())
     figures = {"load_average": os.getloadavg()[0]} | asyncio.run(measure_losses(trial))
-    figures |= calculate_fleet(figures, trial.scale)
+    figures |= calculate_fleet_costs(figures, trial.scale)
     return Measurement(make_claims(figures), figures)
 
 
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -18,7 +18,7 @@
 HEARTBEAT_INTERVAL_S = 2.0
 BACKLOG = 4096
 POD_SIZE = 10  # converters
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 HEARTBEAT = b"1\r\n\n\r\n"
 END_OF_HEAD = b"\r\n\r\n"
 Entry = dict[str, Any]  # of the list, in discovery's format
@@ -32,9 +32,9 @@
         self.random = np.random.default_rng([seed, size])
         self.last_number = 0
         self.revision = FIRST_REVISION
-        self.registry = self._make_registry([self.new() for _ in range(size)])
+        self.registry = self._make_registry([self.new_entry() for _ in range(size)])
 
-    def new(self) -> Entry:
+    def new_entry(self) -> Entry:
         """Return the entry of a new converter."""
         self.last_number += 1
         number = self.last_number
@@ -49,13 +49,13 @@
             "boot_ms": 0,
         }
 
-    def active(self) -> list[Entry]:
+    def active_entries(self) -> list[Entry]:
         """Return the entries that neither drain nor are gone."""
         return [entry for entry in self.registry.targets.values() if entry["state"] == "active"]
 
     def pick(self, count: int) -> list[Entry]:
         """Return different active entries, drawn at random."""
-        active = self.active()
+        active = self.active_entries()
         chosen = self.random.choice(len(active), size=count, replace=False)
         return [active[int(index)] for index in chosen]
 
@@ -67,7 +67,7 @@
     def lose_revisions(self) -> None:
         """Restart discovery with the list, without its revisions."""
         self.revision -= REVISIONS_LOST
-        self.registry = self._make_registry(self.active())
+        self.registry = self._make_registry(self.active_entries())
 
     def _make_registry(self, entries: list[Entry]) -> Registry:
         return Registry({"rev": self.revision, "all": True, "targets": entries})
@@ -105,7 +105,7 @@
     def write(self, data: bytes) -> None:
         """Write, and count the bytes."""
         assert self.transport is not None
-        self.server.bytes += len(data)
+        self.server.bytes_sent += len(data)
         self.transport.write(data)
 
 
@@ -119,16 +119,16 @@
         self.keeps_revisions = keeps_revisions
         self.connections: set[Watch] = set()
         self.watches: set[Watch] = set()
-        self.bytes = 0
-        self.calls_us: list[int] = []
+        self.bytes_sent = 0
+        self.call_times_us: list[int] = []
         self._server: asyncio.Server | None = None
         self._heartbeats: asyncio.Task[None] | None = None
-        self._encoded: dict[int, bytes] = {}  # changes until now, by the revision that a watch has
+        self._cached_messages: dict[int, bytes] = {}  # changes until now, by the revision that a watch has
 
     async def open(self) -> None:
         """Listen."""
         loop = asyncio.get_running_loop()
-        self.forget_encoded()
+        self.clear_cached_messages()
         self._server = await loop.create_server(lambda: Watch(self), *self.address, backlog=BACKLOG)
         self._heartbeats = loop.create_task(self._send_heartbeats())
 
@@ -148,28 +148,28 @@
 
     def on_watch(self, watch: Watch) -> None:
         """Answer a new watch with what changed since its revision."""
-        self.calls_us.append(monotonic_us())
+        self.call_times_us.append(monotonic_us())
         self.watches.add(watch)
         if not self.keeps_revisions:
             watch.revision = 0
-        watch.write(HEAD)
+        watch.write(RESPONSE_HEAD)
         self._send_changes(watch)
 
-    def forget_encoded(self) -> None:
+    def clear_cached_messages(self) -> None:
         """Encode changes again, after the list was replaced."""
-        self._encoded.clear()
+        self._cached_messages.clear()
 
     def send_changes_to_all(self) -> int:
         """Send each watch all changes in one message, and return the revision that they then have."""
-        self.forget_encoded()
+        self.clear_cached_messages()
         for watch in list(self.watches):
             self._send_changes(watch)
         return self.listing.registry.rev
 
     def _send_changes(self, watch: Watch) -> None:
-        if watch.revision not in self._encoded:
-            self._encoded[watch.revision] = self._encode(watch.revision)
-        watch.write(self._encoded[watch.revision])
+        if watch.revision not in self._cached_messages:
+            self._cached_messages[watch.revision] = self._encode(watch.revision)
+        watch.write(self._cached_messages[watch.revision])
         watch.revision = self.listing.registry.rev
 
     def _encode(self, revision: int) -> bytes:
--- a/ryepier/experiments/scale/instrumented_planner.py
+++ b/ryepier/experiments/scale/instrumented_planner.py
@@ -55,9 +55,9 @@
 
         def measured_tick(self: PlannerServer, now_us: int, tick: int) -> None:
             recorder._counts = self.counts
-            begun_s = time.thread_time()
+            start_s = time.thread_time()
             run_tick(self, now_us, tick)
-            recorder._tick_cpu_s += time.thread_time() - begun_s
+            recorder._tick_cpu_s += time.thread_time() - start_s
             recorder._ticks = tick
 
         PlannerServer.tick = measured_tick  # type: ignore[method-assign]
--- a/ryepier/experiments/scale/lightweight_converters.py
+++ b/ryepier/experiments/scale/lightweight_converters.py
@@ -32,7 +32,7 @@
     agents: dict[int, tuple[str, int]]  # discovery's addresses by the length of the list that is served there
 
 
-def make_list(known: int, address: tuple[str, int]) -> dict[str, Any]:
+def make_list(known_count: int, address: tuple[str, int]) -> dict[str, Any]:
     """Return a list of so many warm converters, in discovery's format."""
     return {
         "rev": 1,
@@ -48,7 +48,7 @@
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
             }
-            for number in range(known)
+            for number in range(known_count)
         ],
     }
 
@@ -101,8 +101,8 @@
     """Listen at all addresses until a line arrives on standard input, or its end."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(Converter, sock=system.listen(config.converters, BACKLOG))]
-    for known, address in config.agents.items():
-        agent = DiscoveryAgent(make_list(known, config.converters))
+    for known_count, address in config.agents.items():
+        agent = DiscoveryAgent(make_list(known_count, config.converters))
         servers.append(await asyncio.start_server(agent.serve, *address))
     print("{}", flush=True)
     await loop.run_in_executor(None, sys.stdin.readline)
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -28,10 +28,10 @@
 from ryepier.sidecar.system import clock_us
 
 CALLS_PER_S = 369.0  # of one sidecar, at the size to design for
-ANSWER_US = 20_000
-UNANSWERED_AFTER_US = 10 * ANSWER_US
-IN_FLIGHT = 7  # calls at a time: those of one answer's time
-FAST_FRACTION = 3  # one answer in so many is in the next lower latency bucket
+ANSWER_LATENCY_US = 20_000
+ANSWER_TIMEOUT_US = 10 * ANSWER_LATENCY_US
+CALLS_IN_FLIGHT = 7  # calls at a time: those of one answer's time
+FAST_ANSWER_DIVISOR = 3  # one answer in so many is in the next lower latency bucket
 DAY_S = 86_400
 US_PER_S = 1e6
 
@@ -57,7 +57,7 @@
     return range(first, first + in_use)
 
 
-def uid(number: int) -> str:
+def converter_uid(number: int) -> str:
     """Return a converter's uid."""
     return f"c-{number:04x}"
 
@@ -117,43 +117,43 @@
         self.counts = counts
         self.random = draws.stream(config.seed, f"forwarder {index}")
         self.upstream_ids: dict[str, int] = {}
-        self.hung = ""  # a converter that answers no calls
-        self.hung_us = 0
+        self.hung_uid = ""  # a converter that answers no calls
+        self.hung_since_us = 0
         self.avoided_after_s: float | None = None
         self.evidence = PlanBasis()
-        self.token = 0
+        self.last_token = 0
         self.in_flight: list[CallInFlight] = []
         self.simulated_until_s = time.monotonic()
         settings = forwarder.Settings(f"f{index}", [config.planner], AcceptanceRules(fleet=config.min_fleet))
-        sidecar = forwarder.Sidecar(lambda: self.upstream_ids, self.on_plan_updated, [UNANSWERED_AFTER_US], 1)
+        sidecar = forwarder.Sidecar(lambda: self.upstream_ids, self.on_plan_updated, [ANSWER_TIMEOUT_US], 1)
         super().__init__(settings, sidecar, make_machine(f"{config.seed} f{index}"))
-        self.use(converters_of(index, config.in_use))
+        self.set_converters(converters_of(index, config.in_use))
 
-    def use(self, numbers: range) -> None:
+    def set_converters(self, numbers: range) -> None:
         """Call these converters from now on, with a day's counters of each new one."""
-        self.upstream_ids = {uid(number): number for number in numbers}
+        self.upstream_ids = {converter_uid(number): number for number in numbers}
         self.refresh_uids()
         served = int(CALLS_PER_S / len(numbers) * DAY_S)
-        for name in self.upstream_ids.keys() - self.reporter.records.keys():
-            self.token += 1
-            self.reporter.on_attempt_started(clock_us(), name, self.token, 0)
-            self.reporter.on_attempt_ended(name, self.token, Outcome.OK, ANSWER_US)
-            record = self.reporter.records[name]
+        for uid in self.upstream_ids.keys() - self.reporter.records.keys():
+            self.last_token += 1
+            self.reporter.on_attempt_started(clock_us(), uid, self.last_token, 0)
+            self.reporter.on_attempt_ended(uid, self.last_token, Outcome.OK, ANSWER_LATENCY_US)
+            record = self.reporter.records[uid]
             record.attempts = record.served = served
-            record.latencies[latency_bucket(ANSWER_US)] = served
+            record.latencies[latency_bucket(ANSWER_LATENCY_US)] = served
 
     def on_plan_updated(self, event: PlanUpdated) -> None:
         """Record when a plan first ejects the hung converter."""
-        number = self.upstream_ids.get(self.hung)
+        number = self.upstream_ids.get(self.hung_uid)
         if number is None or self.avoided_after_s is not None:
             return
         if any(advice.upstream == number and advice.ejected for advice in event.advice):
-            self.avoided_after_s = (clock_us() - self.hung_us) / US_PER_S
+            self.avoided_after_s = (clock_us() - self.hung_since_us) / US_PER_S
 
-    def hang(self, name: str) -> None:
+    def hang(self, uid: str) -> None:
         """Let a converter answer no more calls."""
-        self.hung = name
-        self.hung_us = clock_us()
+        self.hung_uid = uid
+        self.hung_since_us = clock_us()
 
     def on_plan(self, plan: Plan) -> None:
         """Count a plan, and follow it."""
@@ -163,42 +163,42 @@
 
     def send_reports(self) -> None:
         """Make up the calls since the last report, and report them."""
-        begun_s = time.thread_time()
+        start_s = time.thread_time()
         self.simulate_calls(time.monotonic())
-        self.counts.simulation_s += time.thread_time() - begun_s
+        self.counts.simulation_s += time.thread_time() - start_s
         super().send_reports()
 
     def simulate_calls(self, now_s: float) -> None:
         """Make up the calls since the last time: most straight into the counters, those in flight as they start."""
         elapsed_s = now_s - self.simulated_until_s
         self.simulated_until_s = now_s
-        names = list(self.upstream_ids)
-        counts = self.random.poisson(CALLS_PER_S * elapsed_s / len(names), len(names)).tolist()
-        for name, count in zip(names, counts, strict=True):
+        uids = list(self.upstream_ids)
+        counts = self.random.poisson(CALLS_PER_S * elapsed_s / len(uids), len(uids)).tolist()
+        for uid, count in zip(uids, counts, strict=True):
             if count:
-                self._count_calls(name, count)
-        self._replace_calls_in_flight(names)
+                self._count_calls(uid, count)
+        self._replace_calls_in_flight(uids)
 
-    def _count_calls(self, name: str, count: int) -> None:
-        record = self.reporter.records[name]
+    def _count_calls(self, uid: str, count: int) -> None:
+        record = self.reporter.records[uid]
         record.attempts += count
         record.changed = True
-        if name == self.hung:
+        if uid == self.hung_uid:
             record.failed += count
             return
-        fast = count // FAST_FRACTION
-        bucket = latency_bucket(ANSWER_US)
+        fast_count = count // FAST_ANSWER_DIVISOR
+        bucket = latency_bucket(ANSWER_LATENCY_US)
         record.served += count
-        record.latencies[bucket] += count - fast
-        record.latencies[bucket - 1] += fast
+        record.latencies[bucket] += count - fast_count
+        record.latencies[bucket - 1] += fast_count
 
-    def _replace_calls_in_flight(self, names: list[str]) -> None:
+    def _replace_calls_in_flight(self, uids: list[str]) -> None:
         for call in self.in_flight:
-            self.reporter.on_attempt_ended(call.converter, call.token, Outcome.OK, ANSWER_US)
-        chosen = [names[number] for number in self.random.integers(len(names), size=IN_FLIGHT).tolist()]
-        calls = [CallInFlight(name, self.token + 1 + place) for place, name in enumerate(chosen)]
-        self.in_flight = [call for call in calls if call.converter != self.hung]
-        self.token += IN_FLIGHT
+            self.reporter.on_attempt_ended(call.converter, call.token, Outcome.OK, ANSWER_LATENCY_US)
+        chosen = [uids[number] for number in self.random.integers(len(uids), size=CALLS_IN_FLIGHT).tolist()]
+        calls = [CallInFlight(uid, self.last_token + 1 + offset) for offset, uid in enumerate(chosen)]
+        self.in_flight = [call for call in calls if call.converter != self.hung_uid]
+        self.last_token += CALLS_IN_FLIGHT
         now_us = clock_us()
         for call in self.in_flight:
             self.reporter.on_attempt_started(now_us, call.converter, call.token, 0)
@@ -230,33 +230,39 @@
             started.start()
             self.forwarders.append(started)
         if self.config.reports_all:
-            for each in self.forwarders:
-                each.use(range(fleet))
+            for each_forwarder in self.forwarders:
+                each_forwarder.set_converters(range(fleet))
         return {}
 
-    def hang(self, name: str) -> dict[str, Any]:
+    def hang(self, uid: str) -> dict[str, Any]:
         """Let a converter answer no more calls of any forwarder."""
-        for each in self.forwarders:
-            each.hang(name)
+        for each_forwarder in self.forwarders:
+            each_forwarder.hang(uid)
         return {}
 
     def sample(self) -> dict[str, Any]:
         """Return the totals of this process now."""
-        used, counts = own_usage(), self.counts
-        users = [each for each in self.forwarders if each.hung in each.upstream_ids]
+        usage, counts = own_usage(), self.counts
+        users = [
+            each_forwarder
+            for each_forwarder in self.forwarders
+            if each_forwarder.hung_uid in each_forwarder.upstream_ids
+        ]
         return {
             "at_s": time.monotonic(),
-            "cpu_s": used.cpu_s - counts.simulation_s,
-            "resident": used.resident_bytes,
+            "cpu_s": usage.cpu_s - counts.simulation_s,
+            "resident": usage.resident_bytes,
             "count": len(self.forwarders),
-            "connected": sum(bool(each.connections) for each in self.forwarders),
+            "connected": sum(bool(each_forwarder.connections) for each_forwarder in self.forwarders),
             "bytes_out": counts.bytes_out,
             "bytes_in": counts.bytes_in,
             "plan_bytes": counts.plan_bytes,
             "plans": counts.plans,
-            "reporters": max((each.evidence.forwarders for each in self.forwarders), default=0),
+            "reporters": max((each_forwarder.evidence.forwarders for each_forwarder in self.forwarders), default=0),
             "users": len(users),
-            "avoids_after_s": [each.avoided_after_s for each in users if each.avoided_after_s is not None],
+            "avoids_after_s": [
+                each_forwarder.avoided_after_s for each_forwarder in users if each_forwarder.avoided_after_s is not None
+            ],
         }
 
 
--- a/ryepier/experiments/scale/lightweight_sidecar.py
+++ b/ryepier/experiments/scale/lightweight_sidecar.py
@@ -30,9 +30,9 @@
 
 START_INTERVAL_S = 0.002  # between two starts, as the speed of discovery's listener is not measured
 POLL_INTERVAL_S = 0.01
-IDLE_US = 10_000_000
-SOCKETS = 1024
-MAX_CONNECTIONS = SOCKETS * 3 // 8
+IDLE_TIMEOUT_US = 10_000_000
+MAX_SOCKETS = 1024
+MAX_CONNECTIONS = MAX_SOCKETS * 3 // 8
 CLASSES = [
     RequestClass("read", 100_000, 500_000),
     RequestClass("write", 300_000, 1_000_000),
@@ -48,16 +48,16 @@
 
     def __init__(self) -> None:
         """Start without sidecars."""
-        self.having: Counter[int] = Counter()
-        self.last_us: dict[int, int] = {}
-        self.entries = 0
+        self.sidecars_by_version: Counter[int] = Counter()
+        self.last_received_us: dict[int, int] = {}
+        self.entries_received = 0
 
     def on_update(self, previous_version: int, event: UpstreamsUpdated) -> None:
         """Count one sidecar's update."""
-        self.having[previous_version] -= 1
-        self.having[event.version] += 1
-        self.last_us[event.version] = clock_us()
-        self.entries += len(event.upstreams)
+        self.sidecars_by_version[previous_version] -= 1
+        self.sidecars_by_version[event.version] += 1
+        self.last_received_us[event.version] = clock_us()
+        self.entries_received += len(event.upstreams)
 
 
 class CountingDispatcher(RequestDispatcher):
@@ -88,7 +88,7 @@
         if command["do"] == "start":
             return await self.start(int(command["count"]))
         if command["do"] == "until":
-            return await self.wait_for(int(command["version"]), float(command["within_s"]))
+            return await self.wait_for_version(int(command["version"]), float(command["within_s"]))
         queries: dict[str, Callable[[], dict[str, Any]]] = {
             "late": self.last_times,
             "memory": self.memory,
@@ -99,16 +99,18 @@
     async def start(self, count: int) -> dict[str, Any]:
         """Start so many more, and return the usage."""
         for _ in range(count):
-            self._start_one()
-            self.counts.having[0] += 1
+            self._start_sidecar()
+            self.counts.sidecars_by_version[0] += 1
             await asyncio.sleep(START_INTERVAL_S)
         return self.usage()
 
-    def _start_one(self) -> None:
+    def _start_sidecar(self) -> None:
         seed = self.seed + len(self.dispatchers)
         settings = Settings(CLASSES, instances=FLEET_SIZE, max_attempts=3, overload_factor=1.5, warm_up_us=5_000_000)
-        config = Config(("127.0.0.1", 0), self.discovery, seed, SOCKETS, settings, ZONES, KINDS, IDLE_US, None)
-        pool = ConnectionPool(IDLE_US, settings.connect_timeout_us, max_connections=MAX_CONNECTIONS)
+        config = Config(
+            ("127.0.0.1", 0), self.discovery, seed, MAX_SOCKETS, settings, ZONES, KINDS, IDLE_TIMEOUT_US, None
+        )
+        pool = ConnectionPool(IDLE_TIMEOUT_US, settings.connect_timeout_us, max_connections=MAX_CONNECTIONS)
         dispatcher = CountingDispatcher(settings, seed, pool)
         dispatcher.counts = self.counts
         source = discovery_source(config, dispatcher)
@@ -117,17 +119,17 @@
         source.start()
         self.dispatchers.append(dispatcher)
 
-    async def wait_for(self, version: int, within_s: float) -> dict[str, Any]:
+    async def wait_for_version(self, version: int, within_s: float) -> dict[str, Any]:
         """Wait until all have a version or the time is over, and return how many have it and since when."""
         deadline_s = time.monotonic() + within_s
-        while self.counts.having[version] < len(self.dispatchers) and time.monotonic() < deadline_s:
+        while self.counts.sidecars_by_version[version] < len(self.dispatchers) and time.monotonic() < deadline_s:
             await asyncio.sleep(POLL_INTERVAL_S)
-        having = self.counts.having[version]
-        return self.usage() | {"have": having, "last_us": self.counts.last_us.get(version, 0)}
+        have_count = self.counts.sidecars_by_version[version]
+        return self.usage() | {"have": have_count, "last_us": self.counts.last_received_us.get(version, 0)}
 
     def usage(self) -> dict[str, Any]:
         """Return CPU time, memory, and the entries received."""
-        return dataclasses.asdict(own_usage()) | {"entries": self.counts.entries}
+        return dataclasses.asdict(own_usage()) | {"entries": self.counts.entries_received}
 
     def memory(self) -> dict[str, Any]:
         """Return the usage without garbage, and the converters known to all sidecars together.
@@ -135,12 +137,12 @@
         The collection costs CPU time, so no other figure uses this command.
         """
         gc.collect()
-        known = sum(len(dispatcher.balancer.membership.by_id) for dispatcher in self.dispatchers)
-        return self.usage() | {"known": known}
+        known_count = sum(len(dispatcher.balancer.membership.by_id) for dispatcher in self.dispatchers)
+        return self.usage() | {"known": known_count}
 
     def last_times(self) -> dict[str, Any]:
         """Return when the last sidecar of this process had each version, on the machine's clock."""
-        return {"last_us": self.counts.last_us}
+        return {"last_us": self.counts.last_received_us}
 
 
 async def serve(sidecars: LightweightSidecars) -> None:
--- a/ryepier/experiments/scale/list_costs.py
+++ b/ryepier/experiments/scale/list_costs.py
@@ -15,7 +15,7 @@
 from ryepier.sidecar.json_stream import JsonStreamDecoder
 from ryepier.sidecar.system import clock_us
 
-PIECE_BYTES = 65_536  # that arrive at a time
+CHUNK_BYTES = 65_536  # that arrive at a time
 MAX_CHANGES = 100
 MS_PER_S = 1000
 US_PER_MS = 1000
@@ -26,13 +26,13 @@
 
     def __init__(self) -> None:
         """Start without steps."""
-        self.spent_ms: dict[str, float] = {}
+        self.cpu_ms: dict[str, float] = {}
 
-    def time(self, step: str, work: Callable[..., Any], *arguments: object) -> Any:
+    def time(self, step: str, function: Callable[..., Any], *arguments: object) -> Any:
         """Call a function, add its CPU time to a step, and return its result."""
-        begun_s = time.process_time()
-        result = work(*arguments)
-        self.spent_ms[step] = self.spent_ms.get(step, 0.0) + MS_PER_S * (time.process_time() - begun_s)
+        start_s = time.process_time()
+        result = function(*arguments)
+        self.cpu_ms[step] = self.cpu_ms.get(step, 0.0) + MS_PER_S * (time.process_time() - start_s)
         return result
 
 
@@ -41,36 +41,36 @@
     return json.dumps(message).encode() + b"\n"
 
 
-def decode(data: bytes, piece_bytes: int) -> Any:
+def decode(data: bytes, chunk_bytes: int) -> Any:
     """Return the one message in the data, decoded in pieces of a size."""
     decoder = JsonStreamDecoder()
-    pieces = [data[begin : begin + piece_bytes] for begin in range(0, len(data), piece_bytes)]
-    (message,) = [message for piece in pieces for message in decoder.feed(piece)]
+    chunks = [data[start : start + chunk_bytes] for start in range(0, len(data), chunk_bytes)]
+    (message,) = [message for chunk in chunks for message in decoder.feed(chunk)]
     return message
 
 
-def measure(known: int, seed: int) -> dict[str, float]:
+def measure(known_count: int, seed: int) -> dict[str, float]:
     """Return the costs of a whole list, and of changes one by one: decoder, registry and decision module."""
-    listing = Listing(known, seed)
+    listing = Listing(known_count, seed)
     registry = EndpointRegistry(ZONES, KINDS)
     balancer = Balancer(Settings(CLASSES), seed, clock_us())
-    whole, single = StepTimer(), StepTimer()
+    list_timer, change_timer = StepTimer(), StepTimer()
 
     def apply(timer: StepTimer, message: Any) -> None:
         event, _ = timer.time("directory", registry.apply, message)
         timer.time("module", balancer.handle, clock_us(), event)
 
     data = encode(listing.registry.full_list())
-    whole.time("parse_one_piece", decode, data, len(data))
-    apply(whole, whole.time("parse", decode, data, PIECE_BYTES))
-    changed = listing.pick(min(MAX_CHANGES, known // 2))
+    list_timer.time("parse_one_piece", decode, data, len(data))
+    apply(list_timer, list_timer.time("parse", decode, data, CHUNK_BYTES))
+    changed = listing.pick(min(MAX_CHANGES, known_count // 2))
     for entry in changed:
         revision = listing.registry.rev
         listing.change([entry], "leaving")
         data = encode(listing.registry.changes_since(revision))
-        apply(single, single.time("parse", decode, data, PIECE_BYTES))
-    of_list = {f"alone_list_{step}_ms": spent_ms for step, spent_ms in whole.spent_ms.items()}
-    of_change = {
-        f"alone_change_{step}_us": US_PER_MS * spent_ms / len(changed) for step, spent_ms in single.spent_ms.items()
+        apply(change_timer, change_timer.time("parse", decode, data, CHUNK_BYTES))
+    list_figures = {f"alone_list_{step}_ms": cpu_ms for step, cpu_ms in list_timer.cpu_ms.items()}
+    change_figures = {
+        f"alone_change_{step}_us": US_PER_MS * cpu_ms / len(changed) for step, cpu_ms in change_timer.cpu_ms.items()
     }
-    return of_list | of_change
+    return list_figures | change_figures
--- a/ryepier/experiments/scale/machine_load.py
+++ b/ryepier/experiments/scale/machine_load.py
@@ -7,22 +7,22 @@
 import time
 from collections.abc import Mapping
 
-TASK_VALUES = 16
-TASK_ROUNDS = 100_000
+REFERENCE_TASK_VALUES = 16
+REFERENCE_TASK_ROUNDS = 100_000
 
 
-def task_cpu_s() -> float:
+def reference_task_cpu_s() -> float:
     """Return the CPU time of a fixed task now; on a machine that others use it grows, as does all that is measured."""
-    begun_s = time.process_time()
-    values = [1.0] * TASK_VALUES
-    for _ in range(TASK_ROUNDS):
+    start_s = time.process_time()
+    values = [1.0] * REFERENCE_TASK_VALUES
+    for _ in range(REFERENCE_TASK_ROUNDS):
         values = [value * 0.99999 for value in values]
-    return time.process_time() - begun_s
+    return time.process_time() - start_s
 
 
 def load_figures(moment: str) -> dict[str, float]:
     """Return the load average and the CPU time of the fixed task, as figures of `before` or `after`."""
-    return {f"load_average_{moment}": os.getloadavg()[0], f"pace_{moment}": task_cpu_s()}
+    return {f"load_average_{moment}": os.getloadavg()[0], f"pace_{moment}": reference_task_cpu_s()}
 
 
 def finite_figures(figures: Mapping[str, float]) -> dict[str, float]:
--- a/ryepier/experiments/scale/slopes.py
+++ b/ryepier/experiments/scale/slopes.py
@@ -14,7 +14,7 @@
     """The value of a line at a size."""
 
     value: float
-    extrapolated: bool  # the size lies outside of the measured ones
+    is_extrapolated: bool  # the size lies outside of the measured ones
 
 
 class Slope(msgspec.Struct, frozen=True):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,7 +14,7 @@
 from ryepier.cli import main
 from ryepier.experiments.catalogue import BENCHMARKS
 from ryepier.experiments.scale.capacity import table
-from ryepier.experiments.scale.capacity.estimates import on_line
+from ryepier.experiments.scale.capacity.estimates import fitted_line
 from ryepier.experiments.scale.capacity.page import first_to_break, format_number
 from ryepier.experiments.scale.capacity.plan import CapacityError, Plan, read_plan
 from ryepier.experiments.scale.capacity.results import KeptResult, read_results
@@ -39,7 +39,7 @@
         unit="ms",
         mechanism=mechanism,
         experiment=experiment,
-        estimate=on_line("cpu_{}_known", lambda plan: plan.converters),
+        estimator=fitted_line("cpu_{}_known", lambda plan: plan.converters),
         slope=SlopeUnit("ms a converter"),
         budget=lambda plan: budget,
         **more,
@@ -83,7 +83,7 @@
         f"served_share_369_per_s_{known}_known": share
         for known, share in ((30, 1.0), (150, 0.995), (400, 0.7), (1600, 0.02))
     }
-    row = msgspec.structs.replace(a_row(budget=0.01), estimate=table.failed_share)
+    row = msgspec.structs.replace(a_row(budget=0.01), estimator=table.failed_share)
     line = evaluate_row(row, [kept(served)], PLAN)
     assert line.standing == "over" and line.breaks_at == pytest.approx(150 / 1600)
     assert line.value is not None and line.value.median == pytest.approx(0.98)
@@ -156,9 +156,9 @@
 
 
 def test_every_row_names_an_experiment_that_exists_or_says_how_it_would_be_measured() -> None:
-    measured = {row.experiment for row in ROWS if row.estimate is not None}
+    measured = {row.experiment for row in ROWS if row.estimator is not None}
     assert measured <= BENCHMARKS.keys()
-    assert all(row.note for row in ROWS if row.estimate is None or not row.mechanism)
+    assert all(row.note for row in ROWS if row.estimator is None or not row.mechanism)
 
 
 def test_the_page_is_what_the_kept_results_say() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -34,8 +34,8 @@
     ForwardersConfig,
     LightweightForwarder,
     TrafficCounts,
+    converter_uid,
     converters_of,
-    uid,
 )
 from ryepier.experiments.scale.machine_load import finite_figures
 from ryepier.plan.messages import Plan, PlanBasis, Report, Term, encode
@@ -103,17 +103,17 @@
 
 def test_what_hangs_is_reported_as_bad_and_nothing_else_is() -> None:
     one = lightweight_forwarder()
-    one.hang(uid(0))
+    one.hang(converter_uid(0))
     before = report(one).counters
     one.simulate_calls(one.simulated_until_s + 2.0)
     after = report(one).counters
-    assert after[uid(0)].failed > 0 and after[uid(0)].served == before[uid(0)].served
-    assert {name for name, seen in after.items() if seen.failed} == {uid(0)}
+    assert after[converter_uid(0)].failed > 0 and after[converter_uid(0)].served == before[converter_uid(0)].served
+    assert {name for name, seen in after.items() if seen.failed} == {converter_uid(0)}
 
 
 def test_a_planted_forwarder_reports_of_all_converters() -> None:
     one = lightweight_forwarder()
-    one.use(range(200))
+    one.set_converters(range(200))
     one.simulate_calls(one.simulated_until_s + 100.0)
     assert len(report(one).counters) == 200
 
@@ -153,9 +153,9 @@
 
 def test_avoiding_counts_once_nearly_all_that_call_it_do() -> None:
     times = [float(number) for number in range(1, 20)]
-    assert control.quantile_s([sample(users=20, avoids_after_s=times)], 0.95) == 19.0
-    assert control.quantile_s([sample(users=20, avoids_after_s=times[:-1])], 0.95) == float("inf")
-    assert control.quantile_s([sample()], 0.95) == float("inf")
+    assert control.avoidance_quantile_s([sample(users=20, avoids_after_s=times)], 0.95) == 19.0
+    assert control.avoidance_quantile_s([sample(users=20, avoids_after_s=times[:-1])], 0.95) == float("inf")
+    assert control.avoidance_quantile_s([sample()], 0.95) == float("inf")
 
 
 def rows(power: float, bytes_power: float = 0.0) -> dict[int, dict[str, float]]:
@@ -176,27 +176,27 @@
     }
 
 
-WHOLE = {"forwarder_resident_bytes": 5e4, "avoided_after_s": 1.5}
+AT_LARGEST = {"forwarder_resident_bytes": 5e4, "avoided_after_s": 1.5}
 
 
 def test_a_planner_that_grows_faster_than_its_fleet_fails_a_claim() -> None:
-    assert not failing(control.make_claims(30, rows(1.0), WHOLE))
-    found = failing(control.make_claims(30, rows(2.0), WHOLE))
+    assert not failing(control.make_claims(30, rows(1.0), AT_LARGEST))
+    found = failing(control.make_claims(30, rows(2.0), AT_LARGEST))
     assert len(found) == 1 and "cores that the planner needs" in found[0]
 
 
 def test_reports_that_grow_with_the_fleet_fail_a_claim() -> None:
-    assert any("bytes out" in name for name in failing(control.make_claims(30, rows(1.0, 1.0), WHOLE)))
+    assert any("bytes out" in name for name in failing(control.make_claims(30, rows(1.0, 1.0), AT_LARGEST)))
 
 
 def test_a_planner_that_is_not_followed_or_had_no_core_fails_a_claim() -> None:
-    assert failing(control.make_claims(30, rows(1.0), WHOLE | {"avoided_after_s": float("inf")}))
+    assert failing(control.make_claims(30, rows(1.0), AT_LARGEST | {"avoided_after_s": float("inf")}))
     starved = {size: row | {"planner_wait_share": 0.9} for size, row in rows(1.0).items()}
-    assert any("too busy" in name for name in failing(control.make_claims(30, starved, WHOLE)))
+    assert any("too busy" in name for name in failing(control.make_claims(30, starved, AT_LARGEST)))
 
 
 def test_what_the_size_to_design_for_takes_is_on_the_line_and_beside_its_budget() -> None:
-    found = control.make_figures(30, rows(1.0), WHOLE)
+    found = control.make_figures(30, rows(1.0), AT_LARGEST)
     assert found["design_planner_cores_needed_30_in_use"] == pytest.approx(1.6)
     assert found["design_share_of_budget_planner_cores_needed_30_in_use"] == pytest.approx(3.2)
     assert found["design_share_of_budget_bytes_per_s_with_seven_30_in_use"] == pytest.approx(5.0)
@@ -239,8 +239,10 @@
     assert body_length(b"HTTP/1.1 204 No Content\r\nX: y") == 0
 
 
-def target(due: int, took_us: list[int]) -> Target:
-    return Target(("127.0.0.1", 1), REQUEST, due=due, served=len(took_us), took_us=took_us)
+def target(due_count: int, latencies_us: list[int]) -> Target:
+    return Target(
+        ("127.0.0.1", 1), REQUEST, due_count=due_count, served_count=len(latencies_us), latencies_us=latencies_us
+    )
 
 
 def test_a_call_costs_by_the_answers_and_adds_to_the_direct_one() -> None:
@@ -262,8 +264,8 @@
 
 
 def calls(us_a_known: float) -> dict[str, float]:
-    found = {f"cpu_us_a_call_369_per_s_{known}_known": 200 + us_a_known * known for known in call.KNOWN}
-    found |= {f"module_us_a_call_{known}_known": 50 + us_a_known * known / 2 for known in call.KNOWN}
+    found = {f"cpu_us_a_call_369_per_s_{known}_known": 200 + us_a_known * known for known in call.KNOWN_COUNTS}
+    found |= {f"module_us_a_call_{known}_known": 50 + us_a_known * known / 2 for known in call.KNOWN_COUNTS}
     found |= {"added_p99_ms_369_per_s_1600_known": 0.66, "served_share_369_per_s_30_known": 1.0}
     return found | call.summarize(found)
 
@@ -290,11 +292,11 @@
             return super().handle(now_us, event)
 
     monkeypatch.setattr(balancer_cost, "Balancer", Kept)
-    few, many = (balancer_cost.balancer_us_per_call(known, 1, call.DESIGN_PER_S) for known in (30, 400))
+    few, many = (balancer_cost.balancer_us_per_call(known, 1, call.DESIGN_RATE_PER_S) for known in (30, 400))
     assert many > few > 0
     opened = [len(one.membership.pools[0].subset.members) for one in made]
     assert opened[0] == 30 and 230 <= opened[1] <= 300  # 4 and one for each 1.5 calls a second
-    calls_made = balancer_cost.PARTS * balancer_cost.CALLS_PER_PART
+    calls_made = balancer_cost.BATCHES * balancer_cost.CALLS_PER_BATCH
     assert all(not one.requests and served[id(one)] == calls_made for one in made)
 
 
@@ -380,7 +382,7 @@
         for share in (0.5, 1.0):
             outcome = run_chain(chain(hops, share))
             assert outcome.answered == 60
-            assert ChainFigures.of(chain(hops, share), outcome).over_bound <= 1.0
+            assert ChainFigures.from_outcome(chain(hops, share), outcome).over_bound <= 1.0
 
 
 def test_a_class_that_is_never_sent_twice_is_not() -> None:
@@ -392,14 +394,14 @@
     monkeypatch.setattr(RetryPolicy, "charge_budget", RetryPolicy.charge_budget)  # put back at the end
     seeded_faults.SEEDED_FAULTS["no-budget"]()
     one = chain(1, 0.5, calls=300)
-    assert ChainFigures.of(one, run_chain(one)).over_bound > 1.0
+    assert ChainFigures.from_outcome(one, run_chain(one)).over_bound > 1.0
 
 
 def test_a_chain_without_end_is_broken_off_and_fails_a_claim() -> None:
     one = chain(1, 0.5, max_attempts=20)
     outcome = run_chain(one)
     assert outcome.broken_off and outcome.attempts[-1] == 20
-    runs = {depth.UNSAFE: ChainFigures.of(one, outcome)}
+    runs = {depth.UNSAFE_RUN: ChainFigures.from_outcome(one, outcome)}
     assert failing(depth.make_claims(runs))
 
 
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -37,14 +37,14 @@
 
 
 async def all_have(server: WatchServer, sidecars: LightweightSidecars) -> None:
-    said = await sidecars.wait_for(server.listing.registry.rev, 5.0)
+    said = await sidecars.wait_for_version(server.listing.registry.rev, 5.0)
     assert said["have"] == COUNT
 
 
 def test_a_listing_is_drawn_from_its_seed() -> None:
     one, same, other = Listing(KNOWN, 1), Listing(KNOWN, 1), Listing(KNOWN, 2)
     assert one.registry.full_list() == same.registry.full_list() != other.registry.full_list()
-    assert len({entry["uid"] for entry in one.active()}) == KNOWN
+    assert len({entry["uid"] for entry in one.active_entries()}) == KNOWN
 
 
 def test_every_module_hears_of_every_change_once() -> None:
@@ -64,13 +64,13 @@
 @pytest.mark.parametrize(("keeps_revisions", "whole"), [(True, False), (False, True)])
 def test_a_watch_that_broke_is_told_what_it_missed(keeps_revisions: bool, whole: bool) -> None:
     async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
-        wrote, calls = server.bytes, len(server.calls_us)
-        server.listing.change([server.listing.new()])
-        server.forget_encoded()
+        wrote, calls = server.bytes_sent, len(server.call_times_us)
+        server.listing.change([server.listing.new_entry()])
+        server.clear_cached_messages()
         server.abort_all()
         await all_have(server, sidecars)
-        assert len(server.calls_us) - calls == COUNT
-        assert (server.bytes - wrote > COUNT * 1000) == whole
+        assert len(server.call_times_us) - calls == COUNT
+        assert (server.bytes_sent - wrote > COUNT * 1000) == whole
         assert sidecars.memory()["known"] == COUNT * (KNOWN + 1)
 
     followed(script, keeps_revisions)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -47,7 +47,7 @@
 
 def test_beyond_what_was_measured_a_value_is_told_to_be_so() -> None:
     slope = slopes.fit(SIZES, [2.0 * size + 5.0 for size in SIZES])
-    assert [slope.at(size).extrapolated for size in (29, 30, 1600, 1601)] == [True, False, False, True]
+    assert [slope.at(size).is_extrapolated for size in (29, 30, 1600, 1601)] == [True, False, False, True]
     assert slope.at(3200).value == pytest.approx(6405.0)
 
 
