--- a/ryepier/experiments/load_spread/__init__.py
+++ b/ryepier/experiments/load_spread/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on how evenly sidecars spread their load over converters when each of them sees little of it."""
+"""Experiments on how evenly many sidecars spread the load over converters when each sees only a small part of it."""
--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -1,4 +1,4 @@
-"""How even a load is, relative to chance, from the times at which converters received requests."""
+"""Measures how even a load is, relative to random choice, by the times at which converters received requests."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 from ryepier.experiments.core.quantiles import poisson_quantile
 
-RARE_PROBABILITY = 1e-4  # a Poisson stream exceeds its own quantile in one of 10,000 windows
+RARE_PROBABILITY = 1e-4  # of exceeding a bound: a Poisson stream exceeds it in one of 10,000 windows
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """What the converters received in one span of time."""
+    """The distribution of the requests that converters received in a time span."""
 
     mean: float  # requests per converter
     variation: float  # standard deviation over the mean
-    highest: float  # over the mean
-    lowest: float  # over the mean
+    highest: float  # of a converter, over the mean
+    lowest: float  # of a converter, over the mean
 
     @property
     def variation_by_chance(self) -> float:
-        """Return the variation of as many independent draws over all converters."""
+        """Return the expected variation if each request went to a random converter."""
         return 1.0 / math.sqrt(self.mean)
 
     @property
     def variation_ratio(self) -> float:
-        """Return the variation relative to that by chance: 1 is even."""
+        """Return the variation over that of random choice: 1 is as even as random choice."""
         return self.variation / self.variation_by_chance
 
 
@@ -45,7 +45,7 @@
 def counts_in_windows(
     received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, window_us: int
 ) -> np.ndarray[tuple[int, int], np.dtype[np.int64]]:
-    """Return the requests by converter and window; a rest shorter than a window is left out."""
+    """Return the counts of requests by converter and window, without a remainder shorter than a window."""
     windows = (end_us - begin_us) // window_us
     edges = begin_us + window_us * np.arange(windows + 1, dtype=np.int64)
     rows = [np.diff(np.searchsorted(np.asarray(times, dtype=np.int64), edges)) for times in received_us]
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RareWindows:
-    """Windows whose count is rare for a Poisson stream, and how many of them chance allows."""
+    """The number of windows whose count is rare in a Poisson stream, and the number that is plausible by chance."""
 
     count: int
     allowed_count: int
 
 
 def crowded_windows(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, window_us: int) -> RareWindows:
-    """Count the windows with more than a Poisson stream of the fleet's mean has in one of 10,000 windows."""
+    """Count the windows with more requests than a Poisson stream of the same mean has in one of 10,000 windows."""
     counts = counts_in_windows(received_us, begin_us, end_us, window_us)
     limit = poisson_quantile(float(counts.mean()), RARE_PROBABILITY)
     return RareWindows(int((counts > limit).sum()), poisson_quantile(counts.size * RARE_PROBABILITY, RARE_PROBABILITY))
@@ -70,7 +70,7 @@
 def empty_windows(
     received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, expected_per_window: float
 ) -> RareWindows:
-    """Count the windows of a converter without a request, of the length in which `expected` are due on average."""
+    """Count the windows without a request at a converter; a window's mean is `expected_per_window` requests."""
     total = int(counts_in_windows(received_us, begin_us, end_us, end_us - begin_us).sum())
     window_us = min(
         end_us - begin_us, math.ceil(expected_per_window * len(received_us) * (end_us - begin_us) / max(1, total))
--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -1,7 +1,7 @@
-"""How even a load was, how sudden, and how many connections it took, from the converters' records.
+"""Calculates evenness, bursts and occupancy of the converters from the records of a run. No I/O.
 
-Pure. Evenness is relative to chance: for independent draws the counts of a window are Poisson, with a variation of
-mean**-0.5. Bursts are counted against the Poisson quantile of a window of 100 ms.
+Evenness is relative to random choice, for which the counts in a window are Poisson-distributed with a variation of
+mean**-0.5. Bursts are windows of 100 ms whose counts exceed a Poisson quantile.
 """
 
 from __future__ import annotations
@@ -18,48 +18,48 @@
 from ryepier.experiments.load_spread.measures import RARE_PROBABILITY
 
 BURST_US = 100_000
-RATE_PERIOD_US = 1_000_000  # over which the rate that a burst is compared with is taken as even
-FALSE_ALARM_CHANCE = 1e-3  # that a fleet of independent draws fails a bound
+RATE_PERIOD_US = 1_000_000  # a burst is compared with the mean rate over this period
+FALSE_ALARM_CHANCE = 1e-3  # that a fleet which chooses randomly exceeds a bound
 US_PER_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class Evenness:
-    """How evenly executions started at some converters, over windows of equal length."""
+    """How evenly starts of executions were distributed over converters, in windows of equal length."""
 
-    variation: float  # standard deviation over mean of a window's counts, pooled over the windows
-    variation_by_chance: float  # the same for independent draws
-    highest_to_mean: float  # of the converters' totals
+    variation: float  # standard deviation over mean of the counts in a window, pooled over all windows
+    variation_by_chance: float  # expected for random choice
+    highest_to_mean: float  # highest total of a converter over the mean total
     lowest_to_mean: float
 
     @property
     def ratio(self) -> float:
-        """Return the variation relative to chance."""
+        """Return the variation over that of random choice."""
         return self.variation / self.variation_by_chance
 
 
 @dataclass(frozen=True, slots=True)
 class Bursts:
-    """Attempts received in windows of 100 ms, one for each converter."""
+    """Attempts received in windows of 100 ms, counted for each converter separately."""
 
     window_count: int
-    highest: int  # attempts in one window
-    worst_ratio: float  # the highest over what a Poisson stream exceeds in one of 1,000 such runs
-    rare_windows: int  # windows with more than a Poisson stream has in one of 10,000
-    rare_windows_by_chance: int  # as many as chance has in all but one of 1,000 runs
+    highest: int  # most attempts in a window
+    worst_ratio: float  # highest count over the bound that a Poisson stream exceeds in one of 1,000 such runs
+    rare_windows: int  # with more attempts than a Poisson stream has in one of 10,000 windows
+    rare_windows_by_chance: int  # number that Poisson streams exceed in one of 1,000 runs
 
 
 @dataclass(frozen=True, slots=True)
 class Occupancy:
-    """How many of something converters held at once."""
+    """How many connections or executions converters held at once."""
 
-    highest: int  # at any converter
-    mean: float  # of the converters' highest
+    highest: int  # of any converter
+    mean: float  # over the converters, of the highest number of each
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A time for which a converter held something, in microseconds; `end_us` may be NEVER."""
+    """The time for which a converter held a connection or execution; `end_us` may be NEVER."""
 
     uid: str
     begin_us: int
@@ -67,14 +67,14 @@
 
 
 def was_received(attempt: ConverterAttempt) -> bool:
-    """Return whether an attempt reached its converter, which executed or rejected it."""
+    """Return whether an attempt reached its converter, which then executed or rejected it."""
     return attempt.started_us != NEVER or attempt.not_run
 
 
 def count_starts(
     attempts: Iterable[ConverterAttempt], uids: Sequence[str], edges_s: Sequence[float]
 ) -> list[list[int]]:
-    """Return the executions started at each of these converters, a list for each window between two edges."""
+    """Return the numbers of executions started at each converter, as a list for each window between two edges."""
     counts = [Counter[str]() for _ in edges_s[1:]]
     for attempt in attempts:
         for window, (begin_s, end_s) in enumerate(itertools.pairwise(edges_s)):
@@ -99,7 +99,7 @@
 
 
 def _dispersion(counts: Sequence[int], mean: float) -> float:
-    """Return the variance over the mean: 1 for a Poisson variable."""
+    """Return the variance over the mean, which is 1 for a Poisson distribution."""
     return sum((count - mean) ** 2 for count in counts) / (len(counts) - 1) / mean
 
 
@@ -108,8 +108,8 @@
 ) -> Bursts:
     """Return the bursts at the converters of `zone_of` in a part of the run.
 
-    A window is compared with the rate of its zone's converters in the same second, but no less than that of all over
-    the whole part: a cut between zones moves load from one to another, which is no burst.
+    A window is compared with the mean rate of its zone's converters in the same second, but at least with the mean rate
+    of all converters in the whole part: a cut between zones shifts load to another zone, which is not a burst.
     """
     windows_per_converter = int((end_s - begin_s) * US_PER_S) // BURST_US
     by_window: Counter[tuple[str, int]] = Counter()
@@ -134,12 +134,12 @@
 
 
 def count_idle_windows(counts: Sequence[Sequence[int]]) -> int:
-    """Return the number of windows, by converter, without a start."""
+    """Return the number of pairs of a window and a converter without a start."""
     return sum(count == 0 for window in counts for count in window)
 
 
 def measure_occupancy(spans: Iterable[Span]) -> Occupancy:
-    """Return how many of these spans overlap at each converter."""
+    """Return how many spans overlapped at the converters."""
     changes: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for span in spans:
         changes[span.uid].append((span.begin_us, 1))
@@ -150,7 +150,7 @@
 
 
 def _highest_sum(changes: list[tuple[int, int]]) -> int:
-    """Return the highest count after changes by time; at the same time ends come first."""
+    """Return the highest running sum of changes sorted by time; at the same time, ends come before begins."""
     count = highest = 0
     for _, change in sorted(changes):
         count += change
@@ -170,13 +170,13 @@
 
 
 def steady_uids(instances: Iterable[Instance], excluded_indices: Iterable[int]) -> list[str]:
-    """Return the converters that were there, warm, from the begin, without those at these indices."""
+    """Return the converters that were running and warm from the beginning, without those at `excluded_indices`."""
     excluded = set(excluded_indices)
     return [instance.uid for instance in instances if instance.start_us is None and instance.index not in excluded]
 
 
 def served_operations_share(history: History) -> float:
-    """Return the share of operations that an attempt or a retry had served, however late."""
+    """Return the share of operations that were served by their first attempt or a retry, however late."""
     operations = {attempt.arrival for attempt in history.client_attempts}
     served = {attempt.arrival for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
     return len(served) / max(1, len(operations))
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -13,10 +13,10 @@
 FULL_SIDECARS = 200
 FULL_CONVERTERS_PER_ZONE = 20
 FULL_RATE_PER_S = 600.0
-SETTLED_S = 2.0  # after the start: connections are open by then
-RECOVERY_S = 5.0  # after a fault, until the load is to be even again
+SETTLED_S = 2.0  # after the start, when connections are open
+RECOVERY_S = 5.0  # after the end of a fault, by when the load must be even again
 
-LIGHT_FACTOR = 0.1  # of half load: a twentieth of what the converters can do
+LIGHT_FACTOR = 0.1  # of half load, which makes a twentieth of the converters' capacity
 LIGHT_DURATION_S = 20.0
 
 KILL_AT_S = 3.0
@@ -36,7 +36,7 @@
 
 
 def fleet(scale: Scale, load_factor: float = 1.0) -> World:
-    """Return the fleet of a scale, without faults. Raises InsufficientResourcesError."""
+    """Return the fleet of a scale, without faults. Raises InsufficientResourcesError if memory does not suffice."""
     world, replace = load(BASE), msgspec.structs.replace
     rate_per_s = world.clients.rate_per_s if scale is Scale.SMALL else FULL_RATE_PER_S
     world = replace(world, clients=replace(world.clients, rate_per_s=rate_per_s * load_factor))
@@ -51,18 +51,18 @@
 
 
 def lightly_loaded(scale: Scale) -> World:
-    """Return the fleet at a twentieth of its capacity; most sidecars see less than a request per second."""
+    """Return the fleet at a twentieth of its capacity, at which most sidecars get less than one request per second."""
     return msgspec.structs.replace(fleet(scale, LIGHT_FACTOR), duration_s=LIGHT_DURATION_S)
 
 
 def with_kill(scale: Scale) -> World:
-    """Return the fleet with a third of the sidecars killed at once, and started again together."""
+    """Return the fleet with a third of the sidecars killed at once and restarted together."""
     kill = Fault(kind=FaultKind.SIDECAR_KILL, at_s=KILL_AT_S, target_share=KILLED_SHARE, down_s=KILL_DOWN_S)
     return msgspec.structs.replace(fleet(scale), duration_s=KILL_DURATION_S, faults=[kill])
 
 
 def with_differing_lists(scale: Scale) -> World:
-    """Return the fleet with old lists at half of the sidecars during a release, and a zone cut off later."""
+    """Return the fleet with stale lists at half of the sidecars during a release, and a zone cut off later."""
     stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=STALE_AT_S, for_s=STALE_FOR_S, target_share=STALE_SHARE)
     cut = Fault(kind=FaultKind.ZONE_CUT, at_s=CUT_AT_S, for_s=CUT_FOR_S, zone=CUT_ZONE)
     return msgspec.structs.replace(fleet(scale), duration_s=LISTS_DURATION_S, faults=[stale, RELEASE, cut])
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -1,7 +1,8 @@
-"""`load-spread-kill`: is the load even again after a third of the sidecars died at once?
+"""`load-spread-kill`: is the load even again after a third of the sidecars was killed at once?
 
-A third of sixty sidecars (full scale: 200) is killed and started again together. Claims: the others' clients and, once
-they are up, those of the restarted sidecars are served, and the restarted ones do not all send to the same converters.
+A third of sixty sidecars (full scale: 200) is killed and restarted together. Claims: the clients of the other sidecars
+are served, those of the restarted sidecars are served once these are ready, and the restarted sidecars do not all send
+to the same converters.
 """
 
 from __future__ import annotations
@@ -14,29 +15,29 @@
 from ryepier.experiments.load_spread.processes import fleets, measures
 
 BASELINE_FROM_S = 1.0
-RETRY_US = 1_000_000  # after a restart, for clients whose earlier attempts reached nobody
+RETRY_US = 1_000_000  # after a restart, until clients whose attempts failed meanwhile have retried
 MIN_SERVICE = 0.97
 US_PER_S = 1e6
 
 
 def restarted(run: Run) -> list[Incarnation]:
-    """Return the incarnations that began during the run."""
+    """Return the incarnations of sidecars that started during the run, after a kill."""
     return [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
 
 
 def recovery_end_s(run: Run) -> float:
-    """Return when the load is to be even again, counted from when the last sidecar was up."""
+    """Return the time from which the load must be even: `RECOVERY_S` after the last sidecar was ready."""
     last_ready_s = max(incarnation.ready_us for incarnation in run.history.incarnations) / US_PER_S
     return min(last_ready_s + fleets.RECOVERY_S, run.world.duration_s - measures.EVENNESS_WINDOW_S)
 
 
 def service_of_survivors(run: Run, killed: set[int]) -> float:
-    """Return the service of clients whose sidecars lived through the run."""
+    """Return the service level of clients whose sidecars were not killed."""
     return figures.service_level(run.operations, lambda operation: operation.sidecar not in killed)
 
 
 def service_of_restarted(run: Run) -> float:
-    """Return the service of clients of the restarted sidecars, once these are up."""
+    """Return the service level of clients of the restarted sidecars, from `RETRY_US` after these were ready."""
     ready_us = {incarnation.sidecar: incarnation.ready_us + RETRY_US for incarnation in restarted(run)}
     never_us = run.world.duration_s * US_PER_S
     return figures.service_level(
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -1,8 +1,8 @@
 """`load-spread-lists`: is the load even while the sidecars' endpoint lists differ, and after a zone was cut off?
 
-Half of the sidecars keeps an old list while converters are replaced; later one zone is cut off from the others for 3 s.
-Claims: replacements are used, nothing is lost, the load is about as even as by chance while the lists differ, and no
-bursts.
+Half of the sidecars keep a stale list while converters are replaced. Later, a zone is cut off from the others for 3 s.
+Claims: the replacements are used, requests are served, the load is about as even as with random choice while the lists
+differ, and there are no bursts.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from ryepier.experiments.core.worlds import fault_of_kind
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-RELEASE_UNDERWAY_S = 2.0  # after the first lists are stale, the release is under way
+RELEASE_UNDERWAY_S = 2.0  # after the lists became stale; the release is in progress by then
 AFTER_CUT_S = 1.0
 MIN_SERVED_SHARE = 0.9
 MIN_SERVICE = 0.95
-MAX_UNEVENNESS = 1.5  # relative to chance, while the lists differ
+MAX_UNEVENNESS = 1.5  # variation over that of random choice, while the lists differ
 STALE_END_S = fleets.STALE_AT_S + fleets.STALE_FOR_S
 CUT_MIDDLE_S = fleets.CUT_AT_S + fleets.CUT_FOR_S / 2
 US_PER_S = 1e6
--- a/ryepier/experiments/load_spread/processes/measures.py
+++ b/ryepier/experiments/load_spread/processes/measures.py
@@ -1,4 +1,4 @@
-"""Evenness and bursts of a run at the converters that are there, and warm, all along."""
+"""Measures evenness and bursts at the steady converters: those that run and are warm during the whole run."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ryepier.experiments.load_spread.processes.fleets import SETTLED_S
 
 EVENNESS_WINDOW_S = 4.0
-MAX_BURST = 1.0  # relative to a Poisson stream's highest in a run
+MAX_BURST = 1.0  # `Bursts.worst_ratio`
 
 
 def steady_uids(run: Run) -> list[str]:
-    """Return the converters that no release replaces."""
+    """Return the converters that run from the beginning and are not replaced by a release."""
     schedule = timeline.build(run.world, run.seed)
     replaced = {
         step.index for step in schedule.steps if step.target is TargetKind.CONVERTER and step.fault is FaultKind.RELEASE
@@ -25,19 +25,19 @@
 
 
 def count_starts(run: Run, begin_s: float, end_s: float, window_s: float) -> list[list[int]]:
-    """Return the starts at the steady converters, in windows of about this length."""
+    """Return the starts at the steady converters, in equal windows of about `window_s`."""
     windows = max(1, round((end_s - begin_s) / window_s))
     edges_s = np.linspace(begin_s, end_s, windows + 1).tolist()
     return figures.count_starts(run.history.converter_attempts, steady_uids(run), edges_s)
 
 
 def measure_evenness(run: Run, begin_s: float, end_s: float, window_s: float = EVENNESS_WINDOW_S) -> figures.Evenness:
-    """Return the evenness of a part of the run."""
+    """Return the evenness at the steady converters in a part of the run."""
     return figures.measure_evenness(count_starts(run, begin_s, end_s, window_s))
 
 
 def zones_of(run: Run, uids: list[str]) -> dict[str, str]:
-    """Return the zone of each of these converters."""
+    """Return the zones of converters, by uid."""
     instances = timeline.build(run.world, run.seed).instances
     return {instance.uid: instance.machine.group.zone for instance in instances if instance.uid in uids}
 
@@ -49,7 +49,7 @@
 
 
 def burst_claims(bursts: figures.Bursts) -> list[Claim]:
-    """Return the claims that at no time many sidecars sent to the same converter."""
+    """Return the claims that sidecars never sent to the same converter in a burst."""
     worst_claim_name = "most starts in 100 ms at a converter, beside a Poisson stream's in a run"
     rare_claim_name = "windows of 100 ms with more than a Poisson stream gives once in 10,000"
     return [
@@ -59,7 +59,7 @@
 
 
 def spread_figures(run: Run, begin_s: float, end_s: float, window_s: float = EVENNESS_WINDOW_S) -> dict[str, float]:
-    """Return the figures of result.json: evenness of a part of the run, bursts and occupancy of the whole."""
+    """Return the figures for result.json: evenness in a part of the run, and bursts and occupancy in all of it."""
     evenness = measure_evenness(run, begin_s, end_s, window_s)
     bursts = measure_bursts(run)
     connections = figures.connection_occupancy(run.history.connections)
--- a/ryepier/experiments/load_spread/processes/seeded_faults.py
+++ b/ryepier/experiments/load_spread/processes/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Seeded faults of how a sidecar process spreads its load.
+"""Seeded faults in how a sidecar process spreads its load.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process for good, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def use_common_seed() -> None:
-    """Let all sidecars draw the same numbers: one seed, and the same index among the instances."""
+    """Make all sidecars draw the same random numbers, with a common seed and instance index."""
     original_init = Balancer.__init__
 
     def init_with_common_seed(self: Balancer, settings: Any, seed: int, now_us: int) -> None:
@@ -27,7 +27,7 @@
 
 
 def select_first() -> None:
-    """Let all sidecars select the first free converter of the list."""
+    """Make all sidecars select the free converter with the lowest id."""
     original_candidates = Selector.candidates_with_free_slots
 
     def first_free(self: Selector, *arguments: Any, **options: Any) -> Any:
--- a/ryepier/experiments/load_spread/processes/steady.py
+++ b/ryepier/experiments/load_spread/processes/steady.py
@@ -1,7 +1,8 @@
 """`load-spread-processes`, also `-light`: how even is the load of real sidecars that each see little of it?
 
-Sixty sidecars (full scale: 200) at half of the converters' capacity, or at a twentieth; nothing fails. Claims: no
-converter is without a start for as long as twelve are expected, next to nothing is rejected, and no bursts.
+Sixty sidecars (full scale: 200) run at half of the converters' capacity, or at a twentieth, without faults. Claims: no
+converter is without a start for as long as twelve are expected, hardly any attempt is rejected, and bursts are as rare
+as by chance.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.load_spread.processes import figures, fleets, measures
 
-LIGHT_WINDOW_S = 6.0  # of evenness, where starts are few
-EXPECTED_STARTS = 12  # in a window that is practically never empty by chance
+LIGHT_WINDOW_S = 6.0  # for the evenness at light load, as starts are few
+EXPECTED_STARTS = 12  # mean number in a window, which is then practically never empty by chance
 MAX_REJECTED_SHARE = 0.005
 
 
 def count_idle_windows(run: Run) -> int:
-    """Return the number of windows without a start at a converter, of the length in which 12 are expected."""
+    """Return the number of windows without a start at a converter, each long enough for 12 expected starts."""
     window_s = EXPECTED_STARTS * run.world.converter_count / run.world.clients.rate_per_s
     end_s = run.world.duration_s
     windows = int((end_s - fleets.SETTLED_S) / window_s)
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -1,8 +1,8 @@
-"""`load-spread-return`: do converters that were away get their part of the load again, without a rush?
+"""`load-spread-return`: do restarted converters receive their share of the load again, without being overloaded?
 
-In a simulated fleet at half load a fifth of the converters vanishes at 2 s and is back at 4 s, cold or warm at once.
-Claims on the seconds after the slow start: those that are back receive about as much on average as the others, and none
-that warms up ever more than it can take.
+In a simulated fleet at half load, a fifth of the converters goes down at 2 s and restarts at 4 s, with a warm-up or
+without. Claims: in the seconds after the slow start, the restarted converters receive about as much on average as the
+others, and a converter never receives more during its warm-up than it can take.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from ryepier.experiments.load_spread.trials import FleetOutcome, FleetTrial, run_trials
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan, Outage
 
-MIN_SHARE = 0.7  # of the mean of the converters that never were away
+MIN_SHARE = 0.7  # mean load of the restarted converters over that of the others
 MAX_SHARE = 1 / MIN_SHARE
 MEASURED_DURATION_US = 5 * SECOND_US  # after the slow start
 WARM_UPS_US = {"cold": 4 * SECOND_US, "warm at once": 0}
-OUTAGE_SHARE = 0.2  # of the converters
+OUTAGE_SHARE = 0.2  # of the converters that go down
 OUTAGE_AT_US = 2 * SECOND_US
 NOTICE_DELAY_US = SECOND_US // 2
 RESTART_AT_US = 4 * SECOND_US
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """The size of a fleet."""
+    """The number of sidecars and of converters in a fleet."""
 
     sidecars: int
     converters: int
@@ -39,7 +39,7 @@
 
 
 def make_plan(scale: Scale, warm_up_us: int) -> FleetPlan:
-    """Return a fleet whose converters need a time to warm up, a part of which is away for a while."""
+    """Return a fleet whose converters warm up for `warm_up_us`, and of which some go down and restart."""
     size = SIZES[scale]
     outage = Outage(int(OUTAGE_SHARE * size.converters), OUTAGE_AT_US, NOTICE_DELAY_US, RESTART_AT_US)
     return FleetPlan(
@@ -54,7 +54,7 @@
 
 
 def shares_of_returned(outcome: FleetOutcome) -> list[float]:
-    """Return what each converter that is back received, over the mean of those that never were away."""
+    """Return the requests that each restarted converter received, over the mean of the others."""
     span_us = outcome.end_us - outcome.begin_us
     counts = measures.counts_in_windows(outcome.received_us, outcome.begin_us, outcome.end_us, span_us)[:, 0]
     returned = np.asarray(outcome.returned)
@@ -62,7 +62,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Run the fleet with slow start and without."""
+    """Run the fleet with a warm-up and without, and return the claims and figures."""
     plans = {name: make_plan(trial.scale, warm_up_us) for name, warm_up_us in WARM_UPS_US.items()}
     outcomes = run_trials(
         [
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -1,4 +1,4 @@
-"""Balancers with one seeded fault in how they choose, which the experiments on simulated fleets detect."""
+"""Balancers with a seeded fault in their choice of converters, for the experiments on simulated fleets."""
 
 from __future__ import annotations
 
@@ -18,97 +18,100 @@
 
 
 class ClosedSubset(Subset):
-    """A full subset that never admits a newcomer."""
+    """A subset that never replaces a member by a new upstream, so a full one admits none."""
 
     def sample_new_members(
         self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Return no upstream."""
+        """Change nothing, and return no removed upstream."""
         return []
 
 
 class EarlyAdmissionRate(AdmissionRate):
-    """Admission that sheds load from a lower mean latency on."""
+    """An admission rate that sheds load at a lower mean latency."""
 
     def is_overloaded(self) -> bool:
-        """Return whether the load is over the earlier bound."""
+        """Return whether the load exceeds `EARLIER_MAX_LOAD`."""
         return self.load > EARLIER_MAX_LOAD
 
 
 class PrivateSubsetsBalancer(Balancer):
-    """The earlier balancer: its subsets admit no newcomers, each retry of an expensive request counts as an answer of a
-    slow pool, and it sheds load from a lower mean latency on."""
+    """The balancer without three later corrections, also the control of `load-spread`.
+
+    Its subsets admit no new upstreams, each retry of an expensive request counts as an answer of a slow pool, and it
+    sheds load at a lower mean latency.
+    """
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Use the earlier subsets and admission."""
+        """Create the balancer with closed subsets and the earlier admission in every pool."""
         super().__init__(settings, seed, now_us)
         for pool in self.membership.pools:
             pool.subset = ClosedSubset()
             pool.admission = EarlyAdmissionRate(now_us)
 
     def send(self, request: PendingRequest, upstream: TrackedUpstream) -> None:
-        """Send an attempt whose timeout counts for the pool, whatever was before it."""
+        """Send an attempt whose timeout counts for the pool even if it follows another timeout of the request."""
         super().send(request, upstream)
         request.attempts[-1].follows_timeout = False
 
 
 class FirstFreeSelector(Selector):
-    """Selects the first free converter of the list."""
+    """A selector that always selects the free converter with the lowest id."""
 
     def candidates_with_free_slots(
         self, request: PendingRequest, upstreams: Iterable[TrackedUpstream], ejections_apply: bool, now_us: int
     ) -> list[Candidate]:
-        """Return only the first free converter."""
+        """Return only the candidate with the lowest id."""
         candidates = super().candidates_with_free_slots(request, upstreams, ejections_apply, now_us)
         return sorted(candidates, key=lambda candidate: candidate.upstream.entry.id)[:1]
 
 
 class SameOrderBalancer(Balancer):
-    """All sidecars select the converters in the order of the list."""
+    """A balancer that selects converters in the order of their ids, the same in all sidecars."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Use the selector of the first free converter."""
+        """Create the balancer with a `FirstFreeSelector`."""
         super().__init__(settings, seed, now_us)
         self.selector = FirstFreeSelector(self.membership, self.retries, self.outliers, self.estimates, self.random)
 
 
 class ExpellingSubset(Subset):
-    """A subset that removes newcomers."""
+    """A subset that removes new upstreams."""
 
     def sample_new_members(
         self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Remove each newcomer, and return those removed."""
+        """Remove each new upstream, and return those removed."""
         return [removed for upstream in new_upstreams for removed in self.leave(upstream)]
 
 
 class ForgettingBalancer(Balancer):
-    """Converters that return are removed from all subsets."""
+    """A balancer that removes restarted converters from its subsets."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Use such subsets."""
+        """Create the balancer with an `ExpellingSubset` in every pool."""
         super().__init__(settings, seed, now_us)
         for pool in self.membership.pools:
             pool.subset = ExpellingSubset()
 
 
 class OpenSubset(Subset):
-    """A subset that admits every newcomer."""
+    """A subset that admits every new upstream, without a limit."""
 
     def sample_new_members(
         self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Admit each newcomer, once there are members."""
+        """Admit each new upstream, unless the subset is still empty."""
         for upstream in new_upstreams if self.members else []:
             self.members[upstream] = None
         return []
 
 
 class RushingBalancer(Balancer):
-    """All sidecars admit all converters that return."""
+    """A balancer that admits all restarted converters to its subsets, as all other sidecars do then."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Use such subsets."""
+        """Create the balancer with an `OpenSubset` in every pool."""
         super().__init__(settings, seed, now_us)
         for pool in self.membership.pools:
             pool.subset = OpenSubset()
@@ -128,4 +131,4 @@
     "forget-returned": _factory(ForgettingBalancer),
     "rush-returned": _factory(RushingBalancer),
 }
-"""By the seeded fault's name; the empty name is the balancer as it is."""
+"""Factories by the name of the seeded fault; the empty name stands for the balancer without a fault."""
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -1,8 +1,8 @@
 """`load-spread`: how even is the load of hundreds of sidecars that each see little of it?
 
-A simulated fleet at half of the converters' capacity and at a twentieth; the same seeds run with the balancer as it is
-and with its earlier subsets. Claims: no more crowded or empty windows than a Poisson stream has, next to no rejections,
-and no more than a quarter more connections than with the earlier subsets.
+A simulated fleet runs at half of the converters' capacity and at a twentieth. The same seeds run with the balancer and
+with the earlier one that never admits new upstreams to its subsets, the control. Claims: no more crowded or empty
+windows than a Poisson stream has, hardly any rejections, and at most a quarter more connections than the control.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan
 
 CROWDED_WINDOW_US = 100_000
-EXPECTED_PER_WINDOW = 12.0  # requests, with which an empty window is rare
+EXPECTED_PER_WINDOW = 12.0  # mean number of requests, with which an empty window is rare
 MAX_REJECTED_SHARE = 0.005
 MAX_CONNECTIONS_RATIO = 1.25
-WARM_UP_SHARE = 1 / 3  # of the run, until the subsets have filled
+WARM_UP_SHARE = 1 / 3  # of the run that is not measured: the subsets fill up in it
 CONTROL = "private-subsets"
 PLANS: dict[Scale, dict[str, FleetPlan]] = {
     Scale.SMALL: {
@@ -64,7 +64,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Run each load with the balancer, or a seeded fault of it, and with the control."""
+    """Run each load with the balancer, or with a seeded fault in it, and with the control."""
     plans = PLANS[trial.scale]
     outcomes = run_trials(
         [
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -1,4 +1,4 @@
-"""Runs simulated fleets in worker processes, and summarizes each as its converters recorded it."""
+"""Runs simulated fleets in worker processes, and summarizes the records of their converters and clients."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTrial:
-    """One run of a simulated fleet. Times are in microseconds from the plan's start."""
+    """A run of a simulated fleet. Times are in microseconds from the start of the plan."""
 
     plan: FleetPlan
     seed: int
-    balancer: str  # a name of `seeded_faults.FACTORIES`
-    begin_us: int  # what happens from here to the end counts
+    balancer: str  # a key of `seeded_faults.FACTORIES`
+    begin_us: int  # start of the measurement, which lasts until the end of the run
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOutcome:
-    """What a fleet's converters and clients recorded."""
+    """Measurements of a fleet, from the records of its converters and clients."""
 
-    received_us: list[list[int]]  # by converter, on the world's clock
+    received_us: list[list[int]]  # times at which each converter received requests, on the clock of the world
     begin_us: int
     end_us: int
-    returned: list[bool]  # by converter: whether it was away and is back
+    returned: list[bool]  # by converter: whether it restarted
     rejected_share: float  # of the requests
-    late_share: float  # of the requests, answered after the latency objective
-    p99_ms: float  # of the answered requests
-    connections: float  # open at all converters, the mean over time
-    opened_per_s: float  # connections
-    worst_warm_up_load: float  # load of a converter that is warming up over what it may get; it crashes above 1
+    late_share: float  # of the requests that were answered after the latency objective
+    p99_ms: float  # latency of the served requests
+    connections: float  # mean over time of the open connections of all converters
+    opened_per_s: float  # new connections
+    worst_warm_up_load: float  # highest load of a restarted converter over its allowed load; above 1 it crashes
 
 
 def run_trials(trials: Sequence[FleetTrial]) -> list[FleetOutcome]:
@@ -52,7 +52,7 @@
 
 
 def run_trial(trial: FleetTrial) -> FleetOutcome:
-    """Run one trial in this process."""
+    """Run a trial in this process."""
     world = FleetWorld(trial.plan, trial.seed, seeded_faults.FACTORIES[trial.balancer])
     world.play(trial.begin_us)
     begin_us, end_us = START_US + trial.begin_us, world.now_us
@@ -75,10 +75,10 @@
 
 
 def worst_warm_up_load(plan: FleetPlan, converter: Converter) -> float:
-    """Return the largest load of any overload window since a converter's start, over the allowed load.
+    """Return the highest load of a converter in any overload window since its start, over the allowed load.
 
-    Allowed is the load that overloads it at the window's start, and two standard deviations of its count and two
-    requests more, as in the tests of slow start.
+    The allowed load is the one that overloads the converter at the start of the window, plus two standard deviations
+    of its count and two requests, as in the tests of slow start.
     """
     window: deque[int] = deque()
     worst = 0.0
@@ -94,7 +94,7 @@
 
 
 def _allowed_requests(plan: FleetPlan, age_us: int) -> float:
-    """Return how many requests a converter of an age may receive in one overload window."""
+    """Return how many requests a converter may receive in an overload window that begins `age_us` after its start."""
     capacity_per_s = plan.warmth(age_us) * plan.places * SECOND_US / plan.work_us
     overload = plan.overload_factor * capacity_per_s * plan.overload_window_us / SECOND_US
     allowed: float = overload + 2 * overload**0.5 + 2
