--- a/ryepier/experiments/scale/__init__.py
+++ b/ryepier/experiments/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What a process costs as the fleet grows: measurements, hollow processes, the capacity page, planted mistakes."""
+"""Experiments on the cost of each role as the fleet grows, with lightweight processes and the capacity page."""
--- a/ryepier/experiments/scale/balancer_cost.py
+++ b/ryepier/experiments/scale/balancer_cost.py
@@ -1,4 +1,4 @@
-"""CPU of the balancer's part of a call, in virtual time and without sockets."""
+"""Measures the CPU time that the balancer's decisions take per call, in virtual time and without sockets."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.emulator import draws
 
-START_US = 1_000_000_000  # a clock that has been running
+START_US = 1_000_000_000  # of the virtual clock; not 0, as a real monotonic clock is not 0 either
 CALLS_PER_BATCH = 100
 BATCHES = 8
-WARM_UP_BATCHES = 4  # which open the upstreams
+WARM_UP_BATCHES = 4  # not measured: the balancer opens its upstreams in them
 ANSWER_LATENCY_US = 1_000
 MAX_ATTEMPTS = 4
 
 
 class BalancerTrial:
-    """One balancer with ready upstreams that answer each call."""
+    """A balancer whose upstreams are all ready and answer every attempt after `ANSWER_LATENCY_US`."""
 
     def __init__(self, known_count: int, seed: int, rate_per_s: float) -> None:
-        """Create the balancer as it is after a minute at this rate."""
+        """Create a balancer that knows `known_count` upstreams and already admits `rate_per_s` calls per second."""
         self.request_class = api.RequestClass("work", 150_000, 1_000_000)
         self.random = draws.stream(seed, f"alone {known_count}")
         self.rate_per_s = rate_per_s
@@ -35,7 +35,7 @@
         admission.send_rate = admission.burst_rate = rate_per_s
 
     def call(self, number: int) -> None:
-        """Let a request arrive, and its attempts be answered."""
+        """Advance the time to the next request, pass it to the balancer, and answer its attempts."""
         self.now_us += ANSWER_LATENCY_US + int(self.random.exponential(1e6 / self.rate_per_s - ANSWER_LATENCY_US))
         timer_is_due = 0 < self.timer_due_us <= self.now_us
         actions = self.balancer.handle(self.now_us, api.TimerFired(0)) if timer_is_due else []
@@ -50,9 +50,9 @@
 
 
 def balancer_us_per_call(known_count: int, seed: int, rate_per_s: float) -> float:
-    """Return the CPU time of a call in the balancer with so many known upstreams, in us.
+    """Return the balancer's CPU time per call in microseconds, with `known_count` known upstreams.
 
-    It is the median over parts, so that a short disturbance of the machine does not count.
+    This is the median over batches, so a short disturbance of the machine has no effect.
     """
     trial = BalancerTrial(known_count, seed, rate_per_s)
     us_per_call = []
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -1,9 +1,10 @@
 """`scale-call`: what does a call through a sidecar cost, by the number of known converters and the rate of calls?
 
-Set-up: a real sidecar is called open-loop, and for comparison the converters, which answer at once. A separate
-short run under a profile shows which functions take the time, and `balancer_cost` the cost of the decisions alone.
-Claims: calls are served, and CPU grows by at most `MAX_US_PER_KNOWN` with each further converter. Rely on the CPU;
-times come with the sidecar's wait for a core, as on a busy machine they are the machine's.
+A client calls a real sidecar open-loop, and for comparison also calls the converters directly, which answer at once.
+A separate short run under a profiler shows which functions take the CPU time, and `balancer_cost` measures the
+decisions alone. Claims: calls are served, and the CPU time of a call grows by at most `MAX_US_PER_KNOWN_CONVERTER` with
+each further known converter. The CPU times are reliable. Latencies depend on how busy the machine is, so the share of
+time that the sidecar waited for a core is reported with them.
 """
 
 from __future__ import annotations
@@ -46,17 +47,15 @@
 KNOWN_COUNTS = (30, 150, 400, 1600)
 DESIGN_KNOWN_COUNT = 1600
 DESIGN_RATE_PER_S = 369
-ADDED_P99_BUDGET_MS = 0.33  # for 99 in 100
-FULLY_MEASURED_KNOWN_COUNTS = (
-    30,
-    1600,
-)  # of the numbers known; at the others the small scale plays the first rate alone
+ADDED_P99_BUDGET_MS = 0.33  # latency that a sidecar may add to a call, at the 99th percentile
+FULLY_MEASURED_KNOWN_COUNTS = (30, 1600)  # at the small scale the others run only the first phase
 
 
 class Phase(NamedTuple):
-    """A rate of calls per second, and for how long it is called before and while that is measured.
+    """A rate of calls, with the durations of its warm-up and of its measurement.
 
-    A sidecar opens upstreams by its rate over 5 s: at the small scale it has opened half of them, at the full one all.
+    A sidecar opens upstreams by its rate over the last 5 s: after the warm-up of the small scale it has opened half of
+    them, after that of the full scale all.
     """
 
     rate_per_s: int
@@ -78,23 +77,23 @@
 PROFILED_FOLDERS = ("ryepier/balancer", "ryepier/sidecar")
 EXIT_TIMEOUT_S = 15.0
 NEEDED_MEMORY_BYTES = 1_000_000_000
-MAX_US_PER_KNOWN_CONVERTER = 2.0  # CPU of a call for each further known converter
+MAX_US_PER_KNOWN_CONVERTER = 2.0  # CPU time that each further known converter adds to a call
 MIN_SERVED_SHARE = 0.99
 
 
 class CpuTime(NamedTuple):
-    """What a process has used of a core, and how long it has waited for one, in ns."""
+    """CPU time of a process, and the time that it was runnable but waited for a core, in nanoseconds."""
 
     used_ns: int
     waited_ns: int
 
     def since(self, earlier: CpuTime) -> CpuTime:
-        """Return what was added since an earlier reading."""
+        """Return the difference to an earlier reading."""
         return CpuTime(self.used_ns - earlier.used_ns, self.waited_ns - earlier.waited_ns)
 
 
 class FunctionCost(NamedTuple):
-    """The time of a function, without what it calls, in us per call through the sidecar."""
+    """CPU time of a function without its callees, in microseconds per call through the sidecar."""
 
     name: str
     us_per_call: float
@@ -102,20 +101,20 @@
 
 @dataclass(slots=True)
 class Sidecar:
-    """A sidecar under test, and the client that calls it."""
+    """A sidecar under test, and the target through which the client calls it."""
 
     known_count: int
     process: subprocess.Popen[bytes]
     target: Target
 
     def cpu_time(self) -> CpuTime:
-        """Return the CPU time of its one thread."""
+        """Return the CPU time of the sidecar's only thread."""
         used, waited, _ = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
         return CpuTime(int(used), int(waited))
 
 
 def make_configuration(seed: int, known_count: int, listen: Address, agent: Address, converters: Address) -> str:
-    """Return the platform's configuration of one sidecar, as JSON."""
+    """Return the JSON configuration of a sidecar, in the platform's format."""
     world: World = load("steady")
     world = msgspec.structs.replace(
         world,
@@ -124,7 +123,7 @@
         classes=[msgspec.structs.replace(world.classes[0], share=1.0, effect=Effect.IDEMPOTENT)],
     )
     settings = files.sidecar_settings(world, 0)
-    settings["bounds"]["conn-idle"] = 60_000_000  # no connection is made again, which would be another cost
+    settings["bounds"]["conn-idle"] = 60_000_000  # so that no connection is reopened: its cost is not to be measured
     return json.dumps(
         {
             "name": f"n{known_count}",
@@ -140,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallTrial:
-    """The addresses of one trial, and how its sidecars are started."""
+    """The addresses and files of one trial."""
 
     network: int
     folder: Path
@@ -148,16 +147,16 @@
 
     @property
     def converters_address(self) -> Address:
-        """Return the address of all converters."""
+        """Return the one address that all converters share."""
         return f"127.{self.network}.0.1", CONVERTER_PORT
 
     def agent_address(self, known_count: int) -> Address:
-        """Return the address of the discovery with so many converters."""
+        """Return the address of the discovery agent that lists `known_count` converters."""
         return f"127.{self.network}.252.{KNOWN_COUNTS.index(known_count) + 1}", DISCOVERY_PORT
 
     @asynccontextmanager
     async def start_sidecar(self, known_count: int, command: Sequence[str]) -> AsyncIterator[Sidecar]:
-        """Run a sidecar that listens. Raises HarnessError if it does not start."""
+        """Start a sidecar, wait until it listens, and kill it on leaving. Raises HarnessError if it does not start."""
         listen = f"127.{self.network}.253.{KNOWN_COUNTS.index(known_count) + 1}", SIDECAR_PORT
         config = self.folder / f"sidecar-{known_count}.json"
         config.write_text(
@@ -177,17 +176,17 @@
 
 
 def latency_percentile_ms(target: Target, percentile: float) -> float:
-    """Return a percentile of the answered calls of this phase; infinite if none was answered."""
+    """Return a latency percentile of the phase's answered calls; infinite if none was answered."""
     return float(np.percentile(target.latencies_us, percentile)) / 1000 if target.latencies_us else float("inf")
 
 
 def phase_figures(
     name: str, duration_s: float, sidecar_target: Target, direct_target: Target, cpu: CpuTime
 ) -> dict[str, float]:
-    """Return the figures of calls at one rate: the sidecar's CPU, and times beside the direct ones of the same time."""
+    """Return the figures of a phase: the sidecar's CPU time, and latencies through it and of direct calls."""
     used_ns, waited_ns = cpu
     figures = {
-        # per answer, not per call: a sidecar that can't keep up would seem cheap
+        # per answered call: per call sent, a sidecar that can't keep up would seem cheap
         f"cpu_us_a_call_{name}": used_ns / 1000 / max(1, len(sidecar_target.latencies_us)),
         f"cores_{name}": used_ns / 1e9 / duration_s,
         f"wait_share_{name}": waited_ns / max(1, used_ns + waited_ns),
@@ -208,7 +207,7 @@
 
 
 async def run_phase(trial: CallTrial, phase: Phase, sidecar: Sidecar, direct_target: Target) -> dict[str, float]:
-    """Warm up at one rate, then measure."""
+    """Call at the phase's rate, first to warm up and then measured, and return the figures."""
     rate = phase.rate_per_s
     through_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} through")
     direct_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} direct")
@@ -229,7 +228,7 @@
 
 
 def top_functions(path: Path, calls: int) -> list[FunctionCost]:
-    """Return the most expensive functions of our own code in a profile, the most expensive first."""
+    """Return the functions of `PROFILED_FOLDERS` that took the most CPU time in a profile, in descending order."""
     stats = pstats.Stats(str(path))
     us_per_call: dict[str, float] = {}
     for (file, line_number, function), (_, _, own_s, _, _) in stats.stats.items():  # type: ignore[attr-defined]
@@ -245,17 +244,20 @@
 
 
 async def wait_for_exit(sidecars: Sequence[Sidecar]) -> None:
-    """Wait until the processes have ended. Raises HarnessError after `SHUTDOWN_TIMEOUT_S`."""
+    """Wait until the sidecars have exited. Raises HarnessError after `EXIT_TIMEOUT_S`."""
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + EXIT_TIMEOUT_S
     while any(sidecar.process.poll() is None for sidecar in sidecars):
         if loop.time() > deadline_s:
-            raise HarnessError("a sidecar under a profile does not end")
+            raise HarnessError("a profiled sidecar did not exit in time after SIGTERM")
         await asyncio.sleep(0.05)
 
 
 async def profile(trial: CallTrial, scale: Scale, stack: AsyncExitStack, seeded_fault: str) -> dict[str, float]:
-    """Call two sidecars under a profile. The profile's own cost is in the figures, so they are shares and not times."""
+    """Call two sidecars that run under a profiler, and return the CPU time of their most expensive functions.
+
+    The profiler's overhead is included, so the figures compare functions and are no absolute times.
+    """
     figures: dict[str, float] = {}
     sidecars = []
     for known_count in PROFILED_KNOWN_COUNTS:
@@ -281,14 +283,14 @@
 
 
 def phases_of(known_count: int, scale: Scale) -> Sequence[Phase]:
-    """Return the phases for a number of known converters."""
+    """Return the phases that run with `known_count` known converters."""
     if known_count in FULLY_MEASURED_KNOWN_COUNTS or scale is Scale.FULL:
         return PHASES[scale]
     return PHASES[scale][:1]
 
 
 async def measure_sidecars(seed: int, scale: Scale, folder: Path, seeded_fault: str) -> dict[str, float]:
-    """Run all phases, then the profile."""
+    """Run all phases and then the profiled sidecars, and return their figures."""
     trial = CallTrial(find_network(), folder, seed)
     async with AsyncExitStack() as stack:
         config = ConvertersConfig(
@@ -302,7 +304,7 @@
         command = seeded_faults.command(seeded_fault) if seeded_fault else SIDECAR
         figures: dict[str, float] = {}
         gc.collect()
-        gc.freeze()  # collecting the garbage of all objects of this process would delay its calls
+        gc.freeze()  # a full garbage collection of this process would delay its calls
         for known_count in KNOWN_COUNTS:
             async with trial.start_sidecar(known_count, command) as sidecar:
                 direct_target = Target(trial.converters_address, REQUEST)
@@ -312,7 +314,7 @@
 
 
 def summarize(figures: Mapping[str, float]) -> dict[str, float]:
-    """Return the fitted lines of a call's CPU at the design rate, and the added time as a share of its budget."""
+    """Return lines fitted to a call's CPU time at the design rate, and the added latency as a share of its budget."""
     result: dict[str, float] = {}
     for name, figure in (
         ("cpu", f"cpu_us_a_call_{DESIGN_RATE_PER_S}_per_s_{{}}_known"),
@@ -326,7 +328,7 @@
 
 
 def make_claims(figures: Mapping[str, float]) -> list[Claim]:
-    """Return the claims."""
+    """Return the claims on the figures."""
     fewest_known = KNOWN_COUNTS[0]
     return [
         Claim(
@@ -341,7 +343,7 @@
             "<=",
             MAX_US_PER_KNOWN_CONVERTER,
         ),
-        # a sidecar that can't keep up spends more on each call; the balancer alone always keeps up
+        # the balancer alone is claimed too, as a sidecar that can't keep up spends more on each call
         Claim(
             "of it, the module's part by itself (us)",
             figures["fit_module_us_a_call_per_unit"],
@@ -352,10 +354,10 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure, with the machine's load before and after. Raises InsufficientResourcesError and HarnessError."""
+    """Run the benchmark. Raises InsufficientResourcesError and HarnessError."""
     check_needs(Needs(4, NEEDED_MEMORY_BYTES, 3 * MAX_CONNECTIONS), this_machine())
     if trial.seeded_fault:
-        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # in this process too, in which the balancer runs alone
+        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # for `balancer_us_per_call`, which runs in this process
     figures = load_figures("before")
     figures |= {
         f"module_us_a_call_{known_count}_known": balancer_us_per_call(known_count, trial.seed, DESIGN_RATE_PER_S)
--- a/ryepier/experiments/scale/call_client.py
+++ b/ryepier/experiments/scale/call_client.py
@@ -1,4 +1,4 @@
-"""An open-loop client of one address, which records how long each call took."""
+"""An open-loop HTTP client that records the latency of each call to one address."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.sidecar.system import Address
 
-MAX_CONNECTIONS = 400  # of a client to one target
-LATE_CALLS_PER_YIELD = 8  # that go out at once where the client is late
+MAX_CONNECTIONS = 400  # per target
+LATE_CALLS_PER_YIELD = 8  # calls that a client behind schedule sends before it yields to the event loop
 
 
 def make_request_template(name: str) -> bytes:
-    """Return a request of a class; its number is formatted into it."""
+    """Return the bytes of a request of a class, with `%d` in place of the request's number."""
     return (
         f"GET /{name}/1 HTTP/1.1\r\nHost: x\r\nX-Request-Id: r-%d\r\nX-Class: {name}\r\n"
         "X-Tenant: north\r\nX-Deadline-Ms: 1000\r\n\r\n"
@@ -33,10 +33,10 @@
 
 
 class CallConnection(asyncio.Protocol):
-    """A connection of the client, with one call at a time."""
+    """A client connection that carries one call at a time."""
 
     def __init__(self, target: Target, start_us: int) -> None:
-        """Send a call that begins at `begun_us` once the connection is established."""
+        """Prepare a connection whose first call, timed from `start_us`, is sent once it is established."""
         self.target = target
         self.start_us = start_us
         self.transport: asyncio.Transport | None = None
@@ -50,7 +50,7 @@
         self.send(self.start_us)
 
     def send(self, start_us: int) -> None:
-        """Send a call."""
+        """Send a call, timed from `start_us`."""
         assert self.transport is not None
         self.start_us = start_us
         self.target.last_number += 1
@@ -67,7 +67,7 @@
         self.target.idle_connections.append(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the target."""
+        """Remove the connection from its target."""
         self.target.connection_count -= 1
         if self in self.target.idle_connections:
             self.target.idle_connections.remove(self)
@@ -75,25 +75,25 @@
 
 @dataclass(slots=True)
 class Target:
-    """An address and the open-loop calls to it: each is sent when it is due, whatever became of the ones before."""
+    """An address and the open-loop calls to it: each is sent when it is due, without waiting for earlier answers."""
 
     address: Address
     request: bytes
     idle_connections: list[CallConnection] = field(default_factory=list)
     connection_count: int = 0
     last_number: int = 0
-    due_count: int = 0  # calls of this phase
+    due_count: int = 0  # calls that were due in this phase
     served_count: int = 0
     latencies_us: list[int] = field(default_factory=list)
     connect_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def record(self, start_us: int, served: bool) -> None:
-        """Record a call that was answered."""
+        """Record the latency of an answered call, and whether it was served."""
         self.served_count += served
         self.latencies_us.append(monotonic_us() - start_us)
 
     def reset(self) -> None:
-        """Discard the measurements before a phase."""
+        """Discard the measurements of the previous phase."""
         self.due_count = self.served_count = 0
         self.latencies_us = []
 
@@ -108,11 +108,14 @@
             task.add_done_callback(self.connect_tasks.discard)
 
     async def _connect(self, start_us: int) -> None:
-        with contextlib.suppress(OSError):  # it counts as not served
+        with contextlib.suppress(OSError):  # the call counts as not served
             await asyncio.get_running_loop().create_connection(lambda: CallConnection(self, start_us), *self.address)
 
     async def run(self, rate_per_s: float, duration_s: float, random: np.random.Generator) -> None:
-        """Send calls as a Poisson process, each timed from its write: a sleep of the loop ends up to 1 ms late."""
+        """Send calls as a Poisson process.
+
+        Each call is timed from its write, not from when it was due, as a sleep of the event loop ends up to 1 ms late.
+        """
         at_us = float(monotonic_us())
         end_us = at_us + duration_s * 1e6
         while (at_us := at_us + random.exponential(1e6 / rate_per_s)) < end_us:
@@ -120,5 +123,5 @@
             if delay_s > 0:
                 await asyncio.sleep(delay_s)
             elif self.due_count % LATE_CALLS_PER_YIELD == 0:
-                await asyncio.sleep(0)  # a client that is late must still read the responses
+                await asyncio.sleep(0)  # lets a client that is behind schedule read responses
             self.call(monotonic_us())
--- a/ryepier/experiments/scale/capacity/__init__.py
+++ b/ryepier/experiments/scale/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""The capacity page's tables, computed from kept results and the size to design for."""
+"""Computes the tables of the capacity page from kept results and the planned fleet size."""
--- a/ryepier/experiments/scale/capacity/estimates.py
+++ b/ryepier/experiments/scale/capacity/estimates.py
@@ -1,4 +1,4 @@
-"""How the figures of a result become the value of a row at the size to design for."""
+"""Estimators that calculate the value of a row at the design size from the figures of a result."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class Value(msgspec.Struct, frozen=True):
-    """What a row amounts to by one result."""
+    """The value of a row at the design size, estimated from one result."""
 
     value_at_size: float
-    growing_part: float = 0.0  # the part of it that grows with the size
-    slope: Slope | None = None  # in the figure's own unit
+    growing_part: float = 0.0  # the part of `value_at_size` that grows with the size
+    slope: Slope | None = None  # the fitted line, in the unit of the figure
     is_extrapolated: bool = False
-    exponent: int = 1  # of the size, with which that part grows
-    fitting_share: float | None = None  # the largest measured share of the size that fits, if no slope tells it
+    exponent: int = 1  # `growing_part` is proportional to this power of the size
+    fitting_share: float | None = None  # largest measured share of the design size within budget, if there is no slope
 
 
 Estimator = Callable[[Figures, Plan], Value]
 
 
 def figures_by_size(figures: Figures, template: str) -> dict[int, float]:
-    """Return the figures named like the template, with a size in place of {}, by that size."""
+    """Return the figures whose names match the template with a size in place of {}, in ascending order of that size."""
     prefix, _, suffix = template.partition("{}")
     pattern = re.compile(re.escape(prefix) + r"(\d+)" + re.escape(suffix))
     by_size = {int(match[1]): value for name, value in figures.items() if (match := pattern.fullmatch(name))}
@@ -43,7 +43,7 @@
 
 
 def fitted_line(template: str, size: Size, factor: float = 1.0, added_figure: str = "") -> Estimator:
-    """Estimate by the line through a figure at several sizes, times a factor, plus another figure."""
+    """Estimate by a line fitted to a figure at several sizes, times a factor, plus another figure if one is named."""
 
     def estimate(figures: Figures, plan: Plan) -> Value:
         slope = _fit(figures, template)
@@ -56,7 +56,7 @@
 
 
 def median_over_sizes(template: str, factor: float = 1.0) -> Estimator:
-    """Estimate by the median of a figure at several sizes, with which it does not grow."""
+    """Estimate by the median of a figure over several sizes, for a figure that does not grow with the size."""
 
     def estimate(figures: Figures, plan: Plan) -> Value:
         return Value(slopes.spread(list(figures_by_size(figures, template).values())).median * factor)
@@ -65,7 +65,10 @@
 
 
 def single_figure(name: str, exponent: int = 0) -> Estimator:
-    """Estimate by a figure for the size itself; all of it grows with that power of the size."""
+    """Estimate by a figure that was measured or calculated for the design size itself.
+
+    All of it is proportional to a power of the size with this exponent; with 0 it does not grow.
+    """
 
     def estimate(figures: Figures, plan: Plan) -> Value:
         growing_part = figures[name] if exponent else 0.0
@@ -75,7 +78,7 @@
 
 
 def daily_changes(idle: str, change: str, factor: float, size: Size) -> Estimator:
-    """Estimate by an idle level, plus a day's changes of the list by the line through the cost of one."""
+    """Estimate by the idle cost, plus the cost of a day's list changes by a line fitted to the cost of one change."""
 
     def estimate(figures: Figures, plan: Plan) -> Value:
         slope = _fit(figures, change)
--- a/ryepier/experiments/scale/capacity/page.py
+++ b/ryepier/experiments/scale/capacity/page.py
@@ -1,4 +1,4 @@
-"""The capacity page: tables by role, what breaks first, and the kept results behind them, as Markdown."""
+"""Formats the capacity page as Markdown: tables by role, the limits that are reached first, and their sources."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ryepier.experiments.scale.slopes import Slope, Spread
 
 BEGIN, END = "<!-- {} from here: ryepier experiment capacity -->", "<!-- {} to here -->"
-TABLES, BREAKS = "tables", "breaks"  # the page's parts
-MAX_BREAKS = 14  # listed
+TABLES, BREAKS = "tables", "breaks"  # parts of the page, named in its markers
+MAX_BREAKS = 14  # rows listed in the part about what breaks first
 HEADER = (
     "role",
     "what",
@@ -25,7 +25,7 @@
 
 
 def make_parts(rows: Sequence[Row], kept: Sequence[KeptResult], plan: Plan) -> dict[str, str]:
-    """Return what the page has between its markers, by part. Raises CapacityError."""
+    """Return the text between the page's markers, by part. Raises CapacityError if a result lacks needed figures."""
     results = evaluate(rows, kept, plan)
     return {
         TABLES: format_roles(results) + "\n\n" + format_sources(kept),
@@ -40,13 +40,13 @@
         before, has_begin, rest = page.partition(begin)
         _, has_end, after = rest.partition(end)
         if not has_begin or not has_end:
-            raise CapacityError(f"the page has no {begin if not has_begin else end}")
+            raise CapacityError(f"the page has no marker {begin if not has_begin else end}")
         page = f"{before}{begin}\n\n{text}\n\n{end}{after}"
     return page
 
 
 def first_to_break(results: Sequence[RowResult]) -> list[RowResult]:
-    """Return what breaks first: what nothing carries, then by the share of the size at which it breaks."""
+    """Return the rows that break first: those without a mechanism, then by the size at which they break."""
     missing = [result for result in results if result.standing is Standing.MISSING]
     breaking = [result for result in results if result.breaks_at is not None]
     breaking.sort(key=lambda result: (result.breaks_at or 0.0, -(result.share or 0.0)))
@@ -54,7 +54,7 @@
 
 
 def format_number(value: float) -> str:
-    """Return a number with three significant digits; two below a thousandth."""
+    """Return a number with three significant digits, or with two if it is below 0.001."""
     if value == 0 or 0.001 <= abs(value) < 1000:
         return f"{value:.3g}"
     if abs(value) < 0.001:
@@ -64,20 +64,20 @@
 
 
 def format_spread(spread: Spread) -> str:
-    """Return the median, with the lowest and highest value if they differ."""
+    """Return the median as text, with the range if the values differ."""
     median, least, most = (format_number(value) for value in (spread.median, spread.least, spread.most))
     return median if least == most else f"{median} ({least} to {most})"
 
 
 def format_fit(fitted: Sequence[Slope]) -> str:
-    """Return the sizes that lines were fitted to, and the largest relative residual."""
+    """Return the ranges of sizes that lines were fitted to, and the largest relative residual."""
     ranges = {(format_number(slope.from_size), format_number(slope.to_size)) for slope in fitted}
     residual_percent = 100 * max(slope.relative_residual for slope in fitted)
     return ", ".join(f"{low} to {high}" for low, high in sorted(ranges)) + f", off by {residual_percent:.2g}%"
 
 
 def format_cells(result: RowResult) -> list[str]:
-    """Return the cells of a row, without its role."""
+    """Return the cells of a row, without the role."""
     row = result.row
     if result.value is None:
         note = row.note or f"would be by `run {row.experiment}`, three seeds"
@@ -99,7 +99,7 @@
 
 
 def format_roles(results: Sequence[RowResult]) -> str:
-    """Return one table in the order of the rows, which names a role in its first row."""
+    """Return a table in the order of the results, with the name of a role only in its first row."""
     rows = []
     previous_role = ""
     for result in results:
@@ -110,7 +110,7 @@
 
 
 def format_breaks(results: Sequence[RowResult]) -> str:
-    """Return the list of what breaks first."""
+    """Return a numbered list of the rows that break first."""
     lines = []
     for place, result in enumerate(first_to_break(results), 1):
         used = f"{format_number(100 * (result.share or 0.0))}% of its budget"
@@ -127,7 +127,7 @@
 
 
 def format_sources(kept: Sequence[KeptResult]) -> str:
-    """Return the experiments behind the tables: scale, machine, and which of their claims failed."""
+    """Return the experiments behind the tables, with scale, cores, and the claims that failed."""
     names = dict.fromkeys(result.name for result in kept)
     if not names:
         return "No result is kept."
--- a/ryepier/experiments/scale/capacity/plan.py
+++ b/ryepier/experiments/scale/capacity/plan.py
@@ -1,4 +1,4 @@
-"""The size to design for, in plan.json."""
+"""Reads plan.json, which holds the planned fleet size and the budgets of each role."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class CapacityError(RyepierError, ValueError):
-    """Kept results, the plan or the page can't be used; the text names it and the reason."""
+    """The kept results, the plan or the page cannot be used; the message names the file or row and the reason."""
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The size to design for, and the budgets of each role."""
+    """The planned fleet size, called the design size, and the budgets of each role."""
 
     sidecars: int
     converters: int
@@ -26,18 +26,18 @@
     zones: int
     regions: int
     calls_per_s: float
-    depth: int  # services that call each other
-    added_ms: float  # to a call, at the 99th percentile
-    changes_a_day: int  # of configuration
-    in_force_s: float  # until a change has to be in force everywhere
-    control_cores: float  # of a sidecar, for control
-    control_bytes: float
-    control_bytes_per_s: float
+    depth: int  # services that call each other in a chain
+    added_ms: float  # latency that a sidecar may add to a call, at the 99th percentile
+    changes_a_day: int  # changes of configuration
+    in_force_s: float  # time until a change must be in force at every sidecar
+    control_cores: float  # CPU budget of a sidecar for its control plane
+    control_bytes: float  # its memory budget for it
+    control_bytes_per_s: float  # its traffic budget for it
     planners: int
     planner_cores: float
     planner_bytes: float
-    failed_a_day: int  # machines
-    replaced_a_day: int  # machines
+    failed_a_day: int  # machines that fail
+    replaced_a_day: int  # machines that are replaced
 
     @property
     def calls_per_sidecar(self) -> float:
@@ -51,13 +51,13 @@
 
     @property
     def list_changes_per_s(self) -> float:
-        """Return the changes of the endpoint list, each change of configuration counted as one of an entry."""
+        """Return the rate of changes of the endpoint list, where each change of configuration counts as one."""
         machines_a_day = self.failed_a_day + self.replaced_a_day
         return (self.changes_a_day + LIST_CHANGES_PER_MACHINE * machines_a_day) / DAY_S
 
 
 def read_plan(folder: Path) -> Plan:
-    """Return the plan in a folder. Raises CapacityError."""
+    """Return the plan in a folder. Raises CapacityError if it cannot be read."""
     try:
         return msgspec.json.decode((folder / PLAN).read_bytes(), type=Plan)
     except (OSError, msgspec.MsgspecError) as error:
--- a/ryepier/experiments/scale/capacity/results.py
+++ b/ryepier/experiments/scale/capacity/results.py
@@ -1,4 +1,4 @@
-"""The kept results that the capacity page rests on, one file per experiment and seed."""
+"""Stores and reads the kept results behind the capacity page, one file per experiment and seed."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class KeptResult(Result):
-    """A result that the page rests on, and the day of its run."""
+    """A result kept for the capacity page, with the date of its run."""
 
     date: str = ""
 
 
 def read_results(folder: Path) -> list[KeptResult]:
-    """Return all results in a folder. Raises CapacityError."""
+    """Return all results in a folder. Raises CapacityError if a file is unreadable, misnamed, or of a seeded fault."""
     return [_read_result(path) for path in sorted(folder.glob("*.json")) if path.name != PLAN]
 
 
@@ -27,9 +27,9 @@
     except (OSError, msgspec.MsgspecError) as error:
         raise CapacityError(f"{path}: {error}") from None
     if result.seeded_fault:
-        raise CapacityError(f"{path}: of a run with a seeded fault")
+        raise CapacityError(f"{path}: the result is of a run with a seeded fault")
     if path.name != file_name(result):
-        raise CapacityError(f"{path}: holds {file_name(result)}")
+        raise CapacityError(f"{path}: the file name does not match its content, which belongs in {file_name(result)}")
     return result
 
 
@@ -39,13 +39,16 @@
 
 
 def keep_result(run: Path, folder: Path, date: str) -> Path:
-    """Copy the result of a run into the folder of kept results, and return its path. Raises CapacityError."""
+    """Copy the result of a run into the folder of kept results, and return the new path.
+
+    Raises CapacityError if the run is unreadable or had a seeded fault.
+    """
     try:
         result = msgspec.json.decode((run / RESULT).read_bytes(), type=Result)
     except (OSError, msgspec.MsgspecError) as error:
-        raise CapacityError(f"{run}: no readable run: {error}") from None
+        raise CapacityError(f"{run}: the result of the run cannot be read: {error}") from None
     if result.seeded_fault:
-        raise CapacityError(f"{run}: of a run with a seeded fault")
+        raise CapacityError(f"{run}: a run with a seeded fault cannot be kept")
     kept = KeptResult(**{name: getattr(result, name) for name in Result.__struct_fields__}, date=date)
     path = folder / file_name(kept)
     path.write_bytes(msgspec.json.format(msgspec.json.encode(kept), indent=1) + b"\n")
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -1,4 +1,4 @@
-"""A row of the capacity tables, and what the kept results say of it."""
+"""Rows of the capacity tables, and their evaluation with the kept results."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Standing(StrEnum):
-    """Whether a resource is enough at the size to design for."""
+    """Whether a resource suffices at the design size."""
 
-    CARRIED = "carried"
-    OVER = "over"
-    MISSING = "missing"  # nothing carries it
+    CARRIED = "carried"  # within its budget, or without one
+    OVER = "over"  # over its budget
+    MISSING = "missing"  # there is no mechanism for it
     NOT_MEASURED = "not measured"
 
 
@@ -33,35 +33,35 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One resource of one role."""
+    """A resource of a role, with its mechanism, estimator and budget."""
 
     role: str
     resource: str
     unit: str
-    mechanism: str = ""  # what carries it; empty: nothing
+    mechanism: str = ""  # part of the design that provides the resource; empty if there is none
     experiment: str = ""
     estimator: Estimator | None = None
     budget: Budget | None = None
     slope: SlopeUnit | None = None
-    note: str = ""  # how it would be measured; if nothing carries it, its design
+    note: str = ""  # how the resource would be measured, or where its mechanism is designed
 
 
 class RowResult(msgspec.Struct, frozen=True, rename={"is_extrapolated": "extrapolated"}):
-    """A row with what the kept results say of it."""
+    """A row with its evaluation."""
 
     row: Row
     standing: Standing
     value: Spread | None = None
     slope: Spread | None = None
-    fitted: Sequence[Slope] = ()  # the lines behind it, one per seed
-    share: float | None = None  # of its budget
-    breaks_at: float | None = None  # share of the size at which it uses all of its budget
+    fitted: Sequence[Slope] = ()  # the lines behind `slope`, one per seed
+    share: float | None = None  # the value over the row's budget
+    breaks_at: float | None = None  # share of the design size at which the budget is used up
     is_extrapolated: bool = False
     seeds: tuple[int, ...] = ()
     date: str = ""
 
     def as_fields(self) -> dict[str, object]:
-        """Return the fields for programs."""
+        """Return the row and its evaluation as fields for JSON output."""
         row = self.row
         described = {
             "role": row.role,
@@ -83,12 +83,12 @@
 
 
 def evaluate(rows: Sequence[Row], kept: Sequence[KeptResult], plan: Plan) -> list[RowResult]:
-    """Return what the kept results say of each row. Raises CapacityError."""
+    """Evaluate each row with the kept results. Raises CapacityError like `evaluate_row`."""
     return [evaluate_row(row, kept, plan) for row in rows]
 
 
 def evaluate_row(row: Row, kept: Iterable[KeptResult], plan: Plan) -> RowResult:
-    """Return what the kept results say of a row. Raises CapacityError if none has the figures that it rests on."""
+    """Evaluate a row with the results of its experiment. Raises CapacityError if none has the needed figures."""
     if not row.mechanism:
         return RowResult(row, Standing.MISSING)
     results = [result for result in kept if result.name == row.experiment]
@@ -115,7 +115,7 @@
 
 
 def _estimate_each(row: Row, estimator: Estimator, results: Sequence[KeptResult], plan: Plan) -> list[_SeedValue]:
-    """Return the value by each result; a seed may lack a figure that its run never reached."""
+    """Return the value by each result that has the figures; a run may end before it has measured all of them."""
     seed_values, reason = [], ""
     for result in results:
         try:
@@ -124,7 +124,9 @@
         except (KeyError, ValueError) as error:
             reason = str(error)
     if not seed_values:
-        raise CapacityError(f"{row.role}, {row.resource}: {row.experiment} has no such figure: {reason}")
+        raise CapacityError(
+            f"{row.role}, {row.resource}: no result of {row.experiment} has the needed figures: {reason}"
+        )
     return seed_values
 
 
@@ -135,14 +137,14 @@
 
 
 def share_at_budget(value_at_size: float, growing_part: float, budget: float, exponent: int = 1) -> float | None:
-    """Return the share of the size at which a budget is used up; 0 if it always is, None if it never is."""
+    """Return the share of the design size at which a budget is used up: 0 if at any size, None if at none."""
     if growing_part <= 0:
         return 0.0 if value_at_size > budget else None
     return float(max(0.0, 1.0 + (budget - value_at_size) / growing_part) ** (1 / exponent))
 
 
 def breaking_share(values: Sequence[Value], value_at_size: float, budget: float) -> float | None:
-    """Return the share of the size at which a budget is used up, by the median of the seeds."""
+    """Return the share of the design size at which a budget is used up, from the medians over the seeds."""
     fitting_shares = [value.fitting_share for value in values if value.fitting_share is not None]
     if fitting_shares:
         return slopes.spread(fitting_shares).median
--- a/ryepier/experiments/scale/capacity/table.py
+++ b/ryepier/experiments/scale/capacity/table.py
@@ -1,4 +1,4 @@
-"""The rows of the capacity page: each role's resources, what carries them, and the figures behind them."""
+"""The rows of the capacity page: the resources of each role, with their mechanisms, estimators and budgets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 LIST, FAIL, CONTROL, CALL, DEPTH = "scale-list", "scale-fail", "scale-control", "scale-call", "scale-depth"
 SIDECAR, PLANNER, DISCOVERY = "Sidecar", "Planner, one of seven", "Discovery and its agent"
 CONVERTER, CONFIG_SENDER = "Converter, as many sidecars call it", "Whoever sends out configuration"
-# what carries a row
+# mechanisms
 DIRECTORY = "Directory, module"
 WATCH = "watch since a revision"
 FULL_LIST = "whole list, when its revisions are lost"
@@ -32,8 +32,8 @@
 MB = 1e-6
 KB = 1e-3
 MS_PER_S = 1000.0
-CORE_US = 1e-6  # cores per microsecond of CPU in a second
-CONVERTERS_IN_USE = (30, 150)  # converters
+CORE_US = 1e-6  # cores per microsecond of CPU time in a second
+CONVERTERS_IN_USE = (30, 150)  # converters that a sidecar calls
 MAX_FAILED_SHARE = 0.01
 MAX_AVOID_S = 2.0
 SERVED_SHARE = "served_share_369_per_s_{}_known"
@@ -55,42 +55,42 @@
 
 
 def one_core(plan: Plan) -> float:
-    """Return a sidecar's budget of CPU."""
+    """Return a sidecar's CPU budget in cores."""
     return 1.0
 
 
 def control_cores(plan: Plan) -> float:
-    """Return a sidecar's budget of CPU for control."""
+    """Return a sidecar's CPU budget for its control plane, in cores."""
     return plan.control_cores
 
 
 def control_mb(plan: Plan) -> float:
-    """Return a sidecar's budget of memory for control."""
+    """Return a sidecar's memory budget for its control plane, in MB."""
     return plan.control_bytes * MB
 
 
 def control_bytes_per_s(plan: Plan) -> float:
-    """Return a sidecar's budget of traffic for control."""
+    """Return a sidecar's traffic budget for its control plane, in bytes per second."""
     return plan.control_bytes_per_s
 
 
 def burst_cpu_ms(plan: Plan) -> float:
-    """Return the CPU of a sidecar's control budget until a change has to be in force."""
+    """Return the CPU time, in ms, that a sidecar's control budget allows until a change must be in force."""
     return plan.control_cores * plan.in_force_s * 1000
 
 
 def burst_kb(plan: Plan) -> float:
-    """Return the traffic of a sidecar's control budget until a change has to be in force."""
+    """Return the traffic, in KB, that a sidecar's control budget allows until a change must be in force."""
     return plan.control_bytes_per_s * plan.in_force_s / 1000
 
 
 def in_force_s(plan: Plan) -> float:
-    """Return the time until a change has to be in force."""
+    """Return the time, in seconds, until a change must be in force."""
     return plan.in_force_s
 
 
 def cores_on_fitted_line(template: str) -> Estimator:
-    """Estimate the cores of a sidecar's calls by the line through the CPU time of one."""
+    """Estimate the cores for a sidecar's calls by a line fitted to the CPU time of a call."""
 
     def estimate(figures: Figures, plan: Plan) -> Value:
         return fitted_line(template, converters, plan.calls_per_sidecar / 1e6)(figures, plan)
@@ -99,12 +99,12 @@
 
 
 def cores_from_figure(name: str) -> Estimator:
-    """Estimate the cores of a sidecar's calls by the CPU time of one at a single size."""
+    """Estimate the cores for a sidecar's calls by the CPU time of a call at a single size."""
     return lambda figures, plan: Value(figures[name] * plan.calls_per_sidecar / 1e6)
 
 
 def failed_share(figures: Figures, plan: Plan) -> Value:
-    """Estimate the failed share of calls with all converters known, and up to how many known it is acceptable."""
+    """Estimate the share of failed calls with all converters known, and the largest number known that is acceptable."""
     served_shares = figures_by_size(figures, SERVED_SHARE)
     fitting_counts = [
         known_count for known_count, served_share in served_shares.items() if 1.0 - served_share <= MAX_FAILED_SHARE
@@ -113,11 +113,11 @@
 
 
 def whole_lists(figures: Figures, plan: Plan) -> Value:
-    """Estimate the traffic of a whole list to every sidecar."""
+    """Estimate the traffic of a full list to every sidecar."""
     return fitted_line("again_bytes_{}", converters, plan.sidecars * MB)(figures, plan)
 
 
-# the rows read as a table, which the formatter would break up
+# not formatted, so that the rows stay readable as a table
 # fmt: off
 LIST_ROWS = (
     Row(SIDECAR, "memory, all converters known", "MB", DIRECTORY, LIST,
@@ -147,7 +147,7 @@
 
 
 def report_rows(converters_in_use: int) -> tuple[Row, ...]:
-    """Return the rows of a sidecar's load reports and plans with so many converters in use."""
+    """Return the rows of a sidecar's load reports and plans, with a number of converters in use."""
     return (
         Row(SIDECAR, f"reports and plans, {converters_in_use} in use, messages", "B/s", REPORTS, CONTROL,
             median_over_sizes(f"bytes_per_s_with_seven_{converters_in_use}_in_use_{{}}"), control_bytes_per_s),
@@ -174,7 +174,7 @@
 
 
 def planner_rows(converters_in_use: int) -> tuple[Row, ...]:
-    """Return the rows of a planner with so many converters in use."""
+    """Return the rows of a planner, with a number of converters in use per sidecar."""
     return (
         Row(PLANNER, f"CPU, {converters_in_use} in use", "cores", REPORTS, CONTROL,
             fitted_line(f"planner_cores_needed_{converters_in_use}_in_use_{{}}", sidecars),
@@ -210,7 +210,7 @@
 
 
 def depth_row(failing_share: float, description: str) -> Row:
-    """Return the row of attempts at the last of a chain of services, a share of which fail."""
+    """Return the row of the attempts at the last service of a chain, of which `failing_share` fail."""
     return Row(CONVERTER, f"attempts a call at the last of 11 services, {description} of them fail", "",
                f"{HOP_BUDGET}, time left", DEPTH, single_figure(f"attempts_a_call_11_deep_{failing_share:g}_failing"),
                lambda plan: (1 + RETRY_BUDGET_RATIO) ** plan.depth)
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -1,8 +1,8 @@
-"""Services that call each other in a chain, in virtual time, with the sidecar's real dispatcher and module at each hop.
+"""Simulates services that call each other in a chain, with the sidecar's real dispatcher and balancer at each hop.
 
-Each service has some instances, each with a sidecar of its own that calls the instances of the next; the last service
-answers or fails by chance. An instance that has no answer from below answers with an error, as an application does that
-can't do without it. The rest of a call's deadline is passed on. There are no sockets and no real clock.
+Each service has several instances, each with its own sidecar that calls the instances of the next service. The last
+service answers or fails at random. An instance whose own call fails answers with an error, like an application that
+needs the next service. The remaining deadline of a call is passed on. Time is virtual, and there are no sockets.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer, FinalOutcome
 
 NETWORK_US = 200  # one way
-WORK_US = 2_000  # of the last service, for an answer or an error
-OBJECTIVE_PER_HOP_US = 40_000  # a hop's latency objective, for each hop from it to the end
+WORK_US = 2_000  # that the last service needs for an answer or an error
+OBJECTIVE_PER_HOP_US = 40_000  # a hop's latency objective is this times the number of hops from it to the end
 DEADLINE_US = 1_000_000
 LATE_WEIGHT = 0.5
 MAX_SIDECAR_ATTEMPTS = 4
 MAX_RETRY_AFTER_US = 500_000
-START_US = 1_000_000_000  # a clock that has been running
+START_US = 1_000_000_000  # of the virtual clock; not 0, as a real monotonic clock is not 0 either
 NS_PER_US = 1000
 
 
 class Chain(msgspec.Struct, frozen=True):
-    """What to run."""
+    """Parameters of a simulated chain."""
 
     depth: int  # calls from the first caller to the last service
     failing_share: float  # share of the last service's attempts that fail
@@ -42,57 +42,57 @@
     seed: int
     idempotency: api.Idempotency = api.Idempotency.IDEMPOTENT
     deadline_us: int = DEADLINE_US
-    fixed_objective_us: int = 0  # at every hop; 0: by the hops below
+    fixed_objective_us: int = 0  # latency objective of every hop; 0 = `OBJECTIVE_PER_HOP_US` for each remaining hop
     instances: int = 3  # of each service
-    max_attempts: int = 1_000_000  # at the last service, after which a run is broken off
+    max_attempts: int = 1_000_000  # at the last service, after which the run is aborted
 
 
 class ChainOutcome(msgspec.Struct):
-    """What a run came to."""
+    """Counts of a run."""
 
-    attempts: list[int]  # that reached the service at each hop, the last service last
-    calls: list[int]  # that each hop's sidecars were asked for
-    served: int = 0  # of the first callers' calls
-    answered: int = 0
-    longest_us: int = 0  # that a first caller waited
-    broken_off: bool = False
+    attempts: list[int]  # that reached the service called at each hop; the last service comes last
+    calls: list[int]  # that each hop's sidecars received from their applications
+    served: int = 0  # calls of the first callers
+    answered: int = 0  # calls of the first callers, also those answered with an error
+    longest_us: int = 0  # longest wait of a first caller for its answer
+    broken_off: bool = False  # whether the run was aborted after `Chain.max_attempts`
 
 
 class TimerHandle:
     """A timer that can be cancelled."""
 
     def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Hold what to call."""
+        """Create a pending timer that calls `callback` with `args`."""
         self.callback = callback
         self.args = args
         self.is_cancelled = False
 
     def cancel(self) -> None:
-        """Keep the callback from being called."""
+        """Cancel the timer, so that its callback is not called."""
         self.is_cancelled = True
 
 
 class VirtualClock:
-    """Virtual time and the timers in it."""
+    """A virtual clock with timers, which runs them in order and jumps from one to the next."""
 
     def __init__(self) -> None:
-        """Start without timers."""
+        """Start at `START_US` without timers."""
         self.now_us = START_US
         self._timers: list[tuple[int, int, TimerHandle]] = []
         self._sequence_numbers = itertools.count()
 
     def call_later(self, delay: float, callback: Callable[..., None], *args: Any) -> TimerHandle:
-        """Call back after a delay in seconds, as an event loop does."""
+        """Schedule a callback after a delay in seconds, as `asyncio.AbstractEventLoop.call_later` does."""
         return self.call_after_us(round(delay * 1e6), callback, *args)
 
     def call_after_us(self, delay_us: int, callback: Callable[..., None], *args: Any) -> TimerHandle:
-        """Call back after a delay."""
+        """Schedule a callback after a delay in microseconds."""
         handle = TimerHandle(callback, args)
         heapq.heappush(self._timers, (self.now_us + max(0, delay_us), next(self._sequence_numbers), handle))
         return handle
 
     def run(self, is_stopped: Callable[[], bool]) -> None:
-        """Run the timers in the order of time until none is left or the run is stopped."""
+        """Run the timers in the order of their times, until none is left or `is_stopped` returns true."""
         while self._timers and not is_stopped():
             self.now_us, _, handle = heapq.heappop(self._timers)
             if not handle.is_cancelled:
@@ -100,21 +100,21 @@
 
 
 class ChainAttempt:
-    """An attempt in flight; it counts as written from its start."""
+    """An attempt in flight, which counts as written to the network from its start."""
 
     written = True
 
     def __init__(self, on_end: Callable[[AttemptResult], None]) -> None:
-        """Hold whom to tell of the end."""
+        """Start an attempt that passes its result to `on_end`."""
         self._on_end = on_end
         self._is_ended = False
 
     def cancel(self) -> None:
-        """Drop the result; what runs at the hops below goes on."""
+        """Discard the result. Calls that the attempt caused at later hops go on."""
         self._is_ended = True
 
     def end(self, outcome: api.Outcome) -> None:
-        """End with an outcome, unless cancelled."""
+        """End the attempt with an outcome, unless it was cancelled or has ended."""
         if not self._is_ended:
             self._is_ended = True
             self._on_end(AttemptResult(outcome))
@@ -124,7 +124,7 @@
     """The sidecar of one instance, which forwards its calls to the next service."""
 
     def __init__(self, world: ChainWorld, hop: int, seed: int) -> None:
-        """Start the dispatcher with the next service's instances as its endpoints."""
+        """Start the dispatcher of a sidecar at a hop, with the next service's instances as its endpoints."""
         self.world = world
         self.hop = hop
         chain = world.chain
@@ -144,7 +144,7 @@
         self.dispatcher.on_endpoints(api.UpstreamsUpdated(api.ListKind.FULL, entries, 1), addresses)
 
     def call(self, deadline_us: int, reply: Callable[[FinalAnswer], None]) -> None:
-        """Take a call of this instance's application."""
+        """Dispatch a call of this instance's application, and pass the final answer to `reply`."""
         self.world.outcome.calls[self.hop] += 1
         request = ClientRequest(b"GET", b"/work", [], b"", self.world.clock.now_us, deadline_us, 0)
         self.dispatcher.on_request(request, reply)
@@ -158,7 +158,7 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_us: int = 0,
     ) -> ChainAttempt:
-        """Start an attempt, as a connection pool does."""
+        """Start an attempt at an instance of the next service; implements `UpstreamTransport.start`."""
         attempt = ChainAttempt(on_end)
         self.world.clock.call_after_us(NETWORK_US, self.world.on_arrival, self.hop, upstream - 1, timeout_us, attempt)
         return attempt
@@ -171,10 +171,10 @@
 
 
 class ChainWorld:
-    """All hops of one chain."""
+    """The sidecars of all hops of a chain, its clock, and its counts."""
 
     def __init__(self, chain: Chain) -> None:
-        """Prepare the clock and the counts; `build` starts the sidecars."""
+        """Create the clock and the counts. `build` starts the sidecars, which need this object."""
         self.chain = chain
         self.clock = VirtualClock()
         self.random = Random(chain.seed)
@@ -190,14 +190,14 @@
         ]
 
     def schedule_calls(self) -> None:
-        """Schedule the first callers' calls, with exponential times between."""
+        """Schedule the first callers' calls as a Poisson process."""
         at_us = 0.0
         for _ in range(self.chain.calls):
             at_us += self.random.expovariate(self.chain.rate_per_s) * 1e6
             self.clock.call_after_us(int(at_us), self._make_first_call)
 
     def on_arrival(self, hop: int, instance: int, timeout_us: int, attempt: ChainAttempt) -> None:
-        """Handle an attempt at an instance of the service that a hop calls."""
+        """Handle an attempt that arrives at an instance of the service called at `hop`."""
         self.outcome.attempts[hop] += 1
         if hop + 1 == self.chain.depth:
             fails = self.random.random() < self.chain.failing_share
@@ -212,7 +212,7 @@
         self.sidecars[hop + 1][instance].call(timeout_us, reply)
 
     def is_stopped(self) -> bool:
-        """Return whether the last service has had so many attempts that the run is broken off."""
+        """Return whether the last service has received `max_attempts` attempts, and record it in the outcome."""
         self.outcome.broken_off = self.outcome.attempts[-1] >= self.chain.max_attempts
         return self.outcome.broken_off
 
@@ -228,10 +228,10 @@
 
 
 def run_chain(chain: Chain) -> ChainOutcome:
-    """Run a chain from the first call until all is quiet; replaces the clock of the process meanwhile."""
+    """Run a chain until no timer is left or it is aborted. Replaces the clock of the process meanwhile."""
     monotonic_ns = system.monotonic_ns
     disabled_level = logging.root.manager.disable
-    logging.disable(logging.INFO)  # a line for each call that was not served, of which there are many
+    logging.disable(logging.INFO)  # each of the many calls that are not served writes a log line
     world = ChainWorld(chain)
     system.monotonic_ns = lambda: world.clock.now_us * NS_PER_US
     try:
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -1,10 +1,10 @@
 """`scale-control`: how do the costs of planners and forwarders grow with the fleet?
 
-One planner, a process that records its own CPU time (`instrumented_planner`), and a growing fleet of forwarders that
-run their real code hundreds to a process (`lightweight_forwarders`) and report made-up calls over loopback. Claims for
-each number of converters in use: the planner's CPU and memory grow about linearly, a forwarder's traffic does not grow,
-all forwarders are connected and count for the plan, and nearly all of them avoid a hung converter in time. The figures
-compare the costs at the size to design for with its budgets.
+A planner process that records its own CPU time (`instrumented_planner`) serves a growing fleet of forwarders, which run
+their real code, hundreds per process (`lightweight_forwarders`), and report simulated calls over loopback. Claims for
+each number of converters in use: the planner's CPU time and memory grow about linearly, a forwarder's traffic does not
+grow, all forwarders are connected and their reports enter the plan, and nearly all of them avoid a hung converter in
+time. The figures compare the costs at the design size with the budgets.
 """
 
 from __future__ import annotations
@@ -43,13 +43,14 @@
     "forwarder_cores": 0.022,
     "forwarder_resident_bytes": 64e6,
 }
-# forwarders, by converters in use; with 150 in use, 320 forwarders take all of one planner's core
+# fleet sizes in forwarders, by converters in use; with 150 in use, 320 forwarders keep the planner's core fully busy
 SIZES: dict[Scale, dict[int, tuple[int, ...]]] = {
     Scale.SMALL: {30: (50, 100, 200, 400), 150: (10, 20, 40, 80)},
     Scale.FULL: {30: (100, 200, 400, 800, 1200, 1600), 150: (40, 80, 120, 160, 240, 320)},
 }
-SEEDED_FAULT_SIZES = {30: (25, 50, 100, 200)}  # reports on all of 1,600 converters would fill the memory
-REPORTS_PER_S = 2.0  # of a forwarder, by default
+# small, as reports of a large fleet on all of 1,600 converters would not fit into memory
+SEEDED_FAULT_SIZES = {30: (25, 50, 100, 200)}
+REPORTS_PER_S = 2.0  # per forwarder, the default
 TICKS_PER_S = 1.0 / TICK_S
 WORKERS = {Scale.SMALL: 2, Scale.FULL: 4}
 FULL_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
@@ -60,43 +61,43 @@
 CONNECT_TIMEOUT_S = 6.0
 AVOID_TIMEOUT_S = {Scale.SMALL: 5.0, Scale.FULL: 15.0}
 POLL_INTERVAL_S = 0.2
-AVOIDING_SHARE = 0.95  # of the forwarders that call the hung converter
-MAX_WAIT_SHARE = 0.5  # of the planner's time; with more, the machine is what is measured
+AVOIDING_SHARE = 0.95  # share of the hung converter's callers that must avoid it
+MAX_WAIT_SHARE = 0.5  # of the planner's time spent waiting for a core; above it the machine is too busy to measure
 HUNG_UID = converter_uid(0)
-MIN_DIVISOR = 1e-9  # in place of zero
-Readings = dict[str, float]  # figures of one size, by name
+MIN_DIVISOR = 1e-9  # avoids a division by zero
+Readings = dict[str, float]  # by name, of a fleet of one size
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """What the forwarders of one worker process have done so far."""
+    """Totals of one worker process and its forwarders at a moment, as its `sample` command returns them."""
 
-    at_s: float
-    cpu_s: float  # without that of making calls up
-    resident: int
-    count: int
-    connected: int
+    at_s: float  # on the monotonic clock
+    cpu_s: float  # without the simulation of calls
+    resident: int  # bytes of memory
+    count: int  # forwarders
+    connected: int  # forwarders
     bytes_out: int
     bytes_in: int
     plan_bytes: int
     plans: int
-    reporters: int  # forwarders that the newest plan rests on
-    users: int  # that call the hung converter
-    avoids_after_s: list[float]
+    reporters: int  # forwarders whose reports the newest plan is based on
+    users: int  # forwarders that call the hung converter
+    avoids_after_s: list[float]  # of each that avoids it, the seconds since it hung
 
 
 class PlannerReading(msgspec.Struct, frozen=True):
-    """What the planner has used, done, and waited for so far."""
+    """Totals of the planner process since its start."""
 
     process_usage: Usage
     planner_usage: PlannerUsage
-    waited_s: float  # for a core
+    waited_s: float  # runnable but without a core
 
 
 def planner_readings(size: int, elapsed_s: float, before: PlannerReading, after: PlannerReading) -> Readings:
-    """Return what a planner did and used between two readings.
+    """Return the planner's rates and costs between two readings.
 
-    `planner_cores_needed` is the CPU time of its reports and ticks at their nominal rates: a planner that is late has
-    fewer ticks, and would seem cheap by the CPU time that it used.
+    `planner_cores_needed` is the CPU time of its reports and ticks at their nominal rates. The CPU time actually used
+    would make an overloaded planner seem cheap, as it runs fewer ticks.
     """
     earlier, later = before.planner_usage, after.planner_usage
     ticks, reports = later.ticks - earlier.ticks, later.reports - earlier.reports
@@ -117,7 +118,7 @@
 
 
 def forwarder_readings(size: int, elapsed_s: float, before: Sequence[Sample], after: Sequence[Sample]) -> Readings:
-    """Return what one forwarder sent, received and used between two samples."""
+    """Return the mean rates and costs of a forwarder between two samples of each worker process."""
 
     def rate_per_forwarder(name: str) -> float:
         growth = sum(
@@ -131,7 +132,7 @@
         "plans_per_s": rate_per_forwarder("plans"),
         "bytes_out_per_s": sent,
         "bytes_in_per_s": received,
-        # reports and heartbeats are exchanged with each planner, plans come from the leader alone
+        # a forwarder exchanges reports and heartbeats with every planner, but receives plans only from the leader
         "bytes_per_s_with_seven": DESIGN_PLANNERS * (sent + heartbeats) + (received - heartbeats),
         "forwarder_cores": rate_per_forwarder("cpu_s"),
         "reporters_share": max(sample.reporters for sample in after) / size,
@@ -140,7 +141,7 @@
 
 
 def avoidance_quantile_s(samples: Sequence[Sample], share: float) -> float:
-    """Return when a share of the callers of the hung converter avoided it; infinite if they never did."""
+    """Return the seconds until a share of the callers of the hung converter avoided it; infinite if fewer do."""
     users = sum(sample.users for sample in samples)
     times_s = sorted(after_s for sample in samples for after_s in sample.avoids_after_s)
     needed = -int(-share * users // 1)
@@ -148,7 +149,7 @@
 
 
 def growth_over_linear(by_size: Mapping[int, Mapping[str, float]], name: str) -> float:
-    """Return the growth of a figure from the second to the largest size, relative to the size's own growth."""
+    """Return the growth of a figure from the second smallest to the largest size, over that of the size itself."""
     sizes = sorted(by_size)
     second_size, largest_size = sizes[1], sizes[-1]
     return by_size[largest_size][name] / max(MIN_DIVISOR, by_size[second_size][name]) / (largest_size / second_size)
@@ -163,14 +164,14 @@
     usage_path: Path
 
     def read(self) -> PlannerReading:
-        """Return a reading. Raises OSError or msgspec.MsgspecError if it has ended or not ticked yet."""
+        """Return the current totals. Raises OSError or msgspec.MsgspecError if it has exited or not ticked yet."""
         waited_ns = int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1])
         return PlannerReading(usage(self.pid), instrumented_planner.read_usage(self.usage_path), waited_ns / 1e9)
 
 
 @asynccontextmanager
 async def start_planner(folder: Path, fleet: int, seeded_fault: str) -> AsyncIterator[PlannerProcess]:
-    """Run a planner for a fleet of a size, and kill it on leaving. Raises HarnessError if it does not start."""
+    """Run a planner whose configured fleet size is `fleet`, and kill it on leaving. Raises HarnessError on failure."""
     address = f"127.{find_network()}.254.1", PLANNER_PORT
     config, usage_path = folder / f"planner-{fleet}.toml", folder / f"planner-{fleet}.usage"
     config.write_text(f'[trust]\nfleet = {fleet}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
@@ -200,18 +201,18 @@
 
 
 class Fleet:
-    """One planner and the worker processes of its forwarders."""
+    """A planner and the worker processes that run its forwarders."""
 
     def __init__(
         self, planner: PlannerProcess, workers: Sequence[lightweight.LightweightProcess], scale: Scale
     ) -> None:
-        """Take over running processes."""
+        """Create a fleet from a running planner and running workers, still without forwarders; see `grow`."""
         self.planner = planner
         self.workers = workers
         self.scale = scale
 
     async def request(self, command: str, **options: Any) -> list[Any]:
-        """Send a command to all workers, and return their answers."""
+        """Send a command to all workers, and return their answers in the order of the workers."""
         return list(await asyncio.gather(*(worker.request(command, **options) for worker in self.workers)))
 
     async def samples(self) -> list[Sample]:
@@ -219,7 +220,10 @@
         return [msgspec.convert(answer, Sample) for answer in await self.request("sample")]
 
     async def grow(self, size: int) -> None:
-        """Start forwarders up to a size, and wait until they are connected or a timeout, which the figures show."""
+        """Start forwarders up to a size, and wait until all are connected, for at most `CONNECT_TIMEOUT_S`.
+
+        A timeout is no error here: `connected_share` shows it.
+        """
         await self.request("grow", fleet=size)
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + CONNECT_TIMEOUT_S
@@ -228,7 +232,7 @@
         await asyncio.sleep(SETTLE_S)
 
     async def measure(self, size: int) -> Readings:
-        """Return the readings at a size."""
+        """Measure for `MEASUREMENT_S`, and return the readings at a size."""
         samples_before, planner_before = await self.samples(), self.planner.read()
         await asyncio.sleep(MEASUREMENT_S[self.scale])
         samples_after, planner_after = await self.samples(), self.planner.read()
@@ -238,7 +242,7 @@
         )
 
     async def hang_converter(self) -> float:
-        """Let one converter hang, and return the seconds until nearly all of its callers avoid it by plan."""
+        """Make a converter hang, and return the seconds until `AVOIDING_SHARE` of its callers avoid it by plan."""
         await self.request("hang", uid=HUNG_UID)
         avoided_after_s, loop = float("inf"), asyncio.get_running_loop()
         deadline_s = loop.time() + AVOID_TIMEOUT_S[self.scale]
@@ -249,14 +253,14 @@
 
 
 class FleetReadings(msgspec.Struct, frozen=True):
-    """What a growing fleet came to."""
+    """The readings of a growing fleet."""
 
     by_size: dict[int, Readings]
-    at_largest: Readings  # of the fleet at its largest
+    at_largest: Readings  # measured only at the largest size
 
 
 async def measure_fleet(converters_in_use: int, sizes: Sequence[int], trial: TrialConfig) -> FleetReadings:
-    """Let a fleet grow over these sizes, and return its readings."""
+    """Grow a fleet through `sizes` in ascending order, and return its readings."""
     worker_count = WORKERS[trial.scale]
     async with AsyncExitStack() as stack:
         planner = await stack.enter_async_context(start_planner(trial.folder, sizes[0], trial.seeded_fault))
@@ -282,7 +286,7 @@
             await fleet.grow(size)
             by_size[size] = await fleet.measure(size)
         resident_after = sum(sample.resident for sample in await fleet.samples())
-        # a sidecar's process exists anyway, so only what one more forwarder takes counts
+        # only the memory that each forwarder adds counts: in service it runs in the process of a sidecar
         at_largest = {
             "forwarder_resident_bytes": (resident_after - resident_before) / sizes[-1],
             "avoided_after_s": await fleet.hang_converter(),
@@ -294,7 +298,7 @@
 
 
 def make_figures(converters_in_use: int, by_size: Mapping[int, Readings], at_largest: Readings) -> dict[str, float]:
-    """Return the figures of a fleet, with fitted lines and the values at the size to design for."""
+    """Return the figures of a fleet, with fitted lines, and its costs at the design size as shares of the budgets."""
     figures = {
         f"{name}_{converters_in_use}_in_use_{size}": value
         for size, readings in by_size.items()
@@ -322,7 +326,7 @@
 
 
 def make_claims(converters_in_use: int, by_size: Mapping[int, Readings], at_largest: Readings) -> list[Claim]:
-    """Return the claims on a fleet."""
+    """Return the claims on a fleet with `converters_in_use` converters per forwarder."""
     smallest, largest = min(by_size), max(by_size)
     prefix = f"{converters_in_use} in use, {largest} forwarders"
     return [
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -1,9 +1,10 @@
-"""`scale-depth`: how often is the last service of a chain called while it fails in part, by the depth of the chain?
+"""`scale-depth`: how often is the last service of a chain called while some of its answers fail, by the chain's depth?
 
-Each hop's sidecars may retry a fifth of what they are asked for, which would be 1.2 to the power of the depth, 7.4 at
-11 hops. Chains of up to 11 services run in virtual time, so no figure depends on the machine; at the greatest depth the
-time left, the latency objective and the class are tightened in turn. Claims: no run is broken off, every call has an
-answer, attempts at the last service stay within the retry budgets of all hops, and an unsafe class is never retried.
+The sidecars of each hop may retry a fifth of their requests. If all of them did, the attempts at the last service would
+multiply by 1.2 per hop, by 7.4 over 11 hops. Chains of up to 11 services run in virtual time, so no figure depends on
+the machine. At the greatest depth, further runs have a shorter deadline, the same latency objective at every hop, or a
+class that must not be retried. Claims: no run is aborted, every call has an answer, attempts at the last service stay
+within the retry budgets of all hops, and a non-idempotent class is never retried.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 
 DEPTHS = (1, 3, 7, 11)
 FAILING_SHARES = (0.1, 0.5, 1.0)  # of the attempts at the last service
-VARIED_FAILING_SHARE = 0.5  # of the runs with a tighter bound
+VARIED_FAILING_SHARE = 0.5  # in the runs with another deadline, objective or class
 CALLS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
 RATE_PER_S = 100.0
-SHORT_DEADLINE_US = 150_000  # 11 hops hardly leave anything of it: each takes 10 ms for its answer
-FIXED_OBJECTIVE_US = 150_000  # at every hop, however much lies below it
-MAX_ATTEMPTS_PER_CALL = 20  # at the last service; a run beyond is broken off, and its figure is a lower bound
+SHORT_DEADLINE_US = 150_000  # nearly used up by 11 hops, each of which takes 10 ms for its answer
+FIXED_OBJECTIVE_US = 150_000  # latency objective of every hop, independent of the number of hops after it
+MAX_ATTEMPTS_PER_CALL = 20  # at the last service; a run with more is aborted, and its figure is a lower bound
 UNSAFE_RUN = "unsafe_11_deep_0.5_failing"
 US_PER_MS = 1000
 
@@ -37,7 +38,7 @@
 def max_attempts_per_call(chain: Chain, calls: int) -> float:
     """Return the most attempts at the last service that the retry budgets allow, per call.
 
-    A hop's sidecars earn a part of a retry with each call, and hold a few from the start.
+    A hop's sidecars earn a fraction of a retry with each call, and start with a few retries.
     """
     attempts = float(calls)
     for _ in range(chain.depth):
@@ -47,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChainFigures:
-    """The figures of one run."""
+    """The figures of one run. The names of the fields become parts of the figures' names."""
 
-    attempts_a_call: float  # at the last service
-    theory: float = 0.0  # the same if every hop retried all that it may
-    over_bound: float = 0.0  # the same over what the retry budgets allow
-    attempts_a_call_of_the_last_hop: float = 0.0
+    attempts_a_call: float  # at the last service, per call of a first caller
+    theory: float = 0.0  # attempts per call if every hop used its whole retry budget
+    over_bound: float = 0.0  # attempts per call over the most that the retry budgets allow
+    attempts_a_call_of_the_last_hop: float = 0.0  # at the last service, per call of the service before it
     served_share: float = 0.0
     answered_share: float = 0.0
     longest_ms: float = 0.0
@@ -60,7 +61,7 @@
 
     @classmethod
     def from_outcome(cls, chain: Chain, outcome: ChainOutcome) -> ChainFigures:
-        """Return the figures of a run."""
+        """Calculate the figures of a run from its counts."""
         attempts_per_call = outcome.attempts[-1] / chain.calls
         return cls(
             attempts_a_call=attempts_per_call,
@@ -84,7 +85,7 @@
 
 
 def make_chains(seed: int, scale: Scale) -> dict[str, Chain]:
-    """Return the chains by name: each depth and share of failures, and tighter bounds at the greatest depth."""
+    """Return the chains by name: each depth with each share of failures, and variations of the deepest."""
     chains = {
         _run_name(depth, failing_share): _make_chain(depth, failing_share, seed, scale)
         for failing_share in FAILING_SHARES
@@ -100,9 +101,9 @@
 
 
 def summarize(runs: Mapping[str, ChainFigures]) -> dict[str, float]:
-    """Return the figures of all runs, and by share of failures the factor by which a hop multiplies attempts.
+    """Return the figures of all runs, and for each share of failures the factor by which a hop multiplies attempts.
 
-    The factor comes from a line through the logarithms.
+    The factor is the exponential of the slope of a line fitted to the logarithms of attempts per call.
     """
     figures: dict[str, float] = {}
     for name, run_figures in runs.items():
@@ -117,7 +118,7 @@
 
 
 def make_claims(runs: Mapping[str, ChainFigures]) -> list[Claim]:
-    """Return the claims on all runs."""
+    """Return the claims on the figures of all runs."""
     broken_off = sum(run_figures.broken_off for run_figures in runs.values())
     answered = min(run_figures.answered_share for run_figures in runs.values())
     over_bound = max(run_figures.over_bound for run_figures in runs.values())
@@ -132,7 +133,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Run all chains in this process; a seeded fault stays in it."""
+    """Run all chains in this process. A seeded fault stays installed in it."""
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
     chains = make_chains(trial.seed, trial.scale)
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -1,8 +1,9 @@
 """`scale-list`: what does the endpoint list cost a sidecar and discovery as the fleet grows?
 
-Set-up: lightweight sidecars follow an emulated discovery. One part measures a sidecar's cost by the number of known
-converters, the other discovery's by the number of sidecars that reconnect after an outage. Claims: the budgets of a
-sidecar at 1,600 known converters (`BUDGET_...`), and all sidecars have the list again after the outage.
+Lightweight sidecars follow an emulated discovery. The first part measures the cost of a sidecar by the number of known
+converters, the second the cost of discovery by the number of sidecars that reconnect after an outage. Claims: a sidecar
+with 1,600 known converters stays within its budgets (`BUDGET_...`), and all sidecars have the list again after the
+outage.
 """
 
 from __future__ import annotations
@@ -30,20 +31,21 @@
 from ryepier.sidecar.discovery import WATCH_RETRY_S
 
 KNOWN_COUNTS = (30, 150, 400, 800, 1600)  # converters that a sidecar knows
-SIDECARS_PER_GROUP = {Scale.SMALL: 12, Scale.FULL: 40}  # lightweight ones for each of these sizes
-FLEET_SIZES = {Scale.SMALL: (100, 200, 400, 800), Scale.FULL: (200, 400, 800, 1600)}  # that reconnect after an outage
+SIDECARS_PER_GROUP = {Scale.SMALL: 12, Scale.FULL: 40}  # lightweight sidecars for each of KNOWN_COUNTS
+# sidecars that reconnect after an outage
+FLEET_SIZES = {Scale.SMALL: (100, 200, 400, 800), Scale.FULL: (200, 400, 800, 1600)}
 FLEET_KNOWN_COUNT = {Scale.SMALL: 30, Scale.FULL: 150}
 FLEET_PROCESSES = 4
 CHANGE_COUNT = {Scale.SMALL: 40, Scale.FULL: 200}
 CHANGE_INTERVAL_S = 0.02
 IDLE_S = {Scale.SMALL: 3.0, Scale.FULL: 10.0}
-ZONE_DIVISOR = 8  # one of 8 converters is in a zone
+ZONE_DIVISOR = 8  # a zone has an eighth of the converters
 OUTAGE_S = 1.0
-RECONNECT_TIMEOUT_S = 25.0  # a busy machine needs this long for 1,600
+RECONNECT_TIMEOUT_S = 25.0  # a busy machine needs this long for 1,600 sidecars
 UPDATE_TIMEOUT_S = 10.0
 PEAK_WINDOW_US = 100_000
-PORT = 8501  # below the ephemeral ports, or a connection without a listener could connect to itself
-CHANGES_PER_DAY = 2330  # 2,000 of configuration, and three states for each of 110 machines
+PORT = 8501  # below the ephemeral ports: without a listener, a connection to one of those could connect to itself
+CHANGES_PER_DAY = 2330  # 2,000 of configuration, and three changes of state for each of 110 machines
 DAY_S = 86_400
 PROCESS_BYTES = 120_000_000
 SIDECAR_BYTES = 200_000
@@ -55,7 +57,7 @@
 
 
 class UpdateCost(NamedTuple):
-    """What an update of the list costs per sidecar."""
+    """CPU time and bytes received of one sidecar for an update of the list."""
 
     cpu_s: float
     bytes: float
@@ -63,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Lightweight sidecars of one process, and the discovery that they follow."""
+    """Lightweight sidecars of one process that know the same number of converters, and the discovery they follow."""
 
     known_count: int
     count: int
@@ -71,21 +73,23 @@
     process: LightweightProcess
 
     async def wait_until_updated(self, version: int) -> Any:
-        """Wait until all have a version, and return the reply. Raises HarnessError if they do not get it."""
+        """Wait until all sidecars have a version; return the reply. Raises HarnessError after `UPDATE_TIMEOUT_S`."""
         reply = await self.process.request("until", version=version, within_s=UPDATE_TIMEOUT_S)
         if reply["have"] < self.count:
-            raise HarnessError(f"{reply['have']} of {self.count} lightweight sidecars have the list")
+            raise HarnessError(
+                f"{reply['have']} of {self.count} lightweight sidecars received the endpoint list in time"
+            )
         return reply
 
     async def measure_cost(self, version: int, before: Any, bytes_before: int) -> UpdateCost:
-        """Return the cost per sidecar since an earlier reply, once all have the version."""
+        """Wait until all sidecars have the version, and return the cost per sidecar since the reply `before`."""
         reply = await self.wait_until_updated(version)
         cpu_s = (reply["cpu_s"] - before["cpu_s"]) / self.count
         return UpdateCost(cpu_s, (self.server.bytes_sent - bytes_before) / self.count)
 
 
 def needs(scale: Scale) -> Needs:
-    """Return the needs of the larger part; the parts run one after the other."""
+    """Return the resources that the larger of the two parts needs, which run one after the other."""
     by_known_bytes = len(KNOWN_COUNTS) * PROCESS_BYTES + SIDECARS_PER_GROUP[scale] * sum(
         SIDECAR_BYTES + known_count * CONVERTER_BYTES for known_count in KNOWN_COUNTS
     )
@@ -99,20 +103,20 @@
 
 
 def base_bytes() -> float:
-    """Return the resident memory of a sidecar's program before it has any list."""
+    """Return the resident memory of a sidecar process that has imported its program but has no list."""
     code = "import ryepier.sidecar.__main__; print(open('/proc/self/status').read())"
     reply = subprocess.run([sys.executable, "-B", "-c", code], capture_output=True, text=True, check=True, timeout=20)
     return float(resident_bytes(reply.stdout))
 
 
-# The cost of one sidecar, by the number of known converters
+# Cost of a sidecar by the number of known converters
 
 
 @asynccontextmanager
 async def start_group(
     host: str, index: int, known_count: int, count: int, seed: int, seeded_fault: str
 ) -> AsyncIterator[Group]:
-    """Run lightweight sidecars and their discovery."""
+    """Run an emulated discovery and a process for `count` sidecars, which `start_sidecars` starts."""
     server = WatchServer(
         Listing(known_count, seed), (host, PORT + index), keeps_revisions=seeded_fault != "no-revisions"
     )
@@ -125,14 +129,16 @@
 
 
 async def start_sidecars(group: Group) -> Figures:
-    """Measure the first list, and the memory that it takes."""
+    """Start the sidecars, and measure the bytes, CPU time and memory of their first list."""
     await group.process.read()
     before, bytes_before = await group.process.request("memory"), group.server.bytes_sent
     await group.process.request("start", count=group.count)
     cpu_s, list_bytes = await group.measure_cost(group.server.listing.registry.rev, before, bytes_before)
     after = await group.process.request("memory")
     if after["known"] != group.count * group.known_count:
-        raise HarnessError(f"{after['known']} converters known, not {group.count * group.known_count}")
+        raise HarnessError(
+            f"{after['known']} converters known to all sidecars together instead of {group.count * group.known_count}"
+        )
     return {
         "list_bytes": list_bytes,
         "start_cpu_ms": cpu_s * 1000,
@@ -141,7 +147,7 @@
 
 
 async def change_singly(group: Group, count: int) -> Figures:
-    """Drain a converter, remove it and add another, again and again, each in an update of its own."""
+    """Measure single changes: repeatedly drain a converter, remove it, and add another, each in its own update."""
     listing = group.server.listing
     before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
     sent_at_us: dict[int, int] = {}
@@ -171,7 +177,7 @@
 
 
 async def remove_zone(group: Group) -> Figures:
-    """Drain a zone's converters in one update, remove them in one each, and add as many in one."""
+    """Measure a zone's loss: drain its converters in one update, remove each in its own, and add as many in one."""
     listing = group.server.listing
     zone_entries = listing.pick(max(1, group.known_count // ZONE_DIVISOR))
     before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
@@ -193,7 +199,7 @@
 
 
 async def reconnect(group: Group) -> Figures:
-    """Abort all watches with one change missed, then again with discovery having lost its revisions."""
+    """Measure reconnections: after one missed change, and after discovery lost its revisions."""
     listing, server = group.server.listing, group.server
     figures: Figures = {}
     for name, loses_revisions in (("break", False), ("again", True)):
@@ -210,7 +216,7 @@
 
 
 async def measure_idle(groups: Sequence[Group], duration_s: float) -> list[Figures]:
-    """Measure all groups at once while nothing changes and only the heartbeats of the watch arrive."""
+    """Measure all groups concurrently while nothing but the heartbeats of the watches arrives."""
     before, bytes_before = (
         [await group.process.request("usage") for group in groups],
         [group.server.bytes_sent for group in groups],
@@ -227,7 +233,7 @@
 
 
 async def measure_by_known(seed: int, scale: Scale, seeded_fault: str) -> dict[int, Figures]:
-    """Measure each number of known converters, one after another but for the idle time."""
+    """Measure each number of known converters, one after another except for the idle cost."""
     host = f"127.{find_network()}.254.2"
     async with AsyncExitStack() as stack:
         groups = [
@@ -246,11 +252,11 @@
     return rows
 
 
-# The cost of discovery, by the number of sidecars that reconnect
+# Cost of discovery by the number of sidecars that reconnect
 
 
 async def run_outage(count: int, server: WatchServer, processes: Sequence[LightweightProcess]) -> Figures:
-    """Stop discovery for a moment and start it without its revisions; return the calls, the bytes and their times."""
+    """Stop discovery for `OUTAGE_S`, restart it without its revisions, and return the cost of the reconnections."""
     sidecars_per_process = count / len(processes)
     before = [await process.request("usage") for process in processes]
     server.close()
@@ -278,7 +284,7 @@
         "bytes": float(server.bytes_sent),
         "stand_in_cpu_s": server_cpu_s,
         "cpu_ms": 1000 * reconnect_cpu_s / count,
-        # as if each sidecar had a core: its next connection, discovery's writes to all, and its own list
+        # calculated for sidecars with a core each: retry interval, discovery's writes to all, and reading one list
         "back_alone_s": WATCH_RETRY_S + server_cpu_s + reconnect_cpu_s / count,
         "back_after_s": (max(reply["last_us"] for reply in replies) - restart_us) / 1e6,
         "peak_share": float(calls_in_window.max(initial=0)) / count,
@@ -287,7 +293,7 @@
 
 
 async def measure_by_fleet(seed: int, scale: Scale, seeded_fault: str) -> dict[int, Figures]:
-    """Grow one fleet, with an outage at each size."""
+    """Grow a fleet, and measure an outage at each size."""
     host = f"127.{find_network()}.254.2"
     server = WatchServer(
         Listing(FLEET_KNOWN_COUNT[scale], seed), (host, PORT), keeps_revisions=seeded_fault != "no-revisions"
@@ -316,7 +322,9 @@
                     )
                 )
                 if sum(reply["have"] for reply in replies) < count:
-                    raise HarnessError(f"{count} lightweight sidecars did not start")
+                    raise HarnessError(
+                        f"{count} lightweight sidecars did not all receive the endpoint list after their start"
+                    )
                 rows[count] = await run_outage(count, server, processes)
     finally:
         server.close()
@@ -327,12 +335,12 @@
 
 
 def fit_figure(name: str, rows: Mapping[int, Figures]) -> slopes.Slope:
-    """Return the line of a figure over the number of known converters."""
+    """Return the line fitted to a figure by the number of known converters."""
     return slopes.fit(list(rows), [row[name] for row in rows.values()])
 
 
 def derive_figures(rows: Mapping[int, Figures], base_mb: float) -> Figures:
-    """Return the figures at the largest number of known converters, with a day's changes."""
+    """Return the figures derived for the largest number of known converters and a day's changes."""
     largest = rows[KNOWN_COUNTS[-1]]
     changes_per_s = CHANGES_PER_DAY / DAY_S
     memory, full_list = fit_figure("memory_bytes", rows), fit_figure("again_cpu_ms", rows)
@@ -351,7 +359,7 @@
 
 
 def make_claims(rows: Mapping[int, Figures], fleets: Mapping[int, Figures], derived: Figures) -> list[Claim]:
-    """Return the claims."""
+    """Return the claims on both parts."""
     largest, fleet = rows[KNOWN_COUNTS[-1]], fleets[max(fleets)]
     return [
         Claim("memory of a sidecar that knows 1,600 converters (MB)", derived["sidecar_mb"], "<=", BUDGET_MB),
@@ -379,7 +387,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure both parts. Raises InsufficientResourcesError and HarnessError."""
+    """Run the benchmark. Raises InsufficientResourcesError and HarnessError."""
     check_needs(needs(trial.scale), this_machine())
     load = {"load_average": os.getloadavg()[0]}
     rows = asyncio.run(measure_by_known(trial.seed, trial.scale, trial.seeded_fault))
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -1,10 +1,11 @@
-"""`scale-fail`: what does the loss of a rack, a zone or a region cost on the list's side?
-
-A few lightweight sidecars that know 1,600 converters receive bursts of drains, for the cost of a change in a sidecar. A
-growing fleet that knows fewer receives those of a rack and a zone, for the cost of telling a fleet; each burst as one
-message per change and as one message in all. The whole fleet is calculated from both, with a core for each sidecar.
-Claims: each decision module has each change once and forgets what drains, the CPU time grows linearly, and the last of
-1,600 sidecars has a rack's and a zone's changes in time, within its CPU budget.
+"""`scale-fail`: what do the updates of the endpoint list cost when a rack, a zone or a region is lost?
+
+A few lightweight sidecars that know 1,600 converters receive bursts of drains, to measure the cost of a change in a
+sidecar. A growing fleet that knows fewer converters receives the drains of a rack and of a zone, to measure the cost of
+sending them to many sidecars. Bursts are sent with one message per change and, except for a rack at the growing fleet,
+also as a single message. From both parts, the cost of the whole fleet is calculated, with a core for each sidecar.
+Claims: each decision module receives each change once and drops draining converters, the CPU time grows linearly, and
+the last of 1,600 sidecars has the changes of a rack and of a zone in time and within its CPU budget.
 """
 
 from __future__ import annotations
@@ -38,11 +39,12 @@
 
 KNOWN_COUNT = 1600
 FLEET_SIZE = 1600
-RACK_SIZE, ZONE_SIZE, REGION_SIZE = 40, 200, 800  # converters, and sidecars, that are lost at once
+# converters that are lost at once; a region also loses as many sidecars
+RACK_SIZE, ZONE_SIZE, REGION_SIZE = 40, 200, 800
 BURST_SIZES = (RACK_SIZE, 100, ZONE_SIZE, 400, REGION_SIZE)
-LISTENER_COUNT = {Scale.SMALL: 8, Scale.FULL: 24}  # sidecars that know all converters
+LISTENER_COUNT = {Scale.SMALL: 8, Scale.FULL: 24}  # sidecars that know all converters and receive the bursts
 FLEET_SIZES = {Scale.SMALL: (40, 80, 120, 160), Scale.FULL: (200, 400, 800, 1600)}
-FLEET_KNOWN_COUNT = 250  # converters; telling costs the same, and 1,600 whole lists would not fit into memory
+FLEET_KNOWN_COUNT = 250  # converters; sending a change costs the same, and 1,600 full lists would not fit into memory
 PROCESS_COUNT = 4
 LIST_TIMEOUT_S = 25.0
 MAX_RESIDUAL = 0.25
@@ -51,7 +53,7 @@
 
 
 def needs(scale: Scale) -> Needs:
-    """Return what the larger of the two parts needs, which run one after another."""
+    """Return the resources that the larger of the two parts needs, which run one after the other."""
     own = max(
         count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
         for count, known_count in ((LISTENER_COUNT[scale], KNOWN_COUNT), (FLEET_SIZES[scale][-1], FLEET_KNOWN_COUNT))
@@ -61,32 +63,32 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Lightweight sidecars of several processes, all at one discovery."""
+    """Lightweight sidecars in several processes that all follow one discovery."""
 
     server: WatchServer
     processes: Sequence[LightweightProcess]
-    known_count: int  # converters that each knows
-    count: int = 0
+    known_count: int  # converters that each sidecar knows
+    count: int = 0  # sidecars
 
     async def request(self, command: str, **options: Any) -> list[Any]:
-        """Send a command to all processes, and return their answers."""
+        """Send a command to all processes, and return their answers in the order of the processes."""
         return list(await asyncio.gather(*(process.request(command, **options) for process in self.processes)))
 
     async def wait_for_list(self) -> list[Any]:
-        """Wait until all have the current list, and return the answers. Raises HarnessError after a timeout."""
+        """Wait until all sidecars have the list, and return the answers. Raises HarnessError after `LIST_TIMEOUT_S`."""
         answers = await self.request("until", version=self.server.listing.registry.rev, within_s=LIST_TIMEOUT_S)
         if (have := sum(answer["have"] for answer in answers)) < self.count:
-            raise HarnessError(f"{have} of {self.count} hollow sidecars have the list")
+            raise HarnessError(f"{have} of {self.count} lightweight sidecars received the endpoint list in time")
         return answers
 
     async def grow(self, count: int) -> None:
-        """Start sidecars up to a count, and wait until they have the list."""
+        """Start sidecars up to a count, and wait until all have the list."""
         await self.request("start", count=(count - self.count) // len(self.processes))
         self.count = count
         await self.wait_for_list()
 
     async def lose_converters(self, changes: int, singly: bool = True) -> Figures:
-        """Drain so many converters, with a message for each or one for all; then replace them. Return the costs."""
+        """Drain converters, with one message each or a single one, then replace them; return the cost of the drains."""
         listing = self.server.listing
         lost_entries = listing.pick(changes)
         before, bytes_before, own_before = await self.request("usage"), self.server.bytes_sent, own_usage()
@@ -119,13 +121,13 @@
 
 
 def _total_growth(before: Sequence[Any], after: Sequence[Any], name: str) -> float:
-    """Return by how much a total of all processes has grown."""
+    """Return by how much a value, summed over all processes, has grown."""
     return float(sum(later[name] - earlier[name] for earlier, later in zip(before, after, strict=True)))
 
 
 @asynccontextmanager
 async def start_fleet(known_count: int, seed: int, seeded_fault: str) -> AsyncIterator[Fleet]:
-    """Start the processes, without any sidecar yet, and end them on leaving."""
+    """Start discovery and the processes, still without sidecars, and stop them on leaving."""
     host = f"127.{find_network()}.254.2"
     server = WatchServer(Listing(known_count, seed), (host, PORT))
     await server.open()
@@ -143,7 +145,7 @@
 
 
 async def measure_losses(trial: TrialConfig) -> Figures:
-    """Return the costs of bursts at a few sidecars, then of a rack and a zone at each fleet."""
+    """Return the costs of the bursts at a few sidecars, then of a rack and a zone at each fleet size."""
     figures: Figures = {}
     async with start_fleet(KNOWN_COUNT, trial.seed, trial.seeded_fault) as listeners:
         await listeners.grow(LISTENER_COUNT[trial.scale])
@@ -168,7 +170,7 @@
 
 
 def calculate_fleet_costs(figures: Mapping[str, float], scale: Scale) -> Figures:
-    """Return the costs of the whole fleet: discovery writes to all on one core, each sidecar reads on its own."""
+    """Calculate the costs of the whole fleet if discovery writes on one core and each sidecar reads on its own."""
     single_changes, combined_changes = (
         _fit(figures, "burst_cpu_ms", BURST_SIZES),
         _fit(figures, "together_cpu_ms", BURST_SIZES),
@@ -191,7 +193,7 @@
             f"{name}_sidecar_ms": single_changes.at(size).value,
             f"{name}_singly_last_s": fleet_singly.per_unit * sidecars * size / ZONE_SIZE
             + single_changes.at(size).value / 1000,
-            # a longer message takes longer to write; taken as if all of its cost grew with the changes
+            # a longer message takes longer to write: all of its cost is taken to grow with the number of changes
             f"{name}_together_last_s": fleet_together.per_unit * sidecars * max(1.0, size / ZONE_SIZE)
             + combined_changes.at(size).value / 1000,
         }
@@ -199,7 +201,7 @@
 
 
 def make_claims(figures: Mapping[str, float]) -> list[Claim]:
-    """Return the claims."""
+    """Return the claims on the figures, including the calculated ones."""
     delivered = [value for name, value in figures.items() if "_told_" in name]
     still_ready = [value for name, value in figures.items() if "_still_ready_" in name]
     return [
@@ -231,7 +233,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure the losses, and calculate the whole fleet. Raises InsufficientResourcesError."""
+    """Measure the losses, and calculate the costs of the whole fleet. Raises InsufficientResourcesError."""
     check_needs(needs(trial.scale), this_machine())
     figures = {"load_average": os.getloadavg()[0]} | asyncio.run(measure_losses(trial))
     figures |= calculate_fleet_costs(figures, trial.scale)
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -1,4 +1,4 @@
-"""An emulated discovery for a whole fleet: one endpoint list, and a watch for each lightweight sidecar."""
+"""An emulated discovery for a fleet of lightweight sidecars: one endpoint list, and a watch for each sidecar."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from ryepier.experiments.scale.lightweight_sidecar import KINDS, ZONES
 
 FIRST_REVISION = 1_000_000
-REVISIONS_LOST = 10_000  # by which a discovery that restarted without its revisions counts from less
+REVISIONS_LOST = 10_000  # a discovery that lost its revisions restarts this far below its last one
 HEARTBEAT_INTERVAL_S = 2.0
 BACKLOG = 4096
 POD_SIZE = 10  # converters
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 HEARTBEAT = b"1\r\n\n\r\n"
 END_OF_HEAD = b"\r\n\r\n"
-Entry = dict[str, Any]  # of the list, in discovery's format
+Entry = dict[str, Any]  # an entry of the endpoint list, in discovery's format
 
 
 class Listing:
-    """The converters of a fleet and the changes of their states. Pure, and drawn from the seed."""
+    """The endpoint list of a fleet, whose entries are drawn from a seed, with operations to change it. No I/O."""
 
     def __init__(self, size: int, seed: int) -> None:
-        """List so many converters."""
+        """Create a list of `size` active converters."""
         self.random = np.random.default_rng([seed, size])
         self.last_number = 0
         self.revision = FIRST_REVISION
         self.registry = self._make_registry([self.new_entry() for _ in range(size)])
 
     def new_entry(self) -> Entry:
-        """Return the entry of a new converter."""
+        """Return an entry for a new converter, without adding it to the list."""
         self.last_number += 1
         number = self.last_number
         return {
@@ -50,22 +50,22 @@
         }
 
     def active_entries(self) -> list[Entry]:
-        """Return the entries that neither drain nor are gone."""
+        """Return the entries that are neither draining nor removed."""
         return [entry for entry in self.registry.targets.values() if entry["state"] == "active"]
 
     def pick(self, count: int) -> list[Entry]:
-        """Return different active entries, drawn at random."""
+        """Return `count` distinct active entries, drawn at random."""
         active = self.active_entries()
         chosen = self.random.choice(len(active), size=count, replace=False)
         return [active[int(index)] for index in chosen]
 
     def change(self, entries: Sequence[Entry], state: str = "") -> None:
-        """Change entries to a state, or as they are, each in a revision of its own."""
+        """Apply entries to the list, with another state if one is given, each as its own revision."""
         for entry in entries:
             self.registry.change(entry | {"state": state} if state else entry)
 
     def lose_revisions(self) -> None:
-        """Restart discovery with the list, without its revisions."""
+        """Restart discovery with its active entries and a lower revision, so that watches cannot resume."""
         self.revision -= REVISIONS_LOST
         self.registry = self._make_registry(self.active_entries())
 
@@ -74,10 +74,10 @@
 
 
 class Watch(asyncio.Protocol):
-    """A sidecar's connection, on which it waits for changes."""
+    """The server's side of a connection on which a sidecar watches the list."""
 
     def __init__(self, server: WatchServer) -> None:
-        """Start without a request."""
+        """Wait for the connection and its request."""
         self.server = server
         self.revision = 0
         self.transport: asyncio.Transport | None = None
@@ -98,22 +98,22 @@
             self.server.on_watch(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget the connection."""
+        """Unregister the connection and its watch."""
         self.server.connections.discard(self)
         self.server.watches.discard(self)
 
     def write(self, data: bytes) -> None:
-        """Write, and count the bytes."""
+        """Write data, and count its bytes."""
         assert self.transport is not None
         self.server.bytes_sent += len(data)
         self.transport.write(data)
 
 
 class WatchServer:
-    """Serves the watches of a fleet, and counts calls and bytes, without TCP's own headers."""
+    """Serves the watches of a fleet, and counts their requests and the bytes sent, without TCP and IP headers."""
 
     def __init__(self, listing: Listing, address: tuple[str, int], keeps_revisions: bool = True) -> None:
-        """Prepare the server; without `keeps_revisions` each watch begins with the whole list."""
+        """Create a server for `open`; without `keeps_revisions` each watch begins with the full list."""
         self.listing = listing
         self.address = address
         self.keeps_revisions = keeps_revisions
@@ -123,10 +123,10 @@
         self.call_times_us: list[int] = []
         self._server: asyncio.Server | None = None
         self._heartbeats: asyncio.Task[None] | None = None
-        self._cached_messages: dict[int, bytes] = {}  # changes until now, by the revision that a watch has
+        self._cached_messages: dict[int, bytes] = {}  # changes since a revision, by that revision
 
     async def open(self) -> None:
-        """Listen."""
+        """Start listening and sending heartbeats."""
         loop = asyncio.get_running_loop()
         self.clear_cached_messages()
         self._server = await loop.create_server(lambda: Watch(self), *self.address, backlog=BACKLOG)
@@ -147,7 +147,7 @@
             connection.transport.abort()
 
     def on_watch(self, watch: Watch) -> None:
-        """Answer a new watch with what changed since its revision."""
+        """Answer a new watch with the changes since its revision."""
         self.call_times_us.append(monotonic_us())
         self.watches.add(watch)
         if not self.keeps_revisions:
@@ -156,11 +156,11 @@
         self._send_changes(watch)
 
     def clear_cached_messages(self) -> None:
-        """Encode changes again, after the list was replaced."""
+        """Discard the cached messages; call this after each change of the list."""
         self._cached_messages.clear()
 
     def send_changes_to_all(self) -> int:
-        """Send each watch all changes in one message, and return the revision that they then have."""
+        """Send each watch all changes since its revision in one message, and return the new revision."""
         self.clear_cached_messages()
         for watch in list(self.watches):
             self._send_changes(watch)
--- a/ryepier/experiments/scale/instrumented_planner.py
+++ b/ryepier/experiments/scale/instrumented_planner.py
@@ -1,8 +1,8 @@
 """A planner that records the CPU time of its ticks and reports, for `scale-control`.
 
 `python -m ryepier.experiments.scale.instrumented_planner FILE SEEDED_FAULT --config CONFIG` runs like
-`ryepier planner` and keeps writing its `PlannerUsage` over FILE. The CPU time per tick and report tells what a planner
-needs even on a machine that is too busy to give it that.
+`ryepier planner` and periodically replaces FILE with its `PlannerUsage`. From the CPU time per tick and per report, the
+cores that a planner needs can be calculated even on a machine that is too busy to provide them.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 
 
 class PlannerUsage(msgspec.Struct, frozen=True):
-    """What a planner has used and done since its start, in all threads."""
+    """Totals of a planner process since its start, over all threads."""
 
     cpu_s: float
-    tick_cpu_s: float  # of it, in ticks: leadership, heartbeats, plans
+    tick_cpu_s: float  # the part of `cpu_s` spent in ticks: leadership, heartbeats, plans
     ticks: int
-    reports: int  # accepted; those that came too soon cost next to nothing
+    reports: int  # accepted; rejecting one that comes too soon costs next to nothing
     plans: int
 
 
 def read_usage(path: Path) -> PlannerUsage:
-    """Return the usage last written. Raises OSError or msgspec.MsgspecError if there is none yet."""
+    """Return the last usage written to a file. Raises OSError or msgspec.MsgspecError if there is none yet."""
     return msgspec.json.decode(path.read_bytes(), type=PlannerUsage)
 
 
 class UsageRecorder:
-    """Records what the planner of this process uses in its ticks."""
+    """Records the CPU time of this process and of its planner's ticks."""
 
     def __init__(self, path: Path) -> None:
-        """Record into a file."""
+        """Create a recorder that writes to `path` once it is installed."""
         self.path = path
         self._tick_cpu_s = 0.0
         self._ticks = 0
         self._counts: Counter[str] = Counter()
 
     def install(self) -> None:
-        """Measure the ticks of every planner of this process, and write the usage from a thread."""
+        """Patch `PlannerServer.tick` to measure the ticks, and start the thread that writes the usage."""
         run_tick = PlannerServer.tick
         recorder = self
 
@@ -61,7 +61,7 @@
             recorder._ticks = tick
 
         PlannerServer.tick = measured_tick  # type: ignore[method-assign]
-        # a thread of its own, as the planner's would write late whenever the planner is late
+        # a separate thread, as the planner's own would write late whenever the planner is late
         threading.Thread(target=self._write_forever, daemon=True).start()
 
     def _write_forever(self) -> None:
@@ -75,7 +75,7 @@
 
 
 def main() -> None:
-    """Install the recorder and the seeded fault, if one is named, and run the planner."""
+    """Install the recorder and the seeded fault, if one is given, and run the planner."""
     path, seeded_fault, *arguments = sys.argv[1:]
     UsageRecorder(Path(path)).install()
     if seeded_fault:
--- a/ryepier/experiments/scale/lightweight.py
+++ b/ryepier/experiments/scale/lightweight.py
@@ -1,7 +1,8 @@
-"""Lightweight processes: the real code of a role without its requests, hundreds of the role in each process.
+"""Starts lightweight processes and exchanges commands with them.
 
-Such a process is a module of its own. It prints one JSON object per line: the first when it is up, then one for each
-line that it reads. The end of its standard input ends it.
+A lightweight process runs hundreds of instances of a role, with the role's real code but without requests. Each kind is
+a module that is run with `-m`. It prints a JSON object per line: the first when it is ready, then one for each command
+that it reads. It exits at the end of its standard input.
 """
 
 from __future__ import annotations
@@ -21,31 +22,31 @@
 
 
 class LightweightProcess:
-    """A lightweight process, and the exchange of lines with it."""
+    """A lightweight process, to which commands can be sent."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
-        """Take over a process with pipes for its standard input and output."""
+        """Wrap a running process that has pipes for its standard input and output."""
         self.process = process
 
     @property
     def pid(self) -> int:
-        """Return the process's id."""
+        """Return the process id."""
         return self.process.pid
 
     async def read(self) -> Any:
-        """Return the next object that it prints. Raises HarnessError if it has ended or prints nothing in time."""
+        """Return the next object that the process prints. Raises HarnessError on a timeout, or if it has exited."""
         assert self.process.stdout is not None
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 line = await self.process.stdout.readline()
         except TimeoutError:
-            raise HarnessError("a hollow process says nothing") from None
+            raise HarnessError("a lightweight process printed no answer in time") from None
         if not line:
-            raise HarnessError("a hollow process has ended")
+            raise HarnessError("a lightweight process exited unexpectedly")
         return json.loads(line)
 
     async def request(self, command: str, **options: Any) -> Any:
-        """Send a command, and return its answer. Raises HarnessError as `read` does."""
+        """Send a command, and return the answer. Raises HarnessError like `read`."""
         assert self.process.stdin is not None
         self.process.stdin.write(json.dumps({"do": command, **options}).encode() + b"\n")
         return await self.read()
--- a/ryepier/experiments/scale/lightweight_converters.py
+++ b/ryepier/experiments/scale/lightweight_converters.py
@@ -1,7 +1,7 @@
-"""A process that stands for all converters and for discovery, for `scale-call`; it answers each call at once.
+"""A process that emulates all converters and the discovery agents for `scale-call`, and answers each call at once.
 
 `python -m ryepier.experiments.scale.lightweight_converters CONFIG`, with a `ConvertersConfig` as JSON, prints a line
-once it listens. All entries of a list have the same address: a sidecar tells its upstreams apart by their uids.
+once it listens. All entries of a list have the same address, as a sidecar tells its upstreams apart by their uids.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 class ConvertersConfig(msgspec.Struct, frozen=True):
-    """Where the process listens."""
+    """The addresses at which the process listens."""
 
     converters: tuple[str, int]
-    agents: dict[int, tuple[str, int]]  # discovery's addresses by the length of the list that is served there
+    agents: dict[int, tuple[str, int]]  # discovery agents by the number of converters that they list
 
 
 def make_list(known_count: int, address: tuple[str, int]) -> dict[str, Any]:
-    """Return a list of so many warm converters, in discovery's format."""
+    """Return a list of `known_count` warm converters at one address, in discovery's format."""
     return {
         "rev": 1,
         "all": True,
@@ -54,20 +54,20 @@
 
 
 class Converter(asyncio.Protocol):
-    """A connection to a converter: one answer for each request head, as the calls have no body."""
+    """The server's side of a connection to a converter. It answers each request head, as the calls have no body."""
 
     def __init__(self) -> None:
-        """Start without data."""
+        """Wait for the connection and its requests."""
         self._transport: asyncio.Transport | None = None
         self._pending = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport to answer on."""
+        """Keep the transport for the answers."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer each complete head."""
+        """Answer each complete request head."""
         assert self._transport is not None
         heads = (self._pending + data).split(END_OF_HEAD)
         self._pending = heads.pop()
@@ -76,10 +76,10 @@
 
 
 class DiscoveryAgent:
-    """Serves one list to each watch, and then heartbeats."""
+    """Sends the same list to each watch, and then only heartbeats."""
 
     def __init__(self, listing: dict[str, Any]) -> None:
-        """Encode the list as one chunk."""
+        """Encode the list as one HTTP chunk."""
         line = json.dumps(listing).encode() + b"\n"
         self._first_chunk = b"%x\r\n%s\r\n" % (len(line), line)
 
@@ -98,7 +98,7 @@
 
 
 async def serve(config: ConvertersConfig) -> None:
-    """Listen at all addresses until a line arrives on standard input, or its end."""
+    """Listen at all addresses until standard input has a line or ends."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(Converter, sock=system.listen(config.converters, BACKLOG))]
     for known_count, address in config.agents.items():
@@ -109,7 +109,7 @@
 
 
 def main() -> None:
-    """Serve as the first argument says."""
+    """Serve with the configuration in the first argument."""
     asyncio.run(serve(msgspec.json.decode(sys.argv[1], type=ConvertersConfig)))
 
 
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -1,8 +1,8 @@
-"""Lightweight forwarders, hundreds per process, for `scale-control`: reports and plans of real ones, calls made up.
+"""A process with hundreds of real forwarders that report simulated calls, for `scale-control`.
 
 `python -m ryepier.experiments.scale.lightweight_forwarders CONFIG`, with a `ForwardersConfig` as JSON, reads a command
-per line, as `lightweight.LightweightProcess` sends them. A forwarder's counters begin with a day's age, as in service:
-smaller numbers would take fewer bytes.
+per line, as `lightweight.LightweightProcess` sends them. The counters of a forwarder start with the calls of a day, as
+smaller numbers would make its reports shorter than in service.
 """
 
 from __future__ import annotations
@@ -27,43 +27,43 @@
 from ryepier.plan.plan_follower import AcceptanceRules
 from ryepier.sidecar.system import clock_us
 
-CALLS_PER_S = 369.0  # of one sidecar, at the size to design for
+CALLS_PER_S = 369.0  # per sidecar, at the design size
 ANSWER_LATENCY_US = 20_000
 ANSWER_TIMEOUT_US = 10 * ANSWER_LATENCY_US
-CALLS_IN_FLIGHT = 7  # calls at a time: those of one answer's time
-FAST_ANSWER_DIVISOR = 3  # one answer in so many is in the next lower latency bucket
+CALLS_IN_FLIGHT = 7  # concurrent calls per forwarder: about `CALLS_PER_S` times the latency of an answer
+FAST_ANSWER_DIVISOR = 3  # one answer in three falls into the next lower latency bucket
 DAY_S = 86_400
 US_PER_S = 1e6
 
 
 class ForwardersConfig(msgspec.Struct, frozen=True):
-    """What one worker process runs."""
+    """The forwarders that one worker process runs."""
 
     planner: tuple[str, int]
-    worker: int  # its number among the workers
+    worker: int  # index of this process among the workers
     workers: int
-    in_use: int  # converters that one forwarder calls
+    in_use: int  # converters that each forwarder calls
     seed: int
-    min_fleet: int
+    min_fleet: int  # size of the smallest measured fleet, by which a forwarder decides whether to accept a plan
     reports_all: bool = False  # seeded fault: every forwarder reports on all converters
 
 
 def converters_of(index: int, in_use: int) -> range:
-    """Return the converters that a forwarder calls.
+    """Return the numbers of the converters that a forwarder calls.
 
-    A service has as many converters as forwarders that call it, so the fleet's converters grow with its forwarders.
+    A service has as many converters as forwarders that call it, so the number of converters grows with the fleet.
     """
     first = index // in_use * in_use
     return range(first, first + in_use)
 
 
 def converter_uid(number: int) -> str:
-    """Return a converter's uid."""
+    """Return the uid of the converter with a number."""
     return f"c-{number:04x}"
 
 
 class TrafficCounts:
-    """Bytes and plans of all forwarders of this process."""
+    """Counts of the bytes and plans of all forwarders of this process."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -71,11 +71,11 @@
         self.bytes_in = 0
         self.plan_bytes = 0
         self.plans = 0
-        self.simulation_s = 0.0  # CPU time of making calls up, which is no forwarder's
-        self._plan_sizes: dict[tuple[int, int], int] = {}  # of the latest plan, by epoch and number
+        self.simulation_s = 0.0  # CPU time of the simulation of calls, which is not part of a forwarder's cost
+        self._plan_sizes: dict[tuple[int, int], int] = {}  # encoded size of the latest plan, by epoch and number
 
     def on_plan(self, plan: Plan) -> None:
-        """Count a plan that a forwarder received."""
+        """Count a plan that a forwarder received, and its bytes."""
         self.plans += 1
         key = plan.term.epoch, plan.number
         if key not in self._plan_sizes:
@@ -83,7 +83,7 @@
         self.plan_bytes += self._plan_sizes[key]
 
     def install(self) -> None:
-        """Count the bytes that every forwarder of this process writes and reads."""
+        """Patch the forwarder module to count the bytes that all forwarders of this process write and read."""
         counts = self
         receive = forwarder.PlannerConnection.data_received
 
@@ -102,22 +102,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CallInFlight:
-    """A made-up call that the next report still has in flight."""
+    """A simulated call that is still in flight in the next report."""
 
     converter: str
     token: int
 
 
 class LightweightForwarder(forwarder.Forwarder):
-    """A forwarder whose calls are made up just before each report."""
+    """A real forwarder whose calls are simulated just before each report."""
 
     def __init__(self, index: int, config: ForwardersConfig, counts: TrafficCounts) -> None:
-        """Prepare the forwarder of a number in the fleet; `start` connects it."""
+        """Create the forwarder with an index in the fleet, with a day's counters; `start` connects it."""
         self.index = index
         self.counts = counts
         self.random = draws.stream(config.seed, f"forwarder {index}")
         self.upstream_ids: dict[str, int] = {}
-        self.hung_uid = ""  # a converter that answers no calls
+        self.hung_uid = ""  # the converter that no longer answers calls; empty if there is none
         self.hung_since_us = 0
         self.avoided_after_s: float | None = None
         self.evidence = PlanBasis()
@@ -130,7 +130,7 @@
         self.set_converters(converters_of(index, config.in_use))
 
     def set_converters(self, numbers: range) -> None:
-        """Call these converters from now on, with a day's counters of each new one."""
+        """Call the converters with these numbers from now on, and set the counters of new ones to a day's calls."""
         self.upstream_ids = {converter_uid(number): number for number in numbers}
         self.refresh_uids()
         served = int(CALLS_PER_S / len(numbers) * DAY_S)
@@ -143,7 +143,7 @@
             record.latencies[latency_bucket(ANSWER_LATENCY_US)] = served
 
     def on_plan_updated(self, event: PlanUpdated) -> None:
-        """Record when a plan first ejects the hung converter."""
+        """Record the time until a plan first ejects the hung converter."""
         number = self.upstream_ids.get(self.hung_uid)
         if number is None or self.avoided_after_s is not None:
             return
@@ -151,25 +151,25 @@
             self.avoided_after_s = (clock_us() - self.hung_since_us) / US_PER_S
 
     def hang(self, uid: str) -> None:
-        """Let a converter answer no more calls."""
+        """Make a converter answer no more calls of this forwarder."""
         self.hung_uid = uid
         self.hung_since_us = clock_us()
 
     def on_plan(self, plan: Plan) -> None:
-        """Count a plan, and follow it."""
+        """Count a plan, and process it as a forwarder does."""
         self.counts.on_plan(plan)
         self.evidence = plan.evidence
         super().on_plan(plan)
 
     def send_reports(self) -> None:
-        """Make up the calls since the last report, and report them."""
+        """Simulate the calls since the last report, and send the reports."""
         start_s = time.thread_time()
         self.simulate_calls(time.monotonic())
         self.counts.simulation_s += time.thread_time() - start_s
         super().send_reports()
 
     def simulate_calls(self, now_s: float) -> None:
-        """Make up the calls since the last time: most straight into the counters, those in flight as they start."""
+        """Simulate the calls since the last simulation: add ended ones to the counters, and start those in flight."""
         elapsed_s = now_s - self.simulated_until_s
         self.simulated_until_s = now_s
         uids = list(self.upstream_ids)
@@ -205,17 +205,17 @@
 
 
 class Worker:
-    """The forwarders of this process, and the commands that they take."""
+    """The forwarders of this process, and the commands that it runs."""
 
     def __init__(self, config: ForwardersConfig) -> None:
-        """Start without forwarders."""
+        """Start without forwarders, and install the traffic counts."""
         self.config = config
         self.counts = TrafficCounts()
         self.forwarders: list[LightweightForwarder] = []
         self.counts.install()
 
     def run(self, command: Mapping[str, Any]) -> dict[str, Any]:
-        """Run one command, and return its answer."""
+        """Run one command, and return its answer; any command but `grow` and `hang` is a `sample`."""
         if command["do"] == "grow":
             return self.grow(int(command["fleet"]))
         if command["do"] == "hang":
@@ -223,7 +223,7 @@
         return self.sample()
 
     def grow(self, fleet: int) -> dict[str, Any]:
-        """Start forwarders up to this process's part of a fleet of so many."""
+        """Start this process's part of a fleet that grows to `fleet` forwarders."""
         first = self.config.worker + len(self.forwarders) * self.config.workers
         for index in range(first, fleet, self.config.workers):
             started = LightweightForwarder(index, self.config, self.counts)
@@ -235,13 +235,13 @@
         return {}
 
     def hang(self, uid: str) -> dict[str, Any]:
-        """Let a converter answer no more calls of any forwarder."""
+        """Make a converter answer no more calls of any forwarder."""
         for each_forwarder in self.forwarders:
             each_forwarder.hang(uid)
         return {}
 
     def sample(self) -> dict[str, Any]:
-        """Return the totals of this process now."""
+        """Return the current totals of this process, in the form of `control.Sample`."""
         usage, counts = own_usage(), self.counts
         users = [
             each_forwarder
@@ -267,7 +267,7 @@
 
 
 async def serve(config: ForwardersConfig) -> None:
-    """Answer commands until the end of standard input."""
+    """Run commands from standard input until it ends, and print the answers."""
     worker = Worker(config)
     loop = asyncio.get_running_loop()
     print("{}", flush=True)
@@ -276,8 +276,8 @@
 
 
 def main() -> None:
-    """Serve as the first argument says."""
-    # the log lines of hundreds of forwarders would be a good part of the CPU time that is measured
+    """Serve with the configuration in the first argument."""
+    # writing the log lines of hundreds of forwarders would take a large part of the measured CPU time
     logging.getLogger("ryepier.plan").setLevel(logging.ERROR)
     asyncio.run(serve(msgspec.json.decode(sys.argv[1], type=ForwardersConfig)))
 
--- a/ryepier/experiments/scale/lightweight_sidecar.py
+++ b/ryepier/experiments/scale/lightweight_sidecar.py
@@ -1,8 +1,8 @@
-"""Lightweight sidecars, hundreds per process: the decision module and the watch of real ones, without requests.
+"""A process with hundreds of sidecars that run the real decision module and watch of the list, without requests.
 
 `python -m ryepier.experiments.scale.lightweight_sidecar HOST PORT SEED [SEEDED_FAULT]` reads a command per line, as
-`lightweight.LightweightProcess` sends them: `start` a number of sidecars, wait `until` all have a version of the list,
-`usage`, `memory`, and `late`, the times at which the last had each version.
+`lightweight.LightweightProcess` sends them: `start` starts a number of sidecars, `until` waits until all have a version
+of the list, `usage` and `memory` return resource usage, and `late` the times at which the last had each version.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from ryepier.sidecar.logs import RateLimitFilter
 from ryepier.sidecar.system import clock_us
 
-START_INTERVAL_S = 0.002  # between two starts, as the speed of discovery's listener is not measured
+START_INTERVAL_S = 0.002  # between two starts; spares discovery's listener, whose speed is not measured
 POLL_INTERVAL_S = 0.01
 IDLE_TIMEOUT_US = 10_000_000
 MAX_SOCKETS = 1024
@@ -44,16 +44,16 @@
 
 
 class VersionCounts:
-    """How many sidecars of this process have each version of the list, and when the last of them had it."""
+    """Counts how many sidecars of this process have each version of the list, and when the last one received it."""
 
     def __init__(self) -> None:
-        """Start without sidecars."""
+        """Start without sidecars; each new sidecar must be counted at version 0."""
         self.sidecars_by_version: Counter[int] = Counter()
         self.last_received_us: dict[int, int] = {}
         self.entries_received = 0
 
     def on_update(self, previous_version: int, event: UpstreamsUpdated) -> None:
-        """Count one sidecar's update."""
+        """Count a sidecar's update from its previous version."""
         self.sidecars_by_version[previous_version] -= 1
         self.sidecars_by_version[event.version] += 1
         self.last_received_us[event.version] = clock_us()
@@ -61,30 +61,30 @@
 
 
 class CountingDispatcher(RequestDispatcher):
-    """A sidecar's dispatcher, which counts updates of the list once the decision module has them."""
+    """A sidecar's dispatcher that counts each update of the list once the decision module has handled it."""
 
     counts: VersionCounts
     version = 0
 
     def on_endpoints(self, event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
-        """Handle an update, and count it."""
+        """Handle an update of the list, and count it."""
         super().on_endpoints(event, addresses)
         self.counts.on_update(self.version, event)
         self.version = event.version
 
 
 class LightweightSidecars:
-    """The sidecars of this process, and the commands that they take."""
+    """The sidecars of this process, and the commands that it runs."""
 
     def __init__(self, discovery: tuple[str, int], seed: int) -> None:
-        """Start without sidecars."""
+        """Start without sidecars; `seed` is that of the first one, and each further sidecar adds one."""
         self.discovery = discovery
         self.seed = seed
         self.counts = VersionCounts()
         self.dispatchers: list[CountingDispatcher] = []
 
     async def run(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Run one command, and return its answer. Raises KeyError for an unknown one."""
+        """Run one command, and return its answer. Raises KeyError if the command is unknown."""
         if command["do"] == "start":
             return await self.start(int(command["count"]))
         if command["do"] == "until":
@@ -97,7 +97,7 @@
         return queries[command["do"]]()
 
     async def start(self, count: int) -> dict[str, Any]:
-        """Start so many more, and return the usage."""
+        """Start `count` more sidecars, and return the usage."""
         for _ in range(count):
             self._start_sidecar()
             self.counts.sidecars_by_version[0] += 1
@@ -120,7 +120,7 @@
         self.dispatchers.append(dispatcher)
 
     async def wait_for_version(self, version: int, within_s: float) -> dict[str, Any]:
-        """Wait until all have a version or the time is over, and return how many have it and since when."""
+        """Wait up to `within_s` until all sidecars have a version; return how many do, and when the last got it."""
         deadline_s = time.monotonic() + within_s
         while self.counts.sidecars_by_version[version] < len(self.dispatchers) and time.monotonic() < deadline_s:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -128,25 +128,25 @@
         return self.usage() | {"have": have_count, "last_us": self.counts.last_received_us.get(version, 0)}
 
     def usage(self) -> dict[str, Any]:
-        """Return CPU time, memory, and the entries received."""
+        """Return the CPU time, the resident memory, and the list entries received by all sidecars together."""
         return dataclasses.asdict(own_usage()) | {"entries": self.counts.entries_received}
 
     def memory(self) -> dict[str, Any]:
-        """Return the usage without garbage, and the converters known to all sidecars together.
+        """Return the usage after a garbage collection, and the sum of the converters that each sidecar knows.
 
-        The collection costs CPU time, so no other figure uses this command.
+        The collection takes CPU time, so CPU time is not measured across this command.
         """
         gc.collect()
         known_count = sum(len(dispatcher.balancer.membership.by_id) for dispatcher in self.dispatchers)
         return self.usage() | {"known": known_count}
 
     def last_times(self) -> dict[str, Any]:
-        """Return when the last sidecar of this process had each version, on the machine's clock."""
+        """Return when the last sidecar of this process received each version, on the machine's monotonic clock."""
         return {"last_us": self.counts.last_received_us}
 
 
 async def serve(sidecars: LightweightSidecars) -> None:
-    """Answer commands until the end of standard input."""
+    """Run commands from standard input until it ends, and print the answers."""
     loop = asyncio.get_running_loop()
     print(json.dumps(sidecars.usage()), flush=True)
     while line := await loop.run_in_executor(None, sys.stdin.readline):
@@ -154,10 +154,10 @@
 
 
 def main() -> None:
-    """Install the seeded fault, if one is named, and serve with a log as a sidecar has it."""
+    """Install the seeded fault, if one is given, and serve with a sidecar's log configuration, writing to /dev/null."""
     host, port, seed, *faults = sys.argv[1:]
     if any(faults):
-        from ryepier.experiments import seeded_faults  # heavy, and usually not needed
+        from ryepier.experiments import seeded_faults  # imported late: it is large, and usually not needed
 
         seeded_faults.SEEDED_FAULTS[faults[0]]()
     with open(os.devnull, "w", encoding="utf-8") as discarded:
--- a/ryepier/experiments/scale/list_costs.py
+++ b/ryepier/experiments/scale/list_costs.py
@@ -1,4 +1,4 @@
-"""The CPU time of reading an endpoint list, step by step, in one sidecar with its core's caches to itself."""
+"""Measures the CPU time of processing an endpoint list by step, in one sidecar with its core's caches to itself."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from ryepier.sidecar.json_stream import JsonStreamDecoder
 from ryepier.sidecar.system import clock_us
 
-CHUNK_BYTES = 65_536  # that arrive at a time
+CHUNK_BYTES = 65_536  # received at a time
 MAX_CHANGES = 100
 MS_PER_S = 1000
 US_PER_MS = 1000
 
 
 class StepTimer:
-    """CPU time by step, in milliseconds."""
+    """Accumulates CPU time by step, in milliseconds."""
 
     def __init__(self) -> None:
         """Start without steps."""
@@ -42,7 +42,7 @@
 
 
 def decode(data: bytes, chunk_bytes: int) -> Any:
-    """Return the one message in the data, decoded in pieces of a size."""
+    """Return the only message in the data, decoded in chunks of `chunk_bytes`."""
     decoder = JsonStreamDecoder()
     chunks = [data[start : start + chunk_bytes] for start in range(0, len(data), chunk_bytes)]
     (message,) = [message for chunk in chunks for message in decoder.feed(chunk)]
@@ -50,7 +50,7 @@
 
 
 def measure(known_count: int, seed: int) -> dict[str, float]:
-    """Return the costs of a whole list, and of changes one by one: decoder, registry and decision module."""
+    """Return the CPU time of a full list and of a change in the decoder, the registry and the decision module."""
     listing = Listing(known_count, seed)
     registry = EndpointRegistry(ZONES, KINDS)
     balancer = Balancer(Settings(CLASSES), seed, clock_us())
--- a/ryepier/experiments/scale/machine_load.py
+++ b/ryepier/experiments/scale/machine_load.py
@@ -1,4 +1,4 @@
-"""How busy the machine was around a measurement."""
+"""Figures that show how busy the machine was before and after a measurement."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def reference_task_cpu_s() -> float:
-    """Return the CPU time of a fixed task now; on a machine that others use it grows, as does all that is measured."""
+    """Run a fixed task, and return its CPU time, which grows like all measured CPU times when the machine is shared."""
     start_s = time.process_time()
     values = [1.0] * REFERENCE_TASK_VALUES
     for _ in range(REFERENCE_TASK_ROUNDS):
@@ -21,10 +21,10 @@
 
 
 def load_figures(moment: str) -> dict[str, float]:
-    """Return the load average and the CPU time of the fixed task, as figures of `before` or `after`."""
+    """Return the load average and the CPU time of the fixed task; `moment` is `before` or `after`."""
     return {f"load_average_{moment}": os.getloadavg()[0], f"pace_{moment}": reference_task_cpu_s()}
 
 
 def finite_figures(figures: Mapping[str, float]) -> dict[str, float]:
-    """Return the figures without infinite ones, for which JSON has no number; the claims tell of them."""
+    """Return the figures without infinite ones, for which JSON has no number; the claims show those that matter."""
     return {name: value for name, value in figures.items() if math.isfinite(value)}
--- a/ryepier/experiments/scale/seeded_faults.py
+++ b/ryepier/experiments/scale/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Seeded faults that cost more as the fleet grows.
+"""Seeded faults whose cost grows with the fleet.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process for good, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def scan_all_upstreams() -> None:
-    """Go through all upstreams twice more at each selection."""
+    """Scan all upstreams `EXTRA_SCANS` additional times at each selection."""
     select = Selector.select
 
     def select_after_scans(self: Selector, request: PendingRequest, now_us: int) -> TrackedUpstream | None:
@@ -28,7 +28,7 @@
 
 
 def retry_without_budget() -> None:
-    """Charge nothing for a retry, so that only time bounds retries."""
+    """Charge nothing for a retry, so that only the deadline limits retries."""
 
     def charge_nothing(self: RetryPolicy, request: PendingRequest, in_storm: bool) -> None:
         self.budget = MAX_RETRY_BUDGET
--- a/ryepier/experiments/scale/slopes.py
+++ b/ryepier/experiments/scale/slopes.py
@@ -1,4 +1,4 @@
-"""How a figure grows with a size: a line through measured values, its residuals, and the spread over seeds. Pure."""
+"""Fits lines to figures by size, with residuals, and summarizes figures over several seeds. No I/O."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 import msgspec
 import numpy as np
 
-MIN_SIZES = 4  # a line fits any two; with four, curvature shows in the residuals
+MIN_SIZES = 4  # a line fits any two points; with four, a curve shows in the residuals
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """The value of a line at a size."""
+    """The value of a fitted line at a size."""
 
     value: float
-    is_extrapolated: bool  # the size lies outside of the measured ones
+    is_extrapolated: bool  # whether the size is outside the measured range
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A least-squares line through a figure at several sizes; units are those of the figure and of the size."""
+    """A least-squares line through a figure at several sizes, in the units of the figure and the size."""
 
     per_unit: float
     intercept: float
     largest_residual: float  # in the figure's unit
-    relative_residual: float  # the same over the largest figure measured; 0 where all are 0
+    relative_residual: float  # `largest_residual` over the largest absolute value measured; 0 if all values are 0
     from_size: float
     to_size: float
 
@@ -33,7 +33,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """A figure over several seeds."""
+    """The range and median of a figure over several seeds."""
 
     least: float
     median: float
@@ -41,14 +41,14 @@
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """Return the least-squares line. Raises ValueError for too few sizes, or values that are not finite."""
+    """Return the least-squares line. Raises ValueError for too few distinct sizes or for values that are not finite."""
     if len(sizes) != len(values):
         raise ValueError(f"{len(sizes)} sizes and {len(values)} values")
     if len(set(sizes)) < MIN_SIZES:
-        raise ValueError(f"a slope needs at least {MIN_SIZES} different sizes, not {len(set(sizes))}")
+        raise ValueError(f"a line needs at least {MIN_SIZES} distinct sizes, got {len(set(sizes))}")
     x, y = np.asarray(sizes, dtype=np.float64), np.asarray(values, dtype=np.float64)
     if not (np.isfinite(x).all() and np.isfinite(y).all()):
-        raise ValueError("a size or a value is no finite number")
+        raise ValueError("sizes and values must be finite")
     (per_unit, intercept), *_ = np.linalg.lstsq(np.column_stack((x, np.ones_like(x))), y)
     residual = float(np.abs(y - (intercept + per_unit * x)).max())
     largest = float(np.abs(y).max())
@@ -63,7 +63,7 @@
 
 
 def spread(values: Sequence[float]) -> Spread:
-    """Return the spread of values over seeds. Raises ValueError without any value."""
+    """Return the spread of values over seeds. Raises ValueError if there are none."""
     if not values:
-        raise ValueError("no value to tell the spread of")
+        raise ValueError("a spread needs at least one value")
     return Spread(float(min(values)), float(np.median(values)), float(max(values)))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -151,7 +151,7 @@
     (run / "result.json").write_text(json.dumps(result | {"plant": "spin"}))
     assert CliRunner().invoke(main, ["experiment", "keep", str(run), "--kept", str(folder)]).exit_code == 2
     (folder / "scale-x-3.json").write_bytes((folder / "scale-x-2.json").read_bytes())
-    with pytest.raises(CapacityError, match=r"holds scale-x-2\.json"):
+    with pytest.raises(CapacityError, match=r"belongs in scale-x-2\.json"):
         read_results(folder)
 
 
