--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -48,8 +48,8 @@
     """Return the counts of requests by converter and window, without a remainder shorter than a window."""
     windows = (end_us - begin_us) // window_us
     edges = begin_us + window_us * np.arange(windows + 1, dtype=np.int64)
-    rows = [np.diff(np.searchsorted(np.asarray(times, dtype=np.int64), edges)) for times in received_us]
-    return np.asarray(rows, dtype=np.int64)
+    counts_by_converter = [np.diff(np.searchsorted(np.asarray(times, dtype=np.int64), edges)) for times in received_us]
+    return np.asarray(counts_by_converter, dtype=np.int64)
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -9,7 +9,7 @@
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.load_spread.processes.memory import check_here
 
-BASE = "load-spread-processes"
+BASE_WORLD = "load-spread-processes"
 FULL_SIDECARS = 200
 FULL_CONVERTERS_PER_ZONE = 20
 FULL_RATE_PER_S = 600.0
@@ -37,7 +37,7 @@
 
 def fleet(scale: Scale, load_factor: float = 1.0) -> World:
     """Return the fleet of a scale, without faults. Raises InsufficientResourcesError if memory does not suffice."""
-    world, replace = load(BASE), msgspec.structs.replace
+    world, replace = load(BASE_WORLD), msgspec.structs.replace
     rate_per_s = world.clients.rate_per_s if scale is Scale.SMALL else FULL_RATE_PER_S
     world = replace(world, clients=replace(world.clients, rate_per_s=rate_per_s * load_factor))
     if scale is Scale.FULL:
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -15,8 +15,8 @@
 from ryepier.experiments.load_spread.processes import fleets, measures
 
 BASELINE_FROM_S = 1.0
-RETRY_US = 1_000_000  # after a restart, until clients whose attempts failed meanwhile have retried
-MIN_SERVICE = 0.97
+RETRY_GRACE_US = 1_000_000  # after a restart, until clients whose attempts failed meanwhile have retried
+MIN_SERVICE_LEVEL = 0.97
 US_PER_S = 1e6
 
 
@@ -37,8 +37,8 @@
 
 
 def service_of_restarted(run: Run) -> float:
-    """Return the service level of clients of the restarted sidecars, from `RETRY_US` after these were ready."""
-    ready_us = {incarnation.sidecar: incarnation.ready_us + RETRY_US for incarnation in restarted(run)}
+    """Return the service level of clients of the restarted sidecars, from `RETRY_GRACE_US` after these were ready."""
+    ready_us = {incarnation.sidecar: incarnation.ready_us + RETRY_GRACE_US for incarnation in restarted(run)}
     never_us = run.world.duration_s * US_PER_S
     return figures.service_level(
         run.operations, lambda operation: operation.planned_us >= ready_us.get(operation.sidecar, never_us)
@@ -60,8 +60,8 @@
     return [
         Claim("sidecars killed at once", len(killed), ">=", min_killed),
         Claim("sidecars started again", len(restarted(run)), "==", len(killed)),
-        Claim("service of the others' clients", service_of_survivors(run, killed), ">=", MIN_SERVICE),
-        Claim("service of their own, 1 s after their start", service_of_restarted(run), ">=", MIN_SERVICE),
+        Claim("service of the others' clients", service_of_survivors(run, killed), ">=", MIN_SERVICE_LEVEL),
+        Claim("service of their own, 1 s after their start", service_of_restarted(run), ">=", MIN_SERVICE_LEVEL),
         *measures.burst_claims(measures.measure_bursts(run)),
     ]
 
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -19,7 +19,7 @@
 RELEASE_UNDERWAY_S = 2.0  # after the lists became stale; the release is in progress by then
 AFTER_CUT_S = 1.0
 MIN_SERVED_SHARE = 0.9
-MIN_SERVICE = 0.95
+MIN_SERVICE_LEVEL = 0.95
 MAX_UNEVENNESS = 1.5  # variation over that of random choice, while the lists differ
 STALE_END_S = fleets.STALE_AT_S + fleets.STALE_FOR_S
 CUT_MIDDLE_S = fleets.CUT_AT_S + fleets.CUT_FOR_S / 2
@@ -74,8 +74,8 @@
     return [
         Claim("share of replacements in use", share_of_replacements_used(run), "==", 1.0),
         Claim("first tries served in the end", figures_of_run["served_in_the_end"], ">=", MIN_SERVED_SHARE),
-        Claim("service while the lists differ", figures_of_run["service_lists_apart"], ">=", MIN_SERVICE),
-        Claim("service from 1 s after the cut", figures_of_run["service_after"], ">=", MIN_SERVICE),
+        Claim("service while the lists differ", figures_of_run["service_lists_apart"], ">=", MIN_SERVICE_LEVEL),
+        Claim("service from 1 s after the cut", figures_of_run["service_after"], ">=", MIN_SERVICE_LEVEL),
         Claim("variation while the lists differ, over by chance", unevenness, "<=", MAX_UNEVENNESS),
         *measures.burst_claims(measures.measure_bursts(run)),
     ]
--- a/ryepier/experiments/load_spread/processes/memory.py
+++ b/ryepier/experiments/load_spread/processes/memory.py
@@ -17,12 +17,12 @@
 
 def check(world: World, machine: Machine) -> None:
     """Raise InsufficientResourcesError if a world needs more memory than may be used or than is free."""
-    needed = needed_bytes(world)
-    for allowed, text in ((machine.usable_bytes, "may be used"), (machine.available_bytes, "are free")):
-        if needed > allowed:
+    required_bytes = needed_bytes(world)
+    for limit_bytes, limit_text in ((machine.usable_bytes, "may be used"), (machine.available_bytes, "are free")):
+        if required_bytes > limit_bytes:
             raise InsufficientResourcesError(
-                f"{world.sidecars.count} sidecars need {needed / GB:.1f} GB,"
-                f" and only {allowed / GB:.1f} GB {text}: try --scale small"
+                f"{world.sidecars.count} sidecars need {required_bytes / GB:.1f} GB,"
+                f" and only {limit_bytes / GB:.1f} GB {limit_text}: try --scale small"
             )
 
 
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -16,8 +16,8 @@
 from ryepier.experiments.load_spread.trials import FleetOutcome, FleetTrial, run_trials
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan, Outage
 
-MIN_SHARE = 0.7  # mean load of the restarted converters over that of the others
-MAX_SHARE = 1 / MIN_SHARE
+MIN_LOAD_SHARE = 0.7  # mean load of the restarted converters over that of the others
+MAX_LOAD_SHARE = 1 / MIN_LOAD_SHARE
 MEASURED_DURATION_US = 5 * SECOND_US  # after the slow start
 WARM_UPS_US = {"cold": 4 * SECOND_US, "warm at once": 0}
 OUTAGE_SHARE = 0.2  # of the converters that go down
@@ -77,8 +77,8 @@
         mean = sum(shares) / len(shares)
         warm_up_claim_name = f"{name}: most sent to one that is back, over what it may get"
         claims += [
-            Claim(f"{name}: share of those back, the mean", mean, ">=", MIN_SHARE),
-            Claim(f"{name}: share of those back, the mean, no rush", mean, "<=", MAX_SHARE),
+            Claim(f"{name}: share of those back, the mean", mean, ">=", MIN_LOAD_SHARE),
+            Claim(f"{name}: share of those back, the mean, no rush", mean, "<=", MAX_LOAD_SHARE),
             Claim(warm_up_claim_name, outcome.worst_warm_up_load, "<=", 1.0),
         ]
         key = name.replace(" ", "_")
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -117,9 +117,9 @@
             pool.subset = OpenSubset()
 
 
-def _factory(make: Callable[[api.Settings, int, int], Balancer]) -> ChooserFactory:
+def _factory(make_chooser: Callable[[api.Settings, int, int], Balancer]) -> ChooserFactory:
     def factory(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> Chooser:
-        return make(settings, seed, now_us)
+        return make_chooser(settings, seed, now_us)
 
     return factory
 
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -38,13 +38,13 @@
     span = (treatment.begin_us, treatment.end_us)
     crowded = measures.crowded_windows(treatment.received_us, *span, CROWDED_WINDOW_US)
     empty = measures.empty_windows(treatment.received_us, *span, EXPECTED_PER_WINDOW)
-    connections = treatment.connections / control.connections
-    connections_name = f"{load}: connections over those without the mending"
+    connections_ratio = treatment.connections / control.connections
+    connections_claim_name = f"{load}: connections over those without the mending"
     return [
         _rare_claim(f"{load}: windows of 100 ms above the Poisson quantile", crowded),
         _rare_claim(f"{load}: windows without a request where 12 are expected", empty),
         Claim(f"{load}: refused", treatment.rejected_share, "<=", MAX_REJECTED_SHARE),
-        Claim(connections_name, connections, "<=", MAX_CONNECTIONS_RATIO),
+        Claim(connections_claim_name, connections_ratio, "<=", MAX_CONNECTIONS_RATIO),
     ]
 
 
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -81,7 +81,7 @@
     of its count and two requests, as in the tests of slow start.
     """
     window: deque[int] = deque()
-    worst = 0.0
+    worst_load = 0.0
     for at_us in converter.received_us:
         if at_us < converter.started_us:
             continue
@@ -89,13 +89,13 @@
         while window[0] <= at_us - plan.overload_window_us:
             window.popleft()
         begin_us = max(converter.started_us, at_us - plan.overload_window_us)
-        worst = max(worst, len(window) / _allowed_requests(plan, begin_us - converter.started_us))
-    return worst
+        worst_load = max(worst_load, len(window) / _allowed_requests(plan, begin_us - converter.started_us))
+    return worst_load
 
 
 def _allowed_requests(plan: FleetPlan, age_us: int) -> float:
     """Return how many requests a converter may receive in an overload window that begins `age_us` after its start."""
     capacity_per_s = plan.warmth(age_us) * plan.places * SECOND_US / plan.work_us
     overload = plan.overload_factor * capacity_per_s * plan.overload_window_us / SECOND_US
-    allowed: float = overload + 2 * overload**0.5 + 2
-    return allowed
+    allowed_requests: float = overload + 2 * overload**0.5 + 2
+    return allowed_requests
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -239,7 +239,7 @@
         )  # a comprehension has no name of its own
         name = f"{Path(file).stem}.{function.strip('<>')}{line_suffix}"
         us_per_call[name] = us_per_call.get(name, 0.0) + own_s * 1e6 / max(1, calls)
-    costs = [FunctionCost(name, us) for name, us in us_per_call.items()]
+    costs = [FunctionCost(name, own_us) for name, own_us in us_per_call.items()]
     return sorted(costs, key=lambda cost: -cost.us_per_call)[:MAX_PROFILED_FUNCTIONS]
 
 
--- a/ryepier/experiments/scale/capacity/page.py
+++ b/ryepier/experiments/scale/capacity/page.py
@@ -24,11 +24,11 @@
 )
 
 
-def make_parts(rows: Sequence[Row], kept: Sequence[KeptResult], plan: Plan) -> dict[str, str]:
+def make_parts(rows: Sequence[Row], kept_results: Sequence[KeptResult], plan: Plan) -> dict[str, str]:
     """Return the text between the page's markers, by part. Raises CapacityError if a result lacks needed figures."""
-    results = evaluate(rows, kept, plan)
+    results = evaluate(rows, kept_results, plan)
     return {
-        TABLES: format_roles(results) + "\n\n" + format_sources(kept),
+        TABLES: format_roles(results) + "\n\n" + format_sources(kept_results),
         BREAKS: format_breaks(results),
     }
 
@@ -126,12 +126,12 @@
     return f"at {format_number(100 * share)}% of the size" if share else "at any size"
 
 
-def format_sources(kept: Sequence[KeptResult]) -> str:
+def format_sources(kept_results: Sequence[KeptResult]) -> str:
     """Return the experiments behind the tables, with scale, cores, and the claims that failed."""
-    names = dict.fromkeys(result.name for result in kept)
+    names = dict.fromkeys(result.name for result in kept_results)
     if not names:
         return "No result is kept."
-    sources = [_format_source(name, [result for result in kept if result.name == name]) for name in names]
+    sources = [_format_source(name, [result for result in kept_results if result.name == name]) for name in names]
     return "Kept results: " + "; ".join(sources) + "."
 
 
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -82,16 +82,16 @@
     value: Value
 
 
-def evaluate(rows: Sequence[Row], kept: Sequence[KeptResult], plan: Plan) -> list[RowResult]:
+def evaluate(rows: Sequence[Row], kept_results: Sequence[KeptResult], plan: Plan) -> list[RowResult]:
     """Evaluate each row with the kept results. Raises CapacityError like `evaluate_row`."""
-    return [evaluate_row(row, kept, plan) for row in rows]
+    return [evaluate_row(row, kept_results, plan) for row in rows]
 
 
-def evaluate_row(row: Row, kept: Iterable[KeptResult], plan: Plan) -> RowResult:
+def evaluate_row(row: Row, kept_results: Iterable[KeptResult], plan: Plan) -> RowResult:
     """Evaluate a row with the results of its experiment. Raises CapacityError if none has the needed figures."""
     if not row.mechanism:
         return RowResult(row, Standing.MISSING)
-    results = [result for result in kept if result.name == row.experiment]
+    results = [result for result in kept_results if result.name == row.experiment]
     if row.estimator is None or not results:
         return RowResult(row, Standing.NOT_MEASURED)
     by_seed = _estimate_each(row, row.estimator, results, plan)
--- a/ryepier/experiments/scale/capacity/table.py
+++ b/ryepier/experiments/scale/capacity/table.py
@@ -112,7 +112,7 @@
     return Value(1.0 - served_shares[plan.converters], fitting_share=max(fitting_counts, default=0) / plan.converters)
 
 
-def whole_lists(figures: Figures, plan: Plan) -> Value:
+def full_lists(figures: Figures, plan: Plan) -> Value:
     """Estimate the traffic of a full list to every sidecar."""
     return fitted_line("again_bytes_{}", converters, plan.sidecars * MB)(figures, plan)
 
@@ -194,7 +194,7 @@
     Row(DISCOVERY, "until the last has a list of 150 again", "s", SPACED_CALLS, LIST,
         fitted_line("fleet_back_alone_s_{}", sidecars), in_force_s, SlopeUnit("ms a sidecar", MS_PER_S)),
     Row(DISCOVERY, "whole lists to all after an outage", "MB", FULL_LIST, LIST,
-        whole_lists, slope=SlopeUnit("B a converter, a sidecar")),
+        full_lists, slope=SlopeUnit("B a converter, a sidecar")),
     Row(DISCOVERY, "messages of a zone's changes", "messages", WATCH, FAIL, single_figure("zone_messages", exponent=2)),
     Row(DISCOVERY, "until the last has a rack's changes, one by one", "s", WATCH, FAIL,
         single_figure("rack_singly_last_s", exponent=1), in_force_s),
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -122,13 +122,13 @@
     broken_off = sum(run_figures.broken_off for run_figures in runs.values())
     answered = min(run_figures.answered_share for run_figures in runs.values())
     over_bound = max(run_figures.over_bound for run_figures in runs.values())
-    bound_name = "attempts at the last service over what the hops' budgets allow, the most of all runs"
-    unsafe_name = "attempts at the last service for a call of a class that is never sent twice"
+    bound_claim_name = "attempts at the last service over what the hops' budgets allow, the most of all runs"
+    unsafe_claim_name = "attempts at the last service for a call of a class that is never sent twice"
     return [
         Claim("runs broken off, as attempts had no end", broken_off, "==", 0),
         Claim("least share of calls that had an answer", answered, ">=", 1.0),
-        Claim(bound_name, over_bound, "<=", 1.0),
-        Claim(unsafe_name, runs[UNSAFE_RUN].attempts_a_call, "<=", 1.0),
+        Claim(bound_claim_name, over_bound, "<=", 1.0),
+        Claim(unsafe_claim_name, runs[UNSAFE_RUN].attempts_a_call, "<=", 1.0),
     ]
 
 
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -153,7 +153,7 @@
     sent_at_us: dict[int, int] = {}
     for change_index in range(count):
         if change_index % 3 == 0:
-            leaving = listing.pick(1)
+            leaving = listing.pick_active(1)
         listing.change(
             [listing.new_entry()] if change_index % 3 == 2 else leaving, ("leaving", "left", "")[change_index % 3]
         )
@@ -179,7 +179,7 @@
 async def remove_zone(group: Group) -> Figures:
     """Measure a zone's loss: drain its converters in one update, remove each in its own, and add as many in one."""
     listing = group.server.listing
-    zone_entries = listing.pick(max(1, group.known_count // ZONE_DIVISOR))
+    zone_entries = listing.pick_active(max(1, group.known_count // ZONE_DIVISOR))
     before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
     listing.change(zone_entries, "leaving")
     together_cpu_s, together_bytes = await group.measure_cost(group.server.send_changes_to_all(), before, bytes_before)
@@ -226,9 +226,9 @@
     return [
         {
             "idle_cores": (usage_after["cpu_s"] - usage_before["cpu_s"]) / group.count / duration_s,
-            "idle_bytes_per_s": (group.server.bytes_sent - sent_before) / group.count / duration_s,
+            "idle_bytes_per_s": (group.server.bytes_sent - bytes_sent_before) / group.count / duration_s,
         }
-        for group, usage_before, usage_after, sent_before in zip(groups, before, after, bytes_before, strict=True)
+        for group, usage_before, usage_after, bytes_sent_before in zip(groups, before, after, bytes_before, strict=True)
     ]
 
 
@@ -304,17 +304,17 @@
         async with AsyncExitStack() as stack:
             processes = [
                 await stack.enter_async_context(
-                    lightweight.start_process(SIDECAR_MODULE, [host, str(PORT), str(seed + i)])
+                    lightweight.start_process(SIDECAR_MODULE, [host, str(PORT), str(seed + index)])
                 )
-                for i in range(FLEET_PROCESSES)
+                for index in range(FLEET_PROCESSES)
             ]
             for process in processes:
                 await process.read()
-            started = 0
+            started_count = 0
             for count in FLEET_SIZES[scale]:
-                new_per_process = (count - started) // len(processes)
+                new_per_process = (count - started_count) // len(processes)
                 await asyncio.gather(*(process.request("start", count=new_per_process) for process in processes))
-                started = count
+                started_count = count
                 replies = await asyncio.gather(
                     *(
                         process.request("until", version=server.listing.registry.rev, within_s=RECONNECT_TIMEOUT_S)
@@ -343,14 +343,14 @@
     """Return the figures derived for the largest number of known converters and a day's changes."""
     largest = rows[KNOWN_COUNTS[-1]]
     changes_per_s = CHANGES_PER_DAY / DAY_S
-    memory, full_list = fit_figure("memory_bytes", rows), fit_figure("again_cpu_ms", rows)
+    memory_line, full_list_line = fit_figure("memory_bytes", rows), fit_figure("again_cpu_ms", rows)
     return {
         "base_mb": base_mb,
-        "sidecar_mb": base_mb + memory.at(KNOWN_COUNTS[-1]).value / MB,
-        "memory_bytes_a_converter": memory.per_unit,
-        "memory_residual": memory.relative_residual,
-        "again_cpu_us_a_converter": full_list.per_unit * 1000,
-        "again_residual": full_list.relative_residual,
+        "sidecar_mb": base_mb + memory_line.at(KNOWN_COUNTS[-1]).value / MB,
+        "memory_bytes_a_converter": memory_line.per_unit,
+        "memory_residual": memory_line.relative_residual,
+        "again_cpu_us_a_converter": full_list_line.per_unit * 1000,
+        "again_residual": full_list_line.relative_residual,
         "change_cpu_us_a_converter": fit_figure("change_cpu_us", rows).per_unit,
         "zone_cpu_us_a_change": largest["zone_singly_cpu_ms"] * 1000 / (KNOWN_COUNTS[-1] // ZONE_DIVISOR),
         "day_cores": largest["idle_cores"] + changes_per_s * largest["change_cpu_us"] / 1e6,
@@ -389,7 +389,7 @@
 def measure(trial: TrialConfig) -> Measurement:
     """Run the benchmark. Raises InsufficientResourcesError and HarnessError."""
     check_needs(needs(trial.scale), this_machine())
-    load = {"load_average": os.getloadavg()[0]}
+    load_figures = {"load_average": os.getloadavg()[0]}
     rows = asyncio.run(measure_by_known(trial.seed, trial.scale, trial.seeded_fault))
     fleets = asyncio.run(measure_by_fleet(trial.seed, trial.scale, trial.seeded_fault))
     derived = derive_figures(rows, base_bytes() / MB)
@@ -397,7 +397,7 @@
         row |= list_costs.measure(known_count, trial.seed)
     figures = {f"{name}_{known_count}": value for known_count, row in rows.items() for name, value in row.items()}
     figures |= {f"fleet_{name}_{count}": value for count, row in fleets.items() for name, value in row.items()}
-    return Measurement(make_claims(rows, fleets, derived), figures | derived | load)
+    return Measurement(make_claims(rows, fleets, derived), figures | derived | load_figures)
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -54,11 +54,11 @@
 
 def needs(scale: Scale) -> Needs:
     """Return the resources that the larger of the two parts needs, which run one after the other."""
-    own = max(
+    sidecar_bytes = max(
         count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
         for count, known_count in ((LISTENER_COUNT[scale], KNOWN_COUNT), (FLEET_SIZES[scale][-1], FLEET_KNOWN_COUNT))
     )
-    return Needs(1 + PROCESS_COUNT, (1 + PROCESS_COUNT) * PROCESS_BYTES + own, sockets=FLEET_SIZES[scale][-1])
+    return Needs(1 + PROCESS_COUNT, (1 + PROCESS_COUNT) * PROCESS_BYTES + sidecar_bytes, sockets=FLEET_SIZES[scale][-1])
 
 
 @dataclass(slots=True)
@@ -77,8 +77,8 @@
     async def wait_for_list(self) -> list[Any]:
         """Wait until all sidecars have the list, and return the answers. Raises HarnessError after `LIST_TIMEOUT_S`."""
         answers = await self.request("until", version=self.server.listing.registry.rev, within_s=LIST_TIMEOUT_S)
-        if (have := sum(answer["have"] for answer in answers)) < self.count:
-            raise HarnessError(f"{have} of {self.count} lightweight sidecars received the endpoint list in time")
+        if (have_count := sum(answer["have"] for answer in answers)) < self.count:
+            raise HarnessError(f"{have_count} of {self.count} lightweight sidecars received the endpoint list in time")
         return answers
 
     async def grow(self, count: int) -> None:
@@ -90,7 +90,7 @@
     async def lose_converters(self, changes: int, singly: bool = True) -> Figures:
         """Drain converters, with one message each or a single one, then replace them; return the cost of the drains."""
         listing = self.server.listing
-        lost_entries = listing.pick(changes)
+        lost_entries = listing.pick_active(changes)
         before, bytes_before, own_before = await self.request("usage"), self.server.bytes_sent, own_usage()
         start_us = monotonic_us()
         await self._send_drains(lost_entries, singly)
@@ -171,16 +171,16 @@
 
 def calculate_fleet_costs(figures: Mapping[str, float], scale: Scale) -> Figures:
     """Calculate the costs of the whole fleet if discovery writes on one core and each sidecar reads on its own."""
-    single_changes, combined_changes = (
+    single_change_line, combined_change_line = (
         _fit(figures, "burst_cpu_ms", BURST_SIZES),
         _fit(figures, "together_cpu_ms", BURST_SIZES),
     )
-    fleet_singly = _fit(figures, "zone_stand_in_cpu_s", FLEET_SIZES[scale])
-    fleet_together = _fit(figures, "zone_together_stand_in_cpu_s", FLEET_SIZES[scale])
+    fleet_singly_line = _fit(figures, "zone_stand_in_cpu_s", FLEET_SIZES[scale])
+    fleet_together_line = _fit(figures, "zone_together_stand_in_cpu_s", FLEET_SIZES[scale])
     result = {
-        "change_cpu_us": single_changes.per_unit * 1000,
-        "change_residual": single_changes.relative_residual,
-        "message_us": fleet_singly.per_unit * 1e6 / ZONE_SIZE,
+        "change_cpu_us": single_change_line.per_unit * 1000,
+        "change_residual": single_change_line.relative_residual,
+        "message_us": fleet_singly_line.per_unit * 1e6 / ZONE_SIZE,
     }
     for name, size, sidecars in (
         ("rack", RACK_SIZE, FLEET_SIZE),
@@ -190,24 +190,24 @@
         result |= {
             f"{name}_messages": float(size * sidecars),
             f"{name}_mb": figures[f"burst_bytes_{size}"] * sidecars / 1e6,
-            f"{name}_sidecar_ms": single_changes.at(size).value,
-            f"{name}_singly_last_s": fleet_singly.per_unit * sidecars * size / ZONE_SIZE
-            + single_changes.at(size).value / 1000,
+            f"{name}_sidecar_ms": single_change_line.at(size).value,
+            f"{name}_singly_last_s": fleet_singly_line.per_unit * sidecars * size / ZONE_SIZE
+            + single_change_line.at(size).value / 1000,
             # a longer message takes longer to write: all of its cost is taken to grow with the number of changes
-            f"{name}_together_last_s": fleet_together.per_unit * sidecars * max(1.0, size / ZONE_SIZE)
-            + combined_changes.at(size).value / 1000,
+            f"{name}_together_last_s": fleet_together_line.per_unit * sidecars * max(1.0, size / ZONE_SIZE)
+            + combined_change_line.at(size).value / 1000,
         }
     return result
 
 
 def make_claims(figures: Mapping[str, float]) -> list[Claim]:
     """Return the claims on the figures, including the calculated ones."""
-    delivered = [value for name, value in figures.items() if "_told_" in name]
-    still_ready = [value for name, value in figures.items() if "_still_ready_" in name]
+    delivered_ratios = [value for name, value in figures.items() if "_told_" in name]
+    still_ready_counts = [value for name, value in figures.items() if "_still_ready_" in name]
     return [
-        Claim("changes that a module was told, of one, least", min(delivered), "==", 1),
-        Claim("changes that a module was told, of one, most", max(delivered), "==", 1),
-        Claim("converters that drain and that a module still has for ready, most", max(still_ready), "==", 0),
+        Claim("changes that a module was told, of one, least", min(delivered_ratios), "==", 1),
+        Claim("changes that a module was told, of one, most", max(delivered_ratios), "==", 1),
+        Claim("converters that drain and that a module still has for ready, most", max(still_ready_counts), "==", 0),
         Claim(
             "largest residual of CPU by changes over the largest value", figures["change_residual"], "<=", MAX_RESIDUAL
         ),
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -53,11 +53,11 @@
         """Return the entries that are neither draining nor removed."""
         return [entry for entry in self.registry.targets.values() if entry["state"] == "active"]
 
-    def pick(self, count: int) -> list[Entry]:
+    def pick_active(self, count: int) -> list[Entry]:
         """Return `count` distinct active entries, drawn at random."""
         active = self.active_entries()
-        chosen = self.random.choice(len(active), size=count, replace=False)
-        return [active[int(index)] for index in chosen]
+        chosen_indices = self.random.choice(len(active), size=count, replace=False)
+        return [active[int(index)] for index in chosen_indices]
 
     def change(self, entries: Sequence[Entry], state: str = "") -> None:
         """Apply entries to the list, with another state if one is given, each as its own revision."""
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -195,8 +195,8 @@
     def _replace_calls_in_flight(self, uids: list[str]) -> None:
         for call in self.in_flight:
             self.reporter.on_attempt_ended(call.converter, call.token, Outcome.OK, ANSWER_LATENCY_US)
-        chosen = [uids[number] for number in self.random.integers(len(uids), size=CALLS_IN_FLIGHT).tolist()]
-        calls = [CallInFlight(uid, self.last_token + 1 + offset) for offset, uid in enumerate(chosen)]
+        called_uids = [uids[number] for number in self.random.integers(len(uids), size=CALLS_IN_FLIGHT).tolist()]
+        calls = [CallInFlight(uid, self.last_token + 1 + offset) for offset, uid in enumerate(called_uids)]
         self.in_flight = [call for call in calls if call.converter != self.hung_uid]
         self.last_token += CALLS_IN_FLIGHT
         now_us = clock_us()
--- a/ryepier/experiments/scale/list_costs.py
+++ b/ryepier/experiments/scale/list_costs.py
@@ -63,7 +63,7 @@
     data = encode(listing.registry.full_list())
     list_timer.time("parse_one_piece", decode, data, len(data))
     apply(list_timer, list_timer.time("parse", decode, data, CHUNK_BYTES))
-    changed = listing.pick(min(MAX_CHANGES, known_count // 2))
+    changed = listing.pick_active(min(MAX_CHANGES, known_count // 2))
     for entry in changed:
         revision = listing.registry.rev
         listing.change([entry], "leaving")
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -49,7 +49,7 @@
 
 def test_every_module_hears_of_every_change_once() -> None:
     async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
-        chosen = server.listing.pick(5)
+        chosen = server.listing.pick_active(5)
         before = sidecars.usage()["entries"]
         for state in ("leaving", "left"):
             server.listing.change(chosen, state)
@@ -80,7 +80,7 @@
     async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
         server.close()
         await asyncio.sleep(0.2)
-        server.listing.change(server.listing.pick(1), "left")
+        server.listing.change(server.listing.pick_active(1), "left")
         server.listing.lose_revisions()
         await server.open()
         await all_have(server, sidecars)
