--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -17,62 +17,62 @@
 from ryepier.sim.fleet.world import SECOND_US, START_US, FleetPlan, FleetWorld, Outage
 from tests.balancer_harness import BalancerHarness, settings
 
-PLAN = FleetPlan(sidecars=30, converters=20, load=0.5, duration_us=6 * SECOND_US)
+FLEET_PLAN = FleetPlan(sidecars=30, converters=20, load=0.5, duration_us=6 * SECOND_US)
 
 
-def received(harness: FleetWorld) -> list[list[int]]:
-    return [converter.received_us for converter in harness.converters]
+def received_times(world: FleetWorld) -> list[list[int]]:
+    return [converter.received_us for converter in world.converters]
 
 
-def test_random_choice_spreads_by_chance_and_all_is_served() -> None:
-    harness = FleetWorld(PLAN, 1, choosers.make_random)
-    harness.play()
-    found = measures.measure_spread(received(harness), START_US, harness.now_us)
-    assert 0.5 < found.variation_ratio < 1.5  # 20 converters: the deviation itself is off by a sixth
-    ended = [request for request in harness.requests if request.ended_us]
-    assert len(ended) > 0.95 * len(harness.requests)
+def test_random_choice_spreads_as_by_chance_and_requests_are_served() -> None:
+    world = FleetWorld(FLEET_PLAN, 1, choosers.make_random)
+    world.play()
+    spread = measures.measure_spread(received_times(world), START_US, world.now_us)
+    assert 0.5 < spread.variation_ratio < 1.5  # 20 converters: the deviation itself is off by a sixth
+    ended = [request for request in world.requests if request.ended_us]
+    assert len(ended) > 0.95 * len(world.requests)
     assert sum(request.served for request in ended) > 0.98 * len(ended)
 
 
-def test_the_shortest_queue_keeps_answers_quicker_than_random_choice() -> None:
-    def mean_us(factory: choosers.ChooserFactory) -> float:
-        harness = FleetWorld(PLAN, 2, factory)
-        harness.play()
-        times = [one.ended_us - one.arrived_us for one in harness.requests if one.served]
-        return sum(times) / len(times)
+def test_shortest_queue_answers_faster_than_random_choice() -> None:
+    def mean_latency_us(factory: choosers.ChooserFactory) -> float:
+        world = FleetWorld(FLEET_PLAN, 2, factory)
+        world.play()
+        latencies_us = [request.ended_us - request.arrived_us for request in world.requests if request.served]
+        return sum(latencies_us) / len(latencies_us)
 
-    assert mean_us(choosers.make_shortest) < mean_us(choosers.make_random)
+    assert mean_latency_us(choosers.make_shortest) < mean_latency_us(choosers.make_random)
 
 
-def test_one_seed_is_one_run() -> None:
-    first, second = FleetWorld(PLAN, 3), FleetWorld(PLAN, 3)
+def test_same_seed_gives_the_same_run() -> None:
+    first, second = FleetWorld(FLEET_PLAN, 3), FleetWorld(FLEET_PLAN, 3)
     first.play()
     second.play()
-    assert received(first) == received(second)
+    assert received_times(first) == received_times(second)
 
 
-def test_all_that_comes_is_ended_once_and_work_is_bounded_by_the_places() -> None:
-    harness = FleetWorld(FleetPlan(sidecars=20, converters=5, load=3.0, duration_us=4 * SECOND_US), 4)
-    harness.play()
-    due_us = harness.now_us - harness.plan.deadline_us
-    assert all(request.ended_us for request in harness.requests if request.arrived_us < due_us)
-    assert all(len(converter.working) <= converter.places for converter in harness.converters)
-    assert sum(request.rejected for request in harness.requests) > 0
+def test_overloaded_fleet_ends_every_request_and_bounds_executions() -> None:
+    world = FleetWorld(FleetPlan(sidecars=20, converters=5, load=3.0, duration_us=4 * SECOND_US), 4)
+    world.play()
+    latest_arrival_us = world.now_us - world.plan.deadline_us
+    assert all(request.ended_us for request in world.requests if request.arrived_us < latest_arrival_us)
+    assert all(len(converter.working) <= converter.places for converter in world.converters)
+    assert sum(request.rejected for request in world.requests) > 0
 
 
-def test_converters_that_vanish_get_nothing_until_they_are_back() -> None:
+def test_stopped_converters_receive_nothing_until_they_restart() -> None:
     outage = Outage(converters=4, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
     plan = FleetPlan(sidecars=10, converters=10, load=0.3, duration_us=5 * SECOND_US, outages=(outage,))
-    harness = FleetWorld(plan, 5, choosers.make_random)
-    harness.play()
-    back = [converter for converter in harness.converters if converter.started_us]
-    assert len(back) == 4
-    away = (START_US + outage.at_us, START_US + outage.restart_us)
-    assert all(not away[0] < at_us < away[1] for converter in back for at_us in converter.received_us)
-    assert all(converter.received_us[-1] > away[1] for converter in back)
+    world = FleetWorld(plan, 5, choosers.make_random)
+    world.play()
+    restarted = [converter for converter in world.converters if converter.started_us]
+    assert len(restarted) == 4
+    outage_us = (START_US + outage.at_us, START_US + outage.restart_us)
+    assert all(not outage_us[0] < at_us < outage_us[1] for converter in restarted for at_us in converter.received_us)
+    assert all(converter.received_us[-1] > outage_us[1] for converter in restarted)
 
 
-def test_a_converter_queues_beyond_its_places_and_turns_away_beyond_its_queue() -> None:
+def test_converter_queues_jobs_and_rejects_them_when_its_queue_is_full() -> None:
     converter = Converter(0, places=1, queue_limit=1)
     jobs = [Job(0, n, 0, 10, n) for n in range(3)]
     assert converter.receive(jobs[0]) and converter.begin_next() is jobs[0]
@@ -95,37 +95,37 @@
     assert counter.mean_open(0, 100) == pytest.approx((2 * 10 + 1 * 40) / 100)
 
 
-def test_a_reference_keeps_to_the_list() -> None:
+def test_random_choice_uses_only_listed_converters() -> None:
     converters = [Converter(n, 4, 4) for n in range(3)]
     chooser = choosers.RandomChoice(1, converters)
     chooser.handle(0, api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(n) for n in range(3)]))
-    gone = [api.Upstream(n, api.UpstreamState.REMOVED) for n in (0, 2)]
-    chooser.handle(0, api.UpstreamsUpdated(api.ListKind.DELTA, gone))
+    removed = [api.Upstream(n, api.UpstreamState.REMOVED) for n in (0, 2)]
+    chooser.handle(0, api.UpstreamsUpdated(api.ListKind.DELTA, removed))
     assert chooser.handle(0, api.RequestArrived(7, 10)) == [api.Send(7, 1)]
 
 
-@pytest.mark.parametrize(("mean", "beyond"), [(0.5, 1e-4), (2.0, 1e-4), (12.0, 1e-2)])
-def test_a_poisson_quantile_is_the_least_count_that_is_passed_so_seldom(mean: float, beyond: float) -> None:
-    def passed(count: int) -> float:
+@pytest.mark.parametrize(("mean", "probability"), [(0.5, 1e-4), (2.0, 1e-4), (12.0, 1e-2)])
+def test_poisson_quantile_is_the_smallest_count_exceeded_rarely_enough(mean: float, probability: float) -> None:
+    def exceedance_probability(count: int) -> float:
         return 1.0 - sum(math.exp(-mean) * mean**k / math.factorial(k) for k in range(count + 1))
 
-    found = poisson_quantile(mean, beyond)
-    assert passed(found) <= beyond < passed(found - 1)
+    quantile = poisson_quantile(mean, probability)
+    assert exceedance_probability(quantile) <= probability < exceedance_probability(quantile - 1)
 
 
-def test_a_herd_and_an_idle_converter_are_found() -> None:
+def test_crowded_and_empty_windows_are_detected() -> None:
     even = [[10 * n + k for n in range(200)] for k in range(5)]
-    herd = [*even[:4], sorted(even[4] + [1000] * 40 + [1500] * 40)]
-    idle = [*even[:4], [at for at in even[4] if at < 1000]]
+    with_burst = [*even[:4], sorted(even[4] + [1000] * 40 + [1500] * 40)]
+    with_gap = [*even[:4], [at_us for at_us in even[4] if at_us < 1000]]
     assert measures.crowded_windows(even, 0, 2000, 100).count == 0
-    crowded = measures.crowded_windows(herd, 0, 2000, 100)
+    crowded = measures.crowded_windows(with_burst, 0, 2000, 100)
     assert crowded.count > crowded.allowed_count
     assert measures.empty_windows(even, 0, 2000, 12).count == 0
-    empty = measures.empty_windows(idle, 0, 2000, 12)
+    empty = measures.empty_windows(with_gap, 0, 2000, 12)
     assert empty.count > empty.allowed_count
 
 
-def test_nothing_received_is_an_error() -> None:
+def test_spread_without_requests_is_an_error() -> None:
     with pytest.raises(ValueError, match="nothing was received"):
         measures.measure_spread([[], []], 0, 10)
 
@@ -146,16 +146,16 @@
         initial_capacity_share=0.2,
         outages=(outage,),
     )
-    harness = FleetWorld(plan, seed)
-    harness.play()
-    counts = measures.counts_in_windows(received(harness), START_US + begin_us, harness.now_us, 5 * SECOND_US)[:, 0]
-    back = [bool(converter.started_us) for converter in harness.converters]
-    others = [count for count, is_back in zip(counts, back, strict=True) if not is_back]
+    world = FleetWorld(plan, seed)
+    world.play()
+    counts = measures.counts_in_windows(received_times(world), START_US + begin_us, world.now_us, 5 * SECOND_US)[:, 0]
+    has_restarted = [bool(converter.started_us) for converter in world.converters]
+    others = [count for count, is_restarted in zip(counts, has_restarted, strict=True) if not is_restarted]
     mean = sum(others) / len(others)
-    return [count / mean for count, is_back in zip(counts, back, strict=True) if is_back]
+    return [count / mean for count, is_restarted in zip(counts, has_restarted, strict=True) if is_restarted]
 
 
-def test_converters_that_come_back_get_their_part_and_no_rush() -> None:
+def test_restarted_converters_get_their_share_of_the_load() -> None:
     """Without the offer of places: 0.27 in the mean without a warm-up, and 1.5 after one (300 x 100)."""
     for warm_up_us in (0, 2 * SECOND_US):
         shares = [share for seed in (1, 2) for share in shares_of_returned(warm_up_us, seed)]
@@ -165,43 +165,44 @@
 
 # Mistakes are found, and bad input is borne
 
-SMALL = FleetPlan(sidecars=60, converters=20, load=0.5, duration_us=5 * SECOND_US)
+SMALL_PLAN = FleetPlan(sidecars=60, converters=20, load=0.5, duration_us=5 * SECOND_US)
 
 
-def played(plant: str, plan: FleetPlan = SMALL, begin_us: int = 2 * SECOND_US) -> trials.FleetOutcome:
-    return trials.run_trial(trials.FleetTrial(plan, 1, plant, begin_us))
+def run_fleet(seeded_fault: str, plan: FleetPlan = SMALL_PLAN, begin_us: int = 2 * SECOND_US) -> trials.FleetOutcome:
+    return trials.run_trial(trials.FleetTrial(plan, 1, seeded_fault, begin_us))
 
 
-def crowded(one: trials.FleetOutcome) -> measures.RareWindows:
-    return measures.crowded_windows(one.received_us, one.begin_us, one.end_us, SECOND_US // 10)
+def count_crowded_windows(outcome: trials.FleetOutcome) -> measures.RareWindows:
+    return measures.crowded_windows(outcome.received_us, outcome.begin_us, outcome.end_us, SECOND_US // 10)
 
 
-def test_one_order_for_all_sidecars_is_a_herd() -> None:
-    right, wrong = crowded(played("")), crowded(played("same-order"))
-    assert right.count <= right.allowed_count
-    assert wrong.count > wrong.allowed_count
+def test_same_selection_order_in_all_sidecars_crowds_converters() -> None:
+    without_fault, with_fault = count_crowded_windows(run_fleet("")), count_crowded_windows(run_fleet("same-order"))
+    assert without_fault.count <= without_fault.allowed_count
+    assert with_fault.count > with_fault.allowed_count
 
 
-def test_the_balancer_as_it_was_refuses_more_at_half_load() -> None:
+def test_earlier_balancer_rejects_more_at_half_load() -> None:
     plan = FleetPlan(sidecars=120, converters=30, load=0.5, duration_us=11 * SECOND_US)
-    now, before = (played(plant, plan, 5 * SECOND_US) for plant in ("", "private-subsets"))
-    assert now.rejected_share <= 0.005 < before.rejected_share
+    current, earlier = (run_fleet(seeded_fault, plan, 5 * SECOND_US) for seeded_fault in ("", "private-subsets"))
+    assert current.rejected_share <= 0.005 < earlier.rejected_share
 
 
 @pytest.mark.parametrize(
-    ("plant", "low", "high"), [("", 0.7, 1.43), ("forget-returned", 0, 0.7), ("rush-returned", 1.43, 9)]
+    ("seeded_fault", "min_share", "max_share"),
+    [("", 0.7, 1.43), ("forget-returned", 0, 0.7), ("rush-returned", 1.43, 9)],
 )
-def test_those_that_are_back_are_neither_forgotten_nor_rushed(plant: str, low: float, high: float) -> None:
+def test_load_share_of_restarted_converters(seeded_fault: str, min_share: float, max_share: float) -> None:
     plan = returning.make_plan(Scale.SMALL, 0)
-    one = played(plant, plan, plan.duration_us - returning.MEASURED_DURATION_US)
-    shares = returning.shares_of_returned(one)
-    assert low <= sum(shares) / len(shares) <= high
-    assert one.worst_warm_up_load <= 1.0
+    outcome = run_fleet(seeded_fault, plan, plan.duration_us - returning.MEASURED_DURATION_US)
+    shares = returning.shares_of_returned(outcome)
+    assert min_share <= sum(shares) / len(shares) <= max_share
+    assert outcome.worst_warm_up_load <= 1.0
 
 
-def share_by_upstream(config: api.Settings, entries: list[api.Upstream]) -> dict[int, int]:
+def sends_by_upstream(balancer_settings: api.Settings, entries: list[api.Upstream]) -> dict[int, int]:
     """Sends by upstream, of requests answered one after another."""
-    harness = BalancerHarness(config)
+    harness = BalancerHarness(balancer_settings)
     harness.update_upstreams([api.Upstream(entry.id) for entry in entries[:2]])
     harness.update_upstreams(entries, api.ListKind.DELTA)
     for _ in range(200):
@@ -212,19 +213,19 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, math.inf, math.nan])
-def test_a_weight_that_says_nothing_counts_as_the_usual_one(weight: float) -> None:
+def test_invalid_weight_counts_as_one(weight: float) -> None:
     entries = [api.Upstream(n, weight=weight if n == 3 else 1.0) for n in range(4)]
-    sent = share_by_upstream(settings(hedging=False, weighted=True), entries)
-    assert sum(sent.values()) == 200 and min(sent.get(n, 0) for n in range(4)) >= 10
+    sends = sends_by_upstream(settings(hedging=False, weighted=True), entries)
+    assert sum(sends.values()) == 200 and min(sends.get(n, 0) for n in range(4)) >= 10
 
 
-def test_an_upstream_that_is_listed_twice_gets_one_part() -> None:
+def test_upstream_listed_several_times_gets_a_single_share() -> None:
     entries = [api.Upstream(n) for n in (0, 1, 2, 3, 3, 3)]
-    sent = share_by_upstream(settings(hedging=False), entries)
-    assert sum(sent.values()) == 200 and 10 <= sent[3] <= 100
+    sends = sends_by_upstream(settings(hedging=False), entries)
+    assert sum(sends.values()) == 200 and 10 <= sends[3] <= 100
 
 
-def test_an_index_beyond_the_instances_changes_no_decision() -> None:
+def test_self_index_beyond_the_instances_has_no_effect() -> None:
     entries = [api.Upstream(n) for n in range(8)]
-    known, beyond = (settings(hedging=False, instances=3, self_index=index) for index in (0, 99))
-    assert share_by_upstream(known, entries) == share_by_upstream(beyond, entries)
+    valid, out_of_range = (settings(hedging=False, instances=3, self_index=index) for index in (0, 99))
+    assert sends_by_upstream(valid, entries) == sends_by_upstream(out_of_range, entries)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -31,21 +31,21 @@
 
 
 @given(st.floats(-1e3, 1e3), st.floats(-1e6, 1e6))
-def test_a_line_is_found_again(per_unit: float, intercept: float) -> None:
+def test_fit_recovers_a_line(per_unit: float, intercept: float) -> None:
     slope = slopes.fit(SIZES, [intercept + per_unit * size for size in SIZES])
-    near = max(1e-6, 1e-9 * (abs(intercept) + 1600 * abs(per_unit)))
-    assert slope.per_unit == pytest.approx(per_unit, abs=near)
-    assert slope.intercept == pytest.approx(intercept, abs=near)
-    assert slope.largest_residual <= near
+    tolerance = max(1e-6, 1e-9 * (abs(intercept) + 1600 * abs(per_unit)))
+    assert slope.per_unit == pytest.approx(per_unit, abs=tolerance)
+    assert slope.intercept == pytest.approx(intercept, abs=tolerance)
+    assert slope.largest_residual <= tolerance
 
 
-def test_a_bend_shows_in_the_residuals() -> None:
+def test_curvature_shows_in_the_residuals() -> None:
     straight = slopes.fit(SIZES, [3.0 * size + (-1) ** i for i, size in enumerate(SIZES)])
-    bent = slopes.fit(SIZES, [size * size for size in SIZES])
-    assert straight.relative_residual < 0.01 < 0.1 < bent.relative_residual
+    curved = slopes.fit(SIZES, [size * size for size in SIZES])
+    assert straight.relative_residual < 0.01 < 0.1 < curved.relative_residual
 
 
-def test_beyond_what_was_measured_a_value_is_told_to_be_so() -> None:
+def test_values_outside_the_measured_sizes_are_extrapolated() -> None:
     slope = slopes.fit(SIZES, [2.0 * size + 5.0 for size in SIZES])
     assert [slope.at(size).is_extrapolated for size in (29, 30, 1600, 1601)] == [True, False, False, True]
     assert slope.at(3200).value == pytest.approx(6405.0)
@@ -61,28 +61,28 @@
         ((1, 2, 3, float("inf")), (1.0, 2.0, 3.0, 4.0)),
     ],
 )
-def test_what_makes_no_line_is_refused(sizes: tuple[float, ...], values: tuple[float, ...]) -> None:
+def test_fit_rejects_unusable_points(sizes: tuple[float, ...], values: tuple[float, ...]) -> None:
     with pytest.raises(ValueError):
         slopes.fit(sizes, values)
 
 
-def test_figures_that_are_all_nought_have_no_residual() -> None:
+def test_zero_figures_have_no_relative_residual() -> None:
     assert slopes.fit(SIZES, [0.0] * len(SIZES)).relative_residual == 0.0
 
 
-def test_the_spread_over_seeds() -> None:
+def test_spread_over_seeds() -> None:
     assert slopes.spread([3.0, 1.0, 2.0]) == slopes.Spread(1.0, 2.0, 3.0)
     with pytest.raises(ValueError):
         slopes.spread([])
 
 
-def test_a_machine_is_read() -> None:
+def test_machine_resources_are_read() -> None:
     assert read_machine(MEMINFO, 1024) == Machine(24_576_000_000, 15_360_000_000, 1024)
     assert this_machine().total_bytes > this_machine().available_bytes > 0
 
 
 @pytest.mark.parametrize(
-    ("needs", "machine", "why"),
+    ("needs", "machine", "reason"),
     [
         (Needs(9, GB), Machine(24 * GB, 15 * GB, 1024), "9 processes"),
         (Needs(8, 11 * GB), Machine(64 * GB, 60 * GB, 1024), "at most 10.0 GB"),
@@ -91,28 +91,28 @@
         (Needs(1, GB, sockets=1000), Machine(24 * GB, 15 * GB, 1024), "1000 sockets"),
     ],
 )
-def test_what_the_machine_cannot_spare_is_refused(needs: Needs, machine: Machine, why: str) -> None:
-    with pytest.raises(InsufficientResourcesError, match=why):
+def test_needs_beyond_the_machine_are_rejected(needs: Needs, machine: Machine, reason: str) -> None:
+    with pytest.raises(InsufficientResourcesError, match=reason):
         check_needs(needs, machine)
 
 
-def test_what_it_can_spare_is_let_through() -> None:
+def test_needs_within_the_machine_are_accepted() -> None:
     check_needs(Needs(8, 10 * GB, sockets=400), Machine(24 * GB, 15 * GB, 1024))
 
 
-def test_an_experiment_that_asks_too_much_is_misuse(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    def ask(*_: object) -> NoReturn:
+def test_experiment_with_excessive_needs_exits_as_misuse(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+    def measure(*_: object) -> NoReturn:
         raise InsufficientResourcesError("9 processes asked for, at most 8 may be")
 
-    monkeypatch.setitem(experiment.ALL, "planner-scale", Benchmark("planner-scale", "", ask, ()))
-    got = CliRunner().invoke(main, ["experiment", "run", "planner-scale", "--out", str(tmp_path)])
-    assert got.exit_code == 2 and "9 processes" in got.stderr
+    monkeypatch.setitem(experiment.ALL, "planner-scale", Benchmark("planner-scale", "", measure, ()))
+    cli_result = CliRunner().invoke(main, ["experiment", "run", "planner-scale", "--out", str(tmp_path)])
+    assert cli_result.exit_code == 2 and "9 processes" in cli_result.stderr
 
 
-def test_a_process_reads_its_own_use() -> None:
+def test_usage_of_a_process_is_read() -> None:
     before = own_usage()
-    kept = bytes(range(256)) * 200_000
-    total = sum(kept)
+    allocated = bytes(range(256)) * 200_000
+    total = sum(allocated)
     after, by_pid = own_usage(), usage(os.getpid())
     assert total and after.since(before) > 0.0
     assert after.resident_bytes - before.resident_bytes > 40_000_000
