--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity tables: from kept results to rows, and the page that holds them."""
+"""Tests the rows of the capacity tables, the kept results behind them, and the capacity page."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 ROOT = Path(__file__).parent.parent
 KEPT_FOLDER, PAGE = ROOT / "docs" / "capacity", ROOT / "docs" / "CAPACITY.md"
 PLAN: Plan = read_plan(KEPT_FOLDER)
-LINEAR_FIGURES = {"cpu_10_known": 2.0, "cpu_20_known": 3.0, "cpu_30_known": 4.0, "cpu_40_known": 5.0}  # 1 + size / 10
+# figures on the line 1 + size / 10
+LINEAR_FIGURES = {"cpu_10_known": 2.0, "cpu_20_known": 3.0, "cpu_30_known": 4.0, "cpu_40_known": 5.0}
 
 
 def make_result(figures: Mapping[str, float], seed: int = 1, name: str = "scale-x", **overrides: object) -> KeptResult:
@@ -119,7 +120,7 @@
     value_at_size: float, growing_part: float, budget: float, share: float | None
 ) -> None:
     assert share_at_budget(value_at_size, growing_part, budget) == share
-    if share is not None and growing_part > 0:
+    if share is not None and growing_part > 0:  # with quadratic growth, the share is the square root
         assert share_at_budget(value_at_size, growing_part, budget, 2) == pytest.approx(share**0.5)
 
 
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -1,4 +1,4 @@
-"""The rig that judges how evenly a fleet spreads its load."""
+"""Tests the simulated fleet and the measures of `load-spread` and `load-spread-return`, with and without faults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     world = FleetWorld(FLEET_PLAN, 1, choosers.make_random)
     world.play()
     spread = measures.measure_spread(received_times(world), START_US, world.now_us)
-    assert 0.5 < spread.variation_ratio < 1.5  # 20 converters: the deviation itself is off by a sixth
+    assert 0.5 < spread.variation_ratio < 1.5  # with 20 converters, the deviation itself has an error of about a sixth
     ended = [request for request in world.requests if request.ended_us]
     assert len(ended) > 0.95 * len(world.requests)
     assert sum(request.served for request in ended) > 0.98 * len(ended)
@@ -88,7 +88,7 @@
     pool.take(0)
     pool.give_back(10, reusable=True)
     pool.give_back(10, reusable=False)
-    pool.take(20)  # on the idle one
+    pool.take(20)  # reuses the idle connection
     pool.give_back(30, reusable=True)
     pool.close_idle(50, idle_before_us=30)
     assert (counter.opened, counter.max_open, counter.open) == (2, 2, 0)
@@ -130,11 +130,11 @@
         measures.measure_spread([[], []], 0, 10)
 
 
-# Converters that come back
+# Restarted converters
 
 
 def shares_of_returned(warm_up_us: int, seed: int) -> list[float]:
-    """What each converter that is back gets in the 5 s from its last warm-up on, over the mean of the others."""
+    """Return the load of each restarted converter in the 5 s after its warm-up, over the mean of the others."""
     outage = Outage(converters=10, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
     begin_us = outage.restart_us + warm_up_us
     plan = FleetPlan(
@@ -156,14 +156,17 @@
 
 
 def test_restarted_converters_get_their_share_of_the_load() -> None:
-    """Without the offer of places: 0.27 in the mean without a warm-up, and 1.5 after one (300 x 100)."""
+    """Guards against subsets that do not sample restarted converters as new members.
+
+    Without that, with 300 sidecars and 100 converters, the mean share was 0.27 without a warm-up and 1.5 after one.
+    """
     for warm_up_us in (0, 2 * SECOND_US):
         shares = [share for seed in (1, 2) for share in shares_of_returned(warm_up_us, seed)]
         print(warm_up_us, [round(share, 2) for share in shares])
         assert 0.8 <= sum(shares) / len(shares) <= 1.25
 
 
-# Mistakes are found, and bad input is borne
+# Seeded faults and invalid input
 
 SMALL_PLAN = FleetPlan(sidecars=60, converters=20, load=0.5, duration_us=5 * SECOND_US)
 
@@ -201,7 +204,7 @@
 
 
 def sends_by_upstream(balancer_settings: api.Settings, entries: list[api.Upstream]) -> dict[int, int]:
-    """Sends by upstream, of requests answered one after another."""
+    """Return the sends by upstream for 200 requests that are answered one after another."""
     harness = BalancerHarness(balancer_settings)
     harness.update_upstreams([api.Upstream(entry.id) for entry in entries[:2]])
     harness.update_upstreams(entries, api.ListKind.DELTA)
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -1,4 +1,7 @@
-"""Faults between several real sidecar processes: no rule broken, nothing lost, no herd; and the figures, by hand."""
+"""Tests fleets of real sidecar processes under faults, and the figures of the load-spread experiments.
+
+The runs check that no rule is broken, that requests are served, and that converters receive no bursts.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,7 @@
 
 SEED = 31
 SETTLED_S = 1.0
-MAX_RUNS = 3  # a run that is void is played again
+MAX_RUNS = 3  # a run in which the machine fell behind is void and repeated
 CLASS_SETTINGS: dict[str, float] = {"aim_ms": 400.0, "deadline_ms": 800.0, "worth": 1.0, "late_worth": 0.5}
 
 
@@ -44,7 +47,7 @@
 
 
 def make_world(*faults: Fault, sidecars: int = 12, duration_s: float = 4.2) -> World:
-    """Nine converters in three zones, at a little under half of what they can do."""
+    """Return a world of nine converters in three zones, at a little under half of their capacity."""
     return World(
         name="test",
         duration_s=duration_s,
@@ -62,13 +65,16 @@
     )
 
 
-# What holds however late everybody is
+# rules that hold even if the machine falls behind
 TIME_INDEPENDENT_RULES = {"second-answer", "forged", "invented", "run-twice", "refused-after-run", "crash"}
 
 
 def play(world: World, folder: Path) -> Run:
-    """One run. One in which the machine fell behind is void and is played again; the rules without times hold in it
-    all the same. Fails where every one was void: the test has then shown nothing."""
+    """Run a world, and return the first run in which the machine did not fall behind.
+
+    Other runs are void and repeated, but still checked by the rules that do not depend on time. Fails the test after
+    `MAX_RUNS` void runs.
+    """
     for _ in range(MAX_RUNS):
         history = harness.play(world, SEED, folder)
         orders, breaches = figures.operations(world, history.client_attempts), judge.judge(world, history)
@@ -78,17 +84,17 @@
             return run
         broken_rules = [breach for breach in breaches if breach.rule in TIME_INDEPENDENT_RULES]
         assert not broken_rules, broken_rules[:5]
-    pytest.fail(f"void {MAX_RUNS} times, as the machine fell behind: {lateness}")
+    pytest.fail(f"all {MAX_RUNS} runs are void, as the machine fell behind: {lateness}")
 
 
 def assert_served_safely(run: Run, min_served_share: float) -> None:
-    """No rule broken, nothing lost, no herd."""
+    """Assert that enough operations were served, no rule was broken, and no converter received a burst."""
     assert spread.served_operations_share(run.history) >= min_served_share
     assert_safe(run)
 
 
 def assert_safe(run: Run) -> None:
-    """No rule broken, no herd."""
+    """Assert that no rule was broken and no converter received a burst."""
     assert not run.breaches, run.breaches[:5]
     failed_claims = [
         claim for claim in measures.burst_claims(measures.measure_bursts(run, SETTLED_S)) if not claim.holds
@@ -97,7 +103,7 @@
 
 
 def service_level_from(run: Run, begin_s: float) -> float:
-    """From a moment on."""
+    """Return the service level of operations that were due from a time on."""
     return figures.service_level(run.operations, figures.due_between(begin_s, run.world.duration_s))
 
 
@@ -108,7 +114,7 @@
     killed = {incarnation.sidecar for incarnation in incarnations if incarnation.killed}
     assert len(killed) == 6 and len(incarnations) == 24 and not any(incarnation.crashed for incarnation in incarnations)
     assert_safe(run)
-    # what the others' clients get; those of the killed lose what they ask for until the machine has started these
+    # clients of killed sidecars lose requests until these have restarted, so only the other clients are checked
     assert kill.service_of_survivors(run, killed) >= 0.97
     last_ready_s = max(incarnation.ready_us for incarnation in incarnations) / 1e6
     assert service_level_from(run, last_ready_s + 0.3) >= 0.95
@@ -123,7 +129,7 @@
 
 
 def first_notice_us(run: Run, uid: str, state: str) -> dict[int, int]:
-    """When each sidecar was told first."""
+    """Return when each sidecar was first notified of a converter's state."""
     at_us_by_sidecar: dict[int, int] = {}
     for notice in run.history.notices:
         if notice.uid == uid and notice.state == state:
@@ -132,7 +138,7 @@
 
 
 def replaced_uids(run: Run) -> tuple[list[str], list[str]]:
-    """The converters that left, and those that came."""
+    """Return the converters that a release stopped, and their replacements."""
     schedule = timeline.build(run.world, run.seed)
     removed = [
         step.uid for step in schedule.steps if step.target is TargetKind.CONVERTER and step.action is FaultAction.STOP
@@ -176,13 +182,13 @@
         for attempt in run.history.converter_attempts
         if 1.2e6 < attempt.received_us < 2.5e6
     )
-    # by draws over all it would be 0.43: the sidecars of the zone have 0.29 of the traffic
+    # with random draws over all converters it would be 0.43, as the zone's sidecars have 0.29 of the traffic
     assert lists.share_across_cut(run, 1.8, 2.6) < 0.43
     assert service_level_from(run, 3.6) >= 0.95
 
 
 def ran_across_cut(run: Run, attempt: ConverterAttempt) -> bool:
-    """Whether a request came through the cut."""
+    """Return whether an attempt was executed on the other side of the cut than its sidecar."""
     sidecar = next(
         client_attempt.sidecar
         for client_attempt in run.history.client_attempts
@@ -226,7 +232,7 @@
         msgspec.structs.replace(make_world(), discovery=Discovery(slice_size=10), faults=[stale])
 
 
-# Figures, by hand
+# Figures of records written by hand
 
 
 def test_evenness_is_relative_to_random_choice() -> None:
--- a/tests/test_scale_fail.py
+++ b/tests/test_scale_fail.py
@@ -1,4 +1,4 @@
-"""What the loss of many converters would cost the whole fleet, from lines written by hand, and a few real watches."""
+"""Tests `scale-fail`: the calculated costs of a whole fleet, and updates to a few lightweight sidecars."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def make_loss_figures() -> dict[str, float]:
-    """A change costs a sidecar 100 us told singly and 20 us together; a message costs discovery 10 us."""
+    """Return figures in which a change costs a sidecar 100 us sent singly and 20 us in one message with others.
+
+    A message costs discovery 10 us.
+    """
     figures: dict[str, float] = {}
     for changes in BURST_SIZES:
         figures |= {
@@ -22,7 +25,8 @@
         }
     for count in FLEET_SIZES[Scale.SMALL]:
         figures |= {
-            f"zone_stand_in_cpu_s_{count}": 1e-5 * ZONE_SIZE * count + 0.5,  # what does not grow is not the fleet's
+            # the constant part is not a cost of the fleet
+            f"zone_stand_in_cpu_s_{count}": 1e-5 * ZONE_SIZE * count + 0.5,
             f"zone_together_stand_in_cpu_s_{count}": 1e-5 * count,
         }
     return figures
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -1,4 +1,4 @@
-"""The list of a hollow fleet: its stand-in discovery, and real watches that follow it."""
+"""Tests `scale-list`: the emulated discovery, and lightweight sidecars whose real watches follow it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def run_with_sidecars(
     script: Callable[[WatchServer, LightweightSidecars], Awaitable[None]], keeps_revisions: bool = True
 ) -> None:
-    """Play a script with hollow sidecars of this very process that have the list."""
+    """Run a script once lightweight sidecars in this process have the list."""
 
     async def run_script() -> None:
         address = (f"127.{find_network()}.254.2", endpoint_list.PORT)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""Lines through what was measured, and what a test may ask of the machine."""
+"""Tests fitted lines and spreads, and the limits on the resources that an experiment may use."""
 
 from __future__ import annotations
 
