--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -88,7 +88,7 @@
     means = [sum(window) / len(window) for window in counts]
     dispersions = [_dispersion(window, mean) for window, mean in zip(counts, means, strict=True)]
     by_chance = (sum(means) / len(means)) ** -0.5
-    totals = [sum(of_converter) for of_converter in zip(*counts, strict=True)]
+    totals = [sum(converter_counts) for converter_counts in zip(*counts, strict=True)]
     mean_total = sum(totals) / len(totals)
     return Evenness(
         variation=math.sqrt(sum(dispersions) / len(dispersions)) * by_chance,
@@ -145,7 +145,7 @@
         changes[span.uid].append((span.begin_us, 1))
         if span.end_us != NEVER:
             changes[span.uid].append((span.end_us, -1))
-    highest = [_highest_sum(of_converter) for of_converter in changes.values()]
+    highest = [_highest_sum(converter_changes) for converter_changes in changes.values()]
     return Occupancy(max(highest, default=0), sum(highest) / max(1, len(highest)))
 
 
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -194,14 +194,14 @@
         f"served_share_{name}": sidecar_target.served_count / max(1, len(sidecar_target.latencies_us)),
     }
     for percentile in (50, 99):
-        through_ms, direct_ms = (
+        sidecar_ms, direct_ms = (
             latency_percentile_ms(sidecar_target, percentile),
             latency_percentile_ms(direct_target, percentile),
         )
         figures |= {
-            f"p{percentile}_ms_{name}": through_ms,
+            f"p{percentile}_ms_{name}": sidecar_ms,
             f"direct_p{percentile}_ms_{name}": direct_ms,
-            f"added_p{percentile}_ms_{name}": through_ms - direct_ms,
+            f"added_p{percentile}_ms_{name}": sidecar_ms - direct_ms,
         }
     return figures
 
@@ -209,12 +209,12 @@
 async def run_phase(trial: CallTrial, phase: Phase, sidecar: Sidecar, direct_target: Target) -> dict[str, float]:
     """Call at the phase's rate, first to warm up and then measured, and return the figures."""
     rate = phase.rate_per_s
-    through_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} through")
+    sidecar_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} through")
     direct_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} direct")
 
     async def run_calls(duration_s: float) -> None:
         await asyncio.gather(
-            sidecar.target.run(rate, duration_s, through_random), direct_target.run(rate, duration_s, direct_random)
+            sidecar.target.run(rate, duration_s, sidecar_random), direct_target.run(rate, duration_s, direct_random)
         )
 
     await run_calls(phase.warm_up_s)
--- a/ryepier/experiments/scale/capacity/table.py
+++ b/ryepier/experiments/scale/capacity/table.py
@@ -36,7 +36,7 @@
 CONVERTERS_IN_USE = (30, 150)  # converters that a sidecar calls
 MAX_FAILED_SHARE = 0.01
 MAX_AVOID_S = 2.0
-SERVED_SHARE = "served_share_369_per_s_{}_known"
+SERVED_SHARE_TEMPLATE = "served_share_369_per_s_{}_known"
 
 
 def converters(plan: Plan) -> float:
@@ -105,7 +105,7 @@
 
 def failed_share(figures: Figures, plan: Plan) -> Value:
     """Estimate the share of failed calls with all converters known, and the largest number known that is acceptable."""
-    served_shares = figures_by_size(figures, SERVED_SHARE)
+    served_shares = figures_by_size(figures, SERVED_SHARE_TEMPLATE)
     fitting_counts = [
         known_count for known_count, served_share in served_shares.items() if 1.0 - served_share <= MAX_FAILED_SHARE
     ]
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -126,14 +126,15 @@
         )
         return float(growth) / elapsed_s / size
 
-    sent, received = rate_per_forwarder("bytes_out"), rate_per_forwarder("bytes_in")
-    heartbeats = received - rate_per_forwarder("plan_bytes")
+    sent_per_s, received_per_s = rate_per_forwarder("bytes_out"), rate_per_forwarder("bytes_in")
+    heartbeats_per_s = received_per_s - rate_per_forwarder("plan_bytes")
     return {
         "plans_per_s": rate_per_forwarder("plans"),
-        "bytes_out_per_s": sent,
-        "bytes_in_per_s": received,
+        "bytes_out_per_s": sent_per_s,
+        "bytes_in_per_s": received_per_s,
         # a forwarder exchanges reports and heartbeats with every planner, but receives plans only from the leader
-        "bytes_per_s_with_seven": DESIGN_PLANNERS * (sent + heartbeats) + (received - heartbeats),
+        "bytes_per_s_with_seven": DESIGN_PLANNERS * (sent_per_s + heartbeats_per_s)
+        + (received_per_s - heartbeats_per_s),
         "forwarder_cores": rate_per_forwarder("cpu_s"),
         "reporters_share": max(sample.reporters for sample in after) / size,
         "connected_share": sum(sample.connected for sample in after) / size,
@@ -144,8 +145,8 @@
     """Return the seconds until a share of the callers of the hung converter avoided it; infinite if fewer do."""
     users = sum(sample.users for sample in samples)
     times_s = sorted(after_s for sample in samples for after_s in sample.avoids_after_s)
-    needed = -int(-share * users // 1)
-    return times_s[needed - 1] if users and len(times_s) >= needed else float("inf")
+    needed_count = -int(-share * users // 1)
+    return times_s[needed_count - 1] if users and len(times_s) >= needed_count else float("inf")
 
 
 def growth_over_linear(by_size: Mapping[int, Mapping[str, float]], name: str) -> float:
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -242,14 +242,14 @@
             )
             for index, known_count in enumerate(KNOWN_COUNTS)
         ]
-        rows = {group.known_count: await start_sidecars(group) for group in groups}
+        figures_by_known = {group.known_count: await start_sidecars(group) for group in groups}
         for group, idle_figures in zip(groups, await measure_idle(groups, IDLE_S[scale]), strict=True):
-            rows[group.known_count] |= idle_figures
+            figures_by_known[group.known_count] |= idle_figures
         for group in groups:
-            rows[group.known_count] |= await change_singly(group, CHANGE_COUNT[scale])
-            rows[group.known_count] |= await remove_zone(group)
-            rows[group.known_count] |= await reconnect(group)
-    return rows
+            figures_by_known[group.known_count] |= await change_singly(group, CHANGE_COUNT[scale])
+            figures_by_known[group.known_count] |= await remove_zone(group)
+            figures_by_known[group.known_count] |= await reconnect(group)
+    return figures_by_known
 
 
 # Cost of discovery by the number of sidecars that reconnect
@@ -299,7 +299,7 @@
         Listing(FLEET_KNOWN_COUNT[scale], seed), (host, PORT), keeps_revisions=seeded_fault != "no-revisions"
     )
     await server.open()
-    rows: dict[int, Figures] = {}
+    figures_by_fleet: dict[int, Figures] = {}
     try:
         async with AsyncExitStack() as stack:
             processes = [
@@ -325,25 +325,28 @@
                     raise HarnessError(
                         f"{count} lightweight sidecars did not all receive the endpoint list after their start"
                     )
-                rows[count] = await run_outage(count, server, processes)
+                figures_by_fleet[count] = await run_outage(count, server, processes)
     finally:
         server.close()
-    return rows
+    return figures_by_fleet
 
 
 # Claims
 
 
-def fit_figure(name: str, rows: Mapping[int, Figures]) -> slopes.Slope:
+def fit_figure(name: str, figures_by_known: Mapping[int, Figures]) -> slopes.Slope:
     """Return the line fitted to a figure by the number of known converters."""
-    return slopes.fit(list(rows), [row[name] for row in rows.values()])
+    return slopes.fit(list(figures_by_known), [row[name] for row in figures_by_known.values()])
 
 
-def derive_figures(rows: Mapping[int, Figures], base_mb: float) -> Figures:
+def derive_figures(figures_by_known: Mapping[int, Figures], base_mb: float) -> Figures:
     """Return the figures derived for the largest number of known converters and a day's changes."""
-    largest = rows[KNOWN_COUNTS[-1]]
+    largest = figures_by_known[KNOWN_COUNTS[-1]]
     changes_per_s = CHANGES_PER_DAY / DAY_S
-    memory_line, full_list_line = fit_figure("memory_bytes", rows), fit_figure("again_cpu_ms", rows)
+    memory_line, full_list_line = (
+        fit_figure("memory_bytes", figures_by_known),
+        fit_figure("again_cpu_ms", figures_by_known),
+    )
     return {
         "base_mb": base_mb,
         "sidecar_mb": base_mb + memory_line.at(KNOWN_COUNTS[-1]).value / MB,
@@ -351,16 +354,18 @@
         "memory_residual": memory_line.relative_residual,
         "again_cpu_us_a_converter": full_list_line.per_unit * 1000,
         "again_residual": full_list_line.relative_residual,
-        "change_cpu_us_a_converter": fit_figure("change_cpu_us", rows).per_unit,
+        "change_cpu_us_a_converter": fit_figure("change_cpu_us", figures_by_known).per_unit,
         "zone_cpu_us_a_change": largest["zone_singly_cpu_ms"] * 1000 / (KNOWN_COUNTS[-1] // ZONE_DIVISOR),
         "day_cores": largest["idle_cores"] + changes_per_s * largest["change_cpu_us"] / 1e6,
         "day_bytes_per_s": largest["idle_bytes_per_s"] + changes_per_s * largest["change_bytes"],
     }
 
 
-def make_claims(rows: Mapping[int, Figures], fleets: Mapping[int, Figures], derived: Figures) -> list[Claim]:
+def make_claims(
+    figures_by_known: Mapping[int, Figures], figures_by_fleet: Mapping[int, Figures], derived: Figures
+) -> list[Claim]:
     """Return the claims on both parts."""
-    largest, fleet = rows[KNOWN_COUNTS[-1]], fleets[max(fleets)]
+    largest, fleet_figures = figures_by_known[KNOWN_COUNTS[-1]], figures_by_fleet[max(figures_by_fleet)]
     return [
         Claim("memory of a sidecar that knows 1,600 converters (MB)", derived["sidecar_mb"], "<=", BUDGET_MB),
         Claim("largest residual of its line over the largest value", derived["memory_residual"], "<=", 0.1),
@@ -375,11 +380,13 @@
         ),
         Claim("changes that each module was told, of one", largest["entries_a_change"], "==", 1),
         Claim("bytes of a watch that broke and missed one change", largest["break_bytes"], "<=", 1000),
-        Claim(f"share of {max(fleets)} that have the list again after an outage", fleet["back"], "==", 1),
-        Claim("calls a sidecar for it", fleet["calls"] / max(fleets), "<=", 1.1),
+        Claim(
+            f"share of {max(figures_by_fleet)} that have the list again after an outage", fleet_figures["back"], "==", 1
+        ),
+        Claim("calls a sidecar for it", fleet_figures["calls"] / max(figures_by_fleet), "<=", 1.1),
         Claim(
             "until the last has it, each sidecar on a core of its own, by calculation (s)",
-            fleet["back_alone_s"],
+            fleet_figures["back_alone_s"],
             "<=",
             MAX_PROPAGATION_S,
         ),
@@ -390,14 +397,22 @@
     """Run the benchmark. Raises InsufficientResourcesError and HarnessError."""
     check_needs(needs(trial.scale), this_machine())
     load_figures = {"load_average": os.getloadavg()[0]}
-    rows = asyncio.run(measure_by_known(trial.seed, trial.scale, trial.seeded_fault))
-    fleets = asyncio.run(measure_by_fleet(trial.seed, trial.scale, trial.seeded_fault))
-    derived = derive_figures(rows, base_bytes() / MB)
-    for known_count, row in rows.items():
-        row |= list_costs.measure(known_count, trial.seed)
-    figures = {f"{name}_{known_count}": value for known_count, row in rows.items() for name, value in row.items()}
-    figures |= {f"fleet_{name}_{count}": value for count, row in fleets.items() for name, value in row.items()}
-    return Measurement(make_claims(rows, fleets, derived), figures | derived | load_figures)
+    figures_by_known = asyncio.run(measure_by_known(trial.seed, trial.scale, trial.seeded_fault))
+    figures_by_fleet = asyncio.run(measure_by_fleet(trial.seed, trial.scale, trial.seeded_fault))
+    derived = derive_figures(figures_by_known, base_bytes() / MB)
+    for known_count, row_figures in figures_by_known.items():
+        row_figures |= list_costs.measure(known_count, trial.seed)
+    figures = {
+        f"{name}_{known_count}": value
+        for known_count, row_figures in figures_by_known.items()
+        for name, value in row_figures.items()
+    }
+    figures |= {
+        f"fleet_{name}_{count}": value
+        for count, row_figures in figures_by_fleet.items()
+        for name, value in row_figures.items()
+    }
+    return Measurement(make_claims(figures_by_known, figures_by_fleet, derived), figures | derived | load_figures)
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -226,9 +226,9 @@
         """Start this process's part of a fleet that grows to `fleet` forwarders."""
         first = self.config.worker + len(self.forwarders) * self.config.workers
         for index in range(first, fleet, self.config.workers):
-            started = LightweightForwarder(index, self.config, self.counts)
-            started.start()
-            self.forwarders.append(started)
+            new_forwarder = LightweightForwarder(index, self.config, self.counts)
+            new_forwarder.start()
+            self.forwarders.append(new_forwarder)
         if self.config.reports_all:
             for each_forwarder in self.forwarders:
                 each_forwarder.set_converters(range(fleet))
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -90,10 +90,10 @@
 def assert_served_safely(run: Run, min_served_share: float) -> None:
     """Assert that enough operations were served, no rule was broken, and no converter received a burst."""
     assert spread.served_operations_share(run.history) >= min_served_share
-    assert_safe(run)
+    assert_no_breaches_or_bursts(run)
 
 
-def assert_safe(run: Run) -> None:
+def assert_no_breaches_or_bursts(run: Run) -> None:
     """Assert that no rule was broken and no converter received a burst."""
     assert not run.breaches, run.breaches[:5]
     failed_claims = [
@@ -113,7 +113,7 @@
     incarnations = run.history.incarnations
     killed = {incarnation.sidecar for incarnation in incarnations if incarnation.killed}
     assert len(killed) == 6 and len(incarnations) == 24 and not any(incarnation.crashed for incarnation in incarnations)
-    assert_safe(run)
+    assert_no_breaches_or_bursts(run)
     # clients of killed sidecars lose requests until these have restarted, so only the other clients are checked
     assert kill.service_of_survivors(run, killed) >= 0.97
     last_ready_s = max(incarnation.ready_us for incarnation in incarnations) / 1e6
