--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -10,7 +10,7 @@
 
 from ryepier.experiments.core.quantiles import poisson_quantile
 
-RARE_PROBABILITY = 1e-4  # of exceeding a bound: a Poisson stream exceeds it in one of 10,000 windows
+RARE_PROBABILITY = 1e-4  # probability that a window of a Poisson stream exceeds a bound: one in 10,000
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -19,7 +19,7 @@
 
 BURST_US = 100_000
 RATE_PERIOD_US = 1_000_000  # a burst is compared with the mean rate over this period
-FALSE_ALARM_CHANCE = 1e-3  # that a fleet which chooses randomly exceeds a bound
+FALSE_ALARM_CHANCE = 1e-3  # probability that a fleet that chooses at random exceeds a bound
 US_PER_S = 1e6
 
 
@@ -46,7 +46,7 @@
     highest: int  # most attempts in a window
     worst_ratio: float  # highest count over the bound that a Poisson stream exceeds in one of 1,000 such runs
     rare_windows: int  # with more attempts than a Poisson stream has in one of 10,000 windows
-    rare_windows_by_chance: int  # number that Poisson streams exceed in one of 1,000 runs
+    rare_windows_by_chance: int  # number of rare windows that Poisson streams exceed in one of 1,000 runs
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,12 +54,12 @@
     """How many connections or executions converters held at once."""
 
     highest: int  # of any converter
-    mean: float  # over the converters, of the highest number of each
+    mean: float  # of the converters' highest numbers
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """The time for which a converter held a connection or execution; `end_us` may be NEVER."""
+    """The time in microseconds for which a converter held a connection or execution; `end_us` may be NEVER."""
 
     uid: str
     begin_us: int
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -13,10 +13,10 @@
 FULL_SIDECARS = 200
 FULL_CONVERTERS_PER_ZONE = 20
 FULL_RATE_PER_S = 600.0
-SETTLED_S = 2.0  # after the start, when connections are open
-RECOVERY_S = 5.0  # after the end of a fault, by when the load must be even again
+SETTLED_S = 2.0  # time after the start at which connections are open
+RECOVERY_S = 5.0  # time after the end of a fault until the load must be even again
 
-LIGHT_FACTOR = 0.1  # of half load, which makes a twentieth of the converters' capacity
+LIGHT_FACTOR = 0.1  # relative to half load, so a twentieth of the converters' capacity
 LIGHT_DURATION_S = 20.0
 
 KILL_AT_S = 3.0
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -15,7 +15,7 @@
 from ryepier.experiments.load_spread.processes import fleets, measures
 
 BASELINE_FROM_S = 1.0
-RETRY_GRACE_US = 1_000_000  # after a restart, until clients whose attempts failed meanwhile have retried
+RETRY_GRACE_US = 1_000_000  # time after a restart for clients to retry attempts that reached no sidecar
 MIN_SERVICE_LEVEL = 0.97
 US_PER_S = 1e6
 
@@ -26,7 +26,10 @@
 
 
 def recovery_end_s(run: Run) -> float:
-    """Return the time from which the load must be even: `RECOVERY_S` after the last sidecar was ready."""
+    """Return the time from which the load must be even again, at least one evenness window before the end of the run.
+
+    This is `RECOVERY_S` after the last sidecar was ready.
+    """
     last_ready_s = max(incarnation.ready_us for incarnation in run.history.incarnations) / US_PER_S
     return min(last_ready_s + fleets.RECOVERY_S, run.world.duration_s - measures.EVENNESS_WINDOW_S)
 
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -16,7 +16,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-RELEASE_UNDERWAY_S = 2.0  # after the lists became stale; the release is in progress by then
+RELEASE_UNDERWAY_S = 2.0  # time after the lists became stale at which the release is in progress
 AFTER_CUT_S = 1.0
 MIN_SERVED_SHARE = 0.9
 MIN_SERVICE_LEVEL = 0.95
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -14,7 +14,7 @@
 from ryepier.sim.fleet.choosers import Chooser, ChooserFactory, make_balancer
 from ryepier.sim.fleet.converter import Converter
 
-EARLIER_MAX_LOAD = 0.5
+EARLIER_MAX_LOAD = 0.5  # the load above which the earlier balancer counted as overloaded
 
 
 class ClosedSubset(Subset):
@@ -38,8 +38,8 @@
 class PrivateSubsetsBalancer(Balancer):
     """The balancer without three later corrections, also the control of `load-spread`.
 
-    Its subsets admit no new upstreams, each retry of an expensive request counts as an answer of a slow pool, and it
-    sheds load at a lower mean latency.
+    Its full subsets admit no new upstreams, each retry of an expensive request counts as an answer of a slow pool, and
+    it sheds load at a lower mean latency.
     """
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -1,7 +1,7 @@
 """`load-spread`: how even is the load of hundreds of sidecars that each see little of it?
 
 A simulated fleet runs at half of the converters' capacity and at a twentieth. The same seeds run with the balancer and
-with the earlier one that never admits new upstreams to its subsets, the control. Claims: no more crowded or empty
+with the control, an earlier version whose full subsets never admit new upstreams. Claims: no more crowded or empty
 windows than a Poisson stream has, hardly any rejections, and at most a quarter more connections than the control.
 """
 
@@ -16,7 +16,7 @@
 EXPECTED_PER_WINDOW = 12.0  # mean number of requests, with which an empty window is rare
 MAX_REJECTED_SHARE = 0.005
 MAX_CONNECTIONS_RATIO = 1.25
-WARM_UP_SHARE = 1 / 3  # of the run that is not measured: the subsets fill up in it
+WARM_UP_SHARE = 1 / 3  # share of the run before the measurement, in which the subsets fill up
 CONTROL = "private-subsets"
 PLANS: dict[Scale, dict[str, FleetPlan]] = {
     Scale.SMALL: {
--- a/ryepier/experiments/scale/balancer_cost.py
+++ b/ryepier/experiments/scale/balancer_cost.py
@@ -10,7 +10,7 @@
 from ryepier.balancer.balancer import Balancer
 from ryepier.emulator import draws
 
-START_US = 1_000_000_000  # of the virtual clock; not 0, as a real monotonic clock is not 0 either
+START_US = 1_000_000_000  # start of the virtual clock, which like a real monotonic clock does not start at 0
 CALLS_PER_BATCH = 100
 BATCHES = 8
 WARM_UP_BATCHES = 4  # not measured: the balancer opens its upstreams in them
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -234,9 +234,8 @@
     for (file, line_number, function), (_, _, own_s, _, _) in stats.stats.items():  # type: ignore[attr-defined]
         if not Path(file).parent.as_posix().endswith(PROFILED_FOLDERS):
             continue
-        line_suffix = (
-            f"_line_{line_number}" if function.startswith("<") else ""
-        )  # a comprehension has no name of its own
+        # comprehensions and lambdas have no name of their own
+        line_suffix = f"_line_{line_number}" if function.startswith("<") else ""
         name = f"{Path(file).stem}.{function.strip('<>')}{line_suffix}"
         us_per_call[name] = us_per_call.get(name, 0.0) + own_s * 1e6 / max(1, calls)
     costs = [FunctionCost(name, own_us) for name, own_us in us_per_call.items()]
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -22,13 +22,13 @@
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer, FinalOutcome
 
 NETWORK_US = 200  # one way
-WORK_US = 2_000  # that the last service needs for an answer or an error
+WORK_US = 2_000  # time that the last service takes for an answer or an error
 OBJECTIVE_PER_HOP_US = 40_000  # a hop's latency objective is this times the number of hops from it to the end
 DEADLINE_US = 1_000_000
 LATE_WEIGHT = 0.5
 MAX_SIDECAR_ATTEMPTS = 4
 MAX_RETRY_AFTER_US = 500_000
-START_US = 1_000_000_000  # of the virtual clock; not 0, as a real monotonic clock is not 0 either
+START_US = 1_000_000_000  # start of the virtual clock, which like a real monotonic clock does not start at 0
 NS_PER_US = 1000
 
 
@@ -50,8 +50,8 @@
 class ChainOutcome(msgspec.Struct):
     """Counts of a run."""
 
-    attempts: list[int]  # that reached the service called at each hop; the last service comes last
-    calls: list[int]  # that each hop's sidecars received from their applications
+    attempts: list[int]  # by hop: attempts that reached the called service; the last entry is the last service's
+    calls: list[int]  # by hop: calls that the sidecars received from their applications
     served: int = 0  # calls of the first callers
     answered: int = 0  # calls of the first callers, also those answered with an error
     longest_us: int = 0  # longest wait of a first caller for its answer
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -62,7 +62,7 @@
 AVOID_TIMEOUT_S = {Scale.SMALL: 5.0, Scale.FULL: 15.0}
 POLL_INTERVAL_S = 0.2
 AVOIDING_SHARE = 0.95  # share of the hung converter's callers that must avoid it
-MAX_WAIT_SHARE = 0.5  # of the planner's time spent waiting for a core; above it the machine is too busy to measure
+MAX_WAIT_SHARE = 0.5  # share of time that the planner waits for a core; above it the machine is too busy
 HUNG_UID = converter_uid(0)
 MIN_DIVISOR = 1e-9  # avoids a division by zero
 Readings = dict[str, float]  # by name, of a fleet of one size
@@ -75,14 +75,14 @@
     cpu_s: float  # without the simulation of calls
     resident: int  # bytes of memory
     count: int  # forwarders
-    connected: int  # forwarders
+    connected: int  # forwarders with a connection to the planner
     bytes_out: int
     bytes_in: int
     plan_bytes: int
     plans: int
     reporters: int  # forwarders whose reports the newest plan is based on
     users: int  # forwarders that call the hung converter
-    avoids_after_s: list[float]  # of each that avoids it, the seconds since it hung
+    avoids_after_s: list[float]  # for each of these that avoids it, the seconds from the hang until then
 
 
 class PlannerReading(msgspec.Struct, frozen=True):
@@ -243,7 +243,7 @@
         )
 
     async def hang_converter(self) -> float:
-        """Make a converter hang, and return the seconds until `AVOIDING_SHARE` of its callers avoid it by plan."""
+        """Make a converter hang, and return the seconds until plans make `AVOIDING_SHARE` of its callers avoid it."""
         await self.request("hang", uid=HUNG_UID)
         avoided_after_s, loop = float("inf"), asyncio.get_running_loop()
         deadline_s = loop.time() + AVOID_TIMEOUT_S[self.scale]
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -34,7 +34,7 @@
 SIDECARS_PER_GROUP = {Scale.SMALL: 12, Scale.FULL: 40}  # lightweight sidecars for each of KNOWN_COUNTS
 # sidecars that reconnect after an outage
 FLEET_SIZES = {Scale.SMALL: (100, 200, 400, 800), Scale.FULL: (200, 400, 800, 1600)}
-FLEET_KNOWN_COUNT = {Scale.SMALL: 30, Scale.FULL: 150}
+FLEET_KNOWN_COUNT = {Scale.SMALL: 30, Scale.FULL: 150}  # converters that each of these sidecars knows
 FLEET_PROCESSES = 4
 CHANGE_COUNT = {Scale.SMALL: 40, Scale.FULL: 200}
 CHANGE_INTERVAL_S = 0.02
@@ -67,8 +67,8 @@
 class Group:
     """Lightweight sidecars of one process that know the same number of converters, and the discovery they follow."""
 
-    known_count: int
-    count: int
+    known_count: int  # converters that each sidecar knows
+    count: int  # sidecars
     server: WatchServer
     process: LightweightProcess
 
