--- a/ryepier/experiments/scale/capacity/page.py
+++ b/ryepier/experiments/scale/capacity/page.py
@@ -112,11 +112,11 @@
 def format_breaks(results: Sequence[RowResult]) -> str:
     """Return a numbered list of the rows that break first."""
     lines = []
-    for place, result in enumerate(first_to_break(results), 1):
+    for rank, result in enumerate(first_to_break(results), 1):
         used = f"{format_number(100 * (result.share or 0.0))}% of its budget"
         reason = "nothing carries it" if result.standing is Standing.MISSING else used
         size = _format_breaking_size(result.breaks_at or 0.0)
-        lines.append(f"{place}. {result.row.role}, {result.row.resource}: {size} ({reason})")
+        lines.append(f"{rank}. {result.row.role}, {result.row.resource}: {size} ({reason})")
     return "\n".join(lines)
 
 
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -77,8 +77,8 @@
     """
     for _ in range(MAX_RUNS):
         history = harness.play(world, SEED, folder)
-        orders, breaches = figures.operations(world, history.client_attempts), judge.judge(world, history)
-        run = Run(world, SEED, history, orders, breaches, folder)
+        operations, breaches = figures.operations(world, history.client_attempts), judge.judge(world, history)
+        run = Run(world, SEED, history, operations, breaches, folder)
         lateness = lateness_claim(run, None)
         if lateness.holds:
             return run
