--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -1,8 +1,8 @@
-"""Lightweight forwarders, hundreds per process, for `scale-control`: reports and plans of real ones, calls made up.
+"""A process with hundreds of real forwarders that report simulated calls, for `scale-control`.
 
 `python -m ryepier.experiments.scale.lightweight_forwarders CONFIG`, with a `ForwardersConfig` as JSON, reads a command
-per line, as `lightweight.LightweightProcess` sends them. A forwarder's counters begin with a day's age, as in service:
-smaller numbers would take fewer bytes.
+per line, as `lightweight.LightweightProcess` sends them. The counters of a forwarder start with the calls of a day, as
+smaller numbers would make its reports shorter than in service.
 """
 
 from __future__ import annotations
@@ -27,43 +27,43 @@
 from ryepier.plan.plan_follower import AcceptanceRules
 from ryepier.sidecar.system import clock_us
 
-CALLS_PER_S = 369.0  # of one sidecar, at the size to design for
-ANSWER_US = 20_000
-UNANSWERED_AFTER_US = 10 * ANSWER_US
-IN_FLIGHT = 7  # calls at a time: those of one answer's time
-FAST_FRACTION = 3  # one answer in so many is in the next lower latency bucket
+CALLS_PER_S = 369.0  # per sidecar, at the design size
+ANSWER_LATENCY_US = 20_000
+ANSWER_TIMEOUT_US = 10 * ANSWER_LATENCY_US
+CALLS_IN_FLIGHT = 7  # concurrent calls per forwarder: about `CALLS_PER_S` times the latency of an answer
+FAST_ANSWER_DIVISOR = 3  # one answer in three falls into the next lower latency bucket
 DAY_S = 86_400
 US_PER_S = 1e6
 
 
 class ForwardersConfig(msgspec.Struct, frozen=True):
-    """What one worker process runs."""
+    """The forwarders that one worker process runs."""
 
     planner: tuple[str, int]
-    worker: int  # its number among the workers
+    worker: int  # index of this process among the workers
     workers: int
-    in_use: int  # converters that one forwarder calls
+    in_use: int  # converters that each forwarder calls
     seed: int
-    min_fleet: int
+    min_fleet: int  # size of the smallest measured fleet, by which a forwarder decides whether to accept a plan
     reports_all: bool = False  # seeded fault: every forwarder reports on all converters
 
 
 def converters_of(index: int, in_use: int) -> range:
-    """Return the converters that a forwarder calls.
+    """Return the numbers of the converters that a forwarder calls.
 
-    A service has as many converters as forwarders that call it, so the fleet's converters grow with its forwarders.
+    A service has as many converters as forwarders that call it, so the number of converters grows with the fleet.
     """
     first = index // in_use * in_use
     return range(first, first + in_use)
 
 
-def uid(number: int) -> str:
-    """Return a converter's uid."""
+def converter_uid(number: int) -> str:
+    """Return the uid of the converter with a number."""
     return f"c-{number:04x}"
 
 
 class TrafficCounts:
-    """Bytes and plans of all forwarders of this process."""
+    """Counts of the bytes and plans of all forwarders of this process."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -71,11 +71,11 @@
         self.bytes_in = 0
         self.plan_bytes = 0
         self.plans = 0
-        self.simulation_s = 0.0  # CPU time of making calls up, which is no forwarder's
-        self._plan_sizes: dict[tuple[int, int], int] = {}  # of the latest plan, by epoch and number
+        self.simulation_s = 0.0  # CPU time of the simulation of calls, which is not part of a forwarder's cost
+        self._plan_sizes: dict[tuple[int, int], int] = {}  # encoded size of the latest plan, by epoch and number
 
     def on_plan(self, plan: Plan) -> None:
-        """Count a plan that a forwarder received."""
+        """Count a plan that a forwarder received, and its bytes."""
         self.plans += 1
         key = plan.term.epoch, plan.number
         if key not in self._plan_sizes:
@@ -83,7 +83,7 @@
         self.plan_bytes += self._plan_sizes[key]
 
     def install(self) -> None:
-        """Count the bytes that every forwarder of this process writes and reads."""
+        """Patch the forwarder module to count the bytes that all forwarders of this process write and read."""
         counts = self
         receive = forwarder.PlannerConnection.data_received
 
@@ -102,120 +102,120 @@
 
 @dataclass(frozen=True, slots=True)
 class CallInFlight:
-    """A made-up call that the next report still has in flight."""
+    """A simulated call that is still in flight in the next report."""
 
     converter: str
     token: int
 
 
 class LightweightForwarder(forwarder.Forwarder):
-    """A forwarder whose calls are made up just before each report."""
+    """A real forwarder whose calls are simulated just before each report."""
 
     def __init__(self, index: int, config: ForwardersConfig, counts: TrafficCounts) -> None:
-        """Prepare the forwarder of a number in the fleet; `start` connects it."""
+        """Create the forwarder with an index in the fleet, with a day's counters; `start` connects it."""
         self.index = index
         self.counts = counts
         self.random = draws.stream(config.seed, f"forwarder {index}")
         self.upstream_ids: dict[str, int] = {}
-        self.hung = ""  # a converter that answers no calls
-        self.hung_us = 0
+        self.hung_uid = ""  # the converter that no longer answers calls; empty if there is none
+        self.hung_since_us = 0
         self.avoided_after_s: float | None = None
         self.evidence = PlanBasis()
-        self.token = 0
+        self.last_token = 0
         self.in_flight: list[CallInFlight] = []
         self.simulated_until_s = time.monotonic()
         settings = forwarder.Settings(f"f{index}", [config.planner], AcceptanceRules(fleet=config.min_fleet))
-        sidecar = forwarder.Sidecar(lambda: self.upstream_ids, self.on_plan_updated, [UNANSWERED_AFTER_US], 1)
+        sidecar = forwarder.Sidecar(lambda: self.upstream_ids, self.on_plan_updated, [ANSWER_TIMEOUT_US], 1)
         super().__init__(settings, sidecar, make_machine(f"{config.seed} f{index}"))
-        self.use(converters_of(index, config.in_use))
+        self.set_converters(converters_of(index, config.in_use))
 
-    def use(self, numbers: range) -> None:
-        """Call these converters from now on, with a day's counters of each new one."""
-        self.upstream_ids = {uid(number): number for number in numbers}
+    def set_converters(self, numbers: range) -> None:
+        """Call the converters with these numbers from now on, and set the counters of new ones to a day's calls."""
+        self.upstream_ids = {converter_uid(number): number for number in numbers}
         self.refresh_uids()
         served = int(CALLS_PER_S / len(numbers) * DAY_S)
-        for name in self.upstream_ids.keys() - self.reporter.records.keys():
-            self.token += 1
-            self.reporter.on_attempt_started(clock_us(), name, self.token, 0)
-            self.reporter.on_attempt_ended(name, self.token, Outcome.OK, ANSWER_US)
-            record = self.reporter.records[name]
+        for uid in self.upstream_ids.keys() - self.reporter.records.keys():
+            self.last_token += 1
+            self.reporter.on_attempt_started(clock_us(), uid, self.last_token, 0)
+            self.reporter.on_attempt_ended(uid, self.last_token, Outcome.OK, ANSWER_LATENCY_US)
+            record = self.reporter.records[uid]
             record.attempts = record.served = served
-            record.latencies[latency_bucket(ANSWER_US)] = served
+            record.latencies[latency_bucket(ANSWER_LATENCY_US)] = served
 
     def on_plan_updated(self, event: PlanUpdated) -> None:
-        """Record when a plan first ejects the hung converter."""
-        number = self.upstream_ids.get(self.hung)
+        """Record the time until a plan first ejects the hung converter."""
+        number = self.upstream_ids.get(self.hung_uid)
         if number is None or self.avoided_after_s is not None:
             return
         if any(advice.upstream == number and advice.ejected for advice in event.advice):
-            self.avoided_after_s = (clock_us() - self.hung_us) / US_PER_S
+            self.avoided_after_s = (clock_us() - self.hung_since_us) / US_PER_S
 
-    def hang(self, name: str) -> None:
-        """Let a converter answer no more calls."""
-        self.hung = name
-        self.hung_us = clock_us()
+    def hang(self, uid: str) -> None:
+        """Make a converter answer no more calls of this forwarder."""
+        self.hung_uid = uid
+        self.hung_since_us = clock_us()
 
     def on_plan(self, plan: Plan) -> None:
-        """Count a plan, and follow it."""
+        """Count a plan, and process it as a forwarder does."""
         self.counts.on_plan(plan)
         self.evidence = plan.evidence
         super().on_plan(plan)
 
     def send_reports(self) -> None:
-        """Make up the calls since the last report, and report them."""
-        begun_s = time.thread_time()
+        """Simulate the calls since the last report, and send the reports."""
+        start_s = time.thread_time()
         self.simulate_calls(time.monotonic())
-        self.counts.simulation_s += time.thread_time() - begun_s
+        self.counts.simulation_s += time.thread_time() - start_s
         super().send_reports()
 
     def simulate_calls(self, now_s: float) -> None:
-        """Make up the calls since the last time: most straight into the counters, those in flight as they start."""
+        """Simulate the calls since the last simulation: add ended ones to the counters, and start those in flight."""
         elapsed_s = now_s - self.simulated_until_s
         self.simulated_until_s = now_s
-        names = list(self.upstream_ids)
-        counts = self.random.poisson(CALLS_PER_S * elapsed_s / len(names), len(names)).tolist()
-        for name, count in zip(names, counts, strict=True):
+        uids = list(self.upstream_ids)
+        counts = self.random.poisson(CALLS_PER_S * elapsed_s / len(uids), len(uids)).tolist()
+        for uid, count in zip(uids, counts, strict=True):
             if count:
-                self._count_calls(name, count)
-        self._replace_calls_in_flight(names)
+                self._count_calls(uid, count)
+        self._replace_calls_in_flight(uids)
 
-    def _count_calls(self, name: str, count: int) -> None:
-        record = self.reporter.records[name]
+    def _count_calls(self, uid: str, count: int) -> None:
+        record = self.reporter.records[uid]
         record.attempts += count
         record.changed = True
-        if name == self.hung:
+        if uid == self.hung_uid:
             record.failed += count
             return
-        fast = count // FAST_FRACTION
-        bucket = latency_bucket(ANSWER_US)
+        fast_count = count // FAST_ANSWER_DIVISOR
+        bucket = latency_bucket(ANSWER_LATENCY_US)
         record.served += count
-        record.latencies[bucket] += count - fast
-        record.latencies[bucket - 1] += fast
+        record.latencies[bucket] += count - fast_count
+        record.latencies[bucket - 1] += fast_count
 
-    def _replace_calls_in_flight(self, names: list[str]) -> None:
+    def _replace_calls_in_flight(self, uids: list[str]) -> None:
         for call in self.in_flight:
-            self.reporter.on_attempt_ended(call.converter, call.token, Outcome.OK, ANSWER_US)
-        chosen = [names[number] for number in self.random.integers(len(names), size=IN_FLIGHT).tolist()]
-        calls = [CallInFlight(name, self.token + 1 + place) for place, name in enumerate(chosen)]
-        self.in_flight = [call for call in calls if call.converter != self.hung]
-        self.token += IN_FLIGHT
+            self.reporter.on_attempt_ended(call.converter, call.token, Outcome.OK, ANSWER_LATENCY_US)
+        called_uids = [uids[number] for number in self.random.integers(len(uids), size=CALLS_IN_FLIGHT).tolist()]
+        calls = [CallInFlight(uid, self.last_token + 1 + offset) for offset, uid in enumerate(called_uids)]
+        self.in_flight = [call for call in calls if call.converter != self.hung_uid]
+        self.last_token += CALLS_IN_FLIGHT
         now_us = clock_us()
         for call in self.in_flight:
             self.reporter.on_attempt_started(now_us, call.converter, call.token, 0)
 
 
 class Worker:
-    """The forwarders of this process, and the commands that they take."""
+    """The forwarders of this process, and the commands that it runs."""
 
     def __init__(self, config: ForwardersConfig) -> None:
-        """Start without forwarders."""
+        """Start without forwarders, and install the traffic counts."""
         self.config = config
         self.counts = TrafficCounts()
         self.forwarders: list[LightweightForwarder] = []
         self.counts.install()
 
     def run(self, command: Mapping[str, Any]) -> dict[str, Any]:
-        """Run one command, and return its answer."""
+        """Run one command, and return its answer; any command but `grow` and `hang` is a `sample`."""
         if command["do"] == "grow":
             return self.grow(int(command["fleet"]))
         if command["do"] == "hang":
@@ -223,45 +223,51 @@
         return self.sample()
 
     def grow(self, fleet: int) -> dict[str, Any]:
-        """Start forwarders up to this process's part of a fleet of so many."""
+        """Start this process's part of a fleet that grows to `fleet` forwarders."""
         first = self.config.worker + len(self.forwarders) * self.config.workers
         for index in range(first, fleet, self.config.workers):
-            started = LightweightForwarder(index, self.config, self.counts)
-            started.start()
-            self.forwarders.append(started)
+            new_forwarder = LightweightForwarder(index, self.config, self.counts)
+            new_forwarder.start()
+            self.forwarders.append(new_forwarder)
         if self.config.reports_all:
-            for each in self.forwarders:
-                each.use(range(fleet))
+            for each_forwarder in self.forwarders:
+                each_forwarder.set_converters(range(fleet))
         return {}
 
-    def hang(self, name: str) -> dict[str, Any]:
-        """Let a converter answer no more calls of any forwarder."""
-        for each in self.forwarders:
-            each.hang(name)
+    def hang(self, uid: str) -> dict[str, Any]:
+        """Make a converter answer no more calls of any forwarder."""
+        for each_forwarder in self.forwarders:
+            each_forwarder.hang(uid)
         return {}
 
     def sample(self) -> dict[str, Any]:
-        """Return the totals of this process now."""
-        used, counts = own_usage(), self.counts
-        users = [each for each in self.forwarders if each.hung in each.upstream_ids]
+        """Return the current totals of this process, in the form of `control.Sample`."""
+        usage, counts = own_usage(), self.counts
+        users = [
+            each_forwarder
+            for each_forwarder in self.forwarders
+            if each_forwarder.hung_uid in each_forwarder.upstream_ids
+        ]
         return {
             "at_s": time.monotonic(),
-            "cpu_s": used.cpu_s - counts.simulation_s,
-            "resident": used.resident_bytes,
+            "cpu_s": usage.cpu_s - counts.simulation_s,
+            "resident": usage.resident_bytes,
             "count": len(self.forwarders),
-            "connected": sum(bool(each.connections) for each in self.forwarders),
+            "connected": sum(bool(each_forwarder.connections) for each_forwarder in self.forwarders),
             "bytes_out": counts.bytes_out,
             "bytes_in": counts.bytes_in,
             "plan_bytes": counts.plan_bytes,
             "plans": counts.plans,
-            "reporters": max((each.evidence.forwarders for each in self.forwarders), default=0),
+            "reporters": max((each_forwarder.evidence.forwarders for each_forwarder in self.forwarders), default=0),
             "users": len(users),
-            "avoids_after_s": [each.avoided_after_s for each in users if each.avoided_after_s is not None],
+            "avoids_after_s": [
+                each_forwarder.avoided_after_s for each_forwarder in users if each_forwarder.avoided_after_s is not None
+            ],
         }
 
 
 async def serve(config: ForwardersConfig) -> None:
-    """Answer commands until the end of standard input."""
+    """Run commands from standard input until it ends, and print the answers."""
     worker = Worker(config)
     loop = asyncio.get_running_loop()
     print("{}", flush=True)
@@ -270,8 +276,8 @@
 
 
 def main() -> None:
-    """Serve as the first argument says."""
-    # the log lines of hundreds of forwarders would be a good part of the CPU time that is measured
+    """Serve with the configuration in the first argument."""
+    # writing the log lines of hundreds of forwarders would take a large part of the measured CPU time
     logging.getLogger("ryepier.plan").setLevel(logging.ERROR)
     asyncio.run(serve(msgspec.json.decode(sys.argv[1], type=ForwardersConfig)))
 
