--- a/ryepier/commands/capacity.py
+++ b/ryepier/commands/capacity.py
@@ -32,8 +32,8 @@
 def keep(folder: Path, results_folder: Path) -> None:
     """Keep the result of the run in FOLDER for the capacity page, with the day of the run."""
     try:
-        written = datetime.datetime.fromtimestamp((folder / contract.RESULT_FILE).stat().st_mtime, datetime.UTC)
-        print(keep_result(folder, results_folder, written.date().isoformat()))
+        written_at = datetime.datetime.fromtimestamp((folder / contract.RESULT_FILE).stat().st_mtime, datetime.UTC)
+        print(keep_result(folder, results_folder, written_at.date().isoformat()))
     except (OSError, CapacityError) as error:
         fail("experiment keep", error, ExitCode.MISUSE)
 
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -32,11 +32,11 @@
 def list_all() -> None:
     """List the models and the seeded faults."""
     for model in MODELS.values():
-        bound = f", {model.depth} steps" if model.depth else ""
+        depth_limit = f", {model.depth} steps" if model.depth else ""
         print(
             f"{model.name:16} {model.converters} converters, requests {', '.join(model.requests)}, "
             f"{model.max_attempts} attempts, {model.list_changes} changes of the list, "
-            f"{model.client_disconnects} clients leave{bound}"
+            f"{model.client_disconnects} clients leave{depth_limit}"
         )
     print(f"plants: {', '.join(SEEDED_FAULTS)}")
 
@@ -172,7 +172,7 @@
     frontier: list[explore.Steps] = [()]
     visited: set[bytes] = set()
     for path in frontier:
-        for digest, longer in explore.expand(model, path).children:
+        for digest, extended_path in explore.expand(model, path).children:
             if digest not in visited and len(frontier) < MAX_TRACED_PATHS:
                 visited.add(digest)
-                frontier.append(longer)
+                frontier.append(extended_path)
--- a/ryepier/commands/config.py
+++ b/ryepier/commands/config.py
@@ -20,8 +20,8 @@
 def fail_with_problems(path: Path | str, problems: list[Problem]) -> NoReturn:
     """Print one line per problem, as `file:line: key: text`, and exit with 2."""
     for problem in problems:
-        place = f"{path}:{problem.line}" if problem.line else str(path)
-        print(f"{place}: {problem.key + ': ' if problem.key else ''}{problem.text}", file=sys.stderr)
+        location = f"{path}:{problem.line}" if problem.line else str(path)
+        print(f"{location}: {problem.key + ': ' if problem.key else ''}{problem.text}", file=sys.stderr)
     sys.exit(ExitCode.MISUSE)
 
 
--- a/ryepier/commands/console.py
+++ b/ryepier/commands/console.py
@@ -15,7 +15,7 @@
 from ryepier.emulator.records import RecordedEvent
 from ryepier.experiments.core.contract import Claim
 
-PLAIN_INTERVAL_S = 2.0
+PRINT_INTERVAL_S = 2.0
 ALWAYS_SHOWN = ("offered", "served")
 COUNT_NAMES = (*ALWAYS_SHOWN, "refused", "failed", "timeout", "broken", "unreachable", "retries", "open")
 
@@ -36,19 +36,19 @@
     with Progress(*columns, console=console) as progress:
         task = progress.add_task(title, total=duration_s, counts="")
 
-        def show(at_s: float, counts: Counter[str]) -> None:
+        def update_progress(at_s: float, counts: Counter[str]) -> None:
             completed_s = min(max(0.0, at_s), duration_s)
             progress.update(task, completed=completed_s, counts=describe_counts(counts))
 
-        yield show
+        yield update_progress
 
 
 def _make_line_printer() -> Watcher:
-    last_printed_s = -PLAIN_INTERVAL_S
+    last_printed_s = -PRINT_INTERVAL_S
 
     def print_line(at_s: float, counts: Counter[str]) -> None:
         nonlocal last_printed_s
-        if at_s >= last_printed_s + PLAIN_INTERVAL_S:
+        if at_s >= last_printed_s + PRINT_INTERVAL_S:
             last_printed_s = at_s
             print(f"{at_s:5.1f} s  {describe_counts(counts)}", file=sys.stderr)
 
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -37,14 +37,14 @@
     """List the experiments, with the seeded faults that each can be run with."""
     if as_json:
         entries = [
-            {"name": one.name, "about": one.question, "plants": list(one.seeded_faults)}
-            for one in ALL_EXPERIMENTS.values()
+            {"name": listed.name, "about": listed.question, "plants": list(listed.seeded_faults)}
+            for listed in ALL_EXPERIMENTS.values()
         ]
         print(json.dumps(entries))
         return
-    for one in ALL_EXPERIMENTS.values():
-        faults = f" (seeded faults: {', '.join(one.seeded_faults)})" if one.seeded_faults else ""
-        print(f"{one.name:16} {one.question}{faults}")
+    for listed in ALL_EXPERIMENTS.values():
+        faults = f" (seeded faults: {', '.join(listed.seeded_faults)})" if listed.seeded_faults else ""
+        print(f"{listed.name:16} {listed.question}{faults}")
 
 
 @experiment.command()
@@ -65,34 +65,34 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the claims as JSON.")
 def run(name: str, seed: int, scale: str, folder: Path | None, seeded_fault: str, backend: str, as_json: bool) -> None:
     """Run the experiment NAME and print a line per claim; exit with 1 if one does not hold."""
-    one = ALL_EXPERIMENTS[name]
-    _check_seeded_fault(one, seeded_fault)
+    selected = ALL_EXPERIMENTS[name]
+    _check_seeded_fault(selected, seeded_fault)
     folder = folder or Path("out") / f"{name}-{seed}{'-' + seeded_fault if seeded_fault else ''}"
     trial = contract.TrialConfig(seed, Scale(scale), folder, seeded_fault)
     try:
-        claims = _run(one, trial, contract.Backend(backend))
+        claims = _run(selected, trial, contract.Backend(backend))
     except InsufficientResourcesError as error:
         fail("experiment", error, ExitCode.MISUSE)
     except (HarnessError, OSError) as error:
         fail("experiment", error, ExitCode.FAILURE)
-    if isinstance(one, Experiment):
+    if isinstance(selected, Experiment):
         _write_report(folder)
     _print_claims(claims, as_json)
     exit_with_claims(claims)
 
 
-def _check_seeded_fault(one: Experiment | Benchmark, seeded_fault: str) -> None:
-    if seeded_fault and seeded_fault not in one.seeded_faults:
-        known = ", ".join(one.seeded_faults) or "none"
-        raise click.BadParameter(f"the seeded faults of {one.name}: {known}", param_hint="--plant")
+def _check_seeded_fault(selected: Experiment | Benchmark, seeded_fault: str) -> None:
+    if seeded_fault and seeded_fault not in selected.seeded_faults:
+        known = ", ".join(selected.seeded_faults) or "none"
+        raise click.BadParameter(f"the seeded faults of {selected.name}: {known}", param_hint="--plant")
 
 
-def _run(one: Experiment | Benchmark, trial: contract.TrialConfig, backend: contract.Backend) -> list[Claim]:
-    if isinstance(one, Experiment):
-        return runner.run_experiment(one, trial, backend=backend)
+def _run(selected: Experiment | Benchmark, trial: contract.TrialConfig, backend: contract.Backend) -> list[Claim]:
+    if isinstance(selected, Experiment):
+        return runner.run_experiment(selected, trial, backend=backend)
     if backend is contract.Backend.SIM:
-        raise click.BadParameter(f"{one.name} has no world that could be simulated", param_hint="--backend")
-    return runner.run_benchmark(one, trial)
+        raise click.BadParameter(f"{selected.name} has no world that could be simulated", param_hint="--backend")
+    return runner.run_benchmark(selected, trial)
 
 
 def _write_report(folder: Path) -> None:
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -152,19 +152,19 @@
     return outcome
 
 
-def _call(path: Path, region: str, use: Callable[[RegionClient], Coroutine[Any, Any, T]]) -> T:
+def _call(path: Path, region: str, make_call: Callable[[RegionClient], Coroutine[Any, Any, T]]) -> T:
     """Call the region's coordinators; exit with 1 where none answers."""
     agreement = _read_agreement(path, region)
 
-    async def call() -> T:
+    async def call_region() -> T:
         client = RegionClient(region, replica_addresses(agreement, region), getpass.getuser(), ClientKind.OPERATOR)
         try:
-            return await use(client)
+            return await make_call(client)
         finally:
             client.close()
 
     try:
-        return asyncio.run(call())
+        return asyncio.run(call_region())
     except CallError as error:
         fail(COMMAND, error, ExitCode.FAILURE)
 
--- a/ryepier/commands/plan.py
+++ b/ryepier/commands/plan.py
@@ -108,10 +108,10 @@
     before = read_or_exit(old)
     after = read_or_exit(new)
     print(f"- {describe_plan(before)}\n+ {describe_plan(after)}")
-    unlisted = ConverterAdvice()
+    default_advice = ConverterAdvice()
     for uid in sorted(before.entries.keys() | after.entries.keys()):
-        advice_before = before.entries.get(uid, unlisted)
-        advice_after = after.entries.get(uid, unlisted)
+        advice_before = before.entries.get(uid, default_advice)
+        advice_after = after.entries.get(uid, default_advice)
         if advice_before != advice_after:
             print(f"{uid}\n  - {describe(advice_before)}\n  + {describe(advice_after)}")
 
--- a/ryepier/commands/signals.py
+++ b/ryepier/commands/signals.py
@@ -10,6 +10,6 @@
     """Return an event that SIGTERM or SIGINT sets. Call it from a running event loop."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     return stop
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -16,12 +16,12 @@
 from ryepier.emulator.errors import HarnessError
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import figures, judge
-from ryepier.experiments.core import worlds as shipped
+from ryepier.experiments.core import worlds as world_files
 from ryepier.experiments.simulation import random_worlds, search
 from ryepier.experiments.simulation.coverage import LEGEND, Coverage
 from ryepier.experiments.simulation.request_story import tell_story
 
-SMALLER_SUFFIX = ".small.json"
+REDUCED_SUFFIX = ".small.json"
 
 
 def _check_seeded_fault(name: str) -> None:
@@ -48,9 +48,9 @@
 @click.option("--seed", default=1, show_default=True)
 def run(name: str, seed: int) -> None:
     """Run the world of an experiment in simulation; exit with 1 if a rule is broken."""
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     try:
-        world = shipped.load(name)
+        world = world_files.load(name)
         history = simulated.play(world, seed)
     except (FileNotFoundError, HarnessError) as error:
         fail("sim", f"{name}: {error}", ExitCode.MISUSE)
@@ -63,7 +63,7 @@
         "tries": len(history.client_attempts),
         "attempts": len(history.converter_attempts),
         "breaches": breaches,
-        "simulated_s_a_second": world.duration_s / (time.monotonic() - begun_s),
+        "simulated_s_a_second": world.duration_s / (time.monotonic() - started_s),
     }
     print(json.dumps(summary))
     sys.exit(ExitCode.FAILURE if breaches else ExitCode.SUCCESS)
@@ -77,7 +77,7 @@
 def hunt(seeds: int, first: int, out: Path, seeded_fault: str) -> None:
     """Draw worlds from seeds, run them on all cores, and save those that break a rule."""
     _check_seeded_fault(seeded_fault)
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     find_count, coverage = 0, Coverage()
     out.mkdir(parents=True, exist_ok=True)
     prefix = f"find-{seeded_fault}-" if seeded_fault else "find-"
@@ -89,7 +89,7 @@
         path = out / f"{prefix}{result.find.seed}.json"
         search.save(result.find, path)
         print(f"{path}: world {number + 1}: {result.find.first_violation}", flush=True)
-    elapsed_s = time.monotonic() - begun_s
+    elapsed_s = time.monotonic() - started_s
     (out / "coverage.json").write_text(json.dumps(coverage.as_lists()))
     print_table(coverage)
     rate = seeds * random_worlds.DURATION_S / elapsed_s
@@ -116,14 +116,14 @@
     find = read_find(path)
     search.install_fault(find.seeded_fault)
     replayed = search.run_world(find.world, find.seed, find.seeded_fault)
-    again = replayed.find
-    if again is None:
+    replayed_find = replayed.find
+    if replayed_find is None:
         print("no rule is broken any more")
         return
-    print(again.first_violation)
-    comparison = "the same" if again.history_hash == find.history_hash else "not the same as when it was found"
-    print(f"trace {again.history_hash}: {comparison}")
-    request_id = search.request_in(again.first_violation)
+    print(replayed_find.first_violation)
+    comparison = "the same" if replayed_find.history_hash == find.history_hash else "not the same as when it was found"
+    print(f"trace {replayed_find.history_hash}: {comparison}")
+    request_id = search.request_in(replayed_find.first_violation)
     if replayed.history is not None and request_id is not None:
         print("\n".join(tell_story(replayed.history, request_id)))
     sys.exit(ExitCode.FAILURE)
@@ -135,7 +135,7 @@
     """Reduce a find to the few faults that matter, and save that beside it."""
     find = read_find(path)
     search.install_fault(find.seeded_fault)
-    smaller = search.shrink(find)
-    out = path.with_suffix(SMALLER_SUFFIX)
-    search.save(smaller, out)
-    print(f"{out}: {len(find.world.faults)} faults before, {len(smaller.world.faults)} now: {smaller.first_violation}")
+    reduced = search.shrink(find)
+    out = path.with_suffix(REDUCED_SUFFIX)
+    search.save(reduced, out)
+    print(f"{out}: {len(find.world.faults)} faults before, {len(reduced.world.faults)} now: {reduced.first_violation}")
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -24,7 +24,7 @@
 from ryepier.slices.reflector import Apply, Delete, Replace
 from ryepier.slices.slice_source import Settings, SliceSource
 
-RULE_TEXTS = {
+RULE_DESCRIPTIONS = {
     1: "all slices that list it agree",
     3: "it was observed terminating, and a pod never returns from that",
     4: "the slices differ, and the most cautious one counts",
@@ -118,36 +118,36 @@
         lambda: None,
         clock_us,
     )
-    reading = asyncio.create_task(client.run())
+    list_task = asyncio.create_task(client.run())
     try:
         async with asyncio.timeout(LIST_TIMEOUT_S):
             await listed.wait()
     finally:
-        reading.cancel()
+        list_task.cancel()
     return merger
 
 
 def find_endpoints(merger: EndpointSliceMerger, text: str) -> list[MergedEndpoint]:
     """Return the endpoints with this pod uid, address, or address and port."""
-    found = []
+    endpoints = []
     for identity, endpoint in merger.endpoints(0).items():
         host, port = endpoint.address
         if text in (identity, host, f"{host}:{port}", f"[{host}]:{port}"):
-            found.append(endpoint)
-    return found
+            endpoints.append(endpoint)
+    return endpoints
 
 
 def describe_observation(observation: EndpointObservation) -> str:
     """Return what one slice reports of an endpoint, in one line."""
-    places = []
+    locations = []
     if observation.node:
-        places.append(f"node {observation.node}")
+        locations.append(f"node {observation.node}")
     if observation.zone:
-        places.append(f"zone {observation.zone}")
+        locations.append(f"zone {observation.zone}")
     if observation.for_zones:
-        places.append(f"hinted for {', '.join(observation.for_zones)}")
-    place_text = f" ({'; '.join(places)})" if places else ""
-    return f"  {observation.slice_name}, generation {observation.generation}: {RISKS[observation.risk]}{place_text}"
+        locations.append(f"hinted for {', '.join(observation.for_zones)}")
+    location_text = f" ({'; '.join(locations)})" if locations else ""
+    return f"  {observation.slice_name}, generation {observation.generation}: {RISKS[observation.risk]}{location_text}"
 
 
 def describe_endpoint(endpoint: MergedEndpoint) -> str:
@@ -155,7 +155,7 @@
     host, port = endpoint.address
     return (
         f"{host}:{port} {endpoint.identity}: {endpoint.state.value}, by rule {endpoint.rule}: "
-        f"{RULE_TEXTS[endpoint.rule]}"
+        f"{RULE_DESCRIPTIONS[endpoint.rule]}"
     )
 
 
--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -46,8 +46,8 @@
     )
 }
 BENCHMARKS: dict[str, Benchmark] = {
-    one.name: one
-    for one in (
+    benchmark.name: benchmark
+    for benchmark in (
         call.EXPERIMENT,
         control.EXPERIMENT,
         depth.EXPERIMENT,
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -28,7 +28,7 @@
 
     first: ClientAttempt
     weight: float  # priority weight of its class
-    earned: float  # the part of the weight that it is worth, by when it was served; 0 if too late or never
+    earned_weight: float  # the part of the weight that it is worth, by when it was served; 0 if too late or never
     latency_us: int | None  # from the time when the first attempt was due to the served answer; None: not served
     attempts: int
 
@@ -48,20 +48,20 @@
 
 def group_operations(world: World, client_attempts: Iterable[ClientAttempt]) -> list[Operation]:
     """Group the clients' attempts into operations, in the order in which they were due."""
-    groups: dict[int, list[ClientAttempt]] = {}
-    for item in client_attempts:
-        groups.setdefault(item.arrival, []).append(item)
-    found = [_make_operation(world.classes, group) for group in groups.values()]
-    return sorted(found, key=lambda operation: operation.first.planned_us)
+    attempts_by_arrival: dict[int, list[ClientAttempt]] = {}
+    for attempt in client_attempts:
+        attempts_by_arrival.setdefault(attempt.arrival, []).append(attempt)
+    operations = [_make_operation(world.classes, attempts) for attempts in attempts_by_arrival.values()]
+    return sorted(operations, key=lambda operation: operation.first.planned_us)
 
 
 def _make_operation(classes: list[RequestClass], attempts: list[ClientAttempt]) -> Operation:
-    first = min(attempts, key=lambda item: item.number)
+    first = min(attempts, key=lambda attempt: attempt.number)
     request_class = classes[first.request_class]
-    served_us = [item.ended_us for item in attempts if item.outcome is RequestOutcome.SERVED]
-    latency_us = min(served_us) - first.planned_us if served_us else None
-    earned = _earned_weight(request_class, latency_us)
-    return Operation(first, request_class.priority_weight, earned, latency_us, len(attempts))
+    served_at_us = [attempt.ended_us for attempt in attempts if attempt.outcome is RequestOutcome.SERVED]
+    latency_us = min(served_at_us) - first.planned_us if served_at_us else None
+    earned_weight = _earned_weight(request_class, latency_us)
+    return Operation(first, request_class.priority_weight, earned_weight, latency_us, len(attempts))
 
 
 def _earned_weight(request_class: RequestClass, latency_us: int | None) -> float:
@@ -73,25 +73,27 @@
     return request_class.priority_weight * request_class.late_weight
 
 
-def service_level(found: Iterable[Operation], keep: Callable[[ClientAttempt], bool] = lambda item: True) -> float:
+def service_level(
+    operations: Iterable[Operation], is_included: Callable[[ClientAttempt], bool] = lambda attempt: True
+) -> float:
     """Return the earned share of the weight of those operations whose first attempt `keep` selects; 1 if none."""
-    offered = earned = 0.0
-    for operation in found:
-        if keep(operation.first):
-            offered += operation.weight
-            earned += operation.earned
-    return earned / offered if offered else 1.0
+    offered_weight = earned_weight = 0.0
+    for operation in operations:
+        if is_included(operation.first):
+            offered_weight += operation.weight
+            earned_weight += operation.earned_weight
+    return earned_weight / offered_weight if offered_weight else 1.0
 
 
 def due_between(begin_s: float, end_s: float) -> Callable[[ClientAttempt], bool]:
     """Return a filter for first attempts that were due in this part of the run, its end excluded."""
-    return lambda item: begin_s * US_PER_S <= item.planned_us < end_s * US_PER_S
+    return lambda attempt: begin_s * US_PER_S <= attempt.planned_us < end_s * US_PER_S
 
 
-def latency_histogram(found: Iterable[Operation]) -> HdrHistogram:
+def latency_histogram(operations: Iterable[Operation]) -> HdrHistogram:
     """Return the latencies of all served operations, in microseconds; longer ones count as `MAX_LATENCY_US`."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
-    for operation in found:
+    for operation in operations:
         if operation.latency_us is not None:
             histogram.record_value(min(max(1, operation.latency_us), MAX_LATENCY_US))
     return histogram
@@ -99,7 +101,7 @@
 
 def wasted_work_share(history: History) -> float:
     """Return the share of the converters' work after which no client had an answer."""
-    served = {item.request_id for item in history.client_attempts if item.outcome is RequestOutcome.SERVED}
+    served = {attempt.request_id for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
     executed = [attempt for attempt in history.converter_attempts if attempt.started_us != NEVER]
     total_us = sum(attempt.work_us for attempt in executed)
     wasted_us = sum(attempt.work_us for attempt in executed if attempt.request_id not in served)
@@ -108,14 +110,14 @@
 
 def retry_after_share(client_attempts: Iterable[ClientAttempt]) -> float:
     """Return the share of rejections with a Retry-After; 1 if there were no rejections."""
-    rejected = [item for item in client_attempts if item.outcome is RequestOutcome.REFUSED]
-    return sum(item.retry_after_us > 0 for item in rejected) / len(rejected) if rejected else 1.0
+    rejected = [attempt for attempt in client_attempts if attempt.outcome is RequestOutcome.REFUSED]
+    return sum(attempt.retry_after_us > 0 for attempt in rejected) / len(rejected) if rejected else 1.0
 
 
 def cpu_used_us(incarnation: Incarnation, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
     """Return a sidecar's CPU time between its first and last sample in a part of the run."""
-    inside = [cpu_us for at_us, cpu_us, _ in incarnation.samples if begin_us <= at_us <= end_us]
-    return inside[-1] - inside[0] if inside else 0
+    cpu_readings_us = [cpu_us for at_us, cpu_us, _ in incarnation.samples if begin_us <= at_us <= end_us]
+    return cpu_readings_us[-1] - cpu_readings_us[0] if cpu_readings_us else 0
 
 
 def cpu_us_per_request(history: History, sidecar: int, begin_s: float, end_s: float) -> float | None:
@@ -128,7 +130,7 @@
     if len(samples) < 2:
         return None
     (begin_us, cpu_before_us), (end_us, cpu_after_us) = samples[0], samples[-1]
-    requests = sum(begin_us <= item.sent_us < end_us for item in history.client_attempts)
+    requests = sum(begin_us <= attempt.sent_us < end_us for attempt in history.client_attempts)
     return (cpu_after_us - cpu_before_us) / max(1, requests)
 
 
@@ -139,29 +141,29 @@
 
 def count_attempts(attempts: Iterable[ConverterAttempt], uids: set[str], begin_s: float, end_s: float) -> AttemptCounts:
     """Count the attempts received in a part of the run, at converters with these uids and at all."""
-    received_by = [item.uid for item in attempts if begin_s * US_PER_S <= item.received_us < end_s * US_PER_S]
+    received_by = [attempt.uid for attempt in attempts if begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S]
     return AttemptCounts(sum(uid in uids for uid in received_by), len(received_by))
 
 
-def summary(world: World, history: History, found: list[Operation]) -> dict[str, float]:
+def summary(world: World, history: History, operations: list[Operation]) -> dict[str, float]:
     """Return the figures that every experiment reports."""
-    latencies = latency_histogram(found)
-    endings = Counter(item.outcome for item in history.client_attempts)
+    latencies = latency_histogram(operations)
+    outcomes = Counter(attempt.outcome for attempt in history.client_attempts)
     attempt_count = max(1, len(history.client_attempts))
-    result = {
-        "orders": float(len(found)),
-        "service": service_level(found),
-        "tries_per_order": len(history.client_attempts) / max(1, len(found)),
+    values = {
+        "orders": float(len(operations)),
+        "service": service_level(operations),
+        "tries_per_order": len(history.client_attempts) / max(1, len(operations)),
         "attempts_per_try": len(history.converter_attempts) / attempt_count,
         "waste": wasted_work_share(history),
         "sidecar_most_mib": max_resident_mib(history.incarnations),
         "emulator_p999_late_ms": max((late.p999_us for late in history.lateness), default=0) / US_PER_MS,
     }
     for percentile in PERCENTILES:
-        result[f"latency_p{percentile:g}_ms"] = latencies.get_value_at_percentile(percentile) / US_PER_MS
-    for ending, count in sorted(endings.items()):
-        result[f"share_{ending}"] = count / attempt_count
+        values[f"latency_p{percentile:g}_ms"] = latencies.get_value_at_percentile(percentile) / US_PER_MS
+    for outcome, count in sorted(outcomes.items()):
+        values[f"share_{outcome}"] = count / attempt_count
     for index, request_class in enumerate(world.classes):
-        of_class = [operation for operation in found if operation.first.request_class == index]
-        result[f"service_{request_class.name}"] = service_level(of_class)
-    return result
+        class_operations = [operation for operation in operations if operation.first.request_class == index]
+        values[f"service_{request_class.name}"] = service_level(class_operations)
+    return values
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -69,7 +69,7 @@
     return sorted(_RuleChecker(world, history).check_all(), key=lambda breach: breach.at_us)
 
 
-def _is_harmless_to_repeat(request_class: RequestClass) -> bool:
+def _is_safe_to_repeat(request_class: RequestClass) -> bool:
     deduplicated_everywhere = (
         request_class.effect is Effect.DEDUPLICATED and request_class.scope is DeduplicationScope.ALL
     )
@@ -82,22 +82,24 @@
     def __init__(self, world: World, history: History) -> None:
         self.world = world
         self.history = history
-        self.client_attempts = {item.request_id: item for item in history.client_attempts}
+        self.client_attempts = {request.request_id: request for request in history.client_attempts}
         self.attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)  # by request id, in the order of arrival
         for attempt in history.converter_attempts:
             self.attempts[attempt.request_id].append(attempt)
         self.incarnations: dict[int, list[Incarnation]] = defaultdict(list)
         for incarnation in history.incarnations:
             self.incarnations[incarnation.sidecar].append(incarnation)
-        worst_lateness_us = max((late.p999_us for late in history.lateness), default=0)
+        worst_lateness_us = max((lateness.p999_us for lateness in history.lateness), default=0)
         self.skew_us = max(MIN_CLOCK_SKEW_US, SKEW_PER_LATENESS * worst_lateness_us)
-        self.zones = {m.pod: m.group.zone for m in draws.machines(world, 0)}  # pods do not depend on the seed
+        self.zones = {
+            machine.pod: machine.group.zone for machine in draws.machines(world, 0)
+        }  # pods do not depend on the seed
         self.breaches: list[Breach] = []
 
     def check_all(self) -> list[Breach]:
-        for item in self.history.client_attempts:
-            self._check_final_answer(item)
-            self._check_retries(item)
+        for request in self.history.client_attempts:
+            self._check_final_answer(request)
+            self._check_retries(request)
         self._check_invented()
         self._check_executions()
         self._check_drains()
@@ -105,77 +107,83 @@
         self._check_crashes()
         return self.breaches
 
-    def _add(self, rule: str, at_us: int, text: str) -> None:
+    def _add_breach(self, rule: str, at_us: int, text: str) -> None:
         self.breaches.append(Breach(rule, at_us, text))
 
-    def _class_of(self, item: ClientAttempt) -> RequestClass:
-        return self.world.classes[item.request_class]
+    def _class_of(self, request: ClientAttempt) -> RequestClass:
+        return self.world.classes[request.request_class]
 
-    def _due_us(self, item: ClientAttempt) -> int:
-        return item.sent_us + item.deadline_us
+    def _due_us(self, request: ClientAttempt) -> int:
+        return request.sent_us + request.deadline_us
 
     # Final answers
 
-    def _check_final_answer(self, item: ClientAttempt) -> None:
-        if not self._sidecar_ran_throughout(item):
+    def _check_final_answer(self, request: ClientAttempt) -> None:
+        if not self._sidecar_ran_throughout(request):
             return  # its client retries what a killed sidecar held, and a stalled one can't keep deadlines
-        self._check_in_time(item)
-        if item.trailing_bytes:
-            self._add("second-answer", item.ended_us, f"{item.request_id}: {item.trailing_bytes} more bytes")
-        if item.outcome is RequestOutcome.SERVED and not self._was_answered_by_converter(item):
-            self._add(
+        self._check_in_time(request)
+        if request.trailing_bytes:
+            self._add_breach(
+                "second-answer", request.ended_us, f"{request.request_id}: {request.trailing_bytes} more bytes"
+            )
+        if request.outcome is RequestOutcome.SERVED and not self._was_answered_by_converter(request):
+            self._add_breach(
                 "forged",
-                item.ended_us,
-                f"{item.request_id}: for {item.response_request_id!r} by {item.responder_uid!r}",
+                request.ended_us,
+                f"{request.request_id}: for {request.response_request_id!r} by {request.responder_uid!r}",
             )
-        if item.outcome in (RequestOutcome.REFUSED, RequestOutcome.FAILED) and not self._was_given_up_at_once(item):
-            elapsed_ms = (item.ended_us - item.sent_us) // US_PER_MS
-            self._add("held", item.ended_us, f"{item.request_id} {item.outcome} after {elapsed_ms} ms")
-        if item.outcome is RequestOutcome.REFUSED and not _is_harmless_to_repeat(self._class_of(item)):
-            self._check_rejection(item)
+        if request.outcome in (RequestOutcome.REFUSED, RequestOutcome.FAILED) and not self._was_given_up_promptly(
+            request
+        ):
+            elapsed_ms = (request.ended_us - request.sent_us) // US_PER_MS
+            self._add_breach("held", request.ended_us, f"{request.request_id} {request.outcome} after {elapsed_ms} ms")
+        if request.outcome is RequestOutcome.REFUSED and not _is_safe_to_repeat(self._class_of(request)):
+            self._check_rejection(request)
 
-    def _sidecar_ran_throughout(self, item: ClientAttempt) -> bool:
+    def _sidecar_ran_throughout(self, request: ClientAttempt) -> bool:
         """Return whether the request's sidecar lived from its sending to its end, without a stall."""
-        incarnations = self.incarnations[item.sidecar]
+        incarnations = self.incarnations[request.sidecar]
         if any(
-            incarnation.was_suspended(item.sent_us - TIME_LIMIT_SLACK_US, item.ended_us) for incarnation in incarnations
+            incarnation.was_suspended(request.sent_us - TIME_LIMIT_SLACK_US, request.ended_us)
+            for incarnation in incarnations
         ):
             return False
         return not incarnations or any(
-            incarnation.started_us <= item.sent_us
-            and (incarnation.ended_us == NEVER or not incarnation.killed or incarnation.ended_us > item.ended_us)
+            incarnation.started_us <= request.sent_us
+            and (incarnation.ended_us == NEVER or not incarnation.killed or incarnation.ended_us > request.ended_us)
             for incarnation in incarnations
         )
 
-    def _check_in_time(self, item: ClientAttempt) -> None:
-        due_us = self._due_us(item) + TIME_LIMIT_SLACK_US
+    def _check_in_time(self, request: ClientAttempt) -> None:
+        due_us = self._due_us(request) + TIME_LIMIT_SLACK_US
         is_late = (
-            item.outcome in (RequestOutcome.SERVED, RequestOutcome.REFUSED, RequestOutcome.FAILED)
-            and item.ended_us > due_us
+            request.outcome in (RequestOutcome.SERVED, RequestOutcome.REFUSED, RequestOutcome.FAILED)
+            and request.ended_us > due_us
         )
-        text = f"{item.request_id} by sidecar {item.sidecar}"
-        if item.outcome is RequestOutcome.TIMEOUT or is_late:
-            rule = "held-up" if self._was_suspended(item) else "unanswered"
-            self._add(rule, due_us, text)
-        elif item.outcome is RequestOutcome.BROKEN and not (
-            item.may_be_unread and item.request_id not in self.attempts
+        text = f"{request.request_id} by sidecar {request.sidecar}"
+        if request.outcome is RequestOutcome.TIMEOUT or is_late:
+            rule = "held-up" if self._was_suspended(request) else "unanswered"
+            self._add_breach(rule, due_us, text)
+        elif request.outcome is RequestOutcome.BROKEN and not (
+            request.may_be_unread and request.request_id not in self.attempts
         ):
-            self._add("broken", item.ended_us, text)
+            self._add_breach("broken", request.ended_us, text)
 
-    def _was_suspended(self, item: ClientAttempt) -> bool:
+    def _was_suspended(self, request: ClientAttempt) -> bool:
         """Return whether the machine kept the client's or the sidecar's process from running before the deadline."""
-        client_role = f"clients {item.arrival % self.world.harness.client_processes}"
-        spans = [span for late in self.history.lateness if late.role == client_role for span in late.stalls]
-        spans += [span for incarnation in self.incarnations[item.sidecar] for span in incarnation.cpu_waits]
-        due_us = self._due_us(item) + TIME_LIMIT_SLACK_US
-        return any(begun_us < due_us and ended_us > item.sent_us for begun_us, ended_us in spans)
-
-    def _was_answered_by_converter(self, item: ClientAttempt) -> bool:
-        return item.response_request_id == item.request_id and any(
-            attempt.uid == item.responder_uid and attempt.status == 200 for attempt in self.attempts[item.request_id]
+        client_role = f"clients {request.arrival % self.world.harness.client_processes}"
+        spans = [span for lateness in self.history.lateness if lateness.role == client_role for span in lateness.stalls]
+        spans += [span for incarnation in self.incarnations[request.sidecar] for span in incarnation.cpu_waits]
+        due_us = self._due_us(request) + TIME_LIMIT_SLACK_US
+        return any(begun_us < due_us and ended_us > request.sent_us for begun_us, ended_us in spans)
+
+    def _was_answered_by_converter(self, request: ClientAttempt) -> bool:
+        return request.response_request_id == request.request_id and any(
+            attempt.uid == request.responder_uid and attempt.status == 200
+            for attempt in self.attempts[request.request_id]
         )
 
-    def _was_given_up_at_once(self, item: ClientAttempt) -> bool:
+    def _was_given_up_promptly(self, request: ClientAttempt) -> bool:
         """Return whether only attempts and their waits lie before the answer.
 
         Attempts whose connection never came up are known to nobody but the sidecar; before each attempt a request
@@ -183,62 +191,70 @@
         """
         # a converter sees the end of an abandoned attempt a little after the client sees its answer
         ends_us = [
-            item.ended_us if attempt.ended_us == NEVER else min(attempt.ended_us, item.ended_us)
-            for attempt in self.attempts[item.request_id]
+            request.ended_us if attempt.ended_us == NEVER else min(attempt.ended_us, request.ended_us)
+            for attempt in self.attempts[request.request_id]
         ]
-        last_event_us = max([item.sent_us, *ends_us])
+        last_event_us = max([request.sent_us, *ends_us])
         sidecars = self.world.sidecars
-        unseen = max(0, sidecars.max_attempts - len(ends_us))
-        wait_ms = max(1, unseen) * self._class_of(item).objective_ms / 2
-        dial_ms = unseen * sidecars.dial_timeout_ms
-        return item.ended_us - last_event_us <= (wait_ms + dial_ms) * US_PER_MS + TIME_LIMIT_SLACK_US
-
-    def _check_rejection(self, item: ClientAttempt) -> None:
-        for attempt in self.attempts[item.request_id]:
-            if may_have_run(attempt) and attempt.received_us < item.ended_us:
-                self._add("refused-after-run", item.ended_us, f"{item.request_id}: {attempt.uid} had it")
+        unseen_attempts = max(0, sidecars.max_attempts - len(ends_us))
+        max_wait_ms = max(1, unseen_attempts) * self._class_of(request).objective_ms / 2
+        max_dial_ms = unseen_attempts * sidecars.dial_timeout_ms
+        return request.ended_us - last_event_us <= (max_wait_ms + max_dial_ms) * US_PER_MS + TIME_LIMIT_SLACK_US
+
+    def _check_rejection(self, request: ClientAttempt) -> None:
+        for attempt in self.attempts[request.request_id]:
+            if may_have_run(attempt) and attempt.received_us < request.ended_us:
+                self._add_breach("refused-after-run", request.ended_us, f"{request.request_id}: {attempt.uid} had it")
                 return
 
     # Attempts
 
-    def _check_retries(self, item: ClientAttempt) -> None:
+    def _check_retries(self, request: ClientAttempt) -> None:
         """Check that the attempts of a request were one at a time, and repeated only where that is allowed."""
-        attempts = self.attempts.get(item.request_id, [])
+        attempts = self.attempts.get(request.request_id, [])
         for number, later in enumerate(attempts):
             for earlier in attempts[:number]:
                 if earlier.ended_us == NEVER or later.received_us < earlier.ended_us - self.skew_us:
-                    self._add("together", later.received_us, f"{item.request_id}: {earlier.uid} and {later.uid}")
-                elif may_have_run(earlier) and not self._may_repeat(item, earlier, later):
-                    self._add("unsafe-resend", later.received_us, f"{item.request_id}: {earlier.uid}, then {later.uid}")
-
-    def _may_repeat(self, item: ClientAttempt, earlier: ConverterAttempt, later: ConverterAttempt) -> bool:
+                    self._add_breach(
+                        "together", later.received_us, f"{request.request_id}: {earlier.uid} and {later.uid}"
+                    )
+                elif may_have_run(earlier) and not self._may_repeat(request, earlier, later):
+                    self._add_breach(
+                        "unsafe-resend", later.received_us, f"{request.request_id}: {earlier.uid}, then {later.uid}"
+                    )
+
+    def _may_repeat(self, request: ClientAttempt, earlier: ConverterAttempt, later: ConverterAttempt) -> bool:
         """Return whether an attempt may follow one that may have run."""
-        request_class = self._class_of(item)
+        request_class = self._class_of(request)
         if request_class.effect is Effect.IDEMPOTENT:
             return True
-        memory_us = request_class.idempotency_window_ms * US_PER_MS + TIME_LIMIT_SLACK_US
-        if request_class.effect is Effect.AT_MOST_ONCE or later.received_us - earlier.received_us > memory_us:
+        window_us = request_class.idempotency_window_ms * US_PER_MS + TIME_LIMIT_SLACK_US
+        if request_class.effect is Effect.AT_MOST_ONCE or later.received_us - earlier.received_us > window_us:
             return False
         if request_class.scope is DeduplicationScope.CELL:
             return earlier.pod == later.pod
         return request_class.scope is DeduplicationScope.ALL or self.zones[earlier.pod] == self.zones[later.pod]
 
     def _check_invented(self) -> None:
-        for ident, attempts in self.attempts.items():
-            if ident not in self.client_attempts:
-                self._add("invented", attempts[0].received_us, f"{ident} at {attempts[0].uid}")
+        for request_id, attempts in self.attempts.items():
+            if request_id not in self.client_attempts:
+                self._add_breach("invented", attempts[0].received_us, f"{request_id} at {attempts[0].uid}")
 
     def _check_executions(self) -> None:
         """Check at-most-once over all retries of a client, as a rejection promised that nothing had run."""
         executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by first attempt
         for attempt in self.history.converter_attempts:
-            item = self.client_attempts.get(attempt.request_id)
-            if item is not None and attempt.started_us != NEVER and self._class_of(item).effect is Effect.AT_MOST_ONCE:
-                executions[item.arrival].append(attempt)
+            request = self.client_attempts.get(attempt.request_id)
+            if (
+                request is not None
+                and attempt.started_us != NEVER
+                and self._class_of(request).effect is Effect.AT_MOST_ONCE
+            ):
+                executions[request.arrival].append(attempt)
         for attempts in executions.values():
             if len(attempts) > 1:
                 text = " and ".join(f"{attempt.request_id} at {attempt.uid}" for attempt in attempts)
-                self._add("run-twice", attempts[1].started_us, text)
+                self._add_breach("run-twice", attempts[1].started_us, text)
 
     # Endpoint list and processes
 
@@ -247,15 +263,15 @@
         notified_us = self._withdrawal_times(self.history.notices)
         grace_us = self.world.sidecars.drain_grace_ms * US_PER_MS + TIME_LIMIT_SLACK_US
         for attempt in self.history.converter_attempts:
-            item = self.client_attempts.get(attempt.request_id)
-            if item is None or (item.sidecar, attempt.uid) not in notified_us:
+            request = self.client_attempts.get(attempt.request_id)
+            if request is None or (request.sidecar, attempt.uid) not in notified_us:
                 continue
-            started_us = self._incarnation_start_us(item.sidecar, attempt.first_byte_us)
-            times_us = [at_us for at_us in notified_us[item.sidecar, attempt.uid] if at_us >= started_us]
-            if times_us and attempt.first_byte_us > self._must_act_by_us(item.sidecar, min(times_us), grace_us):
+            started_us = self._incarnation_start_us(request.sidecar, attempt.first_byte_us)
+            times_us = [at_us for at_us in notified_us[request.sidecar, attempt.uid] if at_us >= started_us]
+            if times_us and attempt.first_byte_us > self._must_act_by_us(request.sidecar, min(times_us), grace_us):
                 late_ms = (attempt.first_byte_us - min(times_us)) // US_PER_MS
-                text = f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {item.sidecar} was told"
-                self._add("drain", attempt.first_byte_us, text)
+                text = f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {request.sidecar} was told"
+                self._add_breach("drain", attempt.first_byte_us, text)
 
     @staticmethod
     def _withdrawal_times(notifications: Sequence[EndpointNotice]) -> dict[tuple[int, str], list[int]]:
@@ -284,9 +300,9 @@
 
     def _check_overloads(self) -> None:
         for at_us, uid in self.history.overload_crashes:
-            self._add("cold", at_us, f"{uid} was pushed over")
+            self._add_breach("cold", at_us, f"{uid} was pushed over")
 
     def _check_crashes(self) -> None:
         for incarnation in self.history.incarnations:
             if incarnation.crashed:
-                self._add("crash", incarnation.ended_us, f"sidecar {incarnation.sidecar} ended by itself")
+                self._add_breach("crash", incarnation.ended_us, f"sidecar {incarnation.sidecar} ended by itself")
--- a/ryepier/experiments/core/machine.py
+++ b/ryepier/experiments/core/machine.py
@@ -9,7 +9,7 @@
 from ryepier.emulator.errors import HarnessError
 
 GB = 10**9
-KIB = 1024
+BYTES_PER_KIB = 1024
 MAX_PROCESSES = 8
 MAX_BYTES = 10 * GB
 MAX_MEMORY_SHARE = 0.5  # of the machine's, as others use it too
@@ -47,7 +47,9 @@
 def read_machine(meminfo: str, sockets: int) -> MachineResources:
     """Return a machine's resources from the text of /proc/meminfo. Raises KeyError if a line is missing."""
     fields = dict(line.split(":", 1) for line in meminfo.splitlines() if ":" in line)
-    total_bytes, available_bytes = (int(fields[name].split()[0]) * KIB for name in ("MemTotal", "MemAvailable"))
+    total_bytes, available_bytes = (
+        int(fields[name].split()[0]) * BYTES_PER_KIB for name in ("MemTotal", "MemAvailable")
+    )
     return MachineResources(total_bytes, available_bytes, sockets)
 
 
@@ -56,18 +58,22 @@
     return read_machine(Path(MEMINFO).read_text(), resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def check_requirements(needs: ResourceRequirements, machine: MachineResources) -> None:
+def check_requirements(requirements: ResourceRequirements, machine: MachineResources) -> None:
     """Raise InsufficientResourcesError with what is too much and by how much, unless a machine can spare the needs."""
     max_bytes = min(MAX_BYTES, machine.usable_bytes)
-    if needs.processes > MAX_PROCESSES:
-        raise InsufficientResourcesError(f"{needs.processes} processes asked for, at most {MAX_PROCESSES} may be")
-    if needs.bytes > max_bytes:
-        raise InsufficientResourcesError(f"{needs.bytes / GB:.1f} GB asked for, at most {max_bytes / GB:.1f} GB may be")
-    if needs.bytes > machine.available_bytes:
+    if requirements.processes > MAX_PROCESSES:
         raise InsufficientResourcesError(
-            f"{needs.bytes / GB:.1f} GB asked for, and only {machine.available_bytes / GB:.1f} GB are free"
+            f"{requirements.processes} processes asked for, at most {MAX_PROCESSES} may be"
         )
-    if needs.sockets + SPARE_SOCKETS > machine.sockets:
+    if requirements.bytes > max_bytes:
         raise InsufficientResourcesError(
-            f"{needs.sockets} sockets asked for in a process, which may hold {machine.sockets} files"
+            f"{requirements.bytes / GB:.1f} GB asked for, at most {max_bytes / GB:.1f} GB may be"
+        )
+    if requirements.bytes > machine.available_bytes:
+        raise InsufficientResourcesError(
+            f"{requirements.bytes / GB:.1f} GB asked for, and only {machine.available_bytes / GB:.1f} GB are free"
+        )
+    if requirements.sockets + SPARE_SOCKETS > machine.sockets:
+        raise InsufficientResourcesError(
+            f"{requirements.sockets} sockets asked for in a process, which may hold {machine.sockets} files"
         )
--- a/ryepier/experiments/core/phases.py
+++ b/ryepier/experiments/core/phases.py
@@ -34,11 +34,13 @@
     return from_time(end_s(fault) + RECOVERY_S, world)
 
 
-def struck_uids(run: Run, kinds: tuple[str, ...]) -> set[str]:
+def affected_uids(run: Run, kinds: tuple[str, ...]) -> set[str]:
     """Return the uids of the converters that faults of these kinds strike."""
-    built = timeline.build(run.world, run.seed)
-    indices = {step.index for step in built.steps if step.target is TargetKind.CONVERTER and step.fault in kinds}
-    return {instance.uid for instance in built.instances if instance.index in indices}
+    world_timeline = timeline.build(run.world, run.seed)
+    indices = {
+        step.index for step in world_timeline.steps if step.target is TargetKind.CONVERTER and step.fault in kinds
+    }
+    return {instance.uid for instance in world_timeline.instances if instance.index in indices}
 
 
 def started_uids(run: Run, until_us: float = float("inf")) -> set[str]:
--- a/ryepier/experiments/core/quantiles.py
+++ b/ryepier/experiments/core/quantiles.py
@@ -5,30 +5,30 @@
 import math
 
 
-def binomial_quantile(trials: int, chance: float, level: float) -> int:
+def binomial_quantile(trials: int, probability: float, level: float) -> int:
     """Return the lowest count of successes whose cumulative probability reaches `level`."""
-    if chance >= 1.0:
+    if probability >= 1.0:
         return trials
-    if chance <= 0.0:
+    if probability <= 0.0:
         return 0
     cumulative = 0.0
     for count in range(trials + 1):
-        cumulative += _binomial_probability(trials, count, chance)
+        cumulative += _binomial_probability(trials, count, probability)
         if cumulative >= level:
             return count
     return trials
 
 
-def _binomial_probability(trials: int, count: int, chance: float) -> float:
+def _binomial_probability(trials: int, count: int, probability: float) -> float:
     log_combinations = math.lgamma(trials + 1) - math.lgamma(count + 1) - math.lgamma(trials - count + 1)
-    return math.exp(log_combinations + count * math.log(chance) + (trials - count) * math.log1p(-chance))
+    return math.exp(log_combinations + count * math.log(probability) + (trials - count) * math.log1p(-probability))
 
 
-def poisson_quantile(mean: float, beyond: float) -> int:
+def poisson_quantile(mean: float, tail_probability: float) -> int:
     """Return the lowest count that a Poisson variable of this mean exceeds with a probability of at most `beyond`."""
     count, term = 0, math.exp(-mean)
     tail = 1.0 - term
-    while tail > beyond:
+    while tail > tail_probability:
         count += 1
         term *= mean / count
         tail -= term
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -28,13 +28,13 @@
 WINDOW_S = 0.5  # of the curves over time
 MAX_LISTED_BREACHES = 50  # breaches.json has all
 MAX_LISTED_EVENTS = 200
-SIZE_IN = (9.0, 2.6)
-LINE_WIDTH = 1.0
-SMALL_FONT = 7
+PLOT_SIZE_IN = (9.0, 2.6)
+LINE_WIDTH_PT = 1.0
+SMALL_FONT_PT = 7
 MIN_SHADED_S = 0.05  # a fault without a duration is drawn as a line
 LATENCY_CURVES = (("median", 50.0), ("99%", 99.0), ("99.9%", 99.9))
 TAIL_TICKS = {1: "0%", 10: "90%", 100: "99%", 1000: "99.9%", 10000: "99.99%"}  # by 1 / (1 - share)
-PLOTTED_ENDINGS = ("refused", "failed", "timeout", "broken", "unreachable")
+PLOTTED_OUTCOMES = ("refused", "failed", "timeout", "broken", "unreachable")
 US_PER_S = 1e6
 US_PER_MS = 1000
 
@@ -113,7 +113,7 @@
 
 def _make_axes(world: World | None = None) -> tuple[Figure, Axes]:
     """Return an empty plot; with a world, one over its time with its faults shaded."""
-    figure = Figure(figsize=SIZE_IN)
+    figure = Figure(figsize=PLOT_SIZE_IN)
     axes = figure.add_subplot()
     axes.grid(alpha=0.3)
     if world is not None:
@@ -130,7 +130,7 @@
         fault.kind,
         (fault.at_s, 1.0),
         xycoords=("data", "axes fraction"),
-        fontsize=SMALL_FONT,
+        fontsize=SMALL_FONT_PT,
         rotation=20,
         va="bottom",
     )
@@ -151,39 +151,39 @@
     edges_s = _window_edges(run.world)
     due_us = [operation.first.planned_us for operation in run.operations]
     on_time_us = [
-        operation.first.planned_us for operation in run.operations if operation.earned >= operation.weight > 0
+        operation.first.planned_us for operation in run.operations if operation.earned_weight >= operation.weight > 0
     ]
     begins_s = edges_s[:-1]
-    axes.plot(begins_s, _rate_per_s(due_us, edges_s), color="black", linewidth=LINE_WIDTH, label="first attempts")
+    axes.plot(begins_s, _rate_per_s(due_us, edges_s), color="black", linewidth=LINE_WIDTH_PT, label="first attempts")
     axes.plot(
         begins_s,
         _rate_per_s(on_time_us, edges_s),
         color="tab:green",
-        linewidth=LINE_WIDTH,
+        linewidth=LINE_WIDTH_PT,
         label="served within the latency objective",
     )
-    for ending in PLOTTED_ENDINGS:
-        times_us = [item.ended_us for item in run.history.client_attempts if item.outcome == ending]
+    for outcome in PLOTTED_OUTCOMES:
+        times_us = [attempt.ended_us for attempt in run.history.client_attempts if attempt.outcome == outcome]
         if times_us:
-            axes.plot(begins_s, _rate_per_s(times_us, edges_s), linewidth=LINE_WIDTH, label=ending)
+            axes.plot(begins_s, _rate_per_s(times_us, edges_s), linewidth=LINE_WIDTH_PT, label=outcome)
     axes.set_ylabel("per second")
-    axes.legend(fontsize=SMALL_FONT, ncols=4)
+    axes.legend(fontsize=SMALL_FONT_PT, ncols=4)
     return _to_svg(figure)
 
 
 def _plot_latencies(run: _SavedRun) -> str:
     figure, axes = _make_axes(run.world)
     begins_s = _window_edges(run.world)[:-1]
-    by_window: dict[int, list[figures.Operation]] = defaultdict(list)
+    operations_by_window: dict[int, list[figures.Operation]] = defaultdict(list)
     for operation in run.operations:
-        by_window[int(operation.first.planned_us / US_PER_S / WINDOW_S)].append(operation)
-    histograms = [figures.latency_histogram(by_window[window]) for window in range(len(begins_s))]
+        operations_by_window[int(operation.first.planned_us / US_PER_S / WINDOW_S)].append(operation)
+    histograms = [figures.latency_histogram(operations_by_window[window]) for window in range(len(begins_s))]
     for label, percentile in LATENCY_CURVES:
         latencies_ms = [histogram.get_value_at_percentile(percentile) / US_PER_MS for histogram in histograms]
-        axes.plot(begins_s, latencies_ms, linewidth=LINE_WIDTH, label=label)
+        axes.plot(begins_s, latencies_ms, linewidth=LINE_WIDTH_PT, label=label)
     axes.set_ylabel("ms")
     axes.set_yscale("symlog", linthresh=1.0)
-    axes.legend(fontsize=SMALL_FONT)
+    axes.legend(fontsize=SMALL_FONT_PT)
     return _to_svg(figure)
 
 
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -33,7 +33,7 @@
 CONTROL_FOLDER = "paired"  # of the control run, within the folder of the run
 US_PER_MS = 1000
 
-RunWorld = Callable[[World, Path, bool], History]  # the last: whether it is the control run
+WorldRunner = Callable[[World, Path, bool], History]  # the last: whether it is the control run
 
 
 def run_experiment(
@@ -48,19 +48,19 @@
     """
     world = experiment.world(trial.scale)
     if backend is Backend.SIM:
-        run_world = _on_virtual_time(experiment, trial)
+        run_world = _make_simulation_runner(experiment, trial)
     else:
-        run_world = _on_sockets(experiment, trial, watcher)
+        run_world = _make_socket_runner(experiment, trial, watcher)
     control = None
     if experiment.control_world is not None:
         control_world = experiment.control_world(world)
         folder = trial.folder / CONTROL_FOLDER
-        control = _observe(control_world, trial.seed, folder, run_world(control_world, folder, True))
+        control = _make_run(control_world, trial.seed, folder, run_world(control_world, folder, True))
     history = run_world(world, trial.folder, False)
-    run = dataclasses.replace(_observe(world, trial.seed, trial.folder, history), control=control)
+    run = dataclasses.replace(_make_run(world, trial.seed, trial.folder, history), control=control)
     claims = _check_claims(experiment, run)
-    measured = {**figures.summary(world, run.history, run.operations), **experiment.extra_figures(run)}
-    save_run(run, _make_result(experiment.name, trial, claims, measured, backend))
+    run_figures = {**figures.summary(world, run.history, run.operations), **experiment.extra_figures(run)}
+    save_run(run, _make_result(experiment.name, trial, claims, run_figures, backend))
     return claims
 
 
@@ -70,10 +70,10 @@
     Raises HarnessError if it could not be run.
     """
     trial.folder.mkdir(parents=True, exist_ok=True)
-    measured = benchmark.measure(trial)
-    result = _make_result(benchmark.name, trial, measured.claims, measured.figures, Backend.SOCKETS)
+    measurement = benchmark.measure(trial)
+    result = _make_result(benchmark.name, trial, measurement.claims, measurement.figures, Backend.SOCKETS)
     save_result(trial.folder, result)
-    return measured.claims
+    return measurement.claims
 
 
 def lateness_claim(run: Run, valid_until_s: Callable[[Run], float] | None) -> Claim:
@@ -82,12 +82,14 @@
     With `valid_until_s` it covers only the part of the run up to there.
     """
     bound_ms = run.world.harness.lateness_ms
-    lateness = run.history.lateness
+    process_lateness = run.history.lateness
     if valid_until_s is None:
-        worst_us = max((late.p999_us for late in lateness), default=0)
+        worst_us = max((lateness.p999_us for lateness in process_lateness), default=0)
         return Claim("the emulator's lateness (99.9%, ms)", worst_us / US_PER_MS, "<=", bound_ms)
     until_s = int(valid_until_s(run))
-    worst_us = max((late_us for late in lateness for late_us in late.max_by_second_us[:until_s]), default=0)
+    worst_us = max(
+        (late_us for lateness in process_lateness for late_us in lateness.max_by_second_us[:until_s]), default=0
+    )
     name = f"the emulator's lateness (most in the first {until_s} s, ms)"
     return Claim(name, worst_us / US_PER_MS, "<=", bound_ms)
 
@@ -121,7 +123,7 @@
     ]
 
 
-def _observe(world: World, seed: int, folder: Path, history: History) -> Run:
+def _make_run(world: World, seed: int, folder: Path, history: History) -> Run:
     return Run(
         world,
         seed,
@@ -133,21 +135,21 @@
 
 
 def _make_result(
-    name: str, trial: TrialConfig, claims: Sequence[Claim], measured: Mapping[str, float], backend: Backend
+    name: str, trial: TrialConfig, claims: Sequence[Claim], measured_figures: Mapping[str, float], backend: Backend
 ) -> Result:
     return Result(
         name,
         trial.seed,
         trial.scale,
         claims=[claim.as_fields() for claim in claims],
-        figures=dict(measured),
+        figures=dict(measured_figures),
         versions=library_versions(),
         seeded_fault=trial.seeded_fault,
         backend=backend,
     )
 
 
-def _on_sockets(experiment: Experiment, trial: TrialConfig, watcher: harness.Watcher | None) -> RunWorld:
+def _make_socket_runner(experiment: Experiment, trial: TrialConfig, watcher: harness.Watcher | None) -> WorldRunner:
     """Return a function that runs a world on real sockets; the control run has no seeded fault in its sidecars."""
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
@@ -190,7 +192,7 @@
         os.sched_setaffinity(0, allowed)
 
 
-def _on_virtual_time(experiment: Experiment, trial: TrialConfig) -> RunWorld:
+def _make_simulation_runner(experiment: Experiment, trial: TrialConfig) -> WorldRunner:
     """Return a function that runs a world in this process; a seeded fault stays in the process.
 
     Raises HarnessError for an experiment that measures CPU or has processes with faults of their own.
--- a/ryepier/experiments/core/usage.py
+++ b/ryepier/experiments/core/usage.py
@@ -10,7 +10,7 @@
 OWN_STATUS = "/proc/self/status"
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-KIB = 1024
+BYTES_PER_KIB = 1024
 # fields of /proc/PID/stat, counted from the one after the program's name
 USER_TICKS_FIELD, SYSTEM_TICKS_FIELD, RESIDENT_PAGES_FIELD = 11, 12, 21
 
@@ -41,7 +41,7 @@
 
 def resident_bytes(status: str) -> int:
     """Return the resident memory in the text of /proc/PID/status. Raises OSError if there is none."""
-    return status_kib(status, "VmRSS") * KIB
+    return status_kib(status, "VmRSS") * BYTES_PER_KIB
 
 
 def status_kib(status: str, field: str) -> int:
--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -22,13 +22,13 @@
 
 WINDOW_S = 1.0
 MIN_SERVICE = 0.95  # in a window; below it the load is too high
-SETTLED_S = 1.0  # after the start
+MEASURED_FROM_S = 1.0  # after the start
 MIN_REQUESTS_PER_S = 2000
 MAX_CPU_US_PER_REQUEST = 450
 US_PER_S = 1e6
-RULES_ON_TIME = ("unanswered", "held-up", "broken")
+TIMELINESS_RULES = ("unanswered", "held-up", "broken")
 # Without a free core a sidecar can't answer in time, but must keep all other rules.
-RULES_OF_SAFETY = (
+SAFETY_RULES = (
     "second-answer",
     "forged",
     "invented",
@@ -76,23 +76,23 @@
     windows = []
     for begin_s in np.arange(0.0, run.world.duration_s, WINDOW_S).tolist():
         is_inside = figures.due_between(begin_s, begin_s + WINDOW_S)
-        inside = [operation for operation in run.operations if is_inside(operation.first)]
-        windows.append(Window(begin_s, len(inside) / WINDOW_S, figures.service_level(inside)))
+        window_operations = [operation for operation in run.operations if is_inside(operation.first)]
+        windows.append(Window(begin_s, len(window_operations) / WINDOW_S, figures.service_level(window_operations)))
     return windows
 
 
 def find_breaking_point(run: Run) -> BreakingPoint:
     """Return the last window before two overloaded ones; the last of the run if there are none."""
     windows = split_into_windows(run)
-    for window, (following, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
-        if following.is_overloaded and second.is_overloaded:
+    for window, (first, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
+        if first.is_overloaded and second.is_overloaded:
             return BreakingPoint(window.offered_per_s, window.begin_s + WINDOW_S)
     return BreakingPoint(windows[-1].offered_per_s, run.world.duration_s)
 
 
 def cpu_us_per_request(run: Run, end_s: float) -> float:
     """Return the sidecar's CPU time per request until a time; infinite without samples."""
-    cpu_us = figures.cpu_us_per_request(run.history, 0, SETTLED_S, end_s)
+    cpu_us = figures.cpu_us_per_request(run.history, 0, MEASURED_FROM_S, end_s)
     return float("inf") if cpu_us is None else cpu_us
 
 
@@ -109,12 +109,14 @@
 
 def _claims(run: Run) -> list[Claim]:
     point = find_breaking_point(run)
-    late_before = sum(breach.at_us < point.end_s * US_PER_S for breach in run.breaches if breach.rule in RULES_ON_TIME)
+    late_answers = sum(
+        breach.at_us < point.end_s * US_PER_S for breach in run.breaches if breach.rule in TIMELINESS_RULES
+    )
     cpu_us = cpu_us_per_request(run, point.end_s)
     return [
         Claim("requests a second for one sidecar core", point.offered_per_s, ">=", MIN_REQUESTS_PER_S),
         Claim("CPU a request up to there (us)", cpu_us, "<=", MAX_CPU_US_PER_REQUEST),
-        Claim("breaches of answers in time before it", late_before, "==", 0),
+        Claim("breaches of answers in time before it", late_answers, "==", 0),
     ]
 
 
@@ -125,7 +127,7 @@
     claims=_claims,
     seeded_faults=("spin",),
     extra_figures=_figures,
-    rules=RULES_OF_SAFETY,
+    rules=SAFETY_RULES,
     valid_until_s=lambda run: find_breaking_point(run).end_s,
     measures_cpu=True,
 )
--- a/ryepier/experiments/faults/ceiling.py
+++ b/ryepier/experiments/faults/ceiling.py
@@ -22,7 +22,7 @@
 
 
 def _served_per_s(run: Run) -> float:
-    served = sum(item.outcome is RequestOutcome.SERVED for item in run.history.client_attempts)
+    served = sum(attempt.outcome is RequestOutcome.SERVED for attempt in run.history.client_attempts)
     return served / run.world.duration_s
 
 
--- a/ryepier/experiments/faults/release.py
+++ b/ryepier/experiments/faults/release.py
@@ -11,25 +11,25 @@
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
-from ryepier.experiments.faults.scaling import scaled
+from ryepier.experiments.faults.scaling import scale_world
 
 MIN_NOTIFIED_SHARE = 0.9  # of the drains, at each sidecar: a broken watch may miss one
 MIN_SERVICE = 0.95
 
 
 def _world(scale: Scale) -> World:
-    return scaled(load("release"), scale)
+    return scale_world(load("release"), scale)
 
 
 def _claims(run: Run) -> list[Claim]:
     release = fault_of_kind(run.world, FaultKind.RELEASE)
-    started = phases.started_uids(run)
-    used = {attempt.uid for attempt in run.history.converter_attempts} & started
-    drains = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
+    started_uids = phases.started_uids(run)
+    used_uids = {attempt.uid for attempt in run.history.converter_attempts} & started_uids
+    drain_notices = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
     service = figures.service_level(run.operations, phases.during(release))
     return [
-        Claim("drains told of", drains, ">=", len(started) * run.world.sidecars.count * MIN_NOTIFIED_SHARE),
-        Claim("share of fresh converters in use", len(used) / max(1, len(started)), ">=", 1.0),
+        Claim("drains told of", drain_notices, ">=", len(started_uids) * run.world.sidecars.count * MIN_NOTIFIED_SHARE),
+        Claim("share of fresh converters in use", len(used_uids) / max(1, len(started_uids)), ">=", 1.0),
         Claim("service during the release", service, ">=", MIN_SERVICE),
     ]
 
--- a/ryepier/experiments/faults/scaling.py
+++ b/ryepier/experiments/faults/scaling.py
@@ -11,7 +11,7 @@
 FULL_DURATION_FACTOR = 2  # duration and fault times of `full`, relative to `small`
 
 
-def scaled(world: World, scale: Scale) -> World:
+def scale_world(world: World, scale: Scale) -> World:
     """Return the world itself for `small`, and a larger and longer one for `full`."""
     if scale is Scale.SMALL:
         return world
@@ -22,12 +22,12 @@
         converters=[replace(group, count=group.count * FULL_FLEET_FACTOR) for group in world.converters],
         sidecars=replace(world.sidecars, count=world.sidecars.count * FULL_FLEET_FACTOR),
         clients=replace(world.clients, rate_per_s=world.clients.rate_per_s * FULL_FLEET_FACTOR),
-        faults=[_stretched(fault) for fault in world.faults],
+        faults=[_lengthen_fault(fault) for fault in world.faults],
         harness=replace(world.harness, client_processes=2, converter_processes=3),
     )
 
 
-def _stretched(fault: Fault) -> Fault:
+def _lengthen_fault(fault: Fault) -> Fault:
     at_s = fault.at_s * FULL_DURATION_FACTOR
     for_s = fault.for_s * FULL_DURATION_FACTOR
     return msgspec.structs.replace(fault, at_s=at_s, for_s=for_s)
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -30,7 +30,7 @@
 
 def send_twice() -> None:
     """Send one request in many to two converters at once."""
-    start = ConnectionPool.start
+    original_start = ConnectionPool.start
     count = 0
 
     def start_twice(
@@ -44,11 +44,11 @@
     ) -> UpstreamAttempt:
         nonlocal count
         count += 1
-        others = [known for known in self.connections if known != upstream]
-        if count % DUPLICATION_INTERVAL == 0 and others:
-            peer = next(iter(self.connections[others[0]])).sock.getpeername()
-            start(self, others[0], peer, request, timeout_us, lambda result: None)
-        return start(self, upstream, address, request, timeout_us, on_end, latest_write_us)
+        other_upstreams = [upstream_id for upstream_id in self.connections if upstream_id != upstream]
+        if count % DUPLICATION_INTERVAL == 0 and other_upstreams:
+            other_address = next(iter(self.connections[other_upstreams[0]])).sock.getpeername()
+            original_start(self, other_upstreams[0], other_address, request, timeout_us, lambda result: None)
+        return original_start(self, upstream, address, request, timeout_us, on_end, latest_write_us)
 
     ConnectionPool.start = start_twice  # type: ignore[method-assign]
 
@@ -60,7 +60,7 @@
 
 def lose_answers() -> None:
     """Never write one answer in many."""
-    give = RequestDispatcher._answer
+    original_answer = RequestDispatcher._answer
     count = 0
 
     def answer_most(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
@@ -69,32 +69,32 @@
         request = self.requests.get(ident)
         if count % LOSS_INTERVAL == 0 and request is not None:
             request.reply = lambda final: None
-        give(self, ident, answer)
+        original_answer(self, ident, answer)
 
     RequestDispatcher._answer = answer_most  # type: ignore[method-assign]
 
 
 def ignore_silence() -> None:
     """Learn nothing about a converter from its silence or timeouts."""
-    adapt = AttemptFeedback._adapt
+    original_adapt = AttemptFeedback._adapt
 
     def adapt_to_answers(
         self: AttemptFeedback, attempt: SentAttempt, elapsed_us: int, slots_needed: bool, now_us: int
     ) -> bool:
         timed_out = attempt.outcome is api.Outcome.TIMEOUT
-        return not timed_out and adapt(self, attempt, elapsed_us, slots_needed, now_us)
+        return not timed_out and original_adapt(self, attempt, elapsed_us, slots_needed, now_us)
 
-    def forget_overdue(self: OutlierDetector, attempt: SentAttempt, now_us: int) -> None:
+    def ignore_overdue(self: OutlierDetector, attempt: SentAttempt, now_us: int) -> None:
         attempt.overdue = attempt.presumed_lost = True
         attempt.upstream.in_flight -= 1
 
     AttemptFeedback._adapt = adapt_to_answers  # type: ignore[method-assign]
-    OutlierDetector.on_overdue = forget_overdue  # type: ignore[method-assign]
+    OutlierDetector.on_overdue = ignore_overdue  # type: ignore[method-assign]
 
 
 def prefer_warming() -> None:
     """Send everything to the newest converter that is warming up."""
-    candidates_with_free_slots = Selector.candidates_with_free_slots
+    original_candidates = Selector.candidates_with_free_slots
 
     def newest_warming(
         self: Selector,
@@ -103,35 +103,39 @@
         ejections_apply: bool,
         now_us: int,
     ) -> list[Candidate]:
-        listed = self.membership.by_id.values()
-        warming = [one for one in listed if self.membership.pool_of(one).slow_start.is_warming(one.entry, now_us)]
+        members = self.membership.by_id.values()
+        warming = [
+            upstream
+            for upstream in members
+            if self.membership.pool_of(upstream).slow_start.is_warming(upstream.entry, now_us)
+        ]
         if warming:
             return [Candidate(warming[-1], 1.0)]
-        return candidates_with_free_slots(self, request, upstreams, ejections_apply, now_us)
+        return original_candidates(self, request, upstreams, ejections_apply, now_us)
 
     Selector.candidates_with_free_slots = newest_warming  # type: ignore[method-assign]
 
 
 def omit_retry_after() -> None:
     """Reject without a Retry-After."""
-    give = RequestDispatcher._answer
+    original_answer = RequestDispatcher._answer
 
-    def answer_without(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
+    def answer_without_retry_after(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
         answer.retry_after_us = 0
-        give(self, ident, answer)
+        original_answer(self, ident, answer)
 
-    RequestDispatcher._answer = answer_without  # type: ignore[method-assign]
+    RequestDispatcher._answer = answer_without_retry_after  # type: ignore[method-assign]
 
 
 def waste_cpu() -> None:
     """Spend far more CPU on each request than it needs."""
-    on_request = RequestDispatcher.on_request
+    original_on_request = RequestDispatcher.on_request
 
     def accept_slowly(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
         until_us = clock_us() + SPIN_US
         while clock_us() < until_us:
             pass
-        return on_request(self, request, reply)
+        return original_on_request(self, request, reply)
 
     RequestDispatcher.on_request = accept_slowly  # type: ignore[method-assign]
 
--- a/ryepier/experiments/faults/sidecar_kill.py
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -11,7 +11,7 @@
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
-from ryepier.experiments.faults.scaling import scaled
+from ryepier.experiments.faults.scaling import scale_world
 
 MAX_START_S = 2.0
 MIN_SERVICE = 0.97
@@ -19,7 +19,7 @@
 
 
 def _world(scale: Scale) -> World:
-    return scaled(load("sidecar-kill"), scale)
+    return scale_world(load("sidecar-kill"), scale)
 
 
 def _claims(run: Run) -> list[Claim]:
@@ -31,20 +31,20 @@
     )
     is_after = phases.from_time(kill.at_s + kill.down_s + phases.RECOVERY_S, run.world)
 
-    def is_of_others(item: ClientAttempt) -> bool:
-        return item.sidecar not in killed
+    def is_at_other_sidecar(attempt: ClientAttempt) -> bool:
+        return attempt.sidecar not in killed
 
-    def is_of_killed_after(item: ClientAttempt) -> bool:
-        return item.sidecar in killed and is_after(item)
+    def is_at_killed_sidecar_after(attempt: ClientAttempt) -> bool:
+        return attempt.sidecar in killed and is_after(attempt)
 
-    service_of_others = figures.service_level(run.operations, is_of_others)
-    service_of_killed = figures.service_level(run.operations, is_of_killed_after)
+    service_at_others = figures.service_level(run.operations, is_at_other_sidecar)
+    service_at_killed = figures.service_level(run.operations, is_at_killed_sidecar_after)
     return [
         Claim("sidecars killed", len(killed), ">=", 1),
         Claim("sidecars started again", len(restarted), "==", len(killed)),
         Claim("time to come up (s)", start_s, "<=", MAX_START_S),
-        Claim("service of the others' clients", service_of_others, ">=", MIN_SERVICE),
-        Claim("service of its own clients, 2 s after its start", service_of_killed, ">=", MIN_SERVICE),
+        Claim("service of the others' clients", service_at_others, ">=", MIN_SERVICE),
+        Claim("service of its own clients, 2 s after its start", service_at_killed, ">=", MIN_SERVICE),
     ]
 
 
--- a/ryepier/experiments/faults/steady.py
+++ b/ryepier/experiments/faults/steady.py
@@ -10,7 +10,7 @@
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import load
-from ryepier.experiments.faults.scaling import scaled
+from ryepier.experiments.faults.scaling import scale_world
 
 MIN_SERVICE = 0.98
 MAX_ATTEMPTS_PER_REQUEST = 1.01
@@ -18,7 +18,7 @@
 
 
 def _world(scale: Scale) -> World:
-    return scaled(load("steady"), scale)
+    return scale_world(load("steady"), scale)
 
 
 def _claims(run: Run) -> list[Claim]:
--- a/ryepier/experiments/faults/surge.py
+++ b/ryepier/experiments/faults/surge.py
@@ -10,9 +10,9 @@
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
-from ryepier.experiments.faults.scaling import scaled
+from ryepier.experiments.faults.scaling import scale_world
 
-SETTLED_S = 0.5  # after the start
+MEASURED_FROM_S = 0.5  # after the start
 MIN_SERVICE_BEFORE = 0.97
 MIN_SERVICE_DURING = 0.55
 MIN_SERVICE_AFTER = 0.95
@@ -20,28 +20,28 @@
 
 
 def _world(scale: Scale) -> World:
-    return scaled(load("surge"), scale)
+    return scale_world(load("surge"), scale)
 
 
 def surge_claims(run: Run) -> list[Claim]:
     """Return the claims on the service during and after the surge of a run's world."""
     surge = fault_of_kind(run.world, FaultKind.SURGE)
-    during = figures.service_level(run.operations, phases.during(surge))
-    after = figures.service_level(run.operations, phases.after_recovery(surge, run.world))
+    service_during = figures.service_level(run.operations, phases.during(surge))
+    service_after = figures.service_level(run.operations, phases.after_recovery(surge, run.world))
     return [
-        Claim("service during the surge", during, ">=", MIN_SERVICE_DURING),
-        Claim("service from 2 s after the surge", after, ">=", MIN_SERVICE_AFTER),
+        Claim("service during the surge", service_during, ">=", MIN_SERVICE_DURING),
+        Claim("service from 2 s after the surge", service_after, ">=", MIN_SERVICE_AFTER),
     ]
 
 
 def _claims(run: Run) -> list[Claim]:
     surge = fault_of_kind(run.world, FaultKind.SURGE)
-    before = figures.service_level(run.operations, figures.due_between(SETTLED_S, surge.at_s))
-    advised = figures.retry_after_share(run.history.client_attempts)
+    service_before = figures.service_level(run.operations, figures.due_between(MEASURED_FROM_S, surge.at_s))
+    advised_share = figures.retry_after_share(run.history.client_attempts)
     return [
-        Claim("service before the surge", before, ">=", MIN_SERVICE_BEFORE),
+        Claim("service before the surge", service_before, ">=", MIN_SERVICE_BEFORE),
         *surge_claims(run),
-        Claim("share of refusals with Retry-After", advised, ">=", MIN_ADVISED_SHARE),
+        Claim("share of refusals with Retry-After", advised_share, ">=", MIN_ADVISED_SHARE),
     ]
 
 
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -18,7 +18,7 @@
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, TrialConfig
 from ryepier.experiments.core.worlds import load
-from ryepier.experiments.graphql.resets import WORLD
+from ryepier.experiments.graphql.resets import WORLD_NAME
 
 RATE_PER_S = 1500.0
 DURATION_S = 6.0
@@ -31,24 +31,24 @@
 PLAIN, USUAL, UNIQUE = "no", "usual", "unique"
 
 
-def _world(documents: str) -> World:
-    world = load(WORLD)
+def _world(document_kind: str) -> World:
+    world = load(WORLD_NAME)
     replace = msgspec.structs.replace
-    fields = msgspec.to_builtins(world.clients) | {"graphql": documents, "rate_per_s": RATE_PER_S}
+    fields = msgspec.to_builtins(world.clients) | {"graphql": document_kind, "rate_per_s": RATE_PER_S}
     clients = msgspec.convert(fields, type(world.clients))
     sidecars = replace(world.sidecars, count=1)
     return replace(world, duration_s=DURATION_S, clients=clients, faults=[], sidecars=sidecars)
 
 
-def cpu_us_per_request(documents: str, seed: int, folder: Path, command: tuple[str, ...] | list[str]) -> float:
+def cpu_us_per_request(document_kind: str, seed: int, folder: Path, command: tuple[str, ...] | list[str]) -> float:
     """Run a sidecar started by a command, and return its CPU time per request in the middle of the run.
 
     Raises HarnessError if it served too little to tell.
     """
     roles = harness.RoleAssignment(sidecar_command=command)
-    history = harness.play(_world(documents), seed, folder, roles)
+    history = harness.play(_world(document_kind), seed, folder, roles)
     cpu_us = figures.cpu_us_per_request(history, 0, MEASURED_FROM_S, MEASURED_TO_S)
-    served = sum(item.outcome is RequestOutcome.SERVED for item in history.client_attempts)
+    served = sum(attempt.outcome is RequestOutcome.SERVED for attempt in history.client_attempts)
     if cpu_us is None or served < MIN_SERVED_SHARE * len(history.client_attempts):
         raise HarnessError("a run that served too little says nothing of what serving costs")
     return cpu_us
@@ -59,8 +59,8 @@
     usual_command = seeded_faults.command_with_fault(trial.seeded_fault) if trial.seeded_fault else harness.FORWARDER
     commands = {PLAIN: harness.FORWARDER, USUAL: usual_command, UNIQUE: harness.FORWARDER}
     cpu_us = {
-        documents: cpu_us_per_request(documents, trial.seed, trial.folder / documents, command)
-        for documents, command in commands.items()
+        document_kind: cpu_us_per_request(document_kind, trial.seed, trial.folder / document_kind, command)
+        for document_kind, command in commands.items()
     }
     usual_ratio = cpu_us[USUAL] / cpu_us[PLAIN]
     unique_ratio = cpu_us[UNIQUE] / cpu_us[PLAIN]
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -17,7 +17,7 @@
 MAX_BUDGET = 5.0  # retries
 SPARE_BUDGET = 2.0  # retries: one is available even if another is in transit between the two processes
 MIN_RETRIED_SHARE = 0.98  # of the resets with a spare budget; attempts that never arrived are in no converter's records
-QUANTILE = 0.001  # one run in a thousand falls below the bound by chance
+QUANTILE_LEVEL = 0.001  # one run in a thousand falls below the bound by chance
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,8 +26,8 @@
 
     attempts: int  # of queries
     resets: int  # of those
-    with_retry: int  # of the resets: the query had attempts left, and its sidecar's budget a retry
-    with_spare: int  # of those: the budget was `SPARE_BUDGET` or more
+    with_available_retry: int  # of the resets: the query had attempts left, and its sidecar's budget a retry
+    with_spare_budget: int  # of those: the budget was `SPARE_BUDGET` or more
     retried: int  # of those
     retried_queries: int  # queries with a further attempt after a reset
     served_queries: int  # of those
@@ -35,7 +35,7 @@
     @property
     def retried_share(self) -> float:
         """Return the retried share of the resets at which a retry was certainly available."""
-        return self.retried / max(1, self.with_spare)
+        return self.retried / max(1, self.with_spare_budget)
 
     @property
     def served_share(self) -> float:
@@ -50,9 +50,9 @@
         the budget; a third is not counted on.
         """
         reset_share = self.resets / max(1, self.attempts)
-        second_attempt_share = reset_share * self.with_retry / max(1, self.resets)
-        chance = (1.0 - reset_share) * (1.0 + second_attempt_share)
-        return binomial_quantile(self.retried_queries, chance, QUANTILE) / max(1, self.retried_queries)
+        second_attempt_share = reset_share * self.with_available_retry / max(1, self.resets)
+        probability = (1.0 - reset_share) * (1.0 + second_attempt_share)
+        return binomial_quantile(self.retried_queries, probability, QUANTILE_LEVEL) / max(1, self.retried_queries)
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -80,7 +80,7 @@
             budgets.append(min(MAX_BUDGET, budgets[-1] + change))
             self._times_us[attempt.sidecar].append(attempt.at_us)
 
-    def lowest(self, sidecar: int, from_us: int, until_us: int) -> float:
+    def lowest_between(self, sidecar: int, from_us: int, until_us: int) -> float:
         """Return the lowest budget from one time until just before another."""
         times_us = self._times_us[sidecar]
         first = bisect.bisect_right(times_us, from_us) - 1
@@ -94,17 +94,17 @@
     A sidecar decides at some time between a reset and the next event that its converters or its client see, so a retry
     was available only if there was one all that time.
     """
-    requests = {item.request_id: item for item in run.history.client_attempts}
+    requests = {request.request_id: request for request in run.history.client_attempts}
     attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
     for attempt in run.history.converter_attempts:
         if attempt.request_id in requests:
             attempts[attempt.request_id].append(attempt)
     budgets = RetryBudgets(
         SentAttempt(attempt.first_byte_us, requests[request_id].sidecar, number > 0)
-        for request_id, sent in attempts.items()
-        for number, attempt in enumerate(sent)
+        for request_id, query_attempts in attempts.items()
+        for number, attempt in enumerate(query_attempts)
     )
-    queries = [
+    query_ids = [
         request_id
         for request_id in attempts
         if run.world.classes[requests[request_id].request_class].effect is Effect.IDEMPOTENT
@@ -112,10 +112,10 @@
     max_attempts = run.world.sidecars.max_attempts
     resets = [
         reset
-        for request_id in queries
-        for reset in _find_resets(requests[request_id], attempts[request_id], budgets, max_attempts)
+        for request_id in query_ids
+        for reset in _find_query_resets(requests[request_id], attempts[request_id], budgets, max_attempts)
     ]
-    return _count(queries, requests, attempts, resets)
+    return _count_resets(query_ids, requests, attempts, resets)
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,34 +126,36 @@
     was_retried: bool
 
 
-def _find_resets(
-    request: ClientAttempt, sent: Sequence[ConverterAttempt], budgets: RetryBudgets, max_attempts: int
+def _find_query_resets(
+    request: ClientAttempt, query_attempts: Sequence[ConverterAttempt], budgets: RetryBudgets, max_attempts: int
 ) -> Iterator[_Reset]:
     """Yield the resets of one query that left it an attempt."""
-    for number, attempt in enumerate(sent[: max_attempts - 1]):
+    for number, attempt in enumerate(query_attempts[: max_attempts - 1]):
         if attempt.outcome is not AttemptOutcome.RESET:
             continue
-        was_retried = number + 1 < len(sent)
-        until_us = sent[number + 1].first_byte_us if was_retried else request.ended_us
-        yield _Reset(budgets.lowest(request.sidecar, attempt.ended_us, until_us), was_retried)
+        was_retried = number + 1 < len(query_attempts)
+        until_us = query_attempts[number + 1].first_byte_us if was_retried else request.ended_us
+        yield _Reset(budgets.lowest_between(request.sidecar, attempt.ended_us, until_us), was_retried)
 
 
-def _count(
-    queries: Sequence[str],
+def _count_resets(
+    query_ids: Sequence[str],
     requests: Mapping[str, ClientAttempt],
     attempts: Mapping[str, Sequence[ConverterAttempt]],
     resets: Sequence[_Reset],
 ) -> QueryResets:
-    spare = [reset for reset in resets if reset.lowest_budget >= SPARE_BUDGET]
-    retried = [
-        query for query in queries if any(attempt.outcome is AttemptOutcome.RESET for attempt in attempts[query][:-1])
+    resets_with_spare_budget = [reset for reset in resets if reset.lowest_budget >= SPARE_BUDGET]
+    retried_query_ids = [
+        query_id
+        for query_id in query_ids
+        if any(attempt.outcome is AttemptOutcome.RESET for attempt in attempts[query_id][:-1])
     ]
     return QueryResets(
-        attempts=sum(len(attempts[query]) for query in queries),
-        resets=sum(attempt.outcome is AttemptOutcome.RESET for query in queries for attempt in attempts[query]),
-        with_retry=sum(reset.lowest_budget >= 1.0 for reset in resets),
-        with_spare=len(spare),
-        retried=sum(reset.was_retried for reset in spare),
-        retried_queries=len(retried),
-        served_queries=sum(requests[query].outcome is RequestOutcome.SERVED for query in retried),
+        attempts=sum(len(attempts[query_id]) for query_id in query_ids),
+        resets=sum(attempt.outcome is AttemptOutcome.RESET for query_id in query_ids for attempt in attempts[query_id]),
+        with_available_retry=sum(reset.lowest_budget >= 1.0 for reset in resets),
+        with_spare_budget=len(resets_with_spare_budget),
+        retried=sum(reset.was_retried for reset in resets_with_spare_budget),
+        retried_queries=len(retried_query_ids),
+        served_queries=sum(requests[query_id].outcome is RequestOutcome.SERVED for query_id in retried_query_ids),
     )
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -20,7 +20,7 @@
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.graphql.reset_queries import MIN_RETRIED_SHARE, find_query_resets
 
-WORLD = "graphql-resets"
+WORLD_NAME = "graphql-resets"
 FULL_RATE_PER_S = 2000.0
 FULL_DURATION_S = 52.0
 FULL_SIDECARS = 3
@@ -31,16 +31,16 @@
 
 
 def _world(scale: Scale) -> World:
-    world = load(WORLD)
+    world = load(WORLD_NAME)
     if scale is Scale.SMALL:
         return world
     replace = msgspec.structs.replace
-    stretch = FULL_DURATION_S / world.duration_s
+    duration_factor = FULL_DURATION_S / world.duration_s
     return replace(
         world,
         duration_s=FULL_DURATION_S,
         clients=replace(world.clients, rate_per_s=FULL_RATE_PER_S),
-        faults=[replace(fault, for_s=fault.for_s * stretch) for fault in world.faults],
+        faults=[replace(fault, for_s=fault.for_s * duration_factor) for fault in world.faults],
         sidecars=replace(world.sidecars, count=FULL_SIDECARS),
         harness=replace(world.harness, client_processes=2, converter_processes=3),
     )
@@ -48,7 +48,9 @@
 
 def _effects(run: Run) -> dict[str, Effect]:
     """Return the effect of each request's class by the request's id."""
-    return {item.request_id: run.world.classes[item.request_class].effect for item in run.history.client_attempts}
+    return {
+        request.request_id: run.world.classes[request.request_class].effect for request in run.history.client_attempts
+    }
 
 
 def count_duplicated_mutations(run: Run) -> int:
@@ -63,18 +65,21 @@
 def _figures(run: Run) -> Mapping[str, float]:
     effects = _effects(run)
     requests = len(run.history.client_attempts)
-    reset = {
+    reset_ids = {
         attempt.request_id for attempt in run.history.converter_attempts if attempt.outcome is AttemptOutcome.RESET
     }
-    served = {item.request_id for item in run.history.client_attempts if item.outcome is RequestOutcome.SERVED}
-    queries = [request_id for request_id in reset if effects.get(request_id) is Effect.IDEMPOTENT]
+    served_ids = {
+        request.request_id for request in run.history.client_attempts if request.outcome is RequestOutcome.SERVED
+    }
+    reset_query_ids = [request_id for request_id in reset_ids if effects.get(request_id) is Effect.IDEMPOTENT]
     return {
         "requests": requests,
-        "reset_share": len(reset) / max(1, requests),
+        "reset_share": len(reset_ids) / max(1, requests),
         "duplicated_mutations": count_duplicated_mutations(run),
-        "queries_reset": len(queries),
-        "queries_reset_and_served": sum(query in served for query in queries) / max(1, len(queries)),
-        "mutations_reset": sum(effects.get(request_id) is Effect.AT_MOST_ONCE for request_id in reset),
+        "queries_reset": len(reset_query_ids),
+        "queries_reset_and_served": sum(request_id in served_ids for request_id in reset_query_ids)
+        / max(1, len(reset_query_ids)),
+        "mutations_reset": sum(effects.get(request_id) is Effect.AT_MOST_ONCE for request_id in reset_ids),
     }
 
 
@@ -84,14 +89,16 @@
     is_full_scale = run.world.duration_s >= FULL_DURATION_S
     min_requests = MIN_REQUESTS_AT_FULL_SCALE if is_full_scale else MIN_REQUESTS
     classes = run.world.classes
-    queries = [one for one in run.operations if classes[one.first.request_class].effect is Effect.IDEMPOTENT]
+    query_operations = [
+        operation for operation in run.operations if classes[operation.first.request_class].effect is Effect.IDEMPOTENT
+    ]
     retried_name = "resets of queries, with retries to spare, that were sent again"
     served_name = "queries sent again after a reset that were served"
     return [
         Claim("requests", measured["requests"], ">=", min_requests),
         Claim("share of requests that were reset after they were sent", measured["reset_share"], ">=", MIN_RESET_SHARE),
         Claim("mutations that ran twice", measured["duplicated_mutations"], "==", 0),
-        Claim("service of queries", figures.service_level(queries), ">=", MIN_SERVICE_OF_QUERIES),
+        Claim("service of queries", figures.service_level(query_operations), ">=", MIN_SERVICE_OF_QUERIES),
         Claim(retried_name, resets.retried_share, ">=", MIN_RETRIED_SHARE),
         Claim(served_name, resets.served_share, ">=", resets.min_served_share),
     ]
--- a/ryepier/experiments/graphql/seeded_faults.py
+++ b/ryepier/experiments/graphql/seeded_faults.py
@@ -15,11 +15,11 @@
 
     from ryepier.graphql.document import Document, DocumentCache
 
-    read = DocumentCache.read
+    original_read = DocumentCache.read
 
     def read_first_word(self: DocumentCache, text: str) -> Document:
         kind = OperationType.MUTATION if text.startswith("mutation") else OperationType.QUERY
-        return Document(tuple(replace(one, kind=kind) for one in read(self, text).operations))
+        return Document(tuple(replace(operation, kind=kind) for operation in original_read(self, text).operations))
 
     DocumentCache.read = read_first_word  # type: ignore[method-assign]
 
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -20,24 +20,24 @@
 MAX_PROBES = 1  # attempts at them in a window
 AVOIDING_SHARE = 0.95  # of the forwarders
 MAX_TIME_RATIO = 0.5
-MAX_LOST_RATIO_OF_HANG = 0.8
-MAX_LOST_RATIO_OF_SLOW = 1.0  # a sidecar by itself sends slow ones less, so little is left to gain
-MIN_LOST = 1e-6  # in place of zero as a divisor
+MAX_LOST_RATIO_HANG = 0.8
+MAX_LOST_RATIO_SLOW = 1.0  # a sidecar by itself sends slow ones less, so little is left to gain
+MIN_LOST_SHARE = 1e-6  # in place of zero as a divisor
 US_PER_S = 1e6
 
 
-def _world_of_hang(scale: Scale) -> World:
+def _hang_world(scale: Scale) -> World:
     return load("planner-gain")
 
 
-def _world_of_slow(scale: Scale) -> World:
+def _slow_world(scale: Scale) -> World:
     return load("planner-slow")
 
 
 def avoided_after_s(run: Run, kind: str) -> float:
     """Return the time from a fault until 95% of the forwarders avoid the struck converters; its length if never."""
     fault = fault_of_kind(run.world, kind)
-    times_s = _attempts_at_struck(run, kind)
+    times_s = _attempt_times_at_affected(run, kind)
     sidecars = range(run.world.sidecars.count)
     at_s = 0.0
     while at_s + WINDOW_S <= fault.for_s:
@@ -48,15 +48,15 @@
     return fault.for_s
 
 
-def _attempts_at_struck(run: Run, kind: str) -> dict[int, list[float]]:
+def _attempt_times_at_affected(run: Run, kind: str) -> dict[int, list[float]]:
     """Return by sidecar when its attempts reached the struck converters, in seconds from the fault."""
     fault = fault_of_kind(run.world, kind)
-    struck = phases.struck_uids(run, (kind,))
-    sidecar_of = {item.request_id: item.sidecar for item in run.history.client_attempts}
+    affected_uids = phases.affected_uids(run, (kind,))
+    sidecar_by_request = {attempt.request_id: attempt.sidecar for attempt in run.history.client_attempts}
     times_s: dict[int, list[float]] = defaultdict(list)
     for attempt in run.history.converter_attempts:
-        if attempt.uid in struck and attempt.request_id in sidecar_of:
-            times_s[sidecar_of[attempt.request_id]].append(attempt.received_us / US_PER_S - fault.at_s)
+        if attempt.uid in affected_uids and attempt.request_id in sidecar_by_request:
+            times_s[sidecar_by_request[attempt.request_id]].append(attempt.received_us / US_PER_S - fault.at_s)
     return times_s
 
 
@@ -66,13 +66,13 @@
 
 def _figures(run: Run, kind: str) -> dict[str, float]:
     assert run.control is not None
-    return _figures_of_one(run, kind, "with") | _figures_of_one(run.control, kind, "without")
+    return _figures_of_run(run, kind, "with") | _figures_of_run(run.control, kind, "without")
 
 
-def _figures_of_one(run: Run, kind: str, planners: str) -> dict[str, float]:
+def _figures_of_run(run: Run, kind: str, planners: str) -> dict[str, float]:
     fault = fault_of_kind(run.world, kind)
-    struck = phases.struck_uids(run, (kind,))
-    attempts = figures.count_attempts(run.history.converter_attempts, struck, fault.at_s, phases.end_s(fault))
+    affected_uids = phases.affected_uids(run, (kind,))
+    attempts = figures.count_attempts(run.history.converter_attempts, affected_uids, fault.at_s, phases.end_s(fault))
     return {
         f"avoided_after_s_{planners}": avoided_after_s(run, kind),
         f"service_in_the_{kind}_{planners}": figures.service_level(run.operations, phases.during(fault)),
@@ -88,26 +88,26 @@
 def _lost_ratio(measured: Mapping[str, float], kind: str) -> float:
     lost_with = 1 - measured[f"service_in_the_{kind}_with"]
     lost_without = 1 - measured[f"service_in_the_{kind}_without"]
-    return lost_with / max(MIN_LOST, lost_without)
+    return lost_with / max(MIN_LOST_SHARE, lost_without)
 
 
-def _claims_of_hang(run: Run) -> list[Claim]:
+def _hang_claims(run: Run) -> list[Claim]:
     assert run.control is not None
     measured = _figures(run, "hang")
-    lost = _lost_ratio(measured, "hang")
+    lost_ratio = _lost_ratio(measured, "hang")
     return [
         _time_claim(measured),
-        Claim("worth lost in the hang, with planners over without", lost, "<=", MAX_LOST_RATIO_OF_HANG),
+        Claim("worth lost in the hang, with planners over without", lost_ratio, "<=", MAX_LOST_RATIO_HANG),
         Claim("breaches of rules without planners", len(run.control.breaches), "==", 0),
     ]
 
 
-def _claims_of_slow(run: Run) -> list[Claim]:
+def _slow_claims(run: Run) -> list[Claim]:
     measured = _figures(run, "slow")
-    lost = _lost_ratio(measured, "slow")
+    lost_ratio = _lost_ratio(measured, "slow")
     return [
         _time_claim(measured),
-        Claim("worth lost while they are slow, with planners over without", lost, "<=", MAX_LOST_RATIO_OF_SLOW),
+        Claim("worth lost while they are slow, with planners over without", lost_ratio, "<=", MAX_LOST_RATIO_SLOW),
     ]
 
 
@@ -115,8 +115,8 @@
     Experiment(
         name="planner-gain",
         question="a sixth of the converters hangs, with planners and without",
-        world=_world_of_hang,
-        claims=_claims_of_hang,
+        world=_hang_world,
+        claims=_hang_claims,
         seeded_faults=("trust-none",),
         extra_figures=lambda run: _figures(run, "hang"),
         control_world=without_planners,
@@ -124,8 +124,8 @@
     Experiment(
         name="planner-slow",
         question="a sixth of the converters is ten times as slow, with planners and without",
-        world=_world_of_slow,
-        claims=_claims_of_slow,
+        world=_slow_world,
+        claims=_slow_claims,
         seeded_faults=("trust-none",),
         extra_figures=lambda run: _figures(run, "slow"),
         control_world=without_planners,
--- a/ryepier/experiments/planners/failover.py
+++ b/ryepier/experiments/planners/failover.py
@@ -15,42 +15,42 @@
 from ryepier.experiments.planners.followers import count_changes_of_planner, count_followers_of
 
 FIRST_PLANNER_LOG = "planner-0.log"
-STEPPED_DOWN = "follows, epoch"
+STEPPED_DOWN_MESSAGE = "follows, epoch"
 MIN_CHANGED_SHARE = 0.95  # of the forwarders, in a surge
 MIN_SERVICE = 0.97
 
 
-def _world_of_kill(scale: Scale) -> World:
+def _kill_world(scale: Scale) -> World:
     return load("planner-kill")
 
 
-def _world_of_hang(scale: Scale) -> World:
+def _hang_world(scale: Scale) -> World:
     return load("planner-hang")
 
 
-def _claims_of_kill(run: Run) -> list[Claim]:
-    changed = count_followers_of(run, "planner-1")
+def _kill_claims(run: Run) -> list[Claim]:
+    changed_count = count_followers_of(run, "planner-1")
     min_changed = MIN_CHANGED_SHARE * run.world.sidecars.count
     return [
-        Claim("forwarders that went over to the other planner", changed, ">=", min_changed),
+        Claim("forwarders that went over to the other planner", changed_count, ">=", min_changed),
         *surge_claims(run),
     ]
 
 
-def _claims_of_hang(run: Run) -> list[Claim]:
+def _hang_claims(run: Run) -> list[Claim]:
     hang = fault_of_kind(run.world, FaultKind.PLANNER_HANG)
     followed_first = count_followers_of(run, "planner-0, epoch 1")
     followed_second = count_followers_of(run, "planner-1, epoch 2")
     further_changes = count_changes_of_planner(run) - followed_first - followed_second
-    steps_down = len(lines_with(run.folder, FIRST_PLANNER_LOG, STEPPED_DOWN))
-    from_hang = figures.service_level(run.operations, phases.from_time(hang.at_s, run.world))
-    from_resumption = figures.service_level(run.operations, phases.from_time(phases.end_s(hang), run.world))
+    steps_down = len(lines_with(run.folder, FIRST_PLANNER_LOG, STEPPED_DOWN_MESSAGE))
+    service_from_hang = figures.service_level(run.operations, phases.from_time(hang.at_s, run.world))
+    service_from_resumption = figures.service_level(run.operations, phases.from_time(phases.end_s(hang), run.world))
     return [
         Claim("forwarders that went over to the other planner", followed_second, "==", run.world.sidecars.count),
         Claim("changes of planner, over two a forwarder", further_changes, "==", 0),
         Claim("the planner that hung stepped down", steps_down, ">=", 1),
-        Claim("service from the stall on", from_hang, ">=", MIN_SERVICE),
-        Claim("service once it is back", from_resumption, ">=", MIN_SERVICE),
+        Claim("service from the stall on", service_from_hang, ">=", MIN_SERVICE),
+        Claim("service once it is back", service_from_resumption, ">=", MIN_SERVICE),
     ]
 
 
@@ -58,15 +58,15 @@
     Experiment(
         name="planner-kill",
         question="the planner that leads is killed in a surge of 2.3 times",
-        world=_world_of_kill,
-        claims=_claims_of_kill,
+        world=_kill_world,
+        claims=_kill_claims,
         seeded_faults=("lose",),
     ),
     Experiment(
         name="planner-hang",
         question="the planner that leads stalls for 5 s with its connections open",
-        world=_world_of_hang,
-        claims=_claims_of_hang,
+        world=_hang_world,
+        claims=_hang_claims,
         seeded_faults=("trust-none",),
     ),
 )
--- a/ryepier/experiments/planners/false_reports.py
+++ b/ryepier/experiments/planners/false_reports.py
@@ -16,8 +16,8 @@
 from ryepier.experiments.planners.followers import count_followers
 from ryepier.experiments.planners.seeded_faults import FALSELY_REPORTED_INTERVAL
 
-LIARS = 3
-SETTLED_S = 3.0  # after the start
+FALSE_REPORTERS = 3
+MEASURED_FROM_S = 3.0  # after the start
 MAX_GAP_S = 1.0  # without false reports each has about ten requests per second
 MIN_SERVICE = 0.98
 US_PER_S = 1e6
@@ -41,8 +41,8 @@
 
 def _claims(run: Run) -> list[Claim]:
     instances = timeline.build(run.world, run.seed).instances
-    falsely_reported = {one.uid for one in instances if one.index % FALSELY_REPORTED_INTERVAL == 0}
-    gap_s = max(longest_gap_s(run, uid, SETTLED_S) for uid in falsely_reported)
+    falsely_reported = {instance.uid for instance in instances if instance.index % FALSELY_REPORTED_INTERVAL == 0}
+    gap_s = max(longest_gap_s(run, uid, MEASURED_FROM_S) for uid in falsely_reported)
     return [
         Claim("forwarders that follow a plan", count_followers(run), "==", run.world.sidecars.count),
         Claim("longest time that a converter lied about had no request (s)", gap_s, "<=", MAX_GAP_S),
@@ -56,5 +56,5 @@
     world=_world,
     claims=_claims,
     seeded_faults=("credulous",),
-    sidecar_faults=dict.fromkeys(range(LIARS), "liar"),
+    sidecar_faults=dict.fromkeys(range(FALSE_REPORTERS), "liar"),
 )
--- a/ryepier/experiments/planners/loss.py
+++ b/ryepier/experiments/planners/loss.py
@@ -14,23 +14,30 @@
 from ryepier.experiments.planners import worlds
 from ryepier.experiments.planners.followers import count_followers
 
-SETTLED_S = 1.0  # after the start
+MEASURED_FROM_S = 1.0  # after the start
 MAX_LOST_POINTS = 2.0
 
 
 def _claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
-    back_s = kill.at_s + kill.down_s
-    before = figures.service_level(run.operations, figures.due_between(SETTLED_S, kill.at_s))
-    during = figures.service_level(run.operations, figures.due_between(kill.at_s, back_s))
-    after = figures.service_level(run.operations, phases.from_time(back_s + phases.RECOVERY_S, run.world))
-    drains = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
+    restarted_s = kill.at_s + kill.down_s
+    service_before = figures.service_level(run.operations, figures.due_between(MEASURED_FROM_S, kill.at_s))
+    service_during = figures.service_level(run.operations, figures.due_between(kill.at_s, restarted_s))
+    service_after = figures.service_level(run.operations, phases.from_time(restarted_s + phases.RECOVERY_S, run.world))
+    drain_notices = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
     sidecars = run.world.sidecars.count
     return [
         Claim("forwarders that followed a plan", count_followers(run), "==", sidecars),
-        Claim("service lost while all planners are away (points)", 100 * (before - during), "<=", MAX_LOST_POINTS),
-        Claim("service lost once they are back (points)", 100 * (before - after), "<=", MAX_LOST_POINTS),
-        Claim("drains told of", drains, ">=", sidecars),
+        Claim(
+            "service lost while all planners are away (points)",
+            100 * (service_before - service_during),
+            "<=",
+            MAX_LOST_POINTS,
+        ),
+        Claim(
+            "service lost once they are back (points)", 100 * (service_before - service_after), "<=", MAX_LOST_POINTS
+        ),
+        Claim("drains told of", drain_notices, ">=", sidecars),
     ]
 
 
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -24,8 +24,8 @@
 FLEET_SIZES = {Scale.SMALL: (50, 500), Scale.FULL: (50, 1000)}  # forwarders
 DOWN_TIMES_S = (0.05, 2.0)
 RETURN_TIMEOUT_S = 8.0
-SETTLE_S = 1.0
-CLOSE_S = 0.1
+SETTLING_TIME_S = 1.0
+CLOSING_TIME_S = 0.1
 POLL_INTERVAL_S = 0.02
 WINDOW_S = 0.1
 HEARTBEAT_INTERVAL_S = 0.5
@@ -53,7 +53,7 @@
         self._server = await asyncio.start_server(self._serve, HOST, self.port, backlog=BACKLOG)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Stop listening and abort all connections, as the end of a process does."""
         assert self._server is not None
         self._server.close()
@@ -82,11 +82,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Return:
+class ReconnectionResult:
     """How a fleet returned to its planner."""
 
     returned_share: float
-    last_after_s: float
+    last_return_s: float
     peak_share: float  # the largest share within `WINDOW_S`
 
     def as_figures(self, fleet_size: int, down_s: float) -> dict[str, float]:
@@ -94,18 +94,18 @@
         suffix = f"{fleet_size}_down_{down_s:g}s"
         return {
             f"back_{suffix}": self.returned_share,
-            f"back_after_s_{suffix}": self.last_after_s,
+            f"back_after_s_{suffix}": self.last_return_s,
             f"peak_share_{suffix}": self.peak_share,
         }
 
 
-def summarize(connected_us: list[int], since_us: int, fleet_size: int) -> Return:
+def summarize(connected_us: list[int], since_us: int, fleet_size: int) -> ReconnectionResult:
     """Return the shares and times of connections that came after a restart."""
     if not connected_us:
-        return Return(0.0, float("inf"), 1.0)
+        return ReconnectionResult(0.0, float("inf"), 1.0)
     times_s = (np.sort(connected_us) - since_us) / US_PER_S
     in_window = np.searchsorted(times_s, times_s + WINDOW_S) - np.arange(len(times_s))
-    return Return(len(times_s) / fleet_size, float(times_s[-1]), float(in_window.max()) / fleet_size)
+    return ReconnectionResult(len(times_s) / fleet_size, float(times_s[-1]), float(in_window.max()) / fleet_size)
 
 
 def _make_forwarders(fleet_size: int, port: int, seed: int) -> list[Forwarder]:
@@ -121,7 +121,7 @@
     ]
 
 
-async def restart_planner(fleet_size: int, down_s: float, seed: int) -> Return:
+async def restart_planner(fleet_size: int, down_s: float, seed: int) -> ReconnectionResult:
     """Let a planner die once, and return how its forwarders come back."""
     planner = PlannerListener()
     await planner.listen()
@@ -129,8 +129,8 @@
     for forwarder in forwarders:
         forwarder.start()
     await _wait_for_connections(planner, fleet_size)
-    await asyncio.sleep(SETTLE_S)
-    planner.die()
+    await asyncio.sleep(SETTLING_TIME_S)
+    planner.crash()
     planner.connected_us.clear()
     await asyncio.sleep(down_s)
     restarted_us = monotonic_us()
@@ -138,8 +138,8 @@
     await _wait_for_connections(planner, fleet_size)
     for forwarder in forwarders:
         forwarder.stop()
-    planner.die()
-    await asyncio.sleep(CLOSE_S)
+    planner.crash()
+    await asyncio.sleep(CLOSING_TIME_S)
     return summarize(planner.connected_us, restarted_us, fleet_size)
 
 
@@ -159,14 +159,14 @@
     claims = []
     for size in FLEET_SIZES[trial.scale]:
         for down_s in DOWN_TIMES_S:
-            found = asyncio.run(restart_planner(size, down_s, trial.seed))
-            figures |= found.as_figures(size, down_s)
+            result = asyncio.run(restart_planner(size, down_s, trial.seed))
+            figures |= result.as_figures(size, down_s)
             name = f"share of {size} that came back after {down_s:g} s away"
-            claims.append(Claim(name, found.returned_share, "==", 1.0))
+            claims.append(Claim(name, result.returned_share, "==", 1.0))
         peak_name = f"greatest share of {size} that came within {WINDOW_S:g} s"
         claims += [
-            Claim(f"time until all {size} are back (s)", found.last_after_s, "<=", MAX_RETURN_S),
-            Claim(peak_name, found.peak_share, "<=", MAX_PEAK_SHARE),
+            Claim(f"time until all {size} are back (s)", result.last_return_s, "<=", MAX_RETURN_S),
+            Claim(peak_name, result.peak_share, "<=", MAX_PEAK_SHARE),
         ]
     return Measurement(claims, figures)
 
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -14,44 +14,44 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.logs import PLANNER_LOGS, SIDECAR_LOGS, lines_with, log_lines
 from ryepier.experiments.core.worlds import fault_of_kind, load
-from ryepier.experiments.planners.followers import FOLLOWING, count_sidecars_that_logged
+from ryepier.experiments.planners.followers import FOLLOWING_MESSAGE, count_sidecars_that_logged
 from ryepier.plan.plan_follower import PlanRejection
 
-REJECTED = f"rejected: {PlanRejection.FEW_REPORTERS}"  # in a sidecar's log
-EPOCH_OF_EMPTY_PLANNER = "epoch 10000"  # the begin of the number that the fault `amnesiac` claims
-ARRIVAL_S = 1.0  # of the empty plans, after the start
+REJECTED_MESSAGE = f"rejected: {PlanRejection.FEW_REPORTERS}"  # in a sidecar's log
+EMPTY_PLANNER_EPOCH = "epoch 10000"  # the begin of the number that the fault `amnesiac` claims
+PLAN_ARRIVAL_S = 1.0  # of the empty plans, after the start
 END_MARGIN_S = 1.0
 MAX_SHARE_TO_HUNG = 0.02
 MAX_RESTART_S = 2.0
 
 
-def _world_of_empty(scale: Scale) -> World:
+def _empty_world(scale: Scale) -> World:
     return load("planner-empty")
 
 
-def _world_of_restart(scale: Scale) -> World:
+def _restart_world(scale: Scale) -> World:
     return load("planner-restart")
 
 
 def _share_to_hung(run: Run, begin_s: float, end_s: float) -> float:
-    hung = phases.struck_uids(run, (FaultKind.HANG,))
-    return figures.count_attempts(run.history.converter_attempts, hung, begin_s, end_s).share
+    hung_uids = phases.affected_uids(run, (FaultKind.HANG,))
+    return figures.count_attempts(run.history.converter_attempts, hung_uids, begin_s, end_s).share
 
 
 def _count_followers_of_empty_plan(run: Run) -> int:
-    lines = lines_with(run.folder, SIDECAR_LOGS, FOLLOWING)
-    return len({line["file"] for line in lines if EPOCH_OF_EMPTY_PLANNER in str(line["message"])})
+    lines = lines_with(run.folder, SIDECAR_LOGS, FOLLOWING_MESSAGE)
+    return len({line["file"] for line in lines if EMPTY_PLANNER_EPOCH in str(line["message"])})
 
 
-def _claims_of_empty(run: Run) -> list[Claim]:
+def _empty_claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
-    arrived_s = kill.at_s + kill.down_s + ARRIVAL_S
-    rejected = count_sidecars_that_logged(run, REJECTED)
-    to_hung = _share_to_hung(run, arrived_s, run.world.duration_s)
+    plan_arrived_s = kill.at_s + kill.down_s + PLAN_ARRIVAL_S
+    rejected_count = count_sidecars_that_logged(run, REJECTED_MESSAGE)
+    share_to_hung = _share_to_hung(run, plan_arrived_s, run.world.duration_s)
     return [
-        Claim("forwarders that refused the empty plan", rejected, "==", run.world.sidecars.count),
+        Claim("forwarders that refused the empty plan", rejected_count, "==", run.world.sidecars.count),
         Claim("forwarders that took it", _count_followers_of_empty_plan(run), "==", 0),
-        Claim("share of attempts to hung converters after it came", to_hung, "<=", MAX_SHARE_TO_HUNG),
+        Claim("share of attempts to hung converters after it came", share_to_hung, "<=", MAX_SHARE_TO_HUNG),
     ]
 
 
@@ -60,26 +60,26 @@
     shortest_s = float("inf")
     for path in sorted(run.folder.glob(PLANNER_LOGS)):
         started_at: datetime | None = None
-        starts = 0
+        start_count = 0
         for line in log_lines(run.folder, path.name):
-            message, at = str(line["message"]), datetime.fromisoformat(str(line["time"]))
+            message, logged_at = str(line["message"]), datetime.fromisoformat(str(line["time"]))
             if message.endswith("is up"):
-                started_at = at
-                starts += 1
-            elif message.startswith("leads") and starts > 1 and started_at is not None:
-                shortest_s = min(shortest_s, (at - started_at).total_seconds())
+                started_at = logged_at
+                start_count += 1
+            elif message.startswith("leads") and start_count > 1 and started_at is not None:
+                shortest_s = min(shortest_s, (logged_at - started_at).total_seconds())
     return shortest_s
 
 
-def _claims_of_restart(run: Run) -> list[Claim]:
+def _restart_claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
     restarted_s = kill.at_s + kill.down_s
-    to_hung = _share_to_hung(run, restarted_s, run.world.duration_s - END_MARGIN_S)
-    followed_again = count_sidecars_that_logged(run, "epoch 2")
+    share_to_hung = _share_to_hung(run, restarted_s, run.world.duration_s - END_MARGIN_S)
+    followed_again_count = count_sidecars_that_logged(run, "epoch 2")
     return [
         Claim("time to sound plans after the restart (s)", restart_to_plan_s(run), "<=", MAX_RESTART_S),
-        Claim("share of attempts to hung converters from the restart on", to_hung, "<=", MAX_SHARE_TO_HUNG),
-        Claim("forwarders that followed again", followed_again, "==", run.world.sidecars.count),
+        Claim("share of attempts to hung converters from the restart on", share_to_hung, "<=", MAX_SHARE_TO_HUNG),
+        Claim("forwarders that followed again", followed_again_count, "==", run.world.sidecars.count),
     ]
 
 
@@ -87,16 +87,16 @@
     Experiment(
         name="planner-empty",
         question="planners come back with nothing in mind while converters hang",
-        world=_world_of_empty,
-        claims=_claims_of_empty,
+        world=_empty_world,
+        claims=_empty_claims,
         seeded_faults=("trust-any",),
         restarted_planner_fault="amnesiac",
     ),
     Experiment(
         name="planner-restart",
         question="both planners die and come back with their snapshots while converters hang",
-        world=_world_of_restart,
-        claims=_claims_of_restart,
+        world=_restart_world,
+        claims=_restart_claims,
         seeded_faults=("trust-none",),
     ),
 )
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -31,9 +31,9 @@
 REPORT_INTERVAL_S = 0.5
 ATTEMPTS_PER_REPORT = 2.0  # the mean, for each converter
 WARM_UP_S = 3.0
-MEASURED_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}
+MEASUREMENT_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}
 READ_BYTES = 65_536
-WHOLE_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
+FULL_REPORTS_FAULT = "whole-reports"  # seeded fault: forwarders report on all converters
 MAX_CORES = 0.9
 MAX_GROWTH_OVER_LINEAR = 1.4
 MAX_BYTES_PER_S_PER_FORWARDER = 1500
@@ -48,8 +48,8 @@
         """Choose the converters to report on."""
         self.name = f"f{index}"
         count = CONVERTERS if reports_all else REPORTED_CONVERTERS
-        chosen = random.choice(CONVERTERS, size=count, replace=False)
-        self.counters = {f"c-{uid:04x}": ConverterCounters() for uid in chosen}
+        chosen_converters = random.choice(CONVERTERS, size=count, replace=False)
+        self.counters = {f"c-{uid:04x}": ConverterCounters() for uid in chosen_converters}
         self.random = random
         self.number = 0
         self.bytes_in = 0
@@ -147,7 +147,7 @@
     process: subprocess.Popen[bytes], address: tuple[str, int], fleet_size: int, trial: TrialConfig
 ) -> Rates:
     await wait_until_listening(process, address, "the planner")
-    reports_all = trial.seeded_fault == WHOLE_REPORTS
+    reports_all = trial.seeded_fault == FULL_REPORTS_FAULT
     forwarders = [
         SimulatedForwarder(index, draws.stream(trial.seed, f"forwarder {index}"), reports_all)
         for index in range(fleet_size)
@@ -156,7 +156,7 @@
     try:
         await asyncio.sleep(WARM_UP_S)
         before = read_totals(process.pid, forwarders)
-        await asyncio.sleep(MEASURED_S[trial.scale])
+        await asyncio.sleep(MEASUREMENT_S[trial.scale])
         after = read_totals(process.pid, forwarders)
     finally:
         for task in tasks:
@@ -186,13 +186,13 @@
     for size, rate in rates.items():
         figures |= rate.as_figures(size)
     middle, largest = FLEET_SIZES[-2:]
-    at_largest = rates[largest]
-    growth = at_largest.cores / max(MIN_CORES, rates[middle].cores) / (largest / middle)
+    largest_rates = rates[largest]
+    growth = largest_rates.cores / max(MIN_CORES, rates[middle].cores) / (largest / middle)
     figures["cores_growth_200_to_1000_over_linear"] = growth
-    bytes_per_s = at_largest.bytes_in_per_s / largest
-    plans_per_s = at_largest.plans_per_s_per_forwarder
+    bytes_per_s = largest_rates.bytes_in_per_s / largest
+    plans_per_s = largest_rates.plans_per_s_per_forwarder
     claims = [
-        Claim("planner's cores at 1,000 forwarders", at_largest.cores, "<=", MAX_CORES),
+        Claim("planner's cores at 1,000 forwarders", largest_rates.cores, "<=", MAX_CORES),
         Claim("growth of its CPU from 200 to 1,000 over linear", growth, "<=", MAX_GROWTH_OVER_LINEAR),
         Claim("bytes a second to a planner, a forwarder", bytes_per_s, "<=", MAX_BYTES_PER_S_PER_FORWARDER),
         Claim("plans a second that each of 1,000 forwarders gets", plans_per_s, ">=", MIN_PLANS_PER_S),
@@ -204,5 +204,5 @@
     name="planner-scale",
     question="a planner's CPU and bytes at 50, 200 and 1,000 simulated forwarders",
     measure=measure,
-    seeded_faults=(WHOLE_REPORTS,),
+    seeded_faults=(FULL_REPORTS_FAULT,),
 )
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -39,10 +39,10 @@
     snapshot.load = lambda folder, unix_ms, max_age_ms: None
     Evidence.merge = lambda self, now_us, name, incarnation, report: True  # type: ignore[method-assign]
     Planner.has_enough_evidence = lambda self, basis: True  # type: ignore[method-assign]
-    start = Leadership.__post_init__
+    original_post_init = Leadership.__post_init__
 
     def lead_at_once(self: Leadership) -> None:
-        start(self)
+        original_post_init(self)
         self.highest_term, self.is_leader = Term(HIGHEST_EPOCH, self.name), True
 
     Leadership.__post_init__ = lead_at_once  # type: ignore[method-assign]
@@ -56,23 +56,23 @@
 
 def report_false_failures() -> None:
     """Let a forwarder report a thousand failures for each request to some converters."""
-    report = Reporter.report
+    original_report = Reporter.report
 
     def false_report(self: Reporter, *arguments: Any, **options: Any) -> Report:
-        honest = report(self, *arguments, **options)
-        counters = {uid: falsify(uid, counted) for uid, counted in honest.counters.items()}
-        return msgspec.structs.replace(honest, counters=counters)
+        true_report = original_report(self, *arguments, **options)
+        counters = {uid: falsify(uid, true_counters) for uid, true_counters in true_report.counters.items()}
+        return msgspec.structs.replace(true_report, counters=counters)
 
     Reporter.report = false_report  # type: ignore[method-assign]
 
 
 def recount_at_each_report() -> None:
     """Let a planner go through all forwarders at each report."""
-    merge = Evidence.merge
+    original_merge = Evidence.merge
 
     def merge_and_recount(self: Evidence, now_us: int, name: str, incarnation: int, report: Report) -> bool:
         self.active(now_us)
-        return merge(self, now_us, name, incarnation, report)
+        return original_merge(self, now_us, name, incarnation, report)
 
     Evidence.merge = merge_and_recount  # type: ignore[method-assign]
 
@@ -91,7 +91,7 @@
     return msgspec.structs.replace(counters, failed=counters.failed + false_failures)
 
 
-OF_PLANNERS = frozenset(("amnesiac", "credulous", "recount"))  # all others are faults of a sidecar
+PLANNER_FAULTS = frozenset(("amnesiac", "credulous", "recount"))  # all others are faults of a sidecar
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "trust-any": accept_every_plan,
     "trust-none": reject_every_plan,
--- a/ryepier/experiments/planners/worlds.py
+++ b/ryepier/experiments/planners/worlds.py
@@ -26,11 +26,11 @@
     return msgspec.structs.replace(
         world,
         duration_s=world.duration_s - small_loss_s + FULL_LOSS_S,
-        faults=[_lengthened(fault) for fault in world.faults],
+        faults=[_lengthen_fault(fault) for fault in world.faults],
     )
 
 
-def _lengthened(fault: Fault) -> Fault:
+def _lengthen_fault(fault: Fault) -> Fault:
     if fault.kind is FaultKind.PLANNER_KILL:
         return msgspec.structs.replace(fault, down_s=FULL_LOSS_S)
     if fault.kind is FaultKind.RELEASE:
--- a/ryepier/experiments/seeded_faults.py
+++ b/ryepier/experiments/seeded_faults.py
@@ -21,7 +21,7 @@
 from ryepier.experiments.storms import seeded_faults as storms
 from ryepier.sidecar import __main__ as sidecar
 
-PLANNER_FAULTS = planners.OF_PLANNERS
+PLANNER_FAULTS = planners.PLANNER_FAULTS
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     **faults.SEEDED_FAULTS,
     **planners.SEEDED_FAULTS,
@@ -41,11 +41,11 @@
 
 def main() -> int:
     """Plant the mistake that the first argument names, then start what the others ask for; its exit status."""
-    plant, *arguments = sys.argv[1:]
-    SEEDED_FAULTS[plant]()
-    if plant in PLANNER_FAULTS or arguments:
+    seeded_fault, *arguments = sys.argv[1:]
+    SEEDED_FAULTS[seeded_fault]()
+    if seeded_fault in PLANNER_FAULTS or arguments:
         # the command line lies above this floor, so it is started as a person would start it
-        sys.argv = ["ryepier", "planner" if plant in PLANNER_FAULTS else "run", *arguments]
+        sys.argv = ["ryepier", "planner" if seeded_fault in PLANNER_FAULTS else "run", *arguments]
         runpy.run_module("ryepier", run_name="__main__")
     return sidecar.main()
 
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -21,14 +21,14 @@
 from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.experiments.slices.follower_process import UP, FollowerReport
+from ryepier.experiments.slices.follower_process import READY_LINE, FollowerReport
 
 SIZES = (1_000, 10_000)  # endpoints
 SLICE_SIZE = 100
 CHANGES = {Scale.SMALL: 150, Scale.FULL: 1_500}
 CHANGE_INTERVAL_S = 0.04
 START_TIMEOUT_S = 20.0
-TAIL_S = 0.5  # after the last change, for its update to arrive
+LAST_UPDATE_WAIT_S = 0.5  # after the last change, for its update to arrive
 MAX_LINE_BYTES = 64 * 1024 * 1024
 NAMESPACE = "default"
 SERVICE = "convert"
@@ -40,7 +40,7 @@
 KIB_PER_MB = 1024
 
 
-def address_of(pod: int) -> str:
+def pod_address(pod: int) -> str:
     """Return a pod's address."""
     return f"10.{pod >> 16 & 255}.{pod >> 8 & 255}.{pod & 255}"
 
@@ -48,7 +48,7 @@
 def make_endpoint(pod: int, terminating: bool = False) -> Object:
     """Return a pod's entry in an EndpointSlice."""
     return {
-        "addresses": [address_of(pod)],
+        "addresses": [pod_address(pod)],
         "nodeName": f"node-{pod % NODES}",
         "zone": "a",
         "conditions": {"ready": not terminating, "serving": True, "terminating": terminating},
@@ -74,7 +74,8 @@
         self._random = np.random.default_rng(seed)
         self._next_pod = size
         self._slices = [
-            [make_endpoint(first + offset) for offset in range(SLICE_SIZE)] for first in range(0, size, SLICE_SIZE)
+            [make_endpoint(first_pod + offset) for offset in range(SLICE_SIZE)]
+            for first_pod in range(0, size, SLICE_SIZE)
         ]
         for index in range(len(self._slices)):
             self._store_slice(index)
@@ -83,23 +84,23 @@
         """Make the next change: by turns a pod of a slice terminates, or the one that terminated is replaced."""
         index = number // 2 % len(self._slices)
         if number % 2 == 0:
-            self._terminate_one(index)
+            self._terminate_random_pod(index)
         else:
-            self._replace_last(index)
+            self._replace_terminating_pod(index)
         self._store_slice(index)
 
-    def _terminate_one(self, index: int) -> None:
+    def _terminate_random_pod(self, index: int) -> None:
         endpoints = self._slices[index]
         endpoint = endpoints.pop(int(self._random.integers(SLICE_SIZE - 1)))
         pod = int(endpoint["targetRef"]["uid"].rpartition("-")[2])
         endpoints.append(make_endpoint(pod, terminating=True))
-        self.changed_us[Change(address_of(pod), "draining")] = monotonic_us()
+        self.changed_us[Change(pod_address(pod), "draining")] = monotonic_us()
 
-    def _replace_last(self, index: int) -> None:
+    def _replace_terminating_pod(self, index: int) -> None:
         pod = self._next_pod
         self._next_pod += 1
         self._slices[index] = [*self._slices[index][:-1], make_endpoint(pod)]
-        self.changed_us[Change(address_of(pod), "ready")] = monotonic_us()
+        self.changed_us[Change(pod_address(pod), "ready")] = monotonic_us()
 
     def _store_slice(self, index: int) -> None:
         content = {
@@ -131,7 +132,7 @@
         await asyncio.sleep(max(0.0, begin_s + number * CHANGE_INTERVAL_S - time.monotonic()))
         service.change(number)
         server.on_change()
-    await asyncio.sleep(TAIL_S)
+    await asyncio.sleep(LAST_UPDATE_WAIT_S)
 
 
 async def _follow_changes(
@@ -145,7 +146,7 @@
             line = await process.stdout.readline()
     except TimeoutError:
         raise HarnessError("the follower had no list in time") from None
-    if line != UP:
+    if line != READY_LINE:
         raise HarnessError("the follower ended at its start")
     await _make_changes(service, server, scale)
     process.stdin.write(b"stop\n")
--- a/ryepier/experiments/slices/drain.py
+++ b/ryepier/experiments/slices/drain.py
@@ -25,17 +25,19 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    terminating = {notice.uid for notice in run.history.notices if notice.state == ListState.LEAVING}
-    notified = {(notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == ListState.LEAVING}
+    terminating_uids = {notice.uid for notice in run.history.notices if notice.state == ListState.LEAVING}
+    notified_pairs = {
+        (notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == ListState.LEAVING
+    }
     min_notified = MIN_NOTIFIED_SHARE * len(phases.started_uids(run)) * run.world.sidecars.count
-    started_early = phases.started_uids(run, until_us=(run.world.duration_s - WARM_UP_S) * US_PER_S)
-    used = {attempt.uid for attempt in run.history.converter_attempts} & started_early
-    used_share = len(used) / max(1, len(started_early))
+    early_started_uids = phases.started_uids(run, until_us=(run.world.duration_s - WARM_UP_S) * US_PER_S)
+    used_uids = {attempt.uid for attempt in run.history.converter_attempts} & early_started_uids
+    used_share = len(used_uids) / max(1, len(early_started_uids))
     used_name = f"share in use of the converters that came up {WARM_UP_S:g} s before the end"
     service = figures.service_level(run.operations, phases.during(fault_of_kind(run.world, FaultKind.RELEASE)))
     return [
-        Claim("converters seen terminating", len(terminating), ">=", MIN_TERMINATING),
-        Claim("terminations told to a sidecar", len(notified), ">=", min_notified),
+        Claim("converters seen terminating", len(terminating_uids), ">=", MIN_TERMINATING),
+        Claim("terminations told to a sidecar", len(notified_pairs), ">=", min_notified),
         Claim(used_name, used_share, ">=", MIN_USED_SHARE),
         Claim("service during the release", service, ">=", MIN_SERVICE),
     ]
--- a/ryepier/experiments/slices/follower_process.py
+++ b/ryepier/experiments/slices/follower_process.py
@@ -23,7 +23,7 @@
 from ryepier.slices.slice_source import Settings as SourceSettings
 from ryepier.slices.slice_source import SliceSource
 
-UP = b"up\n"
+READY_LINE = b"up\n"
 LATENCY_OBJECTIVE_US = 100_000
 DEADLINE_US = 1_000_000
 
@@ -62,7 +62,7 @@
     source = SliceSource(settings, on_update, clock_us)
     source.start()
     await listed.wait()
-    sys.stdout.buffer.write(UP)
+    sys.stdout.buffer.write(READY_LINE)
     sys.stdout.flush()
     begun_s = time.process_time()
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -13,13 +13,13 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
-LIST_MARGIN_S = 0.5  # after the last sidecar had its list
+LIST_UPDATE_MARGIN_S = 0.5  # after the last sidecar had its list
 MIN_OBSERVED_S = 1.0  # of the end of the run, however late the list came
 MIN_SERVICE_DURING = 0.97
 MIN_SERVICE_AFTER = 0.98
 MAX_CATCH_UP_S = 11.0
 MAX_SHARE_TO_REMOVED = 0.0
-NEVER_US = 1 << 60
+FAR_FUTURE_US = 1 << 60
 US_PER_S = 1e6
 US_PER_MS = 1000
 
@@ -47,26 +47,28 @@
     """
     steps = timeline.build(run.world, run.seed).steps
     drained_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
-    attempts = [a for a in run.history.converter_attempts if a.first_byte_us > since_s * US_PER_S]
+    attempts = [attempt for attempt in run.history.converter_attempts if attempt.first_byte_us > since_s * US_PER_S]
     allowed_us = (run.world.discovery.late_ms[1] + run.world.sidecars.drain_grace_ms) * US_PER_MS
-    late = sum(a.first_byte_us > drained_us.get(a.uid, NEVER_US) + allowed_us for a in attempts)
-    return late / max(1, len(attempts))
+    late_count = sum(
+        attempt.first_byte_us > drained_us.get(attempt.uid, FAR_FUTURE_US) + allowed_us for attempt in attempts
+    )
+    return late_count / max(1, len(attempts))
 
 
 def _claims(run: Run) -> list[Claim]:
     outage = fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)
     caught_up_s = catch_up_s(run)
-    up_to_date_s = phases.end_s(outage) + caught_up_s + LIST_MARGIN_S
+    up_to_date_s = phases.end_s(outage) + caught_up_s + LIST_UPDATE_MARGIN_S
     after_s = min(up_to_date_s, run.world.duration_s - MIN_OBSERVED_S)
     service_during = figures.service_level(run.operations, phases.during(outage))
     service_after = figures.service_level(run.operations, phases.from_time(after_s, run.world))
-    to_removed = share_to_removed(run, up_to_date_s)
-    to_removed_name = "share of attempts to converters that are gone, from then on"
+    removed_share = share_to_removed(run, up_to_date_s)
+    removed_share_name = "share of attempts to converters that are gone, from then on"
     return [
         Claim("service while the API server is away", service_during, ">=", MIN_SERVICE_DURING),
         Claim("time until all sidecars have the new list (s)", caught_up_s, "<=", MAX_CATCH_UP_S),
         Claim("service from then on", service_after, ">=", MIN_SERVICE_AFTER),
-        Claim(to_removed_name, to_removed, "<=", MAX_SHARE_TO_REMOVED),
+        Claim(removed_share_name, removed_share, "<=", MAX_SHARE_TO_REMOVED),
     ]
 
 
--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -13,13 +13,13 @@
 from ryepier.slices.endpoint_slice_merger import EndpointObservation, EndpointSliceMerger
 from ryepier.slices.reflector import Reflector, Wait
 
-NEVER_US = 10**12
+FAR_FUTURE_US = 10**12
 
 
 def believe_last_slice() -> None:
     """Believe the slice that came last, and forget terminations."""
 
-    def last_observation(
+    def merge_last_observation(
         self: EndpointSliceMerger, identity: str, observations: list[EndpointObservation]
     ) -> endpoint_slice_merger.MergedEndpoint:
         last = observations[-1]
@@ -28,22 +28,22 @@
             identity, last.address, last.zone, last.node, state, False, 1, (last.slice_name,)
         )
 
-    EndpointSliceMerger._merge = last_observation  # type: ignore[method-assign]
+    EndpointSliceMerger._merge = merge_last_observation  # type: ignore[method-assign]
     _ListedEndpoint.publish_at_us = lambda self, settle_us: self.ready_since_us  # type: ignore[method-assign]
 
 
 def never_list_again() -> None:
     """Never list again when the server has dropped the revision of a watch."""
-    Reflector._relist_after_expiry = lambda self, now_us: [Wait(now_us + NEVER_US)]  # type: ignore[method-assign]
+    Reflector._relist_after_expiry = lambda self, now_us: [Wait(now_us + FAR_FUTURE_US)]  # type: ignore[method-assign]
 
 
 def merge_everything() -> None:
     """Merge the whole list again at each change."""
-    changes = EndpointSliceMerger.changes
+    original_changes = EndpointSliceMerger.changes
 
     def all_changes(self: EndpointSliceMerger, now_us: int) -> dict[str, endpoint_slice_merger.MergedEndpoint | None]:
         self.changed_identities |= self.observations.keys()
-        return changes(self, now_us)
+        return original_changes(self, now_us)
 
     EndpointSliceMerger.changes = all_changes  # type: ignore[method-assign]
 
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -21,13 +21,13 @@
 LONG_OUTAGE_S = 15.0
 MAX_RECOVERY_S = 8.0
 MAX_RECOVERY_AFTER_LONG_OUTAGE_S = 12.0
-SETTLED_S = 1.0  # after the start
-BEFORE_OUTAGE_S = 3.0  # operations that begin later may be lost to the outage
+MEASURED_FROM_S = 1.0  # after the start
+OUTAGE_MARGIN_S = 3.0  # operations that begin later may be lost to the outage
 MIN_SERVICE_BEFORE = 0.97
-MAX_FIRST_OVER_RETRY = 1.0
+MAX_FIRST_TO_RETRY_RATIO = 1.0
 MAX_UNIFORMITY = 0.5
 MAX_LOST_POINTS = 2.0
-MIN_LOST_IN_OUTAGE = 0.3  # of the service, without which there was no outage
+MIN_LOST_SHARE_IN_OUTAGE = 0.3  # of the service, without which there was no outage
 MIN_SHARE = 1e-6  # in place of zero as a divisor
 
 BEHAVIORS = {
@@ -39,20 +39,20 @@
 
 def _figures(run: Run) -> Mapping[str, float]:
     assert run.control is not None
-    result = {
+    values = {
         "storms_opened": float(measures.count_detections(run)),
         "advice_alike": measures.advice_uniformity(run),
         "advice_alike_without": measures.advice_uniformity(run.control),
     }
-    result |= _figures_of_one(run, "with")
-    result |= _figures_of_one(run.control, "without")
-    recovery_with_s = max(measures.WINDOW_STEP_S, result["back_after_s_with"])
-    recovery_without_s = max(measures.WINDOW_STEP_S, result["back_after_s_without"])
-    result["recovery_ratio"] = recovery_with_s / recovery_without_s
-    return result
+    values |= _figures_of_run(run, "with")
+    values |= _figures_of_run(run.control, "without")
+    recovery_with_s = max(measures.WINDOW_STEP_S, values["back_after_s_with"])
+    recovery_without_s = max(measures.WINDOW_STEP_S, values["back_after_s_without"])
+    values["recovery_ratio"] = recovery_with_s / recovery_without_s
+    return values
 
 
-def _figures_of_one(run: Run, guard: str) -> dict[str, float]:
+def _figures_of_run(run: Run, guard: str) -> dict[str, float]:
     return {
         f"back_after_s_{guard}": measures.recovery_s(run),
         f"refused_first_{guard}": measures.rejected_share(run, retries=False),
@@ -66,16 +66,18 @@
 def _claims(run: Run) -> list[Claim]:
     measured = _figures(run)
     outage = find_outage(run.world)
-    is_before = figures.due_between(SETTLED_S, outage.begin_s - BEFORE_OUTAGE_S)
+    is_before = figures.due_between(MEASURED_FROM_S, outage.begin_s - OUTAGE_MARGIN_S)
     is_long = outage.duration_s >= LONG_OUTAGE_S
     max_recovery_s = MAX_RECOVERY_AFTER_LONG_OUTAGE_S if is_long else MAX_RECOVERY_S
-    first_over_retry = measured["refused_first_with"] / max(MIN_SHARE, measured["refused_later_with"])
+    first_to_retry_ratio = measured["refused_first_with"] / max(MIN_SHARE, measured["refused_later_with"])
     lost_points = 100 * (measured["service_after_without"] - measured["service_after_with"])
     return [
         Claim("service before the outage", figures.service_level(run.operations, is_before), ">=", MIN_SERVICE_BEFORE),
         Claim("time until service is back (s)", measured["back_after_s_with"], "<=", max_recovery_s),
         Claim("sidecars' guards that opened", measured["storms_opened"], ">=", run.world.sidecars.count),
-        Claim("share refused of first tries over that of later ones", first_over_retry, "<=", MAX_FIRST_OVER_RETRY),
+        Claim(
+            "share refused of first tries over that of later ones", first_to_retry_ratio, "<=", MAX_FIRST_TO_RETRY_RATIO
+        ),
         Claim("share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_UNIFORMITY),
         Claim("service after the outage lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
     ]
@@ -83,9 +85,9 @@
 
 def _claims_of_two_outages(run: Run) -> list[Claim]:
     second = run.world.faults[-1]
-    is_in_outage = figures.due_between(phases.end_s(second), end_of_fault_s(second) - BEFORE_OUTAGE_S)
+    is_in_outage = figures.due_between(phases.end_s(second), end_of_fault_s(second) - OUTAGE_MARGIN_S)
     service = figures.service_level(run.operations, is_in_outage)
-    return [Claim("service in the second outage", service, "<=", 1.0 - MIN_LOST_IN_OUTAGE), *_claims(run)]
+    return [Claim("service in the second outage", service, "<=", 1.0 - MIN_LOST_SHARE_IN_OUTAGE), *_claims(run)]
 
 
 def _make_experiment(
@@ -106,13 +108,13 @@
 
 
 def _make_variant(outage_s: float, suffix: str) -> Experiment:
-    about, behavior = BEHAVIORS[suffix]
-    is_short = outage_s == SHORT_OUTAGE_S
-    length = "" if is_short else f"-{outage_s:.0f}s"
-    full = f" (full: {worlds.FULL_OUTAGE_S:.0f} s)" if is_short else ""
+    clients, behavior = BEHAVIORS[suffix]
+    is_short_outage = outage_s == SHORT_OUTAGE_S
+    duration_suffix = "" if is_short_outage else f"-{outage_s:.0f}s"
+    full_scale_note = f" (full: {worlds.FULL_OUTAGE_S:.0f} s)" if is_short_outage else ""
     return _make_experiment(
-        f"retry-storm{suffix}{length}",
-        f"all converters out for {outage_s:.0f} s{full}, {about}",
+        f"retry-storm{suffix}{duration_suffix}",
+        f"all converters out for {outage_s:.0f} s{full_scale_note}, {clients}",
         worlds.outage(behavior, outage_s),
     )
 
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -19,7 +19,7 @@
 ADVICE_PERIOD_US = 200_000  # rejections in one such period follow one update of the guard
 ADVICE_BIN_US = 50_000  # Retry-After times in one bin count as the same
 MIN_GROUP_SIZE = 20  # rejections in a period, for their share to mean anything
-STORM_DETECTED = "a retry storm opens"  # in a sidecar's log
+STORM_DETECTED_MESSAGE = "a retry storm opens"  # in a sidecar's log
 US_PER_S = 1e6
 
 
@@ -45,9 +45,9 @@
     begin_s = find_outage(run.world).end_s
     end_s = begin_s + max(MIN_OBSERVED_S, recovery_s(run))
     outcomes = [
-        item.outcome
-        for item in run.history.client_attempts
-        if (item.number > 0) is retries and begin_s * US_PER_S <= item.sent_us < end_s * US_PER_S
+        attempt.outcome
+        for attempt in run.history.client_attempts
+        if (attempt.number > 0) is retries and begin_s * US_PER_S <= attempt.sent_us < end_s * US_PER_S
     ]
     return outcomes.count(RequestOutcome.REFUSED) / max(1, len(outcomes))
 
@@ -59,22 +59,22 @@
     average over the groups.
     """
     groups: dict[tuple[int, int, bool], list[ClientAttempt]] = defaultdict(list)
-    for item in run.history.client_attempts:
-        if item.outcome is RequestOutcome.REFUSED and item.retry_after_us:
-            groups[item.sidecar, item.ended_us // ADVICE_PERIOD_US, item.number > 0].append(item)
+    for attempt in run.history.client_attempts:
+        if attempt.outcome is RequestOutcome.REFUSED and attempt.retry_after_us:
+            groups[attempt.sidecar, attempt.ended_us // ADVICE_PERIOD_US, attempt.number > 0].append(attempt)
     shares = []
     for group in groups.values():
         if len(group) >= MIN_GROUP_SIZE:
-            bins = Counter(item.retry_after_us // ADVICE_BIN_US for item in group)
+            bins = Counter(attempt.retry_after_us // ADVICE_BIN_US for attempt in group)
             shares.append(max(bins.values()) / len(group))
     return float(np.mean(shares)) if shares else 1.0
 
 
 def count_detections(run: Run) -> int:
     """Return how often a sidecar's guard detected a retry storm."""
-    return len(lines_with(run.folder, SIDECAR_LOGS, STORM_DETECTED))
+    return len(lines_with(run.folder, SIDECAR_LOGS, STORM_DETECTED_MESSAGE))
 
 
 def logs_with_detection(run: Run) -> set[str]:
     """Return the names of the logs of the sidecars whose guard detected a retry storm."""
-    return files_with(run.folder, SIDECAR_LOGS, STORM_DETECTED)
+    return files_with(run.folder, SIDECAR_LOGS, STORM_DETECTED_MESSAGE)
--- a/ryepier/experiments/storms/one_sidecar.py
+++ b/ryepier/experiments/storms/one_sidecar.py
@@ -12,23 +12,23 @@
 from ryepier.experiments.storms import measures, worlds
 from ryepier.experiments.storms.after_outage import MAX_RECOVERY_S, MAX_UNIFORMITY
 
-STRUCK_LOG = f"sidecar-{worlds.STRUCK_SIDECAR}.log"
+AFFECTED_LOG = f"sidecar-{worlds.AFFECTED_SIDECAR}.log"
 MIN_SERVICE = 0.97
 MAX_LOST_POINTS = 0.5
 
 
-def _is_of_others(item: ClientAttempt) -> bool:
-    return item.sidecar != worlds.STRUCK_SIDECAR
+def _is_at_other_sidecar(attempt: ClientAttempt) -> bool:
+    return attempt.sidecar != worlds.AFFECTED_SIDECAR
 
 
 def _claims(run: Run) -> list[Claim]:
     assert run.control is not None
     logs = measures.logs_with_detection(run)
-    service = figures.service_level(run.operations, _is_of_others)
-    lost_points = 100 * (figures.service_level(run.control.operations, _is_of_others) - service)
+    service = figures.service_level(run.operations, _is_at_other_sidecar)
+    lost_points = 100 * (figures.service_level(run.control.operations, _is_at_other_sidecar) - service)
     return [
-        Claim("the struck sidecar's guard opened", STRUCK_LOG in logs, "==", 1),
-        Claim("other guards that opened", len(logs - {STRUCK_LOG}), "==", 0),
+        Claim("the struck sidecar's guard opened", AFFECTED_LOG in logs, "==", 1),
+        Claim("other guards that opened", len(logs - {AFFECTED_LOG}), "==", 0),
         Claim("service of the others", service, ">=", MIN_SERVICE),
         Claim("service of the others lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
         Claim("time until service is back (s)", measures.recovery_s(run), "<=", MAX_RECOVERY_S),
--- a/ryepier/experiments/storms/real_surge.py
+++ b/ryepier/experiments/storms/real_surge.py
@@ -22,14 +22,14 @@
 def _claims(run: Run) -> list[Claim]:
     assert run.control is not None
     is_in_surge = phases.during(fault_of_kind(run.world, FaultKind.SURGE))
-    in_surge = figures.service_level(run.operations, is_in_surge)
-    lost_in_surge = 100 * (figures.service_level(run.control.operations, is_in_surge) - in_surge)
-    overall = figures.service_level(run.operations)
-    lost_overall = 100 * (figures.service_level(run.control.operations) - overall)
+    service_in_surge = figures.service_level(run.operations, is_in_surge)
+    lost_points_in_surge = 100 * (figures.service_level(run.control.operations, is_in_surge) - service_in_surge)
+    overall_service = figures.service_level(run.operations)
+    lost_points_overall = 100 * (figures.service_level(run.control.operations) - overall_service)
     return [
         Claim("times that a guard took the surge for a storm", measures.count_detections(run), "==", 0),
-        Claim("service in the surge lost to the guard (points)", lost_in_surge, "<=", MAX_LOST_POINTS),
-        Claim("service lost to the guard (points)", lost_overall, "<=", MAX_LOST_POINTS),
+        Claim("service in the surge lost to the guard (points)", lost_points_in_surge, "<=", MAX_LOST_POINTS),
+        Claim("service lost to the guard (points)", lost_points_overall, "<=", MAX_LOST_POINTS),
     ]
 
 
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -14,15 +14,15 @@
 
 def advise_same_time() -> None:
     """Advise all requests that are rejected in a storm to return at the same time."""
-    usual = RetryPolicy.retry_after_us
+    original_retry_after_us = RetryPolicy.retry_after_us
 
-    def same_for_all(self: RetryPolicy, request: PendingRequest, storm: RetryStormUpdated) -> int:
+    def same_retry_after_us(self: RetryPolicy, request: PendingRequest, storm: RetryStormUpdated) -> int:
         if not storm.active:
-            return usual(self, request, storm)
+            return original_retry_after_us(self, request, storm)
         index = min(request.event.retry_number, len(storm.retry_after_us) - 1)
         return min(storm.retry_after_us[index], self.settings.max_retry_after_us)
 
-    RetryPolicy.retry_after_us = same_for_all  # type: ignore[method-assign]
+    RetryPolicy.retry_after_us = same_retry_after_us  # type: ignore[method-assign]
 
 
 def detect_any_retry() -> None:
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -25,7 +25,7 @@
 from ryepier.experiments.core.machine import InsufficientResourcesError
 
 RECORDED = Path(__file__).parent / "fixtures" / "experiments_interface.json"
-NEEDS_TRAFFIC = {"load-spread-lists"}  # its claims divide by the number of requests
+EXPERIMENTS_NEEDING_TRAFFIC = {"load-spread-lists"}  # its claims divide by the number of requests
 
 
 def recorded() -> dict[str, Any]:
@@ -34,11 +34,11 @@
 
 
 def empty_run(world: World, folder: Path) -> Run:
-    lives = [
+    incarnations = [
         Incarnation(sidecar, 0, 0, samples=[(1_000_000, 0, 1000), (2_000_000, 1000, 1000)])
         for sidecar in range(world.sidecars.count)
     ]
-    return Run(world, 1, History([], [], [], lives, [], [], []), [], [], folder)
+    return Run(world, 1, History([], [], [], incarnations, [], [], []), [], [], folder)
 
 
 def run_without_traffic(experiment: Experiment, folder: Path) -> Run:
@@ -46,12 +46,12 @@
     run = empty_run(world, folder)
     if experiment.control_world is None:
         return run
-    other = empty_run(experiment.control_world(world), folder)
-    return Run(run.world, run.seed, run.history, run.operations, run.breaches, run.folder, other)
+    control = empty_run(experiment.control_world(world), folder)
+    return Run(run.world, run.seed, run.history, run.operations, run.breaches, run.folder, control)
 
 
 def claim_names(experiment: Experiment, folder: Path) -> list[str]:
-    if experiment.name in NEEDS_TRAFFIC:
+    if experiment.name in EXPERIMENTS_NEEDING_TRAFFIC:
         return []
     run = run_without_traffic(experiment, folder)
     return [claim.name for claim in experiment.claims(run)]
@@ -59,46 +59,46 @@
 
 def parameters(group: click.Command, prefix: str = "") -> dict[str, list[str]]:
     """The options and arguments of a command and all below it, by the command's words."""
-    found: dict[str, list[str]] = {}
-    for name, one in getattr(group, "commands", {}).items():
-        found |= parameters(one, f"{prefix} {name}")
-    if not found:
-        found[prefix] = sorted(
+    parameters_by_command: dict[str, list[str]] = {}
+    for name, subcommand in getattr(group, "commands", {}).items():
+        parameters_by_command |= parameters(subcommand, f"{prefix} {name}")
+    if not parameters_by_command:
+        parameters_by_command[prefix] = sorted(
             word
             for parameter in group.params
             for word in (parameter.opts if isinstance(parameter, click.Option) else [parameter.human_readable_name])
         )
-    return found
+    return parameters_by_command
 
 
 def choices(group: click.Command, prefix: str = "") -> dict[str, list[str]]:
     """The values that options and arguments may have, by the command's words and the option."""
-    found: dict[str, list[str]] = {}
-    for name, one in getattr(group, "commands", {}).items():
-        found |= choices(one, f"{prefix} {name}")
+    choices_by_parameter: dict[str, list[str]] = {}
+    for name, subcommand in getattr(group, "commands", {}).items():
+        choices_by_parameter |= choices(subcommand, f"{prefix} {name}")
     for parameter in group.params:
         if isinstance(parameter.type, click.Choice):
-            found[f"{prefix} {parameter.opts[0]}"] = [str(choice) for choice in parameter.type.choices]
-    return found
+            choices_by_parameter[f"{prefix} {parameter.opts[0]}"] = [str(choice) for choice in parameter.type.choices]
+    return choices_by_parameter
 
 
 def loaded_commands() -> dict[str, click.Command]:
     group = cli.main
     assert isinstance(group, cli.Commands)
-    found = {}
+    commands = {}
     for name in cli.COMMANDS:
         loaded = group.get_command(click.Context(group), name)
         assert loaded is not None
-        found[name] = loaded
-    return found
+        commands[name] = loaded
+    return commands
 
 
 @pytest.mark.parametrize("name", sorted(recorded()["experiments"]))
 def test_experiments_keep_their_names_and_seeded_faults(name: str) -> None:
-    one = command.ALL_EXPERIMENTS[name]
-    before = recorded()["experiments"][name]
-    assert list(one.seeded_faults) == before["seeded_faults"]
-    assert isinstance(one, Benchmark) == before["measured"]
+    experiment = command.ALL_EXPERIMENTS[name]
+    recorded_experiment = recorded()["experiments"][name]
+    assert list(experiment.seeded_faults) == recorded_experiment["seeded_faults"]
+    assert isinstance(experiment, Benchmark) == recorded_experiment["measured"]
 
 
 @pytest.mark.parametrize("name", sorted(recorded()["claims"]))
@@ -110,7 +110,7 @@
 
 def test_every_experiment_is_recorded() -> None:
     assert set(recorded()["experiments"]) <= set(command.ALL_EXPERIMENTS)
-    assert set(recorded()["claims"]) == set(catalogue.EXPERIMENTS) - NEEDS_TRAFFIC
+    assert set(recorded()["claims"]) == set(catalogue.EXPERIMENTS) - EXPERIMENTS_NEEDING_TRAFFIC
 
 
 def test_seeded_faults_keep_their_names() -> None:
@@ -118,26 +118,26 @@
 
 
 def test_commands_keep_their_options() -> None:
-    now: dict[str, list[str]] = {}
+    current: dict[str, list[str]] = {}
     for name, loaded in loaded_commands().items():
-        now |= parameters(loaded, name)
-    for name, words in recorded()["commands"].items():
-        assert set(words) <= set(now[name]), name
+        current |= parameters(loaded, name)
+    for name, recorded_parameters in recorded()["commands"].items():
+        assert set(recorded_parameters) <= set(current[name]), name
 
 
 def test_options_keep_the_values_that_they_may_have() -> None:
-    now: dict[str, list[str]] = {}
+    current: dict[str, list[str]] = {}
     for name, loaded in loaded_commands().items():
-        now |= choices(loaded, name)
+        current |= choices(loaded, name)
     for option, values in recorded()["choices"].items():
-        assert set(values) <= set(now[option]), option
+        assert set(values) <= set(current[option]), option
 
 
 def test_results_keep_their_fields_and_files() -> None:
-    before = recorded()["result"]
-    assert list(contract.Result.__struct_encode_fields__) == before["fields"]
-    assert [*Claim.__struct_encode_fields__, "holds"] == before["claim_fields"]
-    assert before["files"] == [
+    recorded_result = recorded()["result"]
+    assert list(contract.Result.__struct_encode_fields__) == recorded_result["fields"]
+    assert [*Claim.__struct_encode_fields__, "holds"] == recorded_result["claim_fields"]
+    assert recorded_result["files"] == [
         contract.RESULT_FILE,
         contract.HISTORY_FILE,
         contract.WORLD_FILE,
@@ -150,7 +150,7 @@
     assert list(judge.RULES) == recorded()["judge_rules"]
 
 
-def measuring(value: float) -> Any:
+def measure_returning(value: float) -> Any:
     """A measurement with one claim, which holds for values up to 2."""
 
     def measure(trial: TrialConfig) -> Measurement:
@@ -160,7 +160,7 @@
 
 
 def test_a_result_is_written_with_the_recorded_fields(tmp_path: Path) -> None:
-    stub = Benchmark("stub", "", measuring(1.0), ())
+    stub = Benchmark("stub", "", measure_returning(1.0), ())
     runner.run_benchmark(stub, TrialConfig(1, Scale.SMALL, tmp_path))
     written = json.loads((tmp_path / "result.json").read_text())
     assert list(written) == recorded()["result"]["fields"]
@@ -168,7 +168,7 @@
     assert written["claims"][0] == {"name": "one", "value": 1.0, "op": "<=", "bound": 2.0, "holds": True}
 
 
-def raising(error: Exception) -> Any:
+def measure_raising(error: Exception) -> Any:
     def measure(trial: TrialConfig) -> Measurement:
         raise error
 
@@ -178,11 +178,11 @@
 @pytest.mark.parametrize(
     ("measure", "exit_code"),
     [
-        (measuring(1.0), 0),
-        (measuring(3.0), 1),
-        (raising(HarnessError("no network")), 1),
-        (raising(OSError("no disk")), 1),
-        (raising(InsufficientResourcesError("no memory")), 2),
+        (measure_returning(1.0), 0),
+        (measure_returning(3.0), 1),
+        (measure_raising(HarnessError("no network")), 1),
+        (measure_raising(OSError("no disk")), 1),
+        (measure_raising(InsufficientResourcesError("no memory")), 2),
     ],
 )
 def test_exit_codes(measure: Any, exit_code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -52,302 +52,380 @@
     sidecars=Sidecars(count=2),
 )
 READ, FILE, BATCH = range(3)
-MS = 1000
+US_PER_MS = 1000
 
 
-def a_try(
-    kind: int = FILE, ident: str = "r-0", sent_ms: int = 0, ended_ms: int = 30, ending: Any = "served", **more: Any
+def client_attempt(
+    class_index: int = FILE,
+    request_id: str = "r-0",
+    sent_ms: int = 0,
+    ended_ms: int = 30,
+    outcome: Any = "served",
+    **overrides: Any,
 ) -> ClientAttempt:
     values: dict[str, Any] = {
         "arrival": 1,
         "number": 0,
         "sidecar": 0,
-        "response_request_id": ident,
+        "response_request_id": request_id,
         "responder_uid": "c1",
-        "status": 200 if ending == "served" else 503,
+        "status": 200 if outcome == "served" else 503,
     }
-    values |= more
+    values |= overrides
     return ClientAttempt(
-        request_id=ident,
-        key="k" if kind == BATCH else "",
-        request_class=kind,
+        request_id=request_id,
+        key="k" if class_index == BATCH else "",
+        request_class=class_index,
         tenant=0,
         work_us=1000,
-        planned_us=sent_ms * MS,
-        sent_us=sent_ms * MS,
-        deadline_us=1000 * MS,
-        ended_us=ended_ms * MS,
-        outcome=RequestOutcome(ending),
+        planned_us=sent_ms * US_PER_MS,
+        sent_us=sent_ms * US_PER_MS,
+        deadline_us=1000 * US_PER_MS,
+        ended_us=ended_ms * US_PER_MS,
+        outcome=RequestOutcome(outcome),
         **values,
     )
 
 
-def an_attempt(
-    ident: str = "r-0",
+def converter_attempt(
+    request_id: str = "r-0",
     uid: str = "c1",
-    at_ms: int = 1,
+    received_ms: int = 1,
     ended_ms: int = 29,
     ran: bool = True,
-    ending: Any = "answered",
+    outcome: Any = "answered",
     status: int = 200,
     not_run: bool = False,
     pod: int = 1,
 ) -> ConverterAttempt:
     return ConverterAttempt(
-        ident,
+        request_id,
         "",
         uid,
         pod,
-        at_ms * MS,
-        at_ms * MS,
-        ended_ms * MS,
-        AttemptOutcome(ending),
+        received_ms * US_PER_MS,
+        received_ms * US_PER_MS,
+        ended_ms * US_PER_MS,
+        AttemptOutcome(outcome),
         status,
         not_run,
-        at_ms * MS if ran else -1,
-        ended_ms * MS if ran else -1,
+        received_ms * US_PER_MS if ran else -1,
+        ended_ms * US_PER_MS if ran else -1,
         1000,
     )
 
 
-def turned_away(**more: Any) -> ConverterAttempt:
-    return an_attempt(**({"ran": False, "status": 503, "not_run": True} | more))
+def rejected_attempt(**overrides: Any) -> ConverterAttempt:
+    return converter_attempt(**({"ran": False, "status": 503, "not_run": True} | overrides))
 
 
-def a_history(tries: list[ClientAttempt], attempts: list[ConverterAttempt], **more: Any) -> History:
+def make_history(
+    client_attempts: list[ClientAttempt], converter_attempts: list[ConverterAttempt], **overrides: Any
+) -> History:
     values: dict[str, Any] = {
         "notices": [],
-        "incarnations": [Incarnation(0, -500 * MS, -400 * MS), Incarnation(1, -500 * MS, -400 * MS)],
+        "incarnations": [
+            Incarnation(0, -500 * US_PER_MS, -400 * US_PER_MS),
+            Incarnation(1, -500 * US_PER_MS, -400 * US_PER_MS),
+        ],
         "events": [],
         "overload_crashes": [],
         "lateness": [],
     }
-    return History(client_attempts=tries, converter_attempts=attempts, **(values | more))
+    return History(client_attempts=client_attempts, converter_attempts=converter_attempts, **(values | overrides))
 
 
-def a_lateness(role: str, held: tuple[int, int]) -> Lateness:
-    return Lateness(role, 1000, 100, 1000, held[1] - held[0], stalls=[held])
+def make_lateness(role: str, stall: tuple[int, int]) -> Lateness:
+    return Lateness(role, 1000, 100, 1000, stall[1] - stall[0], stalls=[stall])
 
 
-def breached(history: History) -> set[str]:
+def breached_rules(history: History) -> set[str]:
     return {breach.rule for breach in find_breaches(WORLD, history)}
 
 
-LEFT = [EndpointNotice(0, "c1", "leaving", 1000 * MS)]
+LEAVING_NOTICES = [EndpointNotice(0, "c1", "leaving", 1000 * US_PER_MS)]
 
-STOOD = Incarnation(0, -500 * MS, -400 * MS, suspensions=[(500 * MS, 900 * MS)])
+SUSPENDED_INCARNATION = Incarnation(
+    0, -500 * US_PER_MS, -400 * US_PER_MS, suspensions=[(500 * US_PER_MS, 900 * US_PER_MS)]
+)
 
-GOOD: dict[str, Callable[[], History]] = {
-    "served": lambda: a_history([a_try()], [an_attempt()]),
-    "turned away, then served": lambda: a_history(
-        [a_try(ended_ms=60)], [turned_away(uid="c2", ended_ms=3), an_attempt(at_ms=5)]
+VALID_HISTORIES: dict[str, Callable[[], History]] = {
+    "served": lambda: make_history([client_attempt()], [converter_attempt()]),
+    "turned away, then served": lambda: make_history(
+        [client_attempt(ended_ms=60)], [rejected_attempt(uid="c2", ended_ms=3), converter_attempt(received_ms=5)]
+    ),
+    "refused, and the client's retry ran": lambda: make_history(
+        [
+            client_attempt(outcome="refused", ended_ms=4),
+            client_attempt(request_id="r-1", number=1, sent_ms=50, ended_ms=80),
+        ],
+        [rejected_attempt(ended_ms=3), converter_attempt("r-1", received_ms=51, ended_ms=79)],
     ),
-    "refused, and the client's retry ran": lambda: a_history(
-        [a_try(ending="refused", ended_ms=4), a_try(ident="r-1", number=1, sent_ms=50, ended_ms=80)],
-        [turned_away(ended_ms=3), an_attempt("r-1", at_ms=51, ended_ms=79)],
+    "failed at its time, its attempt out till then": lambda: make_history(
+        [client_attempt(outcome="failed", ended_ms=990, status=500)],
+        [converter_attempt(ended_ms=992, outcome="closed", status=0)],
     ),
-    "failed at its time, its attempt out till then": lambda: a_history(
-        [a_try(ending="failed", ended_ms=990, status=500)], [an_attempt(ended_ms=992, ending="closed", status=0)]
+    "a batch again in its pod": lambda: make_history(
+        [client_attempt(BATCH, ended_ms=200)],
+        [
+            converter_attempt(uid="c2", ended_ms=100, outcome="closed", status=0),
+            converter_attempt(received_ms=101, ended_ms=199),
+        ],
     ),
-    "a batch again in its pod": lambda: a_history(
-        [a_try(BATCH, ended_ms=200)],
-        [an_attempt(uid="c2", ended_ms=100, ending="closed", status=0), an_attempt(at_ms=101, ended_ms=199)],
+    "a read again anywhere": lambda: make_history(
+        [client_attempt(READ, ended_ms=200)],
+        [
+            converter_attempt(uid="c3", pod=2, ended_ms=100, outcome="closed", status=0),
+            converter_attempt(received_ms=101, ended_ms=199),
+        ],
     ),
-    "a read again anywhere": lambda: a_history(
-        [a_try(READ, ended_ms=200)],
-        [an_attempt(uid="c3", pod=2, ended_ms=100, ending="closed", status=0), an_attempt(at_ms=101, ended_ms=199)],
+    "sent within the grace of a drain": lambda: make_history(
+        [client_attempt(sent_ms=1540, ended_ms=1570)],
+        [converter_attempt(received_ms=1549, ended_ms=1569)],
+        notices=LEAVING_NOTICES,
     ),
-    "sent within the grace of a drain": lambda: a_history(
-        [a_try(sent_ms=1540, ended_ms=1570)], [an_attempt(at_ms=1549, ended_ms=1569)], notices=LEFT
+    "the other sidecar has not been told yet": lambda: make_history(
+        [client_attempt(sent_ms=1900, ended_ms=1930, sidecar=1)],
+        [converter_attempt(received_ms=1901, ended_ms=1929)],
+        notices=LEAVING_NOTICES,
     ),
-    "the other sidecar has not been told yet": lambda: a_history(
-        [a_try(sent_ms=1900, ended_ms=1930, sidecar=1)], [an_attempt(at_ms=1901, ended_ms=1929)], notices=LEFT
+    "a new life of the sidecar has not been told yet": lambda: make_history(
+        [client_attempt(sent_ms=3900, ended_ms=3930)],
+        [converter_attempt(received_ms=3901, ended_ms=3929)],
+        notices=LEAVING_NOTICES,
+        incarnations=[Incarnation(0, 0, 1, 2000 * US_PER_MS, True), Incarnation(0, 3000 * US_PER_MS, 3001 * US_PER_MS)],
     ),
-    "a new life of the sidecar has not been told yet": lambda: a_history(
-        [a_try(sent_ms=3900, ended_ms=3930)],
-        [an_attempt(at_ms=3901, ended_ms=3929)],
-        notices=LEFT,
-        incarnations=[Incarnation(0, 0, 1, 2000 * MS, True), Incarnation(0, 3000 * MS, 3001 * MS)],
+    "lost with a killed sidecar": lambda: make_history(
+        [client_attempt(outcome="broken", ended_ms=30)],
+        [converter_attempt(ended_ms=31, outcome="closed", status=0)],
+        incarnations=[Incarnation(0, 0, 1, 29 * US_PER_MS, True)],
     ),
-    "lost with a killed sidecar": lambda: a_history(
-        [a_try(ending="broken", ended_ms=30)],
-        [an_attempt(ended_ms=31, ending="closed", status=0)],
-        incarnations=[Incarnation(0, 0, 1, 29 * MS, True)],
+    "its sidecar stood still": lambda: make_history(
+        [client_attempt(outcome="timeout", ended_ms=1100)], [], incarnations=[SUSPENDED_INCARNATION]
     ),
-    "its sidecar stood still": lambda: a_history([a_try(ending="timeout", ended_ms=1100)], [], incarnations=[STOOD]),
-    "told while it stood still, and sent within the grace from then on": lambda: a_history(
-        [a_try(sent_ms=3000, ended_ms=3030)],
-        [an_attempt(at_ms=3001, ended_ms=3029)],
-        notices=LEFT,
-        incarnations=[Incarnation(0, -500 * MS, -400 * MS, suspensions=[(900 * MS, 2600 * MS)])],
+    "told while it stood still, and sent within the grace from then on": lambda: make_history(
+        [client_attempt(sent_ms=3000, ended_ms=3030)],
+        [converter_attempt(received_ms=3001, ended_ms=3029)],
+        notices=LEAVING_NOTICES,
+        incarnations=[
+            Incarnation(0, -500 * US_PER_MS, -400 * US_PER_MS, suspensions=[(900 * US_PER_MS, 2600 * US_PER_MS)])
+        ],
     ),
-    "the close of a kept connection crossed it, and nobody saw it": lambda: a_history(
-        [a_try(ending="broken", may_be_unread=True)], []
+    "the close of a kept connection crossed it, and nobody saw it": lambda: make_history(
+        [client_attempt(outcome="broken", may_be_unread=True)], []
     ),
-    "the client went away": lambda: a_history(
-        [a_try(ending="left", ended_ms=30)], [an_attempt(ended_ms=31, ending="closed", status=0)]
+    "the client went away": lambda: make_history(
+        [client_attempt(outcome="left", ended_ms=30)], [converter_attempt(ended_ms=31, outcome="closed", status=0)]
     ),
 }
 
-BAD: dict[str, tuple[set[str], Callable[[], History]]] = {
-    "never answered": ({"unanswered"}, lambda: a_history([a_try(ending="timeout", ended_ms=1100)], [])),
+INVALID_HISTORIES: dict[str, tuple[set[str], Callable[[], History]]] = {
+    "never answered": ({"unanswered"}, lambda: make_history([client_attempt(outcome="timeout", ended_ms=1100)], [])),
     "never answered, its sidecar without a core": (
         {"held-up"},
-        lambda: a_history(
-            [a_try(ending="timeout", ended_ms=1100)],
+        lambda: make_history(
+            [client_attempt(outcome="timeout", ended_ms=1100)],
             [],
-            incarnations=[Incarnation(0, -500 * MS, -400 * MS, cpu_waits=[(600 * MS, 1200 * MS)])],
+            incarnations=[
+                Incarnation(0, -500 * US_PER_MS, -400 * US_PER_MS, cpu_waits=[(600 * US_PER_MS, 1200 * US_PER_MS)])
+            ],
         ),
     ),
     "answered in time, but its client held up": (
         {"held-up"},
-        lambda: a_history(
-            [a_try(ended_ms=2000)], [an_attempt()], lateness=[a_lateness("clients 0", (40 * MS, 2000 * MS))]
+        lambda: make_history(
+            [client_attempt(ended_ms=2000)],
+            [converter_attempt()],
+            lateness=[make_lateness("clients 0", (40 * US_PER_MS, 2000 * US_PER_MS))],
         ),
     ),
     "never answered, another client held up": (
         {"unanswered"},
-        lambda: a_history(
-            [a_try(ending="timeout", ended_ms=1100)], [], lateness=[a_lateness("clients 1", (40 * MS, 1080 * MS))]
+        lambda: make_history(
+            [client_attempt(outcome="timeout", ended_ms=1100)],
+            [],
+            lateness=[make_lateness("clients 1", (40 * US_PER_MS, 1080 * US_PER_MS))],
         ),
     ),
     "never answered, its sidecar held up only later": (
         {"unanswered"},
-        lambda: a_history(
-            [a_try(ending="timeout", ended_ms=1100)],
+        lambda: make_history(
+            [client_attempt(outcome="timeout", ended_ms=1100)],
             [],
-            incarnations=[Incarnation(0, -500 * MS, -400 * MS, cpu_waits=[(1050 * MS, 1200 * MS)])],
+            incarnations=[
+                Incarnation(0, -500 * US_PER_MS, -400 * US_PER_MS, cpu_waits=[(1050 * US_PER_MS, 1200 * US_PER_MS)])
+            ],
         ),
     ),
-    "answered too late": ({"unanswered"}, lambda: a_history([a_try(ended_ms=1060)], [an_attempt(ended_ms=1059)])),
-    "the connection ended": ({"broken"}, lambda: a_history([a_try(ending="broken")], [an_attempt()])),
+    "answered too late": (
+        {"unanswered"},
+        lambda: make_history([client_attempt(ended_ms=1060)], [converter_attempt(ended_ms=1059)]),
+    ),
+    "the connection ended": (
+        {"broken"},
+        lambda: make_history([client_attempt(outcome="broken")], [converter_attempt()]),
+    ),
     "never answered, long after its sidecar stood still": (
         {"unanswered"},
-        lambda: a_history([a_try(sent_ms=1000, ending="timeout", ended_ms=2100)], [], incarnations=[STOOD]),
+        lambda: make_history(
+            [client_attempt(sent_ms=1000, outcome="timeout", ended_ms=2100)], [], incarnations=[SUSPENDED_INCARNATION]
+        ),
     ),
     "sent long after it stood still to one that drains": (
         {"drain"},
-        lambda: a_history(
-            [a_try(sent_ms=3000, ended_ms=3030)],
-            [an_attempt(at_ms=3001, ended_ms=3029)],
-            notices=LEFT,
-            incarnations=[Incarnation(0, -500 * MS, -400 * MS, suspensions=[(900 * MS, 2400 * MS)])],
+        lambda: make_history(
+            [client_attempt(sent_ms=3000, ended_ms=3030)],
+            [converter_attempt(received_ms=3001, ended_ms=3029)],
+            notices=LEAVING_NOTICES,
+            incarnations=[
+                Incarnation(0, -500 * US_PER_MS, -400 * US_PER_MS, suspensions=[(900 * US_PER_MS, 2400 * US_PER_MS)])
+            ],
         ),
     ),
     "a kept connection ended though a converter had the request": (
         {"broken"},
-        lambda: a_history([a_try(ending="broken", may_be_unread=True)], [an_attempt()]),
+        lambda: make_history([client_attempt(outcome="broken", may_be_unread=True)], [converter_attempt()]),
     ),
     "a refusal held though all its attempts were seen": (
         {"held"},
-        lambda: a_history(
-            [a_try(ending="refused", ended_ms=150)],
-            [turned_away(uid=f"c{i}", at_ms=4 * i, ended_ms=4 * i + 2) for i in range(4)],
+        lambda: make_history(
+            [client_attempt(outcome="refused", ended_ms=150)],
+            [rejected_attempt(uid=f"c{index}", received_ms=4 * index, ended_ms=4 * index + 2) for index in range(4)],
         ),
     ),
-    "two answers": ({"second-answer"}, lambda: a_history([a_try(trailing_bytes=9)], [an_attempt()])),
-    "another's answer": ({"forged"}, lambda: a_history([a_try(response_request_id="r-9")], [an_attempt()])),
-    "an answer that nobody made": ({"forged"}, lambda: a_history([a_try()], [])),
-    "a request that nobody sent": ({"invented"}, lambda: a_history([a_try()], [an_attempt(), an_attempt("x")])),
+    "two answers": ({"second-answer"}, lambda: make_history([client_attempt(trailing_bytes=9)], [converter_attempt()])),
+    "another's answer": (
+        {"forged"},
+        lambda: make_history([client_attempt(response_request_id="r-9")], [converter_attempt()]),
+    ),
+    "an answer that nobody made": ({"forged"}, lambda: make_history([client_attempt()], [])),
+    "a request that nobody sent": (
+        {"invented"},
+        lambda: make_history([client_attempt()], [converter_attempt(), converter_attempt("x")]),
+    ),
     "run twice over a retry": (
         {"run-twice", "refused-after-run"},
-        lambda: a_history(
-            [a_try(ending="refused", ended_ms=40), a_try(ident="r-1", number=1, sent_ms=50, ended_ms=80)],
-            [an_attempt(ending="reset", status=0), an_attempt("r-1", at_ms=51, ended_ms=79)],
+        lambda: make_history(
+            [
+                client_attempt(outcome="refused", ended_ms=40),
+                client_attempt(request_id="r-1", number=1, sent_ms=50, ended_ms=80),
+            ],
+            [converter_attempt(outcome="reset", status=0), converter_attempt("r-1", received_ms=51, ended_ms=79)],
         ),
     ),
     "a file again after a reset": (
         {"unsafe-resend"},
-        lambda: a_history(
-            [a_try(ended_ms=200)],
-            [an_attempt(uid="c2", ran=False, ending="reset", status=0), an_attempt(at_ms=101, ended_ms=199)],
+        lambda: make_history(
+            [client_attempt(ended_ms=200)],
+            [
+                converter_attempt(uid="c2", ran=False, outcome="reset", status=0),
+                converter_attempt(received_ms=101, ended_ms=199),
+            ],
         ),
     ),
     "a bare 503 proves nothing": (
         {"unsafe-resend"},
-        lambda: a_history(
-            [a_try(ended_ms=200)], [an_attempt(uid="c2", ran=False, status=503), an_attempt(at_ms=101, ended_ms=199)]
+        lambda: make_history(
+            [client_attempt(ended_ms=200)],
+            [converter_attempt(uid="c2", ran=False, status=503), converter_attempt(received_ms=101, ended_ms=199)],
         ),
     ),
     "a batch again in another pod": (
         {"unsafe-resend"},
-        lambda: a_history(
-            [a_try(BATCH, ended_ms=200)],
-            [an_attempt(uid="c3", pod=2, ending="closed", status=0), an_attempt(at_ms=101, ended_ms=199)],
+        lambda: make_history(
+            [client_attempt(BATCH, ended_ms=200)],
+            [
+                converter_attempt(uid="c3", pod=2, outcome="closed", status=0),
+                converter_attempt(received_ms=101, ended_ms=199),
+            ],
         ),
     ),
     "a batch again after its span": (
         {"unsafe-resend"},
-        lambda: a_history(
-            [a_try(BATCH, ended_ms=500)],
-            [an_attempt(uid="c2", ending="closed", status=0), an_attempt(at_ms=401, ended_ms=499)],
+        lambda: make_history(
+            [client_attempt(BATCH, ended_ms=500)],
+            [converter_attempt(uid="c2", outcome="closed", status=0), converter_attempt(received_ms=401, ended_ms=499)],
         ),
     ),
     "two at once": (
         {"together"},
-        lambda: a_history(
-            [a_try(READ, ended_ms=200)], [an_attempt(uid="c2", ended_ms=190), an_attempt(at_ms=101, ended_ms=199)]
+        lambda: make_history(
+            [client_attempt(READ, ended_ms=200)],
+            [converter_attempt(uid="c2", ended_ms=190), converter_attempt(received_ms=101, ended_ms=199)],
         ),
     ),
     "two at once, one for ever": (
         {"together"},
-        lambda: a_history(
-            [a_try(READ, ended_ms=200)],
-            [an_attempt(uid="c2", ended_ms=0, ending="open"), an_attempt(at_ms=101, ended_ms=199)],
+        lambda: make_history(
+            [client_attempt(READ, ended_ms=200)],
+            [converter_attempt(uid="c2", ended_ms=0, outcome="open"), converter_attempt(received_ms=101, ended_ms=199)],
         ),
     ),
     "sent after the grace of a drain": (
         {"drain"},
-        lambda: a_history([a_try(sent_ms=1540, ended_ms=1590)], [an_attempt(at_ms=1551, ended_ms=1589)], notices=LEFT),
+        lambda: make_history(
+            [client_attempt(sent_ms=1540, ended_ms=1590)],
+            [converter_attempt(received_ms=1551, ended_ms=1589)],
+            notices=LEAVING_NOTICES,
+        ),
     ),
     "sent to one that is gone": (
         {"drain"},
-        lambda: a_history(
-            [a_try(sent_ms=4000, ended_ms=4030)],
-            [an_attempt(at_ms=4001, ended_ms=4029)],
-            notices=[EndpointNotice(0, "c1", "left", 1000 * MS)],
+        lambda: make_history(
+            [client_attempt(sent_ms=4000, ended_ms=4030)],
+            [converter_attempt(received_ms=4001, ended_ms=4029)],
+            notices=[EndpointNotice(0, "c1", "left", 1000 * US_PER_MS)],
         ),
     ),
     "a refusal held till near its time": (
         {"held"},
-        lambda: a_history([a_try(ending="refused", ended_ms=960)], [turned_away(ended_ms=3)]),
+        lambda: make_history([client_attempt(outcome="refused", ended_ms=960)], [rejected_attempt(ended_ms=3)]),
+    ),
+    "a cold one pushed over": (
+        {"cold"},
+        lambda: make_history([client_attempt()], [converter_attempt()], overload_crashes=[(5, "c2")]),
     ),
-    "a cold one pushed over": ({"cold"}, lambda: a_history([a_try()], [an_attempt()], overload_crashes=[(5, "c2")])),
     "a crash": (
         {"crash"},
-        lambda: a_history(
-            [a_try()], [an_attempt()], incarnations=[Incarnation(0, -500 * MS, -400 * MS, 5000 * MS, False, True)]
+        lambda: make_history(
+            [client_attempt()],
+            [converter_attempt()],
+            incarnations=[Incarnation(0, -500 * US_PER_MS, -400 * US_PER_MS, 5000 * US_PER_MS, False, True)],
         ),
     ),
 }
 
 
-@pytest.mark.parametrize("name", GOOD)
+@pytest.mark.parametrize("name", VALID_HISTORIES)
 def test_a_good_history_passes(name: str) -> None:
-    assert find_breaches(WORLD, GOOD[name]()) == []
+    assert find_breaches(WORLD, VALID_HISTORIES[name]()) == []
 
 
-@pytest.mark.parametrize("name", BAD)
+@pytest.mark.parametrize("name", INVALID_HISTORIES)
 def test_a_bad_history_is_caught_by_its_rule(name: str) -> None:
-    rules, history = BAD[name]
-    made = history()
-    for attempt in made.converter_attempts:
+    rules, build_history = INVALID_HISTORIES[name]
+    history = build_history()
+    for attempt in history.converter_attempts:
         if attempt.ended_us == 0:
             attempt.ended_us = -1
-    assert breached(made) == rules
+    assert breached_rules(history) == rules
 
 
 def test_every_rule_is_shown_to_be_caught() -> None:
-    assert set().union(*(rules for rules, _ in BAD.values())) == set(RULES)
+    assert set().union(*(rules for rules, _ in INVALID_HISTORIES.values())) == set(RULES)
 
 
 def test_worth_counts_from_the_first_try_and_by_the_aim() -> None:
-    tries = [
-        a_try(ending="refused", ended_ms=4),
-        a_try(ident="r-1", number=1, sent_ms=0, ended_ms=150),
-        a_try(ident="s-0", arrival=2, ended_ms=100),
-        a_try(ident="t-0", arrival=3, ending="failed", ended_ms=9),
+    client_attempts = [
+        client_attempt(outcome="refused", ended_ms=4),
+        client_attempt(request_id="r-1", number=1, sent_ms=0, ended_ms=150),
+        client_attempt(request_id="s-0", arrival=2, ended_ms=100),
+        client_attempt(request_id="t-0", arrival=3, outcome="failed", ended_ms=9),
+    ]
+    operations = figures.group_operations(WORLD, client_attempts)
+    assert sorted((operation.earned_weight, operation.attempts) for operation in operations) == [
+        (0.0, 1),
+        (1.5, 2),
+        (3.0, 1),
     ]
-    found = figures.group_operations(WORLD, tries)
-    assert sorted((operation.earned, operation.attempts) for operation in found) == [(0.0, 1), (1.5, 2), (3.0, 1)]
-    assert figures.service_level(found) == pytest.approx(0.5)
+    assert figures.service_level(operations) == pytest.approx(0.5)
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -24,7 +24,7 @@
 )
 
 SHORT_S = 4.0
-SKIPPED = 10  # one query in so many is not sent again by the sidecar that forgets some
+SKIPPED_QUERY_INTERVAL = 10  # one query in so many is not sent again by the sidecar that forgets some
 
 
 def simulate_resets() -> QueryResets:
@@ -39,22 +39,26 @@
 
 def test_sidecar_retries_queries_as_far_as_its_budget_allows() -> None:
     resets = simulate_resets()
-    assert resets.with_spare >= 100
+    assert resets.with_spare_budget >= 100
     assert claims_hold(resets)
 
 
 def test_sidecar_that_retries_no_reset_query_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        retries, "RETRIABLE_OUTCOMES", tuple(one for one in retries.RETRIABLE_OUTCOMES if one is not Outcome.RESET)
+        retries,
+        "RETRIABLE_OUTCOMES",
+        tuple(outcome for outcome in retries.RETRIABLE_OUTCOMES if outcome is not Outcome.RESET),
     )
     assert simulate_resets().retried_share == 0
 
 
 def test_sidecar_that_retries_only_some_reset_queries_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    may_send = RetryPolicy.may_send
+    original_may_send = RetryPolicy.may_send
 
     def may_send_most(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
-        return may_send(self, request, now_us) and not (request.attempts and request.event.request % SKIPPED == 0)
+        return original_may_send(self, request, now_us) and not (
+            request.attempts and request.event.request % SKIPPED_QUERY_INTERVAL == 0
+        )
 
     monkeypatch.setattr(RetryPolicy, "may_send", may_send_most)
     assert not claims_hold(simulate_resets())
@@ -66,15 +70,21 @@
 
 
 def test_responses_lost_after_a_second_attempt_are_detected() -> None:
-    well = QueryResets(
-        attempts=1000, resets=200, with_retry=200, with_spare=200, retried=200, retried_queries=200, served_queries=190
+    valid = QueryResets(
+        attempts=1000,
+        resets=200,
+        with_available_retry=200,
+        with_spare_budget=200,
+        retried=200,
+        retried_queries=200,
+        served_queries=190,
     )
-    assert claims_hold(well)
-    assert not claims_hold(dataclasses.replace(well, served_queries=180))
+    assert claims_hold(valid)
+    assert not claims_hold(dataclasses.replace(valid, served_queries=180))
 
 
 @pytest.mark.parametrize(
-    ("trials", "chance", "level", "quantile"),
+    ("trials", "probability", "level", "quantile"),
     [
         (10, 0.5, 0.0009, 0),
         (10, 0.5, 0.001, 1),
@@ -84,5 +94,5 @@
         (5, 0.0, 0.9, 0),
     ],
 )
-def test_quantile_of_the_binomial_distribution(trials: int, chance: float, level: float, quantile: int) -> None:
-    assert binomial_quantile(trials, chance, level) == quantile
+def test_quantile_of_the_binomial_distribution(trials: int, probability: float, level: float, quantile: int) -> None:
+    assert binomial_quantile(trials, probability, level) == quantile
