--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -157,7 +157,7 @@
         "attempts_per_try": len(history.converter_attempts) / attempt_count,
         "waste": wasted_work_share(history),
         "sidecar_most_mib": max_resident_mib(history.incarnations),
-        "emulator_p999_late_ms": max((late.p999_us for late in history.lateness), default=0) / US_PER_MS,
+        "emulator_p999_late_ms": max((lateness.p999_us for lateness in history.lateness), default=0) / US_PER_MS,
     }
     for percentile in PERCENTILES:
         values[f"latency_p{percentile:g}_ms"] = latencies.get_value_at_percentile(percentile) / US_PER_MS
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -100,7 +100,7 @@
         for request in self.history.client_attempts:
             self._check_final_answer(request)
             self._check_retries(request)
-        self._check_invented()
+        self._check_invented_requests()
         self._check_executions()
         self._check_drains()
         self._check_overloads()
@@ -172,10 +172,17 @@
     def _was_suspended(self, request: ClientAttempt) -> bool:
         """Return whether the machine kept the client's or the sidecar's process from running before the deadline."""
         client_role = f"clients {request.arrival % self.world.harness.client_processes}"
-        spans = [span for lateness in self.history.lateness if lateness.role == client_role for span in lateness.stalls]
-        spans += [span for incarnation in self.incarnations[request.sidecar] for span in incarnation.cpu_waits]
+        suspensions = [
+            suspension
+            for lateness in self.history.lateness
+            if lateness.role == client_role
+            for suspension in lateness.stalls
+        ]
+        suspensions += [
+            suspension for incarnation in self.incarnations[request.sidecar] for suspension in incarnation.cpu_waits
+        ]
         due_us = self._due_us(request) + TIME_LIMIT_SLACK_US
-        return any(begun_us < due_us and ended_us > request.sent_us for begun_us, ended_us in spans)
+        return any(begun_us < due_us and ended_us > request.sent_us for begun_us, ended_us in suspensions)
 
     def _was_answered_by_converter(self, request: ClientAttempt) -> bool:
         return request.response_request_id == request.request_id and any(
@@ -235,7 +242,7 @@
             return earlier.pod == later.pod
         return request_class.scope is DeduplicationScope.ALL or self.zones[earlier.pod] == self.zones[later.pod]
 
-    def _check_invented(self) -> None:
+    def _check_invented_requests(self) -> None:
         for request_id, attempts in self.attempts.items():
             if request_id not in self.client_attempts:
                 self._add_breach("invented", attempts[0].received_us, f"{request_id} at {attempts[0].uid}")
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -63,7 +63,7 @@
     original_answer = RequestDispatcher._answer
     count = 0
 
-    def answer_most(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
+    def answer_with_losses(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
         nonlocal count
         count += 1
         request = self.requests.get(ident)
@@ -71,7 +71,7 @@
             request.reply = lambda final: None
         original_answer(self, ident, answer)
 
-    RequestDispatcher._answer = answer_most  # type: ignore[method-assign]
+    RequestDispatcher._answer = answer_with_losses  # type: ignore[method-assign]
 
 
 def ignore_silence() -> None:
--- a/ryepier/experiments/faults/surge.py
+++ b/ryepier/experiments/faults/surge.py
@@ -16,7 +16,7 @@
 MIN_SERVICE_BEFORE = 0.97
 MIN_SERVICE_DURING = 0.55
 MIN_SERVICE_AFTER = 0.95
-MIN_ADVISED_SHARE = 0.99
+MIN_RETRY_AFTER_SHARE = 0.99
 
 
 def _world(scale: Scale) -> World:
@@ -37,11 +37,11 @@
 def _claims(run: Run) -> list[Claim]:
     surge = fault_of_kind(run.world, FaultKind.SURGE)
     service_before = figures.service_level(run.operations, figures.due_between(MEASURED_FROM_S, surge.at_s))
-    advised_share = figures.retry_after_share(run.history.client_attempts)
+    retry_after_share = figures.retry_after_share(run.history.client_attempts)
     return [
         Claim("service before the surge", service_before, ">=", MIN_SERVICE_BEFORE),
         *surge_claims(run),
-        Claim("share of refusals with Retry-After", advised_share, ">=", MIN_ADVISED_SHARE),
+        Claim("share of refusals with Retry-After", retry_after_share, ">=", MIN_RETRY_AFTER_SHARE),
     ]
 
 
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -69,14 +69,14 @@
     return _figures_of_run(run, kind, "with") | _figures_of_run(run.control, kind, "without")
 
 
-def _figures_of_run(run: Run, kind: str, planners: str) -> dict[str, float]:
+def _figures_of_run(run: Run, kind: str, variant: str) -> dict[str, float]:
     fault = fault_of_kind(run.world, kind)
     affected_uids = phases.affected_uids(run, (kind,))
     attempts = figures.count_attempts(run.history.converter_attempts, affected_uids, fault.at_s, phases.end_s(fault))
     return {
-        f"avoided_after_s_{planners}": avoided_after_s(run, kind),
-        f"service_in_the_{kind}_{planners}": figures.service_level(run.operations, phases.during(fault)),
-        f"attempts_to_struck_{planners}": attempts.at_selected,
+        f"avoided_after_s_{variant}": avoided_after_s(run, kind),
+        f"service_in_the_{kind}_{variant}": figures.service_level(run.operations, phases.during(fault)),
+        f"attempts_to_struck_{variant}": attempts.at_selected,
     }
 
 
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -99,7 +99,7 @@
         }
 
 
-def summarize(connected_us: list[int], since_us: int, fleet_size: int) -> ReconnectionResult:
+def summarize_connections(connected_us: list[int], since_us: int, fleet_size: int) -> ReconnectionResult:
     """Return the shares and times of connections that came after a restart."""
     if not connected_us:
         return ReconnectionResult(0.0, float("inf"), 1.0)
@@ -140,7 +140,7 @@
         forwarder.stop()
     planner.crash()
     await asyncio.sleep(CLOSING_TIME_S)
-    return summarize(planner.connected_us, restarted_us, fleet_size)
+    return summarize_connections(planner.connected_us, restarted_us, fleet_size)
 
 
 async def _wait_for_connections(planner: PlannerListener, count: int) -> None:
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -26,7 +26,7 @@
 from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
 
 FLEET_SIZES = (50, 200, 1000)  # forwarders
-CONVERTERS = 100
+CONVERTER_COUNT = 100
 REPORTED_CONVERTERS = 12  # by one forwarder, as a sidecar uses few at once
 REPORT_INTERVAL_S = 0.5
 ATTEMPTS_PER_REPORT = 2.0  # the mean, for each converter
@@ -47,9 +47,9 @@
     def __init__(self, index: int, random: np.random.Generator, reports_all: bool) -> None:
         """Choose the converters to report on."""
         self.name = f"f{index}"
-        count = CONVERTERS if reports_all else REPORTED_CONVERTERS
-        chosen_converters = random.choice(CONVERTERS, size=count, replace=False)
-        self.counters = {f"c-{uid:04x}": ConverterCounters() for uid in chosen_converters}
+        count = CONVERTER_COUNT if reports_all else REPORTED_CONVERTERS
+        chosen_converters = random.choice(CONVERTER_COUNT, size=count, replace=False)
+        self.counters = {f"c-{converter:04x}": ConverterCounters() for converter in chosen_converters}
         self.random = random
         self.number = 0
         self.bytes_in = 0
@@ -66,7 +66,7 @@
                 counters.attempts + count, served, counters.failed, counters.rejected, (0, 0, 0, 0, 0, served)
             )
         arrivals = [self.number * 10]
-        return encode(Report(self.number, CONVERTERS, self.counters, {}, arrivals, arrivals, 0))
+        return encode(Report(self.number, CONVERTER_COUNT, self.counters, {}, arrivals, arrivals, 0))
 
     async def run(self, address: tuple[str, int]) -> None:
         """Connect and report until cancelled."""
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class FleetTotals:
     """Totals of a fleet and its planner at one time."""
 
     at_s: float
@@ -102,9 +102,9 @@
     plans: int
 
 
-def read_totals(pid: int, forwarders: Sequence[SimulatedForwarder]) -> Reading:
+def read_totals(pid: int, forwarders: Sequence[SimulatedForwarder]) -> FleetTotals:
     """Return the totals now."""
-    return Reading(
+    return FleetTotals(
         planner_cpu_s=usage(pid).cpu_s,
         at_s=time.monotonic(),
         bytes_to_planner=sum(forwarder.bytes_out for forwarder in forwarders),
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rates:
+class PlannerRates:
     """What a planner uses and sends per second with a fleet of one size."""
 
     cores: float
@@ -123,7 +123,7 @@
     plans_per_s_per_forwarder: float
 
     @classmethod
-    def between(cls, before: Reading, after: Reading, fleet_size: int) -> Rates:
+    def between(cls, before: FleetTotals, after: FleetTotals, fleet_size: int) -> PlannerRates:
         """Return the rates between two readings."""
         elapsed_s = after.at_s - before.at_s
         return cls(
@@ -145,7 +145,7 @@
 
 async def _measure_planner(
     process: subprocess.Popen[bytes], address: tuple[str, int], fleet_size: int, trial: TrialConfig
-) -> Rates:
+) -> PlannerRates:
     await wait_until_listening(process, address, "the planner")
     reports_all = trial.seeded_fault == FULL_REPORTS_FAULT
     forwarders = [
@@ -162,10 +162,10 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-    return Rates.between(before, after, fleet_size)
+    return PlannerRates.between(before, after, fleet_size)
 
 
-def measure_fleet(fleet_size: int, trial: TrialConfig) -> Rates:
+def measure_fleet(fleet_size: int, trial: TrialConfig) -> PlannerRates:
     """Start a planner, run a fleet of one size against it, and return the planner's rates."""
     address = f"127.{find_network()}.254.1", PLANNER_PORT
     config = trial.folder / f"planner-{fleet_size}.toml"
@@ -185,11 +185,11 @@
     figures: dict[str, float] = {}
     for size, rate in rates.items():
         figures |= rate.as_figures(size)
-    middle, largest = FLEET_SIZES[-2:]
-    largest_rates = rates[largest]
-    growth = largest_rates.cores / max(MIN_CORES, rates[middle].cores) / (largest / middle)
+    middle_size, largest_size = FLEET_SIZES[-2:]
+    largest_rates = rates[largest_size]
+    growth = largest_rates.cores / max(MIN_CORES, rates[middle_size].cores) / (largest_size / middle_size)
     figures["cores_growth_200_to_1000_over_linear"] = growth
-    bytes_per_s = largest_rates.bytes_in_per_s / largest
+    bytes_per_s = largest_rates.bytes_in_per_s / largest_size
     plans_per_s = largest_rates.plans_per_s_per_forwarder
     claims = [
         Claim("planner's cores at 1,000 forwarders", largest_rates.cores, "<=", MAX_CORES),
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -48,7 +48,7 @@
     Leadership.__post_init__ = lead_at_once  # type: ignore[method-assign]
 
 
-def believe_every_report() -> None:
+def trust_every_report() -> None:
     """Let a planner believe every forwarder."""
     Planner._find_outlier_reporters = lambda self, active: set()  # type: ignore[method-assign]
     plan_computation.MAX_COUNTED_ATTEMPTS = float(10**9)
@@ -96,7 +96,7 @@
     "trust-any": accept_every_plan,
     "trust-none": reject_every_plan,
     "amnesiac": lead_without_evidence,
-    "credulous": believe_every_report,
+    "credulous": trust_every_report,
     "liar": report_false_failures,
     "recount": recount_at_each_report,
     "herd": return_at_fixed_times,
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -23,16 +23,16 @@
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.slices.follower_process import READY_LINE, FollowerReport
 
-SIZES = (1_000, 10_000)  # endpoints
+LIST_SIZES = (1_000, 10_000)  # endpoints
 SLICE_SIZE = 100
-CHANGES = {Scale.SMALL: 150, Scale.FULL: 1_500}
+CHANGE_COUNTS = {Scale.SMALL: 150, Scale.FULL: 1_500}
 CHANGE_INTERVAL_S = 0.04
 START_TIMEOUT_S = 20.0
 LAST_UPDATE_WAIT_S = 0.5  # after the last change, for its update to arrive
 MAX_LINE_BYTES = 64 * 1024 * 1024
 NAMESPACE = "default"
 SERVICE = "convert"
-NODES = 50
+NODE_COUNT = 50
 MAX_P99_MS = {1_000: 30, 10_000: 60}
 MAX_CPU_GROWTH = 3.0
 MAX_RESIDENT_MB = 120
@@ -49,7 +49,7 @@
     """Return a pod's entry in an EndpointSlice."""
     return {
         "addresses": [pod_address(pod)],
-        "nodeName": f"node-{pod % NODES}",
+        "nodeName": f"node-{pod % NODE_COUNT}",
         "zone": "a",
         "conditions": {"ready": not terminating, "serving": True, "terminating": terminating},
         "targetRef": {"kind": "Pod", "namespace": NAMESPACE, "name": f"convert-{pod}", "uid": f"pod-{pod}"},
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class PodChange:
     """A state that a pod's address takes."""
 
     host: str
@@ -70,7 +70,7 @@
     def __init__(self, size: int, seed: int) -> None:
         """Store the slices of so many pods."""
         self.store = Store()
-        self.changed_us: dict[Change, int] = {}
+        self.changed_us: dict[PodChange, int] = {}
         self._random = np.random.default_rng(seed)
         self._next_pod = size
         self._slices = [
@@ -80,7 +80,7 @@
         for index in range(len(self._slices)):
             self._store_slice(index)
 
-    def change(self, number: int) -> None:
+    def make_change(self, number: int) -> None:
         """Make the next change: by turns a pod of a slice terminates, or the one that terminated is replaced."""
         index = number // 2 % len(self._slices)
         if number % 2 == 0:
@@ -94,13 +94,13 @@
         endpoint = endpoints.pop(int(self._random.integers(SLICE_SIZE - 1)))
         pod = int(endpoint["targetRef"]["uid"].rpartition("-")[2])
         endpoints.append(make_endpoint(pod, terminating=True))
-        self.changed_us[Change(pod_address(pod), "draining")] = monotonic_us()
+        self.changed_us[PodChange(pod_address(pod), "draining")] = monotonic_us()
 
     def _replace_terminating_pod(self, index: int) -> None:
         pod = self._next_pod
         self._next_pod += 1
         self._slices[index] = [*self._slices[index][:-1], make_endpoint(pod)]
-        self.changed_us[Change(pod_address(pod), "ready")] = monotonic_us()
+        self.changed_us[PodChange(pod_address(pod), "ready")] = monotonic_us()
 
     def _store_slice(self, index: int) -> None:
         content = {
@@ -128,9 +128,9 @@
 
 async def _make_changes(service: ChangingService, server: ApiServer, scale: Scale) -> None:
     begin_s = time.monotonic()
-    for number in range(CHANGES[scale]):
+    for number in range(CHANGE_COUNTS[scale]):
         await asyncio.sleep(max(0.0, begin_s + number * CHANGE_INTERVAL_S - time.monotonic()))
-        service.change(number)
+        service.make_change(number)
         server.on_change()
     await asyncio.sleep(LAST_UPDATE_WAIT_S)
 
@@ -176,9 +176,9 @@
         }
 
 
-def _summarize(report: FollowerReport, changed_us: dict[Change, int]) -> ChurnCost:
+def _summarize(report: FollowerReport, changed_us: dict[PodChange, int]) -> ChurnCost:
     """Return the delays from each change to its update, and the costs. Raises HarnessError if no update arrived."""
-    arrived_us = {Change(update.host, update.state): update.at_us for update in report.updates}
+    arrived_us = {PodChange(update.host, update.state): update.at_us for update in report.updates}
     delays_us = [arrived_us[change] - at_us for change, at_us in changed_us.items() if change in arrived_us]
     if not delays_us:
         raise HarnessError("the follower heard of nothing")
@@ -210,11 +210,11 @@
 
 def measure(trial: TrialConfig) -> Measurement:
     """Measure both sizes, one after another."""
-    costs = {size: asyncio.run(measure_size(size, trial)) for size in SIZES}
+    costs = {size: asyncio.run(measure_size(size, trial)) for size in LIST_SIZES}
     figures: dict[str, float] = {}
     for size, cost in costs.items():
         figures |= cost.as_figures(size)
-    small, large = (costs[size] for size in SIZES)
+    small, large = (costs[size] for size in LIST_SIZES)
     figures["p50_growth"] = large.p50_ms / small.p50_ms
     cpu_growth = large.cpu_ms_per_change / small.cpu_ms_per_change
     figures["cpu_growth"] = cpu_growth
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -57,8 +57,8 @@
 
 def _claims(run: Run) -> list[Claim]:
     outage = fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)
-    caught_up_s = catch_up_s(run)
-    up_to_date_s = phases.end_s(outage) + caught_up_s + LIST_UPDATE_MARGIN_S
+    catch_up_time_s = catch_up_s(run)
+    up_to_date_s = phases.end_s(outage) + catch_up_time_s + LIST_UPDATE_MARGIN_S
     after_s = min(up_to_date_s, run.world.duration_s - MIN_OBSERVED_S)
     service_during = figures.service_level(run.operations, phases.during(outage))
     service_after = figures.service_level(run.operations, phases.from_time(after_s, run.world))
@@ -66,7 +66,7 @@
     removed_share_name = "share of attempts to converters that are gone, from then on"
     return [
         Claim("service while the API server is away", service_during, ">=", MIN_SERVICE_DURING),
-        Claim("time until all sidecars have the new list (s)", caught_up_s, "<=", MAX_CATCH_UP_S),
+        Claim("time until all sidecars have the new list (s)", catch_up_time_s, "<=", MAX_CATCH_UP_S),
         Claim("service from then on", service_after, ">=", MIN_SERVICE_AFTER),
         Claim(removed_share_name, removed_share, "<=", MAX_SHARE_TO_REMOVED),
     ]
--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -16,7 +16,7 @@
 FAR_FUTURE_US = 10**12
 
 
-def believe_last_slice() -> None:
+def trust_last_slice() -> None:
     """Believe the slice that came last, and forget terminations."""
 
     def merge_last_observation(
@@ -49,7 +49,7 @@
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    "last-writer": believe_last_slice,
+    "last-writer": trust_last_slice,
     "never-again": never_list_again,
     "whole-list": merge_everything,
 }
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -25,7 +25,7 @@
 OUTAGE_MARGIN_S = 3.0  # operations that begin later may be lost to the outage
 MIN_SERVICE_BEFORE = 0.97
 MAX_FIRST_TO_RETRY_RATIO = 1.0
-MAX_UNIFORMITY = 0.5
+MAX_ADVICE_UNIFORMITY = 0.5
 MAX_LOST_POINTS = 2.0
 MIN_LOST_SHARE_IN_OUTAGE = 0.3  # of the service, without which there was no outage
 MIN_SHARE = 1e-6  # in place of zero as a divisor
@@ -52,14 +52,14 @@
     return values
 
 
-def _figures_of_run(run: Run, guard: str) -> dict[str, float]:
+def _figures_of_run(run: Run, variant: str) -> dict[str, float]:
     return {
-        f"back_after_s_{guard}": measures.recovery_s(run),
-        f"refused_first_{guard}": measures.rejected_share(run, retries=False),
-        f"refused_later_{guard}": measures.rejected_share(run, retries=True),
-        f"service_{guard}": figures.service_level(run.operations),
-        f"tries_{guard}": len(run.history.client_attempts),
-        f"service_after_{guard}": service_after(run),
+        f"back_after_s_{variant}": measures.recovery_s(run),
+        f"refused_first_{variant}": measures.rejected_share(run, retries=False),
+        f"refused_later_{variant}": measures.rejected_share(run, retries=True),
+        f"service_{variant}": figures.service_level(run.operations),
+        f"tries_{variant}": len(run.history.client_attempts),
+        f"service_after_{variant}": service_after(run),
     }
 
 
@@ -78,7 +78,7 @@
         Claim(
             "share refused of first tries over that of later ones", first_to_retry_ratio, "<=", MAX_FIRST_TO_RETRY_RATIO
         ),
-        Claim("share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_UNIFORMITY),
+        Claim("share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_ADVICE_UNIFORMITY),
         Claim("service after the outage lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
     ]
 
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -57,8 +57,8 @@
     base, replace = load(BASE_WORLD), msgspec.structs.replace
     first = base.faults[0]
     second = replace(first, at_s=end_of_fault_s(first) + SECOND_OUTAGE_AFTER_S)
-    tail_s = base.duration_s - end_of_fault_s(first)
-    return replace(base, duration_s=end_of_fault_s(second) + tail_s, faults=[first, second])
+    remaining_s = base.duration_s - end_of_fault_s(first)
+    return replace(base, duration_s=end_of_fault_s(second) + remaining_s, faults=[first, second])
 
 
 def outage_without_discovery(scale: Scale) -> World:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -66,12 +66,12 @@
 
 
 def test_a_report_holds_the_claims_and_needs_nothing_from_elsewhere(tmp_path: Path) -> None:
-    valid = VALID_HISTORIES["served"]()
+    valid_history = VALID_HISTORIES["served"]()
     history = History(
-        valid.client_attempts,
-        valid.converter_attempts,
+        valid_history.client_attempts,
+        valid_history.converter_attempts,
         [],
-        valid.incarnations,
+        valid_history.incarnations,
         [],
         [],
         [Lateness("clients", 1, 1, 1, 1)],
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -28,7 +28,7 @@
 EXPERIMENTS_NEEDING_TRAFFIC = {"load-spread-lists"}  # its claims divide by the number of requests
 
 
-def recorded() -> dict[str, Any]:
+def recorded_interface() -> dict[str, Any]:
     content: dict[str, Any] = json.loads(RECORDED.read_text())
     return content
 
@@ -64,9 +64,9 @@
         parameters_by_command |= parameters(subcommand, f"{prefix} {name}")
     if not parameters_by_command:
         parameters_by_command[prefix] = sorted(
-            word
+            option
             for parameter in group.params
-            for word in (parameter.opts if isinstance(parameter, click.Option) else [parameter.human_readable_name])
+            for option in (parameter.opts if isinstance(parameter, click.Option) else [parameter.human_readable_name])
         )
     return parameters_by_command
 
@@ -93,35 +93,35 @@
     return commands
 
 
-@pytest.mark.parametrize("name", sorted(recorded()["experiments"]))
+@pytest.mark.parametrize("name", sorted(recorded_interface()["experiments"]))
 def test_experiments_keep_their_names_and_seeded_faults(name: str) -> None:
     experiment = command.ALL_EXPERIMENTS[name]
-    recorded_experiment = recorded()["experiments"][name]
+    recorded_experiment = recorded_interface()["experiments"][name]
     assert list(experiment.seeded_faults) == recorded_experiment["seeded_faults"]
     assert isinstance(experiment, Benchmark) == recorded_experiment["measured"]
 
 
-@pytest.mark.parametrize("name", sorted(recorded()["claims"]))
+@pytest.mark.parametrize("name", sorted(recorded_interface()["claims"]))
 def test_claims_keep_their_names_and_order(name: str, tmp_path: Path) -> None:
     experiment = catalogue.EXPERIMENTS[name]
-    assert claim_names(experiment, tmp_path) == recorded()["claims"][name]
-    assert list(experiment.rules) == recorded()["rules"][name]
+    assert claim_names(experiment, tmp_path) == recorded_interface()["claims"][name]
+    assert list(experiment.rules) == recorded_interface()["rules"][name]
 
 
 def test_every_experiment_is_recorded() -> None:
-    assert set(recorded()["experiments"]) <= set(command.ALL_EXPERIMENTS)
-    assert set(recorded()["claims"]) == set(catalogue.EXPERIMENTS) - EXPERIMENTS_NEEDING_TRAFFIC
+    assert set(recorded_interface()["experiments"]) <= set(command.ALL_EXPERIMENTS)
+    assert set(recorded_interface()["claims"]) == set(catalogue.EXPERIMENTS) - EXPERIMENTS_NEEDING_TRAFFIC
 
 
 def test_seeded_faults_keep_their_names() -> None:
-    assert set(recorded()["seeded_faults"]) <= set(seeded_faults.SEEDED_FAULTS)
+    assert set(recorded_interface()["seeded_faults"]) <= set(seeded_faults.SEEDED_FAULTS)
 
 
 def test_commands_keep_their_options() -> None:
     current: dict[str, list[str]] = {}
     for name, loaded in loaded_commands().items():
         current |= parameters(loaded, name)
-    for name, recorded_parameters in recorded()["commands"].items():
+    for name, recorded_parameters in recorded_interface()["commands"].items():
         assert set(recorded_parameters) <= set(current[name]), name
 
 
@@ -129,12 +129,12 @@
     current: dict[str, list[str]] = {}
     for name, loaded in loaded_commands().items():
         current |= choices(loaded, name)
-    for option, values in recorded()["choices"].items():
+    for option, values in recorded_interface()["choices"].items():
         assert set(values) <= set(current[option]), option
 
 
 def test_results_keep_their_fields_and_files() -> None:
-    recorded_result = recorded()["result"]
+    recorded_result = recorded_interface()["result"]
     assert list(contract.Result.__struct_encode_fields__) == recorded_result["fields"]
     assert [*Claim.__struct_encode_fields__, "holds"] == recorded_result["claim_fields"]
     assert recorded_result["files"] == [
@@ -146,8 +146,8 @@
     ]
 
 
-def test_rules_of_the_judge_keep_their_names() -> None:
-    assert list(judge.RULES) == recorded()["judge_rules"]
+def test_rules_keep_their_names() -> None:
+    assert list(judge.RULES) == recorded_interface()["judge_rules"]
 
 
 def measure_returning(value: float) -> Any:
@@ -162,10 +162,10 @@
 def test_a_result_is_written_with_the_recorded_fields(tmp_path: Path) -> None:
     stub = Benchmark("stub", "", measure_returning(1.0), ())
     runner.run_benchmark(stub, TrialConfig(1, Scale.SMALL, tmp_path))
-    written = json.loads((tmp_path / "result.json").read_text())
-    assert list(written) == recorded()["result"]["fields"]
-    assert list(written["claims"][0]) == recorded()["result"]["claim_fields"]
-    assert written["claims"][0] == {"name": "one", "value": 1.0, "op": "<=", "bound": 2.0, "holds": True}
+    written_result = json.loads((tmp_path / "result.json").read_text())
+    assert list(written_result) == recorded_interface()["result"]["fields"]
+    assert list(written_result["claims"][0]) == recorded_interface()["result"]["claim_fields"]
+    assert written_result["claims"][0] == {"name": "one", "value": 1.0, "op": "<=", "bound": 2.0, "holds": True}
 
 
 def measure_raising(error: Exception) -> Any:
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -23,13 +23,13 @@
     find_query_resets,
 )
 
-SHORT_S = 4.0
+SHORT_DURATION_S = 4.0
 SKIPPED_QUERY_INTERVAL = 10  # one query in so many is not sent again by the sidecar that forgets some
 
 
 def simulate_resets() -> QueryResets:
     """Simulate a short run, and return its resets."""
-    world = msgspec.structs.replace(load("graphql-resets"), duration_s=SHORT_S)
+    world = msgspec.structs.replace(load("graphql-resets"), duration_s=SHORT_DURATION_S)
     return find_query_resets(Run(world, 1, simulated.play(world, 1), [], [], Path()))
 
 
@@ -55,12 +55,12 @@
 def test_sidecar_that_retries_only_some_reset_queries_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     original_may_send = RetryPolicy.may_send
 
-    def may_send_most(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
+    def may_send_with_skips(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
         return original_may_send(self, request, now_us) and not (
             request.attempts and request.event.request % SKIPPED_QUERY_INTERVAL == 0
         )
 
-    monkeypatch.setattr(RetryPolicy, "may_send", may_send_most)
+    monkeypatch.setattr(RetryPolicy, "may_send", may_send_with_skips)
     assert not claims_hold(simulate_resets())
 
 
@@ -70,7 +70,7 @@
 
 
 def test_responses_lost_after_a_second_attempt_are_detected() -> None:
-    valid = QueryResets(
+    valid_resets = QueryResets(
         attempts=1000,
         resets=200,
         with_available_retry=200,
@@ -79,8 +79,8 @@
         retried_queries=200,
         served_queries=190,
     )
-    assert claims_hold(valid)
-    assert not claims_hold(dataclasses.replace(valid, served_queries=180))
+    assert claims_hold(valid_resets)
+    assert not claims_hold(dataclasses.replace(valid_resets, served_queries=180))
 
 
 @pytest.mark.parametrize(
