--- a/ryepier/experiments/__init__.py
+++ b/ryepier/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Named experiments: a world, a judge apart from the sidecar, claims that can fail, and a report."""
+"""Named experiments: each runs a world, checks claims about the recorded run, and writes a report."""
--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -1,4 +1,4 @@
-"""The experiments that come with the project, gathered from the folders."""
+"""The experiments and benchmarks that come with the project, by name."""
 
 from __future__ import annotations
 
--- a/ryepier/experiments/core/__init__.py
+++ b/ryepier/experiments/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every experiment is made of: the contract, the worlds, the judge of a run, its figures and its report."""
+"""The parts that all experiments share: their definition, worlds, rule checks, figures, runner and report."""
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -1,4 +1,4 @@
-"""What an experiment is: a world or a benchmark, the claims made of it, and the result that a run leaves behind."""
+"""Defines experiments and benchmarks, their claims, and the result that a run writes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 class Scale(StrEnum):
     """The size of an experiment."""
 
-    SMALL = "small"  # ends within 45 s on eight shared cores
+    SMALL = "small"  # finishes within 45 s on eight shared cores
     FULL = "full"
 
 
@@ -38,7 +38,7 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A measured value and the bound that it must keep."""
+    """A measured value and the bound that it has to satisfy."""
 
     name: str
     value: float
@@ -47,7 +47,7 @@
 
     @property
     def holds(self) -> bool:
-        """Return whether the value keeps the bound."""
+        """Return whether the value satisfies the bound."""
         return OPERATORS[self.op](self.value, self.bound)
 
     def __str__(self) -> str:
@@ -67,7 +67,7 @@
     seed: int
     scale: Scale
     claims: list[dict[str, object]]
-    figures: dict[str, float | None]  # None: infinite, for which JSON has no number
+    figures: dict[str, float | None]  # None stands for infinity, which JSON can't express
     versions: dict[str, str]
     seeded_fault: str = ""
     backend: Backend = Backend.SOCKETS
@@ -75,17 +75,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TrialConfig:
-    """How to run an experiment or a benchmark once."""
+    """The parameters of one run of an experiment or a benchmark."""
 
     seed: int
     scale: Scale
-    folder: Path  # for the result, and for whatever the processes write
-    seeded_fault: str = ""  # its name; empty for none
+    folder: Path  # for the result, and for the files that the processes write
+    seeded_fault: str = ""  # name of the seeded fault; empty for none
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Everything recorded of one run of a world; the input of claims and figures."""
+    """All records of one run of a world, from which claims and figures are computed."""
 
     world: World
     seed: int
@@ -93,26 +93,26 @@
     operations: list[figures.Operation]
     breaches: list[judge.Breach]
     folder: Path
-    control: Run | None = None  # the same seed in the experiment's control world, if it has one
+    control: Run | None = None  # the run of the control world with the same seed, if there is one
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """A world, with the claims made of a run of it."""
+    """A world, and the claims that are checked on a run of it."""
 
     name: str
-    question: str  # what happens in the world, in one line
+    question: str  # one line on what happens in the world
     world: Callable[[Scale], World]
     claims: Callable[[Run], list[Claim]]
-    seeded_faults: Sequence[str]  # each makes at least one claim fail
+    seeded_faults: Sequence[str]  # names of faults, each of which makes at least one claim fail
     extra_figures: Callable[[Run], Mapping[str, float]] = lambda run: {}  # in addition to `figures.summary`
-    rules: Sequence[str] = tuple(judge.RULES)  # of the judge, of which no breach may occur
-    valid_until_s: Callable[[Run], float] | None = None  # the emulator must be on time until then; None: to the end
-    restarted_planner_fault: str = ""  # seeded into a planner that starts again after a kill
-    sidecar_faults: Mapping[int, str] = field(default_factory=dict)  # seeded faults by the sidecar's index
-    control_world: Callable[[World], World] | None = None  # run on the same seed, for comparison
-    cores: int = 0  # run on this many cores; 0 for all
-    measures_cpu: bool = False  # and so can't run under virtual time
+    rules: Sequence[str] = tuple(judge.RULES)  # no breach of these rules may occur
+    valid_until_s: Callable[[Run], float] | None = None  # the emulator has to be on time until here; None: to the end
+    restarted_planner_fault: str = ""  # seeded fault of planners that restart after a kill
+    sidecar_faults: Mapping[int, str] = field(default_factory=dict)  # seeded faults by sidecar index
+    control_world: Callable[[World], World] | None = None  # run with the same seed, for comparison
+    cores: int = 0  # number of cores that the run may use; 0 for all
+    measures_cpu: bool = False  # if true, it can't run under virtual time
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Benchmark:
-    """A measurement of a part by itself, without a world and its history."""
+    """A measurement of a single component, without a world and its recorded history."""
 
     name: str
     question: str
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -1,6 +1,6 @@
-"""Figures of a run, computed from the clients' and the converters' records: service level, latencies, waste, costs.
+"""Computes the figures of a run from the records of clients and converters: service level, latency, waste, CPU time.
 
-Pure: records in, numbers out.
+All functions are pure: they take records and return numbers.
 """
 
 from __future__ import annotations
@@ -28,26 +28,26 @@
 
     first: ClientAttempt
     weight: float  # priority weight of its class
-    earned_weight: float  # the part of the weight that it is worth, by when it was served; 0 if too late or never
-    latency_us: int | None  # from the time when the first attempt was due to the served answer; None: not served
+    earned_weight: float  # part of the weight, depending on the latency; 0 if served too late or never
+    latency_us: int | None  # from the planned time of the first attempt to the served answer; None: not served
     attempts: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCounts:
-    """Attempts in a part of a run: those at chosen converters, and those at all."""
+    """Counts of the attempts in a part of a run: at a selection of converters, and in total."""
 
     at_selected: int
     total: int
 
     @property
     def share(self) -> float:
-        """Return the share of the attempts that went to the chosen converters."""
+        """Return the share of the attempts that went to the selected converters."""
         return self.at_selected / max(1, self.total)
 
 
 def group_operations(world: World, client_attempts: Iterable[ClientAttempt]) -> list[Operation]:
-    """Group the clients' attempts into operations, in the order in which they were due."""
+    """Group the clients' attempts into operations, ordered by the planned time of the first attempt."""
     attempts_by_arrival: dict[int, list[ClientAttempt]] = {}
     for attempt in client_attempts:
         attempts_by_arrival.setdefault(attempt.arrival, []).append(attempt)
@@ -65,7 +65,7 @@
 
 
 def _earned_weight(request_class: RequestClass, latency_us: int | None) -> float:
-    """Return the weight within the latency objective, a part of it until the deadline, 0 later."""
+    """Return the full weight within the latency objective, a part of it until the deadline, and 0 afterwards."""
     if latency_us is None or latency_us > request_class.deadline_ms * US_PER_MS:
         return 0.0
     if latency_us <= request_class.objective_ms * US_PER_MS:
@@ -76,7 +76,7 @@
 def service_level(
     operations: Iterable[Operation], is_included: Callable[[ClientAttempt], bool] = lambda attempt: True
 ) -> float:
-    """Return the earned share of the weight of those operations whose first attempt `keep` selects; 1 if none."""
+    """Return the earned share of the weight of the operations that `is_included` selects; 1 if there are none."""
     offered_weight = earned_weight = 0.0
     for operation in operations:
         if is_included(operation.first):
@@ -86,12 +86,12 @@
 
 
 def due_between(begin_s: float, end_s: float) -> Callable[[ClientAttempt], bool]:
-    """Return a filter for first attempts that were due in this part of the run, its end excluded."""
+    """Return a filter for first attempts planned between two times of the run; the end is exclusive."""
     return lambda attempt: begin_s * US_PER_S <= attempt.planned_us < end_s * US_PER_S
 
 
 def latency_histogram(operations: Iterable[Operation]) -> HdrHistogram:
-    """Return the latencies of all served operations, in microseconds; longer ones count as `MAX_LATENCY_US`."""
+    """Return a histogram of the served operations' latencies in microseconds, capped at `MAX_LATENCY_US`."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
     for operation in operations:
         if operation.latency_us is not None:
@@ -100,7 +100,7 @@
 
 
 def wasted_work_share(history: History) -> float:
-    """Return the share of the converters' work after which no client had an answer."""
+    """Return the share of the converters' work that was spent on requests whose client got no served answer."""
     served = {attempt.request_id for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
     executed = [attempt for attempt in history.converter_attempts if attempt.started_us != NEVER]
     total_us = sum(attempt.work_us for attempt in executed)
@@ -109,7 +109,7 @@
 
 
 def retry_after_share(client_attempts: Iterable[ClientAttempt]) -> float:
-    """Return the share of rejections with a Retry-After; 1 if there were no rejections."""
+    """Return the share of rejections that carry a Retry-After; 1 if there were no rejections."""
     rejected = [attempt for attempt in client_attempts if attempt.outcome is RequestOutcome.REFUSED]
     return sum(attempt.retry_after_us > 0 for attempt in rejected) / len(rejected) if rejected else 1.0
 
@@ -140,7 +140,7 @@
 
 
 def count_attempts(attempts: Iterable[ConverterAttempt], uids: set[str], begin_s: float, end_s: float) -> AttemptCounts:
-    """Count the attempts received in a part of the run, at converters with these uids and at all."""
+    """Count the attempts received between two times of the run, at the converters with these uids and in total."""
     received_by = [attempt.uid for attempt in attempts if begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S]
     return AttemptCounts(sum(uid in uids for uid in received_by), len(received_by))
 
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -1,7 +1,8 @@
 """Finds violations of the protocol's rules in the records of a run.
 
-Pure: a `History` in, the breaches out. It uses only what converters, discovery and clients recorded, never the
-sidecar's own account. Where the records of two processes are compared, the lateness of both is allowed for.
+The check is a pure function from a `History` to the breaches. It uses only what converters, discovery and clients
+recorded, and nothing that sidecars report about themselves. Comparisons between the records of two processes tolerate
+the lateness of both.
 """
 
 from __future__ import annotations
@@ -23,15 +24,15 @@
 )
 from ryepier.emulator.world import DeduplicationScope, Effect, RequestClass, World
 
-TIME_LIMIT_SLACK_US = 50_000  # added to every time limit on sockets
-MIN_CLOCK_SKEW_US = 20_000  # between the records of two processes, however punctual they were
-SKEW_PER_LATENESS = 2  # both processes may have been late
+TIME_LIMIT_SLACK_US = 50_000  # tolerance added to every time limit, for delays of real sockets
+MIN_CLOCK_SKEW_US = 20_000  # minimum tolerance when the records of two processes are compared
+SKEW_PER_LATENESS = 2  # as both of the compared processes may have been late
 US_PER_MS = 1000
-WITHDRAWN_STATES = frozenset(("leaving", "left"))  # of a converter in the endpoint list
+WITHDRAWN_STATES = frozenset(("leaving", "left"))  # list states of converters that get no new requests
 
 RULES = {
     "unanswered": "no final answer before the client's deadline",
-    "held-up": "no final answer in time, but the machine had suspended the client or the sidecar: says nothing of it",
+    "held-up": "no final answer in time, but the machine had suspended the client or the sidecar: inconclusive",
     "broken": "the sidecar closed a connection before a complete answer",
     "second-answer": "bytes after the one final answer",
     "forged": "served with an answer that no converter made for this request",
@@ -42,14 +43,14 @@
     "together": "two attempts in flight at once",
     "drain": "a new attempt at a draining converter, later than the grace period after the notification",
     "cold": "a converter that was warming up was overloaded",
-    "held": "the final answer to a request that was given up came only long after",
+    "held": "a request was given up, but its final answer was delayed",
     "crash": "a sidecar process ended by itself",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One violation of a rule."""
+    """One violation of a rule, with its time in microseconds of the run."""
 
     rule: str
     at_us: int
@@ -59,13 +60,13 @@
 def may_have_run(attempt: ConverterAttempt) -> bool:
     """Return whether a converter may have executed an attempt.
 
-    By the protocol only a complete 503 or 504 with that statement proves that it did not.
+    By the protocol, only a complete 503 or 504 response that says so proves that it was not executed.
     """
     return not (attempt.outcome is AttemptOutcome.ANSWERED and attempt.not_run)
 
 
 def find_breaches(world: World, history: History) -> list[Breach]:
-    """Return all breaches in the order of their times."""
+    """Return all breaches, ordered by time."""
     return sorted(_RuleChecker(world, history).check_all(), key=lambda breach: breach.at_us)
 
 
@@ -77,7 +78,7 @@
 
 
 class _RuleChecker:
-    """Checks one history, rule by rule."""
+    """Checks one history against all rules and collects the breaches."""
 
     def __init__(self, world: World, history: History) -> None:
         self.world = world
@@ -91,9 +92,8 @@
             self.incarnations[incarnation.sidecar].append(incarnation)
         worst_lateness_us = max((lateness.p999_us for lateness in history.lateness), default=0)
         self.skew_us = max(MIN_CLOCK_SKEW_US, SKEW_PER_LATENESS * worst_lateness_us)
-        self.zones = {
-            machine.pod: machine.group.zone for machine in draws.machines(world, 0)
-        }  # pods do not depend on the seed
+        # the zones of pods do not depend on the seed, so any seed will do
+        self.zones = {machine.pod: machine.group.zone for machine in draws.machines(world, 0)}
         self.breaches: list[Breach] = []
 
     def check_all(self) -> list[Breach]:
@@ -120,7 +120,7 @@
 
     def _check_final_answer(self, request: ClientAttempt) -> None:
         if not self._sidecar_ran_throughout(request):
-            return  # its client retries what a killed sidecar held, and a stalled one can't keep deadlines
+            return  # clients retry requests lost with a killed sidecar, and a suspended sidecar can't meet deadlines
         self._check_in_time(request)
         if request.trailing_bytes:
             self._add_breach(
@@ -141,7 +141,7 @@
             self._check_rejection(request)
 
     def _sidecar_ran_throughout(self, request: ClientAttempt) -> bool:
-        """Return whether the request's sidecar lived from its sending to its end, without a stall."""
+        """Return whether the request's sidecar ran from its sending to its end without being suspended."""
         incarnations = self.incarnations[request.sidecar]
         if any(
             incarnation.was_suspended(request.sent_us - TIME_LIMIT_SLACK_US, request.ended_us)
@@ -170,7 +170,7 @@
             self._add_breach("broken", request.ended_us, text)
 
     def _was_suspended(self, request: ClientAttempt) -> bool:
-        """Return whether the machine kept the client's or the sidecar's process from running before the deadline."""
+        """Return whether the client's or the sidecar's process got no CPU for a time before the deadline."""
         client_role = f"clients {request.arrival % self.world.harness.client_processes}"
         suspensions = [
             suspension
@@ -191,12 +191,12 @@
         )
 
     def _was_given_up_promptly(self, request: ClientAttempt) -> bool:
-        """Return whether only attempts and their waits lie before the answer.
+        """Return whether the final answer followed the last attempt without an unexplained delay.
 
-        Attempts whose connection never came up are known to nobody but the sidecar; before each attempt a request
-        may wait for half of its latency objective.
+        Nobody but the sidecar knows of attempts whose connection was never established, so time for them is allowed.
+        Before each attempt a request may wait for half of its latency objective.
         """
-        # a converter sees the end of an abandoned attempt a little after the client sees its answer
+        # a converter may record the end of an abandoned attempt slightly after the client received its answer
         ends_us = [
             request.ended_us if attempt.ended_us == NEVER else min(attempt.ended_us, request.ended_us)
             for attempt in self.attempts[request.request_id]
@@ -211,13 +211,15 @@
     def _check_rejection(self, request: ClientAttempt) -> None:
         for attempt in self.attempts[request.request_id]:
             if may_have_run(attempt) and attempt.received_us < request.ended_us:
-                self._add_breach("refused-after-run", request.ended_us, f"{request.request_id}: {attempt.uid} had it")
+                self._add_breach(
+                    "refused-after-run", request.ended_us, f"{request.request_id}: {attempt.uid} had received it"
+                )
                 return
 
     # Attempts
 
     def _check_retries(self, request: ClientAttempt) -> None:
-        """Check that the attempts of a request were one at a time, and repeated only where that is allowed."""
+        """Check that a request had one attempt at a time, and was retried only where that is allowed."""
         attempts = self.attempts.get(request.request_id, [])
         for number, later in enumerate(attempts):
             for earlier in attempts[:number]:
@@ -231,7 +233,7 @@
                     )
 
     def _may_repeat(self, request: ClientAttempt, earlier: ConverterAttempt, later: ConverterAttempt) -> bool:
-        """Return whether an attempt may follow one that may have run."""
+        """Return whether an attempt may follow an earlier one that may have been executed."""
         request_class = self._class_of(request)
         if request_class.effect is Effect.IDEMPOTENT:
             return True
@@ -248,8 +250,8 @@
                 self._add_breach("invented", attempts[0].received_us, f"{request_id} at {attempts[0].uid}")
 
     def _check_executions(self) -> None:
-        """Check at-most-once over all retries of a client, as a rejection promised that nothing had run."""
-        executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by first attempt
+        """Check at-most-once execution over all retries of a client: a rejection promises that nothing was executed."""
+        executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by the operation's arrival number
         for attempt in self.history.converter_attempts:
             request = self.client_attempts.get(attempt.request_id)
             if (
@@ -263,10 +265,10 @@
                 text = " and ".join(f"{attempt.request_id} at {attempt.uid}" for attempt in attempts)
                 self._add_breach("run-twice", attempts[1].started_us, text)
 
-    # Endpoint list and processes
+    # Endpoint list, overloads and crashes
 
     def _check_drains(self) -> None:
-        """Check that draining converters get nothing new, each incarnation of a sidecar by its own notifications."""
+        """Check that draining converters get no new attempts, by the notifications of each sidecar's incarnation."""
         notified_us = self._withdrawal_times(self.history.notices)
         grace_us = self.world.sidecars.drain_grace_ms * US_PER_MS + TIME_LIMIT_SLACK_US
         for attempt in self.history.converter_attempts:
@@ -277,12 +279,14 @@
             times_us = [at_us for at_us in notified_us[request.sidecar, attempt.uid] if at_us >= started_us]
             if times_us and attempt.first_byte_us > self._must_act_by_us(request.sidecar, min(times_us), grace_us):
                 late_ms = (attempt.first_byte_us - min(times_us)) // US_PER_MS
-                text = f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {request.sidecar} was told"
+                text = (
+                    f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {request.sidecar} was notified"
+                )
                 self._add_breach("drain", attempt.first_byte_us, text)
 
     @staticmethod
     def _withdrawal_times(notifications: Sequence[EndpointNotice]) -> dict[tuple[int, str], list[int]]:
-        """Return when each sidecar was notified that a converter drains or is gone, by sidecar and uid."""
+        """Return when sidecars were notified that converters drain or are gone, by sidecar and uid."""
         times_us: dict[tuple[int, str], list[int]] = defaultdict(list)
         for notification in notifications:
             if notification.state in WITHDRAWN_STATES:
@@ -290,14 +294,14 @@
         return times_us
 
     def _incarnation_start_us(self, sidecar: int, at_us: int) -> int:
-        """Return when the sidecar's process that ran at a time was started."""
+        """Return the start time of the sidecar process that ran at a given time."""
         return max(
             (incarnation.started_us for incarnation in self.incarnations[sidecar] if incarnation.started_us <= at_us),
             default=0,
         )
 
     def _must_act_by_us(self, sidecar: int, notified_us: int, grace_us: float) -> float:
-        """Return when a notification must be in effect: a stalled sidecar reads it only after the stall."""
+        """Return when a notification has to take effect; a suspended sidecar reads it only after the suspension."""
         until_us = notified_us + grace_us
         for incarnation in self.incarnations[sidecar]:
             for begun_us, ended_us in incarnation.suspensions:
@@ -307,7 +311,7 @@
 
     def _check_overloads(self) -> None:
         for at_us, uid in self.history.overload_crashes:
-            self._add_breach("cold", at_us, f"{uid} was pushed over")
+            self._add_breach("cold", at_us, f"{uid} crashed from overload while warming up")
 
     def _check_crashes(self) -> None:
         for incarnation in self.history.incarnations:
--- a/ryepier/experiments/core/logs.py
+++ b/ryepier/experiments/core/logs.py
@@ -10,7 +10,7 @@
 
 
 def log_lines(folder: Path, pattern: str) -> list[dict[str, object]]:
-    """Return the JSON lines of the logs that match a pattern, with the log's name as `file`; skip other lines."""
+    """Return the JSON lines of the matching logs, with the log's file name as `file`; other lines are skipped."""
     lines = []
     for path in sorted(folder.glob(pattern)):
         for text in path.read_text(errors="replace").splitlines():
--- a/ryepier/experiments/core/machine.py
+++ b/ryepier/experiments/core/machine.py
@@ -1,4 +1,4 @@
-"""The resources of this machine, and the check that an experiment may use what it needs of them."""
+"""Reads the resources of this machine, and checks that they suffice for an experiment."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 BYTES_PER_KIB = 1024
 MAX_PROCESSES = 8
 MAX_BYTES = 10 * GB
-MAX_MEMORY_SHARE = 0.5  # of the machine's, as others use it too
-SPARE_SOCKETS = 64  # a process's own files, and connections that are being closed
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory, as the machine is shared with others
+SPARE_SOCKETS = 64  # descriptors for a process's own files and for connections that are being closed
 MEMINFO = "/proc/meminfo"
 
 
 class InsufficientResourcesError(HarnessError):
-    """The machine can't spare what an experiment needs, or it needs more than any may; nothing was started."""
+    """The machine lacks resources, or the experiment exceeds the fixed limits. No process has been started."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceRequirements:
-    """What all processes of an experiment need together, including its own."""
+    """The resources that all processes of an experiment need together, including the calling process."""
 
     processes: int
     bytes: int
-    sockets: int = 0  # of the process that holds the most
+    sockets: int = 0  # in the process that opens the most
 
 
 @dataclass(frozen=True, slots=True)
 class MachineResources:
-    """What a machine has."""
+    """The resources of a machine."""
 
     total_bytes: int
     available_bytes: int
-    sockets: int  # file descriptors that a process may hold
+    sockets: int  # limit of open file descriptors per process
 
     @property
     def usable_bytes(self) -> int:
-        """Return the memory that an experiment may use, free or not."""
+        """Return the memory that an experiment may use, whether or not it is free now."""
         return int(self.total_bytes * MAX_MEMORY_SHARE)
 
 
@@ -59,21 +59,21 @@
 
 
 def check_requirements(requirements: ResourceRequirements, machine: MachineResources) -> None:
-    """Raise InsufficientResourcesError with what is too much and by how much, unless a machine can spare the needs."""
+    """Raise InsufficientResourcesError, with the exceeded limit, if the machine can't satisfy the requirements."""
     max_bytes = min(MAX_BYTES, machine.usable_bytes)
     if requirements.processes > MAX_PROCESSES:
         raise InsufficientResourcesError(
-            f"{requirements.processes} processes asked for, at most {MAX_PROCESSES} may be"
+            f"{requirements.processes} processes required, at most {MAX_PROCESSES} allowed"
         )
     if requirements.bytes > max_bytes:
         raise InsufficientResourcesError(
-            f"{requirements.bytes / GB:.1f} GB asked for, at most {max_bytes / GB:.1f} GB may be"
+            f"{requirements.bytes / GB:.1f} GB required, at most {max_bytes / GB:.1f} GB allowed"
         )
     if requirements.bytes > machine.available_bytes:
         raise InsufficientResourcesError(
-            f"{requirements.bytes / GB:.1f} GB asked for, and only {machine.available_bytes / GB:.1f} GB are free"
+            f"{requirements.bytes / GB:.1f} GB required, only {machine.available_bytes / GB:.1f} GB are free"
         )
     if requirements.sockets + SPARE_SOCKETS > machine.sockets:
         raise InsufficientResourcesError(
-            f"{requirements.sockets} sockets asked for in a process, which may hold {machine.sockets} files"
+            f"{requirements.sockets} sockets required in one process, whose limit is {machine.sockets} open files"
         )
--- a/ryepier/experiments/core/phases.py
+++ b/ryepier/experiments/core/phases.py
@@ -1,4 +1,4 @@
-"""Parts of a run relative to the faults of its world, and the converters that the faults strike, remove or add."""
+"""Selects parts of a run relative to its world's faults, and the converters that the faults affect or start."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Run
 
-RECOVERY_S = 2.0  # after a fault, before the service counts again
+RECOVERY_S = 2.0  # time after a fault's end that is excluded from the service level
 
 
 def end_s(fault: Fault) -> float:
@@ -20,22 +20,22 @@
 
 
 def during(fault: Fault) -> Callable[[ClientAttempt], bool]:
-    """Return a filter for first attempts due while a fault lasts."""
+    """Return a filter for first attempts planned while a fault lasts."""
     return figures.due_between(fault.at_s, end_s(fault))
 
 
 def from_time(begin_s: float, world: World) -> Callable[[ClientAttempt], bool]:
-    """Return a filter for first attempts due from a time to the end of the run."""
+    """Return a filter for first attempts planned between a time and the end of the run."""
     return figures.due_between(begin_s, world.duration_s)
 
 
 def after_recovery(fault: Fault, world: World) -> Callable[[ClientAttempt], bool]:
-    """Return a filter for first attempts due from `RECOVERY_S` after a fault to the end of the run."""
+    """Return a filter for first attempts planned later than `RECOVERY_S` after the end of a fault."""
     return from_time(end_s(fault) + RECOVERY_S, world)
 
 
 def affected_uids(run: Run, kinds: tuple[str, ...]) -> set[str]:
-    """Return the uids of the converters that faults of these kinds strike."""
+    """Return the uids of the converters that faults of these kinds affect."""
     world_timeline = timeline.build(run.world, run.seed)
     indices = {
         step.index for step in world_timeline.steps if step.target is TargetKind.CONVERTER and step.fault in kinds
@@ -44,6 +44,6 @@
 
 
 def started_uids(run: Run, until_us: float = float("inf")) -> set[str]:
-    """Return the uids of the converters that start during the run, before a time."""
+    """Return the uids of the converters that start during the run, before `until_us`."""
     steps = timeline.build(run.world, run.seed).steps
     return {step.uid for step in steps if step.action is FaultAction.START and step.at_us < until_us}
--- a/ryepier/experiments/core/processes.py
+++ b/ryepier/experiments/core/processes.py
@@ -1,4 +1,4 @@
-"""Waits for processes that an experiment starts by itself."""
+"""Waits for server processes that an experiment starts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def wait_until_listening(process: subprocess.Popen[bytes], address: tuple[str, int], name: str) -> None:
-    """Wait until a process accepts connections. Raises HarnessError that `name` did not start."""
+    """Wait until a process accepts connections. Raises HarnessError, with `name` in its text, if it does not."""
     deadline_s = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < deadline_s and process.poll() is None:
         try:
@@ -23,4 +23,4 @@
         else:
             writer.close()
             return
-    raise HarnessError(f"{name} did not come up")
+    raise HarnessError(f"{name} exited or did not accept connections in time")
--- a/ryepier/experiments/core/quantiles.py
+++ b/ryepier/experiments/core/quantiles.py
@@ -1,4 +1,4 @@
-"""Quantiles of the distributions from which bounds on counts are derived."""
+"""Quantiles of the binomial and Poisson distributions, from which bounds on counts are derived."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def poisson_quantile(mean: float, tail_probability: float) -> int:
-    """Return the lowest count that a Poisson variable of this mean exceeds with a probability of at most `beyond`."""
+    """Return the lowest count that a Poisson variable exceeds with a probability of at most `tail_probability`."""
     count, term = 0, math.exp(-mean)
     tail = 1.0 - term
     while tail > tail_probability:
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -1,4 +1,4 @@
-"""Writes a run's report: one HTML file with claims, figures, plots and events, which needs no network to be opened."""
+"""Writes a run's report, one self-contained HTML file with its claims, figures, plots and events."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 matplotlib.use("svg")
 
 REPORT_FILE = "report.html"
-WINDOW_S = 0.5  # of the curves over time
-MAX_LISTED_BREACHES = 50  # breaches.json has all
+WINDOW_S = 0.5  # window of the curves over time
+MAX_LISTED_BREACHES = 50  # breaches.json has all of them
 MAX_LISTED_EVENTS = 200
 PLOT_SIZE_IN = (9.0, 2.6)
 LINE_WIDTH_PT = 1.0
 SMALL_FONT_PT = 7
-MIN_SHADED_S = 0.05  # a fault without a duration is drawn as a line
+MIN_SHADED_S = 0.05  # width at which a fault without a duration is drawn
 LATENCY_CURVES = (("median", 50.0), ("99%", 99.0), ("99.9%", 99.9))
-TAIL_TICKS = {1: "0%", 10: "90%", 100: "99%", 1000: "99.9%", 10000: "99.99%"}  # by 1 / (1 - share)
+TAIL_TICKS = {1: "0%", 10: "90%", 100: "99%", 1000: "99.9%", 10000: "99.99%"}  # percentile p is at 1 / (1 - p)
 PLOTTED_OUTCOMES = ("refused", "failed", "timeout", "broken", "unreachable")
 US_PER_S = 1e6
 US_PER_MS = 1000
@@ -49,7 +49,7 @@
 
 
 def write(folder: Path) -> Path:
-    """Write the report of the run in a folder beside its files, and return its path.
+    """Write the report of a run into the run's folder, and return its path.
 
     Raises OSError and msgspec.MsgspecError if the run's files are missing or unreadable.
     """
@@ -112,7 +112,7 @@
 
 
 def _make_axes(world: World | None = None) -> tuple[Figure, Axes]:
-    """Return an empty plot; with a world, one over its time with its faults shaded."""
+    """Return an empty plot. With a world, the x axis is the time of the run, and the world's faults are shaded."""
     figure = Figure(figsize=PLOT_SIZE_IN)
     axes = figure.add_subplot()
     axes.grid(alpha=0.3)
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -30,10 +30,10 @@
 )
 
 LIBRARIES = ("httptools", "numpy", "msgspec", "hdrhistogram")
-CONTROL_FOLDER = "paired"  # of the control run, within the folder of the run
+CONTROL_FOLDER = "paired"  # folder of the control run, within the folder of the run
 US_PER_MS = 1000
 
-WorldRunner = Callable[[World, Path, bool], History]  # the last: whether it is the control run
+WorldRunner = Callable[[World, Path, bool], History]  # arguments: world, folder, whether it is the control run
 
 
 def run_experiment(
@@ -42,7 +42,7 @@
     watcher: harness.Watcher | None = None,
     backend: Backend = Backend.SOCKETS,
 ) -> list[Claim]:
-    """Run an experiment's world, write all results into the trial's folder, and return the claims.
+    """Run an experiment's world, write all results into the trial's folder, and return the checked claims.
 
     Raises HarnessError if the emulator failed or the experiment can't run on the backend.
     """
@@ -65,9 +65,9 @@
 
 
 def run_benchmark(benchmark: Benchmark, trial: TrialConfig) -> list[Claim]:
-    """Run a benchmark, write its result into the trial's folder, and return the claims.
+    """Run a benchmark, write its result into the trial's folder, and return the checked claims.
 
-    Raises HarnessError if it could not be run.
+    Raises HarnessError if the benchmark could not be run.
     """
     trial.folder.mkdir(parents=True, exist_ok=True)
     measurement = benchmark.measure(trial)
@@ -77,9 +77,9 @@
 
 
 def lateness_claim(run: Run, valid_until_s: Callable[[Run], float] | None) -> Claim:
-    """Return the claim that the emulator was on time; where it fails, the run is void.
+    """Return the claim that the emulator was on time. If it does not hold, the run is invalid.
 
-    With `valid_until_s` it covers only the part of the run up to there.
+    With `valid_until_s`, the claim covers only the part of the run before that time.
     """
     bound_ms = run.world.harness.lateness_ms
     process_lateness = run.history.lateness
@@ -114,7 +114,7 @@
 
 
 def _check_claims(experiment: Experiment, run: Run) -> list[Claim]:
-    """Return the claims on the emulator, then on the judge's rules, then the experiment's own."""
+    """Return the claims on the emulator, on the protocol's rules, and on the experiment, in this order."""
     counts = Counter(breach.rule for breach in run.breaches)
     return [
         lateness_claim(run, experiment.valid_until_s),
@@ -150,7 +150,7 @@
 
 
 def _make_socket_runner(experiment: Experiment, trial: TrialConfig, watcher: harness.Watcher | None) -> WorldRunner:
-    """Return a function that runs a world on real sockets; the control run has no seeded fault in its sidecars."""
+    """Return a function that runs a world on real sockets. The control run's sidecars have no seeded fault."""
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
         roles = _assign_roles(experiment, trial.seeded_fault)
@@ -163,7 +163,7 @@
 
 
 def _assign_roles(experiment: Experiment, seeded_fault: str) -> harness.RoleAssignment:
-    """Return the commands of the run's processes, with the experiment's own faults and the seeded one."""
+    """Return the commands of the run's processes, with the experiment's own faults and the trial's seeded fault."""
     roles = harness.RoleAssignment(
         sidecar_overrides={
             index: seeded_faults.command_with_fault(name) for index, name in experiment.sidecar_faults.items()
@@ -182,7 +182,7 @@
 
 @contextmanager
 def _limited_to_cores(count: int) -> Iterator[None]:
-    """Limit this process and those that it starts to `count` cores; 0 for no limit."""
+    """Limit this process and its children to `count` cores; 0 for no limit."""
     allowed = os.sched_getaffinity(0)
     if count:
         os.sched_setaffinity(0, set(sorted(allowed)[:count]))
@@ -193,12 +193,12 @@
 
 
 def _make_simulation_runner(experiment: Experiment, trial: TrialConfig) -> WorldRunner:
-    """Return a function that runs a world in this process; a seeded fault stays in the process.
+    """Return a function that simulates a world in this process. A seeded fault stays installed in the process.
 
-    Raises HarnessError for an experiment that measures CPU or has processes with faults of their own.
+    Raises HarnessError for an experiment that measures CPU or seeds faults into some of the processes.
     """
     if experiment.measures_cpu or experiment.sidecar_faults or experiment.restarted_planner_fault:
-        raise HarnessError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
+        raise HarnessError(f"{experiment.name} can't be simulated: it measures CPU or has processes with own faults")
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
         if trial.seeded_fault and not is_control:
--- a/ryepier/experiments/core/usage.py
+++ b/ryepier/experiments/core/usage.py
@@ -1,4 +1,4 @@
-"""CPU time and resident memory of processes. Imports nothing heavy, as lightweight processes load it."""
+"""Reads CPU time and resident memory of processes. Has no large imports, as lightweight processes load it."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 BYTES_PER_KIB = 1024
-# fields of /proc/PID/stat, counted from the one after the program's name
+# indices of the fields of /proc/PID/stat after the program's name
 USER_TICKS_FIELD, SYSTEM_TICKS_FIELD, RESIDENT_PAGES_FIELD = 11, 12, 21
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used so far, and holds now."""
+    """The CPU time that a process has used so far, and its current resident memory."""
 
     cpu_s: float
     resident_bytes: int
@@ -28,19 +28,19 @@
 
 
 def own_usage() -> Usage:
-    """Return the usage of this process with all its threads; CPU time to the microsecond."""
+    """Return the usage of this process with all its threads; the CPU time has microsecond resolution."""
     return Usage(time.process_time(), resident_bytes(Path(OWN_STATUS).read_text()))
 
 
 def usage(pid: int) -> Usage:
-    """Return the usage of another process; CPU time to a clock tick, usually 10 ms. Raises OSError if it is gone."""
+    """Return the usage of another process; CPU time in clock ticks, usually 10 ms. Raises OSError if it is gone."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])
     return Usage(ticks / TICKS_PER_S, int(fields[RESIDENT_PAGES_FIELD]) * PAGE_BYTES)
 
 
 def resident_bytes(status: str) -> int:
-    """Return the resident memory in the text of /proc/PID/status. Raises OSError if there is none."""
+    """Return the resident memory from the text of /proc/PID/status. Raises OSError if the field is missing."""
     return status_kib(status, "VmRSS") * BYTES_PER_KIB
 
 
--- a/ryepier/experiments/core/worlds.py
+++ b/ryepier/experiments/core/worlds.py
@@ -1,4 +1,4 @@
-"""The world files that come with the project."""
+"""Loads the world files that come with the project."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def load(name: str) -> World:
-    """Return the world of the file with this name, without its suffix. Raises FileNotFoundError."""
+    """Return the world of the file `name`.toml. Raises FileNotFoundError if there is no such file."""
     return worlds.parse(resources.files("ryepier.worlds").joinpath(f"{name}.toml").read_text())
 
 
--- a/ryepier/experiments/seeded_faults.py
+++ b/ryepier/experiments/seeded_faults.py
@@ -1,8 +1,8 @@
-"""Sidecars and planners with one seeded fault, to show that a claim can fail.
+"""Runs a sidecar or a planner with one seeded fault, to show that the experiments' claims detect it.
 
-`python -m ryepier.experiments.seeded_faults FAULT` is a sidecar like `python -m ryepier.sidecar` with that fault; with
-`--config FILE` it is one like `ryepier run`, and for a fault of planners, one like `ryepier planner`. The faults are
-beside the experiments that find them.
+`python -m ryepier.experiments.seeded_faults FAULT` runs `python -m ryepier.sidecar` with that fault. With further
+arguments, such as `--config FILE`, it runs `ryepier run`; a fault of planners always runs `ryepier planner`. Each
+package of experiments defines the faults that its experiments detect.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 
 
 def command_with_fault(seeded_fault: str) -> list[str]:
-    """How to start a sidecar with this mistake."""
+    """Return the command line of a sidecar or a planner with this seeded fault."""
     return [sys.executable, "-B", "-m", "ryepier.experiments.seeded_faults", seeded_fault]
 
 
 def main() -> int:
-    """Plant the mistake that the first argument names, then start what the others ask for; its exit status."""
+    """Install the fault that the first argument names, run the sidecar or planner, and return its exit status."""
     seeded_fault, *arguments = sys.argv[1:]
     SEEDED_FAULTS[seeded_fault]()
     if seeded_fault in PLANNER_FAULTS or arguments:
-        # the command line lies above this floor, so it is started as a person would start it
+        # the import rules forbid this package to import the command line, so it is run as a module
         sys.argv = ["ryepier", "planner" if seeded_fault in PLANNER_FAULTS else "run", *arguments]
         runpy.run_module("ryepier", run_name="__main__")
     return sidecar.main()
