--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -1,7 +1,8 @@
-"""`breaking-point`: how many requests per second does one sidecar serve on one core?
+"""Experiment `breaking-point`: the request rate that one sidecar sustains on one core.
 
-The load on a single sidecar rises until its service falls for two windows in a row. Claims: the rate at that point, the
-CPU time per request up to it, and answers in time before it; the rules of safety hold beyond it too.
+The load on a single sidecar rises until its service level drops in two consecutive windows. The claims bound the rate
+at that point and the CPU time per request before it, and require answers in time before it. The safety rules have to
+hold after it as well.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from ryepier.experiments.faults.scaling import FULL_DURATION_FACTOR
 
 WINDOW_S = 1.0
-MIN_SERVICE = 0.95  # in a window; below it the load is too high
-MEASURED_FROM_S = 1.0  # after the start
+MIN_SERVICE = 0.95  # a window with a lower service level counts as overloaded
+MEASURED_FROM_S = 1.0  # time of the run; the CPU time before it is not counted
 MIN_REQUESTS_PER_S = 2000
 MAX_CPU_US_PER_REQUEST = 450
 US_PER_S = 1e6
 TIMELINESS_RULES = ("unanswered", "held-up", "broken")
-# Without a free core a sidecar can't answer in time, but must keep all other rules.
+# Rules that a sidecar has to keep even when overload prevents it from answering in time.
 SAFETY_RULES = (
     "second-answer",
     "forged",
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """One window of the run."""
+    """The offered rate and the service level in one window of the run."""
 
     begin_s: float
     offered_per_s: float
@@ -52,13 +53,13 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Return whether the service is below the bound."""
+        """Return whether the service level is below `MIN_SERVICE`."""
         return self.service < MIN_SERVICE
 
 
 @dataclass(frozen=True, slots=True)
 class BreakingPoint:
-    """The last window before the overload."""
+    """The offered rate and the end of the last window before the overload."""
 
     offered_per_s: float
     end_s: float
@@ -72,7 +73,7 @@
 
 
 def split_into_windows(run: Run) -> list[Window]:
-    """Return the offered rate and the service of each window of the run."""
+    """Return the offered rate and the service level of each window of the run."""
     windows = []
     for begin_s in np.arange(0.0, run.world.duration_s, WINDOW_S).tolist():
         is_inside = figures.due_between(begin_s, begin_s + WINDOW_S)
@@ -82,7 +83,7 @@
 
 
 def find_breaking_point(run: Run) -> BreakingPoint:
-    """Return the last window before two overloaded ones; the last of the run if there are none."""
+    """Return the last window before two consecutive overloaded ones; the run's last window if there are none."""
     windows = split_into_windows(run)
     for window, (first, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
         if first.is_overloaded and second.is_overloaded:
@@ -91,7 +92,7 @@
 
 
 def cpu_us_per_request(run: Run, end_s: float) -> float:
-    """Return the sidecar's CPU time per request until a time; infinite without samples."""
+    """Return the sidecar's CPU time per request from `MEASURED_FROM_S` to `end_s`; infinite without samples."""
     cpu_us = figures.cpu_us_per_request(run.history, 0, MEASURED_FROM_S, end_s)
     return float("inf") if cpu_us is None else cpu_us
 
--- a/ryepier/experiments/faults/ceiling.py
+++ b/ryepier/experiments/faults/ceiling.py
@@ -1,7 +1,7 @@
-"""`ceiling`: what rate can the emulator itself offer and serve?
+"""Experiment `ceiling`: the request rate that the emulator itself can offer and serve.
 
-Clients send to the emulated converters without a sidecar between, on four cores. Claim: the emulator serves more than
-any experiment asks of it, so that none of them measures the emulator.
+Clients send requests directly to the emulated converters, without a sidecar, on four cores. The claim requires a higher
+rate than any experiment uses, so that no experiment measures the limits of the emulator.
 """
 
 from __future__ import annotations
--- a/ryepier/experiments/faults/hang.py
+++ b/ryepier/experiments/faults/hang.py
@@ -1,7 +1,7 @@
-"""`hang`: are converters that accept requests and never answer ejected, and restored afterwards?
+"""Experiment `hang`: sidecars eject converters that accept requests but never answer, and restore them afterwards.
 
-A sixth of the converters hangs for some seconds. Claims on its second half: hardly any attempts go to the hung ones and
-the service is back; and after it the service is as before.
+A sixth of the converters hangs for some seconds. In the second half of that time, the claims limit the share of
+attempts at hung converters and require a high service level; after it, they require the usual service level.
 """
 
 from __future__ import annotations
--- a/ryepier/experiments/faults/release.py
+++ b/ryepier/experiments/faults/release.py
@@ -1,7 +1,7 @@
-"""`release`: does a rolling release of all converters go unnoticed by the clients?
+"""Experiment `release`: clients are not affected by a rolling release of all converters.
 
-All converters drain, end and are replaced by cold ones in turn, while discovery watches break. Claims: sidecars are
-notified of nearly every drain, every new converter is put to use, and the service stays high throughout.
+All converters drain, stop and are replaced by cold ones in turn, while discovery watches break. The claims require that
+sidecars are notified of nearly every drain, that every new converter gets requests, and a high service level.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.faults.scaling import scale_world
 
-MIN_NOTIFIED_SHARE = 0.9  # of the drains, at each sidecar: a broken watch may miss one
+MIN_NOTIFIED_SHARE = 0.9  # of the drains, over all sidecars; a sidecar may miss one while its watch is broken
 MIN_SERVICE = 0.95
 
 
--- a/ryepier/experiments/faults/scaling.py
+++ b/ryepier/experiments/faults/scaling.py
@@ -1,4 +1,4 @@
-"""The worlds of this package at both scales."""
+"""Enlarges this package's worlds for full scale."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from ryepier.emulator.world import Fault, World
 from ryepier.experiments.core.contract import Scale
 
-FULL_FLEET_FACTOR = 3  # converters, sidecars and traffic of `full`, relative to `small`
-FULL_DURATION_FACTOR = 2  # duration and fault times of `full`, relative to `small`
+FULL_FLEET_FACTOR = 3  # converters, sidecars and traffic at full scale, relative to small scale
+FULL_DURATION_FACTOR = 2  # duration and fault times at full scale, relative to small scale
 
 
 def scale_world(world: World, scale: Scale) -> World:
-    """Return the world itself for `small`, and a larger and longer one for `full`."""
+    """Return the world itself at small scale, and a larger and longer one at full scale."""
     if scale is Scale.SMALL:
         return world
     replace = msgspec.structs.replace
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -1,6 +1,6 @@
 """Seeded faults of a sidecar that the experiments of this package detect.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process and can't be undone, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from ryepier.sidecar.system import clock_us
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 
-DUPLICATION_INTERVAL = 40  # requests; the last of so many goes to a second converter too
-LOSS_INTERVAL = 150  # answers; the last of so many is never written
-SPIN_US = 400  # more than a request usually costs
+DUPLICATION_INTERVAL = 40  # one in this many attempts is also sent to a second converter
+LOSS_INTERVAL = 150  # one in this many answers is never written
+SPIN_US = 400  # wasted CPU time per request, more than the usual CPU time per request
 START_DELAY_S = 5.0
 
 
 def send_twice() -> None:
-    """Send one request in many to two converters at once."""
+    """Send one in `DUPLICATION_INTERVAL` attempts to two converters at once."""
     original_start = ConnectionPool.start
     count = 0
 
@@ -59,7 +59,7 @@
 
 
 def lose_answers() -> None:
-    """Never write one answer in many."""
+    """Never write one in `LOSS_INTERVAL` answers to the client."""
     original_answer = RequestDispatcher._answer
     count = 0
 
@@ -75,7 +75,7 @@
 
 
 def ignore_silence() -> None:
-    """Learn nothing about a converter from its silence or timeouts."""
+    """Ignore timeouts and overdue attempts in the estimates of a converter's health."""
     original_adapt = AttemptFeedback._adapt
 
     def adapt_to_answers(
@@ -117,7 +117,7 @@
 
 
 def omit_retry_after() -> None:
-    """Reject without a Retry-After."""
+    """Answer without a Retry-After header."""
     original_answer = RequestDispatcher._answer
 
     def answer_without_retry_after(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
@@ -128,7 +128,7 @@
 
 
 def waste_cpu() -> None:
-    """Spend far more CPU on each request than it needs."""
+    """Waste `SPIN_US` of CPU time on each request."""
     original_on_request = RequestDispatcher.on_request
 
     def accept_slowly(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
@@ -141,7 +141,7 @@
 
 
 def start_late() -> None:
-    """Take long to come up."""
+    """Delay the start by `START_DELAY_S`."""
     time.sleep(START_DELAY_S)
 
 
--- a/ryepier/experiments/faults/sidecar_kill.py
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -1,7 +1,7 @@
-"""`sidecar-kill`: does a sidecar that dies come back fast, and do the others' clients notice nothing?
+"""Experiment `sidecar-kill`: a killed sidecar restarts quickly, without effect on the other sidecars' clients.
 
-One sidecar is killed and started again. Claims: it is up within two seconds, its clients are served again soon, and the
-clients of the other sidecars are served throughout.
+One sidecar is killed and restarted. The claims require that it is ready within two seconds, that its clients are served
+again two seconds after its restart, and that the clients of the other sidecars are served throughout.
 """
 
 from __future__ import annotations
--- a/ryepier/experiments/faults/steady.py
+++ b/ryepier/experiments/faults/steady.py
@@ -1,7 +1,7 @@
-"""`steady`: what does a fleet serve, and at what cost, while nothing goes wrong?
+"""Experiment `steady`: service level and overhead of a fleet without faults.
 
-Converters and sidecars take a constant load, about half of what they can serve. Claims: nearly all operations are
-served within their latency objective, retries are rare, and converters do next to no work in vain.
+The fleet handles a constant load of about half its capacity. The claims require that nearly all operations are served
+within their latency objective, that retries are rare, and that converters waste almost no work.
 """
 
 from __future__ import annotations
--- a/ryepier/experiments/faults/surge.py
+++ b/ryepier/experiments/faults/surge.py
@@ -1,7 +1,7 @@
-"""`surge`: is an overload shed early, with advice on when to retry, and over soon after?
+"""Experiment `surge`: sidecars shed an overload early, with a Retry-After, and recover soon after it.
 
-For 9.6 s the clients send 2.3 times the usual traffic, more than the converters can serve. Claims: the service before,
-during and after the surge, and rejections that carry a Retry-After.
+For 9.6 s the clients send 2.3 times the usual traffic, more than the converters can serve. The claims bound the service
+level before, during and after the surge, and require that nearly all rejections carry a Retry-After.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.faults.scaling import scale_world
 
-MEASURED_FROM_S = 0.5  # after the start
+MEASURED_FROM_S = 0.5  # time of the run; operations planned earlier are excluded
 MIN_SERVICE_BEFORE = 0.97
 MIN_SERVICE_DURING = 0.55
 MIN_SERVICE_AFTER = 0.95
@@ -24,7 +24,7 @@
 
 
 def surge_claims(run: Run) -> list[Claim]:
-    """Return the claims on the service during and after the surge of a run's world."""
+    """Return the claims on the service level during and after the surge of a run's world."""
     surge = fault_of_kind(run.world, FaultKind.SURGE)
     service_during = figures.service_level(run.operations, phases.during(surge))
     service_after = figures.service_level(run.operations, phases.after_recovery(surge, run.world))
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -1,9 +1,12 @@
-"""`retry-storm` and its variants: does the service recover from an outage although clients retry?
+"""Experiment `retry-storm` and its variants: the service recovers from an outage although clients retry.
 
-All converters are out for 5, 15 or 30 s, twice, or without discovery; clients back off and heed Retry-After, half of
-them do, or none. The same seed runs with the sidecars' storm guards and without. Claims: every guard detects the storm,
-the service is back in time, retries are rejected before first attempts, clients are told different times to return, and
-the guard costs next to no service afterwards.
+All converters are down for 5, 15 or 30 s, twice in a row, or while discovery is down too. Clients back off and all or
+half of them honour Retry-After, or they retry at once. The same seed runs with and without the sidecars' retry storm
+guards.
+
+The claims require that every guard detects the storm, that the service recovers in time, that retries are rejected
+rather than first attempts, that clients get different Retry-After times, and that the guard costs almost no service
+after the outage.
 """
 
 from __future__ import annotations
@@ -21,14 +24,14 @@
 LONG_OUTAGE_S = 15.0
 MAX_RECOVERY_S = 8.0
 MAX_RECOVERY_AFTER_LONG_OUTAGE_S = 12.0
-MEASURED_FROM_S = 1.0  # after the start
-OUTAGE_MARGIN_S = 3.0  # operations that begin later may be lost to the outage
+MEASURED_FROM_S = 1.0  # time of the run; operations planned earlier are excluded
+OUTAGE_MARGIN_S = 3.0  # operations planned less than this before the outage may fail because of it
 MIN_SERVICE_BEFORE = 0.97
 MAX_FIRST_TO_RETRY_RATIO = 1.0
 MAX_ADVICE_UNIFORMITY = 0.5
-MAX_LOST_POINTS = 2.0
-MIN_LOST_SHARE_IN_OUTAGE = 0.3  # of the service, without which there was no outage
-MIN_SHARE = 1e-6  # in place of zero as a divisor
+MAX_LOST_POINTS = 2.0  # percentage points of the service level
+MIN_LOST_SHARE_IN_OUTAGE = 0.3  # of the service level; a smaller loss means that there was no outage
+MIN_SHARE = 1e-6  # minimum divisor, which avoids a division by zero
 
 BEHAVIORS = {
     "": ("clients back off and heed Retry-After", ClientBehavior("exponential", 1.0)),
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -1,4 +1,4 @@
-"""How a run recovers from an outage, whom it rejects meanwhile, and what the sidecars' storm guards did."""
+"""Measures a run's recovery from an outage, the rejections until then, and the detections of retry storm guards."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 WINDOW_S = 1.0
 WINDOW_STEP_S = WINDOW_S / 2
-MIN_SERVICE = 0.95  # in a window, to count as recovered
-MIN_OBSERVED_S = 2.0  # of rejections after the outage
-ADVICE_PERIOD_US = 200_000  # rejections in one such period follow one update of the guard
-ADVICE_BIN_US = 50_000  # Retry-After times in one bin count as the same
-MIN_GROUP_SIZE = 20  # rejections in a period, for their share to mean anything
+MIN_SERVICE = 0.95  # service level from which a window counts as recovered
+MIN_OBSERVED_S = 2.0  # minimum time after the outage over which rejections are counted
+ADVICE_PERIOD_US = 200_000  # rejections within one period follow the same update of the guard
+ADVICE_BIN_US = 50_000  # Retry-After times in the same bin count as equal
+MIN_GROUP_SIZE = 20  # groups of fewer rejections are ignored as not significant
 STORM_DETECTED_MESSAGE = "a retry storm opens"  # in a sidecar's log
 US_PER_S = 1e6
 
 
 def recovery_s(run: Run) -> float:
-    """Return the time from the outage's end until every later window is served well.
+    """Return the time from the outage's end until the service level stays at `MIN_SERVICE` or above.
 
-    Retries count for the window of their operation's first attempt. If that never happens, return the time to the end
-    of the run.
+    Retries count towards the window of their operation's first attempt. Without a recovery, return the time from the
+    outage's end to the end of the run.
     """
     end_s = find_outage(run.world).end_s
     begins_s = np.arange(end_s, run.world.duration_s - WINDOW_S, WINDOW_STEP_S).tolist()
@@ -41,7 +41,7 @@
 
 
 def rejected_share(run: Run, retries: bool) -> float:
-    """Return the rejected share of the first attempts, or of the retries, from the outage's end to the recovery."""
+    """Return the rejected share of the first attempts (or retries) between the outage's end and the recovery."""
     begin_s = find_outage(run.world).end_s
     end_s = begin_s + max(MIN_OBSERVED_S, recovery_s(run))
     outcomes = [
@@ -53,10 +53,10 @@
 
 
 def advice_uniformity(run: Run) -> float:
-    """Return how alike the Retry-After times of one moment are: 1 makes all clients return together.
+    """Return how uniform the Retry-After times of simultaneous rejections are; at 1, all clients return together.
 
-    Groups rejections by sidecar, period, and first attempt or retry; the largest share of a group in one bin, on
-    average over the groups.
+    Rejections are grouped by sidecar, by period, and by first attempt or retry. The result is the mean over the groups
+    of the largest share of a group whose Retry-After times are in the same bin; 1 if there are no groups.
     """
     groups: dict[tuple[int, int, bool], list[ClientAttempt]] = defaultdict(list)
     for attempt in run.history.client_attempts:
--- a/ryepier/experiments/storms/one_sidecar.py
+++ b/ryepier/experiments/storms/one_sidecar.py
@@ -1,7 +1,7 @@
-"""`retry-storm-one`: does the guard act at the sidecar that is struck, and nowhere else?
+"""Experiment `retry-storm-one`: the retry storm guard acts only at the sidecar whose requests are rejected.
 
-For five seconds converters reject what one of three sidecars forwards. Claims: only that sidecar's guard detects a
-storm, the clients of the others lose next to nothing, and the service recovers.
+For five seconds converters reject all requests of one of three sidecars. The claims require that only that sidecar's
+guard detects a storm, that the clients of the other sidecars lose almost no service, and that the service recovers.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 AFFECTED_LOG = f"sidecar-{worlds.AFFECTED_SIDECAR}.log"
 MIN_SERVICE = 0.97
-MAX_LOST_POINTS = 0.5
+MAX_LOST_POINTS = 0.5  # percentage points of the service level
 
 
 def _is_at_other_sidecar(attempt: ClientAttempt) -> bool:
--- a/ryepier/experiments/storms/outage.py
+++ b/ryepier/experiments/storms/outage.py
@@ -1,4 +1,4 @@
-"""When the converters of a run are out, and the service before, during and after that."""
+"""Finds the time in which the converters of a run are down, and the service level after it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """From the begin of the first fault that takes converters out to the end of the last one."""
+    """The time from the start of the first fault that takes converters down to the end of the last one."""
 
     begin_s: float
     end_s: float
@@ -25,7 +25,7 @@
 
 
 def end_of_fault_s(fault: Fault) -> float:
-    """Return when what a fault struck is up again."""
+    """Return the time of the run at which the converters that a fault affected are available again."""
     restart_s = fault.drain_s + fault.down_s if fault.kind is FaultKind.RELEASE else 0.0
     return phases.end_s(fault) + restart_s
 
@@ -37,6 +37,6 @@
 
 
 def service_after(run: Run) -> float:
-    """Return the service from the outage's end to the end of the run."""
+    """Return the service level from the outage's end to the end of the run."""
     outage = find_outage(run.world)
     return figures.service_level(run.operations, phases.from_time(outage.end_s, run.world))
--- a/ryepier/experiments/storms/real_surge.py
+++ b/ryepier/experiments/storms/real_surge.py
@@ -1,7 +1,7 @@
-"""`real-surge`: is a surge of first attempts told apart from a storm of retries?
+"""Experiment `real-surge`: the retry storm guard does not mistake a surge of first attempts for a retry storm.
 
-The clients' own traffic rises, with no outage before. The same seed runs with the sidecars' storm guards and without.
-Claims: no guard detects a storm, and the guard costs next to no service.
+The clients' own traffic rises, without an outage before. The same seed runs with and without the sidecars' retry storm
+guards. The claims require that no guard detects a storm, and that the guard costs almost no service.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.storms import measures, worlds
 
-MAX_LOST_POINTS = 2.0
+MAX_LOST_POINTS = 2.0  # percentage points of the service level
 
 
 def _world(scale: Scale) -> World:
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Seeded faults of the guard against retry storms.
+"""Seeded faults of the retry storm guard.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process and can't be undone, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def advise_same_time() -> None:
-    """Advise all requests that are rejected in a storm to return at the same time."""
+    """Give all requests that are rejected in a storm the same Retry-After time."""
     original_retry_after_us = RetryPolicy.retry_after_us
 
     def same_retry_after_us(self: RetryPolicy, request: PendingRequest, storm: RetryStormUpdated) -> int:
@@ -26,7 +26,7 @@
 
 
 def detect_any_retry() -> None:
-    """Take any retries for a storm."""
+    """Detect a retry storm as soon as there is any retry."""
     from ryepier.storm.storm_detector import RetryStormDetector, StormEvidence
 
     RetryStormDetector._should_open = lambda self, evidence: evidence.retry_share > 0  # type: ignore[method-assign]
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -1,4 +1,4 @@
-"""The worlds of the experiments on retry storms."""
+"""The worlds of the experiments on retry storms, derived from one world file."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.storms.outage import end_of_fault_s
 
-BASE_WORLD = "retry-storm"  # all converters end at once, and start again after a while
-SHORT_OUTAGE_S = 5.0  # of the world file
-FULL_OUTAGE_S = 30.0  # at full scale
-AFTER_OUTAGE_S = 14.0  # to the end of a longer world
-SECOND_OUTAGE_AFTER_S = 5.0
-DISCOVERY_LEAD_S = 1.0  # discovery goes away this long before the converters
+BASE_WORLD = "retry-storm"  # world file in which all converters stop at once and restart later
+SHORT_OUTAGE_S = 5.0  # outage in the world file
+FULL_OUTAGE_S = 30.0  # outage at full scale
+AFTER_OUTAGE_S = 14.0  # time between a longer outage and the end of the run
+SECOND_OUTAGE_AFTER_S = 5.0  # time between the end of the first outage and the second one
+DISCOVERY_LEAD_S = 1.0  # discovery goes down this long before the converters
 AFFECTED_SIDECAR = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ClientBehavior:
-    """How clients of a world retry."""
+    """The retry behaviour of a world's clients."""
 
     backoff: str  # a value of the world file's clients.backoff
-    obedient_share: float  # of the clients, which wait as Retry-After says
+    obedient_share: float  # share of the clients that honour Retry-After
 
 
 def without_guard(world: World) -> World:
-    """Return the same world with the sidecars' storm guards switched off."""
+    """Return the same world with the sidecars' retry storm guards disabled."""
     return msgspec.structs.replace(world, sidecars=msgspec.structs.replace(world.sidecars, storm=False))
 
 
 def outage(behavior: ClientBehavior, outage_s: float) -> Callable[[Scale], World]:
-    """Return the world in which all converters are out for a time, at full scale for `FULL_OUTAGE_S`."""
+    """Return a function that makes a world with an outage of all converters; `FULL_OUTAGE_S` at full scale."""
 
     def make_world(scale: Scale) -> World:
         base, replace = load(BASE_WORLD), msgspec.structs.replace
@@ -53,7 +53,7 @@
 
 
 def two_outages(scale: Scale) -> World:
-    """Return the world in which all converters are out a second time, soon after they are back."""
+    """Return the world with a second outage of all converters, shortly after the first one."""
     base, replace = load(BASE_WORLD), msgspec.structs.replace
     first = base.faults[0]
     second = replace(first, at_s=end_of_fault_s(first) + SECOND_OUTAGE_AFTER_S)
@@ -62,7 +62,7 @@
 
 
 def outage_without_discovery(scale: Scale) -> World:
-    """Return the world in which converters refuse connections, and discovery is away from before that to the end."""
+    """Return the world in which converters refuse connections, and discovery is down from before that to the end."""
     base = load(BASE_WORLD)
     first = base.faults[0]
     refuse = Fault(kind=FaultKind.REFUSE, at_s=first.at_s, for_s=first.down_s)
@@ -73,7 +73,7 @@
 
 
 def rejections_for_one_sidecar(scale: Scale) -> World:
-    """Return the world in which converters reject what `STRUCK_SIDECAR` forwards."""
+    """Return the world in which converters reject all requests of `AFFECTED_SIDECAR`."""
     base = load(BASE_WORLD)
     first = base.faults[0]
     fault = Fault(kind=FaultKind.TURN_AWAY, at_s=first.at_s, for_s=first.down_s, via=AFFECTED_SIDECAR)
