--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -1,7 +1,7 @@
-"""`graphql-cost`: how much CPU time does a request cost more when the sidecar reads GraphQL?
+"""Benchmark `graphql-cost`: CPU time per request of a sidecar that parses GraphQL, relative to plain HTTP.
 
-The same load on one sidecar, one after another: plain HTTP, GraphQL with the usual documents, and GraphQL with
-documents that are never the same. Claims: the CPU time per request of each kind of GraphQL relative to plain HTTP.
+One sidecar gets the same load in three runs: as plain HTTP, as GraphQL with recurring documents, and as GraphQL with
+documents that never recur. The claims bound the CPU time per request of both kinds of GraphQL, relative to plain HTTP.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 RATE_PER_S = 1500.0
 DURATION_S = 6.0
-MEASURED_FROM_S = 1.5  # the sidecar is up and its caches are warm
+MEASURED_FROM_S = 1.5  # by then the sidecar has started and its caches are warm
 MEASURED_TO_S = 5.5
 MIN_SERVED_SHARE = 0.98
 MAX_RATIO_OF_USUAL = 1.3
@@ -41,21 +41,21 @@
 
 
 def cpu_us_per_request(document_kind: str, seed: int, folder: Path, command: tuple[str, ...] | list[str]) -> float:
-    """Run a sidecar started by a command, and return its CPU time per request in the middle of the run.
+    """Run a sidecar with the given command, and return its CPU time per request in the middle of the run.
 
-    Raises HarnessError if it served too little to tell.
+    Raises HarnessError if the run served fewer than `MIN_SERVED_SHARE` of the requests.
     """
     roles = harness.RoleAssignment(sidecar_command=command)
     history = harness.play(_world(document_kind), seed, folder, roles)
     cpu_us = figures.cpu_us_per_request(history, 0, MEASURED_FROM_S, MEASURED_TO_S)
     served = sum(attempt.outcome is RequestOutcome.SERVED for attempt in history.client_attempts)
     if cpu_us is None or served < MIN_SERVED_SHARE * len(history.client_attempts):
-        raise HarnessError("a run that served too little says nothing of what serving costs")
+        raise HarnessError("too few requests were served for a measurement of the CPU time per request")
     return cpu_us
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure all three kinds; a seeded fault is in the sidecar that reads the usual documents."""
+    """Measure all three kinds of requests. A seeded fault applies only to the run with the usual documents."""
     usual_command = seeded_faults.command_with_fault(trial.seeded_fault) if trial.seeded_fault else harness.FORWARDER
     commands = {PLAIN: harness.FORWARDER, USUAL: usual_command, UNIQUE: harness.FORWARDER}
     cpu_us = {
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -1,4 +1,4 @@
-"""What happens to queries whose attempts are reset, given each sidecar's retry budget."""
+"""Counts which queries were retried after a reset of an attempt, given each sidecar's retry budget."""
 
 from __future__ import annotations
 
@@ -12,42 +12,43 @@
 from ryepier.experiments.core.contract import Run
 from ryepier.experiments.core.quantiles import binomial_quantile
 
-# the smallest retry budget that a sidecar may have; a smaller one retries less and fails the claim
-BUDGET_RATIO = 0.2  # retries that a first attempt earns
+# The minimum retry budget that a sidecar has to have: a smaller one allows fewer retries and fails the claim.
+BUDGET_RATIO = 0.2  # retries added to the budget per first attempt
 MAX_BUDGET = 5.0  # retries
-SPARE_BUDGET = 2.0  # retries: one is available even if another is in transit between the two processes
-MIN_RETRIED_SHARE = 0.98  # of the resets with a spare budget; attempts that never arrived are in no converter's records
-QUANTILE_LEVEL = 0.001  # one run in a thousand falls below the bound by chance
+SPARE_BUDGET = 2.0  # retries; one is available even if another has been sent and not yet been received
+MIN_RETRIED_SHARE = 0.98  # of the resets with a spare budget; attempts that never arrived are not recorded
+QUANTILE_LEVEL = 0.001  # probability that a run falls below the bound by chance
 
 
 @dataclass(frozen=True, slots=True)
 class QueryResets:
-    """Counts of the queries whose attempts were reset."""
+    """Counts of queries, of their attempts, and of the attempts that were reset."""
 
-    attempts: int  # of queries
-    resets: int  # of those
-    with_available_retry: int  # of the resets: the query had attempts left, and its sidecar's budget a retry
-    with_spare_budget: int  # of those: the budget was `SPARE_BUDGET` or more
-    retried: int  # of those
+    attempts: int  # attempts of all queries
+    resets: int  # of those, the attempts that were reset
+    with_available_retry: int  # of the resets, those with an attempt left and at least one retry in the budget
+    with_spare_budget: int  # of those, the resets with a budget of at least `SPARE_BUDGET`
+    retried: int  # of those, the resets that were followed by a retry
     retried_queries: int  # queries with a further attempt after a reset
-    served_queries: int  # of those
+    served_queries: int  # of those, the queries that were served
 
     @property
     def retried_share(self) -> float:
-        """Return the retried share of the resets at which a retry was certainly available."""
+        """Return the share of the resets with a spare budget that were followed by a retry."""
         return self.retried / max(1, self.with_spare_budget)
 
     @property
     def served_share(self) -> float:
-        """Return the served share of the queries that were retried."""
+        """Return the share of the retried queries that were served."""
         return self.served_queries / max(1, self.retried_queries)
 
     @property
     def min_served_share(self) -> float:
-        """Return the share that two further attempts serve, except with a probability of `QUANTILE`.
+        """Return the least share of the retried queries that two further attempts should serve.
 
-        By the run's own share of resets. The second further attempt is made only as often as a reset found a retry in
-        the budget; a third is not counted on.
+        The bound is the quantile at `QUANTILE_LEVEL` of a binomial distribution. Its success probability follows from
+        the run's share of resets, with a second further attempt as often as a reset found a retry in the budget. A
+        third further attempt is not taken into account.
         """
         reset_share = self.resets / max(1, self.attempts)
         second_attempt_share = reset_share * self.with_available_retry / max(1, self.resets)
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class SentAttempt:
-    """One attempt of a sidecar, as a converter received it."""
+    """An attempt of a sidecar, with the time at which a converter received it."""
 
     at_us: int
     sidecar: int
@@ -65,13 +66,13 @@
 
 
 class RetryBudgets:
-    """Each sidecar's retry budget over a run, from the attempts that converters received.
+    """Each sidecar's retry budget over the time of a run, computed from the attempts that converters received.
 
-    A first attempt earns a share of a retry, a retry costs one, and a budget never exceeds `MAX_BUDGET`.
+    A first attempt adds `BUDGET_RATIO` to the budget, a retry takes 1 from it, and it never exceeds `MAX_BUDGET`.
     """
 
     def __init__(self, attempts: Iterable[SentAttempt]) -> None:
-        """Compute all budgets."""
+        """Compute the budgets of all sidecars, which start at `MAX_BUDGET`, from attempts in any order."""
         self._times_us: dict[int, list[int]] = defaultdict(lambda: [NEVER])
         self._budgets: dict[int, list[float]] = defaultdict(lambda: [MAX_BUDGET])
         for attempt in sorted(attempts):
@@ -81,7 +82,7 @@
             self._times_us[attempt.sidecar].append(attempt.at_us)
 
     def lowest_between(self, sidecar: int, from_us: int, until_us: int) -> float:
-        """Return the lowest budget from one time until just before another."""
+        """Return the lowest budget of a sidecar from `from_us` (inclusive) to `until_us` (exclusive)."""
         times_us = self._times_us[sidecar]
         first = bisect.bisect_right(times_us, from_us) - 1
         end = max(first + 1, bisect.bisect_left(times_us, until_us))
@@ -89,10 +90,10 @@
 
 
 def find_query_resets(run: Run) -> QueryResets:
-    """Count the resets of queries, with the retry budget at each.
+    """Count the resets of queries by the retry budget that was available.
 
-    A sidecar decides at some time between a reset and the next event that its converters or its client see, so a retry
-    was available only if there was one all that time.
+    A sidecar decides on a retry at an unknown time between the reset and the next event that its converters or its
+    client record. So a retry counts as available only if the budget allowed one during all of that time.
     """
     requests = {request.request_id: request for request in run.history.client_attempts}
     attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
@@ -120,16 +121,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reset:
-    """A reset that left its query an attempt."""
+    """A reset after which the query had at least one attempt left."""
 
-    lowest_budget: float  # until the query was retried or given up
+    lowest_budget: float  # lowest budget between the reset and the retry, or the query's end
     was_retried: bool
 
 
 def _find_query_resets(
     request: ClientAttempt, query_attempts: Sequence[ConverterAttempt], budgets: RetryBudgets, max_attempts: int
 ) -> Iterator[_Reset]:
-    """Yield the resets of one query that left it an attempt."""
+    """Yield the resets of one query after which it had at least one attempt left."""
     for number, attempt in enumerate(query_attempts[: max_attempts - 1]):
         if attempt.outcome is not AttemptOutcome.RESET:
             continue
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -1,9 +1,9 @@
-"""`graphql-resets`: does no mutation run twice, and are queries retried, while connections are reset?
+"""Experiment `graphql-resets`: while connections are reset, no mutation runs twice, and queries are retried.
 
-Clients send queries and mutations in many spellings of GraphQL; converters reset connections before and after they have
-run a request. Claims: enough requests and resets to mean anything, no mutation that ran twice, the service of queries,
-and queries retried as far as the retry budget allows, of which nearly all are served (a quantile of the binomial
-distribution at the run's own share of resets).
+Clients send queries and mutations in many GraphQL notations; converters reset connections before and after they have
+executed a request. The claims require enough requests and resets for a significant result, that no mutation ran twice,
+a high service level of queries, and that queries are retried as far as the retry budget allows. Of the retried queries,
+a share has to be served that follows from a quantile of the binomial distribution at the run's own share of resets.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 def count_duplicated_mutations(run: Run) -> int:
-    """Return how many requests that must run at most once ran more often, by the converters' records."""
+    """Return how many at-most-once requests were executed more than once, by the converters' records."""
     effects = _effects(run)
     executions = Counter(
         attempt.request_id for attempt in run.history.converter_attempts if attempt.started_us != NEVER
--- a/ryepier/experiments/graphql/seeded_faults.py
+++ b/ryepier/experiments/graphql/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Seeded faults in how the GraphQL front reads a document.
+"""Seeded faults in how the GraphQL front parses documents.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process and can't be undone, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def classify_by_first_word() -> None:
-    """Take a document for a mutation only if that is its first word."""
+    """Classify a document as a mutation only if its first word is `mutation`."""
     from graphql import OperationType
 
     from ryepier.graphql.document import Document, DocumentCache
@@ -25,7 +25,7 @@
 
 
 def read_every_time() -> None:
-    """Read a document again each time, without the cache."""
+    """Parse a document at each request, without the cache."""
     from ryepier.graphql import document
 
     document.DocumentCache.read = lambda self, text: document.read_document(text)  # type: ignore[method-assign]
--- a/ryepier/experiments/planners/__init__.py
+++ b/ryepier/experiments/planners/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on forwarders and planners: planners lost, killed or without a memory, and what planners gain."""
+"""Experiments on planners and forwarders: loss and restart of planners, false reports, scale, and benefit."""
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -1,7 +1,8 @@
-"""`planner-gain` and `planner-slow`: how much sooner does a fleet with planners avoid bad converters?
+"""Experiments `planner-gain` and `planner-slow`: with planners, a fleet avoids faulty converters sooner.
 
-A sixth of the converters hangs, or becomes ten times as slow; the same seed runs with planners and without. Claims, as
-ratios of with to without: the time until nearly all forwarders avoid those converters, and the service lost meanwhile.
+A sixth of the converters hangs, or becomes ten times as slow. The same seed runs with and without planners. The claims
+bound two ratios of the run with planners to the run without: of the time until nearly all forwarders avoid the faulty
+converters, and of the service lost during the fault.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.planners.worlds import without_planners
 
-STEP_S = 0.1
-WINDOW_S = 1.5  # in which a forwarder that avoids the struck converters sends them next to nothing
-MAX_PROBES = 1  # attempts at them in a window
+STEP_S = 0.1  # resolution of the time until forwarders avoid the affected converters
+WINDOW_S = 1.5  # a forwarder avoids the affected converters if it sends at most `MAX_PROBES` in this time
+MAX_PROBES = 1  # attempts at the affected converters in a window
 AVOIDING_SHARE = 0.95  # of the forwarders
 MAX_TIME_RATIO = 0.5
 MAX_LOST_RATIO_HANG = 0.8
-MAX_LOST_RATIO_SLOW = 1.0  # a sidecar by itself sends slow ones less, so little is left to gain
-MIN_LOST_SHARE = 1e-6  # in place of zero as a divisor
+MAX_LOST_RATIO_SLOW = 1.0  # sidecars avoid slow converters without planners too, so the gain is small
+MIN_LOST_SHARE = 1e-6  # minimum divisor, which avoids a division by zero
 US_PER_S = 1e6
 
 
@@ -35,7 +36,7 @@
 
 
 def avoided_after_s(run: Run, kind: str) -> float:
-    """Return the time from a fault until 95% of the forwarders avoid the struck converters; its length if never."""
+    """Return the time from a fault until 95% of the forwarders avoid the affected converters, at most its length."""
     fault = fault_of_kind(run.world, kind)
     times_s = _attempt_times_at_affected(run, kind)
     sidecars = range(run.world.sidecars.count)
@@ -49,7 +50,7 @@
 
 
 def _attempt_times_at_affected(run: Run, kind: str) -> dict[int, list[float]]:
-    """Return by sidecar when its attempts reached the struck converters, in seconds from the fault."""
+    """Return the arrival times of attempts at the affected converters by sidecar, in seconds since the fault."""
     fault = fault_of_kind(run.world, kind)
     affected_uids = phases.affected_uids(run, (kind,))
     sidecar_by_request = {attempt.request_id: attempt.sidecar for attempt in run.history.client_attempts}
--- a/ryepier/experiments/planners/failover.py
+++ b/ryepier/experiments/planners/failover.py
@@ -1,7 +1,8 @@
-"""`planner-kill` and `planner-hang`: do the forwarders change over to the other planner, and only when they must?
+"""Experiments `planner-kill` and `planner-hang`: forwarders fail over to the second planner, and only if needed.
 
-The leading planner is killed in a surge, or stalls for 5 s with its connections open. Claims: the forwarders change
-over once, and once more when the one that stalled is replaced; the one that stalled steps down; the service stays.
+The leading planner is killed during a surge, or hangs for 5 s with its connections open. The claims require that
+forwarders follow the second planner with no further changes, that the hung planner steps down, and a high service
+level.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 FIRST_PLANNER_LOG = "planner-0.log"
 STEPPED_DOWN_MESSAGE = "follows, epoch"
-MIN_CHANGED_SHARE = 0.95  # of the forwarders, in a surge
+MIN_CHANGED_SHARE = 0.95  # of the forwarders, when the planner is killed during a surge
 MIN_SERVICE = 0.97
 
 
--- a/ryepier/experiments/planners/false_reports.py
+++ b/ryepier/experiments/planners/false_reports.py
@@ -1,7 +1,7 @@
-"""`planner-liar`: can a few forwarders with false reports have healthy converters ejected everywhere?
+"""Experiment `planner-liar`: false reports of a few forwarders can't get healthy converters ejected by the fleet.
 
-Three forwarders report that nearly all requests to a sixth of the converters fail. Claims: all forwarders follow plans,
-none of those converters is without requests for long, and the service stays.
+Three forwarders report that nearly all requests to a sixth of the converters fail. The claims require that all
+forwarders follow plans, that none of those converters is without requests for long, and a high service level.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from ryepier.experiments.planners.followers import count_followers
 from ryepier.experiments.planners.seeded_faults import FALSELY_REPORTED_INTERVAL
 
-FALSE_REPORTERS = 3
-MEASURED_FROM_S = 3.0  # after the start
-MAX_GAP_S = 1.0  # without false reports each has about ten requests per second
+FALSE_REPORTERS = 3  # number of forwarders that report false failures
+MEASURED_FROM_S = 3.0  # time of the run; earlier gaps are not counted
+MAX_GAP_S = 1.0  # without false reports, each converter gets about ten requests per second
 MIN_SERVICE = 0.98
 US_PER_S = 1e6
 
@@ -28,7 +28,7 @@
 
 
 def longest_gap_s(run: Run, uid: str, since_s: float) -> float:
-    """Return the longest time without an attempt at a converter, from a time to the end of the run's arrivals."""
+    """Return the longest time without an attempt at a converter, between `since_s` and the end of the run."""
     arrivals_s = [
         attempt.received_us / US_PER_S
         for attempt in run.history.converter_attempts
--- a/ryepier/experiments/planners/loss.py
+++ b/ryepier/experiments/planners/loss.py
@@ -1,7 +1,8 @@
-"""`planner-loss`: what does a fleet lose while it has no planner at all?
+"""Experiment `planner-loss`: a fleet without any planner loses almost no service.
 
-All planners are away for 12 s (full scale: 60 s) while converters are released. Claims: every forwarder followed a plan
-before, drains are still noticed, and next to no service is lost while they are away or once they are back.
+All planners are down for 12 s (full scale: 60 s) during a release of converters. The claims require that every
+forwarder followed a plan, that sidecars are still notified of drains, and that almost no service is lost while the
+planners are down or after their restart.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 from ryepier.experiments.planners import worlds
 from ryepier.experiments.planners.followers import count_followers
 
-MEASURED_FROM_S = 1.0  # after the start
-MAX_LOST_POINTS = 2.0
+MEASURED_FROM_S = 1.0  # time of the run; operations planned earlier are excluded
+MAX_LOST_POINTS = 2.0  # percentage points of the service level
 
 
 def _claims(run: Run) -> list[Claim]:
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -1,8 +1,8 @@
-"""`planner-reconnect`: do forwarders return to a planner that died spread over time, and all of them?
+"""Benchmark `planner-reconnect`: all forwarders reconnect to a restarted planner, spread over time.
 
-Forwarders as in a sidecar, many in one process, are connected to a listener that counts connections. It dies and is
-back after a moment, or after two seconds. Claims: all forwarders return, within the longest backoff, and no more than a
-part of them in any tenth of a second.
+Many real forwarders in this process are connected to a listener that records connections. The listener closes abruptly
+and restarts after 50 ms or 2 s. The claims require that all forwarders reconnect within the longest backoff, and limit
+the share that reconnects in any tenth of a second.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 FLEET_SIZES = {Scale.SMALL: (50, 500), Scale.FULL: (50, 1000)}  # forwarders
 DOWN_TIMES_S = (0.05, 2.0)
-RETURN_TIMEOUT_S = 8.0
-SETTLING_TIME_S = 1.0
-CLOSING_TIME_S = 0.1
+RETURN_TIMEOUT_S = 8.0  # longest wait for all forwarders to connect
+SETTLING_TIME_S = 1.0  # between the first connections and the crash
+CLOSING_TIME_S = 0.1  # for aborted connections to be closed
 POLL_INTERVAL_S = 0.02
 WINDOW_S = 0.1
 HEARTBEAT_INTERVAL_S = 0.5
-MAX_RETURN_S = MAX_BACKOFF_S + 0.5  # time to connect
+MAX_RETURN_S = MAX_BACKOFF_S + 0.5  # allows 0.5 s to connect
 MAX_PEAK_SHARE = 0.3
 HOST = "127.0.0.1"
 BACKLOG = 4096
@@ -39,17 +39,17 @@
 
 
 class PlannerListener:
-    """A planner as far as connections go: it accepts them, sends heartbeats, and records when they came."""
+    """Accepts connections in place of a planner, records when they were made, and sends heartbeats."""
 
     def __init__(self) -> None:
-        """Start with any free port; later lives keep it."""
+        """Start without a port; the first `listen` chooses a free one, which later calls reuse."""
         self.port = 0
         self.connected_us: list[int] = []
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Start to accept connections."""
+        """Listen and accept connections."""
         self._server = await asyncio.start_server(self._serve, HOST, self.port, backlog=BACKLOG)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -75,7 +75,7 @@
 
     @staticmethod
     async def _send_heartbeats(writer: asyncio.StreamWriter) -> None:
-        """Send heartbeats, without which forwarders would leave a planner that seems to hang."""
+        """Send heartbeats, without which forwarders would take the planner for hung and disconnect."""
         while True:
             writer.write(encode(Heartbeat(Term(1, "a"), True, 0)))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
@@ -83,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReconnectionResult:
-    """How a fleet returned to its planner."""
+    """How the forwarders of a fleet reconnected to their planner."""
 
     returned_share: float
-    last_return_s: float
+    last_return_s: float  # time from the restart to the last reconnection
     peak_share: float  # the largest share within `WINDOW_S`
 
     def as_figures(self, fleet_size: int, down_s: float) -> dict[str, float]:
@@ -100,7 +100,7 @@
 
 
 def summarize_connections(connected_us: list[int], since_us: int, fleet_size: int) -> ReconnectionResult:
-    """Return the shares and times of connections that came after a restart."""
+    """Return when, and with what peak, a fleet reconnected after a restart at `since_us`."""
     if not connected_us:
         return ReconnectionResult(0.0, float("inf"), 1.0)
     times_s = (np.sort(connected_us) - since_us) / US_PER_S
@@ -122,7 +122,7 @@
 
 
 async def restart_planner(fleet_size: int, down_s: float, seed: int) -> ReconnectionResult:
-    """Let a planner die once, and return how its forwarders come back."""
+    """Crash and restart a planner, and return how its forwarders reconnect."""
     planner = PlannerListener()
     await planner.listen()
     forwarders = _make_forwarders(fleet_size, planner.port, seed)
@@ -144,7 +144,7 @@
 
 
 async def _wait_for_connections(planner: PlannerListener, count: int) -> None:
-    """Wait until so many connections came, or a timeout has passed."""
+    """Wait until `count` connections were made or the timeout has passed."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(RETURN_TIMEOUT_S):
             while len(planner.connected_us) < count:
@@ -152,7 +152,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Restart the planner of each fleet after each time."""
+    """Restart the planner once for each fleet size and down time."""
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
     figures: dict[str, float] = {}
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -1,8 +1,8 @@
-"""`planner-empty` and `planner-restart`: what do planners know that have just started?
+"""Experiments `planner-empty` and `planner-restart`: forwarders stay safe when planners restart.
 
-Both planners die while converters hang, and come back without a memory, sure of themselves all the same, or with their
-snapshots. Claims: no forwarder follows a plan without evidence, sound plans are back within two seconds, and hardly any
-attempts go to the hung converters.
+Both planners are killed while converters hang. They restart either with their snapshots, or without any state but with
+a fault that makes them publish plans at once. The claims require that no forwarder follows a plan without evidence,
+that valid plans are published again within two seconds, and that few attempts go to the hung converters.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from ryepier.plan.plan_follower import PlanRejection
 
 REJECTED_MESSAGE = f"rejected: {PlanRejection.FEW_REPORTERS}"  # in a sidecar's log
-EMPTY_PLANNER_EPOCH = "epoch 10000"  # the begin of the number that the fault `amnesiac` claims
-PLAN_ARRIVAL_S = 1.0  # of the empty plans, after the start
-END_MARGIN_S = 1.0
+EMPTY_PLANNER_EPOCH = "epoch 10000"  # prefix of the epoch that the seeded fault `amnesiac` uses
+PLAN_ARRIVAL_S = 1.0  # from the planners' restart until their empty plans have arrived
+END_MARGIN_S = 1.0  # excluded at the end of the run
 MAX_SHARE_TO_HUNG = 0.02
 MAX_RESTART_S = 2.0
 
@@ -56,7 +56,7 @@
 
 
 def restart_to_plan_s(run: Run) -> float:
-    """Return the shortest time from a planner's restart to its first plan; infinite if none led again."""
+    """Return the shortest time from a planner's restart until it leads; infinite if no restarted planner leads."""
     shortest_s = float("inf")
     for path in sorted(run.folder.glob(PLANNER_LOGS)):
         started_at: datetime | None = None
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -1,8 +1,9 @@
-"""`planner-scale`: how do a planner's CPU time and traffic grow with the number of forwarders?
+"""Benchmark `planner-scale`: growth of a planner's CPU time and traffic with the number of forwarders.
 
-One planner process at 50, 200 and 1,000 forwarders. These are connections of this process that speak the protocol and
-report on a small part of the converters each. Claims: the planner's CPU time at 1,000, growth that is close to linear,
-the traffic per forwarder, and plans at the usual rate.
+One planner process serves 50, 200 and 1,000 forwarders. The forwarders are simulated by this process: each is a
+connection that speaks the protocol and reports on a few of the converters. The claims bound the planner's CPU time at
+1,000 forwarders, its growth relative to a linear one, and the traffic per forwarder, and require plans at the usual
+rate.
 """
 
 from __future__ import annotations
@@ -27,10 +28,10 @@
 
 FLEET_SIZES = (50, 200, 1000)  # forwarders
 CONVERTER_COUNT = 100
-REPORTED_CONVERTERS = 12  # by one forwarder, as a sidecar uses few at once
+REPORTED_CONVERTERS = 12  # per forwarder, as a sidecar uses only a few converters at a time
 REPORT_INTERVAL_S = 0.5
-ATTEMPTS_PER_REPORT = 2.0  # the mean, for each converter
-WARM_UP_S = 3.0
+ATTEMPTS_PER_REPORT = 2.0  # mean number of new attempts per converter
+WARM_UP_S = 3.0  # between the connections and the measurement
 MEASUREMENT_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}
 READ_BYTES = 65_536
 FULL_REPORTS_FAULT = "whole-reports"  # seeded fault: forwarders report on all converters
@@ -38,14 +39,14 @@
 MAX_GROWTH_OVER_LINEAR = 1.4
 MAX_BYTES_PER_S_PER_FORWARDER = 1500
 MIN_PLANS_PER_S = 1.5
-MIN_CORES = 1e-3  # in place of zero as a divisor
+MIN_CORES = 1e-3  # minimum divisor, which avoids a division by zero
 
 
 class SimulatedForwarder:
-    """One forwarder's connection: sends reports whose counters grow, and counts what it receives."""
+    """A forwarder's connection that sends reports with growing counters, and counts received plans and bytes."""
 
     def __init__(self, index: int, random: np.random.Generator, reports_all: bool) -> None:
-        """Choose the converters to report on."""
+        """Start unconnected, with a random choice of converters to report on; all of them if `reports_all` is set."""
         self.name = f"f{index}"
         count = CONVERTER_COUNT if reports_all else REPORTED_CONVERTERS
         chosen_converters = random.choice(CONVERTER_COUNT, size=count, replace=False)
@@ -69,7 +70,7 @@
         return encode(Report(self.number, CONVERTER_COUNT, self.counters, {}, arrivals, arrivals, 0))
 
     async def run(self, address: tuple[str, int]) -> None:
-        """Connect and report until cancelled."""
+        """Connect and send reports until cancelled."""
         reader, writer = await asyncio.open_connection(*address)
         receiving = asyncio.create_task(self._receive(reader))
         try:
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTotals:
-    """Totals of a fleet and its planner at one time."""
+    """Totals of a fleet and its planner at a point in time."""
 
     at_s: float
     planner_cpu_s: float
@@ -103,7 +104,7 @@
 
 
 def read_totals(pid: int, forwarders: Sequence[SimulatedForwarder]) -> FleetTotals:
-    """Return the totals now."""
+    """Return the current totals of the forwarders and of the planner with this process id."""
     return FleetTotals(
         planner_cpu_s=usage(pid).cpu_s,
         at_s=time.monotonic(),
@@ -115,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerRates:
-    """What a planner uses and sends per second with a fleet of one size."""
+    """CPU and traffic rates of a planner that serves a fleet of a given size."""
 
     cores: float
     bytes_in_per_s: float
@@ -180,7 +181,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure all sizes, one after another."""
+    """Measure all fleet sizes, one after another."""
     rates = {size: measure_fleet(size, trial) for size in FLEET_SIZES}
     figures: dict[str, float] = {}
     for size, rate in rates.items():
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -1,6 +1,6 @@
 """Seeded faults of planners, and of the forwarders that follow them.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process and can't be undone, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from ryepier.plan.reporter import Reporter
 
 FALSE_FAILURES_PER_ATTEMPT = 1000
-FALSELY_REPORTED_INTERVAL = 6  # converters; one of so many
+FALSELY_REPORTED_INTERVAL = 6  # one in this many converters is reported falsely
 HIGHEST_EPOCH = 10**6
 
 
 def accept_every_plan() -> None:
-    """Let a forwarder follow every plan."""
+    """Make a forwarder accept every plan."""
     PlanFollower.rejection_reason = lambda self, plan, listed: None  # type: ignore[method-assign]
 
 
 def reject_every_plan() -> None:
-    """Let a forwarder reject every plan."""
+    """Make a forwarder reject every plan."""
     PlanFollower.rejection_reason = lambda self, plan, listed: PlanRejection.OLDER_TERM  # type: ignore[method-assign]
 
 
 def lead_without_evidence() -> None:
-    """Let a planner forget all evidence, and publish at once in the highest term all the same."""
+    """Make a planner ignore all evidence, and lead in the highest term from its start."""
     snapshot.load = lambda folder, unix_ms, max_age_ms: None
     Evidence.merge = lambda self, now_us, name, incarnation, report: True  # type: ignore[method-assign]
     Planner.has_enough_evidence = lambda self, basis: True  # type: ignore[method-assign]
@@ -49,13 +49,13 @@
 
 
 def trust_every_report() -> None:
-    """Let a planner believe every forwarder."""
+    """Make a planner trust the reports of every forwarder."""
     Planner._find_outlier_reporters = lambda self, active: set()  # type: ignore[method-assign]
     plan_computation.MAX_COUNTED_ATTEMPTS = float(10**9)
 
 
 def report_false_failures() -> None:
-    """Let a forwarder report a thousand failures for each request to some converters."""
+    """Make a forwarder report a thousand failures for each attempt at some converters."""
     original_report = Reporter.report
 
     def false_report(self: Reporter, *arguments: Any, **options: Any) -> Report:
@@ -67,7 +67,7 @@
 
 
 def recount_at_each_report() -> None:
-    """Let a planner go through all forwarders at each report."""
+    """Make a planner evaluate all forwarders at each report."""
     original_merge = Evidence.merge
 
     def merge_and_recount(self: Evidence, now_us: int, name: str, incarnation: int, report: Report) -> bool:
@@ -78,12 +78,12 @@
 
 
 def return_at_fixed_times() -> None:
-    """Let forwarders reconnect without jitter."""
+    """Make forwarders reconnect without jitter."""
     Forwarder.jitter_s = lambda self, bound_s: bound_s  # type: ignore[method-assign]
 
 
 def falsify(uid: str, counters: ConverterCounters) -> ConverterCounters:
-    """Return a converter's counters with false failures, if it is one of those that are reported falsely."""
+    """Return a converter's counters, with false failures if the converter is one that is reported falsely."""
     index = int(uid.rpartition("-")[2], 16)
     if index % FALSELY_REPORTED_INTERVAL:
         return counters
@@ -91,7 +91,7 @@
     return msgspec.structs.replace(counters, failed=counters.failed + false_failures)
 
 
-PLANNER_FAULTS = frozenset(("amnesiac", "credulous", "recount"))  # all others are faults of a sidecar
+PLANNER_FAULTS = frozenset(("amnesiac", "credulous", "recount"))  # all others are faults of sidecars
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "trust-any": accept_every_plan,
     "trust-none": reject_every_plan,
--- a/ryepier/experiments/planners/worlds.py
+++ b/ryepier/experiments/planners/worlds.py
@@ -1,4 +1,4 @@
-"""The worlds of the experiments on planners that differ from their files."""
+"""The worlds of the experiments on planners that are derived from world files."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
-FULL_LOSS_S = 60.0  # without planners, at full scale
+FULL_LOSS_S = 60.0  # time without planners at full scale
 
 
 def without_planners(world: World) -> World:
-    """Return the same world with sidecars that share nothing."""
+    """Return the same world without planners and without the faults that affect planners."""
     faults = [fault for fault in world.faults if not fault.kind.startswith("planner")]
     return msgspec.structs.replace(world, planners=msgspec.structs.replace(world.planners, count=0), faults=faults)
 
 
 def loss(scale: Scale) -> World:
-    """Return the world in which all planners are away for a while, at full scale for `FULL_LOSS_S`."""
+    """Return the world in which all planners are down for a time; for `FULL_LOSS_S` at full scale."""
     world = load("planner-loss")
     if scale is Scale.SMALL:
         return world
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -1,8 +1,8 @@
-"""`slices-churn`: what does one change of a service cost a sidecar as the list grows?
+"""Benchmark `slices-churn`: latency and CPU time of one change of a service, by the size of the endpoint list.
 
-An API server replaces pods one after another, at 1,000 and at 10,000 endpoints; a process of its own follows the slices
-and hands each update to a decision module. Claims: every change arrives, within a bound on the 99th percentile, at a
-CPU time that grows much less than the list, and in bounded memory.
+An API server replaces the pods of a service one after another, at 1,000 and at 10,000 endpoints. A separate process
+follows the slices and passes each update to a decision module. The claims require that every change arrives, and bound
+the 99th percentile of its delay, the growth of the CPU time per change, and the memory.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 LIST_SIZES = (1_000, 10_000)  # endpoints
 SLICE_SIZE = 100
-CHANGE_COUNTS = {Scale.SMALL: 150, Scale.FULL: 1_500}
+CHANGE_COUNTS = {Scale.SMALL: 150, Scale.FULL: 1_500}  # number of changes per list size
 CHANGE_INTERVAL_S = 0.04
 START_TIMEOUT_S = 20.0
-LAST_UPDATE_WAIT_S = 0.5  # after the last change, for its update to arrive
-MAX_LINE_BYTES = 64 * 1024 * 1024
+LAST_UPDATE_WAIT_S = 0.5  # time for the update of the last change to arrive
+MAX_LINE_BYTES = 64 * 1024 * 1024  # the follower's report is a single line
 NAMESPACE = "default"
 SERVICE = "convert"
 NODE_COUNT = 50
-MAX_P99_MS = {1_000: 30, 10_000: 60}
+MAX_P99_MS = {1_000: 30, 10_000: 60}  # by number of endpoints
 MAX_CPU_GROWTH = 3.0
 MAX_RESIDENT_MB = 120
 US_PER_MS = 1000
@@ -41,12 +41,12 @@
 
 
 def pod_address(pod: int) -> str:
-    """Return a pod's address."""
+    """Return the IP address of the pod with this number."""
     return f"10.{pod >> 16 & 255}.{pod >> 8 & 255}.{pod & 255}"
 
 
 def make_endpoint(pod: int, terminating: bool = False) -> Object:
-    """Return a pod's entry in an EndpointSlice."""
+    """Return the EndpointSlice entry of the pod with this number."""
     return {
         "addresses": [pod_address(pod)],
         "nodeName": f"node-{pod % NODE_COUNT}",
@@ -58,17 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PodChange:
-    """A state that a pod's address takes."""
+    """A new state of the pod with this address."""
 
     host: str
     state: str
 
 
 class ChangingService:
-    """A service whose pods are replaced one after another, with the time of each change."""
+    """A service whose pods are replaced one after another. Records the time of each change."""
 
     def __init__(self, size: int, seed: int) -> None:
-        """Store the slices of so many pods."""
+        """Create a service of `size` pods and store its slices."""
         self.store = Store()
         self.changed_us: dict[PodChange, int] = {}
         self._random = np.random.default_rng(seed)
@@ -81,7 +81,7 @@
             self._store_slice(index)
 
     def make_change(self, number: int) -> None:
-        """Make the next change: by turns a pod of a slice terminates, or the one that terminated is replaced."""
+        """Make a change: with an even number a random pod of a slice terminates, with an odd one it is replaced."""
         index = number // 2 % len(self._slices)
         if number % 2 == 0:
             self._terminate_random_pod(index)
@@ -138,16 +138,16 @@
 async def _follow_changes(
     process: asyncio.subprocess.Process, service: ChangingService, server: ApiServer, scale: Scale
 ) -> FollowerReport:
-    """Make the changes while a follower runs, and return its report. Raises HarnessError."""
+    """Make the changes while a follower runs, and return its report. Raises HarnessError if it does not start."""
     assert process.stdout is not None
     assert process.stdin is not None
     try:
         async with asyncio.timeout(START_TIMEOUT_S):
             line = await process.stdout.readline()
     except TimeoutError:
-        raise HarnessError("the follower had no list in time") from None
+        raise HarnessError("the follower had no list before the start timeout") from None
     if line != READY_LINE:
-        raise HarnessError("the follower ended at its start")
+        raise HarnessError("the follower process exited before it had a list")
     await _make_changes(service, server, scale)
     process.stdin.write(b"stop\n")
     return msgspec.json.decode(await process.stdout.readline(), type=FollowerReport)
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChurnCost:
-    """What changes cost a follower at one size of the list."""
+    """Delay, CPU time and memory of a follower at one size of the list."""
 
     arrived_share: float
     p50_ms: float
@@ -177,11 +177,11 @@
 
 
 def _summarize(report: FollowerReport, changed_us: dict[PodChange, int]) -> ChurnCost:
-    """Return the delays from each change to its update, and the costs. Raises HarnessError if no update arrived."""
+    """Return the delays between changes and updates, and the costs. Raises HarnessError if no update arrived."""
     arrived_us = {PodChange(update.host, update.state): update.at_us for update in report.updates}
     delays_us = [arrived_us[change] - at_us for change, at_us in changed_us.items() if change in arrived_us]
     if not delays_us:
-        raise HarnessError("the follower heard of nothing")
+        raise HarnessError("the follower received none of the changes")
     return ChurnCost(
         len(delays_us) / len(changed_us),
         float(np.percentile(delays_us, 50)) / US_PER_MS,
@@ -193,7 +193,7 @@
 
 
 async def measure_size(size: int, trial: TrialConfig) -> ChurnCost:
-    """Return what changes cost at one size of the list. Raises HarnessError."""
+    """Measure one size of the list. Raises HarnessError if the follower does not start or gets no update."""
     service = ChangingService(size, trial.seed)
     server = ApiServer(service.store)
     port = await server.listen("127.0.0.1", 0)
@@ -209,7 +209,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure both sizes, one after another."""
+    """Measure both sizes of the list, one after another."""
     costs = {size: asyncio.run(measure_size(size, trial)) for size in LIST_SIZES}
     figures: dict[str, float] = {}
     for size, cost in costs.items():
--- a/ryepier/experiments/slices/drain.py
+++ b/ryepier/experiments/slices/drain.py
@@ -1,7 +1,8 @@
-"""`slices-drain`: are drains noticed although EndpointSlices contradict each other?
+"""Experiment `slices-drain`: sidecars are notified of drains although EndpointSlices contradict each other.
 
-Every converter of the service is replaced; a third of the drains come with slices that disagree. Claims: sidecars are
-notified of nearly every termination, new converters are put to use, and the service stays high.
+Every converter of the service is replaced; in a third of the drains, slices disagree about the converter. The claims
+require that sidecars are notified of nearly every termination, that new converters get requests, and a high service
+level.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
-WARM_UP_S = 6.0  # a converter that started this long before the end is warm, and has had requests if it ever will
-MIN_TERMINATING = 200  # of 204 converters
+WARM_UP_S = 6.0  # a converter started this long before the end is warm, and should have had requests
+MIN_TERMINATING = 200  # of the 204 converters that are replaced
 MIN_NOTIFIED_SHARE = 0.95
 MIN_USED_SHARE = 0.95
 MIN_SERVICE = 0.97
--- a/ryepier/experiments/slices/follower_process.py
+++ b/ryepier/experiments/slices/follower_process.py
@@ -1,7 +1,8 @@
-"""A process that follows a service's slices and hands each list to a decision module, for `slices-churn`.
+"""A process that follows a service's slices and passes each update to a decision module, for `slices-churn`.
 
-`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has the list. A
-line on its standard input ends it; it then prints one JSON object, a `FollowerReport`.
+`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has the list. When
+it reads a line from standard input, it prints a `FollowerReport` as one line of JSON and exits. An empty SEEDED_FAULT
+stands for none.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """One upstream of an update, and when the decision module had handled it."""
+    """One upstream of an update, and the time at which the decision module had processed it."""
 
     host: str
     state: str
@@ -37,7 +38,7 @@
 
 
 class FollowerReport(msgspec.Struct, frozen=True):
-    """What the decision module was given since the first list, and what the process used for it."""
+    """The updates since the first list, and the memory and CPU time that the process used for them."""
 
     updates: list[Update]
     resident_kib: int
@@ -46,7 +47,7 @@
 
 
 async def follow(port: int, service: str) -> FollowerReport:
-    """Follow a service until a line arrives on standard input."""
+    """Follow a service until a line arrives on standard input, and return the report."""
     balancer = Balancer(Settings([RequestClass("convert", LATENCY_OBJECTIVE_US, DEADLINE_US)]), 1, clock_us())
     updates: list[Update] = []
     listed = asyncio.Event()
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -1,7 +1,8 @@
-"""`slices-outage`: does a fleet keep serving while the API server is away, and catch up when it returns?
+"""Experiment `slices-outage`: a fleet keeps serving while the API server is down, and catches up afterwards.
 
-The API server is away for 10 s and returns without its earlier revisions, while converters are replaced. Claims: the
-service stays high meanwhile, all sidecars soon have the new list, and from then on nothing goes to removed converters.
+The API server is down for 10 s and returns without its earlier revisions, while converters are replaced. The claims
+require a high service level throughout, that all sidecars soon have the new list, and that from then on no attempts go
+to removed converters.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
-LIST_UPDATE_MARGIN_S = 0.5  # after the last sidecar had its list
-MIN_OBSERVED_S = 1.0  # of the end of the run, however late the list came
+LIST_UPDATE_MARGIN_S = 0.5  # after the last sidecar received its list
+MIN_OBSERVED_S = 1.0  # minimum time at the run's end over which the service level is computed
 MIN_SERVICE_DURING = 0.97
 MIN_SERVICE_AFTER = 0.98
 MAX_CATCH_UP_S = 11.0
@@ -29,7 +30,7 @@
 
 
 def catch_up_s(run: Run) -> float:
-    """Return the time from the server's return until the last sidecar had a list; infinite if one never had."""
+    """Return the time from the API server's return until all sidecars had a list; infinite if one never had."""
     returned_us = phases.end_s(fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)) * US_PER_S
     first_notice_us: dict[int, int] = {}
     for notice in run.history.notices:
@@ -41,9 +42,10 @@
 
 
 def share_to_removed(run: Run, since_s: float) -> float:
-    """Return the share of attempts from a time that came to drained converters, after discovery and the grace period.
+    """Return the share of attempts after `since_s` that drained converters received too late.
 
-    Nobody records an attempt at an address where nothing listens any more.
+    An attempt is too late if it arrives after the delay of discovery and the grace period of the drain. Attempts at an
+    address where nothing listens any more are not recorded, and so not counted.
     """
     steps = timeline.build(run.world, run.seed).steps
     drained_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -1,6 +1,6 @@
 """Seeded faults in how a sidecar reads EndpointSlices.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process and can't be undone, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def trust_last_slice() -> None:
-    """Believe the slice that came last, and forget terminations."""
+    """Take an endpoint's state from the last slice only, and forget observed terminations."""
 
     def merge_last_observation(
         self: EndpointSliceMerger, identity: str, observations: list[EndpointObservation]
@@ -33,12 +33,12 @@
 
 
 def never_list_again() -> None:
-    """Never list again when the server has dropped the revision of a watch."""
+    """Never list again after the server has dropped the revision of a watch."""
     Reflector._relist_after_expiry = lambda self, now_us: [Wait(now_us + FAR_FUTURE_US)]  # type: ignore[method-assign]
 
 
 def merge_everything() -> None:
-    """Merge the whole list again at each change."""
+    """Merge all endpoints again at each change."""
     original_changes = EndpointSliceMerger.changes
 
     def all_changes(self: EndpointSliceMerger, now_us: int) -> dict[str, endpoint_slice_merger.MergedEndpoint | None]:
