--- a/ryepier/cli.py
+++ b/ryepier/cli.py
@@ -1,4 +1,4 @@
-"""The `ryepier` command: one small module a subcommand, imported when it is called."""
+"""The `ryepier` command. Each subcommand is a module in `ryepier.commands`, imported when it is called."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-# by name, the text in the list of commands; the module of that name defines the command of that name
+# help text by command name; the module ryepier.commands.NAME defines the command NAME
 COMMANDS = {
     "check": "Explore every order of events of a few requests at a few converters.",
     "config": "Check configuration files.",
@@ -24,14 +24,14 @@
 
 
 class Commands(click.Group):
-    """Imports a command's module when it is called, so that a sidecar does not load the plotting libraries."""
+    """Imports a command's module only when it is called, so that a sidecar does not load plotting libraries."""
 
     def list_commands(self, context: click.Context) -> list[str]:
         """Return the names of all commands."""
         return sorted(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """Import and return a command, or None if there is none of that name."""
+        """Import and return a command; None if there is no command of this name."""
         if name not in COMMANDS:
             return None
         command = getattr(importlib.import_module(f"ryepier.commands.{name}"), name)
--- a/ryepier/commands/__init__.py
+++ b/ryepier/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What each command does; `ryepier.cli` puts them together."""
+"""The subcommands of `ryepier`, one per module; `ryepier.cli` imports them by name."""
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -1,4 +1,4 @@
-"""`ryepier check`: explore the life of attempts exhaustively at small sizes."""
+"""`ryepier check`: explore all orders of events of a few requests exhaustively, and check the rules on them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from ryepier.check.seeded_faults import SEEDED_FAULTS
 from ryepier.commands.exits import ExitCode, fail
 
-MAX_TRACED_PATHS = 4000  # for the report of lines, as tracing is slow
+MAX_TRACED_PATHS = 4000  # per model in the line report, as recording of executed lines is slow
 KIB_PER_MB = 1024
 
 
@@ -42,7 +42,7 @@
 
 
 def select_model(name: str, converters: int, requests: str, depth: int) -> Model:
-    """Return a model by its name, with whatever is given (not 0 or empty) instead of its own."""
+    """Return a model by its name. The other arguments replace the model's own values unless they are 0 or empty."""
     model = MODELS[name]
     if converters:
         model = replace(model, converters=converters, failure_domains=())
@@ -58,7 +58,7 @@
 
 
 def print_progress(outcome: explore.Exploration) -> None:
-    """Print the counts so far to standard error."""
+    """Print the counts of an unfinished exploration to standard error."""
     print(
         f"depth {outcome.depth}: {outcome.states} states, {outcome.transitions} transitions, "
         f"{outcome.ends} ends, {outcome.seconds:.1f} s",
@@ -130,7 +130,7 @@
 
 
 def _print_chart(model: Model, outcome: explore.Exploration, install_fault: Callable[[], None] | None) -> None:
-    """Replay the path to the violation in this process, with the seeded fault that led to it."""
+    """Replay the path to the violation in this process, with the seeded fault installed, and print its chart."""
     if install_fault is not None:
         install_fault()
     print("\n".join(trace.chart(model, outcome.path)))
@@ -168,7 +168,7 @@
 
 
 def expand_breadth_first(model: Model) -> None:
-    """Expand the first `MAX_TRACED_PATHS` paths of a model in this process."""
+    """Expand the first `MAX_TRACED_PATHS` paths of a model in this process, in breadth-first order."""
     frontier: list[explore.Steps] = [()]
     visited: set[bytes] = set()
     for path in frontier:
--- a/ryepier/commands/config.py
+++ b/ryepier/commands/config.py
@@ -1,4 +1,4 @@
-"""`ryepier config check`: report errors in an operators' file or a world file."""
+"""`ryepier config check`: report errors in an operators' file or a world file. Also reads them for other commands."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def select_settings_variables(environment: Mapping[str, str]) -> dict[str, str]:
-    """Return the environment variables that set an operators' setting; others may share the prefix."""
+    """Return the environment variables that set an operators' setting; unrelated variables may share the prefix."""
     tables = tuple(
         f"{operator_settings.ENVIRONMENT_PREFIX}{table.upper()}__"
         for table in operator_settings.OperatorSettings.__struct_encode_fields__
--- a/ryepier/commands/console.py
+++ b/ryepier/commands/console.py
@@ -1,4 +1,4 @@
-"""What several commands print: client counts while a load runs, the events of a run, its claims."""
+"""Output shared by several commands: client counts during a run, the events of a run, and claims."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from ryepier.emulator.records import RecordedEvent
 from ryepier.experiments.core.contract import Claim
 
-PRINT_INTERVAL_S = 2.0
+PRINT_INTERVAL_S = 2.0  # between lines where standard error is not a terminal
 ALWAYS_SHOWN = ("offered", "served")
 COUNT_NAMES = (*ALWAYS_SHOWN, "refused", "failed", "timeout", "broken", "unreachable", "retries", "open")
 
 
 def describe_counts(counts: Counter[str]) -> str:
-    """Return the clients' counts in one line, without those that are zero."""
+    """Return the clients' counts in one line. Counts of zero are left out, except those in `ALWAYS_SHOWN`."""
     return "  ".join(f"{name} {counts[name]}" for name in COUNT_NAMES if counts[name] or name in ALWAYS_SHOWN)
 
 
--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -1,4 +1,4 @@
-"""`ryepier demo`: a small emulated fleet with sidecars and load, a live summary and a report."""
+"""`ryepier demo`: run a small emulated fleet with sidecars and load, show a live summary, and write a report."""
 
 from __future__ import annotations
 
--- a/ryepier/commands/emulate.py
+++ b/ryepier/commands/emulate.py
@@ -1,4 +1,4 @@
-"""`ryepier emulate`: the emulated converters and discovery of a world, without sidecars or clients."""
+"""`ryepier emulate`: run the emulated converters and discovery of a world, without sidecars or clients."""
 
 from __future__ import annotations
 
--- a/ryepier/commands/exits.py
+++ b/ryepier/commands/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the `ryepier` command, and how a command ends early with one of them."""
+"""Exit codes of the `ryepier` command, and a function to exit with one of them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
     SUCCESS = 0
     FAILURE = 1  # a claim does not hold, a rule is broken, or the work could not be done
-    MISUSE = 2  # an option, a file or a machine that the command can't work with
+    MISUSE = 2  # an invalid option or file, or a machine without the required resources
 
 
 def fail(command: str, reason: object, exit_code: ExitCode) -> NoReturn:
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -84,14 +84,14 @@
 def _check_seeded_fault(selected: Experiment | Benchmark, seeded_fault: str) -> None:
     if seeded_fault and seeded_fault not in selected.seeded_faults:
         known = ", ".join(selected.seeded_faults) or "none"
-        raise click.BadParameter(f"the seeded faults of {selected.name}: {known}", param_hint="--plant")
+        raise click.BadParameter(f"unknown seeded fault; those of {selected.name}: {known}", param_hint="--plant")
 
 
 def _run(selected: Experiment | Benchmark, trial: contract.TrialConfig, backend: contract.Backend) -> list[Claim]:
     if isinstance(selected, Experiment):
         return runner.run_experiment(selected, trial, backend=backend)
     if backend is contract.Backend.SIM:
-        raise click.BadParameter(f"{selected.name} has no world that could be simulated", param_hint="--backend")
+        raise click.BadParameter(f"{selected.name} is a benchmark and can't be simulated", param_hint="--backend")
     return runner.run_benchmark(selected, trial)
 
 
@@ -116,4 +116,4 @@
     try:
         print(report.write(folder))
     except (OSError, msgspec.MsgspecError) as error:
-        fail("experiment report", f"{folder}: no readable run: {error}", ExitCode.MISUSE)
+        fail("experiment report", f"{folder}: can't read the run: {error}", ExitCode.MISUSE)
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -1,4 +1,4 @@
-"""`ryepier load`: an open-loop load on a sidecar of this machine."""
+"""`ryepier load`: send an open-loop load to a sidecar on this machine."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from ryepier.sidecar.config import parse_address
 
 MAX_PORT = 65_535
-# without converters and sidecars of its own, the emulator has no data for these
+# figures that need records of emulated converters and sidecars, which this command does not run
 UNKNOWN_FIGURES = frozenset(("waste", "sidecar_most_mib", "attempts_per_try"))
 
 
 def parse_loopback_address(context: click.Context, parameter: click.Parameter, text: str) -> tuple[str, int]:
-    """Return the host and port of a loopback address; any other could be somebody's service."""
+    """Return the host and port of a loopback address; others are rejected, to protect services elsewhere."""
     try:
         host, port = parse_address(text)
         if not ipaddress.ip_address(host).is_loopback or not 0 < port <= MAX_PORT:
@@ -38,9 +38,10 @@
 
 
 def make_load_world(path: Path | None, rate_per_s: float | None, duration_s: float | None) -> World:
-    """Return the world of a file, or the demo's, with another rate and duration and without faults.
+    """Return the world of a file, or the demo's, with the given rate and duration.
 
-    Faults strike emulated converters, of which a load has none. Raises click.UsageError for values out of range.
+    Faults are removed, as they affect emulated converters, which this command does not run. Raises click.UsageError if
+    a value is out of range.
     """
     try:
         world = read_world_file(path) if path is not None else load_world("demo")
@@ -53,7 +54,7 @@
 
 
 def run_load(world: World, address: tuple[str, int], seed: int) -> History:
-    """Send the world's requests to the address and return the clients' records; exit with 1 if that fails."""
+    """Send the world's requests to the address and return the clients' records; exit with 1 on an error."""
     roles = harness.RoleAssignment(sidecar_command=(), stand_ins=False, targets=(address,))
     with tempfile.TemporaryDirectory(prefix="ryepier-") as folder:
         try:
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -83,7 +83,7 @@
 
 
 async def _serve(settings: CoordinatorSettings) -> None:
-    """Run the coordinator until a signal."""
+    """Run the coordinator until SIGTERM or SIGINT."""
     coordinator = Coordinator(settings)
     coordinator.stop_event = make_stop_event()
     await coordinator.run()
@@ -104,11 +104,11 @@
 def request(
     path: Path, region: str, duration_s: float, earliest_in_s: float, deadline_in_s: float, priority: str, **fields: Any
 ) -> None:
-    """Submit a request for maintenance windows under NAME. The same one again is accepted again."""
+    """Submit a request for maintenance windows under NAME. Submitting the same request again is accepted, too."""
 
     async def submit(client: RegionClient) -> str:
         now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
-        submitted = {  # `fields` has the other options, under the keys of a request
+        submitted = {  # `fields` holds the other options, which are named like the fields of a request
             **fields,
             "region": region,
             "duration_ms": round(duration_s * MS_PER_S),
@@ -145,7 +145,7 @@
 
 
 async def _commit(client: RegionClient, command: Command, outcome: str) -> str:
-    """Commit a command and return `outcome`; exit with 1 where the command is rejected."""
+    """Commit a command and return `outcome`; exit with 1 if the command is rejected."""
     result = await client.command(command, CALL_TIMEOUT_S)
     if isinstance(result, Rejected):
         fail(COMMAND, result.reason, ExitCode.FAILURE)
@@ -153,7 +153,7 @@
 
 
 def _call(path: Path, region: str, make_call: Callable[[RegionClient], Coroutine[Any, Any, T]]) -> T:
-    """Call the region's coordinators; exit with 1 where none answers."""
+    """Return the result of `make_call` on a client of the region's coordinators; exit with 1 if none answers."""
     agreement = _read_agreement(path, region)
 
     async def call_region() -> T:
@@ -170,7 +170,7 @@
 
 
 def _read_agreement(path: Path, region: str) -> Agreement:
-    """Return the agreement in a file; exit with 2 on an error in it, or where it has no such region."""
+    """Return the agreement in a file; exit with 2 on an error in it, or if it does not contain the region."""
     try:
         agreement = agreement_file.parse(path.read_bytes())
     except OSError as error:
@@ -178,12 +178,12 @@
     except AgreementError as error:
         fail_with_problems(path, error.problems)
     if region not in agreement.regions:
-        fail(COMMAND, f"{path}: no region {region!r}; there are {', '.join(agreement.regions)}", ExitCode.MISUSE)
+        fail(COMMAND, f"{path}: no region {region!r}; known: {', '.join(agreement.regions)}", ExitCode.MISUSE)
     return agreement
 
 
 def _describe(status: StatusReply) -> str:
-    """Return a status as text for people."""
+    """Return a status as human-readable text."""
     lines = [f"region {status.region}, led by {status.leader} in term {status.term}, at {status.now_ms / MS_PER_S:g} s"]
     lines += [_describe_capacity(capacity) for capacity in status.capacities]
     lines += [_describe_request(open_request) for open_request in status.requests]
@@ -192,7 +192,7 @@
 
 
 def _describe_capacity(capacity: CapacityStatus) -> str:
-    """Return one line on a service's capacity."""
+    """Return a line that describes a service's capacity."""
     return (
         f"service {capacity.service}: {format_capacity(capacity.available)} available, "
         f"{format_capacity(capacity.unavailable)} out, {format_capacity(capacity.lost)} lost, "
@@ -201,7 +201,7 @@
 
 
 def _describe_request(open_request: RequestStatus) -> str:
-    """Return one line on a request, with the reason why it waits."""
+    """Return a line that describes a request, with the reason why it waits, if any."""
     start = "no window"
     if open_request.starts_ms >= 0:
         start = f"next window at {open_request.starts_ms / MS_PER_S:g} s"
@@ -210,5 +210,5 @@
 
 
 def _describe_lease(lease: LeaseStatus) -> str:
-    """Return one line on an open lease."""
+    """Return a line that describes an open lease."""
     return f"lease {lease.name}: {lease.state}, token {lease.token}, {', '.join(lease.unavailable)} out"
--- a/ryepier/commands/plan.py
+++ b/ryepier/commands/plan.py
@@ -1,4 +1,4 @@
-"""`ryepier plan`: show the current plan of a planner, compare two plans, explain a converter's weight."""
+"""`ryepier plan`: show the current plan of a planner, compare two plans, or explain a converter's weight."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 FETCH_TIMEOUT_S = 3.0
 READ_BYTES = 65_536
-CLIENT_NAME = "a reader"  # sends no load reports, so planners do not count it as a forwarder
+CLIENT_NAME = "a reader"  # planners do not count this client as a forwarder, as it sends no load reports
 
 
 async def fetch(address: tuple[str, int]) -> Plan:
@@ -36,11 +36,11 @@
         for message in frames.feed(data):
             if isinstance(message, Plan):
                 return message
-    raise ProtocolError("the planner closed the connection")
+    raise ProtocolError("the planner closed the connection before it sent a plan")
 
 
 def fetch_or_exit(text: str) -> Plan:
-    """Return the plan of the planner at `host:port`; exit with 1 if it sends none."""
+    """Return the current plan of the planner at `host:port`; exit with 1 if it sends none."""
     try:
         address = parse_address(text)
     except ValueError as error:
@@ -63,7 +63,7 @@
 
 
 def describe(advice: ConverterAdvice) -> str:
-    """Return what a plan advises for a converter, and why, in one line."""
+    """Return a plan's advice for a converter, with the reason, in one line."""
     if advice.ejected:
         return f"ejected, {advice.trial_share:.1%} of the forwarders may probe it: {advice.reason}"
     limit = advice.concurrency_limit
--- a/ryepier/commands/planner.py
+++ b/ryepier/commands/planner.py
@@ -1,4 +1,4 @@
-"""`ryepier planner`: one planner."""
+"""`ryepier planner`: run one planner, configured by the operators' file."""
 
 from __future__ import annotations
 
--- a/ryepier/commands/run.py
+++ b/ryepier/commands/run.py
@@ -1,4 +1,4 @@
-"""`ryepier run`: one sidecar, configured by the platform's file and the operators' file."""
+"""`ryepier run`: run one sidecar, configured by the platform's file and the operators' file."""
 
 from __future__ import annotations
 
--- a/ryepier/commands/signals.py
+++ b/ryepier/commands/signals.py
@@ -1,4 +1,4 @@
-"""Termination signals of commands that run until they are stopped."""
+"""Handles termination signals for commands that run until they are stopped."""
 
 from __future__ import annotations
 
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -1,4 +1,4 @@
-"""`ryepier sim`: run worlds in simulation, search for rule violations, and replay what was found."""
+"""`ryepier sim`: run worlds in simulation, search for rule violations, and replay or reduce finds."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def read_find(path: Path) -> search.Find:
-    """Return the find in a file; exit with 2 if it holds none."""
+    """Return the find stored in a file; exit with 2 if the file can't be read as one."""
     try:
         return search.load(path)
     except (OSError, msgspec.MsgspecError) as error:
@@ -98,7 +98,7 @@
 
 
 def print_table(coverage: Coverage) -> None:
-    """Print how often each fault struck a request in each state, and what the states mean."""
+    """Print how often each fault affected a request in each state, and what the states mean."""
     rows = coverage.rows()
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     for row in rows:
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -1,4 +1,4 @@
-"""`ryepier slices`: a service's EndpointSlices as a sidecar reads them."""
+"""`ryepier slices`: show a service's EndpointSlices as a sidecar interprets them."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 def make_settings(path: Path | None, service: str) -> Settings:
-    """Return the settings of a read-only client; exit with 2 if they are incomplete or wrong."""
+    """Return the settings of a read-only client; exit with 2 if they are incomplete or invalid."""
     operators = read_operators_file(path, os.environ)
     structured.configure_logging(operators.logging)
     slices = operators.slices
     name = service or slices.service
     try:
         if not name:
-            raise AccessError("no service is named, by --service or by slices.service in the operators' file")
+            raise AccessError("no service given: set --service, or slices.service in the operators' file")
         access = find_access(
             slices.server, slices.token_file, slices.ca_file, slices.client_cert_file, slices.client_key_file
         )
@@ -84,7 +84,7 @@
 
 
 async def follow(settings: Settings, as_json: bool) -> None:
-    """Print every update of the list until SIGTERM or SIGINT."""
+    """Print every update of the upstream list until SIGTERM or SIGINT."""
     stop = make_stop_event()
 
     def on_update(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
@@ -98,7 +98,7 @@
 
 
 async def read_once(settings: Settings) -> EndpointSliceMerger:
-    """Return the merged slices of one complete list. Raises TimeoutError."""
+    """Return the merged slices of one complete list. Raises TimeoutError if there is none within `LIST_TIMEOUT_S`."""
     merger = EndpointSliceMerger(settings.port)
     listed = asyncio.Event()
 
@@ -128,7 +128,7 @@
 
 
 def find_endpoints(merger: EndpointSliceMerger, text: str) -> list[MergedEndpoint]:
-    """Return the endpoints with this pod uid, address, or address and port."""
+    """Return the endpoints that match a pod uid, an address, or an address with port."""
     endpoints = []
     for identity, endpoint in merger.endpoints(0).items():
         host, port = endpoint.address
@@ -151,7 +151,7 @@
 
 
 def describe_endpoint(endpoint: MergedEndpoint) -> str:
-    """Return the merged state of an endpoint and the rule behind it, in one line."""
+    """Return the merged state of an endpoint, and the merge rule that determined it, in one line."""
     host, port = endpoint.address
     return (
         f"{host}:{port} {endpoint.identity}: {endpoint.state.value}, by rule {endpoint.rule}: "
@@ -187,7 +187,7 @@
     try:
         merger = asyncio.run(read_once(settings))
     except TimeoutError:
-        fail("slices", f"no list within {LIST_TIMEOUT_S:.0f} s", ExitCode.FAILURE)
+        fail("slices", f"got no complete list of slices within {LIST_TIMEOUT_S:.0f} s", ExitCode.FAILURE)
     for name, reason in sorted(merger.skipped_slices.items()):
         print(f"slice {name} can't be used: {reason}", file=sys.stderr)
     endpoints = find_endpoints(merger, address)
