--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, errors in a line, results for programs."""
+"""Tests of the command line: exit codes, error messages, JSON output and reports."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return CliRunner().invoke(main, arguments)
 
 
-def test_a_file_with_a_mistake_is_told_of_by_its_place_and_ends_with_2(tmp_path: Path) -> None:
+def test_config_error_is_reported_with_its_line_and_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "bad.toml"
     path.write_text("[logging]\nlevel = 3\n")
     result = invoke("config", "check", str(path))
@@ -30,12 +30,12 @@
 
 
 @pytest.mark.parametrize("address", ["10.0.0.1:80", "example.org:80", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:99999"])
-def test_load_goes_to_this_machine_only(address: str) -> None:
+def test_load_accepts_only_loopback_addresses(address: str) -> None:
     result = invoke("load", address, "--seconds", "0.5")
     assert result.exit_code == 2 and "HOST:PORT" in result.stderr
 
 
-def test_no_two_folders_plant_a_mistake_under_one_name() -> None:
+def test_seeded_fault_names_are_unique_across_packages() -> None:
     fault_modules = [
         module
         for module in vars(seeded_faults).values()
@@ -45,7 +45,7 @@
     assert len(fault_modules) >= 7 and sorted(names) == sorted(seeded_faults.SEEDED_FAULTS)
 
 
-def test_experiments_are_listed_with_plants_that_exist() -> None:
+def test_listed_experiments_name_existing_seeded_faults() -> None:
     listed = json.loads(invoke("experiment", "list", "--json").stdout)
     assert {"steady", "release", "hang", "surge", "sidecar-kill", "breaking-point"} <= {
         entry["name"] for entry in listed
@@ -65,7 +65,7 @@
     assert experiment.world(Scale.SMALL).duration_s <= experiment.world(Scale.FULL).duration_s
 
 
-def test_a_report_holds_the_claims_and_needs_nothing_from_elsewhere(tmp_path: Path) -> None:
+def test_report_contains_the_claims_and_no_external_resources(tmp_path: Path) -> None:
     valid_history = VALID_HISTORIES["served"]()
     history = History(
         valid_history.client_attempts,
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -1,7 +1,7 @@
-"""The names that callers of the experiments rely on, compared with a recorded list; a name may be added, never changed.
+"""Compares the names that callers of the experiments rely on with a recorded list. Names may be added, never changed.
 
-The list holds the commands' options and arguments, experiments, claims, seeded faults, figures, the fields and files
-of a result, and the judge's rules. `test_exit_codes` holds the exit codes.
+The list contains the commands' options and arguments, the experiments, claims, seeded faults and figures, the fields
+and files of a result, and the names of the rules. `test_exit_codes` checks the exit codes.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 def parameters(group: click.Command, prefix: str = "") -> dict[str, list[str]]:
-    """The options and arguments of a command and all below it, by the command's words."""
+    """Return the options and arguments of a command and its subcommands, by the words of the command line."""
     parameters_by_command: dict[str, list[str]] = {}
     for name, subcommand in getattr(group, "commands", {}).items():
         parameters_by_command |= parameters(subcommand, f"{prefix} {name}")
@@ -72,7 +72,7 @@
 
 
 def choices(group: click.Command, prefix: str = "") -> dict[str, list[str]]:
-    """The values that options and arguments may have, by the command's words and the option."""
+    """Return the choices of options and arguments, by the words of the command line and the parameter's name."""
     choices_by_parameter: dict[str, list[str]] = {}
     for name, subcommand in getattr(group, "commands", {}).items():
         choices_by_parameter |= choices(subcommand, f"{prefix} {name}")
@@ -125,7 +125,7 @@
         assert set(recorded_parameters) <= set(current[name]), name
 
 
-def test_options_keep_the_values_that_they_may_have() -> None:
+def test_options_keep_their_choices() -> None:
     current: dict[str, list[str]] = {}
     for name, loaded in loaded_commands().items():
         current |= choices(loaded, name)
@@ -151,7 +151,7 @@
 
 
 def measure_returning(value: float) -> Any:
-    """A measurement with one claim, which holds for values up to 2."""
+    """Return a benchmark's `measure` whose single claim holds for values up to 2."""
 
     def measure(trial: TrialConfig) -> Measurement:
         return Measurement([Claim("one", value, "<=", 2.0)], {"figure": 3.0})
@@ -206,5 +206,5 @@
         ["config", "check", "no-such-file"],
     ],
 )
-def test_misuse_ends_with_2(arguments: list[str]) -> None:
+def test_misuse_exits_with_2(arguments: list[str]) -> None:
     assert CliRunner().invoke(cli.main, arguments).exit_code == 2
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -1,4 +1,4 @@
-"""The judge against histories written by hand: the good one passes, and each bad one is caught by its own rule."""
+"""Tests of the rule checks on hand-written histories: valid ones pass, and invalid ones breach the expected rules."""
 
 from __future__ import annotations
 
@@ -151,45 +151,45 @@
 
 VALID_HISTORIES: dict[str, Callable[[], History]] = {
     "served": lambda: make_history([client_attempt()], [converter_attempt()]),
-    "turned away, then served": lambda: make_history(
+    "rejected by one converter, then served": lambda: make_history(
         [client_attempt(ended_ms=60)], [rejected_attempt(uid="c2", ended_ms=3), converter_attempt(received_ms=5)]
     ),
-    "refused, and the client's retry ran": lambda: make_history(
+    "rejected, then the client's retry executed": lambda: make_history(
         [
             client_attempt(outcome="refused", ended_ms=4),
             client_attempt(request_id="r-1", number=1, sent_ms=50, ended_ms=80),
         ],
         [rejected_attempt(ended_ms=3), converter_attempt("r-1", received_ms=51, ended_ms=79)],
     ),
-    "failed at its time, its attempt out till then": lambda: make_history(
+    "failed at the deadline with an open attempt": lambda: make_history(
         [client_attempt(outcome="failed", ended_ms=990, status=500)],
         [converter_attempt(ended_ms=992, outcome="closed", status=0)],
     ),
-    "a batch again in its pod": lambda: make_history(
+    "deduplicated request retried in the same pod": lambda: make_history(
         [client_attempt(BATCH, ended_ms=200)],
         [
             converter_attempt(uid="c2", ended_ms=100, outcome="closed", status=0),
             converter_attempt(received_ms=101, ended_ms=199),
         ],
     ),
-    "a read again anywhere": lambda: make_history(
+    "idempotent request retried in another pod": lambda: make_history(
         [client_attempt(READ, ended_ms=200)],
         [
             converter_attempt(uid="c3", pod=2, ended_ms=100, outcome="closed", status=0),
             converter_attempt(received_ms=101, ended_ms=199),
         ],
     ),
-    "sent within the grace of a drain": lambda: make_history(
+    "sent within a drain's grace period": lambda: make_history(
         [client_attempt(sent_ms=1540, ended_ms=1570)],
         [converter_attempt(received_ms=1549, ended_ms=1569)],
         notices=LEAVING_NOTICES,
     ),
-    "the other sidecar has not been told yet": lambda: make_history(
+    "other sidecar not yet notified of the drain": lambda: make_history(
         [client_attempt(sent_ms=1900, ended_ms=1930, sidecar=1)],
         [converter_attempt(received_ms=1901, ended_ms=1929)],
         notices=LEAVING_NOTICES,
     ),
-    "a new life of the sidecar has not been told yet": lambda: make_history(
+    "restarted sidecar not yet notified of the drain": lambda: make_history(
         [client_attempt(sent_ms=3900, ended_ms=3930)],
         [converter_attempt(received_ms=3901, ended_ms=3929)],
         notices=LEAVING_NOTICES,
@@ -200,10 +200,10 @@
         [converter_attempt(ended_ms=31, outcome="closed", status=0)],
         incarnations=[Incarnation(0, 0, 1, 29 * US_PER_MS, True)],
     ),
-    "its sidecar stood still": lambda: make_history(
+    "timeout while the sidecar was suspended": lambda: make_history(
         [client_attempt(outcome="timeout", ended_ms=1100)], [], incarnations=[SUSPENDED_INCARNATION]
     ),
-    "told while it stood still, and sent within the grace from then on": lambda: make_history(
+    "notified while suspended, sent within the grace period afterwards": lambda: make_history(
         [client_attempt(sent_ms=3000, ended_ms=3030)],
         [converter_attempt(received_ms=3001, ended_ms=3029)],
         notices=LEAVING_NOTICES,
@@ -211,17 +211,17 @@
             Incarnation(0, -500 * US_PER_MS, -400 * US_PER_MS, suspensions=[(900 * US_PER_MS, 2600 * US_PER_MS)])
         ],
     ),
-    "the close of a kept connection crossed it, and nobody saw it": lambda: make_history(
+    "request unread when a keep-alive connection closed": lambda: make_history(
         [client_attempt(outcome="broken", may_be_unread=True)], []
     ),
-    "the client went away": lambda: make_history(
+    "client disconnected": lambda: make_history(
         [client_attempt(outcome="left", ended_ms=30)], [converter_attempt(ended_ms=31, outcome="closed", status=0)]
     ),
 }
 
 INVALID_HISTORIES: dict[str, tuple[set[str], Callable[[], History]]] = {
     "never answered": ({"unanswered"}, lambda: make_history([client_attempt(outcome="timeout", ended_ms=1100)], [])),
-    "never answered, its sidecar without a core": (
+    "never answered, sidecar without CPU": (
         {"held-up"},
         lambda: make_history(
             [client_attempt(outcome="timeout", ended_ms=1100)],
@@ -231,7 +231,7 @@
             ],
         ),
     ),
-    "answered in time, but its client held up": (
+    "answered in time, but the client was suspended": (
         {"held-up"},
         lambda: make_history(
             [client_attempt(ended_ms=2000)],
@@ -239,7 +239,7 @@
             lateness=[make_lateness("clients 0", (40 * US_PER_MS, 2000 * US_PER_MS))],
         ),
     ),
-    "never answered, another client held up": (
+    "never answered, another client suspended": (
         {"unanswered"},
         lambda: make_history(
             [client_attempt(outcome="timeout", ended_ms=1100)],
@@ -247,7 +247,7 @@
             lateness=[make_lateness("clients 1", (40 * US_PER_MS, 1080 * US_PER_MS))],
         ),
     ),
-    "never answered, its sidecar held up only later": (
+    "never answered, sidecar without CPU only after the deadline": (
         {"unanswered"},
         lambda: make_history(
             [client_attempt(outcome="timeout", ended_ms=1100)],
@@ -261,17 +261,17 @@
         {"unanswered"},
         lambda: make_history([client_attempt(ended_ms=1060)], [converter_attempt(ended_ms=1059)]),
     ),
-    "the connection ended": (
+    "connection closed without an answer": (
         {"broken"},
         lambda: make_history([client_attempt(outcome="broken")], [converter_attempt()]),
     ),
-    "never answered, long after its sidecar stood still": (
+    "never answered, long after the sidecar's suspension": (
         {"unanswered"},
         lambda: make_history(
             [client_attempt(sent_ms=1000, outcome="timeout", ended_ms=2100)], [], incarnations=[SUSPENDED_INCARNATION]
         ),
     ),
-    "sent long after it stood still to one that drains": (
+    "sent to a draining converter long after the sidecar's suspension": (
         {"drain"},
         lambda: make_history(
             [client_attempt(sent_ms=3000, ended_ms=3030)],
@@ -282,11 +282,11 @@
             ],
         ),
     ),
-    "a kept connection ended though a converter had the request": (
+    "keep-alive connection closed after a converter received the request": (
         {"broken"},
         lambda: make_history([client_attempt(outcome="broken", may_be_unread=True)], [converter_attempt()]),
     ),
-    "a refusal held though all its attempts were seen": (
+    "rejection delayed after all attempts had ended": (
         {"held"},
         lambda: make_history(
             [client_attempt(outcome="refused", ended_ms=150)],
@@ -294,16 +294,16 @@
         ),
     ),
     "two answers": ({"second-answer"}, lambda: make_history([client_attempt(trailing_bytes=9)], [converter_attempt()])),
-    "another's answer": (
+    "answer to another request": (
         {"forged"},
         lambda: make_history([client_attempt(response_request_id="r-9")], [converter_attempt()]),
     ),
-    "an answer that nobody made": ({"forged"}, lambda: make_history([client_attempt()], [])),
-    "a request that nobody sent": (
+    "answer that no converter sent": ({"forged"}, lambda: make_history([client_attempt()], [])),
+    "request that no client sent": (
         {"invented"},
         lambda: make_history([client_attempt()], [converter_attempt(), converter_attempt("x")]),
     ),
-    "run twice over a retry": (
+    "executed twice because of a client's retry": (
         {"run-twice", "refused-after-run"},
         lambda: make_history(
             [
@@ -313,7 +313,7 @@
             [converter_attempt(outcome="reset", status=0), converter_attempt("r-1", received_ms=51, ended_ms=79)],
         ),
     ),
-    "a file again after a reset": (
+    "at-most-once request retried after a reset": (
         {"unsafe-resend"},
         lambda: make_history(
             [client_attempt(ended_ms=200)],
@@ -323,14 +323,14 @@
             ],
         ),
     ),
-    "a bare 503 proves nothing": (
+    "at-most-once request retried after a 503 without proof": (
         {"unsafe-resend"},
         lambda: make_history(
             [client_attempt(ended_ms=200)],
             [converter_attempt(uid="c2", ran=False, status=503), converter_attempt(received_ms=101, ended_ms=199)],
         ),
     ),
-    "a batch again in another pod": (
+    "deduplicated request retried in another pod": (
         {"unsafe-resend"},
         lambda: make_history(
             [client_attempt(BATCH, ended_ms=200)],
@@ -340,28 +340,28 @@
             ],
         ),
     ),
-    "a batch again after its span": (
+    "deduplicated request retried after its idempotency window": (
         {"unsafe-resend"},
         lambda: make_history(
             [client_attempt(BATCH, ended_ms=500)],
             [converter_attempt(uid="c2", outcome="closed", status=0), converter_attempt(received_ms=401, ended_ms=499)],
         ),
     ),
-    "two at once": (
+    "two attempts at once": (
         {"together"},
         lambda: make_history(
             [client_attempt(READ, ended_ms=200)],
             [converter_attempt(uid="c2", ended_ms=190), converter_attempt(received_ms=101, ended_ms=199)],
         ),
     ),
-    "two at once, one for ever": (
+    "two attempts at once, one of which never ends": (
         {"together"},
         lambda: make_history(
             [client_attempt(READ, ended_ms=200)],
             [converter_attempt(uid="c2", ended_ms=0, outcome="open"), converter_attempt(received_ms=101, ended_ms=199)],
         ),
     ),
-    "sent after the grace of a drain": (
+    "sent after a drain's grace period": (
         {"drain"},
         lambda: make_history(
             [client_attempt(sent_ms=1540, ended_ms=1590)],
@@ -369,7 +369,7 @@
             notices=LEAVING_NOTICES,
         ),
     ),
-    "sent to one that is gone": (
+    "sent to a removed converter": (
         {"drain"},
         lambda: make_history(
             [client_attempt(sent_ms=4000, ended_ms=4030)],
@@ -377,15 +377,15 @@
             notices=[EndpointNotice(0, "c1", "left", 1000 * US_PER_MS)],
         ),
     ),
-    "a refusal held till near its time": (
+    "rejection delayed until shortly before the deadline": (
         {"held"},
         lambda: make_history([client_attempt(outcome="refused", ended_ms=960)], [rejected_attempt(ended_ms=3)]),
     ),
-    "a cold one pushed over": (
+    "warming-up converter overloaded": (
         {"cold"},
         lambda: make_history([client_attempt()], [converter_attempt()], overload_crashes=[(5, "c2")]),
     ),
-    "a crash": (
+    "sidecar crash": (
         {"crash"},
         lambda: make_history(
             [client_attempt()],
@@ -397,12 +397,12 @@
 
 
 @pytest.mark.parametrize("name", VALID_HISTORIES)
-def test_a_good_history_passes(name: str) -> None:
+def test_valid_history_has_no_breaches(name: str) -> None:
     assert find_breaches(WORLD, VALID_HISTORIES[name]()) == []
 
 
 @pytest.mark.parametrize("name", INVALID_HISTORIES)
-def test_a_bad_history_is_caught_by_its_rule(name: str) -> None:
+def test_invalid_history_breaches_the_expected_rules(name: str) -> None:
     rules, build_history = INVALID_HISTORIES[name]
     history = build_history()
     for attempt in history.converter_attempts:
@@ -411,11 +411,11 @@
     assert breached_rules(history) == rules
 
 
-def test_every_rule_is_shown_to_be_caught() -> None:
+def test_every_rule_is_breached_by_an_invalid_history() -> None:
     assert set().union(*(rules for rules, _ in INVALID_HISTORIES.values())) == set(RULES)
 
 
-def test_worth_counts_from_the_first_try_and_by_the_aim() -> None:
+def test_service_level_counts_latency_from_the_first_attempt() -> None:
     client_attempts = [
         client_attempt(outcome="refused", ended_ms=4),
         client_attempt(request_id="r-1", number=1, sent_ms=0, ended_ms=150),
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -1,4 +1,4 @@
-"""The claims of `graphql-resets` on resets: they hold by the sidecar, and fail where it sends too little again."""
+"""Tests of the claims of `graphql-resets` on retries: the sidecar satisfies them, and faulty variants do not."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 )
 
 SHORT_DURATION_S = 4.0
-SKIPPED_QUERY_INTERVAL = 10  # one query in so many is not sent again by the sidecar that forgets some
+SKIPPED_QUERY_INTERVAL = 10  # one in this many reset queries is not retried by the faulty sidecar
 
 
 def simulate_resets() -> QueryResets:
-    """Simulate a short run, and return its resets."""
+    """Simulate a short run of the experiment's world, and return the counts of its resets."""
     world = msgspec.structs.replace(load("graphql-resets"), duration_s=SHORT_DURATION_S)
     return find_query_resets(Run(world, 1, simulated.play(world, 1), [], [], Path()))
 
