--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -211,9 +211,7 @@
     def _check_rejection(self, request: ClientAttempt) -> None:
         for attempt in self.attempts[request.request_id]:
             if may_have_run(attempt) and attempt.received_us < request.ended_us:
-                self._add_breach(
-                    "refused-after-run", request.ended_us, f"{request.request_id}: {attempt.uid} had received it"
-                )
+                self._add_breach("refused-after-run", request.ended_us, f"{request.request_id}: {attempt.uid} had it")
                 return
 
     # Attempts
@@ -279,9 +277,7 @@
             times_us = [at_us for at_us in notified_us[request.sidecar, attempt.uid] if at_us >= started_us]
             if times_us and attempt.first_byte_us > self._must_act_by_us(request.sidecar, min(times_us), grace_us):
                 late_ms = (attempt.first_byte_us - min(times_us)) // US_PER_MS
-                text = (
-                    f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {request.sidecar} was notified"
-                )
+                text = f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {request.sidecar} was told"
                 self._add_breach("drain", attempt.first_byte_us, text)
 
     @staticmethod
@@ -311,7 +307,7 @@
 
     def _check_overloads(self) -> None:
         for at_us, uid in self.history.overload_crashes:
-            self._add_breach("cold", at_us, f"{uid} crashed from overload while warming up")
+            self._add_breach("cold", at_us, f"{uid} was pushed over")
 
     def _check_crashes(self) -> None:
         for incarnation in self.history.incarnations:
