--- a/ryepier/experiments/core/machine.py
+++ b/ryepier/experiments/core/machine.py
@@ -1,4 +1,4 @@
-"""The resources of this machine, and the check that an experiment may use what it needs of them."""
+"""Reads the resources of this machine, and checks that they suffice for an experiment."""
 
 from __future__ import annotations
 
@@ -9,45 +9,47 @@
 from ryepier.emulator.errors import HarnessError
 
 GB = 10**9
-KIB = 1024
+BYTES_PER_KIB = 1024
 MAX_PROCESSES = 8
 MAX_BYTES = 10 * GB
-MAX_MEMORY_SHARE = 0.5  # of the machine's, as others use it too
-SPARE_SOCKETS = 64  # a process's own files, and connections that are being closed
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory, as the machine is shared with others
+SPARE_SOCKETS = 64  # descriptors for a process's own files and for connections that are being closed
 MEMINFO = "/proc/meminfo"
 
 
 class InsufficientResourcesError(HarnessError):
-    """The machine can't spare what an experiment needs, or it needs more than any may; nothing was started."""
+    """The machine lacks resources, or the experiment exceeds the fixed limits. No process has been started."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceRequirements:
-    """What all processes of an experiment need together, including its own."""
+    """The resources that all processes of an experiment need together, including the calling process."""
 
     processes: int
     bytes: int
-    sockets: int = 0  # of the process that holds the most
+    sockets: int = 0  # in the process that opens the most
 
 
 @dataclass(frozen=True, slots=True)
 class MachineResources:
-    """What a machine has."""
+    """The resources of a machine."""
 
     total_bytes: int
     available_bytes: int
-    sockets: int  # file descriptors that a process may hold
+    sockets: int  # limit of open file descriptors per process
 
     @property
     def usable_bytes(self) -> int:
-        """Return the memory that an experiment may use, free or not."""
+        """Return the memory that an experiment may use, whether or not it is free now."""
         return int(self.total_bytes * MAX_MEMORY_SHARE)
 
 
 def read_machine(meminfo: str, sockets: int) -> MachineResources:
     """Return a machine's resources from the text of /proc/meminfo. Raises KeyError if a line is missing."""
     fields = dict(line.split(":", 1) for line in meminfo.splitlines() if ":" in line)
-    total_bytes, available_bytes = (int(fields[name].split()[0]) * KIB for name in ("MemTotal", "MemAvailable"))
+    total_bytes, available_bytes = (
+        int(fields[name].split()[0]) * BYTES_PER_KIB for name in ("MemTotal", "MemAvailable")
+    )
     return MachineResources(total_bytes, available_bytes, sockets)
 
 
@@ -56,18 +58,22 @@
     return read_machine(Path(MEMINFO).read_text(), resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def check_requirements(needs: ResourceRequirements, machine: MachineResources) -> None:
-    """Raise InsufficientResourcesError with what is too much and by how much, unless a machine can spare the needs."""
+def check_requirements(requirements: ResourceRequirements, machine: MachineResources) -> None:
+    """Raise InsufficientResourcesError, with the exceeded limit, if the machine can't satisfy the requirements."""
     max_bytes = min(MAX_BYTES, machine.usable_bytes)
-    if needs.processes > MAX_PROCESSES:
-        raise InsufficientResourcesError(f"{needs.processes} processes asked for, at most {MAX_PROCESSES} may be")
-    if needs.bytes > max_bytes:
-        raise InsufficientResourcesError(f"{needs.bytes / GB:.1f} GB asked for, at most {max_bytes / GB:.1f} GB may be")
-    if needs.bytes > machine.available_bytes:
+    if requirements.processes > MAX_PROCESSES:
         raise InsufficientResourcesError(
-            f"{needs.bytes / GB:.1f} GB asked for, and only {machine.available_bytes / GB:.1f} GB are free"
+            f"{requirements.processes} processes required, at most {MAX_PROCESSES} allowed"
         )
-    if needs.sockets + SPARE_SOCKETS > machine.sockets:
+    if requirements.bytes > max_bytes:
         raise InsufficientResourcesError(
-            f"{needs.sockets} sockets asked for in a process, which may hold {machine.sockets} files"
+            f"{requirements.bytes / GB:.1f} GB required, at most {max_bytes / GB:.1f} GB allowed"
+        )
+    if requirements.bytes > machine.available_bytes:
+        raise InsufficientResourcesError(
+            f"{requirements.bytes / GB:.1f} GB required, only {machine.available_bytes / GB:.1f} GB are free"
+        )
+    if requirements.sockets + SPARE_SOCKETS > machine.sockets:
+        raise InsufficientResourcesError(
+            f"{requirements.sockets} sockets required in one process, whose limit is {machine.sockets} open files"
         )
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -1,8 +1,9 @@
-"""`planner-scale`: how do a planner's CPU time and traffic grow with the number of forwarders?
+"""Benchmark `planner-scale`: growth of a planner's CPU time and traffic with the number of forwarders.
 
-One planner process at 50, 200 and 1,000 forwarders. These are connections of this process that speak the protocol and
-report on a small part of the converters each. Claims: the planner's CPU time at 1,000, growth that is close to linear,
-the traffic per forwarder, and plans at the usual rate.
+One planner process serves 50, 200 and 1,000 forwarders. The forwarders are simulated by this process: each is a
+connection that speaks the protocol and reports on a few of the converters. The claims bound the planner's CPU time at
+1,000 forwarders, its growth relative to a linear one, and the traffic per forwarder, and require plans at the usual
+rate.
 """
 
 from __future__ import annotations
@@ -26,30 +27,30 @@
 from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
 
 FLEET_SIZES = (50, 200, 1000)  # forwarders
-CONVERTERS = 100
-REPORTED_CONVERTERS = 12  # by one forwarder, as a sidecar uses few at once
+CONVERTER_COUNT = 100
+REPORTED_CONVERTERS = 12  # per forwarder, as a sidecar uses only a few converters at a time
 REPORT_INTERVAL_S = 0.5
-ATTEMPTS_PER_REPORT = 2.0  # the mean, for each converter
-WARM_UP_S = 3.0
-MEASURED_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}
+ATTEMPTS_PER_REPORT = 2.0  # mean number of new attempts per converter
+WARM_UP_S = 3.0  # between the connections and the measurement
+MEASUREMENT_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}
 READ_BYTES = 65_536
-WHOLE_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
+FULL_REPORTS_FAULT = "whole-reports"  # seeded fault: forwarders report on all converters
 MAX_CORES = 0.9
 MAX_GROWTH_OVER_LINEAR = 1.4
 MAX_BYTES_PER_S_PER_FORWARDER = 1500
 MIN_PLANS_PER_S = 1.5
-MIN_CORES = 1e-3  # in place of zero as a divisor
+MIN_CORES = 1e-3  # minimum divisor, which avoids a division by zero
 
 
 class SimulatedForwarder:
-    """One forwarder's connection: sends reports whose counters grow, and counts what it receives."""
+    """A forwarder's connection that sends reports with growing counters, and counts received plans and bytes."""
 
     def __init__(self, index: int, random: np.random.Generator, reports_all: bool) -> None:
-        """Choose the converters to report on."""
+        """Start unconnected, with a random choice of converters to report on; all of them if `reports_all` is set."""
         self.name = f"f{index}"
-        count = CONVERTERS if reports_all else REPORTED_CONVERTERS
-        chosen = random.choice(CONVERTERS, size=count, replace=False)
-        self.counters = {f"c-{uid:04x}": ConverterCounters() for uid in chosen}
+        count = CONVERTER_COUNT if reports_all else REPORTED_CONVERTERS
+        chosen_converters = random.choice(CONVERTER_COUNT, size=count, replace=False)
+        self.counters = {f"c-{converter:04x}": ConverterCounters() for converter in chosen_converters}
         self.random = random
         self.number = 0
         self.bytes_in = 0
@@ -66,10 +67,10 @@
                 counters.attempts + count, served, counters.failed, counters.rejected, (0, 0, 0, 0, 0, served)
             )
         arrivals = [self.number * 10]
-        return encode(Report(self.number, CONVERTERS, self.counters, {}, arrivals, arrivals, 0))
+        return encode(Report(self.number, CONVERTER_COUNT, self.counters, {}, arrivals, arrivals, 0))
 
     async def run(self, address: tuple[str, int]) -> None:
-        """Connect and report until cancelled."""
+        """Connect and send reports until cancelled."""
         reader, writer = await asyncio.open_connection(*address)
         receiving = asyncio.create_task(self._receive(reader))
         try:
@@ -92,8 +93,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """Totals of a fleet and its planner at one time."""
+class FleetTotals:
+    """Totals of a fleet and its planner at a point in time."""
 
     at_s: float
     planner_cpu_s: float
@@ -102,9 +103,9 @@
     plans: int
 
 
-def read_totals(pid: int, forwarders: Sequence[SimulatedForwarder]) -> Reading:
-    """Return the totals now."""
-    return Reading(
+def read_totals(pid: int, forwarders: Sequence[SimulatedForwarder]) -> FleetTotals:
+    """Return the current totals of the forwarders and of the planner with this process id."""
+    return FleetTotals(
         planner_cpu_s=usage(pid).cpu_s,
         at_s=time.monotonic(),
         bytes_to_planner=sum(forwarder.bytes_out for forwarder in forwarders),
@@ -114,8 +115,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rates:
-    """What a planner uses and sends per second with a fleet of one size."""
+class PlannerRates:
+    """CPU and traffic rates of a planner that serves a fleet of a given size."""
 
     cores: float
     bytes_in_per_s: float
@@ -123,7 +124,7 @@
     plans_per_s_per_forwarder: float
 
     @classmethod
-    def between(cls, before: Reading, after: Reading, fleet_size: int) -> Rates:
+    def between(cls, before: FleetTotals, after: FleetTotals, fleet_size: int) -> PlannerRates:
         """Return the rates between two readings."""
         elapsed_s = after.at_s - before.at_s
         return cls(
@@ -145,9 +146,9 @@
 
 async def _measure_planner(
     process: subprocess.Popen[bytes], address: tuple[str, int], fleet_size: int, trial: TrialConfig
-) -> Rates:
+) -> PlannerRates:
     await wait_until_listening(process, address, "the planner")
-    reports_all = trial.seeded_fault == WHOLE_REPORTS
+    reports_all = trial.seeded_fault == FULL_REPORTS_FAULT
     forwarders = [
         SimulatedForwarder(index, draws.stream(trial.seed, f"forwarder {index}"), reports_all)
         for index in range(fleet_size)
@@ -156,16 +157,16 @@
     try:
         await asyncio.sleep(WARM_UP_S)
         before = read_totals(process.pid, forwarders)
-        await asyncio.sleep(MEASURED_S[trial.scale])
+        await asyncio.sleep(MEASUREMENT_S[trial.scale])
         after = read_totals(process.pid, forwarders)
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-    return Rates.between(before, after, fleet_size)
+    return PlannerRates.between(before, after, fleet_size)
 
 
-def measure_fleet(fleet_size: int, trial: TrialConfig) -> Rates:
+def measure_fleet(fleet_size: int, trial: TrialConfig) -> PlannerRates:
     """Start a planner, run a fleet of one size against it, and return the planner's rates."""
     address = f"127.{find_network()}.254.1", PLANNER_PORT
     config = trial.folder / f"planner-{fleet_size}.toml"
@@ -180,19 +181,19 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure all sizes, one after another."""
+    """Measure all fleet sizes, one after another."""
     rates = {size: measure_fleet(size, trial) for size in FLEET_SIZES}
     figures: dict[str, float] = {}
     for size, rate in rates.items():
         figures |= rate.as_figures(size)
-    middle, largest = FLEET_SIZES[-2:]
-    at_largest = rates[largest]
-    growth = at_largest.cores / max(MIN_CORES, rates[middle].cores) / (largest / middle)
+    middle_size, largest_size = FLEET_SIZES[-2:]
+    largest_rates = rates[largest_size]
+    growth = largest_rates.cores / max(MIN_CORES, rates[middle_size].cores) / (largest_size / middle_size)
     figures["cores_growth_200_to_1000_over_linear"] = growth
-    bytes_per_s = at_largest.bytes_in_per_s / largest
-    plans_per_s = at_largest.plans_per_s_per_forwarder
+    bytes_per_s = largest_rates.bytes_in_per_s / largest_size
+    plans_per_s = largest_rates.plans_per_s_per_forwarder
     claims = [
-        Claim("planner's cores at 1,000 forwarders", at_largest.cores, "<=", MAX_CORES),
+        Claim("planner's cores at 1,000 forwarders", largest_rates.cores, "<=", MAX_CORES),
         Claim("growth of its CPU from 200 to 1,000 over linear", growth, "<=", MAX_GROWTH_OVER_LINEAR),
         Claim("bytes a second to a planner, a forwarder", bytes_per_s, "<=", MAX_BYTES_PER_S_PER_FORWARDER),
         Claim("plans a second that each of 1,000 forwarders gets", plans_per_s, ">=", MIN_PLANS_PER_S),
@@ -204,5 +205,5 @@
     name="planner-scale",
     question="a planner's CPU and bytes at 50, 200 and 1,000 simulated forwarders",
     measure=measure,
-    seeded_faults=(WHOLE_REPORTS,),
+    seeded_faults=(FULL_REPORTS_FAULT,),
 )
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -1,6 +1,6 @@
 """Seeded faults of planners, and of the forwarders that follow them.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process and can't be undone, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -20,70 +20,70 @@
 from ryepier.plan.reporter import Reporter
 
 FALSE_FAILURES_PER_ATTEMPT = 1000
-FALSELY_REPORTED_INTERVAL = 6  # converters; one of so many
+FALSELY_REPORTED_INTERVAL = 6  # one in this many converters is reported falsely
 HIGHEST_EPOCH = 10**6
 
 
 def accept_every_plan() -> None:
-    """Let a forwarder follow every plan."""
+    """Make a forwarder accept every plan."""
     PlanFollower.rejection_reason = lambda self, plan, listed: None  # type: ignore[method-assign]
 
 
 def reject_every_plan() -> None:
-    """Let a forwarder reject every plan."""
+    """Make a forwarder reject every plan."""
     PlanFollower.rejection_reason = lambda self, plan, listed: PlanRejection.OLDER_TERM  # type: ignore[method-assign]
 
 
 def lead_without_evidence() -> None:
-    """Let a planner forget all evidence, and publish at once in the highest term all the same."""
+    """Make a planner ignore all evidence, and lead in the highest term from its start."""
     snapshot.load = lambda folder, unix_ms, max_age_ms: None
     Evidence.merge = lambda self, now_us, name, incarnation, report: True  # type: ignore[method-assign]
     Planner.has_enough_evidence = lambda self, basis: True  # type: ignore[method-assign]
-    start = Leadership.__post_init__
+    original_post_init = Leadership.__post_init__
 
     def lead_at_once(self: Leadership) -> None:
-        start(self)
+        original_post_init(self)
         self.highest_term, self.is_leader = Term(HIGHEST_EPOCH, self.name), True
 
     Leadership.__post_init__ = lead_at_once  # type: ignore[method-assign]
 
 
-def believe_every_report() -> None:
-    """Let a planner believe every forwarder."""
+def trust_every_report() -> None:
+    """Make a planner trust the reports of every forwarder."""
     Planner._find_outlier_reporters = lambda self, active: set()  # type: ignore[method-assign]
     plan_computation.MAX_COUNTED_ATTEMPTS = float(10**9)
 
 
 def report_false_failures() -> None:
-    """Let a forwarder report a thousand failures for each request to some converters."""
-    report = Reporter.report
+    """Make a forwarder report a thousand failures for each attempt at some converters."""
+    original_report = Reporter.report
 
     def false_report(self: Reporter, *arguments: Any, **options: Any) -> Report:
-        honest = report(self, *arguments, **options)
-        counters = {uid: falsify(uid, counted) for uid, counted in honest.counters.items()}
-        return msgspec.structs.replace(honest, counters=counters)
+        true_report = original_report(self, *arguments, **options)
+        counters = {uid: falsify(uid, true_counters) for uid, true_counters in true_report.counters.items()}
+        return msgspec.structs.replace(true_report, counters=counters)
 
     Reporter.report = false_report  # type: ignore[method-assign]
 
 
 def recount_at_each_report() -> None:
-    """Let a planner go through all forwarders at each report."""
-    merge = Evidence.merge
+    """Make a planner evaluate all forwarders at each report."""
+    original_merge = Evidence.merge
 
     def merge_and_recount(self: Evidence, now_us: int, name: str, incarnation: int, report: Report) -> bool:
         self.active(now_us)
-        return merge(self, now_us, name, incarnation, report)
+        return original_merge(self, now_us, name, incarnation, report)
 
     Evidence.merge = merge_and_recount  # type: ignore[method-assign]
 
 
 def return_at_fixed_times() -> None:
-    """Let forwarders reconnect without jitter."""
+    """Make forwarders reconnect without jitter."""
     Forwarder.jitter_s = lambda self, bound_s: bound_s  # type: ignore[method-assign]
 
 
 def falsify(uid: str, counters: ConverterCounters) -> ConverterCounters:
-    """Return a converter's counters with false failures, if it is one of those that are reported falsely."""
+    """Return a converter's counters, with false failures if the converter is one that is reported falsely."""
     index = int(uid.rpartition("-")[2], 16)
     if index % FALSELY_REPORTED_INTERVAL:
         return counters
@@ -91,12 +91,12 @@
     return msgspec.structs.replace(counters, failed=counters.failed + false_failures)
 
 
-OF_PLANNERS = frozenset(("amnesiac", "credulous", "recount"))  # all others are faults of a sidecar
+PLANNER_FAULTS = frozenset(("amnesiac", "credulous", "recount"))  # all others are faults of sidecars
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "trust-any": accept_every_plan,
     "trust-none": reject_every_plan,
     "amnesiac": lead_without_evidence,
-    "credulous": believe_every_report,
+    "credulous": trust_every_report,
     "liar": report_false_failures,
     "recount": recount_at_each_report,
     "herd": return_at_fixed_times,
--- a/ryepier/experiments/slices/drain.py
+++ b/ryepier/experiments/slices/drain.py
@@ -1,7 +1,8 @@
-"""`slices-drain`: are drains noticed although EndpointSlices contradict each other?
+"""Experiment `slices-drain`: sidecars are notified of drains although EndpointSlices contradict each other.
 
-Every converter of the service is replaced; a third of the drains come with slices that disagree. Claims: sidecars are
-notified of nearly every termination, new converters are put to use, and the service stays high.
+Every converter of the service is replaced; in a third of the drains, slices disagree about the converter. The claims
+require that sidecars are notified of nearly every termination, that new converters get requests, and a high service
+level.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
-WARM_UP_S = 6.0  # a converter that started this long before the end is warm, and has had requests if it ever will
-MIN_TERMINATING = 200  # of 204 converters
+WARM_UP_S = 6.0  # a converter started this long before the end is warm, and should have had requests
+MIN_TERMINATING = 200  # of the 204 converters that are replaced
 MIN_NOTIFIED_SHARE = 0.95
 MIN_USED_SHARE = 0.95
 MIN_SERVICE = 0.97
@@ -25,17 +26,19 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    terminating = {notice.uid for notice in run.history.notices if notice.state == ListState.LEAVING}
-    notified = {(notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == ListState.LEAVING}
+    terminating_uids = {notice.uid for notice in run.history.notices if notice.state == ListState.LEAVING}
+    notified_pairs = {
+        (notice.sidecar, notice.uid) for notice in run.history.notices if notice.state == ListState.LEAVING
+    }
     min_notified = MIN_NOTIFIED_SHARE * len(phases.started_uids(run)) * run.world.sidecars.count
-    started_early = phases.started_uids(run, until_us=(run.world.duration_s - WARM_UP_S) * US_PER_S)
-    used = {attempt.uid for attempt in run.history.converter_attempts} & started_early
-    used_share = len(used) / max(1, len(started_early))
+    early_started_uids = phases.started_uids(run, until_us=(run.world.duration_s - WARM_UP_S) * US_PER_S)
+    used_uids = {attempt.uid for attempt in run.history.converter_attempts} & early_started_uids
+    used_share = len(used_uids) / max(1, len(early_started_uids))
     used_name = f"share in use of the converters that came up {WARM_UP_S:g} s before the end"
     service = figures.service_level(run.operations, phases.during(fault_of_kind(run.world, FaultKind.RELEASE)))
     return [
-        Claim("converters seen terminating", len(terminating), ">=", MIN_TERMINATING),
-        Claim("terminations told to a sidecar", len(notified), ">=", min_notified),
+        Claim("converters seen terminating", len(terminating_uids), ">=", MIN_TERMINATING),
+        Claim("terminations told to a sidecar", len(notified_pairs), ">=", min_notified),
         Claim(used_name, used_share, ">=", MIN_USED_SHARE),
         Claim("service during the release", service, ">=", MIN_SERVICE),
     ]
--- a/ryepier/experiments/slices/follower_process.py
+++ b/ryepier/experiments/slices/follower_process.py
@@ -1,7 +1,8 @@
-"""A process that follows a service's slices and hands each list to a decision module, for `slices-churn`.
+"""A process that follows a service's slices and passes each update to a decision module, for `slices-churn`.
 
-`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has the list. A
-line on its standard input ends it; it then prints one JSON object, a `FollowerReport`.
+`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has the list. When
+it reads a line from standard input, it prints a `FollowerReport` as one line of JSON and exits. An empty SEEDED_FAULT
+stands for none.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 from ryepier.slices.slice_source import Settings as SourceSettings
 from ryepier.slices.slice_source import SliceSource
 
-UP = b"up\n"
+READY_LINE = b"up\n"
 LATENCY_OBJECTIVE_US = 100_000
 DEADLINE_US = 1_000_000
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """One upstream of an update, and when the decision module had handled it."""
+    """One upstream of an update, and the time at which the decision module had processed it."""
 
     host: str
     state: str
@@ -37,7 +38,7 @@
 
 
 class FollowerReport(msgspec.Struct, frozen=True):
-    """What the decision module was given since the first list, and what the process used for it."""
+    """The updates since the first list, and the memory and CPU time that the process used for them."""
 
     updates: list[Update]
     resident_kib: int
@@ -46,7 +47,7 @@
 
 
 async def follow(port: int, service: str) -> FollowerReport:
-    """Follow a service until a line arrives on standard input."""
+    """Follow a service until a line arrives on standard input, and return the report."""
     balancer = Balancer(Settings([RequestClass("convert", LATENCY_OBJECTIVE_US, DEADLINE_US)]), 1, clock_us())
     updates: list[Update] = []
     listed = asyncio.Event()
@@ -62,7 +63,7 @@
     source = SliceSource(settings, on_update, clock_us)
     source.start()
     await listed.wait()
-    sys.stdout.buffer.write(UP)
+    sys.stdout.buffer.write(READY_LINE)
     sys.stdout.flush()
     begun_s = time.process_time()
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
--- a/ryepier/experiments/storms/one_sidecar.py
+++ b/ryepier/experiments/storms/one_sidecar.py
@@ -1,7 +1,7 @@
-"""`retry-storm-one`: does the guard act at the sidecar that is struck, and nowhere else?
+"""Experiment `retry-storm-one`: the retry storm guard acts only at the sidecar whose requests are rejected.
 
-For five seconds converters reject what one of three sidecars forwards. Claims: only that sidecar's guard detects a
-storm, the clients of the others lose next to nothing, and the service recovers.
+For five seconds converters reject all requests of one of three sidecars. The claims require that only that sidecar's
+guard detects a storm, that the clients of the other sidecars lose almost no service, and that the service recovers.
 """
 
 from __future__ import annotations
@@ -10,29 +10,34 @@
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.storms import measures, worlds
-from ryepier.experiments.storms.after_outage import MAX_RECOVERY_S, MAX_UNIFORMITY
+from ryepier.experiments.storms.after_outage import MAX_ADVICE_UNIFORMITY, MAX_RECOVERY_S
 
-STRUCK_LOG = f"sidecar-{worlds.STRUCK_SIDECAR}.log"
+AFFECTED_LOG = f"sidecar-{worlds.AFFECTED_SIDECAR}.log"
 MIN_SERVICE = 0.97
-MAX_LOST_POINTS = 0.5
+MAX_LOST_POINTS = 0.5  # percentage points of the service level
 
 
-def _is_of_others(item: ClientAttempt) -> bool:
-    return item.sidecar != worlds.STRUCK_SIDECAR
+def _is_at_other_sidecar(attempt: ClientAttempt) -> bool:
+    return attempt.sidecar != worlds.AFFECTED_SIDECAR
 
 
 def _claims(run: Run) -> list[Claim]:
     assert run.control is not None
     logs = measures.logs_with_detection(run)
-    service = figures.service_level(run.operations, _is_of_others)
-    lost_points = 100 * (figures.service_level(run.control.operations, _is_of_others) - service)
+    service = figures.service_level(run.operations, _is_at_other_sidecar)
+    lost_points = 100 * (figures.service_level(run.control.operations, _is_at_other_sidecar) - service)
     return [
-        Claim("the struck sidecar's guard opened", STRUCK_LOG in logs, "==", 1),
-        Claim("other guards that opened", len(logs - {STRUCK_LOG}), "==", 0),
+        Claim("the struck sidecar's guard opened", AFFECTED_LOG in logs, "==", 1),
+        Claim("other guards that opened", len(logs - {AFFECTED_LOG}), "==", 0),
         Claim("service of the others", service, ">=", MIN_SERVICE),
         Claim("service of the others lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
         Claim("time until service is back (s)", measures.recovery_s(run), "<=", MAX_RECOVERY_S),
-        Claim("share of refusals of one moment told the same", measures.advice_uniformity(run), "<=", MAX_UNIFORMITY),
+        Claim(
+            "share of refusals of one moment told the same",
+            measures.advice_uniformity(run),
+            "<=",
+            MAX_ADVICE_UNIFORMITY,
+        ),
     ]
 
 
