--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Faults:
+class ApiServerFaults:
     """What the server does wrong while it is set."""
 
     silent: bool = False  # connections stay open, and nothing is written
@@ -90,7 +90,7 @@
         self.store = store
         self.token = token
         self.bookmark_s = bookmark_s
-        self.faults = Faults()
+        self.faults = ApiServerFaults()
         self.request_targets: list[str] = []  # targets of the requests received
         self._on_written = on_written or (lambda writer, objects, is_full_list: None)
         self._server: asyncio.Server | None = None
@@ -170,7 +170,7 @@
         query = {key: values[-1] for key, values in parse_qs(url.query).items()}
         resource = parse_path(url.path)
         if resource.name:
-            await self._get_one(resource, writer)
+            await self._get_object(resource, writer)
             return
         labels = parse_selector(query.get("labelSelector", ""))
         if query.get("watch") in TRUE_VALUES:
@@ -178,16 +178,16 @@
             return
         limit = query.get("limit", "0")
         token = query.get("continue", "")
-        page = self.store.page(resource.namespace, labels, int(limit) if limit.isdecimal() else 0, token)
+        page = self.store.list_page(resource.namespace, labels, int(limit) if limit.isdecimal() else 0, token)
         await self._write_json(writer, http.HTTPStatus.OK, page)
         self._on_written(writer, page["items"], True)
 
-    async def _get_one(self, resource: Resource, writer: asyncio.StreamWriter) -> None:
-        found = self.store.objects.get((resource.namespace, resource.name))
-        if found is None:
+    async def _get_object(self, resource: Resource, writer: asyncio.StreamWriter) -> None:
+        api_object = self.store.objects.get((resource.namespace, resource.name))
+        if api_object is None:
             message = f'endpointslices.discovery.k8s.io "{resource.name}" not found'
             raise ApiError(http.HTTPStatus.NOT_FOUND, "NotFound", message)
-        await self._write_json(writer, http.HTTPStatus.OK, found)
+        await self._write_json(writer, http.HTTPStatus.OK, api_object)
 
     # Watches
 
@@ -198,30 +198,30 @@
 
         Raises ApiError if the version has been compacted.
         """
-        requested = query.get("resourceVersion", "")
-        version = int(requested) if requested.isdecimal() else 0
-        present: list[ApiObject] = []
+        requested_version = query.get("resourceVersion", "")
+        version = int(requested_version) if requested_version.isdecimal() else 0
+        existing: list[ApiObject] = []
         if version:
-            self.store.since(version)
+            self.store.events_since(version)
         else:
             version = self.store.version
-            present = self.store.select(namespace, labels)
+            existing = self.store.select(namespace, labels)
         end_s = system.monotonic() + float(query.get("timeoutSeconds", DEFAULT_WATCH_S))
         bookmarks = query.get("allowWatchBookmarks") in TRUE_VALUES
         watch = Watch(writer, namespace, labels, version, bookmarks, end_s)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for found in present:
-            await self._write_event(watch, EventType.ADDED, found)
-        await self._follow(watch)
+        for api_object in existing:
+            await self._write_event(watch, EventType.ADDED, api_object)
+        await self._stream_events(watch)
         await self._write(writer, b"0\r\n\r\n")
 
-    async def _follow(self, watch: Watch) -> None:
+    async def _stream_events(self, watch: Watch) -> None:
         """Write events as they happen, and bookmarks when none has happened for a while."""
         while system.monotonic() < watch.end_s and not watch.writer.is_closing():
             change = self._change  # taken first, so that a change during the writes below is not missed
             if not self.faults.silent:
                 try:
-                    await self._catch_up(watch)
+                    await self._write_new_events(watch)
                 except ExpiredError as error:
                     await self._write_event(watch, EventType.ERROR, error.status)
                     return
@@ -232,8 +232,8 @@
             except TimeoutError:
                 await self._write_bookmark(watch)
 
-    async def _catch_up(self, watch: Watch) -> None:
-        for event in self.store.since(watch.version):
+    async def _write_new_events(self, watch: Watch) -> None:
+        for event in self.store.events_since(watch.version):
             watch.version = event.version
             is_in_namespace = not watch.namespace or event.namespace == watch.namespace
             if is_in_namespace and matches(event.object, watch.labels):
@@ -246,34 +246,34 @@
         bookmark = {"kind": KIND, "apiVersion": API_VERSION, "metadata": metadata}
         await self._write_event(watch, EventType.BOOKMARK, bookmark)
 
-    async def _write_event(self, watch: Watch, event_type: EventType, found: ApiObject) -> None:
-        line = json.dumps({"type": event_type, "object": found}).encode() + b"\n"
+    async def _write_event(self, watch: Watch, event_type: EventType, api_object: ApiObject) -> None:
+        line = json.dumps({"type": event_type, "object": api_object}).encode() + b"\n"
         if self.faults.truncates_watches and event_type is not EventType.BOOKMARK:
-            half = line[: len(line) // 2]
-            await self._write(watch.writer, b"%x\r\n%s\r\n" % (len(half), half))
+            first_half = line[: len(line) // 2]
+            await self._write(watch.writer, b"%x\r\n%s\r\n" % (len(first_half), first_half))
             watch.writer.transport.close()
             raise ConnectionResetError
         await self._write(watch.writer, b"%x\r\n%s\r\n" % (len(line), line))
         if event_type in (EventType.ADDED, EventType.MODIFIED, EventType.DELETED):
-            self._on_written(watch.writer, [found], False)
+            self._on_written(watch.writer, [api_object], False)
 
     # Output
 
     async def _write_json(
-        self, writer: asyncio.StreamWriter, code: http.HTTPStatus, body: ApiObject, further_headers: str = ""
+        self, writer: asyncio.StreamWriter, code: http.HTTPStatus, body: ApiObject, extra_headers: str = ""
     ) -> None:
         data = json.dumps(body).encode()
         head = (
             f"HTTP/1.1 {code.value} {REASON_PHRASE}\r\nContent-Type: application/json\r\n"
-            f"{further_headers}Content-Length: {len(data)}\r\n\r\n"
+            f"{extra_headers}Content-Length: {len(data)}\r\n\r\n"
         )
         await self._write(writer, head.encode() + data)
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write data, in pieces with pauses where the faults ask for them."""
-        size = self.faults.max_write_bytes or len(data)
-        for begin in range(0, len(data), size):
-            writer.write(data[begin : begin + size])
+        write_size = self.faults.max_write_bytes or len(data)
+        for begin in range(0, len(data), write_size):
+            writer.write(data[begin : begin + write_size])
             await writer.drain()
             if self.faults.max_write_bytes:
                 await asyncio.sleep(self.faults.write_pause_s)
--- a/ryepier/emulator/api_store.py
+++ b/ryepier/emulator/api_store.py
@@ -78,10 +78,10 @@
     return labels
 
 
-def matches(found: ApiObject, labels: dict[str, str]) -> bool:
+def matches(api_object: ApiObject, labels: dict[str, str]) -> bool:
     """Return whether an object has all these labels."""
-    own = found["metadata"]["labels"]
-    return all(own.get(key) == value for key, value in labels.items())
+    object_labels = api_object["metadata"]["labels"]
+    return all(object_labels.get(key) == value for key, value in labels.items())
 
 
 class Store:
@@ -90,7 +90,7 @@
     def __init__(self, first_version: int = FIRST_VERSION) -> None:
         """Start without objects."""
         self.version = first_version
-        self.compacted = first_version  # events up to this version are not available
+        self.compacted_version = first_version  # events up to this version are not available
         self.objects: dict[tuple[str, str], ApiObject] = {}  # by namespace and name
         self._events: list[Event] = []
         self._last_uid = 0
@@ -130,18 +130,18 @@
         """Delete an object, under a new version."""
         old = self.objects.pop((namespace, name))
         self.version += 1
-        last = old | {"metadata": old["metadata"] | {"resourceVersion": str(self.version)}}
-        self._events.append(Event(self.version, EventType.DELETED, last, namespace))
+        deleted = old | {"metadata": old["metadata"] | {"resourceVersion": str(self.version)}}
+        self._events.append(Event(self.version, EventType.DELETED, deleted, namespace))
 
     def compact(self) -> None:
         """Discard the events so far, as a real server does after some minutes."""
-        self.compacted = self.version
+        self.compacted_version = self.version
         self._events.clear()
 
-    def since(self, version: int) -> list[Event]:
+    def events_since(self, version: int) -> list[Event]:
         """Return the events after a version. Raises ExpiredError if some have been discarded."""
-        if version < self.compacted:
-            raise ExpiredError(f"too old resource version: {version} ({self.compacted})")
+        if version < self.compacted_version:
+            raise ExpiredError(f"too old resource version: {version} ({self.compacted_version})")
         if version >= self.version:
             return []
         # versions have no gaps, so the position follows from the distance to the newest
@@ -150,27 +150,29 @@
     def select(self, namespace: str, labels: dict[str, str]) -> list[ApiObject]:
         """Return the matching objects by namespace and name; an empty namespace stands for all."""
         return [
-            found
-            for (found_namespace, _), found in sorted(self.objects.items())
-            if (not namespace or found_namespace == namespace) and matches(found, labels)
+            api_object
+            for (object_namespace, _), api_object in sorted(self.objects.items())
+            if (not namespace or object_namespace == namespace) and matches(api_object, labels)
         ]
 
-    def page(self, namespace: str, labels: dict[str, str], limit: int, token: str) -> ApiObject:
+    def list_page(self, namespace: str, labels: dict[str, str], limit: int, token: str) -> ApiObject:
         """Return one page of a list. Its continue token holds the version at which the list began and the last name.
 
         Raises ApiError for an invalid token and ExpiredError for one whose version has been compacted.
         """
-        version, after = self._decode_token(token) if token else (self.version, "")
-        found = [one for one in self.select(namespace, labels) if one["metadata"]["name"] > after]
+        version, last_name = self._decode_token(token) if token else (self.version, "")
+        items = [
+            api_object for api_object in self.select(namespace, labels) if api_object["metadata"]["name"] > last_name
+        ]
         metadata: ApiObject = {"resourceVersion": str(version)}
-        if limit and len(found) > limit:
-            next_token = json.dumps([version, found[limit - 1]["metadata"]["name"]])
+        if limit and len(items) > limit:
+            next_token = json.dumps([version, items[limit - 1]["metadata"]["name"]])
             metadata |= {
                 "continue": base64.urlsafe_b64encode(next_token.encode()).decode(),
-                "remainingItemCount": len(found) - limit,
+                "remainingItemCount": len(items) - limit,
             }
-            found = found[:limit]
-        return {"kind": LIST_KIND, "apiVersion": API_VERSION, "metadata": metadata, "items": found}
+            items = items[:limit]
+        return {"kind": LIST_KIND, "apiVersion": API_VERSION, "metadata": metadata, "items": items}
 
     def _decode_token(self, token: str) -> list[Any]:
         try:
@@ -178,6 +180,6 @@
             version, _ = decoded
         except ValueError:
             raise ApiError(http.HTTPStatus.BAD_REQUEST, "BadRequest", "continue key is not valid") from None
-        if version < self.compacted:
+        if version < self.compacted_version:
             raise ExpiredError("The provided continue parameter is too old")
         return decoded
--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -21,7 +21,7 @@
     body: bytes
 
 
-class ConnectionUser(Protocol):
+class OutgoingRequest(Protocol):
     """The request that a connection carries."""
 
     attempt: ClientAttempt
@@ -47,13 +47,13 @@
     def __init__(self, address: Address) -> None:
         """Start without connections."""
         self.address = address
-        self.idle: list[ClientConnection] = []
+        self.idle_connections: list[ClientConnection] = []
         self.host = b"%s:%d" % (address[0].encode(), address[1])
 
     def take_idle(self) -> ClientConnection | None:
         """Return the connection that became idle last and is still open, if there is one."""
-        while self.idle:
-            connection = self.idle.pop()
+        while self.idle_connections:
+            connection = self.idle_connections.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 return connection
         return None
@@ -62,10 +62,10 @@
 class ClientConnection(asyncio.Protocol):
     """One connection of a client; it carries one request at a time."""
 
-    def __init__(self, target: Target, user: ConnectionUser | None) -> None:
+    def __init__(self, target: Target, request: OutgoingRequest | None) -> None:
         """Established for one request, which is sent as soon as the connection is up."""
         self.target = target
-        self.user = user
+        self.request = request
         self.transport: asyncio.Transport | None = None
         self.last_attempt: ClientAttempt | None = None  # answered on this connection, with none in flight since
         self._response_count = 0
@@ -75,8 +75,8 @@
         self._parser = httptools.HttpResponseParser(self)
         self._retry_after_us = 0
         self._body = b""
-        self._complete = self._keep_alive = False
-        self._receiving = False
+        self._message_complete = self._keep_alive = False
+        self._response_started = False
 
     # asyncio's callbacks
 
@@ -84,34 +84,34 @@
         """Send the request that the connection was opened for, unless it has ended meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self.user is None or self.user.ended:
-            self.target.idle.append(self)
+        if self.request is None or self.request.ended:
+            self.target.idle_connections.append(self)
         else:
-            self.user.send(self)
+            self.request.send(self)
 
     def data_received(self, data: bytes) -> None:
         """Parse; bytes without a request in flight are counted, and the connection is closed."""
-        if self.user is None:
+        if self.request is None:
             if self.last_attempt is not None:
                 self.last_attempt.trailing_bytes += len(data)
             self.close()
             return
-        self._receiving = True
+        self._response_started = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._end(RequestOutcome.BROKEN)
+            self._fail(RequestOutcome.BROKEN)
             return
-        if self._complete:
-            self._finish()
+        if self._message_complete:
+            self._complete_response()
 
     def connection_lost(self, error: Exception | None) -> None:
         """Leave the pool, and end the request in flight."""
-        if self in self.target.idle:
-            self.target.idle.remove(self)
-        user, self.user = self.user, None
-        if user is not None:
-            user.on_connection_lost(may_be_unread=not self._receiving and self._response_count > 0)
+        if self in self.target.idle_connections:
+            self.target.idle_connections.remove(self)
+        request, self.request = self.request, None
+        if request is not None:
+            request.on_connection_lost(may_be_unread=not self._response_started and self._response_count > 0)
 
     # The parser's callbacks
 
@@ -126,34 +126,34 @@
 
     def on_message_complete(self) -> None:
         """Note whether the connection can be reused, which the parser answers only now."""
-        self._complete = True
+        self._message_complete = True
         self._keep_alive = self._parser.should_keep_alive()
 
-    def _finish(self) -> None:
+    def _complete_response(self) -> None:
         """Make the connection available again, or close it, and pass the response on."""
-        user = self.user
-        assert user is not None
+        request = self.request
+        assert request is not None
         response = Response(self._parser.get_status_code(), self._retry_after_us, self._body)
-        is_reusable = self._keep_alive and not user.closes_connection
-        self.user = None
-        self.last_attempt = user.attempt
+        is_reusable = self._keep_alive and not request.closes_connection
+        self.request = None
+        self.last_attempt = request.attempt
         self._response_count += 1
         self._reset_parser()
         if is_reusable:
-            self.target.idle.append(self)
+            self.target.idle_connections.append(self)
         else:
             self.close()
-        user.on_response(response)
+        request.on_response(response)
 
-    def _end(self, outcome: RequestOutcome) -> None:
-        user, self.user = self.user, None
+    def _fail(self, outcome: RequestOutcome) -> None:
+        request, self.request = self.request, None
         self.close()
-        if user is not None:
-            user.end(outcome)
+        if request is not None:
+            request.end(outcome)
 
     def close(self) -> None:
         """Leave the pool and close at once."""
-        if self in self.target.idle:
-            self.target.idle.remove(self)
+        if self in self.target.idle_connections:
+            self.target.idle_connections.remove(self)
         if self.transport is not None:
             self.transport.abort()
--- a/ryepier/emulator/client_messages.py
+++ b/ryepier/emulator/client_messages.py
@@ -45,11 +45,11 @@
         return self._encode_http(attempt, host, remaining_ms)
 
     def _encode_http(self, attempt: ClientAttempt, host: bytes, remaining_ms: int) -> bytes:
-        kind = self.world.classes[attempt.request_class]
-        idempotent = kind.effect is Effect.IDEMPOTENT
-        class_name = kind.name.encode()
+        request_class = self.world.classes[attempt.request_class]
+        is_idempotent = request_class.effect is Effect.IDEMPOTENT
+        class_name = request_class.name.encode()
         headers = [
-            b"%s /%s/%d HTTP/1.1" % (b"GET" if idempotent else b"POST", class_name, attempt.arrival),
+            b"%s /%s/%d HTTP/1.1" % (b"GET" if is_idempotent else b"POST", class_name, attempt.arrival),
             b"Host: " + host,
             b"X-Request-Id: " + attempt.request_id.encode(),
             b"X-Class: " + class_name,
@@ -64,7 +64,7 @@
             headers.append(b"X-Cost-Hint: %d" % hint_us)
         if attempt.number and self.world.clients.sends_retry_header:
             headers.append(b"X-Retry: 1")
-        body = b"" if idempotent else b"file=%d" % attempt.arrival
+        body = b"" if is_idempotent else b"file=%d" % attempt.arrival
         if body:
             headers.append(b"Content-Length: %d" % len(body))
         return _join(headers, body)
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -28,7 +28,7 @@
     world: World
     codec: MessageCodec
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine in the background."""
 
     def read_timeout_us(self, attempt: ClientAttempt) -> int:
@@ -58,7 +58,7 @@
         if connection is None:
             self.owner.spawn(self._connect())
             return
-        connection.user = self
+        connection.request = self
         self.send(connection)
 
     async def _connect(self) -> None:
@@ -84,16 +84,16 @@
         now_us = self.owner.clock.now_us()
         if self.attempt.sent_us == NEVER:
             self.attempt.sent_us = now_us
-            until_us = now_us + self.owner.read_timeout_us(self.attempt)
-            self._timer = self.owner.clock.handle_at(until_us, self._on_timeout)
+            timeout_at_us = now_us + self.owner.read_timeout_us(self.attempt)
+            self._timer = self.owner.clock.handle_at(timeout_at_us, self._on_timeout)
         connection.transport.write(
             self.owner.codec.encode_request(self.attempt, self.target.host, self.owner.clock.now_us())
         )
 
     def _on_timeout(self) -> None:
         connection = self._connection
-        if connection is not None and connection.user is self:
-            connection.user = None
+        if connection is not None and connection.request is self:
+            connection.request = None
             connection.close()
         is_early = self.owner.clock.now_us() < self.attempt.sent_us + self.attempt.deadline_us
         self.end(RequestOutcome.LEFT if is_early else RequestOutcome.TIMEOUT)
@@ -103,14 +103,14 @@
         attempt = self.attempt
         attempt.status, attempt.retry_after_us = response.status, response.retry_after_us
         if response.status == http.HTTPStatus.OK:
-            self._record_origin(response)
+            self._record_body(response)
             self.end(RequestOutcome.SERVED)
         elif response.status in REFUSAL_STATUSES:
             self.end(RequestOutcome.REFUSED)
         else:
             self.end(RequestOutcome.FAILED)
 
-    def _record_origin(self, response: Response) -> None:
+    def _record_body(self, response: Response) -> None:
         """Record what the body contains; one that cannot be decoded is for the judge to find."""
         try:
             body = self.owner.codec.decode_response(response.body)
@@ -122,9 +122,9 @@
         """Send once more on a new connection if the close may have crossed the request and a repeat is harmless."""
         attempt = self.attempt
         attempt.may_be_unread = may_be_unread
-        kind = self.owner.world.classes[attempt.request_class]
-        is_harmless = may_retry(kind, RequestOutcome.BROKEN, attempt.sent_us, self.owner.clock.now_us())
-        if may_be_unread and not self._resent and is_harmless:
+        request_class = self.owner.world.classes[attempt.request_class]
+        may_repeat = may_retry(request_class, RequestOutcome.BROKEN, attempt.sent_us, self.owner.clock.now_us())
+        if may_be_unread and not self._resent and may_repeat:
             self._resent = True
             self.owner.spawn(self._connect())
         else:
--- a/ryepier/emulator/client_retries.py
+++ b/ryepier/emulator/client_retries.py
@@ -15,15 +15,17 @@
 NEVER_RUN = (RequestOutcome.REFUSED, RequestOutcome.UNREACHABLE)
 
 
-def may_retry(kind: RequestClass, outcome: RequestOutcome, first_sent_us: int, now_us: int) -> bool:
+def may_retry(request_class: RequestClass, outcome: RequestOutcome, first_sent_us: int, now_us: int) -> bool:
     """Return whether the protocol lets a client send a request again: always if it certainly did not run, otherwise
     only if repeating it is harmless."""
     if outcome in NOT_RETRIED:
         return False
-    if outcome in NEVER_RUN or kind.effect is Effect.IDEMPOTENT:
+    if outcome in NEVER_RUN or request_class.effect is Effect.IDEMPOTENT:
         return True
-    is_deduplicated_everywhere = kind.effect is Effect.DEDUPLICATED and kind.scope is DeduplicationScope.ALL
-    return is_deduplicated_everywhere and now_us - first_sent_us < kind.idempotency_window_ms * 1000
+    is_deduplicated_everywhere = (
+        request_class.effect is Effect.DEDUPLICATED and request_class.scope is DeduplicationScope.ALL
+    )
+    return is_deduplicated_everywhere and now_us - first_sent_us < request_class.idempotency_window_ms * 1000
 
 
 def retry_delay_us(clients: Clients, attempt: ClientAttempt, random_source: random.Random) -> int:
@@ -33,10 +35,10 @@
         delay_us = 0.0
     elif clients.backoff is Backoff.EXPONENTIAL:
         delay_us *= BACKOFF_GROWTH**attempt.number * (MIN_JITTER + random_source.random())
-    if clients.honours_retry_after and _is_obedient(clients, attempt):
+    if clients.honours_retry_after and _waits_for_retry_after(clients, attempt):
         delay_us = max(delay_us, attempt.retry_after_us)
     return int(min(delay_us, MAX_DELAY_US))
 
 
-def _is_obedient(clients: Clients, attempt: ClientAttempt) -> bool:
+def _waits_for_retry_after(clients: Clients, attempt: ClientAttempt) -> bool:
     return zlib.crc32(b"obeys %d" % attempt.arrival) < clients.honouring_share * 2**32
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -19,16 +19,16 @@
 from ryepier.emulator.world import Effect, World
 
 READ_SLACK_US = 100_000  # clients read on after their timeout, so that late responses are recorded
-SUMMARY_S = 0.5
+COUNTS_INTERVAL_S = 0.5
 
 
-def _addresses(plan: Plan, timeline: Timeline) -> list[Address]:
+def _target_addresses(plan: Plan, timeline: Timeline) -> list[Address]:
     """Return what the clients send to: given targets, or the sidecars, or without any the converters."""
     if plan.targets:
         return plan.targets
     if plan.world.sidecars.count:
         return [plan.sidecar_address(index) for index in range(plan.world.sidecars.count)]
-    return [plan.converter_address(one.index) for one in timeline.instances if one.start_us is None]
+    return [plan.converter_address(instance.index) for instance in timeline.instances if instance.start_us is None]
 
 
 class ClientRole:
@@ -41,19 +41,19 @@
         self.clock = clock
         self.records = RoleRecords(f"clients {plan.index}")
         self.meter = LatenessMeter(clock)
-        self.targets = [Target(address) for address in _addresses(plan, timeline)]
+        self.targets = [Target(address) for address in _target_addresses(plan, timeline)]
         self.arrivals = draws.arrivals(plan.world, plan.seed)
         self.codec = MessageCodec(plan.world, self.arrivals)
-        self._processes = 1 if simulated else plan.world.harness.client_processes
+        self._process_count = 1 if simulated else plan.world.harness.client_processes
         self._sends_counts = not simulated
         self._random = random.Random(f"{plan.seed} clients {plan.index}")
         self._tasks: set[asyncio.Task[None]] = set()
         self._counts: Counter[str] = Counter()
-        self._open = 0
+        self._open_count = 0
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine in the background."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -62,46 +62,46 @@
 
     async def run(self) -> RoleRecords:
         """Send this process's share of the arrivals, wait until the run ends, and return the records."""
-        summary = asyncio.create_task(self._send_counts()) if self._sends_counts else None
+        counts_task = asyncio.create_task(self._send_counts()) if self._sends_counts else None
         is_round_robin = self.world.sidecars.count == 0 or bool(self.plan.targets)
         times_us = self.arrivals.at_us.tolist()
         sidecars = self.arrivals.sidecar.tolist()
-        for index in range(self.plan.index, len(times_us), self._processes):
+        for index in range(self.plan.index, len(times_us), self._process_count):
             if times_us[index] > self.clock.now_us():
                 await self.clock.sleep_until(times_us[index])
             self.meter.record(times_us[index])
             target = index if is_round_robin else sidecars[index]
             self._send_arrival(index, target % len(self.targets))
         await self.clock.sleep_until(self.plan.end_us)
-        if summary is not None:
-            summary.cancel()
+        if counts_task is not None:
+            counts_task.cancel()
         return self.records
 
     async def _send_counts(self) -> None:
         """Write the counts for a live summary at intervals."""
         while True:
-            await asyncio.sleep(SUMMARY_S)
-            send_to_harness({"open": self._open, **self._counts})
+            await asyncio.sleep(COUNTS_INTERVAL_S)
+            send_to_harness({"open": self._open_count, **self._counts})
 
     def _send_arrival(self, index: int, target: int) -> None:
         """Send the first attempt of an arrival."""
         arrivals = self.arrivals
         class_index = int(arrivals.request_class[index])
-        kind = self.world.classes[class_index]
+        request_class = self.world.classes[class_index]
         self._counts["offered"] += 1
         self.send(
             ClientAttempt(
                 arrival=index,
                 number=0,
                 request_id=f"{self.plan.seed & 0xFFFF:04x}-{index:06x}-0",
-                key=f"k{index:x}" if kind.effect is Effect.DEDUPLICATED else "",
+                key=f"k{index:x}" if request_class.effect is Effect.DEDUPLICATED else "",
                 request_class=class_index,
                 tenant=int(arrivals.tenant[index]),
                 sidecar=target,
                 work_us=int(arrivals.work_us[index]),
                 planned_us=int(arrivals.at_us[index]),
                 sent_us=NEVER,
-                deadline_us=int(kind.deadline_ms * 1000 * arrivals.timeout_share[index]),
+                deadline_us=int(request_class.deadline_ms * 1000 * arrivals.timeout_share[index]),
                 ended_us=NEVER,
                 outcome=RequestOutcome.TIMEOUT,
             )
@@ -110,7 +110,7 @@
     def send(self, attempt: ClientAttempt) -> None:
         """Record an attempt and start it."""
         self.records.client_attempts.append(attempt)
-        self._open += 1
+        self._open_count += 1
         closes_connection = self._random.random() < self.world.clients.close_share
         ClientRequest(self, self.targets[attempt.sidecar], attempt, closes_connection).start()
 
@@ -126,19 +126,19 @@
         attempt.outcome, attempt.ended_us = outcome, now_us
         if attempt.sent_us == NEVER:
             attempt.sent_us = now_us
-        self._open -= 1
+        self._open_count -= 1
         self._counts[outcome.value] += 1
-        kind, clients = self.world.classes[attempt.request_class], self.world.clients
-        if attempt.number >= clients.retries or not may_retry(kind, outcome, attempt.sent_us, now_us):
+        request_class, clients = self.world.classes[attempt.request_class], self.world.clients
+        if attempt.number >= clients.retries or not may_retry(request_class, outcome, attempt.sent_us, now_us):
             return
         delay_us = retry_delay_us(clients, attempt, self._random)
-        remaining_us = attempt.planned_us + int(kind.deadline_ms * 1000) - now_us - delay_us
+        remaining_us = attempt.planned_us + int(request_class.deadline_ms * 1000) - now_us - delay_us
         if remaining_us > 0:
             self.clock.handle_at(now_us + delay_us, self._retry, attempt, remaining_us)
 
     def _retry(self, failed: ClientAttempt, remaining_us: int) -> None:
-        kind = self.world.classes[failed.request_class]
-        timeout_us = int(kind.deadline_ms * 1000 * self._random.uniform(*self.world.clients.timeout_share))
+        request_class = self.world.classes[failed.request_class]
+        timeout_us = int(request_class.deadline_ms * 1000 * self._random.uniform(*self.world.clients.timeout_share))
         number = failed.number + 1
         self._counts["retries"] += 1
         self.send(
--- a/ryepier/emulator/converter_faults.py
+++ b/ryepier/emulator/converter_faults.py
@@ -8,7 +8,7 @@
 from ryepier.emulator.timeline import Step
 from ryepier.emulator.world import FaultKind
 
-UNRESPONSIVE = (FaultKind.HANG, FaultKind.CUT)
+UNRESPONSIVE_FAULTS = (FaultKind.HANG, FaultKind.CUT)
 
 
 class ConverterFaults:
@@ -36,7 +36,7 @@
     @property
     def is_unresponsive(self) -> bool:
         """Whether the converter answers nothing at all."""
-        return self.is_any_of(*UNRESPONSIVE)
+        return self.is_any_of(*UNRESPONSIVE_FAULTS)
 
     def affects(self, kind: FaultKind, request_id: bytes) -> bool:
         """Return whether the present fault is of this kind and affects a request; the same for each of its attempts."""
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -62,9 +62,10 @@
 class _CachedKey:
     """An idempotency key that the pod remembers."""
 
-    until_us: int
+    expires_us: int
     finished: bool = False
-    waiting: list[tuple[ConverterModel, int]] = field(default_factory=list)  # repeats of it, by converter and token
+    # repeats that arrived while the first request runs, as (converter, token)
+    waiting_repeats: list[tuple[ConverterModel, int]] = field(default_factory=list)
 
 
 class IdempotencyCache:
@@ -72,23 +73,24 @@
 
     def __init__(self) -> None:
         """Start without keys."""
-        self.keys: dict[str, _CachedKey] = {}
-        self.released: list[tuple[ConverterModel, int]] = []  # repeats to be answered, as their first run has ended
+        self.entries: dict[str, _CachedKey] = {}
+        # repeats to answer now, as (converter, token): the request that they repeat has finished
+        self.released_repeats: list[tuple[ConverterModel, int]] = []
         self._expiries: deque[tuple[int, str]] = deque()
 
     def get(self, now_us: int, key: str) -> _CachedKey | None:
         """Return the entry of a key whose window has not passed."""
-        entry = self.keys.get(key)
-        return entry if entry is not None and entry.until_us > now_us else None
+        entry = self.entries.get(key)
+        return entry if entry is not None and entry.expires_us > now_us else None
 
     def add(self, now_us: int, key: str, window_us: int) -> None:
         """Remember a key, and forget finished ones whose window has passed."""
         while self._expiries and self._expiries[0][0] <= now_us:
-            until_us, expired = self._expiries.popleft()
-            entry = self.keys.get(expired)
-            if entry is not None and entry.until_us == until_us and entry.finished:
-                del self.keys[expired]
-        self.keys[key] = _CachedKey(now_us + window_us)
+            expires_us, expired = self._expiries.popleft()
+            entry = self.entries.get(expired)
+            if entry is not None and entry.expires_us == expires_us and entry.finished:
+                del self.entries[expired]
+        self.entries[key] = _CachedKey(now_us + window_us)
         self._expiries.append((now_us + window_us, key))
 
 
@@ -128,19 +130,19 @@
         warm_up_us = self.warm_up.warm_up_s * 1e6
         if self.started_us is None or now_us >= self.started_us + warm_up_us:
             return 1.0
-        initial = self.warm_up.initial_capacity_share
-        return initial + (1.0 - initial) * max(0, now_us - self.started_us) / warm_up_us
+        initial_share = self.warm_up.initial_capacity_share
+        return initial_share + (1.0 - initial_share) * max(0, now_us - self.started_us) / warm_up_us
 
     def on_request(self, now_us: int, work: Work) -> list[Action]:
         """Handle a request that has been received in full."""
         actions = self.advance(now_us)
-        if self._overloaded_by(now_us, work.work_us):
+        if self._is_overloaded_after(now_us, work.work_us):
             return [*actions, Crashed()]
         entry = self.cache.get(now_us, work.key) if work.key else None
         if entry is not None and entry.finished:
             return [*actions, Done(work.token, executed=False)]
         if entry is not None:
-            entry.waiting.append((self, work.token))
+            entry.waiting_repeats.append((self, work.token))
             return actions
         if self.draining or len(self.queue) >= self.machine.group.queue_limit + self.free_cores:
             return [*actions, Rejected(work.token)]
@@ -159,9 +161,9 @@
 
     def _add_overhead(self, now_us: int, work_us: int) -> list[Action]:
         self.overhead_us += work_us
-        return [Crashed()] if self._overloaded_by(now_us, work_us) else []
+        return [Crashed()] if self._is_overloaded_after(now_us, work_us) else []
 
-    def _overloaded_by(self, now_us: int, work_us: int) -> bool:
+    def _is_overloaded_after(self, now_us: int, work_us: int) -> bool:
         """Return whether further work crashes the converter; rejected requests count as well."""
         share = self.capacity_share(now_us)
         if self.crashed or share >= 1.0:
@@ -205,14 +207,16 @@
 
     def _release_repeats(self, work: Work) -> list[Action]:
         """Answer the repeats that waited for a run here; those at other converters go to the cache's `released`."""
-        entry = self.cache.keys.get(work.key) if work.key else None
+        entry = self.cache.entries.get(work.key) if work.key else None
         if entry is None:
             return []
         entry.finished = True
-        own = [token for converter, token in entry.waiting if converter is self]
-        self.cache.released += [(converter, token) for converter, token in entry.waiting if converter is not self]
-        entry.waiting.clear()
-        return [Done(token, executed=False) for token in own]
+        own_tokens = [token for converter, token in entry.waiting_repeats if converter is self]
+        self.cache.released_repeats += [
+            (converter, token) for converter, token in entry.waiting_repeats if converter is not self
+        ]
+        entry.waiting_repeats.clear()
+        return [Done(token, executed=False) for token in own_tokens]
 
     @property
     def next_us(self) -> int | None:
@@ -248,7 +252,7 @@
         """End the process: drop all work and forget its keys. Return the tokens of requests that had not started."""
         for work in [*(work for _, _, work in self.running), *self.queue]:
             if work.key:
-                self.cache.keys.pop(work.key, None)
+                self.cache.entries.pop(work.key, None)
         not_started = [work.token for work in self.queue]
         self.running.clear()
         self.queue.clear()
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -27,7 +27,7 @@
 from ryepier.emulator.world import FaultKind
 from ryepier.sidecar import system
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 DEFAULT_WORK_US = b"1000"  # of a request without the header
 
 
@@ -76,11 +76,14 @@
         )
         self.in_flight: dict[int, _InFlight] = {}  # by token
         self._speaks_graphql = world.clients.speak_graphql
-        self._window_us = {kind.name.encode(): int(kind.idempotency_window_ms * 1000) for kind in world.classes}
+        self._window_us = {
+            request_class.name.encode(): int(request_class.idempotency_window_ms * 1000)
+            for request_class in world.classes
+        }
         self._faults = ConverterFaults(self.uid, owner.sidecar_of)
         self._connections: dict[ConverterConnection, None] = {}  # in the order in which they were opened
         self._listener: asyncio.Server | None = None
-        self._blocking: list[socket.socket] = []
+        self._blocking_sockets: list[socket.socket] = []
         self._last_token = 0
         self._timer: asyncio.TimerHandle | None = None
         self._timer_us = NEVER
@@ -94,7 +97,7 @@
         """Accept connections."""
         address, port = self.owner.plan.converter_address(self.instance.index)
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(self._make_connection, address, port, backlog=BACKLOG)
+        self._listener = await loop.create_server(self._make_connection, address, port, backlog=LISTEN_BACKLOG)
 
     def _make_connection(self) -> ConverterConnection:
         return ConverterConnection(self, over_limit=len(self._connections) >= self.instance.machine.group.connections)
@@ -146,16 +149,16 @@
 
     async def end_fault(self) -> None:
         """End the present fault; connections that lost data are reset."""
-        ended = self._faults.end()
+        ended_fault = self._faults.end()
         self._unblock()
         self.model.slowdown = 1.0
-        if ended is FaultKind.HANG:
+        if ended_fault is FaultKind.HANG:
             self.carry_out(self.model.resume(self.clock.now_us()))
-        elif ended is FaultKind.CUT:
+        elif ended_fault is FaultKind.CUT:
             self._abort(list(self._connections))
-        elif ended is FaultKind.ZONE_CUT:
+        elif ended_fault is FaultKind.ZONE_CUT:
             self._abort([connection for connection in self._connections if connection.partitioned])
-        if ended in (FaultKind.REFUSE, FaultKind.CUT) and self._listener is None:
+        if ended_fault in (FaultKind.REFUSE, FaultKind.CUT) and self._listener is None:
             await self.listen()
 
     @staticmethod
@@ -237,11 +240,11 @@
             if isinstance(action, Crashed):
                 self._crash()
                 return
-            self._carry_out_one(action)
+            self._carry_out_action(action)
         self.owner.answer_released(self.model.cache)
         self._arm_timer()
 
-    def _carry_out_one(self, action: Started | Done | Rejected) -> None:
+    def _carry_out_action(self, action: Started | Done | Rejected) -> None:
         if isinstance(action, Started):
             self.in_flight[action.token].attempt.started_us = self.clock.now_us()
             return
@@ -253,14 +256,14 @@
         if isinstance(action, Rejected):
             self._reject(request.connection)
         else:
-            self._reply(request.connection, http.HTTPStatus.OK, self._result(request.attempt.request_id))
+            self._reply(request.connection, http.HTTPStatus.OK, self._success_body(request.attempt.request_id))
 
     def _crash(self) -> None:
         self.owner.records.overload_crashes.append((self.clock.now_us(), self.uid))
         self.owner.record_event(f"{self.uid} is pushed over")
         self.stop()
 
-    def _result(self, request_id: str) -> bytes:
+    def _success_body(self, request_id: str) -> bytes:
         origin = b'{"for":"%s","by":"%s"}' % (request_id.encode("latin-1"), self.uid.encode())
         return b'{"data":{"done":true},"extensions":%s}' % origin if self._speaks_graphql else origin
 
@@ -318,19 +321,19 @@
         """Listen with a full backlog, so that connection attempts get no answer."""
         self._close_listener()
         address = self.owner.plan.converter_address(self.instance.index)
-        self._blocking = [system.listen(address, 0)]
+        self._blocking_sockets = [system.listen(address, 0)]
         for _ in range(self.owner.backlog_fillers):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(address)
-            self._blocking.append(filler)
+            self._blocking_sockets.append(filler)
 
     def _unblock(self) -> None:
-        for sock in self._blocking:
+        for sock in self._blocking_sockets:
             sock.close()
-        self._blocking.clear()
+        self._blocking_sockets.clear()
 
-    def close_idle(self, now_us: int) -> None:
+    def close_idle_connections(self, now_us: int) -> None:
         """Close the connections that have been idle for too long."""
         oldest_us = now_us - int(self.instance.machine.group.idle_close_s * 1e6)
         for connection in list(self._connections):
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -24,8 +24,10 @@
         self.clock = clock
         self.records = RoleRecords(f"converters {plan.index}")
         self.meter = LatenessMeter(clock)
-        processes = 1 if simulated else plan.world.harness.converter_processes
-        self.instances = [one for one in timeline.instances if one.machine.pod % processes == plan.index]
+        process_count = 1 if simulated else plan.world.harness.converter_processes
+        self.instances = [
+            instance for instance in timeline.instances if instance.machine.pod % process_count == plan.index
+        ]
         indexes = {instance.index for instance in self.instances}
         self.steps = [step for step in timeline.steps if step.target is TargetKind.CONVERTER and step.index in indexes]
         self.backlog_fillers = 0 if simulated else BACKLOG_FILLERS  # a simulated listener may have a backlog of 0
@@ -57,32 +59,32 @@
 
     async def run(self) -> RoleRecords:
         """Carry out the schedule's steps until the run ends, and return the records."""
-        idle_check = asyncio.create_task(self._close_idle())
-        by_index = {instance.index: instance for instance in self.instances}
+        idle_check = asyncio.create_task(self._close_idle_connections())
+        instances_by_index = {instance.index: instance for instance in self.instances}
         for step in self.steps:
             await self.clock.sleep_until(step.at_us)
             self.meter.record(step.at_us)
             if step.action is FaultAction.START:
-                await self.start_instance(by_index[step.index])
+                await self.start_instance(instances_by_index[step.index])
             elif step.index in self.servers:
                 await self.servers[step.index].apply(step)
-            self.record_event(f"{by_index[step.index].uid}: {step.fault} {step.action.value}")
+            self.record_event(f"{instances_by_index[step.index].uid}: {step.fault} {step.action.value}")
         await self.clock.sleep_until(self.plan.end_us)
         idle_check.cancel()
         for server in self.servers.values():
             server.stop()
         return self.records
 
-    async def _close_idle(self) -> None:
+    async def _close_idle_connections(self) -> None:
         while True:
             await asyncio.sleep(IDLE_CHECK_S)
             for server in self.servers.values():
-                server.close_idle(self.clock.now_us())
+                server.close_idle_connections(self.clock.now_us())
 
     def answer_released(self, cache: IdempotencyCache) -> None:
         """Answer the repeats that waited for a run at another converter of their pod."""
-        while cache.released:
-            model, token = cache.released.pop()
+        while cache.released_repeats:
+            model, token = cache.released_repeats.pop()
             for server in self.servers.values():
                 if server.model is model and token in server.in_flight:
                     server.carry_out([Done(token, executed=False)])
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -14,7 +14,7 @@
 from ryepier.sidecar import system
 
 MAX_HEAD_BYTES = 8192
-CLOSING_S = 0.05  # for the open watches to see their end
+CLOSE_GRACE_S = 0.05  # for the open watches to see their end
 GET = "GET"
 HOSTS_PATH = "/discovery/hosts"
 HEARTBEAT = b"1\r\n\n\r\n"  # an empty line, as a chunk
@@ -22,11 +22,11 @@
 Listing = dict[str, Any]  # a list or a change of it, in discovery's form
 
 
-def list_entry(plan: Plan, instance: Instance, state: ListState, unix_zero_ms: int) -> Entry:
+def list_entry(plan: Plan, instance: Instance, state: ListState, unix_run_start_ms: int) -> Entry:
     """Return a converter's entry; `unix_zero_ms` is the wall clock when the run began."""
     host, port = plan.converter_address(instance.index)
     group = instance.machine.group
-    boot_ms = unix_zero_ms + instance.start_us // 1000 if instance.start_us is not None else 0
+    boot_ms = unix_run_start_ms + instance.start_us // 1000 if instance.start_us is not None else 0
     return {
         "uid": instance.uid,
         "endpoint": f"{host}:{port}",
@@ -42,7 +42,7 @@
 def initial_list(plan: Plan, timeline: Timeline) -> Listing:
     """Return the list when the run begins."""
     running = [instance for instance in timeline.instances if instance.start_us is None]
-    return {"rev": 1, "all": True, "targets": [list_entry(plan, one, ListState.ACTIVE, 0) for one in running]}
+    return {"rev": 1, "all": True, "targets": [list_entry(plan, instance, ListState.ACTIVE, 0) for instance in running]}
 
 
 class Registry:
@@ -52,16 +52,16 @@
         """Start with a full list."""
         self.rev: int = listing["rev"]
         self.targets: dict[str, Entry] = {entry["uid"]: entry for entry in listing["targets"]}
-        self.changed_at: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
+        self.changed_rev: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
 
     def apply_change(self, entry: Entry) -> bool:
         """Apply a change and return whether it is one: states only advance, so a late notice may be outdated."""
-        known = self.targets.get(entry["uid"])
-        if known is not None and ListState(known["state"]).rank >= ListState(entry["state"]).rank:
+        previous = self.targets.get(entry["uid"])
+        if previous is not None and ListState(previous["state"]).rank >= ListState(entry["state"]).rank:
             return False
         self.rev += 1
         self.targets[entry["uid"]] = entry
-        self.changed_at[entry["uid"]] = self.rev
+        self.changed_rev[entry["uid"]] = self.rev
         return True
 
     def removed_uids(self) -> list[str]:
@@ -70,14 +70,14 @@
 
     def full_list(self) -> Listing:
         """Return the list with all its entries."""
-        present = [entry for entry in self.targets.values() if entry["state"] != ListState.LEFT]
-        return {"rev": self.rev, "all": True, "targets": present}
+        listed = [entry for entry in self.targets.values() if entry["state"] != ListState.LEFT]
+        return {"rev": self.rev, "all": True, "targets": listed}
 
     def changes_since(self, rev: int) -> Listing:
         """Return what changed after a revision; the full list if it is 0, or not one of this agent's."""
         if rev <= 0 or rev > self.rev:
             return self.full_list()
-        changed = [entry for uid, entry in self.targets.items() if self.changed_at[uid] > rev]
+        changed = [entry for uid, entry in self.targets.items() if self.changed_rev[uid] > rev]
         return {"rev": self.rev, "all": False, "targets": changed}
 
 
@@ -126,11 +126,11 @@
         method, _, target = request_line.partition(" ")
         url = urlsplit(target.split(" ")[0])
         query = parse_qs(url.query)
-        since = query.get("since", ["0"])[0]
-        if method != GET or url.path != HOSTS_PATH or not since.isdecimal():
+        since_rev = query.get("since", ["0"])[0]
+        if method != GET or url.path != HOSTS_PATH or not since_rev.isdecimal():
             writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
         elif query.get("follow") == ["1"]:
-            await self._watch(int(since), reader, writer)
+            await self._watch(int(since_rev), reader, writer)
         else:
             listing = self.registry.full_list()
             body = json.dumps(listing).encode()
@@ -138,15 +138,15 @@
             writer.write(head + body)
             self._record_notices(listing)
 
-    async def _watch(self, since: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _watch(self, since_rev: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a watch until the client closes it. Raises ConnectionResetError then."""
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self._watches[writer] = since
-        self._update(writer)
+        self._watches[writer] = since_rev
+        self._write_changes(writer)
         await reader.read()
         raise ConnectionResetError
 
-    def _update(self, writer: asyncio.StreamWriter) -> None:
+    def _write_changes(self, writer: asyncio.StreamWriter) -> None:
         """Write to a watch what has changed since its last update."""
         if self._muted:
             return
@@ -193,7 +193,7 @@
         if self._muted or self._frozen or self._server is None:
             self._pending.append(entry)
         elif self.registry.apply_change(entry):
-            self._update_all()
+            self._write_changes_to_all()
 
     async def _recover(self) -> None:
         """Serve normally again, and send the changes that were kept back."""
@@ -203,11 +203,11 @@
         self._pending.clear()
         if self._server is None:
             await self.listen()
-        self._update_all()
+        self._write_changes_to_all()
 
-    def _update_all(self) -> None:
+    def _write_changes_to_all(self) -> None:
         for writer in list(self._watches):
-            self._update(writer)
+            self._write_changes(writer)
 
     def end_connections(self) -> None:
         """Reset all connections."""
@@ -236,13 +236,15 @@
 
     async def run(self) -> RoleRecords:
         """Carry out the schedule's steps until the run ends, and return the records."""
-        unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
-        by_uid = {instance.uid: instance for instance in self.timeline.instances}
+        unix_run_start_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
+        instances_by_uid = {instance.uid: instance for instance in self.timeline.instances}
         heartbeats = asyncio.create_task(self._send_heartbeats())
         for step in [step for step in self.timeline.steps if step.target is TargetKind.DISCOVERY]:
             await self.clock.sleep_until(step.at_us)
             self.meter.record(step.at_us)
-            entry = list_entry(self.plan, by_uid[step.uid], step.state, unix_zero_ms) if step.state else None
+            entry = (
+                list_entry(self.plan, instances_by_uid[step.uid], step.state, unix_run_start_ms) if step.state else None
+            )
             await self.agents[step.index].apply(step, entry)
             if step.action is not FaultAction.NOTIFY:
                 text = f"discovery of sidecar {step.index}: {step.action.value}"
@@ -251,7 +253,7 @@
         heartbeats.cancel()
         for agent in self.agents:
             agent.end_connections()
-        await asyncio.sleep(CLOSING_S)
+        await asyncio.sleep(CLOSE_GRACE_S)
         return self.records
 
     async def _send_heartbeats(self) -> None:
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -14,15 +14,15 @@
 
 from ryepier.emulator.world import Converters, Fault, FaultKind, World
 
-Ints = NDArray[np.int64]
-Floats = NDArray[np.float64]
+IntArray = NDArray[np.int64]
+FloatArray = NDArray[np.float64]
 
 RATE_STEP_US = 10_000  # the arrival rate is constant within a step
 
 
-def stream(seed: int, concern: str) -> np.random.Generator:
+def stream(seed: int, purpose: str) -> np.random.Generator:
     """Return the random number generator of one concern."""
-    return np.random.Generator(np.random.PCG64([seed, zlib.crc32(concern.encode())]))
+    return np.random.Generator(np.random.PCG64([seed, zlib.crc32(purpose.encode())]))
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,13 +39,13 @@
 class Arrivals:
     """The arrivals of a run in the order of their times, as columns of the same length."""
 
-    at_us: Ints
-    sidecar: Ints
-    request_class: Ints
-    tenant: Ints
-    work_us: Ints  # on a standard core
-    hint_us: Ints  # cost hint; 0 = none
-    timeout_share: Floats  # timeout of the first attempt as a share of the class's deadline
+    at_us: IntArray
+    sidecar: IntArray
+    request_class: IntArray
+    tenant: IntArray
+    work_us: IntArray  # on a standard core
+    hint_us: IntArray  # cost hint; 0 = none
+    timeout_share: FloatArray  # timeout of the first attempt as a share of the class's deadline
 
     def __len__(self) -> int:
         """Return the number of arrivals."""
@@ -55,14 +55,14 @@
 def machines(world: World, seed: int) -> list[Machine]:
     """Return the machines of the converters that run when the run begins."""
     random = stream(seed, "machines")
-    found: list[Machine] = []
+    result: list[Machine] = []
     pod = 0
     for group in world.converters:
         for number in range(group.count):
             if number % group.pod_size == 0:
                 pod += 1
-            found.append(Machine(len(found), group, float(random.uniform(*group.speed)), pod))
-    return found
+            result.append(Machine(len(result), group, float(random.uniform(*group.speed)), pod))
+    return result
 
 
 def select_targets(count: int, fault: Fault, random: np.random.Generator) -> list[int]:
@@ -73,25 +73,25 @@
     return sorted(int(index) for index in random.choice(count, size=min(size, count), replace=False))
 
 
-def _fault_factor(world: World, kind: FaultKind, at_us: Ints) -> Floats:
+def _fault_factor(world: World, kind: FaultKind, at_us: IntArray) -> FloatArray:
     """Return the product of the factors of all faults of a kind at each time."""
-    factor: Floats = np.ones(len(at_us), dtype=np.float64)
+    factor: FloatArray = np.ones(len(at_us), dtype=np.float64)
     for fault in world.faults:
         if fault.kind is kind:
-            factor[_during(fault, at_us)] *= fault.factor
+            factor[_is_during(fault, at_us)] *= fault.factor
     return factor
 
 
-def _during(fault: Fault, at_us: Ints) -> NDArray[np.bool_]:
-    inside: NDArray[np.bool_] = (at_us >= fault.at_s * 1e6) & (at_us < (fault.at_s + fault.for_s) * 1e6)
-    return inside
+def _is_during(fault: Fault, at_us: IntArray) -> NDArray[np.bool_]:
+    is_during: NDArray[np.bool_] = (at_us >= fault.at_s * 1e6) & (at_us < (fault.at_s + fault.for_s) * 1e6)
+    return is_during
 
 
-def offered_per_s(world: World, at_us: Ints) -> Floats:
+def offered_per_s(world: World, at_us: IntArray) -> FloatArray:
     """Return the arrival rate at each time, without surges of single tenants and sidecars."""
     clients = world.clients
-    rise = (clients.ramp_to_per_s - clients.rate_per_s) if clients.ramp_to_per_s else 0.0
-    rate: Floats = (clients.rate_per_s + rise * at_us / (world.duration_s * 1e6)).astype(np.float64)
+    rate_increase = (clients.ramp_to_per_s - clients.rate_per_s) if clients.ramp_to_per_s else 0.0
+    rate: FloatArray = (clients.rate_per_s + rate_increase * at_us / (world.duration_s * 1e6)).astype(np.float64)
     return rate * _fault_factor(world, FaultKind.SURGE, at_us)
 
 
@@ -99,66 +99,68 @@
 class _TenantArrivals:
     """Arrival times in order, with the tenant of each."""
 
-    at_us: Ints
-    tenant: Ints
+    at_us: IntArray
+    tenant: IntArray
 
 
 def _sample_times(world: World, seed: int) -> _TenantArrivals:
     """Sample the arrival process: an inhomogeneous Poisson process for each tenant."""
     random = stream(seed, "arrivals")
-    steps = np.arange(0, int(world.duration_s * 1e6), RATE_STEP_US, dtype=np.int64)
+    steps_us = np.arange(0, int(world.duration_s * 1e6), RATE_STEP_US, dtype=np.int64)
     times, tenants = [], []
     for index, tenant in enumerate(world.tenants):
-        rate = offered_per_s(world, steps) * tenant.share
+        rate = offered_per_s(world, steps_us) * tenant.share
         for fault in world.faults:
             if fault.kind is FaultKind.TENANT_SURGE and fault.tenant == tenant.name:
-                rate[_during(fault, steps)] *= fault.factor
+                rate[_is_during(fault, steps_us)] *= fault.factor
         counts = random.poisson(rate * RATE_STEP_US / 1e6)
-        at = np.repeat(steps, counts) + random.integers(0, RATE_STEP_US, int(counts.sum()))
-        times.append(at)
-        tenants.append(np.full(len(at), index, dtype=np.int64))
+        tenant_times_us = np.repeat(steps_us, counts) + random.integers(0, RATE_STEP_US, int(counts.sum()))
+        times.append(tenant_times_us)
+        tenants.append(np.full(len(tenant_times_us), index, dtype=np.int64))
     at_us, tenant_of = np.concatenate(times), np.concatenate(tenants)
     order = np.argsort(at_us, kind="stable")
     return _TenantArrivals(at_us[order], tenant_of[order])
 
 
-def _sample_sidecars(world: World, seed: int, at_us: Ints) -> Ints:
+def _sample_sidecars(world: World, seed: int, at_us: IntArray) -> IntArray:
     """Sample the sidecar of each arrival; a hot sidecar takes its share from all others equally."""
     if world.sidecars.count == 0:
         return np.zeros(len(at_us), dtype=np.int64)
     random = stream(seed, "sidecars")
     weights = 1.0 / np.arange(1, world.sidecars.count + 1) ** world.sidecars.skew
-    chosen: Ints = random.choice(world.sidecars.count, size=len(at_us), p=weights / weights.sum()).astype(np.int64)
+    sidecar_of: IntArray = random.choice(world.sidecars.count, size=len(at_us), p=weights / weights.sum()).astype(
+        np.int64
+    )
     for fault in world.faults:
         if fault.kind is FaultKind.HOT_SIDECAR:
-            hot = select_targets(world.sidecars.count, fault, random)
-            moved = _during(fault, at_us) & (random.random(len(at_us)) < fault.share)
-            chosen[moved] = random.choice(hot, size=int(moved.sum()))
-    return chosen
+            hot_sidecars = select_targets(world.sidecars.count, fault, random)
+            is_moved = _is_during(fault, at_us) & (random.random(len(at_us)) < fault.share)
+            sidecar_of[is_moved] = random.choice(hot_sidecars, size=int(is_moved.sum()))
+    return sidecar_of
 
 
 def arrivals(world: World, seed: int) -> Arrivals:
     """Return all arrivals of a run."""
-    times = _sample_times(world, seed)
-    at_us = times.at_us
+    tenant_arrivals = _sample_times(world, seed)
+    at_us = tenant_arrivals.at_us
     random, count = stream(seed, "requests"), len(at_us)
-    shares = np.array([kind.share for kind in world.classes])
-    chosen: Ints = random.choice(len(shares), size=count, p=shares / shares.sum()).astype(np.int64)
-    low = np.array([kind.work_ms[0] for kind in world.classes])[chosen]
-    high = np.array([kind.work_ms[1] for kind in world.classes])[chosen]
-    work_us = 1000.0 * (low + (high - low) * random.random(count))
-    tails = stream(seed, "tails")
+    shares = np.array([request_class.share for request_class in world.classes])
+    class_of: IntArray = random.choice(len(shares), size=count, p=shares / shares.sum()).astype(np.int64)
+    min_work_ms = np.array([request_class.work_ms[0] for request_class in world.classes])[class_of]
+    max_work_ms = np.array([request_class.work_ms[1] for request_class in world.classes])[class_of]
+    work_us = 1000.0 * (min_work_ms + (max_work_ms - min_work_ms) * random.random(count))
+    tail_random = stream(seed, "tails")
     for fault in world.faults:
         if fault.kind is FaultKind.HEAVY_TAIL:
-            heavy = _during(fault, at_us) & (tails.random(count) < fault.share)
-            work_us[heavy & (chosen == _class_index(world, fault.request_class))] *= fault.factor
-    error = 1.0 + world.clients.hint_error * (2.0 * random.random(count) - 1.0)
-    hint_us = (work_us * error if world.clients.hints else np.zeros(count)).astype(np.int64)
+            is_heavy = _is_during(fault, at_us) & (tail_random.random(count) < fault.share)
+            work_us[is_heavy & (class_of == _class_index(world, fault.request_class))] *= fault.factor
+    relative_error = 1.0 + world.clients.hint_error * (2.0 * random.random(count) - 1.0)
+    hint_us = (work_us * relative_error if world.clients.hints else np.zeros(count)).astype(np.int64)
     return Arrivals(
         at_us,
         _sample_sidecars(world, seed, at_us),
-        chosen,
-        times.tenant,
+        class_of,
+        tenant_arrivals.tenant,
         work_us.astype(np.int64),
         hint_us,
         random.uniform(*world.clients.timeout_share, count),
@@ -166,4 +168,4 @@
 
 
 def _class_index(world: World, name: str) -> int:
-    return next(i for i, kind in enumerate(world.classes) if kind.name == name)
+    return next(index for index, request_class in enumerate(world.classes) if request_class.name == name)
--- a/ryepier/emulator/files.py
+++ b/ryepier/emulator/files.py
@@ -13,7 +13,7 @@
 
 GRANULARITY_US = 1000
 OVER_SHARE_WEIGHT = 0.2  # of a tenant's requests beyond its share
-POLL_WITHIN_US = 2_500_000
+MAX_POLL_INTERVAL_US = 2_500_000
 LOG_LINES_PER_S = 200
 
 
@@ -21,16 +21,16 @@
     return round(milliseconds * 1000)
 
 
-def _request_class(kind: RequestClass) -> dict[str, Any]:
+def _request_class(request_class: RequestClass) -> dict[str, Any]:
     return {
-        "name": kind.name,
-        "aim": _to_us(kind.objective_ms),
-        "deadline": _to_us(kind.deadline_ms),
-        "worth": kind.priority_weight,
-        "late-worth": kind.late_weight,
-        "effect": kind.effect,
-        "group": kind.scope,
-        "memory-span": _to_us(kind.idempotency_window_ms),
+        "name": request_class.name,
+        "aim": _to_us(request_class.objective_ms),
+        "deadline": _to_us(request_class.deadline_ms),
+        "worth": request_class.priority_weight,
+        "late-worth": request_class.late_weight,
+        "effect": request_class.effect,
+        "group": request_class.scope,
+        "memory-span": _to_us(request_class.idempotency_window_ms),
         "stream": False,
     }
 
@@ -52,7 +52,7 @@
 def _invariants(world: World) -> dict[str, Any]:
     warm_up = world.warm_up
     return {
-        "ask-within": POLL_WITHIN_US,
+        "ask-within": MAX_POLL_INTERVAL_US,
         "cold-share": warm_up.initial_capacity_share,
         "drain-grace": _to_us(world.sidecars.drain_grace_ms),
         "fall": round(warm_up.overload_window_s * 1e6),
@@ -78,7 +78,7 @@
         "over-share-worth": OVER_SHARE_WEIGHT,
         "registry-mode": "on_request" if world.sidecars.list_on_request else "pushed",
         "report": {"how": "answers", "names": world.reports.names},
-        "request-classes": [_request_class(kind) for kind in world.classes],
+        "request-classes": [_request_class(request_class) for request_class in world.classes],
         "self-index": index,
         "value-by": "request",
         "weights": "nominal",
@@ -91,7 +91,7 @@
     return f"{address[0]}:{address[1]}"
 
 
-def platform_files(plan: Plan, timeline: Timeline) -> list[str]:
+def platform_configurations(plan: Plan, timeline: Timeline) -> list[str]:
     """Return the platform's configuration of each sidecar as JSON."""
     world, listing = plan.world, discovery.initial_list(plan, timeline)
     limits = {"cores": 1.0, "memory_mb": world.sidecars.memory_mb, "sockets": world.sidecars.sockets}
@@ -153,7 +153,7 @@
     return {"RYEPIER_SLICES__SERVER": f"http://{_format_address(plan.discovery_address(sidecar))}"}
 
 
-def planner_text(plan: Plan, index: int, snapshots: Path | None) -> str:
+def planner_settings_text(plan: Plan, index: int, snapshots: Path | None) -> str:
     """Return one planner's settings as TOML."""
     addresses = planner_addresses(plan)
     peers = ", ".join(f'planner-{peer} = "{address}"' for peer, address in enumerate(addresses) if peer != index)
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -36,17 +36,17 @@
 
 def field_name(class_name: str) -> str:
     """Return the schema's field for a request class: convertFile for convert-file."""
-    first, *others = class_name.split("-")
-    return first + "".join(part.capitalize() for part in others)
+    first_word, *other_words = class_name.split("-")
+    return first_word + "".join(word.capitalize() for word in other_words)
 
 
-def documents(kind: RequestClass) -> list[Document]:
+def documents(request_class: RequestClass) -> list[Document]:
     """Return equivalent documents for a request class, written in different ways."""
-    field = field_name(kind.name)
-    is_deduplicated = kind.effect is Effect.DEDUPLICATED
+    field = field_name(request_class.name)
+    is_deduplicated = request_class.effect is Effect.DEDUPLICATED
     key_variable, key_argument = (", $key: ID!", ", key: $key") if is_deduplicated else ("", "")
     call = f"{field}(id: $id{key_argument}) {{ done }}"
-    if kind.effect is Effect.IDEMPOTENT:
+    if request_class.effect is Effect.IDEMPOTENT:
         return [
             Document(f"query ($id: ID!) {{ {call} }}", None),
             Document(f"query Ask($id: ID!) {{ again: {call} }}", "Ask"),
@@ -61,18 +61,20 @@
     ]
 
 
-def make_request(kind: RequestClass, number: int, request_id: str, key: str, unique: bool) -> GraphqlRequest:
+def make_request(request_class: RequestClass, number: int, request_id: str, key: str, unique: bool) -> GraphqlRequest:
     """Return a request; `number` selects the document's form, and `unique` makes its text differ from all others."""
-    forms = documents(kind)
-    document = forms[number % len(forms)]
+    equivalent_documents = documents(request_class)
+    document = equivalent_documents[number % len(equivalent_documents)]
     text = document.text + (f" # {request_id}" if unique else "")
     variables = {"id": request_id} | ({"key": key} if key else {})
     parameters: dict[str, object] = {"query": text, "variables": variables}
     if document.operation_name is not None:
         parameters["operationName"] = document.operation_name
-    if kind.effect is Effect.IDEMPOTENT and number % GET_EVERY == 0:
-        pairs = {name: value if isinstance(value, str) else json.dumps(value) for name, value in parameters.items()}
-        return GraphqlRequest(b"GET", f"{PATH}?{urlencode(pairs)}".encode(), b"")
+    if request_class.effect is Effect.IDEMPOTENT and number % GET_EVERY == 0:
+        query_parameters = {
+            name: value if isinstance(value, str) else json.dumps(value) for name, value in parameters.items()
+        }
+        return GraphqlRequest(b"GET", f"{PATH}?{urlencode(query_parameters)}".encode(), b"")
     body = json.dumps(parameters)
     if number % ESCAPED_EVERY == 0:
         body = body.replace('"mutation', '"\\u006dutation')
@@ -82,24 +84,26 @@
 def operation_id(body: bytes) -> str:
     """Return the id of the operation that a converter has received. Raises ValueError."""
     try:
-        ident = json.loads(body)["variables"]["id"]
+        variable = json.loads(body)["variables"]["id"]
     except (KeyError, TypeError):
         raise ValueError("no operation id") from None
-    if not isinstance(ident, str):
+    if not isinstance(variable, str):
         raise ValueError("no operation id")
-    return ident
+    return variable
 
 
 def settings_table(world: World) -> str:
     """Return the [graphql] table of the sidecars' settings file."""
-    queries = next(kind.name for kind in world.classes if kind.effect is Effect.IDEMPOTENT)
-    mutations = next(kind.name for kind in world.classes if kind.effect is Effect.AT_MOST_ONCE)
+    queries = next(request_class.name for request_class in world.classes if request_class.effect is Effect.IDEMPOTENT)
+    mutations = next(
+        request_class.name for request_class in world.classes if request_class.effect is Effect.AT_MOST_ONCE
+    )
     text = f'[graphql]\npath = "{PATH}"\nqueries = "{queries}"\nmutations = "{mutations}"\n'
-    for kind in world.classes:
+    for request_class in world.classes:
         text += (
-            f'[[graphql.fields]]\ntype = "{"query" if kind.effect is Effect.IDEMPOTENT else "mutation"}"\n'
-            f'name = "{field_name(kind.name)}"\nrequest_class = "{kind.name}"\n'
+            f'[[graphql.fields]]\ntype = "{"query" if request_class.effect is Effect.IDEMPOTENT else "mutation"}"\n'
+            f'name = "{field_name(request_class.name)}"\nrequest_class = "{request_class.name}"\n'
         )
-        if kind.effect is Effect.DEDUPLICATED:
+        if request_class.effect is Effect.DEDUPLICATED:
             text += 'key = "key"\n'
     return text
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -100,17 +100,17 @@
         if command is None:
             command = FORWARDER if has_settings else SIDECAR
         arguments = ("--config", str(self.folder / SETTINGS_FILE)) if has_settings else ()
-        overrides = {index: (*other, *arguments) for index, other in self.roles.sidecar_overrides.items()}
+        overrides = {index: (*override, *arguments) for index, override in self.roles.sidecar_overrides.items()}
         return SidecarProcesses(self.plan, (*command, *arguments) if command else (), overrides)
 
     async def run(self) -> History:
         """Run the world; no process outlives the call. Raises HarnessError if the emulator failed."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        for old in self.folder.glob("*.log"):  # of an earlier run
-            old.unlink()
+        for old_log in self.folder.glob("*.log"):  # of an earlier run
+            old_log.unlink()
         try:
             await self._start()
-            self._begin()
+            self._announce_begin()
             await self._run()
             await self.sidecars.stop_all()
         finally:
@@ -122,12 +122,12 @@
     async def _start(self) -> None:
         await self._start_processes()
         if self.roles.converters_and_discovery:
-            self.sidecars.write_configurations(files.platform_files(self.plan, self.timeline), self.folder)
+            self.sidecars.write_configurations(files.platform_configurations(self.plan, self.timeline), self.folder)
         (self.folder / SETTINGS_FILE).write_text(files.settings_text(self.plan))
         self.start_planners()
         await self.sidecars.start_all()
 
-    def _roles(self) -> list[tuple[str, int]]:
+    def _roles_to_start(self) -> list[tuple[str, int]]:
         """Return the role and index of each process of the emulator."""
         settings, roles = self.world.harness, list[tuple[str, int]]()
         if self.roles.converters_and_discovery:
@@ -139,13 +139,13 @@
 
     async def _start_processes(self) -> None:
         """Start the emulator's processes, and wait until they are ready. Raises HarnessError."""
-        for role, index in self._roles():
+        for role, index in self._roles_to_start():
             self._processes.append(await self._start_process(role, index))
-        for started in self._processes:
-            assert started.process.stdout is not None
-            line = await started.process.stdout.readline()
+        for role_process in self._processes:
+            assert role_process.process.stdout is not None
+            line = await role_process.process.stdout.readline()
             if not line:
-                raise HarnessError(f"the emulator's {started.name} did not come up")
+                raise HarnessError(f"the emulator's {role_process.name} did not come up")
 
     async def _start_process(self, role: str, index: int) -> RoleProcess:
         plan = msgspec.structs.replace(self.plan, role=role, index=index)
@@ -167,40 +167,40 @@
         """Start the planners."""
         self.planners.start_all()
 
-    def _begin(self) -> None:
+    def _announce_begin(self) -> None:
         """Announce when the run begins."""
         self.clock.run_start_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
-        for started in self._processes:
-            assert started.process.stdin is not None
-            started.process.stdin.write(b"%d\n" % self.clock.run_start_us)
+        for role_process in self._processes:
+            assert role_process.process.stdin is not None
+            role_process.process.stdin.write(b"%d\n" % self.clock.run_start_us)
 
     # The run
 
     async def _run(self) -> None:
         """Carry out the schedule until the emulator's processes have ended."""
         async with asyncio.TaskGroup() as group:
-            for started in self._processes:
-                group.create_task(self._read_counts(started))
+            for role_process in self._processes:
+                group.create_task(self._read_counts(role_process))
             background = [
                 group.create_task(self.sidecars.sample_usage()),
                 group.create_task(self.sidecars.watch_cpu_waits()),
             ]
             group.create_task(self.run_schedule())
-            await asyncio.gather(*(started.process.wait() for started in self._processes))
+            await asyncio.gather(*(role_process.process.wait() for role_process in self._processes))
             for task in background:
                 task.cancel()
 
-    async def _read_counts(self, started: RoleProcess) -> None:
+    async def _read_counts(self, role_process: RoleProcess) -> None:
         """Pass the clients' counts to the watcher."""
-        assert started.process.stdout is not None
-        while line := await started.process.stdout.readline():
-            self._counts[started.name] = Counter(msgspec.json.decode(line, type=dict[str, int]))
+        assert role_process.process.stdout is not None
+        while line := await role_process.process.stdout.readline():
+            self._counts[role_process.name] = Counter(msgspec.json.decode(line, type=dict[str, int]))
             if self.on_progress is not None:
                 self.on_progress(self.clock.now_us() / 1e6, sum(self._counts.values(), Counter()))
 
     async def run_schedule(self) -> None:
         """Carry out the steps on sidecars and planners; restarts of sidecars take place in parallel."""
-        async with asyncio.TaskGroup() as starts:
+        async with asyncio.TaskGroup() as restarts:
             for step in self.timeline.steps:
                 if step.target not in (TargetKind.SIDECAR, TargetKind.PLANNER):
                     continue
@@ -210,7 +210,7 @@
                 if step.target is TargetKind.PLANNER:
                     self.planners.apply(step)
                 else:
-                    self.sidecars.apply(step.index, step.action, starts)
+                    self.sidecars.apply(step.index, step.action, restarts)
 
     # The end
 
@@ -218,18 +218,18 @@
         """Kill every process that still runs."""
         self.planners.kill_all()
         self.sidecars.kill_all()
-        for started in self._processes:
-            if started.process.returncode is None:
-                started.process.kill()
-                await started.process.wait()
+        for role_process in self._processes:
+            if role_process.process.returncode is None:
+                role_process.process.kill()
+                await role_process.process.wait()
 
     def _history(self) -> History:
-        parts = []
-        for ended in self._processes:
-            if ended.process.returncode != 0 or not ended.records.exists():
-                raise HarnessError(f"the emulator's {ended.name} ended with {ended.process.returncode}")
-            parts.append(msgspec.msgpack.decode(ended.records.read_bytes(), type=RoleRecords))
-        return join(parts, self.sidecars.incarnations(self.clock.run_start_us), self.events)
+        records = []
+        for role_process in self._processes:
+            if role_process.process.returncode != 0 or not role_process.records.exists():
+                raise HarnessError(f"the emulator's {role_process.name} ended with {role_process.process.returncode}")
+            records.append(msgspec.msgpack.decode(role_process.records.read_bytes(), type=RoleRecords))
+        return join(records, self.sidecars.incarnations(self.clock.run_start_us), self.events)
 
 
 def run_world(
--- a/ryepier/emulator/loopback.py
+++ b/ryepier/emulator/loopback.py
@@ -14,9 +14,9 @@
 
 def find_network() -> int:
     """Return a loopback network that no other run on this machine uses. Raises HarnessError."""
-    count = MAX_NETWORK - MIN_NETWORK + 1
-    for offset in range(count):
-        network = MIN_NETWORK + (os.getpid() + offset) % count
+    network_count = MAX_NETWORK - MIN_NETWORK + 1
+    for offset in range(network_count):
+        network = MIN_NETWORK + (os.getpid() + offset) % network_count
         if _is_free(network):
             return network
     raise HarnessError("every loopback network is in use")
--- a/ryepier/emulator/planner_processes.py
+++ b/ryepier/emulator/planner_processes.py
@@ -31,7 +31,7 @@
             snapshots = self.folder / f"planner-{index}"
             shutil.rmtree(snapshots, ignore_errors=True)
             snapshots.mkdir()
-            text = files.planner_text(self.plan, index, snapshots if settings.snapshots else None)
+            text = files.planner_settings_text(self.plan, index, snapshots if settings.snapshots else None)
             self._settings_path(index).write_text(text)
             self._processes.append(self._start(index, self.command))
 
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -18,7 +18,7 @@
 
 MAX_LATENESS_US = 60_000_000  # of the histogram
 LATENESS_DIGITS = 3  # significant digits of the histogram
-TICK_S = 0.02
+LATENESS_TICK_S = 0.02
 CPU_WAIT_THRESHOLD_US = 50_000  # longer waits are recorded; each time limit has as much slack
 CONVERTER_PORT = 9000
 DISCOVERY_PORT = 8500
@@ -103,17 +103,17 @@
 
     def record(self, planned_us: int) -> None:
         """Record that something planned for `planned_us` is done now."""
-        late_us = max(1, self.clock.now_us() - planned_us)
+        lateness_us = max(1, self.clock.now_us() - planned_us)
         second = max(0, planned_us // 1_000_000)
         self._max_by_second_us += [0] * (second + 1 - len(self._max_by_second_us))
-        self._max_by_second_us[second] = max(self._max_by_second_us[second], late_us)
-        self._histogram.record_value(min(late_us, MAX_LATENESS_US))
+        self._max_by_second_us[second] = max(self._max_by_second_us[second], lateness_us)
+        self._histogram.record_value(min(lateness_us, MAX_LATENESS_US))
 
     async def tick(self) -> None:
         """Measure the lateness of the event loop until cancelled."""
         while True:
-            planned_us = self.clock.now_us() + int(TICK_S * 1e6)
-            await asyncio.sleep(TICK_S)
+            planned_us = self.clock.now_us() + int(LATENESS_TICK_S * 1e6)
+            await asyncio.sleep(LATENESS_TICK_S)
             self.record(planned_us)
             if self.clock.now_us() - planned_us >= CPU_WAIT_THRESHOLD_US:
                 self._stalls.append((planned_us, self.clock.now_us()))
--- a/ryepier/emulator/process_usage.py
+++ b/ryepier/emulator/process_usage.py
@@ -30,7 +30,7 @@
     return ProcessUsage(cpu_us, int(fields[RESIDENT_PAGES]) * PAGE_KIB)
 
 
-def waited_for_core_us(pid: int) -> int | None:
+def read_cpu_wait_us(pid: int) -> int | None:
     """Return how long a process has been runnable without a core; None if it has ended or that is not counted."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) // NS_PER_US
--- a/ryepier/emulator/records.py
+++ b/ryepier/emulator/records.py
@@ -110,25 +110,25 @@
         """Set the end of a suspension that is still open."""
         self.suspensions = [(begin_us, at_us if end_us == NEVER else end_us) for begin_us, end_us in self.suspensions]
 
-    def relative_to(self, zero_us: int) -> Incarnation:
+    def relative_to(self, origin_us: int) -> Incarnation:
         """Return a copy with all times counted from `zero_us`."""
         return msgspec.structs.replace(
             self,
-            started_us=self.started_us - zero_us,
-            ready_us=self.ready_us - zero_us,
-            ended_us=self.ended_us - zero_us,
-            samples=[(at_us - zero_us, cpu_us, kib) for at_us, cpu_us, kib in self.samples],
-            suspensions=_shift(self.suspensions, zero_us),
-            cpu_waits=_shift(self.cpu_waits, zero_us),
+            started_us=self.started_us - origin_us,
+            ready_us=self.ready_us - origin_us,
+            ended_us=self.ended_us - origin_us,
+            samples=[(at_us - origin_us, cpu_us, kib) for at_us, cpu_us, kib in self.samples],
+            suspensions=_shift_intervals(self.suspensions, origin_us),
+            cpu_waits=_shift_intervals(self.cpu_waits, origin_us),
         )
 
     def was_suspended(self, begin_us: int, end_us: int) -> bool:
         """Return whether it was suspended at any time between the two."""
-        return any(began_us < end_us and ended_us > begin_us for began_us, ended_us in self.suspensions)
+        return any(suspended_us < end_us and resumed_us > begin_us for suspended_us, resumed_us in self.suspensions)
 
 
-def _shift(spans: list[tuple[int, int]], zero_us: int) -> list[tuple[int, int]]:
-    return [(begin_us - zero_us, end_us - zero_us) for begin_us, end_us in spans]
+def _shift_intervals(intervals: list[tuple[int, int]], origin_us: int) -> list[tuple[int, int]]:
+    return [(begin_us - origin_us, end_us - origin_us) for begin_us, end_us in intervals]
 
 
 class RecordedEvent(msgspec.Struct, array_like=True):
@@ -177,17 +177,28 @@
     connections: list[ConnectionRecord] = []  # to converters, sorted by opened_us
 
 
-def join(parts: list[RoleRecords], incarnations: list[Incarnation], events: list[RecordedEvent]) -> History:
+def join(records: list[RoleRecords], incarnations: list[Incarnation], events: list[RecordedEvent]) -> History:
     """Merge the records of a run's processes into one history, each kind sorted by time."""
     return History(
-        client_attempts=sorted((one for part in parts for one in part.client_attempts), key=lambda one: one.sent_us),
+        client_attempts=sorted(
+            (attempt for role_records in records for attempt in role_records.client_attempts),
+            key=lambda attempt: attempt.sent_us,
+        ),
         converter_attempts=sorted(
-            (one for part in parts for one in part.converter_attempts), key=lambda one: one.received_us
+            (attempt for role_records in records for attempt in role_records.converter_attempts),
+            key=lambda attempt: attempt.received_us,
+        ),
+        notices=sorted(
+            (notice for role_records in records for notice in role_records.notices), key=lambda notice: notice.at_us
         ),
-        notices=sorted((one for part in parts for one in part.notices), key=lambda one: one.at_us),
         incarnations=incarnations,
-        events=sorted([one for part in parts for one in part.events] + events, key=lambda one: one.at_us),
-        overload_crashes=sorted(one for part in parts for one in part.overload_crashes),
-        lateness=[part.lateness for part in parts if part.lateness is not None],
-        connections=sorted((one for part in parts for one in part.connections), key=lambda one: one.opened_us),
+        events=sorted(
+            [event for role_records in records for event in role_records.events] + events, key=lambda event: event.at_us
+        ),
+        overload_crashes=sorted(crash for role_records in records for crash in role_records.overload_crashes),
+        lateness=[role_records.lateness for role_records in records if role_records.lateness is not None],
+        connections=sorted(
+            (connection for role_records in records for connection in role_records.connections),
+            key=lambda connection: connection.opened_us,
+        ),
     )
--- a/ryepier/emulator/role.py
+++ b/ryepier/emulator/role.py
@@ -50,9 +50,9 @@
         return  # the harness has ended
     clock.run_start_us = int(line)
     gc.freeze()  # a collection over the sampled arrivals would delay the process
-    ticking = asyncio.create_task(role.meter.tick())
+    lateness_task = asyncio.create_task(role.meter.tick())
     records = await role.run()
-    ticking.cancel()
+    lateness_task.cancel()
     records.lateness = role.meter.result(records.role)
     save(records, path)
 
--- a/ryepier/emulator/sidecar_processes.py
+++ b/ryepier/emulator/sidecar_processes.py
@@ -13,7 +13,7 @@
 from ryepier.emulator import files
 from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.process import CPU_WAIT_THRESHOLD_US, Plan, monotonic_us
-from ryepier.emulator.process_usage import read_usage, waited_for_core_us
+from ryepier.emulator.process_usage import read_cpu_wait_us, read_usage
 from ryepier.emulator.records import NEVER, Incarnation
 from ryepier.emulator.timeline import FaultAction
 
@@ -21,9 +21,9 @@
 READY_POLL_S = 0.01  # interval while up to `MAX_CONCURRENT_STARTS` sidecars start
 MAX_CONCURRENT_STARTS = 24
 RESTARTS_PER_CORE = 0.5  # concurrent ones during a run, so that the emulator keeps its schedule
-SAMPLE_S = 0.5
+USAGE_SAMPLE_S = 0.5
 CPU_WAIT_SAMPLE_S = 0.05
-MAX_WATCHED = 20  # with more sidecars, reading their waits for a core would load the harness
+MAX_SIDECARS_FOR_CPU_WAITS = 20  # with more sidecars, reading their waits for a core would load the harness
 STOP_TIMEOUT_S = 6.0
 STOP_POLL_S = 0.02
 
@@ -76,9 +76,9 @@
         if not self.command:
             return
         slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
-        await asyncio.gather(*(self._start_when_possible(sidecar, slots) for sidecar in self.sidecars))
+        await asyncio.gather(*(self._start_when_slot_is_free(sidecar, slots) for sidecar in self.sidecars))
 
-    async def _start_when_possible(self, sidecar: SidecarProcess, slots: asyncio.Semaphore) -> None:
+    async def _start_when_slot_is_free(self, sidecar: SidecarProcess, slots: asyncio.Semaphore) -> None:
         """Start a sidecar that is down, once a slot is free, and keep the slot until it is ready."""
         async with slots:
             if not sidecar.incarnations or sidecar.incarnations[-1].killed:
@@ -121,7 +121,7 @@
 
     # Faults
 
-    def apply(self, index: int, action: FaultAction, starts: asyncio.TaskGroup) -> None:
+    def apply(self, index: int, action: FaultAction, restarts: asyncio.TaskGroup) -> None:
         """Carry out one step of the schedule; a restart continues in `starts`."""
         if not self.command:
             return
@@ -133,7 +133,7 @@
         if action is FaultAction.KILL:
             self._kill(sidecar, sidecar.process)
         elif action is FaultAction.RESTART:
-            starts.create_task(self._start_when_possible(sidecar, self._restart_slots))
+            restarts.create_task(self._start_when_slot_is_free(sidecar, self._restart_slots))
         elif action is FaultAction.SUSPEND:
             sidecar.process.send_signal(signal.SIGSTOP)
             incarnation.suspensions.append((monotonic_us(), NEVER))
@@ -154,7 +154,7 @@
     async def sample_usage(self) -> None:
         """Record each sidecar's usage at intervals until cancelled."""
         while True:
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(USAGE_SAMPLE_S)
             for sidecar in self.sidecars:
                 self._take_sample(sidecar)
 
@@ -173,15 +173,15 @@
     async def watch_cpu_waits(self) -> None:
         """Record when a sidecar waited long for a core, until cancelled; does nothing with many sidecars."""
         waited_by_pid: dict[int, int] = {}
-        while len(self.sidecars) <= MAX_WATCHED:
+        while len(self.sidecars) <= MAX_SIDECARS_FOR_CPU_WAITS:
             for sidecar in self.sidecars:
                 if sidecar.process is None:
                     continue
                 pid = sidecar.process.pid
-                waited_us = waited_for_core_us(pid)
+                waited_us = read_cpu_wait_us(pid)
                 if waited_us is not None:
-                    since_last_us = waited_us - waited_by_pid.get(pid, waited_us)
-                    record_cpu_wait(sidecar.incarnations[-1], since_last_us, monotonic_us())
+                    wait_since_last_us = waited_us - waited_by_pid.get(pid, waited_us)
+                    record_cpu_wait(sidecar.incarnations[-1], wait_since_last_us, monotonic_us())
                     waited_by_pid[pid] = waited_us
             await asyncio.sleep(CPU_WAIT_SAMPLE_S)
 
@@ -210,6 +210,6 @@
                 sidecar.process.kill()
                 sidecar.process.wait()
 
-    def incarnations(self, zero_us: int) -> list[Incarnation]:
+    def incarnations(self, origin_us: int) -> list[Incarnation]:
         """Return all processes that there were, with times since `zero_us`."""
-        return [one.relative_to(zero_us) for sidecar in self.sidecars for one in sidecar.incarnations]
+        return [incarnation.relative_to(origin_us) for sidecar in self.sidecars for incarnation in sidecar.incarnations]
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -28,7 +28,7 @@
 from ryepier.sim.run import SimLoop, simulate
 
 NETWORK = 16
-START_S = 0.2  # for the sidecars to become ready
+STARTUP_S = 0.2  # for the sidecars to become ready
 
 
 class Simulation:
@@ -48,7 +48,7 @@
 
     def _make_sidecars(self, loop: SimLoop) -> list[SimulatedSidecar]:
         sidecars = []
-        for index, text in enumerate(files.platform_files(self.plan, self.timeline)):
+        for index, text in enumerate(files.platform_configurations(self.plan, self.timeline)):
             path = self.folder / f"sidecar-{index}.json"
             path.write_text(text)
             config, components = platform.load(str(path)), PLATFORM
@@ -65,7 +65,7 @@
         for index in range(self.world.planners.count):
             snapshots = self.folder / f"snapshots-{index}"
             snapshots.mkdir(exist_ok=True)
-            text = files.planner_text(self.plan, index, snapshots if self.world.planners.snapshots else None)
+            text = files.planner_settings_text(self.plan, index, snapshots if self.world.planners.snapshots else None)
             planners.append(SimulatedPlanner(loop, index, operator_settings.parse(text, {}), self.seed))
         return planners
 
@@ -82,22 +82,24 @@
         processes: list[SimulatedProcess] = [*planners, *sidecars]
         for process in processes:
             process.start()
-        await asyncio.sleep(START_S)
+        await asyncio.sleep(STARTUP_S)
         self.clock.run_start_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
         records = await self._run(roles, {TargetKind.SIDECAR: sidecars, TargetKind.PLANNER: planners})
         await self._stop(loop, processes)
-        incarnations = [one for sidecar in sidecars for one in sidecar.incarnations_since(self.clock.run_start_us)]
+        incarnations = [
+            incarnation for sidecar in sidecars for incarnation in sidecar.incarnations_since(self.clock.run_start_us)
+        ]
         return join(records, incarnations, self.events)
 
     async def _run(
         self, roles: Sequence[Role], processes: Mapping[TargetKind, Sequence[SimulatedProcess]]
     ) -> list[RoleRecords]:
         """Carry out the schedule to the end of the run, and return the roles' records."""
-        ticking = [asyncio.create_task(role.meter.tick()) for role in roles]
+        lateness_tasks = [asyncio.create_task(role.meter.tick()) for role in roles]
         schedule = asyncio.create_task(self._run_schedule(processes))
         records = await asyncio.gather(*(role.run() for role in roles))
         await schedule
-        for task in ticking:
+        for task in lateness_tasks:
             task.cancel()
         for role, role_records in zip(roles, records, strict=True):
             role_records.lateness = role.meter.result(role_records.role)
@@ -132,10 +134,10 @@
     with contextlib.ExitStack() as stack:
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
-        work = Path(stack.enter_context(tempfile.TemporaryDirectory()))
+        work_folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
 
         async def main(loop: SimLoop) -> History:
             with capture_logs(loop, folder):
-                return await Simulation(world, seed, work).run(loop)
+                return await Simulation(world, seed, work_folder).run(loop)
 
         return simulate(seed, main)
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -87,13 +87,13 @@
         else:
             self.loop.set_rate(self.owner, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
-    def incarnations_since(self, zero_us: int) -> list[Incarnation]:
+    def incarnations_since(self, origin_us: int) -> list[Incarnation]:
         """Return all processes that there were, with times since `zero_us`; one that still runs ends now."""
         for incarnation in self.incarnations:
             incarnation.end_suspension(monotonic_us())
             if incarnation.ended_us == NEVER:
                 incarnation.ended_us = monotonic_us()
-        return [incarnation.relative_to(zero_us) for incarnation in self.incarnations]
+        return [incarnation.relative_to(origin_us) for incarnation in self.incarnations]
 
 
 class SimulatedSidecar(SimulatedProcess):
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -61,12 +61,12 @@
         self.store = store
         self.size = size
         self.contents: dict[str, dict[str, ApiObject]] = {}  # endpoints by slice and pod
-        self.removed_at: dict[str, int] = {}  # removed pods, with the resource version of the removal
+        self.removed_versions: dict[str, int] = {}  # removed pods, with the resource version of the removal
 
-    def change(self, entry: dict[str, Any], conflict: Conflict | None = None) -> None:
+    def apply_change(self, entry: dict[str, Any], conflict: Conflict | None = None) -> None:
         """Apply a change of a pod's state, with a contradiction if one is given. Removed pods do not return."""
         uid = entry["uid"]
-        if uid in self.removed_at:
+        if uid in self.removed_versions:
             return
         if entry["state"] == ListState.LEFT:
             self._remove(uid)
@@ -75,7 +75,7 @@
         self.contents.setdefault(name, {})[uid] = make_endpoint(entry)
         self._put(name)
         if conflict is not None:
-            self._contradict(conflict, name, entry)
+            self._add_conflict(conflict, name, entry)
 
     def _slice_for(self, uid: str) -> str:
         """Return the regular slice that lists a pod, else one with a free place, else a new one."""
@@ -96,15 +96,15 @@
         for name, pods in list(self.contents.items()):
             if pods.pop(uid, None) is not None:
                 self._put(name)
-        self.removed_at[uid] = self.store.version
+        self.removed_versions[uid] = self.store.version
 
-    def _contradict(self, conflict: Conflict, name: str, entry: dict[str, Any]) -> None:
+    def _add_conflict(self, conflict: Conflict, name: str, entry: dict[str, Any]) -> None:
         uid = entry["uid"]
         outdated = make_endpoint(entry | {"state": ListState.ACTIVE})
         if conflict is Conflict.SECOND_SLICE:
-            second = f"{EXTRA_PREFIX}-{uid}"
-            self.contents[second] = {uid: outdated}
-            self._put(second)
+            second_name = f"{EXTRA_PREFIX}-{uid}"
+            self.contents[second_name] = {uid: outdated}
+            self._put(second_name)
             return
         self.contents[name][uid] = outdated
         if conflict is Conflict.RECREATED_SLICE:
@@ -123,7 +123,7 @@
         self._conflict_share = settings.conflict_share
         self.cluster = Cluster(Store(), settings.slice_size)
         for entry in listing["targets"]:
-            self.cluster.change(entry)
+            self.cluster.apply_change(entry)
         self.api = ApiServer(self.cluster.store, on_written=self._record_notices)
 
     async def listen(self) -> None:
@@ -133,7 +133,7 @@
     async def apply(self, step: Step, entry: dict[str, Any] | None) -> None:
         """Carry out one step of the schedule; `entry` is what a notification is about."""
         if step.action is FaultAction.NOTIFY and entry is not None:
-            self.cluster.change(entry, self._conflict_of(entry))
+            self.cluster.apply_change(entry, self._conflict_of(entry))
         elif step.action is FaultAction.MUTE:
             self.api.faults.silent = True
         elif step.action is FaultAction.RESUME_UPDATES:
@@ -159,12 +159,12 @@
         """Record what the sidecar is notified of: a full list also implies that missing converters have left."""
         now_us = self.owner.clock.now_us()
         states: dict[str, ListState] = {}
-        for found in objects:
-            version = int(found["metadata"]["resourceVersion"])
-            for uid, removed_at in self.cluster.removed_at.items():
-                if is_full_list or removed_at == version:
+        for api_object in objects:
+            version = int(api_object["metadata"]["resourceVersion"])
+            for uid, removed_version in self.cluster.removed_versions.items():
+                if is_full_list or removed_version == version:
                     states[uid] = ListState.LEFT
-            for endpoint in found["endpoints"]:
+            for endpoint in api_object["endpoints"]:
                 if endpoint["conditions"]["terminating"]:
                     states[endpoint["targetRef"]["uid"]] = ListState.LEAVING
         self.owner.records.notices += [
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -104,7 +104,7 @@
         FaultKind.TURN_AWAY,
     )
 )
-SPANS: dict[FaultKind, tuple[TargetKind, FaultAction, FaultAction | None]] = {
+INTERVAL_FAULTS: dict[FaultKind, tuple[TargetKind, FaultAction, FaultAction | None]] = {
     FaultKind.PLANNER_HANG: (TargetKind.PLANNER, FaultAction.SUSPEND, FaultAction.RESUME),
     FaultKind.SIDECAR_HANG: (TargetKind.SIDECAR, FaultAction.SUSPEND, FaultAction.RESUME),
     FaultKind.CLOCK_DRIFT: (TargetKind.SIDECAR, FaultAction.SET_CLOCK_RATE, FaultAction.END),
@@ -116,7 +116,7 @@
 """Faults that are one action at their begin and one, if any, at their end."""
 
 
-def us(seconds: float) -> int:
+def to_us(seconds: float) -> int:
     """Return seconds in whole microseconds."""
     return round(seconds * 1e6)
 
@@ -132,7 +132,8 @@
         self.instances = [
             Instance(machine.index, f"c-{machine.index:04x}", machine, None) for machine in draws.machines(world, seed)
         ]
-        self.successors = [[instance] for instance in self.instances]  # by converter, in the order of their starts
+        # each converter's processes in the order of their starts
+        self.instances_by_converter = [[instance] for instance in self.instances]
 
     def build(self) -> Timeline:
         for fault in sorted(self.world.faults, key=lambda fault: fault.at_s):
@@ -144,8 +145,8 @@
         """Add a fault's steps; surges and heavy tails have none, as they are part of the sampled arrivals."""
         if fault.kind in CONVERTER_FAULTS:
             self.add_converter_fault(fault)
-        elif fault.kind in SPANS:
-            self.add_span(fault, *SPANS[fault.kind])
+        elif fault.kind in INTERVAL_FAULTS:
+            self.add_interval_fault(fault, *INTERVAL_FAULTS[fault.kind])
         elif fault.kind is FaultKind.ZONE_CUT:
             self.add_zone_partition(fault)
         elif fault.kind is FaultKind.RELEASE:
@@ -177,18 +178,18 @@
         """Return the indexes of the targets that a fault affects."""
         return draws.select_targets(self.count(target), fault, self.random)
 
-    def add_span(self, fault: Fault, target: TargetKind, begin: FaultAction, end: FaultAction | None) -> None:
+    def add_interval_fault(self, fault: Fault, target: TargetKind, begin: FaultAction, end: FaultAction | None) -> None:
         for index in self.select(target, fault):
-            self.add_step(us(fault.at_s), target, index, begin, fault)
+            self.add_step(to_us(fault.at_s), target, index, begin, fault)
             if end is not None:
-                self.add_step(us(fault.at_s + fault.for_s), target, index, end, fault)
+                self.add_step(to_us(fault.at_s + fault.for_s), target, index, end, fault)
 
     def add_converter_fault(self, fault: Fault) -> None:
         """Affect whichever processes the selected converters have when the fault begins."""
         for converter in self.select(TargetKind.CONVERTER, fault):
-            index = self.instance_at(converter, us(fault.at_s)).index
-            self.add_step(us(fault.at_s), TargetKind.CONVERTER, index, FaultAction.BEGIN, fault)
-            self.add_step(us(fault.at_s + fault.for_s), TargetKind.CONVERTER, index, FaultAction.END, fault)
+            index = self.instance_at(converter, to_us(fault.at_s)).index
+            self.add_step(to_us(fault.at_s), TargetKind.CONVERTER, index, FaultAction.BEGIN, fault)
+            self.add_step(to_us(fault.at_s + fault.for_s), TargetKind.CONVERTER, index, FaultAction.END, fault)
 
     def add_zone_partition(self, fault: Fault) -> None:
         """Partition the converters and sidecars of one zone from those of the others."""
@@ -196,50 +197,50 @@
         inside = frozenset(index for index in sidecars if zones[self.world.sidecar_zone(index)] == fault.zone)
         outside = frozenset(sidecars) - inside
         for converter in range(self.world.converter_count):
-            instance = self.instance_at(converter, us(fault.at_s))
+            instance = self.instance_at(converter, to_us(fault.at_s))
             via = outside if instance.machine.group.zone == fault.zone else inside
             for at_s, action in ((fault.at_s, FaultAction.BEGIN), (fault.at_s + fault.for_s, FaultAction.END)):
-                self.steps.append(Step(us(at_s), TargetKind.CONVERTER, instance.index, action, fault.kind, via=via))
+                self.steps.append(Step(to_us(at_s), TargetKind.CONVERTER, instance.index, action, fault.kind, via=via))
 
     def instance_at(self, converter: int, at_us: int) -> Instance:
         """Return the last process of a converter that was started by then."""
         return next(
             instance
-            for instance in reversed(self.successors[converter])
+            for instance in reversed(self.instances_by_converter[converter])
             if instance.start_us is None or instance.start_us <= at_us
         )
 
     def add_release(self, fault: Fault) -> None:
         """Roll the selected converters: each drains, stops, and is replaced by a new process with a new uid."""
         selected = self.select(TargetKind.CONVERTER, fault)
-        interval_us = us(fault.for_s) // max(1, len(selected))
-        for turn, converter in enumerate(selected):
-            self.replace(converter, us(fault.at_s) + turn * interval_us, fault)
+        interval_us = to_us(fault.for_s) // max(1, len(selected))
+        for position, converter in enumerate(selected):
+            self.replace(converter, to_us(fault.at_s) + position * interval_us, fault)
 
     def replace(self, converter: int, at_us: int, fault: Fault) -> None:
         """Replace a converter's process, unless an earlier release is still replacing it."""
-        old = self.successors[converter][-1]
-        if old.start_us is not None and old.start_us > at_us:
+        old_instance = self.instances_by_converter[converter][-1]
+        if old_instance.start_us is not None and old_instance.start_us > at_us:
             return
-        stop_us = at_us + us(fault.drain_s)
-        start_us = stop_us + us(fault.down_s)
-        new = Instance(len(self.instances), f"c-{len(self.instances):04x}", old.machine, start_us)
-        self.instances.append(new)
-        self.successors[converter].append(new)
-        self.add_step(at_us, TargetKind.CONVERTER, old.index, FaultAction.DRAIN, fault, old.uid)
-        self.add_step(stop_us, TargetKind.CONVERTER, old.index, FaultAction.STOP, fault, old.uid)
-        self.add_step(start_us, TargetKind.CONVERTER, new.index, FaultAction.START, fault, new.uid)
-        self.add_notices(fault, old, ListState.LEAVING, at_us)
-        self.add_notices(fault, old, ListState.LEFT, stop_us)
-        self.add_notices(fault, new, ListState.ACTIVE, start_us)
-
-    def add_notices(self, fault: Fault, instance: Instance, state: ListState, since_us: int) -> None:
+        stop_us = at_us + to_us(fault.drain_s)
+        start_us = stop_us + to_us(fault.down_s)
+        new_instance = Instance(len(self.instances), f"c-{len(self.instances):04x}", old_instance.machine, start_us)
+        self.instances.append(new_instance)
+        self.instances_by_converter[converter].append(new_instance)
+        self.add_step(at_us, TargetKind.CONVERTER, old_instance.index, FaultAction.DRAIN, fault, old_instance.uid)
+        self.add_step(stop_us, TargetKind.CONVERTER, old_instance.index, FaultAction.STOP, fault, old_instance.uid)
+        self.add_step(start_us, TargetKind.CONVERTER, new_instance.index, FaultAction.START, fault, new_instance.uid)
+        self.add_notices(fault, old_instance, ListState.LEAVING, at_us)
+        self.add_notices(fault, old_instance, ListState.LEFT, stop_us)
+        self.add_notices(fault, new_instance, ListState.ACTIVE, start_us)
+
+    def add_notices(self, fault: Fault, instance: Instance, state: ListState, changed_us: int) -> None:
         """Notify each sidecar's agent of a change after a delay of its own."""
         for sidecar in range(self.world.sidecars.count):
             delay_us = int(self.notice_random.uniform(*self.world.discovery.notice_delay_ms) * 1000)
             self.steps.append(
                 Step(
-                    since_us + delay_us,
+                    changed_us + delay_us,
                     TargetKind.DISCOVERY,
                     sidecar,
                     FaultAction.NOTIFY,
@@ -251,13 +252,13 @@
 
     def add_kill(self, fault: Fault, target: TargetKind) -> None:
         for index in self.select(target, fault):
-            self.add_step(us(fault.at_s), target, index, FaultAction.KILL, fault)
-            self.add_step(us(fault.at_s + fault.down_s), target, index, FaultAction.RESTART, fault)
+            self.add_step(to_us(fault.at_s), target, index, FaultAction.KILL, fault)
+            self.add_step(to_us(fault.at_s + fault.down_s), target, index, FaultAction.RESTART, fault)
 
     def add_clock_jump(self, fault: Fault) -> None:
         for index in self.select(TargetKind.SIDECAR, fault):
             self.steps.append(
-                Step(us(fault.at_s), TargetKind.SIDECAR, index, FaultAction.SET_CALENDAR, fault.kind, fault.jump_s)
+                Step(to_us(fault.at_s), TargetKind.SIDECAR, index, FaultAction.SET_CALENDAR, fault.kind, fault.jump_s)
             )
 
 
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -14,10 +14,10 @@
 from ryepier.conf import toml_schema
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
-Range = tuple[NotNegative, NotNegative]
+Range = tuple[NonNegative, NonNegative]
 
 MAX_ARRIVALS = 2_000_000  # requests per run without retries; their columns and records must fit in one process
 MAX_SHARE_SUM_ERROR = 0.01  # tolerance for shares that must add up to 1
@@ -97,10 +97,10 @@
 SIMULATION_ONLY_FAULTS = frozenset((FaultKind.CLOCK_JUMP, FaultKind.CLOCK_DRIFT))  # they need a virtual clock
 
 
-def _check_range(name: str, values: tuple[float, float], above_zero: bool = False) -> None:
+def _check_range(name: str, values: tuple[float, float], must_be_positive: bool = False) -> None:
     if values[0] > values[1]:
         raise ValueError(f"{name}: expected [lowest, highest], got {list(values)}")
-    if above_zero and values[0] <= 0:
+    if must_be_positive and values[0] <= 0:
         raise ValueError(f"{name}: expected values above 0, got {list(values)}")
 
 
@@ -115,20 +115,20 @@
     # requests that may wait; further ones are rejected
     queue_limit: Annotated[int, msgspec.Meta(ge=0)] = msgspec.field(name="waiting_room", default=24)
     connections: Count = 256  # open at a time; requests on further ones are rejected
-    handshake_ms: NotNegative = 0.3  # work of accepting a connection
+    handshake_ms: NonNegative = 0.3  # work of accepting a connection
     pod_size: Count = 3  # converters that share one memory of idempotency keys
     idle_close_s: Positive = 5.0
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
-        _check_range("speed", self.speed, above_zero=True)
+        _check_range("speed", self.speed, must_be_positive=True)
 
 
 class WarmUp(msgspec.Struct, kw_only=True, frozen=True):
     """How a converter warms up after its start, and the overload that crashes it meanwhile."""
 
     initial_capacity_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="cold_share", default=0.12)
-    warm_up_s: NotNegative = 5.5
+    warm_up_s: NonNegative = 5.5
     overload_factor: Positive = 4.0  # times its present capacity, over the window below
     overload_window_s: Positive = msgspec.field(name="fall_s", default=0.75)
 
@@ -141,7 +141,7 @@
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
-        _check_range("refresh_ms", self.refresh_ms, above_zero=True)
+        _check_range("refresh_ms", self.refresh_ms, must_be_positive=True)
 
 
 class RequestClass(msgspec.Struct, kw_only=True, frozen=True):
@@ -152,15 +152,15 @@
     work_ms: Range  # on a standard core
     objective_ms: Positive = msgspec.field(name="aim_ms")  # latency objective
     deadline_ms: Positive
-    priority_weight: NotNegative = msgspec.field(name="worth", default=1.0)
+    priority_weight: NonNegative = msgspec.field(name="worth", default=1.0)
     late_weight: Share = msgspec.field(name="late_worth", default=0.0)  # of an answer between objective and deadline
     effect: Effect = Effect.IDEMPOTENT
     scope: DeduplicationScope = msgspec.field(name="group", default=DeduplicationScope.ALL)
-    idempotency_window_ms: NotNegative = msgspec.field(name="memory_ms", default=0.0)
+    idempotency_window_ms: NonNegative = msgspec.field(name="memory_ms", default=0.0)
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
-        _check_range("work_ms", self.work_ms, above_zero=True)
+        _check_range("work_ms", self.work_ms, must_be_positive=True)
         if self.deadline_ms < self.objective_ms:
             raise ValueError("deadline_ms: expected no less than aim_ms")
         if self.effect is Effect.DEDUPLICATED and self.idempotency_window_ms == 0:
@@ -178,10 +178,10 @@
     """The load and how clients behave. It is open-loop: arrivals are sampled in advance and never wait for answers."""
 
     rate_per_s: Positive  # arrivals, over all sidecars
-    ramp_to_per_s: NotNegative = 0.0  # the rate that is reached linearly at the end; 0 = a constant rate
+    ramp_to_per_s: NonNegative = 0.0  # the rate that is reached linearly at the end; 0 = a constant rate
     retries: Annotated[int, msgspec.Meta(ge=0, le=20)] = 2
     backoff: Backoff = Backoff.EXPONENTIAL
-    retry_delay_ms: NotNegative = msgspec.field(name="wait_ms", default=50.0)  # delay before the first retry
+    retry_delay_ms: NonNegative = msgspec.field(name="wait_ms", default=50.0)  # delay before the first retry
     honours_retry_after: bool = True
     # share of the clients that wait as Retry-After says, if `honours_retry_after` is set; the others ignore it
     honouring_share: Share = msgspec.field(name="obedient", default=1.0)
@@ -191,13 +191,13 @@
     hint_error: Share = 0.1  # largest relative error of a cost hint
     hints: bool = True
     # share of requests after which the client closes its connection
-    close_share: NotNegative = msgspec.field(name="closes_after", default=0.0)
+    close_share: NonNegative = msgspec.field(name="closes_after", default=0.0)
     graphql: GraphqlMode = GraphqlMode.OFF
     disconnect_share: Share = msgspec.field(name="leaves", default=0.0)  # attempts abandoned within the objective
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
-        _check_range("patience", self.timeout_share, above_zero=True)
+        _check_range("patience", self.timeout_share, must_be_positive=True)
         if self.timeout_share[1] > 1.0:
             raise ValueError("patience: expected at most 1")
 
@@ -212,13 +212,13 @@
 
     count: Annotated[int, msgspec.Meta(ge=0, le=5000)]  # at most 200 on real sockets
     zoned: bool = False  # spread over the converters' zones; otherwise all are in the first
-    skew: NotNegative = 0.0  # exponent of a Zipf distribution of the traffic over the sidecars
+    skew: NonNegative = 0.0  # exponent of a Zipf distribution of the traffic over the sidecars
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024
     memory_mb: Count = 192
     list_on_request: bool = False
     max_attempts: Annotated[int, msgspec.Meta(ge=1)] = 4
     dial_timeout_ms: Positive = 62.0
-    max_retry_after_ms: NotNegative = 500.0
+    max_retry_after_ms: NonNegative = 500.0
     storm_guard: bool = msgspec.field(name="storm", default=False)  # run with the guard against retry storms
     drain_grace_ms: Positive = 500.0
 
@@ -251,8 +251,8 @@
     """An entry of the fault schedule: begins at `at_s` and ends `for_s` later."""
 
     kind: FaultKind
-    at_s: NotNegative
-    for_s: NotNegative = 0.0
+    at_s: NonNegative
+    for_s: NonNegative = 0.0
     # of the converters or sidecars that it affects; at least one
     target_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="part", default=1.0)
     factor: Positive = 1.0  # multiplies the rate or the work, or divides a slow converter's speed
@@ -260,8 +260,8 @@
     tenant: str = ""
     request_class: str = ""
     zone: str = ""  # zone-cut: the zone that is partitioned from the others
-    drain_s: NotNegative = 1.0  # release: from the start of draining to the process's end
-    down_s: NotNegative = 0.5  # release: from the end to the replacement's start; a kill: to the restart
+    drain_s: NonNegative = 1.0  # release: from the start of draining to the process's end
+    down_s: NonNegative = 0.5  # release: from the end to the replacement's start; a kill: to the restart
     index: Annotated[int, msgspec.Meta(ge=0)] | None = None  # the only one that it affects; by default sampled
     via: Annotated[int, msgspec.Meta(ge=0)] | None = None  # turn-away: only requests from this sidecar
     jump_s: float = 0.0  # clock-jump: change of a sidecar's wall clock
@@ -297,9 +297,9 @@
         for group in (self.converters, self.classes, self.tenants):
             if not group:
                 raise ValueError("expected at least one of converters, classes and tenants each")
-        self._check_names([kind.name for kind in self.classes])
+        self._check_names([request_class.name for request_class in self.classes])
         self._check_names([tenant.name for tenant in self.tenants])
-        self._check_shares("classes", [kind.share for kind in self.classes])
+        self._check_shares("classes", [request_class.share for request_class in self.classes])
         self._check_shares("tenants", [tenant.share for tenant in self.tenants])
         arrivals = max(self.clients.rate_per_s, self.clients.ramp_to_per_s) * self.duration_s
         if arrivals > MAX_ARRIVALS:
@@ -317,23 +317,25 @@
         if abs(sum(shares) - 1.0) > MAX_SHARE_SUM_ERROR:
             raise ValueError(f"the shares of {owner}: expected a sum of 1, got {sum(shares):.3f}")
 
-    def _check_fault(self, place: str, fault: Fault) -> None:
+    def _check_fault(self, location: str, fault: Fault) -> None:
         if fault.at_s >= self.duration_s:
-            raise ValueError(f"{place}: at_s is past the world's end")
+            raise ValueError(f"{location}: at_s is past the world's end")
         if fault.kind is FaultKind.TENANT_SURGE and fault.tenant not in {tenant.name for tenant in self.tenants}:
-            raise ValueError(f"{place}: unknown tenant {fault.tenant!r}")
-        if fault.kind is FaultKind.HEAVY_TAIL and fault.request_class not in {kind.name for kind in self.classes}:
-            raise ValueError(f"{place}: unknown request_class {fault.request_class!r}")
+            raise ValueError(f"{location}: unknown tenant {fault.tenant!r}")
+        if fault.kind is FaultKind.HEAVY_TAIL and fault.request_class not in {
+            request_class.name for request_class in self.classes
+        }:
+            raise ValueError(f"{location}: unknown request_class {fault.request_class!r}")
         if fault.kind in PLANNER_FAULTS and self.planners.count == 0:
-            raise ValueError(f"{place}: the world has no planners")
+            raise ValueError(f"{location}: the world has no planners")
         if fault.kind in SIDECAR_FAULTS and self.sidecars.count == 0:
-            raise ValueError(f"{place}: the world has no sidecars")
+            raise ValueError(f"{location}: the world has no sidecars")
         if fault.kind is FaultKind.ZONE_CUT and (fault.zone not in self.zones or not self.sidecars.zoned):
-            raise ValueError(f"{place}: zone: expected one of {', '.join(self.zones)}, and sidecars that are zoned")
+            raise ValueError(f"{location}: zone: expected one of {', '.join(self.zones)}, and sidecars that are zoned")
         if fault.kind is FaultKind.DISCOVERY_STALE and self.discovery.slice_size:
-            raise ValueError(f"{place}: only where the list comes from the platform's agents")
+            raise ValueError(f"{location}: only where the list comes from the platform's agents")
         if fault.via is not None and (fault.kind is not FaultKind.TURN_AWAY or fault.via >= self.sidecars.count):
-            raise ValueError(f"{place}: via: expected a sidecar of the world, and a turn-away")
+            raise ValueError(f"{location}: via: expected a sidecar of the world, and a turn-away")
 
     @property
     def zones(self) -> list[str]:
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -14,7 +14,7 @@
 
 from ryepier.emulator import clients, timeline
 from ryepier.emulator.process import CPU_WAIT_THRESHOLD_US, Clock, LatenessMeter, Plan, monotonic_us
-from ryepier.emulator.process_usage import waited_for_core_us
+from ryepier.emulator.process_usage import read_cpu_wait_us
 from ryepier.emulator.records import NEVER, ClientAttempt, Incarnation, RequestOutcome
 from ryepier.emulator.sidecar_processes import record_cpu_wait
 from ryepier.experiments.core.worlds import load
@@ -23,7 +23,7 @@
 DEADLINE_S = 0.2
 
 
-def a_client(address: tuple[str, int]) -> clients.ClientRole:
+def make_client_role(address: tuple[str, int]) -> clients.ClientRole:
     """A client process of a small world, whose requests all go to this address."""
     world = msgspec.structs.replace(load("graphql-resets"), duration_s=1.0, faults=[])
     plan = Plan(world, 1, 0, "clients", targets=[address])
@@ -32,7 +32,7 @@
     return clients.ClientRole(plan, clock, timeline.build(world, 1))
 
 
-def a_try(sent_us: int = NEVER) -> ClientAttempt:
+def make_attempt(sent_us: int = NEVER) -> ClientAttempt:
     """A first request of the class that must not run twice."""
     return ClientAttempt(
         0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, sent_us, int(DEADLINE_S * 1e6), NEVER, RequestOutcome.TIMEOUT
@@ -51,13 +51,13 @@
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         await upstream.start()
-        host = a_client(("127.0.0.1", upstream.port))
+        client_role = make_client_role(("127.0.0.1", upstream.port))
         monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_slowly)
-        item = a_try()
-        host.send(item)
-        await wait_until(lambda: item.ended_us != NEVER)
+        attempt = make_attempt()
+        client_role.send(attempt)
+        await wait_until(lambda: attempt.ended_us != NEVER)
         await asyncio.sleep(0.1)  # what was written has come
-        assert len(upstream.requests) == 1 and item.outcome == "served"
+        assert len(upstream.requests) == 1 and attempt.outcome == "served"
         upstream.stop()
 
     run_async(test)
@@ -67,11 +67,11 @@
     async def test() -> None:
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))  # and does not listen
-            host = a_client(sock.getsockname())
-            item = a_try()
-            host.send(item)
-            await wait_until(lambda: item.ended_us != NEVER)
-        assert item.outcome == "unreachable"
+            client_role = make_client_role(sock.getsockname())
+            attempt = make_attempt()
+            client_role.send(attempt)
+            await wait_until(lambda: attempt.ended_us != NEVER)
+        assert attempt.outcome == "unreachable"
 
     run_async(test)
 
@@ -81,13 +81,13 @@
         clock = Clock()
         clock.run_start_us = monotonic_us()
         meter = LatenessMeter(clock)
-        ticking = asyncio.create_task(meter.tick())
+        lateness_task = asyncio.create_task(meter.tick())
         await asyncio.sleep(0)
         time.sleep(0.3)
         await asyncio.sleep(0.05)
-        ticking.cancel()
-        begun_us, ended_us = meter.result("clients 0").stalls[0]
-        assert begun_us < 50_000 and ended_us > 290_000
+        lateness_task.cancel()
+        began_us, ended_us = meter.result("clients 0").stalls[0]
+        assert began_us < 50_000 and ended_us > 290_000
 
     run_async(test)
 
@@ -103,5 +103,5 @@
 def test_an_ended_process_has_no_wait_for_a_core() -> None:
     with subprocess.Popen(["true"]) as process:
         process.wait()
-    assert waited_for_core_us(process.pid) is None
-    assert (waited_for_core_us(os.getpid()) or 0) >= 0
+    assert read_cpu_wait_us(process.pid) is None
+    assert (read_cpu_wait_us(os.getpid()) or 0) >= 0
--- a/tests/test_emulated_converter_model.py
+++ b/tests/test_emulated_converter_model.py
@@ -22,7 +22,7 @@
 WARMTH = WarmUp(initial_capacity_share=0.25, warm_up_s=4.0, overload_factor=2.0, overload_window_s=1.0)
 
 
-def converter(
+def make_model(
     cache: IdempotencyCache | None = None, started_us: int | None = None, cores: int = 1, queue_limit: int = 2
 ) -> ConverterModel:
     group = Converters(count=1, cores=cores, queue_limit=queue_limit)
@@ -36,50 +36,50 @@
     )
 
 
-def run_until_idle(one: ConverterModel) -> list[Action]:
+def run_until_idle(model: ConverterModel) -> list[Action]:
     """All that comes until it is idle."""
     actions: list[Action] = []
-    while one.next_us is not None:
-        actions += one.advance(one.next_us)
+    while model.next_us is not None:
+        actions += model.advance(model.next_us)
     return actions
 
 
 def test_requests_run_on_the_cores_then_queue_and_then_are_rejected() -> None:
-    one = converter(cores=1, queue_limit=2)
-    got = [one.on_request(0, Work(token, "", 1000)) for token in range(4)]
-    assert got == [[Started(0)], [], [], [Rejected(3)]]
-    assert one.advance(999) == [] and one.advance(1000) == [Done(0, True), Started(1)]
-    assert run_until_idle(one) == [Done(1, True), Started(2), Done(2, True)]
+    model = make_model(cores=1, queue_limit=2)
+    actions = [model.on_request(0, Work(token, "", 1000)) for token in range(4)]
+    assert actions == [[Started(0)], [], [], [Rejected(3)]]
+    assert model.advance(999) == [] and model.advance(1000) == [Done(0, True), Started(1)]
+    assert run_until_idle(model) == [Done(1, True), Started(2), Done(2, True)]
 
 
 def test_a_draining_converter_finishes_its_work_and_rejects_new_requests() -> None:
-    one = converter()
-    one.on_request(0, Work(1, "", 1000))
-    one.draining = True
-    assert one.on_request(1, Work(2, "", 1000)) == [Rejected(2)]
-    assert run_until_idle(one) == [Done(1, True)]
+    model = make_model()
+    model.on_request(0, Work(1, "", 1000))
+    model.draining = True
+    assert model.on_request(1, Work(2, "", 1000)) == [Rejected(2)]
+    assert run_until_idle(model) == [Done(1, True)]
 
 
 def test_a_pod_deduplicates_repeats_within_the_window_at_any_converter() -> None:
     cache = IdempotencyCache()
-    first, second = converter(cache), converter(cache)
+    first, second = make_model(cache), make_model(cache)
     first.on_request(0, Work(1, "k", 1000, window_us=5000))
     assert second.on_request(10, Work(1, "k", 1000, window_us=5000)) == []  # it waits for the first one's end
-    assert run_until_idle(first) == [Done(1, True)] and cache.released == [(second, 1)]
+    assert run_until_idle(first) == [Done(1, True)] and cache.released_repeats == [(second, 1)]
     assert second.on_request(4999, Work(2, "k", 1000, window_us=5000)) == [Done(2, False)]
     assert second.on_request(5000, Work(3, "k", 1000, window_us=5000)) == [Started(3)]
 
 
 def test_a_key_whose_execution_was_lost_with_its_process_runs_again() -> None:
     cache = IdempotencyCache()
-    first, second = converter(cache), converter(cache)
+    first, second = make_model(cache), make_model(cache)
     first.on_request(0, Work(1, "k", 1000, window_us=5000))
     assert first.stop() == []
     assert second.on_request(10, Work(1, "k", 1000, window_us=5000)) == [Started(1)]
 
 
 def test_a_converter_that_warms_up_is_slower_and_crashes_under_overload() -> None:
-    warming_up, warm = converter(started_us=0, queue_limit=99), converter(queue_limit=99)
+    warming_up, warm = make_model(started_us=0, queue_limit=99), make_model(queue_limit=99)
     warming_up.on_request(0, Work(0, "", 1000))
     assert warming_up.next_us == 4000  # at a quarter of its capacity
     crashed = [Crashed() in warming_up.on_request(1, Work(token, "", 100_000)) for token in range(1, 8)]
@@ -88,19 +88,19 @@
 
 
 def test_a_hang_leaves_the_remaining_service_times_unchanged() -> None:
-    one = converter()
-    one.on_request(0, Work(1, "", 1000))
-    one.hang(400)
-    assert one.next_us is None and one.on_request(500, Work(2, "", 1000)) == [] and one.advance(90_000) == []
-    one.resume(100_000)
-    assert one.next_us == 100_600 and run_until_idle(one) == [Done(1, True), Started(2), Done(2, True)]
+    model = make_model()
+    model.on_request(0, Work(1, "", 1000))
+    model.hang(400)
+    assert model.next_us is None and model.on_request(500, Work(2, "", 1000)) == [] and model.advance(90_000) == []
+    model.resume(100_000)
+    assert model.next_us == 100_600 and run_until_idle(model) == [Done(1, True), Started(2), Done(2, True)]
 
 
 def test_a_handshake_delays_the_next_request() -> None:
-    one = converter()
-    one.on_connection(0)
-    one.on_request(0, Work(1, "", 1000))
-    assert one.next_us == 1300
+    model = make_model()
+    model.on_connection(0)
+    model.on_request(0, Work(1, "", 1000))
+    assert model.next_us == 1300
 
 
 @given(
@@ -112,15 +112,15 @@
     arrivals: list[tuple[int, str, int]], cores: int, queue_limit: int
 ) -> None:
     cache, now_us, actions = IdempotencyCache(), 0, list[Action]()
-    pod = [converter(cache, cores=cores, queue_limit=queue_limit) for _ in range(2)]
+    pod = [make_model(cache, cores=cores, queue_limit=queue_limit) for _ in range(2)]
     window_us = 10**9
     for token, (gap_us, key, work_us) in enumerate(arrivals):
         now_us += gap_us
         actions += pod[token % 2].on_request(now_us, Work(token, key, work_us, window_us))
-    for one in pod:
-        actions += run_until_idle(one)
-    actions += [Done(token, False) for _, token in cache.released]
-    ended = [action.token for action in actions if isinstance(action, Done | Rejected)]
-    assert sorted(ended) == list(range(len(arrivals)))
-    began = [arrivals[action.token][1] for action in actions if isinstance(action, Started)]
-    assert all(began.count(key) <= 1 for key in ("a", "b"))
+    for model in pod:
+        actions += run_until_idle(model)
+    actions += [Done(token, False) for _, token in cache.released_repeats]
+    ended_tokens = [action.token for action in actions if isinstance(action, Done | Rejected)]
+    assert sorted(ended_tokens) == list(range(len(arrivals)))
+    started_keys = [arrivals[action.token][1] for action in actions if isinstance(action, Started)]
+    assert all(started_keys.count(key) <= 1 for key in ("a", "b"))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -55,7 +55,7 @@
 ]
 
 
-def a_world(*faults: Fault, duration_s: float = 2.0, sidecars: int = 2, **clients: object) -> World:
+def make_world(*faults: Fault, duration_s: float = 2.0, sidecars: int = 2, **clients: object) -> World:
     return World(
         name="test",
         duration_s=duration_s,
@@ -70,34 +70,36 @@
 def test_a_sent_attempt_is_not_unreachable_when_its_connection_timeout_expires(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play() -> tuple[ClientRequest, ClientAttempt]:
-        plan = Plan(a_world(), 1, find_network(), "clients")
+    async def start_request() -> tuple[ClientRequest, ClientAttempt]:
+        plan = Plan(make_world(), 1, find_network(), "clients")
         server = await asyncio.start_server(lambda reader, writer: None, *plan.sidecar_address(0))
         loop = asyncio.get_running_loop()
         connect = loop.create_connection
 
         async def connect_and_wait(*arguments: Any, **options: Any) -> Any:
-            made = await connect(*arguments, **options)
+            connection = await connect(*arguments, **options)
             await asyncio.sleep(1.0)
-            return made
+            return connection
 
         monkeypatch.setattr(loop, "create_connection", connect_and_wait)
-        host = clients.ClientRole(plan, Clock(), timeline.build(plan.world, 1), simulated=True)
-        item = ClientAttempt(0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, NEVER, 50_000, NEVER, RequestOutcome.TIMEOUT)
-        flight = ClientRequest(host, host.targets[0], item, closes_connection=True)
-        flight.start()
+        role = clients.ClientRole(plan, Clock(), timeline.build(plan.world, 1), simulated=True)
+        attempt = ClientAttempt(
+            0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, NEVER, 50_000, NEVER, RequestOutcome.TIMEOUT
+        )
+        request = ClientRequest(role, role.targets[0], attempt, closes_connection=True)
+        request.start()
         await asyncio.sleep(0.1)
         server.close()
-        return flight, item
+        return request, attempt
 
-    flight, item = asyncio.run(play())
-    assert item.sent_us != NEVER and not flight.ended
+    request, attempt = asyncio.run(start_request())
+    assert attempt.sent_us != NEVER and not request.ended
 
 
 @asynccontextmanager
-async def one_converter() -> AsyncIterator[ConverterServer]:
+async def running_converter() -> AsyncIterator[ConverterServer]:
     """The first converter of a small world, on its socket."""
-    plan = Plan(a_world(), 1, find_network(), "converters")
+    plan = Plan(make_world(), 1, find_network(), "converters")
     plan = msgspec.structs.replace(
         plan,
         world=msgspec.structs.replace(
@@ -106,22 +108,25 @@
     )
     clock = Clock()
     clock.run_start_us = monotonic_us()
-    host = converters.ConverterRole(plan, clock, timeline.build(plan.world, 1))
-    await host.start_instance(host.instances[0])
-    server = host.servers[0]
+    role = converters.ConverterRole(plan, clock, timeline.build(plan.world, 1))
+    await role.start_instance(role.instances[0])
+    server = role.servers[0]
     try:
         yield server
     finally:
         server.stop()
 
 
-def message(ident: str = "1", kind: str = "file", work_us: int = 500, key: str = "") -> bytes:
-    head = f"POST /{kind}/1 HTTP/1.1\r\nHost: c\r\nX-Class: {kind}\r\nX-Work-Us: {work_us}\r\nContent-Length: 4\r\n"
-    head += f"X-Request-Id: {ident}\r\n" if ident else ""
+def request_bytes(request_id: str = "1", class_name: str = "file", work_us: int = 500, key: str = "") -> bytes:
+    head = (
+        f"POST /{class_name}/1 HTTP/1.1\r\nHost: c\r\nX-Class: {class_name}\r\n"
+        f"X-Work-Us: {work_us}\r\nContent-Length: 4\r\n"
+    )
+    head += f"X-Request-Id: {request_id}\r\n" if request_id else ""
     return (head + (f"Idempotency-Key: {key}\r\n" if key else "") + "\r\nbody").encode()
 
 
-async def ask(server: ConverterServer, data: bytes, wait_s: float = HANG_TIMEOUT_S) -> str:
+async def exchange(server: ConverterServer, data: bytes, wait_s: float = HANG_TIMEOUT_S) -> str:
     """The status and body of the answer, or how there was none."""
     address = server.owner.plan.converter_address(0)
     writer = None
@@ -145,42 +150,47 @@
     return f"{head.split(b' ')[1].decode()}{' not run' if not_run else ''} {body.decode()}".strip()
 
 
-def run(test: Callable[[], Awaitable[None]]) -> None:
-    async def limited() -> None:
+def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(3 * HANG_TIMEOUT_S):
             await test()
 
-    asyncio.run(limited())
+    asyncio.run(run_with_timeout())
 
 
 def attempts(server: ConverterServer) -> list[ConverterAttempt]:
     return server.owner.records.converter_attempts
 
 
-def begin(server: ConverterServer, kind: FaultKind, share: float = 1.0) -> None:
+def begin_fault(server: ConverterServer, kind: FaultKind, share: float = 1.0) -> None:
     server.begin_fault(Step(0, TargetKind.CONVERTER, 0, FaultAction.BEGIN, kind, share=share))
 
 
 def test_a_converter_answers_as_the_protocol_requires() -> None:
     async def test() -> None:
-        async with one_converter() as server:
-            assert await ask(server, message("7")) == '200 {"for":"7","by":"c-0000"}'
-            assert await ask(server, message("")) == "404"
-            assert await ask(server, b"nonsense\r\n\r\n") == "400"
-            assert await ask(server, b"GET /alive HTTP/1.1\r\nHost: c\r\n\r\n") == "200"
-            assert await ask(server, b"GET /metrics/load HTTP/1.1\r\nHost: c\r\n\r\n") == "200 inflight=0,queue=0"
-            busy = [asyncio.create_task(ask(server, message(f"b{i}", work_us=100_000))) for i in range(2)]
+        async with running_converter() as server:
+            assert await exchange(server, request_bytes("7")) == '200 {"for":"7","by":"c-0000"}'
+            assert await exchange(server, request_bytes("")) == "404"
+            assert await exchange(server, b"nonsense\r\n\r\n") == "400"
+            assert await exchange(server, b"GET /alive HTTP/1.1\r\nHost: c\r\n\r\n") == "200"
+            assert await exchange(server, b"GET /metrics/load HTTP/1.1\r\nHost: c\r\n\r\n") == "200 inflight=0,queue=0"
+            running_requests = [
+                asyncio.create_task(exchange(server, request_bytes(f"b{i}", work_us=100_000))) for i in range(2)
+            ]
             await asyncio.sleep(0.05)
-            assert await ask(server, message("full")) == "503 not run"
+            assert await exchange(server, request_bytes("full")) == "503 not run"
             server.model.draining = True
-            assert await ask(server, message("drains")) == "503 not run"
-            assert [answer.split()[0] for answer in await asyncio.gather(*busy)] == ["200", "200"]
-            seen = {a.request_id: (a.outcome, a.status, a.not_run, a.started_us >= 0) for a in attempts(server)}
-        assert seen["7"] == seen["b0"] == ("answered", 200, False, True)
-        assert seen["full"] == seen["drains"] == ("answered", 503, True, False)
-        assert len(seen) == 5
+            assert await exchange(server, request_bytes("drains")) == "503 not run"
+            assert [answer.split()[0] for answer in await asyncio.gather(*running_requests)] == ["200", "200"]
+            outcomes = {
+                attempt.request_id: (attempt.outcome, attempt.status, attempt.not_run, attempt.started_us >= 0)
+                for attempt in attempts(server)
+            }
+        assert outcomes["7"] == outcomes["b0"] == ("answered", 200, False, True)
+        assert outcomes["full"] == outcomes["drains"] == ("answered", 503, True, False)
+        assert len(outcomes) == 5
 
-    run(test)
+    run_bounded(test)
 
 
 @pytest.mark.parametrize(
@@ -198,42 +208,42 @@
     fault: FaultKind, outcome: str, counted: bool, ran: bool
 ) -> None:
     async def test() -> None:
-        async with one_converter() as server:
-            begin(server, fault)
-            assert await ask(server, message("1"), wait_s=0.3) == outcome
-            found = [a for a in attempts(server) if a.request_id == "1"]
-            assert [a.started_us >= 0 for a in found] == ([ran] if counted else [])
+        async with running_converter() as server:
+            begin_fault(server, fault)
+            assert await exchange(server, request_bytes("1"), wait_s=0.3) == outcome
+            recorded = [attempt for attempt in attempts(server) if attempt.request_id == "1"]
+            assert [attempt.started_us >= 0 for attempt in recorded] == ([ran] if counted else [])
             await server.end_fault()
-            assert (await ask(server, message("2"))).startswith("200")
+            assert (await exchange(server, request_bytes("2"))).startswith("200")
 
-    run(test)
+    run_bounded(test)
 
 
-def test_a_request_received_in_part_before_a_stop_is_no_attempt() -> None:
+def test_request_received_only_in_part_before_a_stop_is_not_recorded() -> None:
     async def test() -> None:
-        async with one_converter() as server:
+        async with running_converter() as server:
             address = server.owner.plan.converter_address(0)
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(message("1")[:-2])
+            writer.write(request_bytes("1")[:-2])
             await asyncio.sleep(0.05)
             server.stop()
             with suppress(ConnectionError):
                 assert await reader.read() == b""
             writer.close()
-            assert attempts(server) == [] and await ask(server, message("2")) == "refused"
+            assert attempts(server) == [] and await exchange(server, request_bytes("2")) == "refused"
 
-    run(test)
+    run_bounded(test)
 
 
 def test_closing_the_connection_does_not_stop_the_work() -> None:
     async def test() -> None:
-        async with one_converter() as server:
-            assert await ask(server, message("1", work_us=100_000), wait_s=0.03) == "nothing"
+        async with running_converter() as server:
+            assert await exchange(server, request_bytes("1", work_us=100_000), wait_s=0.03) == "nothing"
             await asyncio.sleep(0.2)
             [attempt] = attempts(server)
             assert attempt.outcome == "closed" and attempt.ended_us < attempt.finished_us
 
-    run(test)
+    run_bounded(test)
 
 
 def test_a_registry_returns_changes_and_states_only_advance() -> None:
@@ -250,28 +260,28 @@
     assert registry.full_list()["targets"] == [entry("b", "active")]
 
 
-def test_a_seed_gives_the_same_run_and_a_further_fault_leaves_the_arrivals_unchanged() -> None:
-    plain, faulty = a_world(), a_world(Fault(kind=FaultKind.HANG, at_s=1.0, for_s=0.5, target_share=0.2))
-    one, other = draws.arrivals(plain, 5), draws.arrivals(faulty, 5)
-    assert (one.at_us == other.at_us).all() and (one.work_us == other.work_us).all()
+def test_schedule_is_deterministic_and_an_added_fault_keeps_the_arrivals() -> None:
+    plain, faulty = make_world(), make_world(Fault(kind=FaultKind.HANG, at_s=1.0, for_s=0.5, target_share=0.2))
+    without_fault, with_fault = draws.arrivals(plain, 5), draws.arrivals(faulty, 5)
+    assert (without_fault.at_us == with_fault.at_us).all() and (without_fault.work_us == with_fault.work_us).all()
     assert timeline.build(faulty, 5) == timeline.build(faulty, 5)
-    assert len(draws.arrivals(plain, 6)) != len(one)
+    assert len(draws.arrivals(plain, 6)) != len(without_fault)
 
 
 def test_arrivals_contain_surges_heavy_tails_and_hot_sidecars() -> None:
     surge = Fault(kind=FaultKind.SURGE, at_s=10.0, for_s=10.0, factor=3.0)
     tail = Fault(kind=FaultKind.HEAVY_TAIL, at_s=0.0, for_s=10.0, factor=20.0, share=0.1, request_class="file")
     hot = Fault(kind=FaultKind.HOT_SIDECAR, at_s=10.0, for_s=10.0, share=0.5, index=1)
-    drawn = draws.arrivals(a_world(surge, tail, hot, duration_s=20.0), 1)
-    early = drawn.at_us < 10e6
+    arrivals = draws.arrivals(make_world(surge, tail, hot, duration_s=20.0), 1)
+    early = arrivals.at_us < 10e6
     assert 2.7 < (~early).sum() / early.sum() < 3.3
-    heavy = drawn.work_us > 30_000
-    assert 0.06 < heavy[early & (drawn.request_class == 1)].mean() < 0.14 and not heavy[~early].any()
-    assert 0.7 < (drawn.sidecar[~early] == 1).mean() < 0.8
+    heavy = arrivals.work_us > 30_000
+    assert 0.06 < heavy[early & (arrivals.request_class == 1)].mean() < 0.14 and not heavy[~early].any()
+    assert 0.7 < (arrivals.sidecar[~early] == 1).mean() < 0.8
 
 
 @pytest.mark.parametrize(
-    ("kind", "outcome", "after_ms", "expected"),
+    ("class_index", "outcome", "after_ms", "expected"),
     [
         (0, RequestOutcome.FAILED, 0, True),
         (0, RequestOutcome.SERVED, 0, False),
@@ -283,13 +293,13 @@
     ],
 )
 def test_clients_retry_what_the_protocol_allows(
-    kind: int, outcome: RequestOutcome, after_ms: int, expected: bool
+    class_index: int, outcome: RequestOutcome, after_ms: int, expected: bool
 ) -> None:
-    assert may_retry(CLASSES[kind], outcome, 0, after_ms * 1000) is expected
+    assert may_retry(CLASSES[class_index], outcome, 0, after_ms * 1000) is expected
 
 
-def test_a_small_world_with_faults_violates_no_rule(tmp_path: Path) -> None:
-    world = a_world(
+def test_small_world_with_faults_violates_no_protocol_rule(tmp_path: Path) -> None:
+    world = make_world(
         Fault(kind=FaultKind.RELEASE, at_s=0.2, for_s=1.0, target_share=0.3, drain_s=0.8, down_s=0.1),
         Fault(kind=FaultKind.SIDECAR_KILL, at_s=1.0, down_s=0.2, index=1),
         Fault(kind=FaultKind.WATCH_BREAK, at_s=0.6),
@@ -301,7 +311,7 @@
     history = run_world(world, 3, tmp_path)
     assert judge(world, history) == []
     assert sum(incarnation.killed for incarnation in history.incarnations) == 1 and len(history.incarnations) == 3
-    assert {"served", "left"} <= {item.outcome for item in history.client_attempts}
+    assert {"served", "left"} <= {attempt.outcome for attempt in history.client_attempts}
     assert (
         figures.service_level(figures.operations(world, history.client_attempts), figures.due_between(0.0, 0.9)) > 0.8
     )
@@ -313,4 +323,4 @@
 
 def test_a_sidecar_that_never_becomes_ready_fails_the_run_without_leaving_processes(tmp_path: Path) -> None:
     with pytest.raises(HarnessError, match="sidecar 0 ended at its start"):
-        run_world(a_world(sidecars=1), 1, tmp_path, RoleAssignment(sidecar_command=["false"]))
+        run_world(make_world(sidecars=1), 1, tmp_path, RoleAssignment(sidecar_command=["false"]))
--- a/tests/test_emulator_formats.py
+++ b/tests/test_emulator_formats.py
@@ -109,7 +109,7 @@
     return bytes.fromhex((FIXTURES / name).read_text())
 
 
-def test_shipped_worlds_are_read_as_before() -> None:
+def test_shipped_worlds_match_their_recorded_hashes() -> None:
     names = sorted(path.stem for path in Path(ryepier.worlds.__file__).parent.glob("*.toml"))
     lines = [
         f"{name} {hashlib.blake2b(msgspec.json.encode(load(name)), digest_size=16).hexdigest()}\n" for name in names
@@ -117,32 +117,32 @@
     assert "".join(lines) == (FIXTURES / "emulator_worlds.txt").read_text()
 
 
-def test_a_world_has_the_same_keys_in_json() -> None:
+def test_world_json_matches_the_fixture() -> None:
     text = (FIXTURES / "emulator_world.json").read_bytes()
     world = msgspec.json.decode(text, type=World)
     assert world == load("slices-drain")
     assert msgspec.json.format(msgspec.json.encode(world), indent=1) + b"\n" == text
 
 
-def test_records_on_disk_have_the_same_form() -> None:
+def test_records_file_matches_the_fixture() -> None:
     data = fixture_bytes("emulator_records.hex")
     assert msgspec.msgpack.decode(data, type=RoleRecords) == RECORDS
     assert msgspec.msgpack.encode(RECORDS) == data
 
 
-def test_a_history_has_the_same_form() -> None:
+def test_history_file_matches_the_fixture() -> None:
     data = fixture_bytes("emulator_history.hex")
     history = msgspec.msgpack.decode(data, type=History)
     assert history.incarnations == [INCARNATION] and history.client_attempts == RECORDS.client_attempts
     assert msgspec.msgpack.encode(history) == data
 
 
-def test_the_list_of_models_and_seeded_faults_is_the_same() -> None:
-    got = CliRunner().invoke(main, ["check", "list"])
-    assert got.exit_code == 0 and got.stdout == (FIXTURES / "sim_check_list.txt").read_text()
+def test_list_of_models_and_seeded_faults_matches_the_fixture() -> None:
+    result = CliRunner().invoke(main, ["check", "list"])
+    assert result.exit_code == 0 and result.stdout == (FIXTURES / "sim_check_list.txt").read_text()
 
 
-def test_a_checkpoint_is_read(tmp_path: Path) -> None:
+def test_recorded_checkpoint_can_be_loaded_and_saved(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     path.write_bytes(fixture_bytes("sim_check_checkpoint.hex"))
     digests, frontier, outcome = explore.load(path, MODEL)
@@ -160,18 +160,20 @@
     assert explore.load(tmp_path / "again", MODEL) == (digests, frontier, outcome)
 
 
-def check_command(*arguments: str) -> subprocess.CompletedProcess[str]:
+def run_check(*arguments: str) -> subprocess.CompletedProcess[str]:
     """In a process of its own, as a seeded fault stays in the process that it was put into."""
     command = [sys.executable, "-m", "ryepier", "check", *arguments]
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def test_a_recorded_path_is_shown_and_written_in_the_same_form(tmp_path: Path) -> None:
-    recorded = FIXTURES / "sim_check_path.json"
-    shown = check_command("trace", str(recorded))
-    assert shown.returncode == 0 and "BREAKS resend: attempt 1 after 0, which may have run" in shown.stdout
+def test_recorded_path_is_replayed_and_found_again_byte_for_byte(tmp_path: Path) -> None:
+    recorded_path = FIXTURES / "sim_check_path.json"
+    trace_result = run_check("trace", str(recorded_path))
+    assert (
+        trace_result.returncode == 0 and "BREAKS resend: attempt 1 after 0, which may have run" in trace_result.stdout
+    )
     out = tmp_path / "path.json"
     arguments = "one-once --requests once --converters 1 --plant careless-resend --processes 1 --out"
-    found = check_command("run", *arguments.split(), str(out))
-    assert found.returncode == 1 and "BREAKS resend" in found.stdout
-    assert out.read_bytes() == recorded.read_bytes()
+    search_result = run_check("run", *arguments.split(), str(out))
+    assert search_result.returncode == 1 and "BREAKS resend" in search_result.stdout
+    assert out.read_bytes() == recorded_path.read_bytes()
