--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -1,4 +1,4 @@
-"""An emulated Kubernetes API server for EndpointSlices over HTTP/1.1: get, list, watch, bookmarks, and its faults."""
+"""An emulated Kubernetes API server for EndpointSlices over HTTP/1.1: get, list, watch, bookmarks and faults."""
 
 from __future__ import annotations
 
@@ -29,32 +29,32 @@
 DEFAULT_WATCH_S = "3600"
 TRUE_VALUES = ("1", "true", "True")
 GET = "GET"
-REASON_PHRASE = "X"  # clients must not interpret it
+REASON_PHRASE = "X"  # any text: clients must not interpret it
 
 
 @dataclass(slots=True)
 class ApiServerFaults:
-    """What the server does wrong while it is set."""
+    """Faults of the server; each has an effect while its field is set."""
 
     silent: bool = False  # connections stay open, and nothing is written
-    retry_after_s: int | None = None  # 429, with this Retry-After
+    retry_after_s: int | None = None  # requests are answered with 429 and this Retry-After
     truncates_watches: bool = False  # watches end in the middle of their first event
-    max_write_bytes: int = 0  # bytes per write; 0 = no limit
-    write_pause_s: float = 0.0  # between the writes
+    max_write_bytes: int = 0  # 0 = no limit
+    write_pause_s: float = 0.0  # after each write, if `max_write_bytes` is set
     omits_bookmarks: bool = False
     rejects_tokens: bool = False  # every token is rejected
 
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """What a path names: one object, or a list of a namespace's (empty = of all) objects."""
+    """The target of a path: one object, or without a name a list. An empty namespace stands for all namespaces."""
 
     namespace: str
     name: str
 
 
 def parse_path(path: str) -> Resource:
-    """Return what a path names. Raises ApiError if it names nothing that is served."""
+    """Return the resource that a path refers to. Raises ApiError if the path is not served."""
     parts = path.removeprefix(GROUP_PATH).strip("/").split("/")
     if path.startswith(GROUP_PATH + "/"):
         if parts == [RESOURCE]:
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class Watch:
-    """An open watch and how far it has been served."""
+    """An open watch. The events up to `version` have been written to it."""
 
     writer: asyncio.StreamWriter
     namespace: str
@@ -77,16 +77,19 @@
 
 
 OnWritten = Callable[[asyncio.StreamWriter, list[ApiObject], bool], None]
-"""Called with objects that have been written to a connection, and whether they are a full list."""
+"""Called with a connection, the objects that have been written to it, and whether they are a full list."""
 
 
 class ApiServer:
-    """One address of an API server. `on_change` must be called after a change of the store."""
+    """An API server on one address. After a change of the store, the caller must call `on_change`."""
 
     def __init__(
         self, store: Store, token: str = "", on_written: OnWritten | None = None, bookmark_s: float = 1.0
     ) -> None:
-        """Serve a store; a non-empty `token` is required of clients."""
+        """Prepare to serve `store`; `listen` opens the socket.
+
+        Clients must send `token` unless it is empty. A watch gets a bookmark after `bookmark_s` without a change.
+        """
         self.store = store
         self.token = token
         self.bookmark_s = bookmark_s
@@ -95,10 +98,10 @@
         self._on_written = on_written or (lambda writer, objects, is_full_list: None)
         self._server: asyncio.Server | None = None
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
-        self._change = asyncio.Event()  # replaced at each change
+        self._change = asyncio.Event()  # set, and replaced by a new one, at each change
 
     async def listen(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> int:
-        """Accept connections, and return the port."""
+        """Accept connections, and return the port, which the system selects if `port` is 0."""
         self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_HEAD_BYTES, ssl=tls)
         bound_port: int = self._server.sockets[0].getsockname()[1]
         return bound_port
@@ -109,7 +112,7 @@
         return self._server is not None
 
     def on_change(self) -> None:
-        """Let the watches send what has changed."""
+        """Wake the open watches, which then write the new events."""
         self._change.set()
         self._change = asyncio.Event()
 
@@ -134,7 +137,7 @@
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, ssl.SSLError):
             pass
         except asyncio.CancelledError:
-            pass  # the loop ends; asyncio would log the cancellation as a failure
+            pass  # the event loop is ending; asyncio would log the cancellation as a failure
         finally:
             self._writers.pop(writer, None)
             writer.close()
@@ -155,7 +158,7 @@
             await self._write_json(writer, error.code, error.status, retry_after)
 
     def _check_request(self, method: str, headers: dict[str, str]) -> None:
-        """Raise ApiError for a request that is rejected whatever it asks for."""
+        """Raise ApiError for a request that is rejected regardless of its target."""
         if self.faults.rejects_tokens or (self.token and headers.get("authorization") != f"Bearer {self.token}"):
             raise ApiError(http.HTTPStatus.UNAUTHORIZED, "Unauthorized", "Unauthorized")
         if self.faults.retry_after_s is not None:
@@ -194,9 +197,10 @@
     async def _serve_watch(
         self, namespace: str, labels: dict[str, str], query: dict[str, str], writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a watch until its time is over: from a version on, or from the present objects as ADDED events.
+        """Serve a watch until its timeout.
 
-        Raises ApiError if the version has been compacted.
+        The watch begins after the requested resource version; without one, it begins with the existing objects as
+        ADDED events. Raises ApiError if the events after the version have been compacted.
         """
         requested_version = query.get("resourceVersion", "")
         version = int(requested_version) if requested_version.isdecimal() else 0
@@ -216,9 +220,9 @@
         await self._write(writer, b"0\r\n\r\n")
 
     async def _stream_events(self, watch: Watch) -> None:
-        """Write events as they happen, and bookmarks when none has happened for a while."""
+        """Write events as they happen, and a bookmark after `bookmark_s` without a change."""
         while system.monotonic() < watch.end_s and not watch.writer.is_closing():
-            change = self._change  # taken first, so that a change during the writes below is not missed
+            change = self._change  # read before the writes below, so that no change during them is missed
             if not self.faults.silent:
                 try:
                     await self._write_new_events(watch)
@@ -270,7 +274,7 @@
         await self._write(writer, head.encode() + data)
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write data, in pieces with pauses where the faults ask for them."""
+        """Write data; the faults may split it into small writes with pauses."""
         write_size = self.faults.max_write_bytes or len(data)
         for begin in range(0, len(data), write_size):
             writer.write(data[begin : begin + write_size])
--- a/ryepier/emulator/api_store.py
+++ b/ryepier/emulator/api_store.py
@@ -1,6 +1,6 @@
-"""Storage of an emulated Kubernetes API server: objects, resource versions, the log of events, paging, selectors.
+"""Storage of an emulated Kubernetes API server: objects, resource versions, the event log, paging and selectors.
 
-This module is pure. Written from the published API concepts and reference.
+This module is pure. It follows the published API concepts and reference of Kubernetes.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class ApiError(RyepierError):
-    """A call that the API answers with a Status object."""
+    """A failed call, which the API answers with a Status object."""
 
     def __init__(self, code: http.HTTPStatus, reason: str, message: str) -> None:
-        """`reason` is the API's machine-readable code of the failure."""
+        """Build the Status object; `reason` is the API's machine-readable code of the failure."""
         self.code = code
         self.status = {
             "kind": "Status",
@@ -43,7 +43,7 @@
     """The call refers to a resource version whose events have been compacted."""
 
     def __init__(self, message: str) -> None:
-        """Answer with 410."""
+        """Build a Status object with code 410 (Gone)."""
         super().__init__(http.HTTPStatus.GONE, "Expired", message)
 
 
@@ -68,7 +68,7 @@
 
 
 def parse_selector(text: str) -> dict[str, str]:
-    """Return the labels that a selector requires; only equality is supported. Raises ApiError."""
+    """Return the labels that a selector requires. Raises ApiError for any operator other than equality."""
     labels = {}
     for part in filter(None, text.split(",")):
         key, equals, value = part.replace("==", "=").partition("=")
@@ -79,7 +79,7 @@
 
 
 def matches(api_object: ApiObject, labels: dict[str, str]) -> bool:
-    """Return whether an object has all these labels."""
+    """Return whether an object has all these labels, with the same values."""
     object_labels = api_object["metadata"]["labels"]
     return all(object_labels.get(key) == value for key, value in labels.items())
 
@@ -88,7 +88,7 @@
     """The objects of one cluster. Resource versions are integers here, though clients must not interpret them."""
 
     def __init__(self, first_version: int = FIRST_VERSION) -> None:
-        """Start without objects."""
+        """Start without objects, at resource version `first_version`."""
         self.version = first_version
         self.compacted_version = first_version  # events up to this version are not available
         self.objects: dict[tuple[str, str], ApiObject] = {}  # by namespace and name
@@ -144,11 +144,11 @@
             raise ExpiredError(f"too old resource version: {version} ({self.compacted_version})")
         if version >= self.version:
             return []
-        # versions have no gaps, so the position follows from the distance to the newest
+        # versions have no gaps, so the distance to the newest version gives the position
         return self._events[len(self._events) - (self.version - version) :]
 
     def select(self, namespace: str, labels: dict[str, str]) -> list[ApiObject]:
-        """Return the matching objects by namespace and name; an empty namespace stands for all."""
+        """Return the matching objects, sorted by namespace and name; an empty namespace stands for all."""
         return [
             api_object
             for (object_namespace, _), api_object in sorted(self.objects.items())
--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -22,7 +22,7 @@
 
 
 class OutgoingRequest(Protocol):
-    """The request that a connection carries."""
+    """The request that a connection currently carries."""
 
     attempt: ClientAttempt
     closes_connection: bool
@@ -35,14 +35,14 @@
         """Handle the response."""
 
     def on_connection_lost(self, may_be_unread: bool) -> None:
-        """Handle the end of the connection; on a reused one the request may not have been read at all."""
+        """Handle the end of the connection; `may_be_unread` if the peer may have closed it before the request came."""
 
     def end(self, outcome: RequestOutcome) -> None:
         """End the request without a response."""
 
 
 class Target:
-    """An address that clients send to, a sidecar or a converter, with the idle connections to it."""
+    """The address of a sidecar or converter that clients send to, with the idle connections to it."""
 
     def __init__(self, address: Address) -> None:
         """Start without connections."""
@@ -51,7 +51,7 @@
         self.host = b"%s:%d" % (address[0].encode(), address[1])
 
     def take_idle(self) -> ClientConnection | None:
-        """Return the connection that became idle last and is still open, if there is one."""
+        """Remove and return the most recently used idle connection that is still open; None if there is none."""
         while self.idle_connections:
             connection = self.idle_connections.pop()
             if connection.transport is not None and not connection.transport.is_closing():
@@ -63,11 +63,11 @@
     """One connection of a client; it carries one request at a time."""
 
     def __init__(self, target: Target, request: OutgoingRequest | None) -> None:
-        """Established for one request, which is sent as soon as the connection is up."""
+        """Wait for the connection to be established, and then send `request` on it."""
         self.target = target
         self.request = request
         self.transport: asyncio.Transport | None = None
-        self.last_attempt: ClientAttempt | None = None  # answered on this connection, with none in flight since
+        self.last_attempt: ClientAttempt | None = None  # the last one answered; None while one is in flight
         self._response_count = 0
         self._reset_parser()
 
@@ -90,7 +90,7 @@
             self.request.send(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; bytes without a request in flight are counted, and the connection is closed."""
+        """Parse a response. Bytes without a request in flight are counted, and the connection is closed."""
         if self.request is None:
             if self.last_attempt is not None:
                 self.last_attempt.trailing_bytes += len(data)
@@ -106,7 +106,7 @@
             self._complete_response()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the pool, and end the request in flight."""
+        """Remove the connection from the pool, and notify the request in flight."""
         if self in self.target.idle_connections:
             self.target.idle_connections.remove(self)
         request, self.request = self.request, None
@@ -125,12 +125,12 @@
         self._body += data
 
     def on_message_complete(self) -> None:
-        """Note whether the connection can be reused, which the parser answers only now."""
+        """Record whether the connection can be reused, which the parser knows only at the end of a message."""
         self._message_complete = True
         self._keep_alive = self._parser.should_keep_alive()
 
     def _complete_response(self) -> None:
-        """Make the connection available again, or close it, and pass the response on."""
+        """Return the connection to the pool or close it, and pass the response to the request."""
         request = self.request
         assert request is not None
         response = Response(self._parser.get_status_code(), self._retry_after_us, self._body)
@@ -152,7 +152,7 @@
             request.end(outcome)
 
     def close(self) -> None:
-        """Leave the pool and close at once."""
+        """Remove the connection from the pool, and abort it."""
         if self in self.target.idle_connections:
             self.target.idle_connections.remove(self)
         if self.transport is not None:
--- a/ryepier/emulator/client_messages.py
+++ b/ryepier/emulator/client_messages.py
@@ -11,14 +11,14 @@
 
 
 class ResponseBody(msgspec.Struct):
-    """What a converter writes into a response: the request that it is for, and the converter's uid."""
+    """The body of a converter's response: the id of the request that it answers, and the converter's uid."""
 
     request_id: str = msgspec.field(name="for")
     uid: str = msgspec.field(name="by")
 
 
 class GraphqlResponseBody(msgspec.Struct):
-    """The same in a GraphQL response."""
+    """The body of a GraphQL response, which contains the `ResponseBody` as its extensions."""
 
     extensions: ResponseBody
 
@@ -27,7 +27,7 @@
     """Encodes the requests and decodes the responses of a world's clients."""
 
     def __init__(self, world: World, arrivals: Arrivals) -> None:
-        """Take the cost hints from the arrivals."""
+        """Prepare for the clients of `world`; the cost hints of their requests come from `arrivals`."""
         self.world = world
         self.arrivals = arrivals
 
@@ -38,7 +38,7 @@
         return msgspec.json.decode(data, type=ResponseBody)
 
     def encode_request(self, attempt: ClientAttempt, host: bytes, now_us: int) -> bytes:
-        """Return a request with the time that remains until its deadline."""
+        """Return the bytes of a request; its deadline header is the time that remains at `now_us`."""
         remaining_ms = max(1, (attempt.sent_us + attempt.deadline_us - now_us) // 1000)
         if self.world.clients.speak_graphql:
             return self._encode_graphql(attempt, host, remaining_ms)
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -32,14 +32,17 @@
         """Run a coroutine in the background."""
 
     def read_timeout_us(self, attempt: ClientAttempt) -> int:
-        """Return how long the client reads after it has sent the attempt."""
+        """Return how long the client waits for a response to the attempt after sending it."""
 
     def on_ended(self, attempt: ClientAttempt, outcome: RequestOutcome) -> None:
         """Handle the end of the attempt."""
 
 
 class ClientRequest:
-    """One attempt in flight. It is sent twice at most, and only if the first copy was certainly harmless."""
+    """One attempt in flight.
+
+    It is sent a second time, at most once, if its reused connection ends before a response and a repeat is harmless.
+    """
 
     def __init__(self, owner: RequestOwner, target: Target, attempt: ClientAttempt, closes_connection: bool) -> None:
         """Prepare the attempt; `start` sends it."""
@@ -67,8 +70,8 @@
         sock = system.tcp_socket(socket.AF_INET)
         try:
             sock.setblocking(False)
-            # The timeout covers connecting alone. One that also covered sending could expire in the very loop turn in
-            # which the request is sent; it would then count as unreachable, and be sent again.
+            # The timeout covers only connecting. If it also covered sending, it could expire in the same iteration of
+            # the event loop in which the request is sent; the request would count as unreachable and be sent again.
             async with asyncio.timeout(self.attempt.deadline_us / 1e6):
                 await loop.sock_connect(sock, self.target.address)
             await loop.create_connection(lambda: ClientConnection(self.target, self), sock=sock)
@@ -77,7 +80,7 @@
             self.end(RequestOutcome.UNREACHABLE)
 
     def send(self, connection: ClientConnection) -> None:
-        """Write the request; the timeout runs from the first time that it is written."""
+        """Write the request; the timeout starts when it is written for the first time."""
         assert connection.transport is not None
         self._connection = connection
         connection.last_attempt = None
@@ -111,7 +114,7 @@
             self.end(RequestOutcome.FAILED)
 
     def _record_body(self, response: Response) -> None:
-        """Record what the body contains; one that cannot be decoded is for the judge to find."""
+        """Record the ids in the body. If it cannot be decoded, they stay empty, which the judge reports."""
         try:
             body = self.owner.codec.decode_response(response.body)
         except msgspec.DecodeError:
@@ -119,7 +122,7 @@
         self.attempt.response_request_id, self.attempt.responder_uid = body.request_id, body.uid
 
     def on_connection_lost(self, may_be_unread: bool) -> None:
-        """Send once more on a new connection if the close may have crossed the request and a repeat is harmless."""
+        """Send again on a new connection if the request may not have been read and a repeat is harmless."""
         attempt = self.attempt
         attempt.may_be_unread = may_be_unread
         request_class = self.owner.world.classes[attempt.request_class]
@@ -131,7 +134,7 @@
             self.end(RequestOutcome.BROKEN)
 
     def end(self, outcome: RequestOutcome) -> None:
-        """End the attempt, once."""
+        """End the attempt; further calls have no effect."""
         if self.ended:
             return
         self.ended = True
--- a/ryepier/emulator/client_retries.py
+++ b/ryepier/emulator/client_retries.py
@@ -1,4 +1,4 @@
-"""When emulated clients retry: what the protocol allows, and the backoff."""
+"""Retries of emulated clients: whether the protocol allows one, and the backoff before it."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 
 MAX_DELAY_US = 10_000_000
 BACKOFF_GROWTH = 2.0
-MIN_JITTER = 0.5  # of the exponential backoff, up to 1 more
+MIN_JITTER = 0.5  # smallest jitter factor of the exponential backoff; the largest is greater by 1
 NOT_RETRIED = (RequestOutcome.SERVED, RequestOutcome.LEFT)
 NEVER_RUN = (RequestOutcome.REFUSED, RequestOutcome.UNREACHABLE)
 
 
 def may_retry(request_class: RequestClass, outcome: RequestOutcome, first_sent_us: int, now_us: int) -> bool:
-    """Return whether the protocol lets a client send a request again: always if it certainly did not run, otherwise
-    only if repeating it is harmless."""
+    """Return whether the protocol allows a client to send a request again.
+
+    It always does if the request certainly did not run, otherwise only if repeating the request is harmless.
+    """
     if outcome in NOT_RETRIED:
         return False
     if outcome in NEVER_RUN or request_class.effect is Effect.IDEMPOTENT:
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -18,12 +18,12 @@
 from ryepier.emulator.timeline import Timeline
 from ryepier.emulator.world import Effect, World
 
-READ_SLACK_US = 100_000  # clients read on after their timeout, so that late responses are recorded
+READ_SLACK_US = 100_000  # clients wait longer than their timeout, so that late responses are recorded
 COUNTS_INTERVAL_S = 0.5
 
 
 def _target_addresses(plan: Plan, timeline: Timeline) -> list[Address]:
-    """Return what the clients send to: given targets, or the sidecars, or without any the converters."""
+    """Return the addresses that clients send to: the plan's targets, else the sidecars, else the converters."""
     if plan.targets:
         return plan.targets
     if plan.world.sidecars.count:
@@ -32,10 +32,10 @@
 
 
 class ClientRole:
-    """All clients of one process."""
+    """The clients of one emulator process."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
-        """Sample the arrivals; a simulation has all clients in one process, and no harness to send counts to."""
+        """Sample the arrivals. A simulation has all clients in one process, and no harness that reads counts."""
         self.plan = plan
         self.world: World = plan.world
         self.clock = clock
@@ -78,7 +78,7 @@
         return self.records
 
     async def _send_counts(self) -> None:
-        """Write the counts for a live summary at intervals."""
+        """Send the counts of attempts to the harness at intervals, for its live summary."""
         while True:
             await asyncio.sleep(COUNTS_INTERVAL_S)
             send_to_harness({"open": self._open_count, **self._counts})
@@ -115,13 +115,13 @@
         ClientRequest(self, self.targets[attempt.sidecar], attempt, closes_connection).start()
 
     def read_timeout_us(self, attempt: ClientAttempt) -> int:
-        """Return how long the client reads: past its timeout, or less if it disconnects early."""
+        """Return how long the client waits: longer than its timeout, or less if it disconnects early."""
         if self._random.random() < self.world.clients.disconnect_share:
             return int(self.world.classes[attempt.request_class].objective_ms * 1000 * self._random.random())
         return attempt.deadline_us + READ_SLACK_US
 
     def on_ended(self, attempt: ClientAttempt, outcome: RequestOutcome) -> None:
-        """Record the end of an attempt, and schedule a retry where there is time for one."""
+        """Record the end of an attempt, and schedule a retry if one is allowed and the deadline leaves time for it."""
         now_us = self.clock.now_us()
         attempt.outcome, attempt.ended_us = outcome, now_us
         if attempt.sent_us == NEVER:
--- a/ryepier/emulator/converter_connection.py
+++ b/ryepier/emulator/converter_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an emulated converter: HTTP/1.1 parsing, one request at a time, and the form of a response."""
+"""A connection to an emulated converter: HTTP/1.1 parsing, one request at a time, and response encoding."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
     @property
     def drops_output(self) -> bool:
-        """Whether a fault keeps everything that is written from leaving."""
+        """Whether a fault discards everything that is written."""
 
     def on_connected(self, connection: ConverterConnection) -> None:
         """Handle a new connection."""
@@ -70,13 +70,13 @@
     """One connection to a converter; it carries one request at a time."""
 
     def __init__(self, owner: ConnectionOwner, over_limit: bool) -> None:
-        """Requests on a connection over the converter's limit are rejected."""
+        """Wait for the connection to be established; `over_limit` if the converter must reject requests on it."""
         self.owner = owner
         self.over_limit = over_limit
         self.transport: asyncio.Transport | None = None
         self.attempt: ConverterAttempt | None = None  # in flight
         self.last_data_us = 0
-        self.partitioned = False  # a fault has dropped a request or a response on it
+        self.partitioned = False  # a zone partition has dropped a request or response on it
         self.record = ConnectionRecord(owner.uid, NEVER)
         self._reset_parser()
 
@@ -90,14 +90,14 @@
     # asyncio's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the converter."""
+        """Register the connection with the converter."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.last_data_us = self.record.opened_us = self.owner.clock.now_us()
         self.owner.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; bytes that are not HTTP are answered with 400, and the connection is closed."""
+        """Parse a request. Bytes that are not HTTP are answered with 400, and the connection is closed."""
         self.last_data_us = self.owner.clock.now_us()
         if self._first_byte_us == NEVER:
             self._first_byte_us = self.last_data_us
@@ -113,7 +113,7 @@
         self.end_attempt(AttemptOutcome.CLOSED)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Unregister from the converter, and end the attempt in flight."""
+        """Remove the connection from the converter, and end the attempt in flight."""
         self.record.closed_us = self.owner.clock.now_us()
         self.owner.on_closed(self)
         self.end_attempt(AttemptOutcome.CLOSED)
@@ -138,7 +138,7 @@
             self.abort()
 
     def on_message_complete(self) -> None:
-        """Pass the request on."""
+        """Pass the complete request to the converter."""
         if self.is_closing():
             return
         method, target = self._parser.get_method(), self._target
@@ -151,10 +151,10 @@
         else:
             self.owner.on_request(self, request)
 
-    # Output and the end
+    # Output and closing
 
     def is_closing(self) -> bool:
-        """Return whether nothing can be written any more."""
+        """Return whether the connection no longer accepts output."""
         return self.transport is None or self.transport.is_closing()
 
     def write(self, data: bytes) -> None:
@@ -170,7 +170,7 @@
             self.transport.close()
 
     def abort(self) -> None:
-        """Close with a reset, as the end of a process does."""
+        """Close with a reset, as happens at the end of a process."""
         if self.transport is None or self.transport.is_closing():
             return
         sock: socket.socket = self.transport.get_extra_info("socket")
--- a/ryepier/emulator/converter_faults.py
+++ b/ryepier/emulator/converter_faults.py
@@ -12,13 +12,13 @@
 
 
 class ConverterFaults:
-    """At most one fault at a time; a further one replaces it."""
+    """The present fault of a converter, at most one; a further fault replaces it."""
 
     def __init__(self, uid: str, sidecar_of: Callable[[bytes], int]) -> None:
-        """`sidecar_of` returns the sidecar that a request was sent to by its client."""
+        """Start without a fault; `sidecar_of` returns the sidecar that a client sent a request to."""
         self._uid = uid.encode()
         self._sidecar_of = sidecar_of
-        self._step: Step | None = None  # that began the fault
+        self._step: Step | None = None  # the step that began the present fault
 
     def begin(self, step: Step) -> None:
         """Begin a fault in place of the present one."""
@@ -39,7 +39,10 @@
         return self.is_any_of(*UNRESPONSIVE_FAULTS)
 
     def affects(self, kind: FaultKind, request_id: bytes) -> bool:
-        """Return whether the present fault is of this kind and affects a request; the same for each of its attempts."""
+        """Return whether the present fault is of this kind and affects a request.
+
+        The result depends on the request id only, so a sidecar's attempts for one request all have the same result.
+        """
         step = self._step
         if step is None or step.fault is not kind:
             return False
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -1,4 +1,4 @@
-"""Model of a converter without sockets: cores, a queue, warm-up, a crash under overload, and deduplication in a pod.
+"""Model of a converter without sockets: cores, queue, warm-up, crash under overload, and deduplication within a pod.
 
 This module is pure: requests and times in, actions out. `next_us` is when `advance` is due next. Work that has been
 accepted continues even if the connection it came on is closed.
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A request as the model needs it. `token` identifies it to the caller."""
+    """A request in the model. `token` is the caller's identifier of the request."""
 
     token: int
     key: str  # idempotency key; empty = not deduplicated
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crashed:
-    """The load exceeded what a converter bears while it warms up; it is down for good."""
+    """The load exceeded the limit of a converter that is warming up; the converter is down and does not restart."""
 
 
 Action = Started | Done | Rejected | Crashed
@@ -69,7 +69,7 @@
 
 
 class IdempotencyCache:
-    """The keys that the converters of one pod have received, each for its window since the first arrival."""
+    """The idempotency keys that a pod's converters have received, each kept for a window after the first arrival."""
 
     def __init__(self) -> None:
         """Start without keys."""
@@ -118,15 +118,15 @@
         self.queue: deque[Work] = deque()
         self.running: list[tuple[int, int, Work]] = []  # heap of (done_us, number, work)
         self.started_count = 0
-        self.overhead_us = 0  # work of handshakes and probes, done along with the next request
-        self._recent_work: deque[tuple[int, int]] = deque()  # (at_us, work_us) of the overload window, in warm-up
+        self.overhead_us = 0  # work of handshakes and probes, added to the next request that starts
+        self._recent_work: deque[tuple[int, int]] = deque()  # (at_us, work_us) in the overload window, during warm-up
         self._recent_work_us = 0
         self._hung_since_us = 0
         self._report = ""
         self._report_until_us = -1
 
     def capacity_share(self, now_us: int) -> float:
-        """Return the share of its full capacity that the converter has."""
+        """Return the share of its full capacity that the converter has at this time."""
         warm_up_us = self.warm_up.warm_up_s * 1e6
         if self.started_us is None or now_us >= self.started_us + warm_up_us:
             return 1.0
@@ -164,7 +164,7 @@
         return [Crashed()] if self._is_overloaded_after(now_us, work_us) else []
 
     def _is_overloaded_after(self, now_us: int, work_us: int) -> bool:
-        """Return whether further work crashes the converter; rejected requests count as well."""
+        """Add work, also of rejected requests, to the overload window; return whether it crashes the converter."""
         share = self.capacity_share(now_us)
         if self.crashed or share >= 1.0:
             return False
@@ -196,7 +196,7 @@
         return actions
 
     def advance(self, now_us: int) -> list[Action]:
-        """Finish the requests that are done by now, and start queued ones in their place."""
+        """Finish the requests that are done by now, and start queued requests on the cores that become free."""
         actions: list[Action] = []
         while self.running and self.running[0][0] <= now_us and not self.hung:
             done_us, _, work = heapq.heappop(self.running)
@@ -206,7 +206,7 @@
         return actions
 
     def _release_repeats(self, work: Work) -> list[Action]:
-        """Answer the repeats that waited for a run here; those at other converters go to the cache's `released`."""
+        """Answer the repeats that waited at this converter, and add the others to the cache's `released_repeats`."""
         entry = self.cache.entries.get(work.key) if work.key else None
         if entry is None:
             return []
@@ -220,11 +220,11 @@
 
     @property
     def next_us(self) -> int | None:
-        """When the next request is done; None if none runs."""
+        """The time at which the next request is done; None if no request is running."""
         return self.running[0][0] if self.running and not self.hung else None
 
     def hang(self, now_us: int) -> None:
-        """Stop all progress."""
+        """Stop all progress until `resume`."""
         self.hung, self._hung_since_us = True, now_us
 
     def resume(self, now_us: int) -> list[Action]:
@@ -235,7 +235,7 @@
         return self._start_queued(now_us)
 
     def load_report(self, now_us: int) -> str:
-        """Return the load report, `name=value,...`, which is refreshed at sampled intervals."""
+        """Return the load report in the form `name=value,...`. It is refreshed at randomly sampled intervals."""
         if now_us >= self._report_until_us:
             low_ms, high_ms = self.reports.refresh_ms
             self._report_until_us = now_us + int(1000 * self.random.uniform(low_ms, high_ms))
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -28,7 +28,7 @@
 from ryepier.sidecar import system
 
 LISTEN_BACKLOG = 1024
-DEFAULT_WORK_US = b"1000"  # of a request without the header
+DEFAULT_WORK_US = b"1000"  # of a request without the X-Work-Us header
 
 
 class ServerOwner(Protocol):
@@ -40,18 +40,18 @@
     backlog_fillers: int  # connections that fill a listener's backlog, so that no further one is established
 
     def sidecar_of(self, request_id: bytes) -> int:
-        """Return the sidecar that a request was sent to by its client."""
+        """Return the sidecar that a client sent the request to."""
 
     def record_event(self, text: str) -> None:
         """Record an event at the present time."""
 
     def answer_released(self, cache: IdempotencyCache) -> None:
-        """Answer the repeats that waited for a run at another converter of their pod."""
+        """Answer the repeats that waited for a request at another converter of their pod."""
 
 
 @dataclass(frozen=True, slots=True)
 class _InFlight:
-    """A request that the model has accepted, with the connection that it came on."""
+    """A request that has been passed to the model, with its connection."""
 
     connection: ConverterConnection
     attempt: ConverterAttempt
@@ -114,7 +114,7 @@
 
     @property
     def drops_output(self) -> bool:
-        """Whether a fault keeps everything that is written from leaving."""
+        """Whether a fault discards everything that is written."""
         return self._faults.is_any_of(FaultKind.CUT)
 
     def resets_before_request(self, request_id: bytes) -> bool:
@@ -176,7 +176,7 @@
             self.carry_out(self.model.on_connection(self.clock.now_us()))
 
     def on_closed(self, connection: ConverterConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection that has ended."""
         self._connections.pop(connection, None)
 
     def on_probe(self, connection: ConverterConnection, target: bytes) -> None:
@@ -200,7 +200,7 @@
                 connection.write(encode_response(http.HTTPStatus.BAD_REQUEST, body, ""))
                 return
         attempt = self._record_attempt(request, request_id)
-        connection.end_attempt(AttemptOutcome.CLOSED)  # a pipelined request must not lose the record of the one before
+        connection.end_attempt(AttemptOutcome.CLOSED)  # completes the previous attempt's record if this is pipelined
         connection.attempt = attempt
         if self._faults.is_any_of(FaultKind.CUT) or self._partitions(connection):
             return
@@ -235,7 +235,7 @@
     # Actions of the model
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Record and answer what the model has decided."""
+        """Carry out the model's actions: record them, answer requests, or stop after a crash."""
         for action in actions:
             if isinstance(action, Crashed):
                 self._crash()
@@ -273,7 +273,7 @@
     def _reply(
         self, connection: ConverterConnection, status: http.HTTPStatus, body: bytes, not_run: bool = False
     ) -> None:
-        """Answer the connection's request, or do what the present fault does instead."""
+        """Answer the connection's request, unless the present fault drops, resets or truncates the response."""
         if self._faults.is_unresponsive or self._partitions(connection):
             return
         assert connection.attempt is not None
@@ -311,7 +311,7 @@
             self._listener = None
 
     def _close_sockets(self) -> None:
-        """Reset all connections and refuse new ones, as at the end of a process."""
+        """Reset all connections and refuse new ones, as happens at the end of a process."""
         self._close_listener()
         for connection in list(self._connections):
             connection.end_attempt(AttemptOutcome.RESET)
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -11,12 +11,12 @@
 from ryepier.emulator.records import RecordedEvent, RoleRecords
 from ryepier.emulator.timeline import FaultAction, Instance, TargetKind, Timeline
 
-BACKLOG_FILLERS = 4  # connections
+BACKLOG_FILLERS = 4  # connections that fill the backlog of a listener, so that no further one is established
 IDLE_CHECK_S = 0.25
 
 
 class ConverterRole:
-    """The converters of one process; those of a pod are always in the same one."""
+    """The converters of one emulator process; all converters of a pod are in the same process."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
         """Select this process's converters; a simulation has all of them in one process."""
@@ -33,10 +33,10 @@
         self.backlog_fillers = 0 if simulated else BACKLOG_FILLERS  # a simulated listener may have a backlog of 0
         self.servers: dict[int, ConverterServer] = {}  # by the instance's index
         self._caches: dict[int, IdempotencyCache] = {}  # by pod
-        self._sidecar_by_arrival: list[int] = []  # computed when first needed
+        self._sidecar_by_arrival: list[int] = []  # computed at the first use
 
     def sidecar_of(self, request_id: bytes) -> int:
-        """Return the sidecar that a request was sent to by its client."""
+        """Return the sidecar that a client sent the request to."""
         if not self._sidecar_by_arrival:
             self._sidecar_by_arrival = draws.arrivals(self.plan.world, self.plan.seed).sidecar.tolist()
         return self._sidecar_by_arrival[int(request_id.split(b"-")[1], 16)]
@@ -46,7 +46,7 @@
         self.records.events.append(RecordedEvent(self.clock.now_us(), text))
 
     async def start(self) -> None:
-        """Start the converters that run when the run begins."""
+        """Start the converters that are up at the beginning of the run."""
         for instance in self.instances:
             if instance.start_us is None:
                 await self.start_instance(instance)
@@ -82,7 +82,7 @@
                 server.close_idle_connections(self.clock.now_us())
 
     def answer_released(self, cache: IdempotencyCache) -> None:
-        """Answer the repeats that waited for a run at another converter of their pod."""
+        """Answer the repeats that waited for a request at another converter of their pod."""
         while cache.released_repeats:
             model, token = cache.released_repeats.pop()
             for server in self.servers.values():
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery: an agent for each sidecar, notified of changes with a delay of its own, with watches."""
+"""Emulates the platform's discovery: an agent for each sidecar, with watches and its own delay of notices."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from ryepier.sidecar import system
 
 MAX_HEAD_BYTES = 8192
-CLOSE_GRACE_S = 0.05  # for the open watches to see their end
+CLOSE_GRACE_S = 0.05  # time for the tasks of open watches to end
 GET = "GET"
 HOSTS_PATH = "/discovery/hosts"
 HEARTBEAT = b"1\r\n\n\r\n"  # an empty line, as a chunk
-Entry = dict[str, Any]  # a converter in the endpoint list, in discovery's form
-Listing = dict[str, Any]  # a list or a change of it, in discovery's form
+Entry = dict[str, Any]  # a converter in the endpoint list, as a JSON object of the discovery protocol
+Listing = dict[str, Any]  # a full list or changes to it, as a JSON object of the discovery protocol
 
 
 def list_entry(plan: Plan, instance: Instance, state: ListState, unix_run_start_ms: int) -> Entry:
-    """Return a converter's entry; `unix_zero_ms` is the wall clock when the run began."""
+    """Return a converter's entry; `unix_zero_ms` is the Unix time at which the run began."""
     host, port = plan.converter_address(instance.index)
     group = instance.machine.group
     boot_ms = unix_run_start_ms + instance.start_us // 1000 if instance.start_us is not None else 0
@@ -40,13 +40,13 @@
 
 
 def initial_list(plan: Plan, timeline: Timeline) -> Listing:
-    """Return the list when the run begins."""
+    """Return the full list at the beginning of the run."""
     running = [instance for instance in timeline.instances if instance.start_us is None]
     return {"rev": 1, "all": True, "targets": [list_entry(plan, instance, ListState.ACTIVE, 0) for instance in running]}
 
 
 class Registry:
-    """The endpoint list as one agent knows it, with the revision of each entry's last change. Pure."""
+    """The endpoint list that one agent knows, with the revision of each entry's last change. This class is pure."""
 
     def __init__(self, listing: Listing) -> None:
         """Start with a full list."""
@@ -55,7 +55,7 @@
         self.changed_rev: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
 
     def apply_change(self, entry: Entry) -> bool:
-        """Apply a change and return whether it is one: states only advance, so a late notice may be outdated."""
+        """Replace an entry, and return whether the list changed. States only advance: a late notice may be outdated."""
         previous = self.targets.get(entry["uid"])
         if previous is not None and ListState(previous["state"]).rank >= ListState(entry["state"]).rank:
             return False
@@ -74,7 +74,7 @@
         return {"rev": self.rev, "all": True, "targets": listed}
 
     def changes_since(self, rev: int) -> Listing:
-        """Return what changed after a revision; the full list if it is 0, or not one of this agent's."""
+        """Return the changes after a revision, or the full list if the revision is 0 or not one of this agent's."""
         if rev <= 0 or rev > self.rev:
             return self.full_list()
         changed = [entry for uid, entry in self.targets.items() if self.changed_rev[uid] > rev]
@@ -82,7 +82,7 @@
 
 
 class AgentOwner(Protocol):
-    """The discovery process, as an agent needs it."""
+    """The parts of the discovery process that an agent uses."""
 
     plan: Plan
     clock: Clock
@@ -93,15 +93,15 @@
     """One sidecar's discovery agent, on its socket."""
 
     def __init__(self, owner: AgentOwner, sidecar: int, listing: Listing) -> None:
-        """Start with the list as it is when the run begins."""
+        """Start with the full list at the beginning of the run; `listen` opens the socket."""
         self.owner = owner
         self.sidecar = sidecar
         self.registry = Registry(listing)
         self._muted = False
-        self._frozen = False  # changes are kept back, and the list is served as it was
+        self._frozen = False  # changes are held back, and the unchanged list is served
         self._pending: list[Entry] = []  # changes that arrived while it was muted, frozen or down
         self._server: asyncio.Server | None = None
-        self._watches: dict[asyncio.StreamWriter, int] = {}  # with the revision that each was last sent
+        self._watches: dict[asyncio.StreamWriter, int] = {}  # with the revision last sent to each
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
 
     async def listen(self) -> None:
@@ -147,7 +147,7 @@
         raise ConnectionResetError
 
     def _write_changes(self, writer: asyncio.StreamWriter) -> None:
-        """Write to a watch what has changed since its last update."""
+        """Write the changes since the last update of a watch."""
         if self._muted:
             return
         listing = self.registry.changes_since(self._watches[writer])
@@ -157,7 +157,7 @@
         self._record_notices(listing)
 
     def _record_notices(self, listing: Listing) -> None:
-        """Record what the sidecar is notified of: a full list also implies that missing converters have left."""
+        """Record the states that the sidecar is notified of; a full list implies that missing converters have left."""
         now_us = self.owner.clock.now_us()
         states = {entry["uid"]: entry["state"] for entry in listing["targets"]}
         if listing["all"]:
@@ -173,7 +173,7 @@
                 writer.write(HEARTBEAT)
 
     async def apply(self, step: Step, entry: Entry | None) -> None:
-        """Carry out one step of the schedule; `entry` is what a notification is about."""
+        """Carry out one step of the schedule; `entry` is the changed converter of a notification."""
         if step.action is FaultAction.NOTIFY and entry is not None:
             self._notify(entry)
         elif step.action is FaultAction.MUTE:
@@ -196,7 +196,7 @@
             self._write_changes_to_all()
 
     async def _recover(self) -> None:
-        """Serve normally again, and send the changes that were kept back."""
+        """Serve normally again, and send the changes that were held back."""
         self._muted = self._frozen = False
         for entry in self._pending:
             self.registry.apply_change(entry)
@@ -219,7 +219,7 @@
     """All agents of a run."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Make an agent for each sidecar: of the platform, or an API server with EndpointSlices."""
+        """Create an agent for each sidecar: a discovery agent of the platform, or an API server with EndpointSlices."""
         self.plan = plan
         self.clock = clock
         self.timeline = timeline
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -1,7 +1,7 @@
-"""Random samples of a world, taken in advance: arrivals, classes, work, timeouts, machines, delays.
+"""Random samples of a world, taken before the run: arrivals, classes, work, timeouts, machines and delays.
 
-This module is pure. Each concern has a PCG64 stream of its own, so that a change to one (a further fault, another
-sidecar) leaves the samples of the others as they are. Times are microseconds since the run began.
+This module is pure. Each purpose has its own PCG64 stream, so that a change to one (a further fault, another
+sidecar) leaves the samples of the others unchanged. Times are microseconds since the run began.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def stream(seed: int, purpose: str) -> np.random.Generator:
-    """Return the random number generator of one concern."""
+    """Return the random number generator for one purpose, which depends on the seed and the purpose's name."""
     return np.random.Generator(np.random.PCG64([seed, zlib.crc32(purpose.encode())]))
 
 
@@ -53,7 +53,7 @@
 
 
 def machines(world: World, seed: int) -> list[Machine]:
-    """Return the machines of the converters that run when the run begins."""
+    """Return the machines of the converters that are up at the beginning of the run."""
     random = stream(seed, "machines")
     result: list[Machine] = []
     pod = 0
@@ -66,7 +66,7 @@
 
 
 def select_targets(count: int, fault: Fault, random: np.random.Generator) -> list[int]:
-    """Return which of `count` targets a fault affects: its own index, or a random sample of at least one."""
+    """Return the indexes of the targets that a fault affects: its `index`, or a random sample of at least one."""
     if fault.index is not None:
         return [fault.index % count]
     size = max(1, round(fault.target_share * count))
@@ -88,7 +88,7 @@
 
 
 def offered_per_s(world: World, at_us: IntArray) -> FloatArray:
-    """Return the arrival rate at each time, without surges of single tenants and sidecars."""
+    """Return the arrival rate at each time, without surges of single tenants and without hot sidecars."""
     clients = world.clients
     rate_increase = (clients.ramp_to_per_s - clients.rate_per_s) if clients.ramp_to_per_s else 0.0
     rate: FloatArray = (clients.rate_per_s + rate_increase * at_us / (world.duration_s * 1e6)).astype(np.float64)
--- a/ryepier/emulator/files.py
+++ b/ryepier/emulator/files.py
@@ -12,7 +12,7 @@
 from ryepier.emulator.world import RequestClass, World
 
 GRANULARITY_US = 1000
-OVER_SHARE_WEIGHT = 0.2  # of a tenant's requests beyond its share
+OVER_SHARE_WEIGHT = 0.2  # priority weight of a tenant's requests beyond its share
 MAX_POLL_INTERVAL_US = 2_500_000
 LOG_LINES_PER_S = 200
 
@@ -62,7 +62,7 @@
 
 
 def sidecar_settings(world: World, index: int) -> dict[str, Any]:
-    """Return the platform's settings of one sidecar, by the keys of its configuration."""
+    """Return one sidecar's settings, with the keys of the platform's configuration."""
     accounts = [
         {"name": tenant.name, "share": tenant.share, "allowance-per-s": tenant.share * world.clients.rate_per_s}
         for tenant in world.tenants
@@ -112,7 +112,7 @@
 
 
 def has_settings_file(world: World) -> bool:
-    """Return whether the sidecars need operators' settings, beyond the platform's configuration."""
+    """Return whether the sidecars need operators' settings in addition to the platform's configuration."""
     return bool(
         world.planners.count or world.discovery.slice_size or world.clients.speak_graphql or world.sidecars.storm_guard
     )
@@ -147,7 +147,7 @@
 
 
 def settings_environment(plan: Plan, sidecar: int) -> dict[str, str]:
-    """Return the environment variables by which one sidecar's settings differ from the others'."""
+    """Return the environment variables for the settings that differ between sidecars."""
     if not plan.world.discovery.slice_size:
         return {}
     return {"RYEPIER_SLICES__SERVER": f"http://{_format_address(plan.discovery_address(sidecar))}"}
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -1,7 +1,7 @@
-"""GraphQL as the emulator speaks it: the clients' documents, in several equivalent forms, and what converters read.
+"""GraphQL messages of the emulator: the clients' documents, in equivalent forms, and the id that converters read.
 
 Each request class of a world is a field of the schema. A converter identifies an operation by the variable `id`,
-whatever the headers contain.
+regardless of the headers.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from ryepier.emulator.world import Effect, RequestClass, World
 
 PATH = "/graphql"
-GET_EVERY = 3  # queries; one of them is sent as a GET
-ESCAPED_EVERY = 7  # requests; one of them escapes a letter of the keyword, which JSON treats as the same text
+GET_EVERY = 3  # one of this many queries is sent as a GET
+ESCAPED_EVERY = 7  # one of this many mutations escapes a letter of the keyword in JSON, which means the same text
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A document and the operationName to send with it; None = no name."""
+    """A document and the operationName to send with it, if any."""
 
     text: str
     operation_name: str | None
@@ -82,7 +82,7 @@
 
 
 def operation_id(body: bytes) -> str:
-    """Return the id of the operation that a converter has received. Raises ValueError."""
+    """Return the id of the operation in a request's body. Raises ValueError if there is none."""
     try:
         variable = json.loads(body)["variables"]["id"]
     except (KeyError, TypeError):
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -29,10 +29,10 @@
 ROLE_MODULE = "ryepier.emulator.role"
 SETTINGS_FILE = "operators.toml"  # the settings that the sidecars share
 MAX_SIDECARS = 200
-BEGIN_DELAY_S = 0.5  # from the announcement of the run's begin to the begin itself
+BEGIN_DELAY_S = 0.5  # from announcing the beginning of the run to the beginning itself
 
 ProgressCallback = Callable[[float, Counter[str]], None]
-"""Called with the seconds of the run and the clients' counts so far."""
+"""Called with the seconds since the beginning of the run and the clients' counts so far."""
 
 
 @dataclass(slots=True)
@@ -46,30 +46,31 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleAssignment:
-    """Which processes take part in a run, and how they are started; by default all that the world describes."""
+    """The processes that take part in a run, and how they are started; by default all that the world describes."""
 
-    sidecar_command: Sequence[str] | None = None  # None: the sidecar or the forwarder, as the world needs; empty: only
-    # the configurations are written, and others start the sidecars
+    # None: the sidecar or the forwarder, whichever the world needs; empty: only write the configurations, because
+    # another program starts the sidecars
+    sidecar_command: Sequence[str] | None = None
     sidecar_overrides: Mapping[int, Sequence[str]] = field(default_factory=dict)  # commands of single sidecars
     planner_command: Sequence[str] = PLANNER
-    planner_restart: Sequence[str] = PLANNER  # after a kill
+    planner_restart: Sequence[str] = PLANNER  # restarts a planner that was killed
     clients: bool = True
-    converters_and_discovery: bool = True  # converters and discovery
-    targets: Sequence[Address] = ()  # what the clients load instead of the world's sidecars
+    converters_and_discovery: bool = True
+    targets: Sequence[Address] = ()  # addresses that clients send to instead of the world's sidecars
     role_module: str = ROLE_MODULE  # the program of the emulator's own processes
 
 
 def _check_supported(world: World) -> None:
-    """Raise HarnessError for a world that only a simulation can run."""
+    """Raise HarnessError for a world that can only be simulated."""
     unsupported = {fault.kind for fault in world.faults} & SIMULATION_ONLY_FAULTS
     if unsupported:
         raise HarnessError(f"only in simulation: {', '.join(sorted(unsupported))}")
     if world.sidecars.count > MAX_SIDECARS:
-        raise HarnessError(f"at most {MAX_SIDECARS} sidecars on sockets, a process each; more in simulation")
+        raise HarnessError(f"at most {MAX_SIDECARS} sidecars can run on sockets; larger worlds must be simulated")
 
 
 class Harness:
-    """One run. Subclasses may extend `start_planners`, `run_schedule` and `kill_all`."""
+    """One run of a world on sockets. Subclasses may extend `start_planners`, `run_schedule` and `kill_all`."""
 
     def __init__(
         self,
@@ -145,7 +146,7 @@
             assert role_process.process.stdout is not None
             line = await role_process.process.stdout.readline()
             if not line:
-                raise HarnessError(f"the emulator's {role_process.name} did not come up")
+                raise HarnessError(f"emulator process {role_process.name} ended before it was ready")
 
     async def _start_process(self, role: str, index: int) -> RoleProcess:
         plan = msgspec.structs.replace(self.plan, role=role, index=index)
@@ -164,11 +165,11 @@
         return RoleProcess(f"{role} {index}", process, records)
 
     def start_planners(self) -> None:
-        """Start the planners."""
+        """Start the planners, after the emulator's processes and before the sidecars."""
         self.planners.start_all()
 
     def _announce_begin(self) -> None:
-        """Announce when the run begins."""
+        """Set the time at which the run begins, and announce it to the emulator's processes."""
         self.clock.run_start_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
         for role_process in self._processes:
             assert role_process.process.stdin is not None
@@ -212,10 +213,10 @@
                 else:
                     self.sidecars.apply(step.index, step.action, restarts)
 
-    # The end
+    # Stop and results
 
     async def kill_all(self) -> None:
-        """Kill every process that still runs."""
+        """Kill every process that is still running."""
         self.planners.kill_all()
         self.sidecars.kill_all()
         for role_process in self._processes:
@@ -227,7 +228,10 @@
         records = []
         for role_process in self._processes:
             if role_process.process.returncode != 0 or not role_process.records.exists():
-                raise HarnessError(f"the emulator's {role_process.name} ended with {role_process.process.returncode}")
+                raise HarnessError(
+                    f"emulator process {role_process.name} failed or wrote no records: "
+                    f"exit status {role_process.process.returncode}"
+                )
             records.append(msgspec.msgpack.decode(role_process.records.read_bytes(), type=RoleRecords))
         return join(records, self.sidecars.incarnations(self.clock.run_start_us), self.events)
 
@@ -239,5 +243,5 @@
     roles: RoleAssignment | None = None,
     on_progress: ProgressCallback | None = None,
 ) -> History:
-    """Run a world once on real sockets, and return what all sides observed. Raises HarnessError."""
+    """Run a world once on real sockets, and return the records of all processes. Raises HarnessError."""
     return asyncio.run(Harness(world, seed, folder, roles, on_progress).run())
--- a/ryepier/emulator/loopback.py
+++ b/ryepier/emulator/loopback.py
@@ -29,6 +29,6 @@
             sock.bind((f"127.{network}.0.1", CONVERTER_PORT))
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
-                raise HarnessError(f"no loopback address can be had: {error}") from error
+                raise HarnessError(f"cannot bind a loopback address: {error}") from error
             return False
     return True
--- a/ryepier/emulator/planner_processes.py
+++ b/ryepier/emulator/planner_processes.py
@@ -17,7 +17,7 @@
     """All planners of a run."""
 
     def __init__(self, plan: Plan, folder: Path, command: Sequence[str], restart_command: Sequence[str]) -> None:
-        """`restart_command` is how a planner is started after it was killed."""
+        """Prepare without starting any. `command` starts a planner, `restart_command` starts it again after a kill."""
         self.plan = plan
         self.folder = folder
         self.command = command
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -1,4 +1,4 @@
-"""What every process of the emulator has: its plan and addresses, the run's clock, and a meter of its lateness."""
+"""Common parts of the emulator's processes: the plan with its addresses, the run's clock, and the lateness meter."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 Address = tuple[str, int]
 
-MAX_LATENESS_US = 60_000_000  # of the histogram
+MAX_LATENESS_US = 60_000_000  # upper limit of the histogram
 LATENESS_DIGITS = 3  # significant digits of the histogram
 LATENESS_TICK_S = 0.02
-CPU_WAIT_THRESHOLD_US = 50_000  # longer waits are recorded; each time limit has as much slack
+CPU_WAIT_THRESHOLD_US = 50_000  # shorter waits are not recorded, as each time limit of the judge has this slack
 CONVERTER_PORT = 9000
 DISCOVERY_PORT = 8500
 SIDECAR_PORT = 9000
 PLANNER_PORT = 7400
 HOSTS_PER_SUBNET = 250
-DISCOVERY_SUBNET, SIDECAR_SUBNET, PLANNER_SUBNET = 252, 253, 254  # converters have the lower ones
+DISCOVERY_SUBNET, SIDECAR_SUBNET, PLANNER_SUBNET = 252, 253, 254  # third octets; converters have lower ones
 TAIL_S = 1.0  # from the last deadline to the end of the run, for late responses
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What a process is started with: the world, the seed, its role, and the loopback network of the run."""
+    """The start parameters of a process: the world, the seed, its role, and the loopback network of the run."""
 
     world: World
     seed: int
     network: int  # second octet of the run's addresses, 127.network.x.y
     role: str
     index: int = 0  # among the processes of its role
-    targets: list[Address] = []  # clients: addresses to load instead of the run's own sidecars
+    targets: list[Address] = []  # addresses that clients send to instead of the run's own sidecars
 
     @property
     def end_us(self) -> int:
@@ -71,10 +71,10 @@
 
 
 class Clock:
-    """Microseconds since the run began, once `run_start_us` is set to that time on the machine's clock."""
+    """The time in microseconds since the run began, which is at `run_start_us` on the machine's monotonic clock."""
 
     def __init__(self) -> None:
-        """Start with the machine's own clock."""
+        """Return the machine's monotonic time until `run_start_us` is set."""
         self.run_start_us = 0
 
     def now_us(self) -> int:
@@ -82,7 +82,7 @@
         return monotonic_us() - self.run_start_us
 
     def handle_at(self, at_us: int, callback: Callable[..., None], *args: object) -> asyncio.TimerHandle:
-        """Schedule a callback at a time of the run; in the past means at once."""
+        """Schedule a callback at a time of the run, or at once if the time is in the past."""
         loop = asyncio.get_running_loop()
         return loop.call_at((self.run_start_us + at_us) / 1e6, callback, *args)
 
@@ -102,7 +102,7 @@
         self._stalls: list[tuple[int, int]] = []
 
     def record(self, planned_us: int) -> None:
-        """Record that something planned for `planned_us` is done now."""
+        """Record that an action planned for `planned_us` is carried out now."""
         lateness_us = max(1, self.clock.now_us() - planned_us)
         second = max(0, planned_us // 1_000_000)
         self._max_by_second_us += [0] * (second + 1 - len(self._max_by_second_us))
--- a/ryepier/emulator/process_usage.py
+++ b/ryepier/emulator/process_usage.py
@@ -8,7 +8,7 @@
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_KIB = os.sysconf("SC_PAGE_SIZE") // 1024
-USER_TICKS, SYSTEM_TICKS, RESIDENT_PAGES = 11, 12, 21  # fields of /proc/PID/stat, counted from the one after the name
+USER_TICKS, SYSTEM_TICKS, RESIDENT_PAGES = 11, 12, 21  # fields of /proc/PID/stat, counted from the field after the name
 NS_PER_US = 1000
 
 
@@ -31,7 +31,7 @@
 
 
 def read_cpu_wait_us(pid: int) -> int | None:
-    """Return how long a process has been runnable without a core; None if it has ended or that is not counted."""
+    """Return how long a process has been runnable without a core; None if it has ended or Linux does not count it."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) // NS_PER_US
     except (OSError, IndexError):
--- a/ryepier/emulator/records.py
+++ b/ryepier/emulator/records.py
@@ -1,7 +1,7 @@
-"""What the emulator's processes observed, each from its own side; the judge and the reports read nothing else.
+"""Records of what each process of the emulator observed; the judge and the reports use only these.
 
 Times are microseconds since the run began, on the machine's monotonic clock. The records are written to files as
-MessagePack: the order of a record's fields and the `name` of each list are the files' format.
+MessagePack: the order of a record's fields and the `name` of each list are part of the file format.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import msgspec
 
-NEVER = -1  # in place of a time
+NEVER = -1  # instead of a time: it has not happened
 
 
 class RequestOutcome(enum.StrEnum):
@@ -45,17 +45,17 @@
     tenant: int
     sidecar: int
     work_us: int
-    planned_us: int  # when the load schedule has it sent
+    planned_us: int  # when the load schedule sends it
     sent_us: int
     deadline_us: int  # how long the client waits, from sent_us
-    ended_us: int  # the response's last byte, or when the client stopped waiting
+    ended_us: int  # when the response's last byte was received or the client stopped waiting
     outcome: RequestOutcome
     status: int = 0  # of the response; 0 = none
     retry_after_us: int = 0
     response_request_id: str = ""  # the request that the response's body names
     responder_uid: str = ""  # the converter that the response's body names
     trailing_bytes: int = 0  # received after the response, without a further request
-    may_be_unread: bool = False  # its reused connection ended before any response: perhaps it was closed before
+    may_be_unread: bool = False  # its reused connection ended, perhaps before the request arrived
 
 
 class ConverterAttempt(msgspec.Struct, array_like=True):
@@ -66,7 +66,7 @@
     uid: str
     pod: int
     first_byte_us: int
-    received_us: int  # its last byte
+    received_us: int  # when the last byte was received
     ended_us: int = NEVER  # response sent, or connection ended
     outcome: AttemptOutcome = AttemptOutcome.OPEN
     status: int = 0
@@ -81,7 +81,7 @@
 
     uid: str
     opened_us: int
-    closed_us: int = NEVER  # still open at the end
+    closed_us: int = NEVER  # NEVER = still open at the end of the run
 
 
 class EndpointNotice(msgspec.Struct, array_like=True):
@@ -123,7 +123,7 @@
         )
 
     def was_suspended(self, begin_us: int, end_us: int) -> bool:
-        """Return whether it was suspended at any time between the two."""
+        """Return whether it was suspended at any time between `begin_us` and `end_us`."""
         return any(suspended_us < end_us and resumed_us > begin_us for suspended_us, resumed_us in self.suspensions)
 
 
@@ -132,7 +132,7 @@
 
 
 class RecordedEvent(msgspec.Struct, array_like=True):
-    """A step of the fault schedule as carried out, or its consequence, as text."""
+    """A step of the fault schedule that was carried out, or a consequence of a step, as text."""
 
     at_us: int
     text: str
@@ -147,11 +147,11 @@
     p999_us: int
     max_us: int
     max_by_second_us: list[int] = []
-    stalls: list[tuple[int, int]] = []  # (planned_us, actual_us) of event loop turns that were far too late
+    stalls: list[tuple[int, int]] = []  # (planned_us, actual_us) of event loop iterations with a long delay
 
 
 class RoleRecords(msgspec.Struct):
-    """Everything that one process observed."""
+    """All records of one process of the emulator."""
 
     role: str
     client_attempts: list[ClientAttempt] = msgspec.field(name="tries", default_factory=list)
@@ -165,7 +165,7 @@
 
 
 class History(msgspec.Struct):
-    """A complete run, from all sides."""
+    """The merged records of a complete run."""
 
     client_attempts: list[ClientAttempt] = msgspec.field(name="tries")
     converter_attempts: list[ConverterAttempt] = msgspec.field(name="attempts")
--- a/ryepier/emulator/role.py
+++ b/ryepier/emulator/role.py
@@ -1,7 +1,7 @@
-"""One process of the emulator: `python -m ryepier.emulator.role PLAN RECORDS`, with its plan as a JSON file.
+"""One process of the emulator: `python -m ryepier.emulator.role PLAN RECORDS`, where PLAN is a JSON file.
 
-It writes a line when it is ready, reads the time at which the run begins from standard input, carries out its part,
-writes its records and exits.
+The process writes a line when it is ready, reads the time at which the run begins from standard input, carries out
+its role, writes its records and exits.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class Role(Protocol):
-    """What one process does in a run."""
+    """The part of the emulator that one process runs."""
 
     meter: LatenessMeter
 
     async def start(self) -> None:
-        """Prepare, before the run begins."""
+        """Prepare the role before the run begins."""
 
     async def run(self) -> RoleRecords:
         """Carry out the run, and return the records."""
@@ -40,7 +40,7 @@
 
 
 async def run_role(plan: Plan, path: str) -> None:
-    """Carry out a plan, and write the records to a file."""
+    """Run the plan's role, and write its records to a file."""
     clock = Clock()
     role = ROLES[plan.role](plan, clock, timeline.build(plan.world, plan.seed))
     await role.start()
@@ -58,7 +58,7 @@
 
 
 def main() -> None:
-    """Run the process that the command line describes."""
+    """Run the role whose plan and records file the command line names."""
     plan_path, records_path = sys.argv[1:]
     plan = msgspec.json.decode(Path(plan_path).read_bytes(), type=Plan)
     asyncio.run(run_role(plan, records_path))
--- a/ryepier/emulator/sidecar_processes.py
+++ b/ryepier/emulator/sidecar_processes.py
@@ -1,4 +1,4 @@
-"""The sidecars under test as processes: start, readiness, faults of the schedule, usage, and the end."""
+"""The sidecars under test as processes: start, readiness, scheduled faults, resource usage, and stop."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from ryepier.emulator.timeline import FaultAction
 
 READY_TIMEOUT_S = 20.0
-READY_POLL_S = 0.01  # interval while up to `MAX_CONCURRENT_STARTS` sidecars start
+READY_POLL_S = 0.01  # with up to `MAX_CONCURRENT_STARTS` sidecars; grows in proportion to further ones
 MAX_CONCURRENT_STARTS = 24
-RESTARTS_PER_CORE = 0.5  # concurrent ones during a run, so that the emulator keeps its schedule
+RESTARTS_PER_CORE = 0.5  # concurrent restarts during a run; limited so that the emulator keeps its schedule
 USAGE_SAMPLE_S = 0.5
 CPU_WAIT_SAMPLE_S = 0.05
 MAX_SIDECARS_FOR_CPU_WAITS = 20  # with more sidecars, reading their waits for a core would load the harness
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class SidecarProcess:
-    """One sidecar and its successive processes."""
+    """One sidecar, its present process, and the records of all its processes."""
 
     index: int
     config: Path
@@ -45,7 +45,7 @@
 
 
 def record_cpu_wait(incarnation: Incarnation, waited_us: int, now_us: int) -> None:
-    """Record a wait for a core if it is so long that it may have delayed the sidecar's responses."""
+    """Record a wait for a core that is long enough to have delayed the sidecar's responses."""
     if waited_us >= CPU_WAIT_THRESHOLD_US:
         incarnation.cpu_waits.append((now_us - waited_us, now_us))
 
@@ -54,7 +54,7 @@
     """All sidecars of a run. Times are on the machine's clock until `incarnations` converts them."""
 
     def __init__(self, plan: Plan, command: Sequence[str], overrides: Mapping[int, Sequence[str]]) -> None:
-        """`overrides` are the commands of sidecars that are started differently; an empty command starts none."""
+        """Prepare the sidecars. `overrides` are the commands of single sidecars; an empty `command` starts none."""
         self.plan = plan
         self.command = command
         self.overrides = overrides
@@ -63,7 +63,7 @@
         self._restart_slots = asyncio.Semaphore(max(1, int(RESTARTS_PER_CORE * cores)))
 
     def write_configurations(self, texts: Sequence[str], folder: Path) -> None:
-        """Write each sidecar's configuration of the platform."""
+        """Write the platform's configuration of each sidecar to a file in `folder`."""
         for index, text in enumerate(texts):
             config = folder / f"sidecar-{index}.json"
             config.write_text(text)
@@ -79,7 +79,7 @@
         await asyncio.gather(*(self._start_when_slot_is_free(sidecar, slots) for sidecar in self.sidecars))
 
     async def _start_when_slot_is_free(self, sidecar: SidecarProcess, slots: asyncio.Semaphore) -> None:
-        """Start a sidecar that is down, once a slot is free, and keep the slot until it is ready."""
+        """Start a sidecar that is down once a slot is free, and hold the slot until the sidecar is ready."""
         async with slots:
             if not sidecar.incarnations or sidecar.incarnations[-1].killed:
                 self._start(sidecar)
@@ -107,7 +107,7 @@
                 incarnation.ready_us = monotonic_us()
                 return
             await asyncio.sleep(poll_s)
-        raise HarnessError(f"sidecar {sidecar.index} was not up within {READY_TIMEOUT_S:.0f} s: see {sidecar.log}")
+        raise HarnessError(f"sidecar {sidecar.index} was not ready within {READY_TIMEOUT_S:.0f} s: see {sidecar.log}")
 
     async def _is_ready(self, sidecar: SidecarProcess) -> bool:
         try:
@@ -128,7 +128,7 @@
         sidecar = self.sidecars[index]
         is_down = bool(sidecar.incarnations) and sidecar.incarnations[-1].killed
         if sidecar.process is None or (action is FaultAction.RESTART) is not is_down:
-            return  # two faults overlap: it is down already, or up again
+            return  # two faults overlap: the sidecar is already down, or already up again
         incarnation = sidecar.incarnations[-1]
         if action is FaultAction.KILL:
             self._kill(sidecar, sidecar.process)
@@ -171,7 +171,7 @@
             incarnation.samples.append((monotonic_us(), usage.cpu_us, usage.resident_kib))
 
     async def watch_cpu_waits(self) -> None:
-        """Record when a sidecar waited long for a core, until cancelled; does nothing with many sidecars."""
+        """Record long waits of sidecars for a core until cancelled; return at once if there are many sidecars."""
         waited_by_pid: dict[int, int] = {}
         while len(self.sidecars) <= MAX_SIDECARS_FOR_CPU_WAITS:
             for sidecar in self.sidecars:
@@ -185,10 +185,10 @@
                     waited_by_pid[pid] = waited_us
             await asyncio.sleep(CPU_WAIT_SAMPLE_S)
 
-    # The end
+    # Stop
 
     async def stop_all(self) -> None:
-        """Ask all sidecars to end, and record how they did."""
+        """Send SIGTERM to all sidecars, and record whether they ended without a failure."""
         for sidecar in self.sidecars:
             self._take_sample(sidecar)
             if sidecar.process is not None and sidecar.is_running:
@@ -204,12 +204,12 @@
             incarnation.ended_us, incarnation.crashed = monotonic_us(), sidecar.process.poll() != 0
 
     def kill_all(self) -> None:
-        """Kill the sidecars that still run."""
+        """Kill the sidecars that are still running."""
         for sidecar in self.sidecars:
             if sidecar.process is not None and sidecar.is_running:
                 sidecar.process.kill()
                 sidecar.process.wait()
 
     def incarnations(self, origin_us: int) -> list[Incarnation]:
-        """Return all processes that there were, with times since `zero_us`."""
+        """Return the records of all sidecar processes, with times counted from `origin_us`."""
         return [incarnation.relative_to(origin_us) for sidecar in self.sidecars for incarnation in sidecar.incarnations]
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -28,16 +28,16 @@
 from ryepier.sim.run import SimLoop, simulate
 
 NETWORK = 16
-STARTUP_S = 0.2  # for the sidecars to become ready
+STARTUP_S = 0.2  # time for the sidecars to become ready
 
 
 class Simulation:
-    """One run."""
+    """One run of a world in simulation."""
 
     def __init__(self, world: World, seed: int, folder: Path) -> None:
         """Prepare a run whose files go to `folder`. Raises HarnessError for a world that cannot be simulated."""
         if world.sidecars.count == 0:
-            raise HarnessError("not simulated: a world without sidecars")
+            raise HarnessError("a world without sidecars cannot be simulated")
         self.world = world
         self.seed = seed
         self.folder = folder
@@ -70,7 +70,7 @@
         return planners
 
     async def run(self, loop: SimLoop) -> History:
-        """Run the world, and return what all sides observed."""
+        """Run the world, and return the records of all processes."""
         roles: list[Role] = [
             discovery.DiscoveryRole(self.plan, self.clock, self.timeline),
             converters.ConverterRole(self.plan, self.clock, self.timeline, simulated=True),
@@ -115,7 +115,7 @@
                 processes[step.target][step.index].apply(step)
 
     async def _stop(self, loop: SimLoop, processes: Sequence[SimulatedProcess]) -> None:
-        """End all processes; one that raises has failed the run."""
+        """Stop all processes; an exception of a process fails the run."""
         for process in processes:
             process.stop.set()
         for process in processes:
@@ -127,9 +127,9 @@
 
 
 def run_world(world: World, seed: int, folder: Path | None = None) -> History:
-    """Run a world once in simulation, and return what all sides observed; logs go to `folder`, if one is given.
+    """Run a world once in simulation, and return the records of all processes; logs go to `folder`, if one is given.
 
-    Raises HarnessError for a world that cannot be simulated, and what `simulate` raises if the run fails.
+    Raises HarnessError for a world that cannot be simulated, and the exceptions of `simulate` if the run fails.
     """
     with contextlib.ExitStack() as stack:
         if folder is not None:
--- a/ryepier/emulator/simulated_logs.py
+++ b/ryepier/emulator/simulated_logs.py
@@ -1,4 +1,4 @@
-"""Logs of simulated processes: a file for each, and exceptions that were only logged."""
+"""Logs of simulated processes: a file for each process, and detection of logged exceptions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Writes each process's records to a file of its own. An exception that a process logs fails the run."""
 
     def __init__(self, loop: SimLoop, folder: Path | None) -> None:
-        """Without a folder, only look for exceptions."""
+        """Write log files to `folder`; without one, only add logged exceptions to the failures of `loop`."""
         super().__init__()
         self.loop = loop
         self.folder = folder
@@ -27,7 +27,7 @@
         self.setFormatter(JsonLinesFormatter())
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Handle a record of a simulated process; others are ignored."""
+        """Handle a record of a simulated process; other records are ignored."""
         owner = OWNER.get()
         if not owner:
             return
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -1,4 +1,4 @@
-"""Sidecars and planners as simulated processes: one event loop, a clock for each, and the faults of the schedule."""
+"""Sidecars and planners as simulated processes: one event loop, clocks for each process, and scheduled faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 class SimulatedProcess:
     """A sidecar or planner and its successive processes, all on the clocks of one machine."""
 
-    kind = ""  # as it is named in records and logs
+    kind = ""  # the name of this kind of process in records and logs
 
     def __init__(self, loop: SimLoop, index: int) -> None:
         """Prepare the process; `start` starts it."""
@@ -41,11 +41,11 @@
         return f"{self.kind} {self.index}, life {len(self.incarnations)}"
 
     def run(self) -> Coroutine[Any, Any, None]:
-        """Return the process's work, which ends once `stop` is set."""
+        """Return the coroutine of the process, which ends after `stop` is set."""
         raise NotImplementedError
 
     def start(self) -> None:
-        """Start a process."""
+        """Start a new process, with a new record."""
         now_us = monotonic_us()
         self.incarnations.append(Incarnation(self.index, now_us, now_us))
         self.stop = asyncio.Event()
@@ -88,7 +88,7 @@
             self.loop.set_rate(self.owner, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
     def incarnations_since(self, origin_us: int) -> list[Incarnation]:
-        """Return all processes that there were, with times since `zero_us`; one that still runs ends now."""
+        """Return the records of all processes, with times counted from `origin_us`; a running process ends now."""
         for incarnation in self.incarnations:
             incarnation.end_suspension(monotonic_us())
             if incarnation.ended_us == NEVER:
@@ -97,7 +97,7 @@
 
 
 class SimulatedSidecar(SimulatedProcess):
-    """A sidecar, with the code that it runs in service."""
+    """A sidecar that runs its production code."""
 
     kind = "sidecar"
 
@@ -108,12 +108,12 @@
         self.components = components
 
     def run(self) -> Coroutine[Any, Any, None]:
-        """Return the sidecar's work."""
+        """Return the coroutine of the sidecar."""
         return serve(self.config, self.stop, asyncio.Event(), self.components)
 
 
 class SimulatedPlanner(SimulatedProcess):
-    """A planner, with the code that it runs in service."""
+    """A planner that runs its production code."""
 
     kind = "planner"
 
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -1,7 +1,8 @@
-"""Discovery through EndpointSlices: an API server for each sidecar, notified of changes with a delay of its own.
+"""Discovery through EndpointSlices: an API server for each sidecar, notified of changes after its own delay.
 
-A world's `mess` has a share of the drains come with contradictions that occur in real clusters: a second slice that
-still lists the endpoint as ready, a slice recreated from outdated content, a newer state overwritten by an older one.
+A share of the drains (`mess` in the world file) comes with contradictory slices, as they occur in real clusters: a
+second slice that still lists the endpoint as ready, a slice recreated from outdated content, or a newer state
+overwritten by an older one.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 NAMESPACE, SERVICE = "default", "converters"
 PORTS = [{"name": "http", "port": CONVERTER_PORT, "protocol": "TCP"}]
-EXTRA_PREFIX = "extra"  # of slices that contradict the regular ones
+EXTRA_PREFIX = "extra"  # name prefix of slices that contradict the regular ones
 PERCENT = 100
 
 
@@ -34,7 +35,7 @@
 
 
 class AgentOwner(Protocol):
-    """The discovery process, as an agent needs it."""
+    """The parts of the discovery process that an agent uses."""
 
     plan: Plan
     clock: Clock
@@ -54,7 +55,7 @@
 
 
 class Cluster:
-    """The slices of the one service, as their controller maintains them. Pure."""
+    """The EndpointSlices of the service, as the EndpointSlice controller maintains them. This class is pure."""
 
     def __init__(self, store: Store, size: int) -> None:
         """Start without slices; each holds up to `size` endpoints."""
@@ -64,7 +65,7 @@
         self.removed_versions: dict[str, int] = {}  # removed pods, with the resource version of the removal
 
     def apply_change(self, entry: dict[str, Any], conflict: Conflict | None = None) -> None:
-        """Apply a change of a pod's state, with a contradiction if one is given. Removed pods do not return."""
+        """Apply a change of a pod's state, with a contradiction if one is given. Removed pods are not listed again."""
         uid = entry["uid"]
         if uid in self.removed_versions:
             return
@@ -78,7 +79,7 @@
             self._add_conflict(conflict, name, entry)
 
     def _slice_for(self, uid: str) -> str:
-        """Return the regular slice that lists a pod, else one with a free place, else a new one."""
+        """Return the name of the regular slice that lists a pod, else of one with room for it, else a new name."""
         regular = {name: pods for name, pods in self.contents.items() if not name.startswith(EXTRA_PREFIX)}
         for name, pods in regular.items():
             if uid in pods:
@@ -116,7 +117,7 @@
     """One sidecar's API server, in place of a `ryepier.emulator.discovery.Agent`."""
 
     def __init__(self, owner: AgentOwner, sidecar: int, listing: dict[str, Any]) -> None:
-        """Start with the list as it is when the run begins."""
+        """Start with the full list at the beginning of the run; `listen` opens the socket."""
         self.owner = owner
         self.sidecar = sidecar
         settings = owner.plan.world.discovery
@@ -131,7 +132,7 @@
         await self.api.listen(*self.owner.plan.discovery_address(self.sidecar))
 
     async def apply(self, step: Step, entry: dict[str, Any] | None) -> None:
-        """Carry out one step of the schedule; `entry` is what a notification is about."""
+        """Carry out one step of the schedule; `entry` is the changed converter of a notification."""
         if step.action is FaultAction.NOTIFY and entry is not None:
             self.cluster.apply_change(entry, self._conflict_of(entry))
         elif step.action is FaultAction.MUTE:
@@ -142,21 +143,21 @@
             self.api.close()
         elif step.action is FaultAction.UP:
             self.cluster.store.compact()
-            if not self.api.is_listening:  # it is already, where two faults overlap
+            if not self.api.is_listening:  # after two overlapping faults, it already listens
                 await self.listen()
         elif step.action is FaultAction.BREAK_WATCHES:
             self.api.end_connections()
         self.api.on_change()
 
     def _conflict_of(self, entry: dict[str, Any]) -> Conflict | None:
-        """Return the contradiction that comes with a drain; the same at all sidecars, which share one cluster."""
+        """Return the contradiction that comes with a drain; the same for all sidecars, as they share one cluster."""
         number = int(entry["uid"].rpartition("-")[2], 16)
         if entry["state"] != ListState.LEAVING or number % PERCENT >= self._conflict_share * PERCENT:
             return None
         return CONFLICTS[number % len(CONFLICTS)]
 
     def _record_notices(self, writer: asyncio.StreamWriter, objects: list[ApiObject], is_full_list: bool) -> None:
-        """Record what the sidecar is notified of: a full list also implies that missing converters have left."""
+        """Record the states that the sidecar is notified of; a full list implies that missing converters have left."""
         now_us = self.owner.clock.now_us()
         states: dict[str, ListState] = {}
         for api_object in objects:
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""The fault schedule: the steps that a world's faults expand to, and the converter processes that they start.
+"""The fault schedule: the steps of a world's faults, and the converter processes, including those that steps start.
 
 This module is pure. The schedule depends only on the world and the seed, so every process of the emulator computes it
 for itself and carries out its own steps. Times are microseconds since the run began.
@@ -14,7 +14,7 @@
 
 
 class FaultAction(enum.Enum):
-    """What a step does to its target. The values are written to records and logs."""
+    """The action of a step on its target. The values are written to records and logs."""
 
     BEGIN = "begin"  # converter: a fault begins
     END = "end"  # converter: a fault ends; sidecar: its clocks run at the normal rate again
@@ -29,15 +29,15 @@
     SET_CLOCK_RATE = "drift"  # sidecar: let its clocks run faster or slower
     NOTIFY = "tell"  # discovery: write a change to the sidecar's watch
     MUTE = "silence"  # discovery: write nothing, not even heartbeats
-    FREEZE_LIST = "hold"  # discovery: keep changes back, and otherwise behave normally
-    RESUME_UPDATES = "speak"  # discovery: write what was kept back
+    FREEZE_LIST = "hold"  # discovery: hold changes back, and otherwise behave normally
+    RESUME_UPDATES = "speak"  # discovery: write the changes that were held back
     DOWN = "down"  # discovery: end the open connections and refuse new ones
     UP = "up"  # discovery: accept connections again
     BREAK_WATCHES = "break"  # discovery: end the open watches
 
 
 class TargetKind(enum.Enum):
-    """What a step is carried out on. The values are written to records."""
+    """The kind of a step's target. The values are written to records."""
 
     CONVERTER = "converter"
     SIDECAR = "sidecar"
@@ -54,7 +54,7 @@
 
     @property
     def rank(self) -> int:
-        """The position of the state in a converter's life."""
+        """The position of the state in a converter's lifetime."""
         return list(ListState).index(self)
 
 
@@ -66,7 +66,7 @@
     target: TargetKind
     index: int
     action: FaultAction
-    fault: FaultKind | None = None  # that the step belongs to
+    fault: FaultKind | None = None  # the fault that the step belongs to
     factor: float = 1.0  # SET_CALENDAR: seconds
     share: float = 1.0
     uid: str = ""
@@ -113,7 +113,7 @@
     FaultKind.DISCOVERY_STALE: (TargetKind.DISCOVERY, FaultAction.FREEZE_LIST, FaultAction.RESUME_UPDATES),
     FaultKind.WATCH_BREAK: (TargetKind.DISCOVERY, FaultAction.BREAK_WATCHES, None),
 }
-"""Faults that are one action at their begin and one, if any, at their end."""
+"""Faults with one action at their beginning and at most one at their end, as (target, first action, last action)."""
 
 
 def to_us(seconds: float) -> int:
@@ -122,7 +122,7 @@
 
 
 class _Builder:
-    """Expands a world's faults in the order of their begin, which is also the order of the random draws."""
+    """Expands a world's faults in the order in which they begin, which is also the order of the random draws."""
 
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
@@ -185,7 +185,7 @@
                 self.add_step(to_us(fault.at_s + fault.for_s), target, index, end, fault)
 
     def add_converter_fault(self, fault: Fault) -> None:
-        """Affect whichever processes the selected converters have when the fault begins."""
+        """Add steps for the processes that the selected converters have when the fault begins."""
         for converter in self.select(TargetKind.CONVERTER, fault):
             index = self.instance_at(converter, to_us(fault.at_s)).index
             self.add_step(to_us(fault.at_s), TargetKind.CONVERTER, index, FaultAction.BEGIN, fault)
@@ -203,7 +203,7 @@
                 self.steps.append(Step(to_us(at_s), TargetKind.CONVERTER, instance.index, action, fault.kind, via=via))
 
     def instance_at(self, converter: int, at_us: int) -> Instance:
-        """Return the last process of a converter that was started by then."""
+        """Return the last process of a converter that has started by `at_us`."""
         return next(
             instance
             for instance in reversed(self.instances_by_converter[converter])
@@ -211,7 +211,7 @@
         )
 
     def add_release(self, fault: Fault) -> None:
-        """Roll the selected converters: each drains, stops, and is replaced by a new process with a new uid."""
+        """Replace the selected converters in turn: each drains, stops, and gets a new process with a new uid."""
         selected = self.select(TargetKind.CONVERTER, fault)
         interval_us = to_us(fault.for_s) // max(1, len(selected))
         for position, converter in enumerate(selected):
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -1,4 +1,4 @@
-"""World files: the schema of the scenario that the emulator runs, and its validation.
+"""World files: the schema and validation of the scenarios that the emulator runs.
 
 This module is pure: text in, a validated `World` out. It also maps a file's keys to the names used in the code.
 Durations end in `_s` or `_ms`, shares are between 0 and 1, and a range `[min, max]` is sampled uniformly.
@@ -19,12 +19,13 @@
 Count = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
 Range = tuple[NonNegative, NonNegative]
 
-MAX_ARRIVALS = 2_000_000  # requests per run without retries; their columns and records must fit in one process
+# requests per run, without retries; their columns and records must fit in the memory of one process
+MAX_ARRIVALS = 2_000_000
 MAX_SHARE_SUM_ERROR = 0.01  # tolerance for shares that must add up to 1
 
 
 class Effect(enum.StrEnum):
-    """What a class's requests do when they run twice."""
+    """The effect of running a request of a class more than once."""
 
     IDEMPOTENT = "idempotent"
     DEDUPLICATED = "deduplicated"  # by an idempotency key, within its scope and window
@@ -40,7 +41,7 @@
 
 
 class Backoff(enum.StrEnum):
-    """How a client's delay grows from retry to retry."""
+    """How a client's delay grows with each retry."""
 
     NONE = "none"
     CONSTANT = "constant"
@@ -51,7 +52,7 @@
     """Whether clients speak GraphQL, and how often their documents repeat."""
 
     OFF = "no"
-    USUAL = "usual"  # a few documents, as programs send them
+    USUAL = "usual"  # a few documents that repeat, as programs send them
     UNIQUE = "unique"  # each request with a document of its own
 
 
@@ -112,11 +113,11 @@
     zone: str = "a"
     cores: Count = 3
     speed: Range = (1.0, 1.0)  # work done per core and second, in standard cores
-    # requests that may wait; further ones are rejected
+    # limit of waiting requests; further ones are rejected
     queue_limit: Annotated[int, msgspec.Meta(ge=0)] = msgspec.field(name="waiting_room", default=24)
-    connections: Count = 256  # open at a time; requests on further ones are rejected
+    connections: Count = 256  # limit of open connections; requests on further ones are rejected
     handshake_ms: NonNegative = 0.3  # work of accepting a connection
-    pod_size: Count = 3  # converters that share one memory of idempotency keys
+    pod_size: Count = 3  # converters that share one idempotency cache
     idle_close_s: Positive = 5.0
 
     def __post_init__(self) -> None:
@@ -125,11 +126,11 @@
 
 
 class WarmUp(msgspec.Struct, kw_only=True, frozen=True):
-    """How a converter warms up after its start, and the overload that crashes it meanwhile."""
+    """How a converter warms up after its start, and the overload that crashes it during warm-up."""
 
     initial_capacity_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="cold_share", default=0.12)
     warm_up_s: NonNegative = 5.5
-    overload_factor: Positive = 4.0  # times its present capacity, over the window below
+    overload_factor: Positive = 4.0  # crashes above this multiple of its present capacity, over the window below
     overload_window_s: Positive = msgspec.field(name="fall_s", default=0.75)
 
 
@@ -178,14 +179,14 @@
     """The load and how clients behave. It is open-loop: arrivals are sampled in advance and never wait for answers."""
 
     rate_per_s: Positive  # arrivals, over all sidecars
-    ramp_to_per_s: NonNegative = 0.0  # the rate that is reached linearly at the end; 0 = a constant rate
+    ramp_to_per_s: NonNegative = 0.0  # the rate rises linearly to this value at the end of the run; 0 = a constant rate
     retries: Annotated[int, msgspec.Meta(ge=0, le=20)] = 2
     backoff: Backoff = Backoff.EXPONENTIAL
     retry_delay_ms: NonNegative = msgspec.field(name="wait_ms", default=50.0)  # delay before the first retry
     honours_retry_after: bool = True
-    # share of the clients that wait as Retry-After says, if `honours_retry_after` is set; the others ignore it
+    # share of the clients that honour Retry-After if `honours_retry_after` is set; the others ignore it
     honouring_share: Share = msgspec.field(name="obedient", default=1.0)
-    sends_retry_header: bool = msgspec.field(name="marks_retries", default=False)  # X-Retry
+    sends_retry_header: bool = msgspec.field(name="marks_retries", default=False)  # X-Retry, on retries
     # timeout of an attempt as a share of its class's deadline
     timeout_share: Range = msgspec.field(name="patience", default=(0.5, 1.0))
     hint_error: Share = 0.1  # largest relative error of a cost hint
@@ -193,7 +194,8 @@
     # share of requests after which the client closes its connection
     close_share: NonNegative = msgspec.field(name="closes_after", default=0.0)
     graphql: GraphqlMode = GraphqlMode.OFF
-    disconnect_share: Share = msgspec.field(name="leaves", default=0.0)  # attempts abandoned within the objective
+    # share of attempts in which the client disconnects within the latency objective
+    disconnect_share: Share = msgspec.field(name="leaves", default=0.0)
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
@@ -226,12 +228,12 @@
 class Discovery(msgspec.Struct, kw_only=True, frozen=True):
     """How and when sidecars are notified of changes to the endpoint list."""
 
-    # sampled for each sidecar and change
+    # delay of a notice, sampled for each sidecar and change
     notice_delay_ms: Range = msgspec.field(name="late_ms", default=(100.0, 1500.0))
     heartbeat_s: Positive = 2.0
     # endpoints per EndpointSlice, with an API server for each sidecar; 0 = the platform's discovery agents
     slice_size: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
-    conflict_share: Share = msgspec.field(name="mess", default=0.0)  # of the drains come with contradictory slices
+    conflict_share: Share = msgspec.field(name="mess", default=0.0)  # of drains with contradictory slices
     watch_s: Annotated[int, msgspec.Meta(ge=5)] = 60  # duration of a watch that sidecars request, with slices
 
     def __post_init__(self) -> None:
@@ -248,21 +250,21 @@
 
 
 class Fault(msgspec.Struct, kw_only=True, frozen=True):
-    """An entry of the fault schedule: begins at `at_s` and ends `for_s` later."""
+    """An entry of the fault schedule. It begins at `at_s` and ends `for_s` later."""
 
     kind: FaultKind
     at_s: NonNegative
     for_s: NonNegative = 0.0
-    # of the converters or sidecars that it affects; at least one
+    # share of the converters or sidecars that it affects; at least one is affected
     target_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="part", default=1.0)
     factor: Positive = 1.0  # multiplies the rate or the work, or divides a slow converter's speed
-    share: Share = 1.0  # of the requests that it affects
+    share: Share = 1.0  # of requests that it affects
     tenant: str = ""
     request_class: str = ""
     zone: str = ""  # zone-cut: the zone that is partitioned from the others
     drain_s: NonNegative = 1.0  # release: from the start of draining to the process's end
     down_s: NonNegative = 0.5  # release: from the end to the replacement's start; a kill: to the restart
-    index: Annotated[int, msgspec.Meta(ge=0)] | None = None  # the only one that it affects; by default sampled
+    index: Annotated[int, msgspec.Meta(ge=0)] | None = None  # the only target that it affects; None = sampled targets
     via: Annotated[int, msgspec.Meta(ge=0)] | None = None  # turn-away: only requests from this sidecar
     jump_s: float = 0.0  # clock-jump: change of a sidecar's wall clock
 
@@ -276,7 +278,7 @@
 
 
 class World(msgspec.Struct, kw_only=True, frozen=True):
-    """One world file."""
+    """The content of one world file."""
 
     name: str
     duration_s: Positive
@@ -296,21 +298,21 @@
         """Raise ValueError for values that contradict each other."""
         for group in (self.converters, self.classes, self.tenants):
             if not group:
-                raise ValueError("expected at least one of converters, classes and tenants each")
+                raise ValueError("expected at least one converter group, one class and one tenant")
         self._check_names([request_class.name for request_class in self.classes])
         self._check_names([tenant.name for tenant in self.tenants])
         self._check_shares("classes", [request_class.share for request_class in self.classes])
         self._check_shares("tenants", [tenant.share for tenant in self.tenants])
         arrivals = max(self.clients.rate_per_s, self.clients.ramp_to_per_s) * self.duration_s
         if arrivals > MAX_ARRIVALS:
-            raise ValueError(f"expected at most {MAX_ARRIVALS} first tries, got {arrivals:.0f}")
+            raise ValueError(f"expected at most {MAX_ARRIVALS} arrivals, got {arrivals:.0f}")
         for number, fault in enumerate(self.faults):
             self._check_fault(f"faults[{number}] ({fault.kind})", fault)
 
     @staticmethod
     def _check_names(names: list[str]) -> None:
         if len(set(names)) < len(names):
-            raise ValueError(f"expected names that differ, got {names}")
+            raise ValueError(f"expected unique names, got {names}")
 
     @staticmethod
     def _check_shares(owner: str, shares: list[float]) -> None:
@@ -319,7 +321,7 @@
 
     def _check_fault(self, location: str, fault: Fault) -> None:
         if fault.at_s >= self.duration_s:
-            raise ValueError(f"{location}: at_s is past the world's end")
+            raise ValueError(f"{location}: at_s is not before the end of the world")
         if fault.kind is FaultKind.TENANT_SURGE and fault.tenant not in {tenant.name for tenant in self.tenants}:
             raise ValueError(f"{location}: unknown tenant {fault.tenant!r}")
         if fault.kind is FaultKind.HEAVY_TAIL and fault.request_class not in {
@@ -331,11 +333,11 @@
         if fault.kind in SIDECAR_FAULTS and self.sidecars.count == 0:
             raise ValueError(f"{location}: the world has no sidecars")
         if fault.kind is FaultKind.ZONE_CUT and (fault.zone not in self.zones or not self.sidecars.zoned):
-            raise ValueError(f"{location}: zone: expected one of {', '.join(self.zones)}, and sidecars that are zoned")
+            raise ValueError(f"{location}: zone: expected one of {', '.join(self.zones)}, and zoned sidecars")
         if fault.kind is FaultKind.DISCOVERY_STALE and self.discovery.slice_size:
             raise ValueError(f"{location}: only where the list comes from the platform's agents")
         if fault.via is not None and (fault.kind is not FaultKind.TURN_AWAY or fault.via >= self.sidecars.count):
-            raise ValueError(f"{location}: via: expected a sidecar of the world, and a turn-away")
+            raise ValueError(f"{location}: via: expected the index of a sidecar, for a turn-away fault")
 
     @property
     def zones(self) -> list[str]:
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -1,4 +1,4 @@
-"""The stand-in clients over real sockets, where their own process is held up."""
+"""Emulated clients on real sockets, also when their own process is delayed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_client_role(address: tuple[str, int]) -> clients.ClientRole:
-    """A client process of a small world, whose requests all go to this address."""
+    """Return the clients of a small world, whose requests all go to this address."""
     world = msgspec.structs.replace(load("graphql-resets"), duration_s=1.0, faults=[])
     plan = Plan(world, 1, 0, "clients", targets=[address])
     clock = Clock()
@@ -33,7 +33,7 @@
 
 
 def make_attempt(sent_us: int = NEVER) -> ClientAttempt:
-    """A first request of the class that must not run twice."""
+    """Return a first attempt of the class whose requests must not run twice."""
     return ClientAttempt(
         0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, sent_us, int(DEADLINE_S * 1e6), NEVER, RequestOutcome.TIMEOUT
     )
@@ -46,7 +46,7 @@
 
     async def connect_slowly(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
         await connect(loop, sock, address)
-        time.sleep(DEADLINE_S + 0.1)  # the whole process is held up: its next turn has the time-out, too
+        time.sleep(DEADLINE_S + 0.1)  # blocks the process, so that the timeout is due in the next loop iteration
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
@@ -56,7 +56,7 @@
         attempt = make_attempt()
         client_role.send(attempt)
         await wait_until(lambda: attempt.ended_us != NEVER)
-        await asyncio.sleep(0.1)  # what was written has come
+        await asyncio.sleep(0.1)  # time for all written data to arrive
         assert len(upstream.requests) == 1 and attempt.outcome == "served"
         upstream.stop()
 
@@ -66,7 +66,7 @@
 def test_a_request_to_an_address_without_a_listener_is_unreachable() -> None:
     async def test() -> None:
         with socket.socket() as sock:
-            sock.bind(("127.0.0.1", 0))  # and does not listen
+            sock.bind(("127.0.0.1", 0))  # bound, but not listening
             client_role = make_client_role(sock.getsockname())
             attempt = make_attempt()
             client_role.send(attempt)
--- a/tests/test_emulated_converter_model.py
+++ b/tests/test_emulated_converter_model.py
@@ -1,4 +1,4 @@
-"""The model of a converter against the protocol: who runs, who is rejected, who is a repeat."""
+"""The model of a converter: which requests run, which are rejected, and which are deduplicated."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def run_until_idle(model: ConverterModel) -> list[Action]:
-    """All that comes until it is idle."""
+    """Advance the model until it is idle, and return its actions."""
     actions: list[Action] = []
     while model.next_us is not None:
         actions += model.advance(model.next_us)
@@ -64,7 +64,7 @@
     cache = IdempotencyCache()
     first, second = make_model(cache), make_model(cache)
     first.on_request(0, Work(1, "k", 1000, window_us=5000))
-    assert second.on_request(10, Work(1, "k", 1000, window_us=5000)) == []  # it waits for the first one's end
+    assert second.on_request(10, Work(1, "k", 1000, window_us=5000)) == []  # waits until the first request is done
     assert run_until_idle(first) == [Done(1, True)] and cache.released_repeats == [(second, 1)]
     assert second.on_request(4999, Work(2, "k", 1000, window_us=5000)) == [Done(2, False)]
     assert second.on_request(5000, Work(3, "k", 1000, window_us=5000)) == [Started(3)]
@@ -81,9 +81,9 @@
 def test_a_converter_that_warms_up_is_slower_and_crashes_under_overload() -> None:
     warming_up, warm = make_model(started_us=0, queue_limit=99), make_model(queue_limit=99)
     warming_up.on_request(0, Work(0, "", 1000))
-    assert warming_up.next_us == 4000  # at a quarter of its capacity
+    assert warming_up.next_us == 4000  # 1000 us of work at a quarter of its capacity
     crashed = [Crashed() in warming_up.on_request(1, Work(token, "", 100_000)) for token in range(1, 8)]
-    assert crashed.index(True) == 4  # the window bears 2 x 0.25 s of work, and this makes 501 ms
+    assert crashed.index(True) == 4  # the limit is 2 x 0.25 s of work in the window, and this request makes it 501 ms
     assert not any(Crashed() in warm.on_request(1, Work(token, "", 100_000)) for token in range(20))
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The stand-ins over real sockets: what comes back by the protocol's table, discovery, and whole small worlds."""
+"""The emulator on real sockets: converters' responses and faults, the endpoint registry, arrivals, and small worlds."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
 
 @asynccontextmanager
 async def running_converter() -> AsyncIterator[ConverterServer]:
-    """The first converter of a small world, on its socket."""
+    """Run the first converter of a small world on its socket."""
     plan = Plan(make_world(), 1, find_network(), "converters")
     plan = msgspec.structs.replace(
         plan,
@@ -127,7 +127,7 @@
 
 
 async def exchange(server: ConverterServer, data: bytes, wait_s: float = HANG_TIMEOUT_S) -> str:
-    """The status and body of the answer, or how there was none."""
+    """Send data, and return the status and body of the response, or a word for the way in which it failed."""
     address = server.owner.plan.converter_address(0)
     writer = None
     try:
--- a/tests/test_emulator_formats.py
+++ b/tests/test_emulator_formats.py
@@ -1,4 +1,4 @@
-"""Forms that others rely on: world files, records on disk, kept explorations and paths, as fixtures hold them."""
+"""File formats compared with fixtures: world files, records, checkpoints of explorations, and recorded paths."""
 
 from __future__ import annotations
 
@@ -161,7 +161,7 @@
 
 
 def run_check(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """In a process of its own, as a seeded fault stays in the process that it was put into."""
+    """Run `ryepier check` in its own process, as a seeded fault remains in the process in which it is installed."""
     command = [sys.executable, "-m", "ryepier", "check", *arguments]
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
