--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -72,7 +72,7 @@
     namespace: str
     labels: dict[str, str]
     version: int
-    bookmarks: bool
+    wants_bookmarks: bool
     end_s: float  # on the monotonic clock
 
 
@@ -211,8 +211,8 @@
             version = self.store.version
             existing = self.store.select(namespace, labels)
         end_s = system.monotonic() + float(query.get("timeoutSeconds", DEFAULT_WATCH_S))
-        bookmarks = query.get("allowWatchBookmarks") in TRUE_VALUES
-        watch = Watch(writer, namespace, labels, version, bookmarks, end_s)
+        wants_bookmarks = query.get("allowWatchBookmarks") in TRUE_VALUES
+        watch = Watch(writer, namespace, labels, version, wants_bookmarks, end_s)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
         for api_object in existing:
             await self._write_event(watch, EventType.ADDED, api_object)
@@ -244,7 +244,7 @@
                 await self._write_event(watch, event.type, event.object)
 
     async def _write_bookmark(self, watch: Watch) -> None:
-        if not watch.bookmarks or self.faults.silent or self.faults.omits_bookmarks:
+        if not watch.wants_bookmarks or self.faults.silent or self.faults.omits_bookmarks:
             return
         metadata = {"resourceVersion": str(watch.version), "creationTimestamp": None}
         bookmark = {"kind": KIND, "apiVersion": API_VERSION, "metadata": metadata}
--- a/ryepier/emulator/client_retries.py
+++ b/ryepier/emulator/client_retries.py
@@ -37,10 +37,10 @@
         delay_us = 0.0
     elif clients.backoff is Backoff.EXPONENTIAL:
         delay_us *= BACKOFF_GROWTH**attempt.number * (MIN_JITTER + random_source.random())
-    if clients.honours_retry_after and _waits_for_retry_after(clients, attempt):
+    if clients.honours_retry_after and _honours_retry_after(clients, attempt):
         delay_us = max(delay_us, attempt.retry_after_us)
     return int(min(delay_us, MAX_DELAY_US))
 
 
-def _waits_for_retry_after(clients: Clients, attempt: ClientAttempt) -> bool:
+def _honours_retry_after(clients: Clients, attempt: ClientAttempt) -> bool:
     return zlib.crc32(b"obeys %d" % attempt.arrival) < clients.honouring_share * 2**32
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -70,8 +70,8 @@
             if times_us[index] > self.clock.now_us():
                 await self.clock.sleep_until(times_us[index])
             self.meter.record(times_us[index])
-            target = index if is_round_robin else sidecars[index]
-            self._send_arrival(index, target % len(self.targets))
+            target_index = index if is_round_robin else sidecars[index]
+            self._send_arrival(index, target_index % len(self.targets))
         await self.clock.sleep_until(self.plan.end_us)
         if counts_task is not None:
             counts_task.cancel()
@@ -83,7 +83,7 @@
             await asyncio.sleep(COUNTS_INTERVAL_S)
             send_to_harness({"open": self._open_count, **self._counts})
 
-    def _send_arrival(self, index: int, target: int) -> None:
+    def _send_arrival(self, index: int, target_index: int) -> None:
         """Send the first attempt of an arrival."""
         arrivals = self.arrivals
         class_index = int(arrivals.request_class[index])
@@ -97,7 +97,7 @@
                 key=f"k{index:x}" if request_class.effect is Effect.DEDUPLICATED else "",
                 request_class=class_index,
                 tenant=int(arrivals.tenant[index]),
-                sidecar=target,
+                sidecar=target_index,
                 work_us=int(arrivals.work_us[index]),
                 planned_us=int(arrivals.at_us[index]),
                 sent_us=NEVER,
@@ -136,22 +136,22 @@
         if remaining_us > 0:
             self.clock.handle_at(now_us + delay_us, self._retry, attempt, remaining_us)
 
-    def _retry(self, failed: ClientAttempt, remaining_us: int) -> None:
-        request_class = self.world.classes[failed.request_class]
+    def _retry(self, failed_attempt: ClientAttempt, remaining_us: int) -> None:
+        request_class = self.world.classes[failed_attempt.request_class]
         timeout_us = int(request_class.deadline_ms * 1000 * self._random.uniform(*self.world.clients.timeout_share))
-        number = failed.number + 1
+        number = failed_attempt.number + 1
         self._counts["retries"] += 1
         self.send(
             ClientAttempt(
-                arrival=failed.arrival,
+                arrival=failed_attempt.arrival,
                 number=number,
-                request_id=f"{failed.request_id.rpartition('-')[0]}-{number}",
-                key=failed.key,
-                request_class=failed.request_class,
-                tenant=failed.tenant,
-                sidecar=failed.sidecar,
-                work_us=failed.work_us,
-                planned_us=failed.planned_us,
+                request_id=f"{failed_attempt.request_id.rpartition('-')[0]}-{number}",
+                key=failed_attempt.key,
+                request_class=failed_attempt.request_class,
+                tenant=failed_attempt.tenant,
+                sidecar=failed_attempt.sidecar,
+                work_us=failed_attempt.work_us,
+                planned_us=failed_attempt.planned_us,
                 sent_us=NEVER,
                 deadline_us=min(timeout_us, remaining_us),
                 ended_us=NEVER,
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -335,9 +335,9 @@
 
     def close_idle_connections(self, now_us: int) -> None:
         """Close the connections that have been idle for too long."""
-        oldest_us = now_us - int(self.instance.machine.group.idle_close_s * 1e6)
+        cutoff_us = now_us - int(self.instance.machine.group.idle_close_s * 1e6)
         for connection in list(self._connections):
-            if connection.attempt is None and connection.last_data_us < oldest_us:
+            if connection.attempt is None and connection.last_data_us < cutoff_us:
                 connection.close()
 
     def stop(self) -> None:
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -107,7 +107,7 @@
     """Sample the arrival process: an inhomogeneous Poisson process for each tenant."""
     random = stream(seed, "arrivals")
     steps_us = np.arange(0, int(world.duration_s * 1e6), RATE_STEP_US, dtype=np.int64)
-    times, tenants = [], []
+    times_by_tenant, tenant_columns = [], []
     for index, tenant in enumerate(world.tenants):
         rate = offered_per_s(world, steps_us) * tenant.share
         for fault in world.faults:
@@ -115,9 +115,9 @@
                 rate[_is_during(fault, steps_us)] *= fault.factor
         counts = random.poisson(rate * RATE_STEP_US / 1e6)
         tenant_times_us = np.repeat(steps_us, counts) + random.integers(0, RATE_STEP_US, int(counts.sum()))
-        times.append(tenant_times_us)
-        tenants.append(np.full(len(tenant_times_us), index, dtype=np.int64))
-    at_us, tenant_of = np.concatenate(times), np.concatenate(tenants)
+        times_by_tenant.append(tenant_times_us)
+        tenant_columns.append(np.full(len(tenant_times_us), index, dtype=np.int64))
+    at_us, tenant_of = np.concatenate(times_by_tenant), np.concatenate(tenant_columns)
     order = np.argsort(at_us, kind="stable")
     return _TenantArrivals(at_us[order], tenant_of[order])
 
@@ -128,15 +128,15 @@
         return np.zeros(len(at_us), dtype=np.int64)
     random = stream(seed, "sidecars")
     weights = 1.0 / np.arange(1, world.sidecars.count + 1) ** world.sidecars.skew
-    sidecar_of: IntArray = random.choice(world.sidecars.count, size=len(at_us), p=weights / weights.sum()).astype(
+    sidecar_indexes: IntArray = random.choice(world.sidecars.count, size=len(at_us), p=weights / weights.sum()).astype(
         np.int64
     )
     for fault in world.faults:
         if fault.kind is FaultKind.HOT_SIDECAR:
             hot_sidecars = select_targets(world.sidecars.count, fault, random)
             is_moved = _is_during(fault, at_us) & (random.random(len(at_us)) < fault.share)
-            sidecar_of[is_moved] = random.choice(hot_sidecars, size=int(is_moved.sum()))
-    return sidecar_of
+            sidecar_indexes[is_moved] = random.choice(hot_sidecars, size=int(is_moved.sum()))
+    return sidecar_indexes
 
 
 def arrivals(world: World, seed: int) -> Arrivals:
@@ -145,21 +145,21 @@
     at_us = tenant_arrivals.at_us
     random, count = stream(seed, "requests"), len(at_us)
     shares = np.array([request_class.share for request_class in world.classes])
-    class_of: IntArray = random.choice(len(shares), size=count, p=shares / shares.sum()).astype(np.int64)
-    min_work_ms = np.array([request_class.work_ms[0] for request_class in world.classes])[class_of]
-    max_work_ms = np.array([request_class.work_ms[1] for request_class in world.classes])[class_of]
+    class_indexes: IntArray = random.choice(len(shares), size=count, p=shares / shares.sum()).astype(np.int64)
+    min_work_ms = np.array([request_class.work_ms[0] for request_class in world.classes])[class_indexes]
+    max_work_ms = np.array([request_class.work_ms[1] for request_class in world.classes])[class_indexes]
     work_us = 1000.0 * (min_work_ms + (max_work_ms - min_work_ms) * random.random(count))
     tail_random = stream(seed, "tails")
     for fault in world.faults:
         if fault.kind is FaultKind.HEAVY_TAIL:
             is_heavy = _is_during(fault, at_us) & (tail_random.random(count) < fault.share)
-            work_us[is_heavy & (class_of == _class_index(world, fault.request_class))] *= fault.factor
+            work_us[is_heavy & (class_indexes == _class_index(world, fault.request_class))] *= fault.factor
     relative_error = 1.0 + world.clients.hint_error * (2.0 * random.random(count) - 1.0)
     hint_us = (work_us * relative_error if world.clients.hints else np.zeros(count)).astype(np.int64)
     return Arrivals(
         at_us,
         _sample_sidecars(world, seed, at_us),
-        class_of,
+        class_indexes,
         tenant_arrivals.tenant,
         work_us.astype(np.int64),
         hint_us,
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -84,12 +84,12 @@
 def operation_id(body: bytes) -> str:
     """Return the id of the operation in a request's body. Raises ValueError if there is none."""
     try:
-        variable = json.loads(body)["variables"]["id"]
+        id_variable = json.loads(body)["variables"]["id"]
     except (KeyError, TypeError):
         raise ValueError("no operation id") from None
-    if not isinstance(variable, str):
+    if not isinstance(id_variable, str):
         raise ValueError("no operation id")
-    return variable
+    return id_variable
 
 
 def settings_table(world: World) -> str:
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -42,7 +42,7 @@
     @property
     def end_us(self) -> int:
         """When the run ends."""
-        max_deadline_ms = max(kind.deadline_ms for kind in self.world.classes)
+        max_deadline_ms = max(request_class.deadline_ms for request_class in self.world.classes)
         return int((self.world.duration_s + max_deadline_ms / 1000 + TAIL_S) * 1e6)
 
     def converter_address(self, index: int) -> Address:
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -44,10 +44,10 @@
 
 def make_endpoint(entry: dict[str, Any]) -> ApiObject:
     """Return the endpoint for an entry of the platform's list."""
-    leaving = entry["state"] == ListState.LEAVING
+    is_leaving = entry["state"] == ListState.LEAVING
     return {
         "addresses": [entry["endpoint"].rpartition(":")[0]],
-        "conditions": {"ready": not leaving, "serving": True, "terminating": leaving},
+        "conditions": {"ready": not is_leaving, "serving": True, "terminating": is_leaving},
         "targetRef": {"kind": "Pod", "namespace": NAMESPACE, "name": entry["uid"], "uid": entry["uid"]},
         "nodeName": f"node-{entry['pod_group']}",
         "zone": entry["az"],
@@ -80,11 +80,11 @@
 
     def _slice_for(self, uid: str) -> str:
         """Return the name of the regular slice that lists a pod, else of one with room for it, else a new name."""
-        regular = {name: pods for name, pods in self.contents.items() if not name.startswith(EXTRA_PREFIX)}
-        for name, pods in regular.items():
+        regular_slices = {name: pods for name, pods in self.contents.items() if not name.startswith(EXTRA_PREFIX)}
+        for name, pods in regular_slices.items():
             if uid in pods:
                 return name
-        for name, pods in regular.items():
+        for name, pods in regular_slices.items():
             if len(pods) < self.size:
                 return name
         return f"{SERVICE}-{len(self.contents):03d}"
@@ -101,13 +101,13 @@
 
     def _add_conflict(self, conflict: Conflict, name: str, entry: dict[str, Any]) -> None:
         uid = entry["uid"]
-        outdated = make_endpoint(entry | {"state": ListState.ACTIVE})
+        outdated_endpoint = make_endpoint(entry | {"state": ListState.ACTIVE})
         if conflict is Conflict.SECOND_SLICE:
             second_name = f"{EXTRA_PREFIX}-{uid}"
-            self.contents[second_name] = {uid: outdated}
+            self.contents[second_name] = {uid: outdated_endpoint}
             self._put(second_name)
             return
-        self.contents[name][uid] = outdated
+        self.contents[name][uid] = outdated_endpoint
         if conflict is Conflict.RECREATED_SLICE:
             self.store.delete(NAMESPACE, name)
         self._put(name)
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -194,11 +194,11 @@
     def add_zone_partition(self, fault: Fault) -> None:
         """Partition the converters and sidecars of one zone from those of the others."""
         zones, sidecars = self.world.zones, range(self.world.sidecars.count)
-        inside = frozenset(index for index in sidecars if zones[self.world.sidecar_zone(index)] == fault.zone)
-        outside = frozenset(sidecars) - inside
+        sidecars_inside = frozenset(index for index in sidecars if zones[self.world.sidecar_zone(index)] == fault.zone)
+        sidecars_outside = frozenset(sidecars) - sidecars_inside
         for converter in range(self.world.converter_count):
             instance = self.instance_at(converter, to_us(fault.at_s))
-            via = outside if instance.machine.group.zone == fault.zone else inside
+            via = sidecars_outside if instance.machine.group.zone == fault.zone else sidecars_inside
             for at_s, action in ((fault.at_s, FaultAction.BEGIN), (fault.at_s + fault.for_s, FaultAction.END)):
                 self.steps.append(Step(to_us(at_s), TargetKind.CONVERTER, instance.index, action, fault.kind, via=via))
 
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -296,8 +296,8 @@
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
-        for group in (self.converters, self.classes, self.tenants):
-            if not group:
+        for entries in (self.converters, self.classes, self.tenants):
+            if not entries:
                 raise ValueError("expected at least one converter group, one class and one tenant")
         self._check_names([request_class.name for request_class in self.classes])
         self._check_names([tenant.name for tenant in self.tenants])
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "outcome", "counted", "ran"),
+    ("fault", "outcome", "is_recorded", "has_run"),
     [
         (FaultKind.HANG, "nothing", True, False),
         (FaultKind.REFUSE, "refused", False, False),
@@ -205,14 +205,14 @@
     ],
 )
 def test_each_converter_fault_has_its_effect_until_it_ends(
-    fault: FaultKind, outcome: str, counted: bool, ran: bool
+    fault: FaultKind, outcome: str, is_recorded: bool, has_run: bool
 ) -> None:
     async def test() -> None:
         async with running_converter() as server:
             begin_fault(server, fault)
             assert await exchange(server, request_bytes("1"), wait_s=0.3) == outcome
             recorded = [attempt for attempt in attempts(server) if attempt.request_id == "1"]
-            assert [attempt.started_us >= 0 for attempt in recorded] == ([ran] if counted else [])
+            assert [attempt.started_us >= 0 for attempt in recorded] == ([has_run] if is_recorded else [])
             await server.end_fault()
             assert (await exchange(server, request_bytes("2"))).startswith("200")
 
@@ -261,23 +261,26 @@
 
 
 def test_schedule_is_deterministic_and_an_added_fault_keeps_the_arrivals() -> None:
-    plain, faulty = make_world(), make_world(Fault(kind=FaultKind.HANG, at_s=1.0, for_s=0.5, target_share=0.2))
-    without_fault, with_fault = draws.arrivals(plain, 5), draws.arrivals(faulty, 5)
+    plain_world, faulty_world = (
+        make_world(),
+        make_world(Fault(kind=FaultKind.HANG, at_s=1.0, for_s=0.5, target_share=0.2)),
+    )
+    without_fault, with_fault = draws.arrivals(plain_world, 5), draws.arrivals(faulty_world, 5)
     assert (without_fault.at_us == with_fault.at_us).all() and (without_fault.work_us == with_fault.work_us).all()
-    assert timeline.build(faulty, 5) == timeline.build(faulty, 5)
-    assert len(draws.arrivals(plain, 6)) != len(without_fault)
+    assert timeline.build(faulty_world, 5) == timeline.build(faulty_world, 5)
+    assert len(draws.arrivals(plain_world, 6)) != len(without_fault)
 
 
 def test_arrivals_contain_surges_heavy_tails_and_hot_sidecars() -> None:
     surge = Fault(kind=FaultKind.SURGE, at_s=10.0, for_s=10.0, factor=3.0)
-    tail = Fault(kind=FaultKind.HEAVY_TAIL, at_s=0.0, for_s=10.0, factor=20.0, share=0.1, request_class="file")
-    hot = Fault(kind=FaultKind.HOT_SIDECAR, at_s=10.0, for_s=10.0, share=0.5, index=1)
-    arrivals = draws.arrivals(make_world(surge, tail, hot, duration_s=20.0), 1)
-    early = arrivals.at_us < 10e6
-    assert 2.7 < (~early).sum() / early.sum() < 3.3
-    heavy = arrivals.work_us > 30_000
-    assert 0.06 < heavy[early & (arrivals.request_class == 1)].mean() < 0.14 and not heavy[~early].any()
-    assert 0.7 < (arrivals.sidecar[~early] == 1).mean() < 0.8
+    heavy_tail = Fault(kind=FaultKind.HEAVY_TAIL, at_s=0.0, for_s=10.0, factor=20.0, share=0.1, request_class="file")
+    hot_sidecar = Fault(kind=FaultKind.HOT_SIDECAR, at_s=10.0, for_s=10.0, share=0.5, index=1)
+    arrivals = draws.arrivals(make_world(surge, heavy_tail, hot_sidecar, duration_s=20.0), 1)
+    is_early = arrivals.at_us < 10e6
+    assert 2.7 < (~is_early).sum() / is_early.sum() < 3.3
+    is_heavy = arrivals.work_us > 30_000
+    assert 0.06 < is_heavy[is_early & (arrivals.request_class == 1)].mean() < 0.14 and not is_heavy[~is_early].any()
+    assert 0.7 < (arrivals.sidecar[~is_early] == 1).mean() < 0.8
 
 
 @pytest.mark.parametrize(
