--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -35,7 +35,7 @@
         """Handle the response."""
 
     def on_connection_lost(self, may_be_unread: bool) -> None:
-        """Handle the end of the connection; `may_be_unread` if the peer may have closed it before the request came."""
+        """Handle the end of the connection; with `may_be_unread`, the peer may not have read the request."""
 
     def end(self, outcome: RequestOutcome) -> None:
         """End the request without a response."""
@@ -116,7 +116,7 @@
     # The parser's callbacks
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep the value of Retry-After."""
+        """Store the value of Retry-After; other headers are ignored."""
         if name.lower() == b"retry-after":
             self._retry_after_us = int(float(value) * 1e6)
 
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -56,7 +56,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Send on an idle connection, or on a new one."""
+        """Send the attempt on an idle connection, or open a new connection for it."""
         connection = self.target.take_idle()
         if connection is None:
             self.owner.spawn(self._connect())
@@ -102,7 +102,7 @@
         self.end(RequestOutcome.LEFT if is_early else RequestOutcome.TIMEOUT)
 
     def on_response(self, response: Response) -> None:
-        """Record the response, and end."""
+        """Record the response, and end the attempt."""
         attempt = self.attempt
         attempt.status, attempt.retry_after_us = response.status, response.retry_after_us
         if response.status == http.HTTPStatus.OK:
--- a/ryepier/emulator/client_retries.py
+++ b/ryepier/emulator/client_retries.py
@@ -10,7 +10,7 @@
 
 MAX_DELAY_US = 10_000_000
 BACKOFF_GROWTH = 2.0
-MIN_JITTER = 0.5  # smallest jitter factor of the exponential backoff; the largest is greater by 1
+MIN_JITTER = 0.5  # the factor on the exponential backoff is random, from this up to this plus 1
 NOT_RETRIED = (RequestOutcome.SERVED, RequestOutcome.LEFT)
 NEVER_RUN = (RequestOutcome.REFUSED, RequestOutcome.UNREACHABLE)
 
--- a/ryepier/emulator/converter_faults.py
+++ b/ryepier/emulator/converter_faults.py
@@ -1,4 +1,4 @@
-"""The fault that affects an emulated converter at present, and the requests that it affects."""
+"""The present fault of an emulated converter, and the selection of requests that it affects."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     def affects(self, kind: FaultKind, request_id: bytes) -> bool:
         """Return whether the present fault is of this kind and affects a request.
 
-        The result depends on the request id only, so a sidecar's attempts for one request all have the same result.
+        While the fault lasts, the result is the same for every attempt with the same request id.
         """
         step = self._step
         if step is None or step.fault is not kind:
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -25,7 +25,7 @@
     token: int
     key: str  # idempotency key; empty = not deduplicated
     work_us: int  # on a standard core
-    window_us: int = 0  # how long the pod remembers the key
+    window_us: int = 0  # how long the pod deduplicates the key
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class _CachedKey:
-    """An idempotency key that the pod remembers."""
+    """The state of an idempotency key in the cache of a pod."""
 
     expires_us: int
     finished: bool = False
@@ -84,7 +84,7 @@
         return entry if entry is not None and entry.expires_us > now_us else None
 
     def add(self, now_us: int, key: str, window_us: int) -> None:
-        """Remember a key, and forget finished ones whose window has passed."""
+        """Add a key, and remove finished keys whose window has passed."""
         while self._expiries and self._expiries[0][0] <= now_us:
             expires_us, expired = self._expiries.popleft()
             entry = self.entries.get(expired)
@@ -249,7 +249,7 @@
         return self._report
 
     def stop(self) -> list[int]:
-        """End the process: drop all work and forget its keys. Return the tokens of requests that had not started."""
+        """End the process: drop all work and remove its keys. Return the tokens of requests that had not started."""
         for work in [*(work for _, _, work in self.running), *self.queue]:
             if work.key:
                 self.cache.entries.pop(work.key, None)
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -105,7 +105,7 @@
     # Faults
 
     def _partitions(self, connection: ConverterConnection) -> bool:
-        """Return whether a partition between zones drops the connection's request and its response."""
+        """Return whether a zone partition drops the connection's request and response; if so, mark the connection."""
         attempt = connection.attempt
         if attempt is None or not self._faults.affects(FaultKind.ZONE_CUT, attempt.request_id.encode("latin-1")):
             return False
@@ -190,7 +190,7 @@
         self.carry_out(self.model.on_probe(now_us))
 
     def on_request(self, connection: ConverterConnection, request: ReceivedRequest) -> None:
-        """Record a request, and hand it to the model unless it is dropped or rejected at once."""
+        """Record a request, and pass it to the model unless it is dropped or rejected immediately."""
         request_id = request.headers[b"x-request-id"].decode("latin-1")
         if self._speaks_graphql:
             try:
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -1,4 +1,4 @@
-"""Emulated converters: many in one process, each on an address of its own, recording every execution."""
+"""Emulated converters: many in one process, each on its own address, with a record of every attempt."""
 
 from __future__ import annotations
 
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -23,7 +23,7 @@
 
 
 def list_entry(plan: Plan, instance: Instance, state: ListState, unix_run_start_ms: int) -> Entry:
-    """Return a converter's entry; `unix_zero_ms` is the Unix time at which the run began."""
+    """Return a converter's entry; `unix_run_start_ms` is the Unix time at which the run began."""
     host, port = plan.converter_address(instance.index)
     group = instance.machine.group
     boot_ms = unix_run_start_ms + instance.start_us // 1000 if instance.start_us is not None else 0
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrivals:
-    """The arrivals of a run in the order of their times, as columns of the same length."""
+    """The arrivals of a run, sorted by time, as columns of the same length."""
 
     at_us: IntArray
     sidecar: IntArray
@@ -45,7 +45,7 @@
     tenant: IntArray
     work_us: IntArray  # on a standard core
     hint_us: IntArray  # cost hint; 0 = none
-    timeout_share: FloatArray  # timeout of the first attempt as a share of the class's deadline
+    timeout_share: FloatArray  # timeout of the first attempt, as a share of the class's deadline
 
     def __len__(self) -> int:
         """Return the number of arrivals."""
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -14,7 +14,7 @@
 
 PATH = "/graphql"
 GET_EVERY = 3  # one of this many queries is sent as a GET
-ESCAPED_EVERY = 7  # one of this many mutations escapes a letter of the keyword in JSON, which means the same text
+ESCAPED_EVERY = 7  # in one of this many mutations, JSON escapes a letter of the keyword, which does not change the text
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -192,7 +192,7 @@
                 task.cancel()
 
     async def _read_counts(self, role_process: RoleProcess) -> None:
-        """Pass the clients' counts to the watcher."""
+        """Read the clients' counts from a process, and pass the sums to `on_progress`."""
         assert role_process.process.stdout is not None
         while line := await role_process.process.stdout.readline():
             self._counts[role_process.name] = Counter(msgspec.json.decode(line, type=dict[str, int]))
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -41,7 +41,7 @@
 
     @property
     def end_us(self) -> int:
-        """When the run ends."""
+        """The time at which the run ends."""
         max_deadline_ms = max(request_class.deadline_ms for request_class in self.world.classes)
         return int((self.world.duration_s + max_deadline_ms / 1000 + TAIL_S) * 1e6)
 
@@ -74,11 +74,11 @@
     """The time in microseconds since the run began, which is at `run_start_us` on the machine's monotonic clock."""
 
     def __init__(self) -> None:
-        """Return the machine's monotonic time until `run_start_us` is set."""
+        """Start with the machine's monotonic time, until `run_start_us` is set."""
         self.run_start_us = 0
 
     def now_us(self) -> int:
-        """Return the present time of the run."""
+        """Return the time since the run began."""
         return monotonic_us() - self.run_start_us
 
     def handle_at(self, at_us: int, callback: Callable[..., None], *args: object) -> asyncio.TimerHandle:
@@ -92,7 +92,7 @@
 
 
 class LatenessMeter:
-    """Measures how late a process carries out its schedule; a run whose emulator was too late is void."""
+    """Measures how late a process carries out its schedule; a run in which the emulator was too late is not valid."""
 
     def __init__(self, clock: Clock) -> None:
         """Start without measurements."""
--- a/ryepier/emulator/records.py
+++ b/ryepier/emulator/records.py
@@ -111,7 +111,7 @@
         self.suspensions = [(begin_us, at_us if end_us == NEVER else end_us) for begin_us, end_us in self.suspensions]
 
     def relative_to(self, origin_us: int) -> Incarnation:
-        """Return a copy with all times counted from `zero_us`."""
+        """Return a copy with all times counted from `origin_us`."""
         return msgspec.structs.replace(
             self,
             started_us=self.started_us - origin_us,
@@ -142,7 +142,7 @@
     """How late one process of the emulator carried out its schedule, in microseconds."""
 
     role: str
-    steps: int
+    steps: int  # number of measurements
     median_us: int
     p999_us: int
     max_us: int
--- a/ryepier/emulator/sidecar_processes.py
+++ b/ryepier/emulator/sidecar_processes.py
@@ -122,7 +122,7 @@
     # Faults
 
     def apply(self, index: int, action: FaultAction, restarts: asyncio.TaskGroup) -> None:
-        """Carry out one step of the schedule; a restart continues in `starts`."""
+        """Carry out one step of the schedule; a restart runs as a task of `restarts`."""
         if not self.command:
             return
         sidecar = self.sidecars[index]
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -143,7 +143,7 @@
             self.api.close()
         elif step.action is FaultAction.UP:
             self.cluster.store.compact()
-            if not self.api.is_listening:  # after two overlapping faults, it already listens
+            if not self.api.is_listening:  # two overlapping faults may have restarted it already
                 await self.listen()
         elif step.action is FaultAction.BREAK_WATCHES:
             self.api.end_connections()
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One action on the `index`-th target of its kind."""
+    """One action of the schedule on the target of this kind and index."""
 
     at_us: int
     target: TargetKind
@@ -81,7 +81,7 @@
     index: int  # among all instances of the run
     uid: str
     machine: draws.Machine
-    start_us: int | None  # None: running, and warm, before the run began
+    start_us: int | None  # None: already running and warm when the run begins
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,7 +165,7 @@
         self.steps.append(Step(at_us, target, index, action, fault.kind, fault.factor, fault.share, uid, via=via))
 
     def count(self, target: TargetKind) -> int:
-        """Return how many targets of a kind the world has; each sidecar has a discovery agent."""
+        """Return the number of targets of a kind; each sidecar has its own discovery agent."""
         if target is TargetKind.CONVERTER:
             return self.world.converter_count
         if target is TargetKind.PLANNER:
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -28,7 +28,7 @@
     """The effect of running a request of a class more than once."""
 
     IDEMPOTENT = "idempotent"
-    DEDUPLICATED = "deduplicated"  # by an idempotency key, within its scope and window
+    DEDUPLICATED = "deduplicated"  # repeats with the same key do not run, within the scope and window
     AT_MOST_ONCE = "at_most_once"
 
 
@@ -57,7 +57,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What a fault does; the timeline expands each into steps."""
+    """The kind of a fault; the timeline expands each fault into steps."""
 
     HANG = "hang"
     REFUSE = "refuse"
@@ -154,7 +154,7 @@
     objective_ms: Positive = msgspec.field(name="aim_ms")  # latency objective
     deadline_ms: Positive
     priority_weight: NonNegative = msgspec.field(name="worth", default=1.0)
-    late_weight: Share = msgspec.field(name="late_worth", default=0.0)  # of an answer between objective and deadline
+    late_weight: Share = msgspec.field(name="late_worth", default=0.0)  # weight between objective and deadline
     effect: Effect = Effect.IDEMPOTENT
     scope: DeduplicationScope = msgspec.field(name="group", default=DeduplicationScope.ALL)
     idempotency_window_ms: NonNegative = msgspec.field(name="memory_ms", default=0.0)
@@ -213,7 +213,7 @@
     """The sidecars under test, a process each. With a count of 0, clients connect to the converters directly."""
 
     count: Annotated[int, msgspec.Meta(ge=0, le=5000)]  # at most 200 on real sockets
-    zoned: bool = False  # spread over the converters' zones; otherwise all are in the first
+    zoned: bool = False  # spread over the converters' zones; otherwise all are in the first zone
     skew: NonNegative = 0.0  # exponent of a Zipf distribution of the traffic over the sidecars
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024
     memory_mb: Count = 192
@@ -233,7 +233,7 @@
     heartbeat_s: Positive = 2.0
     # endpoints per EndpointSlice, with an API server for each sidecar; 0 = the platform's discovery agents
     slice_size: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
-    conflict_share: Share = msgspec.field(name="mess", default=0.0)  # of drains with contradictory slices
+    conflict_share: Share = msgspec.field(name="mess", default=0.0)  # share of drains with contradictory slices
     watch_s: Annotated[int, msgspec.Meta(ge=5)] = 60  # duration of a watch that sidecars request, with slices
 
     def __post_init__(self) -> None:
@@ -258,7 +258,7 @@
     # share of the converters or sidecars that it affects; at least one is affected
     target_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="part", default=1.0)
     factor: Positive = 1.0  # multiplies the rate or the work, or divides a slow converter's speed
-    share: Share = 1.0  # of requests that it affects
+    share: Share = 1.0  # share of requests that it affects
     tenant: str = ""
     request_class: str = ""
     zone: str = ""  # zone-cut: the zone that is partitioned from the others
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -127,7 +127,7 @@
 
 
 async def exchange(server: ConverterServer, data: bytes, wait_s: float = HANG_TIMEOUT_S) -> str:
-    """Send data, and return the status and body of the response, or a word for the way in which it failed."""
+    """Send data, and return the status and body of the response, or a word that says how the exchange failed."""
     address = server.owner.plan.converter_address(0)
     writer = None
     try:
