--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -333,7 +333,7 @@
         if fault.kind in SIDECAR_FAULTS and self.sidecars.count == 0:
             raise ValueError(f"{location}: the world has no sidecars")
         if fault.kind is FaultKind.ZONE_CUT and (fault.zone not in self.zones or not self.sidecars.zoned):
-            raise ValueError(f"{location}: zone: expected one of {', '.join(self.zones)}, and zoned sidecars")
+            raise ValueError(f"{location}: zone: expected one of {', '.join(self.zones)}, and sidecars that are zoned")
         if fault.kind is FaultKind.DISCOVERY_STALE and self.discovery.slice_size:
             raise ValueError(f"{location}: only where the list comes from the platform's agents")
         if fault.via is not None and (fault.kind is not FaultKind.TURN_AWAY or fault.via >= self.sidecars.count):
