--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -123,7 +123,7 @@
             try:
                 await process.task
             except Exception as error:  # noqa: BLE001
-                loop.failures.append(f"{process.owner} ended by itself: {error!r}")
+                loop.failures.append(f"{process.process_name} ended by itself: {error!r}")
 
 
 def run_world(world: World, seed: int, folder: Path | None = None) -> History:
--- a/ryepier/emulator/simulated_logs.py
+++ b/ryepier/emulator/simulated_logs.py
@@ -28,18 +28,18 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Handle a record of a simulated process; other records are ignored."""
-        owner = CURRENT_PROCESS.get()
-        if not owner:
+        process_name = CURRENT_PROCESS.get()
+        if not process_name:
             return
         if record.exc_info is not None and record.exc_info[0] is not None:
-            failure = f"{self.loop.now_s:.6f} s: {owner}: {record.getMessage()}: {record.exc_info[1]!r}"
+            failure = f"{self.loop.now_s:.6f} s: {process_name}: {record.getMessage()}: {record.exc_info[1]!r}"
             self.loop.failures.append(failure)
         if self.folder is not None:
             record.created = system.unix_ns() / 1e9
-            self._file(self.folder, owner).write(self.format(record) + "\n")
+            self._file(self.folder, process_name).write(self.format(record) + "\n")
 
-    def _file(self, folder: Path, owner: str) -> TextIO:
-        name = owner.partition(",")[0].replace(" ", "-")
+    def _file(self, folder: Path, process_name: str) -> TextIO:
+        name = process_name.partition(",")[0].replace(" ", "-")
         if name not in self._files:
             self._files[name] = self._stack.enter_context((folder / f"{name}.log").open("w"))
         return self._files[name]
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -36,7 +36,7 @@
         self.task: asyncio.Task[None] | None = None
 
     @property
-    def owner(self) -> str:
+    def process_name(self) -> str:
         """The name by which the loop knows the present process."""
         return f"{self.kind} {self.index}, life {len(self.incarnations)}"
 
@@ -50,13 +50,13 @@
         self.incarnations.append(Incarnation(self.index, now_us, now_us))
         self.stop = asyncio.Event()
         if self.clocks != Clocks():
-            self.loop.clocks[self.owner] = self.clocks
+            self.loop.clocks[self.process_name] = self.clocks
         context = contextvars.copy_context()
-        context.run(CURRENT_PROCESS.set, self.owner)
+        context.run(CURRENT_PROCESS.set, self.process_name)
         self.task = self.loop.create_task(self.run(), context=context)
 
     def _kill(self) -> None:
-        self.loop.kill(self.owner)
+        self.loop.kill(self.process_name)
         incarnation = self.incarnations[-1]
         incarnation.end_suspension(monotonic_us())
         incarnation.killed, incarnation.ended_us = True, monotonic_us()
@@ -72,20 +72,20 @@
         elif step.action is FaultAction.KILL:
             self._kill()
         elif step.action is FaultAction.SUSPEND:
-            self.loop.suspend(self.owner)
+            self.loop.suspend(self.process_name)
             incarnation.suspensions.append((monotonic_us(), NEVER))
         elif step.action is FaultAction.RESUME:
-            self.loop.resume(self.owner)
+            self.loop.resume(self.process_name)
             incarnation.end_suspension(monotonic_us())
         else:
             self._change_clocks(step)
 
     def _change_clocks(self, step: Step) -> None:
-        self.loop.clocks[self.owner] = self.clocks
-        if step.action is FaultAction.SET_CALENDAR:
-            self.loop.shift_wall_clock(self.owner, step.factor)
+        self.loop.clocks[self.process_name] = self.clocks
+        if step.action is FaultAction.SHIFT_WALL_CLOCK:
+            self.loop.shift_wall_clock(self.process_name, step.factor)
         else:
-            self.loop.set_rate(self.owner, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
+            self.loop.set_rate(self.process_name, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
     def incarnations_since(self, origin_us: int) -> list[Incarnation]:
         """Return the records of all processes, with times counted from `origin_us`; a running process ends now."""
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -25,7 +25,7 @@
     RESTART = "restart"  # sidecar or planner: start it again
     SUSPEND = "stall"  # sidecar or planner: SIGSTOP, with its connections open
     RESUME = "resume"  # sidecar or planner: SIGCONT
-    SET_CALENDAR = "jump"  # sidecar: set the wall clock forward or back
+    SHIFT_WALL_CLOCK = "jump"  # sidecar: shift the wall clock forward or back
     SET_CLOCK_RATE = "drift"  # sidecar: let its clocks run faster or slower
     NOTIFY = "tell"  # discovery: write a change to the sidecar's watch
     MUTE = "silence"  # discovery: write nothing, not even heartbeats
@@ -67,7 +67,7 @@
     index: int
     action: FaultAction
     fault: FaultKind | None = None  # the fault that the step belongs to
-    factor: float = 1.0  # SET_CALENDAR: seconds
+    factor: float = 1.0  # SHIFT_WALL_CLOCK: seconds
     share: float = 1.0
     uid: str = ""
     state: ListState | None = None  # NOTIFY: the uid's new state
@@ -258,7 +258,9 @@
     def add_clock_jump(self, fault: Fault) -> None:
         for index in self.select(TargetKind.SIDECAR, fault):
             self.steps.append(
-                Step(to_us(fault.at_s), TargetKind.SIDECAR, index, FaultAction.SET_CALENDAR, fault.kind, fault.jump_s)
+                Step(
+                    to_us(fault.at_s), TargetKind.SIDECAR, index, FaultAction.SHIFT_WALL_CLOCK, fault.kind, fault.jump_s
+                )
             )
 
 
--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -101,7 +101,7 @@
         FaultAction.SUSPEND,
         FaultAction.KILL,
         FaultAction.SET_CLOCK_RATE,
-        FaultAction.SET_CALENDAR,
+        FaultAction.SHIFT_WALL_CLOCK,
         FaultAction.DOWN,
         FaultAction.MUTE,
         FaultAction.BREAK_WATCHES,
