--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -1,4 +1,4 @@
-"""An emulated Kubernetes API server for EndpointSlices over HTTP/1.1: get, list, watch, bookmarks, and its faults."""
+"""An emulated Kubernetes API server for EndpointSlices over HTTP/1.1: get, list, watch, bookmarks and faults."""
 
 from __future__ import annotations
 
@@ -29,32 +29,32 @@
 DEFAULT_WATCH_S = "3600"
 TRUE_VALUES = ("1", "true", "True")
 GET = "GET"
-REASON_PHRASE = "X"  # clients must not interpret it
+REASON_PHRASE = "X"  # any text: clients must not interpret it
 
 
 @dataclass(slots=True)
-class Faults:
-    """What the server does wrong while it is set."""
+class ApiServerFaults:
+    """Faults of the server; each has an effect while its field is set."""
 
     silent: bool = False  # connections stay open, and nothing is written
-    retry_after_s: int | None = None  # 429, with this Retry-After
+    retry_after_s: int | None = None  # requests are answered with 429 and this Retry-After
     truncates_watches: bool = False  # watches end in the middle of their first event
-    max_write_bytes: int = 0  # bytes per write; 0 = no limit
-    write_pause_s: float = 0.0  # between the writes
+    max_write_bytes: int = 0  # 0 = no limit
+    write_pause_s: float = 0.0  # after each write, if `max_write_bytes` is set
     omits_bookmarks: bool = False
     rejects_tokens: bool = False  # every token is rejected
 
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """What a path names: one object, or a list of a namespace's (empty = of all) objects."""
+    """The target of a path: one object, or without a name a list. An empty namespace stands for all namespaces."""
 
     namespace: str
     name: str
 
 
 def parse_path(path: str) -> Resource:
-    """Return what a path names. Raises ApiError if it names nothing that is served."""
+    """Return the resource that a path refers to. Raises ApiError if the path is not served."""
     parts = path.removeprefix(GROUP_PATH).strip("/").split("/")
     if path.startswith(GROUP_PATH + "/"):
         if parts == [RESOURCE]:
@@ -66,39 +66,42 @@
 
 @dataclass(slots=True)
 class Watch:
-    """An open watch and how far it has been served."""
+    """An open watch. The events up to `version` have been written to it."""
 
     writer: asyncio.StreamWriter
     namespace: str
     labels: dict[str, str]
     version: int
-    bookmarks: bool
+    wants_bookmarks: bool
     end_s: float  # on the monotonic clock
 
 
 OnWritten = Callable[[asyncio.StreamWriter, list[ApiObject], bool], None]
-"""Called with objects that have been written to a connection, and whether they are a full list."""
+"""Called with a connection, the objects that have been written to it, and whether they are a full list."""
 
 
 class ApiServer:
-    """One address of an API server. `on_change` must be called after a change of the store."""
+    """An API server on one address. After a change of the store, the caller must call `on_change`."""
 
     def __init__(
         self, store: Store, token: str = "", on_written: OnWritten | None = None, bookmark_s: float = 1.0
     ) -> None:
-        """Serve a store; a non-empty `token` is required of clients."""
+        """Prepare to serve `store`; `listen` opens the socket.
+
+        Clients must send `token` unless it is empty. A watch gets a bookmark after `bookmark_s` without a change.
+        """
         self.store = store
         self.token = token
         self.bookmark_s = bookmark_s
-        self.faults = Faults()
+        self.faults = ApiServerFaults()
         self.request_targets: list[str] = []  # targets of the requests received
         self._on_written = on_written or (lambda writer, objects, is_full_list: None)
         self._server: asyncio.Server | None = None
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
-        self._change = asyncio.Event()  # replaced at each change
+        self._change = asyncio.Event()  # set, and replaced by a new one, at each change
 
     async def listen(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> int:
-        """Accept connections, and return the port."""
+        """Accept connections, and return the port, which the system selects if `port` is 0."""
         self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_HEAD_BYTES, ssl=tls)
         bound_port: int = self._server.sockets[0].getsockname()[1]
         return bound_port
@@ -109,7 +112,7 @@
         return self._server is not None
 
     def on_change(self) -> None:
-        """Let the watches send what has changed."""
+        """Wake the open watches, which then write the new events."""
         self._change.set()
         self._change = asyncio.Event()
 
@@ -134,7 +137,7 @@
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, ssl.SSLError):
             pass
         except asyncio.CancelledError:
-            pass  # the loop ends; asyncio would log the cancellation as a failure
+            pass  # the event loop is ending; asyncio would log the cancellation as a failure
         finally:
             self._writers.pop(writer, None)
             writer.close()
@@ -155,7 +158,7 @@
             await self._write_json(writer, error.code, error.status, retry_after)
 
     def _check_request(self, method: str, headers: dict[str, str]) -> None:
-        """Raise ApiError for a request that is rejected whatever it asks for."""
+        """Raise ApiError for a request that is rejected regardless of its target."""
         if self.faults.rejects_tokens or (self.token and headers.get("authorization") != f"Bearer {self.token}"):
             raise ApiError(http.HTTPStatus.UNAUTHORIZED, "Unauthorized", "Unauthorized")
         if self.faults.retry_after_s is not None:
@@ -170,7 +173,7 @@
         query = {key: values[-1] for key, values in parse_qs(url.query).items()}
         resource = parse_path(url.path)
         if resource.name:
-            await self._get_one(resource, writer)
+            await self._get_object(resource, writer)
             return
         labels = parse_selector(query.get("labelSelector", ""))
         if query.get("watch") in TRUE_VALUES:
@@ -178,50 +181,51 @@
             return
         limit = query.get("limit", "0")
         token = query.get("continue", "")
-        page = self.store.page(resource.namespace, labels, int(limit) if limit.isdecimal() else 0, token)
+        page = self.store.list_page(resource.namespace, labels, int(limit) if limit.isdecimal() else 0, token)
         await self._write_json(writer, http.HTTPStatus.OK, page)
         self._on_written(writer, page["items"], True)
 
-    async def _get_one(self, resource: Resource, writer: asyncio.StreamWriter) -> None:
-        found = self.store.objects.get((resource.namespace, resource.name))
-        if found is None:
+    async def _get_object(self, resource: Resource, writer: asyncio.StreamWriter) -> None:
+        api_object = self.store.objects.get((resource.namespace, resource.name))
+        if api_object is None:
             message = f'endpointslices.discovery.k8s.io "{resource.name}" not found'
             raise ApiError(http.HTTPStatus.NOT_FOUND, "NotFound", message)
-        await self._write_json(writer, http.HTTPStatus.OK, found)
+        await self._write_json(writer, http.HTTPStatus.OK, api_object)
 
     # Watches
 
     async def _serve_watch(
         self, namespace: str, labels: dict[str, str], query: dict[str, str], writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a watch until its time is over: from a version on, or from the present objects as ADDED events.
+        """Serve a watch until its timeout.
 
-        Raises ApiError if the version has been compacted.
+        The watch begins after the requested resource version; without one, it begins with the existing objects as
+        ADDED events. Raises ApiError if the events after the version have been compacted.
         """
-        requested = query.get("resourceVersion", "")
-        version = int(requested) if requested.isdecimal() else 0
-        present: list[ApiObject] = []
+        requested_version = query.get("resourceVersion", "")
+        version = int(requested_version) if requested_version.isdecimal() else 0
+        existing: list[ApiObject] = []
         if version:
-            self.store.since(version)
+            self.store.events_since(version)
         else:
             version = self.store.version
-            present = self.store.select(namespace, labels)
+            existing = self.store.select(namespace, labels)
         end_s = system.monotonic() + float(query.get("timeoutSeconds", DEFAULT_WATCH_S))
-        bookmarks = query.get("allowWatchBookmarks") in TRUE_VALUES
-        watch = Watch(writer, namespace, labels, version, bookmarks, end_s)
+        wants_bookmarks = query.get("allowWatchBookmarks") in TRUE_VALUES
+        watch = Watch(writer, namespace, labels, version, wants_bookmarks, end_s)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for found in present:
-            await self._write_event(watch, EventType.ADDED, found)
-        await self._follow(watch)
+        for api_object in existing:
+            await self._write_event(watch, EventType.ADDED, api_object)
+        await self._stream_events(watch)
         await self._write(writer, b"0\r\n\r\n")
 
-    async def _follow(self, watch: Watch) -> None:
-        """Write events as they happen, and bookmarks when none has happened for a while."""
+    async def _stream_events(self, watch: Watch) -> None:
+        """Write events as they happen, and a bookmark after `bookmark_s` without a change."""
         while system.monotonic() < watch.end_s and not watch.writer.is_closing():
-            change = self._change  # taken first, so that a change during the writes below is not missed
+            change = self._change  # read before the writes below, so that no change during them is missed
             if not self.faults.silent:
                 try:
-                    await self._catch_up(watch)
+                    await self._write_new_events(watch)
                 except ExpiredError as error:
                     await self._write_event(watch, EventType.ERROR, error.status)
                     return
@@ -232,48 +236,48 @@
             except TimeoutError:
                 await self._write_bookmark(watch)
 
-    async def _catch_up(self, watch: Watch) -> None:
-        for event in self.store.since(watch.version):
+    async def _write_new_events(self, watch: Watch) -> None:
+        for event in self.store.events_since(watch.version):
             watch.version = event.version
             is_in_namespace = not watch.namespace or event.namespace == watch.namespace
             if is_in_namespace and matches(event.object, watch.labels):
                 await self._write_event(watch, event.type, event.object)
 
     async def _write_bookmark(self, watch: Watch) -> None:
-        if not watch.bookmarks or self.faults.silent or self.faults.omits_bookmarks:
+        if not watch.wants_bookmarks or self.faults.silent or self.faults.omits_bookmarks:
             return
         metadata = {"resourceVersion": str(watch.version), "creationTimestamp": None}
         bookmark = {"kind": KIND, "apiVersion": API_VERSION, "metadata": metadata}
         await self._write_event(watch, EventType.BOOKMARK, bookmark)
 
-    async def _write_event(self, watch: Watch, event_type: EventType, found: ApiObject) -> None:
-        line = json.dumps({"type": event_type, "object": found}).encode() + b"\n"
+    async def _write_event(self, watch: Watch, event_type: EventType, api_object: ApiObject) -> None:
+        line = json.dumps({"type": event_type, "object": api_object}).encode() + b"\n"
         if self.faults.truncates_watches and event_type is not EventType.BOOKMARK:
-            half = line[: len(line) // 2]
-            await self._write(watch.writer, b"%x\r\n%s\r\n" % (len(half), half))
+            first_half = line[: len(line) // 2]
+            await self._write(watch.writer, b"%x\r\n%s\r\n" % (len(first_half), first_half))
             watch.writer.transport.close()
             raise ConnectionResetError
         await self._write(watch.writer, b"%x\r\n%s\r\n" % (len(line), line))
         if event_type in (EventType.ADDED, EventType.MODIFIED, EventType.DELETED):
-            self._on_written(watch.writer, [found], False)
+            self._on_written(watch.writer, [api_object], False)
 
     # Output
 
     async def _write_json(
-        self, writer: asyncio.StreamWriter, code: http.HTTPStatus, body: ApiObject, further_headers: str = ""
+        self, writer: asyncio.StreamWriter, code: http.HTTPStatus, body: ApiObject, extra_headers: str = ""
     ) -> None:
         data = json.dumps(body).encode()
         head = (
             f"HTTP/1.1 {code.value} {REASON_PHRASE}\r\nContent-Type: application/json\r\n"
-            f"{further_headers}Content-Length: {len(data)}\r\n\r\n"
+            f"{extra_headers}Content-Length: {len(data)}\r\n\r\n"
         )
         await self._write(writer, head.encode() + data)
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write data, in pieces with pauses where the faults ask for them."""
-        size = self.faults.max_write_bytes or len(data)
-        for begin in range(0, len(data), size):
-            writer.write(data[begin : begin + size])
+        """Write data; the faults may split it into small writes with pauses."""
+        write_size = self.faults.max_write_bytes or len(data)
+        for begin in range(0, len(data), write_size):
+            writer.write(data[begin : begin + write_size])
             await writer.drain()
             if self.faults.max_write_bytes:
                 await asyncio.sleep(self.faults.write_pause_s)
--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -21,8 +21,8 @@
     body: bytes
 
 
-class ConnectionUser(Protocol):
-    """The request that a connection carries."""
+class OutgoingRequest(Protocol):
+    """The request that a connection currently carries."""
 
     attempt: ClientAttempt
     closes_connection: bool
@@ -35,25 +35,25 @@
         """Handle the response."""
 
     def on_connection_lost(self, may_be_unread: bool) -> None:
-        """Handle the end of the connection; on a reused one the request may not have been read at all."""
+        """Handle the end of the connection; with `may_be_unread`, the peer may not have read the request."""
 
     def end(self, outcome: RequestOutcome) -> None:
         """End the request without a response."""
 
 
 class Target:
-    """An address that clients send to, a sidecar or a converter, with the idle connections to it."""
+    """The address of a sidecar or converter that clients send to, with the idle connections to it."""
 
     def __init__(self, address: Address) -> None:
         """Start without connections."""
         self.address = address
-        self.idle: list[ClientConnection] = []
+        self.idle_connections: list[ClientConnection] = []
         self.host = b"%s:%d" % (address[0].encode(), address[1])
 
     def take_idle(self) -> ClientConnection | None:
-        """Return the connection that became idle last and is still open, if there is one."""
-        while self.idle:
-            connection = self.idle.pop()
+        """Remove and return the most recently used idle connection that is still open; None if there is none."""
+        while self.idle_connections:
+            connection = self.idle_connections.pop()
             if connection.transport is not None and not connection.transport.is_closing():
                 return connection
         return None
@@ -62,12 +62,12 @@
 class ClientConnection(asyncio.Protocol):
     """One connection of a client; it carries one request at a time."""
 
-    def __init__(self, target: Target, user: ConnectionUser | None) -> None:
-        """Established for one request, which is sent as soon as the connection is up."""
+    def __init__(self, target: Target, request: OutgoingRequest | None) -> None:
+        """Wait for the connection to be established, and then send `request` on it."""
         self.target = target
-        self.user = user
+        self.request = request
         self.transport: asyncio.Transport | None = None
-        self.last_attempt: ClientAttempt | None = None  # answered on this connection, with none in flight since
+        self.last_attempt: ClientAttempt | None = None  # the last one answered; None while one is in flight
         self._response_count = 0
         self._reset_parser()
 
@@ -75,8 +75,8 @@
         self._parser = httptools.HttpResponseParser(self)
         self._retry_after_us = 0
         self._body = b""
-        self._complete = self._keep_alive = False
-        self._receiving = False
+        self._message_complete = self._keep_alive = False
+        self._response_started = False
 
     # asyncio's callbacks
 
@@ -84,39 +84,39 @@
         """Send the request that the connection was opened for, unless it has ended meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self.user is None or self.user.ended:
-            self.target.idle.append(self)
+        if self.request is None or self.request.ended:
+            self.target.idle_connections.append(self)
         else:
-            self.user.send(self)
+            self.request.send(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; bytes without a request in flight are counted, and the connection is closed."""
-        if self.user is None:
+        """Parse a response. Bytes without a request in flight are counted, and the connection is closed."""
+        if self.request is None:
             if self.last_attempt is not None:
                 self.last_attempt.trailing_bytes += len(data)
             self.close()
             return
-        self._receiving = True
+        self._response_started = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._end(RequestOutcome.BROKEN)
+            self._fail(RequestOutcome.BROKEN)
             return
-        if self._complete:
-            self._finish()
+        if self._message_complete:
+            self._complete_response()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the pool, and end the request in flight."""
-        if self in self.target.idle:
-            self.target.idle.remove(self)
-        user, self.user = self.user, None
-        if user is not None:
-            user.on_connection_lost(may_be_unread=not self._receiving and self._response_count > 0)
+        """Remove the connection from the pool, and notify the request in flight."""
+        if self in self.target.idle_connections:
+            self.target.idle_connections.remove(self)
+        request, self.request = self.request, None
+        if request is not None:
+            request.on_connection_lost(may_be_unread=not self._response_started and self._response_count > 0)
 
     # The parser's callbacks
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep the value of Retry-After."""
+        """Store the value of Retry-After; other headers are ignored."""
         if name.lower() == b"retry-after":
             self._retry_after_us = int(float(value) * 1e6)
 
@@ -125,35 +125,35 @@
         self._body += data
 
     def on_message_complete(self) -> None:
-        """Note whether the connection can be reused, which the parser answers only now."""
-        self._complete = True
+        """Record whether the connection can be reused, which the parser knows only at the end of a message."""
+        self._message_complete = True
         self._keep_alive = self._parser.should_keep_alive()
 
-    def _finish(self) -> None:
-        """Make the connection available again, or close it, and pass the response on."""
-        user = self.user
-        assert user is not None
+    def _complete_response(self) -> None:
+        """Return the connection to the pool or close it, and pass the response to the request."""
+        request = self.request
+        assert request is not None
         response = Response(self._parser.get_status_code(), self._retry_after_us, self._body)
-        is_reusable = self._keep_alive and not user.closes_connection
-        self.user = None
-        self.last_attempt = user.attempt
+        is_reusable = self._keep_alive and not request.closes_connection
+        self.request = None
+        self.last_attempt = request.attempt
         self._response_count += 1
         self._reset_parser()
         if is_reusable:
-            self.target.idle.append(self)
+            self.target.idle_connections.append(self)
         else:
             self.close()
-        user.on_response(response)
+        request.on_response(response)
 
-    def _end(self, outcome: RequestOutcome) -> None:
-        user, self.user = self.user, None
+    def _fail(self, outcome: RequestOutcome) -> None:
+        request, self.request = self.request, None
         self.close()
-        if user is not None:
-            user.end(outcome)
+        if request is not None:
+            request.end(outcome)
 
     def close(self) -> None:
-        """Leave the pool and close at once."""
-        if self in self.target.idle:
-            self.target.idle.remove(self)
+        """Remove the connection from the pool, and abort it."""
+        if self in self.target.idle_connections:
+            self.target.idle_connections.remove(self)
         if self.transport is not None:
             self.transport.abort()
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -28,18 +28,21 @@
     world: World
     codec: MessageCodec
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine in the background."""
 
     def read_timeout_us(self, attempt: ClientAttempt) -> int:
-        """Return how long the client reads after it has sent the attempt."""
+        """Return how long the client waits for a response to the attempt after sending it."""
 
     def on_ended(self, attempt: ClientAttempt, outcome: RequestOutcome) -> None:
         """Handle the end of the attempt."""
 
 
 class ClientRequest:
-    """One attempt in flight. It is sent twice at most, and only if the first copy was certainly harmless."""
+    """One attempt in flight.
+
+    It is sent a second time, at most once, if its reused connection ends before a response and a repeat is harmless.
+    """
 
     def __init__(self, owner: RequestOwner, target: Target, attempt: ClientAttempt, closes_connection: bool) -> None:
         """Prepare the attempt; `start` sends it."""
@@ -53,12 +56,12 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Send on an idle connection, or on a new one."""
+        """Send the attempt on an idle connection, or open a new connection for it."""
         connection = self.target.take_idle()
         if connection is None:
             self.owner.spawn(self._connect())
             return
-        connection.user = self
+        connection.request = self
         self.send(connection)
 
     async def _connect(self) -> None:
@@ -67,8 +70,8 @@
         sock = system.tcp_socket(socket.AF_INET)
         try:
             sock.setblocking(False)
-            # The timeout covers connecting alone. One that also covered sending could expire in the very loop turn in
-            # which the request is sent; it would then count as unreachable, and be sent again.
+            # The timeout covers only connecting. If it also covered sending, it could expire in the same iteration of
+            # the event loop in which the request is sent; the request would count as unreachable and be sent again.
             async with asyncio.timeout(self.attempt.deadline_us / 1e6):
                 await loop.sock_connect(sock, self.target.address)
             await loop.create_connection(lambda: ClientConnection(self.target, self), sock=sock)
@@ -77,41 +80,41 @@
             self.end(RequestOutcome.UNREACHABLE)
 
     def send(self, connection: ClientConnection) -> None:
-        """Write the request; the timeout runs from the first time that it is written."""
+        """Write the request; the timeout starts when it is written for the first time."""
         assert connection.transport is not None
         self._connection = connection
         connection.last_attempt = None
         now_us = self.owner.clock.now_us()
         if self.attempt.sent_us == NEVER:
             self.attempt.sent_us = now_us
-            until_us = now_us + self.owner.read_timeout_us(self.attempt)
-            self._timer = self.owner.clock.handle_at(until_us, self._on_timeout)
+            timeout_at_us = now_us + self.owner.read_timeout_us(self.attempt)
+            self._timer = self.owner.clock.handle_at(timeout_at_us, self._on_timeout)
         connection.transport.write(
             self.owner.codec.encode_request(self.attempt, self.target.host, self.owner.clock.now_us())
         )
 
     def _on_timeout(self) -> None:
         connection = self._connection
-        if connection is not None and connection.user is self:
-            connection.user = None
+        if connection is not None and connection.request is self:
+            connection.request = None
             connection.close()
         is_early = self.owner.clock.now_us() < self.attempt.sent_us + self.attempt.deadline_us
         self.end(RequestOutcome.LEFT if is_early else RequestOutcome.TIMEOUT)
 
     def on_response(self, response: Response) -> None:
-        """Record the response, and end."""
+        """Record the response, and end the attempt."""
         attempt = self.attempt
         attempt.status, attempt.retry_after_us = response.status, response.retry_after_us
         if response.status == http.HTTPStatus.OK:
-            self._record_origin(response)
+            self._record_body(response)
             self.end(RequestOutcome.SERVED)
         elif response.status in REFUSAL_STATUSES:
             self.end(RequestOutcome.REFUSED)
         else:
             self.end(RequestOutcome.FAILED)
 
-    def _record_origin(self, response: Response) -> None:
-        """Record what the body contains; one that cannot be decoded is for the judge to find."""
+    def _record_body(self, response: Response) -> None:
+        """Record the ids in the body. If it cannot be decoded, they stay empty, which the judge reports."""
         try:
             body = self.owner.codec.decode_response(response.body)
         except msgspec.DecodeError:
@@ -119,19 +122,19 @@
         self.attempt.response_request_id, self.attempt.responder_uid = body.request_id, body.uid
 
     def on_connection_lost(self, may_be_unread: bool) -> None:
-        """Send once more on a new connection if the close may have crossed the request and a repeat is harmless."""
+        """Send again on a new connection if the request may not have been read and a repeat is harmless."""
         attempt = self.attempt
         attempt.may_be_unread = may_be_unread
-        kind = self.owner.world.classes[attempt.request_class]
-        is_harmless = may_retry(kind, RequestOutcome.BROKEN, attempt.sent_us, self.owner.clock.now_us())
-        if may_be_unread and not self._resent and is_harmless:
+        request_class = self.owner.world.classes[attempt.request_class]
+        may_repeat = may_retry(request_class, RequestOutcome.BROKEN, attempt.sent_us, self.owner.clock.now_us())
+        if may_be_unread and not self._resent and may_repeat:
             self._resent = True
             self.owner.spawn(self._connect())
         else:
             self.end(RequestOutcome.BROKEN)
 
     def end(self, outcome: RequestOutcome) -> None:
-        """End the attempt, once."""
+        """End the attempt; further calls have no effect."""
         if self.ended:
             return
         self.ended = True
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -1,4 +1,4 @@
-"""Model of a converter without sockets: cores, a queue, warm-up, a crash under overload, and deduplication in a pod.
+"""Model of a converter without sockets: cores, queue, warm-up, crash under overload, and deduplication within a pod.
 
 This module is pure: requests and times in, actions out. `next_us` is when `advance` is due next. Work that has been
 accepted continues even if the connection it came on is closed.
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A request as the model needs it. `token` identifies it to the caller."""
+    """A request in the model. `token` is the caller's identifier of the request."""
 
     token: int
     key: str  # idempotency key; empty = not deduplicated
     work_us: int  # on a standard core
-    window_us: int = 0  # how long the pod remembers the key
+    window_us: int = 0  # how long the pod deduplicates the key
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crashed:
-    """The load exceeded what a converter bears while it warms up; it is down for good."""
+    """The load exceeded the limit of a converter that is warming up; the converter is down and does not restart."""
 
 
 Action = Started | Done | Rejected | Crashed
@@ -60,35 +60,37 @@
 
 @dataclass(slots=True)
 class _CachedKey:
-    """An idempotency key that the pod remembers."""
+    """The state of an idempotency key in the cache of a pod."""
 
-    until_us: int
+    expires_us: int
     finished: bool = False
-    waiting: list[tuple[ConverterModel, int]] = field(default_factory=list)  # repeats of it, by converter and token
+    # repeats that arrived while the first request runs, as (converter, token)
+    waiting_repeats: list[tuple[ConverterModel, int]] = field(default_factory=list)
 
 
 class IdempotencyCache:
-    """The keys that the converters of one pod have received, each for its window since the first arrival."""
+    """The idempotency keys that a pod's converters have received, each kept for a window after the first arrival."""
 
     def __init__(self) -> None:
         """Start without keys."""
-        self.keys: dict[str, _CachedKey] = {}
-        self.released: list[tuple[ConverterModel, int]] = []  # repeats to be answered, as their first run has ended
+        self.entries: dict[str, _CachedKey] = {}
+        # repeats to answer now, as (converter, token): the request that they repeat has finished
+        self.released_repeats: list[tuple[ConverterModel, int]] = []
         self._expiries: deque[tuple[int, str]] = deque()
 
     def get(self, now_us: int, key: str) -> _CachedKey | None:
         """Return the entry of a key whose window has not passed."""
-        entry = self.keys.get(key)
-        return entry if entry is not None and entry.until_us > now_us else None
+        entry = self.entries.get(key)
+        return entry if entry is not None and entry.expires_us > now_us else None
 
     def add(self, now_us: int, key: str, window_us: int) -> None:
-        """Remember a key, and forget finished ones whose window has passed."""
+        """Add a key, and remove finished keys whose window has passed."""
         while self._expiries and self._expiries[0][0] <= now_us:
-            until_us, expired = self._expiries.popleft()
-            entry = self.keys.get(expired)
-            if entry is not None and entry.until_us == until_us and entry.finished:
-                del self.keys[expired]
-        self.keys[key] = _CachedKey(now_us + window_us)
+            expires_us, expired = self._expiries.popleft()
+            entry = self.entries.get(expired)
+            if entry is not None and entry.expires_us == expires_us and entry.finished:
+                del self.entries[expired]
+        self.entries[key] = _CachedKey(now_us + window_us)
         self._expiries.append((now_us + window_us, key))
 
 
@@ -116,31 +118,31 @@
         self.queue: deque[Work] = deque()
         self.running: list[tuple[int, int, Work]] = []  # heap of (done_us, number, work)
         self.started_count = 0
-        self.overhead_us = 0  # work of handshakes and probes, done along with the next request
-        self._recent_work: deque[tuple[int, int]] = deque()  # (at_us, work_us) of the overload window, in warm-up
+        self.overhead_us = 0  # work of handshakes and probes, added to the next request that starts
+        self._recent_work: deque[tuple[int, int]] = deque()  # (at_us, work_us) in the overload window, during warm-up
         self._recent_work_us = 0
         self._hung_since_us = 0
         self._report = ""
         self._report_until_us = -1
 
     def capacity_share(self, now_us: int) -> float:
-        """Return the share of its full capacity that the converter has."""
+        """Return the share of its full capacity that the converter has at this time."""
         warm_up_us = self.warm_up.warm_up_s * 1e6
         if self.started_us is None or now_us >= self.started_us + warm_up_us:
             return 1.0
-        initial = self.warm_up.initial_capacity_share
-        return initial + (1.0 - initial) * max(0, now_us - self.started_us) / warm_up_us
+        initial_share = self.warm_up.initial_capacity_share
+        return initial_share + (1.0 - initial_share) * max(0, now_us - self.started_us) / warm_up_us
 
     def on_request(self, now_us: int, work: Work) -> list[Action]:
         """Handle a request that has been received in full."""
         actions = self.advance(now_us)
-        if self._overloaded_by(now_us, work.work_us):
+        if self._is_overloaded_after(now_us, work.work_us):
             return [*actions, Crashed()]
         entry = self.cache.get(now_us, work.key) if work.key else None
         if entry is not None and entry.finished:
             return [*actions, Done(work.token, executed=False)]
         if entry is not None:
-            entry.waiting.append((self, work.token))
+            entry.waiting_repeats.append((self, work.token))
             return actions
         if self.draining or len(self.queue) >= self.machine.group.queue_limit + self.free_cores:
             return [*actions, Rejected(work.token)]
@@ -159,10 +161,10 @@
 
     def _add_overhead(self, now_us: int, work_us: int) -> list[Action]:
         self.overhead_us += work_us
-        return [Crashed()] if self._overloaded_by(now_us, work_us) else []
+        return [Crashed()] if self._is_overloaded_after(now_us, work_us) else []
 
-    def _overloaded_by(self, now_us: int, work_us: int) -> bool:
-        """Return whether further work crashes the converter; rejected requests count as well."""
+    def _is_overloaded_after(self, now_us: int, work_us: int) -> bool:
+        """Add work, also of rejected requests, to the overload window; return whether it crashes the converter."""
         share = self.capacity_share(now_us)
         if self.crashed or share >= 1.0:
             return False
@@ -194,7 +196,7 @@
         return actions
 
     def advance(self, now_us: int) -> list[Action]:
-        """Finish the requests that are done by now, and start queued ones in their place."""
+        """Finish the requests that are done by now, and start queued requests on the cores that become free."""
         actions: list[Action] = []
         while self.running and self.running[0][0] <= now_us and not self.hung:
             done_us, _, work = heapq.heappop(self.running)
@@ -204,23 +206,25 @@
         return actions
 
     def _release_repeats(self, work: Work) -> list[Action]:
-        """Answer the repeats that waited for a run here; those at other converters go to the cache's `released`."""
-        entry = self.cache.keys.get(work.key) if work.key else None
+        """Answer the repeats that waited at this converter, and add the others to the cache's `released_repeats`."""
+        entry = self.cache.entries.get(work.key) if work.key else None
         if entry is None:
             return []
         entry.finished = True
-        own = [token for converter, token in entry.waiting if converter is self]
-        self.cache.released += [(converter, token) for converter, token in entry.waiting if converter is not self]
-        entry.waiting.clear()
-        return [Done(token, executed=False) for token in own]
+        own_tokens = [token for converter, token in entry.waiting_repeats if converter is self]
+        self.cache.released_repeats += [
+            (converter, token) for converter, token in entry.waiting_repeats if converter is not self
+        ]
+        entry.waiting_repeats.clear()
+        return [Done(token, executed=False) for token in own_tokens]
 
     @property
     def next_us(self) -> int | None:
-        """When the next request is done; None if none runs."""
+        """The time at which the next request is done; None if no request is running."""
         return self.running[0][0] if self.running and not self.hung else None
 
     def hang(self, now_us: int) -> None:
-        """Stop all progress."""
+        """Stop all progress until `resume`."""
         self.hung, self._hung_since_us = True, now_us
 
     def resume(self, now_us: int) -> list[Action]:
@@ -231,7 +235,7 @@
         return self._start_queued(now_us)
 
     def load_report(self, now_us: int) -> str:
-        """Return the load report, `name=value,...`, which is refreshed at sampled intervals."""
+        """Return the load report in the form `name=value,...`. It is refreshed at randomly sampled intervals."""
         if now_us >= self._report_until_us:
             low_ms, high_ms = self.reports.refresh_ms
             self._report_until_us = now_us + int(1000 * self.random.uniform(low_ms, high_ms))
@@ -245,10 +249,10 @@
         return self._report
 
     def stop(self) -> list[int]:
-        """End the process: drop all work and forget its keys. Return the tokens of requests that had not started."""
+        """End the process: drop all work and remove its keys. Return the tokens of requests that had not started."""
         for work in [*(work for _, _, work in self.running), *self.queue]:
             if work.key:
-                self.cache.keys.pop(work.key, None)
+                self.cache.entries.pop(work.key, None)
         not_started = [work.token for work in self.queue]
         self.running.clear()
         self.queue.clear()
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -27,8 +27,8 @@
 from ryepier.emulator.world import FaultKind
 from ryepier.sidecar import system
 
-BACKLOG = 1024
-DEFAULT_WORK_US = b"1000"  # of a request without the header
+LISTEN_BACKLOG = 1024
+DEFAULT_WORK_US = b"1000"  # of a request without the X-Work-Us header
 
 
 class ServerOwner(Protocol):
@@ -40,18 +40,18 @@
     backlog_fillers: int  # connections that fill a listener's backlog, so that no further one is established
 
     def sidecar_of(self, request_id: bytes) -> int:
-        """Return the sidecar that a request was sent to by its client."""
+        """Return the sidecar that a client sent the request to."""
 
     def record_event(self, text: str) -> None:
         """Record an event at the present time."""
 
     def answer_released(self, cache: IdempotencyCache) -> None:
-        """Answer the repeats that waited for a run at another converter of their pod."""
+        """Answer the repeats that waited for a request at another converter of their pod."""
 
 
 @dataclass(frozen=True, slots=True)
 class _InFlight:
-    """A request that the model has accepted, with the connection that it came on."""
+    """A request that has been passed to the model, with its connection."""
 
     connection: ConverterConnection
     attempt: ConverterAttempt
@@ -76,11 +76,14 @@
         )
         self.in_flight: dict[int, _InFlight] = {}  # by token
         self._speaks_graphql = world.clients.speak_graphql
-        self._window_us = {kind.name.encode(): int(kind.idempotency_window_ms * 1000) for kind in world.classes}
+        self._window_us = {
+            request_class.name.encode(): int(request_class.idempotency_window_ms * 1000)
+            for request_class in world.classes
+        }
         self._faults = ConverterFaults(self.uid, owner.sidecar_of)
         self._connections: dict[ConverterConnection, None] = {}  # in the order in which they were opened
         self._listener: asyncio.Server | None = None
-        self._blocking: list[socket.socket] = []
+        self._blocking_sockets: list[socket.socket] = []
         self._last_token = 0
         self._timer: asyncio.TimerHandle | None = None
         self._timer_us = NEVER
@@ -94,7 +97,7 @@
         """Accept connections."""
         address, port = self.owner.plan.converter_address(self.instance.index)
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(self._make_connection, address, port, backlog=BACKLOG)
+        self._listener = await loop.create_server(self._make_connection, address, port, backlog=LISTEN_BACKLOG)
 
     def _make_connection(self) -> ConverterConnection:
         return ConverterConnection(self, over_limit=len(self._connections) >= self.instance.machine.group.connections)
@@ -102,7 +105,7 @@
     # Faults
 
     def _partitions(self, connection: ConverterConnection) -> bool:
-        """Return whether a partition between zones drops the connection's request and its response."""
+        """Return whether a zone partition drops the connection's request and response; if so, mark the connection."""
         attempt = connection.attempt
         if attempt is None or not self._faults.affects(FaultKind.ZONE_CUT, attempt.request_id.encode("latin-1")):
             return False
@@ -111,7 +114,7 @@
 
     @property
     def drops_output(self) -> bool:
-        """Whether a fault keeps everything that is written from leaving."""
+        """Whether a fault discards everything that is written."""
         return self._faults.is_any_of(FaultKind.CUT)
 
     def resets_before_request(self, request_id: bytes) -> bool:
@@ -146,16 +149,16 @@
 
     async def end_fault(self) -> None:
         """End the present fault; connections that lost data are reset."""
-        ended = self._faults.end()
+        ended_fault = self._faults.end()
         self._unblock()
         self.model.slowdown = 1.0
-        if ended is FaultKind.HANG:
+        if ended_fault is FaultKind.HANG:
             self.carry_out(self.model.resume(self.clock.now_us()))
-        elif ended is FaultKind.CUT:
+        elif ended_fault is FaultKind.CUT:
             self._abort(list(self._connections))
-        elif ended is FaultKind.ZONE_CUT:
+        elif ended_fault is FaultKind.ZONE_CUT:
             self._abort([connection for connection in self._connections if connection.partitioned])
-        if ended in (FaultKind.REFUSE, FaultKind.CUT) and self._listener is None:
+        if ended_fault in (FaultKind.REFUSE, FaultKind.CUT) and self._listener is None:
             await self.listen()
 
     @staticmethod
@@ -173,7 +176,7 @@
             self.carry_out(self.model.on_connection(self.clock.now_us()))
 
     def on_closed(self, connection: ConverterConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection that has ended."""
         self._connections.pop(connection, None)
 
     def on_probe(self, connection: ConverterConnection, target: bytes) -> None:
@@ -187,7 +190,7 @@
         self.carry_out(self.model.on_probe(now_us))
 
     def on_request(self, connection: ConverterConnection, request: ReceivedRequest) -> None:
-        """Record a request, and hand it to the model unless it is dropped or rejected at once."""
+        """Record a request, and pass it to the model unless it is dropped or rejected immediately."""
         request_id = request.headers[b"x-request-id"].decode("latin-1")
         if self._speaks_graphql:
             try:
@@ -197,7 +200,7 @@
                 connection.write(encode_response(http.HTTPStatus.BAD_REQUEST, body, ""))
                 return
         attempt = self._record_attempt(request, request_id)
-        connection.end_attempt(AttemptOutcome.CLOSED)  # a pipelined request must not lose the record of the one before
+        connection.end_attempt(AttemptOutcome.CLOSED)  # completes the previous attempt's record if this is pipelined
         connection.attempt = attempt
         if self._faults.is_any_of(FaultKind.CUT) or self._partitions(connection):
             return
@@ -232,16 +235,16 @@
     # Actions of the model
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Record and answer what the model has decided."""
+        """Carry out the model's actions: record them, answer requests, or stop after a crash."""
         for action in actions:
             if isinstance(action, Crashed):
                 self._crash()
                 return
-            self._carry_out_one(action)
+            self._carry_out_action(action)
         self.owner.answer_released(self.model.cache)
         self._arm_timer()
 
-    def _carry_out_one(self, action: Started | Done | Rejected) -> None:
+    def _carry_out_action(self, action: Started | Done | Rejected) -> None:
         if isinstance(action, Started):
             self.in_flight[action.token].attempt.started_us = self.clock.now_us()
             return
@@ -253,14 +256,14 @@
         if isinstance(action, Rejected):
             self._reject(request.connection)
         else:
-            self._reply(request.connection, http.HTTPStatus.OK, self._result(request.attempt.request_id))
+            self._reply(request.connection, http.HTTPStatus.OK, self._success_body(request.attempt.request_id))
 
     def _crash(self) -> None:
         self.owner.records.overload_crashes.append((self.clock.now_us(), self.uid))
         self.owner.record_event(f"{self.uid} is pushed over")
         self.stop()
 
-    def _result(self, request_id: str) -> bytes:
+    def _success_body(self, request_id: str) -> bytes:
         origin = b'{"for":"%s","by":"%s"}' % (request_id.encode("latin-1"), self.uid.encode())
         return b'{"data":{"done":true},"extensions":%s}' % origin if self._speaks_graphql else origin
 
@@ -270,7 +273,7 @@
     def _reply(
         self, connection: ConverterConnection, status: http.HTTPStatus, body: bytes, not_run: bool = False
     ) -> None:
-        """Answer the connection's request, or do what the present fault does instead."""
+        """Answer the connection's request, unless the present fault drops, resets or truncates the response."""
         if self._faults.is_unresponsive or self._partitions(connection):
             return
         assert connection.attempt is not None
@@ -308,7 +311,7 @@
             self._listener = None
 
     def _close_sockets(self) -> None:
-        """Reset all connections and refuse new ones, as at the end of a process."""
+        """Reset all connections and refuse new ones, as happens at the end of a process."""
         self._close_listener()
         for connection in list(self._connections):
             connection.end_attempt(AttemptOutcome.RESET)
@@ -318,23 +321,23 @@
         """Listen with a full backlog, so that connection attempts get no answer."""
         self._close_listener()
         address = self.owner.plan.converter_address(self.instance.index)
-        self._blocking = [system.listen(address, 0)]
+        self._blocking_sockets = [system.listen(address, 0)]
         for _ in range(self.owner.backlog_fillers):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(address)
-            self._blocking.append(filler)
+            self._blocking_sockets.append(filler)
 
     def _unblock(self) -> None:
-        for sock in self._blocking:
+        for sock in self._blocking_sockets:
             sock.close()
-        self._blocking.clear()
+        self._blocking_sockets.clear()
 
-    def close_idle(self, now_us: int) -> None:
+    def close_idle_connections(self, now_us: int) -> None:
         """Close the connections that have been idle for too long."""
-        oldest_us = now_us - int(self.instance.machine.group.idle_close_s * 1e6)
+        cutoff_us = now_us - int(self.instance.machine.group.idle_close_s * 1e6)
         for connection in list(self._connections):
-            if connection.attempt is None and connection.last_data_us < oldest_us:
+            if connection.attempt is None and connection.last_data_us < cutoff_us:
                 connection.close()
 
     def stop(self) -> None:
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery: an agent for each sidecar, notified of changes with a delay of its own, with watches."""
+"""Emulates the platform's discovery: an agent for each sidecar, with watches and its own delay of notices."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from ryepier.sidecar import system
 
 MAX_HEAD_BYTES = 8192
-CLOSING_S = 0.05  # for the open watches to see their end
+CLOSE_GRACE_S = 0.05  # time for the tasks of open watches to end
 GET = "GET"
 HOSTS_PATH = "/discovery/hosts"
 HEARTBEAT = b"1\r\n\n\r\n"  # an empty line, as a chunk
-Entry = dict[str, Any]  # a converter in the endpoint list, in discovery's form
-Listing = dict[str, Any]  # a list or a change of it, in discovery's form
+Entry = dict[str, Any]  # a converter in the endpoint list, as a JSON object of the discovery protocol
+Listing = dict[str, Any]  # a full list or changes to it, as a JSON object of the discovery protocol
 
 
-def list_entry(plan: Plan, instance: Instance, state: ListState, unix_zero_ms: int) -> Entry:
-    """Return a converter's entry; `unix_zero_ms` is the wall clock when the run began."""
+def list_entry(plan: Plan, instance: Instance, state: ListState, unix_run_start_ms: int) -> Entry:
+    """Return a converter's entry; `unix_run_start_ms` is the Unix time at which the run began."""
     host, port = plan.converter_address(instance.index)
     group = instance.machine.group
-    boot_ms = unix_zero_ms + instance.start_us // 1000 if instance.start_us is not None else 0
+    boot_ms = unix_run_start_ms + instance.start_us // 1000 if instance.start_us is not None else 0
     return {
         "uid": instance.uid,
         "endpoint": f"{host}:{port}",
@@ -40,28 +40,28 @@
 
 
 def initial_list(plan: Plan, timeline: Timeline) -> Listing:
-    """Return the list when the run begins."""
+    """Return the full list at the beginning of the run."""
     running = [instance for instance in timeline.instances if instance.start_us is None]
-    return {"rev": 1, "all": True, "targets": [list_entry(plan, one, ListState.ACTIVE, 0) for one in running]}
+    return {"rev": 1, "all": True, "targets": [list_entry(plan, instance, ListState.ACTIVE, 0) for instance in running]}
 
 
 class Registry:
-    """The endpoint list as one agent knows it, with the revision of each entry's last change. Pure."""
+    """The endpoint list that one agent knows, with the revision of each entry's last change. This class is pure."""
 
     def __init__(self, listing: Listing) -> None:
         """Start with a full list."""
         self.rev: int = listing["rev"]
         self.targets: dict[str, Entry] = {entry["uid"]: entry for entry in listing["targets"]}
-        self.changed_at: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
+        self.changed_rev: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
 
     def apply_change(self, entry: Entry) -> bool:
-        """Apply a change and return whether it is one: states only advance, so a late notice may be outdated."""
-        known = self.targets.get(entry["uid"])
-        if known is not None and ListState(known["state"]).rank >= ListState(entry["state"]).rank:
+        """Replace an entry, and return whether the list changed. States only advance: a late notice may be outdated."""
+        previous = self.targets.get(entry["uid"])
+        if previous is not None and ListState(previous["state"]).rank >= ListState(entry["state"]).rank:
             return False
         self.rev += 1
         self.targets[entry["uid"]] = entry
-        self.changed_at[entry["uid"]] = self.rev
+        self.changed_rev[entry["uid"]] = self.rev
         return True
 
     def removed_uids(self) -> list[str]:
@@ -70,19 +70,19 @@
 
     def full_list(self) -> Listing:
         """Return the list with all its entries."""
-        present = [entry for entry in self.targets.values() if entry["state"] != ListState.LEFT]
-        return {"rev": self.rev, "all": True, "targets": present}
+        listed = [entry for entry in self.targets.values() if entry["state"] != ListState.LEFT]
+        return {"rev": self.rev, "all": True, "targets": listed}
 
     def changes_since(self, rev: int) -> Listing:
-        """Return what changed after a revision; the full list if it is 0, or not one of this agent's."""
+        """Return the changes after a revision, or the full list if the revision is 0 or not one of this agent's."""
         if rev <= 0 or rev > self.rev:
             return self.full_list()
-        changed = [entry for uid, entry in self.targets.items() if self.changed_at[uid] > rev]
+        changed = [entry for uid, entry in self.targets.items() if self.changed_rev[uid] > rev]
         return {"rev": self.rev, "all": False, "targets": changed}
 
 
 class AgentOwner(Protocol):
-    """The discovery process, as an agent needs it."""
+    """The parts of the discovery process that an agent uses."""
 
     plan: Plan
     clock: Clock
@@ -93,15 +93,15 @@
     """One sidecar's discovery agent, on its socket."""
 
     def __init__(self, owner: AgentOwner, sidecar: int, listing: Listing) -> None:
-        """Start with the list as it is when the run begins."""
+        """Start with the full list at the beginning of the run; `listen` opens the socket."""
         self.owner = owner
         self.sidecar = sidecar
         self.registry = Registry(listing)
         self._muted = False
-        self._frozen = False  # changes are kept back, and the list is served as it was
+        self._frozen = False  # changes are held back, and the unchanged list is served
         self._pending: list[Entry] = []  # changes that arrived while it was muted, frozen or down
         self._server: asyncio.Server | None = None
-        self._watches: dict[asyncio.StreamWriter, int] = {}  # with the revision that each was last sent
+        self._watches: dict[asyncio.StreamWriter, int] = {}  # with the revision last sent to each
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
 
     async def listen(self) -> None:
@@ -126,11 +126,11 @@
         method, _, target = request_line.partition(" ")
         url = urlsplit(target.split(" ")[0])
         query = parse_qs(url.query)
-        since = query.get("since", ["0"])[0]
-        if method != GET or url.path != HOSTS_PATH or not since.isdecimal():
+        since_rev = query.get("since", ["0"])[0]
+        if method != GET or url.path != HOSTS_PATH or not since_rev.isdecimal():
             writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
         elif query.get("follow") == ["1"]:
-            await self._watch(int(since), reader, writer)
+            await self._watch(int(since_rev), reader, writer)
         else:
             listing = self.registry.full_list()
             body = json.dumps(listing).encode()
@@ -138,16 +138,16 @@
             writer.write(head + body)
             self._record_notices(listing)
 
-    async def _watch(self, since: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _watch(self, since_rev: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a watch until the client closes it. Raises ConnectionResetError then."""
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self._watches[writer] = since
-        self._update(writer)
+        self._watches[writer] = since_rev
+        self._write_changes(writer)
         await reader.read()
         raise ConnectionResetError
 
-    def _update(self, writer: asyncio.StreamWriter) -> None:
-        """Write to a watch what has changed since its last update."""
+    def _write_changes(self, writer: asyncio.StreamWriter) -> None:
+        """Write the changes since the last update of a watch."""
         if self._muted:
             return
         listing = self.registry.changes_since(self._watches[writer])
@@ -157,7 +157,7 @@
         self._record_notices(listing)
 
     def _record_notices(self, listing: Listing) -> None:
-        """Record what the sidecar is notified of: a full list also implies that missing converters have left."""
+        """Record the states that the sidecar is notified of; a full list implies that missing converters have left."""
         now_us = self.owner.clock.now_us()
         states = {entry["uid"]: entry["state"] for entry in listing["targets"]}
         if listing["all"]:
@@ -173,7 +173,7 @@
                 writer.write(HEARTBEAT)
 
     async def apply(self, step: Step, entry: Entry | None) -> None:
-        """Carry out one step of the schedule; `entry` is what a notification is about."""
+        """Carry out one step of the schedule; `entry` is the changed converter of a notification."""
         if step.action is FaultAction.NOTIFY and entry is not None:
             self._notify(entry)
         elif step.action is FaultAction.MUTE:
@@ -193,21 +193,21 @@
         if self._muted or self._frozen or self._server is None:
             self._pending.append(entry)
         elif self.registry.apply_change(entry):
-            self._update_all()
+            self._write_changes_to_all()
 
     async def _recover(self) -> None:
-        """Serve normally again, and send the changes that were kept back."""
+        """Serve normally again, and send the changes that were held back."""
         self._muted = self._frozen = False
         for entry in self._pending:
             self.registry.apply_change(entry)
         self._pending.clear()
         if self._server is None:
             await self.listen()
-        self._update_all()
+        self._write_changes_to_all()
 
-    def _update_all(self) -> None:
+    def _write_changes_to_all(self) -> None:
         for writer in list(self._watches):
-            self._update(writer)
+            self._write_changes(writer)
 
     def end_connections(self) -> None:
         """Reset all connections."""
@@ -219,7 +219,7 @@
     """All agents of a run."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Make an agent for each sidecar: of the platform, or an API server with EndpointSlices."""
+        """Create an agent for each sidecar: a discovery agent of the platform, or an API server with EndpointSlices."""
         self.plan = plan
         self.clock = clock
         self.timeline = timeline
@@ -236,13 +236,15 @@
 
     async def run(self) -> RoleRecords:
         """Carry out the schedule's steps until the run ends, and return the records."""
-        unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
-        by_uid = {instance.uid: instance for instance in self.timeline.instances}
+        unix_run_start_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
+        instances_by_uid = {instance.uid: instance for instance in self.timeline.instances}
         heartbeats = asyncio.create_task(self._send_heartbeats())
         for step in [step for step in self.timeline.steps if step.target is TargetKind.DISCOVERY]:
             await self.clock.sleep_until(step.at_us)
             self.meter.record(step.at_us)
-            entry = list_entry(self.plan, by_uid[step.uid], step.state, unix_zero_ms) if step.state else None
+            entry = (
+                list_entry(self.plan, instances_by_uid[step.uid], step.state, unix_run_start_ms) if step.state else None
+            )
             await self.agents[step.index].apply(step, entry)
             if step.action is not FaultAction.NOTIFY:
                 text = f"discovery of sidecar {step.index}: {step.action.value}"
@@ -251,7 +253,7 @@
         heartbeats.cancel()
         for agent in self.agents:
             agent.end_connections()
-        await asyncio.sleep(CLOSING_S)
+        await asyncio.sleep(CLOSE_GRACE_S)
         return self.records
 
     async def _send_heartbeats(self) -> None:
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -1,7 +1,7 @@
-"""GraphQL as the emulator speaks it: the clients' documents, in several equivalent forms, and what converters read.
+"""GraphQL messages of the emulator: the clients' documents, in equivalent forms, and the id that converters read.
 
 Each request class of a world is a field of the schema. A converter identifies an operation by the variable `id`,
-whatever the headers contain.
+regardless of the headers.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from ryepier.emulator.world import Effect, RequestClass, World
 
 PATH = "/graphql"
-GET_EVERY = 3  # queries; one of them is sent as a GET
-ESCAPED_EVERY = 7  # requests; one of them escapes a letter of the keyword, which JSON treats as the same text
+GET_EVERY = 3  # one of this many queries is sent as a GET
+ESCAPED_EVERY = 7  # in one of this many mutations, JSON escapes a letter of the keyword, which does not change the text
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A document and the operationName to send with it; None = no name."""
+    """A document and the operationName to send with it, if any."""
 
     text: str
     operation_name: str | None
@@ -36,17 +36,17 @@
 
 def field_name(class_name: str) -> str:
     """Return the schema's field for a request class: convertFile for convert-file."""
-    first, *others = class_name.split("-")
-    return first + "".join(part.capitalize() for part in others)
+    first_word, *other_words = class_name.split("-")
+    return first_word + "".join(word.capitalize() for word in other_words)
 
 
-def documents(kind: RequestClass) -> list[Document]:
+def documents(request_class: RequestClass) -> list[Document]:
     """Return equivalent documents for a request class, written in different ways."""
-    field = field_name(kind.name)
-    is_deduplicated = kind.effect is Effect.DEDUPLICATED
+    field = field_name(request_class.name)
+    is_deduplicated = request_class.effect is Effect.DEDUPLICATED
     key_variable, key_argument = (", $key: ID!", ", key: $key") if is_deduplicated else ("", "")
     call = f"{field}(id: $id{key_argument}) {{ done }}"
-    if kind.effect is Effect.IDEMPOTENT:
+    if request_class.effect is Effect.IDEMPOTENT:
         return [
             Document(f"query ($id: ID!) {{ {call} }}", None),
             Document(f"query Ask($id: ID!) {{ again: {call} }}", "Ask"),
@@ -61,18 +61,20 @@
     ]
 
 
-def make_request(kind: RequestClass, number: int, request_id: str, key: str, unique: bool) -> GraphqlRequest:
+def make_request(request_class: RequestClass, number: int, request_id: str, key: str, unique: bool) -> GraphqlRequest:
     """Return a request; `number` selects the document's form, and `unique` makes its text differ from all others."""
-    forms = documents(kind)
-    document = forms[number % len(forms)]
+    equivalent_documents = documents(request_class)
+    document = equivalent_documents[number % len(equivalent_documents)]
     text = document.text + (f" # {request_id}" if unique else "")
     variables = {"id": request_id} | ({"key": key} if key else {})
     parameters: dict[str, object] = {"query": text, "variables": variables}
     if document.operation_name is not None:
         parameters["operationName"] = document.operation_name
-    if kind.effect is Effect.IDEMPOTENT and number % GET_EVERY == 0:
-        pairs = {name: value if isinstance(value, str) else json.dumps(value) for name, value in parameters.items()}
-        return GraphqlRequest(b"GET", f"{PATH}?{urlencode(pairs)}".encode(), b"")
+    if request_class.effect is Effect.IDEMPOTENT and number % GET_EVERY == 0:
+        query_parameters = {
+            name: value if isinstance(value, str) else json.dumps(value) for name, value in parameters.items()
+        }
+        return GraphqlRequest(b"GET", f"{PATH}?{urlencode(query_parameters)}".encode(), b"")
     body = json.dumps(parameters)
     if number % ESCAPED_EVERY == 0:
         body = body.replace('"mutation', '"\\u006dutation')
@@ -80,26 +82,28 @@
 
 
 def operation_id(body: bytes) -> str:
-    """Return the id of the operation that a converter has received. Raises ValueError."""
+    """Return the id of the operation in a request's body. Raises ValueError if there is none."""
     try:
-        ident = json.loads(body)["variables"]["id"]
+        id_variable = json.loads(body)["variables"]["id"]
     except (KeyError, TypeError):
         raise ValueError("no operation id") from None
-    if not isinstance(ident, str):
+    if not isinstance(id_variable, str):
         raise ValueError("no operation id")
-    return ident
+    return id_variable
 
 
 def settings_table(world: World) -> str:
     """Return the [graphql] table of the sidecars' settings file."""
-    queries = next(kind.name for kind in world.classes if kind.effect is Effect.IDEMPOTENT)
-    mutations = next(kind.name for kind in world.classes if kind.effect is Effect.AT_MOST_ONCE)
+    queries = next(request_class.name for request_class in world.classes if request_class.effect is Effect.IDEMPOTENT)
+    mutations = next(
+        request_class.name for request_class in world.classes if request_class.effect is Effect.AT_MOST_ONCE
+    )
     text = f'[graphql]\npath = "{PATH}"\nqueries = "{queries}"\nmutations = "{mutations}"\n'
-    for kind in world.classes:
+    for request_class in world.classes:
         text += (
-            f'[[graphql.fields]]\ntype = "{"query" if kind.effect is Effect.IDEMPOTENT else "mutation"}"\n'
-            f'name = "{field_name(kind.name)}"\nrequest_class = "{kind.name}"\n'
+            f'[[graphql.fields]]\ntype = "{"query" if request_class.effect is Effect.IDEMPOTENT else "mutation"}"\n'
+            f'name = "{field_name(request_class.name)}"\nrequest_class = "{request_class.name}"\n'
         )
-        if kind.effect is Effect.DEDUPLICATED:
+        if request_class.effect is Effect.DEDUPLICATED:
             text += 'key = "key"\n'
     return text
--- a/ryepier/emulator/loopback.py
+++ b/ryepier/emulator/loopback.py
@@ -14,9 +14,9 @@
 
 def find_network() -> int:
     """Return a loopback network that no other run on this machine uses. Raises HarnessError."""
-    count = MAX_NETWORK - MIN_NETWORK + 1
-    for offset in range(count):
-        network = MIN_NETWORK + (os.getpid() + offset) % count
+    network_count = MAX_NETWORK - MIN_NETWORK + 1
+    for offset in range(network_count):
+        network = MIN_NETWORK + (os.getpid() + offset) % network_count
         if _is_free(network):
             return network
     raise HarnessError("every loopback network is in use")
@@ -29,6 +29,6 @@
             sock.bind((f"127.{network}.0.1", CONVERTER_PORT))
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
-                raise HarnessError(f"no loopback address can be had: {error}") from error
+                raise HarnessError(f"cannot bind a loopback address: {error}") from error
             return False
     return True
--- a/ryepier/emulator/planner_processes.py
+++ b/ryepier/emulator/planner_processes.py
@@ -17,7 +17,7 @@
     """All planners of a run."""
 
     def __init__(self, plan: Plan, folder: Path, command: Sequence[str], restart_command: Sequence[str]) -> None:
-        """`restart_command` is how a planner is started after it was killed."""
+        """Prepare without starting any. `command` starts a planner, `restart_command` starts it again after a kill."""
         self.plan = plan
         self.folder = folder
         self.command = command
@@ -31,7 +31,7 @@
             snapshots = self.folder / f"planner-{index}"
             shutil.rmtree(snapshots, ignore_errors=True)
             snapshots.mkdir()
-            text = files.planner_text(self.plan, index, snapshots if settings.snapshots else None)
+            text = files.planner_settings_text(self.plan, index, snapshots if settings.snapshots else None)
             self._settings_path(index).write_text(text)
             self._processes.append(self._start(index, self.command))
 
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -28,16 +28,16 @@
 from ryepier.sim.run import SimLoop, simulate
 
 NETWORK = 16
-START_S = 0.2  # for the sidecars to become ready
+STARTUP_S = 0.2  # time for the sidecars to become ready
 
 
 class Simulation:
-    """One run."""
+    """One run of a world in simulation."""
 
     def __init__(self, world: World, seed: int, folder: Path) -> None:
         """Prepare a run whose files go to `folder`. Raises HarnessError for a world that cannot be simulated."""
         if world.sidecars.count == 0:
-            raise HarnessError("not simulated: a world without sidecars")
+            raise HarnessError("a world without sidecars cannot be simulated")
         self.world = world
         self.seed = seed
         self.folder = folder
@@ -48,7 +48,7 @@
 
     def _make_sidecars(self, loop: SimLoop) -> list[SimulatedSidecar]:
         sidecars = []
-        for index, text in enumerate(files.platform_files(self.plan, self.timeline)):
+        for index, text in enumerate(files.platform_configurations(self.plan, self.timeline)):
             path = self.folder / f"sidecar-{index}.json"
             path.write_text(text)
             config, components = platform.load(str(path)), PLATFORM
@@ -65,12 +65,12 @@
         for index in range(self.world.planners.count):
             snapshots = self.folder / f"snapshots-{index}"
             snapshots.mkdir(exist_ok=True)
-            text = files.planner_text(self.plan, index, snapshots if self.world.planners.snapshots else None)
+            text = files.planner_settings_text(self.plan, index, snapshots if self.world.planners.snapshots else None)
             planners.append(SimulatedPlanner(loop, index, operator_settings.parse(text, {}), self.seed))
         return planners
 
     async def run(self, loop: SimLoop) -> History:
-        """Run the world, and return what all sides observed."""
+        """Run the world, and return the records of all processes."""
         roles: list[Role] = [
             discovery.DiscoveryRole(self.plan, self.clock, self.timeline),
             converters.ConverterRole(self.plan, self.clock, self.timeline, simulated=True),
@@ -82,22 +82,24 @@
         processes: list[SimulatedProcess] = [*planners, *sidecars]
         for process in processes:
             process.start()
-        await asyncio.sleep(START_S)
+        await asyncio.sleep(STARTUP_S)
         self.clock.run_start_us = monotonic_us() + int(BEGIN_DELAY_S * 1e6)
         records = await self._run(roles, {TargetKind.SIDECAR: sidecars, TargetKind.PLANNER: planners})
         await self._stop(loop, processes)
-        incarnations = [one for sidecar in sidecars for one in sidecar.incarnations_since(self.clock.run_start_us)]
+        incarnations = [
+            incarnation for sidecar in sidecars for incarnation in sidecar.incarnations_since(self.clock.run_start_us)
+        ]
         return join(records, incarnations, self.events)
 
     async def _run(
         self, roles: Sequence[Role], processes: Mapping[TargetKind, Sequence[SimulatedProcess]]
     ) -> list[RoleRecords]:
         """Carry out the schedule to the end of the run, and return the roles' records."""
-        ticking = [asyncio.create_task(role.meter.tick()) for role in roles]
+        lateness_tasks = [asyncio.create_task(role.meter.tick()) for role in roles]
         schedule = asyncio.create_task(self._run_schedule(processes))
         records = await asyncio.gather(*(role.run() for role in roles))
         await schedule
-        for task in ticking:
+        for task in lateness_tasks:
             task.cancel()
         for role, role_records in zip(roles, records, strict=True):
             role_records.lateness = role.meter.result(role_records.role)
@@ -113,7 +115,7 @@
                 processes[step.target][step.index].apply(step)
 
     async def _stop(self, loop: SimLoop, processes: Sequence[SimulatedProcess]) -> None:
-        """End all processes; one that raises has failed the run."""
+        """Stop all processes; an exception of a process fails the run."""
         for process in processes:
             process.stop.set()
         for process in processes:
@@ -121,21 +123,21 @@
             try:
                 await process.task
             except Exception as error:  # noqa: BLE001
-                loop.failures.append(f"{process.owner} ended by itself: {error!r}")
+                loop.failures.append(f"{process.process_name} ended by itself: {error!r}")
 
 
 def run_world(world: World, seed: int, folder: Path | None = None) -> History:
-    """Run a world once in simulation, and return what all sides observed; logs go to `folder`, if one is given.
+    """Run a world once in simulation, and return the records of all processes; logs go to `folder`, if one is given.
 
-    Raises HarnessError for a world that cannot be simulated, and what `simulate` raises if the run fails.
+    Raises HarnessError for a world that cannot be simulated, and the exceptions of `simulate` if the run fails.
     """
     with contextlib.ExitStack() as stack:
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
-        work = Path(stack.enter_context(tempfile.TemporaryDirectory()))
+        work_folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
 
         async def main(loop: SimLoop) -> History:
             with capture_logs(loop, folder):
-                return await Simulation(world, seed, work).run(loop)
+                return await Simulation(world, seed, work_folder).run(loop)
 
         return simulate(seed, main)
--- a/ryepier/emulator/simulated_logs.py
+++ b/ryepier/emulator/simulated_logs.py
@@ -1,4 +1,4 @@
-"""Logs of simulated processes: a file for each, and exceptions that were only logged."""
+"""Logs of simulated processes: a file for each process, and detection of logged exceptions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Writes each process's records to a file of its own. An exception that a process logs fails the run."""
 
     def __init__(self, loop: SimLoop, folder: Path | None) -> None:
-        """Without a folder, only look for exceptions."""
+        """Write log files to `folder`; without one, only add logged exceptions to the failures of `loop`."""
         super().__init__()
         self.loop = loop
         self.folder = folder
@@ -27,19 +27,19 @@
         self.setFormatter(JsonLinesFormatter())
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Handle a record of a simulated process; others are ignored."""
-        owner = CURRENT_PROCESS.get()
-        if not owner:
+        """Handle a record of a simulated process; other records are ignored."""
+        process_name = CURRENT_PROCESS.get()
+        if not process_name:
             return
         if record.exc_info is not None and record.exc_info[0] is not None:
-            failure = f"{self.loop.now_s:.6f} s: {owner}: {record.getMessage()}: {record.exc_info[1]!r}"
+            failure = f"{self.loop.now_s:.6f} s: {process_name}: {record.getMessage()}: {record.exc_info[1]!r}"
             self.loop.failures.append(failure)
         if self.folder is not None:
             record.created = system.unix_ns() / 1e9
-            self._file(self.folder, owner).write(self.format(record) + "\n")
+            self._file(self.folder, process_name).write(self.format(record) + "\n")
 
-    def _file(self, folder: Path, owner: str) -> TextIO:
-        name = owner.partition(",")[0].replace(" ", "-")
+    def _file(self, folder: Path, process_name: str) -> TextIO:
+        name = process_name.partition(",")[0].replace(" ", "-")
         if name not in self._files:
             self._files[name] = self._stack.enter_context((folder / f"{name}.log").open("w"))
         return self._files[name]
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -1,7 +1,8 @@
-"""Discovery through EndpointSlices: an API server for each sidecar, notified of changes with a delay of its own.
+"""Discovery through EndpointSlices: an API server for each sidecar, notified of changes after its own delay.
 
-A world's `mess` has a share of the drains come with contradictions that occur in real clusters: a second slice that
-still lists the endpoint as ready, a slice recreated from outdated content, a newer state overwritten by an older one.
+A share of the drains (`mess` in the world file) comes with contradictory slices, as they occur in real clusters: a
+second slice that still lists the endpoint as ready, a slice recreated from outdated content, or a newer state
+overwritten by an older one.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 NAMESPACE, SERVICE = "default", "converters"
 PORTS = [{"name": "http", "port": CONVERTER_PORT, "protocol": "TCP"}]
-EXTRA_PREFIX = "extra"  # of slices that contradict the regular ones
+EXTRA_PREFIX = "extra"  # name prefix of slices that contradict the regular ones
 PERCENT = 100
 
 
@@ -34,7 +35,7 @@
 
 
 class AgentOwner(Protocol):
-    """The discovery process, as an agent needs it."""
+    """The parts of the discovery process that an agent uses."""
 
     plan: Plan
     clock: Clock
@@ -43,10 +44,10 @@
 
 def make_endpoint(entry: dict[str, Any]) -> ApiObject:
     """Return the endpoint for an entry of the platform's list."""
-    leaving = entry["state"] == ListState.LEAVING
+    is_leaving = entry["state"] == ListState.LEAVING
     return {
         "addresses": [entry["endpoint"].rpartition(":")[0]],
-        "conditions": {"ready": not leaving, "serving": True, "terminating": leaving},
+        "conditions": {"ready": not is_leaving, "serving": True, "terminating": is_leaving},
         "targetRef": {"kind": "Pod", "namespace": NAMESPACE, "name": entry["uid"], "uid": entry["uid"]},
         "nodeName": f"node-{entry['pod_group']}",
         "zone": entry["az"],
@@ -54,19 +55,19 @@
 
 
 class Cluster:
-    """The slices of the one service, as their controller maintains them. Pure."""
+    """The EndpointSlices of the service, as the EndpointSlice controller maintains them. This class is pure."""
 
     def __init__(self, store: Store, size: int) -> None:
         """Start without slices; each holds up to `size` endpoints."""
         self.store = store
         self.size = size
         self.contents: dict[str, dict[str, ApiObject]] = {}  # endpoints by slice and pod
-        self.removed_at: dict[str, int] = {}  # removed pods, with the resource version of the removal
+        self.removed_versions: dict[str, int] = {}  # removed pods, with the resource version of the removal
 
-    def change(self, entry: dict[str, Any], conflict: Conflict | None = None) -> None:
-        """Apply a change of a pod's state, with a contradiction if one is given. Removed pods do not return."""
+    def apply_change(self, entry: dict[str, Any], conflict: Conflict | None = None) -> None:
+        """Apply a change of a pod's state, with a contradiction if one is given. Removed pods are not listed again."""
         uid = entry["uid"]
-        if uid in self.removed_at:
+        if uid in self.removed_versions:
             return
         if entry["state"] == ListState.LEFT:
             self._remove(uid)
@@ -75,15 +76,15 @@
         self.contents.setdefault(name, {})[uid] = make_endpoint(entry)
         self._put(name)
         if conflict is not None:
-            self._contradict(conflict, name, entry)
+            self._add_conflict(conflict, name, entry)
 
     def _slice_for(self, uid: str) -> str:
-        """Return the regular slice that lists a pod, else one with a free place, else a new one."""
-        regular = {name: pods for name, pods in self.contents.items() if not name.startswith(EXTRA_PREFIX)}
-        for name, pods in regular.items():
+        """Return the name of the regular slice that lists a pod, else of one with room for it, else a new name."""
+        regular_slices = {name: pods for name, pods in self.contents.items() if not name.startswith(EXTRA_PREFIX)}
+        for name, pods in regular_slices.items():
             if uid in pods:
                 return name
-        for name, pods in regular.items():
+        for name, pods in regular_slices.items():
             if len(pods) < self.size:
                 return name
         return f"{SERVICE}-{len(self.contents):03d}"
@@ -96,17 +97,17 @@
         for name, pods in list(self.contents.items()):
             if pods.pop(uid, None) is not None:
                 self._put(name)
-        self.removed_at[uid] = self.store.version
+        self.removed_versions[uid] = self.store.version
 
-    def _contradict(self, conflict: Conflict, name: str, entry: dict[str, Any]) -> None:
+    def _add_conflict(self, conflict: Conflict, name: str, entry: dict[str, Any]) -> None:
         uid = entry["uid"]
-        outdated = make_endpoint(entry | {"state": ListState.ACTIVE})
+        outdated_endpoint = make_endpoint(entry | {"state": ListState.ACTIVE})
         if conflict is Conflict.SECOND_SLICE:
-            second = f"{EXTRA_PREFIX}-{uid}"
-            self.contents[second] = {uid: outdated}
-            self._put(second)
+            second_name = f"{EXTRA_PREFIX}-{uid}"
+            self.contents[second_name] = {uid: outdated_endpoint}
+            self._put(second_name)
             return
-        self.contents[name][uid] = outdated
+        self.contents[name][uid] = outdated_endpoint
         if conflict is Conflict.RECREATED_SLICE:
             self.store.delete(NAMESPACE, name)
         self._put(name)
@@ -116,14 +117,14 @@
     """One sidecar's API server, in place of a `ryepier.emulator.discovery.Agent`."""
 
     def __init__(self, owner: AgentOwner, sidecar: int, listing: dict[str, Any]) -> None:
-        """Start with the list as it is when the run begins."""
+        """Start with the full list at the beginning of the run; `listen` opens the socket."""
         self.owner = owner
         self.sidecar = sidecar
         settings = owner.plan.world.discovery
         self._conflict_share = settings.conflict_share
         self.cluster = Cluster(Store(), settings.slice_size)
         for entry in listing["targets"]:
-            self.cluster.change(entry)
+            self.cluster.apply_change(entry)
         self.api = ApiServer(self.cluster.store, on_written=self._record_notices)
 
     async def listen(self) -> None:
@@ -131,9 +132,9 @@
         await self.api.listen(*self.owner.plan.discovery_address(self.sidecar))
 
     async def apply(self, step: Step, entry: dict[str, Any] | None) -> None:
-        """Carry out one step of the schedule; `entry` is what a notification is about."""
+        """Carry out one step of the schedule; `entry` is the changed converter of a notification."""
         if step.action is FaultAction.NOTIFY and entry is not None:
-            self.cluster.change(entry, self._conflict_of(entry))
+            self.cluster.apply_change(entry, self._conflict_of(entry))
         elif step.action is FaultAction.MUTE:
             self.api.faults.silent = True
         elif step.action is FaultAction.RESUME_UPDATES:
@@ -142,29 +143,29 @@
             self.api.close()
         elif step.action is FaultAction.UP:
             self.cluster.store.compact()
-            if not self.api.is_listening:  # it is already, where two faults overlap
+            if not self.api.is_listening:  # two overlapping faults may have restarted it already
                 await self.listen()
         elif step.action is FaultAction.BREAK_WATCHES:
             self.api.end_connections()
         self.api.on_change()
 
     def _conflict_of(self, entry: dict[str, Any]) -> Conflict | None:
-        """Return the contradiction that comes with a drain; the same at all sidecars, which share one cluster."""
+        """Return the contradiction that comes with a drain; the same for all sidecars, as they share one cluster."""
         number = int(entry["uid"].rpartition("-")[2], 16)
         if entry["state"] != ListState.LEAVING or number % PERCENT >= self._conflict_share * PERCENT:
             return None
         return CONFLICTS[number % len(CONFLICTS)]
 
     def _record_notices(self, writer: asyncio.StreamWriter, objects: list[ApiObject], is_full_list: bool) -> None:
-        """Record what the sidecar is notified of: a full list also implies that missing converters have left."""
+        """Record the states that the sidecar is notified of; a full list implies that missing converters have left."""
         now_us = self.owner.clock.now_us()
         states: dict[str, ListState] = {}
-        for found in objects:
-            version = int(found["metadata"]["resourceVersion"])
-            for uid, removed_at in self.cluster.removed_at.items():
-                if is_full_list or removed_at == version:
+        for api_object in objects:
+            version = int(api_object["metadata"]["resourceVersion"])
+            for uid, removed_version in self.cluster.removed_versions.items():
+                if is_full_list or removed_version == version:
                     states[uid] = ListState.LEFT
-            for endpoint in found["endpoints"]:
+            for endpoint in api_object["endpoints"]:
                 if endpoint["conditions"]["terminating"]:
                     states[endpoint["targetRef"]["uid"]] = ListState.LEAVING
         self.owner.records.notices += [
