--- a/ryepier/balancer/actions.py
+++ b/ryepier/balancer/actions.py
@@ -17,7 +17,7 @@
     request: int
     upstream: int
     timeout_us: int = 0  # 0 = until the client disconnects
-    latest_write_us: int = 0  # must not be written later, however long connecting takes; 0 = no limit
+    latest_write_at_us: int = 0  # must not be written later, however long connecting takes; 0 = no limit
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -12,9 +12,9 @@
 class AdmissionRate:
     """Share of the selections in a pool that may take a slot; falls while answers are slow on average."""
 
-    def __init__(self, rates_updated_us: int) -> None:
-        """Start with full admission and no measurements; `rates_updated_us` is the current time (us)."""
-        self.rates_updated_us = rates_updated_us
+    def __init__(self, rates_updated_at_us: int) -> None:
+        """Start with full admission and no measurements; `rates_updated_at_us` is the current time (us)."""
+        self.rates_updated_at_us = rates_updated_at_us
         self.admitted_share = 1.0
         self.credit = 1.0  # selections admitted and not yet used
         self.load = 0.0  # moving average of the latency, relative to the slow latency of the class
@@ -31,10 +31,10 @@
 
     def count_attempt(self, now_us: int) -> None:
         """Update the attempt rates with one attempt."""
-        since_us = now_us - self.rates_updated_us
-        self.rates_updated_us = now_us
-        self.send_rate = decayed_rate(self.send_rate, 1.0, since_us, tuning.RATE_TIME_CONSTANT_US)
-        self.burst_rate = decayed_rate(self.burst_rate, 1.0, since_us, tuning.BURST_TIME_CONSTANT_US)
+        elapsed_us = now_us - self.rates_updated_at_us
+        self.rates_updated_at_us = now_us
+        self.send_rate = decayed_rate(self.send_rate, 1.0, elapsed_us, tuning.RATE_TIME_CONSTANT_US)
+        self.burst_rate = decayed_rate(self.burst_rate, 1.0, elapsed_us, tuning.BURST_TIME_CONSTANT_US)
 
     def is_overloaded(self) -> bool:
         """Return whether answers are slow on average; single answers are slow by chance at any load."""
@@ -55,7 +55,7 @@
         sends_per_s = min(rates) if is_fast else max(rates)
         gain = tuning.ADMISSION_GAIN / max(1.0, sends_per_s)
         factor = max(tuning.MIN_ADMISSION_FACTOR, 1.0 + gain * (tuning.TARGET_LOAD - load))
-        self.admitted_share = min(1.0, max(self.admitted_share * factor, tuning.MIN_ADMISSION_RATE))
+        self.admitted_share = min(1.0, max(self.admitted_share * factor, tuning.MIN_ADMITTED_SHARE))
 
 
 class EvenSampler:
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -18,7 +18,7 @@
 from ryepier.balancer.pool import UpstreamPool
 from ryepier.balancer.retries import RetryPolicy
 from ryepier.balancer.selection import Selector
-from ryepier.balancer.upstream import ANSWERED, Attempt, PendingRequest, TrackedUpstream
+from ryepier.balancer.upstream import ANSWERED_OUTCOMES, Attempt, PendingRequest, TrackedUpstream
 from ryepier.balancer.wake_ups import WakeUp, WakeUpKind, WakeUpQueue
 
 
@@ -41,12 +41,12 @@
         self.feedback = AttemptFeedback(self.estimates, self.outliers, self.membership)
         self.selector = Selector(self.membership, self.retries, self.outliers, self.estimates, self.random)
         self.endpoint_poller = EndpointPoller(settings, self.random)
-        self.last_shortage_us = 0  # when a request last found no free slot; 0 = never
+        self.last_shortage_at_us = 0  # when a request last found no free slot; 0 = never
         # A shortage is assumed to last this long after the last request that found no free slot.
         self.shortage_duration_us = 2 * max(
             request_class.latency_objective_us for request_class in settings.classes
         )
-        self.next_log_us = now_us
+        self.next_log_at_us = now_us
         self.wake_ups = WakeUpQueue()
         self.schedule_poll(now_us)
 
@@ -133,8 +133,8 @@
 
     def place(self, request: PendingRequest) -> None:
         """Send a request if a slot is free, else put it into the buffer, else give its final answer."""
-        latest_us = self.retries.latest_start_us(request)
-        if self.now_us >= latest_us:
+        latest_start_at_us = self.retries.latest_start_at_us(request)
+        if self.now_us >= latest_start_at_us:
             self.reject_or_fail(request)
             return
         self.count_demand()
@@ -142,9 +142,9 @@
         if upstream is not None:
             self.send(request, upstream)
             return
-        self.last_shortage_us = self.now_us
+        self.last_shortage_at_us = self.now_us
         if self.may_take_buffer(request) and self.retries.may_send(request, self.now_us):
-            self.put_into_buffer(request, latest_us)
+            self.put_into_buffer(request, latest_start_at_us)
         else:
             self.reject_or_fail(request)
 
@@ -155,12 +155,15 @@
             return True
         return self.admission.priority(request) > self.admission.priority(self.buffer)
 
-    def put_into_buffer(self, request: PendingRequest, latest_us: int) -> None:
-        """Buffer a request until `latest_us` at most. A request that it replaces gets its final answer."""
+    def put_into_buffer(self, request: PendingRequest, latest_start_at_us: int) -> None:
+        """Put a request into the buffer, until `latest_start_at_us` at the latest. A request that it replaces
+        there gets its final answer."""
         if self.buffer is not None:
             self.reject_or_fail(self.buffer)
         self.buffer = request
-        until_us = min(self.now_us + self.estimates.slow_latency_us[request.event.class_index], latest_us)
+        until_us = min(
+            self.now_us + self.estimates.slow_latency_us[request.event.class_index], latest_start_at_us
+        )
         self.schedule_wake_up(until_us, WakeUpKind.BUFFER_TIMEOUT, request.event.request)
 
     def send_buffered_request(self) -> None:
@@ -185,18 +188,18 @@
         pool.admission.count_attempt(self.now_us)
         pool.subset.members[upstream] = None
         self.retries.charge_budget(request, self.admission.storm.active)
-        latest_write_us = self.retries.latest_write_us(request)
+        latest_write_at_us = self.retries.latest_write_at_us(request)
         follows_timeout = any(earlier.outcome is api.Outcome.TIMEOUT for earlier in request.attempts)
         attempt = Attempt(upstream, upstream.entry, event.class_index, self.now_us, follows_timeout)
         upstream.in_flight += 1
         upstream.outstanding.append(attempt)
         request.attempts.append(attempt)
-        overdue_us = self.now_us + request.request_class.latency_objective_us
+        overdue_at_us = self.now_us + request.request_class.latency_objective_us
         self.schedule_wake_up(
-            overdue_us, WakeUpKind.ATTEMPT_OVERDUE, event.request, len(request.attempts) - 1
+            overdue_at_us, WakeUpKind.ATTEMPT_OVERDUE, event.request, len(request.attempts) - 1
         )
         timeout_us = self.retries.timeout_us(request, self.now_us)
-        self.actions.append(api.Send(event.request, upstream.entry.id, timeout_us, latest_write_us))
+        self.actions.append(api.Send(event.request, upstream.entry.id, timeout_us, latest_write_at_us))
         hedge_delay_us = self.retries.hedge_delay_us(request)
         if hedge_delay_us is not None:
             self.schedule_wake_up(self.now_us + hedge_delay_us, WakeUpKind.HEDGE, event.request)
@@ -236,13 +239,13 @@
         upstream = attempt.upstream
         pool = self.membership.pool_of(upstream)
         slow_latency_us = self.estimates.slow_latency_us[attempt.class_index]
-        needed_until_us = self.last_shortage_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
-        slots_needed = attempt.sent_us <= needed_until_us
+        needed_until_us = self.last_shortage_at_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
+        slots_needed = attempt.sent_at_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
             if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # it may rejoin later
                 self.close_idle(pool.subset.leave(upstream))
             self.log_ejection(upstream)
-        if attempt.outcome in ANSWERED:
+        if attempt.outcome in ANSWERED_OUTCOMES:
             self.add_slow_start_credit(pool, 1.0)
 
     def count_demand(self) -> None:
@@ -257,19 +260,19 @@
         """Give the warming upstreams of a pool slow-start credit for `served` requests."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
-        shortage_ends_us = self.last_shortage_us + self.shortage_duration_us
-        in_shortage = self.last_shortage_us > 0 and self.now_us <= shortage_ends_us
+        shortage_ends_at_us = self.last_shortage_at_us + self.shortage_duration_us
+        in_shortage = self.last_shortage_at_us > 0 and self.now_us <= shortage_ends_at_us
         pool.slow_start.add_credit(served, in_shortage, self.now_us)
 
     def schedule_poll(self, at_us: int) -> None:
         """Schedule a poll of the endpoint list at `at_us`, if lists are polled."""
         if self.settings.polls_endpoints:
-            self.endpoint_poller.next_poll_us = at_us
+            self.endpoint_poller.next_poll_at_us = at_us
             self.schedule_wake_up(at_us, WakeUpKind.ENDPOINT_POLL, 0)
 
     def poll_endpoints(self) -> None:
         """Poll the endpoint list if a poll is due, and schedule the next one in case no answer comes."""
-        if 0 < self.endpoint_poller.next_poll_us <= self.now_us:
+        if 0 < self.endpoint_poller.next_poll_at_us <= self.now_us:
             self.actions.append(api.Subscribe(True))
             self.schedule_poll(self.endpoint_poller.on_poll(self.now_us))
 
@@ -296,18 +299,20 @@
     def arm_timer(self) -> None:
         """Request a timer for the next wake-up. If a request is buffered and an ejection ends before, the
         timer is for the end of the ejection."""
-        ejection_ends_us: list[int] = []
+        ejection_end_times_us: list[int] = []
         if self.buffer is not None:
-            ejection_ends_us = self.outliers.ejection_ends_us(self.buffer.event.class_index, self.now_us)
-        timer_us = self.wake_ups.timer_to_request(ejection_ends_us)
-        if timer_us is not None:
-            self.actions.append(api.SetTimer(timer_us, 0))
+            ejection_end_times_us = self.outliers.ejection_end_times_us(
+                self.buffer.event.class_index, self.now_us
+            )
+        timer_at_us = self.wake_ups.timer_to_request(ejection_end_times_us)
+        if timer_at_us is not None:
+            self.actions.append(api.SetTimer(timer_at_us, 0))
 
     def log(self, text: str, upstream: int | None = None) -> bool:
         """Log a line unless one was logged within `LOG_INTERVAL_US`. Returns whether it was logged."""
-        if self.now_us < self.next_log_us:
+        if self.now_us < self.next_log_at_us:
             return False
-        self.next_log_us = self.now_us + tuning.LOG_INTERVAL_US
+        self.next_log_at_us = self.now_us + tuning.LOG_INTERVAL_US
         self.actions.append(api.Log(text, upstream))
         return True
 
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -14,18 +14,18 @@
         self.instances = settings.instances
         self.random = random
         max_interval_us = settings.max_poll_interval_us // 2 or tuning.MAX_LIST_STALENESS_US
-        latest_start_us = tuning.MAX_LIST_STALENESS_US - tuning.MAX_POLL_DURATION_US
+        max_staleness_gap_us = tuning.MAX_LIST_STALENESS_US - tuning.MAX_POLL_DURATION_US
         # from the start of a poll, or the last message of a watch, to the next poll
-        self.max_gap_us = min(latest_start_us, max_interval_us)
-        self.next_poll_us = 0  # 0 = none is scheduled, as a watch is open
-        self.last_contact_us: int | None = None  # last contact before the failures; None = no failure
+        self.max_gap_us = min(max_staleness_gap_us, max_interval_us)
+        self.next_poll_at_us = 0  # 0 = none is scheduled, as a watch is open
+        self.last_contact_at_us: int | None = None  # last contact before the failures; None = no failure
         self.consecutive_failures = 0
         self.spread_us = 0  # over which the last backoff was drawn; 0 = no backoff since the last list
 
     def on_list_received(self) -> None:
         """Record that a current list has arrived."""
-        self.consecutive_failures = self.next_poll_us = self.spread_us = 0
-        self.last_contact_us = None
+        self.consecutive_failures = self.next_poll_at_us = self.spread_us = 0
+        self.last_contact_at_us = None
 
     def on_failure(self, now_us: int, silent_us: int) -> int:
         """Record a failed poll or watch, `silent_us` after the last contact.
@@ -33,16 +33,16 @@
         Returns the time of the next poll (us).
         """
         self.consecutive_failures += 1
-        if self.last_contact_us is None:
-            self.last_contact_us = now_us - silent_us
-        return self._backoff_until_us(now_us, self.last_contact_us)
+        if self.last_contact_at_us is None:
+            self.last_contact_at_us = now_us - silent_us
+        return self._backoff_until_us(now_us, self.last_contact_at_us)
 
     def on_poll(self, now_us: int) -> int:
         """Record the start of a poll. Returns the time of the next poll (us) if no answer comes."""
-        self.last_contact_us = now_us
+        self.last_contact_at_us = now_us
         return now_us + self.max_gap_us
 
-    def _backoff_until_us(self, now_us: int, last_contact_us: int) -> int:
+    def _backoff_until_us(self, now_us: int, last_contact_at_us: int) -> int:
         """Return the time of the next poll after a failure: full jitter over a span that doubles with each
         failure.
 
@@ -51,10 +51,10 @@
         Once polls are spread over half the longest gap, each sidecar keeps its offset. With new random
         offsets, polls would be twice as frequent, and most of them would come soon after a recovery.
         """
-        latest_us = max(now_us, last_contact_us + self.max_gap_us)
+        latest_poll_at_us = max(now_us, last_contact_at_us + self.max_gap_us)
         if self.spread_us >= self.max_gap_us // 2:
-            return latest_us
-        first_us = max(tuning.MIN_POLL_BACKOFF_US, tuning.FLEET_POLL_INTERVAL_US * self.instances)
-        backoff_us = first_us * 2 ** min(self.consecutive_failures - 1, tuning.MAX_BACKOFF_DOUBLINGS)
-        self.spread_us = min(backoff_us, latest_us - now_us)
+            return latest_poll_at_us
+        first_spread_us = max(tuning.MIN_POLL_BACKOFF_US, tuning.FLEET_POLL_INTERVAL_US * self.instances)
+        backoff_us = first_spread_us * 2 ** min(self.consecutive_failures - 1, tuning.MAX_BACKOFF_DOUBLINGS)
+        self.spread_us = min(backoff_us, latest_poll_at_us - now_us)
         return now_us + int(self.spread_us * self.random.random())
--- a/ryepier/balancer/estimates.py
+++ b/ryepier/balancer/estimates.py
@@ -7,9 +7,9 @@
 from ryepier.balancer.settings import RequestClass
 
 
-def decayed_rate(rate: float, amount: float, since_us: int, time_constant_us: int) -> float:
-    """Return an exponentially averaged rate per second: add `amount`, `since_us` after the last update."""
-    return rate * math.exp(-since_us / time_constant_us) + amount * tuning.SECOND_US / time_constant_us
+def decayed_rate(rate: float, amount: float, elapsed_us: int, time_constant_us: int) -> float:
+    """Return an exponentially averaged rate per second: add `amount`, `elapsed_us` after the last update."""
+    return rate * math.exp(-elapsed_us / time_constant_us) + amount * tuning.SECOND_US / time_constant_us
 
 
 class RequestEstimates:
--- a/ryepier/balancer/events.py
+++ b/ryepier/balancer/events.py
@@ -52,7 +52,7 @@
     kind: int = 0
     failure_domain: int = 0
     weight: float = 1.0
-    started_us: int = 0  # its most recent start; 0 = long ago
+    started_at_us: int = 0  # its most recent start; 0 = long ago
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -70,7 +70,7 @@
     """A client's request has arrived and needs a final answer."""
 
     request: int
-    due_us: int  # the client's deadline
+    due_at_us: int  # the client's deadline
     class_index: int = 0
     tenant: int = 0
     key: int = 0  # 0 = none
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -5,9 +5,9 @@
 from ryepier.balancer.events import Outcome
 from ryepier.balancer.membership import Membership
 from ryepier.balancer.outlier_detection import FaultVerdict, OutlierDetector
-from ryepier.balancer.upstream import ANSWERED, Attempt
+from ryepier.balancer.upstream import ANSWERED_OUTCOMES, Attempt
 
-LOAD_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED)  # that show the load of the pool
+LOAD_OUTCOMES = (*ANSWERED_OUTCOMES, Outcome.TIMEOUT, Outcome.REJECTED)  # that show the load of the pool
 
 
 class AttemptFeedback:
@@ -31,7 +31,7 @@
         upstream.in_flight -= int(not attempt.presumed_lost)
         earlier_attempts = upstream.outstanding[: upstream.outstanding.index(attempt)]
         upstream.outstanding.remove(attempt)
-        is_answered = attempt.outcome in ANSWERED
+        is_answered = attempt.outcome in ANSWERED_OUTCOMES
         timed_out = attempt.outcome is Outcome.TIMEOUT
         # An attempt that later ones have overtaken is lost, not slow. If it counted, an upstream that leaves
         # some requests unanswered would lose its slots.
@@ -69,7 +69,7 @@
 
     def _load_of(self, attempt: Attempt, elapsed_us: int) -> float:
         """Return an attempt's latency relative to the slow latency of its class, at most `MAX_LOAD`."""
-        if attempt.outcome not in ANSWERED:
+        if attempt.outcome not in ANSWERED_OUTCOMES:
             return tuning.MAX_LOAD
         return min(tuning.MAX_LOAD, elapsed_us / self.estimates.slow_latency_us[attempt.class_index])
 
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -69,7 +69,7 @@
                 self.by_id.pop(entry.id, None)  # gets no new request from the notification on
                 continue
             upstream = self.by_id.get(entry.id)
-            if upstream is None or upstream.entry.started_us != entry.started_us:
+            if upstream is None or upstream.entry.started_at_us != entry.started_at_us:
                 upstream = self._add(entry)
                 started.append(upstream)
             upstream.concurrency.growing_fast |= event.kind is ListKind.CACHED
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -9,7 +9,7 @@
 from ryepier.balancer.events import Outcome
 from ryepier.balancer.membership import Membership
 from ryepier.balancer.settings import Settings
-from ryepier.balancer.upstream import ANSWERED, FAULTS, Attempt, ClassHealth, TrackedUpstream
+from ryepier.balancer.upstream import ANSWERED_OUTCOMES, FAULT_OUTCOMES, Attempt, ClassHealth, TrackedUpstream
 
 
 class FaultVerdict(enum.Enum):
@@ -31,10 +31,10 @@
         self.estimates = estimates
         self.membership = membership
         self.random = random
-        self.last_ejection_ends_us = 0  # when the last of the ejections for a class ends
+        self.last_ejection_ends_at_us = 0  # when the last of the ejections for a class ends
 
     def observe_fault(self, attempt: Attempt) -> FaultVerdict:
-        """Count whether an attempt was a fault (see `FAULTS`), and return how to treat it.
+        """Count whether an attempt was a fault (see `FAULT_OUTCOMES`), and return how to treat it.
 
         Faults may affect all upstreams equally, and must not eject them then. Only a rejection shows the
         state of the upstream itself, so a single one counts.
@@ -42,7 +42,7 @@
         upstream = attempt.upstream
         outcome = attempt.outcome
         pool = self.membership.pool_of(upstream)
-        is_fault = outcome in FAULTS
+        is_fault = outcome in FAULT_OUTCOMES
         upstream.fault_share += (float(is_fault) - upstream.fault_share) / tuning.FAULT_WINDOW
         pool.fault_share += (float(is_fault) - pool.fault_share) / tuning.POOL_FAULT_WINDOW
         pool_allowance = min(tuning.POOL_FAULT_FACTOR * pool.fault_share, tuning.MAX_POOL_FAULT_ALLOWANCE)
@@ -95,7 +95,7 @@
         first_ejection_us = latency_objective_us * self._jitter()
         ejection_us = int(first_ejection_us * 2 ** (health.timeout_streak - 1))
         health.ejected_until_us = now_us + ejection_us
-        self.last_ejection_ends_us = max(self.last_ejection_ends_us, health.ejected_until_us)
+        self.last_ejection_ends_at_us = max(self.last_ejection_ends_at_us, health.ejected_until_us)
 
     def presume_lost(self, attempt: Attempt) -> None:
         """Free the slot of an overdue attempt if it is presumed lost.
@@ -145,7 +145,7 @@
         """
         upstream = attempt.upstream
         health = upstream.by_class[attempt.class_index]
-        if attempt.outcome in ANSWERED:
+        if attempt.outcome in ANSWERED_OUTCOMES:
             is_fast = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_latency_us[attempt.class_index]
             headroom = upstream.queue_headroom + (1 if is_fast else -1)
             upstream.queue_headroom = min(max(headroom, 0), tuning.MAX_QUEUE_HEADROOM)
@@ -157,18 +157,18 @@
         upstream.queue_headroom = max(upstream.queue_headroom - 1, 0)
         return has_headroom
 
-    def ejection_ends_us(self, class_index: int, now_us: int) -> list[int]:
+    def ejection_end_times_us(self, class_index: int, now_us: int) -> list[int]:
         """Return the end times (us) of the current ejections that affect a class."""
-        ends_us = []
+        end_times_us = []
         for upstream in self.membership.by_id.values():
-            end_us = max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
-            if end_us > now_us:
-                ends_us.append(end_us)
-        return ends_us
+            end_at_us = max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
+            if end_at_us > now_us:
+                end_times_us.append(end_at_us)
+        return end_times_us
 
     def class_ejections_apply(self, listed: Iterable[TrackedUpstream], class_index: int, now_us: int) -> bool:
         """Return whether ejections for a class apply: not if most upstreams would be ejected."""
-        if now_us >= self.last_ejection_ends_us:
+        if now_us >= self.last_ejection_ends_at_us:
             return True
         ejected = [now_us < upstream.by_class[class_index].ejected_until_us for upstream in listed]
         return sum(ejected) <= tuning.MAX_EJECTED_SHARE * len(ejected)
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -6,10 +6,10 @@
 from ryepier.balancer.estimates import RequestEstimates
 from ryepier.balancer.events import Outcome, RetryStormUpdated
 from ryepier.balancer.settings import Idempotency, IdempotencyScope, Settings
-from ryepier.balancer.upstream import FAULTS, Attempt, PendingRequest, TrackedUpstream
+from ryepier.balancer.upstream import FAULT_OUTCOMES, Attempt, PendingRequest, TrackedUpstream
 
 # Without retries after these outcomes, all requests that a partly failing upstream fails would be lost.
-RETRIABLE_OUTCOMES = (*FAULTS, Outcome.TIMEOUT)
+RETRIABLE_OUTCOMES = (*FAULT_OUTCOMES, Outcome.TIMEOUT)
 
 
 class RetryPolicy:
@@ -24,19 +24,19 @@
 
     def may_send(self, request: PendingRequest, now_us: int) -> bool:
         """Return whether another attempt is allowed now, apart from conditions on its upstream."""
-        if request.done or request.streaming or now_us >= request.event.due_us:
+        if request.done or request.streaming or now_us >= request.event.due_at_us:
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
         if request.in_flight() > 0 and not self.settings.hedging:
             return False
         request_class = request.request_class
-        first = request.first_that_may_have_run()
+        first = request.first_attempt_that_may_have_run()
         if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        return now_us - first.sent_us < request_class.idempotency_window_us
+        return now_us - first.sent_at_us < request_class.idempotency_window_us
 
     def scope_attempt(self, request: PendingRequest) -> Attempt | None:
         """Return the attempt whose idempotency scope further attempts must stay in, or None."""
@@ -45,7 +45,7 @@
             return None
         if request_class.idempotency_scope is IdempotencyScope.ALL:
             return None
-        return request.first_that_may_have_run()
+        return request.first_attempt_that_may_have_run()
 
     def in_scope(self, first: Attempt, upstream: TrackedUpstream) -> bool:
         """Return whether an upstream is in the idempotency scope of an attempt, and so drops its repeats."""
@@ -53,18 +53,21 @@
             return first.entry.zone == upstream.entry.zone
         return first.entry.failure_domain == upstream.entry.failure_domain
 
-    def latest_write_us(self, request: PendingRequest) -> int:
+    def latest_write_at_us(self, request: PendingRequest) -> int:
         """Return the latest time (us) to write a repeat, as its key is forgotten later; 0 = no limit."""
         request_class = request.request_class
-        first = request.first_that_may_have_run()
+        first = request.first_attempt_that_may_have_run()
         if first is None or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return 0
-        return first.sent_us + request_class.idempotency_window_us
+        return first.sent_at_us + request_class.idempotency_window_us
 
     def may_reject(self, request: PendingRequest) -> bool:
         """Return whether the client may safely repeat a request that has had no successful response."""
         request_class = request.request_class
-        if request_class.idempotency is Idempotency.IDEMPOTENT or request.first_that_may_have_run() is None:
+        if (
+            request_class.idempotency is Idempotency.IDEMPOTENT
+            or request.first_attempt_that_may_have_run() is None
+        ):
             return True
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
@@ -91,9 +94,9 @@
         request_class = request.request_class
         late_has_value = request_class.late_weight > 0
         useful_us = request_class.deadline_us if late_has_value else request_class.latency_objective_us
-        return min(request.event.due_us, request.arrived_us + useful_us)
+        return min(request.event.due_at_us, request.arrived_at_us + useful_us)
 
-    def latest_start_us(self, request: PendingRequest) -> int:
+    def latest_start_at_us(self, request: PendingRequest) -> int:
         """Return the latest time (us) to start an attempt whose answer can be expected in time.
 
         At most half the latency objective is reserved for the answer. Otherwise nothing would be retried
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -68,7 +68,9 @@
         slow_start = pool.slow_start
         subset = pool.subset.members
         warming = {
-            upstream: None for upstream in slow_start.warming if slow_start.is_warming(upstream.entry, now_us)
+            upstream: None
+            for upstream in slow_start.warming_upstreams
+            if slow_start.is_warming(upstream.entry, now_us)
         }
         is_expensive = self.estimates.relative_cost(request.event) > MAX_COST_WHILE_WARMING
         all_are_warming = len(warming) >= len(self.membership.by_id)
@@ -139,7 +141,7 @@
         if now_us < upstream.ejected_until_us:
             return 0
         limit = max(1, int(upstream.concurrency.limit))
-        if upstream.entry.started_us:
+        if upstream.entry.started_at_us:
             slow_start = self.membership.pool_of(upstream).slow_start
             if slow_start.is_warming(upstream.entry, now_us):
                 if upstream.slow_start_credit < 0.0:
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -127,7 +127,7 @@
         """Read a numbered upstream list and keep it. Raises ProtocolError for an invalid entry."""
         list_number, count = self.read_fields(_LIST_HEADER)
         entries = []
-        for upstream, zone, kind, failure_domain, state, weight, started_us in _ENTRY.iter_unpack(
+        for upstream, zone, kind, failure_domain, state, weight, started_at_us in _ENTRY.iter_unpack(
             self.read_bytes(_ENTRY.size * count)
         ):
             if not math.isfinite(weight):
@@ -140,7 +140,7 @@
                     kind,
                     failure_domain,
                     weight,
-                    started_us,
+                    started_at_us,
                 )
             )
         self.lists[list_number] = entries
@@ -173,10 +173,10 @@
 
 
 def _read_request_arrived(decoder: Decoder) -> Record:
-    request, class_index, tenant, key, cost_us, flags, due_us = decoder.read_fields(_REQUEST_ARRIVED)
+    request, class_index, tenant, key, cost_us, flags, due_at_us = decoder.read_fields(_REQUEST_ARRIVED)
     return api.RequestArrived(
         request,
-        due_us,
+        due_at_us,
         class_index,
         tenant,
         key,
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -25,28 +25,28 @@
     def __init__(self, settings: Settings, now_us: int) -> None:
         """Start without upstreams at `now_us` (microseconds)."""
         self.settings = settings
-        self.warming: list[TrackedUpstream] = []
+        self.warming_upstreams: list[TrackedUpstream] = []
         self.warm_size = 0.0  # total size of the warm upstreams of the pool
         # Throughputs are in credited requests per second, per warm upstream of size 1.
         self.recent_throughput = 0.0
         self.long_term_throughput = 0.0  # averaged over the duration of a warm-up
         self.long_term_time_constant_us = max(settings.warm_up_us, tuning.RATE_TIME_CONSTANT_US)
         self.observed_share = 0.0  # of that duration, averaged like the throughput
-        self.updated_us = now_us
+        self.updated_at_us = now_us
         self.overcommit = 1.0  # multiple of the guaranteed capacity that warming upstreams get
 
     def progress(self, entry: Upstream, now_us: int) -> float:
         """Return the share of its capacity (0 to 1) that an upstream has with the slowest allowed warm-up."""
         settings = self.settings
-        age_us = now_us - entry.started_us
-        if entry.started_us == 0 or age_us >= settings.warm_up_us:
+        age_us = now_us - entry.started_at_us
+        if entry.started_at_us == 0 or age_us >= settings.warm_up_us:
             return 1.0
         initial = settings.initial_capacity_share
         return initial + (1.0 - initial) * max(0, age_us) / settings.warm_up_us
 
     def is_warming(self, entry: Upstream, now_us: int) -> bool:
         """Return whether an upstream is still warming up."""
-        return entry.started_us != 0 and self.progress(entry, now_us) < 1.0
+        return entry.started_at_us != 0 and self.progress(entry, now_us) < 1.0
 
     def size(self, entry: Upstream) -> float:
         """Return an upstream's size relative to the others: its weight where weights denote sizes, else 1."""
@@ -59,45 +59,47 @@
 
     def refresh(self, listed: list[TrackedUpstream], now_us: int) -> list[TrackedUpstream]:
         """Update the warming upstreams from the pool's listed ones. Returns those that have become warm."""
-        newly_warm = [upstream for upstream in self.warming if not self.is_warming(upstream.entry, now_us)]
-        self.warming = [upstream for upstream in listed if self.is_warming(upstream.entry, now_us)]
+        newly_warm = [
+            upstream for upstream in self.warming_upstreams if not self.is_warming(upstream.entry, now_us)
+        ]
+        self.warming_upstreams = [upstream for upstream in listed if self.is_warming(upstream.entry, now_us)]
         warm = [upstream for upstream in listed if not self.is_warming(upstream.entry, now_us)]
         self.warm_size = sum(self.size(upstream.entry) for upstream in warm)
         return newly_warm
 
     def is_outdated(self, now_us: int) -> bool:
         """Return whether an upstream has become warm since the last refresh."""
-        return any(not self.is_warming(upstream.entry, now_us) for upstream in self.warming)
+        return any(not self.is_warming(upstream.entry, now_us) for upstream in self.warming_upstreams)
 
     def add_credit(self, served: float, in_shortage: bool, now_us: int) -> None:
         """Distribute the credit for `served` requests among the warming upstreams.
 
         `in_shortage` means that requests recently found no free slot.
         """
-        since_us = now_us - self.updated_us
-        self.updated_us = now_us
-        shares = [self.share(upstream, now_us) for upstream in self.warming]
+        elapsed_us = now_us - self.updated_at_us
+        self.updated_at_us = now_us
+        shares = [self.share(upstream, now_us) for upstream in self.warming_upstreams]
         throughput = served / max(self.warm_size + sum(shares), tuning.MIN_CONCURRENCY)
         credit = throughput
         if in_shortage:
             observed_share = max(self.observed_share, tuning.MIN_OBSERVED_SHARE)
             missing_throughput = self.long_term_throughput / observed_share - self.recent_throughput
-            credit += since_us / tuning.SECOND_US * max(0.0, missing_throughput)
-        for upstream, share in zip(self.warming, shares, strict=True):
+            credit += elapsed_us / tuning.SECOND_US * max(0.0, missing_throughput)
+        for upstream, share in zip(self.warming_upstreams, shares, strict=True):
             new_credit = min(upstream.slow_start_credit + credit * share, tuning.MAX_SLOW_START_CREDIT)
             upstream.slow_start_credit = max(upstream.slow_start_credit, new_credit)
-        self._observe_throughput(throughput, since_us)
+        self._observe_throughput(throughput, elapsed_us)
 
-    def _observe_throughput(self, throughput: float, since_us: int) -> None:
-        """Update the averages with what was served since `since_us` ago."""
+    def _observe_throughput(self, throughput: float, elapsed_us: int) -> None:
+        """Update the averages with what was served since `elapsed_us` ago."""
         time_constant_us = self.long_term_time_constant_us
         self.recent_throughput = decayed_rate(
-            self.recent_throughput, throughput, since_us, tuning.RATE_TIME_CONSTANT_US
+            self.recent_throughput, throughput, elapsed_us, tuning.RATE_TIME_CONSTANT_US
         )
         self.long_term_throughput = decayed_rate(
-            self.long_term_throughput, throughput, since_us, time_constant_us
+            self.long_term_throughput, throughput, elapsed_us, time_constant_us
         )
-        self.observed_share = 1.0 - (1.0 - self.observed_share) * math.exp(-since_us / time_constant_us)
+        self.observed_share = 1.0 - (1.0 - self.observed_share) * math.exp(-elapsed_us / time_constant_us)
 
     def adapt_overcommit(self, load: float) -> None:
         """Adapt the overcommit to the load that an answer shows.
--- a/ryepier/balancer/tuning.py
+++ b/ryepier/balancer/tuning.py
@@ -49,7 +49,7 @@
 # Admission
 ADMISSION_GAIN = 2.4  # per second; one second of slow answers cuts admission to a tenth, before queues fill
 MIN_ADMISSION_FACTOR = 0.3  # lowest factor by which one answer changes the admitted share
-MIN_ADMISSION_RATE = 0.1  # of the selections; a lower share would not help a service that has slowed down
+MIN_ADMITTED_SHARE = 0.1  # of the selections; a lower share would not help a service that has slowed down
 MAX_ADMISSION_CREDIT = 2.0  # selections that can be saved up
 LOAD_WINDOW = 8  # answers in the moving average of a pool's load
 RATE_TIME_CONSTANT_US = 5 * SECOND_US  # of the averaged rates
--- a/ryepier/balancer/upstream.py
+++ b/ryepier/balancer/upstream.py
@@ -8,9 +8,18 @@
 from ryepier.balancer.events import Advice, Outcome, RequestArrived, Upstream
 from ryepier.balancer.settings import RequestClass
 
-NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-ANSWERED = (Outcome.OK, Outcome.MALFORMED_RESPONSE)  # the work was done, and the latency shows the load
-FAULTS = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED_RESPONSE)
+NEVER_RAN_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+ANSWERED_OUTCOMES = (
+    Outcome.OK,
+    Outcome.MALFORMED_RESPONSE,
+)  # the work was done, and the latency shows the load
+FAULT_OUTCOMES = (
+    Outcome.REJECTED,
+    Outcome.CONNECT_FAILED,
+    Outcome.ERROR,
+    Outcome.RESET,
+    Outcome.MALFORMED_RESPONSE,
+)
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -49,7 +58,7 @@
     upstream: TrackedUpstream
     entry: Upstream  # list entry of the upstream when the attempt was sent
     class_index: int
-    sent_us: int
+    sent_at_us: int
     follows_timeout: bool = False  # an earlier attempt of its request timed out
     overtake_count: int = 0  # later attempts at the same upstream that were answered earlier
     overtaken_in_class: bool = False  # at least one of these was of the same class
@@ -64,7 +73,7 @@
 
     event: RequestArrived
     request_class: RequestClass
-    arrived_us: int
+    arrived_at_us: int
     attempts: list[Attempt] = field(default_factory=list)
     done: bool = False
     streaming: bool = False
@@ -73,6 +82,6 @@
         """Return how many of its attempts have not ended."""
         return sum(1 for attempt in self.attempts if attempt.outcome is None)
 
-    def first_that_may_have_run(self) -> Attempt | None:
+    def first_attempt_that_may_have_run(self) -> Attempt | None:
         """Return the first attempt that may have reached an upstream's application, or None."""
-        return next((attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN), None)
+        return next((attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN_OUTCOMES), None)
--- a/ryepier/balancer/wake_ups.py
+++ b/ryepier/balancer/wake_ups.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         """Start empty, without a timer."""
         self.pending: list[WakeUp] = []  # a heap
-        self.timer_us = 0  # when the earliest of the requested timers fires; 0 = none
+        self.timer_at_us = 0  # when the earliest of the requested timers fires; 0 = none
 
     def schedule(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
         """Add a wake-up at `at_us`."""
@@ -45,8 +45,8 @@
     def on_timer(self, now_us: int) -> None:
         """Record that a timer has fired. A stale timer is ignored, as re-arming on it would keep timers alive
         forever."""
-        if self.timer_us <= now_us:
-            self.timer_us = 0
+        if self.timer_at_us <= now_us:
+            self.timer_at_us = 0
 
     def timer_to_request(self, other_times_us: Iterable[int]) -> int | None:
         """Return the time (us) for which to request a timer, or None if the requested one is early enough.
@@ -57,7 +57,7 @@
         for other_time_us in other_times_us:
             if next_us is None or other_time_us < next_us:
                 next_us = other_time_us
-        if next_us is None or 0 < self.timer_us <= next_us:
+        if next_us is None or 0 < self.timer_at_us <= next_us:
             return None
-        self.timer_us = next_us
+        self.timer_at_us = next_us
         return next_us
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -59,12 +59,12 @@
 
     def buffered_until_us(self, request: upstream.PendingRequest) -> int:
         balancer = self.state.dispatcher.balancer
-        return request.arrived_us + balancer.estimates.slow_latency_us[request.event.class_index]
+        return request.arrived_at_us + balancer.estimates.slow_latency_us[request.event.class_index]
 
     def attempt(self, attempt: upstream.Attempt) -> tuple[Any, ...]:
         return (
             self.renaming[attempt.entry.id],
-            self.age(attempt.sent_us),
+            self.age(attempt.sent_at_us),
             min(attempt.overtake_count, LOST_ATTEMPT_OVERTAKES),
             attempt.overtaken_in_class,
             attempt.overdue,
@@ -91,7 +91,7 @@
     def pending_request(self, request: upstream.PendingRequest) -> tuple[Any, ...]:
         return (
             request.event.request,
-            self.remaining(request.event.due_us),
+            self.remaining(request.event.due_at_us),
             self.remaining(self.buffered_until_us(request)),
             tuple(map(self.attempt, request.attempts)),
             request.done,
@@ -144,7 +144,7 @@
                 (self.remaining(due.at_us), due.kind.value, due.request, due.attempt)
                 for due in balancer.wake_ups.pending
             ),
-            self.remaining(balancer.wake_ups.timer_us),
+            self.remaining(balancer.wake_ups.timer_at_us),
             int(balancer.retries.budget),
             [int(2 * pool.admission.credit) for pool in balancer.membership.pools],
         )
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -84,7 +84,7 @@
     def first_not_reset(self: PendingRequest) -> Attempt | None:
         return next((attempt for attempt in self.attempts if attempt.outcome not in never_ran), None)
 
-    PendingRequest.first_that_may_have_run = first_not_reset  # type: ignore[method-assign]
+    PendingRequest.first_attempt_that_may_have_run = first_not_reset  # type: ignore[method-assign]
 
 
 def any_failure_domain() -> None:
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -76,7 +76,7 @@
         request: ClientRequest,
         timeout_us: int,
         on_end: Callable[[AttemptResult], None],
-        latest_write_us: int = 0,
+        latest_write_at_us: int = 0,
     ) -> SentAttempt:
         """Record an attempt that the dispatcher starts."""
         number = int(request.request_id)
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -40,7 +40,7 @@
         request: ClientRequest,
         timeout_us: int,
         on_end: Callable[[AttemptResult], None],
-        latest_write_us: int = 0,
+        latest_write_at_us: int = 0,
     ) -> UpstreamAttempt:
         nonlocal count
         count += 1
@@ -48,7 +48,7 @@
         if count % DUPLICATION_INTERVAL == 0 and others:
             peer = next(iter(self.connections[others[0]])).sock.getpeername()
             start(self, others[0], peer, request, timeout_us, lambda result: None)
-        return start(self, upstream, address, request, timeout_us, on_end, latest_write_us)
+        return start(self, upstream, address, request, timeout_us, on_end, latest_write_at_us)
 
     ConnectionPool.start = start_twice  # type: ignore[method-assign]
 
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -156,7 +156,7 @@
         request: ClientRequest,
         timeout_us: int,
         on_end: Callable[[AttemptResult], None],
-        latest_write_us: int = 0,
+        latest_write_at_us: int = 0,
     ) -> ChainAttempt:
         """Start an attempt, as a connection pool does."""
         attempt = ChainAttempt(on_end)
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -55,11 +55,11 @@
         request: ClientRequest,
         timeout_us: int,
         on_end: Callable[[AttemptResult], None],
-        latest_write_us: int = 0,
+        latest_write_at_us: int = 0,
     ) -> UpstreamAttempt:
         """Start an attempt on an idle connection or on a new one; see `UpstreamTransport.start`."""
         now_us = clock_us()
-        attempt = UpstreamAttempt(request, address, now_us + timeout_us, on_end, latest_write_us)
+        attempt = UpstreamAttempt(request, address, now_us + timeout_us, on_end, latest_write_at_us)
         while idle := self.idle.get(upstream):
             connection = idle[0]
             idle_us = now_us - connection.idle_since_us
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -359,7 +359,7 @@
             open_request.request,
             timeout_us,
             lambda result: self._end_attempt(open_request, attempt_index, result),
-            action.latest_write_us,
+            action.latest_write_at_us,
         )
 
     def _on_timeout(self, open_request: OpenRequest, attempt_index: int) -> None:
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -133,7 +133,7 @@
             kind=index_of(target["model"], self.kinds),
             failure_domain=int(target["pod_group"]),
             weight=float(target["capacity_hint"]),
-            started_us=started_us,
+            started_at_us=started_us,
         )
         return ListedEndpoint(entry, parse_endpoint(target["endpoint"]))
 
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -92,13 +92,13 @@
         request: ClientRequest,
         timeout_us: int,
         on_end: Callable[[AttemptResult], None],
-        latest_write_us: int = 0,
+        latest_write_at_us: int = 0,
     ) -> InFlightAttempt:
         """Start an attempt.
 
-        The attempt is not written after `latest_write_us`, unless that is 0. If it has to wait for a new connection and
-        its client disconnects meanwhile, it is not written either, and ends with outcome NOT_SENT. `on_end` is called
-        once, after this method has returned, unless the attempt is cancelled first.
+        The attempt is not written after `latest_write_at_us`, unless that is 0. If it has to wait for a new connection
+        and its client disconnects meanwhile, it is not written either, and ends with outcome NOT_SENT. `on_end` is
+        called once, after this method has returned, unless the attempt is cancelled first.
         """
 
     def close_idle(self, upstream: int) -> None:
--- a/ryepier/sidecar/upstream_attempt.py
+++ b/ryepier/sidecar/upstream_attempt.py
@@ -40,16 +40,16 @@
         address: Address,
         timeout_at_us: int,
         on_end: Callable[[AttemptResult], None],
-        latest_write_us: int = 0,
+        latest_write_at_us: int = 0,
     ) -> None:
         """Prepare an attempt without a connection.
 
-        It must not be written after `latest_write_us`, unless that is 0. `on_end` receives its result.
+        It must not be written after `latest_write_at_us`, unless that is 0. `on_end` receives its result.
         """
         self.request = request
         self.address = address
         self.timeout_at_us = timeout_at_us
-        self.latest_write_us = latest_write_us
+        self.latest_write_at_us = latest_write_at_us
         self.on_end = on_end
         self.connection: AttemptConnection | None = None
         self.write_started = False
@@ -71,7 +71,7 @@
 
     def is_expired(self) -> bool:
         """Return whether it is too late to write the attempt."""
-        return self.remaining_us() <= 0 or 0 < self.latest_write_us <= clock_us()
+        return self.remaining_us() <= 0 or 0 < self.latest_write_at_us <= clock_us()
 
     def render(self) -> bytes:
         """Return the bytes of the request.
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -143,7 +143,7 @@
 
     def entry(self, converter: Converter, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
         """Return the converter's entry in the endpoint list."""
-        return api.Upstream(converter.ident, state, started_us=converter.started_us)
+        return api.Upstream(converter.ident, state, started_at_us=converter.started_us)
 
     def full_list(self) -> api.UpstreamsUpdated:
         """Return the full endpoint list."""
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -176,7 +176,7 @@
             zone=zone,
             kind=self.rules.unknown_kind,
             failure_domain=self._failure_domain(listed),
-            started_us=listed.started_us,
+            started_at_us=listed.started_us,
         )
         return ListedEntry(upstream, endpoint.address)
 
--- a/ryepier/storm/failed_request_sketch.py
+++ b/ryepier/storm/failed_request_sketch.py
@@ -33,7 +33,7 @@
 class _Generation:
     def __init__(self, now_us: int) -> None:
         self.rows = [bytearray(WIDTH) for _ in range(ROWS)]
-        self.started_us = now_us
+        self.started_at_us = now_us
         self.count = 0
 
     def minimum_count(self, columns: list[int]) -> int:
@@ -67,13 +67,13 @@
 
     def add(self, now_us: int, digest: bytes) -> None:
         """Add a request that was not served."""
-        if now_us - self.current.started_us >= GENERATION_US or self.current.count >= GENERATION_SIZE:
+        if now_us - self.current.started_at_us >= GENERATION_US or self.current.count >= GENERATION_SIZE:
             self._rotate(now_us)
         self.current.add(_columns(digest))
 
     def retry_number(self, now_us: int, digest: bytes) -> int:
         """Return how many earlier attempts of a request were not served; 0 for a first attempt."""
-        if now_us - self.current.started_us >= GENERATION_US:
+        if now_us - self.current.started_at_us >= GENERATION_US:
             self._rotate(now_us)
         if self.empty:
             return 0
@@ -84,6 +84,6 @@
 
     def _rotate(self, now_us: int) -> None:
         # Rotation happens only on calls. A generation that is too old by then must not count for as long again.
-        is_recent = now_us - self.current.started_us < 2 * GENERATION_US and self.current.count
+        is_recent = now_us - self.current.started_at_us < 2 * GENERATION_US and self.current.count
         self.previous = self.current if is_recent else None
         self.current = _Generation(now_us)
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -92,19 +92,19 @@
         self.max_retry_after_us = max_retry_after_us
         self.retry_after_in_seconds = retry_after_in_seconds
         self.counts = _Counts()
-        self.started_us = self.last_tick_us = now_us
+        self.started_at_us = self.last_tick_at_us = now_us
         self.arrival_rates = [0.0] * RETRY_NUMBER_BUCKETS
         self.tenant_rates: dict[int, float] = {}
         self.served_rate = 0.0
         self.first_rejection_rate = 0.0
         self.retry_admission = 1.0  # share of first retries to admit; its powers apply to later retries
         self.baseline_rate = 0.0
-        self.baseline_observed_us = 0  # for how long the baseline rate was observed
+        self.baseline_observation_us = 0  # for how long the baseline rate was observed
         self.in_outage = False
-        self.outage_ended_us: int | None = None
+        self.outage_ended_at_us: int | None = None
         self.active = False
         self.calm_since_us: int | None = None
-        self.last_surge_us = now_us - SURGE_RECOVERY_US  # when the surge ratio last exceeded SURGE_RATIO
+        self.last_surge_at_us = now_us - SURGE_RECOVERY_US  # when the surge ratio last exceeded SURGE_RATIO
 
     def on_request(self, retry_number: int, tenant: int) -> None:
         """Count an arrival."""
@@ -124,7 +124,7 @@
         self._update_rates(now_us)
         evidence = self._evidence(now_us)
         if evidence.surge_ratio > SURGE_RATIO:
-            self.last_surge_us = now_us
+            self.last_surge_at_us = now_us
         was_active = self.active
         if not was_active:
             self.retry_admission = 1.0
@@ -135,57 +135,57 @@
         if self.active:
             self._update_calm(now_us, evidence)
         else:
-            self.active = now_us - self.last_surge_us >= SURGE_RECOVERY_US and self._should_open(evidence)
+            self.active = now_us - self.last_surge_at_us >= SURGE_RECOVERY_US and self._should_open(evidence)
             self.calm_since_us = None
         event = self._event() if self.active else RetryStormUpdated()
         return StormReport(event, evidence, changed=self.active != was_active)
 
     def _update_rates(self, now_us: int) -> None:
-        since_us = max(1, now_us - self.last_tick_us)
-        self.last_tick_us = now_us
+        elapsed_us = max(1, now_us - self.last_tick_at_us)
+        self.last_tick_at_us = now_us
         counts, self.counts = self.counts, _Counts()
-        decay = math.exp(-since_us / RECENT_TIME_CONSTANT_US)
+        decay = math.exp(-elapsed_us / RECENT_TIME_CONSTANT_US)
         for retry_number, count in enumerate(counts.arrivals_by_retry_number):
-            self.arrival_rates[retry_number] += (count * 1e6 / since_us - self.arrival_rates[retry_number]) * (
+            self.arrival_rates[retry_number] += (count * 1e6 / elapsed_us - self.arrival_rates[retry_number]) * (
                 1 - decay
             )
         for tenant in self.tenant_rates.keys() | counts.arrivals_by_tenant.keys():
             rate = self.tenant_rates.get(tenant, 0.0)
-            self.tenant_rates[tenant] = rate + (counts.arrivals_by_tenant.get(tenant, 0) * 1e6 / since_us - rate) * (
+            self.tenant_rates[tenant] = rate + (counts.arrivals_by_tenant.get(tenant, 0) * 1e6 / elapsed_us - rate) * (
                 1 - decay
             )
-        self.served_rate += (counts.served * 1e6 / since_us - self.served_rate) * (1 - decay)
-        self.first_rejection_rate += (counts.first_rejections * 1e6 / since_us - self.first_rejection_rate) * (
+        self.served_rate += (counts.served * 1e6 / elapsed_us - self.served_rate) * (1 - decay)
+        self.first_rejection_rate += (counts.first_rejections * 1e6 / elapsed_us - self.first_rejection_rate) * (
             1 - decay
         )
         arrival_rate = sum(self.arrival_rates)
         in_outage = arrival_rate >= MIN_ARRIVAL_RATE and self.served_rate < OUTAGE_SERVED_SHARE * arrival_rate
         if self.in_outage and not in_outage:
-            self.outage_ended_us = now_us
+            self.outage_ended_at_us = now_us
         self.in_outage = in_outage
         if not in_outage and not self.active:
             # Rates in an outage or a storm do not count towards the baseline, as they would hide the next storm. A
             # surge soon after the start would hide it too, so the average changes at its slowest rate in a surge.
-            baseline_observed_us = (
+            baseline_observation_us = (
                 BASELINE_TIME_CONSTANT_US
-                if now_us - self.last_surge_us < SURGE_RECOVERY_US
-                else self.baseline_observed_us + since_us
+                if now_us - self.last_surge_at_us < SURGE_RECOVERY_US
+                else self.baseline_observation_us + elapsed_us
             )
-            weight = since_us / min(BASELINE_TIME_CONSTANT_US, baseline_observed_us)
-            self.baseline_rate += (counts.arrivals_by_retry_number[0] * 1e6 / since_us - self.baseline_rate) * weight
-            self.baseline_observed_us += since_us
+            weight = elapsed_us / min(BASELINE_TIME_CONSTANT_US, baseline_observation_us)
+            self.baseline_rate += (counts.arrivals_by_retry_number[0] * 1e6 / elapsed_us - self.baseline_rate) * weight
+            self.baseline_observation_us += elapsed_us
 
     def _evidence(self, now_us: int) -> StormEvidence:
         arrival_rate = sum(self.arrival_rates)
         retry_share = sum(self.arrival_rates[1:]) / arrival_rate if arrival_rate > 0 else 0.0
         surge_ratio = (
             self.arrival_rates[0] / self.baseline_rate
-            if self.baseline_observed_us >= MIN_BASELINE_OBSERVATION_US and self.baseline_rate > 0
+            if self.baseline_observation_us >= MIN_BASELINE_OBSERVATION_US and self.baseline_rate > 0
             else 0.0
         )
         since_outage_us = None
-        if self.outage_ended_us is not None and now_us - self.outage_ended_us < RECENT_OUTAGE_US:
-            since_outage_us = now_us - self.outage_ended_us
+        if self.outage_ended_at_us is not None and now_us - self.outage_ended_at_us < RECENT_OUTAGE_US:
+            since_outage_us = now_us - self.outage_ended_at_us
         return StormEvidence(arrival_rate, self.served_rate, retry_share, surge_ratio, since_outage_us)
 
     @staticmethod
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -42,7 +42,7 @@
     UpstreamsUpdated,
 )
 
-NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
+NEVER_RAN_OUTCOMES = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 START_US = 1_000_000_000
 MAX_OVERDUE_TICKS = 4  # after its due time, by which a request must have its answer
 
@@ -108,8 +108,8 @@
     upstream: int
     zone: int
     failure_domain: int
-    sent_us: int
-    ends_us: int
+    sent_at_us: int
+    ends_at_us: int
     outcome: Outcome | None = None
 
 
@@ -125,7 +125,7 @@
 
     def may_have_run(self) -> list[TrackedAttempt]:
         """Return the attempts whose upstream may have executed the request."""
-        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN_OUTCOMES]
 
     def in_flight(self) -> list[int]:
         """Return the numbers of the attempts that have not ended."""
@@ -204,7 +204,7 @@
                 attempt,
                 attempt_record.upstream,
                 outcome,
-                self.now_us - attempt_record.sent_us,
+                self.now_us - attempt_record.sent_at_us,
                 tracked.closed,
                 **fields,
             )
@@ -237,7 +237,7 @@
 
     def _deadlines(self) -> list[Deadline]:
         timeouts = [
-            Deadline(tracked.attempts[number].ends_us, False, request, number)
+            Deadline(tracked.attempts[number].ends_at_us, False, request, number)
             for request, tracked in self.requests.items()
             if not tracked.streaming
             for number in tracked.in_flight()
@@ -249,7 +249,7 @@
     def _check_overdue_requests(self) -> None:
         slack_us = MAX_OVERDUE_TICKS * self.settings.tick_us
         for request, tracked in self.requests.items():
-            overdue = self.now_us > tracked.event.due_us + slack_us and not tracked.streaming
+            overdue = self.now_us > tracked.event.due_at_us + slack_us and not tracked.streaming
             assert not overdue or tracked.answers == 1, f"rule 1: request {request} has no answer after its due time"
 
     def check(self, action: Action) -> None:
@@ -279,17 +279,19 @@
         assert self.settings.hedging or not tracked.in_flight(), "rule 2: two attempts in flight at the same time"
         for earlier in tracked.may_have_run():
             self._check_repeat(tracked, earlier, entry)
-        ends_us = tracked.event.due_us
+        ends_at_us = tracked.event.due_at_us
         if send.timeout_us:
-            ends_us = min(ends_us, self.now_us + send.timeout_us)
-        tracked.attempts.append(TrackedAttempt(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_us))
+            ends_at_us = min(ends_at_us, self.now_us + send.timeout_us)
+        tracked.attempts.append(
+            TrackedAttempt(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_at_us)
+        )
 
     def _check_repeat(self, tracked: TrackedRequest, earlier: TrackedAttempt, entry: Upstream) -> None:
         request_class = self.settings.classes[tracked.event.class_index]
         assert request_class.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: a non-idempotent request sent again"
         if request_class.idempotency != Idempotency.IDEMPOTENCY_KEY:
             return
-        assert self.now_us - earlier.sent_us <= request_class.idempotency_window_us, (
+        assert self.now_us - earlier.sent_at_us <= request_class.idempotency_window_us, (
             "rule 2: a repeat after the idempotency window"
         )
         if request_class.idempotency_scope == IdempotencyScope.FAILURE_DOMAIN:
--- a/tests/plan_scenarios.py
+++ b/tests/plan_scenarios.py
@@ -108,6 +108,6 @@
     """Handle an event and then `count` requests; return the upstreams to which the balancer sends the requests."""
     balancer.handle(2, event)
     actions = [
-        action for i in range(count) for action in balancer.handle(3 + i, RequestArrived(i, due_us=10 * SECOND_US))
+        action for i in range(count) for action in balancer.handle(3 + i, RequestArrived(i, due_at_us=10 * SECOND_US))
     ]
     return [action.upstream for action in actions if isinstance(action, Send)]
--- a/tests/polling_fleet.py
+++ b/tests/polling_fleet.py
@@ -36,7 +36,7 @@
 class Phase(NamedTuple):
     """The mode of discovery from a time on, until the next phase begins."""
 
-    since_s: float
+    starts_at_s: float
     mode: DiscoveryMode
 
 
@@ -74,9 +74,9 @@
     balancer: Balancer
     poll: int = 0
     """The number of the poll that is in flight; 0 = none."""
-    updated_s: float = -1.0
+    updated_at_s: float = -1.0
     """When it last received the list; negative = it needs the list."""
-    armed_us: set[int] = field(default_factory=set)
+    timer_times_us: set[int] = field(default_factory=set)
 
 
 class PollingFleet:
@@ -116,15 +116,15 @@
             self._on_event(event)
             self._serve_next()
 
-    def update_delays_s(self, reachable_s: float) -> list[float]:
-        """Return for each sidecar how long after `reachable_s` it received the list; 0 or less = it did not."""
-        return [sidecar.updated_s - reachable_s for sidecar in self.sidecars]
+    def update_delays_s(self, reachable_at_s: float) -> list[float]:
+        """Return for each sidecar how long after `reachable_at_s` it received the list; 0 or less = it did not."""
+        return [sidecar.updated_at_s - reachable_at_s for sidecar in self.sidecars]
 
     def _now_s(self) -> float:
         return (self.now_us - START_US) / 1e6
 
     def _mode(self) -> DiscoveryMode:
-        return [phase.mode for phase in self.phases if phase.since_s <= self._now_s()][-1]
+        return [phase.mode for phase in self.phases if phase.starts_at_s <= self._now_s()][-1]
 
     def _schedule(self, at_us: int, kind: EventKind, sidecar: int, value: int) -> None:
         heapq.heappush(self.events, FleetEvent(at_us, next(self.sequence), kind, sidecar, value))
@@ -132,8 +132,8 @@
     def _handle(self, sidecar_index: int, event: TimerFired | UpstreamsUpdated) -> None:
         sidecar = self.sidecars[sidecar_index]
         for action in sidecar.balancer.handle(self.now_us, event):
-            if isinstance(action, SetTimer) and action.at_us not in sidecar.armed_us:
-                sidecar.armed_us.add(action.at_us)
+            if isinstance(action, SetTimer) and action.at_us not in sidecar.timer_times_us:
+                sidecar.timer_times_us.add(action.at_us)
                 self._schedule(action.at_us, EventKind.TIMER, sidecar_index, action.at_us)
             elif isinstance(action, Subscribe):
                 self._poll(sidecar_index)
@@ -165,15 +165,15 @@
         sidecar = self.sidecars[event.sidecar]
         match event.kind:
             case EventKind.TIMER:
-                sidecar.armed_us.discard(event.value)
+                sidecar.timer_times_us.discard(event.value)
                 self._handle(event.sidecar, TimerFired(0))
             case EventKind.WATCH_BROKEN:
-                sidecar.updated_s = -1.0
+                sidecar.updated_at_s = -1.0
                 self._handle(event.sidecar, UpstreamsUpdated(ListKind.FAILED, silent_us=event.value))
             case EventKind.POLL_SERVED:
                 self.is_serving = False
                 if sidecar.poll == event.value:
-                    sidecar.poll, sidecar.updated_s = 0, self._now_s()
+                    sidecar.poll, sidecar.updated_at_s = 0, self._now_s()
                     self._handle(event.sidecar, UpstreamsUpdated(ListKind.DELTA, version=1))
             case EventKind.POLL_FAILED if sidecar.poll == event.value:
                 sidecar.poll = 0
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -158,7 +158,7 @@
     def record_warming_up(self: RequestDispatcher, event: UpstreamsUpdated, addresses: dict[int, Address]) -> None:
         nonlocal is_warming_up
         ready_upstreams = [upstream for upstream in event.upstreams if upstream.state is UpstreamState.READY]
-        is_warming_up = bool(ready_upstreams) and all(upstream.started_us for upstream in ready_upstreams)
+        is_warming_up = bool(ready_upstreams) and all(upstream.started_at_us for upstream in ready_upstreams)
         on_endpoints(self, event, addresses)
 
     def reject_request(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -76,10 +76,12 @@
 
 @dataclass
 class Converter:
-    """A converter; it has always been warm if `started_us` is 0."""
+    """A converter; it has always been warm if `started_at_us` is 0."""
 
-    started_us: int = 0
-    free_us: list[int] = field(default_factory=lambda: [0] * CORES)  # heap of the times at which the cores become free
+    started_at_us: int = 0
+    cores_free_at_us: list[int] = field(
+        default_factory=lambda: [0] * CORES
+    )  # heap of the times at which the cores become free
     attempts: list[Attempt] = field(default_factory=list)
 
 
@@ -153,12 +155,13 @@
             }
             self.rates = [new_rates[sidecar] for sidecar in range(len(self.rates))]
         for converter in self.cold_converters:
-            converter.started_us, converter.free_us = self.now_us, [self.now_us] * CORES
+            converter.started_at_us, converter.cores_free_at_us = self.now_us, [self.now_us] * CORES
         self._send_list()
 
     def _send_list(self) -> None:
         listed = [
-            Upstream(index + 1, started_us=converter.started_us) for index, converter in enumerate(self.converters)
+            Upstream(index + 1, started_at_us=converter.started_at_us)
+            for index, converter in enumerate(self.converters)
         ]
         for sidecar in range(len(self.balancers)):
             self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, listed))
@@ -188,15 +191,15 @@
 
     def _serve(self, sidecar: int, send: Send) -> None:
         converter, cost_us = self.converters[send.upstream - 1], self.costs_us[send.request]
-        if converter.started_us:
+        if converter.started_at_us:
             converter.attempts.append(Attempt(self.now_us, cost_us / MEAN_COST_US))
-        begin_us = max(converter.free_us[0], self.now_us)
+        begin_us = max(converter.cores_free_at_us[0], self.now_us)
         end_us = begin_us + int(cost_us / self.speed(converter, self.now_us))
         outcome, timeout_at_us = Outcome.OK, self.now_us + send.timeout_us
         if begin_us > self.now_us + MAX_QUEUE_US:
             outcome, end_us = Outcome.REJECTED, self.now_us + REJECTION_US
         else:
-            heapq.heapreplace(converter.free_us, end_us)
+            heapq.heapreplace(converter.cores_free_at_us, end_us)
             if end_us > timeout_at_us:
                 outcome, end_us = Outcome.TIMEOUT, timeout_at_us
         is_final = outcome is Outcome.OK
@@ -205,10 +208,10 @@
 
     def speed(self, converter: Converter, at_us: int) -> float:
         """Return the speed of a converter, relative to a warm one."""
-        if converter.started_us == 0 or at_us >= converter.started_us + self.settings.warm_up_us:
+        if converter.started_at_us == 0 or at_us >= converter.started_at_us + self.settings.warm_up_us:
             return 1.0
         initial = self.settings.initial_capacity_share
-        return initial + (1 - initial) * (at_us - converter.started_us) / self.settings.warm_up_us
+        return initial + (1 - initial) * (at_us - converter.started_at_us) / self.settings.warm_up_us
 
     # Results
 
@@ -226,7 +229,7 @@
             while window[0].at_us <= window_start_us:
                 work -= window.popleft().cost
             # The allowed work follows from the capacity at the start of the window, not from its later growth.
-            allowed_work = self._allowed_work(converter, max(converter.started_us, window_start_us))
+            allowed_work = self._allowed_work(converter, max(converter.started_at_us, window_start_us))
             worst_ratio = max(worst_ratio, work / (allowed_work + 2 * allowed_work**0.5 + 2))
         return worst_ratio
 
@@ -237,6 +240,6 @@
     def utilisation(self) -> float:
         """Return the work that was sent to the cold converters, relative to their capacity."""
         work_sent = sum(attempt.cost for converter in self.cold_converters for attempt in converter.attempts)
-        midpoint_us = self.converters[0].started_us + AFTER_STARTS_US // 2
+        midpoint_us = self.converters[0].started_at_us + AFTER_STARTS_US // 2
         max_work = CAPACITY * AFTER_STARTS_US / 1_000_000 * self.speed(self.converters[0], midpoint_us)
         return work_sent / (max_work * self.case.cold)
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -99,7 +99,7 @@
 def test_restart_under_the_same_id_begins_a_new_slow_start() -> None:
     harness = BalancerHarness()
     harness.update_upstreams(upstreams(3))
-    harness.update_upstreams([Upstream(100, started_us=START_US)], ListKind.DELTA)
+    harness.update_upstreams([Upstream(100, started_at_us=START_US)], ListKind.DELTA)
     for _ in range(60):
         request = harness.arrive(0)
         harness.advance(5_000)
@@ -139,7 +139,7 @@
 
     def started_s(state: str = "active") -> float:
         event, _ = registry.apply({"rev": 1, "all": False, "targets": [entry | {"state": state}]})
-        return event.upstreams[0].started_us / 1e6
+        return event.upstreams[0].started_at_us / 1e6
 
     assert started_s() == now_s
     now_s += 5
--- a/tests/test_fleet_effects.py
+++ b/tests/test_fleet_effects.py
@@ -45,7 +45,7 @@
 def add_warming_upstreams(harness: BalancerHarness, age_us: int = 0, small_size: float = 1.0) -> None:
     """Add upstreams that started `age_us` ago; half of them have the size `small_size`, the others 1."""
     entries = [
-        Upstream(i, weight=small_size if i <= 15 else 1.0, started_us=harness.now_us - age_us)
+        Upstream(i, weight=small_size if i <= 15 else 1.0, started_at_us=harness.now_us - age_us)
         for i in WARMING_UPSTREAMS
     ]
     harness.update_upstreams(entries, ListKind.DELTA)
@@ -96,11 +96,11 @@
     """Return how long after a failed poll the next poll is sent."""
     harness.update_upstreams(upstreams(4), ListKind.CACHED)
     harness.advance(2_000_000)
-    failed_us, before = harness.now_us, len(harness.actions)
+    failed_at_us, before = harness.now_us, len(harness.actions)
     harness.handle(UpstreamsUpdated(ListKind.FAILED))
     while not any(isinstance(action, Subscribe) for action in harness.actions[before:]):
         harness.advance(10_000)
-    return harness.now_us - failed_us
+    return harness.now_us - failed_at_us
 
 
 @pytest.mark.parametrize(("sidecars", "max_delay_us"), [(3, 260_000), (40, 2_010_000)])
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -25,11 +25,11 @@
 )
 from tests.balancer_harness import START_US, BalancerHarness, request_classes, settings, upstreams
 
-FAULTS = [outcome for outcome in Outcome if outcome is not Outcome.TIMEOUT]
+NON_TIMEOUT_OUTCOMES = [outcome for outcome in Outcome if outcome is not Outcome.TIMEOUT]
 
 STEPS = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 4), st.integers(1, 2_000_000)),
-    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(FAULTS)),
+    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(NON_TIMEOUT_OUTCOMES)),
     st.tuples(st.just("advance"), st.integers(0, 700_000), st.just(0)),
     st.tuples(st.just("list"), st.integers(0, 7), st.sampled_from(list(UpstreamState))),
     st.tuples(st.just("full"), st.integers(0, 8), st.sampled_from([ListKind.FULL, ListKind.CACHED])),
@@ -87,9 +87,9 @@
     elif kind == "advance":
         harness.advance(number)
     elif kind in ("list", "restart"):
-        started_us = harness.now_us - argument if isinstance(argument, int) else 0
+        started_at_us = harness.now_us - argument if isinstance(argument, int) else 0
         state = argument if isinstance(argument, UpstreamState) else UpstreamState.READY
-        entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started_us)
+        entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started_at_us)
         harness.update_upstreams([entry], ListKind.DELTA)
     elif kind == "full":
         assert isinstance(argument, ListKind)
@@ -141,7 +141,7 @@
         if kind == "arrive":
             number, argument = rng.randrange(5), rng.randrange(1_000, 2_000_000)
         elif kind == "end":
-            argument = rng.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1, 1])[0]
+            argument = rng.choices(NON_TIMEOUT_OUTCOMES, [20, 2, 2, 2, 1, 1, 1, 1])[0]
         elif kind == "advance":
             number = rng.randrange(60_000)
         elif kind in ("list", "restart"):
@@ -173,14 +173,14 @@
     of `arrivals_per_tick` in each tick of 4 ms, in total up to 26 times the capacity of the nine."""
     config = settings(instances=len(arrivals_per_tick), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(config, n, START_US) for n in range(len(arrivals_per_tick))]
-    listed = [Upstream(1, started_us=START_US), *[Upstream(n) for n in range(2, 11)]]
+    listed = [Upstream(1, started_at_us=START_US), *[Upstream(n) for n in range(2, 11)]]
 
     def speed(at_us: int) -> float:
         return (
             config.initial_capacity_share + (1 - config.initial_capacity_share) * (at_us - START_US) / config.warm_up_us
         )
 
-    free_us = {entry.id: START_US for entry in listed}
+    free_at_us = {entry.id: START_US for entry in listed}
     sent_at_us: list[int] = []
     attempt_ends: list[tuple[int, int, int, int, int, Outcome, int]] = []
     attempt_counts: dict[int, int] = {}
@@ -212,7 +212,7 @@
                     attempt = attempt_counts.get(action.request, 0)
                     attempt_counts[action.request] = attempt + 1
                     upstream_speed = speed(now_us) if action.upstream == 1 else 1.0
-                    end_us = max(free_us[action.upstream], now_us) + int(40_000 / upstream_speed)
+                    end_us = max(free_at_us[action.upstream], now_us) + int(40_000 / upstream_speed)
                     result = outcome if action.upstream == 1 else Outcome.OK
                     if result is not Outcome.OK or end_us > now_us + 300_000:
                         end_us, result = (
@@ -220,7 +220,7 @@
                             Outcome.REJECTED if result is Outcome.OK else result,
                         )
                     else:
-                        free_us[action.upstream] = end_us
+                        free_at_us[action.upstream] = end_us
                     attempt_ends.append((end_us, sidecar, action.request, action.upstream, attempt, result, now_us))
                     if action.upstream == 1:
                         sent_at_us.append(now_us)
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -25,7 +25,7 @@
         LIST_RECORD + "50 0300 02 29000000 00000000",
         api.UpstreamsUpdated(
             api.ListKind.CACHED,
-            [api.Upstream(FIRST_UPSTREAM), api.Upstream(SECOND_UPSTREAM, zone=1, weight=1.5, started_us=6100000)],
+            [api.Upstream(FIRST_UPSTREAM), api.Upstream(SECOND_UPSTREAM, zone=1, weight=1.5, started_at_us=6100000)],
             41,
         ),
     ),
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -61,11 +61,11 @@
     update(listing, 0, old=make_endpoint("old"))
     listing.complete_list()
     [(entry, _)] = listing.update(5, {"new": make_endpoint("new")})
-    assert entry.started_us == 5
+    assert entry.started_at_us == 5
     listing.update(10, {"old": make_endpoint("old", ready=False)})
     listing.update(10 + MIN_RESTART_US, {"old": make_endpoint("old")})
     [(entry, _)] = listing.update(10 + MIN_RESTART_US + SETTLE_US, {})
-    assert entry.started_us == 10 + MIN_RESTART_US
+    assert entry.started_at_us == 10 + MIN_RESTART_US
 
 
 def test_move_between_slices_is_no_restart_but_a_reused_address_is() -> None:
@@ -74,7 +74,7 @@
     listing.complete_list()
     assert update(listing, 1, **{"p1": None, "10.0.0.9:80": None}) == {1: REMOVED, 2: REMOVED}
     started_us_by_id = {
-        entry.id: entry.started_us
+        entry.id: entry.started_at_us
         for entry, _ in listing.update(2, {"p1": make_endpoint(), "10.0.0.9:80": make_endpoint("10.0.0.9:80")})
     }
     assert started_us_by_id == {1: 0, 3: 2}
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -85,7 +85,7 @@
 
 def restart_upstream(harness: BalancerHarness) -> None:
     """List the upstream with a new start time."""
-    restarted = Upstream(RESTARTED_UPSTREAM, started_us=harness.now_us - AGE_AFTER_RESTART_US)
+    restarted = Upstream(RESTARTED_UPSTREAM, started_at_us=harness.now_us - AGE_AFTER_RESTART_US)
     harness.update_upstreams([restarted], ListKind.DELTA)
 
 
@@ -121,7 +121,7 @@
     harness = BalancerHarness(settings(instances=24))
     harness.update_upstreams(upstreams(3))
     serve_requests(harness, 20, duration_us=20_000)
-    harness.update_upstreams([Upstream(1, started_us=harness.now_us - 1_000), *upstreams(3)])
+    harness.update_upstreams([Upstream(1, started_at_us=harness.now_us - 1_000), *upstreams(3)])
     serve_requests(harness, 150, duration_us=20_000)
     to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
     assert 0 < to_started_upstream <= 15  # its guaranteed share is 9, and it answers fast; an equal share would be 37
@@ -130,7 +130,7 @@
 def test_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
     harness = BalancerHarness(settings(instances=400))
     harness.update_upstreams(
-        [Upstream(1, started_us=harness.now_us - 12_000_000), *upstreams(3)]
+        [Upstream(1, started_at_us=harness.now_us - 12_000_000), *upstreams(3)]
     )  # after two thirds of its warm-up
     serve_requests(harness, 1000, duration_us=5_000)
     to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
