--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -87,19 +87,19 @@
         self.tenant_arrivals = [0.0 for _ in settings.tenants]  # exponentially decaying counts, by tenant
         self.total_allowance_per_s = max(1.0, sum(tenant.allowance_per_s for tenant in settings.tenants))
         self.unsent_share = 0.0  # moving average of the share of arrivals that found no slot
-        self.overloaded = False  # as last logged
+        self.logged_overloaded = False  # as last logged
 
     def observe_arrival(self, event: RequestArrived) -> None:
         """Count an arrival for its tenant."""
         if event.tenant < len(self.tenant_arrivals):
-            remaining = 1.0 - 1.0 / tuning.TENANT_WINDOW
-            self.tenant_arrivals = [count * remaining for count in self.tenant_arrivals]
+            decay_factor = 1.0 - 1.0 / tuning.TENANT_WINDOW
+            self.tenant_arrivals = [count * decay_factor for count in self.tenant_arrivals]
             self.tenant_arrivals[event.tenant] += 1.0
 
     def observe_placement(self, sent: bool) -> bool:
         """Record whether an arrival was sent immediately. Returns whether the sidecar is overloaded."""
         self.unsent_share += (float(not sent) - self.unsent_share) / tuning.PLACEMENT_WINDOW
-        threshold = tuning.OVERLOAD_END_SHARE if self.overloaded else tuning.OVERLOAD_START_SHARE
+        threshold = tuning.OVERLOAD_END_SHARE if self.logged_overloaded else tuning.OVERLOAD_START_SHARE
         return self.unsent_share > threshold
 
     def admits(self, event: RequestArrived) -> bool:
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -192,7 +192,7 @@
         follows_timeout = any(earlier.outcome is api.Outcome.TIMEOUT for earlier in request.attempts)
         attempt = Attempt(upstream, upstream.entry, event.class_index, self.now_us, follows_timeout)
         upstream.in_flight += 1
-        upstream.outstanding.append(attempt)
+        upstream.outstanding_attempts.append(attempt)
         request.attempts.append(attempt)
         overdue_at_us = self.now_us + request.request_class.latency_objective_us
         self.schedule_wake_up(
@@ -318,10 +318,10 @@
 
     def log_overload(self, overloaded: bool) -> None:
         """Log that an overload of the sidecar has begun or ended."""
-        if overloaded == self.admission.overloaded:
+        if overloaded == self.admission.logged_overloaded:
             return
         if self.log("overload begins" if overloaded else "overload ends"):
-            self.admission.overloaded = overloaded
+            self.admission.logged_overloaded = overloaded
 
     def log_ejection(self, upstream: TrackedUpstream) -> None:
         """Log that an upstream is ejected or restored."""
--- a/ryepier/balancer/estimates.py
+++ b/ryepier/balancer/estimates.py
@@ -22,16 +22,16 @@
         self.slow_latency_us = [request_class.latency_objective_us // 2 for request_class in classes]
         self.mean_latency_us = [request_class.latency_objective_us / 4 for request_class in classes]
         self.mean_cost_us = 0.0
-        self.costs_observed = 0
+        self.observed_cost_count = 0
 
     def observe_cost(self, cost_us: int) -> None:
         """Update the mean cost with the cost hint of one request (us of work); 0 = no hint."""
         if cost_us <= 0:
             return
-        self.costs_observed = min(self.costs_observed + 1, tuning.COST_WINDOW)
+        self.observed_cost_count = min(self.observed_cost_count + 1, tuning.COST_WINDOW)
         mean_us = self.mean_cost_us or cost_us
         bounded_us = min(cost_us, tuning.MAX_RELATIVE_COST * mean_us)
-        self.mean_cost_us += (bounded_us - self.mean_cost_us) / self.costs_observed
+        self.mean_cost_us += (bounded_us - self.mean_cost_us) / self.observed_cost_count
 
     def observe_latency(self, class_index: int, elapsed_us: int) -> None:
         """Update the mean latency of a class with one attempt.
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -29,8 +29,8 @@
         """
         upstream = attempt.upstream
         upstream.in_flight -= int(not attempt.presumed_lost)
-        earlier_attempts = upstream.outstanding[: upstream.outstanding.index(attempt)]
-        upstream.outstanding.remove(attempt)
+        earlier_attempts = upstream.outstanding_attempts[: upstream.outstanding_attempts.index(attempt)]
+        upstream.outstanding_attempts.remove(attempt)
         is_answered = attempt.outcome in ANSWERED_OUTCOMES
         timed_out = attempt.outcome is Outcome.TIMEOUT
         # An attempt that later ones have overtaken is lost, not slow. If it counted, an upstream that leaves
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -40,30 +40,30 @@
             self.by_id = {
                 entry.id: self.by_id[entry.id] for entry in event.upstreams if entry.id in self.by_id
             }
-        started = self._apply_entries(event)
-        for upstream in started:
+        started_upstreams = self._apply_entries(event)
+        for upstream in started_upstreams:
             if self.pool_of(upstream).slow_start.is_warming(upstream.entry, now_us):
                 # All sidecars learn of it almost at once. The random negative credit spreads their first
                 # requests to it, which would otherwise come in one burst.
                 upstream.slow_start_credit = -self.random.random()
-        removed: list[TrackedUpstream] = []
+        removed_upstreams: list[TrackedUpstream] = []
         for pool in self.pools:
-            removed += self.refresh_warming(pool, now_us)
+            removed_upstreams += self.refresh_warming(pool, now_us)
             members = pool.subset.members
             pool.subset.members = {upstream: None for upstream in members if self._is_listed(upstream)}
-            started_in_pool = [upstream for upstream in started if self.pool_of(upstream) is pool]
-            warm = [
+            started_in_pool = [upstream for upstream in started_upstreams if self.pool_of(upstream) is pool]
+            warm_upstreams = [
                 upstream
                 for upstream in started_in_pool
                 if not pool.slow_start.is_warming(upstream.entry, now_us)
             ]
-            removed += self._sample_new_members(pool, warm)
+            removed_upstreams += self._sample_new_members(pool, warm_upstreams)
         self._update_planned_ejections()
-        return removed
+        return removed_upstreams
 
     def _apply_entries(self, event: UpstreamsUpdated) -> list[TrackedUpstream]:
         """Add, update and remove the upstreams of an event. Returns those that are new or have restarted."""
-        started = []
+        started_upstreams = []
         for entry in event.upstreams:
             if entry.state is not UpstreamState.READY:
                 self.by_id.pop(entry.id, None)  # gets no new request from the notification on
@@ -71,10 +71,10 @@
             upstream = self.by_id.get(entry.id)
             if upstream is None or upstream.entry.started_at_us != entry.started_at_us:
                 upstream = self._add(entry)
-                started.append(upstream)
+                started_upstreams.append(upstream)
             upstream.concurrency.growing_fast |= event.kind is ListKind.CACHED
             upstream.entry = entry
-        return started
+        return started_upstreams
 
     def _is_listed(self, upstream: TrackedUpstream) -> bool:
         """Return whether an upstream is listed and has not been replaced by a restarted one."""
@@ -122,5 +122,5 @@
 
     def _update_planned_ejections(self) -> None:
         """Update whether the plan's ejections apply: not if they would eject too many upstreams."""
-        ejected = sum(1 for upstream in self.by_id.values() if upstream.advice.ejected)
-        self.planned_ejections_apply = ejected <= tuning.MAX_PLANNED_EJECTED_SHARE * len(self.by_id)
+        ejected_count = sum(1 for upstream in self.by_id.values() if upstream.advice.ejected)
+        self.planned_ejections_apply = ejected_count <= tuning.MAX_PLANNED_EJECTED_SHARE * len(self.by_id)
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -60,8 +60,8 @@
         # an overloaded upstream.
         mean_us = min(self.estimates.mean_latency_us[class_index], slow_latency_us)
         latency_us = max(mean_us, min(elapsed_us, 2 * slow_latency_us))
-        latencies = 1.0 / upstream.concurrency.limit - 1.0
-        ejection_us = latency_us * latencies * self._jitter()
+        latency_multiple = 1.0 / upstream.concurrency.limit - 1.0
+        ejection_us = latency_us * latency_multiple * self._jitter()
         upstream.ejected_until_us = now_us + int(ejection_us)
 
     def _jitter(self) -> float:
@@ -109,12 +109,12 @@
         up to twice as many attempts as it has slots.
         """
         upstream = attempt.upstream
-        lost = [other for other in upstream.outstanding if other.presumed_lost]
-        max_lost = max(1, int(upstream.concurrency.limit))
-        if not attempt.overdue or len(lost) >= max_lost:
+        lost_attempts = [other for other in upstream.outstanding_attempts if other.presumed_lost]
+        max_lost_attempts = max(1, int(upstream.concurrency.limit))
+        if not attempt.overdue or len(lost_attempts) >= max_lost_attempts:
             return
         pool_is_fast = self.membership.pool_of(upstream).admission.load < tuning.TARGET_LOAD
-        may_be_lost = pool_is_fast and all(map(self._is_overtaken, lost))
+        may_be_lost = pool_is_fast and all(map(self._is_overtaken, lost_attempts))
         if self._is_overtaken(attempt) or may_be_lost:
             attempt.presumed_lost = True
             upstream.in_flight -= 1
@@ -124,13 +124,13 @@
         """Return whether enough later attempts were answered to presume that this one is lost, not queued."""
         return attempt.overtake_count >= tuning.LOST_ATTEMPT_OVERTAKES
 
-    def on_answer(self, attempt: Attempt, earlier: Iterable[Attempt]) -> None:
-        """Record that an attempt was answered before the `earlier` ones at the same upstream."""
+    def on_answer(self, attempt: Attempt, earlier_attempts: Iterable[Attempt]) -> None:
+        """Record that an attempt was answered before `earlier_attempts`, which its upstream got earlier."""
         class_index = attempt.class_index
         health = attempt.upstream.by_class[class_index]
         health.unanswered_share -= health.unanswered_share / tuning.UNANSWERED_WINDOW
         health.timeout_streak = health.ejected_until_us = 0
-        for other in earlier:
+        for other in earlier_attempts:
             other.overtake_count += 1
             other.overtaken_in_class |= other.class_index == class_index
             if not other.presumed_lost:
@@ -166,9 +166,13 @@
                 end_times_us.append(end_at_us)
         return end_times_us
 
-    def class_ejections_apply(self, listed: Iterable[TrackedUpstream], class_index: int, now_us: int) -> bool:
+    def class_ejections_apply(
+        self, listed_upstreams: Iterable[TrackedUpstream], class_index: int, now_us: int
+    ) -> bool:
         """Return whether ejections for a class apply: not if most upstreams would be ejected."""
         if now_us >= self.last_ejection_ends_at_us:
             return True
-        ejected = [now_us < upstream.by_class[class_index].ejected_until_us for upstream in listed]
-        return sum(ejected) <= tuning.MAX_EJECTED_SHARE * len(ejected)
+        are_ejected = [
+            now_us < upstream.by_class[class_index].ejected_until_us for upstream in listed_upstreams
+        ]
+        return sum(are_ejected) <= tuning.MAX_EJECTED_SHARE * len(are_ejected)
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -31,12 +31,12 @@
         if request.in_flight() > 0 and not self.settings.hedging:
             return False
         request_class = request.request_class
-        first = request.first_attempt_that_may_have_run()
-        if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+        first_attempt = request.first_attempt_that_may_have_run()
+        if first_attempt is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        return now_us - first.sent_at_us < request_class.idempotency_window_us
+        return now_us - first_attempt.sent_at_us < request_class.idempotency_window_us
 
     def scope_attempt(self, request: PendingRequest) -> Attempt | None:
         """Return the attempt whose idempotency scope further attempts must stay in, or None."""
@@ -47,19 +47,19 @@
             return None
         return request.first_attempt_that_may_have_run()
 
-    def in_scope(self, first: Attempt, upstream: TrackedUpstream) -> bool:
+    def in_scope(self, first_attempt: Attempt, upstream: TrackedUpstream) -> bool:
         """Return whether an upstream is in the idempotency scope of an attempt, and so drops its repeats."""
-        if self.settings.classes[first.class_index].idempotency_scope is IdempotencyScope.ZONE:
-            return first.entry.zone == upstream.entry.zone
-        return first.entry.failure_domain == upstream.entry.failure_domain
+        if self.settings.classes[first_attempt.class_index].idempotency_scope is IdempotencyScope.ZONE:
+            return first_attempt.entry.zone == upstream.entry.zone
+        return first_attempt.entry.failure_domain == upstream.entry.failure_domain
 
     def latest_write_at_us(self, request: PendingRequest) -> int:
         """Return the latest time (us) to write a repeat, as its key is forgotten later; 0 = no limit."""
         request_class = request.request_class
-        first = request.first_attempt_that_may_have_run()
-        if first is None or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
+        first_attempt = request.first_attempt_that_may_have_run()
+        if first_attempt is None or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return 0
-        return first.sent_at_us + request_class.idempotency_window_us
+        return first_attempt.sent_at_us + request_class.idempotency_window_us
 
     def may_reject(self, request: PendingRequest) -> bool:
         """Return whether the client may safely repeat a request that has had no successful response."""
@@ -103,10 +103,10 @@
         after an outage that has raised the mean latency.
         """
         class_index = request.event.class_index
-        answer_us = min(
+        expected_latency_us = min(
             self.estimates.mean_latency_us[class_index], self.estimates.slow_latency_us[class_index]
         )
-        return self.useful_until_us(request) - int(answer_us)
+        return self.useful_until_us(request) - int(expected_latency_us)
 
     def timeout_us(self, request: PendingRequest, now_us: int) -> int:
         """Return the timeout (us) of the next attempt: the time for which its answer is useful or, if a retry
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -46,8 +46,10 @@
         """
         if not self.retries.may_send(request, now_us):
             return None
-        listed = self.membership.by_id.values()
-        ejections_apply = self.outliers.class_ejections_apply(listed, request.event.class_index, now_us)
+        listed_upstreams = self.membership.by_id.values()
+        ejections_apply = self.outliers.class_ejections_apply(
+            listed_upstreams, request.event.class_index, now_us
+        )
         for pool in self.membership.pools_in_use:
             candidates = self._candidates_of_pool(pool, request, ejections_apply, now_us)
             if candidates:
@@ -66,30 +68,32 @@
         others are warm, as it is the work of many.
         """
         slow_start = pool.slow_start
-        subset = pool.subset.members
-        warming = {
+        subset_members = pool.subset.members
+        warming_upstreams = {
             upstream: None
             for upstream in slow_start.warming_upstreams
             if slow_start.is_warming(upstream.entry, now_us)
         }
         is_expensive = self.estimates.relative_cost(request.event) > MAX_COST_WHILE_WARMING
-        all_are_warming = len(warming) >= len(self.membership.by_id)
-        excluded = warming if is_expensive and not all_are_warming else {}
-        usable_warming = [] if excluded else [*warming]
+        all_are_warming = len(warming_upstreams) >= len(self.membership.by_id)
+        excluded_upstreams = warming_upstreams if is_expensive and not all_are_warming else {}
+        usable_warming_upstreams = [] if excluded_upstreams else [*warming_upstreams]
         if pool.admission.credit < 1.0:
-            return self.candidates_with_free_slots(request, usable_warming, ejections_apply, now_us)
-        warm_members = [upstream for upstream in subset if upstream not in warming]
+            return self.candidates_with_free_slots(request, usable_warming_upstreams, ejections_apply, now_us)
+        warm_members = [upstream for upstream in subset_members if upstream not in warming_upstreams]
         candidates = self.candidates_with_free_slots(
-            request, [*warm_members, *usable_warming], ejections_apply, now_us
+            request, [*warm_members, *usable_warming_upstreams], ejections_apply, now_us
         )
-        if not candidates or len(subset) < pool.subset.wanted_size(pool.admission.send_rate):
+        if not candidates or len(subset_members) < pool.subset.wanted_size(pool.admission.send_rate):
             # Only then are others considered: sidecars that are connected to every upstream would exhaust the
             # upstreams' connections.
             pools = self.membership.pools
             outside_subset = [
                 upstream
                 for upstream in self.membership.by_id.values()
-                if pools[upstream.pool_index] is pool and upstream not in subset and upstream not in excluded
+                if pools[upstream.pool_index] is pool
+                and upstream not in subset_members
+                and upstream not in excluded_upstreams
             ]
             candidates = (
                 self.candidates_with_free_slots(request, outside_subset, ejections_apply, now_us)
@@ -112,8 +116,8 @@
         candidates = []
         limit_of, weight_of = self.concurrency_limit, self._weight
         for upstream in upstreams:
-            slots = limit_of(upstream, now_us) - upstream.in_flight
-            if slots <= 0 or (
+            free_slots = limit_of(upstream, now_us) - upstream.in_flight
+            if free_slots <= 0 or (
                 scope_attempt is not None and not self.retries.in_scope(scope_attempt, upstream)
             ):
                 continue
@@ -122,18 +126,20 @@
                 continue
             if planned_ejections_apply and upstream.advice.ejected:
                 continue
-            candidates.append(Candidate(upstream, weight_of(upstream, health, slots)))
-        tried = [attempt.upstream for attempt in request.attempts]
-        return [candidate for candidate in candidates if candidate.upstream not in tried] or candidates
+            candidates.append(Candidate(upstream, weight_of(upstream, health, free_slots)))
+        tried_upstreams = [attempt.upstream for attempt in request.attempts]
+        return [
+            candidate for candidate in candidates if candidate.upstream not in tried_upstreams
+        ] or candidates
 
     @staticmethod
-    def _weight(upstream: TrackedUpstream, health: ClassHealth, slots: int) -> float:
+    def _weight(upstream: TrackedUpstream, health: ClassHealth, free_slots: int) -> float:
         """Return the weight of an upstream, from its free slots, its latency, its unanswered and rejected
         attempts of the class, and the plan."""
-        unanswered = 1.0 + health.unanswered_share / UNANSWERED_TOLERANCE
-        rejections = 1.0 + health.rejection_share / REJECTION_TOLERANCE
-        weight = slots / (upstream.latency_ratio * unanswered) ** 2
-        return weight * upstream.advice.weight / rejections
+        unanswered_penalty = 1.0 + health.unanswered_share / UNANSWERED_TOLERANCE
+        rejection_penalty = 1.0 + health.rejection_share / REJECTION_TOLERANCE
+        weight = free_slots / (upstream.latency_ratio * unanswered_penalty) ** 2
+        return weight * upstream.advice.weight / rejection_penalty
 
     def concurrency_limit(self, upstream: TrackedUpstream, now_us: int) -> int:
         """Return how many attempts an upstream may have in flight now, after applying ejection, slow start
@@ -147,5 +153,5 @@
                 if upstream.slow_start_credit < 0.0:
                     return 0
                 limit = 1
-        cap = upstream.advice.concurrency_limit
-        return min(limit, cap) if cap > 0 else limit
+        planned_limit = upstream.advice.concurrency_limit
+        return min(limit, planned_limit) if planned_limit > 0 else limit
--- a/ryepier/balancer/settings_parser.py
+++ b/ryepier/balancer/settings_parser.py
@@ -75,7 +75,7 @@
         return self.choice(path, ("true", "false"), default) == "true"
 
 
-def _class(options: _Options, prefix: str) -> api.RequestClass:
+def _parse_class(options: _Options, prefix: str) -> api.RequestClass:
     return api.RequestClass(
         name=options.text(prefix + "name"),
         latency_objective_us=options.integer(prefix + "aim"),
@@ -90,7 +90,7 @@
     )
 
 
-def _tenant(options: _Options, prefix: str) -> api.Tenant:
+def _parse_tenant(options: _Options, prefix: str) -> api.Tenant:
     return api.Tenant(
         options.text(prefix + "name"),
         options.number(prefix + "allowance-per-s"),
@@ -101,12 +101,12 @@
 def parse_settings(text: str) -> api.Settings:
     """Return the settings of one instance. Unknown keys are skipped. Raises SettingsError."""
     pairs: dict[str, str] = {}
-    for number, line in enumerate(text.splitlines(), 1):
+    for line_number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         path, equals, value = line.partition("=")
         if not equals or not path:
-            raise SettingsError(f"settings line {number}: expected path=value, got {line!r}")
+            raise SettingsError(f"settings line {line_number}: expected path=value, got {line!r}")
         pairs[path] = value
     return settings_from_pairs(pairs)
 
@@ -117,11 +117,12 @@
     try:
         return api.Settings(
             classes=[
-                _class(options, f"request-classes.{i}.")
+                _parse_class(options, f"request-classes.{i}.")
                 for i in range(options.integer("request-classes.count"))
             ],
             tenants=[
-                _tenant(options, f"accounts.{i}.") for i in range(options.integer("accounts.count", "0"))
+                _parse_tenant(options, f"accounts.{i}.")
+                for i in range(options.integer("accounts.count", "0"))
             ],
             over_quota_weight=options.number("over-share-worth", "1"),
             weight_by_work=options.choice("value-by", ("request", "work"), "request") == "work",
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -242,7 +242,7 @@
     _packer_for(10, ""),
     _packer_for(110, "I"),
 )
-_pack_send_to_peer, _log_header, _error_header = (
+_pack_send_to_peer, _pack_log_header, _pack_error_header = (
     _packer_for(50, "IH"),
     _packer_for(120, "H"),
     _packer_for(60, "H"),
@@ -270,8 +270,8 @@
         _pack_send_to_peer(instance, _U32_MAX if action.to is None else action.to, len(action.payload))
         + action.payload
     ),
-    api.Log: lambda instance, action: _pack_text(_log_header, instance, action.text),
-    InternalError: lambda instance, action: _pack_text(_error_header, instance, action.text),
+    api.Log: lambda instance, action: _pack_text(_pack_log_header, instance, action.text),
+    InternalError: lambda instance, action: _pack_text(_pack_error_header, instance, action.text),
 }
 
 
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -31,62 +31,68 @@
         self.recent_throughput = 0.0
         self.long_term_throughput = 0.0  # averaged over the duration of a warm-up
         self.long_term_time_constant_us = max(settings.warm_up_us, tuning.RATE_TIME_CONSTANT_US)
-        self.observed_share = 0.0  # of that duration, averaged like the throughput
+        self.observed_time_share = 0.0  # of that duration, averaged like the throughput
         self.updated_at_us = now_us
         self.overcommit = 1.0  # multiple of the guaranteed capacity that warming upstreams get
 
-    def progress(self, entry: Upstream, now_us: int) -> float:
+    def capacity_share(self, entry: Upstream, now_us: int) -> float:
         """Return the share of its capacity (0 to 1) that an upstream has with the slowest allowed warm-up."""
         settings = self.settings
         age_us = now_us - entry.started_at_us
         if entry.started_at_us == 0 or age_us >= settings.warm_up_us:
             return 1.0
-        initial = settings.initial_capacity_share
-        return initial + (1.0 - initial) * max(0, age_us) / settings.warm_up_us
+        initial_share = settings.initial_capacity_share
+        return initial_share + (1.0 - initial_share) * max(0, age_us) / settings.warm_up_us
 
     def is_warming(self, entry: Upstream, now_us: int) -> bool:
         """Return whether an upstream is still warming up."""
-        return entry.started_at_us != 0 and self.progress(entry, now_us) < 1.0
+        return entry.started_at_us != 0 and self.capacity_share(entry, now_us) < 1.0
 
     def size(self, entry: Upstream) -> float:
         """Return an upstream's size relative to the others: its weight where weights denote sizes, else 1."""
         return entry.weight if self.settings.weighted and 0.0 < entry.weight < math.inf else 1.0
 
-    def share(self, upstream: TrackedUpstream, now_us: int) -> float:
+    def relative_traffic(self, upstream: TrackedUpstream, now_us: int) -> float:
         """Return the traffic that a warming upstream gets, relative to a warm one of size 1."""
-        progress = self.progress(upstream.entry, now_us)
-        return self.size(upstream.entry) * min(1.0, progress * self.overcommit)
+        capacity_share = self.capacity_share(upstream.entry, now_us)
+        return self.size(upstream.entry) * min(1.0, capacity_share * self.overcommit)
 
-    def refresh(self, listed: list[TrackedUpstream], now_us: int) -> list[TrackedUpstream]:
+    def refresh(self, listed_upstreams: list[TrackedUpstream], now_us: int) -> list[TrackedUpstream]:
         """Update the warming upstreams from the pool's listed ones. Returns those that have become warm."""
         newly_warm = [
             upstream for upstream in self.warming_upstreams if not self.is_warming(upstream.entry, now_us)
         ]
-        self.warming_upstreams = [upstream for upstream in listed if self.is_warming(upstream.entry, now_us)]
-        warm = [upstream for upstream in listed if not self.is_warming(upstream.entry, now_us)]
-        self.warm_size = sum(self.size(upstream.entry) for upstream in warm)
+        self.warming_upstreams = [
+            upstream for upstream in listed_upstreams if self.is_warming(upstream.entry, now_us)
+        ]
+        warm_upstreams = [
+            upstream for upstream in listed_upstreams if not self.is_warming(upstream.entry, now_us)
+        ]
+        self.warm_size = sum(self.size(upstream.entry) for upstream in warm_upstreams)
         return newly_warm
 
     def is_outdated(self, now_us: int) -> bool:
         """Return whether an upstream has become warm since the last refresh."""
         return any(not self.is_warming(upstream.entry, now_us) for upstream in self.warming_upstreams)
 
-    def add_credit(self, served: float, in_shortage: bool, now_us: int) -> None:
-        """Distribute the credit for `served` requests among the warming upstreams.
+    def add_credit(self, served_requests: float, in_shortage: bool, now_us: int) -> None:
+        """Distribute the credit for `served_requests` among the warming upstreams.
 
         `in_shortage` means that requests recently found no free slot.
         """
         elapsed_us = now_us - self.updated_at_us
         self.updated_at_us = now_us
-        shares = [self.share(upstream, now_us) for upstream in self.warming_upstreams]
-        throughput = served / max(self.warm_size + sum(shares), tuning.MIN_CONCURRENCY)
+        warming_traffic = [self.relative_traffic(upstream, now_us) for upstream in self.warming_upstreams]
+        throughput = served_requests / max(self.warm_size + sum(warming_traffic), tuning.MIN_CONCURRENCY)
         credit = throughput
         if in_shortage:
-            observed_share = max(self.observed_share, tuning.MIN_OBSERVED_SHARE)
-            missing_throughput = self.long_term_throughput / observed_share - self.recent_throughput
+            observed_time_share = max(self.observed_time_share, tuning.MIN_OBSERVED_TIME_SHARE)
+            missing_throughput = self.long_term_throughput / observed_time_share - self.recent_throughput
             credit += elapsed_us / tuning.SECOND_US * max(0.0, missing_throughput)
-        for upstream, share in zip(self.warming_upstreams, shares, strict=True):
-            new_credit = min(upstream.slow_start_credit + credit * share, tuning.MAX_SLOW_START_CREDIT)
+        for upstream, relative_traffic in zip(self.warming_upstreams, warming_traffic, strict=True):
+            new_credit = min(
+                upstream.slow_start_credit + credit * relative_traffic, tuning.MAX_SLOW_START_CREDIT
+            )
             upstream.slow_start_credit = max(upstream.slow_start_credit, new_credit)
         self._observe_throughput(throughput, elapsed_us)
 
@@ -99,13 +105,15 @@
         self.long_term_throughput = decayed_rate(
             self.long_term_throughput, throughput, elapsed_us, time_constant_us
         )
-        self.observed_share = 1.0 - (1.0 - self.observed_share) * math.exp(-elapsed_us / time_constant_us)
+        self.observed_time_share = 1.0 - (1.0 - self.observed_time_share) * math.exp(
+            -elapsed_us / time_constant_us
+        )
 
     def adapt_overcommit(self, load: float) -> None:
         """Adapt the overcommit to the load that an answer shows.
 
         Most upstreams have more than their guaranteed capacity while they warm up.
         """
-        maximum = max(1.0, tuning.MAX_OVERCOMMIT_SHARE * self.settings.overload_factor)
+        max_overcommit = max(1.0, tuning.MAX_OVERCOMMIT_SHARE * self.settings.overload_factor)
         overcommit = self.overcommit * (1.0 + tuning.OVERCOMMIT_GAIN * (tuning.TARGET_LOAD - load))
-        self.overcommit = min(max(overcommit, tuning.MIN_OVERCOMMIT), maximum)
+        self.overcommit = min(max(overcommit, tuning.MIN_OVERCOMMIT), max_overcommit)
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -37,15 +37,15 @@
         """
         if not new_upstreams or not self.members:
             return []  # before the first attempt; selections add members as needed
-        replaceable = [upstream for upstream in self.members if upstream not in new_upstreams]
-        random.shuffle(replaceable)
-        target_size = max(wanted_count, len(replaceable))
-        removed: list[TrackedUpstream] = []
+        replaceable_members = [upstream for upstream in self.members if upstream not in new_upstreams]
+        random.shuffle(replaceable_members)
+        target_size = max(wanted_count, len(replaceable_members))
+        removed_upstreams: list[TrackedUpstream] = []
         for upstream in new_upstreams:
             if random.random() * listed_count >= target_size:
-                removed += self.leave(upstream)
-            elif upstream not in self.members and len(self.members) >= wanted_count and replaceable:
+                removed_upstreams += self.leave(upstream)
+            elif upstream not in self.members and len(self.members) >= wanted_count and replaceable_members:
                 # While the subset is not full, selections add upstreams from outside it.
-                removed += self.leave(replaceable.pop())
+                removed_upstreams += self.leave(replaceable_members.pop())
                 self.members[upstream] = None
-        return removed
+        return removed_upstreams
--- a/ryepier/balancer/tuning.py
+++ b/ryepier/balancer/tuning.py
@@ -38,7 +38,7 @@
 MAX_OVERCOMMIT_SHARE = 0.5  # of `overload_factor`; the rest is reserved for bursts
 OVERCOMMIT_GAIN = 0.5  # relative change of the overcommit per answer and per unit of load below the target
 MAX_SLOW_START_CREDIT = 0.5  # requests; limits the credit that a warming upstream accumulates
-MIN_OBSERVED_SHARE = 0.2  # of the warm-up time; a shorter observation counts as this long
+MIN_OBSERVED_TIME_SHARE = 0.2  # of the warm-up time; a shorter observation counts as this long
 MAX_COST_WHILE_WARMING = 4.0  # times the mean cost; costlier requests are not sent to warming upstreams
 DEMAND_CREDIT_SHARE = 0.1  # slow-start credit of an arrival, relative to that of an answer
 
--- a/ryepier/balancer/upstream.py
+++ b/ryepier/balancer/upstream.py
@@ -41,7 +41,9 @@
     by_class: list[ClassHealth]
     advice: Advice  # from the current plan
     in_flight: int = 0  # slots in use; an attempt that is presumed lost uses none
-    outstanding: list[Attempt] = field(default_factory=list)  # attempts not ended yet, in the order sent
+    outstanding_attempts: list[Attempt] = field(
+        default_factory=list
+    )  # attempts not ended yet, in the order sent
     queue_headroom: int = 0  # recent fast answers, minus slow answers and rejections
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
     ejected_until_us: int = 0
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -85,7 +85,7 @@
             tracked.queue_headroom,
             tracked.concurrency.growing_fast,
             tracked in self.state.dispatcher.balancer.membership.pool_of(tracked).subset.members,
-            len(tracked.outstanding),
+            len(tracked.outstanding_attempts),
         )
 
     def pending_request(self, request: upstream.PendingRequest) -> tuple[Any, ...]:
--- a/ryepier/check/invariants.py
+++ b/ryepier/check/invariants.py
@@ -79,7 +79,7 @@
 
 def _violations_of_slots(balancer: Balancer) -> Iterator[Violation]:
     for upstream in balancer.membership.by_id.values():
-        in_flight = sum(not attempt.presumed_lost for attempt in upstream.outstanding)
+        in_flight = sum(not attempt.presumed_lost for attempt in upstream.outstanding_attempts)
         if upstream.in_flight != in_flight:
             text = f"converter {upstream.entry.id}: {upstream.in_flight} slots taken, {in_flight} attempts out"
             yield Violation(Rule.SLOTS, text)
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -89,7 +89,7 @@
 
 def any_failure_domain() -> None:
     """Retry requests with an idempotency key in any failure domain."""
-    RetryPolicy.in_scope = lambda self, first, upstream: True  # type: ignore[method-assign]
+    RetryPolicy.in_scope = lambda self, first_attempt, upstream: True  # type: ignore[method-assign]
 
 
 def long_idempotency_window() -> None:
--- a/ryepier/storm/failed_request_sketch.py
+++ b/ryepier/storm/failed_request_sketch.py
@@ -23,11 +23,11 @@
 
 def fingerprint(*parts: bytes) -> bytes:
     """Return a hash of the parts that all attempts of a request have in common, and of their lengths."""
-    state = hashlib.blake2b(digest_size=4 * ROWS)
+    hasher = hashlib.blake2b(digest_size=4 * ROWS)
     for part in parts:
-        state.update(len(part).to_bytes(4, "big"))
-        state.update(part)
-    return state.digest()
+        hasher.update(len(part).to_bytes(4, "big"))
+        hasher.update(part)
+    return hasher.digest()
 
 
 class _Generation:
@@ -41,10 +41,10 @@
 
     def add(self, columns: list[int]) -> None:
         """Count one request. Only its smallest counters are incremented, as the others are already too high."""
-        minimum = self.minimum_count(columns)
-        if minimum < MAX_COUNT:
+        lowest_count = self.minimum_count(columns)
+        if lowest_count < MAX_COUNT:
             for row, column in zip(self.rows, columns, strict=True):
-                row[column] = max(row[column], minimum + 1)
+                row[column] = max(row[column], lowest_count + 1)
         self.count += 1
 
 
@@ -57,33 +57,36 @@
 
     def __init__(self, now_us: int) -> None:
         """Start empty at `now_us` (microseconds)."""
-        self.current = _Generation(now_us)
-        self.previous: _Generation | None = None
+        self.current_generation = _Generation(now_us)
+        self.previous_generation: _Generation | None = None
 
     @property
     def empty(self) -> bool:
         """Whether no failed request is remembered, so that each request is a first attempt."""
-        return not self.current.count and self.previous is None
+        return not self.current_generation.count and self.previous_generation is None
 
     def add(self, now_us: int, digest: bytes) -> None:
         """Add a request that was not served."""
-        if now_us - self.current.started_at_us >= GENERATION_US or self.current.count >= GENERATION_SIZE:
+        if (
+            now_us - self.current_generation.started_at_us >= GENERATION_US
+            or self.current_generation.count >= GENERATION_SIZE
+        ):
             self._rotate(now_us)
-        self.current.add(_columns(digest))
+        self.current_generation.add(_columns(digest))
 
     def retry_number(self, now_us: int, digest: bytes) -> int:
         """Return how many earlier attempts of a request were not served; 0 for a first attempt."""
-        if now_us - self.current.started_at_us >= GENERATION_US:
+        if now_us - self.current_generation.started_at_us >= GENERATION_US:
             self._rotate(now_us)
         if self.empty:
             return 0
         columns = _columns(digest)
-        return self.current.minimum_count(columns) + (
-            self.previous.minimum_count(columns) if self.previous is not None else 0
+        return self.current_generation.minimum_count(columns) + (
+            self.previous_generation.minimum_count(columns) if self.previous_generation is not None else 0
         )
 
     def _rotate(self, now_us: int) -> None:
         # Rotation happens only on calls. A generation that is too old by then must not count for as long again.
-        is_recent = now_us - self.current.started_at_us < 2 * GENERATION_US and self.current.count
-        self.previous = self.current if is_recent else None
-        self.current = _Generation(now_us)
+        is_recent = now_us - self.current_generation.started_at_us < 2 * GENERATION_US and self.current_generation.count
+        self.previous_generation = self.current_generation if is_recent else None
+        self.current_generation = _Generation(now_us)
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -30,7 +30,9 @@
 ADMISSION_DECREASE = 0.8  # factor of the admitted share of retries per tick
 ADMISSION_INCREASE = 1.25  # factor of the admitted share of retries per tick
 ADMISSION_INCREASE_STEP = 0.02  # added to the admitted share per tick, in addition to the factor
-MIN_ADMISSION = 0.05  # of the retries; admitting none does not help if first attempts are rejected for another reason
+MIN_RETRY_ADMISSION = (
+    0.05  # of the retries; admitting none does not help if first attempts are rejected for another reason
+)
 RECOVERY_FACTOR = 2.0  # rate of service when the retries arrive, relative to the current rate
 MIN_RETRY_AFTER_WINDOW_US = 200_000  # for a rejected first attempt; doubled for each retry number
 MAX_RETRY_AFTER_WINDOW_US = 30_000_000  # for a rejected first attempt; doubled for each retry number
@@ -77,8 +79,8 @@
 
     arrivals_by_retry_number: list[int] = field(default_factory=lambda: [0] * RETRY_NUMBER_BUCKETS)
     arrivals_by_tenant: dict[int, int] = field(default_factory=dict)
-    served: int = 0
-    first_rejections: int = 0
+    served_count: int = 0
+    first_rejection_count: int = 0
 
 
 class RetryStormDetector:
@@ -113,11 +115,11 @@
 
     def on_served(self) -> None:
         """Count a served request."""
-        self.counts.served += 1
+        self.counts.served_count += 1
 
     def on_unserved(self, retry_number: int) -> None:
         """Count a request that was not served."""
-        self.counts.first_rejections += int(retry_number == 0)
+        self.counts.first_rejection_count += int(retry_number == 0)
 
     def tick(self, now_us: int) -> StormReport:
         """Update the rates and the admitted share. Returns whether there is a storm, and why."""
@@ -129,7 +131,7 @@
         if not was_active:
             self.retry_admission = 1.0
         elif self.first_rejection_rate > MAX_FIRST_REJECTION_SHARE * self.arrival_rates[0]:
-            self.retry_admission = max(MIN_ADMISSION, self.retry_admission * ADMISSION_DECREASE)
+            self.retry_admission = max(MIN_RETRY_ADMISSION, self.retry_admission * ADMISSION_DECREASE)
         else:
             self.retry_admission = min(1.0, self.retry_admission * ADMISSION_INCREASE + ADMISSION_INCREASE_STEP)
         if self.active:
@@ -154,8 +156,8 @@
             self.tenant_rates[tenant] = rate + (counts.arrivals_by_tenant.get(tenant, 0) * 1e6 / elapsed_us - rate) * (
                 1 - decay
             )
-        self.served_rate += (counts.served * 1e6 / elapsed_us - self.served_rate) * (1 - decay)
-        self.first_rejection_rate += (counts.first_rejections * 1e6 / elapsed_us - self.first_rejection_rate) * (
+        self.served_rate += (counts.served_count * 1e6 / elapsed_us - self.served_rate) * (1 - decay)
+        self.first_rejection_rate += (counts.first_rejection_count * 1e6 / elapsed_us - self.first_rejection_rate) * (
             1 - decay
         )
         arrival_rate = sum(self.arrival_rates)
@@ -189,16 +191,18 @@
         return StormEvidence(arrival_rate, self.served_rate, retry_share, surge_ratio, since_outage_us)
 
     @staticmethod
-    def _unserved(evidence: StormEvidence) -> float:
+    def _unserved_share(evidence: StormEvidence) -> float:
         return 1.0 - min(1.0, evidence.served_rate / evidence.arrival_rate) if evidence.arrival_rate > 0 else 0.0
 
     def _should_open(self, evidence: StormEvidence) -> bool:
         if evidence.arrival_rate < MIN_ARRIVAL_RATE:
             return False
-        return evidence.retry_share >= OPENING_RETRY_SHARE and self._unserved(evidence) >= OPENING_UNSERVED_SHARE
+        return evidence.retry_share >= OPENING_RETRY_SHARE and self._unserved_share(evidence) >= OPENING_UNSERVED_SHARE
 
     def _update_calm(self, now_us: int, evidence: StormEvidence) -> None:
-        is_calm = evidence.retry_share <= CLOSING_RETRY_SHARE or self._unserved(evidence) <= CLOSING_UNSERVED_SHARE
+        is_calm = (
+            evidence.retry_share <= CLOSING_RETRY_SHARE or self._unserved_share(evidence) <= CLOSING_UNSERVED_SHARE
+        )
         is_calm |= evidence.surge_ratio > SURGE_RATIO or evidence.arrival_rate < MIN_ARRIVAL_RATE
         if not is_calm:
             self.calm_since_us = None
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -119,7 +119,7 @@
 
     event: RequestArrived
     attempts: list[TrackedAttempt] = field(default_factory=list)
-    answers: int = 0
+    answer_count: int = 0
     closed: bool = False
     streaming: bool = False
 
@@ -197,7 +197,7 @@
         attempt_record.outcome = outcome
         if (outcome is Outcome.OK or tracked.streaming) and not tracked.closed:
             tracked.closed = True
-            tracked.answers += 1
+            tracked.answer_count += 1
         return self.handle(
             AttemptEnded(
                 request,
@@ -218,7 +218,7 @@
     def disconnect_client(self, request: int) -> None:
         """Disconnect the client of an open request."""
         self.requests[request].closed = True
-        self.requests[request].answers = 1
+        self.requests[request].answer_count = 1
         self.handle(ClientDisconnected(request))
 
     def advance(self, duration_us: int) -> None:
@@ -249,8 +249,10 @@
     def _check_overdue_requests(self) -> None:
         slack_us = MAX_OVERDUE_TICKS * self.settings.tick_us
         for request, tracked in self.requests.items():
-            overdue = self.now_us > tracked.event.due_at_us + slack_us and not tracked.streaming
-            assert not overdue or tracked.answers == 1, f"rule 1: request {request} has no answer after its due time"
+            is_overdue = self.now_us > tracked.event.due_at_us + slack_us and not tracked.streaming
+            assert not is_overdue or tracked.answer_count == 1, (
+                f"rule 1: request {request} has no answer after its due time"
+            )
 
     def check(self, action: Action) -> None:
         """Check an action against the contract, and record the attempt or timer that it starts."""
@@ -277,8 +279,8 @@
         assert len(tracked.attempts) < self.settings.max_attempts, "more attempts than allowed"
         assert send.upstream not in self.unavailable_since_us, "rule 3: an attempt at a draining or removed upstream"
         assert self.settings.hedging or not tracked.in_flight(), "rule 2: two attempts in flight at the same time"
-        for earlier in tracked.may_have_run():
-            self._check_repeat(tracked, earlier, entry)
+        for earlier_attempt in tracked.may_have_run():
+            self._check_repeat(tracked, earlier_attempt, entry)
         ends_at_us = tracked.event.due_at_us
         if send.timeout_us:
             ends_at_us = min(ends_at_us, self.now_us + send.timeout_us)
@@ -286,18 +288,18 @@
             TrackedAttempt(send.upstream, entry.zone, entry.failure_domain, self.now_us, ends_at_us)
         )
 
-    def _check_repeat(self, tracked: TrackedRequest, earlier: TrackedAttempt, entry: Upstream) -> None:
+    def _check_repeat(self, tracked: TrackedRequest, earlier_attempt: TrackedAttempt, entry: Upstream) -> None:
         request_class = self.settings.classes[tracked.event.class_index]
         assert request_class.idempotency != Idempotency.NON_IDEMPOTENT, "rule 2: a non-idempotent request sent again"
         if request_class.idempotency != Idempotency.IDEMPOTENCY_KEY:
             return
-        assert self.now_us - earlier.sent_at_us <= request_class.idempotency_window_us, (
+        assert self.now_us - earlier_attempt.sent_at_us <= request_class.idempotency_window_us, (
             "rule 2: a repeat after the idempotency window"
         )
         if request_class.idempotency_scope == IdempotencyScope.FAILURE_DOMAIN:
-            assert entry.failure_domain == earlier.failure_domain, "rule 2: a repeat outside the failure domain"
+            assert entry.failure_domain == earlier_attempt.failure_domain, "rule 2: a repeat outside the failure domain"
         if request_class.idempotency_scope == IdempotencyScope.ZONE:
-            assert entry.zone == earlier.zone, "rule 2: a repeat outside the zone"
+            assert entry.zone == earlier_attempt.zone, "rule 2: a repeat outside the zone"
 
     def check_answer(self, answer: Reject | Fail) -> None:
         """Check a final answer, and close its request."""
@@ -305,7 +307,7 @@
         request_class = self.settings.classes[tracked.event.class_index]
         assert not tracked.closed, "rule 1: a second final answer"
         tracked.closed = True
-        tracked.answers += 1
+        tracked.answer_count += 1
         if isinstance(answer, Reject):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
             is_safe_to_repeat = request_class.idempotency == Idempotency.IDEMPOTENT or (
--- a/tests/balancer_scenarios.py
+++ b/tests/balancer_scenarios.py
@@ -46,11 +46,11 @@
         harness.advance(duration_us)
         for request in [request for request, tracked in harness.requests.items() if tracked.in_flight()]:
             for attempt in harness.requests[request].in_flight():
-                at_failing = harness.requests[request].attempts[attempt].upstream == failing_upstream
-                harness.end(request, attempt, fault if at_failing else Outcome.OK)
+                is_at_failing_upstream = harness.requests[request].attempts[attempt].upstream == failing_upstream
+                harness.end(request, attempt, fault if is_at_failing_upstream else Outcome.OK)
 
 
-def end_all_attempts(harness: BalancerHarness, outcome: Outcome) -> None:
+def send_and_end_requests(harness: BalancerHarness, outcome: Outcome) -> None:
     """Send 20 requests, and end all attempts with `outcome`."""
     for _ in range(20):
         harness.arrive(PAY)
@@ -62,13 +62,13 @@
 
 def open_slot_count(harness: BalancerHarness) -> int:
     """Return how many attempts can be in flight now; ends the attempts that it sends."""
-    sent = [request for request in fill_slots(harness) if harness.sends(request)]
-    for request in sent:
+    sent_requests = [request for request in fill_slots(harness) if harness.sends(request)]
+    for request in sent_requests:
         harness.end(request, 0, Outcome.OK)
-    return len(sent)
+    return len(sent_requests)
 
 
-def busy_harness() -> BalancerHarness:
+def harness_with_open_slots() -> BalancerHarness:
     """Return the harness of a balancer whose only upstream has opened more slots in a shortage."""
     harness = ready_harness(1)
     for _ in range(80):
@@ -90,6 +90,6 @@
     return [action.text for action in harness.actions if isinstance(action, Log)]
 
 
-def rejected_count(harness: BalancerHarness, count: int) -> int:
+def send_and_count_unsent(harness: BalancerHarness, count: int) -> int:
     """Send `count` requests, and return how many of them the balancer did not send."""
     return sum(1 for _ in range(count) if not harness.sends(harness.arrive(PAY)))
--- a/tests/polling_fleet.py
+++ b/tests/polling_fleet.py
@@ -82,19 +82,19 @@
 class PollingFleet:
     """The sidecars, discovery, and the queue of their scheduled events."""
 
-    def __init__(self, sidecars: int, polls_per_s: float, phases: Sequence[Phase]) -> None:
+    def __init__(self, sidecar_count: int, polls_per_s: float, phases: Sequence[Phase]) -> None:
         """Create the sidecars; the last phase must be UP if the sidecars are to receive the list."""
-        config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
+        config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecar_count)
         self.now_us = START_US
         self.service_time_us = int(1e6 / polls_per_s)
         self.phases = phases
         self.events: list[FleetEvent] = []
-        self.sequence = itertools.count(1)
+        self.sequence_numbers = itertools.count(1)
         self.waiting_polls: deque[WaitingPoll] = deque()
         self.is_serving = False
-        self.polls: Counter[int] = Counter()  # by second
-        self.failed_polls = 0
-        self.sidecars = [Sidecar(Balancer(config, seed, START_US)) for seed in range(sidecars)]
+        self.polls_by_second: Counter[int] = Counter()  # by second
+        self.failed_poll_count = 0
+        self.sidecars = [Sidecar(Balancer(config, seed, START_US)) for seed in range(sidecar_count)]
 
     def start_all(self) -> None:
         """Start all sidecars at the same time, without a list."""
@@ -127,7 +127,7 @@
         return [phase.mode for phase in self.phases if phase.starts_at_s <= self._now_s()][-1]
 
     def _schedule(self, at_us: int, kind: EventKind, sidecar: int, value: int) -> None:
-        heapq.heappush(self.events, FleetEvent(at_us, next(self.sequence), kind, sidecar, value))
+        heapq.heappush(self.events, FleetEvent(at_us, next(self.sequence_numbers), kind, sidecar, value))
 
     def _handle(self, sidecar_index: int, event: TimerFired | UpstreamsUpdated) -> None:
         sidecar = self.sidecars[sidecar_index]
@@ -139,20 +139,20 @@
                 self._poll(sidecar_index)
 
     def _poll(self, sidecar_index: int) -> None:
-        poll = self.sidecars[sidecar_index].poll = next(self.sequence)
-        self.polls[int(self._now_s())] += 1
+        poll = self.sidecars[sidecar_index].poll = next(self.sequence_numbers)
+        self.polls_by_second[int(self._now_s())] += 1
         mode = self._mode()
         if mode is DiscoveryMode.UP:
             self.waiting_polls.append(WaitingPoll(sidecar_index, poll))
             self._schedule(self.now_us + MAX_POLL_WAIT_US, EventKind.POLL_FAILED, sidecar_index, poll)
             self._serve_next()
             return
-        failure_us = {
+        failure_delays_us = {
             DiscoveryMode.SILENT: SILENCE_US,
             DiscoveryMode.REFUSED: REFUSAL_DELAY_US,
             DiscoveryMode.RESET: RESET_DELAY_US,
         }
-        self._schedule(self.now_us + failure_us[mode], EventKind.POLL_FAILED, sidecar_index, poll)
+        self._schedule(self.now_us + failure_delays_us[mode], EventKind.POLL_FAILED, sidecar_index, poll)
 
     def _serve_next(self) -> None:
         while self.waiting_polls and not self.is_serving:
@@ -177,5 +177,5 @@
                     self._handle(event.sidecar, UpstreamsUpdated(ListKind.DELTA, version=1))
             case EventKind.POLL_FAILED if sidecar.poll == event.value:
                 sidecar.poll = 0
-                self.failed_polls += 1
+                self.failed_poll_count += 1
                 self._handle(event.sidecar, UpstreamsUpdated(ListKind.FAILED))
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -36,12 +36,12 @@
 CORES = 2
 MEAN_COST_US = 100_000  # mean work of a request; a warm converter serves 20 requests a second
 MAX_QUEUE_US = 600_000  # a request that would wait longer is rejected
-BEFORE_STARTS_US = 8_000_000
-AFTER_STARTS_US = 8_000_000
+DURATION_BEFORE_STARTS_US = 8_000_000
+DURATION_AFTER_STARTS_US = 8_000_000
 CAPACITY = CORES * 1_000_000 / MEAN_COST_US  # requests per second of a warm converter
 MAX_COST = 10.0  # highest cost of a request, in multiples of the mean
 REQUEST_TIMEOUT_US = 1_500_000
-REJECTION_US = 1_000  # from an attempt to its rejection
+REJECTION_DELAY_US = 1_000  # from an attempt to its rejection
 RELATIVE_RATES = [0.02, 0.5, 1.0, 1.0, 4.0]  # of the sidecars, to one another
 
 EQUAL_HINTED = "equal, hinted"
@@ -53,8 +53,8 @@
 class Case:
     """Parameters of one run."""
 
-    sidecars: int
-    cold: int  # converters that start together
+    sidecar_count: int
+    cold_count: int  # converters that start together
     costs: str = EQUAL_HINTED
     load: float = 0.7  # rate of new requests, relative to the capacity of all converters when warm
     seed: int = 1
@@ -63,7 +63,7 @@
     def name(self) -> str:
         """Return the id of the test case."""
         moves = ", traffic moves" if self.traffic_moves else ""
-        return f"{self.sidecars} sidecars, {self.cold} cold, {self.costs}, load {self.load}{moves}"
+        return f"{self.sidecar_count} sidecars, {self.cold_count} cold, {self.costs}, load {self.load}{moves}"
 
 
 class Attempt(NamedTuple):
@@ -103,7 +103,7 @@
         self.random = random.Random(case.seed)
         self.settings: Settings = settings(
             classes=[RequestClass("read", 600_000, REQUEST_TIMEOUT_US, idempotency=Idempotency.NON_IDEMPOTENT)],
-            instances=case.sidecars,
+            instances=case.sidecar_count,
             hedging=False,
             initial_capacity_share=0.12,
             warm_up_us=20_000_000,
@@ -111,12 +111,14 @@
             overload_window_us=3_000_000,
         )
         self.now_us = START_US
-        self.balancers = [Balancer(self.settings, case.seed * 100 + index, START_US) for index in range(case.sidecars)]
+        self.balancers = [
+            Balancer(self.settings, case.seed * 100 + index, START_US) for index in range(case.sidecar_count)
+        ]
         self.converters = [Converter() for _ in range(CONVERTERS)]
         self.queue: list[ScheduledEvent] = []
         self.costs_us: dict[int, int] = {}  # by request
         self.last_number = 0
-        relative_rates = [self.random.choice(RELATIVE_RATES) for _ in range(case.sidecars)]
+        relative_rates = [self.random.choice(RELATIVE_RATES) for _ in range(case.sidecar_count)]
         self.rates = [
             case.load * CONVERTERS * CAPACITY * relative_rate / sum(relative_rates) for relative_rate in relative_rates
         ]
@@ -124,7 +126,7 @@
     @property
     def cold_converters(self) -> list[Converter]:
         """Return the converters that start in the middle of the run."""
-        return self.converters[: self.case.cold]
+        return self.converters[: self.case.cold_count]
 
     # Running
 
@@ -133,9 +135,9 @@
         self._send_list()
         for sidecar in range(len(self.balancers)):
             self._schedule_request(sidecar)
-        self._run_until(START_US + BEFORE_STARTS_US)
+        self._run_until(START_US + DURATION_BEFORE_STARTS_US)
         self._start_cold_converters()
-        self._run_until(self.now_us + AFTER_STARTS_US)
+        self._run_until(self.now_us + DURATION_AFTER_STARTS_US)
 
     def _run_until(self, until_us: int) -> None:
         while self.queue and self.queue[0].at_us <= until_us:
@@ -159,12 +161,12 @@
         self._send_list()
 
     def _send_list(self) -> None:
-        listed = [
+        entries = [
             Upstream(index + 1, started_at_us=converter.started_at_us)
             for index, converter in enumerate(self.converters)
         ]
         for sidecar in range(len(self.balancers)):
-            self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, listed))
+            self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, entries))
 
     def _schedule(self, at_us: int, sidecar: int, event: Event) -> None:
         self.last_number += 1
@@ -197,29 +199,29 @@
         end_us = begin_us + int(cost_us / self.speed(converter, self.now_us))
         outcome, timeout_at_us = Outcome.OK, self.now_us + send.timeout_us
         if begin_us > self.now_us + MAX_QUEUE_US:
-            outcome, end_us = Outcome.REJECTED, self.now_us + REJECTION_US
+            outcome, end_us = Outcome.REJECTED, self.now_us + REJECTION_DELAY_US
         else:
             heapq.heapreplace(converter.cores_free_at_us, end_us)
             if end_us > timeout_at_us:
                 outcome, end_us = Outcome.TIMEOUT, timeout_at_us
         is_final = outcome is Outcome.OK
-        ended = AttemptEnded(send.request, 0, send.upstream, outcome, end_us - self.now_us, is_final)
-        self._schedule(end_us, sidecar, ended)
+        ended_event = AttemptEnded(send.request, 0, send.upstream, outcome, end_us - self.now_us, is_final)
+        self._schedule(end_us, sidecar, ended_event)
 
     def speed(self, converter: Converter, at_us: int) -> float:
         """Return the speed of a converter, relative to a warm one."""
         if converter.started_at_us == 0 or at_us >= converter.started_at_us + self.settings.warm_up_us:
             return 1.0
-        initial = self.settings.initial_capacity_share
-        return initial + (1 - initial) * (at_us - converter.started_at_us) / self.settings.warm_up_us
+        initial_share = self.settings.initial_capacity_share
+        return initial_share + (1 - initial_share) * (at_us - converter.started_at_us) / self.settings.warm_up_us
 
     # Results
 
-    def worst_window(self) -> float:
+    def worst_window_ratio(self) -> float:
         """Return the highest ratio of the work sent to a cold converter in a window to the allowed work."""
-        return max(self._worst_window_of(converter) for converter in self.cold_converters)
+        return max(self._worst_window_ratio_of(converter) for converter in self.cold_converters)
 
-    def _worst_window_of(self, converter: Converter) -> float:
+    def _worst_window_ratio_of(self, converter: Converter) -> float:
         window: deque[Attempt] = deque()
         worst_ratio = work = 0.0
         for attempt in converter.attempts:
@@ -240,6 +242,6 @@
     def utilisation(self) -> float:
         """Return the work that was sent to the cold converters, relative to their capacity."""
         work_sent = sum(attempt.cost for converter in self.cold_converters for attempt in converter.attempts)
-        midpoint_us = self.converters[0].started_at_us + AFTER_STARTS_US // 2
-        max_work = CAPACITY * AFTER_STARTS_US / 1_000_000 * self.speed(self.converters[0], midpoint_us)
-        return work_sent / (max_work * self.case.cold)
+        midpoint_us = self.converters[0].started_at_us + DURATION_AFTER_STARTS_US // 2
+        max_work = CAPACITY * DURATION_AFTER_STARTS_US / 1_000_000 * self.speed(self.converters[0], midpoint_us)
+        return work_sent / (max_work * self.case.cold_count)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 
 WORK_US = 100_000  # mean of the exponentially distributed work of a request: a third of the slow latency
 LATENCY_OBJECTIVE_US = 600_000
-REQUESTS = 400
+REQUEST_COUNT = 400
 SEEDS = range(1, 9)
 
 
@@ -36,13 +36,13 @@
     return sum(not harness.sends(request) for request in requests) / len(requests)
 
 
-def rejected_share(seed: int, mean_us: int) -> float:
+def rejected_share(seed: int, mean_work_us: int) -> float:
     """Send requests one after another, serve each immediately, and return the share that was never sent."""
     harness, rng = lightly_loaded_harness(seed), random.Random(seed)
     requests = []
-    for _ in range(REQUESTS):
+    for _ in range(REQUEST_COUNT):
         requests.append(harness.arrive())
-        serve_attempts(harness, requests[-1], max(1, int(rng.expovariate(1 / mean_us))))
+        serve_attempts(harness, requests[-1], max(1, int(rng.expovariate(1 / mean_work_us))))
         harness.advance(int(rng.expovariate(4.0) * 1_000_000))
     return unsent_share(harness, requests)
 
@@ -51,7 +51,7 @@
     """Two of three answers take 0.3 of the slow latency and the third 1.1: 0.57 on average, below the target of 0.7."""
     harness = lightly_loaded_harness(1)
     requests = []
-    for number in range(REQUESTS):
+    for number in range(REQUEST_COUNT):
         requests.append(harness.arrive())
         serve_attempts(harness, requests[-1], 330_000 if number % 3 == 2 else 90_000)
         harness.advance(100_000)
--- a/tests/test_balancer_misuse.py
+++ b/tests/test_balancer_misuse.py
@@ -47,9 +47,9 @@
     assert harness.end(request, 0, Outcome.ERROR) == []
     assert harness.handle(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
     assert harness.handle(ClientDisconnected(request)) == []
-    served = harness.arrive(0)
-    harness.end(served, 0, Outcome.OK)
-    assert harness.handle(ClientDisconnected(served)) == []
+    served_request = harness.arrive(0)
+    harness.end(served_request, 0, Outcome.OK)
+    assert harness.handle(ClientDisconnected(served_request)) == []
 
 
 def test_outcome_of_an_unknown_attempt_is_ignored() -> None:
@@ -70,9 +70,9 @@
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
-    first, second, other = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
+    first, second, different_seed = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
     actions_by_balancer = []
-    for balancer in (first, second, other):
+    for balancer in (first, second, different_seed):
         actions = balancer.handle(START_US, UpstreamsUpdated(Kind.FULL, upstreams(9)))
         for number in range(20):
             actions += balancer.handle(START_US, RequestArrived(number, START_US + 900_000))
--- a/tests/test_buffer.py
+++ b/tests/test_buffer.py
@@ -22,8 +22,8 @@
     harness = ready_harness()
     requests = fill_slots(harness)
     assert harness.answer(requests[-1]) is None
-    last = harness.arrive(READ)
-    answer = harness.answer(last)
+    last_request = harness.arrive(READ)
+    answer = harness.answer(last_request)
     assert isinstance(answer, Reject) and answer.retry_after_us > 0
 
 
@@ -37,9 +37,9 @@
 
 def test_buffered_request_is_rejected_after_the_slow_latency() -> None:
     harness = ready_harness()
-    waiting = fill_slots(harness)[-1]
+    waiting_request = fill_slots(harness)[-1]
     harness.advance(200_000)
-    assert isinstance(harness.answer(waiting), Reject)
+    assert isinstance(harness.answer(waiting_request), Reject)
 
 
 def test_request_too_close_to_its_deadline_is_rejected_unsent() -> None:
@@ -60,37 +60,39 @@
 
 def test_request_with_a_higher_priority_weight_takes_the_buffer() -> None:
     harness = ready_harness()
-    low_priority = fill_slots(harness)[-1]
-    high_priority = harness.arrive(PAY)
-    assert isinstance(harness.answer(low_priority), Reject) and harness.answer(high_priority) is None
-    rejected = harness.arrive(READ)
-    assert isinstance(harness.answer(rejected), Reject)
+    low_priority_request = fill_slots(harness)[-1]
+    high_priority_request = harness.arrive(PAY)
+    assert isinstance(harness.answer(low_priority_request), Reject) and harness.answer(high_priority_request) is None
+    rejected_request = harness.arrive(READ)
+    assert isinstance(harness.answer(rejected_request), Reject)
     harness.end(harness.sends()[0].request, 0, Outcome.OK)
-    assert harness.sends(high_priority)
+    assert harness.sends(high_priority_request)
 
 
 def test_tenant_over_its_quota_loses_the_buffer() -> None:
     harness = ready_harness(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         harness.arrive(READ, tenant=0)
-    buffered = harness.balancer.buffer
-    assert buffered is not None and buffered.event.tenant == 0
-    within_quota = harness.arrive(READ, tenant=1)
-    assert harness.answer(within_quota) is None and harness.answer(buffered.event.request) is not None
+    buffered_request = harness.balancer.buffer
+    assert buffered_request is not None and buffered_request.event.tenant == 0
+    request_within_quota = harness.arrive(READ, tenant=1)
+    assert harness.answer(request_within_quota) is None and harness.answer(buffered_request.event.request) is not None
 
 
 def test_unknown_tenant_has_no_quota_and_loses_the_buffer() -> None:
     harness = ready_harness(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         harness.arrive(READ, tenant=2)
-    buffered = harness.balancer.buffer
-    assert buffered is not None and buffered.event.tenant == 2
-    of_known_tenant = harness.arrive(READ, tenant=0)
-    assert harness.answer(of_known_tenant) is None and harness.answer(buffered.event.request) is not None
+    buffered_request = harness.balancer.buffer
+    assert buffered_request is not None and buffered_request.event.tenant == 2
+    request_of_known_tenant = harness.arrive(READ, tenant=0)
+    assert (
+        harness.answer(request_of_known_tenant) is None and harness.answer(buffered_request.event.request) is not None
+    )
 
 
 def test_one_request_is_buffered_after_answers_without_latency() -> None:
     harness = ready_harness()
     serve_requests(harness, 50, duration_us=0)
-    waiting, last = fill_slots(harness)[-1], harness.arrive(PAY)
-    assert [harness.answer(request_id) is None for request_id in (waiting, last)].count(True) == 1
+    waiting_request, last_request = fill_slots(harness)[-1], harness.arrive(PAY)
+    assert [harness.answer(request_id) is None for request_id in (waiting_request, last_request)].count(True) == 1
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -15,8 +15,8 @@
 from tests.balancer_scenarios import (
     PAY,
     READ,
-    busy_harness,
     fill_slots,
+    harness_with_open_slots,
     open_slot_count,
     ready_harness,
     serve_requests,
@@ -59,12 +59,12 @@
 
 
 def test_upstream_has_one_open_slot_at_any_number_of_sidecars() -> None:
-    few, many = ready_harness(4, instances=3), ready_harness(4, instances=400)
-    assert len(fill_slots(many)) == len(fill_slots(few)) == 5
+    few_sidecars, many_sidecars = ready_harness(4, instances=3), ready_harness(4, instances=400)
+    assert len(fill_slots(many_sidecars)) == len(fill_slots(few_sidecars)) == 5
 
 
 def test_one_error_closes_at_most_half_the_slots() -> None:
-    harness = busy_harness()
+    harness = harness_with_open_slots()
     slots_before = open_slot_count(harness)
     harness.end(harness.arrive(PAY), 0, Outcome.ERROR)
     assert slots_before >= 4
@@ -72,7 +72,7 @@
 
 
 def test_one_expensive_request_among_fast_answers_closes_no_slot() -> None:
-    harness = busy_harness()
+    harness = harness_with_open_slots()
     slots_before = open_slot_count(harness)
     serve_requests(harness, 1, duration_us=170_000)  # more than half the latency objective
     assert open_slot_count(harness) >= slots_before - 1
@@ -100,19 +100,19 @@
 
 
 def test_faster_answers_open_slots_faster() -> None:
-    counts = []
+    slot_counts = []
     for duration_us in (10_000, 120_000):
         harness = ready_harness(4)
         for _ in range(6):
             fill_slots(harness)
             serve_requests(harness, 1, duration_us=duration_us)
         serve_requests(harness, 1, duration_us=duration_us)
-        counts.append(open_slot_count(harness))
-    assert counts[0] > counts[1]
+        slot_counts.append(open_slot_count(harness))
+    assert slot_counts[0] > slot_counts[1]
 
 
 def test_slots_open_fast_after_the_start_of_a_busy_sidecar() -> None:
-    def rejected(kind: ListKind) -> int:
+    def rejected_count(kind: ListKind) -> int:
         harness = BalancerHarness(settings())
         harness.update_upstreams(upstreams(4), kind)
         count = 0
@@ -125,7 +125,7 @@
                 harness.end(request, 0, Outcome.OK)
         return count
 
-    assert rejected(ListKind.CACHED) < rejected(ListKind.FULL) * 0.8
+    assert rejected_count(ListKind.CACHED) < rejected_count(ListKind.FULL) * 0.8
 
 
 def test_upstream_without_answers_frees_at_most_one_slot() -> None:
@@ -136,14 +136,14 @@
         for request in pair:
             if harness.sends(request) and harness.answer(request) is None:
                 harness.end(request, 0, Outcome.OK)
-    slots = len(fill_slots(harness)) - 1
-    kind = harness.settings.classes[READ]
-    harness.advance(kind.latency_objective_us - 1)
+    slot_count = len(fill_slots(harness)) - 1
+    request_class = harness.settings.classes[READ]
+    harness.advance(request_class.latency_objective_us - 1)
     assert len(fill_slots(harness)) == 1
-    sent = len(harness.sends())
+    sent_before = len(harness.sends())
     harness.advance(1)
     fill_slots(harness)
-    assert slots > 2 and len(harness.sends()) - sent <= 1
+    assert slot_count > 2 and len(harness.sends()) - sent_before <= 1
 
 
 @pytest.mark.parametrize(("duration_us", "keeps_slots"), [(10_000, True), (140_000, False)])
@@ -155,9 +155,9 @@
         requests = [harness.arrive(PAY) for _ in range(4)]
         harness.advance(duration_us)
         for request in requests:
-            sent = harness.sends(request)
-            if sent and harness.requests[request].attempts[0].outcome is None:
-                is_rejected = sent[0].upstream == 100 and rng.random() < 0.3
+            sends = harness.sends(request)
+            if sends and harness.requests[request].attempts[0].outcome is None:
+                is_rejected = sends[0].upstream == 100 and rng.random() < 0.3
                 harness.end(request, 0, Outcome.REJECTED if is_rejected else Outcome.OK)
         harness.advance(2_000_000 if duration_us < 100_000 else 0)
     was_ejected = any(action.upstream == 100 for action in harness.actions if isinstance(action, CloseIdle))
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -189,7 +189,7 @@
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [Phase(0.0, DiscoveryMode.REFUSED)])
     fleet.start_all()
     fleet.run_until(30.0)
-    polls_per_second = [fleet.polls[second] for second in range(10, 30)]
+    polls_per_second = [fleet.polls_by_second[second] for second in range(10, 30)]
     print(f"{sidecar_count} sidecars, refused for good: {polls_per_second} calls a second")
     assert max(polls_per_second) <= 0.3 * sidecar_count and sum(polls_per_second) <= 0.26 * sidecar_count * len(
         polls_per_second
@@ -199,11 +199,11 @@
 def check_all_updated(outage_name: str, fleet: PollingFleet, reachable_s: float) -> None:
     """Check that all sidecars got the list in time, and print the polls per second at discovery."""
     delays_s = fleet.update_delays_s(reachable_s)
-    polls = " ".join(f"{second}:{count}" for second, count in sorted(fleet.polls.items()))
+    polls = " ".join(f"{second}:{count}" for second, count in sorted(fleet.polls_by_second.items()))
     median_s = sorted(delays_s)[len(delays_s) // 2]
     print(
         f"{len(delays_s)} sidecars, {outage_name}: told {median_s:.2f} s (half), {max(delays_s):.2f} s (all); "
-        f"{fleet.failed_polls} calls failed; calls a second {polls}"
+        f"{fleet.failed_poll_count} calls failed; calls a second {polls}"
     )
     assert min(delays_s) > 0.0, "some never got the list"
     assert max(delays_s) < MAX_DELAY_S
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -137,15 +137,15 @@
         "boot_ms": (10**9 + now_s - 2) * 1000,
     }
 
-    def started_s(state: str = "active") -> float:
+    def started_at_s(state: str = "active") -> float:
         event, _ = registry.apply({"rev": 1, "all": False, "targets": [entry | {"state": state}]})
         return event.upstreams[0].started_at_us / 1e6
 
-    assert started_s() == now_s
+    assert started_at_s() == now_s
     now_s += 5
-    assert started_s() == now_s - 5  # later lists do not change its start time
+    assert started_at_s() == now_s - 5  # later lists do not change its start time
     entry["boot_ms"] = (10**9 + now_s - 1) * 1000  # it has restarted under the same id
-    assert started_s() == now_s
+    assert started_at_s() == now_s
     now_s += 3
-    started_s("left")
-    assert started_s() == now_s  # listed again after its removal, it is another start
+    started_at_s("left")
+    assert started_at_s() == now_s  # listed again after its removal, it is another start
--- a/tests/test_fleet_effects.py
+++ b/tests/test_fleet_effects.py
@@ -28,7 +28,7 @@
     cost_us: int = 20_000,
 ) -> int:
     """Serve requests, and return how many went to warming upstreams, which answer in `warming_answer_us`."""
-    sent = 0
+    sent_count = 0
     for number in range(requests):
         is_expensive = expensive_interval > 0 and number % expensive_interval == 0
         request = harness.arrive(PAY, cost_us=1_000_000 if is_expensive else cost_us)
@@ -38,8 +38,8 @@
         if harness.sends(request):
             harness.end(request, 0, Outcome.OK)
         harness.advance(20_000)
-        sent += int(to_warming_upstream)
-    return sent
+        sent_count += int(to_warming_upstream)
+    return sent_count
 
 
 def add_warming_upstreams(harness: BalancerHarness, age_us: int = 0, small_size: float = 1.0) -> None:
@@ -84,33 +84,33 @@
 
 
 def test_expensive_requests_use_more_credit_of_a_warming_upstream() -> None:
-    sent = []
+    sent_counts = []
     for cost_us in (20_000, 70_000):
         harness = lightly_loaded_harness()
         add_warming_upstreams(harness, age_us=5_000_000)
-        sent.append(serve(harness, 200, cost_us=cost_us))
-    assert 0 < 3 * sent[1] < 2 * sent[0]
+        sent_counts.append(serve(harness, 200, cost_us=cost_us))
+    assert 0 < 3 * sent_counts[1] < 2 * sent_counts[0]
 
 
 def next_poll_delay_us(harness: BalancerHarness) -> int:
     """Return how long after a failed poll the next poll is sent."""
     harness.update_upstreams(upstreams(4), ListKind.CACHED)
     harness.advance(2_000_000)
-    failed_at_us, before = harness.now_us, len(harness.actions)
+    failed_at_us, count_before = harness.now_us, len(harness.actions)
     harness.handle(UpstreamsUpdated(ListKind.FAILED))
-    while not any(isinstance(action, Subscribe) for action in harness.actions[before:]):
+    while not any(isinstance(action, Subscribe) for action in harness.actions[count_before:]):
         harness.advance(10_000)
     return harness.now_us - failed_at_us
 
 
-@pytest.mark.parametrize(("sidecars", "max_delay_us"), [(3, 260_000), (40, 2_010_000)])
-def test_sidecars_whose_polls_failed_together_spread_their_next_polls(sidecars: int, max_delay_us: int) -> None:
-    config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
+@pytest.mark.parametrize(("sidecar_count", "max_delay_us"), [(3, 260_000), (40, 2_010_000)])
+def test_sidecars_whose_polls_failed_together_spread_their_next_polls(sidecar_count: int, max_delay_us: int) -> None:
+    config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecar_count)
     delays_us = sorted(next_poll_delay_us(BalancerHarness(config, seed)) for seed in range(40))
     assert delays_us[-1] <= max_delay_us
-    quarter = max_delay_us // 4
+    quarter_us = max_delay_us // 4
     max_in_a_quarter = max(
-        sum(1 for delay_us in delays_us if start <= delay_us < start + quarter)
-        for start in range(0, max_delay_us, quarter)
+        sum(1 for delay_us in delays_us if start <= delay_us < start + quarter_us)
+        for start in range(0, max_delay_us, quarter_us)
     )
     assert max_in_a_quarter <= 18, "40 polls are spread over the span, about 10 in each quarter"
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -8,9 +8,9 @@
 from tests.balancer_scenarios import (
     PAY,
     READ,
-    end_all_attempts,
     log_lines,
     ready_harness,
+    send_and_end_requests,
     serve_requests,
     time_out_requests,
 )
@@ -67,7 +67,7 @@
     begin_us = harness.now_us
     for fault in (Outcome.REJECTED, Outcome.OK, Outcome.REJECTED, Outcome.OK):
         for _ in range(30):
-            end_all_attempts(harness, fault)
+            send_and_end_requests(harness, fault)
     assert 1 <= len(log_lines(harness)) <= 1 + (harness.now_us - begin_us) / 1_000_000
 
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -15,7 +15,7 @@
     READ,
     log_lines,
     ready_harness,
-    rejected_count,
+    send_and_count_unsent,
     serve_requests,
 )
 
@@ -50,7 +50,7 @@
         harness.advance(20_000)
         for request in requests:
             harness.end(request, 0, outcome)
-    assert rejected_count(harness, 6) == 0
+    assert send_and_count_unsent(harness, 6) == 0
 
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.ERROR])
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -54,7 +54,7 @@
 )
 
 
-def many_classes() -> list[RequestClass]:
+def extended_request_classes() -> list[RequestClass]:
     return [
         *request_classes(),
         RequestClass(
@@ -76,7 +76,7 @@
     ]
 
 
-def play(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
+def apply_step(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
     kind, number, argument = step
     open_attempts = [
         (request, attempt) for request, tracked in harness.requests.items() for attempt in tracked.in_flight()
@@ -120,17 +120,17 @@
 def test_no_rule_is_broken_by_any_sequence_of_events(
     config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
-    harness = BalancerHarness(settings(classes=many_classes(), **config), seed)
+    harness = BalancerHarness(settings(classes=extended_request_classes(), **config), seed)
     harness.update_upstreams(upstreams(6), ListKind.CACHED)
     for step in steps:
-        play(harness, step)
+        apply_step(harness, step)
     harness.advance(5_000_000)  # everything is answered by its due time
 
 
 def run_heavy_load(config: dict[str, object], seed: int) -> list[object]:
     """Run heavy load with all kinds of faults, so that requests wait and are retried; return all actions."""
     rng = random.Random(seed)
-    harness = BalancerHarness(settings(classes=many_classes(), **config), seed)
+    harness = BalancerHarness(settings(classes=extended_request_classes(), **config), seed)
     harness.update_upstreams(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
         kind = rng.choices(
@@ -147,7 +147,7 @@
         elif kind in ("list", "restart"):
             number = rng.randrange(8)
             argument = rng.choice(list(UpstreamState)) if kind == "list" else rng.randrange(30_000_000)
-        play(harness, (kind, number, argument))
+        apply_step(harness, (kind, number, argument))
     harness.advance(5_000_000)
     return list(harness.actions)
 
@@ -164,7 +164,7 @@
         assert run_heavy_load(config, seed) == run_heavy_load(config, seed)
 
 
-def max_overload_share(arrivals_per_tick: list[int], outcome: Outcome, cost_us: int = 0) -> float:
+def max_overload_ratio(arrivals_per_tick: list[int], outcome: Outcome, cost_us: int = 0) -> float:
     """Return the highest ratio of the work that all sidecars send to a cold upstream in an `overload_window_us` to its
     limit in that window.
 
@@ -173,34 +173,34 @@
     of `arrivals_per_tick` in each tick of 4 ms, in total up to 26 times the capacity of the nine."""
     config = settings(instances=len(arrivals_per_tick), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(config, n, START_US) for n in range(len(arrivals_per_tick))]
-    listed = [Upstream(1, started_at_us=START_US), *[Upstream(n) for n in range(2, 11)]]
+    entries = [Upstream(1, started_at_us=START_US), *[Upstream(n) for n in range(2, 11)]]
 
     def speed(at_us: int) -> float:
         return (
             config.initial_capacity_share + (1 - config.initial_capacity_share) * (at_us - START_US) / config.warm_up_us
         )
 
-    free_at_us = {entry.id: START_US for entry in listed}
+    free_at_us = {entry.id: START_US for entry in entries}
     sent_at_us: list[int] = []
     attempt_ends: list[tuple[int, int, int, int, int, Outcome, int]] = []
     attempt_counts: dict[int, int] = {}
     timers: list[tuple[int, int]] = []
     now_us, request = START_US, 0
     for balancer in balancers:
-        balancer.handle(now_us, UpstreamsUpdated(ListKind.FULL, listed))
+        balancer.handle(now_us, UpstreamsUpdated(ListKind.FULL, entries))
     while now_us < START_US + 8_000_000:
         events: list[tuple[int, object]] = []
-        for sidecar, rate in enumerate(arrivals_per_tick):
-            for _ in range(rate):
+        for sidecar, arrival_count in enumerate(arrivals_per_tick):
+            for _ in range(arrival_count):
                 request += 1
                 events.append((sidecar, RequestArrived(request, now_us + 1_500_000, cost_us=cost_us)))
         for end in [end for end in attempt_ends if end[0] <= now_us]:
             attempt_ends.remove(end)
-            result, elapsed_us = end[5], now_us - end[6]
+            attempt_outcome, elapsed_us = end[5], now_us - end[6]
             events.append(
                 (
                     end[1],
-                    AttemptEnded(end[2], end[4], end[3], result, elapsed_us, result is Outcome.OK),
+                    AttemptEnded(end[2], end[4], end[3], attempt_outcome, elapsed_us, attempt_outcome is Outcome.OK),
                 )
             )
         for timer in [timer for timer in timers if timer[0] <= now_us]:
@@ -213,26 +213,28 @@
                     attempt_counts[action.request] = attempt + 1
                     upstream_speed = speed(now_us) if action.upstream == 1 else 1.0
                     end_us = max(free_at_us[action.upstream], now_us) + int(40_000 / upstream_speed)
-                    result = outcome if action.upstream == 1 else Outcome.OK
-                    if result is not Outcome.OK or end_us > now_us + 300_000:
-                        end_us, result = (
+                    attempt_outcome = outcome if action.upstream == 1 else Outcome.OK
+                    if attempt_outcome is not Outcome.OK or end_us > now_us + 300_000:
+                        end_us, attempt_outcome = (
                             now_us + 4_000,
-                            Outcome.REJECTED if result is Outcome.OK else result,
+                            Outcome.REJECTED if attempt_outcome is Outcome.OK else attempt_outcome,
                         )
                     else:
                         free_at_us[action.upstream] = end_us
-                    attempt_ends.append((end_us, sidecar, action.request, action.upstream, attempt, result, now_us))
+                    attempt_ends.append(
+                        (end_us, sidecar, action.request, action.upstream, attempt, attempt_outcome, now_us)
+                    )
                     if action.upstream == 1:
                         sent_at_us.append(now_us)
         now_us += 4_000
-    worst_share = 0.0
+    worst_ratio = 0.0
     for start_us in sent_at_us:
         work_us = 40_000 * sum(1 for at_us in sent_at_us if start_us <= at_us < start_us + config.overload_window_us)
-        worst_share = max(worst_share, work_us / (config.overload_factor * speed(start_us) * config.overload_window_us))
-    return worst_share
+        worst_ratio = max(worst_ratio, work_us / (config.overload_factor * speed(start_us) * config.overload_window_us))
+    return worst_ratio
 
 
 def test_warming_upstream_is_not_overloaded_by_all_sidecars_together() -> None:
     for arrivals_per_tick in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1]):
         for outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.CONNECT_FAILED):
-            assert 0 < max_overload_share(arrivals_per_tick, outcome) <= 1, (arrivals_per_tick, outcome)
+            assert 0 < max_overload_ratio(arrivals_per_tick, outcome) <= 1, (arrivals_per_tick, outcome)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -58,7 +58,7 @@
     first, second = harness.sends(request)
     assert first.upstream != second.upstream
     harness.end(request, 0, Outcome.OK)
-    assert harness.answer(request) is None and harness.requests[request].answers == 1
+    assert harness.answer(request) is None and harness.requests[request].answer_count == 1
 
 
 @pytest.mark.parametrize(("class_index", "hedging"), [(PAY, True), (READ, False)])
@@ -88,22 +88,24 @@
 
 def test_retries_are_limited_when_every_attempt_fails() -> None:
     harness = ready_harness(40, hedging=False)
-    errors = 0
+    error_count = 0
     for _ in range(60):
         request = harness.arrive(READ)
         harness.advance(200_000)
         while harness.requests[request].in_flight():
             harness.end(request, len(harness.requests[request].attempts) - 1, Outcome.ERROR)
-            errors += 1
-    first_attempts = sum(1 for tracked in harness.requests.values() if tracked.attempts)
-    assert 5 <= errors - first_attempts <= 5 + first_attempts / 5
+            error_count += 1
+    first_attempt_count = sum(1 for tracked in harness.requests.values() if tracked.attempts)
+    assert 5 <= error_count - first_attempt_count <= 5 + first_attempt_count / 5
 
 
 def test_expensive_request_has_a_longer_timeout() -> None:
     harness = ready_harness(hedging=False)
     serve_requests(harness, 50)
-    cheap, expensive = harness.arrive(READ, cost_us=10_000), harness.arrive(READ, cost_us=200_000)
-    assert harness.sends(cheap)[0].timeout_us < 200_000 < 800_000 <= harness.sends(expensive)[0].timeout_us
+    cheap_request, expensive_request = harness.arrive(READ, cost_us=10_000), harness.arrive(READ, cost_us=200_000)
+    assert (
+        harness.sends(cheap_request)[0].timeout_us < 200_000 < 800_000 <= harness.sends(expensive_request)[0].timeout_us
+    )
 
 
 @pytest.mark.parametrize("hedging", [True, False])
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -71,7 +71,12 @@
     assert false_retries / 50_000 < 3 * 0.00011
     assert sketch.retry_number(10 * GENERATION_SIZE, request_hash(10 * GENERATION_SIZE - 1)) == 1
     assert (
-        sum(len(row) for generation in (sketch.current, sketch.previous) if generation for row in generation.rows)
+        sum(
+            len(row)
+            for generation in (sketch.current_generation, sketch.previous_generation)
+            if generation
+            for row in generation.rows
+        )
         == 2 * failed_request_sketch.ROWS * failed_request_sketch.WIDTH
     )
 
@@ -216,10 +221,10 @@
     assert all(harness.sends(first) for first in first_attempts)
     for first in first_attempts:
         harness.end(first, 0, Outcome.OK)
-    second = [harness.arrive(READ, retry_number=1) for _ in range(8)]
-    assert sum(bool(harness.sends(retry)) for retry in second) == 2
-    third = harness.arrive(READ, retry_number=7)
-    answer = harness.answer(third)
+    first_retries = [harness.arrive(READ, retry_number=1) for _ in range(8)]
+    assert sum(bool(harness.sends(retry)) for retry in first_retries) == 2
+    later_retry = harness.arrive(READ, retry_number=7)
+    answer = harness.answer(later_retry)
     assert isinstance(answer, Reject) and 100_000 <= answer.retry_after_us <= 1_000_000
     harness.handle(RetryStormUpdated())
     assert harness.sends(harness.arrive(READ, retry_number=7))
@@ -322,7 +327,9 @@
         return served_counts
 
     caplog.set_level("WARNING")
-    served_first, served_by_retry = simulate(1, main)
+    served_by_first_attempt, served_by_retry = simulate(1, main)
     lines = [record.getMessage() for record in caplog.records if "retry storm" in record.getMessage()]
     assert ["opens" in line for line in lines] == [True, False]
-    assert "are retries" in lines[0] and served_first > 400 and served_first + served_by_retry < 700
+    assert (
+        "are retries" in lines[0] and served_by_first_attempt > 400 and served_by_first_attempt + served_by_retry < 700
+    )
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -42,10 +42,10 @@
 
 def test_own_zone_is_preferred_if_cross_zone_traffic_has_a_fee() -> None:
     harness = ready_harness(8, zone=1, cross_zone_fee=0.03)
-    first = [harness.arrive(READ) for _ in range(2)]
-    assert {harness.known_entries[harness.sends(request_id)[0].upstream].zone for request_id in first} == {1}
-    third = harness.arrive(READ)
-    assert harness.known_entries[harness.sends(third)[0].upstream].zone != 1
+    first_requests = [harness.arrive(READ) for _ in range(2)]
+    assert {harness.known_entries[harness.sends(request_id)[0].upstream].zone for request_id in first_requests} == {1}
+    third_request = harness.arrive(READ)
+    assert harness.known_entries[harness.sends(third_request)[0].upstream].zone != 1
 
 
 def test_zones_do_not_matter_if_cross_zone_traffic_is_free() -> None:
@@ -70,8 +70,8 @@
     harness = ready_harness(4, hedging=False)
     for _ in range(200):
         request = harness.arrive(READ)
-        slow = harness.sends(request)[0].upstream == 100
-        harness.advance(120_000 if slow else 30_000)
+        is_slow = harness.sends(request)[0].upstream == 100
+        harness.advance(120_000 if is_slow else 30_000)
         harness.end(request, 0, Outcome.OK)
     assert sum(1 for send in harness.sends() if send.upstream == 100) < 25
 
@@ -89,15 +89,15 @@
     classes = request_classes()
     classes[PAY] = replace(classes[PAY], late_weight=0.5)  # so that the answer is awaited until the deadline
     harness = ready_harness(classes=classes)
-    unresponsive = min(harness.known_entries)
+    unresponsive_upstream = min(harness.known_entries)
 
     def sent_to_unresponsive(class_index: int) -> int:
         request = harness.arrive(class_index)
         sends = harness.sends(request)
         harness.advance(20_000)
-        if sends and (sends[0].upstream != unresponsive or class_index != PAY):
+        if sends and (sends[0].upstream != unresponsive_upstream or class_index != PAY):
             harness.end(request, 0, Outcome.OK)
-        return sum(1 for send in sends if send.upstream == unresponsive)
+        return sum(1 for send in sends if send.upstream == unresponsive_upstream)
 
     assert 3 <= sum(sent_to_unresponsive(PAY) for _ in range(1000)) <= 15
     assert sum(sent_to_unresponsive(READ) for _ in range(40)) > 0
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -69,8 +69,8 @@
 
 
 def instance_started(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
-    raw = text.encode()
-    return struct.pack("<BHQI", 100, instance, seed, len(raw)) + raw
+    encoded = text.encode()
+    return struct.pack("<BHQI", 100, instance, seed, len(encoded)) + encoded
 
 
 def batch_frame(records: list[bytes], now_us: int = 8_412_250) -> bytes:
@@ -125,14 +125,14 @@
 
 
 def test_restart_within_a_batch_forgets_all_state() -> None:
-    members = bytes.fromhex("50 0300 02 29000000 00000000")
-    start_records = [instance_started(), bytes.fromhex(LIST_RECORD), members]
-    restart = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
+    list_event = bytes.fromhex("50 0300 02 29000000 00000000")
+    start_records = [instance_started(), bytes.fromhex(LIST_RECORD), list_event]
+    restart_records = [bytes.fromhex("28 0300"), instance_started(seed=10), list_event]
     late_outcome = bytes.fromhex(EVENTS[5][0])
     replies = serve(
         batch_frame(start_records)
         + batch_frame([bytes.fromhex(EVENTS[1][0])])
-        + batch_frame(restart)
+        + batch_frame(restart_records)
         + batch_frame([late_outcome])
     )
     assert replies.endswith(bytes(8))  # an empty reply: the new instance ignores the late outcome
@@ -140,8 +140,8 @@
 
 def test_list_number_refers_to_the_latest_list_before_the_event() -> None:
     empty_list = bytes.fromhex("6e 00000000 00000000")
-    members = bytes.fromhex("50 0300 01 29000000 00000000")
-    data = bytes.fromhex(LIST_RECORD) + members + empty_list + members
+    list_event = bytes.fromhex("50 0300 01 29000000 00000000")
+    data = bytes.fromhex(LIST_RECORD) + list_event + empty_list + list_event
     first, second = protocol.Decoder().read_batch(data, 4)
     assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
@@ -202,10 +202,10 @@
 
 
 def test_exception_in_the_decisions_is_reported_as_an_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> list[api.Action]:
+    def raise_index_error(*_: object) -> list[api.Action]:
         raise IndexError("index out of range")
 
-    monkeypatch.setattr(Balancer, "handle", broken)
+    monkeypatch.setattr(Balancer, "handle", raise_index_error)
     replies = serve(batch_frame([instance_started()]) + batch_frame([bytes.fromhex("32 0300 4d000000")]))
     assert b"IndexError: index out of range" in replies
 
@@ -229,8 +229,8 @@
                 replies[instance].append(host.handle_batch(1_000_000 + step, 1, record))
         return replies
 
-    together = run_instances([1, 2, 3])
-    assert together == {**run_instances([1]), **run_instances([2]), **run_instances([3])}
+    replies_together = run_instances([1, 2, 3])
+    assert replies_together == {**run_instances([1]), **run_instances([2]), **run_instances([3])}
 
 
 def test_class_out_of_range_is_reported_and_ends_the_adapter() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -40,8 +40,8 @@
 @pytest.mark.parametrize("case", CASES, ids=Case.name)
 def test_fleet_does_not_overload_warming_upstreams(case: Case) -> None:
     fleet = run_case(case)
-    print(f"{case.name()}: worst window {fleet.worst_window():.2f}, used {fleet.utilisation():.2f}")
-    assert fleet.worst_window() <= 1.0
+    print(f"{case.name()}: worst window {fleet.worst_window_ratio():.2f}, used {fleet.utilisation():.2f}")
+    assert fleet.worst_window_ratio() <= 1.0
 
 
 def test_fleet_overloads_upstreams_if_each_sidecar_counts_the_traffic_of_all(
@@ -50,18 +50,18 @@
     """Checks that the test above detects an overload."""
     case, add_credit = Case(30, 4, EQUAL_HINTED, 2.0), SlowStart.add_credit
 
-    def add_credit_for_all(slow_start: SlowStart, served: float, in_shortage: bool, now_us: int) -> None:
-        add_credit(slow_start, case.sidecars * served, in_shortage, now_us)
+    def add_credit_for_all(slow_start: SlowStart, served_requests: float, in_shortage: bool, now_us: int) -> None:
+        add_credit(slow_start, case.sidecar_count * served_requests, in_shortage, now_us)
 
     monkeypatch.setattr(SlowStart, "add_credit", add_credit_for_all)
-    assert run_case(case).worst_window() > 1.0
+    assert run_case(case).worst_window_ratio() > 1.0
 
 
 def test_warming_upstreams_are_used_while_the_few_warm_ones_are_overloaded() -> None:
     """Two of twelve converters are warm, so that admission sheds load."""
     fleets = [run_case(Case(20, 10, HEAVY_HINTED, 2.0, seed)) for seed in (1, 2)]
     assert sum(fleet.utilisation() for fleet in fleets) >= len(fleets) * MIN_UTILISATION
-    assert all(fleet.worst_window() <= 1.0 for fleet in fleets)
+    assert all(fleet.worst_window_ratio() <= 1.0 for fleet in fleets)
 
 
 def harness_with_upstreams() -> BalancerHarness:
@@ -75,21 +75,21 @@
     """Send requests for some seconds while one upstream cannot be reached."""
     for _ in range(REQUESTS_BEFORE_RESTART):
         request = harness.arrive(PAY)
-        sent = harness.sends(request)
+        sends = harness.sends(request)
         harness.advance(5_000)
-        for number, send in enumerate(sent[-1:]):
-            failed = send.upstream == RESTARTED_UPSTREAM
-            harness.end(request, number, Outcome.CONNECT_FAILED if failed else Outcome.OK)
+        for number, send in enumerate(sends[-1:]):
+            is_unreachable = send.upstream == RESTARTED_UPSTREAM
+            harness.end(request, number, Outcome.CONNECT_FAILED if is_unreachable else Outcome.OK)
         harness.advance(5_000)
 
 
 def restart_upstream(harness: BalancerHarness) -> None:
     """List the upstream with a new start time."""
-    restarted = Upstream(RESTARTED_UPSTREAM, started_at_us=harness.now_us - AGE_AFTER_RESTART_US)
-    harness.update_upstreams([restarted], ListKind.DELTA)
+    restarted_entry = Upstream(RESTARTED_UPSTREAM, started_at_us=harness.now_us - AGE_AFTER_RESTART_US)
+    harness.update_upstreams([restarted_entry], ListKind.DELTA)
 
 
-def sends_after_restart(harness: BalancerHarness) -> int:
+def send_count_after_restart(harness: BalancerHarness) -> int:
     """Send requests that are all served, and return how many went to the restarted upstream."""
     count_before = len(harness.sends())
     for _ in range(REQUESTS_AFTER_RESTART):
@@ -107,14 +107,14 @@
     fail_upstream(harness)
     restart_upstream(harness)
     # it has 0.4 of its capacity, beside three warm upstreams: about an eighth of 40
-    assert sends_after_restart(harness) >= 3
+    assert send_count_after_restart(harness) >= 3
 
 
 def test_ejection_by_a_plan_outlasts_a_restart() -> None:
     harness = harness_with_upstreams()
     harness.handle(PlanUpdated([Advice(RESTARTED_UPSTREAM, ejected=True)]))
     restart_upstream(harness)
-    assert sends_after_restart(harness) == 0
+    assert send_count_after_restart(harness) == 0
 
 
 def test_upstream_that_has_just_started_gets_few_requests() -> None:
