--- a/ryepier/balancer/actions.py
+++ b/ryepier/balancer/actions.py
@@ -17,7 +17,8 @@
     request: int
     upstream: int
     timeout_us: int = 0  # 0 = until the client disconnects
-    latest_write_at_us: int = 0  # must not be written later, however long connecting takes; 0 = no limit
+    # The request must not be written later than this, however long connecting takes. 0 = no limit
+    latest_write_at_us: int = 0
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class SetTimer(Record):
-    """Request a timer at `at_us`."""
+    """Request a timer that fires at `at_us`; its `TimerFired` event carries the token."""
 
     at_us: int
     token: int = 0
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Subscribe(Record):
-    """Start or end the subscription to the endpoint list. Where the list is polled, poll it once."""
+    """Start or end the subscription to the endpoint list. If the list is polled, poll it once."""
 
     active: bool = True
 
@@ -82,7 +83,7 @@
     """Send a message to another sidecar, or to all."""
 
     payload: bytes
-    to: int | None = None  # None = every peer
+    to: int | None = None  # number of the sidecar; None = all
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: limits by load, class, tenant and retry storm, and the priority of a request."""
+"""Admission control by load, request class, tenant and retry storm, and the priority of a request."""
 
 from collections.abc import Sequence
 
@@ -16,7 +16,7 @@
         """Start with full admission and no measurements; `rates_updated_at_us` is the current time (us)."""
         self.rates_updated_at_us = rates_updated_at_us
         self.admitted_share = 1.0
-        self.credit = 1.0  # selections admitted and not yet used
+        self.credit = 1.0  # selections that were admitted and have not taken a slot yet
         self.load = 0.0  # moving average of the latency, relative to the slow latency of the class
         self.send_rate = 0.0  # attempts per second
         self.burst_rate = 0.0  # attempts per second, averaged over a shorter time
@@ -37,7 +37,7 @@
         self.burst_rate = decayed_rate(self.burst_rate, 1.0, elapsed_us, tuning.BURST_TIME_CONSTANT_US)
 
     def is_overloaded(self) -> bool:
-        """Return whether answers are slow on average; single answers are slow by chance at any load."""
+        """Return whether answers are slow on average, as single answers may be slow at any load."""
         return self.load > tuning.TARGET_LOAD
 
     def observe(self, load: float) -> None:
@@ -49,8 +49,8 @@
         is_fast = load < tuning.TARGET_LOAD
         if not is_fast and not self.is_overloaded():
             return
-        # The gain of an answer is inverse to the rate. At a start or in a burst the long-term rate alone is
-        # too low, and each slow answer would cut admission too much.
+        # The gain of an answer is inversely proportional to the rate of attempts. After a start or in a
+        # burst, the long-term rate alone is too low, and each slow answer would cut admission too much.
         rates = (self.send_rate, self.burst_rate)
         sends_per_s = min(rates) if is_fast else max(rates)
         gain = tuning.ADMISSION_GAIN / max(1.0, sends_per_s)
@@ -66,7 +66,8 @@
         self.credits: dict[int, float] = {}
 
     def admits(self, key: int, share: float) -> bool:
-        """Add `share` to the credit of a key. Returns whether the current arrival is admitted."""
+        """Add `share` to the credit of a key. Returns whether the arrival is admitted, which uses 1
+        credit."""
         credit = self.credits.get(key, 0.0) + share
         self.credits[key] = credit - float(credit >= 1.0)
         return credit >= 1.0
@@ -79,15 +80,15 @@
         """Start without a plan and outside a retry storm."""
         self.settings = settings
         self.estimates = estimates
-        self.storm = RetryStormUpdated()  # the latest report
-        self.class_admission: Sequence[float] = ()  # planned share of arrivals, by class; empty = all
-        self.tenant_weight: Sequence[float] = ()  # planned share within quota, by tenant; empty = no plan
-        self.class_sampler = EvenSampler()
-        self.retry_sampler = EvenSampler()  # by tenant
+        self.storm = RetryStormUpdated()  # the latest report on retry storms
+        self.class_admission: Sequence[float] = ()  # by class, share of arrivals to admit; empty = all
+        self.tenant_weight: Sequence[float] = ()  # by tenant, share of requests within quota; empty = no plan
+        self.class_sampler = EvenSampler()  # its keys are request classes
+        self.retry_sampler = EvenSampler()  # its keys are tenants
         self.tenant_arrivals = [0.0 for _ in settings.tenants]  # exponentially decaying counts, by tenant
         self.total_allowance_per_s = max(1.0, sum(tenant.allowance_per_s for tenant in settings.tenants))
         self.unsent_share = 0.0  # moving average of the share of arrivals that found no slot
-        self.logged_overloaded = False  # as last logged
+        self.logged_overloaded = False  # whether, according to the log, there is an overload
 
     def observe_arrival(self, event: RequestArrived) -> None:
         """Count an arrival for its tenant."""
@@ -103,8 +104,8 @@
         return self.unsent_share > threshold
 
     def admits(self, event: RequestArrived) -> bool:
-        """Return whether a request is within the planned limit of its class and, in a retry storm, within the
-        limit of retries."""
+        """Return whether a request is admitted by the planned share of its class and, in a retry storm, by
+        the share of retries to admit."""
         class_index = event.class_index
         limits = self.class_admission
         if class_index < len(limits) and not self.class_sampler.admits(class_index, limits[class_index]):
@@ -139,8 +140,9 @@
     def _tenant_factor(self, tenant: int) -> float:
         """Return the priority factor of a tenant, from `over_quota_weight` to 1.
 
-        The share of its requests within its quota comes from the plan. Without a plan it is estimated from
-        the mix of tenants that arrives here, as a sidecar does not know the rates over all sidecars.
+        The share of its requests that is within its quota comes from the plan. Without a plan, the share is
+        estimated from the tenants' shares of the arrivals at this sidecar, as it does not know the other
+        sidecars' rates.
         """
         if tenant < len(self.tenant_weight):
             return self._weight_at_share(self.tenant_weight[tenant])
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -1,8 +1,8 @@
 """Decision module of one sidecar; ryepier/balancer/interface.py has its settings, events and actions.
 
 A request takes a free slot of a randomly selected upstream. If no slot is free, it waits in the buffer,
-which holds one request; if the buffer is taken, it is rejected. A retry also needs a free slot
-(docs/design.md). Each concern has its own module in this package.
+which holds one request. If the buffer is taken, the request is rejected. A retry also needs a free slot
+(docs/design.md).
 """
 
 from random import Random
@@ -41,8 +41,8 @@
         self.feedback = AttemptFeedback(self.estimates, self.outliers, self.membership)
         self.selector = Selector(self.membership, self.retries, self.outliers, self.estimates, self.random)
         self.endpoint_poller = EndpointPoller(settings, self.random)
-        self.last_shortage_at_us = 0  # when a request last found no free slot; 0 = never
-        # A shortage is assumed to last this long after the last request that found no free slot.
+        self.last_shortage_at_us = 0  # time at which a request last found no free slot; 0 = never
+        # A shortage of slots is assumed to last this long after the last request that found no free slot.
         self.shortage_duration_us = 2 * max(
             request_class.latency_objective_us for request_class in settings.classes
         )
@@ -76,7 +76,7 @@
         return actions
 
     def on_arrival(self, event: api.RequestArrived) -> None:
-        """Place a new request, or reject it if it is not admitted; a repeated arrival is ignored."""
+        """Send or buffer a new request, or reject it if it is not admitted. A repeated arrival is ignored."""
         if event.request in self.requests:
             return
         request_class = self.settings.classes[event.class_index]
@@ -86,14 +86,16 @@
         if self.admission.admits(event):
             self.place(request)
         else:
-            # Rejected requests count too: warming upstreams get traffic in proportion to the demand.
+            # Rejected requests count too, as warming upstreams get traffic in proportion to the demand.
             self.count_demand()
             self.reject_or_fail(request)
         self.log_overload(self.admission.observe_placement(sent=bool(request.attempts)))
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        """Free the slot, update the measurements, and retry the request or give its final answer. Unknown and
-        repeated ends are ignored."""
+        """Free the slot of an attempt, update the measurements, and retry the request or give its final
+        answer.
+
+        Events about unknown attempts, and repeated events, are ignored."""
         request = self.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -132,7 +134,7 @@
             self.on_wake_up(wake_up)
 
     def place(self, request: PendingRequest) -> None:
-        """Send a request if a slot is free, else put it into the buffer, else give its final answer."""
+        """Send a request if a slot is free. Otherwise buffer it or, if it may not be buffered, answer it."""
         latest_start_at_us = self.retries.latest_start_at_us(request)
         if self.now_us >= latest_start_at_us:
             self.reject_or_fail(request)
@@ -149,8 +151,9 @@
             self.reject_or_fail(request)
 
     def may_take_buffer(self, request: PendingRequest) -> bool:
-        """Return whether the buffer is empty or holds a request of lower priority. Without priorities, many
-        requests of little weight would keep the others out of the buffer."""
+        """Return whether the buffer is empty or holds a request of lower priority.
+
+        Without priorities, many requests of little weight would keep the others out of the buffer."""
         if self.buffer is None:
             return True
         return self.admission.priority(request) > self.admission.priority(self.buffer)
@@ -177,7 +180,7 @@
             self.send(request, upstream)
 
     def send(self, request: PendingRequest, upstream: TrackedUpstream) -> None:
-        """Start an attempt at an upstream: take a slot, charge the credits and the retry budget, and schedule
+        """Start an attempt at an upstream: take a slot, update the credits and the retry budget, and schedule
         the wake-ups of the attempt."""
         event = request.event
         pool = self.membership.pool_of(upstream)
@@ -219,7 +222,8 @@
         retry_after_us = 0
         if self.settings.retry_after:
             if storm.active and storm.retry_after_us:
-                # A client that waits sends less. Count the retry that it would otherwise have sent.
+                # A client that obeys Retry-After sends fewer retries. Count the retry that it would have
+                # sent.
                 self.count_demand()
             retry_after_us = self.retries.retry_after_us(request, storm)
         request_id = request.event.request
@@ -242,7 +246,7 @@
         needed_until_us = self.last_shortage_at_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
         slots_needed = attempt.sent_at_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
-            if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # it may rejoin later
+            if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # the upstream may rejoin later
                 self.close_idle(pool.subset.leave(upstream))
             self.log_ejection(upstream)
         if attempt.outcome in ANSWERED_OUTCOMES:
@@ -253,11 +257,11 @@
         for pool in self.membership.pools:
             pool.admission.add_credit()
         for pool in self.membership.pools_in_use:
-            # While all upstreams are warming, no other credit lets them get requests.
+            # While all upstreams are warming, they get requests by this credit only.
             self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.admitted_share)
 
     def add_slow_start_credit(self, pool: UpstreamPool, served: float) -> None:
-        """Give the warming upstreams of a pool slow-start credit for `served` requests."""
+        """Give the warming upstreams of a pool the slow-start credit for a number of served requests."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
         shortage_ends_at_us = self.last_shortage_at_us + self.shortage_duration_us
@@ -265,19 +269,19 @@
         pool.slow_start.add_credit(served, in_shortage, self.now_us)
 
     def schedule_poll(self, at_us: int) -> None:
-        """Schedule a poll of the endpoint list at `at_us`, if lists are polled."""
+        """Schedule a poll of the endpoint list at `at_us`, if the settings require polls."""
         if self.settings.polls_endpoints:
             self.endpoint_poller.next_poll_at_us = at_us
             self.schedule_wake_up(at_us, WakeUpKind.ENDPOINT_POLL, 0)
 
     def poll_endpoints(self) -> None:
-        """Poll the endpoint list if a poll is due, and schedule the next one in case no answer comes."""
+        """Poll the endpoint list if a poll is due, and schedule the next poll in case no answer comes."""
         if 0 < self.endpoint_poller.next_poll_at_us <= self.now_us:
             self.actions.append(api.Subscribe(True))
             self.schedule_poll(self.endpoint_poller.on_poll(self.now_us))
 
     def close_idle(self, upstreams: list[TrackedUpstream]) -> None:
-        """Close the idle connections of upstreams that have left the subset."""
+        """Close the idle connections to upstreams that have left a subset."""
         self.actions += [api.CloseIdle(upstream.entry.id) for upstream in upstreams]
 
     def schedule_wake_up(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
@@ -297,8 +301,8 @@
             self.reject_or_fail(request)
 
     def arm_timer(self) -> None:
-        """Request a timer for the next wake-up. If a request is buffered and an ejection ends before, the
-        timer is for the end of the ejection."""
+        """Request a timer for the next wake-up. If a request is buffered and an ejection ends sooner, the
+        timer is for the end of the ejection, when the upstream may take the request."""
         ejection_end_times_us: list[int] = []
         if self.buffer is not None:
             ejection_end_times_us = self.outliers.ejection_end_times_us(
@@ -317,14 +321,14 @@
         return True
 
     def log_overload(self, overloaded: bool) -> None:
-        """Log that an overload of the sidecar has begun or ended."""
+        """Log that an overload of the sidecar has begun or ended, if this was not logged yet."""
         if overloaded == self.admission.logged_overloaded:
             return
         if self.log("overload begins" if overloaded else "overload ends"):
             self.admission.logged_overloaded = overloaded
 
     def log_ejection(self, upstream: TrackedUpstream) -> None:
-        """Log that an upstream is ejected or restored."""
+        """Log that an upstream is ejected or restored, if this was not logged yet."""
         threshold = tuning.RESTORED_LIMIT if upstream.logged_ejected else tuning.EJECTED_LIMIT
         ejected = upstream.concurrency.limit < threshold
         if ejected == upstream.logged_ejected:
--- a/ryepier/balancer/concurrency.py
+++ b/ryepier/balancer/concurrency.py
@@ -1,4 +1,4 @@
-"""Adaptive concurrency limit of one upstream, adjusted by the load that its answers show."""
+"""Adaptive concurrency limit of one upstream, adjusted to the latency of its answers."""
 
 from ryepier.balancer import tuning
 
@@ -9,7 +9,7 @@
     def __init__(self) -> None:
         """Start with one slot."""
         self.limit = 1.0
-        self.growing_fast = False  # set for upstreams of a cached list, until a slow answer or fault
+        self.growing_fast = False  # True for upstreams of a cached list, until a slow answer or fault
 
     def update(self, load: float, faulty: bool, slots_needed: bool) -> None:
         """Adjust the limit after an attempt.
@@ -25,7 +25,7 @@
             # With normal growth, a sidecar that starts in a busy hour would reject a third of its requests.
             change = 1.0 - load / tuning.TARGET_LOAD
         if faulty:
-            # An upstream that fails fast frees its slots fast, and would be selected more and more often.
+            # Without this, an upstream that fails fast would soon have free slots again and attract requests.
             self.limit /= 2
         elif change < 0.0:
             # Slow answers keep one slot. Otherwise all upstreams would be ejected for long after an outage.
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -10,17 +10,18 @@
     """Schedules polls so that a change of the list is known in time, even after failures."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        """Start without a scheduled poll; the caller schedules the first."""
+        """Start without a scheduled poll; the caller schedules the first one."""
         self.instances = settings.instances
         self.random = random
         max_interval_us = settings.max_poll_interval_us // 2 or tuning.MAX_LIST_STALENESS_US
         max_staleness_gap_us = tuning.MAX_LIST_STALENESS_US - tuning.MAX_POLL_DURATION_US
-        # from the start of a poll, or the last message of a watch, to the next poll
+        # longest time from the start of a poll, or the last message of a watch, to the next poll
         self.max_gap_us = min(max_staleness_gap_us, max_interval_us)
-        self.next_poll_at_us = 0  # 0 = none is scheduled, as a watch is open
-        self.last_contact_at_us: int | None = None  # last contact before the failures; None = no failure
+        self.next_poll_at_us = 0  # 0 = no poll is scheduled, as a watch is open
+        # Time of the last contact with discovery before the current failures; None = no failure
+        self.last_contact_at_us: int | None = None
         self.consecutive_failures = 0
-        self.spread_us = 0  # over which the last backoff was drawn; 0 = no backoff since the last list
+        self.spread_us = 0  # longest possible delay of the last backoff; 0 = no backoff since the last list
 
     def on_list_received(self) -> None:
         """Record that a current list has arrived."""
@@ -28,7 +29,7 @@
         self.last_contact_at_us = None
 
     def on_failure(self, now_us: int, silent_us: int) -> int:
-        """Record a failed poll or watch, `silent_us` after the last contact.
+        """Record that a poll or watch has failed, `silent_us` after the last contact with discovery.
 
         Returns the time of the next poll (us).
         """
@@ -43,13 +44,14 @@
         return now_us + self.max_gap_us
 
     def _backoff_until_us(self, now_us: int, last_contact_at_us: int) -> int:
-        """Return the time of the next poll after a failure: full jitter over a span that doubles with each
-        failure.
-
-        Polls of all sidecars fail together and discovery serves few polls at once, so the span grows with the
-        fleet. It ends a fixed time after the start of the failed poll, which may have been abandoned late.
-        Once polls are spread over half the longest gap, each sidecar keeps its offset. With new random
-        offsets, polls would be twice as frequent, and most of them would come soon after a recovery.
+        """Return the time of the next poll after a failure. It is drawn at random from a span that begins now
+        and doubles with each failure.
+
+        The polls of all sidecars fail together and discovery serves few polls at once, so the span grows with
+        the number of sidecars. It ends `max_gap_us` after the last contact, as a failed poll may have been
+        abandoned late. Once the span is at least half of `max_gap_us`, no more times are drawn, and each
+        sidecar polls once per `max_gap_us`. With new random times, polls would be twice as frequent, and most
+        of them would come soon after a recovery.
         """
         latest_poll_at_us = max(now_us, last_contact_at_us + self.max_gap_us)
         if self.spread_us >= self.max_gap_us // 2:
--- a/ryepier/balancer/estimates.py
+++ b/ryepier/balancer/estimates.py
@@ -8,17 +8,18 @@
 
 
 def decayed_rate(rate: float, amount: float, elapsed_us: int, time_constant_us: int) -> float:
-    """Return an exponentially averaged rate per second: add `amount`, `elapsed_us` after the last update."""
+    """Return an exponentially averaged rate per second, to which `amount` is added `elapsed_us` after the
+    last update."""
     return rate * math.exp(-elapsed_us / time_constant_us) + amount * tuning.SECOND_US / time_constant_us
 
 
 class RequestEstimates:
-    """Latency and cost of requests, as measured by this sidecar."""
+    """Mean latency of requests, by class, and their mean cost, as observed by this sidecar."""
 
     def __init__(self, classes: list[RequestClass]) -> None:
         """Start with a mean latency of a quarter of each class's latency objective."""
-        # By class, half the latency objective. It is also the longest wait in the buffer, so that the other
-        # half is left for an attempt.
+        # Half the latency objective of each class. It is also the longest wait in the buffer, so that the
+        # other half remains for an attempt.
         self.slow_latency_us = [request_class.latency_objective_us // 2 for request_class in classes]
         self.mean_latency_us = [request_class.latency_objective_us / 4 for request_class in classes]
         self.mean_cost_us = 0.0
@@ -36,7 +37,7 @@
     def observe_latency(self, class_index: int, elapsed_us: int) -> None:
         """Update the mean latency of a class with one attempt.
 
-        Timeouts count too: in a slow fleet, the few fast answers alone would give too low a mean.
+        Attempts that timed out count too, as the few fast answers of a slow fleet would give too low a mean.
         """
         mean_us = self.mean_latency_us[class_index]
         bounded_us = min(elapsed_us, 2 * self.slow_latency_us[class_index])
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -1,4 +1,4 @@
-"""Feedback from ended attempts to the limits of their upstream and of its pool."""
+"""Adapts the limits of an upstream and of its pool to attempts that have ended."""
 
 from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
@@ -7,7 +7,8 @@
 from ryepier.balancer.outlier_detection import FaultVerdict, OutlierDetector
 from ryepier.balancer.upstream import ANSWERED_OUTCOMES, Attempt
 
-LOAD_OUTCOMES = (*ANSWERED_OUTCOMES, Outcome.TIMEOUT, Outcome.REJECTED)  # that show the load of the pool
+# Outcomes that show the load of the pool
+LOAD_OUTCOMES = (*ANSWERED_OUTCOMES, Outcome.TIMEOUT, Outcome.REJECTED)
 
 
 class AttemptFeedback:
@@ -24,8 +25,8 @@
     def observe(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
         """Free the slot of an ended attempt and update the measurements with it.
 
-        `slots_needed` means that it was sent in a shortage of slots. Returns whether the limit of its
-        upstream was adapted.
+        `slots_needed` means that the attempt was sent during a shortage of slots. Returns whether the
+        concurrency limit of its upstream was adapted.
         """
         upstream = attempt.upstream
         upstream.in_flight -= int(not attempt.presumed_lost)
@@ -33,8 +34,8 @@
         upstream.outstanding_attempts.remove(attempt)
         is_answered = attempt.outcome in ANSWERED_OUTCOMES
         timed_out = attempt.outcome is Outcome.TIMEOUT
-        # An attempt that later ones have overtaken is lost, not slow. If it counted, an upstream that leaves
-        # some requests unanswered would lose its slots.
+        # An attempt is lost, not slow, if later ones at its upstream were answered before. If it counted as
+        # slow, an upstream that leaves some requests unanswered would lose its slots.
         is_lost = timed_out and (attempt.presumed_lost or attempt.overtake_count > 0)
         adapted = False
         if not is_lost and not self.outliers.rejected_with_headroom(attempt, elapsed_us):
@@ -59,7 +60,8 @@
         upstream.latency_ratio += (ratio - upstream.latency_ratio) / tuning.LATENCY_RATIO_WINDOW
         if pool.slow_start.is_warming(upstream.entry, now_us):
             pool.slow_start.adapt_overcommit(load)
-        # An expensive request times out at any upstream; each of its retries would count as a slow answer.
+        # Retries after a timeout do not count. An expensive request times out at any upstream, and each of
+        # its retries would count as a slow answer.
         elif not attempt.follows_timeout and attempt.outcome in LOAD_OUTCOMES:
             pool.admission.observe(load)
         upstream.concurrency.update(load, is_faulty, slots_needed)
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -1,4 +1,4 @@
-"""Membership: the upstreams that are listed as ready, with the plan's advice on them."""
+"""The upstreams that the endpoint list names as ready, with the plan's advice on them."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
         self.random = random
         self.by_id: dict[int, TrackedUpstream] = {}  # in the order listed
         self.pools = [UpstreamPool(settings, now_us), UpstreamPool(settings, now_us)]
-        # In the order of selection. The remote pool has upstreams only if cross-zone traffic has a fee.
+        # In the order of preference. The remote pool has upstreams only if cross-zone traffic has a fee.
         self.pools_in_use = self.pools if settings.cross_zone_fee > 0 else [self.pools[LOCAL_POOL]]
         self.planned_ejections_apply = False
 
@@ -43,8 +43,8 @@
         started_upstreams = self._apply_entries(event)
         for upstream in started_upstreams:
             if self.pool_of(upstream).slow_start.is_warming(upstream.entry, now_us):
-                # All sidecars learn of it almost at once. The random negative credit spreads their first
-                # requests to it, which would otherwise come in one burst.
+                # All sidecars learn of the upstream at almost the same time. The random negative credit
+                # spreads their first requests, which would otherwise reach the upstream in one burst.
                 upstream.slow_start_credit = -self.random.random()
         removed_upstreams: list[TrackedUpstream] = []
         for pool in self.pools:
@@ -66,7 +66,7 @@
         started_upstreams = []
         for entry in event.upstreams:
             if entry.state is not UpstreamState.READY:
-                self.by_id.pop(entry.id, None)  # gets no new request from the notification on
+                self.by_id.pop(entry.id, None)  # it must get no new request after this event
                 continue
             upstream = self.by_id.get(entry.id)
             if upstream is None or upstream.entry.started_at_us != entry.started_at_us:
@@ -81,8 +81,8 @@
         return self.by_id.get(upstream.entry.id) is upstream
 
     def refresh_warming(self, pool: UpstreamPool, now_us: int) -> list[TrackedUpstream]:
-        """Update a pool's warming upstreams, and let those that have become warm join its subset at random.
-        Returns the upstreams that have left the subset."""
+        """Update a pool's warming upstreams, and let each that has become warm join the pool's subset at
+        random. Returns the upstreams that have left the subset."""
         newly_warm = pool.slow_start.refresh(self.in_pool(pool), now_us)
         return self._sample_new_members(pool, newly_warm)
 
@@ -96,8 +96,8 @@
     def _add(self, entry: Upstream) -> TrackedUpstream:
         """Add an upstream that is new or has restarted.
 
-        It starts without measurements, as the faults of the previous process would keep the new one ejected.
-        The plan's advice applies to the machine, and is kept.
+        The upstream starts without measurements, as faults of its previous process would keep it ejected. The
+        plan's advice applies to the machine and is kept after a restart.
         """
         in_other_zone = self.settings.cross_zone_fee > 0 and entry.zone != self.settings.zone
         pool_index = REMOTE_POOL if in_other_zone else LOCAL_POOL
@@ -110,8 +110,8 @@
     def _sample_new_members(
         self, pool: UpstreamPool, new_upstreams: list[TrackedUpstream]
     ) -> list[TrackedUpstream]:
-        """Let those new upstreams that are still listed join a pool's subset at random. Returns the upstreams
-        that have left the subset."""
+        """Let new upstreams, unless they were removed meanwhile, join a pool's subset at random. Returns the
+        upstreams that have left the subset."""
         new_upstreams = [upstream for upstream in new_upstreams if self._is_listed(upstream)]
         if not new_upstreams:
             return []
@@ -121,6 +121,7 @@
         )
 
     def _update_planned_ejections(self) -> None:
-        """Update whether the plan's ejections apply: not if they would eject too many upstreams."""
+        """Update `planned_ejections_apply`: a plan's ejections are ignored if it ejects too many
+        upstreams."""
         ejected_count = sum(1 for upstream in self.by_id.values() if upstream.advice.ejected)
         self.planned_ejections_apply = ejected_count <= tuning.MAX_PLANNED_EJECTED_SHARE * len(self.by_id)
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -16,8 +16,8 @@
     """Whether an ended attempt counts as a fault of its upstream."""
 
     NORMAL = enum.auto()  # no fault, or a tolerated malformed response; the latency counts
-    TOLERATED = enum.auto()  # a fault that may be by chance; the latency is ignored
-    FAULTY = enum.auto()  # a rejection, or a fault beyond the share that chance explains
+    TOLERATED = enum.auto()  # a fault within the tolerated share; the latency is ignored
+    FAULTY = enum.auto()  # a rejection, or a fault beyond the tolerated share
 
 
 class OutlierDetector:
@@ -31,13 +31,14 @@
         self.estimates = estimates
         self.membership = membership
         self.random = random
-        self.last_ejection_ends_at_us = 0  # when the last of the ejections for a class ends
+        self.last_ejection_ends_at_us = 0  # latest end of all ejections for a class
 
     def observe_fault(self, attempt: Attempt) -> FaultVerdict:
         """Count whether an attempt was a fault (see `FAULT_OUTCOMES`), and return how to treat it.
 
-        Faults may affect all upstreams equally, and must not eject them then. Only a rejection shows the
-        state of the upstream itself, so a single one counts.
+        Faults that affect all upstreams equally must not eject them, so an upstream's share of faults is
+        compared with that of its pool. A rejection shows the state of the upstream itself, so a single
+        rejection counts.
         """
         upstream = attempt.upstream
         outcome = attempt.outcome
@@ -54,7 +55,8 @@
         return FaultVerdict.NORMAL
 
     def eject(self, upstream: TrackedUpstream, class_index: int, elapsed_us: int, now_us: int) -> None:
-        """Eject an upstream whose limit is below 1, until its next attempt is due."""
+        """Eject an upstream whose concurrency limit is below 1; the lower the limit, the longer the
+        ejection."""
         slow_latency_us = self.estimates.slow_latency_us[class_index]
         # The latency of the attempt counts too: if answers take seconds, short ejections would not relieve
         # an overloaded upstream.
@@ -65,17 +67,18 @@
         upstream.ejected_until_us = now_us + int(ejection_us)
 
     def _jitter(self) -> float:
-        """Return a factor from 0.5 to 1.5: sidecars must not try an ejected upstream at the same time."""
+        """Return a random factor from 0.5 to 1.5, so that sidecars do not all retry an upstream at once."""
         return 0.5 + self.random.random()
 
     def on_overdue(self, attempt: Attempt, now_us: int) -> None:
         """Count an attempt that is unanswered after its latency objective.
 
         With a shorter time, attempts that are only slowed down by an overload would be presumed lost. An
-        upstream may never answer some requests, or all of a class, and serve the others well. So it is
-        selected less for that class, and ejected for it after several unanswered attempts in a row.
+        upstream may leave some or all requests of a class unanswered and serve the other classes well. So it
+        is selected less often for that class, and ejected for it after several unanswered attempts in a row.
 
-        Known limit: a class that is rare and always slow also moves to other upstreams after late answers.
+        Known limit: late answers count as unanswered, so they move a rare class that is always slow to other
+        upstreams too.
         """
         request_class = self.settings.classes[attempt.class_index]
         if attempt.outcome is not None or request_class.stream:
@@ -88,7 +91,8 @@
         self.presume_lost(attempt)
 
     def _extend_timeout_streak(self, health: ClassHealth, latency_objective_us: int, now_us: int) -> None:
-        """Count one more unanswered attempt in a row. A long streak ejects the upstream for the class."""
+        """Count one more unanswered attempt in a row. A long streak ejects the upstream for the class; a
+        longer streak, up to `MAX_TIMEOUT_STREAK`, doubles the time with each attempt."""
         health.timeout_streak = min(health.timeout_streak + 1, tuning.MAX_TIMEOUT_STREAK)
         if health.timeout_streak < tuning.EJECTION_TIMEOUT_STREAK:
             return
@@ -101,9 +105,9 @@
         """Free the slot of an overdue attempt if it is presumed lost.
 
         Otherwise requests that are never answered would hold all slots. The attempt stays in flight, as its
-        answer may still be useful. It is presumed lost if its upstream has answered enough later attempts. An
-        attempt in the only slot cannot be overtaken, so one attempt per upstream is also presumed lost while
-        the pool answers fast.
+        answer may still be useful. It is presumed lost if its upstream has answered enough later attempts. If
+        the upstream has only one slot, there are no later attempts, so one attempt per upstream is also
+        presumed lost while the pool answers fast.
 
         Known limit: an upstream that serves by priority may still be working on the attempt, and then gets
         up to twice as many attempts as it has slots.
@@ -121,7 +125,8 @@
 
     @staticmethod
     def _is_overtaken(attempt: Attempt) -> bool:
-        """Return whether enough later attempts were answered to presume that this one is lost, not queued."""
+        """Return whether enough later attempts were answered to presume that an attempt is lost, not
+        queued."""
         return attempt.overtake_count >= tuning.LOST_ATTEMPT_OVERTAKES
 
     def on_answer(self, attempt: Attempt, earlier_attempts: Iterable[Attempt]) -> None:
@@ -140,8 +145,9 @@
         """Record an ended attempt. Returns whether it was rejected by an upstream whose queue is not full.
 
         Requests that a full upstream accepts wait in its queue, so its answers are slow. An upstream that
-        rejects one class and answers the others fast has headroom: it keeps its slots, and only the class is
-        selected less. An upstream with more rejections than fast answers counts as full.
+        rejects one class and answers the others fast has headroom in its queue. It keeps its slots, and is
+        only selected less often for that class. An upstream with more rejections than fast answers counts as
+        full.
         """
         upstream = attempt.upstream
         health = upstream.by_class[attempt.class_index]
@@ -169,7 +175,7 @@
     def class_ejections_apply(
         self, listed_upstreams: Iterable[TrackedUpstream], class_index: int, now_us: int
     ) -> bool:
-        """Return whether ejections for a class apply: not if most upstreams would be ejected."""
+        """Return whether the ejections for a class apply. They are ignored if most upstreams are ejected."""
         if now_us >= self.last_ejection_ends_at_us:
             return True
         are_ejected = [
--- a/ryepier/balancer/pool.py
+++ b/ryepier/balancer/pool.py
@@ -7,7 +7,8 @@
 
 
 class UpstreamPool:
-    """All upstreams or, if cross-zone traffic has a fee, those of the own zone or of all other zones."""
+    """All upstreams or, if cross-zone traffic has a fee, those of the sidecar's zone or of all other
+    zones."""
 
     def __init__(self, settings: Settings, now_us: int) -> None:
         """Start with full admission and no measurements at `now_us` (microseconds)."""
--- a/ryepier/balancer/records.py
+++ b/ryepier/balancer/records.py
@@ -4,9 +4,9 @@
 
 
 class Record:
-    """Base of the dataclasses with slots, with one implementation of representation and equality.
+    """Base of the dataclasses with slots, which provides their `__repr__` and `__eq__`.
 
-    Generating both methods for each class would take a sixth of the sidecar's start-up time.
+    Generating both methods for each dataclass would take a sixth of the sidecar's start-up time.
     """
 
     __slots__: tuple[str, ...] = ()
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -8,7 +8,8 @@
 from ryepier.balancer.settings import Idempotency, IdempotencyScope, Settings
 from ryepier.balancer.upstream import FAULT_OUTCOMES, Attempt, PendingRequest, TrackedUpstream
 
-# Without retries after these outcomes, all requests that a partly failing upstream fails would be lost.
+# Outcomes after which a request may be retried. Without these retries, each request that a partly failing
+# upstream fails would be lost.
 RETRIABLE_OUTCOMES = (*FAULT_OUTCOMES, Outcome.TIMEOUT)
 
 
@@ -16,14 +17,14 @@
     """Decides whether, when and where a request may have another attempt; owns the retry budget."""
 
     def __init__(self, settings: Settings, estimates: RequestEstimates, random: Random) -> None:
-        """Start with a full retry budget."""
+        """Start with a full retry budget; `estimates` and `random` are those of the balancer."""
         self.settings = settings
         self.estimates = estimates
         self.random = random
         self.budget = tuning.MAX_RETRY_BUDGET  # in retries
 
     def may_send(self, request: PendingRequest, now_us: int) -> bool:
-        """Return whether another attempt is allowed now, apart from conditions on its upstream."""
+        """Return whether a request may have another attempt now, at some upstream."""
         if request.done or request.streaming or now_us >= request.event.due_at_us:
             return False
         if len(request.attempts) >= self.settings.max_attempts:
@@ -39,7 +40,7 @@
         return now_us - first_attempt.sent_at_us < request_class.idempotency_window_us
 
     def scope_attempt(self, request: PendingRequest) -> Attempt | None:
-        """Return the attempt whose idempotency scope further attempts must stay in, or None."""
+        """Return the attempt to whose idempotency scope further attempts are limited; None = no limit."""
         request_class = request.request_class
         if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return None
@@ -48,13 +49,15 @@
         return request.first_attempt_that_may_have_run()
 
     def in_scope(self, first_attempt: Attempt, upstream: TrackedUpstream) -> bool:
-        """Return whether an upstream is in the idempotency scope of an attempt, and so drops its repeats."""
+        """Return whether an upstream is in the idempotency scope of a request's first attempt, so that a
+        repeat there does not run again."""
         if self.settings.classes[first_attempt.class_index].idempotency_scope is IdempotencyScope.ZONE:
             return first_attempt.entry.zone == upstream.entry.zone
         return first_attempt.entry.failure_domain == upstream.entry.failure_domain
 
     def latest_write_at_us(self, request: PendingRequest) -> int:
-        """Return the latest time (us) to write a repeat, as its key is forgotten later; 0 = no limit."""
+        """Return the latest time (us) to write another attempt; 0 = no limit. Later, upstreams have forgotten
+        the idempotency key."""
         request_class = request.request_class
         first_attempt = request.first_attempt_that_may_have_run()
         if first_attempt is None or request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
@@ -62,7 +65,8 @@
         return first_attempt.sent_at_us + request_class.idempotency_window_us
 
     def may_reject(self, request: PendingRequest) -> bool:
-        """Return whether the client may safely repeat a request that has had no successful response."""
+        """Return whether a request without a successful response can be rejected, as the client may safely
+        repeat it."""
         request_class = request.request_class
         if (
             request_class.idempotency is Idempotency.IDEMPOTENT
@@ -74,14 +78,15 @@
         return request_class.idempotency_scope is IdempotencyScope.ALL
 
     def may_retry(self, request: PendingRequest, outcome: Outcome, now_us: int) -> bool:
-        """Return whether a request may be retried; the budget bounds the load of retries in an outage."""
+        """Return whether a request may be retried. The retry budget limits the load of retries in an
+        outage."""
         return outcome in RETRIABLE_OUTCOMES and self.may_send(request, now_us) and self.budget >= 1.0
 
     def charge_budget(self, request: PendingRequest, in_storm: bool) -> None:
         """Update the retry budget for an attempt that is about to be sent.
 
-        The first attempt of a request adds a part of a retry to the budget, unless it is a client's retry
-        in a retry storm. Each further attempt uses one retry.
+        The first attempt of a request adds `RETRY_BUDGET_RATIO` to the budget, unless the request is a
+        client's retry in a retry storm. Each further attempt takes 1 from the budget.
         """
         is_client_retry = request.event.retry_number > 0
         if request.attempts:
@@ -90,7 +95,7 @@
             self.budget = min(tuning.MAX_RETRY_BUDGET, self.budget + tuning.RETRY_BUDGET_RATIO)
 
     def useful_until_us(self, request: PendingRequest) -> int:
-        """Return the time (us) after which an answer has no value."""
+        """Return the time (us) after which an answer to a request has no value."""
         request_class = request.request_class
         late_has_value = request_class.late_weight > 0
         useful_us = request_class.deadline_us if late_has_value else request_class.latency_objective_us
@@ -99,7 +104,7 @@
     def latest_start_at_us(self, request: PendingRequest) -> int:
         """Return the latest time (us) to start an attempt whose answer can be expected in time.
 
-        At most half the latency objective is reserved for the answer. Otherwise nothing would be retried
+        At most half the latency objective is reserved for the attempt. Otherwise no request would be retried
         after an outage that has raised the mean latency.
         """
         class_index = request.event.class_index
@@ -110,7 +115,7 @@
 
     def timeout_us(self, request: PendingRequest, now_us: int) -> int:
         """Return the timeout (us) of the next attempt: the time for which its answer is useful or, if a retry
-        may follow, a multiple of the mean latency of its class."""
+        may follow and hedging is off, a multiple of the mean latency of the class."""
         useful_us = max(1, self.useful_until_us(request) - now_us)
         is_unsafe = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         if self.settings.hedging or is_unsafe or self.budget < 1:
@@ -141,7 +146,8 @@
         last_index = len(storm.retry_after_us) - 1
         window_us = storm.retry_after_us[min(request.event.retry_number, last_index)]
         if storm.retry_after_in_seconds and max_us >= tuning.SECOND_US:
-            # Drawn in seconds: rounding would let all clients rejected within one second return together.
+            # The time is drawn in whole seconds. A rounded time would let all clients that were rejected
+            # within one second return together.
             max_s = min(max_us, max(window_us, 2 * tuning.SECOND_US)) // tuning.SECOND_US
             return tuning.SECOND_US * self.random.randint(1, max_s)
         wait_us = window_us * self.random.uniform(tuning.MIN_RETRY_AFTER_SHARE, 1)
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -1,4 +1,4 @@
-"""Selection: weighted random choice among the upstreams that have a free slot."""
+"""Selection of an upstream: a weighted random choice among those that have a free slot."""
 
 from collections.abc import Iterable
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Selector:
-    """Selects the upstream of an attempt among the listed ones, within the rules of `RetryPolicy`."""
+    """Selects the upstream of an attempt among the listed ones that `RetryPolicy` permits."""
 
     def __init__(
         self,
@@ -62,10 +62,10 @@
     ) -> list[Candidate]:
         """Return the candidates of a pool for a request; only warming ones if the pool does not admit it.
 
-        Warming upstreams are candidates even outside the subset. Otherwise one that is in no subset would be
-        idle while it warms up. Their slow-start credit limits their traffic, and the sidecars together have
-        to use it up, so admission does not apply to them. An expensive request is not sent to them while
-        others are warm, as it is the work of many.
+        Warming upstreams are candidates even outside the subset. Otherwise an upstream in no sidecar's subset
+        would be idle while it warms up. Admission does not apply to them, as slow-start credit limits their
+        traffic, and the sidecars together have to use it up. An expensive request has the work of many
+        requests, and is not sent to them unless all upstreams are warming.
         """
         slow_start = pool.slow_start
         subset_members = pool.subset.members
@@ -85,8 +85,8 @@
             request, [*warm_members, *usable_warming_upstreams], ejections_apply, now_us
         )
         if not candidates or len(subset_members) < pool.subset.wanted_size(pool.admission.send_rate):
-            # Only then are others considered: sidecars that are connected to every upstream would exhaust the
-            # upstreams' connections.
+            # Upstreams outside the subset are considered only here, as sidecars that are connected to every
+            # upstream would exhaust the upstreams' connections.
             pools = self.membership.pools
             outside_subset = [
                 upstream
@@ -108,8 +108,8 @@
         ejections_apply: bool,
         now_us: int,
     ) -> list[Candidate]:
-        """Return the upstreams with a free slot for a request, each with its weight. Those that the request
-        has already tried are only returned if there are no others."""
+        """Return the upstreams with a free slot for a request, each with its weight. Upstreams that the
+        request was already sent to are only returned if there are no others."""
         class_index = request.event.class_index
         scope_attempt = self.retries.scope_attempt(request)
         planned_ejections_apply = self.membership.planned_ejections_apply
@@ -142,8 +142,8 @@
         return weight * upstream.advice.weight / rejection_penalty
 
     def concurrency_limit(self, upstream: TrackedUpstream, now_us: int) -> int:
-        """Return how many attempts an upstream may have in flight now, after applying ejection, slow start
-        and the plan's limit."""
+        """Return how many attempts an upstream may have in flight now, limited by ejection, slow start and
+        the plan."""
         if now_us < upstream.ejected_until_us:
             return 0
         limit = max(1, int(upstream.concurrency.limit))
--- a/ryepier/balancer/settings.py
+++ b/ryepier/balancer/settings.py
@@ -1,6 +1,6 @@
 """Settings of the balancer: request classes, tenants, and limits that the operator sets.
 
-Times are whole microseconds (`_us`).
+Durations are whole microseconds (`_us`).
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 class Idempotency(enum.Enum):
     """Whether and where a request that may have run may be sent again; the least strict comes first."""
 
-    IDEMPOTENT = "idempotent"  # to any upstream
-    IDEMPOTENCY_KEY = "idempotency_key"  # to upstreams that remember its key
-    NON_IDEMPOTENT = "non_idempotent"  # never
+    IDEMPOTENT = "idempotent"  # may be sent again to any upstream
+    IDEMPOTENCY_KEY = "idempotency_key"  # may be sent again to upstreams that remember its idempotency key
+    NON_IDEMPOTENT = "non_idempotent"  # must not be sent again
 
 
 class IdempotencyScope(enum.Enum):
-    """Group of upstreams that drop each other's repeats of a request with an idempotency key."""
+    """Group of upstreams that share their idempotency keys, so that none of them runs a repeat."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class RequestClass(Record):
-    """One class of requests."""
+    """Objectives, priority and idempotency of one class of requests."""
 
     name: str
-    latency_objective_us: int  # a response within this has its full priority weight
-    deadline_us: int
+    latency_objective_us: int  # a response within this time has its full priority weight
+    deadline_us: int  # a response after this time has no value
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # share of the priority weight of a later response
-    latency_objective_stretch: float = 0.0  # the objective grows by this multiple of the request's work
+    late_weight: float = 0.0  # factor of the weight if the latency objective was missed
+    latency_objective_stretch: float = 0.0  # multiple of a request's work that is added to the objective
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
     idempotency_window_us: int = 0  # how long upstreams remember an idempotency key
@@ -79,11 +79,11 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Tenant(Record):
-    """One tenant and the request rate that is within its quota, over all sidecars together."""
+    """One tenant and its quota, which applies to its requests at all sidecars together."""
 
     name: str
-    allowance_per_s: float
-    share: float = 0.0
+    allowance_per_s: float  # requests per second within the quota
+    share: float = 0.0  # quota relative to those of the other tenants; 0 = by `allowance_per_s`
 
     def __post_init__(self) -> None:
         """Raise ValueError for a value that is out of range."""
@@ -97,27 +97,27 @@
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
-    over_quota_weight: float = 1.0
-    weight_by_work: bool = False
-    instances: int = 1
-    self_index: int = 0
+    over_quota_weight: float = 1.0  # factor of the priority weight of requests beyond the tenant's quota
+    weight_by_work: bool = False  # weights apply per unit of work instead of per request
+    instances: int = 1  # number of sidecars
+    self_index: int = 0  # index of this sidecar
     zone: int = 0
     tick_us: int = 1000  # shortest interval between batches of events
     max_attempts: int = 1
     max_retry_after_us: int = 0
     connect_timeout_us: int = 0
     retry_after: bool = True  # rejections have a Retry-After
-    cancel: bool = False
-    probes: bool = False
+    cancel: bool = False  # attempts may be cancelled
+    probes: bool = False  # health probes may be sent
     hedging: bool = False  # two attempts of a request may be in flight together
     polls_endpoints: bool = False  # list changes arrive only after Subscribe or FetchList
-    max_poll_interval_us: int = 0  # without a subscription, the list must be polled this often
+    max_poll_interval_us: int = 0  # without a subscription, the list must be polled at least this often
     initial_capacity_share: float = 1.0  # an upstream has at least this share of its capacity at its start
-    warm_up_us: int = 0  # time after its start at which an upstream has its full capacity
-    overload_factor: float = 1.0  # multiple of its capacity at which a warming upstream breaks down
-    overload_window_us: int = 0  # how long the overload lasts before the upstream breaks down
+    warm_up_us: int = 0  # time after which a started upstream has its full capacity
+    overload_factor: float = 1.0  # load, relative to its capacity, at which a warming upstream breaks down
+    overload_window_us: int = 0  # time for which a warming upstream withstands such a load
     cross_zone_fee: float = 0.0
-    report_names: list[str] = field(default_factory=list)
+    report_names: list[str] = field(default_factory=list)  # names of the values in a load report, in order
     weighted: bool = False  # weights in the endpoint list denote upstream sizes
 
     def __post_init__(self) -> None:
--- a/ryepier/balancer/settings_parser.py
+++ b/ryepier/balancer/settings_parser.py
@@ -1,4 +1,4 @@
-"""Parser of the settings, from the path=value pairs of a settings file or of the simulator."""
+"""Parser of the settings, which a settings file or the simulator gives as path=value pairs."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from ryepier.errors import RyepierError
 
 # Paths that a sidecar reads in addition to those of `Settings`
-ZONES_PATH = "areas"  # names, by index
-KINDS_PATH = "kinds"  # names, by index
-IDLE_TIMEOUT_PATH = "bounds.conn-idle"  # us: upstreams close a connection that has been idle for this long
+ZONES_PATH = "areas"  # names of the zones, in the order of their indexes
+KINDS_PATH = "kinds"  # names of the kinds of upstreams, in the order of their indexes
+IDLE_TIMEOUT_PATH = "bounds.conn-idle"  # microseconds after which upstreams close an idle connection
 
 _IDEMPOTENCY = {
     "idempotent": api.Idempotency.IDEMPOTENT,
@@ -34,11 +34,11 @@
 
 
 class SettingsError(RyepierError):
-    """Raised for a setting that is missing or out of range; the message names it."""
+    """Raised for a setting that is missing or invalid; the message names it."""
 
 
 class _Options:
-    """The path=value pairs of the settings, with getters that check the type."""
+    """The path=value pairs of the settings, with methods that return a value after checking its type."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self.pairs = pairs
@@ -99,7 +99,10 @@
 
 
 def parse_settings(text: str) -> api.Settings:
-    """Return the settings of one instance. Unknown keys are skipped. Raises SettingsError."""
+    """Return the settings of one instance from lines of path=value. Unknown paths are ignored.
+
+    Raises SettingsError for a malformed line and for a missing or invalid setting.
+    """
     pairs: dict[str, str] = {}
     for line_number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -112,7 +115,10 @@
 
 
 def settings_from_pairs(pairs: dict[str, str]) -> api.Settings:
-    """Return the settings from their paths and values. Unknown keys are skipped. Raises SettingsError."""
+    """Return the settings of one instance from values by path. Unknown paths are ignored.
+
+    Raises SettingsError for a missing or invalid setting.
+    """
     options = _Options(pairs)
     try:
         return api.Settings(
--- a/ryepier/balancer/simulator_adapter.py
+++ b/ryepier/balancer/simulator_adapter.py
@@ -23,7 +23,8 @@
 
 
 class InstanceHost:
-    """The running instances of the decision module; they share only the upstream lists of the decoder."""
+    """The running instances of the decision module. They share nothing but the upstream lists of the
+    decoder."""
 
     def __init__(self) -> None:
         """Start with no instances."""
@@ -47,7 +48,7 @@
                 try:
                     actions = self.instances[instance].handle(now_us, event)
                     records.extend([protocol.encode_action(instance, action) for action in actions])
-                # The simulator counts reported errors.
+                # The simulator counts the reported errors, so an exception must not end the process.
                 except Exception as error:  # noqa: BLE001
                     text = f"{type(error).__name__}: {error}"
                     records.append(protocol.encode_action(instance, protocol.InternalError(text)))
@@ -63,7 +64,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Read batches from `source` and write their replies to `sink`, until the input ends."""
     host = InstanceHost()
     batch_number = 0
     while True:
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -1,6 +1,6 @@
 """Binary protocol of the simulator: decodes frames to events and encodes actions to frames.
 
-Contains no decisions. The message of a `ProtocolError` says in one line what is malformed and where.
+The message of a `ProtocolError` says in one line what is malformed and where.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """Event: the instance has been killed."""
+    """Event: an instance has been killed."""
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
     """Decodes batches, and keeps the numbered upstream lists to which events refer."""
 
     def __init__(self) -> None:
-        """Start with no lists and no batch."""
+        """Start without upstream lists and without a batch."""
         self.lists: dict[int, list[api.Upstream]] = {}
         self.data = b""
         self.offset = 0
@@ -124,7 +124,7 @@
         return values
 
     def read_list(self) -> None:
-        """Read a numbered upstream list and keep it. Raises ProtocolError for an invalid entry."""
+        """Read an upstream list and keep it by its number. Raises ProtocolError for an invalid entry."""
         list_number, count = self.read_fields(_LIST_HEADER)
         entries = []
         for upstream, zone, kind, failure_domain, state, weight, started_at_us in _ENTRY.iter_unpack(
@@ -276,11 +276,11 @@
 
 
 def encode_action(instance: int, action: Reply) -> bytes:
-    """Return the record that encodes an action of an instance."""
+    """Return the bytes of the record for an action of an instance."""
     return _WRITERS[type(action)](instance, action)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """Return a complete reply decoder."""
+    """Return the reply frame that consists of the header and the encoded records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -12,14 +12,14 @@
 class SlowStart:
     """Tracks the warming upstreams of one pool, and gives them credit for requests.
 
-    The credit of an upstream grows with the throughput that this sidecar sees per warm upstream of size 1,
-    times the share of the upstream. Over all sidecars this stays within what the pool serves, however high
-    the demand is.
-
-    In a shortage the long-term throughput is used if it is higher. While many upstreams are warming, the few
-    warm ones are overloaded, and credit from their current throughput alone would leave the warming ones
-    unused. As the long-term throughput is a mean over time, its sum over the sidecars does not exceed what a
-    warm upstream has served.
+    For each request that a warm upstream of size 1 serves for this sidecar, a warming upstream gets as much
+    credit as its relative traffic. However high the demand is, the credit of all sidecars together stays
+    within the throughput of the pool.
+
+    In a shortage of slots, the long-term throughput is used if it is higher. While many upstreams are
+    warming, the few warm ones are overloaded, and credit for their current throughput alone would leave the
+    warming ones unused. As the long-term throughput is a mean over time, its sum over the sidecars does not
+    exceed what a warm upstream has served.
     """
 
     def __init__(self, settings: Settings, now_us: int) -> None:
@@ -29,14 +29,16 @@
         self.warm_size = 0.0  # total size of the warm upstreams of the pool
         # Throughputs are in credited requests per second, per warm upstream of size 1.
         self.recent_throughput = 0.0
-        self.long_term_throughput = 0.0  # averaged over the duration of a warm-up
+        self.long_term_throughput = 0.0  # averaged over `long_term_time_constant_us`
         self.long_term_time_constant_us = max(settings.warm_up_us, tuning.RATE_TIME_CONSTANT_US)
-        self.observed_time_share = 0.0  # of that duration, averaged like the throughput
+        # Share of that time for which the throughput was observed, averaged like the throughput
+        self.observed_time_share = 0.0
         self.updated_at_us = now_us
-        self.overcommit = 1.0  # multiple of the guaranteed capacity that warming upstreams get
+        self.overcommit = 1.0  # traffic of a warming upstream, as a multiple of its guaranteed capacity
 
     def capacity_share(self, entry: Upstream, now_us: int) -> float:
-        """Return the share of its capacity (0 to 1) that an upstream has with the slowest allowed warm-up."""
+        """Return the share (0 to 1) of its capacity that an upstream has if it warms up as slowly as
+        allowed."""
         settings = self.settings
         age_us = now_us - entry.started_at_us
         if entry.started_at_us == 0 or age_us >= settings.warm_up_us:
@@ -53,7 +55,7 @@
         return entry.weight if self.settings.weighted and 0.0 < entry.weight < math.inf else 1.0
 
     def relative_traffic(self, upstream: TrackedUpstream, now_us: int) -> float:
-        """Return the traffic that a warming upstream gets, relative to a warm one of size 1."""
+        """Return the traffic that a warming upstream gets, relative to a warm upstream of size 1."""
         capacity_share = self.capacity_share(upstream.entry, now_us)
         return self.size(upstream.entry) * min(1.0, capacity_share * self.overcommit)
 
@@ -72,7 +74,7 @@
         return newly_warm
 
     def is_outdated(self, now_us: int) -> bool:
-        """Return whether an upstream has become warm since the last refresh."""
+        """Return whether an upstream has become warm since the last call of `refresh`."""
         return any(not self.is_warming(upstream.entry, now_us) for upstream in self.warming_upstreams)
 
     def add_credit(self, served_requests: float, in_shortage: bool, now_us: int) -> None:
@@ -97,7 +99,7 @@
         self._observe_throughput(throughput, elapsed_us)
 
     def _observe_throughput(self, throughput: float, elapsed_us: int) -> None:
-        """Update the averages with what was served since `elapsed_us` ago."""
+        """Update the averages with the requests that were served in the last `elapsed_us`."""
         time_constant_us = self.long_term_time_constant_us
         self.recent_throughput = decayed_rate(
             self.recent_throughput, throughput, elapsed_us, tuning.RATE_TIME_CONSTANT_US
@@ -110,9 +112,10 @@
         )
 
     def adapt_overcommit(self, load: float) -> None:
-        """Adapt the overcommit to the load that an answer shows.
+        """Adapt the overcommit to the load that the answer of a warming upstream shows.
 
-        Most upstreams have more than their guaranteed capacity while they warm up.
+        There is an overcommit because most upstreams have more than their guaranteed capacity while they warm
+        up.
         """
         max_overcommit = max(1.0, tuning.MAX_OVERCOMMIT_SHARE * self.settings.overload_factor)
         overcommit = self.overcommit * (1.0 + tuning.OVERCOMMIT_GAIN * (tuning.TARGET_LOAD - load))
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting: limits the upstreams that one sidecar uses to as many as its traffic needs."""
+"""Subsetting: a sidecar uses only as many upstreams as its traffic needs."""
 
 from random import Random
 
@@ -10,12 +10,12 @@
     """The upstreams of one pool that this sidecar uses, in the order in which they joined."""
 
     def __init__(self) -> None:
-        """Start empty; upstreams join when they are selected."""
+        """Start without members; upstreams join when they are selected."""
         self.members: dict[TrackedUpstream, None] = {}
 
     @staticmethod
     def wanted_size(send_rate: float) -> int:
-        """Return how many upstreams a sidecar needs at a rate of attempts per second."""
+        """Return how many upstreams a sidecar needs at a rate of `send_rate` attempts per second."""
         return tuning.MIN_SUBSET_SIZE + int(send_rate / tuning.ATTEMPT_RATE_PER_MEMBER)
 
     def leave(self, upstream: TrackedUpstream) -> list[TrackedUpstream]:
@@ -28,15 +28,16 @@
     def sample_new_members(
         self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Let upstreams that are newly listed or newly warm join with the probability that they would have
-        had from the start. Returns the upstreams that have left.
+        """Let each upstream that is newly listed or newly warm join with the same probability as the
+        upstreams that were listed from the start. Returns the upstreams that have left the subset.
 
-        This is reservoir sampling among `listed_count` upstreams: a new member replaces a random one.
-        Otherwise a full subset would never admit an upstream that returns, and an upstream that stayed in
-        every subset that used it while it warmed up would be overloaded afterwards.
+        This is reservoir sampling among `listed_count` upstreams: a new member replaces a random one, and an
+        upstream that is not sampled leaves the subset. Otherwise a full subset would never admit an upstream
+        that returns, and an upstream that joined many subsets while it was warming would be overloaded
+        afterwards.
         """
         if not new_upstreams or not self.members:
-            return []  # before the first attempt; selections add members as needed
+            return []  # nothing to add, or no members yet: selections add the first ones
         replaceable_members = [upstream for upstream in self.members if upstream not in new_upstreams]
         random.shuffle(replaceable_members)
         target_size = max(wanted_count, len(replaceable_members))
@@ -45,7 +46,7 @@
             if random.random() * listed_count >= target_size:
                 removed_upstreams += self.leave(upstream)
             elif upstream not in self.members and len(self.members) >= wanted_count and replaceable_members:
-                # While the subset is not full, selections add upstreams from outside it.
+                # A subset that is not full needs no sampling, as selections add upstreams from outside it.
                 removed_upstreams += self.leave(replaceable_members.pop())
                 self.members[upstream] = None
         return removed_upstreams
--- a/ryepier/balancer/upstream.py
+++ b/ryepier/balancer/upstream.py
@@ -9,10 +9,9 @@
 from ryepier.balancer.settings import RequestClass
 
 NEVER_RAN_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-ANSWERED_OUTCOMES = (
-    Outcome.OK,
-    Outcome.MALFORMED_RESPONSE,
-)  # the work was done, and the latency shows the load
+# Outcomes after which the work was done, so that the latency shows the load
+ANSWERED_OUTCOMES = (Outcome.OK, Outcome.MALFORMED_RESPONSE)
+# Outcomes that count as faults of the upstream
 FAULT_OUTCOMES = (
     Outcome.REJECTED,
     Outcome.CONNECT_FAILED,
@@ -24,30 +23,28 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ClassHealth:
-    """Health of an upstream for one request class; an upstream may fail some classes only."""
+    """Health of an upstream for one request class, as an upstream may fail some classes only."""
 
     unanswered_share: float = 0.0  # moving average of the share of attempts without an answer in time
     timeout_streak: int = 0  # unanswered attempts in a row
-    ejected_until_us: int = 0
+    ejected_until_us: int = 0  # time at which the ejection for the class ends; 0 = not ejected
     rejection_share: float = 0.0  # moving average of the share of rejected attempts
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class TrackedUpstream:
-    """What this sidecar knows of one ready upstream; a new one has one slot and no measurements."""
+    """State of one ready upstream. A new upstream has one slot and no measurements."""
 
     entry: Upstream
-    pool_index: int  # in `Membership.pools`
+    pool_index: int  # index of its pool in `Membership.pools`
     by_class: list[ClassHealth]
-    advice: Advice  # from the current plan
-    in_flight: int = 0  # slots in use; an attempt that is presumed lost uses none
-    outstanding_attempts: list[Attempt] = field(
-        default_factory=list
-    )  # attempts not ended yet, in the order sent
+    advice: Advice  # of the current plan
+    in_flight: int = 0  # slots in use; an attempt that is presumed lost uses no slot
+    outstanding_attempts: list[Attempt] = field(default_factory=list)  # in the order in which they were sent
     queue_headroom: int = 0  # recent fast answers, minus slow answers and rejections
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
     ejected_until_us: int = 0
-    slow_start_credit: float = 0.0  # requests that it may get while warming up; below 0 it waits
+    slow_start_credit: float = 0.0  # requests it may get while it warms up; below 0, it gets none
     latency_ratio: float = 1.0  # moving average of its latency relative to the class means
     fault_share: float = 0.0  # moving average of the share of attempts that were faults
     logged_ejected: bool = False
@@ -61,11 +58,11 @@
     entry: Upstream  # list entry of the upstream when the attempt was sent
     class_index: int
     sent_at_us: int
-    follows_timeout: bool = False  # an earlier attempt of its request timed out
-    overtake_count: int = 0  # later attempts at the same upstream that were answered earlier
-    overtaken_in_class: bool = False  # at least one of these was of the same class
-    overdue: bool = False  # unanswered after its latency objective
-    presumed_lost: bool = False  # no longer holds a slot
+    follows_timeout: bool = False  # whether an earlier attempt of the same request timed out
+    overtake_count: int = 0  # number of later attempts at the same upstream that were answered earlier
+    overtaken_in_class: bool = False  # whether one of these later attempts was of the same class
+    overdue: bool = False  # whether it was unanswered after its latency objective
+    presumed_lost: bool = False  # if so, it no longer holds a slot
     outcome: Outcome | None = None  # None while in flight
 
 
@@ -81,7 +78,7 @@
     streaming: bool = False
 
     def in_flight(self) -> int:
-        """Return how many of its attempts have not ended."""
+        """Return how many attempts of the request have not ended."""
         return sum(1 for attempt in self.attempts if attempt.outcome is None)
 
     def first_attempt_that_may_have_run(self) -> Attempt | None:
--- a/ryepier/balancer/wake_ups.py
+++ b/ryepier/balancer/wake_ups.py
@@ -1,4 +1,4 @@
-"""Wake-ups: the queue of scheduled work, and the timer that is requested for the earliest."""
+"""Queue of the wake-ups, and the timer that is requested for the earliest of them."""
 
 import enum
 import heapq
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         """Start empty, without a timer."""
         self.pending: list[WakeUp] = []  # a heap
-        self.timer_at_us = 0  # when the earliest of the requested timers fires; 0 = none
+        self.timer_at_us = 0  # time of the earliest requested timer that has not fired; 0 = none
 
     def schedule(self, at_us: int, kind: WakeUpKind, request: int, attempt: int = 0) -> None:
         """Add a wake-up at `at_us`."""
@@ -43,15 +43,15 @@
         return heapq.heappop(self.pending)
 
     def on_timer(self, now_us: int) -> None:
-        """Record that a timer has fired. A stale timer is ignored, as re-arming on it would keep timers alive
-        forever."""
+        """Record that a timer has fired. A timer that fires before `timer_at_us` is stale and is ignored;
+        otherwise each stale timer would lead to another one, without end."""
         if self.timer_at_us <= now_us:
             self.timer_at_us = 0
 
     def timer_to_request(self, other_times_us: Iterable[int]) -> int | None:
-        """Return the time (us) for which to request a timer, or None if the requested one is early enough.
+        """Return the time (us) for which to request a timer, or None if the requested timer is early enough.
 
-        That is the time of the next wake-up, or the earliest of the `other_times_us` if that is sooner.
+        The timer is for the next wake-up, or for the earliest of `other_times_us` if that is sooner.
         """
         next_us = self.pending[0].at_us if self.pending else None
         for other_time_us in other_times_us:
--- a/ryepier/storm/failed_request_sketch.py
+++ b/ryepier/storm/failed_request_sketch.py
@@ -1,28 +1,29 @@
 """Recognition of retries in bounded memory: a count-min sketch in two generations.
 
-Works without I/O and without a clock. A request that was not served is added by a hash that identifies it; a later
-arrival with the same hash is a retry. Served requests are never added, so a query that is repeated after it was served
-does not count as a retry.
-
-Errors are one-sided: a first attempt may be taken for a retry if other requests have filled all its columns. With
-`GENERATION_SIZE` hashes in a generation a column is filled with probability 1 - exp(-GENERATION_SIZE / WIDTH) = 0.086,
-and all four columns of one of the two generations with at most 2 * 0.086**4 = 0.011%. A generation ends by size or by
-age, so the bound holds at any rate: with more rejections, requests are remembered for a shorter time, not less exactly.
+Performs no I/O and reads no clock. A request that was not served is added by its hash, and a later arrival with the
+same hash is a retry. Served requests are never added, so a request that is repeated after it was served does not count
+as a retry.
+
+Errors are one-sided: a first attempt may be taken for a retry if other requests have incremented all its counters. With
+`GENERATION_SIZE` hashes in a generation, this is so for one counter with probability
+1 - exp(-GENERATION_SIZE / WIDTH) = 0.086, and for all four counters of one of the two generations with probability
+2 * 0.086**4 = 0.011% at most. As a generation ends by its size or its age, this bound holds at any rate of failed
+requests: at a higher rate, requests are remembered for a shorter time, but not less exactly.
 """
 
 from __future__ import annotations
 
 import hashlib
 
-ROWS = 4  # hash functions
-WIDTH = 1 << 16  # columns per row, of one byte each; 512 KB in both generations
+ROWS = 4  # rows of counters, each with its own hash function
+WIDTH = 1 << 16  # counters per row, of one byte each; both generations together take 512 KB
 GENERATION_SIZE = 5_900  # hashes after which a generation ends
 GENERATION_US = 10_000_000  # longest duration of a generation
-MAX_COUNT = 255  # largest value of a column, which is one byte
+MAX_COUNT = 255  # largest value of a counter, which is one byte
 
 
 def fingerprint(*parts: bytes) -> bytes:
-    """Return a hash of the parts that all attempts of a request have in common, and of their lengths."""
+    """Return a hash of the parts of a request that its retries have in common, and of their lengths."""
     hasher = hashlib.blake2b(digest_size=4 * ROWS)
     for part in parts:
         hasher.update(len(part).to_bytes(4, "big"))
@@ -40,7 +41,7 @@
         return min(row[column] for row, column in zip(self.rows, columns, strict=True))
 
     def add(self, columns: list[int]) -> None:
-        """Count one request. Only its smallest counters are incremented, as the others are already too high."""
+        """Count one request. Only its lowest counters are incremented, as other requests have raised the others."""
         lowest_count = self.minimum_count(columns)
         if lowest_count < MAX_COUNT:
             for row, column in zip(self.rows, columns, strict=True):
@@ -53,7 +54,7 @@
 
 
 class FailedRequestSketch:
-    """Counts how often a request was recently not served: within 10 to 20 s, or less if very many fail."""
+    """Counts how often a request was not served in the last 10 to 20 s, or in a shorter time if very many fail."""
 
     def __init__(self, now_us: int) -> None:
         """Start empty at `now_us` (microseconds)."""
@@ -62,7 +63,7 @@
 
     @property
     def empty(self) -> bool:
-        """Whether no failed request is remembered, so that each request is a first attempt."""
+        """Whether no failed request is remembered, so that each arrival counts as a first attempt."""
         return not self.current_generation.count and self.previous_generation is None
 
     def add(self, now_us: int, digest: bytes) -> None:
@@ -86,7 +87,8 @@
         )
 
     def _rotate(self, now_us: int) -> None:
-        # Rotation happens only on calls. A generation that is too old by then must not count for as long again.
+        # Generations rotate only in calls. After a long time without calls, the current generation is too old to become
+        # the previous one, as its requests would be remembered for too long.
         is_recent = now_us - self.current_generation.started_at_us < 2 * GENERATION_US and self.current_generation.count
         self.previous_generation = self.current_generation if is_recent else None
         self.current_generation = _Generation(now_us)
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -1,4 +1,4 @@
-"""Retry storm guard of a sidecar: feeds the detector, and reports storms to the decision module."""
+"""Retry storm guard of a sidecar: passes requests to the detector, and reports storms to the decision module."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class Request(Protocol):
-    """The properties by which attempts of the same request are recognised."""
+    """The properties of a request by which its retries are recognised."""
 
     @property
     def target(self) -> bytes:
-        """Path and query."""
+        """Path and query of the URL."""
 
     @property
     def headers(self) -> Sequence[Header]:
-        """Names and values."""
+        """Names and values of the headers."""
 
     @property
     def body(self) -> bytes:
@@ -44,7 +44,8 @@
 
 
 def identify(request: Request) -> bytes:
-    """Return a hash of a request: of its tenant and idempotency key or, without a key, tenant, target and body."""
+    """Return a hash of the tenant and idempotency key of a request or, without a key, of its tenant, target and
+    body."""
     for name, value in request.headers:
         if name.lower() == b"idempotency-key":
             return fingerprint(request.tenant.to_bytes(4, "big"), value)
@@ -57,7 +58,8 @@
     def __init__(
         self, detector: RetryStormDetector, publish: Callable[[RetryStormUpdated], None], clock_us: Callable[[], int]
     ) -> None:
-        """Pass each event that differs from the last one to `publish`; `clock_us` returns the time (us)."""
+        """Start without failed requests. `publish` gets each event that differs from the previous event; `clock_us`
+        returns the current time (us)."""
         self.detector = detector
         self.publish = publish
         self.clock_us = clock_us
@@ -76,7 +78,7 @@
         return retry_number
 
     def on_unserved(self, request: Request) -> None:
-        """Record that the request was rejected, failed, or had no answer before its client disconnected."""
+        """Record that a request was rejected or failed, or that its client disconnected before it was answered."""
         now_us, digest = self.clock_us(), identify(request)
         self.detector.on_unserved(max(self.failed_requests.retry_number(now_us, digest), int(request.marked_as_retry)))
         self.failed_requests.add(now_us, digest)
@@ -90,7 +92,7 @@
         """Do nothing: `on_unserved` has counted the request."""
 
     def on_attempt_started(self, upstream: int, token: int, class_index: int) -> None:
-        """Do nothing: attempts count when they end."""
+        """Do nothing: only the end of an attempt counts."""
 
     def on_attempt_ended(self, upstream: int, token: int, outcome: Outcome, elapsed_us: int) -> None:
         """Count a served request."""
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -1,7 +1,7 @@
-"""Detection of retry storms: how many retries to admit, and when clients of the others should retry.
+"""Detection of retry storms: how many retries to admit, and when clients of rejected requests should retry.
 
-Works without I/O and without a clock: takes counts and times, and returns `RetryStormUpdated` events. Rates are per
-second; times are whole microseconds.
+Performs no I/O and reads no clock: the caller passes arrivals, ends of requests and times, and gets `RetryStormUpdated`
+events. Rates are per second; times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -12,30 +12,35 @@
 from ryepier.balancer.interface import RetryStormUpdated
 
 RETRY_NUMBER_BUCKETS = 5  # first attempts (0), then retries by number; the last bucket includes higher numbers
-RECENT_TIME_CONSTANT_US = 1_000_000  # of the recent rates (exponential average)
-BASELINE_TIME_CONSTANT_US = 60_000_000  # of the baseline rate (exponential average)
-MIN_BASELINE_OBSERVATION_US = 4_000_000  # before the baseline rate counts as known
+RECENT_TIME_CONSTANT_US = 1_000_000  # time constant of the recent rates (exponential averages)
+BASELINE_TIME_CONSTANT_US = 60_000_000  # time constant of the baseline rate (exponential average)
+MIN_BASELINE_OBSERVATION_US = 4_000_000  # observation time after which the baseline rate counts as known
 MIN_ARRIVAL_RATE = 4.0  # arrivals per second below which there is no storm
-OPENING_RETRY_SHARE = 0.3  # of the arrivals; a storm opens at this and OPENING_UNSERVED_SHARE
-OPENING_UNSERVED_SHARE = 0.15  # of the arrivals
-CLOSING_RETRY_SHARE = 0.1  # of the arrivals; a storm may close at this or at CLOSING_UNSERVED_SHARE
-CLOSING_UNSERVED_SHARE = 0.05  # of the arrivals
-MIN_CALM_US = 2_000_000  # for which the closing conditions must hold before a storm closes, to avoid oscillation
-SURGE_RATIO = 1.5  # times the baseline rate; the demand is real then, and admitting fewer retries would not help
-# A storm does not open so soon after a surge, as its rejections still cause retries and the rates still decay.
+# A storm opens when retries and unserved requests both reach their opening shares of the arrivals. It closes after one
+# of them has fallen to its closing share.
+OPENING_RETRY_SHARE = 0.3
+OPENING_UNSERVED_SHARE = 0.15
+CLOSING_RETRY_SHARE = 0.1
+CLOSING_UNSERVED_SHARE = 0.05
+MIN_CALM_US = 2_000_000  # time for which a closing condition must hold before a storm closes, to avoid oscillation
+# There is a surge while the rate of first attempts is above this multiple of the baseline rate. The demand is real
+# then, and admitting fewer retries would not help.
+SURGE_RATIO = 1.5
+# Time after a surge in which no storm opens, as requests rejected in the surge are still retried, and the average rates
+# still decay.
 SURGE_RECOVERY_US = 5 * RECENT_TIME_CONSTANT_US
-OUTAGE_SERVED_SHARE = 0.3  # of the arrivals; if fewer are served, there is an outage
-RECENT_OUTAGE_US = 30_000_000  # how long after its end an outage is reported as evidence
-MAX_FIRST_REJECTION_SHARE = 0.3  # of the first attempts, above which fewer retries are admitted
-ADMISSION_DECREASE = 0.8  # factor of the admitted share of retries per tick
-ADMISSION_INCREASE = 1.25  # factor of the admitted share of retries per tick
-ADMISSION_INCREASE_STEP = 0.02  # added to the admitted share per tick, in addition to the factor
-MIN_RETRY_ADMISSION = (
-    0.05  # of the retries; admitting none does not help if first attempts are rejected for another reason
-)
-RECOVERY_FACTOR = 2.0  # rate of service when the retries arrive, relative to the current rate
-MIN_RETRY_AFTER_WINDOW_US = 200_000  # for a rejected first attempt; doubled for each retry number
-MAX_RETRY_AFTER_WINDOW_US = 30_000_000  # for a rejected first attempt; doubled for each retry number
+OUTAGE_SERVED_SHARE = 0.3  # there is an outage while a smaller share of the arrivals is served
+RECENT_OUTAGE_US = 30_000_000  # time after its end for which an outage is reported as evidence
+MAX_FIRST_REJECTION_SHARE = 0.3  # if a larger share of the first attempts is rejected, fewer retries are admitted
+ADMISSION_DECREASE = 0.8  # factor per tick by which the admitted share of retries decreases
+ADMISSION_INCREASE = 1.25  # factor per tick by which the admitted share of retries increases
+ADMISSION_INCREASE_STEP = 0.02  # added to the admitted share per tick when it increases, in addition to the factor
+# Lowest admitted share of retries. Admitting none does not help if first attempts are rejected for another reason.
+MIN_RETRY_ADMISSION = 0.05
+RECOVERY_FACTOR = 2.0  # expected rate of served requests when the retries arrive, relative to the current rate
+# Shortest and longest window for the Retry-After of a rejected first attempt. It doubles with each retry number.
+MIN_RETRY_AFTER_WINDOW_US = 200_000
+MAX_RETRY_AFTER_WINDOW_US = 30_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +48,13 @@
     """The measurements by which the detector decides whether there is a storm."""
 
     arrival_rate: float  # arrivals per second
-    served_rate: float
-    retry_share: float  # of the arrivals
-    surge_ratio: float  # first attempts relative to the baseline rate; 0 = not known
+    served_rate: float  # served requests per second
+    retry_share: float  # share of the arrivals that are retries
+    surge_ratio: float  # rate of first attempts relative to the baseline rate; 0 = not known
     since_outage_us: int | None  # time since the end of the last outage; None = no recent outage
 
     def __str__(self) -> str:
-        """Render the evidence for the log."""
+        """Return the text of the evidence in log lines."""
         surge_text = (
             f"first attempts at {self.surge_ratio:.2f} of the baseline rate"
             if self.surge_ratio
@@ -70,7 +75,7 @@
 
     event: RetryStormUpdated
     evidence: StormEvidence
-    changed: bool  # a storm has just begun or ended
+    changed: bool  # whether a storm has begun or ended in this tick
 
 
 @dataclass(slots=True)
@@ -84,12 +89,13 @@
 
 
 class RetryStormDetector:
-    """Detects retry storms at one sidecar; is notified of each arrival and each end, and evaluated by `tick`."""
+    """Detects retry storms at one sidecar. It is notified of each arrival and end of a request, and evaluated by
+    `tick`."""
 
     def __init__(
         self, now_us: int, tenant_shares: list[float], max_retry_after_us: int, retry_after_in_seconds: bool
     ) -> None:
-        """Start at `now_us` without measurements; `tenant_shares` are the tenants' quotas, which add up to 1."""
+        """Start at `now_us` without measurements. `tenant_shares` has the quota of each tenant; they add up to 1."""
         self.tenant_shares = tenant_shares
         self.max_retry_after_us = max_retry_after_us
         self.retry_after_in_seconds = retry_after_in_seconds
@@ -99,17 +105,17 @@
         self.tenant_rates: dict[int, float] = {}
         self.served_rate = 0.0
         self.first_rejection_rate = 0.0
-        self.retry_admission = 1.0  # share of first retries to admit; its powers apply to later retries
+        self.retry_admission = 1.0  # share of first retries to admit; its n-th power applies to retry number n
         self.baseline_rate = 0.0
-        self.baseline_observation_us = 0  # for how long the baseline rate was observed
+        self.baseline_observation_us = 0  # time for which the baseline rate was observed
         self.in_outage = False
         self.outage_ended_at_us: int | None = None
         self.active = False
         self.calm_since_us: int | None = None
-        self.last_surge_at_us = now_us - SURGE_RECOVERY_US  # when the surge ratio last exceeded SURGE_RATIO
+        self.last_surge_at_us = now_us - SURGE_RECOVERY_US  # time of the last tick in a surge
 
     def on_request(self, retry_number: int, tenant: int) -> None:
-        """Count an arrival."""
+        """Count the arrival of a request."""
         self.counts.arrivals_by_retry_number[min(retry_number, RETRY_NUMBER_BUCKETS - 1)] += 1
         self.counts.arrivals_by_tenant[tenant] = self.counts.arrivals_by_tenant.get(tenant, 0) + 1
 
@@ -118,11 +124,11 @@
         self.counts.served_count += 1
 
     def on_unserved(self, retry_number: int) -> None:
-        """Count a request that was not served."""
+        """Count a request that was rejected, failed or abandoned by its client."""
         self.counts.first_rejection_count += int(retry_number == 0)
 
     def tick(self, now_us: int) -> StormReport:
-        """Update the rates and the admitted share. Returns whether there is a storm, and why."""
+        """Update the rates and the admitted share of retries. Returns whether there is a storm, with the evidence."""
         self._update_rates(now_us)
         evidence = self._evidence(now_us)
         if evidence.surge_ratio > SURGE_RATIO:
@@ -166,8 +172,8 @@
             self.outage_ended_at_us = now_us
         self.in_outage = in_outage
         if not in_outage and not self.active:
-            # Rates in an outage or a storm do not count towards the baseline, as they would hide the next storm. A
-            # surge soon after the start would hide it too, so the average changes at its slowest rate in a surge.
+            # Rates in an outage or a storm do not count towards the baseline, as they would hide the next storm. A surge
+            # soon after the start would have the same effect, so in a surge the average changes at its slowest rate.
             baseline_observation_us = (
                 BASELINE_TIME_CONSTANT_US
                 if now_us - self.last_surge_at_us < SURGE_RECOVERY_US
@@ -213,7 +219,7 @@
 
     def _event(self) -> RetryStormUpdated:
         admission = [self.retry_admission**retry_number for retry_number in range(RETRY_NUMBER_BUCKETS)]
-        # The window is the time that it takes to serve as many requests as are now rejected, at the expected rate.
+        # The window is the time in which as many requests as are now rejected can be served at the expected rate.
         unserved_clients = max(0.0, sum(self.arrival_rates) - self.served_rate) * RECENT_TIME_CONSTANT_US / 1e6
         window_us = min(
             MAX_RETRY_AFTER_WINDOW_US,
@@ -226,7 +232,8 @@
         return RetryStormUpdated(True, admission, windows_us, self._tenant_admission(), self.retry_after_in_seconds)
 
     def _tenant_admission(self) -> list[float]:
-        """Return the share of retries to admit, by tenant; it is less for a tenant whose demand exceeds its quota."""
+        """Return the share of retries to admit, by tenant. It is below 1 for a tenant whose demand exceeds its
+        quota."""
         if len(self.tenant_shares) < 2:
             return []
         arrival_rate = sum(self.arrival_rates)
