--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -172,8 +172,9 @@
             self.outage_ended_at_us = now_us
         self.in_outage = in_outage
         if not in_outage and not self.active:
-            # Rates in an outage or a storm do not count towards the baseline, as they would hide the next storm. A surge
-            # soon after the start would have the same effect, so in a surge the average changes at its slowest rate.
+            # Rates in an outage or a storm do not count towards the baseline, as they would hide the next storm. A
+            # surge soon after the start would have the same effect, so in a surge the average changes at its slowest
+            # rate.
             baseline_observation_us = (
                 BASELINE_TIME_CONSTANT_US
                 if now_us - self.last_surge_at_us < SURGE_RECOVERY_US
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,10 +1,8 @@
-"""Harness that stands in for the sidecar: executes the actions of a Balancer and checks each against the contract.
+"""Harness that takes the place of the sidecar: executes the actions of a Balancer, and checks each against the rules.
 
-A test decides what happens and when; the harness simulates neither upstreams nor clients. It checks the rules of the
-contract from its own records and not from the balancer's state.
-
-The numbers in the failure messages stand for these rules:
-1. Each request has exactly one final answer, which comes in time.
+A test decides which events occur and when, as the harness simulates neither upstreams nor clients. The harness checks
+the rules with its own records and not with the balancer's state. They are numbered as in the failure messages:
+1. Each request gets exactly one final answer, in time.
 2. A request is only repeated, or rejected after an attempt, if its class and the settings permit that.
 3. A draining or removed upstream gets no request.
 """
@@ -44,7 +42,7 @@
 
 NEVER_RAN_OUTCOMES = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 START_US = 1_000_000_000
-MAX_OVERDUE_TICKS = 4  # after its due time, by which a request must have its answer
+MAX_OVERDUE_TICKS = 4  # ticks after its due time by which a request must have its final answer
 
 
 def request_classes() -> list[RequestClass]:
@@ -97,13 +95,13 @@
 
 
 def upstreams(count: int, **changes: Any) -> list[Upstream]:
-    """Return `count` ready upstreams, two in each failure domain and zone."""
+    """Return `count` ready upstreams, with two upstreams in each zone and failure domain."""
     return [Upstream(100 + i, zone=i // 2, failure_domain=i // 2, **changes) for i in range(count)]
 
 
 @dataclass
 class TrackedAttempt:
-    """An attempt that the balancer has sent; times are in microseconds on the clock of the harness."""
+    """An attempt that the balancer has sent. Times are in microseconds on the clock of the harness."""
 
     upstream: int
     zone: int
@@ -133,17 +131,17 @@
 
 
 class Deadline(NamedTuple):
-    """A timer or an attempt timeout that is due at a time. At the same time, timeouts come before timers."""
+    """A timer or the timeout of an attempt. Of those that are due at the same time, timeouts come first."""
 
     at_us: int
     is_timer: bool
     request_or_token: int
-    """The id of the request that times out, or the token of the timer."""
+    """The id of the request whose attempt times out, or the token of the timer."""
     attempt: int = 0
 
 
 class BalancerHarness:
-    """A Balancer with a clock, timers, and the records by which its actions are checked."""
+    """A Balancer with a clock, timers, and the records with which its actions are checked."""
 
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
@@ -151,7 +149,7 @@
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.requests: dict[int, TrackedRequest] = {}
         self.known_entries: dict[int, Upstream] = {}
-        self.unavailable_since_us: dict[int, int] = {}  # by upstream, once reported draining or removed
+        self.unavailable_since_us: dict[int, int] = {}  # by id of a draining or removed upstream
         self.timers: list[Deadline] = []
         self.actions: list[Action] = []
         self.next_request = 1
@@ -159,7 +157,7 @@
     # Events
 
     def handle(self, event: Event) -> list[Action]:
-        """Pass an event to the balancer, and check and record its actions."""
+        """Pass an event to the balancer, check and record the resulting actions, and return them."""
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
@@ -167,7 +165,7 @@
         return actions
 
     def update_upstreams(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
-        """Pass an endpoint list to the balancer."""
+        """Pass an endpoint list, or changes to it, to the balancer, and return the resulting actions."""
         for entry in entries:
             self.known_entries[entry.id] = entry
             if entry.state is UpstreamState.READY:
@@ -180,7 +178,7 @@
         return self.handle(UpstreamsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, due_in_us: int | None = None, **fields: Any) -> int:
-        """Let a new request arrive, due after `due_in_us` or the deadline of its class; return its id."""
+        """Let a new request arrive, which is due after `due_in_us` or the deadline of its class. Returns its id."""
         request = self.next_request
         self.next_request += 1
         remaining_us = due_in_us or self.settings.classes[class_index].deadline_us
@@ -190,7 +188,7 @@
         return request
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
-        """End an attempt now; `fields` are further fields of the event."""
+        """End an attempt now, and return the resulting actions. `fields` are further fields of the event."""
         tracked = self.requests[request]
         attempt_record = tracked.attempts[attempt]
         assert attempt_record.outcome is None
@@ -211,18 +209,18 @@
         )
 
     def begin_stream(self, request: int, attempt: int) -> None:
-        """Start the stream of a response; the request has no timeout from now on."""
+        """Start the streamed response to an attempt. From now on, the request has no timeout."""
         self.requests[request].streaming = True
         self.handle(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
     def disconnect_client(self, request: int) -> None:
-        """Disconnect the client of an open request."""
+        """Disconnect the client of a request that has no final answer yet."""
         self.requests[request].closed = True
         self.requests[request].answer_count = 1
         self.handle(ClientDisconnected(request))
 
     def advance(self, duration_us: int) -> None:
-        """Advance the clock, and fire the timers and attempt timeouts that become due."""
+        """Advance the clock, and let the timers and attempt timeouts that become due take effect."""
         end_us = self.now_us + duration_us
         while due_deadlines := [deadline for deadline in self._deadlines() if deadline.at_us <= end_us]:
             next_deadline = min(due_deadlines)
@@ -255,7 +253,7 @@
             )
 
     def check(self, action: Action) -> None:
-        """Check an action against the contract, and record the attempt or timer that it starts."""
+        """Check an action against the rules, and record the attempt or timer that it starts."""
         if isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, Reject | Fail):
--- a/tests/balancer_scenarios.py
+++ b/tests/balancer_scenarios.py
@@ -20,7 +20,7 @@
 
 
 def fill_slots(harness: BalancerHarness) -> list[int]:
-    """Send requests until no slot is free, and return their ids; the last request waits in the buffer."""
+    """Send requests until no slot is free, and return their ids. The last request waits in the buffer."""
     requests = []
     for _ in range(MAX_SLOTS):
         requests.append(harness.arrive(READ))
@@ -37,7 +37,7 @@
     class_index: int = READ,
     duration_us: int = 10_000,
 ) -> None:
-    """Send a request in each step, and end all attempts after `duration_us`.
+    """Let a request arrive in each step, and end all attempts in flight `duration_us` later.
 
     Attempts at `failing_upstream` end with `fault`, all others with OK.
     """
@@ -51,7 +51,7 @@
 
 
 def send_and_end_requests(harness: BalancerHarness, outcome: Outcome) -> None:
-    """Send 20 requests, and end all attempts with `outcome`."""
+    """Let 20 requests arrive, and end all attempts in flight with `outcome` after 10 ms."""
     for _ in range(20):
         harness.arrive(PAY)
     harness.advance(10_000)
@@ -61,7 +61,7 @@
 
 
 def open_slot_count(harness: BalancerHarness) -> int:
-    """Return how many attempts can be in flight now; ends the attempts that it sends."""
+    """Return how many attempts can be in flight now, by filling the slots and ending these attempts."""
     sent_requests = [request for request in fill_slots(harness) if harness.sends(request)]
     for request in sent_requests:
         harness.end(request, 0, Outcome.OK)
@@ -69,7 +69,7 @@
 
 
 def harness_with_open_slots() -> BalancerHarness:
-    """Return the harness of a balancer whose only upstream has opened more slots in a shortage."""
+    """Return the harness of a balancer with one upstream, at which slots were opened in a shortage."""
     harness = ready_harness(1)
     for _ in range(80):
         fill_slots(harness)
@@ -79,7 +79,7 @@
 
 
 def time_out_requests(harness: BalancerHarness, seconds: int) -> None:
-    """Send one request a second, and let each time out after its latency objective."""
+    """Let one request arrive per second, and let each time out after its latency objective."""
     for _ in range(seconds):
         harness.arrive(PAY)
         harness.advance(1_000_000)
@@ -91,5 +91,5 @@
 
 
 def send_and_count_unsent(harness: BalancerHarness, count: int) -> int:
-    """Send `count` requests, and return how many of them the balancer did not send."""
+    """Let `count` requests arrive, and return how many of them the balancer did not send to an upstream."""
     return sum(1 for _ in range(count) if not harness.sends(harness.arrive(PAY)))
--- a/tests/polling_fleet.py
+++ b/tests/polling_fleet.py
@@ -1,6 +1,7 @@
-"""Model of a fleet whose sidecars poll the same discovery, in virtual time: real decision modules without sockets.
+"""Model of a fleet whose sidecars poll the same discovery: real decision modules in virtual time, without sockets.
 
-Discovery serves polls one at a time, at a fixed rate, in the order of arrival. A poll that waits for too long fails.
+Discovery serves polls one at a time, at a fixed rate, in the order of arrival. A poll that waits longer than
+MAX_POLL_WAIT_US fails.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from ryepier.sidecar.discovery import SILENCE_TIMEOUT_S
 from tests.balancer_harness import START_US, settings
 
-MAX_POLL_WAIT_US = 2_000_000  # at discovery, after which a poll fails
-REFUSAL_DELAY_US = 1_000  # from a poll that is refused to its failure
-RESET_DELAY_US = 100_000  # from a poll that is reset to its failure
+MAX_POLL_WAIT_US = 2_000_000  # time after which a poll that discovery has not served fails
+REFUSAL_DELAY_US = 1_000  # time after which a poll fails if discovery refuses connections
+RESET_DELAY_US = 100_000  # time after which a poll fails if discovery resets connections
 SILENCE_US = int(1e6 * SILENCE_TIMEOUT_S)
 
 
 class DiscoveryMode(enum.Enum):
-    """How discovery responds to polls."""
+    """How discovery responds to polls: it serves, refuses, does not answer, or resets them."""
 
     UP = enum.auto()
     REFUSED = enum.auto()
@@ -34,7 +35,7 @@
 
 
 class Phase(NamedTuple):
-    """The mode of discovery from a time on, until the next phase begins."""
+    """The mode of discovery from `starts_at_s` until the next phase begins."""
 
     starts_at_s: float
     mode: DiscoveryMode
@@ -50,14 +51,15 @@
 
 
 class FleetEvent(NamedTuple):
-    """A scheduled event; events for the same time are handled in the order in which they were scheduled."""
+    """A scheduled event. Events for the same time are handled in the order in which they were scheduled."""
 
     at_us: int
     order: int
     kind: EventKind
     sidecar: int
     value: int
-    """The number of the poll, the time of the timer (us), or how long the broken watch was silent (us)."""
+    """Depending on the kind: the number of the poll, the time of the timer (us), or how long the broken watch was
+    silent (us)."""
 
 
 class WaitingPoll(NamedTuple):
@@ -73,9 +75,9 @@
 
     balancer: Balancer
     poll: int = 0
-    """The number of the poll that is in flight; 0 = none."""
+    """The number of the poll in flight; 0 = none."""
     updated_at_s: float = -1.0
-    """When it last received the list; negative = it needs the list."""
+    """Time at which the sidecar last received the list; negative = it has no current list."""
     timer_times_us: set[int] = field(default_factory=set)
 
 
@@ -83,7 +85,7 @@
     """The sidecars, discovery, and the queue of their scheduled events."""
 
     def __init__(self, sidecar_count: int, polls_per_s: float, phases: Sequence[Phase]) -> None:
-        """Create the sidecars; the last phase must be UP if the sidecars are to receive the list."""
+        """Create the sidecars, without a list. They receive it only in phases in which discovery is UP."""
         config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecar_count)
         self.now_us = START_US
         self.service_time_us = int(1e6 / polls_per_s)
@@ -92,7 +94,7 @@
         self.sequence_numbers = itertools.count(1)
         self.waiting_polls: deque[WaitingPoll] = deque()
         self.is_serving = False
-        self.polls_by_second: Counter[int] = Counter()  # by second
+        self.polls_by_second: Counter[int] = Counter()
         self.failed_poll_count = 0
         self.sidecars = [Sidecar(Balancer(config, seed, START_US)) for seed in range(sidecar_count)]
 
@@ -102,7 +104,8 @@
             self._handle(sidecar, TimerFired(0))
 
     def break_watches(self, at_s: float, after_silence: bool) -> None:
-        """Give each sidecar a watch, and break all of them at `at_s`, or let them become silent then."""
+        """Give each sidecar a watch. At `at_s` all watches break or, with `after_silence`, become silent and break
+        after the silence timeout."""
         silent_us = SILENCE_US if after_silence else 0
         for sidecar in range(len(self.sidecars)):
             self._handle(sidecar, UpstreamsUpdated(ListKind.FULL, version=1))
@@ -117,7 +120,7 @@
             self._serve_next()
 
     def update_delays_s(self, reachable_at_s: float) -> list[float]:
-        """Return for each sidecar how long after `reachable_at_s` it received the list; 0 or less = it did not."""
+        """Return, by sidecar, how long after `reachable_at_s` it received the list; 0 or less = it has not."""
         return [sidecar.updated_at_s - reachable_at_s for sidecar in self.sidecars]
 
     def _now_s(self) -> float:
--- a/tests/simulator_options.py
+++ b/tests/simulator_options.py
@@ -1,4 +1,4 @@
-"""Settings of one instance in the protocol of the simulator, as lines of `path=value`."""
+"""Settings of one instance, in the format of the simulator protocol: lines of `path=value`."""
 
 OPTIONS = """\
 accounts.count=2
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -1,9 +1,9 @@
 """Model of a fleet in virtual time: balancers without sockets, in front of converters of which some are warming up.
 
 A converter serves requests in the order of arrival on `CORES` cores, at a speed that grows while it warms up, and
-rejects requests that would wait for too long. The settings limit the work that a converter may get in a window, by its
-capacity at the start of the window. `Fleet.worst_window` is the highest ratio of the work that it was sent in a window
-to this limit, which includes a margin for random variation.
+rejects requests that would wait longer than `MAX_QUEUE_US`. The settings limit the work that a warming converter may
+get within `overload_window_us`, in proportion to its capacity at the start of that window. `Fleet.worst_window_ratio`
+is the highest ratio of the work that a converter got in a window to this limit plus a margin for random variation.
 """
 
 from __future__ import annotations
@@ -34,16 +34,17 @@
 
 CONVERTERS = 12
 CORES = 2
-MEAN_COST_US = 100_000  # mean work of a request; a warm converter serves 20 requests a second
+MEAN_COST_US = 100_000  # mean work of a request, so that a warm converter serves 20 requests per second
 MAX_QUEUE_US = 600_000  # a request that would wait longer is rejected
 DURATION_BEFORE_STARTS_US = 8_000_000
 DURATION_AFTER_STARTS_US = 8_000_000
 CAPACITY = CORES * 1_000_000 / MEAN_COST_US  # requests per second of a warm converter
 MAX_COST = 10.0  # highest cost of a request, in multiples of the mean
 REQUEST_TIMEOUT_US = 1_500_000
-REJECTION_DELAY_US = 1_000  # from an attempt to its rejection
-RELATIVE_RATES = [0.02, 0.5, 1.0, 1.0, 4.0]  # of the sidecars, to one another
+REJECTION_DELAY_US = 1_000  # time from the start of an attempt to its rejection
+RELATIVE_RATES = [0.02, 0.5, 1.0, 1.0, 4.0]  # each sidecar's request rate relative to the others is drawn from these
 
+# Costs of the requests: equal or with a heavy-tailed distribution, and whether requests have a cost hint
 EQUAL_HINTED = "equal, hinted"
 HEAVY_HINTED = "heavy, hinted"
 HEAVY_UNHINTED = "heavy, not hinted"
@@ -54,11 +55,11 @@
     """Parameters of one run."""
 
     sidecar_count: int
-    cold_count: int  # converters that start together
+    cold_count: int  # number of converters that start at the same time
     costs: str = EQUAL_HINTED
     load: float = 0.7  # rate of new requests, relative to the capacity of all converters when warm
     seed: int = 1
-    traffic_moves: bool = False  # to other sidecars, when the cold converters start
+    traffic_moves: bool = False  # whether other sidecars become the busiest when the cold converters start
 
     def name(self) -> str:
         """Return the id of the test case."""
@@ -67,16 +68,16 @@
 
 
 class Attempt(NamedTuple):
-    """An attempt at a converter after its start."""
+    """An attempt at a converter that started during the run."""
 
     at_us: int
     cost: float
-    """In multiples of the mean cost."""
+    """Cost of the request, in multiples of the mean."""
 
 
 @dataclass
 class Converter:
-    """A converter; it has always been warm if `started_at_us` is 0."""
+    """A converter. A `started_at_us` of 0 means that it has been warm since before the run."""
 
     started_at_us: int = 0
     cores_free_at_us: list[int] = field(
@@ -86,7 +87,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """An event for one balancer; events for the same time are handled in the order in which they were scheduled."""
+    """An event for one balancer. Events for the same time are handled in the order in which they were scheduled."""
 
     at_us: int
     number: int
@@ -98,7 +99,7 @@
     """Balancers and converters, with the queue of their scheduled events."""
 
     def __init__(self, case: Case) -> None:
-        """Create the balancers and converters of a case; all converters are warm."""
+        """Create the balancers and converters of a case. All converters are warm at first."""
         self.case = case
         self.random = random.Random(case.seed)
         self.settings: Settings = settings(
@@ -125,13 +126,13 @@
 
     @property
     def cold_converters(self) -> list[Converter]:
-        """Return the converters that start in the middle of the run."""
+        """Return the converters that start, cold, in the middle of the run."""
         return self.converters[: self.case.cold_count]
 
     # Running
 
     def run(self) -> None:
-        """Run the whole case, before and after the start of the cold converters."""
+        """Run the whole case: first with warm converters only, then with some that have just started."""
         self._send_list()
         for sidecar in range(len(self.balancers)):
             self._schedule_request(sidecar)
@@ -149,7 +150,7 @@
         self.now_us = until_us
 
     def _start_cold_converters(self) -> None:
-        if self.case.traffic_moves:  # swaps the rates of the busiest and the least busy sidecar, and so on
+        if self.case.traffic_moves:  # the busiest sidecar gets the rate of the least busy one, and so on
             sidecars_by_rate = sorted(range(len(self.rates)), key=self.rates.__getitem__)
             new_rates = {
                 sidecar: self.rates[other]
@@ -176,8 +177,9 @@
         at_us = self.now_us + max(1, int(self.random.expovariate(self.rates[sidecar]) * 1_000_000))
         cost_us = MEAN_COST_US
         if self.case.costs != EQUAL_HINTED:
-            # Mean 1 and deviation 2 before the limit to MAX_COST. Without it, one request above the margin for random
-            # variation would overload a cold converter by itself, and without a hint no sidecar could avoid that.
+            # The distribution has mean 1 and standard deviation 2, before it is limited to MAX_COST. Without this
+            # limit, a single request above the margin for random variation would overload a cold converter, and a
+            # sidecar could not avoid that without a cost hint.
             cost_us = int(MEAN_COST_US * min(self.random.lognormvariate(-0.8, 1.265), MAX_COST))
         self.last_number += 1
         self.costs_us[self.last_number] = cost_us
@@ -209,7 +211,7 @@
         self._schedule(end_us, sidecar, ended_event)
 
     def speed(self, converter: Converter, at_us: int) -> float:
-        """Return the speed of a converter, relative to a warm one."""
+        """Return the speed of a converter at a time, relative to a warm converter."""
         if converter.started_at_us == 0 or at_us >= converter.started_at_us + self.settings.warm_up_us:
             return 1.0
         initial_share = self.settings.initial_capacity_share
@@ -218,7 +220,7 @@
     # Results
 
     def worst_window_ratio(self) -> float:
-        """Return the highest ratio of the work sent to a cold converter in a window to the allowed work."""
+        """Return the highest ratio of the work sent to a cold converter in a window to the work allowed in it."""
         return max(self._worst_window_ratio_of(converter) for converter in self.cold_converters)
 
     def _worst_window_ratio_of(self, converter: Converter) -> float:
@@ -230,7 +232,7 @@
             window_start_us = attempt.at_us - self.settings.overload_window_us
             while window[0].at_us <= window_start_us:
                 work -= window.popleft().cost
-            # The allowed work follows from the capacity at the start of the window, not from its later growth.
+            # The allowed work is determined by the capacity at the start of the window, without its later growth.
             allowed_work = self._allowed_work(converter, max(converter.started_at_us, window_start_us))
             worst_ratio = max(worst_ratio, work / (allowed_work + 2 * allowed_work**0.5 + 2))
         return worst_ratio
@@ -240,7 +242,7 @@
         return self.settings.overload_factor * self.speed(converter, start_us) * CAPACITY * window_s
 
     def utilisation(self) -> float:
-        """Return the work that was sent to the cold converters, relative to their capacity."""
+        """Return the work that was sent to the cold converters, relative to their mean capacity since their start."""
         work_sent = sum(attempt.cost for converter in self.cold_converters for attempt in converter.attempts)
         midpoint_us = self.converters[0].started_at_us + DURATION_AFTER_STARTS_US // 2
         max_work = CAPACITY * DURATION_AFTER_STARTS_US / 1_000_000 * self.speed(self.converters[0], midpoint_us)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: load is shed only if the mean answer time is high, not because of single slow answers."""
+"""Admission: load is shed only if the mean latency is high, not because of single slow answers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ryepier.balancer.interface import Outcome, RequestClass
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
-WORK_US = 100_000  # mean of the exponentially distributed work of a request: a third of the slow latency
+WORK_US = 100_000  # mean work of a request, exponentially distributed; a third of the slow latency
 LATENCY_OBJECTIVE_US = 600_000
 REQUEST_COUNT = 400
 SEEDS = range(1, 9)
@@ -22,7 +22,7 @@
 
 
 def serve_attempts(harness: BalancerHarness, request: int, work_us: int) -> None:
-    """Answer each attempt of a request after `work_us`, unless it has timed out before."""
+    """Answer each attempt of a request after `work_us`, unless the attempt has timed out by then."""
     attempt = 0
     while attempt < len(harness.sends(request)):
         harness.advance(work_us)
@@ -32,12 +32,12 @@
 
 
 def unsent_share(harness: BalancerHarness, requests: list[int]) -> float:
-    """Return the share of the requests that were never sent."""
+    """Return the share of the requests that the balancer never sent to an upstream."""
     return sum(not harness.sends(request) for request in requests) / len(requests)
 
 
 def rejected_share(seed: int, mean_work_us: int) -> float:
-    """Send requests one after another, serve each immediately, and return the share that was never sent."""
+    """Let requests arrive at random times, answer each after a random time, and return the share that was not sent."""
     harness, rng = lightly_loaded_harness(seed), random.Random(seed)
     requests = []
     for _ in range(REQUEST_COUNT):
@@ -48,7 +48,8 @@
 
 
 def test_some_slow_answers_shed_no_load_while_the_mean_is_below_the_target() -> None:
-    """Two of three answers take 0.3 of the slow latency and the third 1.1: 0.57 on average, below the target of 0.7."""
+    """Of three answers, two take 0.3 times the slow latency and one takes 1.1 times: 0.57 on average, below the target
+    of 0.7."""
     harness = lightly_loaded_harness(1)
     requests = []
     for number in range(REQUEST_COUNT):
--- a/tests/test_balancer_misuse.py
+++ b/tests/test_balancer_misuse.py
@@ -1,4 +1,4 @@
-"""Unexpected events are ignored, and errors for invalid settings name the expected value."""
+"""Unexpected events are ignored, and error messages for invalid settings name the expected values."""
 
 from __future__ import annotations
 
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -116,7 +116,7 @@
         harness = BalancerHarness(settings())
         harness.update_upstreams(upstreams(4), kind)
         count = 0
-        for _ in range(10):  # more requests each time than there are open slots
+        for _ in range(10):  # each time, more requests arrive than slots are open
             requests = [harness.arrive(PAY) for _ in range(16)]
             sent = [request for request in requests if harness.sends(request)]
             count += len(requests) - len(sent)
@@ -130,7 +130,7 @@
 
 def test_upstream_without_answers_frees_at_most_one_slot() -> None:
     harness = ready_harness(1, hedging=False)
-    for _ in range(40):  # two requests at a time, so that slots open
+    for _ in range(40):  # two requests arrive at the same time, so that slots open
         pair = [harness.arrive(READ), harness.arrive(READ)]
         harness.advance(10_000)
         for request in pair:
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -1,4 +1,4 @@
-"""Endpoint list in the decision module: polls and their failures, deltas, complete lists, restarts."""
+"""Endpoint list in the decision module: polls and their failures, deltas, complete lists, and restarts."""
 
 from __future__ import annotations
 
@@ -104,7 +104,9 @@
         request = harness.arrive(0)
         harness.advance(5_000)
         harness.end(request, 0, Outcome.OK)
-    assert sum(1 for send in harness.sends() if send.upstream == 100) <= 8  # an equal share would be 20
+    assert (
+        sum(1 for send in harness.sends() if send.upstream == 100) <= 8
+    )  # an equal share of the 60 requests would be 20
 
 
 def test_empty_list_and_empty_delta_are_accepted() -> None:
@@ -143,9 +145,9 @@
 
     assert started_at_s() == now_s
     now_s += 5
-    assert started_at_s() == now_s - 5  # later lists do not change its start time
-    entry["boot_ms"] = (10**9 + now_s - 1) * 1000  # it has restarted under the same id
+    assert started_at_s() == now_s - 5  # later lists do not change the start time
+    entry["boot_ms"] = (10**9 + now_s - 1) * 1000  # the endpoint has restarted under the same id
     assert started_at_s() == now_s
     now_s += 3
     started_at_s("left")
-    assert started_at_s() == now_s  # listed again after its removal, it is another start
+    assert started_at_s() == now_s  # an endpoint that is listed again after its removal has started again
--- a/tests/test_fleet_effects.py
+++ b/tests/test_fleet_effects.py
@@ -1,4 +1,4 @@
-"""Behaviour that only harms a large fleet, in which each sidecar has few requests and many upstreams."""
+"""Faults that do harm only in a large fleet, in which each sidecar has few requests and many upstreams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def lightly_loaded_harness(**changes: object) -> BalancerHarness:
-    """Return the harness of one of forty sidecars; it gets 20 requests a second and uses a few of its 30 upstreams."""
+    """Return the harness of one of forty sidecars, which gets 20 requests per second and uses few of 30 upstreams."""
     harness = BalancerHarness(settings(hedging=False, instances=40, overload_factor=4.0, **changes))
     harness.update_upstreams(upstreams(30))
     serve(harness, 100)
@@ -27,7 +27,11 @@
     expensive_interval: int = 0,
     cost_us: int = 20_000,
 ) -> int:
-    """Serve requests, and return how many went to warming upstreams, which answer in `warming_answer_us`."""
+    """Serve requests, and return how many went to warming upstreams.
+
+    Warming upstreams answer after `warming_answer_us`, the others after `warm_answer_us`. With an `expensive_interval`
+    of n above 0, every n-th request is expensive, and must not be sent to a warming upstream.
+    """
     sent_count = 0
     for number in range(requests):
         is_expensive = expensive_interval > 0 and number % expensive_interval == 0
@@ -43,7 +47,7 @@
 
 
 def add_warming_upstreams(harness: BalancerHarness, age_us: int = 0, small_size: float = 1.0) -> None:
-    """Add upstreams that started `age_us` ago; half of them have the size `small_size`, the others 1."""
+    """Add 30 upstreams that started `age_us` ago. Half of them have the size `small_size`, the others the size 1."""
     entries = [
         Upstream(i, weight=small_size if i <= 15 else 1.0, started_at_us=harness.now_us - age_us)
         for i in WARMING_UPSTREAMS
@@ -54,7 +58,8 @@
 def test_warming_upstreams_get_requests_though_enough_warm_ones_are_in_use() -> None:
     harness = lightly_loaded_harness()
     add_warming_upstreams(harness)
-    # at 0.2 to 0.6 of their capacity, a quarter of the fleet's work is their share; as they answer fast, up to half
+    # Lower bound: while the 30 warming upstreams have 0.2 to 0.6 of their capacity, their share of the 200 requests
+    # is about a quarter. Upper bound: as they answer fast, they get more than this, but less than half.
     assert 50 <= serve(harness, 200) <= 90
 
 
@@ -72,7 +77,7 @@
     harness = lightly_loaded_harness()
     serve(harness, 100, warm_answer_us=290_000)
     add_warming_upstreams(harness, age_us=10_000_000)
-    assert serve(harness, 100, warm_answer_us=290_000) >= 15  # of 35 requests that are sent
+    assert serve(harness, 100, warm_answer_us=290_000) >= 15  # of the 35 requests that are sent while load is shed
 
 
 def test_small_warming_upstreams_get_fewer_requests_and_no_expensive_ones() -> None:
@@ -93,7 +98,7 @@
 
 
 def next_poll_delay_us(harness: BalancerHarness) -> int:
-    """Return how long after a failed poll the next poll is sent."""
+    """Let a poll fail, and return how long after its failure the next poll is sent."""
     harness.update_upstreams(upstreams(4), ListKind.CACHED)
     harness.advance(2_000_000)
     failed_at_us, count_before = harness.now_us, len(harness.actions)
@@ -113,4 +118,4 @@
         sum(1 for delay_us in delays_us if start <= delay_us < start + quarter_us)
         for start in range(0, max_delay_us, quarter_us)
     )
-    assert max_in_a_quarter <= 18, "40 polls are spread over the span, about 10 in each quarter"
+    assert max_in_a_quarter <= 18, "expected about 10 of the 40 polls in each quarter of the span"
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -105,6 +105,7 @@
         send_burst(3, 10_000)
     for _ in range(10):
         send_burst(9, 290_000)
-    for _ in range(40):  # 2 s at a fifteenth of the previous rate
+    # 20 requests per second for 2 s: a fifteenth of the 300 per second before the surge
+    for _ in range(40):
         send_burst(1, 50_000)
     assert sum(send_burst(1, 50_000) for _ in range(20)) >= 15
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -61,7 +61,7 @@
         harness.advance(60_000)
         for request in requests:
             harness.end(request, 0, fault if rng.random() < 0.1 else Outcome.OK)
-    assert sum(1 for action in harness.actions if isinstance(action, CloseIdle)) < 10  # of 300 faults
+    assert sum(1 for action in harness.actions if isinstance(action, CloseIdle)) < 10  # of about 300 faults
 
 
 def test_upstream_that_always_fails_is_ejected_even_if_all_others_fail_sometimes() -> None:
--- a/tests/test_protocol_rules.py
+++ b/tests/test_protocol_rules.py
@@ -1,4 +1,7 @@
-"""Rules of the contract under arbitrary valid sequences of events; tests/balancer_harness.py checks each action."""
+"""The rules in tests/balancer_harness.py hold for arbitrary valid sequences of events; the harness checks each action.
+
+A further test checks that all sidecars together do not overload a warming upstream.
+"""
 
 from __future__ import annotations
 
@@ -124,11 +127,11 @@
     harness.update_upstreams(upstreams(6), ListKind.CACHED)
     for step in steps:
         apply_step(harness, step)
-    harness.advance(5_000_000)  # everything is answered by its due time
+    harness.advance(5_000_000)  # checks that each request has its final answer by its due time
 
 
 def run_heavy_load(config: dict[str, object], seed: int) -> list[object]:
-    """Run heavy load with all kinds of faults, so that requests wait and are retried; return all actions."""
+    """Run heavy load with all kinds of faults, so that requests wait and are retried, and return all actions."""
     rng = random.Random(seed)
     harness = BalancerHarness(settings(classes=extended_request_classes(), **config), seed)
     harness.update_upstreams(upstreams(6), ListKind.CACHED)
@@ -165,12 +168,13 @@
 
 
 def max_overload_ratio(arrivals_per_tick: list[int], outcome: Outcome, cost_us: int = 0) -> float:
-    """Return the highest ratio of the work that all sidecars send to a cold upstream in an `overload_window_us` to its
-    limit in that window.
+    """Return the highest ratio of the work that all sidecars send to a cold upstream within `overload_window_us` to the
+    work that overloads it in that time.
 
-    Nine warm upstreams and the cold one have one core each. They serve requests in the order of arrival, and reject
-    those that would end after more than 300 ms. A request takes 40 ms on a warm upstream. Each sidecar gets its entry
-    of `arrivals_per_tick` in each tick of 4 ms, in total up to 26 times the capacity of the nine."""
+    Nine warm upstreams and a cold one have one core each. They serve requests in the order of arrival, and reject those
+    that would end after more than 300 ms. A request takes 40 ms on a warm upstream. In each tick of 4 ms, each sidecar
+    gets as many requests as its entry of `arrivals_per_tick` says, in total up to 26 times what the warm upstreams can
+    serve."""
     config = settings(instances=len(arrivals_per_tick), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(config, n, START_US) for n in range(len(arrivals_per_tick))]
     entries = [Upstream(1, started_at_us=START_US), *[Upstream(n) for n in range(2, 11)]]
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -37,7 +37,7 @@
 
 def test_non_idempotent_request_is_awaited_only_while_its_answer_has_weight() -> None:
     harness = ready_harness()
-    request = harness.arrive(PAY)  # of a class whose late answers have no weight
+    request = harness.arrive(PAY)  # late answers of this class have no weight
     harness.advance(290_000)
     assert harness.answer(request) is None
     harness.advance(20_000)
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -1,4 +1,4 @@
-"""Retry storms without sockets: recognition of retries, detection of storms, and admission in a storm."""
+"""Retry storms, tested without real sockets: recognition of retries, detection of storms, admission in a storm."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class StormChange(NamedTuple):
-    """A report of the detector that a storm has opened or closed."""
+    """The opening or closing of a storm, as reported by the detector."""
 
     at_s: float
     active: bool
@@ -37,14 +37,14 @@
 
 
 def request_hash(number: int) -> bytes:
-    """Return the fingerprint of a request."""
+    """Return the fingerprint of the request with this number."""
     return fingerprint(b"t", str(number).encode())
 
 
 def test_only_a_request_that_was_rejected_counts_as_retried() -> None:
     sketch = FailedRequestSketch(0)
     assert sketch.retry_number(0, request_hash(1)) == 0
-    assert sketch.retry_number(0, request_hash(1)) == 0  # repeated after it was served: no retry
+    assert sketch.retry_number(0, request_hash(1)) == 0  # the request was served, so its repeat is no retry
     sketch.add(0, request_hash(1))
     sketch.add(1, request_hash(1))
     assert (sketch.retry_number(2, request_hash(1)), sketch.retry_number(2, request_hash(2))) == (2, 0)
@@ -96,7 +96,7 @@
 
 
 class DetectorRun:
-    """Feeds a detector with arrivals and ends of requests, at given rates per second."""
+    """Passes arrivals and ends of requests to a detector, at given rates per second."""
 
     def __init__(self, shares: list[float] | None = None, in_whole_seconds: bool = False) -> None:
         self.detector = RetryStormDetector(0, shares or [1.0], 8_000_000, in_whole_seconds)
@@ -113,7 +113,7 @@
         tenant: int = 0,
         rejected_rate: float = 0.0,
     ) -> RetryStormUpdated:
-        """Run for some seconds and return the last event. All arrivals are served unless `served_rate` is given."""
+        """Run for a number of seconds, and return the last event. Without `served_rate`, all arrivals are served."""
         served_rate = first_rate + retry_rate if served_rate is None else served_rate
         for _ in range(int(seconds * 1e6 / TICK_US)):
             self._feed(first_rate, lambda: self.detector.on_request(0, tenant))
@@ -278,7 +278,7 @@
 # A sidecar in virtual time
 
 
-def test_sidecar_detects_a_storm_opening_and_closing_over_an_outage(
+def test_sidecar_detects_the_opening_and_closing_of_a_storm_after_an_outage(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def convert(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -294,10 +294,10 @@
         converter = await asyncio.start_server(convert, "127.0.0.1", 9000)
         stop = asyncio.Event()
         serving = asyncio.create_task(serve(config, stop, asyncio.Event(), components))
-        served_counts = [0, 0]  # by a first attempt, and by a retry
+        served_counts = [0, 0]  # numbers of requests that were served by a first attempt, and by a retry
 
         async def send_with_retries(number: int) -> None:
-            """Send one request up to five times, each time with a new id."""
+            """Send a request until it is served, at most five times, each time with a new request id."""
             for retry_number in range(5):
                 reader, writer = await asyncio.open_connection(*config.listen)
                 writer.write(request("pay", f"r{number}-{retry_number}", b"file %d" % number, deadline_ms=1000))
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -85,9 +85,11 @@
     assert len(harness.balancer.membership.by_id) == 4 and len(harness.balancer.membership.pools[0].subset.members) <= 4
 
 
-def test_class_that_an_upstream_never_answers_is_rarely_sent_to_it_unlike_others() -> None:
+def test_upstream_that_never_answers_one_class_gets_few_requests_of_that_class() -> None:
     classes = request_classes()
-    classes[PAY] = replace(classes[PAY], late_weight=0.5)  # so that the answer is awaited until the deadline
+    classes[PAY] = replace(
+        classes[PAY], late_weight=0.5
+    )  # late answers have weight, so they are awaited until the deadline
     harness = ready_harness(classes=classes)
     unresponsive_upstream = min(harness.known_entries)
 
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -1,4 +1,4 @@
-"""Simulator protocol: the documented bytes of each record, and the errors for malformed input."""
+"""Simulator protocol: the documented bytes of each record, and the error messages for malformed input."""
 
 from __future__ import annotations
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the requests that one sidecar, and a whole fleet of sidecars, sends to warming upstreams."""
+"""Slow start: how many requests one sidecar, and a whole fleet of sidecars, send to warming upstreams."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 def test_fleet_overloads_upstreams_if_each_sidecar_counts_the_traffic_of_all(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Checks that the test above detects an overload."""
+    """Check that test_fleet_does_not_overload_warming_upstreams detects an overload, by a fault in `add_credit`."""
     case, add_credit = Case(30, 4, EQUAL_HINTED, 2.0), SlowStart.add_credit
 
     def add_credit_for_all(slow_start: SlowStart, served_requests: float, in_shortage: bool, now_us: int) -> None:
@@ -58,7 +58,7 @@
 
 
 def test_warming_upstreams_are_used_while_the_few_warm_ones_are_overloaded() -> None:
-    """Two of twelve converters are warm, so that admission sheds load."""
+    """Only two of twelve converters are warm, so admission sheds load."""
     fleets = [run_case(Case(20, 10, HEAVY_HINTED, 2.0, seed)) for seed in (1, 2)]
     assert sum(fleet.utilisation() for fleet in fleets) >= len(fleets) * MIN_UTILISATION
     assert all(fleet.worst_window_ratio() <= 1.0 for fleet in fleets)
@@ -72,7 +72,7 @@
 
 
 def fail_upstream(harness: BalancerHarness) -> None:
-    """Send requests for some seconds while one upstream cannot be reached."""
+    """Let requests arrive for 4 s while the upstream that restarts later cannot be reached."""
     for _ in range(REQUESTS_BEFORE_RESTART):
         request = harness.arrive(PAY)
         sends = harness.sends(request)
@@ -84,13 +84,13 @@
 
 
 def restart_upstream(harness: BalancerHarness) -> None:
-    """List the upstream with a new start time."""
+    """Report the upstream as restarted, by a list entry with a new start time."""
     restarted_entry = Upstream(RESTARTED_UPSTREAM, started_at_us=harness.now_us - AGE_AFTER_RESTART_US)
     harness.update_upstreams([restarted_entry], ListKind.DELTA)
 
 
 def send_count_after_restart(harness: BalancerHarness) -> int:
-    """Send requests that are all served, and return how many went to the restarted upstream."""
+    """Let requests arrive, serve all attempts, and return how many attempts went to the restarted upstream."""
     count_before = len(harness.sends())
     for _ in range(REQUESTS_AFTER_RESTART):
         request = harness.arrive(PAY)
@@ -106,7 +106,7 @@
     harness = harness_with_upstreams()
     fail_upstream(harness)
     restart_upstream(harness)
-    # it has 0.4 of its capacity, beside three warm upstreams: about an eighth of 40
+    # The restarted upstream has 0.4 of its capacity, and the three others are warm: it gets about an eighth of 40.
     assert send_count_after_restart(harness) >= 3
 
 
@@ -124,14 +124,15 @@
     harness.update_upstreams([Upstream(1, started_at_us=harness.now_us - 1_000), *upstreams(3)])
     serve_requests(harness, 150, duration_us=20_000)
     to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert 0 < to_started_upstream <= 15  # its guaranteed share is 9, and it answers fast; an equal share would be 37
+    assert (
+        0 < to_started_upstream <= 15
+    )  # by its guaranteed capacity it gets 9, and more as it answers fast; an equal share would be 37
 
 
 def test_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
     harness = BalancerHarness(settings(instances=400))
-    harness.update_upstreams(
-        [Upstream(1, started_at_us=harness.now_us - 12_000_000), *upstreams(3)]
-    )  # after two thirds of its warm-up
+    # 12 of the 20 s of the warm-up have passed.
+    harness.update_upstreams([Upstream(1, started_at_us=harness.now_us - 12_000_000), *upstreams(3)])
     serve_requests(harness, 1000, duration_us=5_000)
     to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert 0 < to_started_upstream < 190  # an equal share would be 250
+    assert 0 < to_started_upstream < 190  # an equal share would be 250 of the 1000
