--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -20,12 +20,12 @@
         self.next_poll_at_us = 0  # 0 = no poll is scheduled, as a watch is open
         # Time of the last contact with discovery before the current failures; None = no failure
         self.last_contact_at_us: int | None = None
-        self.consecutive_failures = 0
+        self.consecutive_failure_count = 0
         self.spread_us = 0  # longest possible delay of the last backoff; 0 = no backoff since the last list
 
     def on_list_received(self) -> None:
         """Record that a current list has arrived."""
-        self.consecutive_failures = self.next_poll_at_us = self.spread_us = 0
+        self.consecutive_failure_count = self.next_poll_at_us = self.spread_us = 0
         self.last_contact_at_us = None
 
     def on_failure(self, now_us: int, silent_us: int) -> int:
@@ -33,7 +33,7 @@
 
         Returns the time of the next poll (us).
         """
-        self.consecutive_failures += 1
+        self.consecutive_failure_count += 1
         if self.last_contact_at_us is None:
             self.last_contact_at_us = now_us - silent_us
         return self._backoff_until_us(now_us, self.last_contact_at_us)
@@ -57,6 +57,8 @@
         if self.spread_us >= self.max_gap_us // 2:
             return latest_poll_at_us
         first_spread_us = max(tuning.MIN_POLL_BACKOFF_US, tuning.FLEET_POLL_INTERVAL_US * self.instances)
-        backoff_us = first_spread_us * 2 ** min(self.consecutive_failures - 1, tuning.MAX_BACKOFF_DOUBLINGS)
+        backoff_us = first_spread_us * 2 ** min(
+            self.consecutive_failure_count - 1, tuning.MAX_BACKOFF_DOUBLINGS
+        )
         self.spread_us = min(backoff_us, latest_poll_at_us - now_us)
         return now_us + int(self.spread_us * self.random.random())
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -83,8 +83,8 @@
     def refresh_warming(self, pool: UpstreamPool, now_us: int) -> list[TrackedUpstream]:
         """Update a pool's warming upstreams, and let each that has become warm join the pool's subset at
         random. Returns the upstreams that have left the subset."""
-        newly_warm = pool.slow_start.refresh(self.in_pool(pool), now_us)
-        return self._sample_new_members(pool, newly_warm)
+        newly_warm_upstreams = pool.slow_start.refresh(self.in_pool(pool), now_us)
+        return self._sample_new_members(pool, newly_warm_upstreams)
 
     def apply_plan(self, event: PlanUpdated) -> None:
         """Replace the plan's advice on the listed upstreams; a plan cannot add an upstream."""
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -47,8 +47,8 @@
         upstream.fault_share += (float(is_fault) - upstream.fault_share) / tuning.FAULT_WINDOW
         pool.fault_share += (float(is_fault) - pool.fault_share) / tuning.POOL_FAULT_WINDOW
         pool_allowance = min(tuning.POOL_FAULT_FACTOR * pool.fault_share, tuning.MAX_POOL_FAULT_ALLOWANCE)
-        exceeds_chance = is_fault and upstream.fault_share > tuning.MAX_FAULT_SHARE + pool_allowance
-        if outcome is Outcome.REJECTED or exceeds_chance:
+        exceeds_tolerance = is_fault and upstream.fault_share > tuning.MAX_FAULT_SHARE + pool_allowance
+        if outcome is Outcome.REJECTED or exceeds_tolerance:
             return FaultVerdict.FAULTY
         if is_fault and outcome is not Outcome.MALFORMED_RESPONSE:
             return FaultVerdict.TOLERATED
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -61,7 +61,7 @@
 
     def refresh(self, listed_upstreams: list[TrackedUpstream], now_us: int) -> list[TrackedUpstream]:
         """Update the warming upstreams from the pool's listed ones. Returns those that have become warm."""
-        newly_warm = [
+        newly_warm_upstreams = [
             upstream for upstream in self.warming_upstreams if not self.is_warming(upstream.entry, now_us)
         ]
         self.warming_upstreams = [
@@ -71,7 +71,7 @@
             upstream for upstream in listed_upstreams if not self.is_warming(upstream.entry, now_us)
         ]
         self.warm_size = sum(self.size(upstream.entry) for upstream in warm_upstreams)
-        return newly_warm
+        return newly_warm_upstreams
 
     def is_outdated(self, now_us: int) -> bool:
         """Return whether an upstream has become warm since the last call of `refresh`."""
--- a/ryepier/storm/failed_request_sketch.py
+++ b/ryepier/storm/failed_request_sketch.py
@@ -15,7 +15,7 @@
 
 import hashlib
 
-ROWS = 4  # rows of counters, each with its own hash function
+ROW_COUNT = 4  # rows of counters, each with its own hash function
 WIDTH = 1 << 16  # counters per row, of one byte each; both generations together take 512 KB
 GENERATION_SIZE = 5_900  # hashes after which a generation ends
 GENERATION_US = 10_000_000  # longest duration of a generation
@@ -24,7 +24,7 @@
 
 def fingerprint(*parts: bytes) -> bytes:
     """Return a hash of the parts of a request that its retries have in common, and of their lengths."""
-    hasher = hashlib.blake2b(digest_size=4 * ROWS)
+    hasher = hashlib.blake2b(digest_size=4 * ROW_COUNT)
     for part in parts:
         hasher.update(len(part).to_bytes(4, "big"))
         hasher.update(part)
@@ -33,24 +33,24 @@
 
 class _Generation:
     def __init__(self, now_us: int) -> None:
-        self.rows = [bytearray(WIDTH) for _ in range(ROWS)]
+        self.rows = [bytearray(WIDTH) for _ in range(ROW_COUNT)]
         self.started_at_us = now_us
-        self.count = 0
+        self.request_count = 0
 
-    def minimum_count(self, columns: list[int]) -> int:
+    def lowest_count(self, columns: list[int]) -> int:
         return min(row[column] for row, column in zip(self.rows, columns, strict=True))
 
     def add(self, columns: list[int]) -> None:
         """Count one request. Only its lowest counters are incremented, as other requests have raised the others."""
-        lowest_count = self.minimum_count(columns)
+        lowest_count = self.lowest_count(columns)
         if lowest_count < MAX_COUNT:
             for row, column in zip(self.rows, columns, strict=True):
                 row[column] = max(row[column], lowest_count + 1)
-        self.count += 1
+        self.request_count += 1
 
 
 def _columns(digest: bytes) -> list[int]:
-    return [int.from_bytes(digest[i : i + 4], "big") % WIDTH for i in range(0, 4 * ROWS, 4)]
+    return [int.from_bytes(digest[i : i + 4], "big") % WIDTH for i in range(0, 4 * ROW_COUNT, 4)]
 
 
 class FailedRequestSketch:
@@ -64,13 +64,13 @@
     @property
     def empty(self) -> bool:
         """Whether no failed request is remembered, so that each arrival counts as a first attempt."""
-        return not self.current_generation.count and self.previous_generation is None
+        return not self.current_generation.request_count and self.previous_generation is None
 
     def add(self, now_us: int, digest: bytes) -> None:
         """Add a request that was not served."""
         if (
             now_us - self.current_generation.started_at_us >= GENERATION_US
-            or self.current_generation.count >= GENERATION_SIZE
+            or self.current_generation.request_count >= GENERATION_SIZE
         ):
             self._rotate(now_us)
         self.current_generation.add(_columns(digest))
@@ -82,13 +82,15 @@
         if self.empty:
             return 0
         columns = _columns(digest)
-        return self.current_generation.minimum_count(columns) + (
-            self.previous_generation.minimum_count(columns) if self.previous_generation is not None else 0
+        return self.current_generation.lowest_count(columns) + (
+            self.previous_generation.lowest_count(columns) if self.previous_generation is not None else 0
         )
 
     def _rotate(self, now_us: int) -> None:
         # Generations rotate only in calls. After a long time without calls, the current generation is too old to become
         # the previous one, as its requests would be remembered for too long.
-        is_recent = now_us - self.current_generation.started_at_us < 2 * GENERATION_US and self.current_generation.count
+        is_recent = (
+            now_us - self.current_generation.started_at_us < 2 * GENERATION_US and self.current_generation.request_count
+        )
         self.previous_generation = self.current_generation if is_recent else None
         self.current_generation = _Generation(now_us)
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -11,7 +11,7 @@
 
 from ryepier.balancer.interface import RetryStormUpdated
 
-RETRY_NUMBER_BUCKETS = 5  # first attempts (0), then retries by number; the last bucket includes higher numbers
+RETRY_NUMBER_BUCKET_COUNT = 5  # first attempts (0), then retries by number; the last bucket includes higher numbers
 RECENT_TIME_CONSTANT_US = 1_000_000  # time constant of the recent rates (exponential averages)
 BASELINE_TIME_CONSTANT_US = 60_000_000  # time constant of the baseline rate (exponential average)
 MIN_BASELINE_OBSERVATION_US = 4_000_000  # observation time after which the baseline rate counts as known
@@ -82,7 +82,7 @@
 class _Counts:
     """Counts since the last tick."""
 
-    arrivals_by_retry_number: list[int] = field(default_factory=lambda: [0] * RETRY_NUMBER_BUCKETS)
+    arrivals_by_retry_number: list[int] = field(default_factory=lambda: [0] * RETRY_NUMBER_BUCKET_COUNT)
     arrivals_by_tenant: dict[int, int] = field(default_factory=dict)
     served_count: int = 0
     first_rejection_count: int = 0
@@ -101,7 +101,7 @@
         self.retry_after_in_seconds = retry_after_in_seconds
         self.counts = _Counts()
         self.started_at_us = self.last_tick_at_us = now_us
-        self.arrival_rates = [0.0] * RETRY_NUMBER_BUCKETS
+        self.arrival_rates = [0.0] * RETRY_NUMBER_BUCKET_COUNT
         self.tenant_rates: dict[int, float] = {}
         self.served_rate = 0.0
         self.first_rejection_rate = 0.0
@@ -116,7 +116,7 @@
 
     def on_request(self, retry_number: int, tenant: int) -> None:
         """Count the arrival of a request."""
-        self.counts.arrivals_by_retry_number[min(retry_number, RETRY_NUMBER_BUCKETS - 1)] += 1
+        self.counts.arrivals_by_retry_number[min(retry_number, RETRY_NUMBER_BUCKET_COUNT - 1)] += 1
         self.counts.arrivals_by_tenant[tenant] = self.counts.arrivals_by_tenant.get(tenant, 0) + 1
 
     def on_served(self) -> None:
@@ -219,7 +219,7 @@
             self.active = False
 
     def _event(self) -> RetryStormUpdated:
-        admission = [self.retry_admission**retry_number for retry_number in range(RETRY_NUMBER_BUCKETS)]
+        admission = [self.retry_admission**retry_number for retry_number in range(RETRY_NUMBER_BUCKET_COUNT)]
         # The window is the time in which as many requests as are now rejected can be served at the expected rate.
         unserved_clients = max(0.0, sum(self.arrival_rates) - self.served_rate) * RECENT_TIME_CONSTANT_US / 1e6
         window_us = min(
@@ -228,7 +228,7 @@
         )
         windows_us = [
             int(min(self.max_retry_after_us, max(MIN_RETRY_AFTER_WINDOW_US, window_us) * 2**retry_number))
-            for retry_number in range(RETRY_NUMBER_BUCKETS)
+            for retry_number in range(RETRY_NUMBER_BUCKET_COUNT)
         ]
         return RetryStormUpdated(True, admission, windows_us, self._tenant_admission(), self.retry_after_in_seconds)
 
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -1,9 +1,10 @@
 """Model of a fleet in virtual time: balancers without sockets, in front of converters of which some are warming up.
 
-A converter serves requests in the order of arrival on `CORES` cores, at a speed that grows while it warms up, and
-rejects requests that would wait longer than `MAX_QUEUE_US`. The settings limit the work that a warming converter may
-get within `overload_window_us`, in proportion to its capacity at the start of that window. `Fleet.worst_window_ratio`
-is the highest ratio of the work that a converter got in a window to this limit plus a margin for random variation.
+A converter serves requests in the order of arrival on `CORES_PER_CONVERTER` cores, at a speed that grows while it warms
+up, and rejects requests that would wait longer than `MAX_QUEUE_US`. The settings limit the work that a warming
+converter may get within `overload_window_us`, in proportion to its capacity at the start of that window.
+`Fleet.worst_window_ratio` is the highest ratio of the work that a converter got in a window to this limit plus a margin
+for random variation.
 """
 
 from __future__ import annotations
@@ -32,13 +33,13 @@
 )
 from tests.balancer_harness import START_US, settings
 
-CONVERTERS = 12
-CORES = 2
+CONVERTER_COUNT = 12
+CORES_PER_CONVERTER = 2
 MEAN_COST_US = 100_000  # mean work of a request, so that a warm converter serves 20 requests per second
 MAX_QUEUE_US = 600_000  # a request that would wait longer is rejected
 DURATION_BEFORE_STARTS_US = 8_000_000
 DURATION_AFTER_STARTS_US = 8_000_000
-CAPACITY = CORES * 1_000_000 / MEAN_COST_US  # requests per second of a warm converter
+CAPACITY = CORES_PER_CONVERTER * 1_000_000 / MEAN_COST_US  # requests per second of a warm converter
 MAX_COST = 10.0  # highest cost of a request, in multiples of the mean
 REQUEST_TIMEOUT_US = 1_500_000
 REJECTION_DELAY_US = 1_000  # time from the start of an attempt to its rejection
@@ -81,7 +82,7 @@
 
     started_at_us: int = 0
     cores_free_at_us: list[int] = field(
-        default_factory=lambda: [0] * CORES
+        default_factory=lambda: [0] * CORES_PER_CONVERTER
     )  # heap of the times at which the cores become free
     attempts: list[Attempt] = field(default_factory=list)
 
@@ -115,13 +116,14 @@
         self.balancers = [
             Balancer(self.settings, case.seed * 100 + index, START_US) for index in range(case.sidecar_count)
         ]
-        self.converters = [Converter() for _ in range(CONVERTERS)]
+        self.converters = [Converter() for _ in range(CONVERTER_COUNT)]
         self.queue: list[ScheduledEvent] = []
         self.costs_us: dict[int, int] = {}  # by request
         self.last_number = 0
         relative_rates = [self.random.choice(RELATIVE_RATES) for _ in range(case.sidecar_count)]
         self.rates = [
-            case.load * CONVERTERS * CAPACITY * relative_rate / sum(relative_rates) for relative_rate in relative_rates
+            case.load * CONVERTER_COUNT * CAPACITY * relative_rate / sum(relative_rates)
+            for relative_rate in relative_rates
         ]
 
     @property
@@ -158,7 +160,7 @@
             }
             self.rates = [new_rates[sidecar] for sidecar in range(len(self.rates))]
         for converter in self.cold_converters:
-            converter.started_at_us, converter.cores_free_at_us = self.now_us, [self.now_us] * CORES
+            converter.started_at_us, converter.cores_free_at_us = self.now_us, [self.now_us] * CORES_PER_CONVERTER
         self._send_list()
 
     def _send_list(self) -> None:
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -77,7 +77,7 @@
             if generation
             for row in generation.rows
         )
-        == 2 * failed_request_sketch.ROWS * failed_request_sketch.WIDTH
+        == 2 * failed_request_sketch.ROW_COUNT * failed_request_sketch.WIDTH
     )
 
 
