--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -134,7 +134,7 @@
             self.on_wake_up(wake_up)
 
     def place(self, request: PendingRequest) -> None:
-        """Send a request if a slot is free. Otherwise buffer it or, if it may not be buffered, answer it."""
+        """Send a request if a slot is free. Otherwise buffer it or, if this fails, give its final answer."""
         latest_start_at_us = self.retries.latest_start_at_us(request)
         if self.now_us >= latest_start_at_us:
             self.reject_or_fail(request)
@@ -222,8 +222,7 @@
         retry_after_us = 0
         if self.settings.retry_after:
             if storm.active and storm.retry_after_us:
-                # A client that obeys Retry-After sends fewer retries. Count the retry that it would have
-                # sent.
+                # A client that obeys Retry-After sends fewer retries. Count the retry that it leaves out.
                 self.count_demand()
             retry_after_us = self.retries.retry_after_us(request, storm)
         request_id = request.event.request
--- a/ryepier/balancer/tuning.py
+++ b/ryepier/balancer/tuning.py
@@ -27,7 +27,8 @@
 MAX_QUEUE_HEADROOM = 8  # rejections in a row, after fast answers, until an upstream counts as full
 EJECTION_TIMEOUT_STREAK = 3  # unanswered attempts of a class in a row that eject an upstream for the class
 MAX_TIMEOUT_STREAK = 5  # unanswered attempts in a row; longer streaks do not prolong the ejection
-MAX_EJECTED_SHARE = 2 / 3  # of the upstreams; if more would be ejected for a class, the whole fleet is slow
+# If a class would eject a larger share of the upstreams, the whole fleet is slow, and none is ejected.
+MAX_EJECTED_SHARE = 2 / 3
 # A plan that ejects a larger share of the upstreams is faulty, and its ejections are ignored.
 MAX_PLANNED_EJECTED_SHARE = 0.5
 EJECTED_LIMIT = 0.25  # concurrency limit below which an upstream is logged as ejected
@@ -51,7 +52,7 @@
 # Admission
 ADMISSION_GAIN = 2.4  # per second: one second of slow answers cuts admission to a tenth, before queues fill
 MIN_ADMISSION_FACTOR = 0.3  # lowest factor by which one answer changes the admitted share
-MIN_ADMITTED_SHARE = 0.1  # of the selections; a lower share would not help a service that has slowed down
+MIN_ADMITTED_SHARE = 0.1  # lowest admitted share; less would not help a service that has slowed down
 MAX_ADMISSION_CREDIT = 2.0  # admitted selections that can be kept for later
 LOAD_WINDOW = 8  # answers in the moving average of a pool's load
 RATE_TIME_CONSTANT_US = 5 * SECOND_US  # time constant of averaged rates
--- a/ryepier/storm/retry_storm_guard.py
+++ b/ryepier/storm/retry_storm_guard.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-TICK_INTERVAL_S = 0.2  # between two evaluations of the detector
+TICK_INTERVAL_S = 0.2  # time between two evaluations of the detector
 
 
 Header = tuple[bytes, bytes]  # name, value
@@ -111,7 +111,7 @@
             self.task.cancel()
 
     async def report_changes(self) -> None:
-        """Evaluate the detector at intervals, and publish each change of its event; runs until cancelled."""
+        """Evaluate the detector at intervals, and publish each change of its event, until the task is cancelled."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             report = self.detector.tick(self.clock_us())
--- a/tests/balancer_scenarios.py
+++ b/tests/balancer_scenarios.py
@@ -9,7 +9,7 @@
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2  # indexes of the request classes
-MAX_SLOTS = 1000
+MAX_SLOTS = 1000  # number of requests after which fill_slots fails
 
 
 def ready_harness(count: int = 4, **changes: object) -> BalancerHarness:
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -81,9 +81,8 @@
     """A converter. A `started_at_us` of 0 means that it has been warm since before the run."""
 
     started_at_us: int = 0
-    cores_free_at_us: list[int] = field(
-        default_factory=lambda: [0] * CORES_PER_CONVERTER
-    )  # heap of the times at which the cores become free
+    # Heap of the times at which the cores become free
+    cores_free_at_us: list[int] = field(default_factory=lambda: [0] * CORES_PER_CONVERTER)
     attempts: list[Attempt] = field(default_factory=list)
 
 
--- a/tests/test_buffer.py
+++ b/tests/test_buffer.py
@@ -58,7 +58,7 @@
     assert harness.sends(harness.arrive(READ))
 
 
-def test_request_with_a_higher_priority_weight_takes_the_buffer() -> None:
+def test_request_with_a_higher_priority_weight_replaces_the_buffered_request() -> None:
     harness = ready_harness()
     low_priority_request = fill_slots(harness)[-1]
     high_priority_request = harness.arrive(PAY)
@@ -69,7 +69,7 @@
     assert harness.sends(high_priority_request)
 
 
-def test_tenant_over_its_quota_loses_the_buffer() -> None:
+def test_buffered_request_of_a_tenant_over_its_quota_is_replaced() -> None:
     harness = ready_harness(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         harness.arrive(READ, tenant=0)
@@ -79,7 +79,7 @@
     assert harness.answer(request_within_quota) is None and harness.answer(buffered_request.event.request) is not None
 
 
-def test_unknown_tenant_has_no_quota_and_loses_the_buffer() -> None:
+def test_buffered_request_of_an_unknown_tenant_is_replaced() -> None:
     harness = ready_harness(tenants=[Tenant("big", 100.0), Tenant("small", 100.0)], over_quota_weight=0.1)
     for _ in range(50):
         harness.arrive(READ, tenant=2)
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -104,9 +104,8 @@
         request = harness.arrive(0)
         harness.advance(5_000)
         harness.end(request, 0, Outcome.OK)
-    assert (
-        sum(1 for send in harness.sends() if send.upstream == 100) <= 8
-    )  # an equal share of the 60 requests would be 20
+    # An equal share of the 60 requests would be 20.
+    assert sum(1 for send in harness.sends() if send.upstream == 100) <= 8
 
 
 def test_empty_list_and_empty_delta_are_accepted() -> None:
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -87,9 +87,8 @@
 
 def test_upstream_that_never_answers_one_class_gets_few_requests_of_that_class() -> None:
     classes = request_classes()
-    classes[PAY] = replace(
-        classes[PAY], late_weight=0.5
-    )  # late answers have weight, so they are awaited until the deadline
+    # As late answers have weight, attempts are awaited until the deadline.
+    classes[PAY] = replace(classes[PAY], late_weight=0.5)
     harness = ready_harness(classes=classes)
     unresponsive_upstream = min(harness.known_entries)
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -124,15 +124,14 @@
     harness.update_upstreams([Upstream(1, started_at_us=harness.now_us - 1_000), *upstreams(3)])
     serve_requests(harness, 150, duration_us=20_000)
     to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert (
-        0 < to_started_upstream <= 15
-    )  # by its guaranteed capacity it gets 9, and more as it answers fast; an equal share would be 37
+    # The upstream gets 9 by its guaranteed capacity, and more as it answers fast. An equal share would be 37.
+    assert 0 < to_started_upstream <= 15
 
 
 def test_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
     harness = BalancerHarness(settings(instances=400))
-    # 12 of the 20 s of the warm-up have passed.
+    # The first upstream is 12 s into its warm-up of 20 s.
     harness.update_upstreams([Upstream(1, started_at_us=harness.now_us - 12_000_000), *upstreams(3)])
     serve_requests(harness, 1000, duration_us=5_000)
     to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert 0 < to_started_upstream < 190  # an equal share would be 250 of the 1000
+    assert 0 < to_started_upstream < 190  # an equal share of the 1000 requests would be 250
