--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -1,13 +1,14 @@
-"""Feedback from ended attempts to the limits of their upstream and of its pool."""
+"""Adapts the limits of an upstream and of its pool to attempts that have ended."""
 
 from ryepier.balancer import tuning
 from ryepier.balancer.estimates import RequestEstimates
 from ryepier.balancer.events import Outcome
 from ryepier.balancer.membership import Membership
 from ryepier.balancer.outlier_detection import FaultVerdict, OutlierDetector
-from ryepier.balancer.upstream import ANSWERED, Attempt
+from ryepier.balancer.upstream import ANSWERED_OUTCOMES, Attempt
 
-LOAD_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT, Outcome.REJECTED)  # that show the load of the pool
+# Outcomes that show the load of the pool
+LOAD_OUTCOMES = (*ANSWERED_OUTCOMES, Outcome.TIMEOUT, Outcome.REJECTED)
 
 
 class AttemptFeedback:
@@ -24,17 +25,17 @@
     def observe(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
         """Free the slot of an ended attempt and update the measurements with it.
 
-        `slots_needed` means that it was sent in a shortage of slots. Returns whether the limit of its
-        upstream was adapted.
+        `slots_needed` means that the attempt was sent during a shortage of slots. Returns whether the
+        concurrency limit of its upstream was adapted.
         """
         upstream = attempt.upstream
         upstream.in_flight -= int(not attempt.presumed_lost)
-        earlier_attempts = upstream.outstanding[: upstream.outstanding.index(attempt)]
-        upstream.outstanding.remove(attempt)
-        is_answered = attempt.outcome in ANSWERED
+        earlier_attempts = upstream.outstanding_attempts[: upstream.outstanding_attempts.index(attempt)]
+        upstream.outstanding_attempts.remove(attempt)
+        is_answered = attempt.outcome in ANSWERED_OUTCOMES
         timed_out = attempt.outcome is Outcome.TIMEOUT
-        # An attempt that later ones have overtaken is lost, not slow. If it counted, an upstream that leaves
-        # some requests unanswered would lose its slots.
+        # An attempt is lost, not slow, if later ones at its upstream were answered before. If it counted as
+        # slow, an upstream that leaves some requests unanswered would lose its slots.
         is_lost = timed_out and (attempt.presumed_lost or attempt.overtake_count > 0)
         adapted = False
         if not is_lost and not self.outliers.rejected_with_headroom(attempt, elapsed_us):
@@ -59,7 +60,8 @@
         upstream.latency_ratio += (ratio - upstream.latency_ratio) / tuning.LATENCY_RATIO_WINDOW
         if pool.slow_start.is_warming(upstream.entry, now_us):
             pool.slow_start.adapt_overcommit(load)
-        # An expensive request times out at any upstream; each of its retries would count as a slow answer.
+        # Retries after a timeout do not count. An expensive request times out at any upstream, and each of
+        # its retries would count as a slow answer.
         elif not attempt.follows_timeout and attempt.outcome in LOAD_OUTCOMES:
             pool.admission.observe(load)
         upstream.concurrency.update(load, is_faulty, slots_needed)
@@ -69,7 +71,7 @@
 
     def _load_of(self, attempt: Attempt, elapsed_us: int) -> float:
         """Return an attempt's latency relative to the slow latency of its class, at most `MAX_LOAD`."""
-        if attempt.outcome not in ANSWERED:
+        if attempt.outcome not in ANSWERED_OUTCOMES:
             return tuning.MAX_LOAD
         return min(tuning.MAX_LOAD, elapsed_us / self.estimates.slow_latency_us[attempt.class_index])
 
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -9,15 +9,15 @@
 from ryepier.balancer.events import Outcome
 from ryepier.balancer.membership import Membership
 from ryepier.balancer.settings import Settings
-from ryepier.balancer.upstream import ANSWERED, FAULTS, Attempt, ClassHealth, TrackedUpstream
+from ryepier.balancer.upstream import ANSWERED_OUTCOMES, FAULT_OUTCOMES, Attempt, ClassHealth, TrackedUpstream
 
 
 class FaultVerdict(enum.Enum):
     """Whether an ended attempt counts as a fault of its upstream."""
 
     NORMAL = enum.auto()  # no fault, or a tolerated malformed response; the latency counts
-    TOLERATED = enum.auto()  # a fault that may be by chance; the latency is ignored
-    FAULTY = enum.auto()  # a rejection, or a fault beyond the share that chance explains
+    TOLERATED = enum.auto()  # a fault within the tolerated share; the latency is ignored
+    FAULTY = enum.auto()  # a rejection, or a fault beyond the tolerated share
 
 
 class OutlierDetector:
@@ -31,51 +31,54 @@
         self.estimates = estimates
         self.membership = membership
         self.random = random
-        self.last_ejection_ends_us = 0  # when the last of the ejections for a class ends
+        self.last_ejection_ends_at_us = 0  # latest end of all ejections for a class
 
     def observe_fault(self, attempt: Attempt) -> FaultVerdict:
-        """Count whether an attempt was a fault (see `FAULTS`), and return how to treat it.
+        """Count whether an attempt was a fault (see `FAULT_OUTCOMES`), and return how to treat it.
 
-        Faults may affect all upstreams equally, and must not eject them then. Only a rejection shows the
-        state of the upstream itself, so a single one counts.
+        Faults that affect all upstreams equally must not eject them, so an upstream's share of faults is
+        compared with that of its pool. A rejection shows the state of the upstream itself, so a single
+        rejection counts.
         """
         upstream = attempt.upstream
         outcome = attempt.outcome
         pool = self.membership.pool_of(upstream)
-        is_fault = outcome in FAULTS
+        is_fault = outcome in FAULT_OUTCOMES
         upstream.fault_share += (float(is_fault) - upstream.fault_share) / tuning.FAULT_WINDOW
         pool.fault_share += (float(is_fault) - pool.fault_share) / tuning.POOL_FAULT_WINDOW
         pool_allowance = min(tuning.POOL_FAULT_FACTOR * pool.fault_share, tuning.MAX_POOL_FAULT_ALLOWANCE)
-        exceeds_chance = is_fault and upstream.fault_share > tuning.MAX_FAULT_SHARE + pool_allowance
-        if outcome is Outcome.REJECTED or exceeds_chance:
+        exceeds_tolerance = is_fault and upstream.fault_share > tuning.MAX_FAULT_SHARE + pool_allowance
+        if outcome is Outcome.REJECTED or exceeds_tolerance:
             return FaultVerdict.FAULTY
         if is_fault and outcome is not Outcome.MALFORMED_RESPONSE:
             return FaultVerdict.TOLERATED
         return FaultVerdict.NORMAL
 
     def eject(self, upstream: TrackedUpstream, class_index: int, elapsed_us: int, now_us: int) -> None:
-        """Eject an upstream whose limit is below 1, until its next attempt is due."""
+        """Eject an upstream whose concurrency limit is below 1; the lower the limit, the longer the
+        ejection."""
         slow_latency_us = self.estimates.slow_latency_us[class_index]
         # The latency of the attempt counts too: if answers take seconds, short ejections would not relieve
         # an overloaded upstream.
         mean_us = min(self.estimates.mean_latency_us[class_index], slow_latency_us)
         latency_us = max(mean_us, min(elapsed_us, 2 * slow_latency_us))
-        latencies = 1.0 / upstream.concurrency.limit - 1.0
-        ejection_us = latency_us * latencies * self._jitter()
+        latency_multiple = 1.0 / upstream.concurrency.limit - 1.0
+        ejection_us = latency_us * latency_multiple * self._jitter()
         upstream.ejected_until_us = now_us + int(ejection_us)
 
     def _jitter(self) -> float:
-        """Return a factor from 0.5 to 1.5: sidecars must not try an ejected upstream at the same time."""
+        """Return a random factor from 0.5 to 1.5, so that sidecars do not all retry an upstream at once."""
         return 0.5 + self.random.random()
 
     def on_overdue(self, attempt: Attempt, now_us: int) -> None:
         """Count an attempt that is unanswered after its latency objective.
 
         With a shorter time, attempts that are only slowed down by an overload would be presumed lost. An
-        upstream may never answer some requests, or all of a class, and serve the others well. So it is
-        selected less for that class, and ejected for it after several unanswered attempts in a row.
+        upstream may leave some or all requests of a class unanswered and serve the other classes well. So it
+        is selected less often for that class, and ejected for it after several unanswered attempts in a row.
 
-        Known limit: a class that is rare and always slow also moves to other upstreams after late answers.
+        Known limit: late answers count as unanswered, so they move a rare class that is always slow to other
+        upstreams too.
         """
         request_class = self.settings.classes[attempt.class_index]
         if attempt.outcome is not None or request_class.stream:
@@ -88,49 +91,51 @@
         self.presume_lost(attempt)
 
     def _extend_timeout_streak(self, health: ClassHealth, latency_objective_us: int, now_us: int) -> None:
-        """Count one more unanswered attempt in a row. A long streak ejects the upstream for the class."""
+        """Count one more unanswered attempt in a row. A long streak ejects the upstream for the class; a
+        longer streak, up to `MAX_TIMEOUT_STREAK`, doubles the time with each attempt."""
         health.timeout_streak = min(health.timeout_streak + 1, tuning.MAX_TIMEOUT_STREAK)
         if health.timeout_streak < tuning.EJECTION_TIMEOUT_STREAK:
             return
         first_ejection_us = latency_objective_us * self._jitter()
         ejection_us = int(first_ejection_us * 2 ** (health.timeout_streak - 1))
         health.ejected_until_us = now_us + ejection_us
-        self.last_ejection_ends_us = max(self.last_ejection_ends_us, health.ejected_until_us)
+        self.last_ejection_ends_at_us = max(self.last_ejection_ends_at_us, health.ejected_until_us)
 
     def presume_lost(self, attempt: Attempt) -> None:
         """Free the slot of an overdue attempt if it is presumed lost.
 
         Otherwise requests that are never answered would hold all slots. The attempt stays in flight, as its
-        answer may still be useful. It is presumed lost if its upstream has answered enough later attempts. An
-        attempt in the only slot cannot be overtaken, so one attempt per upstream is also presumed lost while
-        the pool answers fast.
+        answer may still be useful. It is presumed lost if its upstream has answered enough later attempts. If
+        the upstream has only one slot, there are no later attempts, so one attempt per upstream is also
+        presumed lost while the pool answers fast.
 
         Known limit: an upstream that serves by priority may still be working on the attempt, and then gets
         up to twice as many attempts as it has slots.
         """
         upstream = attempt.upstream
-        lost = [other for other in upstream.outstanding if other.presumed_lost]
-        max_lost = max(1, int(upstream.concurrency.limit))
-        if not attempt.overdue or len(lost) >= max_lost:
+        lost_attempts = [other for other in upstream.outstanding_attempts if other.presumed_lost]
+        max_lost_attempts = max(1, int(upstream.concurrency.limit))
+        if not attempt.overdue or len(lost_attempts) >= max_lost_attempts:
             return
         pool_is_fast = self.membership.pool_of(upstream).admission.load < tuning.TARGET_LOAD
-        may_be_lost = pool_is_fast and all(map(self._is_overtaken, lost))
+        may_be_lost = pool_is_fast and all(map(self._is_overtaken, lost_attempts))
         if self._is_overtaken(attempt) or may_be_lost:
             attempt.presumed_lost = True
             upstream.in_flight -= 1
 
     @staticmethod
     def _is_overtaken(attempt: Attempt) -> bool:
-        """Return whether enough later attempts were answered to presume that this one is lost, not queued."""
+        """Return whether enough later attempts were answered to presume that an attempt is lost, not
+        queued."""
         return attempt.overtake_count >= tuning.LOST_ATTEMPT_OVERTAKES
 
-    def on_answer(self, attempt: Attempt, earlier: Iterable[Attempt]) -> None:
-        """Record that an attempt was answered before the `earlier` ones at the same upstream."""
+    def on_answer(self, attempt: Attempt, earlier_attempts: Iterable[Attempt]) -> None:
+        """Record that an attempt was answered before `earlier_attempts`, which its upstream got earlier."""
         class_index = attempt.class_index
         health = attempt.upstream.by_class[class_index]
         health.unanswered_share -= health.unanswered_share / tuning.UNANSWERED_WINDOW
         health.timeout_streak = health.ejected_until_us = 0
-        for other in earlier:
+        for other in earlier_attempts:
             other.overtake_count += 1
             other.overtaken_in_class |= other.class_index == class_index
             if not other.presumed_lost:
@@ -140,12 +145,13 @@
         """Record an ended attempt. Returns whether it was rejected by an upstream whose queue is not full.
 
         Requests that a full upstream accepts wait in its queue, so its answers are slow. An upstream that
-        rejects one class and answers the others fast has headroom: it keeps its slots, and only the class is
-        selected less. An upstream with more rejections than fast answers counts as full.
+        rejects one class and answers the others fast has headroom in its queue. It keeps its slots, and is
+        only selected less often for that class. An upstream with more rejections than fast answers counts as
+        full.
         """
         upstream = attempt.upstream
         health = upstream.by_class[attempt.class_index]
-        if attempt.outcome in ANSWERED:
+        if attempt.outcome in ANSWERED_OUTCOMES:
             is_fast = elapsed_us < tuning.TARGET_LOAD * self.estimates.slow_latency_us[attempt.class_index]
             headroom = upstream.queue_headroom + (1 if is_fast else -1)
             upstream.queue_headroom = min(max(headroom, 0), tuning.MAX_QUEUE_HEADROOM)
@@ -157,18 +163,22 @@
         upstream.queue_headroom = max(upstream.queue_headroom - 1, 0)
         return has_headroom
 
-    def ejection_ends_us(self, class_index: int, now_us: int) -> list[int]:
+    def ejection_end_times_us(self, class_index: int, now_us: int) -> list[int]:
         """Return the end times (us) of the current ejections that affect a class."""
-        ends_us = []
+        end_times_us = []
         for upstream in self.membership.by_id.values():
-            end_us = max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
-            if end_us > now_us:
-                ends_us.append(end_us)
-        return ends_us
-
-    def class_ejections_apply(self, listed: Iterable[TrackedUpstream], class_index: int, now_us: int) -> bool:
-        """Return whether ejections for a class apply: not if most upstreams would be ejected."""
-        if now_us >= self.last_ejection_ends_us:
+            end_at_us = max(upstream.ejected_until_us, upstream.by_class[class_index].ejected_until_us)
+            if end_at_us > now_us:
+                end_times_us.append(end_at_us)
+        return end_times_us
+
+    def class_ejections_apply(
+        self, listed_upstreams: Iterable[TrackedUpstream], class_index: int, now_us: int
+    ) -> bool:
+        """Return whether the ejections for a class apply. They are ignored if most upstreams are ejected."""
+        if now_us >= self.last_ejection_ends_at_us:
             return True
-        ejected = [now_us < upstream.by_class[class_index].ejected_until_us for upstream in listed]
-        return sum(ejected) <= tuning.MAX_EJECTED_SHARE * len(ejected)
+        are_ejected = [
+            now_us < upstream.by_class[class_index].ejected_until_us for upstream in listed_upstreams
+        ]
+        return sum(are_ejected) <= tuning.MAX_EJECTED_SHARE * len(are_ejected)
--- a/ryepier/balancer/settings_parser.py
+++ b/ryepier/balancer/settings_parser.py
@@ -1,4 +1,4 @@
-"""Parser of the settings, from the path=value pairs of a settings file or of the simulator."""
+"""Parser of the settings, which a settings file or the simulator gives as path=value pairs."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from ryepier.errors import RyepierError
 
 # Paths that a sidecar reads in addition to those of `Settings`
-ZONES_PATH = "areas"  # names, by index
-KINDS_PATH = "kinds"  # names, by index
-IDLE_TIMEOUT_PATH = "bounds.conn-idle"  # us: upstreams close a connection that has been idle for this long
+ZONES_PATH = "areas"  # names of the zones, in the order of their indexes
+KINDS_PATH = "kinds"  # names of the kinds of upstreams, in the order of their indexes
+IDLE_TIMEOUT_PATH = "bounds.conn-idle"  # microseconds after which upstreams close an idle connection
 
 _IDEMPOTENCY = {
     "idempotent": api.Idempotency.IDEMPOTENT,
@@ -34,11 +34,11 @@
 
 
 class SettingsError(RyepierError):
-    """Raised for a setting that is missing or out of range; the message names it."""
+    """Raised for a setting that is missing or invalid; the message names it."""
 
 
 class _Options:
-    """The path=value pairs of the settings, with getters that check the type."""
+    """The path=value pairs of the settings, with methods that return a value after checking its type."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self.pairs = pairs
@@ -75,7 +75,7 @@
         return self.choice(path, ("true", "false"), default) == "true"
 
 
-def _class(options: _Options, prefix: str) -> api.RequestClass:
+def _parse_class(options: _Options, prefix: str) -> api.RequestClass:
     return api.RequestClass(
         name=options.text(prefix + "name"),
         latency_objective_us=options.integer(prefix + "aim"),
@@ -90,7 +90,7 @@
     )
 
 
-def _tenant(options: _Options, prefix: str) -> api.Tenant:
+def _parse_tenant(options: _Options, prefix: str) -> api.Tenant:
     return api.Tenant(
         options.text(prefix + "name"),
         options.number(prefix + "allowance-per-s"),
@@ -99,29 +99,36 @@
 
 
 def parse_settings(text: str) -> api.Settings:
-    """Return the settings of one instance. Unknown keys are skipped. Raises SettingsError."""
+    """Return the settings of one instance from lines of path=value. Unknown paths are ignored.
+
+    Raises SettingsError for a malformed line and for a missing or invalid setting.
+    """
     pairs: dict[str, str] = {}
-    for number, line in enumerate(text.splitlines(), 1):
+    for line_number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         path, equals, value = line.partition("=")
         if not equals or not path:
-            raise SettingsError(f"settings line {number}: expected path=value, got {line!r}")
+            raise SettingsError(f"settings line {line_number}: expected path=value, got {line!r}")
         pairs[path] = value
     return settings_from_pairs(pairs)
 
 
 def settings_from_pairs(pairs: dict[str, str]) -> api.Settings:
-    """Return the settings from their paths and values. Unknown keys are skipped. Raises SettingsError."""
+    """Return the settings of one instance from values by path. Unknown paths are ignored.
+
+    Raises SettingsError for a missing or invalid setting.
+    """
     options = _Options(pairs)
     try:
         return api.Settings(
             classes=[
-                _class(options, f"request-classes.{i}.")
+                _parse_class(options, f"request-classes.{i}.")
                 for i in range(options.integer("request-classes.count"))
             ],
             tenants=[
-                _tenant(options, f"accounts.{i}.") for i in range(options.integer("accounts.count", "0"))
+                _parse_tenant(options, f"accounts.{i}.")
+                for i in range(options.integer("accounts.count", "0"))
             ],
             over_quota_weight=options.number("over-share-worth", "1"),
             weight_by_work=options.choice("value-by", ("request", "work"), "request") == "work",
--- a/ryepier/balancer/simulator_protocol.py
+++ b/ryepier/balancer/simulator_protocol.py
@@ -1,6 +1,6 @@
 """Binary protocol of the simulator: decodes frames to events and encodes actions to frames.
 
-Contains no decisions. The message of a `ProtocolError` says in one line what is malformed and where.
+The message of a `ProtocolError` says in one line what is malformed and where.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """Event: the instance has been killed."""
+    """Event: an instance has been killed."""
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
     """Decodes batches, and keeps the numbered upstream lists to which events refer."""
 
     def __init__(self) -> None:
-        """Start with no lists and no batch."""
+        """Start without upstream lists and without a batch."""
         self.lists: dict[int, list[api.Upstream]] = {}
         self.data = b""
         self.offset = 0
@@ -124,10 +124,10 @@
         return values
 
     def read_list(self) -> None:
-        """Read a numbered upstream list and keep it. Raises ProtocolError for an invalid entry."""
+        """Read an upstream list and keep it by its number. Raises ProtocolError for an invalid entry."""
         list_number, count = self.read_fields(_LIST_HEADER)
         entries = []
-        for upstream, zone, kind, failure_domain, state, weight, started_us in _ENTRY.iter_unpack(
+        for upstream, zone, kind, failure_domain, state, weight, started_at_us in _ENTRY.iter_unpack(
             self.read_bytes(_ENTRY.size * count)
         ):
             if not math.isfinite(weight):
@@ -140,7 +140,7 @@
                     kind,
                     failure_domain,
                     weight,
-                    started_us,
+                    started_at_us,
                 )
             )
         self.lists[list_number] = entries
@@ -173,10 +173,10 @@
 
 
 def _read_request_arrived(decoder: Decoder) -> Record:
-    request, class_index, tenant, key, cost_us, flags, due_us = decoder.read_fields(_REQUEST_ARRIVED)
+    request, class_index, tenant, key, cost_us, flags, due_at_us = decoder.read_fields(_REQUEST_ARRIVED)
     return api.RequestArrived(
         request,
-        due_us,
+        due_at_us,
         class_index,
         tenant,
         key,
@@ -242,7 +242,7 @@
     _packer_for(10, ""),
     _packer_for(110, "I"),
 )
-_pack_send_to_peer, _log_header, _error_header = (
+_pack_send_to_peer, _pack_log_header, _pack_error_header = (
     _packer_for(50, "IH"),
     _packer_for(120, "H"),
     _packer_for(60, "H"),
@@ -270,17 +270,17 @@
         _pack_send_to_peer(instance, _U32_MAX if action.to is None else action.to, len(action.payload))
         + action.payload
     ),
-    api.Log: lambda instance, action: _pack_text(_log_header, instance, action.text),
-    InternalError: lambda instance, action: _pack_text(_error_header, instance, action.text),
+    api.Log: lambda instance, action: _pack_text(_pack_log_header, instance, action.text),
+    InternalError: lambda instance, action: _pack_text(_pack_error_header, instance, action.text),
 }
 
 
 def encode_action(instance: int, action: Reply) -> bytes:
-    """Return the record that encodes an action of an instance."""
+    """Return the bytes of the record for an action of an instance."""
     return _WRITERS[type(action)](instance, action)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """Return a complete reply decoder."""
+    """Return the reply frame that consists of the header and the encoded records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(body), len(records)) + body
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -79,7 +79,7 @@
         request: ClientRequest,
         timeout_us: int,
         on_end: Callable[[AttemptResult], None],
-        latest_write_us: int = 0,
+        latest_write_at_us: int = 0,
     ) -> SentAttempt:
         """Record an attempt that the dispatcher starts, and check the rules for it."""
         number = int(request.request_id)
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -146,7 +146,7 @@
 
     def endpoint_entry(self, converter: Converter, state: api.UpstreamState = api.UpstreamState.READY) -> api.Upstream:
         """Return an entry of the endpoint list for a converter."""
-        return api.Upstream(converter.ident, state, started_us=converter.started_us)
+        return api.Upstream(converter.ident, state, started_at_us=converter.started_us)
 
     def full_list(self) -> api.UpstreamsUpdated:
         """Return an endpoint list with all converters that are up."""
--- a/tests/balancer_scenarios.py
+++ b/tests/balancer_scenarios.py
@@ -9,7 +9,7 @@
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2  # indexes of the request classes
-MAX_SLOTS = 1000
+MAX_SLOTS = 1000  # number of requests after which fill_slots fails
 
 
 def ready_harness(count: int = 4, **changes: object) -> BalancerHarness:
@@ -20,7 +20,7 @@
 
 
 def fill_slots(harness: BalancerHarness) -> list[int]:
-    """Send requests until no slot is free, and return their ids; the last request waits in the buffer."""
+    """Send requests until no slot is free, and return their ids. The last request waits in the buffer."""
     requests = []
     for _ in range(MAX_SLOTS):
         requests.append(harness.arrive(READ))
@@ -37,7 +37,7 @@
     class_index: int = READ,
     duration_us: int = 10_000,
 ) -> None:
-    """Send a request in each step, and end all attempts after `duration_us`.
+    """Let a request arrive in each step, and end all attempts in flight `duration_us` later.
 
     Attempts at `failing_upstream` end with `fault`, all others with OK.
     """
@@ -46,12 +46,12 @@
         harness.advance(duration_us)
         for request in [request for request, tracked in harness.requests.items() if tracked.in_flight()]:
             for attempt in harness.requests[request].in_flight():
-                at_failing = harness.requests[request].attempts[attempt].upstream == failing_upstream
-                harness.end(request, attempt, fault if at_failing else Outcome.OK)
+                is_at_failing_upstream = harness.requests[request].attempts[attempt].upstream == failing_upstream
+                harness.end(request, attempt, fault if is_at_failing_upstream else Outcome.OK)
 
 
-def end_all_attempts(harness: BalancerHarness, outcome: Outcome) -> None:
-    """Send 20 requests, and end all attempts with `outcome`."""
+def send_and_end_requests(harness: BalancerHarness, outcome: Outcome) -> None:
+    """Let 20 requests arrive, and end all attempts in flight with `outcome` after 10 ms."""
     for _ in range(20):
         harness.arrive(PAY)
     harness.advance(10_000)
@@ -61,15 +61,15 @@
 
 
 def open_slot_count(harness: BalancerHarness) -> int:
-    """Return how many attempts can be in flight now; ends the attempts that it sends."""
-    sent = [request for request in fill_slots(harness) if harness.sends(request)]
-    for request in sent:
+    """Return how many attempts can be in flight now, by filling the slots and ending these attempts."""
+    sent_requests = [request for request in fill_slots(harness) if harness.sends(request)]
+    for request in sent_requests:
         harness.end(request, 0, Outcome.OK)
-    return len(sent)
+    return len(sent_requests)
 
 
-def busy_harness() -> BalancerHarness:
-    """Return the harness of a balancer whose only upstream has opened more slots in a shortage."""
+def harness_with_open_slots() -> BalancerHarness:
+    """Return the harness of a balancer with one upstream, at which slots were opened in a shortage."""
     harness = ready_harness(1)
     for _ in range(80):
         fill_slots(harness)
@@ -79,7 +79,7 @@
 
 
 def time_out_requests(harness: BalancerHarness, seconds: int) -> None:
-    """Send one request a second, and let each time out after its latency objective."""
+    """Let one request arrive per second, and let each time out after its latency objective."""
     for _ in range(seconds):
         harness.arrive(PAY)
         harness.advance(1_000_000)
@@ -90,6 +90,6 @@
     return [action.text for action in harness.actions if isinstance(action, Log)]
 
 
-def rejected_count(harness: BalancerHarness, count: int) -> int:
-    """Send `count` requests, and return how many of them the balancer did not send."""
+def send_and_count_unsent(harness: BalancerHarness, count: int) -> int:
+    """Let `count` requests arrive, and return how many of them the balancer did not send to an upstream."""
     return sum(1 for _ in range(count) if not harness.sends(harness.arrive(PAY)))
--- a/tests/test_fleet_effects.py
+++ b/tests/test_fleet_effects.py
@@ -1,4 +1,4 @@
-"""Behaviour that only harms a large fleet, in which each sidecar has few requests and many upstreams."""
+"""Faults that do harm only in a large fleet, in which each sidecar has few requests and many upstreams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def lightly_loaded_harness(**changes: object) -> BalancerHarness:
-    """Return the harness of one of forty sidecars; it gets 20 requests a second and uses a few of its 30 upstreams."""
+    """Return the harness of one of forty sidecars, which gets 20 requests per second and uses few of 30 upstreams."""
     harness = BalancerHarness(settings(hedging=False, instances=40, overload_factor=4.0, **changes))
     harness.update_upstreams(upstreams(30))
     serve(harness, 100)
@@ -27,8 +27,12 @@
     expensive_interval: int = 0,
     cost_us: int = 20_000,
 ) -> int:
-    """Serve requests, and return how many went to warming upstreams, which answer in `warming_answer_us`."""
-    sent = 0
+    """Serve requests, and return how many went to warming upstreams.
+
+    Warming upstreams answer after `warming_answer_us`, the others after `warm_answer_us`. With an `expensive_interval`
+    of n above 0, every n-th request is expensive, and must not be sent to a warming upstream.
+    """
+    sent_count = 0
     for number in range(requests):
         is_expensive = expensive_interval > 0 and number % expensive_interval == 0
         request = harness.arrive(PAY, cost_us=1_000_000 if is_expensive else cost_us)
@@ -38,14 +42,14 @@
         if harness.sends(request):
             harness.end(request, 0, Outcome.OK)
         harness.advance(20_000)
-        sent += int(to_warming_upstream)
-    return sent
+        sent_count += int(to_warming_upstream)
+    return sent_count
 
 
 def add_warming_upstreams(harness: BalancerHarness, age_us: int = 0, small_size: float = 1.0) -> None:
-    """Add upstreams that started `age_us` ago; half of them have the size `small_size`, the others 1."""
+    """Add 30 upstreams that started `age_us` ago. Half of them have the size `small_size`, the others the size 1."""
     entries = [
-        Upstream(i, weight=small_size if i <= 15 else 1.0, started_us=harness.now_us - age_us)
+        Upstream(i, weight=small_size if i <= 15 else 1.0, started_at_us=harness.now_us - age_us)
         for i in WARMING_UPSTREAMS
     ]
     harness.update_upstreams(entries, ListKind.DELTA)
@@ -54,7 +58,8 @@
 def test_warming_upstreams_get_requests_though_enough_warm_ones_are_in_use() -> None:
     harness = lightly_loaded_harness()
     add_warming_upstreams(harness)
-    # at 0.2 to 0.6 of their capacity, a quarter of the fleet's work is their share; as they answer fast, up to half
+    # Lower bound: while the 30 warming upstreams have 0.2 to 0.6 of their capacity, their share of the 200 requests
+    # is about a quarter. Upper bound: as they answer fast, they get more than this, but less than half.
     assert 50 <= serve(harness, 200) <= 90
 
 
@@ -72,7 +77,7 @@
     harness = lightly_loaded_harness()
     serve(harness, 100, warm_answer_us=290_000)
     add_warming_upstreams(harness, age_us=10_000_000)
-    assert serve(harness, 100, warm_answer_us=290_000) >= 15  # of 35 requests that are sent
+    assert serve(harness, 100, warm_answer_us=290_000) >= 15  # of the 35 requests that are sent while load is shed
 
 
 def test_small_warming_upstreams_get_fewer_requests_and_no_expensive_ones() -> None:
@@ -84,33 +89,33 @@
 
 
 def test_expensive_requests_use_more_credit_of_a_warming_upstream() -> None:
-    sent = []
+    sent_counts = []
     for cost_us in (20_000, 70_000):
         harness = lightly_loaded_harness()
         add_warming_upstreams(harness, age_us=5_000_000)
-        sent.append(serve(harness, 200, cost_us=cost_us))
-    assert 0 < 3 * sent[1] < 2 * sent[0]
+        sent_counts.append(serve(harness, 200, cost_us=cost_us))
+    assert 0 < 3 * sent_counts[1] < 2 * sent_counts[0]
 
 
 def next_poll_delay_us(harness: BalancerHarness) -> int:
-    """Return how long after a failed poll the next poll is sent."""
+    """Let a poll fail, and return how long after its failure the next poll is sent."""
     harness.update_upstreams(upstreams(4), ListKind.CACHED)
     harness.advance(2_000_000)
-    failed_us, before = harness.now_us, len(harness.actions)
+    failed_at_us, count_before = harness.now_us, len(harness.actions)
     harness.handle(UpstreamsUpdated(ListKind.FAILED))
-    while not any(isinstance(action, Subscribe) for action in harness.actions[before:]):
+    while not any(isinstance(action, Subscribe) for action in harness.actions[count_before:]):
         harness.advance(10_000)
-    return harness.now_us - failed_us
+    return harness.now_us - failed_at_us
 
 
-@pytest.mark.parametrize(("sidecars", "max_delay_us"), [(3, 260_000), (40, 2_010_000)])
-def test_sidecars_whose_polls_failed_together_spread_their_next_polls(sidecars: int, max_delay_us: int) -> None:
-    config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecars)
+@pytest.mark.parametrize(("sidecar_count", "max_delay_us"), [(3, 260_000), (40, 2_010_000)])
+def test_sidecars_whose_polls_failed_together_spread_their_next_polls(sidecar_count: int, max_delay_us: int) -> None:
+    config = settings(polls_endpoints=True, max_poll_interval_us=10_000_000, instances=sidecar_count)
     delays_us = sorted(next_poll_delay_us(BalancerHarness(config, seed)) for seed in range(40))
     assert delays_us[-1] <= max_delay_us
-    quarter = max_delay_us // 4
+    quarter_us = max_delay_us // 4
     max_in_a_quarter = max(
-        sum(1 for delay_us in delays_us if start <= delay_us < start + quarter)
-        for start in range(0, max_delay_us, quarter)
+        sum(1 for delay_us in delays_us if start <= delay_us < start + quarter_us)
+        for start in range(0, max_delay_us, quarter_us)
     )
-    assert max_in_a_quarter <= 18, "40 polls are spread over the span, about 10 in each quarter"
+    assert max_in_a_quarter <= 18, "expected about 10 of the 40 polls in each quarter of the span"
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -8,9 +8,9 @@
 from tests.balancer_scenarios import (
     PAY,
     READ,
-    end_all_attempts,
     log_lines,
     ready_harness,
+    send_and_end_requests,
     serve_requests,
     time_out_requests,
 )
@@ -67,7 +67,7 @@
     begin_us = harness.now_us
     for fault in (Outcome.REJECTED, Outcome.OK, Outcome.REJECTED, Outcome.OK):
         for _ in range(30):
-            end_all_attempts(harness, fault)
+            send_and_end_requests(harness, fault)
     assert 1 <= len(log_lines(harness)) <= 1 + (harness.now_us - begin_us) / 1_000_000
 
 
@@ -105,6 +105,7 @@
         send_burst(3, 10_000)
     for _ in range(10):
         send_burst(9, 290_000)
-    for _ in range(40):  # 2 s at a fifteenth of the previous rate
+    # 20 requests per second for 2 s: a fifteenth of the 300 per second before the surge
+    for _ in range(40):
         send_burst(1, 50_000)
     assert sum(send_burst(1, 50_000) for _ in range(20)) >= 15
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -15,7 +15,7 @@
     READ,
     log_lines,
     ready_harness,
-    rejected_count,
+    send_and_count_unsent,
     serve_requests,
 )
 
@@ -50,7 +50,7 @@
         harness.advance(20_000)
         for request in requests:
             harness.end(request, 0, outcome)
-    assert rejected_count(harness, 6) == 0
+    assert send_and_count_unsent(harness, 6) == 0
 
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.ERROR])
@@ -61,7 +61,7 @@
         harness.advance(60_000)
         for request in requests:
             harness.end(request, 0, fault if rng.random() < 0.1 else Outcome.OK)
-    assert sum(1 for action in harness.actions if isinstance(action, CloseIdle)) < 10  # of 300 faults
+    assert sum(1 for action in harness.actions if isinstance(action, CloseIdle)) < 10  # of about 300 faults
 
 
 def test_upstream_that_always_fails_is_ejected_even_if_all_others_fail_sometimes() -> None:
