--- a/ryepier/experiments/maintenance/best_plan.py
+++ b/ryepier/experiments/maintenance/best_plan.py
@@ -78,7 +78,7 @@
     outages = []
     for lease in problem.active_leases:
         for converter in lease.converters:
-            length_ms = lease.until_ms - problem.now_ms
+            length_ms = lease.expected_end_ms - problem.now_ms
             interval = model.new_fixed_size_interval_var(problem.now_ms, length_ms, converter.name)
             outages.append(_Outage(interval, converter, lease.request))
     return outages
@@ -88,8 +88,12 @@
     """Bound the capacity that is out under each limit, and the converters of each request."""
     for limit in problem.limits:
         charged = [outage for outage in outages if limit.applies_to(outage.converter)]
-        lost = sum(amount for name, amount in problem.lost.items() if limit.applies_to(problem.converters[name]))
-        demands = [outage.converter.size - problem.lost.get(outage.converter.name, 0) for outage in charged]
+        lost = sum(
+            amount for name, amount in problem.lost_by_converter.items() if limit.applies_to(problem.converters[name])
+        )
+        demands = [
+            outage.converter.size - problem.lost_by_converter.get(outage.converter.name, 0) for outage in charged
+        ]
         model.add_cumulative([outage.interval for outage in charged], demands, max(0, limit.bound - lost))
     for job in problem.jobs:
         own = [outage.interval for outage in outages if outage.request == job.request.name]
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -73,7 +73,7 @@
         fetched.
         """
         probes = self.tracker.observe(monotonic_ms(), region_time_ms, listing)
-        for converter in self.planner.converters_to_restart(probes):
+        for converter in self.planner.warm_ups_to_restart(probes):
             self.tracker.restart_warm_up(converter, monotonic_ms(), region_time_ms)
         if self.node.replica.has_committed_in_term:
             command = self.planner.observation_command(self.settings.replica, as_of, probes)
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -42,7 +42,7 @@
             token=self.context.next_token(),
             converters=command.converters,
             unavailable=list(command.converters),
-            granted_ms=self.state.now_ms,
+            granted_at_ms=self.state.now_ms,
         )
         self.state.leases[lease.name] = lease
         return _granted(lease)
@@ -67,7 +67,7 @@
             return "no converter is named, or one is named twice"
         leased_names = self.context.view.leased_converters()
         for name in command.converters:
-            if name not in record.remaining():
+            if name not in record.remaining_converters():
                 return f"converter {name!r} is not pending in request {command.request!r}"
             if name in leased_names:
                 return f"converter {name!r} is already out of service"
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -79,7 +79,7 @@
         (`missed`).
         """
         name = record.request.name
-        if self.leases_of(name) or not (record.cancelled or missed or not record.remaining()):
+        if self.leases_of(name) or not (record.cancelled or missed or not record.remaining_converters()):
             return False
         del self.state.requests[name]
         self.state.completed[name] = record.request
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -99,7 +99,11 @@
 
     def _lost_capacity(self, limit: Limit) -> int:
         """Return the lost capacity that is charged to a limit."""
-        return sum(lost for name, lost in self.problem.lost.items() if limit.applies_to(self.problem.converters[name]))
+        return sum(
+            lost
+            for name, lost in self.problem.lost_by_converter.items()
+            if limit.applies_to(self.problem.converters[name])
+        )
 
     def _limits_of(self, converter: Converter) -> list[Limit]:
         """Return the limits that a converter is charged to."""
@@ -107,13 +111,15 @@
 
     def _added_charge(self, converter: Converter) -> int:
         """Return the charge that taking a converter out adds: its size less the part that is already lost."""
-        return converter.size - self.problem.lost.get(converter.name, 0)
+        return converter.size - self.problem.lost_by_converter.get(converter.name, 0)
 
     def _charge_active_leases(self) -> None:
         """Charge the converters that open leases have out of service."""
         for lease in self.problem.active_leases:
             for converter in lease.converters:
-                self._add_placement(Placement(f"lease {lease.lease}", lease.request, converter, 0, lease.until_ms))
+                self._add_placement(
+                    Placement(f"lease {lease.lease}", lease.request, converter, 0, lease.expected_end_ms)
+                )
 
     def _add_placement(self, placement: Placement) -> None:
         """Add a placement, and charge it to its limits and its request."""
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -49,7 +49,7 @@
             return None
         return RecordObservation(observer, as_of + 1, as_of, observations)
 
-    def converters_to_restart(self, probes: Iterable[WarmthProbe]) -> list[str]:
+    def warm_ups_to_restart(self, probes: Iterable[WarmthProbe]) -> list[str]:
         """Return the released converters whose incarnation appears to be older than their lease.
 
         Either the listing is outdated, or this observer has known the region's time only briefly. The caller restarts
@@ -60,7 +60,7 @@
             lease = self._open_lease_of(probe.observation.converter)
             if lease is None or lease.state is not LeaseState.RETURNING or not probe.observation.ready:
                 continue
-            if probe.warm_up_started_region_ms < lease.granted_ms:
+            if probe.warm_up_started_region_ms < lease.granted_at_ms:
                 names.append(probe.observation.converter)
         return names
 
@@ -69,7 +69,7 @@
         observation = probe.observation
         lease = self._open_lease_of(observation.converter)
         if lease is not None and observation.ready:
-            if lease.state is not LeaseState.REVOKED and probe.warm_up_started_region_ms < lease.granted_ms:
+            if lease.state is not LeaseState.REVOKED and probe.warm_up_started_region_ms < lease.granted_at_ms:
                 return False
             if lease.state in STATES_AWAITING_RECOVERY and observation.warmth == FULL_WARMTH:
                 return True
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -33,7 +33,7 @@
     request: Request
     converters: tuple[Converter, ...]
     length_ms: int  # per converter, including its warm-up
-    submitted_ms: int = 0
+    submitted_at_ms: int = 0
 
     def work(self) -> int:
         """Return the product of capacity and time out of service, in thousandths of a unit times milliseconds."""
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveLease:
-    """The converters that an open lease has out of service, and the expected end, `until_ms`."""
+    """The converters that an open lease has out of service, and when they are expected to be warm again."""
 
     lease: str
     request: str
     converters: tuple[Converter, ...]
-    until_ms: int
+    expected_end_ms: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     now_ms: int
     jobs: tuple[Job, ...]
     limits: tuple[Limit, ...]
-    lost: Mapping[str, int] = field(default_factory=dict)  # thousandths, by name of each converter not under a lease
+    lost_by_converter: Mapping[str, int] = field(default_factory=dict)  # thousandths, of converters without a lease
     converters: Mapping[str, Converter] = field(default_factory=dict)  # of the region, by name
     active_leases: tuple[ActiveLease, ...] = ()
     previous_windows: tuple[Window, ...] = ()  # of the previous schedule; those about to start are kept
@@ -68,7 +68,7 @@
 
     def priority(self, job: Job) -> int:
         """Return a request's priority, raised according to the time it has waited since it could have started."""
-        waited_ms = self.now_ms - max(job.submitted_ms, job.request.earliest_ms)
+        waited_ms = self.now_ms - max(job.submitted_at_ms, job.request.earliest_ms)
         return max(0, job.request.priority - max(0, waited_ms) // AGING_INTERVAL_MS)
 
 
@@ -82,7 +82,7 @@
         now_ms=ledger.now_ms,
         jobs=_jobs(ledger, leased_names),
         limits=tuple(limit for service in ledger.agreement.services for limit in ledger.limits(service)),
-        lost={
+        lost_by_converter={
             name: ledger.view.lost_capacity(converter)
             for name, converter in region_converters.items()
             if name not in leased_names
@@ -97,10 +97,10 @@
     """Return the jobs of the open requests: their remaining converters that are not under a lease."""
     jobs = []
     for record in ledger.open_requests():
-        names = [name for name in record.remaining() if name not in leased_names]
+        names = [name for name in record.remaining_converters() if name not in leased_names]
         if names:
             converters = tuple(ledger.agreement.converters[name] for name in names)
-            jobs.append(Job(record.request, converters, _length_ms(ledger, record.request), record.submitted_ms))
+            jobs.append(Job(record.request, converters, _length_ms(ledger, record.request), record.submitted_at_ms))
     return tuple(jobs)
 
 
@@ -110,11 +110,11 @@
     A revoked lease has taken no converter down, so it is expected to end soon.
     """
     request = ledger.state.requests[lease.request].request
-    until_ms = ledger.now_ms + MIN_REMAINING_LEASE_MS
+    expected_end_ms = ledger.now_ms + MIN_REMAINING_LEASE_MS
     if lease.state is not LeaseState.REVOKED:
-        until_ms = max(until_ms, lease.granted_ms + _length_ms(ledger, request))
+        expected_end_ms = max(expected_end_ms, lease.granted_at_ms + _length_ms(ledger, request))
     converters = tuple(ledger.agreement.converters[name] for name in lease.unavailable)
-    return ActiveLease(lease.name, request.name, converters, until_ms)
+    return ActiveLease(lease.name, request.name, converters, expected_end_ms)
 
 
 def _length_ms(ledger: Ledger, request: Request) -> int:
--- a/ryepier/maintenance/scheduler.py
+++ b/ryepier/maintenance/scheduler.py
@@ -22,7 +22,7 @@
 
     priority: int
     criterion: int
-    submitted_ms: int
+    submitted_at_ms: int
     name: str
 
 
@@ -79,7 +79,7 @@
     """Return the jobs sorted by priority and, within a priority, by the criterion."""
 
     def key(job: Job) -> _JobKey:
-        return _JobKey(problem.priority(job), criterion(problem, job), job.submitted_ms, job.request.name)
+        return _JobKey(problem.priority(job), criterion(problem, job), job.submitted_at_ms, job.request.name)
 
     return sorted(problem.jobs, key=key)
 
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -40,7 +40,7 @@
         result = super().advance_time(now_ms)
         for lease in list(self.state.leases.values()):
             request = self.state.requests[lease.request].request
-            if lease.granted_ms + request.duration_ms <= self.state.now_ms:
+            if lease.granted_at_ms + request.duration_ms <= self.state.now_ms:
                 self.context.close(lease)
         return result
 
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -26,7 +26,7 @@
 class Lease(msgspec.Struct):
     """The right of one agent to take converters down.
 
-    `unavailable` names the converters that have not yet been observed ready and warm again. `granted_ms` is in the
+    `unavailable` names the converters that have not yet been observed ready and warm again. `granted_at_ms` is in the
     region's time. `released_index` is the log index of the release or revocation; only observations that began after it
     can close the lease. `previous_token` is the fencing token before the last take-over.
     """
@@ -37,7 +37,7 @@
     token: int
     converters: tuple[str, ...]
     unavailable: list[str] = msgspec.field(name="out")
-    granted_ms: int
+    granted_at_ms: int = msgspec.field(name="granted_ms")
     state: LeaseState = LeaseState.GRANTED
     released_index: int = msgspec.field(name="settled_index", default=0)
     previous_token: int = msgspec.field(name="replaced_token", default=0)
@@ -48,12 +48,12 @@
 
     request: Request
     converters: tuple[str, ...]
-    submitted_ms: int
+    submitted_at_ms: int = msgspec.field(name="submitted_ms")
     done: list[str] = []
     leases: list[str] = []
     cancelled: bool = False
 
-    def remaining(self) -> list[str]:
+    def remaining_converters(self) -> list[str]:
         """Return the converters that have not been maintained yet."""
         return [name for name in self.converters if name not in self.done]
 
--- a/ryepier/maintenance/status.py
+++ b/ryepier/maintenance/status.py
@@ -37,7 +37,7 @@
         RequestStatus(
             name=record.request.name,
             service=record.request.service,
-            remaining=tuple(record.remaining()),
+            remaining=tuple(record.remaining_converters()),
             deadline_ms=record.request.deadline_ms,
             starts_ms=starts_ms.get(record.request.name, NO_START_MS),
             reason=reasons.get(record.request.name, ""),
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -46,7 +46,7 @@
 ) -> str | None:
     """Describe the first converter that is unknown, named twice, or in another open request, or return None."""
     request_by_converter = {
-        name: record.request.name for record in state.requests.values() for name in record.remaining()
+        name: record.request.name for record in state.requests.values() for name in record.remaining_converters()
     }
     seen: set[str] = set()
     for name in converters:
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -112,7 +112,7 @@
             request = record.request
             if request.service == service and request.earliest_ms <= horizon_ms:
                 converters = self.context.agreement.converters
-                sizes = sorted((converters[name].size for name in record.remaining()), reverse=True)
+                sizes = sorted((converters[name].size for name in record.remaining_converters()), reverse=True)
                 requested += sum(sizes[: request.max_unavailable])
         return min(requested, self.context.agreement.max_unavailable_in(service, self.context.region))
 
--- a/tests/test_maintenance_observer.py
+++ b/tests/test_maintenance_observer.py
@@ -41,12 +41,12 @@
     planner = Planner(region.ledger)
     tracker = WarmthTracker({"n00": 2000})
     region.apply(StartDrain("r1/1", granted.token))
-    region.ledger.state.leases["r1/1"].granted_ms = 5_000
+    region.ledger.state.leases["r1/1"].granted_at_ms = 5_000
     tracker.observe(0, 4_000, [ListedConverter("n00", True)])  # a listing from before the grant
     region.apply(ReleaseLease("r1/1", granted.token))
     probes = tracker.observe(3_000, 5_000, [ListedConverter("n00", True)])
     assert planner.observation_command("x", region.ledger.applied, probes) is None
-    assert planner.converters_to_restart(probes) == ["n00"]
+    assert planner.warm_ups_to_restart(probes) == ["n00"]
     tracker.restart_warm_up("n00", 3_000, 5_000)
     early_observation = planner.observation_command(
         "x", region.ledger.applied, tracker.observe(4_999, 5_000, [ListedConverter("n00", True)])
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -68,7 +68,9 @@
     @rule(which_region=PICKS, first_converter=PICKS, count=st.integers(1, 4), max_unavailable=st.integers(1, 4))
     def submit_and_grant(self, which_region: int, first_converter: int, count: int, max_unavailable: int) -> None:
         region = self.pick_region(which_region)
-        requested = {name for record in self.cluster.ledger(region).open_requests() for name in record.remaining()}
+        requested = {
+            name for record in self.cluster.ledger(region).open_requests() for name in record.remaining_converters()
+        }
         available = [
             converter.name
             for converter in self.cluster.agreement.converters_of("convert", region)
@@ -83,11 +85,13 @@
     def grant(self, which_region: int, which_request: int, count: int) -> None:
         ledger = self.cluster.ledger(self.pick_region(which_region))
         unavailable = {name for lease in ledger.open_leases() for name in lease.unavailable}
-        requests = [record for record in ledger.open_requests() if set(record.remaining()) - unavailable]
+        requests = [record for record in ledger.open_requests() if set(record.remaining_converters()) - unavailable]
         if requests:
             record = requests[which_request % len(requests)]
             remaining = record.request.max_unavailable - len(unavailable & set(record.converters))
-            names = [name for name in record.remaining() if name not in unavailable][: max(1, min(count, remaining))]
+            names = [name for name in record.remaining_converters() if name not in unavailable][
+                : max(1, min(count, remaining))
+            ]
             self.name_count += 1
             self.cluster.grant(ledger.region, f"l{self.name_count}", record.request.name, tuple(names))
 
@@ -95,13 +99,13 @@
     def fill_region(self, which_region: int) -> None:
         """Request a lease on each converter separately, so that as many as allowed become unavailable."""
         ledger = self.cluster.ledger(self.pick_region(which_region))
-        requested = {name for record in ledger.open_requests() for name in record.remaining()}
+        requested = {name for record in ledger.open_requests() for name in record.remaining_converters()}
         for converter in ledger.agreement.converters_of("convert", ledger.region):
             if converter.name not in requested:
                 self.name_count += 1
                 self.cluster.submit(ledger.region, f"r{self.name_count}", (converter.name,), 1)
         for record in ledger.open_requests():
-            for name in record.remaining():
+            for name in record.remaining_converters():
                 self.name_count += 1
                 self.cluster.grant(ledger.region, f"l{self.name_count}", record.request.name, (name,))
 
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -32,7 +32,7 @@
     earliest_ms: int = 0,
     deadline_ms: int = 1000,
     priority: Priority = Priority.NORMAL,
-    submitted_ms: int = 0,
+    submitted_at_ms: int = 0,
 ) -> Job:
     submitted_request = request(
         name,
@@ -44,7 +44,10 @@
         priority=priority,
     )
     return Job(
-        submitted_request, tuple(CONVERTERS[converter_name] for converter_name in converters), length_ms, submitted_ms
+        submitted_request,
+        tuple(CONVERTERS[converter_name] for converter_name in converters),
+        length_ms,
+        submitted_at_ms,
     )
 
 
@@ -108,7 +111,7 @@
     (unplaced,) = schedule.unplaced_requests
     assert (unplaced.request, unplaced.late_ms) == ("c", 5)
     assert unplaced.reason.startswith("would end 5 ms after its deadline; waits until 20 ms for the allowance")
-    problem_with_loss = replace(make_problem(make_job("a", "c0")), lost={"c1": 600})
+    problem_with_loss = replace(make_problem(make_job("a", "c0")), lost_by_converter={"c1": 600})
     (unplaced,) = make_schedule(problem_with_loss).unplaced_requests
     assert unplaced.excess == 600 and "while 0.6 is lost" in unplaced.reason
 
@@ -138,7 +141,12 @@
     now_ms = 2 * AGING_INTERVAL_MS
     urgent = [
         make_job(
-            f"u{i}", f"c{i}", deadline_ms=2 * 10**9, priority=Priority.URGENT, submitted_ms=now_ms, earliest_ms=now_ms
+            f"u{i}",
+            f"c{i}",
+            deadline_ms=2 * 10**9,
+            priority=Priority.URGENT,
+            submitted_at_ms=now_ms,
+            earliest_ms=now_ms,
         )
         for i in range(1, 5)
     ]
@@ -210,7 +218,10 @@
         running = [window for window in schedule.windows if window.start_ms <= at_ms < window.end_ms]
         out_of_service = [CONVERTERS[name] for window in running for name in window.converters]
         out_of_service += [
-            converter for lease in problem.active_leases if at_ms < lease.until_ms for converter in lease.converters
+            converter
+            for lease in problem.active_leases
+            if at_ms < lease.expected_end_ms
+            for converter in lease.converters
         ]
         for limit in problem.limits:
             assert sum(converter.size for converter in out_of_service if limit.applies_to(converter)) <= limit.bound
