--- a/ryepier/maintenance/agreement_tables.py
+++ b/ryepier/maintenance/agreement_tables.py
@@ -15,7 +15,7 @@
 AddressText = Annotated[str, msgspec.Meta(pattern=r"^[^:/\s]+:[0-9]{1,5}$")]  # host:port
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # units of capacity
 Size = Annotated[float, msgspec.Meta(ge=0.001, le=1000)]
-WarmUp = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # seconds
+WarmUpSeconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # seconds
 
 
 class FailureTolerance(enum.StrEnum):
@@ -57,7 +57,7 @@
     min_available: Amount = msgspec.field(name="least")
     tolerates: FailureTolerance = msgspec.field(name="survives", default=FailureTolerance.NONE)
     min_allowance: Amount = msgspec.field(name="least_part", default=0.0)
-    warm_up_s: WarmUp = 0.0
+    warm_up_s: WarmUpSeconds = 0.0
     regions: list[ServiceRegionTable]
 
 
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -66,8 +66,8 @@
                 for j, region_table in enumerate(service.regions)
             ]
             self._check_unique(region_names)
-            for key in region_names:
-                self._check_known(key.path, key.name, regions, "region")
+            for keyed_name in region_names:
+                self._check_known(keyed_name.path, keyed_name.name, regions, "region")
 
     def _check_replicas(self) -> None:
         """Check that each region has enough replicas, and that all replicas have unique names and addresses."""
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -15,11 +15,11 @@
 from ryepier.errors import RyepierError
 
 MAX_COMMAND_BYTES = 1024 * 1024
-MAX_NAMES = 10_000  # converters in one command
+MAX_CONVERTERS_PER_COMMAND = 10_000  # converters in one command
 FULL_WARMTH = 1000  # thousandths: the warm-up is complete
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._#/-]{0,199}$")]
-Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_NAMES)]
+Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_CONVERTERS_PER_COMMAND)]
 NonNegative = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 Positive = Annotated[int, msgspec.Meta(ge=1, le=2**53)]
 Warmth = Annotated[int, msgspec.Meta(ge=0, le=FULL_WARMTH)]
@@ -63,7 +63,7 @@
     warmth: Warmth
 
 
-ConverterObservations = Annotated[tuple[ConverterObservation, ...], msgspec.Meta(max_length=MAX_NAMES)]
+ConverterObservations = Annotated[tuple[ConverterObservation, ...], msgspec.Meta(max_length=MAX_CONVERTERS_PER_COMMAND)]
 
 
 class Transfer(msgspec.Struct, frozen=True, order=True, forbid_unknown_fields=True):
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -141,19 +141,19 @@
     while one is in transit to it.
     """
     transfers = []
-    remaining = dict(spare_allowances)
+    remaining_allowances = dict(spare_allowances)
     next_numbers = {peer: escrow.next_number(peer) for peer in peer_needs}
     in_transit = {(transfer.receiver, transfer.service) for transfer in escrow.pending}
     needs = [
         _PeerNeed(-need.deficit, -max(need.deficit, need.shortage), peer, service)
-        for peer, by_service in peer_needs.items()
-        for service, need in by_service.items()
+        for peer, needs_by_service in peer_needs.items()
+        for service, need in needs_by_service.items()
         if (peer, service) not in in_transit
     ]
     for _, negative_need, peer, service in sorted(needs):
-        amount = min(-negative_need, remaining.get(service, 0))
+        amount = min(-negative_need, remaining_allowances.get(service, 0))
         if amount > 0:
             transfers.append(Transfer(region, peer, next_numbers[peer], service, amount))
             next_numbers[peer] += 1
-            remaining[service] -= amount
+            remaining_allowances[service] -= amount
     return transfers
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -19,14 +19,14 @@
 class CapacityChange:
     """A change of how much of a converter is unavailable, through a planned outage or a loss.
 
-    From `at_ms` on, `missing` thousandths of the converter's size are unavailable. A planned outage lasts from the
-    grant or the drain until the converter is warm, and the whole converter counts as missing while `missing` is above
-    0. A loss counts only with the missing share.
+    From `at_ms` on, `missing_share` thousandths of the converter's size are unavailable. A planned outage lasts from the
+    grant or the drain until the converter is warm; the whole converter counts as missing as long as `missing_share` is
+    above 0. A loss counts only with its share.
     """
 
     at_ms: int
     converter: str
-    missing: int
+    missing_share: int
     planned: bool
 
 
@@ -42,17 +42,17 @@
 
     def __str__(self) -> str:
         """Describe the breach in one line."""
-        where = f" in {self.region}" if self.region else ""
+        scope = f" in {self.region}" if self.region else ""
         amounts = f"{self.available} available, {self.min_available} agreed (thousandths)"
-        return f"{self.at_ms} ms: {self.service}{where}: {amounts}"
+        return f"{self.at_ms} ms: {self.service}{scope}: {amounts}"
 
 
 @dataclass(frozen=True, slots=True)
 class _Loss:
     """The share of a converter that is lost, in thousandths, and the time since which it has been unavailable."""
 
-    missing: int
-    since_ms: int
+    missing_share: int
+    began_at_ms: int
 
 
 class _ChangeKey(NamedTuple):
@@ -74,7 +74,7 @@
     def apply(self, change: CapacityChange) -> list[Breach]:
         """Record a change; return the breaches if planned outages alone now exceed what the agreement allows."""
         self._record(change)
-        if not (change.planned and change.missing):
+        if not (change.planned and change.missing_share):
             return []
         return self._check(change, {})
 
@@ -85,29 +85,29 @@
 
         A loss is known once it has lasted for `detection_delay_ms`. The change must not have been recorded before.
         """
-        lost = {
-            name: loss.missing
+        lost_shares = {
+            name: loss.missing_share
             for name, loss in self._losses.items()
-            if loss.since_ms + detection_delay_ms <= change.at_ms
+            if loss.began_at_ms + detection_delay_ms <= change.at_ms
         }
         self._record(change)
-        return [breach for breach in self._check(change, lost) if include_global or breach.region]
+        return [breach for breach in self._check(change, lost_shares) if include_global or breach.region]
 
     def _record(self, change: CapacityChange) -> None:
         """Update the planned outages or the losses."""
         if change.planned:
             self._planned_outages.discard(change.converter)
-            if change.missing:
+            if change.missing_share:
                 self._planned_outages.add(change.converter)
-        elif change.missing:
+        elif change.missing_share:
             earlier_loss = self._losses.get(change.converter)
             self._losses[change.converter] = _Loss(
-                change.missing, earlier_loss.since_ms if earlier_loss else change.at_ms
+                change.missing_share, earlier_loss.began_at_ms if earlier_loss else change.at_ms
             )
         else:
             self._losses.pop(change.converter, None)
 
-    def _check(self, change: CapacityChange, lost: dict[str, int]) -> list[Breach]:
+    def _check(self, change: CapacityChange, lost_shares: dict[str, int]) -> list[Breach]:
         """Compare the available capacity of the changed converter's service with its global and regional minimums."""
         converter = self.agreement.converters[change.converter]
         service = self.agreement.services[converter.service]
@@ -117,27 +117,29 @@
                 change.at_ms,
                 service.name,
                 "",
-                self._available_capacity(service.name, None, lost),
+                self._available_capacity(service.name, None, lost_shares),
                 service.min_available,
             ),
             Breach(
                 change.at_ms,
                 service.name,
                 region,
-                self._available_capacity(service.name, region, lost),
+                self._available_capacity(service.name, region, lost_shares),
                 service.min_available_by_region.get(region, 0),
             ),
         ]
         return [breach for breach in breaches if breach.available < breach.min_available]
 
-    def _available_capacity(self, service: str, region: str | None, lost: dict[str, int]) -> int:
+    def _available_capacity(self, service: str, region: str | None, lost_shares: dict[str, int]) -> int:
         """Return the available capacity of a service, in one region or in all.
 
         The largest zone is subtracted if its loss must be tolerated.
         """
         zone_capacities: dict[Zone, int] = {}
         for converter in self.agreement.converters_of(service, region):
-            available_share = 0 if converter.name in self._planned_outages else FULL_SHARE - lost.get(converter.name, 0)
+            available_share = (
+                0 if converter.name in self._planned_outages else FULL_SHARE - lost_shares.get(converter.name, 0)
+            )
             zone = Zone(converter.region, converter.zone)
             zone_capacities[zone] = zone_capacities.get(zone, 0) + converter.size * available_share // FULL_SHARE
         available = sum(zone_capacities.values())
@@ -162,7 +164,7 @@
     """
     checker = AgreementChecker(agreement)
     for change in sorted(changes, key=_sort_key):
-        if change.planned and change.missing:
+        if change.planned and change.missing_share:
             yield from checker.check_grant(change, detection_delay_ms)
         else:
             checker.apply(change)
@@ -170,4 +172,4 @@
 
 def _sort_key(change: CapacityChange) -> _ChangeKey:
     """Return the key that sorts changes by time."""
-    return _ChangeKey(change.at_ms, change.missing > 0)
+    return _ChangeKey(change.at_ms, change.missing_share > 0)
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -28,9 +28,9 @@
 
     def grant(self, command: GrantLease) -> Result:
         """Grant a lease if the request is open and every limit holds with the lease's converters out of service."""
-        existing = self.state.leases.get(command.lease)
-        if existing is not None:
-            return self._repeat_grant(existing, command)
+        existing_lease = self.state.leases.get(command.lease)
+        if existing_lease is not None:
+            return self._repeat_grant(existing_lease, command)
         reason = self._grant_rejection(command)
         if reason:
             return Rejected(f"lease {command.lease!r}: {reason}")
@@ -45,7 +45,7 @@
             granted_at_ms=self.state.now_ms,
         )
         self.state.leases[lease.name] = lease
-        return _granted(lease)
+        return _granted_result(lease)
 
     def _repeat_grant(self, lease: Lease, command: GrantLease) -> Result:
         """Answer a repeated grant: return the same lease if it is still granted or draining."""
@@ -54,7 +54,7 @@
             return Rejected(f"lease {lease.name!r} already exists with different content")
         if lease.state not in (LeaseState.GRANTED, LeaseState.DRAINING):
             return Rejected(f"lease {lease.name!r} is {lease.state}")
-        return _granted(lease)
+        return _granted_result(lease)
 
     def _grant_rejection(self, command: GrantLease) -> str | None:
         """Return why a new lease cannot be granted, in one line, or None if it can."""
@@ -72,11 +72,11 @@
             if name in leased_names:
                 return f"converter {name!r} is already out of service"
         request = record.request
-        outages = sum(len(lease.unavailable) for lease in self.context.leases_of(request.name))
-        outages += len(command.converters)
-        if outages > request.max_unavailable:
+        outage_count = sum(len(lease.unavailable) for lease in self.context.leases_of(request.name))
+        outage_count += len(command.converters)
+        if outage_count > request.max_unavailable:
             return (
-                f"{outages} converters of request {request.name!r} would be out of service; "
+                f"{outage_count} converters of request {request.name!r} would be out of service; "
                 f"at most {request.max_unavailable} may be"
             )
         return self.context.view.first_exceeded_limit(request.service, leased_names | set(command.converters))
@@ -87,7 +87,7 @@
         if lease is None:
             return Rejected(f"lease {command.lease!r} is not open")
         if _is_repeated_take_over(command, lease):
-            return _granted(lease)
+            return _granted_result(lease)
         if not isinstance(command, RevokeLease) and command.token != lease.token:
             return Rejected(f"lease {lease.name!r}: token {command.token} is not the current one, {lease.token}")
         event = LEASE_EVENTS[type(command)]
@@ -104,7 +104,7 @@
                 lease.state = next_state
                 return DrainStarted(lease.name)
             case ReleaseLease():
-                self.context.end_agent_hold(lease, next_state)
+                self.context.begin_recovery(lease, next_state)
                 return Released(lease.name, tuple(lease.unavailable))
 
     def _take_over(self, lease: Lease, agent: str) -> Result:
@@ -112,7 +112,7 @@
         lease.previous_token = lease.token
         lease.token = self.context.next_token()
         lease.agent = agent
-        return _granted(lease)
+        return _granted_result(lease)
 
 
 def _is_repeated_take_over(command: LeaseCommand, lease: Lease) -> bool:
@@ -120,6 +120,6 @@
     return isinstance(command, TakeOverLease) and command.agent == lease.agent and command.token == lease.previous_token
 
 
-def _granted(lease: Lease) -> Granted:
+def _granted_result(lease: Lease) -> Granted:
     """Return the result that tells an agent about its lease."""
     return Granted(lease.name, lease.agent, lease.token, lease.converters)
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -34,7 +34,7 @@
         self.state.last_token += 1
         return self.state.last_token
 
-    def end_agent_hold(self, lease: Lease, next_state: LeaseState) -> None:
+    def begin_recovery(self, lease: Lease, next_state: LeaseState) -> None:
         """End the agent's right to take converters down.
 
         Only observations that begin after this point can then close the lease.
@@ -45,18 +45,18 @@
 
     def revoke(self, lease: Lease) -> None:
         """Revoke a lease; its drain must not have started."""
-        self.end_agent_hold(lease, LeaseState.REVOKED)
+        self.begin_recovery(lease, LeaseState.REVOKED)
 
     def revoke_leases_below_agreement(self) -> tuple[str, ...]:
         """Revoke all leases with no started drain, for each service below its agreed capacity; return their names."""
-        revoked = []
+        revoked_names = []
         for service in self.agreement.services:
-            granted = self._granted_leases(service)
-            if granted and self.is_below_agreement(service):
-                for lease in granted:
+            granted_leases = self._granted_leases(service)
+            if granted_leases and self.is_below_agreement(service):
+                for lease in granted_leases:
                     self.revoke(lease)
-                    revoked.append(lease.name)
-        return tuple(revoked)
+                    revoked_names.append(lease.name)
+        return tuple(revoked_names)
 
     def _granted_leases(self, service: str) -> list[Lease]:
         """Return the leases on a service's converters whose drain has not started."""
@@ -72,14 +72,14 @@
         del self.state.leases[lease.name]
         self.complete_if_finished(self.state.requests[lease.request])
 
-    def complete_if_finished(self, record: RequestRecord, *, missed: bool = False) -> bool:
+    def complete_if_finished(self, record: RequestRecord, *, deadline_passed: bool = False) -> bool:
         """Move a request to the completed requests if it has no open lease and needs none; return whether it was moved.
 
         A request needs no further lease if it is cancelled, all its converters are done, or its deadline has passed
-        (`missed`).
+        (`deadline_passed`).
         """
         name = record.request.name
-        if self.leases_of(name) or not (record.cancelled or missed or not record.remaining_converters()):
+        if self.leases_of(name) or not (record.cancelled or deadline_passed or not record.remaining_converters()):
             return False
         del self.state.requests[name]
         self.state.completed[name] = record.request
--- a/ryepier/maintenance/limits.py
+++ b/ryepier/maintenance/limits.py
@@ -39,6 +39,6 @@
         return (Limit(name, service, max_unavailable),)
     zone_capacities = agreement.zone_capacities(service, region)
     return tuple(
-        Limit(f"{name} without zone {zone.name!r}", service, max_unavailable - size, zone.name)
-        for zone, size in sorted(zone_capacities.items())
+        Limit(f"{name} without zone {zone.name!r}", service, max_unavailable - zone_capacity, zone.name)
+        for zone, zone_capacity in sorted(zone_capacities.items())
     )
--- a/ryepier/maintenance/observation_commands.py
+++ b/ryepier/maintenance/observation_commands.py
@@ -26,14 +26,14 @@
         if reason:
             return Rejected(f"observation {command.sequence} of {command.observer!r}: {reason}")
         self.state.observers[command.observer] = command.sequence
-        closed: list[str] = []
+        closed_leases: list[str] = []
         for observation in command.observations:
             observed = ObservedState(observation.ready, observation.warmth, command.as_of)
             last_observed = self.state.observed.get(observation.converter)
             if last_observed is None or last_observed.as_of <= observed.as_of:
                 self.state.observed[observation.converter] = observed
-                closed += self.mark_recovered(observation.converter, observed)
-        return Observed(tuple(closed), self.context.revoke_leases_below_agreement())
+                closed_leases += self.mark_recovered(observation.converter, observed)
+        return Observed(tuple(closed_leases), self.context.revoke_leases_below_agreement())
 
     def _observation_rejection(self, command: RecordObservation) -> str | None:
         """Return why an observation cannot be recorded, in one line, or None if it can."""
@@ -50,7 +50,7 @@
 
     def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
         """Remove a converter that was observed ready and warm from its lease; return the names of closed leases."""
-        closed = []
+        closed_leases = []
         for lease in list(self.state.leases.values()):
             next_state = LEASE_TABLE.next_state(lease.state, LeaseEvent.ALL_RECOVERED)
             if converter not in lease.unavailable or next_state is None:
@@ -58,9 +58,9 @@
             if self.context.view.is_recovered(observed) and observed.as_of >= lease.released_index:
                 self._return_converter(lease, converter)
                 if not lease.unavailable:
-                    closed.append(lease.name)
+                    closed_leases.append(lease.name)
                     self.context.close(lease)
-        return closed
+        return closed_leases
 
     def _return_converter(self, lease: Lease, converter: str) -> None:
         """Stop charging a converter to its lease, and count it as done for the request unless the lease was revoked."""
@@ -72,9 +72,9 @@
         """Record the needs that another region reported, unless a newer or equal report has been recorded."""
         if command.region == self.context.region or command.region not in self.context.agreement.regions:
             return Rejected(f"standing of {command.region!r}: not another region of the agreement")
-        unknown = sorted(set(command.needs) - set(self.context.agreement.services))
-        if unknown:
-            return Rejected(f"standing of {command.region!r}: unknown service {unknown[0]!r}")
+        unknown_services = sorted(set(command.needs) - set(self.context.agreement.services))
+        if unknown_services:
+            return Rejected(f"standing of {command.region!r}: unknown service {unknown_services[0]!r}")
         last_report = self.state.peers.get(command.region)
         if last_report is not None and command.number <= last_report.number:
             return Rejected(f"standing of {command.region!r}: number {last_report.number} was recorded before")
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -38,10 +38,10 @@
     """
 
     work: tuple[int, ...]
-    negative_ends_ms: int
+    negative_end_sum_ms: int
 
 
-class _GapSearch(NamedTuple):
+class _GapConstraint(NamedTuple):
     """A usage profile, and the highest level it may have when a converter is added to it."""
 
     profile: UsageProfile
@@ -62,9 +62,9 @@
         self._usage = {limit: UsageProfile(self._lost_capacity(limit)) for limit in problem.limits}
         self._concurrent_outages = {job.request.name: UsageProfile(0) for job in order}
         self._charge_active_leases()
-        frozen = self._place_frozen()
+        frozen_placements = self._place_frozen_windows()
         for job in order:
-            self._place_job(job, frozen.get(job.request.name, []))
+            self._place_job(job, frozen_placements.get(job.request.name, []))
 
     def job(self, name: str) -> Job:
         """Return the job of a request."""
@@ -76,15 +76,15 @@
 
     def score(self) -> Score:
         """Return the score by which attempts are compared."""
-        unplaced = set(self.unplaced_names())
+        unplaced_names = set(self.unplaced_names())
         work = [0] * len(Priority)
         for job in self.order:
-            if job.request.name not in unplaced:
+            if job.request.name not in unplaced_names:
                 work[self.problem.priority(job)] += job.work()
-        ends_ms = sum(
+        end_sum_ms = sum(
             placement.end_ms for placements in self._placements_by_request.values() for placement in placements
         )
-        return Score(tuple(work), -ends_ms)
+        return Score(tuple(work), -end_sum_ms)
 
     def schedule(self) -> Schedule:
         """Return the schedule of this attempt, with its windows in the order of their start times."""
@@ -139,12 +139,12 @@
         if placement.request in self._concurrent_outages:
             self._concurrent_outages[placement.request].add(placement.start_ms, placement.end_ms, sign)
 
-    def _place_frozen(self) -> dict[str, list[Placement]]:
+    def _place_frozen_windows(self) -> dict[str, list[Placement]]:
         """Place windows of the previous schedule that are about to start unchanged, as far as they still fit.
 
         Returns the placements by request.
         """
-        frozen: dict[str, list[Placement]] = {}
+        frozen_placements: dict[str, list[Placement]] = {}
         jobs = {job.request.name: job for job in self.order}
         frozen_until_ms = self.problem.now_ms + FREEZE_MS
         for window in self.problem.previous_windows:
@@ -153,8 +153,10 @@
                 continue
             for converter in job.converters:
                 if converter.name in window.converters and self._fits_at(job, converter, window.start_ms):
-                    frozen.setdefault(window.request, []).append(self._place(job, converter, window.start_ms))
-        return frozen
+                    frozen_placements.setdefault(window.request, []).append(
+                        self._place(job, converter, window.start_ms)
+                    )
+        return frozen_placements
 
     def _fits_at(self, job: Job, converter: Converter, start_ms: int) -> bool:
         """Return whether a converter can be taken out of service at a time."""
@@ -207,16 +209,16 @@
 
         Returns None if there is no such time.
         """
-        gap_searches = [
-            _GapSearch(self._usage[limit], limit.bound - self._added_charge(converter))
+        constraints = [
+            _GapConstraint(self._usage[limit], limit.bound - self._added_charge(converter))
             for limit in self._limits_of(converter)
         ]
-        gap_searches.append(_GapSearch(self._concurrent_outages[job.request.name], job.request.max_unavailable - 1))
+        constraints.append(_GapConstraint(self._concurrent_outages[job.request.name], job.request.max_unavailable - 1))
         start_ms = from_ms
         while True:
             previous_start_ms = start_ms
-            for search in gap_searches:
-                next_start_ms = search.profile.earliest_gap(start_ms, job.length_ms, search.max_level)
+            for constraint in constraints:
+                next_start_ms = constraint.profile.earliest_gap(start_ms, job.length_ms, constraint.max_level)
                 if next_start_ms is None:
                     return None
                 start_ms = next_start_ms
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -33,8 +33,8 @@
         if self.scheduled_index != self.ledger.applied:
             self.scheduled_index = self.ledger.applied
             frozen_until_ms = self.ledger.now_ms + self.freeze_ms
-            frozen = [window for window in self.schedule.windows if window.start_ms < frozen_until_ms]
-            self.schedule = make_schedule(build_problem(self.ledger, frozen))
+            frozen_windows = [window for window in self.schedule.windows if window.start_ms < frozen_until_ms]
+            self.schedule = make_schedule(build_problem(self.ledger, frozen_windows))
         return self.schedule
 
     def due_window(self) -> Window | None:
--- a/ryepier/maintenance/request_commands.py
+++ b/ryepier/maintenance/request_commands.py
@@ -21,9 +21,9 @@
     def submit(self, command: SubmitRequest) -> Result:
         """Open a request. An identical repetition is accepted; a different request with the same name is rejected."""
         request = command.request
-        existing = self._find_request(request.name)
-        if existing is not None:
-            if existing == request:
+        existing_request = self._find_request(request.name)
+        if existing_request is not None:
+            if existing_request == request:
                 return Accepted(request.name)
             return Rejected(f"request {request.name!r} already exists with different content")
         converters = submission.requested_converters(self.context.agreement, request)
@@ -46,11 +46,11 @@
             is_completed = name in self.state.completed
             return Cancelled(name) if is_completed else Rejected(f"request {name!r} is unknown")
         record.cancelled = True
-        granted = [lease for lease in self.context.leases_of(name) if lease.state is LeaseState.GRANTED]
-        for lease in granted:
+        granted_leases = [lease for lease in self.context.leases_of(name) if lease.state is LeaseState.GRANTED]
+        for lease in granted_leases:
             self.context.revoke(lease)
         self.context.complete_if_finished(record)
-        return Cancelled(name, tuple(lease.name for lease in granted))
+        return Cancelled(name, tuple(lease.name for lease in granted_leases))
 
     def advance_time(self, now_ms: int) -> Result:
         """Advance the region's time, which never goes back, and complete requests whose deadline has passed.
@@ -58,9 +58,9 @@
         A request with open leases stays open until they are closed.
         """
         self.state.now_ms = max(self.state.now_ms, now_ms)
-        missed = []
+        missed_requests = []
         for record in list(self.state.requests.values()):
             is_overdue = record.request.deadline_ms < self.state.now_ms
-            if is_overdue and self.context.complete_if_finished(record, missed=True):
-                missed.append(record.request.name)
-        return Advanced(self.state.now_ms, tuple(missed))
+            if is_overdue and self.context.complete_if_finished(record, deadline_passed=True):
+                missed_requests.append(record.request.name)
+        return Advanced(self.state.now_ms, tuple(missed_requests))
--- a/ryepier/maintenance/scheduler.py
+++ b/ryepier/maintenance/scheduler.py
@@ -46,27 +46,27 @@
 
     Stops after `MAX_ORDERS` orders or about `MAX_PLACEMENTS` placements.
     """
-    infeasible = {
+    infeasible_names = {
         name for name in best.unplaced_names() if PlacementAttempt(problem, [best.job(name)]).unplaced_requests
     }
     converter_count = sum(len(job.converters) for job in problem.jobs)
     remaining_attempts = min(MAX_ORDERS, MAX_PLACEMENTS // converter_count)
-    orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible)
+    orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible_names)
     while remaining_attempts > 0 and (order := next(orders, None)) is not None:
         attempt = PlacementAttempt(problem, order)
         remaining_attempts -= 1
         if attempt.score() > best.score():
             best = attempt
-            orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible)
+            orders = _orders_with_unplaced_moved_earlier(problem, best, infeasible_names)
     return best
 
 
 def _orders_with_unplaced_moved_earlier(
-    problem: SchedulingProblem, attempt: PlacementAttempt, infeasible: set[str]
+    problem: SchedulingProblem, attempt: PlacementAttempt, infeasible_names: set[str]
 ) -> Iterator[list[Job]]:
     """Yield the attempt's order with each unplaced request moved to each earlier position of a job of its priority."""
     for name in attempt.unplaced_names():
-        if name in infeasible:
+        if name in infeasible_names:
             continue
         job = attempt.job(name)
         other_jobs = [other for other in attempt.order if other is not job]
@@ -96,5 +96,5 @@
 
 def _slack_ms(problem: SchedulingProblem, job: Job) -> int:
     """Return by how much a request could start later and still meet its deadline."""
-    rounds = -(-len(job.converters) // job.request.max_unavailable)
-    return job.request.deadline_ms - problem.desired_start_ms(job) - rounds * job.length_ms
+    round_count = -(-len(job.converters) // job.request.max_unavailable)
+    return job.request.deadline_ms - problem.desired_start_ms(job) - round_count * job.length_ms
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -109,8 +109,8 @@
 
     def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
         """Treat the observation as if it began at the current log index."""
-        current = ObservedState(observed.ready, observed.warmth, self.state.applied)
-        return super().mark_recovered(converter, current)
+        current_state = ObservedState(observed.ready, observed.warmth, self.state.applied)
+        return super().mark_recovered(converter, current_state)
 
 
 class StaleObservationLedger(Ledger):
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -35,49 +35,48 @@
         return f"{MAX_OPEN_REQUESTS} requests are open, which is the maximum"
     service = agreement.services[request.service]
     return (
-        _invalid_converter(agreement, state, request, converters)
-        or _insufficient_time(state, service, request, converters)
-        or _oversized_converter(agreement, request, converters)
+        _converter_rejection(agreement, state, request, converters)
+        or _time_rejection(state, service, request, converters)
+        or _size_rejection(agreement, request, converters)
     )
 
 
-def _invalid_converter(
+def _converter_rejection(
     agreement: Agreement, state: LedgerState, request: Request, converters: ConverterNames
 ) -> str | None:
     """Describe the first converter that is unknown, named twice, or in another open request, or return None."""
     request_by_converter = {
         name: record.request.name for record in state.requests.values() for name in record.remaining_converters()
     }
-    seen: set[str] = set()
+    seen_names: set[str] = set()
     for name in converters:
         converter = agreement.converters.get(name)
         if converter is None or (converter.region, converter.service) != (request.region, request.service):
             return f"converter {name!r} does not belong to service {request.service!r} in region {request.region!r}"
-        if name in seen:
+        if name in seen_names:
             return f"converter {name!r} is named twice"
         if name in request_by_converter:
             return f"converter {name!r} is already in request {request_by_converter[name]!r}"
-        seen.add(name)
+        seen_names.add(name)
     return None
 
 
-def _insufficient_time(
-    state: LedgerState, service: Service, request: Request, converters: ConverterNames
-) -> str | None:
+def _time_rejection(state: LedgerState, service: Service, request: Request, converters: ConverterNames) -> str | None:
     """Describe by how much the time until the deadline is too short even without other outages, or return None."""
     if request.deadline_ms <= state.now_ms:
         return f"its deadline passed {state.now_ms - request.deadline_ms} ms ago"
-    rounds = -(-len(converters) // request.max_unavailable)
-    needed_ms = rounds * (request.duration_ms + service.warm_up_ms)
+    round_count = -(-len(converters) // request.max_unavailable)
+    needed_ms = round_count * (request.duration_ms + service.warm_up_ms)
     available_ms = request.deadline_ms - max(request.earliest_ms, state.now_ms)
     if needed_ms <= available_ms:
         return None
     return (
-        f"needs {needed_ms} ms for {rounds} rounds and has {available_ms} ms, {needed_ms - available_ms} ms too little"
+        f"needs {needed_ms} ms for {round_count} rounds and has {available_ms} ms, "
+        f"{needed_ms - available_ms} ms too little"
     )
 
 
-def _oversized_converter(agreement: Agreement, request: Request, converters: ConverterNames) -> str | None:
+def _size_rejection(agreement: Agreement, request: Request, converters: ConverterNames) -> str | None:
     """Describe the first converter that is too large to be out of service even on its own, or return None."""
     max_unavailable = min(
         agreement.max_unavailable(request.service), agreement.max_unavailable_in(request.service, request.region)
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -49,9 +49,9 @@
         if self.is_credited(transfer):
             return Credited(transfer)
         new_allowance = self.state.escrow.allowances[transfer.service] + transfer.amount
-        total = self.context.agreement.max_unavailable(transfer.service)
-        if new_allowance > total:
-            excess = format_capacity(new_allowance - total)
+        total_allowance = self.context.agreement.max_unavailable(transfer.service)
+        if new_allowance > total_allowance:
+            excess = format_capacity(new_allowance - total_allowance)
             name = escrow.format_transfer(transfer)
             return Rejected(f"transfer {name}: {excess} more than the total of all allowances")
         self.state.escrow.credit(transfer)
@@ -85,8 +85,8 @@
     def due_transfers(self) -> list[Transfer]:
         """Return the transfers that this region should debit to cover the needs reported by its peers."""
         spare_allowances = {service: self._spare_allowance(service) for service in self.context.agreement.services}
-        peers = {name: peer.needs for name, peer in self.state.peers.items()}
-        return escrow.plan_transfers(self.context.region, self.state.escrow, spare_allowances, peers)
+        peer_needs = {name: peer.needs for name, peer in self.state.peers.items()}
+        return escrow.plan_transfers(self.context.region, self.state.escrow, spare_allowances, peer_needs)
 
     def capacity_need(self, service: str) -> CapacityNeed:
         """Return the need for a service to report to the other regions."""
@@ -106,15 +106,15 @@
 
         It is capped at the capacity that may be unavailable in this region.
         """
-        requested = 0
+        requested_capacity = 0
         horizon_ms = self.state.now_ms + REBALANCE_HORIZON_MS
         for record in self.state.open_requests():
             request = record.request
             if request.service == service and request.earliest_ms <= horizon_ms:
                 converters = self.context.agreement.converters
                 sizes = sorted((converters[name].size for name in record.remaining_converters()), reverse=True)
-                requested += sum(sizes[: request.max_unavailable])
-        return min(requested, self.context.agreement.max_unavailable_in(service, self.context.region))
+                requested_capacity += sum(sizes[: request.max_unavailable])
+        return min(requested_capacity, self.context.agreement.max_unavailable_in(service, self.context.region))
 
     def _capacity(self, service: str) -> Capacity:
         """Return the current capacity of a service in this region."""
--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -41,40 +41,40 @@
     return Request(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-def observation(sequence: int, as_of: int, *observations: ConverterObservation) -> Command:
+def observation_command(sequence: int, as_of: int, *observations: ConverterObservation) -> Command:
     """Return the command that records an observation by the observer `north-0`."""
     return commands.RecordObservation("north-0", sequence, as_of, observations)
 
 
-def ready(*names: str) -> tuple[ConverterObservation, ...]:
+def ready_observations(*names: str) -> tuple[ConverterObservation, ...]:
     """Return observations of these converters as ready and warm."""
     return tuple(ConverterObservation(name, True, commands.FULL_WARMTH) for name in names)
 
 
-def log() -> list[Command]:
+def example_log() -> list[Command]:
     """Return a log with every type of command, after which the ledger has a lease in every open state."""
-    return [*closed_lease_entries(), *transfer_entries(), *open_lease_entries(), *loss_entries()]
+    return [*closed_lease_commands(), *transfer_commands(), *open_lease_commands(), *loss_commands()]
 
 
-def closed_lease_entries() -> list[Command]:
+def closed_lease_commands() -> list[Command]:
     """Return the commands of a lease from its request until it is closed, then two more requests."""
     return [
         commands.SubmitRequest(request("early", ("n00",))),
         commands.GrantLease("too-early", "early", "agent-1", ("n00",)),  # nothing has been observed yet
-        observation(1, 2, *ready(*NORTH_CONVERTERS, "p0", "p1")),
+        observation_command(1, 2, *ready_observations(*NORTH_CONVERTERS, "p0", "p1")),
         commands.AdvanceTime(1_500),
         commands.GrantLease("l1", "early", "agent-1", ("n00",)),
         commands.TakeOverLease("l1", "agent-2", 1),
         commands.StartDrain("l1", 1),
         commands.StartDrain("l1", 2),
         commands.ReleaseLease("l1", 2),
-        observation(2, 9, *ready("n00")),
+        observation_command(2, 9, *ready_observations("n00")),
         commands.SubmitRequest(request("zone", (), zone="z0", max_unavailable=3, priority=Priority.URGENT)),
         commands.SubmitRequest(request("pair", ("n10", "n11"), max_unavailable=2, priority=Priority.CONVENIENT)),
     ]
 
 
-def transfer_entries() -> list[Command]:
+def transfer_commands() -> list[Command]:
     """Return commands for transfers that are reordered, repeated, acknowledged, pending and rejected."""
     acknowledged_transfer = Transfer("north", "south", 1, "convert", 250)
     return [
@@ -88,7 +88,7 @@
     ]
 
 
-def open_lease_entries() -> list[Command]:
+def open_lease_commands() -> list[Command]:
     """Return commands for leases in every open state, and for requests that are cancelled or miss their deadline."""
     return [
         commands.GrantLease("l2", "zone", "agent-1", ("n00",)),
@@ -109,14 +109,14 @@
     ]
 
 
-def loss_entries() -> list[Command]:
+def loss_commands() -> list[Command]:
     """Return observations that close leases, and one of a loss that revokes a lease."""
     return [
-        observation(3, 34, *ready("n10", "n11")),
+        observation_command(3, 34, *ready_observations("n10", "n11")),
         commands.GrantLease("l6", "zone", "agent-1", ("n02",)),
-        observation(4, 36, ConverterObservation("n12", False, 0), ConverterObservation("n11", True, 400)),
-        observation(4, 37, *ready("n12")),
-        observation(5, 38, *ready("n12", "n11")),
+        observation_command(4, 36, ConverterObservation("n12", False, 0), ConverterObservation("n11", True, 400)),
+        observation_command(4, 37, *ready_observations("n12")),
+        observation_command(5, 38, *ready_observations("n12", "n11")),
         commands.SubmitRequest(request("open", ("n11",), earliest_ms=5_000)),
         commands.GrantLease("l7", "open", "agent-1", ("n11",)),
     ]
@@ -125,20 +125,20 @@
 def results_of_log() -> list[results.Result]:
     """Return the result of each entry of the log."""
     ledger = Ledger(AGREEMENT, REGION)
-    return [ledger.apply(index, command) for index, command in enumerate(log(), 1)]
+    return [ledger.apply(index, command) for index, command in enumerate(example_log(), 1)]
 
 
 def snapshot() -> bytes:
     """Return the snapshot after the log."""
     ledger = Ledger(AGREEMENT, REGION)
-    for index, command in enumerate(log(), 1):
+    for index, command in enumerate(example_log(), 1):
         ledger.apply(index, command)
     return ledger.snapshot()
 
 
 def state_file() -> bytes:
     """Return a replica's state file: an entry that a later leader replaced, followed by the log."""
-    entries = tuple(Entry(3, commands.encode(command)) for command in log())
+    entries = tuple(Entry(3, commands.encode(command)) for command in example_log())
     with tempfile.TemporaryDirectory() as folder_name:
         folder = Path(folder_name)
         storage.create(folder, IDENTITY)
@@ -156,7 +156,7 @@
         api.PeerHello(api.VERSION, "north", "north-0", AGREEMENT.digest),
         messages.RequestVote(3, 9, 2),
         messages.VoteResponse(3, True),
-        messages.AppendEntries(3, 9, 2, (Entry(3, b""), Entry(3, commands.encode(log()[3]))), 9),
+        messages.AppendEntries(3, 9, 2, (Entry(3, b""), Entry(3, commands.encode(example_log()[3]))), 9),
         messages.AppendEntries(3, 11, 3, (), 11),
         messages.AppendResponse(3, False, 4),
         messages.RecoveryRequest(2**62 + 1),
@@ -168,7 +168,7 @@
     """Return frames from operators, agents and other regions, and the replies to them."""
     hellos: list[api.Frame] = [api.ClientHello(api.VERSION, "north", "someone", kind) for kind in api.ClientKind]
     calls: list[api.Frame] = [
-        api.CommandCall(1, commands.encode(log()[0])),
+        api.CommandCall(1, commands.encode(example_log()[0])),
         api.LeaseCall(2, "l1"),
         api.StatusCall(3),
     ]
@@ -213,19 +213,19 @@
     return [*calls, fleet.FleetReply(), fleet.FleetReply("token 3 is old", 4, "n00.1")]
 
 
-def formats() -> dict[str, bytes]:
+def fixture_bytes() -> dict[str, bytes]:
     """Return the bytes of all fixtures by name."""
-    formats_by_name = {f"log/{index}": commands.encode(command) for index, command in enumerate(log(), 1)}
-    formats_by_name["snapshot"] = snapshot()
-    formats_by_name["state-file"] = state_file()
+    bytes_by_name = {f"log/{index}": commands.encode(command) for index, command in enumerate(example_log(), 1)}
+    bytes_by_name["snapshot"] = snapshot()
+    bytes_by_name["state-file"] = state_file()
     for number, frame in enumerate([*replica_frames(), *call_frames()]):
-        formats_by_name[f"frame/{number}"] = transport.encode(frame)
+        bytes_by_name[f"frame/{number}"] = transport.encode(frame)
     for number, message in enumerate(fleet_messages()):
-        formats_by_name[f"fleet/{number}"] = msgspec.msgpack.encode(message)
-    formats_by_name["status-json"] = msgspec.json.encode(status())
-    return formats_by_name
+        bytes_by_name[f"fleet/{number}"] = msgspec.msgpack.encode(message)
+    bytes_by_name["status-json"] = msgspec.json.encode(status())
+    return bytes_by_name
 
 
 if __name__ == "__main__":
-    for name, data in formats().items():
+    for name, data in fixture_bytes().items():
         print(name, data.hex())
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -57,12 +57,12 @@
 # 12 converters of size 1: n00..n02 and n10..n12 in north, s00..s02 and s10..s12 in south
 AGREEMENT_TEXT = SERVICE_TEXT + regions_text() + converters_text()
 
-WEST_TEXT = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
+WEST_SERVICE_TEXT = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
 THREE_REGIONS = ("north", "south", "west")
 AGREEMENT_TEXTS = (
     AGREEMENT_TEXT,
     SERVICE_TEXT.replace("least = 8", "least = 12")
-    + WEST_TEXT
+    + WEST_SERVICE_TEXT
     + regions_text(THREE_REGIONS)
     + converters_text(THREE_REGIONS),
     AGREEMENT_TEXT.replace("least = 2", "least = 4"),
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -12,7 +12,7 @@
 from tests.maintenance_world import AGREEMENT_TEXT, small_agreement
 
 
-def problems(data: bytes) -> list[str]:
+def reported_problems(data: bytes) -> list[str]:
     with pytest.raises(AgreementError) as error_info:
         agreement_file.parse(data)
     return [str(problem) for problem in error_info.value.problems]
@@ -87,7 +87,7 @@
 def test_an_error_is_reported_with_its_key_and_line(old: str, new: str, key: str, message: str) -> None:
     text = AGREEMENT_TEXT.replace(old, new, 1)
     assert text != AGREEMENT_TEXT
-    reported = problems(text.encode())
+    reported = reported_problems(text.encode())
     assert any(f" {key}: " in problem and message in problem and problem.startswith("line ") for problem in reported), (
         reported
     )
@@ -96,20 +96,23 @@
 
 def test_a_problem_has_the_line_of_its_key() -> None:
     text = AGREEMENT_TEXT.replace("least = 8", "least = 13")
-    assert problems(text.encode())[0].startswith(f"line {line_of(text, 'least = 13')}: services[0].least: ")
+    assert reported_problems(text.encode())[0].startswith(f"line {line_of(text, 'least = 13')}: services[0].least: ")
     text = AGREEMENT_TEXT.replace('name = "s11"', 'name = "s10"')
-    assert problems(text.encode())[0].startswith(
+    assert reported_problems(text.encode())[0].startswith(
         f"line {text[: text.rindex('s10')].count(chr(10)) + 1}: converters[10]"
     )
 
 
 def test_missing_replicas_and_unlisted_regions_are_reported() -> None:
     last_replica = '[[regions.replicas]]\nname = "north-2"\naddress = "127.0.0.1:7502"\n'
-    assert "2 replicas; a region needs at least 3" in problems(AGREEMENT_TEXT.replace(last_replica, "").encode())[0]
+    assert (
+        "2 replicas; a region needs at least 3"
+        in reported_problems(AGREEMENT_TEXT.replace(last_replica, "").encode())[0]
+    )
     south_table = '[[services.regions]]\nregion = "south"\nleast = 2\nallowance = 2\n'
     assert any(
         "region 'south' has converters of the service but is not listed" in problem
-        for problem in problems(AGREEMENT_TEXT.replace(south_table, "").encode())
+        for problem in reported_problems(AGREEMENT_TEXT.replace(south_table, "").encode())
     )
 
 
@@ -122,8 +125,8 @@
         (b"#" * (agreement_file.MAX_FILE_BYTES + 1), "4194304 are allowed"),
     ],
 )
-def test_bytes_that_are_not_an_agreement_are_rejected_in_one_line(data: bytes, message: str) -> None:
-    assert any(message in problem for problem in problems(data))
+def test_bytes_that_are_not_an_agreement_are_rejected(data: bytes, message: str) -> None:
+    assert any(message in problem for problem in reported_problems(data))
 
 
 def test_the_pure_modules_import_no_clock_randomness_or_io() -> None:
--- a/tests/test_maintenance_compatibility.py
+++ b/tests/test_maintenance_compatibility.py
@@ -18,11 +18,11 @@
 from tests import maintenance_fixtures
 from tests.maintenance_fixtures import AGREEMENT, FIXTURES_FOLDER, IDENTITY, REGION
 
-RECORDED = {
+RECORDED_FIXTURES = {
     name: bytes.fromhex(data)
     for name, data in map(str.split, (FIXTURES_FOLDER / "maintenance_formats.hex").read_text().splitlines())
 }
-OPTIONS = {
+CLI_OPTIONS = {
     "serve": "--agreement --region --replica --folder --discovery --freeze-s --bootstrap",
     "request": (
         "--agreement --region --service --converter --zone --at-once --duration-s --earliest-in-s --deadline-in-s "
@@ -33,63 +33,63 @@
 }
 
 
-def recorded(prefix: str) -> list[bytes]:
-    return [data for name, data in RECORDED.items() if name.startswith(f"{prefix}/")]
+def recorded_bytes(prefix: str) -> list[bytes]:
+    return [data for name, data in RECORDED_FIXTURES.items() if name.startswith(f"{prefix}/")]
 
 
 def test_every_command_of_an_earlier_log_round_trips() -> None:
-    decoded = [commands.decode(data) for data in recorded("log")]
+    decoded = [commands.decode(data) for data in recorded_bytes("log")]
     assert {type(command) for command in decoded} == set(commands.Command.__args__)
-    assert [commands.encode(command) for command in decoded] == recorded("log")
+    assert [commands.encode(command) for command in decoded] == recorded_bytes("log")
 
 
 def test_an_earlier_log_gives_the_same_results_and_the_same_snapshot() -> None:
     ledger = Ledger(AGREEMENT, REGION)
-    replies = [frame for frame in map(_decoded, recorded("frame")) if isinstance(frame, CommandReply)]
-    for index, data in enumerate(recorded("log"), 1):
+    replies = [frame for frame in map(_decode_frame, recorded_bytes("frame")) if isinstance(frame, CommandReply)]
+    for index, data in enumerate(recorded_bytes("log"), 1):
         assert ledger.apply(index, commands.decode(data)) == replies[index - 1].result
-    assert ledger.snapshot() == RECORDED["snapshot"]
+    assert ledger.snapshot() == RECORDED_FIXTURES["snapshot"]
 
 
 def test_an_earlier_snapshot_round_trips() -> None:
-    restored = Ledger.restore(AGREEMENT, REGION, RECORDED["snapshot"])
-    assert restored.snapshot() == RECORDED["snapshot"]
+    restored = Ledger.restore(AGREEMENT, REGION, RECORDED_FIXTURES["snapshot"])
+    assert restored.snapshot() == RECORDED_FIXTURES["snapshot"]
     states = {lease.name: lease.state.value for lease in restored.open_leases()}
     assert states == {"l2": "draining", "l3": "returning", "l6": "called-off", "l7": "granted"}
-    assert state.encode(restored.state) == RECORDED["snapshot"]
+    assert state.encode(restored.state) == RECORDED_FIXTURES["snapshot"]
 
 
 def test_an_earlier_state_file_is_loaded_with_its_log(tmp_path: Path) -> None:
-    (tmp_path / storage.FILE_NAME).write_bytes(RECORDED["state-file"])
+    (tmp_path / storage.FILE_NAME).write_bytes(RECORDED_FIXTURES["state-file"])
     file = storage.FileStorage(tmp_path, IDENTITY)
     file.close()
-    assert file.path.read_bytes() == RECORDED["state-file"] and file.truncated_bytes == 0
+    assert file.path.read_bytes() == RECORDED_FIXTURES["state-file"] and file.truncated_bytes == 0
     assert file.state.hard_state == HardState(3, "north-0")
     assert file.state.entries[0].command == b""
-    assert [entry.command for entry in file.state.entries[1:]] == recorded("log")
+    assert [entry.command for entry in file.state.entries[1:]] == recorded_bytes("log")
 
 
-@pytest.mark.parametrize("frame", recorded("frame"), ids=range(len(recorded("frame"))))
+@pytest.mark.parametrize("frame", recorded_bytes("frame"), ids=range(len(recorded_bytes("frame"))))
 def test_an_earlier_frame_round_trips(frame: bytes) -> None:
-    assert transport.encode(_decoded(frame)) == frame
+    assert transport.encode(_decode_frame(frame)) == frame
 
 
-@pytest.mark.parametrize("message", recorded("fleet"), ids=range(len(recorded("fleet"))))
+@pytest.mark.parametrize("message", recorded_bytes("fleet"), ids=range(len(recorded_bytes("fleet"))))
 def test_an_earlier_agent_message_round_trips(message: bytes) -> None:
     message_type = FleetCall if b"action" in message else FleetReply
     assert msgspec.msgpack.encode(msgspec.msgpack.decode(message, type=message_type)) == message
 
 
 def test_the_status_json_round_trips() -> None:
-    decoded = msgspec.json.decode(RECORDED["status-json"], type=StatusReply)
-    assert msgspec.json.encode(decoded) == RECORDED["status-json"]
+    decoded = msgspec.json.decode(RECORDED_FIXTURES["status-json"], type=StatusReply)
+    assert msgspec.json.encode(decoded) == RECORDED_FIXTURES["status-json"]
 
 
 def test_current_code_writes_the_recorded_bytes() -> None:
-    assert maintenance_fixtures.formats() == RECORDED
+    assert maintenance_fixtures.fixture_bytes() == RECORDED_FIXTURES
 
 
-@pytest.mark.parametrize("name", OPTIONS)
+@pytest.mark.parametrize("name", CLI_OPTIONS)
 def test_a_cli_command_keeps_its_options(name: str) -> None:
     command = maintenance.commands[name]
     options = [parameter.opts[0] for parameter in command.params if isinstance(parameter, click.Option)]
@@ -98,8 +98,8 @@
         for parameter in command.params
         if isinstance(parameter, click.Argument)
     ]
-    assert [*options, *arguments] == OPTIONS[name].split()
+    assert [*options, *arguments] == CLI_OPTIONS[name].split()
 
 
-def _decoded(frame: bytes) -> Frame:
+def _decode_frame(frame: bytes) -> Frame:
     return transport.decode(frame[transport.LENGTH_BYTES :])
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -65,12 +65,12 @@
 
 def test_a_repeated_grant_returns_the_same_lease_and_an_index_is_applied_once() -> None:
     region = north_region()
-    first = region.request_and_grant("r1", "n00")
-    assert region.grant("r1/1", "r1", "n00") == first
+    first_grant = region.request_and_grant("r1", "n00")
+    assert region.grant("r1/1", "r1", "n00") == first_grant
     assert isinstance(region.grant("r1/1", "r1", "n00", agent="agent-2"), Rejected)
     snapshot = region.ledger.snapshot()
     assert region.ledger.apply(3, RevokeLease("r1/1")) == AlreadyApplied(3) and region.ledger.snapshot() == snapshot
-    region.drain_and_release(first)
+    region.drain_and_release(first_grant)
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
     region.observe("n00")
     assert isinstance(region.grant("r1/1", "r1", "n00"), Rejected)
@@ -78,23 +78,23 @@
 
 def test_fencing_tokens_increase_and_outdated_tokens_are_rejected() -> None:
     region = north_region()
-    first = region.request_and_grant("r1", "n00")
-    second = region.apply(TakeOverLease("r1/1", "agent-2", first.token))
-    assert isinstance(second, Granted) and second.token > first.token
-    assert region.apply(TakeOverLease("r1/1", "agent-2", first.token)) == second, (
+    first_grant = region.request_and_grant("r1", "n00")
+    second_grant = region.apply(TakeOverLease("r1/1", "agent-2", first_grant.token))
+    assert isinstance(second_grant, Granted) and second_grant.token > first_grant.token
+    assert region.apply(TakeOverLease("r1/1", "agent-2", first_grant.token)) == second_grant, (
         "a repeated take-over returns the same lease"
     )
     for command in (
-        StartDrain("r1/1", first.token),
-        ReleaseLease("r1/1", first.token),
-        TakeOverLease("r1/1", "agent-3", first.token),
+        StartDrain("r1/1", first_grant.token),
+        ReleaseLease("r1/1", first_grant.token),
+        TakeOverLease("r1/1", "agent-3", first_grant.token),
     ):
         result = region.apply(command)
-        assert isinstance(result, Rejected) and f"token {first.token}" in result.reason
-    assert region.ledger.fencing_token("n00") == second.token
-    region.drain_and_release(second)
+        assert isinstance(result, Rejected) and f"token {first_grant.token}" in result.reason
+    assert region.ledger.fencing_token("n00") == second_grant.token
+    region.drain_and_release(second_grant)
     assert region.ledger.fencing_token("n00") == 0
-    assert region.request_and_grant("r2", "n01").token > second.token
+    assert region.request_and_grant("r2", "n01").token > second_grant.token
 
 
 def test_a_revoked_lease_is_charged_until_a_later_observation_and_can_be_granted_again() -> None:
@@ -137,8 +137,8 @@
 def test_a_deficit_in_another_region_blocks_grants_until_a_report_clears_it() -> None:
     region = north_region()
     region.request_and_grant("r1", "n00")
-    message = region.apply(RecordCapacityNeeds("south", 5, {"convert": CapacityNeed(deficit=2000)}))
-    assert message == Observed((), ("r1/1",))
+    result = region.apply(RecordCapacityNeeds("south", 5, {"convert": CapacityNeed(deficit=2000)}))
+    assert result == Observed((), ("r1/1",))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     assert isinstance(region.grant("r2/1", "r2", "n01"), Rejected)
     assert isinstance(region.apply(RecordCapacityNeeds("south", 4, {})), Rejected), "an older report is rejected"
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -230,11 +230,11 @@
                 sum(len(window.converters) for window in running if window.request == name)
                 <= job.request.max_unavailable
             )
-    unplaced_requests = {unplaced.request for unplaced in schedule.unplaced_requests}
+    unplaced_names = {unplaced.request for unplaced in schedule.unplaced_requests}
     for name, job in jobs.items():
         windows = [window for window in schedule.windows if window.request == name]
         placed = [converter for window in windows for converter in window.converters]
-        assert sorted(placed) == ([] if name in unplaced_requests else sorted(job.request.converters))
+        assert sorted(placed) == ([] if name in unplaced_names else sorted(job.request.converters))
         assert all(
             job.request.earliest_ms <= window.start_ms and window.end_ms <= job.request.deadline_ms
             for window in windows
@@ -255,10 +255,10 @@
     worst_share = 1.0
     for seed in range(25):
         problem = random_problem(seed, max_jobs=9, priorities=1)
-        unplaced_requests = {unplaced.request for unplaced in make_schedule(problem).unplaced_requests}
+        unplaced_names = {unplaced.request for unplaced in make_schedule(problem).unplaced_requests}
         best = best_plan(problem, Job.work)
         proven_count += best.bound == best.value
-        work = sum(job.work() for job in problem.jobs if job.request.name not in unplaced_requests)
+        work = sum(job.work() for job in problem.jobs if job.request.name not in unplaced_names)
         assert work <= best.bound, f"seed {seed}: more work than the upper bound of the best plan"
         placed_work, best_work, worst_share = (
             placed_work + work,
--- a/tests/test_maintenance_transfers.py
+++ b/tests/test_maintenance_transfers.py
@@ -38,8 +38,8 @@
 def test_a_transfer_number_with_different_content_is_rejected() -> None:
     cluster = Cluster(small_agreement())
     cluster.debit("south", "north", 500)
-    conflicting = Transfer("south", "north", 1, "convert", 700)
-    for command in (DebitTransfer(conflicting), AcknowledgeTransfer(conflicting)):
+    conflicting_transfer = Transfer("south", "north", 1, "convert", 700)
+    for command in (DebitTransfer(conflicting_transfer), AcknowledgeTransfer(conflicting_transfer)):
         result = cluster.apply("south", command)
         assert isinstance(result, Rejected) and "different content" in result.reason
     assert cluster.total_allowance() == 4000
@@ -84,5 +84,5 @@
         cluster.send_needs_and_transfers(region)
     cluster.deliver_all()
     assert cluster.ledger("north").transfers_due() == []
-    due = [(transfer.receiver, transfer.amount) for transfer in cluster.ledger("south").transfers_due()]
-    assert due == [("west", 1000), ("north", 500)]
+    due_amounts = [(transfer.receiver, transfer.amount) for transfer in cluster.ledger("south").transfers_due()]
+    assert due_amounts == [("west", 1000), ("north", 500)]
