--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -40,7 +40,7 @@
         result = super().advance_time(now_ms)
         for lease in list(self.state.leases.values()):
             request = self.state.requests[lease.request].request
-            if lease.granted_ms + request.duration_ms <= self.state.now_ms:
+            if lease.granted_at_ms + request.duration_ms <= self.state.now_ms:
                 self.context.close(lease)
         return result
 
@@ -109,8 +109,8 @@
 
     def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
         """Treat the observation as if it began at the current log index."""
-        current = ObservedState(observed.ready, observed.warmth, self.state.applied)
-        return super().mark_recovered(converter, current)
+        current_state = ObservedState(observed.ready, observed.warmth, self.state.applied)
+        return super().mark_recovered(converter, current_state)
 
 
 class StaleObservationLedger(Ledger):
