--- a/ryepier/assembly/planning.py
+++ b/ryepier/assembly/planning.py
@@ -59,7 +59,7 @@
         acceptance_rules(operator_settings),
         plan.report_ms / 1000,
     )
-    sidecar = forwarder.Sidecar(
+    sidecar = forwarder.SidecarInterface(
         ready_upstream_ids,
         dispatcher.on_plan,
         [request_class.latency_objective_us for request_class in config.settings.classes],
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -99,7 +99,7 @@
 
 async def read_once(settings: Settings) -> EndpointSliceMerger:
     """Return the merged slices of one complete list. Raises TimeoutError."""
-    merger = EndpointSliceMerger(settings.port)
+    merger = EndpointSliceMerger(settings.port_name)
     listed = asyncio.Event()
 
     def on_changes(changes: list[Replace | Apply | Delete]) -> None:
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -17,7 +17,7 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.plan.forwarder import MAX_BACKOFF_S, Forwarder, Settings, Sidecar
+from ryepier.plan.forwarder import MAX_BACKOFF_S, Forwarder, Settings, SidecarInterface
 from ryepier.plan.messages import Heartbeat, Term, encode
 from ryepier.plan.plan_follower import AcceptanceRules
 
@@ -112,9 +112,12 @@
     return [
         Forwarder(
             Settings(
-                f"f{index}", [(HOST, port)], AcceptanceRules(fleet=fleet_size), report_interval_s=HEARTBEAT_INTERVAL_S
+                f"f{index}",
+                [(HOST, port)],
+                AcceptanceRules(fleet_size=fleet_size),
+                report_interval_s=HEARTBEAT_INTERVAL_S,
             ),
-            Sidecar(dict, lambda event: None, [UNANSWERED_AFTER_US], 1),
+            SidecarInterface(dict, lambda event: None, [UNANSWERED_AFTER_US], 1),
             make_machine(f"{seed} f{index}"),
         )
         for index in range(fleet_size)
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -71,7 +71,7 @@
     merge = Evidence.merge
 
     def merge_and_recount(self: Evidence, now_us: int, name: str, incarnation: int, report: Report) -> bool:
-        self.active(now_us)
+        self.active_forwarders(now_us)
         return merge(self, now_us, name, incarnation, report)
 
     Evidence.merge = merge_and_recount  # type: ignore[method-assign]
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -124,8 +124,8 @@
         self.token = 0
         self.in_flight: list[CallInFlight] = []
         self.simulated_until_s = time.monotonic()
-        settings = forwarder.Settings(f"f{index}", [config.planner], AcceptanceRules(fleet=config.min_fleet))
-        sidecar = forwarder.Sidecar(lambda: self.upstream_ids, self.on_plan_updated, [UNANSWERED_AFTER_US], 1)
+        settings = forwarder.Settings(f"f{index}", [config.planner], AcceptanceRules(fleet_size=config.min_fleet))
+        sidecar = forwarder.SidecarInterface(lambda: self.upstream_ids, self.on_plan_updated, [UNANSWERED_AFTER_US], 1)
         super().__init__(settings, sidecar, make_machine(f"{config.seed} f{index}"))
         self.use(converters_of(index, config.in_use))
 
--- a/ryepier/plan/evidence.py
+++ b/ryepier/plan/evidence.py
@@ -174,7 +174,7 @@
                 if stats.recent.updated_us > now_us - EVIDENCE_EXPIRY_US or uid in forwarder.outstanding
             }
 
-    def active(self, now_us: int) -> dict[str, ForwarderStats]:
+    def active_forwarders(self, now_us: int) -> dict[str, ForwarderStats]:
         """Return the forwarders with recent reports, with their recent counts decayed until `now_us`."""
         active = {
             name: forwarder
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sidecar:
+class SidecarInterface:
     """The parts of a sidecar that a forwarder needs."""
 
     upstream_ids: Callable[[], Mapping[str, int]]  # the upstream ids of the ready converters, by uid
@@ -126,7 +126,7 @@
 class Forwarder:
     """Reports the sidecar's attempts to planners and follows their plans. The dispatcher notifies it as an observer."""
 
-    def __init__(self, settings: Settings, sidecar: Sidecar, machine: Machine) -> None:
+    def __init__(self, settings: Settings, sidecar: SidecarInterface, machine: Machine) -> None:
         """Start without connections and without a plan; `start` opens the connections."""
         self.settings = settings
         self.sidecar = sidecar
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -108,7 +108,7 @@
 
     def basis(self, now_us: int, evidence: Evidence) -> PlanBasis:
         """Return the amount of evidence that a plan computed now would be based on."""
-        active = evidence.active(now_us)
+        active = evidence.active_forwarders(now_us)
         return self._compute_basis(now_us, evidence, active, self._sum_by_converter(active))
 
     @staticmethod
@@ -124,7 +124,7 @@
         """Return whether a plan may be computed; right after its start, a planner lacks the reports for it."""
         rules = self.rules
         return (
-            basis.forwarders >= max(1.0, rules.min_reporters * rules.fleet)
+            basis.forwarders >= max(1.0, rules.min_reporters * rules.fleet_size)
             and basis.window_ms >= rules.min_window_ms
             and basis.covered >= rules.min_covered * basis.listed
             and basis.listed > 0
@@ -132,7 +132,7 @@
 
     def plan(self, now_us: int, evidence: Evidence, term: Term, number: int) -> Plan | None:
         """Return the current plan, or None while there is not enough evidence."""
-        active = evidence.active(now_us)
+        active = evidence.active_forwarders(now_us)
         self.outlier_reporters = self._find_outlier_reporters(active)
         totals = self._sum_by_converter(active)
         basis = self._compute_basis(now_us, evidence, active, totals)
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -24,7 +24,7 @@
 class AcceptanceRules:
     """Limits that a plan must satisfy to be accepted; set by the operators."""
 
-    fleet: int  # approximate number of forwarders
+    fleet_size: int  # approximate number of forwarders
     min_reporters: float = 0.5  # share of the fleet that must have reported
     min_window_ms: int = 1000  # time over which reports must have been collected
     min_covered: float = 0.5  # share of the listed converters on which reports must exist
@@ -85,7 +85,7 @@
 
     def _check_evidence(self, plan: Plan, listed_count: int) -> PlanRejection | None:
         rules, evidence = self.rules, plan.evidence
-        if evidence.forwarders < rules.min_reporters * rules.fleet:
+        if evidence.forwarders < rules.min_reporters * rules.fleet_size:
             return PlanRejection.FEW_REPORTERS
         if evidence.window_ms < rules.min_window_ms:
             return PlanRejection.SHORT_WINDOW
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -234,7 +234,7 @@
 
     def tick(self, now_us: int, tick: int) -> None:
         """Update the leadership, send heartbeats and plans, save snapshots and drop expired evidence."""
-        active = self.evidence.active(now_us)
+        active = self.evidence.active_forwarders(now_us)
         # Only a follower needs this check, before it takes over; a leader checks its evidence with each plan.
         has_enough_evidence = not self.leadership.is_leader and self.planner.has_enough_evidence(
             self.planner.basis(now_us, self.evidence)
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -34,7 +34,7 @@
     namespace: str
     service: str
     rules: ListingRules
-    port: str = ""
+    port_name: str = ""
     watch_s: int = 60
     hold_us: int = 30_000_000
     cache: Path | None = None
@@ -66,7 +66,7 @@
         self.settings = settings
         self.listener = listener
         self.clock_us = clock_us
-        self.merger = EndpointSliceMerger(settings.port, settings.hold_us)
+        self.merger = EndpointSliceMerger(settings.port_name, settings.hold_us)
         self.listing = EndpointListing(settings.rules)
         self.client = make_client(
             settings.access,
--- a/tests/plan_scenarios.py
+++ b/tests/plan_scenarios.py
@@ -25,7 +25,7 @@
 from ryepier.plan.plan_computation import Planner
 from ryepier.plan.plan_follower import AcceptanceRules
 
-RULES = AcceptanceRules(fleet=10)
+RULES = AcceptanceRules(fleet_size=10)
 LISTED_UIDS = {f"c{i}" for i in range(10)}
 SECOND_US = 1_000_000
 
--- a/tests/test_plan_follower.py
+++ b/tests/test_plan_follower.py
@@ -84,7 +84,7 @@
 
 
 def test_plan_fades_out_and_forwarders_end_an_ejection_gradually() -> None:
-    followers = [PlanFollower(f"f{i}", AcceptanceRules(fleet=1)) for i in range(200)]
+    followers = [PlanFollower(f"f{i}", AcceptanceRules(fleet_size=1)) for i in range(200)]
     plan = make_plan(
         entries={
             "c1": ConverterAdvice(ejected=True, trial_share=0.0),
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -18,7 +18,7 @@
 from tests.loopback_ports import free_port
 from tests.network_peers import HANG_TIMEOUT_S, wait_until
 
-RULES = AcceptanceRules(fleet=2, min_window_ms=100)
+RULES = AcceptanceRules(fleet_size=2, min_window_ms=100)
 UPSTREAM_IDS = {f"c{i}": i for i in range(6)}
 
 
@@ -55,7 +55,7 @@
         self.plans: list[PlanUpdated] = []
         self.forwarder = forwarder.Forwarder(
             forwarder.Settings(name, [("127.0.0.1", port) for port in ports], RULES, report_interval_s=0.1),
-            forwarder.Sidecar(lambda: UPSTREAM_IDS, self.plans.append, [50_000], 1),
+            forwarder.SidecarInterface(lambda: UPSTREAM_IDS, self.plans.append, [50_000], 1),
             make_machine(name),
         )
         self.task: asyncio.Task[None] | None = None
