--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Region:
-    """A region and the replicas of its log."""
+    """A region and the coordinators that hold the replicas of its log."""
 
     name: str
     replicas: tuple[Replica, ...]
@@ -30,15 +30,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """The agreed terms for one service. Capacities are in thousandths."""
+    """The agreed terms for one service. Capacities and allowances are in thousandths of a unit.
+
+    A region's allowance is its share of the capacity that may be unavailable over all regions.
+    """
 
     name: str
     min_available: int
     min_available_by_region: Mapping[str, int]
     tolerates_zone_loss: bool  # the minimums must also hold after the loss of the largest zone
-    min_allowance: int  # kept by a region when it gives allowance to other regions
+    min_allowance: int  # a region keeps at least this much when it transfers allowance to others
     warm_up_ms: int
-    allowances: Mapping[str, int]  # initial allowances by region
+    allowances: Mapping[str, int]  # initial allowance by region
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Converter:
-    """A converter. Its size, which is its capacity when ready and warm, is in thousandths."""
+    """A converter. `size` is its capacity when it is ready and warm, in thousandths of a unit."""
 
     name: str
     service: str
@@ -70,7 +73,10 @@
     digest: str
 
     def converters_of(self, service: str, region: str | None = None) -> list[Converter]:
-        """Return the converters of a service in the order of the file, only those of `region` if it is given."""
+        """Return the converters of a service in the order of the agreement file.
+
+        If `region` is given, only the converters in that region are returned.
+        """
         return [
             converter
             for converter in self.converters.values()
@@ -91,7 +97,7 @@
     def max_unavailable(self, service: str) -> int:
         """Return how much of a service's capacity may be unavailable over all regions.
 
-        The initial allowances add up to this amount. It is negative if the agreed minimum exceeds the capacity.
+        The initial allowances add up to this amount. It is negative if the capacity is less than the agreed minimum.
         """
         terms = self.services[service]
         return self.capacity(service) - terms.min_available - self._zone_loss_reserve(terms, None)
@@ -103,14 +109,14 @@
         return self.capacity(service, region) - min_available - self._zone_loss_reserve(terms, region)
 
     def _zone_loss_reserve(self, terms: Service, region: str | None) -> int:
-        """Return the capacity of the largest zone if its loss must be tolerated, else 0."""
+        """Return the capacity of the service's largest zone if the loss of a zone must be tolerated, else 0."""
         if not terms.tolerates_zone_loss:
             return 0
         return max(self.zone_capacities(terms.name, region).values(), default=0)
 
 
 def to_thousandths(amount: float) -> int:
-    """Convert an amount from the file to thousandths; validation has rejected amounts with more than three decimals."""
+    """Convert an amount from the agreement file to thousandths; validation ensures that this is exact."""
     return round(amount * THOUSANDTHS_PER_UNIT)
 
 
--- a/ryepier/maintenance/agreement_file.py
+++ b/ryepier/maintenance/agreement_file.py
@@ -19,7 +19,7 @@
 
 
 class AgreementError(ConfigurationError):
-    """The agreement file is invalid. `problems` lists everything that is wrong with it, in the order of its lines."""
+    """The agreement file is invalid. `problems` lists everything that is wrong with it, ordered by line."""
 
 
 def parse(data: bytes) -> Agreement:
@@ -32,7 +32,7 @@
     validator = AgreementValidator(tables, KeyLines(text))
     validator.check_names()
     validator.check_decimals()
-    if not validator.problems:  # amounts can be compared only if all names are valid
+    if not validator.problems:  # the amounts can be compared only if all names are known and all amounts are exact
         agreement = _build(tables, hashlib.sha256(data).hexdigest())
         validator.check_amounts(agreement)
         if not validator.problems:
@@ -41,7 +41,7 @@
 
 
 def _decode(data: bytes) -> str:
-    """Decode a file as UTF-8. Raises AgreementError if it is too long or not UTF-8."""
+    """Decode the bytes of a file as UTF-8. Raises AgreementError if the file is too long or not UTF-8."""
     if len(data) > MAX_FILE_BYTES:
         raise AgreementError([Problem("", 0, f"{len(data)} bytes; at most {MAX_FILE_BYTES} are allowed")])
     try:
--- a/ryepier/maintenance/agreement_tables.py
+++ b/ryepier/maintenance/agreement_tables.py
@@ -1,7 +1,7 @@
 """The schema of the agreement file's tables. Checks that involve several values are in `agreement_validation`.
 
-Amounts are in units of capacity: a converter of size 1 has one unit. The keys of the file are fixed; a field that is
-named differently here declares its key with `name=`.
+Amounts are in units of capacity: a converter of size 1 has one unit. The keys of the file are fixed; a field whose name
+differs from its key declares the key with `name=`.
 """
 
 from __future__ import annotations
@@ -14,12 +14,15 @@
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$")]
 AddressText = Annotated[str, msgspec.Meta(pattern=r"^[^:/\s]+:[0-9]{1,5}$")]  # host:port
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # units of capacity
-Size = Annotated[float, msgspec.Meta(ge=0.001, le=1000)]
-WarmUpSeconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]  # seconds
+Size = Annotated[float, msgspec.Meta(ge=0.001, le=1000)]  # units of capacity
+WarmUpSeconds = Annotated[float, msgspec.Meta(ge=0, le=3600)]
 
 
 class FailureTolerance(enum.StrEnum):
-    """The failure that a service's minimums must survive: the values of the key `survives`."""
+    """The failure during which a service's minimums must still be met.
+
+    The values are those of the key `survives`.
+    """
 
     NONE = ""
     ZONE = "zone"
@@ -40,7 +43,7 @@
 
 
 class ServiceRegionTable(msgspec.Struct, kw_only=True, frozen=True):
-    """One `[[services.regions]]` table: a service's minimum in a region, and the region's initial allowance."""
+    """One `[[services.regions]]` table: a service's minimum capacity and initial allowance in one region."""
 
     region: Name
     min_available: Amount = msgspec.field(name="least", default=0.0)
@@ -50,7 +53,7 @@
 class ServiceTable(msgspec.Struct, kw_only=True, frozen=True):
     """One `[[services]]` table.
 
-    `min_allowance` is the allowance that a region keeps when it gives allowance to other regions.
+    `min_allowance` is the least allowance that a region keeps when it transfers allowance to other regions.
     """
 
     name: Name
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -1,4 +1,7 @@
-"""Validates an agreement across its tables: unique and known names, and exact and attainable amounts."""
+"""Validates an agreement across its tables.
+
+Names must be unique and defined, amounts must have at most three decimals, and the minimums must be attainable.
+"""
 
 from __future__ import annotations
 
@@ -14,30 +17,30 @@
 
 
 class _KeyedName(NamedTuple):
-    """A name and the path of its key in the file."""
+    """A name or address, and the path of its key in the agreement file."""
 
     path: KeyPath
     name: str
 
 
 class _KeyedAmount(NamedTuple):
-    """An amount and the path of its key in the file."""
+    """An amount or a warm-up time, and the path of its key in the agreement file."""
 
     path: KeyPath
     amount: float
 
 
 class AgreementValidator:
-    """Checks the tables of an agreement and collects the problems it finds, without raising."""
+    """Checks the tables of an agreement and collects all problems in `problems` instead of raising an error."""
 
     def __init__(self, tables: AgreementTables, lines: KeyLines) -> None:
-        """Start without problems. `lines` maps the keys of `tables` to their line numbers."""
+        """Start without problems; nothing is checked yet. `lines` maps the keys of `tables` to their line numbers."""
         self.tables = tables
         self.lines = lines
         self.problems: list[Problem] = []
 
     def _add_problem(self, path: KeyPath, text: str) -> None:
-        """Record a problem at a key."""
+        """Record a problem with the key at `path` and the line of that key."""
         self.problems.append(self.lines.problem_at(path, text))
 
     def check_names(self) -> None:
@@ -84,7 +87,7 @@
         self._check_unique(addresses)
 
     def _check_unique(self, keyed_names: Iterable[_KeyedName]) -> set[str]:
-        """Record a problem for each duplicate name, and return the set of names."""
+        """Record a problem for each name that was used before, and return the set of names."""
         first_paths: dict[str, KeyPath] = {}
         for path, name in keyed_names:
             if name in first_paths:
@@ -98,13 +101,13 @@
             self._add_problem(path, f"unknown {kind} {name!r}; known are {', '.join(sorted(known)) or 'none'}")
 
     def check_decimals(self) -> None:
-        """Check that amounts are whole thousandths. This also rejects `nan`."""
+        """Check that amounts are whole thousandths. `nan` fails the check too, because it equals no number."""
         for path, amount in self._amounts():
             if amount != round(amount, MAX_DECIMALS):
                 self._add_problem(path, f"{amount!r} is not a number with at most three decimals")
 
     def _amounts(self) -> list[_KeyedAmount]:
-        """Return all amounts of the file with their keys."""
+        """Return all amounts and warm-up times of the file, with the paths of their keys."""
         amounts: list[_KeyedAmount] = []
         for i, service in enumerate(self.tables.services):
             amounts.append(_KeyedAmount(("services", i, "least"), service.min_available))
@@ -162,7 +165,7 @@
 
 
 def _describe_excess(service: Service, agreement: Agreement, region: str | None, excess: int) -> str:
-    """Describe by how much a service's minimum exceeds its capacity, in one region or in all."""
+    """Describe by how much a service's minimum exceeds its capacity, in one region or, if that is None, in all."""
     scope = f" in {region!r}" if region else ""
     min_available = service.min_available_by_region[region] if region else service.min_available
     total = agreement.capacity(service.name, region)
--- a/ryepier/maintenance/capacity.py
+++ b/ryepier/maintenance/capacity.py
@@ -15,19 +15,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """The capacity of one service in a region. `available + unavailable + lost` is its total."""
+    """The capacity of one service in a region, in thousandths.
 
-    available: int  # of ready converters, in proportion to their warmth
-    unavailable: int  # of converters under a lease: their full size until they are observed ready and warm again
-    lost: int  # under no lease: all of a converter not ready or never observed, the missing warmth of others
-    allowance: int  # of this region
+    `available + unavailable + lost` is the size of all its converters. `unavailable` is the full size of the converters
+    under a lease; they stay under it until they are observed ready and warm again. `available` and `lost` divide the
+    size of the other converters: a ready converter is available in proportion to its warmth, and one that is not ready
+    or was never observed is lost entirely. `allowance` is the region's current allowance.
+    """
+
+    available: int
+    unavailable: int
+    lost: int
+    allowance: int
 
 
 class CapacityView:
     """Read-only view of a region's limits and of the capacity that is currently charged against them."""
 
     def __init__(self, agreement: Agreement, region: str, state: LedgerState) -> None:
-        """View `state`, which may change between calls, as the state of `region`."""
+        """View `state`, the ledger state of `region`. The view refers to it, so it reflects later changes."""
         self.agreement = agreement
         self.region = region
         self.state = state
@@ -39,14 +45,21 @@
         return observed.ready and observed.warmth >= FULL_WARMTH
 
     def lost_capacity(self, converter: Converter) -> int:
-        """Return the capacity lost on a converter under no lease: all of it if the converter was never observed."""
+        """Return how much of the capacity of a converter without a lease is lost.
+
+        A converter that is not ready or was never observed is lost entirely; a ready one that is still warming up is
+        lost in part.
+        """
         observed = self.state.observed.get(converter.name)
         if observed is None or not observed.ready:
             return converter.size
         return converter.size - converter.size * observed.warmth // FULL_WARMTH
 
     def allowance_bound(self, service: str) -> int:
-        """Return the region's allowance less the reported deficits, by which other regions exceed their allowances."""
+        """Return the region's allowance, reduced by the deficits that the other regions have reported.
+
+        A deficit is the amount by which a region's lost capacity and leases exceed its allowance.
+        """
         deficits = (peer.needs[service].deficit for peer in self.state.peers.values() if service in peer.needs)
         return self.state.escrow.allowances[service] - sum(deficits)
 
@@ -67,7 +80,7 @@
         )
 
     def first_exceeded_limit(self, service: str, unavailable: set[str]) -> str | None:
-        """Describe, in one line, the first limit exceeded if the converters in `unavailable` are out of service.
+        """Describe, in one line, the first limit that is exceeded with the converters in `unavailable` out of service.
 
         Returns None if every limit holds.
         """
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -1,8 +1,8 @@
 """The commands in a region's log, one per entry, and their encoding.
 
 A command is encoded as one MessagePack map whose key `type` names it. Unknown types and keys are errors: a replica that
-skipped part of a command would diverge from its peers. Types and keys on the wire are fixed; a field that is named
-differently here declares its key with `name=`, a class its type with `tag=`.
+skipped part of a command would diverge from its peers. Types and keys on the wire are fixed. A class declares its type
+with `tag=`, and a field whose name differs from its key declares the key with `name=`.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from ryepier.errors import RyepierError
 
 MAX_COMMAND_BYTES = 1024 * 1024
-MAX_CONVERTERS_PER_COMMAND = 10_000  # converters in one command
-FULL_WARMTH = 1000  # thousandths: the warm-up is complete
+MAX_CONVERTERS_PER_COMMAND = 10_000
+FULL_WARMTH = 1000  # thousandths; the warmth of a converter whose warm-up is complete
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._#/-]{0,199}$")]
 Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_CONVERTERS_PER_COMMAND)]
@@ -40,7 +40,8 @@
 class Request(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """An operator's request for maintenance. Times are in the region's time, in milliseconds.
 
-    Either `converters` names the converters, or the request covers all converters of the service in `zone`.
+    Either `converters` names the converters, or the request covers all converters of the service in `zone`. At
+    most `max_unavailable` of them may be out of service at the same time.
     """
 
     name: Name
@@ -48,8 +49,8 @@
     service: Name
     converters: Names = ()
     zone: str = ""
-    max_unavailable: Positive = msgspec.field(name="at_once")  # limit on its converters out of service at the same time
-    duration_ms: Positive  # per converter, from the drain until it is up again; excludes the warm-up
+    max_unavailable: Positive = msgspec.field(name="at_once")
+    duration_ms: Positive  # outage of one converter, from its drain until it is up again, without its warm-up
     earliest_ms: NonNegative
     deadline_ms: NonNegative
     priority: Priority = Priority.NORMAL
@@ -69,7 +70,8 @@
 class Transfer(msgspec.Struct, frozen=True, order=True, forbid_unknown_fields=True):
     """An amount of allowance that one region gives to another.
 
-    It is identified by giver, receiver and number. A giver numbers its transfers to each receiver 1, 2, 3, ...
+    It is identified by giver, receiver and number. A giver numbers its transfers to each receiver consecutively,
+    starting at 1.
     """
 
     giver: Name
@@ -80,14 +82,18 @@
 
 
 class CapacityNeed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How far a region's allowance for a service falls short, in thousandths, as reported to the other regions."""
+    """How far a region's allowance for a service falls short, in thousandths, as reported to the other regions.
 
-    deficit: NonNegative = 0  # capacity under leases or lost, beyond the allowance
-    shortage: NonNegative = 0  # capacity that its requests need together or that is lost, beyond the allowance
+    `deficit` is the amount by which the capacity under leases and the lost capacity together exceed the allowance.
+    `shortage` is the amount by which the capacity that open requests will take out and the lost capacity exceed it.
+    """
+
+    deficit: NonNegative = 0
+    shortage: NonNegative = 0
 
 
 class SubmitRequest(msgspec.Struct, tag="submit-request", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Open a request. Submitting an identical request again has no effect and is accepted."""
+    """Open a request. Repeating the command with the same request is accepted and has no effect."""
 
     request: Request
 
@@ -108,7 +114,7 @@
 
 
 class TakeOverLease(msgspec.Struct, tag="take-over-lease", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Give an open lease to another agent under a new fencing token. `token` is the current one, which is replaced."""
+    """Give an open lease to another agent under a new fencing token. `token` must be the lease's current token."""
 
     lease: Name
     agent: Name
@@ -116,14 +122,14 @@
 
 
 class StartDrain(msgspec.Struct, tag="begin-drain", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Start the drain of a lease's converters. The agent must wait until this is committed before it drains any."""
+    """Start the drain of a lease's converters. The agent must not drain a converter before this is committed."""
 
     lease: Name
     token: Positive
 
 
 class ReleaseLease(msgspec.Struct, tag="release-lease", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Report that the maintenance is done. Each converter stays charged until it is observed ready and warm."""
+    """Report that the maintenance is done. Each converter counts as unavailable until it is observed ready and warm."""
 
     lease: Name
     token: Positive
@@ -141,7 +147,8 @@
     """Record an observation of converters.
 
     `sequence` increases with each observation by the same observer. `as_of` is the highest log index that the observer
-    had applied before it began the observation; an observation that began before a lease was released cannot close it.
+    had applied before it began the observation. An observation that began before a lease was released cannot close that
+    lease.
     """
 
     observer: Name
@@ -156,18 +163,18 @@
     """Record the capacity needs that another region reported. A report replaces those with lower numbers."""
 
     region: Name
-    number: Positive  # log index of the reporting region
+    number: Positive  # last log index that the reporting region had applied
     needs: dict[Name, CapacityNeed] = msgspec.field(name="standings")  # by service
 
 
 class DebitTransfer(msgspec.Struct, tag="debit-transfer", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """At the giver: subtract the amount from its allowance. The transfer may be sent only once this is committed."""
+    """At the giver: subtract the amount from the allowance. The transfer must not be sent before this is committed."""
 
     transfer: Transfer
 
 
 class CreditTransfer(msgspec.Struct, tag="credit-transfer", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """At the receiver: add the amount to its allowance, once."""
+    """At the receiver: add the amount to the allowance. Repeating the command has no effect."""
 
     transfer: Transfer
 
@@ -181,7 +188,7 @@
 
 
 class AdvanceTime(msgspec.Struct, tag="advance-time", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Advance the region's time to the leader's clock. Only scheduling and deadlines use it; no lease expires by it."""
+    """Advance the region's time to the leader's clock. It is used for scheduling and deadlines; leases never expire."""
 
     now_ms: NonNegative
 
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -18,7 +18,7 @@
 
 
 class ReceivedNumbers(msgspec.Struct):
-    """The numbers of the transfers credited from one giver: 1 to `up_to`, and those in `above`."""
+    """The numbers of the transfers credited from one giver: all from 1 to `up_to`, and those in `above`."""
 
     up_to: int = 0
     above: list[int] = []
@@ -28,7 +28,7 @@
         return number <= self.up_to or number in self.above
 
     def add(self, number: int) -> None:
-        """Record a number as credited."""
+        """Record a number as credited, and raise `up_to` past the numbers in `above` that follow it without a gap."""
         self.above = sorted({*self.above, number})
         while self.above and self.above[0] <= self.up_to + 1:
             self.up_to = max(self.up_to, self.above.pop(0))
@@ -37,8 +37,9 @@
 class Escrow(msgspec.Struct):
     """One region's part of the escrow.
 
-    `allowances` holds thousandths by service, `last_sent` the highest transfer number by receiver, and `received` the
-    credited transfers by giver. `pending` holds the transfers that are debited but not acknowledged and must be resent.
+    `allowances` holds the current allowance in thousandths by service, `last_sent` the highest debited transfer number
+    by receiver, and `received` the numbers of the credited transfers by giver. `pending` holds the transfers that are
+    debited but not yet acknowledged and must be resent.
     """
 
     allowances: dict[str, int]
@@ -95,7 +96,10 @@
         self.allowances[transfer.service] += transfer.amount
 
     def acknowledge(self, transfer: Transfer) -> str | None:
-        """Stop resending a transfer. Return the reason if that is rejected, else None."""
+        """Stop resending a transfer.
+
+        Returns the reason if the acknowledgement is rejected, else None.
+        """
         state = self.giver_state(transfer)
         if GIVER_TABLE.next_state(state, TransferEvent.ACKNOWLEDGE) is None:
             return f"transfer {format_transfer(transfer)} was never debited"
@@ -115,7 +119,7 @@
 
 
 class _PeerNeed(NamedTuple):
-    """The sort key of a peer's need of one service: deficits before shortages, larger amounts first."""
+    """The sort key of a peer's need for one service: larger deficits first, then larger needs."""
 
     negative_deficit: int
     negative_need: int
@@ -137,8 +141,8 @@
     """Return the transfers that this region should debit to cover the needs of its peers.
 
     `spare_allowances` holds, by service, the allowance that is not needed for the region's own leases, losses, requests
-    and minimum allowance. `peers` holds the needs by region and service. A peer gets no further transfer of a service
-    while one is in transit to it.
+    and minimum allowance. `peer_needs` holds the needs by region and service. While a transfer of a service to a peer
+    is in transit, no further one is planned.
     """
     transfers = []
     remaining_allowances = dict(spare_allowances)
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -1,7 +1,8 @@
 """Checks whether the capacity agreement was kept, independently of ledgers, limits and escrow.
 
-Used by tests, and by experiments that read the converters' own journals. At each capacity change, the actual available
-capacity is compared with the agreement, not with what any region recorded. Capacities are in thousandths.
+Used by tests, and by experiments that read the converters' own journals. At each capacity change, the capacity that is
+actually available is compared with the agreement; the records of the regions' ledgers are not used. Capacities are in
+thousandths.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 class CapacityChange:
     """A change of how much of a converter is unavailable, through a planned outage or a loss.
 
-    From `at_ms` on, `missing_share` thousandths of the converter's size are unavailable. A planned outage lasts from the
-    grant or the drain until the converter is warm; the whole converter counts as missing as long as `missing_share` is
-    above 0. A loss counts only with its share.
+    From `at_ms` on, `missing_share` thousandths of the converter's size are unavailable; 0 ends the outage or loss. A
+    planned outage lasts from the grant of the lease or from the start of the drain, as the caller chooses, until the
+    converter is warm. The whole converter counts as missing in a planned outage, but only `missing_share` in a loss.
     """
 
     at_ms: int
@@ -32,12 +33,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A moment at which less than the agreed capacity was available. `region` is empty for the global minimum."""
+    """A moment at which less than the agreed capacity was available, in thousandths.
+
+    `region` is empty if the minimum over all regions was missed. If the loss of a zone must be tolerated, `available`
+    does not include the largest zone.
+    """
 
     at_ms: int
     service: str
     region: str
-    available: int  # less the largest zone if its loss must be tolerated
+    available: int
     min_available: int
 
     def __str__(self) -> str:
@@ -49,21 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Loss:
-    """The share of a converter that is lost, in thousandths, and the time since which it has been unavailable."""
+    """The share of a converter that is lost, in thousandths, and the time at which the loss began."""
 
     missing_share: int
     began_at_ms: int
 
 
 class _ChangeKey(NamedTuple):
-    """The sort key of a change: by time and, within a millisecond, changes that return capacity first."""
+    """The sort key of a change: by time and, within the same millisecond, changes that return capacity first."""
 
     at_ms: int
     reduces_capacity: bool
 
 
 class AgreementChecker:
-    """Processes capacity changes in the order of time and returns the breaches they cause."""
+    """Processes capacity changes, which must be given in the order of time, and returns the breaches they cause."""
 
     def __init__(self, agreement: Agreement) -> None:
         """Start with all converters of the agreement available."""
@@ -72,7 +77,7 @@
         self._losses: dict[str, _Loss] = {}
 
     def apply(self, change: CapacityChange) -> list[Breach]:
-        """Record a change; return the breaches if planned outages alone now exceed what the agreement allows."""
+        """Record a change and, if it starts a planned outage, return the breaches. Losses do not count as missing."""
         self._record(change)
         if not (change.planned and change.missing_share):
             return []
@@ -83,7 +88,8 @@
     ) -> list[Breach]:
         """Record the start of a planned outage, and return the breaches that it causes together with the known losses.
 
-        A loss is known once it has lasted for `detection_delay_ms`. The change must not have been recorded before.
+        A loss is known once it has lasted for `detection_delay_ms`. Breaches of the minimum over all regions are
+        returned only if `include_global` is true. The change must not have been recorded before.
         """
         lost_shares = {
             name: loss.missing_share
@@ -94,7 +100,7 @@
         return [breach for breach in self._check(change, lost_shares) if include_global or breach.region]
 
     def _record(self, change: CapacityChange) -> None:
-        """Update the planned outages or the losses."""
+        """Update the recorded planned outages and losses."""
         if change.planned:
             self._planned_outages.discard(change.converter)
             if change.missing_share:
@@ -108,7 +114,10 @@
             self._losses.pop(change.converter, None)
 
     def _check(self, change: CapacityChange, lost_shares: dict[str, int]) -> list[Breach]:
-        """Compare the available capacity of the changed converter's service with its global and regional minimums."""
+        """Return the breaches of the global and regional minimums of the changed converter's service.
+
+        `lost_shares` holds the lost share by converter, in thousandths.
+        """
         converter = self.agreement.converters[change.converter]
         service = self.agreement.services[converter.service]
         region = converter.region
@@ -131,9 +140,9 @@
         return [breach for breach in breaches if breach.available < breach.min_available]
 
     def _available_capacity(self, service: str, region: str | None, lost_shares: dict[str, int]) -> int:
-        """Return the available capacity of a service, in one region or in all.
+        """Return the available capacity of a service, in `region` or, if it is None, in all regions.
 
-        The largest zone is subtracted if its loss must be tolerated.
+        The largest zone is subtracted if the loss of a zone must be tolerated.
         """
         zone_capacities: dict[Zone, int] = {}
         for converter in self.agreement.converters_of(service, region):
@@ -149,7 +158,7 @@
 
 
 def find_breaches(agreement: Agreement, changes: Iterable[CapacityChange]) -> Iterator[Breach]:
-    """Yield every breach of the agreement by planned outages alone, in the order of time."""
+    """Yield every breach of the agreement by planned outages, in the order of time. Losses do not count as missing."""
     checker = AgreementChecker(agreement)
     for change in sorted(changes, key=_sort_key):
         yield from checker.apply(change)
@@ -171,5 +180,5 @@
 
 
 def _sort_key(change: CapacityChange) -> _ChangeKey:
-    """Return the key that sorts changes by time."""
+    """Return the sort key of a change."""
     return _ChangeKey(change.at_ms, change.missing_share > 0)
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -22,7 +22,7 @@
     """Applies the commands that grant and change leases. State transitions follow `LEASE_TABLE`."""
 
     def __init__(self, context: LedgerContext) -> None:
-        """Apply commands to the ledger state in `context`."""
+        """Create a handler whose methods read and change the ledger state in `context`."""
         self.context = context
         self.state = context.state
 
@@ -48,7 +48,7 @@
         return _granted_result(lease)
 
     def _repeat_grant(self, lease: Lease, command: GrantLease) -> Result:
-        """Answer a repeated grant: return the same lease if it is still granted or draining."""
+        """Answer a grant of an existing lease: return it if the command is identical and it is granted or draining."""
         same_holder = (lease.request, lease.agent) == (command.request, command.agent)
         if not same_holder or lease.converters != command.converters:
             return Rejected(f"lease {lease.name!r} already exists with different content")
@@ -82,7 +82,7 @@
         return self.context.view.first_exceeded_limit(request.service, leased_names | set(command.converters))
 
     def change_lease(self, command: LeaseCommand) -> Result:
-        """Apply a command to an open lease. Commands with an outdated fencing token are rejected."""
+        """Apply a command to an open lease. Agents' commands with an outdated fencing token are rejected."""
         lease = self.state.leases.get(command.lease)
         if lease is None:
             return Rejected(f"lease {command.lease!r} is not open")
@@ -121,5 +121,5 @@
 
 
 def _granted_result(lease: Lease) -> Granted:
-    """Return the result that tells an agent about its lease."""
+    """Return the result that tells an agent its lease, fencing token and converters."""
     return Granted(lease.name, lease.agent, lease.token, lease.converters)
--- a/ryepier/maintenance/ledger.py
+++ b/ryepier/maintenance/ledger.py
@@ -1,7 +1,7 @@
 """One region's ledger: the state machine to which the region's replicas apply their replicated log of commands.
 
-Invariant: leases never take more of a service's capacity out of service than the agreement allows, globally or in the
-region. Capacity counts as out of service from the grant of a lease until the converter is observed ready and warm
+Invariant: leases never take more of a service's capacity out of service than the agreement allows, over all regions or
+in this one. Capacity counts as out of service from the grant of a lease until the converter is observed ready and warm
 again. The ledger is deterministic: the same commands at the same indexes give the same state and results on every
 replica.
 """
@@ -44,7 +44,10 @@
 
 
 class Ledger:
-    """The maintenance state of one region, changed only by `apply`. Not thread-safe: use it on the event loop only."""
+    """The maintenance state of one region, changed only by `apply`. Not thread-safe: use it on the event loop only.
+
+    Subclasses replace the view and the command handlers through the `..._type` attributes to seed faults.
+    """
 
     view_type: ClassVar[type[CapacityView]] = CapacityView
     request_commands_type: ClassVar[type[RequestCommands]] = RequestCommands
@@ -59,7 +62,7 @@
         self._attach(agreement, LedgerState(region, agreement.digest, Escrow(allowances)))
 
     def _attach(self, agreement: Agreement, ledger_state: LedgerState) -> None:
-        """Use `ledger_state` as the state, with new command handlers."""
+        """Replace the state by `ledger_state`, and create the view and the command handlers for it."""
         self.agreement = agreement
         self.region = ledger_state.region
         self.state = ledger_state
@@ -82,7 +85,7 @@
         return state.encode(self.state)
 
     def apply(self, index: int, command: Command) -> Result:
-        """Apply the command at a log index. An index that has already been applied changes nothing."""
+        """Apply the command at a log index. Does nothing if this index or a later one has already been applied."""
         if index <= self.state.applied:
             return AlreadyApplied(index)
         self.state.applied = index
@@ -110,7 +113,7 @@
 
     @property
     def applied(self) -> int:
-        """The index of the last command that was applied."""
+        """The log index of the last applied command."""
         return self.state.applied
 
     @property
@@ -119,11 +122,11 @@
         return self.state.now_ms
 
     def capacity(self, service: str) -> Capacity:
-        """Return the available, unavailable and lost capacity of a service here. Raises KeyError if it is unknown."""
+        """Return the current capacity of a service in this region. Raises KeyError if the service is unknown."""
         return self.view.capacity(service)
 
     def limits(self, service: str) -> tuple[Limit, ...]:
-        """Return the current limits on a service's unavailable capacity here. Raises KeyError if it is unknown."""
+        """Return the current limits on a service in this region. Raises KeyError if the service is unknown."""
         return self.view.limits(service)
 
     def charge(self, limit: Limit) -> int:
@@ -150,7 +153,7 @@
         return 0
 
     def pending_transfers(self) -> list[Transfer]:
-        """Return the transfers to send repeatedly until each is acknowledged."""
+        """Return the debited transfers, each of which must be sent repeatedly until it is acknowledged."""
         return list(self.state.escrow.pending)
 
     def transfers_due(self) -> list[Transfer]:
@@ -158,5 +161,5 @@
         return self._transfer_commands.due_transfers()
 
     def capacity_needs(self) -> dict[str, CapacityNeed]:
-        """Return the needs to report to the other regions, by service. The report's number is `applied`."""
+        """Return the needs to report to the other regions, by service. The caller numbers the report with `applied`."""
         return {service: self._transfer_commands.capacity_need(service) for service in self.agreement.services}
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -9,12 +9,12 @@
 from ryepier.maintenance.state import Lease, LedgerState, RequestRecord
 from ryepier.maintenance.tables import LeaseState
 
-MAX_COMPLETED_REQUESTS = 10_000  # kept to recognize repeated submissions
+MAX_COMPLETED_REQUESTS = 10_000  # completed requests are kept to recognize repeated submissions
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerContext:
-    """One region's agreement, state and capacity view. Methods that change the state run only within `Ledger.apply`."""
+    """One region's agreement, state and capacity view. Call methods that change the state only in `Ledger.apply`."""
 
     agreement: Agreement
     region: str
@@ -35,20 +35,24 @@
         return self.state.last_token
 
     def begin_recovery(self, lease: Lease, next_state: LeaseState) -> None:
-        """End the agent's right to take converters down.
+        """End the agent's right to take converters down, by moving the lease to `next_state`, RETURNING or REVOKED.
 
-        Only observations that begin after this point can then close the lease.
+        From then on the lease waits for its converters to be observed ready and warm. Only observations that begin
+        after the current log index count.
         """
         if lease.state is not next_state:
             lease.released_index = self.state.applied
         lease.state = next_state
 
     def revoke(self, lease: Lease) -> None:
-        """Revoke a lease; its drain must not have started."""
+        """Revoke a lease whose drain has not started."""
         self.begin_recovery(lease, LeaseState.REVOKED)
 
     def revoke_leases_below_agreement(self) -> tuple[str, ...]:
-        """Revoke all leases with no started drain, for each service below its agreed capacity; return their names."""
+        """Revoke leases of services that are below their agreed capacity, and return the names of the revoked leases.
+
+        Only leases whose drain has not started are revoked.
+        """
         revoked_names = []
         for service in self.agreement.services:
             granted_leases = self._granted_leases(service)
@@ -67,16 +71,16 @@
         ]
 
     def close(self, lease: Lease) -> None:
-        """Close a lease, so that its converters are no longer charged."""
+        """Close a lease, so that its converters are no longer charged, and complete its request if it is finished."""
         lease.state = LeaseState.CLOSED
         del self.state.leases[lease.name]
         self.complete_if_finished(self.state.requests[lease.request])
 
     def complete_if_finished(self, record: RequestRecord, *, deadline_passed: bool = False) -> bool:
-        """Move a request to the completed requests if it has no open lease and needs none; return whether it was moved.
+        """Move a request to the completed requests if it has no open lease and needs no further one.
 
         A request needs no further lease if it is cancelled, all its converters are done, or its deadline has passed
-        (`deadline_passed`).
+        (`deadline_passed`). Returns whether the request was moved.
         """
         name = record.request.name
         if self.leases_of(name) or not (record.cancelled or deadline_passed or not record.remaining_converters()):
--- a/ryepier/maintenance/limits.py
+++ b/ryepier/maintenance/limits.py
@@ -1,4 +1,4 @@
-"""The limits on the capacity that a region may have out of service, shared by ledger and scheduler.
+"""The limits on the capacity that a region may have out of service, used by the ledger and by the scheduler.
 
 Each limit bounds the unavailable capacity summed over the region's converters of one service. If the loss of a zone
 must be tolerated, there is one limit per zone: the other zones alone must still provide the region's minimum.
@@ -17,16 +17,16 @@
 
     name: str
     service: str
-    bound: int  # thousandths; negative if other regions have lost more than this region may take out
+    bound: int  # thousandths; negative if the deficits of other regions exceed the allowance of this region
     excluded_zone: str | None = None
 
     def applies_to(self, converter: Converter) -> bool:
-        """Return whether a converter of the region is charged to this limit."""
+        """Return whether a converter of the limit's region counts towards this limit."""
         return converter.service == self.service and converter.zone != self.excluded_zone
 
 
 def allowance_limit(service: str, region: str, bound: int) -> Limit:
-    """Return the limit set by the region's allowance, its part of the capacity that may be unavailable globally."""
+    """Return the limit set by the region's allowance, its share of the capacity that may be unavailable globally."""
     return Limit(f"the allowance of {region!r} for {service!r}", service, bound)
 
 
--- a/ryepier/maintenance/observation_commands.py
+++ b/ryepier/maintenance/observation_commands.py
@@ -10,15 +10,15 @@
 
 
 class ObservationCommands:
-    """Applies observations and reports of needs. Leases are closed only by observations."""
+    """Applies observations and the reports of other regions. Only an observation can close a lease."""
 
     def __init__(self, context: LedgerContext) -> None:
-        """Apply commands to the ledger state in `context`."""
+        """Create a handler whose methods read and change the ledger state in `context`."""
         self.context = context
         self.state = context.state
 
     def record_observation(self, command: RecordObservation) -> Result:
-        """Record an observation; close leases whose converters have recovered; revoke leases if too much is lost.
+        """Record an observation, close leases whose converters have recovered, and revoke leases if too much is lost.
 
         An observation that began before a lease was released does not close that lease.
         """
@@ -49,7 +49,10 @@
         return None
 
     def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
-        """Remove a converter that was observed ready and warm from its lease; return the names of closed leases."""
+        """Remove a converter from its lease if it has recovered, and return the names of the leases that this closes.
+
+        It has recovered if an observation that began after the lease's release or revocation shows it ready and warm.
+        """
         closed_leases = []
         for lease in list(self.state.leases.values()):
             next_state = LEASE_TABLE.next_state(lease.state, LeaseEvent.ALL_RECOVERED)
@@ -63,13 +66,13 @@
         return closed_leases
 
     def _return_converter(self, lease: Lease, converter: str) -> None:
-        """Stop charging a converter to its lease, and count it as done for the request unless the lease was revoked."""
+        """Remove a converter from its lease, and mark it as done for the request unless the lease was revoked."""
         lease.unavailable.remove(converter)
         if lease.state is LeaseState.RETURNING:
             self.state.requests[lease.request].done.append(converter)
 
     def record_needs(self, command: RecordCapacityNeeds) -> Result:
-        """Record the needs that another region reported, unless a newer or equal report has been recorded."""
+        """Record the needs that another region reported, unless this report or a newer one has been recorded."""
         if command.region == self.context.region or command.region not in self.context.agreement.regions:
             return Rejected(f"standing of {command.region!r}: not another region of the agreement")
         unknown_services = sorted(set(command.needs) - set(self.context.agreement.services))
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -1,7 +1,8 @@
-"""Places the converters of requests, one by one, at the earliest time at which every limit holds until they are warm.
+"""Places the outages of converters one by one, at the earliest time from which every limit holds until the end.
 
-A later request may fill a gap between earlier requests but never moves them. Windows of the previous schedule that are
-about to start are placed first, at the same time as before. Times are in milliseconds, capacities in thousandths.
+An outage ends when the converter is warm again. A request may fill a gap that requests placed before it have left,
+but never moves them. Windows of the previous schedule that are about to start are placed first, at the same time as
+before. Times are in milliseconds, capacities in thousandths.
 """
 
 from __future__ import annotations
@@ -34,7 +35,8 @@
 class Score(NamedTuple):
     """The score of a placement attempt; greater is better.
 
-    Compares the placed work by priority, most urgent first, then the negated sum of the end times.
+    Scores are compared by the placed work of each priority, most urgent first, and then by the sum of all end times,
+    negated because earlier ends are better.
     """
 
     work: tuple[int, ...]
@@ -42,7 +44,7 @@
 
 
 class _GapConstraint(NamedTuple):
-    """A usage profile, and the highest level it may have when a converter is added to it."""
+    """A usage profile, and the highest level at which there is still room for a certain converter."""
 
     profile: UsageProfile
     max_level: int
@@ -52,7 +54,7 @@
     """The result of placing all requests once, in a given order."""
 
     def __init__(self, problem: SchedulingProblem, order: list[Job]) -> None:
-        """Place the requests of `problem` in `order`, after its active leases and frozen windows."""
+        """Place the active leases of `problem`, its windows that are about to start, and then the jobs in `order`."""
         self.problem = problem
         self.order = order
         self.unplaced_requests: list[UnplacedRequest] = []
@@ -110,11 +112,11 @@
         return [limit for limit in self.problem.limits if limit.applies_to(converter)]
 
     def _added_charge(self, converter: Converter) -> int:
-        """Return the charge that taking a converter out adds: its size less the part that is already lost."""
+        """Return the charge that an outage of a converter adds: its size less the part that is already lost."""
         return converter.size - self.problem.lost_by_converter.get(converter.name, 0)
 
     def _charge_active_leases(self) -> None:
-        """Charge the converters that open leases have out of service."""
+        """Add the placements of the converters that open leases have out of service."""
         for lease in self.problem.active_leases:
             for converter in lease.converters:
                 self._add_placement(
@@ -140,7 +142,7 @@
             self._concurrent_outages[placement.request].add(placement.start_ms, placement.end_ms, sign)
 
     def _place_frozen_windows(self) -> dict[str, list[Placement]]:
-        """Place windows of the previous schedule that are about to start unchanged, as far as they still fit.
+        """Place the windows of the previous schedule that are about to start, unchanged, as far as they still fit.
 
         Returns the placements by request.
         """
@@ -159,18 +161,18 @@
         return frozen_placements
 
     def _fits_at(self, job: Job, converter: Converter, start_ms: int) -> bool:
-        """Return whether a converter can be taken out of service at a time."""
+        """Return whether a converter can be taken out of service at `start_ms`."""
         return self._earliest_start_ms(job, converter, start_ms) == start_ms
 
     def _place(self, job: Job, converter: Converter, start_ms: int) -> Placement:
-        """Place a converter from `start_ms` until the job's length has passed, and return the placement."""
+        """Place a converter at `start_ms` for the length of its job, and return the placement."""
         name = job.request.name
         placement = Placement(f"window {name}", name, converter, start_ms, start_ms + job.length_ms)
         self._add_placement(placement)
         return placement
 
     def _place_job(self, job: Job, frozen: Iterable[Placement]) -> None:
-        """Place all converters of a request, or record it as unplaced and keep only its frozen placements."""
+        """Place all converters of a job, or record its request as unplaced and keep only its frozen placements."""
         frozen_placements = list(frozen)
         placements = list(frozen_placements)
         frozen_names = {placement.converter.name for placement in placements}
@@ -205,7 +207,7 @@
         self._placements_by_request[unplaced.request] = frozen
 
     def _earliest_start_ms(self, job: Job, converter: Converter, from_ms: int) -> int | None:
-        """Return the first time, from `from_ms` on, from which every limit holds until the converter has recovered.
+        """Return the first time, not before `from_ms`, at which an outage of the converter can start within all limits.
 
         Returns None if there is no such time.
         """
@@ -226,7 +228,7 @@
                 return start_ms
 
     def _describe_exceeded_limit(self, job: Job, converter: Converter) -> UnplacedRequest:
-        """Describe the limit that a converter exceeds even if no other converter is out of service."""
+        """Describe the limit that a converter exceeds most, even if no other converter is out of service."""
         excesses = {
             limit: self._lost_capacity(limit) + self._added_charge(converter) - limit.bound
             for limit in self._limits_of(converter)
@@ -247,7 +249,7 @@
         return UnplacedRequest(job.request.name, late_ms, 0, f"would end {late_ms} ms after its deadline{cause}")
 
     def _describe_delay(self, job: Job, converter: Converter, desired_ms: int, start_ms: int) -> DelayedRequest:
-        """Describe the limit that prevents a converter from starting at its desired time, and what uses it up."""
+        """Describe the limit that delays a converter's outage, and the window, lease or losses that use it up."""
         limit = self._first_blocking_limit(job, converter, desired_ms)
         overlapping = [
             placement
@@ -265,7 +267,7 @@
         return DelayedRequest(job.request.name, limit_name, blocked_by, reason)
 
     def _first_blocking_limit(self, job: Job, converter: Converter, at_ms: int) -> Limit | None:
-        """Return the first limit that prevents a converter from being taken out at a time, or None."""
+        """Return the first limit that prevents taking a converter out of service at `at_ms`, or None."""
         for limit in self._limits_of(converter):
             max_level = limit.bound - self._added_charge(converter)
             if self._usage[limit].earliest_gap(at_ms, job.length_ms, max_level) != at_ms:
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -1,4 +1,4 @@
-"""Derives the leader's decisions from its ledger: the schedule, the next due window, the observations to record."""
+"""Derives the leader's decisions from its ledger: the schedule, the next due window and the observations to record."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from ryepier.maintenance.tables import LeaseState
 
 STATES_AWAITING_RECOVERY = (LeaseState.RETURNING, LeaseState.REVOKED)
-NOT_SCHEDULED = -1
+NOT_SCHEDULED = -1  # `Planner.scheduled_index` before the first schedule
 
 
 class Planner:
     """Caches the schedule of a ledger until the ledger changes. Not thread-safe: use it on the event loop only."""
 
     def __init__(self, ledger: Ledger, freeze_ms: int = FREEZE_MS) -> None:
-        """Start with an empty schedule for `ledger`. Planned windows that start within `freeze_ms` are not moved."""
+        """Start with an empty schedule. Windows that start within `freeze_ms` are not moved by a new schedule."""
         self.ledger = ledger
         self.freeze_ms = freeze_ms
         self.schedule = Schedule()
@@ -38,22 +38,26 @@
         return self.schedule
 
     def due_window(self) -> Window | None:
-        """Return the first window whose start time has come, or None."""
+        """Return the first scheduled window whose start time has been reached, or None."""
         windows = self.current_schedule().windows
         return next((window for window in windows if window.start_ms <= self.ledger.now_ms), None)
 
     def observation_command(self, observer: str, as_of: int, probes: Iterable[WarmthProbe]) -> RecordObservation | None:
-        """Return the command that records the probes which differ from the ledger or may close a lease, or None."""
+        """Return the command that records all probes that differ from the ledger or may close a lease.
+
+        Returns None if there are none.
+        """
         observations = tuple(probe.observation for probe in probes if self._is_reportable(probe))
         if not observations:
             return None
         return RecordObservation(observer, as_of + 1, as_of, observations)
 
     def warm_ups_to_restart(self, probes: Iterable[WarmthProbe]) -> list[str]:
-        """Return the released converters whose incarnation appears to be older than their lease.
+        """Return the converters of released leases whose warm-up appears to have started before the lease was granted.
 
-        Either the listing is outdated, or this observer has known the region's time only briefly. The caller restarts
-        the warm-up of these converters: once listed for another full warm-up time, neither explanation applies.
+        Either the listing is outdated, or this observer did not know the region's time yet when it first saw the
+        converter's incarnation. The caller must restart the warm-up of these converters: after another full warm-up
+        time in the listing, both explanations are ruled out.
         """
         names = []
         for probe in probes:
@@ -65,7 +69,7 @@
         return names
 
     def _is_reportable(self, probe: WarmthProbe) -> bool:
-        """Return whether a probe has to be recorded in the log."""
+        """Return whether a probe differs from the ledger or may close a lease, so that it has to be recorded."""
         observation = probe.observation
         lease = self._open_lease_of(observation.converter)
         if lease is not None and observation.ready:
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -12,13 +12,13 @@
 from ryepier.maintenance.state import Lease
 from ryepier.maintenance.tables import LeaseState
 
-AGING_INTERVAL_MS = 600_000  # a request gains one priority per interval since it could have started
-MIN_REMAINING_LEASE_MS = 1_000  # assumed remaining time of a lease that is overdue
+AGING_INTERVAL_MS = 600_000  # a request's priority rises by one level for each interval that it has waited
+MIN_REMAINING_LEASE_MS = 1_000  # remaining time assumed for overdue and revoked leases
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """Converters of a request that go out of service together. `end_ms` is when they should be warm again."""
+    """Converters of a request that go out of service together. `end_ms` is when they are expected to be warm again."""
 
     request: str
     converters: tuple[str, ...]
@@ -32,7 +32,7 @@
 
     request: Request
     converters: tuple[Converter, ...]
-    length_ms: int  # per converter, including its warm-up
+    length_ms: int  # outage of one converter, including its warm-up
     submitted_at_ms: int = 0
 
     def work(self) -> int:
@@ -57,17 +57,20 @@
     now_ms: int
     jobs: tuple[Job, ...]
     limits: tuple[Limit, ...]
-    lost_by_converter: Mapping[str, int] = field(default_factory=dict)  # thousandths, of converters without a lease
-    converters: Mapping[str, Converter] = field(default_factory=dict)  # of the region, by name
+    lost_by_converter: Mapping[str, int] = field(default_factory=dict)  # thousandths; only converters without a lease
+    converters: Mapping[str, Converter] = field(default_factory=dict)  # all converters of the region, by name
     active_leases: tuple[ActiveLease, ...] = ()
-    previous_windows: tuple[Window, ...] = ()  # of the previous schedule; those about to start are kept
+    previous_windows: tuple[Window, ...] = ()  # the previous schedule; windows about to start are not moved
 
     def desired_start_ms(self, job: Job) -> int:
-        """Return the earliest time at which a request may start."""
+        """Return the earliest time at which the outages of a job may start."""
         return max(self.now_ms, job.request.earliest_ms)
 
     def priority(self, job: Job) -> int:
-        """Return a request's priority, raised according to the time it has waited since it could have started."""
+        """Return the priority of a job's request, raised by one level for each `AGING_INTERVAL_MS` that it has waited.
+
+        A request waits from its submission or its earliest start, whichever is later. Lower values are more urgent.
+        """
         waited_ms = self.now_ms - max(job.submitted_at_ms, job.request.earliest_ms)
         return max(0, job.request.priority - max(0, waited_ms) // AGING_INTERVAL_MS)
 
@@ -94,7 +97,7 @@
 
 
 def _jobs(ledger: Ledger, leased_names: set[str]) -> tuple[Job, ...]:
-    """Return the jobs of the open requests: their remaining converters that are not under a lease."""
+    """Return one job for each open request with remaining converters that are not under a lease."""
     jobs = []
     for record in ledger.open_requests():
         names = [name for name in record.remaining_converters() if name not in leased_names]
@@ -105,7 +108,7 @@
 
 
 def _active_lease(ledger: Ledger, lease: Lease) -> ActiveLease:
-    """Return the converters that a lease has out of service, and its expected end.
+    """Return an open lease with its unavailable converters and its expected end.
 
     A revoked lease has taken no converter down, so it is expected to end soon.
     """
--- a/ryepier/maintenance/profile.py
+++ b/ryepier/maintenance/profile.py
@@ -1,4 +1,4 @@
-"""A step function over time of how much of a limit is used, with a search for gaps."""
+"""A step function of the used part of a limit over time, which finds gaps with enough room."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UsageProfile:
-    """The usage level over time, from time 0 on, to which intervals are added. Times are in milliseconds."""
+    """The usage level over time, from time 0 on; added intervals raise or lower it. Times are in milliseconds."""
 
     def __init__(self, level: int) -> None:
         """Start with a constant `level` at all times."""
@@ -21,7 +21,7 @@
             self._levels[i] += amount
 
     def earliest_gap(self, from_ms: int, duration_ms: int, max_level: int) -> int | None:
-        """Return the first time, not before `from_ms`, from which the level stays within `max_level` for `duration_ms`.
+        """Return the first time, not before `from_ms`, from which the level is at most `max_level` for `duration_ms`.
 
         Returns None if there is no such time.
         """
@@ -36,7 +36,7 @@
         return start_ms
 
     def _split(self, at_ms: int) -> int:
-        """Return the index of the step that begins at a time, inserting the step if there is none."""
+        """Return the index of the step that begins at `at_ms`, splitting an earlier step if there is none."""
         i = bisect_right(self._times, at_ms) - 1
         if self._times[i] == at_ms:
             return i
--- a/ryepier/maintenance/request_commands.py
+++ b/ryepier/maintenance/request_commands.py
@@ -1,4 +1,4 @@
-"""Applies the commands on requests: submit, cancel, and advance the time, which ends requests at their deadlines."""
+"""Applies the commands that submit and cancel requests, and the one that advances the time past their deadlines."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class RequestCommands:
-    """Applies the commands that open, cancel and expire requests."""
+    """Applies the commands that open and cancel requests, and completes requests whose deadline has passed."""
 
     def __init__(self, context: LedgerContext) -> None:
-        """Apply commands to the ledger state in `context`."""
+        """Create a handler whose methods read and change the ledger state in `context`."""
         self.context = context
         self.state = context.state
 
     def submit(self, command: SubmitRequest) -> Result:
-        """Open a request. An identical repetition is accepted; a different request with the same name is rejected."""
+        """Open a request. An identical request is accepted again; a different one with the same name is rejected."""
         request = command.request
         existing_request = self._find_request(request.name)
         if existing_request is not None:
--- a/ryepier/maintenance/results.py
+++ b/ryepier/maintenance/results.py
@@ -1,7 +1,7 @@
 """The results of applying commands. A rejected command has changed nothing.
 
-Types and keys on the wire are fixed; a field that is named differently here declares its key with `name=`, a class its
-type with `tag=`.
+Types and keys on the wire are fixed. A class declares its type with `tag=`, and a field whose name differs from its key
+declares the key with `name=`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Accepted(msgspec.Struct, tag="accepted", tag_field="type", frozen=True):
-    """The request has been accepted, now or before."""
+    """The request has been accepted, by this command or an earlier one."""
 
     request: str
 
@@ -53,7 +53,10 @@
 
 
 class Observed(msgspec.Struct, tag="observed", tag_field="type", frozen=True):
-    """The observation or report was recorded. It closed the leases in `closed`; `revoked` were revoked for a loss."""
+    """The observation or report was recorded.
+
+    `closed` names the leases that it closed, `revoked` those revoked because too little capacity is available.
+    """
 
     closed: tuple[str, ...] = ()
     revoked: tuple[str, ...] = msgspec.field(name="called_off", default=())
@@ -66,7 +69,7 @@
 
 
 class Credited(msgspec.Struct, tag="credited", tag_field="type", frozen=True):
-    """The receiver has credited the transfer, now or before, so the giver may mark it as acknowledged."""
+    """The receiver has credited the transfer, by this command or an earlier one; the giver may acknowledge it."""
 
     transfer: Transfer
 
@@ -78,7 +81,7 @@
 
 
 class Advanced(msgspec.Struct, tag="advanced", tag_field="type", frozen=True):
-    """The region's time after the command. `missed` names requests that ended because their deadline passed."""
+    """The region's time after the command. `missed` names the requests completed because their deadline passed."""
 
     now_ms: int
     missed: tuple[str, ...] = ()
--- a/ryepier/maintenance/schedule.py
+++ b/ryepier/maintenance/schedule.py
@@ -1,4 +1,4 @@
-"""The output of the scheduler: maintenance windows, and the reasons why requests are delayed or could not be placed."""
+"""The output of the scheduler: maintenance windows, and the reasons why requests are delayed or cannot be placed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayedRequest:
-    """A request whose first window is later than requested.
+    """A request whose first window starts later than its desired time.
 
     `limit` names the exhausted limit, `blocked_by` the window, lease or losses that use it up.
     """
@@ -24,7 +24,8 @@
 class UnplacedRequest:
     """A request that cannot be done by its deadline.
 
-    Either `late_ms` is the delay beyond the deadline, or `excess` is the missing capacity in thousandths.
+    Either `late_ms` is the time by which it would miss the deadline, or `excess` is the capacity, in thousandths, by
+    which it would exceed a limit. The other is 0.
     """
 
     request: str
--- a/ryepier/maintenance/scheduler.py
+++ b/ryepier/maintenance/scheduler.py
@@ -13,8 +13,8 @@
 from ryepier.maintenance.problem import Job, SchedulingProblem
 from ryepier.maintenance.schedule import Schedule
 
-MAX_ORDERS = 60  # orders of the requests that are tried if some do not fit
-MAX_PLACEMENTS = 4_000  # converters placed over all tried orders; bounds the scheduling time for large fleets
+MAX_ORDERS = 60  # number of request orders tried if some requests cannot be placed
+MAX_PLACEMENTS = 4_000  # converters placed in all tried orders together; bounds the scheduling time for large fleets
 
 
 class _JobKey(NamedTuple):
@@ -26,7 +26,7 @@
     name: str
 
 
-Criterion = Callable[[SchedulingProblem, Job], int]
+Criterion = Callable[[SchedulingProblem, Job], int]  # within a priority, jobs with lower values are placed first
 
 
 def make_schedule(problem: SchedulingProblem) -> Schedule:
@@ -42,7 +42,7 @@
 
 
 def _improve_order(problem: SchedulingProblem, best: PlacementAttempt) -> PlacementAttempt:
-    """Move unplaced requests ahead of others of their priority for as long as that raises the score.
+    """Try to move unplaced requests ahead of others of the same priority, and keep each order that raises the score.
 
     Stops after `MAX_ORDERS` orders or about `MAX_PLACEMENTS` placements.
     """
@@ -64,7 +64,10 @@
 def _orders_with_unplaced_moved_earlier(
     problem: SchedulingProblem, attempt: PlacementAttempt, infeasible_names: set[str]
 ) -> Iterator[list[Job]]:
-    """Yield the attempt's order with each unplaced request moved to each earlier position of a job of its priority."""
+    """Yield variants of the attempt's order, each with one unplaced request moved before an earlier job.
+
+    Only jobs of the same priority are overtaken in this way, and requests in `infeasible_names` are not moved.
+    """
     for name in attempt.unplaced_names():
         if name in infeasible_names:
             continue
@@ -95,6 +98,6 @@
 
 
 def _slack_ms(problem: SchedulingProblem, job: Job) -> int:
-    """Return by how much a request could start later and still meet its deadline."""
+    """Return by how much a job could start later and still meet its deadline."""
     round_count = -(-len(job.converters) // job.request.max_unavailable)
     return job.request.deadline_ms - problem.desired_start_ms(job) - round_count * job.length_ms
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -27,7 +27,7 @@
 
 
 class IgnoreWarmUpLedger(Ledger):
-    """Closes leases before their converters are warm."""
+    """Seeded fault: closes leases before their converters are warm."""
 
     view_type = IgnoreWarmUpView
 
@@ -46,7 +46,7 @@
 
 
 class LeaseExpiryLedger(Ledger):
-    """Lets leases expire, which frees capacity that may still be out of service."""
+    """Seeded fault: lets leases expire, which frees capacity that may still be out of service."""
 
     request_commands_type = LeaseExpiryCommands
 
@@ -55,12 +55,12 @@
     """Seeded fault: credits a transfer each time it arrives."""
 
     def is_credited(self, transfer: Transfer) -> bool:
-        """Return False for every transfer."""
+        """Return False for every transfer, so that a repeated credit is applied again."""
         return False
 
 
 class DoubleCreditLedger(Ledger):
-    """Credits a transfer twice if it arrives twice."""
+    """Seeded fault: credits a transfer twice if it arrives twice."""
 
     transfer_commands_type = DoubleCreditCommands
 
@@ -74,13 +74,13 @@
 
 
 class GlobalAllowanceLedger(Ledger):
-    """Grants leases against the allowances of all regions, for example during a partition."""
+    """Seeded fault: grants leases against the allowances of all regions, for example during a partition."""
 
     view_type = GlobalAllowanceView
 
 
 class ForgetLeasesLedger(Ledger):
-    """Loses its leases when it is restored from a snapshot."""
+    """Seeded fault: loses its leases when it is restored from a snapshot."""
 
     @classmethod
     def restore(cls, agreement: Agreement, region: str, snapshot: bytes) -> Ledger:
@@ -94,18 +94,18 @@
     """Seeded fault: does not charge losses."""
 
     def lost_capacity(self, converter: Converter) -> int:
-        """Return 0."""
+        """Return 0, even for a converter that is not ready."""
         return 0
 
 
 class IgnoreLossLedger(Ledger):
-    """Grants leases without regard to losses."""
+    """Seeded fault: grants leases without regard to losses."""
 
     view_type = IgnoreLossView
 
 
 class StaleObservationCommands(ObservationCommands):
-    """Seeded fault: treats every observation as current."""
+    """Seeded fault: lets an observation close a lease that was released after the observation began."""
 
     def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
         """Treat the observation as if it began at the current log index."""
@@ -114,7 +114,7 @@
 
 
 class StaleObservationLedger(Ledger):
-    """Closes a lease by an observation that began before the lease was released."""
+    """Seeded fault: closes a lease by an observation that began before the lease was released."""
 
     observation_commands_type = StaleObservationCommands
 
@@ -128,7 +128,7 @@
 
 
 class OverdrawLedger(Ledger):
-    """Gives away allowance that its own leases are using."""
+    """Seeded fault: gives away allowance that its own leases are using."""
 
     transfer_commands_type = OverdrawCommands
 
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -1,8 +1,8 @@
 """The state of a ledger, and the encoding of its snapshots.
 
 A snapshot is a header line with a version, a checksum and a length, followed by one MessagePack map. It is rejected
-unless it is complete and belongs to this version, region and agreement. Its keys are fixed; a field that is named
-differently here declares its key with `name=`.
+unless it is complete and belongs to this version, region and agreement. Its keys are fixed; a field whose name
+differs from its key declares the key with `name=`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class SnapshotError(RyepierError):
-    """A snapshot was rejected, for the reason in the message."""
+    """A snapshot was rejected; the message gives the reason."""
 
 
 class Lease(msgspec.Struct):
@@ -44,7 +44,10 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """An open request. `done` names its maintained converters, `leases` every lease ever granted for it."""
+    """An open request. `done` names the converters already maintained, `leases` every lease ever granted for it.
+
+    `submitted_at_ms` is in the region's time.
+    """
 
     request: Request
     converters: tuple[str, ...]
@@ -74,7 +77,7 @@
 
 
 class LedgerState(msgspec.Struct):
-    """The complete state of a ledger, which applying commands changes.
+    """The complete state of a ledger, changed only by applying commands.
 
     `requests` and `leases` hold the open requests and leases by name, `completed` the most recently completed requests,
     oldest first. `observers` holds the last sequence number by observer, `observed` the last observed state by
@@ -82,7 +85,7 @@
     """
 
     region: str
-    digest: str  # of the agreement
+    digest: str  # SHA-256 hash of the agreement file
     escrow: Escrow
     applied: int = 0  # log index of the last applied command
     now_ms: int = 0
@@ -106,7 +109,7 @@
 
 
 def decode(data: bytes, region: str, digest: str) -> LedgerState:
-    """Decode a snapshot. Raises SnapshotError if it is damaged or of another version, region or agreement."""
+    """Decode a snapshot. Raises SnapshotError if it is damaged or belongs to another version, region or agreement."""
     header, newline, body = data.partition(b"\n")
     if not newline or not header.startswith(MAGIC + b" "):
         raise SnapshotError("not a snapshot of this version")
@@ -124,5 +127,5 @@
 
 
 def _header(body: bytes) -> bytes:
-    """Return the header line for a body: version, CRC-32 checksum and length."""
+    """Return the header line of a snapshot: version, and CRC-32 checksum and length of `body`."""
     return b"%s %08x %d\n" % (MAGIC, zlib.crc32(body), len(body))
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -1,4 +1,4 @@
-"""Validates new requests. Requests that can never fit are rejected immediately, with the missing amount."""
+"""Validates new requests. A request that can never be placed is rejected at once, with the missing time or capacity."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def requested_converters(agreement: Agreement, request: Request) -> ConverterNames:
-    """Return the names of the converters that a request covers, listed by name or selected by zone."""
+    """Return the names of the converters that a request lists, or of all converters of its service in its zone."""
     if request.converters:
         return request.converters
     candidates = agreement.converters_of(request.service, request.region)
@@ -44,7 +44,11 @@
 def _converter_rejection(
     agreement: Agreement, state: LedgerState, request: Request, converters: ConverterNames
 ) -> str | None:
-    """Describe the first converter that is unknown, named twice, or in another open request, or return None."""
+    """Return why the first invalid converter is rejected, or None if all are valid.
+
+    A converter is invalid if it does not belong to the request's service and region, is named twice, or is in another
+    open request.
+    """
     request_by_converter = {
         name: record.request.name for record in state.requests.values() for name in record.remaining_converters()
     }
@@ -62,7 +66,7 @@
 
 
 def _time_rejection(state: LedgerState, service: Service, request: Request, converters: ConverterNames) -> str | None:
-    """Describe by how much the time until the deadline is too short even without other outages, or return None."""
+    """Return why the time until the deadline is too short even without other outages, or None if it suffices."""
     if request.deadline_ms <= state.now_ms:
         return f"its deadline passed {state.now_ms - request.deadline_ms} ms ago"
     round_count = -(-len(converters) // request.max_unavailable)
@@ -77,7 +81,7 @@
 
 
 def _size_rejection(agreement: Agreement, request: Request, converters: ConverterNames) -> str | None:
-    """Describe the first converter that is too large to be out of service even on its own, or return None."""
+    """Return why a converter is too large to be out of service even on its own, or None if no converter is."""
     max_unavailable = min(
         agreement.max_unavailable(request.service), agreement.max_unavailable_in(request.service, request.region)
     )
--- a/ryepier/maintenance/tables.py
+++ b/ryepier/maintenance/tables.py
@@ -1,7 +1,7 @@
 """The state machines of leases and transfers, as tables of states, events and next states.
 
-An event that is not listed for a state is rejected in that state. `print(LEASE_TABLE)` prints a table. The values of
-the enums are stored and sent over the network.
+An event that is not listed for a state is rejected in that state. `print(LEASE_TABLE)` prints a table as
+Markdown. The values of the enums are stored and sent over the network.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 
 
 class LeaseState(enum.StrEnum):
-    """The state of a lease. In all states but CLOSED, converters that have not recovered count as out of service."""
+    """The state of a lease. Until it is CLOSED, its converters that have not recovered count as out of service."""
 
     GRANTED = "granted"  # the drain has not started
     DRAINING = "draining"  # the agent may have converters down
     RETURNING = "returning"  # the agent is done; converters still have to be observed ready and warm
-    REVOKED = "called-off"  # before the drain; converters still have to be observed ready and warm
+    REVOKED = "called-off"  # no drain was started; converters still have to be observed ready and warm
     CLOSED = "closed"
 
 
@@ -74,13 +74,13 @@
     """The state of a transfer as known to its giver or to its receiver."""
 
     UNKNOWN = "unknown"
-    DEBITED = "debited"  # giver: subtracted from its allowance; resent until acknowledged
+    DEBITED = "debited"  # giver: subtracted from the allowance; resent until acknowledged
     ACKNOWLEDGED = "acknowledged"  # giver: the receiver has committed the credit
-    CREDITED = "credited"  # receiver: added to its allowance
+    CREDITED = "credited"  # receiver: added to the allowance
 
 
 class TransferEvent(enum.StrEnum):
-    """An event of a transfer at its giver or at its receiver."""
+    """An event that changes or repeats the state of a transfer, at its giver or at its receiver."""
 
     DEBIT = "debit"
     SEND = "send"
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -1,4 +1,4 @@
-"""Applies the commands that transfer allowances between regions, and computes a region's needs and due transfers."""
+"""Applies the commands that transfer allowance between regions, and computes a region's needs and due transfers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Applies transfer commands to one region's part of the escrow. Capacities are in thousandths."""
 
     def __init__(self, context: LedgerContext) -> None:
-        """Apply commands to the ledger state in `context`."""
+        """Create a handler whose methods read and change the ledger state in `context`."""
         self.context = context
         self.state = context.state
 
@@ -33,9 +33,9 @@
         return Debited(transfer)
 
     def transferable(self, service: str) -> int:
-        """Return how much of the allowance can be given away.
+        """Return how much of the allowance can be transferred to other regions.
 
-        The region keeps the allowance for its unavailable and lost capacity, and at least its minimum allowance.
+        The region keeps enough for its unavailable and lost capacity, and at least its minimum allowance.
         """
         capacity = self._capacity(service)
         used = capacity.unavailable + capacity.lost
@@ -70,7 +70,7 @@
     def _transfer_rejection(self, transfer: Transfer, own_region: str, other_region: str) -> str | None:
         """Return why a transfer is invalid, or None if it is valid.
 
-        It must be for this region, with another known region, and of a known service.
+        `own_region` is the giver or receiver that must apply the command, `other_region` the other end of the transfer.
         """
         name = escrow.format_transfer(transfer)
         region = self.context.region
@@ -96,15 +96,20 @@
         return CapacityNeed(deficit, shortage)
 
     def _spare_allowance(self, service: str) -> int:
-        """Return the allowance beyond this region's leases, losses, soon due requests and minimum allowance."""
+        """Return the allowance that this region does not need itself.
+
+        It needs allowance for its leases, its losses and the requests that may start soon, and at least the minimum
+        allowance.
+        """
         capacity = self._capacity(service)
         used = max(capacity.unavailable, self._requested_capacity(service)) + capacity.lost
         return max(0, capacity.allowance - max(used, self.context.agreement.services[service].min_allowance))
 
     def _requested_capacity(self, service: str) -> int:
-        """Return the capacity that open requests within the horizon would take out if all ran at the same time.
+        """Return the capacity that requests would take out if they all ran at the same time.
 
-        It is capped at the capacity that may be unavailable in this region.
+        Counts the open requests that may start within `REBALANCE_HORIZON_MS`. The result is at most the capacity that
+        may be unavailable in this region.
         """
         requested_capacity = 0
         horizon_ms = self.state.now_ms + REBALANCE_HORIZON_MS
--- a/tests/maintenance_fixtures.py
+++ b/tests/maintenance_fixtures.py
@@ -1,6 +1,8 @@
-"""Prints examples of all data that maintenance coordinators store or send, as named lines of hex, for tests/fixtures.
+"""Prints an example of each kind of data that maintenance coordinators store or send, for tests/fixtures.
 
-The fixtures were written by revision f922cf1, before its types were renamed; this script uses the current names.
+Each line has the name of the example and its bytes in hexadecimal.
+
+The fixtures were written by revision f922cf1, which used other names for the types in this script.
 Run: python -m tests.maintenance_fixtures > tests/fixtures/maintenance_formats.hex
 """
 
@@ -57,10 +59,10 @@
 
 
 def closed_lease_commands() -> list[Command]:
-    """Return the commands of a lease from its request until it is closed, then two more requests."""
+    """Return the commands of a lease from the request to the closing of the lease, and of two further requests."""
     return [
         commands.SubmitRequest(request("early", ("n00",))),
-        commands.GrantLease("too-early", "early", "agent-1", ("n00",)),  # nothing has been observed yet
+        commands.GrantLease("too-early", "early", "agent-1", ("n00",)),  # rejected: no converter has been observed yet
         observation_command(1, 2, *ready_observations(*NORTH_CONVERTERS, "p0", "p1")),
         commands.AdvanceTime(1_500),
         commands.GrantLease("l1", "early", "agent-1", ("n00",)),
@@ -75,7 +77,7 @@
 
 
 def transfer_commands() -> list[Command]:
-    """Return commands for transfers that are reordered, repeated, acknowledged, pending and rejected."""
+    """Return commands for reordered, repeated, acknowledged, pending and rejected transfers."""
     acknowledged_transfer = Transfer("north", "south", 1, "convert", 250)
     return [
         commands.CreditTransfer(Transfer("south", "north", 1, "convert", 500)),
@@ -110,7 +112,7 @@
 
 
 def loss_commands() -> list[Command]:
-    """Return observations that close leases, and one of a loss that revokes a lease."""
+    """Return observations that close leases, an observed loss that revokes a lease, and a new lease at the end."""
     return [
         observation_command(3, 34, *ready_observations("n10", "n11")),
         commands.GrantLease("l6", "zone", "agent-1", ("n02",)),
@@ -123,13 +125,13 @@
 
 
 def results_of_log() -> list[results.Result]:
-    """Return the result of each entry of the log."""
+    """Return the result of each command of the example log."""
     ledger = Ledger(AGREEMENT, REGION)
     return [ledger.apply(index, command) for index, command in enumerate(example_log(), 1)]
 
 
 def snapshot() -> bytes:
-    """Return the snapshot after the log."""
+    """Return the snapshot of the ledger after the example log."""
     ledger = Ledger(AGREEMENT, REGION)
     for index, command in enumerate(example_log(), 1):
         ledger.apply(index, command)
@@ -137,7 +139,7 @@
 
 
 def state_file() -> bytes:
-    """Return a replica's state file: an entry that a later leader replaced, followed by the log."""
+    """Return a replica's state file: an entry that a later leader replaced, followed by the example log."""
     entries = tuple(Entry(3, commands.encode(command)) for command in example_log())
     with tempfile.TemporaryDirectory() as folder_name:
         folder = Path(folder_name)
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -1,4 +1,4 @@
-"""A small agreement, and helpers shared by the maintenance tests."""
+"""Small agreements, and helpers shared by the maintenance tests."""
 
 from __future__ import annotations
 
@@ -54,11 +54,12 @@
     )
 
 
-# 12 converters of size 1: n00..n02 and n10..n12 in north, s00..s02 and s10..s12 in south
+# 12 converters of size 1: n00..n02 and n10..n12 in north, s00..s02 and s10..s12 in south. The first digit is the zone.
 AGREEMENT_TEXT = SERVICE_TEXT + regions_text() + converters_text()
 
 WEST_SERVICE_TEXT = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
 THREE_REGIONS = ("north", "south", "west")
+# Two regions, three regions, higher regional minimums, and minimums that must hold even if a zone is lost.
 AGREEMENT_TEXTS = (
     AGREEMENT_TEXT,
     SERVICE_TEXT.replace("least = 8", "least = 12")
@@ -91,7 +92,7 @@
 
 
 class RegionLedger:
-    """A region's ledger driven directly: applies commands at the next log index, and records observations."""
+    """A region's ledger without replication: applies each command at the next log index."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -126,7 +127,7 @@
 
 
 def north_region(ledger_type: type[Ledger] = Ledger) -> RegionLedger:
-    """Return the region `north` with all its converters observed ready and warm."""
+    """Return the ledger of region `north` after an observation of all its converters as ready and warm."""
     region = RegionLedger(ledger_type(small_agreement(), "north"))
     region.observe_all()
     return region
--- a/tests/test_maintenance_compatibility.py
+++ b/tests/test_maintenance_compatibility.py
@@ -1,4 +1,4 @@
-"""Stored data, messages and options stay compatible: data written by revision f922cf1 is read and written unchanged."""
+"""Compatibility of stored data, messages and CLI options: data of revision f922cf1 is read and written unchanged."""
 
 from __future__ import annotations
 
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -46,13 +46,13 @@
     region = north_region()
     granted = region.request_and_grant("r1", "n00")
     assert region.ledger.capacity("convert").unavailable == 1000
-    region.observe("n00")  # up before the drain started: this must not close the lease
+    region.observe("n00")  # ready before the drain starts: the observation must not close the lease
     region.apply(StartDrain("r1/1", granted.token))
     region.apply(AdvanceTime(10_000_000))
     region.observe("n00")
     before_release = region.ledger.applied
     assert region.apply(ReleaseLease("r1/1", granted.token)) == Released("r1/1", ("n00",))
-    region.observe("n00", as_of=before_release)  # observed before the release, so it may have gone down since
+    region.observe("n00", as_of=before_release)  # n00 may have gone down after this observation
     region.observe("n00", ready=False)
     region.observe("n00", warmth=999)
     assert region.ledger.capacity("convert").unavailable == 1000
@@ -119,9 +119,10 @@
     assert region.observe("n10", ready=False) == Observed((), ("r2/1",))
     assert region.ledger.is_below_agreement("convert")
     assert region.ledger.capacity("convert").lost == 1000
-    region.observe("n10", warmth=500)  # up again, half warmed up
+    region.observe("n10", warmth=500)  # ready again, with half of the warm-up done
     assert region.ledger.capacity("convert").lost == 500
-    region.observe("n01")  # closes the revoked lease, leaving 1 out and 0.5 lost of an allowance of 2
+    # Closes the revoked lease. Of the allowance of 2, the draining lease uses 1 and the loss of n10 uses 0.5.
+    region.observe("n01")
     result = region.grant("r3/1", "r3", "n02")
     assert isinstance(result, Rejected) and "0.5 too much" in result.reason and "allowance" in result.reason
     region.observe("n10")
@@ -151,7 +152,8 @@
     text = text.replace("allowance = 2", "allowance = 1")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     region.observe_all()
-    region.request_and_grant("r1", "n00")  # 2 remain in zone 0, the regional minimum if zone 1 is lost
+    # Leaves 2 converters in zone z0, which alone provide the regional minimum if zone z1 is lost.
+    region.request_and_grant("r1", "n00")
     region.apply(CreditTransfer(Transfer("south", "north", 1, "convert", 1000)))
     region.apply(SubmitRequest(request("r2", converters=("n01",))))
     result = region.grant("r2/1", "r2", "n01")
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: order, backfill, reported reasons, stability, and how close its schedules are to the best plan."""
+"""The scheduler: order, backfill, reported reasons, frozen windows, and comparison with the best plan."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
     assert start_times(make_schedule(problem_with_gap)) == {"first": [0], "large": [0, 10], "small": [10]}
     problem_without_gap = make_problem(replace(large, converters=(CONVERTERS["c5"],)), first, small, bound=2000)
     assert start_times(make_schedule(problem_without_gap)) == {"first": [0], "large": [10], "small": [0]}, (
-        "small and first fit at the same time"
+        "small and first fit into the limit at the same time"
     )
 
 
@@ -153,7 +153,7 @@
     assert start_times(make_schedule(make_problem(waiting, *urgent, now_ms=now_ms)))["old"] == [now_ms]
     earlier_schedule = make_schedule(make_problem(waiting, *urgent, now_ms=AGING_INTERVAL_MS))
     assert start_times(earlier_schedule)["old"] == [AGING_INTERVAL_MS], (
-        "nothing else is scheduled before the urgent requests"
+        "the urgent requests may only start later, so the waiting request goes first"
     )
 
 
@@ -171,7 +171,8 @@
     next_schedule = make_schedule(build_problem(region.ledger, schedule.windows))
     assert start_times(next_schedule) == {"b": [12_050], "c": [12_050, 24_050]}
     region.apply(StartDrain("a/1", granted.token))
-    region.apply(AdvanceTime(20_000))  # the lease is overdue: it stays charged, and the other requests stay scheduled
+    # The lease is overdue. It stays charged, so the other requests are scheduled after its assumed end.
+    region.apply(AdvanceTime(20_000))
     assert start_times(make_schedule(build_problem(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
 
 
@@ -212,7 +213,7 @@
 
 
 def check_schedule(problem: SchedulingProblem, schedule: Schedule) -> None:
-    """Check that a schedule keeps all limits, and the time frames and concurrent outages that requests allow."""
+    """Check that a schedule keeps all limits, and each request's time frame and limit on concurrent outages."""
     jobs = {job.request.name: job for job in problem.jobs}
     for at_ms in [0, *(window.start_ms for window in schedule.windows)]:
         running = [window for window in schedule.windows if window.start_ms <= at_ms < window.end_ms]
--- a/tests/test_maintenance_transfers.py
+++ b/tests/test_maintenance_transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of allowance between regions: delivery in any order, and the transfers that needs cause."""
+"""Transfers of allowance between regions: delivery in any order, and transfers that cover reported needs."""
 
 from __future__ import annotations
 
