--- a/ryepier/maintenance/agent.py
+++ b/ryepier/maintenance/agent.py
@@ -69,7 +69,7 @@
     def _start_maintenance(self, group: asyncio.TaskGroup, lease: Granted) -> None:
         """Carry out a lease in a separate task."""
         self.active_leases.add(lease.lease)
-        group.create_task(self._carry_out_lease(lease))
+        group.create_task(self._carry_out_maintenance(lease))
 
     async def _fetch_resumable_leases(self) -> list[Granted]:
         """Return this agent's leases that are neither released nor revoked. Retries until the status is available."""
@@ -108,14 +108,14 @@
         log.info("lease not granted: %s", result.reason if isinstance(result, Rejected) else result)
         return None
 
-    async def _carry_out_lease(self, lease: Granted) -> None:
+    async def _carry_out_maintenance(self, lease: Granted) -> None:
         """Carry out one lease, from the start of its drain to its release."""
         log_fields = {"lease": lease.lease, "token": lease.token}
         log.info("maintenance started", extra={**log_fields, "converters": lease.converters})
         try:
             if await self._start_drain(lease):
                 await asyncio.gather(*(self._maintain_converter(name, lease.token) for name in lease.converters))
-                await self._release(lease)
+                await self._release_lease(lease)
                 log.info("maintenance completed", extra=log_fields)
         except FleetError as error:
             log.warning("maintenance abandoned: %s", error, extra=log_fields)
@@ -131,7 +131,7 @@
         log.info("drain not started: %s", result, extra={"lease": lease.lease})
         return False
 
-    async def _release(self, lease: Granted) -> None:
+    async def _release_lease(self, lease: Granted) -> None:
         """Release the lease after its maintenance."""
         command = ReleaseLease(lease.lease, lease.token)
         result = await self._retry_until_acknowledged(lambda: self.client.command(command, CALL_TIMEOUT_S))
--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -54,35 +54,35 @@
     reason: ReasonText
 
 
-class _Numbered(msgspec.Struct, frozen=True):
+class _NumberedFrame(msgspec.Struct, frozen=True):
     """A call, or the reply to the call with the same number on the same connection."""
 
     number: NonNegative
 
 
-class CommandCall(_Numbered, tag="command-call", frozen=True):
+class CommandCall(_NumberedFrame, tag="command-call", frozen=True):
     """Requests that the encoded command is committed; the reply is sent after the commit."""
 
     command: bytes
 
 
-class LeaseCall(_Numbered, tag="lease-call", frozen=True):
+class LeaseCall(_NumberedFrame, tag="lease-call", frozen=True):
     """Requests a lease on a window that is due. The agent chooses the name; repeating a name returns the same lease."""
 
     lease: Name
 
 
-class StatusCall(_Numbered, tag="status-call", frozen=True):
+class StatusCall(_NumberedFrame, tag="status-call", frozen=True):
     """Requests the state of the region."""
 
 
-class CommandReply(_Numbered, tag="command-reply", frozen=True):
+class CommandReply(_NumberedFrame, tag="command-reply", frozen=True):
     """The result of applying the committed command."""
 
     result: Result
 
 
-class NoWindowReply(_Numbered, tag="no-window-reply", frozen=True):
+class NoWindowReply(_NumberedFrame, tag="no-window-reply", frozen=True):
     """The reply to a `LeaseCall` if no window is due."""
 
 
@@ -123,7 +123,7 @@
     allowance: int
 
 
-class StatusReply(_Numbered, tag="status-reply", frozen=True):
+class StatusReply(_NumberedFrame, tag="status-reply", frozen=True):
     """The state of a region, as far as its leader has applied the log."""
 
     region: str
@@ -136,13 +136,13 @@
     capacities: tuple[CapacityStatus, ...]
 
 
-class NotLeaderReply(_Numbered, tag="not-leader-reply", frozen=True):
+class NotLeaderReply(_NumberedFrame, tag="not-leader-reply", frozen=True):
     """The call was not processed because this replica is not the leader; `leader` is empty if it is not known."""
 
     leader: str
 
 
-class UncertainReply(_Numbered, tag="uncertain-reply", frozen=True):
+class UncertainReply(_NumberedFrame, tag="uncertain-reply", frozen=True):
     """The replica lost its leadership before the command was committed; another leader may still commit it."""
 
 
--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -38,7 +38,7 @@
         Raises StorageError, KeyError if the region is unknown, or ValueError if the replica is unknown.
         """
         self.settings = settings
-        self.peers = PeerConnections(settings)
+        self.peer_connections = PeerConnections(settings)
         self.node = self._make_node(components or DEFAULT_COMPONENTS)
         self.clock = RegionClock(self.node.replica, self.node.ledger)
         self.planner = Planner(self.node.ledger, settings.freeze_ms)
@@ -52,9 +52,11 @@
         members = tuple(settings.addresses)
         if settings.replica not in members:
             raise ValueError(f"region {settings.region!r} has no replica {settings.replica!r}")
-        disk = open_storage(settings.folder, settings.identity, settings.bootstrap, components.storage_type)
-        replica = components.replica_type(ReplicaSettings(settings.replica, members, settings.seed), disk.state)
-        return Node(replica, disk.storage, ledger, self.peers.send)
+        opened_storage = open_storage(settings.folder, settings.identity, settings.bootstrap, components.storage_type)
+        replica = components.replica_type(
+            ReplicaSettings(settings.replica, members, settings.seed), opened_storage.state
+        )
+        return Node(replica, opened_storage.storage, ledger, self.peer_connections.send)
 
     async def run(self) -> None:
         """Serve until `stop_event` is set. Raises FatalError, or OSError if the address cannot be bound."""
@@ -77,12 +79,16 @@
         """Return the coroutines that run alongside the server."""
         leader_tasks = LeaderTasks(self.settings, self.node, self.planner, self.clock)
         agreement, region = self.settings.agreement, self.settings.region
-        links = [RegionLink(agreement, region, other) for other in agreement.regions if other != region]
+        links = [
+            RegionLink(agreement, region, remote_region)
+            for remote_region in agreement.regions
+            if remote_region != region
+        ]
         return [
             self._tick_replica(),
             leader_tasks.advance_time(),
             leader_tasks.observe(),
-            *(self.peers.keep_connected(peer) for peer in self.node.replica.settings.peers),
+            *(self.peer_connections.keep_connected(peer) for peer in self.node.replica.settings.peers),
             *(leader_tasks.exchange_with(link) for link in links),
         ]
 
--- a/ryepier/maintenance/node.py
+++ b/ryepier/maintenance/node.py
@@ -97,21 +97,21 @@
             self.disk.save(ready)
             for envelope in ready.messages:
                 self.send(envelope.receiver, envelope.message)
-            for committed in ready.committed:
-                self._apply_entry(committed)
+            for committed_entry in ready.committed_entries:
+                self._apply_entry(committed_entry)
         except (OSError, storage.StorageError, CommandError) as error:
             self.failed = True
             raise FatalError(str(error)) from error
         self._log_role_change()
 
-    def _apply_entry(self, committed: CommittedEntry) -> None:
+    def _apply_entry(self, committed_entry: CommittedEntry) -> None:
         """Apply a committed entry to the ledger, and resolve the pending proposal at its index, if there is one."""
-        proposal = self.pending_proposals.pop(committed.index, None)
-        if not committed.entry.command:
+        proposal = self.pending_proposals.pop(committed_entry.index, None)
+        if not committed_entry.entry.command:
             self._resolve_proposal(proposal, None)
             return
-        result = self.ledger.apply(committed.index, commands.decode(committed.entry.command))
-        is_own_entry = proposal is not None and proposal.term == committed.entry.term
+        result = self.ledger.apply(committed_entry.index, commands.decode(committed_entry.entry.command))
+        is_own_entry = proposal is not None and proposal.term == committed_entry.entry.term
         self._resolve_proposal(proposal, result if is_own_entry else None)
 
     @staticmethod
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -54,7 +54,7 @@
         """Start without observations; `warm_up_ms` maps each converter to its warm-up time in milliseconds."""
         self.warm_up_ms = warm_up_ms
         self.incarnations: dict[str, _ListedIncarnation] = {}
-        self.warm_up_known: set[str] = set()
+        self.converters_with_known_start: set[str] = set()
 
     def observe(self, now_ms: int, region_time_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
         """Return the probes of a listing; `now_ms` is local time, `region_time_ms` the region's committed time.
@@ -70,14 +70,14 @@
                 probes.append(self._probe_not_ready(converter, region_time_ms))
                 continue
             probe = self._probe_ready(converter, uid, now_ms, region_time_ms)
-            if probe.observation.warmth == FULL_WARMTH or converter in self.warm_up_known:
+            if probe.observation.warmth == FULL_WARMTH or converter in self.converters_with_known_start:
                 probes.append(probe)
         return tuple(probes)
 
     def _probe_not_ready(self, converter: str, region_time_ms: int) -> WarmthProbe:
         """Return the probe of a converter that is not listed as ready, and forget its incarnation."""
         self.incarnations.pop(converter, None)
-        self.warm_up_known.add(converter)
+        self.converters_with_known_start.add(converter)
         return WarmthProbe(ConverterObservation(converter, False, 0), region_time_ms)
 
     def _probe_ready(self, converter: str, uid: str, now_ms: int, region_time_ms: int) -> WarmthProbe:
@@ -85,7 +85,7 @@
         incarnation = self.incarnations.get(converter)
         if incarnation is None or incarnation.uid != uid:
             if incarnation is not None:
-                self.warm_up_known.add(converter)
+                self.converters_with_known_start.add(converter)
             incarnation = self.incarnations[converter] = _ListedIncarnation(uid, now_ms, region_time_ms)
         warmth = _warmth(now_ms - incarnation.warm_up_started_ms, self.warm_up_ms[converter])
         return WarmthProbe(ConverterObservation(converter, True, warmth), incarnation.warm_up_started_region_ms)
@@ -94,7 +94,7 @@
         """Restart the warm-up of a converter's current incarnation at `now_ms`."""
         incarnation = self.incarnations.get(converter)
         if incarnation is not None:
-            self.warm_up_known.add(converter)
+            self.converters_with_known_start.add(converter)
             self.incarnations[converter] = _ListedIncarnation(incarnation.uid, now_ms, region_time_ms)
 
 
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -51,11 +51,13 @@
 
     async def exchange(self, ledger: Ledger) -> list[Command]:
         """Report the capacity needs and send the pending transfers; return the acknowledgements to commit."""
-        pending = [transfer for transfer in ledger.pending_transfers() if transfer.receiver == self.remote_region]
+        pending_transfers = [
+            transfer for transfer in ledger.pending_transfers() if transfer.receiver == self.remote_region
+        ]
         acknowledgements: list[Command] = []
         try:
             await self._report_needs(ledger)
-            for transfer in pending:
+            for transfer in pending_transfers:
                 result = await self.client.command(CreditTransfer(transfer), self.CALL_TIMEOUT_S)
                 if isinstance(result, Credited):
                     acknowledgements.append(AcknowledgeTransfer(transfer))
--- a/ryepier/maintenance/replication/core.py
+++ b/ryepier/maintenance/replication/core.py
@@ -39,15 +39,16 @@
 
     follower_type: ClassVar[type[Follower]] = Follower
 
-    def __init__(self, settings: ReplicaSettings, durable: DurableState | None) -> None:
-        """Start from the state on disk; `durable` is None if the disk is empty although the region already exists.
+    def __init__(self, settings: ReplicaSettings, durable_state: DurableState | None) -> None:
+        """Start from the state on disk.
 
-        Raises ValueError if the replica is not among the members.
+        `durable_state` is None if the disk is empty although the region already exists; the replica then starts as
+        recovering. Raises ValueError if the replica is not among the members.
         """
         if settings.name not in settings.members:
             raise ValueError(f"{settings.name!r} is not among the members {', '.join(settings.members)}")
         self.settings = settings
-        self._state = ReplicaState(settings, durable)
+        self._state = ReplicaState(settings, durable_state)
         self._recovery = Recovery(self._state)
         self._follower = self.follower_type(self._state, self._recovery)
         self._leader = Leader(self._state)
--- a/ryepier/maintenance/replication/model.py
+++ b/ryepier/maintenance/replication/model.py
@@ -56,14 +56,15 @@
     """The work that the embedding process has to carry out, in the order of the fields.
 
     First, `hard_state` is made durable (unless it is None), and so is the log, whose entries from `first_index` on are
-    replaced by `entries` (unless `first_index` is 0). Then `messages` are sent, and finally `committed` is applied.
+    replaced by `entries` (unless `first_index` is 0). Then `messages` are sent, and finally `committed_entries` are
+    applied to the ledger.
     """
 
     hard_state: HardState | None
     first_index: int
     entries: tuple[Entry, ...]
     messages: tuple[Envelope, ...]
-    committed: tuple[CommittedEntry, ...]
+    committed_entries: tuple[CommittedEntry, ...]
 
     @property
     def must_store(self) -> bool:
--- a/ryepier/maintenance/replication/replica_state.py
+++ b/ryepier/maintenance/replication/replica_state.py
@@ -22,13 +22,17 @@
 class ReplicaState:
     """The state of one replica. Records every change that the next `Ready` has to store or send."""
 
-    def __init__(self, settings: ReplicaSettings, durable: DurableState | None) -> None:
-        """Start from the state on disk; `durable` is None if the disk is empty although the region already exists."""
+    def __init__(self, settings: ReplicaSettings, durable_state: DurableState | None) -> None:
+        """Start as a follower or learner from `durable_state`.
+
+        `durable_state` is None if the disk is empty although the region already exists; the replica then starts as
+        recovering.
+        """
         self.settings = settings
         self.random = random.Random(settings.seed)
-        self.hard_state = durable.hard_state if durable is not None else HardState()
-        self.log: list[Entry] = list(durable.entries) if durable is not None else []
-        self.role = _initial_role(durable)
+        self.hard_state = durable_state.hard_state if durable_state is not None else HardState()
+        self.log: list[Entry] = list(durable_state.entries) if durable_state is not None else []
+        self.role = _initial_role(durable_state)
         self.leader = NO_MEMBER
         self.commit_index = 0
         self.applied_index = 0
@@ -88,7 +92,7 @@
     def take_ready(self) -> Ready:
         """Return the writes, messages and committed entries that have accumulated since the last call."""
         output, self.pending_output = self.pending_output, _PendingOutput()
-        committed = tuple(
+        committed_entries = tuple(
             CommittedEntry(index, self.log[index - 1]) for index in range(self.applied_index + 1, self.commit_index + 1)
         )
         self.applied_index = self.commit_index
@@ -97,12 +101,12 @@
             first_index=output.first_index,
             entries=tuple(self.log[output.first_index - 1 :]) if output.first_index else (),
             messages=tuple(output.messages),
-            committed=committed,
+            committed_entries=committed_entries,
         )
 
 
-def _initial_role(durable: DurableState | None) -> Role:
+def _initial_role(durable_state: DurableState | None) -> Role:
     """Return the role in which a replica starts with this state on its disk."""
-    if durable is None:
+    if durable_state is None:
         return Role.RECOVERING
-    return Role.LEARNER if durable.hard_state.recovered_at_term > 0 else Role.FOLLOWER
+    return Role.LEARNER if durable_state.hard_state.recovered_at_term > 0 else Role.FOLLOWER
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -197,12 +197,13 @@
         if content is None:
             raise StorageError(f"{self.path}: identity record missing or incomplete")
         try:
-            stored = msgspec.msgpack.decode(content, type=Identity)
+            stored_identity = msgspec.msgpack.decode(content, type=Identity)
         except msgspec.DecodeError as error:
             raise StorageError(f"{self.path}: unreadable identity record: {error}") from error
-        if stored != self.identity:
+        if stored_identity != self.identity:
             raise StorageError(
-                f"{self.path}: belongs to {_describe_identity(stored)}, not to {_describe_identity(self.identity)}"
+                f"{self.path}: belongs to {_describe_identity(stored_identity)}, "
+                f"not to {_describe_identity(self.identity)}"
             )
 
     def _read_next_content(self) -> bytes | None:
--- a/ryepier/maintenance/status.py
+++ b/ryepier/maintenance/status.py
@@ -30,16 +30,18 @@
     schedule = planner.current_schedule()
     reasons = {delayed.request: delayed.reason for delayed in schedule.delayed_requests}
     reasons |= {unplaced.request: unplaced.reason for unplaced in schedule.unplaced_requests}
-    starts_ms: dict[str, int] = {}
+    start_ms_by_request: dict[str, int] = {}
     for window in schedule.windows:
-        starts_ms[window.request] = min(window.start_ms, starts_ms.get(window.request, window.start_ms))
+        start_ms_by_request[window.request] = min(
+            window.start_ms, start_ms_by_request.get(window.request, window.start_ms)
+        )
     return tuple(
         RequestStatus(
             name=record.request.name,
             service=record.request.service,
             remaining=tuple(record.remaining()),
             deadline_ms=record.request.deadline_ms,
-            starts_ms=starts_ms.get(record.request.name, NO_START_MS),
+            starts_ms=start_ms_by_request.get(record.request.name, NO_START_MS),
             reason=reasons.get(record.request.name, ""),
         )
         for record in planner.ledger.open_requests()
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -60,7 +60,7 @@
     token: int
     converters: tuple[str, ...]
     drain_started: bool = False
-    restarted: bool = False
+    converters_restarted: bool = False
     released: bool = False
     superseded: bool = False  # the lease was revoked or taken over, so the agent's commands must be rejected
 
@@ -103,11 +103,11 @@
         self.network: list[Message] = []
         self.pending_observations: list[PendingObservation] = []
         self.last_sequence = 0
-        self.time = 0
+        self.time_ms = 0
         self.agreement_checker = AgreementChecker(agreement)
         # each with the losses that its region has recorded
         self.region_checkers = {name: AgreementChecker(agreement) for name in agreement.regions}
-        self.recorded_as_of: dict[str, int] = {}
+        self.last_recorded_as_of: dict[str, int] = {}
         self.breaches: list[Breach] = []
         for name in agreement.regions:
             self.checkpoint(name)
@@ -171,13 +171,13 @@
 
     def restart_converters(self, agent: Agent) -> None:
         """Restart the converters of a lease; they are cold."""
-        if agent.drain_started and not agent.restarted:
-            agent.restarted = True
+        if agent.drain_started and not agent.converters_restarted:
+            agent.converters_restarted = True
             for name in agent.converters:
                 self.actual_converters[name].up, self.actual_converters[name].warmth = True, 0
 
     def release(self, agent: Agent) -> None:
-        if agent.restarted or agent.superseded:
+        if agent.converters_restarted or agent.superseded:
             result = self.apply(agent.region, ReleaseLease(agent.lease, agent.token))
             agent.released = not isinstance(result, Rejected)
             assert not (agent.superseded and agent.released), "a lease was released with an invalid token"
@@ -188,7 +188,12 @@
             assert result.token > agent.token and not agent.superseded
             agent.superseded = True
             new_agent = Agent(
-                agent.region, agent.lease, result.token, agent.converters, agent.drain_started, agent.restarted
+                agent.region,
+                agent.lease,
+                result.token,
+                agent.converters,
+                agent.drain_started,
+                agent.converters_restarted,
             )
             self.agents.append(new_agent)
 
@@ -215,7 +220,7 @@
         if actual.up:
             actual.warmth = FULL_WARMTH
             self._apply_change(name, 0, planned=False)
-            if actual.planned and any(agent.restarted for agent in self._agents_of_last_lease(name)):
+            if actual.planned and any(agent.converters_restarted for agent in self._agents_of_last_lease(name)):
                 actual.planned = False
                 self._apply_change(name, 0, planned=True)
 
@@ -256,11 +261,11 @@
         if not isinstance(self.apply(pending.region, pending.command), Observed):
             return
         for observation in pending.command.observations:
-            if self.recorded_as_of.get(observation.converter, 0) <= pending.command.as_of:
-                self.recorded_as_of[observation.converter] = pending.command.as_of
+            if self.last_recorded_as_of.get(observation.converter, 0) <= pending.command.as_of:
+                self.last_recorded_as_of[observation.converter] = pending.command.as_of
                 missing = FULL_WARMTH - observation.warmth if observation.ready else FULL_WARMTH
                 self.region_checkers[pending.region].apply(
-                    CapacityChange(self._next_time(), observation.converter, missing, planned=False)
+                    CapacityChange(self._next_time_ms(), observation.converter, missing, planned=False)
                 )
 
     # transfers
@@ -312,12 +317,12 @@
         received_numbers = self.ledger(transfer.receiver).state.escrow.received.get(transfer.giver)
         return received_numbers is not None and received_numbers.has(transfer.number)
 
-    def _next_time(self) -> int:
-        self.time += 1
-        return self.time
+    def _next_time_ms(self) -> int:
+        self.time_ms += 1
+        return self.time_ms
 
     def _apply_change(self, name: str, missing: int, *, planned: bool) -> None:
-        change = CapacityChange(self._next_time(), name, missing, planned)
+        change = CapacityChange(self._next_time_ms(), name, missing, planned)
         self.breaches += self.agreement_checker.apply(change)
         if not planned:
             return
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -99,7 +99,7 @@
             self.processes[replica].kill()
             self.processes[replica].wait()
 
-    def signal(self, replica: str, signal_number: signal.Signals) -> None:
+    def send_signal(self, replica: str, signal_number: signal.Signals) -> None:
         self.processes[replica].send_signal(signal_number)
 
     def close(self) -> None:
--- a/tests/maintenance_replication_cluster.py
+++ b/tests/maintenance_replication_cluster.py
@@ -70,7 +70,7 @@
         self.check_log(replica, ready.first_index)
         for envelope in ready.messages:
             self.network.append((member.name, envelope.receiver, envelope.message))
-        for committed_entry in ready.committed:
+        for committed_entry in ready.committed_entries:
             self.check_committed(committed_entry, replica.term)
         if replica.is_leader:
             self.check_leader(replica)
@@ -101,8 +101,8 @@
         if self.leaders_by_term.setdefault(replica.term, name) != name:
             raise BrokenInvariantError(f"two leaders of term {replica.term}")
         for index, entry in self.committed_entries.items():
-            is_later_term = replica.term >= self.first_commit_terms[index]
-            if is_later_term and (index > replica.last_index or replica.log[index - 1] != entry):
+            must_hold_entry = replica.term >= self.first_commit_terms[index]
+            if must_hold_entry and (index > replica.last_index or replica.log[index - 1] != entry):
                 raise BrokenInvariantError(f"the leader of term {replica.term} lacks committed entry {index}")
 
     def deliver(self, message_index: int, keep_copy: bool = False) -> None:
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -19,7 +19,7 @@
 from tests.loopback_ports import free_port
 from tests.network_peers import wait_until
 
-GRANTED = Granted("l1", "agent-1", 7, ("a",))
+GRANTED_LEASE = Granted("l1", "agent-1", 7, ("a",))
 MAINTENANCE_STEPS = ["drain", "in-flight", "stop", "remove", "start", "list"]
 
 
@@ -27,20 +27,20 @@
 class StubCoordinators:
     """A stub of a region's coordinators: grants `leases`, and answers each type of command from `answers` first."""
 
-    leases: list[Granted] = field(default_factory=lambda: [GRANTED])
+    leases: list[Granted] = field(default_factory=lambda: [GRANTED_LEASE])
     open_leases: tuple[LeaseStatus, ...] = ()
     answers: dict[type, list[Result | CallError]] = field(default_factory=dict)
     commands: list[Command] = field(default_factory=list)
-    requested_names: list[str] = field(default_factory=list)
-    lost_answers: int = 0
+    requested_lease_names: list[str] = field(default_factory=list)
+    remaining_acquire_failures: int = 0
 
     async def status(self, timeout_s: float) -> StatusReply:
         return StatusReply(1, "north", "north-0", 1, 1, 0, (), self.open_leases, ())
 
     async def acquire_lease(self, lease: str, timeout_s: float) -> Result | None:
-        self.requested_names.append(lease)
-        if self.lost_answers:
-            self.lost_answers -= 1
+        self.requested_lease_names.append(lease)
+        if self.remaining_acquire_failures:
+            self.remaining_acquire_failures -= 1
             raise CallError("no answer")
         return self.leases.pop() if self.leases else None
 
@@ -60,10 +60,10 @@
     """A stub of the fleet: records the steps, and rejects the action `rejected_action`."""
 
     rejected_action: str = ""
-    busy_polls: int = 0
+    remaining_busy_polls: int = 0
     steps: list[tuple[str, str, int, str]] = field(default_factory=list)
-    drain_time_s: float = 0.0
-    stop_time_s: float = 0.0
+    drained_at_s: float = 0.0
+    stopped_at_s: float = 0.0
 
     async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
         now_s = asyncio.get_running_loop().time()
@@ -71,11 +71,11 @@
             raise FleetError("token 7 for a is outdated; 8 is the highest received")
         self.steps.append((action, converter, token, uid))
         if action == "drain":
-            self.drain_time_s = now_s
+            self.drained_at_s = now_s
         if action == "stop":
-            self.stop_time_s = now_s
-        if action == "in-flight" and self.busy_polls:
-            self.busy_polls -= 1
+            self.stopped_at_s = now_s
+        if action == "in-flight" and self.remaining_busy_polls:
+            self.remaining_busy_polls -= 1
             return FleetReply(in_flight=1)
         return FleetReply(uid="a.1" if action == "start" else "")
 
@@ -95,59 +95,59 @@
     asyncio.run(scenario())
 
 
-def has_released(coordinators: StubCoordinators) -> Callable[[], bool]:
+def make_release_condition(coordinators: StubCoordinators) -> Callable[[], bool]:
     return lambda: any(isinstance(command, ReleaseLease) for command in coordinators.commands)
 
 
-def test_lease_steps_run_in_order_with_its_token() -> None:
-    coordinators, fleet = StubCoordinators(), StubFleet(busy_polls=2)
-    run_agent_until(coordinators, fleet, has_released(coordinators))
+def test_maintenance_steps_run_in_order_with_the_token_of_the_lease() -> None:
+    coordinators, fleet = StubCoordinators(), StubFleet(remaining_busy_polls=2)
+    run_agent_until(coordinators, fleet, make_release_condition(coordinators))
     assert fleet.actions() == ["drain", *["in-flight"] * 3, "stop", "remove", "start", "list"]
     assert {step[1:3] for step in fleet.steps} == {("a", 7)} and fleet.steps[-1][3] == "a.1"
-    assert fleet.stop_time_s - fleet.drain_time_s >= 0.3
+    assert fleet.stopped_at_s - fleet.drained_at_s >= 0.3
     assert coordinators.commands == [StartDrain("l1", 7), ReleaseLease("l1", 7)]
 
 
-def test_drain_waits_for_the_committed_start() -> None:
+def test_unanswered_drain_start_is_retried_before_any_step() -> None:
     coordinators, fleet = StubCoordinators(answers={StartDrain: [CallError("no answer")]}), StubFleet()
-    run_agent_until(coordinators, fleet, has_released(coordinators))
+    run_agent_until(coordinators, fleet, make_release_condition(coordinators))
     assert coordinators.commands[:2] == [StartDrain("l1", 7)] * 2 and fleet.actions() == MAINTENANCE_STEPS
 
 
-def test_revoked_lease_is_not_carried_out() -> None:
+def test_maintenance_of_a_revoked_lease_is_not_started() -> None:
     coordinators, fleet = StubCoordinators(answers={StartDrain: [Rejected("lease 'l1' is called-off")]}), StubFleet()
-    run_agent_until(coordinators, fleet, lambda: len(coordinators.requested_names) >= 3)
+    run_agent_until(coordinators, fleet, lambda: len(coordinators.requested_lease_names) >= 3)
     assert fleet.steps == [] and coordinators.commands == [StartDrain("l1", 7)]
 
 
 @pytest.mark.parametrize("rejected_action", ["drain", "stop", "start"])
 def test_rejected_step_abandons_maintenance_without_release(rejected_action: str) -> None:
     coordinators, fleet = StubCoordinators(), StubFleet(rejected_action=rejected_action)
-    run_agent_until(coordinators, fleet, lambda: len(coordinators.requested_names) >= 5)
+    run_agent_until(coordinators, fleet, lambda: len(coordinators.requested_lease_names) >= 5)
     assert rejected_action not in fleet.actions() and coordinators.commands == [StartDrain("l1", 7)]
 
 
 def test_lease_request_is_retried_under_the_same_name() -> None:
-    coordinators, fleet = StubCoordinators(lost_answers=2), StubFleet()
-    run_agent_until(coordinators, fleet, has_released(coordinators))
+    coordinators, fleet = StubCoordinators(remaining_acquire_failures=2), StubFleet()
+    run_agent_until(coordinators, fleet, make_release_condition(coordinators))
     assert (
-        len(set(coordinators.requested_names[:3])) == 1
-        and coordinators.requested_names[3:4] != coordinators.requested_names[:1]
+        len(set(coordinators.requested_lease_names[:3])) == 1
+        and coordinators.requested_lease_names[3:4] != coordinators.requested_lease_names[:1]
     )
 
 
 def test_restarted_agent_resumes_only_its_own_leases() -> None:
-    def lease(name: str, agent: str, state: LeaseState) -> LeaseStatus:
+    def lease_status(name: str, agent: str, state: LeaseState) -> LeaseStatus:
         return LeaseStatus(name, "r1", agent, 9, state, (name,), (name,))
 
     draining, returning = LeaseState.DRAINING, LeaseState.RETURNING
-    resumed_leases = (
-        lease("b", "agent-1", draining),
-        lease("c", "agent-2", draining),
-        lease("d", "agent-1", returning),
+    open_leases = (
+        lease_status("b", "agent-1", draining),
+        lease_status("c", "agent-2", draining),
+        lease_status("d", "agent-1", returning),
     )
-    coordinators, fleet = StubCoordinators(leases=[], open_leases=resumed_leases), StubFleet()
-    run_agent_until(coordinators, fleet, has_released(coordinators))
+    coordinators, fleet = StubCoordinators(leases=[], open_leases=open_leases), StubFleet()
+    run_agent_until(coordinators, fleet, make_release_condition(coordinators))
     assert coordinators.commands == [StartDrain("b", 9), ReleaseLease("b", 9)]
     assert {step[1:3] for step in fleet.steps} == {("b", 9)}
 
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -35,15 +35,15 @@
 
 @dataclass
 class StubRegion:
-    """A stub of the remote region; its first `failing_calls` calls fail."""
+    """A stub of the remote region; its first `remaining_failures` calls fail."""
 
-    failing_calls: int = 0
+    remaining_failures: int = 0
     rejects_transfers: bool = False
     commands: list[Command] = field(default_factory=list)
 
     async def command(self, command: Command, timeout_s: float) -> Result:
-        if self.failing_calls:
-            self.failing_calls -= 1
+        if self.remaining_failures:
+            self.remaining_failures -= 1
             raise CallError("no answer")
         self.commands.append(command)
         if isinstance(command, CreditTransfer):
@@ -81,7 +81,7 @@
 
 
 def test_transfer_is_sent_until_its_acknowledgement_is_committed() -> None:
-    south, ledger = StubRegion(failing_calls=1), ledger_with_transfer()
+    south, ledger = StubRegion(remaining_failures=1), ledger_with_transfer()
     link = link_to(south)
     assert run_exchange(link, ledger) == []
     for _ in range(2):
@@ -99,13 +99,13 @@
 class RecordingCoordinator:
     """A stub of a coordinator that records the frames of all connections."""
 
-    received: list[object] = field(default_factory=list)
+    received_frames: list[object] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = Connection(reader, writer)
         try:
             while True:
-                self.received.append(await connection.receive())
+                self.received_frames.append(await connection.receive())
         except (OSError, EOFError):
             writer.close()
 
@@ -118,15 +118,15 @@
 HELLO = ClientHello(VERSION, "south", "north", ClientKind.REGION)
 
 
-async def check_duplicated_calls(relay: Relay, recording_coordinator: RecordingCoordinator) -> Connection:
+async def check_duplicated_and_reordered_calls(relay: Relay, recording_coordinator: RecordingCoordinator) -> Connection:
     connection = await Connection.dial(relay.listen, HELLO)
     for number in range(20):
         connection.send(StatusCall(number))
-    received = recording_coordinator.received
-    await recording_coordinator.wait_for(lambda: len(received) >= 21 + relay.duplicated and relay.duplicated > 0)
-    assert received[0] == HELLO
-    assert {frame.number for frame in received[1:] if isinstance(frame, StatusCall)} == set(range(20))
-    assert received[1:21] != [StatusCall(number) for number in range(20)], "the relay did not reorder the calls"
+    received_frames = recording_coordinator.received_frames
+    await recording_coordinator.wait_for(lambda: len(received_frames) >= 21 + relay.duplicated and relay.duplicated > 0)
+    assert received_frames[0] == HELLO
+    assert {frame.number for frame in received_frames[1:] if isinstance(frame, StatusCall)} == set(range(20))
+    assert received_frames[1:21] != [StatusCall(number) for number in range(20)], "the relay did not reorder the calls"
     return connection
 
 
@@ -139,19 +139,21 @@
         await rejected_connection.receive()
 
 
-def test_relay_duplicates_calls_and_drops_all_while_partitioned() -> None:
+def test_relay_duplicates_calls_and_closes_connections_while_partitioned() -> None:
     async def scenario() -> None:
         recording_coordinator = RecordingCoordinator()
         target_address, listen_address = Address("127.0.0.1", free_port()), Address("127.0.0.1", free_port())
         server = await asyncio.start_server(recording_coordinator.serve, *target_address)
         relay = Relay(listen_address, target_address, seed=1)
         await relay.start()
-        connection = await check_duplicated_calls(relay, recording_coordinator)
+        connection = await check_duplicated_and_reordered_calls(relay, recording_coordinator)
         await check_partition(relay, connection)
         relay.heal()
-        received_before_heal = len(recording_coordinator.received)
+        frame_count_before_dial = len(recording_coordinator.received_frames)
         new_connection = await Connection.dial(listen_address, HELLO)
-        await recording_coordinator.wait_for(lambda: len(recording_coordinator.received) != received_before_heal)
+        await recording_coordinator.wait_for(
+            lambda: len(recording_coordinator.received_frames) != frame_count_before_dial
+        )
         new_connection.close()
         server.close()
 
--- a/tests/test_maintenance_node.py
+++ b/tests/test_maintenance_node.py
@@ -36,14 +36,14 @@
 class StubDisk:
     """A stub of the storage that records what is saved; while `is_full`, saving fails."""
 
-    saved: list[Ready] = field(default_factory=list)
+    saved_updates: list[Ready] = field(default_factory=list)
     is_full: bool = False
 
     def save(self, ready: Ready) -> None:
         if self.is_full:
             raise OSError(28, "No space left on device")
         if ready.must_store:
-            self.saved.append(ready)
+            self.saved_updates.append(ready)
 
     def close(self) -> None:
         pass
@@ -55,15 +55,15 @@
 
     node: Node
     disk: StubDisk
-    sent: list[Message]
+    sent_messages: list[Message]
 
 
 def start_node(state: DurableState | None = None) -> NodeUnderTest:
-    sent: list[Message] = []
+    sent_messages: list[Message] = []
     disk = StubDisk()
     replica = Replica(ReplicaSettings("north-0", MEMBERS, 1), state or DurableState())
-    node = Node(replica, disk, Ledger(small_agreement(), "north"), lambda peer, message: sent.append(message))
-    return NodeUnderTest(node, disk, sent)
+    node = Node(replica, disk, Ledger(small_agreement(), "north"), lambda peer, message: sent_messages.append(message))
+    return NodeUnderTest(node, disk, sent_messages)
 
 
 def start_leader() -> NodeUnderTest:
@@ -81,7 +81,7 @@
         proposal = asyncio.create_task(node_under_test.node.propose(AdvanceTime(500)))
         await asyncio.sleep(0)
         assert (
-            node_under_test.disk.saved[-1].entries[-1].command
+            node_under_test.disk.saved_updates[-1].entries[-1].command
             and not proposal.done()
             and node_under_test.node.ledger.now_ms == 0
         )
@@ -114,7 +114,7 @@
     node_under_test.disk.is_full = False
     with pytest.raises(FatalError, match="has already failed"):
         node_under_test.node.tick()
-    assert node_under_test.sent == []
+    assert node_under_test.sent_messages == []
 
 
 def test_unknown_command_in_the_log_stops_the_replica() -> None:
@@ -124,21 +124,21 @@
 
 
 def test_lazy_storage_creates_its_file_at_the_first_write(tmp_path: Path) -> None:
-    opened = open_storage(tmp_path / "a", IDENTITY, bootstrap=False)
-    assert opened.state is None
-    opened.storage.save(Ready(None, 0, (), (), ()))
+    opened_storage = open_storage(tmp_path / "a", IDENTITY, bootstrap=False)
+    assert opened_storage.state is None
+    opened_storage.storage.save(Ready(None, 0, (), (), ()))
     assert not storage.exists(tmp_path / "a")
-    opened.storage.save(Ready(HardState(5, "", 5), 0, (), (), ()))
-    opened.storage.close()
-    reopened = open_storage(tmp_path / "a", IDENTITY, bootstrap=False)
-    assert reopened.state == DurableState(HardState(5, "", 5))
-    reopened.storage.close()
+    opened_storage.storage.save(Ready(HardState(5, "", 5), 0, (), (), ()))
+    opened_storage.storage.close()
+    reopened_storage = open_storage(tmp_path / "a", IDENTITY, bootstrap=False)
+    assert reopened_storage.state == DurableState(HardState(5, "", 5))
+    reopened_storage.storage.close()
 
 
 def test_forget_vote_storage_loses_the_vote(tmp_path: Path) -> None:
-    opened = open_storage(tmp_path, IDENTITY, bootstrap=True, storage_type=ForgetVoteStorage)
-    opened.storage.save(Ready(HardState(5, "north-1"), 1, (Entry(5, b"kept"),), (), ()))
-    opened.storage.close()
-    reopened = open_storage(tmp_path, IDENTITY, bootstrap=False)
-    assert reopened.state == DurableState(HardState(), (Entry(5, b"kept"),))
-    reopened.storage.close()
+    opened_storage = open_storage(tmp_path, IDENTITY, bootstrap=True, storage_type=ForgetVoteStorage)
+    opened_storage.storage.save(Ready(HardState(5, "north-1"), 1, (Entry(5, b"kept"),), (), ()))
+    opened_storage.storage.close()
+    reopened_storage = open_storage(tmp_path, IDENTITY, bootstrap=False)
+    assert reopened_storage.state == DurableState(HardState(), (Entry(5, b"kept"),))
+    reopened_storage.storage.close()
--- a/tests/test_maintenance_observer.py
+++ b/tests/test_maintenance_observer.py
@@ -34,16 +34,16 @@
     assert observe_ready(tracker, 9500, "a.2") == [ConverterObservation("a", True, 1000)]
 
 
-def test_outdated_incarnation_closes_a_lease_only_after_another_warm_up() -> None:
+def test_incarnation_listed_before_the_grant_closes_the_lease_after_another_warm_up() -> None:
     region = north_region()
-    granted = region.request_and_grant("r1", "n00")
+    granted_lease = region.request_and_grant("r1", "n00")
     region.apply(AdvanceTime(5_000))
     planner = Planner(region.ledger)
     tracker = WarmthTracker({"n00": 2000})
-    region.apply(StartDrain("r1/1", granted.token))
+    region.apply(StartDrain("r1/1", granted_lease.token))
     region.ledger.state.leases["r1/1"].granted_ms = 5_000
     tracker.observe(0, 4_000, [ListedConverter("n00", True)])  # a listing from before the grant
-    region.apply(ReleaseLease("r1/1", granted.token))
+    region.apply(ReleaseLease("r1/1", granted_lease.token))
     probes = tracker.observe(3_000, 5_000, [ListedConverter("n00", True)])
     assert planner.observation_command("x", region.ledger.applied, probes) is None
     assert planner.converters_to_restart(probes) == ["n00"]
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -71,18 +71,18 @@
 def test_lease_survives_restarts_and_is_closed_by_an_observation(north: Coordinators) -> None:
     async def scenario() -> None:
         assert await north.submit(make_request()) == Accepted("r1")
-        granted = await north.grant("l1")
+        granted_lease = await north.grant("l1")
         north.kill(await north.leader())
         assert unavailable_converters(await north.status()) == ["n00"]
-        assert await north.command(StartDrain("l1", granted.token)) == DrainStarted("l1")
+        assert await north.command(StartDrain("l1", granted_lease.token)) == DrainStarted("l1")
         north.kill(*(name for name in REPLICAS if north.processes[name].poll() is None))
         north.start_all()
         status = await north.status()
         assert [(lease.name, lease.token, lease.state) for lease in status.leases] == [
-            ("l1", granted.token, "draining")
+            ("l1", granted_lease.token, "draining")
         ]
-        assert await north.grant("l1") == granted, "repeating a lease name returns the same lease"
-        assert await north.command(ReleaseLease("l1", granted.token)) == Released("l1", ("n00",))
+        assert await north.grant("l1") == granted_lease, "repeating a lease name returns the same lease"
+        assert await north.command(ReleaseLease("l1", granted_lease.token)) == Released("l1", ("n00",))
         north.discovery.uids["n00"] = "n00.1"  # a new incarnation, which must warm up
         final_status = await north.wait_for_status(lambda status: not status.leases)
         assert not final_status.requests
@@ -96,20 +96,20 @@
         await north.wait_for_status(lambda status: bool(status.requests) and status.requests[0].starts_ms >= 0)
         old_leader = await north.leader()
         other_replicas = tuple(name for name in REPLICAS if name != old_leader)
-        north.signal(old_leader, signal.SIGSTOP)
+        north.send_signal(old_leader, signal.SIGSTOP)
         # the call is sent to the suspended process
         stale_call = asyncio.create_task(north.client(old_leader).acquire_lease("stale", 1.5))
-        granted = None
+        lease_result = None
         client = north.client(*other_replicas)
         async with asyncio.timeout(HANG_TIMEOUT_S):
-            while not isinstance(granted, Granted):
-                granted = await client.acquire_lease("l1", HANG_TIMEOUT_S)
+            while not isinstance(lease_result, Granted):
+                lease_result = await client.acquire_lease("l1", HANG_TIMEOUT_S)
                 await asyncio.sleep(0.1)
         with pytest.raises(CallError):
             await stale_call
         late_call = asyncio.create_task(north.client(old_leader).acquire_lease("late", 5.0))
         await asyncio.sleep(0.3)
-        north.signal(old_leader, signal.SIGCONT)
+        north.send_signal(old_leader, signal.SIGCONT)
         with pytest.raises(CallError):  # it replies that it is not the leader until the call times out
             await late_call
         assert [lease.name for lease in (await north.status()).leases] == ["l1"]
@@ -172,7 +172,7 @@
             await asyncio.sleep(0.1)
 
 
-def test_bootstrap_over_a_log_and_log_of_another_replica_are_rejected(north: Coordinators) -> None:
+def test_bootstrap_over_an_existing_log_and_log_of_another_replica_are_rejected(north: Coordinators) -> None:
     async def scenario() -> None:
         await north.submit(make_request())
         north.kill("north-0", "north-1")
@@ -259,21 +259,23 @@
     async def scenario() -> None:
         await north.status()
         common_options = ("--service", "convert", "--duration-s", "1", "--deadline-in-s", "600")
-        submitted = await asyncio.to_thread(run_ryepier, "request", "r1", "--converter", "n00", *common_options)
-        assert (submitted.returncode, submitted.stdout) == (0, "accepted\n")
-        unknown_converter = await asyncio.to_thread(run_ryepier, "request", "r2", "--converter", "n77", *common_options)
+        submit_result = await asyncio.to_thread(run_ryepier, "request", "r1", "--converter", "n00", *common_options)
+        assert (submit_result.returncode, submit_result.stdout) == (0, "accepted\n")
+        unknown_converter_result = await asyncio.to_thread(
+            run_ryepier, "request", "r2", "--converter", "n77", *common_options
+        )
         assert (
-            unknown_converter.returncode == 1
-            and "converter 'n77' does not belong to service 'convert'" in unknown_converter.stderr
+            unknown_converter_result.returncode == 1
+            and "converter 'n77' does not belong to service 'convert'" in unknown_converter_result.stderr
         )
-        negative_at_once = await asyncio.to_thread(
+        negative_at_once_result = await asyncio.to_thread(
             run_ryepier, "request", "r3", "--zone", "z0", "--at-once", "-1", *common_options
         )
-        assert negative_at_once.returncode == 2 and "at_once" in negative_at_once.stderr
-        listed = await asyncio.to_thread(run_ryepier, "list")
-        assert "request r1: 1 to do" in listed.stdout and "allowance 2" in listed.stdout
-        cancelled = await asyncio.to_thread(run_ryepier, "cancel", "r1")
-        assert cancelled.stdout == "cancelled\n"
+        assert negative_at_once_result.returncode == 2 and "at_once" in negative_at_once_result.stderr
+        list_result = await asyncio.to_thread(run_ryepier, "list")
+        assert "request r1: 1 to do" in list_result.stdout and "allowance 2" in list_result.stdout
+        cancel_result = await asyncio.to_thread(run_ryepier, "cancel", "r1")
+        assert cancel_result.stdout == "cancelled\n"
         assert json.loads((await asyncio.to_thread(run_ryepier, "list", "--json")).stdout)["requests"] == []
 
     run_scenario(north, scenario)
@@ -286,17 +288,17 @@
 
 def test_unanswered_call_fails_within_its_timeout(north: Coordinators) -> None:
     async def scenario() -> None:
-        start_time_s = time.monotonic()
+        started_at_s = time.monotonic()
         with pytest.raises(CallError, match=r"no reply from region north within 0\.5 s"):
             await north.client().status(0.5)
-        assert time.monotonic() - start_time_s < HANG_TIMEOUT_S
+        assert time.monotonic() - started_at_s < HANG_TIMEOUT_S
 
     asyncio.run(scenario())
 
 
 def test_rejected_request_has_a_reason(north: Coordinators) -> None:
     async def scenario() -> None:
-        rejected = await north.submit(make_request("r1", "n00", "n00"))
-        assert isinstance(rejected, Rejected) and "named twice" in rejected.reason
+        result = await north.submit(make_request("r1", "n00", "n00"))
+        assert isinstance(result, Rejected) and "named twice" in result.reason
 
     run_scenario(north, scenario)
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -33,7 +33,7 @@
 from tests.maintenance_cluster import Cluster
 from tests.maintenance_world import AGREEMENTS, small_agreement
 
-PICKS = st.integers(0, 30)
+SELECTION_NUMBERS = st.integers(0, 30)
 
 
 class DrainSequence(enum.StrEnum):
@@ -65,39 +65,51 @@
         regions = list(self.cluster.replicas)
         return regions[number % len(regions)]
 
-    @rule(which_region=PICKS, first_converter=PICKS, count=st.integers(1, 4), max_unavailable=st.integers(1, 4))
+    @rule(
+        which_region=SELECTION_NUMBERS,
+        first_converter=SELECTION_NUMBERS,
+        count=st.integers(1, 4),
+        max_unavailable=st.integers(1, 4),
+    )
     def submit_and_grant(self, which_region: int, first_converter: int, count: int, max_unavailable: int) -> None:
         region = self.pick_region(which_region)
-        requested = {name for record in self.cluster.ledger(region).open_requests() for name in record.remaining()}
-        available = [
+        requested_converters = {
+            name for record in self.cluster.ledger(region).open_requests() for name in record.remaining()
+        }
+        available_converters = [
             converter.name
             for converter in self.cluster.agreement.converters_of("convert", region)
-            if converter.name not in requested
+            if converter.name not in requested_converters
         ]
-        names = tuple(available[(first_converter + i) % len(available)] for i in range(min(count, len(available))))
+        names = tuple(
+            available_converters[(first_converter + i) % len(available_converters)]
+            for i in range(min(count, len(available_converters)))
+        )
         self.name_count += 1
         self.cluster.submit(region, f"r{self.name_count}", names, max_unavailable)
         self.cluster.grant(region, f"l{self.name_count}", f"r{self.name_count}", names[:max_unavailable])
 
-    @rule(which_region=PICKS, which_request=PICKS, count=st.integers(1, 4))
+    @rule(which_region=SELECTION_NUMBERS, which_request=SELECTION_NUMBERS, count=st.integers(1, 4))
     def grant(self, which_region: int, which_request: int, count: int) -> None:
         ledger = self.cluster.ledger(self.pick_region(which_region))
-        unavailable = {name for lease in ledger.open_leases() for name in lease.unavailable}
-        requests = [record for record in ledger.open_requests() if set(record.remaining()) - unavailable]
+        unavailable_converters = {name for lease in ledger.open_leases() for name in lease.unavailable}
+        requests = [record for record in ledger.open_requests() if set(record.remaining()) - unavailable_converters]
         if requests:
             record = requests[which_request % len(requests)]
-            remaining = record.request.max_unavailable - len(unavailable & set(record.converters))
-            names = [name for name in record.remaining() if name not in unavailable][: max(1, min(count, remaining))]
+            remaining_count = record.request.max_unavailable - len(unavailable_converters & set(record.converters))
+            names = [name for name in record.remaining() if name not in unavailable_converters][
+                : max(1, min(count, remaining_count))
+            ]
             self.name_count += 1
             self.cluster.grant(ledger.region, f"l{self.name_count}", record.request.name, tuple(names))
 
-    @rule(which_region=PICKS)
+    @rule(which_region=SELECTION_NUMBERS)
     def fill_region(self, which_region: int) -> None:
         """Request a lease on each converter separately, so that as many as allowed become unavailable."""
         ledger = self.cluster.ledger(self.pick_region(which_region))
-        requested = {name for record in ledger.open_requests() for name in record.remaining()}
+        requested_converters = {name for record in ledger.open_requests() for name in record.remaining()}
         for converter in ledger.agreement.converters_of("convert", ledger.region):
-            if converter.name not in requested:
+            if converter.name not in requested_converters:
                 self.name_count += 1
                 self.cluster.submit(ledger.region, f"r{self.name_count}", (converter.name,), 1)
         for record in ledger.open_requests():
@@ -106,14 +118,14 @@
                 self.cluster.grant(ledger.region, f"l{self.name_count}", record.request.name, (name,))
 
     @precondition(lambda self: self.cluster.agents)
-    @rule(which_agent=PICKS)
+    @rule(which_agent=SELECTION_NUMBERS)
     def grant_again(self, which_agent: int) -> None:
         agent = self.cluster.agents[-1 - which_agent % len(self.cluster.agents)]
         request_name = agent.lease.replace("l", "r", 1)
         self.cluster.grant(agent.region, agent.lease, request_name, agent.converters)
 
     @precondition(lambda self: self.cluster.agents)
-    @rule(which_agent=PICKS, step=st.sampled_from(AGENT_STEPS))
+    @rule(which_agent=SELECTION_NUMBERS, step=st.sampled_from(AGENT_STEPS))
     def agent_step(self, which_agent: int, step: str) -> None:
         agents = [
             agent for agent in self.cluster.agents if not (which_agent % 3 and (agent.superseded or agent.released))
@@ -130,12 +142,12 @@
         if step in (DrainSequence.OBSERVED_AFTER_RELEASE, DrainSequence.OBSERVED_BEFORE_START):
             self.cluster.record_observation(-1)
 
-    @rule(which_converter=PICKS, step=st.sampled_from(CONVERTER_STEPS))
+    @rule(which_converter=SELECTION_NUMBERS, step=st.sampled_from(CONVERTER_STEPS))
     def converter_step(self, which_converter: int, step: str) -> None:
         names = list(self.cluster.actual_converters)
         getattr(self.cluster, step)(names[which_converter % len(names)])
 
-    @rule(which_region=PICKS, zone=st.integers(0, 1), steps=st.sampled_from(ZONE_STEPS))
+    @rule(which_region=SELECTION_NUMBERS, zone=st.integers(0, 1), steps=st.sampled_from(ZONE_STEPS))
     def zone_step(self, which_region: int, zone: int, steps: tuple[str, ...]) -> None:
         region = self.pick_region(which_region)
         for converter in self.cluster.agreement.converters_of("convert", region):
@@ -145,21 +157,26 @@
         self.cluster.observe(region)
         self.cluster.record_observation(-1)
 
-    @rule(which_region=PICKS, record_now=st.booleans())
+    @rule(which_region=SELECTION_NUMBERS, record_now=st.booleans())
     def observe(self, which_region: int, record_now: bool) -> None:
         self.cluster.observe(self.pick_region(which_region))
         if record_now:
             self.cluster.record_observation(-1)
 
     @precondition(lambda self: self.cluster.pending_observations)
-    @rule(which_observation=PICKS, keep_copy=st.booleans())
+    @rule(which_observation=SELECTION_NUMBERS, keep_copy=st.booleans())
     def report_observation(self, which_observation: int, keep_copy: bool) -> None:
         """Record a pending observation, in most cases the oldest one."""
         self.cluster.record_observation(
             max(0, which_observation - 20) % len(self.cluster.pending_observations), keep_copy=keep_copy
         )
 
-    @rule(which_region=PICKS, which_receiver=PICKS, amount=st.integers(1, 4), deliver_now=st.booleans())
+    @rule(
+        which_region=SELECTION_NUMBERS,
+        which_receiver=SELECTION_NUMBERS,
+        amount=st.integers(1, 4),
+        deliver_now=st.booleans(),
+    )
     def give_allowance(self, which_region: int, which_receiver: int, amount: int, deliver_now: bool) -> None:
         giver = self.pick_region(which_region)
         receiver = self.pick_region(which_region + 1 + which_receiver % (len(self.cluster.replicas) - 1))
@@ -168,13 +185,13 @@
         if deliver_now and self.cluster.network:
             self.cluster.deliver(-1)
 
-    @rule(which_region=PICKS)
+    @rule(which_region=SELECTION_NUMBERS)
     def rebalance(self, which_region: int) -> None:
         self.cluster.rebalance(self.pick_region(which_region))
         self.cluster.send_needs_and_transfers(self.pick_region(which_region))
 
     @precondition(lambda self: self.cluster.network)
-    @rule(which_message=PICKS, keep_copy=st.booleans())
+    @rule(which_message=SELECTION_NUMBERS, keep_copy=st.booleans())
     def deliver(self, which_message: int, keep_copy: bool) -> None:
         self.cluster.deliver(which_message % len(self.cluster.network), keep_copy=keep_copy)
 
@@ -184,11 +201,15 @@
         self.cluster.deliver_all()
 
     @precondition(lambda self: self.cluster.network)
-    @rule(which_message=PICKS)
+    @rule(which_message=SELECTION_NUMBERS)
     def drop_message(self, which_message: int) -> None:
         self.cluster.network.pop(which_message % len(self.cluster.network))
 
-    @rule(which_region=PICKS, which_withdrawn_lease=PICKS, command_type=st.sampled_from([RevokeLease, CancelRequest]))
+    @rule(
+        which_region=SELECTION_NUMBERS,
+        which_withdrawn_lease=SELECTION_NUMBERS,
+        command_type=st.sampled_from([RevokeLease, CancelRequest]),
+    )
     def withdraw_lease(
         self, which_region: int, which_withdrawn_lease: int, command_type: type[RevokeLease | CancelRequest]
     ) -> None:
@@ -197,16 +218,16 @@
             lease = leases[which_withdrawn_lease % len(leases)]
             self.cluster.apply(region, command_type(lease.name if command_type is RevokeLease else lease.request))
 
-    @rule(which_region=PICKS)
+    @rule(which_region=SELECTION_NUMBERS)
     def advance_time(self, which_region: int) -> None:
         region = self.pick_region(which_region)
         self.cluster.apply(region, AdvanceTime(self.cluster.ledger(region).now_ms + 20_000))
 
-    @rule(which_region=PICKS)
+    @rule(which_region=SELECTION_NUMBERS)
     def checkpoint(self, which_region: int) -> None:
         self.cluster.checkpoint(self.pick_region(which_region))
 
-    @rule(which_region=PICKS)
+    @rule(which_region=SELECTION_NUMBERS)
     def restart(self, which_region: int) -> None:
         region = self.pick_region(which_region)
         snapshot_before = self.cluster.ledger(region).snapshot()
@@ -246,7 +267,7 @@
 # One scripted run for each seeded fault, checked only against the agreement
 
 
-def ignore_warm_up(cluster: Cluster) -> None:
+def grant_more_before_warm_up(cluster: Cluster) -> None:
     agent = cluster.request_and_grant("north", "r1", "n00", "n01")
     assert agent
     cluster.restart_converters(agent)
@@ -257,14 +278,14 @@
     cluster.request_and_grant("south", "r3", "s00", "s01")
 
 
-def expiry_frees(cluster: Cluster) -> None:
+def grant_more_after_lease_duration(cluster: Cluster) -> None:
     cluster.request_and_grant("north", "r1", "n00", "n01")
     cluster.apply("north", AdvanceTime(20_000))
     cluster.request_and_grant("north", "r2", "n02", "n10")
     cluster.request_and_grant("south", "r3", "s00", "s01")
 
 
-def double_credit(cluster: Cluster) -> None:
+def credit_transfer_twice_and_use_it(cluster: Cluster) -> None:
     cluster.debit("south", "north", 1000)
     cluster.send_needs_and_transfers("south")
     credit_position = next(
@@ -277,13 +298,13 @@
     cluster.request_and_grant("south", "r3", "s00")
 
 
-def borrow(cluster: Cluster) -> None:
+def grant_more_than_own_allowance(cluster: Cluster) -> None:
     cluster.request_and_grant("north", "r1", "n00", "n01", "n02")
     cluster.request_and_grant("north", "r2", "n10", "n11")
     cluster.request_and_grant("south", "r3", "s00", "s01")
 
 
-def forget_grant(cluster: Cluster) -> None:
+def restart_region_between_grants(cluster: Cluster) -> None:
     cluster.request_and_grant("north", "r1", "n00", "n01")
     cluster.checkpoint("north")
     cluster.restart("north")
@@ -291,7 +312,7 @@
     cluster.request_and_grant("south", "r3", "s00", "s01")
 
 
-def ignore_loss(cluster: Cluster) -> None:
+def grant_after_zone_loss(cluster: Cluster) -> None:
     for name in ("n10", "n11", "n12"):
         cluster.lose_converter(name)
     cluster.observe("north")
@@ -299,7 +320,7 @@
     cluster.request_and_grant("north", "r1", "n00", "n01")
 
 
-def stale_observation(cluster: Cluster) -> None:
+def record_observation_from_before_the_grant(cluster: Cluster) -> None:
     cluster.observe("north")
     agent = cluster.request_and_grant("north", "r1", "n00", "n01")
     assert agent
@@ -310,7 +331,7 @@
     cluster.request_and_grant("south", "r3", "s00", "s01")
 
 
-def overdraw(cluster: Cluster) -> None:
+def transfer_allowance_in_use(cluster: Cluster) -> None:
     cluster.request_and_grant("north", "r1", "n00", "n01")
     cluster.debit("north", "south", 1000)
     cluster.send_transfers("north")
@@ -319,14 +340,14 @@
 
 
 SCRIPTED_RUNS: dict[str, Callable[[Cluster], None]] = {
-    "cold-counts": ignore_warm_up,
-    "expiry-frees": expiry_frees,
-    "double-credit": double_credit,
-    "borrow": borrow,
-    "forget-grant": forget_grant,
-    "ignore-loss": ignore_loss,
-    "stale-look": stale_observation,
-    "overdraw": overdraw,
+    "cold-counts": grant_more_before_warm_up,
+    "expiry-frees": grant_more_after_lease_duration,
+    "double-credit": credit_transfer_twice_and_use_it,
+    "borrow": grant_more_than_own_allowance,
+    "forget-grant": restart_region_between_grants,
+    "ignore-loss": grant_after_zone_loss,
+    "stale-look": record_observation_from_before_the_grant,
+    "overdraw": transfer_allowance_in_use,
 }
 
 
--- a/tests/test_maintenance_storage.py
+++ b/tests/test_maintenance_storage.py
@@ -46,21 +46,23 @@
 @settings(deadline=None)
 @given(cut_bytes=st.integers(1, 200))
 def test_unacknowledged_torn_tail_is_truncated(cut_bytes: int, tmp_path_factory: pytest.TempPathFactory) -> None:
-    start_cpu_s = time.process_time()
+    started_at_cpu_s = time.process_time()
     replica_folder = tmp_path_factory.mktemp("torn")
     storage.create(replica_folder, IDENTITY)
     file = storage.FileStorage(replica_folder, IDENTITY)
     file.save(make_ready(1, 1, b"one"))
-    content_before_second, acknowledged_offset = file.path.read_bytes(), file.offset
+    content_before_second_save, acknowledged_offset = file.path.read_bytes(), file.offset
     file.save(make_ready(2, 2, b"x" * 200))
     file.close()
     content = file.path.read_bytes()
-    file.path.write_bytes(content_before_second[:20] + content[20 : max(acknowledged_offset, len(content) - cut_bytes)])
+    file.path.write_bytes(
+        content_before_second_save[:20] + content[20 : max(acknowledged_offset, len(content) - cut_bytes)]
+    )
     file = storage.FileStorage(replica_folder, IDENTITY)
     file.save(make_ready(5, 2, b"two"))
     file.close()
     assert reopen_and_read(replica_folder) == DurableState(HardState(5, "a"), (Entry(1, b"one"), Entry(5, b"two")))
-    assert time.process_time() - start_cpu_s <= MAX_EXAMPLE_CPU_S
+    assert time.process_time() - started_at_cpu_s <= MAX_EXAMPLE_CPU_S
 
 
 def test_missing_acknowledged_records_are_rejected(replica_folder: Path) -> None:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -58,12 +58,12 @@
 @pytest.mark.parametrize("weights", [WEIGHTS, WEIGHTS_WITH_WIPES], ids=["crashes", "wipes"])
 @pytest.mark.parametrize("member_count", [3, 5])
 def test_long_random_walks_keep_the_invariants_and_commit(member_count: int, weights: Mapping[str, float]) -> None:
-    committed = 0
+    committed_count = 0
     for seed in range(40):
         cluster = Cluster(member_count, seed)
         run_random_walk(cluster, seed, 300, weights)
-        committed += len(cluster.committed_entries)
-    assert committed > 40 * 5
+        committed_count += len(cluster.committed_entries)
+    assert committed_count > 40 * 5
 
 
 def first_broken_invariant(walk_count: int, replica_type: type[Replica] = Replica, loses_entries: bool = False) -> str:
