--- a/ryepier/maintenance/agent.py
+++ b/ryepier/maintenance/agent.py
@@ -1,7 +1,8 @@
 """The agent: acquires leases from one region's coordinators and carries out the maintenance of the leased converters.
 
 An agent acts on a converter only under a lease whose drain is committed, and sends the lease's fencing token with every
-step. Its release does not close the lease: the coordinators observe for themselves when a converter is ready and warm.
+step. Releasing a lease does not close it: the coordinators close it after they have observed that its converters are
+ready and warm.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 10.0
-WINDOW_POLL_INTERVAL_S = 0.2  # between two requests for a lease while no window is due
+WINDOW_POLL_INTERVAL_S = 0.2  # delay between lease requests if none was granted
 RETRY_DELAY_S = 0.5
 IN_FLIGHT_POLL_INTERVAL_S = 0.1
 DRAIN_TIMEOUT_S = 10.0
@@ -55,7 +56,10 @@
         self.active_leases: set[str] = set()
 
     async def run(self) -> None:
-        """Resume the leases of an earlier process of this agent, then acquire and carry out leases until cancelled."""
+        """Acquire leases and maintain their converters until cancelled.
+
+        First resumes the leases that an earlier process of this agent has acquired and not released.
+        """
         async with asyncio.TaskGroup() as group:
             for lease in await self._fetch_resumable_leases():
                 self._start_maintenance(group, lease)
@@ -67,7 +71,7 @@
                     self._start_maintenance(group, acquired_lease)
 
     def _start_maintenance(self, group: asyncio.TaskGroup, lease: Granted) -> None:
-        """Carry out a lease in a separate task."""
+        """Count a lease as active, and start the task that maintains its converters."""
         self.active_leases.add(lease.lease)
         group.create_task(self._carry_out_maintenance(lease))
 
@@ -88,9 +92,9 @@
             return [Granted(lease.name, lease.agent, lease.token, lease.converters) for lease in own_leases]
 
     async def _acquire_lease(self) -> Granted | None:
-        """Request a lease; return None if none was granted or the agent has reached its limit of leases.
+        """Request a lease; return None if none was granted or `max_concurrent_leases` leases are active.
 
-        While the outcome of a request is unknown, the next call repeats it under the same lease name.
+        If the outcome of a request is unknown, the next call repeats the request with the same lease name.
         """
         if len(self.active_leases) >= self.settings.max_concurrent_leases:
             return None
@@ -109,7 +113,7 @@
         return None
 
     async def _carry_out_maintenance(self, lease: Granted) -> None:
-        """Carry out one lease, from the start of its drain to its release."""
+        """Drain and maintain the converters of a lease, then release it. Abandons the lease if a step fails."""
         log_fields = {"lease": lease.lease, "token": lease.token}
         log.info("maintenance started", extra={**log_fields, "converters": lease.converters})
         try:
@@ -123,7 +127,7 @@
             self.active_leases.discard(lease.lease)
 
     async def _start_drain(self, lease: Granted) -> bool:
-        """Ask the coordinators to start the drain; return whether they have committed it."""
+        """Ask the coordinators to start the drain of a lease; return whether they have committed the start."""
         command = StartDrain(lease.lease, lease.token)
         result = await self._retry_until_acknowledged(lambda: self.client.command(command, CALL_TIMEOUT_S))
         if isinstance(result, DrainStarted):
@@ -132,7 +136,7 @@
         return False
 
     async def _release_lease(self, lease: Granted) -> None:
-        """Release the lease after its maintenance."""
+        """Release a lease whose converters have been maintained. A rejection is only logged."""
         command = ReleaseLease(lease.lease, lease.token)
         result = await self._retry_until_acknowledged(lambda: self.client.command(command, CALL_TIMEOUT_S))
         if isinstance(result, Rejected):
--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -40,7 +40,7 @@
 
 
 class ClientHello(msgspec.Struct, tag="client-hello", frozen=True):
-    """The first frame of a client; `region` is the region that it wants to call."""
+    """The first frame that a client sends; `region` is the region whose coordinators the client calls."""
 
     version: int
     region: Name
@@ -49,7 +49,7 @@
 
 
 class Rejection(msgspec.Struct, tag="refusal", frozen=True):
-    """A hello or call was rejected for this reason; the sender closes the connection after this frame."""
+    """Says why a hello, call or message was rejected; the sender closes the connection after this frame."""
 
     reason: ReasonText
 
@@ -61,7 +61,7 @@
 
 
 class CommandCall(_NumberedFrame, tag="command-call", frozen=True):
-    """Requests that the encoded command is committed; the reply is sent after the commit."""
+    """Requests the commit of the encoded `command`; the reply is sent after the commit."""
 
     command: bytes
 
@@ -87,10 +87,11 @@
 
 
 class RequestStatus(msgspec.Struct, frozen=True):
-    """An open request.
+    """An open maintenance request.
 
-    `starts_ms` is the start of its next window in the region's time, or NO_START_MS if no window is scheduled. `reason`
-    says why the request is delayed or cannot be scheduled; it is empty otherwise.
+    `remaining` names the converters that still have to be maintained. `deadline_ms` and `starts_ms`, the start of the
+    request's next window, are in the region's time; `starts_ms` is NO_START_MS if no window is scheduled. `reason` says
+    why the request is delayed or cannot be scheduled, and is empty otherwise.
     """
 
     name: str
@@ -102,7 +103,7 @@
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
-    """An open lease."""
+    """An open lease; `unavailable` names the converters that have not yet been observed ready and warm again."""
 
     name: str
     request: str
@@ -114,7 +115,11 @@
 
 
 class CapacityStatus(msgspec.Struct, frozen=True):
-    """A service's capacity in the region, in thousandths of a converter's size."""
+    """A service's capacity in the region, in thousandths of a converter's size.
+
+    `unavailable` is the capacity of converters under a lease, `lost` the capacity that is missing without a lease, and
+    `allowance` how much the region may take out of service.
+    """
 
     service: str
     available: int = msgspec.field(name="in_force")
@@ -124,7 +129,10 @@
 
 
 class StatusReply(_NumberedFrame, tag="status-reply", frozen=True):
-    """The state of a region, as far as its leader has applied the log."""
+    """The state of a region after its leader has applied the log up to the index `applied`.
+
+    `now_ms` is the region's time in milliseconds.
+    """
 
     region: str
     leader: str
--- a/ryepier/maintenance/client.py
+++ b/ryepier/maintenance/client.py
@@ -13,7 +13,7 @@
 from ryepier.maintenance.results import Result
 from ryepier.maintenance.transport import Connection, TransportError
 
-ATTEMPT_TIMEOUT_S = 2.0  # for one replica to reply
+ATTEMPT_TIMEOUT_S = 2.0  # how long one replica may take to reply
 RETRY_DELAY_S = 0.1
 
 MakeCall = Callable[[int], api.Call]  # makes a call with the given number
@@ -31,7 +31,10 @@
     """
 
     def __init__(self, region: str, replicas: Mapping[str, Address], name: str, kind: ClientKind) -> None:
-        """Use the client name `name`. The connection is opened with the first call, to the first of `replicas`."""
+        """Start without a connection; the first call opens one to the first of `replicas`.
+
+        The coordinators identify the client by `name`, and `kind` determines the commands that they accept from it.
+        """
         self.hello = api.ClientHello(api.VERSION, region, name, kind)
         self.replicas = dict(replicas)
         self.target_replica = next(iter(self.replicas))
@@ -40,7 +43,7 @@
         self.call_lock = asyncio.Lock()
 
     async def command(self, command: Command, timeout_s: float) -> Result:
-        """Commit a command and return its result. Raises CallError."""
+        """Have the leader commit a command, and return the result of applying it. Raises CallError."""
         data = commands.encode(command)
         reply = await self._call(lambda number: api.CommandCall(number, data), timeout_s)
         if not isinstance(reply, api.CommandReply):
@@ -70,7 +73,7 @@
             self.connection = None
 
     async def _call(self, make_call: MakeCall, timeout_s: float) -> api.Reply:
-        """Send a call, and retry until a leader replies. Raises CallError."""
+        """Send a call, and retry until a leader replies. Raises CallError on a rejection or after `timeout_s`."""
         last_failure = "no replica was called"
         try:
             async with asyncio.timeout(timeout_s), self.call_lock:
@@ -95,7 +98,8 @@
     async def _request_once(self, make_call: MakeCall) -> api.Reply:
         """Send a call to the target replica and return its reply.
 
-        Raises CallError if the replica rejects the call; OSError, EOFError, TimeoutError or TransportError if it fails.
+        Raises CallError if the replica rejects the call, or OSError, EOFError, TimeoutError or TransportError if no
+        valid reply is received.
         """
         async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
             if self.connection is None:
--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -1,6 +1,7 @@
 """A coordinator process: a replica of its region's log and, while it is the leader, the region's scheduler.
 
-A call is answered only after its command is committed, so a leader that was deposed without noticing grants no lease.
+A call is answered only after its command is committed, so a deposed replica that still considers itself the leader
+cannot grant a lease.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-LISTEN_BACKLOG = 256  # connections that wait to be accepted
+LISTEN_BACKLOG = 256  # maximum number of connections that wait to be accepted
 
 DEFAULT_COMPONENTS = CoordinatorComponents()
 
@@ -35,7 +36,8 @@
     def __init__(self, settings: CoordinatorSettings, components: CoordinatorComponents | None = None) -> None:
         """Open the replica's storage; `components` defaults to DEFAULT_COMPONENTS.
 
-        Raises StorageError, KeyError if the region is unknown, or ValueError if the replica is unknown.
+        Raises StorageError if the log file cannot be used, KeyError if the region is unknown, or ValueError if the
+        replica is unknown.
         """
         self.settings = settings
         self.peer_connections = PeerConnections(settings)
@@ -46,7 +48,7 @@
         self.fatal_error: FatalError | None = None
 
     def _make_node(self, components: CoordinatorComponents) -> Node:
-        """Return the node: the replica with its opened storage and an empty ledger."""
+        """Return a node with the opened storage, a replica in the stored state and an empty ledger."""
         settings = self.settings
         ledger = components.ledger_type(settings.agreement, settings.region)
         members = tuple(settings.addresses)
@@ -104,7 +106,7 @@
             self._stop_with_error(error)
 
     def _stop_with_error(self, error: BaseException) -> None:
-        """Stop the process; `run` raises the error."""
+        """Stop the process. `run` then raises `error`, wrapped in a FatalError if it is of another type."""
         log.error("coordinator stops after an error: %s", error)
         self.fatal_error = error if isinstance(error, FatalError) else FatalError(f"{type(error).__name__}: {error}")
         self.stop_event.set()
--- a/ryepier/maintenance/discovery_listing.py
+++ b/ryepier/maintenance/discovery_listing.py
@@ -32,7 +32,10 @@
 
 
 async def _http_get(address: Address, path: str) -> bytes:
-    """Return the body of one HTTP response. Raises OSError, EOFError, ValueError."""
+    """Send a GET request and return the body of the response.
+
+    Raises OSError, EOFError, LimitOverrunError, ValueError, or KeyError if the response has no content length.
+    """
     reader, writer = await asyncio.open_connection(*address, limit=MAX_RESPONSE_HEAD_BYTES)
     try:
         writer.write(f"GET {path} HTTP/1.1\r\nHost: {address.host}\r\n\r\n".encode())
--- a/ryepier/maintenance/fleet.py
+++ b/ryepier/maintenance/fleet.py
@@ -39,7 +39,7 @@
 
 
 class FleetCall(msgspec.Struct, frozen=True):
-    """A request for one step on one converter. `uid` is the incarnation to list, and is empty for other actions."""
+    """A request for one step on one converter. `uid` identifies the incarnation to list, and is otherwise empty."""
 
     action: Action
     converter: str
@@ -48,10 +48,10 @@
 
 
 class FleetReply(msgspec.Struct, frozen=True):
-    """The outcome of a step. `rejection` is the reason why it was rejected, or empty if it was performed.
+    """The outcome of a step. `rejection` says why the step was rejected, and is empty if it was performed.
 
-    `in_flight` is the number of requests that the converter has not answered yet; `uid` is the incarnation that was
-    started.
+    `in_flight` is the number of requests that the converter has not answered yet; `uid` identifies the incarnation
+    that was started.
     """
 
     rejection: str = msgspec.field(name="refusal", default="")
@@ -86,7 +86,10 @@
     """Calls the tooling's two TCP servers: one changes discovery's list, one controls the converters' processes."""
 
     def __init__(self, discovery: Address, converters: Address) -> None:
-        """Use the addresses of the servers for `discovery` and for `converters`. No connection is opened yet."""
+        """Store the servers' addresses; a connection is opened for each step.
+
+        `discovery` is the server for DISCOVERY_ACTIONS, `converters` the server for all other actions.
+        """
         self.addresses = {action: discovery if action in DISCOVERY_ACTIONS else converters for action in Action}
 
     async def perform(self, action: Action, converter: str, token: int, uid: str = "") -> FleetReply:
@@ -118,7 +121,10 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """Read one message and return its body. Raises ValueError if it is too long, OSError or EOFError."""
+    """Read one message and return its body without the length.
+
+    Raises ValueError if the message exceeds MAX_FRAME_BYTES, OSError or EOFError if the connection ends.
+    """
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if length > MAX_FRAME_BYTES:
         raise ValueError(f"a message of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -1,4 +1,4 @@
-"""The leader's background tasks: advance the region's time, observe converters, exchange with other regions."""
+"""The leader's background tasks, which advance the region's time, observe converters and call other regions."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 OBSERVE_INTERVAL_S = 0.3
 LISTING_TIMEOUT_S = 1.0
 ADVANCE_INTERVAL_S = 0.5
-IDLE_ADVANCE_MS = 10_000  # while there are no requests, because each advance is an entry in the log
+# The step of the region's time while there are no requests; larger, because each advance adds an entry to the log.
+IDLE_ADVANCE_MS = 10_000
 
 
 class LeaderTasks:
@@ -39,7 +40,7 @@
         self.listing_available = True
 
     async def advance_time(self) -> None:
-        """Advance the region's time by this leader's clock, continuing from the time that the last leader committed."""
+        """Advance the region's time by this leader's clock, starting from the last committed time."""
         while True:
             await asyncio.sleep(ADVANCE_INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
@@ -50,7 +51,7 @@
                 await self._try_propose(AdvanceTime(now_ms))
 
     async def observe(self) -> None:
-        """Fetch discovery's list periodically and track warmth; the leader commits the changes."""
+        """Fetch discovery's list periodically and track the converters' warmth. Only the leader proposes changes."""
         if self.settings.discovery is None:
             return
         while True:
--- a/ryepier/maintenance/node.py
+++ b/ryepier/maintenance/node.py
@@ -51,7 +51,10 @@
     """Runs a replica and applies its committed entries to a ledger. All calls must come from one event loop."""
 
     def __init__(self, replica: Replica, disk: storage.Storage, ledger: Ledger, send: SendMessage) -> None:
-        """Start without pending proposals. `send` sends a message to a peer and may drop it."""
+        """Start without pending proposals.
+
+        `disk` stores the replica's state, and `send` sends a message to a peer or drops it.
+        """
         self.replica = replica
         self.disk = disk
         self.ledger = ledger
@@ -88,7 +91,7 @@
     def _process_ready(self) -> None:
         """Store pending state, then send messages, then apply committed entries.
 
-        Raises FatalError if one of these fails, and on every later call.
+        Raises FatalError if one of these steps fails, and on every later call.
         """
         if self.failed:
             raise FatalError("this replica has already failed")
@@ -116,7 +119,10 @@
 
     @staticmethod
     def _resolve_proposal(proposal: PendingProposal | None, result: Result | None) -> None:
-        """Resolve a pending proposal, or fail it if `result` is None: another leader's entry may be at its index."""
+        """Resolve a pending proposal with its result, or fail it with DeposedError if `result` is None.
+
+        The result is None if this replica was deposed or an entry of another leader was committed at the same index.
+        """
         if proposal is None or proposal.result.done():
             return
         if result is None:
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class _ListedIncarnation:
-    """An incarnation that is listed as ready, and when its warm-up started, in this process's and the region's time."""
+    """An incarnation that is listed as ready, and the start of its warm-up: by this process's clock and region time."""
 
     uid: str
     warm_up_started_ms: int
@@ -48,16 +48,19 @@
 
 
 class WarmthTracker:
-    """Derives probes from listings. Reads no clock: the caller passes times in milliseconds, all of one clock."""
+    """Derives probes from listings.
+
+    The tracker reads no clock: the caller passes the time of its monotonic clock as `now_ms`, and the region's time.
+    """
 
     def __init__(self, warm_up_ms: Mapping[str, int]) -> None:
-        """Start without observations; `warm_up_ms` maps each converter to its warm-up time in milliseconds."""
+        """Start without observations; `warm_up_ms` maps the name of each converter to its warm-up time."""
         self.warm_up_ms = warm_up_ms
         self.incarnations: dict[str, _ListedIncarnation] = {}
         self.converters_with_known_start: set[str] = set()
 
     def observe(self, now_ms: int, region_time_ms: int, listing: list[ListedConverter]) -> tuple[WarmthProbe, ...]:
-        """Return the probes of a listing; `now_ms` is local time, `region_time_ms` the region's committed time.
+        """Return the probes of a listing; `now_ms` is this process's time, `region_time_ms` the committed region time.
 
         It is unknown when a converter that is ready at the first observation was started. Such a converter is omitted
         until it has been ready for its whole warm-up time.
@@ -99,7 +102,7 @@
 
 
 def _warmth(age_ms: int, warm_up_ms: int) -> int:
-    """Return the warmth in thousandths. It rises linearly over the warm-up time and is rounded down."""
+    """Return the warmth in thousandths, `age_ms` after the warm-up started. It rises linearly and is rounded down."""
     if age_ms >= warm_up_ms:
         return FULL_WARMTH
     return age_ms * FULL_WARMTH // warm_up_ms
--- a/ryepier/maintenance/region_clock.py
+++ b/ryepier/maintenance/region_clock.py
@@ -15,14 +15,17 @@
     """Continues the committed time of the region with this process's monotonic clock."""
 
     def __init__(self, replica: Replica, ledger: Ledger) -> None:
-        """Start without an offset, which is set at the first call in each term; `ledger` has the committed time."""
+        """Start without an offset: the first `now_ms` call of each term sets it. `ledger` has the committed time."""
         self.replica = replica
         self.ledger = ledger
         self.offset_term = 0  # the term in which `offset_ms` was set
         self.offset_ms = 0  # this process's clock minus the region's time
 
     def now_ms(self) -> int:
-        """Return the region's time in milliseconds, advanced by this process's clock since the term's first call."""
+        """Return the region's time in milliseconds, which is never earlier than the committed time.
+
+        The time that has passed since the first call of the term is measured with this process's monotonic clock.
+        """
         if self.replica.term != self.offset_term:
             self.offset_term = self.replica.term
             self.offset_ms = monotonic_ms() - self.ledger.now_ms
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -30,7 +30,7 @@
     CALL_TIMEOUT_S: ClassVar[float] = 2.0
 
     def __init__(self, agreement: Agreement, region: str, remote_region: str) -> None:
-        """Start unconnected, without a report; `agreement` has the addresses of the remote region's replicas."""
+        """Start without a connection and without a last report; the remote replicas' addresses are in `agreement`."""
         self.region = region
         self.remote_region = remote_region
         self.client = RegionClient(
@@ -40,11 +40,11 @@
         self.last_reported_needs: dict[str, CapacityNeed] | None = None
 
     def forget_last_report(self) -> None:
-        """Report the needs again at the next exchange, because another leader may have reported in the meantime."""
+        """Have the next exchange report the needs again, because another leader may have reported different needs."""
         self.last_reported_needs = None
 
     def debits_due(self, ledger: Ledger) -> list[Command]:
-        """Return the debits for the remote region, which must be committed here before their transfers are sent."""
+        """Return the debits for the remote region. This region must commit them before their transfers are sent."""
         return [
             DebitTransfer(transfer) for transfer in ledger.transfers_due() if transfer.receiver == self.remote_region
         ]
--- a/ryepier/maintenance/replica_disk.py
+++ b/ryepier/maintenance/replica_disk.py
@@ -16,7 +16,7 @@
     """The storage of a replica that has lost its disk. The file is created when there is state to store."""
 
     def __init__(self, folder: Path, identity: storage.Identity) -> None:
-        """Use a folder without a log file; the file will belong to the replica `identity`."""
+        """Start without a file; the first write creates it in `folder` for the replica `identity`."""
         self.folder = folder
         self.identity = identity
         self.file: storage.FileStorage | None = None
@@ -38,7 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStorage:
-    """A replica's storage and the state read from it, None if the disk is empty although the region already exists."""
+    """A replica's storage and the state that was read from it.
+
+    `state` is None if the disk is empty although the region already exists.
+    """
 
     storage: storage.Storage
     state: DurableState | None
--- a/ryepier/maintenance/replication/leader.py
+++ b/ryepier/maintenance/replication/leader.py
@@ -83,7 +83,7 @@
         )
 
     def _next_batch(self, index: int) -> tuple[Entry, ...]:
-        """Return the entries after an index, as many as fit into one message."""
+        """Return the entries that follow an index, as many as fit into one message."""
         batch: list[Entry] = []
         batch_bytes = 0
         for entry in self.state.log[index : index + MAX_ENTRIES_PER_MESSAGE]:
--- a/ryepier/maintenance/replication/model.py
+++ b/ryepier/maintenance/replication/model.py
@@ -14,7 +14,7 @@
 class ReplicaSettings:
     """The settings of one replica; the members of a region are fixed.
 
-    An election timeout is drawn at random from at least `election_ticks` to less than twice as many. `seed` seeds the
+    Each election timeout is drawn at random, from `election_ticks` to `2 * election_ticks - 1`. `seed` seeds the
     replica's random generator.
     """
 
--- a/ryepier/maintenance/replication/recovery.py
+++ b/ryepier/maintenance/replication/recovery.py
@@ -23,10 +23,11 @@
                 self.state.send(peer, RecoveryRequest(self.nonce))
 
     def on_response(self, sender: str, response: RecoveryResponse) -> None:
-        """Record a member's term; once all have responded, become a learner in a term above all of theirs.
+        """Record a member's term; once all other members have responded, become a learner in a higher term.
 
-        That term is higher than every term in which this replica may have voted or responded. Responses from a majority
-        are not enough: the candidate that received the lost vote may be the member that has not responded.
+        The new term is higher than all received terms, and therefore than every term in which this replica may have
+        voted or responded. Responses from a majority are not enough: this replica may have voted, before the loss of
+        its disk, for the member that has not responded.
         """
         state = self.state
         if state.role is not Role.RECOVERING or response.nonce != self.nonce:
--- a/ryepier/maintenance/replication/replica_state.py
+++ b/ryepier/maintenance/replication/replica_state.py
@@ -12,7 +12,10 @@
 
 @dataclass(slots=True)
 class _PendingOutput:
-    """The state changes and messages that have accumulated since the last `Ready`."""
+    """The state changes and messages that have accumulated since the last `Ready`.
+
+    `first_index` is the index from which the log has to be stored, 0 if the log is unchanged.
+    """
 
     hard_state_changed: bool = False
     first_index: int = 0
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -240,7 +240,7 @@
     def _checksum_error(self, record_part: str) -> StorageError:
         """Return the error for a record that does not match its checksum.
 
-        An unfinished write would have left an incomplete record instead.
+        The cause is not an unfinished write, which would have left an incomplete record.
         """
         return StorageError(
             f"{self.path}: the {record_part} of the record at byte {self.offset} does not match its checksum"
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -23,7 +23,7 @@
 log = logging.getLogger(__name__)
 
 HELLO_TIMEOUT_S = 3.0
-MAX_CALLS_PER_CONNECTION = 64  # calls that are processed at a time
+MAX_CALLS_PER_CONNECTION = 64  # calls that are processed concurrently
 MAX_REASON_LENGTH = 1000  # characters
 LEASE_GRANTED_MESSAGE = "lease granted"  # log message that the experiments look for
 
@@ -101,7 +101,7 @@
             raise TransportError(f"hello for region {region!r}, but this replica belongs to {self.settings.region!r}")
 
     async def _serve_peer(self, peer_name: str, connection: Connection) -> None:
-        """Pass a peer's messages to the node. Raises TransportError for any other frame."""
+        """Pass a peer's replication messages to the node. Raises TransportError for any other frame."""
         while True:
             frame = await connection.receive()
             if not isinstance(frame, ReplicaMessage):
@@ -109,7 +109,7 @@
             self.node.receive(peer_name, frame)
 
     async def _serve_client(self, hello: ClientHello, connection: Connection) -> None:
-        """Answer up to MAX_CALLS_PER_CONNECTION calls at a time. Raises TransportError for any other frame."""
+        """Answer calls, at most MAX_CALLS_PER_CONNECTION at a time. Raises TransportError for any other frame."""
         call_slots = asyncio.Semaphore(MAX_CALLS_PER_CONNECTION)
         tasks: set[asyncio.Task[None]] = set()
         try:
@@ -171,7 +171,7 @@
         return command
 
     async def _grant_lease(self, hello: ClientHello, call: api.LeaseCall) -> Reply:
-        """Request a lease for an agent on a window that is due. The ledger grants or rejects it when it is applied."""
+        """Propose a lease on a window that is due; the ledger grants or rejects it when it applies the command."""
         if hello.kind is not ClientKind.AGENT:
             raise CommandError(f"a client of kind {hello.kind.value!r} may not acquire leases")
         async with self.grant_lock:  # the next call must see the converters that this call leases
@@ -190,7 +190,10 @@
         return api.CommandReply(call.number, result)
 
     def _make_grant_command(self, agent: str, lease: str) -> GrantLease | None:
-        """Return the command for an existing lease of this name, otherwise for a due window; None if none is due."""
+        """Return the command that grants a lease on a window that is due, or None if no window is due.
+
+        If a lease with this name already exists, returns the command that grants the existing lease again.
+        """
         existing_lease = self.planner.ledger.state.leases.get(lease)
         if existing_lease is not None:
             return GrantLease(existing_lease.name, existing_lease.request, agent, existing_lease.converters)
@@ -199,5 +202,5 @@
 
 
 def _make_rejection(error: Exception) -> Rejection:
-    """Return the frame that reports an error to a client or peer, with the text truncated to MAX_REASON_LENGTH."""
+    """Return the frame that reports an error to a client or peer. The reason is truncated to MAX_REASON_LENGTH."""
     return Rejection(str(error)[:MAX_REASON_LENGTH])
--- a/ryepier/maintenance/status.py
+++ b/ryepier/maintenance/status.py
@@ -49,7 +49,7 @@
 
 
 def _lease_status(lease: Lease) -> LeaseStatus:
-    """Return the status of an open lease."""
+    """Convert an open lease of the ledger to the form that is sent to clients."""
     return LeaseStatus(
         name=lease.name,
         request=lease.request,
@@ -62,6 +62,6 @@
 
 
 def _capacity_status(ledger: Ledger, service: str) -> CapacityStatus:
-    """Return the status of a service's capacity in the region."""
+    """Return how much of a service's capacity is available, unavailable and lost, and the region's allowance."""
     capacity = ledger.capacity(service)
     return CapacityStatus(service, capacity.available, capacity.unavailable, capacity.lost, capacity.allowance)
--- a/ryepier/maintenance/transport.py
+++ b/ryepier/maintenance/transport.py
@@ -30,7 +30,7 @@
 
 
 def decode(body: bytes) -> Frame:
-    """Decode the bytes of a frame without its length. Raises TransportError."""
+    """Decode a frame from its bytes, which exclude the length. Raises TransportError if they are invalid."""
     try:
         return _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -47,7 +47,7 @@
     """An open connection that carries frames. One task at a time may receive."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Use the streams of an open connection."""
+        """Send and receive frames on the streams of an open TCP connection; no hello is sent."""
         self.reader = reader
         self.writer = writer
 
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -39,12 +39,14 @@
 )
 from tests.maintenance_world import request
 
-OBSERVER_COUNT = 3  # several, as a late observation is rejected if its observer's last one is newer
+# A ledger rejects an observation that is older than the last one recorded from the same observer. With several
+# observers, some late observations are recorded nevertheless.
+OBSERVER_COUNT = 3
 
 
 @dataclass
 class ActualConverter:
-    """The actual state of a converter."""
+    """The state of a converter, whether or not any ledger has recorded it."""
 
     up: bool = True
     warmth: int = FULL_WARMTH
@@ -60,7 +62,7 @@
     token: int
     converters: tuple[str, ...]
     drain_started: bool = False
-    converters_restarted: bool = False
+    converters_restarted: bool = False  # after the maintenance
     released: bool = False
     superseded: bool = False  # the lease was revoked or taken over, so the agent's commands must be rejected
 
@@ -83,7 +85,7 @@
 
 @dataclass
 class Replica:
-    """A region's ledger with its log and a snapshot of an earlier state."""
+    """A region's ledger, its log, and a snapshot of an earlier state from which the ledger can be restored."""
 
     ledger: Ledger
     log: list[tuple[int, bytes]] = field(default_factory=list)
@@ -92,7 +94,7 @@
 
 
 class Cluster:
-    """All regions; `breaches` has the breaches that the checkers found."""
+    """The simulation of all regions. `breaches` collects the breaches that the checkers find."""
 
     def __init__(self, agreement: Agreement, ledger_type: type[Ledger] = Ledger) -> None:
         self.agreement = agreement
@@ -105,8 +107,9 @@
         self.last_sequence = 0
         self.time_ms = 0
         self.agreement_checker = AgreementChecker(agreement)
-        # each with the losses that its region has recorded
+        # one for each region, which receives all planned outages but only the losses that the region has recorded
         self.region_checkers = {name: AgreementChecker(agreement) for name in agreement.regions}
+        # converter to the `as_of` index of its last recorded observation
         self.last_recorded_as_of: dict[str, int] = {}
         self.breaches: list[Breach] = []
         for name in agreement.regions:
@@ -170,7 +173,7 @@
                 self.actual_converters[name].up = False
 
     def restart_converters(self, agent: Agent) -> None:
-        """Restart the converters of a lease; they are cold."""
+        """Restart the converters of a lease after their maintenance; their warmth is then 0."""
         if agent.drain_started and not agent.converters_restarted:
             agent.converters_restarted = True
             for name in agent.converters:
@@ -225,7 +228,7 @@
                 self._apply_change(name, 0, planned=True)
 
     def _agents_of_last_lease(self, name: str) -> list[Agent]:
-        """Return all agents that have held the converter's last lease, also those from whom it was taken over."""
+        """Return all agents that have held the converter's last lease, including those from which it was taken over."""
         holders = [agent for agent in self.agents if name in agent.converters]
         return [agent for agent in holders if agent.lease == holders[-1].lease]
 
--- a/tests/maintenance_processes.py
+++ b/tests/maintenance_processes.py
@@ -41,7 +41,7 @@
 
 @dataclass
 class StubDiscovery:
-    """A stub of discovery that lists the incarnations in `uids`, by converter, as ready."""
+    """A stub of discovery that lists converters as ready; `uids` maps each converter to the uid of its incarnation."""
 
     port: int
     uids: dict[str, str] = field(default_factory=dict)
--- a/tests/maintenance_replication_cluster.py
+++ b/tests/maintenance_replication_cluster.py
@@ -10,7 +10,7 @@
 from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready, ReplicaSettings
 
 MEMBER_NAMES = ("a", "b", "c", "d", "e")
-RUN_ROUNDS = 8
+RUN_ROUNDS = 8  # rounds of ticks and deliveries in one `run` action
 
 
 class BrokenInvariantError(AssertionError):
@@ -29,7 +29,10 @@
 
 @dataclass
 class Cluster:
-    """All members, the messages in transit, and every leader and entry that the invariants are checked against."""
+    """All members, the messages in transit, and the leaders and entries seen so far, to check the invariants.
+
+    `loses_entries` is a seeded fault: the members' disks store only the hard state.
+    """
 
     size: int
     seed: int
@@ -38,10 +41,10 @@
     members: dict[str, Member] = field(default_factory=dict)
     network: list[tuple[str, str, Message]] = field(default_factory=list)
     leaders_by_term: dict[int, str] = field(default_factory=dict)
-    # (index, term) to (previous entry's term, command)
+    # (index, term) of an entry to (term of the previous entry, command)
     known_entries: dict[tuple[int, int], tuple[int, bytes]] = field(default_factory=dict)
     committed_entries: dict[int, Entry] = field(default_factory=dict)
-    # index to the term of the first replica that applied the entry
+    # index of a committed entry to the term of the replica that first applied it
     first_commit_terms: dict[int, int] = field(default_factory=dict)
     proposal_count: int = 0
 
@@ -89,12 +92,12 @@
             entry = replica.log[index - 1]
             content = (replica.term_at(index - 1), entry.command)
             if self.known_entries.setdefault((index, entry.term), content) != content:
-                raise BrokenInvariantError(f"log matching at {index} of term {entry.term}")
+                raise BrokenInvariantError(f"two different entries at index {index} of term {entry.term}")
 
     def check_committed(self, committed_entry: CommittedEntry, term: int) -> None:
         self.first_commit_terms.setdefault(committed_entry.index, term)
         if self.committed_entries.setdefault(committed_entry.index, committed_entry.entry) != committed_entry.entry:
-            raise BrokenInvariantError(f"two committed entries at {committed_entry.index}")
+            raise BrokenInvariantError(f"two different committed entries at index {committed_entry.index}")
 
     def check_leader(self, replica: Replica) -> None:
         name = replica.settings.name
@@ -185,4 +188,4 @@
             self.run(RUN_ROUNDS)
             if self.leader():
                 return self.leader()
-        raise AssertionError("no leader")
+        raise AssertionError("no leader was elected")
--- a/tests/test_maintenance_agent.py
+++ b/tests/test_maintenance_agent.py
@@ -25,7 +25,10 @@
 
 @dataclass
 class StubCoordinators:
-    """A stub of a region's coordinators: grants `leases`, and answers each type of command from `answers` first."""
+    """A stub of a region's coordinators that grants `leases`, after `remaining_acquire_failures` failed requests.
+
+    `answers` has the first answers to each type of command; further commands of the type succeed.
+    """
 
     leases: list[Granted] = field(default_factory=lambda: [GRANTED_LEASE])
     open_leases: tuple[LeaseStatus, ...] = ()
@@ -57,7 +60,10 @@
 
 @dataclass
 class StubFleet:
-    """A stub of the fleet: records the steps, and rejects the action `rejected_action`."""
+    """A stub of the fleet that records the steps, and rejects the action `rejected_action`.
+
+    The first `remaining_busy_polls` polls of a converter report a request in flight.
+    """
 
     rejected_action: str = ""
     remaining_busy_polls: int = 0
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -1,4 +1,4 @@
-"""Tests of region links: repeated reports and transfers, and the relay that experiments place between regions."""
+"""Tests of region links, which repeat reports and transfers, and of the relay between regions in experiments."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 @dataclass
 class RecordingCoordinator:
-    """A stub of a coordinator that records the frames of all connections."""
+    """A stub of a coordinator that records the frames it receives on all connections."""
 
     received_frames: list[object] = field(default_factory=list)
 
--- a/tests/test_maintenance_observer.py
+++ b/tests/test_maintenance_observer.py
@@ -1,4 +1,4 @@
-"""Tests of the observations that a coordinator derives from listings, and of those that the leader records."""
+"""Tests of the observations that a coordinator derives from listings, and of those that its planner has recorded."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     tracker = WarmthTracker({"n00": 2000})
     region.apply(StartDrain("r1/1", granted_lease.token))
     region.ledger.state.leases["r1/1"].granted_ms = 5_000
-    tracker.observe(0, 4_000, [ListedConverter("n00", True)])  # a listing from before the grant
+    tracker.observe(0, 4_000, [ListedConverter("n00", True)])  # region time before the grant
     region.apply(ReleaseLease("r1/1", granted_lease.token))
     probes = tracker.observe(3_000, 5_000, [ListedConverter("n00", True)])
     assert planner.observation_command("x", region.ledger.applied, probes) is None
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -1,6 +1,7 @@
-"""Tests of coordinator processes: killed, suspended, and restarted with torn, empty and foreign log files.
+"""Tests of coordinator processes that are killed, suspended, or restarted with damaged or wrong log files.
 
-Also covers the frames and commands that a coordinator rejects, and the command line.
+The log files are torn, shortened, missing or from another replica. Other tests cover the frames and commands
+that a coordinator rejects, and the command line.
 """
 
 from __future__ import annotations
@@ -110,7 +111,7 @@
         late_call = asyncio.create_task(north.client(old_leader).acquire_lease("late", 5.0))
         await asyncio.sleep(0.3)
         north.send_signal(old_leader, signal.SIGCONT)
-        with pytest.raises(CallError):  # it replies that it is not the leader until the call times out
+        with pytest.raises(CallError):  # the old leader replies that it is not the leader until the call times out
             await late_call
         assert [lease.name for lease in (await north.status()).leases] == ["l1"]
 
@@ -151,9 +152,8 @@
         north.start(wiped_replica)
         north.start(other_follower)
         with pytest.raises(CallError):
-            await north.client(wiped_replica, other_follower).status(
-                3.0
-            )  # a majority, but the wiped replica may not vote
+            # two of three replicas are a majority, but the wiped replica may not vote yet
+            await north.client(wiped_replica, other_follower).status(3.0)
         north.start(leader)
         status = await north.status()
         assert [open_request.name for open_request in status.requests] == ["r1"]
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -37,7 +37,7 @@
 
 
 class DrainSequence(enum.StrEnum):
-    """All steps of a lease in one rule; the value says when its converters are observed."""
+    """An agent step that consists of all DRAIN_STEPS; the value says when the region is observed."""
 
     OBSERVED_AFTER_RELEASE = "observed after the release"
     OBSERVED_BEFORE_START = "observed before the start"
@@ -45,6 +45,7 @@
 
 
 DRAIN_STEPS = ("start_drain", "restart_converters", "release")  # methods of Cluster
+# drain sequences are listed twice, so that they are drawn more often
 AGENT_STEPS = (*DRAIN_STEPS, "take_over", *DrainSequence, *DrainSequence)
 CONVERTER_STEPS = ("lose_converter", "restart_lost_converter", "finish_warm_up")  # methods of Cluster
 ZONE_STEPS = (("lose_converter",), ("restart_lost_converter", "finish_warm_up"), ("finish_warm_up",))
@@ -105,7 +106,7 @@
 
     @rule(which_region=SELECTION_NUMBERS)
     def fill_region(self, which_region: int) -> None:
-        """Request a lease on each converter separately, so that as many as allowed become unavailable."""
+        """Request a lease on each converter separately, so that as many converters as allowed become unavailable."""
         ledger = self.cluster.ledger(self.pick_region(which_region))
         requested_converters = {name for record in ledger.open_requests() for name in record.remaining()}
         for converter in ledger.agreement.converters_of("convert", ledger.region):
@@ -264,7 +265,7 @@
         run_state_machine_as_test(faulty_machine, settings=reduced_settings)
 
 
-# One scripted run for each seeded fault, checked only against the agreement
+# Scripted runs, one for each seeded fault, which breach the agreement only if the ledgers have that fault
 
 
 def grant_more_before_warm_up(cluster: Cluster) -> None:
--- a/tests/test_maintenance_storage.py
+++ b/tests/test_maintenance_storage.py
@@ -1,4 +1,4 @@
-"""Tests of the replica's log file: torn, shortened, altered, foreign and locked files."""
+"""Tests of a replica's log file that is torn, shortened, altered, locked or that of another replica."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ryepier.maintenance.replication.seeded_faults import ForgetGrantStorage
 
 IDENTITY = storage.Identity("north", "a", ("a", "b", "c"))
-# Processor time, not wall-clock time: waits for a busy disk don't count.
+# Limit of the processor time of one example. Wall-clock time would include the waits for a busy disk.
 MAX_EXAMPLE_CPU_S = 0.2
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Tests of the replicated log under reordered, lost and repeated messages, crashes and lost disks."""
+"""Tests of the replicated log with reordered, lost and repeated messages, crashes and wiped disks."""
 
 from __future__ import annotations
 
