--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -40,7 +40,7 @@
 
 
 class ClientHello(msgspec.Struct, tag="client-hello", frozen=True):
-    """The first frame of a client; `region` is the region that it wants to call."""
+    """The first frame that a client sends; `region` is the region whose coordinators the client calls."""
 
     version: int
     region: Name
@@ -49,48 +49,49 @@
 
 
 class Rejection(msgspec.Struct, tag="refusal", frozen=True):
-    """A hello or call was rejected for this reason; the sender closes the connection after this frame."""
+    """Says why a hello, call or message was rejected; the sender closes the connection after this frame."""
 
     reason: ReasonText
 
 
-class _Numbered(msgspec.Struct, frozen=True):
+class _NumberedFrame(msgspec.Struct, frozen=True):
     """A call, or the reply to the call with the same number on the same connection."""
 
     number: NonNegative
 
 
-class CommandCall(_Numbered, tag="command-call", frozen=True):
-    """Requests that the encoded command is committed; the reply is sent after the commit."""
+class CommandCall(_NumberedFrame, tag="command-call", frozen=True):
+    """Requests the commit of the encoded `command`; the reply is sent after the commit."""
 
     command: bytes
 
 
-class LeaseCall(_Numbered, tag="lease-call", frozen=True):
+class LeaseCall(_NumberedFrame, tag="lease-call", frozen=True):
     """Requests a lease on a window that is due. The agent chooses the name; repeating a name returns the same lease."""
 
     lease: Name
 
 
-class StatusCall(_Numbered, tag="status-call", frozen=True):
+class StatusCall(_NumberedFrame, tag="status-call", frozen=True):
     """Requests the state of the region."""
 
 
-class CommandReply(_Numbered, tag="command-reply", frozen=True):
+class CommandReply(_NumberedFrame, tag="command-reply", frozen=True):
     """The result of applying the committed command."""
 
     result: Result
 
 
-class NoWindowReply(_Numbered, tag="no-window-reply", frozen=True):
+class NoWindowReply(_NumberedFrame, tag="no-window-reply", frozen=True):
     """The reply to a `LeaseCall` if no window is due."""
 
 
 class RequestStatus(msgspec.Struct, frozen=True):
-    """An open request.
+    """An open maintenance request.
 
-    `starts_ms` is the start of its next window in the region's time, or NO_START_MS if no window is scheduled. `reason`
-    says why the request is delayed or cannot be scheduled; it is empty otherwise.
+    `remaining` names the converters that still have to be maintained. `deadline_ms` and `starts_ms`, the start of the
+    request's next window, are in the region's time; `starts_ms` is NO_START_MS if no window is scheduled. `reason` says
+    why the request is delayed or cannot be scheduled, and is empty otherwise.
     """
 
     name: str
@@ -102,7 +103,7 @@
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
-    """An open lease."""
+    """An open lease; `unavailable` names the converters that have not yet been observed ready and warm again."""
 
     name: str
     request: str
@@ -114,7 +115,11 @@
 
 
 class CapacityStatus(msgspec.Struct, frozen=True):
-    """A service's capacity in the region, in thousandths of a converter's size."""
+    """A service's capacity in the region, in thousandths of a converter's size.
+
+    `unavailable` is the capacity of converters under a lease, `lost` the capacity that is missing without a lease, and
+    `allowance` how much the region may take out of service.
+    """
 
     service: str
     available: int = msgspec.field(name="in_force")
@@ -123,8 +128,11 @@
     allowance: int
 
 
-class StatusReply(_Numbered, tag="status-reply", frozen=True):
-    """The state of a region, as far as its leader has applied the log."""
+class StatusReply(_NumberedFrame, tag="status-reply", frozen=True):
+    """The state of a region after its leader has applied the log up to the index `applied`.
+
+    `now_ms` is the region's time in milliseconds.
+    """
 
     region: str
     leader: str
@@ -136,13 +144,13 @@
     capacities: tuple[CapacityStatus, ...]
 
 
-class NotLeaderReply(_Numbered, tag="not-leader-reply", frozen=True):
+class NotLeaderReply(_NumberedFrame, tag="not-leader-reply", frozen=True):
     """The call was not processed because this replica is not the leader; `leader` is empty if it is not known."""
 
     leader: str
 
 
-class UncertainReply(_Numbered, tag="uncertain-reply", frozen=True):
+class UncertainReply(_NumberedFrame, tag="uncertain-reply", frozen=True):
     """The replica lost its leadership before the command was committed; another leader may still commit it."""
 
 
--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -1,6 +1,7 @@
 """A coordinator process: a replica of its region's log and, while it is the leader, the region's scheduler.
 
-A call is answered only after its command is committed, so a leader that was deposed without noticing grants no lease.
+A call is answered only after its command is committed, so a deposed replica that still considers itself the leader
+cannot grant a lease.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-LISTEN_BACKLOG = 256  # connections that wait to be accepted
+LISTEN_BACKLOG = 256  # maximum number of connections that wait to be accepted
 
 DEFAULT_COMPONENTS = CoordinatorComponents()
 
@@ -35,10 +36,11 @@
     def __init__(self, settings: CoordinatorSettings, components: CoordinatorComponents | None = None) -> None:
         """Open the replica's storage; `components` defaults to DEFAULT_COMPONENTS.
 
-        Raises StorageError, KeyError if the region is unknown, or ValueError if the replica is unknown.
+        Raises StorageError if the log file cannot be used, KeyError if the region is unknown, or ValueError if the
+        replica is unknown.
         """
         self.settings = settings
-        self.peers = PeerConnections(settings)
+        self.peer_connections = PeerConnections(settings)
         self.node = self._make_node(components or DEFAULT_COMPONENTS)
         self.clock = RegionClock(self.node.replica, self.node.ledger)
         self.planner = Planner(self.node.ledger, settings.freeze_ms)
@@ -46,15 +48,17 @@
         self.fatal_error: FatalError | None = None
 
     def _make_node(self, components: CoordinatorComponents) -> Node:
-        """Return the node: the replica with its opened storage and an empty ledger."""
+        """Return a node with the opened storage, a replica in the stored state and an empty ledger."""
         settings = self.settings
         ledger = components.ledger_type(settings.agreement, settings.region)
         members = tuple(settings.addresses)
         if settings.replica not in members:
             raise ValueError(f"region {settings.region!r} has no replica {settings.replica!r}")
-        disk = open_storage(settings.folder, settings.identity, settings.bootstrap, components.storage_type)
-        replica = components.replica_type(ReplicaSettings(settings.replica, members, settings.seed), disk.state)
-        return Node(replica, disk.storage, ledger, self.peers.send)
+        opened_storage = open_storage(settings.folder, settings.identity, settings.bootstrap, components.storage_type)
+        replica = components.replica_type(
+            ReplicaSettings(settings.replica, members, settings.seed), opened_storage.state
+        )
+        return Node(replica, opened_storage.storage, ledger, self.peer_connections.send)
 
     async def run(self) -> None:
         """Serve until `stop_event` is set. Raises FatalError, or OSError if the address cannot be bound."""
@@ -77,12 +81,16 @@
         """Return the coroutines that run alongside the server."""
         leader_tasks = LeaderTasks(self.settings, self.node, self.planner, self.clock)
         agreement, region = self.settings.agreement, self.settings.region
-        links = [RegionLink(agreement, region, other) for other in agreement.regions if other != region]
+        links = [
+            RegionLink(agreement, region, remote_region)
+            for remote_region in agreement.regions
+            if remote_region != region
+        ]
         return [
             self._tick_replica(),
             leader_tasks.advance_time(),
             leader_tasks.observe(),
-            *(self.peers.keep_connected(peer) for peer in self.node.replica.settings.peers),
+            *(self.peer_connections.keep_connected(peer) for peer in self.node.replica.settings.peers),
             *(leader_tasks.exchange_with(link) for link in links),
         ]
 
@@ -98,7 +106,7 @@
             self._stop_with_error(error)
 
     def _stop_with_error(self, error: BaseException) -> None:
-        """Stop the process; `run` raises the error."""
+        """Stop the process. `run` then raises `error`, wrapped in a FatalError if it is of another type."""
         log.error("coordinator stops after an error: %s", error)
         self.fatal_error = error if isinstance(error, FatalError) else FatalError(f"{type(error).__name__}: {error}")
         self.stop_event.set()
--- a/ryepier/maintenance/node.py
+++ b/ryepier/maintenance/node.py
@@ -51,7 +51,10 @@
     """Runs a replica and applies its committed entries to a ledger. All calls must come from one event loop."""
 
     def __init__(self, replica: Replica, disk: storage.Storage, ledger: Ledger, send: SendMessage) -> None:
-        """Start without pending proposals. `send` sends a message to a peer and may drop it."""
+        """Start without pending proposals.
+
+        `disk` stores the replica's state, and `send` sends a message to a peer or drops it.
+        """
         self.replica = replica
         self.disk = disk
         self.ledger = ledger
@@ -88,7 +91,7 @@
     def _process_ready(self) -> None:
         """Store pending state, then send messages, then apply committed entries.
 
-        Raises FatalError if one of these fails, and on every later call.
+        Raises FatalError if one of these steps fails, and on every later call.
         """
         if self.failed:
             raise FatalError("this replica has already failed")
@@ -97,26 +100,29 @@
             self.disk.save(ready)
             for envelope in ready.messages:
                 self.send(envelope.receiver, envelope.message)
-            for committed in ready.committed:
-                self._apply_entry(committed)
+            for committed_entry in ready.committed_entries:
+                self._apply_entry(committed_entry)
         except (OSError, storage.StorageError, CommandError) as error:
             self.failed = True
             raise FatalError(str(error)) from error
         self._log_role_change()
 
-    def _apply_entry(self, committed: CommittedEntry) -> None:
+    def _apply_entry(self, committed_entry: CommittedEntry) -> None:
         """Apply a committed entry to the ledger, and resolve the pending proposal at its index, if there is one."""
-        proposal = self.pending_proposals.pop(committed.index, None)
-        if not committed.entry.command:
+        proposal = self.pending_proposals.pop(committed_entry.index, None)
+        if not committed_entry.entry.command:
             self._resolve_proposal(proposal, None)
             return
-        result = self.ledger.apply(committed.index, commands.decode(committed.entry.command))
-        is_own_entry = proposal is not None and proposal.term == committed.entry.term
+        result = self.ledger.apply(committed_entry.index, commands.decode(committed_entry.entry.command))
+        is_own_entry = proposal is not None and proposal.term == committed_entry.entry.term
         self._resolve_proposal(proposal, result if is_own_entry else None)
 
     @staticmethod
     def _resolve_proposal(proposal: PendingProposal | None, result: Result | None) -> None:
-        """Resolve a pending proposal, or fail it if `result` is None: another leader's entry may be at its index."""
+        """Resolve a pending proposal with its result, or fail it with DeposedError if `result` is None.
+
+        The result is None if this replica was deposed or an entry of another leader was committed at the same index.
+        """
         if proposal is None or proposal.result.done():
             return
         if result is None:
--- a/ryepier/maintenance/status.py
+++ b/ryepier/maintenance/status.py
@@ -30,16 +30,18 @@
     schedule = planner.current_schedule()
     reasons = {delayed.request: delayed.reason for delayed in schedule.delayed_requests}
     reasons |= {unplaced.request: unplaced.reason for unplaced in schedule.unplaced_requests}
-    starts_ms: dict[str, int] = {}
+    start_ms_by_request: dict[str, int] = {}
     for window in schedule.windows:
-        starts_ms[window.request] = min(window.start_ms, starts_ms.get(window.request, window.start_ms))
+        start_ms_by_request[window.request] = min(
+            window.start_ms, start_ms_by_request.get(window.request, window.start_ms)
+        )
     return tuple(
         RequestStatus(
             name=record.request.name,
             service=record.request.service,
             remaining=tuple(record.remaining_converters()),
             deadline_ms=record.request.deadline_ms,
-            starts_ms=starts_ms.get(record.request.name, NO_START_MS),
+            starts_ms=start_ms_by_request.get(record.request.name, NO_START_MS),
             reason=reasons.get(record.request.name, ""),
         )
         for record in planner.ledger.open_requests()
@@ -47,7 +49,7 @@
 
 
 def _lease_status(lease: Lease) -> LeaseStatus:
-    """Return the status of an open lease."""
+    """Convert an open lease of the ledger to the form that is sent to clients."""
     return LeaseStatus(
         name=lease.name,
         request=lease.request,
@@ -60,6 +62,6 @@
 
 
 def _capacity_status(ledger: Ledger, service: str) -> CapacityStatus:
-    """Return the status of a service's capacity in the region."""
+    """Return how much of a service's capacity is available, unavailable and lost, and the region's allowance."""
     capacity = ledger.capacity(service)
     return CapacityStatus(service, capacity.available, capacity.unavailable, capacity.lost, capacity.allowance)
--- a/tests/test_maintenance_storage.py
+++ b/tests/test_maintenance_storage.py
@@ -1,4 +1,4 @@
-"""Tests of the replica's log file: torn, shortened, altered, foreign and locked files."""
+"""Tests of a replica's log file that is torn, shortened, altered, locked or that of another replica."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ryepier.maintenance.replication.seeded_faults import ForgetGrantStorage
 
 IDENTITY = storage.Identity("north", "a", ("a", "b", "c"))
-# Processor time, not wall-clock time: waits for a busy disk don't count.
+# Limit of the processor time of one example. Wall-clock time would include the waits for a busy disk.
 MAX_EXAMPLE_CPU_S = 0.2
 
 
@@ -46,21 +46,23 @@
 @settings(deadline=None)
 @given(cut_bytes=st.integers(1, 200))
 def test_unacknowledged_torn_tail_is_truncated(cut_bytes: int, tmp_path_factory: pytest.TempPathFactory) -> None:
-    start_cpu_s = time.process_time()
+    started_at_cpu_s = time.process_time()
     replica_folder = tmp_path_factory.mktemp("torn")
     storage.create(replica_folder, IDENTITY)
     file = storage.FileStorage(replica_folder, IDENTITY)
     file.save(make_ready(1, 1, b"one"))
-    content_before_second, acknowledged_offset = file.path.read_bytes(), file.offset
+    content_before_second_save, acknowledged_offset = file.path.read_bytes(), file.offset
     file.save(make_ready(2, 2, b"x" * 200))
     file.close()
     content = file.path.read_bytes()
-    file.path.write_bytes(content_before_second[:20] + content[20 : max(acknowledged_offset, len(content) - cut_bytes)])
+    file.path.write_bytes(
+        content_before_second_save[:20] + content[20 : max(acknowledged_offset, len(content) - cut_bytes)]
+    )
     file = storage.FileStorage(replica_folder, IDENTITY)
     file.save(make_ready(5, 2, b"two"))
     file.close()
     assert reopen_and_read(replica_folder) == DurableState(HardState(5, "a"), (Entry(1, b"one"), Entry(5, b"two")))
-    assert time.process_time() - start_cpu_s <= MAX_EXAMPLE_CPU_S
+    assert time.process_time() - started_at_cpu_s <= MAX_EXAMPLE_CPU_S
 
 
 def test_missing_acknowledged_records_are_rejected(replica_folder: Path) -> None:
