--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -26,12 +26,12 @@
 
 def accept_every_plan() -> None:
     """Let a forwarder follow every plan."""
-    PlanFollower.rejection_reason = lambda self, plan, listed: None  # type: ignore[method-assign]
+    PlanFollower.rejection_reason = lambda self, plan, listed_uids: None  # type: ignore[method-assign]
 
 
 def reject_every_plan() -> None:
     """Let a forwarder reject every plan."""
-    PlanFollower.rejection_reason = lambda self, plan, listed: PlanRejection.OLDER_TERM  # type: ignore[method-assign]
+    PlanFollower.rejection_reason = lambda self, plan, listed_uids: PlanRejection.OLDER_TERM  # type: ignore[method-assign]
 
 
 def lead_without_evidence() -> None:
@@ -50,7 +50,7 @@
 
 def believe_every_report() -> None:
     """Let a planner believe every forwarder."""
-    Planner._find_outlier_reporters = lambda self, active: set()  # type: ignore[method-assign]
+    Planner._find_outlier_reporters = lambda self, active_forwarders: set()  # type: ignore[method-assign]
     plan_computation.MAX_COUNTED_ATTEMPTS = float(10**9)
 
 
--- a/ryepier/experiments/scale/instrumented_planner.py
+++ b/ryepier/experiments/scale/instrumented_planner.py
@@ -53,12 +53,12 @@
         run_tick = PlannerServer.tick
         recorder = self
 
-        def measured_tick(self: PlannerServer, now_us: int, tick: int) -> None:
+        def measured_tick(self: PlannerServer, now_us: int, tick_number: int) -> None:
             recorder._counts = self.counts
             begun_s = time.thread_time()
-            run_tick(self, now_us, tick)
+            run_tick(self, now_us, tick_number)
             recorder._tick_cpu_s += time.thread_time() - begun_s
-            recorder._ticks = tick
+            recorder._ticks = tick_number
 
         PlannerServer.tick = measured_tick  # type: ignore[method-assign]
         # a thread of its own, as the planner's would write late whenever the planner is late
--- a/ryepier/plan/evidence.py
+++ b/ryepier/plan/evidence.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from itertools import zip_longest
 
-from ryepier.plan.messages import LATENCY_BUCKETS, ConverterCounters, Report, Term
+from ryepier.plan.messages import LATENCY_BUCKET_COUNT, ConverterCounters, Report, Term
 
 DECAY_TIME_CONSTANT_US = 2_000_000  # recent counts decay to 1/e within this time
 REPORT_TIMEOUT_US = 3_000_000  # forwarders whose last report is older are not active
@@ -25,19 +25,19 @@
     served: float = 0.0
     failed: float = 0.0
     rejected: float = 0.0
-    latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKETS)
-    updated_us: int = 0
+    latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKET_COUNT)
+    updated_at_us: int = 0
 
     def decay_until(self, now_us: int) -> None:
         """Apply the decay from the last update until `now_us`."""
-        if now_us <= self.updated_us:
+        if now_us <= self.updated_at_us:
             return
-        decay = math.exp(-max(0, now_us - self.updated_us) / DECAY_TIME_CONSTANT_US)
+        decay = math.exp(-max(0, now_us - self.updated_at_us) / DECAY_TIME_CONSTANT_US)
         self.served *= decay
         self.failed *= decay
         self.rejected *= decay
         self.latencies = [count * decay for count in self.latencies]
-        self.updated_us = max(self.updated_us, now_us)
+        self.updated_at_us = max(self.updated_at_us, now_us)
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     """Counters of one converter as reported by one forwarder."""
 
     counters: ConverterCounters
-    recent: DecayingCounts
+    recent_counts: DecayingCounts
 
 
 @dataclass(slots=True)
@@ -53,10 +53,10 @@
     """Everything that one incarnation of a forwarder has reported."""
 
     incarnation: int
-    first_report_us: int
-    last_report_us: int
+    first_report_at_us: int
+    last_report_at_us: int
     last_report_number: int = 0
-    listed_converters: int = 0
+    listed_converter_count: int = 0
     converters: dict[str, ConverterStats] = field(default_factory=dict)
     outstanding: dict[str, int] = field(default_factory=dict)
     arrivals: list[int] = field(default_factory=list)
@@ -65,9 +65,9 @@
     recent_class_arrivals: list[float] = field(default_factory=list)
     rejections: int = 0
     recent_rejections: float = 0.0
-    rates_updated_us: int = 0
+    rates_updated_at_us: int = 0
     term: Term = Term()
-    plan_accepted_us: int = 0  # by this planner's clock
+    plan_accepted_at_us: int = 0  # by this planner's clock
 
 
 def merge_counters(first: ConverterCounters, second: ConverterCounters) -> ConverterCounters:
@@ -78,20 +78,27 @@
         max(first.failed, second.failed),
         max(first.rejected, second.rejected),
         tuple(
-            map(max, zip_longest(first.latencies[:LATENCY_BUCKETS], second.latencies[:LATENCY_BUCKETS], fillvalue=0))
+            map(
+                max,
+                zip_longest(
+                    first.latencies[:LATENCY_BUCKET_COUNT], second.latencies[:LATENCY_BUCKET_COUNT], fillvalue=0
+                ),
+            )
         ),
     )
 
 
 def _merge_counts(
-    merged: list[int], recent: list[float], counts: list[int], decay: float, is_first_report: bool
+    merged_counts: list[int], recent_counts: list[float], counts: list[int], decay: float, is_first_report: bool
 ) -> None:
     """Merge counters in place, and add their growth to the decayed recent counts."""
-    merged += [0] * (len(counts) - len(merged))
-    recent += [0.0] * (len(counts) - len(recent))
+    merged_counts += [0] * (len(counts) - len(merged_counts))
+    recent_counts += [0.0] * (len(counts) - len(recent_counts))
     for index, count in enumerate(counts):
-        recent[index] = recent[index] * decay + (0 if is_first_report else max(0, count - merged[index]))
-        merged[index] = max(merged[index], count)
+        recent_counts[index] = recent_counts[index] * decay + (
+            0 if is_first_report else max(0, count - merged_counts[index])
+        )
+        merged_counts[index] = max(merged_counts[index], count)
 
 
 class Evidence:
@@ -99,7 +106,7 @@
 
     def __init__(self, now_us: int) -> None:
         """Start without reports; `now_us` is the current time in microseconds."""
-        self.started_us = now_us
+        self.started_at_us = now_us
         self.forwarders: dict[str, ForwarderStats] = {}
 
     def merge(self, now_us: int, name: str, incarnation: int, report: Report) -> bool:
@@ -108,21 +115,21 @@
         if forwarder is not None and incarnation < forwarder.incarnation:
             return False
         if forwarder is None or incarnation > forwarder.incarnation:
-            forwarder = self.forwarders[name] = ForwarderStats(incarnation, now_us, now_us, rates_updated_us=now_us)
+            forwarder = self.forwarders[name] = ForwarderStats(incarnation, now_us, now_us, rates_updated_at_us=now_us)
         is_first_report = forwarder.last_report_number == 0
         for uid, counters in report.counters.items():
             self._merge_converter(now_us, forwarder, uid, counters, is_first_report)
-        forwarder.last_report_us = max(forwarder.last_report_us, now_us)
+        forwarder.last_report_at_us = max(forwarder.last_report_at_us, now_us)
         if report.number > forwarder.last_report_number:  # values that are not counters come from the newest report
             self._merge_rates(now_us, forwarder, report, is_first_report)
-            forwarder.last_report_number, forwarder.listed_converters, forwarder.outstanding = (
+            forwarder.last_report_number, forwarder.listed_converter_count, forwarder.outstanding = (
                 report.number,
                 report.listed,
                 report.outstanding,
             )
         if report.term >= forwarder.term:
             forwarder.term = report.term
-            forwarder.plan_accepted_us = max(forwarder.plan_accepted_us, now_us - report.plan_age_ms * 1000)
+            forwarder.plan_accepted_at_us = max(forwarder.plan_accepted_at_us, now_us - report.plan_age_ms * 1000)
         return True
 
     @staticmethod
@@ -134,23 +141,23 @@
             # The counts in a forwarder's first report accumulated earlier, so they are not recent. A converter that a
             # later report adds started from 0, so all of its counts are.
             stats = forwarder.converters[uid] = ConverterStats(
-                counters if is_first_report else ConverterCounters(), DecayingCounts(updated_us=now_us)
+                counters if is_first_report else ConverterCounters(), DecayingCounts(updated_at_us=now_us)
             )
-        merged, recent = merge_counters(stats.counters, counters), stats.recent
-        recent.decay_until(now_us)
-        recent.served += merged.served - stats.counters.served
-        recent.failed += merged.failed - stats.counters.failed
-        recent.rejected += merged.rejected - stats.counters.rejected
-        for index, count in enumerate(merged.latencies):
-            recent.latencies[index] += count - (
+        merged_counters, recent_counts = merge_counters(stats.counters, counters), stats.recent_counts
+        recent_counts.decay_until(now_us)
+        recent_counts.served += merged_counters.served - stats.counters.served
+        recent_counts.failed += merged_counters.failed - stats.counters.failed
+        recent_counts.rejected += merged_counters.rejected - stats.counters.rejected
+        for index, count in enumerate(merged_counters.latencies):
+            recent_counts.latencies[index] += count - (
                 stats.counters.latencies[index] if index < len(stats.counters.latencies) else 0
             )
-        stats.counters = merged
+        stats.counters = merged_counters
 
     @staticmethod
     def _merge_rates(now_us: int, forwarder: ForwarderStats, report: Report, is_first_report: bool) -> None:
-        decay = math.exp(-max(0, now_us - forwarder.rates_updated_us) / DECAY_TIME_CONSTANT_US)
-        forwarder.rates_updated_us = now_us
+        decay = math.exp(-max(0, now_us - forwarder.rates_updated_at_us) / DECAY_TIME_CONSTANT_US)
+        forwarder.rates_updated_at_us = now_us
         _merge_counts(forwarder.arrivals, forwarder.recent_arrivals, report.arrivals, decay, is_first_report)
         _merge_counts(
             forwarder.class_arrivals, forwarder.recent_class_arrivals, report.class_arrivals, decay, is_first_report
@@ -165,29 +172,33 @@
         self.forwarders = {
             name: forwarder
             for name, forwarder in self.forwarders.items()
-            if forwarder.last_report_us > now_us - EVIDENCE_EXPIRY_US
+            if forwarder.last_report_at_us > now_us - EVIDENCE_EXPIRY_US
         }
         for forwarder in self.forwarders.values():
             forwarder.converters = {
                 uid: stats
                 for uid, stats in forwarder.converters.items()
-                if stats.recent.updated_us > now_us - EVIDENCE_EXPIRY_US or uid in forwarder.outstanding
+                if stats.recent_counts.updated_at_us > now_us - EVIDENCE_EXPIRY_US or uid in forwarder.outstanding
             }
 
     def active_forwarders(self, now_us: int) -> dict[str, ForwarderStats]:
         """Return the forwarders with recent reports, with their recent counts decayed until `now_us`."""
-        active = {
+        active_forwarders = {
             name: forwarder
             for name, forwarder in self.forwarders.items()
-            if forwarder.last_report_us > now_us - REPORT_TIMEOUT_US
+            if forwarder.last_report_at_us > now_us - REPORT_TIMEOUT_US
         }
-        for forwarder in active.values():
+        for forwarder in active_forwarders.values():
             for stats in forwarder.converters.values():
-                previous_update_us = stats.recent.updated_us
-                stats.recent.decay_until(now_us)
-                if stats.recent.served + stats.recent.failed + stats.recent.rejected < MIN_RECENT_COUNT:
-                    stats.recent.updated_us = previous_update_us  # an idle converter keeps ageing until it expires
-        return active
+                previous_update_at_us = stats.recent_counts.updated_at_us
+                stats.recent_counts.decay_until(now_us)
+                if (
+                    stats.recent_counts.served + stats.recent_counts.failed + stats.recent_counts.rejected
+                    < MIN_RECENT_COUNT
+                ):
+                    # an idle converter keeps its previous update time, so that it expires (see `expire`)
+                    stats.recent_counts.updated_at_us = previous_update_at_us
+        return active_forwarders
 
     def merged_counters(self) -> dict[str, dict[str, ConverterCounters]]:
         """Return the counters by forwarder and converter; the order and repetition of reports do not affect them."""
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -56,7 +56,7 @@
     upstream_ids: Callable[[], Mapping[str, int]]  # the upstream ids of the ready converters, by uid
     publish: Callable[[PlanUpdated], None]
     unanswered_after_us: list[int]  # by class: time after which an attempt without an answer counts as failed
-    tenants: int
+    tenant_count: int
 
 
 class PlannerConnection(asyncio.Protocol):
@@ -67,10 +67,10 @@
         self.forwarder = forwarder
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
-        self.last_received_us = forwarder.machine.clock_us()
+        self.last_received_at_us = forwarder.machine.clock_us()
         self.needs_complete_report = True
         self.min_retry_s = 0.0
-        self.closed = asyncio.get_running_loop().create_future()
+        self.closed_future = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection and send a hello."""
@@ -81,7 +81,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Handle all messages that are complete; close the connection on a protocol error."""
-        self.last_received_us = self.forwarder.machine.clock_us()
+        self.last_received_at_us = self.forwarder.machine.clock_us()
         try:
             for message in self.decoder.feed(data):
                 self.on_message(message)
@@ -119,8 +119,8 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Deregister the connection and wake up the task that waits for its end."""
         self.forwarder.connections.pop(self, None)
-        if not self.closed.done():
-            self.closed.set_result(None)
+        if not self.closed_future.done():
+            self.closed_future.set_result(None)
 
 
 class Forwarder:
@@ -132,7 +132,7 @@
         self.sidecar = sidecar
         self.machine = machine
         self.incarnation = machine.unix_us()
-        self.reporter = Reporter(sidecar.unanswered_after_us, sidecar.tenants)
+        self.reporter = Reporter(sidecar.unanswered_after_us, sidecar.tenant_count)
         self.follower = PlanFollower(settings.name, settings.rules)
         self.connections: dict[PlannerConnection, None] = {}  # a dict keeps the order of insertion, unlike a set
         self.tasks: list[asyncio.Task[None]] = []
@@ -215,9 +215,9 @@
 
     async def wait_until_closed(self, connection: PlannerConnection) -> None:
         """Wait until a connection is closed; close it if the planner has been silent for too long."""
-        while not connection.closed.done():
-            await asyncio.wait([connection.closed], timeout=SILENCE_TIMEOUT_US / 2e6)
-            if self.machine.clock_us() > connection.last_received_us + SILENCE_TIMEOUT_US:
+        while not connection.closed_future.done():
+            await asyncio.wait([connection.closed_future], timeout=SILENCE_TIMEOUT_US / 2e6)
+            if self.machine.clock_us() > connection.last_received_at_us + SILENCE_TIMEOUT_US:
                 connection.abort()
 
     async def run_reports(self) -> None:
@@ -235,9 +235,11 @@
         if not connections:
             return
         now_us, follower = self.machine.clock_us(), self.follower
-        listed = len(self.sidecar.upstream_ids())
+        listed_count = len(self.sidecar.upstream_ids())
         needs_complete_report = any(connection.needs_complete_report for connection in connections)
-        report = self.reporter.report(now_us, listed, follower.term, follower.age_ms(now_us), needs_complete_report)
+        report = self.reporter.report(
+            now_us, listed_count, follower.term, follower.age_ms(now_us), needs_complete_report
+        )
         for connection in connections:
             if not connection.send_report(report):
                 connection.needs_complete_report = True
--- a/ryepier/plan/leadership.py
+++ b/ryepier/plan/leadership.py
@@ -23,14 +23,14 @@
 
     name: str
     rank: int  # position among all planners by name; higher ranks wait longer, so that two seldom take over together
-    started_us: int
+    started_at_us: int
     highest_term: Term = Term()
     is_leader: bool = False
-    leader_seen_us: int = field(init=False)  # time of the last evidence that a leader is alive
+    leader_seen_at_us: int = field(init=False)  # time of the last evidence that a leader is alive
 
     def __post_init__(self) -> None:
         """Assume that a leader is alive at the start, so that a new planner waits for at least one timeout."""
-        self.leader_seen_us = self.started_us
+        self.leader_seen_at_us = self.started_at_us
 
     @property
     def term(self) -> Term | None:
@@ -47,7 +47,7 @@
         """Record a heartbeat of a peer."""
         self.observe_term(heartbeat.term)
         if heartbeat.is_leader and heartbeat.term == self.highest_term:
-            self.leader_seen_us = max(self.leader_seen_us, now_us)
+            self.leader_seen_at_us = max(self.leader_seen_at_us, now_us)
 
     def tick(self, now_us: int, forwarders: dict[str, ForwarderStats], has_enough_evidence: bool) -> bool:
         """Start a new term if there is no leader and enough evidence for a plan. Returns whether this planner leads."""
@@ -56,14 +56,14 @@
         if self.is_leader:
             return True
         follower_count = sum(
-            forwarder.term == self.highest_term and now_us - forwarder.plan_accepted_us < LEADER_TIMEOUT_US
+            forwarder.term == self.highest_term and now_us - forwarder.plan_accepted_at_us < LEADER_TIMEOUT_US
             for forwarder in forwarders.values()
         )
         # Missing heartbeats may be a partition between planners: the leader counts as alive while forwarders follow it.
         other_may_lead = self.highest_term.epoch > 0 and self.highest_term.planner != self.name
         if other_may_lead and forwarders and follower_count >= MIN_FOLLOWER_SHARE * len(forwarders):
-            self.leader_seen_us = max(self.leader_seen_us, now_us)
-        if has_enough_evidence and now_us >= self.leader_seen_us + LEADER_TIMEOUT_US * (1 + self.rank):
+            self.leader_seen_at_us = max(self.leader_seen_at_us, now_us)
+        if has_enough_evidence and now_us >= self.leader_seen_at_us + LEADER_TIMEOUT_US * (1 + self.rank):
             self.highest_term = Term(self.highest_term.epoch + 1, self.name)
             self.is_leader = True
         return self.is_leader
--- a/ryepier/plan/messages.py
+++ b/ryepier/plan/messages.py
@@ -16,7 +16,7 @@
 VERSION = 1
 MAX_MESSAGE_BYTES = 1024 * 1024  # about three times the size of a plan for 10,000 converters
 MAX_CONVERTERS = 20_000
-LATENCY_BUCKETS = 16  # bounds are powers of two from 1 ms; the last bucket holds all latencies from 16 s on
+LATENCY_BUCKET_COUNT = 16  # bounds are powers of two from 1 ms; the last bucket holds all latencies from 16 s on
 MAX_NAME_LENGTH = 200  # characters
 LENGTH_BYTES = 4  # size of the length field in front of each message
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
@@ -51,7 +51,7 @@
 
 def latency_bucket(latency_us: int) -> int:
     """Return the index of a latency's bucket: 0 for less than 1 ms, then one bucket per doubling."""
-    return min(LATENCY_BUCKETS - 1, (latency_us // 1000).bit_length())
+    return min(LATENCY_BUCKET_COUNT - 1, (latency_us // 1000).bit_length())
 
 
 class ConverterCounters(msgspec.Struct, frozen=True, array_like=True):
@@ -152,20 +152,20 @@
 
     def __init__(self) -> None:
         """Start with an empty buffer, at the beginning of a frame."""
-        self.pending = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
         """Append bytes and return the messages that they complete. Raises ProtocolError for invalid frames."""
-        self.pending += data
+        self.buffer += data
         messages: list[Message] = []
-        while len(self.pending) >= LENGTH_BYTES:
-            size = int.from_bytes(self.pending[:LENGTH_BYTES], "big")
+        while len(self.buffer) >= LENGTH_BYTES:
+            size = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
             if size > MAX_MESSAGE_BYTES:
                 raise ProtocolError(f"message of {size} bytes; at most {MAX_MESSAGE_BYTES} are allowed")
-            if len(self.pending) < LENGTH_BYTES + size:
+            if len(self.buffer) < LENGTH_BYTES + size:
                 break
-            body = bytes(self.pending[LENGTH_BYTES : LENGTH_BYTES + size])
-            del self.pending[: LENGTH_BYTES + size]
+            body = bytes(self.buffer[LENGTH_BYTES : LENGTH_BYTES + size])
+            del self.buffer[: LENGTH_BYTES + size]
             messages.append(decode(body))
         return messages
 
@@ -178,13 +178,13 @@
         raise ProtocolError(f"message can't be decoded: {error}") from None
     if isinstance(message, Hello) and message.version != VERSION:
         raise ProtocolError(f"unsupported protocol version {message.version}; expected {VERSION}")
-    count = (
+    converter_count = (
         len(message.counters)
         if isinstance(message, Report)
         else len(message.entries)
         if isinstance(message, Plan)
         else 0
     )
-    if count > MAX_CONVERTERS:
-        raise ProtocolError(f"{count} converters in one message; at most {MAX_CONVERTERS} are allowed")
+    if converter_count > MAX_CONVERTERS:
+        raise ProtocolError(f"{converter_count} converters in one message; at most {MAX_CONVERTERS} are allowed")
     return message
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from ryepier.plan.evidence import DECAY_TIME_CONSTANT_US, DecayingCounts, Evidence, ForwarderStats
-from ryepier.plan.messages import LATENCY_BUCKETS, ConverterAdvice, Plan, PlanBasis, Term
+from ryepier.plan.messages import LATENCY_BUCKET_COUNT, ConverterAdvice, Plan, PlanBasis, Term
 from ryepier.plan.plan_follower import AcceptanceRules
 
 # A failing converter reaches MIN_FAILURES, MIN_FAILURE_SHARE and MIN_FAILURE_REPORTERS.
@@ -55,9 +55,9 @@
     step: int = 0  # index into RECOVERY_WEIGHTS
 
 
-def report_weight(recent: DecayingCounts) -> float:
+def report_weight(recent_counts: DecayingCounts) -> float:
     """Return the factor for one forwarder's recent counts at a converter, so that no forwarder outweighs the others."""
-    return min(1.0, MAX_COUNTED_ATTEMPTS / max(MAX_COUNTED_ATTEMPTS, recent.served + recent.failed))
+    return min(1.0, MAX_COUNTED_ATTEMPTS / max(MAX_COUNTED_ATTEMPTS, recent_counts.served + recent_counts.failed))
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
 
     served: float = 0.0
     failed: float = 0.0
-    latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKETS)
+    latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKET_COUNT)
     failure_reporters: int = 0  # forwarders that report failed attempts at it
     reporters: int = 0  # forwarders that report attempts at it
 
@@ -104,21 +104,26 @@
         self.tenant_shares = tenant_shares
         self.statuses: dict[str, ConverterStatus] = {}
         self.outlier_reporters: set[str] = set()
-        self.fleet_is_failing = False
+        self.too_many_converters_fail = False
 
     def basis(self, now_us: int, evidence: Evidence) -> PlanBasis:
         """Return the amount of evidence that a plan computed now would be based on."""
-        active = evidence.active_forwarders(now_us)
-        return self._compute_basis(now_us, evidence, active, self._sum_by_converter(active))
+        active_forwarders = evidence.active_forwarders(now_us)
+        return self._compute_basis(now_us, evidence, active_forwarders, self._sum_by_converter(active_forwarders))
 
     @staticmethod
     def _compute_basis(
-        now_us: int, evidence: Evidence, active: dict[str, ForwarderStats], totals: dict[str, ConverterTotals]
+        now_us: int,
+        evidence: Evidence,
+        active_forwarders: dict[str, ForwarderStats],
+        totals: dict[str, ConverterTotals],
     ) -> PlanBasis:
-        max_listed = max((forwarder.listed_converters for forwarder in active.values()), default=0)
-        window_ms = min(now_us - evidence.started_us, DECAY_TIME_CONSTANT_US) // 1000
+        max_listed_count = max(
+            (forwarder.listed_converter_count for forwarder in active_forwarders.values()), default=0
+        )
+        window_ms = min(now_us - evidence.started_at_us, DECAY_TIME_CONSTANT_US) // 1000
         attempts = sum(total.served + total.failed for total in totals.values())
-        return PlanBasis(len(active), max(0, window_ms), len(totals), max_listed, int(attempts))
+        return PlanBasis(len(active_forwarders), max(0, window_ms), len(totals), max_listed_count, int(attempts))
 
     def has_enough_evidence(self, basis: PlanBasis) -> bool:
         """Return whether a plan may be computed; right after its start, a planner lacks the reports for it."""
@@ -132,14 +137,14 @@
 
     def plan(self, now_us: int, evidence: Evidence, term: Term, number: int) -> Plan | None:
         """Return the current plan, or None while there is not enough evidence."""
-        active = evidence.active_forwarders(now_us)
-        self.outlier_reporters = self._find_outlier_reporters(active)
-        totals = self._sum_by_converter(active)
-        basis = self._compute_basis(now_us, evidence, active, totals)
+        active_forwarders = evidence.active_forwarders(now_us)
+        self.outlier_reporters = self._find_outlier_reporters(active_forwarders)
+        totals = self._sum_by_converter(active_forwarders)
+        basis = self._compute_basis(now_us, evidence, active_forwarders, totals)
         if not self.has_enough_evidence(basis):
             return None
         self._update_statuses(now_us, totals, basis)
-        entries = self._build_entries(totals, len(active))
+        entries = self._build_entries(totals, len(active_forwarders))
         return Plan(
             term,
             number,
@@ -147,57 +152,67 @@
             entries,
             PLAN_VALIDITY_MS,
             PLAN_FADE_MS,
-            self._tenant_weights(active),
-            self._class_admission(active),
+            self._tenant_weights(active_forwarders),
+            self._class_admission(active_forwarders),
         )
 
-    def ejected(self) -> set[str]:
+    def ejected_uids(self) -> set[str]:
         """Return the uids of the ejected converters."""
         return {uid for uid, status in self.statuses.items() if status.state is ConverterState.EJECTED}
 
-    def _sum_by_converter(self, active: dict[str, ForwarderStats]) -> dict[str, ConverterTotals]:
+    def _sum_by_converter(self, active_forwarders: dict[str, ForwarderStats]) -> dict[str, ConverterTotals]:
         """Return the totals by converter over the active forwarders, without outliers."""
         totals: dict[str, ConverterTotals] = {}
-        for name, forwarder in active.items():
+        for name, forwarder in active_forwarders.items():
             if name in self.outlier_reporters:
                 continue
             for uid, stats in forwarder.converters.items():
-                total, recent = totals.setdefault(uid, ConverterTotals()), stats.recent
-                weight = report_weight(recent)
-                total.served += recent.served * weight
-                total.failed += recent.failed * weight
-                if recent.served > 0.0:
-                    for index, count in enumerate(recent.latencies):
+                total, recent_counts = totals.setdefault(uid, ConverterTotals()), stats.recent_counts
+                weight = report_weight(recent_counts)
+                total.served += recent_counts.served * weight
+                total.failed += recent_counts.failed * weight
+                if recent_counts.served > 0.0:
+                    for index, count in enumerate(recent_counts.latencies):
                         if count:
                             total.latencies[index] += count * weight
-                total.failure_reporters += recent.failed >= MIN_REPORTED_COUNT
-                total.reporters += recent.served + recent.failed >= MIN_REPORTED_COUNT
+                total.failure_reporters += recent_counts.failed >= MIN_REPORTED_COUNT
+                total.reporters += recent_counts.served + recent_counts.failed >= MIN_REPORTED_COUNT
         return totals
 
-    def _find_outlier_reporters(self, active: dict[str, ForwarderStats]) -> set[str]:
+    def _find_outlier_reporters(self, active_forwarders: dict[str, ForwarderStats]) -> set[str]:
         """Return the forwarders for which most attempts fail, at converters that are healthy for the others."""
         totals: dict[str, ConverterTotals] = {}
-        for forwarder in active.values():
+        for forwarder in active_forwarders.values():
             for uid, stats in forwarder.converters.items():
                 total = totals.setdefault(uid, ConverterTotals())
-                weight = report_weight(stats.recent)
-                total.served += stats.recent.served * weight
-                total.failed += stats.recent.failed * weight
-        return {name for name, forwarder in active.items() if self._is_outlier_reporter(forwarder, totals)}
+                weight = report_weight(stats.recent_counts)
+                total.served += stats.recent_counts.served * weight
+                total.failed += stats.recent_counts.failed * weight
+        return {name for name, forwarder in active_forwarders.items() if self._is_outlier_reporter(forwarder, totals)}
 
     @staticmethod
     def _is_outlier_reporter(forwarder: ForwarderStats, totals: dict[str, ConverterTotals]) -> bool:
-        recent_by_uid = {uid: stats.recent for uid, stats in forwarder.converters.items()}
-        failing = {uid: recent for uid, recent in recent_by_uid.items() if recent.failed >= MIN_REPORTED_COUNT}
+        recent_by_uid = {uid: stats.recent_counts for uid, stats in forwarder.converters.items()}
+        failing_by_uid = {
+            uid: recent_counts
+            for uid, recent_counts in recent_by_uid.items()
+            if recent_counts.failed >= MIN_REPORTED_COUNT
+        }
         own_totals = ConverterTotals(
-            sum(recent.served for recent in recent_by_uid.values()),
-            sum(recent.failed for recent in recent_by_uid.values()),
+            sum(recent_counts.served for recent_counts in recent_by_uid.values()),
+            sum(recent_counts.failed for recent_counts in recent_by_uid.values()),
         )
-        if len(failing) < MIN_OUTLIER_CONVERTERS or own_totals.failure_share < MIN_OUTLIER_FAILURE_SHARE:
+        if len(failing_by_uid) < MIN_OUTLIER_CONVERTERS or own_totals.failure_share < MIN_OUTLIER_FAILURE_SHARE:
             return False
         other_totals = ConverterTotals(
-            sum(totals[uid].served - recent.served * report_weight(recent) for uid, recent in failing.items()),
-            sum(totals[uid].failed - recent.failed * report_weight(recent) for uid, recent in failing.items()),
+            sum(
+                totals[uid].served - recent_counts.served * report_weight(recent_counts)
+                for uid, recent_counts in failing_by_uid.items()
+            ),
+            sum(
+                totals[uid].failed - recent_counts.failed * report_weight(recent_counts)
+                for uid, recent_counts in failing_by_uid.items()
+            ),
         )
         return (
             other_totals.served + other_totals.failed >= MIN_FAILURES
@@ -213,10 +228,12 @@
 
     def _update_statuses(self, now_us: int, totals: dict[str, ConverterTotals], basis: PlanBasis) -> None:
         """Eject failing converters, and move the other ejected ones through the steps of their recovery."""
-        failing = {uid for uid, total in totals.items() if self._is_failing(total)}
+        failing_uids = {uid for uid, total in totals.items() if self._is_failing(total)}
         # If a large share of the converters fails, the cause is the load or the network, and ejections would overload
         # the remaining converters.
-        self.fleet_is_failing = len(self.ejected() | failing) > self.rules.max_ejected * max(1, basis.listed)
+        self.too_many_converters_fail = len(self.ejected_uids() | failing_uids) > self.rules.max_ejected * max(
+            1, basis.listed
+        )
         for uid in list(self.statuses):
             if (
                 uid not in totals
@@ -224,19 +241,19 @@
             ):
                 del self.statuses[uid]  # no active forwarder reports on it any more
         for uid, status in list(self.statuses.items()):
-            if uid in failing:
+            if uid in failing_uids:
                 if status.state is not ConverterState.EJECTED:
                     self.statuses[uid] = ConverterStatus(ConverterState.EJECTED, now_us)
             else:
                 self._recover(now_us, uid, status, totals.get(uid, ConverterTotals()))
-        for uid in failing - self.statuses.keys():
+        for uid in failing_uids - self.statuses.keys():
             self.statuses[uid] = ConverterStatus(ConverterState.EJECTED, now_us)
 
     def _recover(self, now_us: int, uid: str, status: ConverterStatus, total: ConverterTotals) -> None:
         """Move a converter to the next step of its recovery if that is due; after the last one it is healthy."""
         if status.state is ConverterState.EJECTED:
-            healthy = total.served >= 1.0 and total.failure_share < MAX_HEALTHY_FAILURE_SHARE
-            if healthy and now_us >= status.since_us + MIN_EJECTION_US:
+            is_healthy = total.served >= 1.0 and total.failure_share < MAX_HEALTHY_FAILURE_SHARE
+            if is_healthy and now_us >= status.since_us + MIN_EJECTION_US:
                 self.statuses[uid] = ConverterStatus(ConverterState.RECOVERING, now_us)
         elif now_us >= status.since_us + RECOVERY_STEP_US:
             if status.step + 1 < len(RECOVERY_WEIGHTS):
@@ -247,7 +264,7 @@
     def _build_entries(self, totals: dict[str, ConverterTotals], forwarder_count: int) -> dict[str, ConverterAdvice]:
         """Return the advice on converters that are slow, ejected or recovering."""
         entries = self._build_slow_entries(totals)
-        if self.fleet_is_failing:
+        if self.too_many_converters_fail:
             return entries
         trial_share = min(1.0, MAX_TRIAL_FORWARDERS / max(1, forwarder_count))
         for uid, status in self.statuses.items():
@@ -264,11 +281,11 @@
 
     def _build_slow_entries(self, totals: dict[str, ConverterTotals]) -> dict[str, ConverterAdvice]:
         entries: dict[str, ConverterAdvice] = {}
-        latencies = {uid: total.median_ms for uid, total in totals.items() if total.served >= MIN_RESPONSES}
-        fleet_median_ms = statistics.median(latencies.values()) if latencies else 0.0
-        for uid, median_ms in latencies.items():
-            if median_ms > SLOW_RATIO * fleet_median_ms > 0.0 and uid not in self.statuses:
-                ratio = median_ms / fleet_median_ms
+        median_ms_by_uid = {uid: total.median_ms for uid, total in totals.items() if total.served >= MIN_RESPONSES}
+        median_of_medians_ms = statistics.median(median_ms_by_uid.values()) if median_ms_by_uid else 0.0
+        for uid, median_ms in median_ms_by_uid.items():
+            if median_ms > SLOW_RATIO * median_of_medians_ms > 0.0 and uid not in self.statuses:
+                ratio = median_ms / median_of_medians_ms
                 entries[uid] = ConverterAdvice(
                     max(MIN_WEIGHT, 1.0 / ratio),
                     1 if ratio > VERY_SLOW_RATIO else 0,
@@ -276,11 +293,11 @@
                 )
         return entries
 
-    def _tenant_weights(self, active: dict[str, ForwarderStats]) -> list[float]:
+    def _tenant_weights(self, active_forwarders: dict[str, ForwarderStats]) -> list[float]:
         """Return by tenant the share of its requests that is within its quota; empty while there is no overload."""
         arrivals = [0.0] * len(self.tenant_shares)
         rejections = 0.0
-        for name, forwarder in active.items():
+        for name, forwarder in active_forwarders.items():
             if name in self.outlier_reporters:
                 continue
             rejections += forwarder.recent_rejections
@@ -294,10 +311,10 @@
             for share, count in zip(self.tenant_shares, arrivals, strict=True)
         ]
 
-    def _class_admission(self, active: dict[str, ForwarderStats]) -> list[float]:
+    def _class_admission(self, active_forwarders: dict[str, ForwarderStats]) -> list[float]:
         """Return by class the share of arrivals that is within its limit; empty if no class exceeds its limit."""
         rates_per_s = [0.0] * len(self.class_limits)
-        for forwarder in active.values():
+        for forwarder in active_forwarders.values():
             for index, count in enumerate(forwarder.recent_class_arrivals[: len(rates_per_s)]):
                 # at a constant rate, a decaying count converges to the rate times the time constant
                 rates_per_s[index] += count / (DECAY_TIME_CONSTANT_US / 1e6)
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -59,20 +59,20 @@
         self.rules = rules
         self.term = Term()  # the highest term of an accepted plan
         self.plan: Plan | None = None  # the last accepted plan
-        self.accepted_us = 0
+        self.accepted_at_us = 0
         self.rejections: Counter[PlanRejection] = Counter()
         self.fade_factor = 1.0 + FADE_SPREAD * (2.0 * stable_fraction(name, "fade") - 1.0)
 
-    def accept_plan(self, now_us: int, plan: Plan, listed: set[str]) -> PlanRejection | None:
+    def accept_plan(self, now_us: int, plan: Plan, listed_uids: set[str]) -> PlanRejection | None:
         """Accept a plan, or return why it is rejected. `listed` are the uids of the ready converters."""
-        rejection = self.rejection_reason(plan, listed)
+        rejection = self.rejection_reason(plan, listed_uids)
         if rejection is not None:
             self.rejections[rejection] += 1
             return rejection
-        self.term, self.plan, self.accepted_us = plan.term, plan, now_us
+        self.term, self.plan, self.accepted_at_us = plan.term, plan, now_us
         return None
 
-    def rejection_reason(self, plan: Plan, listed: set[str]) -> PlanRejection | None:
+    def rejection_reason(self, plan: Plan, listed_uids: set[str]) -> PlanRejection | None:
         """Return the first rule that a plan violates, or None if it passes."""
         is_newer = self.plan is None or plan.term != self.term or plan.number > self.plan.number
         if plan.term < self.term:
@@ -81,7 +81,7 @@
             return PlanRejection.NOT_NEWER
         if plan.term.epoch == 0 or not plan.term.planner:
             return PlanRejection.NO_TERM
-        return self._check_evidence(plan, len(listed)) or self._check_advice(plan, listed)
+        return self._check_evidence(plan, len(listed_uids)) or self._check_advice(plan, listed_uids)
 
     def _check_evidence(self, plan: Plan, listed_count: int) -> PlanRejection | None:
         rules, evidence = self.rules, plan.evidence
@@ -93,14 +93,14 @@
             return PlanRejection.FEW_CONVERTERS
         return None
 
-    def _check_advice(self, plan: Plan, listed: set[str]) -> PlanRejection | None:
-        listed_entries = [entry for uid, entry in plan.entries.items() if uid in listed]
-        if sum(entry.ejected for entry in listed_entries) > self.rules.max_ejected * len(listed):
+    def _check_advice(self, plan: Plan, listed_uids: set[str]) -> PlanRejection | None:
+        listed_entries = [entry for uid, entry in plan.entries.items() if uid in listed_uids]
+        if sum(entry.ejected for entry in listed_entries) > self.rules.max_ejected * len(listed_uids):
             return PlanRejection.MANY_EJECTIONS
         remaining_weight = (
-            len(listed) - len(listed_entries) + sum(entry.weight for entry in listed_entries if not entry.ejected)
+            len(listed_uids) - len(listed_entries) + sum(entry.weight for entry in listed_entries if not entry.ejected)
         )
-        if listed and remaining_weight < self.rules.min_weight * len(listed):
+        if listed_uids and remaining_weight < self.rules.min_weight * len(listed_uids):
             return PlanRejection.LITTLE_WEIGHT
         return None
 
@@ -108,14 +108,14 @@
         """Return 1 while the plan is valid, then a value that falls linearly to 0 over the forwarder's fade time."""
         if self.plan is None:
             return 0.0
-        ms_past_validity = (now_us - self.accepted_us) / 1000 - self.plan.valid_ms
+        ms_past_validity = (now_us - self.accepted_at_us) / 1000 - self.plan.valid_ms
         if ms_past_validity <= 0:
             return 1.0
         return max(0.0, 1.0 - ms_past_validity / max(1.0, self.plan.fade_ms * self.fade_factor))
 
     def age_ms(self, now_us: int) -> int:
         """Return the age of the current plan in milliseconds; 0 without a plan."""
-        return (now_us - self.accepted_us) // 1000 if self.plan is not None else 0
+        return (now_us - self.accepted_at_us) // 1000 if self.plan is not None else 0
 
     def advice(self, now_us: int, upstream_ids: dict[str, int]) -> list[Advice]:
         """Return the current advice on the listed converters; `upstream_ids` maps their uids to upstream ids."""
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -65,7 +65,7 @@
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
         self.hello: Hello | None = None
-        self.last_report_us = 0
+        self.last_report_at_us = 0
         self.hello_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -108,19 +108,19 @@
             self.reject("as many forwarders as this planner takes", BUSY_RETRY_MS)
             return
         self.hello = hello
-        plan = self.server.last_plan
-        if plan is not None and not hello.is_peer:
-            self.write(plan)
+        frame = self.server.last_plan_frame
+        if frame is not None and not hello.is_peer:
+            self.write(frame)
 
     def on_report(self, report: Report) -> None:
         """Merge a report. Drops it if it follows the last one too soon, as no forwarder may use up the planner's CPU
         time."""
         assert self.hello is not None
         now_us = self.server.machine.clock_us()
-        if now_us < self.last_report_us + MIN_REPORT_INTERVAL_US:
+        if now_us < self.last_report_at_us + MIN_REPORT_INTERVAL_US:
             self.server.counts["reports dropped"] += 1
             return
-        self.last_report_us = now_us
+        self.last_report_at_us = now_us
         self.server.counts["reports"] += 1
         self.server.evidence.merge(now_us, self.hello.name, self.hello.incarnation, report)
 
@@ -159,12 +159,12 @@
         self.incarnation = machine.unix_us()  # greater after each restart
         self.evidence = Evidence(now_us)
         self.planner = Planner(settings.rules, settings.tenant_shares, settings.class_limits)
-        names = sorted([settings.name, *settings.peers])
-        self.leadership = Leadership(settings.name, names.index(settings.name), now_us)
+        planner_names = sorted([settings.name, *settings.peers])
+        self.leadership = Leadership(settings.name, planner_names.index(settings.name), now_us)
         self.connections: dict[PlannerServerConnection, None] = {}  # a dict keeps the order of insertion, unlike a set
         self.was_leader = False  # whether this planner led at the last tick
         self.plan_number = 0
-        self.last_plan: bytes | None = None
+        self.last_plan_frame: bytes | None = None
         self.counts: Counter[str] = Counter()
         self.restore(now_us)
 
@@ -173,18 +173,18 @@
         if self.settings.folder is None:
             return
         try:
-            restored = snapshot.load(self.settings.folder, self.machine.unix_us() // 1000, MAX_SNAPSHOT_AGE_MS)
+            restored_snapshot = snapshot.load(self.settings.folder, self.machine.unix_us() // 1000, MAX_SNAPSHOT_AGE_MS)
         except (snapshot.SnapshotError, OSError) as error:
             log.warning("snapshot not used: %s", error)
             return
-        if restored is not None:
-            self.leadership.observe_term(restored.term)
-            self.planner.statuses = restored.restore(now_us)
+        if restored_snapshot is not None:
+            self.leadership.observe_term(restored_snapshot.term)
+            self.planner.statuses = restored_snapshot.restore(now_us)
             log.info(
                 "snapshot of epoch %d restored, %d converters ejected or recovering",
-                restored.term.epoch,
-                len(restored.statuses),
-                extra=term_fields(restored.term),
+                restored_snapshot.term.epoch,
+                len(restored_snapshot.statuses),
+                extra=term_fields(restored_snapshot.term),
             )
 
     def forwarder_count(self) -> int:
@@ -223,66 +223,66 @@
 
     async def run_ticks(self) -> None:
         """Run a tick every `TICK_S` until the task is cancelled."""
-        tick = 0
+        tick_number = 0
         while True:
             await asyncio.sleep(TICK_S)
-            tick += 1
+            tick_number += 1
             try:
-                self.tick(self.machine.clock_us(), tick)
+                self.tick(self.machine.clock_us(), tick_number)
             except Exception:  # a single unexpected report must not stop planning for all forwarders
                 log.exception("planning failed")
 
-    def tick(self, now_us: int, tick: int) -> None:
+    def tick(self, now_us: int, tick_number: int) -> None:
         """Update the leadership, send heartbeats and plans, save snapshots and drop expired evidence."""
-        active = self.evidence.active_forwarders(now_us)
+        active_forwarders = self.evidence.active_forwarders(now_us)
         # Only a follower needs this check, before it takes over; a leader checks its evidence with each plan.
         has_enough_evidence = not self.leadership.is_leader and self.planner.has_enough_evidence(
             self.planner.basis(now_us, self.evidence)
         )
-        is_leader = self.leadership.tick(now_us, active, has_enough_evidence)
+        is_leader = self.leadership.tick(now_us, active_forwarders, has_enough_evidence)
         if is_leader != self.was_leader:  # compared with the last tick, as a heartbeat may have made it step down since
             self.was_leader = is_leader
             term = self.leadership.highest_term
             message = "leads, epoch %d" if is_leader else "follows, epoch %d"
             log.info(message, term.epoch, extra=term_fields(term))
-            self.plan_number, self.last_plan = 0, None
-        heartbeat = encode(Heartbeat(self.leadership.highest_term, is_leader, len(active)))
+            self.plan_number, self.last_plan_frame = 0, None
+        heartbeat = encode(Heartbeat(self.leadership.highest_term, is_leader, len(active_forwarders)))
         for connection in list(self.connections):
             connection.write(heartbeat)
-        if is_leader or tick % TICKS_PER_PLAN == 0:
-            self.publish_plan(now_us, is_due=tick % TICKS_PER_PLAN == 0)
-        if tick % TICKS_PER_SNAPSHOT == 0:
+        if is_leader or tick_number % TICKS_PER_PLAN == 0:
+            self.publish_plan(now_us, is_due=tick_number % TICKS_PER_PLAN == 0)
+        if tick_number % TICKS_PER_SNAPSHOT == 0:
             self.save()
-        if tick % TICKS_PER_EXPIRY == 0:
+        if tick_number % TICKS_PER_EXPIRY == 0:
             self.evidence.expire(now_us)
 
     def publish_plan(self, now_us: int, is_due: bool) -> None:
         """Send a plan to all forwarders if one is due or the set of ejected converters has changed. A follower computes
         plans too, without sending them, so that it knows the ejected converters when it takes over."""
         term = self.leadership.term
-        ejected_before = self.planner.ejected()
+        previously_ejected_uids = self.planner.ejected_uids()
         plan = self.planner.plan(now_us, self.evidence, term or self.leadership.highest_term, self.plan_number + 1)
         if plan is None or term is None:
-            self.last_plan = None
+            self.last_plan_frame = None
             return
-        if not is_due and self.planner.ejected() == ejected_before:
+        if not is_due and self.planner.ejected_uids() == previously_ejected_uids:
             return
         self.plan_number += 1
-        self.last_plan = encode(plan)
+        self.last_plan_frame = encode(plan)
         self.counts["plans"] += 1
         for connection in list(self.connections):
             if connection.hello is not None and not connection.hello.is_peer:
-                connection.write(self.last_plan)
+                connection.write(self.last_plan_frame)
 
     def save(self) -> None:
         """Save a snapshot, unless snapshots are disabled or no term is known yet."""
         if self.settings.folder is None or self.leadership.highest_term.epoch == 0:
             return
         machine = self.machine
-        current = snapshot.take(
+        current_snapshot = snapshot.take(
             machine.clock_us(), machine.unix_us() // 1000, self.leadership.highest_term, self.planner.statuses
         )
         try:
-            snapshot.save(self.settings.folder, current)
+            snapshot.save(self.settings.folder, current_snapshot)
         except OSError as error:
             log.warning("snapshot not saved: %s", error)
--- a/ryepier/plan/reporter.py
+++ b/ryepier/plan/reporter.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from ryepier.balancer.interface import Outcome
-from ryepier.plan.messages import LATENCY_BUCKETS, ConverterCounters, Report, Term, latency_bucket
+from ryepier.plan.messages import LATENCY_BUCKET_COUNT, ConverterCounters, Report, Term, latency_bucket
 
 FAILURE_OUTCOMES = frozenset(
     (Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED_RESPONSE, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
@@ -22,7 +22,7 @@
     served: int = 0
     failed: int = 0
     rejected: int = 0
-    latencies: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKETS)
+    latencies: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKET_COUNT)
     changed: bool = False
     # by token: (time from which the attempt counts as unanswered, whether it was already counted as failed)
     in_flight: dict[int, tuple[int, bool]] = field(default_factory=dict)
@@ -38,7 +38,7 @@
 class Reporter:
     """Counts requests and attempts since the start of the process."""
 
-    def __init__(self, unanswered_after_us: list[int], tenants: int) -> None:
+    def __init__(self, unanswered_after_us: list[int], tenant_count: int) -> None:
         """Start with all counters at 0.
 
         `unanswered_after_us` is the time by class after which an attempt without an answer counts as failed; `tenants`
@@ -47,7 +47,7 @@
         self.class_arrivals = [0] * len(unanswered_after_us)
         self.unanswered_after_us = unanswered_after_us
         self.records: dict[str, _ConverterRecord] = {}
-        self.arrivals = [0] * tenants
+        self.arrivals = [0] * tenant_count
         self.rejections = 0
         self.report_number = 0
 
@@ -88,7 +88,7 @@
         """Drop the counters of converters that are not in `uids` and have no attempts in flight."""
         self.records = {uid: record for uid, record in self.records.items() if uid in uids or record.in_flight}
 
-    def report(self, now_us: int, listed: int, term: Term, plan_age_ms: int, complete: bool = False) -> Report:
+    def report(self, now_us: int, listed_count: int, term: Term, plan_age_ms: int, complete: bool = False) -> Report:
         """Return the changes since the last report, or all counters if `complete`, for a planner that has just
         connected."""
         for record in self.records.values():
@@ -104,7 +104,7 @@
         outstanding = {uid: len(record.in_flight) for uid, record in self.records.items() if record.in_flight}
         return Report(
             self.report_number,
-            listed,
+            listed_count,
             counters,
             outstanding,
             list(self.arrivals),
--- a/tests/plan_scenarios.py
+++ b/tests/plan_scenarios.py
@@ -45,7 +45,7 @@
     )
 
 
-def eject_first(count: int) -> dict[str, ConverterAdvice]:
+def advice_ejecting_first(count: int) -> dict[str, ConverterAdvice]:
     """Return advice that ejects the first `count` converters, without trial requests."""
     return {f"c{i}": ConverterAdvice(ejected=True, trial_share=0.0) for i in range(count)}
 
@@ -79,7 +79,7 @@
     )
 
 
-def report_healthy(
+def report_all_converters(
     evidence: Evidence, now_us: int, overrides: dict[str, tuple[int, int]], forwarder_count: int = 10
 ) -> None:
     """Merge reports of `forwarder_count` forwarders: all converters serve 3 attempts, except those in `overrides`."""
@@ -94,7 +94,7 @@
     return plan
 
 
-def balancer_with_upstreams(count: int) -> Balancer:
+def make_balancer(count: int) -> Balancer:
     """Return a balancer with `count` ready upstreams, whose ids start at 0."""
     settings = Settings(
         classes=[RequestClass("read", latency_objective_us=SECOND_US, deadline_us=10 * SECOND_US)], max_attempts=2
--- a/tests/test_plan_computation.py
+++ b/tests/test_plan_computation.py
@@ -25,10 +25,10 @@
     LISTED_UIDS,
     RULES,
     SECOND_US,
-    balancer_with_upstreams,
     compute_plan,
+    make_balancer,
+    report_all_converters,
     report_attempts,
-    report_healthy,
     sent_upstreams,
 )
 
@@ -36,23 +36,23 @@
 def test_planner_with_too_few_reports_sends_no_plan() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
     assert planner.plan(5 * SECOND_US, evidence, Term(1, "a"), 1) is None
-    report_healthy(evidence, 0, {}, forwarder_count=4)
+    report_all_converters(evidence, 0, {}, forwarder_count=4)
     assert planner.plan(2 * SECOND_US, evidence, Term(1, "a"), 1) is None  # fewer than half of the fleet
-    report_healthy(evidence, SECOND_US, {}, forwarder_count=6)
+    report_all_converters(evidence, SECOND_US, {}, forwarder_count=6)
     assert planner.plan(SECOND_US - 1, evidence, Term(1, "a"), 1) is None  # the reports cover less than a second
     assert compute_plan(planner, evidence, SECOND_US).entries == {}
 
 
 def test_failing_converter_is_ejected_probed_and_restored_in_steps() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
-    report_healthy(evidence, 2 * SECOND_US, {"c3": (0, 2)})
+    report_all_converters(evidence, 2 * SECOND_US, {"c3": (0, 2)})
     [(uid, entry)] = compute_plan(planner, evidence, 2 * SECOND_US).entries.items()
     assert uid == "c3" and entry.ejected and entry.trial_share == 0.2 and "seen by 10 of 10" in entry.reason
     at_us, states = 2 * SECOND_US, []
     for _ in range(40):
         at_us += SECOND_US // 2
         report_attempts(evidence, at_us, "f0", {"c3": (2, 0)})
-        report_healthy(evidence, at_us, {"c3": (0, 0)})
+        report_all_converters(evidence, at_us, {"c3": (0, 0)})
         entry = compute_plan(planner, evidence, at_us).entries.get("c3", ConverterAdvice())
         states.append("ejected" if entry.ejected else entry.weight)
     assert list(dict.fromkeys(states)) == ["ejected", 0.25, 0.5, 1.0]
@@ -71,36 +71,36 @@
     planner, evidence = Planner(RULES, [], [25.0]), Evidence(0)
     for at_us in (2 * SECOND_US, 2 * SECOND_US + 1):
         # 10 more arrivals at each of 5 forwarders, twice: 100 within the decay time of 2 s are 50 per second
-        report_healthy(evidence, at_us, {}, forwarder_count=5)
+        report_all_converters(evidence, at_us, {}, forwarder_count=5)
     plan = compute_plan(planner, evidence, 2 * SECOND_US + 1)
     assert plan.class_admission == [pytest.approx(0.5, rel=0.01)]
     follower = PlanFollower("f", RULES)
     assert follower.accept_plan(0, plan, LISTED_UIDS) is None and follower.class_admission(0) == plan.class_admission
     assert 0.5 < follower.class_admission(15 * SECOND_US)[0] < 1.0 and follower.class_admission(60 * SECOND_US) == []
-    balancer = balancer_with_upstreams(4)
-    sent = sent_upstreams(balancer, 4, PlanUpdated(class_admission=[0.5]))
-    assert len(sent) == 2
+    balancer = make_balancer(4)
+    receiving_upstreams = sent_upstreams(balancer, 4, PlanUpdated(class_admission=[0.5]))
+    assert len(receiving_upstreams) == 2
 
 
 def test_forwarder_for_which_every_converter_fails_is_ignored() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
-    report_healthy(evidence, 2 * SECOND_US, {})
+    report_all_converters(evidence, 2 * SECOND_US, {})
     report_attempts(evidence, 2 * SECOND_US, "f0", dict.fromkeys(LISTED_UIDS, (0, 50)))
     assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {} and planner.outlier_reporters == {"f0"}
 
 
 def test_few_forwarders_with_many_failures_do_not_outweigh_the_others() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
-    report_healthy(evidence, 2 * SECOND_US, {})
+    report_all_converters(evidence, 2 * SECOND_US, {})
     for name in ("f0", "f1", "f2"):
         report_attempts(evidence, 2 * SECOND_US, name, {"c3": (0, 5000), "c4": (0, 5000)})
     assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {}
 
 
-def test_no_converter_is_ejected_when_half_of_the_fleet_fails() -> None:
+def test_no_converter_is_ejected_when_half_of_the_converters_fail() -> None:
     planner, evidence = Planner(RULES, []), Evidence(0)
-    report_healthy(evidence, 2 * SECOND_US, {f"c{i}": (0, 3) for i in range(5)})
-    assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {} and planner.fleet_is_failing
+    report_all_converters(evidence, 2 * SECOND_US, {f"c{i}": (0, 3) for i in range(5)})
+    assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {} and planner.too_many_converters_fail
 
 
 def test_plan_from_any_evidence_is_accepted_by_forwarders() -> None:
@@ -126,5 +126,5 @@
 def test_planner_applies_the_acceptance_rules_of_forwarders() -> None:
     strict_rules = dataclasses.replace(RULES, max_ejected=0.0)
     planner, evidence = Planner(strict_rules, []), Evidence(0)
-    report_healthy(evidence, 2 * SECOND_US, {"c3": (0, 2)})
+    report_all_converters(evidence, 2 * SECOND_US, {"c3": (0, 2)})
     assert compute_plan(planner, evidence, 2 * SECOND_US).entries == {}
--- a/tests/test_plan_evidence.py
+++ b/tests/test_plan_evidence.py
@@ -25,11 +25,11 @@
     reporter.on_attempt_started(0, "a", 1, 0)
     reporter.on_attempt_started(0, "b", 2, 0)
     reporter.on_attempt_ended("b", 2, Outcome.OK, 2_500)
-    first = reporter.report(99, 2, Term(), 0)
-    assert first.counters == {
+    first_report = reporter.report(99, 2, Term(), 0)
+    assert first_report.counters == {
         "a": ConverterCounters(1),
         "b": ConverterCounters(1, 1, 0, 0, (0, 0, 1)),
-    } and first.outstanding == {"a": 1}
+    } and first_report.outstanding == {"a": 1}
     assert reporter.report(100, 2, Term(), 0).counters == {"a": ConverterCounters(1, failed=1)}
     reporter.on_attempt_ended("a", 1, Outcome.TIMEOUT, 900)  # already counted as unanswered
     assert reporter.report(200, 2, Term(), 0).counters == {"a": ConverterCounters(1, failed=1)}
@@ -61,9 +61,9 @@
 
 def test_reports_of_earlier_incarnations_are_ignored_and_new_ones_start_from_zero() -> None:
     evidence = Evidence(0)
-    first, second = growing_reports([5, 5])
-    assert evidence.merge(0, "f", 7, first) and evidence.merge(1, "f", 7, second)
+    first_report, second_report = growing_reports([5, 5])
+    assert evidence.merge(0, "f", 7, first_report) and evidence.merge(1, "f", 7, second_report)
     # the counts of the first report are not recent
-    assert evidence.forwarders["f"].converters["c"].recent.served == pytest.approx(5, rel=0.01)
-    assert not evidence.merge(2, "f", 6, second)
-    assert evidence.merge(3, "f", 8, first) and evidence.merged_counters()["f"]["c"] == ConverterCounters(5, 5)
+    assert evidence.forwarders["f"].converters["c"].recent_counts.served == pytest.approx(5, rel=0.01)
+    assert not evidence.merge(2, "f", 6, second_report)
+    assert evidence.merge(3, "f", 8, first_report) and evidence.merged_counters()["f"]["c"] == ConverterCounters(5, 5)
--- a/tests/test_plan_follower.py
+++ b/tests/test_plan_follower.py
@@ -26,8 +26,8 @@
     LISTED_UIDS,
     RULES,
     SECOND_US,
-    balancer_with_upstreams,
-    eject_first,
+    advice_ejecting_first,
+    make_balancer,
     make_plan,
     sent_upstreams,
 )
@@ -40,7 +40,7 @@
         (make_plan(forwarders=0, covered=0, window_ms=0), "too few forwarders"),  # a plan without any evidence
         (make_plan(window_ms=999), "evidence of too short a time"),
         (make_plan(covered=4), "too few converters reported"),
-        (make_plan(entries=eject_first(5)), "too many converters ejected"),
+        (make_plan(entries=advice_ejecting_first(5)), "too many converters ejected"),
         (make_plan(entries=dict.fromkeys(LISTED_UIDS, ConverterAdvice(weight=0.0))), "too little weight"),
         (make_plan(epoch=0), "no term"),
         (make_plan(planner=""), "no term"),
@@ -48,7 +48,7 @@
 )
 def test_invalid_plan_is_rejected_and_the_last_valid_one_stays(plan: Plan, reason: str) -> None:
     follower = PlanFollower("f", RULES)
-    assert follower.accept_plan(0, make_plan(entries=eject_first(1)), LISTED_UIDS) is None
+    assert follower.accept_plan(0, make_plan(entries=advice_ejecting_first(1)), LISTED_UIDS) is None
     plan_in_term = msgspec.structs.replace(plan, term=Term(plan.term.epoch * 5, plan.term.planner))
     assert str(follower.accept_plan(1, plan_in_term, LISTED_UIDS)).startswith(
         reason if plan.term.epoch else "an older term"
@@ -75,12 +75,12 @@
     st.lists(st.tuples(st.integers(0, 3), st.sampled_from("ab"), st.integers(0, 4), st.integers(0, 10)), max_size=30)
 )
 def test_accepted_plans_increase_for_any_sequence_of_plans(offers: list[tuple[int, str, int, int]]) -> None:
-    follower, accepted = PlanFollower("f", RULES), []
+    follower, accepted_plans = PlanFollower("f", RULES), []
     for epoch, planner, number, forwarders in offers:
         if not follower.accept_plan(0, make_plan(epoch, number, forwarders, planner), LISTED_UIDS):
-            accepted.append((epoch, planner, number))
+            accepted_plans.append((epoch, planner, number))
             assert forwarders >= 5
-    assert all(earlier < later for earlier, later in itertools.pairwise(accepted))
+    assert all(earlier < later for earlier, later in itertools.pairwise(accepted_plans))
 
 
 def test_plan_fades_out_and_forwarders_end_an_ejection_gradually() -> None:
@@ -113,13 +113,15 @@
 
 
 def test_forwarders_take_turns_at_probing_an_ejected_converter() -> None:
-    all_selected: set[str] = set()
+    all_selected_names: set[str] = set()
     for number in range(1, 400):
         plan = make_plan(number=number, entries={"c1": ConverterAdvice(ejected=True, trial_share=0.1)})
-        selected = {f"f{i}" for i in range(50) if PlanFollower(f"f{i}", RULES).is_selected_for_trial("c1", plan, 0.1)}
-        assert len(selected) < 20
-        all_selected |= selected
-    assert len(all_selected) == 50
+        selected_names = {
+            f"f{i}" for i in range(50) if PlanFollower(f"f{i}", RULES).is_selected_for_trial("c1", plan, 0.1)
+        }
+        assert len(selected_names) < 20
+        all_selected_names |= selected_names
+    assert len(all_selected_names) == 50
 
 
 def test_plan_adds_no_converter_that_discovery_has_not_listed() -> None:
@@ -134,15 +136,18 @@
 
 
 def test_upstreams_ejected_by_a_plan_get_no_request_unless_it_ejects_too_many() -> None:
-    assert set(sent_upstreams(balancer_with_upstreams(4), 3, PlanUpdated([Advice(0, ejected=True)]))) == {1, 2, 3}
-    assert set(
-        sent_upstreams(balancer_with_upstreams(4), 4, PlanUpdated([Advice(i, ejected=True) for i in range(3)]))
-    ) == {0, 1, 2, 3}
-    assert sent_upstreams(balancer_with_upstreams(2), 2, PlanUpdated([Advice(9)])) != []
+    assert set(sent_upstreams(make_balancer(4), 3, PlanUpdated([Advice(0, ejected=True)]))) == {1, 2, 3}
+    assert set(sent_upstreams(make_balancer(4), 4, PlanUpdated([Advice(i, ejected=True) for i in range(3)]))) == {
+        0,
+        1,
+        2,
+        3,
+    }
+    assert sent_upstreams(make_balancer(2), 2, PlanUpdated([Advice(9)])) != []
 
 
 def test_next_plan_replaces_advice_and_restores_no_removed_upstream() -> None:
-    balancer = balancer_with_upstreams(2)
+    balancer = make_balancer(2)
     balancer.handle(2, PlanUpdated([Advice(0, ejected=True)]))
     balancer.handle(3, UpstreamsUpdated(ListKind.FULL, [Upstream(1)]))
     balancer.handle(4, PlanUpdated([Advice(0, weight=1.0)]))
--- a/tests/test_plan_leadership.py
+++ b/tests/test_plan_leadership.py
@@ -19,37 +19,41 @@
 )
 
 
-def forwarder_stats(term: Term, accepted_us: int, count: int = 10) -> dict[str, ForwarderStats]:
+def forwarder_stats(term: Term, accepted_at_us: int, count: int = 10) -> dict[str, ForwarderStats]:
     return {
-        f"f{i}": ForwarderStats(1, 0, accepted_us, 1, term=term, plan_accepted_us=accepted_us) for i in range(count)
+        f"f{i}": ForwarderStats(1, 0, accepted_at_us, 1, term=term, plan_accepted_at_us=accepted_at_us)
+        for i in range(count)
     }
 
 
 def test_forwarders_without_a_plan_do_not_prevent_a_takeover() -> None:
-    first = Leadership("a", 0, 0)
-    assert first.tick(LEADER_TIMEOUT_US, forwarder_stats(Term(), LEADER_TIMEOUT_US), has_enough_evidence=True)
+    first_planner = Leadership("a", 0, 0)
+    assert first_planner.tick(LEADER_TIMEOUT_US, forwarder_stats(Term(), LEADER_TIMEOUT_US), has_enough_evidence=True)
 
 
 def test_first_planner_takes_over_and_the_second_waits_for_its_turn() -> None:
-    first, second = Leadership("a", 0, 0), Leadership("b", 1, 0)
-    assert not first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=False)  # without evidence it can't compute a plan
-    assert first.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and first.term == Term(1, "a")
-    assert not second.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
-    second.on_heartbeat(LEADER_TIMEOUT_US, Heartbeat(first.highest_term, True, 10))
-    assert not second.tick(2 * LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
-    assert second.tick(3 * LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and second.term == Term(2, "b")
+    first_planner, second_planner = Leadership("a", 0, 0), Leadership("b", 1, 0)
+    # without enough evidence the planner can't compute a plan, so it does not take over
+    assert not first_planner.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=False)
+    assert first_planner.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and first_planner.term == Term(1, "a")
+    assert not second_planner.tick(LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
+    second_planner.on_heartbeat(LEADER_TIMEOUT_US, Heartbeat(first_planner.highest_term, True, 10))
+    assert not second_planner.tick(2 * LEADER_TIMEOUT_US, {}, has_enough_evidence=True)
+    assert second_planner.tick(3 * LEADER_TIMEOUT_US, {}, has_enough_evidence=True) and second_planner.term == Term(
+        2, "b"
+    )
 
 
 def test_partition_between_planners_keeps_the_leader_while_forwarders_follow_it() -> None:
-    second = Leadership("b", 1, 0)
+    second_planner = Leadership("b", 1, 0)
     for at_us in range(0, 60 * SECOND_US, SECOND_US // 4):
-        assert not second.tick(at_us, forwarder_stats(Term(1, "a"), at_us), has_enough_evidence=True)
-    assert not second.tick(
+        assert not second_planner.tick(at_us, forwarder_stats(Term(1, "a"), at_us), has_enough_evidence=True)
+    assert not second_planner.tick(
         60 * SECOND_US - SECOND_US // 4 + 2 * LEADER_TIMEOUT_US - 1,
         forwarder_stats(Term(1, "a"), 59 * SECOND_US),
         has_enough_evidence=True,
     )
-    assert second.tick(
+    assert second_planner.tick(
         60 * SECOND_US + 4 * LEADER_TIMEOUT_US,
         forwarder_stats(Term(1, "a"), 59 * SECOND_US),
         has_enough_evidence=True,
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -48,7 +48,7 @@
         await task
 
 
-class Sidecar:
+class ForwarderTestbed:
     """A forwarder that sends attempts to six converters, of which converter 3 never answers."""
 
     def __init__(self, name: str, *ports: int) -> None:
@@ -62,9 +62,9 @@
 
     def start(self) -> None:
         self.forwarder.start()
-        self.task = asyncio.create_task(self.send())
+        self.task = asyncio.create_task(self.simulate_attempts())
 
-    async def send(self) -> None:
+    async def simulate_attempts(self) -> None:
         token = 0
         while True:
             for upstream_id in UPSTREAM_IDS.values():
@@ -79,20 +79,20 @@
         if self.task is not None:
             self.task.cancel()
 
-    def ejected(self) -> set[int]:
+    def ejected_upstreams(self) -> set[int]:
         return {advice.upstream for advice in self.plans[-1].advice if advice.ejected} if self.plans else set()
 
 
 @asynccontextmanager
-async def run_sidecars(*ports: int) -> AsyncIterator[list[Sidecar]]:
-    sidecars = [Sidecar(f"f{i}", *ports) for i in range(6)]
-    for sidecar in sidecars:
-        sidecar.start()
+async def run_forwarder_testbeds(*ports: int) -> AsyncIterator[list[ForwarderTestbed]]:
+    testbeds = [ForwarderTestbed(f"f{i}", *ports) for i in range(6)]
+    for testbed in testbeds:
+        testbed.start()
     try:
-        yield sidecars
+        yield testbeds
     finally:
-        for sidecar in sidecars:
-            sidecar.stop()
+        for testbed in testbeds:
+            testbed.stop()
 
 
 async def run_command(*arguments: str) -> str:
@@ -105,20 +105,20 @@
     return output.decode()
 
 
-def test_failing_converter_is_ejected_everywhere_and_the_peer_takes_over_from_the_leader() -> None:
+def test_failing_converter_is_ejected_and_the_peer_takes_over_from_the_leader() -> None:
     async def test() -> None:
         ports = [free_port(), free_port()]
         async with run_planner(ports[1], "b", {"a": ports[0]}) as standby:
-            async with run_planner(ports[0], "a", {"b": ports[1]}), run_sidecars(*ports) as sidecars:
+            async with run_planner(ports[0], "a", {"b": ports[1]}), run_forwarder_testbeds(*ports) as testbeds:
                 # three of six are enough, as the other forwarders may be sending trial requests
-                await wait_until(lambda: sum(sidecar.ejected() == {3} for sidecar in sidecars) >= 3)
-                assert all(sidecar.forwarder.follower.term.planner == "a" for sidecar in sidecars)
+                await wait_until(lambda: sum(testbed.ejected_upstreams() == {3} for testbed in testbeds) >= 3)
+                assert all(testbed.forwarder.follower.term.planner == "a" for testbed in testbeds)
                 assert "c3: ejected" in await run_command("plan", "explain", "c3", f"127.0.0.1:{ports[0]}")
                 plan = json.loads(await run_command("plan", "show", f"127.0.0.1:{ports[0]}", "--json"))
                 assert list(plan["entries"]) == ["c3"] and plan["term"][1] == "a"
                 assert not standby.leadership.is_leader
-            async with run_sidecars(*ports) as sidecars:
-                await wait_until(lambda: all(sidecar.forwarder.follower.term.planner == "b" for sidecar in sidecars))
+            async with run_forwarder_testbeds(*ports) as testbeds:
+                await wait_until(lambda: all(testbed.forwarder.follower.term.planner == "b" for testbed in testbeds))
                 assert standby.leadership.highest_term.epoch >= 2
 
     run_bounded(test)
@@ -128,19 +128,19 @@
     monkeypatch.setattr(forwarder, "SILENCE_TIMEOUT_US", 200_000)
 
     async def test() -> None:
-        connections = 0
+        connection_count = 0
 
         async def hang(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal connections
-            connections += 1
+            nonlocal connection_count
+            connection_count += 1
             await asyncio.sleep(HANG_TIMEOUT_S)
 
         server = await asyncio.start_server(hang, "127.0.0.1", 0)
-        sidecar = Sidecar("f", server.sockets[0].getsockname()[1])
-        sidecar.start()
-        await wait_until(lambda: connections >= 3)
-        assert len(sidecar.forwarder.connections) <= 1 and sidecar.plans == []
-        sidecar.stop()
+        testbed = ForwarderTestbed("f", server.sockets[0].getsockname()[1])
+        testbed.start()
+        await wait_until(lambda: connection_count >= 3)
+        assert len(testbed.forwarder.connections) <= 1 and testbed.plans == []
+        testbed.stop()
         server.close()
 
     run_bounded(test)
