--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -32,7 +32,7 @@
 # TCP keep-alive: an unreachable host is detected after 11 s (idle time plus three probes)
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 2
-KEEPALIVE_PROBES = 3
+KEEPALIVE_PROBE_COUNT = 3
 SERVICE_ACCOUNT_FOLDER = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # where Kubernetes mounts it in pods
 
 
@@ -134,7 +134,7 @@
         self.retry_after_s: int | None = None
         self.is_complete = False
         self.failure: Exception | None = None
-        self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.done_future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Enable TCP keep-alive."""
@@ -145,11 +145,11 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBE_COUNT)
 
     def data_received(self, data: bytes) -> None:
         """Parse bytes of the response; a parse error ends the call."""
-        if self.done.done():
+        if self.done_future.done():
             return
         self.on_data()
         try:
@@ -179,9 +179,9 @@
         else:
             self.read_lines(len(data))
 
-    def read_lines(self, new_bytes: int) -> None:
+    def read_lines(self, new_byte_count: int) -> None:
         """Pass on the complete lines; only the last `new_bytes` of the body can hold a line's end."""
-        if self.body.find(b"\n", len(self.body) - new_bytes) >= 0:
+        if self.body.find(b"\n", len(self.body) - new_byte_count) >= 0:
             *lines, remainder = bytes(self.body).split(b"\n")
             self.body = bytearray(remainder)
             for line in lines:
@@ -202,8 +202,8 @@
 
     def finish(self) -> None:
         """End the call and close the connection."""
-        if not self.done.done():
-            self.done.set_result(None)
+        if not self.done_future.done():
+            self.done_future.set_result(None)
         if self.transport is not None:
             self.transport.abort()
 
@@ -229,7 +229,7 @@
         self.pending_steps: list[Call | Wait] = []
         self.changes: list[Replace | Apply | Delete] = []
         self.is_flush_scheduled = False
-        self.last_received_us = 0
+        self.last_received_at_us = 0
         self.problem_count = 0
 
     async def run(self) -> None:
@@ -292,18 +292,18 @@
         """Wait for the end of a response. Raises TimeoutError if a page takes too long or a watch is silent."""
         if call.kind is CallKind.LIST:
             async with asyncio.timeout(LIST_TIMEOUT_S):
-                await response.done
+                await response.done_future
             return
-        limit_us = int((self.reflector.watch_s + WATCH_GRACE_S) * 1e6)
-        while not response.done.done():
-            remaining_us = self.last_received_us + limit_us - self.clock_us()
+        silence_limit_us = int((self.reflector.watch_s + WATCH_GRACE_S) * 1e6)
+        while not response.done_future.done():
+            remaining_us = self.last_received_at_us + silence_limit_us - self.clock_us()
             if remaining_us <= 0:
                 raise TimeoutError
-            await asyncio.wait([response.done], timeout=remaining_us / 1e6)
+            await asyncio.wait([response.done_future], timeout=remaining_us / 1e6)
 
     def on_data(self) -> None:
         """Record the time at which bytes arrived."""
-        self.last_received_us = self.clock_us()
+        self.last_received_at_us = self.clock_us()
 
     def read_line(self, line: bytes) -> None:
         """Decode a line of a watch and pass the event to the reflector."""
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -46,15 +46,15 @@
 
     upstream_id: int
     endpoint: MergedEndpoint
-    published: UpstreamState
-    started_us: int  # 0 = long ago
+    published_state: UpstreamState
+    started_at_us: int  # 0 = long ago
     unready_since_us: int = 0  # 0 = it is ready
     ready_since_us: int = 0  # when the slices last reported it as ready again
-    flaps: int = 0
+    flap_count: int = 0
 
     def publish_at_us(self, settle_us: int) -> int:
         """Return the time at which an endpoint that is ready again may be published as ready."""
-        return self.ready_since_us + (settle_us << min(self.flaps - 1, MAX_DELAY_DOUBLINGS))
+        return self.ready_since_us + (settle_us << min(self.flap_count - 1, MAX_DELAY_DOUBLINGS))
 
 
 class EndpointListing:
@@ -64,8 +64,8 @@
         """Start without endpoints; those added before `complete_list` count as started long ago."""
         self.rules = rules
         self.endpoints: dict[str, _ListedEndpoint] = {}
-        self.removed: OrderedDict[str, _ListedEndpoint] = OrderedDict()
-        self.settling: set[str] = set()  # identities that are ready again but not yet published as ready
+        self.removed_endpoints: OrderedDict[str, _ListedEndpoint] = OrderedDict()
+        self.settling_identities: set[str] = set()  # identities that are ready again but not yet published as ready
         self.failure_domains: dict[str, int] = {}
         self.last_upstream_id = 0
         self.has_complete_list = False  # a complete list has been published
@@ -82,111 +82,112 @@
     def complete_list(self) -> list[ListedEntry]:
         """Return all entries. From now on, new endpoints count as started when they are added."""
         self.has_complete_list = True
-        return [self._make_entry(listed) for listed in self.endpoints.values()]
+        return [self._make_entry(listed_endpoint) for listed_endpoint in self.endpoints.values()]
 
     @property
-    def next_due_us(self) -> int | None:
+    def next_due_at_us(self) -> int | None:
         """When the next endpoint that is ready again is due to be published; None if there is none."""
         return min(
-            (self.endpoints[identity].publish_at_us(self.rules.settle_us) for identity in self.settling), default=None
+            (self.endpoints[identity].publish_at_us(self.rules.settle_us) for identity in self.settling_identities),
+            default=None,
         )
 
     def upstream_ids(self) -> dict[str, int]:
         """Return the upstream ids of the listed endpoints by identity."""
-        return {identity: listed.upstream_id for identity, listed in self.endpoints.items()}
+        return {identity: listed_endpoint.upstream_id for identity, listed_endpoint in self.endpoints.items()}
 
     def _remove(self, identity: str) -> ListedEntry | None:
-        listed = self.endpoints.pop(identity, None)
-        self.settling.discard(identity)
-        if listed is None:
+        listed_endpoint = self.endpoints.pop(identity, None)
+        self.settling_identities.discard(identity)
+        if listed_endpoint is None:
             return None
-        listed.published = REMOVED
+        listed_endpoint.published_state = REMOVED
         if not is_address(identity):  # another process may reuse an address, but never a pod's uid
-            self.removed[identity] = listed
-        while len(self.removed) > MAX_REMEMBERED_IDENTITIES:
-            self.removed.popitem(last=False)
-        return self._make_entry(listed)
+            self.removed_endpoints[identity] = listed_endpoint
+        while len(self.removed_endpoints) > MAX_REMEMBERED_IDENTITIES:
+            self.removed_endpoints.popitem(last=False)
+        return self._make_entry(listed_endpoint)
 
     def _change(self, now_us: int, identity: str, endpoint: MergedEndpoint) -> ListedEntry | None:
-        listed = self.endpoints.get(identity)
-        if listed is None:
+        listed_endpoint = self.endpoints.get(identity)
+        if listed_endpoint is None:
             return self._add(now_us, identity, endpoint)
-        address_changed = listed.endpoint.address != endpoint.address
-        previous_state, listed.endpoint = listed.endpoint.state, endpoint
+        address_changed = listed_endpoint.endpoint.address != endpoint.address
+        previous_state, listed_endpoint.endpoint = listed_endpoint.endpoint.state, endpoint
         if endpoint.state is DRAINING:
-            self.settling.discard(identity)
-            listed.unready_since_us = listed.unready_since_us or now_us
-            if listed.published is DRAINING and not address_changed:
+            self.settling_identities.discard(identity)
+            listed_endpoint.unready_since_us = listed_endpoint.unready_since_us or now_us
+            if listed_endpoint.published_state is DRAINING and not address_changed:
                 return None
-            listed.published = DRAINING
-            return self._make_entry(listed)
+            listed_endpoint.published_state = DRAINING
+            return self._make_entry(listed_endpoint)
         if previous_state is DRAINING:
-            self._on_ready_again(now_us, identity, listed)
+            self._on_ready_again(now_us, identity, listed_endpoint)
             return None
-        return self._make_entry(listed) if listed.published is READY else None
+        return self._make_entry(listed_endpoint) if listed_endpoint.published_state is READY else None
 
     def _add(self, now_us: int, identity: str, endpoint: MergedEndpoint) -> ListedEntry:
-        listed = self.removed.pop(identity, None)
-        if listed is None:
+        listed_endpoint = self.removed_endpoints.pop(identity, None)
+        if listed_endpoint is None:
             self.last_upstream_id += 1
             # endpoints of the first complete list are assumed to have started long ago, later ones when they appear
-            listed = _ListedEndpoint(
+            listed_endpoint = _ListedEndpoint(
                 self.last_upstream_id, endpoint, endpoint.state, now_us if self.has_complete_list else 0
             )
-        was_draining = listed.endpoint.state is DRAINING
-        listed.endpoint, listed.published = endpoint, endpoint.state
-        self.endpoints[identity] = listed
+        was_draining = listed_endpoint.endpoint.state is DRAINING
+        listed_endpoint.endpoint, listed_endpoint.published_state = endpoint, endpoint.state
+        self.endpoints[identity] = listed_endpoint
         if endpoint.state is DRAINING:
-            listed.unready_since_us = listed.unready_since_us or now_us
+            listed_endpoint.unready_since_us = listed_endpoint.unready_since_us or now_us
         elif was_draining:
-            listed.published = DRAINING
-            self._on_ready_again(now_us, identity, listed)
-        return self._make_entry(listed)
+            listed_endpoint.published_state = DRAINING
+            self._on_ready_again(now_us, identity, listed_endpoint)
+        return self._make_entry(listed_endpoint)
 
-    def _on_ready_again(self, now_us: int, identity: str, listed: _ListedEndpoint) -> None:
+    def _on_ready_again(self, now_us: int, identity: str, listed_endpoint: _ListedEndpoint) -> None:
         """Record that an endpoint is ready again; it is published as ready only after the settle time."""
-        if listed.ready_since_us and now_us - listed.ready_since_us > FLAP_RESET_US:
-            listed.flaps = 0
-        listed.flaps += 1
-        listed.ready_since_us = now_us
-        if now_us - listed.unready_since_us >= MIN_RESTART_US:
-            listed.started_us = now_us
-        self.settling.add(identity)
+        if listed_endpoint.ready_since_us and now_us - listed_endpoint.ready_since_us > FLAP_RESET_US:
+            listed_endpoint.flap_count = 0
+        listed_endpoint.flap_count += 1
+        listed_endpoint.ready_since_us = now_us
+        if now_us - listed_endpoint.unready_since_us >= MIN_RESTART_US:
+            listed_endpoint.started_at_us = now_us
+        self.settling_identities.add(identity)
 
     def _publish_settled(self, now_us: int) -> list[ListedEntry]:
-        settled = []
+        settled_entries = []
         for identity in [
             candidate
-            for candidate in sorted(self.settling)
+            for candidate in sorted(self.settling_identities)
             if self.endpoints[candidate].publish_at_us(self.rules.settle_us) <= now_us
         ]:
-            self.settling.discard(identity)
-            listed = self.endpoints[identity]
-            listed.published, listed.unready_since_us = READY, 0
-            settled.append(self._make_entry(listed))
-        return settled
+            self.settling_identities.discard(identity)
+            listed_endpoint = self.endpoints[identity]
+            listed_endpoint.published_state, listed_endpoint.unready_since_us = READY, 0
+            settled_entries.append(self._make_entry(listed_endpoint))
+        return settled_entries
 
-    def _make_entry(self, listed: _ListedEndpoint) -> ListedEntry:
+    def _make_entry(self, listed_endpoint: _ListedEndpoint) -> ListedEntry:
         zones = self.rules.zones
-        endpoint = listed.endpoint
+        endpoint = listed_endpoint.endpoint
         zone = zones.index(endpoint.zone) if endpoint.zone in zones else len(zones)
         upstream = Upstream(
-            id=listed.upstream_id,
-            state=listed.published,
+            id=listed_endpoint.upstream_id,
+            state=listed_endpoint.published_state,
             zone=zone,
             kind=self.rules.unknown_kind,
-            failure_domain=self._failure_domain(listed),
-            started_us=listed.started_us,
+            failure_domain=self._failure_domain(listed_endpoint),
+            started_us=listed_endpoint.started_at_us,
         )
         return ListedEntry(upstream, endpoint.address)
 
-    def _failure_domain(self, listed: _ListedEndpoint) -> int:
+    def _failure_domain(self, listed_endpoint: _ListedEndpoint) -> int:
         """Return the failure domain.
 
         Two converters that share a domain by mistake could execute a request twice. So a converter without a node gets
         a domain of its own: a negative number, which no node has.
         """
-        node = listed.endpoint.node
+        node = listed_endpoint.endpoint.node
         if self.rules.failure_domain_by is FailureDomainBy.ENDPOINT or not node:
-            return -listed.upstream_id
+            return -listed_endpoint.upstream_id
         return self.failure_domains.setdefault(node, len(self.failure_domains))
--- a/ryepier/slices/endpoint_slice_merger.py
+++ b/ryepier/slices/endpoint_slice_merger.py
@@ -131,8 +131,8 @@
     def replace(self, slices: list[Slice]) -> None:
         """Replace all slices by a complete list, even by older generations, as a cluster that was restored from a
         backup has them."""
-        listed = {self._uid(endpoint_slice) for endpoint_slice in slices}
-        for uid in [uid for uid in self.slices if uid not in listed]:
+        listed_uids = {self._uid(endpoint_slice) for endpoint_slice in slices}
+        for uid in [uid for uid in self.slices if uid not in listed_uids]:
             self._remove_slice(uid)
         for endpoint_slice in slices:
             self.deleted_slices.pop(self._uid(endpoint_slice), None)
@@ -234,9 +234,9 @@
         changes: dict[str, MergedEndpoint | None] = {}
         for identity in sorted(self.changed_identities):
             observations = self.observations.get(identity)
-            merged = self._merge(identity, list(observations.values())) if observations else None
-            if merged != self.current_endpoints.get(identity):
-                changes[identity] = merged
+            merged_endpoint = self._merge(identity, list(observations.values())) if observations else None
+            if merged_endpoint != self.current_endpoints.get(identity):
+                changes[identity] = merged_endpoint
         return self._commit(changes)
 
     def endpoints(self, now_us: int) -> dict[str, MergedEndpoint]:
@@ -245,12 +245,12 @@
         return self.current_endpoints
 
     @property
-    def is_retained(self) -> bool:
+    def is_list_retained(self) -> bool:
         """Whether the last list is being kept because all endpoints vanished at once."""
         return self.empty_since_us is not None
 
     @property
-    def next_due_us(self) -> int | None:
+    def next_due_at_us(self) -> int | None:
         """When `changes` must be called at the latest; None if nothing is pending."""
         return None if self.empty_since_us is None else self.empty_since_us + self.hold_us
 
@@ -265,38 +265,38 @@
             for identity, last_endpoint in self.current_endpoints.items():
                 # rule 3 applies to a retained list too
                 terminating = last_endpoint.terminating or identity in self.terminated_uids
-                retained = replace(
+                retained_endpoint = replace(
                     last_endpoint,
                     rule=6,
                     terminating=terminating,
                     state=UpstreamState.DRAINING if terminating else last_endpoint.state,
                 )
-                if retained != last_endpoint:
-                    changes[identity] = retained
+                if retained_endpoint != last_endpoint:
+                    changes[identity] = retained_endpoint
         return self._commit(changes)
 
     def _commit(self, changes: dict[str, MergedEndpoint | None]) -> dict[str, MergedEndpoint | None]:
         self.changed_identities.clear()
-        for identity, merged in changes.items():
-            if merged is None:
+        for identity, merged_endpoint in changes.items():
+            if merged_endpoint is None:
                 self.current_endpoints.pop(identity, None)
             else:
-                self.current_endpoints[identity] = merged
+                self.current_endpoints[identity] = merged_endpoint
         return changes
 
     def _merge(self, identity: str, observations: list[EndpointObservation]) -> MergedEndpoint:
-        riskiest = max(observations, key=lambda observation: (observation.risk, observation.slice_name))
+        riskiest_observation = max(observations, key=lambda observation: (observation.risk, observation.slice_name))
         is_terminated = identity in self.terminated_uids
-        state = UpstreamState.READY if riskiest.risk == 0 and not is_terminated else UpstreamState.DRAINING
+        state = UpstreamState.READY if riskiest_observation.risk == 0 and not is_terminated else UpstreamState.DRAINING
         rule = 3 if is_terminated else 4 if len({observation.risk for observation in observations}) > 1 else 1
-        names = tuple(sorted({observation.slice_name for observation in observations}))
+        slice_names = tuple(sorted({observation.slice_name for observation in observations}))
         return MergedEndpoint(
             identity,
-            riskiest.address,
-            riskiest.zone,
-            riskiest.node,
+            riskiest_observation.address,
+            riskiest_observation.zone,
+            riskiest_observation.node,
             state,
-            is_terminated or riskiest.risk == 3,
+            is_terminated or riskiest_observation.risk == 3,
             rule,
-            names,
+            slice_names,
         )
--- a/ryepier/slices/reflector.py
+++ b/ryepier/slices/reflector.py
@@ -100,13 +100,13 @@
         self.received_slices: list[Slice] = []  # slices of the pages received so far
         # Turned off after an expired page: a list that takes longer than the server keeps its pages never completes.
         self.uses_paging = True
-        self.failures = 0
-        self.call_started_us = 0
+        self.consecutive_failure_count = 0
+        self.call_started_at_us = 0
         self.has_expired_before = False  # whether a resource version has expired before
 
     def start(self, now_us: int) -> list[Action]:
         """Return the first call, or the next call after a wait."""
-        self.call_started_us = now_us
+        self.call_started_at_us = now_us
         return [self._watch() if self.resource_version else self._list()]
 
     on_wake = start
@@ -115,13 +115,13 @@
         """Handle a page of the list: request the next page, or replace all slices and start a watch."""
         self.received_slices += page.items or []
         if page.metadata.continue_token:
-            self.call_started_us = now_us
+            self.call_started_at_us = now_us
             return [self._list(page.metadata.continue_token)]
         listed_slices, self.received_slices = self.received_slices, []
         self.resource_version, self.uses_paging = page.metadata.resource_version, True
         if not self.resource_version:
             return [Replace(listed_slices), *self._retry(now_us, Failure("list has no resourceVersion"))]
-        self.call_started_us = now_us
+        self.call_started_at_us = now_us
         return [Replace(listed_slices), self._watch()]
 
     def on_event(self, now_us: int, event: WatchEvent) -> list[Action]:
@@ -137,9 +137,9 @@
 
     def on_watch_end(self, now_us: int) -> list[Action]:
         """Handle the regular end of a watch."""
-        if now_us - self.call_started_us >= HEALTHY_WATCH_US:
-            self.failures = 0
-            self.call_started_us = now_us
+        if now_us - self.call_started_at_us >= HEALTHY_WATCH_US:
+            self.consecutive_failure_count = 0
+            self.call_started_at_us = now_us
             return [self._watch()]
         return self._retry(now_us, Failure("watch ended too early"))
 
@@ -147,8 +147,8 @@
         """Handle the failure of a call."""
         if failure.status == HTTP_GONE:
             return self._relist_after_expiry(now_us)
-        if now_us - self.call_started_us >= HEALTHY_WATCH_US and self.resource_version:
-            self.failures = 0
+        if now_us - self.call_started_at_us >= HEALTHY_WATCH_US and self.resource_version:
+            self.consecutive_failure_count = 0
         return self._retry(now_us, failure)
 
     def _relist_after_expiry(self, now_us: int) -> list[Action]:
@@ -158,20 +158,20 @@
         self.uses_paging = self.uses_paging and not was_listing
         self.resource_version, self.received_slices = "", []
         expired_again, self.has_expired_before = (
-            self.has_expired_before and now_us - self.call_started_us < HEALTHY_WATCH_US,
+            self.has_expired_before and now_us - self.call_started_at_us < HEALTHY_WATCH_US,
             True,
         )
         if expired_again:
             return self._retry(now_us, Failure("resource version expired again", HTTP_GONE))
-        self.call_started_us = now_us
+        self.call_started_at_us = now_us
         return [Problem("resource version expired; listing again"), self._list()]
 
     def _retry(self, now_us: int, failure: Failure) -> list[Action]:
         """Return a wait with exponential backoff. The jitter spreads the retries of all sidecars, which lose a server
         at the same moment."""
         self.received_slices = []
-        self.failures += 1
-        max_backoff_us = min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(self.failures - 1, 20))
+        self.consecutive_failure_count += 1
+        max_backoff_us = min(MAX_BACKOFF_US, FIRST_BACKOFF_US * 2 ** min(self.consecutive_failure_count - 1, 20))
         backoff_us = int(max_backoff_us * (0.5 + self.random.random() / 2))
         if failure.retry_after_s is not None:
             backoff_us += min(MAX_RETRY_AFTER_US, failure.retry_after_s * 1_000_000)
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -37,8 +37,8 @@
     port_name: str = ""
     watch_s: int = 60
     hold_us: int = 30_000_000
-    cache: Path | None = None
-    pushed: bool = True  # if false, the decision module polls for lists and is notified of failures
+    cache_file: Path | None = None
+    is_pushed: bool = True  # if false, the decision module polls for lists and is notified of failures
     seed: int = 0
 
 
@@ -80,7 +80,7 @@
         )
         self.version = 0
         self.has_complete_list = False  # whether a complete list has arrived from the API server
-        self.is_retained = False
+        self.was_list_retained = False
         self.update_timer: asyncio.TimerHandle | None = None
         self.cache_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
@@ -89,10 +89,10 @@
 
     def restore_cached(self) -> None:
         """Publish the cached list, if there is a valid one, so that the sidecar can serve without the API server."""
-        if self.settings.cache is None:
+        if self.settings.cache_file is None:
             return
         try:
-            cached_list = msgspec.json.decode(self.settings.cache.read_bytes(), type=_CachedList)
+            cached_list = msgspec.json.decode(self.settings.cache_file.read_bytes(), type=_CachedList)
         except FileNotFoundError:
             return
         except (OSError, msgspec.MsgspecError) as error:
@@ -138,7 +138,7 @@
     def subscribe(self, active: bool) -> None:
         """Answer a poll with the complete list, or with a failure if none has arrived. The slices are followed all the
         time, so there is nothing to start or stop."""
-        if active and not self.settings.pushed:
+        if active and not self.settings.is_pushed:
             if self.has_complete_list:
                 self.publish(ListKind.FULL, self.listing.complete_list())
             else:
@@ -174,7 +174,7 @@
 
     def on_failure(self) -> None:
         """Publish that a call has failed, if the decision module polls; the client retries the call."""
-        if not self.settings.pushed:
+        if not self.settings.is_pushed:
             self.publish(ListKind.FAILED, [])
 
     # Publishing
@@ -190,13 +190,13 @@
             )
         elif entries:
             self.publish(ListKind.DELTA, entries)
-        if self.merger.is_retained and not self.is_retained:
+        if self.merger.is_list_retained and not self.was_list_retained:
             log.error(
                 "EndpointSlices of %s: all endpoints vanished at once; keeping the last list for %d s",
                 self.service,
                 self.settings.hold_us // 1_000_000,
             )
-        self.is_retained = self.merger.is_retained
+        self.was_list_retained = self.merger.is_list_retained
         self.schedule_update()
 
     def schedule_update(self) -> None:
@@ -204,9 +204,11 @@
         if self.update_timer is not None:
             self.update_timer.cancel()
             self.update_timer = None
-        due = [at_us for at_us in (self.merger.next_due_us, self.listing.next_due_us) if at_us is not None]
-        if due:
-            delay_s = max(0, min(due) - self.clock_us() + 1) / 1e6
+        due_times_us = [
+            at_us for at_us in (self.merger.next_due_at_us, self.listing.next_due_at_us) if at_us is not None
+        ]
+        if due_times_us:
+            delay_s = max(0, min(due_times_us) - self.clock_us() + 1) / 1e6
             self.update_timer = asyncio.get_running_loop().call_later(delay_s, self.update)
 
     def publish(self, kind: ListKind, entries: list[ListedEntry]) -> None:
@@ -214,32 +216,32 @@
         self.version += 1
         if entries:
             entry_texts = " ".join(
-                f"{entry.id}={address[0]}:{address[1]}:{entry.state.value}"
-                for entry, address in entries[:MAX_LOGGED_ENTRIES]
+                f"{upstream.id}={address[0]}:{address[1]}:{upstream.state.value}"
+                for upstream, address in entries[:MAX_LOGGED_ENTRIES]
             )
             suffix = f" and {len(entries) - MAX_LOGGED_ENTRIES} more" if len(entries) > MAX_LOGGED_ENTRIES else ""
             fields = {"version": self.version}
             log.info("endpoint list %d applied (%s): %s", self.version, kind.value, entry_texts + suffix, extra=fields)
-        upstreams: list[Upstream] = [entry for entry, _ in entries]
+        upstreams: list[Upstream] = [upstream for upstream, _ in entries]
         self.listener(
-            UpstreamsUpdated(kind, upstreams, self.version), {entry.id: address for entry, address in entries}
+            UpstreamsUpdated(kind, upstreams, self.version), {upstream.id: address for upstream, address in entries}
         )
-        if self.settings.cache is not None and self.has_complete_list and self.cache_timer is None:
+        if self.settings.cache_file is not None and self.has_complete_list and self.cache_timer is None:
             self.cache_timer = asyncio.get_running_loop().call_later(CACHE_INTERVAL_S, self.write_cache)
 
     def write_cache(self) -> None:
         """Replace the file with the cached list atomically."""
         self.cache_timer = None
-        path = self.settings.cache
+        path = self.settings.cache_file
         assert path is not None
-        ready = [
+        ready_endpoints = [
             _CachedEndpoint(endpoint.identity, *endpoint.address, endpoint.zone, endpoint.node)
             for endpoint in self.merger.current_endpoints.values()
             if endpoint.state is UpstreamState.READY
         ]
         temporary_path = path.with_name(f"{path.name}.part")
         try:
-            temporary_path.write_bytes(msgspec.json.encode(_CachedList(CACHE_VERSION, self.service, ready)))
+            temporary_path.write_bytes(msgspec.json.encode(_CachedList(CACHE_VERSION, self.service, ready_endpoints)))
             os.replace(temporary_path, path)
         except OSError as error:
             log.warning("could not write the cached endpoint list: %s", error)
--- a/tests/test_reflector.py
+++ b/tests/test_reflector.py
@@ -27,12 +27,12 @@
     for seed in range(50):
         reflector_under_test = Reflector("default", "convert", Random(seed))
         for _ in range(12):
-            wait_ends_us = [
+            wait_ends_at_us = [
                 action.until_us
                 for action in reflector_under_test.on_failure(0, Failure("refused"))
                 if isinstance(action, Wait)
             ]
-        delays_us += wait_ends_us
+        delays_us += wait_ends_at_us
     assert min(delays_us) >= 0.5 * reflector.MAX_BACKOFF_US and max(delays_us) <= reflector.MAX_BACKOFF_US
     assert max(delays_us) - min(delays_us) > 0.4 * reflector.MAX_BACKOFF_US
 
@@ -40,16 +40,16 @@
 def test_outage_of_ten_minutes_causes_few_requests_and_expiry_is_listed_at_once() -> None:
     reflector = Reflector("default", "convert", Random(1))
     reflector.resource_version = "5"
-    now_us = calls = 0
+    now_us = call_count = 0
     reflector.start(0)
     while now_us < 600_000_000:
-        calls += 1
+        call_count += 1
         [now_us] = [
             action.until_us for action in reflector.on_failure(now_us, Failure("refused")) if isinstance(action, Wait)
         ]
         [call] = reflector.on_wake(now_us)
         assert isinstance(call, Call) and "resourceVersion=5" in call.target
-    assert 60 <= calls <= 130
+    assert 60 <= call_count <= 130
     assert [action for action in reflector.on_failure(now_us, Failure("gone", 410)) if isinstance(action, Call)]
 
 
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -38,7 +38,7 @@
             testbed.follow()
             await wait_until(lambda: len(testbed.states()) == 5)
             assert [event.kind for event in testbed.events] == [ListKind.FULL]
-            assert sum("continue=" in call for call in testbed.api.request_targets) == 2
+            assert sum("continue=" in target for target in testbed.api.request_targets) == 2
             testbed.put("s1", "p1", draining="p1")
             testbed.put("six", "p7", family="IPv6")
             await wait_until(
@@ -65,7 +65,7 @@
             await wait_until(lambda: testbed.states() == {"p1": READY})
             testbed.api.faults.truncates_watches = True
             testbed.put("s1", "p1", draining="p1")
-            await wait_until(lambda: sum("watch=true" in call for call in testbed.api.request_targets) >= 3)
+            await wait_until(lambda: sum("watch=true" in target for target in testbed.api.request_targets) >= 3)
             assert testbed.states() == {"p1": READY}  # an incomplete line has no effect
             testbed.api.faults.truncates_watches = False
             await wait_until(lambda: testbed.states() == {"p1": DRAINING})
@@ -120,8 +120,8 @@
             await wait_until(lambda: testbed.states() == {"p1": READY})
             testbed.api.faults.silent = True
             testbed.put("s1", "p1", draining="p1")
-            calls = len(testbed.api.request_targets)
-            await wait_until(lambda: len(testbed.api.request_targets) > calls)
+            target_count = len(testbed.api.request_targets)
+            await wait_until(lambda: len(testbed.api.request_targets) > target_count)
             testbed.api.faults.silent = False
             await wait_until(lambda: testbed.states() == {"p1": DRAINING})
 
@@ -175,7 +175,7 @@
         async with api_server_testbed(tls) as testbed:
             testbed.put("s1", "p1")
             source = testbed.follow(
-                find_access(f"https://127.0.0.1:{testbed.port}", "", str(tmp_path / "ca.pem")), pushed=False
+                find_access(f"https://127.0.0.1:{testbed.port}", "", str(tmp_path / "ca.pem")), is_pushed=False
             )
             await wait_until(lambda: source.client.problem_count > 0)
             assert testbed.api.request_targets == [] and {event.kind for event in testbed.events} == {ListKind.FAILED}
@@ -196,11 +196,11 @@
 )
 def test_invalid_response_is_retried_later(response: bytes) -> None:
     async def test() -> None:
-        calls = 0
+        call_count = 0
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal calls
-            calls += 1
+            nonlocal call_count
+            call_count += 1
             await reader.readuntil(b"\r\n\r\n")
             writer.write(response)
             writer.close()
@@ -209,7 +209,7 @@
         testbed = ApiServerTestbed()
         testbed.port = server.sockets[0].getsockname()[1]
         source = testbed.follow()
-        await wait_until(lambda: calls >= 2)
+        await wait_until(lambda: call_count >= 2)
         assert source.client.problem_count >= 1 and testbed.events == []
         source.stop()
         server.close()
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -37,13 +37,14 @@
         assert update(listing, now_us, p1=make_endpoint(ready=False)) == {1: DRAINING}
         assert update(listing, now_us + 1, p1=make_endpoint()) == {}
         wait_us = SETTLE_US * 2**flap
-        assert listing.next_due_us == now_us + 1 + wait_us
+        assert listing.next_due_at_us == now_us + 1 + wait_us
         assert update(listing, now_us + wait_us) == {}
         assert update(listing, now_us + 1 + wait_us) == {1: READY}
         now_us += 1 + wait_us
     assert update(listing, now_us + FLAP_RESET_US + 1, p1=make_endpoint(ready=False)) == {1: DRAINING}
     update(listing, now_us + FLAP_RESET_US + 2, p1=make_endpoint())
-    assert listing.next_due_us == now_us + FLAP_RESET_US + 2 + SETTLE_US  # earlier flaps no longer count after a minute
+    # a minute after the last return to readiness, earlier flaps no longer lengthen the delay
+    assert listing.next_due_at_us == now_us + FLAP_RESET_US + 2 + SETTLE_US
 
 
 def test_endpoint_that_drains_while_settling_is_never_published_ready() -> None:
@@ -53,7 +54,7 @@
     update(listing, 2, p1=make_endpoint())
     # no update, as it is already published as draining
     assert update(listing, 3, p1=make_endpoint(ready=False, terminating=True)) == {}
-    assert listing.next_due_us is None and update(listing, 100 * SECOND_US) == {}
+    assert listing.next_due_at_us is None and update(listing, 100 * SECOND_US) == {}
 
 
 def test_endpoint_counts_as_started_if_new_or_unready_for_long() -> None:
@@ -90,13 +91,13 @@
 
 
 def test_only_endpoints_on_one_node_share_a_failure_domain() -> None:
-    by_node, by_endpoint = make_listing("node"), make_listing()
+    listing_by_node, listing_by_endpoint = make_listing("node"), make_listing()
     changes = {
         name: make_endpoint(name, node=node) for name, node in (("p1", "n1"), ("p2", "n1"), ("p3", ""), ("p4", ""))
     }
-    domains = [entry.failure_domain for entry, _ in by_node.update(0, changes)]
+    domains = [entry.failure_domain for entry, _ in listing_by_node.update(0, changes)]
     assert domains[0] == domains[1] and len(set(domains)) == 3
-    assert len({entry.failure_domain for entry, _ in by_endpoint.update(0, changes)}) == 4
+    assert len({entry.failure_domain for entry, _ in listing_by_endpoint.update(0, changes)}) == 4
 
 
 def test_changed_address_is_published() -> None:
@@ -118,19 +119,19 @@
 )
 def test_unready_endpoint_is_never_published_ready(steps: list[tuple[int, str, str]]) -> None:
     listing = make_listing()
-    now_us, reported, published = 0, {}, {}
+    now_us, reported_conditions, published_states = 0, {}, {}
     for delay_us, identity, condition in steps:
         now_us += delay_us
-        reported[identity] = condition
+        reported_conditions[identity] = condition
         endpoint = (
             None
             if condition == "gone"
             else make_endpoint(identity, condition == "ready", terminating=condition == "ends")
         )
         for entry, _ in listing.update(now_us, {identity: endpoint}):
-            published[entry.id] = entry.state
+            published_states[entry.id] = entry.state
         for name, upstream_id in listing.upstream_ids().items():
-            assert published[upstream_id] is not READY or reported[name] == "ready"
-        assert sum(state is READY for state in published.values()) <= sum(
-            condition == "ready" for condition in reported.values()
+            assert published_states[upstream_id] is not READY or reported_conditions[name] == "ready"
+        assert sum(state is READY for state in published_states.values()) <= sum(
+            condition == "ready" for condition in reported_conditions.values()
         )
--- a/tests/test_slice_sidecar.py
+++ b/tests/test_slice_sidecar.py
@@ -30,24 +30,24 @@
 
 def test_sidecar_started_during_an_outage_uses_the_cached_list(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slice_source, "CACHE_INTERVAL_S", 0.01)
-    cache = tmp_path / "list.json"
+    cache_file = tmp_path / "list.json"
 
     async def test() -> None:
         async with api_server_testbed() as testbed:
             testbed.put("s1", "p1", "p2", draining="p2")
-            testbed.follow(cache=cache).stop()
-            testbed.follow(cache=cache)
-            await wait_until(cache.exists)
-        unreachable = ApiServerTestbed()
-        unreachable.port = free_port()
-        unreachable.follow(cache=cache)
-        assert unreachable.events[0].kind is ListKind.CACHED and unreachable.states() == {"p1": READY}
-        cache.write_bytes(cache.read_bytes()[:-9])  # truncated
-        restarted = ApiServerTestbed()
-        restarted.port = unreachable.port
-        restarted.follow(cache=cache)
-        assert restarted.events == []
-        for testbed in (unreachable, restarted):
+            testbed.follow(cache_file=cache_file).stop()
+            testbed.follow(cache_file=cache_file)
+            await wait_until(cache_file.exists)
+        offline_testbed = ApiServerTestbed()
+        offline_testbed.port = free_port()
+        offline_testbed.follow(cache_file=cache_file)
+        assert offline_testbed.events[0].kind is ListKind.CACHED and offline_testbed.states() == {"p1": READY}
+        cache_file.write_bytes(cache_file.read_bytes()[:-9])  # truncated
+        restarted_testbed = ApiServerTestbed()
+        restarted_testbed.port = offline_testbed.port
+        restarted_testbed.follow(cache_file=cache_file)
+        assert restarted_testbed.events == []
+        for testbed in (offline_testbed, restarted_testbed):
             assert testbed.source is not None
             testbed.source.stop()
 
@@ -79,13 +79,13 @@
             path.write_text(
                 f'[slices]\nservice = "convert"\nnamespace = "default"\nserver = "http://127.0.0.1:{testbed.port}"\n'
             )
-            code, output = await run_command("slices", "explain", "10.0.0.1", "--config", str(path))
-            assert code == 0 and "10.0.0.1:80 p1: draining, by rule 3" in output
+            exit_status, output = await run_command("slices", "explain", "10.0.0.1", "--config", str(path))
+            assert exit_status == 0 and "10.0.0.1:80 p1: draining, by rule 3" in output
             assert "  s1, generation 1: ready" in output and "  s2, generation 1: terminating" in output
-            code, _ = await run_command("slices", "explain", "10.9.9.9", "--config", str(path))
-            assert code == 1
-            code, _ = await run_command("slices", "explain", "10.0.0.1")
-            assert code == 2
+            exit_status, _ = await run_command("slices", "explain", "10.9.9.9", "--config", str(path))
+            assert exit_status == 1
+            exit_status, _ = await run_command("slices", "explain", "10.0.0.1")
+            assert exit_status == 2
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -141,15 +141,15 @@
             )
             stop = asyncio.Event()
             components = select_components(operator_settings.parse(operators_toml, {}))
-            serving = asyncio.create_task(serve(config, stop, asyncio.Event(), components))
-            await wait_until(lambda: any("watch=true" in call for call in testbed.api.request_targets))
+            serving_task = asyncio.create_task(serve(config, stop, asyncio.Event(), components))
+            await wait_until(lambda: any("watch=true" in target for target in testbed.api.request_targets))
             reader, writer = await asyncio.open_connection(*config.listen)
             writer.write(request("pay", body=b"b", deadline_ms=1000))
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
             writer.close()
             assert {f"[::1]:{port}"} == hosts
             stop.set()
-            await serving
+            await serving_task
         server.close()
 
     run_bounded(test)
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -95,7 +95,7 @@
     merger.apply(make_slice(endpoint(), endpoint("p2", "10.0.0.2")))
     assert states(merger) == {"p1": READY, "p2": READY}
     merger.delete(make_slice(endpoint(terminating=True)))
-    assert states(merger, 5) == {"p1": DRAINING, "p2": READY} and merger.is_retained
+    assert states(merger, 5) == {"p1": DRAINING, "p2": READY} and merger.is_list_retained
     assert states(merger, 5 + EMPTY_LIST_HOLD_US) == {}
 
 
@@ -109,27 +109,27 @@
 
 
 def test_rolling_update_of_a_thousand_endpoints_restores_no_terminated_one() -> None:
-    merger, size = EndpointSliceMerger(), 100
+    merger, slice_size = EndpointSliceMerger(), 100
     slices = [
-        [endpoint(f"old{i}", f"10.0.{i // 250}.{i % 250}") for i in range(first, first + size)]
-        for first in range(0, 10 * size, size)
+        [endpoint(f"old{i}", f"10.0.{i // 250}.{i % 250}") for i in range(first_index, first_index + slice_size)]
+        for first_index in range(0, 10 * slice_size, slice_size)
     ]
     for index, content in enumerate(slices):
         merger.apply(make_slice(*content, name=f"s{index}", uid=f"u{index}", generation=1))
     merger.changes(0)
     generation = 1
-    for number in range(10 * size):
-        index, position = number % 10, number // 10
+    for pod_number in range(10 * slice_size):
+        index, position = pod_number % 10, pod_number // 10
         for endpoint_content in (
-            endpoint(f"old{index * size + position}", "10.0.0.1", terminating=True),
-            endpoint(f"new{number}", f"10.1.{number // 250}.{number % 250}"),
+            endpoint(f"old{index * slice_size + position}", "10.0.0.1", terminating=True),
+            endpoint(f"new{pod_number}", f"10.1.{pod_number // 250}.{pod_number % 250}"),
         ):
             generation += 1
             slices[index][position] = endpoint_content
             merger.apply(make_slice(*slices[index], name=f"s{index}", uid=f"u{index}", generation=generation))
             assert len(merger.changes(0)) <= 2  # only the changed endpoints
         merger.apply(make_slice(*slices[index], name=f"s{index}", uid=f"u{index}", generation=generation - 1))
-    assert states(merger) == {f"new{number}": READY for number in range(10 * size)}
+    assert states(merger) == {f"new{pod_number}": READY for pod_number in range(10 * slice_size)}
 
 
 STREAMS = st.lists(
@@ -145,7 +145,7 @@
 ) -> None:
     streams = []
     for index, generations in enumerate(contents):
-        pods = [
+        endpoints_by_generation = [
             [
                 endpoint(pod, f"10.0.0.{pod[1]}", ready=ready, terminating=terminating)
                 for pod, ready, terminating in content
@@ -154,8 +154,8 @@
         ]
         streams.append(
             [
-                make_slice(*content, name=f"s{index}", uid=f"u{index}", generation=number)
-                for number, content in enumerate(pods, 1)
+                make_slice(*content, name=f"s{index}", uid=f"u{index}", generation=generation)
+                for generation, content in enumerate(endpoints_by_generation, 1)
             ]
         )
     in_order, shuffled = EndpointSliceMerger(), EndpointSliceMerger()
