--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -1,4 +1,4 @@
-"""`ryepier sim`: run worlds in simulation, search for rule violations, and replay or reduce finds."""
+"""`ryepier sim`: run worlds in simulation, search for rule violations, and replay or reduce findings."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from ryepier.experiments.core import figures, judge
 from ryepier.experiments.core import worlds as world_files
 from ryepier.experiments.simulation import random_worlds, search
-from ryepier.experiments.simulation.coverage import LEGEND, Coverage
-from ryepier.experiments.simulation.request_story import tell_story
+from ryepier.experiments.simulation.coverage import STATE_DESCRIPTIONS, Coverage
+from ryepier.experiments.simulation.request_story import request_events
 
 REDUCED_SUFFIX = ".small.json"
 
@@ -30,8 +30,8 @@
         raise click.BadParameter(f"unknown seeded fault {name!r}; known: {known}")
 
 
-def read_find(path: Path) -> search.Find:
-    """Return the find stored in a file; exit with 2 if the file can't be read as one."""
+def read_finding(path: Path) -> search.Finding:
+    """Return the finding stored in a file; exit with 2 if the file can't be read as one."""
     try:
         return search.load(path)
     except (OSError, msgspec.MsgspecError) as error:
@@ -78,23 +78,23 @@
     """Draw worlds from seeds, run them on all cores, and save those that break a rule."""
     _check_seeded_fault(seeded_fault)
     started_s = time.monotonic()
-    find_count, coverage = 0, Coverage()
+    finding_count, coverage = 0, Coverage()
     out.mkdir(parents=True, exist_ok=True)
     prefix = f"find-{seeded_fault}-" if seeded_fault else "find-"
     for number, result in enumerate(search.search(range(first, first + seeds), seeded_fault)):
         coverage.add(result.coverage)
-        if result.find is None:
+        if result.finding is None:
             continue
-        find_count += 1
-        path = out / f"{prefix}{result.find.seed}.json"
-        search.save(result.find, path)
-        print(f"{path}: world {number + 1}: {result.find.first_violation}", flush=True)
+        finding_count += 1
+        path = out / f"{prefix}{result.finding.seed}.json"
+        search.save(result.finding, path)
+        print(f"{path}: world {number + 1}: {result.finding.first_violation}", flush=True)
     elapsed_s = time.monotonic() - started_s
     (out / "coverage.json").write_text(json.dumps(coverage.as_lists()))
     print_table(coverage)
     rate = seeds * random_worlds.DURATION_S / elapsed_s
-    print(f"{seeds} worlds, {find_count} that broke a rule, {rate:.0f} simulated seconds a second")
-    sys.exit(ExitCode.FAILURE if find_count else ExitCode.SUCCESS)
+    print(f"{seeds} worlds, {finding_count} that broke a rule, {rate:.0f} simulated seconds a second")
+    sys.exit(ExitCode.FAILURE if finding_count else ExitCode.SUCCESS)
 
 
 def print_table(coverage: Coverage) -> None:
@@ -105,37 +105,41 @@
         label = row[0].ljust(widths[0])
         counts = [text.rjust(width) for text, width in zip(row[1:], widths[1:], strict=True)]
         print("  ".join([label, *counts]))
-    for state, meaning in LEGEND.items():
+    for state, meaning in STATE_DESCRIPTIONS.items():
         print(f"{state}: {meaning}")
 
 
 @sim.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def replay(path: Path) -> None:
-    """Run a find again, and print what happened to the request of its first violation."""
-    find = read_find(path)
-    search.install_fault(find.seeded_fault)
-    replayed = search.run_world(find.world, find.seed, find.seeded_fault)
-    replayed_find = replayed.find
-    if replayed_find is None:
+    """Run a finding again, and print what happened to the request of its first violation."""
+    finding = read_finding(path)
+    search.install_fault(finding.seeded_fault)
+    replayed = search.run_world(finding.world, finding.seed, finding.seeded_fault)
+    replayed_finding = replayed.finding
+    if replayed_finding is None:
         print("no rule is broken any more")
         return
-    print(replayed_find.first_violation)
-    comparison = "the same" if replayed_find.history_hash == find.history_hash else "not the same as when it was found"
-    print(f"trace {replayed_find.history_hash}: {comparison}")
-    request_id = search.request_in(replayed_find.first_violation)
+    print(replayed_finding.first_violation)
+    comparison = (
+        "the same" if replayed_finding.history_hash == finding.history_hash else "not the same as when it was found"
+    )
+    print(f"trace {replayed_finding.history_hash}: {comparison}")
+    request_id = search.first_request_id(replayed_finding.first_violation)
     if replayed.history is not None and request_id is not None:
-        print("\n".join(tell_story(replayed.history, request_id)))
+        print("\n".join(request_events(replayed.history, request_id)))
     sys.exit(ExitCode.FAILURE)
 
 
 @sim.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def shrink(path: Path) -> None:
-    """Reduce a find to the few faults that matter, and save that beside it."""
-    find = read_find(path)
-    search.install_fault(find.seeded_fault)
-    reduced = search.shrink(find)
+    """Reduce a finding to the few faults that matter, and save that beside it."""
+    finding = read_finding(path)
+    search.install_fault(finding.seeded_fault)
+    reduced = search.shrink(finding)
     out = path.with_suffix(REDUCED_SUFFIX)
     search.save(reduced, out)
-    print(f"{out}: {len(find.world.faults)} faults before, {len(reduced.world.faults)} now: {reduced.first_violation}")
+    print(
+        f"{out}: {len(finding.world.faults)} faults before, {len(reduced.world.faults)} now: {reduced.first_violation}"
+    )
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -92,7 +92,7 @@
     harness = MaintenanceHarness(world, trial.seed, trial.folder, scenario)
     outcome = outcomes.run(harness)
     own_figures = {
-        "frames_doubled": float(sum(relay.duplicated for relay in harness.relays)),
+        "frames_doubled": float(sum(relay.duplicated_frames for relay in harness.relays)),
         "allowance_changes_seen": float(allowance_changes(outcome)),
     }
     return Measurement(claims(outcome), outcomes.common_figures(outcome) | own_figures)
--- a/ryepier/experiments/maintenance/relay.py
+++ b/ryepier/experiments/maintenance/relay.py
@@ -30,7 +30,7 @@
         self.is_partitioned = False
         self.writers: set[asyncio.StreamWriter] = set()
         self.delayed_writes: set[asyncio.Task[None]] = set()
-        self.duplicated = 0
+        self.duplicated_frames = 0
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -81,7 +81,7 @@
             delay_s = self.random.uniform(*DELAY_S)
             self._send_later(writer, frame, delay_s)
             if self.random.random() < DUPLICATED_FRACTION:
-                self.duplicated += 1
+                self.duplicated_frames += 1
                 self._send_later(writer, frame, delay_s + self.random.uniform(*DUPLICATE_DELAY_S))
 
     def _send_later(self, writer: asyncio.StreamWriter, frame: bytes, delay_s: float) -> None:
--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -34,7 +34,7 @@
     LATE = "late"
 
 
-LEGEND = {
+STATE_DESCRIPTIONS = {
     RequestState.NOT_SENT: "taken by the sidecar, no attempt at any converter yet",
     RequestState.ARRIVING: "partly at a converter",
     RequestState.QUEUED: "whole at a converter, not begun",
--- a/ryepier/experiments/simulation/request_story.py
+++ b/ryepier/experiments/simulation/request_story.py
@@ -23,7 +23,7 @@
         return f"{self.at_us / US_PER_S:10.6f} s  {self.text}"
 
 
-def tell_story(history: History, request_id: str) -> list[str]:
+def request_events(history: History, request_id: str) -> list[str]:
     """Return a line for each event of a request, in the order of time."""
     request = next((item for item in history.client_attempts if item.request_id == request_id), None)
     events = _client_events(request) if request is not None else []
--- a/ryepier/experiments/simulation/search.py
+++ b/ryepier/experiments/simulation/search.py
@@ -33,7 +33,7 @@
 DIGEST_BYTES = 16
 
 
-class Find(msgspec.Struct, rename={"first_violation": "first", "seeded_fault": "plant", "history_hash": "trace"}):
+class Finding(msgspec.Struct, rename={"first_violation": "first", "seeded_fault": "plant", "history_hash": "trace"}):
     """A run that broke a rule, or failed by itself; the content of a find's file."""
 
     seed: int
@@ -48,7 +48,7 @@
 class WorldRun:
     """One run of a world: what it broke, if anything, and its records, unless the run failed."""
 
-    find: Find | None
+    finding: Finding | None
     history: History | None
 
 
@@ -56,7 +56,7 @@
 class SearchResult:
     """One world of a search: what it broke, if anything, and which faults met which states."""
 
-    find: Find | None
+    finding: Finding | None
     coverage: Coverage
 
 
@@ -70,16 +70,16 @@
     try:
         history = simulated.run_world(world, seed)
     except (NoProgressError, SimulationError) as error:
-        return WorldRun(Find(seed, world, {FAILED_RUN: 1}, str(error), seeded_fault), None)
+        return WorldRun(Finding(seed, world, {FAILED_RUN: 1}, str(error), seeded_fault), None)
     except Exception as error:  # noqa: BLE001 - an error of the emulator in one world must not end the search
-        return WorldRun(Find(seed, world, {FAILED_RUN: 1}, f"the emulator: {error!r}", seeded_fault), None)
+        return WorldRun(Finding(seed, world, {FAILED_RUN: 1}, f"the emulator: {error!r}", seeded_fault), None)
     breaches = judge.find_breaches(world, history)
     if not breaches:
         return WorldRun(None, history)
     first = breaches[0]
     text = f"{first.rule} at {first.at_us / 1e6:.6f} s: {first.text}"
     rules = dict(Counter(breach.rule for breach in breaches))
-    return WorldRun(Find(seed, world, rules, text, seeded_fault, hash_history(history)), history)
+    return WorldRun(Finding(seed, world, rules, text, seeded_fault, hash_history(history)), history)
 
 
 def install_fault(seeded_fault: str) -> None:
@@ -110,7 +110,7 @@
     world = draw_world(seed, boosts)
     run = run_world(world, seed, seeded_fault)
     coverage = cover(world, seed, run.history) if run.history is not None else Coverage()
-    return SearchResult(run.find, coverage)
+    return SearchResult(run.finding, coverage)
 
 
 def boosts_from(coverage: Coverage) -> dict[str, float]:
@@ -132,18 +132,18 @@
     return sum(map(coverage.rare_share, strikes)) / len(strikes)
 
 
-def shrink(find: Find, breaks: Callable[[World], bool] | None = None) -> Find:
+def shrink(finding: Finding, breaks: Callable[[World], bool] | None = None) -> Finding:
     """Return the find with as few faults, sidecars and retries as still break one of its rules.
 
     `breaks` decides that for a world; by default the world is run.
     """
 
     def breaks_same_rule(world: World) -> bool:
-        again = run_world(world, find.seed, find.seeded_fault).find
-        return again is not None and bool(again.rules.keys() & find.rules.keys())
+        again = run_world(world, finding.seed, finding.seeded_fault).finding
+        return again is not None and bool(again.rules.keys() & finding.rules.keys())
 
     breaks = breaks or breaks_same_rule
-    world = _drop_faults(find.world, breaks)
+    world = _drop_faults(finding.world, breaks)
     replace = msgspec.structs.replace
     simpler_worlds = (
         replace(world, sidecars=replace(world.sidecars, count=1)),
@@ -152,7 +152,7 @@
     for simpler in simpler_worlds:
         if breaks(simpler):
             world = simpler
-    return run_world(world, find.seed, find.seeded_fault).find or find
+    return run_world(world, finding.seed, finding.seeded_fault).finding or finding
 
 
 def _drop_faults(world: World, breaks: Callable[[World], bool]) -> World:
@@ -168,17 +168,17 @@
     return world
 
 
-def request_in(text: str) -> str | None:
+def first_request_id(text: str) -> str | None:
     """Return the first request id in a violation's text, if there is one."""
     words = text.replace(":", " ").replace(",", " ").split()
     return next((word for word in words if word.count("-") == 2), None)
 
 
-def save(find: Find, path: Path) -> None:
+def save(finding: Finding, path: Path) -> None:
     """Write a find's file."""
-    path.write_bytes(msgspec.json.format(msgspec.json.encode(find), indent=1))
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(finding), indent=1))
 
 
-def load(path: Path) -> Find:
+def load(path: Path) -> Finding:
     """Return the find of a file. Raises OSError and msgspec.MsgspecError."""
-    return msgspec.json.decode(path.read_bytes(), type=Find)
+    return msgspec.json.decode(path.read_bytes(), type=Finding)
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -123,7 +123,9 @@
     for number in range(20):
         connection.send(StatusCall(number))
     received = recording_coordinator.received
-    await recording_coordinator.wait_for(lambda: len(received) >= 21 + relay.duplicated and relay.duplicated > 0)
+    await recording_coordinator.wait_for(
+        lambda: len(received) >= 21 + relay.duplicated_frames and relay.duplicated_frames > 0
+    )
     assert received[0] == HELLO
     assert {frame.number for frame in received[1:] if isinstance(frame, StatusCall)} == set(range(20))
     assert received[1:21] != [StatusCall(number) for number in range(20)], "the relay did not reorder the calls"
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -23,13 +23,13 @@
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.simulation import coverage, random_worlds, search
 from ryepier.experiments.simulation.coverage import Meeting, Position, RequestState
-from ryepier.experiments.simulation.request_story import tell_story
+from ryepier.experiments.simulation.request_story import request_events
 
 SEEDS = range(24)
 
 
 def test_a_short_hunt_breaks_no_rule() -> None:
-    assert [one.find.first_violation for one in search.search(SEEDS, processes=4) if one.find is not None] == []
+    assert [one.finding.first_violation for one in search.search(SEEDS, processes=4) if one.finding is not None] == []
 
 
 def test_worlds_are_drawn_alike_and_with_all_kinds_of_faults() -> None:
@@ -73,18 +73,18 @@
     ],
 )
 def test_planted_mistakes_are_found(plant: str, seeds: range, rule: str) -> None:
-    finds = [one.find for one in search.search(seeds, plant, processes=2) if one.find is not None]
-    assert finds and all(rule in find.rules for find in finds)
+    finds = [one.finding for one in search.search(seeds, plant, processes=2) if one.finding is not None]
+    assert finds and all(rule in finding.rules for finding in finds)
 
 
 def test_a_find_is_kept_played_again_and_cut_down(tmp_path: Path) -> None:
     # in processes of their own, as a plant stays
-    find = next(one.find for one in search.search(range(4, 6), "keep-after-time-out", processes=2) if one.find)
+    finding = next(one.finding for one in search.search(range(4, 6), "keep-after-time-out", processes=2) if one.finding)
     path = tmp_path / "find.json"
-    search.save(find, path)
-    assert search.load(path) == find
-    small = search.shrink(find, lambda world: any(fault == find.world.faults[0] for fault in world.faults))
-    assert small.seed == find.seed
+    search.save(finding, path)
+    assert search.load(path) == finding
+    small = search.shrink(finding, lambda world: any(fault == finding.world.faults[0] for fault in world.faults))
+    assert small.seed == finding.seed
     path.write_bytes(b"{")
     assert CliRunner().invoke(main, ["sim", "replay", str(path)]).exit_code == 2
 
@@ -92,7 +92,7 @@
 def test_the_story_of_a_request_is_told_from_all_sides() -> None:
     history = simulated.run_world(random_worlds.draw_world(1), 1)
     item = next(one for one in history.client_attempts if one.outcome == "served")
-    lines = tell_story(history, item.request_id)
+    lines = request_events(history, item.request_id)
     assert "client sends" in lines[0] and "served, status 200" in lines[-1]
     assert any("runs it" in line for line in lines)
 
@@ -126,9 +126,9 @@
         raise ZeroDivisionError("stumbled")
 
     monkeypatch.setattr(Balancer, "on_attempt_ended", stumble)
-    find = search.run_world(random_worlds.draw_world(1), 1).find
-    assert find is not None and find.rules == {"failed": 1}
-    assert "stumbled" in find.first_violation and "sidecar" in find.first_violation
+    finding = search.run_world(random_worlds.draw_world(1), 1).finding
+    assert finding is not None and finding.rules == {"failed": 1}
+    assert "stumbled" in finding.first_violation and "sidecar" in finding.first_violation
 
 
 def test_a_sidecar_that_stands_still_breaks_no_rule_and_serves_again_afterwards() -> None:
