--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -123,7 +123,9 @@
     for number in range(20):
         connection.send(StatusCall(number))
     received_frames = recording_coordinator.received_frames
-    await recording_coordinator.wait_for(lambda: len(received_frames) >= 21 + relay.duplicated and relay.duplicated > 0)
+    await recording_coordinator.wait_for(
+        lambda: len(received_frames) >= 21 + relay.duplicated_frames and relay.duplicated_frames > 0
+    )
     assert received_frames[0] == HELLO
     assert {frame.number for frame in received_frames[1:] if isinstance(frame, StatusCall)} == set(range(20))
     assert received_frames[1:21] != [StatusCall(number) for number in range(20)], "the relay did not reorder the calls"
