--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -168,9 +168,9 @@
     """Describe by how much a service's minimum exceeds its capacity, in one region or, if that is None, in all."""
     scope = f" in {region!r}" if region else ""
     min_available = service.min_available_by_region[region] if region else service.min_available
-    total = agreement.capacity(service.name, region)
+    total_capacity = agreement.capacity(service.name, region)
     zone = " less the largest zone" if service.tolerates_zone_loss else ""
     return (
-        f"{service.name!r} requires {format_capacity(min_available)}{scope} but has {format_capacity(total)}{zone}: "
-        f"{format_capacity(excess)} too much"
+        f"{service.name!r} requires {format_capacity(min_available)}{scope} but has "
+        f"{format_capacity(total_capacity)}{zone}: {format_capacity(excess)} too much"
     )
--- a/ryepier/maintenance/capacity.py
+++ b/ryepier/maintenance/capacity.py
@@ -40,9 +40,9 @@
         self._converters = {service: tuple(agreement.converters_of(service, region)) for service in agreement.services}
         self._region_limits = {service: region_limits(agreement, region, service) for service in agreement.services}
 
-    def is_recovered(self, observed: ObservedState) -> bool:
+    def is_recovered(self, observed_state: ObservedState) -> bool:
         """Return whether an observation shows the converter ready and fully warm."""
-        return observed.ready and observed.warmth >= FULL_WARMTH
+        return observed_state.ready and observed_state.warmth >= FULL_WARMTH
 
     def lost_capacity(self, converter: Converter) -> int:
         """Return how much of the capacity of a converter without a lease is lost.
@@ -50,10 +50,10 @@
         A converter that is not ready or was never observed is lost entirely; a ready one that is still warming up is
         lost in part.
         """
-        observed = self.state.observed.get(converter.name)
-        if observed is None or not observed.ready:
+        observed_state = self.state.observed.get(converter.name)
+        if observed_state is None or not observed_state.ready:
             return converter.size
-        return converter.size - converter.size * observed.warmth // FULL_WARMTH
+        return converter.size - converter.size * observed_state.warmth // FULL_WARMTH
 
     def allowance_bound(self, service: str) -> int:
         """Return the region's allowance, reduced by the deficits that the other regions have reported.
@@ -99,5 +99,5 @@
         converters = self._converters[service]
         unavailable = sum(converter.size for converter in converters if converter.name in leased_names)
         lost = sum(self.lost_capacity(converter) for converter in converters if converter.name not in leased_names)
-        total = sum(converter.size for converter in converters)
-        return Capacity(total - unavailable - lost, unavailable, lost, self.state.escrow.allowances[service])
+        total_size = sum(converter.size for converter in converters)
+        return Capacity(total_size - unavailable - lost, unavailable, lost, self.state.escrow.allowances[service])
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -60,8 +60,8 @@
     def receiver_state(self, transfer: Transfer) -> TransferState:
         """Return the state of a transfer of which this region is the receiver."""
         numbers = self.received.get(transfer.giver)
-        credited = numbers is not None and numbers.has(transfer.number)
-        return TransferState.CREDITED if credited else TransferState.UNKNOWN
+        is_credited = numbers is not None and numbers.has(transfer.number)
+        return TransferState.CREDITED if is_credited else TransferState.UNKNOWN
 
     def debit(self, transfer: Transfer, transferable: int) -> str | None:
         """Debit a transfer if `transferable` covers its amount. Repeating a debit has no effect.
--- a/ryepier/maintenance/observation_commands.py
+++ b/ryepier/maintenance/observation_commands.py
@@ -28,11 +28,11 @@
         self.state.observers[command.observer] = command.sequence
         closed_leases: list[str] = []
         for observation in command.observations:
-            observed = ObservedState(observation.ready, observation.warmth, command.as_of)
-            last_observed = self.state.observed.get(observation.converter)
-            if last_observed is None or last_observed.as_of <= observed.as_of:
-                self.state.observed[observation.converter] = observed
-                closed_leases += self.mark_recovered(observation.converter, observed)
+            observed_state = ObservedState(observation.ready, observation.warmth, command.as_of)
+            last_state = self.state.observed.get(observation.converter)
+            if last_state is None or last_state.as_of <= observed_state.as_of:
+                self.state.observed[observation.converter] = observed_state
+                closed_leases += self.mark_recovered(observation.converter, observed_state)
         return Observed(tuple(closed_leases), self.context.revoke_leases_below_agreement())
 
     def _observation_rejection(self, command: RecordObservation) -> str | None:
@@ -48,7 +48,7 @@
                 return f"converter {observation.converter!r} does not belong to region {self.context.region!r}"
         return None
 
-    def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
+    def mark_recovered(self, converter: str, observed_state: ObservedState) -> list[str]:
         """Remove a converter from its lease if it has recovered, and return the names of the leases that this closes.
 
         It has recovered if an observation that began after the lease's release or revocation shows it ready and warm.
@@ -58,7 +58,7 @@
             next_state = LEASE_TABLE.next_state(lease.state, LeaseEvent.ALL_RECOVERED)
             if converter not in lease.unavailable or next_state is None:
                 continue
-            if self.context.view.is_recovered(observed) and observed.as_of >= lease.released_index:
+            if self.context.view.is_recovered(observed_state) and observed_state.as_of >= lease.released_index:
                 self._return_converter(lease, converter)
                 if not lease.unavailable:
                     closed_leases.append(lease.name)
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -74,7 +74,7 @@
 
     def unplaced_names(self) -> list[str]:
         """Return the names of the requests that could not be placed."""
-        return [unplaced.request for unplaced in self.unplaced_requests]
+        return [unplaced_request.request for unplaced_request in self.unplaced_requests]
 
     def score(self) -> Score:
         """Return the score by which attempts are compared."""
@@ -177,34 +177,36 @@
         placements = list(frozen_placements)
         frozen_names = {placement.converter.name for placement in placements}
         desired_ms = self.problem.desired_start_ms(job)
-        unplaced: UnplacedRequest | None = None
-        delayed: DelayedRequest | None = None
+        unplaced_request: UnplacedRequest | None = None
+        delayed_request: DelayedRequest | None = None
         for converter in job.converters:
             if converter.name in frozen_names:
                 continue
             start_ms = self._earliest_start_ms(job, converter, desired_ms)
             if start_ms is None:
-                unplaced = self._describe_exceeded_limit(job, converter)
+                unplaced_request = self._describe_exceeded_limit(job, converter)
                 break
             if not placements and start_ms > desired_ms:
-                delayed = self._describe_delay(job, converter, desired_ms, start_ms)
+                delayed_request = self._describe_delay(job, converter, desired_ms, start_ms)
             late_ms = start_ms + job.length_ms - job.request.deadline_ms
-            if late_ms > 0 and (unplaced is None or late_ms > unplaced.late_ms):
-                unplaced = self._describe_missed_deadline(job, late_ms, delayed)
+            if late_ms > 0 and (unplaced_request is None or late_ms > unplaced_request.late_ms):
+                unplaced_request = self._describe_missed_deadline(job, late_ms, delayed_request)
             placements.append(self._place(job, converter, start_ms))
-        if unplaced is not None:
-            self._mark_unplaced(unplaced, placements, frozen_placements)
+        if unplaced_request is not None:
+            self._mark_unplaced(unplaced_request, placements, frozen_placements)
             return
         self._placements_by_request[job.request.name] = placements
-        if delayed is not None:
-            self.delayed_requests.append(delayed)
+        if delayed_request is not None:
+            self.delayed_requests.append(delayed_request)
 
-    def _mark_unplaced(self, unplaced: UnplacedRequest, placements: list[Placement], frozen: list[Placement]) -> None:
+    def _mark_unplaced(
+        self, unplaced_request: UnplacedRequest, placements: list[Placement], frozen: list[Placement]
+    ) -> None:
         """Record a request as unplaced; remove its placements except the frozen ones, which come first in the list."""
-        self.unplaced_requests.append(unplaced)
+        self.unplaced_requests.append(unplaced_request)
         for placement in placements[len(frozen) :]:
             self._remove_placement(placement)
-        self._placements_by_request[unplaced.request] = frozen
+        self._placements_by_request[unplaced_request.request] = frozen
 
     def _earliest_start_ms(self, job: Job, converter: Converter, from_ms: int) -> int | None:
         """Return the first time, not before `from_ms`, at which an outage of the converter can start within all limits.
@@ -243,15 +245,17 @@
         )
         return UnplacedRequest(job.request.name, 0, excess, reason)
 
-    def _describe_missed_deadline(self, job: Job, late_ms: int, delayed: DelayedRequest | None) -> UnplacedRequest:
+    def _describe_missed_deadline(
+        self, job: Job, late_ms: int, delayed_request: DelayedRequest | None
+    ) -> UnplacedRequest:
         """Describe by how much a request would miss its deadline, and what delays it."""
-        cause = f"; {delayed.reason}" if delayed else ""
+        cause = f"; {delayed_request.reason}" if delayed_request else ""
         return UnplacedRequest(job.request.name, late_ms, 0, f"would end {late_ms} ms after its deadline{cause}")
 
     def _describe_delay(self, job: Job, converter: Converter, desired_ms: int, start_ms: int) -> DelayedRequest:
         """Describe the limit that delays a converter's outage, and the window, lease or losses that use it up."""
         limit = self._first_blocking_limit(job, converter, desired_ms)
-        overlapping = [
+        overlapping_placements = [
             placement
             for placement in self._placements
             if (limit.applies_to(placement.converter) if limit else placement.request == job.request.name)
@@ -259,7 +263,7 @@
             and placement.end_ms > desired_ms
         ]
         blocking_placement = max(
-            overlapping, key=lambda placement: (placement.end_ms == start_ms, placement.end_ms), default=None
+            overlapping_placements, key=lambda placement: (placement.end_ms == start_ms, placement.end_ms), default=None
         )
         limit_name = limit.name if limit else f"at_once of request {job.request.name!r}"
         blocked_by = blocking_placement.holder if blocking_placement else "losses"
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -77,10 +77,10 @@
                 return False
             if lease.state in STATES_AWAITING_RECOVERY and observation.warmth == FULL_WARMTH:
                 return True
-        observed = self.ledger.state.observed.get(observation.converter)
-        if observed is None:
+        observed_state = self.ledger.state.observed.get(observation.converter)
+        if observed_state is None:
             return True
-        return (observed.ready, observed.warmth) != (observation.ready, observation.warmth)
+        return (observed_state.ready, observed_state.warmth) != (observation.ready, observation.warmth)
 
     def _open_lease_of(self, converter: str) -> Lease | None:
         """Return the open lease that has a converter out of service, or None."""
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -16,14 +16,14 @@
 class IgnoreWarmUpView(CapacityView):
     """Seeded fault: counts a ready converter at its full size before its warm-up has ended."""
 
-    def is_recovered(self, observed: ObservedState) -> bool:
+    def is_recovered(self, observed_state: ObservedState) -> bool:
         """Return whether the converter is ready, whatever its warmth."""
-        return observed.ready
+        return observed_state.ready
 
     def lost_capacity(self, converter: Converter) -> int:
         """Return 0 for a ready converter, even while it warms up."""
-        observed = self.state.observed.get(converter.name)
-        return 0 if observed is not None and observed.ready else converter.size
+        observed_state = self.state.observed.get(converter.name)
+        return 0 if observed_state is not None and observed_state.ready else converter.size
 
 
 class IgnoreWarmUpLedger(Ledger):
@@ -107,9 +107,9 @@
 class StaleObservationCommands(ObservationCommands):
     """Seeded fault: lets an observation close a lease that was released after the observation began."""
 
-    def mark_recovered(self, converter: str, observed: ObservedState) -> list[str]:
+    def mark_recovered(self, converter: str, observed_state: ObservedState) -> list[str]:
         """Treat the observation as if it began at the current log index."""
-        current_state = ObservedState(observed.ready, observed.warmth, self.state.applied)
+        current_state = ObservedState(observed_state.ready, observed_state.warmth, self.state.applied)
         return super().mark_recovered(converter, current_state)
 
 
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -38,8 +38,8 @@
         The region keeps enough for its unavailable and lost capacity, and at least its minimum allowance.
         """
         capacity = self._capacity(service)
-        used = capacity.unavailable + capacity.lost
-        return capacity.allowance - max(used, self.context.agreement.services[service].min_allowance)
+        used_allowance = capacity.unavailable + capacity.lost
+        return capacity.allowance - max(used_allowance, self.context.agreement.services[service].min_allowance)
 
     def credit(self, transfer: Transfer) -> Result:
         """Add a transfer's amount to this region's allowance. A repeated credit has no further effect."""
@@ -102,8 +102,10 @@
         allowance.
         """
         capacity = self._capacity(service)
-        used = max(capacity.unavailable, self._requested_capacity(service)) + capacity.lost
-        return max(0, capacity.allowance - max(used, self.context.agreement.services[service].min_allowance))
+        needed_allowance = max(capacity.unavailable, self._requested_capacity(service)) + capacity.lost
+        return max(
+            0, capacity.allowance - max(needed_allowance, self.context.agreement.services[service].min_allowance)
+        )
 
     def _requested_capacity(self, service: str) -> int:
         """Return the capacity that requests would take out if they all ran at the same time.
--- a/tests/test_maintenance_agreement.py
+++ b/tests/test_maintenance_agreement.py
@@ -87,11 +87,11 @@
 def test_an_error_is_reported_with_its_key_and_line(old: str, new: str, key: str, message: str) -> None:
     text = AGREEMENT_TEXT.replace(old, new, 1)
     assert text != AGREEMENT_TEXT
-    reported = reported_problems(text.encode())
-    assert any(f" {key}: " in problem and message in problem and problem.startswith("line ") for problem in reported), (
-        reported
+    problems = reported_problems(text.encode())
+    assert any(f" {key}: " in problem and message in problem and problem.startswith("line ") for problem in problems), (
+        problems
     )
-    assert all("\n" not in problem for problem in reported)
+    assert all("\n" not in problem for problem in problems)
 
 
 def test_a_problem_has_the_line_of_its_key() -> None:
--- a/tests/test_maintenance_compatibility.py
+++ b/tests/test_maintenance_compatibility.py
@@ -38,9 +38,9 @@
 
 
 def test_every_command_of_an_earlier_log_round_trips() -> None:
-    decoded = [commands.decode(data) for data in recorded_bytes("log")]
-    assert {type(command) for command in decoded} == set(commands.Command.__args__)
-    assert [commands.encode(command) for command in decoded] == recorded_bytes("log")
+    decoded_commands = [commands.decode(data) for data in recorded_bytes("log")]
+    assert {type(command) for command in decoded_commands} == set(commands.Command.__args__)
+    assert [commands.encode(command) for command in decoded_commands] == recorded_bytes("log")
 
 
 def test_an_earlier_log_gives_the_same_results_and_the_same_snapshot() -> None:
@@ -52,11 +52,11 @@
 
 
 def test_an_earlier_snapshot_round_trips() -> None:
-    restored = Ledger.restore(AGREEMENT, REGION, RECORDED_FIXTURES["snapshot"])
-    assert restored.snapshot() == RECORDED_FIXTURES["snapshot"]
-    states = {lease.name: lease.state.value for lease in restored.open_leases()}
+    restored_ledger = Ledger.restore(AGREEMENT, REGION, RECORDED_FIXTURES["snapshot"])
+    assert restored_ledger.snapshot() == RECORDED_FIXTURES["snapshot"]
+    states = {lease.name: lease.state.value for lease in restored_ledger.open_leases()}
     assert states == {"l2": "draining", "l3": "returning", "l6": "called-off", "l7": "granted"}
-    assert state.encode(restored.state) == RECORDED_FIXTURES["snapshot"]
+    assert state.encode(restored_ledger.state) == RECORDED_FIXTURES["snapshot"]
 
 
 def test_an_earlier_state_file_is_loaded_with_its_log(tmp_path: Path) -> None:
@@ -81,8 +81,8 @@
 
 
 def test_the_status_json_round_trips() -> None:
-    decoded = msgspec.json.decode(RECORDED_FIXTURES["status-json"], type=StatusReply)
-    assert msgspec.json.encode(decoded) == RECORDED_FIXTURES["status-json"]
+    decoded_status = msgspec.json.decode(RECORDED_FIXTURES["status-json"], type=StatusReply)
+    assert msgspec.json.encode(decoded_status) == RECORDED_FIXTURES["status-json"]
 
 
 def test_current_code_writes_the_recorded_bytes() -> None:
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -112,8 +112,8 @@
 
 def test_losses_are_charged_first_and_revoke_leases_whose_drain_has_not_started() -> None:
     region = north_region()
-    draining = region.request_and_grant("r1", "n00")
-    region.apply(StartDrain("r1/1", draining.token))
+    draining_grant = region.request_and_grant("r1", "n00")
+    region.apply(StartDrain("r1/1", draining_grant.token))
     region.request_and_grant("r2", "n01")
     region.apply(SubmitRequest(request("r3", converters=("n02",))))
     assert region.observe("n10", ready=False) == Observed((), ("r2/1",))
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -88,9 +88,13 @@
 
 def test_a_delayed_request_names_the_limit_and_the_window_that_block_it() -> None:
     schedule = make_schedule(make_problem(make_job("a", "c0", deadline_ms=100), make_job("b", "c1")))
-    (delayed,) = schedule.delayed_requests
-    assert (delayed.request, delayed.limit, delayed.blocked_by) == ("b", "the allowance", "window a")
-    assert delayed.reason == "waits until 10 ms for the allowance, behind window a"
+    (delayed_request,) = schedule.delayed_requests
+    assert (delayed_request.request, delayed_request.limit, delayed_request.blocked_by) == (
+        "b",
+        "the allowance",
+        "window a",
+    )
+    assert delayed_request.reason == "waits until 10 ms for the allowance, behind window a"
     problem_with_lease = replace(
         make_problem(make_job("b", "c1")), active_leases=(ActiveLease("l1", "a", (CONVERTERS["c0"],), 40),)
     )
@@ -99,8 +103,11 @@
 
 
 def test_an_unplaced_request_reports_the_missing_amount() -> None:
-    (unplaced,) = make_schedule(make_problem(make_job("big", "c5"))).unplaced_requests
-    assert unplaced.excess == 1000 and "the allowance: taking 'c5' out of service exceeds it by 1" in unplaced.reason
+    (unplaced_request,) = make_schedule(make_problem(make_job("big", "c5"))).unplaced_requests
+    assert (
+        unplaced_request.excess == 1000
+        and "the allowance: taking 'c5' out of service exceeds it by 1" in unplaced_request.reason
+    )
     schedule = make_schedule(
         make_problem(
             make_job("a", "c0", deadline_ms=20),
@@ -108,12 +115,12 @@
             make_job("c", "c2", deadline_ms=25),
         )
     )
-    (unplaced,) = schedule.unplaced_requests
-    assert (unplaced.request, unplaced.late_ms) == ("c", 5)
-    assert unplaced.reason.startswith("would end 5 ms after its deadline; waits until 20 ms for the allowance")
+    (unplaced_request,) = schedule.unplaced_requests
+    assert (unplaced_request.request, unplaced_request.late_ms) == ("c", 5)
+    assert unplaced_request.reason.startswith("would end 5 ms after its deadline; waits until 20 ms for the allowance")
     problem_with_loss = replace(make_problem(make_job("a", "c0")), lost_by_converter={"c1": 600})
-    (unplaced,) = make_schedule(problem_with_loss).unplaced_requests
-    assert unplaced.excess == 600 and "while 0.6 is lost" in unplaced.reason
+    (unplaced_request,) = make_schedule(problem_with_loss).unplaced_requests
+    assert unplaced_request.excess == 600 and "while 0.6 is lost" in unplaced_request.reason
 
 
 def test_an_unplaced_request_takes_no_capacity_from_others() -> None:
@@ -165,7 +172,7 @@
     schedule = make_schedule(build_problem(region.ledger))
     due_windows = [window for window in schedule.windows if window.start_ms == 50]
     assert due_windows == [Window("a", ("n00", "n01"), 50, 12_050)]
-    assert [delayed.request for delayed in schedule.delayed_requests] == ["b", "c"]
+    assert [delayed_request.request for delayed_request in schedule.delayed_requests] == ["b", "c"]
     granted = region.grant("a/1", "a", *due_windows[0].converters)
     assert isinstance(granted, Granted)
     next_schedule = make_schedule(build_problem(region.ledger, schedule.windows))
@@ -216,8 +223,8 @@
     """Check that a schedule keeps all limits, and each request's time frame and limit on concurrent outages."""
     jobs = {job.request.name: job for job in problem.jobs}
     for at_ms in [0, *(window.start_ms for window in schedule.windows)]:
-        running = [window for window in schedule.windows if window.start_ms <= at_ms < window.end_ms]
-        out_of_service = [CONVERTERS[name] for window in running for name in window.converters]
+        running_windows = [window for window in schedule.windows if window.start_ms <= at_ms < window.end_ms]
+        out_of_service = [CONVERTERS[name] for window in running_windows for name in window.converters]
         out_of_service += [
             converter
             for lease in problem.active_leases
@@ -228,14 +235,14 @@
             assert sum(converter.size for converter in out_of_service if limit.applies_to(converter)) <= limit.bound
         for name, job in jobs.items():
             assert (
-                sum(len(window.converters) for window in running if window.request == name)
+                sum(len(window.converters) for window in running_windows if window.request == name)
                 <= job.request.max_unavailable
             )
-    unplaced_names = {unplaced.request for unplaced in schedule.unplaced_requests}
+    unplaced_names = {unplaced_request.request for unplaced_request in schedule.unplaced_requests}
     for name, job in jobs.items():
         windows = [window for window in schedule.windows if window.request == name]
-        placed = [converter for window in windows for converter in window.converters]
-        assert sorted(placed) == ([] if name in unplaced_names else sorted(job.request.converters))
+        placed_names = [converter for window in windows for converter in window.converters]
+        assert sorted(placed_names) == ([] if name in unplaced_names else sorted(job.request.converters))
         assert all(
             job.request.earliest_ms <= window.start_ms and window.end_ms <= job.request.deadline_ms
             for window in windows
@@ -256,7 +263,7 @@
     worst_share = 1.0
     for seed in range(25):
         problem = random_problem(seed, max_jobs=9, priorities=1)
-        unplaced_names = {unplaced.request for unplaced in make_schedule(problem).unplaced_requests}
+        unplaced_names = {unplaced_request.request for unplaced_request in make_schedule(problem).unplaced_requests}
         best = best_plan(problem, Job.work)
         proven_count += best.bound == best.value
         work = sum(job.work() for job in problem.jobs if job.request.name not in unplaced_names)
