--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -97,7 +97,7 @@
     def max_unavailable(self, service: str) -> int:
         """Return how much of a service's capacity may be unavailable over all regions.
 
-        The initial allowances add up to this amount. It is negative if the capacity is less than the agreed minimum.
+        The initial allowances add up to the result, which is negative if the capacity is less than the agreed minimum.
         """
         terms = self.services[service]
         return self.capacity(service) - terms.min_available - self._zone_loss_reserve(terms, None)
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -40,7 +40,7 @@
         self.problems: list[Problem] = []
 
     def _add_problem(self, path: KeyPath, text: str) -> None:
-        """Record a problem with the key at `path` and the line of that key."""
+        """Record a problem with the value at `path`, which is reported with the line of its key."""
         self.problems.append(self.lines.problem_at(path, text))
 
     def check_names(self) -> None:
--- a/ryepier/maintenance/capacity.py
+++ b/ryepier/maintenance/capacity.py
@@ -33,7 +33,7 @@
     """Read-only view of a region's limits and of the capacity that is currently charged against them."""
 
     def __init__(self, agreement: Agreement, region: str, state: LedgerState) -> None:
-        """View `state`, the ledger state of `region`. The view refers to it, so it reflects later changes."""
+        """View `state`, the ledger state of `region`. The view reflects later changes of `state`."""
         self.agreement = agreement
         self.region = region
         self.state = state
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -40,8 +40,8 @@
 class Request(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """An operator's request for maintenance. Times are in the region's time, in milliseconds.
 
-    Either `converters` names the converters, or the request covers all converters of the service in `zone`. At
-    most `max_unavailable` of them may be out of service at the same time.
+    Either `converters` names the converters, or the request covers all converters of the service in `zone`. At most
+    `max_unavailable` of them may be out of service at the same time.
     """
 
     name: Name
@@ -85,7 +85,8 @@
     """How far a region's allowance for a service falls short, in thousandths, as reported to the other regions.
 
     `deficit` is the amount by which the capacity under leases and the lost capacity together exceed the allowance.
-    `shortage` is the amount by which the capacity that open requests will take out and the lost capacity exceed it.
+    `shortage` is the amount by which the capacity that open requests would take out together and the lost capacity
+    exceed it.
     """
 
     deficit: NonNegative = 0
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A moment at which less than the agreed capacity was available, in thousandths.
+    """A moment at which less than the agreed capacity was available. Capacities are in thousandths.
 
     `region` is empty if the minimum over all regions was missed. If the loss of a zone must be tolerated, `available`
     does not include the largest zone.
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -1,4 +1,4 @@
-"""State shared by a ledger's command handlers, and the state changes that end leases and requests."""
+"""The state that a ledger's command handlers share, and the state changes that end leases and requests."""
 
 from __future__ import annotations
 
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -209,7 +209,7 @@
         self._placements_by_request[unplaced_request.request] = frozen
 
     def _earliest_start_ms(self, job: Job, converter: Converter, from_ms: int) -> int | None:
-        """Return the first time, not before `from_ms`, at which an outage of the converter can start within all limits.
+        """Return the first time, not before `from_ms`, at which an outage can start without ever exceeding a limit.
 
         Returns None if there is no such time.
         """
--- a/ryepier/maintenance/problem.py
+++ b/ryepier/maintenance/problem.py
@@ -60,7 +60,7 @@
     lost_by_converter: Mapping[str, int] = field(default_factory=dict)  # thousandths; only converters without a lease
     converters: Mapping[str, Converter] = field(default_factory=dict)  # all converters of the region, by name
     active_leases: tuple[ActiveLease, ...] = ()
-    previous_windows: tuple[Window, ...] = ()  # the previous schedule; windows about to start are not moved
+    previous_windows: tuple[Window, ...] = ()  # windows of the previous schedule; those about to start are not moved
 
     def desired_start_ms(self, job: Job) -> int:
         """Return the earliest time at which the outages of a job may start."""
--- a/ryepier/maintenance/profile.py
+++ b/ryepier/maintenance/profile.py
@@ -1,4 +1,4 @@
-"""A step function of the used part of a limit over time, which finds gaps with enough room."""
+"""The used part of a limit as a step function over time, with a search for gaps."""
 
 from __future__ import annotations
 
--- a/ryepier/maintenance/request_commands.py
+++ b/ryepier/maintenance/request_commands.py
@@ -1,4 +1,4 @@
-"""Applies the commands that submit and cancel requests, and the one that advances the time past their deadlines."""
+"""Applies the commands that submit requests, cancel requests and advance the region's time."""
 
 from __future__ import annotations
 
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -57,7 +57,7 @@
     cancelled: bool = False
 
     def remaining_converters(self) -> list[str]:
-        """Return the converters that have not been maintained yet."""
+        """Return the names of the converters that have not been maintained yet."""
         return [name for name in self.converters if name not in self.done]
 
 
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -59,7 +59,7 @@
 
 WEST_SERVICE_TEXT = '[[services.regions]]\nregion = "west"\nleast = 2\nallowance = 2\n'
 THREE_REGIONS = ("north", "south", "west")
-# Two regions, three regions, higher regional minimums, and minimums that must hold even if a zone is lost.
+# In this order: two regions, three regions, higher regional minimums, minimums that must hold after a zone loss.
 AGREEMENT_TEXTS = (
     AGREEMENT_TEXT,
     SERVICE_TEXT.replace("least = 8", "least = 12")
