--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -1,4 +1,4 @@
-"""`ryepier slices`: a service's EndpointSlices as a sidecar reads them."""
+"""`ryepier slices`: show a service's EndpointSlices as a sidecar interprets them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from ryepier.slices.reflector import Apply, Delete, Replace
 from ryepier.slices.slice_source import Settings, SliceSource
 
-RULE_TEXTS = {
+RULE_DESCRIPTIONS = {
     1: "all slices that list it agree",
     3: "it was observed terminating, and a pod never returns from that",
     4: "the slices differ, and the most cautious one counts",
@@ -34,14 +34,14 @@
 
 
 def make_settings(path: Path | None, service: str) -> Settings:
-    """Return the settings of a read-only client; exit with 2 if they are incomplete or wrong."""
+    """Return the settings of a read-only client; exit with 2 if they are incomplete or invalid."""
     operators = read_operators_file(path, os.environ)
     structured.configure_logging(operators.logging)
     slices = operators.slices
     name = service or slices.service
     try:
         if not name:
-            raise AccessError("no service is named, by --service or by slices.service in the operators' file")
+            raise AccessError("no service given: set --service, or slices.service in the operators' file")
         access = find_access(
             slices.server, slices.token_file, slices.ca_file, slices.client_cert_file, slices.client_key_file
         )
@@ -84,7 +84,7 @@
 
 
 async def follow(settings: Settings, as_json: bool) -> None:
-    """Print every update of the list until SIGTERM or SIGINT."""
+    """Print every update of the upstream list until SIGTERM or SIGINT."""
     stop = make_stop_event()
 
     def on_update(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
@@ -98,7 +98,7 @@
 
 
 async def read_once(settings: Settings) -> EndpointSliceMerger:
-    """Return the merged slices of one complete list. Raises TimeoutError."""
+    """Return the merged slices of one complete list. Raises TimeoutError if there is none within `LIST_TIMEOUT_S`."""
     merger = EndpointSliceMerger(settings.port)
     listed = asyncio.Event()
 
@@ -118,44 +118,44 @@
         lambda: None,
         clock_us,
     )
-    reading = asyncio.create_task(client.run())
+    list_task = asyncio.create_task(client.run())
     try:
         async with asyncio.timeout(LIST_TIMEOUT_S):
             await listed.wait()
     finally:
-        reading.cancel()
+        list_task.cancel()
     return merger
 
 
 def find_endpoints(merger: EndpointSliceMerger, text: str) -> list[MergedEndpoint]:
-    """Return the endpoints with this pod uid, address, or address and port."""
-    found = []
+    """Return the endpoints that match a pod uid, an address, or an address with port."""
+    endpoints = []
     for identity, endpoint in merger.endpoints(0).items():
         host, port = endpoint.address
         if text in (identity, host, f"{host}:{port}", f"[{host}]:{port}"):
-            found.append(endpoint)
-    return found
+            endpoints.append(endpoint)
+    return endpoints
 
 
 def describe_observation(observation: EndpointObservation) -> str:
     """Return what one slice reports of an endpoint, in one line."""
-    places = []
+    locations = []
     if observation.node:
-        places.append(f"node {observation.node}")
+        locations.append(f"node {observation.node}")
     if observation.zone:
-        places.append(f"zone {observation.zone}")
+        locations.append(f"zone {observation.zone}")
     if observation.for_zones:
-        places.append(f"hinted for {', '.join(observation.for_zones)}")
-    place_text = f" ({'; '.join(places)})" if places else ""
-    return f"  {observation.slice_name}, generation {observation.generation}: {RISKS[observation.risk]}{place_text}"
+        locations.append(f"hinted for {', '.join(observation.for_zones)}")
+    location_text = f" ({'; '.join(locations)})" if locations else ""
+    return f"  {observation.slice_name}, generation {observation.generation}: {RISKS[observation.risk]}{location_text}"
 
 
 def describe_endpoint(endpoint: MergedEndpoint) -> str:
-    """Return the merged state of an endpoint and the rule behind it, in one line."""
+    """Return the merged state of an endpoint, and the merge rule that determined it, in one line."""
     host, port = endpoint.address
     return (
         f"{host}:{port} {endpoint.identity}: {endpoint.state.value}, by rule {endpoint.rule}: "
-        f"{RULE_TEXTS[endpoint.rule]}"
+        f"{RULE_DESCRIPTIONS[endpoint.rule]}"
     )
 
 
@@ -187,7 +187,7 @@
     try:
         merger = asyncio.run(read_once(settings))
     except TimeoutError:
-        fail("slices", f"no list within {LIST_TIMEOUT_S:.0f} s", ExitCode.FAILURE)
+        fail("slices", f"got no complete list of slices within {LIST_TIMEOUT_S:.0f} s", ExitCode.FAILURE)
     for name, reason in sorted(merger.skipped_slices.items()):
         print(f"slice {name} can't be used: {reason}", file=sys.stderr)
     endpoints = find_endpoints(merger, address)
--- a/ryepier/experiments/catalogue.py
+++ b/ryepier/experiments/catalogue.py
@@ -1,4 +1,4 @@
-"""The experiments that come with the project, gathered from the folders."""
+"""The experiments and benchmarks that come with the project, by name."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
     )
 }
 BENCHMARKS: dict[str, Benchmark] = {
-    one.name: one
-    for one in (
+    benchmark.name: benchmark
+    for benchmark in (
         call.EXPERIMENT,
         control.EXPERIMENT,
         depth.EXPERIMENT,
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -1,9 +1,12 @@
-"""`retry-storm` and its variants: does the service recover from an outage although clients retry?
+"""Experiment `retry-storm` and its variants: the service recovers from an outage although clients retry.
 
-All converters are out for 5, 15 or 30 s, twice, or without discovery; clients back off and heed Retry-After, half of
-them do, or none. The same seed runs with the sidecars' storm guards and without. Claims: every guard detects the storm,
-the service is back in time, retries are rejected before first attempts, clients are told different times to return, and
-the guard costs next to no service afterwards.
+All converters are down for 5, 15 or 30 s, twice in a row, or while discovery is down too. Clients back off and all or
+half of them honour Retry-After, or they retry at once. The same seed runs with and without the sidecars' retry storm
+guards.
+
+The claims require that every guard detects the storm, that the service recovers in time, that retries are rejected
+rather than first attempts, that clients get different Retry-After times, and that the guard costs almost no service
+after the outage.
 """
 
 from __future__ import annotations
@@ -21,14 +24,14 @@
 LONG_OUTAGE_S = 15.0
 MAX_RECOVERY_S = 8.0
 MAX_RECOVERY_AFTER_LONG_OUTAGE_S = 12.0
-SETTLED_S = 1.0  # after the start
-BEFORE_OUTAGE_S = 3.0  # operations that begin later may be lost to the outage
+MEASURED_FROM_S = 1.0  # time of the run; operations planned earlier are excluded
+OUTAGE_MARGIN_S = 3.0  # operations planned less than this before the outage may fail because of it
 MIN_SERVICE_BEFORE = 0.97
-MAX_FIRST_OVER_RETRY = 1.0
-MAX_UNIFORMITY = 0.5
-MAX_LOST_POINTS = 2.0
-MIN_LOST_IN_OUTAGE = 0.3  # of the service, without which there was no outage
-MIN_SHARE = 1e-6  # in place of zero as a divisor
+MAX_FIRST_TO_RETRY_RATIO = 1.0
+MAX_ADVICE_UNIFORMITY = 0.5
+MAX_LOST_POINTS = 2.0  # percentage points of the service level
+MIN_LOST_SHARE_IN_OUTAGE = 0.3  # of the service level; a smaller loss means that there was no outage
+MIN_SHARE = 1e-6  # minimum divisor, which avoids a division by zero
 
 BEHAVIORS = {
     "": ("clients back off and heed Retry-After", ClientBehavior("exponential", 1.0)),
@@ -39,53 +42,55 @@
 
 def _figures(run: Run) -> Mapping[str, float]:
     assert run.control is not None
-    result = {
+    values = {
         "storms_opened": float(measures.count_detections(run)),
         "advice_alike": measures.advice_uniformity(run),
         "advice_alike_without": measures.advice_uniformity(run.control),
     }
-    result |= _figures_of_one(run, "with")
-    result |= _figures_of_one(run.control, "without")
-    recovery_with_s = max(measures.WINDOW_STEP_S, result["back_after_s_with"])
-    recovery_without_s = max(measures.WINDOW_STEP_S, result["back_after_s_without"])
-    result["recovery_ratio"] = recovery_with_s / recovery_without_s
-    return result
+    values |= _figures_of_run(run, "with")
+    values |= _figures_of_run(run.control, "without")
+    recovery_with_s = max(measures.WINDOW_STEP_S, values["back_after_s_with"])
+    recovery_without_s = max(measures.WINDOW_STEP_S, values["back_after_s_without"])
+    values["recovery_ratio"] = recovery_with_s / recovery_without_s
+    return values
 
 
-def _figures_of_one(run: Run, guard: str) -> dict[str, float]:
+def _figures_of_run(run: Run, variant: str) -> dict[str, float]:
     return {
-        f"back_after_s_{guard}": measures.recovery_s(run),
-        f"refused_first_{guard}": measures.rejected_share(run, retries=False),
-        f"refused_later_{guard}": measures.rejected_share(run, retries=True),
-        f"service_{guard}": figures.service_level(run.operations),
-        f"tries_{guard}": len(run.history.client_attempts),
-        f"service_after_{guard}": service_after(run),
+        f"back_after_s_{variant}": measures.recovery_s(run),
+        f"refused_first_{variant}": measures.rejected_share(run, retries=False),
+        f"refused_later_{variant}": measures.rejected_share(run, retries=True),
+        f"service_{variant}": figures.service_level(run.operations),
+        f"tries_{variant}": len(run.history.client_attempts),
+        f"service_after_{variant}": service_after(run),
     }
 
 
 def _claims(run: Run) -> list[Claim]:
     measured = _figures(run)
     outage = find_outage(run.world)
-    is_before = figures.due_between(SETTLED_S, outage.begin_s - BEFORE_OUTAGE_S)
+    is_before = figures.due_between(MEASURED_FROM_S, outage.begin_s - OUTAGE_MARGIN_S)
     is_long = outage.duration_s >= LONG_OUTAGE_S
     max_recovery_s = MAX_RECOVERY_AFTER_LONG_OUTAGE_S if is_long else MAX_RECOVERY_S
-    first_over_retry = measured["refused_first_with"] / max(MIN_SHARE, measured["refused_later_with"])
+    first_to_retry_ratio = measured["refused_first_with"] / max(MIN_SHARE, measured["refused_later_with"])
     lost_points = 100 * (measured["service_after_without"] - measured["service_after_with"])
     return [
         Claim("service before the outage", figures.service_level(run.operations, is_before), ">=", MIN_SERVICE_BEFORE),
         Claim("time until service is back (s)", measured["back_after_s_with"], "<=", max_recovery_s),
         Claim("sidecars' guards that opened", measured["storms_opened"], ">=", run.world.sidecars.count),
-        Claim("share refused of first tries over that of later ones", first_over_retry, "<=", MAX_FIRST_OVER_RETRY),
-        Claim("share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_UNIFORMITY),
+        Claim(
+            "share refused of first tries over that of later ones", first_to_retry_ratio, "<=", MAX_FIRST_TO_RETRY_RATIO
+        ),
+        Claim("share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_ADVICE_UNIFORMITY),
         Claim("service after the outage lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
     ]
 
 
 def _claims_of_two_outages(run: Run) -> list[Claim]:
     second = run.world.faults[-1]
-    is_in_outage = figures.due_between(phases.end_s(second), end_of_fault_s(second) - BEFORE_OUTAGE_S)
+    is_in_outage = figures.due_between(phases.end_s(second), end_of_fault_s(second) - OUTAGE_MARGIN_S)
     service = figures.service_level(run.operations, is_in_outage)
-    return [Claim("service in the second outage", service, "<=", 1.0 - MIN_LOST_IN_OUTAGE), *_claims(run)]
+    return [Claim("service in the second outage", service, "<=", 1.0 - MIN_LOST_SHARE_IN_OUTAGE), *_claims(run)]
 
 
 def _make_experiment(
@@ -106,13 +111,13 @@
 
 
 def _make_variant(outage_s: float, suffix: str) -> Experiment:
-    about, behavior = BEHAVIORS[suffix]
-    is_short = outage_s == SHORT_OUTAGE_S
-    length = "" if is_short else f"-{outage_s:.0f}s"
-    full = f" (full: {worlds.FULL_OUTAGE_S:.0f} s)" if is_short else ""
+    clients, behavior = BEHAVIORS[suffix]
+    is_short_outage = outage_s == SHORT_OUTAGE_S
+    duration_suffix = "" if is_short_outage else f"-{outage_s:.0f}s"
+    full_scale_note = f" (full: {worlds.FULL_OUTAGE_S:.0f} s)" if is_short_outage else ""
     return _make_experiment(
-        f"retry-storm{suffix}{length}",
-        f"all converters out for {outage_s:.0f} s{full}, {about}",
+        f"retry-storm{suffix}{duration_suffix}",
+        f"all converters out for {outage_s:.0f} s{full_scale_note}, {clients}",
         worlds.outage(behavior, outage_s),
     )
 
