--- a/ryepier/assembly/sidecar.py
+++ b/ryepier/assembly/sidecar.py
@@ -13,7 +13,7 @@
 from ryepier.assembly.planning import make_forwarder
 from ryepier.conf.operator_settings import OperatorSettings
 from ryepier.sidecar import config as platform
-from ryepier.sidecar.components import PLATFORM, BackgroundService, Components, EndpointSource
+from ryepier.sidecar.components import PLATFORM_COMPONENTS, BackgroundService, Components, EndpointSource
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.system import clock_us
 
@@ -65,7 +65,7 @@
 
 def select_components(operator_settings: OperatorSettings) -> Components:
     """Return the platform's components, with additions and replacements by the operators' settings."""
-    components = PLATFORM
+    components = PLATFORM_COMPONENTS
     if operator_settings.slices.service:
         components = replace(components, source=partial(make_slice_source, operator_settings))
     if operator_settings.graphql.enabled:
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -101,7 +101,7 @@
         return (
             request.ident,
             request.closed,
-            self.remaining(request.due_us),
+            self.remaining(request.due_at_us),
             tuple((self.renaming[attempt.upstream], attempt.ended) for attempt in request.attempts),
         )
 
@@ -109,7 +109,7 @@
         return (
             sent.request,
             self.renaming[sent.upstream],
-            sent.written,
+            sent.fully_written,
             sent.over,
             sent.outcome.value if sent.outcome is not None else "",
             self.age(sent.at_us),
--- a/ryepier/check/observations.py
+++ b/ryepier/check/observations.py
@@ -20,7 +20,7 @@
     upstream: int
     on_end: Callable[[AttemptResult], None]
     at_us: int
-    written: bool
+    fully_written: bool
     over: bool = False  # no event of it will follow
     outcome: api.Outcome | None = None  # None: in flight, or cancelled
 
@@ -30,7 +30,7 @@
 
     def may_have_run(self) -> bool:
         """Return whether a converter may have executed the request."""
-        return self.written and self.outcome not in NEVER_RAN
+        return self.fully_written and self.outcome not in NEVER_RAN
 
 
 @dataclass(slots=True)
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -57,7 +57,7 @@
         if request is None or request.closed or answer.outcome is FinalOutcome.SERVED:
             give(self, ident, answer)
         else:
-            self._call_at(request.due_us - DELAYED_ANSWER_LEAD_US, give, self, ident, answer)
+            self._call_at(request.due_at_us - DELAYED_ANSWER_LEAD_US, give, self, ident, answer)
 
     RequestDispatcher._answer = answer_late  # type: ignore[method-assign]
 
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -69,7 +69,7 @@
 
     # The dispatcher's upstreams
 
-    def start(
+    def start_attempt(
         self,
         upstream: int,
         address: tuple[str, int],
@@ -128,7 +128,7 @@
         return [Step(Action.LEAVE, index) for index, client in enumerate(self.clients) if client.waiting]
 
     def _attempt_steps(self, attempt: SentAttempt) -> Iterable[Step]:
-        if attempt.written:
+        if attempt.fully_written:
             return [Step(Action.ANSWER, attempt.number, outcome) for outcome in self.model.outcomes]
         failed = Step(Action.CONNECT_FAILED, attempt.number)
         if self.states[attempt.upstream] is not api.UpstreamState.READY:
@@ -190,7 +190,7 @@
 
     def _connected(self, step: Step) -> None:
         self.events.append(f"attempt {step.index} is written")
-        self.attempts[step.index].written = True
+        self.attempts[step.index].fully_written = True
 
     def _end(self, number: int, outcome: api.Outcome) -> None:
         attempt = self.attempts[number]
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -24,7 +24,7 @@
 from ryepier.emulator.timeline import TargetKind, Timeline
 from ryepier.emulator.world import World
 from ryepier.sidecar import config as platform
-from ryepier.sidecar.components import PLATFORM
+from ryepier.sidecar.components import PLATFORM_COMPONENTS
 from ryepier.sim.run import SimLoop, simulate
 
 NETWORK = 16
@@ -51,7 +51,7 @@
         for index, text in enumerate(files.platform_files(self.plan, self.timeline)):
             path = self.folder / f"sidecar-{index}.json"
             path.write_text(text)
-            config, components = platform.load(str(path)), PLATFORM
+            config, components = platform.load(str(path)), PLATFORM_COMPONENTS
             if files.has_settings_file(self.world):
                 environment = files.settings_environment(self.plan, index)
                 settings = operator_settings.parse(files.settings_text(self.plan), environment)
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -30,7 +30,7 @@
 
 def send_twice() -> None:
     """Send one request in many to two converters at once."""
-    start = ConnectionPool.start
+    start = ConnectionPool.start_attempt
     count = 0
 
     def start_twice(
@@ -50,7 +50,7 @@
             start(self, others[0], peer, request, timeout_us, lambda result: None)
         return start(self, upstream, address, request, timeout_us, on_end, latest_write_us)
 
-    ConnectionPool.start = start_twice  # type: ignore[method-assign]
+    ConnectionPool.start_attempt = start_twice  # type: ignore[method-assign]
 
 
 def ignore_draining() -> None:
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -102,7 +102,7 @@
 class ChainAttempt:
     """An attempt in flight; it counts as written from its start."""
 
-    written = True
+    fully_written = True
 
     def __init__(self, on_end: Callable[[AttemptResult], None]) -> None:
         """Hold whom to tell of the end."""
@@ -149,7 +149,7 @@
         request = ClientRequest(b"GET", b"/work", [], b"", self.world.clock.now_us, deadline_us, 0)
         self.dispatcher.on_request(request, reply)
 
-    def start(
+    def start_attempt(
         self,
         upstream: int,
         address: tuple[str, int],
--- a/ryepier/experiments/simulation/seeded_faults.py
+++ b/ryepier/experiments/simulation/seeded_faults.py
@@ -40,7 +40,7 @@
     cancel = UpstreamAttempt.cancel
 
     def cancel_and_keep(self: UpstreamAttempt) -> None:
-        connection, written = self.connection, self.written
+        connection, written = self.connection, self.fully_written
         if not isinstance(connection, UpstreamConnection) or not written:
             cancel(self)
             return
--- a/ryepier/sidecar/__main__.py
+++ b/ryepier/sidecar/__main__.py
@@ -9,14 +9,14 @@
 import sys
 
 from ryepier.sidecar import config
-from ryepier.sidecar.components import PLATFORM, Components
+from ryepier.sidecar.components import PLATFORM_COMPONENTS, Components
 from ryepier.sidecar.logs import RateLimitFilter
 from ryepier.sidecar.serving import CONFIG_ERRORS, serve
 
 EXIT_INVALID_CONFIG = 2
 
 
-async def run(sidecar_config: config.Config, components: Components = PLATFORM) -> None:
+async def run(sidecar_config: config.Config, components: Components = PLATFORM_COMPONENTS) -> None:
     """Serve until SIGTERM; SIGHUP reloads the configuration."""
     stop, reload = asyncio.Event(), asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/ryepier/sidecar/components.py
+++ b/ryepier/sidecar/components.py
@@ -94,4 +94,4 @@
     return Server(dispatcher, config.settings, config.listen, max_clients=config.max_descriptors // 2)
 
 
-PLATFORM = Components(discovery_source, (http_front_end,))
+PLATFORM_COMPONENTS = Components(discovery_source, (http_front_end,))
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -48,7 +48,7 @@
         self.pending_dials: dict[UpstreamAttempt, int] = {}  # upstreams of the attempts that have no connection yet
         self.sweep_timer = self.loop.call_later(FIRST_SWEEP_S, self.sweep)
 
-    def start(
+    def start_attempt(
         self,
         upstream: int,
         address: Address,
@@ -57,7 +57,7 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_us: int = 0,
     ) -> UpstreamAttempt:
-        """Start an attempt on an idle connection or on a new one; see `UpstreamTransport.start`."""
+        """Start an attempt on an idle connection or on a new one; see `UpstreamTransport.start_attempt`."""
         now_us = clock_us()
         attempt = UpstreamAttempt(request, address, now_us + timeout_us, on_end, latest_write_us)
         while idle := self.idle.get(upstream):
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -52,7 +52,7 @@
     """An attempt of an open request."""
 
     upstream: int
-    sent_us: int
+    sent_at_us: int
     in_flight: InFlightAttempt | None = None
     timer: Timer | None = None
     outcome: api.Outcome | None = None  # None until the attempt ends
@@ -75,9 +75,9 @@
     closed: bool = False  # the final answer was given, or the client has disconnected
 
     @property
-    def due_us(self) -> int:
+    def due_at_us(self) -> int:
         """Time by which the request must be answered, in microseconds of `clock_us`."""
-        return self.request.due_us
+        return self.request.due_at_us
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -101,7 +101,7 @@
         request = self.open_request.request
         attempts = ", ".join(
             f"upstream {attempt.upstream} {attempt.outcome.value if attempt.outcome else 'in flight'} "
-            f"sent at {(attempt.sent_us - request.arrived_us) // 1000} ms"
+            f"sent at {(attempt.sent_at_us - request.arrived_at_us) // 1000} ms"
             for attempt in self.open_request.attempts
         )
         return (
@@ -143,18 +143,18 @@
         `reply` is called exactly once with the final answer, unless the client disconnects first.
         """
         self.last_ident += 1
-        due_us = request.arrived_us + max(1, request.deadline_us - ANSWER_MARGIN_US)
-        request.due_us = min(due_us, self.shutdown_at_us) if self.shutdown_at_us else due_us
+        due_at_us = request.arrived_at_us + max(1, request.deadline_us - ANSWER_MARGIN_US)
+        request.due_at_us = min(due_at_us, self.shutdown_at_us) if self.shutdown_at_us else due_at_us
         open_request = self.requests[self.last_ident] = OpenRequest(self.last_ident, request, reply)
         # Ensures an answer even if the decision module misses its own timer for this request.
-        open_request.timer = self._call_at(request.due_us + BACKSTOP_DELAY_US, self._on_overdue, open_request)
+        open_request.timer = self._call_at(request.due_at_us + BACKSTOP_DELAY_US, self._on_overdue, open_request)
         if self.observer is not None:
             self.observer.on_request(request.tenant, request.class_index)
         retry_number = self.retry_detector.retry_number(request) if self.retry_detector is not None else 0
         self._dispatch(
             api.RequestArrived(
                 open_request.ident,
-                request.due_us,
+                request.due_at_us,
                 request.class_index,
                 request.tenant,
                 request.key,
@@ -199,10 +199,10 @@
         """Make every open or later request due by `at_us`, as the process ends then."""
         self.shutdown_at_us = at_us
         for open_request in self.requests.values():
-            if open_request.timer is not None and open_request.due_us > at_us:
+            if open_request.timer is not None and open_request.due_at_us > at_us:
                 open_request.timer.cancel()
                 open_request.timer = self._call_at(at_us, self._on_overdue, open_request)
-                open_request.request.due_us = at_us
+                open_request.request.due_at_us = at_us
 
     @property
     def has_open_requests(self) -> bool:
@@ -308,7 +308,7 @@
         open_request.reply(answer)
 
     def _log_unserved(self, open_request: OpenRequest, answer: FinalAnswer) -> None:
-        line = UnservedLine(open_request, answer.outcome, clock_us() - open_request.request.arrived_us)
+        line = UnservedLine(open_request, answer.outcome, clock_us() - open_request.request.arrived_at_us)
         fields = {
             "request": line.request_id,
             "outcome": answer.outcome.value,
@@ -322,7 +322,7 @@
         if open_request.timer is not None:
             open_request.timer.cancel()
         for attempt_index, attempt in enumerate(open_request.attempts):
-            if attempt.in_flight is not None and not attempt.ended and not attempt.in_flight.written:
+            if attempt.in_flight is not None and not attempt.ended and not attempt.in_flight.fully_written:
                 attempt.in_flight.cancel()
                 self._end_attempt(open_request, attempt_index, AttemptResult(api.Outcome.NOT_SENT))
         self._remove_if_done(open_request)
@@ -343,7 +343,7 @@
         attempt = TrackedAttempt(action.upstream, now_us)
         open_request.attempts.append(attempt)
         address = self.addresses.get(action.upstream)
-        remaining_us = open_request.due_us - now_us
+        remaining_us = open_request.due_at_us - now_us
         may_send = not open_request.closed and remaining_us > 0 and action.timeout_us >= 0
         if address is None or not may_send or attempt_index >= self.settings.max_attempts:
             self._end_attempt(open_request, attempt_index, AttemptResult(api.Outcome.NOT_SENT))
@@ -353,7 +353,7 @@
         if self.observer is not None:
             token = self._token(open_request, attempt_index)
             self.observer.on_attempt_started(action.upstream, token, open_request.request.class_index)
-        attempt.in_flight = self.transport.start(
+        attempt.in_flight = self.transport.start_attempt(
             action.upstream,
             address,
             open_request.request,
@@ -374,7 +374,7 @@
         attempt = open_request.attempts[attempt_index]
         if attempt.ended or attempt.in_flight is None:
             return
-        if not attempt.in_flight.written:
+        if not attempt.in_flight.fully_written:
             outcome = api.Outcome.CONNECT_FAILED  # not completely written, so the upstream can't have run it
         attempt.in_flight.cancel()
         self._end_attempt(open_request, attempt_index, AttemptResult(outcome))
@@ -393,7 +393,7 @@
             self._answer(open_request.ident, answer)
         elif result.outcome is api.Outcome.NOT_SENT:
             self._close_if_client_disconnected(open_request)
-        elapsed_us = clock_us() - attempt.sent_us
+        elapsed_us = clock_us() - attempt.sent_at_us
         if self.observer is not None:
             token = self._token(open_request, attempt_index)
             self.observer.on_attempt_ended(attempt.upstream, token, result.outcome, elapsed_us)
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -27,8 +27,8 @@
     target: bytes
     headers: list[Header]  # the headers that are forwarded to the upstream
     body: bytes
-    arrived_us: int
-    deadline_us: int  # relative to `arrived_us`
+    arrived_at_us: int
+    deadline_us: int  # relative to `arrived_at_us`
     class_index: int
     request_id: bytes = b""  # X-Request-Id
     tenant: int = 0
@@ -36,7 +36,7 @@
     cost_us: int = 0
     marked_as_retry: bool = False
     forwards_client_errors: bool = False  # an upstream's 4xx response is passed to the client as the final answer
-    due_us: int = 0  # time by which the sidecar must answer; 0 = unset
+    due_at_us: int = 0  # time by which the sidecar must answer; 0 = unset
     accepted_type: bytes = b""  # media type that the client accepts; empty if the front end does not read it
     # Checks whether the client has disconnected, even if the event loop has not read that yet.
     client_disconnected: Callable[[], bool] = never_disconnects
@@ -75,7 +75,7 @@
     """An attempt that has not ended."""
 
     @property
-    def written(self) -> bool:
+    def fully_written(self) -> bool:
         """Whether all of the attempt was written to the network. Until then the upstream can't run it."""
 
     def cancel(self) -> None:
@@ -85,7 +85,7 @@
 class UpstreamTransport(Protocol):
     """Carries attempts to upstreams."""
 
-    def start(
+    def start_attempt(
         self,
         upstream: int,
         address: Address,
--- a/ryepier/sidecar/serving.py
+++ b/ryepier/sidecar/serving.py
@@ -7,7 +7,7 @@
 
 from ryepier.balancer.settings_parser import SettingsError
 from ryepier.sidecar import config
-from ryepier.sidecar.components import PLATFORM, Components, EndpointSource
+from ryepier.sidecar.components import PLATFORM_COMPONENTS, Components, EndpointSource
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.graceful_shutdown import shut_down
@@ -29,7 +29,10 @@
 
 
 async def serve(
-    sidecar_config: config.Config, stop: asyncio.Event, reload: asyncio.Event, components: Components = PLATFORM
+    sidecar_config: config.Config,
+    stop: asyncio.Event,
+    reload: asyncio.Event,
+    components: Components = PLATFORM_COMPONENTS,
 ) -> None:
     """Serve until `stop` is set, then shut down gracefully; `reload` triggers a reload of the configuration file."""
     max_connections = sidecar_config.max_descriptors * 3 // 8
--- a/ryepier/sidecar/upstream_attempt.py
+++ b/ryepier/sidecar/upstream_attempt.py
@@ -57,7 +57,7 @@
         self.upstream_removed = False  # the upstream was removed before the connection was dialled
 
     @property
-    def written(self) -> bool:
+    def fully_written(self) -> bool:
         """Whether all of the attempt was written to the network.
 
         A part may stay in the write buffer until the upstream reads more; the upstream runs the request only once the
@@ -67,7 +67,7 @@
 
     def remaining_us(self) -> int:
         """Return the time left for the response, until the attempt's timeout or the request is due."""
-        return min(self.timeout_at_us, self.request.due_us or self.timeout_at_us) - clock_us()
+        return min(self.timeout_at_us, self.request.due_at_us or self.timeout_at_us) - clock_us()
 
     def is_expired(self) -> bool:
         """Return whether it is too late to write the attempt."""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -59,17 +59,19 @@
         for upstream_id, upstream in enumerate(upstreams):
             await upstream.start()
             for _ in range(8):  # all at once
-                pool.start(
+                pool.start_attempt(
                     upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
                 )
             await wait_until(lambda upstream_id=upstream_id: len(results) == 8 * (upstream_id + 1))  # type: ignore[misc]
         assert {result.outcome for result in results} == {Outcome.OK}
         assert max_open == MAX_POOL_CONNECTIONS
-        pool.start(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append).cancel()
+        pool.start_attempt(
+            0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append
+        ).cancel()
         await wait_until(lambda: not pool.dial_tasks)
         assert len(pool.idle[1]) == 8  # a cancelled attempt evicts no idle connection
         cancelled_attempts = [
-            pool.start(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+            pool.start_attempt(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append)
             for _ in range(8)
         ]
         await asyncio.sleep(0)  # the attempts now wait for capacity
@@ -95,7 +97,9 @@
         results: list[AttemptResult] = []
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for upstream_id in range(12):  # each for a different converter
-            pool.start(upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+            pool.start_attempt(
+                upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
+            )
         await wait_until(lambda: len(results) == 4)
         assert delayed.started == 8 and {result.outcome for result in results} == {Outcome.CONNECT_FAILED}
         delayed.released.set()
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -109,7 +109,7 @@
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
 
         def start_attempt(upstream_id: int) -> UpstreamAttempt:
-            return pool.start(
+            return pool.start_attempt(
                 upstream_id,
                 ("127.0.0.1", upstreams[upstream_id].port),
                 client_request,
@@ -168,7 +168,7 @@
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for number in range(80):
-            pool.start(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+            pool.start_attempt(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
             await wait_until(partial(has_results, number + 1))
         # without the limit every second request would fail
         assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30
@@ -329,13 +329,13 @@
         await upstream.start()
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=10)
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
-        pool.start(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+        pool.start_attempt(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
         pool.remove_upstream(1)  # before the dial task runs
         assert not results
         await wait_until(lambda: bool(results))
         assert results[0].outcome is Outcome.CONNECT_FAILED
         # the upstream is listed again
-        pool.start(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+        pool.start_attempt(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
         await wait_until(lambda: len(results) == 2)
         assert results[1].outcome is Outcome.OK and len(upstream.requests) == 1
         upstream.stop()
