--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -141,10 +141,10 @@
         self.reader = RequestReader()
         self.request: ClientRequest | None = None  # the request being processed
         self.request_number = 0  # the number that the dispatcher gave to `request`
-        self.pipelined = False  # bytes arrived after the request being processed
+        self.has_pipelined_bytes = False  # bytes arrived after the request being processed
         self.closes_after_response = False
         self.discarded_bytes = 0
-        self.responses = 0
+        self.response_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport, unless the connection was evicted before it came up."""
@@ -167,7 +167,7 @@
     def on_message_begin(self) -> None:
         """Record that another request was sent before the current one was answered."""
         if self.reader.is_complete:
-            self.pipelined = True
+            self.has_pipelined_bytes = True
 
     def on_url(self, url: bytes) -> None:
         """Append a part of the request target."""
@@ -223,7 +223,7 @@
 
     def _discard(self, data: bytes) -> None:
         """Drop bytes that follow the last request. The open request is answered, then the connection closes."""
-        self.pipelined = True
+        self.has_pipelined_bytes = True
         self.discarded_bytes += len(data)
         if self.discarded_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
             if self.state is ClientState.PROCESSING:
@@ -286,7 +286,7 @@
                 return False
             except OSError:  # the connection was reset
                 return True
-            self.pipelined = True
+            self.has_pipelined_bytes = True
         return True
 
     # Writing
@@ -307,17 +307,17 @@
             return
         # Client connections are limited, and clients that send one request and stay connected would block others.
         closes_for_capacity = (
-            self.state is ClientState.PROCESSING and self.responses == 0 and self.server.has_many_connections()
+            self.state is ClientState.PROCESSING and self.response_count == 0 and self.server.has_many_connections()
         )
         last = last or self.closes_after_response or self.server.is_stopping or closes_for_capacity
-        self.responses += 1
+        self.response_count += 1
         headers = response.headers + b"Connection: close\r\n" if last else response.headers
         head_fields = (response.status, REASONS[response.status], headers, len(response.body))
         data = b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n" % head_fields + response.body
-        if self.pipelined and not last:
+        if self.has_pipelined_bytes and not last:
             data += PIPELINING_REJECTION
         self.transport.write(data)
-        if last or self.pipelined:
+        if last or self.has_pipelined_bytes:
             # Closing a socket with unread bytes resets the connection, and the client might lose its response. So only
             # the sending direction is closed.
             self.server.change_state(self, ClientState.CLOSING)
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -22,7 +22,7 @@
 MAX_BREAK_SHARE = 0.15  # of reuses; beyond it new connections are cheaper, as a lost request costs about ten of them
 BREAK_SHARE_DECAY = 0.99  # applied per connection that is not reused, so that reuse is tried again in time
 SWEEP_INTERVAL_S = 0.1
-FIRST_SWEEP_S = 1.0  # after the pool is created
+FIRST_SWEEP_DELAY_S = 1.0  # after the pool is created
 
 
 class ConnectionPool:
@@ -42,11 +42,11 @@
         self.dial_timeout_us = dial_timeout_us
         self.max_connections = max_connections
         self.connections: dict[int, set[UpstreamConnection]] = {}  # by upstream; includes those being dialled
-        self.idle: dict[int, list[UpstreamConnection]] = {}
-        self.closing: set[UpstreamConnection] = set()  # closed, but their descriptors are not free yet
+        self.idle_connections: dict[int, list[UpstreamConnection]] = {}
+        self.closing_connections: set[UpstreamConnection] = set()  # closed, but their descriptors are not free yet
         self.dial_tasks: set[asyncio.Task[None]] = set()
         self.pending_dials: dict[UpstreamAttempt, int] = {}  # upstreams of the attempts that have no connection yet
-        self.sweep_timer = self.loop.call_later(FIRST_SWEEP_S, self.sweep)
+        self.sweep_timer = self.loop.call_later(FIRST_SWEEP_DELAY_S, self.sweep)
 
     def start_attempt(
         self,
@@ -60,8 +60,8 @@
         """Start an attempt on an idle connection or on a new one; see `UpstreamTransport.start_attempt`."""
         now_us = clock_us()
         attempt = UpstreamAttempt(request, address, now_us + timeout_us, on_end, latest_write_us)
-        while idle := self.idle.get(upstream):
-            connection = idle[0]
+        while idle_connections := self.idle_connections.get(upstream):
+            connection = idle_connections[0]
             idle_us = now_us - connection.idle_since_us
             if idle_us < MIN_IDLE_BEFORE_REUSE_US:
                 break
@@ -123,16 +123,16 @@
         its descriptor until the next iteration of the event loop.
         """
         while self._descriptor_count() >= self.max_connections and not attempt.cancelled:
-            idle = [connection for group in self.idle.values() for connection in group]
-            if idle:
-                min(idle, key=lambda connection: connection.idle_since_us).close()
-            elif not self.closing:
+            idle_connections = [connection for group in self.idle_connections.values() for connection in group]
+            if idle_connections:
+                min(idle_connections, key=lambda connection: connection.idle_since_us).close()
+            elif not self.closing_connections:
                 return False
             await asyncio.sleep(0)
         return True
 
     def _descriptor_count(self) -> int:
-        return sum(map(len, self.connections.values())) + len(self.closing)
+        return sum(map(len, self.connections.values())) + len(self.closing_connections)
 
     def may_reuse(self, idle_us: int) -> bool:
         """Return whether connections that were idle for this long may be reused.
@@ -158,15 +158,15 @@
     def put_idle(self, connection: UpstreamConnection) -> None:
         """Keep a connection for later attempts."""
         connection.idle_since_us = clock_us()
-        self.idle.setdefault(connection.upstream, []).append(connection)
+        self.idle_connections.setdefault(connection.upstream, []).append(connection)
 
     def take_idle(self, connection: UpstreamConnection) -> None:
         """Take a connection out of the idle ones, if it is one of them."""
-        idle = self.idle.get(connection.upstream, [])
-        if connection in idle:
-            idle.remove(connection)
-            if not idle:
-                del self.idle[connection.upstream]
+        idle_connections = self.idle_connections.get(connection.upstream, [])
+        if connection in idle_connections:
+            idle_connections.remove(connection)
+            if not idle_connections:
+                del self.idle_connections[connection.upstream]
 
     def remove(self, connection: UpstreamConnection) -> None:
         """Remove a connection from the pool."""
@@ -178,16 +178,16 @@
 
     def on_closing(self, connection: UpstreamConnection) -> None:
         """Record that a connection is closing; it keeps its descriptor until `on_closed`."""
-        self.closing.add(connection)
+        self.closing_connections.add(connection)
 
     def on_closed(self, connection: UpstreamConnection) -> None:
         """Remove a connection whose descriptor is freed before the next iteration of the event loop."""
         self.remove(connection)
-        self.closing.discard(connection)
+        self.closing_connections.discard(connection)
 
     def close_idle(self, upstream: int) -> None:
         """Close the idle connections to an upstream."""
-        for connection in self.idle.get(upstream, [])[:]:
+        for connection in self.idle_connections.get(upstream, [])[:]:
             connection.close()
 
     def remove_upstream(self, upstream: int) -> None:
@@ -202,6 +202,6 @@
         """Close the idle connections that upstreams are about to close, every SWEEP_INTERVAL_S."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         oldest_us = clock_us() - self.max_idle_us
-        for connections in list(self.idle.values()):
+        for connections in list(self.idle_connections.values()):
             for connection in [connection for connection in connections if connection.idle_since_us <= oldest_us]:
                 connection.close()
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -63,7 +63,7 @@
     """One lifetime of an endpoint, from its start to its next restart."""
 
     boot_ms: int  # start as Unix time, reported by discovery
-    first_listed_us: int  # time of the first list with this start, on the decision module's clock
+    first_listed_at_us: int  # time of the first list with this start, on the decision module's clock
 
 
 class EndpointRegistry:
@@ -75,7 +75,7 @@
         self.kinds = kinds
         self.upstream_ids: dict[str, int] = {}
         self.incarnations: dict[str, Incarnation] = {}
-        self.last_id = 0
+        self.last_upstream_id = 0
         # Computed once, so that later steps of the wall clock have no effect.
         self.unix_to_clock_offset_us = clock_us() - system.unix_ns() // 1000
 
@@ -118,14 +118,16 @@
     def _parse_entry(self, target: Any) -> ListedEndpoint:
         uid = target["uid"]
         if uid not in self.upstream_ids:
-            self.last_id += 1
-            self.upstream_ids[uid] = self.last_id
+            self.last_upstream_id += 1
+            self.upstream_ids[uid] = self.last_upstream_id
         boot_ms = int(target["boot_ms"])
         incarnation = self.incarnations.get(uid)
         if incarnation is None or incarnation.boot_ms != boot_ms:  # a restarted endpoint warms up again
             incarnation = self.incarnations[uid] = Incarnation(boot_ms, clock_us())
         # If this machine's wall clock is behind, the start would lie in the future and the warm-up would seem longer.
-        started_us = min(boot_ms * 1000 + self.unix_to_clock_offset_us, incarnation.first_listed_us) if boot_ms else 0
+        started_us = (
+            min(boot_ms * 1000 + self.unix_to_clock_offset_us, incarnation.first_listed_at_us) if boot_ms else 0
+        )
         entry = Upstream(
             id=self.upstream_ids[uid],
             state=STATES[target["state"]],
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -195,12 +195,12 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now = system.monotonic()
         for state, timeout_s in STATE_TIMEOUTS_S.items():
-            timed_out = []
+            timed_out_clients = []
             for client in self.clients_by_state[state]:
                 if client.state_since > now - timeout_s:
                     break
-                timed_out.append(client)
-            for client in timed_out:
+                timed_out_clients.append(client)
+            for client in timed_out_clients:
                 client.on_state_timeout()
 
     # Graceful shutdown
--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -38,7 +38,7 @@
 HEARTBEAT_S = 0.5  # interval at which an agent sends empty lines
 LATENCY_OBJECTIVE_US, DEADLINE_S = 300_000, 0.6
 IDEMPOTENCY_WINDOW_US = 500_000
-SERVED = 200
+SERVED_STATUS = 200
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
 CLASSES: list[dict[str, Any]] = [
     {"name": "read", "effect": "idempotent"},
@@ -62,9 +62,9 @@
 
     sidecar: str
     request_id: str
-    sent_s: float = 0.0  # time of the last byte sent
+    sent_at: float = 0.0  # time of the last byte sent
     deadline_s: float = DEADLINE_S
-    ended_s: float | None = None  # time of the answer's last byte; None = no complete answer
+    ended_at: float | None = None  # time of the answer's last byte; None = no complete answer
     status: int = 0
 
 
@@ -73,7 +73,7 @@
     return [
         record
         for record in requests
-        if record.ended_s is None or record.ended_s > record.sent_s + record.deadline_s + ANSWER_TOLERANCE_S
+        if record.ended_at is None or record.ended_at > record.sent_at + record.deadline_s + ANSWER_TOLERANCE_S
     ]
 
 
@@ -82,12 +82,12 @@
     """A period in which a sidecar served no request while others did."""
 
     sidecar: str
-    from_s: float
-    until_s: float
-    requests: int
+    start_at: float
+    end_at: float
+    request_count: int
 
 
-def find_outages(requests: Sequence[ClientRequest], from_s: float, until_s: float) -> list[Outage]:
+def find_outages(requests: Sequence[ClientRequest], start_at: float, end_at: float) -> list[Outage]:
     """Return the outages of all sidecars between two times.
 
     In an outage, which lasts at least MIN_OUTAGE_S, a sidecar gets at least MIN_OUTAGE_REQUESTS and serves none of
@@ -96,19 +96,21 @@
     outages = []
     for sidecar in sorted({record.sidecar for record in requests}):
         sidecar_requests = [record for record in requests if record.sidecar == sidecar]
-        served_at_s = sorted(
-            record.sent_s
+        served_times = sorted(
+            record.sent_at
             for record in sidecar_requests
-            if record.status == SERVED and from_s <= record.sent_s <= until_s
+            if record.status == SERVED_STATUS and start_at <= record.sent_at <= end_at
         )
-        for begin_s, end_s in zip([from_s, *served_at_s], [*served_at_s, until_s], strict=True):
-            count = sum(begin_s < record.sent_s < end_s for record in sidecar_requests)
-            others_serve = any(
-                record.sidecar != sidecar and record.status == SERVED and begin_s < record.sent_s < end_s
+        for gap_start_at, gap_end_at in zip([start_at, *served_times], [*served_times, end_at], strict=True):
+            count = sum(gap_start_at < record.sent_at < gap_end_at for record in sidecar_requests)
+            another_sidecar_serves = any(
+                record.sidecar != sidecar
+                and record.status == SERVED_STATUS
+                and gap_start_at < record.sent_at < gap_end_at
                 for record in requests
             )
-            if end_s - begin_s >= MIN_OUTAGE_S and count >= MIN_OUTAGE_REQUESTS and others_serve:
-                outages.append(Outage(sidecar, begin_s, end_s, count))
+            if gap_end_at - gap_start_at >= MIN_OUTAGE_S and count >= MIN_OUTAGE_REQUESTS and another_sidecar_serves:
+                outages.append(Outage(sidecar, gap_start_at, gap_end_at, count))
     return outages
 
 
@@ -139,19 +141,19 @@
 class Converter(Upstream):
     """An upstream that can behave like a crashed process."""
 
-    killed: bool = False
-    accepted: set[asyncio.StreamWriter] = field(default_factory=set)
+    is_killed: bool = False
+    open_writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.killed:
+        if self.is_killed:
             self.reset(writer)
             self.stop()
             return
-        self.accepted.add(writer)
+        self.open_writers.add(writer)
         try:
             await super().serve(reader, writer)
         finally:
-            self.accepted.discard(writer)
+            self.open_writers.discard(writer)
 
     @staticmethod
     def reset(writer: asyncio.StreamWriter) -> None:
@@ -161,14 +163,14 @@
 
     def kill_at_next_connection(self) -> None:
         """Reset the open connections, reset the next one when it is accepted, and then stop listening."""
-        self.killed = True
-        for writer in list(self.accepted):
+        self.is_killed = True
+        for writer in list(self.open_writers):
             self.reset(writer)
 
     def crash(self) -> None:
         """Stop listening and reset the open connections."""
         self.stop()
-        for writer in list(self.accepted):
+        for writer in list(self.open_writers):
             self.reset(writer)
 
 
@@ -187,11 +189,11 @@
         directory.mkdir(parents=True, exist_ok=True)
         self.name = name
         self.seeded_fault = seeded_fault
-        self.path = write_configuration(
+        self.config_path = write_configuration(
             directory, name=name, discovery=f"127.0.0.1:{agent.port}", known=cached_list, settings=settings
         )
-        self.port = int(json.loads(self.path.read_text())["listen"].split(":")[1])
-        self.log = (directory / "log").open("ab")
+        self.port = int(json.loads(self.config_path.read_text())["listen"].split(":")[1])
+        self.log_file = (directory / "log").open("ab")
         self.process: subprocess.Popen[bytes] | None = None
 
     async def start(self) -> None:
@@ -200,8 +202,8 @@
         self.process = subprocess.Popen(
             [sys.executable, "-B", "-m", *module],
             cwd=ROOT,
-            env=os.environ | {"BALANCER_CONFIG": str(self.path)},
-            stderr=self.log,
+            env=os.environ | {"BALANCER_CONFIG": str(self.config_path)},
+            stderr=self.log_file,
         )
         async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
@@ -214,8 +216,8 @@
 
     def reload(self, agent: Discovery) -> None:
         """Change the discovery address to another agent and send SIGHUP."""
-        configuration = json.loads(self.path.read_text()) | {"discovery": f"127.0.0.1:{agent.port}"}
-        self.path.write_text(json.dumps(configuration))
+        configuration = json.loads(self.config_path.read_text()) | {"discovery": f"127.0.0.1:{agent.port}"}
+        self.config_path.write_text(json.dumps(configuration))
         self.signal(signal.SIGHUP)
 
     def stop(self) -> None:
@@ -236,7 +238,7 @@
         if self.process is not None:
             self.process.kill()
             self.process.wait()
-        self.log.close()
+        self.log_file.close()
 
 
 @dataclass
@@ -251,27 +253,27 @@
     def send_next(self) -> None:
         """Send the next piece and record the time."""
         self.writer.write(self.unsent.pop(0))
-        self.record.sent_s = asyncio.get_running_loop().time()
+        self.record.sent_at = asyncio.get_running_loop().time()
 
-    async def answer(self) -> None:
+    async def read_answer(self) -> None:
         """Read the answer and record its status and time."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(self.record.deadline_s + 2 * ANSWER_TOLERANCE_S):
                 head, _ = await read_message(self.reader)
-            self.record.status, self.record.ended_s = int(head.split(b" ")[1]), loop.time()
+            self.record.status, self.record.ended_at = int(head.split(b" ")[1]), loop.time()
         except (TimeoutError, asyncio.IncompleteReadError, ConnectionError):
             pass  # the record keeps no answer
         finally:
             self.writer.close()
 
 
-class Application:
+class RecordingClient:
     """A client of several sidecars that records its requests and their answers."""
 
     def __init__(self) -> None:
         self.requests: list[ClientRequest] = []
-        self.answers: list[asyncio.Task[None]] = []
+        self.answer_tasks: list[asyncio.Task[None]] = []
 
     async def send_first_piece(
         self, sidecar: SidecarProcess, class_name: str, split_offsets: Sequence[int] = (), body: bytes = b""
@@ -291,7 +293,7 @@
         """Send the remaining pieces and read the answer in the background."""
         while exchange.unsent:
             exchange.send_next()
-        self.answers.append(asyncio.create_task(exchange.answer()))
+        self.answer_tasks.append(asyncio.create_task(exchange.read_answer()))
 
     async def fetch(self, sidecar: SidecarProcess, class_name: str) -> None:
         """Send a complete request and read the answer in the background."""
@@ -299,4 +301,4 @@
 
     async def wait_until_ended(self) -> None:
         """Wait until each request has its answer or its read has timed out."""
-        await asyncio.gather(*self.answers)
+        await asyncio.gather(*self.answer_tasks)
--- a/tests/disconnect_testbed.py
+++ b/tests/disconnect_testbed.py
@@ -17,9 +17,9 @@
 from tests.network_peers import OK, Message, Sidecar, Upstream, read_message, request, status_of, wait_until
 from tests.sidecar_probes import DelayedConnections
 
-DISCONNECT_NOTICED_S = 0.15  # the sidecar may start attempts until 0.1 s after the disconnect
+DISCONNECT_DETECTION_S = 0.15  # the sidecar may start attempts until 0.1 s after the disconnect
 SETTLE_S = 0.05  # for messages that are on their way over loopback
-LOOP_DELAY_S = 0.3
+LOOP_BLOCK_S = 0.3
 CLASSES = [
     RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT),
     RequestClass("read", 10_000_000, 20_000_000, late_weight=0.5),
@@ -70,7 +70,7 @@
     """Run the steps while blocking the event loop, so that its next iteration sees the effects of all of them."""
     for step in steps:
         step()
-        time.sleep(LOOP_DELAY_S / len(steps))
+        time.sleep(LOOP_BLOCK_S / len(steps))
 
 
 # The sidecar and its converter
@@ -86,7 +86,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Read the requests of one connection, and count each at its first byte."""
-        self.connections += 1
+        self.connection_count += 1
         try:
             while byte := await reader.read(1):
                 self.started_attempts += 1
@@ -132,7 +132,7 @@
 
     sidecar: Sidecar
     converter: ManualConverter
-    accepted: list[ClientRequest]
+    accepted_requests: list[ClientRequest]
     """The requests that the sidecar has accepted."""
     monkeypatch: pytest.MonkeyPatch
 
@@ -148,26 +148,26 @@
         The sidecar then also has an idle connection, on which it can send its next attempt at once. That connection was
         opened for a client that disconnected before the connection was established.
         """
-        delayed = DelayedConnections()
+        delayed_connections = DelayedConnections()
         with self.monkeypatch.context() as patch:
-            delayed.delay(self.converter, patch)
+            delayed_connections.delay(self.converter, patch)
             disconnecting_client = self.connect(request("pay", "0"))
-            await wait_until(lambda: delayed.started == 1)
+            await wait_until(lambda: delayed_connections.started_count == 1)
             disconnecting_client.close()
             await asyncio.sleep(SETTLE_S)
             client = self.connect(request("pay", "1"))
-            await wait_until(lambda: delayed.started == 2)
-            delayed.released.set()
+            await wait_until(lambda: delayed_connections.started_count == 2)
+            delayed_connections.release.set()
             await wait_until(lambda: len(self.converter.held_responses) == 1)
         client.setblocking(False)
         await asyncio.sleep(SETTLE_S)  # the sidecar does not use a connection that has just become idle
-        assert self.converter.connections == 2
+        assert self.converter.connection_count == 2
         return client
 
     async def send_buffered_request(self) -> socket.socket:
         """Send request 2, which waits in the buffer as request 1 occupies the only slot, and return its client."""
         client = self.connect(request("pay", "2"))
-        await wait_until(lambda: b"2" in [accepted.request_id for accepted in self.accepted])
+        await wait_until(lambda: b"2" in [accepted_request.request_id for accepted_request in self.accepted_requests])
         assert self.converter.request_ids() == [1]
         return client
 
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -23,8 +23,8 @@
 from tests.network_peers import endpoint_entry, endpoint_list, read_message
 
 EMPTY_LINE_INTERVAL_S = 2.0  # between the empty lines of a watch
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-REJECTION = b"HTTP/1.1 503 Service Unavailable\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+REJECTION_STATUS_LINE = b"HTTP/1.1 503 Service Unavailable\r\n"
 CLOSED_PORT = free_port()
 NEW_VERSION = 2
 
@@ -59,15 +59,19 @@
     "dial hangs": Fault(b"", Behaviour.HANG),
     "reset": Fault(b"", Behaviour.RESET),
     "silent": Fault(b"", Behaviour.STAY_SILENT),
-    "head only": Fault(HEAD, Behaviour.STAY_SILENT),
-    "503": Fault(REJECTION + b"Content-Length: 0\r\n\r\n", Behaviour.STAY_SILENT),
-    "503 without end": Fault(REJECTION + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(b"busy"), Behaviour.STAY_SILENT),
-    "half a list": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.RESET),
-    "half a list, silent": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.STAY_SILENT),
-    "half a list, a byte at a time": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.TRICKLE),
-    "unreadable": Fault(HEAD + chunk(b'{"rev": 2, "all": true, "targets": [{"uid": "u0"}]}\n'), Behaviour.STAY_SILENT),
-    "watch falls silent": Fault(HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.STAY_SILENT),
-    "watch breaks": Fault(HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.RESET),
+    "head only": Fault(RESPONSE_HEAD, Behaviour.STAY_SILENT),
+    "503": Fault(REJECTION_STATUS_LINE + b"Content-Length: 0\r\n\r\n", Behaviour.STAY_SILENT),
+    "503 without end": Fault(
+        REJECTION_STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(b"busy"), Behaviour.STAY_SILENT
+    ),
+    "half a list": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.RESET),
+    "half a list, silent": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.STAY_SILENT),
+    "half a list, a byte at a time": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.TRICKLE),
+    "unreadable": Fault(
+        RESPONSE_HEAD + chunk(b'{"rev": 2, "all": true, "targets": [{"uid": "u0"}]}\n'), Behaviour.STAY_SILENT
+    ),
+    "watch falls silent": Fault(RESPONSE_HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.STAY_SILENT),
+    "watch breaks": Fault(RESPONSE_HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.RESET),
 }
 
 
@@ -80,7 +84,7 @@
 
     fault_order: tuple[str, ...]
     response_delay_s: float
-    calls: list[float] = field(default_factory=list)
+    call_times: list[float] = field(default_factory=list)
     reachable_at: float = 0.0
     port: int = 0
     server: asyncio.Server | None = None
@@ -95,16 +99,16 @@
 
     def on_connect(self) -> Behaviour | None:
         """Count a call and return how its connection behaves; None for a call that is served."""
-        self.calls.append(time.monotonic())
-        if len(self.calls) <= len(self.fault_order):
-            self.reachable_at = self.calls[-1]
+        self.call_times.append(time.monotonic())
+        if len(self.call_times) <= len(self.fault_order):
+            self.reachable_at = self.call_times[-1]
         fault = self._current_fault()
         return fault.behaviour if fault is not None else None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a call, or answer it with its fault."""
         fault = self._current_fault()
-        is_last_fault = len(self.calls) == len(self.fault_order)
+        is_last_fault = len(self.call_times) == len(self.fault_order)
         try:
             await read_message(reader)
             if fault is None:
@@ -114,7 +118,7 @@
                 await writer.drain()
                 if is_last_fault:
                     self.reachable_at = time.monotonic()
-                await self._continue(fault.behaviour, writer)
+                await self._behave_after_response(fault.behaviour, writer)
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -127,19 +131,19 @@
             self.server.close()
 
     def _current_fault(self) -> Fault | None:
-        if not 0 < len(self.calls) <= len(self.fault_order):
+        if not 0 < len(self.call_times) <= len(self.fault_order):
             return None
-        return FAULTS[self.fault_order[len(self.calls) - 1]]
+        return FAULTS[self.fault_order[len(self.call_times) - 1]]
 
     async def _serve_list(self, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(self.response_delay_s)
-        writer.write(HEAD + (chunk(self.initial_data) if self.initial_data else b""))
+        writer.write(RESPONSE_HEAD + (chunk(self.initial_data) if self.initial_data else b""))
         while self.sends_empty_lines:
             await asyncio.sleep(EMPTY_LINE_INTERVAL_S)
             writer.write(chunk(b"\n"))
 
     @staticmethod
-    async def _continue(behaviour: Behaviour, writer: asyncio.StreamWriter) -> None:
+    async def _behave_after_response(behaviour: Behaviour, writer: asyncio.StreamWriter) -> None:
         if behaviour is Behaviour.RESET:
             await asyncio.sleep(0.01)  # lets the written bytes arrive before the reset
             raise ConnectionResetError
--- a/tests/limited_sidecar.py
+++ b/tests/limited_sidecar.py
@@ -28,8 +28,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DESCRIPTOR_LIMIT = 256  # the smallest limit that a sidecar must work with
-CONVERTERS = 100
-WATCH_INTERVAL_S = 0.002
+CONVERTER_COUNT = 100
+DESCRIPTOR_CHECK_INTERVAL_S = 0.002
 
 
 def was_closed(writer: asyncio.StreamWriter) -> bool:
@@ -53,7 +53,7 @@
         """Update `max_descriptors` until cancelled."""
         while True:
             self.max_descriptors = max(self.max_descriptors, len(os.listdir(f"/proc/{self.pid}/fd")))
-            await asyncio.sleep(WATCH_INTERVAL_S)
+            await asyncio.sleep(DESCRIPTOR_CHECK_INTERVAL_S)
 
     async def connect(self) -> Streams:
         """Open a connection."""
@@ -92,9 +92,9 @@
         return response.head.partition(b"\r\n")[0]
 
 
-def converters(upstream: Upstream, rev: int) -> Json:
-    """Return an endpoint list of CONVERTERS entries that all have the upstream's address."""
-    return endpoint_list(*(endpoint_entry(f"u{number}", upstream.port) for number in range(CONVERTERS)), rev=rev)
+def converter_list(upstream: Upstream, rev: int) -> Json:
+    """Return an endpoint list of CONVERTER_COUNT entries that all have the upstream's address."""
+    return endpoint_list(*(endpoint_entry(f"u{number}", upstream.port) for number in range(CONVERTER_COUNT)), rev=rev)
 
 
 def write_limited_configuration(directory: Path, port: int, upstream: Upstream, discovery_port: int) -> Path:
@@ -110,22 +110,22 @@
         directory,
         listen=f"127.0.0.1:{port}",
         discovery=f"127.0.0.1:{discovery_port}",
-        known=converters(upstream, 1),
+        known=converter_list(upstream, 1),
         settings=SETTINGS | {"request-classes": [pay], "invariants": invariants, "bounds": bounds},
         limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTOR_LIMIT},
     )
 
 
-async def start_process(configuration: Path, log: Path) -> asyncio.subprocess.Process:
+async def start_process(configuration: Path, log_path: Path) -> asyncio.subprocess.Process:
     """Start the sidecar process with DESCRIPTOR_LIMIT."""
     limits = (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT)
-    with log.open("wb") as file:
+    with log_path.open("wb") as log_file:
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "ryepier.sidecar",
             cwd=ROOT,
-            stderr=file,
+            stderr=log_file,
             stdin=asyncio.subprocess.DEVNULL,
             env=os.environ | {"BALANCER_CONFIG": str(configuration)},
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, limits),
@@ -136,15 +136,15 @@
 async def limited_sidecar(directory: Path, upstream: Upstream, discovery_port: int) -> AsyncIterator[LimitedSidecar]:
     """Run the sidecar; checks that it survives and never has all its descriptors open."""
     await upstream.start()
-    port, log = free_port(), directory / "log"
-    process = await start_process(write_limited_configuration(directory, port, upstream, discovery_port), log)
+    port, log_path = free_port(), directory / "log"
+    process = await start_process(write_limited_configuration(directory, port, upstream, discovery_port), log_path)
     sidecar = LimitedSidecar(process.pid, port)
     watch_task = asyncio.create_task(sidecar.watch_descriptors())
     try:
         await sidecar.wait_until_listening()
         yield sidecar
         assert process.returncode is None
-        assert "connection not accepted" not in log.read_text()
+        assert "connection not accepted" not in log_path.read_text()
         assert sidecar.max_descriptors < DESCRIPTOR_LIMIT
     finally:
         watch_task.cancel()
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -75,7 +75,7 @@
 
     script: Script
     requests: list[Message] = field(default_factory=list)
-    connections: int = 0
+    connection_count: int = 0
     port: int = 0
     server: asyncio.Server | None = None
 
@@ -86,7 +86,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Handle the requests of one connection."""
-        self.connections += 1
+        self.connection_count += 1
         try:
             while True:
                 self.requests.append(await read_message(reader))
@@ -102,17 +102,17 @@
             self.server.close()
 
 
-def respond_in_turn(*answers: bytes) -> Script:
+def respond_in_turn(*responses: bytes) -> Script:
     """Return a script that sends these responses in turn and repeats the last; an empty one aborts the connection."""
 
     async def script(
         upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        answer = answers[min(request_index, len(answers) - 1)]
-        if not answer:
+        response = responses[min(request_index, len(responses) - 1)]
+        if not response:
             writer.transport.abort()
             raise ConnectionResetError
-        writer.write(answer)
+        writer.write(response)
         await writer.drain()
 
     return script
@@ -390,9 +390,9 @@
     async with sidecar(upstream) as running_sidecar:
         reader, writer = await running_sidecar.connect()
         writer.write(data)
-        answer = await reader.read()
+        response = await reader.read()
         writer.close()
-        assert int(answer.split(b" ")[1]) == expected_status and b"Connection: close" in answer
+        assert int(response.split(b" ")[1]) == expected_status and b"Connection: close" in response
         assert upstream.requests == []
         assert status_of(await running_sidecar.fetch(request())) == 200
 
--- a/tests/sidecar_probes.py
+++ b/tests/sidecar_probes.py
@@ -31,15 +31,15 @@
 
 def record_ended_attempts(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     """Return a list to which the index of each attempt is added when it ends."""
-    numbers: list[int] = []
+    attempt_indexes: list[int] = []
     end_attempt = RequestDispatcher._end_attempt
 
-    def record(self: RequestDispatcher, request: Any, number: int, result: AttemptResult) -> None:
-        numbers.append(number)
-        end_attempt(self, request, number, result)
+    def record(self: RequestDispatcher, open_request: Any, attempt_index: int, result: AttemptResult) -> None:
+        attempt_indexes.append(attempt_index)
+        end_attempt(self, open_request, attempt_index, result)
 
     monkeypatch.setattr(RequestDispatcher, "_end_attempt", record)
-    return numbers
+    return attempt_indexes
 
 
 def record_servers(monkeypatch: pytest.MonkeyPatch) -> list[Server]:
@@ -57,10 +57,10 @@
 
 @dataclass
 class DelayedConnections:
-    """Delays connections to an upstream until `released` is set; `started` counts them."""
+    """Delays connections to an upstream until `release` is set; `started_count` counts them."""
 
-    released: asyncio.Event = field(default_factory=asyncio.Event)
-    started: int = 0
+    release: asyncio.Event = field(default_factory=asyncio.Event)
+    started_count: int = 0
 
     def delay(self, upstream: Upstream, patch: pytest.MonkeyPatch) -> None:
         """Delay connections to `upstream` that are started from now on."""
@@ -68,8 +68,8 @@
 
         async def connect_after_release(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
             if address[1] == upstream.port:
-                self.started += 1
-                await self.released.wait()
+                self.started_count += 1
+                await self.release.wait()
             await connect(loop, sock, address)
 
         patch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_after_release)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -72,7 +72,7 @@
             writer.write(request(request_id="1") + request(request_id="2"))
             responses = await reader.read()
             writer.close()
-        assert [part[:3] for part in responses.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
+        assert [response[:3] for response in responses.split(b"HTTP/1.1 ")[1:]] == [b"200", b"400"]
         assert len(upstream.requests) == 1
 
     run_async(test)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -14,7 +14,7 @@
 from ryepier.sidecar import system
 from tests.disconnect_testbed import (
     CLASSES,
-    DISCONNECT_NOTICED_S,
+    DISCONNECT_DETECTION_S,
     DISCONNECTS,
     DISCONNECTS_AFTER_BYTES,
     SETTLE_S,
@@ -51,13 +51,13 @@
 @pytest.fixture(name="run")
 def run_fixture(monkeypatch: pytest.MonkeyPatch) -> Run:
     """Return a function that runs steps on a testbed whose converter holds back its responses."""
-    accepted = record_requests(monkeypatch)
+    accepted_requests = record_requests(monkeypatch)
 
     def run(steps: Steps) -> None:
         async def run_on_testbed() -> None:
             converter = manual_converter()
             async with sidecar(converter, classes=CLASSES) as running_sidecar:
-                await steps(Testbed(running_sidecar, converter, accepted, monkeypatch))
+                await steps(Testbed(running_sidecar, converter, accepted_requests, monkeypatch))
 
         run_async(run_on_testbed)
 
@@ -75,7 +75,7 @@
         await testbed.occupy_only_slot()
         client = await testbed.send_buffered_request()
         disconnect_after_bytes(client, disconnect, byte_count)
-        await asyncio.sleep(DISCONNECT_NOTICED_S)
+        await asyncio.sleep(DISCONNECT_DETECTION_S)
         testbed.converter.respond(OK)
         await testbed.check_only_forwarded(1)
         client.close()
@@ -101,15 +101,15 @@
     disconnect: Disconnect, run: Run
 ) -> None:
     async def steps(testbed: Testbed) -> None:
-        delayed = DelayedConnections()
-        delayed.delay(testbed.converter, testbed.monkeypatch)
+        delayed_connections = DelayedConnections()
+        delayed_connections.delay(testbed.converter, testbed.monkeypatch)
         client = testbed.connect(request("pay", "2"))
-        await wait_until(lambda: delayed.started == 1)
+        await wait_until(lambda: delayed_connections.started_count == 1)
         disconnect(client)
-        await asyncio.sleep(DISCONNECT_NOTICED_S)
-        delayed.released.set()
-        await asyncio.sleep(DISCONNECT_NOTICED_S)
-        assert testbed.converter.connections == 1 and testbed.converter.started_attempts == 0
+        await asyncio.sleep(DISCONNECT_DETECTION_S)
+        delayed_connections.release.set()
+        await asyncio.sleep(DISCONNECT_DETECTION_S)
+        assert testbed.converter.connection_count == 1 and testbed.converter.started_attempts == 0
         client.close()
 
     run(steps)
@@ -118,11 +118,11 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_request_is_not_retried_after_its_client_disconnected(disconnect: Disconnect, run: Run) -> None:
     async def steps(testbed: Testbed) -> None:
-        ended = record_ended_attempts(testbed.monkeypatch)
+        ended_attempts = record_ended_attempts(testbed.monkeypatch)
         client = testbed.connect(request("pay", "1"))
         await wait_until(lambda: len(testbed.converter.held_responses) == 1)
         testbed.converter.respond(NOT_RUN)
-        await wait_until(lambda: ended == [0])
+        await wait_until(lambda: ended_attempts == [0])
         assert testbed.converter.started_attempts == 1  # the converter is ejected, which delays the retry
         disconnect(client)
         await asyncio.sleep(EJECTION_S)
@@ -157,7 +157,7 @@
                 # Poll instead of blocking: the sidecar runs in the same event loop.
                 await wait_until(lambda: bool(select.select([converter], [], [], 0)[0]))
                 client.close()
-                await asyncio.sleep(DISCONNECT_NOTICED_S)
+                await asyncio.sleep(DISCONNECT_DETECTION_S)
                 assert 0 < await received_body_bytes(converter) < BODY_BYTES
                 converter.close()
 
@@ -206,7 +206,7 @@
             while not all(converter.requests for converter in converters):  # until each has an idle connection
                 assert status_of(await running_sidecar.fetch(request("pay"))) == 200
             await asyncio.sleep(SETTLE_S)
-            started_before = sum(converter.started_attempts for converter in converters)
+            attempts_before = sum(converter.started_attempts for converter in converters)
             for converter in converters:
                 converter.holds_responses = True
             client = socket.create_connection(("127.0.0.1", running_sidecar.port))
@@ -216,7 +216,7 @@
             events = [lambda: disconnect(client), lambda: failing_converter.respond(NOT_RUN)]
             block_event_loop(*(events[::-1] if failure_first else events))
             await asyncio.sleep(2 * SETTLE_S)
-            assert sum(converter.started_attempts for converter in converters) == started_before + 1
+            assert sum(converter.started_attempts for converter in converters) == attempts_before + 1
             client.close()
 
     run_async(test)
@@ -227,18 +227,20 @@
     disconnect: Disconnect, byte_count: int, run: Run
 ) -> None:
     async def steps(testbed: Testbed) -> None:
-        connect, disconnected = asyncio.SelectorEventLoop.sock_connect, asyncio.Event()
+        connect, client_disconnected = asyncio.SelectorEventLoop.sock_connect, asyncio.Event()
 
         async def connect_and_block_loop(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
             if address[1] == testbed.converter.port:
                 loop.call_soon(
-                    block_event_loop, lambda: disconnect_after_bytes(client, disconnect, byte_count), disconnected.set
+                    block_event_loop,
+                    lambda: disconnect_after_bytes(client, disconnect, byte_count),
+                    client_disconnected.set,
                 )
             await connect(loop, sock, address)
 
         testbed.monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_and_block_loop)
         client = testbed.connect(request("pay", "2"))
-        await disconnected.wait()
+        await client_disconnected.wait()
         await asyncio.sleep(2 * SETTLE_S)
         assert testbed.converter.started_attempts == 0
         client.close()
@@ -256,9 +258,9 @@
         assert status_of(await testbed.sidecar.fetch(request("pay", "1"))) == 200
         client = testbed.connect()
         await asyncio.sleep(SETTLE_S if wait_until_accepted else 0.0)
-        pipelined = request("pay", "5", body=b"x" * byte_count) if byte_count else b""
+        pipelined_data = request("pay", "5", body=b"x" * byte_count) if byte_count else b""
         block_event_loop(
-            lambda: client.sendall(request("pay", "2") + pipelined), lambda: disconnect(client), lambda: None
+            lambda: client.sendall(request("pay", "2") + pipelined_data), lambda: disconnect(client), lambda: None
         )
         await testbed.check_only_forwarded(1)
         client.close()
@@ -286,9 +288,9 @@
 
 def test_client_that_closes_its_sending_direction_counts_as_disconnected(run: Run) -> None:
     async def steps(testbed: Testbed) -> None:
-        in_flight = await testbed.occupy_only_slot()
-        buffered = await testbed.send_buffered_request()
-        for client in (buffered, in_flight):
+        in_flight_client = await testbed.occupy_only_slot()
+        buffered_client = await testbed.send_buffered_request()
+        for client in (buffered_client, in_flight_client):
             reader, writer = await asyncio.open_connection(sock=client)
             writer.write_eof()
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
@@ -333,19 +335,19 @@
 def test_request_is_not_sent_if_its_client_left_while_the_connection_was_being_established(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    delayed = DelayedConnections()
+    delayed_connections = DelayedConnections()
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream) as running_sidecar:
-            delayed.delay(upstream, monkeypatch)
+            delayed_connections.delay(upstream, monkeypatch)
             _, writer = await running_sidecar.connect()
             writer.write(request("pay", "1"))
-            await wait_until(lambda: delayed.started == 1)
+            await wait_until(lambda: delayed_connections.started_count == 1)
             writer.close()
             await writer.wait_closed()
             await asyncio.sleep(0.1)
-            delayed.released.set()
+            delayed_connections.release.set()
             assert status_of(await running_sidecar.fetch(request("pay", "2"))) == 200
         assert [b"X-Request-Id: 2\r\n" in head for head, _ in upstream.requests] == [True]
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,7 +15,7 @@
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
 from ryepier.sidecar.server import FIRST_REQUEST_GRACE_S
-from tests.limited_sidecar import DESCRIPTOR_LIMIT, LimitedSidecar, converters, limited_sidecar, was_closed
+from tests.limited_sidecar import DESCRIPTOR_LIMIT, LimitedSidecar, converter_list, limited_sidecar, was_closed
 from tests.loopback_ports import free_port
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
@@ -69,7 +69,7 @@
             0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append
         ).cancel()
         await wait_until(lambda: not pool.dial_tasks)
-        assert len(pool.idle[1]) == 8  # a cancelled attempt evicts no idle connection
+        assert len(pool.idle_connections[1]) == 8  # a cancelled attempt evicts no idle connection
         cancelled_attempts = [
             pool.start_attempt(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append)
             for _ in range(8)
@@ -90,9 +90,9 @@
 
 def test_connections_being_established_count_towards_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        upstream, delayed = Upstream(respond_in_turn(OK)), DelayedConnections()
+        upstream, delayed_connections = Upstream(respond_in_turn(OK)), DelayedConnections()
         await upstream.start()
-        delayed.delay(upstream, monkeypatch)
+        delayed_connections.delay(upstream, monkeypatch)
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=MAX_POOL_CONNECTIONS)
         results: list[AttemptResult] = []
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
@@ -101,8 +101,10 @@
                 upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
             )
         await wait_until(lambda: len(results) == 4)
-        assert delayed.started == 8 and {result.outcome for result in results} == {Outcome.CONNECT_FAILED}
-        delayed.released.set()
+        assert delayed_connections.started_count == 8 and {result.outcome for result in results} == {
+            Outcome.CONNECT_FAILED
+        }
+        delayed_connections.release.set()
         await wait_until(lambda: len(results) == 12)
         assert {result.outcome for result in results[4:]} == {Outcome.OK}
         upstream.stop()
@@ -195,7 +197,7 @@
             assert sidecar.max_descriptors > DESCRIPTOR_LIMIT // 2  # the sidecar has as many clients as it accepts
             if agent is not None:
                 agent.close()
-            discovery = Discovery(initial_list=converters(upstream, 2))
+            discovery = Discovery(initial_list=converter_list(upstream, 2))
             discovery.server = await asyncio.start_server(discovery.serve, "127.0.0.1", port)
             async with asyncio.timeout(MAX_NOTIFICATION_S):
                 await discovery.watch_opened.wait()
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -39,15 +39,15 @@
     agent = FaultyDiscovery(fault_order, 0.0 if is_pushed else POLL_DURATION_S)
     await agent.start()
     agents[agent.port] = agent
-    arrived: asyncio.Future[float] = asyncio.get_running_loop().create_future()
+    arrived_at: asyncio.Future[float] = asyncio.get_running_loop().create_future()
 
     def on_update(event: UpstreamsUpdated) -> None:
-        if event.version == NEW_VERSION and event.kind is not ListKind.FAILED and not arrived.done():
-            arrived.set_result(time.monotonic())
+        if event.version == NEW_VERSION and event.kind is not ListKind.FAILED and not arrived_at.done():
+            arrived_at.set_result(time.monotonic())
 
     client = start_client(agent, is_pushed, on_update)
     try:
-        return await arrived - agent.reachable_at
+        return await arrived_at - agent.reachable_at
     finally:
         client.stop()
         agent.stop()
@@ -103,7 +103,7 @@
         await asyncio.sleep(POLL_DURATION_S + 3.2 * EMPTY_LINE_INTERVAL_S)
         client.stop()
         agent.stop()
-        return len(agent.calls)
+        return len(agent.call_times)
 
     async def test() -> None:
         cases = list(itertools.product((True, False), (NEW_BYTES, b"")))  # with a new list, and without one
@@ -114,7 +114,7 @@
 
 # A fleet, in virtual time
 
-FLEET_POLL_DURATION_S = 3  # time in which discovery serves one poll of each sidecar
+FLEET_POLLING_ROUND_S = 3  # time in which discovery serves one poll of each sidecar
 OUTAGE_START_S = 10.0
 OUTAGE_END_S = 25.3
 RUN_AFTER_S = 20.0
@@ -123,9 +123,9 @@
 class Outage(NamedTuple):
     """How all watches end at once, how discovery answers polls afterwards, and when it is reachable again."""
 
-    by_silence: bool
+    ended_by_silence: bool
     phases: list[Phase]
-    reachable_s: float
+    reachable_at_s: float
 
 
 UP_PHASE = Phase(0.0, DiscoveryMode.UP)
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
 def test_fleet_that_starts_at_once_has_its_list_within_6_s(sidecar_count: int) -> None:
-    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [UP_PHASE])
+    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLLING_ROUND_S, [UP_PHASE])
     fleet.start_all()
     fleet.run_until(RUN_AFTER_S)
     check_all_updated("start", fleet, 0.0)
@@ -177,16 +177,16 @@
 @pytest.mark.parametrize("outage_name", OUTAGES)
 def test_change_reaches_a_whole_fleet_within_6_s_after_an_outage(outage_name: str, sidecar_count: int) -> None:
     outage = OUTAGES[outage_name]
-    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, outage.phases)
-    fleet.break_watches(OUTAGE_START_S, outage.by_silence)
-    fleet.run_until(outage.reachable_s + RUN_AFTER_S)
-    check_all_updated(outage_name, fleet, outage.reachable_s)
+    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLLING_ROUND_S, outage.phases)
+    fleet.break_watches(OUTAGE_START_S, outage.ended_by_silence)
+    fleet.run_until(outage.reachable_at_s + RUN_AFTER_S)
+    check_all_updated(outage_name, fleet, outage.reachable_at_s)
 
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
 def test_rejected_fleet_polls_evenly_and_each_sidecar_about_every_4_s(sidecar_count: int) -> None:
     """Drawing a new time after each failure would double the polls, most of them right when discovery returns."""
-    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLL_DURATION_S, [Phase(0.0, DiscoveryMode.REFUSED)])
+    fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLLING_ROUND_S, [Phase(0.0, DiscoveryMode.REFUSED)])
     fleet.start_all()
     fleet.run_until(30.0)
     polls_per_second = [fleet.polls[second] for second in range(10, 30)]
@@ -196,9 +196,9 @@
     )
 
 
-def check_all_updated(outage_name: str, fleet: PollingFleet, reachable_s: float) -> None:
+def check_all_updated(outage_name: str, fleet: PollingFleet, reachable_at_s: float) -> None:
     """Check that all sidecars got the list in time, and print the polls per second at discovery."""
-    delays_s = fleet.update_delays_s(reachable_s)
+    delays_s = fleet.update_delays_s(reachable_at_s)
     polls = " ".join(f"{second}:{count}" for second, count in sorted(fleet.polls.items()))
     median_s = sorted(delays_s)[len(delays_s) // 2]
     print(
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -17,12 +17,12 @@
 from tests.acceptance import (
     ANSWER_TOLERANCE_S,
     DEADLINE_S,
-    SERVED,
+    SERVED_STATUS,
     Agent,
-    Application,
     ClientRequest,
     Converter,
     Exchange,
+    RecordingClient,
     SidecarProcess,
     unanswered_requests,
 )
@@ -33,7 +33,8 @@
 FAULTS = ("reload", "drain", "kill", "pieces")
 FAULTS_BEFORE_SHUTDOWN = ("reload", "drain", "kill")
 BODY = b"a file in two halves"
-HEAD_PIECE, BODY_PIECE = 30, 12  # offsets of the splits: from the start of the head, and from the end of the body
+# Requests are split this many bytes after the start of the head and before the end of the body.
+FIRST_PIECE_LENGTH, LAST_PIECE_LENGTH = 30, 12
 FAULT_INTERVAL_S = 0.03  # between two faults; requests stay open over it
 WORK_S = 0.06  # time in which a converter handles a request
 CLASS_NAMES = ("read", "pay", "mark")
@@ -41,8 +42,8 @@
 RUN_TIMEOUT_S = 60.0
 # A single run of an order with a seeded fault may have no open request at the fault.
 SEEDED_FAULT_REPEATS = 4
-MIN_REQUESTS_BEFORE = 3  # to each converter before an order begins
-MIN_REQUESTS, MIN_SERVED = 10, 5  # per order, for the check to be meaningful
+MIN_REQUESTS_PER_CONVERTER = 3  # to each converter before an order begins
+MIN_REQUESTS_PER_ORDER, MIN_SERVED_PER_ORDER = 10, 5  # per order, for the check to be meaningful
 
 # Faults of tests/seeded_sidecar_faults.py, each with an order in which it leaves a request without an answer
 SEEDED_FAULTS = [
@@ -67,8 +68,10 @@
     """Three converters, a discovery agent and a client of one sidecar; each fault is a method."""
 
     def __init__(self) -> None:
-        self.application = Application()
-        self.steady, self.draining, self.crashing = (Converter(respond_after_work) for _ in range(3))
+        self.client = RecordingClient()
+        self.steady_converter, self.draining_converter, self.crashing_converter = (
+            Converter(respond_after_work) for _ in range(3)
+        )
         self.agent = Agent()
         self.agents: list[Agent] = []
         self.revision = 1
@@ -77,35 +80,35 @@
         self.partial_exchanges: list[Exchange] = []
 
     async def start(self) -> None:
-        for converter in (self.steady, self.draining, self.crashing):
+        for converter in (self.steady_converter, self.draining_converter, self.crashing_converter):
             await converter.start()
-        await self.new_agent()
+        await self.start_new_agent()
 
     def stop(self) -> None:
-        for converter in (self.steady, self.draining, self.crashing):
+        for converter in (self.steady_converter, self.draining_converter, self.crashing_converter):
             converter.crash()
         for agent in self.agents:
             agent.stop()
 
     def endpoint_list(self) -> dict[str, Any]:
         return endpoint_list(
-            endpoint_entry("steady", self.steady.port),
-            endpoint_entry(f"draining-{self.generation}", self.draining.port, self.drain_state),
-            endpoint_entry(f"dying-{self.generation}", self.crashing.port),
+            endpoint_entry("steady", self.steady_converter.port),
+            endpoint_entry(f"draining-{self.generation}", self.draining_converter.port, self.drain_state),
+            endpoint_entry(f"dying-{self.generation}", self.crashing_converter.port),
             rev=self.revision,
         )
 
-    async def new_agent(self) -> None:
+    async def start_new_agent(self) -> None:
         self.agent = Agent(initial_list=self.endpoint_list())
         self.agents.append(self.agent)
         await self.agent.start()
 
-    async def reset_converters(self, sidecar: SidecarProcess) -> None:
+    async def replace_converters(self, sidecar: SidecarProcess) -> None:
         """Replace the draining and the crashing converter by new ones, and wait until the sidecar uses them."""
-        old_converters = self.draining, self.crashing
-        self.draining, self.crashing = Converter(respond_after_work), Converter(respond_after_work)
-        await self.draining.start()
-        await self.crashing.start()
+        old_converters = self.draining_converter, self.crashing_converter
+        self.draining_converter, self.crashing_converter = Converter(respond_after_work), Converter(respond_after_work)
+        await self.draining_converter.start()
+        await self.crashing_converter.start()
         self.generation += 1
         self.revision += 1
         self.drain_state = "active"
@@ -113,22 +116,25 @@
         self.agent.send_list(self.agent.initial_list)
         for converter in old_converters:
             converter.crash()
-        await self.use_all_converters(sidecar)
+        await self.use_faulty_converters(sidecar)
 
-    async def use_all_converters(self, sidecar: SidecarProcess) -> None:
+    async def use_faulty_converters(self, sidecar: SidecarProcess) -> None:
         """Send requests until both faulty converters have had some, after which the sidecar sends several at once."""
         async with asyncio.timeout(RUN_TIMEOUT_S):
-            while min(len(self.draining.requests), len(self.crashing.requests)) < MIN_REQUESTS_BEFORE:
-                await self.application.fetch(sidecar, "read")
+            while (
+                min(len(self.draining_converter.requests), len(self.crashing_converter.requests))
+                < MIN_REQUESTS_PER_CONVERTER
+            ):
+                await self.client.fetch(sidecar, "read")
                 await asyncio.sleep(FAULT_INTERVAL_S / 2)
 
     async def send_burst(self, sidecar: SidecarProcess) -> None:
         """Send two complete requests of each class."""
         for class_name in CLASS_NAMES * 2:
-            await self.application.fetch(sidecar, class_name)
+            await self.client.fetch(sidecar, class_name)
 
     async def reload_configuration(self, sidecar: SidecarProcess) -> None:
-        await self.new_agent()
+        await self.start_new_agent()
         sidecar.reload(self.agent)
 
     async def drain_converter(self, sidecar: SidecarProcess) -> None:
@@ -139,7 +145,7 @@
             self.agent.send_list(self.agent.initial_list)
 
     async def kill_converter(self, sidecar: SidecarProcess) -> None:
-        self.crashing.kill_at_next_connection()
+        self.crashing_converter.kill_at_next_connection()
 
     async def stop_sidecar(self, sidecar: SidecarProcess) -> None:
         sidecar.stop()
@@ -148,7 +154,7 @@
         """Send the first piece of a request of each class; all are split in the head, those with a body also in it."""
         for class_name in CLASS_NAMES:
             body = b"" if class_name == "read" else BODY
-            exchange = await self.application.send_first_piece(sidecar, class_name, [HEAD_PIECE], body)
+            exchange = await self.client.send_first_piece(sidecar, class_name, [FIRST_PIECE_LENGTH], body)
             self.split_body(exchange, len(body))
             self.partial_exchanges.append(exchange)
 
@@ -156,7 +162,7 @@
     def split_body(exchange: Exchange, body_length: int) -> None:
         """Split the unsent part of a request in its body, or in the head if it has no body."""
         (unsent,) = exchange.unsent
-        split_offset = len(unsent) - (BODY_PIECE if body_length else 2)
+        split_offset = len(unsent) - (LAST_PIECE_LENGTH if body_length else 2)
         exchange.unsent = [unsent[:split_offset], unsent[split_offset:]]
 
     def send_next_pieces(self) -> None:
@@ -168,7 +174,7 @@
     def send_last_pieces(self) -> None:
         """Send the rest of the partial requests."""
         for exchange in self.partial_exchanges:
-            self.application.finish(exchange)
+            self.client.finish(exchange)
         self.partial_exchanges.clear()
 
     async def run(self, sidecar: SidecarProcess, order: Sequence[str]) -> None:
@@ -180,17 +186,17 @@
             "pieces": self.send_first_pieces,
             "stop": self.stop_sidecar,
         }
-        stopped = False
+        is_stopped = False
         for name in order:
-            if not stopped:
+            if not is_stopped:
                 await self.send_burst(sidecar)
             await faults[name](sidecar)
-            stopped |= name == "stop"
+            is_stopped |= name == "stop"
             await asyncio.sleep(FAULT_INTERVAL_S)
             self.send_next_pieces()
         await asyncio.sleep(FAULT_INTERVAL_S)
         self.send_last_pieces()
-        if not stopped:
+        if not is_stopped:
             await self.send_burst(sidecar)
 
 
@@ -201,18 +207,18 @@
     sidecar = SidecarProcess(directory, "sidecar", scenario.agent, scenario.endpoint_list(), seeded_fault)
     try:
         await sidecar.start()
-        await scenario.use_all_converters(sidecar)
+        await scenario.use_faulty_converters(sidecar)
         for order_index, order in enumerate(orders):
             if order_index:
-                await scenario.reset_converters(sidecar)
+                await scenario.replace_converters(sidecar)
             await scenario.run(sidecar, order)
-        await scenario.application.wait_until_ended()
+        await scenario.client.wait_until_ended()
         if "stop" in orders[-1]:
             assert await sidecar.wait_until_ended() == 0
     finally:
         sidecar.kill()
         scenario.stop()
-    return scenario.application.requests
+    return scenario.client.requests
 
 
 def stop_orders() -> list[tuple[str, ...]]:
@@ -259,8 +265,8 @@
 
 def check_request_counts(requests: Sequence[ClientRequest], order_count: int) -> None:
     """Check that enough requests were sent and served for the other checks to be meaningful."""
-    assert len(requests) >= MIN_REQUESTS * order_count
-    assert sum(record.status == SERVED for record in requests) >= MIN_SERVED * order_count
+    assert len(requests) >= MIN_REQUESTS_PER_ORDER * order_count
+    assert sum(record.status == SERVED_STATUS for record in requests) >= MIN_SERVED_PER_ORDER * order_count
 
 
 @pytest.mark.parametrize("first_fault", FAULTS)
@@ -291,7 +297,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ended_s", "is_unanswered"),
+    ("ended_at", "is_unanswered"),
     [
         (None, True),
         (DEADLINE_S + ANSWER_TOLERANCE_S + 0.01, True),
@@ -300,7 +306,7 @@
     ],
 )
 def test_request_counts_as_unanswered_if_its_answer_is_late_or_missing(
-    ended_s: float | None, is_unanswered: bool
+    ended_at: float | None, is_unanswered: bool
 ) -> None:
-    request = ClientRequest("sidecar", "1", ended_s=ended_s)
+    request = ClientRequest("sidecar", "1", ended_at=ended_at)
     assert unanswered_requests([request]) == ([request] if is_unanswered else [])
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -36,15 +36,15 @@
     def __init__(self) -> None:
         self.upstream = Upstream(self.serve)
         self.sent_at = 0.0
-        self.passed_ms: list[int] = []
-        self.remaining_ms: list[float] = []
+        self.passed_deadlines_ms: list[int] = []
+        self.remaining_times_ms: list[float] = []
 
     async def serve(
         self, upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         head = upstream.requests[request_index][0].lower()
-        self.passed_ms.append(int(head.partition(b"x-deadline-ms:")[2].split(b"\r\n")[0]))
-        self.remaining_ms.append(DEADLINE_MS - 1_000 * (time.monotonic() - self.sent_at))
+        self.passed_deadlines_ms.append(int(head.partition(b"x-deadline-ms:")[2].split(b"\r\n")[0]))
+        self.remaining_times_ms.append(DEADLINE_MS - 1_000 * (time.monotonic() - self.sent_at))
         writer.write(OK)
 
     async def fetch(self, sidecar: Sidecar) -> int:
@@ -53,18 +53,18 @@
 
 
 def test_slow_connection_setup_shortens_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
-    delayed = DelayedConnections()
+    delayed_connections = DelayedConnections()
 
     async def test() -> None:
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as running_sidecar:
-            delayed.delay(recorder.upstream, monkeypatch)
+            delayed_connections.delay(recorder.upstream, monkeypatch)
             status_task = asyncio.create_task(recorder.fetch(running_sidecar))
-            await wait_until(lambda: delayed.started == 1)
+            await wait_until(lambda: delayed_connections.started_count == 1)
             await asyncio.sleep(DELAY_S)
-            delayed.released.set()
+            delayed_connections.release.set()
             assert await status_task == 200
-        assert recorder.passed_ms[0] <= recorder.remaining_ms[0] + SLACK_MS
+        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + SLACK_MS
 
     run_async(test)
 
@@ -82,7 +82,7 @@
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as running_sidecar:
             assert await recorder.fetch(running_sidecar) == 200
-        assert recorder.passed_ms[0] <= recorder.remaining_ms[0] + SLACK_MS
+        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + SLACK_MS
 
     run_async(test)
 
@@ -105,7 +105,7 @@
         async with sidecar(recorder.upstream) as running_sidecar:
             block_loop_after_dial(recorder.upstream, DELAY_S, monkeypatch)
             assert await recorder.fetch(running_sidecar) == 200
-        assert recorder.passed_ms[0] <= recorder.remaining_ms[0] + SLACK_MS
+        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + SLACK_MS
 
     run_async(test)
 
@@ -133,7 +133,7 @@
 def test_shutdown_shortens_the_deadline_of_a_later_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    delayed = DelayedConnections()
+    delayed_connections = DelayedConnections()
 
     async def test() -> None:
         recorder = DeadlineRecorder()
@@ -147,14 +147,15 @@
             )
         ]
         async with sidecar(recorder.upstream, classes=classes) as running_sidecar:
-            delayed.delay(recorder.upstream, monkeypatch)
+            delayed_connections.delay(recorder.upstream, monkeypatch)
             response = asyncio.create_task(running_sidecar.fetch(request("pay", deadline_ms=20_000)))
-            await wait_until(lambda: delayed.started == 1)
+            await wait_until(lambda: delayed_connections.started_count == 1)
             running_sidecar.stop.set()
             await asyncio.sleep(DELAY_S)
-            delayed.released.set()
+            delayed_connections.release.set()
             assert status_of(await response) == 200
             await running_sidecar.task
-        assert recorder.passed_ms[0] <= 3_600 - 1_000 * DELAY_S + SLACK_MS  # the process ends 3.6 s after SIGTERM
+        # the process ends 3.6 s after SIGTERM
+        assert recorder.passed_deadlines_ms[0] <= 3_600 - 1_000 * DELAY_S + SLACK_MS
 
     run_async(test)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -22,12 +22,12 @@
     MIN_OUTAGE_S,
     POLLED_SETTINGS,
     PUSHED_SETTINGS,
-    SERVED,
+    SERVED_STATUS,
     Agent,
-    Application,
     ClientRequest,
     Converter,
     Outage,
+    RecordingClient,
     SidecarProcess,
     find_outages,
 )
@@ -35,7 +35,7 @@
 
 pytestmark = pytest.mark.xdist_group("service_after_lists")  # all tests share one run
 
-CONVERTERS = 3  # number of converters before and after the replacement
+CONVERTER_COUNT = 3  # number of converters before and after the replacement
 WORK_S = 0.02  # time in which a converter handles a request
 REQUEST_INTERVAL_S = 0.1
 CLASSES = ("read", "pay")
@@ -78,17 +78,17 @@
     """The requests of one run; times are in seconds on the event loop's clock."""
 
     requests: list[ClientRequest]
-    replacement_s: float  # when the replacement began
-    end_s: float
+    replacement_started_at: float  # when the replacement began
+    ended_at: float
 
     def outages(self, sidecar: str) -> list[Outage]:
         """Return the outages of this sidecar."""
-        outages = find_outages(self.requests, self.replacement_s, self.end_s)
+        outages = find_outages(self.requests, self.replacement_started_at, self.ended_at)
         return [outage for outage in outages if outage.sidecar == sidecar]
 
-    def served(self, sidecar: str) -> int:
+    def served_count(self, sidecar: str) -> int:
         """Return how many requests this sidecar served."""
-        return sum(request.sidecar == sidecar and request.status == SERVED for request in self.requests)
+        return sum(request.sidecar == sidecar and request.status == SERVED_STATUS for request in self.requests)
 
 
 class Fleet:
@@ -96,14 +96,14 @@
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
-        self.application = Application()
-        self.old_converters = [Converter(respond_after_work) for _ in range(CONVERTERS)]
-        self.new_converters = [Converter(respond_after_work) for _ in range(CONVERTERS)]
+        self.client = RecordingClient()
+        self.old_converters = [Converter(respond_after_work) for _ in range(CONVERTER_COUNT)]
+        self.new_converters = [Converter(respond_after_work) for _ in range(CONVERTER_COUNT)]
         self.fleet_sidecars: list[FleetSidecar] = []
         self.agents: list[Agent] = []
-        self.paused: set[str] = set()  # names of the sidecars that get no requests at the moment
+        self.paused_sidecars: set[str] = set()  # names of the sidecars that get no requests at the moment
 
-    def first_list(self) -> dict[str, Any]:
+    def old_list(self) -> dict[str, Any]:
         return endpoint_list(
             *(endpoint_entry(f"old-{index}", converter.port) for index, converter in enumerate(self.old_converters))
         )
@@ -126,7 +126,7 @@
             for index, converter in enumerate(self.new_converters)
         ]
 
-    async def new_agent(self, initial_list: dict[str, Any]) -> Agent:
+    async def start_new_agent(self, initial_list: dict[str, Any]) -> Agent:
         agent = Agent(initial_list=initial_list)
         self.agents.append(agent)
         await agent.start()
@@ -155,8 +155,8 @@
         self, name: str, notification_mode: str, seeded_fault: str = "", settings: dict[str, Any] = PUSHED_SETTINGS
     ) -> None:
         """Add a sidecar without starting it."""
-        agent = await self.new_agent(self.first_list())
-        process = SidecarProcess(self.directory / name, name, agent, self.first_list(), seeded_fault, settings)
+        agent = await self.start_new_agent(self.old_list())
+        process = SidecarProcess(self.directory / name, name, agent, self.old_list(), seeded_fault, settings)
         self.fleet_sidecars.append(FleetSidecar(notification_mode, agent, process))
 
     def stop(self) -> None:
@@ -171,8 +171,8 @@
         """Send requests at a constant rate."""
         number = 0
         while True:
-            if fleet_sidecar.process.name not in self.paused:
-                await self.application.fetch(fleet_sidecar.process, CLASSES[number % len(CLASSES)])
+            if fleet_sidecar.process.name not in self.paused_sidecars:
+                await self.client.fetch(fleet_sidecar.process, CLASSES[number % len(CLASSES)])
                 number += 1
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
@@ -184,7 +184,7 @@
             "whole": self.notify_by_complete_list,
             "sighup": self.notify_after_sighup,
             "restart": self.notify_after_restart,
-            "cold": self.notify_of_warming_converters,
+            "cold": self.notify_of_converters_warming_up,
         }
         await notifiers[fleet_sidecar.notification_mode](fleet_sidecar)
 
@@ -214,19 +214,19 @@
 
     async def notify_after_sighup(self, fleet_sidecar: FleetSidecar) -> None:
         """Move discovery to a new address, which alone has the change."""
-        fleet_sidecar.agent = await self.new_agent(self.complete_list())
+        fleet_sidecar.agent = await self.start_new_agent(self.complete_list())
         fleet_sidecar.process.reload(fleet_sidecar.agent)
 
     async def notify_after_restart(self, fleet_sidecar: FleetSidecar) -> None:
         """Restart the process with the old list in its configuration."""
-        self.paused.add(fleet_sidecar.process.name)
+        self.paused_sidecars.add(fleet_sidecar.process.name)
         fleet_sidecar.agent.initial_list = self.complete_list()
         fleet_sidecar.process.stop()
         await fleet_sidecar.process.wait_until_ended()
         await fleet_sidecar.process.start()
-        self.paused.discard(fleet_sidecar.process.name)
+        self.paused_sidecars.discard(fleet_sidecar.process.name)
 
-    async def notify_of_warming_converters(self, fleet_sidecar: FleetSidecar) -> None:
+    async def notify_of_converters_warming_up(self, fleet_sidecar: FleetSidecar) -> None:
         """Push the change, with new converters that have all just started."""
         boot_ms = time.time_ns() // 1_000_000
         fleet_sidecar.agent.initial_list = self.complete_list(boot_ms)
@@ -237,19 +237,19 @@
         loop = asyncio.get_running_loop()
         tasks = [asyncio.create_task(self.send_requests(fleet_sidecar)) for fleet_sidecar in self.fleet_sidecars]
         await asyncio.sleep(RUN_BEFORE_S)
-        replacement_s = loop.time()
+        replacement_started_at = loop.time()
         tasks += [asyncio.create_task(self.notify(fleet_sidecar)) for fleet_sidecar in self.fleet_sidecars]
         await asyncio.sleep(OLD_CONVERTERS_LIFETIME_S)
         for converter in self.old_converters:
             converter.crash()
         await asyncio.sleep(RUN_AFTER_S)
-        end_s = loop.time()
+        ended_at = loop.time()
         for task in tasks:
             if task.done():
                 task.result()  # raises the exception of a failed task
             task.cancel()
-        await self.application.wait_until_ended()
-        return Observation(self.application.requests, replacement_s, end_s)
+        await self.client.wait_until_ended()
+        return Observation(self.client.requests, replacement_started_at, ended_at)
 
 
 async def run(directory: Path) -> Observation:
@@ -275,36 +275,38 @@
 def test_sidecar_serves_within_four_seconds_for_every_kind_of_list_update(
     sidecar: str, observation: Observation
 ) -> None:
-    assert observation.served(sidecar) >= MIN_OUTAGE_REQUESTS
+    assert observation.served_count(sidecar) >= MIN_OUTAGE_REQUESTS
     assert observation.outages(sidecar) == []
 
 
 @pytest.mark.parametrize("seeded_fault", SEEDED_FAULT_BY_MODE.values())
 def test_check_finds_an_outage_caused_by_a_seeded_fault(seeded_fault: str, observation: Observation) -> None:
-    assert observation.served(seeded_fault)  # it served before the replacement
+    assert observation.served_count(seeded_fault)  # it served before the replacement
     assert observation.outages(seeded_fault)
 
 
-def requests_of(sidecar: str, status: int, request_count: int, duration_s: float) -> list[ClientRequest]:
+def evenly_spaced_requests(sidecar: str, status: int, request_count: int, duration_s: float) -> list[ClientRequest]:
     """Return requests spread evenly over a period from 0 to `duration_s`, excluding both ends."""
     return [
-        ClientRequest(sidecar, "", sent_s=duration_s * (index + 1) / (request_count + 1), status=status)
+        ClientRequest(sidecar, "", sent_at=duration_s * (index + 1) / (request_count + 1), status=status)
         for index in range(request_count)
     ]
 
 
 @pytest.mark.parametrize(
-    ("other_status", "request_count", "span_s", "is_found"),
+    ("other_status", "request_count", "duration_s", "is_found"),
     [
-        (SERVED, MIN_OUTAGE_REQUESTS, MIN_OUTAGE_S, True),
-        (SERVED, MIN_OUTAGE_REQUESTS - 1, MIN_OUTAGE_S, False),  # too few requests
-        (SERVED, MIN_OUTAGE_REQUESTS, MIN_OUTAGE_S - 0.1, False),  # too short
+        (SERVED_STATUS, MIN_OUTAGE_REQUESTS, MIN_OUTAGE_S, True),
+        (SERVED_STATUS, MIN_OUTAGE_REQUESTS - 1, MIN_OUTAGE_S, False),  # too few requests
+        (SERVED_STATUS, MIN_OUTAGE_REQUESTS, MIN_OUTAGE_S - 0.1, False),  # too short
         (503, MIN_OUTAGE_REQUESTS, MIN_OUTAGE_S, False),  # no other sidecar serves
     ],
 )
 def test_outage_counts_only_if_it_is_long_and_others_serve(
-    other_status: int, request_count: int, span_s: float, is_found: bool
+    other_status: int, request_count: int, duration_s: float, is_found: bool
 ) -> None:
-    requests = requests_of("other", other_status, 30, span_s) + requests_of("one", 503, request_count, span_s)
-    outages = [outage for outage in find_outages(requests, 0.0, span_s) if outage.sidecar == "one"]
+    requests = evenly_spaced_requests("other", other_status, 30, duration_s) + evenly_spaced_requests(
+        "one", 503, request_count, duration_s
+    )
+    outages = [outage for outage in find_outages(requests, 0.0, duration_s) if outage.sidecar == "one"]
     assert bool(outages) is is_found
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -87,8 +87,8 @@
     with running_program(path) as process:
 
         def fetch_readiness() -> bytes:
-            deadline = time.monotonic() + HANG_TIMEOUT_S
-            while time.monotonic() < deadline:
+            timeout_at = time.monotonic() + HANG_TIMEOUT_S
+            while time.monotonic() < timeout_at:
                 assert process.poll() is None
                 try:
                     with socket.create_connection(("127.0.0.1", port), timeout=HANG_TIMEOUT_S) as sock:
@@ -114,7 +114,7 @@
         await asyncio.sleep(0.05)
         writer.write(OK)
 
-    async def client(client_index: int, port: int, stopped: asyncio.Event, answered: set[str]) -> None:
+    async def send_requests(client_index: int, port: int, stopped: asyncio.Event, answered_ids: set[str]) -> None:
         """Send one request after another until the connection is closed, which must not happen before the stop."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for request_index in range(10_000):
@@ -125,7 +125,7 @@
             except (asyncio.IncompleteReadError, ConnectionError):
                 assert stopped.is_set()  # the connection may be closed between two requests
                 break
-            answered.add(request_id)
+            answered_ids.add(request_id)
             if b"Connection: close" in head:
                 assert stopped.is_set()
                 break
@@ -140,7 +140,7 @@
         )
         path = write_configuration(tmp_path, known=cached_list)
         port = int(json.loads(path.read_text())["listen"].split(":")[1])
-        stopped, answered = asyncio.Event(), set[str]()
+        stopped, answered_ids = asyncio.Event(), set[str]()
         with running_program(path) as process:
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 while True:
@@ -151,19 +151,19 @@
                         await asyncio.sleep(0.02)
                 async with asyncio.TaskGroup() as group:
                     for client_index in range(8):
-                        group.create_task(client(client_index, port, stopped, answered))
+                        group.create_task(send_requests(client_index, port, stopped, answered_ids))
                     await asyncio.sleep(0.5)
                     stopped.set()
                     process.send_signal(signal.SIGTERM)
                 assert await asyncio.to_thread(process.wait, HANG_TIMEOUT_S) == 0
         for upstream in upstreams:
             upstream.stop()
-        executed = {
+        executed_ids = {
             head.split(b"X-Request-Id: ")[1].split(b"\r\n")[0].decode()
             for upstream in upstreams
             for head, _ in upstream.requests
         }
-        assert executed and executed <= answered
+        assert executed_ids and executed_ids <= answered_ids
 
     asyncio.run(test())
 
@@ -171,8 +171,8 @@
 @pytest.mark.parametrize("changes", [{"listen": "nowhere"}, {"settings": {}}, {"limits": {}}])
 def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, changes: dict[str, Any]) -> None:
     with running_program(write_configuration(tmp_path, **changes)) as process:
-        _, errors = process.communicate(timeout=HANG_TIMEOUT_S)
-        assert process.returncode == 2 and len(errors.splitlines()) == 1
+        _, error_output = process.communicate(timeout=HANG_TIMEOUT_S)
+        assert process.returncode == 2 and len(error_output.splitlines()) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -54,7 +54,7 @@
                 )
             } != {200}:
                 pass
-            unanswered = []
+            unanswered_requests = []
             # until there is one more than there can be slots
             while (count_before := unanswered_count()) <= MAX_CONCURRENCY:
                 reader, writer = await running_sidecar.connect()
@@ -62,12 +62,12 @@
                 response = asyncio.create_task(read_message(reader))
                 while not response.done() and unanswered_count() == count_before:
                     await asyncio.sleep(0.005)
-                unanswered.append((response, writer))
+                unanswered_requests.append((response, writer))
                 for _ in range(3):
                     await running_sidecar.fetch(request("pay", body=b"b"))
             while status_of(await running_sidecar.fetch(request("pay", body=b"b"))) != 200:
                 pass
-            for response, writer in unanswered:
+            for response, writer in unanswered_requests:
                 response.cancel()
                 writer.close()
 
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -51,7 +51,7 @@
         async with sidecar(upstream) as running_sidecar:
             for number in range(5):
                 assert (await running_sidecar.fetch(request(request_id=str(number))))[1] == b"done"
-        assert upstream.connections == 3
+        assert upstream.connection_count == 3
 
     run_async(test)
 
@@ -88,13 +88,13 @@
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 while len(upstream.requests) < 3:
                     await running_sidecar.fetch(request())
-            assert upstream.connections == 2
+            assert upstream.connection_count == 2
             discovery.send_list(endpoint_list(endpoint_entry("u0", upstream.port, "left"), rev=3, full=False))
             release.set()
             assert status_of(await read_message(reader)) == 200
             for _ in range(3):  # the old upstream's connection is not reused, the new one's is kept
                 assert status_of(await running_sidecar.fetch(request())) == 200
-            assert upstream.connections == 2
+            assert upstream.connection_count == 2
             writer.close()
 
     run_async(test)
@@ -119,10 +119,10 @@
 
         start_attempt(0)
         await wait_until(lambda: len(results) == 1)
-        assert results[0].outcome is Outcome.OK and len(pool.idle[0]) == 1
+        assert results[0].outcome is Outcome.OK and len(pool.idle_connections[0]) == 1
         blocking_attempts = [start_attempt(1), start_attempt(2)]  # the idle connection is closed for these
         await wait_until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
-        assert pool.idle == {}
+        assert pool.idle_connections == {}
         start_attempt(0)
         await wait_until(lambda: len(results) == 2)
         assert results[1].outcome is Outcome.CONNECT_FAILED
@@ -207,26 +207,26 @@
             async with sidecar(upstream) as running_sidecar:
                 assert status_of(await running_sidecar.fetch(request("pay"))) == 500
                 assert status_of(await running_sidecar.fetch(request("pay"))) == 200
-        assert outcomes == [Outcome.MALFORMED_RESPONSE, Outcome.OK] and upstream.connections == 2
+        assert outcomes == [Outcome.MALFORMED_RESPONSE, Outcome.OK] and upstream.connection_count == 2
 
     run_async(test)
 
 
 def test_idle_connection_is_closed_before_the_upstream_would_close_it() -> None:
     async def test() -> None:
-        ended = asyncio.Event()
+        connection_ended = asyncio.Event()
 
         async def script(
             upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(OK)
             if not await reader.read(1):
-                ended.set()
+                connection_ended.set()
             raise ConnectionResetError
 
         async with sidecar(Upstream(script), upstream_idle_timeout_us=400_000) as running_sidecar:
             await running_sidecar.fetch(request())
-            await ended.wait()
+            await connection_ended.wait()
 
     run_async(test)
 
@@ -260,7 +260,7 @@
         assert [result.outcome for result in results] == [
             Outcome.MALFORMED_RESPONSE if early_response else Outcome.CONNECT_FAILED
         ]
-        assert pool.idle == {} and pool.connections == {} and connection.state is not ConnectionState.OPEN
+        assert pool.idle_connections == {} and pool.connections == {} and connection.state is not ConnectionState.OPEN
         pool.sweep_timer.cancel()
 
     run_async(test)
@@ -280,22 +280,22 @@
             idempotency_window_us=600_000,
         )
     ]
-    delayed = DelayedConnections()
+    delayed_connections = DelayedConnections()
 
     async def test() -> None:
         async def script(
             upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            delayed.delay(second_upstream if upstream is first_upstream else first_upstream, monkeypatch)
+            delayed_connections.delay(second_upstream if upstream is first_upstream else first_upstream, monkeypatch)
             writer.transport.abort()  # it may have run, and is retried in the same failure domain
             raise ConnectionResetError
 
         first_upstream, second_upstream = Upstream(script), Upstream(script)
         async with sidecar(first_upstream, second_upstream, classes=classes, hedging=False) as running_sidecar:
             response = asyncio.create_task(running_sidecar.fetch(request("mark", deadline_ms=6_000)))
-            await wait_until(lambda: delayed.started == 1)
+            await wait_until(lambda: delayed_connections.started_count == 1)
             await asyncio.sleep(0.7)
-            delayed.released.set()
+            delayed_connections.release.set()
             assert status_of(await response) == 500
             assert len(first_upstream.requests) + len(second_upstream.requests) == 1
 
@@ -305,18 +305,18 @@
 def test_attempt_started_before_a_drain_is_not_sent_on_a_late_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    delayed, discovery = DelayedConnections(), Discovery()
+    delayed_connections, discovery = DelayedConnections(), Discovery()
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as running_sidecar:
             await discovery.wait_for_watch()
-            delayed.delay(upstream, monkeypatch)
+            delayed_connections.delay(upstream, monkeypatch)
             response = asyncio.create_task(running_sidecar.fetch(request("pay")))
-            await wait_until(lambda: delayed.started == 1)
+            await wait_until(lambda: delayed_connections.started_count == 1)
             discovery.send_list(endpoint_list(endpoint_entry("u0", upstream.port, "leaving"), rev=2, full=False))
             await asyncio.sleep(0.1)
-            delayed.released.set()
+            delayed_connections.release.set()
             assert status_of(await response) == 503
         assert upstream.requests == []
 
@@ -363,6 +363,6 @@
                 writer.write(request("pay"))
                 assert (await read_message(reader))[1] == b"done"
             writer.close()
-        assert upstream.connections == 2
+        assert upstream.connection_count == 2
 
     run_async(test)
