--- a/ryepier/sidecar/__main__.py
+++ b/ryepier/sidecar/__main__.py
@@ -24,7 +24,8 @@
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload.set)
     await serve(sidecar_config, stop, reload, components)
-    # Closing the event loop removes the handlers; a second signal would then kill the process before it exits.
+    # Closing the event loop removes the handlers, and a further signal would then kill the process before it exits. So
+    # both signals are blocked from here on.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGHUP})
 
 
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -21,13 +21,13 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-MAX_CHUNKED_BYTES = 8 * MAX_BODY_BYTES  # limit of a chunked message: a chunk of one byte takes six bytes
-MAX_DISCARDED_BYTES = 64 * 1024  # received after the last request; beyond this, reading is paused
-READ_TIMEOUT_S = 2.4  # from connecting to the complete first request, and to send a later request
-SLOW_READ_TIMEOUT_S = 6.0  # to send a later request, as long as bytes keep arriving
-READ_STALL_S = 0.8  # a request of which no byte arrives for this long has stalled
+MAX_CHUNKED_BYTES = 8 * MAX_BODY_BYTES  # limit of a chunked message with its framing: a one-byte chunk takes six bytes
+MAX_DISCARDED_BYTES = 64 * 1024  # limit of the bytes received after the last request; beyond it, reading is paused
+READ_TIMEOUT_S = 2.4  # time to send a request: the first one from the connect, a later one from its first byte
+SLOW_READ_TIMEOUT_S = 6.0  # time to send a later request whose bytes keep arriving
+READ_STALL_S = 0.8  # a request has stalled if none of its bytes arrives for this long
 IDLE_TIMEOUT_S = 60.0
-LINGER_TIMEOUT_S = 1.0  # for the client to read the last response and close the connection
+LINGER_TIMEOUT_S = 1.0  # time for the client to read the last response and close the connection
 FLUSH_TIMEOUT_S = 5.0  # added to a state's timeout while part of a response is in the write buffer
 SUPPORTED_VERSIONS = ("1.0", "1.1")
 REASONS = {status.value: status.phrase.encode() for status in http.HTTPStatus}
@@ -141,16 +141,16 @@
         self.reader = RequestReader()
         self.request: ClientRequest | None = None  # the request being processed
         self.request_number = 0  # the number that the dispatcher gave to `request`
-        self.has_pipelined_bytes = False  # bytes arrived after the request being processed
+        self.has_pipelined_bytes = False  # bytes have arrived after the request that is being processed
         self.closes_after_response = False
         self.discarded_bytes = 0
         self.response_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport, unless the connection was evicted before it came up."""
+        """Store the transport, or abort it if the connection has been evicted meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self.state is ClientState.CLOSING:  # it was evicted while it was being set up
+        if self.state is ClientState.CLOSING:  # evicted while the transport was being created
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -184,8 +184,8 @@
         assert self.parser is not None
         if self.reader.is_complete:
             return
-        # An HTTP/1.0 proxy in front of this server ignores the transfer coding and goes by Content-Length. It and the
-        # sidecar would then disagree about where the next request begins.
+        # An HTTP/1.0 proxy in front of this server ignores the transfer coding and goes by Content-Length. The
+        # proxy and the sidecar would then disagree about where the next request begins.
         if self.reader.chunked and self.parser.get_http_version() != "1.1":
             raise RequestError(400, "a transfer coding, but not HTTP/1.1")
         self.reader.head_complete = True
@@ -222,7 +222,10 @@
             self.write(Response(500), last=True)
 
     def _discard(self, data: bytes) -> None:
-        """Drop bytes that follow the last request. The open request is answered, then the connection closes."""
+        """Discard bytes that follow the last accepted request.
+
+        The connection closes once that request is answered. If too many bytes arrive, the request is rejected.
+        """
         self.has_pipelined_bytes = True
         self.discarded_bytes += len(data)
         if self.discarded_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
@@ -280,7 +283,7 @@
             discardable_bytes = MAX_DISCARDED_BYTES - self.discarded_bytes
             try:
                 if not self.sock.recv(1, socket.MSG_PEEK) or not discardable_bytes:
-                    return True  # end of stream, or too many bytes: either closes the request when read
+                    return True  # end of stream, or too many bytes: reading either would close the request
                 self.discarded_bytes += len(self.sock.recv(discardable_bytes))
             except BlockingIOError:
                 return False
@@ -347,8 +350,8 @@
         self.server.change_state(self, ClientState.CLOSING)
         if self.transport is not None:
             self.transport.abort()
-            # The transport closes the socket only in the next iteration of the event loop, and would reset a request
-            # that arrives before that.
+            # The transport would close the socket only in the next iteration of the event loop, and a request that
+            # arrives before that would cause a reset.
             self.sock.close()
 
     def on_state_timeout(self) -> None:
--- a/ryepier/sidecar/components.py
+++ b/ryepier/sidecar/components.py
@@ -45,7 +45,7 @@
         """Start accepting connections."""
 
     def close_idle(self) -> None:
-        """Begin the shutdown: close idle connections now, and each other one after its current response."""
+        """Begin the shutdown: close idle connections now, and the others after their current responses."""
 
     def stop_listening(self) -> None:
         """Accept the connections waiting in the listener's queue, then stop listening."""
@@ -89,8 +89,8 @@
 
 def http_front_end(config: Config, dispatcher: RequestDispatcher) -> FrontEnd:
     """Create the front end that accepts HTTP/1.1 requests in the platform's protocol."""
-    # Half of the descriptors are for clients. Connections to upstreams get 3/8; discovery, the listener, the log and
-    # connections that are being closed need the remaining ones.
+    # Half of the descriptors are for clients and 3/8 for connections to upstreams. The remaining 1/8 are for discovery,
+    # the listener, the log and connections that are being closed.
     return Server(dispatcher, config.settings, config.listen, max_clients=config.max_descriptors // 2)
 
 
--- a/ryepier/sidecar/config.py
+++ b/ryepier/sidecar/config.py
@@ -28,7 +28,7 @@
     upstream_idle_timeout_us: int  # upstreams close a connection that has been idle for this long
     cached_list: Any  # the last known endpoint list, in the format of discovery's messages; None if there is none
     name: str = ""  # identifies the sidecar across restarts
-    path: str = ""  # of the configuration file, which is read again on SIGHUP
+    path: str = ""  # path of the configuration file, which is read again on SIGHUP
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -17,10 +17,13 @@
 log = logging.getLogger(__name__)
 
 MIN_IDLE_BEFORE_REUSE_US = 30_000  # a surplus response to the previous request may arrive within this time
-IDLE_MARGIN_US = 300_000  # an upstream may close a connection while a request is on its way to it
+# Idle connections are closed this long before the upstream would close them, as a request might then be on its way.
+IDLE_MARGIN_US = 300_000
 BREAK_SHARE_WINDOW = 16  # number of reuses that the moving average of broken connections covers
-MAX_BREAK_SHARE = 0.15  # of reuses; beyond it new connections are cheaper, as a lost request costs about ten of them
-BREAK_SHARE_DECAY = 0.99  # applied per connection that is not reused, so that reuse is tried again in time
+# If more than this share of the reused connections breaks, new connections are cheaper, as a lost request costs about
+# as much as ten of them.
+MAX_BREAK_SHARE = 0.15
+BREAK_SHARE_DECAY = 0.99  # applied for each connection that is not reused, so that reuse is tried again later
 SWEEP_INTERVAL_S = 0.1
 FIRST_SWEEP_DELAY_S = 1.0  # after the pool is created
 
@@ -34,7 +37,11 @@
     """
 
     def __init__(self, upstream_idle_timeout_us: int, dial_timeout_us: int, max_connections: int) -> None:
-        """Start empty; upstreams close a connection that has been idle for `upstream_idle_timeout_us`."""
+        """Start without connections.
+
+        Upstreams close a connection that has been idle for `upstream_idle_timeout_us`. A dial may take up to
+        `dial_timeout_us`; 0 sets no limit. `max_connections` includes connections that are being dialled or closed.
+        """
         self.loop = asyncio.get_running_loop()
         self.max_idle_us = max(0, upstream_idle_timeout_us - IDLE_MARGIN_US)
         # Moving average of the share of reused connections that broke at their next request, by log2 of the idle time.
@@ -119,7 +126,7 @@
     async def free_capacity(self, attempt: UpstreamAttempt) -> bool:
         """Close idle connections until one more may be opened, and return whether that succeeded.
 
-        Without the limit, silent upstreams or a burst of dials would use up the descriptors. A closed connection keeps
+        Without a limit, silent upstreams or a burst of dials would use up the descriptors. A closed connection keeps
         its descriptor until the next iteration of the event loop.
         """
         while self._descriptor_count() >= self.max_connections and not attempt.cancelled:
@@ -137,8 +144,8 @@
     def may_reuse(self, idle_us: int) -> bool:
         """Return whether connections that were idle for this long may be reused.
 
-        A middlebox may drop idle connections without notice, earlier than the configured idle timeout, and each such
-        connection costs a request.
+        A middlebox may drop idle connections without notice and before the configured idle timeout. A request that is
+        sent on such a connection is lost.
         """
         bucket = idle_us.bit_length()
         if self.break_shares[bucket] > MAX_BREAK_SHARE:
@@ -147,7 +154,7 @@
         return True
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a reused connection broke, which had been idle for `idle_us`."""
+        """Record whether a reused connection, which had been idle for `idle_us`, broke at its next request."""
         bucket = idle_us.bit_length()
         self.break_shares[bucket] += (float(broke) - self.break_shares[bucket]) / BREAK_SHARE_WINDOW
 
@@ -161,7 +168,7 @@
         self.idle_connections.setdefault(connection.upstream, []).append(connection)
 
     def take_idle(self, connection: UpstreamConnection) -> None:
-        """Take a connection out of the idle ones, if it is one of them."""
+        """Remove a connection from the idle ones, if it is idle."""
         idle_connections = self.idle_connections.get(connection.upstream, [])
         if connection in idle_connections:
             idle_connections.remove(connection)
@@ -201,7 +208,7 @@
     def sweep(self) -> None:
         """Close the idle connections that upstreams are about to close, every SWEEP_INTERVAL_S."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
-        oldest_us = clock_us() - self.max_idle_us
+        idle_before_us = clock_us() - self.max_idle_us
         for connections in list(self.idle_connections.values()):
-            for connection in [connection for connection in connections if connection.idle_since_us <= oldest_us]:
+            for connection in [connection for connection in connections if connection.idle_since_us <= idle_before_us]:
                 connection.close()
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -18,13 +18,13 @@
 log = logging.getLogger(__name__)
 
 # After any sequence of failures, the next call begins within MAX_CALL_GAP_S of the last valid message, or of the
-# previous call's start if no message arrived. A change must be known 6 s after discovery has it and is reachable;
-# this leaves 2 s for the next call (docs/design.md).
+# previous call's start if no message arrived. A sidecar must know of a change within 6 s after discovery has it and is
+# reachable, so 2 s are left for the next call to deliver it (docs/design.md).
 SILENCE_TIMEOUT_S = 2.5  # discovery sends an empty line every 2 s, even without changes
-MESSAGE_TIMEOUT_S = 4.0  # from the last valid message to the last byte of the next one
+MESSAGE_TIMEOUT_S = 4.0  # longest time from the last valid message to the last byte of the next one
 MAX_CALL_GAP_S = 4.0
-WATCH_RETRY_S = 0.1  # cheap, as the agent is local; a shorter pause would spin while it is down
-MAX_RETRY_DOUBLINGS = 5  # of WATCH_RETRY_S, while watches deliver malformed data
+WATCH_RETRY_S = 0.1  # cheap, as the agent is local; with a shorter pause the client would spin while it is down
+MAX_RETRY_DOUBLINGS = 5  # limit for doubling WATCH_RETRY_S, which happens while watches deliver malformed data
 FIRST_LIST_TIMEOUT_S = 0.3  # a local agent either answers at once or is down
 Listener = Callable[[UpstreamsUpdated, dict[int, Address]], None]
 
@@ -32,8 +32,8 @@
 class DiscoveryClient:
     """Keeps a watch of the endpoint list.
 
-    If lists are polled, the decision module decides when to call, and is notified of each failed call. If changes are
-    pushed, the module never polls, and this client always keeps a watch open.
+    If the list is polled, the decision module decides when to open a watch, and is notified when the watch fails. If
+    changes are pushed, the decision module never polls, and this client always keeps a watch open.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
         self.is_pushed = is_pushed
         self.cached_list = cached_list
         self.version = 0
-        self.is_subscribed = False  # stays set between two calls
+        self.is_subscribed = False  # stays True while no watch is open between two calls
         self.watch: EndpointWatch | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.last_received_at = 0.0
-        self.last_message_at = 0.0  # or when the call began; an empty line counts as a message
+        self.last_message_at = 0.0  # or time of the call's start; an empty line counts as a message
         self.first_list_received = asyncio.Event()  # set once a list has arrived since the start
         self.consecutive_malformed_watches = 0  # reset by each valid list
         self.timer: asyncio.TimerHandle | None = None
@@ -80,8 +80,8 @@
     async def wait_for_first_list(self) -> None:
         """If changes are pushed, wait up to FIRST_LIST_TIMEOUT_S for the first list.
 
-        The cached list may be older than a drain of which this sidecar counts as notified. If the agent stays silent,
-        the sidecar starts with the cached list.
+        The cached list may be older than a drain, although the platform already counts this sidecar as notified of that
+        drain. If the agent stays silent, the sidecar starts with the cached list.
         """
         if self.is_pushed:
             with contextlib.suppress(TimeoutError):
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -30,7 +30,7 @@
 log = logging.getLogger(__name__)
 
 ANSWER_MARGIN_US = 10_000  # a request is due this long before the client's deadline, so that the answer arrives in time
-BACKSTOP_DELAY_US = 5_000  # after a request is due, the dispatcher fails it if the decision module did not
+BACKSTOP_DELAY_US = 5_000  # the dispatcher fails a request this long after it is due, if it has no answer yet
 
 
 class Timer(Protocol):
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -62,8 +62,8 @@
 class Incarnation(NamedTuple):
     """One lifetime of an endpoint, from its start to its next restart."""
 
-    boot_ms: int  # start as Unix time, reported by discovery
-    first_listed_at_us: int  # time of the first list with this start, on the decision module's clock
+    boot_ms: int  # Unix time of the start, as reported by discovery
+    first_listed_at_us: int  # when this start was first listed, on the decision module's clock
 
 
 class EndpointRegistry:
@@ -124,7 +124,8 @@
         incarnation = self.incarnations.get(uid)
         if incarnation is None or incarnation.boot_ms != boot_ms:  # a restarted endpoint warms up again
             incarnation = self.incarnations[uid] = Incarnation(boot_ms, clock_us())
-        # If this machine's wall clock is behind, the start would lie in the future and the warm-up would seem longer.
+        # Limited to the first listing: if this machine's wall clock is behind, the start would otherwise lie in the
+        # future and the warm-up would seem longer.
         started_us = (
             min(boot_ms * 1000 + self.unix_to_clock_offset_us, incarnation.first_listed_at_us) if boot_ms else 0
         )
--- a/ryepier/sidecar/endpoint_watch.py
+++ b/ryepier/sidecar/endpoint_watch.py
@@ -21,7 +21,7 @@
     """State of a watch: CONNECTING -> WAITING -> STREAMING; any state -> FAILED."""
 
     CONNECTING = enum.auto()
-    WAITING = enum.auto()  # for the first message
+    WAITING = enum.auto()  # the request was sent; no message has arrived yet
     STREAMING = enum.auto()  # the first message, an object or an empty line, has arrived
     FAILED = enum.auto()
 
@@ -29,8 +29,8 @@
 class WatchClient(Protocol):
     """The client that owns a watch and is notified of its progress."""
 
-    address: Address  # of discovery
-    version: int  # of the endpoint list; 0 = none yet
+    address: Address  # address of discovery
+    version: int  # version of the last endpoint list; 0 = no list yet
 
     def is_current(self, watch: EndpointWatch) -> bool:
         """Return whether this is the current watch, not one that was replaced."""
@@ -82,7 +82,8 @@
         self.client.on_data()
         try:
             self.parser.feed_data(data)
-        # Includes errors raised in the callbacks below. The last valid list stays in use, and a new watch is opened.
+        # The parser raises these errors also if a callback below fails. The last valid list stays in use, and a new
+        # watch is opened.
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             log.warning("endpoint watch received malformed data: %r", error.__context__ or error)
             self.client.on_malformed()
--- a/ryepier/sidecar/graceful_shutdown.py
+++ b/ryepier/sidecar/graceful_shutdown.py
@@ -11,18 +11,18 @@
 from ryepier.sidecar.system import clock_us
 
 ARRIVAL_WINDOW_S = 0.5  # keep listening this long: clients still connect for up to 0.4 s after SIGTERM
-# SIGKILL follows SIGTERM no earlier than after the longest deadline of all classes, capped at MAX_COUNTED_DEADLINE_S,
+# The time from SIGTERM to SIGKILL is at least the longest deadline of all classes, capped at MAX_COUNTED_DEADLINE_S,
 # plus MIN_KILL_DELAY_S.
 MAX_COUNTED_DEADLINE_S = 3.0
 MIN_KILL_DELAY_S = 0.7
-KILL_MARGIN_S = 0.1  # between the last answers and SIGKILL
+KILL_MARGIN_S = 0.1  # time left between the last answers and SIGKILL
 POLL_INTERVAL_S = 0.01
 
 
 async def shut_down(dispatcher: RequestDispatcher, front_ends: Sequence[FrontEnd]) -> None:
     """Answer all open requests and those that still arrive, then return.
 
-    The process must not exit before, as it would drop the requests that are still open.
+    The process must not exit before this function returns, as the open requests would be dropped.
     """
     loop = asyncio.get_running_loop()
     max_deadline_s = max(request_class.deadline_us for request_class in dispatcher.settings.classes) / 1e6
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -76,7 +76,7 @@
 
 
 class RequestError(RyepierError):
-    """A request is not accepted, and gets a response with this status.
+    """A request is not accepted; its response has this `status`.
 
     The connection then closes, unless the request was valid HTTP with unacceptable content (`keeps_connection`).
     """
@@ -173,8 +173,8 @@
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Validate a request and convert it to a `ClientRequest`. Raises RequestError.
 
-        Requests that violate the protocol must not be forwarded: an upstream might close the connection on them, which
-        would also cost the next requests on it.
+        Requests that violate the protocol must not be forwarded: the upstream might close the connection on which it
+        receives one, and the sidecar's next requests on that connection would fail.
         """
         headers_by_name = parse_headers(headers, UNREPEATABLE_HEADERS)
         index = self._class_index(target, headers_by_name)
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -32,8 +32,8 @@
     class_index: int
     request_id: bytes = b""  # X-Request-Id
     tenant: int = 0
-    key: int = 0
-    cost_us: int = 0
+    key: int = 0  # hash of X-Key; 0 = no key
+    cost_us: int = 0  # X-Cost-Hint; 0 = unknown
     marked_as_retry: bool = False
     forwards_client_errors: bool = False  # an upstream's 4xx response is passed to the client as the final answer
     due_at_us: int = 0  # time by which the sidecar must answer; 0 = unset
@@ -58,7 +58,7 @@
     body: bytes = b""
     content_type: bytes = b""
     retry_after_us: int = 0
-    status: int = 200  # of the upstream's response, if the outcome is SERVED
+    status: int = 200  # status of the upstream's response, if the outcome is SERVED
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -79,7 +79,7 @@
         """Whether all of the attempt was written to the network. Until then the upstream can't run it."""
 
     def cancel(self) -> None:
-        """Write nothing more. A connection on which a part was already written is closed."""
+        """Write no more of the attempt. If a part was already written, its connection is closed."""
 
 
 class UpstreamTransport(Protocol):
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -22,8 +22,8 @@
 FIRST_REQUEST_GRACE_S = 0.25  # new connections are not evicted for this long, as clients send a request at once
 SWEEP_INTERVAL_S = 0.1
 LISTEN_BACKLOG = 1024
-ACCEPT_BATCH_SIZE = 16  # connections; accepting hundreds in one loop iteration would delay the open ones
-ACCEPT_PAUSE_S = 0.05  # until accepting is tried again when there is no capacity
+ACCEPT_BATCH_SIZE = 16  # connections per loop iteration; accepting hundreds at once would delay the open ones
+ACCEPT_PAUSE_S = 0.05  # time until accepting is tried again after there was no capacity
 PARTIAL_RETRY_AFTER_US = 250_000  # for a rejected partial request, whose class may not be known yet
 
 
@@ -31,8 +31,8 @@
     """Describes the connections that may be evicted to make room for a new one."""
 
     state: ClientState
-    min_inactive_s: float  # at least this long in the state and without a received byte
-    partial: bool  # whether a part of a request must have arrived
+    min_inactive_s: float  # time since the state changed and since the last byte arrived
+    partial: bool  # True: a part of a request must have arrived; False: none of a request may have arrived
 
 
 # Tried in this order. Connections within the grace period are not evicted, as their first request is about to arrive.
@@ -166,7 +166,7 @@
         return False
 
     def evictable(self, rule: EvictionRule, inactive_since: float) -> Iterator[ClientConnection]:
-        """Yield the connections that a rule allows to evict, the longest in their state first."""
+        """Yield the connections that may be evicted by a rule, beginning with the one longest in its state."""
         for client in self.clients_by_state[rule.state]:
             if client.state_since > inactive_since:
                 return
--- a/ryepier/sidecar/upstream_attempt.py
+++ b/ryepier/sidecar/upstream_attempt.py
@@ -44,7 +44,8 @@
     ) -> None:
         """Prepare an attempt without a connection.
 
-        It must not be written after `latest_write_us`, unless that is 0. `on_end` receives its result.
+        It times out at `timeout_at_us`, and must not be written after `latest_write_us`, unless that is 0. `on_end`
+        receives its result.
         """
         self.request = request
         self.address = address
--- a/ryepier/sidecar/upstream_connection.py
+++ b/ryepier/sidecar/upstream_connection.py
@@ -123,7 +123,7 @@
         """Keep a connection for later attempts."""
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a reused connection broke, which had been idle for `idle_us`."""
+        """Record whether a reused connection, which had been idle for `idle_us`, broke at its next request."""
 
     def remove(self, connection: UpstreamConnection) -> None:
         """Remove a connection from the pool."""
@@ -184,8 +184,8 @@
     def is_usable(self) -> bool:
         """Return whether another attempt can be sent.
 
-        Checks the socket for a close or surplus bytes that have arrived but were not read yet, which would cost the
-        request.
+        Checks the socket directly: the upstream may have closed the connection or sent surplus bytes that were not read
+        yet, and a request sent on such a connection would fail.
         """
         if self.state is not ConnectionState.OPEN or self.transport is None or self.transport.is_closing():
             return False
@@ -198,7 +198,7 @@
         return False
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Write an attempt and await its response."""
+        """Write an attempt and prepare to read its response."""
         assert self.transport is not None
         self.attempt = attempt
         attempt.connection = self
@@ -229,7 +229,8 @@
 
     def _finish_complete(self, response: ResponseReader) -> None:
         if self.state is not ConnectionState.OPEN or self.partly_written:
-            self.close()  # the upstream would read the rest of this request as the next request
+            # If a part of this request is still unwritten, the upstream would take it for the next request.
+            self.close()
         forwards_errors = self.attempt is not None and self.attempt.request.forwards_client_errors
         is_final_error = 400 <= response.status < 500 and response.status not in RETRYABLE_STATUSES
         if response.status == http.HTTPStatus.OK or (forwards_errors and is_final_error):
@@ -282,7 +283,7 @@
         self.state = ConnectionState.CLOSED
         self.pool.on_closed(self)
         if self.attempt is not None:
-            # A request that was written completely may have run; one that was not can't have.
+            # The upstream may have run a request that was written completely, but not one that was written in part.
             self._finish(Outcome.CONNECT_FAILED if self.partly_written else Outcome.RESET)
         elif self.response is not None:
             self.response.release()
