--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -32,14 +32,14 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-ANSWER_TOLERANCE_S = 0.5  # an answer later than this after the deadline counts as missing
+ANSWER_TOLERANCE_S = 0.5  # an answer that arrives later than this after the deadline counts as missing
 MIN_OUTAGE_S = 4.0  # shorter periods without a served request are tolerated
-MIN_OUTAGE_REQUESTS = 15  # a period with fewer requests is ignored
+MIN_OUTAGE_REQUESTS = 15  # a period in which the sidecar got fewer requests is ignored
 HEARTBEAT_S = 0.5  # interval at which an agent sends empty lines
 LATENCY_OBJECTIVE_US, DEADLINE_S = 300_000, 0.6
 IDEMPOTENCY_WINDOW_US = 500_000
 SERVED_STATUS = 200
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which closing a socket resets the connection
 CLASSES: list[dict[str, Any]] = [
     {"name": "read", "effect": "idempotent"},
     {"name": "pay", "effect": "at_most_once"},
@@ -88,7 +88,7 @@
 
 
 def find_outages(requests: Sequence[ClientRequest], start_at: float, end_at: float) -> list[Outage]:
-    """Return the outages of all sidecars between two times.
+    """Return the outages of all sidecars between `start_at` and `end_at`.
 
     In an outage, which lasts at least MIN_OUTAGE_S, a sidecar gets at least MIN_OUTAGE_REQUESTS and serves none of
     them, while another sidecar serves at least one.
@@ -211,7 +211,7 @@
                     (await asyncio.open_connection("127.0.0.1", self.port))[1].close()
                     return
                 except ConnectionRefusedError:
-                    assert self.process.poll() is None, f"{self.name} did not come up"
+                    assert self.process.poll() is None, f"{self.name} ended before it accepted connections"
                     await asyncio.sleep(0.02)
 
     def reload(self, agent: Discovery) -> None:
@@ -263,7 +263,7 @@
                 head, _ = await read_message(self.reader)
             self.record.status, self.record.ended_at = int(head.split(b" ")[1]), loop.time()
         except (TimeoutError, asyncio.IncompleteReadError, ConnectionError):
-            pass  # the record keeps no answer
+            pass  # the record then has no answer
         finally:
             self.writer.close()
 
@@ -278,7 +278,7 @@
     async def send_first_piece(
         self, sidecar: SidecarProcess, class_name: str, split_offsets: Sequence[int] = (), body: bytes = b""
     ) -> Exchange:
-        """Send the first piece of a request that is split at `split_offsets`; without offsets, all of it."""
+        """Send the first piece of a request split at `split_offsets`, or the whole request if there are none."""
         request_id = f"{sidecar.name}-{next(request_numbers)}"
         data = request(class_name, request_id, body, deadline_ms=int(DEADLINE_S * 1000))
         offsets = [0, *split_offsets, len(data)]
--- a/tests/disconnect_testbed.py
+++ b/tests/disconnect_testbed.py
@@ -17,9 +17,9 @@
 from tests.network_peers import OK, Message, Sidecar, Upstream, read_message, request, status_of, wait_until
 from tests.sidecar_probes import DelayedConnections
 
-DISCONNECT_DETECTION_S = 0.15  # the sidecar may start attempts until 0.1 s after the disconnect
-SETTLE_S = 0.05  # for messages that are on their way over loopback
-LOOP_BLOCK_S = 0.3
+DISCONNECT_DETECTION_S = 0.15  # the sidecar must start no attempt later than 0.1 s after the disconnect
+SETTLE_S = 0.05  # time for messages to arrive over loopback
+LOOP_BLOCK_S = 0.3  # how long `block_event_loop` blocks the loop in total
 CLASSES = [
     RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT),
     RequestClass("read", 10_000_000, 20_000_000, late_weight=0.5),
@@ -47,7 +47,7 @@
 
 
 DISCONNECTS = [close, reset, half_close]
-# Each with the number of bytes that the client sends first; the sidecar discards up to 65,536 bytes.
+# Each way to disconnect with the number of bytes that the client sends first; the sidecar discards up to 65,536 bytes.
 DISCONNECTS_AFTER_BYTES = [
     (close, 0),
     (reset, 0),
@@ -126,7 +126,10 @@
 
 @dataclass
 class Testbed:
-    """A sidecar with one converter. Tests use request ids below 99, which `check_only_forwarded` uses itself."""
+    """A sidecar with one converter.
+
+    Tests use request ids below 99, as `check_only_forwarded` sends a request with id 99.
+    """
 
     __test__ = False
 
@@ -160,7 +163,7 @@
             delayed_connections.release.set()
             await wait_until(lambda: len(self.converter.held_responses) == 1)
         client.setblocking(False)
-        await asyncio.sleep(SETTLE_S)  # the sidecar does not use a connection that has just become idle
+        await asyncio.sleep(SETTLE_S)  # the sidecar does not reuse a connection that has just become idle
         assert self.converter.connection_count == 2
         return client
 
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -42,9 +42,9 @@
 
     REFUSE = enum.auto()  # the connection is refused
     HANG = enum.auto()  # the connection is never established
-    STAY_SILENT = enum.auto()
-    RESET = enum.auto()
-    TRICKLE = enum.auto()
+    STAY_SILENT = enum.auto()  # nothing more is sent
+    RESET = enum.auto()  # the connection is reset
+    TRICKLE = enum.auto()  # a space is sent every 0.2 s
 
 
 class Fault(NamedTuple):
@@ -79,7 +79,7 @@
 class FaultyDiscovery:
     """Answers each call with the next fault of `fault_order`, and serves all calls after the last fault.
 
-    Discovery counts as reachable from the time of the last fault, in `reachable_at`.
+    Discovery counts as reachable from the time of the last fault, which is stored in `reachable_at`.
     """
 
     fault_order: tuple[str, ...]
@@ -98,7 +98,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def on_connect(self) -> Behaviour | None:
-        """Count a call and return how its connection behaves; None for a call that is served."""
+        """Record the time of a call and return how its connection behaves; None for a call that is served."""
         self.call_times.append(time.monotonic())
         if len(self.call_times) <= len(self.fault_order):
             self.reachable_at = self.call_times[-1]
@@ -154,7 +154,7 @@
 
 
 def apply_connection_faults(patch: pytest.MonkeyPatch, agents: dict[int, FaultyDiscovery]) -> None:
-    """Make connections to the ports of these agents fail or hang if their current fault says so."""
+    """Make connections to these agents fail or hang if that is the agent's current fault; `agents` is keyed by port."""
     connect = asyncio.SelectorEventLoop.sock_connect
 
     async def connect_by_fault(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
@@ -171,8 +171,8 @@
 ) -> DiscoveryClient:
     """Start a sidecar's decision module and discovery client.
 
-    The settings are those of a fleet so large that polls are spread over the maximum interval, and this sidecar always
-    draws the latest time in it.
+    The settings are those of a fleet so large that its polls are spread over the maximum interval. The random numbers
+    are patched so that this sidecar always polls at the latest time in that interval.
     """
     config = settings(polls_endpoints=not is_pushed, max_poll_interval_us=10_000_000, instances=1_600)
     dispatcher = RequestDispatcher(config, 1, ConnectionPool(60_000_000, 200_000, max_connections=10))
--- a/tests/limited_sidecar.py
+++ b/tests/limited_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar process with the minimum number of descriptors; one upstream plays the role of 100 converters."""
+"""A sidecar process with the minimum number of descriptors, and an endpoint list of 100 converters at one address."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
                     return
 
     async def connect_until_open(self) -> Streams:
-        """Connect, and connect again if the connection was closed before anything could be sent.
+        """Return a connection that the sidecar has not closed yet; connect again as long as it closes new ones at once.
 
         The sidecar evicts connections that have sent nothing. On a busy machine that can affect a client that is
         delayed between connecting and writing.
@@ -134,7 +134,7 @@
 
 @asynccontextmanager
 async def limited_sidecar(directory: Path, upstream: Upstream, discovery_port: int) -> AsyncIterator[LimitedSidecar]:
-    """Run the sidecar; checks that it survives and never has all its descriptors open."""
+    """Run the sidecar, and check at the end that it still runs and never had all its descriptors open."""
     await upstream.start()
     port, log_path = free_port(), directory / "log"
     process = await start_process(write_limited_configuration(directory, port, upstream, discovery_port), log_path)
--- a/tests/loopback_ports.py
+++ b/tests/loopback_ports.py
@@ -13,7 +13,7 @@
 
 
 def worker_ports() -> Iterator[int]:
-    """Yield the ports of this worker's range, over and over.
+    """Yield the ports of this worker's range in an endless cycle.
 
     The ranges lie below the system's ephemeral ports, which are used for outgoing connections.
     """
--- a/tests/network_peers.py
+++ b/tests/network_peers.py
@@ -59,7 +59,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """Read one message with a Content-Length body. Raises IncompleteReadError if the connection ends before its end."""
+    """Read one message with a Content-Length body. Raises IncompleteReadError if the connection ends too early."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
@@ -103,7 +103,10 @@
 
 
 def respond_in_turn(*responses: bytes) -> Script:
-    """Return a script that sends these responses in turn and repeats the last; an empty one aborts the connection."""
+    """Return a script that sends these responses in turn and then repeats the last one.
+
+    For an empty response it aborts the connection.
+    """
 
     async def script(
         upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -262,7 +265,10 @@
     deadline_ms: object = 15_000,
     extra: str = "",
 ) -> bytes:
-    """Return the bytes of a client's request; without `request_id` it gets a new id."""
+    """Return the bytes of a client's request.
+
+    Without `request_id` it gets a new id. `extra` holds further header lines, each with its line end.
+    """
     method = "GET" if class_name == "read" else "POST"
     request_id = str(next(request_numbers)) if request_id is None else request_id
     key = "Idempotency-Key: k\r\n" if class_name == "mark" else ""
@@ -275,7 +281,7 @@
 
 @dataclass
 class Sidecar:
-    """A running sidecar in this process, with connections to it."""
+    """A sidecar that runs in this process; setting the events `stop` and `reload` shuts it down or reloads it."""
 
     port: int
     stop: asyncio.Event
@@ -323,7 +329,7 @@
 
 
 async def wait_until_listening(port: int, task: asyncio.Task[None]) -> None:
-    """Wait until a sidecar accepts connections; fails if its task ends before."""
+    """Wait until a sidecar accepts connections; fail if its task ends before that."""
     async with asyncio.timeout(HANG_TIMEOUT_S):
         while True:
             try:
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -18,12 +18,12 @@
 from ryepier.sidecar.requests import Address, AttemptResult, ClientRequest, FinalAnswer, FinalOutcome
 from ryepier.sidecar.server import Server
 
-LATE_S = 0.8  # after the request's deadline
+LATE_S = 0.8  # late answers are written at least this long after the request's deadline
 LATE_INTERVAL = 5  # every fifth answer is late
 
 
 def discard_answers(requests: Iterable[OpenRequest]) -> None:
-    """Discard the answers to these requests instead of writing them."""
+    """Make the answers to these requests be discarded instead of written."""
     for open_request in requests:
         open_request.reply = lambda answer: None
 
--- a/tests/sidecar_probes.py
+++ b/tests/sidecar_probes.py
@@ -17,7 +17,7 @@
 
 
 def record_requests(monkeypatch: pytest.MonkeyPatch) -> list[ClientRequest]:
-    """Return a list to which each request is added that a sidecar accepts from now on."""
+    """Return a list to which every request that a sidecar accepts from now on is added."""
     requests: list[ClientRequest] = []
     on_request = RequestDispatcher.on_request
 
@@ -30,7 +30,7 @@
 
 
 def record_ended_attempts(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Return a list to which the index of each attempt is added when it ends."""
+    """Return a list to which the index of each attempt within its request is added when the attempt ends."""
     attempt_indexes: list[int] = []
     end_attempt = RequestDispatcher._end_attempt
 
@@ -43,7 +43,7 @@
 
 
 def record_servers(monkeypatch: pytest.MonkeyPatch) -> list[Server]:
-    """Return a list to which each server is added that starts to listen."""
+    """Return a list to which every server that starts to listen from now on is added."""
     servers: list[Server] = []
     listen = Server.listen
 
@@ -57,7 +57,7 @@
 
 @dataclass
 class DelayedConnections:
-    """Delays connections to an upstream until `release` is set; `started_count` counts them."""
+    """Delays connections to an upstream until `release` is set, and counts how many were started."""
 
     release: asyncio.Event = field(default_factory=asyncio.Event)
     started_count: int = 0
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -47,14 +47,14 @@
         (request("pay", extra="Content-Length: 0\r\n"), 400),
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: +4") + b"abcd", 400),
         (request("pay", body=b"abcd").replace(b"Length: 4", b"Length: 2"), 400),  # the remaining body is not a request
-        # rejected as soon as the header is read
+        # rejected as soon as the Content-Length header is read, before any of the body arrives
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
         (request("read", request_id=""), 400),
         (request("read", deadline_ms="soon"), 400),
         (request("read", deadline_ms=-5), 400),
         (request("mark").replace(b"Idempotency-Key", b"Other"), 400),
         (request("pay").replace(b"POST", b"GET"), 400),
-        (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),  # in addition to Content-Length
+        (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),  # with Content-Length too
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
         (request("pay", body=b"x" * 70_000), 413),
         (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
@@ -96,7 +96,8 @@
             assert status_of(await running_sidecar.fetch(request("mark", "7"))) == 409
             release.set()
             assert status_of(await read_message(reader)) == 200
-            assert status_of(await running_sidecar.fetch(request("mark", "7"))) == 409  # nor shortly after its response
+            # the id stays known for some time after the response
+            assert status_of(await running_sidecar.fetch(request("mark", "7"))) == 409
             writer.close()
         assert sum(len(upstream.requests) for upstream in upstreams) == 1
 
@@ -174,7 +175,7 @@
                     await writer.drain()
             except ConnectionError:
                 pass
-            assert sent_bytes < 30_000_000  # only what the buffers of both ends can hold
+            assert sent_bytes < 30_000_000  # no more than the buffers of both ends hold
 
     run_async(test)
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -41,9 +41,9 @@
 )
 from tests.sidecar_probes import DelayedConnections, record_ended_attempts, record_requests
 
-EJECTION_S = 1.0  # longer than an upstream stays ejected after a single failure
+EJECTION_S = 1.0  # longer than an upstream is ejected after a single failure
 CLOSE_TIMEOUT_S = 1.0
-BODY_BYTES = 64_000  # more than fits into the reduced buffers of a connection
+BODY_BYTES = 64_000  # more than the buffers of the connection hold, which the test reduces
 Steps = Callable[[Testbed], Awaitable[None]]
 Run = Callable[[Steps], None]
 
@@ -123,7 +123,7 @@
         await wait_until(lambda: len(testbed.converter.held_responses) == 1)
         testbed.converter.respond(NOT_RUN)
         await wait_until(lambda: ended_attempts == [0])
-        assert testbed.converter.started_attempts == 1  # the converter is ejected, which delays the retry
+        assert testbed.converter.started_attempts == 1  # the retry waits, as the converter is ejected
         disconnect(client)
         await asyncio.sleep(EJECTION_S)
         await testbed.check_only_forwarded(1)
@@ -173,7 +173,7 @@
     return count
 
 
-# The event loop is late: the disconnect is not read yet when the request could be sent
+# The event loop is delayed: it has not read the disconnect yet when the request could be sent
 
 
 @pytest.mark.parametrize(("disconnect", "byte_count"), DISCONNECTS_AFTER_BYTES)
@@ -311,14 +311,14 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        upstream = Upstream(respond_after(release))  # it has one slot
+        upstream = Upstream(respond_after(release))  # the sidecar has one slot for it, which request 1 occupies
         classes = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
         async with sidecar(upstream, classes=classes) as running_sidecar:
             first_response = asyncio.create_task(running_sidecar.fetch(request("pay", "1")))
             await wait_until(lambda: len(upstream.requests) == 1)
             _, writer = await running_sidecar.connect()
             writer.write(request("pay", "2"))
-            # request 2 then waits for the slot
+            # request 2 is accepted, and waits for the slot
             await wait_until(lambda: b"2" in [accepted_request.request_id for accepted_request in accepted_requests])
             writer.write(b"x" * pipelined_bytes)
             writer.write_eof()
--- a/tests/test_connection_eviction.py
+++ b/tests/test_connection_eviction.py
@@ -89,9 +89,10 @@
                         connection.transport is not None for connection in server.clients_by_state[ClientState.NEW]
                     )
                 )
-                await asyncio.sleep(FIRST_REQUEST_GRACE_S)  # afterwards the connection may be evicted
+                await asyncio.sleep(FIRST_REQUEST_GRACE_S)  # after this the connection may be evicted
                 assert server.free_capacity()
-                client.sendall(request("pay", body=b"0123456789")[:-5])  # before the next iteration of the event loop
+                # sent before the next iteration of the event loop
+                client.sendall(request("pay", body=b"0123456789")[:-5])
                 await asyncio.sleep(0.05)
                 assert client.recv(1) == b""  # end of stream instead of a reset
 
@@ -100,7 +101,9 @@
 
 def test_connection_closes_after_its_first_response_when_many_are_open() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
+        async with sidecar(
+            Upstream(respond_in_turn(OK))
+        ) as running_sidecar:  # accepts 100 clients, with 200 descriptors
             first_connection = await running_sidecar.connect()
             first_connection[1].write(request())
             assert b"Connection: close" not in (await read_message(first_connection[0]))[0]
@@ -116,7 +119,9 @@
 
 def test_most_recently_used_connection_is_not_evicted() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
+        async with sidecar(
+            Upstream(respond_in_turn(OK))
+        ) as running_sidecar:  # accepts 100 clients, with 200 descriptors
             first_connection = await running_sidecar.connect()
             other_connections = [await running_sidecar.connect() for _ in range(90)]
 
@@ -139,7 +144,9 @@
 
 def test_idle_connections_are_evicted_for_new_ones() -> None:
     async def test() -> None:
-        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:  # which may use 200 descriptors
+        async with sidecar(
+            Upstream(respond_in_turn(OK))
+        ) as running_sidecar:  # accepts 100 clients, with 200 descriptors
             idle_connections = [await running_sidecar.connect() for _ in range(150)]
             assert status_of(await running_sidecar.fetch(request())) == 200
             assert await idle_connections[0][0].read() == b""
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -112,7 +112,7 @@
 
 
 def test_modules_outside_the_policy_make_no_decisions() -> None:
-    """They use no randomness and import neither the constants of the decisions nor the state of upstreams."""
+    """They use no randomness and import no decision module; two of them may import the balancer itself."""
     decision_modules = {module_name(name) for name in POLICY_MODULES}
     modules_with_balancer = {"ryepier/balancer/simulator_adapter.py", "ryepier/sidecar/dispatcher.py"}
     checked_modules = 0
@@ -123,14 +123,14 @@
                 continue
             allowed = {"ryepier.balancer.balancer"} if name in modules_with_balancer else set()
             imported_names = imports_of(path.read_text())
-            assert not {"random", "secrets"} & imported_names, f"{name} draws"
-            assert imported_names & decision_modules <= allowed, f"{name} uses a decision"
+            assert not {"random", "secrets"} & imported_names, f"{name} uses random numbers"
+            assert imported_names & decision_modules <= allowed, f"{name} imports a decision module"
             checked_modules += 1
     assert checked_modules > len(NON_DECISION_MODULES)
 
 
 def test_numbers_in_decision_modules_are_named_constants_or_allowed() -> None:
-    # generic numbers that are not tuned to a case
+    # generic numbers that are not tuned to a particular case
     allowed_numbers = {0, 1, 2, 4, 8, 20, 0.02, 0.1, 0.2, 0.25, 0.3, 0.5, 1_000_000}
     tree = ast.parse("\n".join((ROOT / name).read_text() for name in DEPLOY["policy"]))
     definitions = [node for node in tree.body if isinstance(node, ast.ClassDef | ast.FunctionDef)]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -36,7 +36,7 @@
 
 pytestmark = pytest.mark.alone
 
-MAX_NOTIFICATION_S = 6.0  # from when discovery becomes reachable
+MAX_NOTIFICATION_S = 6.0  # time from when discovery becomes reachable until the sidecar opens a watch
 MAX_POOL_CONNECTIONS = 8
 
 
@@ -58,7 +58,7 @@
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for upstream_id, upstream in enumerate(upstreams):
             await upstream.start()
-            for _ in range(8):  # all at once
+            for _ in range(8):  # the attempts start at the same time
                 pool.start_attempt(
                     upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
                 )
@@ -96,7 +96,7 @@
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=MAX_POOL_CONNECTIONS)
         results: list[AttemptResult] = []
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
-        for upstream_id in range(12):  # each for a different converter
+        for upstream_id in range(12):  # each attempt is for a different upstream
             pool.start_attempt(
                 upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
             )
@@ -118,7 +118,7 @@
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar_in_process(upstream) as running_sidecar:
             data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
-            for _ in range(95):  # of the 100 that the sidecar accepts
+            for _ in range(95):  # the sidecar accepts 100 connections
                 partial_requests.append(await running_sidecar.connect())
                 partial_requests[-1][1].write(data[:-5])
                 await asyncio.sleep(0.002)
@@ -139,14 +139,18 @@
 
 
 async def open_connections(sidecar: LimitedSidecar, client_state: str, count: int) -> list[Streams]:
-    """Open connections of clients that then stay in `client_state`."""
+    """Open connections of clients that then stay in `client_state`.
+
+    A fresh connection has sent nothing, a half one only a part of its request; an open one waits for its response, and
+    a kept one is idle after its response.
+    """
 
     async def open_connection() -> Streams:
         reader, writer = await sidecar.connect()
         data = request("pay", body=b"0123456789", extra="X-Open: 1\r\n" if client_state == "open" else "")
         writer.write({"fresh": b"", "half": data[:-5]}.get(client_state, data))
         if client_state == "kept":
-            with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):  # it may have been evicted
+            with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):  # the sidecar may evict it
                 await read_message(reader)
         return reader, writer
 
@@ -218,7 +222,8 @@
     """Send a request in two pieces, and return the first line of the response; empty if there was none.
 
     On a busy machine a client may be delayed between connect and write for longer than the grace period of a first
-    request, and be evicted: its connection is closed before the write or reset by it. Only such a client tries again.
+    request. The sidecar may then evict it, which closes its connection before the write or resets it at the write. Only
+    such a client tries again.
     """
     while True:
         connecting_at = time.monotonic()
@@ -296,7 +301,7 @@
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar_in_process(upstream) as running_sidecar:
             data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
-            for _ in range(100):  # as many as the sidecar accepts
+            for _ in range(100):  # the sidecar accepts no more connections
                 partial_requests.append(await running_sidecar.connect())
                 partial_requests[-1][1].write(data[:-5])
             await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -165,7 +165,7 @@
                 discovery.send_bytes(data[offset : offset + piece_length])
                 await discovery.writers[-1].drain()
                 if piece_length > 2:
-                    await asyncio.sleep(0.01)  # so that each piece arrives separately
+                    await asyncio.sleep(0.01)  # lets each piece arrive separately
             await wait_until_used(running_sidecar, new_upstream)
             assert len(discovery.calls) == 1 and not old_upstream.requests
         new_upstream.stop()
@@ -255,7 +255,7 @@
 
 def test_sidecar_with_a_silent_agent_starts_with_its_cached_list() -> None:
     async def test() -> None:
-        discovery = Discovery()  # accepts the watch and sends nothing
+        discovery = Discovery()  # accepts the watch and sends no list
         async with sidecar(
             Upstream(respond_in_turn(OK)), discovery=discovery, polls_endpoints=False
         ) as running_sidecar:
@@ -281,7 +281,8 @@
         ) as running_sidecar:
             await old_discovery.wait_for_watch()
             old_discovery.send_list(endpoint_list(endpoint_entry("u0", old_upstream.port), rev=900))
-            old_discovery.stop()  # with the reload in one iteration of the event loop
+            # The event loop sees the end of the old watch and the reload in the same iteration.
+            old_discovery.stop()
             running_sidecar.reload.set()
             await new_discovery.wait_for_watch()
             assert b"since=0 " in new_discovery.calls[0]
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -1,4 +1,4 @@
-"""A change of the endpoint list arrives within 6 s once discovery has it and is reachable, after any faults.
+"""A change of the endpoint list arrives within 6 s once discovery has it and is reachable, whatever faults came before.
 
 Tested with one sidecar over real connections, and with a simulated fleet whose polls discovery serves one by one.
 """
@@ -26,12 +26,13 @@
 from tests.polling_fleet import DiscoveryMode, Phase, PollingFleet
 
 MAX_DELAY_S = 6.0
-# How long a reachable discovery takes to answer a poll. A real one takes up to 2 s, but here sidecars and discovery
-# share one process: if that is stalled for a second, a poll of 1.5 s is given up at 2.5 s.
+# How long a reachable discovery takes to answer a poll. A real one takes up to 2 s. Here, sidecars and discovery share
+# one process; if that stalled for 1 s, a sidecar would give up a poll of 1.5 s, as its time limit is 2.5 s.
 POLL_DURATION_S = 0.5
-MAX_MEASURED_DELAY_S = MAX_DELAY_S - 1.0  # a poll may take 1 s longer; 0.5 s of the time is slack for a busy machine
+# A real poll may take 1.5 s longer than one in this test. Only 1 s is deducted: 0.5 s is slack for a busy machine.
+MAX_MEASURED_DELAY_S = MAX_DELAY_S - 1.0
 
-# One sidecar, real connections
+# One sidecar with real connections
 
 
 async def measure_delay_s(fault_order: tuple[str, ...], is_pushed: bool, agents: dict[int, FaultyDiscovery]) -> float:
@@ -54,7 +55,7 @@
 
 
 SINGLE_FAULTS = [(fault,) for fault in FAULTS]
-# Left out of the pairs, which have similar faults instead: all pairs would take too long.
+# Not combined into pairs, as all pairs would take too long and the other faults include similar ones.
 SIMILAR_FAULTS = ("head only", "503 without end", "half a list")
 FAULT_PAIRS = list(itertools.permutations((fault for fault in FAULTS if fault not in SIMILAR_FAULTS), 2))
 LONGER_ORDERS = [
@@ -67,7 +68,8 @@
     ("unreadable",) * 6 + last_faults for last_faults in (("silent",), ("dial hangs",), ("refused", "half a list"))
 ]
 CASES = [(order, is_pushed) for order in SINGLE_FAULTS + FAULT_PAIRS + LONGER_ORDERS for is_pushed in (True, False)]
-CASES += [(order, True) for order in REPEATED_UNREADABLE_LISTS]  # pushed only, as then the sidecar itself backs off
+# Only for pushed lists, as the discovery client backs off from malformed lists only if they are pushed.
+CASES += [(order, True) for order in REPEATED_UNREADABLE_LISTS]
 
 
 def test_change_arrives_within_6_s_after_any_sequence_of_discovery_faults(
@@ -106,18 +108,18 @@
         return len(agent.call_times)
 
     async def test() -> None:
-        cases = list(itertools.product((True, False), (NEW_BYTES, b"")))  # with a new list, and without one
+        cases = list(itertools.product((True, False), (NEW_BYTES, b"")))  # each with a new list and without one
         assert await asyncio.gather(*(count_calls(*case) for case in cases)) == [1] * len(cases)
 
     run_async(test)
 
 
-# A fleet, in virtual time
+# A fleet of sidecars in virtual time
 
 FLEET_POLLING_ROUND_S = 3  # time in which discovery serves one poll of each sidecar
 OUTAGE_START_S = 10.0
 OUTAGE_END_S = 25.3
-RUN_AFTER_S = 20.0
+RUN_AFTER_S = 20.0  # simulated time after discovery is reachable
 
 
 class Outage(NamedTuple):
@@ -185,12 +187,12 @@
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
 def test_rejected_fleet_polls_evenly_and_each_sidecar_about_every_4_s(sidecar_count: int) -> None:
-    """Drawing a new time after each failure would double the polls, most of them right when discovery returns."""
+    """With a new random time after each failure there would be twice the polls, most of them as discovery recovers."""
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLLING_ROUND_S, [Phase(0.0, DiscoveryMode.REFUSED)])
     fleet.start_all()
     fleet.run_until(30.0)
     polls_per_second = [fleet.polls[second] for second in range(10, 30)]
-    print(f"{sidecar_count} sidecars, refused for good: {polls_per_second} calls a second")
+    print(f"{sidecar_count} sidecars, always refused: {polls_per_second} polls per second")
     assert max(polls_per_second) <= 0.3 * sidecar_count and sum(polls_per_second) <= 0.26 * sidecar_count * len(
         polls_per_second
     )
@@ -202,8 +204,8 @@
     polls = " ".join(f"{second}:{count}" for second, count in sorted(fleet.polls.items()))
     median_s = sorted(delays_s)[len(delays_s) // 2]
     print(
-        f"{len(delays_s)} sidecars, {outage_name}: told {median_s:.2f} s (half), {max(delays_s):.2f} s (all); "
-        f"{fleet.failed_polls} calls failed; calls a second {polls}"
+        f"{len(delays_s)} sidecars, {outage_name}: updated in {median_s:.2f} s (median), {max(delays_s):.2f} s (max); "
+        f"{fleet.failed_polls} polls failed; polls per second: {polls}"
     )
-    assert min(delays_s) > 0.0, "some never got the list"
+    assert min(delays_s) > 0.0, "some sidecars never got the list"
     assert max(delays_s) < MAX_DELAY_S
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -35,15 +35,15 @@
 BODY = b"a file in two halves"
 # Requests are split this many bytes after the start of the head and before the end of the body.
 FIRST_PIECE_LENGTH, LAST_PIECE_LENGTH = 30, 12
-FAULT_INTERVAL_S = 0.03  # between two faults; requests stay open over it
+FAULT_INTERVAL_S = 0.03  # time between two faults; requests stay open for longer than this
 WORK_S = 0.06  # time in which a converter handles a request
 CLASS_NAMES = ("read", "pay", "mark")
 CONCURRENT_SIDECARS = 4
 RUN_TIMEOUT_S = 60.0
-# A single run of an order with a seeded fault may have no open request at the fault.
+# In a single run of an order, the seeded fault may hit no open request.
 SEEDED_FAULT_REPEATS = 4
-MIN_REQUESTS_PER_CONVERTER = 3  # to each converter before an order begins
-MIN_REQUESTS_PER_ORDER, MIN_SERVED_PER_ORDER = 10, 5  # per order, for the check to be meaningful
+MIN_REQUESTS_PER_CONVERTER = 3  # sent to each faulty converter before an order begins
+MIN_REQUESTS_PER_ORDER, MIN_SERVED_PER_ORDER = 10, 5  # below these numbers the check would not be meaningful
 
 # Faults of tests/seeded_sidecar_faults.py, each with an order in which it leaves a request without an answer
 SEEDED_FAULTS = [
@@ -119,7 +119,7 @@
         await self.use_faulty_converters(sidecar)
 
     async def use_faulty_converters(self, sidecar: SidecarProcess) -> None:
-        """Send requests until both faulty converters have had some, after which the sidecar sends several at once."""
+        """Make the sidecar send enough requests to both faulty converters that it then sends them several at once."""
         async with asyncio.timeout(RUN_TIMEOUT_S):
             while (
                 min(len(self.draining_converter.requests), len(self.crashing_converter.requests))
@@ -151,7 +151,7 @@
         sidecar.stop()
 
     async def send_first_pieces(self, sidecar: SidecarProcess) -> None:
-        """Send the first piece of a request of each class; all are split in the head, those with a body also in it."""
+        """Send the first piece of one request per class, each split in its head and, if it has a body, in its body."""
         for class_name in CLASS_NAMES:
             body = b"" if class_name == "read" else BODY
             exchange = await self.client.send_first_piece(sidecar, class_name, [FIRST_PIECE_LENGTH], body)
@@ -178,7 +178,7 @@
         self.partial_exchanges.clear()
 
     async def run(self, sidecar: SidecarProcess, order: Sequence[str]) -> None:
-        """Apply the faults in this order, each with open requests until the shutdown begins."""
+        """Apply the faults in this order. Until the shutdown begins, requests are open at each fault."""
         faults: dict[str, Callable[[SidecarProcess], Any]] = {
             "reload": self.reload_configuration,
             "drain": self.drain_converter,
@@ -201,7 +201,7 @@
 
 
 async def run_orders(directory: Path, orders: Sequence[Sequence[str]], seeded_fault: str = "") -> list[ClientRequest]:
-    """Run the orders one after another with one sidecar, which only the last may stop, and return all requests."""
+    """Run the orders one after another with one sidecar and return all requests. Only the last may stop the sidecar."""
     scenario = Scenario()
     await scenario.start()
     sidecar = SidecarProcess(directory, "sidecar", scenario.agent, scenario.endpoint_list(), seeded_fault)
@@ -222,7 +222,7 @@
 
 
 def stop_orders() -> list[tuple[str, ...]]:
-    """Return all orders of the faults after the first pieces are sent, with the shutdown at varying positions."""
+    """Return all orders of the faults after the first pieces are sent, each with the shutdown at one position."""
     orders = []
     for order_index, order in enumerate(itertools.permutations(FAULTS_BEFORE_SHUTDOWN)):
         stop_position = order_index % (len(order) + 1)
@@ -292,7 +292,7 @@
 def test_check_finds_requests_that_a_seeded_fault_leaves_unanswered(
     seeded_fault: str, order: tuple[str, ...], requests_by_run: dict[str, list[ClientRequest]]
 ) -> None:
-    check_request_counts(requests_by_run[seeded_fault], repeat_count(order))  # the sidecar works otherwise
+    check_request_counts(requests_by_run[seeded_fault], repeat_count(order))  # the sidecar still serves requests
     assert unanswered_requests(requests_by_run[seeded_fault])
 
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -48,7 +48,7 @@
             return sum(len(upstream.requests) for upstream in upstreams)
 
         async with sidecar(*upstreams) as running_sidecar:
-            # after its answer no further request is on its way on this connection
+            # once this probe is answered, the connection is idle
             idle_reader, idle_writer = await running_sidecar.connect()
             idle_writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             await read_message(idle_reader)
@@ -86,7 +86,7 @@
             running_sidecar.stop.set()
             response = await read_message(reader)
             assert status_of(response) == 500 and b"Connection: close" in response.head
-            assert not running_sidecar.task.done()  # otherwise the process would have ended with the request open
+            assert not running_sidecar.task.done()  # the process must not end before the request is answered
             writer.close()
             await running_sidecar.task
 
@@ -104,7 +104,7 @@
             loop = asyncio.get_running_loop()
             running_sidecar.stop.set()
             stopped_at = loop.time()
-            await asyncio.sleep(1.5)  # its deadline is then 0.8 s after the earliest possible kill
+            await asyncio.sleep(1.5)  # the request's deadline is then 0.8 s after the earliest possible kill
             writer.write(complete_request[-1:])
             head, _ = await read_message(reader)
             assert b"Connection: close" in head and loop.time() - stopped_at < 3.2
@@ -135,7 +135,7 @@
     stop_listening = Server.stop_listening
 
     def connect_then_stop_listening(self: Server) -> None:
-        for _ in range(40):  # more than are accepted in one loop iteration
+        for _ in range(40):  # more than the server accepts in one iteration of the event loop
             late_connections.append(socket.create_connection(self.address))
             late_connections[-1].sendall(request())
         stop_listening(self)
@@ -167,7 +167,8 @@
 
     async def test() -> None:
         async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
-            await asyncio.sleep(0.3)  # until the grace period of the connection that waited for the listener is over
+            # until the grace period is over for the connection with which `sidecar` waited for the listener
+            await asyncio.sleep(0.3)
             client_count = len(clients)
             reader, writer = await running_sidecar.connect()
             await wait_until(lambda: len(clients) > client_count)
--- a/tests/test_request_outcomes.py
+++ b/tests/test_request_outcomes.py
@@ -1,4 +1,4 @@
-"""Final answers depending on the outcomes of attempts."""
+"""The final answer to a request, for each outcome of its attempts."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     ("first_response", "expected_status", "attempt_count"),
     [
-        (NOT_RUN, 200, 2),  # it never ran, so that even a non-idempotent request may be retried
+        (NOT_RUN, 200, 2),  # the request never ran, so it may be retried although it is not idempotent
         (ERROR_500, 500, 1),
-        (UNMARKED_503, 500, 1),  # it may have run; a 503 to the client would claim that it did not
+        (UNMARKED_503, 500, 1),  # the request may have run; a 503 to the client would mean that it did not
         (b"HTTP/1.1 504 Late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", 200, 2),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 500, 1),
         (b"", 500, 1),
@@ -121,7 +121,7 @@
 
     def handle_or_fail(self: Balancer, now_us: int, event: Event) -> list[Any]:
         if getattr(event, "key", 0):
-            raise RuntimeError("stumbled")
+            raise RuntimeError("injected failure")
         if getattr(event, "marked_as_retry", False):
             return []
         return handle(self, now_us, event)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -1,9 +1,9 @@
 """No sidecar fails to serve for 4 s while others serve, in whatever way its endpoint list arrives.
 
 All converters of a fleet of sidecar processes, each with a separate discovery agent, are replaced at once. One sidecar
-is notified at once. Each other one is notified in a different way, with pushed and with polled lists: late after a
-silent watch, by a complete list after a silent watch, after SIGHUP, after a restart, or of converters that are all
-warming up. Further sidecars each have a seeded fault that one of these ways reveals.
+is notified at once. The others are notified in one of these ways, with pushed or polled lists: late after a silent
+watch, by a complete list after a silent watch, after SIGHUP, after a restart, or of converters that are all warming up.
+Further sidecars each have a seeded fault that one of these ways reveals.
 """
 
 from __future__ import annotations
@@ -35,13 +35,14 @@
 
 pytestmark = pytest.mark.xdist_group("service_after_lists")  # all tests share one run
 
-CONVERTER_COUNT = 3  # number of converters before and after the replacement
+CONVERTER_COUNT = 3  # both before and after the replacement
 WORK_S = 0.02  # time in which a converter handles a request
 REQUEST_INTERVAL_S = 0.1
 CLASSES = ("read", "pay")
-RUN_BEFORE_S = 1.0  # before the replacement
-LIST_DELAY_S = 0.5  # from a new watch to its list
-OLD_CONVERTERS_LIFETIME_S = 4.5  # until the old converters stop; a silent watch is reopened before that
+RUN_BEFORE_S = 1.0  # time under load before the replacement
+LIST_DELAY_S = 0.5  # time from the start of a new watch to its first list
+# Time from the replacement until the old converters stop; sidecars reopen a silent watch before that.
+OLD_CONVERTERS_LIFETIME_S = 4.5
 RUN_AFTER_S = MIN_OUTAGE_S + 1.5
 CONCURRENT_STARTS = 3
 RUN_TIMEOUT_S = 60.0
@@ -78,7 +79,7 @@
     """The requests of one run; times are in seconds on the event loop's clock."""
 
     requests: list[ClientRequest]
-    replacement_started_at: float  # when the replacement began
+    replacement_started_at: float
     ended_at: float
 
     def outages(self, sidecar: str) -> list[Outage]:
@@ -177,7 +178,7 @@
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
     async def notify(self, fleet_sidecar: FleetSidecar) -> None:
-        """Notify one sidecar of the replacement in its mode."""
+        """Notify a sidecar of the replacement in the way given by its `notification_mode`."""
         notifiers: dict[str, Callable[[FleetSidecar], Awaitable[None]]] = {
             AT_ONCE: self.notify_at_once,
             "late": self.notify_late,
@@ -213,7 +214,7 @@
         await agent.wait_for_watch()
 
     async def notify_after_sighup(self, fleet_sidecar: FleetSidecar) -> None:
-        """Move discovery to a new address, which alone has the change."""
+        """Reload the configuration with the address of a new agent; only that agent has the change."""
         fleet_sidecar.agent = await self.start_new_agent(self.complete_list())
         fleet_sidecar.process.reload(fleet_sidecar.agent)
 
@@ -281,12 +282,12 @@
 
 @pytest.mark.parametrize("seeded_fault", SEEDED_FAULT_BY_MODE.values())
 def test_check_finds_an_outage_caused_by_a_seeded_fault(seeded_fault: str, observation: Observation) -> None:
-    assert observation.served_count(seeded_fault)  # it served before the replacement
+    assert observation.served_count(seeded_fault)  # the sidecar served requests before the replacement
     assert observation.outages(seeded_fault)
 
 
 def evenly_spaced_requests(sidecar: str, status: int, request_count: int, duration_s: float) -> list[ClientRequest]:
-    """Return requests spread evenly over a period from 0 to `duration_s`, excluding both ends."""
+    """Return requests spaced evenly between 0 and `duration_s`, with none at either end."""
     return [
         ClientRequest(sidecar, "", sent_at=duration_s * (index + 1) / (request_count + 1), status=status)
         for index in range(request_count)
--- a/tests/test_sidecar_program.py
+++ b/tests/test_sidecar_program.py
@@ -115,7 +115,7 @@
         writer.write(OK)
 
     async def send_requests(client_index: int, port: int, stopped: asyncio.Event, answered_ids: set[str]) -> None:
-        """Send one request after another until the connection is closed, which must not happen before the stop."""
+        """Send requests until the connection is closed, which must not happen before `stopped` is set."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for request_index in range(10_000):
             request_id = f"{client_index}-{request_index}"
@@ -123,7 +123,7 @@
                 writer.write(request("pay", request_id, b"b"))
                 head, _ = await read_message(reader)
             except (asyncio.IncompleteReadError, ConnectionError):
-                assert stopped.is_set()  # the connection may be closed between two requests
+                assert stopped.is_set()  # after SIGTERM the sidecar may close the connection between two requests
                 break
             answered_ids.add(request_id)
             if b"Connection: close" in head:
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -38,7 +38,7 @@
         ) -> None:
             if upstream.requests[request_index][1] == b"lost":
                 await never_respond(upstream, request_index, reader, writer)
-            await asyncio.sleep(0.02)  # so that requests overlap and the sidecar opens more slots
+            await asyncio.sleep(0.02)  # lets requests overlap, so that the sidecar allows more slots
             writer.write(OK)
 
         upstream = Upstream(script)
@@ -55,7 +55,7 @@
             } != {200}:
                 pass
             unanswered_requests = []
-            # until there is one more than there can be slots
+            # until more requests are unanswered than the upstream can have slots
             while (count_before := unanswered_count()) <= MAX_CONCURRENCY:
                 reader, writer = await running_sidecar.connect()
                 writer.write(request("pay", body=b"lost", deadline_ms=600_000))
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -76,7 +76,7 @@
             reader, writer = await running_sidecar.connect()
             writer.write(request())
             await wait_until(lambda: len(upstream.requests) == 2)
-            # a new upstream gets the address of the leaving one, which is removed afterwards
+            # a new upstream gets the address of the leaving one, which is removed further below
             discovery.send_list(
                 endpoint_list(
                     endpoint_entry("u0", upstream.port, "leaving"),
@@ -120,7 +120,7 @@
         start_attempt(0)
         await wait_until(lambda: len(results) == 1)
         assert results[0].outcome is Outcome.OK and len(pool.idle_connections[0]) == 1
-        blocking_attempts = [start_attempt(1), start_attempt(2)]  # the idle connection is closed for these
+        blocking_attempts = [start_attempt(1), start_attempt(2)]  # the idle connection is closed to make room for these
         await wait_until(lambda: sum(len(upstream.requests) for upstream in upstreams) == 3)
         assert pool.idle_connections == {}
         start_attempt(0)
@@ -148,7 +148,7 @@
         for _ in range(3):
             pool.record_reuse(200_000, broke=True)
         assert not pool.may_reuse(210_000) and pool.may_reuse(20_000) and pool.may_reuse(2_000_000)
-        await wait_until(lambda: pool.may_reuse(200_000))  # such connections are tried again later
+        await wait_until(lambda: pool.may_reuse(200_000))  # reuse is tried again later
         pool.sweep_timer.cancel()
 
     async def test_over_sockets() -> None:
@@ -170,7 +170,7 @@
         for number in range(80):
             pool.start_attempt(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
             await wait_until(partial(has_results, number + 1))
-        # without the limit every second request would fail
+        # if such connections were always reused, every second request would fail
         assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30
         upstream.stop()
         pool.sweep_timer.cancel()
@@ -287,7 +287,7 @@
             upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             delayed_connections.delay(second_upstream if upstream is first_upstream else first_upstream, monkeypatch)
-            writer.transport.abort()  # it may have run, and is retried in the same failure domain
+            writer.transport.abort()  # the request may have run, so it is retried only in the same failure domain
             raise ConnectionResetError
 
         first_upstream, second_upstream = Upstream(script), Upstream(script)
