--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -30,7 +30,7 @@
 LINGER_TIMEOUT_S = 1.0  # time for the client to read the last response and close the connection
 FLUSH_TIMEOUT_S = 5.0  # added to a state's timeout while part of a response is in the write buffer
 SUPPORTED_VERSIONS = ("1.0", "1.1")
-REASONS = {status.value: status.phrase.encode() for status in http.HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 PIPELINING_REJECTION = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -315,7 +315,7 @@
         last = last or self.closes_after_response or self.server.is_stopping or closes_for_capacity
         self.response_count += 1
         headers = response.headers + b"Connection: close\r\n" if last else response.headers
-        head_fields = (response.status, REASONS[response.status], headers, len(response.body))
+        head_fields = (response.status, REASON_PHRASES[response.status], headers, len(response.body))
         data = b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n" % head_fields + response.body
         if self.has_pipelined_bytes and not last:
             data += PIPELINING_REJECTION
--- a/ryepier/sidecar/upstream_connection.py
+++ b/ryepier/sidecar/upstream_connection.py
@@ -49,7 +49,7 @@
         self.is_complete = False
         self.keeps_alive = True  # the connection may carry another request after this response
         self.status = 0
-        self.not_run = False
+        self.marked_not_run = False
         self.content_type = b""
         self.body = bytearray()
         self.received_bytes = 0
@@ -84,7 +84,7 @@
         if name == b"content-length" and int(value) > MAX_BODY_BYTES:
             raise ResponseTooLongError
         if name == NOT_RUN_HEADER:
-            self.not_run = value.strip() == b"1"
+            self.marked_not_run = value.strip() == b"1"
         elif name == b"content-type":
             self.content_type = value
 
@@ -106,7 +106,7 @@
             return
         self.status = self.parser.get_status_code()
         if self.status < FIRST_FINAL_STATUS:
-            self.not_run = self.head_complete = False
+            self.marked_not_run = self.head_complete = False
             self.content_type = b""
             return
         self.is_complete = True
@@ -236,7 +236,7 @@
         if response.status == http.HTTPStatus.OK or (forwards_errors and is_final_error):
             # A response that is complete before the request was written can't be the response to it.
             self._finish(Outcome.MALFORMED_RESPONSE if self.partly_written else Outcome.OK)
-        elif response.status in NOT_RUN_STATUSES and response.not_run:
+        elif response.status in NOT_RUN_STATUSES and response.marked_not_run:
             self._finish(Outcome.REJECTED)
         else:
             self._finish(Outcome.ERROR)
--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -102,15 +102,19 @@
             if record.status == SERVED_STATUS and start_at <= record.sent_at <= end_at
         )
         for gap_start_at, gap_end_at in zip([start_at, *served_times], [*served_times, end_at], strict=True):
-            count = sum(gap_start_at < record.sent_at < gap_end_at for record in sidecar_requests)
+            request_count = sum(gap_start_at < record.sent_at < gap_end_at for record in sidecar_requests)
             another_sidecar_serves = any(
                 record.sidecar != sidecar
                 and record.status == SERVED_STATUS
                 and gap_start_at < record.sent_at < gap_end_at
                 for record in requests
             )
-            if gap_end_at - gap_start_at >= MIN_OUTAGE_S and count >= MIN_OUTAGE_REQUESTS and another_sidecar_serves:
-                outages.append(Outage(sidecar, gap_start_at, gap_end_at, count))
+            if (
+                gap_end_at - gap_start_at >= MIN_OUTAGE_S
+                and request_count >= MIN_OUTAGE_REQUESTS
+                and another_sidecar_serves
+            ):
+                outages.append(Outage(sidecar, gap_start_at, gap_end_at, request_count))
     return outages
 
 
@@ -198,9 +202,11 @@
 
     async def start(self) -> None:
         """Start the process and wait until it accepts connections."""
-        module = ["tests.seeded_sidecar_faults", self.seeded_fault] if self.seeded_fault else ["ryepier.sidecar"]
+        module_arguments = (
+            ["tests.seeded_sidecar_faults", self.seeded_fault] if self.seeded_fault else ["ryepier.sidecar"]
+        )
         self.process = subprocess.Popen(
-            [sys.executable, "-B", "-m", *module],
+            [sys.executable, "-B", "-m", *module_arguments],
             cwd=ROOT,
             env=os.environ | {"BALANCER_CONFIG": str(self.config_path)},
             stderr=self.log_file,
--- a/tests/loopback_ports.py
+++ b/tests/loopback_ports.py
@@ -18,9 +18,9 @@
     The ranges lie below the system's ephemeral ports, which are used for outgoing connections.
     """
     worker = os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw")
-    first = FIRST_PORT + int(worker) % MAX_WORKERS * PORTS_PER_WORKER
+    first_port = FIRST_PORT + int(worker) % MAX_WORKERS * PORTS_PER_WORKER
     for offset in itertools.count(os.getpid()):
-        yield first + offset % PORTS_PER_WORKER
+        yield first_port + offset % PORTS_PER_WORKER
 
 
 PORTS = worker_ports()
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -79,11 +79,11 @@
     data_received, accept_request = ClientConnection.data_received, ClientConnection._accept_request
 
     def count_pieces(self: ClientConnection, data: bytes) -> None:
-        self.pieces = getattr(self, "pieces", 0) + 1  # type: ignore[attr-defined]
+        self.piece_count = getattr(self, "piece_count", 0) + 1  # type: ignore[attr-defined]
         data_received(self, data)
 
     def accept_unsplit(self: ClientConnection) -> None:
-        if self.pieces == 1:  # type: ignore[attr-defined]
+        if self.piece_count == 1:  # type: ignore[attr-defined]
             accept_request(self)
 
     ClientConnection.data_received = count_pieces  # type: ignore[method-assign]
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -167,10 +167,10 @@
 async def received_body_bytes(converter: socket.socket) -> int:
     """Read until the connection or the body ends, and return how many bytes of the body arrived."""
     converter.settimeout(CLOSE_TIMEOUT_S)
-    count = 0
-    while count < BODY_BYTES and (data := await asyncio.to_thread(converter.recv, 65_536)):
-        count += data.count(b"x")
-    return count
+    received_bytes = 0
+    while received_bytes < BODY_BYTES and (data := await asyncio.to_thread(converter.recv, 65_536)):
+        received_bytes += data.count(b"x")
+    return received_bytes
 
 
 # The event loop is delayed: it has not read the disconnect yet when the request could be sent
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -36,17 +36,19 @@
 def test_deployed_command_answers_and_exits_at_end_of_input(simulator_command: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
     frames = bytes.fromhex(EMPTY_BATCH) + batch_frame([instance_started(), bytes.fromhex(LIST_RECORD), members])
-    completed = run_simulator(simulator_command, frames)
-    assert (completed.returncode, completed.stderr) == (0, b"")
-    assert completed.stdout.startswith(bytes(8))
-    size, _ = struct.unpack_from("<II", completed.stdout, 8)
-    assert len(completed.stdout) == 16 + size
+    completed_process = run_simulator(simulator_command, frames)
+    assert (completed_process.returncode, completed_process.stderr) == (0, b"")
+    assert completed_process.stdout.startswith(bytes(8))
+    size, _ = struct.unpack_from("<II", completed_process.stdout, 8)
+    assert len(completed_process.stdout) == 16 + size
 
 
 def test_deployed_command_reports_a_malformed_frame_in_one_line(simulator_command: str) -> None:
-    completed = run_simulator(simulator_command, bytes.fromhex(EMPTY_BATCH) + b"\x01\x00")
-    assert completed.returncode != 0 and completed.stdout == bytes(8)
-    assert completed.stderr.decode().splitlines() == ["ryepier.balancer: batch 1: truncated header: 2 of 16 bytes"]
+    completed_process = run_simulator(simulator_command, bytes.fromhex(EMPTY_BATCH) + b"\x01\x00")
+    assert completed_process.returncode != 0 and completed_process.stdout == bytes(8)
+    assert completed_process.stderr.decode().splitlines() == [
+        "ryepier.balancer: batch 1: truncated header: 2 of 16 bytes"
+    ]
 
 
 POLICY_MODULES = {name: (ROOT / name).read_text() for name in DEPLOY["policy"]}
@@ -95,16 +97,18 @@
 @pytest.mark.parametrize("name", POLICY_MODULES)
 def test_decision_module_is_pure(name: str) -> None:
     external_names = {
-        imported for imported in imports_of(POLICY_MODULES[name]) if not imported.startswith("ryepier.balancer")
+        imported_name
+        for imported_name in imports_of(POLICY_MODULES[name])
+        if not imported_name.startswith("ryepier.balancer")
     }
     modules = {
-        imported
-        for imported in external_names
-        if imported in sys.stdlib_module_names or imported.rpartition(".")[0] not in external_names
+        imported_name
+        for imported_name in external_names
+        if imported_name in sys.stdlib_module_names or imported_name.rpartition(".")[0] not in external_names
     }
     assert modules <= PURE_MODULES
     # The functions of the `random` module use a generator that is not seeded by the balancer.
-    random_names = {imported for imported in external_names if imported.partition(".")[0] == "random"}
+    random_names = {imported_name for imported_name in external_names if imported_name.partition(".")[0] == "random"}
     assert (
         random_names in (set(), {"random", "random.Random"})
         and "import random" not in POLICY_MODULES[name].splitlines()
@@ -121,10 +125,10 @@
             name = str(path.relative_to(ROOT))
             if name in POLICY_MODULES:
                 continue
-            allowed = {"ryepier.balancer.balancer"} if name in modules_with_balancer else set()
+            allowed_modules = {"ryepier.balancer.balancer"} if name in modules_with_balancer else set()
             imported_names = imports_of(path.read_text())
             assert not {"random", "secrets"} & imported_names, f"{name} uses random numbers"
-            assert imported_names & decision_modules <= allowed, f"{name} imports a decision module"
+            assert imported_names & decision_modules <= allowed_modules, f"{name} imports a decision module"
             checked_modules += 1
     assert checked_modules > len(NON_DECISION_MODULES)
 
@@ -195,8 +199,8 @@
 def test_readme_example_prints_the_documented_output() -> None:
     text = (ROOT / "README.md").read_text()
     example = text.split("```python\n")[1].split("```")[0]
-    completed = subprocess.run(
+    completed_process = subprocess.run(
         [sys.executable, "-c", example], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
     )
     expected_output = text.split("It prints:\n\n```\n")[1].split("```")[0]
-    assert completed.stdout == expected_output
+    assert completed_process.stdout == expected_output
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -158,9 +158,11 @@
         await new_upstream.start()
         async with sidecar(old_upstream, discovery=discovery, polls_endpoints=False) as running_sidecar:
             await discovery.wait_for_watch()
-            first = endpoint_list(endpoint_entry("u0", old_upstream.port, "leaving"), rev=2, full=False)
-            second = endpoint_list(endpoint_entry('\u00fc}"\\', new_upstream.port), rev=3, full=False)
-            data = "\n".join(json.dumps(message, indent=1, ensure_ascii=False) for message in (first, second)).encode()
+            first_change = endpoint_list(endpoint_entry("u0", old_upstream.port, "leaving"), rev=2, full=False)
+            second_change = endpoint_list(endpoint_entry('\u00fc}"\\', new_upstream.port), rev=3, full=False)
+            data = "\n".join(
+                json.dumps(message, indent=1, ensure_ascii=False) for message in (first_change, second_change)
+            ).encode()
             for offset in range(0, len(data), piece_length):
                 discovery.send_bytes(data[offset : offset + piece_length])
                 await discovery.writers[-1].drain()
@@ -174,7 +176,7 @@
 
 
 @pytest.mark.parametrize(
-    "malformed",
+    "malformed_data",
     [
         b'{"rev": 2, "all": true, "targets": [',
         b"no list\n",
@@ -185,14 +187,14 @@
         b"7\n",
     ],
 )
-def test_malformed_list_keeps_the_last_valid_one_and_starts_a_new_watch(malformed: bytes) -> None:
+def test_malformed_list_keeps_the_last_valid_one_and_starts_a_new_watch(malformed_data: bytes) -> None:
     async def test() -> None:
         upstream, discovery = Upstream(respond_in_turn(OK)), Discovery()
         async with sidecar(upstream, discovery=discovery, polls_endpoints=False) as running_sidecar:
             await discovery.wait_for_watch()
-            discovery.send_bytes(malformed)
+            discovery.send_bytes(malformed_data)
             await discovery.writers[-1].drain()
-            if not malformed.endswith(b"\n"):
+            if not malformed_data.endswith(b"\n"):
                 discovery.writers[-1].close()
             await discovery.wait_for_watch()
             assert b"since=1 " in discovery.calls[-1]
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -156,12 +156,12 @@
 def test_connection_established_just_before_shutdown_may_send_its_first_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    idle_closed = asyncio.Event()
+    idle_connections_closed = asyncio.Event()
     close_idle = Server.close_idle
 
     def close_idle_and_notify(self: Server) -> None:
         close_idle(self)
-        idle_closed.set()
+        idle_connections_closed.set()
 
     monkeypatch.setattr(Server, "close_idle", close_idle_and_notify)
 
@@ -173,7 +173,7 @@
             reader, writer = await running_sidecar.connect()
             await wait_until(lambda: len(clients) > client_count)
             running_sidecar.stop.set()
-            await idle_closed.wait()
+            await idle_connections_closed.wait()
             writer.write(request())
             assert status_of(await read_message(reader)) == 200
             writer.close()
@@ -216,10 +216,10 @@
                 await asyncio.sleep(0.3)  # a part of the response now fills the buffers
                 running_sidecar.stop.set()
                 await asyncio.sleep(0.7)
-                received = b""
+                received_data = b""
                 while data := await loop.sock_recv(sock, 65_536):
-                    received += data
-            assert len(received.partition(b"\r\n\r\n")[2]) == body_length
+                    received_data += data
+            assert len(received_data.partition(b"\r\n\r\n")[2]) == body_length
             await running_sidecar.task
 
     run_async(test)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -38,7 +38,7 @@
 CONVERTER_COUNT = 3  # both before and after the replacement
 WORK_S = 0.02  # time in which a converter handles a request
 REQUEST_INTERVAL_S = 0.1
-CLASSES = ("read", "pay")
+CLASS_NAMES = ("read", "pay")
 RUN_BEFORE_S = 1.0  # time under load before the replacement
 LIST_DELAY_S = 0.5  # time from the start of a new watch to its first list
 # Time from the replacement until the old converters stop; sidecars reopen a silent watch before that.
@@ -46,7 +46,7 @@
 RUN_AFTER_S = MIN_OUTAGE_S + 1.5
 CONCURRENT_STARTS = 3
 RUN_TIMEOUT_S = 60.0
-AT_ONCE = "told-at-once"
+AT_ONCE_MODE = "told-at-once"
 SEEDED_FAULT_BY_MODE = {  # the fault that each mode of notification reveals
     "late": "never_watch_again",
     "whole": "ignore_complete_lists",
@@ -137,7 +137,7 @@
         """Start everything, with the old converters in the lists of all sidecars."""
         for converter in self.old_converters + self.new_converters:
             await converter.start()
-        for notification_mode in (AT_ONCE, *SEEDED_FAULT_BY_MODE):
+        for notification_mode in (AT_ONCE_MODE, *SEEDED_FAULT_BY_MODE):
             await self.add_sidecar(notification_mode, notification_mode)
         for notification_mode, seeded_fault in SEEDED_FAULT_BY_MODE.items():
             await self.add_sidecar(
@@ -173,14 +173,14 @@
         number = 0
         while True:
             if fleet_sidecar.process.name not in self.paused_sidecars:
-                await self.client.fetch(fleet_sidecar.process, CLASSES[number % len(CLASSES)])
+                await self.client.fetch(fleet_sidecar.process, CLASS_NAMES[number % len(CLASS_NAMES)])
                 number += 1
             await asyncio.sleep(REQUEST_INTERVAL_S)
 
     async def notify(self, fleet_sidecar: FleetSidecar) -> None:
         """Notify a sidecar of the replacement in the way given by its `notification_mode`."""
         notifiers: dict[str, Callable[[FleetSidecar], Awaitable[None]]] = {
-            AT_ONCE: self.notify_at_once,
+            AT_ONCE_MODE: self.notify_at_once,
             "late": self.notify_late,
             "whole": self.notify_by_complete_list,
             "sighup": self.notify_after_sighup,
@@ -271,7 +271,7 @@
 
 
 @pytest.mark.parametrize(
-    "sidecar", [AT_ONCE, *SEEDED_FAULT_BY_MODE, *map(POLLING_NAME_FORMAT.format, SEEDED_FAULT_BY_MODE)]
+    "sidecar", [AT_ONCE_MODE, *SEEDED_FAULT_BY_MODE, *map(POLLING_NAME_FORMAT.format, SEEDED_FAULT_BY_MODE)]
 )
 def test_sidecar_serves_within_four_seconds_for_every_kind_of_list_update(
     sidecar: str, observation: Observation
