--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -109,7 +109,7 @@
     dialect: Dialect
     dispatcher: RequestDispatcher
     recent_ids: RecentRequestIds
-    partial_retry_after_us: int  # for rejected partial requests; 0 = no Retry-After header
+    partial_retry_after_us: int  # Retry-After of rejected partial requests; 0 = no such header
     is_stopping: bool  # the server shuts down: each response is the last of its connection
 
     @property
@@ -184,8 +184,8 @@
         assert self.parser is not None
         if self.reader.is_complete:
             return
-        # An HTTP/1.0 proxy in front of this server ignores the transfer coding and goes by Content-Length. The
-        # proxy and the sidecar would then disagree about where the next request begins.
+        # An HTTP/1.0 proxy in front of this server ignores the transfer coding and goes by Content-Length. The proxy
+        # and the sidecar would then disagree about where the next request begins.
         if self.reader.chunked and self.parser.get_http_version() != "1.1":
             raise RequestError(400, "a transfer coding, but not HTTP/1.1")
         self.reader.head_complete = True
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -23,7 +23,8 @@
 SILENCE_TIMEOUT_S = 2.5  # discovery sends an empty line every 2 s, even without changes
 MESSAGE_TIMEOUT_S = 4.0  # longest time from the last valid message to the last byte of the next one
 MAX_CALL_GAP_S = 4.0
-WATCH_RETRY_S = 0.1  # cheap, as the agent is local; with a shorter pause the client would spin while it is down
+# A retry is cheap, as the agent is local; with a shorter pause the client would spin while the agent is down.
+WATCH_RETRY_S = 0.1
 MAX_RETRY_DOUBLINGS = 5  # limit for doubling WATCH_RETRY_S, which happens while watches deliver malformed data
 FIRST_LIST_TIMEOUT_S = 0.3  # a local agent either answers at once or is down
 Listener = Callable[[UpstreamsUpdated, dict[int, Address]], None]
@@ -55,7 +56,7 @@
         self.watch: EndpointWatch | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.last_received_at = 0.0
-        self.last_message_at = 0.0  # or time of the call's start; an empty line counts as a message
+        self.last_message_at = 0.0  # time of the last message or of the call's start; an empty line counts as a message
         self.first_list_received = asyncio.Event()  # set once a list has arrived since the start
         self.consecutive_malformed_watches = 0  # reset by each valid list
         self.timer: asyncio.TimerHandle | None = None
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -25,7 +25,7 @@
 TENANT_HEADER = b"x-tenant"
 DEADLINE_LINE = b"X-Deadline-Ms: %d"  # header that the sidecar adds to each attempt
 
-MAX_INTEGER_DIGITS = 9  # in the integer value of a header
+MAX_INTEGER_DIGITS = 9  # maximum length of the integer value of a header
 LATIN_1_SIZE = 256  # number of characters in Latin-1
 HOP_BY_HOP_HEADERS = frozenset(
     (
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -24,7 +24,7 @@
 LISTEN_BACKLOG = 1024
 ACCEPT_BATCH_SIZE = 16  # connections per loop iteration; accepting hundreds at once would delay the open ones
 ACCEPT_PAUSE_S = 0.05  # time until accepting is tried again after there was no capacity
-PARTIAL_RETRY_AFTER_US = 250_000  # for a rejected partial request, whose class may not be known yet
+PARTIAL_RETRY_AFTER_US = 250_000  # Retry-After of rejected partial requests, whose class may be unknown yet
 
 
 class EvictionRule(NamedTuple):
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -23,7 +23,7 @@
 
 
 def discard_answers(requests: Iterable[OpenRequest]) -> None:
-    """Make the answers to these requests be discarded instead of written."""
+    """Make the sidecar discard the answers to these requests instead of writing them."""
     for open_request in requests:
         open_request.reply = lambda answer: None
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -46,7 +46,8 @@
         (request("read", deadline_ms=10**12), 400),
         (request("pay", extra="Content-Length: 0\r\n"), 400),
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: +4") + b"abcd", 400),
-        (request("pay", body=b"abcd").replace(b"Length: 4", b"Length: 2"), 400),  # the remaining body is not a request
+        # the rest of the body is not a valid request
+        (request("pay", body=b"abcd").replace(b"Length: 4", b"Length: 2"), 400),
         # rejected as soon as the Content-Length header is read, before any of the body arrives
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
         (request("read", request_id=""), 400),
@@ -54,7 +55,7 @@
         (request("read", deadline_ms=-5), 400),
         (request("mark").replace(b"Idempotency-Key", b"Other"), 400),
         (request("pay").replace(b"POST", b"GET"), 400),
-        (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),  # with Content-Length too
+        (request("pay", extra="Transfer-Encoding: chunked\r\n") + b"0\r\n\r\n", 400),  # also has a Content-Length
         (request("pay").replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
         (request("pay", body=b"x" * 70_000), 413),
         (b"GET /read HTTP/1.1\r\nX-Endless: " + b"x" * 20_000, 413),
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -43,7 +43,7 @@
 
 EJECTION_S = 1.0  # longer than an upstream is ejected after a single failure
 CLOSE_TIMEOUT_S = 1.0
-BODY_BYTES = 64_000  # more than the buffers of the connection hold, which the test reduces
+BODY_BYTES = 64_000  # more than the connection's buffers hold; the test reduces their sizes
 Steps = Callable[[Testbed], Awaitable[None]]
 Run = Callable[[Steps], None]
 
--- a/tests/test_connection_eviction.py
+++ b/tests/test_connection_eviction.py
@@ -101,9 +101,8 @@
 
 def test_connection_closes_after_its_first_response_when_many_are_open() -> None:
     async def test() -> None:
-        async with sidecar(
-            Upstream(respond_in_turn(OK))
-        ) as running_sidecar:  # accepts 100 clients, with 200 descriptors
+        # the sidecar accepts 100 clients, as it may use 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
             first_connection = await running_sidecar.connect()
             first_connection[1].write(request())
             assert b"Connection: close" not in (await read_message(first_connection[0]))[0]
@@ -119,9 +118,8 @@
 
 def test_most_recently_used_connection_is_not_evicted() -> None:
     async def test() -> None:
-        async with sidecar(
-            Upstream(respond_in_turn(OK))
-        ) as running_sidecar:  # accepts 100 clients, with 200 descriptors
+        # the sidecar accepts 100 clients, as it may use 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
             first_connection = await running_sidecar.connect()
             other_connections = [await running_sidecar.connect() for _ in range(90)]
 
@@ -144,9 +142,8 @@
 
 def test_idle_connections_are_evicted_for_new_ones() -> None:
     async def test() -> None:
-        async with sidecar(
-            Upstream(respond_in_turn(OK))
-        ) as running_sidecar:  # accepts 100 clients, with 200 descriptors
+        # the sidecar accepts 100 clients, as it may use 200 descriptors
+        async with sidecar(Upstream(respond_in_turn(OK))) as running_sidecar:
             idle_connections = [await running_sidecar.connect() for _ in range(150)]
             assert status_of(await running_sidecar.fetch(request())) == 200
             assert await idle_connections[0][0].read() == b""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -301,7 +301,7 @@
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar_in_process(upstream) as running_sidecar:
             data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
-            for _ in range(100):  # the sidecar accepts no more connections
+            for _ in range(100):  # the sidecar accepts no more than 100 connections
                 partial_requests.append(await running_sidecar.connect())
                 partial_requests[-1][1].write(data[:-5])
             await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
@@ -310,7 +310,7 @@
                 head, _ = await read_message(partial_requests[0][0])
             assert head.startswith(b"HTTP/1.1 503 ")
             assert b"Connection: close\r\n" in head and b"Retry-After: 0.250\r\n" in head
-            partial_requests[0][1].write(data[-5:])  # must not cause a reset while the connection lingers
+            partial_requests[0][1].write(data[-5:])  # this must not cause a reset while the connection lingers
             assert await partial_requests[0][0].read() == b""
             for _, writer in partial_requests:
                 writer.close()
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -187,7 +187,10 @@
 
 @pytest.mark.parametrize("sidecar_count", [200, 1_600])
 def test_rejected_fleet_polls_evenly_and_each_sidecar_about_every_4_s(sidecar_count: int) -> None:
-    """With a new random time after each failure there would be twice the polls, most of them as discovery recovers."""
+    """A sidecar keeps its random poll time after a failure.
+
+    A new one after each failure would double the polls, most of them just when discovery is reachable again.
+    """
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLLING_ROUND_S, [Phase(0.0, DiscoveryMode.REFUSED)])
     fleet.start_all()
     fleet.run_until(30.0)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -222,7 +222,10 @@
 
 
 def stop_orders() -> list[tuple[str, ...]]:
-    """Return all orders of the faults after the first pieces are sent, each with the shutdown at one position."""
+    """Return all orders of FAULTS_BEFORE_SHUTDOWN, each with "pieces" at its start and "stop" inserted.
+
+    The position of "stop" varies from order to order.
+    """
     orders = []
     for order_index, order in enumerate(itertools.permutations(FAULTS_BEFORE_SHUTDOWN)):
         stop_position = order_index % (len(order) + 1)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -42,7 +42,7 @@
             await release.wait()
             writer.write(OK)
 
-        upstreams = [Upstream(script), Upstream(script)]  # each has one slot
+        upstreams = [Upstream(script), Upstream(script)]  # the sidecar has one slot for each
 
         def forwarded_request_count() -> int:
             return sum(len(upstream.requests) for upstream in upstreams)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -54,7 +54,7 @@
     "restart": "keep_configured_list",
     "cold": "reject_while_warming_up",
 }
-POLLING_NAME_FORMAT = "{}-asked"  # names of the sidecars that poll
+POLLING_NAME_FORMAT = "{}-asked"  # format of the names of the sidecars that poll
 
 
 async def respond_after_work(
@@ -76,7 +76,10 @@
 
 @dataclass
 class Observation:
-    """The requests of one run; times are in seconds on the event loop's clock."""
+    """The requests of one run; times are in seconds on the event loop's clock.
+
+    The run ends at `ended_at`; outages are only looked for from the replacement of the converters on.
+    """
 
     requests: list[ClientRequest]
     replacement_started_at: float
