--- a/ryepier/commands/capacity.py
+++ b/ryepier/commands/capacity.py
@@ -1,4 +1,4 @@
-"""`ryepier experiment keep` and `capacity`: the kept results behind the capacity page, and its tables."""
+"""`ryepier experiment keep` and `capacity`: keep results for the capacity page, and compute its tables."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 def keep(folder: Path, results_folder: Path) -> None:
     """Keep the result of the run in FOLDER for the capacity page, with the day of the run."""
     try:
-        written = datetime.datetime.fromtimestamp((folder / contract.RESULT_FILE).stat().st_mtime, datetime.UTC)
-        print(keep_result(folder, results_folder, written.date().isoformat()))
+        written_at = datetime.datetime.fromtimestamp((folder / contract.RESULT_FILE).stat().st_mtime, datetime.UTC)
+        print(keep_result(folder, results_folder, written_at.date().isoformat()))
     except (OSError, CapacityError) as error:
         fail("experiment keep", error, ExitCode.MISUSE)
 
@@ -66,7 +66,7 @@
 
 
 def _update_page(page: Path, parts: dict[str, str], results_folder: Path, check: bool) -> None:
-    """Write the tables into the page, or with `check` exit with 1 if they differ. Raises CapacityError."""
+    """Write the tables into the page, or with `check` exit with 1 if the page differs. Raises CapacityError."""
     before = page.read_text(encoding="utf-8")
     after = capacity_page.replace_parts(before, parts)
     if not check:
--- a/ryepier/commands/console.py
+++ b/ryepier/commands/console.py
@@ -1,4 +1,4 @@
-"""What several commands print: client counts while a load runs, the events of a run, its claims."""
+"""Output shared by several commands: client counts during a run, the events of a run, and claims."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from ryepier.emulator.records import RecordedEvent
 from ryepier.experiments.core.contract import Claim
 
-PLAIN_INTERVAL_S = 2.0
+PRINT_INTERVAL_S = 2.0  # between lines where standard error is not a terminal
 ALWAYS_SHOWN = ("offered", "served")
 COUNT_NAMES = (*ALWAYS_SHOWN, "refused", "failed", "timeout", "broken", "unreachable", "retries", "open")
 
 
 def describe_counts(counts: Counter[str]) -> str:
-    """Return the clients' counts in one line, without those that are zero."""
+    """Return the clients' counts in one line. Counts of zero are left out, except those in `ALWAYS_SHOWN`."""
     return "  ".join(f"{name} {counts[name]}" for name in COUNT_NAMES if counts[name] or name in ALWAYS_SHOWN)
 
 
@@ -36,19 +36,19 @@
     with Progress(*columns, console=console) as progress:
         task = progress.add_task(title, total=duration_s, counts="")
 
-        def show(at_s: float, counts: Counter[str]) -> None:
+        def update_progress(at_s: float, counts: Counter[str]) -> None:
             completed_s = min(max(0.0, at_s), duration_s)
             progress.update(task, completed=completed_s, counts=describe_counts(counts))
 
-        yield show
+        yield update_progress
 
 
 def _make_line_printer() -> ProgressCallback:
-    last_printed_s = -PLAIN_INTERVAL_S
+    last_printed_s = -PRINT_INTERVAL_S
 
     def print_line(at_s: float, counts: Counter[str]) -> None:
         nonlocal last_printed_s
-        if at_s >= last_printed_s + PLAIN_INTERVAL_S:
+        if at_s >= last_printed_s + PRINT_INTERVAL_S:
             last_printed_s = at_s
             print(f"{at_s:5.1f} s  {describe_counts(counts)}", file=sys.stderr)
 
--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -1,7 +1,7 @@
-"""How even a load was, how sudden, and how many connections it took, from the converters' records.
+"""Calculates evenness, bursts and occupancy of the converters from the records of a run. No I/O.
 
-Pure. Evenness is relative to chance: for independent draws the counts of a window are Poisson, with a variation of
-mean**-0.5. Bursts are counted against the Poisson quantile of a window of 100 ms.
+Evenness is relative to random choice, for which the counts in a window are Poisson-distributed with a variation of
+mean**-0.5. Bursts are windows of 100 ms whose counts exceed a Poisson quantile.
 """
 
 from __future__ import annotations
@@ -15,51 +15,51 @@
 from ryepier.emulator.records import NEVER, ConnectionRecord, ConverterAttempt, History, RequestOutcome
 from ryepier.emulator.timeline import Instance
 from ryepier.experiments.core.quantiles import poisson_quantile
-from ryepier.experiments.load_spread.measures import RARE
+from ryepier.experiments.load_spread.measures import RARE_PROBABILITY
 
 BURST_US = 100_000
-RATE_PERIOD_US = 1_000_000  # over which the rate that a burst is compared with is taken as even
-FALSE_ALARM_CHANCE = 1e-3  # that a fleet of independent draws fails a bound
+RATE_PERIOD_US = 1_000_000  # a burst is compared with the mean rate over this period
+FALSE_ALARM_CHANCE = 1e-3  # probability that a fleet that chooses at random exceeds a bound
 US_PER_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class Evenness:
-    """How evenly executions started at some converters, over windows of equal length."""
+    """How evenly starts of executions were distributed over converters, in windows of equal length."""
 
-    variation: float  # standard deviation over mean of a window's counts, pooled over the windows
-    by_chance: float  # the same for independent draws
-    highest_to_mean: float  # of the converters' totals
+    variation: float  # standard deviation over mean of the counts in a window, pooled over all windows
+    variation_by_chance: float  # expected for random choice
+    highest_to_mean: float  # highest total of a converter over the mean total
     lowest_to_mean: float
 
     @property
     def ratio(self) -> float:
-        """Return the variation relative to chance."""
-        return self.variation / self.by_chance
+        """Return the variation over that of random choice."""
+        return self.variation / self.variation_by_chance
 
 
 @dataclass(frozen=True, slots=True)
 class Bursts:
-    """Attempts received in windows of 100 ms, one for each converter."""
+    """Attempts received in windows of 100 ms, counted for each converter separately."""
 
-    windows: int
-    highest: int  # attempts in one window
-    worst: float  # the highest over what a Poisson stream exceeds in one of 1,000 such runs
-    rare: int  # windows with more than a Poisson stream has in one of 10,000
-    rare_by_chance: int  # as many as chance has in all but one of 1,000 runs
+    window_count: int
+    highest: int  # most attempts in a window
+    worst_ratio: float  # highest count over the bound that a Poisson stream exceeds in one of 1,000 such runs
+    rare_windows: int  # with more attempts than a Poisson stream has in one of 10,000 windows
+    rare_windows_by_chance: int  # number of rare windows that Poisson streams exceed in one of 1,000 runs
 
 
 @dataclass(frozen=True, slots=True)
 class Occupancy:
-    """How many of something converters held at once."""
+    """How many connections or executions converters held at once."""
 
-    highest: int  # at any converter
-    mean: float  # of the converters' highest
+    highest: int  # of any converter
+    mean: float  # of the converters' highest numbers
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A time for which a converter held something, in microseconds; `end_us` may be NEVER."""
+    """The time in microseconds for which a converter held a connection or execution; `end_us` may be NEVER."""
 
     uid: str
     begin_us: int
@@ -67,14 +67,14 @@
 
 
 def was_received(attempt: ConverterAttempt) -> bool:
-    """Return whether an attempt reached its converter, which executed or rejected it."""
+    """Return whether an attempt reached its converter, which then executed or rejected it."""
     return attempt.started_us != NEVER or attempt.not_run
 
 
 def count_starts(
     attempts: Iterable[ConverterAttempt], uids: Sequence[str], edges_s: Sequence[float]
 ) -> list[list[int]]:
-    """Return the executions started at each of these converters, a list for each window between two edges."""
+    """Return the numbers of executions started at each converter, as a list for each window between two edges."""
     counts = [Counter[str]() for _ in edges_s[1:]]
     for attempt in attempts:
         for window, (begin_s, end_s) in enumerate(itertools.pairwise(edges_s)):
@@ -88,18 +88,18 @@
     means = [sum(window) / len(window) for window in counts]
     dispersions = [_dispersion(window, mean) for window, mean in zip(counts, means, strict=True)]
     by_chance = (sum(means) / len(means)) ** -0.5
-    totals = [sum(of_converter) for of_converter in zip(*counts, strict=True)]
+    totals = [sum(converter_counts) for converter_counts in zip(*counts, strict=True)]
     mean_total = sum(totals) / len(totals)
     return Evenness(
         variation=math.sqrt(sum(dispersions) / len(dispersions)) * by_chance,
-        by_chance=by_chance,
+        variation_by_chance=by_chance,
         highest_to_mean=max(totals) / mean_total,
         lowest_to_mean=min(totals) / mean_total,
     )
 
 
 def _dispersion(counts: Sequence[int], mean: float) -> float:
-    """Return the variance over the mean: 1 for a Poisson variable."""
+    """Return the variance over the mean, which is 1 for a Poisson distribution."""
     return sum((count - mean) ** 2 for count in counts) / (len(counts) - 1) / mean
 
 
@@ -108,8 +108,8 @@
 ) -> Bursts:
     """Return the bursts at the converters of `zone_of` in a part of the run.
 
-    A window is compared with the rate of its zone's converters in the same second, but no less than that of all over
-    the whole part: a cut between zones moves load from one to another, which is no burst.
+    A window is compared with the mean rate of its zone's converters in the same second, but at least with the mean rate
+    of all converters in the whole part: a cut between zones shifts load to another zone, which is not a burst.
     """
     windows_per_converter = int((end_s - begin_s) * US_PER_S) // BURST_US
     by_window: Counter[tuple[str, int]] = Counter()
@@ -120,37 +120,37 @@
             by_window[attempt.uid, window] += 1
             by_second[zone_of[attempt.uid], window * BURST_US // RATE_PERIOD_US] += 1
     zone_sizes = Counter(zone_of.values())
-    windows = windows_per_converter * len(zone_of)
-    overall_mean = sum(by_window.values()) / max(1, windows)
-    worst, rare = 0.0, 0
+    window_count = windows_per_converter * len(zone_of)
+    overall_mean = sum(by_window.values()) / max(1, window_count)
+    worst_ratio, rare_windows = 0.0, 0
     for (uid, window), received in by_window.items():
         zone = zone_of[uid]
-        in_second = by_second[zone, window * BURST_US // RATE_PERIOD_US]
-        mean = max(overall_mean, in_second / zone_sizes[zone] / (RATE_PERIOD_US // BURST_US))
-        worst = max(worst, received / poisson_quantile(mean, FALSE_ALARM_CHANCE / windows))
-        rare += received > poisson_quantile(mean, RARE)
-    rare_by_chance = poisson_quantile(windows * RARE, FALSE_ALARM_CHANCE)
-    return Bursts(windows, max(by_window.values(), default=0), worst, rare, rare_by_chance)
+        zone_received = by_second[zone, window * BURST_US // RATE_PERIOD_US]
+        mean = max(overall_mean, zone_received / zone_sizes[zone] / (RATE_PERIOD_US // BURST_US))
+        worst_ratio = max(worst_ratio, received / poisson_quantile(mean, FALSE_ALARM_CHANCE / window_count))
+        rare_windows += received > poisson_quantile(mean, RARE_PROBABILITY)
+    rare_windows_by_chance = poisson_quantile(window_count * RARE_PROBABILITY, FALSE_ALARM_CHANCE)
+    return Bursts(window_count, max(by_window.values(), default=0), worst_ratio, rare_windows, rare_windows_by_chance)
 
 
 def count_idle_windows(counts: Sequence[Sequence[int]]) -> int:
-    """Return the number of windows, by converter, without a start."""
+    """Return the number of pairs of a window and a converter without a start."""
     return sum(count == 0 for window in counts for count in window)
 
 
 def measure_occupancy(spans: Iterable[Span]) -> Occupancy:
-    """Return how many of these spans overlap at each converter."""
+    """Return how many spans overlapped at the converters."""
     changes: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for span in spans:
         changes[span.uid].append((span.begin_us, 1))
         if span.end_us != NEVER:
             changes[span.uid].append((span.end_us, -1))
-    highest = [_highest_sum(of_converter) for of_converter in changes.values()]
+    highest = [_highest_sum(converter_changes) for converter_changes in changes.values()]
     return Occupancy(max(highest, default=0), sum(highest) / max(1, len(highest)))
 
 
 def _highest_sum(changes: list[tuple[int, int]]) -> int:
-    """Return the highest count after changes by time; at the same time ends come first."""
+    """Return the highest running sum of changes sorted by time; at the same time, ends come before begins."""
     count = highest = 0
     for _, change in sorted(changes):
         count += change
@@ -169,20 +169,20 @@
     return measure_occupancy(Span(attempt.uid, attempt.started_us, attempt.finished_us) for attempt in executed)
 
 
-def steady_uids(instances: Iterable[Instance], struck: Iterable[int]) -> list[str]:
-    """Return the converters that were there, warm, from the begin, without those at these indices."""
-    excluded = set(struck)
-    return [one.uid for one in instances if one.start_us is None and one.index not in excluded]
+def steady_uids(instances: Iterable[Instance], excluded_indices: Iterable[int]) -> list[str]:
+    """Return the converters that were running and warm from the beginning, without those at `excluded_indices`."""
+    excluded = set(excluded_indices)
+    return [instance.uid for instance in instances if instance.start_us is None and instance.index not in excluded]
 
 
 def served_operations_share(history: History) -> float:
-    """Return the share of operations that an attempt or a retry had served, however late."""
-    operations = {item.arrival for item in history.client_attempts}
-    served = {item.arrival for item in history.client_attempts if item.outcome is RequestOutcome.SERVED}
+    """Return the share of operations that were served by their first attempt or a retry, however late."""
+    operations = {attempt.arrival for attempt in history.client_attempts}
+    served = {attempt.arrival for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
     return len(served) / max(1, len(operations))
 
 
 def rejected_share(history: History) -> float:
     """Return the share of the clients' attempts that were rejected."""
-    rejected = sum(item.outcome is RequestOutcome.REFUSED for item in history.client_attempts)
+    rejected = sum(attempt.outcome is RequestOutcome.REFUSED for attempt in history.client_attempts)
     return rejected / max(1, len(history.client_attempts))
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -1,4 +1,4 @@
-"""A row of the capacity tables, and what the kept results say of it."""
+"""Rows of the capacity tables, and their evaluation with the kept results."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from ryepier.experiments.scale import slopes
-from ryepier.experiments.scale.capacity.estimates import Estimate, Value
+from ryepier.experiments.scale.capacity.estimates import Estimator, Value
 from ryepier.experiments.scale.capacity.plan import CapacityError, Plan
 from ryepier.experiments.scale.capacity.results import KeptResult
 from ryepier.experiments.scale.slopes import Slope, Spread
@@ -17,11 +17,11 @@
 
 
 class Standing(StrEnum):
-    """Whether a resource is enough at the size to design for."""
+    """Whether a resource suffices at the design size."""
 
-    CARRIED = "carried"
-    OVER = "over"
-    MISSING = "missing"  # nothing carries it
+    CARRIED = "carried"  # within its budget, or without one
+    OVER = "over"  # over its budget
+    MISSING = "missing"  # there is no mechanism for it
     NOT_MEASURED = "not measured"
 
 
@@ -33,35 +33,35 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One resource of one role."""
+    """A resource of a role, with its mechanism, estimator and budget."""
 
     role: str
     resource: str
     unit: str
-    mechanism: str = ""  # what carries it; empty: nothing
+    mechanism: str = ""  # part of the design that provides the resource; empty if there is none
     experiment: str = ""
-    estimate: Estimate | None = None
+    estimator: Estimator | None = None
     budget: Budget | None = None
     slope: SlopeUnit | None = None
-    note: str = ""  # how it would be measured; if nothing carries it, its design
+    note: str = ""  # how the resource would be measured, or where its mechanism is designed
 
 
 class RowResult(msgspec.Struct, frozen=True, rename={"is_extrapolated": "extrapolated"}):
-    """A row with what the kept results say of it."""
+    """A row with its evaluation."""
 
     row: Row
     standing: Standing
     value: Spread | None = None
     slope: Spread | None = None
-    fitted: Sequence[Slope] = ()  # the lines behind it, one per seed
-    share: float | None = None  # of its budget
-    breaks_at: float | None = None  # share of the size at which it uses all of its budget
+    fitted: Sequence[Slope] = ()  # the lines behind `slope`, one per seed
+    share: float | None = None  # the value over the row's budget
+    breaks_at: float | None = None  # share of the design size at which the budget is used up
     is_extrapolated: bool = False
     seeds: tuple[int, ...] = ()
     date: str = ""
 
     def as_fields(self) -> dict[str, object]:
-        """Return the fields for programs."""
+        """Return the row and its evaluation as fields for JSON output."""
         row = self.row
         described = {
             "role": row.role,
@@ -82,21 +82,21 @@
     value: Value
 
 
-def evaluate(rows: Sequence[Row], kept: Sequence[KeptResult], plan: Plan) -> list[RowResult]:
-    """Return what the kept results say of each row. Raises CapacityError."""
-    return [evaluate_row(row, kept, plan) for row in rows]
+def evaluate(rows: Sequence[Row], kept_results: Sequence[KeptResult], plan: Plan) -> list[RowResult]:
+    """Evaluate each row with the kept results. Raises CapacityError like `evaluate_row`."""
+    return [evaluate_row(row, kept_results, plan) for row in rows]
 
 
-def evaluate_row(row: Row, kept: Iterable[KeptResult], plan: Plan) -> RowResult:
-    """Return what the kept results say of a row. Raises CapacityError if none has the figures that it rests on."""
+def evaluate_row(row: Row, kept_results: Iterable[KeptResult], plan: Plan) -> RowResult:
+    """Evaluate a row with the results of its experiment. Raises CapacityError if none has the needed figures."""
     if not row.mechanism:
         return RowResult(row, Standing.MISSING)
-    results = [result for result in kept if result.name == row.experiment]
-    if row.estimate is None or not results:
+    results = [result for result in kept_results if result.name == row.experiment]
+    if row.estimator is None or not results:
         return RowResult(row, Standing.NOT_MEASURED)
-    by_seed = _estimate_each(row, row.estimate, results, plan)
+    by_seed = _estimate_each(row, row.estimator, results, plan)
     values = [seed.value for seed in by_seed]
-    spread = slopes.spread([value.at_size for value in values])
+    spread = slopes.spread([value.value_at_size for value in values])
     budget = row.budget(plan) if row.budget is not None else None
     share = spread.median / budget if budget is not None else None
     fitted = [value.slope for value in values if value.slope is not None and row.slope is not None]
@@ -114,18 +114,20 @@
     )
 
 
-def _estimate_each(row: Row, estimate: Estimate, results: Sequence[KeptResult], plan: Plan) -> list[_SeedValue]:
-    """Return the value by each result; a seed may lack a figure that its run never reached."""
-    found, reason = [], ""
+def _estimate_each(row: Row, estimator: Estimator, results: Sequence[KeptResult], plan: Plan) -> list[_SeedValue]:
+    """Return the value by each result that has the figures; a run may end before it has measured all of them."""
+    seed_values, reason = [], ""
     for result in results:
         try:
             figures = {name: value for name, value in result.figures.items() if value is not None}
-            found.append(_SeedValue(result, estimate(figures, plan)))
+            seed_values.append(_SeedValue(result, estimator(figures, plan)))
         except (KeyError, ValueError) as error:
             reason = str(error)
-    if not found:
-        raise CapacityError(f"{row.role}, {row.resource}: {row.experiment} has no such figure: {reason}")
-    return found
+    if not seed_values:
+        raise CapacityError(
+            f"{row.role}, {row.resource}: no result of {row.experiment} has the needed figures: {reason}"
+        )
+    return seed_values
 
 
 def _slope_spread(fitted: Sequence[Slope], unit: SlopeUnit | None) -> Spread | None:
@@ -134,17 +136,17 @@
     return slopes.spread([slope.per_unit * unit.factor for slope in fitted])
 
 
-def share_at_budget(at_size: float, growing: float, budget: float, power: int = 1) -> float | None:
-    """Return the share of the size at which a budget is used up; 0 if it always is, None if it never is."""
-    if growing <= 0:
-        return 0.0 if at_size > budget else None
-    return float(max(0.0, 1.0 + (budget - at_size) / growing) ** (1 / power))
+def share_at_budget(value_at_size: float, growing_part: float, budget: float, exponent: int = 1) -> float | None:
+    """Return the share of the design size at which a budget is used up: 0 if at any size, None if at none."""
+    if growing_part <= 0:
+        return 0.0 if value_at_size > budget else None
+    return float(max(0.0, 1.0 + (budget - value_at_size) / growing_part) ** (1 / exponent))
 
 
-def breaking_share(values: Sequence[Value], at_size: float, budget: float) -> float | None:
-    """Return the share of the size at which a budget is used up, by the median of the seeds."""
-    fitting = [value.fitting_share for value in values if value.fitting_share is not None]
-    if fitting:
-        return slopes.spread(fitting).median
-    growing = slopes.spread([value.growing for value in values]).median
-    return share_at_budget(at_size, growing, budget, values[0].power)
+def breaking_share(values: Sequence[Value], value_at_size: float, budget: float) -> float | None:
+    """Return the share of the design size at which a budget is used up, from the medians over the seeds."""
+    fitting_shares = [value.fitting_share for value in values if value.fitting_share is not None]
+    if fitting_shares:
+        return slopes.spread(fitting_shares).median
+    growing_part = slopes.spread([value.growing_part for value in values]).median
+    return share_at_budget(value_at_size, growing_part, budget, values[0].exponent)
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Seeded faults of the guard against retry storms.
+"""Seeded faults of the retry storm guard.
 
-Each function installs its fault in the whole process for good, so call it in a process of its own.
+Each function patches the code of the whole process and can't be undone, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 def advise_same_time() -> None:
-    """Advise all requests that are rejected in a storm to return at the same time."""
-    usual = RetryPolicy.retry_after_us
+    """Give all requests that are rejected in a storm the same Retry-After time."""
+    original_retry_after_us = RetryPolicy.retry_after_us
 
-    def same_for_all(self: RetryPolicy, request: PendingRequest, storm: RetryStormUpdated) -> int:
+    def same_retry_after_us(self: RetryPolicy, request: PendingRequest, storm: RetryStormUpdated) -> int:
         if not storm.active:
-            return usual(self, request, storm)
+            return original_retry_after_us(self, request, storm)
         index = min(request.event.retry_number, len(storm.retry_after_us) - 1)
         return min(storm.retry_after_us[index], self.settings.max_retry_after_us)
 
-    RetryPolicy.retry_after_us = same_for_all  # type: ignore[method-assign]
+    RetryPolicy.retry_after_us = same_retry_after_us  # type: ignore[method-assign]
 
 
 def detect_any_retry() -> None:
-    """Take any retries for a storm."""
+    """Detect a retry storm as soon as there is any retry."""
     from ryepier.storm.storm_detector import RetryStormDetector, StormEvidence
 
     RetryStormDetector._should_open = lambda self, evidence: evidence.retry_share > 0  # type: ignore[method-assign]
