--- a/ryepier/check/observations.py
+++ b/ryepier/check/observations.py
@@ -21,7 +21,7 @@
     upstream: int
     on_end: Callable[[AttemptResult], None]
     at_us: int  # time at which the dispatcher started it
-    written: bool  # whether the request has been written to a connection
+    fully_written: bool  # whether the request has been written to a connection
     ended: bool = False  # the attempt was cancelled or has an outcome; no event of it follows
     outcome: api.Outcome | None = None  # None: in flight or cancelled
 
@@ -31,7 +31,7 @@
 
     def may_have_run(self) -> bool:
         """Return whether a converter may have executed the request in this attempt."""
-        return self.written and self.outcome not in NOT_EXECUTED
+        return self.fully_written and self.outcome not in NOT_EXECUTED
 
 
 @dataclass(slots=True)
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -72,7 +72,7 @@
 
     # Interface of the dispatcher's upstreams
 
-    def start(
+    def start_attempt(
         self,
         upstream: int,
         address: tuple[str, int],
@@ -131,7 +131,7 @@
         return [Step(Action.DISCONNECT, index) for index, client in enumerate(self.clients) if client.waiting]
 
     def _attempt_steps(self, attempt: SentAttempt) -> Iterable[Step]:
-        if attempt.written:
+        if attempt.fully_written:
             return [Step(Action.ANSWER, attempt.number, outcome) for outcome in self.model.outcomes]
         connect_failed = Step(Action.CONNECT_FAILED, attempt.number)
         if self.upstream_states[attempt.upstream] is not api.UpstreamState.READY:
@@ -196,7 +196,7 @@
 
     def _connected(self, step: Step) -> None:
         self.events.append(f"attempt {step.index} is written")
-        self.attempts[step.index].written = True
+        self.attempts[step.index].fully_written = True
 
     def _end_attempt(self, number: int, outcome: api.Outcome) -> None:
         attempt = self.attempts[number]
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -30,7 +30,7 @@
 
 def send_twice() -> None:
     """Send one in `DUPLICATION_INTERVAL` attempts to two converters at once."""
-    original_start = ConnectionPool.start
+    original_start = ConnectionPool.start_attempt
     count = 0
 
     def start_twice(
@@ -50,7 +50,7 @@
             original_start(self, other_upstreams[0], other_address, request, timeout_us, lambda result: None)
         return original_start(self, upstream, address, request, timeout_us, on_end, latest_write_at_us)
 
-    ConnectionPool.start = start_twice  # type: ignore[method-assign]
+    ConnectionPool.start_attempt = start_twice  # type: ignore[method-assign]
 
 
 def ignore_draining() -> None:
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -17,12 +17,15 @@
 log = logging.getLogger(__name__)
 
 MIN_IDLE_BEFORE_REUSE_US = 30_000  # a surplus response to the previous request may arrive within this time
-IDLE_MARGIN_US = 300_000  # an upstream may close a connection while a request is on its way to it
+# Idle connections are closed this long before the upstream would close them, as a request might then be on its way.
+IDLE_MARGIN_US = 300_000
 BREAK_SHARE_WINDOW = 16  # number of reuses that the moving average of broken connections covers
-MAX_BREAK_SHARE = 0.15  # of reuses; beyond it new connections are cheaper, as a lost request costs about ten of them
-BREAK_SHARE_DECAY = 0.99  # applied per connection that is not reused, so that reuse is tried again in time
+# If more than this share of the reused connections breaks, new connections are cheaper, as a lost request costs about
+# as much as ten of them.
+MAX_BREAK_SHARE = 0.15
+BREAK_SHARE_DECAY = 0.99  # applied for each connection that is not reused, so that reuse is tried again later
 SWEEP_INTERVAL_S = 0.1
-FIRST_SWEEP_S = 1.0  # after the pool is created
+FIRST_SWEEP_DELAY_S = 1.0  # after the pool is created
 
 
 class ConnectionPool:
@@ -34,7 +37,11 @@
     """
 
     def __init__(self, upstream_idle_timeout_us: int, dial_timeout_us: int, max_connections: int) -> None:
-        """Start empty; upstreams close a connection that has been idle for `upstream_idle_timeout_us`."""
+        """Start without connections.
+
+        Upstreams close a connection that has been idle for `upstream_idle_timeout_us`. A dial may take up to
+        `dial_timeout_us`; 0 sets no limit. `max_connections` includes connections that are being dialled or closed.
+        """
         self.loop = asyncio.get_running_loop()
         self.max_idle_us = max(0, upstream_idle_timeout_us - IDLE_MARGIN_US)
         # Moving average of the share of reused connections that broke at their next request, by log2 of the idle time.
@@ -42,13 +49,13 @@
         self.dial_timeout_us = dial_timeout_us
         self.max_connections = max_connections
         self.connections: dict[int, set[UpstreamConnection]] = {}  # by upstream; includes those being dialled
-        self.idle: dict[int, list[UpstreamConnection]] = {}
-        self.closing: set[UpstreamConnection] = set()  # closed, but their descriptors are not free yet
+        self.idle_connections: dict[int, list[UpstreamConnection]] = {}
+        self.closing_connections: set[UpstreamConnection] = set()  # closed, but their descriptors are not free yet
         self.dial_tasks: set[asyncio.Task[None]] = set()
         self.pending_dials: dict[UpstreamAttempt, int] = {}  # upstreams of the attempts that have no connection yet
-        self.sweep_timer = self.loop.call_later(FIRST_SWEEP_S, self.sweep)
+        self.sweep_timer = self.loop.call_later(FIRST_SWEEP_DELAY_S, self.sweep)
 
-    def start(
+    def start_attempt(
         self,
         upstream: int,
         address: Address,
@@ -57,11 +64,11 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_at_us: int = 0,
     ) -> UpstreamAttempt:
-        """Start an attempt on an idle connection or on a new one; see `UpstreamTransport.start`."""
+        """Start an attempt on an idle connection or on a new one; see `UpstreamTransport.start_attempt`."""
         now_us = clock_us()
         attempt = UpstreamAttempt(request, address, now_us + timeout_us, on_end, latest_write_at_us)
-        while idle := self.idle.get(upstream):
-            connection = idle[0]
+        while idle_connections := self.idle_connections.get(upstream):
+            connection = idle_connections[0]
             idle_us = now_us - connection.idle_since_us
             if idle_us < MIN_IDLE_BEFORE_REUSE_US:
                 break
@@ -119,26 +126,26 @@
     async def free_capacity(self, attempt: UpstreamAttempt) -> bool:
         """Close idle connections until one more may be opened, and return whether that succeeded.
 
-        Without the limit, silent upstreams or a burst of dials would use up the descriptors. A closed connection keeps
+        Without a limit, silent upstreams or a burst of dials would use up the descriptors. A closed connection keeps
         its descriptor until the next iteration of the event loop.
         """
         while self._descriptor_count() >= self.max_connections and not attempt.cancelled:
-            idle = [connection for group in self.idle.values() for connection in group]
-            if idle:
-                min(idle, key=lambda connection: connection.idle_since_us).close()
-            elif not self.closing:
+            idle_connections = [connection for group in self.idle_connections.values() for connection in group]
+            if idle_connections:
+                min(idle_connections, key=lambda connection: connection.idle_since_us).close()
+            elif not self.closing_connections:
                 return False
             await asyncio.sleep(0)
         return True
 
     def _descriptor_count(self) -> int:
-        return sum(map(len, self.connections.values())) + len(self.closing)
+        return sum(map(len, self.connections.values())) + len(self.closing_connections)
 
     def may_reuse(self, idle_us: int) -> bool:
         """Return whether connections that were idle for this long may be reused.
 
-        A middlebox may drop idle connections without notice, earlier than the configured idle timeout, and each such
-        connection costs a request.
+        A middlebox may drop idle connections without notice and before the configured idle timeout. A request that is
+        sent on such a connection is lost.
         """
         bucket = idle_us.bit_length()
         if self.break_shares[bucket] > MAX_BREAK_SHARE:
@@ -147,7 +154,7 @@
         return True
 
     def record_reuse(self, idle_us: int, broke: bool) -> None:
-        """Record whether a reused connection broke, which had been idle for `idle_us`."""
+        """Record whether a reused connection, which had been idle for `idle_us`, broke at its next request."""
         bucket = idle_us.bit_length()
         self.break_shares[bucket] += (float(broke) - self.break_shares[bucket]) / BREAK_SHARE_WINDOW
 
@@ -158,15 +165,15 @@
     def put_idle(self, connection: UpstreamConnection) -> None:
         """Keep a connection for later attempts."""
         connection.idle_since_us = clock_us()
-        self.idle.setdefault(connection.upstream, []).append(connection)
+        self.idle_connections.setdefault(connection.upstream, []).append(connection)
 
     def take_idle(self, connection: UpstreamConnection) -> None:
-        """Take a connection out of the idle ones, if it is one of them."""
-        idle = self.idle.get(connection.upstream, [])
-        if connection in idle:
-            idle.remove(connection)
-            if not idle:
-                del self.idle[connection.upstream]
+        """Remove a connection from the idle ones, if it is idle."""
+        idle_connections = self.idle_connections.get(connection.upstream, [])
+        if connection in idle_connections:
+            idle_connections.remove(connection)
+            if not idle_connections:
+                del self.idle_connections[connection.upstream]
 
     def remove(self, connection: UpstreamConnection) -> None:
         """Remove a connection from the pool."""
@@ -178,16 +185,16 @@
 
     def on_closing(self, connection: UpstreamConnection) -> None:
         """Record that a connection is closing; it keeps its descriptor until `on_closed`."""
-        self.closing.add(connection)
+        self.closing_connections.add(connection)
 
     def on_closed(self, connection: UpstreamConnection) -> None:
         """Remove a connection whose descriptor is freed before the next iteration of the event loop."""
         self.remove(connection)
-        self.closing.discard(connection)
+        self.closing_connections.discard(connection)
 
     def close_idle(self, upstream: int) -> None:
         """Close the idle connections to an upstream."""
-        for connection in self.idle.get(upstream, [])[:]:
+        for connection in self.idle_connections.get(upstream, [])[:]:
             connection.close()
 
     def remove_upstream(self, upstream: int) -> None:
@@ -201,7 +208,7 @@
     def sweep(self) -> None:
         """Close the idle connections that upstreams are about to close, every SWEEP_INTERVAL_S."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
-        oldest_us = clock_us() - self.max_idle_us
-        for connections in list(self.idle.values()):
-            for connection in [connection for connection in connections if connection.idle_since_us <= oldest_us]:
+        idle_before_us = clock_us() - self.max_idle_us
+        for connections in list(self.idle_connections.values()):
+            for connection in [connection for connection in connections if connection.idle_since_us <= idle_before_us]:
                 connection.close()
--- a/ryepier/sidecar/requests.py
+++ b/ryepier/sidecar/requests.py
@@ -27,16 +27,16 @@
     target: bytes
     headers: list[Header]  # the headers that are forwarded to the upstream
     body: bytes
-    arrived_us: int
-    deadline_us: int  # relative to `arrived_us`
+    arrived_at_us: int
+    deadline_us: int  # relative to `arrived_at_us`
     class_index: int
     request_id: bytes = b""  # X-Request-Id
     tenant: int = 0
-    key: int = 0
-    cost_us: int = 0
+    key: int = 0  # hash of X-Key; 0 = no key
+    cost_us: int = 0  # X-Cost-Hint; 0 = unknown
     marked_as_retry: bool = False
     forwards_client_errors: bool = False  # an upstream's 4xx response is passed to the client as the final answer
-    due_us: int = 0  # time by which the sidecar must answer; 0 = unset
+    due_at_us: int = 0  # time by which the sidecar must answer; 0 = unset
     accepted_type: bytes = b""  # media type that the client accepts; empty if the front end does not read it
     # Checks whether the client has disconnected, even if the event loop has not read that yet.
     client_disconnected: Callable[[], bool] = never_disconnects
@@ -58,7 +58,7 @@
     body: bytes = b""
     content_type: bytes = b""
     retry_after_us: int = 0
-    status: int = 200  # of the upstream's response, if the outcome is SERVED
+    status: int = 200  # status of the upstream's response, if the outcome is SERVED
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -75,17 +75,17 @@
     """An attempt that has not ended."""
 
     @property
-    def written(self) -> bool:
+    def fully_written(self) -> bool:
         """Whether all of the attempt was written to the network. Until then the upstream can't run it."""
 
     def cancel(self) -> None:
-        """Write nothing more. A connection on which a part was already written is closed."""
+        """Write no more of the attempt. If a part was already written, its connection is closed."""
 
 
 class UpstreamTransport(Protocol):
     """Carries attempts to upstreams."""
 
-    def start(
+    def start_attempt(
         self,
         upstream: int,
         address: Address,
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -23,8 +23,8 @@
 from tests.network_peers import endpoint_entry, endpoint_list, read_message
 
 EMPTY_LINE_INTERVAL_S = 2.0  # between the empty lines of a watch
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-REJECTION = b"HTTP/1.1 503 Service Unavailable\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+REJECTION_STATUS_LINE = b"HTTP/1.1 503 Service Unavailable\r\n"
 CLOSED_PORT = free_port()
 NEW_VERSION = 2
 
@@ -42,9 +42,9 @@
 
     REFUSE = enum.auto()  # the connection is refused
     HANG = enum.auto()  # the connection is never established
-    STAY_SILENT = enum.auto()
-    RESET = enum.auto()
-    TRICKLE = enum.auto()
+    STAY_SILENT = enum.auto()  # nothing more is sent
+    RESET = enum.auto()  # the connection is reset
+    TRICKLE = enum.auto()  # a space is sent every 0.2 s
 
 
 class Fault(NamedTuple):
@@ -59,15 +59,19 @@
     "dial hangs": Fault(b"", Behaviour.HANG),
     "reset": Fault(b"", Behaviour.RESET),
     "silent": Fault(b"", Behaviour.STAY_SILENT),
-    "head only": Fault(HEAD, Behaviour.STAY_SILENT),
-    "503": Fault(REJECTION + b"Content-Length: 0\r\n\r\n", Behaviour.STAY_SILENT),
-    "503 without end": Fault(REJECTION + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(b"busy"), Behaviour.STAY_SILENT),
-    "half a list": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.RESET),
-    "half a list, silent": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.STAY_SILENT),
-    "half a list, a byte at a time": Fault(HEAD + chunk(NEW_BYTES[:60]), Behaviour.TRICKLE),
-    "unreadable": Fault(HEAD + chunk(b'{"rev": 2, "all": true, "targets": [{"uid": "u0"}]}\n'), Behaviour.STAY_SILENT),
-    "watch falls silent": Fault(HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.STAY_SILENT),
-    "watch breaks": Fault(HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.RESET),
+    "head only": Fault(RESPONSE_HEAD, Behaviour.STAY_SILENT),
+    "503": Fault(REJECTION_STATUS_LINE + b"Content-Length: 0\r\n\r\n", Behaviour.STAY_SILENT),
+    "503 without end": Fault(
+        REJECTION_STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(b"busy"), Behaviour.STAY_SILENT
+    ),
+    "half a list": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.RESET),
+    "half a list, silent": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.STAY_SILENT),
+    "half a list, a byte at a time": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.TRICKLE),
+    "unreadable": Fault(
+        RESPONSE_HEAD + chunk(b'{"rev": 2, "all": true, "targets": [{"uid": "u0"}]}\n'), Behaviour.STAY_SILENT
+    ),
+    "watch falls silent": Fault(RESPONSE_HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.STAY_SILENT),
+    "watch breaks": Fault(RESPONSE_HEAD + chunk(json.dumps(OLD_LIST).encode() + b"\n"), Behaviour.RESET),
 }
 
 
@@ -75,12 +79,12 @@
 class FaultyDiscovery:
     """Answers each call with the next fault of `fault_order`, and serves all calls after the last fault.
 
-    Discovery counts as reachable from the time of the last fault, in `reachable_at`.
+    Discovery counts as reachable from the time of the last fault, which is stored in `reachable_at`.
     """
 
     fault_order: tuple[str, ...]
     response_delay_s: float
-    calls: list[float] = field(default_factory=list)
+    call_times: list[float] = field(default_factory=list)
     reachable_at: float = 0.0
     port: int = 0
     server: asyncio.Server | None = None
@@ -94,17 +98,17 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def on_connect(self) -> Behaviour | None:
-        """Count a call and return how its connection behaves; None for a call that is served."""
-        self.calls.append(time.monotonic())
-        if len(self.calls) <= len(self.fault_order):
-            self.reachable_at = self.calls[-1]
+        """Record the time of a call and return how its connection behaves; None for a call that is served."""
+        self.call_times.append(time.monotonic())
+        if len(self.call_times) <= len(self.fault_order):
+            self.reachable_at = self.call_times[-1]
         fault = self._current_fault()
         return fault.behaviour if fault is not None else None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a call, or answer it with its fault."""
         fault = self._current_fault()
-        is_last_fault = len(self.calls) == len(self.fault_order)
+        is_last_fault = len(self.call_times) == len(self.fault_order)
         try:
             await read_message(reader)
             if fault is None:
@@ -114,7 +118,7 @@
                 await writer.drain()
                 if is_last_fault:
                     self.reachable_at = time.monotonic()
-                await self._continue(fault.behaviour, writer)
+                await self._behave_after_response(fault.behaviour, writer)
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -127,19 +131,19 @@
             self.server.close()
 
     def _current_fault(self) -> Fault | None:
-        if not 0 < len(self.calls) <= len(self.fault_order):
+        if not 0 < len(self.call_times) <= len(self.fault_order):
             return None
-        return FAULTS[self.fault_order[len(self.calls) - 1]]
+        return FAULTS[self.fault_order[len(self.call_times) - 1]]
 
     async def _serve_list(self, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(self.response_delay_s)
-        writer.write(HEAD + (chunk(self.initial_data) if self.initial_data else b""))
+        writer.write(RESPONSE_HEAD + (chunk(self.initial_data) if self.initial_data else b""))
         while self.sends_empty_lines:
             await asyncio.sleep(EMPTY_LINE_INTERVAL_S)
             writer.write(chunk(b"\n"))
 
     @staticmethod
-    async def _continue(behaviour: Behaviour, writer: asyncio.StreamWriter) -> None:
+    async def _behave_after_response(behaviour: Behaviour, writer: asyncio.StreamWriter) -> None:
         if behaviour is Behaviour.RESET:
             await asyncio.sleep(0.01)  # lets the written bytes arrive before the reset
             raise ConnectionResetError
@@ -150,7 +154,7 @@
 
 
 def apply_connection_faults(patch: pytest.MonkeyPatch, agents: dict[int, FaultyDiscovery]) -> None:
-    """Make connections to the ports of these agents fail or hang if their current fault says so."""
+    """Make connections to these agents fail or hang if that is the agent's current fault; `agents` is keyed by port."""
     connect = asyncio.SelectorEventLoop.sock_connect
 
     async def connect_by_fault(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
@@ -167,8 +171,8 @@
 ) -> DiscoveryClient:
     """Start a sidecar's decision module and discovery client.
 
-    The settings are those of a fleet so large that polls are spread over the maximum interval, and this sidecar always
-    draws the latest time in it.
+    The settings are those of a fleet so large that its polls are spread over the maximum interval. The random numbers
+    are patched so that this sidecar always polls at the latest time in that interval.
     """
     config = settings(polls_endpoints=not is_pushed, max_poll_interval_us=10_000_000, instances=1_600)
     dispatcher = RequestDispatcher(config, 1, ConnectionPool(60_000_000, 200_000, max_connections=10))
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -18,12 +18,12 @@
 from ryepier.sidecar.requests import Address, AttemptResult, ClientRequest, FinalAnswer, FinalOutcome
 from ryepier.sidecar.server import Server
 
-LATE_S = 0.8  # after the request's deadline
+LATE_S = 0.8  # late answers are written at least this long after the request's deadline
 LATE_INTERVAL = 5  # every fifth answer is late
 
 
 def discard_answers(requests: Iterable[OpenRequest]) -> None:
-    """Discard the answers to these requests instead of writing them."""
+    """Make the sidecar discard the answers to these requests instead of writing them."""
     for open_request in requests:
         open_request.reply = lambda answer: None
 
@@ -79,11 +79,11 @@
     data_received, accept_request = ClientConnection.data_received, ClientConnection._accept_request
 
     def count_pieces(self: ClientConnection, data: bytes) -> None:
-        self.pieces = getattr(self, "pieces", 0) + 1  # type: ignore[attr-defined]
+        self.piece_count = getattr(self, "piece_count", 0) + 1  # type: ignore[attr-defined]
         data_received(self, data)
 
     def accept_unsplit(self: ClientConnection) -> None:
-        if self.pieces == 1:  # type: ignore[attr-defined]
+        if self.piece_count == 1:  # type: ignore[attr-defined]
             accept_request(self)
 
     ClientConnection.data_received = count_pieces  # type: ignore[method-assign]
--- a/tests/sidecar_probes.py
+++ b/tests/sidecar_probes.py
@@ -17,7 +17,7 @@
 
 
 def record_requests(monkeypatch: pytest.MonkeyPatch) -> list[ClientRequest]:
-    """Return a list to which each request is added that a sidecar accepts from now on."""
+    """Return a list to which every request that a sidecar accepts from now on is added."""
     requests: list[ClientRequest] = []
     on_request = RequestDispatcher.on_request
 
@@ -30,20 +30,20 @@
 
 
 def record_ended_attempts(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Return a list to which the index of each attempt is added when it ends."""
-    numbers: list[int] = []
+    """Return a list to which the index of each attempt within its request is added when the attempt ends."""
+    attempt_indexes: list[int] = []
     end_attempt = RequestDispatcher._end_attempt
 
-    def record(self: RequestDispatcher, request: Any, number: int, result: AttemptResult) -> None:
-        numbers.append(number)
-        end_attempt(self, request, number, result)
+    def record(self: RequestDispatcher, open_request: Any, attempt_index: int, result: AttemptResult) -> None:
+        attempt_indexes.append(attempt_index)
+        end_attempt(self, open_request, attempt_index, result)
 
     monkeypatch.setattr(RequestDispatcher, "_end_attempt", record)
-    return numbers
+    return attempt_indexes
 
 
 def record_servers(monkeypatch: pytest.MonkeyPatch) -> list[Server]:
-    """Return a list to which each server is added that starts to listen."""
+    """Return a list to which every server that starts to listen from now on is added."""
     servers: list[Server] = []
     listen = Server.listen
 
@@ -57,10 +57,10 @@
 
 @dataclass
 class DelayedConnections:
-    """Delays connections to an upstream until `released` is set; `started` counts them."""
+    """Delays connections to an upstream until `release` is set, and counts how many were started."""
 
-    released: asyncio.Event = field(default_factory=asyncio.Event)
-    started: int = 0
+    release: asyncio.Event = field(default_factory=asyncio.Event)
+    started_count: int = 0
 
     def delay(self, upstream: Upstream, patch: pytest.MonkeyPatch) -> None:
         """Delay connections to `upstream` that are started from now on."""
@@ -68,8 +68,8 @@
 
         async def connect_after_release(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
             if address[1] == upstream.port:
-                self.started += 1
-                await self.released.wait()
+                self.started_count += 1
+                await self.release.wait()
             await connect(loop, sock, address)
 
         patch.setattr(asyncio.SelectorEventLoop, "sock_connect", connect_after_release)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,7 +15,7 @@
 from ryepier.sidecar.connection_pool import ConnectionPool
 from ryepier.sidecar.requests import AttemptResult, ClientRequest
 from ryepier.sidecar.server import FIRST_REQUEST_GRACE_S
-from tests.limited_sidecar import DESCRIPTOR_LIMIT, LimitedSidecar, converters, limited_sidecar, was_closed
+from tests.limited_sidecar import DESCRIPTOR_LIMIT, LimitedSidecar, converter_list, limited_sidecar, was_closed
 from tests.loopback_ports import free_port
 from tests.network_peers import (
     ATTEMPT_TIMEOUT_US,
@@ -36,7 +36,7 @@
 
 pytestmark = pytest.mark.alone
 
-MAX_NOTIFICATION_S = 6.0  # from when discovery becomes reachable
+MAX_NOTIFICATION_S = 6.0  # time from when discovery becomes reachable until the sidecar opens a watch
 MAX_POOL_CONNECTIONS = 8
 
 
@@ -58,18 +58,20 @@
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
         for upstream_id, upstream in enumerate(upstreams):
             await upstream.start()
-            for _ in range(8):  # all at once
-                pool.start(
+            for _ in range(8):  # the attempts start at the same time
+                pool.start_attempt(
                     upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
                 )
             await wait_until(lambda upstream_id=upstream_id: len(results) == 8 * (upstream_id + 1))  # type: ignore[misc]
         assert {result.outcome for result in results} == {Outcome.OK}
         assert max_open == MAX_POOL_CONNECTIONS
-        pool.start(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append).cancel()
+        pool.start_attempt(
+            0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append
+        ).cancel()
         await wait_until(lambda: not pool.dial_tasks)
-        assert len(pool.idle[1]) == 8  # a cancelled attempt evicts no idle connection
+        assert len(pool.idle_connections[1]) == 8  # a cancelled attempt evicts no idle connection
         cancelled_attempts = [
-            pool.start(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+            pool.start_attempt(0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append)
             for _ in range(8)
         ]
         await asyncio.sleep(0)  # the attempts now wait for capacity
@@ -88,17 +90,21 @@
 
 def test_connections_being_established_count_towards_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        upstream, delayed = Upstream(respond_in_turn(OK)), DelayedConnections()
+        upstream, delayed_connections = Upstream(respond_in_turn(OK)), DelayedConnections()
         await upstream.start()
-        delayed.delay(upstream, monkeypatch)
+        delayed_connections.delay(upstream, monkeypatch)
         pool = ConnectionPool(60_000_000, 10_000_000, max_connections=MAX_POOL_CONNECTIONS)
         results: list[AttemptResult] = []
         client_request = ClientRequest(b"POST", b"/pay", [], b"", 0, 0, 1)
-        for upstream_id in range(12):  # each for a different converter
-            pool.start(upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
+        for upstream_id in range(12):  # each attempt is for a different upstream
+            pool.start_attempt(
+                upstream_id, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append
+            )
         await wait_until(lambda: len(results) == 4)
-        assert delayed.started == 8 and {result.outcome for result in results} == {Outcome.CONNECT_FAILED}
-        delayed.released.set()
+        assert delayed_connections.started_count == 8 and {result.outcome for result in results} == {
+            Outcome.CONNECT_FAILED
+        }
+        delayed_connections.release.set()
         await wait_until(lambda: len(results) == 12)
         assert {result.outcome for result in results[4:]} == {Outcome.OK}
         upstream.stop()
@@ -112,7 +118,7 @@
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar_in_process(upstream) as running_sidecar:
             data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
-            for _ in range(95):  # of the 100 that the sidecar accepts
+            for _ in range(95):  # the sidecar accepts 100 connections
                 partial_requests.append(await running_sidecar.connect())
                 partial_requests[-1][1].write(data[:-5])
                 await asyncio.sleep(0.002)
@@ -133,14 +139,18 @@
 
 
 async def open_connections(sidecar: LimitedSidecar, client_state: str, count: int) -> list[Streams]:
-    """Open connections of clients that then stay in `client_state`."""
+    """Open connections of clients that then stay in `client_state`.
+
+    A fresh connection has sent nothing, a half one only a part of its request; an open one waits for its response, and
+    a kept one is idle after its response.
+    """
 
     async def open_connection() -> Streams:
         reader, writer = await sidecar.connect()
         data = request("pay", body=b"0123456789", extra="X-Open: 1\r\n" if client_state == "open" else "")
         writer.write({"fresh": b"", "half": data[:-5]}.get(client_state, data))
         if client_state == "kept":
-            with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):  # it may have been evicted
+            with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):  # the sidecar may evict it
                 await read_message(reader)
         return reader, writer
 
@@ -191,7 +201,7 @@
             assert sidecar.max_descriptors > DESCRIPTOR_LIMIT // 2  # the sidecar has as many clients as it accepts
             if agent is not None:
                 agent.close()
-            discovery = Discovery(initial_list=converters(upstream, 2))
+            discovery = Discovery(initial_list=converter_list(upstream, 2))
             discovery.server = await asyncio.start_server(discovery.serve, "127.0.0.1", port)
             async with asyncio.timeout(MAX_NOTIFICATION_S):
                 await discovery.watch_opened.wait()
@@ -212,7 +222,8 @@
     """Send a request in two pieces, and return the first line of the response; empty if there was none.
 
     On a busy machine a client may be delayed between connect and write for longer than the grace period of a first
-    request, and be evicted: its connection is closed before the write or reset by it. Only such a client tries again.
+    request. The sidecar may then evict it, which closes its connection before the write or resets it at the write. Only
+    such a client tries again.
     """
     while True:
         connecting_at = time.monotonic()
@@ -290,7 +301,7 @@
         upstream = Upstream(respond_in_turn(OK))
         async with sidecar_in_process(upstream) as running_sidecar:
             data, partial_requests = request("pay", body=b"0123456789"), list[Streams]()
-            for _ in range(100):  # as many as the sidecar accepts
+            for _ in range(100):  # the sidecar accepts no more than 100 connections
                 partial_requests.append(await running_sidecar.connect())
                 partial_requests[-1][1].write(data[:-5])
             await asyncio.sleep(FIRST_REQUEST_GRACE_S + 0.1)
@@ -299,7 +310,7 @@
                 head, _ = await read_message(partial_requests[0][0])
             assert head.startswith(b"HTTP/1.1 503 ")
             assert b"Connection: close\r\n" in head and b"Retry-After: 0.250\r\n" in head
-            partial_requests[0][1].write(data[-5:])  # must not cause a reset while the connection lingers
+            partial_requests[0][1].write(data[-5:])  # this must not cause a reset while the connection lingers
             assert await partial_requests[0][0].read() == b""
             for _, writer in partial_requests:
                 writer.close()
--- a/tests/test_unanswered_attempts.py
+++ b/tests/test_unanswered_attempts.py
@@ -38,7 +38,7 @@
         ) -> None:
             if upstream.requests[request_index][1] == b"lost":
                 await never_respond(upstream, request_index, reader, writer)
-            await asyncio.sleep(0.02)  # so that requests overlap and the sidecar opens more slots
+            await asyncio.sleep(0.02)  # lets requests overlap, so that the sidecar allows more slots
             writer.write(OK)
 
         upstream = Upstream(script)
@@ -54,20 +54,20 @@
                 )
             } != {200}:
                 pass
-            unanswered = []
-            # until there is one more than there can be slots
+            unanswered_requests = []
+            # until more requests are unanswered than the upstream can have slots
             while (count_before := unanswered_count()) <= MAX_CONCURRENCY:
                 reader, writer = await running_sidecar.connect()
                 writer.write(request("pay", body=b"lost", deadline_ms=600_000))
                 response = asyncio.create_task(read_message(reader))
                 while not response.done() and unanswered_count() == count_before:
                     await asyncio.sleep(0.005)
-                unanswered.append((response, writer))
+                unanswered_requests.append((response, writer))
                 for _ in range(3):
                     await running_sidecar.fetch(request("pay", body=b"b"))
             while status_of(await running_sidecar.fetch(request("pay", body=b"b"))) != 200:
                 pass
-            for response, writer in unanswered:
+            for response, writer in unanswered_requests:
                 response.cancel()
                 writer.close()
 
