--- a/ryepier/slices/api_objects.py
+++ b/ryepier/slices/api_objects.py
@@ -198,21 +198,21 @@
 
 def read_event(line: bytes) -> WatchEvent:
     """Decode the event in one line of a watch. Raises SliceError."""
-    raw = _read(line, _RawEvent)
+    raw_event = _read(line, _RawEvent)
     try:
-        kind = EventKind(raw.type)
+        kind = EventKind(raw_event.type)
     except ValueError:
-        raise SliceError(f"unknown event type {raw.type!r}") from None
+        raise SliceError(f"unknown event type {raw_event.type!r}") from None
     if kind is EventKind.ERROR:
-        return WatchEvent(kind, status=_read(raw.object, Status))
+        return WatchEvent(kind, status=_read(raw_event.object, Status))
     if kind is EventKind.BOOKMARK:
-        return WatchEvent(kind, resource_version=_read(raw.object, _Bookmark).metadata.resource_version)
-    endpoint_slice = _read(raw.object, Slice)
+        return WatchEvent(kind, resource_version=_read(raw_event.object, _Bookmark).metadata.resource_version)
+    endpoint_slice = _read(raw_event.object, Slice)
     return WatchEvent(kind, endpoint_slice, resource_version=endpoint_slice.metadata.resource_version)
 
 
-def _read(data: Any, kind: Any) -> Any:
+def _read(data: Any, target_type: Any) -> Any:
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=target_type)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise SliceError(f"can't be decoded: {error}") from None
--- a/tests/api_server_testbed.py
+++ b/tests/api_server_testbed.py
@@ -84,7 +84,7 @@
 
     def on_update(self, event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         """Record an update that the source published."""
-        assert all(entry.id in addresses for entry in event.upstreams)
+        assert all(upstream.id in addresses for upstream in event.upstreams)
         self.events.append(event)
 
     def states(self) -> dict[str, UpstreamState]:
@@ -94,15 +94,15 @@
         for event in self.events:
             if event.kind in (ListKind.FULL, ListKind.CACHED):
                 state_by_id.clear()
-            state_by_id |= {entry.id: entry.state for entry in event.upstreams}
+            state_by_id |= {upstream.id: upstream.state for upstream in event.upstreams}
         return {uid: state_by_id[upstream_id] for uid, upstream_id in self.source.upstream_ids().items()}
 
 
 @asynccontextmanager
-async def api_server_testbed(tls: ssl.SSLContext | None = None) -> AsyncIterator[ApiServerTestbed]:
+async def api_server_testbed(tls_context: ssl.SSLContext | None = None) -> AsyncIterator[ApiServerTestbed]:
     """Run an emulated API server on a free port; stops the source and the server at the end."""
     testbed = ApiServerTestbed()
-    testbed.port = await testbed.api.listen("127.0.0.1", 0, tls)
+    testbed.port = await testbed.api.listen("127.0.0.1", 0, tls_context)
     try:
         yield testbed
     finally:
--- a/tests/test_reflector.py
+++ b/tests/test_reflector.py
@@ -37,7 +37,7 @@
     assert max(delays_us) - min(delays_us) > 0.4 * reflector.MAX_BACKOFF_US
 
 
-def test_outage_of_ten_minutes_causes_few_requests_and_expiry_is_listed_at_once() -> None:
+def test_ten_minute_outage_causes_few_requests_and_an_expired_version_is_relisted_at_once() -> None:
     reflector = Reflector("default", "convert", Random(1))
     reflector.resource_version = "5"
     now_us = call_count = 0
@@ -97,7 +97,7 @@
     assert replace == Replace([]) and isinstance(watch, Call) and "resourceVersion=9" in watch.target
 
 
-def test_watch_resumes_from_its_last_bookmark_and_after_an_error_from_its_last_event() -> None:
+def test_watch_resumes_from_the_last_bookmark_after_its_end_or_an_error() -> None:
     read_event = api_objects.read_event
     reflector = Reflector("default", "convert", Random(1))
     reflector.resource_version = "5"
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -48,8 +48,8 @@
                 )
             )
             assert ("fd00::7", 80) in {
-                entry.endpoint.address
-                for entry in (testbed.source.listing.endpoints.values() if testbed.source else ())
+                listed_endpoint.endpoint.address
+                for listed_endpoint in (testbed.source.listing.endpoints.values() if testbed.source else ())
             }
 
     run_bounded(test)
@@ -135,20 +135,20 @@
     client_cert = authority.issue_cert("sidecar@example.org")
     client_cert.private_key_pem.write_to_path(str(tmp_path / "key.pem"))
     client_cert.cert_chain_pems[0].write_to_path(str(tmp_path / "cert.pem"))
-    tls = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-    authority.issue_cert("127.0.0.1").configure_cert(tls)
-    authority.configure_trust(tls)
-    tls.verify_mode = ssl.CERT_REQUIRED
-    token = tmp_path / "token"
-    token.write_text("first\n")
+    server_tls_context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
+    authority.issue_cert("127.0.0.1").configure_cert(server_tls_context)
+    authority.configure_trust(server_tls_context)
+    server_tls_context.verify_mode = ssl.CERT_REQUIRED
+    token_file = tmp_path / "token"
+    token_file.write_text("first\n")
 
     async def test() -> None:
-        async with api_server_testbed(tls) as testbed:
+        async with api_server_testbed(server_tls_context) as testbed:
             testbed.api.token = "first"
             testbed.put("s1", "p1")
             access = find_access(
                 f"https://127.0.0.1:{testbed.port}",
-                str(token),
+                str(token_file),
                 str(tmp_path / "ca.pem"),
                 str(tmp_path / "cert.pem"),
                 str(tmp_path / "key.pem"),
@@ -160,19 +160,19 @@
             testbed.put("s1", "p1", draining="p1")
             await asyncio.sleep(0.1)
             assert testbed.states() == {"p1": READY}  # the server rejects the old token
-            token.write_text("second\n")
+            token_file.write_text("second\n")
             await wait_until(lambda: testbed.states() == {"p1": DRAINING})
 
     run_bounded(test)
 
 
 def test_server_with_a_certificate_of_another_ca_is_rejected(tmp_path: Path) -> None:
-    tls = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-    trustme.CA().issue_cert("127.0.0.1").configure_cert(tls)
+    server_tls_context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
+    trustme.CA().issue_cert("127.0.0.1").configure_cert(server_tls_context)
     trustme.CA().cert_pem.write_to_path(str(tmp_path / "ca.pem"))
 
     async def test() -> None:
-        async with api_server_testbed(tls) as testbed:
+        async with api_server_testbed(server_tls_context) as testbed:
             testbed.put("s1", "p1")
             source = testbed.follow(
                 find_access(f"https://127.0.0.1:{testbed.port}", "", str(tmp_path / "ca.pem")), is_pushed=False
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -26,7 +26,7 @@
 
 
 def update(listing: EndpointListing, now_us: int, **changes: MergedEndpoint | None) -> dict[int, UpstreamState]:
-    return {entry.id: entry.state for entry, _ in listing.update(now_us, changes)}
+    return {upstream.id: upstream.state for upstream, _ in listing.update(now_us, changes)}
 
 
 def test_flapping_endpoint_drains_at_once_and_waits_twice_as_long_to_become_ready() -> None:
@@ -61,12 +61,12 @@
     listing = make_listing()
     update(listing, 0, old=make_endpoint("old"))
     listing.complete_list()
-    [(entry, _)] = listing.update(5, {"new": make_endpoint("new")})
-    assert entry.started_us == 5
+    [(upstream, _)] = listing.update(5, {"new": make_endpoint("new")})
+    assert upstream.started_us == 5
     listing.update(10, {"old": make_endpoint("old", ready=False)})
     listing.update(10 + MIN_RESTART_US, {"old": make_endpoint("old")})
-    [(entry, _)] = listing.update(10 + MIN_RESTART_US + SETTLE_US, {})
-    assert entry.started_us == 10 + MIN_RESTART_US
+    [(upstream, _)] = listing.update(10 + MIN_RESTART_US + SETTLE_US, {})
+    assert upstream.started_us == 10 + MIN_RESTART_US
 
 
 def test_move_between_slices_is_no_restart_but_a_reused_address_is() -> None:
@@ -75,8 +75,8 @@
     listing.complete_list()
     assert update(listing, 1, **{"p1": None, "10.0.0.9:80": None}) == {1: REMOVED, 2: REMOVED}
     started_us_by_id = {
-        entry.id: entry.started_us
-        for entry, _ in listing.update(2, {"p1": make_endpoint(), "10.0.0.9:80": make_endpoint("10.0.0.9:80")})
+        upstream.id: upstream.started_us
+        for upstream, _ in listing.update(2, {"p1": make_endpoint(), "10.0.0.9:80": make_endpoint("10.0.0.9:80")})
     }
     assert started_us_by_id == {1: 0, 3: 2}
 
@@ -95,16 +95,16 @@
     changes = {
         name: make_endpoint(name, node=node) for name, node in (("p1", "n1"), ("p2", "n1"), ("p3", ""), ("p4", ""))
     }
-    domains = [entry.failure_domain for entry, _ in listing_by_node.update(0, changes)]
+    domains = [upstream.failure_domain for upstream, _ in listing_by_node.update(0, changes)]
     assert domains[0] == domains[1] and len(set(domains)) == 3
-    assert len({entry.failure_domain for entry, _ in listing_by_endpoint.update(0, changes)}) == 4
+    assert len({upstream.failure_domain for upstream, _ in listing_by_endpoint.update(0, changes)}) == 4
 
 
 def test_changed_address_is_published() -> None:
     listing = make_listing()
     update(listing, 0, p1=make_endpoint())
-    [(entry, address)] = listing.update(1, {"p1": make_endpoint(address="10.0.0.7")})
-    assert (entry.id, entry.state, address) == (1, READY, ("10.0.0.7", 80))
+    [(upstream, address)] = listing.update(1, {"p1": make_endpoint(address="10.0.0.7")})
+    assert (upstream.id, upstream.state, address) == (1, READY, ("10.0.0.7", 80))
 
 
 @given(
@@ -128,8 +128,8 @@
             if condition == "gone"
             else make_endpoint(identity, condition == "ready", terminating=condition == "ends")
         )
-        for entry, _ in listing.update(now_us, {identity: endpoint}):
-            published_states[entry.id] = entry.state
+        for upstream, _ in listing.update(now_us, {identity: endpoint}):
+            published_states[upstream.id] = upstream.state
         for name, upstream_id in listing.upstream_ids().items():
             assert published_states[upstream_id] is not READY or reported_conditions[name] == "ready"
         assert sum(state is READY for state in published_states.values()) <= sum(
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -76,7 +76,7 @@
     assert merger.endpoints(0)["p1"].rule == 3
 
 
-def test_address_reused_by_a_new_pod_within_a_second_is_another_converter() -> None:
+def test_address_reused_by_a_new_pod_is_another_converter() -> None:
     merger = EndpointSliceMerger()
     merger.apply(make_slice(endpoint("p1", terminating=True)))
     merger.apply(make_slice(endpoint("p2", ready=True), generation=2))
@@ -132,18 +132,18 @@
     assert states(merger) == {f"new{pod_number}": READY for pod_number in range(10 * slice_size)}
 
 
-STREAMS = st.lists(
+GENERATIONS = st.lists(
     st.lists(st.tuples(st.sampled_from(["p1", "p2", "p3"]), st.booleans(), st.booleans()), max_size=3),
     min_size=1,
     max_size=4,
 )
 
 
-@given(st.lists(STREAMS, min_size=1, max_size=3), st.data())
+@given(st.lists(GENERATIONS, min_size=1, max_size=3), st.data())
 def test_any_order_and_repetition_of_events_gives_the_same_list(
     contents: list[list[list[tuple[str, bool, bool]]]], data: Any
 ) -> None:
-    streams = []
+    generations_by_slice = []
     for index, generations in enumerate(contents):
         endpoints_by_generation = [
             [
@@ -152,18 +152,18 @@
             ]
             for content in generations
         ]
-        streams.append(
+        generations_by_slice.append(
             [
                 make_slice(*content, name=f"s{index}", uid=f"u{index}", generation=generation)
                 for generation, content in enumerate(endpoints_by_generation, 1)
             ]
         )
     in_order, shuffled = EndpointSliceMerger(), EndpointSliceMerger()
-    for stream in streams:
-        for endpoint_slice in stream:
+    for slice_generations in generations_by_slice:
+        for endpoint_slice in slice_generations:
             in_order.apply(endpoint_slice)
     terminated_pods: set[str] = set()
-    all_slices = [endpoint_slice for stream in streams for endpoint_slice in stream]
+    all_slices = [endpoint_slice for slice_generations in generations_by_slice for endpoint_slice in slice_generations]
     for endpoint_slice in data.draw(st.permutations(all_slices + all_slices[::2])):
         shuffled.apply(endpoint_slice)
         terminated_pods |= {
@@ -174,7 +174,7 @@
         assert all(
             shuffled.endpoints(0)[pod].state is DRAINING for pod in terminated_pods & shuffled.endpoints(0).keys()
         )
-    shuffled.replace([stream[-1] for stream in streams])
+    shuffled.replace([slice_generations[-1] for slice_generations in generations_by_slice])
     # a list that was empty in between is kept for some time (rule 6); after that both lists must be equal
     for merger in (shuffled, in_order):
         merger.endpoints(0)
