--- a/ryepier/plan/evidence.py
+++ b/ryepier/plan/evidence.py
@@ -13,9 +13,10 @@
 from ryepier.plan.messages import LATENCY_BUCKET_COUNT, ConverterCounters, Report, Term
 
 DECAY_TIME_CONSTANT_US = 2_000_000  # recent counts decay to 1/e within this time
-REPORT_TIMEOUT_US = 3_000_000  # forwarders whose last report is older are not active
-EVIDENCE_EXPIRY_US = 60_000_000  # forwarders without reports and converters without attempts are dropped after this
-MIN_RECENT_COUNT = 0.01  # a converter whose decayed counts sum to less is considered idle
+REPORT_TIMEOUT_US = 3_000_000  # a forwarder whose last report is older than this is not active
+# time after which forwarders without reports, and converters without attempts, are dropped
+EVIDENCE_EXPIRY_US = 60_000_000
+MIN_RECENT_COUNT = 0.01  # a converter whose decayed counts sum to less than this is considered idle
 
 
 @dataclass(slots=True)
@@ -25,8 +26,9 @@
     served: float = 0.0
     failed: float = 0.0
     rejected: float = 0.0
+    # served attempts by latency bucket
     latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKET_COUNT)
-    updated_at_us: int = 0
+    updated_at_us: int = 0  # time until which the decay has been applied
 
     def decay_until(self, now_us: int) -> None:
         """Apply the decay from the last update until `now_us`."""
@@ -50,24 +52,24 @@
 
 @dataclass(slots=True)
 class ForwarderStats:
-    """Everything that one incarnation of a forwarder has reported."""
+    """Everything that a forwarder has reported in one incarnation, which is the time from one start to the next."""
 
     incarnation: int
     first_report_at_us: int
     last_report_at_us: int
     last_report_number: int = 0
     listed_converter_count: int = 0
-    converters: dict[str, ConverterStats] = field(default_factory=dict)
-    outstanding: dict[str, int] = field(default_factory=dict)
-    arrivals: list[int] = field(default_factory=list)
+    converters: dict[str, ConverterStats] = field(default_factory=dict)  # by converter uid
+    outstanding: dict[str, int] = field(default_factory=dict)  # attempts in flight by converter uid
+    arrivals: list[int] = field(default_factory=list)  # requests by tenant
     recent_arrivals: list[float] = field(default_factory=list)
-    class_arrivals: list[int] = field(default_factory=list)
+    class_arrivals: list[int] = field(default_factory=list)  # requests by class
     recent_class_arrivals: list[float] = field(default_factory=list)
     rejections: int = 0
     recent_rejections: float = 0.0
-    rates_updated_at_us: int = 0
-    term: Term = Term()
-    plan_accepted_at_us: int = 0  # by this planner's clock
+    rates_updated_at_us: int = 0  # time until which the recent arrivals and rejections have decayed
+    term: Term = Term()  # the highest term in which the forwarder has accepted a plan
+    plan_accepted_at_us: int = 0  # when it accepted its last plan of that term, by the planner's clock
 
 
 def merge_counters(first: ConverterCounters, second: ConverterCounters) -> ConverterCounters:
@@ -139,7 +141,7 @@
         stats = forwarder.converters.get(uid)
         if stats is None:
             # The counts in a forwarder's first report accumulated earlier, so they are not recent. A converter that a
-            # later report adds started from 0, so all of its counts are.
+            # later report adds started from 0, so all of its counts are recent.
             stats = forwarder.converters[uid] = ConverterStats(
                 counters if is_first_report else ConverterCounters(), DecayingCounts(updated_at_us=now_us)
             )
@@ -168,7 +170,7 @@
         forwarder.rejections = max(forwarder.rejections, report.rejections)
 
     def expire(self, now_us: int) -> None:
-        """Drop forwarders and converters without recent reports, to bound the memory while instances come and go."""
+        """Drop forwarders and converters without recent reports, so that replaced instances do not fill the memory."""
         self.forwarders = {
             name: forwarder
             for name, forwarder in self.forwarders.items()
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -1,6 +1,6 @@
 """Forwarder: sends reports to planners, receives plans, and passes their advice to the decision module.
 
-Requests never wait for it. Without planners the advice fades out, and the sidecar decides on its own.
+Requests never wait for the forwarder. Without planners the advice fades out, and the sidecar decides on its own.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 ADVICE_INTERVAL_S = 0.25  # the advice is recomputed this often, as it fades with time
-SILENCE_TIMEOUT_US = 3_000_000  # twelve missed heartbeats: the planner counts as hung, its connection is closed
+SILENCE_TIMEOUT_US = 3_000_000  # after twelve missed heartbeats, the connection to a planner is closed as hung
 CONNECT_TIMEOUT_S = 1.0
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SidecarInterface:
-    """The parts of a sidecar that a forwarder needs."""
+    """The callbacks into a sidecar and the parameters of it that its forwarder needs."""
 
-    upstream_ids: Callable[[], Mapping[str, int]]  # the upstream ids of the ready converters, by uid
-    publish: Callable[[PlanUpdated], None]
+    upstream_ids: Callable[[], Mapping[str, int]]  # returns the upstream ids of the ready converters by uid
+    publish: Callable[[PlanUpdated], None]  # passes advice to the decision module
     unanswered_after_us: list[int]  # by class: time after which an attempt without an answer counts as failed
     tenant_count: int
 
@@ -69,7 +69,7 @@
         self.decoder = FrameDecoder()
         self.last_received_at_us = forwarder.machine.clock_us()
         self.needs_complete_report = True
-        self.min_retry_s = 0.0
+        self.min_retry_s = 0.0  # delay that the planner requested when it rejected the connection
         self.closed_future = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -80,7 +80,7 @@
         transport.write(encode(Hello(VERSION, self.forwarder.settings.name, self.forwarder.incarnation)))
 
     def data_received(self, data: bytes) -> None:
-        """Handle all messages that are complete; close the connection on a protocol error."""
+        """Handle all complete messages; close the connection on a protocol error."""
         self.last_received_at_us = self.forwarder.machine.clock_us()
         try:
             for message in self.decoder.feed(data):
@@ -101,7 +101,8 @@
             raise ProtocolError(f"unexpected {type(message).__name__.lower()} message from a planner")
 
     def send_report(self, report: Report) -> bool:
-        """Send a report. Returns False if it was not sent; a planner that does not read gets a complete one later."""
+        """Send a report. Returns False if it was not sent because the connection is closed or the planner does not
+        read; the planner's next report is then a complete one."""
         if self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
@@ -117,7 +118,7 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Deregister the connection and wake up the task that waits for its end."""
+        """Deregister the connection and wake up the task that waits until it is closed."""
         self.forwarder.connections.pop(self, None)
         if not self.closed_future.done():
             self.closed_future.set_result(None)
@@ -138,7 +139,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.last_published = PlanUpdated()
         self.uid_by_upstream: dict[int, str] = {}
-        self.last_rejection: PlanRejection | None = None
+        self.last_rejection: PlanRejection | None = None  # why the last plan was rejected; None if it was accepted
         self.followed_term = Term()
 
     # Observer of the dispatcher
@@ -222,7 +223,7 @@
 
     async def run_reports(self) -> None:
         """Send reports until the task is cancelled."""
-        # a random start keeps the forwarders from all reporting at the same moment
+        # the first report is delayed by a random time, so that the forwarders do not all report at the same moment
         await asyncio.sleep(self.jitter_s(self.settings.report_interval_s))
         while True:
             self.refresh_uids()
@@ -230,7 +231,7 @@
             await asyncio.sleep(self.settings.report_interval_s)
 
     def send_reports(self) -> None:
-        """Send a report to every connected planner; a complete one if any of them needs it."""
+        """Send the same report to every connected planner, a complete one if any of the planners needs it."""
         connections = list(self.connections)
         if not connections:
             return
--- a/ryepier/plan/leadership.py
+++ b/ryepier/plan/leadership.py
@@ -13,7 +13,7 @@
 from ryepier.plan.evidence import ForwarderStats
 from ryepier.plan.messages import Heartbeat, Term
 
-LEADER_TIMEOUT_US = 1_000_000  # four heartbeat intervals; a leader without a sign of life for longer counts as failed
+LEADER_TIMEOUT_US = 1_000_000  # four heartbeat intervals; a leader that was not seen for longer counts as failed
 MIN_FOLLOWER_SHARE = 0.5  # share of the active forwarders that must follow a leader for it to count as alive
 
 
@@ -22,7 +22,9 @@
     """One planner's view of which planner leads."""
 
     name: str
-    rank: int  # position among all planners by name; higher ranks wait longer, so that two seldom take over together
+    # position in the sorted list of planner names; a planner of a higher rank waits longer before it takes over, so
+    # that two planners seldom take over at the same time
+    rank: int
     started_at_us: int
     highest_term: Term = Term()
     is_leader: bool = False
@@ -59,7 +61,8 @@
             forwarder.term == self.highest_term and now_us - forwarder.plan_accepted_at_us < LEADER_TIMEOUT_US
             for forwarder in forwarders.values()
         )
-        # Missing heartbeats may be a partition between planners: the leader counts as alive while forwarders follow it.
+        # Missing heartbeats may be due to a partition between planners, so the leader counts as alive while forwarders
+        # follow it.
         other_may_lead = self.highest_term.epoch > 0 and self.highest_term.planner != self.name
         if other_may_lead and forwarders and follower_count >= MIN_FOLLOWER_SHARE * len(forwarders):
             self.leader_seen_at_us = max(self.leader_seen_at_us, now_us)
--- a/ryepier/plan/messages.py
+++ b/ryepier/plan/messages.py
@@ -1,7 +1,7 @@
 """Messages between forwarders and planners. The protocol is described in docs/design/planners.md.
 
 A frame is the length of the message as four bytes in big-endian order, followed by one MessagePack map with the key
-`type`. Unknown keys are ignored, so that newer versions may add some; an unknown type or protocol version is an error.
+`type`. Unknown keys are ignored, so that newer versions may add keys; an unknown type or protocol version is an error.
 This module converts between bytes and messages; it does no I/O.
 """
 
@@ -15,7 +15,7 @@
 
 VERSION = 1
 MAX_MESSAGE_BYTES = 1024 * 1024  # about three times the size of a plan for 10,000 converters
-MAX_CONVERTERS = 20_000
+MAX_CONVERTERS = 20_000  # in one report or plan
 LATENCY_BUCKET_COUNT = 16  # bounds are powers of two from 1 ms; the last bucket holds all latencies from 16 s on
 MAX_NAME_LENGTH = 200  # characters
 LENGTH_BYTES = 4  # size of the length field in front of each message
@@ -41,11 +41,11 @@
 
 
 class Hello(msgspec.Struct, tag="hello", tag_field="type", frozen=True):
-    """The first message of a forwarder, or of another planner."""
+    """The first message on a connection, sent by the forwarder or planner that opened it."""
 
     version: int
     name: Name
-    incarnation: Count = msgspec.field(name="boot")  # greater after each restart; the sender's counters restart at 0
+    incarnation: Count = msgspec.field(name="boot")  # increases when the sender restarts and its counters start at 0
     is_peer: bool = msgspec.field(name="peer", default=False)  # whether the sender is a planner
 
 
@@ -68,28 +68,29 @@
 
 
 class Report(msgspec.Struct, tag="report", tag_field="type", frozen=True):
-    """Report of a forwarder's counters, limited to the converters whose counters changed since its last report."""
+    """Report of a forwarder's counters. A complete report has all converters; any other report has only those whose
+    counters changed since the report before it."""
 
     number: Count  # increases by one with each report
     listed: Count  # number of converters that the forwarder knows as ready
-    # by converter uid; only converters with changed counters
+    # by converter uid
     counters: dict[Name, ConverterCounters] = msgspec.field(name="seen")
     outstanding: dict[Name, Count]  # attempts in flight by converter uid; converters without any are omitted
     arrivals: list[Count]  # requests by tenant, since the forwarder's start
     class_arrivals: list[Count]  # requests by class, since the forwarder's start
     rejections: Count = msgspec.field(name="refused")  # requests rejected since the forwarder's start
-    term: Term = Term()  # the highest term of an accepted plan
+    term: Term = Term()  # the highest term in which the forwarder has accepted a plan
     plan_age_ms: Count = 0  # time since the forwarder accepted the last plan of that term
 
 
 class ConverterAdvice(msgspec.Struct, frozen=True, array_like=True):
     """A plan's advice on one converter."""
 
-    weight: Share = 1.0
+    weight: Share = 1.0  # relative to the default weight, which is 1
     # most attempts that one forwarder may have in flight to the converter; 0 = no limit
     concurrency_limit: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
     ejected: bool = False
-    trial_share: Share = 1.0  # share of the forwarders that may send trial requests while it is ejected
+    trial_share: Share = 1.0  # share of the forwarders that may send it trial requests while it is ejected
     reason: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)] = ""
 
 
@@ -97,7 +98,7 @@
     """The amount of evidence behind a plan, which forwarders check before they accept it."""
 
     forwarders: Count = 0  # forwarders with a recent report
-    window_ms: Count = 0  # for how long reports were collected, at most the decay time constant of the counts
+    window_ms: Count = 0  # time over which reports were collected, at most the decay time constant of the counts
     covered: Count = 0  # converters with reported counters
     listed: Count = 0  # the greatest number of converters that any of the forwarders lists
     attempts: Count = 0  # attempts that ended recently
@@ -111,7 +112,7 @@
     evidence: PlanBasis
     entries: dict[Name, ConverterAdvice]  # by uid; only converters that deviate from the default
     valid_ms: Count  # time after its arrival during which the plan is followed fully
-    fade_ms: Count  # time after that over which its advice fades out
+    fade_ms: Count  # time after `valid_ms` over which the advice fades out
     # by tenant, the share of its requests that is within its quota; if empty, quotas are not applied
     tenant_weight: list[Share] = msgspec.field(name="tenant_worth", default_factory=list)
     # by class, the share of arrivals to admit; if empty, all are admitted
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -14,29 +14,32 @@
 from ryepier.plan.messages import LATENCY_BUCKET_COUNT, ConverterAdvice, Plan, PlanBasis, Term
 from ryepier.plan.plan_follower import AcceptanceRules
 
-# A failing converter reaches MIN_FAILURES, MIN_FAILURE_SHARE and MIN_FAILURE_REPORTERS.
+# A converter counts as failing only if it reaches all of MIN_FAILURES, MIN_FAILURE_SHARE and MIN_FAILURE_REPORTERS.
 MIN_FAILURES = 2.0  # recent failed attempts; fewer may be chance
 MIN_FAILURE_SHARE = 0.5  # share of recent attempts that failed; a smaller one may be due to the requests themselves
 MAX_HEALTHY_FAILURE_SHARE = 0.25  # share of recent attempts that failed, below which a converter is healthy
 MIN_FAILURE_REPORTERS = 2  # forwarders with failed attempts; a single one may be faulty itself
-MIN_REPORTED_COUNT = 0.5  # decayed attempts (or failures) from which a forwarder counts as a reporter of them
-MAX_COUNTED_ATTEMPTS = 3.0  # attempts per forwarder and converter that count; more are scaled down to this number
-# A forwarder is an outlier, and its reports are ignored, if this share of its own attempts fails and attempts fail at
-# this many converters, which are healthy for the other forwarders.
+# a forwarder counts as a reporter of attempts (or failures) if its decayed count of them is at least this
+MIN_REPORTED_COUNT = 0.5
+MAX_COUNTED_ATTEMPTS = 3.0  # per forwarder and converter; if there are more, their counts are scaled down to this sum
+# A forwarder is an outlier, and its reports are ignored, if at least MIN_OUTLIER_FAILURE_SHARE of its attempts fail,
+# and they fail at MIN_OUTLIER_CONVERTERS or more converters that are healthy for the other forwarders.
 MIN_OUTLIER_FAILURE_SHARE = 0.5
 MIN_OUTLIER_CONVERTERS = 3
 MAX_TRIAL_FORWARDERS = 2  # forwarders that may send trial requests to an ejected converter at a time
-MIN_EJECTION_US = 1_000_000
-RECOVERY_STEP_US = 2_000_000  # time at each recovery weight
+MIN_EJECTION_US = 1_000_000  # least duration of an ejection
+RECOVERY_STEP_US = 2_000_000  # time for which a recovering converter keeps each of RECOVERY_WEIGHTS
 RECOVERY_WEIGHTS = (0.25, 0.5)  # shares of the default weight that a recovering converter gets, step by step
 MIN_RESPONSES = 5.0  # recent responses needed to determine a converter's median latency
-SLOW_RATIO = 2.0  # ratio to the median latency of all converters above which a converter is slow
-VERY_SLOW_RATIO = 3.0  # ratio above which each forwarder sends only one request at a time
+# ratio of a converter's median latency to the median over all converters, above which the converter is slow
+SLOW_RATIO = 2.0
+VERY_SLOW_RATIO = 3.0  # ratio above which each forwarder sends the converter only one request at a time
 MIN_WEIGHT = 0.2  # lower bound of a slow converter's weight
-MIN_OVERLOAD_REJECTION_SHARE = 0.02  # share of arrivals rejected from which tenants are held to their quotas
+MIN_OVERLOAD_REJECTION_SHARE = 0.02  # quotas of tenants apply if at least this share of the arrivals is rejected
 PLAN_VALIDITY_MS = 2_000  # four plan intervals
-PLAN_FADE_MS = 30_000  # a failed planner is restarted within this time
-STATUS_EXPIRY_FACTOR = 15  # decay time constants after which the status of an unlisted converter is dropped
+PLAN_FADE_MS = 30_000  # long enough for a failed planner to be restarted
+# a status older than this many decay time constants is dropped if no active forwarder reports on its converter
+STATUS_EXPIRY_FACTOR = 15
 
 
 class ConverterState(enum.StrEnum):
@@ -56,7 +59,8 @@
 
 
 def report_weight(recent_counts: DecayingCounts) -> float:
-    """Return the factor for one forwarder's recent counts at a converter, so that no forwarder outweighs the others."""
+    """Return the factor by which one forwarder's recent counts at a converter are scaled down, so that it does not
+    outweigh the other forwarders."""
     return min(1.0, MAX_COUNTED_ATTEMPTS / max(MAX_COUNTED_ATTEMPTS, recent_counts.served + recent_counts.failed))
 
 
@@ -67,8 +71,8 @@
     served: float = 0.0
     failed: float = 0.0
     latencies: list[float] = field(default_factory=lambda: [0.0] * LATENCY_BUCKET_COUNT)
-    failure_reporters: int = 0  # forwarders that report failed attempts at it
-    reporters: int = 0  # forwarders that report attempts at it
+    failure_reporters: int = 0  # number of forwarders that report failed attempts at it
+    reporters: int = 0  # number of forwarders that report attempts at it
 
     @property
     def median_ms(self) -> float:
@@ -96,14 +100,14 @@
     ) -> None:
         """Start with all converters healthy.
 
-        `tenant_shares` are the tenants' quotas as shares of all arrivals. `class_limits` are arrivals per second over
-        all forwarders; 0 means no limit.
+        `rules` are the rules by which forwarders accept plans. `tenant_shares` are the tenants' quotas as shares of all
+        arrivals. `class_limits` are arrivals per second over all forwarders; 0 means no limit.
         """
         self.rules = rules
         self.class_limits = class_limits or []
         self.tenant_shares = tenant_shares
         self.statuses: dict[str, ConverterStatus] = {}
-        self.outlier_reporters: set[str] = set()
+        self.outlier_reporters: set[str] = set()  # names of the forwarders whose reports are ignored
         self.too_many_converters_fail = False
 
     def basis(self, now_us: int, evidence: Evidence) -> PlanBasis:
@@ -161,7 +165,7 @@
         return {uid for uid, status in self.statuses.items() if status.state is ConverterState.EJECTED}
 
     def _sum_by_converter(self, active_forwarders: dict[str, ForwarderStats]) -> dict[str, ConverterTotals]:
-        """Return the totals by converter over the active forwarders, without outliers."""
+        """Return the totals by converter over the active forwarders except the outliers."""
         totals: dict[str, ConverterTotals] = {}
         for name, forwarder in active_forwarders.items():
             if name in self.outlier_reporters:
@@ -229,8 +233,8 @@
     def _update_statuses(self, now_us: int, totals: dict[str, ConverterTotals], basis: PlanBasis) -> None:
         """Eject failing converters, and move the other ejected ones through the steps of their recovery."""
         failing_uids = {uid for uid, total in totals.items() if self._is_failing(total)}
-        # If a large share of the converters fails, the cause is the load or the network, and ejections would overload
-        # the remaining converters.
+        # If a large share of the converters fails, the cause is assumed to be the load or the network, and ejections
+        # would overload the remaining converters.
         self.too_many_converters_fail = len(self.ejected_uids() | failing_uids) > self.rules.max_ejected * max(
             1, basis.listed
         )
@@ -250,7 +254,7 @@
             self.statuses[uid] = ConverterStatus(ConverterState.EJECTED, now_us)
 
     def _recover(self, now_us: int, uid: str, status: ConverterStatus, total: ConverterTotals) -> None:
-        """Move a converter to the next step of its recovery if that is due; after the last one it is healthy."""
+        """Move a converter to the next step of its recovery if that is due; it is healthy after the last step."""
         if status.state is ConverterState.EJECTED:
             is_healthy = total.served >= 1.0 and total.failure_share < MAX_HEALTHY_FAILURE_SHARE
             if is_healthy and now_us >= status.since_us + MIN_EJECTION_US:
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -1,4 +1,4 @@
-"""Forwarder's handling of plans: decides which plans are accepted, and fades out the last one with its age.
+"""Decides which plans a forwarder accepts, and fades out the advice of the last accepted plan as it ages.
 
 The acceptance rules and their reasons are in docs/design/planners.md. The age of a plan is counted from its arrival at
 the forwarder, so clocks of different hosts are never compared. No I/O.
@@ -14,10 +14,11 @@
 from ryepier.balancer.interface import Advice
 from ryepier.plan.messages import Plan, Term
 
-MIN_WEIGHT = 1 / 64  # least weight of a converter that is not ejected; it still gets requests that show a recovery
-FADE_SPREAD = 0.25  # fade times vary by up to this share between forwarders, so that they do not all end at once
+# least weight of a converter that is not ejected, so that it still gets a few requests, which show whether it recovers
+MIN_WEIGHT = 1 / 64
+FADE_SPREAD = 0.25  # fade times vary by up to this share, so that not all forwarders drop a plan at the same moment
 PLANS_PER_TRIAL = 4  # consecutive plans for which the trial forwarders stay the same, so that a response can arrive
-MAX_CONCURRENCY = 8  # value that a concurrency limit fades to: the decision module's own maximum of attempts in flight
+MAX_CONCURRENCY = 8  # a fading concurrency limit rises to this value, the decision module's own limit
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +47,7 @@
 
 
 def stable_fraction(*parts: str) -> float:
-    """Return a pseudorandom number from 0 to 1 that depends only on the arguments (a hash, equal in every process)."""
+    """Return a pseudorandom number from 0 to 1: a hash of the arguments, which is the same in every process."""
     return zlib.crc32("\0".join(parts).encode()) / 2**32
 
 
@@ -60,7 +61,7 @@
         self.term = Term()  # the highest term of an accepted plan
         self.plan: Plan | None = None  # the last accepted plan
         self.accepted_at_us = 0
-        self.rejections: Counter[PlanRejection] = Counter()
+        self.rejections: Counter[PlanRejection] = Counter()  # number of rejected plans by reason
         self.fade_factor = 1.0 + FADE_SPREAD * (2.0 * stable_fraction(name, "fade") - 1.0)
 
     def accept_plan(self, now_us: int, plan: Plan, listed_uids: set[str]) -> PlanRejection | None:
@@ -150,8 +151,8 @@
         return stable_fraction(self.name, uid, str(plan.number // PLANS_PER_TRIAL)) < trial_share
 
     def class_admission(self, now_us: int) -> list[float]:
-        """Return by class the share of arrivals to admit. The restriction fades out with the plan, as the total rate of
-        all forwarders becomes unknown."""
+        """Return by class the share of arrivals to admit. The restriction fades out with the plan, because the
+        current rate over all forwarders is not known then."""
         confidence = self.confidence(now_us)
         if self.plan is None or confidence == 0.0:
             return []
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -34,10 +34,10 @@
 TICKS_PER_SNAPSHOT = 4
 TICKS_PER_EXPIRY = 40  # interval between removals of expired evidence
 MAX_UNREAD_BYTES = 512 * 1024  # buffered output per connection; bounds the memory when a peer stops reading
-HELLO_TIMEOUT_S = 3.0  # from the accepted connection to its hello
+HELLO_TIMEOUT_S = 3.0  # time within which a hello must arrive on an accepted connection
 MIN_REPORT_INTERVAL_US = 100_000  # reports that follow sooner are dropped; the next one includes their counters
 PEER_RETRY_S = 0.3  # interval between attempts to connect to a peer
-BUSY_RETRY_MS = 5_000  # retry delay for forwarders that are rejected because of the limit
+BUSY_RETRY_MS = 5_000  # retry delay for forwarders that are rejected because `max_forwarders` are connected
 MAX_SNAPSHOT_AGE_MS = 120_000  # ejections in older snapshots are obsolete
 
 
@@ -49,9 +49,9 @@
     listen: tuple[str, int]
     peers: dict[str, tuple[str, int]]  # the other planners, by name
     rules: AcceptanceRules
-    tenant_shares: list[float]
-    class_limits: list[float]
-    max_forwarders: int
+    tenant_shares: list[float]  # quotas by tenant, as shares of all arrivals
+    class_limits: list[float]  # by class: arrivals per second over all forwarders; 0 means no limit
+    max_forwarders: int  # number of forwarders that may be connected at a time
     folder: Path | None = None  # where snapshots are stored; None disables them
 
 
@@ -64,12 +64,12 @@
         self.is_outgoing = is_outgoing
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameDecoder()
-        self.hello: Hello | None = None
+        self.hello: Hello | None = None  # the received hello; always None on an outgoing connection
         self.last_report_at_us = 0
         self.hello_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection; send a hello if it is outgoing, otherwise start the timeout for the peer's hello."""
+        """Register the connection; send a hello if it is outgoing, otherwise start the timeout for receiving one."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.connections[self] = None
@@ -79,7 +79,7 @@
             self.hello_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self.reject, "no hello")
 
     def data_received(self, data: bytes) -> None:
-        """Handle all messages that are complete; reject the connection on a protocol error."""
+        """Handle all complete messages; reject the connection on a protocol error."""
         self.server.counts["bytes in"] += len(data)
         try:
             for message in self.decoder.feed(data):
@@ -101,7 +101,7 @@
             raise ProtocolError(f"unexpected {type(message).__name__.lower()} message")
 
     def on_hello(self, hello: Hello) -> None:
-        """Accept a peer, or a forwarder unless the limit is reached; send the current plan to the forwarder."""
+        """Accept a peer, or a forwarder unless `max_forwarders` are connected; send the current plan to a forwarder."""
         if self.hello_timer is not None:
             self.hello_timer.cancel()
         if not hello.is_peer and self.server.forwarder_count() >= self.server.settings.max_forwarders:
@@ -113,8 +113,8 @@
             self.write(frame)
 
     def on_report(self, report: Report) -> None:
-        """Merge a report. Drops it if it follows the last one too soon, as no forwarder may use up the planner's CPU
-        time."""
+        """Merge a report, or drop it if it arrives within MIN_REPORT_INTERVAL_US of the last one, so that no forwarder
+        can use up the planner's CPU time."""
         assert self.hello is not None
         now_us = self.server.machine.clock_us()
         if now_us < self.last_report_at_us + MIN_REPORT_INTERVAL_US:
@@ -152,7 +152,7 @@
     """One planner: its evidence, leadership, plan computation and connections."""
 
     def __init__(self, settings: Settings, machine: Machine) -> None:
-        """Start without evidence, as a follower, from the snapshot if there is one. `run` starts to serve."""
+        """Start as a follower without evidence, and restore the snapshot if there is one. `run` starts to serve."""
         now_us = machine.clock_us()
         self.settings = settings
         self.machine = machine
@@ -164,12 +164,12 @@
         self.connections: dict[PlannerServerConnection, None] = {}  # a dict keeps the order of insertion, unlike a set
         self.was_leader = False  # whether this planner led at the last tick
         self.plan_number = 0
-        self.last_plan_frame: bytes | None = None
+        self.last_plan_frame: bytes | None = None  # encoded; sent to each forwarder that connects
         self.counts: Counter[str] = Counter()
         self.restore(now_us)
 
     def restore(self, now_us: int) -> None:
-        """Restore term and statuses from the snapshot, if there is one that is valid."""
+        """Restore the term and the converter statuses from the snapshot, if there is a valid one."""
         if self.settings.folder is None:
             return
         try:
@@ -240,7 +240,8 @@
             self.planner.basis(now_us, self.evidence)
         )
         is_leader = self.leadership.tick(now_us, active_forwarders, has_enough_evidence)
-        if is_leader != self.was_leader:  # compared with the last tick, as a heartbeat may have made it step down since
+        # compared with the last tick, because a heartbeat may have made this planner step down since then
+        if is_leader != self.was_leader:
             self.was_leader = is_leader
             term = self.leadership.highest_term
             message = "leads, epoch %d" if is_leader else "follows, epoch %d"
@@ -257,8 +258,9 @@
             self.evidence.expire(now_us)
 
     def publish_plan(self, now_us: int, is_due: bool) -> None:
-        """Send a plan to all forwarders if one is due or the set of ejected converters has changed. A follower computes
-        plans too, without sending them, so that it knows the ejected converters when it takes over."""
+        """Send a plan to all forwarders if one is due or the set of ejected converters has changed. A planner that is
+        not the leader computes plans too, without sending them, so that it knows the ejected converters when it takes
+        over."""
         term = self.leadership.term
         previously_ejected_uids = self.planner.ejected_uids()
         plan = self.planner.plan(now_us, self.evidence, term or self.leadership.highest_term, self.plan_number + 1)
--- a/ryepier/plan/reporter.py
+++ b/ryepier/plan/reporter.py
@@ -24,7 +24,7 @@
     rejected: int = 0
     latencies: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKET_COUNT)
     changed: bool = False
-    # by token: (time from which the attempt counts as unanswered, whether it was already counted as failed)
+    # by token: the time from which the attempt counts as unanswered, and whether it was already counted as failed
     in_flight: dict[int, tuple[int, bool]] = field(default_factory=dict)
 
     def counters(self) -> ConverterCounters:
@@ -69,8 +69,8 @@
         record.in_flight[token] = (now_us + self.unanswered_after_us[class_index], False)
 
     def on_attempt_ended(self, uid: str, token: int, outcome: Outcome, elapsed_us: int) -> None:
-        """Count the end of an attempt. If it was counted as unanswered before, that failure stays counted even when it
-        is served after all, as it was too slow."""
+        """Count the end of an attempt. An attempt that was already counted as failed because it took too long stays
+        counted as failed, even if it is served in the end."""
         record = self.records.get(uid)
         if record is None or token not in record.in_flight:
             return
@@ -89,8 +89,8 @@
         self.records = {uid: record for uid, record in self.records.items() if uid in uids or record.in_flight}
 
     def report(self, now_us: int, listed_count: int, term: Term, plan_age_ms: int, complete: bool = False) -> Report:
-        """Return the changes since the last report, or all counters if `complete`, for a planner that has just
-        connected."""
+        """Return a report of the counters that changed since the last report, or of all counters if `complete`, as a
+        planner needs that has just connected. `listed_count` is the number of ready converters."""
         for record in self.records.values():
             for token, (unanswered_at_us, counted_as_failed) in record.in_flight.items():
                 if not counted_as_failed and now_us >= unanswered_at_us:
--- a/ryepier/plan/snapshot.py
+++ b/ryepier/plan/snapshot.py
@@ -1,8 +1,8 @@
 """Snapshot of a planner: its highest term, and the statuses of ejected and recovering converters.
 
 Evidence is not stored, as the forwarders' complete reports restore it within a second. The file is a header line with
-version, checksum and length, followed by one MessagePack map. It is replaced atomically. A truncated, corrupt, foreign
-or outdated file is rejected, and the planner starts without a snapshot.
+version, checksum and length, followed by one MessagePack map. It is replaced atomically. A file that is truncated,
+corrupt, too old or no snapshot at all is rejected, and the planner starts without a snapshot.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     statuses: dict[str, tuple[ConverterState, int, int]] = msgspec.field(name="judged")
 
     def restore(self, now_us: int) -> dict[str, ConverterStatus]:
-        """Return the statuses with times on the clock of the restarted process, at `now_us`."""
+        """Return the statuses with their times converted to the clock of this process, which now shows `now_us`."""
         return {
             uid: ConverterStatus(state, now_us - duration_us, step)
             for uid, (state, duration_us, step) in self.statuses.items()
@@ -72,7 +72,7 @@
 
 
 def save(folder: Path, snapshot: Snapshot) -> None:
-    """Replace the snapshot in `folder` atomically. Raises OSError."""
+    """Replace the snapshot in `folder` atomically. Raises OSError if it can't be written."""
     temporary_path = folder / (FILE_NAME + ".new")
     with open(temporary_path, "wb") as file:
         file.write(encode(snapshot))
@@ -82,7 +82,8 @@
 
 
 def load(folder: Path, unix_ms: int, max_age_ms: int) -> Snapshot | None:
-    """Return the snapshot in `folder`, or None if there is none. Raises SnapshotError and OSError."""
+    """Return the snapshot in `folder`, or None if there is none. Raises SnapshotError if it is invalid or too old, and
+    OSError if it can't be read."""
     try:
         with open(folder / FILE_NAME, "rb") as file:
             data = file.read(MAX_BYTES + 1)
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -21,11 +21,12 @@
 
 log = logging.getLogger(__name__)
 
-HTTP = "http"  # URL schemes
+# URL schemes
+HTTP = "http"
 HTTPS = "https"
 CONNECT_TIMEOUT_S = 3.0  # includes the TLS handshake
 LIST_TIMEOUT_S = 20.0  # per page of a list
-WATCH_GRACE_S = 5.0  # silence beyond the requested duration of a watch after which the watch counts as hung
+WATCH_GRACE_S = 5.0  # a watch counts as hung after silence for its requested duration plus this time
 MAX_LINE_BYTES = 4 * 1024 * 1024  # a line holds one slice, which has at most 1,000 endpoints
 MAX_PAGE_BYTES = 32 * 1024 * 1024
 MAX_ERROR_BYTES = 64 * 1024  # limit on the body of an error response
@@ -33,7 +34,7 @@
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBE_COUNT = 3
-SERVICE_ACCOUNT_FOLDER = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # where Kubernetes mounts it in pods
+SERVICE_ACCOUNT_FOLDER = Path("/var/run/secrets/kubernetes.io/serviceaccount")  # mounted in pods by Kubernetes
 
 
 class AccessError(RyepierError, ValueError):
@@ -154,17 +155,18 @@
         self.on_data()
         try:
             self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:  # includes errors of the callbacks
+        # HttpParserError also wraps the errors that the callbacks below raise
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.failure = error
             self.finish()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep the value of Retry-After, if it is a number of seconds."""
+        """Store the value of Retry-After if it is a number of seconds; a date is ignored."""
         if name.lower() == b"retry-after" and value.strip().isdigit():
             self.retry_after_s = int(value)
 
     def on_headers_complete(self) -> None:
-        """Keep the status code."""
+        """Store the status code."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
@@ -180,7 +182,7 @@
             self.read_lines(len(data))
 
     def read_lines(self, new_byte_count: int) -> None:
-        """Pass on the complete lines; only the last `new_bytes` of the body can hold a line's end."""
+        """Pass on the complete lines; only the last `new_byte_count` bytes can contain a line end."""
         if self.body.find(b"\n", len(self.body) - new_byte_count) >= 0:
             *lines, remainder = bytes(self.body).split(b"\n")
             self.body = bytearray(remainder)
@@ -315,7 +317,7 @@
         now_us = self.clock_us()
         if response.failure is None and response.is_complete and response.status == 200:
             if call.kind is CallKind.WATCH:
-                # if it ended within a line, no event is lost: the next watch starts after the last complete line
+                # no event is lost if the response ended within a line: the next watch starts after the last full line
                 return self.reflector.on_watch_end(now_us)
             try:
                 return self.reflector.on_page(now_us, api_objects.read_list(bytes(response.body)))
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -19,8 +19,8 @@
 
 MAX_DELAY_DOUBLINGS = 5  # the delay doubles with each flap, up to this many times
 FLAP_RESET_US = 60_000_000  # time since the last return to readiness after which earlier flaps no longer count
-MIN_RESTART_US = 2_000_000  # a container can't restart in less; a shorter time without readiness is no restart
-MAX_REMEMBERED_IDENTITIES = 20_000  # removed endpoints remembered, so that a move between slices is no restart
+MIN_RESTART_US = 2_000_000  # least time that a container needs to restart; being unready for less is no restart
+MAX_REMEMBERED_IDENTITIES = 20_000  # removed pods that are remembered, so that a move between slices is no restart
 
 
 class ListedEntry(NamedTuple):
@@ -34,7 +34,7 @@
 class ListingRules:
     """How one sidecar derives its upstreams from endpoints."""
 
-    zones: list[str]
+    zones: list[str]  # an upstream's zone is an index into this list, or its length if the zone is not in it
     unknown_kind: int  # index of the kind given to all upstreams, as slices don't contain it
     failure_domain_by: FailureDomainBy = FailureDomainBy.ENDPOINT
     settle_us: int = 3_000_000  # how long an endpoint must be ready again before it is published as ready
@@ -47,10 +47,10 @@
     upstream_id: int
     endpoint: MergedEndpoint
     published_state: UpstreamState
-    started_at_us: int  # 0 = long ago
-    unready_since_us: int = 0  # 0 = it is ready
+    started_at_us: int  # when its process started; 0 = long ago
+    unready_since_us: int = 0  # 0 while it is published as ready
     ready_since_us: int = 0  # when the slices last reported it as ready again
-    flap_count: int = 0
+    flap_count: int = 0  # recent returns to readiness; each one after the first doubles the delay
 
     def publish_at_us(self, settle_us: int) -> int:
         """Return the time at which an endpoint that is ready again may be published as ready."""
@@ -68,7 +68,7 @@
         self.settling_identities: set[str] = set()  # identities that are ready again but not yet published as ready
         self.failure_domains: dict[str, int] = {}
         self.last_upstream_id = 0
-        self.has_complete_list = False  # a complete list has been published
+        self.has_complete_list = False  # whether a complete list has been published
 
     def update(self, now_us: int, changes: Mapping[str, MergedEndpoint | None]) -> list[ListedEntry]:
         """Apply changes of the merger, where None removes an endpoint. Returns the entries to publish."""
@@ -182,10 +182,10 @@
         return ListedEntry(upstream, endpoint.address)
 
     def _failure_domain(self, listed_endpoint: _ListedEndpoint) -> int:
-        """Return the failure domain.
+        """Return the number of an endpoint's failure domain.
 
-        Two converters that share a domain by mistake could execute a request twice. So a converter without a node gets
-        a domain of its own: a negative number, which no node has.
+        If two converters shared a domain by mistake, a request could be executed twice. So a converter without a known
+        node gets a domain of its own, with a negative number, which no node has.
         """
         node = listed_endpoint.endpoint.node
         if self.rules.failure_domain_by is FailureDomainBy.ENDPOINT or not node:
--- a/ryepier/slices/endpoint_slice_merger.py
+++ b/ryepier/slices/endpoint_slice_merger.py
@@ -1,12 +1,14 @@
 """Merges many EndpointSlices into one list of endpoints, whatever the order in which their events arrive.
 
 The cost of a changed slice is proportional to its own endpoints, not to the whole list. There is no I/O. The merge
-rules follow; `MergedEndpoint.rule` has the number of the one that decided. docs/design/slices.md has their reasons.
+rules follow; `MergedEndpoint.rule` has the number of the rule that decided. docs/design/slices.md has their reasons.
 
 1. An endpoint is identified by the uid of its targetRef, or by address and port if it has none.
-2. The greatest generation of a slice counts, and the newest uid of a slice's name. A complete list overrides both.
-3. A pod's uid that was terminating in any generation of any slice stays terminating.
-4. If slices differ, the highest risk counts: terminating, then not serving, then not ready, then ready.
+2. Of a slice, the greatest generation counts; of slices with the same name, the one that was created last. A complete
+   list overrides this.
+3. A pod that was terminating in any generation of any slice stays terminating.
+4. If slices differ about an endpoint, the state of the highest risk counts: terminating, then not serving, then not
+   ready, then ready.
 5. An endpoint that is in no slice is removed.
 6. If all endpoints vanish at once, the last list is kept for some time.
 """
@@ -19,10 +21,11 @@
 from ryepier.balancer.interface import UpstreamState
 from ryepier.slices.api_objects import Endpoint, Slice
 
-MAX_TERMINATED_UIDS = 50_000  # remembered uids of terminating pods; enough for one day of releases
-MAX_DELETED_SLICES = 10_000  # remembered uids of deleted slices
+MAX_TERMINATED_UIDS = 50_000  # terminating pods whose uids are remembered; enough for one day of releases
+MAX_DELETED_SLICES = 10_000  # deleted slices whose uids are remembered
 EMPTY_LIST_HOLD_US = 30_000_000  # how long the last list is kept when all endpoints vanish at once
 ADDRESS_TYPES = ("IPv4", "IPv6")  # FQDN is deprecated, and resolving names would delay requests
+# states of an endpoint, from the lowest to the highest risk of sending requests to it
 RISKS = ("ready", "not ready", "not serving", "terminating")
 
 
@@ -104,7 +107,7 @@
         self.uid_by_name: dict[str, str] = {}  # current uid of each slice name
         self.observations: dict[str, dict[str, EndpointObservation]] = {}  # by identity and slice uid
         self.deleted_slices: OrderedDict[str, None] = OrderedDict()  # uids of deleted slices
-        self.terminated_uids: OrderedDict[str, None] = OrderedDict()  # uids of terminating pods
+        self.terminated_uids: OrderedDict[str, None] = OrderedDict()  # uids of pods that have been terminating (rule 3)
         self.skipped_slices: dict[str, str] = {}  # by name, why a slice can't be used
         self.current_endpoints: dict[str, MergedEndpoint] = {}  # the list after the last call of `changes`
         self.changed_identities: set[str] = set()  # identities with changed observations since that call
@@ -129,8 +132,8 @@
         self._remove_slice(self._uid(endpoint_slice))
 
     def replace(self, slices: list[Slice]) -> None:
-        """Replace all slices by a complete list, even by older generations, as a cluster that was restored from a
-        backup has them."""
+        """Replace all slices by a complete list, even if its generations are older, as in a cluster that was restored
+        from a backup."""
         listed_uids = {self._uid(endpoint_slice) for endpoint_slice in slices}
         for uid in [uid for uid in self.slices if uid not in listed_uids]:
             self._remove_slice(uid)
@@ -143,7 +146,8 @@
         name = endpoint_slice.metadata.name
         previous_uid = self.uid_by_name.get(name)
         if previous_uid is not None and previous_uid != uid:
-            self._remove_slice(previous_uid)  # recreated under the same name; the old slice's deletion will follow
+            # the slice was recreated with the same name; the event that deletes the old one may arrive later
+            self._remove_slice(previous_uid)
         self._drop_observations(uid)
         observations = self._read_observations(endpoint_slice)
         for identity, observation in observations.items():
@@ -224,8 +228,8 @@
     # Merged list
 
     def changes(self, now_us: int) -> dict[str, MergedEndpoint | None]:
-        """Return the changed endpoints since the last call by identity; None for removed ones. An empty list is applied
-        only after the hold time (rule 6)."""
+        """Return the endpoints that have changed since the last call, by identity; None for removed ones. If all
+        endpoints vanish at once, they are removed only after the hold time (rule 6)."""
         if not self.observations and self.current_endpoints:
             return self._changes_while_retained(now_us)
         if self.empty_since_us is not None:
--- a/ryepier/slices/reflector.py
+++ b/ryepier/slices/reflector.py
@@ -20,8 +20,8 @@
 PAGE_SIZE = 50  # slices; with 100 endpoints each, a page has about 2 MB
 FIRST_BACKOFF_US = 200_000
 MAX_BACKOFF_US = 10_000_000
-MAX_RETRY_AFTER_US = 60_000_000  # a longer Retry-After is cut to this
-HEALTHY_WATCH_US = 5_000_000  # a watch that lasted this long was successful, and its end is no failure
+MAX_RETRY_AFTER_US = 60_000_000  # a longer Retry-After is reduced to this
+HEALTHY_WATCH_US = 5_000_000  # a watch that lasted at least this long counts as successful: its end resets the backoff
 HTTP_GONE = 410
 
 
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a call failed. `status` is the HTTP status, or 0 without a response."""
+    """Why a call failed. `status` is the HTTP status, or 0 if there was no response."""
 
     reason: str
     status: int = 0
@@ -98,7 +98,7 @@
         self.watch_s = watch_s
         self.resource_version = ""  # version from which the next watch starts; if empty, a list comes first
         self.received_slices: list[Slice] = []  # slices of the pages received so far
-        # Turned off after an expired page: a list that takes longer than the server keeps its pages never completes.
+        # Turned off when a page expires: a paged list never completes if it takes longer than the server keeps pages.
         self.uses_paging = True
         self.consecutive_failure_count = 0
         self.call_started_at_us = 0
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -35,10 +35,10 @@
     service: str
     rules: ListingRules
     port_name: str = ""
-    watch_s: int = 60
-    hold_us: int = 30_000_000
-    cache_file: Path | None = None
-    is_pushed: bool = True  # if false, the decision module polls for lists and is notified of failures
+    watch_s: int = 60  # duration of a watch
+    hold_us: int = 30_000_000  # time for which the last list is kept when all endpoints vanish at once
+    cache_file: Path | None = None  # where the endpoint list is cached; None disables the cache
+    is_pushed: bool = True  # if false, the decision module polls: polls are answered, and failures are published
     seed: int = 0
 
 
@@ -80,7 +80,7 @@
         )
         self.version = 0
         self.has_complete_list = False  # whether a complete list has arrived from the API server
-        self.was_list_retained = False
+        self.was_list_retained = False  # whether the merger retained its last list at the last update
         self.update_timer: asyncio.TimerHandle | None = None
         self.cache_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
--- a/tests/plan_scenarios.py
+++ b/tests/plan_scenarios.py
@@ -82,7 +82,10 @@
 def report_all_converters(
     evidence: Evidence, now_us: int, overrides: dict[str, tuple[int, int]], forwarder_count: int = 10
 ) -> None:
-    """Merge reports of `forwarder_count` forwarders: all converters serve 3 attempts, except those in `overrides`."""
+    """Merge reports of `forwarder_count` forwarders, by which each converter served 3 attempts.
+
+    `overrides` are the numbers of served and failed attempts at converters for which other results are reported.
+    """
     for index in range(forwarder_count):
         report_attempts(evidence, now_us, f"f{index}", dict.fromkeys(LISTED_UIDS, (3, 0)) | overrides)
 
--- a/tests/test_plan_computation.py
+++ b/tests/test_plan_computation.py
@@ -37,7 +37,7 @@
     planner, evidence = Planner(RULES, []), Evidence(0)
     assert planner.plan(5 * SECOND_US, evidence, Term(1, "a"), 1) is None
     report_all_converters(evidence, 0, {}, forwarder_count=4)
-    assert planner.plan(2 * SECOND_US, evidence, Term(1, "a"), 1) is None  # fewer than half of the fleet
+    assert planner.plan(2 * SECOND_US, evidence, Term(1, "a"), 1) is None  # fewer than half of the forwarders report
     report_all_converters(evidence, SECOND_US, {}, forwarder_count=6)
     assert planner.plan(SECOND_US - 1, evidence, Term(1, "a"), 1) is None  # the reports cover less than a second
     assert compute_plan(planner, evidence, SECOND_US).entries == {}
@@ -70,7 +70,8 @@
 def test_class_limit_over_all_forwarders_is_divided_evenly_and_fades() -> None:
     planner, evidence = Planner(RULES, [], [25.0]), Evidence(0)
     for at_us in (2 * SECOND_US, 2 * SECOND_US + 1):
-        # 10 more arrivals at each of 5 forwarders, twice: 100 within the decay time of 2 s are 50 per second
+        # Each of 5 forwarders reports 10 more arrivals, twice: 100 within the decay time constant of 2 s, or 50 per
+        # second. That is twice the limit.
         report_all_converters(evidence, at_us, {}, forwarder_count=5)
     plan = compute_plan(planner, evidence, 2 * SECOND_US + 1)
     assert plan.class_admission == [pytest.approx(0.5, rel=0.01)]
--- a/tests/test_plan_follower.py
+++ b/tests/test_plan_follower.py
@@ -49,6 +49,7 @@
 def test_invalid_plan_is_rejected_and_the_last_valid_one_stays(plan: Plan, reason: str) -> None:
     follower = PlanFollower("f", RULES)
     assert follower.accept_plan(0, make_plan(entries=advice_ejecting_first(1)), LISTED_UIDS) is None
+    # except for epoch 0, the term becomes higher than that of the accepted plan, so that it is no reason to reject
     plan_in_term = msgspec.structs.replace(plan, term=Term(plan.term.epoch * 5, plan.term.planner))
     assert str(follower.accept_plan(1, plan_in_term, LISTED_UIDS)).startswith(
         reason if plan.term.epoch else "an older term"
@@ -107,7 +108,7 @@
             sum(advice_by_upstream.get(2, Advice(2)).weight for advice_by_upstream in advice_of_followers) / 200
         )
     assert not_ejecting_counts[0] == not_ejecting_counts[1] == 0 and not_ejecting_counts[-1] == 200
-    # the forwarders end the ejection gradually: never a fifth of them within one step
+    # the forwarders end the ejection gradually: fewer than a fifth of them in each step of 2 s
     assert max(later - earlier for earlier, later in itertools.pairwise(not_ejecting_counts)) < 40
     assert weights == sorted(weights) and weights[0] == 0.5 and weights[-1] == 1.0
 
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -49,7 +49,10 @@
 
 
 class ForwarderTestbed:
-    """A forwarder that sends attempts to six converters, of which converter 3 never answers."""
+    """A forwarder to which attempts at six converters are reported; converter 3 never answers.
+
+    `plans` are the events that the forwarder has published.
+    """
 
     def __init__(self, name: str, *ports: int) -> None:
         self.plans: list[PlanUpdated] = []
--- a/tests/test_slice_client.py
+++ b/tests/test_slice_client.py
@@ -110,7 +110,7 @@
 
 
 def test_silent_watch_is_closed_and_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(api_client, "WATCH_GRACE_S", -0.7)
+    monkeypatch.setattr(api_client, "WATCH_GRACE_S", -0.7)  # with watch_s=1, a watch is hung after 0.3 s of silence
     monkeypatch.setattr(reflector, "FIRST_BACKOFF_US", 1000)
 
     async def test() -> None:
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -132,6 +132,7 @@
     assert states(merger) == {f"new{pod_number}": READY for pod_number in range(10 * slice_size)}
 
 
+# the generations of one slice: for each, the endpoints as (pod, ready, terminating)
 GENERATIONS = st.lists(
     st.lists(st.tuples(st.sampled_from(["p1", "p2", "p3"]), st.booleans(), st.booleans()), max_size=3),
     min_size=1,
@@ -175,7 +176,8 @@
             shuffled.endpoints(0)[pod].state is DRAINING for pod in terminated_pods & shuffled.endpoints(0).keys()
         )
     shuffled.replace([slice_generations[-1] for slice_generations in generations_by_slice])
-    # a list that was empty in between is kept for some time (rule 6); after that both lists must be equal
+    # if all endpoints vanished at once in between, the last list is kept for the hold time (rule 6); after that, both
+    # lists must be equal
     for merger in (shuffled, in_order):
         merger.endpoints(0)
     assert shuffled.endpoints(EMPTY_LIST_HOLD_US) == in_order.endpoints(EMPTY_LIST_HOLD_US)
