--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -1,4 +1,4 @@
-"""Which lines of the code under test an exploration executes."""
+"""Line coverage of the code under test during an exploration."""
 
 from __future__ import annotations
 
@@ -35,40 +35,40 @@
     *(importlib.import_module(f"ryepier.balancer.{name}") for name in DECISION_MODULES),
     dispatcher,
 )
-LINE_EVENT = "line"  # of sys.settrace
+LINE_EVENT = "line"  # event name of sys.settrace
 Lines = dict[str, set[int]]  # line numbers by file
 
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """A method of a class that one of the modules defines."""
+    """A method of a class that is defined in one of the modules."""
 
     name: str
     code: CodeType
 
 
 class UnreachedFunction(NamedTuple):
-    """A function and its lines that were not executed."""
+    """A function with lines that were not executed."""
 
     name: str
     lines: list[int]
 
 
 def code_lines(code: CodeType) -> set[int]:
-    """Return the lines of a function, with those of functions defined in it, and without its `def`."""
-    found = {line for _, line in dis.findlinestarts(code) if line is not None and line != code.co_firstlineno}
+    """Return the line numbers of a function without its `def` line, including functions defined in it."""
+    lines = {line for _, line in dis.findlinestarts(code) if line is not None and line != code.co_firstlineno}
     for constant in code.co_consts:
         if isinstance(constant, CodeType):
-            found |= code_lines(constant)
-    return found
+            lines |= code_lines(constant)
+    return lines
 
 
 def methods(module: ModuleType) -> Iterator[Method]:
-    """Yield the methods of all classes that a module defines."""
-    for class_name, found in vars(module).items():
-        if not inspect.isclass(found) or found.__module__ != module.__name__:
+    """Yield the methods of all classes that are defined in a module."""
+    for class_name, class_object in vars(module).items():
+        if not inspect.isclass(class_object) or class_object.__module__ != module.__name__:
             continue
-        for name, member in vars(found).items():
+        for name, member in vars(class_object).items():
             if not inspect.isfunction(member) or member.__module__ != module.__name__:
                 continue
             if member.__code__.co_filename == module.__file__:
@@ -77,7 +77,7 @@
 
 @contextmanager
 def record_lines() -> Iterator[Lines]:
-    """Record the lines of the modules that are executed within the context."""
+    """Record the executed lines of `MODULES` within the context."""
     files = {str(module.__file__) for module in MODULES}
     executed: Lines = {name: set() for name in files}
 
@@ -98,11 +98,11 @@
 
 
 def unreached_functions(executed: Lines) -> list[UnreachedFunction]:
-    """Return the functions of which some lines were not executed."""
-    found = []
+    """Return the functions that have lines that were not executed."""
+    functions = []
     for module in MODULES:
         for method in methods(module):
             missing = sorted(code_lines(method.code) - executed[str(module.__file__)])
             if missing:
-                found.append(UnreachedFunction(f"{module.__name__}: {method.name}", missing))
-    return found
+                functions.append(UnreachedFunction(f"{module.__name__}: {method.name}", missing))
+    return functions
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Seeded faults (mutants) of the code under test, at least one for each rule, to show that the checker finds them.
+"""Seeded faults (mutants) of the code under test, at least one for each rule, to verify that the checker finds them.
 
-Each is installed by a function that patches the code. The patch stays, so it belongs in a process of its own.
+Each function installs one fault by patching classes. Patches are not undone, so use a separate process for each fault.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from ryepier.sidecar.dispatcher import OpenRequest, RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, FinalAnswer, FinalOutcome
 
-DELAYED_ANSWER_LEAD_US = 30_000  # before the deadline
+DELAYED_ANSWER_LEAD_US = 30_000  # time before the deadline at which delayed answers are given
 
 
 def second_answer() -> None:
-    """Answer once more when an attempt ends after the client has its answer."""
-    end = RequestDispatcher._end_attempt
+    """Answer a request a second time when an attempt succeeds after the client has been answered."""
+    end_attempt = RequestDispatcher._end_attempt
 
     def end_and_answer(
         self: RequestDispatcher, open_request: OpenRequest, attempt_index: int, result: AttemptResult
     ) -> None:
         answered = open_request.closed and not open_request.attempts[attempt_index].ended
-        end(self, open_request, attempt_index, result)
+        end_attempt(self, open_request, attempt_index, result)
         if answered and result.outcome is api.Outcome.OK:
             open_request.reply(FinalAnswer(FinalOutcome.SERVED))
 
@@ -37,7 +37,7 @@
 
 
 def lost_answer() -> None:
-    """Never give up a request whose last attempt was reset, and disable the dispatcher's deadline check."""
+    """Never answer a request whose last attempt was reset, and disable the dispatcher's deadline check."""
     reject_or_fail = Balancer.reject_or_fail
 
     def reject_or_fail_unless_reset(self: Balancer, request: PendingRequest) -> None:
@@ -49,15 +49,15 @@
 
 
 def delayed_answer() -> None:
-    """Delay rejections until shortly before the deadline."""
-    give = RequestDispatcher._answer
+    """Delay rejections and failures until shortly before the deadline."""
+    answer_now = RequestDispatcher._answer
 
     def answer_late(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
         request = self.requests.get(ident)
         if request is None or request.closed or answer.outcome is FinalOutcome.SERVED:
-            give(self, ident, answer)
+            answer_now(self, ident, answer)
         else:
-            self._call_at(request.due_us - DELAYED_ANSWER_LEAD_US, give, self, ident, answer)
+            self._call_at(request.due_us - DELAYED_ANSWER_LEAD_US, answer_now, self, ident, answer)
 
     RequestDispatcher._answer = answer_late  # type: ignore[method-assign]
 
@@ -78,7 +78,7 @@
 
 
 def careless_resend() -> None:
-    """Treat a reset attempt as one that never ran."""
+    """Treat a reset attempt as one that the converter has not executed."""
     never_ran = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.RESET)
 
     def first_not_reset(self: PendingRequest) -> Attempt | None:
@@ -93,16 +93,19 @@
 
 
 def long_idempotency_window() -> None:
-    """Retry requests with an idempotency key long after its window."""
+    """Retry requests with an idempotency key long after the end of the idempotency window."""
     may_send = RetryPolicy.may_send
 
     def may_send_later(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
-        kind = request.request_class
-        had, kind.idempotency_window_us = kind.idempotency_window_us, kind.idempotency_window_us * 100
+        request_class = request.request_class
+        original_window_us, request_class.idempotency_window_us = (
+            request_class.idempotency_window_us,
+            request_class.idempotency_window_us * 100,
+        )
         try:
             return may_send(self, request, now_us)
         finally:
-            kind.idempotency_window_us = had
+            request_class.idempotency_window_us = original_window_us
 
     RetryPolicy.may_send = may_send_later  # type: ignore[method-assign]
 
@@ -115,14 +118,14 @@
     ) -> None:
         for entry in event.upstreams:
             entry.state = api.UpstreamState.READY if entry.state is api.UpstreamState.DRAINING else entry.state
-        changed(self, event, addresses)
+        original_on_endpoints(self, event, addresses)
 
-    changed = RequestDispatcher.on_endpoints
+    original_on_endpoints = RequestDispatcher.on_endpoints
     RequestDispatcher.on_endpoints = on_endpoints  # type: ignore[method-assign]
 
 
 def released_twice() -> None:
-    """Release the slot of an attempt that was presumed lost a second time at its end."""
+    """Release the slot of an attempt twice: when it is presumed lost, and again when it ends."""
     presume_lost = OutlierDetector.presume_lost
 
     def presume_and_forget(self: OutlierDetector, attempt: Attempt) -> None:
@@ -133,12 +136,12 @@
 
 
 def never_removed() -> None:
-    """Keep requests after their end."""
+    """Never remove requests from the dispatcher after their end."""
     RequestDispatcher._remove_if_done = lambda self, open_request: None  # type: ignore[method-assign]
 
 
 def one_attempt_too_many() -> None:
-    """Send one attempt more than the settings allow."""
+    """Allow one attempt more than the settings do."""
     may_send = RetryPolicy.may_send
 
     def may_send_more(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
@@ -161,18 +164,18 @@
 
 
 def always_rejected() -> None:
-    """Reject every request that is given up, as if it had never run."""
-    carry_out = RequestDispatcher._execute
+    """Reject every request that is given up, even if a converter may have executed it."""
+    execute = RequestDispatcher._execute
 
     def reject(self: RequestDispatcher, action: api.Action) -> None:
-        carry_out(self, api.Reject(action.request) if isinstance(action, api.Fail) else action)
+        execute(self, api.Reject(action.request) if isinstance(action, api.Fail) else action)
 
     RequestDispatcher._execute = reject  # type: ignore[method-assign]
 
 
 @dataclass(frozen=True, slots=True)
 class SeededFault:
-    """A seeded fault, and the rule that it violates."""
+    """A function that installs a seeded fault, and the rule that the fault violates."""
 
     rule: Rule
     install: Callable[[], None]
@@ -192,4 +195,4 @@
     "one-more": SeededFault(Rule.ATTEMPTS, one_attempt_too_many),
     "glib-refusal": SeededFault(Rule.REFUSED, always_rejected),
 }
-"""The seeded faults, by the names that commands and files use."""
+"""Seeded faults by the names that are used on the command line and in files."""
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -30,10 +30,10 @@
 )
 
 LIBRARIES = ("httptools", "numpy", "msgspec", "hdrhistogram")
-CONTROL_FOLDER = "paired"  # of the control run, within the folder of the run
+CONTROL_FOLDER = "paired"  # folder of the control run, within the folder of the run
 US_PER_MS = 1000
 
-RunWorld = Callable[[World, Path, bool], History]  # the last: whether it is the control run
+WorldRunner = Callable[[World, Path, bool], History]  # arguments: world, folder, whether it is the control run
 
 
 def run_experiment(
@@ -42,52 +42,54 @@
     on_progress: harness.ProgressCallback | None = None,
     backend: Backend = Backend.SOCKETS,
 ) -> list[Claim]:
-    """Run an experiment's world, write all results into the trial's folder, and return the claims.
+    """Run an experiment's world, write all results into the trial's folder, and return the checked claims.
 
     Raises HarnessError if the emulator failed or the experiment can't run on the backend.
     """
     world = experiment.world(trial.scale)
     if backend is Backend.SIM:
-        run_world = _on_virtual_time(experiment, trial)
+        run_world = _make_simulation_runner(experiment, trial)
     else:
-        run_world = _on_sockets(experiment, trial, on_progress)
+        run_world = _make_socket_runner(experiment, trial, on_progress)
     control = None
     if experiment.control_world is not None:
         control_world = experiment.control_world(world)
         folder = trial.folder / CONTROL_FOLDER
-        control = _observe(control_world, trial.seed, folder, run_world(control_world, folder, True))
+        control = _make_run(control_world, trial.seed, folder, run_world(control_world, folder, True))
     history = run_world(world, trial.folder, False)
-    run = dataclasses.replace(_observe(world, trial.seed, trial.folder, history), control=control)
+    run = dataclasses.replace(_make_run(world, trial.seed, trial.folder, history), control=control)
     claims = _check_claims(experiment, run)
-    measured = {**figures.summary(world, run.history, run.operations), **experiment.extra_figures(run)}
-    save_run(run, _make_result(experiment.name, trial, claims, measured, backend))
+    run_figures = {**figures.summary(world, run.history, run.operations), **experiment.extra_figures(run)}
+    save_run(run, _make_result(experiment.name, trial, claims, run_figures, backend))
     return claims
 
 
 def run_benchmark(benchmark: Benchmark, trial: TrialConfig) -> list[Claim]:
-    """Run a benchmark, write its result into the trial's folder, and return the claims.
+    """Run a benchmark, write its result into the trial's folder, and return the checked claims.
 
-    Raises HarnessError if it could not be run.
+    Raises HarnessError if the benchmark could not be run.
     """
     trial.folder.mkdir(parents=True, exist_ok=True)
-    measured = benchmark.measure(trial)
-    result = _make_result(benchmark.name, trial, measured.claims, measured.figures, Backend.SOCKETS)
+    measurement = benchmark.measure(trial)
+    result = _make_result(benchmark.name, trial, measurement.claims, measurement.figures, Backend.SOCKETS)
     save_result(trial.folder, result)
-    return measured.claims
+    return measurement.claims
 
 
 def lateness_claim(run: Run, valid_until_s: Callable[[Run], float] | None) -> Claim:
-    """Return the claim that the emulator was on time; where it fails, the run is void.
+    """Return the claim that the emulator was on time. If it does not hold, the run is invalid.
 
-    With `valid_until_s` it covers only the part of the run up to there.
+    With `valid_until_s`, the claim covers only the part of the run before that time.
     """
     bound_ms = run.world.harness.lateness_ms
-    lateness = run.history.lateness
+    process_lateness = run.history.lateness
     if valid_until_s is None:
-        worst_us = max((late.p999_us for late in lateness), default=0)
+        worst_us = max((lateness.p999_us for lateness in process_lateness), default=0)
         return Claim("the emulator's lateness (99.9%, ms)", worst_us / US_PER_MS, "<=", bound_ms)
     until_s = int(valid_until_s(run))
-    worst_us = max((late_us for late in lateness for late_us in late.max_by_second_us[:until_s]), default=0)
+    worst_us = max(
+        (late_us for lateness in process_lateness for late_us in lateness.max_by_second_us[:until_s]), default=0
+    )
     name = f"the emulator's lateness (most in the first {until_s} s, ms)"
     return Claim(name, worst_us / US_PER_MS, "<=", bound_ms)
 
@@ -112,7 +114,7 @@
 
 
 def _check_claims(experiment: Experiment, run: Run) -> list[Claim]:
-    """Return the claims on the emulator, then on the judge's rules, then the experiment's own."""
+    """Return the claims on the emulator, on the protocol's rules, and on the experiment, in this order."""
     counts = Counter(breach.rule for breach in run.breaches)
     return [
         lateness_claim(run, experiment.valid_until_s),
@@ -121,7 +123,7 @@
     ]
 
 
-def _observe(world: World, seed: int, folder: Path, history: History) -> Run:
+def _make_run(world: World, seed: int, folder: Path, history: History) -> Run:
     return Run(
         world,
         seed,
@@ -133,22 +135,24 @@
 
 
 def _make_result(
-    name: str, trial: TrialConfig, claims: Sequence[Claim], measured: Mapping[str, float], backend: Backend
+    name: str, trial: TrialConfig, claims: Sequence[Claim], measured_figures: Mapping[str, float], backend: Backend
 ) -> Result:
     return Result(
         name,
         trial.seed,
         trial.scale,
         claims=[claim.as_fields() for claim in claims],
-        figures=dict(measured),
+        figures=dict(measured_figures),
         versions=library_versions(),
         seeded_fault=trial.seeded_fault,
         backend=backend,
     )
 
 
-def _on_sockets(experiment: Experiment, trial: TrialConfig, on_progress: harness.ProgressCallback | None) -> RunWorld:
-    """Return a function that runs a world on real sockets; the control run has no seeded fault in its sidecars."""
+def _make_socket_runner(
+    experiment: Experiment, trial: TrialConfig, on_progress: harness.ProgressCallback | None
+) -> WorldRunner:
+    """Return a function that runs a world on real sockets. The control run's sidecars have no seeded fault."""
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
         roles = _assign_roles(experiment, trial.seeded_fault)
@@ -161,7 +165,7 @@
 
 
 def _assign_roles(experiment: Experiment, seeded_fault: str) -> harness.RoleAssignment:
-    """Return the commands of the run's processes, with the experiment's own faults and the seeded one."""
+    """Return the commands of the run's processes, with the experiment's own faults and the trial's seeded fault."""
     roles = harness.RoleAssignment(
         sidecar_overrides={
             index: seeded_faults.command_with_fault(name) for index, name in experiment.sidecar_faults.items()
@@ -180,7 +184,7 @@
 
 @contextmanager
 def _limited_to_cores(count: int) -> Iterator[None]:
-    """Limit this process and those that it starts to `count` cores; 0 for no limit."""
+    """Limit this process and its children to `count` cores; 0 for no limit."""
     allowed = os.sched_getaffinity(0)
     if count:
         os.sched_setaffinity(0, set(sorted(allowed)[:count]))
@@ -190,13 +194,13 @@
         os.sched_setaffinity(0, allowed)
 
 
-def _on_virtual_time(experiment: Experiment, trial: TrialConfig) -> RunWorld:
-    """Return a function that runs a world in this process; a seeded fault stays in the process.
+def _make_simulation_runner(experiment: Experiment, trial: TrialConfig) -> WorldRunner:
+    """Return a function that simulates a world in this process. A seeded fault stays installed in the process.
 
-    Raises HarnessError for an experiment that measures CPU or has processes with faults of their own.
+    Raises HarnessError for an experiment that measures CPU or seeds faults into some of the processes.
     """
     if experiment.measures_cpu or experiment.sidecar_faults or experiment.restarted_planner_fault:
-        raise HarnessError(f"{experiment.name} measures CPU, or has processes that differ: not simulated")
+        raise HarnessError(f"{experiment.name} can't be simulated: it measures CPU or has processes with own faults")
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
         if trial.seeded_fault and not is_control:
--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -1,7 +1,8 @@
-"""`breaking-point`: how many requests per second does one sidecar serve on one core?
+"""Experiment `breaking-point`: the request rate that one sidecar sustains on one core.
 
-The load on a single sidecar rises until its service falls for two windows in a row. Claims: the rate at that point, the
-CPU time per request up to it, and answers in time before it; the rules of safety hold beyond it too.
+The load on a single sidecar rises until its service level drops in two consecutive windows. The claims bound the rate
+at that point and the CPU time per request before it, and require answers in time before it. The safety rules have to
+hold after it as well.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from ryepier.experiments.faults.scaling import FULL_DURATION_FACTOR
 
 WINDOW_S = 1.0
-MIN_SERVICE = 0.95  # in a window; below it the load is too high
-SETTLED_S = 1.0  # after the start
+MIN_SERVICE = 0.95  # a window with a lower service level counts as overloaded
+MEASURED_FROM_S = 1.0  # time of the run; the CPU time before it is not counted
 MIN_REQUESTS_PER_S = 2000
 MAX_CPU_US_PER_REQUEST = 450
 US_PER_S = 1e6
-RULES_ON_TIME = ("unanswered", "held-up", "broken")
-# Without a free core a sidecar can't answer in time, but must keep all other rules.
-RULES_OF_SAFETY = (
+TIMELINESS_RULES = ("unanswered", "held-up", "broken")
+# Rules that a sidecar has to keep even when overload prevents it from answering in time.
+SAFETY_RULES = (
     "second-answer",
     "forged",
     "invented",
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """One window of the run."""
+    """The offered rate and the service level in one window of the run."""
 
     begin_s: float
     offered_per_s: float
@@ -52,13 +53,13 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Return whether the service is below the bound."""
+        """Return whether the service level is below `MIN_SERVICE`."""
         return self.service < MIN_SERVICE
 
 
 @dataclass(frozen=True, slots=True)
 class BreakingPoint:
-    """The last window before the overload."""
+    """The offered rate and the end of the last window before the overload."""
 
     offered_per_s: float
     end_s: float
@@ -72,27 +73,27 @@
 
 
 def split_into_windows(run: Run) -> list[Window]:
-    """Return the offered rate and the service of each window of the run."""
+    """Return the offered rate and the service level of each window of the run."""
     windows = []
     for begin_s in np.arange(0.0, run.world.duration_s, WINDOW_S).tolist():
         is_inside = figures.due_between(begin_s, begin_s + WINDOW_S)
-        inside = [operation for operation in run.operations if is_inside(operation.first)]
-        windows.append(Window(begin_s, len(inside) / WINDOW_S, figures.service_level(inside)))
+        window_operations = [operation for operation in run.operations if is_inside(operation.first)]
+        windows.append(Window(begin_s, len(window_operations) / WINDOW_S, figures.service_level(window_operations)))
     return windows
 
 
 def find_breaking_point(run: Run) -> BreakingPoint:
-    """Return the last window before two overloaded ones; the last of the run if there are none."""
+    """Return the last window before two consecutive overloaded ones; the run's last window if there are none."""
     windows = split_into_windows(run)
-    for window, (following, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
-        if following.is_overloaded and second.is_overloaded:
+    for window, (first, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
+        if first.is_overloaded and second.is_overloaded:
             return BreakingPoint(window.offered_per_s, window.begin_s + WINDOW_S)
     return BreakingPoint(windows[-1].offered_per_s, run.world.duration_s)
 
 
 def cpu_us_per_request(run: Run, end_s: float) -> float:
-    """Return the sidecar's CPU time per request until a time; infinite without samples."""
-    cpu_us = figures.cpu_us_per_request(run.history, 0, SETTLED_S, end_s)
+    """Return the sidecar's CPU time per request from `MEASURED_FROM_S` to `end_s`; infinite without samples."""
+    cpu_us = figures.cpu_us_per_request(run.history, 0, MEASURED_FROM_S, end_s)
     return float("inf") if cpu_us is None else cpu_us
 
 
@@ -109,12 +110,14 @@
 
 def _claims(run: Run) -> list[Claim]:
     point = find_breaking_point(run)
-    late_before = sum(breach.at_us < point.end_s * US_PER_S for breach in run.breaches if breach.rule in RULES_ON_TIME)
+    late_answers = sum(
+        breach.at_us < point.end_s * US_PER_S for breach in run.breaches if breach.rule in TIMELINESS_RULES
+    )
     cpu_us = cpu_us_per_request(run, point.end_s)
     return [
         Claim("requests a second for one sidecar core", point.offered_per_s, ">=", MIN_REQUESTS_PER_S),
         Claim("CPU a request up to there (us)", cpu_us, "<=", MAX_CPU_US_PER_REQUEST),
-        Claim("breaches of answers in time before it", late_before, "==", 0),
+        Claim("breaches of answers in time before it", late_answers, "==", 0),
     ]
 
 
@@ -125,7 +128,7 @@
     claims=_claims,
     seeded_faults=("spin",),
     extra_figures=_figures,
-    rules=RULES_OF_SAFETY,
+    rules=SAFETY_RULES,
     valid_until_s=lambda run: find_breaking_point(run).end_s,
     measures_cpu=True,
 )
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -1,8 +1,8 @@
 """`load-spread`: how even is the load of hundreds of sidecars that each see little of it?
 
-A simulated fleet at half of the converters' capacity and at a twentieth; the same seeds run with the balancer as it is
-and with its earlier subsets. Claims: no more crowded or empty windows than a Poisson stream has, next to no rejections,
-and no more than a quarter more connections than with the earlier subsets.
+A simulated fleet runs at half of the converters' capacity and at a twentieth. The same seeds run with the balancer and
+with the control, an earlier version whose full subsets never admit new upstreams. Claims: no more crowded or empty
+windows than a Poisson stream has, hardly any rejections, and at most a quarter more connections than the control.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan
 
 CROWDED_WINDOW_US = 100_000
-EXPECTED_PER_WINDOW = 12.0  # requests, with which an empty window is rare
+EXPECTED_PER_WINDOW = 12.0  # mean number of requests, with which an empty window is rare
 MAX_REJECTED_SHARE = 0.005
 MAX_CONNECTIONS_RATIO = 1.25
-WARM_UP_SHARE = 1 / 3  # of the run, until the subsets have filled
+WARM_UP_SHARE = 1 / 3  # share of the run before the measurement, in which the subsets fill up
 CONTROL = "private-subsets"
 PLANS: dict[Scale, dict[str, FleetPlan]] = {
     Scale.SMALL: {
@@ -31,20 +31,20 @@
 
 
 def _rare_claim(name: str, windows: measures.RareWindows) -> Claim:
-    return Claim(name, windows.found, "<=", windows.allowed)
+    return Claim(name, windows.count, "<=", windows.allowed_count)
 
 
 def _claims(load: str, treatment: FleetOutcome, control: FleetOutcome) -> list[Claim]:
     span = (treatment.begin_us, treatment.end_us)
     crowded = measures.crowded_windows(treatment.received_us, *span, CROWDED_WINDOW_US)
     empty = measures.empty_windows(treatment.received_us, *span, EXPECTED_PER_WINDOW)
-    connections = treatment.connections / control.connections
-    connections_name = f"{load}: connections over those without the mending"
+    connections_ratio = treatment.connections / control.connections
+    connections_claim_name = f"{load}: connections over those without the mending"
     return [
         _rare_claim(f"{load}: windows of 100 ms above the Poisson quantile", crowded),
         _rare_claim(f"{load}: windows without a request where 12 are expected", empty),
         Claim(f"{load}: refused", treatment.rejected_share, "<=", MAX_REJECTED_SHARE),
-        Claim(connections_name, connections, "<=", MAX_CONNECTIONS_RATIO),
+        Claim(connections_claim_name, connections_ratio, "<=", MAX_CONNECTIONS_RATIO),
     ]
 
 
@@ -52,7 +52,7 @@
     spread = measures.measure_spread(outcome.received_us, outcome.begin_us, outcome.end_us)
     return {
         f"{load}_variation": spread.variation,
-        f"{load}_over_chance": spread.over_chance,
+        f"{load}_over_chance": spread.variation_ratio,
         f"{load}_most": spread.highest,
         f"{load}_least": spread.lowest,
         f"{load}_refused": outcome.rejected_share,
@@ -64,7 +64,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Run each load with the balancer, or a seeded fault of it, and with the control."""
+    """Run each load with the balancer, or with a seeded fault in it, and with the control."""
     plans = PLANS[trial.scale]
     outcomes = run_trials(
         [
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -1,8 +1,8 @@
-"""`slices-churn`: what does one change of a service cost a sidecar as the list grows?
+"""Benchmark `slices-churn`: latency and CPU time of one change of a service, by the size of the endpoint list.
 
-An API server replaces pods one after another, at 1,000 and at 10,000 endpoints; a process of its own follows the slices
-and hands each update to a decision module. Claims: every change arrives, within a bound on the 99th percentile, at a
-CPU time that grows much less than the list, and in bounded memory.
+An API server replaces the pods of a service one after another, at 1,000 and at 10,000 endpoints. A separate process
+follows the slices and passes each update to a decision module. The claims require that every change arrives, and bound
+the 99th percentile of its delay, the growth of the CPU time per change, and the memory.
 """
 
 from __future__ import annotations
@@ -21,35 +21,35 @@
 from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.process import monotonic_us
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
-from ryepier.experiments.slices.follower_process import UP, FollowerReport
+from ryepier.experiments.slices.follower_process import READY_LINE, FollowerReport
 
-SIZES = (1_000, 10_000)  # endpoints
+LIST_SIZES = (1_000, 10_000)  # endpoints
 SLICE_SIZE = 100
-CHANGES = {Scale.SMALL: 150, Scale.FULL: 1_500}
+CHANGE_COUNTS = {Scale.SMALL: 150, Scale.FULL: 1_500}  # number of changes per list size
 CHANGE_INTERVAL_S = 0.04
 START_TIMEOUT_S = 20.0
-TAIL_S = 0.5  # after the last change, for its update to arrive
-MAX_LINE_BYTES = 64 * 1024 * 1024
+LAST_UPDATE_WAIT_S = 0.5  # time for the update of the last change to arrive
+MAX_LINE_BYTES = 64 * 1024 * 1024  # the follower's report is a single line
 NAMESPACE = "default"
 SERVICE = "convert"
-NODES = 50
-MAX_P99_MS = {1_000: 30, 10_000: 60}
+NODE_COUNT = 50
+MAX_P99_MS = {1_000: 30, 10_000: 60}  # by number of endpoints
 MAX_CPU_GROWTH = 3.0
 MAX_RESIDENT_MB = 120
 US_PER_MS = 1000
 KIB_PER_MB = 1024
 
 
-def address_of(pod: int) -> str:
-    """Return a pod's address."""
+def pod_address(pod: int) -> str:
+    """Return the IP address of the pod with this number."""
     return f"10.{pod >> 16 & 255}.{pod >> 8 & 255}.{pod & 255}"
 
 
 def make_endpoint(pod: int, terminating: bool = False) -> ApiObject:
-    """Return a pod's entry in an EndpointSlice."""
+    """Return the EndpointSlice entry of the pod with this number."""
     return {
-        "addresses": [address_of(pod)],
-        "nodeName": f"node-{pod % NODES}",
+        "addresses": [pod_address(pod)],
+        "nodeName": f"node-{pod % NODE_COUNT}",
         "zone": "a",
         "conditions": {"ready": not terminating, "serving": True, "terminating": terminating},
         "targetRef": {"kind": "Pod", "namespace": NAMESPACE, "name": f"convert-{pod}", "uid": f"pod-{pod}"},
@@ -57,49 +57,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """A state that a pod's address takes."""
+class PodChange:
+    """A new state of the pod with this address."""
 
     host: str
     state: str
 
 
 class ChangingService:
-    """A service whose pods are replaced one after another, with the time of each change."""
+    """A service whose pods are replaced one after another. Records the time of each change."""
 
     def __init__(self, size: int, seed: int) -> None:
-        """Store the slices of so many pods."""
+        """Create a service of `size` pods and store its slices."""
         self.store = Store()
-        self.changed_us: dict[Change, int] = {}
+        self.changed_us: dict[PodChange, int] = {}
         self._random = np.random.default_rng(seed)
         self._next_pod = size
         self._slices = [
-            [make_endpoint(first + offset) for offset in range(SLICE_SIZE)] for first in range(0, size, SLICE_SIZE)
+            [make_endpoint(first_pod + offset) for offset in range(SLICE_SIZE)]
+            for first_pod in range(0, size, SLICE_SIZE)
         ]
         for index in range(len(self._slices)):
             self._store_slice(index)
 
-    def change(self, number: int) -> None:
-        """Make the next change: by turns a pod of a slice terminates, or the one that terminated is replaced."""
+    def make_change(self, number: int) -> None:
+        """Make a change: with an even number a random pod of a slice terminates, with an odd one it is replaced."""
         index = number // 2 % len(self._slices)
         if number % 2 == 0:
-            self._terminate_one(index)
+            self._terminate_random_pod(index)
         else:
-            self._replace_last(index)
+            self._replace_terminating_pod(index)
         self._store_slice(index)
 
-    def _terminate_one(self, index: int) -> None:
+    def _terminate_random_pod(self, index: int) -> None:
         endpoints = self._slices[index]
         endpoint = endpoints.pop(int(self._random.integers(SLICE_SIZE - 1)))
         pod = int(endpoint["targetRef"]["uid"].rpartition("-")[2])
         endpoints.append(make_endpoint(pod, terminating=True))
-        self.changed_us[Change(address_of(pod), "draining")] = monotonic_us()
+        self.changed_us[PodChange(pod_address(pod), "draining")] = monotonic_us()
 
-    def _replace_last(self, index: int) -> None:
+    def _replace_terminating_pod(self, index: int) -> None:
         pod = self._next_pod
         self._next_pod += 1
         self._slices[index] = [*self._slices[index][:-1], make_endpoint(pod)]
-        self.changed_us[Change(address_of(pod), "ready")] = monotonic_us()
+        self.changed_us[PodChange(pod_address(pod), "ready")] = monotonic_us()
 
     def _store_slice(self, index: int) -> None:
         content = {
@@ -127,26 +128,26 @@
 
 async def _make_changes(service: ChangingService, server: ApiServer, scale: Scale) -> None:
     begin_s = time.monotonic()
-    for number in range(CHANGES[scale]):
+    for number in range(CHANGE_COUNTS[scale]):
         await asyncio.sleep(max(0.0, begin_s + number * CHANGE_INTERVAL_S - time.monotonic()))
-        service.change(number)
+        service.make_change(number)
         server.on_change()
-    await asyncio.sleep(TAIL_S)
+    await asyncio.sleep(LAST_UPDATE_WAIT_S)
 
 
 async def _follow_changes(
     process: asyncio.subprocess.Process, service: ChangingService, server: ApiServer, scale: Scale
 ) -> FollowerReport:
-    """Make the changes while a follower runs, and return its report. Raises HarnessError."""
+    """Make the changes while a follower runs, and return its report. Raises HarnessError if it does not start."""
     assert process.stdout is not None
     assert process.stdin is not None
     try:
         async with asyncio.timeout(START_TIMEOUT_S):
             line = await process.stdout.readline()
     except TimeoutError:
-        raise HarnessError("the follower had no list in time") from None
-    if line != UP:
-        raise HarnessError("the follower ended at its start")
+        raise HarnessError("the follower had no list before the start timeout") from None
+    if line != READY_LINE:
+        raise HarnessError("the follower process exited before it had a list")
     await _make_changes(service, server, scale)
     process.stdin.write(b"stop\n")
     return msgspec.json.decode(await process.stdout.readline(), type=FollowerReport)
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChurnCost:
-    """What changes cost a follower at one size of the list."""
+    """Delay, CPU time and memory of a follower at one size of the list."""
 
     arrived_share: float
     p50_ms: float
@@ -175,12 +176,12 @@
         }
 
 
-def _summarize(report: FollowerReport, changed_us: dict[Change, int]) -> ChurnCost:
-    """Return the delays from each change to its update, and the costs. Raises HarnessError if no update arrived."""
-    arrived_us = {Change(update.host, update.state): update.at_us for update in report.updates}
+def _summarize(report: FollowerReport, changed_us: dict[PodChange, int]) -> ChurnCost:
+    """Return the delays between changes and updates, and the costs. Raises HarnessError if no update arrived."""
+    arrived_us = {PodChange(update.host, update.state): update.at_us for update in report.updates}
     delays_us = [arrived_us[change] - at_us for change, at_us in changed_us.items() if change in arrived_us]
     if not delays_us:
-        raise HarnessError("the follower heard of nothing")
+        raise HarnessError("the follower received none of the changes")
     return ChurnCost(
         len(delays_us) / len(changed_us),
         float(np.percentile(delays_us, 50)) / US_PER_MS,
@@ -192,7 +193,7 @@
 
 
 async def measure_size(size: int, trial: TrialConfig) -> ChurnCost:
-    """Return what changes cost at one size of the list. Raises HarnessError."""
+    """Measure one size of the list. Raises HarnessError if the follower does not start or gets no update."""
     service = ChangingService(size, trial.seed)
     server = ApiServer(service.store)
     port = await server.listen("127.0.0.1", 0)
@@ -208,12 +209,12 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure both sizes, one after another."""
-    costs = {size: asyncio.run(measure_size(size, trial)) for size in SIZES}
+    """Measure both sizes of the list, one after another."""
+    costs = {size: asyncio.run(measure_size(size, trial)) for size in LIST_SIZES}
     figures: dict[str, float] = {}
     for size, cost in costs.items():
         figures |= cost.as_figures(size)
-    small, large = (costs[size] for size in SIZES)
+    small, large = (costs[size] for size in LIST_SIZES)
     figures["p50_growth"] = large.p50_ms / small.p50_ms
     cpu_growth = large.cpu_ms_per_change / small.cpu_ms_per_change
     figures["cpu_growth"] = cpu_growth
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -1,7 +1,8 @@
-"""`slices-outage`: does a fleet keep serving while the API server is away, and catch up when it returns?
+"""Experiment `slices-outage`: a fleet keeps serving while the API server is down, and catches up afterwards.
 
-The API server is away for 10 s and returns without its earlier revisions, while converters are replaced. Claims: the
-service stays high meanwhile, all sidecars soon have the new list, and from then on nothing goes to removed converters.
+The API server is down for 10 s and returns without its earlier revisions, while converters are replaced. The claims
+require a high service level throughout, that all sidecars soon have the new list, and that from then on no attempts go
+to removed converters.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
-LIST_MARGIN_S = 0.5  # after the last sidecar had its list
-MIN_OBSERVED_S = 1.0  # of the end of the run, however late the list came
+LIST_UPDATE_MARGIN_S = 0.5  # after the last sidecar received its list
+MIN_OBSERVED_S = 1.0  # minimum time at the run's end over which the service level is computed
 MIN_SERVICE_DURING = 0.97
 MIN_SERVICE_AFTER = 0.98
 MAX_CATCH_UP_S = 11.0
 MAX_SHARE_TO_REMOVED = 0.0
-NEVER_US = 1 << 60
+FAR_FUTURE_US = 1 << 60
 US_PER_S = 1e6
 US_PER_MS = 1000
 
@@ -29,7 +30,7 @@
 
 
 def catch_up_s(run: Run) -> float:
-    """Return the time from the server's return until the last sidecar had a list; infinite if one never had."""
+    """Return the time from the API server's return until all sidecars had a list; infinite if one never had."""
     returned_us = phases.end_s(fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)) * US_PER_S
     first_notice_us: dict[int, int] = {}
     for notice in run.history.notices:
@@ -41,32 +42,35 @@
 
 
 def share_to_removed(run: Run, since_s: float) -> float:
-    """Return the share of attempts from a time that came to drained converters, after discovery and the grace period.
+    """Return the share of attempts after `since_s` that drained converters received too late.
 
-    Nobody records an attempt at an address where nothing listens any more.
+    An attempt is too late if it arrives after the delay of discovery and the grace period of the drain. Attempts at an
+    address where nothing listens any more are not recorded, and so not counted.
     """
     steps = timeline.build(run.world, run.seed).steps
     drained_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
-    attempts = [a for a in run.history.converter_attempts if a.first_byte_us > since_s * US_PER_S]
+    attempts = [attempt for attempt in run.history.converter_attempts if attempt.first_byte_us > since_s * US_PER_S]
     allowed_us = (run.world.discovery.notice_delay_ms[1] + run.world.sidecars.drain_grace_ms) * US_PER_MS
-    late = sum(a.first_byte_us > drained_us.get(a.uid, NEVER_US) + allowed_us for a in attempts)
-    return late / max(1, len(attempts))
+    late_count = sum(
+        attempt.first_byte_us > drained_us.get(attempt.uid, FAR_FUTURE_US) + allowed_us for attempt in attempts
+    )
+    return late_count / max(1, len(attempts))
 
 
 def _claims(run: Run) -> list[Claim]:
     outage = fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)
-    caught_up_s = catch_up_s(run)
-    up_to_date_s = phases.end_s(outage) + caught_up_s + LIST_MARGIN_S
+    catch_up_time_s = catch_up_s(run)
+    up_to_date_s = phases.end_s(outage) + catch_up_time_s + LIST_UPDATE_MARGIN_S
     after_s = min(up_to_date_s, run.world.duration_s - MIN_OBSERVED_S)
     service_during = figures.service_level(run.operations, phases.during(outage))
     service_after = figures.service_level(run.operations, phases.from_time(after_s, run.world))
-    to_removed = share_to_removed(run, up_to_date_s)
-    to_removed_name = "share of attempts to converters that are gone, from then on"
+    removed_share = share_to_removed(run, up_to_date_s)
+    removed_share_name = "share of attempts to converters that are gone, from then on"
     return [
         Claim("service while the API server is away", service_during, ">=", MIN_SERVICE_DURING),
-        Claim("time until all sidecars have the new list (s)", caught_up_s, "<=", MAX_CATCH_UP_S),
+        Claim("time until all sidecars have the new list (s)", catch_up_time_s, "<=", MAX_CATCH_UP_S),
         Claim("service from then on", service_after, ">=", MIN_SERVICE_AFTER),
-        Claim(to_removed_name, to_removed, "<=", MAX_SHARE_TO_REMOVED),
+        Claim(removed_share_name, removed_share, "<=", MAX_SHARE_TO_REMOVED),
     ]
 
 
