--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SidecarInterface:
-    """The callbacks into a sidecar and the parameters of it that its forwarder needs."""
+    """The callbacks and parameters that a forwarder gets from its sidecar."""
 
     upstream_ids: Callable[[], Mapping[str, int]]  # returns the upstream ids of the ready converters by uid
     publish: Callable[[PlanUpdated], None]  # passes advice to the decision module
--- a/ryepier/plan/messages.py
+++ b/ryepier/plan/messages.py
@@ -45,7 +45,7 @@
 
     version: int
     name: Name
-    incarnation: Count = msgspec.field(name="boot")  # increases when the sender restarts and its counters start at 0
+    incarnation: Count = msgspec.field(name="boot")  # increases with each restart, which resets all counters
     is_peer: bool = msgspec.field(name="peer", default=False)  # whether the sender is a planner
 
 
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -291,7 +291,7 @@
             self.execute(self.next_actions(call, response))
 
     async def wait_until_done(self, call: Call, response: ResponseReader) -> None:
-        """Wait for the end of a response. Raises TimeoutError if a page takes too long or a watch is silent."""
+        """Wait for the end of a response. Raises TimeoutError if a page or the silence of a watch lasts too long."""
         if call.kind is CallKind.LIST:
             async with asyncio.timeout(LIST_TIMEOUT_S):
                 await response.done_future
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -165,9 +165,9 @@
         b"GET / HTTP/1.1\r\n\r\n",
         (MAX_MESSAGE_BYTES + 1).to_bytes(4, "big"),
         encode(Hello(VERSION + 1, "f", 1)),
-        encode(Report(1, 1, {}, {}, [], [], 0)),
+        encode(Report(1, 1, {}, {}, [], [], 0)),  # a report without a hello before it
         encode(Hello(VERSION, "f", 1)) * 2,
-        b"\x00\x00\x00\x01\xc1",
+        b"\x00\x00\x00\x01\xc1",  # not valid MessagePack
     ],
 )
 def test_invalid_peer_is_rejected_and_the_planner_continues(data: bytes) -> None:
