--- a/ryepier/experiments/simulation/agreement.py
+++ b/ryepier/experiments/simulation/agreement.py
@@ -14,8 +14,8 @@
 from ryepier.experiments.simulation.run_summary import RunSummary, summarize
 
 WORLDS = ("steady", "release", "hang", "surge", "sidecar-kill")
-MAX_SERVICE_POINTS = 1.5
-MAX_SERVICE_POINTS_OF_SURGE = 3.0  # in an overload, single moments decide which requests are rejected
+MAX_SERVICE_DIFFERENCE_POINTS = 1.5
+MAX_SURGE_SERVICE_DIFFERENCE_POINTS = 3.0  # in an overload, single moments decide which requests are rejected
 MAX_P50_RATIO = 1.10
 MAX_P99_RATIO = 1.25
 MAX_ATTEMPTS_RATIO = 1.05
@@ -27,18 +27,18 @@
     return high / low if low else float("inf")
 
 
-def _claims(name: str, real: RunSummary, simulated_run: RunSummary) -> list[Claim]:
-    service_points = 100 * abs(real.service - simulated_run.service)
-    max_points = MAX_SERVICE_POINTS_OF_SURGE if name == "surge" else MAX_SERVICE_POINTS
-    p50_ratio = _ratio(real.p50_ms, simulated_run.p50_ms)
-    p99_ratio = _ratio(real.p99_ms, simulated_run.p99_ms)
-    attempts_ratio = _ratio(real.attempts_per_request, simulated_run.attempts_per_request)
+def _claims(name: str, socket_run: RunSummary, simulated_run: RunSummary) -> list[Claim]:
+    service_difference_points = 100 * abs(socket_run.service - simulated_run.service)
+    max_difference_points = MAX_SURGE_SERVICE_DIFFERENCE_POINTS if name == "surge" else MAX_SERVICE_DIFFERENCE_POINTS
+    p50_ratio = _ratio(socket_run.p50_ms, simulated_run.p50_ms)
+    p99_ratio = _ratio(socket_run.p99_ms, simulated_run.p99_ms)
+    attempts_ratio = _ratio(socket_run.attempts_per_request, simulated_run.attempts_per_request)
     return [
-        Claim(f"{name}: service apart (points)", service_points, "<=", max_points),
+        Claim(f"{name}: service apart (points)", service_difference_points, "<=", max_difference_points),
         Claim(f"{name}: p50 apart (ratio)", p50_ratio, "<=", MAX_P50_RATIO),
         Claim(f"{name}: p99 apart (ratio)", p99_ratio, "<=", MAX_P99_RATIO),
         Claim(f"{name}: attempts a try apart (ratio)", attempts_ratio, "<=", MAX_ATTEMPTS_RATIO),
-        Claim(f"{name}: breaches, both", real.breaches + simulated_run.breaches, "==", 0),
+        Claim(f"{name}: breaches, both", socket_run.breaches + simulated_run.breaches, "==", 0),
     ]
 
 
@@ -48,13 +48,13 @@
     claims = []
     for name in WORLDS:
         world = load(name)
-        real = summarize(world, harness.run_world(world, trial.seed, trial.folder / name))
+        socket_run = summarize(world, harness.run_world(world, trial.seed, trial.folder / name))
         if trial.seeded_fault:
             seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
         simulated_run = summarize(world, simulated.run_world(world, trial.seed))
-        figures |= real.as_figures(f"{name}_", "_sockets")
+        figures |= socket_run.as_figures(f"{name}_", "_sockets")
         figures |= simulated_run.as_figures(f"{name}_", "_sim")
-        claims += _claims(name, real, simulated_run)
+        claims += _claims(name, socket_run, simulated_run)
     return Measurement(claims, figures)
 
 
--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -17,7 +17,7 @@
 from ryepier.emulator.timeline import FaultAction, Step, TargetKind
 from ryepier.emulator.world import World
 
-MIN_MEETINGS = 20  # of a fault with a state, below which the pair counts as hardly tried
+MIN_EXPOSURES = 20  # of a fault with a state, below which the pair counts as hardly tried
 DEADLINE_FACTOR = 2  # requests are looked for so many of the longest deadlines before a fault
 US_PER_MS = 1000
 
@@ -29,9 +29,9 @@
     ARRIVING = "arriving"
     QUEUED = "queued"
     RUNNING = "running"
-    RUN = "run"
-    BETWEEN = "between"
-    LATE = "late"
+    ANSWERING = "run"
+    BETWEEN_ATTEMPTS = "between"
+    ABANDONED_ATTEMPT = "late"
 
 
 STATE_DESCRIPTIONS = {
@@ -39,17 +39,17 @@
     RequestState.ARRIVING: "partly at a converter",
     RequestState.QUEUED: "whole at a converter, not begun",
     RequestState.RUNNING: "being run",
-    RequestState.RUN: "run or turned away, its answer on the way",
-    RequestState.BETWEEN: "an attempt failed, no further one has come yet",
-    RequestState.LATE: "answered, while an attempt given up is still at a converter",
+    RequestState.ANSWERING: "run or turned away, its answer on the way",
+    RequestState.BETWEEN_ATTEMPTS: "an attempt failed, no further one has come yet",
+    RequestState.ABANDONED_ATTEMPT: "answered, while an attempt given up is still at a converter",
 }
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Meeting:
+class FaultExposure:
     """A fault's action, and the state of the request that it struck."""
 
-    strike: str
+    action: str
     state: RequestState
 
 
@@ -65,37 +65,37 @@
 class Coverage:
     """Counts of meetings; adds up over runs."""
 
-    counts: dict[Meeting, int] = field(default_factory=lambda: defaultdict(int))
+    counts: dict[FaultExposure, int] = field(default_factory=lambda: defaultdict(int))
 
     def add(self, other: Coverage) -> None:
         """Add the counts of another run."""
-        for meeting, count in other.counts.items():
-            self.counts[meeting] += count
+        for exposure, count in other.counts.items():
+            self.counts[exposure] += count
 
-    def strikes(self) -> list[str]:
+    def actions(self) -> list[str]:
         """Return the names of all actions that struck a request."""
-        return sorted({meeting.strike for meeting in self.counts})
+        return sorted({exposure.action for exposure in self.counts})
 
-    def rare_share(self, strike: str) -> float:
+    def rarely_tried_share(self, action: str) -> float:
         """Return the share of the states that an action has hardly met."""
-        rare = sum(self.counts.get(Meeting(strike, state), 0) < MIN_MEETINGS for state in RequestState)
-        return rare / len(RequestState)
+        rarely_tried = sum(self.counts.get(FaultExposure(action, state), 0) < MIN_EXPOSURES for state in RequestState)
+        return rarely_tried / len(RequestState)
 
     def rows(self) -> list[list[str]]:
         """Return a table with a row per action and a column per state."""
         header = ["", *(state.value for state in RequestState)]
-        return [header, *(self._row(strike) for strike in self.strikes())]
+        return [header, *(self._row(action) for action in self.actions())]
 
-    def _row(self, strike: str) -> list[str]:
-        return [strike, *(str(self.counts.get(Meeting(strike, state), 0)) for state in RequestState)]
+    def _row(self, action: str) -> list[str]:
+        return [action, *(str(self.counts.get(FaultExposure(action, state), 0)) for state in RequestState)]
 
     def as_lists(self) -> list[tuple[str, str, int]]:
         """Return the counts as (strike, state, count), for coverage.json."""
-        return [(meeting.strike, meeting.state.value, count) for meeting, count in sorted(self.counts.items())]
+        return [(exposure.action, exposure.state.value, count) for exposure, count in sorted(self.counts.items())]
 
 
 # actions of which a fault has one kind only, so that its name tells the action
-PLAIN_ACTIONS = frozenset(
+ACTIONS_NAMED_BY_FAULT = frozenset(
     (
         FaultAction.BEGIN,
         FaultAction.SUSPEND,
@@ -109,11 +109,11 @@
 )
 
 
-def strike_of(step: Step) -> str:
+def action_name(step: Step) -> str:
     """Return the name of a step in the table."""
     if step.action is FaultAction.NOTIFY:
         return f"told {step.state}"
-    return str(step.fault) if step.action in PLAIN_ACTIONS else f"{step.fault}: {step.action.value}"
+    return str(step.fault) if step.action in ACTIONS_NAMED_BY_FAULT else f"{step.fault}: {step.action.value}"
 
 
 def position_at(request: ClientAttempt, attempts: Sequence[ConverterAttempt], at_us: int) -> Position | None:
@@ -121,7 +121,7 @@
     arrived = [attempt for attempt in attempts if attempt.first_byte_us <= at_us]
     if at_us >= request.ended_us:
         remaining = [attempt for attempt in arrived if attempt.ended_us == NEVER or attempt.ended_us > at_us]
-        return Position(RequestState.LATE, remaining[-1].uid) if remaining else None
+        return Position(RequestState.ABANDONED_ATTEMPT, remaining[-1].uid) if remaining else None
     if not arrived:
         return Position(RequestState.NOT_SENT)
     return _position_of_attempt(arrived[-1], at_us)
@@ -132,9 +132,9 @@
         return Position(RequestState.ARRIVING, attempt.uid)
     has_ended = _has_passed(attempt.ended_us, at_us)
     if has_ended and attempt.status != 200:
-        return Position(RequestState.BETWEEN)
+        return Position(RequestState.BETWEEN_ATTEMPTS)
     if has_ended or _has_passed(attempt.finished_us, at_us):
-        return Position(RequestState.RUN, attempt.uid)
+        return Position(RequestState.ANSWERING, attempt.uid)
     if _has_passed(attempt.started_us, at_us):
         return Position(RequestState.RUNNING, attempt.uid)
     return Position(RequestState.QUEUED, attempt.uid)
@@ -144,11 +144,11 @@
     return event_us != NEVER and event_us <= at_us
 
 
-def meets(step: Step, struck_uid: str, request: ClientAttempt, position: Position) -> bool:
+def can_harm(step: Step, target_uid: str, request: ClientAttempt, position: Position) -> bool:
     """Return whether a step, which strikes a converter or another process, could harm a request."""
     if step.target is TargetKind.CONVERTER:
-        is_waiting = position.state in (RequestState.NOT_SENT, RequestState.BETWEEN)
-        return position.uid == struck_uid or is_waiting
+        is_waiting = position.state in (RequestState.NOT_SENT, RequestState.BETWEEN_ATTEMPTS)
+        return position.uid == target_uid or is_waiting
     if step.target is TargetKind.PLANNER:
         return True
     if step.action is FaultAction.NOTIFY and position.uid and position.uid != step.uid:
@@ -156,7 +156,7 @@
     return request.sidecar == step.index
 
 
-def cover(world: World, seed: int, history: History) -> Coverage:
+def measure_coverage(world: World, seed: int, history: History) -> Coverage:
     """Count the meetings of one run."""
     built = timeline.build(world, seed)
     uids = {instance.index: instance.uid for instance in built.instances}
@@ -164,14 +164,14 @@
     for attempt in history.converter_attempts:
         attempts[attempt.request_id].append(attempt)
     sent_us = [request.sent_us for request in history.client_attempts]
-    longest_us = int(DEADLINE_FACTOR * US_PER_MS * max(kind.deadline_ms for kind in world.classes))
+    lookback_us = int(DEADLINE_FACTOR * US_PER_MS * max(request_class.deadline_ms for request_class in world.classes))
     coverage = Coverage()
     for step in built.steps:
-        strike = strike_of(step)
-        begin = bisect.bisect_left(sent_us, step.at_us - longest_us)
+        action = action_name(step)
+        begin = bisect.bisect_left(sent_us, step.at_us - lookback_us)
         end = bisect.bisect_right(sent_us, step.at_us)
         for request in history.client_attempts[begin:end]:
             position = position_at(request, attempts.get(request.request_id, []), step.at_us)
-            if position is not None and meets(step, uids.get(step.index, ""), request, position):
-                coverage.counts[Meeting(strike, position.state)] += 1
+            if position is not None and can_harm(step, uids.get(step.index, ""), request, position):
+                coverage.counts[FaultExposure(action, position.state)] += 1
     return coverage
--- a/ryepier/experiments/simulation/random_worlds.py
+++ b/ryepier/experiments/simulation/random_worlds.py
@@ -76,14 +76,14 @@
 MAX_FAULTS = 4
 MAX_CLOCK_JUMP_S = 3600.0
 MAX_CLOCK_DRIFT = 0.001  # ten times that of a clock that nobody synchronizes
-SLICES_SHARE = 0.2  # of the worlds, whose discovery is by EndpointSlices
+SLICES_WORLD_SHARE = 0.2  # of the worlds, whose discovery is by EndpointSlices
 NO_BOOSTS: Mapping[str, float] = {}
 
 
 def draw_fault(random: np.random.Generator, weights: Mapping[str, float]) -> Fault:
     """Return a random fault; `weights` tells how often each kind is drawn."""
-    values = np.array(list(weights.values()), dtype=np.float64)
-    kind = str(random.choice(list(weights), p=values / values.sum()))
+    weight_values = np.array(list(weights.values()), dtype=np.float64)
+    kind = str(random.choice(list(weights), p=weight_values / weight_values.sum()))
     at_s = float(random.uniform(0.2, DURATION_S - 1.5))
     factor = float(random.uniform(1.2, 6.0))
     if kind == "clock-drift":
@@ -113,7 +113,7 @@
     planners = Planners(count=int(random.choice([0, 1, 2], p=[0.75, 0.1, 0.15])), snapshots=False)
     sidecars = int(random.integers(2 if planners.count else 1, 4))
     faults = _draw_faults(random, boosts, has_planners=planners.count > 0)
-    uses_slices = random.random() < SLICES_SHARE
+    uses_slices = random.random() < SLICES_WORLD_SHARE
     return World(
         name=f"hunt-{seed}",
         duration_s=DURATION_S,
--- a/ryepier/experiments/simulation/request_story.py
+++ b/ryepier/experiments/simulation/request_story.py
@@ -25,7 +25,7 @@
 
 def request_events(history: History, request_id: str) -> list[str]:
     """Return a line for each event of a request, in the order of time."""
-    request = next((item for item in history.client_attempts if item.request_id == request_id), None)
+    request = next((attempt for attempt in history.client_attempts if attempt.request_id == request_id), None)
     events = _client_events(request) if request is not None else []
     for attempt in history.converter_attempts:
         if attempt.request_id == request_id:
--- a/ryepier/experiments/simulation/search.py
+++ b/ryepier/experiments/simulation/search.py
@@ -21,7 +21,7 @@
 from ryepier.emulator.world import World
 from ryepier.experiments import seeded_faults
 from ryepier.experiments.core import judge
-from ryepier.experiments.simulation.coverage import Coverage, cover
+from ryepier.experiments.simulation.coverage import Coverage, measure_coverage
 from ryepier.experiments.simulation.random_worlds import FAULT_WEIGHTS, LOAD_FAULTS, draw_world
 from ryepier.sim.loop import NoProgressError
 from ryepier.sim.run import SimulationError
@@ -76,10 +76,10 @@
     breaches = judge.find_breaches(world, history)
     if not breaches:
         return WorldRun(None, history)
-    first = breaches[0]
-    text = f"{first.rule} at {first.at_us / 1e6:.6f} s: {first.text}"
+    first_breach = breaches[0]
+    description = f"{first_breach.rule} at {first_breach.at_us / 1e6:.6f} s: {first_breach.text}"
     rules = dict(Counter(breach.rule for breach in breaches))
-    return WorldRun(Finding(seed, world, rules, text, seeded_fault, hash_history(history)), history)
+    return WorldRun(Finding(seed, world, rules, description, seeded_fault, hash_history(history)), history)
 
 
 def install_fault(seeded_fault: str) -> None:
@@ -97,80 +97,80 @@
     total = Coverage()
     workers = processes or os.cpu_count()
     with ProcessPoolExecutor(workers, initializer=install_fault, initargs=(seeded_fault,)) as pool:
-        for begin in range(0, len(seeds), ROUND_SIZE):
-            batch = seeds[begin : begin + ROUND_SIZE]
-            boosts = boosts_from(total) if begin else {}
+        for start in range(0, len(seeds), ROUND_SIZE):
+            batch = seeds[start : start + ROUND_SIZE]
+            boosts = boosts_from_coverage(total) if start else {}
             arguments = (batch, [seeded_fault] * len(batch), [boosts] * len(batch))
-            for result in pool.map(_search_one, *arguments, chunksize=CHUNK_SIZE):
+            for result in pool.map(_search_world, *arguments, chunksize=CHUNK_SIZE):
                 total.add(result.coverage)
                 yield result
 
 
-def _search_one(seed: int, seeded_fault: str, boosts: Mapping[str, float]) -> SearchResult:
+def _search_world(seed: int, seeded_fault: str, boosts: Mapping[str, float]) -> SearchResult:
     world = draw_world(seed, boosts)
     run = run_world(world, seed, seeded_fault)
-    coverage = cover(world, seed, run.history) if run.history is not None else Coverage()
+    coverage = measure_coverage(world, seed, run.history) if run.history is not None else Coverage()
     return SearchResult(run.finding, coverage)
 
 
-def boosts_from(coverage: Coverage) -> dict[str, float]:
+def boosts_from_coverage(coverage: Coverage) -> dict[str, float]:
     """Return by kind of fault the factor of its weight, which grows with the share of states that it hardly met."""
-    strikes: dict[str, list[str]] = defaultdict(list)
-    for strike in coverage.strikes():
-        strikes[_kind_of(strike)].append(strike)
-    return {kind: 1.0 + MAX_BOOST * _rare_share(coverage, kind, strikes[kind]) for kind in FAULT_WEIGHTS}
+    actions: dict[str, list[str]] = defaultdict(list)
+    for action in coverage.actions():
+        actions[_fault_kind(action)].append(action)
+    return {kind: 1.0 + MAX_BOOST * _rarely_tried_share(coverage, kind, actions[kind]) for kind in FAULT_WEIGHTS}
 
 
-def _kind_of(strike: str) -> str:
-    kind = strike.partition(":")[0]
+def _fault_kind(action: str) -> str:
+    kind = action.partition(":")[0]
     return "release" if kind.startswith("told") else kind
 
 
-def _rare_share(coverage: Coverage, kind: str, strikes: list[str]) -> float:
-    if not strikes:
+def _rarely_tried_share(coverage: Coverage, kind: str, actions: list[str]) -> float:
+    if not actions:
         return float(kind not in LOAD_FAULTS)
-    return sum(map(coverage.rare_share, strikes)) / len(strikes)
+    return sum(map(coverage.rarely_tried_share, actions)) / len(actions)
 
 
-def shrink(finding: Finding, breaks: Callable[[World], bool] | None = None) -> Finding:
+def shrink(finding: Finding, still_breaks: Callable[[World], bool] | None = None) -> Finding:
     """Return the find with as few faults, sidecars and retries as still break one of its rules.
 
     `breaks` decides that for a world; by default the world is run.
     """
 
     def breaks_same_rule(world: World) -> bool:
-        again = run_world(world, finding.seed, finding.seeded_fault).finding
-        return again is not None and bool(again.rules.keys() & finding.rules.keys())
+        rerun = run_world(world, finding.seed, finding.seeded_fault).finding
+        return rerun is not None and bool(rerun.rules.keys() & finding.rules.keys())
 
-    breaks = breaks or breaks_same_rule
-    world = _drop_faults(finding.world, breaks)
+    still_breaks = still_breaks or breaks_same_rule
+    world = _drop_faults(finding.world, still_breaks)
     replace = msgspec.structs.replace
     simpler_worlds = (
         replace(world, sidecars=replace(world.sidecars, count=1)),
         replace(world, clients=replace(world.clients, retries=0)),
     )
     for simpler in simpler_worlds:
-        if breaks(simpler):
+        if still_breaks(simpler):
             world = simpler
     return run_world(world, finding.seed, finding.seeded_fault).finding or finding
 
 
-def _drop_faults(world: World, breaks: Callable[[World], bool]) -> World:
+def _drop_faults(world: World, still_breaks: Callable[[World], bool]) -> World:
     """Drop one fault at a time for as long as the world still breaks a rule."""
     index = 0
     while index < len(world.faults):
         faults = world.faults[:index] + world.faults[index + 1 :]
         smaller = msgspec.structs.replace(world, faults=faults)
-        if breaks(smaller):
+        if still_breaks(smaller):
             world, index = smaller, 0
         else:
             index += 1
     return world
 
 
-def first_request_id(text: str) -> str | None:
+def first_request_id(description: str) -> str | None:
     """Return the first request id in a violation's text, if there is one."""
-    words = text.replace(":", " ").replace(",", " ").split()
+    words = description.replace(":", " ").replace(",", " ").split()
     return next((word for word in words if word.count("-") == 2), None)
 
 
--- a/ryepier/experiments/simulation/seeded_faults.py
+++ b/ryepier/experiments/simulation/seeded_faults.py
@@ -15,21 +15,21 @@
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 from ryepier.sidecar.upstream_connection import ConnectionState, UpstreamConnection
 
-EVERY_TWICE = 40  # answers; one of so many is written twice
+ANSWERS_PER_DUPLICATE = 40  # answers; one of so many is written twice
 
 
 def answer_twice() -> None:
     """One answer in many is written twice."""
     from ryepier.sidecar.client_connection import ClientConnection
 
-    write, count = ClientConnection.write, 0
+    original_write, answer_count = ClientConnection.write, 0
 
     def write_twice(self: ClientConnection, response: Response, last: bool = False) -> None:
-        nonlocal count
-        count += 1
-        write(self, response, last)
+        nonlocal answer_count
+        answer_count += 1
+        original_write(self, response, last)
         is_served = response.status == 200 and response.body
-        if count % EVERY_TWICE == 0 and self.transport is not None and is_served:
+        if answer_count % ANSWERS_PER_DUPLICATE == 0 and self.transport is not None and is_served:
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     ClientConnection.write = write_twice  # type: ignore[method-assign]
@@ -37,12 +37,12 @@
 
 def keep_after_time_out() -> None:
     """A connection whose attempt was given up is used again, its answer still on the way."""
-    cancel = UpstreamAttempt.cancel
+    original_cancel = UpstreamAttempt.cancel
 
     def cancel_and_keep(self: UpstreamAttempt) -> None:
         connection, written = self.connection, self.written
         if not isinstance(connection, UpstreamConnection) or not written:
-            cancel(self)
+            original_cancel(self)
             return
         self.cancelled, self.connection, connection.attempt = True, None, None
         connection.pool.put_idle(connection)
@@ -52,9 +52,9 @@
 
     def data_received(self: UpstreamConnection, data: bytes) -> None:
         if self.attempt is not None:
-            receive(self, data)
+            original_data_received(self, data)
 
-    receive = UpstreamConnection.data_received
+    original_data_received = UpstreamConnection.data_received
     UpstreamAttempt.cancel = cancel_and_keep  # type: ignore[method-assign]
     UpstreamConnection.is_usable = is_usable  # type: ignore[method-assign]
     UpstreamConnection.data_received = data_received  # type: ignore[method-assign]
@@ -62,16 +62,16 @@
 
 def forget_drain() -> None:
     """What drained while the watch was away is taken for ready once it is back."""
-    on_list = DiscoveryClient.on_list
-    notified: weakref.WeakSet[EndpointWatch] = weakref.WeakSet()
+    original_on_list = DiscoveryClient.on_list
+    initialized: weakref.WeakSet[EndpointWatch] = weakref.WeakSet()
 
-    def without_drains(self: DiscoveryClient, message: Any) -> None:
-        if self.watch is not None and self.watch not in notified:  # the first message of a watch: what it missed
-            notified.add(self.watch)
+    def on_list_without_draining(self: DiscoveryClient, message: Any) -> None:
+        if self.watch is not None and self.watch not in initialized:  # the first message of a watch: what it missed
+            initialized.add(self.watch)
             message["targets"] = [target for target in message["targets"] if target["state"] != "leaving"]
-        on_list(self, message)
+        original_on_list(self, message)
 
-    DiscoveryClient.on_list = without_drains  # type: ignore[method-assign]
+    DiscoveryClient.on_list = on_list_without_draining  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
--- a/ryepier/experiments/simulation/speed.py
+++ b/ryepier/experiments/simulation/speed.py
@@ -18,7 +18,7 @@
 
 FLEET_SIZES: dict[Scale, tuple[int, ...]] = {Scale.SMALL: (5, 50, 500), Scale.FULL: (5, 50, 500, 3000)}  # sidecars
 DURATION_S = {Scale.SMALL: 4.0, Scale.FULL: 20.0}
-RATE_PER_S = 1000.0  # of all clients
+TOTAL_RATE_PER_S = 1000.0  # of all clients
 DOWN_S = 0.5  # of the killed sidecar
 MIN_SPEED = {5: 0.5, 50: 0.4, 500: 0.25}  # simulated seconds per second, by fleet size
 MIN_SERVICE = 0.95
@@ -32,7 +32,7 @@
         world,
         duration_s=duration_s,
         sidecars=replace(world.sidecars, count=sidecars),
-        clients=replace(world.clients, rate_per_s=RATE_PER_S, ramp_to_per_s=0.0),
+        clients=replace(world.clients, rate_per_s=TOTAL_RATE_PER_S, ramp_to_per_s=0.0),
         faults=[Fault(kind=FaultKind.SIDECAR_KILL, at_s=duration_s / 2, down_s=DOWN_S, index=0)],
     )
 
@@ -43,9 +43,9 @@
     claims = []
     for sidecars in FLEET_SIZES[trial.scale]:
         world = make_world(sidecars, DURATION_S[trial.scale])
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         history = simulated.run_world(world, trial.seed)
-        speed = world.duration_s / (time.monotonic() - begun_s)
+        speed = world.duration_s / (time.monotonic() - started_s)
         summary = summarize(world, history)
         figures[f"speed_{sidecars}"] = speed
         figures |= summary.as_figures("", f"_{sidecars}")
