--- a/ryepier/experiments/maintenance/agreement_text.py
+++ b/ryepier/experiments/maintenance/agreement_text.py
@@ -8,20 +8,20 @@
 SERVICE = "convert"
 NORTH, SOUTH = "north", "south"
 REGIONS = {NORTH: ("n1", "n2"), SOUTH: ("s1", "s2")}  # with their zones
-REPLICAS = 3
-PORT = 7500
+REPLICAS_PER_REGION = 3
+COORDINATOR_PORT = 7500
 COORDINATOR_SUBNET, RELAY_SUBNET = 250, 249
 
 
 def coordinator_address(network: int, region: str, replica: int, relayed: bool = False) -> str:
     """Return the address of a coordinator, or of the relay before it, as `host:port`."""
     subnet = RELAY_SUBNET if relayed else COORDINATOR_SUBNET
-    return f"127.{network}.{subnet}.{10 * (list(REGIONS).index(region) + 1) + replica}:{PORT}"
+    return f"127.{network}.{subnet}.{10 * (list(REGIONS).index(region) + 1) + replica}:{COORDINATOR_PORT}"
 
 
 def replica_names(region: str) -> list[str]:
     """Return the names of a region's coordinators."""
-    return [f"{region}-{number}" for number in range(REPLICAS)]
+    return [f"{region}-{number}" for number in range(REPLICAS_PER_REGION)]
 
 
 def region_converters(world: World, region: str) -> list[str]:
@@ -32,7 +32,7 @@
 def converter_zones(world: World) -> dict[str, str]:
     """Return the zone of each converter, in the order of the world."""
     zones = [group.zone for group in world.converters for _ in range(group.count)]
-    return {first_uid(place): zone for place, zone in enumerate(zones)}
+    return {first_uid(index): zone for index, zone in enumerate(zones)}
 
 
 def agreement_text(
@@ -48,7 +48,7 @@
     for region in REGIONS:
         tables.append(f'[[regions]]\nname = "{region}"')
         relayed = relayed_for not in (None, region)
-        tables += [_replica_table(network, region, number, relayed) for number in range(REPLICAS)]
+        tables += [_replica_table(network, region, number, relayed) for number in range(REPLICAS_PER_REGION)]
     zones = converter_zones(world)
     for region in REGIONS:
         tables += [_converter_table(name, region, zones[name]) for name in region_converters(world, region)]
--- a/ryepier/experiments/maintenance/best_plan.py
+++ b/ryepier/experiments/maintenance/best_plan.py
@@ -41,11 +41,11 @@
     from ortools.sat.python import cp_model
 
     model = cp_model.CpModel()
-    present = {job.request.name: model.new_bool_var(job.request.name) for job in problem.jobs}
-    outages = [outage for job in problem.jobs for outage in _job_outages(model, problem, job, present)]
+    presence = {job.request.name: model.new_bool_var(job.request.name) for job in problem.jobs}
+    outages = [outage for job in problem.jobs for outage in _job_outages(model, problem, job, presence)]
     outages += _lease_outages(model, problem)
     _add_limits(model, problem, outages)
-    model.maximize(sum(value(job) * present[job.request.name] for job in problem.jobs))
+    model.maximize(sum(value(job) * presence[job.request.name] for job in problem.jobs))
     solver = cp_model.CpSolver()
     solver.parameters.num_workers = 1
     solver.parameters.random_seed = 1
@@ -53,22 +53,22 @@
     status = solver.solve(model)
     if status not in (cp_model.OPTIMAL, cp_model.FEASIBLE):
         return BestPlan(frozenset(), 0, sum(map(value, problem.jobs)))
-    feasible = frozenset(name for name, literal in present.items() if solver.value(literal))
+    feasible = frozenset(name for name, literal in presence.items() if solver.value(literal))
     return BestPlan(feasible, round(solver.objective_value), int(solver.best_objective_bound))
 
 
-def _job_outages(model: Any, problem: SchedulingProblem, job: Job, present: dict[str, Any]) -> list[_Outage]:
+def _job_outages(model: Any, problem: SchedulingProblem, job: Job, presence: dict[str, Any]) -> list[_Outage]:
     """Add the optional intervals of a request; exclude a request that cannot end by its deadline."""
     name = job.request.name
     desired_ms = problem.desired_start_ms(job)
     latest_ms = job.request.deadline_ms - job.length_ms
     if latest_ms < desired_ms:
-        model.add(present[name] == 0)
+        model.add(presence[name] == 0)
         return []
     outages = []
     for converter in job.converters:
         start = model.new_int_var(desired_ms, latest_ms, converter.name)
-        interval = model.new_optional_fixed_size_interval_var(start, job.length_ms, present[name], converter.name)
+        interval = model.new_optional_fixed_size_interval_var(start, job.length_ms, presence[name], converter.name)
         outages.append(_Outage(interval, converter, name))
     return outages
 
@@ -87,10 +87,14 @@
 def _add_limits(model: Any, problem: SchedulingProblem, outages: list[_Outage]) -> None:
     """Bound the capacity that is out under each limit, and the converters of each request."""
     for limit in problem.limits:
-        charged = [outage for outage in outages if limit.applies_to(outage.converter)]
-        lost = sum(amount for name, amount in problem.lost.items() if limit.applies_to(problem.converters[name]))
-        demands = [outage.converter.size - problem.lost.get(outage.converter.name, 0) for outage in charged]
-        model.add_cumulative([outage.interval for outage in charged], demands, max(0, limit.bound - lost))
+        limited_outages = [outage for outage in outages if limit.applies_to(outage.converter)]
+        lost_capacity = sum(
+            amount for name, amount in problem.lost.items() if limit.applies_to(problem.converters[name])
+        )
+        demands = [outage.converter.size - problem.lost.get(outage.converter.name, 0) for outage in limited_outages]
+        model.add_cumulative(
+            [outage.interval for outage in limited_outages], demands, max(0, limit.bound - lost_capacity)
+        )
     for job in problem.jobs:
-        own = [outage.interval for outage in outages if outage.request == job.request.name]
-        model.add_cumulative(own, [1] * len(own), job.request.max_unavailable)
+        intervals = [outage.interval for outage in outages if outage.request == job.request.name]
+        model.add_cumulative(intervals, [1] * len(intervals), job.request.max_unavailable)
--- a/ryepier/experiments/maintenance/coordinator_logs.py
+++ b/ryepier/experiments/maintenance/coordinator_logs.py
@@ -14,7 +14,7 @@
 from ryepier.maintenance.replication.roles import Role
 from ryepier.maintenance.server import LEASE_GRANTED_MESSAGE
 
-IN_TERM = " in term "  # between role and term
+TERM_SEPARATOR = " in term "  # between role and term
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 def elections_by_term(logs: list[Path]) -> Mapping[int, int]:
     """Return how often replicas of one region became the leader of each term; more than once is a fault."""
-    leader_in_term = f"{Role.LEADER.value}{IN_TERM}"
+    leader_in_term = f"{Role.LEADER.value}{TERM_SEPARATOR}"
     elections: Counter[int] = Counter()
     for log in logs:
         for record in read_records(log):
@@ -52,25 +52,25 @@
 
     Each candidate votes for itself, so such a candidacy is a second vote.
     """
-    found = 0
+    count = 0
     for log in logs:
-        highest = 0
+        highest_term = 0
         for record in read_records(log):
-            role, separator, term = record.message.partition(IN_TERM)
+            role, separator, term = record.message.partition(TERM_SEPARATOR)
             if not separator or not term.isdecimal():
                 continue
-            found += role == Role.CANDIDATE.value and int(term) <= highest
-            highest = max(highest, int(term))
-    return found
+            count += role == Role.CANDIDATE.value and int(term) <= highest_term
+            highest_term = max(highest_term, int(term))
+    return count
 
 
 def grants_us(logs: list[Path]) -> list[int]:
     """Return when leaders of one region granted leases, on the machine's monotonic clock."""
     calendar_offset_us = time.time_ns() // 1000 - monotonic_us()
-    found = []
+    granted_us = []
     for log in logs:
         for record in read_records(log):
             if record.message == LEASE_GRANTED_MESSAGE:
-                written = datetime.fromisoformat(record.time)
-                found.append(round(written.timestamp() * 1e6) - calendar_offset_us)
-    return sorted(found)
+                logged_at = datetime.fromisoformat(record.time)
+                granted_us.append(round(logged_at.timestamp() * 1e6) - calendar_offset_us)
+    return sorted(granted_us)
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -23,34 +23,34 @@
 SUBMISSION_SPREAD_S = 1.0
 SUBMIT_DURING_PARTITION_S = 9.0
 PARTITIONED_AT_S, HEALED_AT_S = 5.0, 25.0
-GRANTED_BEFORE_S = 1.0  # windows that start this soon after the partition were granted before it
+MAX_GRANT_TO_START_S = 1.0  # windows that start this soon after the partition were granted before it
 MIN_ALLOWANCE_CHANGES = 2
 
 
 def reschedule(planned: PlannedRequest) -> PlannedRequest:
     """Return a request with this experiment's times: every second one is submitted during the partition."""
-    from_s = SUBMIT_FROM_S[planned.region]
+    submit_from_s = SUBMIT_FROM_S[planned.region]
     if int(planned.name.rpartition("-")[2]) % 2:
-        from_s = SUBMIT_DURING_PARTITION_S
-    at_s = from_s + SUBMISSION_SPREAD_S * (planned.at_s % 1.0)
+        submit_from_s = SUBMIT_DURING_PARTITION_S
+    at_s = submit_from_s + SUBMISSION_SPREAD_S * (planned.at_s % 1.0)
     return replace(planned, at_s=at_s, earliest_in_ms=0, deadline_in_ms=DEADLINE_MS)
 
 
 async def partition_and_heal(harness: MaintenanceHarness) -> None:
     """Partition the regions from each other, and heal the partition."""
-    await harness.until(PARTITIONED_AT_S)
+    await harness.wait_until(PARTITIONED_AT_S)
     for relay in harness.relays:
         relay.partition()
-    await harness.until(HEALED_AT_S)
+    await harness.wait_until(HEALED_AT_S)
     for relay in harness.relays:
         relay.heal()
 
 
 def windows_during_partition(outcome: Outcome, region: str) -> int:
     """Return how many windows a region granted and started during the partition."""
-    starts_us = outcome.zero_us + int((PARTITIONED_AT_S + GRANTED_BEFORE_S) * 1e6)
-    ends_us = outcome.zero_us + int(HEALED_AT_S * 1e6)
-    return sum(starts_us < at_us < ends_us for at_us in outcomes.window_starts_us(outcome, region))
+    counted_from_us = outcome.run_start_us + int((PARTITIONED_AT_S + MAX_GRANT_TO_START_S) * 1e6)
+    counted_until_us = outcome.run_start_us + int(HEALED_AT_S * 1e6)
+    return sum(counted_from_us < at_us < counted_until_us for at_us in outcomes.window_starts_us(outcome, region))
 
 
 def allowances(outcome: Outcome, region: str) -> list[int]:
@@ -68,8 +68,8 @@
 def claims(outcome: Outcome) -> list[Claim]:
     """Return all claims of this experiment."""
     accepted = outcomes.accepted_requests(outcome)
-    last = sum(allowances(outcome, region)[-1] for region in REGIONS)
-    total = outcome.agreement.max_unavailable(accepted[0].request.service)
+    final_total = sum(allowances(outcome, region)[-1] for region in REGIONS)
+    agreed_total = outcome.agreement.max_unavailable(accepted[0].request.service)
     done = outcomes.done_requests(outcome)
     return [
         *outcomes.common_claims(outcome),
@@ -78,7 +78,7 @@
             Claim(f"windows that {region} began while cut off", windows_during_partition(outcome, region), ">=", 1)
             for region in REGIONS
         ),
-        Claim("allowances at the end (thousandths), the whole", last, "==", total),
+        Claim("allowances at the end (thousandths), the whole", final_total, "==", agreed_total),
         *outcomes.lease_claims(outcome),
         Claim("requests done by the end", len(done), "==", VALID_PER_REGION * len(REGIONS)),
     ]
@@ -87,15 +87,15 @@
 def perform(trial: TrialConfig) -> Measurement:
     """Run one trial. Raises HarnessError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
-    planned = [reschedule(one) for one in draw_requests(world, trial.seed) if one.valid]
+    planned = [reschedule(request) for request in draw_requests(world, trial.seed) if request.valid]
     scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, partition_and_heal, trial.seeded_fault, relayed=True)
     harness = MaintenanceHarness(world, trial.seed, trial.folder, scenario)
     outcome = outcomes.run(harness)
-    own_figures = {
+    extra_figures = {
         "frames_doubled": float(sum(relay.duplicated_frames for relay in harness.relays)),
         "allowance_changes_seen": float(allowance_changes(outcome)),
     }
-    return Measurement(claims(outcome), outcomes.common_figures(outcome) | own_figures)
+    return Measurement(claims(outcome), outcomes.common_figures(outcome) | extra_figures)
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -55,9 +55,9 @@
     return Address(f"127.{plan.network}.{CONTROL_SUBNET}.{CONVERTERS_HOST}", CONTROL_PORT)
 
 
-def first_uid(place: int) -> str:
+def first_uid(index: int) -> str:
     """Return the uid of a converter's first incarnation, which is its name."""
-    return f"c-{place:04x}"
+    return f"c-{index:04x}"
 
 
 class ControlServer:
@@ -79,13 +79,13 @@
         """Serve the one call of a connection."""
         try:
             call = msgspec.msgpack.decode(await read_message(reader), type=FleetCall)
-            write_message(writer, await self._answer(call))
+            write_message(writer, await self._handle_call(call))
         except (OSError, EOFError, ValueError, msgspec.MsgspecError):
             pass
         finally:
             writer.close()
 
-    async def _answer(self, call: FleetCall) -> FleetReply:
+    async def _handle_call(self, call: FleetCall) -> FleetReply:
         """Carry a call out, unless its token is old."""
         rejection = self.tokens.rejection_reason(call)
         if rejection:
@@ -106,45 +106,51 @@
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
         """Begin with the first incarnation of each converter."""
         super().__init__(plan, clock, timeline)
-        self.current = {instance.uid: instance for instance in self.instances}
-        self.incarnations = dict.fromkeys(self.current, 0)
-        self.running = set(self.current)
-        self.control = ControlServer(
+        self.current_instances = {instance.uid: instance for instance in self.instances}
+        self.incarnations = dict.fromkeys(self.current_instances, 0)
+        self.running = set(self.current_instances)
+        self.control_server = ControlServer(
             converters_control_address(plan),
             Path(sys.argv[2] + JOURNAL_SUFFIX),
-            {Action.STOP: self.stop_one, Action.START: self.start_next, Action.IN_FLIGHT: self.count_in_flight},
+            {
+                Action.STOP: self.stop_converter,
+                Action.START: self.start_next_incarnation,
+                Action.IN_FLIGHT: self.count_in_flight,
+            },
         )
 
     async def start(self) -> None:
         """Start, with the control socket. Raises OSError."""
         await super().start()
-        await self.control.start()
+        await self.control_server.start()
 
-    async def stop_one(self, call: FleetCall) -> FleetReply:
+    async def stop_converter(self, call: FleetCall) -> FleetReply:
         """Stop a converter that is running."""
         if call.converter in self.running:
             self.running.discard(call.converter)
-            self.servers[self.current[call.converter].index].stop()
-            self.control.record(Action.STOP, call)
+            self.servers[self.current_instances[call.converter].index].stop()
+            self.control_server.record(Action.STOP, call)
         return FleetReply()
 
-    async def start_next(self, call: FleetCall) -> FleetReply:
+    async def start_next_incarnation(self, call: FleetCall) -> FleetReply:
         """Start a stopped converter's next incarnation, not warmed up, at an address of its own."""
         name = call.converter
         if name not in self.running:
-            old = self.current[name]
+            old_instance = self.current_instances[name]
             self.incarnations[name] += 1
-            index = old.index + self.plan.world.converter_count
-            new = Instance(index, f"{name}.{self.incarnations[name]}", old.machine, self.clock.now_us())
-            await self.start_instance(new)
-            self.current[name] = new
+            index = old_instance.index + self.plan.world.converter_count
+            new_instance = Instance(
+                index, f"{name}.{self.incarnations[name]}", old_instance.machine, self.clock.now_us()
+            )
+            await self.start_instance(new_instance)
+            self.current_instances[name] = new_instance
             self.running.add(name)
-            self.control.record(Action.START, call)
-        return FleetReply(uid=self.current[name].uid)
+            self.control_server.record(Action.START, call)
+        return FleetReply(uid=self.current_instances[name].uid)
 
     async def count_in_flight(self, call: FleetCall) -> FleetReply:
         """Reply with the number of requests that a converter has not answered."""
-        return FleetReply(in_flight=len(self.servers[self.current[call.converter].index].in_flight))
+        return FleetReply(in_flight=len(self.servers[self.current_instances[call.converter].index].in_flight))
 
 
 class ControlledDiscovery(discovery.DiscoveryRole):
@@ -153,53 +159,61 @@
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
         """Begin with the first incarnation of each converter."""
         super().__init__(plan, clock, timeline)
-        self.current = {instance.uid: instance for instance in timeline.instances}
+        self.current_instances = {instance.uid: instance for instance in timeline.instances}
         self.random = draws.stream(plan.seed, "maintenance notices")
-        self.control = ControlServer(
+        self.control_server = ControlServer(
             discovery_control_address(plan),
             Path(sys.argv[2] + JOURNAL_SUFFIX),
-            {Action.DRAIN: self.drain, Action.REMOVE: self.remove, Action.LIST: self.list_one},
+            {
+                Action.DRAIN: self.drain_converter,
+                Action.REMOVE: self.remove_converter,
+                Action.LIST: self.list_converter,
+            },
         )
 
     async def start(self) -> None:
         """Start, with the control socket. Raises OSError."""
         await super().start()
-        await self.control.start()
+        await self.control_server.start()
 
-    async def drain(self, call: FleetCall) -> FleetReply:
+    async def drain_converter(self, call: FleetCall) -> FleetReply:
         """List a converter as draining."""
-        self.control.record(Action.DRAIN, call)
-        await self._notify_all(self.current[call.converter], ListState.LEAVING)
+        self.control_server.record(Action.DRAIN, call)
+        await self._notify_all(self.current_instances[call.converter], ListState.LEAVING)
         return FleetReply()
 
-    async def remove(self, call: FleetCall) -> FleetReply:
+    async def remove_converter(self, call: FleetCall) -> FleetReply:
         """Remove a converter from the list."""
-        await self._notify_all(self.current[call.converter], ListState.LEFT)
+        await self._notify_all(self.current_instances[call.converter], ListState.LEFT)
         return FleetReply()
 
-    async def list_one(self, call: FleetCall) -> FleetReply:
+    async def list_converter(self, call: FleetCall) -> FleetReply:
         """List a converter's new incarnation as ready."""
-        old = self.current[call.converter]
-        number = int(call.uid.rpartition(".")[2])
-        place = old.index % self.plan.world.converter_count
-        index = place + number * self.plan.world.converter_count
-        new = self.current[call.converter] = Instance(index, call.uid, old.machine, self.clock.now_us())
-        await self._notify_all(new, ListState.ACTIVE)
-        self.control.record(Action.LIST, call)
+        old_instance = self.current_instances[call.converter]
+        incarnation = int(call.uid.rpartition(".")[2])
+        converter_index = old_instance.index % self.plan.world.converter_count
+        index = converter_index + incarnation * self.plan.world.converter_count
+        new_instance = self.current_instances[call.converter] = Instance(
+            index, call.uid, old_instance.machine, self.clock.now_us()
+        )
+        await self._notify_all(new_instance, ListState.ACTIVE)
+        self.control_server.record(Action.LIST, call)
         return FleetReply()
 
     async def _notify_all(self, instance: Instance, state: ListState) -> None:
         """Notify each sidecar's agent after a delay of its own; return once all are notified."""
-        unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
-        entry = discovery.list_entry(self.plan, instance, state, unix_zero_ms)
+        unix_run_start_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
+        entry = discovery.list_entry(self.plan, instance, state, unix_run_start_ms)
         step = Step(self.clock.now_us(), TargetKind.DISCOVERY, 0, FaultAction.NOTIFY, uid=instance.uid, state=state)
-        low, high = self.plan.world.discovery.notice_delay_ms
+        min_delay_ms, max_delay_ms = self.plan.world.discovery.notice_delay_ms
 
         async def notify(agent: discovery.Agent | SlicesAgent, delay_ms: float) -> None:
             await asyncio.sleep(delay_ms / 1000)
             await agent.apply(step, entry)
 
-        await asyncio.gather(*(notify(agent, float(self.random.uniform(low, high))) for agent in self.agents))
+        await asyncio.gather(
+            *(notify(agent, float(self.random.uniform(min_delay_ms, max_delay_ms))) for agent in self.agents)
+        )
 
 
 def main() -> None:
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -26,23 +26,23 @@
 DEADLINE_MS = 60_000  # long, as the faults are the subject here
 MAX_NEXT_GRANT_S = 5.0
 KILL_STATES = (LeaseState.GRANTED, LeaseState.DRAINING, LeaseState.RETURNING)
-FIRST_KILL_S = 2.0
+FIRST_KILL_AT_S = 2.0
 KILL_INTERVAL_S = 2.5
 DOWN_S = 0.5
-REGION_KILL_S = 4.0
-EMPTY_DISK_S = 9.0
+REGION_KILL_AT_S = 4.0
+EMPTY_DISK_AT_S = 9.0
 STATE_TIMEOUT_S = 3.0  # for a lease to reach the state at which its leader is to be killed
 STATE_POLL_INTERVAL_S = 0.01
 CONNECT_INTERVAL_S = 0.02
 TORN_WRITE = b"\0\0\1\x2c\x77\x77"
-FAULTS = len(KILL_STATES) + 2
+FAULT_COUNT = len(KILL_STATES) + 2
 
 
 async def kill_leaders(harness: MaintenanceHarness) -> None:
     """North: for each state, kill the leader as soon as it reports a lease in it."""
-    await harness.until(FIRST_KILL_S)
+    await harness.wait_until(FIRST_KILL_AT_S)
     for state in KILL_STATES:
-        leader = await _leader_when(harness, NORTH, partial(_has_lease_in, state))
+        leader = await _wait_for_leader(harness, NORTH, partial(_has_lease_in_state, state))
         harness.kill_coordinators(leader)
         _record_majority(harness, NORTH)  # the two others are a majority
         await asyncio.sleep(DOWN_S)
@@ -55,7 +55,7 @@
     harness.record.majorities_restored.append(MajorityRestored(region, monotonic_us()))
 
 
-def _has_lease_in(state: LeaseState, status: StatusReply) -> bool:
+def _has_lease_in_state(state: LeaseState, status: StatusReply) -> bool:
     """Return whether a region has a lease in this state."""
     return any(lease.state is state for lease in status.leases)
 
@@ -65,23 +65,23 @@
 
     def __init__(self) -> None:
         """Begin without a status."""
-        self.known: set[str] | None = None
+        self.draining: set[str] | None = None
 
     def __call__(self, status: StatusReply) -> bool:
         """Return whether this status shows a new drain."""
         draining = {lease.name for lease in status.leases if lease.state is LeaseState.DRAINING}
-        known, self.known = self.known, draining
-        return known is not None and bool(draining - known)
+        previously_draining, self.draining = self.draining, draining
+        return previously_draining is not None and bool(draining - previously_draining)
 
 
-async def _leader_when(harness: MaintenanceHarness, region: str, condition: Callable[[StatusReply], bool]) -> str:
+async def _wait_for_leader(harness: MaintenanceHarness, region: str, condition: Callable[[StatusReply], bool]) -> str:
     """Return the leader once a condition holds, or after STATE_TIMEOUT_S."""
     client = harness.client(region)
-    ends_us = monotonic_us() + int(STATE_TIMEOUT_S * 1e6)
+    timeout_at_us = monotonic_us() + int(STATE_TIMEOUT_S * 1e6)
     try:
         while True:
             status = await client.status(STATE_TIMEOUT_S)
-            if condition(status) or monotonic_us() > ends_us:
+            if condition(status) or monotonic_us() > timeout_at_us:
                 return status.leader
             await asyncio.sleep(STATE_POLL_INTERVAL_S)
     finally:
@@ -90,22 +90,22 @@
 
 async def kill_region(harness: MaintenanceHarness) -> None:
     """South: kill all coordinators, restart one with a torn file; later restart one with an empty disk."""
-    await harness.until(REGION_KILL_S)
-    names = replica_names(SOUTH)
+    await harness.wait_until(REGION_KILL_AT_S)
+    replicas = replica_names(SOUTH)
     # a window has only just started, so that it is still open when the region is up again
-    await _leader_when(harness, SOUTH, NewDrain())
-    harness.kill_coordinators(*names)
-    with (harness.coordinator_folder(names[0]) / storage.FILE_NAME).open("ab") as file:
+    await _wait_for_leader(harness, SOUTH, NewDrain())
+    harness.kill_coordinators(*replicas)
+    with (harness.coordinator_folder(replicas[0]) / storage.FILE_NAME).open("ab") as file:
         file.write(TORN_WRITE)
-    for name in names:
+    for name in replicas:
         harness.start_coordinator(name)
     await _wait_for_majority(harness, SOUTH)
     _record_majority(harness, SOUTH)
-    await harness.until(EMPTY_DISK_S)
-    await _empty_disk(harness)
+    await harness.wait_until(EMPTY_DISK_AT_S)
+    await _restart_with_empty_disk(harness)
 
 
-async def _empty_disk(harness: MaintenanceHarness) -> None:
+async def _restart_with_empty_disk(harness: MaintenanceHarness) -> None:
     """South: kill a follower and restart it without its files."""
     leader = await harness.leader(SOUTH)
     follower = next(name for name in replica_names(SOUTH) if name != leader)
@@ -132,39 +132,44 @@
 
 async def inject_faults(harness: MaintenanceHarness) -> None:
     """Inject the faults of both regions at once."""
-    parts: tuple[Callable[[MaintenanceHarness], Awaitable[None]], ...] = (kill_leaders, kill_region)
+    injectors: tuple[Callable[[MaintenanceHarness], Awaitable[None]], ...] = (kill_leaders, kill_region)
 
-    async def inject(part: Callable[[MaintenanceHarness], Awaitable[None]]) -> None:
+    async def inject(injector: Callable[[MaintenanceHarness], Awaitable[None]]) -> None:
         try:
-            await part(harness)
+            await injector(harness)
         except CallError as error:  # there was no leader to kill: the claim on the number of faults fails
             harness.fault_errors.append(str(error))
 
-    await asyncio.gather(*(inject(part) for part in parts))
+    await asyncio.gather(*(inject(injector) for injector in injectors))
 
 
 def next_grant_s(outcome: Outcome) -> list[float]:
     """Return the time from each restored majority to the region's next grant, where there was one."""
-    found = []
+    grant_delays_s = []
     for restored in outcome.record.majorities_restored:
         grants = outcomes.grants_us(outcome, replica_names(restored.region))
-        next_us = next((at_us for at_us in grants if at_us > restored.at_us), None)
-        if next_us is not None:
-            found.append((next_us - restored.at_us) / 1e6)
-    return found
+        next_grant_us = next((at_us for at_us in grants if at_us > restored.at_us), None)
+        if next_grant_us is not None:
+            grant_delays_s.append((next_grant_us - restored.at_us) / 1e6)
+    return grant_delays_s
 
 
 def claims(outcome: Outcome) -> list[Claim]:
     """Return all claims of this experiment."""
     accepted = outcomes.accepted_requests(outcome)
     done = outcomes.done_requests(outcome)
-    elections = [outcomes.elections_by_term(outcome, replica_names(region)) for region in REGIONS]
-    repeated = sum(outcomes.repeated_candidacies(outcome, replica_names(region)) for region in REGIONS)
+    elections_by_region = [outcomes.elections_by_term(outcome, replica_names(region)) for region in REGIONS]
+    repeated_candidacies = sum(outcomes.repeated_candidacies(outcome, replica_names(region)) for region in REGIONS)
     return [
         *outcomes.common_claims(outcome),
-        Claim("faults carried out", len(outcome.record.majorities_restored), "==", FAULTS),
-        Claim("leaders of one term, most", max(max(one.values(), default=0) for one in elections), "==", 1),
-        Claim("elections in a term that the replica had been in", repeated, "==", 0),
+        Claim("faults carried out", len(outcome.record.majorities_restored), "==", FAULT_COUNT),
+        Claim(
+            "leaders of one term, most",
+            max(max(region_elections.values(), default=0) for region_elections in elections_by_region),
+            "==",
+            1,
+        ),
+        Claim("elections in a term that the replica had been in", repeated_candidacies, "==", 0),
         *outcomes.lease_claims(outcome),
         Claim("requests accepted", len(accepted), "==", VALID_PER_REGION * len(REGIONS)),
         Claim("of them done by the end", len(done), "==", VALID_PER_REGION * len(REGIONS)),
@@ -175,11 +180,13 @@
 def perform(trial: TrialConfig) -> Measurement:
     """Run one trial. Raises HarnessError."""
     world = load("maintenance")
-    planned = [replace(one, deadline_in_ms=DEADLINE_MS) for one in draw_requests(world, trial.seed) if one.valid]
+    planned = [
+        replace(request, deadline_in_ms=DEADLINE_MS) for request in draw_requests(world, trial.seed) if request.valid
+    ]
     scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, inject_faults, trial.seeded_fault)
     outcome = outcomes.run(MaintenanceHarness(world, trial.seed, trial.folder, scenario))
-    grants = {f"next_grant_{number}_s": value for number, value in enumerate(next_grant_s(outcome))}
-    return Measurement(claims(outcome), outcomes.common_figures(outcome) | grants)
+    grant_figures = {f"next_grant_{number}_s": value for number, value in enumerate(next_grant_s(outcome))}
+    return Measurement(claims(outcome), outcomes.common_figures(outcome) | grant_figures)
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -46,11 +46,11 @@
 POLL_INTERVAL_S = 0.25
 POLL_TIMEOUT_S = 1.0
 WORK_S = 0.5
-FREEZE_S = 0.5  # of a run of seconds, where operators' plans are of hours
-POLLS = "polls.json"
+PLAN_FREEZE_S = 0.5  # of a run of seconds, where operators' plans are of hours
+POLLS_FILE = "polls.json"
 
 
-Faults = Callable[["MaintenanceHarness"], Awaitable[None]]
+InjectFaults = Callable[["MaintenanceHarness"], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
     max_unavailable: int
     min_allowance: int  # that a region keeps
     requests: Sequence[PlannedRequest]
-    faults: Faults | None = None
+    faults: InjectFaults | None = None
     seeded_fault: str = ""
     relayed: bool = False  # the regions reach one another through relays
 
@@ -166,12 +166,12 @@
     def start_coordinator(self, name: str, bootstrap: bool = False) -> None:
         """Start a coordinator; it observes the converters through a sidecar's agent of its own."""
         region = name.partition("-")[0]
-        number = [one for each in REGIONS for one in replica_names(each)].index(name)
+        number = [replica for any_region in REGIONS for replica in replica_names(any_region)].index(name)
         host, port = self.plan.discovery_address(number % self.world.sidecars.count)
         command = seeded_coordinator.command(self.scenario.seeded_fault)
         command += ["--agreement", str(self.region_agreements[region]), "--region", region, "--replica", name]
         command += ["--folder", str(self.coordinator_folder(name)), "--discovery", f"{host}:{port}"]
-        command += ["--freeze-s", str(FREEZE_S)]
+        command += ["--freeze-s", str(PLAN_FREEZE_S)]
         if bootstrap:
             command.append("--bootstrap")
         with self.coordinator_log(name).open("ab") as log:
@@ -203,7 +203,7 @@
     async def kill_all(self) -> None:
         """End all processes, and write the polls."""
         self.end_maintenance()
-        (self.folder / POLLS).write_bytes(msgspec.json.encode(self.record.polls))
+        (self.folder / POLLS_FILE).write_bytes(msgspec.json.encode(self.record.polls))
         await super().kill_all()
 
     def end_maintenance(self) -> None:
@@ -220,14 +220,14 @@
         if self.scenario.relayed:
             await self.start_relays()
         async with asyncio.TaskGroup() as group:
-            polling = [group.create_task(self.poll(region)) for region in REGIONS]
+            poll_tasks = [group.create_task(self.poll_status(region)) for region in REGIONS]
             group.create_task(super().run_schedule())
-            submitting = [group.create_task(self.submit_requests(region)) for region in REGIONS]
+            submit_tasks = [group.create_task(self.submit_requests(region)) for region in REGIONS]
             if self.scenario.faults is not None:
                 group.create_task(_inject(self, self.scenario.faults))
-            await asyncio.gather(*submitting)
-            await self.until(self.world.duration_s)
-            for task in polling:
+            await asyncio.gather(*submit_tasks)
+            await self.wait_until(self.world.duration_s)
+            for task in poll_tasks:
                 task.cancel()
         self.end_maintenance()
 
@@ -243,9 +243,9 @@
                 await relay.start()
                 self.relays.append(relay)
 
-    async def until(self, run_s: float) -> None:
+    async def wait_until(self, at_s: float) -> None:
         """Wait until `run_s` seconds into the run."""
-        await asyncio.sleep(max(0.0, run_s - self.clock.now_us() / 1e6))
+        await asyncio.sleep(max(0.0, at_s - self.clock.now_us() / 1e6))
 
     def addresses(self, region: str) -> Addresses:
         """Return the addresses of a region's coordinators."""
@@ -258,9 +258,9 @@
     async def submit_requests(self, region: str) -> None:
         """Submit the requests of a region, each at its time. Raises CallError."""
         client = self.client(region)
-        mine = [one for one in self.scenario.requests if one.region == region]
-        for planned in sorted(mine, key=lambda one: one.at_s):
-            await self.until(planned.at_s)
+        region_requests = [planned for planned in self.scenario.requests if planned.region == region]
+        for planned in sorted(region_requests, key=lambda planned: planned.at_s):
+            await self.wait_until(planned.at_s)
             now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
             request = Request(
                 name=planned.name,
@@ -277,7 +277,7 @@
             self.record.submitted.append(SubmittedRequest(request, now_ms, monotonic_us(), result))
         client.close()
 
-    async def poll(self, region: str) -> None:
+    async def poll_status(self, region: str) -> None:
         """Request a region's status again and again, until cancelled."""
         client = self.client(region)
         while True:
@@ -306,6 +306,6 @@
         return sorted(lines, key=lambda line: line.at_us)
 
 
-async def _inject(harness: MaintenanceHarness, faults: Faults) -> None:
+async def _inject(harness: MaintenanceHarness, faults: InjectFaults) -> None:
     """Inject a scenario's faults."""
     await faults(harness)
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -32,7 +32,7 @@
 LAST_SUBMISSION_S = 5.0
 MAX_EARLIEST_MS = 2_000
 DEADLINE_RANGE_MS = (15_000, 17_000)  # from the submission on
-NEAR_DEADLINE_MS = 3_000  # less than one window takes
+TOO_SHORT_DEADLINE_MS = 3_000  # less than one window takes
 UNKNOWN_CONVERTER = "c-none"
 
 
@@ -68,7 +68,7 @@
     """Return requests with too little time, with a converter of another request, and with an unknown converter."""
     latest_ms = DEADLINE_RANGE_MS[1]
     return [
-        _invalid_request(region, "no-time", (converters[0],), NEAR_DEADLINE_MS),
+        _invalid_request(region, "no-time", (converters[0],), TOO_SHORT_DEADLINE_MS),
         _invalid_request(region, "twice", (converters[1], converters[1]), latest_ms),
         _invalid_request(region, "unknown", (UNKNOWN_CONVERTER,), latest_ms),
     ]
@@ -92,7 +92,7 @@
 
 def late_requests(outcome: Outcome) -> list[SubmittedRequest]:
     """Return accepted requests whose converters were not all warm again by the deadline."""
-    return [one for one in outcomes.accepted_requests(outcome) if not _met_deadline(outcome, one)]
+    return [submitted for submitted in outcomes.accepted_requests(outcome) if not _met_deadline(outcome, submitted)]
 
 
 def _met_deadline(outcome: Outcome, submitted: SubmittedRequest) -> bool:
@@ -104,15 +104,15 @@
 
 def utilisation(outcome: Outcome) -> float:
     """Return the work done by the deadlines over that of the best plan for requests known from the beginning."""
-    best = done = 0
+    best_work = done_work = 0
     for region in REGIONS:
         problem = _problem(outcome, region)
-        best += best_plan(problem, Job.work).value
+        best_work += best_plan(problem, Job.work).value
         jobs = {job.request.name: job for job in problem.jobs}
         for submitted in outcome.record.submitted:
             if submitted.request.name in jobs and _met_deadline(outcome, submitted):
-                done += jobs[submitted.request.name].work()
-    return done / best
+                done_work += jobs[submitted.request.name].work()
+    return done_work / best_work
 
 
 def _problem(outcome: Outcome, region: str) -> SchedulingProblem:
@@ -129,7 +129,7 @@
         now_ms=0,
         jobs=tuple(jobs),
         limits=tuple(limit for service in agreement.services for limit in ledger.limits(service)),
-        converters={name: one for name, one in agreement.converters.items() if one.region == region},
+        converters={name: converter for name, converter in agreement.converters.items() if converter.region == region},
     )
 
 
--- a/ryepier/experiments/maintenance/relay.py
+++ b/ryepier/experiments/maintenance/relay.py
@@ -10,9 +10,9 @@
 from ryepier.maintenance.address import Address
 from ryepier.maintenance.transport import LENGTH_BYTES, MAX_FRAME_BYTES
 
-DELAY_S = (0.0, 0.25)
+DELAY_RANGE_S = (0.0, 0.25)
 DUPLICATED_FRACTION = 0.8  # of the frames
-DUPLICATE_DELAY_S = (0.0, 1.5)  # after the first
+DUPLICATE_DELAY_RANGE_S = (0.0, 1.5)  # after the first
 
 
 class Relay:
@@ -53,12 +53,12 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        with self._track(writer, far_writer):
-            await asyncio.gather(self._relay_calls(reader, far_writer), self._relay_replies(far_reader, writer))
+        with self._track(writer, target_writer):
+            await asyncio.gather(self._relay_calls(reader, target_writer), self._relay_replies(target_reader, writer))
 
     @contextmanager
     def _track(self, *writers: asyncio.StreamWriter) -> Iterator[None]:
@@ -78,11 +78,11 @@
         writer.write(await read_frame(reader))
         while True:
             frame = await read_frame(reader)
-            delay_s = self.random.uniform(*DELAY_S)
+            delay_s = self.random.uniform(*DELAY_RANGE_S)
             self._send_later(writer, frame, delay_s)
             if self.random.random() < DUPLICATED_FRACTION:
                 self.duplicated_frames += 1
-                self._send_later(writer, frame, delay_s + self.random.uniform(*DUPLICATE_DELAY_S))
+                self._send_later(writer, frame, delay_s + self.random.uniform(*DUPLICATE_DELAY_RANGE_S))
 
     def _send_later(self, writer: asyncio.StreamWriter, frame: bytes, delay_s: float) -> None:
         """Write a frame after a delay, unless the connection has closed by then."""
@@ -106,8 +106,8 @@
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
     """Return one frame with its length. Raises EOFError, OSError."""
-    head = await reader.readexactly(LENGTH_BYTES)
-    length = int.from_bytes(head, "big")
+    length_prefix = await reader.readexactly(LENGTH_BYTES)
+    length = int.from_bytes(length_prefix, "big")
     if length > MAX_FRAME_BYTES:
         raise EOFError(f"a frame of {length} bytes")
-    return head + await reader.readexactly(length)
+    return length_prefix + await reader.readexactly(length)
--- a/tests/test_maintenance_outcome.py
+++ b/tests/test_maintenance_outcome.py
@@ -23,12 +23,12 @@
 WARM_UP_US = 1000
 
 
-def journal(*steps: tuple[int, str, int]) -> list[JournalLine]:
+def journal_lines(*steps: tuple[int, str, int]) -> list[JournalLine]:
     return [JournalLine(at_us, action, "a", token) for at_us, action, token in steps]
 
 
 @pytest.mark.parametrize(
-    ("steps", "found"),
+    ("steps", "expected_outages"),
     [
         ([(10, "drain", 1), (20, "stop", 1), (30, "start", 1)], [(10, 1030, {1})]),
         ([(10, "drain", 1), (20, "stop", 1)], [(10, FOREVER_US, {1})]),
@@ -44,11 +44,11 @@
     ],
     ids=["whole", "not recovered", "down again before it is warm", "again once warm", "nothing done"],
 )
-def test_an_outage_lasts_from_the_drain_until_an_incarnation_is_warm(
-    steps: list[tuple[int, str, int]], found: list[tuple[int, int, set[int]]]
+def test_outage_lasts_from_drain_until_an_incarnation_is_warm(
+    steps: list[tuple[int, str, int]], expected_outages: list[tuple[int, int, set[int]]]
 ) -> None:
-    expected = [Outage("a", began_us, warm_us, frozenset(tokens)) for began_us, warm_us, tokens in found]
-    assert list(outages(journal(*steps), WARM_UP_US)) == expected
+    expected = [Outage("a", start_us, warm_us, frozenset(tokens)) for start_us, warm_us, tokens in expected_outages]
+    assert list(outages(journal_lines(*steps), WARM_UP_US)) == expected
 
 
 def outcome_with_log(folder: Path, *messages: str) -> SimpleNamespace:
@@ -57,17 +57,19 @@
     return SimpleNamespace(folder=folder)
 
 
-def test_a_repeated_candidacy_in_a_term_is_counted(tmp_path: Path) -> None:
-    usual = (
+def test_repeated_candidacy_in_a_term_is_counted(tmp_path: Path) -> None:
+    messages_without_repetition = (
         "candidate in term 1",
         "leader in term 1",
         "coordinator is up",
         "follower in term 3",
         "candidate in term 4",
     )
-    assert repeated_candidacies(outcome_with_log(tmp_path, *usual), ["north-0"]) == 0  # type: ignore[arg-type]
-    again = outcome_with_log(tmp_path, *usual, "coordinator is up", "candidate in term 1")
-    assert repeated_candidacies(again, ["north-0"]) == 1  # type: ignore[arg-type]
+    assert repeated_candidacies(outcome_with_log(tmp_path, *messages_without_repetition), ["north-0"]) == 0  # type: ignore[arg-type]
+    outcome_with_repetition = outcome_with_log(
+        tmp_path, *messages_without_repetition, "coordinator is up", "candidate in term 1"
+    )
+    assert repeated_candidacies(outcome_with_repetition, ["north-0"]) == 1  # type: ignore[arg-type]
 
 
 def test_elections_are_counted_by_term(tmp_path: Path) -> None:
@@ -77,7 +79,7 @@
     assert elections_by_term(outcome, ["north-0"]) == {1: 1, 3: 2}  # type: ignore[arg-type]
 
 
-def test_grants_are_read_from_the_leaders_logs_on_the_monotonic_clock(tmp_path: Path) -> None:
+def test_grant_times_are_read_from_logs_and_converted_to_the_monotonic_clock(tmp_path: Path) -> None:
     now = datetime.now(UTC)
     lines = [
         {"time": now.isoformat(), "message": "lease granted", "lease": "l1"},
