--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -21,8 +21,8 @@
 
 FILE_NAME = "KNOWN-RED.txt"
 FIELDS = ("test", "command", "seed", "seen", "issue")
-NODE_ID = re.compile(r"[^:]+\.py::.+")
-ISSUE = re.compile(r"(?:issue |#)?\d+")
+NODE_ID_PATTERN = re.compile(r"[^:]+\.py::.+")
+ISSUE_PATTERN = re.compile(r"(?:issue |#)?\d+")
 
 
 class EntryError(ValueError):
@@ -52,13 +52,13 @@
     """The content of the file."""
 
     entries: Sequence[Entry]
-    faults: Sequence[str]
+    errors: Sequence[str]
     """What cannot be read. A list with a fault lets no test fail."""
 
     @property
     def allowed_failures(self) -> frozenset[str]:
         """The node ids of the tests that may fail."""
-        return frozenset() if self.faults else frozenset(entry.test for entry in self.entries)
+        return frozenset() if self.errors else frozenset(entry.test for entry in self.entries)
 
 
 class Ending(enum.Enum):
@@ -76,7 +76,7 @@
     """What a run prints of the list at its end, and the faults that fail it."""
 
     notes: Sequence[str]
-    faults: Sequence[str]
+    errors: Sequence[str]
 
 
 def parse_entry(lines: Iterable[str]) -> Entry:
@@ -93,9 +93,9 @@
     if missing:
         raise EntryError(f"lacks {', '.join(missing)}")
     entry = Entry(**values)
-    if not NODE_ID.fullmatch(entry.test):
+    if not NODE_ID_PATTERN.fullmatch(entry.test):
         raise EntryError(f"names no pytest node id: {entry.test!r}")
-    if not ISSUE.fullmatch(entry.issue):
+    if not ISSUE_PATTERN.fullmatch(entry.issue):
         raise EntryError(f"names no issue by its number: {entry.issue!r}")
     return entry
 
@@ -103,19 +103,19 @@
 def parse(text: str) -> Listing:
     """Parse the whole file."""
     entries: list[Entry] = []
-    faults: list[str] = []
+    errors: list[str] = []
     blocks = itertools.groupby(text.splitlines(), key=lambda line: bool(line.strip()))
     for number, lines in enumerate((list(lines) for is_entry, lines in blocks if is_entry), 1):
         try:
             entry = parse_entry(lines)
         except EntryError as error:
-            faults.append(f"entry {number} {error}")
+            errors.append(f"entry {number} {error}")
             continue
         if any(entry.test == other.test for other in entries):
-            faults.append(f"entry {number} lists {entry.test} again")
+            errors.append(f"entry {number} lists {entry.test} again")
         else:
             entries.append(entry)
-    return Listing(entries, faults)
+    return Listing(entries, errors)
 
 
 def is_requested(test: str, arguments: Collection[str]) -> bool:
@@ -139,18 +139,18 @@
     to find a test.
     """
     notes: list[str] = []
-    faults = list(listing.faults)
+    errors = list(listing.errors)
     for entry in listing.entries:
         ending = endings.get(entry.test)
         if ending is not None:
-            description, is_sound = ending.value, ending is Ending.FAILED
+            description, is_acceptable = ending.value, ending is Ending.FAILED
         elif entry.test in selected:
-            description, is_sound = "did not run to its end", False
+            description, is_acceptable = "did not run to its end", False
         elif entry.test in collected or not must_exist(entry.test):
-            description, is_sound = "not requested in this run", True
+            description, is_acceptable = "not requested in this run", True
         else:
-            description, is_sound = "names no test", False
+            description, is_acceptable = "names no test", False
         notes.append(f"{entry.test}: {description}")
-        if not is_sound:
-            faults.append(f"{entry.test}: {description}")
-    return Verdict(notes, faults)
+        if not is_acceptable:
+            errors.append(f"{entry.test}: {description}")
+    return Verdict(notes, errors)
--- a/tests/known_red_plugin.py
+++ b/tests/known_red_plugin.py
@@ -127,14 +127,14 @@
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
         """Fail the run where the list does not hold."""
-        if self._verdict().faults and session.exitstatus == pytest.ExitCode.OK:
+        if self._verdict().errors and session.exitstatus == pytest.ExitCode.OK:
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self) -> None:
         """Print how the listed tests ended, and what fails the run."""
         verdict = self._verdict()
         self._print([f"{known_red.FILE_NAME}: {note}" for note in verdict.notes])
-        self._print([f"{known_red.FILE_NAME} fails the run: {fault}" for fault in verdict.faults])
+        self._print([f"{known_red.FILE_NAME} fails the run: {error}" for error in verdict.errors])
 
     def _verdict(self) -> known_red.Verdict:
         selected = set() if self.config.getoption("collectonly") else self.selected
@@ -148,13 +148,13 @@
 
     def _arguments(self) -> set[str]:
         """Return what the run was called with, by its paths from the root."""
-        found = set()
+        arguments = set()
         for argument in self.config.args:
-            path, mark, test = argument.partition("::")
+            path, separator, test = argument.partition("::")
             absolute = Path(self.config.invocation_params.dir, path).resolve()
             if absolute.is_relative_to(self.config.rootpath):
-                found.add(absolute.relative_to(self.config.rootpath).as_posix() + mark + test)
-        return found
+                arguments.add(absolute.relative_to(self.config.rootpath).as_posix() + separator + test)
+        return arguments
 
     def _print(self, lines: list[str]) -> None:
         reporter = self.config.pluginmanager.get_plugin("terminalreporter")
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -12,29 +12,29 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-PAGE = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
+ARCHITECTURE_PAGE = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
 PACKAGES = sorted(path.parent.name for path in (ROOT / "ryepier").glob("*/__init__.py"))
-NAMED = sorted(set(re.findall(rf"`((?:{'|'.join(PACKAGES)})(?:\.\w+)+(?::[\w.]+)?)`", PAGE)))
+CODE_REFERENCES = sorted(set(re.findall(rf"`((?:{'|'.join(PACKAGES)})(?:\.\w+)+(?::[\w.]+)?)`", ARCHITECTURE_PAGE)))
 
 
-def test_the_page_names_the_code_of_each_of_its_parts() -> None:
-    modules = {name.partition(":")[0] for name in NAMED}
-    assert len(NAMED) >= 60
+def test_architecture_page_references_the_code_of_each_part() -> None:
+    modules = {name.partition(":")[0] for name in CODE_REFERENCES}
+    assert len(CODE_REFERENCES) >= 60
     assert {"balancer.balancer", "sidecar.dispatcher", "plan.evidence", "maintenance.ledger"} <= modules
 
 
-@pytest.mark.parametrize("name", NAMED)
-def test_what_the_page_names_exists(name: str) -> None:
+@pytest.mark.parametrize("name", CODE_REFERENCES)
+def test_code_referenced_by_the_architecture_page_exists(name: str) -> None:
     module, _, attributes = name.partition(":")
-    found: object = importlib.import_module(f"ryepier.{module}")
+    target: object = importlib.import_module(f"ryepier.{module}")
     for attribute in attributes.split(".") if attributes else ():
-        found = getattr(found, attribute)
+        target = getattr(target, attribute)
 
 
-def test_the_decision_modules_are_all_on_the_page() -> None:
+def test_architecture_page_references_each_decision_module() -> None:
     """A reader finds each concern of the decisions by its name."""
     concerns = ("admission", "concurrency", "outlier_detection", "selection", "slow_start", "subsetting", "retries")
-    missing = [concern for concern in concerns if f"`balancer.{concern}:" not in PAGE]
+    missing = [concern for concern in concerns if f"`balancer.{concern}:" not in ARCHITECTURE_PAGE]
     assert missing == []
 
 
@@ -46,18 +46,18 @@
 
 def imported_modules(text: str) -> set[str]:
     """Return the modules of `MODULES` that a module imports anywhere, also under TYPE_CHECKING or in a function."""
-    found: set[str] = set()
+    modules: set[str] = set()
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
+            modules |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
             assert node.level == 0 and node.module is not None, "imports are absolute"
             submodules = {f"{node.module}.{alias.name}" for alias in node.names} & MODULES.keys()
-            found |= submodules or {node.module}
-    return found & MODULES.keys()
+            modules |= submodules or {node.module}
+    return modules & MODULES.keys()
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
+def test_modules_have_no_import_cycles() -> None:
     graph = {name: imported_modules(path.read_text()) - {name} for name, path in MODULES.items()}
     assert len(graph) >= 200 and sum(map(len, graph.values())) >= 500
     try:
@@ -66,23 +66,25 @@
         raise AssertionError(f"these import each other: {' <- '.join(error.args[1])}") from None
 
 
-def test_an_import_for_type_checking_counts() -> None:
+def test_type_checking_imports_are_included() -> None:
     text = "if TYPE_CHECKING:\n    from ryepier.balancer import events\nfrom ryepier.errors import RyepierError"
     assert imported_modules(text) == {"ryepier.balancer.events", "ryepier.errors"}
 
 
-EDGE_PACKAGES = ("balancer", "sidecar", "plan", "storm", "slices", "graphql", "conf")
-EDGE_ROWS = re.findall(r"^\| `([^`]+)` \| [^|]+ \| `(\w+\.\w+)` \|$", PAGE.split("## Names at the edge")[1], re.M)
+CHECKED_PACKAGES = ("balancer", "sidecar", "plan", "storm", "slices", "graphql", "conf")
+EXTERNAL_NAME_ROWS = re.findall(
+    r"^\| `([^`]+)` \| [^|]+ \| `(\w+\.\w+)` \|$", ARCHITECTURE_PAGE.split("## Names at the edge")[1], re.M
+)
 
 
 def string_literals(text: str) -> Iterator[str]:
     """Yield the strings of a module in lower case, also bytes and the parts of f-strings; not the docstrings."""
     tree = ast.parse(text)
-    documented = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
+    documented_nodes = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
     docstrings = {
         id(node.body[0].value)
         for node in ast.walk(tree)
-        if isinstance(node, documented) and isinstance(node.body[0], ast.Expr)
+        if isinstance(node, documented_nodes) and isinstance(node.body[0], ast.Expr)
     }
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and id(node) not in docstrings:
@@ -92,44 +94,46 @@
                 yield node.value.decode("latin-1").lower()
 
 
-def edge_names_in(text: str) -> set[str]:
+def external_names_in(text: str) -> set[str]:
     """Return the names of the table that a module holds as a string, or as a part of a path, query or header."""
-    found = set()
+    names = set()
     for literal in string_literals(text):
-        found.add(literal)
-        found |= set(re.split(r"[.?&=: ]", literal)) if "=" in literal or " " not in literal else set()
-        found |= set(re.findall(r"^[\w-]+(?=: )", literal))
-    return found & {name for name, _ in EDGE_ROWS}
+        names.add(literal)
+        names |= set(re.split(r"[.?&=: ]", literal)) if "=" in literal or " " not in literal else set()
+        names |= set(re.findall(r"^[\w-]+(?=: )", literal))
+    return names & {name for name, _ in EXTERNAL_NAME_ROWS}
 
 
-def test_each_name_of_the_edge_is_mapped_where_the_table_says() -> None:
-    assert len(EDGE_ROWS) >= 70 and len(set(EDGE_ROWS)) == len(EDGE_ROWS)
+def test_external_names_are_mapped_in_the_listed_modules() -> None:
+    assert len(EXTERNAL_NAME_ROWS) >= 70 and len(set(EXTERNAL_NAME_ROWS)) == len(EXTERNAL_NAME_ROWS)
     missing = [
         (name, module)
-        for name, module in EDGE_ROWS
-        if name not in edge_names_in(MODULES[f"ryepier.{module}"].read_text())
+        for name, module in EXTERNAL_NAME_ROWS
+        if name not in external_names_in(MODULES[f"ryepier.{module}"].read_text())
     ]
     assert missing == []
 
 
-def test_no_other_module_holds_a_name_of_the_edge() -> None:
-    mapped = {(f"ryepier.{module}", name) for name, module in EDGE_ROWS}
-    found = {
+def test_external_names_appear_in_no_other_module() -> None:
+    mapped = {(f"ryepier.{module}", name) for name, module in EXTERNAL_NAME_ROWS}
+    occurrences = {
         (module, name)
         for module, path in MODULES.items()
-        if module.split(".")[1:2] and module.split(".")[1] in EDGE_PACKAGES
-        for name in edge_names_in(path.read_text())
+        if module.split(".")[1:2] and module.split(".")[1] in CHECKED_PACKAGES
+        for name in external_names_in(path.read_text())
     }
-    assert found - mapped == set()
+    assert occurrences - mapped == set()
 
 
-def test_a_name_of_the_edge_is_found_in_any_string() -> None:
-    assert edge_names_in('read(raw, f"settings.bounds.conn-idle", x)') == {"conn-idle"}
-    assert edge_names_in('x = b"X-Deadline-Ms: %d"') == {"x-deadline-ms"}
-    assert edge_names_in('"""aim"""\nx = "the aim of it"') == set()
+def test_external_names_are_found_in_any_string() -> None:
+    assert external_names_in('read(raw, f"settings.bounds.conn-idle", x)') == {"conn-idle"}
+    assert external_names_in('x = b"X-Deadline-Ms: %d"') == {"x-deadline-ms"}
+    assert external_names_in('"""aim"""\nx = "the aim of it"') == set()
 
 
-BOUNDARIES = set(re.findall(r"^\| `([\w.]+:[\w.]+)` \|", PAGE.split("## Error boundaries")[1].split("\n## ")[0], re.M))
+ERROR_BOUNDARIES = set(
+    re.findall(r"^\| `([\w.]+:[\w.]+)` \|", ARCHITECTURE_PAGE.split("## Error boundaries")[1].split("\n## ")[0], re.M)
+)
 
 
 def functions_that_catch_everything(module: str, text: str) -> Iterator[str]:
@@ -141,31 +145,31 @@
                 yield from walk(child, (*path, child.name))
                 continue
             if isinstance(child, ast.ExceptHandler):
-                caught = ast.unparse(child.type) if child.type is not None else "BaseException"
-                if re.search(r"\b(Base)?Exception\b", caught):
+                caught_types = ast.unparse(child.type) if child.type is not None else "BaseException"
+                if re.search(r"\b(Base)?Exception\b", caught_types):
                     yield f"{module.removeprefix('ryepier.')}:{'.'.join(path)}"
             yield from walk(child, path)
 
     return walk(ast.parse(text), ())
 
 
-def test_errors_of_any_kind_are_caught_at_the_named_boundaries_only() -> None:
-    found = {
+def test_catch_all_handlers_exist_only_at_listed_boundaries() -> None:
+    catch_all_functions = {
         name
         for module, path in MODULES.items()
-        if module.split(".")[1:2] and module.split(".")[1] in EDGE_PACKAGES
+        if module.split(".")[1:2] and module.split(".")[1] in CHECKED_PACKAGES
         for name in functions_that_catch_everything(module, path.read_text())
     }
-    assert found == BOUNDARIES
+    assert catch_all_functions == ERROR_BOUNDARIES
 
 
 LOG_PAGE = (ROOT / "docs" / "operate" / "logs.md").read_text()
-LOG_ROWS = set(re.findall(r"^\| `([^`]+)` \| (\w+) \|", LOG_PAGE, re.M))
+LOG_PAGE_ROWS = set(re.findall(r"^\| `([^`]+)` \| (\w+) \|", LOG_PAGE, re.M))
 LOG_LEVELS = {"debug": "debug", "info": "info", "warning": "warning", "error": "error", "exception": "error"}
-LOG_PACKAGES = (*EDGE_PACKAGES, "assembly", "fronts", "logs")
+LOG_PACKAGES = (*CHECKED_PACKAGES, "assembly", "fronts", "logs")
 
 
-def texts_of(argument: ast.expr, function: ast.AST) -> set[str]:
+def possible_texts(argument: ast.expr, function: ast.AST) -> set[str]:
     """Return the texts that an argument may be: a literal, one of two, or a variable that was set to one of these."""
     if isinstance(argument, ast.Constant):
         return {str(argument.value)}
@@ -173,38 +177,38 @@
         parts = [str(part.value) if isinstance(part, ast.Constant) else "{}" for part in argument.values]
         return {"".join(parts)}
     if isinstance(argument, ast.IfExp):
-        return texts_of(argument.body, function) | texts_of(argument.orelse, function)
+        return possible_texts(argument.body, function) | possible_texts(argument.orelse, function)
     assert isinstance(argument, ast.Name), ast.unparse(argument)
     assigned = [node.value for node in ast.walk(function) if isinstance(node, ast.Assign)]
     targets = [node.targets[0] for node in ast.walk(function) if isinstance(node, ast.Assign)]
     values = [value for value, target in zip(assigned, targets, strict=True) if ast.unparse(target) == argument.id]
-    return set().union(*(texts_of(value, function) for value in values))
+    return set().union(*(possible_texts(value, function) for value in values))
 
 
 def log_lines(text: str) -> set[tuple[str, str]]:
     """Return the lines that a module logs, each with its level: of `log`, and of the balancer's own `self.log`."""
-    found = set()
+    lines = set()
     for function in ast.walk(ast.parse(text)):
         if not isinstance(function, ast.FunctionDef | ast.AsyncFunctionDef):
             continue
         for call in ast.walk(function):
             if not isinstance(call, ast.Call) or not isinstance(call.func, ast.Attribute):
                 continue
-            owner = ast.unparse(call.func)
-            level = "info" if owner == "self.log" else LOG_LEVELS.get(owner.removeprefix("log."), "")
-            if owner == "self.log" or (owner.startswith("log.") and level):
-                found |= {(line, level) for line in texts_of(call.args[0], function)}
-    return found
+            callee = ast.unparse(call.func)
+            level = "info" if callee == "self.log" else LOG_LEVELS.get(callee.removeprefix("log."), "")
+            if callee == "self.log" or (callee.startswith("log.") and level):
+                lines |= {(line, level) for line in possible_texts(call.args[0], function)}
+    return lines
 
 
-def test_the_page_of_log_lines_has_each_line_with_its_level() -> None:
+def test_log_page_lists_each_log_line_with_its_level() -> None:
     # "%s" alone passes on a line of the decision module or an `UnservedLine`, which the page has too.
-    unserved = ("request {} {} after {} of {} ms: {}", "info")
-    logged = {unserved} | {
+    unserved_line = ("request {} {} after {} of {} ms: {}", "info")
+    logged_lines = {unserved_line} | {
         line
         for module, path in MODULES.items()
         if module.split(".")[1:2] and module.split(".")[1] in LOG_PACKAGES
         for line in log_lines(path.read_text())
     }
     assert "UnservedLine" in MODULES["ryepier.sidecar.dispatcher"].read_text()
-    assert logged - {("%s", "info")} == LOG_ROWS
+    assert logged_lines - {("%s", "info")} == LOG_PAGE_ROWS
