--- a/ryepier/experiments/simulation/__init__.py
+++ b/ryepier/experiments/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The search for rule violations in simulation, how well simulation agrees with sockets, and how fast it is."""
+"""Experiments on the simulation: the search for rule violations, its agreement with socket runs, and its speed."""
--- a/ryepier/experiments/simulation/agreement.py
+++ b/ryepier/experiments/simulation/agreement.py
@@ -1,8 +1,8 @@
-"""`sim-agreement`: do simulated runs give the same figures as runs on sockets?
+"""`sim-agreement`: checks that simulated runs give the same figures as runs on sockets.
 
-Five worlds run on both backends with the same seed. Claims for each: service, median and 99th percentile of latency and
-attempts per request agree within bounds, and neither run breaks a rule. breaking-point is not among the worlds: it
-measures CPU time, which virtual time does not have.
+Five worlds run on both backends with the same seed. The claims for each world: service level, median latency, 99th
+percentile latency and attempts per request agree within bounds, and neither run breaks a rule. The breaking-point
+experiment is excluded because it measures CPU time, which does not exist in virtual time.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 WORLDS = ("steady", "release", "hang", "surge", "sidecar-kill")
 MAX_SERVICE_DIFFERENCE_POINTS = 1.5
-MAX_SURGE_SERVICE_DIFFERENCE_POINTS = 3.0  # in an overload, single moments decide which requests are rejected
+MAX_SURGE_SERVICE_DIFFERENCE_POINTS = 3.0  # in an overload, small timing differences decide which requests are rejected
 MAX_P50_RATIO = 1.10
 MAX_P99_RATIO = 1.25
 MAX_ATTEMPTS_RATIO = 1.05
 
 
 def _ratio(first: float, second: float) -> float:
-    """Return the larger over the smaller value; infinite if the smaller is zero."""
+    """Return the larger value divided by the smaller one, or infinity if the smaller one is zero."""
     low, high = sorted((first, second))
     return high / low if low else float("inf")
 
@@ -43,7 +43,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Run each world on both backends; a seeded fault is in the simulated run."""
+    """Run each world on both backends. A seeded fault is installed for the simulated runs only."""
     figures: dict[str, float] = {}
     claims = []
     for name in WORLDS:
--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -1,7 +1,9 @@
-"""Counts which faults struck requests in which state, by the records of all sides, to show what was never tried.
+"""Counts how often each fault action hit a request in each state, to show the combinations that were rarely tried.
 
-Pure. A fault meets the requests that it could harm: a converter's fault those with an attempt at it and those that wait
-to be sent, a fault of a sidecar or its discovery those that the sidecar holds, a planner's fault all.
+The module has no side effects: it works on the records of clients and converters. An action counts for the requests
+that it could harm. For a fault of a converter these are the requests with an attempt at that converter and those that
+wait for an attempt, for a fault of a sidecar or of its discovery the requests at that sidecar, and for a fault of a
+planner all requests.
 """
 
 from __future__ import annotations
@@ -17,13 +19,13 @@
 from ryepier.emulator.timeline import FaultAction, Step, TargetKind
 from ryepier.emulator.world import World
 
-MIN_EXPOSURES = 20  # of a fault with a state, below which the pair counts as hardly tried
-DEADLINE_FACTOR = 2  # requests are looked for so many of the longest deadlines before a fault
+MIN_EXPOSURES = 20  # an action and a state with fewer exposures than this count as rarely tried
+DEADLINE_FACTOR = 2  # requests sent up to this many times the longest deadline before an action are examined
 US_PER_MS = 1000
 
 
 class RequestState(StrEnum):
-    """Where a request is between its sending and its end."""
+    """The progress of a request, from when the client sends it until no attempt is left at a converter."""
 
     NOT_SENT = "not sent"
     ARRIVING = "arriving"
@@ -47,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class FaultExposure:
-    """A fault's action, and the state of the request that it struck."""
+    """A fault action, and the state in which a request was when the action took place."""
 
     action: str
     state: RequestState
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """The state of a request at one time, and the converter that has it, if any."""
+    """The state of a request at a given time. `uid` is the converter that processes it, or empty if there is none."""
 
     state: RequestState
     uid: str = ""
@@ -63,7 +65,7 @@
 
 @dataclass(slots=True)
 class Coverage:
-    """Counts of meetings; adds up over runs."""
+    """The number of exposures by action and state, summed over runs."""
 
     counts: dict[FaultExposure, int] = field(default_factory=lambda: defaultdict(int))
 
@@ -73,16 +75,16 @@
             self.counts[exposure] += count
 
     def actions(self) -> list[str]:
-        """Return the names of all actions that struck a request."""
+        """Return the names of all actions that hit at least one request, sorted."""
         return sorted({exposure.action for exposure in self.counts})
 
     def rarely_tried_share(self, action: str) -> float:
-        """Return the share of the states that an action has hardly met."""
+        """Return the share of the request states in which an action was rarely tried."""
         rarely_tried = sum(self.counts.get(FaultExposure(action, state), 0) < MIN_EXPOSURES for state in RequestState)
         return rarely_tried / len(RequestState)
 
     def rows(self) -> list[list[str]]:
-        """Return a table with a row per action and a column per state."""
+        """Return a table with a header row, a row for each action and a column for each state."""
         header = ["", *(state.value for state in RequestState)]
         return [header, *(self._row(action) for action in self.actions())]
 
@@ -90,11 +92,11 @@
         return [action, *(str(self.counts.get(FaultExposure(action, state), 0)) for state in RequestState)]
 
     def as_lists(self) -> list[tuple[str, str, int]]:
-        """Return the counts as (strike, state, count), for coverage.json."""
+        """Return the counts as (action, state, count), for coverage.json."""
         return [(exposure.action, exposure.state.value, count) for exposure, count in sorted(self.counts.items())]
 
 
-# actions of which a fault has one kind only, so that its name tells the action
+# a fault has at most one of these actions (and its reversal), so the name of the fault identifies the action
 ACTIONS_NAMED_BY_FAULT = frozenset(
     (
         FaultAction.BEGIN,
@@ -110,14 +112,14 @@
 
 
 def action_name(step: Step) -> str:
-    """Return the name of a step in the table."""
+    """Return the name under which a step is counted."""
     if step.action is FaultAction.NOTIFY:
         return f"told {step.state}"
     return str(step.fault) if step.action in ACTIONS_NAMED_BY_FAULT else f"{step.fault}: {step.action.value}"
 
 
 def position_at(request: ClientAttempt, attempts: Sequence[ConverterAttempt], at_us: int) -> Position | None:
-    """Return where a request is at a time; None if it has ended and left nothing behind."""
+    """Return the position of a request at a time, or None if it has ended and no attempt is left at a converter."""
     arrived = [attempt for attempt in attempts if attempt.first_byte_us <= at_us]
     if at_us >= request.ended_us:
         remaining = [attempt for attempt in arrived if attempt.ended_us == NEVER or attempt.ended_us > at_us]
@@ -145,7 +147,7 @@
 
 
 def can_harm(step: Step, target_uid: str, request: ClientAttempt, position: Position) -> bool:
-    """Return whether a step, which strikes a converter or another process, could harm a request."""
+    """Return whether a step could harm a request; `target_uid` is the converter on which a converter step acts."""
     if step.target is TargetKind.CONVERTER:
         is_waiting = position.state in (RequestState.NOT_SENT, RequestState.BETWEEN_ATTEMPTS)
         return position.uid == target_uid or is_waiting
@@ -157,7 +159,7 @@
 
 
 def measure_coverage(world: World, seed: int, history: History) -> Coverage:
-    """Count the meetings of one run."""
+    """Count the exposures of one run, which `world` and `seed` produced."""
     built = timeline.build(world, seed)
     uids = {instance.index: instance.uid for instance in built.instances}
     attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
--- a/ryepier/experiments/simulation/random_worlds.py
+++ b/ryepier/experiments/simulation/random_worlds.py
@@ -1,4 +1,4 @@
-"""Draws worlds from seeds for the search: small fleets with random clients, settings and faults."""
+"""Generates random worlds from seeds for the search: small fleets with random clients, settings and faults."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         idempotency_window_ms=500.0,
     ),
 ]
-# by kind of fault, how often it is drawn; more often if it matters only together with another
+# relative frequency of each fault kind; higher for kinds that matter only in combination with another fault
 FAULT_WEIGHTS = {
     "hang": 2,
     "refuse": 2,
@@ -71,17 +71,17 @@
     "planner-kill": 1,
     "planner-hang": 1,
 }
-LOAD_FAULTS = frozenset(("surge", "hot-sidecar"))  # change arrivals, and strike no request by themselves
+LOAD_FAULTS = frozenset(("surge", "hot-sidecar"))  # change the arrivals, and have no steps that could hit a request
 PLANNER_FAULTS = frozenset(("planner-kill", "planner-hang"))
 MAX_FAULTS = 4
 MAX_CLOCK_JUMP_S = 3600.0
-MAX_CLOCK_DRIFT = 0.001  # ten times that of a clock that nobody synchronizes
-SLICES_WORLD_SHARE = 0.2  # of the worlds, whose discovery is by EndpointSlices
+MAX_CLOCK_DRIFT = 0.001  # ten times the drift of an unsynchronized clock
+SLICES_WORLD_SHARE = 0.2  # share of the worlds that use EndpointSlices as discovery
 NO_BOOSTS: Mapping[str, float] = {}
 
 
 def draw_fault(random: np.random.Generator, weights: Mapping[str, float]) -> Fault:
-    """Return a random fault; `weights` tells how often each kind is drawn."""
+    """Return a random fault. `weights` are the relative frequencies of the fault kinds."""
     weight_values = np.array(list(weights.values()), dtype=np.float64)
     kind = str(random.choice(list(weights), p=weight_values / weight_values.sum()))
     at_s = float(random.uniform(0.2, DURATION_S - 1.5))
@@ -103,8 +103,8 @@
 
 
 def draw_world(seed: int, boosts: Mapping[str, float] = NO_BOOSTS) -> World:
-    """Return a random world, small and short, with several faults; `boosts` multiplies the weights of fault kinds."""
-    # the order of the draws decides what a seed's world is, so it stays
+    """Return the small, short random world of a seed. `boosts` are factors for the weights of fault kinds."""
+    # changing the order of the draws would change the world that a seed gives
     random = draws.stream(seed, "hunt")
     converters = int(random.integers(2, 9))
     clients = _draw_clients(random)
--- a/ryepier/experiments/simulation/request_story.py
+++ b/ryepier/experiments/simulation/request_story.py
@@ -1,4 +1,4 @@
-"""What happened to one request, event by event, as clients, converters and discovery recorded it."""
+"""Lists the events of one request, from the records of clients, converters and discovery."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Event:
-    """One event of a request's life."""
+    """An event of a request, and its time since the start of the run."""
 
     at_us: int
     text: str
 
     def __str__(self) -> str:
-        """Return the time in seconds and the text."""
+        """Return one line with the time in seconds and the text."""
         return f"{self.at_us / US_PER_S:10.6f} s  {self.text}"
 
 
 def request_events(history: History, request_id: str) -> list[str]:
-    """Return a line for each event of a request, in the order of time."""
+    """Return a line for each event of a request in chronological order; empty if the request was not recorded."""
     request = next((attempt for attempt in history.client_attempts if attempt.request_id == request_id), None)
     events = _client_events(request) if request is not None else []
     for attempt in history.converter_attempts:
@@ -54,7 +54,7 @@
 
 
 def _notice_events(notices: list[EndpointNotice], sidecar: int, uid: str) -> list[Event]:
-    """Return the notices of a converter's state that its sidecar received, but for the usual state."""
+    """Return the notices that a sidecar received of a converter's state, except those of the active state."""
     return [
         Event(notice.at_us, f"sidecar {notice.sidecar} is told: {notice.uid} {notice.state}")
         for notice in notices
--- a/ryepier/experiments/simulation/run_summary.py
+++ b/ryepier/experiments/simulation/run_summary.py
@@ -1,4 +1,4 @@
-"""The figures by which runs of a world are compared."""
+"""Summarizes a run in the figures by which runs are compared."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSummary:
-    """What is compared of a run."""
+    """The figures of one run; `service` is the service level, and `breaches` is the number of rule violations."""
 
     service: float
     p50_ms: float
@@ -23,7 +23,7 @@
     breaches: int
 
     def as_figures(self, prefix: str, suffix: str) -> dict[str, float]:
-        """Return the figures of result.json, with something before and after their names."""
+        """Return the figures for result.json, with `prefix` and `suffix` added to their names."""
         return {
             f"{prefix}service{suffix}": self.service,
             f"{prefix}p50_ms{suffix}": self.p50_ms,
--- a/ryepier/experiments/simulation/search.py
+++ b/ryepier/experiments/simulation/search.py
@@ -1,7 +1,7 @@
-"""Searches random worlds for rule violations in simulation, and reduces what it finds to the faults that matter.
+"""Searches random worlds for rule violations in simulation, and reduces a finding to the faults that cause it.
 
-A find is a file: the world, the seed and the rules that were broken. Running it again gives the same history, byte for
-byte.
+A finding is saved as a file with the world, the seed and the rules that were broken. Running it again gives the same
+history, byte for byte.
 """
 
 from __future__ import annotations
@@ -26,27 +26,27 @@
 from ryepier.sim.loop import NoProgressError
 from ryepier.sim.run import SimulationError
 
-ROUND_SIZE = 200  # worlds after which the weights of faults follow the coverage
-MAX_BOOST = 4.0  # added to the weight of a kind of fault that met hardly any state
-CHUNK_SIZE = 4  # worlds that a worker process takes at a time
-FAILED_RUN = "failed"  # in place of a rule
+ROUND_SIZE = 200  # worlds in a round; after each round the fault weights are adapted to the coverage
+MAX_BOOST = 4.0  # added to the weight factor of a fault kind that was rarely tried in every state
+CHUNK_SIZE = 4  # worlds that are sent to a worker process at a time
+FAILED_RUN = "failed"  # stands in place of a rule name for a run that failed
 DIGEST_BYTES = 16
 
 
 class Finding(msgspec.Struct, rename={"first_violation": "first", "seeded_fault": "plant", "history_hash": "trace"}):
-    """A run that broke a rule, or failed by itself; the content of a find's file."""
+    """A run that broke a rule or failed; the content of a finding's file."""
 
     seed: int
     world: World
-    rules: dict[str, int]  # breaches by rule; `FAILED_RUN` for a run that failed
-    first_violation: str  # or the failure
+    rules: dict[str, int]  # number of breaches by rule name, or by `FAILED_RUN`
+    first_violation: str  # or the error message of a run that failed
     seeded_fault: str = ""
     history_hash: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class WorldRun:
-    """One run of a world: what it broke, if anything, and its records, unless the run failed."""
+    """The result of running a world: a finding if it broke a rule or failed, and the records unless it failed."""
 
     finding: Finding | None
     history: History | None
@@ -54,24 +54,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """One world of a search: what it broke, if anything, and which faults met which states."""
+    """The result for one world of a search: a finding, if there is one, and the fault coverage of the run."""
 
     finding: Finding | None
     coverage: Coverage
 
 
 def hash_history(history: History) -> str:
-    """Return a hash of everything recorded."""
+    """Return a hash of all records of a run."""
     return hashlib.blake2b(msgspec.msgpack.encode(history), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def run_world(world: World, seed: int, seeded_fault: str = "") -> WorldRun:
-    """Run a world in this process. The seeded fault is only recorded; `install_fault` installs it."""
+    """Run a world in this process. `seeded_fault` is only recorded in the finding; `install_fault` installs it."""
     try:
         history = simulated.run_world(world, seed)
     except (NoProgressError, SimulationError) as error:
         return WorldRun(Finding(seed, world, {FAILED_RUN: 1}, str(error), seeded_fault), None)
-    except Exception as error:  # noqa: BLE001 - an error of the emulator in one world must not end the search
+    except Exception as error:  # noqa: BLE001 - an emulator error in one world must not end the search
         return WorldRun(Finding(seed, world, {FAILED_RUN: 1}, f"the emulator: {error!r}", seeded_fault), None)
     breaches = judge.find_breaches(world, history)
     if not breaches:
@@ -83,16 +83,16 @@
 
 
 def install_fault(seeded_fault: str) -> None:
-    """Install a seeded fault in this process, for good; do nothing for an empty name."""
+    """Install a seeded fault in this process, where it cannot be removed again; do nothing for an empty name."""
     if seeded_fault:
         seeded_faults.SEEDED_FAULTS[seeded_fault]()
 
 
 def search(seeds: range, seeded_fault: str = "", processes: int | None = None) -> Iterator[SearchResult]:
-    """Yield the result of each seed's world in the order of the seeds, run on all cores.
+    """Run the world of each seed, and yield the results in the order of the seeds.
 
-    After each round, faults that met few states are drawn more often; so a seed's world depends on where the search
-    began.
+    Uses `processes` worker processes, by default one for each core. After each round, rarely tried faults are drawn
+    more often, so a seed's world also depends on the first seed of the search.
     """
     total = Coverage()
     workers = processes or os.cpu_count()
@@ -114,7 +114,7 @@
 
 
 def boosts_from_coverage(coverage: Coverage) -> dict[str, float]:
-    """Return by kind of fault the factor of its weight, which grows with the share of states that it hardly met."""
+    """Return a weight factor for each fault kind, which grows with the share of states in which it was rarely tried."""
     actions: dict[str, list[str]] = defaultdict(list)
     for action in coverage.actions():
         actions[_fault_kind(action)].append(action)
@@ -133,9 +133,9 @@
 
 
 def shrink(finding: Finding, still_breaks: Callable[[World], bool] | None = None) -> Finding:
-    """Return the find with as few faults, sidecars and retries as still break one of its rules.
+    """Return the finding reduced to the faults, sidecars and retries that are needed to break one of its rules.
 
-    `breaks` decides that for a world; by default the world is run.
+    `still_breaks` returns whether a reduced world still breaks such a rule; by default the world is run.
     """
 
     def breaks_same_rule(world: World) -> bool:
@@ -156,7 +156,7 @@
 
 
 def _drop_faults(world: World, still_breaks: Callable[[World], bool]) -> World:
-    """Drop one fault at a time for as long as the world still breaks a rule."""
+    """Remove faults one by one as long as the world still breaks a rule."""
     index = 0
     while index < len(world.faults):
         faults = world.faults[:index] + world.faults[index + 1 :]
@@ -169,16 +169,16 @@
 
 
 def first_request_id(description: str) -> str | None:
-    """Return the first request id in a violation's text, if there is one."""
+    """Return the first request id in the description of a violation, or None if it contains none."""
     words = description.replace(":", " ").replace(",", " ").split()
     return next((word for word in words if word.count("-") == 2), None)
 
 
 def save(finding: Finding, path: Path) -> None:
-    """Write a find's file."""
+    """Write a finding to a file. Raises OSError."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(finding), indent=1))
 
 
 def load(path: Path) -> Finding:
-    """Return the find of a file. Raises OSError and msgspec.MsgspecError."""
+    """Read a finding from a file. Raises OSError and msgspec.MsgspecError."""
     return msgspec.json.decode(path.read_bytes(), type=Finding)
--- a/ryepier/experiments/simulation/seeded_faults.py
+++ b/ryepier/experiments/simulation/seeded_faults.py
@@ -1,6 +1,6 @@
-"""Mistakes of a sidecar that the search in simulation finds.
+"""Seeded faults of a sidecar that the search in simulation must find.
 
-Each is a function to be called in a process of its own, as it stays.
+Each function installs one fault by patching classes. The patch cannot be undone, so call it in a separate process.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 from ryepier.sidecar.upstream_connection import ConnectionState, UpstreamConnection
 
-ANSWERS_PER_DUPLICATE = 40  # answers; one of so many is written twice
+ANSWERS_PER_DUPLICATE = 40  # one of this many answers is written twice
 
 
 def answer_twice() -> None:
-    """One answer in many is written twice."""
+    """Install a fault: one of every `ANSWERS_PER_DUPLICATE` answers is followed by a second, empty answer."""
     from ryepier.sidecar.client_connection import ClientConnection
 
     original_write, answer_count = ClientConnection.write, 0
@@ -36,7 +36,7 @@
 
 
 def keep_after_time_out() -> None:
-    """A connection whose attempt was given up is used again, its answer still on the way."""
+    """Install a fault: the connection of a cancelled attempt is reused although its answer may still arrive."""
     original_cancel = UpstreamAttempt.cancel
 
     def cancel_and_keep(self: UpstreamAttempt) -> None:
@@ -61,12 +61,12 @@
 
 
 def forget_drain() -> None:
-    """What drained while the watch was away is taken for ready once it is back."""
+    """Install a fault: converters that started to drain while the watch was disconnected count as ready afterwards."""
     original_on_list = DiscoveryClient.on_list
     initialized: weakref.WeakSet[EndpointWatch] = weakref.WeakSet()
 
     def on_list_without_draining(self: DiscoveryClient, message: Any) -> None:
-        if self.watch is not None and self.watch not in initialized:  # the first message of a watch: what it missed
+        if self.watch is not None and self.watch not in initialized:  # its first message has the missed changes
             initialized.add(self.watch)
             message["targets"] = [target for target in message["targets"] if target["state"] != "leaving"]
         original_on_list(self, message)
--- a/ryepier/experiments/simulation/speed.py
+++ b/ryepier/experiments/simulation/speed.py
@@ -1,7 +1,8 @@
-"""`sim-speed`: how fast is the simulation as the fleet grows?
+"""`sim-speed`: measures the speed of the simulation as the fleet grows.
 
-The steady world with 5, 50 and 500 sidecars (full scale: 3,000 too) at the same total load, one sidecar killed on the
-way, on one core. Claims: no rule is broken, the service stays, and the simulated seconds per second.
+Runs the steady world on one core with 5, 50 and 500 sidecars, and at full scale also with 3,000. The total load is the
+same for all fleet sizes, and one sidecar is killed during each run. The claims: no rule is broken, the service level
+stays above a minimum, and so do the simulated seconds per second.
 """
 
 from __future__ import annotations
@@ -16,16 +17,19 @@
 from ryepier.experiments.core.worlds import load
 from ryepier.experiments.simulation.run_summary import summarize
 
-FLEET_SIZES: dict[Scale, tuple[int, ...]] = {Scale.SMALL: (5, 50, 500), Scale.FULL: (5, 50, 500, 3000)}  # sidecars
+FLEET_SIZES: dict[Scale, tuple[int, ...]] = {
+    Scale.SMALL: (5, 50, 500),
+    Scale.FULL: (5, 50, 500, 3000),
+}  # number of sidecars
 DURATION_S = {Scale.SMALL: 4.0, Scale.FULL: 20.0}
-TOTAL_RATE_PER_S = 1000.0  # of all clients
-DOWN_S = 0.5  # of the killed sidecar
+TOTAL_RATE_PER_S = 1000.0  # requests of all clients together
+DOWN_S = 0.5  # how long the killed sidecar is down
 MIN_SPEED = {5: 0.5, 50: 0.4, 500: 0.25}  # simulated seconds per second, by fleet size
 MIN_SERVICE = 0.95
 
 
 def make_world(sidecars: int, duration_s: float) -> World:
-    """Return the steady world with so many sidecars, one of which is killed halfway."""
+    """Return the steady world with the given number of sidecars, one of which is killed halfway through the run."""
     replace = msgspec.structs.replace
     world = load("steady")
     return replace(
@@ -38,7 +42,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Simulate each fleet size."""
+    """Run the simulation for each fleet size of the trial's scale."""
     figures: dict[str, float] = {}
     claims = []
     for sidecars in FLEET_SIZES[trial.scale]:
