--- a/ryepier/experiments/maintenance/agent_process.py
+++ b/ryepier/experiments/maintenance/agent_process.py
@@ -1,4 +1,7 @@
-"""One agent as a process: `python -m ryepier.experiments.maintenance.agent_process PLAN`, with its plan in JSON."""
+"""Runs one agent as a process: `python -m ryepier.experiments.maintenance.agent_process PLAN`.
+
+PLAN is the path of a JSON file with an `AgentPlan`.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class AgentPlan(msgspec.Struct, frozen=True):
-    """The settings of an agent process."""
+    """The settings of an agent process. `agreement` is a path; the addresses are the fleet's control sockets."""
 
     agreement: str
     region: str
--- a/ryepier/experiments/maintenance/best_plan.py
+++ b/ryepier/experiments/maintenance/best_plan.py
@@ -1,6 +1,6 @@
-"""The best maintenance plan there is, by CP-SAT: what the scheduler's plan is compared with.
+"""Computes the optimal maintenance plan with the CP-SAT solver, as a reference for the scheduler's plan.
 
-OR-Tools is in the development extra only, so it is imported where a plan is requested.
+OR-Tools is a dependency of the development extra only, so it is imported inside the function that uses it.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from ryepier.maintenance.agreement import Converter
 from ryepier.maintenance.problem import Job, SchedulingProblem
 
-MAX_SOLVER_TIME = 1.0  # in the solver's deterministic seconds: the same plan on a slow machine
+MAX_SOLVER_TIME = 1.0  # in the solver's deterministic seconds, so that a slow machine gives the same plan
 
 
 @dataclass(frozen=True, slots=True)
 class BestPlan:
-    """The requests that end by their deadline, their total value, and a bound that no plan exceeds.
+    """The requests that end by their deadline, their total value, and an upper bound on the value of any plan.
 
-    Where the two are equal the plan is optimal; where the solver ran out of time the bound still holds.
+    If `value` equals `bound`, the plan is optimal. The bound also holds if the solver ran out of time.
     """
 
     feasible: frozenset[str]
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Outage:
-    """An interval variable of the model: one converter out for a request."""
+    """An interval variable of the model, during which a converter is out of service for a request."""
 
     interval: Any
     converter: Converter
@@ -37,7 +37,7 @@
 
 
 def best_plan(problem: SchedulingProblem, value: Callable[[Job], int]) -> BestPlan:
-    """Return the plan whose requests have the greatest total value."""
+    """Return the plan with the greatest total value that the solver found within its time limit."""
     from ortools.sat.python import cp_model
 
     model = cp_model.CpModel()
@@ -58,7 +58,7 @@
 
 
 def _job_outages(model: Any, problem: SchedulingProblem, job: Job, presence: dict[str, Any]) -> list[_Outage]:
-    """Add the optional intervals of a request; exclude a request that cannot end by its deadline."""
+    """Add and return the optional intervals of a request. Exclude a request that cannot end by its deadline."""
     name = job.request.name
     desired_ms = problem.desired_start_ms(job)
     latest_ms = job.request.deadline_ms - job.length_ms
@@ -74,7 +74,7 @@
 
 
 def _lease_outages(model: Any, problem: SchedulingProblem) -> list[_Outage]:
-    """Add the fixed intervals of the active leases."""
+    """Add and return the fixed intervals of the active leases."""
     outages = []
     for lease in problem.active_leases:
         for converter in lease.converters:
@@ -85,7 +85,7 @@
 
 
 def _add_limits(model: Any, problem: SchedulingProblem, outages: list[_Outage]) -> None:
-    """Bound the capacity that is out under each limit, and the converters of each request."""
+    """Bound the unavailable capacity under each limit, and the unavailable converters of each request."""
     for limit in problem.limits:
         limited_outages = [outage for outage in outages if limit.applies_to(outage.converter)]
         lost_capacity = sum(
--- a/ryepier/experiments/maintenance/coordinator_logs.py
+++ b/ryepier/experiments/maintenance/coordinator_logs.py
@@ -1,4 +1,4 @@
-"""What the logs of a region's coordinators show: elections, candidacies, and grants."""
+"""Reads elections, candidacies and lease grants from the logs of a region's coordinators."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from ryepier.maintenance.replication.roles import Role
 from ryepier.maintenance.server import LEASE_GRANTED_MESSAGE
 
-TERM_SEPARATOR = " in term "  # between role and term
+TERM_SEPARATOR = " in term "  # between the role and the term in a log message
 
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One record of a process's log; `time` is in ISO 8601, empty where the record has none."""
+    """One record of a process's log. `time` is in ISO 8601 format, or empty if the record has none."""
 
     message: str
     time: str
 
 
 def read_records(path: Path) -> Iterator[LogRecord]:
-    """Yield the records of a log; other lines are skipped."""
+    """Yield the records of a log file. Lines that are not JSON objects are skipped."""
     for text in path.read_text(errors="replace").splitlines():
         try:
             line = json.loads(text)
@@ -37,7 +37,7 @@
 
 
 def elections_by_term(logs: list[Path]) -> Mapping[int, int]:
-    """Return how often replicas of one region became the leader of each term; more than once is a fault."""
+    """Return how often a replica of the region became the leader, by term. More than one in a term is a fault."""
     leader_in_term = f"{Role.LEADER.value}{TERM_SEPARATOR}"
     elections: Counter[int] = Counter()
     for log in logs:
@@ -48,9 +48,9 @@
 
 
 def repeated_candidacies(logs: list[Path]) -> int:
-    """Return how often a replica was a candidate in a term that it had been in before.
+    """Return how often a replica became a candidate in a term that it had already entered.
 
-    Each candidate votes for itself, so such a candidacy is a second vote.
+    A candidate votes for itself, so such a candidacy is a second vote in the term.
     """
     count = 0
     for log in logs:
@@ -65,7 +65,7 @@
 
 
 def grants_us(logs: list[Path]) -> list[int]:
-    """Return when leaders of one region granted leases, on the machine's monotonic clock."""
+    """Return the times at which leaders of the region granted leases, in µs of the monotonic clock, sorted."""
     calendar_offset_us = time.time_ns() // 1000 - monotonic_us()
     granted_us = []
     for log in logs:
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -1,4 +1,4 @@
-"""`maintenance-cut`: regions partitioned for 20 s in the middle of transfers; frames late, duplicated, reordered."""
+"""`maintenance-cut`: partitions the regions for 20 s during transfers, and delays, duplicates and reorders frames."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from ryepier.experiments.maintenance.overlap import VALID_PER_REGION, draw_requests
 
 MAX_UNAVAILABLE = 8
-MIN_ALLOWANCE = 1  # low, so that much is lent
+MIN_ALLOWANCE = 1  # low, so that the regions give each other much of their allowance
 DEADLINE_MS = 60_000
 DURATION_S = 32.0
-SUBMIT_FROM_S = {NORTH: 0.0, SOUTH: 3.0}  # north first wants more than its allowance, then both do
+SUBMIT_FROM_S = {NORTH: 0.0, SOUTH: 3.0}  # first only north needs more than its allowance, later both regions do
 SUBMISSION_SPREAD_S = 1.0
 SUBMIT_DURING_PARTITION_S = 9.0
 PARTITIONED_AT_S, HEALED_AT_S = 5.0, 25.0
-MAX_GRANT_TO_START_S = 1.0  # windows that start this soon after the partition were granted before it
+MAX_GRANT_TO_START_S = 1.0  # windows that start this soon after the partition began may have been granted before it
 MIN_ALLOWANCE_CHANGES = 2
 
 
 def reschedule(planned: PlannedRequest) -> PlannedRequest:
-    """Return a request with this experiment's times: every second one is submitted during the partition."""
+    """Return a request with this experiment's times. Requests with odd numbers are submitted during the partition."""
     submit_from_s = SUBMIT_FROM_S[planned.region]
     if int(planned.name.rpartition("-")[2]) % 2:
         submit_from_s = SUBMIT_DURING_PARTITION_S
@@ -37,7 +37,7 @@
 
 
 async def partition_and_heal(harness: MaintenanceHarness) -> None:
-    """Partition the regions from each other, and heal the partition."""
+    """Partition the regions at `PARTITIONED_AT_S` and heal the partition at `HEALED_AT_S`."""
     await harness.wait_until(PARTITIONED_AT_S)
     for relay in harness.relays:
         relay.partition()
@@ -47,26 +47,26 @@
 
 
 def windows_during_partition(outcome: Outcome, region: str) -> int:
-    """Return how many windows a region granted and started during the partition."""
+    """Return the number of windows that a region both granted and started during the partition."""
     counted_from_us = outcome.run_start_us + int((PARTITIONED_AT_S + MAX_GRANT_TO_START_S) * 1e6)
     counted_until_us = outcome.run_start_us + int(HEALED_AT_S * 1e6)
     return sum(counted_from_us < at_us < counted_until_us for at_us in outcomes.window_starts_us(outcome, region))
 
 
 def allowances(outcome: Outcome, region: str) -> list[int]:
-    """Return a region's allowance in each poll, in thousandths."""
+    """Return the allowance of a region in each poll, in thousandths."""
     return [poll.status.capacities[0].allowance for poll in outcome.record.polls if poll.region == region]
 
 
 def allowance_changes(outcome: Outcome) -> int:
-    """Return how often an allowance differed between two polls."""
+    """Return how often the allowance of a region differed between two successive polls, summed over the regions."""
     return sum(
         before != after for region in REGIONS for before, after in itertools.pairwise(allowances(outcome, region))
     )
 
 
 def claims(outcome: Outcome) -> list[Claim]:
-    """Return all claims of this experiment."""
+    """Return the claims of the experiment for a run."""
     accepted = outcomes.accepted_requests(outcome)
     final_total = sum(allowances(outcome, region)[-1] for region in REGIONS)
     agreed_total = outcome.agreement.max_unavailable(accepted[0].request.service)
@@ -85,7 +85,7 @@
 
 
 def perform(trial: TrialConfig) -> Measurement:
-    """Run one trial. Raises HarnessError."""
+    """Run one trial of the experiment. Raises HarnessError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
     planned = [reschedule(request) for request in draw_requests(world, trial.seed) if request.valid]
     scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, partition_and_heal, trial.seeded_fault, relayed=True)
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -1,7 +1,7 @@
-"""The emulator's discovery and converters, with a control socket by which agents stop and start converters.
+"""Runs the emulator's discovery and converters with a control socket, through which agents stop and start converters.
 
-The harness starts it as `python -m ryepier.experiments.maintenance.fleet_process PLAN OUT`. Each step that is done is
-written to a journal beside OUT, from which the experiments derive their claims.
+The harness starts each process as `python -m ryepier.experiments.maintenance.fleet_process PLAN OUT`. Every step that
+was performed is written to a journal next to OUT, from which the experiments derive their claims.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 CONTROL_PORT = 7600
 CONTROL_SUBNET = 251
-DISCOVERY_HOST, CONVERTERS_HOST = 1, 2  # in that subnet
-REJECTED = "refused"  # in the journal, in place of an action
+DISCOVERY_HOST, CONVERTERS_HOST = 1, 2  # last part of the addresses in `CONTROL_SUBNET`
+REJECTED = "refused"  # stands in place of the action in the journal
 JOURNAL_SUFFIX = ".journal"
 Handler = Callable[[FleetCall], Awaitable[FleetReply]]
 
 
 class JournalLine(msgspec.Struct, frozen=True):
-    """A step on a converter, done or rejected; `at_us` on the machine's monotonic clock."""
+    """A step on a converter, performed or rejected. `at_us` is a time of the machine's monotonic clock."""
 
     at_us: int
     action: str
@@ -46,37 +46,37 @@
 
 
 def discovery_control_address(plan: Plan) -> Address:
-    """Return the address at which agents reach discovery."""
+    """Return the address of the control socket of discovery."""
     return Address(f"127.{plan.network}.{CONTROL_SUBNET}.{DISCOVERY_HOST}", CONTROL_PORT)
 
 
 def converters_control_address(plan: Plan) -> Address:
-    """Return the address at which agents reach the converters' processes."""
+    """Return the address of the control socket of the converters."""
     return Address(f"127.{plan.network}.{CONTROL_SUBNET}.{CONVERTERS_HOST}", CONTROL_PORT)
 
 
 def first_uid(index: int) -> str:
-    """Return the uid of a converter's first incarnation, which is its name."""
+    """Return the uid of a converter's first incarnation, which is also the converter's name."""
     return f"c-{index:04x}"
 
 
 class ControlServer:
-    """Serves agents' calls, rejects old tokens, and writes the journal."""
+    """Serves the calls of agents, rejects calls with outdated fencing tokens, and writes the journal."""
 
     def __init__(self, address: Address, journal: Path, handlers: dict[Action, Handler]) -> None:
-        """Serve the actions that have a handler."""
+        """Serve calls on `address` with the handler of their action; the server does not listen until `start`."""
         self.address = address
         self.journal = journal
         self.handlers = handlers
         self.tokens = FencingTokens()
 
     async def start(self) -> None:
-        """Begin the journal and listen. Raises OSError."""
+        """Create an empty journal and listen. Raises OSError."""
         self.journal.write_bytes(b"")
         await asyncio.start_server(self._serve, *self.address)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve the one call of a connection."""
+        """Serve a connection, which carries a single call."""
         try:
             call = msgspec.msgpack.decode(await read_message(reader), type=FleetCall)
             write_message(writer, await self._handle_call(call))
@@ -86,7 +86,7 @@
             writer.close()
 
     async def _handle_call(self, call: FleetCall) -> FleetReply:
-        """Carry a call out, unless its token is old."""
+        """Perform a call and return its reply. Reject the call if its token is outdated."""
         rejection = self.tokens.rejection_reason(call)
         if rejection:
             self.record(REJECTED, call)
@@ -94,17 +94,17 @@
         return await self.handlers[call.action](call)
 
     def record(self, action: str, call: FleetCall) -> None:
-        """Write a step to the journal."""
+        """Append a step to the journal."""
         line = JournalLine(monotonic_us(), action, call.converter, call.token)
         with self.journal.open("ab") as file:
             file.write(msgspec.json.encode(line) + b"\n")
 
 
 class ControlledConverters(converters.ConverterRole):
-    """Converters that agents stop and start."""
+    """The emulator's converters, which agents can stop and start."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Begin with the first incarnation of each converter."""
+        """Start with the first incarnation of each converter as the current one, all of them running."""
         super().__init__(plan, clock, timeline)
         self.current_instances = {instance.uid: instance for instance in self.instances}
         self.incarnations = dict.fromkeys(self.current_instances, 0)
@@ -120,12 +120,12 @@
         )
 
     async def start(self) -> None:
-        """Start, with the control socket. Raises OSError."""
+        """Start the converters and the control server. Raises OSError."""
         await super().start()
         await self.control_server.start()
 
     async def stop_converter(self, call: FleetCall) -> FleetReply:
-        """Stop a converter that is running."""
+        """Stop a converter; do nothing if it is already stopped."""
         if call.converter in self.running:
             self.running.discard(call.converter)
             self.servers[self.current_instances[call.converter].index].stop()
@@ -133,7 +133,7 @@
         return FleetReply()
 
     async def start_next_incarnation(self, call: FleetCall) -> FleetReply:
-        """Start a stopped converter's next incarnation, not warmed up, at an address of its own."""
+        """Start the next incarnation of a stopped converter, cold and at a new address, and reply with its uid."""
         name = call.converter
         if name not in self.running:
             old_instance = self.current_instances[name]
@@ -149,15 +149,15 @@
         return FleetReply(uid=self.current_instances[name].uid)
 
     async def count_in_flight(self, call: FleetCall) -> FleetReply:
-        """Reply with the number of requests that a converter has not answered."""
+        """Reply with the number of requests that a converter has not answered yet."""
         return FleetReply(in_flight=len(self.servers[self.current_instances[call.converter].index].in_flight))
 
 
 class ControlledDiscovery(discovery.DiscoveryRole):
-    """Discovery that lists converters as agents request."""
+    """The emulator's discovery, whose list of converters agents can change."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Begin with the first incarnation of each converter."""
+        """Start with the first incarnation of each converter listed."""
         super().__init__(plan, clock, timeline)
         self.current_instances = {instance.uid: instance for instance in timeline.instances}
         self.random = draws.stream(plan.seed, "maintenance notices")
@@ -172,23 +172,23 @@
         )
 
     async def start(self) -> None:
-        """Start, with the control socket. Raises OSError."""
+        """Start discovery and the control server. Raises OSError."""
         await super().start()
         await self.control_server.start()
 
     async def drain_converter(self, call: FleetCall) -> FleetReply:
-        """List a converter as draining."""
+        """Mark a converter as draining in the endpoint list."""
         self.control_server.record(Action.DRAIN, call)
         await self._notify_all(self.current_instances[call.converter], ListState.LEAVING)
         return FleetReply()
 
     async def remove_converter(self, call: FleetCall) -> FleetReply:
-        """Remove a converter from the list."""
+        """Remove a converter from the endpoint list."""
         await self._notify_all(self.current_instances[call.converter], ListState.LEFT)
         return FleetReply()
 
     async def list_converter(self, call: FleetCall) -> FleetReply:
-        """List a converter's new incarnation as ready."""
+        """Add the new incarnation of a converter to the endpoint list as ready."""
         old_instance = self.current_instances[call.converter]
         incarnation = int(call.uid.rpartition(".")[2])
         converter_index = old_instance.index % self.plan.world.converter_count
@@ -201,7 +201,7 @@
         return FleetReply()
 
     async def _notify_all(self, instance: Instance, state: ListState) -> None:
-        """Notify each sidecar's agent after a delay of its own; return once all are notified."""
+        """Notify the discovery agent of each sidecar after a random delay, and return when all are notified."""
         unix_run_start_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
         entry = discovery.list_entry(self.plan, instance, state, unix_run_start_ms)
         step = Step(self.clock.now_us(), TargetKind.DISCOVERY, 0, FaultAction.NOTIFY, uid=instance.uid, state=state)
@@ -217,7 +217,7 @@
 
 
 def main() -> None:
-    """Run one process of the emulator."""
+    """Run the emulator process of the plan, with controlled converters and discovery."""
     role.ROLES["converters"] = ControlledConverters
     role.ROLES["discovery"] = ControlledDiscovery
     role.main()
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -1,4 +1,4 @@
-"""`maintenance-kill`: leaders killed at each step of a lease, a whole region killed, a torn file, an empty disk."""
+"""`maintenance-kill`: kills leaders at each step of a lease and a whole region; tears a file and empties a disk."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 MAX_UNAVAILABLE = 6
 MIN_ALLOWANCE = 2
-DEADLINE_MS = 60_000  # long, as the faults are the subject here
+DEADLINE_MS = 60_000  # long, because this experiment tests recovery from faults and not deadlines
 MAX_NEXT_GRANT_S = 5.0
 KILL_STATES = (LeaseState.GRANTED, LeaseState.DRAINING, LeaseState.RETURNING)
 FIRST_KILL_AT_S = 2.0
@@ -31,7 +31,7 @@
 DOWN_S = 0.5
 REGION_KILL_AT_S = 4.0
 EMPTY_DISK_AT_S = 9.0
-STATE_TIMEOUT_S = 3.0  # for a lease to reach the state at which its leader is to be killed
+STATE_TIMEOUT_S = 3.0  # how long to wait for a lease to reach the state in which its leader is killed
 STATE_POLL_INTERVAL_S = 0.01
 CONNECT_INTERVAL_S = 0.02
 TORN_WRITE = b"\0\0\1\x2c\x77\x77"
@@ -39,43 +39,43 @@
 
 
 async def kill_leaders(harness: MaintenanceHarness) -> None:
-    """North: for each state, kill the leader as soon as it reports a lease in it."""
+    """Kill and restart the north region's leader once for each state, as soon as it reports a lease in that state."""
     await harness.wait_until(FIRST_KILL_AT_S)
     for state in KILL_STATES:
         leader = await _wait_for_leader(harness, NORTH, partial(_has_lease_in_state, state))
         harness.kill_coordinators(leader)
-        _record_majority(harness, NORTH)  # the two others are a majority
+        _record_majority(harness, NORTH)  # the two remaining replicas are a majority
         await asyncio.sleep(DOWN_S)
         harness.start_coordinator(leader)
         await asyncio.sleep(KILL_INTERVAL_S)
 
 
 def _record_majority(harness: MaintenanceHarness, region: str) -> None:
-    """Record that a region has a majority from now on, after a fault."""
+    """Record that a region has a majority again, as of now."""
     harness.record.majorities_restored.append(MajorityRestored(region, monotonic_us()))
 
 
 def _has_lease_in_state(state: LeaseState, status: StatusReply) -> bool:
-    """Return whether a region has a lease in this state."""
+    """Return whether a status has a lease in the given state."""
     return any(lease.state is state for lease in status.leases)
 
 
 class NewDrain:
-    """A condition on statuses: a lease is draining that was not draining in the status before."""
+    """A condition on successive statuses: a lease is draining that was not draining in the previous status."""
 
     def __init__(self) -> None:
-        """Begin without a status."""
+        """Start without a previous status, so that the condition does not hold for the first one."""
         self.draining: set[str] | None = None
 
     def __call__(self, status: StatusReply) -> bool:
-        """Return whether this status shows a new drain."""
+        """Return whether a lease started to drain since the previous status, and remember this status."""
         draining = {lease.name for lease in status.leases if lease.state is LeaseState.DRAINING}
         previously_draining, self.draining = self.draining, draining
         return previously_draining is not None and bool(draining - previously_draining)
 
 
 async def _wait_for_leader(harness: MaintenanceHarness, region: str, condition: Callable[[StatusReply], bool]) -> str:
-    """Return the leader once a condition holds, or after STATE_TIMEOUT_S."""
+    """Wait until a condition holds, at most `STATE_TIMEOUT_S`, and return the leader then. Raises CallError."""
     client = harness.client(region)
     timeout_at_us = monotonic_us() + int(STATE_TIMEOUT_S * 1e6)
     try:
@@ -89,10 +89,10 @@
 
 
 async def kill_region(harness: MaintenanceHarness) -> None:
-    """South: kill all coordinators, restart one with a torn file; later restart one with an empty disk."""
+    """Kill and restart the south region's coordinators, one with a torn file; later empty the disk of a follower."""
     await harness.wait_until(REGION_KILL_AT_S)
     replicas = replica_names(SOUTH)
-    # a window has only just started, so that it is still open when the region is up again
+    # wait for a window that has just started, so that it is still open when the region has recovered
     await _wait_for_leader(harness, SOUTH, NewDrain())
     harness.kill_coordinators(*replicas)
     with (harness.coordinator_folder(replicas[0]) / storage.FILE_NAME).open("ab") as file:
@@ -106,7 +106,7 @@
 
 
 async def _restart_with_empty_disk(harness: MaintenanceHarness) -> None:
-    """South: kill a follower and restart it without its files."""
+    """Kill a follower of the south region, delete its files and restart it."""
     leader = await harness.leader(SOUTH)
     follower = next(name for name in replica_names(SOUTH) if name != leader)
     harness.kill_coordinators(follower)
@@ -116,7 +116,7 @@
 
 
 async def _wait_for_majority(harness: MaintenanceHarness, region: str) -> None:
-    """Wait until a majority of a region's coordinators accepts connections."""
+    """Wait until a majority of a region's coordinators has accepted a connection."""
     addresses = harness.addresses(region)
     listening: set[str] = set()
     while len(listening) <= len(addresses) // 2:
@@ -131,20 +131,20 @@
 
 
 async def inject_faults(harness: MaintenanceHarness) -> None:
-    """Inject the faults of both regions at once."""
+    """Inject the faults of both regions concurrently."""
     injectors: tuple[Callable[[MaintenanceHarness], Awaitable[None]], ...] = (kill_leaders, kill_region)
 
     async def inject(injector: Callable[[MaintenanceHarness], Awaitable[None]]) -> None:
         try:
             await injector(harness)
-        except CallError as error:  # there was no leader to kill: the claim on the number of faults fails
+        except CallError as error:  # no leader could be killed; the claim on the number of faults fails
             harness.fault_errors.append(str(error))
 
     await asyncio.gather(*(inject(injector) for injector in injectors))
 
 
 def next_grant_s(outcome: Outcome) -> list[float]:
-    """Return the time from each restored majority to the region's next grant, where there was one."""
+    """Return the seconds from each restored majority to the region's next grant, if one followed."""
     grant_delays_s = []
     for restored in outcome.record.majorities_restored:
         grants = outcomes.grants_us(outcome, replica_names(restored.region))
@@ -155,7 +155,7 @@
 
 
 def claims(outcome: Outcome) -> list[Claim]:
-    """Return all claims of this experiment."""
+    """Return the claims of the experiment for a run."""
     accepted = outcomes.accepted_requests(outcome)
     done = outcomes.done_requests(outcome)
     elections_by_region = [outcomes.elections_by_term(outcome, replica_names(region)) for region in REGIONS]
@@ -178,7 +178,7 @@
 
 
 def perform(trial: TrialConfig) -> Measurement:
-    """Run one trial. Raises HarnessError."""
+    """Run one trial of the experiment. Raises HarnessError."""
     world = load("maintenance")
     planned = [
         replace(request, deadline_in_ms=DEADLINE_MS) for request in draw_requests(world, trial.seed) if request.valid
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -1,4 +1,4 @@
-"""Runs a world with maintenance windows: coordinators of two regions, an agent for each, requests and faults."""
+"""Runs a world with maintenance windows: the coordinators and agents of two regions, maintenance requests, faults."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 POLL_INTERVAL_S = 0.25
 POLL_TIMEOUT_S = 1.0
 WORK_S = 0.5
-PLAN_FREEZE_S = 0.5  # of a run of seconds, where operators' plans are of hours
+PLAN_FREEZE_S = 0.5  # shorter than the default, because a run lasts seconds and not hours
 POLLS_FILE = "polls.json"
 
 
@@ -55,7 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """A request that operators submit `at_s` into the run; its times count from then. Invalid ones are rejected."""
+    """A maintenance request that is submitted `at_s` seconds into the run, with its other times relative to that.
+
+    The coordinators must reject it if it is not `valid`.
+    """
 
     name: str
     region: str
@@ -71,7 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmittedRequest:
-    """A request as it was submitted at `at_us`, and its result."""
+    """A request that was submitted, and its result.
+
+    `region_now_ms` is the region's time just before the submission, and `at_us` the time when the result was received.
+    """
 
     request: Request
     region_now_ms: int
@@ -81,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """The status that a region's leader reported between `sent_us` and `received_us`."""
+    """A status reply of a region's leader, requested at `sent_us` and received at `received_us`."""
 
     region: str
     sent_us: int
@@ -91,19 +97,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What runs beside the world's own load."""
+    """The maintenance and the faults of a run, in addition to the load of the world."""
 
     max_unavailable: int
-    min_allowance: int  # that a region keeps
+    min_allowance: int  # kept by a region when it gives allowance to the other one
     requests: Sequence[PlannedRequest]
     faults: InjectFaults | None = None
     seeded_fault: str = ""
-    relayed: bool = False  # the regions reach one another through relays
+    relayed: bool = False  # the regions communicate through relays
 
 
 @dataclass(frozen=True, slots=True)
 class MajorityRestored:
-    """From `at_us` on a majority of a region's coordinators was up, after a fault."""
+    """The time from which a majority of a region's coordinators was up after a fault."""
 
     region: str
     at_us: int
@@ -111,7 +117,7 @@
 
 @dataclass(slots=True)
 class HarnessRecord:
-    """What the harness observed of the coordinators, times on the machine's monotonic clock."""
+    """What the harness observed of the coordinators. Times are microseconds of the machine's monotonic clock."""
 
     submitted: list[SubmittedRequest] = field(default_factory=list)
     polls: list[Poll] = field(default_factory=list)
@@ -119,10 +125,10 @@
 
 
 class MaintenanceHarness(Harness):
-    """One run of a scenario."""
+    """Runs one scenario, with its coordinators and agents as processes in addition to those of the emulator."""
 
     def __init__(self, world: World, seed: int, folder: Path, scenario: Scenario) -> None:
-        """Write the agreements; nothing is started yet."""
+        """Write the agreement files to `folder`. No process is started yet."""
         super().__init__(world, seed, folder, RoleAssignment(role_module=ROLE_MODULE))
         self.scenario = scenario
         self.record = HarnessRecord()
@@ -139,7 +145,7 @@
         }
 
     def write_agreement(self, name: str, relayed_for: str | None) -> Path:
-        """Write one file of the agreement and return its path."""
+        """Write an agreement file and return its path. `relayed_for` is the region that uses relays, if any."""
         scenario = self.scenario
         path = self.folder / f"{name}.toml"
         path.write_text(
@@ -148,7 +154,7 @@
         return path
 
     def start_planners(self) -> None:
-        """Start the coordinators beside the planners, each with an empty log."""
+        """Start the planners, and the coordinators with empty logs."""
         super().start_planners()
         for region in REGIONS:
             for name in replica_names(region):
@@ -160,11 +166,11 @@
         return self.folder / name
 
     def coordinator_log(self, name: str) -> Path:
-        """Return the path of what a coordinator writes to its standard error."""
+        """Return the path of the file with a coordinator's standard output and standard error."""
         return self.folder / f"{name}.log"
 
     def start_coordinator(self, name: str, bootstrap: bool = False) -> None:
-        """Start a coordinator; it observes the converters through a sidecar's agent of its own."""
+        """Start a coordinator, which observes the converters through the discovery agent of one of the sidecars."""
         region = name.partition("-")[0]
         number = [replica for any_region in REGIONS for replica in replica_names(any_region)].index(name)
         host, port = self.plan.discovery_address(number % self.world.sidecars.count)
@@ -178,7 +184,7 @@
             self.coordinators[name] = subprocess.Popen(command, stdout=log, stderr=log)
 
     def kill_coordinators(self, *names: str) -> None:
-        """Kill coordinators with SIGKILL and wait for their end."""
+        """Kill coordinators with SIGKILL and wait until they have ended."""
         for name in names:
             self.coordinators[name].kill()
             self.coordinators[name].wait()
@@ -201,20 +207,20 @@
             self.agents[region] = subprocess.Popen(command, stdout=log, stderr=log)
 
     async def kill_all(self) -> None:
-        """End all processes, and write the polls."""
+        """Kill all processes, and write the polls to a file."""
         self.end_maintenance()
         (self.folder / POLLS_FILE).write_bytes(msgspec.json.encode(self.record.polls))
         await super().kill_all()
 
     def end_maintenance(self) -> None:
-        """End the agents and the coordinators."""
+        """Kill the agents and the coordinators that are still running."""
         for process in (*self.agents.values(), *self.coordinators.values()):
             if process.poll() is None:
                 process.kill()
                 process.wait()
 
     async def run_schedule(self) -> None:
-        """Run the world's own steps, the agents, the requests and the faults, until the world's end."""
+        """Run the schedule of the world, the agents, the requests and the faults until the end of the run."""
         for region in REGIONS:
             self.start_agent(region)
         if self.scenario.relayed:
@@ -232,7 +238,7 @@
         self.end_maintenance()
 
     async def start_relays(self) -> None:
-        """Start a relay before each coordinator."""
+        """Start a relay in front of each coordinator. Raises OSError."""
         for region in REGIONS:
             for number, _ in enumerate(replica_names(region)):
                 listen, target = (
@@ -248,7 +254,7 @@
         await asyncio.sleep(max(0.0, at_s - self.clock.now_us() / 1e6))
 
     def addresses(self, region: str) -> Addresses:
-        """Return the addresses of a region's coordinators."""
+        """Return the addresses of a region's coordinators by replica name."""
         return replica_addresses(self.agreement, region)
 
     def client(self, region: str) -> RegionClient:
@@ -256,7 +262,7 @@
         return RegionClient(region, self.addresses(region), "operator", ClientKind.OPERATOR)
 
     async def submit_requests(self, region: str) -> None:
-        """Submit the requests of a region, each at its time. Raises CallError."""
+        """Submit the requests of a region at their times. Raises CallError."""
         client = self.client(region)
         region_requests = [planned for planned in self.scenario.requests if planned.region == region]
         for planned in sorted(region_requests, key=lambda planned: planned.at_s):
@@ -278,7 +284,7 @@
         client.close()
 
     async def poll_status(self, region: str) -> None:
-        """Request a region's status again and again, until cancelled."""
+        """Request and record the status of a region periodically until cancelled."""
         client = self.client(region)
         while True:
             sent_us = monotonic_us()
@@ -290,7 +296,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def leader(self, region: str) -> str:
-        """Return a region's present leader. Raises CallError."""
+        """Return the name of a region's current leader. Raises CallError."""
         client = self.client(region)
         try:
             return (await client.status(CALL_TIMEOUT_S)).leader
@@ -298,7 +304,7 @@
             client.close()
 
     def journal(self) -> list[JournalLine]:
-        """Return the steps on converters in the order of time."""
+        """Return the journaled steps on converters in chronological order."""
         lines: list[JournalLine] = []
         for name in ("discovery-0", "converters-0"):
             path = self.folder / f"{name}.records{JOURNAL_SUFFIX}"
@@ -307,5 +313,5 @@
 
 
 async def _inject(harness: MaintenanceHarness, faults: InjectFaults) -> None:
-    """Inject a scenario's faults."""
+    """Await the faults of a scenario, as a coroutine for `create_task`, which does not accept other awaitables."""
     await faults(harness)
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of a run, from the converters' own journals, and the claims that all maintenance experiments share."""
+"""Derives the outcome of a run from the converters' own journals, and the claims common to maintenance experiments."""
 
 from __future__ import annotations
 
@@ -38,17 +38,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """The time for which a window had a converter out: from its drain until it was warm again."""
+    """The time for which maintenance windows had a converter out: from its drain until it was warm again.
+
+    `tokens` are the fencing tokens of the windows.
+    """
 
     converter: str
     start_us: int
-    warm_us: int  # FOREVER_US where it did not recover
+    warm_us: int  # FOREVER_US if it did not recover during the run
     tokens: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
 class UnleasedOutage:
-    """A poll, sent at `poll_us`, in which a converter that was out was under no lease."""
+    """A status poll, sent at `poll_us`, that showed no lease on a converter that was out."""
 
     converter: str
     poll_us: int
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One run, seen from all sides; times on the machine's monotonic clock."""
+    """All records of one run. Times are microseconds of the machine's monotonic clock."""
 
     world: World
     seed: int
@@ -65,11 +68,11 @@
     history: History
     record: HarnessRecord
     journal: Sequence[JournalLine]
-    run_start_us: int  # the start of the run
+    run_start_us: int
 
     @property
     def outages(self) -> list[Outage]:
-        """The outages of all windows."""
+        """The outages of all converters."""
         return list(outages(self.journal, round(self.world.warm_up.warm_up_s * 1e6)))
 
 
@@ -89,7 +92,7 @@
 
 
 def outages(journal: Sequence[JournalLine], warm_up_us: int) -> Iterator[Outage]:
-    """Yield the outages by converter, each ended by the first incarnation that became warm."""
+    """Yield the outages of each converter. An outage ends when an incarnation of the converter has become warm."""
     by_converter: dict[str, list[JournalLine]] = defaultdict(list)
     for line in journal:
         by_converter[line.converter].append(line)
@@ -98,7 +101,7 @@
 
 
 def _converter_outages(converter: str, lines: Sequence[JournalLine], warm_up_us: int) -> Iterator[Outage]:
-    """Yield the outages of one converter."""
+    """Yield the outages of one converter, whose journal lines are in chronological order."""
     start_us: int | None = None
     warm_us = FOREVER_US
     tokens: set[int] = set()
@@ -117,7 +120,7 @@
 
 
 def capacity_changes(window_outages: Sequence[Outage]) -> Iterator[CapacityChange]:
-    """Yield outages as the judge of the agreement takes them."""
+    """Yield the capacity changes of outages, for the check of the agreement."""
     for outage in window_outages:
         yield CapacityChange(outage.start_us // 1000, outage.converter, FULL_SHARE, planned=True)
         if outage.warm_us < FOREVER_US:
@@ -125,7 +128,7 @@
 
 
 def common_claims(outcome: Outcome) -> list[Claim]:
-    """Return the claims on the agreement, on the sidecars' rules, and that the emulator kept up."""
+    """Return the claims on the emulator's lateness, the rules, the agreed capacity and the service level."""
     breaches = judge.find_breaches(outcome.world, outcome.history)
     operations = figures.group_operations(outcome.world, outcome.history.client_attempts)
     contract_run = contract.Run(outcome.world, outcome.seed, outcome.history, operations, breaches, outcome.folder)
@@ -139,7 +142,7 @@
 
 
 def lease_claims(outcome: Outcome) -> list[Claim]:
-    """Return the claims that every outage was under one lease."""
+    """Return the claims that every outage was covered by exactly one lease."""
     unleased, doubly_leased = unleased_outages(outcome), doubly_leased_outages(outcome)
     return [
         Claim("polls in which a converter that was out was under no lease", len(unleased), "==", 0),
@@ -148,7 +151,7 @@
 
 
 def common_figures(outcome: Outcome) -> dict[str, float]:
-    """Return the figures that all runs report."""
+    """Return the figures that all maintenance experiments report."""
     all_outages = outcome.outages
     durations_s = sorted(
         (outage.warm_us - outage.start_us) / 1e6 for outage in all_outages if outage.warm_us < FOREVER_US
@@ -164,7 +167,7 @@
 
 
 def _max_concurrent_outages(all_outages: Sequence[Outage]) -> int:
-    """Return the greatest number of converters that were out together."""
+    """Return the maximum number of converters that were out at the same time."""
     edges = sorted([(outage.start_us, 1) for outage in all_outages] + [(outage.warm_us, -1) for outage in all_outages])
     highest = current = 0
     for _, step in edges:
@@ -179,7 +182,7 @@
 
 
 def done_requests(outcome: Outcome) -> list[SubmittedRequest]:
-    """Return the accepted requests that were done by the end of the run."""
+    """Return the accepted requests whose converters were all warm again at the end of the run."""
     return [
         submitted
         for submitted in accepted_requests(outcome)
@@ -188,7 +191,7 @@
 
 
 def done_us(outcome: Outcome, converters: Sequence[str]) -> int:
-    """Return when the last of these converters was warm after its first outage; FOREVER_US where one never was."""
+    """Return when all of these converters were warm after their first outages, or FOREVER_US if one never was."""
     first_warm_us: dict[str, int] = {}
     for outage in sorted(outcome.outages, key=lambda outage: outage.start_us):
         first_warm_us.setdefault(outage.converter, outage.warm_us)
@@ -196,7 +199,7 @@
 
 
 def unleased_outages(outcome: Outcome) -> list[UnleasedOutage]:
-    """Return the polls without a lease on a converter that was out, by its own journal, all through the poll."""
+    """Return the polls without a lease on a converter that, by its own journal, was out during the whole poll."""
     unleased = []
     for poll in outcome.record.polls:
         leased = {name for lease in poll.status.leases for name in lease.unavailable}
@@ -209,31 +212,31 @@
 
 
 def doubly_leased_outages(outcome: Outcome) -> list[Outage]:
-    """Return the outages in which more than one lease had the converter."""
+    """Return the outages of converters that more than one lease had out."""
     return [outage for outage in outcome.outages if len(outage.tokens) > 1]
 
 
 def window_starts_us(outcome: Outcome, region: str) -> list[int]:
-    """Return when a region's windows started, by the drain of each converter."""
+    """Return the start times of a region's windows, taken from the drains of its converters, sorted."""
     converters = outcome.agreement.converters
     return sorted(outage.start_us for outage in outcome.outages if converters[outage.converter].region == region)
 
 
 def elections_by_term(outcome: Outcome, replicas: Sequence[str]) -> Mapping[int, int]:
-    """Return how often these replicas became the leader of each term."""
+    """Return how often one of these replicas became the leader, by term."""
     return coordinator_logs.elections_by_term(_log_paths(outcome, replicas))
 
 
 def repeated_candidacies(outcome: Outcome, replicas: Sequence[str]) -> int:
-    """Return how often one of these replicas was a candidate in a term that it had been in before."""
+    """Return how often one of these replicas became a candidate in a term that it had already entered."""
     return coordinator_logs.repeated_candidacies(_log_paths(outcome, replicas))
 
 
 def grants_us(outcome: Outcome, replicas: Sequence[str]) -> list[int]:
-    """Return when these replicas granted leases, on the machine's monotonic clock."""
+    """Return the times at which these replicas granted leases, in µs of the monotonic clock, sorted."""
     return coordinator_logs.grants_us(_log_paths(outcome, replicas))
 
 
 def _log_paths(outcome: Outcome, replicas: Sequence[str]) -> list[Path]:
-    """Return the paths of coordinators' logs."""
+    """Return the paths of the coordinators' logs."""
     return [outcome.folder / f"{name}.log" for name in replicas]
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -1,4 +1,4 @@
-"""`maintenance-overlap`: 30 requests that overlap, some of them invalid, and no faults."""
+"""`maintenance-overlap`: submits 30 overlapping requests, some of them invalid, without faults."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 from ryepier.maintenance.problem import Job, SchedulingProblem
 
 MAX_UNAVAILABLE = 8
-MIN_ALLOWANCE = 3  # of 4: with less, the region that asks first would get most
-VALID_PER_REGION = 12  # requests, of one converter each
+MIN_ALLOWANCE = 3  # of an allowance of 4; with less, the region that requests first would get most of the capacity
+VALID_PER_REGION = 12  # requests, each for one converter
 MIN_UTILISATION = 0.8
-DURATION_MS = 2_500  # of one converter; an agent needs less, so that its release may be a little late
+DURATION_MS = 2_500  # of the window of one converter; an agent needs less, which leaves time for a late release
 LAST_SUBMISSION_S = 5.0
 MAX_EARLIEST_MS = 2_000
-DEADLINE_RANGE_MS = (15_000, 17_000)  # from the submission on
-TOO_SHORT_DEADLINE_MS = 3_000  # less than one window takes
+DEADLINE_RANGE_MS = (15_000, 17_000)  # counted from the submission
+TOO_SHORT_DEADLINE_MS = 3_000  # shorter than one window
 UNKNOWN_CONVERTER = "c-none"
 
 
 def draw_requests(world: World, seed: int) -> list[PlannedRequest]:
-    """Draw the requests: for each region one for each of its converters, and three that are invalid."""
+    """Draw `VALID_PER_REGION` valid requests, each for one converter, and three invalid requests for each region."""
     random = draws.stream(seed, "maintenance requests")
     planned: list[PlannedRequest] = []
     for region in REGIONS:
@@ -50,7 +50,7 @@
 
 
 def _draw_request(random: np.random.Generator, name: str, region: str, converters: tuple[str, ...]) -> PlannedRequest:
-    """Draw a valid request."""
+    """Draw the times and the priority of a valid request."""
     return PlannedRequest(
         name=name,
         region=region,
@@ -65,7 +65,7 @@
 
 
 def _invalid_requests(region: str, converters: Sequence[str]) -> list[PlannedRequest]:
-    """Return requests with too little time, with a converter of another request, and with an unknown converter."""
+    """Return requests with too little time, with the same converter twice, and with an unknown converter."""
     latest_ms = DEADLINE_RANGE_MS[1]
     return [
         _invalid_request(region, "no-time", (converters[0],), TOO_SHORT_DEADLINE_MS),
@@ -75,7 +75,7 @@
 
 
 def _invalid_request(region: str, name: str, converters: tuple[str, ...], deadline_ms: int) -> PlannedRequest:
-    """Return an urgent request that has to be rejected."""
+    """Return an urgent request that the coordinators must reject."""
     return PlannedRequest(
         name=f"{region}-{name}",
         region=region,
@@ -91,19 +91,19 @@
 
 
 def late_requests(outcome: Outcome) -> list[SubmittedRequest]:
-    """Return accepted requests whose converters were not all warm again by the deadline."""
+    """Return the accepted requests whose converters were not all warm again by the deadline."""
     return [submitted for submitted in outcomes.accepted_requests(outcome) if not _met_deadline(outcome, submitted)]
 
 
 def _met_deadline(outcome: Outcome, submitted: SubmittedRequest) -> bool:
-    """Return whether a request was done by its deadline, which counts from its submission."""
+    """Return whether a request was done by its deadline, which is counted from its submission."""
     allowed_ms = submitted.request.deadline_ms - submitted.region_now_ms
     deadline_us = submitted.at_us + allowed_ms * 1000
     return outcomes.done_us(outcome, submitted.request.converters) <= deadline_us
 
 
 def utilisation(outcome: Outcome) -> float:
-    """Return the work done by the deadlines over that of the best plan for requests known from the beginning."""
+    """Return the work done in time, divided by that of the best plan with all requests known from the start."""
     best_work = done_work = 0
     for region in REGIONS:
         problem = _problem(outcome, region)
@@ -116,7 +116,7 @@
 
 
 def _problem(outcome: Outcome, region: str) -> SchedulingProblem:
-    """Return the region's accepted requests under its initial allowance."""
+    """Return the problem of scheduling the region's accepted requests under its initial allowance."""
     agreement = outcome.agreement
     ledger = Ledger(agreement, region)
     jobs = []
@@ -134,7 +134,7 @@
 
 
 def claims(outcome: Outcome, planned: Sequence[PlannedRequest]) -> list[Claim]:
-    """Return all claims of this experiment."""
+    """Return the claims of the experiment for a run."""
     accepted = outcomes.accepted_requests(outcome)
     return [
         *outcomes.common_claims(outcome),
@@ -147,7 +147,7 @@
 
 
 def perform(trial: TrialConfig) -> Measurement:
-    """Run one trial. Raises HarnessError."""
+    """Run one trial of the experiment. Raises HarnessError."""
     world = load("maintenance")
     planned = draw_requests(world, trial.seed)
     scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, seeded_fault=trial.seeded_fault)
--- a/ryepier/experiments/maintenance/relay.py
+++ b/ryepier/experiments/maintenance/relay.py
@@ -1,4 +1,4 @@
-"""A relay between regions that can partition them, and delay, duplicate and reorder frames."""
+"""A relay between regions that can partition them, and that delays, duplicates and reorders frames."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from ryepier.maintenance.transport import LENGTH_BYTES, MAX_FRAME_BYTES
 
 DELAY_RANGE_S = (0.0, 0.25)
-DUPLICATED_FRACTION = 0.8  # of the frames
-DUPLICATE_DELAY_RANGE_S = (0.0, 1.5)  # after the first
+DUPLICATED_FRACTION = 0.8  # fraction of the calls that are sent twice
+DUPLICATE_DELAY_RANGE_S = (0.0, 1.5)  # after the first copy
 
 
 class Relay:
     """Relays the connections of callers in another region to one coordinator.
 
-    The first frame of a connection, its greeting, and replies are relayed as they are: a caller has one call out at a
-    time, so only calls can overtake one another.
+    Calls are delayed, some are duplicated, and they can overtake one another. The first frame of a connection, its
+    greeting, and all replies are relayed unchanged, because a caller has only one outstanding call at a time.
     """
 
     def __init__(self, listen: Address, target: Address, seed: int) -> None:
-        """Relay from `listen` to `target`; nothing is opened yet."""
+        """Relay from `listen` to `target` with random delays drawn from `seed`; it does not listen until `start`."""
         self.listen = listen
         self.target = target
         self.random = random.Random(seed)
@@ -34,11 +34,11 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen. Raises OSError."""
+        """Listen for connections. Raises OSError."""
         self.server = await asyncio.start_server(self._serve, *self.listen)
 
     def partition(self) -> None:
-        """Abort all connections, and accept none until `heal`."""
+        """Abort all connections, and abort new ones until `heal`."""
         self.is_partitioned = True
         for writer in list(self.writers):
             writer.transport.abort()
@@ -48,7 +48,7 @@
         self.is_partitioned = False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Relay one caller's connection."""
+        """Relay the connection of one caller."""
         if self.is_partitioned:
             writer.transport.abort()
             return
@@ -62,7 +62,7 @@
 
     @contextmanager
     def _track(self, *writers: asyncio.StreamWriter) -> Iterator[None]:
-        """Track both ends while they are open, and close both once one has ended."""
+        """Track both ends of a connection while they are open, and close both when one has ended."""
         self.writers.update(writers)
         try:
             yield
@@ -74,7 +74,7 @@
                 writer.close()
 
     async def _relay_calls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Relay the greeting at once, calls delayed, and some of them a second time."""
+        """Relay the greeting immediately and each call after a delay, some calls twice."""
         writer.write(await read_frame(reader))
         while True:
             frame = await read_frame(reader)
@@ -105,9 +105,9 @@
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
-    """Return one frame with its length. Raises EOFError, OSError."""
+    """Read one frame and return it with its length prefix. Raises EOFError, also if it is too long, and OSError."""
     length_prefix = await reader.readexactly(LENGTH_BYTES)
     length = int.from_bytes(length_prefix, "big")
     if length > MAX_FRAME_BYTES:
-        raise EOFError(f"a frame of {length} bytes")
+        raise EOFError(f"frame of {length} bytes is longer than the maximum")
     return length_prefix + await reader.readexactly(length)
--- a/ryepier/experiments/maintenance/seeded_coordinator.py
+++ b/ryepier/experiments/maintenance/seeded_coordinator.py
@@ -1,7 +1,7 @@
-"""A coordinator with one seeded fault.
+"""Runs a coordinator with a seeded fault.
 
-`python -m ryepier.experiments.maintenance.seeded_coordinator FAULT ARGUMENTS` is otherwise one that
-`ryepier maintenance serve ARGUMENTS` starts.
+Apart from the fault, `python -m ryepier.experiments.maintenance.seeded_coordinator FAULT ARGUMENTS` runs the same
+coordinator as `ryepier maintenance serve ARGUMENTS`.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 
 def command(seeded_fault: str) -> list[str]:
-    """Return the command line that starts a coordinator with this fault; without one, as operators do."""
+    """Return the command that starts a coordinator with this fault, or a normal one if `seeded_fault` is empty."""
     if not seeded_fault:
         return [sys.executable, "-B", "-m", "ryepier", "maintenance", "serve"]
     return [sys.executable, "-B", "-m", MODULE, seeded_fault]
 
 
 def main() -> None:
-    """Install the fault and serve."""
+    """Install the fault that the first argument names, and run the coordinator."""
     seeded_fault, *arguments = sys.argv[1:]
     coordinator.DEFAULT_COMPONENTS = SEEDED_FAULTS[seeded_fault]
-    # the command line is a layer above this one, so it is started as a program
+    # the command line belongs to a higher layer, which this module must not import
     sys.argv = ["ryepier", "maintenance", "serve", *arguments]
     runpy.run_module("ryepier", run_name="__main__")
 
