--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -160,15 +160,15 @@
 
 def measure_coverage(world: World, seed: int, history: History) -> Coverage:
     """Count the exposures of one run, which `world` and `seed` produced."""
-    built = timeline.build(world, seed)
-    uids = {instance.index: instance.uid for instance in built.instances}
+    fault_timeline = timeline.build(world, seed)
+    uids = {instance.index: instance.uid for instance in fault_timeline.instances}
     attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
     for attempt in history.converter_attempts:
         attempts[attempt.request_id].append(attempt)
     sent_us = [request.sent_us for request in history.client_attempts]
     lookback_us = int(DEADLINE_FACTOR * US_PER_MS * max(request_class.deadline_ms for request_class in world.classes))
     coverage = Coverage()
-    for step in built.steps:
+    for step in fault_timeline.steps:
         action = action_name(step)
         begin = bisect.bisect_left(sent_us, step.at_us - lookback_us)
         end = bisect.bisect_right(sent_us, step.at_us)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Configures the test run: lets the tests of KNOWN-RED.txt fail, and no others."""
+"""Configures pytest: only the tests that KNOWN-RED.txt lists may fail."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Register the plugin for KNOWN-RED.txt."""
+    """Register the plugin that applies KNOWN-RED.txt."""
     known_red_plugin.register(config)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""Reads KNOWN-RED.txt, the list of tests that may fail for now, and judges a test run by it.
+"""Reads KNOWN-RED.txt, the list of tests that may currently fail, and judges a test run by it.
 
-An entry has a line for each of FIELDS, and a blank line separates entries:
+An entry has one line for each of `FIELDS`. Blank lines separate entries:
 
     test: tests/test_selection.py::test_name[a, b]
     command: python -m pytest tests/test_selection.py
@@ -8,7 +8,7 @@
     seen: TimeoutError after 20 s in 2 of 5 runs
     issue: 26
 
-This module uses neither files nor pytest; `known_red_plugin.py` connects it to a run.
+This module neither reads files nor imports pytest; `known_red_plugin.py` connects it to a test run.
 """
 
 from __future__ import annotations
@@ -26,34 +26,34 @@
 
 
 class EntryError(ValueError):
-    """An entry that cannot be read."""
+    """An entry is invalid. The message completes a sentence that starts with the entry's number."""
 
 
 @dataclass(frozen=True)
 class Entry:
-    """A listed test."""
+    """A test that may fail, and what is known about its failure."""
 
     test: str
-    """Its pytest node id."""
+    """The pytest node id."""
     command: str
-    """Shows the failure, from the root of the repository."""
+    """A command that reproduces the failure when run from the root of the repository."""
     seed: str
-    """What the command was run with, or "none"."""
-    seen: str
-    issue: str
+    """The random seed of the command, or "none"."""
+    seen: str  # the observed failure
+    issue: str  # the number of the issue that tracks the failure
 
     def __str__(self) -> str:
-        """Return the entry on one line."""
+        """Return all fields on one line."""
         return "; ".join(f"{name}: {getattr(self, name)}" for name in FIELDS)
 
 
 @dataclass(frozen=True)
 class Listing:
-    """The content of the file."""
+    """The parsed content of KNOWN-RED.txt."""
 
     entries: Sequence[Entry]
     errors: Sequence[str]
-    """What cannot be read. A list with a fault lets no test fail."""
+    """Descriptions of invalid entries. A list with errors allows no test to fail."""
 
     @property
     def allowed_failures(self) -> frozenset[str]:
@@ -62,7 +62,7 @@
 
 
 class Ending(enum.Enum):
-    """How a listed test ended, with the text that the run prints."""
+    """How a listed test ended. The values are printed at the end of the run."""
 
     FAILED = "failed, as listed"
     PASSED = "passes: take its entry out"
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """What a run prints of the list at its end, and the faults that fail it."""
+    """The lines that a run prints about the list at its end, and the errors that make the run fail."""
 
     notes: Sequence[str]
     errors: Sequence[str]
 
 
 def parse_entry(lines: Iterable[str]) -> Entry:
-    """Parse the lines of one entry. Raises EntryError."""
+    """Parse the lines of one entry. Raises EntryError if a line, or the entry as a whole, is invalid."""
     values: dict[str, str] = {}
     for line in lines:
         name, _, value = line.partition(":")
@@ -101,7 +101,7 @@
 
 
 def parse(text: str) -> Listing:
-    """Parse the whole file."""
+    """Parse the text of KNOWN-RED.txt; entries that are invalid or repeated are returned as errors."""
     entries: list[Entry] = []
     errors: list[str] = []
     blocks = itertools.groupby(text.splitlines(), key=lambda line: bool(line.strip()))
@@ -119,7 +119,10 @@
 
 
 def is_requested(test: str, arguments: Collection[str]) -> bool:
-    """Return whether a run of these folders, files and tests, by their paths from the root, includes the test."""
+    """Return whether a run with these arguments includes a test.
+
+    `arguments` are folders, files and tests, with their paths relative to the root of the repository.
+    """
     return any(
         argument == "." or test == argument or test.startswith((argument + "/", argument + "::", argument + "["))
         for argument in arguments
@@ -135,8 +138,8 @@
 ) -> Verdict:
     """Judge a run that has ended.
 
-    `collected` are the tests found, `selected` those of them that were to run; `must_exist` returns whether the run had
-    to find a test.
+    `collected` are all tests that pytest collected, and `selected` are those that were not deselected. `endings` has
+    the listed tests that ran. `must_exist` returns whether the run should have collected a given test.
     """
     notes: list[str] = []
     errors = list(listing.errors)
--- a/tests/known_red_plugin.py
+++ b/tests/known_red_plugin.py
@@ -1,10 +1,11 @@
 """pytest plugin for KNOWN-RED.txt (see `known_red.py`).
 
-It lets the listed tests fail, prints them, and fails the run where the list does not hold.
+It allows the listed tests to fail, prints them, and fails the run if the list and the results disagree.
 
-It has two parts. `FailureMarker` is where tests run: in the process itself, or in each worker of pytest-xdist.
-`RunJudge` is in the process that prints: that same one, or the controller of the workers. What the first knows reaches
-the second in the user properties of test reports and in `workeroutput`, which pytest-xdist sends.
+The plugin has two parts. `FailureMarker` runs where the tests run: in the only process, or in each worker of
+pytest-xdist. `RunJudge` runs in the process that prints: the only process, or the controller of the workers.
+`FailureMarker` passes its results to `RunJudge` in the user properties of test reports and in `workeroutput`, both of
+which pytest-xdist sends to the controller.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def register(config: pytest.Config) -> None:
-    """Register the parts that this process needs, if there is a KNOWN-RED.txt."""
+    """Register the parts of the plugin that this process needs; do nothing without a KNOWN-RED.txt."""
     path = config.rootpath / known_red.FILE_NAME
     if not path.exists():
         return
@@ -36,7 +37,7 @@
 
 
 def read(path: Path) -> Listing:
-    """Read the list; what cannot be read is a fault of it."""
+    """Read the list. A file that cannot be read gives a list with an error and no entries."""
     try:
         return known_red.parse(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -44,21 +45,21 @@
 
 
 class FailureMarker:
-    """Reports the failure of a listed test as an expected one, and notes which tests were collected."""
+    """Reports failures of listed tests as expected failures, and records which tests were collected."""
 
     def __init__(self, listing: Listing, worker_output: dict[str, Any] | None, judge: RunJudge | None) -> None:
-        """Send to the controller through `worker_output`, or to the `judge` of the same process."""
+        """Start without collected tests. Only a worker has `worker_output`, and only other processes have a `judge`."""
         self.listing = listing
         self.worker_output = worker_output
         self.judge = judge
         self.collected: set[str] = set()
 
     def pytest_itemcollected(self, item: pytest.Item) -> None:
-        """Note a test, whether it is selected or not."""
+        """Record a collected test, even if it is deselected later."""
         self.collected.add(item.nodeid)
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        """Hand over the tests that were collected and, within one process, those that were selected."""
+        """Pass on the collected tests, and the selected tests too if the judge is in this process."""
         if self.worker_output is not None:
             listed = {entry.test for entry in self.listing.entries}
             self.worker_output[COLLECTED_KEY] = sorted(listed & self.collected)
@@ -66,11 +67,11 @@
             self.judge.collected |= self.collected
             self.judge.selected |= {item.nodeid for item in session.items}
 
-    @pytest.hookimpl(wrapper=True, tryfirst=True)  # outermost, so that the effect of skip and xfail marks is visible
+    @pytest.hookimpl(wrapper=True, tryfirst=True)  # the outermost wrapper sees the effect of skip and xfail marks
     def pytest_runtest_makereport(
         self, item: pytest.Item, call: pytest.CallInfo[None]
     ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-        """Add the ending to the report of a listed test, and turn its failure into an expected one."""
+        """Add the ending to the report of a listed test, and turn its failure into an expected failure."""
         report = yield
         ending = ending_of(report, call) if item.nodeid in self.listing.allowed_failures else None
         if ending is not None:
@@ -82,7 +83,7 @@
 
 
 def ending_of(report: pytest.TestReport, call: pytest.CallInfo[None]) -> Ending | None:
-    """Return how a test ended, as far as this phase tells."""
+    """Return how a test ended, or None if the report's phase (setup, call or teardown) does not decide it."""
     if report.skipped:
         return Ending.SKIPPED
     if report.when != "call":
@@ -95,10 +96,10 @@
 
 
 class RunJudge:
-    """Prints the list, gathers what came of its tests, and judges the run."""
+    """Prints the list, collects the endings of the listed tests, and judges the run."""
 
     def __init__(self, config: pytest.Config, listing: Listing) -> None:
-        """Start before the collection."""
+        """Start without any collected tests or endings, before pytest collects the tests."""
         self.config = config
         self.listing = listing
         self.collected: set[str] = set()
@@ -106,32 +107,32 @@
         self.endings: dict[str, Ending] = {}
 
     def pytest_sessionstart(self) -> None:
-        """Print the entries."""
+        """Print the entries of the list."""
         self._print([f"{known_red.FILE_NAME}: {entry}" for entry in self.listing.entries])
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, ids: list[str]) -> None:
-        """Note the tests that a worker has selected."""
+        """Record the tests that a worker has selected."""
         self.selected.update(ids)
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_testnodedown(self, node: Any) -> None:
-        """Note the listed tests that a worker has collected. One that crashed has sent nothing."""
+        """Record the listed tests that a worker has collected. A crashed worker has sent none."""
         self.collected.update(getattr(node, "workeroutput", {}).get(COLLECTED_KEY, ()))
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Note the ending of a listed test."""
+        """Record the ending of a listed test."""
         for name, value in report.user_properties:
             if name == ENDING_PROPERTY:
                 self.endings[report.nodeid] = Ending[str(value)]
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """Fail the run where the list does not hold."""
+        """Fail a passing run if the list and the results disagree."""
         if self._verdict().errors and session.exitstatus == pytest.ExitCode.OK:
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self) -> None:
-        """Print how the listed tests ended, and what fails the run."""
+        """Print how the listed tests ended, and the errors that fail the run."""
         verdict = self._verdict()
         self._print([f"{known_red.FILE_NAME}: {note}" for note in verdict.notes])
         self._print([f"{known_red.FILE_NAME} fails the run: {error}" for error in verdict.errors])
@@ -142,12 +143,12 @@
 
     def _must_exist(self, test: str) -> bool:
         if self.config.getoption("ignore") or self.config.getoption("ignore_glob"):
-            return False  # it may be in a file that is left out
+            return False  # the test may be in an ignored file
         is_whole_run = self.config.args_source is pytest.Config.ArgsSource.TESTPATHS
         return is_whole_run or known_red.is_requested(test, self._arguments())
 
     def _arguments(self) -> set[str]:
-        """Return what the run was called with, by its paths from the root."""
+        """Return the command-line arguments of the run, with paths relative to the root of the repository."""
         arguments = set()
         for argument in self.config.args:
             path, separator, test = argument.partition("::")
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,8 @@
-"""docs/ARCHITECTURE.md names only what exists, and no modules import each other in a circle."""
+"""Checks that the documentation matches the code, and that modules have no import cycles.
+
+The compared pages are docs/ARCHITECTURE.md (code references, names used outside the process, error boundaries) and
+docs/operate/logs.md (log lines).
+"""
 
 from __future__ import annotations
 
@@ -32,33 +36,33 @@
 
 
 def test_architecture_page_references_each_decision_module() -> None:
-    """A reader finds each concern of the decisions by its name."""
+    """Each concern of the decisions is a module of its own, and the page has a reference to it."""
     concerns = ("admission", "concurrency", "outlier_detection", "selection", "slow_start", "subsetting", "retries")
     missing = [concern for concern in concerns if f"`balancer.{concern}:" not in ARCHITECTURE_PAGE]
     assert missing == []
 
 
-MODULES = {
+MODULE_PATHS = {
     ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
     for path in (ROOT / "ryepier").rglob("*.py")
 }
 
 
 def imported_modules(text: str) -> set[str]:
-    """Return the modules of `MODULES` that a module imports anywhere, also under TYPE_CHECKING or in a function."""
+    """Return the modules of `MODULE_PATHS` that a source text imports, also under TYPE_CHECKING or in a function."""
     modules: set[str] = set()
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Import):
             modules |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
             assert node.level == 0 and node.module is not None, "imports are absolute"
-            submodules = {f"{node.module}.{alias.name}" for alias in node.names} & MODULES.keys()
+            submodules = {f"{node.module}.{alias.name}" for alias in node.names} & MODULE_PATHS.keys()
             modules |= submodules or {node.module}
-    return modules & MODULES.keys()
+    return modules & MODULE_PATHS.keys()
 
 
 def test_modules_have_no_import_cycles() -> None:
-    graph = {name: imported_modules(path.read_text()) - {name} for name, path in MODULES.items()}
+    graph = {name: imported_modules(path.read_text()) - {name} for name, path in MODULE_PATHS.items()}
     assert len(graph) >= 200 and sum(map(len, graph.values())) >= 500
     try:
         graphlib.TopologicalSorter(graph).prepare()
@@ -78,7 +82,7 @@
 
 
 def string_literals(text: str) -> Iterator[str]:
-    """Yield the strings of a module in lower case, also bytes and the parts of f-strings; not the docstrings."""
+    """Yield the string literals of a module in lower case, including bytes and parts of f-strings but no docstrings."""
     tree = ast.parse(text)
     documented_nodes = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
     docstrings = {
@@ -95,7 +99,7 @@
 
 
 def external_names_in(text: str) -> set[str]:
-    """Return the names of the table that a module holds as a string, or as a part of a path, query or header."""
+    """Return the external names that a module contains as a string literal or as part of a path, query or header."""
     names = set()
     for literal in string_literals(text):
         names.add(literal)
@@ -109,7 +113,7 @@
     missing = [
         (name, module)
         for name, module in EXTERNAL_NAME_ROWS
-        if name not in external_names_in(MODULES[f"ryepier.{module}"].read_text())
+        if name not in external_names_in(MODULE_PATHS[f"ryepier.{module}"].read_text())
     ]
     assert missing == []
 
@@ -118,7 +122,7 @@
     mapped = {(f"ryepier.{module}", name) for name, module in EXTERNAL_NAME_ROWS}
     occurrences = {
         (module, name)
-        for module, path in MODULES.items()
+        for module, path in MODULE_PATHS.items()
         if module.split(".")[1:2] and module.split(".")[1] in CHECKED_PACKAGES
         for name in external_names_in(path.read_text())
     }
@@ -137,7 +141,7 @@
 
 
 def functions_that_catch_everything(module: str, text: str) -> Iterator[str]:
-    """Yield the functions with a handler of Exception, BaseException or of anything."""
+    """Yield the functions that have an `except` clause for Exception, for BaseException or without a type."""
 
     def walk(node: ast.AST, path: tuple[str, ...]) -> Iterator[str]:
         for child in ast.iter_child_nodes(node):
@@ -156,7 +160,7 @@
 def test_catch_all_handlers_exist_only_at_listed_boundaries() -> None:
     catch_all_functions = {
         name
-        for module, path in MODULES.items()
+        for module, path in MODULE_PATHS.items()
         if module.split(".")[1:2] and module.split(".")[1] in CHECKED_PACKAGES
         for name in functions_that_catch_everything(module, path.read_text())
     }
@@ -170,7 +174,7 @@
 
 
 def possible_texts(argument: ast.expr, function: ast.AST) -> set[str]:
-    """Return the texts that an argument may be: a literal, one of two, or a variable that was set to one of these."""
+    """Return the possible texts of an argument: a literal, a conditional expression, or a variable set to these."""
     if isinstance(argument, ast.Constant):
         return {str(argument.value)}
     if isinstance(argument, ast.JoinedStr):
@@ -186,7 +190,7 @@
 
 
 def log_lines(text: str) -> set[tuple[str, str]]:
-    """Return the lines that a module logs, each with its level: of `log`, and of the balancer's own `self.log`."""
+    """Return the (text, level) pairs that a module logs through `log`, or through `self.log` in the balancer."""
     lines = set()
     for function in ast.walk(ast.parse(text)):
         if not isinstance(function, ast.FunctionDef | ast.AsyncFunctionDef):
@@ -202,13 +206,13 @@
 
 
 def test_log_page_lists_each_log_line_with_its_level() -> None:
-    # "%s" alone passes on a line of the decision module or an `UnservedLine`, which the page has too.
+    # a text of "%s" alone forwards a line of the decision module or an `UnservedLine`, which the page lists separately
     unserved_line = ("request {} {} after {} of {} ms: {}", "info")
     logged_lines = {unserved_line} | {
         line
-        for module, path in MODULES.items()
+        for module, path in MODULE_PATHS.items()
         if module.split(".")[1:2] and module.split(".")[1] in LOG_PACKAGES
         for line in log_lines(path.read_text())
     }
-    assert "UnservedLine" in MODULES["ryepier.sidecar.dispatcher"].read_text()
+    assert "UnservedLine" in MODULE_PATHS["ryepier.sidecar.dispatcher"].read_text()
     assert logged_lines - {("%s", "info")} == LOG_PAGE_ROWS
--- a/tests/test_conventions.py
+++ b/tests/test_conventions.py
@@ -1,4 +1,4 @@
-"""Conventions that the linter alone does not hold."""
+"""Checks conventions that the linter does not enforce."""
 
 from __future__ import annotations
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: which failures it allows, and what in it fails the run."""
+"""Tests of KNOWN-RED.txt: the failures that it allows, and the errors in it that fail the run."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Run:
-    """A pytest run that has ended."""
+    """The exit status and the output of a pytest run that has ended."""
 
     status: int
     output: str
@@ -61,13 +61,13 @@
 
 @dataclass(frozen=True)
 class Suite:
-    """A small suite of its own, run in one process or side by side."""
+    """A small test suite in its own folder, run in one process or by two workers."""
 
     folder: Path
     options: tuple[str, ...] = ()
 
     def run(self, listing: str | None, *arguments: str) -> Run:
-        """Run it with this KNOWN-RED.txt, or none."""
+        """Run the suite with this text as KNOWN-RED.txt, or without such a file if `listing` is None."""
         if listing is not None:
             (self.folder / known_red.FILE_NAME).write_text(listing)
         completed = subprocess.run(
@@ -83,7 +83,7 @@
 
 @pytest.fixture(params=[ONE_PROCESS, TWO_WORKERS], ids=["one process", "two workers"])
 def suite(tmp_path: Path, request: pytest.FixtureRequest) -> Suite:
-    """Write the suite."""
+    """Write the suite with the plugin and two test files."""
     tests = tmp_path / "tests"
     tests.mkdir()
     for name in PLUGIN_FILES:
@@ -97,7 +97,7 @@
 
 
 def entry_text(**changes: str | None) -> str:
-    """An entry for test_bad with some fields changed, or left out where None."""
+    """Return an entry for test_bad with some fields changed, or omitted if their value is None."""
     values = {
         "test": f"{TEST_FILE_PREFIX}test_bad",
         "command": "python -m pytest tests/test_a.py",
@@ -109,7 +109,7 @@
 
 
 def entry_for_test(test: str) -> str:
-    """An entry for a test of test_a.py."""
+    """Return an entry for a test of test_a.py."""
     return entry_text(test=TEST_FILE_PREFIX + test)
 
 
@@ -191,13 +191,13 @@
 
 @pytest.mark.parametrize(
     "suite", [ONE_PROCESS], indirect=True
-)  # side by side, what ran before the stop is left to chance
+)  # with two workers, the tests that run before the stop differ from run to run
 def test_listed_test_that_never_ran_fails_the_run(suite: Suite) -> None:
     run = suite.run(entry_for_test("test_each[x, y]"), "-x", "-k", "bad or each")
     assert run.status == 1 and f"{TEST_FILE_PREFIX}test_each[x, y]: did not run to its end" in run.output
 
 
-@pytest.mark.parametrize("suite", [TWO_WORKERS], indirect=True)  # the only process would end with it
+@pytest.mark.parametrize("suite", [TWO_WORKERS], indirect=True)  # in a single process, the whole run would end
 def test_listed_test_that_ends_its_worker_fails_the_run(suite: Suite) -> None:
     run = suite.run(entry_for_test("test_crashing"), "-k", "crashing or good")
     assert run.status == 1 and f"fails the run: {TEST_FILE_PREFIX}test_crashing: did not run to its end" in run.output
@@ -254,7 +254,7 @@
 
 
 def test_ci_status_depends_only_on_pytest() -> None:
-    """CI calls the whole run, which asks pytest for all tests, in two groups."""
+    """CI runs `make test`, which runs all tests with pytest in two groups and exits with a status from pytest."""
     assert "make --no-print-directory test" in (TESTS.parent / ".ci/run").read_text().splitlines()
     script_lines = (TESTS / "check.sh").read_text().splitlines()
     first_line = script_lines.index("status=0")
--- a/tests/test_maintenance_outcome.py
+++ b/tests/test_maintenance_outcome.py
@@ -1,4 +1,4 @@
-"""What the experiments derive from journals and logs: outages, elections, repeated candidacies, grants."""
+"""Tests of what the maintenance experiments derive from journals and logs: outages, elections, candidacies, grants."""
 
 from __future__ import annotations
 
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -1,4 +1,4 @@
-"""Worlds in simulation: the same history each time, planted mistakes found, and a find cut down to what matters."""
+"""Tests of the simulation: histories are reproducible, the search finds seeded faults, and findings are reduced."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def test_history_does_not_depend_on_the_hash_seed() -> None:
-    """With planners, slices, GraphQL and the guard in some of them."""
+    """Some of these worlds have planners, EndpointSlices, GraphQL clients and the guard against retry storms."""
     code = (
         "from ryepier.experiments.simulation import random_worlds, search\nfrom ryepier.emulator import simulated\n"
         "for seed in (2, 3, 9, 343): "
@@ -82,7 +82,7 @@
 
 
 def test_finding_is_saved_loaded_and_shrunk(tmp_path: Path) -> None:
-    # in processes of their own, as a plant stays
+    # in worker processes, because an installed fault cannot be removed
     finding = next(
         result.finding for result in search.search(range(4, 6), "keep-after-time-out", processes=2) if result.finding
     )
@@ -128,7 +128,7 @@
         path.name for path in tmp_path.glob("sidecar-*.log") if "following plans of" in path.read_text()
     ]
     assert len(following_sidecars) == 6
-    assert "leads, epoch" in (tmp_path / "planner-1.log").read_text()  # the other took over
+    assert "leads, epoch" in (tmp_path / "planner-1.log").read_text()  # planner 1 took over from the killed planner
 
 
 def test_exception_logged_by_a_sidecar_fails_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -173,7 +173,7 @@
     assert set(judge.RULES) >= set(summary["breaches"])
 
 
-# What was tried
+# Coverage
 
 
 def test_request_state_is_derived_from_its_records() -> None:
