--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -46,7 +46,7 @@
 POLL_INTERVAL_S = 0.25
 POLL_TIMEOUT_S = 1.0
 WORK_S = 0.5
-PLAN_FREEZE_S = 0.5  # shorter than the default, because a run lasts seconds and not hours
+PLAN_FREEZE_S = 0.5  # shorter than the default, because a run lasts seconds while operators' plans span hours
 POLLS_FILE = "polls.json"
 
 
@@ -250,7 +250,7 @@
                 self.relays.append(relay)
 
     async def wait_until(self, at_s: float) -> None:
-        """Wait until `run_s` seconds into the run."""
+        """Wait until `at_s` seconds after the start of the run."""
         await asyncio.sleep(max(0.0, at_s - self.clock.now_us() / 1e6))
 
     def addresses(self, region: str) -> Addresses:
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -169,11 +169,11 @@
 def _max_concurrent_outages(all_outages: Sequence[Outage]) -> int:
     """Return the maximum number of converters that were out at the same time."""
     edges = sorted([(outage.start_us, 1) for outage in all_outages] + [(outage.warm_us, -1) for outage in all_outages])
-    highest = current = 0
-    for _, step in edges:
-        current += step
-        highest = max(highest, current)
-    return highest
+    max_out = currently_out = 0
+    for _, change in edges:
+        currently_out += change
+        max_out = max(max_out, currently_out)
+    return max_out
 
 
 def accepted_requests(outcome: Outcome) -> list[SubmittedRequest]:
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -37,7 +37,7 @@
 
 
 def draw_requests(world: World, seed: int) -> list[PlannedRequest]:
-    """Draw `VALID_PER_REGION` valid requests, each for one converter, and three invalid requests for each region."""
+    """Draw the requests of each region: `VALID_PER_REGION` valid ones, for one converter each, and three invalid ones."""
     random = draws.stream(seed, "maintenance requests")
     planned: list[PlannedRequest] = []
     for region in REGIONS:
