--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -1,7 +1,7 @@
-"""The emulator's discovery and converters, with a control socket by which agents stop and start converters.
+"""Runs the emulator's discovery and converters with a control socket, through which agents stop and start converters.
 
-The harness starts it as `python -m ryepier.experiments.maintenance.fleet_process PLAN OUT`. Each step that is done is
-written to a journal beside OUT, from which the experiments derive their claims.
+The harness starts each process as `python -m ryepier.experiments.maintenance.fleet_process PLAN OUT`. Every step that
+was performed is written to a journal next to OUT, from which the experiments derive their claims.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 CONTROL_PORT = 7600
 CONTROL_SUBNET = 251
-DISCOVERY_HOST, CONVERTERS_HOST = 1, 2  # in that subnet
-REJECTED = "refused"  # in the journal, in place of an action
+DISCOVERY_HOST, CONVERTERS_HOST = 1, 2  # last part of the addresses in `CONTROL_SUBNET`
+REJECTED = "refused"  # stands in place of the action in the journal
 JOURNAL_SUFFIX = ".journal"
 Handler = Callable[[FleetCall], Awaitable[FleetReply]]
 
 
 class JournalLine(msgspec.Struct, frozen=True):
-    """A step on a converter, done or rejected; `at_us` on the machine's monotonic clock."""
+    """A step on a converter, performed or rejected. `at_us` is a time of the machine's monotonic clock."""
 
     at_us: int
     action: str
@@ -46,47 +46,47 @@
 
 
 def discovery_control_address(plan: Plan) -> Address:
-    """Return the address at which agents reach discovery."""
+    """Return the address of the control socket of discovery."""
     return Address(f"127.{plan.network}.{CONTROL_SUBNET}.{DISCOVERY_HOST}", CONTROL_PORT)
 
 
 def converters_control_address(plan: Plan) -> Address:
-    """Return the address at which agents reach the converters' processes."""
+    """Return the address of the control socket of the converters."""
     return Address(f"127.{plan.network}.{CONTROL_SUBNET}.{CONVERTERS_HOST}", CONTROL_PORT)
 
 
-def first_uid(place: int) -> str:
-    """Return the uid of a converter's first incarnation, which is its name."""
-    return f"c-{place:04x}"
+def first_uid(index: int) -> str:
+    """Return the uid of a converter's first incarnation, which is also the converter's name."""
+    return f"c-{index:04x}"
 
 
 class ControlServer:
-    """Serves agents' calls, rejects old tokens, and writes the journal."""
+    """Serves the calls of agents, rejects calls with outdated fencing tokens, and writes the journal."""
 
     def __init__(self, address: Address, journal: Path, handlers: dict[Action, Handler]) -> None:
-        """Serve the actions that have a handler."""
+        """Serve calls on `address` with the handler of their action; the server does not listen until `start`."""
         self.address = address
         self.journal = journal
         self.handlers = handlers
         self.tokens = FencingTokens()
 
     async def start(self) -> None:
-        """Begin the journal and listen. Raises OSError."""
+        """Create an empty journal and listen. Raises OSError."""
         self.journal.write_bytes(b"")
         await asyncio.start_server(self._serve, *self.address)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve the one call of a connection."""
+        """Serve a connection, which carries a single call."""
         try:
             call = msgspec.msgpack.decode(await read_message(reader), type=FleetCall)
-            write_message(writer, await self._answer(call))
+            write_message(writer, await self._handle_call(call))
         except (OSError, EOFError, ValueError, msgspec.MsgspecError):
             pass
         finally:
             writer.close()
 
-    async def _answer(self, call: FleetCall) -> FleetReply:
-        """Carry a call out, unless its token is old."""
+    async def _handle_call(self, call: FleetCall) -> FleetReply:
+        """Perform a call and return its reply. Reject the call if its token is outdated."""
         rejection = self.tokens.rejection_reason(call)
         if rejection:
             self.record(REJECTED, call)
@@ -94,116 +94,130 @@
         return await self.handlers[call.action](call)
 
     def record(self, action: str, call: FleetCall) -> None:
-        """Write a step to the journal."""
+        """Append a step to the journal."""
         line = JournalLine(monotonic_us(), action, call.converter, call.token)
         with self.journal.open("ab") as file:
             file.write(msgspec.json.encode(line) + b"\n")
 
 
 class ControlledConverters(converters.ConverterRole):
-    """Converters that agents stop and start."""
+    """The emulator's converters, which agents can stop and start."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Begin with the first incarnation of each converter."""
+        """Start with the first incarnation of each converter as the current one, all of them running."""
         super().__init__(plan, clock, timeline)
-        self.current = {instance.uid: instance for instance in self.instances}
-        self.incarnations = dict.fromkeys(self.current, 0)
-        self.running = set(self.current)
-        self.control = ControlServer(
+        self.current_instances = {instance.uid: instance for instance in self.instances}
+        self.incarnations = dict.fromkeys(self.current_instances, 0)
+        self.running = set(self.current_instances)
+        self.control_server = ControlServer(
             converters_control_address(plan),
             Path(sys.argv[2] + JOURNAL_SUFFIX),
-            {Action.STOP: self.stop_one, Action.START: self.start_next, Action.IN_FLIGHT: self.count_in_flight},
+            {
+                Action.STOP: self.stop_converter,
+                Action.START: self.start_next_incarnation,
+                Action.IN_FLIGHT: self.count_in_flight,
+            },
         )
 
     async def start(self) -> None:
-        """Start, with the control socket. Raises OSError."""
+        """Start the converters and the control server. Raises OSError."""
         await super().start()
-        await self.control.start()
+        await self.control_server.start()
 
-    async def stop_one(self, call: FleetCall) -> FleetReply:
-        """Stop a converter that is running."""
+    async def stop_converter(self, call: FleetCall) -> FleetReply:
+        """Stop a converter; do nothing if it is already stopped."""
         if call.converter in self.running:
             self.running.discard(call.converter)
-            self.servers[self.current[call.converter].index].stop()
-            self.control.record(Action.STOP, call)
+            self.servers[self.current_instances[call.converter].index].stop()
+            self.control_server.record(Action.STOP, call)
         return FleetReply()
 
-    async def start_next(self, call: FleetCall) -> FleetReply:
-        """Start a stopped converter's next incarnation, not warmed up, at an address of its own."""
+    async def start_next_incarnation(self, call: FleetCall) -> FleetReply:
+        """Start the next incarnation of a stopped converter, cold and at a new address, and reply with its uid."""
         name = call.converter
         if name not in self.running:
-            old = self.current[name]
+            old_instance = self.current_instances[name]
             self.incarnations[name] += 1
-            index = old.index + self.plan.world.converter_count
-            new = Instance(index, f"{name}.{self.incarnations[name]}", old.machine, self.clock.now_us())
-            await self.start_instance(new)
-            self.current[name] = new
+            index = old_instance.index + self.plan.world.converter_count
+            new_instance = Instance(
+                index, f"{name}.{self.incarnations[name]}", old_instance.machine, self.clock.now_us()
+            )
+            await self.start_instance(new_instance)
+            self.current_instances[name] = new_instance
             self.running.add(name)
-            self.control.record(Action.START, call)
-        return FleetReply(uid=self.current[name].uid)
+            self.control_server.record(Action.START, call)
+        return FleetReply(uid=self.current_instances[name].uid)
 
     async def count_in_flight(self, call: FleetCall) -> FleetReply:
-        """Reply with the number of requests that a converter has not answered."""
-        return FleetReply(in_flight=len(self.servers[self.current[call.converter].index].in_flight))
+        """Reply with the number of requests that a converter has not answered yet."""
+        return FleetReply(in_flight=len(self.servers[self.current_instances[call.converter].index].in_flight))
 
 
 class ControlledDiscovery(discovery.DiscoveryRole):
-    """Discovery that lists converters as agents request."""
+    """The emulator's discovery, whose list of converters agents can change."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Begin with the first incarnation of each converter."""
+        """Start with the first incarnation of each converter listed."""
         super().__init__(plan, clock, timeline)
-        self.current = {instance.uid: instance for instance in timeline.instances}
+        self.current_instances = {instance.uid: instance for instance in timeline.instances}
         self.random = draws.stream(plan.seed, "maintenance notices")
-        self.control = ControlServer(
+        self.control_server = ControlServer(
             discovery_control_address(plan),
             Path(sys.argv[2] + JOURNAL_SUFFIX),
-            {Action.DRAIN: self.drain, Action.REMOVE: self.remove, Action.LIST: self.list_one},
+            {
+                Action.DRAIN: self.drain_converter,
+                Action.REMOVE: self.remove_converter,
+                Action.LIST: self.list_converter,
+            },
         )
 
     async def start(self) -> None:
-        """Start, with the control socket. Raises OSError."""
+        """Start discovery and the control server. Raises OSError."""
         await super().start()
-        await self.control.start()
+        await self.control_server.start()
 
-    async def drain(self, call: FleetCall) -> FleetReply:
-        """List a converter as draining."""
-        self.control.record(Action.DRAIN, call)
-        await self._notify_all(self.current[call.converter], ListState.LEAVING)
+    async def drain_converter(self, call: FleetCall) -> FleetReply:
+        """Mark a converter as draining in the endpoint list."""
+        self.control_server.record(Action.DRAIN, call)
+        await self._notify_all(self.current_instances[call.converter], ListState.LEAVING)
         return FleetReply()
 
-    async def remove(self, call: FleetCall) -> FleetReply:
-        """Remove a converter from the list."""
-        await self._notify_all(self.current[call.converter], ListState.LEFT)
+    async def remove_converter(self, call: FleetCall) -> FleetReply:
+        """Remove a converter from the endpoint list."""
+        await self._notify_all(self.current_instances[call.converter], ListState.LEFT)
         return FleetReply()
 
-    async def list_one(self, call: FleetCall) -> FleetReply:
-        """List a converter's new incarnation as ready."""
-        old = self.current[call.converter]
-        number = int(call.uid.rpartition(".")[2])
-        place = old.index % self.plan.world.converter_count
-        index = place + number * self.plan.world.converter_count
-        new = self.current[call.converter] = Instance(index, call.uid, old.machine, self.clock.now_us())
-        await self._notify_all(new, ListState.ACTIVE)
-        self.control.record(Action.LIST, call)
+    async def list_converter(self, call: FleetCall) -> FleetReply:
+        """Add the new incarnation of a converter to the endpoint list as ready."""
+        old_instance = self.current_instances[call.converter]
+        incarnation = int(call.uid.rpartition(".")[2])
+        converter_index = old_instance.index % self.plan.world.converter_count
+        index = converter_index + incarnation * self.plan.world.converter_count
+        new_instance = self.current_instances[call.converter] = Instance(
+            index, call.uid, old_instance.machine, self.clock.now_us()
+        )
+        await self._notify_all(new_instance, ListState.ACTIVE)
+        self.control_server.record(Action.LIST, call)
         return FleetReply()
 
     async def _notify_all(self, instance: Instance, state: ListState) -> None:
-        """Notify each sidecar's agent after a delay of its own; return once all are notified."""
-        unix_zero_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
-        entry = discovery.list_entry(self.plan, instance, state, unix_zero_ms)
+        """Notify the discovery agent of each sidecar after a random delay, and return when all are notified."""
+        unix_run_start_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
+        entry = discovery.list_entry(self.plan, instance, state, unix_run_start_ms)
         step = Step(self.clock.now_us(), TargetKind.DISCOVERY, 0, FaultAction.NOTIFY, uid=instance.uid, state=state)
-        low, high = self.plan.world.discovery.notice_delay_ms
+        min_delay_ms, max_delay_ms = self.plan.world.discovery.notice_delay_ms
 
         async def notify(agent: discovery.Agent | SlicesAgent, delay_ms: float) -> None:
             await asyncio.sleep(delay_ms / 1000)
             await agent.apply(step, entry)
 
-        await asyncio.gather(*(notify(agent, float(self.random.uniform(low, high))) for agent in self.agents))
+        await asyncio.gather(
+            *(notify(agent, float(self.random.uniform(min_delay_ms, max_delay_ms))) for agent in self.agents)
+        )
 
 
 def main() -> None:
-    """Run one process of the emulator."""
+    """Run the emulator process of the plan, with controlled converters and discovery."""
     role.ROLES["converters"] = ControlledConverters
     role.ROLES["discovery"] = ControlledDiscovery
     role.main()
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of a run, from the converters' own journals, and the claims that all maintenance experiments share."""
+"""Derives the outcome of a run from the converters' own journals, and the claims common to maintenance experiments."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ryepier.maintenance.judge import FULL_SHARE, CapacityChange, find_breaches
 from ryepier.maintenance.results import Accepted
 
-RULES = (
+CLAIMED_RULES = (
     "unanswered",
     "held-up",
     "broken",
@@ -38,17 +38,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """The time for which a window had a converter out: from its drain until it was warm again."""
+    """The time for which maintenance windows had a converter out: from its drain until it was warm again.
+
+    `tokens` are the fencing tokens of the windows.
+    """
 
     converter: str
-    began_us: int
-    warm_us: int  # FOREVER_US where it did not recover
+    start_us: int
+    warm_us: int  # FOREVER_US if it did not recover during the run
     tokens: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
 class UnleasedOutage:
-    """A poll, sent at `poll_us`, in which a converter that was out was under no lease."""
+    """A status poll, sent at `poll_us`, that showed no lease on a converter that was out."""
 
     converter: str
     poll_us: int
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One run, seen from all sides; times on the machine's monotonic clock."""
+    """All records of one run. Times are microseconds of the machine's monotonic clock."""
 
     world: World
     seed: int
@@ -65,11 +68,11 @@
     history: History
     record: HarnessRecord
     journal: Sequence[JournalLine]
-    zero_us: int  # the start of the run
+    run_start_us: int
 
     @property
     def outages(self) -> list[Outage]:
-        """The outages of all windows."""
+        """The outages of all converters."""
         return list(outages(self.journal, round(self.world.warm_up.warm_up_s * 1e6)))
 
 
@@ -89,57 +92,57 @@
 
 
 def outages(journal: Sequence[JournalLine], warm_up_us: int) -> Iterator[Outage]:
-    """Yield the outages by converter, each ended by the first incarnation that became warm."""
+    """Yield the outages of each converter. An outage ends when an incarnation of the converter has become warm."""
     by_converter: dict[str, list[JournalLine]] = defaultdict(list)
     for line in journal:
         by_converter[line.converter].append(line)
     for converter, lines in by_converter.items():
-        yield from _outages_of(converter, lines, warm_up_us)
+        yield from _converter_outages(converter, lines, warm_up_us)
 
 
-def _outages_of(converter: str, lines: Sequence[JournalLine], warm_up_us: int) -> Iterator[Outage]:
-    """Yield the outages of one converter."""
-    began_us: int | None = None
+def _converter_outages(converter: str, lines: Sequence[JournalLine], warm_up_us: int) -> Iterator[Outage]:
+    """Yield the outages of one converter, whose journal lines are in chronological order."""
+    start_us: int | None = None
     warm_us = FOREVER_US
     tokens: set[int] = set()
     for line in lines:
-        if began_us is not None and line.at_us >= warm_us:
-            yield Outage(converter, began_us, warm_us, frozenset(tokens))
-            began_us, warm_us, tokens = None, FOREVER_US, set()
+        if start_us is not None and line.at_us >= warm_us:
+            yield Outage(converter, start_us, warm_us, frozenset(tokens))
+            start_us, warm_us, tokens = None, FOREVER_US, set()
         if line.action in (Action.DRAIN, Action.STOP):
-            began_us = line.at_us if began_us is None else began_us
+            start_us = line.at_us if start_us is None else start_us
             warm_us = FOREVER_US if line.action == Action.STOP else warm_us
             tokens.add(line.token)
         elif line.action == Action.START:
             warm_us = line.at_us + warm_up_us
-    if began_us is not None:
-        yield Outage(converter, began_us, warm_us, frozenset(tokens))
+    if start_us is not None:
+        yield Outage(converter, start_us, warm_us, frozenset(tokens))
 
 
-def changes(found: Sequence[Outage]) -> Iterator[CapacityChange]:
-    """Yield outages as the judge of the agreement takes them."""
-    for outage in found:
-        yield CapacityChange(outage.began_us // 1000, outage.converter, FULL_SHARE, planned=True)
+def capacity_changes(window_outages: Sequence[Outage]) -> Iterator[CapacityChange]:
+    """Yield the capacity changes of outages, for the check of the agreement."""
+    for outage in window_outages:
+        yield CapacityChange(outage.start_us // 1000, outage.converter, FULL_SHARE, planned=True)
         if outage.warm_us < FOREVER_US:
             yield CapacityChange(-(-outage.warm_us // 1000), outage.converter, 0, planned=True)
 
 
 def common_claims(outcome: Outcome) -> list[Claim]:
-    """Return the claims on the agreement, on the sidecars' rules, and that the emulator kept up."""
-    found = judge.find_breaches(outcome.world, outcome.history)
+    """Return the claims on the emulator's lateness, the rules, the agreed capacity and the service level."""
+    breaches = judge.find_breaches(outcome.world, outcome.history)
     operations = figures.group_operations(outcome.world, outcome.history.client_attempts)
-    contract_run = contract.Run(outcome.world, outcome.seed, outcome.history, operations, found, outcome.folder)
-    counts = Counter(breach.rule for breach in found)
+    contract_run = contract.Run(outcome.world, outcome.seed, outcome.history, operations, breaches, outcome.folder)
+    counts = Counter(breach.rule for breach in breaches)
     claims = [runner.lateness_claim(contract_run, None)]
-    claims += [Claim(f"rule {rule}: breaches", counts[rule], "==", 0) for rule in RULES]
-    agreement_breaches = list(find_breaches(outcome.agreement, changes(outcome.outages)))
+    claims += [Claim(f"rule {rule}: breaches", counts[rule], "==", 0) for rule in CLAIMED_RULES]
+    agreement_breaches = list(find_breaches(outcome.agreement, capacity_changes(outcome.outages)))
     claims.append(Claim("breaches of the agreed capacity", len(agreement_breaches), "==", 0))
     claims.append(Claim("requests served", figures.service_level(operations), ">=", MIN_SERVICE_LEVEL))
     return claims
 
 
 def lease_claims(outcome: Outcome) -> list[Claim]:
-    """Return the claims that every outage was under one lease."""
+    """Return the claims that every outage was covered by exactly one lease."""
     unleased, doubly_leased = unleased_outages(outcome), doubly_leased_outages(outcome)
     return [
         Claim("polls in which a converter that was out was under no lease", len(unleased), "==", 0),
@@ -148,86 +151,92 @@
 
 
 def common_figures(outcome: Outcome) -> dict[str, float]:
-    """Return the figures that all runs report."""
-    found = outcome.outages
-    lengths = sorted((one.warm_us - one.began_us) / 1e6 for one in found if one.warm_us < FOREVER_US)
+    """Return the figures that all maintenance experiments report."""
+    all_outages = outcome.outages
+    durations_s = sorted(
+        (outage.warm_us - outage.start_us) / 1e6 for outage in all_outages if outage.warm_us < FOREVER_US
+    )
     return {
-        "outages": float(len(found)),
-        "outages_that_did_not_end": float(sum(one.warm_us == FOREVER_US for one in found)),
-        "longest_outage_s": lengths[-1] if lengths else 0.0,
-        "median_outage_s": lengths[len(lengths) // 2] if lengths else 0.0,
-        "most_out_at_once": float(_max_concurrent_outages(found)),
+        "outages": float(len(all_outages)),
+        "outages_that_did_not_end": float(sum(outage.warm_us == FOREVER_US for outage in all_outages)),
+        "longest_outage_s": durations_s[-1] if durations_s else 0.0,
+        "median_outage_s": durations_s[len(durations_s) // 2] if durations_s else 0.0,
+        "most_out_at_once": float(_max_concurrent_outages(all_outages)),
         "polls": float(len(outcome.record.polls)),
     }
 
 
-def _max_concurrent_outages(found: Sequence[Outage]) -> int:
-    """Return the greatest number of converters that were out together."""
-    edges = sorted([(one.began_us, 1) for one in found] + [(one.warm_us, -1) for one in found])
-    highest = current = 0
-    for _, step in edges:
-        current += step
-        highest = max(highest, current)
-    return highest
+def _max_concurrent_outages(all_outages: Sequence[Outage]) -> int:
+    """Return the maximum number of converters that were out at the same time."""
+    edges = sorted([(outage.start_us, 1) for outage in all_outages] + [(outage.warm_us, -1) for outage in all_outages])
+    max_out = currently_out = 0
+    for _, change in edges:
+        currently_out += change
+        max_out = max(max_out, currently_out)
+    return max_out
 
 
 def accepted_requests(outcome: Outcome) -> list[SubmittedRequest]:
     """Return the requests that were accepted."""
-    return [one for one in outcome.record.submitted if isinstance(one.result, Accepted)]
+    return [submitted for submitted in outcome.record.submitted if isinstance(submitted.result, Accepted)]
 
 
 def done_requests(outcome: Outcome) -> list[SubmittedRequest]:
-    """Return the accepted requests that were done by the end of the run."""
-    return [one for one in accepted_requests(outcome) if done_us(outcome, one.request.converters) < FOREVER_US]
+    """Return the accepted requests whose converters were all warm again at the end of the run."""
+    return [
+        submitted
+        for submitted in accepted_requests(outcome)
+        if done_us(outcome, submitted.request.converters) < FOREVER_US
+    ]
 
 
 def done_us(outcome: Outcome, converters: Sequence[str]) -> int:
-    """Return when the last of these converters was warm after its first outage; FOREVER_US where one never was."""
-    first: dict[str, int] = {}
-    for outage in sorted(outcome.outages, key=lambda one: one.began_us):
-        first.setdefault(outage.converter, outage.warm_us)
-    return max(first.get(name, FOREVER_US) for name in converters)
+    """Return when all of these converters were warm after their first outages, or FOREVER_US if one never was."""
+    first_warm_us: dict[str, int] = {}
+    for outage in sorted(outcome.outages, key=lambda outage: outage.start_us):
+        first_warm_us.setdefault(outage.converter, outage.warm_us)
+    return max(first_warm_us.get(name, FOREVER_US) for name in converters)
 
 
 def unleased_outages(outcome: Outcome) -> list[UnleasedOutage]:
-    """Return the polls without a lease on a converter that was out, by its own journal, all through the poll."""
-    found = []
+    """Return the polls without a lease on a converter that, by its own journal, was out during the whole poll."""
+    unleased = []
     for poll in outcome.record.polls:
         leased = {name for lease in poll.status.leases for name in lease.unavailable}
         for outage in outcome.outages:
             is_local = outcome.agreement.converters[outage.converter].region == poll.region
-            is_out = outage.began_us < poll.sent_us and poll.received_us < outage.warm_us
+            is_out = outage.start_us < poll.sent_us and poll.received_us < outage.warm_us
             if is_local and is_out and outage.converter not in leased:
-                found.append(UnleasedOutage(outage.converter, poll.sent_us))
-    return found
+                unleased.append(UnleasedOutage(outage.converter, poll.sent_us))
+    return unleased
 
 
 def doubly_leased_outages(outcome: Outcome) -> list[Outage]:
-    """Return the outages in which more than one lease had the converter."""
+    """Return the outages of converters that more than one lease had out."""
     return [outage for outage in outcome.outages if len(outage.tokens) > 1]
 
 
 def window_starts_us(outcome: Outcome, region: str) -> list[int]:
-    """Return when a region's windows started, by the drain of each converter."""
+    """Return the start times of a region's windows, taken from the drains of its converters, sorted."""
     converters = outcome.agreement.converters
-    return sorted(one.began_us for one in outcome.outages if converters[one.converter].region == region)
+    return sorted(outage.start_us for outage in outcome.outages if converters[outage.converter].region == region)
 
 
 def elections_by_term(outcome: Outcome, replicas: Sequence[str]) -> Mapping[int, int]:
-    """Return how often these replicas became the leader of each term."""
-    return coordinator_logs.elections_by_term(_logs(outcome, replicas))
+    """Return how often one of these replicas became the leader, by term."""
+    return coordinator_logs.elections_by_term(_log_paths(outcome, replicas))
 
 
 def repeated_candidacies(outcome: Outcome, replicas: Sequence[str]) -> int:
-    """Return how often one of these replicas was a candidate in a term that it had been in before."""
-    return coordinator_logs.repeated_candidacies(_logs(outcome, replicas))
+    """Return how often one of these replicas became a candidate in a term that it had already entered."""
+    return coordinator_logs.repeated_candidacies(_log_paths(outcome, replicas))
 
 
 def grants_us(outcome: Outcome, replicas: Sequence[str]) -> list[int]:
-    """Return when these replicas granted leases, on the machine's monotonic clock."""
-    return coordinator_logs.grants_us(_logs(outcome, replicas))
+    """Return the times at which these replicas granted leases, in µs of the monotonic clock, sorted."""
+    return coordinator_logs.grants_us(_log_paths(outcome, replicas))
 
 
-def _logs(outcome: Outcome, replicas: Sequence[str]) -> list[Path]:
-    """Return the paths of coordinators' logs."""
+def _log_paths(outcome: Outcome, replicas: Sequence[str]) -> list[Path]:
+    """Return the paths of the coordinators' logs."""
     return [outcome.folder / f"{name}.log" for name in replicas]
--- a/ryepier/experiments/maintenance/relay.py
+++ b/ryepier/experiments/maintenance/relay.py
@@ -1,4 +1,4 @@
-"""A relay between regions that can partition them, and delay, duplicate and reorder frames."""
+"""A relay between regions that can partition them, and that delays, duplicates and reorders frames."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from ryepier.maintenance.address import Address
 from ryepier.maintenance.transport import LENGTH_BYTES, MAX_FRAME_BYTES
 
-DELAY_S = (0.0, 0.25)
-DUPLICATED_FRACTION = 0.8  # of the frames
-DUPLICATE_DELAY_S = (0.0, 1.5)  # after the first
+DELAY_RANGE_S = (0.0, 0.25)
+DUPLICATED_FRACTION = 0.8  # fraction of the calls that are sent twice
+DUPLICATE_DELAY_RANGE_S = (0.0, 1.5)  # after the first copy
 
 
 class Relay:
     """Relays the connections of callers in another region to one coordinator.
 
-    The first frame of a connection, its greeting, and replies are relayed as they are: a caller has one call out at a
-    time, so only calls can overtake one another.
+    Calls are delayed, some are duplicated, and they can overtake one another. The first frame of a connection, its
+    greeting, and all replies are relayed unchanged, because a caller has only one outstanding call at a time.
     """
 
     def __init__(self, listen: Address, target: Address, seed: int) -> None:
-        """Relay from `listen` to `target`; nothing is opened yet."""
+        """Relay from `listen` to `target` with random delays drawn from `seed`; it does not listen until `start`."""
         self.listen = listen
         self.target = target
         self.random = random.Random(seed)
@@ -34,11 +34,11 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen. Raises OSError."""
+        """Listen for connections. Raises OSError."""
         self.server = await asyncio.start_server(self._serve, *self.listen)
 
     def partition(self) -> None:
-        """Abort all connections, and accept none until `heal`."""
+        """Abort all connections, and abort new ones until `heal`."""
         self.is_partitioned = True
         for writer in list(self.writers):
             writer.transport.abort()
@@ -48,21 +48,21 @@
         self.is_partitioned = False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Relay one caller's connection."""
+        """Relay the connection of one caller."""
         if self.is_partitioned:
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        with self._track(writer, far_writer):
-            await asyncio.gather(self._relay_calls(reader, far_writer), self._relay_replies(far_reader, writer))
+        with self._track(writer, target_writer):
+            await asyncio.gather(self._relay_calls(reader, target_writer), self._relay_replies(target_reader, writer))
 
     @contextmanager
     def _track(self, *writers: asyncio.StreamWriter) -> Iterator[None]:
-        """Track both ends while they are open, and close both once one has ended."""
+        """Track both ends of a connection while they are open, and close both when one has ended."""
         self.writers.update(writers)
         try:
             yield
@@ -74,15 +74,15 @@
                 writer.close()
 
     async def _relay_calls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Relay the greeting at once, calls delayed, and some of them a second time."""
+        """Relay the greeting immediately and each call after a delay, some calls twice."""
         writer.write(await read_frame(reader))
         while True:
             frame = await read_frame(reader)
-            delay_s = self.random.uniform(*DELAY_S)
+            delay_s = self.random.uniform(*DELAY_RANGE_S)
             self._send_later(writer, frame, delay_s)
             if self.random.random() < DUPLICATED_FRACTION:
                 self.duplicated_frames += 1
-                self._send_later(writer, frame, delay_s + self.random.uniform(*DUPLICATE_DELAY_S))
+                self._send_later(writer, frame, delay_s + self.random.uniform(*DUPLICATE_DELAY_RANGE_S))
 
     def _send_later(self, writer: asyncio.StreamWriter, frame: bytes, delay_s: float) -> None:
         """Write a frame after a delay, unless the connection has closed by then."""
@@ -105,9 +105,9 @@
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
-    """Return one frame with its length. Raises EOFError, OSError."""
-    head = await reader.readexactly(LENGTH_BYTES)
-    length = int.from_bytes(head, "big")
+    """Read one frame and return it with its length prefix. Raises EOFError, also if it is too long, and OSError."""
+    length_prefix = await reader.readexactly(LENGTH_BYTES)
+    length = int.from_bytes(length_prefix, "big")
     if length > MAX_FRAME_BYTES:
-        raise EOFError(f"a frame of {length} bytes")
-    return head + await reader.readexactly(length)
+        raise EOFError(f"frame of {length} bytes is longer than the maximum")
+    return length_prefix + await reader.readexactly(length)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""Reads KNOWN-RED.txt, the list of tests that may fail for now, and judges a test run by it.
+"""Reads KNOWN-RED.txt, the list of tests that may currently fail, and judges a test run by it.
 
-An entry has a line for each of FIELDS, and a blank line separates entries:
+An entry has one line for each of `FIELDS`. Blank lines separate entries:
 
     test: tests/test_selection.py::test_name[a, b]
     command: python -m pytest tests/test_selection.py
@@ -8,7 +8,7 @@
     seen: TimeoutError after 20 s in 2 of 5 runs
     issue: 26
 
-This module uses neither files nor pytest; `known_red_plugin.py` connects it to a run.
+This module neither reads files nor imports pytest; `known_red_plugin.py` connects it to a test run.
 """
 
 from __future__ import annotations
@@ -21,48 +21,48 @@
 
 FILE_NAME = "KNOWN-RED.txt"
 FIELDS = ("test", "command", "seed", "seen", "issue")
-NODE_ID = re.compile(r"[^:]+\.py::.+")
-ISSUE = re.compile(r"(?:issue |#)?\d+")
+NODE_ID_PATTERN = re.compile(r"[^:]+\.py::.+")
+ISSUE_PATTERN = re.compile(r"(?:issue |#)?\d+")
 
 
 class EntryError(ValueError):
-    """An entry that cannot be read."""
+    """An entry is invalid. The message completes a sentence that starts with the entry's number."""
 
 
 @dataclass(frozen=True)
 class Entry:
-    """A listed test."""
+    """A test that may fail, and what is known about its failure."""
 
     test: str
-    """Its pytest node id."""
+    """The pytest node id."""
     command: str
-    """Shows the failure, from the root of the repository."""
+    """A command that reproduces the failure when run from the root of the repository."""
     seed: str
-    """What the command was run with, or "none"."""
-    seen: str
-    issue: str
+    """The random seed of the command, or "none"."""
+    seen: str  # the observed failure
+    issue: str  # the number of the issue that tracks the failure
 
     def __str__(self) -> str:
-        """Return the entry on one line."""
+        """Return all fields on one line."""
         return "; ".join(f"{name}: {getattr(self, name)}" for name in FIELDS)
 
 
 @dataclass(frozen=True)
 class Listing:
-    """The content of the file."""
+    """The parsed content of KNOWN-RED.txt."""
 
     entries: Sequence[Entry]
-    faults: Sequence[str]
-    """What cannot be read. A list with a fault lets no test fail."""
+    errors: Sequence[str]
+    """Descriptions of invalid entries. A list with errors allows no test to fail."""
 
     @property
     def allowed_failures(self) -> frozenset[str]:
         """The node ids of the tests that may fail."""
-        return frozenset() if self.faults else frozenset(entry.test for entry in self.entries)
+        return frozenset() if self.errors else frozenset(entry.test for entry in self.entries)
 
 
 class Ending(enum.Enum):
-    """How a listed test ended, with the text that the run prints."""
+    """How a listed test ended. The values are printed at the end of the run."""
 
     FAILED = "failed, as listed"
     PASSED = "passes: take its entry out"
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """What a run prints of the list at its end, and the faults that fail it."""
+    """The lines that a run prints about the list at its end, and the errors that make the run fail."""
 
     notes: Sequence[str]
-    faults: Sequence[str]
+    errors: Sequence[str]
 
 
 def parse_entry(lines: Iterable[str]) -> Entry:
-    """Parse the lines of one entry. Raises EntryError."""
+    """Parse the lines of one entry. Raises EntryError if a line, or the entry as a whole, is invalid."""
     values: dict[str, str] = {}
     for line in lines:
         name, _, value = line.partition(":")
@@ -93,33 +93,36 @@
     if missing:
         raise EntryError(f"lacks {', '.join(missing)}")
     entry = Entry(**values)
-    if not NODE_ID.fullmatch(entry.test):
+    if not NODE_ID_PATTERN.fullmatch(entry.test):
         raise EntryError(f"names no pytest node id: {entry.test!r}")
-    if not ISSUE.fullmatch(entry.issue):
+    if not ISSUE_PATTERN.fullmatch(entry.issue):
         raise EntryError(f"names no issue by its number: {entry.issue!r}")
     return entry
 
 
 def parse(text: str) -> Listing:
-    """Parse the whole file."""
+    """Parse the text of KNOWN-RED.txt; entries that are invalid or repeated are returned as errors."""
     entries: list[Entry] = []
-    faults: list[str] = []
+    errors: list[str] = []
     blocks = itertools.groupby(text.splitlines(), key=lambda line: bool(line.strip()))
     for number, lines in enumerate((list(lines) for is_entry, lines in blocks if is_entry), 1):
         try:
             entry = parse_entry(lines)
         except EntryError as error:
-            faults.append(f"entry {number} {error}")
+            errors.append(f"entry {number} {error}")
             continue
         if any(entry.test == other.test for other in entries):
-            faults.append(f"entry {number} lists {entry.test} again")
+            errors.append(f"entry {number} lists {entry.test} again")
         else:
             entries.append(entry)
-    return Listing(entries, faults)
+    return Listing(entries, errors)
 
 
 def is_requested(test: str, arguments: Collection[str]) -> bool:
-    """Return whether a run of these folders, files and tests, by their paths from the root, includes the test."""
+    """Return whether a run with these arguments includes a test.
+
+    `arguments` are folders, files and tests, with their paths relative to the root of the repository.
+    """
     return any(
         argument == "." or test == argument or test.startswith((argument + "/", argument + "::", argument + "["))
         for argument in arguments
@@ -135,22 +138,22 @@
 ) -> Verdict:
     """Judge a run that has ended.
 
-    `collected` are the tests found, `selected` those of them that were to run; `must_exist` returns whether the run had
-    to find a test.
+    `collected` are all tests that pytest collected, and `selected` are those that were not deselected. `endings` has
+    the listed tests that ran. `must_exist` returns whether the run should have collected a given test.
     """
     notes: list[str] = []
-    faults = list(listing.faults)
+    errors = list(listing.errors)
     for entry in listing.entries:
         ending = endings.get(entry.test)
         if ending is not None:
-            description, is_sound = ending.value, ending is Ending.FAILED
+            description, is_acceptable = ending.value, ending is Ending.FAILED
         elif entry.test in selected:
-            description, is_sound = "did not run to its end", False
+            description, is_acceptable = "did not run to its end", False
         elif entry.test in collected or not must_exist(entry.test):
-            description, is_sound = "not requested in this run", True
+            description, is_acceptable = "not requested in this run", True
         else:
-            description, is_sound = "names no test", False
+            description, is_acceptable = "names no test", False
         notes.append(f"{entry.test}: {description}")
-        if not is_sound:
-            faults.append(f"{entry.test}: {description}")
-    return Verdict(notes, faults)
+        if not is_acceptable:
+            errors.append(f"{entry.test}: {description}")
+    return Verdict(notes, errors)
