--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -37,7 +37,7 @@
 
 
 def draw_requests(world: World, seed: int) -> list[PlannedRequest]:
-    """Draw the requests of each region: `VALID_PER_REGION` valid ones, for one converter each, and three invalid ones."""
+    """Draw the requests of each region: `VALID_PER_REGION` valid ones for one converter each, and three invalid ones."""
     random = draws.stream(seed, "maintenance requests")
     planned: list[PlannedRequest] = []
     for region in REGIONS:
