--- a/ryepier/assembly/endpoint_slices.py
+++ b/ryepier/assembly/endpoint_slices.py
@@ -58,7 +58,7 @@
     access = find_access(
         slices.server, slices.token_file, slices.ca_file, slices.client_cert_file, slices.client_key_file
     )
-    rules = ListingRules(config.zones, len(config.kinds), slices.failure_domain, slices.settle_ms * 1000)
+    rules = ListingRules(config.zones, len(config.kinds), slices.failure_domain_scope, slices.settle_ms * 1000)
     return Settings(
         access,
         resolve_namespace(slices),
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -49,7 +49,7 @@
             access,
             resolve_namespace(slices),
             name,
-            ListingRules([], 0, slices.failure_domain, slices.settle_ms * 1000),
+            ListingRules([], 0, slices.failure_domain_scope, slices.settle_ms * 1000),
             slices.port,
             slices.watch_s,
             slices.hold_s * 1_000_000,
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -21,7 +21,7 @@
     JSON = "json"  # one object in each line
 
 
-class FailureDomainBy(enum.Enum):
+class FailureDomainScope(enum.Enum):
     """Which endpoints of a slice form a failure domain, in which a repeated request is deduplicated."""
 
     ENDPOINT = "endpoint"  # each endpoint is a failure domain of its own
@@ -91,7 +91,7 @@
 ClusterName = Annotated[str, msgspec.Meta(pattern=r"^([a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?)?$")]
 
 
-class EndpointSliceSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"failure_domain": "cell"}):
+class EndpointSliceSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"failure_domain_scope": "cell"}):
     """A Kubernetes service whose EndpointSlices list the converters; replaces the platform's discovery."""
 
     service: ClusterName = ""
@@ -102,7 +102,7 @@
     ca_file: str = ""
     client_cert_file: str = ""
     client_key_file: str = ""
-    failure_domain: FailureDomainBy = FailureDomainBy.ENDPOINT
+    failure_domain_scope: FailureDomainScope = FailureDomainScope.ENDPOINT
     watch_s: Annotated[int, msgspec.Meta(ge=5, le=600)] = 60
     settle_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 3000
     hold_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = 30
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from ryepier.balancer.interface import Upstream, UpstreamState
-from ryepier.conf.operator_settings import FailureDomainBy
+from ryepier.conf.operator_settings import FailureDomainScope
 from ryepier.slices.endpoint_slice_merger import MergedEndpoint, is_address
 
 READY, DRAINING, REMOVED = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.REMOVED
@@ -36,7 +36,7 @@
 
     zones: list[str]
     unknown_kind: int  # index of the kind given to all upstreams, as slices don't contain it
-    failure_domain_by: FailureDomainBy = FailureDomainBy.ENDPOINT
+    failure_domain_scope: FailureDomainScope = FailureDomainScope.ENDPOINT
     settle_us: int = 3_000_000  # how long an endpoint must be ready again before it is published as ready
 
 
@@ -188,6 +188,6 @@
         a domain of its own: a negative number, which no node has.
         """
         node = listed_endpoint.endpoint.node
-        if self.rules.failure_domain_by is FailureDomainBy.ENDPOINT or not node:
+        if self.rules.failure_domain_scope is FailureDomainScope.ENDPOINT or not node:
             return -listed_endpoint.upstream_id
         return self.failure_domains.setdefault(node, len(self.failure_domains))
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -75,7 +75,7 @@
     assert (rules.min_reporters, rules.min_window_ms, rules.min_covered) == (0.1, 2, 0.3)
     assert (rules.max_ejected, rules.min_weight) == (0.6, 0.7)
     assert (settings.planner.max_forwarders, settings.graphql.max_batch) == (7, 9)
-    assert settings.slices.failure_domain is operator_settings.FailureDomainBy.NODE
+    assert settings.slices.failure_domain_scope is operator_settings.FailureDomainScope.NODE
     assert settings.storm.rounds_to_seconds is True
     assert problems("[trust]\nmin_reporters = 0.1\n")[0].startswith("line 2: trust.min_reporters: unknown key")
 
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from ryepier.balancer.interface import UpstreamState
-from ryepier.conf.operator_settings import FailureDomainBy
+from ryepier.conf.operator_settings import FailureDomainScope
 from ryepier.slices.endpoint_listing import FLAP_RESET_US, MIN_RESTART_US, EndpointListing, ListingRules
 from ryepier.slices.endpoint_slice_merger import MergedEndpoint
 
@@ -21,8 +21,8 @@
     return MergedEndpoint(identity, (address, 80), "a", node, READY if ready else DRAINING, terminating, 1, ("s1",))
 
 
-def make_listing(failure_domain_by: str = "endpoint") -> EndpointListing:
-    return EndpointListing(ListingRules(["a"], 3, FailureDomainBy(failure_domain_by), SETTLE_US))
+def make_listing(failure_domain_scope: str = "endpoint") -> EndpointListing:
+    return EndpointListing(ListingRules(["a"], 3, FailureDomainScope(failure_domain_scope), SETTLE_US))
 
 
 def update(listing: EndpointListing, now_us: int, **changes: MergedEndpoint | None) -> dict[int, UpstreamState]:
