--- a/ryepier/assembly/endpoint_slices.py
+++ b/ryepier/assembly/endpoint_slices.py
@@ -28,7 +28,7 @@
     """Create the endpoint source that replaces the platform's discovery. Raises AccessError."""
     from ryepier.slices.slice_source import SliceSource  # imports the TLS and HTTP libraries
 
-    settings = source_settings(operator_settings.slices, config)
+    settings = slice_source_settings(operator_settings.slices, config)
     log.info(
         "using the EndpointSlices of %s/%s in place of the platform's discovery",
         settings.namespace,
@@ -49,7 +49,7 @@
         raise AccessError("slices.namespace is not set, and this process does not run in a pod") from None
 
 
-def source_settings(slices: EndpointSliceSettings, config: platform.Config) -> Settings:
+def slice_source_settings(slices: EndpointSliceSettings, config: platform.Config) -> Settings:
     """Convert the operators' settings into the settings of a `SliceSource`. Raises AccessError."""
     from ryepier.slices.api_client import find_access
     from ryepier.slices.endpoint_listing import ListingRules
--- a/ryepier/assembly/planning.py
+++ b/ryepier/assembly/planning.py
@@ -29,14 +29,14 @@
 
 def acceptance_rules(operator_settings: OperatorSettings) -> AcceptanceRules:
     """Convert the operators' [trust] table into the rules by which plans are accepted."""
-    acceptance = operator_settings.acceptance
+    requirements = operator_settings.plan_acceptance
     return AcceptanceRules(
-        acceptance.fleet,
-        acceptance.min_reporters,
-        acceptance.min_window_ms,
-        acceptance.min_covered,
-        acceptance.max_ejected,
-        acceptance.min_weight,
+        requirements.fleet_size,
+        requirements.min_reporters,
+        requirements.min_window_ms,
+        requirements.min_covered,
+        requirements.max_ejected,
+        requirements.min_weight,
     )
 
 
@@ -52,20 +52,20 @@
             if upstream_id in dispatcher.addresses
         }
 
-    plan = operator_settings.plan
+    forwarder_settings = operator_settings.forwarder
     settings = forwarder.Settings(
-        plan.name or config.name,
-        [parse_address(text) for text in plan.planners],
+        forwarder_settings.name or config.name,
+        [parse_address(text) for text in forwarder_settings.planners],
         acceptance_rules(operator_settings),
-        plan.report_ms / 1000,
+        forwarder_settings.report_ms / 1000,
     )
-    sidecar = forwarder.SidecarInterface(
+    sidecar_interface = forwarder.SidecarInterface(
         ready_upstream_ids,
         dispatcher.on_plan,
         [request_class.latency_objective_us for request_class in config.settings.classes],
         len(config.settings.tenants),
     )
-    service = forwarder.Forwarder(settings, sidecar, make_machine(f"{config.seed} {settings.name}"))
+    service = forwarder.Forwarder(settings, sidecar_interface, make_machine(f"{config.seed} {settings.name}"))
     dispatcher.add_observer(service)
     return service
 
@@ -74,18 +74,18 @@
     """Create a planner without starting it. Raises AssemblyError if its folder for snapshots does not exist."""
     from ryepier.plan import planner_server
 
-    planner = operator_settings.planner
-    folder = Path(planner.snapshots) if planner.snapshots else None
-    if folder is not None and not folder.is_dir():
-        raise AssemblyError(f"planner.snapshots: there is no folder {folder}")
+    planner_settings = operator_settings.planner
+    snapshot_folder = Path(planner_settings.snapshots) if planner_settings.snapshots else None
+    if snapshot_folder is not None and not snapshot_folder.is_dir():
+        raise AssemblyError(f"planner.snapshots: there is no folder {snapshot_folder}")
     settings = planner_server.Settings(
-        planner.name,
-        parse_address(planner.listen),
-        {name: parse_address(text) for name, text in planner.peers.items()},
+        planner_settings.name,
+        parse_address(planner_settings.listen),
+        {name: parse_address(text) for name, text in planner_settings.peers.items()},
         acceptance_rules(operator_settings),
-        planner.tenant_shares,
-        planner.class_limits,
-        planner.max_forwarders,
-        folder,
+        planner_settings.tenant_shares,
+        planner_settings.class_limits,
+        planner_settings.max_forwarders,
+        snapshot_folder,
     )
-    return planner_server.PlannerServer(settings, make_machine(f"{seed} {planner.name}"))
+    return planner_server.PlannerServer(settings, make_machine(f"{seed} {planner_settings.name}"))
--- a/ryepier/assembly/sidecar.py
+++ b/ryepier/assembly/sidecar.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from functools import partial
 
-from ryepier.assembly.endpoint_slices import make_slice_source, source_settings
+from ryepier.assembly.endpoint_slices import make_slice_source, slice_source_settings
 from ryepier.assembly.errors import AssemblyError
 from ryepier.assembly.planning import make_forwarder
 from ryepier.conf.operator_settings import OperatorSettings
@@ -27,13 +27,13 @@
 
     settings = config.settings
     shares = [tenant.share or tenant.allowance_per_s for tenant in settings.tenants]
-    total = sum(shares) or 1.0
+    total_share = sum(shares) or 1.0
     guard = RetryStormGuard(
         RetryStormDetector(
             clock_us(),
-            [share / total for share in shares],
+            [share / total_share for share in shares],
             settings.max_retry_after_us,
-            operator_settings.storm.rounds_to_seconds,
+            operator_settings.retry_guard.rounds_to_seconds,
         ),
         dispatcher.on_retry_storm,
         clock_us,
@@ -45,13 +45,13 @@
 
 def check_settings(operator_settings: OperatorSettings, config: platform.Config) -> None:
     """Raise AssemblyError if the operators' settings do not fit the platform's configuration."""
-    if operator_settings.plan.planners and not (operator_settings.plan.name or config.name):
+    if operator_settings.forwarder.planners and not (operator_settings.forwarder.name or config.name):
         raise AssemblyError("plan.name is not set, and the platform's configuration has no name for the forwarder")
     if operator_settings.slices.service:
         from ryepier.slices.api_client import AccessError
 
         try:
-            source_settings(operator_settings.slices, config)
+            slice_source_settings(operator_settings.slices, config)
         except AccessError as error:
             raise AssemblyError(f"slices: {error}") from None
     if operator_settings.graphql.enabled:
@@ -72,12 +72,12 @@
         from ryepier.fronts.graphql import make_front_ends  # imports graphql-core
 
         components = replace(components, front_ends=make_front_ends(operator_settings.graphql))
-    if operator_settings.plan.planners:
+    if operator_settings.forwarder.planners:
         components = replace(
             components,
             background_services=(*components.background_services, partial(make_forwarder, operator_settings)),
         )
-    if operator_settings.storm.enabled:
+    if operator_settings.retry_guard.enabled:
         components = replace(
             components,
             background_services=(*components.background_services, partial(make_retry_guard, operator_settings)),
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -46,6 +46,7 @@
     kw_only=True,
     frozen=True,
     rename={
+        "fleet_size": "fleet",
         "min_reporters": "least_reporters",
         "min_window_ms": "least_window_ms",
         "min_covered": "least_covered",
@@ -55,7 +56,7 @@
 ):
     """Requirements on a plan: planners send only plans that satisfy them, and forwarders reject all others."""
 
-    fleet: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1  # approximate number of forwarders
+    fleet_size: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1  # approximate number of forwarders
     min_reporters: Share = 0.5
     min_window_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 1000
     min_covered: Share = 0.5
@@ -125,14 +126,14 @@
     deadline_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0  # if the client sets none; 0 = the class's
 
 
-class GraphqlSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"max_batch": "most_batch"}):
+class GraphqlSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"max_batch_size": "most_batch"}):
     """The front end for GraphQL over HTTP; disabled unless `path` or `listen` is set."""
 
     path: Annotated[str, msgspec.Meta(pattern=r"^(/[!-~]*)?$")] = ""  # GraphQL's path on the platform's listener
     listen: Annotated[str, msgspec.Meta(pattern=r"^([^:/\s]+:[0-9]{1,5})?$")] = ""  # address of a separate listener
     queries: str = ""  # class of queries whose root field is not in `fields`
     mutations: str = ""  # class of mutations whose root field is not in `fields`
-    max_batch: Annotated[int, msgspec.Meta(ge=1, le=100)] = 20
+    max_batch_size: Annotated[int, msgspec.Meta(ge=1, le=100)] = 20
     fields: list[GraphqlField] = msgspec.field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -160,12 +161,12 @@
     """The complete settings file; every table is optional."""
 
     logging: LoggingSettings = msgspec.field(default_factory=LoggingSettings)
-    plan: ForwarderSettings = msgspec.field(default_factory=ForwarderSettings)
+    forwarder: ForwarderSettings = msgspec.field(name="plan", default_factory=ForwarderSettings)
     planner: PlannerSettings = msgspec.field(default_factory=PlannerSettings)
     graphql: GraphqlSettings = msgspec.field(default_factory=GraphqlSettings)
     slices: EndpointSliceSettings = msgspec.field(default_factory=EndpointSliceSettings)
-    storm: RetryGuardSettings = msgspec.field(default_factory=RetryGuardSettings)
-    acceptance: PlanAcceptanceSettings = msgspec.field(name="trust", default_factory=PlanAcceptanceSettings)
+    retry_guard: RetryGuardSettings = msgspec.field(name="storm", default_factory=RetryGuardSettings)
+    plan_acceptance: PlanAcceptanceSettings = msgspec.field(name="trust", default_factory=PlanAcceptanceSettings)
 
 
 def parse(text: str, environment: Mapping[str, str]) -> OperatorSettings:
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -32,7 +32,7 @@
 from ryepier.sidecar.system import clock_us
 
 # headers that must not be repeated
-SINGLE_HEADERS = frozenset(
+UNREPEATABLE_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
@@ -99,14 +99,14 @@
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Parse and classify a request. Raises RequestError."""
-        headers_by_name = parse_headers(headers, SINGLE_HEADERS)
+        headers_by_name = parse_headers(headers, UNREPEATABLE_HEADERS)
         accepted_type = RESPONSE_TYPE
         try:
             accepted_type = response_type(headers_by_name.get(b"accept", b"").decode("latin-1"))
-            parsed = self._read_operations(method, target, headers_by_name, body)
+            parsed_request = self._read_operations(method, target, headers_by_name, body)
         except GraphqlError as error:
             raise GraphqlRequestError(error, accepted_type) from None
-        return self._client_request(target, headers, headers_by_name, parsed, accepted_type)
+        return self._client_request(target, headers, headers_by_name, parsed_request, accepted_type)
 
     def _read_operations(
         self, method: bytes, target: bytes, headers_by_name: dict[bytes, bytes], body: bytes
@@ -129,33 +129,33 @@
         target: bytes,
         headers: list[Header],
         headers_by_name: dict[bytes, bytes],
-        parsed: ParsedRequest,
+        parsed_request: ParsedRequest,
         accepted_type: str,
     ) -> ClientRequest:
-        classification = parsed.classification
-        index = self.class_indexes[classification.class_name]
-        request_class = self.settings.classes[index]
+        classification = parsed_request.classification
+        class_index = self.class_indexes[classification.class_name]
+        request_class = self.settings.classes[class_index]
         request_id = self._request_id(headers_by_name)
         client_deadline_us = (
             1000 * parse_integer(headers_by_name[b"x-deadline-ms"], "X-Deadline-Ms")
             if b"x-deadline-ms" in headers_by_name
             else 0
         )
-        cost, key = headers_by_name.get(b"x-cost-hint"), headers_by_name.get(b"x-key")
+        cost_hint, key = headers_by_name.get(b"x-cost-hint"), headers_by_name.get(b"x-key")
         return ClientRequest(
             b"POST",
             target.partition(b"?")[0],
             self._forwarded_headers(headers, request_id, classification),
-            parsed.body,
+            parsed_request.body,
             clock_us(),
             deadline_us=min(
                 client_deadline_us or classification.deadline_us or request_class.deadline_us, request_class.deadline_us
             ),
-            class_index=index,
+            class_index=class_index,
             request_id=request_id,
             tenant=self.tenants.find(headers_by_name),
             key=stable_hash(key) if key else 0,
-            cost_us=parse_integer(cost, "X-Cost-Hint") if cost else classification.cost_us,
+            cost_us=parse_integer(cost_hint, "X-Cost-Hint") if cost_hint else classification.cost_us,
             marked_as_retry=headers_by_name.get(b"x-retry") == b"1",
             forwards_client_errors=True,
             accepted_type=accepted_type.encode(),
@@ -172,15 +172,15 @@
     @staticmethod
     def _forwarded_headers(headers: list[Header], request_id: bytes, classification: Classification) -> list[Header]:
         """Return the client's headers without `NOT_FORWARDED_HEADERS`, followed by those that the sidecar sets."""
-        forwarded = [(name, value) for name, value in headers if name.lower() not in NOT_FORWARDED_HEADERS]
-        forwarded += [
+        forwarded_headers = [(name, value) for name, value in headers if name.lower() not in NOT_FORWARDED_HEADERS]
+        forwarded_headers += [
             (b"Content-Type", JSON_TYPE.encode()),
             (b"X-Request-Id", request_id),
             (b"X-Class", classification.class_name.encode()),
         ]
-        if classification.key:
-            forwarded.append((b"Idempotency-Key", classification.key.encode()))
-        return forwarded
+        if classification.idempotency_key:
+            forwarded_headers.append((b"Idempotency-Key", classification.idempotency_key.encode()))
+        return forwarded_headers
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
         """Return the response; a converter's response is forwarded unchanged, including its GraphQL errors."""
@@ -214,13 +214,13 @@
         self.graphql_dialect = graphql_dialect
         self.platform_dialect = platform_dialect
 
-    def dialect_of(self, target: bytes) -> Dialect:
+    def select_dialect(self, target: bytes) -> Dialect:
         """Return the dialect for a request target."""
         return self.graphql_dialect if target.partition(b"?")[0] == self.path else self.platform_dialect
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Parse a request with the dialect of its target. Raises RequestError."""
-        return self.dialect_of(target).parse(method, target, headers, body)
+        return self.select_dialect(target).parse(method, target, headers, body)
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
         """Return the response to an accepted request."""
@@ -228,7 +228,7 @@
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
         """Return the response to a request that was not accepted."""
-        return self.dialect_of(target).render_error(target, error)
+        return self.select_dialect(target).render_error(target, error)
 
 
 def make_front_ends(settings: conf.GraphqlSettings) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
@@ -239,7 +239,7 @@
 
     def make_dialect(config: Config) -> GraphqlDialect:
         if not readers:
-            readers.append(RequestReader(make_classification_table(settings, config.settings), settings.max_batch))
+            readers.append(RequestReader(make_classification_table(settings, config.settings), settings.max_batch_size))
         return GraphqlDialect(config.settings, readers[0])
 
     def make_shared_front_end(config: Config, dispatcher: RequestDispatcher) -> FrontEnd:
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -13,7 +13,7 @@
 from graphql import OperationType
 
 from ryepier.balancer.interface import Idempotency
-from ryepier.graphql.document import Operation, RootField, is_executed, variable_value
+from ryepier.graphql.document import Operation, RootField, argument_value, is_executed
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
 IDEMPOTENCY_BY_STRICTNESS = list(Idempotency)  # from the least to the most strict
@@ -33,7 +33,7 @@
     """Rule of the operators' table for one root field of operations."""
 
     class_name: str
-    key: str = ""  # argument that holds the idempotency key; empty without one
+    key_argument: str = ""  # argument that holds the idempotency key; empty without one
     cost_us: int = 0  # expected processing time on a standard core; 0 = not known
     deadline_us: int = 0  # if the client sets none; 0 = the class's
 
@@ -69,7 +69,9 @@
     def _check_rule(self, rule_name: str, rule: FieldRule) -> None:
         if rule.class_name not in self.classes:
             raise ValueError(f"{rule_name}: there is no class {rule.class_name!r}")
-        if (self.idempotency(rule.class_name) is Idempotency.IDEMPOTENCY_KEY) != bool(rule.key) and rule_name not in (
+        if (self.idempotency(rule.class_name) is Idempotency.IDEMPOTENCY_KEY) != bool(
+            rule.key_argument
+        ) and rule_name not in (
             "queries",
             "mutations",
         ):
@@ -86,7 +88,7 @@
 
     class_name: str
     idempotency: Idempotency
-    key: str = ""  # idempotency key; empty without one
+    idempotency_key: str = ""  # idempotency key; empty without one
     cost_us: int = 0  # expected processing time of all its fields; 0 = not known
     deadline_us: int = 0  # longest deadline of its fields' rules; 0 = the class's
     mutates: bool = False
@@ -103,7 +105,7 @@
     """The rule of a root field, and the idempotency key from its arguments; empty without one."""
 
     rule: FieldRule
-    key: str
+    idempotency_key: str
 
 
 def classify(table: ClassificationTable, calls: Sequence[OperationCall]) -> Classification:
@@ -120,11 +122,11 @@
             raise malformed_request("subscriptions are not served here", "SUBSCRIPTIONS_NOT_SUPPORTED")
         is_mutation = operation.kind is OperationType.MUTATION
         mutates |= is_mutation
-        executed = [root_field for root_field in operation.fields if is_executed(root_field, variables)]
-        field_calls += [_make_field_call(table, is_mutation, root_field, variables) for root_field in executed]
-        if not executed:  # directives skip all fields; the default class of the operation type applies
+        executed_fields = [root_field for root_field in operation.fields if is_executed(root_field, variables)]
+        field_calls += [_make_field_call(table, is_mutation, root_field, variables) for root_field in executed_fields]
+        if not executed_fields:  # directives skip all fields; the default class of the operation type applies
             field_calls.append(FieldCall(FieldRule(table.mutation_class if is_mutation else table.query_class), ""))
-    rule, key = max(
+    rule, idempotency_key = max(
         field_calls, key=lambda call: IDEMPOTENCY_BY_STRICTNESS.index(table.idempotency(call.rule.class_name))
     )
     costs_us = [call.rule.cost_us for call in field_calls]
@@ -132,21 +134,23 @@
     cost_us = sum(costs_us) if all(costs_us) else 0
     deadline_us = max(deadlines_us) if all(deadlines_us) else 0
     idempotency = table.idempotency(rule.class_name)
-    if idempotency is Idempotency.IDEMPOTENCY_KEY and (not key or _count_unsafe_calls(table, field_calls) > 1):
+    if idempotency is Idempotency.IDEMPOTENCY_KEY and (
+        not idempotency_key or _count_non_idempotent_calls(table, field_calls) > 1
+    ):
         # one idempotency key cannot cover two operations that are not idempotent
         rule = FieldRule(table.mutation_class)
         idempotency = table.idempotency(table.mutation_class)
     return Classification(
         rule.class_name,
         idempotency,
-        key if idempotency is Idempotency.IDEMPOTENCY_KEY else "",
+        idempotency_key if idempotency is Idempotency.IDEMPOTENCY_KEY else "",
         cost_us,
         deadline_us,
         mutates,
     )
 
 
-def _count_unsafe_calls(table: ClassificationTable, field_calls: list[FieldCall]) -> int:
+def _count_non_idempotent_calls(table: ClassificationTable, field_calls: list[FieldCall]) -> int:
     return sum(table.idempotency(call.rule.class_name) is not Idempotency.IDEMPOTENT for call in field_calls)
 
 
@@ -157,10 +161,10 @@
     rule = rules.get(field.name)
     if rule is None:
         return FieldCall(FieldRule(table.mutation_class if is_mutation else table.query_class), "")
-    argument = field.arguments.get(rule.key) if rule.key else None
+    argument = field.arguments.get(rule.key_argument) if rule.key_argument else None
     if argument is None:
         return FieldCall(rule, "")
-    return FieldCall(rule, _idempotency_key(variable_value(argument, variables)))
+    return FieldCall(rule, _idempotency_key(argument_value(argument, variables)))
 
 
 def _idempotency_key(value: Any) -> str:
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -88,15 +88,15 @@
         raise malformed_request("the document has no operation of that name", "OPERATION_NAME")
 
 
-def check_bounds(text: str) -> None:
+def check_limits(text: str) -> None:
     """Raise GraphqlError for a text with too many tokens, too deep nesting, or an invalid token."""
     lexer = Lexer(Source(text))
-    depth = tokens = 0
+    depth = token_count = 0
     try:
         while (kind := lexer.advance().kind) is not TokenKind.EOF:
-            tokens += 1
+            token_count += 1
             depth += (kind in OPENING_BRACKETS) - (kind in CLOSING_BRACKETS)
-            if tokens > MAX_TOKENS:
+            if token_count > MAX_TOKENS:
                 raise malformed_request(f"the document has more than {MAX_TOKENS} tokens", "DOCUMENT_TOO_LARGE")
             if depth > MAX_DEPTH:
                 raise malformed_request(f"the document is nested more than {MAX_DEPTH} deep", "DOCUMENT_TOO_DEEP")
@@ -110,7 +110,7 @@
         # The specification allows a byte order mark, but not every server skips it, so a server might read the document
         # differently.
         raise malformed_request("the document begins with a byte order mark", "GRAPHQL_PARSE_FAILED")
-    check_bounds(text)
+    check_limits(text)
     try:
         tree = parse(text, no_location=True)
     except (GraphQLError, RecursionError) as error:
@@ -231,7 +231,7 @@
         return document
 
 
-def variable_value(node: ValueNode, variables: Mapping[str, Any]) -> Any:
+def argument_value(node: ValueNode, variables: Mapping[str, Any]) -> Any:
     """Return an argument's value with variables substituted; None for a variable without a value."""
     return variables.get(node.name.value) if isinstance(node, VariableNode) else read_value(node, dict(variables))
 
@@ -243,7 +243,7 @@
             (argument.value for argument in directive.arguments or () if argument.name.value == CONDITION_ARGUMENT),
             None,
         )
-        value = variable_value(condition, variables) if condition is not None else None
+        value = argument_value(condition, variables) if condition is not None else None
         if value is (directive.name.value == SKIP_DIRECTIVE):
             return False
     return True
--- a/ryepier/graphql/persisted.py
+++ b/ryepier/graphql/persisted.py
@@ -11,7 +11,7 @@
 
 MAX_QUERIES = 1_000
 MAX_CHARACTERS = 4_000_000  # in all cached texts together
-VERSION = 1  # of the protocol for automatic persisted queries
+PROTOCOL_VERSION = 1  # of the protocol for automatic persisted queries
 
 
 class PersistedQueryCache:
@@ -36,7 +36,7 @@
         if (
             not isinstance(sha256_hash, str)
             or not isinstance(reference, Mapping)
-            or reference.get("version") != VERSION
+            or reference.get("version") != PROTOCOL_VERSION
         ):
             raise malformed_request("persistedQuery: expected version 1 and a sha256Hash")
         if text is None:
@@ -57,5 +57,5 @@
         self.texts[reference["sha256Hash"]] = text
         self.size_characters += len(text)
         while len(self.texts) > self.max_queries or self.size_characters > self.max_characters:
-            _, evicted = self.texts.popitem(last=False)
-            self.size_characters -= len(evicted)
+            _, evicted_text = self.texts.popitem(last=False)
+            self.size_characters -= len(evicted_text)
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -22,7 +22,7 @@
 
 PARAMETER_NAMES = ("query", "operationName", "variables", "extensions")
 JSON_TYPE, RESPONSE_TYPE = "application/json", "application/graphql-response+json"
-MAX_BATCH = 20  # operations in one request
+MAX_BATCH_SIZE = 20  # operations in one request
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,23 +47,23 @@
     """Return the response's media type for an Accept header. Raises GraphqlError if it accepts no supported type."""
     if not accept.strip():
         return RESPONSE_TYPE
-    best, best_weight = "", 0.0
+    best_type, best_quality = "", 0.0
     for part in accept.split(","):
         name, *parameters = (component.strip().lower() for component in part.split(";"))
-        weight = 1.0
+        quality = 1.0
         for parameter in parameters:
             if parameter.startswith("q="):
                 try:
-                    weight = float(parameter[2:])
+                    quality = float(parameter[2:])
                 except ValueError:
-                    weight = 0.0
+                    quality = 0.0
         if name in ("*/*", "application/*"):
             name = RESPONSE_TYPE
-        if name in (RESPONSE_TYPE, JSON_TYPE) and weight > best_weight:
-            best, best_weight = name, weight
-    if not best:
+        if name in (RESPONSE_TYPE, JSON_TYPE) and quality > best_quality:
+            best_type, best_quality = name, quality
+    if not best_type:
         raise GraphqlError(406, "NOT_ACCEPTABLE", f"answers are {RESPONSE_TYPE} or {JSON_TYPE}")
-    return best
+    return best_type
 
 
 def check_content_type(value: str) -> None:
@@ -145,10 +145,10 @@
 class RequestReader:
     """Parses and classifies requests, with caches of parsed documents and of persisted queries."""
 
-    def __init__(self, table: ClassificationTable, max_batch: int = MAX_BATCH) -> None:
-        """Start with empty caches; `max_batch` is the maximum number of operations in a batch."""
+    def __init__(self, table: ClassificationTable, max_batch_size: int = MAX_BATCH_SIZE) -> None:
+        """Start with empty caches; `max_batch_size` is the maximum number of operations in a batch."""
         self.table = table
-        self.max_batch = max_batch
+        self.max_batch_size = max_batch_size
         self.documents = DocumentCache()
         self.persisted_queries = PersistedQueryCache()
 
@@ -173,12 +173,15 @@
         return ParsedRequest(classification, body if parameters.query is not None else _post_body(parameters, text))
 
     def _read_batch(self, items: Sequence[Any], body: bytes) -> ParsedRequest:
-        if not 0 < len(items) <= self.max_batch:
-            raise malformed_request(f"a batch has 1 to {self.max_batch} operations, not {len(items)}", "BATCH_SIZE")
-        parts = [read_parameters(item) for item in items]
-        selected = [self._read_operation(part) for part in parts]
+        if not 0 < len(items) <= self.max_batch_size:
+            raise malformed_request(
+                f"a batch has 1 to {self.max_batch_size} operations, not {len(items)}", "BATCH_SIZE"
+            )
+        batch_parameters = [read_parameters(item) for item in items]
+        selections = [self._read_operation(parameters) for parameters in batch_parameters]
         calls = [
-            OperationCall(operation.operation, part.variables) for part, operation in zip(parts, selected, strict=True)
+            OperationCall(selection.operation, parameters.variables)
+            for parameters, selection in zip(batch_parameters, selections, strict=True)
         ]
         classification = classify(self.table, calls)
         if classification.idempotency is Idempotency.IDEMPOTENCY_KEY:
@@ -186,12 +189,15 @@
             classification = replace(
                 classification,
                 class_name=self.table.mutation_class,
-                key="",
+                idempotency_key="",
                 idempotency=self.table.idempotency(self.table.mutation_class),
             )
-        if all(part.query is not None for part in parts):
+        if all(parameters.query is not None for parameters in batch_parameters):
             return ParsedRequest(classification, body)
-        bodies = [_post_body(part, operation.text) for part, operation in zip(parts, selected, strict=True)]
+        bodies = [
+            _post_body(parameters, selection.text)
+            for parameters, selection in zip(batch_parameters, selections, strict=True)
+        ]
         return ParsedRequest(classification, b"[" + b",".join(bodies) + b"]")
 
     def _read_operation(self, parameters: OperationParameters) -> SelectedOperation:
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -32,7 +32,7 @@
 TABLE = ClassificationTable(
     CLASSES,
     {"report": FieldRule("report", cost_us=5000, deadline_us=70)},
-    {"batch": FieldRule("batch", key="id", cost_us=9000), "convert": FieldRule("convert", cost_us=7000)},
+    {"batch": FieldRule("batch", key_argument="id", cost_us=9000), "convert": FieldRule("convert", cost_us=7000)},
     "lookup",
     "convert",
 )
@@ -40,18 +40,18 @@
 JSON = "application/json"
 
 
-def post(query: Any, reader: RequestReader | None = None, **parameters: Any) -> ParsedRequest:
+def parse_query(query: Any, reader: RequestReader | None = None, **parameters: Any) -> ParsedRequest:
     return (reader or RequestReader(TABLE)).read_post(JSON, json.dumps({"query": query, **parameters}).encode())
 
 
-def post_body(body: bytes | str) -> ParsedRequest:
+def parse_body(body: bytes | str) -> ParsedRequest:
     return RequestReader(TABLE).read_post(JSON, body if isinstance(body, bytes) else body.encode())
 
 
-def rejection(function: Any, *arguments: Any, **keywords: Any) -> GraphqlError:
-    with pytest.raises(GraphqlError) as caught:
+def expect_rejection(function: Any, *arguments: Any, **keywords: Any) -> GraphqlError:
+    with pytest.raises(GraphqlError) as error_info:
         function(*arguments, **keywords)
-    return caught.value
+    return error_info.value
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
     ],
 )
 def test_mutation_is_non_idempotent_in_any_spelling(query: str, name: str | None) -> None:
-    classification = post(query, operationName=name).classification
+    classification = parse_query(query, operationName=name).classification
     assert (classification.class_name, classification.idempotency, classification.mutates) == (
         "convert",
         Idempotency.NON_IDEMPOTENT,
@@ -87,24 +87,29 @@
 
 
 def test_mutation_with_an_idempotency_key_may_be_retried() -> None:
-    assert post('mutation { batch(id: "b-1") { id } }').classification.key == "b-1"
-    classification = post('mutation($i: ID = "dflt") { batch(id: $i) }', variables={"i": 17}).classification
-    assert (classification.class_name, classification.idempotency, classification.key, classification.cost_us) == (
+    assert parse_query('mutation { batch(id: "b-1") { id } }').classification.idempotency_key == "b-1"
+    classification = parse_query('mutation($i: ID = "dflt") { batch(id: $i) }', variables={"i": 17}).classification
+    assert (
+        classification.class_name,
+        classification.idempotency,
+        classification.idempotency_key,
+        classification.cost_us,
+    ) == (
         "batch",
         Idempotency.IDEMPOTENCY_KEY,
         "17",
         9000,
     )
-    assert post('mutation($i: ID = "dflt") { batch(id: $i) }').classification.key == "dflt"
+    assert parse_query('mutation($i: ID = "dflt") { batch(id: $i) }').classification.idempotency_key == "dflt"
     two_fields = 'mutation($no: Boolean!) { batch(id: "1") convert @include(if: $no) }'
-    classification = post(two_fields, variables={"no": False}).classification
-    assert (classification.idempotency, classification.key) == (Idempotency.IDEMPOTENCY_KEY, "1")
-    assert post(two_fields).classification.idempotency == Idempotency.NON_IDEMPOTENT
+    classification = parse_query(two_fields, variables={"no": False}).classification
+    assert (classification.idempotency, classification.idempotency_key) == (Idempotency.IDEMPOTENCY_KEY, "1")
+    assert parse_query(two_fields).classification.idempotency == Idempotency.NON_IDEMPOTENT
 
 
 def test_query_is_idempotent_with_class_and_cost_from_the_table() -> None:
-    assert post("{ a b c }").classification.class_name == "lookup"
-    classification = post("query { one: report two: report }").classification
+    assert parse_query("{ a b c }").classification.class_name == "lookup"
+    classification = parse_query("query { one: report two: report }").classification
     assert (
         classification.class_name,
         classification.idempotency,
@@ -116,21 +121,27 @@
         10_000,
         70,
     )
-    assert post("query { report other }").classification.deadline_us == 0
-    assert post("query Q { a } " + MUTATION, operationName="Q").classification.idempotency == Idempotency.IDEMPOTENT
+    assert parse_query("query { report other }").classification.deadline_us == 0
+    assert (
+        parse_query("query Q { a } " + MUTATION, operationName="Q").classification.idempotency == Idempotency.IDEMPOTENT
+    )
 
 
 def test_batch_has_its_strictest_class_and_is_forwarded_unchanged() -> None:
     body = json.dumps([{"query": "{ a }"}, {"query": 'mutation { batch(id: "1") }'}]).encode()
-    parsed = post_body(body)
-    assert (parsed.classification.idempotency, parsed.classification.key, parsed.body) == (
+    parsed_request = parse_body(body)
+    assert (
+        parsed_request.classification.idempotency,
+        parsed_request.classification.idempotency_key,
+        parsed_request.body,
+    ) == (
         Idempotency.NON_IDEMPOTENT,
         "",
         body,
     )
-    assert post_body('[{"query": "{ a }"}, {"query": "{ b }"}]').classification.idempotency == Idempotency.IDEMPOTENT
-    assert rejection(post_body, json.dumps([{"query": "{ a }"}] * 1000)).code == "BATCH_SIZE"
-    assert rejection(post_body, "[]").code == "BATCH_SIZE" and rejection(post_body, "[1]").status == 400
+    assert parse_body('[{"query": "{ a }"}, {"query": "{ b }"}]').classification.idempotency == Idempotency.IDEMPOTENT
+    assert expect_rejection(parse_body, json.dumps([{"query": "{ a }"}] * 1000)).code == "BATCH_SIZE"
+    assert expect_rejection(parse_body, "[]").code == "BATCH_SIZE" and expect_rejection(parse_body, "[1]").status == 400
 
 
 @pytest.mark.parametrize(
@@ -168,35 +179,39 @@
     ],
 )
 def test_ambiguous_or_invalid_request_is_rejected(body: bytes) -> None:
-    assert rejection(post_body, body).status == 400
+    assert expect_rejection(parse_body, body).status == 400
 
 
 def test_document_size_is_limited_before_parsing() -> None:
-    nested = "{a" * 32_000 + "}" * 32_000
-    assert rejection(post, nested).code == "DOCUMENT_TOO_DEEP"
-    assert rejection(post, "{" * 65_000).code == "DOCUMENT_TOO_DEEP"
-    assert rejection(post, "{ " + "a " * 30_000 + "}").code == "DOCUMENT_TOO_LARGE"
+    nested_document = "{a" * 32_000 + "}" * 32_000
+    assert expect_rejection(parse_query, nested_document).code == "DOCUMENT_TOO_DEEP"
+    assert expect_rejection(parse_query, "{" * 65_000).code == "DOCUMENT_TOO_DEEP"
+    assert expect_rejection(parse_query, "{ " + "a " * 30_000 + "}").code == "DOCUMENT_TOO_LARGE"
     assert (
-        post("{" + "a{" * (MAX_DEPTH - 1) + "b" + "}" * MAX_DEPTH).classification.idempotency == Idempotency.IDEMPOTENT
+        parse_query("{" + "a{" * (MAX_DEPTH - 1) + "b" + "}" * MAX_DEPTH).classification.idempotency
+        == Idempotency.IDEMPOTENT
     )
     nested_fragments = " ".join(f"fragment F{i} on Q {{ ...F{i + 1} ...F{i + 1} }}" for i in range(20))
-    assert rejection(post, f"{{ ...F0 }} {nested_fragments} fragment F20 on Q {{ a }}").code == "DOCUMENT_TOO_LARGE"
+    assert (
+        expect_rejection(parse_query, f"{{ ...F0 }} {nested_fragments} fragment F20 on Q {{ a }}").code
+        == "DOCUMENT_TOO_LARGE"
+    )
 
 
 def test_get_request_must_be_a_query() -> None:
     reader = RequestReader(TABLE)
-    parsed = reader.read_get(
+    parsed_request = reader.read_get(
         urlencode({"query": "query Q($x: Int) { a(x: $x) }", "variables": '{"x": 1}', "operationName": "Q"})
     )
-    assert json.loads(parsed.body) == {
+    assert json.loads(parsed_request.body) == {
         "query": "query Q($x: Int) { a(x: $x) }",
         "variables": {"x": 1},
         "operationName": "Q",
     }
-    error = rejection(reader.read_get, urlencode({"query": MUTATION}))
+    error = expect_rejection(reader.read_get, urlencode({"query": MUTATION}))
     assert (error.status, error.allow) == (405, "POST")
     for text in ("", "query=%7Ba%7D&query=%7Bb%7D", "query=%ff", "query=%7Ba%7D&variables=1", "a"):
-        assert rejection(reader.read_get, text).status == 400
+        assert expect_rejection(reader.read_get, text).status == 400
 
 
 def test_persisted_hash_refers_to_one_text_only() -> None:
@@ -204,18 +219,26 @@
         return {"persistedQuery": {"version": 1, "sha256Hash": hashlib.sha256(text.encode()).hexdigest()}}
 
     reader = RequestReader(TABLE)
-    error = rejection(post, None, reader, extensions=extensions("{ a }"))
+    error = expect_rejection(parse_query, None, reader, extensions=extensions("{ a }"))
     assert (error.status, error.code, error.text) == (200, "PERSISTED_QUERY_NOT_FOUND", "PersistedQueryNotFound")
-    assert rejection(post, MUTATION, reader, extensions=extensions("{ a }")).code == "PERSISTED_QUERY_HASH_MISMATCH"
-    post("{ a }", reader, extensions=extensions("{ a }"))
-    parsed = reader.read_post(JSON, json.dumps({"extensions": extensions("{ a }"), "variables": {"v": 1.5}}).encode())
-    assert parsed.classification.idempotency == Idempotency.IDEMPOTENT and json.loads(parsed.body)["query"] == "{ a }"
-    assert json.loads(parsed.body)["variables"] == {"v": 1.5}
+    assert (
+        expect_rejection(parse_query, MUTATION, reader, extensions=extensions("{ a }")).code
+        == "PERSISTED_QUERY_HASH_MISMATCH"
+    )
+    parse_query("{ a }", reader, extensions=extensions("{ a }"))
+    parsed_request = reader.read_post(
+        JSON, json.dumps({"extensions": extensions("{ a }"), "variables": {"v": 1.5}}).encode()
+    )
+    assert (
+        parsed_request.classification.idempotency == Idempotency.IDEMPOTENT
+        and json.loads(parsed_request.body)["query"] == "{ a }"
+    )
+    assert json.loads(parsed_request.body)["variables"] == {"v": 1.5}
     cache = PersistedQueryCache(max_queries=2)
     for text in ("{ a }", "{ b }", "{ c }"):
         cache.store(text, extensions(text))
     assert len(cache.texts) == 2 and cache.size_characters == 10
-    assert rejection(cache.resolve, None, extensions("{ a }")).code == "PERSISTED_QUERY_NOT_FOUND"
+    assert expect_rejection(cache.resolve, None, extensions("{ a }")).code == "PERSISTED_QUERY_NOT_FOUND"
 
 
 def test_document_cache_is_bounded() -> None:
@@ -243,10 +266,10 @@
 
 
 def test_unsupported_media_type_is_reported() -> None:
-    assert rejection(response_type, "text/html").status == 406
-    assert rejection(response_type, "application/json;q=0").status == 406
+    assert expect_rejection(response_type, "text/html").status == 406
+    assert expect_rejection(response_type, "application/json;q=0").status == 406
     for content_type in ("text/plain", "", "application/json; charset=utf-16"):
-        assert rejection(RequestReader(TABLE).read_post, content_type, b"{}").status == 415
+        assert expect_rejection(RequestReader(TABLE).read_post, content_type, b"{}").status == 415
 
 
 @pytest.mark.parametrize(
@@ -258,7 +281,7 @@
         {"query_class": "batch"},
         {"mutations": {"m": FieldRule("lookup")}},
         {"mutations": {"m": FieldRule("batch")}},
-        {"mutations": {"m": FieldRule("convert", key="id")}},
+        {"mutations": {"m": FieldRule("convert", key_argument="id")}},
     ],
 )
 def test_table_that_would_retry_non_idempotent_operations_is_rejected(overrides: dict[str, Any]) -> None:
@@ -289,31 +312,31 @@
     st.sampled_from([None, True, False, "x"]),
 )
 def test_no_mutation_is_ever_classified_as_idempotent(
-    operations: list[tuple[str, str, str]], fragment_fields: str, selected: int, variable: Any
+    operations: list[tuple[str, str, str]], fragment_fields: str, operation_index: int, variable_value: Any
 ) -> None:
     text = "".join(f"{filler}{kind} O{i}($v: X) {{ {fields} }} " for i, (kind, fields, filler) in enumerate(operations))
     text = f"fragment F on T {{ {fragment_fields.replace('...F', 'f')} }} " + text
-    name = f"O{selected % len(operations)}"
-    selected_kinds: list[str] = []
+    name = f"O{operation_index % len(operations)}"
+    visited_kinds: list[str] = []
 
-    class OperationKinds(Visitor):
+    class OperationKindCollector(Visitor):
         def enter_operation_definition(self, node: OperationDefinitionNode, *_: Any) -> None:
             if node.name is not None and node.name.value == name:
-                selected_kinds.append(node.operation.value)
+                visited_kinds.append(node.operation.value)
 
-    visit(parse(text), OperationKinds())
-    classification = post(text, operationName=name, variables={"v": variable}).classification
-    assert selected_kinds == [operations[selected % len(operations)][0]]
-    assert classification.mutates == (selected_kinds == ["mutation"])
-    assert (classification.idempotency == Idempotency.IDEMPOTENT) == (selected_kinds == ["query"])
+    visit(parse(text), OperationKindCollector())
+    classification = parse_query(text, operationName=name, variables={"v": variable_value}).classification
+    assert visited_kinds == [operations[operation_index % len(operations)][0]]
+    assert classification.mutates == (visited_kinds == ["mutation"])
+    assert (classification.idempotency == Idempotency.IDEMPOTENT) == (visited_kinds == ["query"])
     assert classification.idempotency != Idempotency.IDEMPOTENCY_KEY or (
-        classification.key and text.count("batch") >= 1
+        classification.idempotency_key and text.count("batch") >= 1
     )
 
 
 @given(st.binary(max_size=300) | st.text(max_size=200).map(lambda text: json.dumps({"query": text}).encode()))
 def test_arbitrary_bytes_are_parsed_or_rejected(body: bytes) -> None:
     with suppress(GraphqlError):
-        post_body(body)
+        parse_body(body)
     with suppress(GraphqlError):
         RequestReader(TABLE).read_get(body.decode("latin-1"))
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -98,17 +98,17 @@
         upstream = ScriptedUpstream(script)
         await upstream.start()
         config = load(str(write_configuration(folder, known=None, settings=SETTINGS | {"request-classes": CLASSES})))
-        selected = select_components(operator_settings.parse(settings_text, {}))
+        selected_components = select_components(operator_settings.parse(settings_text, {}))
         port = config.listen[1]
-        stop = asyncio.Event()
+        stop_event = asyncio.Event()
         task = asyncio.create_task(
             serve(
                 config,
-                stop,
+                stop_event,
                 asyncio.Event(),
                 components.Components(
                     lambda config, dispatcher: FixedSource(dispatcher, upstream.port if reachable else 0),
-                    selected.front_ends,
+                    selected_components.front_ends,
                 ),
             )
         )
@@ -121,14 +121,14 @@
                 except OSError:
                     await asyncio.sleep(0.01)
             await test(FrontClient(port), upstream)
-            stop.set()
+            stop_event.set()
             await task
         upstream.stop()
 
     asyncio.run(run())
 
 
-def reply(status: int, body: str, content_type: str = "application/graphql-response+json") -> bytes:
+def http_response(status: int, body: str, content_type: str = "application/graphql-response+json") -> bytes:
     return (
         f"HTTP/1.1 {status} X\r\nContent-Type: {content_type}\r\nContent-Length: {len(body)}\r\n\r\n{body}"
     ).encode()
@@ -144,28 +144,30 @@
         assert (status, body, len(upstream.requests)) == (200, {"data": {"status": 1}}, 3)
         assert headers["content-type"] == "application/graphql-response+json"
 
-    run_with_front_end(tmp_path, respond_in_turn(b"", b"", reply(200, '{"data":{"status":1}}')), test)
+    run_with_front_end(tmp_path, respond_in_turn(b"", b"", http_response(200, '{"data":{"status":1}}')), test)
 
 
 def test_response_with_graphql_errors_is_forwarded_and_not_retried(tmp_path: Path) -> None:
     partial_result = '{"data":{"status":null},"errors":[{"message":"half"}]}'
-    rejected = '{"errors":[{"message":"no such field"}]}'
+    error_result = '{"errors":[{"message":"no such field"}]}'
 
     async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
         assert (await client.fetch(http_request(QUERY)))[::2] == (200, json.loads(partial_result))
-        assert (await client.fetch(http_request(QUERY)))[::2] == (400, json.loads(rejected))
+        assert (await client.fetch(http_request(QUERY)))[::2] == (400, json.loads(error_result))
         assert len(upstream.requests) == 2
 
-    run_with_front_end(tmp_path, respond_in_turn(reply(200, partial_result), reply(400, rejected)), test)
+    run_with_front_end(
+        tmp_path, respond_in_turn(http_response(200, partial_result), http_response(400, error_result)), test
+    )
 
 
 def test_rejection_is_immediate_and_has_a_graphql_error(tmp_path: Path) -> None:
     async def test(client: FrontClient, upstream: ScriptedUpstream) -> None:
-        started_s = asyncio.get_running_loop().time()
+        started_at_s = asyncio.get_running_loop().time()
         status, headers, body = await client.fetch(http_request(MUTATION, Accept="application/json"))
         assert status == 503 and body["errors"][0]["extensions"]["code"] == "OVERLOADED"
         assert headers["content-type"] == "application/json" and body["errors"][0]["extensions"]["mayHaveRun"] is False
-        assert asyncio.get_running_loop().time() - started_s < 1.0
+        assert asyncio.get_running_loop().time() - started_at_s < 1.0
 
     run_with_front_end(tmp_path, respond_in_turn(NOT_RUN), test)
 
@@ -181,7 +183,7 @@
         assert head.startswith(b"POST /graphql HTTP/1.1\r\n") and json.loads(body) == {"query": "{status}"}
         assert b"X-Request-Id: " in head
 
-    run_with_front_end(tmp_path, respond_in_turn(reply(200, "{}")), test)
+    run_with_front_end(tmp_path, respond_in_turn(http_response(200, "{}")), test)
 
 
 REJECTED_REQUESTS = [
@@ -224,7 +226,7 @@
         assert status == 404
 
     settings_text = GRAPHQL_SETTINGS.replace('path = "/graphql"', f'listen = "127.0.0.1:{graphql_port}"')
-    run_with_front_end(tmp_path, respond_in_turn(reply(200, "{}")), test, settings_text)
+    run_with_front_end(tmp_path, respond_in_turn(http_response(200, "{}")), test, settings_text)
 
 
 def test_connection_stays_open_after_a_request_rejected_for_its_content(tmp_path: Path) -> None:
@@ -238,4 +240,4 @@
         writer.close()
         await wait_until(lambda: len(upstream.requests) == 1)
 
-    run_with_front_end(tmp_path, respond_in_turn(reply(200, "{}")), test)
+    run_with_front_end(tmp_path, respond_in_turn(http_response(200, "{}")), test)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,15 +14,15 @@
 class FormattingCounter:
     """Counts how often an instance is formatted."""
 
-    formatted = 0
+    format_count = 0
 
     def __str__(self) -> str:
-        FormattingCounter.formatted += 1
+        FormattingCounter.format_count += 1
         return "request 77 refused"
 
 
 @pytest.fixture
-def root(monkeypatch: pytest.MonkeyPatch) -> logging.Logger:
+def root_logger(monkeypatch: pytest.MonkeyPatch) -> logging.Logger:
     logger = logging.getLogger()
     monkeypatch.setattr(logger, "handlers", [])
     monkeypatch.setattr(logger, "level", logger.level)
@@ -30,7 +30,7 @@
 
 
 def test_json_line_contains_the_message_and_the_extra_fields(
-    root: logging.Logger, capsys: pytest.CaptureFixture[str]
+    root_logger: logging.Logger, capsys: pytest.CaptureFixture[str]
 ) -> None:
     structured.configure_logging(LoggingSettings(format=LogFormat.JSON))
     logging.getLogger("ryepier.sidecar.dispatcher").info("%s", "request \u00fc refused", extra={"request": "77"})
@@ -40,12 +40,12 @@
 
 
 def test_lines_beyond_the_limit_or_below_the_level_are_never_formatted(
-    root: logging.Logger, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+    root_logger: logging.Logger, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ryepier.sidecar.logs.time.monotonic", lambda: 1000.5)
     structured.configure_logging(LoggingSettings(lines_per_s=3))
-    FormattingCounter.formatted = 0
+    FormattingCounter.format_count = 0
     for _ in range(10):
-        root.debug("%s", FormattingCounter())
-        root.info("%s", FormattingCounter())
-    assert FormattingCounter.formatted == 3 and len(capsys.readouterr().err.splitlines()) == 3
+        root_logger.debug("%s", FormattingCounter())
+        root_logger.info("%s", FormattingCounter())
+    assert FormattingCounter.format_count == 3 and len(capsys.readouterr().err.splitlines()) == 3
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -15,35 +15,35 @@
 STEADY_WORLD = (ROOT / "ryepier" / "worlds" / "steady.toml").read_text()
 
 
-def problems(text: str, **environment: str) -> list[str]:
-    with pytest.raises(ConfigurationError) as caught:
+def find_problems(text: str, **environment: str) -> list[str]:
+    with pytest.raises(ConfigurationError) as error_info:
         operator_settings.parse(text, environment)
-    return [str(problem) for problem in caught.value.problems]
+    return [str(problem) for problem in error_info.value.problems]
 
 
-def world_problems(text: str) -> list[tuple[int, str]]:
-    with pytest.raises(ConfigurationError) as caught:
+def find_world_problems(text: str) -> list[tuple[int, str]]:
+    with pytest.raises(ConfigurationError) as error_info:
         world.parse(text)
-    return [(problem.line, problem.key) for problem in caught.value.problems]
+    return [(problem.line, problem.key) for problem in error_info.value.problems]
 
 
 def test_all_errors_are_reported_together_with_line_and_key() -> None:
-    messages = problems('[logging]\n# a comment\nformat = "xml"\nlevle = "info"\nlines_per_s = 0\n[lgging]\n')
+    messages = find_problems('[logging]\n# a comment\nformat = "xml"\nlevle = "info"\nlines_per_s = 0\n[lgging]\n')
     assert [text.split(":")[0] for text in messages] == ["line 3", "line 4", "line 5", "line 6"]
     assert "logging.format" in messages[0] and "did you mean 'level'?" in messages[1]
     assert ">= 1" in messages[2] and "did you mean 'logging'?" in messages[3]
 
 
 @pytest.mark.parametrize(
-    ("text", "expected"),
+    ("text", "expected_start"),
     [
         ("[logging]\nformat = \n", "line 2: not TOML"),
         ("logging = 3\n", "line 1: logging: expected a table, got int"),
         ("[logging]\nlines_per_s = true\n", "line 2: logging.lines_per_s: expected `int`, got `bool`, got True"),
     ],
 )
-def test_invalid_file_is_reported_in_one_line(text: str, expected: str) -> None:
-    assert problems(text)[0].startswith(expected)
+def test_invalid_file_is_reported_in_one_line(text: str, expected_start: str) -> None:
+    assert find_problems(text)[0].startswith(expected_start)
 
 
 def test_environment_overrides_the_file_and_is_validated() -> None:
@@ -53,7 +53,7 @@
     )
     assert settings.logging.format is operator_settings.LogFormat.JSON
     assert (settings.logging.level, settings.logging.lines_per_s) == ("debug", 7)
-    assert "logging.format" in problems("", RYEPIER_LOGGING__FORMAT="loud")[0]
+    assert "logging.format" in find_problems("", RYEPIER_LOGGING__FORMAT="loud")[0]
 
 
 def test_shipped_file_has_every_key_and_its_default() -> None:
@@ -71,13 +71,13 @@
         '[slices]\ncell = "node"\n[storm]\nwhole_seconds = true\n',
         {"RYEPIER_PLANNER__MOST_FORWARDERS": "7"},
     )
-    rules = settings.acceptance
+    rules = settings.plan_acceptance
     assert (rules.min_reporters, rules.min_window_ms, rules.min_covered) == (0.1, 2, 0.3)
     assert (rules.max_ejected, rules.min_weight) == (0.6, 0.7)
-    assert (settings.planner.max_forwarders, settings.graphql.max_batch) == (7, 9)
+    assert (settings.planner.max_forwarders, settings.graphql.max_batch_size) == (7, 9)
     assert settings.slices.failure_domain_scope is operator_settings.FailureDomainScope.NODE
-    assert settings.storm.rounds_to_seconds is True
-    assert problems("[trust]\nmin_reporters = 0.1\n")[0].startswith("line 2: trust.min_reporters: unknown key")
+    assert settings.retry_guard.rounds_to_seconds is True
+    assert find_problems("[trust]\nmin_reporters = 0.1\n")[0].startswith("line 2: trust.min_reporters: unknown key")
 
 
 def test_error_in_a_world_file_is_reported_with_its_line() -> None:
@@ -85,7 +85,7 @@
     index = lines.index('effect = "deduplicated"')
     lines[index] = 'effect = "sometimes"'
     lines[:0] = [""] * (39 - index)
-    assert world_problems("\n".join(lines)) == [(40, "classes[1].effect")]
+    assert find_world_problems("\n".join(lines)) == [(40, "classes[1].effect")]
 
 
 @pytest.mark.parametrize(
@@ -99,4 +99,4 @@
     ],
 )
 def test_invalid_worlds_are_rejected(old: str, new: str, key: str) -> None:
-    assert key in [problem_key for _, problem_key in world_problems(STEADY_WORLD.replace(old, new, 1))]
+    assert key in [problem_key for _, problem_key in find_world_problems(STEADY_WORLD.replace(old, new, 1))]
