--- a/ryepier/assembly/endpoint_slices.py
+++ b/ryepier/assembly/endpoint_slices.py
@@ -26,7 +26,7 @@
     operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher
 ) -> EndpointSource:
     """Create the endpoint source that replaces the platform's discovery. Raises AccessError."""
-    from ryepier.slices.slice_source import SliceSource  # imports the TLS and HTTP libraries
+    from ryepier.slices.slice_source import SliceSource  # loads the TLS and HTTP libraries
 
     settings = slice_source_settings(operator_settings.slices, config)
     log.info(
@@ -38,7 +38,7 @@
 
 
 def resolve_namespace(slices: EndpointSliceSettings) -> str:
-    """Return the configured namespace, or else the pod's own. Raises AccessError if there is neither."""
+    """Return the configured namespace, or else the pod's own. Raises AccessError if neither is available."""
     from ryepier.slices.api_client import SERVICE_ACCOUNT_FOLDER, AccessError
 
     if slices.namespace:
@@ -50,7 +50,7 @@
 
 
 def slice_source_settings(slices: EndpointSliceSettings, config: platform.Config) -> Settings:
-    """Convert the operators' settings into the settings of a `SliceSource`. Raises AccessError."""
+    """Return the settings of a `SliceSource`, made from the operators' and the platform's. Raises AccessError."""
     from ryepier.slices.api_client import find_access
     from ryepier.slices.endpoint_listing import ListingRules
     from ryepier.slices.slice_source import Settings
--- a/ryepier/assembly/planning.py
+++ b/ryepier/assembly/planning.py
@@ -23,12 +23,12 @@
 
 
 def make_machine(seed: str) -> Machine:
-    """Return this process's clocks, and a random generator whose `seed` must differ between forwarders."""
+    """Return a `Machine` with this process's clocks and a random generator. Forwarders need different seeds."""
     return Machine(clock_us, lambda: system.unix_ns() // 1000, Random(seed))
 
 
 def acceptance_rules(operator_settings: OperatorSettings) -> AcceptanceRules:
-    """Convert the operators' [trust] table into the rules by which plans are accepted."""
+    """Return the rules by which forwarders accept plans, from the [trust] table of the operators' settings."""
     requirements = operator_settings.plan_acceptance
     return AcceptanceRules(
         requirements.fleet_size,
@@ -43,7 +43,10 @@
 def make_forwarder(
     operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
 ) -> BackgroundService:
-    """Create the service that reports to planners and applies their plans; it observes the dispatcher's requests."""
+    """Create the service that reports to planners and passes their plans to the dispatcher.
+
+    The service is registered as an observer of the dispatcher's requests, which it reports on.
+    """
 
     def ready_upstream_ids() -> dict[str, int]:
         return {
@@ -71,7 +74,7 @@
 
 
 def make_planner(operator_settings: OperatorSettings, seed: int) -> PlannerServer:
-    """Create a planner without starting it. Raises AssemblyError if its folder for snapshots does not exist."""
+    """Create a planner without starting it. Raises AssemblyError if the folder for its snapshots does not exist."""
     from ryepier.plan import planner_server
 
     planner_settings = operator_settings.planner
--- a/ryepier/assembly/sidecar.py
+++ b/ryepier/assembly/sidecar.py
@@ -1,6 +1,6 @@
 """Selects the components of a sidecar according to the operators' settings and the platform's configuration.
 
-Large libraries are imported in the functions that need them, so that sidecars without a feature do not load them.
+Large libraries are imported in the functions that use them, so that a sidecar loads only those of its features.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 def make_retry_guard(
     operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher, source: EndpointSource
 ) -> BackgroundService:
-    """Create the guard against retry storms and register it as the dispatcher's retry detector and as an observer."""
+    """Create the guard against retry storms, and register it with the dispatcher as retry detector and observer."""
     from ryepier.storm.retry_storm_guard import RetryStormGuard
     from ryepier.storm.storm_detector import RetryStormDetector
 
@@ -64,12 +64,12 @@
 
 
 def select_components(operator_settings: OperatorSettings) -> Components:
-    """Return the platform's components, with additions and replacements by the operators' settings."""
+    """Return the platform's components, extended or replaced by those that the operators' settings enable."""
     components = PLATFORM
     if operator_settings.slices.service:
         components = replace(components, source=partial(make_slice_source, operator_settings))
     if operator_settings.graphql.enabled:
-        from ryepier.fronts.graphql import make_front_ends  # imports graphql-core
+        from ryepier.fronts.graphql import make_front_ends  # loads graphql-core
 
         components = replace(components, front_ends=make_front_ends(operator_settings.graphql))
     if operator_settings.forwarder.planners:
--- a/ryepier/conf/__init__.py
+++ b/ryepier/conf/__init__.py
@@ -1,1 +1,1 @@
-"""Reading and validation of TOML configuration files; every error is reported with its key and line."""
+"""Reads and validates TOML configuration files; every error is reported with its key and line."""
--- a/ryepier/conf/key_lines.py
+++ b/ryepier/conf/key_lines.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-KeyPath = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]  # names of tables and keys, and indexes into lists of tables
 
 _TABLE_HEADER = re.compile(r"^\s*(\[\[?)\s*([^\[\]]+?)\s*\]\]?\s*(?:#.*)?$")
 _KEY_VALUE = re.compile(r"^\s*([A-Za-z0-9_\-.\"']+)\s*=(.*)$")
@@ -24,7 +24,7 @@
     text: str
 
     def __str__(self) -> str:
-        """Return the problem as one line of text: line number, key and message."""
+        """Return one line of text with the line number and the key, where they are known, and the message."""
         location = f"line {self.line}: " if self.line else ""
         return f"{location}{self.key}: {self.text}" if self.key else f"{location}{self.text}"
 
@@ -38,7 +38,10 @@
 
 
 class KeyLines:
-    """Finds the lines of keys, also for problems that are detected after parsing, such as tables that conflict."""
+    """Maps the keys of a TOML text to their lines.
+
+    It does not depend on the TOML parser, so problems found after parsing, such as conflicting tables, get lines too.
+    """
 
     def __init__(self, text: str) -> None:
         """Index the keys of `text`, which need not be valid TOML."""
@@ -56,11 +59,14 @@
 
 
 def _find_key_lines(text: str) -> dict[KeyPath, int]:
-    """Return the line on which each table and key begins. Keys in inline tables have no entry of their own."""
+    """Return the number of the line on which each table and each key begins.
+
+    Keys of inline tables are not included: their problems are reported on the line where the inline table begins.
+    """
     lines: dict[KeyPath, int] = {}
     last_indexes: dict[KeyPath, int] = {}
     table: KeyPath = ()
-    bracket_depth = 0
+    bracket_depth = 0  # above 0 on the further lines of a multi-line list, which have no headers or keys
     for line_number, line in enumerate(text.splitlines(), 1):
         header = _TABLE_HEADER.match(line) if bracket_depth == 0 else None
         if header is not None:
@@ -81,7 +87,7 @@
 
 
 def _with_list_indexes(names: tuple[str, ...], last_indexes: dict[KeyPath, int]) -> KeyPath:
-    """Return the path of a table; each array of tables on it is followed by the index of its last entry so far."""
+    """Return the path of a table. Each array of tables on the path is followed by the index of its latest entry."""
     path: KeyPath = ()
     for name in names:
         path += (name,)
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -18,14 +18,14 @@
     """Format of log records."""
 
     PLAIN = "plain"
-    JSON = "json"  # one object in each line
+    JSON = "json"  # one JSON object per line
 
 
 class FailureDomainScope(enum.Enum):
-    """Which endpoints of a slice form a failure domain, in which a repeated request is deduplicated."""
+    """Which endpoints share a failure domain. Within a failure domain, repeated requests are deduplicated."""
 
-    ENDPOINT = "endpoint"  # each endpoint is a failure domain of its own
-    NODE = "node"  # all endpoints on one node
+    ENDPOINT = "endpoint"  # each endpoint is a separate failure domain
+    NODE = "node"  # all endpoints on the same node share one
 
 
 class LoggingSettings(msgspec.Struct, kw_only=True, frozen=True):
@@ -33,12 +33,13 @@
 
     format: LogFormat = LogFormat.PLAIN
     level: Literal["debug", "info", "warning", "error"] = "info"
+    # limit for warnings and errors, and separately for all other lines; further lines are dropped
     lines_per_s: Annotated[int, msgspec.Meta(ge=1, le=MAX_LINES_PER_SECOND)] = 5
 
 
 Address = Annotated[str, msgspec.Meta(pattern=r"^[^:/\s]+:[0-9]{1,5}$")]  # host:port
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
-Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Share = Annotated[float, msgspec.Meta(ge=0, le=1)]  # fraction of a whole, from 0 to 1
 
 
 class PlanAcceptanceSettings(
@@ -54,34 +55,37 @@
         "min_weight": "least_weight",
     },
 ):
-    """Requirements on a plan: planners send only plans that satisfy them, and forwarders reject all others."""
+    """Requirements on plans: planners publish only plans that satisfy them, and forwarders reject all others."""
 
     fleet_size: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 1  # approximate number of forwarders
-    min_reporters: Share = 0.5
-    min_window_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 1000
-    min_covered: Share = 0.5
-    max_ejected: Share = 0.4
-    min_weight: Share = 0.4
+    min_reporters: Share = 0.5  # share of the forwarders that must have reported
+    min_window_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 1000  # time over which reports must be collected
+    min_covered: Share = 0.5  # share of the listed converters on which reports must exist
+    max_ejected: Share = 0.4  # share of the listed converters that a plan may eject
+    min_weight: Share = 0.4  # share of the total weight of the listed converters that must remain
 
 
 class ForwarderSettings(msgspec.Struct, kw_only=True, frozen=True):
-    """Settings of a sidecar as a forwarder, which follows the plans of planners; disabled without planners."""
+    """Settings of a sidecar that reports to planners and follows their plans; disabled if `planners` is empty."""
 
     planners: list[Address] = msgspec.field(default_factory=list)
-    report_ms: Annotated[int, msgspec.Meta(ge=200, le=60_000)] = 500
-    name: str = ""  # default: the name in the platform's configuration
+    report_ms: Annotated[int, msgspec.Meta(ge=200, le=60_000)] = 500  # interval between reports
+    name: str = ""  # name of the forwarder; default: the name in the platform's configuration
 
 
 class PlannerSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"max_forwarders": "most_forwarders"}):
-    """Settings of a planner, which `ryepier planner` starts."""
+    """Settings for the command `ryepier planner`."""
 
     name: Name = "planner"
     listen: Address = "127.0.0.1:7400"
-    peers: dict[Name, Address] = msgspec.field(default_factory=dict)
-    tenant_shares: list[Share] = msgspec.field(default_factory=list)  # in the order of the platform's accounts
-    class_limits: list[Annotated[float, msgspec.Meta(ge=0)]] = msgspec.field(default_factory=list)  # requests/s
-    max_forwarders: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = 2000
-    snapshots: str = ""  # folder for snapshots; empty: no snapshots are written
+    peers: dict[Name, Address] = msgspec.field(default_factory=dict)  # the other planners, by name
+    # quotas of the tenants as shares of all requests, in the order of the platform's accounts;
+    # empty: each sidecar enforces the quotas on its own
+    tenant_shares: list[Share] = msgspec.field(default_factory=list)
+    # requests per second of each class over all sidecars, in the order of the platform's classes; 0: no limit
+    class_limits: list[Annotated[float, msgspec.Meta(ge=0)]] = msgspec.field(default_factory=list)
+    max_forwarders: Annotated[int, msgspec.Meta(ge=1, le=20_000)] = 2000  # connected at the same time
+    snapshots: str = ""  # folder in which snapshots are stored; empty: no snapshots are written
 
     def __post_init__(self) -> None:
         """Raise ValueError if the peers include the planner itself."""
@@ -93,21 +97,26 @@
 
 
 class EndpointSliceSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"failure_domain_scope": "cell"}):
-    """A Kubernetes service whose EndpointSlices list the converters; replaces the platform's discovery."""
+    """The Kubernetes service whose EndpointSlices list the converters, in place of the platform's discovery.
+
+    Disabled if `service` is empty.
+    """
 
     service: ClusterName = ""
     namespace: ClusterName = ""  # default: the pod's own namespace
     server: str = ""  # http://host:port or https://host:port; default: the API server in the pod's environment
-    port: str = ""  # name of the port; default: the first port of each slice
+    port: str = ""  # name of the converters' port in the slices; default: the first port of each slice
     token_file: str = ""
     ca_file: str = ""
     client_cert_file: str = ""
     client_key_file: str = ""
     failure_domain_scope: FailureDomainScope = FailureDomainScope.ENDPOINT
-    watch_s: Annotated[int, msgspec.Meta(ge=5, le=600)] = 60
+    watch_s: Annotated[int, msgspec.Meta(ge=5, le=600)] = 60  # duration of each watch
+    # how long an endpoint must be ready again before it is published as ready
     settle_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 3000
+    # how long the last list of endpoints is kept when all endpoints vanish at once
     hold_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = 30
-    cache: str = ""  # file in which the list is cached; empty: no cache
+    cache: str = ""  # file in which the list of endpoints is cached; empty: no cache
 
     def __post_init__(self) -> None:
         """Raise ValueError unless the client certificate and its key are set together."""
@@ -116,24 +125,26 @@
 
 
 class GraphqlField(msgspec.Struct, kw_only=True, frozen=True):
-    """Classification rule for operations with a given root field."""
+    """Classification rule for a root field of queries or mutations."""
 
     type: Literal["query", "mutation"]
     name: Annotated[str, msgspec.Meta(pattern=r"^[_A-Za-z][_0-9A-Za-z]*$")]
     request_class: Name
-    key: str = ""  # argument that holds the idempotency key; required for a class with idempotency keys
-    cost_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0
-    deadline_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0  # if the client sets none; 0 = the class's
+    # name of the field's argument whose value is the idempotency key; required for a class with idempotency keys
+    key: str = ""
+    cost_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0  # expected processing time; 0 = unknown
+    # deadline of requests for which the client sets none; 0 = the deadline of the class
+    deadline_ms: Annotated[float, msgspec.Meta(ge=0, le=600_000)] = 0.0
 
 
 class GraphqlSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"max_batch_size": "most_batch"}):
-    """The front end for GraphQL over HTTP; disabled unless `path` or `listen` is set."""
+    """Settings of the front end for GraphQL over HTTP; disabled unless `path` or `listen` is set."""
 
-    path: Annotated[str, msgspec.Meta(pattern=r"^(/[!-~]*)?$")] = ""  # GraphQL's path on the platform's listener
+    path: Annotated[str, msgspec.Meta(pattern=r"^(/[!-~]*)?$")] = ""  # path on the platform's listener
     listen: Annotated[str, msgspec.Meta(pattern=r"^([^:/\s]+:[0-9]{1,5})?$")] = ""  # address of a separate listener
     queries: str = ""  # class of queries whose root field is not in `fields`
     mutations: str = ""  # class of mutations whose root field is not in `fields`
-    max_batch_size: Annotated[int, msgspec.Meta(ge=1, le=100)] = 20
+    max_batch_size: Annotated[int, msgspec.Meta(ge=1, le=100)] = 20  # operations in one request
     fields: list[GraphqlField] = msgspec.field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -151,7 +162,7 @@
 
 
 class RetryGuardSettings(msgspec.Struct, kw_only=True, frozen=True, rename={"rounds_to_seconds": "whole_seconds"}):
-    """Settings of the guard against retry storms."""
+    """Settings of the guard that detects clients' retry storms."""
 
     enabled: bool = False
     rounds_to_seconds: bool = False  # round Retry-After to whole seconds, for clients that do not parse decimals
@@ -170,8 +181,8 @@
 
 
 def parse(text: str, environment: Mapping[str, str]) -> OperatorSettings:
-    """Return the settings in a file's text; variables named `RYEPIER_TABLE__KEY` override it.
+    """Return the settings in the text of a settings file. Raises ConfigurationError.
 
-    Raises ConfigurationError.
+    Variables of the `environment` that are named `RYEPIER_TABLE__KEY` override keys of the file.
     """
     return toml_schema.parse(text, OperatorSettings, environment, ENVIRONMENT_PREFIX)
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -19,13 +19,14 @@
 
 T = TypeVar("T", bound=msgspec.Struct)
 
-ENV_SEPARATOR = "__"  # between the parts of a key in the name of an environment variable
-MIN_SIMILARITY = 0.6  # of an unknown key to a known one that is suggested for it; difflib's default
+ENV_SEPARATOR = "__"  # separates the parts of a key in the name of an environment variable
+# Least similarity between an unknown key and the known key that the error message suggests; difflib's default.
+MIN_SIMILARITY = 0.6
 _TOML_ERROR_LINE = re.compile(r"\(at line (\d+), column \d+\)")
 
 
 class ConfigurationError(ValueError):
-    """Raised for an invalid configuration; `problems` holds all its errors, ordered by line."""
+    """Raised for an invalid configuration. `problems` contains all errors in it, ordered by line."""
 
     def __init__(self, problems: list[Problem]) -> None:
         """Sort `problems` by line; there must be at least one."""
@@ -34,7 +35,7 @@
 
 
 def parse(text: str, schema: type[T], environment: Mapping[str, str] | None = None, prefix: str = "") -> T:
-    """Return the struct that `text` describes. Raises ConfigurationError.
+    """Convert a TOML text into a struct of the type `schema`. Raises ConfigurationError.
 
     An environment variable overrides a key if its name is `prefix` followed by the parts of the key in upper case,
     joined by two underscores, such as `RYEPIER_LOGGING__FORMAT`.
@@ -56,7 +57,10 @@
 
 
 def _apply_environment(data: dict[str, Any], environment: Mapping[str, str], prefix: str) -> list[Problem]:
-    """Write the variables' values into `data`, parsed as TOML or, if they are not valid TOML, as strings."""
+    """Override keys in `data` with environment variables, and return a problem for each that could not be applied.
+
+    A variable's value is parsed as a TOML value; if it is not valid TOML, it is used as a string.
+    """
     problems = []
     for name in sorted(environment):
         if not name.startswith(prefix):
@@ -76,7 +80,7 @@
 
 
 class _SchemaReader:
-    """Converts tables into structs in one pass; collects all errors in `problems` instead of raising them."""
+    """Converts parsed TOML tables into structs. Errors are collected in `problems`, not raised."""
 
     def __init__(self, lines: KeyLines) -> None:
         self.lines = lines
@@ -128,6 +132,6 @@
 
 
 def _message_without_path(text: str) -> str:
-    """Return msgspec's message without the path, since a `Problem` already has one."""
+    """Return msgspec's error message without the path at its end, since a `Problem` has the path as its key."""
     text = text.split(" - at `")[0]
     return text[:1].lower() + text[1:]
--- a/ryepier/fronts/__init__.py
+++ b/ryepier/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Front ends in addition to the platform's own; each passes the requests that its dialect parses to the dispatcher."""
+"""Front ends for protocols other than the platform's own, implemented as dialects of the sidecar's HTTP server."""
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -31,7 +31,7 @@
 from ryepier.sidecar.server import Server
 from ryepier.sidecar.system import clock_us
 
-# headers that must not be repeated
+# Headers that must not be repeated, as the sidecar and the converter might each use a different one of the values.
 UNREPEATABLE_HEADERS = frozenset(
     (
         b"host",
@@ -46,7 +46,8 @@
         b"x-cost-hint",
     )
 )
-# Hop-by-hop headers, and headers that the sidecar sets itself: class and idempotency key depend on the operation.
+# Client headers that are not forwarded: hop-by-hop headers, and those that the sidecar sets itself. The sidecar derives
+# the class and the idempotency key from the operation, not from headers.
 NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"content-type",
     b"content-encoding",
@@ -54,7 +55,8 @@
     b"x-class",
     b"idempotency-key",
 }
-NEW_REQUEST_ID_BYTES = 12  # random bytes, enough for ids that are unique in the whole fleet
+# Random bytes in a request id that the sidecar generates; enough to make the ids unique in the whole fleet.
+NEW_REQUEST_ID_BYTES = 12
 
 
 class GraphqlRequestError(RequestError):
@@ -69,7 +71,10 @@
 
 
 def make_classification_table(settings: conf.GraphqlSettings, platform_settings: Settings) -> ClassificationTable:
-    """Return the operators' table for the platform's classes. Raises ValueError if a rule does not fit its class."""
+    """Build the classification table from the operators' rules and the platform's classes.
+
+    Raises ValueError if a rule does not fit its class.
+    """
     rules: dict[str, dict[str, FieldRule]] = {"query": {}, "mutation": {}}
     for field in settings.fields:
         rules[field.type][field.name] = FieldRule(
@@ -88,7 +93,7 @@
 
 
 class GraphqlDialect:
-    """Parses GraphQL requests and renders their responses."""
+    """Dialect of GraphQL over HTTP; implements `ryepier.sidecar.request_parsing.Dialect`."""
 
     def __init__(self, settings: Settings, reader: RequestReader) -> None:
         """Index the classes and tenants of `settings`; `reader` may be shared with other front ends."""
@@ -98,7 +103,7 @@
         self.tenants = TenantIndex(settings)
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
-        """Parse and classify a request. Raises RequestError."""
+        """Parse and classify a request, and convert it to a POST for a converter. Raises RequestError."""
         headers_by_name = parse_headers(headers, UNREPEATABLE_HEADERS)
         accepted_type = RESPONSE_TYPE
         try:
@@ -163,7 +168,10 @@
 
     @staticmethod
     def _request_id(headers_by_name: dict[bytes, bytes]) -> bytes:
-        """Return the client's request id, or a new one if it sent none. Raises RequestError."""
+        """Return the client's request id, or a new one if the client sent none.
+
+        Raises RequestError if the client's is not valid.
+        """
         request_id = headers_by_name.get(b"x-request-id") or os.urandom(NEW_REQUEST_ID_BYTES).hex().encode()
         if not IDENTIFIER.fullmatch(request_id):
             raise RequestError(400, "no X-Request-Id that can be used")
@@ -183,7 +191,10 @@
         return forwarded_headers
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
-        """Return the response; a converter's response is forwarded unchanged, including its GraphQL errors."""
+        """Return the response to an accepted request.
+
+        A converter's response is forwarded unchanged, including its GraphQL errors.
+        """
         if answer.outcome is FinalOutcome.SERVED:
             content_type = answer.content_type or request.accepted_type
             return Response(answer.status, answer.body, b"Content-Type: %s\r\n" % content_type)
@@ -196,7 +207,7 @@
         return Response(500, answers.failed_body(is_idempotent), header_lines)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
-        """Return the response to a request that was not accepted, with a GraphQL error."""
+        """Return a response with a GraphQL error, for a request that was not accepted."""
         if not isinstance(error, GraphqlRequestError):
             error = GraphqlRequestError(GraphqlError(error.status, "BAD_REQUEST", str(error)), RESPONSE_TYPE)
         header_lines = f"Content-Type: {error.accepted_type}\r\n"
@@ -215,7 +226,7 @@
         self.platform_dialect = platform_dialect
 
     def select_dialect(self, target: bytes) -> Dialect:
-        """Return the dialect for a request target."""
+        """Return GraphQL's dialect if the target's path, without the query string, is GraphQL's path."""
         return self.graphql_dialect if target.partition(b"?")[0] == self.path else self.platform_dialect
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
@@ -223,7 +234,10 @@
         return self.select_dialect(target).parse(method, target, headers, body)
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
-        """Return the response to an accepted request."""
+        """Return the response to an accepted request.
+
+        The request tells which dialect parsed it: only GraphQL's dialect sets `accepted_type`.
+        """
         return (self.graphql_dialect if request.accepted_type else self.platform_dialect).render(request, answer)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
@@ -232,8 +246,10 @@
 
 
 def make_front_ends(settings: conf.GraphqlSettings) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
-    """Return factories for the front ends: the platform's, which may also serve GraphQL on a path, and one for
-    GraphQL only if it has its own listener. Their dialects share one `RequestReader`, and so its caches.
+    """Return the factories of the sidecar's front ends.
+
+    The first makes the platform's front end, which also serves GraphQL if `path` is set. If `listen` is set, a second
+    one makes a front end for GraphQL only. The dialects of both share one `RequestReader`, and thus its caches.
     """
     readers: list[RequestReader] = []
 
@@ -264,5 +280,8 @@
 
 
 def max_clients_per_front_end(config: Config, settings: conf.GraphqlSettings) -> int:
-    """Return the maximum number of clients of each front end; together they may use half of the descriptors."""
+    """Return the maximum number of client connections per front end.
+
+    All front ends together may use half of the process's file descriptors, and each gets an equal share.
+    """
     return config.max_descriptors // (4 if settings.listen else 2)
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -1,7 +1,7 @@
 """Classification of operations: the class of a request, and whether it may run more than once.
 
 Performs no I/O. Operations that are not known to be idempotent count as non-idempotent: only queries may have an
-idempotent class, and an idempotency key is used only if the request starts a single operation that needs one.
+idempotent class, and an idempotency key is used only if the request contains a single operation that needs one.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from ryepier.graphql.document import Operation, RootField, argument_value, is_executed
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
-IDEMPOTENCY_BY_STRICTNESS = list(Idempotency)  # from the least to the most strict
+IDEMPOTENCY_BY_STRICTNESS = list(Idempotency)  # the least strict comes first
 MAX_KEY_LENGTH = 128  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
-    """A request class of the platform."""
+    """Name of a request class of the platform, and whether its requests may run more than once."""
 
     name: str
     idempotency: Idempotency
@@ -30,26 +30,29 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldRule:
-    """Rule of the operators' table for one root field of operations."""
+    """Rule in the operators' table for a root field of queries or mutations."""
 
     class_name: str
-    key_argument: str = ""  # argument that holds the idempotency key; empty without one
-    cost_us: int = 0  # expected processing time on a standard core; 0 = not known
-    deadline_us: int = 0  # if the client sets none; 0 = the class's
+    key_argument: str = ""  # name of the argument whose value is the idempotency key; empty: no key
+    cost_us: int = 0  # expected processing time on a standard core; 0 = unknown
+    deadline_us: int = 0  # deadline of requests for which the client sets none; 0 = the deadline of the class
 
 
 @dataclass(frozen=True, slots=True)
 class ClassificationTable:
-    """The operators' table of rules. Raises ValueError if it would allow retries of non-idempotent operations."""
+    """The operators' rules, by the name of the root field.
+
+    Raises ValueError if the rules would allow retries of non-idempotent operations.
+    """
 
     classes: Mapping[str, ClassRule]
     queries: Mapping[str, FieldRule]
     mutations: Mapping[str, FieldRule]
-    query_class: str  # of query fields without a rule
-    mutation_class: str  # of mutation fields without a rule
+    query_class: str  # class of queries whose root field has no rule
+    mutation_class: str  # class of mutations whose root field has no rule
 
     def __post_init__(self) -> None:
-        """Raise ValueError for a rule or default whose class does not allow it."""
+        """Raise ValueError if the class of a rule, or of fields without a rule, does not fit the type of operation."""
         for kind, rules in (("query", self.queries), ("mutation", self.mutations)):
             for name, rule in rules.items():
                 self._check_rule(f"{kind} {name}", rule)
@@ -59,8 +62,8 @@
             raise ValueError(f"queries: class {self.query_class!r} needs a key, but the default for queries has none")
         if self.idempotency(self.mutation_class) is not Idempotency.NON_IDEMPOTENT:
             raise ValueError(
-                f"mutations: class {self.mutation_class!r} may run again, "
-                "but a mutation that is not in the table must be assumed to be non-idempotent"
+                f"mutations: requests of class {self.mutation_class!r} may run more than once, "
+                "but a mutation without a rule must be assumed to be non-idempotent"
             )
         for name, rule in self.mutations.items():
             if self.idempotency(rule.class_name) is Idempotency.IDEMPOTENT:
@@ -78,41 +81,41 @@
             raise ValueError(f"{rule_name}: a class with idempotency keys requires a key, and other classes forbid it")
 
     def idempotency(self, class_name: str) -> Idempotency:
-        """Return whether a request of a class may be sent again."""
+        """Return whether the requests of a class may run more than once."""
         return self.classes[class_name].idempotency
 
 
 @dataclass(frozen=True, slots=True)
 class Classification:
-    """Class and retry properties of an HTTP request, whether it is one operation or a batch."""
+    """How an HTTP request, with one operation or a batch of them, is to be handled."""
 
     class_name: str
     idempotency: Idempotency
-    idempotency_key: str = ""  # idempotency key; empty without one
-    cost_us: int = 0  # expected processing time of all its fields; 0 = not known
-    deadline_us: int = 0  # longest deadline of its fields' rules; 0 = the class's
-    mutates: bool = False
+    idempotency_key: str = ""  # empty: the request has none
+    cost_us: int = 0  # expected processing time of all executed root fields together; 0 = unknown
+    deadline_us: int = 0  # longest deadline in the rules of the executed root fields; 0 = the deadline of the class
+    mutates: bool = False  # whether any operation is a mutation
 
 
 class OperationCall(NamedTuple):
-    """An operation with the values of its variables from the request."""
+    """An operation, and the values that the request gives for its variables."""
 
     operation: Operation
     variables: Mapping[str, Any]
 
 
 class FieldCall(NamedTuple):
-    """The rule of a root field, and the idempotency key from its arguments; empty without one."""
+    """The rule for an executed root field, and the idempotency key from the field's arguments (empty: no key)."""
 
     rule: FieldRule
     idempotency_key: str
 
 
 def classify(table: ClassificationTable, calls: Sequence[OperationCall]) -> Classification:
-    """Return the classification of an operation or a batch, with the strictest class of its executed root fields.
+    """Classify a request with one operation or a batch of them. Raises GraphqlError for a subscription.
 
-    A batch is forwarded as one request with one answer, so a single operation that must not run twice makes the whole
-    batch non-idempotent. Raises GraphqlError.
+    The class is that of the executed root field that restricts retries most. A batch is forwarded as one request with
+    one answer, so a single operation that must not run twice makes the whole batch non-idempotent.
     """
     field_calls: list[FieldCall] = []
     mutates = False
@@ -124,7 +127,7 @@
         mutates |= is_mutation
         executed_fields = [root_field for root_field in operation.fields if is_executed(root_field, variables)]
         field_calls += [_make_field_call(table, is_mutation, root_field, variables) for root_field in executed_fields]
-        if not executed_fields:  # directives skip all fields; the default class of the operation type applies
+        if not executed_fields:  # directives skip all fields, so the class for fields without a rule applies
             field_calls.append(FieldCall(FieldRule(table.mutation_class if is_mutation else table.query_class), ""))
     rule, idempotency_key = max(
         field_calls, key=lambda call: IDEMPOTENCY_BY_STRICTNESS.index(table.idempotency(call.rule.class_name))
@@ -137,7 +140,8 @@
     if idempotency is Idempotency.IDEMPOTENCY_KEY and (
         not idempotency_key or _count_non_idempotent_calls(table, field_calls) > 1
     ):
-        # one idempotency key cannot cover two operations that are not idempotent
+        # A request can't be deduplicated without a key, nor if several of its operations must not be repeated, since an
+        # idempotency key covers a single operation only.
         rule = FieldRule(table.mutation_class)
         idempotency = table.idempotency(table.mutation_class)
     return Classification(
@@ -168,12 +172,12 @@
 
 
 def _idempotency_key(value: Any) -> str:
-    """Return an argument's value as an idempotency key for a header; empty if the value is unsuitable as a key."""
+    """Return an argument's value as the text of an Idempotency-Key header; empty if the value is unsuitable."""
     text = str(value) if isinstance(value, str | int) and not isinstance(value, bool) else ""
     return text if len(text) <= MAX_KEY_LENGTH and all("!" <= character <= "~" for character in text) else ""
 
 
 def check_allowed_in_get(classification: Classification) -> None:
-    """Raise GraphqlError unless the request is an idempotent query: proxies and clients may repeat any GET."""
+    """Raise GraphqlError unless the request is an idempotent query, since proxies and clients may repeat any GET."""
     if classification.mutates or classification.idempotency is not Idempotency.IDEMPOTENT:
         raise GraphqlError(405, "METHOD_NOT_ALLOWED", "a GET may only ask, not change anything: use POST", "POST")
--- a/ryepier/graphql/document.py
+++ b/ryepier/graphql/document.py
@@ -1,4 +1,4 @@
-"""Parsing of GraphQL documents, with limits on their size: operations and the root fields that they execute.
+"""Parses GraphQL documents, with limits on their size, and finds the root fields of each operation.
 
 Performs no I/O. The limits are checked before parsing: the lexer, which is not recursive, counts tokens and nesting
 depth, so that a document cannot exhaust CPU time or the stack.
@@ -33,31 +33,32 @@
 from ryepier.graphql.errors import malformed_request
 
 MAX_TOKENS = 4_000  # in a document
-MAX_DEPTH = 40  # nesting of brackets
-MAX_ROOT_FIELDS = 200  # of an operation with its fragments expanded, since nested fragments multiply the fields
+MAX_DEPTH = 40  # nesting depth of brackets
+# Root fields of an operation after its fragments are expanded: nested fragments can multiply the fields exponentially.
+MAX_ROOT_FIELDS = 200
 MAX_CACHED_DOCUMENTS = 500  # a service usually has a few dozen documents
-MAX_CACHED_BYTES = 2_000_000  # total size of the documents' texts
+MAX_CACHED_BYTES = 2_000_000  # total size of the texts of the cached documents
 OPENING_BRACKETS = frozenset((TokenKind.BRACE_L, TokenKind.BRACKET_L, TokenKind.PAREN_L))
 CLOSING_BRACKETS = frozenset((TokenKind.BRACE_R, TokenKind.BRACKET_R, TokenKind.PAREN_R))
 
 
 INCLUDE_DIRECTIVE = "include"
 SKIP_DIRECTIVE = "skip"
-CONDITION_ARGUMENT = "if"  # of both directives
+CONDITION_ARGUMENT = "if"  # argument of both directives
 
 
 @dataclass(frozen=True, slots=True)
 class RootField:
-    """A root field of an operation; a field that is selected under two aliases counts as two."""
+    """A root field of an operation. A field that is selected twice, such as under two aliases, counts as two."""
 
     name: str
     arguments: Mapping[str, ValueNode]
-    conditions: tuple[DirectiveNode, ...]  # @skip and @include of the field and of all fragments around it
+    conditions: tuple[DirectiveNode, ...]  # the @skip and @include of the field and of all enclosing fragments
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """An operation of a document, with its fragments expanded."""
+    """An operation of a document; `fields` includes the root fields from its fragments."""
 
     kind: OperationType
     name: str
@@ -72,9 +73,9 @@
     operations: tuple[Operation, ...]
 
     def select_operation(self, name: str | None) -> Operation:
-        """Return the operation that a server executes for an `operationName`, or without one.
+        """Return the operation that a request selects; `name` is its `operationName`, if it has one.
 
-        Raises GraphqlError if there is no such operation, or if several are possible.
+        Raises GraphqlError if there is no operation of that name, or if there are several and no name is given.
         """
         if not name:
             if len(self.operations) != 1:
@@ -89,7 +90,7 @@
 
 
 def check_limits(text: str) -> None:
-    """Raise GraphqlError for a text with too many tokens, too deep nesting, or an invalid token."""
+    """Raise GraphqlError if a document has too many tokens, too deeply nested brackets, or an invalid token."""
     lexer = Lexer(Source(text))
     depth = token_count = 0
     try:
@@ -105,10 +106,14 @@
 
 
 def read_document(text: str) -> Document:
-    """Parse a text. Raises GraphqlError."""
+    """Parse the text of a document and expand its fragments.
+
+    Raises GraphqlError if the text exceeds a limit, is not valid GraphQL, or could be interpreted differently by the
+    converter.
+    """
     if text.startswith("\ufeff"):
-        # The specification allows a byte order mark, but not every server skips it, so a server might read the document
-        # differently.
+        # The specification allows a byte order mark, but not every server skips it, so a converter might interpret the
+        # document differently.
         raise malformed_request("the document begins with a byte order mark", "GRAPHQL_PARSE_FAILED")
     check_limits(text)
     try:
@@ -121,6 +126,8 @@
 
 
 class _DocumentBuilder:
+    """Validates a parsed document, and collects the root fields of its operations."""
+
     def __init__(self, tree: DocumentNode) -> None:
         self.operations = [node for node in tree.definitions if isinstance(node, OperationDefinitionNode)]
         other_definitions = [node for node in tree.definitions if not isinstance(node, OperationDefinitionNode)]
@@ -137,7 +144,7 @@
             raise malformed_request("the document has no operation", "NOT_EXECUTABLE")
         names = [node.name.value if node.name else "" for node in self.operations]
         if len(set(names)) < len(names) or ("" in names and len(names) > 1):
-            # servers differ in which operation of a given name they execute
+            # Servers differ in which of several operations with the same name they execute.
             raise malformed_request("operations of one document need names that differ", "GRAPHQL_VALIDATION_FAILED")
         return Document(
             tuple(self.build_operation(node, name) for node, name in zip(self.operations, names, strict=True))
@@ -159,9 +166,10 @@
         enclosing_fragments: frozenset[str],
         fields: list[RootField],
     ) -> None:
-        """Add the root fields of a selection set to `fields`, with all fragments expanded.
+        """Append the root fields of a selection set to `fields`, including those of its fragments.
 
-        `conditions` and `enclosing_fragments` are the directives and the names of the fragments around it.
+        `conditions` are the @skip and @include directives of the fragments that enclose the selection set, and
+        `enclosing_fragments` are the names of these fragments.
         """
         for node in selection_set.selections:
             field_conditions = conditions + tuple(
@@ -195,7 +203,7 @@
 
 
 class CachedDocument(NamedTuple):
-    """A parsed document, and the size of its text."""
+    """A parsed document, and the size of its text in UTF-8."""
 
     document: Document
     size_bytes: int
@@ -212,7 +220,10 @@
     misses: int = 0
 
     def read(self, text: str) -> Document:
-        """Return the parsed text, from the cache if possible. Raises GraphqlError; only valid documents are cached."""
+        """Return the document with a given text, from the cache if possible. Raises GraphqlError.
+
+        Only valid documents are cached; beyond either limit, the least recently used ones are evicted.
+        """
         try:
             data = text.encode()
         except UnicodeEncodeError:
@@ -232,12 +243,15 @@
 
 
 def argument_value(node: ValueNode, variables: Mapping[str, Any]) -> Any:
-    """Return an argument's value with variables substituted; None for a variable without a value."""
+    """Return the value of an argument, with variables replaced by their values (None if a variable has no value)."""
     return variables.get(node.name.value) if isinstance(node, VariableNode) else read_value(node, dict(variables))
 
 
 def is_executed(root_field: RootField, variables: Mapping[str, Any]) -> bool:
-    """Return whether a field's @skip and @include allow its execution; a condition of unknown value does."""
+    """Return whether the @skip and @include directives of a field let it be executed.
+
+    A directive whose condition is not a boolean, such as an unset variable, does not exclude the field.
+    """
     for directive in root_field.conditions:
         condition = next(
             (argument.value for argument in directive.arguments or () if argument.name.value == CONDITION_ARGUMENT),
--- a/ryepier/graphql/errors.py
+++ b/ryepier/graphql/errors.py
@@ -9,7 +9,7 @@
     """Raised for a request that is rejected with an HTTP status, a machine-readable code and a message."""
 
     def __init__(self, status: int, code: str, text: str, allow: str = "") -> None:
-        """Describe the response; `allow` is the value of its Allow header, for status 405."""
+        """Store the content of the response; `allow` is the value of the Allow header, which status 405 requires."""
         super().__init__(text)
         self.status = status
         self.code = code
@@ -18,5 +18,5 @@
 
 
 def malformed_request(text: str, code: str = "BAD_REQUEST") -> GraphqlError:
-    """Return an error with status 400."""
+    """Return the error for a request that is rejected with status 400 (Bad Request)."""
     return GraphqlError(400, code, text)
--- a/ryepier/graphql/persisted.py
+++ b/ryepier/graphql/persisted.py
@@ -10,24 +10,25 @@
 from ryepier.graphql.errors import GraphqlError, malformed_request
 
 MAX_QUERIES = 1_000
-MAX_CHARACTERS = 4_000_000  # in all cached texts together
-PROTOCOL_VERSION = 1  # of the protocol for automatic persisted queries
+MAX_CHARACTERS = 4_000_000  # total length of the cached texts
+PROTOCOL_VERSION = 1  # version of the protocol for automatic persisted queries
 
 
 class PersistedQueryCache:
-    """Cache of texts by hash. Each text is checked against its hash, so a hash never refers to two texts."""
+    """Cache of documents' texts by SHA-256. Texts are checked against their hash, so a hash never refers to two texts."""
 
     def __init__(self, max_queries: int = MAX_QUERIES, max_characters: int = MAX_CHARACTERS) -> None:
-        """Start empty; beyond either limit, the texts that were stored or looked up longest ago are evicted."""
+        """Start empty. Beyond either limit, the texts that were stored or looked up longest ago are evicted."""
         self.max_queries = max_queries
         self.max_characters = max_characters
         self.texts: OrderedDict[str, str] = OrderedDict()
         self.size_characters = 0
 
     def resolve(self, text: str | None, extensions: Mapping[str, Any]) -> str | None:
-        """Return the text of the request's document: its own, or the one with its hash; None if it has neither.
+        """Return the text of a request's document: `text`, or else the cached text with the hash in `extensions`.
 
-        Raises GraphqlError for an unknown hash, or for a text that does not match its hash.
+        Returns None if the request has neither a text nor a hash. Raises GraphqlError for a hash that is unknown or
+        malformed, or that does not match the text.
         """
         reference = extensions.get("persistedQuery")
         if reference is None:
@@ -41,7 +42,7 @@
             raise malformed_request("persistedQuery: expected version 1 and a sha256Hash")
         if text is None:
             if sha256_hash not in self.texts:
-                # the protocol's error message; clients then repeat the request with both hash and text
+                # The protocol prescribes this message; clients then repeat the request with both the hash and the text.
                 raise GraphqlError(200, "PERSISTED_QUERY_NOT_FOUND", "PersistedQueryNotFound")
             self.texts.move_to_end(sha256_hash)
             return self.texts[sha256_hash]
@@ -50,7 +51,10 @@
         return text
 
     def store(self, text: str, extensions: Mapping[str, Any]) -> None:
-        """Cache a text that `resolve` has returned and that is valid GraphQL, if the request has its hash."""
+        """Cache the text of a request's document, if `extensions` has its hash.
+
+        The text must be one that `resolve` returned for these extensions, and valid GraphQL.
+        """
         reference = extensions.get("persistedQuery")
         if reference is None or reference["sha256Hash"] in self.texts:
             return
--- a/ryepier/graphql/request.py
+++ b/ryepier/graphql/request.py
@@ -1,7 +1,7 @@
-"""Parsing of GraphQL requests over HTTP: returns their classification and the body to forward.
+"""Parses GraphQL requests over HTTP, classifies them, and provides the body to forward.
 
 Performs no I/O. Input that parsers may interpret differently is rejected: repeated keys, keys in a different case, and
-numbers that JSON does not define. The converter therefore executes the same operation that was classified here.
+numbers that JSON does not define. This ensures that the converter executes the operation that was classified here.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationParameters:
-    """The parameters of a GraphQL request for one operation; its document is not parsed yet."""
+    """The parameters of a GraphQL request for one operation; `query` is the text of the document."""
 
     query: str | None
     operation_name: str | None
@@ -37,14 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """An HTTP request as its classification and the body to forward in a POST."""
+    """The classification of an HTTP request, and the body of the POST that is forwarded for it."""
 
     classification: Classification
     body: bytes
 
 
 def response_type(accept: str) -> str:
-    """Return the response's media type for an Accept header. Raises GraphqlError if it accepts no supported type."""
+    """Return the media type for the response to a request with this Accept header.
+
+    Raises GraphqlError if the header accepts no supported type.
+    """
     if not accept.strip():
         return RESPONSE_TYPE
     best_type, best_quality = "", 0.0
@@ -67,7 +70,7 @@
 
 
 def check_content_type(value: str) -> None:
-    """Raise GraphqlError unless a content type is JSON in UTF-8."""
+    """Raise GraphqlError unless the value of a Content-Type header denotes JSON in UTF-8."""
     name, *parameters = (component.strip().lower() for component in value.split(";"))
     if name != JSON_TYPE:
         raise GraphqlError(415, "UNSUPPORTED_MEDIA_TYPE", f"a POST has to be {JSON_TYPE}")
@@ -88,7 +91,7 @@
 
 
 def read_json(data: bytes | str) -> Any:
-    """Parse a JSON text strictly, without repeated keys or NaN and Infinity. Raises GraphqlError."""
+    """Parse a JSON text. Raises GraphqlError if it is malformed, or has a repeated key, NaN or Infinity."""
     try:
         text = data.decode("utf-8") if isinstance(data, bytes) else data
         return json.loads(text, object_pairs_hook=_reject_duplicates, parse_constant=_reject_constant)
@@ -120,7 +123,7 @@
 
 
 def read_get_parameters(query_string: str) -> OperationParameters:
-    """Return the parameters in the query string of a GET. Raises GraphqlError."""
+    """Return the parameters in the query string of a GET request. Raises GraphqlError."""
     try:
         pairs = parse_qsl(query_string, keep_blank_values=True, strict_parsing=True, errors="strict", max_num_fields=50)
     except ValueError as error:
@@ -136,14 +139,14 @@
 
 
 class SelectedOperation(NamedTuple):
-    """A document's text, and the operation of it that the request selects."""
+    """The text of a document, and the operation in it that a request selects."""
 
     text: str
     operation: Operation
 
 
 class RequestReader:
-    """Parses and classifies requests, with caches of parsed documents and of persisted queries."""
+    """Parses and classifies requests. Caches parsed documents and persisted queries."""
 
     def __init__(self, table: ClassificationTable, max_batch_size: int = MAX_BATCH_SIZE) -> None:
         """Start with empty caches; `max_batch_size` is the maximum number of operations in a batch."""
@@ -153,7 +156,7 @@
         self.persisted_queries = PersistedQueryCache()
 
     def read_get(self, query_string: str) -> ParsedRequest:
-        """Parse and classify a GET, whose operation must be an idempotent query. Raises GraphqlError."""
+        """Parse and classify a GET request, whose operation must be an idempotent query. Raises GraphqlError."""
         parameters = read_get_parameters(query_string)
         text, operation = self._read_operation(parameters)
         classification = classify(self.table, [OperationCall(operation, parameters.variables)])
@@ -161,7 +164,7 @@
         return ParsedRequest(classification, _post_body(parameters, text))
 
     def read_post(self, content_type: str, body: bytes) -> ParsedRequest:
-        """Parse and classify a POST of one operation or of a batch. Raises GraphqlError."""
+        """Parse and classify a POST request with one operation or a batch of them. Raises GraphqlError."""
         check_content_type(content_type)
         data = read_json(body)
         if isinstance(data, list):
@@ -169,7 +172,7 @@
         parameters = read_parameters(data)
         text, operation = self._read_operation(parameters)
         classification = classify(self.table, [OperationCall(operation, parameters.variables)])
-        # The body is forwarded unchanged, unless it has only the hash of a persisted query and no document.
+        # The body is forwarded unchanged, unless it has the hash of a persisted query in place of the document.
         return ParsedRequest(classification, body if parameters.query is not None else _post_body(parameters, text))
 
     def _read_batch(self, items: Sequence[Any], body: bytes) -> ParsedRequest:
@@ -210,7 +213,7 @@
 
 
 def _post_body(parameters: OperationParameters, text: str) -> bytes:
-    """Return the body of a POST with these parameters and the document `text`."""
+    """Return the body of a POST request with these parameters, and `text` as the document."""
     content: dict[str, Any] = {"query": text}
     if parameters.operation_name is not None:
         content["operationName"] = parameters.operation_name
--- a/ryepier/logs/structured.py
+++ b/ryepier/logs/structured.py
@@ -1,6 +1,6 @@
-"""Set-up of the standard library's logging: plain or JSON lines, with a rate limit.
+"""Configures the standard library's logging: plain or JSON lines, with a rate limit.
 
-The rate limit applies before formatting, so dropped records are never formatted.
+The rate limit is a filter, which runs before the formatter, so dropped records cost no formatting.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     """Formats a record as a JSON object: time (UTC, ISO 8601), level, logger, message and the fields from `extra`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as one line of JSON."""
+        """Return a record as one line of JSON. Values that JSON does not support are converted to strings."""
         entry: dict[str, object] = {
             "time": datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds"),
             "level": record.levelname.lower(),
@@ -35,7 +35,7 @@
 
 
 def configure_logging(settings: LoggingSettings) -> None:
-    """Write the root logger's records to standard error, in the format, level and rate that the settings give."""
+    """Replace the root logger's handlers by one that writes to standard error as the settings specify."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonLinesFormatter() if settings.format is LogFormat.JSON else logging.Formatter("%(levelname)s %(message)s")
--- a/tests/test_graphql.py
+++ b/tests/test_graphql.py
@@ -1,4 +1,4 @@
-"""Parsing of GraphQL requests without a network: their classification in any spelling, and which are rejected."""
+"""Parsing, classification and rejection of GraphQL requests, without a network."""
 
 from __future__ import annotations
 
@@ -302,6 +302,7 @@
 SELECTIONS = st.lists(
     FIELDS | st.sampled_from(["...F", "... on T { convert }", "... @include(if: $v) { a }"]), min_size=1, max_size=4
 ).map(" ".join)
+# Texts before an operation that do not change its meaning.
 FILLERS = st.sampled_from(["", " ", "# mutation\n", ",", "\n"])
 
 
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -1,4 +1,4 @@
-"""The GraphQL front end over loopback sockets: retries as for plain HTTP, and error responses in GraphQL's format."""
+"""The GraphQL front end over loopback sockets: retries, forwarded requests, and errors in GraphQL's response format."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class FixedSource:
-    """An endpoint source with a list of one converter, or with none if `port` is 0."""
+    """An endpoint source whose list has one converter at `port`, or none if `port` is 0."""
 
     def __init__(self, dispatcher: RequestDispatcher, port: int) -> None:
         self.dispatcher = dispatcher
@@ -73,6 +73,8 @@
 
 
 class FrontClient:
+    """An HTTP client that opens a new connection to the front end for each request."""
+
     def __init__(self, port: int) -> None:
         self.port = port
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The sidecar's log: fields of JSON lines, and the limit on lines per second."""
+"""The sidecar's log: the fields of JSON lines, and the limit on lines per second."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FormattingCounter:
-    """Counts how often an instance is formatted."""
+    """An argument for log calls that counts how often any instance is converted to text."""
 
     format_count = 0
 
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -1,4 +1,4 @@
-"""Configuration files: reports of all errors with key and line, overrides by the environment, and defaults."""
+"""Configuration files: errors with key and line, overrides by environment variables, and defaults."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def test_file_keys_set_the_fields_that_are_named_differently() -> None:
-    """The keys of the file are documented for operators and stay, also where the fields have other names."""
+    """The keys are documented for operators, so they must keep working where a field has a different name."""
     settings = operator_settings.parse(
         "[trust]\nleast_reporters = 0.1\nleast_window_ms = 2\nleast_covered = 0.3\n"
         "most_resting = 0.6\nleast_weight = 0.7\n"
@@ -84,7 +84,7 @@
     lines = STEADY_WORLD.splitlines()
     index = lines.index('effect = "deduplicated"')
     lines[index] = 'effect = "sometimes"'
-    lines[:0] = [""] * (39 - index)
+    lines[:0] = [""] * (39 - index)  # moves the invalid value to line 40
     assert find_world_problems("\n".join(lines)) == [(40, "classes[1].effect")]
 
 
