--- a/ryepier/graphql/persisted.py
+++ b/ryepier/graphql/persisted.py
@@ -15,7 +15,7 @@
 
 
 class PersistedQueryCache:
-    """Cache of documents' texts by SHA-256. Texts are checked against their hash, so a hash never refers to two texts."""
+    """Cache of documents' texts by SHA-256. Each text is checked against its hash, which thus has only one text."""
 
     def __init__(self, max_queries: int = MAX_QUERIES, max_characters: int = MAX_CHARACTERS) -> None:
         """Start empty. Beyond either limit, the texts that were stored or looked up longest ago are evicted."""
