--- a/ryepier/assembly/sidecar.py
+++ b/ryepier/assembly/sidecar.py
@@ -69,9 +69,9 @@
     if operator_settings.slices.service:
         components = replace(components, source=partial(make_slice_source, operator_settings))
     if operator_settings.graphql.enabled:
-        from ryepier.fronts.graphql import make_front_ends  # loads graphql-core
+        from ryepier.fronts.graphql import make_front_end_factories  # loads graphql-core
 
-        components = replace(components, front_ends=make_front_ends(operator_settings.graphql))
+        components = replace(components, front_ends=make_front_end_factories(operator_settings.graphql))
     if operator_settings.forwarder.planners:
         components = replace(
             components,
--- a/ryepier/conf/key_lines.py
+++ b/ryepier/conf/key_lines.py
@@ -45,7 +45,7 @@
 
     def __init__(self, text: str) -> None:
         """Index the keys of `text`, which need not be valid TOML."""
-        self._lines = _find_key_lines(text)
+        self._line_numbers = _find_key_lines(text)
 
     def problem_at(self, path: KeyPath, text: str) -> Problem:
         """Return a problem with the message `text` at the key `path`.
@@ -53,9 +53,9 @@
         If the file does not have the key, the line is that of the nearest enclosing table that the file has.
         """
         known_path = path
-        while known_path and known_path not in self._lines:
+        while known_path and known_path not in self._line_numbers:
             known_path = known_path[:-1]
-        return Problem(format_key_path(path), self._lines.get(known_path, 0), text)
+        return Problem(format_key_path(path), self._line_numbers.get(known_path, 0), text)
 
 
 def _find_key_lines(text: str) -> dict[KeyPath, int]:
@@ -63,27 +63,27 @@
 
     Keys of inline tables are not included: their problems are reported on the line where the inline table begins.
     """
-    lines: dict[KeyPath, int] = {}
+    line_numbers: dict[KeyPath, int] = {}
     last_indexes: dict[KeyPath, int] = {}
     table: KeyPath = ()
     bracket_depth = 0  # above 0 on the further lines of a multi-line list, which have no headers or keys
     for line_number, line in enumerate(text.splitlines(), 1):
-        header = _TABLE_HEADER.match(line) if bracket_depth == 0 else None
-        if header is not None:
-            names = tuple(part.strip(" \"'") for part in header[2].split("."))
+        header_match = _TABLE_HEADER.match(line) if bracket_depth == 0 else None
+        if header_match is not None:
+            names = tuple(part.strip(" \"'") for part in header_match[2].split("."))
             table = (*_with_list_indexes(names[:-1], last_indexes), names[-1])
-            if header[1] == "[[":
+            if header_match[1] == "[[":
                 last_indexes[table] = last_indexes.get(table, -1) + 1
                 table += (last_indexes[table],)
-            lines.setdefault(table, line_number)
+            line_numbers.setdefault(table, line_number)
             continue
-        key = _KEY_VALUE.match(line) if bracket_depth == 0 else None
-        if key is not None:
-            path = table + tuple(part.strip(" \"'") for part in key[1].split("."))
-            lines.setdefault(path, line_number)
-        value_text = (key[2] if key is not None else line).split("#")[0]
+        key_match = _KEY_VALUE.match(line) if bracket_depth == 0 else None
+        if key_match is not None:
+            path = table + tuple(part.strip(" \"'") for part in key_match[1].split("."))
+            line_numbers.setdefault(path, line_number)
+        value_text = (key_match[2] if key_match is not None else line).split("#")[0]
         bracket_depth = max(0, bracket_depth + value_text.count("[") - value_text.count("]"))
-    return lines
+    return line_numbers
 
 
 def _with_list_indexes(names: tuple[str, ...], last_indexes: dict[KeyPath, int]) -> KeyPath:
--- a/ryepier/conf/toml_schema.py
+++ b/ryepier/conf/toml_schema.py
@@ -82,12 +82,12 @@
 class _SchemaReader:
     """Converts parsed TOML tables into structs. Errors are collected in `problems`, not raised."""
 
-    def __init__(self, lines: KeyLines) -> None:
-        self.lines = lines
+    def __init__(self, key_lines: KeyLines) -> None:
+        self.key_lines = key_lines
         self.problems: list[Problem] = []
 
     def add_problem(self, path: KeyPath, text: str) -> None:
-        self.problems.append(self.lines.problem_at(path, text))
+        self.problems.append(self.key_lines.problem_at(path, text))
 
     def read_struct(self, schema: type[msgspec.Struct], data: Any, path: KeyPath) -> msgspec.Struct | None:
         if not isinstance(data, dict):
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -245,7 +245,9 @@
         return self.select_dialect(target).render_error(target, error)
 
 
-def make_front_ends(settings: conf.GraphqlSettings) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
+def make_front_end_factories(
+    settings: conf.GraphqlSettings,
+) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
     """Return the factories of the sidecar's front ends.
 
     The first makes the platform's front end, which also serves GraphQL if `path` is set. If `listen` is set, a second
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -71,9 +71,9 @@
         '[slices]\ncell = "node"\n[storm]\nwhole_seconds = true\n',
         {"RYEPIER_PLANNER__MOST_FORWARDERS": "7"},
     )
-    rules = settings.plan_acceptance
-    assert (rules.min_reporters, rules.min_window_ms, rules.min_covered) == (0.1, 2, 0.3)
-    assert (rules.max_ejected, rules.min_weight) == (0.6, 0.7)
+    requirements = settings.plan_acceptance
+    assert (requirements.min_reporters, requirements.min_window_ms, requirements.min_covered) == (0.1, 2, 0.3)
+    assert (requirements.max_ejected, requirements.min_weight) == (0.6, 0.7)
     assert (settings.planner.max_forwarders, settings.graphql.max_batch_size) == (7, 9)
     assert settings.slices.failure_domain_scope is operator_settings.FailureDomainScope.NODE
     assert settings.retry_guard.rounds_to_seconds is True
