--- a/ryepier/assembly/endpoint_slices.py
+++ b/ryepier/assembly/endpoint_slices.py
@@ -26,9 +26,9 @@
     operator_settings: OperatorSettings, config: platform.Config, dispatcher: RequestDispatcher
 ) -> EndpointSource:
     """Create the endpoint source that replaces the platform's discovery. Raises AccessError."""
-    from ryepier.slices.slice_source import SliceSource  # imports the TLS and HTTP libraries
+    from ryepier.slices.slice_source import SliceSource  # loads the TLS and HTTP libraries
 
-    settings = source_settings(operator_settings.slices, config)
+    settings = slice_source_settings(operator_settings.slices, config)
     log.info(
         "using the EndpointSlices of %s/%s in place of the platform's discovery",
         settings.namespace,
@@ -38,7 +38,7 @@
 
 
 def resolve_namespace(slices: EndpointSliceSettings) -> str:
-    """Return the configured namespace, or else the pod's own. Raises AccessError if there is neither."""
+    """Return the configured namespace, or else the pod's own. Raises AccessError if neither is available."""
     from ryepier.slices.api_client import SERVICE_ACCOUNT_FOLDER, AccessError
 
     if slices.namespace:
@@ -49,8 +49,8 @@
         raise AccessError("slices.namespace is not set, and this process does not run in a pod") from None
 
 
-def source_settings(slices: EndpointSliceSettings, config: platform.Config) -> Settings:
-    """Convert the operators' settings into the settings of a `SliceSource`. Raises AccessError."""
+def slice_source_settings(slices: EndpointSliceSettings, config: platform.Config) -> Settings:
+    """Return the settings of a `SliceSource`, made from the operators' and the platform's. Raises AccessError."""
     from ryepier.slices.api_client import find_access
     from ryepier.slices.endpoint_listing import ListingRules
     from ryepier.slices.slice_source import Settings
@@ -58,7 +58,7 @@
     access = find_access(
         slices.server, slices.token_file, slices.ca_file, slices.client_cert_file, slices.client_key_file
     )
-    rules = ListingRules(config.zones, len(config.kinds), slices.failure_domain, slices.settle_ms * 1000)
+    rules = ListingRules(config.zones, len(config.kinds), slices.failure_domain_scope, slices.settle_ms * 1000)
     return Settings(
         access,
         resolve_namespace(slices),
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -31,8 +31,8 @@
 from ryepier.sidecar.server import Server
 from ryepier.sidecar.system import clock_us
 
-# headers that must not be repeated
-SINGLE_HEADERS = frozenset(
+# Headers that must not be repeated, as the sidecar and the converter might each use a different one of the values.
+UNREPEATABLE_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
@@ -46,7 +46,8 @@
         b"x-cost-hint",
     )
 )
-# Hop-by-hop headers, and headers that the sidecar sets itself: class and idempotency key depend on the operation.
+# Client headers that are not forwarded: hop-by-hop headers, and those that the sidecar sets itself. The sidecar derives
+# the class and the idempotency key from the operation, not from headers.
 NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"content-type",
     b"content-encoding",
@@ -54,7 +55,8 @@
     b"x-class",
     b"idempotency-key",
 }
-NEW_REQUEST_ID_BYTES = 12  # random bytes, enough for ids that are unique in the whole fleet
+# Random bytes in a request id that the sidecar generates; enough to make the ids unique in the whole fleet.
+NEW_REQUEST_ID_BYTES = 12
 
 
 class GraphqlRequestError(RequestError):
@@ -69,7 +71,10 @@
 
 
 def make_classification_table(settings: conf.GraphqlSettings, platform_settings: Settings) -> ClassificationTable:
-    """Return the operators' table for the platform's classes. Raises ValueError if a rule does not fit its class."""
+    """Build the classification table from the operators' rules and the platform's classes.
+
+    Raises ValueError if a rule does not fit its class.
+    """
     rules: dict[str, dict[str, FieldRule]] = {"query": {}, "mutation": {}}
     for field in settings.fields:
         rules[field.type][field.name] = FieldRule(
@@ -88,7 +93,7 @@
 
 
 class GraphqlDialect:
-    """Parses GraphQL requests and renders their responses."""
+    """Dialect of GraphQL over HTTP; implements `ryepier.sidecar.request_parsing.Dialect`."""
 
     def __init__(self, settings: Settings, reader: RequestReader) -> None:
         """Index the classes and tenants of `settings`; `reader` may be shared with other front ends."""
@@ -98,15 +103,15 @@
         self.tenants = TenantIndex(settings)
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
-        """Parse and classify a request. Raises RequestError."""
-        headers_by_name = parse_headers(headers, SINGLE_HEADERS)
+        """Parse and classify a request, and convert it to a POST for a converter. Raises RequestError."""
+        headers_by_name = parse_headers(headers, UNREPEATABLE_HEADERS)
         accepted_type = RESPONSE_TYPE
         try:
             accepted_type = response_type(headers_by_name.get(b"accept", b"").decode("latin-1"))
-            parsed = self._read_operations(method, target, headers_by_name, body)
+            parsed_request = self._read_operations(method, target, headers_by_name, body)
         except GraphqlError as error:
             raise GraphqlRequestError(error, accepted_type) from None
-        return self._client_request(target, headers, headers_by_name, parsed, accepted_type)
+        return self._client_request(target, headers, headers_by_name, parsed_request, accepted_type)
 
     def _read_operations(
         self, method: bytes, target: bytes, headers_by_name: dict[bytes, bytes], body: bytes
@@ -129,33 +134,33 @@
         target: bytes,
         headers: list[Header],
         headers_by_name: dict[bytes, bytes],
-        parsed: ParsedRequest,
+        parsed_request: ParsedRequest,
         accepted_type: str,
     ) -> ClientRequest:
-        classification = parsed.classification
-        index = self.class_indexes[classification.class_name]
-        request_class = self.settings.classes[index]
+        classification = parsed_request.classification
+        class_index = self.class_indexes[classification.class_name]
+        request_class = self.settings.classes[class_index]
         request_id = self._request_id(headers_by_name)
         client_deadline_us = (
             1000 * parse_integer(headers_by_name[b"x-deadline-ms"], "X-Deadline-Ms")
             if b"x-deadline-ms" in headers_by_name
             else 0
         )
-        cost, key = headers_by_name.get(b"x-cost-hint"), headers_by_name.get(b"x-key")
+        cost_hint, key = headers_by_name.get(b"x-cost-hint"), headers_by_name.get(b"x-key")
         return ClientRequest(
             b"POST",
             target.partition(b"?")[0],
             self._forwarded_headers(headers, request_id, classification),
-            parsed.body,
+            parsed_request.body,
             clock_us(),
             deadline_us=min(
                 client_deadline_us or classification.deadline_us or request_class.deadline_us, request_class.deadline_us
             ),
-            class_index=index,
+            class_index=class_index,
             request_id=request_id,
             tenant=self.tenants.find(headers_by_name),
             key=stable_hash(key) if key else 0,
-            cost_us=parse_integer(cost, "X-Cost-Hint") if cost else classification.cost_us,
+            cost_us=parse_integer(cost_hint, "X-Cost-Hint") if cost_hint else classification.cost_us,
             marked_as_retry=headers_by_name.get(b"x-retry") == b"1",
             forwards_client_errors=True,
             accepted_type=accepted_type.encode(),
@@ -163,7 +168,10 @@
 
     @staticmethod
     def _request_id(headers_by_name: dict[bytes, bytes]) -> bytes:
-        """Return the client's request id, or a new one if it sent none. Raises RequestError."""
+        """Return the client's request id, or a new one if the client sent none.
+
+        Raises RequestError if the client's is not valid.
+        """
         request_id = headers_by_name.get(b"x-request-id") or os.urandom(NEW_REQUEST_ID_BYTES).hex().encode()
         if not IDENTIFIER.fullmatch(request_id):
             raise RequestError(400, "no X-Request-Id that can be used")
@@ -172,18 +180,21 @@
     @staticmethod
     def _forwarded_headers(headers: list[Header], request_id: bytes, classification: Classification) -> list[Header]:
         """Return the client's headers without `NOT_FORWARDED_HEADERS`, followed by those that the sidecar sets."""
-        forwarded = [(name, value) for name, value in headers if name.lower() not in NOT_FORWARDED_HEADERS]
-        forwarded += [
+        forwarded_headers = [(name, value) for name, value in headers if name.lower() not in NOT_FORWARDED_HEADERS]
+        forwarded_headers += [
             (b"Content-Type", JSON_TYPE.encode()),
             (b"X-Request-Id", request_id),
             (b"X-Class", classification.class_name.encode()),
         ]
-        if classification.key:
-            forwarded.append((b"Idempotency-Key", classification.key.encode()))
-        return forwarded
+        if classification.idempotency_key:
+            forwarded_headers.append((b"Idempotency-Key", classification.idempotency_key.encode()))
+        return forwarded_headers
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
-        """Return the response; a converter's response is forwarded unchanged, including its GraphQL errors."""
+        """Return the response to an accepted request.
+
+        A converter's response is forwarded unchanged, including its GraphQL errors.
+        """
         if answer.outcome is FinalOutcome.SERVED:
             content_type = answer.content_type or request.accepted_type
             return Response(answer.status, answer.body, b"Content-Type: %s\r\n" % content_type)
@@ -196,7 +207,7 @@
         return Response(500, answers.failed_body(is_idempotent), header_lines)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
-        """Return the response to a request that was not accepted, with a GraphQL error."""
+        """Return a response with a GraphQL error, for a request that was not accepted."""
         if not isinstance(error, GraphqlRequestError):
             error = GraphqlRequestError(GraphqlError(error.status, "BAD_REQUEST", str(error)), RESPONSE_TYPE)
         header_lines = f"Content-Type: {error.accepted_type}\r\n"
@@ -214,32 +225,39 @@
         self.graphql_dialect = graphql_dialect
         self.platform_dialect = platform_dialect
 
-    def dialect_of(self, target: bytes) -> Dialect:
-        """Return the dialect for a request target."""
+    def select_dialect(self, target: bytes) -> Dialect:
+        """Return GraphQL's dialect if the target's path, without the query string, is GraphQL's path."""
         return self.graphql_dialect if target.partition(b"?")[0] == self.path else self.platform_dialect
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
         """Parse a request with the dialect of its target. Raises RequestError."""
-        return self.dialect_of(target).parse(method, target, headers, body)
+        return self.select_dialect(target).parse(method, target, headers, body)
 
     def render(self, request: ClientRequest, answer: FinalAnswer) -> Response:
-        """Return the response to an accepted request."""
+        """Return the response to an accepted request.
+
+        The request tells which dialect parsed it: only GraphQL's dialect sets `accepted_type`.
+        """
         return (self.graphql_dialect if request.accepted_type else self.platform_dialect).render(request, answer)
 
     def render_error(self, target: bytes, error: RequestError) -> Response:
         """Return the response to a request that was not accepted."""
-        return self.dialect_of(target).render_error(target, error)
+        return self.select_dialect(target).render_error(target, error)
+
 
+def make_front_end_factories(
+    settings: conf.GraphqlSettings,
+) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
+    """Return the factories of the sidecar's front ends.
 
-def make_front_ends(settings: conf.GraphqlSettings) -> Sequence[Callable[[Config, RequestDispatcher], FrontEnd]]:
-    """Return factories for the front ends: the platform's, which may also serve GraphQL on a path, and one for
-    GraphQL only if it has its own listener. Their dialects share one `RequestReader`, and so its caches.
+    The first makes the platform's front end, which also serves GraphQL if `path` is set. If `listen` is set, a second
+    one makes a front end for GraphQL only. The dialects of both share one `RequestReader`, and thus its caches.
     """
     readers: list[RequestReader] = []
 
     def make_dialect(config: Config) -> GraphqlDialect:
         if not readers:
-            readers.append(RequestReader(make_classification_table(settings, config.settings), settings.max_batch))
+            readers.append(RequestReader(make_classification_table(settings, config.settings), settings.max_batch_size))
         return GraphqlDialect(config.settings, readers[0])
 
     def make_shared_front_end(config: Config, dispatcher: RequestDispatcher) -> FrontEnd:
@@ -264,5 +282,8 @@
 
 
 def max_clients_per_front_end(config: Config, settings: conf.GraphqlSettings) -> int:
-    """Return the maximum number of clients of each front end; together they may use half of the descriptors."""
+    """Return the maximum number of client connections per front end.
+
+    All front ends together may use half of the process's file descriptors, and each gets an equal share.
+    """
     return config.max_descriptors // (4 if settings.listen else 2)
