--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -107,8 +107,10 @@
         """Return whether a request is admitted by the planned share of its class and, in a retry storm, by
         the share of retries to admit."""
         class_index = event.class_index
-        limits = self.class_admission
-        if class_index < len(limits) and not self.class_sampler.admits(class_index, limits[class_index]):
+        planned_shares = self.class_admission
+        if class_index < len(planned_shares) and not self.class_sampler.admits(
+            class_index, planned_shares[class_index]
+        ):
             return False
         if not self.storm.active or event.retry_number == 0:
             return True
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -245,7 +245,9 @@
         needed_until_us = self.last_shortage_at_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
         slots_needed = attempt.sent_at_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
-            if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # the upstream may rejoin later
+            if (
+                upstream.concurrency.limit < tuning.MIN_MEMBER_CONCURRENCY_LIMIT
+            ):  # the upstream may rejoin later
                 self.close_idle(pool.subset.leave(upstream))
             self.log_ejection(upstream)
         if attempt.outcome in ANSWERED_OUTCOMES:
@@ -259,13 +261,13 @@
             # While all upstreams are warming, they get requests by this credit only.
             self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.admitted_share)
 
-    def add_slow_start_credit(self, pool: UpstreamPool, served: float) -> None:
+    def add_slow_start_credit(self, pool: UpstreamPool, credited_amount: float) -> None:
         """Give the warming upstreams of a pool the slow-start credit for a number of served requests."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
         shortage_ends_at_us = self.last_shortage_at_us + self.shortage_duration_us
         in_shortage = self.last_shortage_at_us > 0 and self.now_us <= shortage_ends_at_us
-        pool.slow_start.add_credit(served, in_shortage, self.now_us)
+        pool.slow_start.add_credit(credited_amount, in_shortage, self.now_us)
 
     def schedule_poll(self, at_us: int) -> None:
         """Schedule a poll of the endpoint list at `at_us`, if the settings require polls."""
@@ -328,7 +330,9 @@
 
     def log_ejection(self, upstream: TrackedUpstream) -> None:
         """Log that an upstream is ejected or restored, if this was not logged yet."""
-        threshold = tuning.RESTORED_LIMIT if upstream.logged_ejected else tuning.EJECTED_LIMIT
+        threshold = (
+            tuning.RESTORATION_LOG_THRESHOLD if upstream.logged_ejected else tuning.EJECTION_LOG_THRESHOLD
+        )
         ejected = upstream.concurrency.limit < threshold
         if ejected == upstream.logged_ejected:
             return
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -21,11 +21,13 @@
         # Time of the last contact with discovery before the current failures; None = no failure
         self.last_contact_at_us: int | None = None
         self.consecutive_failure_count = 0
-        self.spread_us = 0  # longest possible delay of the last backoff; 0 = no backoff since the last list
+        self.backoff_span_us = (
+            0  # longest possible delay of the last backoff; 0 = no backoff since the last list
+        )
 
     def on_list_received(self) -> None:
         """Record that a current list has arrived."""
-        self.consecutive_failure_count = self.next_poll_at_us = self.spread_us = 0
+        self.consecutive_failure_count = self.next_poll_at_us = self.backoff_span_us = 0
         self.last_contact_at_us = None
 
     def on_failure(self, now_us: int, silent_us: int) -> int:
@@ -54,11 +56,11 @@
         of them would come soon after a recovery.
         """
         latest_poll_at_us = max(now_us, last_contact_at_us + self.max_gap_us)
-        if self.spread_us >= self.max_gap_us // 2:
+        if self.backoff_span_us >= self.max_gap_us // 2:
             return latest_poll_at_us
-        first_spread_us = max(tuning.MIN_POLL_BACKOFF_US, tuning.FLEET_POLL_INTERVAL_US * self.instances)
-        backoff_us = first_spread_us * 2 ** min(
+        first_span_us = max(tuning.MIN_POLL_BACKOFF_US, tuning.FLEET_POLL_INTERVAL_US * self.instances)
+        unlimited_span_us = first_span_us * 2 ** min(
             self.consecutive_failure_count - 1, tuning.MAX_BACKOFF_DOUBLINGS
         )
-        self.spread_us = min(backoff_us, latest_poll_at_us - now_us)
-        return now_us + int(self.spread_us * self.random.random())
+        self.backoff_span_us = min(unlimited_span_us, latest_poll_at_us - now_us)
+        return now_us + int(self.backoff_span_us * self.random.random())
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -77,16 +77,16 @@
         """Return whether an upstream has become warm since the last call of `refresh`."""
         return any(not self.is_warming(upstream.entry, now_us) for upstream in self.warming_upstreams)
 
-    def add_credit(self, served_requests: float, in_shortage: bool, now_us: int) -> None:
-        """Distribute the credit for `served_requests` among the warming upstreams.
+    def add_credit(self, credited_amount: float, in_shortage: bool, now_us: int) -> None:
+        """Distribute the credit for `credited_amount` among the warming upstreams.
 
         `in_shortage` means that requests recently found no free slot.
         """
         elapsed_us = now_us - self.updated_at_us
         self.updated_at_us = now_us
         warming_traffic = [self.relative_traffic(upstream, now_us) for upstream in self.warming_upstreams]
-        throughput = served_requests / max(self.warm_size + sum(warming_traffic), tuning.MIN_CONCURRENCY)
-        credit = throughput
+        amount_per_size = credited_amount / max(self.warm_size + sum(warming_traffic), tuning.MIN_CONCURRENCY)
+        credit = amount_per_size
         if in_shortage:
             observed_time_share = max(self.observed_time_share, tuning.MIN_OBSERVED_TIME_SHARE)
             missing_throughput = self.long_term_throughput / observed_time_share - self.recent_throughput
@@ -96,16 +96,16 @@
                 upstream.slow_start_credit + credit * relative_traffic, tuning.MAX_SLOW_START_CREDIT
             )
             upstream.slow_start_credit = max(upstream.slow_start_credit, new_credit)
-        self._observe_throughput(throughput, elapsed_us)
+        self._observe_throughput(amount_per_size, elapsed_us)
 
-    def _observe_throughput(self, throughput: float, elapsed_us: int) -> None:
+    def _observe_throughput(self, amount_per_size: float, elapsed_us: int) -> None:
         """Update the averages with the requests that were served in the last `elapsed_us`."""
         time_constant_us = self.long_term_time_constant_us
         self.recent_throughput = decayed_rate(
-            self.recent_throughput, throughput, elapsed_us, tuning.RATE_TIME_CONSTANT_US
+            self.recent_throughput, amount_per_size, elapsed_us, tuning.RATE_TIME_CONSTANT_US
         )
         self.long_term_throughput = decayed_rate(
-            self.long_term_throughput, throughput, elapsed_us, time_constant_us
+            self.long_term_throughput, amount_per_size, elapsed_us, time_constant_us
         )
         self.observed_time_share = 1.0 - (1.0 - self.observed_time_share) * math.exp(
             -elapsed_us / time_constant_us
--- a/ryepier/balancer/tuning.py
+++ b/ryepier/balancer/tuning.py
@@ -31,9 +31,9 @@
 MAX_EJECTED_SHARE = 2 / 3
 # A plan that ejects a larger share of the upstreams is faulty, and its ejections are ignored.
 MAX_PLANNED_EJECTED_SHARE = 0.5
-EJECTED_LIMIT = 0.25  # concurrency limit below which an upstream is logged as ejected
-RESTORED_LIMIT = 1.0  # concurrency limit at which an ejected upstream is logged as restored
-SUBSET_MIN_LIMIT = 0.5  # concurrency limit below which an upstream leaves the subset
+EJECTION_LOG_THRESHOLD = 0.25  # concurrency limit below which an upstream is logged as ejected
+RESTORATION_LOG_THRESHOLD = 1.0  # concurrency limit at which an ejected upstream is logged as restored
+MIN_MEMBER_CONCURRENCY_LIMIT = 0.5  # concurrency limit below which an upstream leaves the subset
 
 # Slow start
 MIN_OVERCOMMIT = 1 / 1.3  # lowest overcommit, for warming upstreams that are slow
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -31,7 +31,9 @@
 SURGE_RECOVERY_US = 5 * RECENT_TIME_CONSTANT_US
 OUTAGE_SERVED_SHARE = 0.3  # there is an outage while a smaller share of the arrivals is served
 RECENT_OUTAGE_US = 30_000_000  # time after its end for which an outage is reported as evidence
-MAX_FIRST_REJECTION_SHARE = 0.3  # if a larger share of the first attempts is rejected, fewer retries are admitted
+MAX_UNSERVED_FIRST_ATTEMPT_SHARE = (
+    0.3  # if a larger share of the first attempts is rejected, fewer retries are admitted
+)
 ADMISSION_DECREASE = 0.8  # factor per tick by which the admitted share of retries decreases
 ADMISSION_INCREASE = 1.25  # factor per tick by which the admitted share of retries increases
 ADMISSION_INCREASE_STEP = 0.02  # added to the admitted share per tick when it increases, in addition to the factor
@@ -85,7 +87,7 @@
     arrivals_by_retry_number: list[int] = field(default_factory=lambda: [0] * RETRY_NUMBER_BUCKET_COUNT)
     arrivals_by_tenant: dict[int, int] = field(default_factory=dict)
     served_count: int = 0
-    first_rejection_count: int = 0
+    unserved_first_attempt_count: int = 0
 
 
 class RetryStormDetector:
@@ -104,7 +106,7 @@
         self.arrival_rates = [0.0] * RETRY_NUMBER_BUCKET_COUNT
         self.tenant_rates: dict[int, float] = {}
         self.served_rate = 0.0
-        self.first_rejection_rate = 0.0
+        self.unserved_first_attempt_rate = 0.0
         self.retry_admission = 1.0  # share of first retries to admit; its n-th power applies to retry number n
         self.baseline_rate = 0.0
         self.baseline_observation_us = 0  # time for which the baseline rate was observed
@@ -125,7 +127,7 @@
 
     def on_unserved(self, retry_number: int) -> None:
         """Count a request that was rejected, failed or abandoned by its client."""
-        self.counts.first_rejection_count += int(retry_number == 0)
+        self.counts.unserved_first_attempt_count += int(retry_number == 0)
 
     def tick(self, now_us: int) -> StormReport:
         """Update the rates and the admitted share of retries. Returns whether there is a storm, with the evidence."""
@@ -136,12 +138,12 @@
         was_active = self.active
         if not was_active:
             self.retry_admission = 1.0
-        elif self.first_rejection_rate > MAX_FIRST_REJECTION_SHARE * self.arrival_rates[0]:
+        elif self.unserved_first_attempt_rate > MAX_UNSERVED_FIRST_ATTEMPT_SHARE * self.arrival_rates[0]:
             self.retry_admission = max(MIN_RETRY_ADMISSION, self.retry_admission * ADMISSION_DECREASE)
         else:
             self.retry_admission = min(1.0, self.retry_admission * ADMISSION_INCREASE + ADMISSION_INCREASE_STEP)
         if self.active:
-            self._update_calm(now_us, evidence)
+            self._close_if_calm(now_us, evidence)
         else:
             self.active = now_us - self.last_surge_at_us >= SURGE_RECOVERY_US and self._should_open(evidence)
             self.calm_since_us = None
@@ -163,9 +165,9 @@
                 1 - decay
             )
         self.served_rate += (counts.served_count * 1e6 / elapsed_us - self.served_rate) * (1 - decay)
-        self.first_rejection_rate += (counts.first_rejection_count * 1e6 / elapsed_us - self.first_rejection_rate) * (
-            1 - decay
-        )
+        self.unserved_first_attempt_rate += (
+            counts.unserved_first_attempt_count * 1e6 / elapsed_us - self.unserved_first_attempt_rate
+        ) * (1 - decay)
         arrival_rate = sum(self.arrival_rates)
         in_outage = arrival_rate >= MIN_ARRIVAL_RATE and self.served_rate < OUTAGE_SERVED_SHARE * arrival_rate
         if self.in_outage and not in_outage:
@@ -206,7 +208,7 @@
             return False
         return evidence.retry_share >= OPENING_RETRY_SHARE and self._unserved_share(evidence) >= OPENING_UNSERVED_SHARE
 
-    def _update_calm(self, now_us: int, evidence: StormEvidence) -> None:
+    def _close_if_calm(self, now_us: int, evidence: StormEvidence) -> None:
         is_calm = (
             evidence.retry_share <= CLOSING_RETRY_SHARE or self._unserved_share(evidence) <= CLOSING_UNSERVED_SHARE
         )
@@ -221,10 +223,10 @@
     def _event(self) -> RetryStormUpdated:
         admission = [self.retry_admission**retry_number for retry_number in range(RETRY_NUMBER_BUCKET_COUNT)]
         # The window is the time in which as many requests as are now rejected can be served at the expected rate.
-        unserved_clients = max(0.0, sum(self.arrival_rates) - self.served_rate) * RECENT_TIME_CONSTANT_US / 1e6
+        recently_unserved_count = max(0.0, sum(self.arrival_rates) - self.served_rate) * RECENT_TIME_CONSTANT_US / 1e6
         window_us = min(
             MAX_RETRY_AFTER_WINDOW_US,
-            1e6 * unserved_clients / max(RECOVERY_FACTOR * self.served_rate, MIN_ARRIVAL_RATE),
+            1e6 * recently_unserved_count / max(RECOVERY_FACTOR * self.served_rate, MIN_ARRIVAL_RATE),
         )
         windows_us = [
             int(min(self.max_retry_after_us, max(MIN_RETRY_AFTER_WINDOW_US, window_us) * 2**retry_number))
--- a/tests/balancer_scenarios.py
+++ b/tests/balancer_scenarios.py
@@ -9,7 +9,7 @@
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2  # indexes of the request classes
-MAX_SLOTS = 1000  # number of requests after which fill_slots fails
+MAX_FILL_REQUESTS = 1000  # number of requests after which fill_slots fails
 
 
 def ready_harness(count: int = 4, **changes: object) -> BalancerHarness:
@@ -22,11 +22,11 @@
 def fill_slots(harness: BalancerHarness) -> list[int]:
     """Send requests until no slot is free, and return their ids. The last request waits in the buffer."""
     requests = []
-    for _ in range(MAX_SLOTS):
+    for _ in range(MAX_FILL_REQUESTS):
         requests.append(harness.arrive(READ))
         if not harness.sends(requests[-1]):
             return requests
-    raise AssertionError("slots are still free after MAX_SLOTS requests")
+    raise AssertionError("slots are still free after MAX_FILL_REQUESTS requests")
 
 
 def serve_requests(
@@ -68,7 +68,7 @@
     return len(sent_requests)
 
 
-def harness_with_open_slots() -> BalancerHarness:
+def harness_with_raised_limit() -> BalancerHarness:
     """Return the harness of a balancer with one upstream, at which slots were opened in a shortage."""
     harness = ready_harness(1)
     for _ in range(80):
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -39,8 +39,8 @@
 MAX_QUEUE_US = 600_000  # a request that would wait longer is rejected
 DURATION_BEFORE_STARTS_US = 8_000_000
 DURATION_AFTER_STARTS_US = 8_000_000
-CAPACITY = CORES_PER_CONVERTER * 1_000_000 / MEAN_COST_US  # requests per second of a warm converter
-MAX_COST = 10.0  # highest cost of a request, in multiples of the mean
+WARM_CAPACITY_PER_S = CORES_PER_CONVERTER * 1_000_000 / MEAN_COST_US  # requests per second of a warm converter
+MAX_RELATIVE_COST = 10.0  # highest cost of a request, in multiples of the mean
 REQUEST_TIMEOUT_US = 1_500_000
 REJECTION_DELAY_US = 1_000  # time from the start of an attempt to its rejection
 RELATIVE_RATES = [0.02, 0.5, 1.0, 1.0, 4.0]  # each sidecar's request rate relative to the others is drawn from these
@@ -121,7 +121,7 @@
         self.last_number = 0
         relative_rates = [self.random.choice(RELATIVE_RATES) for _ in range(case.sidecar_count)]
         self.rates = [
-            case.load * CONVERTER_COUNT * CAPACITY * relative_rate / sum(relative_rates)
+            case.load * CONVERTER_COUNT * WARM_CAPACITY_PER_S * relative_rate / sum(relative_rates)
             for relative_rate in relative_rates
         ]
 
@@ -178,10 +178,10 @@
         at_us = self.now_us + max(1, int(self.random.expovariate(self.rates[sidecar]) * 1_000_000))
         cost_us = MEAN_COST_US
         if self.case.costs != EQUAL_HINTED:
-            # The distribution has mean 1 and standard deviation 2, before it is limited to MAX_COST. Without this
-            # limit, a single request above the margin for random variation would overload a cold converter, and a
+            # The distribution has mean 1 and standard deviation 2, before it is limited to MAX_RELATIVE_COST. Without
+            # this limit, a single request above the margin for random variation would overload a cold converter, and a
             # sidecar could not avoid that without a cost hint.
-            cost_us = int(MEAN_COST_US * min(self.random.lognormvariate(-0.8, 1.265), MAX_COST))
+            cost_us = int(MEAN_COST_US * min(self.random.lognormvariate(-0.8, 1.265), MAX_RELATIVE_COST))
         self.last_number += 1
         self.costs_us[self.last_number] = cost_us
         hint_us = 0 if self.case.costs == HEAVY_UNHINTED else cost_us
@@ -240,11 +240,13 @@
 
     def _allowed_work(self, converter: Converter, start_us: int) -> float:
         window_s = self.settings.overload_window_us / 1_000_000
-        return self.settings.overload_factor * self.speed(converter, start_us) * CAPACITY * window_s
+        return self.settings.overload_factor * self.speed(converter, start_us) * WARM_CAPACITY_PER_S * window_s
 
     def utilisation(self) -> float:
         """Return the work that was sent to the cold converters, relative to their mean capacity since their start."""
         work_sent = sum(attempt.cost for converter in self.cold_converters for attempt in converter.attempts)
         midpoint_us = self.converters[0].started_at_us + DURATION_AFTER_STARTS_US // 2
-        max_work = CAPACITY * DURATION_AFTER_STARTS_US / 1_000_000 * self.speed(self.converters[0], midpoint_us)
+        max_work = (
+            WARM_CAPACITY_PER_S * DURATION_AFTER_STARTS_US / 1_000_000 * self.speed(self.converters[0], midpoint_us)
+        )
         return work_sent / (max_work * self.case.cold_count)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 from ryepier.balancer.interface import Outcome, RequestClass
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
-WORK_US = 100_000  # mean work of a request, exponentially distributed; a third of the slow latency
+MEAN_WORK_US = 100_000  # mean work of a request, exponentially distributed; a third of the slow latency
 LATENCY_OBJECTIVE_US = 600_000
 REQUEST_COUNT = 400
 SEEDS = range(1, 9)
@@ -60,12 +60,12 @@
 
 
 def test_sidecar_with_little_traffic_sheds_no_load_for_random_slow_answers() -> None:
-    rejected_shares = [rejected_share(seed, WORK_US) for seed in SEEDS]
+    rejected_shares = [rejected_share(seed, MEAN_WORK_US) for seed in SEEDS]
     print("rejected, by seed:", rejected_shares)
     assert sum(rejected_shares) / len(rejected_shares) <= 0.005
 
 
 def test_sidecar_with_little_traffic_sheds_load_while_answers_are_slow_on_average() -> None:
-    rejected_shares = [rejected_share(seed, 6 * WORK_US) for seed in SEEDS]
+    rejected_shares = [rejected_share(seed, 6 * MEAN_WORK_US) for seed in SEEDS]
     print("rejected, by seed:", rejected_shares)
     assert min(rejected_shares) >= 0.2
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -16,7 +16,7 @@
     PAY,
     READ,
     fill_slots,
-    harness_with_open_slots,
+    harness_with_raised_limit,
     open_slot_count,
     ready_harness,
     serve_requests,
@@ -64,15 +64,15 @@
 
 
 def test_one_error_closes_at_most_half_the_slots() -> None:
-    harness = harness_with_open_slots()
+    harness = harness_with_raised_limit()
     slots_before = open_slot_count(harness)
     harness.end(harness.arrive(PAY), 0, Outcome.ERROR)
     assert slots_before >= 4
     assert open_slot_count(harness) >= slots_before / 2 - 1
 
 
-def test_one_expensive_request_among_fast_answers_closes_no_slot() -> None:
-    harness = harness_with_open_slots()
+def test_one_expensive_request_among_fast_answers_closes_at_most_one_slot() -> None:
+    harness = harness_with_raised_limit()
     slots_before = open_slot_count(harness)
     serve_requests(harness, 1, duration_us=170_000)  # more than half the latency objective
     assert open_slot_count(harness) >= slots_before - 1
--- a/tests/test_endpoint_polling.py
+++ b/tests/test_endpoint_polling.py
@@ -120,7 +120,7 @@
     assert all(timer.at_us > START_US for timer in harness.actions if isinstance(timer, SetTimer))
 
 
-def test_start_time_in_the_future_counts_from_its_first_report(
+def test_start_time_in_the_future_is_replaced_by_the_time_of_its_first_report(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now_s, clock_lag_s = 1_000, 3_600
--- a/tests/test_fleet_effects.py
+++ b/tests/test_fleet_effects.py
@@ -21,19 +21,19 @@
 
 def serve(
     harness: BalancerHarness,
-    requests: int,
+    request_count: int,
     warm_answer_us: int = 30_000,
     warming_answer_us: int = 30_000,
     expensive_interval: int = 0,
     cost_us: int = 20_000,
 ) -> int:
-    """Serve requests, and return how many went to warming upstreams.
+    """Serve `request_count` requests, and return how many went to warming upstreams.
 
     Warming upstreams answer after `warming_answer_us`, the others after `warm_answer_us`. With an `expensive_interval`
     of n above 0, every n-th request is expensive, and must not be sent to a warming upstream.
     """
-    sent_count = 0
-    for number in range(requests):
+    warming_send_count = 0
+    for number in range(request_count):
         is_expensive = expensive_interval > 0 and number % expensive_interval == 0
         request = harness.arrive(PAY, cost_us=1_000_000 if is_expensive else cost_us)
         to_warming_upstream = any(send.upstream in WARMING_UPSTREAMS for send in harness.sends(request))
@@ -42,8 +42,8 @@
         if harness.sends(request):
             harness.end(request, 0, Outcome.OK)
         harness.advance(20_000)
-        sent_count += int(to_warming_upstream)
-    return sent_count
+        warming_send_count += int(to_warming_upstream)
+    return warming_send_count
 
 
 def add_warming_upstreams(harness: BalancerHarness, age_us: int = 0, small_size: float = 1.0) -> None:
@@ -84,17 +84,17 @@
     harness = lightly_loaded_harness(weighted=True)
     add_warming_upstreams(harness, small_size=0.25)
     serve(harness, 200, expensive_interval=10)
-    to_small_upstreams = sum(1 for send in harness.sends() if send.upstream <= 15)
-    assert 0 < 3 * to_small_upstreams < 2 * sum(1 for send in harness.sends() if 15 < send.upstream <= 30)
+    small_upstream_send_count = sum(1 for send in harness.sends() if send.upstream <= 15)
+    assert 0 < 3 * small_upstream_send_count < 2 * sum(1 for send in harness.sends() if 15 < send.upstream <= 30)
 
 
 def test_expensive_requests_use_more_credit_of_a_warming_upstream() -> None:
-    sent_counts = []
+    warming_send_counts = []
     for cost_us in (20_000, 70_000):
         harness = lightly_loaded_harness()
         add_warming_upstreams(harness, age_us=5_000_000)
-        sent_counts.append(serve(harness, 200, cost_us=cost_us))
-    assert 0 < 3 * sent_counts[1] < 2 * sent_counts[0]
+        warming_send_counts.append(serve(harness, 200, cost_us=cost_us))
+    assert 0 < 3 * warming_send_counts[1] < 2 * warming_send_counts[0]
 
 
 def next_poll_delay_us(harness: BalancerHarness) -> int:
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -72,7 +72,7 @@
 
 
 def test_slow_answers_in_the_first_second_shed_no_more_load_than_later() -> None:
-    def sent_after_slow_answers(fast_phase_us: int) -> int:
+    def sent_count_after_slow_answers(fast_phase_us: int) -> int:
         harness = ready_harness(9, hedging=False)
         end_us = harness.now_us + fast_phase_us
         while harness.now_us < end_us:
@@ -87,15 +87,15 @@
                 harness.end(request, 0, Outcome.OK)
         return sum(1 for _ in range(9) if harness.sends(harness.arrive(PAY)))
 
-    assert sent_after_slow_answers(500_000) >= sent_after_slow_answers(10_000_000) - 1
+    assert sent_count_after_slow_answers(500_000) >= sent_count_after_slow_answers(10_000_000) - 1
 
 
 def test_sidecar_that_shed_load_in_a_surge_recovers_once_answers_are_fast() -> None:
     harness = ready_harness(9, hedging=False)
 
-    def send_burst(arrivals: int, answer_us: int) -> int:
+    def send_burst(arrival_count: int, answer_us: int) -> int:
         """Let requests arrive at the same time, answer those that were sent, and return their number."""
-        sent = [request for request in (harness.arrive(PAY) for _ in range(arrivals)) if harness.sends(request)]
+        sent = [request for request in (harness.arrive(PAY) for _ in range(arrival_count)) if harness.sends(request)]
         harness.advance(answer_us)
         for request in sent:
             harness.end(request, 0, Outcome.OK)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -35,7 +35,7 @@
     assert isinstance(harness.answer(request), Fail) and len(harness.sends(request)) == 1
 
 
-def test_non_idempotent_request_is_awaited_only_while_its_answer_has_weight() -> None:
+def test_non_idempotent_request_without_late_weight_fails_at_its_latency_objective() -> None:
     harness = ready_harness()
     request = harness.arrive(PAY)  # late answers of this class have no weight
     harness.advance(290_000)
@@ -69,7 +69,7 @@
     assert len(harness.sends(request)) == 1
 
 
-def test_no_attempt_is_hedged_while_others_wait_for_a_slot() -> None:
+def test_no_attempt_is_hedged_while_a_request_waits_for_a_slot() -> None:
     harness = ready_harness()
     fill_slots(harness)
     harness.advance(140_000)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(("class_index", "is_retried"), [(READ, True), (MARK, True), (PAY, False)])
-def test_error_is_retried_if_the_class_may_run_again(class_index: int, is_retried: bool) -> None:
+def test_error_is_retried_only_if_the_class_permits_it(class_index: int, is_retried: bool) -> None:
     harness = ready_harness()
     request = harness.arrive(class_index)
     harness.end(request, 0, Outcome.ERROR)
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("hedging", [True, False])
-def test_requests_are_sent_again_after_an_outage_without_answers(hedging: bool) -> None:
+def test_sending_resumes_after_an_outage_without_answers(hedging: bool) -> None:
     harness = ready_harness(2, hedging=hedging)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -61,14 +61,14 @@
     assert later_sketch.retry_number(5 * GENERATION_US, request_hash(1)) == 0
 
 
-def test_first_attempt_counts_as_a_retry_within_the_stated_error_rate() -> None:
+def test_first_attempts_are_rarely_taken_for_retries() -> None:
     sketch = FailedRequestSketch(0)
     for number in range(10 * GENERATION_SIZE):
         sketch.add(number, request_hash(number))
-    false_retries = sum(
+    false_retry_count = sum(
         sketch.retry_number(10 * GENERATION_SIZE, request_hash(10**9 + number)) > 0 for number in range(50_000)
     )
-    assert false_retries / 50_000 < 3 * 0.00011
+    assert false_retry_count / 50_000 < 3 * 0.00011
     assert sketch.retry_number(10 * GENERATION_SIZE, request_hash(10 * GENERATION_SIZE - 1)) == 1
     assert (
         sum(
@@ -107,16 +107,16 @@
     def run(
         self,
         seconds: float,
-        first_rate: float,
+        first_attempt_rate: float,
         retry_rate: float = 0.0,
         served_rate: float | None = None,
         tenant: int = 0,
         rejected_rate: float = 0.0,
     ) -> RetryStormUpdated:
         """Run for a number of seconds, and return the last event. Without `served_rate`, all arrivals are served."""
-        served_rate = first_rate + retry_rate if served_rate is None else served_rate
+        served_rate = first_attempt_rate + retry_rate if served_rate is None else served_rate
         for _ in range(int(seconds * 1e6 / TICK_US)):
-            self._feed(first_rate, lambda: self.detector.on_request(0, tenant))
+            self._feed(first_attempt_rate, lambda: self.detector.on_request(0, tenant))
             self._feed(retry_rate, lambda: self.detector.on_request(1, tenant))
             self._feed(served_rate, self.detector.on_served)
             self._feed(rejected_rate, lambda: self.detector.on_unserved(0))
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -92,7 +92,7 @@
     harness = ready_harness(classes=classes)
     unresponsive_upstream = min(harness.known_entries)
 
-    def sent_to_unresponsive(class_index: int) -> int:
+    def count_sent_to_unresponsive(class_index: int) -> int:
         request = harness.arrive(class_index)
         sends = harness.sends(request)
         harness.advance(20_000)
@@ -100,8 +100,8 @@
             harness.end(request, 0, Outcome.OK)
         return sum(1 for send in sends if send.upstream == unresponsive_upstream)
 
-    assert 3 <= sum(sent_to_unresponsive(PAY) for _ in range(1000)) <= 15
-    assert sum(sent_to_unresponsive(READ) for _ in range(40)) > 0
+    assert 3 <= sum(count_sent_to_unresponsive(PAY) for _ in range(1000)) <= 15
+    assert sum(count_sent_to_unresponsive(READ) for _ in range(40)) > 0
 
 
 def test_upstream_that_rejects_one_class_keeps_its_share_of_the_others() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -50,8 +50,8 @@
     """Check that test_fleet_does_not_overload_warming_upstreams detects an overload, by a fault in `add_credit`."""
     case, add_credit = Case(30, 4, EQUAL_HINTED, 2.0), SlowStart.add_credit
 
-    def add_credit_for_all(slow_start: SlowStart, served_requests: float, in_shortage: bool, now_us: int) -> None:
-        add_credit(slow_start, case.sidecar_count * served_requests, in_shortage, now_us)
+    def add_credit_for_all(slow_start: SlowStart, credited_amount: float, in_shortage: bool, now_us: int) -> None:
+        add_credit(slow_start, case.sidecar_count * credited_amount, in_shortage, now_us)
 
     monkeypatch.setattr(SlowStart, "add_credit", add_credit_for_all)
     assert run_case(case).worst_window_ratio() > 1.0
@@ -123,9 +123,9 @@
     serve_requests(harness, 20, duration_us=20_000)
     harness.update_upstreams([Upstream(1, started_at_us=harness.now_us - 1_000), *upstreams(3)])
     serve_requests(harness, 150, duration_us=20_000)
-    to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
+    started_upstream_send_count = sum(1 for send in harness.sends() if send.upstream == 1)
     # The upstream gets 9 by its guaranteed capacity, and more as it answers fast. An equal share would be 37.
-    assert 0 < to_started_upstream <= 15
+    assert 0 < started_upstream_send_count <= 15
 
 
 def test_upstream_gets_less_than_the_others_until_it_is_warm() -> None:
@@ -133,5 +133,5 @@
     # The first upstream is 12 s into its warm-up of 20 s.
     harness.update_upstreams([Upstream(1, started_at_us=harness.now_us - 12_000_000), *upstreams(3)])
     serve_requests(harness, 1000, duration_us=5_000)
-    to_started_upstream = sum(1 for send in harness.sends() if send.upstream == 1)
-    assert 0 < to_started_upstream < 190  # an equal share of the 1000 requests would be 250
+    started_upstream_send_count = sum(1 for send in harness.sends() if send.upstream == 1)
+    assert 0 < started_upstream_send_count < 190  # an equal share of the 1000 requests would be 250
