--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -245,9 +245,8 @@
         needed_until_us = self.last_shortage_at_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
         slots_needed = attempt.sent_at_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
-            if (
-                upstream.concurrency.limit < tuning.MIN_MEMBER_CONCURRENCY_LIMIT
-            ):  # the upstream may rejoin later
+            # The upstream may rejoin the subset when its limit has grown again.
+            if upstream.concurrency.limit < tuning.MIN_MEMBER_CONCURRENCY_LIMIT:
                 self.close_idle(pool.subset.leave(upstream))
             self.log_ejection(upstream)
         if attempt.outcome in ANSWERED_OUTCOMES:
@@ -262,7 +261,8 @@
             self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.admitted_share)
 
     def add_slow_start_credit(self, pool: UpstreamPool, credited_amount: float) -> None:
-        """Give the warming upstreams of a pool the slow-start credit for a number of served requests."""
+        """Give the warming upstreams of a pool the slow-start credit for `credited_amount` requests: 1 for an
+        answer, a fraction for an arrival."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
         shortage_ends_at_us = self.last_shortage_at_us + self.shortage_duration_us
--- a/ryepier/balancer/concurrency.py
+++ b/ryepier/balancer/concurrency.py
@@ -25,10 +25,12 @@
             # With normal growth, a sidecar that starts in a busy hour would reject a third of its requests.
             change = 1.0 - load / tuning.TARGET_LOAD
         if faulty:
-            # Without this, an upstream that fails fast would soon have free slots again and attract requests.
+            # With an unchanged limit, an upstream that fails fast would soon have free slots again and
+            # attract requests.
             self.limit /= 2
         elif change < 0.0:
-            # Slow answers keep one slot. Otherwise all upstreams would be ejected for long after an outage.
+            # Slow answers do not reduce the limit below 1, so they do not eject the upstream. Otherwise all
+            # upstreams would stay ejected for a long time after an outage.
             self.limit = max(self.limit * (1.0 + change), min(self.limit, 1.0))
         elif self.limit < 1.0 or slots_needed:
             self.limit += min(self.limit, change)
--- a/ryepier/balancer/endpoint_polling.py
+++ b/ryepier/balancer/endpoint_polling.py
@@ -21,9 +21,8 @@
         # Time of the last contact with discovery before the current failures; None = no failure
         self.last_contact_at_us: int | None = None
         self.consecutive_failure_count = 0
-        self.backoff_span_us = (
-            0  # longest possible delay of the last backoff; 0 = no backoff since the last list
-        )
+        # Span from which the delay of the last backoff was drawn; 0 = no backoff since the last list
+        self.backoff_span_us = 0
 
     def on_list_received(self) -> None:
         """Record that a current list has arrived."""
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -73,12 +73,12 @@
     def on_overdue(self, attempt: Attempt, now_us: int) -> None:
         """Count an attempt that is unanswered after its latency objective.
 
-        With a shorter time, attempts that are only slowed down by an overload would be presumed lost. An
+        After a shorter time, attempts that are only slowed down by an overload would be presumed lost. An
         upstream may leave some or all requests of a class unanswered and serve the other classes well. So it
         is selected less often for that class, and ejected for it after several unanswered attempts in a row.
 
-        Known limit: late answers count as unanswered, so they move a rare class that is always slow to other
-        upstreams too.
+        Known limitation: late answers count as unanswered, so requests of a rare class that is always slow
+        are moved to other upstreams too.
         """
         request_class = self.settings.classes[attempt.class_index]
         if attempt.outcome is not None or request_class.stream:
@@ -91,8 +91,8 @@
         self.presume_lost(attempt)
 
     def _extend_timeout_streak(self, health: ClassHealth, latency_objective_us: int, now_us: int) -> None:
-        """Count one more unanswered attempt in a row. A long streak ejects the upstream for the class; a
-        longer streak, up to `MAX_TIMEOUT_STREAK`, doubles the time with each attempt."""
+        """Count one more unanswered attempt in a row. A streak of `EJECTION_TIMEOUT_STREAK` ejects the
+        upstream for the class, and each further attempt, up to `MAX_TIMEOUT_STREAK`, doubles the duration."""
         health.timeout_streak = min(health.timeout_streak + 1, tuning.MAX_TIMEOUT_STREAK)
         if health.timeout_streak < tuning.EJECTION_TIMEOUT_STREAK:
             return
@@ -109,8 +109,8 @@
         the upstream has only one slot, there are no later attempts, so one attempt per upstream is also
         presumed lost while the pool answers fast.
 
-        Known limit: an upstream that serves by priority may still be working on the attempt, and then gets
-        up to twice as many attempts as it has slots.
+        Known limitation: an upstream that serves by priority may still be working on the attempt, and then
+        gets up to twice as many attempts as it has slots.
         """
         upstream = attempt.upstream
         lost_attempts = [other for other in upstream.outstanding_attempts if other.presumed_lost]
--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -85,8 +85,8 @@
             request, [*warm_members, *usable_warming_upstreams], ejections_apply, now_us
         )
         if not candidates or len(subset_members) < pool.subset.wanted_size(pool.admission.send_rate):
-            # Upstreams outside the subset are considered only here, as sidecars that are connected to every
-            # upstream would exhaust the upstreams' connections.
+            # Only in this case are upstreams outside the subset considered. Sidecars that are connected to
+            # every upstream would exhaust the upstreams' connections.
             pools = self.membership.pools
             outside_subset = [
                 upstream
--- a/ryepier/balancer/settings.py
+++ b/ryepier/balancer/settings.py
@@ -40,7 +40,7 @@
     latency_objective_us: int  # a response within this time has its full priority weight
     deadline_us: int  # a response after this time has no value
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # factor of the weight if the latency objective was missed
+    late_weight: float = 0.0  # share of the priority weight that a response after the latency objective has
     latency_objective_stretch: float = 0.0  # multiple of a request's work that is added to the objective
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
--- a/ryepier/balancer/slow_start.py
+++ b/ryepier/balancer/slow_start.py
@@ -78,9 +78,10 @@
         return any(not self.is_warming(upstream.entry, now_us) for upstream in self.warming_upstreams)
 
     def add_credit(self, credited_amount: float, in_shortage: bool, now_us: int) -> None:
-        """Distribute the credit for `credited_amount` among the warming upstreams.
+        """Distribute the credit for an amount of requests among the warming upstreams.
 
-        `in_shortage` means that requests recently found no free slot.
+        `credited_amount` is 1 for an answered request, and a fraction of 1 for an arrival. `in_shortage`
+        means that requests recently found no free slot.
         """
         elapsed_us = now_us - self.updated_at_us
         self.updated_at_us = now_us
@@ -99,7 +100,7 @@
         self._observe_throughput(amount_per_size, elapsed_us)
 
     def _observe_throughput(self, amount_per_size: float, elapsed_us: int) -> None:
-        """Update the averages with the requests that were served in the last `elapsed_us`."""
+        """Update the averages, `elapsed_us` after their last update, with an amount per unit of size."""
         time_constant_us = self.long_term_time_constant_us
         self.recent_throughput = decayed_rate(
             self.recent_throughput, amount_per_size, elapsed_us, tuning.RATE_TIME_CONSTANT_US
--- a/ryepier/balancer/subsetting.py
+++ b/ryepier/balancer/subsetting.py
@@ -46,7 +46,7 @@
             if random.random() * listed_count >= target_size:
                 removed_upstreams += self.leave(upstream)
             elif upstream not in self.members and len(self.members) >= wanted_count and replaceable_members:
-                # Only a full subset replaces a member here. Selections add upstreams to one that is not full.
+                # Only a full subset replaces a member. A subset that is not full grows by selections instead.
                 removed_upstreams += self.leave(replaceable_members.pop())
                 self.members[upstream] = None
         return removed_upstreams
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -31,9 +31,8 @@
 SURGE_RECOVERY_US = 5 * RECENT_TIME_CONSTANT_US
 OUTAGE_SERVED_SHARE = 0.3  # there is an outage while a smaller share of the arrivals is served
 RECENT_OUTAGE_US = 30_000_000  # time after its end for which an outage is reported as evidence
-MAX_UNSERVED_FIRST_ATTEMPT_SHARE = (
-    0.3  # if a larger share of the first attempts is rejected, fewer retries are admitted
-)
+# If a larger share of the first attempts is not served, fewer retries are admitted.
+MAX_UNSERVED_FIRST_ATTEMPT_SHARE = 0.3
 ADMISSION_DECREASE = 0.8  # factor per tick by which the admitted share of retries decreases
 ADMISSION_INCREASE = 1.25  # factor per tick by which the admitted share of retries increases
 ADMISSION_INCREASE_STEP = 0.02  # added to the admitted share per tick when it increases, in addition to the factor
@@ -222,7 +221,8 @@
 
     def _event(self) -> RetryStormUpdated:
         admission = [self.retry_admission**retry_number for retry_number in range(RETRY_NUMBER_BUCKET_COUNT)]
-        # The window is the time in which as many requests as are now rejected can be served at the expected rate.
+        # The window is the time in which as many requests as recently were not served can be served at the expected
+        # rate.
         recently_unserved_count = max(0.0, sum(self.arrival_rates) - self.served_rate) * RECENT_TIME_CONSTANT_US / 1e6
         window_us = min(
             MAX_RETRY_AFTER_WINDOW_US,
--- a/tests/balancer_scenarios.py
+++ b/tests/balancer_scenarios.py
@@ -69,7 +69,7 @@
 
 
 def harness_with_raised_limit() -> BalancerHarness:
-    """Return the harness of a balancer with one upstream, at which slots were opened in a shortage."""
+    """Return the harness of a balancer with one upstream, whose concurrency limit a shortage of slots has raised."""
     harness = ready_harness(1)
     for _ in range(80):
         fill_slots(harness)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,8 @@
 from ryepier.balancer.interface import Outcome, RequestClass
 from tests.balancer_harness import BalancerHarness, settings, upstreams
 
-MEAN_WORK_US = 100_000  # mean work of a request, exponentially distributed; a third of the slow latency
+# Mean of the exponentially distributed work of a request; a third of the slow latency, which is half the objective
+MEAN_WORK_US = 100_000
 LATENCY_OBJECTIVE_US = 600_000
 REQUEST_COUNT = 400
 SEEDS = range(1, 9)
@@ -37,7 +38,7 @@
 
 
 def rejected_share(seed: int, mean_work_us: int) -> float:
-    """Let requests arrive at random times, answer each after a random time, and return the share that was not sent."""
+    """Let requests arrive at random times, answer each after a random time, and return the share rejected unsent."""
     harness, rng = lightly_loaded_harness(seed), random.Random(seed)
     requests = []
     for _ in range(REQUEST_COUNT):
@@ -48,8 +49,8 @@
 
 
 def test_some_slow_answers_shed_no_load_while_the_mean_is_below_the_target() -> None:
-    """Of three answers, two take 0.3 times the slow latency and one takes 1.1 times: 0.57 on average, below the target
-    of 0.7."""
+    """Of three answers, two take 0.3 times the slow latency and one takes 1.1 times. The mean of 0.57 is below the
+    target of 0.7."""
     harness = lightly_loaded_harness(1)
     requests = []
     for number in range(REQUEST_COUNT):
