--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -82,7 +82,8 @@
         self.estimates = estimates
         self.storm = RetryStormUpdated()  # the latest report on retry storms
         self.class_admission: Sequence[float] = ()  # by class, share of arrivals to admit; empty = all
-        self.tenant_weight: Sequence[float] = ()  # by tenant, share of requests within quota; empty = no plan
+        # by tenant, the share of its requests that is within its quota; empty = no plan
+        self.tenant_shares_within_quota: Sequence[float] = ()
         self.class_sampler = EvenSampler()  # its keys are request classes
         self.retry_sampler = EvenSampler()  # its keys are tenants
         self.tenant_arrivals = [0.0 for _ in settings.tenants]  # exponentially decaying counts, by tenant
@@ -133,7 +134,7 @@
         weight = request.request_class.priority_weight
         if not self.settings.weight_by_work:
             weight /= self.estimates.mean_latency_us[event.class_index]
-        if self.tenant_weight or self.settings.tenants:
+        if self.tenant_shares_within_quota or self.settings.tenants:
             weight *= self._tenant_factor(event.tenant)
         if self.storm.active:
             weight *= tuning.RETRY_PRIORITY_FACTOR**event.retry_number
@@ -146,8 +147,8 @@
         estimated from the tenants' shares of the arrivals at this sidecar, as it does not know the other
         sidecars' rates.
         """
-        if tenant < len(self.tenant_weight):
-            return self._weight_at_share(self.tenant_weight[tenant])
+        if tenant < len(self.tenant_shares_within_quota):
+            return self._weight_at_share(self.tenant_shares_within_quota[tenant])
         if tenant < len(self.settings.tenants):
             allowed_share = self.settings.tenants[tenant].allowance_per_s / self.total_allowance_per_s
             arrived_share = self.tenant_arrivals[tenant] / sum(self.tenant_arrivals)
--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -124,7 +124,7 @@
     def on_plan_updated(self, event: api.PlanUpdated) -> None:
         """Replace the advice and the limits of the previous plan."""
         self.membership.apply_plan(event)
-        self.admission.tenant_weight = event.tenant_weight
+        self.admission.tenant_shares_within_quota = event.tenant_shares_within_quota
         self.admission.class_admission = event.class_admission
 
     def on_timer(self) -> None:
--- a/ryepier/balancer/events.py
+++ b/ryepier/balancer/events.py
@@ -152,7 +152,7 @@
 
     advice: list[Advice] = field(default_factory=list)
     # by tenant, the share of its requests at all sidecars that is within its quota
-    tenant_weight: list[float] = field(default_factory=list)
+    tenant_shares_within_quota: list[float] = field(default_factory=list)
     # by class, the share of arrivals to admit; empty = all
     class_admission: list[float] = field(default_factory=list)
 
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -274,7 +274,7 @@
         now_us = self.machine.clock_us()
         event = PlanUpdated(
             self.follower.advice(now_us, dict(self.sidecar.upstream_ids())),
-            self.follower.tenant_weight(now_us),
+            self.follower.tenant_shares_within_quota(now_us),
             self.follower.class_admission(now_us),
         )
         if event != self.last_published:
--- a/ryepier/plan/messages.py
+++ b/ryepier/plan/messages.py
@@ -114,7 +114,7 @@
     valid_ms: Count  # time after its arrival during which the plan is followed fully
     fade_ms: Count  # time after `valid_ms` over which the advice fades out
     # by tenant, the share of its requests that is within its quota; if empty, quotas are not applied
-    tenant_weight: list[Share] = msgspec.field(name="tenant_worth", default_factory=list)
+    tenant_shares_within_quota: list[Share] = msgspec.field(name="tenant_worth", default_factory=list)
     # by class, the share of arrivals to admit; if empty, all are admitted
     class_admission: list[Share] = msgspec.field(name="class_admit", default_factory=list)
 
--- a/ryepier/plan/plan_computation.py
+++ b/ryepier/plan/plan_computation.py
@@ -156,7 +156,7 @@
             entries,
             PLAN_VALIDITY_MS,
             PLAN_FADE_MS,
-            self._tenant_weights(active_forwarders),
+            self._tenant_shares_within_quota(active_forwarders),
             self._class_admission(active_forwarders),
         )
 
@@ -297,7 +297,7 @@
                 )
         return entries
 
-    def _tenant_weights(self, active_forwarders: dict[str, ForwarderStats]) -> list[float]:
+    def _tenant_shares_within_quota(self, active_forwarders: dict[str, ForwarderStats]) -> list[float]:
         """Return by tenant the share of its requests that is within its quota; empty while there is no overload."""
         arrivals = [0.0] * len(self.tenant_shares)
         rejections = 0.0
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -158,8 +158,8 @@
             return []
         return [1.0 - (1.0 - share) * confidence for share in self.plan.class_admission]
 
-    def tenant_weight(self, now_us: int) -> list[float]:
+    def tenant_shares_within_quota(self, now_us: int) -> list[float]:
         """Return by tenant the share of its requests that is within its quota; empty once the plan starts to fade."""
         if self.plan is None or self.confidence(now_us) < 1.0:
             return []  # outdated rates of the fleet are worse than the rates that this sidecar observes itself
-        return list(self.plan.tenant_weight)
+        return list(self.plan.tenant_shares_within_quota)
