--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -221,7 +221,7 @@
         storm = self.admission.storm
         retry_after_us = 0
         if self.settings.retry_after:
-            if storm.active and storm.retry_after_us:
+            if storm.active and storm.retry_after_windows_us:
                 # A client that obeys Retry-After sends fewer retries. Count the retry that it leaves out.
                 self.count_demand()
             retry_after_us = self.retries.retry_after_us(request, storm)
--- a/ryepier/balancer/events.py
+++ b/ryepier/balancer/events.py
@@ -166,8 +166,8 @@
 
     active: bool = False
     admission: list[float] = field(default_factory=list)  # share of arrivals to admit
-    # window from which the Retry-After of a rejected request is drawn
-    retry_after_us: list[int] = field(default_factory=list)
+    # length of the window from which the Retry-After of a rejected request is drawn
+    retry_after_windows_us: list[int] = field(default_factory=list)
     # by tenant, share of retries to admit; empty = all
     tenant_admission: list[float] = field(default_factory=list)
     retry_after_in_seconds: bool = False  # clients understand a Retry-After in whole seconds only
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -140,11 +140,11 @@
         """Return how long (us) a rejected client should wait before it retries; in a retry storm, a random
         time within the window for its retry number."""
         max_us = self.settings.max_retry_after_us
-        if not storm.active or not storm.retry_after_us:
+        if not storm.active or not storm.retry_after_windows_us:
             mean_us = self.estimates.mean_latency_us[request.event.class_index]
             return int(min(mean_us * (0.5 + self.random.random()), max_us))
-        last_index = len(storm.retry_after_us) - 1
-        window_us = storm.retry_after_us[min(request.event.retry_number, last_index)]
+        last_index = len(storm.retry_after_windows_us) - 1
+        window_us = storm.retry_after_windows_us[min(request.event.retry_number, last_index)]
         if storm.retry_after_in_seconds and max_us >= tuning.SECOND_US:
             # The time is drawn in whole seconds. A rounded time would let all clients that were rejected
             # within one second return together.
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -19,8 +19,8 @@
     def same_retry_after_us(self: RetryPolicy, request: PendingRequest, storm: RetryStormUpdated) -> int:
         if not storm.active:
             return original_retry_after_us(self, request, storm)
-        index = min(request.event.retry_number, len(storm.retry_after_us) - 1)
-        return min(storm.retry_after_us[index], self.settings.max_retry_after_us)
+        index = min(request.event.retry_number, len(storm.retry_after_windows_us) - 1)
+        return min(storm.retry_after_windows_us[index], self.settings.max_retry_after_us)
 
     RetryPolicy.retry_after_us = same_retry_after_us  # type: ignore[method-assign]
 
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -179,11 +179,11 @@
     assert early_event.active and late_event.active
     assert (
         late_event.admission[1] > early_event.admission[1]
-        and late_event.retry_after_us[0] < early_event.retry_after_us[0]
+        and late_event.retry_after_windows_us[0] < early_event.retry_after_windows_us[0]
     )
     assert (
-        early_event.retry_after_us == sorted(early_event.retry_after_us)
-        and max(early_event.retry_after_us) <= 8_000_000
+        early_event.retry_after_windows_us == sorted(early_event.retry_after_windows_us)
+        and max(early_event.retry_after_windows_us) <= 8_000_000
     )
 
 
