--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -124,7 +124,7 @@
     def on_plan_updated(self, event: api.PlanUpdated) -> None:
         """Replace the advice and the limits of the previous plan."""
         self.membership.apply_plan(event)
-        self.admission.tenant_weight = event.tenant_weight
+        self.admission.tenant_shares_within_quota = event.tenant_shares_within_quota
         self.admission.class_admission = event.class_admission
 
     def on_timer(self) -> None:
@@ -221,7 +221,7 @@
         storm = self.admission.storm
         retry_after_us = 0
         if self.settings.retry_after:
-            if storm.active and storm.retry_after_us:
+            if storm.active and storm.retry_after_windows_us:
                 # A client that obeys Retry-After sends fewer retries. Count the retry that it leaves out.
                 self.count_demand()
             retry_after_us = self.retries.retry_after_us(request, storm)
@@ -245,7 +245,8 @@
         needed_until_us = self.last_shortage_at_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
         slots_needed = attempt.sent_at_us <= needed_until_us
         if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
-            if upstream.concurrency.limit < tuning.SUBSET_MIN_LIMIT:  # the upstream may rejoin later
+            # The upstream may rejoin the subset when its limit has grown again.
+            if upstream.concurrency.limit < tuning.MIN_MEMBER_CONCURRENCY_LIMIT:
                 self.close_idle(pool.subset.leave(upstream))
             self.log_ejection(upstream)
         if attempt.outcome in ANSWERED_OUTCOMES:
@@ -259,13 +260,14 @@
             # While all upstreams are warming, they get requests by this credit only.
             self.add_slow_start_credit(pool, tuning.DEMAND_CREDIT_SHARE * pool.admission.admitted_share)
 
-    def add_slow_start_credit(self, pool: UpstreamPool, served: float) -> None:
-        """Give the warming upstreams of a pool the slow-start credit for a number of served requests."""
+    def add_slow_start_credit(self, pool: UpstreamPool, credited_amount: float) -> None:
+        """Give the warming upstreams of a pool the slow-start credit for `credited_amount` requests: 1 for an
+        answer, a fraction for an arrival."""
         if pool.slow_start.is_outdated(self.now_us):
             self.close_idle(self.membership.refresh_warming(pool, self.now_us))
         shortage_ends_at_us = self.last_shortage_at_us + self.shortage_duration_us
         in_shortage = self.last_shortage_at_us > 0 and self.now_us <= shortage_ends_at_us
-        pool.slow_start.add_credit(served, in_shortage, self.now_us)
+        pool.slow_start.add_credit(credited_amount, in_shortage, self.now_us)
 
     def schedule_poll(self, at_us: int) -> None:
         """Schedule a poll of the endpoint list at `at_us`, if the settings require polls."""
@@ -328,7 +330,9 @@
 
     def log_ejection(self, upstream: TrackedUpstream) -> None:
         """Log that an upstream is ejected or restored, if this was not logged yet."""
-        threshold = tuning.RESTORED_LIMIT if upstream.logged_ejected else tuning.EJECTED_LIMIT
+        threshold = (
+            tuning.RESTORATION_LOG_THRESHOLD if upstream.logged_ejected else tuning.EJECTION_LOG_THRESHOLD
+        )
         ejected = upstream.concurrency.limit < threshold
         if ejected == upstream.logged_ejected:
             return
