--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -19,8 +19,8 @@
 
     mean: float  # requests per converter
     variation: float  # standard deviation over the mean
-    highest: float  # of a converter, over the mean
-    lowest: float  # of a converter, over the mean
+    highest_to_mean: float  # of a converter, over the mean
+    lowest_to_mean: float  # of a converter, over the mean
 
     @property
     def variation_by_chance(self) -> float:
@@ -46,8 +46,8 @@
     received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, window_us: int
 ) -> np.ndarray[tuple[int, int], np.dtype[np.int64]]:
     """Return the counts of requests by converter and window, without a remainder shorter than a window."""
-    windows = (end_us - begin_us) // window_us
-    edges = begin_us + window_us * np.arange(windows + 1, dtype=np.int64)
+    window_count = (end_us - begin_us) // window_us
+    edges = begin_us + window_us * np.arange(window_count + 1, dtype=np.int64)
     counts_by_converter = [np.diff(np.searchsorted(np.asarray(times, dtype=np.int64), edges)) for times in received_us]
     return np.asarray(counts_by_converter, dtype=np.int64)
 
@@ -71,9 +71,9 @@
     received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, expected_per_window: float
 ) -> RareWindows:
     """Count the windows without a request at a converter; a window's mean is `expected_per_window` requests."""
-    total = int(counts_in_windows(received_us, begin_us, end_us, end_us - begin_us).sum())
+    total_count = int(counts_in_windows(received_us, begin_us, end_us, end_us - begin_us).sum())
     window_us = min(
-        end_us - begin_us, math.ceil(expected_per_window * len(received_us) * (end_us - begin_us) / max(1, total))
+        end_us - begin_us, math.ceil(expected_per_window * len(received_us) * (end_us - begin_us) / max(1, total_count))
     )
     counts = counts_in_windows(received_us, begin_us, end_us, window_us)
     return RareWindows(
--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -17,7 +17,7 @@
 from ryepier.experiments.core.quantiles import poisson_quantile
 from ryepier.experiments.load_spread.measures import RARE_PROBABILITY
 
-BURST_US = 100_000
+BURST_WINDOW_US = 100_000
 RATE_PERIOD_US = 1_000_000  # a burst is compared with the mean rate over this period
 FALSE_ALARM_CHANCE = 1e-3  # probability that a fleet that chooses at random exceeds a bound
 US_PER_S = 1e6
@@ -43,18 +43,18 @@
     """Attempts received in windows of 100 ms, counted for each converter separately."""
 
     window_count: int
-    highest: int  # most attempts in a window
+    highest_count: int  # most attempts in a window
     worst_ratio: float  # highest count over the bound that a Poisson stream exceeds in one of 1,000 such runs
-    rare_windows: int  # with more attempts than a Poisson stream has in one of 10,000 windows
-    rare_windows_by_chance: int  # number of rare windows that Poisson streams exceed in one of 1,000 runs
+    rare_window_count: int  # with more attempts than a Poisson stream has in one of 10,000 windows
+    allowed_rare_window_count: int  # number of rare windows that Poisson streams exceed in one of 1,000 runs
 
 
 @dataclass(frozen=True, slots=True)
 class Occupancy:
     """How many connections or executions converters held at once."""
 
-    highest: int  # of any converter
-    mean: float  # of the converters' highest numbers
+    highest_count: int  # of any converter
+    mean_highest_count: float  # of the converters' highest numbers
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,12 +87,12 @@
     """Return the evenness of counts by window and converter; needs two converters, and a start in each window."""
     means = [sum(window) / len(window) for window in counts]
     dispersions = [_dispersion(window, mean) for window, mean in zip(counts, means, strict=True)]
-    by_chance = (sum(means) / len(means)) ** -0.5
+    variation_by_chance = (sum(means) / len(means)) ** -0.5
     totals = [sum(converter_counts) for converter_counts in zip(*counts, strict=True)]
     mean_total = sum(totals) / len(totals)
     return Evenness(
-        variation=math.sqrt(sum(dispersions) / len(dispersions)) * by_chance,
-        variation_by_chance=by_chance,
+        variation=math.sqrt(sum(dispersions) / len(dispersions)) * variation_by_chance,
+        variation_by_chance=variation_by_chance,
         highest_to_mean=max(totals) / mean_total,
         lowest_to_mean=min(totals) / mean_total,
     )
@@ -111,26 +111,32 @@
     A window is compared with the mean rate of its zone's converters in the same second, but at least with the mean rate
     of all converters in the whole part: a cut between zones shifts load to another zone, which is not a burst.
     """
-    windows_per_converter = int((end_s - begin_s) * US_PER_S) // BURST_US
-    by_window: Counter[tuple[str, int]] = Counter()
-    by_second: Counter[tuple[str, int]] = Counter()
+    windows_per_converter = int((end_s - begin_s) * US_PER_S) // BURST_WINDOW_US
+    counts_by_window: Counter[tuple[str, int]] = Counter()
+    counts_by_second: Counter[tuple[str, int]] = Counter()
     for attempt in attempts:
-        window = (attempt.received_us - int(begin_s * US_PER_S)) // BURST_US
+        window = (attempt.received_us - int(begin_s * US_PER_S)) // BURST_WINDOW_US
         if was_received(attempt) and attempt.uid in zone_of and 0 <= window < windows_per_converter:
-            by_window[attempt.uid, window] += 1
-            by_second[zone_of[attempt.uid], window * BURST_US // RATE_PERIOD_US] += 1
+            counts_by_window[attempt.uid, window] += 1
+            counts_by_second[zone_of[attempt.uid], window * BURST_WINDOW_US // RATE_PERIOD_US] += 1
     zone_sizes = Counter(zone_of.values())
     window_count = windows_per_converter * len(zone_of)
-    overall_mean = sum(by_window.values()) / max(1, window_count)
-    worst_ratio, rare_windows = 0.0, 0
-    for (uid, window), received in by_window.items():
+    overall_mean = sum(counts_by_window.values()) / max(1, window_count)
+    worst_ratio, rare_window_count = 0.0, 0
+    for (uid, window), window_received in counts_by_window.items():
         zone = zone_of[uid]
-        zone_received = by_second[zone, window * BURST_US // RATE_PERIOD_US]
-        mean = max(overall_mean, zone_received / zone_sizes[zone] / (RATE_PERIOD_US // BURST_US))
-        worst_ratio = max(worst_ratio, received / poisson_quantile(mean, FALSE_ALARM_CHANCE / window_count))
-        rare_windows += received > poisson_quantile(mean, RARE_PROBABILITY)
-    rare_windows_by_chance = poisson_quantile(window_count * RARE_PROBABILITY, FALSE_ALARM_CHANCE)
-    return Bursts(window_count, max(by_window.values(), default=0), worst_ratio, rare_windows, rare_windows_by_chance)
+        zone_received = counts_by_second[zone, window * BURST_WINDOW_US // RATE_PERIOD_US]
+        mean = max(overall_mean, zone_received / zone_sizes[zone] / (RATE_PERIOD_US // BURST_WINDOW_US))
+        worst_ratio = max(worst_ratio, window_received / poisson_quantile(mean, FALSE_ALARM_CHANCE / window_count))
+        rare_window_count += window_received > poisson_quantile(mean, RARE_PROBABILITY)
+    allowed_rare_window_count = poisson_quantile(window_count * RARE_PROBABILITY, FALSE_ALARM_CHANCE)
+    return Bursts(
+        window_count,
+        max(counts_by_window.values(), default=0),
+        worst_ratio,
+        rare_window_count,
+        allowed_rare_window_count,
+    )
 
 
 def count_idle_windows(counts: Sequence[Sequence[int]]) -> int:
@@ -145,8 +151,8 @@
         changes[span.uid].append((span.begin_us, 1))
         if span.end_us != NEVER:
             changes[span.uid].append((span.end_us, -1))
-    highest = [_highest_sum(converter_changes) for converter_changes in changes.values()]
-    return Occupancy(max(highest, default=0), sum(highest) / max(1, len(highest)))
+    highest_counts = [_highest_sum(converter_changes) for converter_changes in changes.values()]
+    return Occupancy(max(highest_counts, default=0), sum(highest_counts) / max(1, len(highest_counts)))
 
 
 def _highest_sum(changes: list[tuple[int, int]]) -> int:
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -13,10 +13,10 @@
 FULL_SIDECARS = 200
 FULL_CONVERTERS_PER_ZONE = 20
 FULL_RATE_PER_S = 600.0
-SETTLED_S = 2.0  # time after the start at which connections are open
+SETTLED_AT_S = 2.0  # time after the start at which connections are open
 RECOVERY_S = 5.0  # time after the end of a fault until the load must be even again
 
-LIGHT_FACTOR = 0.1  # relative to half load, so a twentieth of the converters' capacity
+LIGHT_LOAD_FACTOR = 0.1  # relative to half load, so a twentieth of the converters' capacity
 LIGHT_DURATION_S = 20.0
 
 KILL_AT_S = 3.0
@@ -25,12 +25,12 @@
 KILLED_SHARE = 0.34
 
 STALE_AT_S = 2.0
-STALE_FOR_S = 5.0
+STALE_DURATION_S = 5.0
 STALE_SHARE = 0.5
 RELEASE = Fault(kind=FaultKind.RELEASE, at_s=STALE_AT_S + 0.5, for_s=2.0, target_share=0.2, drain_s=1.0, down_s=0.5)
 CUT_AT_S = 8.0
-CUT_FOR_S = 3.0
-CUT_END_S = CUT_AT_S + CUT_FOR_S
+CUT_DURATION_S = 3.0
+CUT_END_S = CUT_AT_S + CUT_DURATION_S
 CUT_ZONE = "c"
 LISTS_DURATION_S = 21.0
 
@@ -50,19 +50,19 @@
     return check_here(world)
 
 
-def lightly_loaded(scale: Scale) -> World:
+def lightly_loaded_fleet(scale: Scale) -> World:
     """Return the fleet at a twentieth of its capacity, at which most sidecars get less than one request per second."""
-    return msgspec.structs.replace(fleet(scale, LIGHT_FACTOR), duration_s=LIGHT_DURATION_S)
+    return msgspec.structs.replace(fleet(scale, LIGHT_LOAD_FACTOR), duration_s=LIGHT_DURATION_S)
 
 
-def with_kill(scale: Scale) -> World:
+def fleet_with_kill(scale: Scale) -> World:
     """Return the fleet with a third of the sidecars killed at once and restarted together."""
     kill = Fault(kind=FaultKind.SIDECAR_KILL, at_s=KILL_AT_S, target_share=KILLED_SHARE, down_s=KILL_DOWN_S)
     return msgspec.structs.replace(fleet(scale), duration_s=KILL_DURATION_S, faults=[kill])
 
 
-def with_differing_lists(scale: Scale) -> World:
+def fleet_with_differing_lists(scale: Scale) -> World:
     """Return the fleet with stale lists at half of the sidecars during a release, and a zone cut off later."""
-    stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=STALE_AT_S, for_s=STALE_FOR_S, target_share=STALE_SHARE)
-    cut = Fault(kind=FaultKind.ZONE_CUT, at_s=CUT_AT_S, for_s=CUT_FOR_S, zone=CUT_ZONE)
+    stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=STALE_AT_S, for_s=STALE_DURATION_S, target_share=STALE_SHARE)
+    cut = Fault(kind=FaultKind.ZONE_CUT, at_s=CUT_AT_S, for_s=CUT_DURATION_S, zone=CUT_ZONE)
     return msgspec.structs.replace(fleet(scale), duration_s=LISTS_DURATION_S, faults=[stale, RELEASE, cut])
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -14,13 +14,13 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-BASELINE_FROM_S = 1.0
+BASELINE_BEGIN_S = 1.0
 RETRY_GRACE_US = 1_000_000  # time after a restart for clients to retry attempts that reached no sidecar
 MIN_SERVICE_LEVEL = 0.97
 US_PER_S = 1e6
 
 
-def restarted(run: Run) -> list[Incarnation]:
+def restarted_incarnations(run: Run) -> list[Incarnation]:
     """Return the incarnations of sidecars that started during the run, after a kill."""
     return [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
 
@@ -41,19 +41,23 @@
 
 def service_of_restarted(run: Run) -> float:
     """Return the service level of clients of the restarted sidecars, from `RETRY_GRACE_US` after these were ready."""
-    ready_us = {incarnation.sidecar: incarnation.ready_us + RETRY_GRACE_US for incarnation in restarted(run)}
-    never_us = run.world.duration_s * US_PER_S
+    ready_us_by_sidecar = {
+        incarnation.sidecar: incarnation.ready_us + RETRY_GRACE_US for incarnation in restarted_incarnations(run)
+    }
+    run_end_us = run.world.duration_s * US_PER_S
     return figures.service_level(
-        run.operations, lambda operation: operation.planned_us >= ready_us.get(operation.sidecar, never_us)
+        run.operations, lambda operation: operation.planned_us >= ready_us_by_sidecar.get(operation.sidecar, run_end_us)
     )
 
 
 def _figures(run: Run) -> Mapping[str, float]:
-    before = measures.measure_evenness(run, BASELINE_FROM_S, fleets.KILL_AT_S)
-    start_times_s = [(incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted(run)]
+    evenness_before_kill = measures.measure_evenness(run, BASELINE_BEGIN_S, fleets.KILL_AT_S)
+    start_durations_s = [
+        (incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted_incarnations(run)
+    ]
     return measures.spread_figures(run, recovery_end_s(run), run.world.duration_s) | {
-        "variation_ratio_before": before.ratio,
-        "up_after_s": max(start_times_s, default=float("inf")),
+        "variation_ratio_before": evenness_before_kill.ratio,
+        "up_after_s": max(start_durations_s, default=float("inf")),
     }
 
 
@@ -62,7 +66,7 @@
     min_killed = run.world.sidecars.count / 3
     return [
         Claim("sidecars killed at once", len(killed), ">=", min_killed),
-        Claim("sidecars started again", len(restarted(run)), "==", len(killed)),
+        Claim("sidecars started again", len(restarted_incarnations(run)), "==", len(killed)),
         Claim("service of the others' clients", service_of_survivors(run, killed), ">=", MIN_SERVICE_LEVEL),
         Claim("service of their own, 1 s after their start", service_of_restarted(run), ">=", MIN_SERVICE_LEVEL),
         *measures.burst_claims(measures.measure_bursts(run)),
@@ -72,7 +76,7 @@
 EXPERIMENT = Experiment(
     name="load-spread-kill",
     question="a third of 60 sidecars (full: 200) killed and started again at once",
-    world=fleets.with_kill,
+    world=fleets.fleet_with_kill,
     claims=_claims,
     seeded_faults=("same-seed",),
     extra_figures=_figures,
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -16,22 +16,22 @@
 from ryepier.experiments.core.worlds import fault_of_kind
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-RELEASE_UNDERWAY_S = 2.0  # time after the lists became stale at which the release is in progress
-AFTER_CUT_S = 1.0
+RELEASE_UNDERWAY_AFTER_S = 2.0  # time after the lists became stale at which the release is in progress
+SERVICE_RECOVERY_S = 1.0
 MIN_SERVED_SHARE = 0.9
 MIN_SERVICE_LEVEL = 0.95
 MAX_UNEVENNESS = 1.5  # variation over that of random choice, while the lists differ
-STALE_END_S = fleets.STALE_AT_S + fleets.STALE_FOR_S
-CUT_MIDDLE_S = fleets.CUT_AT_S + fleets.CUT_FOR_S / 2
+STALE_END_S = fleets.STALE_AT_S + fleets.STALE_DURATION_S
+CUT_MIDDLE_S = fleets.CUT_AT_S + fleets.CUT_DURATION_S / 2
 US_PER_S = 1e6
 
 
 def share_of_replacements_used(run: Run) -> float:
     """Return the share of the replacement converters that received an attempt."""
     instances = timeline.build(run.world, run.seed).instances
-    replacements = {instance.uid for instance in instances if instance.start_us is not None}
-    used = {attempt.uid for attempt in run.history.converter_attempts} & replacements
-    return len(used) / max(1, len(replacements))
+    replacement_uids = {instance.uid for instance in instances if instance.start_us is not None}
+    used_uids = {attempt.uid for attempt in run.history.converter_attempts} & replacement_uids
+    return len(used_uids) / max(1, len(replacement_uids))
 
 
 def share_across_cut(run: Run, begin_s: float, end_s: float) -> float:
@@ -40,15 +40,15 @@
     instances = timeline.build(run.world, run.seed).instances
     zone_of = {instance.uid: instance.machine.group.zone for instance in instances}
     sidecar_of = {client_attempt.request_id: client_attempt.sidecar for client_attempt in run.history.client_attempts}
-    total = crossing = 0
+    total_count = crossing_count = 0
     for attempt in run.history.converter_attempts:
-        is_inside = begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S
-        if is_inside and attempt.request_id in sidecar_of:
+        is_in_period = begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S
+        if is_in_period and attempt.request_id in sidecar_of:
             sidecar = sidecar_of[attempt.request_id]
             sidecar_zone = run.world.zones[run.world.sidecar_zone(sidecar)]
-            total += 1
-            crossing += (sidecar_zone == cut_zone) != (zone_of[attempt.uid] == cut_zone)
-    return crossing / max(1, total)
+            total_count += 1
+            crossing_count += (sidecar_zone == cut_zone) != (zone_of[attempt.uid] == cut_zone)
+    return crossing_count / max(1, total_count)
 
 
 def _service_between(run: Run, begin_s: float, end_s: float) -> float:
@@ -56,15 +56,17 @@
 
 
 def _figures(run: Run) -> Mapping[str, float]:
-    differing_evenness = measures.measure_evenness(run, fleets.STALE_AT_S + RELEASE_UNDERWAY_S, STALE_END_S)
-    is_after = phases.from_time(fleets.CUT_END_S + AFTER_CUT_S, run.world)
+    evenness_with_differing_lists = measures.measure_evenness(
+        run, fleets.STALE_AT_S + RELEASE_UNDERWAY_AFTER_S, STALE_END_S
+    )
+    is_after_cut = phases.from_time(fleets.CUT_END_S + SERVICE_RECOVERY_S, run.world)
     return measures.spread_figures(run, fleets.CUT_END_S + fleets.RECOVERY_S, run.world.duration_s) | {
-        "variation_ratio_lists_apart": differing_evenness.ratio,
+        "variation_ratio_lists_apart": evenness_with_differing_lists.ratio,
         "across_cut_first_half": share_across_cut(run, fleets.CUT_AT_S, CUT_MIDDLE_S),
         "across_cut_second_half": share_across_cut(run, CUT_MIDDLE_S, fleets.CUT_END_S),
         "service_lists_apart": _service_between(run, fleets.STALE_AT_S, STALE_END_S),
         "service_cut": _service_between(run, fleets.CUT_AT_S, fleets.CUT_END_S),
-        "service_after": figures.service_level(run.operations, is_after),
+        "service_after": figures.service_level(run.operations, is_after_cut),
     }
 
 
@@ -85,7 +87,7 @@
     name="load-spread-lists",
     question="lists of two ages in the halves of a fleet while converters are replaced, "
     "then a zone cut from the others",
-    world=fleets.with_differing_lists,
+    world=fleets.fleet_with_differing_lists,
     claims=_claims,
     seeded_faults=("same-order",),
     extra_figures=_figures,
--- a/ryepier/experiments/load_spread/processes/measures.py
+++ b/ryepier/experiments/load_spread/processes/measures.py
@@ -9,25 +9,25 @@
 from ryepier.emulator.world import FaultKind
 from ryepier.experiments.core.contract import Claim, Run
 from ryepier.experiments.load_spread.processes import figures
-from ryepier.experiments.load_spread.processes.fleets import SETTLED_S
+from ryepier.experiments.load_spread.processes.fleets import SETTLED_AT_S
 
 EVENNESS_WINDOW_S = 4.0
-MAX_BURST = 1.0  # `Bursts.worst_ratio`
+MAX_BURST_RATIO = 1.0  # `Bursts.worst_ratio`
 
 
 def steady_uids(run: Run) -> list[str]:
     """Return the converters that run from the beginning and are not replaced by a release."""
     schedule = timeline.build(run.world, run.seed)
-    replaced = {
+    replaced_indices = {
         step.index for step in schedule.steps if step.target is TargetKind.CONVERTER and step.fault is FaultKind.RELEASE
     }
-    return figures.steady_uids(schedule.instances, replaced)
+    return figures.steady_uids(schedule.instances, replaced_indices)
 
 
 def count_starts(run: Run, begin_s: float, end_s: float, window_s: float) -> list[list[int]]:
     """Return the starts at the steady converters, in equal windows of about `window_s`."""
-    windows = max(1, round((end_s - begin_s) / window_s))
-    edges_s = np.linspace(begin_s, end_s, windows + 1).tolist()
+    window_count = max(1, round((end_s - begin_s) / window_s))
+    edges_s = np.linspace(begin_s, end_s, window_count + 1).tolist()
     return figures.count_starts(run.history.converter_attempts, steady_uids(run), edges_s)
 
 
@@ -42,7 +42,7 @@
     return {instance.uid: instance.machine.group.zone for instance in instances if instance.uid in uids}
 
 
-def measure_bursts(run: Run, begin_s: float = SETTLED_S) -> figures.Bursts:
+def measure_bursts(run: Run, begin_s: float = SETTLED_AT_S) -> figures.Bursts:
     """Return the bursts at the steady converters, from a time to the end of the run."""
     zones = zones_of(run, steady_uids(run))
     return figures.measure_bursts(run.history.converter_attempts, zones, begin_s, run.world.duration_s)
@@ -53,8 +53,8 @@
     worst_claim_name = "most starts in 100 ms at a converter, beside a Poisson stream's in a run"
     rare_claim_name = "windows of 100 ms with more than a Poisson stream gives once in 10,000"
     return [
-        Claim(worst_claim_name, bursts.worst_ratio, "<=", MAX_BURST),
-        Claim(rare_claim_name, bursts.rare_windows, "<=", bursts.rare_windows_by_chance),
+        Claim(worst_claim_name, bursts.worst_ratio, "<=", MAX_BURST_RATIO),
+        Claim(rare_claim_name, bursts.rare_window_count, "<=", bursts.allowed_rare_window_count),
     ]
 
 
@@ -71,15 +71,15 @@
         "most_to_mean": evenness.highest_to_mean,
         "least_to_mean": evenness.lowest_to_mean,
         "burst_windows": bursts.window_count,
-        "burst_most": bursts.highest,
+        "burst_most": bursts.highest_count,
         "burst_worst": bursts.worst_ratio,
-        "burst_beyond": bursts.rare_windows,
-        "burst_beyond_by_chance": bursts.rare_windows_by_chance,
-        "connections_most": connections.highest,
-        "connections_mean": connections.mean,
+        "burst_beyond": bursts.rare_window_count,
+        "burst_beyond_by_chance": bursts.allowed_rare_window_count,
+        "connections_most": connections.highest_count,
+        "connections_mean": connections.mean_highest_count,
         "connections_opened": len(run.history.connections),
-        "places_most": executions.highest,
-        "places_mean": executions.mean,
+        "places_most": executions.highest_count,
+        "places_mean": executions.mean_highest_count,
         "refused": figures.rejected_share(run.history),
         "served_in_the_end": figures.served_operations_share(run.history),
     }
--- a/ryepier/experiments/load_spread/processes/seeded_faults.py
+++ b/ryepier/experiments/load_spread/processes/seeded_faults.py
@@ -20,8 +20,8 @@
     original_init = Balancer.__init__
 
     def init_with_common_seed(self: Balancer, settings: Any, seed: int, now_us: int) -> None:
-        common_index = {"self_index": 0} if hasattr(settings, "self_index") else {}
-        original_init(self, dataclasses.replace(settings, **common_index), COMMON_SEED, now_us)
+        index_override = {"self_index": 0} if hasattr(settings, "self_index") else {}
+        original_init(self, dataclasses.replace(settings, **index_override), COMMON_SEED, now_us)
 
     Balancer.__init__ = init_with_common_seed  # type: ignore[method-assign]
 
--- a/ryepier/experiments/load_spread/processes/steady.py
+++ b/ryepier/experiments/load_spread/processes/steady.py
@@ -21,22 +21,22 @@
     """Return the number of windows without a start at a converter, each long enough for 12 expected starts."""
     window_s = EXPECTED_STARTS * run.world.converter_count / run.world.clients.rate_per_s
     end_s = run.world.duration_s
-    windows = int((end_s - fleets.SETTLED_S) / window_s)
-    begin_s = end_s - windows * window_s
+    window_count = int((end_s - fleets.SETTLED_AT_S) / window_s)
+    begin_s = end_s - window_count * window_s
     return figures.count_idle_windows(measures.count_starts(run, begin_s, end_s, window_s))
 
 
 def _claims(run: Run) -> list[Claim]:
-    rejected = figures.rejected_share(run.history)
+    rejected_share = figures.rejected_share(run.history)
     return [
         Claim("windows without a start in which 12 are to be expected", count_idle_windows(run), "==", 0),
-        Claim("refused", rejected, "<=", MAX_REJECTED_SHARE),
+        Claim("refused", rejected_share, "<=", MAX_REJECTED_SHARE),
         *measures.burst_claims(measures.measure_bursts(run)),
     ]
 
 
 def _figures(run: Run, window_s: float = measures.EVENNESS_WINDOW_S) -> Mapping[str, float]:
-    spread = measures.spread_figures(run, fleets.SETTLED_S, run.world.duration_s, window_s)
+    spread = measures.spread_figures(run, fleets.SETTLED_AT_S, run.world.duration_s, window_s)
     return spread | {"idle_windows": count_idle_windows(run)}
 
 
@@ -52,7 +52,7 @@
     Experiment(
         name="load-spread-processes-light",
         question="the same at a twentieth of what the converters can do",
-        world=fleets.lightly_loaded,
+        world=fleets.lightly_loaded_fleet,
         claims=_claims,
         seeded_faults=("same-order",),
         extra_figures=lambda run: _figures(run, LIGHT_WINDOW_S),
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -53,12 +53,12 @@
     )
 
 
-def shares_of_returned(outcome: FleetOutcome) -> list[float]:
+def load_shares_of_restarted(outcome: FleetOutcome) -> list[float]:
     """Return the requests that each restarted converter received, over the mean of the others."""
     span_us = outcome.end_us - outcome.begin_us
     counts = measures.counts_in_windows(outcome.received_us, outcome.begin_us, outcome.end_us, span_us)[:, 0]
-    returned = np.asarray(outcome.returned)
-    return [float(share) for share in counts[returned] / counts[~returned].mean()]
+    has_restarted = np.asarray(outcome.has_restarted)
+    return [float(share) for share in counts[has_restarted] / counts[~has_restarted].mean()]
 
 
 def measure(trial: TrialConfig) -> Measurement:
@@ -73,18 +73,18 @@
     claims: list[Claim] = []
     figures: dict[str, float] = {}
     for name, outcome in zip(plans, outcomes, strict=True):
-        shares = shares_of_returned(outcome)
-        mean = sum(shares) / len(shares)
+        shares = load_shares_of_restarted(outcome)
+        mean_share = sum(shares) / len(shares)
         warm_up_claim_name = f"{name}: most sent to one that is back, over what it may get"
         claims += [
-            Claim(f"{name}: share of those back, the mean", mean, ">=", MIN_LOAD_SHARE),
-            Claim(f"{name}: share of those back, the mean, no rush", mean, "<=", MAX_LOAD_SHARE),
+            Claim(f"{name}: share of those back, the mean", mean_share, ">=", MIN_LOAD_SHARE),
+            Claim(f"{name}: share of those back, the mean, no rush", mean_share, "<=", MAX_LOAD_SHARE),
             Claim(warm_up_claim_name, outcome.worst_warm_up_load, "<=", 1.0),
         ]
         key = name.replace(" ", "_")
         figures[f"{key}_least_share"] = min(shares)
         figures[f"{key}_most_share"] = max(shares)
-        figures[f"{key}_mean_share"] = mean
+        figures[f"{key}_mean_share"] = mean_share
     return Measurement(claims, figures)
 
 
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -117,9 +117,9 @@
             pool.subset = OpenSubset()
 
 
-def _factory(make_chooser: Callable[[api.Settings, int, int], Balancer]) -> PolicyFactory:
+def _factory(balancer_class: Callable[[api.Settings, int, int], Balancer]) -> PolicyFactory:
     def factory(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
-        return make_chooser(settings, seed, now_us)
+        return balancer_class(settings, seed, now_us)
 
     return factory
 
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -53,8 +53,8 @@
     return {
         f"{load}_variation": spread.variation,
         f"{load}_over_chance": spread.variation_ratio,
-        f"{load}_most": spread.highest,
-        f"{load}_least": spread.lowest,
+        f"{load}_most": spread.highest_to_mean,
+        f"{load}_least": spread.lowest_to_mean,
         f"{load}_refused": outcome.rejected_share,
         f"{load}_late": outcome.late_share,
         f"{load}_p99_ms": outcome.p99_ms,
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -35,7 +35,7 @@
     received_us: list[list[int]]  # times at which each converter received requests, on the clock of the world
     begin_us: int
     end_us: int
-    returned: list[bool]  # by converter: whether it restarted
+    has_restarted: list[bool]  # by converter: whether it restarted
     rejected_share: float  # of the requests
     late_share: float  # of the requests that were answered after the latency objective
     p99_ms: float  # latency of the served requests
@@ -64,7 +64,7 @@
         received_us=[converter.received_us for converter in world.converters],
         begin_us=begin_us,
         end_us=end_us,
-        returned=[converter.started_us > 0 for converter in world.converters],
+        has_restarted=[converter.started_us > 0 for converter in world.converters],
         rejected_share=sum(request.rejected for request in requests) / len(requests),
         late_share=sum(latency_us > trial.plan.objective_us for latency_us in latencies_us) / len(requests),
         p99_ms=float(np.percentile(latencies_us, 99)) / US_PER_MS,
@@ -96,6 +96,6 @@
 def _allowed_requests(plan: FleetPlan, age_us: int) -> float:
     """Return how many requests a converter may receive in an overload window that begins `age_us` after its start."""
     capacity_per_s = plan.capacity_share(age_us) * plan.workers * SECOND_US / plan.work_us
-    overload = plan.overload_factor * capacity_per_s * plan.overload_window_us / SECOND_US
-    allowed_requests: float = overload + 2 * overload**0.5 + 2
+    overload_requests = plan.overload_factor * capacity_per_s * plan.overload_window_us / SECOND_US
+    allowed_requests: float = overload_requests + 2 * overload_requests**0.5 + 2
     return allowed_requests
--- a/ryepier/experiments/scale/balancer_cost.py
+++ b/ryepier/experiments/scale/balancer_cost.py
@@ -57,8 +57,8 @@
     trial = BalancerTrial(known_count, seed, rate_per_s)
     us_per_call = []
     for batch in range(BATCHES):
-        start_s = time.process_time()
+        cpu_before_s = time.process_time()
         for number in range(batch * CALLS_PER_BATCH, (batch + 1) * CALLS_PER_BATCH):
             trial.call(number)
-        us_per_call.append((time.process_time() - start_s) * 1e6 / CALLS_PER_BATCH)
+        us_per_call.append((time.process_time() - cpu_before_s) * 1e6 / CALLS_PER_BATCH)
     return float(np.median(us_per_call[WARM_UP_BATCHES:]))
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -109,8 +109,8 @@
 
     def cpu_time(self) -> CpuTime:
         """Return the CPU time of the sidecar's only thread."""
-        used, waited, _ = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
-        return CpuTime(int(used), int(waited))
+        used_ns, waited_ns, _ = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
+        return CpuTime(int(used_ns), int(waited_ns))
 
 
 def make_configuration(seed: int, known_count: int, listen: Address, agent: Address, converters: Address) -> str:
@@ -181,17 +181,17 @@
 
 
 def phase_figures(
-    name: str, duration_s: float, sidecar_target: Target, direct_target: Target, cpu: CpuTime
+    phase_name: str, duration_s: float, sidecar_target: Target, direct_target: Target, cpu_time: CpuTime
 ) -> dict[str, float]:
     """Return the figures of a phase: the sidecar's CPU time, and latencies through it and of direct calls."""
-    used_ns, waited_ns = cpu
+    used_ns, waited_ns = cpu_time
     figures = {
         # per answered call: per call sent, a sidecar that can't keep up would seem cheap
-        f"cpu_us_a_call_{name}": used_ns / 1000 / max(1, len(sidecar_target.latencies_us)),
-        f"cores_{name}": used_ns / 1e9 / duration_s,
-        f"wait_share_{name}": waited_ns / max(1, used_ns + waited_ns),
-        f"answered_share_{name}": len(sidecar_target.latencies_us) / max(1, sidecar_target.due_count),
-        f"served_share_{name}": sidecar_target.served_count / max(1, len(sidecar_target.latencies_us)),
+        f"cpu_us_a_call_{phase_name}": used_ns / 1000 / max(1, len(sidecar_target.latencies_us)),
+        f"cores_{phase_name}": used_ns / 1e9 / duration_s,
+        f"wait_share_{phase_name}": waited_ns / max(1, used_ns + waited_ns),
+        f"answered_share_{phase_name}": len(sidecar_target.latencies_us) / max(1, sidecar_target.due_count),
+        f"served_share_{phase_name}": sidecar_target.served_count / max(1, len(sidecar_target.latencies_us)),
     }
     for percentile in (50, 99):
         sidecar_ms, direct_ms = (
@@ -199,9 +199,9 @@
             latency_percentile_ms(direct_target, percentile),
         )
         figures |= {
-            f"p{percentile}_ms_{name}": sidecar_ms,
-            f"direct_p{percentile}_ms_{name}": direct_ms,
-            f"added_p{percentile}_ms_{name}": sidecar_ms - direct_ms,
+            f"p{percentile}_ms_{phase_name}": sidecar_ms,
+            f"direct_p{percentile}_ms_{phase_name}": direct_ms,
+            f"added_p{percentile}_ms_{phase_name}": sidecar_ms - direct_ms,
         }
     return figures
 
@@ -261,8 +261,8 @@
     sidecars = []
     for known_count in PROFILED_KNOWN_COUNTS:
         profile_path = trial.folder / f"profile-{known_count}"
-        module = seeded_faults.command_with_fault(seeded_fault)[2:] if seeded_fault else list(SIDECAR[2:])
-        command = [sys.executable, "-B", "-m", "cProfile", "-o", str(profile_path), *module]
+        module_arguments = seeded_faults.command_with_fault(seeded_fault)[2:] if seeded_fault else list(SIDECAR[2:])
+        command = [sys.executable, "-B", "-m", "cProfile", "-o", str(profile_path), *module_arguments]
         sidecars.append(await stack.enter_async_context(trial.start_sidecar(known_count, command)))
     await asyncio.gather(
         *(
@@ -315,11 +315,11 @@
 def summarize(figures: Mapping[str, float]) -> dict[str, float]:
     """Return lines fitted to a call's CPU time at the design rate, and the added latency as a share of its budget."""
     result: dict[str, float] = {}
-    for name, figure in (
+    for name, template in (
         ("cpu", f"cpu_us_a_call_{DESIGN_RATE_PER_S}_per_s_{{}}_known"),
         ("module", "module_us_a_call_{}_known"),
     ):
-        line = slopes.fit(KNOWN_COUNTS, [figures[figure.format(known_count)] for known_count in KNOWN_COUNTS])
+        line = slopes.fit(KNOWN_COUNTS, [figures[template.format(known_count)] for known_count in KNOWN_COUNTS])
         result |= {f"fit_{name}_us_a_call_{key}": float(value) for key, value in msgspec.to_builtins(line).items()}
     name = f"added_p99_ms_{DESIGN_RATE_PER_S}_per_s_{DESIGN_KNOWN_COUNT}_known"
     result["design_share_of_budget_added_p99_ms"] = figures[name] / ADDED_P99_BUDGET_MS
--- a/ryepier/experiments/scale/call_client.py
+++ b/ryepier/experiments/scale/call_client.py
@@ -53,8 +53,8 @@
         """Send a call, timed from `start_us`."""
         assert self.transport is not None
         self.start_us = start_us
-        self.target.last_number += 1
-        self.transport.write(self.target.request % self.target.last_number)
+        self.target.last_request_number += 1
+        self.transport.write(self.target.request % self.target.last_request_number)
 
     def data_received(self, data: bytes) -> None:
         """Record the call once its response is complete."""
@@ -81,7 +81,7 @@
     request: bytes
     idle_connections: list[CallConnection] = field(default_factory=list)
     connection_count: int = 0
-    last_number: int = 0
+    last_request_number: int = 0
     due_count: int = 0  # calls that were due in this phase
     served_count: int = 0
     latencies_us: list[int] = field(default_factory=list)
@@ -116,10 +116,10 @@
 
         Each call is timed from its write, not from when it was due, as a sleep of the event loop ends up to 1 ms late.
         """
-        at_us = float(monotonic_us())
-        end_us = at_us + duration_s * 1e6
-        while (at_us := at_us + random.exponential(1e6 / rate_per_s)) < end_us:
-            delay_s = (at_us - monotonic_us()) / 1e6
+        due_us = float(monotonic_us())
+        end_us = due_us + duration_s * 1e6
+        while (due_us := due_us + random.exponential(1e6 / rate_per_s)) < end_us:
+            delay_s = (due_us - monotonic_us()) / 1e6
             if delay_s > 0:
                 await asyncio.sleep(delay_s)
             elif self.due_count % LATE_CALLS_PER_YIELD == 0:
--- a/ryepier/experiments/scale/capacity/estimates.py
+++ b/ryepier/experiments/scale/capacity/estimates.py
@@ -15,7 +15,7 @@
 Size = Callable[[Plan], float]
 
 
-class Value(msgspec.Struct, frozen=True):
+class RowEstimate(msgspec.Struct, frozen=True):
     """The value of a row at the design size, estimated from one result."""
 
     value_at_size: float
@@ -26,7 +26,7 @@
     fitting_share: float | None = None  # largest measured share of the design size within budget, if there is no slope
 
 
-Estimator = Callable[[Figures, Plan], Value]
+Estimator = Callable[[Figures, Plan], RowEstimate]
 
 
 def figures_by_size(figures: Figures, template: str) -> dict[int, float]:
@@ -45,12 +45,12 @@
 def fitted_line(template: str, size: Size, factor: float = 1.0, added_figure: str = "") -> Estimator:
     """Estimate by a line fitted to a figure at several sizes, times a factor, plus another figure if one is named."""
 
-    def estimate(figures: Figures, plan: Plan) -> Value:
+    def estimate(figures: Figures, plan: Plan) -> RowEstimate:
         slope = _fit(figures, template)
         line_value = slope.at(size(plan))
-        added = figures[added_figure] if added_figure else 0.0
+        added_value = figures[added_figure] if added_figure else 0.0
         growing_part = slope.per_unit * size(plan) * factor
-        return Value(line_value.value * factor + added, growing_part, slope, line_value.is_extrapolated)
+        return RowEstimate(line_value.value * factor + added_value, growing_part, slope, line_value.is_extrapolated)
 
     return estimate
 
@@ -58,8 +58,8 @@
 def median_over_sizes(template: str, factor: float = 1.0) -> Estimator:
     """Estimate by the median of a figure over several sizes, for a figure that does not grow with the size."""
 
-    def estimate(figures: Figures, plan: Plan) -> Value:
-        return Value(slopes.spread(list(figures_by_size(figures, template).values())).median * factor)
+    def estimate(figures: Figures, plan: Plan) -> RowEstimate:
+        return RowEstimate(slopes.spread(list(figures_by_size(figures, template).values())).median * factor)
 
     return estimate
 
@@ -70,21 +70,21 @@
     All of it is proportional to a power of the size with this exponent; with 0 it does not grow.
     """
 
-    def estimate(figures: Figures, plan: Plan) -> Value:
+    def estimate(figures: Figures, plan: Plan) -> RowEstimate:
         growing_part = figures[name] if exponent else 0.0
-        return Value(figures[name], growing_part, exponent=max(1, exponent))
+        return RowEstimate(figures[name], growing_part, exponent=max(1, exponent))
 
     return estimate
 
 
-def daily_changes(idle: str, change: str, factor: float, size: Size) -> Estimator:
+def daily_changes(idle_template: str, change_template: str, factor: float, size: Size) -> Estimator:
     """Estimate by the idle cost, plus the cost of a day's list changes by a line fitted to the cost of one change."""
 
-    def estimate(figures: Figures, plan: Plan) -> Value:
-        slope = _fit(figures, change)
+    def estimate(figures: Figures, plan: Plan) -> RowEstimate:
+        slope = _fit(figures, change_template)
         line_value = slope.at(size(plan))
         changes_per_s = plan.list_changes_per_s * factor
-        value = median_over_sizes(idle)(figures, plan).value_at_size + changes_per_s * line_value.value
-        return Value(value, changes_per_s * slope.per_unit * size(plan), slope, line_value.is_extrapolated)
+        value = median_over_sizes(idle_template)(figures, plan).value_at_size + changes_per_s * line_value.value
+        return RowEstimate(value, changes_per_s * slope.per_unit * size(plan), slope, line_value.is_extrapolated)
 
     return estimate
--- a/ryepier/experiments/scale/capacity/page.py
+++ b/ryepier/experiments/scale/capacity/page.py
@@ -9,9 +9,9 @@
 from ryepier.experiments.scale.capacity.rows import Row, RowResult, Standing, evaluate
 from ryepier.experiments.scale.slopes import Slope, Spread
 
-BEGIN, END = "<!-- {} from here: ryepier experiment capacity -->", "<!-- {} to here -->"
-TABLES, BREAKS = "tables", "breaks"  # parts of the page, named in its markers
-MAX_BREAKS = 14  # rows listed in the part about what breaks first
+BEGIN_MARKER, END_MARKER = "<!-- {} from here: ryepier experiment capacity -->", "<!-- {} to here -->"
+TABLES_PART, LIMITS_PART = "tables", "breaks"  # parts of the page, named in its markers
+MAX_LIMITS = 14  # rows listed in the part about what breaks first
 HEADER = (
     "role",
     "what",
@@ -28,29 +28,29 @@
     """Return the text between the page's markers, by part. Raises CapacityError if a result lacks needed figures."""
     results = evaluate(rows, kept_results, plan)
     return {
-        TABLES: format_roles(results) + "\n\n" + format_sources(kept_results),
-        BREAKS: format_breaks(results),
+        TABLES_PART: format_roles(results) + "\n\n" + format_sources(kept_results),
+        LIMITS_PART: format_first_limits(results),
     }
 
 
 def replace_parts(page: str, parts: Mapping[str, str]) -> str:
     """Return the page with its parts replaced. Raises CapacityError if it lacks a marker."""
     for name, text in parts.items():
-        begin, end = BEGIN.format(name), END.format(name)
-        before, has_begin, rest = page.partition(begin)
-        _, has_end, after = rest.partition(end)
-        if not has_begin or not has_end:
-            raise CapacityError(f"the page has no marker {begin if not has_begin else end}")
-        page = f"{before}{begin}\n\n{text}\n\n{end}{after}"
+        begin_marker, end_marker = BEGIN_MARKER.format(name), END_MARKER.format(name)
+        before, found_begin, rest = page.partition(begin_marker)
+        _, found_end, after = rest.partition(end_marker)
+        if not found_begin or not found_end:
+            raise CapacityError(f"the page has no marker {begin_marker if not found_begin else end_marker}")
+        page = f"{before}{begin_marker}\n\n{text}\n\n{end_marker}{after}"
     return page
 
 
-def first_to_break(results: Sequence[RowResult]) -> list[RowResult]:
+def first_limits_reached(results: Sequence[RowResult]) -> list[RowResult]:
     """Return the rows that break first: those without a mechanism, then by the size at which they break."""
     missing = [result for result in results if result.standing is Standing.MISSING]
     breaking = [result for result in results if result.breaks_at is not None]
     breaking.sort(key=lambda result: (result.breaks_at or 0.0, -(result.share or 0.0)))
-    return (missing + breaking)[:MAX_BREAKS]
+    return (missing + breaking)[:MAX_LIMITS]
 
 
 def format_number(value: float) -> str:
@@ -69,10 +69,10 @@
     return median if least == most else f"{median} ({least} to {most})"
 
 
-def format_fit(fitted: Sequence[Slope]) -> str:
+def format_fit(lines: Sequence[Slope]) -> str:
     """Return the ranges of sizes that lines were fitted to, and the largest relative residual."""
-    ranges = {(format_number(slope.from_size), format_number(slope.to_size)) for slope in fitted}
-    residual_percent = 100 * max(slope.relative_residual for slope in fitted)
+    ranges = {(format_number(slope.from_size), format_number(slope.to_size)) for slope in lines}
+    residual_percent = 100 * max(slope.relative_residual for slope in lines)
     return ", ".join(f"{low} to {high}" for low, high in sorted(ranges)) + f", off by {residual_percent:.2g}%"
 
 
@@ -109,12 +109,12 @@
     return format_table(HEADER, rows)
 
 
-def format_breaks(results: Sequence[RowResult]) -> str:
+def format_first_limits(results: Sequence[RowResult]) -> str:
     """Return a numbered list of the rows that break first."""
     lines = []
-    for rank, result in enumerate(first_to_break(results), 1):
-        used = f"{format_number(100 * (result.share or 0.0))}% of its budget"
-        reason = "nothing carries it" if result.standing is Standing.MISSING else used
+    for rank, result in enumerate(first_limits_reached(results), 1):
+        used_share = f"{format_number(100 * (result.share or 0.0))}% of its budget"
+        reason = "nothing carries it" if result.standing is Standing.MISSING else used_share
         size = _format_breaking_size(result.breaks_at or 0.0)
         lines.append(f"{rank}. {result.row.role}, {result.row.resource}: {size} ({reason})")
     return "\n".join(lines)
@@ -136,12 +136,12 @@
 
 
 def _format_source(name: str, results: Sequence[KeptResult]) -> str:
-    failed = [
+    failed_claims = [
         f"seed {result.seed}: {claim['name']} ({format_number(float(str(claim['value'])))})"
         for result in results
         for claim in result.claims
         if not claim["holds"]
     ]
     scales = ", ".join(dict.fromkeys(result.scale for result in results))
-    verdict = "fails " + "; ".join(failed) if failed else "every claim holds"
+    verdict = "fails " + "; ".join(failed_claims) if failed_claims else "every claim holds"
     return f"{name} ({scales}, {results[0].versions['cores']} shared cores): {verdict}"
--- a/ryepier/experiments/scale/capacity/plan.py
+++ b/ryepier/experiments/scale/capacity/plan.py
@@ -8,7 +8,7 @@
 
 from ryepier.errors import RyepierError
 
-PLAN = "plan.json"
+PLAN_FILE = "plan.json"
 DAY_S = 86_400
 LIST_CHANGES_PER_MACHINE = 3  # draining, removed, added
 
@@ -59,6 +59,6 @@
 def read_plan(folder: Path) -> Plan:
     """Return the plan in a folder. Raises CapacityError if it cannot be read."""
     try:
-        return msgspec.json.decode((folder / PLAN).read_bytes(), type=Plan)
+        return msgspec.json.decode((folder / PLAN_FILE).read_bytes(), type=Plan)
     except (OSError, msgspec.MsgspecError) as error:
-        raise CapacityError(f"{folder / PLAN}: {error}") from None
+        raise CapacityError(f"{folder / PLAN_FILE}: {error}") from None
--- a/ryepier/experiments/scale/capacity/results.py
+++ b/ryepier/experiments/scale/capacity/results.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ryepier.experiments.core.contract import RESULT_FILE, Result
-from ryepier.experiments.scale.capacity.plan import PLAN, CapacityError
+from ryepier.experiments.scale.capacity.plan import PLAN_FILE, CapacityError
 
 
 class KeptResult(Result):
@@ -18,7 +18,7 @@
 
 def read_results(folder: Path) -> list[KeptResult]:
     """Return all results in a folder. Raises CapacityError if a file is unreadable, misnamed, or of a seeded fault."""
-    return [_read_result(path) for path in sorted(folder.glob("*.json")) if path.name != PLAN]
+    return [_read_result(path) for path in sorted(folder.glob("*.json")) if path.name != PLAN_FILE]
 
 
 def _read_result(path: Path) -> KeptResult:
@@ -38,18 +38,18 @@
     return f"{result.name}-{result.seed}.json"
 
 
-def keep_result(run: Path, folder: Path, date: str) -> Path:
+def keep_result(run_folder: Path, folder: Path, date: str) -> Path:
     """Copy the result of a run into the folder of kept results, and return the new path.
 
     Raises CapacityError if the run is unreadable or had a seeded fault.
     """
     try:
-        result = msgspec.json.decode((run / RESULT_FILE).read_bytes(), type=Result)
+        result = msgspec.json.decode((run_folder / RESULT_FILE).read_bytes(), type=Result)
     except (OSError, msgspec.MsgspecError) as error:
-        raise CapacityError(f"{run}: the result of the run cannot be read: {error}") from None
+        raise CapacityError(f"{run_folder}: the result of the run cannot be read: {error}") from None
     if result.seeded_fault:
-        raise CapacityError(f"{run}: a run with a seeded fault cannot be kept")
-    kept = KeptResult(**{name: getattr(result, name) for name in Result.__struct_fields__}, date=date)
-    path = folder / file_name(kept)
-    path.write_bytes(msgspec.json.format(msgspec.json.encode(kept), indent=1) + b"\n")
+        raise CapacityError(f"{run_folder}: a run with a seeded fault cannot be kept")
+    kept_result = KeptResult(**{name: getattr(result, name) for name in Result.__struct_fields__}, date=date)
+    path = folder / file_name(kept_result)
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(kept_result), indent=1) + b"\n")
     return path
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ryepier.experiments.scale import slopes
-from ryepier.experiments.scale.capacity.estimates import Estimator, Value
+from ryepier.experiments.scale.capacity.estimates import Estimator, RowEstimate
 from ryepier.experiments.scale.capacity.plan import CapacityError, Plan
 from ryepier.experiments.scale.capacity.results import KeptResult
 from ryepier.experiments.scale.slopes import Slope, Spread
@@ -63,7 +63,7 @@
     def as_fields(self) -> dict[str, object]:
         """Return the row and its evaluation as fields for JSON output."""
         row = self.row
-        described = {
+        row_fields = {
             "role": row.role,
             "what": row.resource,
             "unit": row.unit,
@@ -72,14 +72,14 @@
             "note": row.note,
         }
         names = zip(self.__struct_fields__, self.__struct_encode_fields__, strict=True)
-        return described | {
-            encoded: msgspec.to_builtins(getattr(self, name)) for name, encoded in names if name != "row"
+        return row_fields | {
+            output_name: msgspec.to_builtins(getattr(self, name)) for name, output_name in names if name != "row"
         }
 
 
 class _SeedValue(msgspec.Struct, frozen=True):
     result: KeptResult
-    value: Value
+    value: RowEstimate
 
 
 def evaluate(rows: Sequence[Row], kept_results: Sequence[KeptResult], plan: Plan) -> list[RowResult]:
@@ -94,46 +94,46 @@
     results = [result for result in kept_results if result.name == row.experiment]
     if row.estimator is None or not results:
         return RowResult(row, Standing.NOT_MEASURED)
-    by_seed = _estimate_each(row, row.estimator, results, plan)
-    values = [seed.value for seed in by_seed]
-    spread = slopes.spread([value.value_at_size for value in values])
+    seed_values = _estimate_each(row, row.estimator, results, plan)
+    estimates = [seed_value.value for seed_value in seed_values]
+    spread = slopes.spread([estimate.value_at_size for estimate in estimates])
     budget = row.budget(plan) if row.budget is not None else None
     share = spread.median / budget if budget is not None else None
-    fitted = [value.slope for value in values if value.slope is not None and row.slope is not None]
+    fitted_lines = [estimate.slope for estimate in estimates if estimate.slope is not None and row.slope is not None]
     return RowResult(
         row,
         Standing.OVER if share is not None and share > 1 else Standing.CARRIED,
         value=spread,
-        slope=_slope_spread(fitted, row.slope),
-        fitted=fitted,
+        slope=_slope_spread(fitted_lines, row.slope),
+        fitted=fitted_lines,
         share=share,
-        breaks_at=breaking_share(values, spread.median, budget) if budget is not None else None,
-        is_extrapolated=any(value.is_extrapolated for value in values),
-        seeds=tuple(sorted(seed.result.seed for seed in by_seed)),
-        date=max(seed.result.date for seed in by_seed),
+        breaks_at=breaking_share(estimates, spread.median, budget) if budget is not None else None,
+        is_extrapolated=any(estimate.is_extrapolated for estimate in estimates),
+        seeds=tuple(sorted(seed_value.result.seed for seed_value in seed_values)),
+        date=max(seed_value.result.date for seed_value in seed_values),
     )
 
 
 def _estimate_each(row: Row, estimator: Estimator, results: Sequence[KeptResult], plan: Plan) -> list[_SeedValue]:
     """Return the value by each result that has the figures; a run may end before it has measured all of them."""
-    seed_values, reason = [], ""
+    seed_values, last_error = [], ""
     for result in results:
         try:
             figures = {name: value for name, value in result.figures.items() if value is not None}
             seed_values.append(_SeedValue(result, estimator(figures, plan)))
         except (KeyError, ValueError) as error:
-            reason = str(error)
+            last_error = str(error)
     if not seed_values:
         raise CapacityError(
-            f"{row.role}, {row.resource}: no result of {row.experiment} has the needed figures: {reason}"
+            f"{row.role}, {row.resource}: no result of {row.experiment} has the needed figures: {last_error}"
         )
     return seed_values
 
 
-def _slope_spread(fitted: Sequence[Slope], unit: SlopeUnit | None) -> Spread | None:
-    if unit is None or not fitted:
+def _slope_spread(fitted_lines: Sequence[Slope], unit: SlopeUnit | None) -> Spread | None:
+    if unit is None or not fitted_lines:
         return None
-    return slopes.spread([slope.per_unit * unit.factor for slope in fitted])
+    return slopes.spread([slope.per_unit * unit.factor for slope in fitted_lines])
 
 
 def share_at_budget(value_at_size: float, growing_part: float, budget: float, exponent: int = 1) -> float | None:
@@ -143,7 +143,7 @@
     return float(max(0.0, 1.0 + (budget - value_at_size) / growing_part) ** (1 / exponent))
 
 
-def breaking_share(values: Sequence[Value], value_at_size: float, budget: float) -> float | None:
+def breaking_share(values: Sequence[RowEstimate], value_at_size: float, budget: float) -> float | None:
     """Return the share of the design size at which a budget is used up, from the medians over the seeds."""
     fitting_shares = [value.fitting_share for value in values if value.fitting_share is not None]
     if fitting_shares:
--- a/ryepier/experiments/scale/capacity/table.py
+++ b/ryepier/experiments/scale/capacity/table.py
@@ -6,7 +6,7 @@
 from ryepier.experiments.scale.capacity.estimates import (
     Estimator,
     Figures,
-    Value,
+    RowEstimate,
     daily_changes,
     figures_by_size,
     fitted_line,
@@ -32,7 +32,7 @@
 MB = 1e-6
 KB = 1e-3
 MS_PER_S = 1000.0
-CORE_US = 1e-6  # cores per microsecond of CPU time in a second
+CORES_PER_CPU_US = 1e-6  # cores per microsecond of CPU time in a second
 CONVERTERS_IN_USE = (30, 150)  # converters that a sidecar calls
 MAX_FAILED_SHARE = 0.01
 MAX_AVOID_S = 2.0
@@ -92,7 +92,7 @@
 def cores_on_fitted_line(template: str) -> Estimator:
     """Estimate the cores for a sidecar's calls by a line fitted to the CPU time of a call."""
 
-    def estimate(figures: Figures, plan: Plan) -> Value:
+    def estimate(figures: Figures, plan: Plan) -> RowEstimate:
         return fitted_line(template, converters, plan.calls_per_sidecar / 1e6)(figures, plan)
 
     return estimate
@@ -100,19 +100,21 @@
 
 def cores_from_figure(name: str) -> Estimator:
     """Estimate the cores for a sidecar's calls by the CPU time of a call at a single size."""
-    return lambda figures, plan: Value(figures[name] * plan.calls_per_sidecar / 1e6)
+    return lambda figures, plan: RowEstimate(figures[name] * plan.calls_per_sidecar / 1e6)
 
 
-def failed_share(figures: Figures, plan: Plan) -> Value:
+def failed_share(figures: Figures, plan: Plan) -> RowEstimate:
     """Estimate the share of failed calls with all converters known, and the largest number known that is acceptable."""
     served_shares = figures_by_size(figures, SERVED_SHARE_TEMPLATE)
     fitting_counts = [
         known_count for known_count, served_share in served_shares.items() if 1.0 - served_share <= MAX_FAILED_SHARE
     ]
-    return Value(1.0 - served_shares[plan.converters], fitting_share=max(fitting_counts, default=0) / plan.converters)
+    return RowEstimate(
+        1.0 - served_shares[plan.converters], fitting_share=max(fitting_counts, default=0) / plan.converters
+    )
 
 
-def full_lists(figures: Figures, plan: Plan) -> Value:
+def full_lists(figures: Figures, plan: Plan) -> RowEstimate:
     """Estimate the traffic of a full list to every sidecar."""
     return fitted_line("again_bytes_{}", converters, plan.sidecars * MB)(figures, plan)
 
@@ -123,7 +125,7 @@
     Row(SIDECAR, "memory, all converters known", "MB", DIRECTORY, LIST,
         fitted_line("memory_bytes_{}", converters, MB, added_figure="base_mb"), control_mb, SlopeUnit("B a converter")),
     Row(SIDECAR, "CPU of a day's list changes", "cores", WATCH, LIST,
-        daily_changes("idle_cores_{}", "change_cpu_us_{}", CORE_US, converters), control_cores,
+        daily_changes("idle_cores_{}", "change_cpu_us_{}", CORES_PER_CPU_US, converters), control_cores,
         SlopeUnit("us a change, a converter")),
     Row(SIDECAR, "messages of a day's list changes", "B/s", WATCH, LIST,
         daily_changes("idle_bytes_per_s_{}", "change_bytes_{}", 1.0, converters), control_bytes_per_s),
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -37,13 +37,13 @@
 
     depth: int  # calls from the first caller to the last service
     failing_share: float  # share of the last service's attempts that fail
-    calls: int
+    call_count: int
     rate_per_s: float
     seed: int
     idempotency: api.Idempotency = api.Idempotency.IDEMPOTENT
     deadline_us: int = DEADLINE_US
     fixed_objective_us: int = 0  # latency objective of every hop; 0 = `OBJECTIVE_PER_HOP_US` for each remaining hop
-    instances: int = 3  # of each service
+    instance_count: int = 3  # of each service
     max_attempts: int = 1_000_000  # at the last service, after which the run is aborted
 
 
@@ -54,8 +54,8 @@
     calls: list[int]  # by hop: calls that the sidecars received from their applications
     served: int = 0  # calls of the first callers
     answered: int = 0  # calls of the first callers, also those answered with an error
-    longest_us: int = 0  # longest wait of a first caller for its answer
-    broken_off: bool = False  # whether the run was aborted after `Chain.max_attempts`
+    longest_wait_us: int = 0  # longest wait of a first caller for its answer
+    is_aborted: bool = False  # whether the run was aborted after `Chain.max_attempts`
 
 
 class TimerHandle:
@@ -107,16 +107,16 @@
     def __init__(self, on_end: Callable[[AttemptResult], None]) -> None:
         """Start an attempt that passes its result to `on_end`."""
         self._on_end = on_end
-        self._is_ended = False
+        self._has_ended = False
 
     def cancel(self) -> None:
         """Discard the result. Calls that the attempt caused at later hops go on."""
-        self._is_ended = True
+        self._has_ended = True
 
     def end(self, outcome: api.Outcome) -> None:
         """End the attempt with an outcome, unless it was cancelled or has ended."""
-        if not self._is_ended:
-            self._is_ended = True
+        if not self._has_ended:
+            self._has_ended = True
             self._on_end(AttemptResult(outcome))
 
 
@@ -134,14 +134,14 @@
         )
         settings = api.Settings(
             [request_class],
-            instances=chain.instances,
+            instances=chain.instance_count,
             max_attempts=MAX_SIDECAR_ATTEMPTS,
             max_retry_after_us=MAX_RETRY_AFTER_US,
         )
         self.dispatcher = RequestDispatcher(settings, seed, self, world.clock)
-        entries = [api.Upstream(number + 1) for number in range(chain.instances)]
-        addresses = {entry.id: ("0.0.0.0", entry.id) for entry in entries}
-        self.dispatcher.on_endpoints(api.UpstreamsUpdated(api.ListKind.FULL, entries, 1), addresses)
+        endpoints = [api.Upstream(number + 1) for number in range(chain.instance_count)]
+        addresses = {endpoint.id: ("0.0.0.0", endpoint.id) for endpoint in endpoints}
+        self.dispatcher.on_endpoints(api.UpstreamsUpdated(api.ListKind.FULL, endpoints, 1), addresses)
 
     def call(self, deadline_us: int, reply: Callable[[FinalAnswer], None]) -> None:
         """Dispatch a call of this instance's application, and pass the final answer to `reply`."""
@@ -185,16 +185,16 @@
         """Start the sidecars of all hops."""
         seed_source = Random(self.chain.seed + 1)
         self.sidecars = [
-            [ChainSidecar(self, hop, seed_source.getrandbits(64)) for _ in range(self.chain.instances)]
+            [ChainSidecar(self, hop, seed_source.getrandbits(64)) for _ in range(self.chain.instance_count)]
             for hop in range(self.chain.depth)
         ]
 
     def schedule_calls(self) -> None:
         """Schedule the first callers' calls as a Poisson process."""
         at_us = 0.0
-        for _ in range(self.chain.calls):
+        for _ in range(self.chain.call_count):
             at_us += self.random.expovariate(self.chain.rate_per_s) * 1e6
-            self.clock.call_after_us(int(at_us), self._make_first_call)
+            self.clock.call_after_us(int(at_us), self._call_from_first_caller)
 
     def on_arrival(self, hop: int, instance: int, timeout_us: int, attempt: ChainAttempt) -> None:
         """Handle an attempt that arrives at an instance of the service called at `hop`."""
@@ -213,16 +213,16 @@
 
     def is_stopped(self) -> bool:
         """Return whether the last service has received `max_attempts` attempts, and record it in the outcome."""
-        self.outcome.broken_off = self.outcome.attempts[-1] >= self.chain.max_attempts
-        return self.outcome.broken_off
+        self.outcome.is_aborted = self.outcome.attempts[-1] >= self.chain.max_attempts
+        return self.outcome.is_aborted
 
-    def _make_first_call(self) -> None:
+    def _call_from_first_caller(self) -> None:
         start_us = self.clock.now_us
 
         def reply(answer: FinalAnswer) -> None:
             self.outcome.answered += 1
             self.outcome.served += answer.outcome is FinalOutcome.SERVED
-            self.outcome.longest_us = max(self.outcome.longest_us, self.clock.now_us - start_us)
+            self.outcome.longest_wait_us = max(self.outcome.longest_wait_us, self.clock.now_us - start_us)
 
         self.random.choice(self.sidecars[0]).call(self.chain.deadline_us, reply)
 
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -65,7 +65,7 @@
 MAX_WAIT_SHARE = 0.5  # share of time that the planner waits for a core; above it the machine is too busy
 HUNG_UID = converter_uid(0)
 MIN_DIVISOR = 1e-9  # avoids a division by zero
-Readings = dict[str, float]  # by name, of a fleet of one size
+Figures = dict[str, float]  # by name, of a fleet of one size
 
 
 class Sample(msgspec.Struct, frozen=True):
@@ -93,38 +93,38 @@
     waited_s: float  # runnable but without a core
 
 
-def planner_readings(size: int, elapsed_s: float, before: PlannerReading, after: PlannerReading) -> Readings:
+def planner_figures(fleet_size: int, elapsed_s: float, before: PlannerReading, after: PlannerReading) -> Figures:
     """Return the planner's rates and costs between two readings.
 
     `planner_cores_needed` is the CPU time of its reports and ticks at their nominal rates. The CPU time actually used
     would make an overloaded planner seem cheap, as it runs fewer ticks.
     """
     earlier, later = before.planner_usage, after.planner_usage
-    ticks, reports = later.ticks - earlier.ticks, later.reports - earlier.reports
+    tick_count, report_count = later.ticks - earlier.ticks, later.reports - earlier.reports
     tick_cpu_s = later.tick_cpu_s - earlier.tick_cpu_s
-    tick_s = tick_cpu_s / max(1, ticks)
-    report_s = max(0.0, later.cpu_s - earlier.cpu_s - tick_cpu_s) / max(1, reports)
+    cpu_s_per_tick = tick_cpu_s / max(1, tick_count)
+    cpu_s_per_report = max(0.0, later.cpu_s - earlier.cpu_s - tick_cpu_s) / max(1, report_count)
     cpu_s, waited_s = after.process_usage.cpu_s_since(before.process_usage), after.waited_s - before.waited_s
     return {
         "planner_cores": cpu_s / elapsed_s,
-        "planner_cores_needed": size * REPORTS_PER_S * report_s + TICKS_PER_S * tick_s,
-        "planner_cpu_ms_a_tick": 1000 * tick_s,
-        "planner_cpu_us_a_report": 1e6 * report_s,
-        "planner_ticks_per_s": ticks / elapsed_s,
-        "planner_reports_per_s": reports / elapsed_s,
+        "planner_cores_needed": fleet_size * REPORTS_PER_S * cpu_s_per_report + TICKS_PER_S * cpu_s_per_tick,
+        "planner_cpu_ms_a_tick": 1000 * cpu_s_per_tick,
+        "planner_cpu_us_a_report": 1e6 * cpu_s_per_report,
+        "planner_ticks_per_s": tick_count / elapsed_s,
+        "planner_reports_per_s": report_count / elapsed_s,
         "planner_wait_share": waited_s / max(MIN_DIVISOR, cpu_s + waited_s),
         "planner_resident_bytes": float(after.process_usage.resident_bytes),
     }
 
 
-def forwarder_readings(size: int, elapsed_s: float, before: Sequence[Sample], after: Sequence[Sample]) -> Readings:
+def forwarder_figures(fleet_size: int, elapsed_s: float, before: Sequence[Sample], after: Sequence[Sample]) -> Figures:
     """Return the mean rates and costs of a forwarder between two samples of each worker process."""
 
     def rate_per_forwarder(name: str) -> float:
         growth = sum(
             getattr(later, name) - getattr(earlier, name) for earlier, later in zip(before, after, strict=True)
         )
-        return float(growth) / elapsed_s / size
+        return float(growth) / elapsed_s / fleet_size
 
     sent_per_s, received_per_s = rate_per_forwarder("bytes_out"), rate_per_forwarder("bytes_in")
     heartbeats_per_s = received_per_s - rate_per_forwarder("plan_bytes")
@@ -136,17 +136,17 @@
         "bytes_per_s_with_seven": DESIGN_PLANNERS * (sent_per_s + heartbeats_per_s)
         + (received_per_s - heartbeats_per_s),
         "forwarder_cores": rate_per_forwarder("cpu_s"),
-        "reporters_share": max(sample.reporters for sample in after) / size,
-        "connected_share": sum(sample.connected for sample in after) / size,
+        "reporters_share": max(sample.reporters for sample in after) / fleet_size,
+        "connected_share": sum(sample.connected for sample in after) / fleet_size,
     }
 
 
 def avoidance_quantile_s(samples: Sequence[Sample], share: float) -> float:
     """Return the seconds until a share of the callers of the hung converter avoided it; infinite if fewer do."""
-    users = sum(sample.users for sample in samples)
+    caller_count = sum(sample.users for sample in samples)
     times_s = sorted(after_s for sample in samples for after_s in sample.avoids_after_s)
-    needed_count = -int(-share * users // 1)
-    return times_s[needed_count - 1] if users and len(times_s) >= needed_count else float("inf")
+    needed_count = -int(-share * caller_count // 1)
+    return times_s[needed_count - 1] if caller_count and len(times_s) >= needed_count else float("inf")
 
 
 def growth_over_linear(by_size: Mapping[int, Mapping[str, float]], name: str) -> float:
@@ -171,13 +171,13 @@
 
 
 @asynccontextmanager
-async def start_planner(folder: Path, fleet: int, seeded_fault: str) -> AsyncIterator[PlannerProcess]:
-    """Run a planner whose configured fleet size is `fleet`, and kill it on leaving. Raises HarnessError on failure."""
+async def start_planner(folder: Path, fleet_size: int, seeded_fault: str) -> AsyncIterator[PlannerProcess]:
+    """Run a planner that is configured for a fleet size, and kill it on leaving. Raises HarnessError on failure."""
     address = f"127.{find_network()}.254.1", PLANNER_PORT
-    config, usage_path = folder / f"planner-{fleet}.toml", folder / f"planner-{fleet}.usage"
-    config.write_text(f'[trust]\nfleet = {fleet}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
+    config, usage_path = folder / f"planner-{fleet_size}.toml", folder / f"planner-{fleet_size}.usage"
+    config.write_text(f'[trust]\nfleet = {fleet_size}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
     planner_fault = seeded_fault if seeded_fault in seeded_faults.PLANNER_FAULTS else ""
-    with open(folder / f"planner-{fleet}.log", "wb") as log:
+    with open(folder / f"planner-{fleet_size}.log", "wb") as log:
         process = subprocess.Popen(
             [
                 sys.executable,
@@ -232,13 +232,13 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         await asyncio.sleep(SETTLE_S)
 
-    async def measure(self, size: int) -> Readings:
+    async def measure(self, size: int) -> Figures:
         """Measure for `MEASUREMENT_S`, and return the readings at a size."""
         samples_before, planner_before = await self.samples(), self.planner.read()
         await asyncio.sleep(MEASUREMENT_S[self.scale])
         samples_after, planner_after = await self.samples(), self.planner.read()
         elapsed_s = samples_after[0].at_s - samples_before[0].at_s
-        return planner_readings(size, elapsed_s, planner_before, planner_after) | forwarder_readings(
+        return planner_figures(size, elapsed_s, planner_before, planner_after) | forwarder_figures(
             size, elapsed_s, samples_before, samples_after
         )
 
@@ -253,14 +253,14 @@
         return avoided_after_s
 
 
-class FleetReadings(msgspec.Struct, frozen=True):
+class FleetFigures(msgspec.Struct, frozen=True):
     """The readings of a growing fleet."""
 
-    by_size: dict[int, Readings]
-    at_largest: Readings  # measured only at the largest size
+    by_size: dict[int, Figures]
+    at_largest_size: Figures  # measured only at the largest size
 
 
-async def measure_fleet(converters_in_use: int, sizes: Sequence[int], trial: TrialConfig) -> FleetReadings:
+async def measure_fleet(converters_in_use: int, sizes: Sequence[int], trial: TrialConfig) -> FleetFigures:
     """Grow a fleet through `sizes` in ascending order, and return its readings."""
     worker_count = WORKERS[trial.scale]
     async with AsyncExitStack() as stack:
@@ -281,34 +281,34 @@
         for worker in workers:
             await worker.read()
         fleet = Fleet(planner, workers, trial.scale)
-        resident_before = sum(sample.resident for sample in await fleet.samples())
+        resident_bytes_before = sum(sample.resident for sample in await fleet.samples())
         by_size = {}
         for size in sizes:
             await fleet.grow(size)
             by_size[size] = await fleet.measure(size)
-        resident_after = sum(sample.resident for sample in await fleet.samples())
+        resident_bytes_after = sum(sample.resident for sample in await fleet.samples())
         # only the memory that each forwarder adds counts: in service it runs in the process of a sidecar
-        at_largest = {
-            "forwarder_resident_bytes": (resident_after - resident_before) / sizes[-1],
+        at_largest_size = {
+            "forwarder_resident_bytes": (resident_bytes_after - resident_bytes_before) / sizes[-1],
             "avoided_after_s": await fleet.hang_converter(),
         }
-        return FleetReadings(by_size, at_largest)
+        return FleetFigures(by_size, at_largest_size)
 
 
 FITTED_FIGURES = ("planner_cores_needed", "planner_cpu_ms_a_tick", "planner_cpu_us_a_report", "planner_resident_bytes")
 
 
-def make_figures(converters_in_use: int, by_size: Mapping[int, Readings], at_largest: Readings) -> dict[str, float]:
+def make_figures(converters_in_use: int, by_size: Mapping[int, Figures], at_largest_size: Figures) -> dict[str, float]:
     """Return the figures of a fleet, with fitted lines, and its costs at the design size as shares of the budgets."""
     figures = {
         f"{name}_{converters_in_use}_in_use_{size}": value
-        for size, readings in by_size.items()
-        for name, value in readings.items()
+        for size, size_figures in by_size.items()
+        for name, value in size_figures.items()
     }
-    figures |= {f"{name}_{converters_in_use}_in_use": value for name, value in at_largest.items()}
+    figures |= {f"{name}_{converters_in_use}_in_use": value for name, value in at_largest_size.items()}
     sizes = sorted(by_size)
     design_values = {name: by_size[sizes[-1]][name] for name in ("bytes_per_s_with_seven", "forwarder_cores")}
-    design_values["forwarder_resident_bytes"] = at_largest["forwarder_resident_bytes"]
+    design_values["forwarder_resident_bytes"] = at_largest_size["forwarder_resident_bytes"]
     for name in FITTED_FIGURES:
         slope = slopes.fit(sizes, [by_size[size][name] for size in sizes])
         prefix = f"fit_{name}_{converters_in_use}_in_use"
@@ -326,19 +326,19 @@
 MAX_BYTES_RATIO = 1.15
 
 
-def make_claims(converters_in_use: int, by_size: Mapping[int, Readings], at_largest: Readings) -> list[Claim]:
+def make_claims(converters_in_use: int, by_size: Mapping[int, Figures], at_largest_size: Figures) -> list[Claim]:
     """Return the claims on a fleet with `converters_in_use` converters per forwarder."""
-    smallest, largest = min(by_size), max(by_size)
-    prefix = f"{converters_in_use} in use, {largest} forwarders"
+    smallest_size, largest_size = min(by_size), max(by_size)
+    prefix = f"{converters_in_use} in use, {largest_size} forwarders"
     return [
         Claim(
             f"{prefix}: the planner's wait for a core (share of its time; more: the machine is too busy)",
-            max(readings["planner_wait_share"] for readings in by_size.values()),
+            max(figures["planner_wait_share"] for figures in by_size.values()),
             "<=",
             MAX_WAIT_SHARE,
         ),
-        Claim(f"{prefix}: forwarders connected", by_size[largest]["connected_share"], ">=", 1.0),
-        Claim(f"{prefix}: share of them that the plan rests on", by_size[largest]["reporters_share"], ">=", 0.99),
+        Claim(f"{prefix}: forwarders connected", by_size[largest_size]["connected_share"], ">=", 1.0),
+        Claim(f"{prefix}: share of them that the plan rests on", by_size[largest_size]["reporters_share"], ">=", 0.99),
         Claim(
             f"{prefix}: cores that the planner needs, growth over linear",
             growth_over_linear(by_size, "planner_cores_needed"),
@@ -352,26 +352,28 @@
             1.0,
         ),
         Claim(
-            f"{prefix}: bytes out of a forwarder, over those at {smallest}",
-            by_size[largest]["bytes_out_per_s"] / max(MIN_DIVISOR, by_size[smallest]["bytes_out_per_s"]),
+            f"{prefix}: bytes out of a forwarder, over those at {smallest_size}",
+            by_size[largest_size]["bytes_out_per_s"] / max(MIN_DIVISOR, by_size[smallest_size]["bytes_out_per_s"]),
             "<=",
             MAX_BYTES_RATIO,
         ),
-        Claim(f"{prefix}: 95% avoid a hung converter (s)", at_largest["avoided_after_s"], "<=", MAX_AVOID_S),
+        Claim(f"{prefix}: 95% avoid a hung converter (s)", at_largest_size["avoided_after_s"], "<=", MAX_AVOID_S),
     ]
 
 
 def measure(trial: TrialConfig) -> Measurement:
     """Measure a fleet for each number of converters in use. Raises InsufficientResourcesError."""
-    fleets = SEEDED_FAULT_SIZES if trial.seeded_fault else SIZES[trial.scale]
-    largest = max(max(sizes) for sizes in fleets.values())
-    check_requirements(ResourceRequirements(WORKERS[trial.scale] + 2, NEEDED_MEMORY_BYTES, largest), this_machine())
+    sizes_by_converters_in_use = SEEDED_FAULT_SIZES if trial.seeded_fault else SIZES[trial.scale]
+    largest_size = max(max(sizes) for sizes in sizes_by_converters_in_use.values())
+    check_requirements(
+        ResourceRequirements(WORKERS[trial.scale] + 2, NEEDED_MEMORY_BYTES, largest_size), this_machine()
+    )
     claims: list[Claim] = []
     figures = load_figures("before")
-    for converters_in_use, sizes in fleets.items():
-        readings = asyncio.run(measure_fleet(converters_in_use, sizes, trial))
-        figures |= make_figures(converters_in_use, readings.by_size, readings.at_largest)
-        claims += make_claims(converters_in_use, readings.by_size, readings.at_largest)
+    for converters_in_use, sizes in sizes_by_converters_in_use.items():
+        fleet_figures = asyncio.run(measure_fleet(converters_in_use, sizes, trial))
+        figures |= make_figures(converters_in_use, fleet_figures.by_size, fleet_figures.at_largest_size)
+        claims += make_claims(converters_in_use, fleet_figures.by_size, fleet_figures.at_largest_size)
     figures |= load_figures("after")
     return Measurement(claims, finite_figures(figures))
 
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -26,24 +26,24 @@
 DEPTHS = (1, 3, 7, 11)
 FAILING_SHARES = (0.1, 0.5, 1.0)  # of the attempts at the last service
 VARIED_FAILING_SHARE = 0.5  # in the runs with another deadline, objective or class
-CALLS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
+CALL_COUNTS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
 RATE_PER_S = 100.0
 SHORT_DEADLINE_US = 150_000  # nearly used up by 11 hops, each of which takes 10 ms for its answer
 FIXED_OBJECTIVE_US = 150_000  # latency objective of every hop, independent of the number of hops after it
 MAX_ATTEMPTS_PER_CALL = 20  # at the last service; a run with more is aborted, and its figure is a lower bound
-UNSAFE_RUN = "unsafe_11_deep_0.5_failing"
+NON_IDEMPOTENT_RUN = "unsafe_11_deep_0.5_failing"
 US_PER_MS = 1000
 
 
-def max_attempts_per_call(chain: Chain, calls: int) -> float:
+def max_attempts_per_call(chain: Chain, call_count: int) -> float:
     """Return the most attempts at the last service that the retry budgets allow, per call.
 
     A hop's sidecars earn a fraction of a retry with each call, and start with a few retries.
     """
-    attempts = float(calls)
+    attempts = float(call_count)
     for _ in range(chain.depth):
-        attempts = (1.0 + RETRY_BUDGET_RATIO) * attempts + MAX_RETRY_BUDGET * chain.instances
-    return attempts / calls
+        attempts = (1.0 + RETRY_BUDGET_RATIO) * attempts + MAX_RETRY_BUDGET * chain.instance_count
+    return attempts / call_count
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,16 +62,16 @@
     @classmethod
     def from_outcome(cls, chain: Chain, outcome: ChainOutcome) -> ChainFigures:
         """Calculate the figures of a run from its counts."""
-        attempts_per_call = outcome.attempts[-1] / chain.calls
+        attempts_per_call = outcome.attempts[-1] / chain.call_count
         return cls(
             attempts_a_call=attempts_per_call,
             theory=(1.0 + RETRY_BUDGET_RATIO) ** chain.depth,
-            over_bound=attempts_per_call / max_attempts_per_call(chain, chain.calls),
+            over_bound=attempts_per_call / max_attempts_per_call(chain, chain.call_count),
             attempts_a_call_of_the_last_hop=outcome.attempts[-1] / max(1, outcome.calls[-1]),
-            served_share=outcome.served / chain.calls,
-            answered_share=outcome.answered / chain.calls,
-            longest_ms=outcome.longest_us / US_PER_MS,
-            broken_off=float(outcome.broken_off),
+            served_share=outcome.served / chain.call_count,
+            answered_share=outcome.answered / chain.call_count,
+            longest_ms=outcome.longest_wait_us / US_PER_MS,
+            broken_off=float(outcome.is_aborted),
         )
 
 
@@ -80,8 +80,8 @@
 
 
 def _make_chain(depth: int, failing_share: float, seed: int, scale: Scale) -> Chain:
-    calls = CALLS[scale]
-    return Chain(depth, failing_share, calls, RATE_PER_S, seed, max_attempts=MAX_ATTEMPTS_PER_CALL * calls)
+    call_count = CALL_COUNTS[scale]
+    return Chain(depth, failing_share, call_count, RATE_PER_S, seed, max_attempts=MAX_ATTEMPTS_PER_CALL * call_count)
 
 
 def make_chains(seed: int, scale: Scale) -> dict[str, Chain]:
@@ -94,7 +94,7 @@
     deepest = _make_chain(DEPTHS[-1], VARIED_FAILING_SHARE, seed, scale)
     replace = msgspec.structs.replace
     return chains | {
-        UNSAFE_RUN: replace(deepest, idempotency=Idempotency.NON_IDEMPOTENT),
+        NON_IDEMPOTENT_RUN: replace(deepest, idempotency=Idempotency.NON_IDEMPOTENT),
         "same_aim_11_deep_0.5_failing": replace(deepest, fixed_objective_us=FIXED_OBJECTIVE_US),
         "short_11_deep_0.5_failing": replace(deepest, deadline_us=SHORT_DEADLINE_US),
     }
@@ -119,16 +119,16 @@
 
 def make_claims(runs: Mapping[str, ChainFigures]) -> list[Claim]:
     """Return the claims on the figures of all runs."""
-    broken_off = sum(run_figures.broken_off for run_figures in runs.values())
-    answered = min(run_figures.answered_share for run_figures in runs.values())
-    over_bound = max(run_figures.over_bound for run_figures in runs.values())
+    aborted_count = sum(run_figures.broken_off for run_figures in runs.values())
+    lowest_answered_share = min(run_figures.answered_share for run_figures in runs.values())
+    highest_over_bound = max(run_figures.over_bound for run_figures in runs.values())
     bound_claim_name = "attempts at the last service over what the hops' budgets allow, the most of all runs"
-    unsafe_claim_name = "attempts at the last service for a call of a class that is never sent twice"
+    non_idempotent_claim_name = "attempts at the last service for a call of a class that is never sent twice"
     return [
-        Claim("runs broken off, as attempts had no end", broken_off, "==", 0),
-        Claim("least share of calls that had an answer", answered, ">=", 1.0),
-        Claim(bound_claim_name, over_bound, "<=", 1.0),
-        Claim(unsafe_claim_name, runs[UNSAFE_RUN].attempts_a_call, "<=", 1.0),
+        Claim("runs broken off, as attempts had no end", aborted_count, "==", 0),
+        Claim("least share of calls that had an answer", lowest_answered_share, ">=", 1.0),
+        Claim(bound_claim_name, highest_over_bound, "<=", 1.0),
+        Claim(non_idempotent_claim_name, runs[NON_IDEMPOTENT_RUN].attempts_a_call, "<=", 1.0),
     ]
 
 
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -88,21 +88,23 @@
         return UpdateCost(cpu_s, (self.server.bytes_sent - bytes_before) / self.count)
 
 
-def needs(scale: Scale) -> ResourceRequirements:
+def required_resources(scale: Scale) -> ResourceRequirements:
     """Return the resources that the larger of the two parts needs, which run one after the other."""
-    by_known_bytes = len(KNOWN_COUNTS) * PROCESS_BYTES + SIDECARS_PER_GROUP[scale] * sum(
+    known_count_part_bytes = len(KNOWN_COUNTS) * PROCESS_BYTES + SIDECARS_PER_GROUP[scale] * sum(
         SIDECAR_BYTES + known_count * CONVERTER_BYTES for known_count in KNOWN_COUNTS
     )
-    fleet = FLEET_SIZES[scale][-1]
-    by_fleet_bytes = FLEET_PROCESSES * PROCESS_BYTES + fleet * (
+    fleet_size = FLEET_SIZES[scale][-1]
+    fleet_part_bytes = FLEET_PROCESSES * PROCESS_BYTES + fleet_size * (
         SIDECAR_BYTES + FLEET_KNOWN_COUNT[scale] * CONVERTER_BYTES
     )
     return ResourceRequirements(
-        1 + max(len(KNOWN_COUNTS), FLEET_PROCESSES), PROCESS_BYTES + max(by_known_bytes, by_fleet_bytes), sockets=fleet
+        1 + max(len(KNOWN_COUNTS), FLEET_PROCESSES),
+        PROCESS_BYTES + max(known_count_part_bytes, fleet_part_bytes),
+        sockets=fleet_size,
     )
 
 
-def base_bytes() -> float:
+def sidecar_base_bytes() -> float:
     """Return the resident memory of a sidecar process that has imported its program but has no list."""
     code = "import ryepier.sidecar.__main__; print(open('/proc/self/status').read())"
     reply = subprocess.run([sys.executable, "-B", "-c", code], capture_output=True, text=True, check=True, timeout=20)
@@ -146,16 +148,17 @@
     }
 
 
-async def change_singly(group: Group, count: int) -> Figures:
+async def measure_single_changes(group: Group, change_count: int) -> Figures:
     """Measure single changes: repeatedly drain a converter, remove it, and add another, each in its own update."""
     listing = group.server.listing
     before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
     sent_at_us: dict[int, int] = {}
-    for change_index in range(count):
+    for change_index in range(change_count):
         if change_index % 3 == 0:
-            leaving = listing.pick_active(1)
+            leaving_entries = listing.pick_active(1)
         listing.change(
-            [listing.new_entry()] if change_index % 3 == 2 else leaving, ("leaving", "left", "")[change_index % 3]
+            [listing.new_entry()] if change_index % 3 == 2 else leaving_entries,
+            ("leaving", "left", "")[change_index % 3],
         )
         now_us = monotonic_us()
         sent_at_us[group.server.send_changes_to_all()] = now_us
@@ -169,14 +172,14 @@
     ]
     after = await group.process.request("usage")
     return {
-        "change_cpu_us": cpu_s * 1e6 / count,
-        "change_bytes": sent_bytes / count,
+        "change_cpu_us": cpu_s * 1e6 / change_count,
+        "change_bytes": sent_bytes / change_count,
         "change_late_ms": max(delays_ms, default=float("inf")),
-        "entries_a_change": (after["entries"] - before["entries"]) / count / group.count,
+        "entries_a_change": (after["entries"] - before["entries"]) / change_count / group.count,
     }
 
 
-async def remove_zone(group: Group) -> Figures:
+async def measure_zone_loss(group: Group) -> Figures:
     """Measure a zone's loss: drain its converters in one update, remove each in its own, and add as many in one."""
     listing = group.server.listing
     zone_entries = listing.pick_active(max(1, group.known_count // ZONE_DIVISOR))
@@ -198,7 +201,7 @@
     }
 
 
-async def reconnect(group: Group) -> Figures:
+async def measure_reconnections(group: Group) -> Figures:
     """Measure reconnections: after one missed change, and after discovery lost its revisions."""
     listing, server = group.server.listing, group.server
     figures: Figures = {}
@@ -232,7 +235,7 @@
     ]
 
 
-async def measure_by_known(seed: int, scale: Scale, seeded_fault: str) -> dict[int, Figures]:
+async def measure_by_known_count(seed: int, scale: Scale, seeded_fault: str) -> dict[int, Figures]:
     """Measure each number of known converters, one after another except for the idle cost."""
     host = f"127.{find_network()}.254.2"
     async with AsyncExitStack() as stack:
@@ -242,64 +245,67 @@
             )
             for index, known_count in enumerate(KNOWN_COUNTS)
         ]
-        figures_by_known = {group.known_count: await start_sidecars(group) for group in groups}
+        figures_by_known_count = {group.known_count: await start_sidecars(group) for group in groups}
         for group, idle_figures in zip(groups, await measure_idle(groups, IDLE_S[scale]), strict=True):
-            figures_by_known[group.known_count] |= idle_figures
+            figures_by_known_count[group.known_count] |= idle_figures
         for group in groups:
-            figures_by_known[group.known_count] |= await change_singly(group, CHANGE_COUNT[scale])
-            figures_by_known[group.known_count] |= await remove_zone(group)
-            figures_by_known[group.known_count] |= await reconnect(group)
-    return figures_by_known
+            figures_by_known_count[group.known_count] |= await measure_single_changes(group, CHANGE_COUNT[scale])
+            figures_by_known_count[group.known_count] |= await measure_zone_loss(group)
+            figures_by_known_count[group.known_count] |= await measure_reconnections(group)
+    return figures_by_known_count
 
 
 # Cost of discovery by the number of sidecars that reconnect
 
 
-async def run_outage(count: int, server: WatchServer, processes: Sequence[LightweightProcess]) -> Figures:
+async def run_outage(sidecar_count: int, server: WatchServer, processes: Sequence[LightweightProcess]) -> Figures:
     """Stop discovery for `OUTAGE_S`, restart it without its revisions, and return the cost of the reconnections."""
-    sidecars_per_process = count / len(processes)
-    before = [await process.request("usage") for process in processes]
+    sidecars_per_process = sidecar_count / len(processes)
+    usage_before_outage = [await process.request("usage") for process in processes]
     server.close()
     await asyncio.sleep(OUTAGE_S)
-    at_outage_end = [await process.request("usage") for process in processes]
+    usage_at_outage_end = [await process.request("usage") for process in processes]
     server.listing.lose_revisions()
     server.call_times_us.clear()
     server.bytes_sent = 0
-    own_before = own_usage()
+    own_usage_before = own_usage()
     await server.open()
-    restart_us, version = monotonic_us(), server.listing.registry.rev
+    restarted_at_us, version = monotonic_us(), server.listing.registry.rev
     replies = await asyncio.gather(
         *(process.request("until", version=version, within_s=RECONNECT_TIMEOUT_S) for process in processes)
     )
-    calls_s = (np.sort(server.call_times_us) - restart_us) / 1e6
-    calls_in_window = np.searchsorted(calls_s, calls_s + PEAK_WINDOW_US / 1e6) - np.arange(len(calls_s))
+    call_times_s = (np.sort(server.call_times_us) - restarted_at_us) / 1e6
+    calls_per_window = np.searchsorted(call_times_s, call_times_s + PEAK_WINDOW_US / 1e6) - np.arange(len(call_times_s))
     reconnect_cpu_s = sum(
-        later["cpu_s"] - earlier["cpu_s"] for earlier, later in zip(at_outage_end, replies, strict=True)
+        later["cpu_s"] - earlier["cpu_s"] for earlier, later in zip(usage_at_outage_end, replies, strict=True)
     )
-    server_cpu_s = own_usage().cpu_s_since(own_before)
-    outage_cpu_s = [later["cpu_s"] - earlier["cpu_s"] for earlier, later in zip(before, at_outage_end, strict=True)]
+    server_cpu_s = own_usage().cpu_s_since(own_usage_before)
+    outage_cpu_s = [
+        later["cpu_s"] - earlier["cpu_s"]
+        for earlier, later in zip(usage_before_outage, usage_at_outage_end, strict=True)
+    ]
     return {
-        "back": sum(reply["have"] for reply in replies) / count,
+        "back": sum(reply["have"] for reply in replies) / sidecar_count,
         "calls": float(len(server.call_times_us)),
         "bytes": float(server.bytes_sent),
         "stand_in_cpu_s": server_cpu_s,
-        "cpu_ms": 1000 * reconnect_cpu_s / count,
+        "cpu_ms": 1000 * reconnect_cpu_s / sidecar_count,
         # calculated for sidecars with a core each: retry interval, discovery's writes to all, and reading one list
-        "back_alone_s": WATCH_RETRY_S + server_cpu_s + reconnect_cpu_s / count,
-        "back_after_s": (max(reply["last_us"] for reply in replies) - restart_us) / 1e6,
-        "peak_share": float(calls_in_window.max(initial=0)) / count,
+        "back_alone_s": WATCH_RETRY_S + server_cpu_s + reconnect_cpu_s / sidecar_count,
+        "back_after_s": (max(reply["last_us"] for reply in replies) - restarted_at_us) / 1e6,
+        "peak_share": float(calls_per_window.max(initial=0)) / sidecar_count,
         "away_cores": max(outage_cpu_s) / sidecars_per_process / OUTAGE_S,
     }
 
 
-async def measure_by_fleet(seed: int, scale: Scale, seeded_fault: str) -> dict[int, Figures]:
+async def measure_by_fleet_size(seed: int, scale: Scale, seeded_fault: str) -> dict[int, Figures]:
     """Grow a fleet, and measure an outage at each size."""
     host = f"127.{find_network()}.254.2"
     server = WatchServer(
         Listing(FLEET_KNOWN_COUNT[scale], seed), (host, PORT), keeps_revisions=seeded_fault != "no-revisions"
     )
     await server.open()
-    figures_by_fleet: dict[int, Figures] = {}
+    figures_by_fleet_size: dict[int, Figures] = {}
     try:
         async with AsyncExitStack() as stack:
             processes = [
@@ -311,41 +317,41 @@
             for process in processes:
                 await process.read()
             started_count = 0
-            for count in FLEET_SIZES[scale]:
-                new_per_process = (count - started_count) // len(processes)
+            for fleet_size in FLEET_SIZES[scale]:
+                new_per_process = (fleet_size - started_count) // len(processes)
                 await asyncio.gather(*(process.request("start", count=new_per_process) for process in processes))
-                started_count = count
+                started_count = fleet_size
                 replies = await asyncio.gather(
                     *(
                         process.request("until", version=server.listing.registry.rev, within_s=RECONNECT_TIMEOUT_S)
                         for process in processes
                     )
                 )
-                if sum(reply["have"] for reply in replies) < count:
+                if sum(reply["have"] for reply in replies) < fleet_size:
                     raise HarnessError(
-                        f"{count} lightweight sidecars did not all receive the endpoint list after their start"
+                        f"{fleet_size} lightweight sidecars did not all receive the endpoint list after their start"
                     )
-                figures_by_fleet[count] = await run_outage(count, server, processes)
+                figures_by_fleet_size[fleet_size] = await run_outage(fleet_size, server, processes)
     finally:
         server.close()
-    return figures_by_fleet
+    return figures_by_fleet_size
 
 
 # Claims
 
 
-def fit_figure(name: str, figures_by_known: Mapping[int, Figures]) -> slopes.Slope:
+def fit_figure(name: str, figures_by_known_count: Mapping[int, Figures]) -> slopes.Slope:
     """Return the line fitted to a figure by the number of known converters."""
-    return slopes.fit(list(figures_by_known), [row[name] for row in figures_by_known.values()])
+    return slopes.fit(list(figures_by_known_count), [figures[name] for figures in figures_by_known_count.values()])
 
 
-def derive_figures(figures_by_known: Mapping[int, Figures], base_mb: float) -> Figures:
+def derive_figures(figures_by_known_count: Mapping[int, Figures], base_mb: float) -> Figures:
     """Return the figures derived for the largest number of known converters and a day's changes."""
-    largest = figures_by_known[KNOWN_COUNTS[-1]]
+    figures_at_largest_count = figures_by_known_count[KNOWN_COUNTS[-1]]
     changes_per_s = CHANGES_PER_DAY / DAY_S
     memory_line, full_list_line = (
-        fit_figure("memory_bytes", figures_by_known),
-        fit_figure("again_cpu_ms", figures_by_known),
+        fit_figure("memory_bytes", figures_by_known_count),
+        fit_figure("again_cpu_ms", figures_by_known_count),
     )
     return {
         "base_mb": base_mb,
@@ -354,36 +360,46 @@
         "memory_residual": memory_line.relative_residual,
         "again_cpu_us_a_converter": full_list_line.per_unit * 1000,
         "again_residual": full_list_line.relative_residual,
-        "change_cpu_us_a_converter": fit_figure("change_cpu_us", figures_by_known).per_unit,
-        "zone_cpu_us_a_change": largest["zone_singly_cpu_ms"] * 1000 / (KNOWN_COUNTS[-1] // ZONE_DIVISOR),
-        "day_cores": largest["idle_cores"] + changes_per_s * largest["change_cpu_us"] / 1e6,
-        "day_bytes_per_s": largest["idle_bytes_per_s"] + changes_per_s * largest["change_bytes"],
+        "change_cpu_us_a_converter": fit_figure("change_cpu_us", figures_by_known_count).per_unit,
+        "zone_cpu_us_a_change": figures_at_largest_count["zone_singly_cpu_ms"]
+        * 1000
+        / (KNOWN_COUNTS[-1] // ZONE_DIVISOR),
+        "day_cores": figures_at_largest_count["idle_cores"]
+        + changes_per_s * figures_at_largest_count["change_cpu_us"] / 1e6,
+        "day_bytes_per_s": figures_at_largest_count["idle_bytes_per_s"]
+        + changes_per_s * figures_at_largest_count["change_bytes"],
     }
 
 
 def make_claims(
-    figures_by_known: Mapping[int, Figures], figures_by_fleet: Mapping[int, Figures], derived: Figures
+    figures_by_known_count: Mapping[int, Figures], figures_by_fleet_size: Mapping[int, Figures], derived: Figures
 ) -> list[Claim]:
     """Return the claims on both parts."""
-    largest, fleet_figures = figures_by_known[KNOWN_COUNTS[-1]], figures_by_fleet[max(figures_by_fleet)]
+    figures_at_largest_count, fleet_figures = (
+        figures_by_known_count[KNOWN_COUNTS[-1]],
+        figures_by_fleet_size[max(figures_by_fleet_size)],
+    )
     return [
         Claim("memory of a sidecar that knows 1,600 converters (MB)", derived["sidecar_mb"], "<=", BUDGET_MB),
         Claim("largest residual of its line over the largest value", derived["memory_residual"], "<=", 0.1),
         Claim("cores for a day's changes, 1,600 known", derived["day_cores"], "<=", BUDGET_CORES),
         Claim("bytes a second for a day's changes, 1,600 known", derived["day_bytes_per_s"], "<=", BUDGET_BYTES_PER_S),
-        Claim("bytes of one change", largest["change_bytes"], "<=", 500),
+        Claim("bytes of one change", figures_at_largest_count["change_bytes"], "<=", 500),
         Claim(
             "from a change to the last module that has it, most (s)",
-            largest["change_late_ms"] / 1000,
+            figures_at_largest_count["change_late_ms"] / 1000,
             "<=",
             MAX_PROPAGATION_S,
         ),
-        Claim("changes that each module was told, of one", largest["entries_a_change"], "==", 1),
-        Claim("bytes of a watch that broke and missed one change", largest["break_bytes"], "<=", 1000),
+        Claim("changes that each module was told, of one", figures_at_largest_count["entries_a_change"], "==", 1),
+        Claim("bytes of a watch that broke and missed one change", figures_at_largest_count["break_bytes"], "<=", 1000),
         Claim(
-            f"share of {max(figures_by_fleet)} that have the list again after an outage", fleet_figures["back"], "==", 1
+            f"share of {max(figures_by_fleet_size)} that have the list again after an outage",
+            fleet_figures["back"],
+            "==",
+            1,
         ),
-        Claim("calls a sidecar for it", fleet_figures["calls"] / max(figures_by_fleet), "<=", 1.1),
+        Claim("calls a sidecar for it", fleet_figures["calls"] / max(figures_by_fleet_size), "<=", 1.1),
         Claim(
             "until the last has it, each sidecar on a core of its own, by calculation (s)",
             fleet_figures["back_alone_s"],
@@ -395,24 +411,26 @@
 
 def measure(trial: TrialConfig) -> Measurement:
     """Run the benchmark. Raises InsufficientResourcesError and HarnessError."""
-    check_requirements(needs(trial.scale), this_machine())
+    check_requirements(required_resources(trial.scale), this_machine())
     load_figures = {"load_average": os.getloadavg()[0]}
-    figures_by_known = asyncio.run(measure_by_known(trial.seed, trial.scale, trial.seeded_fault))
-    figures_by_fleet = asyncio.run(measure_by_fleet(trial.seed, trial.scale, trial.seeded_fault))
-    derived = derive_figures(figures_by_known, base_bytes() / MB)
-    for known_count, row_figures in figures_by_known.items():
-        row_figures |= list_costs.measure(known_count, trial.seed)
+    figures_by_known_count = asyncio.run(measure_by_known_count(trial.seed, trial.scale, trial.seeded_fault))
+    figures_by_fleet_size = asyncio.run(measure_by_fleet_size(trial.seed, trial.scale, trial.seeded_fault))
+    derived = derive_figures(figures_by_known_count, sidecar_base_bytes() / MB)
+    for known_count, size_figures in figures_by_known_count.items():
+        size_figures |= list_costs.measure(known_count, trial.seed)
     figures = {
         f"{name}_{known_count}": value
-        for known_count, row_figures in figures_by_known.items()
-        for name, value in row_figures.items()
+        for known_count, size_figures in figures_by_known_count.items()
+        for name, value in size_figures.items()
     }
     figures |= {
-        f"fleet_{name}_{count}": value
-        for count, row_figures in figures_by_fleet.items()
-        for name, value in row_figures.items()
+        f"fleet_{name}_{fleet_size}": value
+        for fleet_size, size_figures in figures_by_fleet_size.items()
+        for name, value in size_figures.items()
     }
-    return Measurement(make_claims(figures_by_known, figures_by_fleet, derived), figures | derived | load_figures)
+    return Measurement(
+        make_claims(figures_by_known_count, figures_by_fleet_size, derived), figures | derived | load_figures
+    )
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -52,7 +52,7 @@
 US_PER_S = 1e6
 
 
-def needs(scale: Scale) -> ResourceRequirements:
+def required_resources(scale: Scale) -> ResourceRequirements:
     """Return the resources that the larger of the two parts needs, which run one after the other."""
     sidecar_bytes = max(
         count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
@@ -79,8 +79,10 @@
     async def wait_for_list(self) -> list[Any]:
         """Wait until all sidecars have the list, and return the answers. Raises HarnessError after `LIST_TIMEOUT_S`."""
         answers = await self.request("until", version=self.server.listing.registry.rev, within_s=LIST_TIMEOUT_S)
-        if (have_count := sum(answer["have"] for answer in answers)) < self.count:
-            raise HarnessError(f"{have_count} of {self.count} lightweight sidecars received the endpoint list in time")
+        if (updated_count := sum(answer["have"] for answer in answers)) < self.count:
+            raise HarnessError(
+                f"{updated_count} of {self.count} lightweight sidecars received the endpoint list in time"
+            )
         return answers
 
     async def grow(self, count: int) -> None:
@@ -89,21 +91,21 @@
         self.count = count
         await self.wait_for_list()
 
-    async def lose_converters(self, changes: int, singly: bool = True) -> Figures:
+    async def lose_converters(self, lost_count: int, singly: bool = True) -> Figures:
         """Drain converters, with one message each or a single one, then replace them; return the cost of the drains."""
         listing = self.server.listing
-        lost_entries = listing.pick_active(changes)
-        before, bytes_before, own_before = await self.request("usage"), self.server.bytes_sent, own_usage()
-        start_us = monotonic_us()
+        lost_entries = listing.pick_active(lost_count)
+        before, bytes_before, own_usage_before = await self.request("usage"), self.server.bytes_sent, own_usage()
+        started_at_us = monotonic_us()
         await self._send_drains(lost_entries, singly)
         after = await self.wait_for_list()
         figures = {
-            "stand_in_cpu_s": own_usage().cpu_s_since(own_before),
+            "stand_in_cpu_s": own_usage().cpu_s_since(own_usage_before),
             "bytes": (self.server.bytes_sent - bytes_before) / self.count,
-            "last_s": (max(answer["last_us"] for answer in after) - start_us) / US_PER_S,
+            "last_s": (max(answer["last_us"] for answer in after) - started_at_us) / US_PER_S,
             "cpu_ms": MS_PER_S * _total_growth(before, after, "cpu_s") / self.count,
-            "told": _total_growth(before, after, "entries") / self.count / changes,
-            "still_ready": await self._mean_known() - self.known_count + changes,
+            "told": _total_growth(before, after, "entries") / self.count / lost_count,
+            "still_ready": await self._mean_known() - self.known_count + lost_count,
         }
         listing.change(lost_entries, "left")
         listing.change([listing.new_entry() for _ in lost_entries])
@@ -151,15 +153,15 @@
     figures: Figures = {}
     async with start_fleet(KNOWN_COUNT, trial.seed, trial.seeded_fault) as listeners:
         await listeners.grow(LISTENER_COUNT[trial.scale])
-        for changes in BURST_SIZES:
-            figures |= _name_figures("burst", changes, await listeners.lose_converters(changes))
-            figures |= _name_figures("together", changes, await listeners.lose_converters(changes, singly=False))
+        for burst_size in BURST_SIZES:
+            figures |= _name_figures("burst", burst_size, await listeners.lose_converters(burst_size))
+            figures |= _name_figures("together", burst_size, await listeners.lose_converters(burst_size, singly=False))
     async with start_fleet(FLEET_KNOWN_COUNT, trial.seed, trial.seeded_fault) as fleet:
-        for count in FLEET_SIZES[trial.scale]:
-            await fleet.grow(count)
-            figures |= _name_figures("rack", count, await fleet.lose_converters(RACK_SIZE))
-            figures |= _name_figures("zone", count, await fleet.lose_converters(ZONE_SIZE))
-            figures |= _name_figures("zone_together", count, await fleet.lose_converters(ZONE_SIZE, singly=False))
+        for fleet_size in FLEET_SIZES[trial.scale]:
+            await fleet.grow(fleet_size)
+            figures |= _name_figures("rack", fleet_size, await fleet.lose_converters(RACK_SIZE))
+            figures |= _name_figures("zone", fleet_size, await fleet.lose_converters(ZONE_SIZE))
+            figures |= _name_figures("zone_together", fleet_size, await fleet.lose_converters(ZONE_SIZE, singly=False))
     return figures
 
 
@@ -184,19 +186,19 @@
         "change_residual": single_change_line.relative_residual,
         "message_us": fleet_singly_line.per_unit * 1e6 / ZONE_SIZE,
     }
-    for name, size, sidecars in (
+    for name, size, sidecar_count in (
         ("rack", RACK_SIZE, FLEET_SIZE),
         ("zone", ZONE_SIZE, FLEET_SIZE),
         ("region", REGION_SIZE, FLEET_SIZE - REGION_SIZE),
     ):
         result |= {
-            f"{name}_messages": float(size * sidecars),
-            f"{name}_mb": figures[f"burst_bytes_{size}"] * sidecars / 1e6,
+            f"{name}_messages": float(size * sidecar_count),
+            f"{name}_mb": figures[f"burst_bytes_{size}"] * sidecar_count / 1e6,
             f"{name}_sidecar_ms": single_change_line.at(size).value,
-            f"{name}_singly_last_s": fleet_singly_line.per_unit * sidecars * size / ZONE_SIZE
+            f"{name}_singly_last_s": fleet_singly_line.per_unit * sidecar_count * size / ZONE_SIZE
             + single_change_line.at(size).value / 1000,
             # a longer message takes longer to write: all of its cost is taken to grow with the number of changes
-            f"{name}_together_last_s": fleet_together_line.per_unit * sidecars * max(1.0, size / ZONE_SIZE)
+            f"{name}_together_last_s": fleet_together_line.per_unit * sidecar_count * max(1.0, size / ZONE_SIZE)
             + combined_change_line.at(size).value / 1000,
         }
     return result
@@ -236,7 +238,7 @@
 
 def measure(trial: TrialConfig) -> Measurement:
     """Measure the losses, and calculate the costs of the whole fleet. Raises InsufficientResourcesError."""
-    check_requirements(needs(trial.scale), this_machine())
+    check_requirements(required_resources(trial.scale), this_machine())
     figures = {"load_average": os.getloadavg()[0]} | asyncio.run(measure_losses(trial))
     figures |= calculate_fleet_costs(figures, trial.scale)
     return Measurement(make_claims(figures), figures)
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -14,7 +14,7 @@
 from ryepier.experiments.scale.lightweight_sidecar import KINDS, ZONES
 
 FIRST_REVISION = 1_000_000
-REVISIONS_LOST = 10_000  # a discovery that lost its revisions restarts this far below its last one
+LOST_REVISION_COUNT = 10_000  # a discovery that lost its revisions restarts this far below its last one
 HEARTBEAT_INTERVAL_S = 2.0
 BACKLOG = 4096
 POD_SIZE = 10  # converters
@@ -66,7 +66,7 @@
 
     def lose_revisions(self) -> None:
         """Restart discovery with its active entries and a lower revision, so that watches cannot resume."""
-        self.revision -= REVISIONS_LOST
+        self.revision -= LOST_REVISION_COUNT
         self.registry = self._make_registry(self.active_entries())
 
     def _make_registry(self, entries: list[Entry]) -> Registry:
@@ -122,7 +122,7 @@
         self.bytes_sent = 0
         self.call_times_us: list[int] = []
         self._server: asyncio.Server | None = None
-        self._heartbeats: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
         self._cached_messages: dict[int, bytes] = {}  # changes since a revision, by that revision
 
     async def open(self) -> None:
@@ -130,14 +130,14 @@
         loop = asyncio.get_running_loop()
         self.clear_cached_messages()
         self._server = await loop.create_server(lambda: Watch(self), *self.address, backlog=BACKLOG)
-        self._heartbeats = loop.create_task(self._send_heartbeats())
+        self._heartbeat_task = loop.create_task(self._send_heartbeats())
 
     def close(self) -> None:
         """Stop listening, and abort all connections."""
         if self._server is not None:
             self._server.close()
-        if self._heartbeats is not None:
-            self._heartbeats.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
         self.abort_all()
 
     def abort_all(self) -> None:
@@ -168,11 +168,11 @@
 
     def _send_changes(self, watch: Watch) -> None:
         if watch.revision not in self._cached_messages:
-            self._cached_messages[watch.revision] = self._encode(watch.revision)
+            self._cached_messages[watch.revision] = self._encode_changes(watch.revision)
         watch.write(self._cached_messages[watch.revision])
         watch.revision = self.listing.registry.rev
 
-    def _encode(self, revision: int) -> bytes:
+    def _encode_changes(self, revision: int) -> bytes:
         line = json.dumps(self.listing.registry.changes_since(revision)).encode() + b"\n"
         return b"%x\r\n%s\r\n" % (len(line), line)
 
--- a/ryepier/experiments/scale/instrumented_planner.py
+++ b/ryepier/experiments/scale/instrumented_planner.py
@@ -55,9 +55,9 @@
 
         def measured_tick(self: PlannerServer, now_us: int, tick_number: int) -> None:
             recorder._counts = self.counts
-            start_s = time.thread_time()
+            cpu_before_s = time.thread_time()
             run_tick(self, now_us, tick_number)
-            recorder._tick_cpu_s += time.thread_time() - start_s
+            recorder._tick_cpu_s += time.thread_time() - cpu_before_s
             recorder._ticks = tick_number
 
         PlannerServer.tick = measured_tick  # type: ignore[method-assign]
--- a/ryepier/experiments/scale/lightweight_converters.py
+++ b/ryepier/experiments/scale/lightweight_converters.py
@@ -53,13 +53,13 @@
     }
 
 
-class Converter(asyncio.Protocol):
+class ConverterConnection(asyncio.Protocol):
     """The server's side of a connection to a converter. It answers each request head, as the calls have no body."""
 
     def __init__(self) -> None:
         """Wait for the connection and its requests."""
         self._transport: asyncio.Transport | None = None
-        self._pending = b""
+        self._incomplete_head = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport for the answers."""
@@ -69,8 +69,8 @@
     def data_received(self, data: bytes) -> None:
         """Answer each complete request head."""
         assert self._transport is not None
-        heads = (self._pending + data).split(END_OF_HEAD)
-        self._pending = heads.pop()
+        heads = (self._incomplete_head + data).split(END_OF_HEAD)
+        self._incomplete_head = heads.pop()
         if heads:
             self._transport.write(ANSWER * len(heads))
 
@@ -100,7 +100,7 @@
 async def serve(config: ConvertersConfig) -> None:
     """Listen at all addresses until standard input has a line or ends."""
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(Converter, sock=system.listen(config.converters, BACKLOG))]
+    servers = [await loop.create_server(ConverterConnection, sock=system.listen(config.converters, BACKLOG))]
     for known_count, address in config.agents.items():
         agent = DiscoveryAgent(make_list(known_count, config.converters))
         servers.append(await asyncio.start_server(agent.serve, *address))
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -53,8 +53,8 @@
 
     A service has as many converters as forwarders that call it, so the number of converters grows with the fleet.
     """
-    first = index // in_use * in_use
-    return range(first, first + in_use)
+    first_number = index // in_use * in_use
+    return range(first_number, first_number + in_use)
 
 
 def converter_uid(number: int) -> str:
@@ -71,7 +71,7 @@
         self.bytes_in = 0
         self.plan_bytes = 0
         self.plans = 0
-        self.simulation_s = 0.0  # CPU time of the simulation of calls, which is not part of a forwarder's cost
+        self.simulation_cpu_s = 0.0  # CPU time of the simulation of calls, which is not part of a forwarder's cost
         self._plan_sizes: dict[tuple[int, int], int] = {}  # encoded size of the latest plan, by epoch and number
 
     def on_plan(self, plan: Plan) -> None:
@@ -133,14 +133,14 @@
         """Call the converters with these numbers from now on, and set the counters of new ones to a day's calls."""
         self.upstream_ids = {converter_uid(number): number for number in numbers}
         self.refresh_uids()
-        served = int(CALLS_PER_S / len(numbers) * DAY_S)
+        served_count = int(CALLS_PER_S / len(numbers) * DAY_S)
         for uid in self.upstream_ids.keys() - self.reporter.records.keys():
             self.last_token += 1
             self.reporter.on_attempt_started(clock_us(), uid, self.last_token, 0)
             self.reporter.on_attempt_ended(uid, self.last_token, Outcome.OK, ANSWER_LATENCY_US)
             record = self.reporter.records[uid]
-            record.attempts = record.served = served
-            record.latencies[latency_bucket(ANSWER_LATENCY_US)] = served
+            record.attempts = record.served = served_count
+            record.latencies[latency_bucket(ANSWER_LATENCY_US)] = served_count
 
     def on_plan_updated(self, event: PlanUpdated) -> None:
         """Record the time until a plan first ejects the hung converter."""
@@ -163,9 +163,9 @@
 
     def send_reports(self) -> None:
         """Simulate the calls since the last report, and send the reports."""
-        start_s = time.thread_time()
+        cpu_before_s = time.thread_time()
         self.simulate_calls(time.monotonic())
-        self.counts.simulation_s += time.thread_time() - start_s
+        self.counts.simulation_cpu_s += time.thread_time() - cpu_before_s
         super().send_reports()
 
     def simulate_calls(self, now_s: float) -> None:
@@ -222,16 +222,16 @@
             return self.hang(str(command["uid"]))
         return self.sample()
 
-    def grow(self, fleet: int) -> dict[str, Any]:
-        """Start this process's part of a fleet that grows to `fleet` forwarders."""
-        first = self.config.worker + len(self.forwarders) * self.config.workers
-        for index in range(first, fleet, self.config.workers):
+    def grow(self, fleet_size: int) -> dict[str, Any]:
+        """Start this process's part of a fleet that grows to `fleet_size` forwarders."""
+        first_index = self.config.worker + len(self.forwarders) * self.config.workers
+        for index in range(first_index, fleet_size, self.config.workers):
             new_forwarder = LightweightForwarder(index, self.config, self.counts)
             new_forwarder.start()
             self.forwarders.append(new_forwarder)
         if self.config.reports_all:
             for each_forwarder in self.forwarders:
-                each_forwarder.set_converters(range(fleet))
+                each_forwarder.set_converters(range(fleet_size))
         return {}
 
     def hang(self, uid: str) -> dict[str, Any]:
@@ -243,14 +243,14 @@
     def sample(self) -> dict[str, Any]:
         """Return the current totals of this process, in the form of `control.Sample`."""
         usage, counts = own_usage(), self.counts
-        users = [
+        callers = [
             each_forwarder
             for each_forwarder in self.forwarders
             if each_forwarder.hung_uid in each_forwarder.upstream_ids
         ]
         return {
             "at_s": time.monotonic(),
-            "cpu_s": usage.cpu_s - counts.simulation_s,
+            "cpu_s": usage.cpu_s - counts.simulation_cpu_s,
             "resident": usage.resident_bytes,
             "count": len(self.forwarders),
             "connected": sum(bool(each_forwarder.connections) for each_forwarder in self.forwarders),
@@ -259,9 +259,11 @@
             "plan_bytes": counts.plan_bytes,
             "plans": counts.plans,
             "reporters": max((each_forwarder.evidence.forwarders for each_forwarder in self.forwarders), default=0),
-            "users": len(users),
+            "users": len(callers),
             "avoids_after_s": [
-                each_forwarder.avoided_after_s for each_forwarder in users if each_forwarder.avoided_after_s is not None
+                each_forwarder.avoided_after_s
+                for each_forwarder in callers
+                if each_forwarder.avoided_after_s is not None
             ],
         }
 
--- a/ryepier/experiments/scale/lightweight_sidecar.py
+++ b/ryepier/experiments/scale/lightweight_sidecar.py
@@ -49,14 +49,14 @@
     def __init__(self) -> None:
         """Start without sidecars; each new sidecar must be counted at version 0."""
         self.sidecars_by_version: Counter[int] = Counter()
-        self.last_received_us: dict[int, int] = {}
+        self.last_received_at_us: dict[int, int] = {}
         self.entries_received = 0
 
     def on_update(self, previous_version: int, event: UpstreamsUpdated) -> None:
         """Count a sidecar's update from its previous version."""
         self.sidecars_by_version[previous_version] -= 1
         self.sidecars_by_version[event.version] += 1
-        self.last_received_us[event.version] = clock_us()
+        self.last_received_at_us[event.version] = clock_us()
         self.entries_received += len(event.upstreams)
 
 
@@ -90,7 +90,7 @@
         if command["do"] == "until":
             return await self.wait_for_version(int(command["version"]), float(command["within_s"]))
         queries: dict[str, Callable[[], dict[str, Any]]] = {
-            "late": self.last_times,
+            "late": self.last_received_times,
             "memory": self.memory,
             "usage": self.usage,
         }
@@ -119,13 +119,13 @@
         source.start()
         self.dispatchers.append(dispatcher)
 
-    async def wait_for_version(self, version: int, within_s: float) -> dict[str, Any]:
-        """Wait up to `within_s` until all sidecars have a version; return how many do, and when the last got it."""
-        deadline_s = time.monotonic() + within_s
+    async def wait_for_version(self, version: int, timeout_s: float) -> dict[str, Any]:
+        """Wait up to `timeout_s` until all sidecars have a version; return how many do, and when the last got it."""
+        deadline_s = time.monotonic() + timeout_s
         while self.counts.sidecars_by_version[version] < len(self.dispatchers) and time.monotonic() < deadline_s:
             await asyncio.sleep(POLL_INTERVAL_S)
-        have_count = self.counts.sidecars_by_version[version]
-        return self.usage() | {"have": have_count, "last_us": self.counts.last_received_us.get(version, 0)}
+        updated_count = self.counts.sidecars_by_version[version]
+        return self.usage() | {"have": updated_count, "last_us": self.counts.last_received_at_us.get(version, 0)}
 
     def usage(self) -> dict[str, Any]:
         """Return the CPU time, the resident memory, and the list entries received by all sidecars together."""
@@ -140,9 +140,9 @@
         known_count = sum(len(dispatcher.balancer.membership.by_id) for dispatcher in self.dispatchers)
         return self.usage() | {"known": known_count}
 
-    def last_times(self) -> dict[str, Any]:
+    def last_received_times(self) -> dict[str, Any]:
         """Return when the last sidecar of this process received each version, on the machine's monotonic clock."""
-        return {"last_us": self.counts.last_received_us}
+        return {"last_us": self.counts.last_received_at_us}
 
 
 async def serve(sidecars: LightweightSidecars) -> None:
@@ -160,8 +160,8 @@
         from ryepier.experiments import seeded_faults  # imported late: it is large, and usually not needed
 
         seeded_faults.SEEDED_FAULTS[faults[0]]()
-    with open(os.devnull, "w", encoding="utf-8") as discarded:
-        logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=discarded)
+    with open(os.devnull, "w", encoding="utf-8") as null_stream:
+        logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=null_stream)
         logging.getLogger().handlers[0].addFilter(RateLimitFilter())
         asyncio.run(serve(LightweightSidecars((host, int(port)), int(seed))))
 
--- a/ryepier/experiments/scale/list_costs.py
+++ b/ryepier/experiments/scale/list_costs.py
@@ -30,9 +30,9 @@
 
     def time(self, step: str, function: Callable[..., Any], *arguments: object) -> Any:
         """Call a function, add its CPU time to a step, and return its result."""
-        start_s = time.process_time()
+        cpu_before_s = time.process_time()
         result = function(*arguments)
-        self.cpu_ms[step] = self.cpu_ms.get(step, 0.0) + MS_PER_S * (time.process_time() - start_s)
+        self.cpu_ms[step] = self.cpu_ms.get(step, 0.0) + MS_PER_S * (time.process_time() - cpu_before_s)
         return result
 
 
@@ -63,14 +63,15 @@
     data = encode(listing.registry.full_list())
     list_timer.time("parse_one_piece", decode, data, len(data))
     apply(list_timer, list_timer.time("parse", decode, data, CHUNK_BYTES))
-    changed = listing.pick_active(min(MAX_CHANGES, known_count // 2))
-    for entry in changed:
+    changed_entries = listing.pick_active(min(MAX_CHANGES, known_count // 2))
+    for entry in changed_entries:
         revision = listing.registry.rev
         listing.change([entry], "leaving")
         data = encode(listing.registry.changes_since(revision))
         apply(change_timer, change_timer.time("parse", decode, data, CHUNK_BYTES))
     list_figures = {f"alone_list_{step}_ms": cpu_ms for step, cpu_ms in list_timer.cpu_ms.items()}
     change_figures = {
-        f"alone_change_{step}_us": US_PER_MS * cpu_ms / len(changed) for step, cpu_ms in change_timer.cpu_ms.items()
+        f"alone_change_{step}_us": US_PER_MS * cpu_ms / len(changed_entries)
+        for step, cpu_ms in change_timer.cpu_ms.items()
     }
     return list_figures | change_figures
--- a/ryepier/experiments/scale/machine_load.py
+++ b/ryepier/experiments/scale/machine_load.py
@@ -13,11 +13,11 @@
 
 def reference_task_cpu_s() -> float:
     """Run a fixed task, and return its CPU time, which grows like all measured CPU times when the machine is shared."""
-    start_s = time.process_time()
+    cpu_before_s = time.process_time()
     values = [1.0] * REFERENCE_TASK_VALUES
     for _ in range(REFERENCE_TASK_ROUNDS):
         values = [value * 0.99999 for value in values]
-    return time.process_time() - start_s
+    return time.process_time() - cpu_before_s
 
 
 def load_figures(moment: str) -> dict[str, float]:
--- a/ryepier/experiments/scale/slopes.py
+++ b/ryepier/experiments/scale/slopes.py
@@ -50,13 +50,13 @@
     if not (np.isfinite(x).all() and np.isfinite(y).all()):
         raise ValueError("sizes and values must be finite")
     (per_unit, intercept), *_ = np.linalg.lstsq(np.column_stack((x, np.ones_like(x))), y)
-    residual = float(np.abs(y - (intercept + per_unit * x)).max())
-    largest = float(np.abs(y).max())
+    largest_residual = float(np.abs(y - (intercept + per_unit * x)).max())
+    largest_value = float(np.abs(y).max())
     return Slope(
         float(per_unit),
         float(intercept),
-        residual,
-        residual / largest if largest else 0.0,
+        largest_residual,
+        largest_residual / largest_value if largest_value else 0.0,
         float(x.min()),
         float(x.max()),
     )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,7 +15,7 @@
 from ryepier.experiments.catalogue import BENCHMARKS
 from ryepier.experiments.scale.capacity import table
 from ryepier.experiments.scale.capacity.estimates import fitted_line
-from ryepier.experiments.scale.capacity.page import first_to_break, format_number
+from ryepier.experiments.scale.capacity.page import first_limits_reached, format_number
 from ryepier.experiments.scale.capacity.plan import CapacityError, Plan, read_plan
 from ryepier.experiments.scale.capacity.results import KeptResult, read_results
 from ryepier.experiments.scale.capacity.rows import Row, SlopeUnit, evaluate, evaluate_row, share_at_budget
@@ -97,9 +97,9 @@
     assert evaluated.seeds == (1, 3) and evaluated.value is not None and evaluated.value.median == pytest.approx(161.0)
 
 
-def test_rows_without_mechanism_break_first_then_by_size() -> None:
+def test_rows_without_mechanism_come_before_rows_by_breaking_size() -> None:
     rows = [make_row(budget=budget) for budget in (1000.0, 81.0, 41.0)] + [make_row(mechanism="")]
-    evaluated_rows = first_to_break(evaluate(rows, [make_result(LINEAR_FIGURES)], PLAN))
+    evaluated_rows = first_limits_reached(evaluate(rows, [make_result(LINEAR_FIGURES)], PLAN))
     assert [evaluated.standing for evaluated in evaluated_rows] == ["missing", "over", "over", "carried"]
     assert [evaluated.breaks_at for evaluated in evaluated_rows[1:]] == pytest.approx([0.25, 0.5, 999 / 160])
 
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -24,7 +24,7 @@
     return [converter.received_us for converter in world.converters]
 
 
-def test_random_choice_spreads_as_by_chance_and_requests_are_served() -> None:
+def test_random_choice_has_the_expected_variation_and_serves_requests() -> None:
     world = FleetWorld(FLEET_PLAN, 1, choosers.make_random)
     world.run()
     spread = measures.measure_spread(received_times(world), START_US, world.now_us)
@@ -133,7 +133,7 @@
 # Restarted converters
 
 
-def shares_of_returned(warm_up_us: int, seed: int) -> list[float]:
+def load_shares_of_restarted(warm_up_us: int, seed: int) -> list[float]:
     """Return the load of each restarted converter in the 5 s after its warm-up, over the mean of the others."""
     outage = Outage(converters=10, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
     begin_us = outage.restart_us + warm_up_us
@@ -149,10 +149,10 @@
     world = FleetWorld(plan, seed)
     world.run()
     counts = measures.counts_in_windows(received_times(world), START_US + begin_us, world.now_us, 5 * SECOND_US)[:, 0]
-    has_restarted = [bool(converter.started_us) for converter in world.converters]
-    others = [count for count, is_restarted in zip(counts, has_restarted, strict=True) if not is_restarted]
-    mean = sum(others) / len(others)
-    return [count / mean for count, is_restarted in zip(counts, has_restarted, strict=True) if is_restarted]
+    restart_flags = [bool(converter.started_us) for converter in world.converters]
+    other_counts = [count for count, is_restarted in zip(counts, restart_flags, strict=True) if not is_restarted]
+    mean_of_others = sum(other_counts) / len(other_counts)
+    return [count / mean_of_others for count, is_restarted in zip(counts, restart_flags, strict=True) if is_restarted]
 
 
 def test_restarted_converters_get_their_share_of_the_load() -> None:
@@ -161,7 +161,7 @@
     Without that, with 300 sidecars and 100 converters, the mean share was 0.27 without a warm-up and 1.5 after one.
     """
     for warm_up_us in (0, 2 * SECOND_US):
-        shares = [share for seed in (1, 2) for share in shares_of_returned(warm_up_us, seed)]
+        shares = [share for seed in (1, 2) for share in load_shares_of_restarted(warm_up_us, seed)]
         print(warm_up_us, [round(share, 2) for share in shares])
         assert 0.8 <= sum(shares) / len(shares) <= 1.25
 
@@ -198,7 +198,7 @@
 def test_load_share_of_restarted_converters(seeded_fault: str, min_share: float, max_share: float) -> None:
     plan = returning.make_plan(Scale.SMALL, 0)
     outcome = run_fleet(seeded_fault, plan, plan.duration_us - returning.MEASURED_DURATION_US)
-    shares = returning.shares_of_returned(outcome)
+    shares = returning.load_shares_of_restarted(outcome)
     assert min_share <= sum(shares) / len(shares) <= max_share
     assert outcome.worst_warm_up_load <= 1.0
 
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -35,7 +35,7 @@
 pytestmark = pytest.mark.alone
 
 SEED = 31
-SETTLED_S = 1.0
+SETTLED_AT_S = 1.0
 MAX_RUNS = 3  # a run in which the machine fell behind is void and repeated
 CLASS_SETTINGS: dict[str, float] = {"aim_ms": 400.0, "deadline_ms": 800.0, "worth": 1.0, "late_worth": 0.5}
 
@@ -69,7 +69,7 @@
 TIME_INDEPENDENT_RULES = {"second-answer", "forged", "invented", "run-twice", "refused-after-run", "crash"}
 
 
-def play(world: World, folder: Path) -> Run:
+def run_until_on_time(world: World, folder: Path) -> Run:
     """Run a world, and return the first run in which the machine did not fall behind.
 
     Other runs are void and repeated, but still checked by the rules that do not depend on time. Fails the test after
@@ -90,7 +90,7 @@
     pytest.fail(f"all {MAX_RUNS} runs are void, as the machine fell behind: {lateness}")
 
 
-def assert_served_safely(run: Run, min_served_share: float) -> None:
+def assert_served_without_breaches(run: Run, min_served_share: float) -> None:
     """Assert that enough operations were served, no rule was broken, and no converter received a burst."""
     assert spread.served_operations_share(run.history) >= min_served_share
     assert_no_breaches_or_bursts(run)
@@ -100,7 +100,7 @@
     """Assert that no rule was broken and no converter received a burst."""
     assert not run.breaches, run.breaches[:5]
     failed_claims = [
-        claim for claim in measures.burst_claims(measures.measure_bursts(run, SETTLED_S)) if not claim.holds
+        claim for claim in measures.burst_claims(measures.measure_bursts(run, SETTLED_AT_S)) if not claim.holds
     ]
     assert not failed_claims, failed_claims
 
@@ -112,7 +112,7 @@
 
 def test_third_of_the_sidecars_killed_and_restarted_at_once(tmp_path: Path) -> None:
     fault = Fault(kind=FaultKind.SIDECAR_KILL, at_s=1.2, target_share=0.34, down_s=0.4)
-    run = play(make_world(fault, sidecars=18, duration_s=4.6), tmp_path)
+    run = run_until_on_time(make_world(fault, sidecars=18, duration_s=4.6), tmp_path)
     incarnations = run.history.incarnations
     killed = {incarnation.sidecar for incarnation in incarnations if incarnation.killed}
     assert len(killed) == 6 and len(incarnations) == 24 and not any(incarnation.crashed for incarnation in incarnations)
@@ -124,14 +124,14 @@
 
 
 def test_busiest_sidecar_suspended_and_resumed(tmp_path: Path) -> None:
-    run = play(make_world(Fault(kind=FaultKind.SIDECAR_HANG, at_s=1.2, for_s=1.0, index=0)), tmp_path)
+    run = run_until_on_time(make_world(Fault(kind=FaultKind.SIDECAR_HANG, at_s=1.2, for_s=1.0, index=0)), tmp_path)
     assert len(run.history.incarnations[0].suspensions) == 1
-    assert_served_safely(run, 0.9)
+    assert_served_without_breaches(run, 0.9)
     assert figures.service_level(run.operations, lambda operation: operation.sidecar != 0) >= 0.95
     assert service_level_from(run, 2.7) >= 0.95
 
 
-def first_notice_us(run: Run, uid: str, state: str) -> dict[int, int]:
+def first_notices_us(run: Run, uid: str, state: str) -> dict[int, int]:
     """Return when each sidecar was first notified of a converter's state."""
     at_us_by_sidecar: dict[int, int] = {}
     for notice in run.history.notices:
@@ -140,7 +140,7 @@
     return at_us_by_sidecar
 
 
-def replaced_uids(run: Run) -> tuple[list[str], list[str]]:
+def removed_and_added_uids(run: Run) -> tuple[list[str], list[str]]:
     """Return the converters that a release stopped, and their replacements."""
     schedule = timeline.build(run.world, run.seed)
     removed = [
@@ -152,12 +152,12 @@
 def test_discovery_down_while_converters_are_replaced(tmp_path: Path) -> None:
     outage = Fault(kind=FaultKind.DISCOVERY_DOWN, at_s=0.9, for_s=1.8)
     release = Fault(kind=FaultKind.RELEASE, at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
-    run = play(make_world(outage, release, duration_s=5.0), tmp_path)
-    assert_served_safely(run, 0.9)
-    removed, added = replaced_uids(run)
+    run = run_until_on_time(make_world(outage, release, duration_s=5.0), tmp_path)
+    assert_served_without_breaches(run, 0.9)
+    removed, added = removed_and_added_uids(run)
     outage_end_us = (outage.at_s + outage.for_s) * 1e6
     for uid in removed:
-        notices_us = first_notice_us(run, uid, "left")
+        notices_us = first_notices_us(run, uid, "left")
         assert len(notices_us) == 12 and min(notices_us.values()) >= outage_end_us
     assert set(added) <= {attempt.uid for attempt in run.history.converter_attempts}
     assert service_level_from(run, 4.0) >= 0.95
@@ -166,22 +166,22 @@
 def test_stale_lists_at_half_of_the_sidecars(tmp_path: Path) -> None:
     stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=0.9, for_s=2.1, target_share=0.5)
     release = Fault(kind=FaultKind.RELEASE, at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
-    run = play(make_world(stale, release, duration_s=4.4), tmp_path)
-    assert_served_safely(run, 0.9)
-    removed, added = replaced_uids(run)
+    run = run_until_on_time(make_world(stale, release, duration_s=4.4), tmp_path)
+    assert_served_without_breaches(run, 0.9)
+    removed, added = removed_and_added_uids(run)
     for uid in removed:
-        notices_us = first_notice_us(run, uid, "left")
+        notices_us = first_notices_us(run, uid, "left")
         assert len(notices_us) == 12 and sum(at_us >= 3.0e6 for at_us in notices_us.values()) == 6
     assert set(added) <= {attempt.uid for attempt in run.history.converter_attempts}
-    assert service_level_from(run, SETTLED_S) >= 0.95
+    assert service_level_from(run, SETTLED_AT_S) >= 0.95
 
 
 def test_zone_cut_off_from_the_others(tmp_path: Path) -> None:
     cut = Fault(kind=FaultKind.ZONE_CUT, at_s=1.0, for_s=1.6, zone="c")
-    run = play(make_world(cut, duration_s=4.6), tmp_path)
-    assert_served_safely(run, 0.8)
+    run = run_until_on_time(make_world(cut, duration_s=4.6), tmp_path)
+    assert_served_without_breaches(run, 0.8)
     assert not any(
-        ran_across_cut(run, attempt)
+        was_executed_across_cut(run, attempt)
         for attempt in run.history.converter_attempts
         if 1.2e6 < attempt.received_us < 2.5e6
     )
@@ -190,7 +190,7 @@
     assert service_level_from(run, 3.6) >= 0.95
 
 
-def ran_across_cut(run: Run, attempt: ConverterAttempt) -> bool:
+def was_executed_across_cut(run: Run, attempt: ConverterAttempt) -> bool:
     """Return whether an attempt was executed on the other side of the cut than its sidecar."""
     sidecar = next(
         client_attempt.sidecar
@@ -205,13 +205,13 @@
     ("fault", "after_s"),
     [
         (Fault(kind=FaultKind.REFUSE, at_s=1.2, for_s=1.0, target_share=0.34), 2.7),
-        (Fault(kind=FaultKind.SLOW, at_s=1.0, for_s=3.5, index=0, factor=2.0), SETTLED_S),
+        (Fault(kind=FaultKind.SLOW, at_s=1.0, for_s=3.5, index=0, factor=2.0), SETTLED_AT_S),
     ],
     ids=["a third of the converters lost and back", "one converter twice as slow"],
 )
 def test_partial_failures_of_converters(fault: Fault, after_s: float, tmp_path: Path) -> None:
-    run = play(make_world(fault), tmp_path)
-    assert_served_safely(run, 0.9)
+    run = run_until_on_time(make_world(fault), tmp_path)
+    assert_served_without_breaches(run, 0.9)
     assert service_level_from(run, after_s) >= 0.95
     failing_indices = {
         step.index for step in timeline.build(run.world, SEED).steps if step.target is TargetKind.CONVERTER
@@ -254,7 +254,7 @@
     zones = {"one": "a", "two": "a"}
     even_stream = [make_attempt(uid, at_us) for uid in zones for at_us in range(0, 10_000_000, 50_000)]
     without_burst = spread.measure_bursts(even_stream, zones, 0.0, 10.0)
-    assert (without_burst.window_count, without_burst.highest, without_burst.rare_windows) == (
+    assert (without_burst.window_count, without_burst.highest_count, without_burst.rare_window_count) == (
         200,
         2,
         0,
@@ -262,7 +262,7 @@
     with_burst = spread.measure_bursts(
         even_stream + [make_attempt("one", 5_000_000 + i) for i in range(20)], zones, 0.0, 10.0
     )
-    assert with_burst.highest == 22 and with_burst.worst_ratio > 1.0 and with_burst.rare_windows == 1
+    assert with_burst.highest_count == 22 and with_burst.worst_ratio > 1.0 and with_burst.rare_window_count == 1
     assert not all(claim.holds for claim in measures.burst_claims(with_burst))
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -56,8 +56,8 @@
     return LightweightForwarder(index, ForwardersConfig(("127.0.0.1", 1), 0, 1, in_use, 1, 10), TrafficCounts())
 
 
-def make_report(forwarder: LightweightForwarder, number: int = 1) -> Report:
-    return forwarder.reporter.report(forwarder.machine.clock_us(), len(forwarder.upstream_ids), Term(number, "a"), 0)
+def make_report(forwarder: LightweightForwarder, epoch: int = 1) -> Report:
+    return forwarder.reporter.report(forwarder.machine.clock_us(), len(forwarder.upstream_ids), Term(epoch, "a"), 0)
 
 
 def test_service_has_as_many_converters_as_callers() -> None:
@@ -131,16 +131,16 @@
 
 def test_overloaded_planner_does_not_seem_cheap() -> None:
     # 100 forwarders, 20 ms per tick, 1 ms per report; the overloaded planner handles only half of the ticks and reports
-    punctual = control.planner_readings(
+    punctual = control.planner_figures(
         100, 10.0, make_planner_reading(1.0, 0.0, 0, 0), make_planner_reading(3.8, 0.8, 40, 2000)
     )
-    overloaded = control.planner_readings(
+    overloaded = control.planner_figures(
         100, 10.0, make_planner_reading(1.0, 0.0, 0, 0), make_planner_reading(2.4, 0.4, 20, 1000, 5.6)
     )
-    for readings in (punctual, overloaded):
-        assert readings["planner_cpu_ms_a_tick"] == pytest.approx(20)
-        assert readings["planner_cpu_us_a_report"] == pytest.approx(1000)
-        assert readings["planner_cores_needed"] == pytest.approx(0.28)
+    for figures in (punctual, overloaded):
+        assert figures["planner_cpu_ms_a_tick"] == pytest.approx(20)
+        assert figures["planner_cpu_us_a_report"] == pytest.approx(1000)
+        assert figures["planner_cores_needed"] == pytest.approx(0.28)
     assert overloaded["planner_cores"] < punctual["planner_cores"]
     assert overloaded["planner_wait_share"] == pytest.approx(0.8)
 
@@ -152,9 +152,9 @@
 def test_traffic_with_seven_planners_counts_plans_only_once() -> None:
     before = [make_sample(), make_sample()]
     after = [make_sample(at_s=2.0, bytes_out=20_000, bytes_in=4_000, plan_bytes=3_000)] * 2
-    readings = control.forwarder_readings(20, 2.0, before, after)
-    assert readings["bytes_out_per_s"] == 1000 and readings["bytes_in_per_s"] == 200
-    assert readings["bytes_per_s_with_seven"] == 7 * (1000 + 50) + 150
+    figures = control.forwarder_figures(20, 2.0, before, after)
+    assert figures["bytes_out_per_s"] == 1000 and figures["bytes_in_per_s"] == 200
+    assert figures["bytes_per_s_with_seven"] == 7 * (1000 + 50) + 150
 
 
 def test_avoidance_time_requires_nearly_all_callers() -> None:
@@ -164,7 +164,7 @@
     assert control.avoidance_quantile_s([make_sample()], 0.95) == float("inf")
 
 
-def make_readings(cores_exponent: float, bytes_exponent: float = 0.0) -> dict[int, dict[str, float]]:
+def make_figures_by_size(cores_exponent: float, bytes_exponent: float = 0.0) -> dict[int, dict[str, float]]:
     return {
         size: {
             "planner_cores_needed": 0.001 * size**cores_exponent,
@@ -182,29 +182,32 @@
     }
 
 
-AT_LARGEST = {"forwarder_resident_bytes": 5e4, "avoided_after_s": 1.5}
+AT_LARGEST_SIZE = {"forwarder_resident_bytes": 5e4, "avoided_after_s": 1.5}
 
 
 def test_superlinear_planner_cost_fails_a_claim() -> None:
-    assert not failed_claims(control.make_claims(30, make_readings(1.0), AT_LARGEST))
-    failed = failed_claims(control.make_claims(30, make_readings(2.0), AT_LARGEST))
+    assert not failed_claims(control.make_claims(30, make_figures_by_size(1.0), AT_LARGEST_SIZE))
+    failed = failed_claims(control.make_claims(30, make_figures_by_size(2.0), AT_LARGEST_SIZE))
     assert len(failed) == 1 and "cores that the planner needs" in failed[0]
 
 
 def test_reports_that_grow_with_the_fleet_fail_a_claim() -> None:
     assert any(
-        "bytes out" in name for name in failed_claims(control.make_claims(30, make_readings(1.0, 1.0), AT_LARGEST))
+        "bytes out" in name
+        for name in failed_claims(control.make_claims(30, make_figures_by_size(1.0, 1.0), AT_LARGEST_SIZE))
     )
 
 
-def test_planner_that_is_not_followed_or_starved_of_cpu_fails_a_claim() -> None:
-    assert failed_claims(control.make_claims(30, make_readings(1.0), AT_LARGEST | {"avoided_after_s": float("inf")}))
-    starved = {size: readings | {"planner_wait_share": 0.9} for size, readings in make_readings(1.0).items()}
-    assert any("too busy" in name for name in failed_claims(control.make_claims(30, starved, AT_LARGEST)))
+def test_late_avoidance_or_a_starved_planner_fails_a_claim() -> None:
+    assert failed_claims(
+        control.make_claims(30, make_figures_by_size(1.0), AT_LARGEST_SIZE | {"avoided_after_s": float("inf")})
+    )
+    starved = {size: figures | {"planner_wait_share": 0.9} for size, figures in make_figures_by_size(1.0).items()}
+    assert any("too busy" in name for name in failed_claims(control.make_claims(30, starved, AT_LARGEST_SIZE)))
 
 
 def test_design_figures_follow_the_fitted_line_and_the_budget() -> None:
-    figures = control.make_figures(30, make_readings(1.0), AT_LARGEST)
+    figures = control.make_figures(30, make_figures_by_size(1.0), AT_LARGEST_SIZE)
     assert figures["design_planner_cores_needed_30_in_use"] == pytest.approx(1.6)
     assert figures["design_share_of_budget_planner_cores_needed_30_in_use"] == pytest.approx(3.2)
     assert figures["design_share_of_budget_bytes_per_s_with_seven_30_in_use"] == pytest.approx(5.0)
@@ -350,13 +353,13 @@
             assert two_answers == 2 * ANSWER
             lines = await request(agent, b"GET /discovery/hosts?since=0&follow=1 HTTP/1.1\r\n\r\n", b"}\n")
             assert len(json.loads(lines.rpartition(b"\r\n")[2])["targets"]) == 30
-            finished.set()
+            requests_finished.set()
             await serving
 
-    finished = asyncio.Event()
+    requests_finished = asyncio.Event()
 
     async def wait_until_finished(loop: Any, executor: Any, function: Any) -> None:
-        await finished.wait()
+        await requests_finished.wait()
 
     monkeypatch.setattr(asyncio.BaseEventLoop, "run_in_executor", wait_until_finished)
     asyncio.run(make_requests())
@@ -413,19 +416,19 @@
 def test_attempts_without_a_retry_budget_exceed_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryPolicy, "charge_budget", RetryPolicy.charge_budget)  # so that it is restored
     seeded_faults.SEEDED_FAULTS["no-budget"]()
-    chain = make_chain(1, 0.5, calls=300)
+    chain = make_chain(1, 0.5, call_count=300)
     assert ChainFigures.from_outcome(chain, run_chain(chain)).over_bound > 1.0
 
 
 def test_chain_with_too_many_attempts_is_aborted_and_fails_a_claim() -> None:
     chain = make_chain(1, 0.5, max_attempts=20)
     outcome = run_chain(chain)
-    assert outcome.broken_off and outcome.attempts[-1] == 20
-    runs = {depth.UNSAFE_RUN: ChainFigures.from_outcome(chain, outcome)}
+    assert outcome.is_aborted and outcome.attempts[-1] == 20
+    runs = {depth.NON_IDEMPOTENT_RUN: ChainFigures.from_outcome(chain, outcome)}
     assert failed_claims(depth.make_claims(runs))
 
 
-def test_attempt_bound_is_a_fifth_per_hop_plus_the_initial_budget() -> None:
+def test_attempt_bound_adds_a_fifth_per_hop_and_the_initial_budget() -> None:
     assert depth.max_attempts_per_call(make_chain(1, 0.5), 10_000_000) == pytest.approx(1.2, rel=1e-4)
     assert depth.max_attempts_per_call(make_chain(11, 0.5), 10_000_000) == pytest.approx(7.43, rel=1e-3)
     assert depth.max_attempts_per_call(make_chain(1, 0.5), 10) == pytest.approx(1.2 + 1.5)
--- a/tests/test_scale_fail.py
+++ b/tests/test_scale_fail.py
@@ -62,7 +62,7 @@
     assert figures["told"] == 1.0 and figures["still_ready"] == 0.0
 
 
-def test_needs_stay_within_the_limits_of_tests() -> None:
+def test_required_resources_stay_within_limits() -> None:
     for scale in Scale:
-        needs = failure.needs(scale)
-        assert needs.processes <= 8 and needs.bytes < 5e9
+        required_resources = failure.required_resources(scale)
+        assert required_resources.processes <= 8 and required_resources.bytes < 5e9
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -17,11 +17,11 @@
 
 
 def run_with_sidecars(
-    script: Callable[[WatchServer, LightweightSidecars], Awaitable[None]], keeps_revisions: bool = True
+    check: Callable[[WatchServer, LightweightSidecars], Awaitable[None]], keeps_revisions: bool = True
 ) -> None:
     """Run a script once lightweight sidecars in this process have the list."""
 
-    async def run_script() -> None:
+    async def run_check() -> None:
         address = (f"127.{find_network()}.254.2", endpoint_list.PORT)
         server = WatchServer(Listing(KNOWN_COUNT, 1), address, keeps_revisions)
         await server.open()
@@ -29,11 +29,11 @@
             sidecars = LightweightSidecars(address, 1)
             await sidecars.start(SIDECAR_COUNT)
             await assert_all_have_list(server, sidecars)
-            await script(server, sidecars)
+            await check(server, sidecars)
         finally:
             server.close()
 
-    asyncio.run(run_script())
+    asyncio.run(run_check())
 
 
 async def assert_all_have_list(server: WatchServer, sidecars: LightweightSidecars) -> None:
@@ -48,7 +48,7 @@
 
 
 def test_every_sidecar_receives_every_change_once() -> None:
-    async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
+    async def check(server: WatchServer, sidecars: LightweightSidecars) -> None:
         changed_entries = server.listing.pick_active(5)
         entries_before = sidecars.usage()["entries"]
         for state in ("leaving", "left"):
@@ -58,12 +58,12 @@
         assert sidecars.usage()["entries"] - entries_before == 2 * 5 * SIDECAR_COUNT
         assert sidecars.memory()["known"] == SIDECAR_COUNT * (KNOWN_COUNT - 5)
 
-    run_with_sidecars(script)
+    run_with_sidecars(check)
 
 
 @pytest.mark.parametrize(("keeps_revisions", "expects_full_list"), [(True, False), (False, True)])
 def test_reopened_watch_receives_the_missed_changes(keeps_revisions: bool, expects_full_list: bool) -> None:
-    async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
+    async def check(server: WatchServer, sidecars: LightweightSidecars) -> None:
         bytes_before, calls_before = server.bytes_sent, len(server.call_times_us)
         server.listing.change([server.listing.new_entry()])
         server.clear_cached_messages()
@@ -73,11 +73,11 @@
         assert (server.bytes_sent - bytes_before > SIDECAR_COUNT * 1000) == expects_full_list
         assert sidecars.memory()["known"] == SIDECAR_COUNT * (KNOWN_COUNT + 1)
 
-    run_with_sidecars(script, keeps_revisions)
+    run_with_sidecars(check, keeps_revisions)
 
 
 def test_discovery_restarted_without_revisions_sends_the_full_list() -> None:
-    async def script(server: WatchServer, sidecars: LightweightSidecars) -> None:
+    async def check(server: WatchServer, sidecars: LightweightSidecars) -> None:
         server.close()
         await asyncio.sleep(0.2)
         server.listing.change(server.listing.pick_active(1), "left")
@@ -86,13 +86,13 @@
         await assert_all_have_list(server, sidecars)
         assert sidecars.memory()["known"] == SIDECAR_COUNT * (KNOWN_COUNT - 1)
 
-    run_with_sidecars(script)
+    run_with_sidecars(check)
 
 
-def test_needs_stay_within_the_limits_of_tests() -> None:
+def test_required_resources_stay_within_limits() -> None:
     for scale in Scale:
-        needs = endpoint_list.needs(scale)
-        assert needs.processes <= 8 and needs.bytes < 4e9
+        required_resources = endpoint_list.required_resources(scale)
+        assert required_resources.processes <= 8 and required_resources.bytes < 4e9
 
 
 def test_all_steps_of_list_processing_are_timed() -> None:
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -91,18 +91,20 @@
         (ResourceRequirements(1, GB, sockets=1000), MachineResources(24 * GB, 15 * GB, 1024), "1000 sockets"),
     ],
 )
-def test_needs_beyond_the_machine_are_rejected(
+def test_requirements_beyond_the_machine_are_rejected(
     needs: ResourceRequirements, machine: MachineResources, reason: str
 ) -> None:
     with pytest.raises(InsufficientResourcesError, match=reason):
         check_requirements(needs, machine)
 
 
-def test_needs_within_the_machine_are_accepted() -> None:
+def test_requirements_within_the_machine_are_accepted() -> None:
     check_requirements(ResourceRequirements(8, 10 * GB, sockets=400), MachineResources(24 * GB, 15 * GB, 1024))
 
 
-def test_experiment_with_excessive_needs_exits_as_misuse(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_experiment_with_excessive_requirements_exits_with_status_2(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
     def measure(*_: object) -> NoReturn:
         raise InsufficientResourcesError("9 processes asked for, at most 8 may be")
 
@@ -115,8 +117,8 @@
     before = own_usage()
     allocated = bytes(range(256)) * 200_000
     total = sum(allocated)
-    after, by_pid = own_usage(), usage(os.getpid())
+    after, usage_by_pid = own_usage(), usage(os.getpid())
     assert total and after.cpu_s_since(before) > 0.0
     assert after.resident_bytes - before.resident_bytes > 40_000_000
-    assert abs(by_pid.cpu_s - after.cpu_s) < 0.5
-    assert 0.5 < by_pid.resident_bytes / after.resident_bytes < 2.0
+    assert abs(usage_by_pid.cpu_s - after.cpu_s) < 0.5
+    assert 0.5 < usage_by_pid.resident_bytes / after.resident_bytes < 2.0
