--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -84,15 +84,16 @@
     """An API server on one address. After a change of the store, the caller must call `on_change`."""
 
     def __init__(
-        self, store: Store, token: str = "", on_written: OnWritten | None = None, bookmark_s: float = 1.0
+        self, store: Store, token: str = "", on_written: OnWritten | None = None, bookmark_interval_s: float = 1.0
     ) -> None:
         """Prepare to serve `store`; `listen` opens the socket.
 
-        Clients must send `token` unless it is empty. A watch gets a bookmark after `bookmark_s` without a change.
+        Clients must send `token` unless it is empty. A watch receives a bookmark after `bookmark_interval_s` without a
+        change.
         """
         self.store = store
         self.token = token
-        self.bookmark_s = bookmark_s
+        self.bookmark_interval_s = bookmark_interval_s
         self.faults = ApiServerFaults()
         self.request_targets: list[str] = []  # targets of the requests received
         self._on_written = on_written or (lambda writer, objects, is_full_list: None)
@@ -148,7 +149,7 @@
         target = target_and_version.split(" ")[0]
         self.request_targets.append(target)
         while self.faults.silent:
-            await self._wait_for_change(self.bookmark_s)
+            await self._wait_for_change(self.bookmark_interval_s)
         try:
             self._check_request(method, headers)
             await self._get(target, writer)
@@ -220,7 +221,7 @@
         await self._write(writer, b"0\r\n\r\n")
 
     async def _stream_events(self, watch: Watch) -> None:
-        """Write events as they happen, and a bookmark after `bookmark_s` without a change."""
+        """Write events as they happen, and a bookmark after `bookmark_interval_s` without a change."""
         while system.monotonic() < watch.end_s and not watch.writer.is_closing():
             change = self._change  # read before the writes below, so that no change during them is missed
             if not self.faults.silent:
@@ -229,7 +230,7 @@
                 except ExpiredError as error:
                     await self._write_event(watch, EventType.ERROR, error.status)
                     return
-            timeout_s = max(0.0, min(self.bookmark_s, watch.end_s - system.monotonic()))
+            timeout_s = max(0.0, min(self.bookmark_interval_s, watch.end_s - system.monotonic()))
             try:
                 async with asyncio.timeout(timeout_s):
                     await change.wait()
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -22,10 +22,10 @@
 from ryepier.emulator.timeline import TargetKind, Timeline
 from ryepier.emulator.world import SIMULATION_ONLY_FAULTS, World
 
-PYTHON = (sys.executable, "-B", "-m")
-SIDECAR = (*PYTHON, "ryepier.sidecar")
-FORWARDER = (*PYTHON, "ryepier", "run")
-PLANNER = (*PYTHON, "ryepier", "planner")
+PYTHON_COMMAND = (sys.executable, "-B", "-m")
+SIDECAR_COMMAND = (*PYTHON_COMMAND, "ryepier.sidecar")
+FORWARDER_COMMAND = (*PYTHON_COMMAND, "ryepier", "run")
+PLANNER_COMMAND = (*PYTHON_COMMAND, "ryepier", "planner")
 ROLE_MODULE = "ryepier.emulator.role"
 SETTINGS_FILE = "operators.toml"  # the settings that the sidecars share
 MAX_SIDECARS = 200
@@ -52,8 +52,8 @@
     # another program starts the sidecars
     sidecar_command: Sequence[str] | None = None
     sidecar_overrides: Mapping[int, Sequence[str]] = field(default_factory=dict)  # commands of single sidecars
-    planner_command: Sequence[str] = PLANNER
-    planner_restart: Sequence[str] = PLANNER  # restarts a planner that was killed
+    planner_command: Sequence[str] = PLANNER_COMMAND
+    planner_restart_command: Sequence[str] = PLANNER_COMMAND  # restarts a planner that was killed
     clients: bool = True
     converters_and_discovery: bool = True
     targets: Sequence[Address] = ()  # addresses that clients send to instead of the world's sidecars
@@ -91,7 +91,9 @@
         self.clock = Clock()
         self.events: list[RecordedEvent] = []
         self.sidecars = self._make_sidecars()
-        self.planners = PlannerProcesses(self.plan, folder, self.roles.planner_command, self.roles.planner_restart)
+        self.planners = PlannerProcesses(
+            self.plan, folder, self.roles.planner_command, self.roles.planner_restart_command
+        )
         self._processes: list[RoleProcess] = []
         self._counts: dict[str, Counter[str]] = {}  # by process
 
@@ -99,7 +101,7 @@
         has_settings = files.has_settings_file(self.world)
         command = self.roles.sidecar_command
         if command is None:
-            command = FORWARDER if has_settings else SIDECAR
+            command = FORWARDER_COMMAND if has_settings else SIDECAR_COMMAND
         arguments = ("--config", str(self.folder / SETTINGS_FILE)) if has_settings else ()
         overrides = {index: (*override, *arguments) for index, override in self.roles.sidecar_overrides.items()}
         return SidecarProcesses(self.plan, (*command, *arguments) if command else (), overrides)
@@ -155,7 +157,7 @@
         records = self.folder / f"{role}-{index}.records"
         records.unlink(missing_ok=True)  # of an earlier run
         process = await asyncio.create_subprocess_exec(
-            *PYTHON,
+            *PYTHON_COMMAND,
             self.roles.role_module,
             str(path),
             str(records),
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -109,7 +109,7 @@
         self._max_by_second_us[second] = max(self._max_by_second_us[second], lateness_us)
         self._histogram.record_value(min(lateness_us, MAX_LATENESS_US))
 
-    async def tick(self) -> None:
+    async def measure_event_loop(self) -> None:
         """Measure the lateness of the event loop until cancelled."""
         while True:
             planned_us = self.clock.now_us() + int(LATENESS_TICK_S * 1e6)
--- a/ryepier/emulator/records.py
+++ b/ryepier/emulator/records.py
@@ -142,7 +142,7 @@
     """How late one process of the emulator carried out its schedule, in microseconds."""
 
     role: str
-    steps: int  # number of measurements
+    measurement_count: int
     median_us: int
     p999_us: int
     max_us: int
--- a/ryepier/emulator/role.py
+++ b/ryepier/emulator/role.py
@@ -50,7 +50,7 @@
         return  # the harness has ended
     clock.run_start_us = int(line)
     gc.freeze()  # a collection over the sampled arrivals would delay the process
-    lateness_task = asyncio.create_task(role.meter.tick())
+    lateness_task = asyncio.create_task(role.meter.measure_event_loop())
     records = await role.run()
     lateness_task.cancel()
     records.lateness = role.meter.result(records.role)
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -95,7 +95,7 @@
         self, roles: Sequence[Role], processes: Mapping[TargetKind, Sequence[SimulatedProcess]]
     ) -> list[RoleRecords]:
         """Carry out the schedule to the end of the run, and return the roles' records."""
-        lateness_tasks = [asyncio.create_task(role.meter.tick()) for role in roles]
+        lateness_tasks = [asyncio.create_task(role.meter.measure_event_loop()) for role in roles]
         schedule = asyncio.create_task(self._run_schedule(processes))
         records = await asyncio.gather(*(role.run() for role in roles))
         await schedule
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -173,7 +173,7 @@
     )
     if experiment.restarted_planner_fault:
         roles = dataclasses.replace(
-            roles, planner_restart=seeded_faults.command_with_fault(experiment.restarted_planner_fault)
+            roles, planner_restart_command=seeded_faults.command_with_fault(experiment.restarted_planner_fault)
         )
     if seeded_fault in seeded_faults.PLANNER_FAULTS:
         return dataclasses.replace(roles, planner_command=seeded_faults.command_with_fault(seeded_fault))
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -18,7 +18,7 @@
 import numpy as np
 
 from ryepier.emulator import draws
-from ryepier.emulator.harness import PLANNER
+from ryepier.emulator.harness import PLANNER_COMMAND
 from ryepier.emulator.loopback import find_network
 from ryepier.emulator.process import PLANNER_PORT
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
@@ -172,7 +172,7 @@
     config = trial.folder / f"planner-{fleet_size}.toml"
     config.write_text(f'[trust]\nfleet = {fleet_size}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
     with open(trial.folder / f"planner-{fleet_size}.log", "wb") as log:
-        process = subprocess.Popen([*PLANNER, "--config", str(config)], stdout=log, stderr=log, env=os.environ)
+        process = subprocess.Popen([*PLANNER_COMMAND, "--config", str(config)], stdout=log, stderr=log, env=os.environ)
     try:
         return asyncio.run(_measure_planner(process, address, fleet_size, trial))
     finally:
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -28,7 +28,7 @@
 
 from ryepier.emulator import draws, files
 from ryepier.emulator.errors import HarnessError
-from ryepier.emulator.harness import SIDECAR
+from ryepier.emulator.harness import SIDECAR_COMMAND
 from ryepier.emulator.loopback import find_network
 from ryepier.emulator.process import CONVERTER_PORT, DISCOVERY_PORT, SIDECAR_PORT
 from ryepier.emulator.world import Effect, World
@@ -261,7 +261,7 @@
     sidecars = []
     for known_count in PROFILED_KNOWN_COUNTS:
         profile_path = trial.folder / f"profile-{known_count}"
-        module = seeded_faults.command_with_fault(seeded_fault)[2:] if seeded_fault else list(SIDECAR[2:])
+        module = seeded_faults.command_with_fault(seeded_fault)[2:] if seeded_fault else list(SIDECAR_COMMAND[2:])
         command = [sys.executable, "-B", "-m", "cProfile", "-o", str(profile_path), *module]
         sidecars.append(await stack.enter_async_context(trial.start_sidecar(known_count, command)))
     await asyncio.gather(
@@ -300,7 +300,7 @@
             lightweight.start_process("ryepier.experiments.scale.lightweight_converters", [encoded])
         )
         await converters_process.read()
-        command = seeded_faults.command_with_fault(seeded_fault) if seeded_fault else SIDECAR
+        command = seeded_faults.command_with_fault(seeded_fault) if seeded_fault else SIDECAR_COMMAND
         figures: dict[str, float] = {}
         gc.collect()
         gc.freeze()  # a full garbage collection of this process would delay its calls
--- a/tests/api_server_testbed.py
+++ b/tests/api_server_testbed.py
@@ -56,7 +56,7 @@
 
     def __init__(self) -> None:
         self.store = Store()
-        self.api = ApiServer(self.store, bookmark_s=0.1)
+        self.api = ApiServer(self.store, bookmark_interval_s=0.1)
         self.port = 0
         self.events: list[UpstreamsUpdated] = []
         self.source: SliceSource | None = None
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -81,7 +81,7 @@
         clock = Clock()
         clock.run_start_us = monotonic_us()
         meter = LatenessMeter(clock)
-        lateness_task = asyncio.create_task(meter.tick())
+        lateness_task = asyncio.create_task(meter.measure_event_loop())
         await asyncio.sleep(0)
         time.sleep(0.3)
         await asyncio.sleep(0.05)
--- a/tests/test_emulator_formats.py
+++ b/tests/test_emulator_formats.py
@@ -79,7 +79,13 @@
     events=[RecordedEvent(at_us=4, text="sidecar 1: kill")],
     overload_crashes=[(5, "c-0002")],
     lateness=Lateness(
-        role="clients 0", steps=1, median_us=2, p999_us=3, max_us=4, max_by_second_us=[5, 6], stalls=[(7, 8)]
+        role="clients 0",
+        measurement_count=1,
+        median_us=2,
+        p999_us=3,
+        max_us=4,
+        max_by_second_us=[5, 6],
+        stalls=[(7, 8)],
     ),
 )
 INCARNATION = Incarnation(
