--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -26,7 +26,7 @@
 
 DEMO = Experiment(
     name="demo",
-    question="a release, a hang and a surge, one after another",
+    description="a release, a hang and a surge, one after another",
     world=_world,
     claims=_claims,
     seeded_faults=(),
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -37,14 +37,14 @@
     """List the experiments, with the seeded faults that each can be run with."""
     if as_json:
         entries = [
-            {"name": listed.name, "about": listed.question, "plants": list(listed.seeded_faults)}
+            {"name": listed.name, "about": listed.description, "plants": list(listed.seeded_faults)}
             for listed in ALL_EXPERIMENTS.values()
         ]
         print(json.dumps(entries))
         return
     for listed in ALL_EXPERIMENTS.values():
         faults = f" (seeded faults: {', '.join(listed.seeded_faults)})" if listed.seeded_faults else ""
-        print(f"{listed.name:16} {listed.question}{faults}")
+        print(f"{listed.name:16} {listed.description}{faults}")
 
 
 @experiment.command()
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -101,7 +101,7 @@
     """A world, and the claims that are checked on a run of it."""
 
     name: str
-    question: str  # one line on what happens in the world
+    description: str  # one line on what happens in the world
     world: Callable[[Scale], World]
     claims: Callable[[Run], list[Claim]]
     seeded_faults: Sequence[str]  # names of faults, each of which makes at least one claim fail
@@ -128,6 +128,6 @@
     """A measurement of a single component, without a world and its recorded history."""
 
     name: str
-    question: str
+    description: str
     measure: Callable[[TrialConfig], Measurement]
     seeded_faults: Sequence[str]
--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -123,7 +123,7 @@
 
 EXPERIMENT = Experiment(
     name="breaking-point",
-    question="load raised until one sidecar's core is not enough",
+    description="load raised until one sidecar's core is not enough",
     world=_world,
     claims=_claims,
     seeded_faults=("spin",),
--- a/ryepier/experiments/faults/ceiling.py
+++ b/ryepier/experiments/faults/ceiling.py
@@ -36,7 +36,7 @@
 
 EXPERIMENT = Experiment(
     name="ceiling",
-    question="what the emulator offers and serves by itself, on four cores",
+    description="what the emulator offers and serves by itself, on four cores",
     world=_world,
     claims=_claims,
     seeded_faults=(),
--- a/ryepier/experiments/faults/hang.py
+++ b/ryepier/experiments/faults/hang.py
@@ -38,7 +38,7 @@
 
 EXPERIMENT = Experiment(
     name="hang",
-    question="a sixth of the converters takes requests and answers none",
+    description="a sixth of the converters takes requests and answers none",
     world=_world,
     claims=_claims,
     seeded_faults=("blind",),
--- a/ryepier/experiments/faults/release.py
+++ b/ryepier/experiments/faults/release.py
@@ -36,7 +36,7 @@
 
 EXPERIMENT = Experiment(
     name="release",
-    question="all converters are replaced in turn while watches break",
+    description="all converters are replaced in turn while watches break",
     world=_world,
     claims=_claims,
     seeded_faults=("deaf", "crowd"),
--- a/ryepier/experiments/faults/sidecar_kill.py
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -50,7 +50,7 @@
 
 EXPERIMENT = Experiment(
     name="sidecar-kill",
-    question="a sidecar is killed and started again",
+    description="a sidecar is killed and started again",
     world=_world,
     claims=_claims,
     seeded_faults=("late-start",),
--- a/ryepier/experiments/faults/steady.py
+++ b/ryepier/experiments/faults/steady.py
@@ -33,7 +33,7 @@
 
 EXPERIMENT = Experiment(
     name="steady",
-    question="a fleet in which nothing goes wrong",
+    description="a fleet in which nothing goes wrong",
     world=_world,
     claims=_claims,
     seeded_faults=("twice", "lose"),
--- a/ryepier/experiments/faults/surge.py
+++ b/ryepier/experiments/faults/surge.py
@@ -47,7 +47,7 @@
 
 EXPERIMENT = Experiment(
     name="surge",
-    question="2.3 times the traffic for 9.6 s, more than the fleet can do",
+    description="2.3 times the traffic for 9.6 s, more than the fleet can do",
     world=_world,
     claims=_claims,
     seeded_faults=("hold", "no-advice"),
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -83,7 +83,7 @@
 
 EXPERIMENT = Benchmark(
     name="graphql-cost",
-    question="CPU of a request: plain, GraphQL with known and with new documents",
+    description="CPU of a request: plain, GraphQL with known and with new documents",
     measure=measure,
     seeded_faults=("forgetful",),
 )
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -106,7 +106,7 @@
 
 EXPERIMENT = Experiment(
     name="graphql-resets",
-    question="mutations in many guises while converters reset what they have run",
+    description="mutations in many guises while converters reset what they have run",
     world=_world,
     claims=_claims,
     seeded_faults=("first-word",),
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -71,7 +71,7 @@
 
 EXPERIMENT = Experiment(
     name="load-spread-kill",
-    question="a third of 60 sidecars (full: 200) killed and started again at once",
+    description="a third of 60 sidecars (full: 200) killed and started again at once",
     world=fleets.with_kill,
     claims=_claims,
     seeded_faults=("same-seed",),
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -83,7 +83,7 @@
 
 EXPERIMENT = Experiment(
     name="load-spread-lists",
-    question="lists of two ages in the halves of a fleet while converters are replaced, "
+    description="lists of two ages in the halves of a fleet while converters are replaced, "
     "then a zone cut from the others",
     world=fleets.with_differing_lists,
     claims=_claims,
--- a/ryepier/experiments/load_spread/processes/steady.py
+++ b/ryepier/experiments/load_spread/processes/steady.py
@@ -43,7 +43,7 @@
 EXPERIMENTS = (
     Experiment(
         name="load-spread-processes",
-        question="60 sidecars (full: 200) that each see little of the load, at half of what the converters can do",
+        description="60 sidecars (full: 200) that each see little of the load, at half of what the converters can do",
         world=fleets.fleet,
         claims=_claims,
         seeded_faults=("same-order", "same-seed"),
@@ -51,7 +51,7 @@
     ),
     Experiment(
         name="load-spread-processes-light",
-        question="the same at a twentieth of what the converters can do",
+        description="the same at a twentieth of what the converters can do",
         world=fleets.lightly_loaded,
         claims=_claims,
         seeded_faults=("same-order",),
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -90,7 +90,7 @@
 
 EXPERIMENT = Benchmark(
     name="load-spread-return",
-    question="a fifth of the converters vanishes and comes back, cold and warm, in virtual time",
+    description="a fifth of the converters vanishes and comes back, cold and warm, in virtual time",
     measure=measure,
     seeded_faults=("forget-returned", "rush-returned"),
 )
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -85,7 +85,7 @@
 
 EXPERIMENT = Benchmark(
     name="load-spread",
-    question="hundreds of sidecars that each see little of the load, in virtual time",
+    description="hundreds of sidecars that each see little of the load, in virtual time",
     measure=measure,
     seeded_faults=(CONTROL, "same-order"),
 )
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -115,7 +115,7 @@
 EXPERIMENTS = (
     Experiment(
         name="planner-gain",
-        question="a sixth of the converters hangs, with planners and without",
+        description="a sixth of the converters hangs, with planners and without",
         world=_hang_world,
         claims=_hang_claims,
         seeded_faults=("trust-none",),
@@ -124,7 +124,7 @@
     ),
     Experiment(
         name="planner-slow",
-        question="a sixth of the converters is ten times as slow, with planners and without",
+        description="a sixth of the converters is ten times as slow, with planners and without",
         world=_slow_world,
         claims=_slow_claims,
         seeded_faults=("trust-none",),
--- a/ryepier/experiments/planners/failover.py
+++ b/ryepier/experiments/planners/failover.py
@@ -58,14 +58,14 @@
 EXPERIMENTS = (
     Experiment(
         name="planner-kill",
-        question="the planner that leads is killed in a surge of 2.3 times",
+        description="the planner that leads is killed in a surge of 2.3 times",
         world=_kill_world,
         claims=_kill_claims,
         seeded_faults=("lose",),
     ),
     Experiment(
         name="planner-hang",
-        question="the planner that leads stalls for 5 s with its connections open",
+        description="the planner that leads stalls for 5 s with its connections open",
         world=_hang_world,
         claims=_hang_claims,
         seeded_faults=("trust-none",),
--- a/ryepier/experiments/planners/false_reports.py
+++ b/ryepier/experiments/planners/false_reports.py
@@ -52,7 +52,7 @@
 
 EXPERIMENT = Experiment(
     name="planner-liar",
-    question="three forwarders tell planners tall tales of converters that are well",
+    description="three forwarders tell planners tall tales of converters that are well",
     world=_world,
     claims=_claims,
     seeded_faults=("credulous",),
--- a/ryepier/experiments/planners/loss.py
+++ b/ryepier/experiments/planners/loss.py
@@ -44,7 +44,7 @@
 
 EXPERIMENT = Experiment(
     name="planner-loss",
-    question="all planners away for 12 s (full: 60 s) while converters are released",
+    description="all planners away for 12 s (full: 60 s) while converters are released",
     world=worlds.loss,
     claims=_claims,
     seeded_faults=("deaf",),
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -176,7 +176,7 @@
 
 EXPERIMENT = Benchmark(
     name="planner-reconnect",
-    question="how forwarders' connections come back after a planner's death",
+    description="how forwarders' connections come back after a planner's death",
     measure=measure,
     seeded_faults=("herd",),
 )
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -86,7 +86,7 @@
 EXPERIMENTS = (
     Experiment(
         name="planner-empty",
-        question="planners come back with nothing in mind while converters hang",
+        description="planners come back with nothing in mind while converters hang",
         world=_empty_world,
         claims=_empty_claims,
         seeded_faults=("trust-any",),
@@ -94,7 +94,7 @@
     ),
     Experiment(
         name="planner-restart",
-        question="both planners die and come back with their snapshots while converters hang",
+        description="both planners die and come back with their snapshots while converters hang",
         world=_restart_world,
         claims=_restart_claims,
         seeded_faults=("trust-none",),
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -203,7 +203,7 @@
 
 EXPERIMENT = Benchmark(
     name="planner-scale",
-    question="a planner's CPU and bytes at 50, 200 and 1,000 simulated forwarders",
+    description="a planner's CPU and bytes at 50, 200 and 1,000 simulated forwarders",
     measure=measure,
     seeded_faults=(FULL_REPORTS_FAULT,),
 )
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -370,7 +370,7 @@
 
 EXPERIMENT = Benchmark(
     name="scale-call",
-    question="CPU and added time of a call through a sidecar that knows 30 to 1,600",
+    description="CPU and added time of a call through a sidecar that knows 30 to 1,600",
     measure=measure,
     seeded_faults=("scan",),
 )
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -378,7 +378,7 @@
 
 EXPERIMENT = Benchmark(
     name="scale-control",
-    question="one planner as up to 1,600 hollow forwarders report to it",
+    description="one planner as up to 1,600 hollow forwarders report to it",
     measure=measure,
     seeded_faults=(FULL_REPORTS, "recount"),
 )
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -143,7 +143,7 @@
 
 EXPERIMENT = Benchmark(
     name="scale-depth",
-    question="attempts at the last of up to 11 services that call each other, while it fails",
+    description="attempts at the last of up to 11 services that call each other, while it fails",
     measure=measure,
     seeded_faults=("no-budget",),
 )
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -417,7 +417,7 @@
 
 EXPERIMENT = Benchmark(
     name="scale-list",
-    question="the list in a sidecar and at discovery, up to 1,600 known converters",
+    description="the list in a sidecar and at discovery, up to 1,600 known converters",
     measure=measure,
     seeded_faults=("no-revisions",),
 )
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -244,7 +244,7 @@
 
 EXPERIMENT = Benchmark(
     name="scale-fail",
-    question="the loss of a rack, a zone, a region: the list's messages, CPU and time",
+    description="the loss of a rack, a zone, a region: the list's messages, CPU and time",
     measure=measure,
     seeded_faults=("deaf",),
 )
--- a/ryepier/experiments/simulation/agreement.py
+++ b/ryepier/experiments/simulation/agreement.py
@@ -60,7 +60,7 @@
 
 EXPERIMENT = Benchmark(
     name="sim-agreement",
-    question="five worlds on sockets and in simulation, figures beside each other",
+    description="five worlds on sockets and in simulation, figures beside each other",
     measure=measure,
     seeded_faults=("blind", "hold"),
 )
--- a/ryepier/experiments/simulation/speed.py
+++ b/ryepier/experiments/simulation/speed.py
@@ -59,7 +59,7 @@
 
 EXPERIMENT = Benchmark(
     name="sim-speed",
-    question="simulated seconds a second at 5, 50 and 500 sidecars (full: 3,000 too)",
+    description="simulated seconds a second at 5, 50 and 500 sidecars (full: 3,000 too)",
     measure=measure,
     seeded_faults=(),
 )
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -236,7 +236,7 @@
 
 EXPERIMENT = Benchmark(
     name="slices-churn",
-    question="time from a change to the module's event at 1,000 and 10,000 endpoints",
+    description="time from a change to the module's event at 1,000 and 10,000 endpoints",
     measure=measure,
     seeded_faults=("whole-list",),
 )
--- a/ryepier/experiments/slices/drain.py
+++ b/ryepier/experiments/slices/drain.py
@@ -46,7 +46,7 @@
 
 EXPERIMENT = Experiment(
     name="slices-drain",
-    question="204 converters are replaced; a third of the drains come with contradicting slices",
+    description="204 converters are replaced; a third of the drains come with contradicting slices",
     world=_world,
     claims=_claims,
     seeded_faults=("last-writer",),
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -76,7 +76,7 @@
 
 EXPERIMENT = Experiment(
     name="slices-outage",
-    question="the API server is away for 10 s and comes back compacted, converters going meanwhile",
+    description="the API server is away for 10 s and comes back compacted, converters going meanwhile",
     world=_world,
     claims=_claims,
     seeded_faults=("never-again",),
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -95,13 +95,13 @@
 
 def _make_experiment(
     name: str,
-    question: str,
+    description: str,
     world: Callable[[Scale], World],
     claims: Callable[[Run], list[Claim]] = _claims,
 ) -> Experiment:
     return Experiment(
         name=name,
-        question=question,
+        description=description,
         world=world,
         claims=claims,
         seeded_faults=("no-spread",),
--- a/ryepier/experiments/storms/one_sidecar.py
+++ b/ryepier/experiments/storms/one_sidecar.py
@@ -43,7 +43,7 @@
 
 EXPERIMENT = Experiment(
     name="retry-storm-one",
-    question="converters turn away for 5 s what comes by one of three sidecars",
+    description="converters turn away for 5 s what comes by one of three sidecars",
     world=worlds.rejections_for_one_sidecar,
     claims=_claims,
     seeded_faults=("no-spread",),
--- a/ryepier/experiments/storms/real_surge.py
+++ b/ryepier/experiments/storms/real_surge.py
@@ -35,7 +35,7 @@
 
 EXPERIMENT = Experiment(
     name="real-surge",
-    question="first tries in a surge are not damped as a storm",
+    description="first tries in a surge are not damped as a storm",
     world=_world,
     claims=_claims,
     seeded_faults=("jumpy",),
