--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -98,18 +98,18 @@
     out: Path | None,
 ) -> None:
     """Explore MODEL; exit with 1 if a rule is broken, with the shortest path to that."""
-    selected = select_model(model, converters, requests, depth)
+    selected_model = select_model(model, converters, requests, depth)
     install_fault = SEEDED_FAULTS[seeded_fault].install if seeded_fault else None
     try:
-        outcome = explore.explore(selected, processes, install_fault, checkpoint, max_s, print_progress)
+        outcome = explore.explore(selected_model, processes, install_fault, checkpoint, max_s, print_progress)
     except (OSError, msgspec.MsgspecError, ValueError) as error:
         fail("check", f"{checkpoint}: {error}", ExitCode.MISUSE)
-    _print_outcome(selected, outcome)
+    _print_outcome(selected_model, outcome)
     if outcome.violation is None:
         return
     if out is not None:
-        _save_path(out, selected, outcome, seeded_fault or "")
-    _print_chart(selected, outcome, install_fault)
+        _save_path(out, selected_model, outcome, seeded_fault or "")
+    _print_chart(selected_model, outcome, install_fault)
     sys.exit(ExitCode.FAILURE)
 
 
--- a/ryepier/commands/emulate.py
+++ b/ryepier/commands/emulate.py
@@ -33,7 +33,7 @@
         history = harness.run_world(world, seed, folder, roles)
     except (HarnessError, OSError) as error:
         fail("emulate", error, ExitCode.FAILURE)
-    executed = sum(attempt.started_us >= 0 for attempt in history.converter_attempts)
+    executed_count = sum(attempt.started_us >= 0 for attempt in history.converter_attempts)
     for line in format_events(history.events):
         print(line)
-    print(f"{len(history.converter_attempts)} attempts received, {executed} executed")
+    print(f"{len(history.converter_attempts)} attempts received, {executed_count} executed")
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -37,14 +37,20 @@
     """List the experiments, with the seeded faults that each can be run with."""
     if as_json:
         entries = [
-            {"name": listed.name, "about": listed.description, "plants": list(listed.seeded_faults)}
-            for listed in ALL_EXPERIMENTS.values()
+            {
+                "name": listed_experiment.name,
+                "about": listed_experiment.description,
+                "plants": list(listed_experiment.seeded_faults),
+            }
+            for listed_experiment in ALL_EXPERIMENTS.values()
         ]
         print(json.dumps(entries))
         return
-    for listed in ALL_EXPERIMENTS.values():
-        faults = f" (seeded faults: {', '.join(listed.seeded_faults)})" if listed.seeded_faults else ""
-        print(f"{listed.name:16} {listed.description}{faults}")
+    for listed_experiment in ALL_EXPERIMENTS.values():
+        faults = (
+            f" (seeded faults: {', '.join(listed_experiment.seeded_faults)})" if listed_experiment.seeded_faults else ""
+        )
+        print(f"{listed_experiment.name:16} {listed_experiment.description}{faults}")
 
 
 @experiment.command()
@@ -65,34 +71,40 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the claims as JSON.")
 def run(name: str, seed: int, scale: str, folder: Path | None, seeded_fault: str, backend: str, as_json: bool) -> None:
     """Run the experiment NAME and print a line per claim; exit with 1 if one does not hold."""
-    selected = ALL_EXPERIMENTS[name]
-    _check_seeded_fault(selected, seeded_fault)
+    selected_experiment = ALL_EXPERIMENTS[name]
+    _check_seeded_fault(selected_experiment, seeded_fault)
     folder = folder or Path("out") / f"{name}-{seed}{'-' + seeded_fault if seeded_fault else ''}"
     trial = contract.TrialConfig(seed, Scale(scale), folder, seeded_fault)
     try:
-        claims = _run(selected, trial, contract.Backend(backend))
+        claims = _run(selected_experiment, trial, contract.Backend(backend))
     except InsufficientResourcesError as error:
         fail("experiment", error, ExitCode.MISUSE)
     except (HarnessError, OSError) as error:
         fail("experiment", error, ExitCode.FAILURE)
-    if isinstance(selected, Experiment):
+    if isinstance(selected_experiment, Experiment):
         _write_report(folder)
     _print_claims(claims, as_json)
     exit_with_claims(claims)
 
 
-def _check_seeded_fault(selected: Experiment | Benchmark, seeded_fault: str) -> None:
-    if seeded_fault and seeded_fault not in selected.seeded_faults:
-        known = ", ".join(selected.seeded_faults) or "none"
-        raise click.BadParameter(f"unknown seeded fault; those of {selected.name}: {known}", param_hint="--plant")
+def _check_seeded_fault(selected_experiment: Experiment | Benchmark, seeded_fault: str) -> None:
+    if seeded_fault and seeded_fault not in selected_experiment.seeded_faults:
+        known = ", ".join(selected_experiment.seeded_faults) or "none"
+        raise click.BadParameter(
+            f"unknown seeded fault; those of {selected_experiment.name}: {known}", param_hint="--plant"
+        )
 
 
-def _run(selected: Experiment | Benchmark, trial: contract.TrialConfig, backend: contract.Backend) -> list[Claim]:
-    if isinstance(selected, Experiment):
-        return runner.run_experiment(selected, trial, backend=backend)
+def _run(
+    selected_experiment: Experiment | Benchmark, trial: contract.TrialConfig, backend: contract.Backend
+) -> list[Claim]:
+    if isinstance(selected_experiment, Experiment):
+        return runner.run_experiment(selected_experiment, trial, backend=backend)
     if backend is contract.Backend.SIM:
-        raise click.BadParameter(f"{selected.name} is a benchmark and can't be simulated", param_hint="--backend")
-    return runner.run_benchmark(selected, trial)
+        raise click.BadParameter(
+            f"{selected_experiment.name} is a benchmark and can't be simulated", param_hint="--backend"
+        )
+    return runner.run_benchmark(selected_experiment, trial)
 
 
 def _write_report(folder: Path) -> None:
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -80,9 +80,9 @@
     world = make_load_world(path, rate, seconds)
     history = run_load(world, address, seed)
     summary = figures.summary(world, history, figures.group_operations(world, history.client_attempts))
-    known = {name: value for name, value in summary.items() if name not in UNKNOWN_FIGURES}
+    known_figures = {name: value for name, value in summary.items() if name not in UNKNOWN_FIGURES}
     if as_json:
-        print(json.dumps(known))
+        print(json.dumps(known_figures))
         return
-    for name, value in known.items():
+    for name, value in known_figures.items():
         print(f"{name:28} {value:.4g}")
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -108,7 +108,7 @@
 
     async def submit(client: RegionClient) -> str:
         now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
-        submitted = {  # `fields` holds the other options, which are named like the fields of a request
+        request_fields = {  # `fields` holds the other options, which are named like the fields of a request
             **fields,
             "region": region,
             "duration_ms": round(duration_s * MS_PER_S),
@@ -117,10 +117,10 @@
             "priority": Priority[priority.upper()],
         }
         try:
-            checked = msgspec.convert(submitted, Request)
+            validated_request = msgspec.convert(request_fields, Request)
         except msgspec.ValidationError as error:
             fail(COMMAND, error, ExitCode.MISUSE)
-        return await _commit(client, SubmitRequest(checked), "accepted")
+        return await _commit(client, SubmitRequest(validated_request), "accepted")
 
     print(_call(path, region, submit))
 
--- a/ryepier/commands/plan.py
+++ b/ryepier/commands/plan.py
@@ -39,7 +39,7 @@
     raise ProtocolError("the planner closed the connection before it sent a plan")
 
 
-def fetch_or_exit(text: str) -> Plan:
+def fetch_plan_or_exit(text: str) -> Plan:
     """Return the current plan of the planner at `host:port`; exit with 1 if it sends none."""
     try:
         address = parse_address(text)
@@ -54,7 +54,7 @@
         fail("plan", f"{text}: {error}", ExitCode.FAILURE)
 
 
-def read_or_exit(path: Path) -> Plan:
+def read_plan_or_exit(path: Path) -> Plan:
     """Return a plan that `show --json` wrote; exit with 2 if the file holds none."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Plan)
@@ -91,12 +91,12 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the plan as JSON, for programs and for `diff`.")
 def show(planner: str, as_json: bool) -> None:
     """Print the current plan of a planner."""
-    current = fetch_or_exit(planner)
+    current_plan = fetch_plan_or_exit(planner)
     if as_json:
-        print(json.dumps(msgspec.to_builtins(current)))
+        print(json.dumps(msgspec.to_builtins(current_plan)))
         return
-    print(describe_plan(current))
-    for uid, advice in sorted(current.entries.items()):
+    print(describe_plan(current_plan))
+    for uid, advice in sorted(current_plan.entries.items()):
         print(f"{uid:24} {describe(advice)}")
 
 
@@ -105,8 +105,8 @@
 @click.argument("new", type=click.Path(path_type=Path))
 def diff(old: Path, new: Path) -> None:
     """Print the differences of two plans that `show --json` wrote."""
-    before = read_or_exit(old)
-    after = read_or_exit(new)
+    before = read_plan_or_exit(old)
+    after = read_plan_or_exit(new)
     print(f"- {describe_plan(before)}\n+ {describe_plan(after)}")
     default_advice = ConverterAdvice()
     for uid in sorted(before.entries.keys() | after.entries.keys()):
@@ -121,7 +121,7 @@
 @click.argument("planner", metavar="HOST:PORT")
 def explain(converter: str, planner: str) -> None:
     """Print why a converter has its weight."""
-    current = fetch_or_exit(planner)
-    print(describe_plan(current))
-    advice = current.entries.get(converter)
+    current_plan = fetch_plan_or_exit(planner)
+    print(describe_plan(current_plan))
+    advice = current_plan.entries.get(converter)
     print(f"{converter}: {describe(advice) if advice is not None else 'not in the plan, so its weight is the default'}")
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -91,13 +91,13 @@
         print(f"{path}: world {number + 1}: {result.finding.first_violation}", flush=True)
     elapsed_s = time.monotonic() - started_s
     (out / "coverage.json").write_text(json.dumps(coverage.as_lists()))
-    print_table(coverage)
-    rate = seeds * random_worlds.DURATION_S / elapsed_s
-    print(f"{seeds} worlds, {finding_count} that broke a rule, {rate:.0f} simulated seconds a second")
+    print_coverage(coverage)
+    simulated_s_per_s = seeds * random_worlds.DURATION_S / elapsed_s
+    print(f"{seeds} worlds, {finding_count} that broke a rule, {simulated_s_per_s:.0f} simulated seconds a second")
     sys.exit(ExitCode.FAILURE if finding_count else ExitCode.SUCCESS)
 
 
-def print_table(coverage: Coverage) -> None:
+def print_coverage(coverage: Coverage) -> None:
     """Print how often each fault affected a request in each state, and what the states mean."""
     rows = coverage.rows()
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
@@ -115,8 +115,8 @@
     """Run a finding again, and print what happened to the request of its first violation."""
     finding = read_finding(path)
     search.install_fault(finding.seeded_fault)
-    replayed = search.run_world(finding.world, finding.seed, finding.seeded_fault)
-    replayed_finding = replayed.finding
+    replay_result = search.run_world(finding.world, finding.seed, finding.seeded_fault)
+    replayed_finding = replay_result.finding
     if replayed_finding is None:
         print("no rule is broken any more")
         return
@@ -126,8 +126,8 @@
     )
     print(f"trace {replayed_finding.history_hash}: {comparison}")
     request_id = search.first_request_id(replayed_finding.first_violation)
-    if replayed.history is not None and request_id is not None:
-        print("\n".join(request_events(replayed.history, request_id)))
+    if replay_result.history is not None and request_id is not None:
+        print("\n".join(request_events(replay_result.history, request_id)))
     sys.exit(ExitCode.FAILURE)
 
 
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -101,17 +101,21 @@
 
 def wasted_work_share(history: History) -> float:
     """Return the share of the converters' work that was spent on requests whose client got no served answer."""
-    served = {attempt.request_id for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
-    executed = [attempt for attempt in history.converter_attempts if attempt.started_us != NEVER]
-    total_us = sum(attempt.work_us for attempt in executed)
-    wasted_us = sum(attempt.work_us for attempt in executed if attempt.request_id not in served)
+    served_ids = {attempt.request_id for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
+    executed_attempts = [attempt for attempt in history.converter_attempts if attempt.started_us != NEVER]
+    total_us = sum(attempt.work_us for attempt in executed_attempts)
+    wasted_us = sum(attempt.work_us for attempt in executed_attempts if attempt.request_id not in served_ids)
     return wasted_us / total_us if total_us else 0.0
 
 
 def retry_after_share(client_attempts: Iterable[ClientAttempt]) -> float:
     """Return the share of rejections that carry a Retry-After; 1 if there were no rejections."""
-    rejected = [attempt for attempt in client_attempts if attempt.outcome is RequestOutcome.REFUSED]
-    return sum(attempt.retry_after_us > 0 for attempt in rejected) / len(rejected) if rejected else 1.0
+    rejected_attempts = [attempt for attempt in client_attempts if attempt.outcome is RequestOutcome.REFUSED]
+    return (
+        sum(attempt.retry_after_us > 0 for attempt in rejected_attempts) / len(rejected_attempts)
+        if rejected_attempts
+        else 1.0
+    )
 
 
 def cpu_used_us(incarnation: Incarnation, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
@@ -130,8 +134,8 @@
     if len(samples) < 2:
         return None
     (begin_us, cpu_before_us), (end_us, cpu_after_us) = samples[0], samples[-1]
-    requests = sum(begin_us <= attempt.sent_us < end_us for attempt in history.client_attempts)
-    return (cpu_after_us - cpu_before_us) / max(1, requests)
+    request_count = sum(begin_us <= attempt.sent_us < end_us for attempt in history.client_attempts)
+    return (cpu_after_us - cpu_before_us) / max(1, request_count)
 
 
 def max_resident_mib(incarnations: Iterable[Incarnation]) -> float:
@@ -141,8 +145,10 @@
 
 def count_attempts(attempts: Iterable[ConverterAttempt], uids: set[str], begin_s: float, end_s: float) -> AttemptCounts:
     """Count the attempts received between two times of the run, at the converters with these uids and in total."""
-    received_by = [attempt.uid for attempt in attempts if begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S]
-    return AttemptCounts(sum(uid in uids for uid in received_by), len(received_by))
+    receiving_uids = [
+        attempt.uid for attempt in attempts if begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S
+    ]
+    return AttemptCounts(sum(uid in uids for uid in receiving_uids), len(receiving_uids))
 
 
 def summary(world: World, history: History, operations: list[Operation]) -> dict[str, float]:
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -25,8 +25,8 @@
 from ryepier.emulator.world import DeduplicationScope, Effect, RequestClass, World
 
 TIME_LIMIT_SLACK_US = 50_000  # tolerance added to every time limit, for delays of real sockets
-MIN_CLOCK_SKEW_US = 20_000  # minimum tolerance when the records of two processes are compared
-SKEW_PER_LATENESS = 2  # as both of the compared processes may have been late
+MIN_TOLERANCE_US = 20_000  # minimum tolerance when the records of two processes are compared
+TOLERANCE_PER_LATENESS = 2  # as both of the compared processes may have been late
 US_PER_MS = 1000
 WITHDRAWN_STATES = frozenset(("leaving", "left"))  # list states of converters that get no new requests
 
@@ -91,9 +91,9 @@
         for incarnation in history.incarnations:
             self.incarnations[incarnation.sidecar].append(incarnation)
         worst_lateness_us = max((lateness.p999_us for lateness in history.lateness), default=0)
-        self.skew_us = max(MIN_CLOCK_SKEW_US, SKEW_PER_LATENESS * worst_lateness_us)
+        self.tolerance_us = max(MIN_TOLERANCE_US, TOLERANCE_PER_LATENESS * worst_lateness_us)
         # the zones of pods do not depend on the seed, so any seed will do
-        self.zones = {machine.pod: machine.group.zone for machine in draws.machines(world, 0)}
+        self.zone_by_pod = {machine.pod: machine.group.zone for machine in draws.machines(world, 0)}
         self.breaches: list[Breach] = []
 
     def check_all(self) -> list[Breach]:
@@ -162,27 +162,24 @@
         )
         text = f"{request.request_id} by sidecar {request.sidecar}"
         if request.outcome is RequestOutcome.TIMEOUT or is_late:
-            rule = "held-up" if self._was_suspended(request) else "unanswered"
+            rule = "held-up" if self._lacked_cpu(request) else "unanswered"
             self._add_breach(rule, due_us, text)
         elif request.outcome is RequestOutcome.BROKEN and not (
             request.may_be_unread and request.request_id not in self.attempts
         ):
             self._add_breach("broken", request.ended_us, text)
 
-    def _was_suspended(self, request: ClientAttempt) -> bool:
+    def _lacked_cpu(self, request: ClientAttempt) -> bool:
         """Return whether the client's or the sidecar's process got no CPU for a time before the deadline."""
         client_role = f"clients {request.arrival % self.world.harness.client_processes}"
-        suspensions = [
-            suspension
-            for lateness in self.history.lateness
-            if lateness.role == client_role
-            for suspension in lateness.stalls
+        periods_without_cpu = [
+            period for lateness in self.history.lateness if lateness.role == client_role for period in lateness.stalls
         ]
-        suspensions += [
-            suspension for incarnation in self.incarnations[request.sidecar] for suspension in incarnation.cpu_waits
+        periods_without_cpu += [
+            period for incarnation in self.incarnations[request.sidecar] for period in incarnation.cpu_waits
         ]
         due_us = self._due_us(request) + TIME_LIMIT_SLACK_US
-        return any(begun_us < due_us and ended_us > request.sent_us for begun_us, ended_us in suspensions)
+        return any(begun_us < due_us and ended_us > request.sent_us for begun_us, ended_us in periods_without_cpu)
 
     def _was_answered_by_converter(self, request: ClientAttempt) -> bool:
         return request.response_request_id == request.request_id and any(
@@ -221,7 +218,7 @@
         attempts = self.attempts.get(request.request_id, [])
         for number, later in enumerate(attempts):
             for earlier in attempts[:number]:
-                if earlier.ended_us == NEVER or later.received_us < earlier.ended_us - self.skew_us:
+                if earlier.ended_us == NEVER or later.received_us < earlier.ended_us - self.tolerance_us:
                     self._add_breach(
                         "together", later.received_us, f"{request.request_id}: {earlier.uid} and {later.uid}"
                     )
@@ -240,7 +237,10 @@
             return False
         if request_class.scope is DeduplicationScope.CELL:
             return earlier.pod == later.pod
-        return request_class.scope is DeduplicationScope.ALL or self.zones[earlier.pod] == self.zones[later.pod]
+        return (
+            request_class.scope is DeduplicationScope.ALL
+            or self.zone_by_pod[earlier.pod] == self.zone_by_pod[later.pod]
+        )
 
     def _check_invented_requests(self) -> None:
         for request_id, attempts in self.attempts.items():
--- a/ryepier/experiments/core/machine.py
+++ b/ryepier/experiments/core/machine.py
@@ -36,7 +36,7 @@
 
     total_bytes: int
     available_bytes: int
-    sockets: int  # limit of open file descriptors per process
+    max_open_files: int  # limit of open file descriptors per process
 
     @property
     def usable_bytes(self) -> int:
@@ -44,13 +44,13 @@
         return int(self.total_bytes * MAX_MEMORY_SHARE)
 
 
-def read_machine(meminfo: str, sockets: int) -> MachineResources:
+def read_machine(meminfo: str, max_open_files: int) -> MachineResources:
     """Return a machine's resources from the text of /proc/meminfo. Raises KeyError if a line is missing."""
     fields = dict(line.split(":", 1) for line in meminfo.splitlines() if ":" in line)
     total_bytes, available_bytes = (
         int(fields[name].split()[0]) * BYTES_PER_KIB for name in ("MemTotal", "MemAvailable")
     )
-    return MachineResources(total_bytes, available_bytes, sockets)
+    return MachineResources(total_bytes, available_bytes, max_open_files)
 
 
 def this_machine() -> MachineResources:
@@ -73,7 +73,7 @@
         raise InsufficientResourcesError(
             f"{requirements.bytes / GB:.1f} GB required, only {machine.available_bytes / GB:.1f} GB are free"
         )
-    if requirements.sockets + SPARE_SOCKETS > machine.sockets:
+    if requirements.sockets + SPARE_SOCKETS > machine.max_open_files:
         raise InsufficientResourcesError(
-            f"{requirements.sockets} sockets required in one process, whose limit is {machine.sockets} open files"
+            f"{requirements.sockets} sockets required in one process, which may open {machine.max_open_files} files"
         )
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -149,15 +149,21 @@
 def _plot_outcomes(run: _SavedRun) -> str:
     figure, axes = _make_axes(run.world)
     edges_s = _window_edges(run.world)
-    due_us = [operation.first.planned_us for operation in run.operations]
-    on_time_us = [
+    planned_us = [operation.first.planned_us for operation in run.operations]
+    on_time_planned_us = [
         operation.first.planned_us for operation in run.operations if operation.earned_weight >= operation.weight > 0
     ]
-    begins_s = edges_s[:-1]
-    axes.plot(begins_s, _rate_per_s(due_us, edges_s), color="black", linewidth=LINE_WIDTH_PT, label="first attempts")
+    window_starts_s = edges_s[:-1]
     axes.plot(
-        begins_s,
-        _rate_per_s(on_time_us, edges_s),
+        window_starts_s,
+        _rate_per_s(planned_us, edges_s),
+        color="black",
+        linewidth=LINE_WIDTH_PT,
+        label="first attempts",
+    )
+    axes.plot(
+        window_starts_s,
+        _rate_per_s(on_time_planned_us, edges_s),
         color="tab:green",
         linewidth=LINE_WIDTH_PT,
         label="served within the latency objective",
@@ -165,7 +171,7 @@
     for outcome in PLOTTED_OUTCOMES:
         times_us = [attempt.ended_us for attempt in run.history.client_attempts if attempt.outcome == outcome]
         if times_us:
-            axes.plot(begins_s, _rate_per_s(times_us, edges_s), linewidth=LINE_WIDTH_PT, label=outcome)
+            axes.plot(window_starts_s, _rate_per_s(times_us, edges_s), linewidth=LINE_WIDTH_PT, label=outcome)
     axes.set_ylabel("per second")
     axes.legend(fontsize=SMALL_FONT_PT, ncols=4)
     return _to_svg(figure)
@@ -173,14 +179,14 @@
 
 def _plot_latencies(run: _SavedRun) -> str:
     figure, axes = _make_axes(run.world)
-    begins_s = _window_edges(run.world)[:-1]
+    window_starts_s = _window_edges(run.world)[:-1]
     operations_by_window: dict[int, list[figures.Operation]] = defaultdict(list)
     for operation in run.operations:
         operations_by_window[int(operation.first.planned_us / US_PER_S / WINDOW_S)].append(operation)
-    histograms = [figures.latency_histogram(operations_by_window[window]) for window in range(len(begins_s))]
+    histograms = [figures.latency_histogram(operations_by_window[window]) for window in range(len(window_starts_s))]
     for label, percentile in LATENCY_CURVES:
         latencies_ms = [histogram.get_value_at_percentile(percentile) / US_PER_MS for histogram in histograms]
-        axes.plot(begins_s, latencies_ms, linewidth=LINE_WIDTH_PT, label=label)
+        axes.plot(window_starts_s, latencies_ms, linewidth=LINE_WIDTH_PT, label=label)
     axes.set_ylabel("ms")
     axes.set_yscale("symlog", linthresh=1.0)
     axes.legend(fontsize=SMALL_FONT_PT)
--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -110,14 +110,14 @@
 
 def _claims(run: Run) -> list[Claim]:
     point = find_breaking_point(run)
-    late_answers = sum(
+    timeliness_breach_count = sum(
         breach.at_us < point.end_s * US_PER_S for breach in run.breaches if breach.rule in TIMELINESS_RULES
     )
     cpu_us = cpu_us_per_request(run, point.end_s)
     return [
         Claim("requests a second for one sidecar core", point.offered_per_s, ">=", MIN_REQUESTS_PER_S),
         Claim("CPU a request up to there (us)", cpu_us, "<=", MAX_CPU_US_PER_REQUEST),
-        Claim("breaches of answers in time before it", late_answers, "==", 0),
+        Claim("breaches of answers in time before it", timeliness_breach_count, "==", 0),
     ]
 
 
--- a/ryepier/experiments/faults/ceiling.py
+++ b/ryepier/experiments/faults/ceiling.py
@@ -22,8 +22,8 @@
 
 
 def _served_per_s(run: Run) -> float:
-    served = sum(attempt.outcome is RequestOutcome.SERVED for attempt in run.history.client_attempts)
-    return served / run.world.duration_s
+    served_count = sum(attempt.outcome is RequestOutcome.SERVED for attempt in run.history.client_attempts)
+    return served_count / run.world.duration_s
 
 
 def _figures(run: Run) -> Mapping[str, float]:
--- a/ryepier/experiments/faults/release.py
+++ b/ryepier/experiments/faults/release.py
@@ -25,10 +25,15 @@
     release = fault_of_kind(run.world, FaultKind.RELEASE)
     started_uids = phases.started_uids(run)
     used_uids = {attempt.uid for attempt in run.history.converter_attempts} & started_uids
-    drain_notices = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
+    drain_notice_count = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
     service = figures.service_level(run.operations, phases.during(release))
     return [
-        Claim("drains told of", drain_notices, ">=", len(started_uids) * run.world.sidecars.count * MIN_NOTIFIED_SHARE),
+        Claim(
+            "drains told of",
+            drain_notice_count,
+            ">=",
+            len(started_uids) * run.world.sidecars.count * MIN_NOTIFIED_SHARE,
+        ),
         Claim("share of fresh converters in use", len(used_uids) / max(1, len(started_uids)), ">=", 1.0),
         Claim("service during the release", service, ">=", MIN_SERVICE),
     ]
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -24,14 +24,14 @@
 
 DUPLICATION_INTERVAL = 40  # one in this many attempts is also sent to a second converter
 LOSS_INTERVAL = 150  # one in this many answers is never written
-SPIN_US = 400  # wasted CPU time per request, more than the usual CPU time per request
+WASTED_CPU_US = 400  # wasted CPU time per request, more than the usual CPU time per request
 START_DELAY_S = 5.0
 
 
 def send_twice() -> None:
     """Send one in `DUPLICATION_INTERVAL` attempts to two converters at once."""
     original_start = ConnectionPool.start_attempt
-    count = 0
+    attempt_count = 0
 
     def start_twice(
         self: ConnectionPool,
@@ -42,10 +42,10 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_at_us: int = 0,
     ) -> UpstreamAttempt:
-        nonlocal count
-        count += 1
+        nonlocal attempt_count
+        attempt_count += 1
         other_upstreams = [upstream_id for upstream_id in self.connections if upstream_id != upstream]
-        if count % DUPLICATION_INTERVAL == 0 and other_upstreams:
+        if attempt_count % DUPLICATION_INTERVAL == 0 and other_upstreams:
             other_address = next(iter(self.connections[other_upstreams[0]])).sock.getpeername()
             original_start(self, other_upstreams[0], other_address, request, timeout_us, lambda result: None)
         return original_start(self, upstream, address, request, timeout_us, on_end, latest_write_at_us)
@@ -61,24 +61,24 @@
 def lose_answers() -> None:
     """Never write one in `LOSS_INTERVAL` answers to the client."""
     original_answer = RequestDispatcher._answer
-    count = 0
+    answer_count = 0
 
     def answer_with_losses(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
-        nonlocal count
-        count += 1
+        nonlocal answer_count
+        answer_count += 1
         request = self.requests.get(ident)
-        if count % LOSS_INTERVAL == 0 and request is not None:
-            request.reply = lambda final: None
+        if answer_count % LOSS_INTERVAL == 0 and request is not None:
+            request.reply = lambda final_answer: None
         original_answer(self, ident, answer)
 
     RequestDispatcher._answer = answer_with_losses  # type: ignore[method-assign]
 
 
-def ignore_silence() -> None:
+def ignore_timeouts() -> None:
     """Ignore timeouts and overdue attempts in the estimates of a converter's health."""
     original_adapt = AttemptFeedback._adapt
 
-    def adapt_to_answers(
+    def adapt_unless_timed_out(
         self: AttemptFeedback, attempt: SentAttempt, elapsed_us: int, slots_needed: bool, now_us: int
     ) -> bool:
         timed_out = attempt.outcome is api.Outcome.TIMEOUT
@@ -88,7 +88,7 @@
         attempt.overdue = attempt.presumed_lost = True
         attempt.upstream.in_flight -= 1
 
-    AttemptFeedback._adapt = adapt_to_answers  # type: ignore[method-assign]
+    AttemptFeedback._adapt = adapt_unless_timed_out  # type: ignore[method-assign]
     OutlierDetector.on_overdue = ignore_overdue  # type: ignore[method-assign]
 
 
@@ -103,10 +103,10 @@
         ejections_apply: bool,
         now_us: int,
     ) -> list[Candidate]:
-        members = self.membership.by_id.values()
+        upstreams_in_list = self.membership.by_id.values()
         warming = [
             upstream
-            for upstream in members
+            for upstream in upstreams_in_list
             if self.membership.pool_of(upstream).slow_start.is_warming(upstream.entry, now_us)
         ]
         if warming:
@@ -128,11 +128,11 @@
 
 
 def waste_cpu() -> None:
-    """Waste `SPIN_US` of CPU time on each request."""
+    """Waste `WASTED_CPU_US` of CPU time on each request."""
     original_on_request = RequestDispatcher.on_request
 
     def accept_slowly(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
-        until_us = clock_us() + SPIN_US
+        until_us = clock_us() + WASTED_CPU_US
         while clock_us() < until_us:
             pass
         return original_on_request(self, request, reply)
@@ -150,7 +150,7 @@
     "deaf": ignore_draining,
     "hold": delayed_answer,
     "lose": lose_answers,
-    "blind": ignore_silence,
+    "blind": ignore_timeouts,
     "crowd": prefer_warming,
     "no-advice": omit_retry_after,
     "spin": waste_cpu,
--- a/ryepier/experiments/faults/sidecar_kill.py
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -24,25 +24,26 @@
 
 def _claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.SIDECAR_KILL)
-    killed = {incarnation.sidecar for incarnation in run.history.incarnations if incarnation.killed}
-    restarted = [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
-    start_s = max(
-        ((incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted), default=float("inf")
+    killed_sidecars = {incarnation.sidecar for incarnation in run.history.incarnations if incarnation.killed}
+    restarted_incarnations = [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
+    longest_start_s = max(
+        ((incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted_incarnations),
+        default=float("inf"),
     )
-    is_after = phases.from_time(kill.at_s + kill.down_s + phases.RECOVERY_S, run.world)
+    is_after_recovery = phases.from_time(kill.at_s + kill.down_s + phases.RECOVERY_S, run.world)
 
     def is_at_other_sidecar(attempt: ClientAttempt) -> bool:
-        return attempt.sidecar not in killed
+        return attempt.sidecar not in killed_sidecars
 
-    def is_at_killed_sidecar_after(attempt: ClientAttempt) -> bool:
-        return attempt.sidecar in killed and is_after(attempt)
+    def is_at_killed_sidecar_after_recovery(attempt: ClientAttempt) -> bool:
+        return attempt.sidecar in killed_sidecars and is_after_recovery(attempt)
 
     service_at_others = figures.service_level(run.operations, is_at_other_sidecar)
-    service_at_killed = figures.service_level(run.operations, is_at_killed_sidecar_after)
+    service_at_killed = figures.service_level(run.operations, is_at_killed_sidecar_after_recovery)
     return [
-        Claim("sidecars killed", len(killed), ">=", 1),
-        Claim("sidecars started again", len(restarted), "==", len(killed)),
-        Claim("time to come up (s)", start_s, "<=", MAX_START_S),
+        Claim("sidecars killed", len(killed_sidecars), ">=", 1),
+        Claim("sidecars started again", len(restarted_incarnations), "==", len(killed_sidecars)),
+        Claim("time to come up (s)", longest_start_s, "<=", MAX_START_S),
         Claim("service of the others' clients", service_at_others, ">=", MIN_SERVICE),
         Claim("service of its own clients, 2 s after its start", service_at_killed, ">=", MIN_SERVICE),
     ]
--- a/ryepier/experiments/faults/steady.py
+++ b/ryepier/experiments/faults/steady.py
@@ -22,11 +22,11 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    requests = len(run.history.client_attempts)
-    attempts = len(run.history.converter_attempts)
+    request_count = len(run.history.client_attempts)
+    attempt_count = len(run.history.converter_attempts)
     return [
         Claim("service", figures.service_level(run.operations), ">=", MIN_SERVICE),
-        Claim("attempts a try", attempts / max(1, requests), "<=", MAX_ATTEMPTS_PER_REQUEST),
+        Claim("attempts a try", attempt_count / max(1, request_count), "<=", MAX_ATTEMPTS_PER_REQUEST),
         Claim("waste", figures.wasted_work_share(run.history), "<=", MAX_WASTED_SHARE),
     ]
 
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -25,8 +25,8 @@
 MEASURED_FROM_S = 1.5  # by then the sidecar has started and its caches are warm
 MEASURED_TO_S = 5.5
 MIN_SERVED_SHARE = 0.98
-MAX_RATIO_OF_USUAL = 1.3
-MAX_RATIO_OF_UNIQUE = 3.0
+MAX_USUAL_RATIO = 1.3
+MAX_UNIQUE_RATIO = 3.0
 # values of the world file's clients.graphql
 PLAIN, USUAL, UNIQUE = "no", "usual", "unique"
 
@@ -48,8 +48,8 @@
     roles = harness.RoleAssignment(sidecar_command=command)
     history = harness.run_world(_world(document_kind), seed, folder, roles)
     cpu_us = figures.cpu_us_per_request(history, 0, MEASURED_FROM_S, MEASURED_TO_S)
-    served = sum(attempt.outcome is RequestOutcome.SERVED for attempt in history.client_attempts)
-    if cpu_us is None or served < MIN_SERVED_SHARE * len(history.client_attempts):
+    served_count = sum(attempt.outcome is RequestOutcome.SERVED for attempt in history.client_attempts)
+    if cpu_us is None or served_count < MIN_SERVED_SHARE * len(history.client_attempts):
         raise HarnessError("too few requests were served for a measurement of the CPU time per request")
     return cpu_us
 
@@ -68,8 +68,8 @@
     unique_name = "CPU of a request, GraphQL with new documents over plain HTTP"
     return Measurement(
         [
-            Claim(usual_name, usual_ratio, "<=", MAX_RATIO_OF_USUAL),
-            Claim(unique_name, unique_ratio, "<=", MAX_RATIO_OF_UNIQUE),
+            Claim(usual_name, usual_ratio, "<=", MAX_USUAL_RATIO),
+            Claim(unique_name, unique_ratio, "<=", MAX_UNIQUE_RATIO),
         ],
         {
             "plain_us": cpu_us[PLAIN],
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -21,26 +21,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QueryResets:
+class QueryResetCounts:
     """Counts of queries, of their attempts, and of the attempts that were reset."""
 
-    attempts: int  # attempts of all queries
-    resets: int  # of those, the attempts that were reset
-    with_available_retry: int  # of the resets, those with an attempt left and at least one retry in the budget
-    with_spare_budget: int  # of those, the resets with a budget of at least `SPARE_BUDGET`
-    retried: int  # of those, the resets that were followed by a retry
-    retried_queries: int  # queries with a further attempt after a reset
-    served_queries: int  # of those, the queries that were served
+    attempt_count: int  # attempts of all queries
+    reset_count: int  # of those, the attempts that were reset
+    retriable_count: int  # of the resets, those with an attempt left and at least one retry in the budget
+    spare_budget_count: int  # of those, the resets with a budget of at least `SPARE_BUDGET`
+    retried_count: int  # of those, the resets that were followed by a retry
+    retried_query_count: int  # queries with a further attempt after a reset
+    served_query_count: int  # of those, the queries that were served
 
     @property
     def retried_share(self) -> float:
         """Return the share of the resets with a spare budget that were followed by a retry."""
-        return self.retried / max(1, self.with_spare_budget)
+        return self.retried_count / max(1, self.spare_budget_count)
 
     @property
     def served_share(self) -> float:
         """Return the share of the retried queries that were served."""
-        return self.served_queries / max(1, self.retried_queries)
+        return self.served_query_count / max(1, self.retried_query_count)
 
     @property
     def min_served_share(self) -> float:
@@ -50,10 +50,12 @@
         the run's share of resets, with a second further attempt as often as a reset found a retry in the budget. A
         third further attempt is not taken into account.
         """
-        reset_share = self.resets / max(1, self.attempts)
-        second_attempt_share = reset_share * self.with_available_retry / max(1, self.resets)
-        probability = (1.0 - reset_share) * (1.0 + second_attempt_share)
-        return binomial_quantile(self.retried_queries, probability, QUANTILE_LEVEL) / max(1, self.retried_queries)
+        reset_share = self.reset_count / max(1, self.attempt_count)
+        second_retry_share = reset_share * self.retriable_count / max(1, self.reset_count)
+        probability = (1.0 - reset_share) * (1.0 + second_retry_share)
+        return binomial_quantile(self.retried_query_count, probability, QUANTILE_LEVEL) / max(
+            1, self.retried_query_count
+        )
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -84,12 +86,12 @@
     def lowest_between(self, sidecar: int, from_us: int, until_us: int) -> float:
         """Return the lowest budget of a sidecar from `from_us` (inclusive) to `until_us` (exclusive)."""
         times_us = self._times_us[sidecar]
-        first = bisect.bisect_right(times_us, from_us) - 1
-        end = max(first + 1, bisect.bisect_left(times_us, until_us))
-        return min(self._budgets[sidecar][first:end])
+        first_index = bisect.bisect_right(times_us, from_us) - 1
+        end_index = max(first_index + 1, bisect.bisect_left(times_us, until_us))
+        return min(self._budgets[sidecar][first_index:end_index])
 
 
-def find_query_resets(run: Run) -> QueryResets:
+def count_query_resets(run: Run) -> QueryResetCounts:
     """Count the resets of queries by the retry budget that was available.
 
     A sidecar decides on a retry at an unknown time between the reset and the next event that its converters or its
@@ -114,7 +116,7 @@
     resets = [
         reset
         for request_id in query_ids
-        for reset in _find_query_resets(requests[request_id], attempts[request_id], budgets, max_attempts)
+        for reset in _resets_of_query(requests[request_id], attempts[request_id], budgets, max_attempts)
     ]
     return _count_resets(query_ids, requests, attempts, resets)
 
@@ -127,7 +129,7 @@
     was_retried: bool
 
 
-def _find_query_resets(
+def _resets_of_query(
     request: ClientAttempt, query_attempts: Sequence[ConverterAttempt], budgets: RetryBudgets, max_attempts: int
 ) -> Iterator[_Reset]:
     """Yield the resets of one query after which it had at least one attempt left."""
@@ -144,19 +146,21 @@
     requests: Mapping[str, ClientAttempt],
     attempts: Mapping[str, Sequence[ConverterAttempt]],
     resets: Sequence[_Reset],
-) -> QueryResets:
+) -> QueryResetCounts:
     resets_with_spare_budget = [reset for reset in resets if reset.lowest_budget >= SPARE_BUDGET]
     retried_query_ids = [
         query_id
         for query_id in query_ids
         if any(attempt.outcome is AttemptOutcome.RESET for attempt in attempts[query_id][:-1])
     ]
-    return QueryResets(
-        attempts=sum(len(attempts[query_id]) for query_id in query_ids),
-        resets=sum(attempt.outcome is AttemptOutcome.RESET for query_id in query_ids for attempt in attempts[query_id]),
-        with_available_retry=sum(reset.lowest_budget >= 1.0 for reset in resets),
-        with_spare_budget=len(resets_with_spare_budget),
-        retried=sum(reset.was_retried for reset in resets_with_spare_budget),
-        retried_queries=len(retried_query_ids),
-        served_queries=sum(requests[query_id].outcome is RequestOutcome.SERVED for query_id in retried_query_ids),
+    return QueryResetCounts(
+        attempt_count=sum(len(attempts[query_id]) for query_id in query_ids),
+        reset_count=sum(
+            attempt.outcome is AttemptOutcome.RESET for query_id in query_ids for attempt in attempts[query_id]
+        ),
+        retriable_count=sum(reset.lowest_budget >= 1.0 for reset in resets),
+        spare_budget_count=len(resets_with_spare_budget),
+        retried_count=sum(reset.was_retried for reset in resets_with_spare_budget),
+        retried_query_count=len(retried_query_ids),
+        served_query_count=sum(requests[query_id].outcome is RequestOutcome.SERVED for query_id in retried_query_ids),
     )
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -18,7 +18,7 @@
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import load
-from ryepier.experiments.graphql.reset_queries import MIN_RETRIED_SHARE, find_query_resets
+from ryepier.experiments.graphql.reset_queries import MIN_RETRIED_SHARE, count_query_resets
 
 WORLD_NAME = "graphql-resets"
 FULL_RATE_PER_S = 2000.0
@@ -27,7 +27,7 @@
 MIN_REQUESTS = 5_000
 MIN_REQUESTS_AT_FULL_SCALE = 100_000
 MIN_RESET_SHARE = 0.05  # of the requests
-MIN_SERVICE_OF_QUERIES = 0.98
+MIN_QUERY_SERVICE = 0.98
 
 
 def _world(scale: Scale) -> World:
@@ -64,7 +64,7 @@
 
 def _figures(run: Run) -> Mapping[str, float]:
     effects = _effects(run)
-    requests = len(run.history.client_attempts)
+    request_count = len(run.history.client_attempts)
     reset_ids = {
         attempt.request_id for attempt in run.history.converter_attempts if attempt.outcome is AttemptOutcome.RESET
     }
@@ -73,8 +73,8 @@
     }
     reset_query_ids = [request_id for request_id in reset_ids if effects.get(request_id) is Effect.IDEMPOTENT]
     return {
-        "requests": requests,
-        "reset_share": len(reset_ids) / max(1, requests),
+        "requests": request_count,
+        "reset_share": len(reset_ids) / max(1, request_count),
         "duplicated_mutations": count_duplicated_mutations(run),
         "queries_reset": len(reset_query_ids),
         "queries_reset_and_served": sum(request_id in served_ids for request_id in reset_query_ids)
@@ -85,7 +85,7 @@
 
 def _claims(run: Run) -> list[Claim]:
     measured = _figures(run)
-    resets = find_query_resets(run)
+    resets = count_query_resets(run)
     is_full_scale = run.world.duration_s >= FULL_DURATION_S
     min_requests = MIN_REQUESTS_AT_FULL_SCALE if is_full_scale else MIN_REQUESTS
     classes = run.world.classes
@@ -98,7 +98,7 @@
         Claim("requests", measured["requests"], ">=", min_requests),
         Claim("share of requests that were reset after they were sent", measured["reset_share"], ">=", MIN_RESET_SHARE),
         Claim("mutations that ran twice", measured["duplicated_mutations"], "==", 0),
-        Claim("service of queries", figures.service_level(query_operations), ">=", MIN_SERVICE_OF_QUERIES),
+        Claim("service of queries", figures.service_level(query_operations), ">=", MIN_QUERY_SERVICE),
         Claim(retried_name, resets.retried_share, ">=", MIN_RETRIED_SHARE),
         Claim(served_name, resets.served_share, ">=", resets.min_served_share),
     ]
--- a/ryepier/experiments/graphql/seeded_faults.py
+++ b/ryepier/experiments/graphql/seeded_faults.py
@@ -24,7 +24,7 @@
     DocumentCache.read = read_first_word  # type: ignore[method-assign]
 
 
-def read_every_time() -> None:
+def parse_every_time() -> None:
     """Parse a document at each request, without the cache."""
     from ryepier.graphql import document
 
@@ -33,5 +33,5 @@
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "first-word": classify_by_first_word,
-    "forgetful": read_every_time,
+    "forgetful": parse_every_time,
 }
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -38,12 +38,14 @@
 def avoided_after_s(run: Run, kind: str) -> float:
     """Return the time from a fault until 95% of the forwarders avoid the affected converters, at most its length."""
     fault = fault_of_kind(run.world, kind)
-    times_s = _attempt_times_at_affected(run, kind)
-    sidecars = range(run.world.sidecars.count)
+    attempt_times_s = _attempt_times_at_affected(run, kind)
+    sidecar_indices = range(run.world.sidecars.count)
     at_s = 0.0
     while at_s + WINDOW_S <= fault.for_s:
-        avoiding = sum(_count_between(times_s[index], at_s, at_s + WINDOW_S) <= MAX_PROBES for index in sidecars)
-        if avoiding >= AVOIDING_SHARE * len(sidecars):
+        avoiding_count = sum(
+            _count_between(attempt_times_s[index], at_s, at_s + WINDOW_S) <= MAX_PROBES for index in sidecar_indices
+        )
+        if avoiding_count >= AVOIDING_SHARE * len(sidecar_indices):
             return at_s
         at_s += STEP_S
     return fault.for_s
@@ -54,15 +56,15 @@
     fault = fault_of_kind(run.world, kind)
     affected_uids = phases.affected_uids(run, (kind,))
     sidecar_by_request = {attempt.request_id: attempt.sidecar for attempt in run.history.client_attempts}
-    times_s: dict[int, list[float]] = defaultdict(list)
+    attempt_times_s: dict[int, list[float]] = defaultdict(list)
     for attempt in run.history.converter_attempts:
         if attempt.uid in affected_uids and attempt.request_id in sidecar_by_request:
-            times_s[sidecar_by_request[attempt.request_id]].append(attempt.received_us / US_PER_S - fault.at_s)
-    return times_s
+            attempt_times_s[sidecar_by_request[attempt.request_id]].append(attempt.received_us / US_PER_S - fault.at_s)
+    return attempt_times_s
 
 
-def _count_between(times_s: list[float], begin_s: float, end_s: float) -> int:
-    return sum(begin_s <= time_s < end_s for time_s in times_s)
+def _count_between(attempt_times_s: list[float], begin_s: float, end_s: float) -> int:
+    return sum(begin_s <= time_s < end_s for time_s in attempt_times_s)
 
 
 def _figures(run: Run, kind: str) -> dict[str, float]:
@@ -87,9 +89,9 @@
 
 
 def _lost_ratio(measured: Mapping[str, float], kind: str) -> float:
-    lost_with = 1 - measured[f"service_in_the_{kind}_with"]
-    lost_without = 1 - measured[f"service_in_the_{kind}_without"]
-    return lost_with / max(MIN_LOST_SHARE, lost_without)
+    lost_share_with = 1 - measured[f"service_in_the_{kind}_with"]
+    lost_share_without = 1 - measured[f"service_in_the_{kind}_without"]
+    return lost_share_with / max(MIN_LOST_SHARE, lost_share_without)
 
 
 def _hang_claims(run: Run) -> list[Claim]:
--- a/ryepier/experiments/planners/failover.py
+++ b/ryepier/experiments/planners/failover.py
@@ -40,15 +40,15 @@
 
 def _hang_claims(run: Run) -> list[Claim]:
     hang = fault_of_kind(run.world, FaultKind.PLANNER_HANG)
-    followers_of_first = count_followers_of(run, "planner-0, epoch 1")
-    followers_of_second = count_followers_of(run, "planner-1, epoch 2")
-    further_changes = count_changes_of_planner(run) - followers_of_first - followers_of_second
+    first_follower_count = count_followers_of(run, "planner-0, epoch 1")
+    second_follower_count = count_followers_of(run, "planner-1, epoch 2")
+    further_change_count = count_changes_of_planner(run) - first_follower_count - second_follower_count
     stepped_down_count = len(lines_with(run.folder, FIRST_PLANNER_LOG, STEPPED_DOWN_MESSAGE))
     service_from_hang = figures.service_level(run.operations, phases.from_time(hang.at_s, run.world))
     service_from_resumption = figures.service_level(run.operations, phases.from_time(phases.end_s(hang), run.world))
     return [
-        Claim("forwarders that went over to the other planner", followers_of_second, "==", run.world.sidecars.count),
-        Claim("changes of planner, over two a forwarder", further_changes, "==", 0),
+        Claim("forwarders that went over to the other planner", second_follower_count, "==", run.world.sidecars.count),
+        Claim("changes of planner, over two a forwarder", further_change_count, "==", 0),
         Claim("the planner that hung stepped down", stepped_down_count, ">=", 1),
         Claim("service from the stall on", service_from_hang, ">=", MIN_SERVICE),
         Claim("service once it is back", service_from_resumption, ">=", MIN_SERVICE),
--- a/ryepier/experiments/planners/false_reports.py
+++ b/ryepier/experiments/planners/false_reports.py
@@ -41,8 +41,8 @@
 
 def _claims(run: Run) -> list[Claim]:
     instances = timeline.build(run.world, run.seed).instances
-    falsely_reported = {instance.uid for instance in instances if instance.index % FALSELY_REPORTED_INTERVAL == 0}
-    gap_s = max(longest_gap_s(run, uid, MEASURED_FROM_S) for uid in falsely_reported)
+    falsely_reported_uids = {instance.uid for instance in instances if instance.index % FALSELY_REPORTED_INTERVAL == 0}
+    gap_s = max(longest_gap_s(run, uid, MEASURED_FROM_S) for uid in falsely_reported_uids)
     return [
         Claim("forwarders that follow a plan", count_followers(run), "==", run.world.sidecars.count),
         Claim("longest time that a converter lied about had no request (s)", gap_s, "<=", MAX_GAP_S),
--- a/ryepier/experiments/planners/loss.py
+++ b/ryepier/experiments/planners/loss.py
@@ -21,14 +21,16 @@
 
 def _claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
-    restarted_s = kill.at_s + kill.down_s
+    restarted_at_s = kill.at_s + kill.down_s
     service_before = figures.service_level(run.operations, figures.due_between(MEASURED_FROM_S, kill.at_s))
-    service_during = figures.service_level(run.operations, figures.due_between(kill.at_s, restarted_s))
-    service_after = figures.service_level(run.operations, phases.from_time(restarted_s + phases.RECOVERY_S, run.world))
-    drain_notices = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
-    sidecars = run.world.sidecars.count
+    service_during = figures.service_level(run.operations, figures.due_between(kill.at_s, restarted_at_s))
+    service_after = figures.service_level(
+        run.operations, phases.from_time(restarted_at_s + phases.RECOVERY_S, run.world)
+    )
+    drain_notice_count = sum(notice.state == ListState.LEAVING for notice in run.history.notices)
+    sidecar_count = run.world.sidecars.count
     return [
-        Claim("forwarders that followed a plan", count_followers(run), "==", sidecars),
+        Claim("forwarders that followed a plan", count_followers(run), "==", sidecar_count),
         Claim(
             "service lost while all planners are away (points)",
             100 * (service_before - service_during),
@@ -38,7 +40,7 @@
         Claim(
             "service lost once they are back (points)", 100 * (service_before - service_after), "<=", MAX_LOST_POINTS
         ),
-        Claim("drains told of", drain_notices, ">=", sidecars),
+        Claim("drains told of", drain_notice_count, ">=", sidecar_count),
     ]
 
 
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -23,13 +23,13 @@
 
 FLEET_SIZES = {Scale.SMALL: (50, 500), Scale.FULL: (50, 1000)}  # forwarders
 DOWN_TIMES_S = (0.05, 2.0)
-RETURN_TIMEOUT_S = 8.0  # longest wait for all forwarders to connect
+CONNECTION_TIMEOUT_S = 8.0  # longest wait for all forwarders to connect
 SETTLING_TIME_S = 1.0  # between the first connections and the crash
 CLOSING_TIME_S = 0.1  # for aborted connections to be closed
 POLL_INTERVAL_S = 0.02
 WINDOW_S = 0.1
 HEARTBEAT_INTERVAL_S = 0.5
-MAX_RETURN_S = MAX_BACKOFF_S + 0.5  # allows 0.5 s to connect
+MAX_RECONNECTION_S = MAX_BACKOFF_S + 0.5  # allows 0.5 s to connect
 MAX_PEAK_SHARE = 0.3
 HOST = "127.0.0.1"
 BACKLOG = 4096
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         """Start without a port; the first `listen` chooses a free one, which later calls reuse."""
         self.port = 0
-        self.connected_us: list[int] = []
+        self.connected_at_us: list[int] = []
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
@@ -61,7 +61,7 @@
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connected_us.append(monotonic_us())
+        self.connected_at_us.append(monotonic_us())
         self._writers.add(writer)
         heartbeats = asyncio.create_task(self._send_heartbeats(writer))
         try:
@@ -85,27 +85,27 @@
 class ReconnectionResult:
     """How the forwarders of a fleet reconnected to their planner."""
 
-    returned_share: float
-    last_return_s: float  # time from the restart to the last reconnection
+    reconnected_share: float
+    last_reconnection_s: float  # time from the restart to the last reconnection
     peak_share: float  # the largest share within `WINDOW_S`
 
     def as_figures(self, fleet_size: int, down_s: float) -> dict[str, float]:
         """Return the figures of result.json."""
         suffix = f"{fleet_size}_down_{down_s:g}s"
         return {
-            f"back_{suffix}": self.returned_share,
-            f"back_after_s_{suffix}": self.last_return_s,
+            f"back_{suffix}": self.reconnected_share,
+            f"back_after_s_{suffix}": self.last_reconnection_s,
             f"peak_share_{suffix}": self.peak_share,
         }
 
 
-def summarize_connections(connected_us: list[int], since_us: int, fleet_size: int) -> ReconnectionResult:
+def summarize_connections(connected_at_us: list[int], since_us: int, fleet_size: int) -> ReconnectionResult:
     """Return when, and with what peak, a fleet reconnected after a restart at `since_us`."""
-    if not connected_us:
+    if not connected_at_us:
         return ReconnectionResult(0.0, float("inf"), 1.0)
-    times_s = (np.sort(connected_us) - since_us) / US_PER_S
-    in_window = np.searchsorted(times_s, times_s + WINDOW_S) - np.arange(len(times_s))
-    return ReconnectionResult(len(times_s) / fleet_size, float(times_s[-1]), float(in_window.max()) / fleet_size)
+    times_s = (np.sort(connected_at_us) - since_us) / US_PER_S
+    counts_in_window = np.searchsorted(times_s, times_s + WINDOW_S) - np.arange(len(times_s))
+    return ReconnectionResult(len(times_s) / fleet_size, float(times_s[-1]), float(counts_in_window.max()) / fleet_size)
 
 
 def _make_forwarders(fleet_size: int, port: int, seed: int) -> list[Forwarder]:
@@ -134,23 +134,23 @@
     await _wait_for_connections(planner, fleet_size)
     await asyncio.sleep(SETTLING_TIME_S)
     planner.crash()
-    planner.connected_us.clear()
+    planner.connected_at_us.clear()
     await asyncio.sleep(down_s)
-    restarted_us = monotonic_us()
+    restarted_at_us = monotonic_us()
     await planner.listen()
     await _wait_for_connections(planner, fleet_size)
     for forwarder in forwarders:
         forwarder.stop()
     planner.crash()
     await asyncio.sleep(CLOSING_TIME_S)
-    return summarize_connections(planner.connected_us, restarted_us, fleet_size)
+    return summarize_connections(planner.connected_at_us, restarted_at_us, fleet_size)
 
 
 async def _wait_for_connections(planner: PlannerListener, count: int) -> None:
     """Wait until `count` connections were made or the timeout has passed."""
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(RETURN_TIMEOUT_S):
-            while len(planner.connected_us) < count:
+        async with asyncio.timeout(CONNECTION_TIMEOUT_S):
+            while len(planner.connected_at_us) < count:
                 await asyncio.sleep(POLL_INTERVAL_S)
 
 
@@ -165,10 +165,10 @@
             result = asyncio.run(restart_planner(size, down_s, trial.seed))
             figures |= result.as_figures(size, down_s)
             name = f"share of {size} that came back after {down_s:g} s away"
-            claims.append(Claim(name, result.returned_share, "==", 1.0))
+            claims.append(Claim(name, result.reconnected_share, "==", 1.0))
         peak_name = f"greatest share of {size} that came within {WINDOW_S:g} s"
         claims += [
-            Claim(f"time until all {size} are back (s)", result.last_return_s, "<=", MAX_RETURN_S),
+            Claim(f"time until all {size} are back (s)", result.last_reconnection_s, "<=", MAX_RECONNECTION_S),
             Claim(peak_name, result.peak_share, "<=", MAX_PEAK_SHARE),
         ]
     return Measurement(claims, figures)
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -45,9 +45,9 @@
 
 def _empty_claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
-    plan_arrived_s = kill.at_s + kill.down_s + PLAN_ARRIVAL_S
+    plan_arrived_at_s = kill.at_s + kill.down_s + PLAN_ARRIVAL_S
     rejected_count = count_sidecars_that_logged(run, REJECTED_MESSAGE)
-    share_to_hung = _share_to_hung(run, plan_arrived_s, run.world.duration_s)
+    share_to_hung = _share_to_hung(run, plan_arrived_at_s, run.world.duration_s)
     return [
         Claim("forwarders that refused the empty plan", rejected_count, "==", run.world.sidecars.count),
         Claim("forwarders that took it", _count_followers_of_empty_plan(run), "==", 0),
@@ -55,7 +55,7 @@
     ]
 
 
-def restart_to_plan_s(run: Run) -> float:
+def restart_to_leadership_s(run: Run) -> float:
     """Return the shortest time from a planner's restart until it leads; infinite if no restarted planner leads."""
     shortest_s = float("inf")
     for path in sorted(run.folder.glob(PLANNER_LOGS)):
@@ -73,11 +73,11 @@
 
 def _restart_claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
-    restarted_s = kill.at_s + kill.down_s
-    share_to_hung = _share_to_hung(run, restarted_s, run.world.duration_s - END_MARGIN_S)
+    restarted_at_s = kill.at_s + kill.down_s
+    share_to_hung = _share_to_hung(run, restarted_at_s, run.world.duration_s - END_MARGIN_S)
     followed_again_count = count_sidecars_that_logged(run, "epoch 2")
     return [
-        Claim("time to sound plans after the restart (s)", restart_to_plan_s(run), "<=", MAX_RESTART_S),
+        Claim("time to sound plans after the restart (s)", restart_to_leadership_s(run), "<=", MAX_RESTART_S),
         Claim("share of attempts to hung converters from the restart on", share_to_hung, "<=", MAX_SHARE_TO_HUNG),
         Claim("forwarders that followed again", followed_again_count, "==", run.world.sidecars.count),
     ]
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -28,7 +28,7 @@
 
 FLEET_SIZES = (50, 200, 1000)  # forwarders
 CONVERTER_COUNT = 100
-REPORTED_CONVERTERS = 12  # per forwarder, as a sidecar uses only a few converters at a time
+REPORTED_CONVERTER_COUNT = 12  # per forwarder, as a sidecar uses only a few converters at a time
 REPORT_INTERVAL_S = 0.5
 ATTEMPTS_PER_REPORT = 2.0  # mean number of new attempts per converter
 WARM_UP_S = 3.0  # between the connections and the measurement
@@ -48,26 +48,26 @@
     def __init__(self, index: int, random: np.random.Generator, reports_all: bool) -> None:
         """Start unconnected, with a random choice of converters to report on; all of them if `reports_all` is set."""
         self.name = f"f{index}"
-        count = CONVERTER_COUNT if reports_all else REPORTED_CONVERTERS
+        count = CONVERTER_COUNT if reports_all else REPORTED_CONVERTER_COUNT
         chosen_converters = random.choice(CONVERTER_COUNT, size=count, replace=False)
         self.counters = {f"c-{converter:04x}": ConverterCounters() for converter in chosen_converters}
         self.random = random
-        self.number = 0
+        self.report_number = 0
         self.bytes_in = 0
         self.bytes_out = 0
-        self.plans = 0
+        self.plan_count = 0
 
     def make_report(self) -> bytes:
         """Return the next report, encoded."""
-        self.number += 1
+        self.report_number += 1
         for uid, counters in self.counters.items():
             count = int(self.random.poisson(ATTEMPTS_PER_REPORT))
             served = counters.served + count
             self.counters[uid] = ConverterCounters(
                 counters.attempts + count, served, counters.failed, counters.rejected, (0, 0, 0, 0, 0, served)
             )
-        arrivals = [self.number * 10]
-        return encode(Report(self.number, CONVERTER_COUNT, self.counters, {}, arrivals, arrivals, 0))
+        arrivals = [self.report_number * 10]
+        return encode(Report(self.report_number, CONVERTER_COUNT, self.counters, {}, arrivals, arrivals, 0))
 
     async def run(self, address: tuple[str, int]) -> None:
         """Connect and send reports until cancelled."""
@@ -89,7 +89,7 @@
         frames = FrameDecoder()
         while data := await reader.read(READ_BYTES):
             self.bytes_in += len(data)
-            self.plans += sum(isinstance(message, Plan) for message in frames.feed(data))
+            self.plan_count += sum(isinstance(message, Plan) for message in frames.feed(data))
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     planner_cpu_s: float
     bytes_to_planner: int
     bytes_from_planner: int
-    plans: int
+    plan_count: int
 
 
 def read_totals(pid: int, forwarders: Sequence[SimulatedForwarder]) -> FleetTotals:
@@ -110,7 +110,7 @@
         at_s=time.monotonic(),
         bytes_to_planner=sum(forwarder.bytes_out for forwarder in forwarders),
         bytes_from_planner=sum(forwarder.bytes_in for forwarder in forwarders),
-        plans=sum(forwarder.plans for forwarder in forwarders),
+        plan_count=sum(forwarder.plan_count for forwarder in forwarders),
     )
 
 
@@ -131,7 +131,7 @@
             (after.planner_cpu_s - before.planner_cpu_s) / elapsed_s,
             (after.bytes_to_planner - before.bytes_to_planner) / elapsed_s,
             (after.bytes_from_planner - before.bytes_from_planner) / elapsed_s,
-            (after.plans - before.plans) / elapsed_s / fleet_size,
+            (after.plan_count - before.plan_count) / elapsed_s / fleet_size,
         )
 
     def as_figures(self, fleet_size: int) -> dict[str, float]:
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -77,7 +77,7 @@
     Evidence.merge = merge_and_recount  # type: ignore[method-assign]
 
 
-def return_at_fixed_times() -> None:
+def reconnect_without_jitter() -> None:
     """Make forwarders reconnect without jitter."""
     Forwarder.jitter_s = lambda self, bound_s: bound_s  # type: ignore[method-assign]
 
@@ -99,5 +99,5 @@
     "credulous": trust_every_report,
     "liar": report_false_failures,
     "recount": recount_at_each_report,
-    "herd": return_at_fixed_times,
+    "herd": reconnect_without_jitter,
 }
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -70,45 +70,45 @@
     def __init__(self, size: int, seed: int) -> None:
         """Create a service of `size` pods and store its slices."""
         self.store = Store()
-        self.changed_us: dict[PodChange, int] = {}
+        self.changed_at_us: dict[PodChange, int] = {}
         self._random = np.random.default_rng(seed)
         self._next_pod = size
         self._slices = [
             [make_endpoint(first_pod + offset) for offset in range(SLICE_SIZE)]
             for first_pod in range(0, size, SLICE_SIZE)
         ]
-        for index in range(len(self._slices)):
-            self._store_slice(index)
+        for slice_index in range(len(self._slices)):
+            self._store_slice(slice_index)
 
     def make_change(self, number: int) -> None:
         """Make a change: with an even number a random pod of a slice terminates, with an odd one it is replaced."""
-        index = number // 2 % len(self._slices)
+        slice_index = number // 2 % len(self._slices)
         if number % 2 == 0:
-            self._terminate_random_pod(index)
+            self._terminate_random_pod(slice_index)
         else:
-            self._replace_terminating_pod(index)
-        self._store_slice(index)
+            self._replace_terminating_pod(slice_index)
+        self._store_slice(slice_index)
 
-    def _terminate_random_pod(self, index: int) -> None:
-        endpoints = self._slices[index]
+    def _terminate_random_pod(self, slice_index: int) -> None:
+        endpoints = self._slices[slice_index]
         endpoint = endpoints.pop(int(self._random.integers(SLICE_SIZE - 1)))
         pod = int(endpoint["targetRef"]["uid"].rpartition("-")[2])
         endpoints.append(make_endpoint(pod, terminating=True))
-        self.changed_us[PodChange(pod_address(pod), "draining")] = monotonic_us()
+        self.changed_at_us[PodChange(pod_address(pod), "draining")] = monotonic_us()
 
-    def _replace_terminating_pod(self, index: int) -> None:
+    def _replace_terminating_pod(self, slice_index: int) -> None:
         pod = self._next_pod
         self._next_pod += 1
-        self._slices[index] = [*self._slices[index][:-1], make_endpoint(pod)]
-        self.changed_us[PodChange(pod_address(pod), "ready")] = monotonic_us()
+        self._slices[slice_index] = [*self._slices[slice_index][:-1], make_endpoint(pod)]
+        self.changed_at_us[PodChange(pod_address(pod), "ready")] = monotonic_us()
 
-    def _store_slice(self, index: int) -> None:
+    def _store_slice(self, slice_index: int) -> None:
         content = {
             "addressType": "IPv4",
-            "endpoints": self._slices[index],
+            "endpoints": self._slices[slice_index],
             "ports": [{"name": "http", "port": 80, "protocol": "TCP"}],
         }
-        self.store.put(NAMESPACE, f"{SERVICE}-{index:04d}", content, {SERVICE_LABEL: SERVICE})
+        self.store.put(NAMESPACE, f"{SERVICE}-{slice_index:04d}", content, {SERVICE_LABEL: SERVICE})
 
 
 async def _start_follower(port: int, seeded_fault: str) -> asyncio.subprocess.Process:
@@ -176,19 +176,19 @@
         }
 
 
-def _summarize(report: FollowerReport, changed_us: dict[PodChange, int]) -> ChurnCost:
+def _summarize(report: FollowerReport, changed_at_us: dict[PodChange, int]) -> ChurnCost:
     """Return the delays between changes and updates, and the costs. Raises HarnessError if no update arrived."""
-    arrived_us = {PodChange(update.host, update.state): update.at_us for update in report.updates}
-    delays_us = [arrived_us[change] - at_us for change, at_us in changed_us.items() if change in arrived_us]
+    arrived_at_us = {PodChange(update.host, update.state): update.at_us for update in report.updates}
+    delays_us = [arrived_at_us[change] - at_us for change, at_us in changed_at_us.items() if change in arrived_at_us]
     if not delays_us:
         raise HarnessError("the follower received none of the changes")
     return ChurnCost(
-        len(delays_us) / len(changed_us),
+        len(delays_us) / len(changed_at_us),
         float(np.percentile(delays_us, 50)) / US_PER_MS,
         float(np.percentile(delays_us, 99)) / US_PER_MS,
         report.resident_kib / KIB_PER_MB,
         report.peak_kib / KIB_PER_MB,
-        report.cpu_us / US_PER_MS / len(changed_us),
+        report.cpu_us / US_PER_MS / len(changed_at_us),
     )
 
 
@@ -205,7 +205,7 @@
             process.kill()
         await process.wait()
         server.close()
-    return _summarize(report, service.changed_us)
+    return _summarize(report, service.changed_at_us)
 
 
 def measure(trial: TrialConfig) -> Measurement:
--- a/ryepier/experiments/slices/follower_process.py
+++ b/ryepier/experiments/slices/follower_process.py
@@ -65,11 +65,11 @@
     await listed.wait()
     sys.stdout.buffer.write(READY_LINE)
     sys.stdout.flush()
-    begun_s = time.process_time()
+    cpu_begin_s = time.process_time()
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
     source.stop()
     status = Path(OWN_STATUS).read_text()
-    cpu_us = int((time.process_time() - begun_s) * 1e6)
+    cpu_us = int((time.process_time() - cpu_begin_s) * 1e6)
     return FollowerReport(updates, status_kib(status, "VmRSS"), status_kib(status, "VmHWM"), cpu_us)
 
 
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -31,14 +31,14 @@
 
 def catch_up_s(run: Run) -> float:
     """Return the time from the API server's return until all sidecars had a list; infinite if one never had."""
-    returned_us = phases.end_s(fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)) * US_PER_S
+    returned_at_us = phases.end_s(fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)) * US_PER_S
     first_notice_us: dict[int, int] = {}
     for notice in run.history.notices:
-        if notice.at_us >= returned_us:
+        if notice.at_us >= returned_at_us:
             first_notice_us.setdefault(notice.sidecar, notice.at_us)
     if len(first_notice_us) < run.world.sidecars.count:
         return float("inf")
-    return (max(first_notice_us.values()) - returned_us) / US_PER_S
+    return (max(first_notice_us.values()) - returned_at_us) / US_PER_S
 
 
 def share_to_removed(run: Run, since_s: float) -> float:
@@ -48,11 +48,11 @@
     address where nothing listens any more are not recorded, and so not counted.
     """
     steps = timeline.build(run.world, run.seed).steps
-    drained_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
+    drained_at_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
     attempts = [attempt for attempt in run.history.converter_attempts if attempt.first_byte_us > since_s * US_PER_S]
     allowed_us = (run.world.discovery.notice_delay_ms[1] + run.world.sidecars.drain_grace_ms) * US_PER_MS
     late_count = sum(
-        attempt.first_byte_us > drained_us.get(attempt.uid, FAR_FUTURE_US) + allowed_us for attempt in attempts
+        attempt.first_byte_us > drained_at_us.get(attempt.uid, FAR_FUTURE_US) + allowed_us for attempt in attempts
     )
     return late_count / max(1, len(attempts))
 
@@ -60,11 +60,11 @@
 def _claims(run: Run) -> list[Claim]:
     outage = fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)
     catch_up_time_s = catch_up_s(run)
-    up_to_date_s = phases.end_s(outage) + catch_up_time_s + LIST_UPDATE_MARGIN_S
-    after_s = min(up_to_date_s, run.world.duration_s - MIN_OBSERVED_S)
+    up_to_date_at_s = phases.end_s(outage) + catch_up_time_s + LIST_UPDATE_MARGIN_S
+    measured_from_s = min(up_to_date_at_s, run.world.duration_s - MIN_OBSERVED_S)
     service_during = figures.service_level(run.operations, phases.during(outage))
-    service_after = figures.service_level(run.operations, phases.from_time(after_s, run.world))
-    removed_share = share_to_removed(run, up_to_date_s)
+    service_after = figures.service_level(run.operations, phases.from_time(measured_from_s, run.world))
+    removed_share = share_to_removed(run, up_to_date_at_s)
     removed_share_name = "share of attempts to converters that are gone, from then on"
     return [
         Claim("service while the API server is away", service_during, ">=", MIN_SERVICE_DURING),
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -28,10 +28,10 @@
 OUTAGE_MARGIN_S = 3.0  # operations planned less than this before the outage may fail because of it
 MIN_SERVICE_BEFORE = 0.97
 MAX_FIRST_TO_RETRY_RATIO = 1.0
-MAX_ADVICE_UNIFORMITY = 0.5
+MAX_RETRY_AFTER_UNIFORMITY = 0.5
 MAX_LOST_POINTS = 2.0  # percentage points of the service level
 MIN_LOST_SHARE_IN_OUTAGE = 0.3  # of the service level; a smaller loss means that there was no outage
-MIN_SHARE = 1e-6  # minimum divisor, which avoids a division by zero
+MIN_DIVISOR = 1e-6  # minimum divisor, which avoids a division by zero
 
 BEHAVIORS = {
     "": ("clients back off and heed Retry-After", ClientBehavior("exponential", 1.0)),
@@ -44,8 +44,8 @@
     assert run.control is not None
     values = {
         "storms_opened": float(measures.count_detections(run)),
-        "advice_alike": measures.advice_uniformity(run),
-        "advice_alike_without": measures.advice_uniformity(run.control),
+        "advice_alike": measures.retry_after_uniformity(run),
+        "advice_alike_without": measures.retry_after_uniformity(run.control),
     }
     values |= _figures_of_run(run, "with")
     values |= _figures_of_run(run.control, "without")
@@ -72,7 +72,7 @@
     is_before = figures.due_between(MEASURED_FROM_S, outage.begin_s - OUTAGE_MARGIN_S)
     is_long = outage.duration_s >= LONG_OUTAGE_S
     max_recovery_s = MAX_RECOVERY_AFTER_LONG_OUTAGE_S if is_long else MAX_RECOVERY_S
-    first_to_retry_ratio = measured["refused_first_with"] / max(MIN_SHARE, measured["refused_later_with"])
+    first_to_retry_ratio = measured["refused_first_with"] / max(MIN_DIVISOR, measured["refused_later_with"])
     lost_points = 100 * (measured["service_after_without"] - measured["service_after_with"])
     return [
         Claim("service before the outage", figures.service_level(run.operations, is_before), ">=", MIN_SERVICE_BEFORE),
@@ -81,14 +81,16 @@
         Claim(
             "share refused of first tries over that of later ones", first_to_retry_ratio, "<=", MAX_FIRST_TO_RETRY_RATIO
         ),
-        Claim("share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_ADVICE_UNIFORMITY),
+        Claim(
+            "share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_RETRY_AFTER_UNIFORMITY
+        ),
         Claim("service after the outage lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
     ]
 
 
 def _claims_of_two_outages(run: Run) -> list[Claim]:
-    second = run.world.faults[-1]
-    is_in_outage = figures.due_between(phases.end_s(second), end_of_fault_s(second) - OUTAGE_MARGIN_S)
+    second_outage = run.world.faults[-1]
+    is_in_outage = figures.due_between(phases.end_s(second_outage), end_of_fault_s(second_outage) - OUTAGE_MARGIN_S)
     service = figures.service_level(run.operations, is_in_outage)
     return [Claim("service in the second outage", service, "<=", 1.0 - MIN_LOST_SHARE_IN_OUTAGE), *_claims(run)]
 
@@ -111,13 +113,13 @@
 
 
 def _make_variant(outage_s: float, suffix: str) -> Experiment:
-    clients, behavior = BEHAVIORS[suffix]
+    clients_description, behavior = BEHAVIORS[suffix]
     is_short_outage = outage_s == SHORT_OUTAGE_S
     duration_suffix = "" if is_short_outage else f"-{outage_s:.0f}s"
     full_scale_note = f" (full: {worlds.FULL_OUTAGE_S:.0f} s)" if is_short_outage else ""
     return _make_experiment(
         f"retry-storm{suffix}{duration_suffix}",
-        f"all converters out for {outage_s:.0f} s{full_scale_note}, {clients}",
+        f"all converters out for {outage_s:.0f} s{full_scale_note}, {clients_description}",
         worlds.outage(behavior, outage_s),
     )
 
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -16,8 +16,8 @@
 WINDOW_STEP_S = WINDOW_S / 2
 MIN_SERVICE = 0.95  # service level from which a window counts as recovered
 MIN_OBSERVED_S = 2.0  # minimum time after the outage over which rejections are counted
-ADVICE_PERIOD_US = 200_000  # rejections within one period follow the same update of the guard
-ADVICE_BIN_US = 50_000  # Retry-After times in the same bin count as equal
+GROUPING_PERIOD_US = 200_000  # rejections within one period follow the same update of the guard
+RETRY_AFTER_BIN_US = 50_000  # Retry-After times in the same bin count as equal
 MIN_GROUP_SIZE = 20  # groups of fewer rejections are ignored as not significant
 STORM_DETECTED_MESSAGE = "a retry storm opens"  # in a sidecar's log
 US_PER_S = 1e6
@@ -30,9 +30,9 @@
     outage's end to the end of the run.
     """
     end_s = find_outage(run.world).end_s
-    begins_s = np.arange(end_s, run.world.duration_s - WINDOW_S, WINDOW_STEP_S).tolist()
+    window_starts_s = np.arange(end_s, run.world.duration_s - WINDOW_S, WINDOW_STEP_S).tolist()
     recovered_at_s = run.world.duration_s
-    for begin_s in reversed(begins_s):
+    for begin_s in reversed(window_starts_s):
         is_inside = figures.due_between(begin_s, begin_s + WINDOW_S)
         if figures.service_level(run.operations, is_inside) < MIN_SERVICE:
             break
@@ -52,7 +52,7 @@
     return outcomes.count(RequestOutcome.REFUSED) / max(1, len(outcomes))
 
 
-def advice_uniformity(run: Run) -> float:
+def retry_after_uniformity(run: Run) -> float:
     """Return how uniform the Retry-After times of simultaneous rejections are; at 1, all clients return together.
 
     Rejections are grouped by sidecar, by period, and by first attempt or retry. The result is the mean over the groups
@@ -61,11 +61,11 @@
     groups: dict[tuple[int, int, bool], list[ClientAttempt]] = defaultdict(list)
     for attempt in run.history.client_attempts:
         if attempt.outcome is RequestOutcome.REFUSED and attempt.retry_after_us:
-            groups[attempt.sidecar, attempt.ended_us // ADVICE_PERIOD_US, attempt.number > 0].append(attempt)
+            groups[attempt.sidecar, attempt.ended_us // GROUPING_PERIOD_US, attempt.number > 0].append(attempt)
     shares = []
     for group in groups.values():
         if len(group) >= MIN_GROUP_SIZE:
-            bins = Counter(attempt.retry_after_us // ADVICE_BIN_US for attempt in group)
+            bins = Counter(attempt.retry_after_us // RETRY_AFTER_BIN_US for attempt in group)
             shares.append(max(bins.values()) / len(group))
     return float(np.mean(shares)) if shares else 1.0
 
--- a/ryepier/experiments/storms/one_sidecar.py
+++ b/ryepier/experiments/storms/one_sidecar.py
@@ -10,7 +10,7 @@
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.storms import measures, worlds
-from ryepier.experiments.storms.after_outage import MAX_ADVICE_UNIFORMITY, MAX_RECOVERY_S
+from ryepier.experiments.storms.after_outage import MAX_RECOVERY_S, MAX_RETRY_AFTER_UNIFORMITY
 
 AFFECTED_LOG = f"sidecar-{worlds.AFFECTED_SIDECAR}.log"
 MIN_SERVICE = 0.97
@@ -34,9 +34,9 @@
         Claim("time until service is back (s)", measures.recovery_s(run), "<=", MAX_RECOVERY_S),
         Claim(
             "share of refusals of one moment told the same",
-            measures.advice_uniformity(run),
+            measures.retry_after_uniformity(run),
             "<=",
-            MAX_ADVICE_UNIFORMITY,
+            MAX_RETRY_AFTER_UNIFORMITY,
         ),
     ]
 
--- a/ryepier/experiments/storms/outage.py
+++ b/ryepier/experiments/storms/outage.py
@@ -26,8 +26,8 @@
 
 def end_of_fault_s(fault: Fault) -> float:
     """Return the time of the run at which the converters that a fault affected are available again."""
-    restart_s = fault.drain_s + fault.down_s if fault.kind is FaultKind.RELEASE else 0.0
-    return phases.end_s(fault) + restart_s
+    until_restart_s = fault.drain_s + fault.down_s if fault.kind is FaultKind.RELEASE else 0.0
+    return phases.end_s(fault) + until_restart_s
 
 
 def find_outage(world: World) -> Outage:
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -25,20 +25,22 @@
     RetryPolicy.retry_after_us = same_retry_after_us  # type: ignore[method-assign]
 
 
-def detect_any_retry() -> None:
+def detect_storm_at_any_retry() -> None:
     """Detect a retry storm as soon as there is any retry."""
     from ryepier.storm.storm_detector import RetryStormDetector, StormEvidence
 
     RetryStormDetector._should_open = lambda self, evidence: evidence.retry_share > 0  # type: ignore[method-assign]
 
     def evidence_of_any_retry(self: RetryStormDetector, now_us: int) -> StormEvidence:
-        offered = sum(self.arrival_rates)
-        return StormEvidence(offered, self.served_rate, sum(self.arrival_rates[1:]) / max(1.0, offered), 0.0, None)
+        offered_rate = sum(self.arrival_rates)
+        return StormEvidence(
+            offered_rate, self.served_rate, sum(self.arrival_rates[1:]) / max(1.0, offered_rate), 0.0, None
+        )
 
     RetryStormDetector._evidence = evidence_of_any_retry  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "no-spread": advise_same_time,
-    "jumpy": detect_any_retry,
+    "jumpy": detect_storm_at_any_retry,
 }
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -55,19 +55,21 @@
 def two_outages(scale: Scale) -> World:
     """Return the world with a second outage of all converters, shortly after the first one."""
     base, replace = load(BASE_WORLD), msgspec.structs.replace
-    first = base.faults[0]
-    second = replace(first, at_s=end_of_fault_s(first) + SECOND_OUTAGE_AFTER_S)
-    remaining_s = base.duration_s - end_of_fault_s(first)
-    return replace(base, duration_s=end_of_fault_s(second) + remaining_s, faults=[first, second])
+    first_outage = base.faults[0]
+    second_outage = replace(first_outage, at_s=end_of_fault_s(first_outage) + SECOND_OUTAGE_AFTER_S)
+    remaining_s = base.duration_s - end_of_fault_s(first_outage)
+    return replace(base, duration_s=end_of_fault_s(second_outage) + remaining_s, faults=[first_outage, second_outage])
 
 
 def outage_without_discovery(scale: Scale) -> World:
     """Return the world in which converters refuse connections, and discovery is down from before that to the end."""
     base = load(BASE_WORLD)
-    first = base.faults[0]
-    refuse = Fault(kind=FaultKind.REFUSE, at_s=first.at_s, for_s=first.down_s)
+    outage_fault = base.faults[0]
+    refuse = Fault(kind=FaultKind.REFUSE, at_s=outage_fault.at_s, for_s=outage_fault.down_s)
     discovery_down = Fault(
-        kind=FaultKind.DISCOVERY_DOWN, at_s=first.at_s - DISCOVERY_LEAD_S, for_s=base.duration_s - first.at_s
+        kind=FaultKind.DISCOVERY_DOWN,
+        at_s=outage_fault.at_s - DISCOVERY_LEAD_S,
+        for_s=base.duration_s - outage_fault.at_s,
     )
     return msgspec.structs.replace(base, faults=[refuse, discovery_down])
 
@@ -75,6 +77,8 @@
 def rejections_for_one_sidecar(scale: Scale) -> World:
     """Return the world in which converters reject all requests of `AFFECTED_SIDECAR`."""
     base = load(BASE_WORLD)
-    first = base.faults[0]
-    fault = Fault(kind=FaultKind.TURN_AWAY, at_s=first.at_s, for_s=first.down_s, via=AFFECTED_SIDECAR)
-    return msgspec.structs.replace(base, faults=[fault])
+    outage_fault = base.faults[0]
+    rejection_fault = Fault(
+        kind=FaultKind.TURN_AWAY, at_s=outage_fault.at_s, for_s=outage_fault.down_s, via=AFFECTED_SIDECAR
+    )
+    return msgspec.structs.replace(base, faults=[rejection_fault])
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from ryepier import cli
-from ryepier.commands import experiment as command
+from ryepier.commands import experiment as experiment_command
 from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.records import History, Incarnation
 from ryepier.emulator.world import World
@@ -24,12 +24,12 @@
 from ryepier.experiments.core.contract import Benchmark, Claim, Experiment, Measurement, Run, Scale, TrialConfig
 from ryepier.experiments.core.machine import InsufficientResourcesError
 
-RECORDED = Path(__file__).parent / "fixtures" / "experiments_interface.json"
+RECORDED_INTERFACE = Path(__file__).parent / "fixtures" / "experiments_interface.json"
 EXPERIMENTS_NEEDING_TRAFFIC = {"load-spread-lists"}  # its claims divide by the number of requests
 
 
 def recorded_interface() -> dict[str, Any]:
-    content: dict[str, Any] = json.loads(RECORDED.read_text())
+    content: dict[str, Any] = json.loads(RECORDED_INTERFACE.read_text())
     return content
 
 
@@ -87,15 +87,15 @@
     assert isinstance(group, cli.Commands)
     commands = {}
     for name in cli.COMMANDS:
-        loaded = group.get_command(click.Context(group), name)
-        assert loaded is not None
-        commands[name] = loaded
+        loaded_command = group.get_command(click.Context(group), name)
+        assert loaded_command is not None
+        commands[name] = loaded_command
     return commands
 
 
 @pytest.mark.parametrize("name", sorted(recorded_interface()["experiments"]))
 def test_experiments_keep_their_names_and_seeded_faults(name: str) -> None:
-    experiment = command.ALL_EXPERIMENTS[name]
+    experiment = experiment_command.ALL_EXPERIMENTS[name]
     recorded_experiment = recorded_interface()["experiments"][name]
     assert list(experiment.seeded_faults) == recorded_experiment["seeded_faults"]
     assert isinstance(experiment, Benchmark) == recorded_experiment["measured"]
@@ -109,7 +109,7 @@
 
 
 def test_every_experiment_is_recorded() -> None:
-    assert set(recorded_interface()["experiments"]) <= set(command.ALL_EXPERIMENTS)
+    assert set(recorded_interface()["experiments"]) <= set(experiment_command.ALL_EXPERIMENTS)
     assert set(recorded_interface()["claims"]) == set(catalogue.EXPERIMENTS) - EXPERIMENTS_NEEDING_TRAFFIC
 
 
@@ -118,19 +118,19 @@
 
 
 def test_commands_keep_their_options() -> None:
-    current: dict[str, list[str]] = {}
-    for name, loaded in loaded_commands().items():
-        current |= parameters(loaded, name)
+    current_parameters: dict[str, list[str]] = {}
+    for name, loaded_command in loaded_commands().items():
+        current_parameters |= parameters(loaded_command, name)
     for name, recorded_parameters in recorded_interface()["commands"].items():
-        assert set(recorded_parameters) <= set(current[name]), name
+        assert set(recorded_parameters) <= set(current_parameters[name]), name
 
 
 def test_options_keep_their_choices() -> None:
-    current: dict[str, list[str]] = {}
-    for name, loaded in loaded_commands().items():
-        current |= choices(loaded, name)
+    current_choices: dict[str, list[str]] = {}
+    for name, loaded_command in loaded_commands().items():
+        current_choices |= choices(loaded_command, name)
     for option, values in recorded_interface()["choices"].items():
-        assert set(values) <= set(current[option]), option
+        assert set(values) <= set(current_choices[option]), option
 
 
 def test_results_keep_their_fields_and_files() -> None:
@@ -160,8 +160,8 @@
 
 
 def test_a_result_is_written_with_the_recorded_fields(tmp_path: Path) -> None:
-    stub = Benchmark("stub", "", measure_returning(1.0), ())
-    runner.run_benchmark(stub, TrialConfig(1, Scale.SMALL, tmp_path))
+    stub_benchmark = Benchmark("stub", "", measure_returning(1.0), ())
+    runner.run_benchmark(stub_benchmark, TrialConfig(1, Scale.SMALL, tmp_path))
     written_result = json.loads((tmp_path / "result.json").read_text())
     assert list(written_result) == recorded_interface()["result"]["fields"]
     assert list(written_result["claims"][0]) == recorded_interface()["result"]["claim_fields"]
@@ -186,7 +186,9 @@
     ],
 )
 def test_exit_codes(measure: Any, exit_code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(command.ALL_EXPERIMENTS, "scale-depth", Benchmark("scale-depth", "", measure, ("no-budget",)))
+    monkeypatch.setitem(
+        experiment_command.ALL_EXPERIMENTS, "scale-depth", Benchmark("scale-depth", "", measure, ("no-budget",))
+    )
     arguments = ["experiment", "run", "scale-depth", "--out", str(tmp_path)]
     assert CliRunner().invoke(cli.main, arguments).exit_code == exit_code
 
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -19,27 +19,27 @@
 from ryepier.experiments.graphql.reset_queries import (
     BUDGET_RATIO,
     MIN_RETRIED_SHARE,
-    QueryResets,
-    find_query_resets,
+    QueryResetCounts,
+    count_query_resets,
 )
 
 SHORT_DURATION_S = 4.0
 SKIPPED_QUERY_INTERVAL = 10  # one in this many reset queries is not retried by the faulty sidecar
 
 
-def simulate_resets() -> QueryResets:
+def simulate_resets() -> QueryResetCounts:
     """Simulate a short run of the experiment's world, and return the counts of its resets."""
     world = msgspec.structs.replace(load("graphql-resets"), duration_s=SHORT_DURATION_S)
-    return find_query_resets(Run(world, 1, simulated.run_world(world, 1), [], [], Path()))
+    return count_query_resets(Run(world, 1, simulated.run_world(world, 1), [], [], Path()))
 
 
-def claims_hold(resets: QueryResets) -> bool:
+def claims_hold(resets: QueryResetCounts) -> bool:
     return resets.retried_share >= MIN_RETRIED_SHARE and resets.served_share >= resets.min_served_share
 
 
 def test_sidecar_retries_queries_as_far_as_its_budget_allows() -> None:
     resets = simulate_resets()
-    assert resets.with_spare_budget >= 100
+    assert resets.spare_budget_count >= 100
     assert claims_hold(resets)
 
 
@@ -70,17 +70,17 @@
 
 
 def test_responses_lost_after_a_second_attempt_are_detected() -> None:
-    valid_resets = QueryResets(
-        attempts=1000,
-        resets=200,
-        with_available_retry=200,
-        with_spare_budget=200,
-        retried=200,
-        retried_queries=200,
-        served_queries=190,
+    valid_resets = QueryResetCounts(
+        attempt_count=1000,
+        reset_count=200,
+        retriable_count=200,
+        spare_budget_count=200,
+        retried_count=200,
+        retried_query_count=200,
+        served_query_count=190,
     )
     assert claims_hold(valid_resets)
-    assert not claims_hold(dataclasses.replace(valid_resets, served_queries=180))
+    assert not claims_hold(dataclasses.replace(valid_resets, served_query_count=180))
 
 
 @pytest.mark.parametrize(
