--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -19,7 +19,7 @@
 from ryepier.check.seeded_faults import SEEDED_FAULTS
 from ryepier.commands.exits import ExitCode, fail
 
-MAX_TRACED_PATHS = 4000  # per model in the line report, as recording of executed lines is slow
+MAX_TRACED_PATHS = 4000  # paths per model that `lines` expands; recording the executed lines is slow
 KIB_PER_MB = 1024
 
 
@@ -42,7 +42,7 @@
 
 
 def select_model(name: str, converters: int, requests: str, depth: int) -> Model:
-    """Return a model by its name. The other arguments replace the model's own values unless they are 0 or empty."""
+    """Return the model of a name. The other arguments replace the model's own values unless they are 0 or empty."""
     model = MODELS[name]
     if converters:
         model = replace(model, converters=converters, failure_domains=())
@@ -97,7 +97,7 @@
     max_s: float,
     out: Path | None,
 ) -> None:
-    """Explore MODEL; exit with 1 if a rule is broken, with the shortest path to that."""
+    """Explore MODEL. If a rule is broken, print the shortest path to the violation and exit with 1."""
     selected_model = select_model(model, converters, requests, depth)
     install_fault = SEEDED_FAULTS[seeded_fault].install if seeded_fault else None
     try:
--- a/ryepier/commands/config.py
+++ b/ryepier/commands/config.py
@@ -34,7 +34,7 @@
 
 
 def select_settings_variables(environment: Mapping[str, str]) -> dict[str, str]:
-    """Return the environment variables that set an operators' setting; unrelated variables may share the prefix."""
+    """Return the environment variables that set an operators' setting, without others that have the same prefix."""
     tables = tuple(
         f"{operator_settings.ENVIRONMENT_PREFIX}{table.upper()}__"
         for table in operator_settings.OperatorSettings.__struct_encode_fields__
--- a/ryepier/commands/console.py
+++ b/ryepier/commands/console.py
@@ -15,8 +15,8 @@
 from ryepier.emulator.records import RecordedEvent
 from ryepier.experiments.core.contract import Claim
 
-PRINT_INTERVAL_S = 2.0  # between lines where standard error is not a terminal
-ALWAYS_SHOWN = ("offered", "served")
+PRINT_INTERVAL_S = 2.0  # time between printed lines if standard error is not a terminal
+ALWAYS_SHOWN = ("offered", "served")  # counts that are shown even if they are zero
 COUNT_NAMES = (*ALWAYS_SHOWN, "refused", "failed", "timeout", "broken", "unreachable", "retries", "open")
 
 
@@ -27,7 +27,7 @@
 
 @contextmanager
 def live_summary(title: str, duration_s: float) -> Iterator[ProgressCallback]:
-    """Show the clients' counts on standard error: a progress bar on a terminal, a line every 2 s elsewhere."""
+    """Show the clients' counts on standard error: with a progress bar on a terminal, otherwise in a line every 2 s."""
     console = Console(stderr=True)
     if not console.is_terminal:
         yield _make_line_printer()
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -22,12 +22,12 @@
 from ryepier.sidecar.config import parse_address
 
 MAX_PORT = 65_535
-# figures that need records of emulated converters and sidecars, which this command does not run
+# figures computed from the records of emulated converters and sidecars, which this command does not run
 UNKNOWN_FIGURES = frozenset(("waste", "sidecar_most_mib", "attempts_per_try"))
 
 
 def parse_loopback_address(context: click.Context, parameter: click.Parameter, text: str) -> tuple[str, int]:
-    """Return the host and port of a loopback address; others are rejected, to protect services elsewhere."""
+    """Return the host and port of a loopback address; others are rejected, so that no other machine gets load."""
     try:
         host, port = parse_address(text)
         if not ipaddress.ip_address(host).is_loopback or not 0 < port <= MAX_PORT:
@@ -40,8 +40,8 @@
 def make_load_world(path: Path | None, rate_per_s: float | None, duration_s: float | None) -> World:
     """Return the world of a file, or the demo's, with the given rate and duration.
 
-    Faults are removed, as they affect emulated converters, which this command does not run. Raises click.UsageError if
-    a value is out of range.
+    The world's faults are removed, as they affect emulated converters, which this command does not run. Raises
+    click.UsageError if a value is out of range.
     """
     try:
         world = read_world_file(path) if path is not None else load_world("demo")
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -108,7 +108,7 @@
 
     async def submit(client: RegionClient) -> str:
         now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
-        request_fields = {  # `fields` holds the other options, which are named like the fields of a request
+        request_fields = {  # `fields` contains the other options, whose names are those of the fields of a request
             **fields,
             "region": region,
             "duration_ms": round(duration_s * MS_PER_S),
@@ -145,7 +145,7 @@
 
 
 async def _commit(client: RegionClient, command: Command, outcome: str) -> str:
-    """Commit a command and return `outcome`; exit with 1 if the command is rejected."""
+    """Commit a command to the region's log and return `outcome`; exit with 1 if the command is rejected."""
     result = await client.command(command, CALL_TIMEOUT_S)
     if isinstance(result, Rejected):
         fail(COMMAND, result.reason, ExitCode.FAILURE)
--- a/ryepier/commands/plan.py
+++ b/ryepier/commands/plan.py
@@ -16,11 +16,15 @@
 
 FETCH_TIMEOUT_S = 3.0
 READ_BYTES = 65_536
-CLIENT_NAME = "a reader"  # planners do not count this client as a forwarder, as it sends no load reports
+CLIENT_NAME = "a reader"  # not counted as a forwarder by planners, as it sends no load reports
 
 
 async def fetch(address: tuple[str, int]) -> Plan:
-    """Return the first plan that a planner sends. Raises OSError, TimeoutError and ProtocolError."""
+    """Return the first plan that a planner sends.
+
+    Raises OSError if the planner is unreachable, TimeoutError if it sends no plan within `FETCH_TIMEOUT_S`, and
+    ProtocolError if it closes the connection or breaks the protocol before that.
+    """
     async with asyncio.timeout(FETCH_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*address)
         try:
@@ -55,7 +59,7 @@
 
 
 def read_plan_or_exit(path: Path) -> Plan:
-    """Return a plan that `show --json` wrote; exit with 2 if the file holds none."""
+    """Return the plan in a file that `show --json` wrote; exit with 2 if the file contains no plan."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Plan)
     except (OSError, msgspec.MsgspecError) as error:
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -21,7 +21,7 @@
 from ryepier.experiments.simulation.coverage import STATE_DESCRIPTIONS, Coverage
 from ryepier.experiments.simulation.request_story import request_events
 
-REDUCED_SUFFIX = ".small.json"
+REDUCED_SUFFIX = ".small.json"  # replaces the suffix of the finding's file
 
 
 def _check_seeded_fault(name: str) -> None:
@@ -31,7 +31,7 @@
 
 
 def read_finding(path: Path) -> search.Finding:
-    """Return the finding stored in a file; exit with 2 if the file can't be read as one."""
+    """Return the finding stored in a file; exit with 2 if the file contains no valid finding."""
     try:
         return search.load(path)
     except (OSError, msgspec.MsgspecError) as error:
@@ -134,7 +134,7 @@
 @sim.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def shrink(path: Path) -> None:
-    """Reduce a finding to the few faults that matter, and save that beside it."""
+    """Reduce a finding to the faults that are needed to break its rule, and save the result beside the finding."""
     finding = read_finding(path)
     search.install_fault(finding.seeded_fault)
     reduced = search.shrink(finding)
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -24,6 +24,7 @@
 from ryepier.slices.reflector import Apply, Delete, Replace
 from ryepier.slices.slice_source import Settings, SliceSource
 
+# by number of the rule by which slices that list the same endpoint are merged
 RULE_DESCRIPTIONS = {
     1: "all slices that list it agree",
     3: "it was observed terminating, and a pod never returns from that",
@@ -34,7 +35,7 @@
 
 
 def make_settings(path: Path | None, service: str) -> Settings:
-    """Return the settings of a read-only client; exit with 2 if they are incomplete or invalid."""
+    """Return the settings for following a service's slices; exit with 2 if they are incomplete or invalid."""
     operators = read_operators_file(path, os.environ)
     structured.configure_logging(operators.logging)
     slices = operators.slices
@@ -62,7 +63,7 @@
 def format_event(
     event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]], uids: dict[int, str], as_json: bool
 ) -> list[str]:
-    """Return one line for each upstream of an update of the list."""
+    """Return one line of text or JSON for each upstream in an update of the list."""
     lines = []
     for entry in event.upstreams:
         host, port = addresses[entry.id]
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -24,7 +24,7 @@
 
 
 class Scale(StrEnum):
-    """The size of an experiment."""
+    """The scale at which an experiment runs: fleet size, duration and load."""
 
     SMALL = "small"  # finishes within 45 s on eight shared cores
     FULL = "full"
@@ -34,7 +34,7 @@
     """Where an experiment's world runs."""
 
     SOCKETS = "sockets"
-    SIM = "sim"  # one process under virtual time
+    SIM = "sim"  # simulated in one process, under virtual time
 
 
 class Claim(msgspec.Struct, frozen=True):
@@ -55,7 +55,7 @@
         return f"{'holds' if self.holds else 'FAILS'}  {self.name}: {self.value:.4g} {self.op} {self.bound:g}"
 
     def as_fields(self) -> dict[str, object]:
-        """Return the fields that a claim has in result.json."""
+        """Return the fields that the claim has in result.json, including whether it holds."""
         fields: dict[str, object] = msgspec.to_builtins(self)
         return fields | {"holds": self.holds}
 
@@ -79,8 +79,8 @@
 
     seed: int
     scale: Scale
-    folder: Path  # for the result, and for the files that the processes write
-    seeded_fault: str = ""  # name of the seeded fault; empty for none
+    folder: Path  # where the result and the files of the processes are written
+    seeded_fault: str = ""  # name of the seeded fault; empty if there is none
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
     operations: list[figures.Operation]
     breaches: list[judge.Breach]
     folder: Path
-    control: Run | None = None  # the run of the control world with the same seed, if there is one
+    control: Run | None = None  # run of the control world with the same seed; None if there is no control world
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,15 +104,17 @@
     description: str  # one line on what happens in the world
     world: Callable[[Scale], World]
     claims: Callable[[Run], list[Claim]]
-    seeded_faults: Sequence[str]  # names of faults, each of which makes at least one claim fail
+    seeded_faults: Sequence[str]  # names of seeded faults, each of which makes at least one claim fail
     extra_figures: Callable[[Run], Mapping[str, float]] = lambda run: {}  # in addition to `figures.summary`
-    rules: Sequence[str] = tuple(judge.RULES)  # no breach of these rules may occur
-    valid_until_s: Callable[[Run], float] | None = None  # the emulator has to be on time until here; None: to the end
-    restarted_planner_fault: str = ""  # seeded fault of planners that restart after a kill
+    rules: Sequence[str] = tuple(judge.RULES)  # names of the rules that a run must not breach
+    # returns the time of the run until which the emulator has to be on time; None: until the end of the run
+    valid_until_s: Callable[[Run], float] | None = None
+    restarted_planner_fault: str = ""  # seeded fault of planners that restart after a kill; empty if there is none
     sidecar_faults: Mapping[int, str] = field(default_factory=dict)  # seeded faults by sidecar index
-    control_world: Callable[[World], World] | None = None  # run with the same seed, for comparison
+    # returns the control world, which is run with the same seed for comparison; None: there is no control run
+    control_world: Callable[[World], World] | None = None
     cores: int = 0  # number of cores that the run may use; 0 for all
-    measures_cpu: bool = False  # if true, it can't run under virtual time
+    measures_cpu: bool = False  # whether claims depend on CPU time, which can't be measured under virtual time
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -27,15 +27,15 @@
     """One operation of a client: its first attempt with the retries that belong to it."""
 
     first: ClientAttempt
-    weight: float  # priority weight of its class
-    earned_weight: float  # part of the weight, depending on the latency; 0 if served too late or never
-    latency_us: int | None  # from the planned time of the first attempt to the served answer; None: not served
-    attempts: int
+    weight: float  # priority weight of the operation's class
+    earned_weight: float  # the part of `weight` that its latency earns; 0 if it was served too late or never
+    latency_us: int | None  # time from the planned first attempt to the served answer; None if it was never served
+    attempts: int  # number of attempts of the client, including the first
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCounts:
-    """Counts of the attempts in a part of a run: at a selection of converters, and in total."""
+    """Numbers of attempts in a part of a run: at selected converters, and at all converters."""
 
     at_selected: int
     total: int
@@ -119,13 +119,16 @@
 
 
 def cpu_used_us(incarnation: Incarnation, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
-    """Return a sidecar's CPU time between its first and last sample in a part of the run."""
+    """Return a sidecar's CPU time between the first and last sample in a part of the run; 0 without samples there."""
     cpu_readings_us = [cpu_us for at_us, cpu_us, _ in incarnation.samples if begin_us <= at_us <= end_us]
     return cpu_readings_us[-1] - cpu_readings_us[0] if cpu_readings_us else 0
 
 
 def cpu_us_per_request(history: History, sidecar: int, begin_s: float, end_s: float) -> float | None:
-    """Return a sidecar's CPU time per request sent in a part of the run; None with fewer than two samples there."""
+    """Return a sidecar's CPU time per request that all clients sent in a part of the run.
+
+    Returns None if there are fewer than two samples in this part.
+    """
     samples = [
         (at_us, cpu_us)
         for at_us, cpu_us, _ in history.incarnations[sidecar].samples
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -1,8 +1,8 @@
 """Finds violations of the protocol's rules in the records of a run.
 
 The check is a pure function from a `History` to the breaches. It uses only what converters, discovery and clients
-recorded, and nothing that sidecars report about themselves. Comparisons between the records of two processes tolerate
-the lateness of both.
+recorded, and nothing that sidecars report about themselves. Times that two processes recorded are compared with a
+tolerance for the lateness of both processes.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 from ryepier.emulator.world import DeduplicationScope, Effect, RequestClass, World
 
 TIME_LIMIT_SLACK_US = 50_000  # tolerance added to every time limit, for delays of real sockets
-MIN_TOLERANCE_US = 20_000  # minimum tolerance when the records of two processes are compared
-TOLERANCE_PER_LATENESS = 2  # as both of the compared processes may have been late
+MIN_TOLERANCE_US = 20_000  # minimum tolerance for times that two processes recorded
+TOLERANCE_PER_LATENESS = 2  # each of the two compared processes may have been late
 US_PER_MS = 1000
-WITHDRAWN_STATES = frozenset(("leaving", "left"))  # list states of converters that get no new requests
+WITHDRAWN_STATES = frozenset(("leaving", "left"))  # endpoint states of converters that get no new requests
 
 RULES = {
     "unanswered": "no final answer before the client's deadline",
@@ -60,7 +60,7 @@
 def may_have_run(attempt: ConverterAttempt) -> bool:
     """Return whether a converter may have executed an attempt.
 
-    By the protocol, only a complete 503 or 504 response that says so proves that it was not executed.
+    By the protocol, an attempt is known not to have been executed only if a complete 503 or 504 response says so.
     """
     return not (attempt.outcome is AttemptOutcome.ANSWERED and attempt.not_run)
 
@@ -84,7 +84,7 @@
         self.world = world
         self.history = history
         self.client_attempts = {request.request_id: request for request in history.client_attempts}
-        self.attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)  # by request id, in the order of arrival
+        self.attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)  # by request id, in order of arrival
         for attempt in history.converter_attempts:
             self.attempts[attempt.request_id].append(attempt)
         self.incarnations: dict[int, list[Incarnation]] = defaultdict(list)
@@ -92,7 +92,7 @@
             self.incarnations[incarnation.sidecar].append(incarnation)
         worst_lateness_us = max((lateness.p999_us for lateness in history.lateness), default=0)
         self.tolerance_us = max(MIN_TOLERANCE_US, TOLERANCE_PER_LATENESS * worst_lateness_us)
-        # the zones of pods do not depend on the seed, so any seed will do
+        # the zones of pods do not depend on the seed, so an arbitrary one is used
         self.zone_by_pod = {machine.pod: machine.group.zone for machine in draws.machines(world, 0)}
         self.breaches: list[Breach] = []
 
@@ -141,7 +141,7 @@
             self._check_rejection(request)
 
     def _sidecar_ran_throughout(self, request: ClientAttempt) -> bool:
-        """Return whether the request's sidecar ran from its sending to its end without being suspended."""
+        """Return whether the sidecar ran without suspension from the sending of the request to its end."""
         incarnations = self.incarnations[request.sidecar]
         if any(
             incarnation.was_suspended(request.sent_us - TIME_LIMIT_SLACK_US, request.ended_us)
@@ -170,7 +170,7 @@
             self._add_breach("broken", request.ended_us, text)
 
     def _lacked_cpu(self, request: ClientAttempt) -> bool:
-        """Return whether the client's or the sidecar's process got no CPU for a time before the deadline."""
+        """Return whether the client's or the sidecar's process waited long for a CPU between sending and deadline."""
         client_role = f"clients {request.arrival % self.world.harness.client_processes}"
         periods_without_cpu = [
             period for lateness in self.history.lateness if lateness.role == client_role for period in lateness.stalls
@@ -190,8 +190,9 @@
     def _was_given_up_promptly(self, request: ClientAttempt) -> bool:
         """Return whether the final answer followed the last attempt without an unexplained delay.
 
-        Nobody but the sidecar knows of attempts whose connection was never established, so time for them is allowed.
-        Before each attempt a request may wait for half of its latency objective.
+        Converters do not record attempts whose connection was never established, so the allowed delay includes time for
+        the attempts that may have failed like this. Before each attempt a request may wait for half of its latency
+        objective.
         """
         # a converter may record the end of an abandoned attempt slightly after the client received its answer
         ends_us = [
@@ -248,8 +249,11 @@
                 self._add_breach("invented", attempts[0].received_us, f"{request_id} at {attempts[0].uid}")
 
     def _check_executions(self) -> None:
-        """Check at-most-once execution over all retries of a client: a rejection promises that nothing was executed."""
-        executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by the operation's arrival number
+        """Check that no at-most-once operation was executed twice, counting all requests of the operation.
+
+        A client may retry a rejected request, because the rejection promises that the request was not executed.
+        """
+        executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by the arrival number of the operation
         for attempt in self.history.converter_attempts:
             request = self.client_attempts.get(attempt.request_id)
             if (
@@ -266,7 +270,10 @@
     # Endpoint list, overloads and crashes
 
     def _check_drains(self) -> None:
-        """Check that draining converters get no new attempts, by the notifications of each sidecar's incarnation."""
+        """Check that sidecars send no new attempts to draining converters after the grace period.
+
+        For each attempt, only notifications since the start of the sidecar process that sent it count.
+        """
         notified_us = self._withdrawal_times(self.history.notices)
         grace_us = self.world.sidecars.drain_grace_ms * US_PER_MS + TIME_LIMIT_SLACK_US
         for attempt in self.history.converter_attempts:
@@ -282,7 +289,7 @@
 
     @staticmethod
     def _withdrawal_times(notifications: Sequence[EndpointNotice]) -> dict[tuple[int, str], list[int]]:
-        """Return when sidecars were notified that converters drain or are gone, by sidecar and uid."""
+        """Return the times at which sidecars were notified that a converter drains or is gone, by sidecar and uid."""
         times_us: dict[tuple[int, str], list[int]] = defaultdict(list)
         for notification in notifications:
             if notification.state in WITHDRAWN_STATES:
@@ -297,7 +304,10 @@
         )
 
     def _must_act_by_us(self, sidecar: int, notified_us: int, grace_us: float) -> float:
-        """Return when a notification has to take effect; a suspended sidecar reads it only after the suspension."""
+        """Return the time by which a notification has to take effect.
+
+        A suspended sidecar reads the notification only after the suspension, so the grace period starts then.
+        """
         until_us = notified_us + grace_us
         for incarnation in self.incarnations[sidecar]:
             for begun_us, ended_us in incarnation.suspensions:
--- a/ryepier/experiments/core/logs.py
+++ b/ryepier/experiments/core/logs.py
@@ -10,7 +10,10 @@
 
 
 def log_lines(folder: Path, pattern: str) -> list[dict[str, object]]:
-    """Return the JSON lines of the matching logs, with the log's file name as `file`; other lines are skipped."""
+    """Return the JSON lines of the logs that match a pattern, each with the log's file name as `file`.
+
+    Lines that are not JSON are skipped.
+    """
     lines = []
     for path in sorted(folder.glob(pattern)):
         for text in path.read_text(errors="replace").splitlines():
@@ -22,10 +25,10 @@
 
 
 def lines_with(folder: Path, pattern: str, text: str) -> list[dict[str, object]]:
-    """Return the log lines whose message contains a text."""
+    """Return the lines whose message contains a text, of the logs that match a pattern."""
     return [line for line in log_lines(folder, pattern) if text in str(line.get("message"))]
 
 
 def files_with(folder: Path, pattern: str, text: str) -> set[str]:
-    """Return the names of the logs with a line whose message contains a text."""
+    """Return the file names of the logs that match a pattern and have a line whose message contains a text."""
     return {str(line["file"]) for line in lines_with(folder, pattern, text)}
--- a/ryepier/experiments/core/machine.py
+++ b/ryepier/experiments/core/machine.py
@@ -12,7 +12,7 @@
 BYTES_PER_KIB = 1024
 MAX_PROCESSES = 8
 MAX_BYTES = 10 * GB
-MAX_MEMORY_SHARE = 0.5  # of the machine's memory, as the machine is shared with others
+MAX_MEMORY_SHARE = 0.5  # share of the machine's memory that an experiment may use, as others use the machine too
 SPARE_SOCKETS = 64  # descriptors for a process's own files and for connections that are being closed
 MEMINFO = "/proc/meminfo"
 
@@ -27,7 +27,7 @@
 
     processes: int
     bytes: int
-    sockets: int = 0  # in the process that opens the most
+    sockets: int = 0  # largest number that a single process opens
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
     total_bytes: int
     available_bytes: int
-    max_open_files: int  # limit of open file descriptors per process
+    max_open_files: int  # limit on open file descriptors, including sockets, per process
 
     @property
     def usable_bytes(self) -> int:
--- a/ryepier/experiments/core/phases.py
+++ b/ryepier/experiments/core/phases.py
@@ -11,11 +11,11 @@
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Run
 
-RECOVERY_S = 2.0  # time after a fault's end that is excluded from the service level
+RECOVERY_S = 2.0  # time after a fault's end that is excluded from the service level after the fault
 
 
 def end_s(fault: Fault) -> float:
-    """Return when a fault ends, in seconds of the run."""
+    """Return the time of the run at which a fault ends."""
     return fault.at_s + fault.for_s
 
 
@@ -30,7 +30,7 @@
 
 
 def after_recovery(fault: Fault, world: World) -> Callable[[ClientAttempt], bool]:
-    """Return a filter for first attempts planned later than `RECOVERY_S` after the end of a fault."""
+    """Return a filter for first attempts planned at least `RECOVERY_S` after the end of a fault."""
     return from_time(end_s(fault) + RECOVERY_S, world)
 
 
--- a/ryepier/experiments/core/processes.py
+++ b/ryepier/experiments/core/processes.py
@@ -13,7 +13,10 @@
 
 
 async def wait_until_listening(process: subprocess.Popen[bytes], address: tuple[str, int], name: str) -> None:
-    """Wait until a process accepts connections. Raises HarnessError, with `name` in its text, if it does not."""
+    """Wait until a process accepts connections at an address.
+
+    Raises HarnessError, with `name` in its text, if the process exits or does not accept connections in time.
+    """
     deadline_s = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < deadline_s and process.poll() is None:
         try:
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -25,15 +25,16 @@
 matplotlib.use("svg")
 
 REPORT_FILE = "report.html"
-WINDOW_S = 0.5  # window of the curves over time
-MAX_LISTED_BREACHES = 50  # breaches.json has all of them
-MAX_LISTED_EVENTS = 200
+WINDOW_S = 0.5  # length of the time windows for which curves show rates and percentiles
+MAX_LISTED_BREACHES = 50  # in the report; breaches.json contains all of them
+MAX_LISTED_EVENTS = 200  # in the report
 PLOT_SIZE_IN = (9.0, 2.6)
 LINE_WIDTH_PT = 1.0
 SMALL_FONT_PT = 7
-MIN_SHADED_S = 0.05  # width at which a fault without a duration is drawn
+MIN_SHADED_S = 0.05  # width of the shading of a fault without a duration
 LATENCY_CURVES = (("median", 50.0), ("99%", 99.0), ("99.9%", 99.9))
-TAIL_TICKS = {1: "0%", 10: "90%", 100: "99%", 1000: "99.9%", 10000: "99.99%"}  # percentile p is at 1 / (1 - p)
+# tick labels by x position; a percentile, given as the share p, is plotted at x = 1 / (1 - p)
+TAIL_TICKS = {1: "0%", 10: "90%", 100: "99%", 1000: "99.9%", 10000: "99.99%"}
 PLOTTED_OUTCOMES = ("refused", "failed", "timeout", "broken", "unreachable")
 US_PER_S = 1e6
 US_PER_MS = 1000
@@ -75,7 +76,7 @@
 
 
 def events(folder: Path) -> list[RecordedEvent]:
-    """Return the events of the run in a folder: faults, drains, restarts. Raises as `write` does."""
+    """Return the events (faults, drains, restarts) of the run in a folder. Raises the same errors as `write`."""
     return _read_history(folder).events
 
 
@@ -141,7 +142,7 @@
 
 
 def _rate_per_s(times_us: list[int], edges_s: NDArray[np.float64]) -> NDArray[np.float64]:
-    """Return events per second in each window."""
+    """Return the number of events per second in each window."""
     counts: NDArray[np.int64] = np.histogram([at_us / US_PER_S for at_us in times_us], edges_s)[0]
     return counts / WINDOW_S
 
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -30,7 +30,7 @@
 )
 
 LIBRARIES = ("httptools", "numpy", "msgspec", "hdrhistogram")
-CONTROL_FOLDER = "paired"  # folder of the control run, within the folder of the run
+CONTROL_FOLDER = "paired"  # subfolder of the run's folder for the files of the control run
 US_PER_MS = 1000
 
 WorldRunner = Callable[[World, Path, bool], History]  # arguments: world, folder, whether it is the control run
@@ -77,7 +77,7 @@
 
 
 def lateness_claim(run: Run, valid_until_s: Callable[[Run], float] | None) -> Claim:
-    """Return the claim that the emulator was on time. If it does not hold, the run is invalid.
+    """Return the claim that the emulator was on time. If the claim does not hold, the run is invalid.
 
     With `valid_until_s`, the claim covers only the part of the run before that time.
     """
@@ -103,7 +103,7 @@
 
 
 def save_result(folder: Path, result: Result) -> None:
-    """Write result.json."""
+    """Write a result into result.json in a folder."""
     (folder / contract.RESULT_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=2))
 
 
@@ -184,7 +184,7 @@
 
 @contextmanager
 def _limited_to_cores(count: int) -> Iterator[None]:
-    """Limit this process and its children to `count` cores; 0 for no limit."""
+    """Limit this process and its children to `count` cores within the context; 0 for no limit."""
     allowed = os.sched_getaffinity(0)
     if count:
         os.sched_setaffinity(0, set(sorted(allowed)[:count]))
@@ -195,12 +195,14 @@
 
 
 def _make_simulation_runner(experiment: Experiment, trial: TrialConfig) -> WorldRunner:
-    """Return a function that simulates a world in this process. A seeded fault stays installed in the process.
+    """Return a function that simulates a world in this process, where a seeded fault stays installed after the run.
 
-    Raises HarnessError for an experiment that measures CPU or seeds faults into some of the processes.
+    Raises HarnessError for an experiment that measures CPU time or seeds faults into only some of the processes.
     """
     if experiment.measures_cpu or experiment.sidecar_faults or experiment.restarted_planner_fault:
-        raise HarnessError(f"{experiment.name} can't be simulated: it measures CPU or has processes with own faults")
+        raise HarnessError(
+            f"{experiment.name} can't be simulated: it measures CPU or seeds faults into single processes"
+        )
 
     def run_world(world: World, folder: Path, is_control: bool) -> History:
         if trial.seeded_fault and not is_control:
--- a/ryepier/experiments/core/usage.py
+++ b/ryepier/experiments/core/usage.py
@@ -1,4 +1,4 @@
-"""Reads CPU time and resident memory of processes. Has no large imports, as lightweight processes load it."""
+"""Reads CPU time and resident memory of processes. Imports only small modules, as lightweight processes load it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 BYTES_PER_KIB = 1024
-# indices of the fields of /proc/PID/stat after the program's name
+# indices into those fields of /proc/PID/stat that follow the program's name
 USER_TICKS_FIELD, SYSTEM_TICKS_FIELD, RESIDENT_PAGES_FIELD = 11, 12, 21
 
 
@@ -28,12 +28,15 @@
 
 
 def own_usage() -> Usage:
-    """Return the usage of this process with all its threads; the CPU time has microsecond resolution."""
+    """Return the usage of this process, including all its threads; the CPU time has microsecond resolution."""
     return Usage(time.process_time(), resident_bytes(Path(OWN_STATUS).read_text()))
 
 
 def usage(pid: int) -> Usage:
-    """Return the usage of another process; CPU time in clock ticks, usually 10 ms. Raises OSError if it is gone."""
+    """Return the usage of another process. Raises OSError if the process no longer exists.
+
+    The resolution of the CPU time is one clock tick, usually 10 ms.
+    """
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])
     return Usage(ticks / TICKS_PER_S, int(fields[RESIDENT_PAGES_FIELD]) * PAGE_BYTES)
@@ -45,7 +48,7 @@
 
 
 def status_kib(status: str, field: str) -> int:
-    """Return a field in KiB from the text of /proc/PID/status. Raises OSError if it is missing."""
+    """Return the value of a field in KiB from the text of /proc/PID/status. Raises OSError if the field is missing."""
     for line in status.splitlines():
         if line.startswith(f"{field}:"):
             return int(line.split()[1])
--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -1,8 +1,8 @@
 """Experiment `breaking-point`: the request rate that one sidecar sustains on one core.
 
-The load on a single sidecar rises until its service level drops in two consecutive windows. The claims bound the rate
-at that point and the CPU time per request before it, and require answers in time before it. The safety rules have to
-hold after it as well.
+The load on a single sidecar rises until its service level is too low in two consecutive windows: the breaking point.
+The claims bound the request rate at this point, and the CPU time per request up to it, and require that all answers up
+to it are in time. The safety rules have to hold beyond the breaking point as well.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 WINDOW_S = 1.0
 MIN_SERVICE = 0.95  # a window with a lower service level counts as overloaded
-MEASURED_FROM_S = 1.0  # time of the run; the CPU time before it is not counted
+MEASURED_FROM_S = 1.0  # time of the run from which CPU time is counted
 MIN_REQUESTS_PER_S = 2000
 MAX_CPU_US_PER_REQUEST = 450
 US_PER_S = 1e6
 TIMELINESS_RULES = ("unanswered", "held-up", "broken")
-# Rules that a sidecar has to keep even when overload prevents it from answering in time.
+# rules that a sidecar has to keep even when overload prevents it from answering in time
 SAFETY_RULES = (
     "second-answer",
     "forged",
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakingPoint:
-    """The offered rate and the end of the last window before the overload."""
+    """The offered rate and the end time of the last window before the overload."""
 
     offered_per_s: float
     end_s: float
@@ -83,7 +83,10 @@
 
 
 def find_breaking_point(run: Run) -> BreakingPoint:
-    """Return the last window before two consecutive overloaded ones; the run's last window if there are none."""
+    """Return the last window before the first two consecutive overloaded windows.
+
+    Without two such windows, return the last window of the run.
+    """
     windows = split_into_windows(run)
     for window, (first, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
         if first.is_overloaded and second.is_overloaded:
--- a/ryepier/experiments/faults/hang.py
+++ b/ryepier/experiments/faults/hang.py
@@ -1,7 +1,7 @@
 """Experiment `hang`: sidecars eject converters that accept requests but never answer, and restore them afterwards.
 
-A sixth of the converters hangs for some seconds. In the second half of that time, the claims limit the share of
-attempts at hung converters and require a high service level; after it, they require the usual service level.
+A sixth of the converters hangs for some seconds. For the second half of the hang, the claims limit the share of
+attempts at hung converters and require a high service level. After the hang, they require the usual service level.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.faults.scaling import scale_world
 
-MAX_SHARE_TO_HUNG = 0.03  # probes included
+MAX_SHARE_TO_HUNG = 0.03  # share of attempts to hung converters, including probes
 MIN_SERVICE_DURING = 0.90
 MIN_SERVICE_AFTER = 0.95
 
--- a/ryepier/experiments/faults/release.py
+++ b/ryepier/experiments/faults/release.py
@@ -13,7 +13,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.faults.scaling import scale_world
 
-MIN_NOTIFIED_SHARE = 0.9  # of the drains, over all sidecars; a sidecar may miss one while its watch is broken
+MIN_NOTIFIED_SHARE = 0.9  # share of the pairs of drain and sidecar; a sidecar may miss drains while its watch is broken
 MIN_SERVICE = 0.95
 
 
--- a/ryepier/experiments/faults/scaling.py
+++ b/ryepier/experiments/faults/scaling.py
@@ -1,4 +1,4 @@
-"""Enlarges this package's worlds for full scale."""
+"""Makes the worlds of this package larger and longer for full scale."""
 
 from __future__ import annotations
 
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -22,9 +22,9 @@
 from ryepier.sidecar.system import clock_us
 from ryepier.sidecar.upstream_attempt import UpstreamAttempt
 
-DUPLICATION_INTERVAL = 40  # one in this many attempts is also sent to a second converter
+DUPLICATION_INTERVAL = 40  # one in this many attempts is sent to a second converter, too
 LOSS_INTERVAL = 150  # one in this many answers is never written
-WASTED_CPU_US = 400  # wasted CPU time per request, more than the usual CPU time per request
+WASTED_CPU_US = 400  # per request; more than the usual CPU time per request
 START_DELAY_S = 5.0
 
 
@@ -93,7 +93,7 @@
 
 
 def prefer_warming() -> None:
-    """Send everything to the newest converter that is warming up."""
+    """Send all requests to the newest converter that is warming up, as long as there is one."""
     original_candidates = Selector.candidates_with_free_slots
 
     def newest_warming(
@@ -117,7 +117,7 @@
 
 
 def omit_retry_after() -> None:
-    """Answer without a Retry-After header."""
+    """Answer all requests without a Retry-After header."""
     original_answer = RequestDispatcher._answer
 
     def answer_without_retry_after(self: RequestDispatcher, ident: int, answer: FinalAnswer) -> None:
@@ -141,7 +141,7 @@
 
 
 def start_late() -> None:
-    """Delay the start by `START_DELAY_S`."""
+    """Delay the start of the sidecar by `START_DELAY_S`."""
     time.sleep(START_DELAY_S)
 
 
--- a/ryepier/experiments/faults/sidecar_kill.py
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -1,7 +1,7 @@
-"""Experiment `sidecar-kill`: a killed sidecar restarts quickly, without effect on the other sidecars' clients.
+"""Experiment `sidecar-kill`: a killed sidecar restarts quickly, and the clients of other sidecars are not affected.
 
 One sidecar is killed and restarted. The claims require that it is ready within two seconds, that its clients are served
-again two seconds after its restart, and that the clients of the other sidecars are served throughout.
+again two seconds after its restart, and that the clients of the other sidecars are served during the whole run.
 """
 
 from __future__ import annotations
--- a/ryepier/experiments/faults/surge.py
+++ b/ryepier/experiments/faults/surge.py
@@ -1,4 +1,4 @@
-"""Experiment `surge`: sidecars shed an overload early, with a Retry-After, and recover soon after it.
+"""Experiment `surge`: sidecars shed an overload early, with a Retry-After, and recover soon after the surge.
 
 For 9.6 s the clients send 2.3 times the usual traffic, more than the converters can serve. The claims bound the service
 level before, during and after the surge, and require that nearly all rejections carry a Retry-After.
@@ -12,7 +12,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.faults.scaling import scale_world
 
-MEASURED_FROM_S = 0.5  # time of the run; operations planned earlier are excluded
+MEASURED_FROM_S = 0.5  # time of the run; operations planned before it are excluded
 MIN_SERVICE_BEFORE = 0.97
 MIN_SERVICE_DURING = 0.55
 MIN_SERVICE_AFTER = 0.95
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -22,9 +22,10 @@
 
 RATE_PER_S = 1500.0
 DURATION_S = 6.0
-MEASURED_FROM_S = 1.5  # by then the sidecar has started and its caches are warm
+MEASURED_FROM_S = 1.5  # time of the run by which the sidecar has started and its caches are warm
 MEASURED_TO_S = 5.5
 MIN_SERVED_SHARE = 0.98
+# CPU time per request relative to plain HTTP: with recurring documents, and with documents that never recur
 MAX_USUAL_RATIO = 1.3
 MAX_UNIQUE_RATIO = 3.0
 # values of the world file's clients.graphql
@@ -55,7 +56,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure all three kinds of requests. A seeded fault applies only to the run with the usual documents."""
+    """Measure all three kinds of requests. A seeded fault applies only to the run with recurring documents."""
     usual_command = seeded_faults.command_with_fault(trial.seeded_fault) if trial.seeded_fault else harness.FORWARDER
     commands = {PLAIN: harness.FORWARDER, USUAL: usual_command, UNIQUE: harness.FORWARDER}
     cpu_us = {
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -1,4 +1,4 @@
-"""Counts which queries were retried after a reset of an attempt, given each sidecar's retry budget."""
+"""Counts the queries that were retried after a reset, considering the retry budget of each sidecar."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
 from ryepier.experiments.core.contract import Run
 from ryepier.experiments.core.quantiles import binomial_quantile
 
-# The minimum retry budget that a sidecar has to have: a smaller one allows fewer retries and fails the claim.
+# The smallest retry budget that satisfies the claim: with a smaller one, a sidecar retries too few queries.
 BUDGET_RATIO = 0.2  # retries added to the budget per first attempt
 MAX_BUDGET = 5.0  # retries
-SPARE_BUDGET = 2.0  # retries; one is available even if another has been sent and not yet been received
-MIN_RETRIED_SHARE = 0.98  # of the resets with a spare budget; attempts that never arrived are not recorded
-QUANTILE_LEVEL = 0.001  # probability that a run falls below the bound by chance
+# retries; with this budget one retry is available even if another has been sent and no converter has received it yet
+SPARE_BUDGET = 2.0
+# share of the resets with a spare budget that must be followed by a retry; less than 1, because a retry that never
+# reached a converter is not recorded
+MIN_RETRIED_SHARE = 0.98
+QUANTILE_LEVEL = 0.001  # probability with which a correct sidecar falls below the bound by chance
 
 
 @dataclass(frozen=True, slots=True)
 class QueryResetCounts:
-    """Counts of queries, of their attempts, and of the attempts that were reset."""
+    """Counts of retried queries, of the attempts of all queries, and of the attempts that were reset."""
 
-    attempt_count: int  # attempts of all queries
-    reset_count: int  # of those, the attempts that were reset
-    retriable_count: int  # of the resets, those with an attempt left and at least one retry in the budget
-    spare_budget_count: int  # of those, the resets with a budget of at least `SPARE_BUDGET`
-    retried_count: int  # of those, the resets that were followed by a retry
+    attempt_count: int  # attempts of all queries, as received by converters
+    reset_count: int  # those attempts that were reset
+    retriable_count: int  # resets after which the query had an attempt left and the budget at least one retry
+    spare_budget_count: int  # resets among the retriable ones with a budget of at least `SPARE_BUDGET`
+    retried_count: int  # resets among those with a spare budget that were followed by a retry
     retried_query_count: int  # queries with a further attempt after a reset
-    served_query_count: int  # of those, the queries that were served
+    served_query_count: int  # queries among the retried ones that were served
 
     @property
     def retried_share(self) -> float:
@@ -44,11 +47,11 @@
 
     @property
     def min_served_share(self) -> float:
-        """Return the least share of the retried queries that two further attempts should serve.
+        """Return the smallest share of the retried queries that up to two retries should serve.
 
-        The bound is the quantile at `QUANTILE_LEVEL` of a binomial distribution. Its success probability follows from
-        the run's share of resets, with a second further attempt as often as a reset found a retry in the budget. A
-        third further attempt is not taken into account.
+        The bound is the quantile at `QUANTILE_LEVEL` of a binomial distribution. Its success probability is that of a
+        first retry that is not reset, or of a second one after a first that is reset. Resets have the run's frequency,
+        and a second retry is possible as often as a reset left a retry in the budget. A third retry is ignored.
         """
         reset_share = self.reset_count / max(1, self.attempt_count)
         second_retry_share = reset_share * self.retriable_count / max(1, self.reset_count)
@@ -94,8 +97,8 @@
 def count_query_resets(run: Run) -> QueryResetCounts:
     """Count the resets of queries by the retry budget that was available.
 
-    A sidecar decides on a retry at an unknown time between the reset and the next event that its converters or its
-    client record. So a retry counts as available only if the budget allowed one during all of that time.
+    A sidecar decides on a retry at an unknown time after the reset, and before a converter receives the retry or the
+    client the final answer. So a retry counts as available only if the budget allowed one during all of this time.
     """
     requests = {request.request_id: request for request in run.history.client_attempts}
     attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
@@ -125,7 +128,7 @@
 class _Reset:
     """A reset after which the query had at least one attempt left."""
 
-    lowest_budget: float  # lowest budget between the reset and the retry, or the query's end
+    lowest_budget: float  # the sidecar's lowest budget between the reset and the retry, or the end of the query
     was_retried: bool
 
 
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -2,8 +2,8 @@
 
 Clients send queries and mutations in many GraphQL notations; converters reset connections before and after they have
 executed a request. The claims require enough requests and resets for a significant result, that no mutation ran twice,
-a high service level of queries, and that queries are retried as far as the retry budget allows. Of the retried queries,
-a share has to be served that follows from a quantile of the binomial distribution at the run's own share of resets.
+a high service level of queries, and that queries are retried as far as the retry budget allows. The share of the
+retried queries that has to be served is a quantile of the binomial distribution for the share of resets in the run.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 FULL_SIDECARS = 3
 MIN_REQUESTS = 5_000
 MIN_REQUESTS_AT_FULL_SCALE = 100_000
-MIN_RESET_SHARE = 0.05  # of the requests
+MIN_RESET_SHARE = 0.05  # share of the requests with at least one reset
 MIN_QUERY_SERVICE = 0.98
 
 
@@ -47,14 +47,14 @@
 
 
 def _effects(run: Run) -> dict[str, Effect]:
-    """Return the effect of each request's class by the request's id."""
+    """Return the effect of each request, given by its class, by request id."""
     return {
         request.request_id: run.world.classes[request.request_class].effect for request in run.history.client_attempts
     }
 
 
 def count_duplicated_mutations(run: Run) -> int:
-    """Return how many at-most-once requests were executed more than once, by the converters' records."""
+    """Return how many at-most-once requests were executed more than once, according to the converters' records."""
     effects = _effects(run)
     executions = Counter(
         attempt.request_id for attempt in run.history.converter_attempts if attempt.started_us != NEVER
--- a/ryepier/experiments/graphql/seeded_faults.py
+++ b/ryepier/experiments/graphql/seeded_faults.py
@@ -25,7 +25,7 @@
 
 
 def parse_every_time() -> None:
-    """Parse a document at each request, without the cache."""
+    """Parse the document of each request, without the cache."""
     from ryepier.graphql import document
 
     document.DocumentCache.read = lambda self, text: document.read_document(text)  # type: ignore[method-assign]
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -1,8 +1,8 @@
 """Experiments `planner-gain` and `planner-slow`: with planners, a fleet avoids faulty converters sooner.
 
-A sixth of the converters hangs, or becomes ten times as slow. The same seed runs with and without planners. The claims
-bound two ratios of the run with planners to the run without: of the time until nearly all forwarders avoid the faulty
-converters, and of the service lost during the fault.
+A sixth of the converters hangs, or becomes ten times as slow. Each world is run with and without planners, with the
+same seed. The claims bound the time until nearly all forwarders avoid the faulty converters, and the service lost
+during the fault, both as a ratio of the run with planners to the run without.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.planners.worlds import without_planners
 
-STEP_S = 0.1  # resolution of the time until forwarders avoid the affected converters
+STEP_S = 0.1  # resolution at which `avoided_after_s` is determined
 WINDOW_S = 1.5  # a forwarder avoids the affected converters if it sends at most `MAX_PROBES` in this time
-MAX_PROBES = 1  # attempts at the affected converters in a window
-AVOIDING_SHARE = 0.95  # of the forwarders
+MAX_PROBES = 1  # attempts at the affected converters that a window may contain, as probes
+AVOIDING_SHARE = 0.95  # share of the forwarders that have to avoid the affected converters
 MAX_TIME_RATIO = 0.5
 MAX_LOST_RATIO_HANG = 0.8
-MAX_LOST_RATIO_SLOW = 1.0  # sidecars avoid slow converters without planners too, so the gain is small
-MIN_LOST_SHARE = 1e-6  # minimum divisor, which avoids a division by zero
+MAX_LOST_RATIO_SLOW = 1.0  # sidecars avoid slow converters without planners as well, so planners improve little
+MIN_LOST_SHARE = 1e-6  # minimum divisor, to avoid a division by zero
 US_PER_S = 1e6
 
 
@@ -36,7 +36,10 @@
 
 
 def avoided_after_s(run: Run, kind: str) -> float:
-    """Return the time from a fault until 95% of the forwarders avoid the affected converters, at most its length."""
+    """Return the time from the start of a fault until 95% of the forwarders avoid the affected converters.
+
+    The result is at most the duration of the fault.
+    """
     fault = fault_of_kind(run.world, kind)
     attempt_times_s = _attempt_times_at_affected(run, kind)
     sidecar_indices = range(run.world.sidecars.count)
@@ -52,7 +55,7 @@
 
 
 def _attempt_times_at_affected(run: Run, kind: str) -> dict[int, list[float]]:
-    """Return the arrival times of attempts at the affected converters by sidecar, in seconds since the fault."""
+    """Return when attempts arrived at the affected converters, by sidecar, in seconds since the start of the fault."""
     fault = fault_of_kind(run.world, kind)
     affected_uids = phases.affected_uids(run, (kind,))
     sidecar_by_request = {attempt.request_id: attempt.sidecar for attempt in run.history.client_attempts}
--- a/ryepier/experiments/planners/failover.py
+++ b/ryepier/experiments/planners/failover.py
@@ -1,8 +1,8 @@
 """Experiments `planner-kill` and `planner-hang`: forwarders fail over to the second planner, and only if needed.
 
 The leading planner is killed during a surge, or hangs for 5 s with its connections open. The claims require that
-forwarders follow the second planner with no further changes, that the hung planner steps down, and a high service
-level.
+forwarders change to the second planner and do not change again, that the hung planner steps down when it resumes, and a
+high service level.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from ryepier.experiments.planners.followers import count_changes_of_planner, count_followers_of
 
 FIRST_PLANNER_LOG = "planner-0.log"
-STEPPED_DOWN_MESSAGE = "follows, epoch"
-MIN_CHANGED_SHARE = 0.95  # of the forwarders, when the planner is killed during a surge
+STEPPED_DOWN_MESSAGE = "follows, epoch"  # in a planner's log
+MIN_CHANGED_SHARE = 0.95  # share of the forwarders that follow the second planner, if the first is killed in a surge
 MIN_SERVICE = 0.97
 
 
--- a/ryepier/experiments/planners/false_reports.py
+++ b/ryepier/experiments/planners/false_reports.py
@@ -1,7 +1,8 @@
 """Experiment `planner-liar`: false reports of a few forwarders can't get healthy converters ejected by the fleet.
 
 Three forwarders report that nearly all requests to a sixth of the converters fail. The claims require that all
-forwarders follow plans, that none of those converters is without requests for long, and a high service level.
+forwarders follow plans, that none of the falsely reported converters is without requests for long, and a high service
+level.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from ryepier.experiments.planners.seeded_faults import FALSELY_REPORTED_INTERVAL
 
 FALSE_REPORTERS = 3  # number of forwarders that report false failures
-MEASURED_FROM_S = 3.0  # time of the run; earlier gaps are not counted
-MAX_GAP_S = 1.0  # without false reports, each converter gets about ten requests per second
+MEASURED_FROM_S = 3.0  # time of the run from which gaps are measured
+MAX_GAP_S = 1.0  # a converter that is not reported falsely gets about ten requests per second
 MIN_SERVICE = 0.98
 US_PER_S = 1e6
 
--- a/ryepier/experiments/planners/followers.py
+++ b/ryepier/experiments/planners/followers.py
@@ -5,7 +5,7 @@
 from ryepier.experiments.core.contract import Run
 from ryepier.experiments.core.logs import SIDECAR_LOGS, files_with, lines_with
 
-FOLLOWING_MESSAGE = "following plans"
+FOLLOWING_MESSAGE = "following plans"  # in a sidecar's log
 
 
 def count_sidecars_that_logged(run: Run, text: str) -> int:
@@ -24,5 +24,5 @@
 
 
 def count_changes_of_planner(run: Run) -> int:
-    """Return the number of times that sidecars began to follow a planner."""
+    """Return how often sidecars began to follow a planner, including their first planner."""
     return len(lines_with(run.folder, SIDECAR_LOGS, FOLLOWING_MESSAGE))
--- a/ryepier/experiments/planners/loss.py
+++ b/ryepier/experiments/planners/loss.py
@@ -15,7 +15,7 @@
 from ryepier.experiments.planners import worlds
 from ryepier.experiments.planners.followers import count_followers
 
-MEASURED_FROM_S = 1.0  # time of the run; operations planned earlier are excluded
+MEASURED_FROM_S = 1.0  # time of the run; operations planned before it are excluded
 MAX_LOST_POINTS = 2.0  # percentage points of the service level
 
 
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -2,7 +2,7 @@
 
 Many real forwarders in this process are connected to a listener that records connections. The listener closes abruptly
 and restarts after 50 ms or 2 s. The claims require that all forwarders reconnect within the longest backoff, and limit
-the share that reconnects in any tenth of a second.
+the share of the forwarders that reconnects within any tenth of a second.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 from ryepier.plan.messages import Heartbeat, Term, encode
 from ryepier.plan.plan_follower import AcceptanceRules
 
-FLEET_SIZES = {Scale.SMALL: (50, 500), Scale.FULL: (50, 1000)}  # forwarders
-DOWN_TIMES_S = (0.05, 2.0)
+FLEET_SIZES = {Scale.SMALL: (50, 500), Scale.FULL: (50, 1000)}  # numbers of forwarders
+DOWN_TIMES_S = (0.05, 2.0)  # times between the crash and the restart of the planner
 CONNECTION_TIMEOUT_S = 8.0  # longest wait for all forwarders to connect
-SETTLING_TIME_S = 1.0  # between the first connections and the crash
-CLOSING_TIME_S = 0.1  # for aborted connections to be closed
+SETTLING_TIME_S = 1.0  # time between the last of the first connections and the crash
+CLOSING_TIME_S = 0.1  # time in which aborted connections are closed
 POLL_INTERVAL_S = 0.02
-WINDOW_S = 0.1
+WINDOW_S = 0.1  # length of the window in which the peak of the reconnections is determined
 HEARTBEAT_INTERVAL_S = 0.5
-MAX_RECONNECTION_S = MAX_BACKOFF_S + 0.5  # allows 0.5 s to connect
-MAX_PEAK_SHARE = 0.3
+MAX_RECONNECTION_S = MAX_BACKOFF_S + 0.5  # the longest backoff, and 0.5 s to connect
+MAX_PEAK_SHARE = 0.3  # largest allowed share of the forwarders that reconnects within `WINDOW_S`
 HOST = "127.0.0.1"
 BACKLOG = 4096
 READ_BYTES = 65_536
-UNANSWERED_AFTER_US = 100_000
+UNANSWERED_AFTER_US = 100_000  # time after which forwarders count an attempt without an answer as failed
 US_PER_S = 1e6
 
 
 class PlannerListener:
-    """Accepts connections in place of a planner, records when they were made, and sends heartbeats."""
+    """Takes the place of a planner: accepts connections, records when they were made, and sends heartbeats."""
 
     def __init__(self) -> None:
         """Start without a port; the first `listen` chooses a free one, which later calls reuse."""
@@ -75,7 +75,7 @@
 
     @staticmethod
     async def _send_heartbeats(writer: asyncio.StreamWriter) -> None:
-        """Send heartbeats, without which forwarders would take the planner for hung and disconnect."""
+        """Send heartbeats until cancelled; without them, forwarders would consider the planner hung and disconnect."""
         while True:
             writer.write(encode(Heartbeat(Term(1, "a"), True, 0)))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
@@ -85,9 +85,9 @@
 class ReconnectionResult:
     """How the forwarders of a fleet reconnected to their planner."""
 
-    reconnected_share: float
+    reconnected_share: float  # share of the fleet that reconnected before the timeout
     last_reconnection_s: float  # time from the restart to the last reconnection
-    peak_share: float  # the largest share within `WINDOW_S`
+    peak_share: float  # largest share of the fleet that reconnected within `WINDOW_S`
 
     def as_figures(self, fleet_size: int, down_s: float) -> dict[str, float]:
         """Return the figures of result.json."""
@@ -100,7 +100,7 @@
 
 
 def summarize_connections(connected_at_us: list[int], since_us: int, fleet_size: int) -> ReconnectionResult:
-    """Return when, and with what peak, a fleet reconnected after a restart at `since_us`."""
+    """Return how a fleet reconnected after a restart at `since_us`, from the times of its connections in any order."""
     if not connected_at_us:
         return ReconnectionResult(0.0, float("inf"), 1.0)
     times_s = (np.sort(connected_at_us) - since_us) / US_PER_S
@@ -155,7 +155,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Restart the planner once for each fleet size and down time."""
+    """Restart a planner once for each fleet size and down time, and measure the reconnections."""
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
     figures: dict[str, float] = {}
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -1,8 +1,9 @@
 """Experiments `planner-empty` and `planner-restart`: forwarders stay safe when planners restart.
 
-Both planners are killed while converters hang. They restart either with their snapshots, or without any state but with
-a fault that makes them publish plans at once. The claims require that no forwarder follows a plan without evidence,
-that valid plans are published again within two seconds, and that few attempts go to the hung converters.
+Both planners are killed while converters hang. In `planner-restart` they restart with their snapshots. In
+`planner-empty` they restart without any state, and with a seeded fault that makes them publish plans at once. The
+claims require that no forwarder follows a plan without evidence, that valid plans are published again within two
+seconds, and that few attempts go to the hung converters.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 from ryepier.plan.plan_follower import PlanRejection
 
 REJECTED_MESSAGE = f"rejected: {PlanRejection.FEW_REPORTERS}"  # in a sidecar's log
-EMPTY_PLANNER_EPOCH = "epoch 10000"  # prefix of the epoch that the seeded fault `amnesiac` uses
-PLAN_ARRIVAL_S = 1.0  # from the planners' restart until their empty plans have arrived
-END_MARGIN_S = 1.0  # excluded at the end of the run
+EMPTY_PLANNER_EPOCH = "epoch 10000"  # in log lines: prefix of the epochs of planners with the seeded fault `amnesiac`
+PLAN_ARRIVAL_S = 1.0  # time from the planners' restart until their empty plans have arrived
+END_MARGIN_S = 1.0  # time at the end of the run that is excluded
 MAX_SHARE_TO_HUNG = 0.02
 MAX_RESTART_S = 2.0
 
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -2,8 +2,8 @@
 
 One planner process serves 50, 200 and 1,000 forwarders. The forwarders are simulated by this process: each is a
 connection that speaks the protocol and reports on a few of the converters. The claims bound the planner's CPU time at
-1,000 forwarders, its growth relative to a linear one, and the traffic per forwarder, and require plans at the usual
-rate.
+1,000 forwarders, the growth of the CPU time from 200 to 1,000 forwarders relative to linear growth, and the traffic per
+forwarder. They also require that each forwarder gets plans at the usual rate.
 """
 
 from __future__ import annotations
@@ -26,24 +26,24 @@
 from ryepier.experiments.core.usage import usage
 from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
 
-FLEET_SIZES = (50, 200, 1000)  # forwarders
+FLEET_SIZES = (50, 200, 1000)  # numbers of forwarders
 CONVERTER_COUNT = 100
-REPORTED_CONVERTER_COUNT = 12  # per forwarder, as a sidecar uses only a few converters at a time
+REPORTED_CONVERTER_COUNT = 12  # per forwarder; a sidecar uses only a few converters at a time
 REPORT_INTERVAL_S = 0.5
-ATTEMPTS_PER_REPORT = 2.0  # mean number of new attempts per converter
-WARM_UP_S = 3.0  # between the connections and the measurement
-MEASUREMENT_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}
+ATTEMPTS_PER_REPORT = 2.0  # mean number of new attempts per reported converter
+WARM_UP_S = 3.0  # time between the start of the forwarders and the measurement
+MEASUREMENT_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}  # duration of the measurement
 READ_BYTES = 65_536
 FULL_REPORTS_FAULT = "whole-reports"  # seeded fault: forwarders report on all converters
 MAX_CORES = 0.9
-MAX_GROWTH_OVER_LINEAR = 1.4
+MAX_GROWTH_OVER_LINEAR = 1.4  # growth of the CPU time relative to the growth of the fleet
 MAX_BYTES_PER_S_PER_FORWARDER = 1500
 MIN_PLANS_PER_S = 1.5
-MIN_CORES = 1e-3  # minimum divisor, which avoids a division by zero
+MIN_CORES = 1e-3  # minimum divisor, to avoid a division by zero
 
 
 class SimulatedForwarder:
-    """A forwarder's connection that sends reports with growing counters, and counts received plans and bytes."""
+    """A connection that sends reports with growing counters like a forwarder, and counts received plans and bytes."""
 
     def __init__(self, index: int, random: np.random.Generator, reports_all: bool) -> None:
         """Start unconnected, with a random choice of converters to report on; all of them if `reports_all` is set."""
@@ -125,7 +125,7 @@
 
     @classmethod
     def between(cls, before: FleetTotals, after: FleetTotals, fleet_size: int) -> PlannerRates:
-        """Return the rates between two readings."""
+        """Return the rates between two readings of a fleet's totals."""
         elapsed_s = after.at_s - before.at_s
         return cls(
             (after.planner_cpu_s - before.planner_cpu_s) / elapsed_s,
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -67,7 +67,7 @@
 
 
 def recount_at_each_report() -> None:
-    """Make a planner evaluate all forwarders at each report."""
+    """Make a planner evaluate all forwarders again at each report."""
     original_merge = Evidence.merge
 
     def merge_and_recount(self: Evidence, now_us: int, name: str, incarnation: int, report: Report) -> bool:
@@ -83,7 +83,7 @@
 
 
 def falsify(uid: str, counters: ConverterCounters) -> ConverterCounters:
-    """Return a converter's counters, with false failures if the converter is one that is reported falsely."""
+    """Return the counters to report for a converter: one in `FALSELY_REPORTED_INTERVAL` gets false failures."""
     index = int(uid.rpartition("-")[2], 16)
     if index % FALSELY_REPORTED_INTERVAL:
         return counters
@@ -91,7 +91,7 @@
     return msgspec.structs.replace(counters, failed=counters.failed + false_failures)
 
 
-PLANNER_FAULTS = frozenset(("amnesiac", "credulous", "recount"))  # all others are faults of sidecars
+PLANNER_FAULTS = frozenset(("amnesiac", "credulous", "recount"))  # faults of planners; all others affect sidecars
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
     "trust-any": accept_every_plan,
     "trust-none": reject_every_plan,
--- a/ryepier/experiments/planners/worlds.py
+++ b/ryepier/experiments/planners/worlds.py
@@ -18,7 +18,7 @@
 
 
 def loss(scale: Scale) -> World:
-    """Return the world in which all planners are down for a time; for `FULL_LOSS_S` at full scale."""
+    """Return the world in which all planners are down for a time, which is `FULL_LOSS_S` at full scale."""
     world = load("planner-loss")
     if scale is Scale.SMALL:
         return world
--- a/ryepier/experiments/seeded_faults.py
+++ b/ryepier/experiments/seeded_faults.py
@@ -1,8 +1,8 @@
 """Runs a sidecar or a planner with one seeded fault, to show that the experiments' claims detect it.
 
 `python -m ryepier.experiments.seeded_faults FAULT` runs `python -m ryepier.sidecar` with that fault. With further
-arguments, such as `--config FILE`, it runs `ryepier run`; a fault of planners always runs `ryepier planner`. Each
-package of experiments defines the faults that its experiments detect.
+arguments, such as `--config FILE`, it runs `ryepier run` instead, and for a fault of planners always `ryepier planner`.
+Each package of experiments defines the faults that its experiments detect.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     seeded_fault, *arguments = sys.argv[1:]
     SEEDED_FAULTS[seeded_fault]()
     if seeded_fault in PLANNER_FAULTS or arguments:
-        # the import rules forbid this package to import the command line, so it is run as a module
+        # the import rules forbid this package to import `ryepier.cli`, so `ryepier` is run as a module
         sys.argv = ["ryepier", "planner" if seeded_fault in PLANNER_FAULTS else "run", *arguments]
         runpy.run_module("ryepier", run_name="__main__")
     return sidecar.main()
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -1,8 +1,8 @@
-"""Benchmark `slices-churn`: latency and CPU time of one change of a service, by the size of the endpoint list.
+"""Benchmark `slices-churn`: delay and CPU time per change of an endpoint list, by the size of the list.
 
 An API server replaces the pods of a service one after another, at 1,000 and at 10,000 endpoints. A separate process
 follows the slices and passes each update to a decision module. The claims require that every change arrives, and bound
-the 99th percentile of its delay, the growth of the CPU time per change, and the memory.
+the 99th percentile of the delay, the growth of the CPU time per change, and the memory.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from ryepier.experiments.slices.follower_process import READY_LINE, FollowerReport
 
 LIST_SIZES = (1_000, 10_000)  # endpoints
-SLICE_SIZE = 100
+SLICE_SIZE = 100  # endpoints per slice
 CHANGE_COUNTS = {Scale.SMALL: 150, Scale.FULL: 1_500}  # number of changes per list size
 CHANGE_INTERVAL_S = 0.04
 START_TIMEOUT_S = 20.0
-LAST_UPDATE_WAIT_S = 0.5  # time for the update of the last change to arrive
-MAX_LINE_BYTES = 64 * 1024 * 1024  # the follower's report is a single line
+LAST_UPDATE_WAIT_S = 0.5  # wait after the last change, for its update to arrive
+MAX_LINE_BYTES = 64 * 1024 * 1024  # the follower prints its report as a single line
 NAMESPACE = "default"
 SERVICE = "convert"
 NODE_COUNT = 50
@@ -65,7 +65,7 @@
 
 
 class ChangingService:
-    """A service whose pods are replaced one after another. Records the time of each change."""
+    """A service whose pods are replaced one after another, with the time of each change."""
 
     def __init__(self, size: int, seed: int) -> None:
         """Create a service of `size` pods and store its slices."""
@@ -81,7 +81,7 @@
             self._store_slice(slice_index)
 
     def make_change(self, number: int) -> None:
-        """Make a change: with an even number a random pod of a slice terminates, with an odd one it is replaced."""
+        """Terminate a random pod of a slice if `number` is even; replace the pod terminated before if it is odd."""
         slice_index = number // 2 % len(self._slices)
         if number % 2 == 0:
             self._terminate_random_pod(slice_index)
@@ -145,9 +145,9 @@
         async with asyncio.timeout(START_TIMEOUT_S):
             line = await process.stdout.readline()
     except TimeoutError:
-        raise HarnessError("the follower had no list before the start timeout") from None
+        raise HarnessError("the follower did not receive the list before the start timeout") from None
     if line != READY_LINE:
-        raise HarnessError("the follower process exited before it had a list")
+        raise HarnessError("the follower process exited before it received the list")
     await _make_changes(service, server, scale)
     process.stdin.write(b"stop\n")
     return msgspec.json.decode(await process.stdout.readline(), type=FollowerReport)
@@ -157,8 +157,8 @@
 class ChurnCost:
     """Delay, CPU time and memory of a follower at one size of the list."""
 
-    arrived_share: float
-    p50_ms: float
+    arrived_share: float  # share of the changes whose update arrived
+    p50_ms: float  # median delay from a change until the decision module has processed its update
     p99_ms: float
     resident_mb: float
     peak_mb: float
@@ -177,7 +177,10 @@
 
 
 def _summarize(report: FollowerReport, changed_at_us: dict[PodChange, int]) -> ChurnCost:
-    """Return the delays between changes and updates, and the costs. Raises HarnessError if no update arrived."""
+    """Compute the delay and cost of the changes from the follower's report and the times of the changes.
+
+    Raises HarnessError if no update arrived.
+    """
     arrived_at_us = {PodChange(update.host, update.state): update.at_us for update in report.updates}
     delays_us = [arrived_at_us[change] - at_us for change, at_us in changed_at_us.items() if change in arrived_at_us]
     if not delays_us:
--- a/ryepier/experiments/slices/drain.py
+++ b/ryepier/experiments/slices/drain.py
@@ -13,8 +13,8 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
-WARM_UP_S = 6.0  # a converter started this long before the end is warm, and should have had requests
-MIN_TERMINATING = 200  # of the 204 converters that are replaced
+WARM_UP_S = 6.0  # a converter that started at least this long before the end of the run should have had requests
+MIN_TERMINATING = 200  # converters observed as terminating, of the 204 that are replaced
 MIN_NOTIFIED_SHARE = 0.95
 MIN_USED_SHARE = 0.95
 MIN_SERVICE = 0.97
--- a/ryepier/experiments/slices/follower_process.py
+++ b/ryepier/experiments/slices/follower_process.py
@@ -1,8 +1,8 @@
-"""A process that follows a service's slices and passes each update to a decision module, for `slices-churn`.
+"""The process that follows a service's slices and passes each update to a decision module, for `slices-churn`.
 
-`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has the list. When
-it reads a line from standard input, it prints a `FollowerReport` as one line of JSON and exits. An empty SEEDED_FAULT
-stands for none.
+`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has received the
+first list. When it reads a line from standard input, it prints a `FollowerReport` as one line of JSON and exits. An
+empty SEEDED_FAULT stands for none.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """One upstream of an update, and the time at which the decision module had processed it."""
+    """One upstream of an update, and the time at which the decision module had processed the update."""
 
     host: str
     state: str
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -1,8 +1,8 @@
 """Experiment `slices-outage`: a fleet keeps serving while the API server is down, and catches up afterwards.
 
-The API server is down for 10 s and returns without its earlier revisions, while converters are replaced. The claims
-require a high service level throughout, that all sidecars soon have the new list, and that from then on no attempts go
-to removed converters.
+The API server is down for 10 s while converters are replaced, and restarts without its earlier revisions. The claims
+require a high service level during and after the outage, that all sidecars soon have the new list, and that they send
+no attempts to removed converters once they have it.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
-LIST_UPDATE_MARGIN_S = 0.5  # after the last sidecar received its list
+LIST_UPDATE_MARGIN_S = 0.5  # time allowed for the use of a list after the last sidecar received it
 MIN_OBSERVED_S = 1.0  # minimum time at the run's end over which the service level is computed
 MIN_SERVICE_DURING = 0.97
 MIN_SERVICE_AFTER = 0.98
 MAX_CATCH_UP_S = 11.0
 MAX_SHARE_TO_REMOVED = 0.0
-FAR_FUTURE_US = 1 << 60
+FAR_FUTURE_US = 1 << 60  # later than the end of any run
 US_PER_S = 1e6
 US_PER_MS = 1000
 
@@ -30,7 +30,7 @@
 
 
 def catch_up_s(run: Run) -> float:
-    """Return the time from the API server's return until all sidecars had a list; infinite if one never had."""
+    """Return the time from the API server's restart until all sidecars have a list; infinite if a sidecar got none."""
     returned_at_us = phases.end_s(fault_of_kind(run.world, FaultKind.DISCOVERY_DOWN)) * US_PER_S
     first_notice_us: dict[int, int] = {}
     for notice in run.history.notices:
@@ -44,8 +44,8 @@
 def share_to_removed(run: Run, since_s: float) -> float:
     """Return the share of attempts after `since_s` that drained converters received too late.
 
-    An attempt is too late if it arrives after the delay of discovery and the grace period of the drain. Attempts at an
-    address where nothing listens any more are not recorded, and so not counted.
+    An attempt is too late if it arrives later after the start of the drain than the longest delay of discovery plus the
+    grace period. Attempts at an address where no process listens any more are not recorded, and thus not counted.
     """
     steps = timeline.build(run.world, run.seed).steps
     drained_at_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -13,7 +13,7 @@
 from ryepier.slices.endpoint_slice_merger import EndpointObservation, EndpointSliceMerger
 from ryepier.slices.reflector import Reflector, Wait
 
-FAR_FUTURE_US = 10**12
+FAR_FUTURE_US = 10**12  # later than the end of any run
 
 
 def trust_last_slice() -> None:
@@ -33,7 +33,7 @@
 
 
 def never_list_again() -> None:
-    """Never list again after the server has dropped the revision of a watch."""
+    """Never list the slices again after the server has dropped the revision of a watch."""
     Reflector._relist_after_expiry = lambda self, now_us: [Wait(now_us + FAR_FUTURE_US)]  # type: ignore[method-assign]
 
 
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -1,8 +1,8 @@
 """Experiment `retry-storm` and its variants: the service recovers from an outage although clients retry.
 
-All converters are down for 5, 15 or 30 s, twice in a row, or while discovery is down too. Clients back off and all or
-half of them honour Retry-After, or they retry at once. The same seed runs with and without the sidecars' retry storm
-guards.
+All converters are down for 5, 15 or 30 s. In two further variants they are down twice, or while discovery is down as
+well. Clients either back off, and all or half of them honour Retry-After, or they retry at once. Each world is run with
+and without the sidecars' retry storm guards, with the same seed.
 
 The claims require that every guard detects the storm, that the service recovers in time, that retries are rejected
 rather than first attempts, that clients get different Retry-After times, and that the guard costs almost no service
@@ -21,18 +21,21 @@
 from ryepier.experiments.storms.worlds import SHORT_OUTAGE_S, ClientBehavior
 
 OUTAGES_S = (SHORT_OUTAGE_S, 15.0, 30.0)
-LONG_OUTAGE_S = 15.0
+LONG_OUTAGE_S = 15.0  # for outages of at least this length, a longer recovery is allowed
 MAX_RECOVERY_S = 8.0
 MAX_RECOVERY_AFTER_LONG_OUTAGE_S = 12.0
-MEASURED_FROM_S = 1.0  # time of the run; operations planned earlier are excluded
-OUTAGE_MARGIN_S = 3.0  # operations planned less than this before the outage may fail because of it
+MEASURED_FROM_S = 1.0  # time of the run; operations planned before it are excluded
+# Operations planned less than this before the start or the end of an outage are excluded, as their attempts may fall on
+# both sides of it.
+OUTAGE_MARGIN_S = 3.0
 MIN_SERVICE_BEFORE = 0.97
-MAX_FIRST_TO_RETRY_RATIO = 1.0
-MAX_RETRY_AFTER_UNIFORMITY = 0.5
+MAX_FIRST_TO_RETRY_RATIO = 1.0  # rejected share of first attempts, relative to that of retries
+MAX_RETRY_AFTER_UNIFORMITY = 0.5  # see `measures.retry_after_uniformity`
 MAX_LOST_POINTS = 2.0  # percentage points of the service level
-MIN_LOST_SHARE_IN_OUTAGE = 0.3  # of the service level; a smaller loss means that there was no outage
-MIN_DIVISOR = 1e-6  # minimum divisor, which avoids a division by zero
+MIN_LOST_SHARE_IN_OUTAGE = 0.3  # loss of service level; a smaller loss would mean that there was no outage
+MIN_DIVISOR = 1e-6  # avoids a division by zero
 
+# a description and the behaviour of the clients, by the suffix of the experiment's name
 BEHAVIORS = {
     "": ("clients back off and heed Retry-After", ClientBehavior("exponential", 1.0)),
     "-mixed": ("half of the clients heed Retry-After", ClientBehavior("exponential", 0.5)),
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -1,4 +1,4 @@
-"""Measures a run's recovery from an outage, the rejections until then, and the detections of retry storm guards."""
+"""Measures a run's recovery from an outage, the rejections until the recovery, and the detected retry storms."""
 
 from __future__ import annotations
 
@@ -14,20 +14,22 @@
 
 WINDOW_S = 1.0
 WINDOW_STEP_S = WINDOW_S / 2
-MIN_SERVICE = 0.95  # service level from which a window counts as recovered
+MIN_SERVICE = 0.95  # a window with at least this service level counts as recovered
 MIN_OBSERVED_S = 2.0  # minimum time after the outage over which rejections are counted
-GROUPING_PERIOD_US = 200_000  # rejections within one period follow the same update of the guard
+# Rejections within one such period are compared with each other: the guard updates its Retry-After times at this
+# interval, so they were rejected with the same ones.
+GROUPING_PERIOD_US = 200_000
 RETRY_AFTER_BIN_US = 50_000  # Retry-After times in the same bin count as equal
-MIN_GROUP_SIZE = 20  # groups of fewer rejections are ignored as not significant
+MIN_GROUP_SIZE = 20  # groups with fewer rejections are ignored, as they are too small to be significant
 STORM_DETECTED_MESSAGE = "a retry storm opens"  # in a sidecar's log
 US_PER_S = 1e6
 
 
 def recovery_s(run: Run) -> float:
-    """Return the time from the outage's end until the service level stays at `MIN_SERVICE` or above.
+    """Return the time from the outage's end until the service level reaches `MIN_SERVICE` and stays there.
 
-    Retries count towards the window of their operation's first attempt. Without a recovery, return the time from the
-    outage's end to the end of the run.
+    An operation counts in the window of its first attempt, whenever its retries are served. Without a recovery, the
+    result is the time from the outage's end to the end of the run.
     """
     end_s = find_outage(run.world).end_s
     window_starts_s = np.arange(end_s, run.world.duration_s - WINDOW_S, WINDOW_STEP_S).tolist()
@@ -41,7 +43,10 @@
 
 
 def rejected_share(run: Run, retries: bool) -> float:
-    """Return the rejected share of the first attempts (or retries) between the outage's end and the recovery."""
+    """Return the share of the first attempts that were rejected between the outage's end and the recovery.
+
+    With `retries`, return the share of the retries instead.
+    """
     begin_s = find_outage(run.world).end_s
     end_s = begin_s + max(MIN_OBSERVED_S, recovery_s(run))
     outcomes = [
@@ -53,10 +58,11 @@
 
 
 def retry_after_uniformity(run: Run) -> float:
-    """Return how uniform the Retry-After times of simultaneous rejections are; at 1, all clients return together.
+    """Return how uniform the Retry-After times of simultaneous rejections are; at 1, all clients retry simultaneously.
 
-    Rejections are grouped by sidecar, by period, and by first attempt or retry. The result is the mean over the groups
-    of the largest share of a group whose Retry-After times are in the same bin; 1 if there are no groups.
+    Rejections are grouped by sidecar, by `GROUPING_PERIOD_US`, and by first attempt or retry. For each group, the
+    largest share whose Retry-After times are in the same bin is determined. The result is the mean of these shares, or
+    1 if there are no groups.
     """
     groups: dict[tuple[int, int, bool], list[ClientAttempt]] = defaultdict(list)
     for attempt in run.history.client_attempts:
--- a/ryepier/experiments/storms/one_sidecar.py
+++ b/ryepier/experiments/storms/one_sidecar.py
@@ -1,6 +1,6 @@
 """Experiment `retry-storm-one`: the retry storm guard acts only at the sidecar whose requests are rejected.
 
-For five seconds converters reject all requests of one of three sidecars. The claims require that only that sidecar's
+For five seconds, converters reject all requests of one of three sidecars. The claims require that only that sidecar's
 guard detects a storm, that the clients of the other sidecars lose almost no service, and that the service recovers.
 """
 
--- a/ryepier/experiments/storms/outage.py
+++ b/ryepier/experiments/storms/outage.py
@@ -1,4 +1,4 @@
-"""Finds the time in which the converters of a run are down, and the service level after it."""
+"""Finds the outage of a world's converters, and computes the service level after it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """The time from the start of the first fault that takes converters down to the end of the last one."""
+    """The time from the start of the first fault that takes converters down to the end of the last such fault."""
 
     begin_s: float
     end_s: float
--- a/ryepier/experiments/storms/real_surge.py
+++ b/ryepier/experiments/storms/real_surge.py
@@ -1,7 +1,8 @@
 """Experiment `real-surge`: the retry storm guard does not mistake a surge of first attempts for a retry storm.
 
-The clients' own traffic rises, without an outage before. The same seed runs with and without the sidecars' retry storm
-guards. The claims require that no guard detects a storm, and that the guard costs almost no service.
+The clients send more first attempts for a time, and there is no outage that would cause retries. The world is run with
+and without the sidecars' retry storm guards, with the same seed. The claims require that no guard detects a storm, and
+that the guards cost almost no service.
 """
 
 from __future__ import annotations
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -13,7 +13,7 @@
 
 
 def advise_same_time() -> None:
-    """Give all requests that are rejected in a storm the same Retry-After time."""
+    """Give requests that are rejected in a storm a Retry-After time without spread, equal for equal retry numbers."""
     original_retry_after_us = RetryPolicy.retry_after_us
 
     def same_retry_after_us(self: RetryPolicy, request: PendingRequest, storm: RetryStormUpdated) -> int:
@@ -26,7 +26,7 @@
 
 
 def detect_storm_at_any_retry() -> None:
-    """Detect a retry storm as soon as there is any retry."""
+    """Detect a retry storm as soon as there is a single retry."""
     from ryepier.storm.storm_detector import RetryStormDetector, StormEvidence
 
     RetryStormDetector._should_open = lambda self, evidence: evidence.retry_share > 0  # type: ignore[method-assign]
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -13,12 +13,12 @@
 from ryepier.experiments.storms.outage import end_of_fault_s
 
 BASE_WORLD = "retry-storm"  # world file in which all converters stop at once and restart later
-SHORT_OUTAGE_S = 5.0  # outage in the world file
-FULL_OUTAGE_S = 30.0  # outage at full scale
-AFTER_OUTAGE_S = 14.0  # time between a longer outage and the end of the run
-SECOND_OUTAGE_AFTER_S = 5.0  # time between the end of the first outage and the second one
-DISCOVERY_LEAD_S = 1.0  # discovery goes down this long before the converters
-AFFECTED_SIDECAR = 0
+SHORT_OUTAGE_S = 5.0  # length of the outage in the world file
+FULL_OUTAGE_S = 30.0  # length of the outage at full scale
+AFTER_OUTAGE_S = 14.0  # time from the end of an outage to the end of the run, for outages longer than the world file's
+SECOND_OUTAGE_AFTER_S = 5.0  # time between the end of the first outage and the start of the second
+DISCOVERY_LEAD_S = 1.0  # time for which discovery is already down when the converters' outage starts
+AFFECTED_SIDECAR = 0  # index of the only sidecar whose requests are rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,10 @@
 
 
 def outage(behavior: ClientBehavior, outage_s: float) -> Callable[[Scale], World]:
-    """Return a function that makes a world with an outage of all converters; `FULL_OUTAGE_S` at full scale."""
+    """Return a function that makes a world with an outage of all converters.
+
+    The outage lasts `outage_s` at small scale, and `FULL_OUTAGE_S` at full scale.
+    """
 
     def make_world(scale: Scale) -> World:
         base, replace = load(BASE_WORLD), msgspec.structs.replace
@@ -62,7 +65,10 @@
 
 
 def outage_without_discovery(scale: Scale) -> World:
-    """Return the world in which converters refuse connections, and discovery is down from before that to the end."""
+    """Return the world in which converters refuse connections while discovery is down.
+
+    Discovery goes down before the converters, and stays down until the end of the run.
+    """
     base = load(BASE_WORLD)
     outage_fault = base.faults[0]
     refuse = Fault(kind=FaultKind.REFUSE, at_s=outage_fault.at_s, for_s=outage_fault.down_s)
--- a/tests/test_experiment_interface.py
+++ b/tests/test_experiment_interface.py
@@ -1,4 +1,4 @@
-"""Compares the names that callers of the experiments rely on with a recorded list. Names may be added, never changed.
+"""Compares the names that users of the experiments rely on with a recorded list. Names may be added, never changed.
 
 The list contains the commands' options and arguments, the experiments, claims, seeded faults and figures, the fields
 and files of a result, and the names of the rules. `test_exit_codes` checks the exit codes.
@@ -25,7 +25,7 @@
 from ryepier.experiments.core.machine import InsufficientResourcesError
 
 RECORDED_INTERFACE = Path(__file__).parent / "fixtures" / "experiments_interface.json"
-EXPERIMENTS_NEEDING_TRAFFIC = {"load-spread-lists"}  # its claims divide by the number of requests
+EXPERIMENTS_NEEDING_TRAFFIC = {"load-spread-lists"}  # experiments whose claims divide by the number of requests
 
 
 def recorded_interface() -> dict[str, Any]:
@@ -58,7 +58,7 @@
 
 
 def parameters(group: click.Command, prefix: str = "") -> dict[str, list[str]]:
-    """Return the options and arguments of a command and its subcommands, by the words of the command line."""
+    """Return the options and arguments of a command and of its subcommands, by command with its subcommand."""
     parameters_by_command: dict[str, list[str]] = {}
     for name, subcommand in getattr(group, "commands", {}).items():
         parameters_by_command |= parameters(subcommand, f"{prefix} {name}")
@@ -72,7 +72,7 @@
 
 
 def choices(group: click.Command, prefix: str = "") -> dict[str, list[str]]:
-    """Return the choices of options and arguments, by the words of the command line and the parameter's name."""
+    """Return the choices of options and arguments, by command with its subcommand and parameter."""
     choices_by_parameter: dict[str, list[str]] = {}
     for name, subcommand in getattr(group, "commands", {}).items():
         choices_by_parameter |= choices(subcommand, f"{prefix} {name}")
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -406,7 +406,7 @@
     rules, build_history = INVALID_HISTORIES[name]
     history = build_history()
     for attempt in history.converter_attempts:
-        if attempt.ended_us == 0:
+        if attempt.ended_us == 0:  # stands for an attempt that never ends
             attempt.ended_us = -1
     assert breached_rules(history) == rules
 
--- a/tests/test_graphql_resets.py
+++ b/tests/test_graphql_resets.py
@@ -1,4 +1,4 @@
-"""Tests of the claims of `graphql-resets` on retries: the sidecar satisfies them, and faulty variants do not."""
+"""Tests of the claims of `graphql-resets` on retries: the sidecar satisfies them, and faulty variants of it do not."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     assert not claims_hold(simulate_resets())
 
 
-def test_responses_lost_after_a_second_attempt_are_detected() -> None:
+def test_lost_responses_of_retried_queries_are_detected() -> None:
     valid_resets = QueryResetCounts(
         attempt_count=1000,
         reset_count=200,
