--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -48,10 +48,10 @@
         model = replace(model, converters=converters, failure_domains=())
     if requests:
         classes = tuple(requests.split(","))
-        unknown = set(classes) - CLASSES.keys()
-        if unknown:
+        unknown_classes = set(classes) - CLASSES.keys()
+        if unknown_classes:
             raise click.BadParameter(
-                f"unknown {', '.join(sorted(unknown))}; known: {', '.join(CLASSES)}", param_hint="--requests"
+                f"unknown {', '.join(sorted(unknown_classes))}; known: {', '.join(CLASSES)}", param_hint="--requests"
             )
         model = replace(model, requests=classes)
     return replace(model, depth=depth) if depth else model
@@ -141,11 +141,11 @@
 def show(path: Path) -> None:
     """Print the chart of a path that `check run --out` saved."""
     try:
-        saved = msgspec.json.decode(path.read_bytes(), type=RecordedPath)
-        model = decode_model(saved.model)
-        steps = [decode_step(step) for step in saved.path]
-        if saved.seeded_fault:
-            SEEDED_FAULTS[saved.seeded_fault].install()
+        saved_path = msgspec.json.decode(path.read_bytes(), type=RecordedPath)
+        model = decode_model(saved_path.model)
+        steps = [decode_step(step) for step in saved_path.path]
+        if saved_path.seeded_fault:
+            SEEDED_FAULTS[saved_path.seeded_fault].install()
         print("\n".join(trace.chart(model, steps)))
     except (OSError, msgspec.MsgspecError, KeyError, IndexError, AttributeError) as error:
         fail("check trace", f"{path}: {error!r}", ExitCode.MISUSE)
@@ -156,23 +156,23 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the lines as JSON.")
 def lines(names: tuple[str, ...], as_json: bool) -> None:
     """List the lines of the decision modules that the first paths of the models do not reach."""
-    with line_coverage.record_lines() as executed:
+    with line_coverage.record_lines() as executed_lines:
         for name in names or tuple(MODELS):
             expand_breadth_first(MODELS[name])
-    unreached_functions = line_coverage.unreached_functions(executed)
+    unreached_functions = line_coverage.unreached_functions(executed_lines)
     if as_json:
         print(json.dumps(unreached_functions))
         return
-    for function, missing in unreached_functions:
-        print(f"{function}: {', '.join(map(str, missing))}")
+    for function, missing_lines in unreached_functions:
+        print(f"{function}: {', '.join(map(str, missing_lines))}")
 
 
 def expand_breadth_first(model: Model) -> None:
     """Expand the first `MAX_TRACED_PATHS` paths of a model in this process, in breadth-first order."""
     frontier: list[explore.Steps] = [()]
-    visited: set[bytes] = set()
+    visited_digests: set[bytes] = set()
     for path in frontier:
         for digest, extended_path in explore.expand(model, path).children:
-            if digest not in visited and len(frontier) < MAX_TRACED_PATHS:
-                visited.add(digest)
+            if digest not in visited_digests and len(frontier) < MAX_TRACED_PATHS:
+                visited_digests.add(digest)
                 frontier.append(extended_path)
--- a/ryepier/commands/console.py
+++ b/ryepier/commands/console.py
@@ -60,7 +60,7 @@
     return [f"{event.at_us / 1e6:8.3f} s  {event.text}" for event in events]
 
 
-def exit_with_claims(claims: Sequence[Claim]) -> None:
+def exit_if_claim_fails(claims: Sequence[Claim]) -> None:
     """Exit with 1 if a claim does not hold; return otherwise."""
     if not all(claim.holds for claim in claims):
         sys.exit(ExitCode.FAILURE)
--- a/ryepier/commands/demo.py
+++ b/ryepier/commands/demo.py
@@ -7,7 +7,7 @@
 
 import click
 
-from ryepier.commands.console import exit_with_claims, format_events, live_summary
+from ryepier.commands.console import exit_if_claim_fails, format_events, live_summary
 from ryepier.commands.exits import ExitCode, fail
 from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.world import World
@@ -54,4 +54,4 @@
     for claim in claims:
         print(claim)
     print(f"report: {report.write(folder)}")
-    exit_with_claims(claims)
+    exit_if_claim_fails(claims)
--- a/ryepier/commands/experiment.py
+++ b/ryepier/commands/experiment.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ryepier.commands import capacity as capacity_commands
-from ryepier.commands.console import exit_with_claims, format_events
+from ryepier.commands.console import exit_if_claim_fails, format_events
 from ryepier.commands.exits import ExitCode, fail
 from ryepier.emulator.errors import HarnessError
 from ryepier.experiments.catalogue import BENCHMARKS, EXPERIMENTS
@@ -47,10 +47,10 @@
         print(json.dumps(entries))
         return
     for listed_experiment in ALL_EXPERIMENTS.values():
-        faults = (
+        faults_text = (
             f" (seeded faults: {', '.join(listed_experiment.seeded_faults)})" if listed_experiment.seeded_faults else ""
         )
-        print(f"{listed_experiment.name:16} {listed_experiment.description}{faults}")
+        print(f"{listed_experiment.name:16} {listed_experiment.description}{faults_text}")
 
 
 @experiment.command()
@@ -84,14 +84,14 @@
     if isinstance(selected_experiment, Experiment):
         _write_report(folder)
     _print_claims(claims, as_json)
-    exit_with_claims(claims)
+    exit_if_claim_fails(claims)
 
 
 def _check_seeded_fault(selected_experiment: Experiment | Benchmark, seeded_fault: str) -> None:
     if seeded_fault and seeded_fault not in selected_experiment.seeded_faults:
-        known = ", ".join(selected_experiment.seeded_faults) or "none"
+        known_faults = ", ".join(selected_experiment.seeded_faults) or "none"
         raise click.BadParameter(
-            f"unknown seeded fault; those of {selected_experiment.name}: {known}", param_hint="--plant"
+            f"unknown seeded fault; those of {selected_experiment.name}: {known_faults}", param_hint="--plant"
         )
 
 
--- a/ryepier/commands/load.py
+++ b/ryepier/commands/load.py
@@ -23,7 +23,7 @@
 
 MAX_PORT = 65_535
 # figures computed from the records of emulated converters and sidecars, which this command does not run
-UNKNOWN_FIGURES = frozenset(("waste", "sidecar_most_mib", "attempts_per_try"))
+UNAVAILABLE_FIGURES = frozenset(("waste", "sidecar_most_mib", "attempts_per_try"))
 
 
 def parse_loopback_address(context: click.Context, parameter: click.Parameter, text: str) -> tuple[str, int]:
@@ -80,9 +80,9 @@
     world = make_load_world(path, rate, seconds)
     history = run_load(world, address, seed)
     summary = figures.summary(world, history, figures.group_operations(world, history.client_attempts))
-    known_figures = {name: value for name, value in summary.items() if name not in UNKNOWN_FIGURES}
+    available_figures = {name: value for name, value in summary.items() if name not in UNAVAILABLE_FIGURES}
     if as_json:
-        print(json.dumps(known_figures))
+        print(json.dumps(available_figures))
         return
-    for name, value in known_figures.items():
+    for name, value in available_figures.items():
         print(f"{name:28} {value:.4g}")
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -202,11 +202,11 @@
 
 def _describe_request(open_request: RequestStatus) -> str:
     """Return a line that describes a request, with the reason why it waits, if any."""
-    start = "no window"
+    start_text = "no window"
     if open_request.starts_ms >= 0:
-        start = f"next window at {open_request.starts_ms / MS_PER_S:g} s"
-    reason = f": {open_request.reason}" if open_request.reason else ""
-    return f"request {open_request.name}: {len(open_request.remaining)} to do, {start}{reason}"
+        start_text = f"next window at {open_request.starts_ms / MS_PER_S:g} s"
+    reason_text = f": {open_request.reason}" if open_request.reason else ""
+    return f"request {open_request.name}: {len(open_request.remaining)} to do, {start_text}{reason_text}"
 
 
 def _describe_lease(lease: LeaseStatus) -> str:
--- a/ryepier/commands/plan.py
+++ b/ryepier/commands/plan.py
@@ -35,9 +35,9 @@
 
 
 async def _read_plan(reader: asyncio.StreamReader) -> Plan:
-    frames = FrameDecoder()
+    frame_decoder = FrameDecoder()
     while data := await reader.read(READ_BYTES):
-        for message in frames.feed(data):
+        for message in frame_decoder.feed(data):
             if isinstance(message, Plan):
                 return message
     raise ProtocolError("the planner closed the connection before it sent a plan")
--- a/ryepier/commands/signals.py
+++ b/ryepier/commands/signals.py
@@ -8,8 +8,8 @@
 
 def make_stop_event() -> asyncio.Event:
     """Return an event that SIGTERM or SIGINT sets. Call it from a running event loop."""
-    stop = asyncio.Event()
+    stop_event = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signal_number, stop.set)
-    return stop
+        loop.add_signal_handler(signal_number, stop_event.set)
+    return stop_event
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -26,8 +26,8 @@
 
 def _check_seeded_fault(name: str) -> None:
     if name and name not in seeded_faults.SEEDED_FAULTS:
-        known = ", ".join(sorted(seeded_faults.SEEDED_FAULTS))
-        raise click.BadParameter(f"unknown seeded fault {name!r}; known: {known}")
+        known_faults = ", ".join(sorted(seeded_faults.SEEDED_FAULTS))
+        raise click.BadParameter(f"unknown seeded fault {name!r}; known: {known_faults}")
 
 
 def read_finding(path: Path) -> search.Finding:
@@ -137,9 +137,10 @@
     """Reduce a finding to the faults that are needed to break its rule, and save the result beside the finding."""
     finding = read_finding(path)
     search.install_fault(finding.seeded_fault)
-    reduced = search.shrink(finding)
+    reduced_finding = search.shrink(finding)
     out = path.with_suffix(REDUCED_SUFFIX)
-    search.save(reduced, out)
+    search.save(reduced_finding, out)
     print(
-        f"{out}: {len(finding.world.faults)} faults before, {len(reduced.world.faults)} now: {reduced.first_violation}"
+        f"{out}: {len(finding.world.faults)} faults before, {len(reduced_finding.world.faults)} now: "
+        f"{reduced_finding.first_violation}"
     )
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -86,7 +86,7 @@
 
 async def follow(settings: Settings, as_json: bool) -> None:
     """Print every update of the upstream list until SIGTERM or SIGINT."""
-    stop = make_stop_event()
+    stop_event = make_stop_event()
 
     def on_update(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         uids = {upstream_id: uid for uid, upstream_id in source.upstream_ids().items()}
@@ -95,19 +95,19 @@
 
     source = SliceSource(settings, on_update, clock_us)
     source.start()
-    await stop.wait()
+    await stop_event.wait()
 
 
 async def read_once(settings: Settings) -> EndpointSliceMerger:
     """Return the merged slices of one complete list. Raises TimeoutError if there is none within `LIST_TIMEOUT_S`."""
     merger = EndpointSliceMerger(settings.port_name)
-    listed = asyncio.Event()
+    list_received = asyncio.Event()
 
     def on_changes(changes: list[Replace | Apply | Delete]) -> None:
         for change in changes:
             if isinstance(change, Replace):
                 merger.replace(change.slices)
-                listed.set()
+                list_received.set()
 
     client = make_client(
         settings.access,
@@ -122,7 +122,7 @@
     list_task = asyncio.create_task(client.run())
     try:
         async with asyncio.timeout(LIST_TIMEOUT_S):
-            await listed.wait()
+            await list_received.wait()
     finally:
         list_task.cancel()
     return merger
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -26,11 +26,11 @@
 class Operation:
     """One operation of a client: its first attempt with the retries that belong to it."""
 
-    first: ClientAttempt
+    first_attempt: ClientAttempt
     weight: float  # priority weight of the operation's class
     earned_weight: float  # the part of `weight` that its latency earns; 0 if it was served too late or never
     latency_us: int | None  # time from the planned first attempt to the served answer; None if it was never served
-    attempts: int  # number of attempts of the client, including the first
+    attempt_count: int  # number of attempts of the client, including the first
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,16 +52,16 @@
     for attempt in client_attempts:
         attempts_by_arrival.setdefault(attempt.arrival, []).append(attempt)
     operations = [_make_operation(world.classes, attempts) for attempts in attempts_by_arrival.values()]
-    return sorted(operations, key=lambda operation: operation.first.planned_us)
+    return sorted(operations, key=lambda operation: operation.first_attempt.planned_us)
 
 
 def _make_operation(classes: list[RequestClass], attempts: list[ClientAttempt]) -> Operation:
-    first = min(attempts, key=lambda attempt: attempt.number)
-    request_class = classes[first.request_class]
+    first_attempt = min(attempts, key=lambda attempt: attempt.number)
+    request_class = classes[first_attempt.request_class]
     served_at_us = [attempt.ended_us for attempt in attempts if attempt.outcome is RequestOutcome.SERVED]
-    latency_us = min(served_at_us) - first.planned_us if served_at_us else None
+    latency_us = min(served_at_us) - first_attempt.planned_us if served_at_us else None
     earned_weight = _earned_weight(request_class, latency_us)
-    return Operation(first, request_class.priority_weight, earned_weight, latency_us, len(attempts))
+    return Operation(first_attempt, request_class.priority_weight, earned_weight, latency_us, len(attempts))
 
 
 def _earned_weight(request_class: RequestClass, latency_us: int | None) -> float:
@@ -79,7 +79,7 @@
     """Return the earned share of the weight of the operations that `is_included` selects; 1 if there are none."""
     offered_weight = earned_weight = 0.0
     for operation in operations:
-        if is_included(operation.first):
+        if is_included(operation.first_attempt):
             offered_weight += operation.weight
             earned_weight += operation.earned_weight
     return earned_weight / offered_weight if offered_weight else 1.0
@@ -173,6 +173,6 @@
     for outcome, count in sorted(outcomes.items()):
         values[f"share_{outcome}"] = count / attempt_count
     for index, request_class in enumerate(world.classes):
-        class_operations = [operation for operation in operations if operation.first.request_class == index]
+        class_operations = [operation for operation in operations if operation.first_attempt.request_class == index]
         values[f"service_{request_class.name}"] = service_level(class_operations)
     return values
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -179,7 +179,7 @@
             period for incarnation in self.incarnations[request.sidecar] for period in incarnation.cpu_waits
         ]
         due_us = self._due_us(request) + TIME_LIMIT_SLACK_US
-        return any(begun_us < due_us and ended_us > request.sent_us for begun_us, ended_us in periods_without_cpu)
+        return any(begin_us < due_us and end_us > request.sent_us for begin_us, end_us in periods_without_cpu)
 
     def _was_answered_by_converter(self, request: ClientAttempt) -> bool:
         return request.response_request_id == request.request_id and any(
@@ -195,15 +195,15 @@
         objective.
         """
         # a converter may record the end of an abandoned attempt slightly after the client received its answer
-        ends_us = [
+        attempt_ends_us = [
             request.ended_us if attempt.ended_us == NEVER else min(attempt.ended_us, request.ended_us)
             for attempt in self.attempts[request.request_id]
         ]
-        last_event_us = max([request.sent_us, *ends_us])
-        sidecars = self.world.sidecars
-        unseen_attempts = max(0, sidecars.max_attempts - len(ends_us))
-        max_wait_ms = max(1, unseen_attempts) * self._class_of(request).objective_ms / 2
-        max_dial_ms = unseen_attempts * sidecars.dial_timeout_ms
+        last_event_us = max([request.sent_us, *attempt_ends_us])
+        sidecar_settings = self.world.sidecars
+        unrecorded_attempt_count = max(0, sidecar_settings.max_attempts - len(attempt_ends_us))
+        max_wait_ms = max(1, unrecorded_attempt_count) * self._class_of(request).objective_ms / 2
+        max_dial_ms = unrecorded_attempt_count * sidecar_settings.dial_timeout_ms
         return request.ended_us - last_event_us <= (max_wait_ms + max_dial_ms) * US_PER_MS + TIME_LIMIT_SLACK_US
 
     def _check_rejection(self, request: ClientAttempt) -> None:
@@ -274,14 +274,14 @@
 
         For each attempt, only notifications since the start of the sidecar process that sent it count.
         """
-        notified_us = self._withdrawal_times(self.history.notices)
+        withdrawn_at_us = self._withdrawal_times(self.history.notices)
         grace_us = self.world.sidecars.drain_grace_ms * US_PER_MS + TIME_LIMIT_SLACK_US
         for attempt in self.history.converter_attempts:
             request = self.client_attempts.get(attempt.request_id)
-            if request is None or (request.sidecar, attempt.uid) not in notified_us:
+            if request is None or (request.sidecar, attempt.uid) not in withdrawn_at_us:
                 continue
             started_us = self._incarnation_start_us(request.sidecar, attempt.first_byte_us)
-            times_us = [at_us for at_us in notified_us[request.sidecar, attempt.uid] if at_us >= started_us]
+            times_us = [at_us for at_us in withdrawn_at_us[request.sidecar, attempt.uid] if at_us >= started_us]
             if times_us and attempt.first_byte_us > self._must_act_by_us(request.sidecar, min(times_us), grace_us):
                 late_ms = (attempt.first_byte_us - min(times_us)) // US_PER_MS
                 text = f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {request.sidecar} was told"
@@ -310,9 +310,9 @@
         """
         until_us = notified_us + grace_us
         for incarnation in self.incarnations[sidecar]:
-            for begun_us, ended_us in incarnation.suspensions:
-                if begun_us < until_us and ended_us > notified_us:
-                    until_us = max(until_us, ended_us + grace_us)
+            for begin_us, end_us in incarnation.suspensions:
+                if begin_us < until_us and end_us > notified_us:
+                    until_us = max(until_us, end_us + grace_us)
         return until_us
 
     def _check_overloads(self) -> None:
--- a/ryepier/experiments/core/logs.py
+++ b/ryepier/experiments/core/logs.py
@@ -24,11 +24,11 @@
     return lines
 
 
-def lines_with(folder: Path, pattern: str, text: str) -> list[dict[str, object]]:
+def lines_containing(folder: Path, pattern: str, text: str) -> list[dict[str, object]]:
     """Return the lines whose message contains a text, of the logs that match a pattern."""
     return [line for line in log_lines(folder, pattern) if text in str(line.get("message"))]
 
 
-def files_with(folder: Path, pattern: str, text: str) -> set[str]:
+def files_containing(folder: Path, pattern: str, text: str) -> set[str]:
     """Return the file names of the logs that match a pattern and have a line whose message contains a text."""
-    return {str(line["file"]) for line in lines_with(folder, pattern, text)}
+    return {str(line["file"]) for line in lines_containing(folder, pattern, text)}
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -150,9 +150,11 @@
 def _plot_outcomes(run: _SavedRun) -> str:
     figure, axes = _make_axes(run.world)
     edges_s = _window_edges(run.world)
-    planned_us = [operation.first.planned_us for operation in run.operations]
+    planned_us = [operation.first_attempt.planned_us for operation in run.operations]
     on_time_planned_us = [
-        operation.first.planned_us for operation in run.operations if operation.earned_weight >= operation.weight > 0
+        operation.first_attempt.planned_us
+        for operation in run.operations
+        if operation.earned_weight >= operation.weight > 0
     ]
     window_starts_s = edges_s[:-1]
     axes.plot(
@@ -183,7 +185,7 @@
     window_starts_s = _window_edges(run.world)[:-1]
     operations_by_window: dict[int, list[figures.Operation]] = defaultdict(list)
     for operation in run.operations:
-        operations_by_window[int(operation.first.planned_us / US_PER_S / WINDOW_S)].append(operation)
+        operations_by_window[int(operation.first_attempt.planned_us / US_PER_S / WINDOW_S)].append(operation)
     histograms = [figures.latency_histogram(operations_by_window[window]) for window in range(len(window_starts_s))]
     for label, percentile in LATENCY_CURVES:
         latencies_ms = [histogram.get_value_at_percentile(percentile) / US_PER_MS for histogram in histograms]
--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -88,7 +88,7 @@
         return Claim("the emulator's lateness (99.9%, ms)", worst_us / US_PER_MS, "<=", bound_ms)
     until_s = int(valid_until_s(run))
     worst_us = max(
-        (late_us for lateness in process_lateness for late_us in lateness.max_by_second_us[:until_s]), default=0
+        (lateness_us for lateness in process_lateness for lateness_us in lateness.max_by_second_us[:until_s]), default=0
     )
     name = f"the emulator's lateness (most in the first {until_s} s, ms)"
     return Claim(name, worst_us / US_PER_MS, "<=", bound_ms)
@@ -185,13 +185,13 @@
 @contextmanager
 def _limited_to_cores(count: int) -> Iterator[None]:
     """Limit this process and its children to `count` cores within the context; 0 for no limit."""
-    allowed = os.sched_getaffinity(0)
+    allowed_cores = os.sched_getaffinity(0)
     if count:
-        os.sched_setaffinity(0, set(sorted(allowed)[:count]))
+        os.sched_setaffinity(0, set(sorted(allowed_cores)[:count]))
     try:
         yield
     finally:
-        os.sched_setaffinity(0, allowed)
+        os.sched_setaffinity(0, allowed_cores)
 
 
 def _make_simulation_runner(experiment: Experiment, trial: TrialConfig) -> WorldRunner:
--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -77,7 +77,7 @@
     windows = []
     for begin_s in np.arange(0.0, run.world.duration_s, WINDOW_S).tolist():
         is_inside = figures.due_between(begin_s, begin_s + WINDOW_S)
-        window_operations = [operation for operation in run.operations if is_inside(operation.first)]
+        window_operations = [operation for operation in run.operations if is_inside(operation.first_attempt)]
         windows.append(Window(begin_s, len(window_operations) / WINDOW_S, figures.service_level(window_operations)))
     return windows
 
@@ -88,8 +88,8 @@
     Without two such windows, return the last window of the run.
     """
     windows = split_into_windows(run)
-    for window, (first, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
-        if first.is_overloaded and second.is_overloaded:
+    for window, (next_window, second_next_window) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
+        if next_window.is_overloaded and second_next_window.is_overloaded:
             return BreakingPoint(window.offered_per_s, window.begin_s + WINDOW_S)
     return BreakingPoint(windows[-1].offered_per_s, run.world.duration_s)
 
@@ -101,24 +101,24 @@
 
 
 def _figures(run: Run) -> Mapping[str, float]:
-    point = find_breaking_point(run)
-    end_us = np.array([int(point.end_s * US_PER_S)], dtype=np.int64)
+    breaking_point = find_breaking_point(run)
+    end_us = np.array([int(breaking_point.end_s * US_PER_S)], dtype=np.int64)
     return {
-        "breaking_point_per_s": point.offered_per_s,
-        "breaking_point_at_s": point.end_s,
+        "breaking_point_per_s": breaking_point.offered_per_s,
+        "breaking_point_at_s": breaking_point.end_s,
         "planned_rate_there_per_s": float(draws.offered_per_s(run.world, end_us)[0]),
-        "cpu_us_a_request": cpu_us_per_request(run, point.end_s),
+        "cpu_us_a_request": cpu_us_per_request(run, breaking_point.end_s),
     }
 
 
 def _claims(run: Run) -> list[Claim]:
-    point = find_breaking_point(run)
+    breaking_point = find_breaking_point(run)
     timeliness_breach_count = sum(
-        breach.at_us < point.end_s * US_PER_S for breach in run.breaches if breach.rule in TIMELINESS_RULES
+        breach.at_us < breaking_point.end_s * US_PER_S for breach in run.breaches if breach.rule in TIMELINESS_RULES
     )
-    cpu_us = cpu_us_per_request(run, point.end_s)
+    cpu_us = cpu_us_per_request(run, breaking_point.end_s)
     return [
-        Claim("requests a second for one sidecar core", point.offered_per_s, ">=", MIN_REQUESTS_PER_S),
+        Claim("requests a second for one sidecar core", breaking_point.offered_per_s, ">=", MIN_REQUESTS_PER_S),
         Claim("CPU a request up to there (us)", cpu_us, "<=", MAX_CPU_US_PER_REQUEST),
         Claim("breaches of answers in time before it", timeliness_breach_count, "==", 0),
     ]
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -104,13 +104,13 @@
         now_us: int,
     ) -> list[Candidate]:
         upstreams_in_list = self.membership.by_id.values()
-        warming = [
+        warming_upstreams = [
             upstream
             for upstream in upstreams_in_list
             if self.membership.pool_of(upstream).slow_start.is_warming(upstream.entry, now_us)
         ]
-        if warming:
-            return [Candidate(warming[-1], 1.0)]
+        if warming_upstreams:
+            return [Candidate(warming_upstreams[-1], 1.0)]
         return original_candidates(self, request, upstreams, ejections_apply, now_us)
 
     Selector.candidates_with_free_slots = newest_warming  # type: ignore[method-assign]
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -65,12 +65,12 @@
     }
     usual_ratio = cpu_us[USUAL] / cpu_us[PLAIN]
     unique_ratio = cpu_us[UNIQUE] / cpu_us[PLAIN]
-    usual_name = "CPU of a request, GraphQL with usual documents over plain HTTP"
-    unique_name = "CPU of a request, GraphQL with new documents over plain HTTP"
+    usual_claim_name = "CPU of a request, GraphQL with usual documents over plain HTTP"
+    unique_claim_name = "CPU of a request, GraphQL with new documents over plain HTTP"
     return Measurement(
         [
-            Claim(usual_name, usual_ratio, "<=", MAX_USUAL_RATIO),
-            Claim(unique_name, unique_ratio, "<=", MAX_UNIQUE_RATIO),
+            Claim(usual_claim_name, usual_ratio, "<=", MAX_USUAL_RATIO),
+            Claim(unique_claim_name, unique_ratio, "<=", MAX_UNIQUE_RATIO),
         ],
         {
             "plain_us": cpu_us[PLAIN],
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -81,9 +81,9 @@
         self._times_us: dict[int, list[int]] = defaultdict(lambda: [NEVER])
         self._budgets: dict[int, list[float]] = defaultdict(lambda: [MAX_BUDGET])
         for attempt in sorted(attempts):
-            change = -1.0 if attempt.is_retry else BUDGET_RATIO
+            budget_change = -1.0 if attempt.is_retry else BUDGET_RATIO
             budgets = self._budgets[attempt.sidecar]
-            budgets.append(min(MAX_BUDGET, budgets[-1] + change))
+            budgets.append(min(MAX_BUDGET, budgets[-1] + budget_change))
             self._times_us[attempt.sidecar].append(attempt.at_us)
 
     def lowest_between(self, sidecar: int, from_us: int, until_us: int) -> float:
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -90,17 +90,19 @@
     min_requests = MIN_REQUESTS_AT_FULL_SCALE if is_full_scale else MIN_REQUESTS
     classes = run.world.classes
     query_operations = [
-        operation for operation in run.operations if classes[operation.first.request_class].effect is Effect.IDEMPOTENT
+        operation
+        for operation in run.operations
+        if classes[operation.first_attempt.request_class].effect is Effect.IDEMPOTENT
     ]
-    retried_name = "resets of queries, with retries to spare, that were sent again"
-    served_name = "queries sent again after a reset that were served"
+    retried_claim_name = "resets of queries, with retries to spare, that were sent again"
+    served_claim_name = "queries sent again after a reset that were served"
     return [
         Claim("requests", measured["requests"], ">=", min_requests),
         Claim("share of requests that were reset after they were sent", measured["reset_share"], ">=", MIN_RESET_SHARE),
         Claim("mutations that ran twice", measured["duplicated_mutations"], "==", 0),
         Claim("service of queries", figures.service_level(query_operations), ">=", MIN_QUERY_SERVICE),
-        Claim(retried_name, resets.retried_share, ">=", MIN_RETRIED_SHARE),
-        Claim(served_name, resets.served_share, ">=", resets.min_served_share),
+        Claim(retried_claim_name, resets.retried_share, ">=", MIN_RETRIED_SHARE),
+        Claim(served_claim_name, resets.served_share, ">=", resets.min_served_share),
     ]
 
 
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -19,7 +19,7 @@
 STEP_S = 0.1  # resolution at which `avoided_after_s` is determined
 WINDOW_S = 1.5  # a forwarder avoids the affected converters if it sends at most `MAX_PROBES` in this time
 MAX_PROBES = 1  # attempts at the affected converters that a window may contain, as probes
-AVOIDING_SHARE = 0.95  # share of the forwarders that have to avoid the affected converters
+MIN_AVOIDING_SHARE = 0.95  # share of the forwarders that have to avoid the affected converters
 MAX_TIME_RATIO = 0.5
 MAX_LOST_RATIO_HANG = 0.8
 MAX_LOST_RATIO_SLOW = 1.0  # sidecars avoid slow converters without planners as well, so planners improve little
@@ -48,7 +48,7 @@
         avoiding_count = sum(
             _count_between(attempt_times_s[index], at_s, at_s + WINDOW_S) <= MAX_PROBES for index in sidecar_indices
         )
-        if avoiding_count >= AVOIDING_SHARE * len(sidecar_indices):
+        if avoiding_count >= MIN_AVOIDING_SHARE * len(sidecar_indices):
             return at_s
         at_s += STEP_S
     return fault.for_s
--- a/ryepier/experiments/planners/failover.py
+++ b/ryepier/experiments/planners/failover.py
@@ -10,7 +10,7 @@
 from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
-from ryepier.experiments.core.logs import lines_with
+from ryepier.experiments.core.logs import lines_containing
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.faults.surge import surge_claims
 from ryepier.experiments.planners.followers import count_changes_of_planner, count_followers_of
@@ -43,7 +43,7 @@
     first_follower_count = count_followers_of(run, "planner-0, epoch 1")
     second_follower_count = count_followers_of(run, "planner-1, epoch 2")
     further_change_count = count_changes_of_planner(run) - first_follower_count - second_follower_count
-    stepped_down_count = len(lines_with(run.folder, FIRST_PLANNER_LOG, STEPPED_DOWN_MESSAGE))
+    stepped_down_count = len(lines_containing(run.folder, FIRST_PLANNER_LOG, STEPPED_DOWN_MESSAGE))
     service_from_hang = figures.service_level(run.operations, phases.from_time(hang.at_s, run.world))
     service_from_resumption = figures.service_level(run.operations, phases.from_time(phases.end_s(hang), run.world))
     return [
--- a/ryepier/experiments/planners/false_reports.py
+++ b/ryepier/experiments/planners/false_reports.py
@@ -17,7 +17,7 @@
 from ryepier.experiments.planners.followers import count_followers
 from ryepier.experiments.planners.seeded_faults import FALSELY_REPORTED_INTERVAL
 
-FALSE_REPORTERS = 3  # number of forwarders that report false failures
+FALSE_REPORTER_COUNT = 3  # number of forwarders that report false failures
 MEASURED_FROM_S = 3.0  # time of the run from which gaps are measured
 MAX_GAP_S = 1.0  # a converter that is not reported falsely gets about ten requests per second
 MIN_SERVICE = 0.98
@@ -57,5 +57,5 @@
     world=_world,
     claims=_claims,
     seeded_faults=("credulous",),
-    sidecar_faults=dict.fromkeys(range(FALSE_REPORTERS), "liar"),
+    sidecar_faults=dict.fromkeys(range(FALSE_REPORTER_COUNT), "liar"),
 )
--- a/ryepier/experiments/planners/reconnection.py
+++ b/ryepier/experiments/planners/reconnection.py
@@ -63,13 +63,13 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connected_at_us.append(monotonic_us())
         self._writers.add(writer)
-        heartbeats = asyncio.create_task(self._send_heartbeats(writer))
+        heartbeat_task = asyncio.create_task(self._send_heartbeats(writer))
         try:
             with contextlib.suppress(ConnectionError):
                 while await reader.read(READ_BYTES):
                     pass
         finally:
-            heartbeats.cancel()
+            heartbeat_task.cancel()
             self._writers.discard(writer)
             writer.close()
 
@@ -164,12 +164,12 @@
         for down_s in DOWN_TIMES_S:
             result = asyncio.run(restart_planner(size, down_s, trial.seed))
             figures |= result.as_figures(size, down_s)
-            name = f"share of {size} that came back after {down_s:g} s away"
-            claims.append(Claim(name, result.reconnected_share, "==", 1.0))
-        peak_name = f"greatest share of {size} that came within {WINDOW_S:g} s"
+            claim_name = f"share of {size} that came back after {down_s:g} s away"
+            claims.append(Claim(claim_name, result.reconnected_share, "==", 1.0))
+        peak_claim_name = f"greatest share of {size} that came within {WINDOW_S:g} s"
         claims += [
             Claim(f"time until all {size} are back (s)", result.last_reconnection_s, "<=", MAX_RECONNECTION_S),
-            Claim(peak_name, result.peak_share, "<=", MAX_PEAK_SHARE),
+            Claim(peak_claim_name, result.peak_share, "<=", MAX_PEAK_SHARE),
         ]
     return Measurement(claims, figures)
 
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -13,7 +13,7 @@
 from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
-from ryepier.experiments.core.logs import PLANNER_LOGS, SIDECAR_LOGS, lines_with, log_lines
+from ryepier.experiments.core.logs import PLANNER_LOGS, SIDECAR_LOGS, lines_containing, log_lines
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.planners.followers import FOLLOWING_MESSAGE, count_sidecars_that_logged
 from ryepier.plan.plan_follower import PlanRejection
@@ -40,7 +40,7 @@
 
 
 def _count_followers_of_empty_plan(run: Run) -> int:
-    lines = lines_with(run.folder, SIDECAR_LOGS, FOLLOWING_MESSAGE)
+    lines = lines_containing(run.folder, SIDECAR_LOGS, FOLLOWING_MESSAGE)
     return len({line["file"] for line in lines if EMPTY_PLANNER_EPOCH in str(line["message"])})
 
 
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -72,7 +72,7 @@
     async def run(self, address: tuple[str, int]) -> None:
         """Connect and send reports until cancelled."""
         reader, writer = await asyncio.open_connection(*address)
-        receiving = asyncio.create_task(self._receive(reader))
+        receive_task = asyncio.create_task(self._receive(reader))
         try:
             writer.write(encode(Hello(VERSION, self.name, 1)))
             await asyncio.sleep(REPORT_INTERVAL_S * self.random.random())
@@ -82,14 +82,14 @@
                 writer.write(report)
                 await asyncio.sleep(REPORT_INTERVAL_S)
         finally:
-            receiving.cancel()
+            receive_task.cancel()
             writer.close()
 
     async def _receive(self, reader: asyncio.StreamReader) -> None:
-        frames = FrameDecoder()
+        frame_decoder = FrameDecoder()
         while data := await reader.read(READ_BYTES):
             self.bytes_in += len(data)
-            self.plan_count += sum(isinstance(message, Plan) for message in frames.feed(data))
+            self.plan_count += sum(isinstance(message, Plan) for message in frame_decoder.feed(data))
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,10 +169,10 @@
 def measure_fleet(fleet_size: int, trial: TrialConfig) -> PlannerRates:
     """Start a planner, run a fleet of one size against it, and return the planner's rates."""
     address = f"127.{find_network()}.254.1", PLANNER_PORT
-    config = trial.folder / f"planner-{fleet_size}.toml"
-    config.write_text(f'[trust]\nfleet = {fleet_size}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
+    config_path = trial.folder / f"planner-{fleet_size}.toml"
+    config_path.write_text(f'[trust]\nfleet = {fleet_size}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
     with open(trial.folder / f"planner-{fleet_size}.log", "wb") as log:
-        process = subprocess.Popen([*PLANNER, "--config", str(config)], stdout=log, stderr=log, env=os.environ)
+        process = subprocess.Popen([*PLANNER, "--config", str(config_path)], stdout=log, stderr=log, env=os.environ)
     try:
         return asyncio.run(_measure_planner(process, address, fleet_size, trial))
     finally:
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -217,11 +217,11 @@
     figures: dict[str, float] = {}
     for size, cost in costs.items():
         figures |= cost.as_figures(size)
-    small, large = (costs[size] for size in LIST_SIZES)
-    figures["p50_growth"] = large.p50_ms / small.p50_ms
-    cpu_growth = large.cpu_ms_per_change / small.cpu_ms_per_change
+    small_list_cost, large_list_cost = (costs[size] for size in LIST_SIZES)
+    figures["p50_growth"] = large_list_cost.p50_ms / small_list_cost.p50_ms
+    cpu_growth = large_list_cost.cpu_ms_per_change / small_list_cost.cpu_ms_per_change
     figures["cpu_growth"] = cpu_growth
-    growth_name = "growth of a change's CPU from 1,000 to 10,000 (linear would be 10)"
+    growth_claim_name = "growth of a change's CPU from 1,000 to 10,000 (linear would be 10)"
     claims = [
         *(
             Claim(f"share of changes that the module heard of, {size}", cost.arrived_share, ">=", 1.0)
@@ -231,8 +231,8 @@
             Claim(f"from change to module event, p99 at {size:,} endpoints (ms)", cost.p99_ms, "<=", MAX_P99_MS[size])
             for size, cost in costs.items()
         ),
-        Claim(growth_name, cpu_growth, "<=", MAX_CPU_GROWTH),
-        Claim("resident memory at 10,000 endpoints (MB)", large.resident_mb, "<=", MAX_RESIDENT_MB),
+        Claim(growth_claim_name, cpu_growth, "<=", MAX_CPU_GROWTH),
+        Claim("resident memory at 10,000 endpoints (MB)", large_list_cost.resident_mb, "<=", MAX_RESIDENT_MB),
     ]
     return Measurement(claims, figures)
 
--- a/ryepier/experiments/slices/drain.py
+++ b/ryepier/experiments/slices/drain.py
@@ -14,7 +14,7 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 
 WARM_UP_S = 6.0  # a converter that started at least this long before the end of the run should have had requests
-MIN_TERMINATING = 200  # converters observed as terminating, of the 204 that are replaced
+MIN_TERMINATING_CONVERTERS = 200  # converters observed as terminating, of the 204 that are replaced
 MIN_NOTIFIED_SHARE = 0.95
 MIN_USED_SHARE = 0.95
 MIN_SERVICE = 0.97
@@ -34,12 +34,12 @@
     early_started_uids = phases.started_uids(run, until_us=(run.world.duration_s - WARM_UP_S) * US_PER_S)
     used_uids = {attempt.uid for attempt in run.history.converter_attempts} & early_started_uids
     used_share = len(used_uids) / max(1, len(early_started_uids))
-    used_name = f"share in use of the converters that came up {WARM_UP_S:g} s before the end"
+    used_share_claim_name = f"share in use of the converters that came up {WARM_UP_S:g} s before the end"
     service = figures.service_level(run.operations, phases.during(fault_of_kind(run.world, FaultKind.RELEASE)))
     return [
-        Claim("converters seen terminating", len(terminating_uids), ">=", MIN_TERMINATING),
+        Claim("converters seen terminating", len(terminating_uids), ">=", MIN_TERMINATING_CONVERTERS),
         Claim("terminations told to a sidecar", len(notified_pairs), ">=", min_notified),
-        Claim(used_name, used_share, ">=", MIN_USED_SHARE),
+        Claim(used_share_claim_name, used_share, ">=", MIN_USED_SHARE),
         Claim("service during the release", service, ">=", MIN_SERVICE),
     ]
 
--- a/ryepier/experiments/slices/follower_process.py
+++ b/ryepier/experiments/slices/follower_process.py
@@ -50,19 +50,19 @@
     """Follow a service until a line arrives on standard input, and return the report."""
     balancer = Balancer(Settings([RequestClass("convert", LATENCY_OBJECTIVE_US, DEADLINE_US)]), 1, clock_us())
     updates: list[Update] = []
-    listed = asyncio.Event()
+    list_received = asyncio.Event()
 
     def on_update(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         balancer.handle(clock_us(), event)
         at_us = clock_us()
-        if listed.is_set():
+        if list_received.is_set():
             updates.extend(Update(addresses[entry.id][0], entry.state.value, at_us) for entry in event.upstreams)
-        listed.set()
+        list_received.set()
 
     settings = SourceSettings(Access("127.0.0.1", port, False), "default", service, ListingRules(["a"], 0))
     source = SliceSource(settings, on_update, clock_us)
     source.start()
-    await listed.wait()
+    await list_received.wait()
     sys.stdout.buffer.write(READY_LINE)
     sys.stdout.flush()
     cpu_begin_s = time.process_time()
--- a/ryepier/experiments/slices/outage.py
+++ b/ryepier/experiments/slices/outage.py
@@ -50,9 +50,9 @@
     steps = timeline.build(run.world, run.seed).steps
     drained_at_us = {step.uid: step.at_us for step in steps if step.action is FaultAction.DRAIN}
     attempts = [attempt for attempt in run.history.converter_attempts if attempt.first_byte_us > since_s * US_PER_S]
-    allowed_us = (run.world.discovery.notice_delay_ms[1] + run.world.sidecars.drain_grace_ms) * US_PER_MS
+    allowed_delay_us = (run.world.discovery.notice_delay_ms[1] + run.world.sidecars.drain_grace_ms) * US_PER_MS
     late_count = sum(
-        attempt.first_byte_us > drained_at_us.get(attempt.uid, FAR_FUTURE_US) + allowed_us for attempt in attempts
+        attempt.first_byte_us > drained_at_us.get(attempt.uid, FAR_FUTURE_US) + allowed_delay_us for attempt in attempts
     )
     return late_count / max(1, len(attempts))
 
@@ -65,12 +65,12 @@
     service_during = figures.service_level(run.operations, phases.during(outage))
     service_after = figures.service_level(run.operations, phases.from_time(measured_from_s, run.world))
     removed_share = share_to_removed(run, up_to_date_at_s)
-    removed_share_name = "share of attempts to converters that are gone, from then on"
+    removed_share_claim_name = "share of attempts to converters that are gone, from then on"
     return [
         Claim("service while the API server is away", service_during, ">=", MIN_SERVICE_DURING),
         Claim("time until all sidecars have the new list (s)", catch_up_time_s, "<=", MAX_CATCH_UP_S),
         Claim("service from then on", service_after, ">=", MIN_SERVICE_AFTER),
-        Claim(removed_share_name, removed_share, "<=", MAX_SHARE_TO_REMOVED),
+        Claim(removed_share_claim_name, removed_share, "<=", MAX_SHARE_TO_REMOVED),
     ]
 
 
--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -22,10 +22,17 @@
     def merge_last_observation(
         self: EndpointSliceMerger, identity: str, observations: list[EndpointObservation]
     ) -> endpoint_slice_merger.MergedEndpoint:
-        last = observations[-1]
-        state = api.UpstreamState.DRAINING if last.risk else api.UpstreamState.READY
+        last_observation = observations[-1]
+        state = api.UpstreamState.DRAINING if last_observation.risk else api.UpstreamState.READY
         return endpoint_slice_merger.MergedEndpoint(
-            identity, last.address, last.zone, last.node, state, False, 1, (last.slice_name,)
+            identity,
+            last_observation.address,
+            last_observation.zone,
+            last_observation.node,
+            state,
+            False,
+            1,
+            (last_observation.slice_name,),
         )
 
     EndpointSliceMerger._merge = merge_last_observation  # type: ignore[method-assign]
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -123,7 +123,7 @@
     return _make_experiment(
         f"retry-storm{suffix}{duration_suffix}",
         f"all converters out for {outage_s:.0f} s{full_scale_note}, {clients_description}",
-        worlds.outage(behavior, outage_s),
+        worlds.world_with_outage(behavior, outage_s),
     )
 
 
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -9,7 +9,7 @@
 from ryepier.emulator.records import ClientAttempt, RequestOutcome
 from ryepier.experiments.core import figures
 from ryepier.experiments.core.contract import Run
-from ryepier.experiments.core.logs import SIDECAR_LOGS, files_with, lines_with
+from ryepier.experiments.core.logs import SIDECAR_LOGS, files_containing, lines_containing
 from ryepier.experiments.storms.outage import find_outage
 
 WINDOW_S = 1.0
@@ -78,9 +78,9 @@
 
 def count_detections(run: Run) -> int:
     """Return how often a sidecar's guard detected a retry storm."""
-    return len(lines_with(run.folder, SIDECAR_LOGS, STORM_DETECTED_MESSAGE))
+    return len(lines_containing(run.folder, SIDECAR_LOGS, STORM_DETECTED_MESSAGE))
 
 
 def logs_with_detection(run: Run) -> set[str]:
     """Return the names of the logs of the sidecars whose guard detected a retry storm."""
-    return files_with(run.folder, SIDECAR_LOGS, STORM_DETECTED_MESSAGE)
+    return files_containing(run.folder, SIDECAR_LOGS, STORM_DETECTED_MESSAGE)
--- a/ryepier/experiments/storms/one_sidecar.py
+++ b/ryepier/experiments/storms/one_sidecar.py
@@ -23,12 +23,12 @@
 
 def _claims(run: Run) -> list[Claim]:
     assert run.control is not None
-    logs = measures.logs_with_detection(run)
+    logs_with_detection = measures.logs_with_detection(run)
     service = figures.service_level(run.operations, _is_at_other_sidecar)
     lost_points = 100 * (figures.service_level(run.control.operations, _is_at_other_sidecar) - service)
     return [
-        Claim("the struck sidecar's guard opened", AFFECTED_LOG in logs, "==", 1),
-        Claim("other guards that opened", len(logs - {AFFECTED_LOG}), "==", 0),
+        Claim("the struck sidecar's guard opened", AFFECTED_LOG in logs_with_detection, "==", 1),
+        Claim("other guards that opened", len(logs_with_detection - {AFFECTED_LOG}), "==", 0),
         Claim("service of the others", service, ">=", MIN_SERVICE),
         Claim("service of the others lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
         Claim("time until service is back (s)", measures.recovery_s(run), "<=", MAX_RECOVERY_S),
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -12,7 +12,7 @@
 from ryepier.balancer.upstream import PendingRequest
 
 
-def advise_same_time() -> None:
+def remove_retry_after_spread() -> None:
     """Give requests that are rejected in a storm a Retry-After time without spread, equal for equal retry numbers."""
     original_retry_after_us = RetryPolicy.retry_after_us
 
@@ -41,6 +41,6 @@
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    "no-spread": advise_same_time,
+    "no-spread": remove_retry_after_spread,
     "jumpy": detect_storm_at_any_retry,
 }
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -34,7 +34,7 @@
     return msgspec.structs.replace(world, sidecars=msgspec.structs.replace(world.sidecars, storm_guard=False))
 
 
-def outage(behavior: ClientBehavior, outage_s: float) -> Callable[[Scale], World]:
+def world_with_outage(behavior: ClientBehavior, outage_s: float) -> Callable[[Scale], World]:
     """Return a function that makes a world with an outage of all converters.
 
     The outage lasts `outage_s` at small scale, and `FULL_OUTAGE_S` at full scale.
@@ -71,13 +71,13 @@
     """
     base = load(BASE_WORLD)
     outage_fault = base.faults[0]
-    refuse = Fault(kind=FaultKind.REFUSE, at_s=outage_fault.at_s, for_s=outage_fault.down_s)
-    discovery_down = Fault(
+    refusal_fault = Fault(kind=FaultKind.REFUSE, at_s=outage_fault.at_s, for_s=outage_fault.down_s)
+    discovery_fault = Fault(
         kind=FaultKind.DISCOVERY_DOWN,
         at_s=outage_fault.at_s - DISCOVERY_LEAD_S,
         for_s=base.duration_s - outage_fault.at_s,
     )
-    return msgspec.structs.replace(base, faults=[refuse, discovery_down])
+    return msgspec.structs.replace(base, faults=[refusal_fault, discovery_fault])
 
 
 def rejections_for_one_sidecar(scale: Scale) -> World:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -41,18 +41,18 @@
         for module in vars(seeded_faults).values()
         if inspect.ismodule(module) and hasattr(module, "SEEDED_FAULTS")
     ]
-    names = [name for module in fault_modules for name in module.SEEDED_FAULTS]
-    assert len(fault_modules) >= 7 and sorted(names) == sorted(seeded_faults.SEEDED_FAULTS)
+    fault_names = [name for module in fault_modules for name in module.SEEDED_FAULTS]
+    assert len(fault_modules) >= 7 and sorted(fault_names) == sorted(seeded_faults.SEEDED_FAULTS)
 
 
 def test_listed_experiments_name_existing_seeded_faults() -> None:
-    listed = json.loads(invoke("experiment", "list", "--json").stdout)
+    listed_experiments = json.loads(invoke("experiment", "list", "--json").stdout)
     assert {"steady", "release", "hang", "surge", "sidecar-kill", "breaking-point"} <= {
-        entry["name"] for entry in listed
+        entry["name"] for entry in listed_experiments
     }
     assert all(
         seeded_fault in seeded_faults.SEEDED_FAULTS
-        for entry in listed
+        for entry in listed_experiments
         if entry["name"] in catalogue.EXPERIMENTS
         for seeded_fault in entry["plants"]
     )
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -423,7 +423,7 @@
         client_attempt(request_id="t-0", arrival=3, outcome="failed", ended_ms=9),
     ]
     operations = figures.group_operations(WORLD, client_attempts)
-    assert sorted((operation.earned_weight, operation.attempts) for operation in operations) == [
+    assert sorted((operation.earned_weight, operation.attempt_count) for operation in operations) == [
         (0.0, 1),
         (1.5, 2),
         (3.0, 1),
