--- a/ryepier/commands/capacity.py
+++ b/ryepier/commands/capacity.py
@@ -1,4 +1,4 @@
-"""`ryepier experiment keep` and `capacity`: keep results for the capacity page, and compute its tables."""
+"""`ryepier experiment keep` and `experiment capacity`: keep results for the capacity page, and compute its tables."""
 
 from __future__ import annotations
 
@@ -66,7 +66,10 @@
 
 
 def _update_page(page: Path, parts: dict[str, str], results_folder: Path, check: bool) -> None:
-    """Write the tables into the page, or with `check` exit with 1 if the page differs. Raises CapacityError."""
+    """Write the tables into the page, or with `check` only exit with 1 if the page differs.
+
+    Raises CapacityError if the page lacks a marker of a table.
+    """
     before = page.read_text(encoding="utf-8")
     after = capacity_page.replace_parts(before, parts)
     if not check:
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -155,7 +155,7 @@
 @click.argument("names", nargs=-1, type=click.Choice(list(MODELS)))
 @click.option("--json", "as_json", is_flag=True, help="Print the lines as JSON.")
 def lines(names: tuple[str, ...], as_json: bool) -> None:
-    """List the lines of the decision modules that the first paths of the models do not reach."""
+    """List the lines of the decision modules that the first paths of the models do not execute."""
     with line_coverage.record_lines() as executed_lines:
         for name in names or tuple(MODELS):
             expand_breadth_first(MODELS[name])
--- a/ryepier/experiments/core/contract.py
+++ b/ryepier/experiments/core/contract.py
@@ -24,7 +24,7 @@
 
 
 class Scale(StrEnum):
-    """The scale at which an experiment runs: fleet size, duration and load."""
+    """The scale at which an experiment runs, which determines the world's size, load and duration."""
 
     SMALL = "small"  # finishes within 45 s on eight shared cores
     FULL = "full"
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """The result of one trial of a benchmark."""
+    """The checked claims and the figures of one trial of a benchmark."""
 
     claims: list[Claim]
     figures: Mapping[str, float]
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -28,7 +28,7 @@
 
     first_attempt: ClientAttempt
     weight: float  # priority weight of the operation's class
-    earned_weight: float  # the part of `weight` that its latency earns; 0 if it was served too late or never
+    earned_weight: float  # the part of `weight` that the latency earns; 0 if served too late or never
     latency_us: int | None  # time from the planned first attempt to the served answer; None if it was never served
     attempt_count: int  # number of attempts of the client, including the first
 
@@ -125,9 +125,9 @@
 
 
 def cpu_us_per_request(history: History, sidecar: int, begin_s: float, end_s: float) -> float | None:
-    """Return a sidecar's CPU time per request that all clients sent in a part of the run.
+    """Return a sidecar's CPU time in a part of the run, divided by the number of requests that all clients sent in it.
 
-    Returns None if there are fewer than two samples in this part.
+    Returns None if there are fewer than two samples in this part of the run.
     """
     samples = [
         (at_us, cpu_us)
@@ -142,7 +142,7 @@
 
 
 def max_resident_mib(incarnations: Iterable[Incarnation]) -> float:
-    """Return the largest resident memory of any sidecar."""
+    """Return the largest resident memory of any sidecar in MiB, or 0 without samples."""
     return max((kib for incarnation in incarnations for _, _, kib in incarnation.samples), default=0) / KIB_PER_MIB
 
 
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -120,7 +120,7 @@
 
     def _check_final_answer(self, request: ClientAttempt) -> None:
         if not self._sidecar_ran_throughout(request):
-            return  # clients retry requests lost with a killed sidecar, and a suspended sidecar can't meet deadlines
+            return  # clients retry the requests that a killed sidecar loses, and a suspended one can't meet deadlines
         self._check_in_time(request)
         if request.trailing_bytes:
             self._add_breach(
@@ -297,7 +297,7 @@
         return times_us
 
     def _incarnation_start_us(self, sidecar: int, at_us: int) -> int:
-        """Return the start time of the sidecar process that ran at a given time."""
+        """Return the start time of the process of a sidecar that ran at a given time, or 0 if none did."""
         return max(
             (incarnation.started_us for incarnation in self.incarnations[sidecar] if incarnation.started_us <= at_us),
             default=0,
--- a/ryepier/experiments/core/phases.py
+++ b/ryepier/experiments/core/phases.py
@@ -1,4 +1,4 @@
-"""Selects parts of a run relative to its world's faults, and the converters that the faults affect or start."""
+"""Selects the requests before, during or after a fault of a run, and the converters that faults affect or start."""
 
 from __future__ import annotations
 
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -14,11 +14,11 @@
 
 # The smallest retry budget that satisfies the claim: with a smaller one, a sidecar retries too few queries.
 BUDGET_RATIO = 0.2  # retries added to the budget per first attempt
-MAX_BUDGET = 5.0  # retries
-# retries; with this budget one retry is available even if another has been sent and no converter has received it yet
+MAX_BUDGET = 5.0  # retries that the budget allows at most
+# With this budget (in retries), one retry is available even if another was sent that no converter has received yet.
 SPARE_BUDGET = 2.0
-# share of the resets with a spare budget that must be followed by a retry; less than 1, because a retry that never
-# reached a converter is not recorded
+# The share of the resets with a spare budget that must be followed by a retry. It is less than 1, because a retry that
+# never reached a converter is not recorded.
 MIN_RETRIED_SHARE = 0.98
 QUANTILE_LEVEL = 0.001  # probability with which a correct sidecar falls below the bound by chance
 
@@ -47,7 +47,7 @@
 
     @property
     def min_served_share(self) -> float:
-        """Return the smallest share of the retried queries that up to two retries should serve.
+        """Return the smallest share of the retried queries that has to be served, by up to two retries per query.
 
         The bound is the quantile at `QUANTILE_LEVEL` of a binomial distribution. Its success probability is that of a
         first retry that is not reset, or of a second one after a first that is reset. Resets have the run's frequency,
--- a/ryepier/experiments/planners/failover.py
+++ b/ryepier/experiments/planners/failover.py
@@ -17,7 +17,7 @@
 
 FIRST_PLANNER_LOG = "planner-0.log"
 STEPPED_DOWN_MESSAGE = "follows, epoch"  # in a planner's log
-MIN_CHANGED_SHARE = 0.95  # share of the forwarders that follow the second planner, if the first is killed in a surge
+MIN_CHANGED_SHARE = 0.95  # share of the forwarders that have to follow the second planner after the first is killed
 MIN_SERVICE = 0.97
 
 
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -16,8 +16,8 @@
 WINDOW_STEP_S = WINDOW_S / 2
 MIN_SERVICE = 0.95  # a window with at least this service level counts as recovered
 MIN_OBSERVED_S = 2.0  # minimum time after the outage over which rejections are counted
-# Rejections within one such period are compared with each other: the guard updates its Retry-After times at this
-# interval, so they were rejected with the same ones.
+# Rejections by a sidecar within one such period are compared with each other: its guard updates the Retry-After times
+# at this interval, so the same times apply to all of them.
 GROUPING_PERIOD_US = 200_000
 RETRY_AFTER_BIN_US = 50_000  # Retry-After times in the same bin count as equal
 MIN_GROUP_SIZE = 20  # groups with fewer rejections are ignored, as they are too small to be significant
--- a/ryepier/experiments/storms/worlds.py
+++ b/ryepier/experiments/storms/worlds.py
@@ -67,7 +67,7 @@
 def outage_without_discovery(scale: Scale) -> World:
     """Return the world in which converters refuse connections while discovery is down.
 
-    Discovery goes down before the converters, and stays down until the end of the run.
+    Discovery goes down before the converters, and stays down until shortly before the end of the run.
     """
     base = load(BASE_WORLD)
     outage_fault = base.faults[0]
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -51,7 +51,7 @@
     clients=Clients(rate_per_s=10.0),
     sidecars=Sidecars(count=2),
 )
-READ, FILE, BATCH = range(3)
+READ, FILE, BATCH = range(3)  # indices of the classes of WORLD
 US_PER_MS = 1000
 
 
