--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -19,7 +19,7 @@
 from ryepier.check.seeded_faults import SEEDED_FAULTS
 from ryepier.commands.exits import ExitCode, fail
 
-MAX_TRACED_PATHS = 4000  # per model in the line report, as recording of executed lines is slow
+MAX_TRACED_PATHS = 4000  # paths per model that `lines` expands; recording the executed lines is slow
 KIB_PER_MB = 1024
 
 
@@ -42,16 +42,16 @@
 
 
 def select_model(name: str, converters: int, requests: str, depth: int) -> Model:
-    """Return a model by its name. The other arguments replace the model's own values unless they are 0 or empty."""
+    """Return the model of a name. The other arguments replace the model's own values unless they are 0 or empty."""
     model = MODELS[name]
     if converters:
         model = replace(model, converters=converters, failure_domains=())
     if requests:
         classes = tuple(requests.split(","))
-        unknown = set(classes) - CLASSES.keys()
-        if unknown:
+        unknown_classes = set(classes) - CLASSES.keys()
+        if unknown_classes:
             raise click.BadParameter(
-                f"unknown {', '.join(sorted(unknown))}; known: {', '.join(CLASSES)}", param_hint="--requests"
+                f"unknown {', '.join(sorted(unknown_classes))}; known: {', '.join(CLASSES)}", param_hint="--requests"
             )
         model = replace(model, requests=classes)
     return replace(model, depth=depth) if depth else model
@@ -97,19 +97,19 @@
     max_s: float,
     out: Path | None,
 ) -> None:
-    """Explore MODEL; exit with 1 if a rule is broken, with the shortest path to that."""
-    selected = select_model(model, converters, requests, depth)
+    """Explore MODEL. If a rule is broken, print the shortest path to the violation and exit with 1."""
+    selected_model = select_model(model, converters, requests, depth)
     install_fault = SEEDED_FAULTS[seeded_fault].install if seeded_fault else None
     try:
-        outcome = explore.explore(selected, processes, install_fault, checkpoint, max_s, print_progress)
+        outcome = explore.explore(selected_model, processes, install_fault, checkpoint, max_s, print_progress)
     except (OSError, msgspec.MsgspecError, ValueError) as error:
         fail("check", f"{checkpoint}: {error}", ExitCode.MISUSE)
-    _print_outcome(selected, outcome)
+    _print_outcome(selected_model, outcome)
     if outcome.violation is None:
         return
     if out is not None:
-        _save_path(out, selected, outcome, seeded_fault or "")
-    _print_chart(selected, outcome, install_fault)
+        _save_path(out, selected_model, outcome, seeded_fault or "")
+    _print_chart(selected_model, outcome, install_fault)
     sys.exit(ExitCode.FAILURE)
 
 
@@ -141,11 +141,11 @@
 def show(path: Path) -> None:
     """Print the chart of a path that `check run --out` saved."""
     try:
-        saved = msgspec.json.decode(path.read_bytes(), type=RecordedPath)
-        model = decode_model(saved.model)
-        steps = [decode_step(step) for step in saved.path]
-        if saved.seeded_fault:
-            SEEDED_FAULTS[saved.seeded_fault].install()
+        saved_path = msgspec.json.decode(path.read_bytes(), type=RecordedPath)
+        model = decode_model(saved_path.model)
+        steps = [decode_step(step) for step in saved_path.path]
+        if saved_path.seeded_fault:
+            SEEDED_FAULTS[saved_path.seeded_fault].install()
         print("\n".join(trace.chart(model, steps)))
     except (OSError, msgspec.MsgspecError, KeyError, IndexError, AttributeError) as error:
         fail("check trace", f"{path}: {error!r}", ExitCode.MISUSE)
@@ -155,24 +155,24 @@
 @click.argument("names", nargs=-1, type=click.Choice(list(MODELS)))
 @click.option("--json", "as_json", is_flag=True, help="Print the lines as JSON.")
 def lines(names: tuple[str, ...], as_json: bool) -> None:
-    """List the lines of the decision modules that the first paths of the models do not reach."""
-    with line_coverage.record_lines() as executed:
+    """List the lines of the decision modules that the first paths of the models do not execute."""
+    with line_coverage.record_lines() as executed_lines:
         for name in names or tuple(MODELS):
             expand_breadth_first(MODELS[name])
-    unreached_functions = line_coverage.unreached_functions(executed)
+    unreached_functions = line_coverage.unreached_functions(executed_lines)
     if as_json:
         print(json.dumps(unreached_functions))
         return
-    for function, missing in unreached_functions:
-        print(f"{function}: {', '.join(map(str, missing))}")
+    for function, missing_lines in unreached_functions:
+        print(f"{function}: {', '.join(map(str, missing_lines))}")
 
 
 def expand_breadth_first(model: Model) -> None:
     """Expand the first `MAX_TRACED_PATHS` paths of a model in this process, in breadth-first order."""
     frontier: list[explore.Steps] = [()]
-    visited: set[bytes] = set()
+    visited_digests: set[bytes] = set()
     for path in frontier:
         for digest, extended_path in explore.expand(model, path).children:
-            if digest not in visited and len(frontier) < MAX_TRACED_PATHS:
-                visited.add(digest)
+            if digest not in visited_digests and len(frontier) < MAX_TRACED_PATHS:
+                visited_digests.add(digest)
                 frontier.append(extended_path)
--- a/ryepier/commands/maintenance.py
+++ b/ryepier/commands/maintenance.py
@@ -108,7 +108,7 @@
 
     async def submit(client: RegionClient) -> str:
         now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
-        submitted = {  # `fields` holds the other options, which are named like the fields of a request
+        request_fields = {  # `fields` contains the other options, whose names are those of the fields of a request
             **fields,
             "region": region,
             "duration_ms": round(duration_s * MS_PER_S),
@@ -117,10 +117,10 @@
             "priority": Priority[priority.upper()],
         }
         try:
-            checked = msgspec.convert(submitted, Request)
+            validated_request = msgspec.convert(request_fields, Request)
         except msgspec.ValidationError as error:
             fail(COMMAND, error, ExitCode.MISUSE)
-        return await _commit(client, SubmitRequest(checked), "accepted")
+        return await _commit(client, SubmitRequest(validated_request), "accepted")
 
     print(_call(path, region, submit))
 
@@ -145,7 +145,7 @@
 
 
 async def _commit(client: RegionClient, command: Command, outcome: str) -> str:
-    """Commit a command and return `outcome`; exit with 1 if the command is rejected."""
+    """Commit a command to the region's log and return `outcome`; exit with 1 if the command is rejected."""
     result = await client.command(command, CALL_TIMEOUT_S)
     if isinstance(result, Rejected):
         fail(COMMAND, result.reason, ExitCode.FAILURE)
@@ -202,11 +202,11 @@
 
 def _describe_request(open_request: RequestStatus) -> str:
     """Return a line that describes a request, with the reason why it waits, if any."""
-    start = "no window"
+    start_text = "no window"
     if open_request.starts_ms >= 0:
-        start = f"next window at {open_request.starts_ms / MS_PER_S:g} s"
-    reason = f": {open_request.reason}" if open_request.reason else ""
-    return f"request {open_request.name}: {len(open_request.remaining)} to do, {start}{reason}"
+        start_text = f"next window at {open_request.starts_ms / MS_PER_S:g} s"
+    reason_text = f": {open_request.reason}" if open_request.reason else ""
+    return f"request {open_request.name}: {len(open_request.remaining)} to do, {start_text}{reason_text}"
 
 
 def _describe_lease(lease: LeaseStatus) -> str:
--- a/ryepier/commands/plan.py
+++ b/ryepier/commands/plan.py
@@ -16,11 +16,15 @@
 
 FETCH_TIMEOUT_S = 3.0
 READ_BYTES = 65_536
-CLIENT_NAME = "a reader"  # planners do not count this client as a forwarder, as it sends no load reports
+CLIENT_NAME = "a reader"  # not counted as a forwarder by planners, as it sends no load reports
 
 
 async def fetch(address: tuple[str, int]) -> Plan:
-    """Return the first plan that a planner sends. Raises OSError, TimeoutError and ProtocolError."""
+    """Return the first plan that a planner sends.
+
+    Raises OSError if the planner is unreachable, TimeoutError if it sends no plan within `FETCH_TIMEOUT_S`, and
+    ProtocolError if it closes the connection or breaks the protocol before that.
+    """
     async with asyncio.timeout(FETCH_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*address)
         try:
@@ -31,15 +35,15 @@
 
 
 async def _read_plan(reader: asyncio.StreamReader) -> Plan:
-    frames = FrameDecoder()
+    frame_decoder = FrameDecoder()
     while data := await reader.read(READ_BYTES):
-        for message in frames.feed(data):
+        for message in frame_decoder.feed(data):
             if isinstance(message, Plan):
                 return message
     raise ProtocolError("the planner closed the connection before it sent a plan")
 
 
-def fetch_or_exit(text: str) -> Plan:
+def fetch_plan_or_exit(text: str) -> Plan:
     """Return the current plan of the planner at `host:port`; exit with 1 if it sends none."""
     try:
         address = parse_address(text)
@@ -54,8 +58,8 @@
         fail("plan", f"{text}: {error}", ExitCode.FAILURE)
 
 
-def read_or_exit(path: Path) -> Plan:
-    """Return a plan that `show --json` wrote; exit with 2 if the file holds none."""
+def read_plan_or_exit(path: Path) -> Plan:
+    """Return the plan in a file that `show --json` wrote; exit with 2 if the file contains no plan."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Plan)
     except (OSError, msgspec.MsgspecError) as error:
@@ -91,12 +95,12 @@
 @click.option("--json", "as_json", is_flag=True, help="Print the plan as JSON, for programs and for `diff`.")
 def show(planner: str, as_json: bool) -> None:
     """Print the current plan of a planner."""
-    current = fetch_or_exit(planner)
+    current_plan = fetch_plan_or_exit(planner)
     if as_json:
-        print(json.dumps(msgspec.to_builtins(current)))
+        print(json.dumps(msgspec.to_builtins(current_plan)))
         return
-    print(describe_plan(current))
-    for uid, advice in sorted(current.entries.items()):
+    print(describe_plan(current_plan))
+    for uid, advice in sorted(current_plan.entries.items()):
         print(f"{uid:24} {describe(advice)}")
 
 
@@ -105,8 +109,8 @@
 @click.argument("new", type=click.Path(path_type=Path))
 def diff(old: Path, new: Path) -> None:
     """Print the differences of two plans that `show --json` wrote."""
-    before = read_or_exit(old)
-    after = read_or_exit(new)
+    before = read_plan_or_exit(old)
+    after = read_plan_or_exit(new)
     print(f"- {describe_plan(before)}\n+ {describe_plan(after)}")
     default_advice = ConverterAdvice()
     for uid in sorted(before.entries.keys() | after.entries.keys()):
@@ -121,7 +125,7 @@
 @click.argument("planner", metavar="HOST:PORT")
 def explain(converter: str, planner: str) -> None:
     """Print why a converter has its weight."""
-    current = fetch_or_exit(planner)
-    print(describe_plan(current))
-    advice = current.entries.get(converter)
+    current_plan = fetch_plan_or_exit(planner)
+    print(describe_plan(current_plan))
+    advice = current_plan.entries.get(converter)
     print(f"{converter}: {describe(advice) if advice is not None else 'not in the plan, so its weight is the default'}")
--- a/ryepier/commands/sim.py
+++ b/ryepier/commands/sim.py
@@ -21,17 +21,17 @@
 from ryepier.experiments.simulation.coverage import STATE_DESCRIPTIONS, Coverage
 from ryepier.experiments.simulation.request_story import request_events
 
-REDUCED_SUFFIX = ".small.json"
+REDUCED_SUFFIX = ".small.json"  # replaces the suffix of the finding's file
 
 
 def _check_seeded_fault(name: str) -> None:
     if name and name not in seeded_faults.SEEDED_FAULTS:
-        known = ", ".join(sorted(seeded_faults.SEEDED_FAULTS))
-        raise click.BadParameter(f"unknown seeded fault {name!r}; known: {known}")
+        known_faults = ", ".join(sorted(seeded_faults.SEEDED_FAULTS))
+        raise click.BadParameter(f"unknown seeded fault {name!r}; known: {known_faults}")
 
 
 def read_finding(path: Path) -> search.Finding:
-    """Return the finding stored in a file; exit with 2 if the file can't be read as one."""
+    """Return the finding stored in a file; exit with 2 if the file contains no valid finding."""
     try:
         return search.load(path)
     except (OSError, msgspec.MsgspecError) as error:
@@ -91,13 +91,13 @@
         print(f"{path}: world {number + 1}: {result.finding.first_violation}", flush=True)
     elapsed_s = time.monotonic() - started_s
     (out / "coverage.json").write_text(json.dumps(coverage.as_lists()))
-    print_table(coverage)
-    rate = seeds * random_worlds.DURATION_S / elapsed_s
-    print(f"{seeds} worlds, {finding_count} that broke a rule, {rate:.0f} simulated seconds a second")
+    print_coverage(coverage)
+    simulated_s_per_s = seeds * random_worlds.DURATION_S / elapsed_s
+    print(f"{seeds} worlds, {finding_count} that broke a rule, {simulated_s_per_s:.0f} simulated seconds a second")
     sys.exit(ExitCode.FAILURE if finding_count else ExitCode.SUCCESS)
 
 
-def print_table(coverage: Coverage) -> None:
+def print_coverage(coverage: Coverage) -> None:
     """Print how often each fault affected a request in each state, and what the states mean."""
     rows = coverage.rows()
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
@@ -115,8 +115,8 @@
     """Run a finding again, and print what happened to the request of its first violation."""
     finding = read_finding(path)
     search.install_fault(finding.seeded_fault)
-    replayed = search.run_world(finding.world, finding.seed, finding.seeded_fault)
-    replayed_finding = replayed.finding
+    replay_result = search.run_world(finding.world, finding.seed, finding.seeded_fault)
+    replayed_finding = replay_result.finding
     if replayed_finding is None:
         print("no rule is broken any more")
         return
@@ -126,20 +126,21 @@
     )
     print(f"trace {replayed_finding.history_hash}: {comparison}")
     request_id = search.first_request_id(replayed_finding.first_violation)
-    if replayed.history is not None and request_id is not None:
-        print("\n".join(request_events(replayed.history, request_id)))
+    if replay_result.history is not None and request_id is not None:
+        print("\n".join(request_events(replay_result.history, request_id)))
     sys.exit(ExitCode.FAILURE)
 
 
 @sim.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def shrink(path: Path) -> None:
-    """Reduce a finding to the few faults that matter, and save that beside it."""
+    """Reduce a finding to the faults that are needed to break its rule, and save the result beside the finding."""
     finding = read_finding(path)
     search.install_fault(finding.seeded_fault)
-    reduced = search.shrink(finding)
+    reduced_finding = search.shrink(finding)
     out = path.with_suffix(REDUCED_SUFFIX)
-    search.save(reduced, out)
+    search.save(reduced_finding, out)
     print(
-        f"{out}: {len(finding.world.faults)} faults before, {len(reduced.world.faults)} now: {reduced.first_violation}"
+        f"{out}: {len(finding.world.faults)} faults before, {len(reduced_finding.world.faults)} now: "
+        f"{reduced_finding.first_violation}"
     )
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -24,6 +24,7 @@
 from ryepier.slices.reflector import Apply, Delete, Replace
 from ryepier.slices.slice_source import Settings, SliceSource
 
+# by number of the rule by which slices that list the same endpoint are merged
 RULE_DESCRIPTIONS = {
     1: "all slices that list it agree",
     3: "it was observed terminating, and a pod never returns from that",
@@ -34,7 +35,7 @@
 
 
 def make_settings(path: Path | None, service: str) -> Settings:
-    """Return the settings of a read-only client; exit with 2 if they are incomplete or invalid."""
+    """Return the settings for following a service's slices; exit with 2 if they are incomplete or invalid."""
     operators = read_operators_file(path, os.environ)
     structured.configure_logging(operators.logging)
     slices = operators.slices
@@ -62,7 +63,7 @@
 def format_event(
     event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]], uids: dict[int, str], as_json: bool
 ) -> list[str]:
-    """Return one line for each upstream of an update of the list."""
+    """Return one line of text or JSON for each upstream in an update of the list."""
     lines = []
     for entry in event.upstreams:
         host, port = addresses[entry.id]
@@ -85,7 +86,7 @@
 
 async def follow(settings: Settings, as_json: bool) -> None:
     """Print every update of the upstream list until SIGTERM or SIGINT."""
-    stop = make_stop_event()
+    stop_event = make_stop_event()
 
     def on_update(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         uids = {upstream_id: uid for uid, upstream_id in source.upstream_ids().items()}
@@ -94,19 +95,19 @@
 
     source = SliceSource(settings, on_update, clock_us)
     source.start()
-    await stop.wait()
+    await stop_event.wait()
 
 
 async def read_once(settings: Settings) -> EndpointSliceMerger:
     """Return the merged slices of one complete list. Raises TimeoutError if there is none within `LIST_TIMEOUT_S`."""
     merger = EndpointSliceMerger(settings.port_name)
-    listed = asyncio.Event()
+    list_received = asyncio.Event()
 
     def on_changes(changes: list[Replace | Apply | Delete]) -> None:
         for change in changes:
             if isinstance(change, Replace):
                 merger.replace(change.slices)
-                listed.set()
+                list_received.set()
 
     client = make_client(
         settings.access,
@@ -121,7 +122,7 @@
     list_task = asyncio.create_task(client.run())
     try:
         async with asyncio.timeout(LIST_TIMEOUT_S):
-            await listed.wait()
+            await list_received.wait()
     finally:
         list_task.cancel()
     return merger
--- a/ryepier/experiments/core/figures.py
+++ b/ryepier/experiments/core/figures.py
@@ -26,16 +26,16 @@
 class Operation:
     """One operation of a client: its first attempt with the retries that belong to it."""
 
-    first: ClientAttempt
-    weight: float  # priority weight of its class
-    earned_weight: float  # part of the weight, depending on the latency; 0 if served too late or never
-    latency_us: int | None  # from the planned time of the first attempt to the served answer; None: not served
-    attempts: int
+    first_attempt: ClientAttempt
+    weight: float  # priority weight of the operation's class
+    earned_weight: float  # the part of `weight` that the latency earns; 0 if served too late or never
+    latency_us: int | None  # time from the planned first attempt to the served answer; None if it was never served
+    attempt_count: int  # number of attempts of the client, including the first
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCounts:
-    """Counts of the attempts in a part of a run: at a selection of converters, and in total."""
+    """Numbers of attempts in a part of a run: at selected converters, and at all converters."""
 
     at_selected: int
     total: int
@@ -52,16 +52,16 @@
     for attempt in client_attempts:
         attempts_by_arrival.setdefault(attempt.arrival, []).append(attempt)
     operations = [_make_operation(world.classes, attempts) for attempts in attempts_by_arrival.values()]
-    return sorted(operations, key=lambda operation: operation.first.planned_us)
+    return sorted(operations, key=lambda operation: operation.first_attempt.planned_us)
 
 
 def _make_operation(classes: list[RequestClass], attempts: list[ClientAttempt]) -> Operation:
-    first = min(attempts, key=lambda attempt: attempt.number)
-    request_class = classes[first.request_class]
+    first_attempt = min(attempts, key=lambda attempt: attempt.number)
+    request_class = classes[first_attempt.request_class]
     served_at_us = [attempt.ended_us for attempt in attempts if attempt.outcome is RequestOutcome.SERVED]
-    latency_us = min(served_at_us) - first.planned_us if served_at_us else None
+    latency_us = min(served_at_us) - first_attempt.planned_us if served_at_us else None
     earned_weight = _earned_weight(request_class, latency_us)
-    return Operation(first, request_class.priority_weight, earned_weight, latency_us, len(attempts))
+    return Operation(first_attempt, request_class.priority_weight, earned_weight, latency_us, len(attempts))
 
 
 def _earned_weight(request_class: RequestClass, latency_us: int | None) -> float:
@@ -79,7 +79,7 @@
     """Return the earned share of the weight of the operations that `is_included` selects; 1 if there are none."""
     offered_weight = earned_weight = 0.0
     for operation in operations:
-        if is_included(operation.first):
+        if is_included(operation.first_attempt):
             offered_weight += operation.weight
             earned_weight += operation.earned_weight
     return earned_weight / offered_weight if offered_weight else 1.0
@@ -101,27 +101,34 @@
 
 def wasted_work_share(history: History) -> float:
     """Return the share of the converters' work that was spent on requests whose client got no served answer."""
-    served = {attempt.request_id for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
-    executed = [attempt for attempt in history.converter_attempts if attempt.started_us != NEVER]
-    total_us = sum(attempt.work_us for attempt in executed)
-    wasted_us = sum(attempt.work_us for attempt in executed if attempt.request_id not in served)
+    served_ids = {attempt.request_id for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
+    executed_attempts = [attempt for attempt in history.converter_attempts if attempt.started_us != NEVER]
+    total_us = sum(attempt.work_us for attempt in executed_attempts)
+    wasted_us = sum(attempt.work_us for attempt in executed_attempts if attempt.request_id not in served_ids)
     return wasted_us / total_us if total_us else 0.0
 
 
 def retry_after_share(client_attempts: Iterable[ClientAttempt]) -> float:
     """Return the share of rejections that carry a Retry-After; 1 if there were no rejections."""
-    rejected = [attempt for attempt in client_attempts if attempt.outcome is RequestOutcome.REFUSED]
-    return sum(attempt.retry_after_us > 0 for attempt in rejected) / len(rejected) if rejected else 1.0
+    rejected_attempts = [attempt for attempt in client_attempts if attempt.outcome is RequestOutcome.REFUSED]
+    return (
+        sum(attempt.retry_after_us > 0 for attempt in rejected_attempts) / len(rejected_attempts)
+        if rejected_attempts
+        else 1.0
+    )
 
 
 def cpu_used_us(incarnation: Incarnation, begin_us: float = 0.0, end_us: float = float("inf")) -> int:
-    """Return a sidecar's CPU time between its first and last sample in a part of the run."""
+    """Return a sidecar's CPU time between the first and last sample in a part of the run; 0 without samples there."""
     cpu_readings_us = [cpu_us for at_us, cpu_us, _ in incarnation.samples if begin_us <= at_us <= end_us]
     return cpu_readings_us[-1] - cpu_readings_us[0] if cpu_readings_us else 0
 
 
 def cpu_us_per_request(history: History, sidecar: int, begin_s: float, end_s: float) -> float | None:
-    """Return a sidecar's CPU time per request sent in a part of the run; None with fewer than two samples there."""
+    """Return a sidecar's CPU time in a part of the run, divided by the number of requests that all clients sent in it.
+
+    Returns None if there are fewer than two samples in this part of the run.
+    """
     samples = [
         (at_us, cpu_us)
         for at_us, cpu_us, _ in history.incarnations[sidecar].samples
@@ -130,19 +137,21 @@
     if len(samples) < 2:
         return None
     (begin_us, cpu_before_us), (end_us, cpu_after_us) = samples[0], samples[-1]
-    requests = sum(begin_us <= attempt.sent_us < end_us for attempt in history.client_attempts)
-    return (cpu_after_us - cpu_before_us) / max(1, requests)
+    request_count = sum(begin_us <= attempt.sent_us < end_us for attempt in history.client_attempts)
+    return (cpu_after_us - cpu_before_us) / max(1, request_count)
 
 
 def max_resident_mib(incarnations: Iterable[Incarnation]) -> float:
-    """Return the largest resident memory of any sidecar."""
+    """Return the largest resident memory of any sidecar in MiB, or 0 without samples."""
     return max((kib for incarnation in incarnations for _, _, kib in incarnation.samples), default=0) / KIB_PER_MIB
 
 
 def count_attempts(attempts: Iterable[ConverterAttempt], uids: set[str], begin_s: float, end_s: float) -> AttemptCounts:
     """Count the attempts received between two times of the run, at the converters with these uids and in total."""
-    received_by = [attempt.uid for attempt in attempts if begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S]
-    return AttemptCounts(sum(uid in uids for uid in received_by), len(received_by))
+    receiving_uids = [
+        attempt.uid for attempt in attempts if begin_s * US_PER_S <= attempt.received_us < end_s * US_PER_S
+    ]
+    return AttemptCounts(sum(uid in uids for uid in receiving_uids), len(receiving_uids))
 
 
 def summary(world: World, history: History, operations: list[Operation]) -> dict[str, float]:
@@ -164,6 +173,6 @@
     for outcome, count in sorted(outcomes.items()):
         values[f"share_{outcome}"] = count / attempt_count
     for index, request_class in enumerate(world.classes):
-        class_operations = [operation for operation in operations if operation.first.request_class == index]
+        class_operations = [operation for operation in operations if operation.first_attempt.request_class == index]
         values[f"service_{request_class.name}"] = service_level(class_operations)
     return values
--- a/ryepier/experiments/core/judge.py
+++ b/ryepier/experiments/core/judge.py
@@ -1,8 +1,8 @@
 """Finds violations of the protocol's rules in the records of a run.
 
 The check is a pure function from a `History` to the breaches. It uses only what converters, discovery and clients
-recorded, and nothing that sidecars report about themselves. Comparisons between the records of two processes tolerate
-the lateness of both.
+recorded, and nothing that sidecars report about themselves. Times that two processes recorded are compared with a
+tolerance for the lateness of both processes.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 from ryepier.emulator.world import DeduplicationScope, Effect, RequestClass, World
 
 TIME_LIMIT_SLACK_US = 50_000  # tolerance added to every time limit, for delays of real sockets
-MIN_CLOCK_SKEW_US = 20_000  # minimum tolerance when the records of two processes are compared
-SKEW_PER_LATENESS = 2  # as both of the compared processes may have been late
+MIN_TOLERANCE_US = 20_000  # minimum tolerance for times that two processes recorded
+TOLERANCE_PER_LATENESS = 2  # each of the two compared processes may have been late
 US_PER_MS = 1000
-WITHDRAWN_STATES = frozenset(("leaving", "left"))  # list states of converters that get no new requests
+WITHDRAWN_STATES = frozenset(("leaving", "left"))  # endpoint states of converters that get no new requests
 
 RULES = {
     "unanswered": "no final answer before the client's deadline",
@@ -60,7 +60,7 @@
 def may_have_run(attempt: ConverterAttempt) -> bool:
     """Return whether a converter may have executed an attempt.
 
-    By the protocol, only a complete 503 or 504 response that says so proves that it was not executed.
+    By the protocol, an attempt is known not to have been executed only if a complete 503 or 504 response says so.
     """
     return not (attempt.outcome is AttemptOutcome.ANSWERED and attempt.not_run)
 
@@ -84,16 +84,16 @@
         self.world = world
         self.history = history
         self.client_attempts = {request.request_id: request for request in history.client_attempts}
-        self.attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)  # by request id, in the order of arrival
+        self.attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)  # by request id, in order of arrival
         for attempt in history.converter_attempts:
             self.attempts[attempt.request_id].append(attempt)
         self.incarnations: dict[int, list[Incarnation]] = defaultdict(list)
         for incarnation in history.incarnations:
             self.incarnations[incarnation.sidecar].append(incarnation)
         worst_lateness_us = max((lateness.p999_us for lateness in history.lateness), default=0)
-        self.skew_us = max(MIN_CLOCK_SKEW_US, SKEW_PER_LATENESS * worst_lateness_us)
-        # the zones of pods do not depend on the seed, so any seed will do
-        self.zones = {machine.pod: machine.group.zone for machine in draws.machines(world, 0)}
+        self.tolerance_us = max(MIN_TOLERANCE_US, TOLERANCE_PER_LATENESS * worst_lateness_us)
+        # the zones of pods do not depend on the seed, so an arbitrary one is used
+        self.zone_by_pod = {machine.pod: machine.group.zone for machine in draws.machines(world, 0)}
         self.breaches: list[Breach] = []
 
     def check_all(self) -> list[Breach]:
@@ -120,7 +120,7 @@
 
     def _check_final_answer(self, request: ClientAttempt) -> None:
         if not self._sidecar_ran_throughout(request):
-            return  # clients retry requests lost with a killed sidecar, and a suspended sidecar can't meet deadlines
+            return  # clients retry the requests that a killed sidecar loses, and a suspended one can't meet deadlines
         self._check_in_time(request)
         if request.trailing_bytes:
             self._add_breach(
@@ -141,7 +141,7 @@
             self._check_rejection(request)
 
     def _sidecar_ran_throughout(self, request: ClientAttempt) -> bool:
-        """Return whether the request's sidecar ran from its sending to its end without being suspended."""
+        """Return whether the sidecar ran without suspension from the sending of the request to its end."""
         incarnations = self.incarnations[request.sidecar]
         if any(
             incarnation.was_suspended(request.sent_us - TIME_LIMIT_SLACK_US, request.ended_us)
@@ -162,27 +162,24 @@
         )
         text = f"{request.request_id} by sidecar {request.sidecar}"
         if request.outcome is RequestOutcome.TIMEOUT or is_late:
-            rule = "held-up" if self._was_suspended(request) else "unanswered"
+            rule = "held-up" if self._lacked_cpu(request) else "unanswered"
             self._add_breach(rule, due_us, text)
         elif request.outcome is RequestOutcome.BROKEN and not (
             request.may_be_unread and request.request_id not in self.attempts
         ):
             self._add_breach("broken", request.ended_us, text)
 
-    def _was_suspended(self, request: ClientAttempt) -> bool:
-        """Return whether the client's or the sidecar's process got no CPU for a time before the deadline."""
+    def _lacked_cpu(self, request: ClientAttempt) -> bool:
+        """Return whether the client's or the sidecar's process waited long for a CPU between sending and deadline."""
         client_role = f"clients {request.arrival % self.world.harness.client_processes}"
-        suspensions = [
-            suspension
-            for lateness in self.history.lateness
-            if lateness.role == client_role
-            for suspension in lateness.stalls
+        periods_without_cpu = [
+            period for lateness in self.history.lateness if lateness.role == client_role for period in lateness.stalls
         ]
-        suspensions += [
-            suspension for incarnation in self.incarnations[request.sidecar] for suspension in incarnation.cpu_waits
+        periods_without_cpu += [
+            period for incarnation in self.incarnations[request.sidecar] for period in incarnation.cpu_waits
         ]
         due_us = self._due_us(request) + TIME_LIMIT_SLACK_US
-        return any(begun_us < due_us and ended_us > request.sent_us for begun_us, ended_us in suspensions)
+        return any(begin_us < due_us and end_us > request.sent_us for begin_us, end_us in periods_without_cpu)
 
     def _was_answered_by_converter(self, request: ClientAttempt) -> bool:
         return request.response_request_id == request.request_id and any(
@@ -193,19 +190,20 @@
     def _was_given_up_promptly(self, request: ClientAttempt) -> bool:
         """Return whether the final answer followed the last attempt without an unexplained delay.
 
-        Nobody but the sidecar knows of attempts whose connection was never established, so time for them is allowed.
-        Before each attempt a request may wait for half of its latency objective.
+        Converters do not record attempts whose connection was never established, so the allowed delay includes time for
+        the attempts that may have failed like this. Before each attempt a request may wait for half of its latency
+        objective.
         """
         # a converter may record the end of an abandoned attempt slightly after the client received its answer
-        ends_us = [
+        attempt_ends_us = [
             request.ended_us if attempt.ended_us == NEVER else min(attempt.ended_us, request.ended_us)
             for attempt in self.attempts[request.request_id]
         ]
-        last_event_us = max([request.sent_us, *ends_us])
-        sidecars = self.world.sidecars
-        unseen_attempts = max(0, sidecars.max_attempts - len(ends_us))
-        max_wait_ms = max(1, unseen_attempts) * self._class_of(request).objective_ms / 2
-        max_dial_ms = unseen_attempts * sidecars.dial_timeout_ms
+        last_event_us = max([request.sent_us, *attempt_ends_us])
+        sidecar_settings = self.world.sidecars
+        unrecorded_attempt_count = max(0, sidecar_settings.max_attempts - len(attempt_ends_us))
+        max_wait_ms = max(1, unrecorded_attempt_count) * self._class_of(request).objective_ms / 2
+        max_dial_ms = unrecorded_attempt_count * sidecar_settings.dial_timeout_ms
         return request.ended_us - last_event_us <= (max_wait_ms + max_dial_ms) * US_PER_MS + TIME_LIMIT_SLACK_US
 
     def _check_rejection(self, request: ClientAttempt) -> None:
@@ -221,7 +219,7 @@
         attempts = self.attempts.get(request.request_id, [])
         for number, later in enumerate(attempts):
             for earlier in attempts[:number]:
-                if earlier.ended_us == NEVER or later.received_us < earlier.ended_us - self.skew_us:
+                if earlier.ended_us == NEVER or later.received_us < earlier.ended_us - self.tolerance_us:
                     self._add_breach(
                         "together", later.received_us, f"{request.request_id}: {earlier.uid} and {later.uid}"
                     )
@@ -240,7 +238,10 @@
             return False
         if request_class.scope is DeduplicationScope.CELL:
             return earlier.pod == later.pod
-        return request_class.scope is DeduplicationScope.ALL or self.zones[earlier.pod] == self.zones[later.pod]
+        return (
+            request_class.scope is DeduplicationScope.ALL
+            or self.zone_by_pod[earlier.pod] == self.zone_by_pod[later.pod]
+        )
 
     def _check_invented_requests(self) -> None:
         for request_id, attempts in self.attempts.items():
@@ -248,8 +249,11 @@
                 self._add_breach("invented", attempts[0].received_us, f"{request_id} at {attempts[0].uid}")
 
     def _check_executions(self) -> None:
-        """Check at-most-once execution over all retries of a client: a rejection promises that nothing was executed."""
-        executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by the operation's arrival number
+        """Check that no at-most-once operation was executed twice, counting all requests of the operation.
+
+        A client may retry a rejected request, because the rejection promises that the request was not executed.
+        """
+        executions: dict[int, list[ConverterAttempt]] = defaultdict(list)  # by the arrival number of the operation
         for attempt in self.history.converter_attempts:
             request = self.client_attempts.get(attempt.request_id)
             if (
@@ -266,15 +270,18 @@
     # Endpoint list, overloads and crashes
 
     def _check_drains(self) -> None:
-        """Check that draining converters get no new attempts, by the notifications of each sidecar's incarnation."""
-        notified_us = self._withdrawal_times(self.history.notices)
+        """Check that sidecars send no new attempts to draining converters after the grace period.
+
+        For each attempt, only notifications since the start of the sidecar process that sent it count.
+        """
+        withdrawn_at_us = self._withdrawal_times(self.history.notices)
         grace_us = self.world.sidecars.drain_grace_ms * US_PER_MS + TIME_LIMIT_SLACK_US
         for attempt in self.history.converter_attempts:
             request = self.client_attempts.get(attempt.request_id)
-            if request is None or (request.sidecar, attempt.uid) not in notified_us:
+            if request is None or (request.sidecar, attempt.uid) not in withdrawn_at_us:
                 continue
             started_us = self._incarnation_start_us(request.sidecar, attempt.first_byte_us)
-            times_us = [at_us for at_us in notified_us[request.sidecar, attempt.uid] if at_us >= started_us]
+            times_us = [at_us for at_us in withdrawn_at_us[request.sidecar, attempt.uid] if at_us >= started_us]
             if times_us and attempt.first_byte_us > self._must_act_by_us(request.sidecar, min(times_us), grace_us):
                 late_ms = (attempt.first_byte_us - min(times_us)) // US_PER_MS
                 text = f"{attempt.request_id} to {attempt.uid}, {late_ms} ms after sidecar {request.sidecar} was told"
@@ -282,7 +289,7 @@
 
     @staticmethod
     def _withdrawal_times(notifications: Sequence[EndpointNotice]) -> dict[tuple[int, str], list[int]]:
-        """Return when sidecars were notified that converters drain or are gone, by sidecar and uid."""
+        """Return the times at which sidecars were notified that a converter drains or is gone, by sidecar and uid."""
         times_us: dict[tuple[int, str], list[int]] = defaultdict(list)
         for notification in notifications:
             if notification.state in WITHDRAWN_STATES:
@@ -290,19 +297,22 @@
         return times_us
 
     def _incarnation_start_us(self, sidecar: int, at_us: int) -> int:
-        """Return the start time of the sidecar process that ran at a given time."""
+        """Return the start time of the process of a sidecar that ran at a given time, or 0 if none did."""
         return max(
             (incarnation.started_us for incarnation in self.incarnations[sidecar] if incarnation.started_us <= at_us),
             default=0,
         )
 
     def _must_act_by_us(self, sidecar: int, notified_us: int, grace_us: float) -> float:
-        """Return when a notification has to take effect; a suspended sidecar reads it only after the suspension."""
+        """Return the time by which a notification has to take effect.
+
+        A suspended sidecar reads the notification only after the suspension, so the grace period starts then.
+        """
         until_us = notified_us + grace_us
         for incarnation in self.incarnations[sidecar]:
-            for begun_us, ended_us in incarnation.suspensions:
-                if begun_us < until_us and ended_us > notified_us:
-                    until_us = max(until_us, ended_us + grace_us)
+            for begin_us, end_us in incarnation.suspensions:
+                if begin_us < until_us and end_us > notified_us:
+                    until_us = max(until_us, end_us + grace_us)
         return until_us
 
     def _check_overloads(self) -> None:
--- a/ryepier/experiments/core/report.py
+++ b/ryepier/experiments/core/report.py
@@ -25,15 +25,16 @@
 matplotlib.use("svg")
 
 REPORT_FILE = "report.html"
-WINDOW_S = 0.5  # window of the curves over time
-MAX_LISTED_BREACHES = 50  # breaches.json has all of them
-MAX_LISTED_EVENTS = 200
+WINDOW_S = 0.5  # length of the time windows for which curves show rates and percentiles
+MAX_LISTED_BREACHES = 50  # in the report; breaches.json contains all of them
+MAX_LISTED_EVENTS = 200  # in the report
 PLOT_SIZE_IN = (9.0, 2.6)
 LINE_WIDTH_PT = 1.0
 SMALL_FONT_PT = 7
-MIN_SHADED_S = 0.05  # width at which a fault without a duration is drawn
+MIN_SHADED_S = 0.05  # width of the shading of a fault without a duration
 LATENCY_CURVES = (("median", 50.0), ("99%", 99.0), ("99.9%", 99.9))
-TAIL_TICKS = {1: "0%", 10: "90%", 100: "99%", 1000: "99.9%", 10000: "99.99%"}  # percentile p is at 1 / (1 - p)
+# tick labels by x position; a percentile, given as the share p, is plotted at x = 1 / (1 - p)
+TAIL_TICKS = {1: "0%", 10: "90%", 100: "99%", 1000: "99.9%", 10000: "99.99%"}
 PLOTTED_OUTCOMES = ("refused", "failed", "timeout", "broken", "unreachable")
 US_PER_S = 1e6
 US_PER_MS = 1000
@@ -75,7 +76,7 @@
 
 
 def events(folder: Path) -> list[RecordedEvent]:
-    """Return the events of the run in a folder: faults, drains, restarts. Raises as `write` does."""
+    """Return the events (faults, drains, restarts) of the run in a folder. Raises the same errors as `write`."""
     return _read_history(folder).events
 
 
@@ -141,7 +142,7 @@
 
 
 def _rate_per_s(times_us: list[int], edges_s: NDArray[np.float64]) -> NDArray[np.float64]:
-    """Return events per second in each window."""
+    """Return the number of events per second in each window."""
     counts: NDArray[np.int64] = np.histogram([at_us / US_PER_S for at_us in times_us], edges_s)[0]
     return counts / WINDOW_S
 
@@ -149,15 +150,23 @@
 def _plot_outcomes(run: _SavedRun) -> str:
     figure, axes = _make_axes(run.world)
     edges_s = _window_edges(run.world)
-    due_us = [operation.first.planned_us for operation in run.operations]
-    on_time_us = [
-        operation.first.planned_us for operation in run.operations if operation.earned_weight >= operation.weight > 0
+    planned_us = [operation.first_attempt.planned_us for operation in run.operations]
+    on_time_planned_us = [
+        operation.first_attempt.planned_us
+        for operation in run.operations
+        if operation.earned_weight >= operation.weight > 0
     ]
-    begins_s = edges_s[:-1]
-    axes.plot(begins_s, _rate_per_s(due_us, edges_s), color="black", linewidth=LINE_WIDTH_PT, label="first attempts")
+    window_starts_s = edges_s[:-1]
     axes.plot(
-        begins_s,
-        _rate_per_s(on_time_us, edges_s),
+        window_starts_s,
+        _rate_per_s(planned_us, edges_s),
+        color="black",
+        linewidth=LINE_WIDTH_PT,
+        label="first attempts",
+    )
+    axes.plot(
+        window_starts_s,
+        _rate_per_s(on_time_planned_us, edges_s),
         color="tab:green",
         linewidth=LINE_WIDTH_PT,
         label="served within the latency objective",
@@ -165,7 +174,7 @@
     for outcome in PLOTTED_OUTCOMES:
         times_us = [attempt.ended_us for attempt in run.history.client_attempts if attempt.outcome == outcome]
         if times_us:
-            axes.plot(begins_s, _rate_per_s(times_us, edges_s), linewidth=LINE_WIDTH_PT, label=outcome)
+            axes.plot(window_starts_s, _rate_per_s(times_us, edges_s), linewidth=LINE_WIDTH_PT, label=outcome)
     axes.set_ylabel("per second")
     axes.legend(fontsize=SMALL_FONT_PT, ncols=4)
     return _to_svg(figure)
@@ -173,14 +182,14 @@
 
 def _plot_latencies(run: _SavedRun) -> str:
     figure, axes = _make_axes(run.world)
-    begins_s = _window_edges(run.world)[:-1]
+    window_starts_s = _window_edges(run.world)[:-1]
     operations_by_window: dict[int, list[figures.Operation]] = defaultdict(list)
     for operation in run.operations:
-        operations_by_window[int(operation.first.planned_us / US_PER_S / WINDOW_S)].append(operation)
-    histograms = [figures.latency_histogram(operations_by_window[window]) for window in range(len(begins_s))]
+        operations_by_window[int(operation.first_attempt.planned_us / US_PER_S / WINDOW_S)].append(operation)
+    histograms = [figures.latency_histogram(operations_by_window[window]) for window in range(len(window_starts_s))]
     for label, percentile in LATENCY_CURVES:
         latencies_ms = [histogram.get_value_at_percentile(percentile) / US_PER_MS for histogram in histograms]
-        axes.plot(begins_s, latencies_ms, linewidth=LINE_WIDTH_PT, label=label)
+        axes.plot(window_starts_s, latencies_ms, linewidth=LINE_WIDTH_PT, label=label)
     axes.set_ylabel("ms")
     axes.set_yscale("symlog", linthresh=1.0)
     axes.legend(fontsize=SMALL_FONT_PT)
--- a/ryepier/experiments/faults/breaking_point.py
+++ b/ryepier/experiments/faults/breaking_point.py
@@ -1,8 +1,8 @@
 """Experiment `breaking-point`: the request rate that one sidecar sustains on one core.
 
-The load on a single sidecar rises until its service level drops in two consecutive windows. The claims bound the rate
-at that point and the CPU time per request before it, and require answers in time before it. The safety rules have to
-hold after it as well.
+The load on a single sidecar rises until its service level is too low in two consecutive windows: the breaking point.
+The claims bound the request rate at this point, and the CPU time per request up to it, and require that all answers up
+to it are in time. The safety rules have to hold beyond the breaking point as well.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 WINDOW_S = 1.0
 MIN_SERVICE = 0.95  # a window with a lower service level counts as overloaded
-MEASURED_FROM_S = 1.0  # time of the run; the CPU time before it is not counted
+MEASURED_FROM_S = 1.0  # time of the run from which CPU time is counted
 MIN_REQUESTS_PER_S = 2000
 MAX_CPU_US_PER_REQUEST = 450
 US_PER_S = 1e6
 TIMELINESS_RULES = ("unanswered", "held-up", "broken")
-# Rules that a sidecar has to keep even when overload prevents it from answering in time.
+# rules that a sidecar has to keep even when overload prevents it from answering in time
 SAFETY_RULES = (
     "second-answer",
     "forged",
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakingPoint:
-    """The offered rate and the end of the last window before the overload."""
+    """The offered rate and the end time of the last window before the overload."""
 
     offered_per_s: float
     end_s: float
@@ -77,16 +77,19 @@
     windows = []
     for begin_s in np.arange(0.0, run.world.duration_s, WINDOW_S).tolist():
         is_inside = figures.due_between(begin_s, begin_s + WINDOW_S)
-        window_operations = [operation for operation in run.operations if is_inside(operation.first)]
+        window_operations = [operation for operation in run.operations if is_inside(operation.first_attempt)]
         windows.append(Window(begin_s, len(window_operations) / WINDOW_S, figures.service_level(window_operations)))
     return windows
 
 
 def find_breaking_point(run: Run) -> BreakingPoint:
-    """Return the last window before two consecutive overloaded ones; the run's last window if there are none."""
+    """Return the last window before the first two consecutive overloaded windows.
+
+    Without two such windows, return the last window of the run.
+    """
     windows = split_into_windows(run)
-    for window, (first, second) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
-        if first.is_overloaded and second.is_overloaded:
+    for window, (next_window, second_next_window) in zip(windows, itertools.pairwise(windows[1:]), strict=False):
+        if next_window.is_overloaded and second_next_window.is_overloaded:
             return BreakingPoint(window.offered_per_s, window.begin_s + WINDOW_S)
     return BreakingPoint(windows[-1].offered_per_s, run.world.duration_s)
 
@@ -98,32 +101,32 @@
 
 
 def _figures(run: Run) -> Mapping[str, float]:
-    point = find_breaking_point(run)
-    end_us = np.array([int(point.end_s * US_PER_S)], dtype=np.int64)
+    breaking_point = find_breaking_point(run)
+    end_us = np.array([int(breaking_point.end_s * US_PER_S)], dtype=np.int64)
     return {
-        "breaking_point_per_s": point.offered_per_s,
-        "breaking_point_at_s": point.end_s,
+        "breaking_point_per_s": breaking_point.offered_per_s,
+        "breaking_point_at_s": breaking_point.end_s,
         "planned_rate_there_per_s": float(draws.offered_per_s(run.world, end_us)[0]),
-        "cpu_us_a_request": cpu_us_per_request(run, point.end_s),
+        "cpu_us_a_request": cpu_us_per_request(run, breaking_point.end_s),
     }
 
 
 def _claims(run: Run) -> list[Claim]:
-    point = find_breaking_point(run)
-    late_answers = sum(
-        breach.at_us < point.end_s * US_PER_S for breach in run.breaches if breach.rule in TIMELINESS_RULES
+    breaking_point = find_breaking_point(run)
+    timeliness_breach_count = sum(
+        breach.at_us < breaking_point.end_s * US_PER_S for breach in run.breaches if breach.rule in TIMELINESS_RULES
     )
-    cpu_us = cpu_us_per_request(run, point.end_s)
+    cpu_us = cpu_us_per_request(run, breaking_point.end_s)
     return [
-        Claim("requests a second for one sidecar core", point.offered_per_s, ">=", MIN_REQUESTS_PER_S),
+        Claim("requests a second for one sidecar core", breaking_point.offered_per_s, ">=", MIN_REQUESTS_PER_S),
         Claim("CPU a request up to there (us)", cpu_us, "<=", MAX_CPU_US_PER_REQUEST),
-        Claim("breaches of answers in time before it", late_answers, "==", 0),
+        Claim("breaches of answers in time before it", timeliness_breach_count, "==", 0),
     ]
 
 
 EXPERIMENT = Experiment(
     name="breaking-point",
-    question="load raised until one sidecar's core is not enough",
+    description="load raised until one sidecar's core is not enough",
     world=_world,
     claims=_claims,
     seeded_faults=("spin",),
--- a/ryepier/experiments/faults/ceiling.py
+++ b/ryepier/experiments/faults/ceiling.py
@@ -22,8 +22,8 @@
 
 
 def _served_per_s(run: Run) -> float:
-    served = sum(attempt.outcome is RequestOutcome.SERVED for attempt in run.history.client_attempts)
-    return served / run.world.duration_s
+    served_count = sum(attempt.outcome is RequestOutcome.SERVED for attempt in run.history.client_attempts)
+    return served_count / run.world.duration_s
 
 
 def _figures(run: Run) -> Mapping[str, float]:
@@ -36,7 +36,7 @@
 
 EXPERIMENT = Experiment(
     name="ceiling",
-    question="what the emulator offers and serves by itself, on four cores",
+    description="what the emulator offers and serves by itself, on four cores",
     world=_world,
     claims=_claims,
     seeded_faults=(),
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -22,11 +22,12 @@
 
 RATE_PER_S = 1500.0
 DURATION_S = 6.0
-MEASURED_FROM_S = 1.5  # by then the sidecar has started and its caches are warm
+MEASURED_FROM_S = 1.5  # time of the run by which the sidecar has started and its caches are warm
 MEASURED_TO_S = 5.5
 MIN_SERVED_SHARE = 0.98
-MAX_RATIO_OF_USUAL = 1.3
-MAX_RATIO_OF_UNIQUE = 3.0
+# CPU time per request relative to plain HTTP: with recurring documents, and with documents that never recur
+MAX_USUAL_RATIO = 1.3
+MAX_UNIQUE_RATIO = 3.0
 # values of the world file's clients.graphql
 PLAIN, USUAL, UNIQUE = "no", "usual", "unique"
 
@@ -48,14 +49,14 @@
     roles = harness.RoleAssignment(sidecar_command=command)
     history = harness.run_world(_world(document_kind), seed, folder, roles)
     cpu_us = figures.cpu_us_per_request(history, 0, MEASURED_FROM_S, MEASURED_TO_S)
-    served = sum(attempt.outcome is RequestOutcome.SERVED for attempt in history.client_attempts)
-    if cpu_us is None or served < MIN_SERVED_SHARE * len(history.client_attempts):
+    served_count = sum(attempt.outcome is RequestOutcome.SERVED for attempt in history.client_attempts)
+    if cpu_us is None or served_count < MIN_SERVED_SHARE * len(history.client_attempts):
         raise HarnessError("too few requests were served for a measurement of the CPU time per request")
     return cpu_us
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure all three kinds of requests. A seeded fault applies only to the run with the usual documents."""
+    """Measure all three kinds of requests. A seeded fault applies only to the run with recurring documents."""
     usual_command = (
         seeded_faults.command_with_fault(trial.seeded_fault) if trial.seeded_fault else harness.FORWARDER_COMMAND
     )
@@ -66,12 +67,12 @@
     }
     usual_ratio = cpu_us[USUAL] / cpu_us[PLAIN]
     unique_ratio = cpu_us[UNIQUE] / cpu_us[PLAIN]
-    usual_name = "CPU of a request, GraphQL with usual documents over plain HTTP"
-    unique_name = "CPU of a request, GraphQL with new documents over plain HTTP"
+    usual_claim_name = "CPU of a request, GraphQL with usual documents over plain HTTP"
+    unique_claim_name = "CPU of a request, GraphQL with new documents over plain HTTP"
     return Measurement(
         [
-            Claim(usual_name, usual_ratio, "<=", MAX_RATIO_OF_USUAL),
-            Claim(unique_name, unique_ratio, "<=", MAX_RATIO_OF_UNIQUE),
+            Claim(usual_claim_name, usual_ratio, "<=", MAX_USUAL_RATIO),
+            Claim(unique_claim_name, unique_ratio, "<=", MAX_UNIQUE_RATIO),
         ],
         {
             "plain_us": cpu_us[PLAIN],
@@ -85,7 +86,7 @@
 
 EXPERIMENT = Benchmark(
     name="graphql-cost",
-    question="CPU of a request: plain, GraphQL with known and with new documents",
+    description="CPU of a request: plain, GraphQL with known and with new documents",
     measure=measure,
     seeded_faults=("forgetful",),
 )
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -1,4 +1,4 @@
-"""Counts which queries were retried after a reset of an attempt, given each sidecar's retry budget."""
+"""Counts the queries that were retried after a reset, considering the retry budget of each sidecar."""
 
 from __future__ import annotations
 
@@ -12,48 +12,53 @@
 from ryepier.experiments.core.contract import Run
 from ryepier.experiments.core.quantiles import binomial_quantile
 
-# The minimum retry budget that a sidecar has to have: a smaller one allows fewer retries and fails the claim.
+# The smallest retry budget that satisfies the claim: with a smaller one, a sidecar retries too few queries.
 BUDGET_RATIO = 0.2  # retries added to the budget per first attempt
-MAX_BUDGET = 5.0  # retries
-SPARE_BUDGET = 2.0  # retries; one is available even if another has been sent and not yet been received
-MIN_RETRIED_SHARE = 0.98  # of the resets with a spare budget; attempts that never arrived are not recorded
-QUANTILE_LEVEL = 0.001  # probability that a run falls below the bound by chance
+MAX_BUDGET = 5.0  # retries that the budget allows at most
+# With this budget (in retries), one retry is available even if another was sent that no converter has received yet.
+SPARE_BUDGET = 2.0
+# The share of the resets with a spare budget that must be followed by a retry. It is less than 1, because a retry that
+# never reached a converter is not recorded.
+MIN_RETRIED_SHARE = 0.98
+QUANTILE_LEVEL = 0.001  # probability with which a correct sidecar falls below the bound by chance
 
 
 @dataclass(frozen=True, slots=True)
-class QueryResets:
-    """Counts of queries, of their attempts, and of the attempts that were reset."""
+class QueryResetCounts:
+    """Counts of retried queries, of the attempts of all queries, and of the attempts that were reset."""
 
-    attempts: int  # attempts of all queries
-    resets: int  # of those, the attempts that were reset
-    with_available_retry: int  # of the resets, those with an attempt left and at least one retry in the budget
-    with_spare_budget: int  # of those, the resets with a budget of at least `SPARE_BUDGET`
-    retried: int  # of those, the resets that were followed by a retry
-    retried_queries: int  # queries with a further attempt after a reset
-    served_queries: int  # of those, the queries that were served
+    attempt_count: int  # attempts of all queries, as received by converters
+    reset_count: int  # those attempts that were reset
+    retriable_count: int  # resets after which the query had an attempt left and the budget at least one retry
+    spare_budget_count: int  # resets among the retriable ones with a budget of at least `SPARE_BUDGET`
+    retried_count: int  # resets among those with a spare budget that were followed by a retry
+    retried_query_count: int  # queries with a further attempt after a reset
+    served_query_count: int  # queries among the retried ones that were served
 
     @property
     def retried_share(self) -> float:
         """Return the share of the resets with a spare budget that were followed by a retry."""
-        return self.retried / max(1, self.with_spare_budget)
+        return self.retried_count / max(1, self.spare_budget_count)
 
     @property
     def served_share(self) -> float:
         """Return the share of the retried queries that were served."""
-        return self.served_queries / max(1, self.retried_queries)
+        return self.served_query_count / max(1, self.retried_query_count)
 
     @property
     def min_served_share(self) -> float:
-        """Return the least share of the retried queries that two further attempts should serve.
+        """Return the smallest share of the retried queries that has to be served, by up to two retries per query.
 
-        The bound is the quantile at `QUANTILE_LEVEL` of a binomial distribution. Its success probability follows from
-        the run's share of resets, with a second further attempt as often as a reset found a retry in the budget. A
-        third further attempt is not taken into account.
+        The bound is the quantile at `QUANTILE_LEVEL` of a binomial distribution. Its success probability is that of a
+        first retry that is not reset, or of a second one after a first that is reset. Resets have the run's frequency,
+        and a second retry is possible as often as a reset left a retry in the budget. A third retry is ignored.
         """
-        reset_share = self.resets / max(1, self.attempts)
-        second_attempt_share = reset_share * self.with_available_retry / max(1, self.resets)
-        probability = (1.0 - reset_share) * (1.0 + second_attempt_share)
-        return binomial_quantile(self.retried_queries, probability, QUANTILE_LEVEL) / max(1, self.retried_queries)
+        reset_share = self.reset_count / max(1, self.attempt_count)
+        second_retry_share = reset_share * self.retriable_count / max(1, self.reset_count)
+        probability = (1.0 - reset_share) * (1.0 + second_retry_share)
+        return binomial_quantile(self.retried_query_count, probability, QUANTILE_LEVEL) / max(
+            1, self.retried_query_count
+        )
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -76,24 +81,24 @@
         self._times_us: dict[int, list[int]] = defaultdict(lambda: [NEVER])
         self._budgets: dict[int, list[float]] = defaultdict(lambda: [MAX_BUDGET])
         for attempt in sorted(attempts):
-            change = -1.0 if attempt.is_retry else BUDGET_RATIO
+            budget_change = -1.0 if attempt.is_retry else BUDGET_RATIO
             budgets = self._budgets[attempt.sidecar]
-            budgets.append(min(MAX_BUDGET, budgets[-1] + change))
+            budgets.append(min(MAX_BUDGET, budgets[-1] + budget_change))
             self._times_us[attempt.sidecar].append(attempt.at_us)
 
     def lowest_between(self, sidecar: int, from_us: int, until_us: int) -> float:
         """Return the lowest budget of a sidecar from `from_us` (inclusive) to `until_us` (exclusive)."""
         times_us = self._times_us[sidecar]
-        first = bisect.bisect_right(times_us, from_us) - 1
-        end = max(first + 1, bisect.bisect_left(times_us, until_us))
-        return min(self._budgets[sidecar][first:end])
+        first_index = bisect.bisect_right(times_us, from_us) - 1
+        end_index = max(first_index + 1, bisect.bisect_left(times_us, until_us))
+        return min(self._budgets[sidecar][first_index:end_index])
 
 
-def find_query_resets(run: Run) -> QueryResets:
+def count_query_resets(run: Run) -> QueryResetCounts:
     """Count the resets of queries by the retry budget that was available.
 
-    A sidecar decides on a retry at an unknown time between the reset and the next event that its converters or its
-    client record. So a retry counts as available only if the budget allowed one during all of that time.
+    A sidecar decides on a retry at an unknown time after the reset, and before a converter receives the retry or the
+    client the final answer. So a retry counts as available only if the budget allowed one during all of this time.
     """
     requests = {request.request_id: request for request in run.history.client_attempts}
     attempts: dict[str, list[ConverterAttempt]] = defaultdict(list)
@@ -114,7 +119,7 @@
     resets = [
         reset
         for request_id in query_ids
-        for reset in _find_query_resets(requests[request_id], attempts[request_id], budgets, max_attempts)
+        for reset in _resets_of_query(requests[request_id], attempts[request_id], budgets, max_attempts)
     ]
     return _count_resets(query_ids, requests, attempts, resets)
 
@@ -123,11 +128,11 @@
 class _Reset:
     """A reset after which the query had at least one attempt left."""
 
-    lowest_budget: float  # lowest budget between the reset and the retry, or the query's end
+    lowest_budget: float  # the sidecar's lowest budget between the reset and the retry, or the end of the query
     was_retried: bool
 
 
-def _find_query_resets(
+def _resets_of_query(
     request: ClientAttempt, query_attempts: Sequence[ConverterAttempt], budgets: RetryBudgets, max_attempts: int
 ) -> Iterator[_Reset]:
     """Yield the resets of one query after which it had at least one attempt left."""
@@ -144,19 +149,21 @@
     requests: Mapping[str, ClientAttempt],
     attempts: Mapping[str, Sequence[ConverterAttempt]],
     resets: Sequence[_Reset],
-) -> QueryResets:
+) -> QueryResetCounts:
     resets_with_spare_budget = [reset for reset in resets if reset.lowest_budget >= SPARE_BUDGET]
     retried_query_ids = [
         query_id
         for query_id in query_ids
         if any(attempt.outcome is AttemptOutcome.RESET for attempt in attempts[query_id][:-1])
     ]
-    return QueryResets(
-        attempts=sum(len(attempts[query_id]) for query_id in query_ids),
-        resets=sum(attempt.outcome is AttemptOutcome.RESET for query_id in query_ids for attempt in attempts[query_id]),
-        with_available_retry=sum(reset.lowest_budget >= 1.0 for reset in resets),
-        with_spare_budget=len(resets_with_spare_budget),
-        retried=sum(reset.was_retried for reset in resets_with_spare_budget),
-        retried_queries=len(retried_query_ids),
-        served_queries=sum(requests[query_id].outcome is RequestOutcome.SERVED for query_id in retried_query_ids),
+    return QueryResetCounts(
+        attempt_count=sum(len(attempts[query_id]) for query_id in query_ids),
+        reset_count=sum(
+            attempt.outcome is AttemptOutcome.RESET for query_id in query_ids for attempt in attempts[query_id]
+        ),
+        retriable_count=sum(reset.lowest_budget >= 1.0 for reset in resets),
+        spare_budget_count=len(resets_with_spare_budget),
+        retried_count=sum(reset.was_retried for reset in resets_with_spare_budget),
+        retried_query_count=len(retried_query_ids),
+        served_query_count=sum(requests[query_id].outcome is RequestOutcome.SERVED for query_id in retried_query_ids),
     )
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -1,8 +1,8 @@
 """Experiments `planner-gain` and `planner-slow`: with planners, a fleet avoids faulty converters sooner.
 
-A sixth of the converters hangs, or becomes ten times as slow. The same seed runs with and without planners. The claims
-bound two ratios of the run with planners to the run without: of the time until nearly all forwarders avoid the faulty
-converters, and of the service lost during the fault.
+A sixth of the converters hangs, or becomes ten times as slow. Each world is run with and without planners, with the
+same seed. The claims bound the time until nearly all forwarders avoid the faulty converters, and the service lost
+during the fault, both as a ratio of the run with planners to the run without.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.planners.worlds import without_planners
 
-STEP_S = 0.1  # resolution of the time until forwarders avoid the affected converters
+STEP_S = 0.1  # resolution at which `avoided_after_s` is determined
 WINDOW_S = 1.5  # a forwarder avoids the affected converters if it sends at most `MAX_PROBES` in this time
-MAX_PROBES = 1  # attempts at the affected converters in a window
-AVOIDING_SHARE = 0.95  # of the forwarders
+MAX_PROBES = 1  # attempts at the affected converters that a window may contain, as probes
+MIN_AVOIDING_SHARE = 0.95  # share of the forwarders that have to avoid the affected converters
 MAX_TIME_RATIO = 0.5
 MAX_LOST_RATIO_HANG = 0.8
-MAX_LOST_RATIO_SLOW = 1.0  # sidecars avoid slow converters without planners too, so the gain is small
-MIN_LOST_SHARE = 1e-6  # minimum divisor, which avoids a division by zero
+MAX_LOST_RATIO_SLOW = 1.0  # sidecars avoid slow converters without planners as well, so planners improve little
+MIN_LOST_SHARE = 1e-6  # minimum divisor, to avoid a division by zero
 US_PER_S = 1e6
 
 
@@ -36,33 +36,38 @@
 
 
 def avoided_after_s(run: Run, kind: str) -> float:
-    """Return the time from a fault until 95% of the forwarders avoid the affected converters, at most its length."""
+    """Return the time from the start of a fault until 95% of the forwarders avoid the affected converters.
+
+    The result is at most the duration of the fault.
+    """
     fault = fault_of_kind(run.world, kind)
-    times_s = _attempt_times_at_affected(run, kind)
-    sidecars = range(run.world.sidecars.count)
+    attempt_times_s = _attempt_times_at_affected(run, kind)
+    sidecar_indices = range(run.world.sidecars.count)
     at_s = 0.0
     while at_s + WINDOW_S <= fault.for_s:
-        avoiding = sum(_count_between(times_s[index], at_s, at_s + WINDOW_S) <= MAX_PROBES for index in sidecars)
-        if avoiding >= AVOIDING_SHARE * len(sidecars):
+        avoiding_count = sum(
+            _count_between(attempt_times_s[index], at_s, at_s + WINDOW_S) <= MAX_PROBES for index in sidecar_indices
+        )
+        if avoiding_count >= MIN_AVOIDING_SHARE * len(sidecar_indices):
             return at_s
         at_s += STEP_S
     return fault.for_s
 
 
 def _attempt_times_at_affected(run: Run, kind: str) -> dict[int, list[float]]:
-    """Return the arrival times of attempts at the affected converters by sidecar, in seconds since the fault."""
+    """Return when attempts arrived at the affected converters, by sidecar, in seconds since the start of the fault."""
     fault = fault_of_kind(run.world, kind)
     affected_uids = phases.affected_uids(run, (kind,))
     sidecar_by_request = {attempt.request_id: attempt.sidecar for attempt in run.history.client_attempts}
-    times_s: dict[int, list[float]] = defaultdict(list)
+    attempt_times_s: dict[int, list[float]] = defaultdict(list)
     for attempt in run.history.converter_attempts:
         if attempt.uid in affected_uids and attempt.request_id in sidecar_by_request:
-            times_s[sidecar_by_request[attempt.request_id]].append(attempt.received_us / US_PER_S - fault.at_s)
-    return times_s
+            attempt_times_s[sidecar_by_request[attempt.request_id]].append(attempt.received_us / US_PER_S - fault.at_s)
+    return attempt_times_s
 
 
-def _count_between(times_s: list[float], begin_s: float, end_s: float) -> int:
-    return sum(begin_s <= time_s < end_s for time_s in times_s)
+def _count_between(attempt_times_s: list[float], begin_s: float, end_s: float) -> int:
+    return sum(begin_s <= time_s < end_s for time_s in attempt_times_s)
 
 
 def _figures(run: Run, kind: str) -> dict[str, float]:
@@ -87,9 +92,9 @@
 
 
 def _lost_ratio(measured: Mapping[str, float], kind: str) -> float:
-    lost_with = 1 - measured[f"service_in_the_{kind}_with"]
-    lost_without = 1 - measured[f"service_in_the_{kind}_without"]
-    return lost_with / max(MIN_LOST_SHARE, lost_without)
+    lost_share_with = 1 - measured[f"service_in_the_{kind}_with"]
+    lost_share_without = 1 - measured[f"service_in_the_{kind}_without"]
+    return lost_share_with / max(MIN_LOST_SHARE, lost_share_without)
 
 
 def _hang_claims(run: Run) -> list[Claim]:
@@ -115,7 +120,7 @@
 EXPERIMENTS = (
     Experiment(
         name="planner-gain",
-        question="a sixth of the converters hangs, with planners and without",
+        description="a sixth of the converters hangs, with planners and without",
         world=_hang_world,
         claims=_hang_claims,
         seeded_faults=("trust-none",),
@@ -124,7 +129,7 @@
     ),
     Experiment(
         name="planner-slow",
-        question="a sixth of the converters is ten times as slow, with planners and without",
+        description="a sixth of the converters is ten times as slow, with planners and without",
         world=_slow_world,
         claims=_slow_claims,
         seeded_faults=("trust-none",),
--- a/ryepier/experiments/planners/false_reports.py
+++ b/ryepier/experiments/planners/false_reports.py
@@ -1,7 +1,8 @@
 """Experiment `planner-liar`: false reports of a few forwarders can't get healthy converters ejected by the fleet.
 
 Three forwarders report that nearly all requests to a sixth of the converters fail. The claims require that all
-forwarders follow plans, that none of those converters is without requests for long, and a high service level.
+forwarders follow plans, that none of the falsely reported converters is without requests for long, and a high service
+level.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 from ryepier.experiments.planners.followers import count_followers
 from ryepier.experiments.planners.seeded_faults import FALSELY_REPORTED_INTERVAL
 
-FALSE_REPORTERS = 3  # number of forwarders that report false failures
-MEASURED_FROM_S = 3.0  # time of the run; earlier gaps are not counted
-MAX_GAP_S = 1.0  # without false reports, each converter gets about ten requests per second
+FALSE_REPORTER_COUNT = 3  # number of forwarders that report false failures
+MEASURED_FROM_S = 3.0  # time of the run from which gaps are measured
+MAX_GAP_S = 1.0  # a converter that is not reported falsely gets about ten requests per second
 MIN_SERVICE = 0.98
 US_PER_S = 1e6
 
@@ -41,8 +42,8 @@
 
 def _claims(run: Run) -> list[Claim]:
     instances = timeline.build(run.world, run.seed).instances
-    falsely_reported = {instance.uid for instance in instances if instance.index % FALSELY_REPORTED_INTERVAL == 0}
-    gap_s = max(longest_gap_s(run, uid, MEASURED_FROM_S) for uid in falsely_reported)
+    falsely_reported_uids = {instance.uid for instance in instances if instance.index % FALSELY_REPORTED_INTERVAL == 0}
+    gap_s = max(longest_gap_s(run, uid, MEASURED_FROM_S) for uid in falsely_reported_uids)
     return [
         Claim("forwarders that follow a plan", count_followers(run), "==", run.world.sidecars.count),
         Claim("longest time that a converter lied about had no request (s)", gap_s, "<=", MAX_GAP_S),
@@ -52,9 +53,9 @@
 
 EXPERIMENT = Experiment(
     name="planner-liar",
-    question="three forwarders tell planners tall tales of converters that are well",
+    description="three forwarders tell planners tall tales of converters that are well",
     world=_world,
     claims=_claims,
     seeded_faults=("credulous",),
-    sidecar_faults=dict.fromkeys(range(FALSE_REPORTERS), "liar"),
+    sidecar_faults=dict.fromkeys(range(FALSE_REPORTER_COUNT), "liar"),
 )
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -1,8 +1,9 @@
 """Experiments `planner-empty` and `planner-restart`: forwarders stay safe when planners restart.
 
-Both planners are killed while converters hang. They restart either with their snapshots, or without any state but with
-a fault that makes them publish plans at once. The claims require that no forwarder follows a plan without evidence,
-that valid plans are published again within two seconds, and that few attempts go to the hung converters.
+Both planners are killed while converters hang. In `planner-restart` they restart with their snapshots. In
+`planner-empty` they restart without any state, and with a seeded fault that makes them publish plans at once. The
+claims require that no forwarder follows a plan without evidence, that valid plans are published again within two
+seconds, and that few attempts go to the hung converters.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 from ryepier.emulator.world import FaultKind, World
 from ryepier.experiments.core import figures, phases
 from ryepier.experiments.core.contract import Claim, Experiment, Run, Scale
-from ryepier.experiments.core.logs import PLANNER_LOGS, SIDECAR_LOGS, lines_with, log_lines
+from ryepier.experiments.core.logs import PLANNER_LOGS, SIDECAR_LOGS, lines_containing, log_lines
 from ryepier.experiments.core.worlds import fault_of_kind, load
 from ryepier.experiments.planners.followers import FOLLOWING_MESSAGE, count_sidecars_that_logged
 from ryepier.plan.plan_follower import PlanRejection
 
 REJECTED_MESSAGE = f"rejected: {PlanRejection.FEW_REPORTERS}"  # in a sidecar's log
-EMPTY_PLANNER_EPOCH = "epoch 10000"  # prefix of the epoch that the seeded fault `amnesiac` uses
-PLAN_ARRIVAL_S = 1.0  # from the planners' restart until their empty plans have arrived
-END_MARGIN_S = 1.0  # excluded at the end of the run
+EMPTY_PLANNER_EPOCH = "epoch 10000"  # in log lines: prefix of the epochs of planners with the seeded fault `amnesiac`
+PLAN_ARRIVAL_S = 1.0  # time from the planners' restart until their empty plans have arrived
+END_MARGIN_S = 1.0  # time at the end of the run that is excluded
 MAX_SHARE_TO_HUNG = 0.02
 MAX_RESTART_S = 2.0
 
@@ -39,15 +40,15 @@
 
 
 def _count_followers_of_empty_plan(run: Run) -> int:
-    lines = lines_with(run.folder, SIDECAR_LOGS, FOLLOWING_MESSAGE)
+    lines = lines_containing(run.folder, SIDECAR_LOGS, FOLLOWING_MESSAGE)
     return len({line["file"] for line in lines if EMPTY_PLANNER_EPOCH in str(line["message"])})
 
 
 def _empty_claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
-    plan_arrived_s = kill.at_s + kill.down_s + PLAN_ARRIVAL_S
+    plan_arrived_at_s = kill.at_s + kill.down_s + PLAN_ARRIVAL_S
     rejected_count = count_sidecars_that_logged(run, REJECTED_MESSAGE)
-    share_to_hung = _share_to_hung(run, plan_arrived_s, run.world.duration_s)
+    share_to_hung = _share_to_hung(run, plan_arrived_at_s, run.world.duration_s)
     return [
         Claim("forwarders that refused the empty plan", rejected_count, "==", run.world.sidecars.count),
         Claim("forwarders that took it", _count_followers_of_empty_plan(run), "==", 0),
@@ -55,7 +56,7 @@
     ]
 
 
-def restart_to_plan_s(run: Run) -> float:
+def restart_to_leadership_s(run: Run) -> float:
     """Return the shortest time from a planner's restart until it leads; infinite if no restarted planner leads."""
     shortest_s = float("inf")
     for path in sorted(run.folder.glob(PLANNER_LOGS)):
@@ -73,11 +74,11 @@
 
 def _restart_claims(run: Run) -> list[Claim]:
     kill = fault_of_kind(run.world, FaultKind.PLANNER_KILL)
-    restarted_s = kill.at_s + kill.down_s
-    share_to_hung = _share_to_hung(run, restarted_s, run.world.duration_s - END_MARGIN_S)
+    restarted_at_s = kill.at_s + kill.down_s
+    share_to_hung = _share_to_hung(run, restarted_at_s, run.world.duration_s - END_MARGIN_S)
     followed_again_count = count_sidecars_that_logged(run, "epoch 2")
     return [
-        Claim("time to sound plans after the restart (s)", restart_to_plan_s(run), "<=", MAX_RESTART_S),
+        Claim("time to sound plans after the restart (s)", restart_to_leadership_s(run), "<=", MAX_RESTART_S),
         Claim("share of attempts to hung converters from the restart on", share_to_hung, "<=", MAX_SHARE_TO_HUNG),
         Claim("forwarders that followed again", followed_again_count, "==", run.world.sidecars.count),
     ]
@@ -86,7 +87,7 @@
 EXPERIMENTS = (
     Experiment(
         name="planner-empty",
-        question="planners come back with nothing in mind while converters hang",
+        description="planners come back with nothing in mind while converters hang",
         world=_empty_world,
         claims=_empty_claims,
         seeded_faults=("trust-any",),
@@ -94,7 +95,7 @@
     ),
     Experiment(
         name="planner-restart",
-        question="both planners die and come back with their snapshots while converters hang",
+        description="both planners die and come back with their snapshots while converters hang",
         world=_restart_world,
         claims=_restart_claims,
         seeded_faults=("trust-none",),
--- a/ryepier/experiments/planners/scale.py
+++ b/ryepier/experiments/planners/scale.py
@@ -2,8 +2,8 @@
 
 One planner process serves 50, 200 and 1,000 forwarders. The forwarders are simulated by this process: each is a
 connection that speaks the protocol and reports on a few of the converters. The claims bound the planner's CPU time at
-1,000 forwarders, its growth relative to a linear one, and the traffic per forwarder, and require plans at the usual
-rate.
+1,000 forwarders, the growth of the CPU time from 200 to 1,000 forwarders relative to linear growth, and the traffic per
+forwarder. They also require that each forwarder gets plans at the usual rate.
 """
 
 from __future__ import annotations
@@ -26,53 +26,53 @@
 from ryepier.experiments.core.usage import usage
 from ryepier.plan.messages import VERSION, ConverterCounters, FrameDecoder, Hello, Plan, Report, encode
 
-FLEET_SIZES = (50, 200, 1000)  # forwarders
+FLEET_SIZES = (50, 200, 1000)  # numbers of forwarders
 CONVERTER_COUNT = 100
-REPORTED_CONVERTERS = 12  # per forwarder, as a sidecar uses only a few converters at a time
+REPORTED_CONVERTER_COUNT = 12  # per forwarder; a sidecar uses only a few converters at a time
 REPORT_INTERVAL_S = 0.5
-ATTEMPTS_PER_REPORT = 2.0  # mean number of new attempts per converter
-WARM_UP_S = 3.0  # between the connections and the measurement
-MEASUREMENT_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}
+ATTEMPTS_PER_REPORT = 2.0  # mean number of new attempts per reported converter
+WARM_UP_S = 3.0  # time between the start of the forwarders and the measurement
+MEASUREMENT_S = {Scale.SMALL: 5.0, Scale.FULL: 30.0}  # duration of the measurement
 READ_BYTES = 65_536
 FULL_REPORTS_FAULT = "whole-reports"  # seeded fault: forwarders report on all converters
 MAX_CORES = 0.9
-MAX_GROWTH_OVER_LINEAR = 1.4
+MAX_GROWTH_OVER_LINEAR = 1.4  # growth of the CPU time relative to the growth of the fleet
 MAX_BYTES_PER_S_PER_FORWARDER = 1500
 MIN_PLANS_PER_S = 1.5
-MIN_CORES = 1e-3  # minimum divisor, which avoids a division by zero
+MIN_CORES = 1e-3  # minimum divisor, to avoid a division by zero
 
 
 class SimulatedForwarder:
-    """A forwarder's connection that sends reports with growing counters, and counts received plans and bytes."""
+    """A connection that sends reports with growing counters like a forwarder, and counts received plans and bytes."""
 
     def __init__(self, index: int, random: np.random.Generator, reports_all: bool) -> None:
         """Start unconnected, with a random choice of converters to report on; all of them if `reports_all` is set."""
         self.name = f"f{index}"
-        count = CONVERTER_COUNT if reports_all else REPORTED_CONVERTERS
+        count = CONVERTER_COUNT if reports_all else REPORTED_CONVERTER_COUNT
         chosen_converters = random.choice(CONVERTER_COUNT, size=count, replace=False)
         self.counters = {f"c-{converter:04x}": ConverterCounters() for converter in chosen_converters}
         self.random = random
-        self.number = 0
+        self.report_number = 0
         self.bytes_in = 0
         self.bytes_out = 0
-        self.plans = 0
+        self.plan_count = 0
 
     def make_report(self) -> bytes:
         """Return the next report, encoded."""
-        self.number += 1
+        self.report_number += 1
         for uid, counters in self.counters.items():
             count = int(self.random.poisson(ATTEMPTS_PER_REPORT))
             served = counters.served + count
             self.counters[uid] = ConverterCounters(
                 counters.attempts + count, served, counters.failed, counters.rejected, (0, 0, 0, 0, 0, served)
             )
-        arrivals = [self.number * 10]
-        return encode(Report(self.number, CONVERTER_COUNT, self.counters, {}, arrivals, arrivals, 0))
+        arrivals = [self.report_number * 10]
+        return encode(Report(self.report_number, CONVERTER_COUNT, self.counters, {}, arrivals, arrivals, 0))
 
     async def run(self, address: tuple[str, int]) -> None:
         """Connect and send reports until cancelled."""
         reader, writer = await asyncio.open_connection(*address)
-        receiving = asyncio.create_task(self._receive(reader))
+        receive_task = asyncio.create_task(self._receive(reader))
         try:
             writer.write(encode(Hello(VERSION, self.name, 1)))
             await asyncio.sleep(REPORT_INTERVAL_S * self.random.random())
@@ -82,14 +82,14 @@
                 writer.write(report)
                 await asyncio.sleep(REPORT_INTERVAL_S)
         finally:
-            receiving.cancel()
+            receive_task.cancel()
             writer.close()
 
     async def _receive(self, reader: asyncio.StreamReader) -> None:
-        frames = FrameDecoder()
+        frame_decoder = FrameDecoder()
         while data := await reader.read(READ_BYTES):
             self.bytes_in += len(data)
-            self.plans += sum(isinstance(message, Plan) for message in frames.feed(data))
+            self.plan_count += sum(isinstance(message, Plan) for message in frame_decoder.feed(data))
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     planner_cpu_s: float
     bytes_to_planner: int
     bytes_from_planner: int
-    plans: int
+    plan_count: int
 
 
 def read_totals(pid: int, forwarders: Sequence[SimulatedForwarder]) -> FleetTotals:
@@ -110,7 +110,7 @@
         at_s=time.monotonic(),
         bytes_to_planner=sum(forwarder.bytes_out for forwarder in forwarders),
         bytes_from_planner=sum(forwarder.bytes_in for forwarder in forwarders),
-        plans=sum(forwarder.plans for forwarder in forwarders),
+        plan_count=sum(forwarder.plan_count for forwarder in forwarders),
     )
 
 
@@ -125,13 +125,13 @@
 
     @classmethod
     def between(cls, before: FleetTotals, after: FleetTotals, fleet_size: int) -> PlannerRates:
-        """Return the rates between two readings."""
+        """Return the rates between two readings of a fleet's totals."""
         elapsed_s = after.at_s - before.at_s
         return cls(
             (after.planner_cpu_s - before.planner_cpu_s) / elapsed_s,
             (after.bytes_to_planner - before.bytes_to_planner) / elapsed_s,
             (after.bytes_from_planner - before.bytes_from_planner) / elapsed_s,
-            (after.plans - before.plans) / elapsed_s / fleet_size,
+            (after.plan_count - before.plan_count) / elapsed_s / fleet_size,
         )
 
     def as_figures(self, fleet_size: int) -> dict[str, float]:
@@ -169,10 +169,12 @@
 def measure_fleet(fleet_size: int, trial: TrialConfig) -> PlannerRates:
     """Start a planner, run a fleet of one size against it, and return the planner's rates."""
     address = f"127.{find_network()}.254.1", PLANNER_PORT
-    config = trial.folder / f"planner-{fleet_size}.toml"
-    config.write_text(f'[trust]\nfleet = {fleet_size}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
+    config_path = trial.folder / f"planner-{fleet_size}.toml"
+    config_path.write_text(f'[trust]\nfleet = {fleet_size}\n[planner]\nlisten = "{address[0]}:{address[1]}"\n')
     with open(trial.folder / f"planner-{fleet_size}.log", "wb") as log:
-        process = subprocess.Popen([*PLANNER_COMMAND, "--config", str(config)], stdout=log, stderr=log, env=os.environ)
+        process = subprocess.Popen(
+            [*PLANNER_COMMAND, "--config", str(config_path)], stdout=log, stderr=log, env=os.environ
+        )
     try:
         return asyncio.run(_measure_planner(process, address, fleet_size, trial))
     finally:
@@ -203,7 +205,7 @@
 
 EXPERIMENT = Benchmark(
     name="planner-scale",
-    question="a planner's CPU and bytes at 50, 200 and 1,000 simulated forwarders",
+    description="a planner's CPU and bytes at 50, 200 and 1,000 simulated forwarders",
     measure=measure,
     seeded_faults=(FULL_REPORTS_FAULT,),
 )
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -1,8 +1,8 @@
-"""Benchmark `slices-churn`: latency and CPU time of one change of a service, by the size of the endpoint list.
+"""Benchmark `slices-churn`: delay and CPU time per change of an endpoint list, by the size of the list.
 
 An API server replaces the pods of a service one after another, at 1,000 and at 10,000 endpoints. A separate process
 follows the slices and passes each update to a decision module. The claims require that every change arrives, and bound
-the 99th percentile of its delay, the growth of the CPU time per change, and the memory.
+the 99th percentile of the delay, the growth of the CPU time per change, and the memory.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from ryepier.experiments.slices.follower_process import READY_LINE, FollowerReport
 
 LIST_SIZES = (1_000, 10_000)  # endpoints
-SLICE_SIZE = 100
+SLICE_SIZE = 100  # endpoints per slice
 CHANGE_COUNTS = {Scale.SMALL: 150, Scale.FULL: 1_500}  # number of changes per list size
 CHANGE_INTERVAL_S = 0.04
 START_TIMEOUT_S = 20.0
-LAST_UPDATE_WAIT_S = 0.5  # time for the update of the last change to arrive
-MAX_LINE_BYTES = 64 * 1024 * 1024  # the follower's report is a single line
+LAST_UPDATE_WAIT_S = 0.5  # wait after the last change, for its update to arrive
+MAX_LINE_BYTES = 64 * 1024 * 1024  # the follower prints its report as a single line
 NAMESPACE = "default"
 SERVICE = "convert"
 NODE_COUNT = 50
@@ -65,50 +65,50 @@
 
 
 class ChangingService:
-    """A service whose pods are replaced one after another. Records the time of each change."""
+    """A service whose pods are replaced one after another, with the time of each change."""
 
     def __init__(self, size: int, seed: int) -> None:
         """Create a service of `size` pods and store its slices."""
         self.store = Store()
-        self.changed_us: dict[PodChange, int] = {}
+        self.changed_at_us: dict[PodChange, int] = {}
         self._random = np.random.default_rng(seed)
         self._next_pod = size
         self._slices = [
             [make_endpoint(first_pod + offset) for offset in range(SLICE_SIZE)]
             for first_pod in range(0, size, SLICE_SIZE)
         ]
-        for index in range(len(self._slices)):
-            self._store_slice(index)
+        for slice_index in range(len(self._slices)):
+            self._store_slice(slice_index)
 
     def make_change(self, number: int) -> None:
-        """Make a change: with an even number a random pod of a slice terminates, with an odd one it is replaced."""
-        index = number // 2 % len(self._slices)
+        """Terminate a random pod of a slice if `number` is even; replace the pod terminated before if it is odd."""
+        slice_index = number // 2 % len(self._slices)
         if number % 2 == 0:
-            self._terminate_random_pod(index)
+            self._terminate_random_pod(slice_index)
         else:
-            self._replace_terminating_pod(index)
-        self._store_slice(index)
+            self._replace_terminating_pod(slice_index)
+        self._store_slice(slice_index)
 
-    def _terminate_random_pod(self, index: int) -> None:
-        endpoints = self._slices[index]
+    def _terminate_random_pod(self, slice_index: int) -> None:
+        endpoints = self._slices[slice_index]
         endpoint = endpoints.pop(int(self._random.integers(SLICE_SIZE - 1)))
         pod = int(endpoint["targetRef"]["uid"].rpartition("-")[2])
         endpoints.append(make_endpoint(pod, terminating=True))
-        self.changed_us[PodChange(pod_address(pod), "draining")] = monotonic_us()
+        self.changed_at_us[PodChange(pod_address(pod), "draining")] = monotonic_us()
 
-    def _replace_terminating_pod(self, index: int) -> None:
+    def _replace_terminating_pod(self, slice_index: int) -> None:
         pod = self._next_pod
         self._next_pod += 1
-        self._slices[index] = [*self._slices[index][:-1], make_endpoint(pod)]
-        self.changed_us[PodChange(pod_address(pod), "ready")] = monotonic_us()
+        self._slices[slice_index] = [*self._slices[slice_index][:-1], make_endpoint(pod)]
+        self.changed_at_us[PodChange(pod_address(pod), "ready")] = monotonic_us()
 
-    def _store_slice(self, index: int) -> None:
+    def _store_slice(self, slice_index: int) -> None:
         content = {
             "addressType": "IPv4",
-            "endpoints": self._slices[index],
+            "endpoints": self._slices[slice_index],
             "ports": [{"name": "http", "port": 80, "protocol": "TCP"}],
         }
-        self.store.put(NAMESPACE, f"{SERVICE}-{index:04d}", content, {SERVICE_LABEL: SERVICE})
+        self.store.put(NAMESPACE, f"{SERVICE}-{slice_index:04d}", content, {SERVICE_LABEL: SERVICE})
 
 
 async def _start_follower(port: int, seeded_fault: str) -> asyncio.subprocess.Process:
@@ -145,9 +145,9 @@
         async with asyncio.timeout(START_TIMEOUT_S):
             line = await process.stdout.readline()
     except TimeoutError:
-        raise HarnessError("the follower had no list before the start timeout") from None
+        raise HarnessError("the follower did not receive the list before the start timeout") from None
     if line != READY_LINE:
-        raise HarnessError("the follower process exited before it had a list")
+        raise HarnessError("the follower process exited before it received the list")
     await _make_changes(service, server, scale)
     process.stdin.write(b"stop\n")
     return msgspec.json.decode(await process.stdout.readline(), type=FollowerReport)
@@ -157,8 +157,8 @@
 class ChurnCost:
     """Delay, CPU time and memory of a follower at one size of the list."""
 
-    arrived_share: float
-    p50_ms: float
+    arrived_share: float  # share of the changes whose update arrived
+    p50_ms: float  # median delay from a change until the decision module has processed its update
     p99_ms: float
     resident_mb: float
     peak_mb: float
@@ -176,19 +176,22 @@
         }
 
 
-def _summarize(report: FollowerReport, changed_us: dict[PodChange, int]) -> ChurnCost:
-    """Return the delays between changes and updates, and the costs. Raises HarnessError if no update arrived."""
-    arrived_us = {PodChange(update.host, update.state): update.at_us for update in report.updates}
-    delays_us = [arrived_us[change] - at_us for change, at_us in changed_us.items() if change in arrived_us]
+def _summarize(report: FollowerReport, changed_at_us: dict[PodChange, int]) -> ChurnCost:
+    """Compute the delay and cost of the changes from the follower's report and the times of the changes.
+
+    Raises HarnessError if no update arrived.
+    """
+    arrived_at_us = {PodChange(update.host, update.state): update.at_us for update in report.updates}
+    delays_us = [arrived_at_us[change] - at_us for change, at_us in changed_at_us.items() if change in arrived_at_us]
     if not delays_us:
         raise HarnessError("the follower received none of the changes")
     return ChurnCost(
-        len(delays_us) / len(changed_us),
+        len(delays_us) / len(changed_at_us),
         float(np.percentile(delays_us, 50)) / US_PER_MS,
         float(np.percentile(delays_us, 99)) / US_PER_MS,
         report.resident_kib / KIB_PER_MB,
         report.peak_kib / KIB_PER_MB,
-        report.cpu_us / US_PER_MS / len(changed_us),
+        report.cpu_us / US_PER_MS / len(changed_at_us),
     )
 
 
@@ -205,7 +208,7 @@
             process.kill()
         await process.wait()
         server.close()
-    return _summarize(report, service.changed_us)
+    return _summarize(report, service.changed_at_us)
 
 
 def measure(trial: TrialConfig) -> Measurement:
@@ -214,11 +217,11 @@
     figures: dict[str, float] = {}
     for size, cost in costs.items():
         figures |= cost.as_figures(size)
-    small, large = (costs[size] for size in LIST_SIZES)
-    figures["p50_growth"] = large.p50_ms / small.p50_ms
-    cpu_growth = large.cpu_ms_per_change / small.cpu_ms_per_change
+    small_list_cost, large_list_cost = (costs[size] for size in LIST_SIZES)
+    figures["p50_growth"] = large_list_cost.p50_ms / small_list_cost.p50_ms
+    cpu_growth = large_list_cost.cpu_ms_per_change / small_list_cost.cpu_ms_per_change
     figures["cpu_growth"] = cpu_growth
-    growth_name = "growth of a change's CPU from 1,000 to 10,000 (linear would be 10)"
+    growth_claim_name = "growth of a change's CPU from 1,000 to 10,000 (linear would be 10)"
     claims = [
         *(
             Claim(f"share of changes that the module heard of, {size}", cost.arrived_share, ">=", 1.0)
@@ -228,15 +231,15 @@
             Claim(f"from change to module event, p99 at {size:,} endpoints (ms)", cost.p99_ms, "<=", MAX_P99_MS[size])
             for size, cost in costs.items()
         ),
-        Claim(growth_name, cpu_growth, "<=", MAX_CPU_GROWTH),
-        Claim("resident memory at 10,000 endpoints (MB)", large.resident_mb, "<=", MAX_RESIDENT_MB),
+        Claim(growth_claim_name, cpu_growth, "<=", MAX_CPU_GROWTH),
+        Claim("resident memory at 10,000 endpoints (MB)", large_list_cost.resident_mb, "<=", MAX_RESIDENT_MB),
     ]
     return Measurement(claims, figures)
 
 
 EXPERIMENT = Benchmark(
     name="slices-churn",
-    question="time from a change to the module's event at 1,000 and 10,000 endpoints",
+    description="time from a change to the module's event at 1,000 and 10,000 endpoints",
     measure=measure,
     seeded_faults=("whole-list",),
 )
--- a/ryepier/experiments/slices/follower_process.py
+++ b/ryepier/experiments/slices/follower_process.py
@@ -1,8 +1,8 @@
-"""A process that follows a service's slices and passes each update to a decision module, for `slices-churn`.
+"""The process that follows a service's slices and passes each update to a decision module, for `slices-churn`.
 
-`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has the list. When
-it reads a line from standard input, it prints a `FollowerReport` as one line of JSON and exits. An empty SEEDED_FAULT
-stands for none.
+`python -m ryepier.experiments.slices.follower_process PORT SERVICE SEEDED_FAULT` prints `up` once it has received the
+first list. When it reads a line from standard input, it prints a `FollowerReport` as one line of JSON and exits. An
+empty SEEDED_FAULT stands for none.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """One upstream of an update, and the time at which the decision module had processed it."""
+    """One upstream of an update, and the time at which the decision module had processed the update."""
 
     host: str
     state: str
@@ -50,26 +50,26 @@
     """Follow a service until a line arrives on standard input, and return the report."""
     balancer = Balancer(Settings([RequestClass("convert", LATENCY_OBJECTIVE_US, DEADLINE_US)]), 1, clock_us())
     updates: list[Update] = []
-    listed = asyncio.Event()
+    list_received = asyncio.Event()
 
     def on_update(event: UpstreamsUpdated, addresses: dict[int, tuple[str, int]]) -> None:
         balancer.handle(clock_us(), event)
         at_us = clock_us()
-        if listed.is_set():
+        if list_received.is_set():
             updates.extend(Update(addresses[entry.id][0], entry.state.value, at_us) for entry in event.upstreams)
-        listed.set()
+        list_received.set()
 
     settings = SourceSettings(Access("127.0.0.1", port, False), "default", service, ListingRules(["a"], 0))
     source = SliceSource(settings, on_update, clock_us)
     source.start()
-    await listed.wait()
+    await list_received.wait()
     sys.stdout.buffer.write(READY_LINE)
     sys.stdout.flush()
-    begun_s = time.process_time()
+    cpu_begin_s = time.process_time()
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
     source.stop()
     status = Path(OWN_STATUS).read_text()
-    cpu_us = int((time.process_time() - begun_s) * 1e6)
+    cpu_us = int((time.process_time() - cpu_begin_s) * 1e6)
     return FollowerReport(updates, status_kib(status, "VmRSS"), status_kib(status, "VmHWM"), cpu_us)
 
 
--- a/ryepier/experiments/slices/seeded_faults.py
+++ b/ryepier/experiments/slices/seeded_faults.py
@@ -13,7 +13,7 @@
 from ryepier.slices.endpoint_slice_merger import EndpointObservation, EndpointSliceMerger
 from ryepier.slices.reflector import Reflector, Wait
 
-FAR_FUTURE_US = 10**12
+FAR_FUTURE_US = 10**12  # later than the end of any run
 
 
 def trust_last_slice() -> None:
@@ -22,10 +22,17 @@
     def merge_last_observation(
         self: EndpointSliceMerger, identity: str, observations: list[EndpointObservation]
     ) -> endpoint_slice_merger.MergedEndpoint:
-        last = observations[-1]
-        state = api.UpstreamState.DRAINING if last.risk else api.UpstreamState.READY
+        last_observation = observations[-1]
+        state = api.UpstreamState.DRAINING if last_observation.risk else api.UpstreamState.READY
         return endpoint_slice_merger.MergedEndpoint(
-            identity, last.address, last.zone, last.node, state, False, 1, (last.slice_name,)
+            identity,
+            last_observation.address,
+            last_observation.zone,
+            last_observation.node,
+            state,
+            False,
+            1,
+            (last_observation.slice_name,),
         )
 
     EndpointSliceMerger._merge = merge_last_observation  # type: ignore[method-assign]
@@ -33,7 +40,7 @@
 
 
 def never_list_again() -> None:
-    """Never list again after the server has dropped the revision of a watch."""
+    """Never list the slices again after the server has dropped the revision of a watch."""
     Reflector._relist_after_expiry = lambda self, now_us: [Wait(now_us + FAR_FUTURE_US)]  # type: ignore[method-assign]
 
 
--- a/ryepier/experiments/storms/outage.py
+++ b/ryepier/experiments/storms/outage.py
@@ -1,4 +1,4 @@
-"""Finds the time in which the converters of a run are down, and the service level after it."""
+"""Finds the outage of a world's converters, and computes the service level after it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """The time from the start of the first fault that takes converters down to the end of the last one."""
+    """The time from the start of the first fault that takes converters down to the end of the last such fault."""
 
     begin_s: float
     end_s: float
@@ -26,8 +26,8 @@
 
 def end_of_fault_s(fault: Fault) -> float:
     """Return the time of the run at which the converters that a fault affected are available again."""
-    restart_s = fault.drain_s + fault.down_s if fault.kind is FaultKind.RELEASE else 0.0
-    return phases.end_s(fault) + restart_s
+    until_restart_s = fault.drain_s + fault.down_s if fault.kind is FaultKind.RELEASE else 0.0
+    return phases.end_s(fault) + until_restart_s
 
 
 def find_outage(world: World) -> Outage:
--- a/ryepier/experiments/storms/seeded_faults.py
+++ b/ryepier/experiments/storms/seeded_faults.py
@@ -12,8 +12,8 @@
 from ryepier.balancer.upstream import PendingRequest
 
 
-def advise_same_time() -> None:
-    """Give all requests that are rejected in a storm the same Retry-After time."""
+def remove_retry_after_spread() -> None:
+    """Give requests that are rejected in a storm a Retry-After time without spread, equal for equal retry numbers."""
     original_retry_after_us = RetryPolicy.retry_after_us
 
     def same_retry_after_us(self: RetryPolicy, request: PendingRequest, storm: RetryStormUpdated) -> int:
@@ -25,20 +25,22 @@
     RetryPolicy.retry_after_us = same_retry_after_us  # type: ignore[method-assign]
 
 
-def detect_any_retry() -> None:
-    """Detect a retry storm as soon as there is any retry."""
+def detect_storm_at_any_retry() -> None:
+    """Detect a retry storm as soon as there is a single retry."""
     from ryepier.storm.storm_detector import RetryStormDetector, StormEvidence
 
     RetryStormDetector._should_open = lambda self, evidence: evidence.retry_share > 0  # type: ignore[method-assign]
 
     def evidence_of_any_retry(self: RetryStormDetector, now_us: int) -> StormEvidence:
-        offered = sum(self.arrival_rates)
-        return StormEvidence(offered, self.served_rate, sum(self.arrival_rates[1:]) / max(1.0, offered), 0.0, None)
+        offered_rate = sum(self.arrival_rates)
+        return StormEvidence(
+            offered_rate, self.served_rate, sum(self.arrival_rates[1:]) / max(1.0, offered_rate), 0.0, None
+        )
 
     RetryStormDetector._evidence = evidence_of_any_retry  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
-    "no-spread": advise_same_time,
-    "jumpy": detect_any_retry,
+    "no-spread": remove_retry_after_spread,
+    "jumpy": detect_storm_at_any_retry,
 }
--- a/tests/test_experiment_judge.py
+++ b/tests/test_experiment_judge.py
@@ -51,7 +51,7 @@
     clients=Clients(rate_per_s=10.0),
     sidecars=Sidecars(count=2),
 )
-READ, FILE, BATCH = range(3)
+READ, FILE, BATCH = range(3)  # indices of the classes of WORLD
 US_PER_MS = 1000
 
 
@@ -406,7 +406,7 @@
     rules, build_history = INVALID_HISTORIES[name]
     history = build_history()
     for attempt in history.converter_attempts:
-        if attempt.ended_us == 0:
+        if attempt.ended_us == 0:  # stands for an attempt that never ends
             attempt.ended_us = -1
     assert breached_rules(history) == rules
 
@@ -423,7 +423,7 @@
         client_attempt(request_id="t-0", arrival=3, outcome="failed", ended_ms=9),
     ]
     operations = figures.group_operations(WORLD, client_attempts)
-    assert sorted((operation.earned_weight, operation.attempts) for operation in operations) == [
+    assert sorted((operation.earned_weight, operation.attempt_count) for operation in operations) == [
         (0.0, 1),
         (1.5, 2),
         (3.0, 1),
