--- a/ryepier/maintenance/capacity.py
+++ b/ryepier/maintenance/capacity.py
@@ -79,7 +79,7 @@
             if limit.applies_to(converter)
         )
 
-    def first_exceeded_limit(self, service: str, unavailable: set[str]) -> str | None:
+    def describe_first_exceeded_limit(self, service: str, unavailable: set[str]) -> str | None:
         """Describe, in one line, the first limit that is exceeded with the converters in `unavailable` out of service.
 
         Returns None if every limit holds.
--- a/ryepier/maintenance/escrow.py
+++ b/ryepier/maintenance/escrow.py
@@ -63,8 +63,8 @@
         is_credited = numbers is not None and numbers.has(transfer.number)
         return TransferState.CREDITED if is_credited else TransferState.UNKNOWN
 
-    def debit(self, transfer: Transfer, transferable: int) -> str | None:
-        """Debit a transfer if `transferable` covers its amount. Repeating a debit has no effect.
+    def debit(self, transfer: Transfer, transferable_allowance: int) -> str | None:
+        """Debit a transfer if `transferable_allowance` covers its amount. Repeating a debit has no effect.
 
         Returns the reason if the transfer is rejected, else None.
         """
@@ -76,8 +76,8 @@
         number = self.next_number(transfer.receiver)
         if transfer.number != number:
             return f"transfer {format_transfer(transfer)}: the next number to {transfer.receiver!r} is {number}"
-        if transfer.amount > transferable:
-            excess = format_capacity(transfer.amount - max(0, transferable))
+        if transfer.amount > transferable_allowance:
+            excess = format_capacity(transfer.amount - max(0, transferable_allowance))
             name = format_transfer(transfer)
             return f"transfer {name} takes {excess} more of {transfer.service!r} than can be spared"
         assert GIVER_TABLE.next_state(state, TransferEvent.DEBIT) is TransferState.DEBITED
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -164,7 +164,7 @@
         yield from checker.apply(change)
 
 
-def find_grants_during_shortage(
+def find_breaches_with_known_losses(
     agreement: Agreement, changes: Iterable[CapacityChange], detection_delay_ms: int
 ) -> Iterator[Breach]:
     """Yield every breach caused by starting a planned outage while known losses left too little capacity for it.
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -18,7 +18,7 @@
 }
 
 
-class LeaseCommands:
+class LeaseCommandHandler:
     """Applies the commands that grant and change leases. State transitions follow `LEASE_TABLE`."""
 
     def __init__(self, context: LedgerContext) -> None:
@@ -79,7 +79,7 @@
                 f"{outage_count} converters of request {request.name!r} would be out of service; "
                 f"at most {request.max_unavailable} may be"
             )
-        return self.context.view.first_exceeded_limit(request.service, leased_names | set(command.converters))
+        return self.context.view.describe_first_exceeded_limit(request.service, leased_names | set(command.converters))
 
     def change_lease(self, command: LeaseCommand) -> Result:
         """Apply a command to an open lease. Agents' commands with an outdated fencing token are rejected."""
--- a/ryepier/maintenance/ledger.py
+++ b/ryepier/maintenance/ledger.py
@@ -32,15 +32,15 @@
     Transfer,
 )
 from ryepier.maintenance.escrow import Escrow
-from ryepier.maintenance.lease_commands import LeaseCommands
+from ryepier.maintenance.lease_commands import LeaseCommandHandler
 from ryepier.maintenance.ledger_context import LedgerContext
 from ryepier.maintenance.limits import Limit
-from ryepier.maintenance.observation_commands import ObservationCommands
-from ryepier.maintenance.request_commands import RequestCommands
+from ryepier.maintenance.observation_commands import ObservationCommandHandler
+from ryepier.maintenance.request_commands import RequestCommandHandler
 from ryepier.maintenance.results import AlreadyApplied, Result
 from ryepier.maintenance.state import Lease, LedgerState, RequestRecord
 from ryepier.maintenance.tables import LeaseState
-from ryepier.maintenance.transfer_commands import TransferCommands
+from ryepier.maintenance.transfer_commands import TransferCommandHandler
 
 
 class Ledger:
@@ -50,9 +50,9 @@
     """
 
     view_type: ClassVar[type[CapacityView]] = CapacityView
-    request_commands_type: ClassVar[type[RequestCommands]] = RequestCommands
-    observation_commands_type: ClassVar[type[ObservationCommands]] = ObservationCommands
-    transfer_commands_type: ClassVar[type[TransferCommands]] = TransferCommands
+    request_handler_type: ClassVar[type[RequestCommandHandler]] = RequestCommandHandler
+    observation_handler_type: ClassVar[type[ObservationCommandHandler]] = ObservationCommandHandler
+    transfer_handler_type: ClassVar[type[TransferCommandHandler]] = TransferCommandHandler
 
     def __init__(self, agreement: Agreement, region: str) -> None:
         """Start with the initial allowances and no leases or requests. Raises KeyError if the region is unknown."""
@@ -68,10 +68,10 @@
         self.state = ledger_state
         self.view = self.view_type(agreement, self.region, ledger_state)
         self._context = LedgerContext(agreement, self.region, ledger_state, self.view)
-        self._request_commands = self.request_commands_type(self._context)
-        self._lease_commands = LeaseCommands(self._context)
-        self._observation_commands = self.observation_commands_type(self._context)
-        self._transfer_commands = self.transfer_commands_type(self._context)
+        self._request_handler = self.request_handler_type(self._context)
+        self._lease_handler = LeaseCommandHandler(self._context)
+        self._observation_handler = self.observation_handler_type(self._context)
+        self._transfer_handler = self.transfer_handler_type(self._context)
 
     @classmethod
     def restore(cls, agreement: Agreement, region: str, snapshot: bytes) -> Ledger:
@@ -91,25 +91,25 @@
         self.state.applied = index
         match command:
             case SubmitRequest():
-                return self._request_commands.submit(command)
+                return self._request_handler.submit(command)
             case CancelRequest():
-                return self._request_commands.cancel(command)
+                return self._request_handler.cancel(command)
             case AdvanceTime():
-                return self._request_commands.advance_time(command.now_ms)
+                return self._request_handler.advance_time(command.now_ms)
             case GrantLease():
-                return self._lease_commands.grant(command)
+                return self._lease_handler.grant(command)
             case TakeOverLease() | StartDrain() | ReleaseLease() | RevokeLease():
-                return self._lease_commands.change_lease(command)
+                return self._lease_handler.change_lease(command)
             case RecordObservation():
-                return self._observation_commands.record_observation(command)
+                return self._observation_handler.record_observation(command)
             case RecordCapacityNeeds():
-                return self._observation_commands.record_needs(command)
+                return self._observation_handler.record_needs(command)
             case DebitTransfer():
-                return self._transfer_commands.debit(command.transfer)
+                return self._transfer_handler.debit(command.transfer)
             case CreditTransfer():
-                return self._transfer_commands.credit(command.transfer)
+                return self._transfer_handler.credit(command.transfer)
             case AcknowledgeTransfer():
-                return self._transfer_commands.acknowledge(command.transfer)
+                return self._transfer_handler.acknowledge(command.transfer)
 
     @property
     def applied(self) -> int:
@@ -158,8 +158,8 @@
 
     def transfers_due(self) -> list[Transfer]:
         """Return the transfers that this region should debit to cover the needs reported by its peers."""
-        return self._transfer_commands.due_transfers()
+        return self._transfer_handler.due_transfers()
 
     def capacity_needs(self) -> dict[str, CapacityNeed]:
         """Return the needs to report to the other regions, by service. The caller numbers the report with `applied`."""
-        return {service: self._transfer_commands.capacity_need(service) for service in self.agreement.services}
+        return {service: self._transfer_handler.capacity_need(service) for service in self.agreement.services}
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -27,7 +27,7 @@
 
     def is_below_agreement(self, service: str) -> bool:
         """Return whether, as far as this region knows, less than the agreed capacity is available."""
-        return self.view.first_exceeded_limit(service, self.view.leased_converters()) is not None
+        return self.view.describe_first_exceeded_limit(service, self.view.leased_converters()) is not None
 
     def next_token(self) -> int:
         """Issue a fencing token, higher than all tokens before it."""
--- a/ryepier/maintenance/observation_commands.py
+++ b/ryepier/maintenance/observation_commands.py
@@ -9,7 +9,7 @@
 from ryepier.maintenance.tables import LEASE_TABLE, LeaseEvent, LeaseState
 
 
-class ObservationCommands:
+class ObservationCommandHandler:
     """Applies observations and the reports of other regions. Only an observation can close a lease."""
 
     def __init__(self, context: LedgerContext) -> None:
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -222,7 +222,7 @@
         while True:
             previous_start_ms = start_ms
             for constraint in constraints:
-                next_start_ms = constraint.profile.earliest_gap(start_ms, job.length_ms, constraint.max_level)
+                next_start_ms = constraint.profile.earliest_gap_start_ms(start_ms, job.length_ms, constraint.max_level)
                 if next_start_ms is None:
                     return None
                 start_ms = next_start_ms
@@ -274,6 +274,6 @@
         """Return the first limit that prevents taking a converter out of service at `at_ms`, or None."""
         for limit in self._limits_of(converter):
             max_level = limit.bound - self._added_charge(converter)
-            if self._usage[limit].earliest_gap(at_ms, job.length_ms, max_level) != at_ms:
+            if self._usage[limit].earliest_gap_start_ms(at_ms, job.length_ms, max_level) != at_ms:
                 return limit
         return None
--- a/ryepier/maintenance/profile.py
+++ b/ryepier/maintenance/profile.py
@@ -20,7 +20,7 @@
         for i in range(first_step, end_step):
             self._levels[i] += amount
 
-    def earliest_gap(self, from_ms: int, duration_ms: int, max_level: int) -> int | None:
+    def earliest_gap_start_ms(self, from_ms: int, duration_ms: int, max_level: int) -> int | None:
         """Return the first time, not before `from_ms`, from which the level is at most `max_level` for `duration_ms`.
 
         Returns None if there is no such time.
--- a/ryepier/maintenance/request_commands.py
+++ b/ryepier/maintenance/request_commands.py
@@ -10,7 +10,7 @@
 from ryepier.maintenance.tables import LeaseState
 
 
-class RequestCommands:
+class RequestCommandHandler:
     """Applies the commands that open and cancel requests, and completes requests whose deadline has passed."""
 
     def __init__(self, context: LedgerContext) -> None:
--- a/ryepier/maintenance/seeded_faults.py
+++ b/ryepier/maintenance/seeded_faults.py
@@ -6,11 +6,11 @@
 from ryepier.maintenance.capacity import CapacityView
 from ryepier.maintenance.commands import Transfer
 from ryepier.maintenance.ledger import Ledger
-from ryepier.maintenance.observation_commands import ObservationCommands
-from ryepier.maintenance.request_commands import RequestCommands
+from ryepier.maintenance.observation_commands import ObservationCommandHandler
+from ryepier.maintenance.request_commands import RequestCommandHandler
 from ryepier.maintenance.results import Result
 from ryepier.maintenance.state import ObservedState
-from ryepier.maintenance.transfer_commands import TransferCommands
+from ryepier.maintenance.transfer_commands import TransferCommandHandler
 
 
 class IgnoreWarmUpView(CapacityView):
@@ -32,7 +32,7 @@
     view_type = IgnoreWarmUpView
 
 
-class LeaseExpiryCommands(RequestCommands):
+class LeaseExpiryCommandHandler(RequestCommandHandler):
     """Seeded fault: closes a lease when its request's duration has passed."""
 
     def advance_time(self, now_ms: int) -> Result:
@@ -48,10 +48,10 @@
 class LeaseExpiryLedger(Ledger):
     """Seeded fault: lets leases expire, which frees capacity that may still be out of service."""
 
-    request_commands_type = LeaseExpiryCommands
+    request_handler_type = LeaseExpiryCommandHandler
 
 
-class DoubleCreditCommands(TransferCommands):
+class DoubleCreditCommandHandler(TransferCommandHandler):
     """Seeded fault: credits a transfer each time it arrives."""
 
     def is_credited(self, transfer: Transfer) -> bool:
@@ -62,7 +62,7 @@
 class DoubleCreditLedger(Ledger):
     """Seeded fault: credits a transfer twice if it arrives twice."""
 
-    transfer_commands_type = DoubleCreditCommands
+    transfer_handler_type = DoubleCreditCommandHandler
 
 
 class GlobalAllowanceView(CapacityView):
@@ -104,7 +104,7 @@
     view_type = IgnoreLossView
 
 
-class StaleObservationCommands(ObservationCommands):
+class StaleObservationCommandHandler(ObservationCommandHandler):
     """Seeded fault: lets an observation close a lease that was released after the observation began."""
 
     def mark_recovered(self, converter: str, observed_state: ObservedState) -> list[str]:
@@ -116,13 +116,13 @@
 class StaleObservationLedger(Ledger):
     """Seeded fault: closes a lease by an observation that began before the lease was released."""
 
-    observation_commands_type = StaleObservationCommands
+    observation_handler_type = StaleObservationCommandHandler
 
 
-class OverdrawCommands(TransferCommands):
+class OverdrawCommandHandler(TransferCommandHandler):
     """Seeded fault: lets the whole allowance be given away."""
 
-    def transferable(self, service: str) -> int:
+    def transferable_allowance(self, service: str) -> int:
         """Return the whole allowance, although part of it is in use or must be kept."""
         return self.context.view.capacity(service).allowance
 
@@ -130,7 +130,7 @@
 class OverdrawLedger(Ledger):
     """Seeded fault: gives away allowance that its own leases are using."""
 
-    transfer_commands_type = OverdrawCommands
+    transfer_handler_type = OverdrawCommandHandler
 
 
 FAULTY_LEDGERS: dict[str, type[Ledger]] = {
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -13,7 +13,7 @@
 REBALANCE_HORIZON_MS = 600_000  # only requests that may start within this time count as needing allowance
 
 
-class TransferCommands:
+class TransferCommandHandler:
     """Applies transfer commands to one region's part of the escrow. Capacities are in thousandths."""
 
     def __init__(self, context: LedgerContext) -> None:
@@ -25,14 +25,14 @@
         """Subtract a transfer's amount from this region's allowance. A repeated debit has no further effect."""
         reason = self._transfer_rejection(transfer, transfer.giver, transfer.receiver)
         if reason is None:
-            reason = self.state.escrow.debit(transfer, self.transferable(transfer.service))
+            reason = self.state.escrow.debit(transfer, self.transferable_allowance(transfer.service))
         if reason:
             return Rejected(reason)
         if self.state.escrow.giver_state(transfer) is TransferState.ACKNOWLEDGED:
             return Acknowledged(transfer)
         return Debited(transfer)
 
-    def transferable(self, service: str) -> int:
+    def transferable_allowance(self, service: str) -> int:
         """Return how much of the allowance can be transferred to other regions.
 
         The region keeps enough for its unavailable and lost capacity, and at least its minimum allowance.
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -379,10 +379,10 @@
     ]
     assert list(judge.find_breaches(agreement, changes_after_recovery)) == []
     recorded_loss = CapacityChange(2, "n02", 600, planned=False)
-    assert list(judge.find_grants_during_shortage(agreement, [*lease_changes, recorded_loss], 1)) and not list(
+    assert list(judge.find_breaches_with_known_losses(agreement, [*lease_changes, recorded_loss], 1)) and not list(
         judge.find_breaches(agreement, [*lease_changes, recorded_loss])
     )
-    assert not list(judge.find_grants_during_shortage(agreement, [*lease_changes, recorded_loss], 6000)), (
+    assert not list(judge.find_breaches_with_known_losses(agreement, [*lease_changes, recorded_loss], 6000)), (
         "the loss was not known for long enough"
     )
     zone_agreement = AGREEMENTS[3]
