--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -81,7 +81,7 @@
         self._record(change)
         if not (change.planned and change.missing_share):
             return []
-        return self._check(change, {})
+        return self._find_breaches(change, {})
 
     def check_grant(
         self, change: CapacityChange, detection_delay_ms: int, *, include_global: bool = True
@@ -97,7 +97,7 @@
             if loss.began_at_ms + detection_delay_ms <= change.at_ms
         }
         self._record(change)
-        return [breach for breach in self._check(change, lost_shares) if include_global or breach.region]
+        return [breach for breach in self._find_breaches(change, lost_shares) if include_global or breach.region]
 
     def _record(self, change: CapacityChange) -> None:
         """Update the recorded planned outages and losses."""
@@ -113,7 +113,7 @@
         else:
             self._losses.pop(change.converter, None)
 
-    def _check(self, change: CapacityChange, lost_shares: dict[str, int]) -> list[Breach]:
+    def _find_breaches(self, change: CapacityChange, lost_shares: dict[str, int]) -> list[Breach]:
         """Return the breaches of the global and regional minimums of the changed converter's service.
 
         `lost_shares` holds the lost share by converter, in thousandths.
--- a/ryepier/maintenance/observation_commands.py
+++ b/ryepier/maintenance/observation_commands.py
@@ -5,7 +5,7 @@
 from ryepier.maintenance.commands import RecordCapacityNeeds, RecordObservation
 from ryepier.maintenance.ledger_context import LedgerContext
 from ryepier.maintenance.results import Observed, Rejected, Result
-from ryepier.maintenance.state import Lease, ObservedState, PeerRegion
+from ryepier.maintenance.state import Lease, ObservedState, PeerReport
 from ryepier.maintenance.tables import LEASE_TABLE, LeaseEvent, LeaseState
 
 
@@ -26,14 +26,14 @@
         if reason:
             return Rejected(f"observation {command.sequence} of {command.observer!r}: {reason}")
         self.state.observers[command.observer] = command.sequence
-        closed_leases: list[str] = []
+        closed_names: list[str] = []
         for observation in command.observations:
             observed_state = ObservedState(observation.ready, observation.warmth, command.as_of)
             last_state = self.state.observed.get(observation.converter)
             if last_state is None or last_state.as_of <= observed_state.as_of:
                 self.state.observed[observation.converter] = observed_state
-                closed_leases += self.mark_recovered(observation.converter, observed_state)
-        return Observed(tuple(closed_leases), self.context.revoke_leases_below_agreement())
+                closed_names += self.mark_recovered(observation.converter, observed_state)
+        return Observed(tuple(closed_names), self.context.revoke_leases_below_agreement())
 
     def _observation_rejection(self, command: RecordObservation) -> str | None:
         """Return why an observation cannot be recorded, in one line, or None if it can."""
@@ -53,7 +53,7 @@
 
         It has recovered if an observation that began after the lease's release or revocation shows it ready and warm.
         """
-        closed_leases = []
+        closed_names = []
         for lease in list(self.state.leases.values()):
             next_state = LEASE_TABLE.next_state(lease.state, LeaseEvent.ALL_RECOVERED)
             if converter not in lease.unavailable or next_state is None:
@@ -61,9 +61,9 @@
             if self.context.view.is_recovered(observed_state) and observed_state.as_of >= lease.released_index:
                 self._return_converter(lease, converter)
                 if not lease.unavailable:
-                    closed_leases.append(lease.name)
+                    closed_names.append(lease.name)
                     self.context.close(lease)
-        return closed_leases
+        return closed_names
 
     def _return_converter(self, lease: Lease, converter: str) -> None:
         """Remove a converter from its lease, and mark it as done for the request unless the lease was revoked."""
@@ -81,5 +81,5 @@
         last_report = self.state.peers.get(command.region)
         if last_report is not None and command.number <= last_report.number:
             return Rejected(f"standing of {command.region!r}: number {last_report.number} was recorded before")
-        self.state.peers[command.region] = PeerRegion(command.number, command.needs)
+        self.state.peers[command.region] = PeerReport(command.number, command.needs)
         return Observed((), self.context.revoke_leases_below_agreement())
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -69,7 +69,7 @@
     as_of: int  # highest log index applied before the observation began
 
 
-class PeerRegion(msgspec.Struct, frozen=True):
+class PeerReport(msgspec.Struct, frozen=True):
     """The capacity needs that another region last reported, with the number of its report."""
 
     number: int
@@ -95,7 +95,7 @@
     leases: dict[str, Lease] = {}
     observers: dict[str, int] = {}
     observed: dict[str, ObservedState] = msgspec.field(name="seen", default_factory=dict)
-    peers: dict[str, PeerRegion] = {}
+    peers: dict[str, PeerReport] = {}
 
     def open_requests(self) -> list[RequestRecord]:
         """Return the requests that can still get leases, oldest first."""
--- a/tests/maintenance_world.py
+++ b/tests/maintenance_world.py
@@ -45,12 +45,14 @@
     return "\n".join(lines) + "\n"
 
 
-def converters_text(names: tuple[str, ...] = ("north", "south"), zones: int = 2, per_zone: int = 3) -> str:
+def converters_text(
+    names: tuple[str, ...] = ("north", "south"), zone_count: int = 2, converters_per_zone: int = 3
+) -> str:
     return "".join(
         f'[[converters]]\nname = "{region[0]}{zone}{i}"\nservice = "convert"\nregion = "{region}"\nzone = "z{zone}"\n'
         for region in names
-        for zone in range(zones)
-        for i in range(per_zone)
+        for zone in range(zone_count)
+        for i in range(converters_per_zone)
     )
 
 
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -212,7 +212,7 @@
     assert region.ledger.snapshot() == snapshot_before
 
 
-def test_a_converter_too_large_to_be_unavailable_is_rejected_with_the_amount() -> None:
+def test_a_request_is_rejected_if_a_converter_exceeds_the_capacity_that_may_be_unavailable() -> None:
     text = AGREEMENT_TEXT.replace('name = "n00"', 'name = "n00"\nsize = 2.5').replace("least = 8", "least = 9.5")
     region = RegionLedger(Ledger(agreement_file.parse(text.encode()), "north"))
     assert region.apply(SubmitRequest(request())) == Accepted("r1")
@@ -305,7 +305,7 @@
             Ledger.restore(restored_agreement, region, data)
 
 
-def test_state_machines_can_be_printed_and_closed_is_final() -> None:
+def test_state_machines_print_as_tables_and_a_closed_lease_allows_no_event() -> None:
     text = "\n\n".join(map(str, (LEASE_TABLE, GIVER_TABLE, RECEIVER_TABLE)))
     assert "| granted | begin | draining |" in text and "| debited | send | debited |" in text
     assert all(state_before is not LeaseState.CLOSED for state_before, _ in LEASE_TABLE.transitions)
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -144,9 +144,9 @@
 
 
 def test_a_convenient_request_is_not_starved_by_urgent_ones() -> None:
-    waiting = make_job("old", "c0", deadline_ms=10**9, priority=Priority.CONVENIENT)
+    waiting_job = make_job("old", "c0", deadline_ms=10**9, priority=Priority.CONVENIENT)
     now_ms = 2 * AGING_INTERVAL_MS
-    urgent = [
+    urgent_jobs = [
         make_job(
             f"u{i}",
             f"c{i}",
@@ -157,8 +157,8 @@
         )
         for i in range(1, 5)
     ]
-    assert start_times(make_schedule(make_problem(waiting, *urgent, now_ms=now_ms)))["old"] == [now_ms]
-    earlier_schedule = make_schedule(make_problem(waiting, *urgent, now_ms=AGING_INTERVAL_MS))
+    assert start_times(make_schedule(make_problem(waiting_job, *urgent_jobs, now_ms=now_ms)))["old"] == [now_ms]
+    earlier_schedule = make_schedule(make_problem(waiting_job, *urgent_jobs, now_ms=AGING_INTERVAL_MS))
     assert start_times(earlier_schedule)["old"] == [AGING_INTERVAL_MS], (
         "the urgent requests may only start later, so the waiting request goes first"
     )
@@ -183,25 +183,25 @@
     assert start_times(make_schedule(build_problem(region.ledger))) == {"b": [21_000], "c": [21_000, 33_000]}
 
 
-def random_problem(seed: int, max_jobs: int = 12, priorities: int = 3) -> SchedulingProblem:
+def random_problem(seed: int, max_jobs: int = 12, priority_count: int = 3) -> SchedulingProblem:
     rng = random.Random(seed)
     remaining_names = list(CONVERTERS)
     rng.shuffle(remaining_names)
     jobs: list[Job] = []
     while remaining_names and len(jobs) < max_jobs:
-        count = rng.randint(1, min(3, len(remaining_names)))
-        job_names, remaining_names = remaining_names[:count], remaining_names[count:]
+        converter_count = rng.randint(1, min(3, len(remaining_names)))
+        job_names, remaining_names = remaining_names[:converter_count], remaining_names[converter_count:]
         length_ms, earliest_ms = rng.randint(5, 20), rng.randint(0, 40)
-        min_length_ms = length_ms * count
+        sequential_length_ms = length_ms * converter_count
         jobs.append(
             make_job(
                 f"r{len(jobs)}",
                 *job_names,
-                max_unavailable=rng.randint(1, count),
+                max_unavailable=rng.randint(1, converter_count),
                 length_ms=length_ms,
                 earliest_ms=earliest_ms,
-                deadline_ms=earliest_ms + min_length_ms + rng.randint(0, 50),
-                priority=Priority(rng.randrange(priorities)),
+                deadline_ms=earliest_ms + sequential_length_ms + rng.randint(0, 50),
+                priority=Priority(rng.randrange(priority_count)),
             )
         )
     limits = (
@@ -262,7 +262,7 @@
     placed_work = best_work = proven_count = 0
     worst_share = 1.0
     for seed in range(25):
-        problem = random_problem(seed, max_jobs=9, priorities=1)
+        problem = random_problem(seed, max_jobs=9, priority_count=1)
         unplaced_names = {unplaced_request.request for unplaced_request in make_schedule(problem).unplaced_requests}
         best = best_plan(problem, Job.work)
         proven_count += best.bound == best.value
--- a/tests/test_maintenance_transfers.py
+++ b/tests/test_maintenance_transfers.py
@@ -61,7 +61,7 @@
     assert cluster.ledger("north").transfers_due() == []
 
 
-def test_a_request_beyond_the_horizon_reports_no_shortage() -> None:
+def test_a_request_that_starts_beyond_the_rebalance_horizon_causes_no_shortage() -> None:
     cluster = Cluster(small_agreement())
     ledger = cluster.ledger("north")
     later_request = request(
