--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -13,7 +13,7 @@
 from ryepier.maintenance.agreement_tables import AgreementTables, ServiceTable
 
 MIN_REPLICAS = 3  # per region, so that a majority remains after the loss of one replica
-MAX_DECIMALS = 3
+MAX_DECIMALS = 3  # of an amount, because amounts are stored in thousandths
 
 
 class _KeyedName(NamedTuple):
@@ -165,7 +165,7 @@
 
 
 def _describe_excess(service: Service, agreement: Agreement, region: str | None, excess: int) -> str:
-    """Describe by how much a service's minimum exceeds its capacity, in one region or, if that is None, in all."""
+    """Describe by how much a service's minimum exceeds its capacity, in `region` or, if it is None, in all regions."""
     scope = f" in {region!r}" if region else ""
     min_available = service.min_available_by_region[region] if region else service.min_available
     total_capacity = agreement.capacity(service.name, region)
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -84,9 +84,9 @@
 class CapacityNeed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How far a region's allowance for a service falls short, in thousandths, as reported to the other regions.
 
-    `deficit` is the amount by which the capacity under leases and the lost capacity together exceed the allowance.
-    `shortage` is the amount by which the capacity that open requests would take out together and the lost capacity
-    exceed it.
+    `deficit` is the amount by which the sum of the capacity under leases and the lost capacity exceeds the allowance.
+    `shortage` is computed in the same way, but instead of the capacity under leases it counts the capacity that would
+    be unavailable if all open requests that may start soon ran at the same time.
     """
 
     deficit: NonNegative = 0
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -167,7 +167,7 @@
 def find_breaches_with_known_losses(
     agreement: Agreement, changes: Iterable[CapacityChange], detection_delay_ms: int
 ) -> Iterator[Breach]:
-    """Yield every breach caused by starting a planned outage while known losses left too little capacity for it.
+    """Yield every breach that starting a planned outage causes together with the losses known at that time.
 
     A loss is known once it has lasted for `detection_delay_ms`.
     """
--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -48,7 +48,10 @@
         return _granted_result(lease)
 
     def _repeat_grant(self, lease: Lease, command: GrantLease) -> Result:
-        """Answer a grant of an existing lease: return it if the command is identical and it is granted or draining."""
+        """Return the existing lease if the command repeats its grant and the lease is granted or draining.
+
+        Rejects the command otherwise.
+        """
         same_holder = (lease.request, lease.agent) == (command.request, command.agent)
         if not same_holder or lease.converters != command.converters:
             return Rejected(f"lease {lease.name!r} already exists with different content")
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -9,7 +9,7 @@
 from ryepier.maintenance.state import Lease, LedgerState, RequestRecord
 from ryepier.maintenance.tables import LeaseState
 
-MAX_COMPLETED_REQUESTS = 10_000  # completed requests are kept to recognize repeated submissions
+MAX_COMPLETED_REQUESTS = 10_000  # per region; completed requests are kept to recognize repeated submissions
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -1,6 +1,6 @@
 """Places the outages of converters one by one, at the earliest time from which every limit holds until the end.
 
-An outage ends when the converter is warm again. A request may fill a gap that requests placed before it have left,
+An outage ends when the converter is warm again. A request may fill a gap between requests that were placed before it,
 but never moves them. Windows of the previous schedule that are about to start are placed first, at the same time as
 before. Times are in milliseconds, capacities in thousandths.
 """
@@ -142,7 +142,7 @@
             self._concurrent_outages[placement.request].add(placement.start_ms, placement.end_ms, sign)
 
     def _place_frozen_windows(self) -> dict[str, list[Placement]]:
-        """Place the windows of the previous schedule that are about to start, unchanged, as far as they still fit.
+        """Place the windows of the previous schedule that are about to start, without moving them, if they still fit.
 
         Returns the placements by request.
         """
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -70,7 +70,7 @@
 
 
 class PeerReport(msgspec.Struct, frozen=True):
-    """The capacity needs that another region last reported, with the number of its report."""
+    """The last report of another region's capacity needs, by service, and the number of the report."""
 
     number: int
     needs: dict[str, CapacityNeed] = msgspec.field(name="standings")
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -1,4 +1,8 @@
-"""Validates new requests. A request that can never be placed is rejected at once, with the missing time or capacity."""
+"""Validates new requests.
+
+A request that can never be placed is rejected on submission. The reason gives the time that is missing until its
+deadline, or the amount by which a converter exceeds the capacity that may be unavailable.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,7 @@
 from ryepier.maintenance.commands import Request
 from ryepier.maintenance.state import LedgerState
 
-MAX_OPEN_REQUESTS = 5_000
+MAX_OPEN_REQUESTS = 5_000  # per region
 
 ConverterNames = tuple[str, ...]
 
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -108,9 +108,9 @@
         )
 
     def _requested_capacity(self, service: str) -> int:
-        """Return the capacity that requests would take out if they all ran at the same time.
+        """Return the capacity that would be unavailable if the open requests all ran at the same time.
 
-        Counts the open requests that may start within `REBALANCE_HORIZON_MS`. The result is at most the capacity that
+        Only requests that may start within `REBALANCE_HORIZON_MS` are counted. The result is at most the capacity that
         may be unavailable in this region.
         """
         requested_capacity = 0
