--- a/ryepier/maintenance/lease_commands.py
+++ b/ryepier/maintenance/lease_commands.py
@@ -18,7 +18,7 @@
 }
 
 
-class LeaseCommands:
+class LeaseCommandHandler:
     """Applies the commands that grant and change leases. State transitions follow `LEASE_TABLE`."""
 
     def __init__(self, context: LedgerContext) -> None:
@@ -48,7 +48,10 @@
         return _granted_result(lease)
 
     def _repeat_grant(self, lease: Lease, command: GrantLease) -> Result:
-        """Answer a grant of an existing lease: return it if the command is identical and it is granted or draining."""
+        """Return the existing lease if the command repeats its grant and the lease is granted or draining.
+
+        Rejects the command otherwise.
+        """
         same_holder = (lease.request, lease.agent) == (command.request, command.agent)
         if not same_holder or lease.converters != command.converters:
             return Rejected(f"lease {lease.name!r} already exists with different content")
@@ -79,7 +82,7 @@
                 f"{outage_count} converters of request {request.name!r} would be out of service; "
                 f"at most {request.max_unavailable} may be"
             )
-        return self.context.view.first_exceeded_limit(request.service, leased_names | set(command.converters))
+        return self.context.view.describe_first_exceeded_limit(request.service, leased_names | set(command.converters))
 
     def change_lease(self, command: LeaseCommand) -> Result:
         """Apply a command to an open lease. Agents' commands with an outdated fencing token are rejected."""
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -1,6 +1,6 @@
 """Places the outages of converters one by one, at the earliest time from which every limit holds until the end.
 
-An outage ends when the converter is warm again. A request may fill a gap that requests placed before it have left,
+An outage ends when the converter is warm again. A request may fill a gap between requests that were placed before it,
 but never moves them. Windows of the previous schedule that are about to start are placed first, at the same time as
 before. Times are in milliseconds, capacities in thousandths.
 """
@@ -142,7 +142,7 @@
             self._concurrent_outages[placement.request].add(placement.start_ms, placement.end_ms, sign)
 
     def _place_frozen_windows(self) -> dict[str, list[Placement]]:
-        """Place the windows of the previous schedule that are about to start, unchanged, as far as they still fit.
+        """Place the windows of the previous schedule that are about to start, without moving them, if they still fit.
 
         Returns the placements by request.
         """
@@ -222,7 +222,7 @@
         while True:
             previous_start_ms = start_ms
             for constraint in constraints:
-                next_start_ms = constraint.profile.earliest_gap(start_ms, job.length_ms, constraint.max_level)
+                next_start_ms = constraint.profile.earliest_gap_start_ms(start_ms, job.length_ms, constraint.max_level)
                 if next_start_ms is None:
                     return None
                 start_ms = next_start_ms
@@ -274,6 +274,6 @@
         """Return the first limit that prevents taking a converter out of service at `at_ms`, or None."""
         for limit in self._limits_of(converter):
             max_level = limit.bound - self._added_charge(converter)
-            if self._usage[limit].earliest_gap(at_ms, job.length_ms, max_level) != at_ms:
+            if self._usage[limit].earliest_gap_start_ms(at_ms, job.length_ms, max_level) != at_ms:
                 return limit
         return None
--- a/ryepier/maintenance/state.py
+++ b/ryepier/maintenance/state.py
@@ -69,8 +69,8 @@
     as_of: int  # highest log index applied before the observation began
 
 
-class PeerRegion(msgspec.Struct, frozen=True):
-    """The capacity needs that another region last reported, with the number of its report."""
+class PeerReport(msgspec.Struct, frozen=True):
+    """The last report of another region's capacity needs, by service, and the number of the report."""
 
     number: int
     needs: dict[str, CapacityNeed] = msgspec.field(name="standings")
@@ -95,7 +95,7 @@
     leases: dict[str, Lease] = {}
     observers: dict[str, int] = {}
     observed: dict[str, ObservedState] = msgspec.field(name="seen", default_factory=dict)
-    peers: dict[str, PeerRegion] = {}
+    peers: dict[str, PeerReport] = {}
 
     def open_requests(self) -> list[RequestRecord]:
         """Return the requests that can still get leases, oldest first."""
