--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -55,7 +55,7 @@
 
 def ignore_draining() -> None:
     """Treat a draining converter as ready."""
-    endpoint_registry.STATES["leaving"] = api.UpstreamState.READY
+    endpoint_registry.UPSTREAM_STATES["leaving"] = api.UpstreamState.READY
 
 
 def lose_answers() -> None:
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -24,7 +24,7 @@
     TenantIndex,
     parse_headers,
     parse_integer,
-    retry_after,
+    retry_after_line,
     stable_hash,
 )
 from ryepier.sidecar.requests import ClientRequest, FinalAnswer, FinalOutcome, Header
@@ -190,7 +190,9 @@
         header_lines = b"Content-Type: %s\r\n" % request.accepted_type
         if answer.outcome is FinalOutcome.REJECTED:
             return Response(
-                503, answers.rejected_body(answer.retry_after_us), header_lines + retry_after(answer.retry_after_us)
+                503,
+                answers.rejected_body(answer.retry_after_us),
+                header_lines + retry_after_line(answer.retry_after_us),
             )
         is_idempotent = self.settings.classes[request.class_index].idempotency == Idempotency.IDEMPOTENT
         return Response(500, answers.failed_body(is_idempotent), header_lines)
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -14,7 +14,7 @@
 from ryepier.sidecar import system
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.request_ids import RecentRequestIds
-from ryepier.sidecar.request_parsing import READINESS_PATH, Dialect, RequestError, Response, retry_after
+from ryepier.sidecar.request_parsing import READINESS_PATH, Dialect, RequestError, Response, retry_after_line
 from ryepier.sidecar.requests import ClientRequest, FinalAnswer, Header
 
 log = logging.getLogger(__name__)
@@ -301,7 +301,7 @@
 
     def reject_partial(self) -> None:
         """Reject a request that has arrived only in part, and close the connection."""
-        self.write(Response(503, b"", retry_after(self.server.partial_retry_after_us)), last=True)
+        self.write(Response(503, b"", retry_after_line(self.server.partial_retry_after_us)), last=True)
 
     def write(self, response: Response, last: bool = False) -> None:
         """Write a response; with `last` the connection closes after it."""
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 MAX_PORT = 65_535
-STATES = {"active": UpstreamState.READY, "leaving": UpstreamState.DRAINING, "left": UpstreamState.REMOVED}
+UPSTREAM_STATES = {"active": UpstreamState.READY, "leaving": UpstreamState.DRAINING, "left": UpstreamState.REMOVED}
 
 
 def watch_request(address: Address, version: int) -> bytes:
@@ -96,7 +96,7 @@
         if kind is not ListKind.DELTA:
             self._forget_unlisted({target["uid"] for target in message["targets"]})
         for target in message["targets"]:
-            if STATES[target["state"]] is UpstreamState.REMOVED:
+            if UPSTREAM_STATES[target["state"]] is UpstreamState.REMOVED:
                 self.upstream_ids.pop(target["uid"], None)
                 self.incarnations.pop(target["uid"], None)
         upstreams = [endpoint.upstream for endpoint in endpoints]
@@ -131,7 +131,7 @@
         )
         entry = Upstream(
             id=self.upstream_ids[uid],
-            state=STATES[target["state"]],
+            state=UPSTREAM_STATES[target["state"]],
             zone=index_of(target["az"], self.zones),
             kind=index_of(target["model"], self.kinds),
             failure_domain=int(target["pod_group"]),
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -231,7 +231,7 @@
             content_type = b"Content-Type: %s\r\n" % answer.content_type if answer.content_type else b""
             return Response(200, answer.body, content_type)
         if answer.outcome is FinalOutcome.REJECTED:
-            return Response(503, b"", retry_after(answer.retry_after_us))
+            return Response(503, b"", retry_after_line(answer.retry_after_us))
         return Response(500)
 
     @staticmethod
@@ -240,6 +240,6 @@
         return Response(error.status, str(error).encode() + b"\n")
 
 
-def retry_after(delay_us: int) -> bytes:
+def retry_after_line(delay_us: int) -> bytes:
     """Return the Retry-After header line, or nothing for 0."""
     return b"Retry-After: %.3f\r\n" % (delay_us / 1e6) if delay_us else b""
