--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -140,7 +140,7 @@
         self.last_received_at = 0.0  # time of the current request's last bytes; 0 = none yet
         self.reader = RequestReader()
         self.request: ClientRequest | None = None  # the request being processed
-        self.request_number = 0  # the number that the dispatcher gave to `request`
+        self.request_ident = 0  # the ident that the dispatcher assigned to `request`
         self.has_pipelined_bytes = False  # bytes have arrived after the request that is being processed
         self.closes_after_response = False
         self.discarded_bytes = 0
@@ -160,7 +160,7 @@
         # those are rare.
         self.parser = self.request = None
         if self.state is ClientState.PROCESSING:
-            self.server.dispatcher.on_client_disconnected(self.request_number)
+            self.server.dispatcher.on_client_disconnected(self.request_ident)
 
     # Callbacks of the HTTP parser
 
@@ -232,7 +232,7 @@
             if self.state is ClientState.PROCESSING:
                 # While reading is paused a disconnect goes unnoticed, and the request would be forwarded although
                 # nobody waits for it.
-                self.server.dispatcher.on_client_disconnected(self.request_number)
+                self.server.dispatcher.on_client_disconnected(self.request_ident)
                 self.write(Response(400), last=True)
             self.transport.pause_reading()
 
@@ -269,7 +269,7 @@
             raise RequestError(400, "the last answer was not read")
         self.server.change_state(self, ClientState.PROCESSING)
         request.client_disconnected = self.client_disconnected
-        self.request_number = self.server.dispatcher.on_request(request, self.respond)
+        self.request_ident = self.server.dispatcher.on_request(request, self.respond)
 
     def client_disconnected(self) -> bool:
         """Return whether the client of the open request has disconnected.
--- a/ryepier/sidecar/graceful_shutdown.py
+++ b/ryepier/sidecar/graceful_shutdown.py
@@ -31,11 +31,11 @@
     dispatcher.set_shutdown_time(clock_us() + int(1e6 * remaining_s))
     listening_until = loop.time() + ARRIVAL_WINDOW_S
     while loop.time() < listening_until:
-        await close_idle(front_ends)
+        await close_idle_and_wait(front_ends)
     for front_end in front_ends:
         front_end.stop_listening()
     while has_connections(front_ends) and loop.time() < answers_due_at:
-        await close_idle(front_ends)
+        await close_idle_and_wait(front_ends)
     for front_end in front_ends:
         front_end.reject_partial_requests()
     linger_until = answers_due_at + LINGER_TIMEOUT_S
@@ -43,7 +43,7 @@
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def close_idle(front_ends: Sequence[FrontEnd]) -> None:
+async def close_idle_and_wait(front_ends: Sequence[FrontEnd]) -> None:
     """Close the connections that have become idle, then wait for POLL_INTERVAL_S."""
     for front_end in front_ends:
         front_end.close_idle()
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -167,7 +167,7 @@
     def __init__(self, settings: Settings) -> None:
         """Prepare to parse requests of the classes and tenants in the settings."""
         self.settings = settings
-        self.classes = index_by_spelling([request_class.name for request_class in settings.classes])
+        self.class_indexes = index_by_spelling([request_class.name for request_class in settings.classes])
         self.tenants = TenantIndex(settings)
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
@@ -204,8 +204,8 @@
     def _class_index(self, target: bytes, headers_by_name: Mapping[bytes, bytes]) -> int:
         path = target.partition(b"?")[0]
         name = path[1:].split(b"/")[0]
-        index = self.classes.get(name) if path.startswith(b"/") and b"#" not in target else None
-        if index is None or self.classes.get(headers_by_name.get(CLASS_HEADER, b"")) != index:
+        index = self.class_indexes.get(name) if path.startswith(b"/") and b"#" not in target else None
+        if index is None or self.class_indexes.get(headers_by_name.get(CLASS_HEADER, b"")) != index:
             raise RequestError(404, "unknown class")
         return index
 
--- a/tests/disconnect_testbed.py
+++ b/tests/disconnect_testbed.py
@@ -81,7 +81,7 @@
     """Holds back its responses while `holds_responses` is set, and counts attempts by their first byte."""
 
     holds_responses: bool = True
-    started_attempts: int = 0
+    started_attempt_count: int = 0
     held_responses: list[asyncio.StreamWriter] = field(default_factory=list)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -89,7 +89,7 @@
         self.connection_count += 1
         try:
             while byte := await reader.read(1):
-                self.started_attempts += 1
+                self.started_attempt_count += 1
                 head, body = await read_message(reader)
                 self.requests.append(Message(byte + head, body))
                 await self.script(self, len(self.requests) - 1, reader, writer)
@@ -180,4 +180,4 @@
         assert status_of(await self.sidecar.fetch(request("pay", "99"))) == 200
         await asyncio.sleep(SETTLE_S)
         assert self.converter.request_ids() == [*request_ids, 99]
-        assert self.converter.started_attempts == len(request_ids) + 1
+        assert self.converter.started_attempt_count == len(request_ids) + 1
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -30,7 +30,7 @@
 
 OLD_LIST = endpoint_list(endpoint_entry("u0", 9000), rev=1)
 NEW_LIST = endpoint_list(endpoint_entry("u0", 9000, "leaving"), rev=2, full=False)
-NEW_BYTES = json.dumps(NEW_LIST).encode() + b"\n"
+NEW_LIST_BYTES = json.dumps(NEW_LIST).encode() + b"\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -64,9 +64,9 @@
     "503 without end": Fault(
         REJECTION_STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n" + chunk(b"busy"), Behaviour.STAY_SILENT
     ),
-    "half a list": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.RESET),
-    "half a list, silent": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.STAY_SILENT),
-    "half a list, a byte at a time": Fault(RESPONSE_HEAD + chunk(NEW_BYTES[:60]), Behaviour.TRICKLE),
+    "half a list": Fault(RESPONSE_HEAD + chunk(NEW_LIST_BYTES[:60]), Behaviour.RESET),
+    "half a list, silent": Fault(RESPONSE_HEAD + chunk(NEW_LIST_BYTES[:60]), Behaviour.STAY_SILENT),
+    "half a list, a byte at a time": Fault(RESPONSE_HEAD + chunk(NEW_LIST_BYTES[:60]), Behaviour.TRICKLE),
     "unreadable": Fault(
         RESPONSE_HEAD + chunk(b'{"rev": 2, "all": true, "targets": [{"uid": "u0"}]}\n'), Behaviour.STAY_SILENT
     ),
@@ -88,7 +88,7 @@
     reachable_at: float = 0.0
     port: int = 0
     server: asyncio.Server | None = None
-    initial_data: bytes = NEW_BYTES
+    initial_data: bytes = NEW_LIST_BYTES
     """The messages that a served call gets first."""
     sends_empty_lines: bool = False
 
--- a/tests/limited_sidecar.py
+++ b/tests/limited_sidecar.py
@@ -97,7 +97,7 @@
     return endpoint_list(*(endpoint_entry(f"u{number}", upstream.port) for number in range(CONVERTER_COUNT)), rev=rev)
 
 
-def write_limited_configuration(directory: Path, port: int, upstream: Upstream, discovery_port: int) -> Path:
+def write_sidecar_configuration(directory: Path, port: int, upstream: Upstream, discovery_port: int) -> Path:
     """Write the configuration of the sidecar.
 
     The latency objective is long, so that responses that a test delays do not count as slow. Otherwise the sidecar
@@ -137,7 +137,7 @@
     """Run the sidecar, and check at the end that it still runs and never had all its descriptors open."""
     await upstream.start()
     port, log_path = free_port(), directory / "log"
-    process = await start_process(write_limited_configuration(directory, port, upstream, discovery_port), log_path)
+    process = await start_process(write_sidecar_configuration(directory, port, upstream, discovery_port), log_path)
     sidecar = LimitedSidecar(process.pid, port)
     watch_task = asyncio.create_task(sidecar.watch_descriptors())
     try:
--- a/tests/seeded_sidecar_faults.py
+++ b/tests/seeded_sidecar_faults.py
@@ -49,7 +49,7 @@
     """Discard the answers of requests with an attempt in flight at an upstream that is removed or drained."""
     remove_upstream = RequestDispatcher._remove_upstream
 
-    def remove_upstream_and_answers(self: RequestDispatcher, upstream: int) -> None:
+    def discard_answers_and_remove_upstream(self: RequestDispatcher, upstream: int) -> None:
         discard_answers(
             open_request
             for open_request in self.requests.values()
@@ -57,7 +57,7 @@
         )
         remove_upstream(self, upstream)
 
-    RequestDispatcher._remove_upstream = remove_upstream_and_answers  # type: ignore[method-assign]
+    RequestDispatcher._remove_upstream = discard_answers_and_remove_upstream  # type: ignore[method-assign]
 
 
 def forget_on_reset() -> None:
@@ -161,14 +161,16 @@
         is_warming_up = bool(ready_upstreams) and all(upstream.started_at_us for upstream in ready_upstreams)
         on_endpoints(self, event, addresses)
 
-    def reject_request(self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
+    def reject_if_warming_up(
+        self: RequestDispatcher, request: ClientRequest, reply: Callable[[FinalAnswer], None]
+    ) -> int:
         if not is_warming_up:
             return on_request(self, request, reply)
         reply(FinalAnswer(FinalOutcome.REJECTED))
         return 0
 
     RequestDispatcher.on_endpoints = record_warming_up  # type: ignore[method-assign]
-    RequestDispatcher.on_request = reject_request  # type: ignore[method-assign]
+    RequestDispatcher.on_request = reject_if_warming_up  # type: ignore[method-assign]
 
 
 SEEDED_FAULTS: dict[str, Callable[[], None]] = {
--- a/tests/sidecar_probes.py
+++ b/tests/sidecar_probes.py
@@ -29,7 +29,7 @@
     return requests
 
 
-def record_ended_attempts(monkeypatch: pytest.MonkeyPatch) -> list[int]:
+def record_ended_attempt_indexes(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     """Return a list to which the index of each attempt within its request is added when the attempt ends."""
     attempt_indexes: list[int] = []
     end_attempt = RequestDispatcher._end_attempt
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -39,9 +39,9 @@
     status_of,
     wait_until,
 )
-from tests.sidecar_probes import DelayedConnections, record_ended_attempts, record_requests
+from tests.sidecar_probes import DelayedConnections, record_ended_attempt_indexes, record_requests
 
-EJECTION_S = 1.0  # longer than an upstream is ejected after a single failure
+EJECTION_WAIT_S = 1.0  # longer than an upstream is ejected after a single failure
 CLOSE_TIMEOUT_S = 1.0
 BODY_BYTES = 64_000  # more than the connection's buffers hold; the test reduces their sizes
 Steps = Callable[[Testbed], Awaitable[None]]
@@ -109,7 +109,7 @@
         await asyncio.sleep(DISCONNECT_DETECTION_S)
         delayed_connections.release.set()
         await asyncio.sleep(DISCONNECT_DETECTION_S)
-        assert testbed.converter.connection_count == 1 and testbed.converter.started_attempts == 0
+        assert testbed.converter.connection_count == 1 and testbed.converter.started_attempt_count == 0
         client.close()
 
     run(steps)
@@ -118,14 +118,14 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_request_is_not_retried_after_its_client_disconnected(disconnect: Disconnect, run: Run) -> None:
     async def steps(testbed: Testbed) -> None:
-        ended_attempts = record_ended_attempts(testbed.monkeypatch)
+        ended_attempt_indexes = record_ended_attempt_indexes(testbed.monkeypatch)
         client = testbed.connect(request("pay", "1"))
         await wait_until(lambda: len(testbed.converter.held_responses) == 1)
         testbed.converter.respond(NOT_RUN)
-        await wait_until(lambda: ended_attempts == [0])
-        assert testbed.converter.started_attempts == 1  # the retry waits, as the converter is ejected
+        await wait_until(lambda: ended_attempt_indexes == [0])
+        assert testbed.converter.started_attempt_count == 1  # the retry waits, as the converter is ejected
         disconnect(client)
-        await asyncio.sleep(EJECTION_S)
+        await asyncio.sleep(EJECTION_WAIT_S)
         await testbed.check_only_forwarded(1)
         client.close()
 
@@ -206,7 +206,7 @@
             while not all(converter.requests for converter in converters):  # until each has an idle connection
                 assert status_of(await running_sidecar.fetch(request("pay"))) == 200
             await asyncio.sleep(SETTLE_S)
-            attempts_before = sum(converter.started_attempts for converter in converters)
+            attempt_count_before = sum(converter.started_attempt_count for converter in converters)
             for converter in converters:
                 converter.holds_responses = True
             client = socket.create_connection(("127.0.0.1", running_sidecar.port))
@@ -216,7 +216,7 @@
             events = [lambda: disconnect(client), lambda: failing_converter.respond(NOT_RUN)]
             block_event_loop(*(events[::-1] if failure_first else events))
             await asyncio.sleep(2 * SETTLE_S)
-            assert sum(converter.started_attempts for converter in converters) == attempts_before + 1
+            assert sum(converter.started_attempt_count for converter in converters) == attempt_count_before + 1
             client.close()
 
     run_async(test)
@@ -242,7 +242,7 @@
         client = testbed.connect(request("pay", "2"))
         await client_disconnected.wait()
         await asyncio.sleep(2 * SETTLE_S)
-        assert testbed.converter.started_attempts == 0
+        assert testbed.converter.started_attempt_count == 0
         client.close()
 
     run(steps)
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize("pipelined_bytes", [0, 200_000])
-def test_buffered_request_is_not_sent_after_its_client_pipelined_bytes_and_left(
+def test_buffered_request_is_not_sent_after_its_client_pipelined_bytes_and_disconnected(
     pipelined_bytes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     accepted_requests = record_requests(monkeypatch)
@@ -332,7 +332,7 @@
     run_async(test)
 
 
-def test_request_is_not_sent_if_its_client_left_while_the_connection_was_being_established(
+def test_request_is_not_sent_if_its_client_disconnects_during_upstream_connection_setup(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     delayed_connections = DelayedConnections()
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -74,20 +74,20 @@
 
 
 @pytest.mark.parametrize("name", POLICY_MODULES)
-def test_decision_module_has_one_concern_and_limited_size(name: str) -> None:
+def test_decision_module_has_a_one_sentence_summary_and_limited_size(name: str) -> None:
     lines = POLICY_MODULES[name].splitlines()
     assert len(lines) <= MAX_MODULE_LINES
     assert max(map(len, lines)) <= MAX_LINE_LENGTH
     docstring = ast.get_docstring(ast.parse(POLICY_MODULES[name]))
     assert docstring is not None
-    concern = docstring.splitlines()[0]
+    summary_line = docstring.splitlines()[0]
     # The first module's docstring has a second sentence, which names the interface.
-    assert concern.endswith(".") and concern.count(". ") <= int(name == DEPLOY["policy"][0])
+    assert summary_line.endswith(".") and summary_line.count(". ") <= int(name == DEPLOY["policy"][0])
 
 
-def test_decision_modules_have_distinct_concerns() -> None:
-    concerns = [(ast.get_docstring(ast.parse(text)) or "").splitlines()[0] for text in POLICY_MODULES.values()]
-    assert len(set(concerns)) == len(concerns)
+def test_decision_modules_have_distinct_summaries() -> None:
+    summary_lines = [(ast.get_docstring(ast.parse(text)) or "").splitlines()[0] for text in POLICY_MODULES.values()]
+    assert len(set(summary_lines)) == len(summary_lines)
 
 
 def test_first_decision_module_names_the_interface() -> None:
@@ -119,7 +119,7 @@
     """They use no randomness and import no decision module; two of them may import the balancer itself."""
     decision_modules = {module_name(name) for name in POLICY_MODULES}
     modules_with_balancer = {"ryepier/balancer/simulator_adapter.py", "ryepier/sidecar/dispatcher.py"}
-    checked_modules = 0
+    checked_module_count = 0
     for directory in ("ryepier/balancer", "ryepier/sidecar"):
         for path in (ROOT / directory).glob("*.py"):
             name = str(path.relative_to(ROOT))
@@ -129,8 +129,8 @@
             imported_names = imports_of(path.read_text())
             assert not {"random", "secrets"} & imported_names, f"{name} uses random numbers"
             assert imported_names & decision_modules <= allowed_modules, f"{name} imports a decision module"
-            checked_modules += 1
-    assert checked_modules > len(NON_DECISION_MODULES)
+            checked_module_count += 1
+    assert checked_module_count > len(NON_DECISION_MODULES)
 
 
 def test_numbers_in_decision_modules_are_named_constants_or_allowed() -> None:
@@ -178,18 +178,18 @@
 
 def test_balancer_package_imports_only_the_standard_library() -> None:
     code = "import sys, ryepier.balancer.simulator_adapter; print(*sorted({m.split('.')[0] for m in sys.modules}))"
-    result = subprocess.run(
+    module_names = subprocess.run(
         [sys.executable, "-S", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
     ).stdout.split()
-    assert set(result) - set(sys.stdlib_module_names) <= {"ryepier", "__main__", "sitecustomize"}
+    assert set(module_names) - set(sys.stdlib_module_names) <= {"ryepier", "__main__", "sitecustomize"}
 
 
 def test_deploy_file_lists_every_package_that_the_sidecar_imports() -> None:
     code = "import sys, ryepier.sidecar.__main__; print(*(getattr(m, '__file__', None) for m in sys.modules.values()))"
-    result = subprocess.run(
+    file_names = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
     ).stdout.split()
-    own_files = {Path(name).relative_to(ROOT) for name in result if Path(name).is_relative_to(ROOT / "ryepier")}
+    own_files = {Path(name).relative_to(ROOT) for name in file_names if Path(name).is_relative_to(ROOT / "ryepier")}
     deployed_paths = [Path(name) for name in DEPLOY["node"]]
     assert own_files and not [
         path for path in own_files if not any(path.is_relative_to(name) for name in deployed_paths)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -36,19 +36,19 @@
 
 pytestmark = pytest.mark.alone
 
-MAX_NOTIFICATION_S = 6.0  # time from when discovery becomes reachable until the sidecar opens a watch
+MAX_WATCH_DELAY_S = 6.0  # time from when discovery becomes reachable until the sidecar opens a watch
 MAX_POOL_CONNECTIONS = 8
 
 
 def test_evicted_upstream_connections_close_before_new_ones_open(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         sockets: list[socket.socket] = []
-        max_open = 0
+        max_open_count = 0
 
         def create_counted_socket(family: int) -> socket.socket:
-            nonlocal max_open
+            nonlocal max_open_count
             sockets.append(socket.socket(family, socket.SOCK_STREAM))
-            max_open = max(max_open, sum(sock.fileno() >= 0 for sock in sockets))
+            max_open_count = max(max_open_count, sum(sock.fileno() >= 0 for sock in sockets))
             return sockets[-1]
 
         monkeypatch.setattr(system, "tcp_socket", create_counted_socket)
@@ -64,7 +64,7 @@
                 )
             await wait_until(lambda upstream_id=upstream_id: len(results) == 8 * (upstream_id + 1))  # type: ignore[misc]
         assert {result.outcome for result in results} == {Outcome.OK}
-        assert max_open == MAX_POOL_CONNECTIONS
+        assert max_open_count == MAX_POOL_CONNECTIONS
         pool.start_attempt(
             0, ("127.0.0.1", upstreams[0].port), client_request, ATTEMPT_TIMEOUT_US, results.append
         ).cancel()
@@ -157,12 +157,12 @@
     return await asyncio.gather(*(open_connection() for _ in range(count)))
 
 
-async def keep_filled(
-    sidecar: LimitedSidecar, client_state: str, count: int, stop_filling: asyncio.Event, release: asyncio.Event
+async def keep_connections_open(
+    sidecar: LimitedSidecar, client_state: str, count: int, stop_replacing: asyncio.Event, release: asyncio.Event
 ) -> None:
-    """Replace connections that the sidecar closes until `stop_filling` is set; close all when `release` is set."""
+    """Replace connections that the sidecar closes until `stop_replacing` is set; close all when `release` is set."""
     connections: list[Streams] = []
-    while not stop_filling.is_set():
+    while not stop_replacing.is_set():
         connections = [connection for connection in connections if not connection[0].at_eof()]
         connections += await open_connections(sidecar, client_state, count - len(connections))
         await asyncio.sleep(0.1)
@@ -178,11 +178,9 @@
 
 @pytest.mark.parametrize("client_state", ["fresh", "kept", "half", "open"])
 @pytest.mark.parametrize("outage", ["refused", "silent"])
-def test_watch_and_attempts_get_descriptors_while_idle_clients_occupy_the_rest(
-    tmp_path: Path, client_state: str, outage: str
-) -> None:
+def test_watch_and_attempts_get_descriptors_at_the_client_limit(tmp_path: Path, client_state: str, outage: str) -> None:
     async def test() -> None:
-        stop_filling, release = asyncio.Event(), asyncio.Event()
+        stop_replacing, release = asyncio.Event(), asyncio.Event()
 
         async def script(
             upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -195,7 +193,7 @@
         agent = await asyncio.start_server(stay_silent, "127.0.0.1", port) if outage == "silent" else None
         async with limited_sidecar(tmp_path, upstream, port) as sidecar:
             clients = asyncio.create_task(
-                keep_filled(sidecar, client_state, 2 * DESCRIPTOR_LIMIT, stop_filling, release)
+                keep_connections_open(sidecar, client_state, 2 * DESCRIPTOR_LIMIT, stop_replacing, release)
             )
             await asyncio.sleep(1.5)
             assert sidecar.max_descriptors > DESCRIPTOR_LIMIT // 2  # the sidecar has as many clients as it accepts
@@ -203,9 +201,9 @@
                 agent.close()
             discovery = Discovery(initial_list=converter_list(upstream, 2))
             discovery.server = await asyncio.start_server(discovery.serve, "127.0.0.1", port)
-            async with asyncio.timeout(MAX_NOTIFICATION_S):
+            async with asyncio.timeout(MAX_WATCH_DELAY_S):
                 await discovery.watch_opened.wait()
-            stop_filling.set()
+            stop_replacing.set()
             if client_state == "open":
                 release.set()
                 await clients
--- a/tests/test_endpoint_notification.py
+++ b/tests/test_endpoint_notification.py
@@ -16,7 +16,7 @@
 from tests.faulty_discovery import (
     EMPTY_LINE_INTERVAL_S,
     FAULTS,
-    NEW_BYTES,
+    NEW_LIST_BYTES,
     NEW_VERSION,
     FaultyDiscovery,
     apply_connection_faults,
@@ -108,7 +108,7 @@
         return len(agent.call_times)
 
     async def test() -> None:
-        cases = list(itertools.product((True, False), (NEW_BYTES, b"")))  # each with a new list and without one
+        cases = list(itertools.product((True, False), (NEW_LIST_BYTES, b"")))  # each with a new list and without one
         assert await asyncio.gather(*(count_calls(*case) for case in cases)) == [1] * len(cases)
 
     run_async(test)
@@ -119,7 +119,7 @@
 FLEET_POLLING_ROUND_S = 3  # time in which discovery serves one poll of each sidecar
 OUTAGE_START_S = 10.0
 OUTAGE_END_S = 25.3
-RUN_AFTER_S = 20.0  # simulated time after discovery is reachable
+RUN_AFTER_REACHABLE_S = 20.0  # simulated time after discovery is reachable
 
 
 class Outage(NamedTuple):
@@ -171,7 +171,7 @@
 def test_fleet_that_starts_at_once_has_its_list_within_6_s(sidecar_count: int) -> None:
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLLING_ROUND_S, [UP_PHASE])
     fleet.start_all()
-    fleet.run_until(RUN_AFTER_S)
+    fleet.run_until(RUN_AFTER_REACHABLE_S)
     check_all_updated("start", fleet, 0.0)
 
 
@@ -181,7 +181,7 @@
     outage = OUTAGES[outage_name]
     fleet = PollingFleet(sidecar_count, sidecar_count / FLEET_POLLING_ROUND_S, outage.phases)
     fleet.break_watches(OUTAGE_START_S, outage.ended_by_silence)
-    fleet.run_until(outage.reachable_at_s + RUN_AFTER_S)
+    fleet.run_until(outage.reachable_at_s + RUN_AFTER_REACHABLE_S)
     check_all_updated(outage_name, fleet, outage.reachable_at_s)
 
 
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -26,8 +26,8 @@
 from tests.sidecar_probes import DelayedConnections
 
 DEADLINE_MS = 3_000
-SLACK_MS = 150
-DELAY_S = 0.6
+DEADLINE_TOLERANCE_MS = 150
+WRITE_DELAY_S = 0.6
 
 
 class DeadlineRecorder:
@@ -61,10 +61,10 @@
             delayed_connections.delay(recorder.upstream, monkeypatch)
             status_task = asyncio.create_task(recorder.fetch(running_sidecar))
             await wait_until(lambda: delayed_connections.started_count == 1)
-            await asyncio.sleep(DELAY_S)
+            await asyncio.sleep(WRITE_DELAY_S)
             delayed_connections.release.set()
             assert await status_task == 200
-        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + SLACK_MS
+        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
 
     run_async(test)
 
@@ -73,7 +73,7 @@
     free_capacity = ConnectionPool.free_capacity
 
     async def free_capacity_late(pool: ConnectionPool, attempt: UpstreamAttempt) -> bool:
-        await asyncio.sleep(DELAY_S)
+        await asyncio.sleep(WRITE_DELAY_S)
         return await free_capacity(pool, attempt)
 
     monkeypatch.setattr(ConnectionPool, "free_capacity", free_capacity_late)
@@ -82,7 +82,7 @@
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as running_sidecar:
             assert await recorder.fetch(running_sidecar) == 200
-        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + SLACK_MS
+        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
 
     run_async(test)
 
@@ -103,9 +103,9 @@
     async def test() -> None:
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as running_sidecar:
-            block_loop_after_dial(recorder.upstream, DELAY_S, monkeypatch)
+            block_loop_after_dial(recorder.upstream, WRITE_DELAY_S, monkeypatch)
             assert await recorder.fetch(running_sidecar) == 200
-        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + SLACK_MS
+        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
 
     run_async(test)
 
@@ -119,7 +119,7 @@
             )
         ]
         async with sidecar(upstream, classes=classes) as running_sidecar:
-            block_loop_after_dial(upstream, DELAY_S, monkeypatch)
+            block_loop_after_dial(upstream, WRITE_DELAY_S, monkeypatch)
             assert status_of(await running_sidecar.fetch(request("pay", deadline_ms=400))) == 503
             assert upstream.requests == []
             monkeypatch.undo()
@@ -151,11 +151,11 @@
             response = asyncio.create_task(running_sidecar.fetch(request("pay", deadline_ms=20_000)))
             await wait_until(lambda: delayed_connections.started_count == 1)
             running_sidecar.stop.set()
-            await asyncio.sleep(DELAY_S)
+            await asyncio.sleep(WRITE_DELAY_S)
             delayed_connections.release.set()
             assert status_of(await response) == 200
             await running_sidecar.task
         # the process ends 3.6 s after SIGTERM
-        assert recorder.passed_deadlines_ms[0] <= 3_600 - 1_000 * DELAY_S + SLACK_MS
+        assert recorder.passed_deadlines_ms[0] <= 3_600 - 1_000 * WRITE_DELAY_S + DEADLINE_TOLERANCE_MS
 
     run_async(test)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -39,11 +39,11 @@
 WORK_S = 0.02  # time in which a converter handles a request
 REQUEST_INTERVAL_S = 0.1
 CLASS_NAMES = ("read", "pay")
-RUN_BEFORE_S = 1.0  # time under load before the replacement
+RUN_BEFORE_REPLACEMENT_S = 1.0  # time under load before the replacement
 LIST_DELAY_S = 0.5  # time from the start of a new watch to its first list
 # Time from the replacement until the old converters stop; sidecars reopen a silent watch before that.
 OLD_CONVERTERS_LIFETIME_S = 4.5
-RUN_AFTER_S = MIN_OUTAGE_S + 1.5
+RUN_AFTER_CRASH_S = MIN_OUTAGE_S + 1.5
 CONCURRENT_STARTS = 3
 RUN_TIMEOUT_S = 60.0
 AT_ONCE_MODE = "told-at-once"
@@ -240,13 +240,13 @@
         """Replace the converters under a constant load."""
         loop = asyncio.get_running_loop()
         tasks = [asyncio.create_task(self.send_requests(fleet_sidecar)) for fleet_sidecar in self.fleet_sidecars]
-        await asyncio.sleep(RUN_BEFORE_S)
+        await asyncio.sleep(RUN_BEFORE_REPLACEMENT_S)
         replacement_started_at = loop.time()
         tasks += [asyncio.create_task(self.notify(fleet_sidecar)) for fleet_sidecar in self.fleet_sidecars]
         await asyncio.sleep(OLD_CONVERTERS_LIFETIME_S)
         for converter in self.old_converters:
             converter.crash()
-        await asyncio.sleep(RUN_AFTER_S)
+        await asyncio.sleep(RUN_AFTER_CRASH_S)
         ended_at = loop.time()
         for task in tasks:
             if task.done():
