--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -67,7 +67,7 @@
             return
         try:
             event, addresses = self.registry.apply(self.cached_list, ListKind.CACHED)
-        except EndpointListError as error:  # start without it and wait for a list from discovery
+        except EndpointListError as error:  # start without a list and wait for one from discovery
             log.warning("cached endpoint list is malformed: %s", error)
             return
         self.version = event.version
--- a/ryepier/sidecar/dispatcher.py
+++ b/ryepier/sidecar/dispatcher.py
@@ -138,7 +138,7 @@
         self._dispatch(api.TimerFired(0))
 
     def on_request(self, request: ClientRequest, reply: Callable[[FinalAnswer], None]) -> int:
-        """Accept a request and return the number that identifies it here.
+        """Accept a request and return its `ident`, which `on_client_disconnected` takes.
 
         `reply` is called exactly once with the final answer, unless the client disconnects first.
         """
--- a/ryepier/sidecar/endpoint_registry.py
+++ b/ryepier/sidecar/endpoint_registry.py
@@ -16,6 +16,7 @@
 log = logging.getLogger(__name__)
 
 MAX_PORT = 65_535
+# Maps the states in discovery's lists to those of the decision module
 UPSTREAM_STATES = {"active": UpstreamState.READY, "leaving": UpstreamState.DRAINING, "left": UpstreamState.REMOVED}
 
 
--- a/tests/limited_sidecar.py
+++ b/tests/limited_sidecar.py
@@ -98,7 +98,7 @@
 
 
 def write_sidecar_configuration(directory: Path, port: int, upstream: Upstream, discovery_port: int) -> Path:
-    """Write the configuration of the sidecar.
+    """Write the configuration file of a sidecar with DESCRIPTOR_LIMIT and return its path.
 
     The latency objective is long, so that responses that a test delays do not count as slow. Otherwise the sidecar
     would reject requests.
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -311,7 +311,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        upstream = Upstream(respond_after(release))  # the sidecar has one slot for it, which request 1 occupies
+        upstream = Upstream(respond_after(release))  # request 1 occupies the upstream's only slot
         classes = [RequestClass("pay", 10_000_000, 20_000_000, late_weight=0.5, idempotency=Idempotency.NON_IDEMPOTENT)]
         async with sidecar(upstream, classes=classes) as running_sidecar:
             first_response = asyncio.create_task(running_sidecar.fetch(request("pay", "1")))
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -116,7 +116,7 @@
 
 
 def test_modules_outside_the_policy_make_no_decisions() -> None:
-    """They use no randomness and import no decision module; two of them may import the balancer itself."""
+    """Such modules use no randomness and import no decision module, except that two may import the balancer itself."""
     decision_modules = {module_name(name) for name in POLICY_MODULES}
     modules_with_balancer = {"ryepier/balancer/simulator_adapter.py", "ryepier/sidecar/dispatcher.py"}
     checked_module_count = 0
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -196,7 +196,7 @@
                 keep_connections_open(sidecar, client_state, 2 * DESCRIPTOR_LIMIT, stop_replacing, release)
             )
             await asyncio.sleep(1.5)
-            assert sidecar.max_descriptors > DESCRIPTOR_LIMIT // 2  # the sidecar has as many clients as it accepts
+            assert sidecar.max_descriptors > DESCRIPTOR_LIMIT // 2  # clients use their half of the descriptors
             if agent is not None:
                 agent.close()
             discovery = Discovery(initial_list=converter_list(upstream, 2))
@@ -308,7 +308,7 @@
                 head, _ = await read_message(partial_requests[0][0])
             assert head.startswith(b"HTTP/1.1 503 ")
             assert b"Connection: close\r\n" in head and b"Retry-After: 0.250\r\n" in head
-            partial_requests[0][1].write(data[-5:])  # this must not cause a reset while the connection lingers
+            partial_requests[0][1].write(data[-5:])  # these bytes must not reset the lingering connection
             assert await partial_requests[0][0].read() == b""
             for _, writer in partial_requests:
                 writer.close()
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -26,8 +26,8 @@
 from tests.sidecar_probes import DelayedConnections
 
 DEADLINE_MS = 3_000
-DEADLINE_TOLERANCE_MS = 150
-WRITE_DELAY_S = 0.6
+DEADLINE_TOLERANCE_MS = 150  # a passed deadline may exceed the measured remaining time by this much
+WRITE_DELAY_S = 0.6  # how long the tests delay the write of a request
 
 
 class DeadlineRecorder:
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -43,7 +43,7 @@
 LIST_DELAY_S = 0.5  # time from the start of a new watch to its first list
 # Time from the replacement until the old converters stop; sidecars reopen a silent watch before that.
 OLD_CONVERTERS_LIFETIME_S = 4.5
-RUN_AFTER_CRASH_S = MIN_OUTAGE_S + 1.5
+RUN_AFTER_CRASH_S = MIN_OUTAGE_S + 1.5  # time under load after the old converters have stopped
 CONCURRENT_STARTS = 3
 RUN_TIMEOUT_S = 60.0
 AT_ONCE_MODE = "told-at-once"
