--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -167,7 +167,7 @@
     def __init__(self, settings: Settings) -> None:
         """Prepare to parse requests of the classes and tenants in the settings."""
         self.settings = settings
-        self.classes = index_by_spelling([request_class.name for request_class in settings.classes])
+        self.class_indexes = index_by_spelling([request_class.name for request_class in settings.classes])
         self.tenants = TenantIndex(settings)
 
     def parse(self, method: bytes, target: bytes, headers: list[Header], body: bytes) -> ClientRequest:
@@ -204,8 +204,8 @@
     def _class_index(self, target: bytes, headers_by_name: Mapping[bytes, bytes]) -> int:
         path = target.partition(b"?")[0]
         name = path[1:].split(b"/")[0]
-        index = self.classes.get(name) if path.startswith(b"/") and b"#" not in target else None
-        if index is None or self.classes.get(headers_by_name.get(CLASS_HEADER, b"")) != index:
+        index = self.class_indexes.get(name) if path.startswith(b"/") and b"#" not in target else None
+        if index is None or self.class_indexes.get(headers_by_name.get(CLASS_HEADER, b"")) != index:
             raise RequestError(404, "unknown class")
         return index
 
@@ -231,7 +231,7 @@
             content_type = b"Content-Type: %s\r\n" % answer.content_type if answer.content_type else b""
             return Response(200, answer.body, content_type)
         if answer.outcome is FinalOutcome.REJECTED:
-            return Response(503, b"", retry_after(answer.retry_after_us))
+            return Response(503, b"", retry_after_line(answer.retry_after_us))
         return Response(500)
 
     @staticmethod
@@ -240,6 +240,6 @@
         return Response(error.status, str(error).encode() + b"\n")
 
 
-def retry_after(delay_us: int) -> bytes:
+def retry_after_line(delay_us: int) -> bytes:
     """Return the Retry-After header line, or nothing for 0."""
     return b"Retry-After: %.3f\r\n" % (delay_us / 1e6) if delay_us else b""
