--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -33,7 +33,7 @@
     lowest_to_mean: float
 
     @property
-    def ratio(self) -> float:
+    def variation_ratio(self) -> float:
         """Return the variation over that of random choice."""
         return self.variation / self.variation_by_chance
 
@@ -77,16 +77,16 @@
     """Return the numbers of executions started at each converter, as a list for each window between two edges."""
     counts = [Counter[str]() for _ in edges_s[1:]]
     for attempt in attempts:
-        for window, (begin_s, end_s) in enumerate(itertools.pairwise(edges_s)):
+        for window_index, (begin_s, end_s) in enumerate(itertools.pairwise(edges_s)):
             if attempt.started_us != NEVER and begin_s * US_PER_S <= attempt.started_us < end_s * US_PER_S:
-                counts[window][attempt.uid] += 1
-    return [[count[uid] for uid in uids] for count in counts]
+                counts[window_index][attempt.uid] += 1
+    return [[window_counts[uid] for uid in uids] for window_counts in counts]
 
 
 def measure_evenness(counts: Sequence[Sequence[int]]) -> Evenness:
     """Return the evenness of counts by window and converter; needs two converters, and a start in each window."""
-    means = [sum(window) / len(window) for window in counts]
-    dispersions = [_dispersion(window, mean) for window, mean in zip(counts, means, strict=True)]
+    means = [sum(window_counts) / len(window_counts) for window_counts in counts]
+    dispersions = [_dispersion(window_counts, mean) for window_counts, mean in zip(counts, means, strict=True)]
     variation_by_chance = (sum(means) / len(means)) ** -0.5
     totals = [sum(converter_counts) for converter_counts in zip(*counts, strict=True)]
     mean_total = sum(totals) / len(totals)
@@ -115,17 +115,17 @@
     counts_by_window: Counter[tuple[str, int]] = Counter()
     counts_by_second: Counter[tuple[str, int]] = Counter()
     for attempt in attempts:
-        window = (attempt.received_us - int(begin_s * US_PER_S)) // BURST_WINDOW_US
-        if was_received(attempt) and attempt.uid in zone_of and 0 <= window < windows_per_converter:
-            counts_by_window[attempt.uid, window] += 1
-            counts_by_second[zone_of[attempt.uid], window * BURST_WINDOW_US // RATE_PERIOD_US] += 1
+        window_index = (attempt.received_us - int(begin_s * US_PER_S)) // BURST_WINDOW_US
+        if was_received(attempt) and attempt.uid in zone_of and 0 <= window_index < windows_per_converter:
+            counts_by_window[attempt.uid, window_index] += 1
+            counts_by_second[zone_of[attempt.uid], window_index * BURST_WINDOW_US // RATE_PERIOD_US] += 1
     zone_sizes = Counter(zone_of.values())
     window_count = windows_per_converter * len(zone_of)
     overall_mean = sum(counts_by_window.values()) / max(1, window_count)
     worst_ratio, rare_window_count = 0.0, 0
-    for (uid, window), window_received in counts_by_window.items():
+    for (uid, window_index), window_received in counts_by_window.items():
         zone = zone_of[uid]
-        zone_received = counts_by_second[zone, window * BURST_WINDOW_US // RATE_PERIOD_US]
+        zone_received = counts_by_second[zone, window_index * BURST_WINDOW_US // RATE_PERIOD_US]
         mean = max(overall_mean, zone_received / zone_sizes[zone] / (RATE_PERIOD_US // BURST_WINDOW_US))
         worst_ratio = max(worst_ratio, window_received / poisson_quantile(mean, FALSE_ALARM_CHANCE / window_count))
         rare_window_count += window_received > poisson_quantile(mean, RARE_PROBABILITY)
@@ -141,7 +141,7 @@
 
 def count_idle_windows(counts: Sequence[Sequence[int]]) -> int:
     """Return the number of pairs of a window and a converter without a start."""
-    return sum(count == 0 for window in counts for count in window)
+    return sum(count == 0 for window_counts in counts for count in window_counts)
 
 
 def measure_occupancy(spans: Iterable[Span]) -> Occupancy:
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -7,10 +7,10 @@
 from ryepier.emulator.world import Fault, FaultKind, World
 from ryepier.experiments.core.contract import Scale
 from ryepier.experiments.core.worlds import load
-from ryepier.experiments.load_spread.processes.memory import check_here
+from ryepier.experiments.load_spread.processes.memory import require_memory
 
 BASE_WORLD = "load-spread-processes"
-FULL_SIDECARS = 200
+FULL_SIDECAR_COUNT = 200
 FULL_CONVERTERS_PER_ZONE = 20
 FULL_RATE_PER_S = 600.0
 SETTLED_AT_S = 2.0  # time after the start at which connections are open
@@ -44,10 +44,10 @@
         world = replace(
             world,
             converters=[replace(group, count=FULL_CONVERTERS_PER_ZONE) for group in world.converters],
-            sidecars=replace(world.sidecars, count=FULL_SIDECARS),
+            sidecars=replace(world.sidecars, count=FULL_SIDECAR_COUNT),
             harness=replace(world.harness, converter_processes=3, client_processes=2),
         )
-    return check_here(world)
+    return require_memory(world)
 
 
 def lightly_loaded_fleet(scale: Scale) -> World:
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -56,7 +56,7 @@
         (incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted_incarnations(run)
     ]
     return measures.spread_figures(run, recovery_end_s(run), run.world.duration_s) | {
-        "variation_ratio_before": evenness_before_kill.ratio,
+        "variation_ratio_before": evenness_before_kill.variation_ratio,
         "up_after_s": max(start_durations_s, default=float("inf")),
     }
 
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -61,7 +61,7 @@
     )
     is_after_cut = phases.from_time(fleets.CUT_END_S + SERVICE_RECOVERY_S, run.world)
     return measures.spread_figures(run, fleets.CUT_END_S + fleets.RECOVERY_S, run.world.duration_s) | {
-        "variation_ratio_lists_apart": evenness_with_differing_lists.ratio,
+        "variation_ratio_lists_apart": evenness_with_differing_lists.variation_ratio,
         "across_cut_first_half": share_across_cut(run, fleets.CUT_AT_S, CUT_MIDDLE_S),
         "across_cut_second_half": share_across_cut(run, CUT_MIDDLE_S, fleets.CUT_END_S),
         "service_lists_apart": _service_between(run, fleets.STALE_AT_S, STALE_END_S),
--- a/ryepier/experiments/load_spread/processes/measures.py
+++ b/ryepier/experiments/load_spread/processes/measures.py
@@ -67,7 +67,7 @@
     return {
         "variation": evenness.variation,
         "variation_by_chance": evenness.variation_by_chance,
-        "variation_ratio": evenness.ratio,
+        "variation_ratio": evenness.variation_ratio,
         "most_to_mean": evenness.highest_to_mean,
         "least_to_mean": evenness.lowest_to_mean,
         "burst_windows": bursts.window_count,
--- a/ryepier/experiments/load_spread/processes/memory.py
+++ b/ryepier/experiments/load_spread/processes/memory.py
@@ -15,7 +15,7 @@
     return world.sidecars.count * SIDECAR_BYTES + emulator_processes * EMULATOR_BYTES
 
 
-def check(world: World, machine: MachineResources) -> None:
+def check_memory(world: World, machine: MachineResources) -> None:
     """Raise InsufficientResourcesError if a world needs more memory than may be used or than is free."""
     required_bytes = needed_bytes(world)
     for limit_bytes, limit_text in ((machine.usable_bytes, "may be used"), (machine.available_bytes, "are free")):
@@ -26,7 +26,7 @@
             )
 
 
-def check_here(world: World) -> World:
+def require_memory(world: World) -> World:
     """Return the world if this machine has the memory for it. Raises InsufficientResourcesError otherwise."""
-    check(world, this_machine())
+    check_memory(world, this_machine())
     return world
--- a/ryepier/experiments/load_spread/processes/steady.py
+++ b/ryepier/experiments/load_spread/processes/steady.py
@@ -13,13 +13,13 @@
 from ryepier.experiments.load_spread.processes import figures, fleets, measures
 
 LIGHT_WINDOW_S = 6.0  # for the evenness at light load, as starts are few
-EXPECTED_STARTS = 12  # mean number in a window, which is then practically never empty by chance
+EXPECTED_START_COUNT = 12  # mean number in a window, which is then practically never empty by chance
 MAX_REJECTED_SHARE = 0.005
 
 
 def count_idle_windows(run: Run) -> int:
     """Return the number of windows without a start at a converter, each long enough for 12 expected starts."""
-    window_s = EXPECTED_STARTS * run.world.converter_count / run.world.clients.rate_per_s
+    window_s = EXPECTED_START_COUNT * run.world.converter_count / run.world.clients.rate_per_s
     end_s = run.world.duration_s
     window_count = int((end_s - fleets.SETTLED_AT_S) / window_s)
     begin_s = end_s - window_count * window_s
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -31,8 +31,8 @@
 class FleetSize:
     """The number of sidecars and of converters in a fleet."""
 
-    sidecars: int
-    converters: int
+    sidecar_count: int
+    converter_count: int
 
 
 SIZES: dict[Scale, FleetSize] = {Scale.SMALL: FleetSize(150, 50), Scale.FULL: FleetSize(300, 100)}
@@ -41,10 +41,10 @@
 def make_plan(scale: Scale, warm_up_us: int) -> FleetPlan:
     """Return a fleet whose converters warm up for `warm_up_us`, and of which some go down and restart."""
     size = SIZES[scale]
-    outage = Outage(int(OUTAGE_SHARE * size.converters), OUTAGE_AT_US, NOTICE_DELAY_US, RESTART_AT_US)
+    outage = Outage(int(OUTAGE_SHARE * size.converter_count), OUTAGE_AT_US, NOTICE_DELAY_US, RESTART_AT_US)
     return FleetPlan(
-        size.sidecars,
-        size.converters,
+        size.sidecar_count,
+        size.converter_count,
         load=0.5,
         duration_us=outage.restart_us + warm_up_us + MEASURED_DURATION_US,
         warm_up_us=warm_up_us,
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -34,32 +34,32 @@
     return Claim(name, windows.count, "<=", windows.allowed_count)
 
 
-def _claims(load: str, treatment: FleetOutcome, control: FleetOutcome) -> list[Claim]:
+def _claims(load_name: str, treatment: FleetOutcome, control: FleetOutcome) -> list[Claim]:
     span = (treatment.begin_us, treatment.end_us)
     crowded = measures.crowded_windows(treatment.received_us, *span, CROWDED_WINDOW_US)
     empty = measures.empty_windows(treatment.received_us, *span, EXPECTED_PER_WINDOW)
-    connections_ratio = treatment.connections / control.connections
-    connections_claim_name = f"{load}: connections over those without the mending"
+    connections_ratio = treatment.mean_open_connections / control.mean_open_connections
+    connections_claim_name = f"{load_name}: connections over those without the mending"
     return [
-        _rare_claim(f"{load}: windows of 100 ms above the Poisson quantile", crowded),
-        _rare_claim(f"{load}: windows without a request where 12 are expected", empty),
-        Claim(f"{load}: refused", treatment.rejected_share, "<=", MAX_REJECTED_SHARE),
+        _rare_claim(f"{load_name}: windows of 100 ms above the Poisson quantile", crowded),
+        _rare_claim(f"{load_name}: windows without a request where 12 are expected", empty),
+        Claim(f"{load_name}: refused", treatment.rejected_share, "<=", MAX_REJECTED_SHARE),
         Claim(connections_claim_name, connections_ratio, "<=", MAX_CONNECTIONS_RATIO),
     ]
 
 
-def _figures(load: str, outcome: FleetOutcome, sidecars: int) -> dict[str, float]:
+def _figures(load_name: str, outcome: FleetOutcome, sidecars: int) -> dict[str, float]:
     spread = measures.measure_spread(outcome.received_us, outcome.begin_us, outcome.end_us)
     return {
-        f"{load}_variation": spread.variation,
-        f"{load}_over_chance": spread.variation_ratio,
-        f"{load}_most": spread.highest_to_mean,
-        f"{load}_least": spread.lowest_to_mean,
-        f"{load}_refused": outcome.rejected_share,
-        f"{load}_late": outcome.late_share,
-        f"{load}_p99_ms": outcome.p99_ms,
-        f"{load}_connections_a_sidecar": outcome.connections / sidecars,
-        f"{load}_opened_per_s_a_sidecar": outcome.opened_per_s / sidecars,
+        f"{load_name}_variation": spread.variation,
+        f"{load_name}_over_chance": spread.variation_ratio,
+        f"{load_name}_most": spread.highest_to_mean,
+        f"{load_name}_least": spread.lowest_to_mean,
+        f"{load_name}_refused": outcome.rejected_share,
+        f"{load_name}_late": outcome.late_share,
+        f"{load_name}_p99_ms": outcome.p99_ms,
+        f"{load_name}_connections_a_sidecar": outcome.mean_open_connections / sidecars,
+        f"{load_name}_opened_per_s_a_sidecar": outcome.opened_per_s / sidecars,
     }
 
 
@@ -68,18 +68,18 @@
     plans = PLANS[trial.scale]
     outcomes = run_trials(
         [
-            FleetTrial(plan, trial.seed, balancer, int(plan.duration_us * WARM_UP_SHARE))
+            FleetTrial(plan, trial.seed, balancer_name, int(plan.duration_us * WARM_UP_SHARE))
             for plan in plans.values()
-            for balancer in (trial.seeded_fault, CONTROL)
+            for balancer_name in (trial.seeded_fault, CONTROL)
         ]
     )
     claims: list[Claim] = []
     figures: dict[str, float] = {}
-    for (load, plan), treatment, control in zip(plans.items(), outcomes[::2], outcomes[1::2], strict=True):
-        claims += _claims(load, treatment, control)
-        figures |= _figures(load, treatment, plan.sidecars)
-        figures[f"{load}_p99_over_before"] = treatment.p99_ms / control.p99_ms
-        figures |= _figures(f"{load}_before", control, plan.sidecars)
+    for (load_name, plan), treatment, control in zip(plans.items(), outcomes[::2], outcomes[1::2], strict=True):
+        claims += _claims(load_name, treatment, control)
+        figures |= _figures(load_name, treatment, plan.sidecars)
+        figures[f"{load_name}_p99_over_before"] = treatment.p99_ms / control.p99_ms
+        figures |= _figures(f"{load_name}_before", control, plan.sidecars)
     return Measurement(claims, figures)
 
 
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -24,7 +24,7 @@
 
     plan: FleetPlan
     seed: int
-    balancer: str  # a key of `seeded_faults.FACTORIES`
+    balancer_name: str  # a key of `seeded_faults.FACTORIES`
     begin_us: int  # start of the measurement, which lasts until the end of the run
 
 
@@ -39,7 +39,7 @@
     rejected_share: float  # of the requests
     late_share: float  # of the requests that were answered after the latency objective
     p99_ms: float  # latency of the served requests
-    connections: float  # mean over time of the open connections of all converters
+    mean_open_connections: float  # mean over time of the open connections of all converters
     opened_per_s: float  # new connections
     worst_warm_up_load: float  # highest load of a restarted converter over its allowed load; above 1 it crashes
 
@@ -53,7 +53,7 @@
 
 def run_trial(trial: FleetTrial) -> FleetOutcome:
     """Run a trial in this process."""
-    world = FleetWorld(trial.plan, trial.seed, seeded_faults.FACTORIES[trial.balancer])
+    world = FleetWorld(trial.plan, trial.seed, seeded_faults.FACTORIES[trial.balancer_name])
     world.run(trial.begin_us)
     begin_us, end_us = START_US + trial.begin_us, world.now_us
     requests = [request for request in world.requests if request.arrived_us >= begin_us]
@@ -68,7 +68,7 @@
         rejected_share=sum(request.rejected for request in requests) / len(requests),
         late_share=sum(latency_us > trial.plan.objective_us for latency_us in latencies_us) / len(requests),
         p99_ms=float(np.percentile(latencies_us, 99)) / US_PER_MS,
-        connections=sum(counter.mean_open(begin_us, end_us) for counter in counters),
+        mean_open_connections=sum(counter.mean_open(begin_us, end_us) for counter in counters),
         opened_per_s=sum(counter.opened for counter in counters) * SECOND_US / (end_us - begin_us),
         worst_warm_up_load=max((worst_warm_up_load(trial.plan, converter) for converter in restarted), default=0.0),
     )
--- a/ryepier/experiments/scale/balancer_cost.py
+++ b/ryepier/experiments/scale/balancer_cost.py
@@ -12,8 +12,8 @@
 
 START_US = 1_000_000_000  # start of the virtual clock, which like a real monotonic clock does not start at 0
 CALLS_PER_BATCH = 100
-BATCHES = 8
-WARM_UP_BATCHES = 4  # not measured: the balancer opens its upstreams in them
+BATCH_COUNT = 8
+WARM_UP_BATCH_COUNT = 4  # not measured: the balancer opens its upstreams in them
 ANSWER_LATENCY_US = 1_000
 MAX_ATTEMPTS = 4
 
@@ -56,9 +56,9 @@
     """
     trial = BalancerTrial(known_count, seed, rate_per_s)
     us_per_call = []
-    for batch in range(BATCHES):
+    for batch in range(BATCH_COUNT):
         cpu_before_s = time.process_time()
         for number in range(batch * CALLS_PER_BATCH, (batch + 1) * CALLS_PER_BATCH):
             trial.call(number)
         us_per_call.append((time.process_time() - cpu_before_s) * 1e6 / CALLS_PER_BATCH)
-    return float(np.median(us_per_call[WARM_UP_BATCHES:]))
+    return float(np.median(us_per_call[WARM_UP_BATCH_COUNT:]))
--- a/ryepier/experiments/scale/capacity/estimates.py
+++ b/ryepier/experiments/scale/capacity/estimates.py
@@ -12,7 +12,7 @@
 from ryepier.experiments.scale.slopes import Slope
 
 Figures = Mapping[str, float]
-Size = Callable[[Plan], float]
+SizeFunction = Callable[[Plan], float]
 
 
 class RowEstimate(msgspec.Struct, frozen=True):
@@ -42,7 +42,7 @@
     return slopes.fit(list(values_by_size), list(values_by_size.values()))
 
 
-def fitted_line(template: str, size: Size, factor: float = 1.0, added_figure: str = "") -> Estimator:
+def fitted_line(template: str, size: SizeFunction, factor: float = 1.0, added_figure: str = "") -> Estimator:
     """Estimate by a line fitted to a figure at several sizes, times a factor, plus another figure if one is named."""
 
     def estimate(figures: Figures, plan: Plan) -> RowEstimate:
@@ -77,7 +77,7 @@
     return estimate
 
 
-def daily_changes(idle_template: str, change_template: str, factor: float, size: Size) -> Estimator:
+def daily_changes(idle_template: str, change_template: str, factor: float, size: SizeFunction) -> Estimator:
     """Estimate by the idle cost, plus the cost of a day's list changes by a line fitted to the cost of one change."""
 
     def estimate(figures: Figures, plan: Plan) -> RowEstimate:
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -13,7 +13,7 @@
 from ryepier.experiments.scale.capacity.results import KeptResult
 from ryepier.experiments.scale.slopes import Slope, Spread
 
-Budget = Callable[[Plan], float]
+BudgetFunction = Callable[[Plan], float]
 
 
 class Standing(StrEnum):
@@ -41,7 +41,7 @@
     mechanism: str = ""  # part of the design that provides the resource; empty if there is none
     experiment: str = ""
     estimator: Estimator | None = None
-    budget: Budget | None = None
+    budget: BudgetFunction | None = None
     slope: SlopeUnit | None = None
     note: str = ""  # how the resource would be measured, or where its mechanism is designed
 
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -34,8 +34,8 @@
 from ryepier.experiments.scale.machine_load import finite_figures, load_figures
 from ryepier.plan.planner_server import TICK_S
 
-DESIGN_FLEET = 1600
-DESIGN_PLANNERS = 7
+DESIGN_FLEET_SIZE = 1600
+DESIGN_PLANNER_COUNT = 7
 BUDGETS = {
     "planner_cores_needed": 0.5,
     "planner_resident_bytes": 512e6,
@@ -44,15 +44,15 @@
     "forwarder_resident_bytes": 64e6,
 }
 # fleet sizes in forwarders, by converters in use; with 150 in use, 320 forwarders keep the planner's core fully busy
-SIZES: dict[Scale, dict[int, tuple[int, ...]]] = {
+FLEET_SIZES: dict[Scale, dict[int, tuple[int, ...]]] = {
     Scale.SMALL: {30: (50, 100, 200, 400), 150: (10, 20, 40, 80)},
     Scale.FULL: {30: (100, 200, 400, 800, 1200, 1600), 150: (40, 80, 120, 160, 240, 320)},
 }
 # small, as reports of a large fleet on all of 1,600 converters would not fit into memory
-SEEDED_FAULT_SIZES = {30: (25, 50, 100, 200)}
+SEEDED_FAULT_FLEET_SIZES = {30: (25, 50, 100, 200)}
 REPORTS_PER_S = 2.0  # per forwarder, the default
 TICKS_PER_S = 1.0 / TICK_S
-WORKERS = {Scale.SMALL: 2, Scale.FULL: 4}
+WORKER_COUNT = {Scale.SMALL: 2, Scale.FULL: 4}
 FULL_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
 WORKER_MODULE = "ryepier.experiments.scale.lightweight_forwarders"
 NEEDED_MEMORY_BYTES = 1_500_000_000
@@ -133,7 +133,7 @@
         "bytes_out_per_s": sent_per_s,
         "bytes_in_per_s": received_per_s,
         # a forwarder exchanges reports and heartbeats with every planner, but receives plans only from the leader
-        "bytes_per_s_with_seven": DESIGN_PLANNERS * (sent_per_s + heartbeats_per_s)
+        "bytes_per_s_with_seven": DESIGN_PLANNER_COUNT * (sent_per_s + heartbeats_per_s)
         + (received_per_s - heartbeats_per_s),
         "forwarder_cores": rate_per_forwarder("cpu_s"),
         "reporters_share": max(sample.reporters for sample in after) / fleet_size,
@@ -262,7 +262,7 @@
 
 async def measure_fleet(converters_in_use: int, sizes: Sequence[int], trial: TrialConfig) -> FleetFigures:
     """Grow a fleet through `sizes` in ascending order, and return its readings."""
-    worker_count = WORKERS[trial.scale]
+    worker_count = WORKER_COUNT[trial.scale]
     async with AsyncExitStack() as stack:
         planner = await stack.enter_async_context(start_planner(trial.folder, sizes[0], trial.seeded_fault))
         workers = []
@@ -314,7 +314,7 @@
         prefix = f"fit_{name}_{converters_in_use}_in_use"
         figures |= {f"{prefix}_{key}": float(value) for key, value in msgspec.to_builtins(slope).items()}
         if name in BUDGETS:
-            design_values[name] = slope.at(DESIGN_FLEET).value
+            design_values[name] = slope.at(DESIGN_FLEET_SIZE).value
     for name, budget in BUDGETS.items():
         figures[f"design_{name}_{converters_in_use}_in_use"] = design_values[name]
         figures[f"design_share_of_budget_{name}_{converters_in_use}_in_use"] = design_values[name] / budget
@@ -363,10 +363,10 @@
 
 def measure(trial: TrialConfig) -> Measurement:
     """Measure a fleet for each number of converters in use. Raises InsufficientResourcesError."""
-    sizes_by_converters_in_use = SEEDED_FAULT_SIZES if trial.seeded_fault else SIZES[trial.scale]
+    sizes_by_converters_in_use = SEEDED_FAULT_FLEET_SIZES if trial.seeded_fault else FLEET_SIZES[trial.scale]
     largest_size = max(max(sizes) for sizes in sizes_by_converters_in_use.values())
     check_requirements(
-        ResourceRequirements(WORKERS[trial.scale] + 2, NEEDED_MEMORY_BYTES, largest_size), this_machine()
+        ResourceRequirements(WORKER_COUNT[trial.scale] + 2, NEEDED_MEMORY_BYTES, largest_size), this_machine()
     )
     claims: list[Claim] = []
     figures = load_figures("before")
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -35,7 +35,7 @@
 # sidecars that reconnect after an outage
 FLEET_SIZES = {Scale.SMALL: (100, 200, 400, 800), Scale.FULL: (200, 400, 800, 1600)}
 FLEET_KNOWN_COUNT = {Scale.SMALL: 30, Scale.FULL: 150}  # converters that each of these sidecars knows
-FLEET_PROCESSES = 4
+FLEET_PROCESS_COUNT = 4
 CHANGE_COUNT = {Scale.SMALL: 40, Scale.FULL: 200}
 CHANGE_INTERVAL_S = 0.02
 IDLE_S = {Scale.SMALL: 3.0, Scale.FULL: 10.0}
@@ -60,7 +60,7 @@
     """CPU time and bytes received of one sidecar for an update of the list."""
 
     cpu_s: float
-    bytes: float
+    received_bytes: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,24 +68,24 @@
     """Lightweight sidecars of one process that know the same number of converters, and the discovery they follow."""
 
     known_count: int  # converters that each sidecar knows
-    count: int  # sidecars
+    sidecar_count: int  # sidecars
     server: WatchServer
     process: LightweightProcess
 
     async def wait_until_updated(self, version: int) -> Any:
         """Wait until all sidecars have a version; return the reply. Raises HarnessError after `UPDATE_TIMEOUT_S`."""
         reply = await self.process.request("until", version=version, within_s=UPDATE_TIMEOUT_S)
-        if reply["have"] < self.count:
+        if reply["have"] < self.sidecar_count:
             raise HarnessError(
-                f"{reply['have']} of {self.count} lightweight sidecars received the endpoint list in time"
+                f"{reply['have']} of {self.sidecar_count} lightweight sidecars received the endpoint list in time"
             )
         return reply
 
     async def measure_cost(self, version: int, before: Any, bytes_before: int) -> UpdateCost:
         """Wait until all sidecars have the version, and return the cost per sidecar since the reply `before`."""
         reply = await self.wait_until_updated(version)
-        cpu_s = (reply["cpu_s"] - before["cpu_s"]) / self.count
-        return UpdateCost(cpu_s, (self.server.bytes_sent - bytes_before) / self.count)
+        cpu_s = (reply["cpu_s"] - before["cpu_s"]) / self.sidecar_count
+        return UpdateCost(cpu_s, (self.server.bytes_sent - bytes_before) / self.sidecar_count)
 
 
 def required_resources(scale: Scale) -> ResourceRequirements:
@@ -94,11 +94,11 @@
         SIDECAR_BYTES + known_count * CONVERTER_BYTES for known_count in KNOWN_COUNTS
     )
     fleet_size = FLEET_SIZES[scale][-1]
-    fleet_part_bytes = FLEET_PROCESSES * PROCESS_BYTES + fleet_size * (
+    fleet_part_bytes = FLEET_PROCESS_COUNT * PROCESS_BYTES + fleet_size * (
         SIDECAR_BYTES + FLEET_KNOWN_COUNT[scale] * CONVERTER_BYTES
     )
     return ResourceRequirements(
-        1 + max(len(KNOWN_COUNTS), FLEET_PROCESSES),
+        1 + max(len(KNOWN_COUNTS), FLEET_PROCESS_COUNT),
         PROCESS_BYTES + max(known_count_part_bytes, fleet_part_bytes),
         sockets=fleet_size,
     )
@@ -116,16 +116,16 @@
 
 @asynccontextmanager
 async def start_group(
-    host: str, index: int, known_count: int, count: int, seed: int, seeded_fault: str
+    host: str, index: int, known_count: int, sidecar_count: int, seed: int, seeded_fault: str
 ) -> AsyncIterator[Group]:
-    """Run an emulated discovery and a process for `count` sidecars, which `start_sidecars` starts."""
+    """Run an emulated discovery and a process for `sidecar_count` sidecars, which `start_sidecars` starts."""
     server = WatchServer(
         Listing(known_count, seed), (host, PORT + index), keeps_revisions=seeded_fault != "no-revisions"
     )
     await server.open()
     try:
         async with lightweight.start_process(SIDECAR_MODULE, [host, str(PORT + index), str(seed)]) as process:
-            yield Group(known_count, count, server, process)
+            yield Group(known_count, sidecar_count, server, process)
     finally:
         server.close()
 
@@ -134,17 +134,18 @@
     """Start the sidecars, and measure the bytes, CPU time and memory of their first list."""
     await group.process.read()
     before, bytes_before = await group.process.request("memory"), group.server.bytes_sent
-    await group.process.request("start", count=group.count)
+    await group.process.request("start", count=group.sidecar_count)
     cpu_s, list_bytes = await group.measure_cost(group.server.listing.registry.rev, before, bytes_before)
     after = await group.process.request("memory")
-    if after["known"] != group.count * group.known_count:
+    if after["known"] != group.sidecar_count * group.known_count:
         raise HarnessError(
-            f"{after['known']} converters known to all sidecars together instead of {group.count * group.known_count}"
+            f"{after['known']} converters known to all sidecars together"
+            f" instead of {group.sidecar_count * group.known_count}"
         )
     return {
         "list_bytes": list_bytes,
         "start_cpu_ms": cpu_s * 1000,
-        "memory_bytes": (after["resident_bytes"] - before["resident_bytes"]) / group.count,
+        "memory_bytes": (after["resident_bytes"] - before["resident_bytes"]) / group.sidecar_count,
     }
 
 
@@ -175,7 +176,7 @@
         "change_cpu_us": cpu_s * 1e6 / change_count,
         "change_bytes": sent_bytes / change_count,
         "change_late_ms": max(delays_ms, default=float("inf")),
-        "entries_a_change": (after["entries"] - before["entries"]) / change_count / group.count,
+        "entries_a_change": (after["entries"] - before["entries"]) / change_count / group.sidecar_count,
     }
 
 
@@ -228,8 +229,8 @@
     after = [await group.process.request("usage") for group in groups]
     return [
         {
-            "idle_cores": (usage_after["cpu_s"] - usage_before["cpu_s"]) / group.count / duration_s,
-            "idle_bytes_per_s": (group.server.bytes_sent - bytes_sent_before) / group.count / duration_s,
+            "idle_cores": (usage_after["cpu_s"] - usage_before["cpu_s"]) / group.sidecar_count / duration_s,
+            "idle_bytes_per_s": (group.server.bytes_sent - bytes_sent_before) / group.sidecar_count / duration_s,
         }
         for group, usage_before, usage_after, bytes_sent_before in zip(groups, before, after, bytes_before, strict=True)
     ]
@@ -312,7 +313,7 @@
                 await stack.enter_async_context(
                     lightweight.start_process(SIDECAR_MODULE, [host, str(PORT), str(seed + index)])
                 )
-                for index in range(FLEET_PROCESSES)
+                for index in range(FLEET_PROCESS_COUNT)
             ]
             for process in processes:
                 await process.read()
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -70,7 +70,7 @@
     server: WatchServer
     processes: Sequence[LightweightProcess]
     known_count: int  # converters that each sidecar knows
-    count: int = 0  # sidecars
+    sidecar_count: int = 0  # sidecars
 
     async def request(self, command: str, **options: Any) -> list[Any]:
         """Send a command to all processes, and return their answers in the order of the processes."""
@@ -79,16 +79,16 @@
     async def wait_for_list(self) -> list[Any]:
         """Wait until all sidecars have the list, and return the answers. Raises HarnessError after `LIST_TIMEOUT_S`."""
         answers = await self.request("until", version=self.server.listing.registry.rev, within_s=LIST_TIMEOUT_S)
-        if (updated_count := sum(answer["have"] for answer in answers)) < self.count:
+        if (updated_count := sum(answer["have"] for answer in answers)) < self.sidecar_count:
             raise HarnessError(
-                f"{updated_count} of {self.count} lightweight sidecars received the endpoint list in time"
+                f"{updated_count} of {self.sidecar_count} lightweight sidecars received the endpoint list in time"
             )
         return answers
 
-    async def grow(self, count: int) -> None:
+    async def grow(self, sidecar_count: int) -> None:
         """Start sidecars up to a count, and wait until all have the list."""
-        await self.request("start", count=(count - self.count) // len(self.processes))
-        self.count = count
+        await self.request("start", count=(sidecar_count - self.sidecar_count) // len(self.processes))
+        self.sidecar_count = sidecar_count
         await self.wait_for_list()
 
     async def lose_converters(self, lost_count: int, singly: bool = True) -> Figures:
@@ -101,10 +101,10 @@
         after = await self.wait_for_list()
         figures = {
             "stand_in_cpu_s": own_usage().cpu_s_since(own_usage_before),
-            "bytes": (self.server.bytes_sent - bytes_before) / self.count,
+            "bytes": (self.server.bytes_sent - bytes_before) / self.sidecar_count,
             "last_s": (max(answer["last_us"] for answer in after) - started_at_us) / US_PER_S,
-            "cpu_ms": MS_PER_S * _total_growth(before, after, "cpu_s") / self.count,
-            "told": _total_growth(before, after, "entries") / self.count / lost_count,
+            "cpu_ms": MS_PER_S * _total_growth(before, after, "cpu_s") / self.sidecar_count,
+            "told": _total_growth(before, after, "entries") / self.sidecar_count / lost_count,
             "still_ready": await self._mean_known() - self.known_count + lost_count,
         }
         listing.change(lost_entries, "left")
@@ -121,7 +121,7 @@
                 await asyncio.sleep(0)
 
     async def _mean_known(self) -> float:
-        return float(sum(answer["known"] for answer in await self.request("memory")) / self.count)
+        return float(sum(answer["known"] for answer in await self.request("memory")) / self.sidecar_count)
 
 
 def _total_growth(before: Sequence[Any], after: Sequence[Any], name: str) -> float:
--- a/ryepier/experiments/scale/machine_load.py
+++ b/ryepier/experiments/scale/machine_load.py
@@ -7,15 +7,15 @@
 import time
 from collections.abc import Mapping
 
-REFERENCE_TASK_VALUES = 16
-REFERENCE_TASK_ROUNDS = 100_000
+REFERENCE_TASK_VALUE_COUNT = 16
+REFERENCE_TASK_ROUND_COUNT = 100_000
 
 
 def reference_task_cpu_s() -> float:
     """Run a fixed task, and return its CPU time, which grows like all measured CPU times when the machine is shared."""
     cpu_before_s = time.process_time()
-    values = [1.0] * REFERENCE_TASK_VALUES
-    for _ in range(REFERENCE_TASK_ROUNDS):
+    values = [1.0] * REFERENCE_TASK_VALUE_COUNT
+    for _ in range(REFERENCE_TASK_ROUND_COUNT):
         values = [value * 0.99999 for value in values]
     return time.process_time() - cpu_before_s
 
--- a/ryepier/experiments/scale/seeded_faults.py
+++ b/ryepier/experiments/scale/seeded_faults.py
@@ -12,15 +12,15 @@
 from ryepier.balancer.tuning import MAX_RETRY_BUDGET
 from ryepier.balancer.upstream import PendingRequest, TrackedUpstream
 
-EXTRA_SCANS = 2
+EXTRA_SCAN_COUNT = 2
 
 
 def scan_all_upstreams() -> None:
-    """Scan all upstreams `EXTRA_SCANS` additional times at each selection."""
+    """Scan all upstreams `EXTRA_SCAN_COUNT` additional times at each selection."""
     select = Selector.select
 
     def select_after_scans(self: Selector, request: PendingRequest, now_us: int) -> TrackedUpstream | None:
-        for _ in range(EXTRA_SCANS):
+        for _ in range(EXTRA_SCAN_COUNT):
             self.candidates_with_free_slots(request, list(self.membership.by_id.values()), True, now_us)
         return select(self, request, now_us)
 
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -241,9 +241,9 @@
 def test_evenness_is_relative_to_random_choice() -> None:
     even = spread.measure_evenness([[100, 110, 90], [100, 90, 110]])
     assert even.variation_by_chance == pytest.approx(0.1) and even.variation == pytest.approx(0.1)
-    assert even.ratio == pytest.approx(1.0) and even.highest_to_mean == even.lowest_to_mean == 1.0
+    assert even.variation_ratio == pytest.approx(1.0) and even.highest_to_mean == even.lowest_to_mean == 1.0
     uneven = spread.measure_evenness([[300, 0, 0]])
-    assert uneven.highest_to_mean == 3.0 and uneven.lowest_to_mean == 0.0 and uneven.ratio > 17
+    assert uneven.highest_to_mean == 3.0 and uneven.lowest_to_mean == 0.0 and uneven.variation_ratio > 17
 
 
 def make_attempt(uid: str, at_us: int) -> ConverterAttempt:
@@ -275,10 +275,10 @@
 
 @pytest.mark.parametrize(("total_gb", "free_gb", "fits"), [(24, 16, True), (24, 5, False), (12, 12, False)])
 def test_fleet_that_does_not_fit_into_memory_is_rejected(total_gb: int, free_gb: int, fits: bool) -> None:
-    world = msgspec.structs.replace(make_world(), sidecars=Sidecars(count=fleets.FULL_SIDECARS))
+    world = msgspec.structs.replace(make_world(), sidecars=Sidecars(count=fleets.FULL_SIDECAR_COUNT))
     machine = MachineResources(total_gb * 10**9, free_gb * 10**9, 1024)
     if fits:
-        memory.check(world, machine)
+        memory.check_memory(world, machine)
         return
     with pytest.raises(InsufficientResourcesError, match=r"200 sidecars need 8.. GB.*--scale small"):
-        memory.check(world, machine)
+        memory.check_memory(world, machine)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -317,7 +317,7 @@
     assert us_with_long_list > us_with_short_list > 0
     opened_counts = [len(balancer.membership.pools[0].subset.members) for balancer in balancers]
     assert opened_counts[0] == 30 and 230 <= opened_counts[1] <= 300  # 4, and one more per 1.5 calls a second
-    call_count = balancer_cost.BATCHES * balancer_cost.CALLS_PER_BATCH
+    call_count = balancer_cost.BATCH_COUNT * balancer_cost.CALLS_PER_BATCH
     assert all(not balancer.requests and served_counts[id(balancer)] == call_count for balancer in balancers)
 
 
