--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -1,4 +1,4 @@
-"""Measures how even a load is, relative to random choice, by the times at which converters received requests."""
+"""Measures how evenly a load is spread, compared with random choice, from the times at which requests were received."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
     mean: float  # requests per converter
     variation: float  # standard deviation over the mean
-    highest_to_mean: float  # of a converter, over the mean
-    lowest_to_mean: float  # of a converter, over the mean
+    highest_to_mean: float  # highest count of a converter, divided by the mean
+    lowest_to_mean: float  # lowest count of a converter, divided by the mean
 
     @property
     def variation_by_chance(self) -> float:
@@ -29,7 +29,7 @@
 
     @property
     def variation_ratio(self) -> float:
-        """Return the variation over that of random choice: 1 is as even as random choice."""
+        """Return the variation, divided by that of random choice. With 1, the load is as even as with random choice."""
         return self.variation / self.variation_by_chance
 
 
@@ -45,7 +45,7 @@
 def counts_in_windows(
     received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, window_us: int
 ) -> np.ndarray[tuple[int, int], np.dtype[np.int64]]:
-    """Return the counts of requests by converter and window, without a remainder shorter than a window."""
+    """Return the counts of requests by converter and window. A last window that would be shorter is left out."""
     window_count = (end_us - begin_us) // window_us
     edges = begin_us + window_us * np.arange(window_count + 1, dtype=np.int64)
     counts_by_converter = [np.diff(np.searchsorted(np.asarray(times, dtype=np.int64), edges)) for times in received_us]
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RareWindows:
-    """The number of windows whose count is rare in a Poisson stream, and the number that is plausible by chance."""
+    """The number of windows whose counts are rare in a Poisson stream."""
 
     count: int
-    allowed_count: int
+    allowed_count: int  # number of such windows that is plausible by chance
 
 
 def crowded_windows(received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, window_us: int) -> RareWindows:
-    """Count the windows with more requests than a Poisson stream of the same mean has in one of 10,000 windows."""
+    """Count the windows whose count a Poisson stream of the same mean reaches in at most one of 10,000 windows."""
     counts = counts_in_windows(received_us, begin_us, end_us, window_us)
     limit = poisson_quantile(float(counts.mean()), RARE_PROBABILITY)
     return RareWindows(int((counts > limit).sum()), poisson_quantile(counts.size * RARE_PROBABILITY, RARE_PROBABILITY))
@@ -70,7 +70,10 @@
 def empty_windows(
     received_us: Sequence[Sequence[int]], begin_us: int, end_us: int, expected_per_window: float
 ) -> RareWindows:
-    """Count the windows without a request at a converter; a window's mean is `expected_per_window` requests."""
+    """Count the windows without a request at a converter.
+
+    The windows are so long that a converter receives `expected_per_window` requests in one on average.
+    """
     total_count = int(counts_in_windows(received_us, begin_us, end_us, end_us - begin_us).sum())
     window_us = min(
         end_us - begin_us, math.ceil(expected_per_window * len(received_us) * (end_us - begin_us) / max(1, total_count))
--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -1,6 +1,6 @@
 """Calculates evenness, bursts and occupancy of the converters from the records of a run. No I/O.
 
-Evenness is relative to random choice, for which the counts in a window are Poisson-distributed with a variation of
+Evenness is relative to random choice, with which the counts in a window are Poisson-distributed and have a variation of
 mean**-0.5. Bursts are windows of 100 ms whose counts exceed a Poisson quantile.
 """
 
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Evenness:
-    """How evenly starts of executions were distributed over converters, in windows of equal length."""
+    """How evenly the starts of executions were distributed over converters, in windows of equal length."""
 
     variation: float  # standard deviation over mean of the counts in a window, pooled over all windows
-    variation_by_chance: float  # expected for random choice
-    highest_to_mean: float  # highest total of a converter over the mean total
-    lowest_to_mean: float
+    variation_by_chance: float  # variation that is expected with random choice
+    highest_to_mean: float  # highest total of a converter, divided by the mean total
+    lowest_to_mean: float  # lowest total of a converter, divided by the mean total
 
     @property
     def variation_ratio(self) -> float:
-        """Return the variation over that of random choice."""
+        """Return the variation, divided by that of random choice."""
         return self.variation / self.variation_by_chance
 
 
@@ -44,22 +44,22 @@
 
     window_count: int
     highest_count: int  # most attempts in a window
-    worst_ratio: float  # highest count over the bound that a Poisson stream exceeds in one of 1,000 such runs
-    rare_window_count: int  # with more attempts than a Poisson stream has in one of 10,000 windows
+    worst_ratio: float  # highest ratio of a count to the bound that Poisson streams exceed in one of 1,000 runs
+    rare_window_count: int  # windows with a count that a Poisson stream reaches in at most one of 10,000 windows
     allowed_rare_window_count: int  # number of rare windows that Poisson streams exceed in one of 1,000 runs
 
 
 @dataclass(frozen=True, slots=True)
 class Occupancy:
-    """How many connections or executions converters held at once."""
+    """How many connections or executions the converters held at the same time."""
 
-    highest_count: int  # of any converter
-    mean_highest_count: float  # of the converters' highest numbers
+    highest_count: int  # highest number that any converter held
+    mean_highest_count: float  # mean over the converters of the highest number that each held
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """The time in microseconds for which a converter held a connection or execution; `end_us` may be NEVER."""
+    """The time span in which a converter held a connection or an execution. Without an end, `end_us` is NEVER."""
 
     uid: str
     begin_us: int
@@ -74,7 +74,7 @@
 def count_starts(
     attempts: Iterable[ConverterAttempt], uids: Sequence[str], edges_s: Sequence[float]
 ) -> list[list[int]]:
-    """Return the numbers of executions started at each converter, as a list for each window between two edges."""
+    """Return, for each window between two edges, the number of executions that started at each converter."""
     counts = [Counter[str]() for _ in edges_s[1:]]
     for attempt in attempts:
         for window_index, (begin_s, end_s) in enumerate(itertools.pairwise(edges_s)):
@@ -84,7 +84,10 @@
 
 
 def measure_evenness(counts: Sequence[Sequence[int]]) -> Evenness:
-    """Return the evenness of counts by window and converter; needs two converters, and a start in each window."""
+    """Return the evenness of counts by window and converter.
+
+    There must be at least two converters, and at least one start in each window.
+    """
     means = [sum(window_counts) / len(window_counts) for window_counts in counts]
     dispersions = [_dispersion(window_counts, mean) for window_counts, mean in zip(counts, means, strict=True)]
     variation_by_chance = (sum(means) / len(means)) ** -0.5
@@ -108,8 +111,9 @@
 ) -> Bursts:
     """Return the bursts at the converters of `zone_of` in a part of the run.
 
-    A window is compared with the mean rate of its zone's converters in the same second, but at least with the mean rate
-    of all converters in the whole part: a cut between zones shifts load to another zone, which is not a burst.
+    The count in a window is compared with the mean rate at the converters of the same zone in the same second, as a cut
+    between zones shifts load to another zone, which is not a burst. The rate is at least the mean rate at all
+    converters in the whole part.
     """
     windows_per_converter = int((end_s - begin_s) * US_PER_S) // BURST_WINDOW_US
     counts_by_window: Counter[tuple[str, int]] = Counter()
@@ -140,12 +144,12 @@
 
 
 def count_idle_windows(counts: Sequence[Sequence[int]]) -> int:
-    """Return the number of pairs of a window and a converter without a start."""
+    """Return the number of windows without a start at a converter, summed over the converters."""
     return sum(count == 0 for window_counts in counts for count in window_counts)
 
 
 def measure_occupancy(spans: Iterable[Span]) -> Occupancy:
-    """Return how many spans overlapped at the converters."""
+    """Return how many spans overlapped at each converter."""
     changes: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for span in spans:
         changes[span.uid].append((span.begin_us, 1))
@@ -156,7 +160,7 @@
 
 
 def _highest_sum(changes: list[tuple[int, int]]) -> int:
-    """Return the highest running sum of changes sorted by time; at the same time, ends come before begins."""
+    """Return the highest running sum of changes in the order of their times. At equal times, ends precede begins."""
     count = highest = 0
     for _, change in sorted(changes):
         count += change
@@ -165,18 +169,18 @@
 
 
 def connection_occupancy(connections: Iterable[ConnectionRecord]) -> Occupancy:
-    """Return how many connections converters held at once."""
+    """Return how many connections the converters held at the same time."""
     return measure_occupancy(Span(record.uid, record.opened_us, record.closed_us) for record in connections)
 
 
 def execution_occupancy(attempts: Iterable[ConverterAttempt]) -> Occupancy:
-    """Return how many requests converters executed at once."""
+    """Return how many requests the converters executed at the same time."""
     executed = [attempt for attempt in attempts if attempt.started_us != NEVER]
     return measure_occupancy(Span(attempt.uid, attempt.started_us, attempt.finished_us) for attempt in executed)
 
 
 def steady_uids(instances: Iterable[Instance], excluded_indices: Iterable[int]) -> list[str]:
-    """Return the converters that were running and warm from the beginning, without those at `excluded_indices`."""
+    """Return the uids of the converters that ran and were warm from the beginning, except `excluded_indices`."""
     excluded = set(excluded_indices)
     return [instance.uid for instance in instances if instance.start_us is None and instance.index not in excluded]
 
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -13,10 +13,10 @@
 FULL_SIDECAR_COUNT = 200
 FULL_CONVERTERS_PER_ZONE = 20
 FULL_RATE_PER_S = 600.0
-SETTLED_AT_S = 2.0  # time after the start at which connections are open
+SETTLED_AT_S = 2.0  # time from which on the sidecars' connections are open
 RECOVERY_S = 5.0  # time after the end of a fault until the load must be even again
 
-LIGHT_LOAD_FACTOR = 0.1  # relative to half load, so a twentieth of the converters' capacity
+LIGHT_LOAD_FACTOR = 0.1  # a tenth of half load, which is a twentieth of the converters' capacity
 LIGHT_DURATION_S = 20.0
 
 KILL_AT_S = 3.0
@@ -36,7 +36,7 @@
 
 
 def fleet(scale: Scale, load_factor: float = 1.0) -> World:
-    """Return the fleet of a scale, without faults. Raises InsufficientResourcesError if memory does not suffice."""
+    """Return the fleet for a scale, without faults. Raises InsufficientResourcesError if there is too little memory."""
     world, replace = load(BASE_WORLD), msgspec.structs.replace
     rate_per_s = world.clients.rate_per_s if scale is Scale.SMALL else FULL_RATE_PER_S
     world = replace(world, clients=replace(world.clients, rate_per_s=rate_per_s * load_factor))
@@ -56,13 +56,13 @@
 
 
 def fleet_with_kill(scale: Scale) -> World:
-    """Return the fleet with a third of the sidecars killed at once and restarted together."""
+    """Return the fleet with a third of its sidecars killed at once and restarted together."""
     kill = Fault(kind=FaultKind.SIDECAR_KILL, at_s=KILL_AT_S, target_share=KILLED_SHARE, down_s=KILL_DOWN_S)
     return msgspec.structs.replace(fleet(scale), duration_s=KILL_DURATION_S, faults=[kill])
 
 
 def fleet_with_differing_lists(scale: Scale) -> World:
-    """Return the fleet with stale lists at half of the sidecars during a release, and a zone cut off later."""
+    """Return the fleet with stale lists at half of its sidecars during a release, and with a zone cut off later."""
     stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=STALE_AT_S, for_s=STALE_DURATION_S, target_share=STALE_SHARE)
     cut = Fault(kind=FaultKind.ZONE_CUT, at_s=CUT_AT_S, for_s=CUT_DURATION_S, zone=CUT_ZONE)
     return msgspec.structs.replace(fleet(scale), duration_s=LISTS_DURATION_S, faults=[stale, RELEASE, cut])
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -14,33 +14,33 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-BASELINE_BEGIN_S = 1.0
+BASELINE_BEGIN_S = 1.0  # start of the measurement of evenness before the kill
 RETRY_GRACE_US = 1_000_000  # time after a restart for clients to retry attempts that reached no sidecar
 MIN_SERVICE_LEVEL = 0.97
 US_PER_S = 1e6
 
 
 def restarted_incarnations(run: Run) -> list[Incarnation]:
-    """Return the incarnations of sidecars that started during the run, after a kill."""
+    """Return the incarnations of sidecars that were started again after a kill."""
     return [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
 
 
 def recovery_end_s(run: Run) -> float:
-    """Return the time from which the load must be even again, at least one evenness window before the end of the run.
+    """Return the time from which on the load must be even again: `RECOVERY_S` after the last sidecar was ready.
 
-    This is `RECOVERY_S` after the last sidecar was ready.
+    The time is limited so that at least one evenness window remains until the end of the run.
     """
     last_ready_s = max(incarnation.ready_us for incarnation in run.history.incarnations) / US_PER_S
     return min(last_ready_s + fleets.RECOVERY_S, run.world.duration_s - measures.EVENNESS_WINDOW_S)
 
 
 def service_of_survivors(run: Run, killed: set[int]) -> float:
-    """Return the service level of clients whose sidecars were not killed."""
+    """Return the service level of the clients whose sidecars were not killed."""
     return figures.service_level(run.operations, lambda operation: operation.sidecar not in killed)
 
 
 def service_of_restarted(run: Run) -> float:
-    """Return the service level of clients of the restarted sidecars, from `RETRY_GRACE_US` after these were ready."""
+    """Return the service level of the restarted sidecars' clients, from `RETRY_GRACE_US` after a sidecar was ready."""
     ready_us_by_sidecar = {
         incarnation.sidecar: incarnation.ready_us + RETRY_GRACE_US for incarnation in restarted_incarnations(run)
     }
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -16,18 +16,18 @@
 from ryepier.experiments.core.worlds import fault_of_kind
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-RELEASE_UNDERWAY_AFTER_S = 2.0  # time after the lists became stale at which the release is in progress
-SERVICE_RECOVERY_S = 1.0
+RELEASE_UNDERWAY_AFTER_S = 2.0  # time after the lists became stale; by then the release is in progress
+SERVICE_RECOVERY_S = 1.0  # time after the end of the cut from which on the service level is claimed
 MIN_SERVED_SHARE = 0.9
 MIN_SERVICE_LEVEL = 0.95
-MAX_UNEVENNESS = 1.5  # variation over that of random choice, while the lists differ
+MAX_UNEVENNESS = 1.5  # highest allowed ratio of the variation to that of random choice, while the lists differ
 STALE_END_S = fleets.STALE_AT_S + fleets.STALE_DURATION_S
 CUT_MIDDLE_S = fleets.CUT_AT_S + fleets.CUT_DURATION_S / 2
 US_PER_S = 1e6
 
 
 def share_of_replacements_used(run: Run) -> float:
-    """Return the share of the replacement converters that received an attempt."""
+    """Return the share of the replacement converters that received attempts."""
     instances = timeline.build(run.world, run.seed).instances
     replacement_uids = {instance.uid for instance in instances if instance.start_us is not None}
     used_uids = {attempt.uid for attempt in run.history.converter_attempts} & replacement_uids
--- a/ryepier/experiments/load_spread/processes/measures.py
+++ b/ryepier/experiments/load_spread/processes/measures.py
@@ -1,4 +1,4 @@
-"""Measures evenness and bursts at the steady converters: those that run and are warm during the whole run."""
+"""Measures evenness and bursts at the steady converters, which run and are warm during the whole run."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ryepier.experiments.load_spread.processes.fleets import SETTLED_AT_S
 
 EVENNESS_WINDOW_S = 4.0
-MAX_BURST_RATIO = 1.0  # `Bursts.worst_ratio`
+MAX_BURST_RATIO = 1.0  # highest allowed `Bursts.worst_ratio`
 
 
 def steady_uids(run: Run) -> list[str]:
-    """Return the converters that run from the beginning and are not replaced by a release."""
+    """Return the uids of the converters that run from the beginning and are not replaced by a release."""
     schedule = timeline.build(run.world, run.seed)
     replaced_indices = {
         step.index for step in schedule.steps if step.target is TargetKind.CONVERTER and step.fault is FaultKind.RELEASE
@@ -25,7 +25,7 @@
 
 
 def count_starts(run: Run, begin_s: float, end_s: float, window_s: float) -> list[list[int]]:
-    """Return the starts at the steady converters, in equal windows of about `window_s`."""
+    """Return the numbers of starts by window and steady converter, in equal windows of about `window_s`."""
     window_count = max(1, round((end_s - begin_s) / window_s))
     edges_s = np.linspace(begin_s, end_s, window_count + 1).tolist()
     return figures.count_starts(run.history.converter_attempts, steady_uids(run), edges_s)
@@ -49,7 +49,7 @@
 
 
 def burst_claims(bursts: figures.Bursts) -> list[Claim]:
-    """Return the claims that sidecars never sent to the same converter in a burst."""
+    """Return the claims that no converter received a burst of attempts."""
     worst_claim_name = "most starts in 100 ms at a converter, beside a Poisson stream's in a run"
     rare_claim_name = "windows of 100 ms with more than a Poisson stream gives once in 10,000"
     return [
@@ -59,7 +59,7 @@
 
 
 def spread_figures(run: Run, begin_s: float, end_s: float, window_s: float = EVENNESS_WINDOW_S) -> dict[str, float]:
-    """Return the figures for result.json: evenness in a part of the run, and bursts and occupancy in all of it."""
+    """Return the figures for result.json: evenness in a part of the run, and bursts and occupancy in the whole run."""
     evenness = measure_evenness(run, begin_s, end_s, window_s)
     bursts = measure_bursts(run)
     connections = figures.connection_occupancy(run.history.connections)
--- a/ryepier/experiments/load_spread/processes/memory.py
+++ b/ryepier/experiments/load_spread/processes/memory.py
@@ -1,22 +1,22 @@
-"""Checks that a machine has the memory for a fleet of real sidecar processes before any is started."""
+"""Checks that a machine has enough memory for a fleet of real sidecar processes before any of them is started."""
 
 from __future__ import annotations
 
 from ryepier.emulator.world import World
 from ryepier.experiments.core.machine import GB, InsufficientResourcesError, MachineResources, this_machine
 
-SIDECAR_BYTES = 36 * 2**20  # resident memory
-EMULATOR_BYTES = 300 * 2**20  # per emulator process: random draws and the records of a run
+SIDECAR_BYTES = 36 * 2**20  # resident memory of a sidecar process
+EMULATOR_BYTES = 300 * 2**20  # memory of an emulator process, which holds random draws and the records of a run
 
 
 def needed_bytes(world: World) -> int:
-    """Return the memory that all processes of a world may hold together."""
+    """Return the memory, in bytes, that all processes of a world together may need."""
     emulator_processes = 1 + world.harness.converter_processes + world.harness.client_processes
     return world.sidecars.count * SIDECAR_BYTES + emulator_processes * EMULATOR_BYTES
 
 
 def check_memory(world: World, machine: MachineResources) -> None:
-    """Raise InsufficientResourcesError if a world needs more memory than may be used or than is free."""
+    """Raise InsufficientResourcesError if a world needs more memory than experiments may use or than is free."""
     required_bytes = needed_bytes(world)
     for limit_bytes, limit_text in ((machine.usable_bytes, "may be used"), (machine.available_bytes, "are free")):
         if required_bytes > limit_bytes:
@@ -27,6 +27,6 @@
 
 
 def require_memory(world: World) -> World:
-    """Return the world if this machine has the memory for it. Raises InsufficientResourcesError otherwise."""
+    """Return the world unchanged. Raises InsufficientResourcesError if this machine has too little memory for it."""
     check_memory(world, this_machine())
     return world
--- a/ryepier/experiments/load_spread/processes/seeded_faults.py
+++ b/ryepier/experiments/load_spread/processes/seeded_faults.py
@@ -16,7 +16,7 @@
 
 
 def use_common_seed() -> None:
-    """Make all sidecars draw the same random numbers, with a common seed and instance index."""
+    """Make all sidecars use the same seed and instance index, so that they draw the same random numbers."""
     original_init = Balancer.__init__
 
     def init_with_common_seed(self: Balancer, settings: Any, seed: int, now_us: int) -> None:
--- a/ryepier/experiments/load_spread/processes/steady.py
+++ b/ryepier/experiments/load_spread/processes/steady.py
@@ -1,8 +1,8 @@
-"""`load-spread-processes`, also `-light`: how even is the load of real sidecars that each see little of it?
+"""`load-spread-processes` and `load-spread-processes-light`: how evenly do real sidecars spread a load?
 
-Sixty sidecars (full scale: 200) run at half of the converters' capacity, or at a twentieth, without faults. Claims: no
-converter is without a start for as long as twelve are expected, hardly any attempt is rejected, and bursts are as rare
-as by chance.
+Sixty sidecars (full scale: 200), each of which sees little of the load, run without faults at half of the converters'
+capacity, or with `-light` at a twentieth. Claims: no converter goes without a start for a window in which twelve are
+expected, hardly any attempt is rejected, and bursts are as rare as by chance.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.load_spread.processes import figures, fleets, measures
 
-LIGHT_WINDOW_S = 6.0  # for the evenness at light load, as starts are few
-EXPECTED_START_COUNT = 12  # mean number in a window, which is then practically never empty by chance
+LIGHT_WINDOW_S = 6.0  # longer windows for the evenness at light load, at which starts are rare
+EXPECTED_START_COUNT = 12  # mean number of starts in a window, which is then practically never empty by chance
 MAX_REJECTED_SHARE = 0.005
 
 
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -1,8 +1,8 @@
 """`load-spread-return`: do restarted converters receive their share of the load again, without being overloaded?
 
-In a simulated fleet at half load, a fifth of the converters goes down at 2 s and restarts at 4 s, with a warm-up or
-without. Claims: in the seconds after the slow start, the restarted converters receive about as much on average as the
-others, and a converter never receives more during its warm-up than it can take.
+In a simulated fleet at half load, a fifth of the converters goes down at 2 s and restarts at 4 s, with or without a
+warm-up. Claims: in the 5 s after the slow start, the restarted converters receive on average about as much load as the
+others, and a converter never receives more during its warm-up than it can handle.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def make_plan(scale: Scale, warm_up_us: int) -> FleetPlan:
-    """Return a fleet whose converters warm up for `warm_up_us`, and of which some go down and restart."""
+    """Return the plan of a fleet whose converters warm up for `warm_up_us`, and of which some go down and restart."""
     size = SIZES[scale]
     outage = Outage(int(OUTAGE_SHARE * size.converter_count), OUTAGE_AT_US, NOTICE_DELAY_US, RESTART_AT_US)
     return FleetPlan(
@@ -54,7 +54,7 @@
 
 
 def load_shares_of_restarted(outcome: FleetOutcome) -> list[float]:
-    """Return the requests that each restarted converter received, over the mean of the others."""
+    """Return the number of requests that each restarted converter received, divided by the mean of the others."""
     span_us = outcome.end_us - outcome.begin_us
     counts = measures.counts_in_windows(outcome.received_us, outcome.begin_us, outcome.end_us, span_us)[:, 0]
     has_restarted = np.asarray(outcome.has_restarted)
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -14,21 +14,21 @@
 from ryepier.sim.fleet.choosers import BalancingPolicy, PolicyFactory, make_balancer
 from ryepier.sim.fleet.converter import Converter
 
-EARLIER_MAX_LOAD = 0.5  # the load above which the earlier balancer counted as overloaded
+EARLIER_MAX_LOAD = 0.5  # load above which an earlier version of the balancer counted a pool as overloaded
 
 
 class ClosedSubset(Subset):
-    """A subset that never replaces a member by a new upstream, so a full one admits none."""
+    """A subset that never replaces a member by a new upstream, so that a full subset admits no new upstreams."""
 
     def sample_new_members(
         self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Change nothing, and return no removed upstream."""
+        """Admit and remove no upstream."""
         return []
 
 
 class EarlyAdmissionRate(AdmissionRate):
-    """An admission rate that sheds load at a lower mean latency."""
+    """An admission rate that starts to shed load at a lower mean latency."""
 
     def is_overloaded(self) -> bool:
         """Return whether the load exceeds `EARLIER_MAX_LOAD`."""
@@ -36,21 +36,21 @@
 
 
 class PrivateSubsetsBalancer(Balancer):
-    """The balancer without three later corrections, also the control of `load-spread`.
+    """The balancer without three later corrections. It is also the control of `load-spread`.
 
-    Its full subsets admit no new upstreams, each retry of an expensive request counts as an answer of a slow pool, and
-    it sheds load at a lower mean latency.
+    Its full subsets admit no new upstreams, each retry of an expensive request that times out counts as a slow answer
+    of the pool, and it sheds load at a lower mean latency.
     """
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
-        """Create the balancer with closed subsets and the earlier admission in every pool."""
+        """Create the balancer with a `ClosedSubset` and an `EarlyAdmissionRate` in every pool."""
         super().__init__(settings, seed, now_us)
         for pool in self.membership.pools:
             pool.subset = ClosedSubset()
             pool.admission = EarlyAdmissionRate(now_us)
 
     def send(self, request: PendingRequest, upstream: TrackedUpstream) -> None:
-        """Send an attempt whose timeout counts for the pool even if it follows another timeout of the request."""
+        """Send an attempt that counts for the pool's load even if an earlier attempt of the request timed out."""
         super().send(request, upstream)
         request.attempts[-1].follows_timeout = False
 
@@ -67,7 +67,7 @@
 
 
 class SameOrderBalancer(Balancer):
-    """A balancer that selects converters in the order of their ids, the same in all sidecars."""
+    """A balancer that selects converters in the order of their ids, which is the same in all sidecars."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         """Create the balancer with a `FirstFreeSelector`."""
@@ -108,7 +108,7 @@
 
 
 class RushingBalancer(Balancer):
-    """A balancer that admits all restarted converters to its subsets, as all other sidecars do then."""
+    """A balancer that adds every restarted converter to its subsets, so that all sidecars send to it at once."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         """Create the balancer with an `OpenSubset` in every pool."""
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -1,8 +1,9 @@
-"""`load-spread`: how even is the load of hundreds of sidecars that each see little of it?
+"""`load-spread`: how evenly do hundreds of sidecars that each see little of the load spread it over converters?
 
 A simulated fleet runs at half of the converters' capacity and at a twentieth. The same seeds run with the balancer and
-with the control, an earlier version whose full subsets never admit new upstreams. Claims: no more crowded or empty
-windows than a Poisson stream has, hardly any rejections, and at most a quarter more connections than the control.
+with the control, an earlier version whose full subsets never admit new upstreams. Claims: there are no more crowded or
+empty windows than in a Poisson stream, hardly any request is rejected, and the fleet has at most a quarter more
+connections than the control.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan
 
 CROWDED_WINDOW_US = 100_000
-EXPECTED_PER_WINDOW = 12.0  # mean number of requests, with which an empty window is rare
+EXPECTED_PER_WINDOW = 12.0  # mean number of requests in a window; with so many, an empty window is rare
 MAX_REJECTED_SHARE = 0.005
 MAX_CONNECTIONS_RATIO = 1.25
 WARM_UP_SHARE = 1 / 3  # share of the run before the measurement, in which the subsets fill up
@@ -64,7 +65,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Run each load with the balancer, or with a seeded fault in it, and with the control."""
+    """Run each load with the balancer, which may have a seeded fault, and with the control."""
     plans = PLANS[trial.scale]
     outcomes = run_trials(
         [
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -32,16 +32,16 @@
 class FleetOutcome:
     """Measurements of a fleet, from the records of its converters and clients."""
 
-    received_us: list[list[int]]  # times at which each converter received requests, on the clock of the world
+    received_us: list[list[int]]  # by converter: the times at which it received requests, on the simulated clock
     begin_us: int
     end_us: int
     has_restarted: list[bool]  # by converter: whether it restarted
-    rejected_share: float  # of the requests
-    late_share: float  # of the requests that were answered after the latency objective
-    p99_ms: float  # latency of the served requests
+    rejected_share: float  # share of the requests that were rejected
+    late_share: float  # share of the requests that were served, but after the latency objective
+    p99_ms: float  # 99th percentile of the latency of served requests
     mean_open_connections: float  # mean over time of the open connections of all converters
-    opened_per_s: float  # new connections
-    worst_warm_up_load: float  # highest load of a restarted converter over its allowed load; above 1 it crashes
+    opened_per_s: float  # rate of new connections
+    worst_warm_up_load: float  # highest `worst_warm_up_load` of the restarted converters; above 1, a converter crashes
 
 
 def run_trials(trials: Sequence[FleetTrial]) -> list[FleetOutcome]:
@@ -75,10 +75,10 @@
 
 
 def worst_warm_up_load(plan: FleetPlan, converter: Converter) -> float:
-    """Return the highest load of a converter in any overload window since its start, over the allowed load.
+    """Return the highest number of requests in an overload window since a converter's start, over the allowed number.
 
-    The allowed load is the one that overloads the converter at the start of the window, plus two standard deviations
-    of its count and two requests, as in the tests of slow start.
+    The allowed number is the one that overloads the converter at the start of the window, plus two standard deviations
+    of that number and two requests, as in the tests of slow start.
     """
     window: deque[int] = deque()
     worst_load = 0.0
--- a/ryepier/experiments/scale/balancer_cost.py
+++ b/ryepier/experiments/scale/balancer_cost.py
@@ -13,7 +13,7 @@
 START_US = 1_000_000_000  # start of the virtual clock, which like a real monotonic clock does not start at 0
 CALLS_PER_BATCH = 100
 BATCH_COUNT = 8
-WARM_UP_BATCH_COUNT = 4  # not measured: the balancer opens its upstreams in them
+WARM_UP_BATCH_COUNT = 4  # batches that are not measured, as the balancer still opens its upstreams
 ANSWER_LATENCY_US = 1_000
 MAX_ATTEMPTS = 4
 
@@ -52,7 +52,7 @@
 def balancer_us_per_call(known_count: int, seed: int, rate_per_s: float) -> float:
     """Return the balancer's CPU time per call in microseconds, with `known_count` known upstreams.
 
-    This is the median over batches, so a short disturbance of the machine has no effect.
+    The result is the median over batches, so that a short disturbance of the machine does not affect it.
     """
     trial = BalancerTrial(known_count, seed, rate_per_s)
     us_per_call = []
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -1,10 +1,10 @@
 """`scale-call`: what does a call through a sidecar cost, by the number of known converters and the rate of calls?
 
-A client calls a real sidecar open-loop, and for comparison also calls the converters directly, which answer at once.
-A separate short run under a profiler shows which functions take the CPU time, and `balancer_cost` measures the
-decisions alone. Claims: calls are served, and the CPU time of a call grows by at most `MAX_US_PER_KNOWN_CONVERTER` with
-each further known converter. The CPU times are reliable. Latencies depend on how busy the machine is, so the share of
-time that the sidecar waited for a core is reported with them.
+An open-loop client calls converters through a real sidecar and, for comparison, directly. The converters answer at
+once. A separate short run under a profiler shows which functions take the CPU time, and `balancer_cost` measures the
+CPU time of the balancer's decisions alone. Claims: calls are served, and the CPU time of a call grows by at most
+`MAX_US_PER_KNOWN_CONVERTER` with each further known converter. The CPU times are reliable. Latencies depend on how busy
+the machine is, so the share of time that the sidecar waited for a core is reported with them.
 """
 
 from __future__ import annotations
@@ -44,18 +44,18 @@
 from ryepier.experiments.scale.machine_load import finite_figures, load_figures
 from ryepier.sidecar.system import Address
 
-KNOWN_COUNTS = (30, 150, 400, 1600)
+KNOWN_COUNTS = (30, 150, 400, 1600)  # numbers of converters that a sidecar knows
 DESIGN_KNOWN_COUNT = 1600
-DESIGN_RATE_PER_S = 369
+DESIGN_RATE_PER_S = 369  # calls of one sidecar at the design size
 ADDED_P99_BUDGET_MS = 0.33  # latency that a sidecar may add to a call, at the 99th percentile
-FULLY_MEASURED_KNOWN_COUNTS = (30, 1600)  # at the small scale the others run only the first phase
+FULLY_MEASURED_KNOWN_COUNTS = (30, 1600)  # at the small scale, the other counts run only the first phase
 
 
 class Phase(NamedTuple):
     """A rate of calls, with the durations of its warm-up and of its measurement.
 
-    A sidecar opens upstreams by its rate over the last 5 s: after the warm-up of the small scale it has opened half of
-    them, after that of the full scale all.
+    How many upstreams a sidecar opens depends on its rate of calls over the last 5 s. At the end of the warm-up, it has
+    opened half of them at the small scale, and all of them at the full scale.
     """
 
     rate_per_s: int
@@ -77,7 +77,7 @@
 PROFILED_FOLDERS = ("ryepier/balancer", "ryepier/sidecar")
 EXIT_TIMEOUT_S = 15.0
 NEEDED_MEMORY_BYTES = 1_000_000_000
-MAX_US_PER_KNOWN_CONVERTER = 2.0  # CPU time that each further known converter adds to a call
+MAX_US_PER_KNOWN_CONVERTER = 2.0  # most CPU time that each further known converter may add to a call
 MIN_SERVED_SHARE = 0.99
 
 
@@ -88,7 +88,7 @@
     waited_ns: int
 
     def since(self, earlier: CpuTime) -> CpuTime:
-        """Return the difference to an earlier reading."""
+        """Return the time used and the time waited since an earlier reading."""
         return CpuTime(self.used_ns - earlier.used_ns, self.waited_ns - earlier.waited_ns)
 
 
@@ -123,7 +123,8 @@
         classes=[msgspec.structs.replace(world.classes[0], share=1.0, effect=Effect.IDEMPOTENT)],
     )
     settings = files.sidecar_settings(world, 0)
-    settings["bounds"]["conn-idle"] = 60_000_000  # so that no connection is reopened: its cost is not to be measured
+    # idle connections stay open during the whole run, so the measured cost includes no opening of new ones
+    settings["bounds"]["conn-idle"] = 60_000_000
     return json.dumps(
         {
             "name": f"n{known_count}",
@@ -139,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallTrial:
-    """The addresses and files of one trial."""
+    """Starts the sidecars of one trial, and holds the addresses, folder and seed that they use."""
 
     network: int
     folder: Path
@@ -183,10 +184,13 @@
 def phase_figures(
     phase_name: str, duration_s: float, sidecar_target: Target, direct_target: Target, cpu_time: CpuTime
 ) -> dict[str, float]:
-    """Return the figures of a phase: the sidecar's CPU time, and latencies through it and of direct calls."""
+    """Return the figures of a phase: the sidecar's CPU time, and the latencies of calls through it and of direct calls.
+
+    `phase_name` is part of each figure's name.
+    """
     used_ns, waited_ns = cpu_time
     figures = {
-        # per answered call: per call sent, a sidecar that can't keep up would seem cheap
+        # divided by answered calls: a sidecar that can't keep up would seem cheap per call that was sent
         f"cpu_us_a_call_{phase_name}": used_ns / 1000 / max(1, len(sidecar_target.latencies_us)),
         f"cores_{phase_name}": used_ns / 1e9 / duration_s,
         f"wait_share_{phase_name}": waited_ns / max(1, used_ns + waited_ns),
@@ -255,7 +259,7 @@
 async def profile(trial: CallTrial, scale: Scale, stack: AsyncExitStack, seeded_fault: str) -> dict[str, float]:
     """Call two sidecars that run under a profiler, and return the CPU time of their most expensive functions.
 
-    The profiler's overhead is included, so the figures compare functions and are no absolute times.
+    The times include the profiler's overhead, so they are only useful to compare functions with each other.
     """
     figures: dict[str, float] = {}
     sidecars = []
@@ -342,7 +346,7 @@
             "<=",
             MAX_US_PER_KNOWN_CONVERTER,
         ),
-        # the balancer alone is claimed too, as a sidecar that can't keep up spends more on each call
+        # the balancer's own cost has a separate claim, as a sidecar that can't keep up spends more on each call
         Claim(
             "of it, the module's part by itself (us)",
             figures["fit_module_us_a_call_per_unit"],
@@ -356,7 +360,7 @@
     """Run the benchmark. Raises InsufficientResourcesError and HarnessError."""
     check_requirements(ResourceRequirements(4, NEEDED_MEMORY_BYTES, 3 * MAX_CONNECTIONS), this_machine())
     if trial.seeded_fault:
-        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # for `balancer_us_per_call`, which runs in this process
+        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # `balancer_us_per_call` runs in this process
     figures = load_figures("before")
     figures |= {
         f"module_us_a_call_{known_count}_known": balancer_us_per_call(known_count, trial.seed, DESIGN_RATE_PER_S)
--- a/ryepier/experiments/scale/call_client.py
+++ b/ryepier/experiments/scale/call_client.py
@@ -15,10 +15,10 @@
 LATE_CALLS_PER_YIELD = 8  # calls that a client behind schedule sends before it yields to the event loop
 
 
-def make_request_template(name: str) -> bytes:
-    """Return the bytes of a request of a class, with `%d` in place of the request's number."""
+def make_request_template(class_name: str) -> bytes:
+    """Return a GET request of a request class, with `%d` in place of the request's number."""
     return (
-        f"GET /{name}/1 HTTP/1.1\r\nHost: x\r\nX-Request-Id: r-%d\r\nX-Class: {name}\r\n"
+        f"GET /{class_name}/1 HTTP/1.1\r\nHost: x\r\nX-Request-Id: r-%d\r\nX-Class: {class_name}\r\n"
         "X-Tenant: north\r\nX-Deadline-Ms: 1000\r\n\r\n"
     ).encode()
 
@@ -83,7 +83,7 @@
     connection_count: int = 0
     last_request_number: int = 0
     due_count: int = 0  # calls that were due in this phase
-    served_count: int = 0
+    served_count: int = 0  # calls answered with status 200 in this phase
     latencies_us: list[int] = field(default_factory=list)
     connect_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -108,13 +108,14 @@
             task.add_done_callback(self.connect_tasks.discard)
 
     async def _connect(self, start_us: int) -> None:
-        with contextlib.suppress(OSError):  # the call counts as not served
+        with contextlib.suppress(OSError):  # without a connection, the call stays unanswered
             await asyncio.get_running_loop().create_connection(lambda: CallConnection(self, start_us), *self.address)
 
     async def run(self, rate_per_s: float, duration_s: float, random: np.random.Generator) -> None:
-        """Send calls as a Poisson process.
+        """Send calls as a Poisson process for `duration_s`.
 
-        Each call is timed from its write, not from when it was due, as a sleep of the event loop ends up to 1 ms late.
+        The latency of a call counts from its write, not from when it was due, as a sleep of the event loop may end up
+        to 1 ms late.
         """
         due_us = float(monotonic_us())
         end_us = due_us + duration_s * 1e6
--- a/ryepier/experiments/scale/capacity/estimates.py
+++ b/ryepier/experiments/scale/capacity/estimates.py
@@ -12,7 +12,7 @@
 from ryepier.experiments.scale.slopes import Slope
 
 Figures = Mapping[str, float]
-SizeFunction = Callable[[Plan], float]
+SizeFunction = Callable[[Plan], float]  # returns the planned size by which a figure grows
 
 
 class RowEstimate(msgspec.Struct, frozen=True):
@@ -23,7 +23,9 @@
     slope: Slope | None = None  # the fitted line, in the unit of the figure
     is_extrapolated: bool = False
     exponent: int = 1  # `growing_part` is proportional to this power of the size
-    fitting_share: float | None = None  # largest measured share of the design size within budget, if there is no slope
+    fitting_share: float | None = (
+        None  # largest measured size within budget, over the design size; only without a slope
+    )
 
 
 Estimator = Callable[[Figures, Plan], RowEstimate]
@@ -43,7 +45,10 @@
 
 
 def fitted_line(template: str, size: SizeFunction, factor: float = 1.0, added_figure: str = "") -> Estimator:
-    """Estimate by a line fitted to a figure at several sizes, times a factor, plus another figure if one is named."""
+    """Estimate by a line fitted to a figure at several sizes.
+
+    The line's value is multiplied by `factor`, and the figure `added_figure` is added if it is named.
+    """
 
     def estimate(figures: Figures, plan: Plan) -> RowEstimate:
         slope = _fit(figures, template)
@@ -67,7 +72,7 @@
 def single_figure(name: str, exponent: int = 0) -> Estimator:
     """Estimate by a figure that was measured or calculated for the design size itself.
 
-    All of it is proportional to a power of the size with this exponent; with 0 it does not grow.
+    The figure is taken to be proportional to the size to the power of `exponent`. With 0, it does not grow.
     """
 
     def estimate(figures: Figures, plan: Plan) -> RowEstimate:
@@ -78,7 +83,11 @@
 
 
 def daily_changes(idle_template: str, change_template: str, factor: float, size: SizeFunction) -> Estimator:
-    """Estimate by the idle cost, plus the cost of a day's list changes by a line fitted to the cost of one change."""
+    """Estimate the cost per second of a sidecar that is idle except for a day's list changes.
+
+    This is the median of the idle cost, plus the planned rate of changes times the cost of one change, which is read
+    from a fitted line and multiplied by `factor`.
+    """
 
     def estimate(figures: Figures, plan: Plan) -> RowEstimate:
         slope = _fit(figures, change_template)
--- a/ryepier/experiments/scale/capacity/page.py
+++ b/ryepier/experiments/scale/capacity/page.py
@@ -1,4 +1,4 @@
-"""Formats the capacity page as Markdown: tables by role, the limits that are reached first, and their sources."""
+"""Formats the capacity page as Markdown: tables by role, the limits that are reached first, and the kept results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 BEGIN_MARKER, END_MARKER = "<!-- {} from here: ryepier experiment capacity -->", "<!-- {} to here -->"
 TABLES_PART, LIMITS_PART = "tables", "breaks"  # parts of the page, named in its markers
-MAX_LIMITS = 14  # rows listed in the part about what breaks first
+MAX_LIMITS = 14  # most rows in the list of the limits that are reached first
 HEADER = (
     "role",
     "what",
@@ -25,7 +25,7 @@
 
 
 def make_parts(rows: Sequence[Row], kept_results: Sequence[KeptResult], plan: Plan) -> dict[str, str]:
-    """Return the text between the page's markers, by part. Raises CapacityError if a result lacks needed figures."""
+    """Return the text between the page's markers, by part. Raises CapacityError like `evaluate_row`."""
     results = evaluate(rows, kept_results, plan)
     return {
         TABLES_PART: format_roles(results) + "\n\n" + format_sources(kept_results),
@@ -34,7 +34,7 @@
 
 
 def replace_parts(page: str, parts: Mapping[str, str]) -> str:
-    """Return the page with its parts replaced. Raises CapacityError if it lacks a marker."""
+    """Return the page with the text between its markers replaced. Raises CapacityError if it lacks a marker."""
     for name, text in parts.items():
         begin_marker, end_marker = BEGIN_MARKER.format(name), END_MARKER.format(name)
         before, found_begin, rest = page.partition(begin_marker)
@@ -46,7 +46,10 @@
 
 
 def first_limits_reached(results: Sequence[RowResult]) -> list[RowResult]:
-    """Return the rows that break first: those without a mechanism, then by the size at which they break."""
+    """Return the rows whose limits are reached first, at most `MAX_LIMITS`.
+
+    Rows without a mechanism come first, then the others by the size at which their budget is used up.
+    """
     missing = [result for result in results if result.standing is Standing.MISSING]
     breaking = [result for result in results if result.breaks_at is not None]
     breaking.sort(key=lambda result: (result.breaks_at or 0.0, -(result.share or 0.0)))
@@ -70,7 +73,7 @@
 
 
 def format_fit(lines: Sequence[Slope]) -> str:
-    """Return the ranges of sizes that lines were fitted to, and the largest relative residual."""
+    """Return the ranges of sizes that lines were fitted to, and their largest relative residual, as text."""
     ranges = {(format_number(slope.from_size), format_number(slope.to_size)) for slope in lines}
     residual_percent = 100 * max(slope.relative_residual for slope in lines)
     return ", ".join(f"{low} to {high}" for low, high in sorted(ranges)) + f", off by {residual_percent:.2g}%"
@@ -110,7 +113,7 @@
 
 
 def format_first_limits(results: Sequence[RowResult]) -> str:
-    """Return a numbered list of the rows that break first."""
+    """Return a numbered list of the rows whose limits are reached first."""
     lines = []
     for rank, result in enumerate(first_limits_reached(results), 1):
         used_share = f"{format_number(100 * (result.share or 0.0))}% of its budget"
@@ -127,7 +130,7 @@
 
 
 def format_sources(kept_results: Sequence[KeptResult]) -> str:
-    """Return the experiments behind the tables, with scale, cores, and the claims that failed."""
+    """Return a sentence that names the experiments behind the tables, with scale, cores and failed claims."""
     names = dict.fromkeys(result.name for result in kept_results)
     if not names:
         return "No result is kept."
--- a/ryepier/experiments/scale/capacity/plan.py
+++ b/ryepier/experiments/scale/capacity/plan.py
@@ -10,7 +10,7 @@
 
 PLAN_FILE = "plan.json"
 DAY_S = 86_400
-LIST_CHANGES_PER_MACHINE = 3  # draining, removed, added
+LIST_CHANGES_PER_MACHINE = 3  # changes of state for a failed or replaced machine: draining, removed, added
 
 
 class CapacityError(RyepierError, ValueError):
@@ -26,22 +26,22 @@
     zones: int
     regions: int
     calls_per_s: float
-    depth: int  # services that call each other in a chain
+    depth: int  # number of services that call each other in a chain
     added_ms: float  # latency that a sidecar may add to a call, at the 99th percentile
-    changes_a_day: int  # changes of configuration
+    changes_a_day: int  # changes of configuration per day
     in_force_s: float  # time until a change must be in force at every sidecar
     control_cores: float  # CPU budget of a sidecar for its control plane
-    control_bytes: float  # its memory budget for it
-    control_bytes_per_s: float  # its traffic budget for it
+    control_bytes: float  # memory budget of a sidecar for its control plane
+    control_bytes_per_s: float  # traffic budget of a sidecar for its control plane
     planners: int
-    planner_cores: float
-    planner_bytes: float
-    failed_a_day: int  # machines that fail
-    replaced_a_day: int  # machines that are replaced
+    planner_cores: float  # CPU budget of a planner
+    planner_bytes: float  # memory budget of a planner
+    failed_a_day: int  # machines that fail per day
+    replaced_a_day: int  # machines that are replaced per day
 
     @property
     def calls_per_sidecar(self) -> float:
-        """Return the calls per second of one sidecar."""
+        """Return the rate of calls of one sidecar, per second."""
         return self.calls_per_s / self.sidecars
 
     @property
@@ -51,7 +51,7 @@
 
     @property
     def list_changes_per_s(self) -> float:
-        """Return the rate of changes of the endpoint list, where each change of configuration counts as one."""
+        """Return the rate of changes of the endpoint list, per second. A change of configuration counts as one."""
         machines_a_day = self.failed_a_day + self.replaced_a_day
         return (self.changes_a_day + LIST_CHANGES_PER_MACHINE * machines_a_day) / DAY_S
 
--- a/ryepier/experiments/scale/capacity/results.py
+++ b/ryepier/experiments/scale/capacity/results.py
@@ -17,7 +17,10 @@
 
 
 def read_results(folder: Path) -> list[KeptResult]:
-    """Return all results in a folder. Raises CapacityError if a file is unreadable, misnamed, or of a seeded fault."""
+    """Return all results in a folder.
+
+    Raises CapacityError if a file is unreadable or misnamed, or if its run had a seeded fault.
+    """
     return [_read_result(path) for path in sorted(folder.glob("*.json")) if path.name != PLAN_FILE]
 
 
@@ -27,14 +30,14 @@
     except (OSError, msgspec.MsgspecError) as error:
         raise CapacityError(f"{path}: {error}") from None
     if result.seeded_fault:
-        raise CapacityError(f"{path}: the result is of a run with a seeded fault")
+        raise CapacityError(f"{path}: the result comes from a run with a seeded fault")
     if path.name != file_name(result):
         raise CapacityError(f"{path}: the file name does not match its content, which belongs in {file_name(result)}")
     return result
 
 
 def file_name(result: Result) -> str:
-    """Return the name of a kept result's file."""
+    """Return the name of the file that holds a kept result."""
     return f"{result.name}-{result.seed}.json"
 
 
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -13,15 +13,15 @@
 from ryepier.experiments.scale.capacity.results import KeptResult
 from ryepier.experiments.scale.slopes import Slope, Spread
 
-BudgetFunction = Callable[[Plan], float]
+BudgetFunction = Callable[[Plan], float]  # returns a budget in the unit of its row
 
 
 class Standing(StrEnum):
     """Whether a resource suffices at the design size."""
 
-    CARRIED = "carried"  # within its budget, or without one
-    OVER = "over"  # over its budget
-    MISSING = "missing"  # there is no mechanism for it
+    CARRIED = "carried"  # the value is within its budget, or there is no budget
+    OVER = "over"  # the value exceeds its budget
+    MISSING = "missing"  # the design has no mechanism for the resource
     NOT_MEASURED = "not measured"
 
 
@@ -29,7 +29,7 @@
     """The unit in which a row's slope is shown."""
 
     text: str
-    factor: float = 1.0  # from the figure's unit
+    factor: float = 1.0  # converts from the figure's unit
 
 
 class Row(msgspec.Struct, frozen=True):
@@ -47,14 +47,14 @@
 
 
 class RowResult(msgspec.Struct, frozen=True, rename={"is_extrapolated": "extrapolated"}):
-    """A row with its evaluation."""
+    """The evaluation of a row with the kept results."""
 
     row: Row
     standing: Standing
     value: Spread | None = None
     slope: Spread | None = None
     fitted: Sequence[Slope] = ()  # the lines behind `slope`, one per seed
-    share: float | None = None  # the value over the row's budget
+    share: float | None = None  # the value divided by the row's budget
     breaks_at: float | None = None  # share of the design size at which the budget is used up
     is_extrapolated: bool = False
     seeds: tuple[int, ...] = ()
@@ -115,7 +115,11 @@
 
 
 def _estimate_each(row: Row, estimator: Estimator, results: Sequence[KeptResult], plan: Plan) -> list[_SeedValue]:
-    """Return the value by each result that has the figures; a run may end before it has measured all of them."""
+    """Return the estimate from each result that has the needed figures.
+
+    Results without them are left out, as a run may have ended before it measured all figures. Raises CapacityError if
+    no result has them.
+    """
     seed_values, last_error = [], ""
     for result in results:
         try:
@@ -137,16 +141,19 @@
 
 
 def share_at_budget(value_at_size: float, growing_part: float, budget: float, exponent: int = 1) -> float | None:
-    """Return the share of the design size at which a budget is used up: 0 if at any size, None if at none."""
+    """Return the share of the design size at which a budget is used up.
+
+    This is 0 if the budget is exceeded at every size, and None if it is not used up at any size.
+    """
     if growing_part <= 0:
         return 0.0 if value_at_size > budget else None
     return float(max(0.0, 1.0 + (budget - value_at_size) / growing_part) ** (1 / exponent))
 
 
-def breaking_share(values: Sequence[RowEstimate], value_at_size: float, budget: float) -> float | None:
-    """Return the share of the design size at which a budget is used up, from the medians over the seeds."""
-    fitting_shares = [value.fitting_share for value in values if value.fitting_share is not None]
+def breaking_share(estimates: Sequence[RowEstimate], value_at_size: float, budget: float) -> float | None:
+    """Return the share of the design size at which a budget is used up, calculated from medians over the seeds."""
+    fitting_shares = [estimate.fitting_share for estimate in estimates if estimate.fitting_share is not None]
     if fitting_shares:
         return slopes.spread(fitting_shares).median
-    growing_part = slopes.spread([value.growing_part for value in values]).median
-    return share_at_budget(value_at_size, growing_part, budget, values[0].exponent)
+    growing_part = slopes.spread([estimate.growing_part for estimate in estimates]).median
+    return share_at_budget(value_at_size, growing_part, budget, estimates[0].exponent)
--- a/ryepier/experiments/scale/capacity/table.py
+++ b/ryepier/experiments/scale/capacity/table.py
@@ -16,7 +16,9 @@
 from ryepier.experiments.scale.capacity.plan import Plan
 from ryepier.experiments.scale.capacity.rows import Row, SlopeUnit
 
+# experiments
 LIST, FAIL, CONTROL, CALL, DEPTH = "scale-list", "scale-fail", "scale-control", "scale-call", "scale-depth"
+# roles
 SIDECAR, PLANNER, DISCOVERY = "Sidecar", "Planner, one of seven", "Discovery and its agent"
 CONVERTER, CONFIG_SENDER = "Converter, as many sidecars call it", "Whoever sends out configuration"
 # mechanisms
@@ -29,10 +31,10 @@
 SPACED_CALLS = "one call a sidecar, every 0.1 s"
 HOP_BUDGET = "retry budget a hop"
 
-MB = 1e-6
-KB = 1e-3
+MB = 1e-6  # factor from bytes to MB
+KB = 1e-3  # factor from bytes to KB
 MS_PER_S = 1000.0
-CORES_PER_CPU_US = 1e-6  # cores per microsecond of CPU time in a second
+CORES_PER_CPU_US = 1e-6  # cores that one microsecond of CPU time per second takes
 CONVERTERS_IN_USE = (30, 150)  # converters that a sidecar calls
 MAX_FAILED_SHARE = 0.01
 MAX_AVOID_S = 2.0
@@ -40,22 +42,22 @@
 
 
 def converters(plan: Plan) -> float:
-    """Return the number of converters."""
+    """Return the planned number of converters."""
     return plan.converters
 
 
 def converters_per_region(plan: Plan) -> float:
-    """Return the number of converters in a region."""
+    """Return the planned number of converters in a region."""
     return plan.converters / plan.regions
 
 
 def sidecars(plan: Plan) -> float:
-    """Return the number of sidecars."""
+    """Return the planned number of sidecars."""
     return plan.sidecars
 
 
 def one_core(plan: Plan) -> float:
-    """Return a sidecar's CPU budget in cores."""
+    """Return a sidecar's CPU budget for its calls, in cores."""
     return 1.0
 
 
@@ -104,7 +106,11 @@
 
 
 def failed_share(figures: Figures, plan: Plan) -> RowEstimate:
-    """Estimate the share of failed calls with all converters known, and the largest number known that is acceptable."""
+    """Estimate the share of failed calls if a sidecar knows all converters.
+
+    `fitting_share` is the largest measured number of known converters with an acceptable share of failed calls, divided
+    by the planned number.
+    """
     served_shares = figures_by_size(figures, SERVED_SHARE_TEMPLATE)
     fitting_counts = [
         known_count for known_count, served_share in served_shares.items() if 1.0 - served_share <= MAX_FAILED_SHARE
@@ -115,11 +121,11 @@
 
 
 def full_lists(figures: Figures, plan: Plan) -> RowEstimate:
-    """Estimate the traffic of a full list to every sidecar."""
+    """Estimate the traffic, in MB, of sending the full list to every sidecar."""
     return fitted_line("again_bytes_{}", converters, plan.sidecars * MB)(figures, plan)
 
 
-# not formatted, so that the rows stay readable as a table
+# the formatter is off, so that the rows stay readable as a table
 # fmt: off
 LIST_ROWS = (
     Row(SIDECAR, "memory, all converters known", "MB", DIRECTORY, LIST,
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -21,9 +21,9 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer, FinalOutcome
 
-NETWORK_US = 200  # one way
-WORK_US = 2_000  # time that the last service takes for an answer or an error
-OBJECTIVE_PER_HOP_US = 40_000  # a hop's latency objective is this times the number of hops from it to the end
+NETWORK_US = 200  # network delay in one direction
+WORK_US = 2_000  # time after which the last service answers or fails
+OBJECTIVE_PER_HOP_US = 40_000  # a hop's latency objective is this value times the number of hops to the last service
 DEADLINE_US = 1_000_000
 LATE_WEIGHT = 0.5
 MAX_SIDECAR_ATTEMPTS = 4
@@ -35,25 +35,25 @@
 class Chain(msgspec.Struct, frozen=True):
     """Parameters of a simulated chain."""
 
-    depth: int  # calls from the first caller to the last service
-    failing_share: float  # share of the last service's attempts that fail
-    call_count: int
-    rate_per_s: float
+    depth: int  # hops from the first caller to the last service
+    failing_share: float  # share of the attempts at the last service that fail
+    call_count: int  # calls of the first callers
+    rate_per_s: float  # of these calls
     seed: int
     idempotency: api.Idempotency = api.Idempotency.IDEMPOTENT
     deadline_us: int = DEADLINE_US
-    fixed_objective_us: int = 0  # latency objective of every hop; 0 = `OBJECTIVE_PER_HOP_US` for each remaining hop
-    instance_count: int = 3  # of each service
-    max_attempts: int = 1_000_000  # at the last service, after which the run is aborted
+    fixed_objective_us: int = 0  # latency objective of every hop; if 0, it is `OBJECTIVE_PER_HOP_US` per remaining hop
+    instance_count: int = 3  # instances of each service
+    max_attempts: int = 1_000_000  # attempts at the last service after which the run is aborted
 
 
 class ChainOutcome(msgspec.Struct):
-    """Counts of a run."""
+    """Counts of a simulated run."""
 
-    attempts: list[int]  # by hop: attempts that reached the called service; the last entry is the last service's
+    attempts: list[int]  # by hop: attempts that reached the called service
     calls: list[int]  # by hop: calls that the sidecars received from their applications
-    served: int = 0  # calls of the first callers
-    answered: int = 0  # calls of the first callers, also those answered with an error
+    served: int = 0  # calls of the first callers that were served
+    answered: int = 0  # calls of the first callers that were answered, including those answered with an error
     longest_wait_us: int = 0  # longest wait of a first caller for its answer
     is_aborted: bool = False  # whether the run was aborted after `Chain.max_attempts`
 
@@ -73,7 +73,7 @@
 
 
 class VirtualClock:
-    """A virtual clock with timers, which runs them in order and jumps from one to the next."""
+    """A virtual clock that runs timers in order, and jumps from the time of each to the time of the next."""
 
     def __init__(self) -> None:
         """Start at `START_US` without timers."""
@@ -92,7 +92,7 @@
         return handle
 
     def run(self, is_stopped: Callable[[], bool]) -> None:
-        """Run the timers in the order of their times, until none is left or `is_stopped` returns true."""
+        """Run the timers in the order of their due times, until none is left or `is_stopped` returns true."""
         while self._timers and not is_stopped():
             self.now_us, _, handle = heapq.heappop(self._timers)
             if not handle.is_cancelled:
@@ -100,7 +100,7 @@
 
 
 class ChainAttempt:
-    """An attempt in flight, which counts as written to the network from its start."""
+    """An attempt in flight. It counts as fully written to the network as soon as it starts."""
 
     fully_written = True
 
@@ -110,7 +110,7 @@
         self._has_ended = False
 
     def cancel(self) -> None:
-        """Discard the result. Calls that the attempt caused at later hops go on."""
+        """Discard the result. Calls that the attempt caused at later hops are not cancelled."""
         self._has_ended = True
 
     def end(self, outcome: api.Outcome) -> None:
@@ -158,20 +158,20 @@
         on_end: Callable[[AttemptResult], None],
         latest_write_at_us: int = 0,
     ) -> ChainAttempt:
-        """Start an attempt at an instance of the next service; implements `UpstreamTransport.start`."""
+        """Start an attempt at an instance of the next service."""
         attempt = ChainAttempt(on_end)
         self.world.clock.call_after_us(NETWORK_US, self.world.on_arrival, self.hop, upstream - 1, timeout_us, attempt)
         return attempt
 
     def close_idle(self, upstream: int) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing, as the simulation has no connections."""
 
     def remove_upstream(self, upstream: int) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing, as the simulation has no connections."""
 
 
 class ChainWorld:
-    """The sidecars of all hops of a chain, its clock, and its counts."""
+    """A simulated chain: the sidecars of all hops, the clock, and the counts of the run."""
 
     def __init__(self, chain: Chain) -> None:
         """Create the clock and the counts. `build` starts the sidecars, which need this object."""
@@ -228,10 +228,13 @@
 
 
 def run_chain(chain: Chain) -> ChainOutcome:
-    """Run a chain until no timer is left or it is aborted. Replaces the clock of the process meanwhile."""
+    """Run a chain until no timer is left or the run is aborted, and return its counts.
+
+    During the run, the virtual clock replaces the clock of the process, and log lines up to INFO are disabled.
+    """
     monotonic_ns = system.monotonic_ns
     disabled_level = logging.root.manager.disable
-    logging.disable(logging.INFO)  # each of the many calls that are not served writes a log line
+    logging.disable(logging.INFO)  # each call that is not served writes a log line, and there are many
     world = ChainWorld(chain)
     system.monotonic_ns = lambda: world.clock.now_us * NS_PER_US
     try:
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -3,8 +3,8 @@
 A planner process that records its own CPU time (`instrumented_planner`) serves a growing fleet of forwarders, which run
 their real code, hundreds per process (`lightweight_forwarders`), and report simulated calls over loopback. Claims for
 each number of converters in use: the planner's CPU time and memory grow about linearly, a forwarder's traffic does not
-grow, all forwarders are connected and their reports enter the plan, and nearly all of them avoid a hung converter in
-time. The figures compare the costs at the design size with the budgets.
+grow, all forwarders are connected and their reports enter the plan, and nearly all forwarders that call a hung
+converter avoid it in time. The figures compare the costs at the design size with the budgets.
 """
 
 from __future__ import annotations
@@ -43,37 +43,38 @@
     "forwarder_cores": 0.022,
     "forwarder_resident_bytes": 64e6,
 }
-# fleet sizes in forwarders, by converters in use; with 150 in use, 320 forwarders keep the planner's core fully busy
+# numbers of forwarders, by the number of converters that each uses; with 150 converters in use, 320 forwarders keep the
+# planner's core fully busy
 FLEET_SIZES: dict[Scale, dict[int, tuple[int, ...]]] = {
     Scale.SMALL: {30: (50, 100, 200, 400), 150: (10, 20, 40, 80)},
     Scale.FULL: {30: (100, 200, 400, 800, 1200, 1600), 150: (40, 80, 120, 160, 240, 320)},
 }
-# small, as reports of a large fleet on all of 1,600 converters would not fit into memory
+# with the seeded fault, the reports of a large fleet on all 1,600 converters would not fit into memory
 SEEDED_FAULT_FLEET_SIZES = {30: (25, 50, 100, 200)}
-REPORTS_PER_S = 2.0  # per forwarder, the default
+REPORTS_PER_S = 2.0  # reports of a forwarder, by default
 TICKS_PER_S = 1.0 / TICK_S
 WORKER_COUNT = {Scale.SMALL: 2, Scale.FULL: 4}
 FULL_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
 WORKER_MODULE = "ryepier.experiments.scale.lightweight_forwarders"
 NEEDED_MEMORY_BYTES = 1_500_000_000
-SETTLE_S = 1.0
+SETTLE_S = 1.0  # wait after the growth of a fleet, before the measurement
 MEASUREMENT_S = {Scale.SMALL: 2.2, Scale.FULL: 10.0}
 CONNECT_TIMEOUT_S = 6.0
 AVOID_TIMEOUT_S = {Scale.SMALL: 5.0, Scale.FULL: 15.0}
 POLL_INTERVAL_S = 0.2
 AVOIDING_SHARE = 0.95  # share of the hung converter's callers that must avoid it
-MAX_WAIT_SHARE = 0.5  # share of time that the planner waits for a core; above it the machine is too busy
+MAX_WAIT_SHARE = 0.5  # share of time that the planner may wait for a core; above it, the machine is too busy
 HUNG_UID = converter_uid(0)
 MIN_DIVISOR = 1e-9  # avoids a division by zero
-Figures = dict[str, float]  # by name, of a fleet of one size
+Figures = dict[str, float]  # figures of a fleet at one size, by name
 
 
 class Sample(msgspec.Struct, frozen=True):
     """Totals of one worker process and its forwarders at a moment, as its `sample` command returns them."""
 
     at_s: float  # on the monotonic clock
-    cpu_s: float  # without the simulation of calls
-    resident: int  # bytes of memory
+    cpu_s: float  # CPU time without the simulation of calls
+    resident: int  # resident memory in bytes
     count: int  # forwarders
     connected: int  # forwarders with a connection to the planner
     bytes_out: int
@@ -82,7 +83,7 @@
     plans: int
     reporters: int  # forwarders whose reports the newest plan is based on
     users: int  # forwarders that call the hung converter
-    avoids_after_s: list[float]  # for each of these that avoids it, the seconds from the hang until then
+    avoids_after_s: list[float]  # for each forwarder that avoids the hung converter, seconds since the hang
 
 
 class PlannerReading(msgspec.Struct, frozen=True):
@@ -90,14 +91,14 @@
 
     process_usage: Usage
     planner_usage: PlannerUsage
-    waited_s: float  # runnable but without a core
+    waited_s: float  # time in which the planner was runnable but waited for a core
 
 
 def planner_figures(fleet_size: int, elapsed_s: float, before: PlannerReading, after: PlannerReading) -> Figures:
     """Return the planner's rates and costs between two readings.
 
-    `planner_cores_needed` is the CPU time of its reports and ticks at their nominal rates. The CPU time actually used
-    would make an overloaded planner seem cheap, as it runs fewer ticks.
+    `planner_cores_needed` is the CPU time per second of reports and ticks at their nominal rates. The CPU time actually
+    used would make an overloaded planner seem cheap, as it runs fewer ticks.
     """
     earlier, later = before.planner_usage, after.planner_usage
     tick_count, report_count = later.ticks - earlier.ticks, later.reports - earlier.reports
@@ -132,7 +133,7 @@
         "plans_per_s": rate_per_forwarder("plans"),
         "bytes_out_per_s": sent_per_s,
         "bytes_in_per_s": received_per_s,
-        # a forwarder exchanges reports and heartbeats with every planner, but receives plans only from the leader
+        # a forwarder exchanges reports and heartbeats with all seven planners, but receives plans only from the leader
         "bytes_per_s_with_seven": DESIGN_PLANNER_COUNT * (sent_per_s + heartbeats_per_s)
         + (received_per_s - heartbeats_per_s),
         "forwarder_cores": rate_per_forwarder("cpu_s"),
@@ -142,7 +143,7 @@
 
 
 def avoidance_quantile_s(samples: Sequence[Sample], share: float) -> float:
-    """Return the seconds until a share of the callers of the hung converter avoided it; infinite if fewer do."""
+    """Return the seconds until a share of the hung converter's callers avoided it; infinite if fewer callers do."""
     caller_count = sum(sample.users for sample in samples)
     times_s = sorted(after_s for sample in samples for after_s in sample.avoids_after_s)
     needed_count = -int(-share * caller_count // 1)
@@ -150,7 +151,7 @@
 
 
 def growth_over_linear(by_size: Mapping[int, Mapping[str, float]], name: str) -> float:
-    """Return the growth of a figure from the second smallest to the largest size, over that of the size itself."""
+    """Return the growth factor of a figure from the second smallest to the largest size, over that of the size."""
     sizes = sorted(by_size)
     second_size, largest_size = sizes[1], sizes[-1]
     return by_size[largest_size][name] / max(MIN_DIVISOR, by_size[second_size][name]) / (largest_size / second_size)
@@ -158,14 +159,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerProcess:
-    """A running planner."""
+    """A running planner process, and the file to which it writes its usage."""
 
     pid: int
     address: tuple[str, int]
     usage_path: Path
 
     def read(self) -> PlannerReading:
-        """Return the current totals. Raises OSError or msgspec.MsgspecError if it has exited or not ticked yet."""
+        """Return the current totals of the process.
+
+        Raises OSError or msgspec.MsgspecError if it has exited or has not written its usage yet.
+        """
         waited_ns = int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1])
         return PlannerReading(usage(self.pid), instrumented_planner.read_usage(self.usage_path), waited_ns / 1e9)
 
@@ -207,7 +211,7 @@
     def __init__(
         self, planner: PlannerProcess, workers: Sequence[lightweight.LightweightProcess], scale: Scale
     ) -> None:
-        """Create a fleet from a running planner and running workers, still without forwarders; see `grow`."""
+        """Create a fleet from a running planner and running workers. Forwarders are started by `grow`."""
         self.planner = planner
         self.workers = workers
         self.scale = scale
@@ -221,9 +225,9 @@
         return [msgspec.convert(answer, Sample) for answer in await self.request("sample")]
 
     async def grow(self, size: int) -> None:
-        """Start forwarders up to a size, and wait until all are connected, for at most `CONNECT_TIMEOUT_S`.
+        """Start forwarders until there are `size`, and wait until all are connected, for at most `CONNECT_TIMEOUT_S`.
 
-        A timeout is no error here: `connected_share` shows it.
+        A timeout is not an error here, as the figure `connected_share` shows it.
         """
         await self.request("grow", fleet=size)
         loop = asyncio.get_running_loop()
@@ -233,7 +237,7 @@
         await asyncio.sleep(SETTLE_S)
 
     async def measure(self, size: int) -> Figures:
-        """Measure for `MEASUREMENT_S`, and return the readings at a size."""
+        """Measure for `MEASUREMENT_S`, and return the figures of the fleet, which has `size` forwarders."""
         samples_before, planner_before = await self.samples(), self.planner.read()
         await asyncio.sleep(MEASUREMENT_S[self.scale])
         samples_after, planner_after = await self.samples(), self.planner.read()
@@ -243,7 +247,10 @@
         )
 
     async def hang_converter(self) -> float:
-        """Make a converter hang, and return the seconds until plans make `AVOIDING_SHARE` of its callers avoid it."""
+        """Make a converter hang, and return the seconds until `AVOIDING_SHARE` of its callers avoid it due to plans.
+
+        The result is infinite if this takes longer than `AVOID_TIMEOUT_S`.
+        """
         await self.request("hang", uid=HUNG_UID)
         avoided_after_s, loop = float("inf"), asyncio.get_running_loop()
         deadline_s = loop.time() + AVOID_TIMEOUT_S[self.scale]
@@ -254,14 +261,14 @@
 
 
 class FleetFigures(msgspec.Struct, frozen=True):
-    """The readings of a growing fleet."""
+    """The figures of a growing fleet."""
 
     by_size: dict[int, Figures]
     at_largest_size: Figures  # measured only at the largest size
 
 
 async def measure_fleet(converters_in_use: int, sizes: Sequence[int], trial: TrialConfig) -> FleetFigures:
-    """Grow a fleet through `sizes` in ascending order, and return its readings."""
+    """Grow a fleet through `sizes`, which must be ascending, and return its figures."""
     worker_count = WORKER_COUNT[trial.scale]
     async with AsyncExitStack() as stack:
         planner = await stack.enter_async_context(start_planner(trial.folder, sizes[0], trial.seeded_fault))
@@ -287,7 +294,7 @@
             await fleet.grow(size)
             by_size[size] = await fleet.measure(size)
         resident_bytes_after = sum(sample.resident for sample in await fleet.samples())
-        # only the memory that each forwarder adds counts: in service it runs in the process of a sidecar
+        # only the memory that each forwarder adds, as in service it runs in the process of a sidecar
         at_largest_size = {
             "forwarder_resident_bytes": (resident_bytes_after - resident_bytes_before) / sizes[-1],
             "avoided_after_s": await fleet.hang_converter(),
@@ -299,7 +306,10 @@
 
 
 def make_figures(converters_in_use: int, by_size: Mapping[int, Figures], at_largest_size: Figures) -> dict[str, float]:
-    """Return the figures of a fleet, with fitted lines, and its costs at the design size as shares of the budgets."""
+    """Return the figures of a fleet by name, the lines fitted to them, and the costs at the design size.
+
+    The costs at the design size are also returned as shares of their budgets.
+    """
     figures = {
         f"{name}_{converters_in_use}_in_use_{size}": value
         for size, size_figures in by_size.items()
@@ -362,7 +372,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Measure a fleet for each number of converters in use. Raises InsufficientResourcesError."""
+    """Measure a fleet for each number of converters in use. Raises InsufficientResourcesError and HarnessError."""
     sizes_by_converters_in_use = SEEDED_FAULT_FLEET_SIZES if trial.seeded_fault else FLEET_SIZES[trial.scale]
     largest_size = max(max(sizes) for sizes in sizes_by_converters_in_use.values())
     check_requirements(
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -1,10 +1,10 @@
-"""`scale-depth`: how often is the last service of a chain called while some of its answers fail, by the chain's depth?
+"""`scale-depth`: how many attempts reach the last service of a chain while it fails, by the depth of the chain?
 
 The sidecars of each hop may retry a fifth of their requests. If all of them did, the attempts at the last service would
 multiply by 1.2 per hop, by 7.4 over 11 hops. Chains of up to 11 services run in virtual time, so no figure depends on
 the machine. At the greatest depth, further runs have a shorter deadline, the same latency objective at every hop, or a
-class that must not be retried. Claims: no run is aborted, every call has an answer, attempts at the last service stay
-within the retry budgets of all hops, and a non-idempotent class is never retried.
+non-idempotent class. Claims: no run is aborted, every call has an answer, attempts at the last service stay within the
+retry budgets of all hops, and a non-idempotent class is never retried.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 
 DEPTHS = (1, 3, 7, 11)
 FAILING_SHARES = (0.1, 0.5, 1.0)  # of the attempts at the last service
-VARIED_FAILING_SHARE = 0.5  # in the runs with another deadline, objective or class
+VARIED_FAILING_SHARE = 0.5  # failing share in the runs with another deadline, objective or class
 CALL_COUNTS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
 RATE_PER_S = 100.0
-SHORT_DEADLINE_US = 150_000  # nearly used up by 11 hops, each of which takes 10 ms for its answer
+SHORT_DEADLINE_US = 150_000  # a chain of 11 hops that take 10 ms each nearly uses it up
 FIXED_OBJECTIVE_US = 150_000  # latency objective of every hop, independent of the number of hops after it
-MAX_ATTEMPTS_PER_CALL = 20  # at the last service; a run with more is aborted, and its figure is a lower bound
+MAX_ATTEMPTS_PER_CALL = 20  # at the last service; a run that reaches it is aborted, so its figure is a lower bound
 NON_IDEMPOTENT_RUN = "unsafe_11_deep_0.5_failing"
 US_PER_MS = 1000
 
 
 def max_attempts_per_call(chain: Chain, call_count: int) -> float:
-    """Return the most attempts at the last service that the retry budgets allow, per call.
+    """Return the highest number of attempts at the last service, per call, that the retry budgets allow.
 
-    A hop's sidecars earn a fraction of a retry with each call, and start with a few retries.
+    The sidecars of a hop start with a budget of a few retries, and earn a fraction of a retry with each call.
     """
     attempts = float(call_count)
     for _ in range(chain.depth):
@@ -52,7 +52,7 @@
 
     attempts_a_call: float  # at the last service, per call of a first caller
     theory: float = 0.0  # attempts per call if every hop used its whole retry budget
-    over_bound: float = 0.0  # attempts per call over the most that the retry budgets allow
+    over_bound: float = 0.0  # attempts per call, divided by the highest number that the retry budgets allow
     attempts_a_call_of_the_last_hop: float = 0.0  # at the last service, per call of the service before it
     served_share: float = 0.0
     answered_share: float = 0.0
@@ -85,7 +85,7 @@
 
 
 def make_chains(seed: int, scale: Scale) -> dict[str, Chain]:
-    """Return the chains by name: each depth with each share of failures, and variations of the deepest."""
+    """Return the chains by name: each depth with each share of failures, and variations of the deepest chain."""
     chains = {
         _run_name(depth, failing_share): _make_chain(depth, failing_share, seed, scale)
         for failing_share in FAILING_SHARES
@@ -103,7 +103,7 @@
 def summarize(runs: Mapping[str, ChainFigures]) -> dict[str, float]:
     """Return the figures of all runs, and for each share of failures the factor by which a hop multiplies attempts.
 
-    The factor is the exponential of the slope of a line fitted to the logarithms of attempts per call.
+    A line is fitted to the logarithms of attempts per call by depth, and the factor is the exponential of its slope.
     """
     figures: dict[str, float] = {}
     for name, run_figures in runs.items():
@@ -133,7 +133,7 @@
 
 
 def measure(trial: TrialConfig) -> Measurement:
-    """Run all chains in this process. A seeded fault stays installed in it."""
+    """Run all chains in this process. A seeded fault stays installed in the process afterwards."""
     if trial.seeded_fault:
         seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
     chains = make_chains(trial.seed, trial.scale)
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -39,17 +39,17 @@
 CHANGE_COUNT = {Scale.SMALL: 40, Scale.FULL: 200}
 CHANGE_INTERVAL_S = 0.02
 IDLE_S = {Scale.SMALL: 3.0, Scale.FULL: 10.0}
-ZONE_DIVISOR = 8  # a zone has an eighth of the converters
+ZONE_DIVISOR = 8  # a zone contains an eighth of the converters
 OUTAGE_S = 1.0
 RECONNECT_TIMEOUT_S = 25.0  # a busy machine needs this long for 1,600 sidecars
 UPDATE_TIMEOUT_S = 10.0
 PEAK_WINDOW_US = 100_000
-PORT = 8501  # below the ephemeral ports: without a listener, a connection to one of those could connect to itself
+PORT = 8501  # not an ephemeral port: while nobody listens, a connection to one of these could connect to itself
 CHANGES_PER_DAY = 2330  # 2,000 of configuration, and three changes of state for each of 110 machines
 DAY_S = 86_400
-PROCESS_BYTES = 120_000_000
-SIDECAR_BYTES = 200_000
-CONVERTER_BYTES = 3_000
+PROCESS_BYTES = 120_000_000  # memory of a process without sidecars
+SIDECAR_BYTES = 200_000  # memory that each lightweight sidecar adds
+CONVERTER_BYTES = 3_000  # memory that each known converter adds to a sidecar
 MB = 1e6
 SIDECAR_MODULE = "ryepier.experiments.scale.lightweight_sidecar"
 BUDGET_CORES, BUDGET_MB, BUDGET_BYTES_PER_S, MAX_PROPAGATION_S = 0.022, 64.0, 3000.0, 6.0
@@ -57,7 +57,7 @@
 
 
 class UpdateCost(NamedTuple):
-    """CPU time and bytes received of one sidecar for an update of the list."""
+    """The CPU time that one sidecar uses, and the bytes that it receives, for an update of the list."""
 
     cpu_s: float
     received_bytes: float
@@ -68,12 +68,15 @@
     """Lightweight sidecars of one process that know the same number of converters, and the discovery they follow."""
 
     known_count: int  # converters that each sidecar knows
-    sidecar_count: int  # sidecars
+    sidecar_count: int
     server: WatchServer
     process: LightweightProcess
 
     async def wait_until_updated(self, version: int) -> Any:
-        """Wait until all sidecars have a version; return the reply. Raises HarnessError after `UPDATE_TIMEOUT_S`."""
+        """Wait until all sidecars have a version of the list, and return the process's reply to `until`.
+
+        Raises HarnessError after `UPDATE_TIMEOUT_S`.
+        """
         reply = await self.process.request("until", version=version, within_s=UPDATE_TIMEOUT_S)
         if reply["have"] < self.sidecar_count:
             raise HarnessError(
@@ -82,14 +85,17 @@
         return reply
 
     async def measure_cost(self, version: int, before: Any, bytes_before: int) -> UpdateCost:
-        """Wait until all sidecars have the version, and return the cost per sidecar since the reply `before`."""
+        """Wait until all sidecars have a version of the list, and return the cost of the update per sidecar.
+
+        `before` is the process's usage before the update, and `bytes_before` is what discovery had sent until then.
+        """
         reply = await self.wait_until_updated(version)
         cpu_s = (reply["cpu_s"] - before["cpu_s"]) / self.sidecar_count
         return UpdateCost(cpu_s, (self.server.bytes_sent - bytes_before) / self.sidecar_count)
 
 
 def required_resources(scale: Scale) -> ResourceRequirements:
-    """Return the resources that the larger of the two parts needs, which run one after the other."""
+    """Return the resources of the larger of the two parts, as these run one after the other."""
     known_count_part_bytes = len(KNOWN_COUNTS) * PROCESS_BYTES + SIDECARS_PER_GROUP[scale] * sum(
         SIDECAR_BYTES + known_count * CONVERTER_BYTES for known_count in KNOWN_COUNTS
     )
@@ -131,7 +137,7 @@
 
 
 async def start_sidecars(group: Group) -> Figures:
-    """Start the sidecars, and measure the bytes, CPU time and memory of their first list."""
+    """Start the sidecars, and measure the bytes, CPU time and memory of the first list that each receives."""
     await group.process.read()
     before, bytes_before = await group.process.request("memory"), group.server.bytes_sent
     await group.process.request("start", count=group.sidecar_count)
@@ -150,7 +156,7 @@
 
 
 async def measure_single_changes(group: Group, change_count: int) -> Figures:
-    """Measure single changes: repeatedly drain a converter, remove it, and add another, each in its own update."""
+    """Measure `change_count` updates of one change each: repeatedly drain a converter, remove it, and add another."""
     listing = group.server.listing
     before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
     sent_at_us: dict[int, int] = {}
@@ -181,7 +187,10 @@
 
 
 async def measure_zone_loss(group: Group) -> Figures:
-    """Measure a zone's loss: drain its converters in one update, remove each in its own, and add as many in one."""
+    """Measure the loss of a zone: drain its converters in one update, and remove each of them in a separate update.
+
+    Afterwards as many new converters are added, which is not measured.
+    """
     listing = group.server.listing
     zone_entries = listing.pick_active(max(1, group.known_count // ZONE_DIVISOR))
     before, bytes_before = await group.process.request("usage"), group.server.bytes_sent
@@ -203,7 +212,7 @@
 
 
 async def measure_reconnections(group: Group) -> Figures:
-    """Measure reconnections: after one missed change, and after discovery lost its revisions."""
+    """Measure two reconnections of all sidecars: after one missed change, and after discovery lost its revisions."""
     listing, server = group.server.listing, group.server
     figures: Figures = {}
     for name, loses_revisions in (("break", False), ("again", True)):
@@ -220,7 +229,7 @@
 
 
 async def measure_idle(groups: Sequence[Group], duration_s: float) -> list[Figures]:
-    """Measure all groups concurrently while nothing but the heartbeats of the watches arrives."""
+    """Measure all groups at the same time, while they receive only the heartbeats of their watches."""
     before, bytes_before = (
         [await group.process.request("usage") for group in groups],
         [group.server.bytes_sent for group in groups],
@@ -237,7 +246,10 @@
 
 
 async def measure_by_known_count(seed: int, scale: Scale, seeded_fault: str) -> dict[int, Figures]:
-    """Measure each number of known converters, one after another except for the idle cost."""
+    """Measure the cost of a sidecar for each number of known converters.
+
+    The groups are measured one after another, except for the idle cost, which is measured for all at the same time.
+    """
     host = f"127.{find_network()}.254.2"
     async with AsyncExitStack() as stack:
         groups = [
@@ -291,7 +303,8 @@
         "bytes": float(server.bytes_sent),
         "stand_in_cpu_s": server_cpu_s,
         "cpu_ms": 1000 * reconnect_cpu_s / sidecar_count,
-        # calculated for sidecars with a core each: retry interval, discovery's writes to all, and reading one list
+        # calculated for sidecars with a core each: the retry interval, discovery's writes to all sidecars, and the
+        # time in which one sidecar reads the list
         "back_alone_s": WATCH_RETRY_S + server_cpu_s + reconnect_cpu_s / sidecar_count,
         "back_after_s": (max(reply["last_us"] for reply in replies) - restarted_at_us) / 1e6,
         "peak_share": float(calls_per_window.max(initial=0)) / sidecar_count,
@@ -347,7 +360,7 @@
 
 
 def derive_figures(figures_by_known_count: Mapping[int, Figures], base_mb: float) -> Figures:
-    """Return the figures derived for the largest number of known converters and a day's changes."""
+    """Return the costs at the largest number of known converters, including those of a day's changes."""
     figures_at_largest_count = figures_by_known_count[KNOWN_COUNTS[-1]]
     changes_per_s = CHANGES_PER_DAY / DAY_S
     memory_line, full_list_line = (
@@ -375,7 +388,7 @@
 def make_claims(
     figures_by_known_count: Mapping[int, Figures], figures_by_fleet_size: Mapping[int, Figures], derived: Figures
 ) -> list[Claim]:
-    """Return the claims on both parts."""
+    """Return the claims on the cost of a sidecar and on the outages of the fleet."""
     figures_at_largest_count, fleet_figures = (
         figures_by_known_count[KNOWN_COUNTS[-1]],
         figures_by_fleet_size[max(figures_by_fleet_size)],
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -37,14 +37,16 @@
 from ryepier.experiments.scale.fleet_list import Entry, Listing, WatchServer
 from ryepier.experiments.scale.lightweight import LightweightProcess
 
-KNOWN_COUNT = 1600
-FLEET_SIZE = 1600
-# converters that are lost at once; a region also loses as many sidecars
+KNOWN_COUNT = 1600  # converters at the design size
+FLEET_SIZE = 1600  # sidecars at the design size
+# converters that are lost at once; with a region, as many sidecars are lost
 RACK_SIZE, ZONE_SIZE, REGION_SIZE = 40, 200, 800
 BURST_SIZES = (RACK_SIZE, 100, ZONE_SIZE, 400, REGION_SIZE)
 LISTENER_COUNT = {Scale.SMALL: 8, Scale.FULL: 24}  # sidecars that know all converters and receive the bursts
 FLEET_SIZES = {Scale.SMALL: (40, 80, 120, 160), Scale.FULL: (200, 400, 800, 1600)}
-FLEET_KNOWN_COUNT = 250  # converters; sending a change costs the same, and 1,600 full lists would not fit into memory
+# converters that the sidecars of the growing fleet know; the cost of sending a change does not depend on it, and full
+# lists for 1,600 sidecars would not fit into memory
+FLEET_KNOWN_COUNT = 250
 PROCESS_COUNT = 4
 LIST_TIMEOUT_S = 25.0
 MAX_RESIDUAL = 0.25
@@ -53,7 +55,7 @@
 
 
 def required_resources(scale: Scale) -> ResourceRequirements:
-    """Return the resources that the larger of the two parts needs, which run one after the other."""
+    """Return the resources of the larger of the two parts, as these run one after the other."""
     sidecar_bytes = max(
         count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
         for count, known_count in ((LISTENER_COUNT[scale], KNOWN_COUNT), (FLEET_SIZES[scale][-1], FLEET_KNOWN_COUNT))
@@ -70,7 +72,7 @@
     server: WatchServer
     processes: Sequence[LightweightProcess]
     known_count: int  # converters that each sidecar knows
-    sidecar_count: int = 0  # sidecars
+    sidecar_count: int = 0
 
     async def request(self, command: str, **options: Any) -> list[Any]:
         """Send a command to all processes, and return their answers in the order of the processes."""
@@ -86,13 +88,16 @@
         return answers
 
     async def grow(self, sidecar_count: int) -> None:
-        """Start sidecars up to a count, and wait until all have the list."""
+        """Start sidecars until there are `sidecar_count`, and wait until all have the list."""
         await self.request("start", count=(sidecar_count - self.sidecar_count) // len(self.processes))
         self.sidecar_count = sidecar_count
         await self.wait_for_list()
 
     async def lose_converters(self, lost_count: int, singly: bool = True) -> Figures:
-        """Drain converters, with one message each or a single one, then replace them; return the cost of the drains."""
+        """Drain `lost_count` converters, and return the cost of these drains. Afterwards the converters are replaced.
+
+        The drains are sent as one message per converter if `singly`, and otherwise as a single message.
+        """
         listing = self.server.listing
         lost_entries = listing.pick_active(lost_count)
         before, bytes_before, own_usage_before = await self.request("usage"), self.server.bytes_sent, own_usage()
@@ -125,13 +130,13 @@
 
 
 def _total_growth(before: Sequence[Any], after: Sequence[Any], name: str) -> float:
-    """Return by how much a value, summed over all processes, has grown."""
+    """Return how much the sum of a value over all processes has grown."""
     return float(sum(later[name] - earlier[name] for earlier, later in zip(before, after, strict=True)))
 
 
 @asynccontextmanager
 async def start_fleet(known_count: int, seed: int, seeded_fault: str) -> AsyncIterator[Fleet]:
-    """Start discovery and the processes, still without sidecars, and stop them on leaving."""
+    """Start discovery and the processes, without any sidecars yet, and stop them on leaving."""
     host = f"127.{find_network()}.254.2"
     server = WatchServer(Listing(known_count, seed), (host, PORT))
     await server.open()
@@ -149,7 +154,7 @@
 
 
 async def measure_losses(trial: TrialConfig) -> Figures:
-    """Return the costs of the bursts at a few sidecars, then of a rack and a zone at each fleet size."""
+    """Return the costs of the bursts at a few sidecars, and of the loss of a rack and of a zone at each fleet size."""
     figures: Figures = {}
     async with start_fleet(KNOWN_COUNT, trial.seed, trial.seeded_fault) as listeners:
         await listeners.grow(LISTENER_COUNT[trial.scale])
@@ -197,7 +202,7 @@
             f"{name}_sidecar_ms": single_change_line.at(size).value,
             f"{name}_singly_last_s": fleet_singly_line.per_unit * sidecar_count * size / ZONE_SIZE
             + single_change_line.at(size).value / 1000,
-            # a longer message takes longer to write: all of its cost is taken to grow with the number of changes
+            # a longer message takes longer to write; its whole cost is assumed to be proportional to the changes in it
             f"{name}_together_last_s": fleet_together_line.per_unit * sidecar_count * max(1.0, size / ZONE_SIZE)
             + combined_change_line.at(size).value / 1000,
         }
@@ -205,7 +210,7 @@
 
 
 def make_claims(figures: Mapping[str, float]) -> list[Claim]:
-    """Return the claims on the figures, including the calculated ones."""
+    """Return the claims on the figures, which must include those of `calculate_fleet_costs`."""
     delivered_ratios = [value for name, value in figures.items() if "_told_" in name]
     still_ready_counts = [value for name, value in figures.items() if "_still_ready_" in name]
     return [
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -14,10 +14,10 @@
 from ryepier.experiments.scale.lightweight_sidecar import KINDS, ZONES
 
 FIRST_REVISION = 1_000_000
-LOST_REVISION_COUNT = 10_000  # a discovery that lost its revisions restarts this far below its last one
+LOST_REVISION_COUNT = 10_000  # a discovery that lost its revisions restarts this far below its last revision
 HEARTBEAT_INTERVAL_S = 2.0
 BACKLOG = 4096
-POD_SIZE = 10  # converters
+POD_SIZE = 10  # converters per pod group
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 HEARTBEAT = b"1\r\n\n\r\n"
 END_OF_HEAD = b"\r\n\r\n"
@@ -60,12 +60,12 @@
         return [active[int(index)] for index in chosen_indices]
 
     def change(self, entries: Sequence[Entry], state: str = "") -> None:
-        """Apply entries to the list, with another state if one is given, each as its own revision."""
+        """Add or update entries in the list, each as its own revision. A `state` replaces the state of each entry."""
         for entry in entries:
             self.registry.apply_change(entry | {"state": state} if state else entry)
 
     def lose_revisions(self) -> None:
-        """Restart discovery with its active entries and a lower revision, so that watches cannot resume."""
+        """Reset the list to its active entries and a lower revision, so that watches cannot resume from theirs."""
         self.revision -= LOST_REVISION_COUNT
         self.registry = self._make_registry(self.active_entries())
 
@@ -77,7 +77,7 @@
     """The server's side of a connection on which a sidecar watches the list."""
 
     def __init__(self, server: WatchServer) -> None:
-        """Wait for the connection and its request."""
+        """Create a watch without a connection. It starts once its connection has sent a complete request."""
         self.server = server
         self.revision = 0
         self.transport: asyncio.Transport | None = None
@@ -103,27 +103,30 @@
         self.server.watches.discard(self)
 
     def write(self, data: bytes) -> None:
-        """Write data, and count its bytes."""
+        """Write data to the sidecar, and add its length to the server's `bytes_sent`."""
         assert self.transport is not None
         self.server.bytes_sent += len(data)
         self.transport.write(data)
 
 
 class WatchServer:
-    """Serves the watches of a fleet, and counts their requests and the bytes sent, without TCP and IP headers."""
+    """Serves the watches of a fleet, and records their requests and the bytes sent, without TCP and IP headers."""
 
     def __init__(self, listing: Listing, address: tuple[str, int], keeps_revisions: bool = True) -> None:
-        """Create a server for `open`; without `keeps_revisions` each watch begins with the full list."""
+        """Create a server that listens once `open` is called.
+
+        Without `keeps_revisions`, each watch starts with the full list, even if it asks for changes since a revision.
+        """
         self.listing = listing
         self.address = address
         self.keeps_revisions = keeps_revisions
         self.connections: set[Watch] = set()
         self.watches: set[Watch] = set()
         self.bytes_sent = 0
-        self.call_times_us: list[int] = []
+        self.call_times_us: list[int] = []  # times at which watches were requested
         self._server: asyncio.Server | None = None
         self._heartbeat_task: asyncio.Task[None] | None = None
-        self._cached_messages: dict[int, bytes] = {}  # changes since a revision, by that revision
+        self._cached_messages: dict[int, bytes] = {}  # encoded changes since a revision, by that revision
 
     async def open(self) -> None:
         """Start listening and sending heartbeats."""
--- a/ryepier/experiments/scale/instrumented_planner.py
+++ b/ryepier/experiments/scale/instrumented_planner.py
@@ -1,8 +1,8 @@
 """A planner that records the CPU time of its ticks and reports, for `scale-control`.
 
 `python -m ryepier.experiments.scale.instrumented_planner FILE SEEDED_FAULT --config CONFIG` runs like
-`ryepier planner` and periodically replaces FILE with its `PlannerUsage`. From the CPU time per tick and per report, the
-cores that a planner needs can be calculated even on a machine that is too busy to provide them.
+`ryepier planner` and periodically replaces FILE with a new `PlannerUsage`. From the CPU time per tick and per report,
+the cores that a planner needs can be calculated even on a machine that is too busy to provide them.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     cpu_s: float
     tick_cpu_s: float  # the part of `cpu_s` spent in ticks: leadership, heartbeats, plans
     ticks: int
-    reports: int  # accepted; rejecting one that comes too soon costs next to nothing
+    reports: int  # accepted reports; rejecting a report that arrives too early costs next to nothing
     plans: int
 
 
@@ -61,7 +61,7 @@
             recorder._ticks = tick_number
 
         PlannerServer.tick = measured_tick  # type: ignore[method-assign]
-        # a separate thread, as the planner's own would write late whenever the planner is late
+        # a separate thread, as the planner's thread would write late whenever the planner is late
         threading.Thread(target=self._write_forever, daemon=True).start()
 
     def _write_forever(self) -> None:
--- a/ryepier/experiments/scale/lightweight.py
+++ b/ryepier/experiments/scale/lightweight.py
@@ -22,7 +22,7 @@
 
 
 class LightweightProcess:
-    """A lightweight process, to which commands can be sent."""
+    """A running lightweight process, which answers commands."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         """Wrap a running process that has pipes for its standard input and output."""
--- a/ryepier/experiments/scale/lightweight_converters.py
+++ b/ryepier/experiments/scale/lightweight_converters.py
@@ -1,4 +1,4 @@
-"""A process that emulates all converters and the discovery agents for `scale-call`, and answers each call at once.
+"""A process that emulates all converters and discovery agents for `scale-call`. It answers each call immediately.
 
 `python -m ryepier.experiments.scale.lightweight_converters CONFIG`, with a `ConvertersConfig` as JSON, prints a line
 once it listens. All entries of a list have the same address, as a sidecar tells its upstreams apart by their uids.
@@ -17,7 +17,7 @@
 from ryepier.sidecar import system
 
 HEARTBEAT_INTERVAL_S = 2.0
-POD_SIZE = 3  # converters
+POD_SIZE = 3  # converters per pod group
 BACKLOG = 4096
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\ndone"
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -57,12 +57,12 @@
     """The server's side of a connection to a converter. It answers each request head, as the calls have no body."""
 
     def __init__(self) -> None:
-        """Wait for the connection and its requests."""
+        """Create a connection that has not been established and has received no data yet."""
         self._transport: asyncio.Transport | None = None
         self._incomplete_head = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for the answers."""
+        """Store the transport, to which the answers are written."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
@@ -76,15 +76,15 @@
 
 
 class DiscoveryAgent:
-    """Sends the same list to each watch, and then only heartbeats."""
+    """An emulated discovery agent, which sends each watch the same list and then only heartbeats."""
 
     def __init__(self, listing: dict[str, Any]) -> None:
-        """Encode the list as one HTTP chunk."""
+        """Create an agent that serves `listing`, which is encoded as one HTTP chunk."""
         line = json.dumps(listing).encode() + b"\n"
         self._first_chunk = b"%x\r\n%s\r\n" % (len(line), line)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection until it closes."""
+        """Serve the watch on one connection until it closes."""
         try:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 await reader.readuntil(END_OF_HEAD)
@@ -98,7 +98,7 @@
 
 
 async def serve(config: ConvertersConfig) -> None:
-    """Listen at all addresses until standard input has a line or ends."""
+    """Listen at all addresses until a line is read from standard input or it ends."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(ConverterConnection, sock=system.listen(config.converters, BACKLOG))]
     for known_count, address in config.agents.items():
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -1,8 +1,8 @@
 """A process with hundreds of real forwarders that report simulated calls, for `scale-control`.
 
 `python -m ryepier.experiments.scale.lightweight_forwarders CONFIG`, with a `ForwardersConfig` as JSON, reads a command
-per line, as `lightweight.LightweightProcess` sends them. The counters of a forwarder start with the calls of a day, as
-smaller numbers would make its reports shorter than in service.
+per line, as `lightweight.LightweightProcess` sends them. The counters of a forwarder start with the calls of one day,
+as smaller numbers would make its reports shorter than in service.
 """
 
 from __future__ import annotations
@@ -31,25 +31,25 @@
 ANSWER_LATENCY_US = 20_000
 ANSWER_TIMEOUT_US = 10 * ANSWER_LATENCY_US
 CALLS_IN_FLIGHT = 7  # concurrent calls per forwarder: about `CALLS_PER_S` times the latency of an answer
-FAST_ANSWER_DIVISOR = 3  # one answer in three falls into the next lower latency bucket
+FAST_ANSWER_DIVISOR = 3  # one answer in three falls into the bucket below that of `ANSWER_LATENCY_US`
 DAY_S = 86_400
 US_PER_S = 1e6
 
 
 class ForwardersConfig(msgspec.Struct, frozen=True):
-    """The forwarders that one worker process runs."""
+    """The configuration of a worker process and its forwarders."""
 
-    planner: tuple[str, int]
+    planner: tuple[str, int]  # address
     worker: int  # index of this process among the workers
-    workers: int
+    workers: int  # number of worker processes
     in_use: int  # converters that each forwarder calls
     seed: int
-    min_fleet: int  # size of the smallest measured fleet, by which a forwarder decides whether to accept a plan
+    min_fleet: int  # size of the smallest measured fleet, which the forwarders' rules for accepting plans use
     reports_all: bool = False  # seeded fault: every forwarder reports on all converters
 
 
 def converters_of(index: int, in_use: int) -> range:
-    """Return the numbers of the converters that a forwarder calls.
+    """Return the numbers of the converters that the forwarder with an index calls.
 
     A service has as many converters as forwarders that call it, so the number of converters grows with the fleet.
     """
@@ -66,7 +66,7 @@
     """Counts of the bytes and plans of all forwarders of this process."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Start with all counts at zero. Bytes are counted once `install` has been called."""
         self.bytes_out = 0
         self.bytes_in = 0
         self.plan_bytes = 0
@@ -79,7 +79,7 @@
         self.plans += 1
         key = plan.term.epoch, plan.number
         if key not in self._plan_sizes:
-            self._plan_sizes = {key: len(encode(plan))}  # the same plan goes to all forwarders
+            self._plan_sizes = {key: len(encode(plan))}  # encoded only once, as all forwarders receive the same plan
         self.plan_bytes += self._plan_sizes[key]
 
     def install(self) -> None:
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallInFlight:
-    """A simulated call that is still in flight in the next report."""
+    """A simulated call that is still in flight when the next report is sent."""
 
     converter: str
     token: int
@@ -112,7 +112,7 @@
     """A real forwarder whose calls are simulated just before each report."""
 
     def __init__(self, index: int, config: ForwardersConfig, counts: TrafficCounts) -> None:
-        """Create the forwarder with an index in the fleet, with a day's counters; `start` connects it."""
+        """Create the forwarder with an index in the fleet, whose counters hold a day's calls; `start` connects it."""
         self.index = index
         self.counts = counts
         self.random = draws.stream(config.seed, f"forwarder {index}")
@@ -130,7 +130,7 @@
         self.set_converters(converters_of(index, config.in_use))
 
     def set_converters(self, numbers: range) -> None:
-        """Call the converters with these numbers from now on, and set the counters of new ones to a day's calls."""
+        """Replace the called converters, and set the counters of those not called before to the calls of a day."""
         self.upstream_ids = {converter_uid(number): number for number in numbers}
         self.refresh_uids()
         served_count = int(CALLS_PER_S / len(numbers) * DAY_S)
@@ -151,12 +151,12 @@
             self.avoided_after_s = (clock_us() - self.hung_since_us) / US_PER_S
 
     def hang(self, uid: str) -> None:
-        """Make a converter answer no more calls of this forwarder."""
+        """Make a converter stop answering the calls of this forwarder."""
         self.hung_uid = uid
         self.hung_since_us = clock_us()
 
     def on_plan(self, plan: Plan) -> None:
-        """Count a plan, and process it as a forwarder does."""
+        """Count a plan, and process it like any forwarder."""
         self.counts.on_plan(plan)
         self.evidence = plan.evidence
         super().on_plan(plan)
@@ -169,7 +169,7 @@
         super().send_reports()
 
     def simulate_calls(self, now_s: float) -> None:
-        """Simulate the calls since the last simulation: add ended ones to the counters, and start those in flight."""
+        """Simulate the calls since the last simulation: count the ended calls, and start those that are in flight."""
         elapsed_s = now_s - self.simulated_until_s
         self.simulated_until_s = now_s
         uids = list(self.upstream_ids)
@@ -208,14 +208,14 @@
     """The forwarders of this process, and the commands that it runs."""
 
     def __init__(self, config: ForwardersConfig) -> None:
-        """Start without forwarders, and install the traffic counts."""
+        """Create a worker without forwarders, and install the traffic counts."""
         self.config = config
         self.counts = TrafficCounts()
         self.forwarders: list[LightweightForwarder] = []
         self.counts.install()
 
     def run(self, command: Mapping[str, Any]) -> dict[str, Any]:
-        """Run one command, and return its answer; any command but `grow` and `hang` is a `sample`."""
+        """Run one command, and return its answer. Every command other than `grow` and `hang` returns a sample."""
         if command["do"] == "grow":
             return self.grow(int(command["fleet"]))
         if command["do"] == "hang":
@@ -223,7 +223,7 @@
         return self.sample()
 
     def grow(self, fleet_size: int) -> dict[str, Any]:
-        """Start this process's part of a fleet that grows to `fleet_size` forwarders."""
+        """Start the forwarders that this process contributes to a fleet of `fleet_size` forwarders."""
         first_index = self.config.worker + len(self.forwarders) * self.config.workers
         for index in range(first_index, fleet_size, self.config.workers):
             new_forwarder = LightweightForwarder(index, self.config, self.counts)
@@ -235,7 +235,7 @@
         return {}
 
     def hang(self, uid: str) -> dict[str, Any]:
-        """Make a converter answer no more calls of any forwarder."""
+        """Make a converter stop answering the calls of all forwarders."""
         for each_forwarder in self.forwarders:
             each_forwarder.hang(uid)
         return {}
--- a/ryepier/experiments/scale/lightweight_sidecar.py
+++ b/ryepier/experiments/scale/lightweight_sidecar.py
@@ -2,7 +2,7 @@
 
 `python -m ryepier.experiments.scale.lightweight_sidecar HOST PORT SEED [SEEDED_FAULT]` reads a command per line, as
 `lightweight.LightweightProcess` sends them: `start` starts a number of sidecars, `until` waits until all have a version
-of the list, `usage` and `memory` return resource usage, and `late` the times at which the last had each version.
+of the list, `usage` and `memory` return resource usage, and `late` returns when the last sidecar received each version.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from ryepier.sidecar.logs import RateLimitFilter
 from ryepier.sidecar.system import clock_us
 
-START_INTERVAL_S = 0.002  # between two starts; spares discovery's listener, whose speed is not measured
+START_INTERVAL_S = 0.002  # between two starts, to limit the load on discovery's listener, which is not measured
 POLL_INTERVAL_S = 0.01
 IDLE_TIMEOUT_US = 10_000_000
 MAX_SOCKETS = 1024
@@ -40,20 +40,20 @@
 ]
 FLEET_SIZE = 1600
 ZONES = [f"zone-{number}" for number in range(8)]
-KINDS = ["m1", "m2"]
+KINDS = ["m1", "m2"]  # models of converters
 
 
 class VersionCounts:
     """Counts how many sidecars of this process have each version of the list, and when the last one received it."""
 
     def __init__(self) -> None:
-        """Start without sidecars; each new sidecar must be counted at version 0."""
+        """Start without sidecars. The caller must add each new sidecar to `sidecars_by_version` at version 0."""
         self.sidecars_by_version: Counter[int] = Counter()
         self.last_received_at_us: dict[int, int] = {}
         self.entries_received = 0
 
     def on_update(self, previous_version: int, event: UpstreamsUpdated) -> None:
-        """Count a sidecar's update from its previous version."""
+        """Count a sidecar's update from `previous_version` to the version of the event."""
         self.sidecars_by_version[previous_version] -= 1
         self.sidecars_by_version[event.version] += 1
         self.last_received_at_us[event.version] = clock_us()
@@ -77,7 +77,10 @@
     """The sidecars of this process, and the commands that it runs."""
 
     def __init__(self, discovery: tuple[str, int], seed: int) -> None:
-        """Start without sidecars; `seed` is that of the first one, and each further sidecar adds one."""
+        """Create the process's state without sidecars.
+
+        The first sidecar gets the seed `seed`, and each further sidecar the seed of the previous one plus 1.
+        """
         self.discovery = discovery
         self.seed = seed
         self.counts = VersionCounts()
@@ -120,7 +123,10 @@
         self.dispatchers.append(dispatcher)
 
     async def wait_for_version(self, version: int, timeout_s: float) -> dict[str, Any]:
-        """Wait up to `timeout_s` until all sidecars have a version; return how many do, and when the last got it."""
+        """Wait up to `timeout_s` until all sidecars have a version of the list.
+
+        Returns the usage, the number of sidecars that have the version, and when the last of them received it.
+        """
         deadline_s = time.monotonic() + timeout_s
         while self.counts.sidecars_by_version[version] < len(self.dispatchers) and time.monotonic() < deadline_s:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -132,9 +138,9 @@
         return dataclasses.asdict(own_usage()) | {"entries": self.counts.entries_received}
 
     def memory(self) -> dict[str, Any]:
-        """Return the usage after a garbage collection, and the sum of the converters that each sidecar knows.
+        """Return the usage after a garbage collection, and the numbers of known converters, summed over the sidecars.
 
-        The collection takes CPU time, so CPU time is not measured across this command.
+        The collection itself takes CPU time, so no measurement of CPU time may include this command.
         """
         gc.collect()
         known_count = sum(len(dispatcher.balancer.membership.by_id) for dispatcher in self.dispatchers)
@@ -154,10 +160,10 @@
 
 
 def main() -> None:
-    """Install the seeded fault, if one is given, and serve with a sidecar's log configuration, writing to /dev/null."""
+    """Install the seeded fault, if one is given, and serve. Log lines are formatted as in a sidecar, and discarded."""
     host, port, seed, *faults = sys.argv[1:]
     if any(faults):
-        from ryepier.experiments import seeded_faults  # imported late: it is large, and usually not needed
+        from ryepier.experiments import seeded_faults  # imported only if needed, as it is large
 
         seeded_faults.SEEDED_FAULTS[faults[0]]()
     with open(os.devnull, "w", encoding="utf-8") as null_stream:
--- a/ryepier/experiments/scale/list_costs.py
+++ b/ryepier/experiments/scale/list_costs.py
@@ -1,4 +1,7 @@
-"""Measures the CPU time of processing an endpoint list by step, in one sidecar with its core's caches to itself."""
+"""Measures the CPU time of each step of processing an endpoint list.
+
+Only one sidecar runs in the process, so it shares the caches of its core with no other sidecars.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,8 @@
 from ryepier.sidecar.json_stream import JsonStreamDecoder
 from ryepier.sidecar.system import clock_us
 
-CHUNK_BYTES = 65_536  # received at a time
-MAX_CHANGES = 100
+CHUNK_BYTES = 65_536  # bytes that are received at a time
+MAX_CHANGES = 100  # changes over which the cost of one change is averaged
 MS_PER_S = 1000
 US_PER_MS = 1000
 
@@ -25,7 +28,7 @@
     """Accumulates CPU time by step, in milliseconds."""
 
     def __init__(self) -> None:
-        """Start without steps."""
+        """Start without any recorded CPU time."""
         self.cpu_ms: dict[str, float] = {}
 
     def time(self, step: str, function: Callable[..., Any], *arguments: object) -> Any:
@@ -50,7 +53,7 @@
 
 
 def measure(known_count: int, seed: int) -> dict[str, float]:
-    """Return the CPU time of a full list and of a change in the decoder, the registry and the decision module."""
+    """Return the CPU time that a full list and a change take in the decoder, the registry and the decision module."""
     listing = Listing(known_count, seed)
     registry = EndpointRegistry(ZONES, KINDS)
     balancer = Balancer(Settings(CLASSES), seed, clock_us())
--- a/ryepier/experiments/scale/machine_load.py
+++ b/ryepier/experiments/scale/machine_load.py
@@ -12,7 +12,10 @@
 
 
 def reference_task_cpu_s() -> float:
-    """Run a fixed task, and return its CPU time, which grows like all measured CPU times when the machine is shared."""
+    """Run a fixed task, and return its CPU time.
+
+    On a shared machine, it grows like the measured CPU times.
+    """
     cpu_before_s = time.process_time()
     values = [1.0] * REFERENCE_TASK_VALUE_COUNT
     for _ in range(REFERENCE_TASK_ROUND_COUNT):
@@ -26,5 +29,5 @@
 
 
 def finite_figures(figures: Mapping[str, float]) -> dict[str, float]:
-    """Return the figures without infinite ones, for which JSON has no number; the claims show those that matter."""
+    """Return only the finite figures, as JSON cannot represent others. The claims show those that matter."""
     return {name: value for name, value in figures.items() if math.isfinite(value)}
--- a/ryepier/experiments/scale/slopes.py
+++ b/ryepier/experiments/scale/slopes.py
@@ -7,11 +7,11 @@
 import msgspec
 import numpy as np
 
-MIN_SIZES = 4  # a line fits any two points; with four, a curve shows in the residuals
+MIN_SIZES = 4  # a line fits any two points exactly; with four points, curvature shows in the residuals
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """The value of a fitted line at a size."""
+    """The value of a fitted line at one size."""
 
     value: float
     is_extrapolated: bool  # whether the size is outside the measured range
@@ -41,7 +41,7 @@
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """Return the least-squares line. Raises ValueError for too few distinct sizes or for values that are not finite."""
+    """Fit a least-squares line. Raises ValueError for too few distinct sizes or for values that are not finite."""
     if len(sizes) != len(values):
         raise ValueError(f"{len(sizes)} sizes and {len(values)} values")
     if len(set(sizes)) < MIN_SIZES:
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -28,7 +28,8 @@
     world = FleetWorld(FLEET_PLAN, 1, choosers.make_random)
     world.run()
     spread = measures.measure_spread(received_times(world), START_US, world.now_us)
-    assert 0.5 < spread.variation_ratio < 1.5  # with 20 converters, the deviation itself has an error of about a sixth
+    # with 20 converters, the measured standard deviation has a relative error of about a sixth
+    assert 0.5 < spread.variation_ratio < 1.5
     ended = [request for request in world.requests if request.ended_us]
     assert len(ended) > 0.95 * len(world.requests)
     assert sum(request.served for request in ended) > 0.98 * len(ended)
@@ -134,7 +135,7 @@
 
 
 def load_shares_of_restarted(warm_up_us: int, seed: int) -> list[float]:
-    """Return the load of each restarted converter in the 5 s after its warm-up, over the mean of the others."""
+    """Return the load of each restarted converter in the 5 s after its warm-up, divided by the mean of the others."""
     outage = Outage(converters=10, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
     begin_us = outage.restart_us + warm_up_us
     plan = FleetPlan(
@@ -158,7 +159,8 @@
 def test_restarted_converters_get_their_share_of_the_load() -> None:
     """Guards against subsets that do not sample restarted converters as new members.
 
-    Without that, with 300 sidecars and 100 converters, the mean share was 0.27 without a warm-up and 1.5 after one.
+    Without this sampling, with 300 sidecars and 100 converters, the restarted converters had a mean share of 0.27 if
+    they had no warm-up, and of 1.5 after a warm-up.
     """
     for warm_up_us in (0, 2 * SECOND_US):
         shares = [share for seed in (1, 2) for share in load_shares_of_restarted(warm_up_us, seed)]
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -1,6 +1,6 @@
 """Tests fleets of real sidecar processes under faults, and the figures of the load-spread experiments.
 
-The runs check that no rule is broken, that requests are served, and that converters receive no bursts.
+Each run is checked for broken rules, for the share of requests that are served, and for bursts at converters.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 SEED = 31
 SETTLED_AT_S = 1.0
-MAX_RUNS = 3  # a run in which the machine fell behind is void and repeated
+MAX_RUNS = 3  # runs of a world; a run in which the machine fell behind is void and repeated
 CLASS_SETTINGS: dict[str, float] = {"aim_ms": 400.0, "deadline_ms": 800.0, "worth": 1.0, "late_worth": 0.5}
 
 
@@ -47,7 +47,7 @@
 
 
 def make_world(*faults: Fault, sidecars: int = 12, duration_s: float = 4.2) -> World:
-    """Return a world of nine converters in three zones, at a little under half of their capacity."""
+    """Return a world with nine converters in three zones, loaded at a little less than half of their capacity."""
     return World(
         name="test",
         duration_s=duration_s,
@@ -65,15 +65,15 @@
     )
 
 
-# rules that hold even if the machine falls behind
+# rules that a sidecar must not break even if the machine falls behind
 TIME_INDEPENDENT_RULES = {"second-answer", "forged", "invented", "run-twice", "refused-after-run", "crash"}
 
 
 def run_until_on_time(world: World, folder: Path) -> Run:
-    """Run a world, and return the first run in which the machine did not fall behind.
+    """Run a world until the machine does not fall behind in a run, and return this run.
 
-    Other runs are void and repeated, but still checked by the rules that do not depend on time. Fails the test after
-    `MAX_RUNS` void runs.
+    The other runs are void, and checked only for the rules that do not depend on time. Fails the test after `MAX_RUNS`
+    void runs.
     """
     for _ in range(MAX_RUNS):
         history = harness.run_world(world, SEED, folder)
@@ -106,7 +106,7 @@
 
 
 def service_level_from(run: Run, begin_s: float) -> float:
-    """Return the service level of operations that were due from a time on."""
+    """Return the service level of the operations that were due from `begin_s` to the end of the run."""
     return figures.service_level(run.operations, figures.due_between(begin_s, run.world.duration_s))
 
 
@@ -117,7 +117,7 @@
     killed = {incarnation.sidecar for incarnation in incarnations if incarnation.killed}
     assert len(killed) == 6 and len(incarnations) == 24 and not any(incarnation.crashed for incarnation in incarnations)
     assert_no_breaches_or_bursts(run)
-    # clients of killed sidecars lose requests until these have restarted, so only the other clients are checked
+    # clients of the killed sidecars lose requests until their sidecars have restarted, so these clients are left out
     assert kill.service_of_survivors(run, killed) >= 0.97
     last_ready_s = max(incarnation.ready_us for incarnation in incarnations) / 1e6
     assert service_level_from(run, last_ready_s + 0.3) >= 0.95
@@ -132,7 +132,7 @@
 
 
 def first_notices_us(run: Run, uid: str, state: str) -> dict[int, int]:
-    """Return when each sidecar was first notified of a converter's state."""
+    """Return when each sidecar was first notified that a converter has a state."""
     at_us_by_sidecar: dict[int, int] = {}
     for notice in run.history.notices:
         if notice.uid == uid and notice.state == state:
@@ -141,7 +141,7 @@
 
 
 def removed_and_added_uids(run: Run) -> tuple[list[str], list[str]]:
-    """Return the converters that a release stopped, and their replacements."""
+    """Return the uids of the converters that a release stopped, and those of their replacements."""
     schedule = timeline.build(run.world, run.seed)
     removed = [
         step.uid for step in schedule.steps if step.target is TargetKind.CONVERTER and step.action is FaultAction.STOP
@@ -185,13 +185,13 @@
         for attempt in run.history.converter_attempts
         if 1.2e6 < attempt.received_us < 2.5e6
     )
-    # with random draws over all converters it would be 0.43, as the zone's sidecars have 0.29 of the traffic
+    # with random draws over all converters, the share would be 0.43, as the sidecars of the zone have 0.29 of the traffic
     assert lists.share_across_cut(run, 1.8, 2.6) < 0.43
     assert service_level_from(run, 3.6) >= 0.95
 
 
 def was_executed_across_cut(run: Run, attempt: ConverterAttempt) -> bool:
-    """Return whether an attempt was executed on the other side of the cut than its sidecar."""
+    """Return whether an attempt was executed by a converter that the cut separates from the attempt's sidecar."""
     sidecar = next(
         client_attempt.sidecar
         for client_attempt in run.history.client_attempts
@@ -235,7 +235,7 @@
         msgspec.structs.replace(make_world(), discovery=Discovery(slice_size=10), faults=[stale])
 
 
-# Figures of records written by hand
+# Figures that are calculated from handwritten records
 
 
 def test_evenness_is_relative_to_random_choice() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -49,7 +49,7 @@
     return [claim.name for claim in claims if not claim.holds]
 
 
-# scale-control: reports of lightweight forwarders
+# `scale-control`: reports of lightweight forwarders
 
 
 def make_forwarder(index: int = 0, in_use: int = 30) -> LightweightForwarder:
@@ -118,7 +118,7 @@
     assert len(make_report(forwarder).counters) == 200
 
 
-# scale-control: figures and claims
+# `scale-control`: figures and claims
 
 
 def make_planner_reading(
@@ -130,7 +130,7 @@
 
 
 def test_overloaded_planner_does_not_seem_cheap() -> None:
-    # 100 forwarders, 20 ms per tick, 1 ms per report; the overloaded planner handles only half of the ticks and reports
+    # 100 forwarders, 20 ms of CPU time per tick and 1 ms per report; the overloaded planner handles only half of both
     punctual = control.planner_figures(
         100, 10.0, make_planner_reading(1.0, 0.0, 0, 0), make_planner_reading(3.8, 0.8, 40, 2000)
     )
@@ -316,7 +316,7 @@
     )
     assert us_with_long_list > us_with_short_list > 0
     opened_counts = [len(balancer.membership.pools[0].subset.members) for balancer in balancers]
-    assert opened_counts[0] == 30 and 230 <= opened_counts[1] <= 300  # 4, and one more per 1.5 calls a second
+    assert opened_counts[0] == 30 and 230 <= opened_counts[1] <= 300  # 4, plus one for each 1.5 calls per second
     call_count = balancer_cost.BATCH_COUNT * balancer_cost.CALLS_PER_BATCH
     assert all(not balancer.requests and served_counts[id(balancer)] == call_count for balancer in balancers)
 
@@ -414,7 +414,7 @@
 
 
 def test_attempts_without_a_retry_budget_exceed_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryPolicy, "charge_budget", RetryPolicy.charge_budget)  # so that it is restored
+    monkeypatch.setattr(RetryPolicy, "charge_budget", RetryPolicy.charge_budget)  # restores it after the test
     seeded_faults.SEEDED_FAULTS["no-budget"]()
     chain = make_chain(1, 0.5, call_count=300)
     assert ChainFigures.from_outcome(chain, run_chain(chain)).over_bound > 1.0
--- a/tests/test_scale_fail.py
+++ b/tests/test_scale_fail.py
@@ -12,9 +12,9 @@
 
 
 def make_loss_figures() -> dict[str, float]:
-    """Return figures in which a change costs a sidecar 100 us sent singly and 20 us in one message with others.
+    """Return figures in which a change costs a sidecar 100 us if it is sent alone, and 20 us in a combined message.
 
-    A message costs discovery 10 us.
+    Each message costs discovery 10 us.
     """
     figures: dict[str, float] = {}
     for changes in BURST_SIZES:
@@ -25,7 +25,7 @@
         }
     for count in FLEET_SIZES[Scale.SMALL]:
         figures |= {
-            # the constant part is not a cost of the fleet
+            # the constant 0.5 s does not grow with the fleet, so it must not count as a cost of the fleet
             f"zone_stand_in_cpu_s_{count}": 1e-5 * ZONE_SIZE * count + 0.5,
             f"zone_together_stand_in_cpu_s_{count}": 1e-5 * count,
         }
--- a/tests/test_scale_list.py
+++ b/tests/test_scale_list.py
@@ -19,7 +19,7 @@
 def run_with_sidecars(
     check: Callable[[WatchServer, LightweightSidecars], Awaitable[None]], keeps_revisions: bool = True
 ) -> None:
-    """Run a script once lightweight sidecars in this process have the list."""
+    """Start discovery and lightweight sidecars in this process, and run a check once all sidecars have the list."""
 
     async def run_check() -> None:
         address = (f"127.{find_network()}.254.2", endpoint_list.PORT)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize(
-    ("needs", "machine", "reason"),
+    ("requirements", "machine", "reason"),
     [
         (ResourceRequirements(9, GB), MachineResources(24 * GB, 15 * GB, 1024), "9 processes"),
         (ResourceRequirements(8, 11 * GB), MachineResources(64 * GB, 60 * GB, 1024), "at most 10.0 GB"),
@@ -92,10 +92,10 @@
     ],
 )
 def test_requirements_beyond_the_machine_are_rejected(
-    needs: ResourceRequirements, machine: MachineResources, reason: str
+    requirements: ResourceRequirements, machine: MachineResources, reason: str
 ) -> None:
     with pytest.raises(InsufficientResourcesError, match=reason):
-        check_requirements(needs, machine)
+        check_requirements(requirements, machine)
 
 
 def test_requirements_within_the_machine_are_accepted() -> None:
@@ -106,7 +106,7 @@
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     def measure(*_: object) -> NoReturn:
-        raise InsufficientResourcesError("9 processes asked for, at most 8 may be")
+        raise InsufficientResourcesError("9 processes required, at most 8 are allowed")
 
     monkeypatch.setitem(experiment.ALL_EXPERIMENTS, "planner-scale", Benchmark("planner-scale", "", measure, ()))
     cli_result = CliRunner().invoke(main, ["experiment", "run", "planner-scale", "--out", str(tmp_path)])
