--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -161,11 +161,11 @@
 
 def _highest_sum(changes: list[tuple[int, int]]) -> int:
     """Return the highest running sum of changes in the order of their times. At equal times, ends precede begins."""
-    count = highest = 0
+    current_sum = highest_sum = 0
     for _, change in sorted(changes):
-        count += change
-        highest = max(highest, count)
-    return highest
+        current_sum += change
+        highest_sum = max(highest_sum, current_sum)
+    return highest_sum
 
 
 def connection_occupancy(connections: Iterable[ConnectionRecord]) -> Occupancy:
@@ -175,24 +175,28 @@
 
 def execution_occupancy(attempts: Iterable[ConverterAttempt]) -> Occupancy:
     """Return how many requests the converters executed at the same time."""
-    executed = [attempt for attempt in attempts if attempt.started_us != NEVER]
-    return measure_occupancy(Span(attempt.uid, attempt.started_us, attempt.finished_us) for attempt in executed)
+    executed_attempts = [attempt for attempt in attempts if attempt.started_us != NEVER]
+    return measure_occupancy(
+        Span(attempt.uid, attempt.started_us, attempt.finished_us) for attempt in executed_attempts
+    )
 
 
 def steady_uids(instances: Iterable[Instance], excluded_indices: Iterable[int]) -> list[str]:
     """Return the uids of the converters that ran and were warm from the beginning, except `excluded_indices`."""
-    excluded = set(excluded_indices)
-    return [instance.uid for instance in instances if instance.start_us is None and instance.index not in excluded]
+    excluded_set = set(excluded_indices)
+    return [instance.uid for instance in instances if instance.start_us is None and instance.index not in excluded_set]
 
 
 def served_operations_share(history: History) -> float:
     """Return the share of operations that were served by their first attempt or a retry, however late."""
     operations = {attempt.arrival for attempt in history.client_attempts}
-    served = {attempt.arrival for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED}
-    return len(served) / max(1, len(operations))
+    served_operations = {
+        attempt.arrival for attempt in history.client_attempts if attempt.outcome is RequestOutcome.SERVED
+    }
+    return len(served_operations) / max(1, len(operations))
 
 
 def rejected_share(history: History) -> float:
     """Return the share of the clients' attempts that were rejected."""
-    rejected = sum(attempt.outcome is RequestOutcome.REFUSED for attempt in history.client_attempts)
-    return rejected / max(1, len(history.client_attempts))
+    rejected_count = sum(attempt.outcome is RequestOutcome.REFUSED for attempt in history.client_attempts)
+    return rejected_count / max(1, len(history.client_attempts))
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -57,12 +57,14 @@
 
 def fleet_with_kill(scale: Scale) -> World:
     """Return the fleet with a third of its sidecars killed at once and restarted together."""
-    kill = Fault(kind=FaultKind.SIDECAR_KILL, at_s=KILL_AT_S, target_share=KILLED_SHARE, down_s=KILL_DOWN_S)
-    return msgspec.structs.replace(fleet(scale), duration_s=KILL_DURATION_S, faults=[kill])
+    kill_fault = Fault(kind=FaultKind.SIDECAR_KILL, at_s=KILL_AT_S, target_share=KILLED_SHARE, down_s=KILL_DOWN_S)
+    return msgspec.structs.replace(fleet(scale), duration_s=KILL_DURATION_S, faults=[kill_fault])
 
 
 def fleet_with_differing_lists(scale: Scale) -> World:
     """Return the fleet with stale lists at half of its sidecars during a release, and with a zone cut off later."""
-    stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=STALE_AT_S, for_s=STALE_DURATION_S, target_share=STALE_SHARE)
-    cut = Fault(kind=FaultKind.ZONE_CUT, at_s=CUT_AT_S, for_s=CUT_DURATION_S, zone=CUT_ZONE)
-    return msgspec.structs.replace(fleet(scale), duration_s=LISTS_DURATION_S, faults=[stale, RELEASE, cut])
+    stale_fault = Fault(
+        kind=FaultKind.DISCOVERY_STALE, at_s=STALE_AT_S, for_s=STALE_DURATION_S, target_share=STALE_SHARE
+    )
+    cut_fault = Fault(kind=FaultKind.ZONE_CUT, at_s=CUT_AT_S, for_s=CUT_DURATION_S, zone=CUT_ZONE)
+    return msgspec.structs.replace(fleet(scale), duration_s=LISTS_DURATION_S, faults=[stale_fault, RELEASE, cut_fault])
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -34,9 +34,9 @@
     return min(last_ready_s + fleets.RECOVERY_S, run.world.duration_s - measures.EVENNESS_WINDOW_S)
 
 
-def service_of_survivors(run: Run, killed: set[int]) -> float:
+def service_of_survivors(run: Run, killed_sidecars: set[int]) -> float:
     """Return the service level of the clients whose sidecars were not killed."""
-    return figures.service_level(run.operations, lambda operation: operation.sidecar not in killed)
+    return figures.service_level(run.operations, lambda operation: operation.sidecar not in killed_sidecars)
 
 
 def service_of_restarted(run: Run) -> float:
@@ -62,12 +62,12 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    killed = {incarnation.sidecar for incarnation in run.history.incarnations if incarnation.killed}
-    min_killed = run.world.sidecars.count / 3
+    killed_sidecars = {incarnation.sidecar for incarnation in run.history.incarnations if incarnation.killed}
+    min_killed_count = run.world.sidecars.count / 3
     return [
-        Claim("sidecars killed at once", len(killed), ">=", min_killed),
-        Claim("sidecars started again", len(restarted_incarnations(run)), "==", len(killed)),
-        Claim("service of the others' clients", service_of_survivors(run, killed), ">=", MIN_SERVICE_LEVEL),
+        Claim("sidecars killed at once", len(killed_sidecars), ">=", min_killed_count),
+        Claim("sidecars started again", len(restarted_incarnations(run)), "==", len(killed_sidecars)),
+        Claim("service of the others' clients", service_of_survivors(run, killed_sidecars), ">=", MIN_SERVICE_LEVEL),
         Claim("service of their own, 1 s after their start", service_of_restarted(run), ">=", MIN_SERVICE_LEVEL),
         *measures.burst_claims(measures.measure_bursts(run)),
     ]
--- a/ryepier/experiments/load_spread/processes/memory.py
+++ b/ryepier/experiments/load_spread/processes/memory.py
@@ -11,8 +11,8 @@
 
 def needed_bytes(world: World) -> int:
     """Return the memory, in bytes, that all processes of a world together may need."""
-    emulator_processes = 1 + world.harness.converter_processes + world.harness.client_processes
-    return world.sidecars.count * SIDECAR_BYTES + emulator_processes * EMULATOR_BYTES
+    emulator_process_count = 1 + world.harness.converter_processes + world.harness.client_processes
+    return world.sidecars.count * SIDECAR_BYTES + emulator_process_count * EMULATOR_BYTES
 
 
 def check_memory(world: World, machine: MachineResources) -> None:
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -82,7 +82,7 @@
         self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
         """Remove each new upstream, and return those removed."""
-        return [removed for upstream in new_upstreams for removed in self.leave(upstream)]
+        return [removed_upstream for upstream in new_upstreams for removed_upstream in self.leave(upstream)]
 
 
 class ForgettingBalancer(Balancer):
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -37,19 +37,19 @@
 
 def _claims(load_name: str, treatment: FleetOutcome, control: FleetOutcome) -> list[Claim]:
     span = (treatment.begin_us, treatment.end_us)
-    crowded = measures.crowded_windows(treatment.received_us, *span, CROWDED_WINDOW_US)
-    empty = measures.empty_windows(treatment.received_us, *span, EXPECTED_PER_WINDOW)
+    crowded_windows = measures.crowded_windows(treatment.received_us, *span, CROWDED_WINDOW_US)
+    empty_windows = measures.empty_windows(treatment.received_us, *span, EXPECTED_PER_WINDOW)
     connections_ratio = treatment.mean_open_connections / control.mean_open_connections
     connections_claim_name = f"{load_name}: connections over those without the mending"
     return [
-        _rare_claim(f"{load_name}: windows of 100 ms above the Poisson quantile", crowded),
-        _rare_claim(f"{load_name}: windows without a request where 12 are expected", empty),
+        _rare_claim(f"{load_name}: windows of 100 ms above the Poisson quantile", crowded_windows),
+        _rare_claim(f"{load_name}: windows without a request where 12 are expected", empty_windows),
         Claim(f"{load_name}: refused", treatment.rejected_share, "<=", MAX_REJECTED_SHARE),
         Claim(connections_claim_name, connections_ratio, "<=", MAX_CONNECTIONS_RATIO),
     ]
 
 
-def _figures(load_name: str, outcome: FleetOutcome, sidecars: int) -> dict[str, float]:
+def _figures(load_name: str, outcome: FleetOutcome, sidecar_count: int) -> dict[str, float]:
     spread = measures.measure_spread(outcome.received_us, outcome.begin_us, outcome.end_us)
     return {
         f"{load_name}_variation": spread.variation,
@@ -59,8 +59,8 @@
         f"{load_name}_refused": outcome.rejected_share,
         f"{load_name}_late": outcome.late_share,
         f"{load_name}_p99_ms": outcome.p99_ms,
-        f"{load_name}_connections_a_sidecar": outcome.mean_open_connections / sidecars,
-        f"{load_name}_opened_per_s_a_sidecar": outcome.opened_per_s / sidecars,
+        f"{load_name}_connections_a_sidecar": outcome.mean_open_connections / sidecar_count,
+        f"{load_name}_opened_per_s_a_sidecar": outcome.opened_per_s / sidecar_count,
     }
 
 
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -59,7 +59,7 @@
     requests = [request for request in world.requests if request.arrived_us >= begin_us]
     latencies_us = [request.ended_us - request.arrived_us for request in requests if request.served]
     counters = [converter.connections for converter in world.converters]
-    restarted = [converter for converter in world.converters if converter.started_us]
+    restarted_converters = [converter for converter in world.converters if converter.started_us]
     return FleetOutcome(
         received_us=[converter.received_us for converter in world.converters],
         begin_us=begin_us,
@@ -70,7 +70,9 @@
         p99_ms=float(np.percentile(latencies_us, 99)) / US_PER_MS,
         mean_open_connections=sum(counter.mean_open(begin_us, end_us) for counter in counters),
         opened_per_s=sum(counter.opened for counter in counters) * SECOND_US / (end_us - begin_us),
-        worst_warm_up_load=max((worst_warm_up_load(trial.plan, converter) for converter in restarted), default=0.0),
+        worst_warm_up_load=max(
+            (worst_warm_up_load(trial.plan, converter) for converter in restarted_converters), default=0.0
+        ),
     )
 
 
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -212,13 +212,14 @@
 
 async def run_phase(trial: CallTrial, phase: Phase, sidecar: Sidecar, direct_target: Target) -> dict[str, float]:
     """Call at the phase's rate, first to warm up and then measured, and return the figures."""
-    rate = phase.rate_per_s
-    sidecar_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} through")
-    direct_random = draws.stream(trial.seed, f"calls {rate} {sidecar.known_count} direct")
+    rate_per_s = phase.rate_per_s
+    sidecar_random = draws.stream(trial.seed, f"calls {rate_per_s} {sidecar.known_count} through")
+    direct_random = draws.stream(trial.seed, f"calls {rate_per_s} {sidecar.known_count} direct")
 
     async def run_calls(duration_s: float) -> None:
         await asyncio.gather(
-            sidecar.target.run(rate, duration_s, sidecar_random), direct_target.run(rate, duration_s, direct_random)
+            sidecar.target.run(rate_per_s, duration_s, sidecar_random),
+            direct_target.run(rate_per_s, duration_s, direct_random),
         )
 
     await run_calls(phase.warm_up_s)
@@ -226,14 +227,14 @@
     direct_target.reset()
     cpu_before = sidecar.cpu_time()
     await run_calls(phase.duration_s)
-    cpu = sidecar.cpu_time().since(cpu_before)
-    name = f"{rate}_per_s_{sidecar.known_count}_known"
-    return phase_figures(name, phase.duration_s, sidecar.target, direct_target, cpu)
+    cpu_time = sidecar.cpu_time().since(cpu_before)
+    phase_name = f"{rate_per_s}_per_s_{sidecar.known_count}_known"
+    return phase_figures(phase_name, phase.duration_s, sidecar.target, direct_target, cpu_time)
 
 
-def top_functions(path: Path, calls: int) -> list[FunctionCost]:
+def top_functions(profile_path: Path, call_count: int) -> list[FunctionCost]:
     """Return the functions of `PROFILED_FOLDERS` that took the most CPU time in a profile, in descending order."""
-    stats = pstats.Stats(str(path))
+    stats = pstats.Stats(str(profile_path))
     us_per_call: dict[str, float] = {}
     for (file, line_number, function), (_, _, own_s, _, _) in stats.stats.items():  # type: ignore[attr-defined]
         if not Path(file).parent.as_posix().endswith(PROFILED_FOLDERS):
@@ -241,7 +242,7 @@
         # comprehensions and lambdas have no name of their own
         line_suffix = f"_line_{line_number}" if function.startswith("<") else ""
         name = f"{Path(file).stem}.{function.strip('<>')}{line_suffix}"
-        us_per_call[name] = us_per_call.get(name, 0.0) + own_s * 1e6 / max(1, calls)
+        us_per_call[name] = us_per_call.get(name, 0.0) + own_s * 1e6 / max(1, call_count)
     costs = [FunctionCost(name, own_us) for name, own_us in us_per_call.items()]
     return sorted(costs, key=lambda cost: -cost.us_per_call)[:MAX_PROFILED_FUNCTIONS]
 
@@ -332,11 +333,11 @@
 
 def make_claims(figures: Mapping[str, float]) -> list[Claim]:
     """Return the claims on the figures."""
-    fewest_known = KNOWN_COUNTS[0]
+    smallest_known_count = KNOWN_COUNTS[0]
     return [
         Claim(
-            f"share of calls served at {DESIGN_RATE_PER_S} a second, {fewest_known} known",
-            figures[f"served_share_{DESIGN_RATE_PER_S}_per_s_{fewest_known}_known"],
+            f"share of calls served at {DESIGN_RATE_PER_S} a second, {smallest_known_count} known",
+            figures[f"served_share_{DESIGN_RATE_PER_S}_per_s_{smallest_known_count}_known"],
             ">=",
             MIN_SERVED_SHARE,
         ),
--- a/ryepier/experiments/scale/capacity/page.py
+++ b/ryepier/experiments/scale/capacity/page.py
@@ -37,11 +37,11 @@
     """Return the page with the text between its markers replaced. Raises CapacityError if it lacks a marker."""
     for name, text in parts.items():
         begin_marker, end_marker = BEGIN_MARKER.format(name), END_MARKER.format(name)
-        before, found_begin, rest = page.partition(begin_marker)
-        _, found_end, after = rest.partition(end_marker)
+        text_before, found_begin, rest = page.partition(begin_marker)
+        _, found_end, text_after = rest.partition(end_marker)
         if not found_begin or not found_end:
             raise CapacityError(f"the page has no marker {begin_marker if not found_begin else end_marker}")
-        page = f"{before}{begin_marker}\n\n{text}\n\n{end_marker}{after}"
+        page = f"{text_before}{begin_marker}\n\n{text}\n\n{end_marker}{text_after}"
     return page
 
 
@@ -50,10 +50,10 @@
 
     Rows without a mechanism come first, then the others by the size at which their budget is used up.
     """
-    missing = [result for result in results if result.standing is Standing.MISSING]
-    breaking = [result for result in results if result.breaks_at is not None]
-    breaking.sort(key=lambda result: (result.breaks_at or 0.0, -(result.share or 0.0)))
-    return (missing + breaking)[:MAX_LIMITS]
+    missing_results = [result for result in results if result.standing is Standing.MISSING]
+    limited_results = [result for result in results if result.breaks_at is not None]
+    limited_results.sort(key=lambda result: (result.breaks_at or 0.0, -(result.share or 0.0)))
+    return (missing_results + limited_results)[:MAX_LIMITS]
 
 
 def format_number(value: float) -> str:
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -71,9 +71,9 @@
             "experiment": row.experiment,
             "note": row.note,
         }
-        names = zip(self.__struct_fields__, self.__struct_encode_fields__, strict=True)
+        field_names = zip(self.__struct_fields__, self.__struct_encode_fields__, strict=True)
         return row_fields | {
-            output_name: msgspec.to_builtins(getattr(self, name)) for name, output_name in names if name != "row"
+            output_name: msgspec.to_builtins(getattr(self, name)) for name, output_name in field_names if name != "row"
         }
 
 
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -91,12 +91,12 @@
         for failing_share in FAILING_SHARES
         for depth in DEPTHS
     }
-    deepest = _make_chain(DEPTHS[-1], VARIED_FAILING_SHARE, seed, scale)
+    deepest_chain = _make_chain(DEPTHS[-1], VARIED_FAILING_SHARE, seed, scale)
     replace = msgspec.structs.replace
     return chains | {
-        NON_IDEMPOTENT_RUN: replace(deepest, idempotency=Idempotency.NON_IDEMPOTENT),
-        "same_aim_11_deep_0.5_failing": replace(deepest, fixed_objective_us=FIXED_OBJECTIVE_US),
-        "short_11_deep_0.5_failing": replace(deepest, deadline_us=SHORT_DEADLINE_US),
+        NON_IDEMPOTENT_RUN: replace(deepest_chain, idempotency=Idempotency.NON_IDEMPOTENT),
+        "same_aim_11_deep_0.5_failing": replace(deepest_chain, fixed_objective_us=FIXED_OBJECTIVE_US),
+        "short_11_deep_0.5_failing": replace(deepest_chain, deadline_us=SHORT_DEADLINE_US),
     }
 
 
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -57,8 +57,11 @@
 def required_resources(scale: Scale) -> ResourceRequirements:
     """Return the resources of the larger of the two parts, as these run one after the other."""
     sidecar_bytes = max(
-        count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
-        for count, known_count in ((LISTENER_COUNT[scale], KNOWN_COUNT), (FLEET_SIZES[scale][-1], FLEET_KNOWN_COUNT))
+        sidecar_count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
+        for sidecar_count, known_count in (
+            (LISTENER_COUNT[scale], KNOWN_COUNT),
+            (FLEET_SIZES[scale][-1], FLEET_KNOWN_COUNT),
+        )
     )
     return ResourceRequirements(
         1 + PROCESS_COUNT, (1 + PROCESS_COUNT) * PROCESS_BYTES + sidecar_bytes, sockets=FLEET_SIZES[scale][-1]
@@ -184,29 +187,29 @@
         _fit(figures, "burst_cpu_ms", BURST_SIZES),
         _fit(figures, "together_cpu_ms", BURST_SIZES),
     )
-    fleet_singly_line = _fit(figures, "zone_stand_in_cpu_s", FLEET_SIZES[scale])
-    fleet_together_line = _fit(figures, "zone_together_stand_in_cpu_s", FLEET_SIZES[scale])
-    result = {
+    discovery_singly_line = _fit(figures, "zone_stand_in_cpu_s", FLEET_SIZES[scale])
+    discovery_together_line = _fit(figures, "zone_together_stand_in_cpu_s", FLEET_SIZES[scale])
+    costs = {
         "change_cpu_us": single_change_line.per_unit * 1000,
         "change_residual": single_change_line.relative_residual,
-        "message_us": fleet_singly_line.per_unit * 1e6 / ZONE_SIZE,
+        "message_us": discovery_singly_line.per_unit * 1e6 / ZONE_SIZE,
     }
     for name, size, sidecar_count in (
         ("rack", RACK_SIZE, FLEET_SIZE),
         ("zone", ZONE_SIZE, FLEET_SIZE),
         ("region", REGION_SIZE, FLEET_SIZE - REGION_SIZE),
     ):
-        result |= {
+        costs |= {
             f"{name}_messages": float(size * sidecar_count),
             f"{name}_mb": figures[f"burst_bytes_{size}"] * sidecar_count / 1e6,
             f"{name}_sidecar_ms": single_change_line.at(size).value,
-            f"{name}_singly_last_s": fleet_singly_line.per_unit * sidecar_count * size / ZONE_SIZE
+            f"{name}_singly_last_s": discovery_singly_line.per_unit * sidecar_count * size / ZONE_SIZE
             + single_change_line.at(size).value / 1000,
             # a longer message takes longer to write; its whole cost is assumed to be proportional to the changes in it
-            f"{name}_together_last_s": fleet_together_line.per_unit * sidecar_count * max(1.0, size / ZONE_SIZE)
+            f"{name}_together_last_s": discovery_together_line.per_unit * sidecar_count * max(1.0, size / ZONE_SIZE)
             + combined_change_line.at(size).value / 1000,
         }
-    return result
+    return costs
 
 
 def make_claims(figures: Mapping[str, float]) -> list[Claim]:
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -55,9 +55,9 @@
 
     def pick_active(self, count: int) -> list[Entry]:
         """Return `count` distinct active entries, drawn at random."""
-        active = self.active_entries()
-        chosen_indices = self.random.choice(len(active), size=count, replace=False)
-        return [active[int(index)] for index in chosen_indices]
+        candidates = self.active_entries()
+        chosen_indices = self.random.choice(len(candidates), size=count, replace=False)
+        return [candidates[int(index)] for index in chosen_indices]
 
     def change(self, entries: Sequence[Entry], state: str = "") -> None:
         """Add or update entries in the list, each as its own revision. A `state` replaces the state of each entry."""
--- a/ryepier/experiments/scale/instrumented_planner.py
+++ b/ryepier/experiments/scale/instrumented_planner.py
@@ -50,13 +50,13 @@
 
     def install(self) -> None:
         """Patch `PlannerServer.tick` to measure the ticks, and start the thread that writes the usage."""
-        run_tick = PlannerServer.tick
+        original_tick = PlannerServer.tick
         recorder = self
 
         def measured_tick(self: PlannerServer, now_us: int, tick_number: int) -> None:
             recorder._counts = self.counts
             cpu_before_s = time.thread_time()
-            run_tick(self, now_us, tick_number)
+            original_tick(self, now_us, tick_number)
             recorder._tick_cpu_s += time.thread_time() - cpu_before_s
             recorder._ticks = tick_number
 
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -85,7 +85,7 @@
     def install(self) -> None:
         """Patch the forwarder module to count the bytes that all forwarders of this process write and read."""
         counts = self
-        receive = forwarder.PlannerConnection.data_received
+        original_receive = forwarder.PlannerConnection.data_received
 
         def encode_and_count(message: Message) -> bytes:
             data = encode(message)
@@ -94,7 +94,7 @@
 
         def receive_and_count(self: forwarder.PlannerConnection, data: bytes) -> None:
             counts.bytes_in += len(data)
-            receive(self, data)
+            original_receive(self, data)
 
         setattr(forwarder, "encode", encode_and_count)  # noqa: B010
         forwarder.PlannerConnection.data_received = receive_and_count  # type: ignore[method-assign]
@@ -173,23 +173,23 @@
         elapsed_s = now_s - self.simulated_until_s
         self.simulated_until_s = now_s
         uids = list(self.upstream_ids)
-        counts = self.random.poisson(CALLS_PER_S * elapsed_s / len(uids), len(uids)).tolist()
-        for uid, count in zip(uids, counts, strict=True):
-            if count:
-                self._count_calls(uid, count)
+        call_counts = self.random.poisson(CALLS_PER_S * elapsed_s / len(uids), len(uids)).tolist()
+        for uid, call_count in zip(uids, call_counts, strict=True):
+            if call_count:
+                self._count_calls(uid, call_count)
         self._replace_calls_in_flight(uids)
 
-    def _count_calls(self, uid: str, count: int) -> None:
+    def _count_calls(self, uid: str, call_count: int) -> None:
         record = self.reporter.records[uid]
-        record.attempts += count
+        record.attempts += call_count
         record.changed = True
         if uid == self.hung_uid:
-            record.failed += count
+            record.failed += call_count
             return
-        fast_count = count // FAST_ANSWER_DIVISOR
+        fast_count = call_count // FAST_ANSWER_DIVISOR
         bucket = latency_bucket(ANSWER_LATENCY_US)
-        record.served += count
-        record.latencies[bucket] += count - fast_count
+        record.served += call_count
+        record.latencies[bucket] += call_count - fast_count
         record.latencies[bucket - 1] += fast_count
 
     def _replace_calls_in_flight(self, uids: list[str]) -> None:
--- a/ryepier/experiments/scale/seeded_faults.py
+++ b/ryepier/experiments/scale/seeded_faults.py
@@ -17,12 +17,12 @@
 
 def scan_all_upstreams() -> None:
     """Scan all upstreams `EXTRA_SCAN_COUNT` additional times at each selection."""
-    select = Selector.select
+    original_select = Selector.select
 
     def select_after_scans(self: Selector, request: PendingRequest, now_us: int) -> TrackedUpstream | None:
         for _ in range(EXTRA_SCAN_COUNT):
             self.candidates_with_free_slots(request, list(self.membership.by_id.values()), True, now_us)
-        return select(self, request, now_us)
+        return original_select(self, request, now_us)
 
     Selector.select = select_after_scans  # type: ignore[method-assign]
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -48,24 +48,26 @@
 
 
 def test_row_value_is_the_fitted_line_at_the_design_size() -> None:
-    evaluated = evaluate_row(make_row(), [make_result(LINEAR_FIGURES)], PLAN)
-    assert evaluated.standing == "carried" and evaluated.is_extrapolated
-    assert evaluated.value is not None and evaluated.value.median == pytest.approx(161.0)
-    assert evaluated.share == pytest.approx(0.805) and evaluated.breaks_at == pytest.approx(199 / 160)
-    assert evaluated.slope is not None and evaluated.slope.median == pytest.approx(0.1)
+    row_result = evaluate_row(make_row(), [make_result(LINEAR_FIGURES)], PLAN)
+    assert row_result.standing == "carried" and row_result.is_extrapolated
+    assert row_result.value is not None and row_result.value.median == pytest.approx(161.0)
+    assert row_result.share == pytest.approx(0.805) and row_result.breaks_at == pytest.approx(199 / 160)
+    assert row_result.slope is not None and row_result.slope.median == pytest.approx(0.1)
 
 
 def test_row_over_budget_reports_the_share_of_the_size_that_fits() -> None:
-    evaluated = evaluate_row(make_row(budget=81.0), [make_result(LINEAR_FIGURES)], PLAN)
-    assert evaluated.standing == "over" and evaluated.breaks_at == pytest.approx(0.5)
+    row_result = evaluate_row(make_row(budget=81.0), [make_result(LINEAR_FIGURES)], PLAN)
+    assert row_result.standing == "over" and row_result.breaks_at == pytest.approx(0.5)
 
 
 def test_row_reports_range_and_median_over_seeds() -> None:
     results = [make_result({name: value * seed for name, value in LINEAR_FIGURES.items()}, seed) for seed in (3, 1, 2)]
-    evaluated = evaluate_row(make_row(), results, PLAN)
-    assert evaluated.value is not None and evaluated.slope is not None
-    assert (evaluated.value.least, evaluated.value.median, evaluated.value.most) == pytest.approx((161.0, 322.0, 483.0))
-    assert evaluated.seeds == (1, 2, 3) and evaluated.date == "2026-12-03" and evaluated.standing == "over"
+    row_result = evaluate_row(make_row(), results, PLAN)
+    assert row_result.value is not None and row_result.slope is not None
+    assert (row_result.value.least, row_result.value.median, row_result.value.most) == pytest.approx(
+        (161.0, 322.0, 483.0)
+    )
+    assert row_result.seeds == (1, 2, 3) and row_result.date == "2026-12-03" and row_result.standing == "over"
 
 
 def test_row_without_results_or_mechanism_is_marked() -> None:
@@ -85,23 +87,25 @@
         for known_count, share in ((30, 1.0), (150, 0.995), (400, 0.7), (1600, 0.02))
     }
     row = msgspec.structs.replace(make_row(budget=0.01), estimator=table.failed_share)
-    evaluated = evaluate_row(row, [make_result(served_shares)], PLAN)
-    assert evaluated.standing == "over" and evaluated.breaks_at == pytest.approx(150 / 1600)
-    assert evaluated.value is not None and evaluated.value.median == pytest.approx(0.98)
+    row_result = evaluate_row(row, [make_result(served_shares)], PLAN)
+    assert row_result.standing == "over" and row_result.breaks_at == pytest.approx(150 / 1600)
+    assert row_result.value is not None and row_result.value.median == pytest.approx(0.98)
 
 
 def test_seed_without_a_needed_figure_is_left_out() -> None:
-    evaluated = evaluate_row(
+    row_result = evaluate_row(
         make_row(), [make_result(LINEAR_FIGURES), make_result({}, 2), make_result(LINEAR_FIGURES, 3)], PLAN
     )
-    assert evaluated.seeds == (1, 3) and evaluated.value is not None and evaluated.value.median == pytest.approx(161.0)
+    assert (
+        row_result.seeds == (1, 3) and row_result.value is not None and row_result.value.median == pytest.approx(161.0)
+    )
 
 
 def test_rows_without_mechanism_come_before_rows_by_breaking_size() -> None:
     rows = [make_row(budget=budget) for budget in (1000.0, 81.0, 41.0)] + [make_row(mechanism="")]
-    evaluated_rows = first_limits_reached(evaluate(rows, [make_result(LINEAR_FIGURES)], PLAN))
-    assert [evaluated.standing for evaluated in evaluated_rows] == ["missing", "over", "over", "carried"]
-    assert [evaluated.breaks_at for evaluated in evaluated_rows[1:]] == pytest.approx([0.25, 0.5, 999 / 160])
+    row_results = first_limits_reached(evaluate(rows, [make_result(LINEAR_FIGURES)], PLAN))
+    assert [row_result.standing for row_result in row_results] == ["missing", "over", "over", "carried"]
+    assert [row_result.breaks_at for row_result in row_results[1:]] == pytest.approx([0.25, 0.5, 999 / 160])
 
 
 @pytest.mark.parametrize(
@@ -142,22 +146,22 @@
 
 
 def test_result_is_kept_unless_the_run_had_a_seeded_fault(tmp_path: Path) -> None:
-    run, folder = tmp_path / "run", tmp_path / "kept"
-    run.mkdir()
-    folder.mkdir()
+    run_folder, kept_folder = tmp_path / "run", tmp_path / "kept"
+    run_folder.mkdir()
+    kept_folder.mkdir()
     result = {"name": "scale-x", "seed": 2, "scale": "small", "claims": [], "figures": LINEAR_FIGURES, "versions": {}}
-    (run / "result.json").write_text(json.dumps(result))
-    cli_result = CliRunner().invoke(main, ["experiment", "keep", str(run), "--kept", str(folder)])
+    (run_folder / "result.json").write_text(json.dumps(result))
+    cli_result = CliRunner().invoke(main, ["experiment", "keep", str(run_folder), "--kept", str(kept_folder)])
     assert cli_result.exit_code == 0
-    kept_results = read_results(folder)
+    kept_results = read_results(kept_folder)
     assert [(kept_result.name, kept_result.seed, kept_result.figures) for kept_result in kept_results] == [
         ("scale-x", 2, LINEAR_FIGURES)
     ] and len(kept_results[0].date) == 10
-    (run / "result.json").write_text(json.dumps(result | {"plant": "spin"}))
-    assert CliRunner().invoke(main, ["experiment", "keep", str(run), "--kept", str(folder)]).exit_code == 2
-    (folder / "scale-x-3.json").write_bytes((folder / "scale-x-2.json").read_bytes())
+    (run_folder / "result.json").write_text(json.dumps(result | {"plant": "spin"}))
+    assert CliRunner().invoke(main, ["experiment", "keep", str(run_folder), "--kept", str(kept_folder)]).exit_code == 2
+    (kept_folder / "scale-x-3.json").write_bytes((kept_folder / "scale-x-2.json").read_bytes())
     with pytest.raises(CapacityError, match=r"belongs in scale-x-2\.json"):
-        read_results(folder)
+        read_results(kept_folder)
 
 
 def test_every_row_names_an_experiment_or_has_a_note() -> None:
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -30,9 +30,9 @@
     spread = measures.measure_spread(received_times(world), START_US, world.now_us)
     # with 20 converters, the measured standard deviation has a relative error of about a sixth
     assert 0.5 < spread.variation_ratio < 1.5
-    ended = [request for request in world.requests if request.ended_us]
-    assert len(ended) > 0.95 * len(world.requests)
-    assert sum(request.served for request in ended) > 0.98 * len(ended)
+    ended_requests = [request for request in world.requests if request.ended_us]
+    assert len(ended_requests) > 0.95 * len(world.requests)
+    assert sum(request.served for request in ended_requests) > 0.98 * len(ended_requests)
 
 
 def test_shortest_queue_answers_faster_than_random_choice() -> None:
@@ -66,11 +66,13 @@
     plan = FleetPlan(sidecars=10, converters=10, load=0.3, duration_us=5 * SECOND_US, outages=(outage,))
     world = FleetWorld(plan, 5, choosers.make_random)
     world.run()
-    restarted = [converter for converter in world.converters if converter.started_us]
-    assert len(restarted) == 4
+    restarted_converters = [converter for converter in world.converters if converter.started_us]
+    assert len(restarted_converters) == 4
     outage_us = (START_US + outage.at_us, START_US + outage.restart_us)
-    assert all(not outage_us[0] < at_us < outage_us[1] for converter in restarted for at_us in converter.received_us)
-    assert all(converter.received_us[-1] > outage_us[1] for converter in restarted)
+    assert all(
+        not outage_us[0] < at_us < outage_us[1] for converter in restarted_converters for at_us in converter.received_us
+    )
+    assert all(converter.received_us[-1] > outage_us[1] for converter in restarted_converters)
 
 
 def test_converter_queues_jobs_and_rejects_them_when_its_queue_is_full() -> None:
@@ -100,8 +102,8 @@
     converters = [Converter(n, 4, 4) for n in range(3)]
     policy = choosers.RandomChoice(1, converters)
     policy.handle(0, api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(n) for n in range(3)]))
-    removed = [api.Upstream(n, api.UpstreamState.REMOVED) for n in (0, 2)]
-    policy.handle(0, api.UpstreamsUpdated(api.ListKind.DELTA, removed))
+    removed_upstreams = [api.Upstream(n, api.UpstreamState.REMOVED) for n in (0, 2)]
+    policy.handle(0, api.UpstreamsUpdated(api.ListKind.DELTA, removed_upstreams))
     assert policy.handle(0, api.RequestArrived(7, 10)) == [api.Send(7, 1)]
 
 
@@ -115,15 +117,15 @@
 
 
 def test_crowded_and_empty_windows_are_detected() -> None:
-    even = [[10 * n + k for n in range(200)] for k in range(5)]
-    with_burst = [*even[:4], sorted(even[4] + [1000] * 40 + [1500] * 40)]
-    with_gap = [*even[:4], [at_us for at_us in even[4] if at_us < 1000]]
-    assert measures.crowded_windows(even, 0, 2000, 100).count == 0
-    crowded = measures.crowded_windows(with_burst, 0, 2000, 100)
-    assert crowded.count > crowded.allowed_count
-    assert measures.empty_windows(even, 0, 2000, 12).count == 0
-    empty = measures.empty_windows(with_gap, 0, 2000, 12)
-    assert empty.count > empty.allowed_count
+    even_times_us = [[10 * n + k for n in range(200)] for k in range(5)]
+    times_with_burst_us = [*even_times_us[:4], sorted(even_times_us[4] + [1000] * 40 + [1500] * 40)]
+    times_with_gap_us = [*even_times_us[:4], [at_us for at_us in even_times_us[4] if at_us < 1000]]
+    assert measures.crowded_windows(even_times_us, 0, 2000, 100).count == 0
+    rare_crowded_windows = measures.crowded_windows(times_with_burst_us, 0, 2000, 100)
+    assert rare_crowded_windows.count > rare_crowded_windows.allowed_count
+    assert measures.empty_windows(even_times_us, 0, 2000, 12).count == 0
+    rare_empty_windows = measures.empty_windows(times_with_gap_us, 0, 2000, 12)
+    assert rare_empty_windows.count > rare_empty_windows.allowed_count
 
 
 def test_spread_without_requests_is_an_error() -> None:
@@ -182,15 +184,20 @@
 
 
 def test_same_selection_order_in_all_sidecars_crowds_converters() -> None:
-    without_fault, with_fault = count_crowded_windows(run_fleet("")), count_crowded_windows(run_fleet("same-order"))
-    assert without_fault.count <= without_fault.allowed_count
-    assert with_fault.count > with_fault.allowed_count
+    windows_without_fault, windows_with_fault = (
+        count_crowded_windows(run_fleet("")),
+        count_crowded_windows(run_fleet("same-order")),
+    )
+    assert windows_without_fault.count <= windows_without_fault.allowed_count
+    assert windows_with_fault.count > windows_with_fault.allowed_count
 
 
 def test_earlier_balancer_rejects_more_at_half_load() -> None:
     plan = FleetPlan(sidecars=120, converters=30, load=0.5, duration_us=11 * SECOND_US)
-    current, earlier = (run_fleet(seeded_fault, plan, 5 * SECOND_US) for seeded_fault in ("", "private-subsets"))
-    assert current.rejected_share <= 0.005 < earlier.rejected_share
+    current_outcome, earlier_outcome = (
+        run_fleet(seeded_fault, plan, 5 * SECOND_US) for seeded_fault in ("", "private-subsets")
+    )
+    assert current_outcome.rejected_share <= 0.005 < earlier_outcome.rejected_share
 
 
 @pytest.mark.parametrize(
@@ -205,7 +212,7 @@
     assert outcome.worst_warm_up_load <= 1.0
 
 
-def sends_by_upstream(balancer_settings: api.Settings, entries: list[api.Upstream]) -> dict[int, int]:
+def count_sends_by_upstream(balancer_settings: api.Settings, entries: list[api.Upstream]) -> dict[int, int]:
     """Return the sends by upstream for 200 requests that are answered one after another."""
     harness = BalancerHarness(balancer_settings)
     harness.update_upstreams([api.Upstream(entry.id) for entry in entries[:2]])
@@ -220,17 +227,19 @@
 @pytest.mark.parametrize("weight", [0.0, -1.0, math.inf, math.nan])
 def test_invalid_weight_counts_as_one(weight: float) -> None:
     entries = [api.Upstream(n, weight=weight if n == 3 else 1.0) for n in range(4)]
-    sends = sends_by_upstream(settings(hedging=False, weighted=True), entries)
-    assert sum(sends.values()) == 200 and min(sends.get(n, 0) for n in range(4)) >= 10
+    send_counts = count_sends_by_upstream(settings(hedging=False, weighted=True), entries)
+    assert sum(send_counts.values()) == 200 and min(send_counts.get(n, 0) for n in range(4)) >= 10
 
 
 def test_upstream_listed_several_times_gets_a_single_share() -> None:
     entries = [api.Upstream(n) for n in (0, 1, 2, 3, 3, 3)]
-    sends = sends_by_upstream(settings(hedging=False), entries)
-    assert sum(sends.values()) == 200 and 10 <= sends[3] <= 100
+    send_counts = count_sends_by_upstream(settings(hedging=False), entries)
+    assert sum(send_counts.values()) == 200 and 10 <= send_counts[3] <= 100
 
 
 def test_self_index_beyond_the_instances_has_no_effect() -> None:
     entries = [api.Upstream(n) for n in range(8)]
-    valid, out_of_range = (settings(hedging=False, instances=3, self_index=index) for index in (0, 99))
-    assert sends_by_upstream(valid, entries) == sends_by_upstream(out_of_range, entries)
+    valid_settings, out_of_range_settings = (
+        settings(hedging=False, instances=3, self_index=index) for index in (0, 99)
+    )
+    assert count_sends_by_upstream(valid_settings, entries) == count_sends_by_upstream(out_of_range_settings, entries)
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -40,7 +40,7 @@
 CLASS_SETTINGS: dict[str, float] = {"aim_ms": 400.0, "deadline_ms": 800.0, "worth": 1.0, "late_worth": 0.5}
 
 
-def make_class(name: str, share: float, **overrides: object) -> RequestClass:
+def make_request_class(name: str, share: float, **overrides: object) -> RequestClass:
     return msgspec.convert(
         {"name": name, "share": share, "work_ms": [10.0, 70.0], **CLASS_SETTINGS, **overrides}, RequestClass
     )
@@ -53,9 +53,9 @@
         duration_s=duration_s,
         converters=[Converters(count=3, zone=zone, cores=2, queue_limit=8) for zone in "abc"],
         classes=[
-            make_class("read", 0.5),
-            make_class("file", 0.25, effect="at_most_once"),
-            make_class("batch", 0.25, effect="deduplicated", group="cell", memory_ms=600.0),
+            make_request_class("read", 0.5),
+            make_request_class("file", 0.25, effect="at_most_once"),
+            make_request_class("batch", 0.25, effect="deduplicated", group="cell", memory_ms=600.0),
         ],
         clients=Clients(rate_per_s=180.0),
         sidecars=Sidecars(count=sidecars, skew=0.6, zoned=True),
@@ -114,11 +114,15 @@
     fault = Fault(kind=FaultKind.SIDECAR_KILL, at_s=1.2, target_share=0.34, down_s=0.4)
     run = run_until_on_time(make_world(fault, sidecars=18, duration_s=4.6), tmp_path)
     incarnations = run.history.incarnations
-    killed = {incarnation.sidecar for incarnation in incarnations if incarnation.killed}
-    assert len(killed) == 6 and len(incarnations) == 24 and not any(incarnation.crashed for incarnation in incarnations)
+    killed_sidecars = {incarnation.sidecar for incarnation in incarnations if incarnation.killed}
+    assert (
+        len(killed_sidecars) == 6
+        and len(incarnations) == 24
+        and not any(incarnation.crashed for incarnation in incarnations)
+    )
     assert_no_breaches_or_bursts(run)
     # clients of the killed sidecars lose requests until their sidecars have restarted, so these clients are left out
-    assert kill.service_of_survivors(run, killed) >= 0.97
+    assert kill.service_of_survivors(run, killed_sidecars) >= 0.97
     last_ready_s = max(incarnation.ready_us for incarnation in incarnations) / 1e6
     assert service_level_from(run, last_ready_s + 0.3) >= 0.95
 
@@ -143,10 +147,10 @@
 def removed_and_added_uids(run: Run) -> tuple[list[str], list[str]]:
     """Return the uids of the converters that a release stopped, and those of their replacements."""
     schedule = timeline.build(run.world, run.seed)
-    removed = [
+    removed_uids = [
         step.uid for step in schedule.steps if step.target is TargetKind.CONVERTER and step.action is FaultAction.STOP
     ]
-    return removed, [instance.uid for instance in schedule.instances if instance.start_us is not None]
+    return removed_uids, [instance.uid for instance in schedule.instances if instance.start_us is not None]
 
 
 def test_discovery_down_while_converters_are_replaced(tmp_path: Path) -> None:
@@ -154,25 +158,25 @@
     release = Fault(kind=FaultKind.RELEASE, at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
     run = run_until_on_time(make_world(outage, release, duration_s=5.0), tmp_path)
     assert_served_without_breaches(run, 0.9)
-    removed, added = removed_and_added_uids(run)
+    removed_uids, added_uids = removed_and_added_uids(run)
     outage_end_us = (outage.at_s + outage.for_s) * 1e6
-    for uid in removed:
+    for uid in removed_uids:
         notices_us = first_notices_us(run, uid, "left")
         assert len(notices_us) == 12 and min(notices_us.values()) >= outage_end_us
-    assert set(added) <= {attempt.uid for attempt in run.history.converter_attempts}
+    assert set(added_uids) <= {attempt.uid for attempt in run.history.converter_attempts}
     assert service_level_from(run, 4.0) >= 0.95
 
 
 def test_stale_lists_at_half_of_the_sidecars(tmp_path: Path) -> None:
-    stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=0.9, for_s=2.1, target_share=0.5)
+    stale_fault = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=0.9, for_s=2.1, target_share=0.5)
     release = Fault(kind=FaultKind.RELEASE, at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
-    run = run_until_on_time(make_world(stale, release, duration_s=4.4), tmp_path)
+    run = run_until_on_time(make_world(stale_fault, release, duration_s=4.4), tmp_path)
     assert_served_without_breaches(run, 0.9)
-    removed, added = removed_and_added_uids(run)
-    for uid in removed:
+    removed_uids, added_uids = removed_and_added_uids(run)
+    for uid in removed_uids:
         notices_us = first_notices_us(run, uid, "left")
         assert len(notices_us) == 12 and sum(at_us >= 3.0e6 for at_us in notices_us.values()) == 6
-    assert set(added) <= {attempt.uid for attempt in run.history.converter_attempts}
+    assert set(added_uids) <= {attempt.uid for attempt in run.history.converter_attempts}
     assert service_level_from(run, SETTLED_AT_S) >= 0.95
 
 
@@ -185,7 +189,7 @@
         for attempt in run.history.converter_attempts
         if 1.2e6 < attempt.received_us < 2.5e6
     )
-    # with random draws over all converters, the share would be 0.43, as the sidecars of the zone have 0.29 of the traffic
+    # with random draws over all converters, the share would be 0.43, as the zone's sidecars have 0.29 of the traffic
     assert lists.share_across_cut(run, 1.8, 2.6) < 0.43
     assert service_level_from(run, 3.6) >= 0.95
 
@@ -230,20 +234,22 @@
 
 
 def test_stale_lists_need_the_platforms_list_format() -> None:
-    stale = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=1.0, for_s=1.0)
+    stale_fault = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=1.0, for_s=1.0)
     with pytest.raises(ValueError, match="only where the list comes from the platform's agents"):
-        msgspec.structs.replace(make_world(), discovery=Discovery(slice_size=10), faults=[stale])
+        msgspec.structs.replace(make_world(), discovery=Discovery(slice_size=10), faults=[stale_fault])
 
 
 # Figures that are calculated from handwritten records
 
 
 def test_evenness_is_relative_to_random_choice() -> None:
-    even = spread.measure_evenness([[100, 110, 90], [100, 90, 110]])
-    assert even.variation_by_chance == pytest.approx(0.1) and even.variation == pytest.approx(0.1)
-    assert even.variation_ratio == pytest.approx(1.0) and even.highest_to_mean == even.lowest_to_mean == 1.0
-    uneven = spread.measure_evenness([[300, 0, 0]])
-    assert uneven.highest_to_mean == 3.0 and uneven.lowest_to_mean == 0.0 and uneven.variation_ratio > 17
+    even_load = spread.measure_evenness([[100, 110, 90], [100, 90, 110]])
+    assert even_load.variation_by_chance == pytest.approx(0.1) and even_load.variation == pytest.approx(0.1)
+    assert (
+        even_load.variation_ratio == pytest.approx(1.0) and even_load.highest_to_mean == even_load.lowest_to_mean == 1.0
+    )
+    uneven_load = spread.measure_evenness([[300, 0, 0]])
+    assert uneven_load.highest_to_mean == 3.0 and uneven_load.lowest_to_mean == 0.0 and uneven_load.variation_ratio > 17
 
 
 def make_attempt(uid: str, at_us: int) -> ConverterAttempt:
@@ -253,17 +259,25 @@
 def test_burst_at_a_converter_is_detected() -> None:
     zones = {"one": "a", "two": "a"}
     even_stream = [make_attempt(uid, at_us) for uid in zones for at_us in range(0, 10_000_000, 50_000)]
-    without_burst = spread.measure_bursts(even_stream, zones, 0.0, 10.0)
-    assert (without_burst.window_count, without_burst.highest_count, without_burst.rare_window_count) == (
+    bursts_of_even_stream = spread.measure_bursts(even_stream, zones, 0.0, 10.0)
+    assert (
+        bursts_of_even_stream.window_count,
+        bursts_of_even_stream.highest_count,
+        bursts_of_even_stream.rare_window_count,
+    ) == (
         200,
         2,
         0,
-    ) and without_burst.worst_ratio < 0.3
-    with_burst = spread.measure_bursts(
+    ) and bursts_of_even_stream.worst_ratio < 0.3
+    bursts_of_uneven_stream = spread.measure_bursts(
         even_stream + [make_attempt("one", 5_000_000 + i) for i in range(20)], zones, 0.0, 10.0
     )
-    assert with_burst.highest_count == 22 and with_burst.worst_ratio > 1.0 and with_burst.rare_window_count == 1
-    assert not all(claim.holds for claim in measures.burst_claims(with_burst))
+    assert (
+        bursts_of_uneven_stream.highest_count == 22
+        and bursts_of_uneven_stream.worst_ratio > 1.0
+        and bursts_of_uneven_stream.rare_window_count == 1
+    )
+    assert not all(claim.holds for claim in measures.burst_claims(bursts_of_uneven_stream))
 
 
 def test_occupancy_counts_overlapping_spans() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -45,7 +45,7 @@
 SIZES = (50, 100, 200, 400)
 
 
-def failed_claims(claims: list[Claim]) -> list[str]:
+def failed_claim_names(claims: list[Claim]) -> list[str]:
     return [claim.name for claim in claims if not claim.holds]
 
 
@@ -73,21 +73,21 @@
     before = make_report(forwarder).counters
     forwarder.simulate_calls(forwarder.simulated_until_s + 10.0)
     after = make_report(forwarder).counters
-    simulated = sum(after[uid].attempts - before[uid].attempts for uid in after)
-    assert simulated == pytest.approx(10 * CALLS_PER_S, rel=0.1)
+    simulated_count = sum(after[uid].attempts - before[uid].attempts for uid in after)
+    assert simulated_count == pytest.approx(10 * CALLS_PER_S, rel=0.1)
     assert all(counter.failed == 0 and sum(counter.latencies) == counter.served for counter in after.values())
 
 
 def test_forwarder_overrides_methods_that_its_base_class_calls() -> None:
     forwarder = make_forwarder()
 
-    def attempts() -> int:
+    def attempt_count() -> int:
         return sum(record.attempts for record in forwarder.reporter.records.values())
 
-    before = attempts()
+    before = attempt_count()
     forwarder.simulated_until_s -= 10.0
     forwarder.send_reports()
-    assert attempts() - before == pytest.approx(10 * CALLS_PER_S, rel=0.1)
+    assert attempt_count() - before == pytest.approx(10 * CALLS_PER_S, rel=0.1)
     forwarder.on_plan(Plan(Term(1, "a"), 1, PlanBasis(), {}, 1000, 1000))
     assert forwarder.counts.plans == 1
 
@@ -131,18 +131,18 @@
 
 def test_overloaded_planner_does_not_seem_cheap() -> None:
     # 100 forwarders, 20 ms of CPU time per tick and 1 ms per report; the overloaded planner handles only half of both
-    punctual = control.planner_figures(
+    punctual_figures = control.planner_figures(
         100, 10.0, make_planner_reading(1.0, 0.0, 0, 0), make_planner_reading(3.8, 0.8, 40, 2000)
     )
-    overloaded = control.planner_figures(
+    overloaded_figures = control.planner_figures(
         100, 10.0, make_planner_reading(1.0, 0.0, 0, 0), make_planner_reading(2.4, 0.4, 20, 1000, 5.6)
     )
-    for figures in (punctual, overloaded):
+    for figures in (punctual_figures, overloaded_figures):
         assert figures["planner_cpu_ms_a_tick"] == pytest.approx(20)
         assert figures["planner_cpu_us_a_report"] == pytest.approx(1000)
         assert figures["planner_cores_needed"] == pytest.approx(0.28)
-    assert overloaded["planner_cores"] < punctual["planner_cores"]
-    assert overloaded["planner_wait_share"] == pytest.approx(0.8)
+    assert overloaded_figures["planner_cores"] < punctual_figures["planner_cores"]
+    assert overloaded_figures["planner_wait_share"] == pytest.approx(0.8)
 
 
 def make_sample(**changes: Any) -> Sample:
@@ -186,24 +186,29 @@
 
 
 def test_superlinear_planner_cost_fails_a_claim() -> None:
-    assert not failed_claims(control.make_claims(30, make_figures_by_size(1.0), AT_LARGEST_SIZE))
-    failed = failed_claims(control.make_claims(30, make_figures_by_size(2.0), AT_LARGEST_SIZE))
-    assert len(failed) == 1 and "cores that the planner needs" in failed[0]
+    assert not failed_claim_names(control.make_claims(30, make_figures_by_size(1.0), AT_LARGEST_SIZE))
+    failed_names = failed_claim_names(control.make_claims(30, make_figures_by_size(2.0), AT_LARGEST_SIZE))
+    assert len(failed_names) == 1 and "cores that the planner needs" in failed_names[0]
 
 
 def test_reports_that_grow_with_the_fleet_fail_a_claim() -> None:
     assert any(
         "bytes out" in name
-        for name in failed_claims(control.make_claims(30, make_figures_by_size(1.0, 1.0), AT_LARGEST_SIZE))
+        for name in failed_claim_names(control.make_claims(30, make_figures_by_size(1.0, 1.0), AT_LARGEST_SIZE))
     )
 
 
 def test_late_avoidance_or_a_starved_planner_fails_a_claim() -> None:
-    assert failed_claims(
+    assert failed_claim_names(
         control.make_claims(30, make_figures_by_size(1.0), AT_LARGEST_SIZE | {"avoided_after_s": float("inf")})
     )
-    starved = {size: figures | {"planner_wait_share": 0.9} for size, figures in make_figures_by_size(1.0).items()}
-    assert any("too busy" in name for name in failed_claims(control.make_claims(30, starved, AT_LARGEST_SIZE)))
+    starved_planner_figures = {
+        size: figures | {"planner_wait_share": 0.9} for size, figures in make_figures_by_size(1.0).items()
+    }
+    assert any(
+        "too busy" in name
+        for name in failed_claim_names(control.make_claims(30, starved_planner_figures, AT_LARGEST_SIZE))
+    )
 
 
 def test_design_figures_follow_the_fitted_line_and_the_budget() -> None:
@@ -291,8 +296,8 @@
     assert make_call_figures(0.5)["fit_cpu_us_a_call_per_unit"] == pytest.approx(0.5)
     assert make_call_figures(0.5)["fit_module_us_a_call_per_unit"] == pytest.approx(0.25)
     assert make_call_figures(0.5)["design_share_of_budget_added_p99_ms"] == pytest.approx(2.0)
-    assert not failed_claims(call.make_claims(make_call_figures(0.5)))
-    assert len(failed_claims(call.make_claims(make_call_figures(5.0)))) == 2
+    assert not failed_claim_names(call.make_claims(make_call_figures(0.5)))
+    assert len(failed_claim_names(call.make_claims(make_call_figures(5.0)))) == 2
 
 
 def test_balancer_alone_opens_upstreams_by_rate_and_costs_more_with_a_longer_list(
@@ -425,7 +430,7 @@
     outcome = run_chain(chain)
     assert outcome.is_aborted and outcome.attempts[-1] == 20
     runs = {depth.NON_IDEMPOTENT_RUN: ChainFigures.from_outcome(chain, outcome)}
-    assert failed_claims(depth.make_claims(runs))
+    assert failed_claim_names(depth.make_claims(runs))
 
 
 def test_attempt_bound_adds_a_fifth_per_hop_and_the_initial_budget() -> None:
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -40,9 +40,9 @@
 
 
 def test_curvature_shows_in_the_residuals() -> None:
-    straight = slopes.fit(SIZES, [3.0 * size + (-1) ** i for i, size in enumerate(SIZES)])
-    curved = slopes.fit(SIZES, [size * size for size in SIZES])
-    assert straight.relative_residual < 0.01 < 0.1 < curved.relative_residual
+    fit_of_line = slopes.fit(SIZES, [3.0 * size + (-1) ** i for i, size in enumerate(SIZES)])
+    fit_of_curve = slopes.fit(SIZES, [size * size for size in SIZES])
+    assert fit_of_line.relative_residual < 0.01 < 0.1 < fit_of_curve.relative_residual
 
 
 def test_values_outside_the_measured_sizes_are_extrapolated() -> None:
@@ -115,8 +115,8 @@
 
 def test_usage_of_a_process_is_read() -> None:
     before = own_usage()
-    allocated = bytes(range(256)) * 200_000
-    total = sum(allocated)
+    allocated_bytes = bytes(range(256)) * 200_000
+    total = sum(allocated_bytes)
     after, usage_by_pid = own_usage(), usage(os.getpid())
     assert total and after.cpu_s_since(before) > 0.0
     assert after.resident_bytes - before.resident_bytes > 40_000_000
