--- a/ryepier/experiments/load_spread/measures.py
+++ b/ryepier/experiments/load_spread/measures.py
@@ -18,7 +18,7 @@
     """The distribution of the requests that converters received in a time span."""
 
     mean: float  # requests per converter
-    variation: float  # standard deviation over the mean
+    variation: float  # standard deviation of the counts, divided by their mean
     highest_to_mean: float  # highest count of a converter, divided by the mean
     lowest_to_mean: float  # lowest count of a converter, divided by the mean
 
@@ -72,7 +72,7 @@
 ) -> RareWindows:
     """Count the windows without a request at a converter.
 
-    The windows are so long that a converter receives `expected_per_window` requests in one on average.
+    The windows are so long that a converter receives `expected_per_window` requests per window on average.
     """
     total_count = int(counts_in_windows(received_us, begin_us, end_us, end_us - begin_us).sum())
     window_us = min(
--- a/ryepier/experiments/load_spread/processes/figures.py
+++ b/ryepier/experiments/load_spread/processes/figures.py
@@ -27,7 +27,7 @@
 class Evenness:
     """How evenly the starts of executions were distributed over converters, in windows of equal length."""
 
-    variation: float  # standard deviation over mean of the counts in a window, pooled over all windows
+    variation: float  # standard deviation of the counts in a window over their mean, pooled over all windows
     variation_by_chance: float  # variation that is expected with random choice
     highest_to_mean: float  # highest total of a converter, divided by the mean total
     lowest_to_mean: float  # lowest total of a converter, divided by the mean total
--- a/ryepier/experiments/load_spread/processes/fleets.py
+++ b/ryepier/experiments/load_spread/processes/fleets.py
@@ -13,7 +13,7 @@
 FULL_SIDECAR_COUNT = 200
 FULL_CONVERTERS_PER_ZONE = 20
 FULL_RATE_PER_S = 600.0
-SETTLED_AT_S = 2.0  # time from which on the sidecars' connections are open
+SETTLED_AT_S = 2.0  # time at which the sidecars have opened their connections
 RECOVERY_S = 5.0  # time after the end of a fault until the load must be even again
 
 LIGHT_LOAD_FACTOR = 0.1  # a tenth of half load, which is a twentieth of the converters' capacity
--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -14,7 +14,7 @@
 from ryepier.experiments.core.contract import Claim, Experiment, Run
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-BASELINE_BEGIN_S = 1.0  # start of the measurement of evenness before the kill
+BASELINE_BEGIN_S = 1.0  # time at which the measurement of evenness before the kill begins
 RETRY_GRACE_US = 1_000_000  # time after a restart for clients to retry attempts that reached no sidecar
 MIN_SERVICE_LEVEL = 0.97
 US_PER_S = 1e6
@@ -26,9 +26,9 @@
 
 
 def recovery_end_s(run: Run) -> float:
-    """Return the time from which on the load must be even again: `RECOVERY_S` after the last sidecar was ready.
+    """Return the time at which the load must be even again, which is `RECOVERY_S` after the last sidecar was ready.
 
-    The time is limited so that at least one evenness window remains until the end of the run.
+    It is at least one evenness window before the end of the run.
     """
     last_ready_s = max(incarnation.ready_us for incarnation in run.history.incarnations) / US_PER_S
     return min(last_ready_s + fleets.RECOVERY_S, run.world.duration_s - measures.EVENNESS_WINDOW_S)
--- a/ryepier/experiments/load_spread/processes/lists.py
+++ b/ryepier/experiments/load_spread/processes/lists.py
@@ -16,8 +16,8 @@
 from ryepier.experiments.core.worlds import fault_of_kind
 from ryepier.experiments.load_spread.processes import fleets, measures
 
-RELEASE_UNDERWAY_AFTER_S = 2.0  # time after the lists became stale; by then the release is in progress
-SERVICE_RECOVERY_S = 1.0  # time after the end of the cut from which on the service level is claimed
+RELEASE_UNDERWAY_AFTER_S = 2.0  # time after the lists became stale at which the release is in progress
+SERVICE_RECOVERY_S = 1.0  # time after the end of the cut at which the service level must have recovered
 MIN_SERVED_SHARE = 0.9
 MIN_SERVICE_LEVEL = 0.95
 MAX_UNEVENNESS = 1.5  # highest allowed ratio of the variation to that of random choice, while the lists differ
--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -16,9 +16,9 @@
 from ryepier.experiments.load_spread.trials import FleetOutcome, FleetTrial, run_trials
 from ryepier.sim.fleet.world import SECOND_US, FleetPlan, Outage
 
-MIN_LOAD_SHARE = 0.7  # mean load of the restarted converters over that of the others
+MIN_LOAD_SHARE = 0.7  # least mean load of the restarted converters, divided by that of the others
 MAX_LOAD_SHARE = 1 / MIN_LOAD_SHARE
-MEASURED_DURATION_US = 5 * SECOND_US  # after the slow start
+MEASURED_DURATION_US = 5 * SECOND_US  # duration of the measurement, which follows the slow start
 WARM_UPS_US = {"cold": 4 * SECOND_US, "warm at once": 0}
 OUTAGE_SHARE = 0.2  # share of the converters that go down
 OUTAGE_AT_US = 2 * SECOND_US
--- a/ryepier/experiments/load_spread/seeded_faults.py
+++ b/ryepier/experiments/load_spread/seeded_faults.py
@@ -23,7 +23,7 @@
     def sample_new_members(
         self, new_upstreams: list[TrackedUpstream], listed_count: int, wanted_count: int, random: Random
     ) -> list[TrackedUpstream]:
-        """Admit and remove no upstream."""
+        """Admit no upstream, and return an empty list, as none is removed."""
         return []
 
 
@@ -36,10 +36,10 @@
 
 
 class PrivateSubsetsBalancer(Balancer):
-    """The balancer without three later corrections. It is also the control of `load-spread`.
+    """The balancer as it was before three corrections. It is also the control of `load-spread`.
 
-    Its full subsets admit no new upstreams, each retry of an expensive request that times out counts as a slow answer
-    of the pool, and it sheds load at a lower mean latency.
+    Its full subsets admit no new upstreams, it counts each retry of an expensive request that times out as a slow
+    answer of the pool, and it sheds load at a lower mean latency.
     """
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -54,8 +54,8 @@
 class Phase(NamedTuple):
     """A rate of calls, with the durations of its warm-up and of its measurement.
 
-    How many upstreams a sidecar opens depends on its rate of calls over the last 5 s. At the end of the warm-up, it has
-    opened half of them at the small scale, and all of them at the full scale.
+    How many upstreams a sidecar needs depends on its rate of calls over the last 5 s. At the end of the warm-up, it has
+    opened half of these upstreams at the small scale, and all of them at the full scale.
     """
 
     rate_per_s: int
@@ -82,7 +82,7 @@
 
 
 class CpuTime(NamedTuple):
-    """CPU time of a process, and the time that it was runnable but waited for a core, in nanoseconds."""
+    """The CPU time of a process, and the time in which it was runnable but waited for a core, in nanoseconds."""
 
     used_ns: int
     waited_ns: int
@@ -93,7 +93,7 @@
 
 
 class FunctionCost(NamedTuple):
-    """CPU time of a function without its callees, in microseconds per call through the sidecar."""
+    """The CPU time of a function without its callees, in microseconds per call through the sidecar."""
 
     name: str
     us_per_call: float
@@ -148,7 +148,7 @@
 
     @property
     def converters_address(self) -> Address:
-        """Return the one address that all converters share."""
+        """Return the address that all converters share."""
         return f"127.{self.network}.0.1", CONVERTER_PORT
 
     def agent_address(self, known_count: int) -> Address:
@@ -211,7 +211,7 @@
 
 
 async def run_phase(trial: CallTrial, phase: Phase, sidecar: Sidecar, direct_target: Target) -> dict[str, float]:
-    """Call at the phase's rate, first to warm up and then measured, and return the figures."""
+    """Make calls at the phase's rate, first as a warm-up and then measured, and return the figures."""
     rate_per_s = phase.rate_per_s
     sidecar_random = draws.stream(trial.seed, f"calls {rate_per_s} {sidecar.known_count} through")
     direct_random = draws.stream(trial.seed, f"calls {rate_per_s} {sidecar.known_count} direct")
--- a/ryepier/experiments/scale/call_client.py
+++ b/ryepier/experiments/scale/call_client.py
@@ -11,7 +11,7 @@
 from ryepier.emulator.process import monotonic_us
 from ryepier.sidecar.system import Address
 
-MAX_CONNECTIONS = 400  # per target
+MAX_CONNECTIONS = 400  # most open connections per target
 LATE_CALLS_PER_YIELD = 8  # calls that a client behind schedule sends before it yields to the event loop
 
 
@@ -27,7 +27,7 @@
 
 
 def body_length(head: bytes) -> int:
-    """Return the Content-Length of a response; 0 without one."""
+    """Return the Content-Length from the head of a response, or 0 if there is none."""
     _, separator, rest = head.lower().partition(b"content-length:")
     return int(rest.split(b"\r\n")[0]) if separator else 0
 
--- a/ryepier/experiments/scale/capacity/estimates.py
+++ b/ryepier/experiments/scale/capacity/estimates.py
@@ -24,7 +24,7 @@
     is_extrapolated: bool = False
     exponent: int = 1  # `growing_part` is proportional to this power of the size
     fitting_share: float | None = (
-        None  # largest measured size within budget, over the design size; only without a slope
+        None  # largest measured size within budget, divided by the design size; set only if there is no slope
     )
 
 
--- a/ryepier/experiments/scale/capacity/table.py
+++ b/ryepier/experiments/scale/capacity/table.py
@@ -101,7 +101,7 @@
 
 
 def cores_from_figure(name: str) -> Estimator:
-    """Estimate the cores for a sidecar's calls by the CPU time of a call at a single size."""
+    """Estimate the cores for a sidecar's calls by a figure that holds the CPU time of a call."""
     return lambda figures, plan: RowEstimate(figures[name] * plan.calls_per_sidecar / 1e6)
 
 
@@ -155,7 +155,7 @@
 
 
 def report_rows(converters_in_use: int) -> tuple[Row, ...]:
-    """Return the rows of a sidecar's load reports and plans, with a number of converters in use."""
+    """Return the rows for a sidecar's load reports and plans if it uses `converters_in_use` converters."""
     return (
         Row(SIDECAR, f"reports and plans, {converters_in_use} in use, messages", "B/s", REPORTS, CONTROL,
             median_over_sizes(f"bytes_per_s_with_seven_{converters_in_use}_in_use_{{}}"), control_bytes_per_s),
@@ -182,7 +182,7 @@
 
 
 def planner_rows(converters_in_use: int) -> tuple[Row, ...]:
-    """Return the rows of a planner, with a number of converters in use per sidecar."""
+    """Return the rows for a planner if each sidecar uses `converters_in_use` converters."""
     return (
         Row(PLANNER, f"CPU, {converters_in_use} in use", "cores", REPORTS, CONTROL,
             fitted_line(f"planner_cores_needed_{converters_in_use}_in_use_{{}}", sidecars),
@@ -218,7 +218,7 @@
 
 
 def depth_row(failing_share: float, description: str) -> Row:
-    """Return the row of the attempts at the last service of a chain, of which `failing_share` fail."""
+    """Return the row for the attempts at the last service of a chain if a share of these attempts fails."""
     return Row(CONVERTER, f"attempts a call at the last of 11 services, {description} of them fail", "",
                f"{HOP_BUDGET}, time left", DEPTH, single_figure(f"attempts_a_call_11_deep_{failing_share:g}_failing"),
                lambda plan: (1 + RETRY_BUDGET_RATIO) ** plan.depth)
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -38,7 +38,7 @@
     depth: int  # hops from the first caller to the last service
     failing_share: float  # share of the attempts at the last service that fail
     call_count: int  # calls of the first callers
-    rate_per_s: float  # of these calls
+    rate_per_s: float  # rate of these calls
     seed: int
     idempotency: api.Idempotency = api.Idempotency.IDEMPOTENT
     deadline_us: int = DEADLINE_US
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -70,12 +70,12 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """Totals of one worker process and its forwarders at a moment, as its `sample` command returns them."""
+    """Totals of one worker process and its forwarders at one point in time, as its `sample` command returns them."""
 
-    at_s: float  # on the monotonic clock
+    at_s: float  # time of the sample on the monotonic clock
     cpu_s: float  # CPU time without the simulation of calls
     resident: int  # resident memory in bytes
-    count: int  # forwarders
+    count: int  # number of forwarders
     connected: int  # forwarders with a connection to the planner
     bytes_out: int
     bytes_in: int
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -24,7 +24,7 @@
 from ryepier.experiments.scale.chains import Chain, ChainOutcome, run_chain
 
 DEPTHS = (1, 3, 7, 11)
-FAILING_SHARES = (0.1, 0.5, 1.0)  # of the attempts at the last service
+FAILING_SHARES = (0.1, 0.5, 1.0)  # shares of the attempts at the last service that fail
 VARIED_FAILING_SHARE = 0.5  # failing share in the runs with another deadline, objective or class
 CALL_COUNTS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
 RATE_PER_S = 100.0
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -30,9 +30,9 @@
 from ryepier.experiments.scale.lightweight import LightweightProcess
 from ryepier.sidecar.discovery import WATCH_RETRY_S
 
-KNOWN_COUNTS = (30, 150, 400, 800, 1600)  # converters that a sidecar knows
+KNOWN_COUNTS = (30, 150, 400, 800, 1600)  # numbers of converters that a sidecar knows
 SIDECARS_PER_GROUP = {Scale.SMALL: 12, Scale.FULL: 40}  # lightweight sidecars for each of KNOWN_COUNTS
-# sidecars that reconnect after an outage
+# numbers of sidecars that reconnect after an outage
 FLEET_SIZES = {Scale.SMALL: (100, 200, 400, 800), Scale.FULL: (200, 400, 800, 1600)}
 FLEET_KNOWN_COUNT = {Scale.SMALL: 30, Scale.FULL: 150}  # converters that each of these sidecars knows
 FLEET_PROCESS_COUNT = 4
@@ -44,8 +44,8 @@
 RECONNECT_TIMEOUT_S = 25.0  # a busy machine needs this long for 1,600 sidecars
 UPDATE_TIMEOUT_S = 10.0
 PEAK_WINDOW_US = 100_000
-PORT = 8501  # not an ephemeral port: while nobody listens, a connection to one of these could connect to itself
-CHANGES_PER_DAY = 2330  # 2,000 of configuration, and three changes of state for each of 110 machines
+PORT = 8501  # below the ephemeral ports, as a connection to an unused ephemeral port could connect to itself
+CHANGES_PER_DAY = 2330  # 2,000 changes of configuration, and three changes of state for each of 110 machines
 DAY_S = 86_400
 PROCESS_BYTES = 120_000_000  # memory of a process without sidecars
 SIDECAR_BYTES = 200_000  # memory that each lightweight sidecar adds
@@ -95,7 +95,10 @@
 
 
 def required_resources(scale: Scale) -> ResourceRequirements:
-    """Return the resources of the larger of the two parts, as these run one after the other."""
+    """Return the resources that the benchmark requires.
+
+    Its two parts run one after the other, so the larger one decides.
+    """
     known_count_part_bytes = len(KNOWN_COUNTS) * PROCESS_BYTES + SIDECARS_PER_GROUP[scale] * sum(
         SIDECAR_BYTES + known_count * CONVERTER_BYTES for known_count in KNOWN_COUNTS
     )
@@ -313,7 +316,7 @@
 
 
 async def measure_by_fleet_size(seed: int, scale: Scale, seeded_fault: str) -> dict[int, Figures]:
-    """Grow a fleet, and measure an outage at each size."""
+    """Grow a fleet through `FLEET_SIZES`, and measure an outage at each size."""
     host = f"127.{find_network()}.254.2"
     server = WatchServer(
         Listing(FLEET_KNOWN_COUNT[scale], seed), (host, PORT), keeps_revisions=seeded_fault != "no-revisions"
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -3,7 +3,7 @@
 A few lightweight sidecars that know 1,600 converters receive bursts of drains, to measure the cost of a change in a
 sidecar. A growing fleet that knows fewer converters receives the drains of a rack and of a zone, to measure the cost of
 sending them to many sidecars. Bursts are sent with one message per change and, except for a rack at the growing fleet,
-also as a single message. From both parts, the cost of the whole fleet is calculated, with a core for each sidecar.
+also as a single message. From both parts, the cost is calculated for a whole fleet whose sidecars have a core each.
 Claims: each decision module receives each change once and drops draining converters, the CPU time grows linearly, and
 the last of 1,600 sidecars has the changes of a rack and of a zone in time and within its CPU budget.
 """
@@ -55,7 +55,10 @@
 
 
 def required_resources(scale: Scale) -> ResourceRequirements:
-    """Return the resources of the larger of the two parts, as these run one after the other."""
+    """Return the resources that the benchmark requires.
+
+    Its two parts run one after the other, so the larger one decides.
+    """
     sidecar_bytes = max(
         sidecar_count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
         for sidecar_count, known_count in (
@@ -182,7 +185,7 @@
 
 
 def calculate_fleet_costs(figures: Mapping[str, float], scale: Scale) -> Figures:
-    """Calculate the costs of the whole fleet if discovery writes on one core and each sidecar reads on its own."""
+    """Calculate the costs of the whole fleet if discovery has one core, and each sidecar a core of its own."""
     single_change_line, combined_change_line = (
         _fit(figures, "burst_cpu_ms", BURST_SIZES),
         _fit(figures, "together_cpu_ms", BURST_SIZES),
--- a/ryepier/experiments/scale/fleet_list.py
+++ b/ryepier/experiments/scale/fleet_list.py
@@ -25,7 +25,7 @@
 
 
 class Listing:
-    """The endpoint list of a fleet, whose entries are drawn from a seed, with operations to change it. No I/O."""
+    """The endpoint list of a fleet, with operations to change it. Its entries are drawn from a seed. No I/O."""
 
     def __init__(self, size: int, seed: int) -> None:
         """Create a list of `size` active converters."""
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -27,7 +27,7 @@
 from ryepier.plan.plan_follower import AcceptanceRules
 from ryepier.sidecar.system import clock_us
 
-CALLS_PER_S = 369.0  # per sidecar, at the design size
+CALLS_PER_S = 369.0  # calls of one sidecar at the design size
 ANSWER_LATENCY_US = 20_000
 ANSWER_TIMEOUT_US = 10 * ANSWER_LATENCY_US
 CALLS_IN_FLIGHT = 7  # concurrent calls per forwarder: about `CALLS_PER_S` times the latency of an answer
@@ -49,7 +49,7 @@
 
 
 def converters_of(index: int, in_use: int) -> range:
-    """Return the numbers of the converters that the forwarder with an index calls.
+    """Return the numbers of the converters that the forwarder with the given index calls.
 
     A service has as many converters as forwarders that call it, so the number of converters grows with the fleet.
     """
@@ -58,7 +58,7 @@
 
 
 def converter_uid(number: int) -> str:
-    """Return the uid of the converter with a number."""
+    """Return the uid of the converter with the given number."""
     return f"c-{number:04x}"
 
 
@@ -112,7 +112,10 @@
     """A real forwarder whose calls are simulated just before each report."""
 
     def __init__(self, index: int, config: ForwardersConfig, counts: TrafficCounts) -> None:
-        """Create the forwarder with an index in the fleet, whose counters hold a day's calls; `start` connects it."""
+        """Create the forwarder with the given index in the fleet. `start` connects it.
+
+        The counters of its converters already hold the calls of a day.
+        """
         self.index = index
         self.counts = counts
         self.random = draws.stream(config.seed, f"forwarder {index}")
--- a/ryepier/experiments/scale/lightweight_sidecar.py
+++ b/ryepier/experiments/scale/lightweight_sidecar.py
@@ -28,7 +28,7 @@
 from ryepier.sidecar.logs import RateLimitFilter
 from ryepier.sidecar.system import clock_us
 
-START_INTERVAL_S = 0.002  # between two starts, to limit the load on discovery's listener, which is not measured
+START_INTERVAL_S = 0.002  # limits the load on discovery's listener, whose speed is not measured
 POLL_INTERVAL_S = 0.01
 IDLE_TIMEOUT_US = 10_000_000
 MAX_SOCKETS = 1024
@@ -77,9 +77,9 @@
     """The sidecars of this process, and the commands that it runs."""
 
     def __init__(self, discovery: tuple[str, int], seed: int) -> None:
-        """Create the process's state without sidecars.
+        """Start without sidecars.
 
-        The first sidecar gets the seed `seed`, and each further sidecar the seed of the previous one plus 1.
+        The first sidecar is created with `seed`, and each further sidecar with the previous sidecar's seed plus 1.
         """
         self.discovery = discovery
         self.seed = seed
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -130,7 +130,8 @@
 
 
 def test_overloaded_planner_does_not_seem_cheap() -> None:
-    # 100 forwarders, 20 ms of CPU time per tick and 1 ms per report; the overloaded planner handles only half of both
+    # 100 forwarders, 20 ms of CPU time per tick and 1 ms per report. The overloaded planner handles only half of the
+    # ticks and of the reports.
     punctual_figures = control.planner_figures(
         100, 10.0, make_planner_reading(1.0, 0.0, 0, 0), make_planner_reading(3.8, 0.8, 40, 2000)
     )
@@ -247,7 +248,7 @@
     assert 0 < planner_usage.tick_cpu_s <= planner_usage.cpu_s
 
 
-# scale-call
+# `scale-call`
 
 
 def test_body_length_is_read_from_the_response_head() -> None:
@@ -387,7 +388,7 @@
     assert [us_per_call for _, us_per_call in costs] == pytest.approx([400.0, 300.0, 200.0])
 
 
-# scale-depth
+# `scale-depth`
 
 
 def make_chain(hops: int, failing_share: float, **changes: Any) -> Chain:
@@ -419,7 +420,7 @@
 
 
 def test_attempts_without_a_retry_budget_exceed_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RetryPolicy, "charge_budget", RetryPolicy.charge_budget)  # restores it after the test
+    monkeypatch.setattr(RetryPolicy, "charge_budget", RetryPolicy.charge_budget)  # is restored after the test
     seeded_faults.SEEDED_FAULTS["no-budget"]()
     chain = make_chain(1, 0.5, call_count=300)
     assert ChainFigures.from_outcome(chain, run_chain(chain)).over_bound > 1.0
