--- a/ryepier/experiments/load_spread/processes/kill.py
+++ b/ryepier/experiments/load_spread/processes/kill.py
@@ -25,7 +25,7 @@
     return [incarnation for incarnation in run.history.incarnations if incarnation.started_us > 0]
 
 
-def recovery_end_s(run: Run) -> float:
+def recovery_deadline_s(run: Run) -> float:
     """Return the time at which the load must be even again, which is `RECOVERY_S` after the last sidecar was ready.
 
     It is at least one evenness window before the end of the run.
@@ -55,7 +55,7 @@
     start_durations_s = [
         (incarnation.ready_us - incarnation.started_us) / US_PER_S for incarnation in restarted_incarnations(run)
     ]
-    return measures.spread_figures(run, recovery_end_s(run), run.world.duration_s) | {
+    return measures.spread_figures(run, recovery_deadline_s(run), run.world.duration_s) | {
         "variation_ratio_before": evenness_before_kill.variation_ratio,
         "up_after_s": max(start_durations_s, default=float("inf")),
     }
--- a/ryepier/experiments/scale/capacity/page.py
+++ b/ryepier/experiments/scale/capacity/page.py
@@ -11,7 +11,7 @@
 
 BEGIN_MARKER, END_MARKER = "<!-- {} from here: ryepier experiment capacity -->", "<!-- {} to here -->"
 TABLES_PART, LIMITS_PART = "tables", "breaks"  # parts of the page, named in its markers
-MAX_LIMITS = 14  # most rows in the list of the limits that are reached first
+MAX_LISTED_LIMITS = 14  # most rows in the list of the limits that are reached first
 HEADER = (
     "role",
     "what",
@@ -46,14 +46,14 @@
 
 
 def first_limits_reached(results: Sequence[RowResult]) -> list[RowResult]:
-    """Return the rows whose limits are reached first, at most `MAX_LIMITS`.
+    """Return the rows whose limits are reached first, at most `MAX_LISTED_LIMITS`.
 
     Rows without a mechanism come first, then the others by the size at which their budget is used up.
     """
     missing_results = [result for result in results if result.standing is Standing.MISSING]
     limited_results = [result for result in results if result.breaks_at is not None]
     limited_results.sort(key=lambda result: (result.breaks_at or 0.0, -(result.share or 0.0)))
-    return (missing_results + limited_results)[:MAX_LIMITS]
+    return (missing_results + limited_results)[:MAX_LISTED_LIMITS]
 
 
 def format_number(value: float) -> str:
--- a/ryepier/experiments/scale/capacity/rows.py
+++ b/ryepier/experiments/scale/capacity/rows.py
@@ -79,7 +79,7 @@
 
 class _SeedValue(msgspec.Struct, frozen=True):
     result: KeptResult
-    value: RowEstimate
+    estimate: RowEstimate
 
 
 def evaluate(rows: Sequence[Row], kept_results: Sequence[KeptResult], plan: Plan) -> list[RowResult]:
@@ -95,7 +95,7 @@
     if row.estimator is None or not results:
         return RowResult(row, Standing.NOT_MEASURED)
     seed_values = _estimate_each(row, row.estimator, results, plan)
-    estimates = [seed_value.value for seed_value in seed_values]
+    estimates = [seed_value.estimate for seed_value in seed_values]
     spread = slopes.spread([estimate.value_at_size for estimate in estimates])
     budget = row.budget(plan) if row.budget is not None else None
     share = spread.median / budget if budget is not None else None
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -21,7 +21,7 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer, FinalOutcome
 
-NETWORK_US = 200  # network delay in one direction
+NETWORK_DELAY_US = 200  # in each direction
 WORK_US = 2_000  # time after which the last service answers or fails
 OBJECTIVE_PER_HOP_US = 40_000  # a hop's latency objective is this value times the number of hops to the last service
 DEADLINE_US = 1_000_000
@@ -52,8 +52,8 @@
 
     attempts: list[int]  # by hop: attempts that reached the called service
     calls: list[int]  # by hop: calls that the sidecars received from their applications
-    served: int = 0  # calls of the first callers that were served
-    answered: int = 0  # calls of the first callers that were answered, including those answered with an error
+    served_count: int = 0  # calls of the first callers that were served
+    answered_count: int = 0  # calls of the first callers that were answered, including those answered with an error
     longest_wait_us: int = 0  # longest wait of a first caller for its answer
     is_aborted: bool = False  # whether the run was aborted after `Chain.max_attempts`
 
@@ -160,7 +160,9 @@
     ) -> ChainAttempt:
         """Start an attempt at an instance of the next service."""
         attempt = ChainAttempt(on_end)
-        self.world.clock.call_after_us(NETWORK_US, self.world.on_arrival, self.hop, upstream - 1, timeout_us, attempt)
+        self.world.clock.call_after_us(
+            NETWORK_DELAY_US, self.world.on_arrival, self.hop, upstream - 1, timeout_us, attempt
+        )
         return attempt
 
     def close_idle(self, upstream: int) -> None:
@@ -202,12 +204,12 @@
         if hop + 1 == self.chain.depth:
             fails = self.random.random() < self.chain.failing_share
             outcome = api.Outcome.ERROR if fails else api.Outcome.OK
-            self.clock.call_after_us(WORK_US + NETWORK_US, attempt.end, outcome)
+            self.clock.call_after_us(WORK_US + NETWORK_DELAY_US, attempt.end, outcome)
             return
 
         def reply(answer: FinalAnswer) -> None:
             outcome = api.Outcome.OK if answer.outcome is FinalOutcome.SERVED else api.Outcome.ERROR
-            self.clock.call_after_us(NETWORK_US, attempt.end, outcome)
+            self.clock.call_after_us(NETWORK_DELAY_US, attempt.end, outcome)
 
         self.sidecars[hop + 1][instance].call(timeout_us, reply)
 
@@ -220,8 +222,8 @@
         start_us = self.clock.now_us
 
         def reply(answer: FinalAnswer) -> None:
-            self.outcome.answered += 1
-            self.outcome.served += answer.outcome is FinalOutcome.SERVED
+            self.outcome.answered_count += 1
+            self.outcome.served_count += answer.outcome is FinalOutcome.SERVED
             self.outcome.longest_wait_us = max(self.outcome.longest_wait_us, self.clock.now_us - start_us)
 
         self.random.choice(self.sidecars[0]).call(self.chain.deadline_us, reply)
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -58,7 +58,7 @@
 WORKER_MODULE = "ryepier.experiments.scale.lightweight_forwarders"
 NEEDED_MEMORY_BYTES = 1_500_000_000
 SETTLE_S = 1.0  # wait after the growth of a fleet, before the measurement
-MEASUREMENT_S = {Scale.SMALL: 2.2, Scale.FULL: 10.0}
+MEASUREMENT_DURATION_S = {Scale.SMALL: 2.2, Scale.FULL: 10.0}
 CONNECT_TIMEOUT_S = 6.0
 AVOID_TIMEOUT_S = {Scale.SMALL: 5.0, Scale.FULL: 15.0}
 POLL_INTERVAL_S = 0.2
@@ -237,9 +237,9 @@
         await asyncio.sleep(SETTLE_S)
 
     async def measure(self, size: int) -> Figures:
-        """Measure for `MEASUREMENT_S`, and return the figures of the fleet, which has `size` forwarders."""
+        """Measure for `MEASUREMENT_DURATION_S`, and return the figures of the fleet, which has `size` forwarders."""
         samples_before, planner_before = await self.samples(), self.planner.read()
-        await asyncio.sleep(MEASUREMENT_S[self.scale])
+        await asyncio.sleep(MEASUREMENT_DURATION_S[self.scale])
         samples_after, planner_after = await self.samples(), self.planner.read()
         elapsed_s = samples_after[0].at_s - samples_before[0].at_s
         return planner_figures(size, elapsed_s, planner_before, planner_after) | forwarder_figures(
@@ -332,7 +332,7 @@
 
 
 MAX_AVOID_S = 5.0
-MAX_GROWTH = 1.4
+MAX_GROWTH_OVER_LINEAR = 1.4
 MAX_BYTES_RATIO = 1.15
 
 
@@ -353,7 +353,7 @@
             f"{prefix}: cores that the planner needs, growth over linear",
             growth_over_linear(by_size, "planner_cores_needed"),
             "<=",
-            MAX_GROWTH,
+            MAX_GROWTH_OVER_LINEAR,
         ),
         Claim(
             f"{prefix}: planner's memory, growth over linear",
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -68,8 +68,8 @@
             theory=(1.0 + RETRY_BUDGET_RATIO) ** chain.depth,
             over_bound=attempts_per_call / max_attempts_per_call(chain, chain.call_count),
             attempts_a_call_of_the_last_hop=outcome.attempts[-1] / max(1, outcome.calls[-1]),
-            served_share=outcome.served / chain.call_count,
-            answered_share=outcome.answered / chain.call_count,
+            served_share=outcome.served_count / chain.call_count,
+            answered_share=outcome.answered_count / chain.call_count,
             longest_ms=outcome.longest_wait_us / US_PER_MS,
             broken_off=float(outcome.is_aborted),
         )
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -38,9 +38,9 @@
 FLEET_PROCESS_COUNT = 4
 CHANGE_COUNT = {Scale.SMALL: 40, Scale.FULL: 200}
 CHANGE_INTERVAL_S = 0.02
-IDLE_S = {Scale.SMALL: 3.0, Scale.FULL: 10.0}
+IDLE_DURATION_S = {Scale.SMALL: 3.0, Scale.FULL: 10.0}
 ZONE_DIVISOR = 8  # a zone contains an eighth of the converters
-OUTAGE_S = 1.0
+OUTAGE_DURATION_S = 1.0
 RECONNECT_TIMEOUT_S = 25.0  # a busy machine needs this long for 1,600 sidecars
 UPDATE_TIMEOUT_S = 10.0
 PEAK_WINDOW_US = 100_000
@@ -262,7 +262,7 @@
             for index, known_count in enumerate(KNOWN_COUNTS)
         ]
         figures_by_known_count = {group.known_count: await start_sidecars(group) for group in groups}
-        for group, idle_figures in zip(groups, await measure_idle(groups, IDLE_S[scale]), strict=True):
+        for group, idle_figures in zip(groups, await measure_idle(groups, IDLE_DURATION_S[scale]), strict=True):
             figures_by_known_count[group.known_count] |= idle_figures
         for group in groups:
             figures_by_known_count[group.known_count] |= await measure_single_changes(group, CHANGE_COUNT[scale])
@@ -275,11 +275,11 @@
 
 
 async def run_outage(sidecar_count: int, server: WatchServer, processes: Sequence[LightweightProcess]) -> Figures:
-    """Stop discovery for `OUTAGE_S`, restart it without its revisions, and return the cost of the reconnections."""
+    """Stop discovery for `OUTAGE_DURATION_S`, restart it without its revisions, and return the cost of reconnecting."""
     sidecars_per_process = sidecar_count / len(processes)
     usage_before_outage = [await process.request("usage") for process in processes]
     server.close()
-    await asyncio.sleep(OUTAGE_S)
+    await asyncio.sleep(OUTAGE_DURATION_S)
     usage_at_outage_end = [await process.request("usage") for process in processes]
     server.listing.lose_revisions()
     server.call_times_us.clear()
@@ -311,7 +311,7 @@
         "back_alone_s": WATCH_RETRY_S + server_cpu_s + reconnect_cpu_s / sidecar_count,
         "back_after_s": (max(reply["last_us"] for reply in replies) - restarted_at_us) / 1e6,
         "peak_share": float(calls_per_window.max(initial=0)) / sidecar_count,
-        "away_cores": max(outage_cpu_s) / sidecars_per_process / OUTAGE_S,
+        "away_cores": max(outage_cpu_s) / sidecars_per_process / OUTAGE_DURATION_S,
     }
 
 
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -49,7 +49,7 @@
 FLEET_KNOWN_COUNT = 250
 PROCESS_COUNT = 4
 LIST_TIMEOUT_S = 25.0
-MAX_RESIDUAL = 0.25
+MAX_RELATIVE_RESIDUAL = 0.25
 MS_PER_S = 1000
 US_PER_S = 1e6
 
@@ -116,7 +116,7 @@
             "last_s": (max(answer["last_us"] for answer in after) - started_at_us) / US_PER_S,
             "cpu_ms": MS_PER_S * _total_growth(before, after, "cpu_s") / self.sidecar_count,
             "told": _total_growth(before, after, "entries") / self.sidecar_count / lost_count,
-            "still_ready": await self._mean_known() - self.known_count + lost_count,
+            "still_ready": await self._mean_known_count() - self.known_count + lost_count,
         }
         listing.change(lost_entries, "left")
         listing.change([listing.new_entry() for _ in lost_entries])
@@ -131,7 +131,7 @@
             if singly:
                 await asyncio.sleep(0)
 
-    async def _mean_known(self) -> float:
+    async def _mean_known_count(self) -> float:
         return float(sum(answer["known"] for answer in await self.request("memory")) / self.sidecar_count)
 
 
@@ -224,7 +224,10 @@
         Claim("changes that a module was told, of one, most", max(delivered_ratios), "==", 1),
         Claim("converters that drain and that a module still has for ready, most", max(still_ready_counts), "==", 0),
         Claim(
-            "largest residual of CPU by changes over the largest value", figures["change_residual"], "<=", MAX_RESIDUAL
+            "largest residual of CPU by changes over the largest value",
+            figures["change_residual"],
+            "<=",
+            MAX_RELATIVE_RESIDUAL,
         ),
         Claim(
             "until the last of 1,600 has a rack's changes told singly, by calculation (s)",
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -104,7 +104,7 @@
 class CallInFlight:
     """A simulated call that is still in flight when the next report is sent."""
 
-    converter: str
+    converter_uid: str
     token: int
 
 
@@ -197,14 +197,14 @@
 
     def _replace_calls_in_flight(self, uids: list[str]) -> None:
         for call in self.in_flight:
-            self.reporter.on_attempt_ended(call.converter, call.token, Outcome.OK, ANSWER_LATENCY_US)
+            self.reporter.on_attempt_ended(call.converter_uid, call.token, Outcome.OK, ANSWER_LATENCY_US)
         called_uids = [uids[number] for number in self.random.integers(len(uids), size=CALLS_IN_FLIGHT).tolist()]
         calls = [CallInFlight(uid, self.last_token + 1 + offset) for offset, uid in enumerate(called_uids)]
-        self.in_flight = [call for call in calls if call.converter != self.hung_uid]
+        self.in_flight = [call for call in calls if call.converter_uid != self.hung_uid]
         self.last_token += CALLS_IN_FLIGHT
         now_us = clock_us()
         for call in self.in_flight:
-            self.reporter.on_attempt_started(now_us, call.converter, call.token, 0)
+            self.reporter.on_attempt_started(now_us, call.converter_uid, call.token, 0)
 
 
 class Worker:
--- a/ryepier/experiments/scale/slopes.py
+++ b/ryepier/experiments/scale/slopes.py
@@ -7,7 +7,7 @@
 import msgspec
 import numpy as np
 
-MIN_SIZES = 4  # a line fits any two points exactly; with four points, curvature shows in the residuals
+MIN_SIZE_COUNT = 4  # a line fits any two points exactly; with four points, curvature shows in the residuals
 
 
 class Estimate(msgspec.Struct, frozen=True):
@@ -44,8 +44,8 @@
     """Fit a least-squares line. Raises ValueError for too few distinct sizes or for values that are not finite."""
     if len(sizes) != len(values):
         raise ValueError(f"{len(sizes)} sizes and {len(values)} values")
-    if len(set(sizes)) < MIN_SIZES:
-        raise ValueError(f"a line needs at least {MIN_SIZES} distinct sizes, got {len(set(sizes))}")
+    if len(set(sizes)) < MIN_SIZE_COUNT:
+        raise ValueError(f"a line needs at least {MIN_SIZE_COUNT} distinct sizes, got {len(set(sizes))}")
     x, y = np.asarray(sizes, dtype=np.float64), np.asarray(values, dtype=np.float64)
     if not (np.isfinite(x).all() and np.isfinite(y).all()):
         raise ValueError("sizes and values must be finite")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -183,37 +183,37 @@
     }
 
 
-AT_LARGEST_SIZE = {"forwarder_resident_bytes": 5e4, "avoided_after_s": 1.5}
+FIGURES_AT_LARGEST_SIZE = {"forwarder_resident_bytes": 5e4, "avoided_after_s": 1.5}
 
 
 def test_superlinear_planner_cost_fails_a_claim() -> None:
-    assert not failed_claim_names(control.make_claims(30, make_figures_by_size(1.0), AT_LARGEST_SIZE))
-    failed_names = failed_claim_names(control.make_claims(30, make_figures_by_size(2.0), AT_LARGEST_SIZE))
+    assert not failed_claim_names(control.make_claims(30, make_figures_by_size(1.0), FIGURES_AT_LARGEST_SIZE))
+    failed_names = failed_claim_names(control.make_claims(30, make_figures_by_size(2.0), FIGURES_AT_LARGEST_SIZE))
     assert len(failed_names) == 1 and "cores that the planner needs" in failed_names[0]
 
 
 def test_reports_that_grow_with_the_fleet_fail_a_claim() -> None:
     assert any(
         "bytes out" in name
-        for name in failed_claim_names(control.make_claims(30, make_figures_by_size(1.0, 1.0), AT_LARGEST_SIZE))
+        for name in failed_claim_names(control.make_claims(30, make_figures_by_size(1.0, 1.0), FIGURES_AT_LARGEST_SIZE))
     )
 
 
 def test_late_avoidance_or_a_starved_planner_fails_a_claim() -> None:
     assert failed_claim_names(
-        control.make_claims(30, make_figures_by_size(1.0), AT_LARGEST_SIZE | {"avoided_after_s": float("inf")})
+        control.make_claims(30, make_figures_by_size(1.0), FIGURES_AT_LARGEST_SIZE | {"avoided_after_s": float("inf")})
     )
     starved_planner_figures = {
         size: figures | {"planner_wait_share": 0.9} for size, figures in make_figures_by_size(1.0).items()
     }
     assert any(
         "too busy" in name
-        for name in failed_claim_names(control.make_claims(30, starved_planner_figures, AT_LARGEST_SIZE))
+        for name in failed_claim_names(control.make_claims(30, starved_planner_figures, FIGURES_AT_LARGEST_SIZE))
     )
 
 
 def test_design_figures_follow_the_fitted_line_and_the_budget() -> None:
-    figures = control.make_figures(30, make_figures_by_size(1.0), AT_LARGEST_SIZE)
+    figures = control.make_figures(30, make_figures_by_size(1.0), FIGURES_AT_LARGEST_SIZE)
     assert figures["design_planner_cores_needed_30_in_use"] == pytest.approx(1.6)
     assert figures["design_share_of_budget_planner_cores_needed_30_in_use"] == pytest.approx(3.2)
     assert figures["design_share_of_budget_bytes_per_s_with_seven_30_in_use"] == pytest.approx(5.0)
@@ -397,7 +397,7 @@
 
 def test_chain_without_failures_has_one_attempt_per_call() -> None:
     outcome = run_chain(make_chain(7, 0.0))
-    assert outcome.attempts == outcome.calls == [60] * 7 and outcome.served == outcome.answered == 60
+    assert outcome.attempts == outcome.calls == [60] * 7 and outcome.served_count == outcome.answered_count == 60
 
 
 def test_chain_depends_on_its_seed_and_restores_the_clock() -> None:
@@ -410,13 +410,13 @@
     for hops in (1, 3):
         for failing_share in (0.5, 1.0):
             outcome = run_chain(make_chain(hops, failing_share))
-            assert outcome.answered == 60
+            assert outcome.answered_count == 60
             assert ChainFigures.from_outcome(make_chain(hops, failing_share), outcome).over_bound <= 1.0
 
 
 def test_non_idempotent_class_is_never_retried() -> None:
     outcome = run_chain(make_chain(3, 0.5, idempotency=Idempotency.NON_IDEMPOTENT))
-    assert outcome.attempts[-1] <= 60 and outcome.served < 60
+    assert outcome.attempts[-1] <= 60 and outcome.served_count < 60
 
 
 def test_attempts_without_a_retry_budget_exceed_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
