--- a/ryepier/experiments/load_spread/returning.py
+++ b/ryepier/experiments/load_spread/returning.py
@@ -46,7 +46,7 @@
         size.sidecars,
         size.converters,
         load=0.5,
-        duration_us=outage.restart_us + warm_up_us + MEASURED_DURATION_US,
+        duration_us=outage.restart_at_us + warm_up_us + MEASURED_DURATION_US,
         warm_up_us=warm_up_us,
         initial_capacity_share=INITIAL_CAPACITY_SHARE,
         outages=(outage,),
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -58,10 +58,10 @@
     begin_us, end_us = START_US + trial.begin_us, world.now_us
     requests = [request for request in world.requests if request.arrived_us >= begin_us]
     latencies_us = [request.ended_us - request.arrived_us for request in requests if request.served]
-    counters = [converter.connections for converter in world.converters]
+    counters = [converter.connection_counter for converter in world.converters]
     restarted = [converter for converter in world.converters if converter.started_us]
     return FleetOutcome(
-        received_us=[converter.received_us for converter in world.converters],
+        received_us=[converter.arrival_times_us for converter in world.converters],
         begin_us=begin_us,
         end_us=end_us,
         returned=[converter.started_us > 0 for converter in world.converters],
@@ -69,7 +69,7 @@
         late_share=sum(latency_us > trial.plan.objective_us for latency_us in latencies_us) / len(requests),
         p99_ms=float(np.percentile(latencies_us, 99)) / US_PER_MS,
         connections=sum(counter.mean_open(begin_us, end_us) for counter in counters),
-        opened_per_s=sum(counter.opened for counter in counters) * SECOND_US / (end_us - begin_us),
+        opened_per_s=sum(counter.opened_count for counter in counters) * SECOND_US / (end_us - begin_us),
         worst_warm_up_load=max((worst_warm_up_load(trial.plan, converter) for converter in restarted), default=0.0),
     )
 
@@ -82,7 +82,7 @@
     """
     window: deque[int] = deque()
     worst_load = 0.0
-    for at_us in converter.received_us:
+    for at_us in converter.arrival_times_us:
         if at_us < converter.started_us:
             continue
         window.append(at_us)
--- a/ryepier/sim/fleet/choosers.py
+++ b/ryepier/sim/fleet/choosers.py
@@ -73,11 +73,15 @@
         return min(self.ready, key=lambda ident: (self.converters[ident].load, self.random.random()))
 
 
-def make_random(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
+def make_random_choice(
+    settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]
+) -> BalancingPolicy:
     """Create a `RandomChoice`."""
     return RandomChoice(seed, converters)
 
 
-def make_shortest(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
+def make_shortest_queue(
+    settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]
+) -> BalancingPolicy:
     """Create a `ShortestQueue`."""
     return ShortestQueue(seed, converters)
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -9,29 +9,29 @@
 class ConnectionCounter:
     """Counts the connections that are open at one converter, and integrates them over time."""
 
-    open: int = 0
-    opened: int = 0  # since the counts were reset
-    max_open: int = 0
-    open_connection_us: int = 0  # integral of `open` over time, in connections times microseconds
+    open_count: int = 0
+    opened_count: int = 0  # since the counts were reset
+    max_open_count: int = 0
+    open_connection_us: int = 0  # integral of `open_count` over time, in connections times microseconds
     last_change_us: int = 0
 
     def record_change(self, now_us: int, delta: int) -> None:
         """Record that `delta` connections were opened at `now_us`, or closed if `delta` is negative."""
-        self.open_connection_us += self.open * (now_us - self.last_change_us)
+        self.open_connection_us += self.open_count * (now_us - self.last_change_us)
         self.last_change_us = now_us
-        self.open += delta
-        self.opened += max(0, delta)
-        self.max_open = max(self.max_open, self.open)
+        self.open_count += delta
+        self.opened_count += max(0, delta)
+        self.max_open_count = max(self.max_open_count, self.open_count)
 
     def reset_counts(self, now_us: int) -> None:
         """Reset the counts at `now_us`; open connections stay open."""
         self.record_change(now_us, 0)
-        self.open_connection_us = self.opened = 0
-        self.max_open = self.open
+        self.open_connection_us = self.opened_count = 0
+        self.max_open_count = self.open_count
 
     def mean_open(self, since_us: int, now_us: int) -> float:
         """Return the mean number of open connections from `since_us`, when the counts were reset, to `now_us`."""
-        return (self.open_connection_us + self.open * (now_us - self.last_change_us)) / max(1, now_us - since_us)
+        return (self.open_connection_us + self.open_count * (now_us - self.last_change_us)) / max(1, now_us - since_us)
 
 
 @dataclass(slots=True)
--- a/ryepier/sim/fleet/converter.py
+++ b/ryepier/sim/fleet/converter.py
@@ -29,39 +29,39 @@
     queue_limit: int
     up: bool = True
     started_us: int = 0  # time of the last restart; 0: not restarted, and warm from the beginning
-    working: list[Job] = field(default_factory=list)
-    queue: deque[Job] = field(default_factory=deque)
-    received_us: list[int] = field(default_factory=list)  # arrival time of each request, including rejected ones
-    rejected: int = 0
-    connections: ConnectionCounter = field(default_factory=ConnectionCounter)
+    running_jobs: list[Job] = field(default_factory=list)
+    queued_jobs: deque[Job] = field(default_factory=deque)
+    arrival_times_us: list[int] = field(default_factory=list)  # arrival time of each request, including rejected ones
+    rejected_count: int = 0
+    connection_counter: ConnectionCounter = field(default_factory=ConnectionCounter)
 
     @property
     def load(self) -> int:
         """The number of jobs that are running or queued."""
-        return len(self.working) + len(self.queue)
+        return len(self.running_jobs) + len(self.queued_jobs)
 
     def receive(self, job: Job) -> bool:
         """Queue a job, and return True; reject it and return False if the workers and the queue are full."""
-        self.received_us.append(job.received_us)
-        if len(self.working) >= self.workers and len(self.queue) >= self.queue_limit:
-            self.rejected += 1
+        self.arrival_times_us.append(job.received_us)
+        if len(self.running_jobs) >= self.workers and len(self.queued_jobs) >= self.queue_limit:
+            self.rejected_count += 1
             return False
-        self.queue.append(job)
+        self.queued_jobs.append(job)
         return True
 
     def start_next(self) -> Job | None:
         """Start the next queued job if a worker is free, and return it. Jobs that have already ended are dropped."""
-        while self.queue and len(self.working) < self.workers:
-            job = self.queue.popleft()
+        while self.queued_jobs and len(self.running_jobs) < self.workers:
+            job = self.queued_jobs.popleft()
             if not job.ended:
-                self.working.append(job)
+                self.running_jobs.append(job)
                 return job
         return None
 
     def stop(self) -> list[Job]:
         """Mark the converter as down, and return its jobs, which are lost."""
-        lost = [*self.working, *self.queue]
-        self.working.clear()
-        self.queue.clear()
+        lost = [*self.running_jobs, *self.queued_jobs]
+        self.running_jobs.clear()
+        self.queued_jobs.clear()
         self.up = False
         return lost
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -28,7 +28,7 @@
     converters: int  # number of converters that go down
     at_us: int
     notice_delay_us: int  # from the outage until the endpoint list omits the converters
-    restart_us: int
+    restart_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,7 +140,7 @@
         """Reset the connection counts of all converters."""
         self.counted_from_us = self.now_us
         for converter in self.converters:
-            converter.connections.reset_counts(self.now_us)
+            converter.connection_counter.reset_counts(self.now_us)
 
     # Sidecars
 
@@ -207,7 +207,7 @@
         """Return the connection pool of a sidecar for a converter, created on first use."""
         key = (sidecar, converter)
         if key not in self.pools:
-            self.pools[key] = ConnectionPool(self.converters[converter].connections)
+            self.pools[key] = ConnectionPool(self.converters[converter].connection_counter)
         return self.pools[key]
 
     def send(self, sidecar: int, send: api.Send) -> None:
@@ -238,9 +238,9 @@
 
     def finish_job(self, job: Job, converter: Converter) -> None:
         """Finish a job, and start queued jobs."""
-        if job not in converter.working:
+        if job not in converter.running_jobs:
             return  # the job was lost in an outage
-        converter.working.remove(job)
+        converter.running_jobs.remove(job)
         self.end_attempt(job, converter, api.Outcome.OK)
         self.start_jobs(converter)
 
@@ -273,7 +273,7 @@
         converters = self.random.sample(self.converters, outage.converters)
         self.schedule(START_US + outage.at_us, lambda: self.stop_converters(converters))
         self.schedule(START_US + outage.at_us + outage.notice_delay_us, lambda: self.announce_removal(converters))
-        self.schedule(START_US + outage.restart_us, lambda: self.restart_converters(converters))
+        self.schedule(START_US + outage.restart_at_us, lambda: self.restart_converters(converters))
 
     def stop_converters(self, converters: list[Converter]) -> None:
         """Stop converters: reset their attempts and close the idle connections to them."""
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -21,11 +21,11 @@
 
 
 def received_times(world: FleetWorld) -> list[list[int]]:
-    return [converter.received_us for converter in world.converters]
+    return [converter.arrival_times_us for converter in world.converters]
 
 
 def test_random_choice_spreads_as_by_chance_and_requests_are_served() -> None:
-    world = FleetWorld(FLEET_PLAN, 1, choosers.make_random)
+    world = FleetWorld(FLEET_PLAN, 1, choosers.make_random_choice)
     world.run()
     spread = measures.measure_spread(received_times(world), START_US, world.now_us)
     assert 0.5 < spread.variation_ratio < 1.5  # with 20 converters, the deviation itself has an error of about a sixth
@@ -41,7 +41,7 @@
         latencies_us = [request.ended_us - request.arrived_us for request in world.requests if request.served]
         return sum(latencies_us) / len(latencies_us)
 
-    assert mean_latency_us(choosers.make_shortest) < mean_latency_us(choosers.make_random)
+    assert mean_latency_us(choosers.make_shortest_queue) < mean_latency_us(choosers.make_random_choice)
 
 
 def test_same_seed_gives_the_same_run() -> None:
@@ -56,20 +56,22 @@
     world.run()
     latest_arrival_us = world.now_us - world.plan.deadline_us
     assert all(request.ended_us for request in world.requests if request.arrived_us < latest_arrival_us)
-    assert all(len(converter.working) <= converter.workers for converter in world.converters)
+    assert all(len(converter.running_jobs) <= converter.workers for converter in world.converters)
     assert sum(request.rejected for request in world.requests) > 0
 
 
 def test_stopped_converters_receive_nothing_until_they_restart() -> None:
-    outage = Outage(converters=4, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
+    outage = Outage(converters=4, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_at_us=3 * SECOND_US)
     plan = FleetPlan(sidecars=10, converters=10, load=0.3, duration_us=5 * SECOND_US, outages=(outage,))
-    world = FleetWorld(plan, 5, choosers.make_random)
+    world = FleetWorld(plan, 5, choosers.make_random_choice)
     world.run()
     restarted = [converter for converter in world.converters if converter.started_us]
     assert len(restarted) == 4
-    outage_us = (START_US + outage.at_us, START_US + outage.restart_us)
-    assert all(not outage_us[0] < at_us < outage_us[1] for converter in restarted for at_us in converter.received_us)
-    assert all(converter.received_us[-1] > outage_us[1] for converter in restarted)
+    outage_us = (START_US + outage.at_us, START_US + outage.restart_at_us)
+    assert all(
+        not outage_us[0] < at_us < outage_us[1] for converter in restarted for at_us in converter.arrival_times_us
+    )
+    assert all(converter.arrival_times_us[-1] > outage_us[1] for converter in restarted)
 
 
 def test_converter_queues_jobs_and_rejects_them_when_its_queue_is_full() -> None:
@@ -77,7 +79,7 @@
     jobs = [Job(0, n, 0, 10, n) for n in range(3)]
     assert converter.receive(jobs[0]) and converter.start_next() is jobs[0]
     assert converter.receive(jobs[1]) and not converter.receive(jobs[2])
-    assert (converter.load, converter.rejected, converter.start_next()) == (2, 1, None)
+    assert (converter.load, converter.rejected_count, converter.start_next()) == (2, 1, None)
     assert converter.stop() == jobs[:2] and converter.load == 0
 
 
@@ -91,7 +93,7 @@
     pool.acquire(20)  # reuses the idle connection
     pool.release(30, reusable=True)
     pool.close_idle(50, idle_before_us=30)
-    assert (counter.opened, counter.max_open, counter.open) == (2, 2, 0)
+    assert (counter.opened_count, counter.max_open_count, counter.open_count) == (2, 2, 0)
     assert counter.mean_open(0, 100) == pytest.approx((2 * 10 + 1 * 40) / 100)
 
 
@@ -135,8 +137,8 @@
 
 def shares_of_returned(warm_up_us: int, seed: int) -> list[float]:
     """Return the load of each restarted converter in the 5 s after its warm-up, over the mean of the others."""
-    outage = Outage(converters=10, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_us=3 * SECOND_US)
-    begin_us = outage.restart_us + warm_up_us
+    outage = Outage(converters=10, at_us=SECOND_US, notice_delay_us=SECOND_US // 2, restart_at_us=3 * SECOND_US)
+    begin_us = outage.restart_at_us + warm_up_us
     plan = FleetPlan(
         sidecars=150,
         converters=50,
