--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -73,7 +73,7 @@
     labels: dict[str, str]
     version: int
     wants_bookmarks: bool
-    end_s: float  # on the monotonic clock
+    ends_at_s: float  # on the monotonic clock
 
 
 OnWritten = Callable[[asyncio.StreamWriter, list[ApiObject], bool], None]
@@ -99,7 +99,7 @@
         self._on_written = on_written or (lambda writer, objects, is_full_list: None)
         self._server: asyncio.Server | None = None
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
-        self._change = asyncio.Event()  # set, and replaced by a new one, at each change
+        self._change_event = asyncio.Event()  # set, and replaced by a new one, at each change
 
     async def listen(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> int:
         """Accept connections, and return the port, which the system selects if `port` is 0."""
@@ -114,8 +114,8 @@
 
     def on_change(self) -> None:
         """Wake the open watches, which then write the new events."""
-        self._change.set()
-        self._change = asyncio.Event()
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
     def end_connections(self) -> None:
         """Reset all connections."""
@@ -211,9 +211,9 @@
         else:
             version = self.store.version
             existing = self.store.select(namespace, labels)
-        end_s = system.monotonic() + float(query.get("timeoutSeconds", DEFAULT_WATCH_S))
+        ends_at_s = system.monotonic() + float(query.get("timeoutSeconds", DEFAULT_WATCH_S))
         wants_bookmarks = query.get("allowWatchBookmarks") in TRUE_VALUES
-        watch = Watch(writer, namespace, labels, version, wants_bookmarks, end_s)
+        watch = Watch(writer, namespace, labels, version, wants_bookmarks, ends_at_s)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
         for api_object in existing:
             await self._write_event(watch, EventType.ADDED, api_object)
@@ -222,18 +222,18 @@
 
     async def _stream_events(self, watch: Watch) -> None:
         """Write events as they happen, and a bookmark after `bookmark_interval_s` without a change."""
-        while system.monotonic() < watch.end_s and not watch.writer.is_closing():
-            change = self._change  # read before the writes below, so that no change during them is missed
+        while system.monotonic() < watch.ends_at_s and not watch.writer.is_closing():
+            change_event = self._change_event  # read before the writes below, so that no change during them is missed
             if not self.faults.silent:
                 try:
                     await self._write_new_events(watch)
                 except ExpiredError as error:
                     await self._write_event(watch, EventType.ERROR, error.status)
                     return
-            timeout_s = max(0.0, min(self.bookmark_interval_s, watch.end_s - system.monotonic()))
+            timeout_s = max(0.0, min(self.bookmark_interval_s, watch.ends_at_s - system.monotonic()))
             try:
                 async with asyncio.timeout(timeout_s):
-                    await change.wait()
+                    await change_event.wait()
             except TimeoutError:
                 await self._write_bookmark(watch)
 
@@ -286,6 +286,6 @@
     async def _wait_for_change(self, timeout_s: float) -> None:
         try:
             async with asyncio.timeout(timeout_s):
-                await self._change.wait()
+                await self._change_event.wait()
         except TimeoutError:
             pass
--- a/ryepier/emulator/api_store.py
+++ b/ryepier/emulator/api_store.py
@@ -70,10 +70,12 @@
 def parse_selector(text: str) -> dict[str, str]:
     """Return the labels that a selector requires. Raises ApiError for any operator other than equality."""
     labels = {}
-    for part in filter(None, text.split(",")):
-        key, equals, value = part.replace("==", "=").partition("=")
+    for requirement in filter(None, text.split(",")):
+        key, equals, value = requirement.replace("==", "=").partition("=")
         if not equals or key.endswith("!"):
-            raise ApiError(http.HTTPStatus.BAD_REQUEST, "BadRequest", f"this stand-in knows no selector {part!r}")
+            raise ApiError(
+                http.HTTPStatus.BAD_REQUEST, "BadRequest", f"this stand-in knows no selector {requirement!r}"
+            )
         labels[key.strip()] = value.strip()
     return labels
 
@@ -97,23 +99,23 @@
 
     def put(self, namespace: str, name: str, content: ApiObject, labels: dict[str, str] | None = None) -> ApiObject:
         """Create or replace an object under a new version, and a new generation if its content differs."""
-        old = self.objects.get((namespace, name))
-        if old is None:
+        old_object = self.objects.get((namespace, name))
+        if old_object is None:
             metadata = self._new_metadata(namespace, name, labels or {})
         else:
-            has_changed = any(old.get(key) != content.get(key) for key in ("endpoints", "ports"))
-            metadata = old["metadata"] | {"generation": old["metadata"]["generation"] + has_changed}
+            has_changed = any(old_object.get(key) != content.get(key) for key in ("endpoints", "ports"))
+            metadata = old_object["metadata"] | {"generation": old_object["metadata"]["generation"] + has_changed}
         self.version += 1
-        new = {
+        new_object = {
             "kind": KIND,
             "apiVersion": API_VERSION,
             "metadata": metadata | {"resourceVersion": str(self.version)},
             **content,
         }
-        self.objects[namespace, name] = new
-        event_type = EventType.MODIFIED if old else EventType.ADDED
-        self._events.append(Event(self.version, event_type, new, namespace))
-        return new
+        self.objects[namespace, name] = new_object
+        event_type = EventType.MODIFIED if old_object else EventType.ADDED
+        self._events.append(Event(self.version, event_type, new_object, namespace))
+        return new_object
 
     def _new_metadata(self, namespace: str, name: str, labels: dict[str, str]) -> ApiObject:
         self._last_uid += 1
@@ -128,10 +130,10 @@
 
     def delete(self, namespace: str, name: str) -> None:
         """Delete an object, under a new version."""
-        old = self.objects.pop((namespace, name))
+        old_object = self.objects.pop((namespace, name))
         self.version += 1
-        deleted = old | {"metadata": old["metadata"] | {"resourceVersion": str(self.version)}}
-        self._events.append(Event(self.version, EventType.DELETED, deleted, namespace))
+        deleted_object = old_object | {"metadata": old_object["metadata"] | {"resourceVersion": str(self.version)}}
+        self._events.append(Event(self.version, EventType.DELETED, deleted_object, namespace))
 
     def compact(self) -> None:
         """Discard the events so far, as a real server does after some minutes."""
--- a/ryepier/emulator/client_retries.py
+++ b/ryepier/emulator/client_retries.py
@@ -11,8 +11,8 @@
 MAX_DELAY_US = 10_000_000
 BACKOFF_GROWTH = 2.0
 MIN_JITTER = 0.5  # the factor on the exponential backoff is random, from this up to this plus 1
-NOT_RETRIED = (RequestOutcome.SERVED, RequestOutcome.LEFT)
-NEVER_RUN = (RequestOutcome.REFUSED, RequestOutcome.UNREACHABLE)
+NOT_RETRIED_OUTCOMES = (RequestOutcome.SERVED, RequestOutcome.LEFT)
+NEVER_RUN_OUTCOMES = (RequestOutcome.REFUSED, RequestOutcome.UNREACHABLE)
 
 
 def may_retry(request_class: RequestClass, outcome: RequestOutcome, first_sent_us: int, now_us: int) -> bool:
@@ -20,9 +20,9 @@
 
     It always does if the request certainly did not run, otherwise only if repeating the request is harmless.
     """
-    if outcome in NOT_RETRIED:
+    if outcome in NOT_RETRIED_OUTCOMES:
         return False
-    if outcome in NEVER_RUN or request_class.effect is Effect.IDEMPOTENT:
+    if outcome in NEVER_RUN_OUTCOMES or request_class.effect is Effect.IDEMPOTENT:
         return True
     is_deduplicated_everywhere = (
         request_class.effect is Effect.DEDUPLICATED and request_class.scope is DeduplicationScope.ALL
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -86,10 +86,10 @@
     def add(self, now_us: int, key: str, window_us: int) -> None:
         """Add a key, and remove finished keys whose window has passed."""
         while self._expiries and self._expiries[0][0] <= now_us:
-            expires_us, expired = self._expiries.popleft()
-            entry = self.entries.get(expired)
+            expires_us, expired_key = self._expiries.popleft()
+            entry = self.entries.get(expired_key)
             if entry is not None and entry.expires_us == expires_us and entry.finished:
-                del self.entries[expired]
+                del self.entries[expired_key]
         self.entries[key] = _CachedKey(now_us + window_us)
         self._expiries.append((now_us + window_us, key))
 
@@ -136,7 +136,7 @@
     def on_request(self, now_us: int, work: Work) -> list[Action]:
         """Handle a request that has been received in full."""
         actions = self.advance(now_us)
-        if self._is_overloaded_after(now_us, work.work_us):
+        if self._record_recent_work(now_us, work.work_us):
             return [*actions, Crashed()]
         entry = self.cache.get(now_us, work.key) if work.key else None
         if entry is not None and entry.finished:
@@ -161,9 +161,9 @@
 
     def _add_overhead(self, now_us: int, work_us: int) -> list[Action]:
         self.overhead_us += work_us
-        return [Crashed()] if self._is_overloaded_after(now_us, work_us) else []
+        return [Crashed()] if self._record_recent_work(now_us, work_us) else []
 
-    def _is_overloaded_after(self, now_us: int, work_us: int) -> bool:
+    def _record_recent_work(self, now_us: int, work_us: int) -> bool:
         """Add work, also of rejected requests, to the overload window; return whether it crashes the converter."""
         share = self.capacity_share(now_us)
         if self.crashed or share >= 1.0:
@@ -253,7 +253,7 @@
         for work in [*(work for _, _, work in self.running), *self.queue]:
             if work.key:
                 self.cache.entries.pop(work.key, None)
-        not_started = [work.token for work in self.queue]
+        not_started_tokens = [work.token for work in self.queue]
         self.running.clear()
         self.queue.clear()
-        return not_started
+        return not_started_tokens
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -37,7 +37,7 @@
     plan: Plan
     clock: Clock
     records: RoleRecords
-    backlog_fillers: int  # connections that fill a listener's backlog, so that no further one is established
+    backlog_filler_count: int  # connections that fill a listener's backlog, so that no further one is established
 
     def sidecar_of(self, request_id: bytes) -> int:
         """Return the sidecar that a client sent the request to."""
@@ -45,12 +45,12 @@
     def record_event(self, text: str) -> None:
         """Record an event at the present time."""
 
-    def answer_released(self, cache: IdempotencyCache) -> None:
+    def answer_released_repeats(self, cache: IdempotencyCache) -> None:
         """Answer the repeats that waited for a request at another converter of their pod."""
 
 
 @dataclass(frozen=True, slots=True)
-class _InFlight:
+class _InFlightRequest:
     """A request that has been passed to the model, with its connection."""
 
     connection: ConverterConnection
@@ -74,9 +74,9 @@
             draws.stream(owner.plan.seed, f"reports {instance.uid}"),
             instance.start_us,
         )
-        self.in_flight: dict[int, _InFlight] = {}  # by token
+        self.in_flight: dict[int, _InFlightRequest] = {}  # by token
         self._speaks_graphql = world.clients.speak_graphql
-        self._window_us = {
+        self._window_us_by_class = {
             request_class.name.encode(): int(request_class.idempotency_window_ms * 1000)
             for request_class in world.classes
         }
@@ -210,7 +210,7 @@
         elif self._faults.affects(FaultKind.TURN_AWAY, request_id.encode("latin-1")):
             self._reject(connection)
         else:
-            window_us = self._window_us.get(request.headers.get(b"x-class", b""), 0)
+            window_us = self._window_us_by_class.get(request.headers.get(b"x-class", b""), 0)
             self._accept(connection, attempt, window_us)
 
     def _record_attempt(self, request: ReceivedRequest, request_id: str) -> ConverterAttempt:
@@ -228,7 +228,7 @@
 
     def _accept(self, connection: ConverterConnection, attempt: ConverterAttempt, window_us: int) -> None:
         self._last_token += 1
-        self.in_flight[self._last_token] = _InFlight(connection, attempt)
+        self.in_flight[self._last_token] = _InFlightRequest(connection, attempt)
         work = Work(self._last_token, attempt.key if window_us else "", attempt.work_us, window_us)
         self.carry_out(self.model.on_request(attempt.received_us, work))
 
@@ -241,7 +241,7 @@
                 self._crash()
                 return
             self._carry_out_action(action)
-        self.owner.answer_released(self.model.cache)
+        self.owner.answer_released_repeats(self.model.cache)
         self._arm_timer()
 
     def _carry_out_action(self, action: Started | Done | Rejected) -> None:
@@ -264,8 +264,8 @@
         self.stop()
 
     def _success_body(self, request_id: str) -> bytes:
-        origin = b'{"for":"%s","by":"%s"}' % (request_id.encode("latin-1"), self.uid.encode())
-        return b'{"data":{"done":true},"extensions":%s}' % origin if self._speaks_graphql else origin
+        response_ids = b'{"for":"%s","by":"%s"}' % (request_id.encode("latin-1"), self.uid.encode())
+        return b'{"data":{"done":true},"extensions":%s}' % response_ids if self._speaks_graphql else response_ids
 
     def _reject(self, connection: ConverterConnection) -> None:
         self._reply(connection, http.HTTPStatus.SERVICE_UNAVAILABLE, b"", not_run=True)
@@ -322,7 +322,7 @@
         self._close_listener()
         address = self.owner.plan.converter_address(self.instance.index)
         self._blocking_sockets = [system.listen(address, 0)]
-        for _ in range(self.owner.backlog_fillers):
+        for _ in range(self.owner.backlog_filler_count):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(address)
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -11,7 +11,7 @@
 from ryepier.emulator.records import RecordedEvent, RoleRecords
 from ryepier.emulator.timeline import FaultAction, Instance, TargetKind, Timeline
 
-BACKLOG_FILLERS = 4  # connections that fill the backlog of a listener, so that no further one is established
+BACKLOG_FILLER_COUNT = 4  # connections that fill the backlog of a listener, so that no further one is established
 IDLE_CHECK_S = 0.25
 
 
@@ -30,7 +30,8 @@
         ]
         indexes = {instance.index for instance in self.instances}
         self.steps = [step for step in timeline.steps if step.target is TargetKind.CONVERTER and step.index in indexes]
-        self.backlog_fillers = 0 if simulated else BACKLOG_FILLERS  # a simulated listener may have a backlog of 0
+        # a simulated listener can have a backlog of 0, which needs no fillers
+        self.backlog_filler_count = 0 if simulated else BACKLOG_FILLER_COUNT
         self.servers: dict[int, ConverterServer] = {}  # by the instance's index
         self._caches: dict[int, IdempotencyCache] = {}  # by pod
         self._sidecar_by_arrival: list[int] = []  # computed at the first use
@@ -81,7 +82,7 @@
             for server in self.servers.values():
                 server.close_idle_connections(self.clock.now_us())
 
-    def answer_released(self, cache: IdempotencyCache) -> None:
+    def answer_released_repeats(self, cache: IdempotencyCache) -> None:
         """Answer the repeats that waited for a request at another converter of their pod."""
         while cache.released_repeats:
             model, token = cache.released_repeats.pop()
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -99,7 +99,7 @@
         self.registry = Registry(listing)
         self._muted = False
         self._frozen = False  # changes are held back, and the unchanged list is served
-        self._pending: list[Entry] = []  # changes that arrived while it was muted, frozen or down
+        self._pending_changes: list[Entry] = []  # changes that arrived while it was muted, frozen or down
         self._server: asyncio.Server | None = None
         self._watches: dict[asyncio.StreamWriter, int] = {}  # with the revision last sent to each
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
@@ -191,16 +191,16 @@
 
     def _notify(self, entry: Entry) -> None:
         if self._muted or self._frozen or self._server is None:
-            self._pending.append(entry)
+            self._pending_changes.append(entry)
         elif self.registry.apply_change(entry):
             self._write_changes_to_all()
 
     async def _recover(self) -> None:
         """Serve normally again, and send the changes that were held back."""
         self._muted = self._frozen = False
-        for entry in self._pending:
+        for entry in self._pending_changes:
             self.registry.apply_change(entry)
-        self._pending.clear()
+        self._pending_changes.clear()
         if self._server is None:
             await self.listen()
         self._write_changes_to_all()
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -117,9 +117,9 @@
         tenant_times_us = np.repeat(steps_us, counts) + random.integers(0, RATE_STEP_US, int(counts.sum()))
         times_by_tenant.append(tenant_times_us)
         tenant_columns.append(np.full(len(tenant_times_us), index, dtype=np.int64))
-    at_us, tenant_of = np.concatenate(times_by_tenant), np.concatenate(tenant_columns)
+    at_us, tenant_indexes = np.concatenate(times_by_tenant), np.concatenate(tenant_columns)
     order = np.argsort(at_us, kind="stable")
-    return _TenantArrivals(at_us[order], tenant_of[order])
+    return _TenantArrivals(at_us[order], tenant_indexes[order])
 
 
 def _sample_sidecars(world: World, seed: int, at_us: IntArray) -> IntArray:
--- a/ryepier/emulator/files.py
+++ b/ryepier/emulator/files.py
@@ -153,7 +153,7 @@
     return {"RYEPIER_SLICES__SERVER": f"http://{_format_address(plan.discovery_address(sidecar))}"}
 
 
-def planner_settings_text(plan: Plan, index: int, snapshots: Path | None) -> str:
+def planner_settings_text(plan: Plan, index: int, snapshots_folder: Path | None) -> str:
     """Return one planner's settings as TOML."""
     addresses = planner_addresses(plan)
     peers = ", ".join(f'planner-{peer} = "{address}"' for peer, address in enumerate(addresses) if peer != index)
@@ -161,5 +161,5 @@
     return (
         f'[logging]\nformat = "json"\n{_trust_table(plan.world)}[planner]\nname = "planner-{index}"\n'
         f'listen = "{addresses[index]}"\npeers = {{ {peers} }}\ntenant_shares = {shares}\n'
-        f'snapshots = "{snapshots or ""}"\n'
+        f'snapshots = "{snapshots_folder or ""}"\n'
     )
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -41,7 +41,7 @@
 
     name: str
     process: asyncio.subprocess.Process
-    records: Path
+    records_path: Path
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
             self.plan, folder, self.roles.planner_command, self.roles.planner_restart_command
         )
         self._processes: list[RoleProcess] = []
-        self._counts: dict[str, Counter[str]] = {}  # by process
+        self._counts_by_process: dict[str, Counter[str]] = {}  # by process
 
     def _make_sidecars(self) -> SidecarProcesses:
         has_settings = files.has_settings_file(self.world)
@@ -154,17 +154,17 @@
         plan = msgspec.structs.replace(self.plan, role=role, index=index)
         path = self.folder / f"{role}-{index}.json"
         path.write_bytes(msgspec.json.encode(plan))
-        records = self.folder / f"{role}-{index}.records"
-        records.unlink(missing_ok=True)  # of an earlier run
+        records_path = self.folder / f"{role}-{index}.records"
+        records_path.unlink(missing_ok=True)  # of an earlier run
         process = await asyncio.create_subprocess_exec(
             *PYTHON_COMMAND,
             self.roles.role_module,
             str(path),
-            str(records),
+            str(records_path),
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        return RoleProcess(f"{role} {index}", process, records)
+        return RoleProcess(f"{role} {index}", process, records_path)
 
     def start_planners(self) -> None:
         """Start the planners, after the emulator's processes and before the sidecars."""
@@ -184,26 +184,26 @@
         async with asyncio.TaskGroup() as group:
             for role_process in self._processes:
                 group.create_task(self._read_counts(role_process))
-            background = [
+            background_tasks = [
                 group.create_task(self.sidecars.sample_usage()),
                 group.create_task(self.sidecars.watch_cpu_waits()),
             ]
             group.create_task(self.run_schedule())
             await asyncio.gather(*(role_process.process.wait() for role_process in self._processes))
-            for task in background:
+            for task in background_tasks:
                 task.cancel()
 
     async def _read_counts(self, role_process: RoleProcess) -> None:
         """Read the clients' counts from a process, and pass the sums to `on_progress`."""
         assert role_process.process.stdout is not None
         while line := await role_process.process.stdout.readline():
-            self._counts[role_process.name] = Counter(msgspec.json.decode(line, type=dict[str, int]))
+            self._counts_by_process[role_process.name] = Counter(msgspec.json.decode(line, type=dict[str, int]))
             if self.on_progress is not None:
-                self.on_progress(self.clock.now_us() / 1e6, sum(self._counts.values(), Counter()))
+                self.on_progress(self.clock.now_us() / 1e6, sum(self._counts_by_process.values(), Counter()))
 
     async def run_schedule(self) -> None:
         """Carry out the steps on sidecars and planners; restarts of sidecars take place in parallel."""
-        async with asyncio.TaskGroup() as restarts:
+        async with asyncio.TaskGroup() as restart_tasks:
             for step in self.timeline.steps:
                 if step.target not in (TargetKind.SIDECAR, TargetKind.PLANNER):
                     continue
@@ -213,7 +213,7 @@
                 if step.target is TargetKind.PLANNER:
                     self.planners.apply(step)
                 else:
-                    self.sidecars.apply(step.index, step.action, restarts)
+                    self.sidecars.apply(step.index, step.action, restart_tasks)
 
     # Stop and results
 
@@ -229,12 +229,12 @@
     def _history(self) -> History:
         records = []
         for role_process in self._processes:
-            if role_process.process.returncode != 0 or not role_process.records.exists():
+            if role_process.process.returncode != 0 or not role_process.records_path.exists():
                 raise HarnessError(
                     f"emulator process {role_process.name} failed or wrote no records: "
                     f"exit status {role_process.process.returncode}"
                 )
-            records.append(msgspec.msgpack.decode(role_process.records.read_bytes(), type=RoleRecords))
+            records.append(msgspec.msgpack.decode(role_process.records_path.read_bytes(), type=RoleRecords))
         return join(records, self.sidecars.incarnations(self.clock.run_start_us), self.events)
 
 
--- a/ryepier/emulator/planner_processes.py
+++ b/ryepier/emulator/planner_processes.py
@@ -28,10 +28,10 @@
         """Write the planners' settings and start them, without snapshots of earlier runs."""
         settings = self.plan.world.planners
         for index in range(settings.count):
-            snapshots = self.folder / f"planner-{index}"
-            shutil.rmtree(snapshots, ignore_errors=True)
-            snapshots.mkdir()
-            text = files.planner_settings_text(self.plan, index, snapshots if settings.snapshots else None)
+            snapshots_folder = self.folder / f"planner-{index}"
+            shutil.rmtree(snapshots_folder, ignore_errors=True)
+            snapshots_folder.mkdir()
+            text = files.planner_settings_text(self.plan, index, snapshots_folder if settings.snapshots else None)
             self._settings_path(index).write_text(text)
             self._processes.append(self._start(index, self.command))
 
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -26,7 +26,7 @@
 PLANNER_PORT = 7400
 HOSTS_PER_SUBNET = 250
 DISCOVERY_SUBNET, SIDECAR_SUBNET, PLANNER_SUBNET = 252, 253, 254  # third octets; converters have lower ones
-TAIL_S = 1.0  # from the last deadline to the end of the run, for late responses
+LATE_RESPONSE_MARGIN_S = 1.0  # from the last deadline to the end of the run, for late responses
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -43,7 +43,7 @@
     def end_us(self) -> int:
         """The time at which the run ends."""
         max_deadline_ms = max(request_class.deadline_ms for request_class in self.world.classes)
-        return int((self.world.duration_s + max_deadline_ms / 1000 + TAIL_S) * 1e6)
+        return int((self.world.duration_s + max_deadline_ms / 1000 + LATE_RESPONSE_MARGIN_S) * 1e6)
 
     def converter_address(self, index: int) -> Address:
         """Return the address of a converter's process."""
--- a/ryepier/emulator/process_usage.py
+++ b/ryepier/emulator/process_usage.py
@@ -8,7 +8,8 @@
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_KIB = os.sysconf("SC_PAGE_SIZE") // 1024
-USER_TICKS, SYSTEM_TICKS, RESIDENT_PAGES = 11, 12, 21  # fields of /proc/PID/stat, counted from the field after the name
+# positions of fields in /proc/PID/stat, counted from the field after the process's name
+USER_TICKS_FIELD, SYSTEM_TICKS_FIELD, RESIDENT_PAGES_FIELD = 11, 12, 21
 NS_PER_US = 1000
 
 
@@ -26,8 +27,8 @@
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
         return None
-    cpu_us = (int(fields[USER_TICKS]) + int(fields[SYSTEM_TICKS])) * 1_000_000 // TICKS_PER_S
-    return ProcessUsage(cpu_us, int(fields[RESIDENT_PAGES]) * PAGE_KIB)
+    cpu_us = (int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])) * 1_000_000 // TICKS_PER_S
+    return ProcessUsage(cpu_us, int(fields[RESIDENT_PAGES_FIELD]) * PAGE_KIB)
 
 
 def read_cpu_wait_us(pid: int) -> int | None:
--- a/ryepier/emulator/sidecar_processes.py
+++ b/ryepier/emulator/sidecar_processes.py
@@ -33,8 +33,8 @@
     """One sidecar, its present process, and the records of all its processes."""
 
     index: int
-    config: Path
-    log: Path
+    config_path: Path
+    log_path: Path
     process: subprocess.Popen[bytes] | None = None
     incarnations: list[Incarnation] = field(default_factory=list)
 
@@ -65,9 +65,9 @@
     def write_configurations(self, texts: Sequence[str], folder: Path) -> None:
         """Write the platform's configuration of each sidecar to a file in `folder`."""
         for index, text in enumerate(texts):
-            config = folder / f"sidecar-{index}.json"
-            config.write_text(text)
-            self.sidecars.append(SidecarProcess(index, config, folder / f"sidecar-{index}.log"))
+            config_path = folder / f"sidecar-{index}.json"
+            config_path.write_text(text)
+            self.sidecars.append(SidecarProcess(index, config_path, folder / f"sidecar-{index}.log"))
 
     # Start
 
@@ -86,8 +86,8 @@
                 await self._wait_until_ready(sidecar)
 
     def _start(self, sidecar: SidecarProcess) -> None:
-        with open(sidecar.log, "ab") as log:
-            environment = os.environ | {"BALANCER_CONFIG": str(sidecar.config)}
+        with open(sidecar.log_path, "ab") as log:
+            environment = os.environ | {"BALANCER_CONFIG": str(sidecar.config_path)}
             environment |= files.settings_environment(self.plan, sidecar.index)
             command = self.overrides.get(sidecar.index, self.command)
             sidecar.process = subprocess.Popen(command, env=environment, stdout=log, stderr=log)
@@ -96,18 +96,20 @@
     async def _wait_until_ready(self, sidecar: SidecarProcess) -> None:
         """Poll a sidecar until it is ready, or is killed by a fault. Raises HarnessError."""
         incarnation = sidecar.incarnations[-1]
-        poll_s = READY_POLL_S * max(1.0, len(self.sidecars) / MAX_CONCURRENT_STARTS)
+        poll_interval_s = READY_POLL_S * max(1.0, len(self.sidecars) / MAX_CONCURRENT_STARTS)
         end_us = monotonic_us() + int(READY_TIMEOUT_S * 1e6)
         while monotonic_us() < end_us:
             if incarnation.killed:
                 return
             if not sidecar.is_running:
-                raise HarnessError(f"sidecar {sidecar.index} ended at its start: see {sidecar.log}")
+                raise HarnessError(f"sidecar {sidecar.index} ended at its start: see {sidecar.log_path}")
             if await self._is_ready(sidecar):
                 incarnation.ready_us = monotonic_us()
                 return
-            await asyncio.sleep(poll_s)
-        raise HarnessError(f"sidecar {sidecar.index} was not ready within {READY_TIMEOUT_S:.0f} s: see {sidecar.log}")
+            await asyncio.sleep(poll_interval_s)
+        raise HarnessError(
+            f"sidecar {sidecar.index} was not ready within {READY_TIMEOUT_S:.0f} s: see {sidecar.log_path}"
+        )
 
     async def _is_ready(self, sidecar: SidecarProcess) -> bool:
         try:
@@ -121,8 +123,8 @@
 
     # Faults
 
-    def apply(self, index: int, action: FaultAction, restarts: asyncio.TaskGroup) -> None:
-        """Carry out one step of the schedule; a restart runs as a task of `restarts`."""
+    def apply(self, index: int, action: FaultAction, restart_tasks: asyncio.TaskGroup) -> None:
+        """Carry out one step of the schedule; a restart runs as a task of `restart_tasks`."""
         if not self.command:
             return
         sidecar = self.sidecars[index]
@@ -133,7 +135,7 @@
         if action is FaultAction.KILL:
             self._kill(sidecar, sidecar.process)
         elif action is FaultAction.RESTART:
-            restarts.create_task(self._start_when_slot_is_free(sidecar, self._restart_slots))
+            restart_tasks.create_task(self._start_when_slot_is_free(sidecar, self._restart_slots))
         elif action is FaultAction.SUSPEND:
             sidecar.process.send_signal(signal.SIGSTOP)
             incarnation.suspensions.append((monotonic_us(), NEVER))
@@ -172,7 +174,7 @@
 
     async def watch_cpu_waits(self) -> None:
         """Record long waits of sidecars for a core until cancelled; return at once if there are many sidecars."""
-        waited_by_pid: dict[int, int] = {}
+        waited_us_by_pid: dict[int, int] = {}
         while len(self.sidecars) <= MAX_SIDECARS_FOR_CPU_WAITS:
             for sidecar in self.sidecars:
                 if sidecar.process is None:
@@ -180,9 +182,9 @@
                 pid = sidecar.process.pid
                 waited_us = read_cpu_wait_us(pid)
                 if waited_us is not None:
-                    wait_since_last_us = waited_us - waited_by_pid.get(pid, waited_us)
-                    record_cpu_wait(sidecar.incarnations[-1], wait_since_last_us, monotonic_us())
-                    waited_by_pid[pid] = waited_us
+                    wait_since_last_sample_us = waited_us - waited_us_by_pid.get(pid, waited_us)
+                    record_cpu_wait(sidecar.incarnations[-1], wait_since_last_sample_us, monotonic_us())
+                    waited_us_by_pid[pid] = waited_us
             await asyncio.sleep(CPU_WAIT_SAMPLE_S)
 
     # Stop
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -63,9 +63,11 @@
     def _make_planners(self, loop: SimLoop) -> list[SimulatedPlanner]:
         planners = []
         for index in range(self.world.planners.count):
-            snapshots = self.folder / f"snapshots-{index}"
-            snapshots.mkdir(exist_ok=True)
-            text = files.planner_settings_text(self.plan, index, snapshots if self.world.planners.snapshots else None)
+            snapshots_folder = self.folder / f"snapshots-{index}"
+            snapshots_folder.mkdir(exist_ok=True)
+            text = files.planner_settings_text(
+                self.plan, index, snapshots_folder if self.world.planners.snapshots else None
+            )
             planners.append(SimulatedPlanner(loop, index, operator_settings.parse(text, {}), self.seed))
         return planners
 
@@ -117,7 +119,7 @@
     async def _stop(self, loop: SimLoop, processes: Sequence[SimulatedProcess]) -> None:
         """Stop all processes; an exception of a process fails the run."""
         for process in processes:
-            process.stop.set()
+            process.stop_event.set()
         for process in processes:
             assert process.task is not None
             try:
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -30,7 +30,7 @@
         """Prepare the process; `start` starts it."""
         self.loop = loop
         self.index = index
-        self.stop = asyncio.Event()  # ends the present process
+        self.stop_event = asyncio.Event()  # ends the present process
         self.incarnations: list[Incarnation] = []
         self.clocks = Clocks()
         self.task: asyncio.Task[None] | None = None
@@ -41,14 +41,14 @@
         return f"{self.kind} {self.index}, life {len(self.incarnations)}"
 
     def run(self) -> Coroutine[Any, Any, None]:
-        """Return the coroutine of the process, which ends after `stop` is set."""
+        """Return the coroutine of the process, which ends after `stop_event` is set."""
         raise NotImplementedError
 
     def start(self) -> None:
         """Start a new process, with a new record."""
         now_us = monotonic_us()
         self.incarnations.append(Incarnation(self.index, now_us, now_us))
-        self.stop = asyncio.Event()
+        self.stop_event = asyncio.Event()
         if self.clocks != Clocks():
             self.loop.clocks[self.process_name] = self.clocks
         context = contextvars.copy_context()
@@ -109,7 +109,7 @@
 
     def run(self) -> Coroutine[Any, Any, None]:
         """Return the coroutine of the sidecar."""
-        return serve(self.config, self.stop, asyncio.Event(), self.components)
+        return serve(self.config, self.stop_event, asyncio.Event(), self.components)
 
 
 class SimulatedPlanner(SimulatedProcess):
@@ -126,4 +126,4 @@
     async def run(self) -> None:
         """Run the planner."""
         planner = planning.make_planner(self.settings, self.seed * PLANNER_SEED_FACTOR + len(self.incarnations))
-        await planner.run(self.stop)
+        await planner.run(self.stop_event)
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -57,11 +57,11 @@
 class Cluster:
     """The EndpointSlices of the service, as the EndpointSlice controller maintains them. This class is pure."""
 
-    def __init__(self, store: Store, size: int) -> None:
-        """Start without slices; each holds up to `size` endpoints."""
+    def __init__(self, store: Store, slice_size: int) -> None:
+        """Start without slices; each holds up to `slice_size` endpoints."""
         self.store = store
-        self.size = size
-        self.contents: dict[str, dict[str, ApiObject]] = {}  # endpoints by slice and pod
+        self.slice_size = slice_size
+        self.endpoints_by_slice: dict[str, dict[str, ApiObject]] = {}  # endpoints by slice and pod
         self.removed_versions: dict[str, int] = {}  # removed pods, with the resource version of the removal
 
     def apply_change(self, entry: dict[str, Any], conflict: Conflict | None = None) -> None:
@@ -73,28 +73,30 @@
             self._remove(uid)
             return
         name = self._slice_for(uid)
-        self.contents.setdefault(name, {})[uid] = make_endpoint(entry)
+        self.endpoints_by_slice.setdefault(name, {})[uid] = make_endpoint(entry)
         self._put(name)
         if conflict is not None:
             self._add_conflict(conflict, name, entry)
 
     def _slice_for(self, uid: str) -> str:
         """Return the name of the regular slice that lists a pod, else of one with room for it, else a new name."""
-        regular_slices = {name: pods for name, pods in self.contents.items() if not name.startswith(EXTRA_PREFIX)}
+        regular_slices = {
+            name: pods for name, pods in self.endpoints_by_slice.items() if not name.startswith(EXTRA_PREFIX)
+        }
         for name, pods in regular_slices.items():
             if uid in pods:
                 return name
         for name, pods in regular_slices.items():
-            if len(pods) < self.size:
+            if len(pods) < self.slice_size:
                 return name
-        return f"{SERVICE}-{len(self.contents):03d}"
+        return f"{SERVICE}-{len(self.endpoints_by_slice):03d}"
 
     def _put(self, name: str) -> None:
-        content = {"addressType": "IPv4", "endpoints": list(self.contents[name].values()), "ports": PORTS}
+        content = {"addressType": "IPv4", "endpoints": list(self.endpoints_by_slice[name].values()), "ports": PORTS}
         self.store.put(NAMESPACE, name, content, {SERVICE_LABEL: SERVICE})
 
     def _remove(self, uid: str) -> None:
-        for name, pods in list(self.contents.items()):
+        for name, pods in list(self.endpoints_by_slice.items()):
             if pods.pop(uid, None) is not None:
                 self._put(name)
         self.removed_versions[uid] = self.store.version
@@ -104,10 +106,10 @@
         outdated_endpoint = make_endpoint(entry | {"state": ListState.ACTIVE})
         if conflict is Conflict.SECOND_SLICE:
             second_name = f"{EXTRA_PREFIX}-{uid}"
-            self.contents[second_name] = {uid: outdated_endpoint}
+            self.endpoints_by_slice[second_name] = {uid: outdated_endpoint}
             self._put(second_name)
             return
-        self.contents[name][uid] = outdated_endpoint
+        self.endpoints_by_slice[name][uid] = outdated_endpoint
         if conflict is Conflict.RECREATED_SLICE:
             self.store.delete(NAMESPACE, name)
         self._put(name)
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -164,7 +164,7 @@
         via = None if fault.via is None else frozenset((fault.via,))
         self.steps.append(Step(at_us, target, index, action, fault.kind, fault.factor, fault.share, uid, via=via))
 
-    def count(self, target: TargetKind) -> int:
+    def target_count(self, target: TargetKind) -> int:
         """Return the number of targets of a kind; each sidecar has its own discovery agent."""
         if target is TargetKind.CONVERTER:
             return self.world.converter_count
@@ -174,19 +174,19 @@
             return max(1, self.world.sidecars.count)
         return self.world.sidecars.count
 
-    def select(self, target: TargetKind, fault: Fault) -> list[int]:
+    def select_targets(self, target: TargetKind, fault: Fault) -> list[int]:
         """Return the indexes of the targets that a fault affects."""
-        return draws.select_targets(self.count(target), fault, self.random)
+        return draws.select_targets(self.target_count(target), fault, self.random)
 
     def add_interval_fault(self, fault: Fault, target: TargetKind, begin: FaultAction, end: FaultAction | None) -> None:
-        for index in self.select(target, fault):
+        for index in self.select_targets(target, fault):
             self.add_step(to_us(fault.at_s), target, index, begin, fault)
             if end is not None:
                 self.add_step(to_us(fault.at_s + fault.for_s), target, index, end, fault)
 
     def add_converter_fault(self, fault: Fault) -> None:
         """Add steps for the processes that the selected converters have when the fault begins."""
-        for converter in self.select(TargetKind.CONVERTER, fault):
+        for converter in self.select_targets(TargetKind.CONVERTER, fault):
             index = self.instance_at(converter, to_us(fault.at_s)).index
             self.add_step(to_us(fault.at_s), TargetKind.CONVERTER, index, FaultAction.BEGIN, fault)
             self.add_step(to_us(fault.at_s + fault.for_s), TargetKind.CONVERTER, index, FaultAction.END, fault)
@@ -212,7 +212,7 @@
 
     def add_release(self, fault: Fault) -> None:
         """Replace the selected converters in turn: each drains, stops, and gets a new process with a new uid."""
-        selected = self.select(TargetKind.CONVERTER, fault)
+        selected = self.select_targets(TargetKind.CONVERTER, fault)
         interval_us = to_us(fault.for_s) // max(1, len(selected))
         for position, converter in enumerate(selected):
             self.replace(converter, to_us(fault.at_s) + position * interval_us, fault)
@@ -251,12 +251,12 @@
             )
 
     def add_kill(self, fault: Fault, target: TargetKind) -> None:
-        for index in self.select(target, fault):
+        for index in self.select_targets(target, fault):
             self.add_step(to_us(fault.at_s), target, index, FaultAction.KILL, fault)
             self.add_step(to_us(fault.at_s + fault.down_s), target, index, FaultAction.RESTART, fault)
 
     def add_clock_jump(self, fault: Fault) -> None:
-        for index in self.select(TargetKind.SIDECAR, fault):
+        for index in self.select_targets(TargetKind.SIDECAR, fault):
             self.steps.append(
                 Step(
                     to_us(fault.at_s), TargetKind.SIDECAR, index, FaultAction.SHIFT_WALL_CLOCK, fault.kind, fault.jump_s
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -315,9 +315,9 @@
             raise ValueError(f"expected unique names, got {names}")
 
     @staticmethod
-    def _check_shares(owner: str, shares: list[float]) -> None:
+    def _check_shares(list_name: str, shares: list[float]) -> None:
         if abs(sum(shares) - 1.0) > MAX_SHARE_SUM_ERROR:
-            raise ValueError(f"the shares of {owner}: expected a sum of 1, got {sum(shares):.3f}")
+            raise ValueError(f"the shares of {list_name}: expected a sum of 1, got {sum(shares):.3f}")
 
     def _check_fault(self, location: str, fault: Fault) -> None:
         if fault.at_s >= self.duration_s:
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -39,13 +39,13 @@
     )
 
 
-def test_a_sent_request_is_not_unreachable_when_its_timeout_expires_while_it_connects(
+def test_a_sent_request_is_not_recorded_as_unreachable_when_its_timeout_expires_while_it_connects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    connect = asyncio.SelectorEventLoop.sock_connect
+    original_connect = asyncio.SelectorEventLoop.sock_connect
 
     async def connect_slowly(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
-        await connect(loop, sock, address)
+        await original_connect(loop, sock, address)
         time.sleep(DEADLINE_S + 0.1)  # blocks the process, so that the timeout is due in the next loop iteration
 
     async def test() -> None:
@@ -100,7 +100,7 @@
     assert incarnation.cpu_waits == [(2_000_000 - 2 * CPU_WAIT_THRESHOLD_US, 2_000_000)]
 
 
-def test_an_ended_process_has_no_wait_for_a_core() -> None:
+def test_the_cpu_wait_of_an_ended_process_is_none() -> None:
     with subprocess.Popen(["true"]) as process:
         process.wait()
     assert read_cpu_wait_us(process.pid) is None
--- a/tests/test_emulated_converter_model.py
+++ b/tests/test_emulated_converter_model.py
@@ -19,7 +19,7 @@
 from ryepier.emulator.draws import Machine
 from ryepier.emulator.world import Converters, Reports, WarmUp
 
-WARMTH = WarmUp(initial_capacity_share=0.25, warm_up_s=4.0, overload_factor=2.0, overload_window_s=1.0)
+WARM_UP = WarmUp(initial_capacity_share=0.25, warm_up_s=4.0, overload_factor=2.0, overload_window_s=1.0)
 
 
 def make_model(
@@ -28,7 +28,7 @@
     group = Converters(count=1, cores=cores, queue_limit=queue_limit)
     return ConverterModel(
         Machine(0, group, 1.0, 1),
-        WARMTH,
+        WARM_UP,
         Reports(),
         cache or IdempotencyCache(),
         np.random.Generator(np.random.PCG64(1)),
@@ -62,28 +62,30 @@
 
 def test_a_pod_deduplicates_repeats_within_the_window_at_any_converter() -> None:
     cache = IdempotencyCache()
-    first, second = make_model(cache), make_model(cache)
-    first.on_request(0, Work(1, "k", 1000, window_us=5000))
-    assert second.on_request(10, Work(1, "k", 1000, window_us=5000)) == []  # waits until the first request is done
-    assert run_until_idle(first) == [Done(1, True)] and cache.released_repeats == [(second, 1)]
-    assert second.on_request(4999, Work(2, "k", 1000, window_us=5000)) == [Done(2, False)]
-    assert second.on_request(5000, Work(3, "k", 1000, window_us=5000)) == [Started(3)]
+    first_converter, second_converter = make_model(cache), make_model(cache)
+    first_converter.on_request(0, Work(1, "k", 1000, window_us=5000))
+    # the repeat waits until the first request is done
+    assert second_converter.on_request(10, Work(1, "k", 1000, window_us=5000)) == []
+    assert run_until_idle(first_converter) == [Done(1, True)] and cache.released_repeats == [(second_converter, 1)]
+    assert second_converter.on_request(4999, Work(2, "k", 1000, window_us=5000)) == [Done(2, False)]
+    assert second_converter.on_request(5000, Work(3, "k", 1000, window_us=5000)) == [Started(3)]
 
 
 def test_a_key_whose_execution_was_lost_with_its_process_runs_again() -> None:
     cache = IdempotencyCache()
-    first, second = make_model(cache), make_model(cache)
-    first.on_request(0, Work(1, "k", 1000, window_us=5000))
-    assert first.stop() == []
-    assert second.on_request(10, Work(1, "k", 1000, window_us=5000)) == [Started(1)]
+    first_converter, second_converter = make_model(cache), make_model(cache)
+    first_converter.on_request(0, Work(1, "k", 1000, window_us=5000))
+    assert first_converter.stop() == []
+    assert second_converter.on_request(10, Work(1, "k", 1000, window_us=5000)) == [Started(1)]
 
 
 def test_a_converter_that_warms_up_is_slower_and_crashes_under_overload() -> None:
     warming_up, warm = make_model(started_us=0, queue_limit=99), make_model(queue_limit=99)
     warming_up.on_request(0, Work(0, "", 1000))
     assert warming_up.next_us == 4000  # 1000 us of work at a quarter of its capacity
-    crashed = [Crashed() in warming_up.on_request(1, Work(token, "", 100_000)) for token in range(1, 8)]
-    assert crashed.index(True) == 4  # the limit is 2 x 0.25 s of work in the window, and this request makes it 501 ms
+    has_crashed = [Crashed() in warming_up.on_request(1, Work(token, "", 100_000)) for token in range(1, 8)]
+    # the limit is 2 x 0.25 s of work within the window; the fifth of these requests brings the sum to 501 ms
+    assert has_crashed.index(True) == 4
     assert not any(Crashed() in warm.on_request(1, Work(token, "", 100_000)) for token in range(20))
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -55,29 +55,29 @@
 ]
 
 
-def make_world(*faults: Fault, duration_s: float = 2.0, sidecars: int = 2, **clients: object) -> World:
+def make_world(*faults: Fault, duration_s: float = 2.0, sidecars: int = 2, **client_settings: object) -> World:
     return World(
         name="test",
         duration_s=duration_s,
         converters=[Converters(count=6, queue_limit=1, cores=1)],
         classes=CLASSES,
-        clients=msgspec.convert({"rate_per_s": 120.0} | clients, Clients),
+        clients=msgspec.convert({"rate_per_s": 120.0} | client_settings, Clients),
         sidecars=Sidecars(count=sidecars),
         faults=list(faults),
     )
 
 
-def test_a_sent_attempt_is_not_unreachable_when_its_connection_timeout_expires(
+def test_a_sent_attempt_is_not_recorded_as_unreachable_when_its_connection_timeout_expires(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def start_request() -> tuple[ClientRequest, ClientAttempt]:
         plan = Plan(make_world(), 1, find_network(), "clients")
         server = await asyncio.start_server(lambda reader, writer: None, *plan.sidecar_address(0))
         loop = asyncio.get_running_loop()
-        connect = loop.create_connection
+        original_connect = loop.create_connection
 
         async def connect_and_wait(*arguments: Any, **options: Any) -> Any:
-            connection = await connect(*arguments, **options)
+            connection = await original_connect(*arguments, **options)
             await asyncio.sleep(1.0)
             return connection
 
@@ -150,7 +150,7 @@
     return f"{head.split(b' ')[1].decode()}{' not run' if not_run else ''} {body.decode()}".strip()
 
 
-def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
+def run_with_time_limit(test: Callable[[], Awaitable[None]]) -> None:
     async def run_with_timeout() -> None:
         async with asyncio.timeout(3 * HANG_TIMEOUT_S):
             await test()
@@ -158,7 +158,7 @@
     asyncio.run(run_with_timeout())
 
 
-def attempts(server: ConverterServer) -> list[ConverterAttempt]:
+def recorded_attempts(server: ConverterServer) -> list[ConverterAttempt]:
     return server.owner.records.converter_attempts
 
 
@@ -184,13 +184,13 @@
             assert [answer.split()[0] for answer in await asyncio.gather(*running_requests)] == ["200", "200"]
             outcomes = {
                 attempt.request_id: (attempt.outcome, attempt.status, attempt.not_run, attempt.started_us >= 0)
-                for attempt in attempts(server)
+                for attempt in recorded_attempts(server)
             }
         assert outcomes["7"] == outcomes["b0"] == ("answered", 200, False, True)
         assert outcomes["full"] == outcomes["drains"] == ("answered", 503, True, False)
         assert len(outcomes) == 5
 
-    run_bounded(test)
+    run_with_time_limit(test)
 
 
 @pytest.mark.parametrize(
@@ -211,12 +211,12 @@
         async with running_converter() as server:
             begin_fault(server, fault)
             assert await exchange(server, request_bytes("1"), wait_s=0.3) == outcome
-            recorded = [attempt for attempt in attempts(server) if attempt.request_id == "1"]
+            recorded = [attempt for attempt in recorded_attempts(server) if attempt.request_id == "1"]
             assert [attempt.started_us >= 0 for attempt in recorded] == ([has_run] if is_recorded else [])
             await server.end_fault()
             assert (await exchange(server, request_bytes("2"))).startswith("200")
 
-    run_bounded(test)
+    run_with_time_limit(test)
 
 
 def test_request_received_only_in_part_before_a_stop_is_not_recorded() -> None:
@@ -230,9 +230,9 @@
             with suppress(ConnectionError):
                 assert await reader.read() == b""
             writer.close()
-            assert attempts(server) == [] and await exchange(server, request_bytes("2")) == "refused"
+            assert recorded_attempts(server) == [] and await exchange(server, request_bytes("2")) == "refused"
 
-    run_bounded(test)
+    run_with_time_limit(test)
 
 
 def test_closing_the_connection_does_not_stop_the_work() -> None:
@@ -240,10 +240,10 @@
         async with running_converter() as server:
             assert await exchange(server, request_bytes("1", work_us=100_000), wait_s=0.03) == "nothing"
             await asyncio.sleep(0.2)
-            [attempt] = attempts(server)
+            [attempt] = recorded_attempts(server)
             assert attempt.outcome == "closed" and attempt.ended_us < attempt.finished_us
 
-    run_bounded(test)
+    run_with_time_limit(test)
 
 
 def test_a_registry_returns_changes_and_states_only_advance() -> None:
@@ -284,7 +284,7 @@
 
 
 @pytest.mark.parametrize(
-    ("class_index", "outcome", "after_ms", "expected"),
+    ("class_index", "outcome", "elapsed_ms", "expected"),
     [
         (0, RequestOutcome.FAILED, 0, True),
         (0, RequestOutcome.SERVED, 0, False),
@@ -295,10 +295,10 @@
         (2, RequestOutcome.FAILED, 0, False),
     ],
 )
-def test_clients_retry_what_the_protocol_allows(
-    class_index: int, outcome: RequestOutcome, after_ms: int, expected: bool
+def test_clients_retry_only_when_the_protocol_allows_it(
+    class_index: int, outcome: RequestOutcome, elapsed_ms: int, expected: bool
 ) -> None:
-    assert may_retry(CLASSES[class_index], outcome, 0, after_ms * 1000) is expected
+    assert may_retry(CLASSES[class_index], outcome, 0, elapsed_ms * 1000) is expected
 
 
 def test_small_world_with_faults_violates_no_protocol_rule(tmp_path: Path) -> None:
@@ -319,8 +319,8 @@
         figures.service_level(figures.group_operations(world, history.client_attempts), figures.due_between(0.0, 0.9))
         > 0.8
     )
-    texts = [event.text for event in history.events]
-    assert "c-0006: release start" in texts and "sidecar 1: kill" in texts
+    event_texts = [event.text for event in history.events]
+    assert "c-0006: release start" in event_texts and "sidecar 1: kill" in event_texts
     config = json.loads((tmp_path / "sidecar-0.json").read_text())
     assert config["settings"]["request-classes"][1]["effect"] == "at_most_once"
 
--- a/tests/test_emulator_formats.py
+++ b/tests/test_emulator_formats.py
@@ -124,10 +124,10 @@
 
 
 def test_world_json_matches_the_fixture() -> None:
-    text = (FIXTURES / "emulator_world.json").read_bytes()
-    world = msgspec.json.decode(text, type=World)
+    data = (FIXTURES / "emulator_world.json").read_bytes()
+    world = msgspec.json.decode(data, type=World)
     assert world == load("slices-drain")
-    assert msgspec.json.format(msgspec.json.encode(world), indent=1) + b"\n" == text
+    assert msgspec.json.format(msgspec.json.encode(world), indent=1) + b"\n" == data
 
 
 def test_records_file_matches_the_fixture() -> None:
